--- /dev/null
+++ b/internal/emulator/virtual/decisions_test.go
@@ -0,0 +1,209 @@
+package virtual
+
+import (
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/host"
+	"dahliapin/policy"
+	"dahliapin/rehearsals"
+)
+
+var (
+	update       = flag.Bool("update", false, "write the recorded hashes anew; only for an intended change of decisions")
+	allDecisions = flag.Bool("all-decisions", false, "play each rehearsal in full with three seeds, not a few seconds with one")
+)
+
+const (
+	shortHashes  = "testdata/decisions-short.txt"
+	allHashes    = "testdata/decisions-all.txt"
+	shortSeconds = 6
+)
+
+// A restructuring must not change any decision of the module: every call into it over the rehearsals, in both modes of caches, and every
+// answer make one hash a run.
+func TestDecisionsInRehearsalsAreThoseThatWereRecorded(t *testing.T) {
+	if testing.Short() {
+		t.Skip("one goroutine plays each: the race detector has nothing to see")
+	}
+	file, seeds := shortHashes, int64(1)
+	if *allDecisions {
+		file, seeds = allHashes, 3
+	}
+	var mu sync.Mutex
+	var got []string
+	t.Run("play", func(t *testing.T) {
+		for _, name := range rehearsals.Names() {
+			if load(t, name).OnSockets() {
+				continue
+			}
+			for _, mode := range []string{"aside", "through"} {
+				for seed := range seeds {
+					t.Run(fmt.Sprint(name, "/", mode, "/", seed), func(t *testing.T) {
+						t.Parallel()
+						line := fmt.Sprintf("%s %s %d %016x", name, mode, seed, recordedHash(t, name, mode, seed))
+						mu.Lock()
+						defer mu.Unlock()
+						got = append(got, line)
+					})
+				}
+			}
+		}
+	})
+	slices.Sort(got)
+	text := strings.Join(got, "\n") + "\n"
+	if *update {
+		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wanted := strings.Split(strings.TrimSpace(string(want)), "\n")
+	if len(wanted) != len(got) {
+		t.Errorf("%d runs, %d were recorded", len(got), len(wanted))
+	}
+	for _, line := range got {
+		if !slices.Contains(wanted, line) {
+			t.Errorf("not as recorded: %s", line)
+		}
+	}
+}
+
+func recordedHash(t *testing.T, name, mode string, seed int64) uint64 {
+	s := load(t, name)
+	s.Seed += seed
+	s.Allowed.Mode = mode
+	if !*allDecisions {
+		s.Seconds = min(s.Seconds, shortSeconds)
+		for i := range s.Events { // the first troubles within the short time
+			s.Events[i].AtS = 1 + math.Mod(s.Events[i].AtS, shortSeconds-2)
+		}
+		slices.SortStableFunc(s.Events, func(a, b script.Event) int { return int(math.Copysign(1, a.AtS-b.AtS)) })
+	}
+	r := &recorder{sum: fnv.New64a()}
+	play(t, s, "module", func(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider {
+		return &recordedDecider{recorder: r, Decider: Module(now, seed, rules)}
+	})
+	return r.sum.Sum64()
+}
+
+// recorder makes one hash of all calls, in their order.
+type recorder struct {
+	sum hash.Hash64
+	b   []byte
+}
+
+func (r *recorder) numbers(values ...uint64) {
+	r.b = r.b[:0]
+	for _, v := range values {
+		r.b = binary.LittleEndian.AppendUint64(r.b, v)
+	}
+	r.sum.Write(r.b)
+}
+
+func (r *recorder) text(s string) {
+	r.numbers(uint64(len(s)))
+	r.sum.Write([]byte(s))
+}
+
+// recordedDecider passes all calls on to the module.
+type recordedDecider struct {
+	*recorder
+	host.Decider
+}
+
+func (d *recordedDecider) Where(now policy.Instant, q *policy.Request) policy.Move {
+	d.request(now, q)
+	return d.move(d.Decider.Where(now, q))
+}
+
+func (d *recordedDecider) After(now policy.Instant, q *policy.Request, o policy.Outcome) policy.Move {
+	d.request(now, q)
+	d.numbers(uint64(o.Leg), uint64(o.Took), uint64(len(o.Report)))
+	for _, x := range o.Report {
+		d.numbers(math.Float64bits(x))
+	}
+	return d.move(d.Decider.After(now, q, o))
+}
+
+func (d *recordedDecider) Wait(now policy.Instant) (time.Duration, []policy.Chore) {
+	wait, chores := d.Decider.Wait(now)
+	d.numbers(uint64(now), uint64(wait), uint64(len(chores)))
+	for _, c := range chores {
+		d.numbers(uint64(c.Kind))
+		d.text(string(c.Cache))
+	}
+	return wait, chores
+}
+
+func (d *recordedDecider) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
+	d.numbers(uint64(now), uint64(form), uint64(len(entries)))
+	for _, e := range entries {
+		d.text(string(e.ID))
+		d.text(string(e.Zone))
+		d.numbers(uint64(e.Kind), uint64(e.State), uint64(e.Born), uint64(e.Group), math.Float64bits(e.Weight))
+	}
+	d.Decider.Listed(now, form, entries)
+}
+
+func (d *recordedDecider) Probed(now policy.Instant, id policy.CacheID, found policy.Result) {
+	d.numbers(uint64(now), uint64(found))
+	d.text(string(id))
+	d.Decider.Probed(now, id, found)
+}
+
+func (d *recordedDecider) Still(now policy.Instant, q policy.Request, leg int) bool {
+	may := d.Decider.Still(now, q, leg)
+	d.numbers(uint64(now), uint64(leg))
+	d.text(fmt.Sprint(may))
+	return may
+}
+
+// Standings passes on what the module tells of its caches: a host looks for it beside the interface.
+func (d *recordedDecider) Standings(now policy.Instant, tell func(policy.CacheID, policy.Standing)) {
+	d.Decider.(*policy.Router).Standings(now, func(id policy.CacheID, s policy.Standing) {
+		d.text(string(id))
+		d.numbers(uint64(s))
+		tell(id, s)
+	})
+}
+
+func (d *recordedDecider) request(now policy.Instant, q *policy.Request) {
+	d.numbers(uint64(now), uint64(q.Grade), uint64(q.League), uint64(q.Arrived), uint64(q.Deadline), uint64(len(q.Legs)))
+	d.text(string(q.ID))
+	d.text(q.Key)
+	d.text(fmt.Sprint(q.Write, q.Over))
+	for _, leg := range q.Legs {
+		d.text(string(leg.To))
+		d.text(fmt.Sprint(leg.Out))
+		d.numbers(uint64(leg.Sent), uint64(leg.Result))
+	}
+}
+
+func (d *recordedDecider) move(m policy.Move) policy.Move {
+	d.numbers(uint64(m.GiveUpAt), uint64(m.Answer), uint64(m.ComeBack), uint64(m.AskAgain), uint64(len(m.To)), uint64(len(m.Cancel)))
+	for _, to := range m.To {
+		d.text(string(to))
+	}
+	for _, leg := range m.Cancel {
+		d.numbers(uint64(leg))
+	}
+	for _, id := range m.Wake {
+		d.text(string(id))
+	}
+	return m
+}
--- /dev/null
+++ b/policy/decisions_test.go
@@ -0,0 +1,348 @@
+package policy_test
+
+import (
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"math"
+	"math/rand"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliapin/policy"
+)
+
+var update = flag.Bool("update", false, "write the recorded hashes anew; only for an intended change of decisions")
+
+const (
+	recordedSeeds = 48
+	recordedSteps = 4000
+	hashesFile    = "testdata/decisions.txt"
+)
+
+// A restructuring of the module must not change any decision, nor the order of its draws of chance. Each seed draws a deployment with
+// all options of the settings, and a stream of events; the hash covers every argument and every answer.
+func TestDecisionsAreThoseThatWereRecorded(t *testing.T) {
+	var got strings.Builder
+	for seed := range int64(recordedSeeds) {
+		fmt.Fprintf(&got, "%d %016x\n", seed, newDriver(seed).run(recordedSteps))
+	}
+	if *update {
+		if err := os.WriteFile(hashesFile, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(hashesFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		wanted := strings.Split(string(want), "\n")
+		for i, line := range strings.Split(got.String(), "\n") {
+			if i >= len(wanted) || line != wanted[i] {
+				t.Errorf("seed and hash %q, recorded was %q", line, wanted[min(i, len(wanted)-1)])
+			}
+		}
+	}
+}
+
+// driver plays a stream of events against one router.
+type driver struct {
+	chance   *rand.Rand
+	rules    policy.HouseRules
+	router   *policy.Router
+	now      policy.Instant
+	entries  []policy.Entry
+	requests []*policy.Request
+	waiting  map[policy.RequestID]policy.Instant // when Where is due again
+	finished int
+	sum      hash.Hash64
+}
+
+func newDriver(seed int64) *driver {
+	d := &driver{
+		chance: rand.New(rand.NewSource(seed)), now: policy.Instant(time.Hour), sum: fnv.New64a(),
+		waiting: map[policy.RequestID]policy.Instant{},
+	}
+	d.rules = d.drawRules()
+	d.router = policy.New(d.now, seed, d.rules)
+	for i := range 4 + d.chance.Intn(60) {
+		d.entries = append(d.entries, d.drawEntry(i))
+	}
+	d.listed(policy.Whole, d.entries)
+	return d
+}
+
+func (d *driver) oneOf(values ...float64) float64 { return values[d.chance.Intn(len(values))] }
+
+func (d *driver) span(low, high time.Duration) time.Duration {
+	return low + time.Duration(d.chance.Int63n(int64(high-low)))
+}
+
+func (d *driver) drawRules() policy.HouseRules {
+	r := policy.HouseRules{
+		Zone: "a", Nodes: 1 + d.chance.Intn(40), Aside: d.chance.Intn(3) > 0, OriginKind: 1, MustAsk: d.chance.Intn(2) == 0,
+		ExcessBenefit: d.oneOf(0, 0.1, 1), CrossingPrice: d.oneOf(0, 0, 0.02, 0.2), WastePrice: d.oneOf(0, 0.04, 0.5),
+		MostLegs: 1 + d.chance.Intn(5), IdleConnection: d.span(time.Second, 20*time.Second),
+		SecondCopies: d.chance.Intn(2) == 0, MayCancel: d.chance.Intn(2) == 0, MayProbe: d.chance.Intn(2) == 0,
+		MaxComeBack: time.Duration(d.oneOf(0, 6e8)), Round: 2 * time.Millisecond, AskWithin: 2 * time.Second,
+		ColdFrom: d.oneOf(0.1, 0.4), ColdFor: d.span(time.Second, 20*time.Second), FallMultiple: d.oneOf(0, 1.5, 3),
+		WaitingAt: -1, InFlightAt: -1,
+	}
+	switch d.chance.Intn(3) {
+	case 0:
+		r.WaitingAt = 1
+	case 1:
+		r.InFlightAt = 0
+	}
+	for _, effect := range []policy.Effect{policy.Idempotent, policy.Labelled, policy.Irreversible, policy.Idempotent} {
+		r.Grades = append(r.Grades, policy.Grade{
+			Benefit: d.oneOf(0.1, 1, 8), SoftLimit: d.span(20*time.Millisecond, 400*time.Millisecond), Late: d.oneOf(0, 0.3),
+			Effect: effect, Scope: policy.Scope(d.chance.Intn(3)), Window: d.span(50*time.Millisecond, 5*time.Second),
+		})
+	}
+	for range d.chance.Intn(4) {
+		r.Leagues = append(r.Leagues, policy.League{QuotaPerSecond: d.oneOf(0, 20, 500)})
+	}
+	return r
+}
+
+func (d *driver) drawEntry(i int) policy.Entry {
+	e := policy.Entry{ID: policy.CacheID(fmt.Sprintf("c%d", i)), Zone: policy.ZoneID([]string{"a", "a", "b", "c"}[d.chance.Intn(4)]),
+		Group: policy.GroupID(d.chance.Intn(4)), Weight: d.oneOf(0, 0.5, 1, 2)}
+	if i == 0 {
+		e.Kind = d.rules.OriginKind
+	}
+	return e
+}
+
+func (d *driver) listed(form policy.ListForm, entries []policy.Entry) {
+	d.record(uint64(form), uint64(len(entries)))
+	d.router.Listed(d.now, form, entries)
+}
+
+func (d *driver) run(steps int) uint64 {
+	nextTick := d.now
+	for range steps {
+		d.now = d.now.Add(d.span(0, 4*time.Millisecond))
+		if d.now >= nextTick {
+			nextTick = d.now.Add(d.tick())
+		}
+		d.callDue()
+		switch n := d.chance.Intn(100); {
+		case n < 40:
+			d.arrive()
+		case n < 94:
+			d.endOne()
+		case n < 96:
+			d.mayStart()
+		case n < 97:
+			d.probe()
+		case n < 98:
+			d.leave()
+		default:
+			d.changeList()
+		}
+	}
+	return d.sum.Sum64()
+}
+
+func (d *driver) tick() time.Duration {
+	wait, chores := d.router.Wait(d.now)
+	d.record(uint64(wait))
+	for _, c := range chores {
+		d.record(uint64(c.Kind))
+		d.recordText(string(c.Cache))
+	}
+	d.router.Standings(d.now, func(id policy.CacheID, s policy.Standing) {
+		d.recordText(string(id))
+		d.record(uint64(s))
+	})
+	return wait
+}
+
+func (d *driver) callDue() {
+	for _, r := range d.requests {
+		if at, ok := d.waiting[r.ID]; ok && !r.Over && d.now >= at {
+			delete(d.waiting, r.ID)
+			d.carryOut(r, d.router.Where(d.now, r))
+		}
+	}
+}
+
+func (d *driver) arrive() {
+	// half of the requests are for a few popular keys, so that fetches of one key meet
+	key := fmt.Sprint(d.chance.Intn(8))
+	if d.chance.Intn(2) == 0 {
+		key = fmt.Sprint(d.chance.Intn(5000))
+	}
+	d.finished++
+	r := &policy.Request{
+		ID: policy.RequestID(fmt.Sprint("r", d.finished)), Key: key, Grade: policy.GradeID(d.chance.Intn(len(d.rules.Grades)+2) - 1),
+		League: policy.LeagueID(d.chance.Intn(4) - 1), Write: d.chance.Intn(5) == 0, Arrived: d.now,
+		Deadline: d.now.Add(d.span(10*time.Millisecond, 800*time.Millisecond)),
+	}
+	d.requests = append(d.requests, r)
+	d.carryOut(r, d.router.Where(d.now, r))
+}
+
+func (d *driver) carryOut(r *policy.Request, m policy.Move) {
+	d.recordText(string(r.ID))
+	d.record(uint64(m.GiveUpAt), uint64(m.Answer), uint64(m.ComeBack), uint64(m.AskAgain), uint64(len(m.To)), uint64(len(m.Cancel)))
+	for _, to := range m.To {
+		d.recordText(string(to))
+		r.Legs = append(r.Legs, policy.Leg{To: to, Sent: d.now, Out: true})
+	}
+	for _, leg := range m.Cancel {
+		d.record(uint64(leg))
+	}
+	if m.Answer != policy.Nothing {
+		r.Over = true
+	}
+	if m.AskAgain != 0 {
+		d.waiting[r.ID] = m.AskAgain
+	}
+	for _, leg := range m.Cancel {
+		if r.Legs[leg].Out {
+			d.end(r, leg, policy.Cancelled)
+		}
+	}
+	for _, id := range m.Wake {
+		d.recordText(string(id))
+		if woken := d.request(id); woken != nil && !woken.Over {
+			delete(d.waiting, id)
+			d.carryOut(woken, d.router.Where(d.now, woken))
+		}
+	}
+	d.forget(r)
+}
+
+func (d *driver) request(id policy.RequestID) *policy.Request {
+	for _, r := range d.requests {
+		if r.ID == id {
+			return r
+		}
+	}
+	return nil
+}
+
+// forget drops a request that is answered and has no leg out.
+func (d *driver) forget(r *policy.Request) {
+	if !r.Over || outLeg(r) >= 0 {
+		return
+	}
+	for i, other := range d.requests {
+		if other == r {
+			d.requests = append(d.requests[:i], d.requests[i+1:]...)
+			delete(d.waiting, r.ID)
+			return
+		}
+	}
+}
+
+func outLeg(r *policy.Request) int {
+	for i, leg := range r.Legs {
+		if leg.Out {
+			return i
+		}
+	}
+	return -1
+}
+
+func (d *driver) endOne() {
+	if len(d.requests) == 0 {
+		return
+	}
+	r := d.requests[d.chance.Intn(len(d.requests))]
+	if leg := outLeg(r); leg >= 0 {
+		d.end(r, leg, d.drawResult())
+	}
+}
+
+func (d *driver) drawResult() policy.Result {
+	if d.chance.Intn(3) > 0 {
+		return policy.Answered
+	}
+	return policy.Result(d.chance.Intn(int(policy.Missed) + 1))
+}
+
+func (d *driver) end(r *policy.Request, leg int, result policy.Result) {
+	r.Legs[leg].Out = false
+	r.Legs[leg].Result = result
+	r.Over = r.Over || result == policy.Answered
+	o := policy.Outcome{Leg: leg, Took: d.now.Since(r.Legs[leg].Sent)}
+	if d.chance.Intn(2) == 0 {
+		o.Report = []float64{d.chance.Float64() * 10, d.chance.Float64() * 5}
+	}
+	d.carryOut(r, d.router.After(d.now, r, o))
+}
+
+func (d *driver) mayStart() {
+	if len(d.requests) == 0 {
+		return
+	}
+	r := d.requests[d.chance.Intn(len(d.requests))]
+	if leg := outLeg(r); leg >= 0 {
+		may := uint64(0)
+		if d.router.Still(d.now, *r, leg) {
+			may = 1
+		}
+		d.record(may)
+	}
+}
+
+func (d *driver) probe() {
+	id := d.entries[d.chance.Intn(len(d.entries))].ID
+	d.router.Probed(d.now, id, d.drawResult())
+}
+
+// leave has a client go before it has its answer.
+func (d *driver) leave() {
+	if len(d.requests) > 0 {
+		r := d.requests[d.chance.Intn(len(d.requests))]
+		r.Over = true
+		d.forget(r)
+	}
+}
+
+func (d *driver) changeList() {
+	switch d.chance.Intn(8) {
+	case 0:
+		d.listed(policy.AskFailed, nil)
+	case 1:
+		d.listed(policy.LastHeld, d.entries)
+	case 2:
+		d.listed(policy.Whole, d.entries)
+	case 3:
+		e := d.drawEntry(len(d.entries))
+		e.Born = d.now
+		d.entries = append(d.entries, e)
+		d.listed(policy.Changes, []policy.Entry{e})
+	default:
+		e := &d.entries[d.chance.Intn(len(d.entries))]
+		if e.State = policy.State(d.chance.Intn(5) / 2); e.State != policy.Ready && d.chance.Intn(2) == 0 {
+			e.State = policy.Ready
+		}
+		if d.chance.Intn(2) == 0 {
+			e.Born = d.now
+		}
+		d.listed(policy.Changes, []policy.Entry{*e})
+	}
+}
+
+func (d *driver) record(values ...uint64) {
+	for _, v := range values {
+		var b [8]byte
+		binary.LittleEndian.PutUint64(b[:], v)
+		d.sum.Write(b[:])
+	}
+}
+
+func (d *driver) recordText(s string) {
+	d.record(math.MaxUint64, uint64(len(s)))
+	d.sum.Write([]byte(s))
+}
