--- a/internal/emulator/onwire/servers.go
+++ b/internal/emulator/onwire/servers.go
@@ -10,7 +10,6 @@
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -49,9 +48,8 @@
 // serverConn is a connection to a cache.
 type serverConn struct {
 	net.Conn
-	s    *server
-	out  chan []byte
-	once sync.Once
+	s   *server
+	out chan []byte
 }
 
 // leg is one that a server has in hand.
--- a/internal/emulator/virtual/node.go
+++ b/internal/emulator/virtual/node.go
@@ -75,7 +75,7 @@
 	n.book = records.New("n"+strconv.Itoa(n.number+1), n.r.log.Note, isOrigin)
 	seed := n.r.script.Seed*7919 + int64(n.number)*31 + int64(n.life)
 	n.r.Decided++
-	var decider host.Decider = n.r.make(n.r.now, seed, n.terms.Rules)
+	decider := n.r.make(n.r.now, seed, n.terms.Rules)
 	if len(n.r.script.Levels) > 0 {
 		decider = levels.Before(decider, n.r.now, uint32(seed), n.r.script.Levels, &n.terms, func(now policy.Instant, _ int, name string) {
 			n.book.Level(now, name)
--- a/internal/emulator/virtual/virtual.go
+++ b/internal/emulator/virtual/virtual.go
@@ -278,13 +278,18 @@
 	}
 }
 
-// UpgradeNode, StandbyNode and ScrapeNode are not played: a script with them is refused.
-func (r *Run) UpgradeNode(int)                {}
-func (r *Run) StandbyNode(int, bool)          {}
+// UpgradeNode does nothing: a script with it is refused in virtual time.
+func (r *Run) UpgradeNode(int) {}
+
+// StandbyNode does nothing, as UpgradeNode.
+func (r *Run) StandbyNode(int, bool) {}
+
+// ScrapeNode does nothing, as UpgradeNode.
 func (r *Run) ScrapeNode(int, policy.Instant) {}
 
-// PauseNode, HangNode, TwinNode, Between and what disturbs a node concern processes and what is between them.
-func (r *Run) PauseNode(int, bool)                  {}
+// PauseNode does nothing, as all that concerns processes or what is between them: a script with it is refused.
+func (r *Run) PauseNode(int, bool) {}
+
 func (r *Run) HangNode(int, bool)                   {}
 func (r *Run) CrowdNode(int, int, policy.Instant)   {}
 func (r *Run) StallClients(int, int)                {}
--- a/internal/fleet/charter/charter.go
+++ b/internal/fleet/charter/charter.go
@@ -148,9 +148,17 @@
 // Stale is the span as it is used.
 func (c *Changes) Stale() time.Duration { return seconds(c.StaleS) }
 
-// Pause, Hello, Back, Loop and Forget are the spans as they are used.
-func (m *Members) Pause() time.Duration  { return seconds(m.PauseS) }
-func (m *Members) Hello() time.Duration  { return seconds(m.HelloMs / 1000) }
-func (m *Members) Back() time.Duration   { return seconds(m.BackS) }
-func (m *Members) Loop() time.Duration   { return seconds(m.LoopS) }
+// Pause is PauseS as a duration.
+func (m *Members) Pause() time.Duration { return seconds(m.PauseS) }
+
+// Hello is HelloMs as a duration.
+func (m *Members) Hello() time.Duration { return seconds(m.HelloMs / 1000) }
+
+// Back is BackS as a duration.
+func (m *Members) Back() time.Duration { return seconds(m.BackS) }
+
+// Loop is LoopS as a duration.
+func (m *Members) Loop() time.Duration { return seconds(m.LoopS) }
+
+// Forget is ForgetS as a duration.
 func (m *Members) Forget() time.Duration { return seconds(m.ForgetS) }
--- a/internal/fleet/charter/control.go
+++ b/internal/fleet/charter/control.go
@@ -170,12 +170,20 @@
 	return m
 }
 
-// Fills, Each and FlushEach are the same as they are used.
-func (p *Purges) Fills() time.Duration     { return seconds(p.FillsS) }
-func (p *Purges) Each() time.Duration      { return seconds(1 / p.PaceS) }
+// Fills is FillsS as a duration.
+func (p *Purges) Fills() time.Duration { return seconds(p.FillsS) }
+
+// Each is the time between two purges at one cache, from PaceS.
+func (p *Purges) Each() time.Duration { return seconds(1 / p.PaceS) }
+
+// FlushEach is FlushS as a duration.
 func (p *Purges) FlushEach() time.Duration { return seconds(p.FlushS) }
 
-// Hold, Forget and Election are the spans as they are used.
-func (b *ControlBounds) Hold() time.Duration     { return seconds(b.HoldS) }
-func (b *ControlBounds) Forget() time.Duration   { return seconds(b.ForgetS) }
+// Hold is HoldS as a duration.
+func (b *ControlBounds) Hold() time.Duration { return seconds(b.HoldS) }
+
+// Forget is ForgetS as a duration.
+func (b *ControlBounds) Forget() time.Duration { return seconds(b.ForgetS) }
+
+// Election is ElectMs as a duration.
 func (b *ControlBounds) Election() time.Duration { return seconds(b.ElectMs / 1000) }
--- a/internal/freshness/judge.go
+++ b/internal/freshness/judge.go
@@ -43,8 +43,10 @@
 	}
 }
 
-// SetDate, SetExpires and SetModified take the fields' lines; a Date or Last-Modified that is none counts as missing.
-func (r *Response) SetDate(line string)     { r.Date, _ = http.ParseTime(line) }
+// SetDate takes the Date field's line; one that is no date counts as missing.
+func (r *Response) SetDate(line string) { r.Date, _ = http.ParseTime(line) }
+
+// SetModified takes the Last-Modified field's line; one that is no date counts as missing.
 func (r *Response) SetModified(line string) { r.Modified, _ = http.ParseTime(line) }
 
 // SetExpires takes the Expires field's line.
@@ -74,7 +76,7 @@
 	Lifetime time.Duration
 }
 
-// Age is the response's age now (4.2.3): asked and came are when the request went out and its answer came. Nothing in it
+// CurrentAge is the response's age now (4.2.3): asked and came are when the request went out and its answer came. Nothing in it
 // can make a response look younger than its Age says, or than its Date does.
 func (r *Response) CurrentAge(asked, came, now time.Time, rules Rules) time.Duration {
 	age := time.Duration(0)
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -65,7 +65,6 @@
 
 // process is the rig's hand in a process of hollow nodes.
 type process struct {
-	mu     sync.Mutex
 	nodes  map[string]*Node
 	places []Place
 	order  order
