--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -13,7 +13,7 @@
 
 func main() {
 	err := simwire.Serve(os.Stdin, os.Stdout, os.Stderr,
-		func(now policy.Instant, seed int64, rules policy.HouseRules, out *simwire.Writer) simwire.Node {
+		func(now policy.Instant, seed int64, rules policy.Settings, out *simwire.Writer) simwire.Node {
 			return host.New(now, seed, rules, out)
 		})
 	if err != nil {
--- a/internal/baselines/baselines.go
+++ b/internal/baselines/baselines.go
@@ -22,7 +22,7 @@
 )
 
 // Maker makes a decider, as the shells of the emulator want it.
-type Maker = func(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider
+type Maker = func(now policy.Instant, seed int64, rules policy.Settings) host.Decider
 
 // Names are the baselines there are.
 var Names = []string{"random", "ring"}
@@ -38,24 +38,24 @@
 	return nil, fmt.Errorf("there is no decider %q: module, %v", name, Names)
 }
 
-func maker(choose func(*plain, *policy.Request) policy.CacheID) Maker {
-	return func(_ policy.Instant, seed int64, rules policy.HouseRules) host.Decider {
-		p := &plain{rules: rules, choose: choose, caches: map[policy.CacheID]*cache{}, chance: keyhash.Source{Seed: uint32(seed)}}
-		p.rules.MostLegs = max(1, rules.MostLegs)
+func maker(choose func(*plain, *policy.Request) policy.EndpointID) Maker {
+	return func(_ policy.Instant, seed int64, rules policy.Settings) host.Decider {
+		p := &plain{rules: rules, choose: choose, caches: map[policy.EndpointID]*cache{}, chance: keyhash.Source{Seed: uint32(seed)}}
+		p.rules.MaxAttempts = max(1, rules.MaxAttempts)
 		return p
 	}
 }
 
 type cache struct {
-	policy.Entry
+	policy.Endpoint
 	out int
 }
 
 // plain sends to whom choose says, tries again where the rules allow it, and gives up otherwise.
 type plain struct {
-	rules  policy.HouseRules
-	choose func(*plain, *policy.Request) policy.CacheID
-	caches map[policy.CacheID]*cache
+	rules  policy.Settings
+	choose func(*plain, *policy.Request) policy.EndpointID
+	caches map[policy.EndpointID]*cache
 	ready  []*cache // those that may be sent to, by id; without the origin
 	ring   []point
 	origin *cache
@@ -68,25 +68,25 @@
 }
 
 // Listed hears the list.
-func (p *plain) Listed(_ policy.Instant, form policy.ListForm, entries []policy.Entry) {
-	if form == policy.AskFailed {
+func (p *plain) UpdateEndpoints(_ policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+	if form == policy.PollFailed {
 		return
 	}
-	named := map[policy.CacheID]bool{}
+	named := map[policy.EndpointID]bool{}
 	for _, e := range entries {
 		if named[e.ID] = true; p.caches[e.ID] == nil {
 			p.caches[e.ID] = &cache{}
 		}
-		p.caches[e.ID].Entry = e
+		p.caches[e.ID].Endpoint = e
 	}
 	p.ready, p.ring, p.origin = nil, nil, nil
 	for id, c := range p.caches {
 		switch {
-		case c.State == policy.Gone || form != policy.Changes && !named[id]:
+		case c.Lifecycle == policy.Removed || form != policy.DeltaUpdate && !named[id]:
 			delete(p.caches, id)
-		case p.rules.Aside && c.Kind == p.rules.OriginKind:
+		case p.rules.CacheAside && c.Kind == p.rules.OriginKind:
 			p.origin = c
-		case c.State == policy.Ready:
+		case c.Lifecycle == policy.Ready:
 			p.ready = append(p.ready, c)
 		}
 	}
@@ -100,13 +100,13 @@
 }
 
 // Probed hears nothing: it never probes.
-func (p *plain) Probed(policy.Instant, policy.CacheID, policy.Result) {}
+func (p *plain) OnHealthCheck(policy.Instant, policy.EndpointID, policy.Result) {}
 
 // Wait has no chores.
-func (p *plain) Wait(policy.Instant) (time.Duration, []policy.Chore) { return upkeep, nil }
+func (p *plain) Tick(policy.Instant) (time.Duration, []policy.Action) { return upkeep, nil }
 
-func tried(r *policy.Request, id policy.CacheID) bool {
-	return slices.ContainsFunc(r.Legs, func(l policy.Leg) bool { return l.To == id })
+func tried(r *policy.Request, id policy.EndpointID) bool {
+	return slices.ContainsFunc(r.Attempts, func(l policy.Attempt) bool { return l.Endpoint == id })
 }
 
 // on lists a key's holders on the ring: the next three caches to the right.
@@ -122,7 +122,7 @@
 }
 
 // anyone is a random one of the key's holders.
-func (p *plain) anyone(r *policy.Request) policy.CacheID {
+func (p *plain) anyone(r *policy.Request) policy.EndpointID {
 	hs := slices.DeleteFunc(p.on(r.Key), func(c *cache) bool { return tried(r, c.ID) })
 	if len(hs) == 0 {
 		return ""
@@ -131,7 +131,7 @@
 }
 
 // leastOfThree is the holder with the fewest own legs out, the first on the ring among equals.
-func (p *plain) leastOfThree(r *policy.Request) policy.CacheID {
+func (p *plain) leastOfThree(r *policy.Request) policy.EndpointID {
 	var best *cache
 	for _, c := range p.on(r.Key) {
 		if !tried(r, c.ID) && (best == nil || c.out < best.out) {
@@ -145,51 +145,51 @@
 }
 
 // Where sends a request.
-func (p *plain) Where(now policy.Instant, r *policy.Request) policy.Move {
-	if r.Over || slices.ContainsFunc(r.Legs, func(l policy.Leg) bool { return l.Out }) {
-		return policy.Move{}
+func (p *plain) Route(now policy.Instant, r *policy.Request) policy.Decision {
+	if r.Finished || slices.ContainsFunc(r.Attempts, func(l policy.Attempt) bool { return l.InFlight }) {
+		return policy.Decision{}
 	}
-	g := policy.Grade{}
-	if r.Grade >= 0 && int(r.Grade) < len(p.rules.Grades) {
-		g = p.rules.Grades[r.Grade]
+	g := policy.ServiceClass{}
+	if r.Class >= 0 && int(r.Class) < len(p.rules.Classes) {
+		g = p.rules.Classes[r.Class]
 	}
 	missed, mayHaveRun := false, false
-	for _, l := range r.Legs {
-		missed = missed || l.Result == policy.Missed
-		mayHaveRun = mayHaveRun || !l.Result.NeverRan()
+	for _, l := range r.Attempts {
+		missed = missed || l.Result == policy.CacheMiss
+		mayHaveRun = mayHaveRun || !l.Result.NotExecuted()
 	}
 	by := r.Deadline.Add(-spare)
-	again := !mayHaveRun || g.Effect == policy.Idempotent ||
-		g.Effect == policy.Labelled && g.Scope == policy.AllCaches && now.Since(r.Legs[0].Sent) < g.Window-time.Second
-	if again && by > now && len(r.Legs) < p.rules.MostLegs {
-		to := policy.CacheID("")
+	again := !mayHaveRun || g.Idempotency == policy.Idempotent ||
+		g.Idempotency == policy.IdempotentByKey && g.DedupScope == policy.AllCaches && now.Since(r.Attempts[0].SentAt) < g.DedupWindow-time.Second
+	if again && by > now && len(r.Attempts) < p.rules.MaxAttempts {
+		to := policy.EndpointID("")
 		switch {
-		case p.rules.Aside && (r.Write || missed) && p.origin != nil && p.origin.State == policy.Ready:
+		case p.rules.CacheAside && (r.Write || missed) && p.origin != nil && p.origin.Lifecycle == policy.Ready:
 			to = p.origin.ID
-		case !p.rules.Aside || !r.Write && !missed:
+		case !p.rules.CacheAside || !r.Write && !missed:
 			to = p.choose(p, r)
 		}
 		if c := p.caches[to]; c != nil {
 			c.out++
-			return policy.Move{To: []policy.CacheID{to}, GiveUpAt: by}
+			return policy.Decision{SendTo: []policy.EndpointID{to}, AttemptDeadline: by}
 		}
 	}
-	if !mayHaveRun || g.Effect == policy.Idempotent || g.Effect == policy.Labelled && g.Scope == policy.AllCaches {
-		return policy.Move{Answer: policy.Reject, ComeBack: min(p.rules.MaxComeBack, waits)}
+	if !mayHaveRun || g.Idempotency == policy.Idempotent || g.Idempotency == policy.IdempotentByKey && g.DedupScope == policy.AllCaches {
+		return policy.Decision{Answer: policy.Reject, RetryAfter: min(p.rules.MaxRetryAfter, waits)}
 	}
-	return policy.Move{Answer: policy.Fail}
+	return policy.Decision{Answer: policy.Fail}
 }
 
 // Still tells whether a leg may go out that has waited for its connection.
-func (p *plain) Still(_ policy.Instant, r policy.Request, leg int) bool {
-	c := p.caches[r.Legs[leg].To]
-	return c != nil && c.State == policy.Ready
+func (p *plain) MayStart(_ policy.Instant, r policy.Request, leg int) bool {
+	c := p.caches[r.Attempts[leg].Endpoint]
+	return c != nil && c.Lifecycle == policy.Ready
 }
 
 // After hears a leg's outcome, and tries again.
-func (p *plain) After(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Move {
-	if c := p.caches[r.Legs[o.Leg].To]; c != nil {
+func (p *plain) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
+	if c := p.caches[r.Attempts[o.Attempt].Endpoint]; c != nil {
 		c.out = max(0, c.out-1)
 	}
-	return p.Where(now, r)
+	return p.Route(now, r)
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -103,9 +103,9 @@
 
 // Heard takes the version of an answer that can be read, and whether that says it is the whole list. It tells how the
 // entries are to be taken, and whether calls had failed until now.
-func (c *Caller) Heard(version int, whole bool) (form policy.ListForm, again bool) {
-	if form = policy.Changes; whole || c.asksWhole() {
-		form = policy.Whole
+func (c *Caller) Heard(version int, whole bool) (form policy.UpdateKind, again bool) {
+	if form = policy.DeltaUpdate; whole || c.asksWhole() {
+		form = policy.CompleteUpdate
 	}
 	again = c.fails > 0
 	*c = Caller{nodes: c.nodes, since: version}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	form, again := c.Heard(9, false)
-	if rest, first := c.Failed(Lost, 0, 1); form != policy.Whole || !again || !first || rest > againWithin || c.Next().Since != 9 {
+	if rest, first := c.Failed(Lost, 0, 1); form != policy.CompleteUpdate || !again || !first || rest > againWithin || c.Next().Since != 9 {
 		t.Errorf("took the whole list as %v (%v), then rests %v (%v), then %+v", form, again, rest, first, c.Next())
 	}
 }
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/news_test.go
@@ -250,7 +250,7 @@
 			return
 		}
 		form, _ := a.Heard(version, false)
-		if whole != (form == policy.Whole) {
+		if whole != (form == policy.CompleteUpdate) {
 			panic("a whole list is taken as changes, or the other way round")
 		}
 		if version == t.new && a.told == 0 {
--- a/internal/emulator/course/course.go
+++ b/internal/emulator/course/course.go
@@ -21,7 +21,7 @@
 // Rig is the shell: what an event means to connections, nodes and the list.
 type Rig interface {
 	Broke(server int)                                  // all connections to it are reset
-	Listed(e policy.Entry)                             // the list has changed
+	Listed(e policy.Endpoint)                          // the list has changed
 	Discovery(up bool)                                 // the list is told to nodes, or not
 	Registry() *world.Registry                         // what discovery can bear
 	EndNode(node int, orderly bool)                    // a node is told to end, or killed
@@ -291,7 +291,7 @@
 	c.rig.Listed(EntryOf(c.world, s))
 	gone := now.Add(cmp.Or(long, drainsFor))
 	c.rig.At(gone, func() {
-		server.State = policy.Gone
+		server.State = policy.Removed
 		c.rig.Listed(EntryOf(c.world, s))
 		c.world.Kill(gone, s)
 		c.rig.Broke(s)
@@ -299,19 +299,19 @@
 }
 
 // EntryOf is what the list says of a server.
-func EntryOf(w *world.World, server int) policy.Entry {
+func EntryOf(w *world.World, server int) policy.Endpoint {
 	s := w.Servers[server]
 	kind := 0
 	if w.IsOrigin(server) {
 		kind = 1
 	}
-	return policy.Entry{ID: s.ID, Kind: kind, State: s.State, Born: s.Born, Zone: s.Zone, Group: s.Group, Weight: s.Weight}
+	return policy.Endpoint{ID: s.ID, Kind: kind, Lifecycle: s.State, StartedAt: s.Born, Zone: s.Zone, Group: s.Group, Weight: s.Weight}
 }
 
 // Entries is the whole list.
-func Entries(w *world.World) (es []policy.Entry) {
+func Entries(w *world.World) (es []policy.Endpoint) {
 	for i, s := range w.Servers {
-		if s.State != policy.Gone {
+		if s.State != policy.Removed {
 			es = append(es, EntryOf(w, i))
 		}
 	}
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -31,12 +31,12 @@
 
 // Breach is one rule broken once.
 type Breach struct {
-	Rule    int            `json:"rule"`
-	At      policy.Instant `json:"at_ns"`
-	What    string         `json:"what"`
-	Request string         `json:"request,omitempty"`
-	Server  policy.CacheID `json:"server,omitempty"`
-	Node    int            `json:"node"`
+	Rule    int               `json:"rule"`
+	At      policy.Instant    `json:"at_ns"`
+	What    string            `json:"what"`
+	Request string            `json:"request,omitempty"`
+	Server  policy.EndpointID `json:"server,omitempty"`
+	Node    int               `json:"node"`
 }
 
 func (b Breach) String() string {
@@ -46,7 +46,7 @@
 
 // Terms are what it judges by.
 type Terms struct {
-	Grades       []policy.Grade
+	Grades       []policy.ServiceClass
 	SecondCopies bool
 	Grace        time.Duration // after a change of the list is told
 	Slack        time.Duration // that what crosses may take
@@ -76,7 +76,7 @@
 
 type place struct {
 	node   int
-	server policy.CacheID
+	server policy.EndpointID
 }
 
 type taken struct {
@@ -94,7 +94,7 @@
 }
 
 type leg struct {
-	server policy.CacheID
+	server policy.EndpointID
 	came   policy.Instant
 	left   policy.Instant // 0 while it is out
 	never  bool           // it is sure that it did not run
@@ -106,7 +106,7 @@
 		Grades: make([]Tally, len(t.Grades)), Took: make([][]time.Duration, len(t.Grades))}
 }
 
-func (j *Judge) breach(rule int, at policy.Instant, id string, node int, server policy.CacheID, what string) {
+func (j *Judge) breach(rule int, at policy.Instant, id string, node int, server policy.EndpointID, what string) {
 	j.Counts[rule]++
 	if len(j.Breaches) < mostKept {
 		j.Breaches = append(j.Breaches, Breach{rule, at, what, id, server, node})
@@ -153,7 +153,7 @@
 	case Satisfied:
 		c.Satisfied++
 		j.Took[t.grade] = append(j.Took[t.grade], took)
-		if took <= g.SoftLimit {
+		if took <= g.LatencyObjective {
 			c.InTime++
 		}
 	case Rejected:
@@ -186,8 +186,8 @@
 // Excuse forgets a request whose node was killed by the script: nobody could have answered it.
 func (j *Judge) Excuse(id string) { delete(j.hand, id) }
 
-func harmless(g *policy.Grade) bool {
-	return g.Effect == policy.Idempotent || g.Effect == policy.Labelled && g.Scope == policy.AllCaches
+func harmless(g *policy.ServiceClass) bool {
+	return g.Idempotency == policy.Idempotent || g.Idempotency == policy.IdempotentByKey && g.DedupScope == policy.AllCaches
 }
 
 func (t *taken) mayHaveRun() bool {
@@ -200,7 +200,7 @@
 }
 
 // Told tells that a node has heard what the list says of a server.
-func (j *Judge) Told(now policy.Instant, node int, server policy.CacheID, state policy.State) {
+func (j *Judge) Told(now policy.Instant, node int, server policy.EndpointID, state policy.Lifecycle) {
 	at := place{node, server}
 	if state == policy.Ready {
 		delete(j.told, at)
@@ -210,7 +210,7 @@
 }
 
 // Came tells that a leg has come to a server whole, and since when it was on its way.
-func (j *Judge) Came(now, sent policy.Instant, id string, server policy.CacheID) {
+func (j *Judge) Came(now, sent policy.Instant, id string, server policy.EndpointID) {
 	t := j.hand[id]
 	if t == nil {
 		return // nobody's, or of one long over: what it does shows as an effect
@@ -227,7 +227,7 @@
 	if at, known := j.told[place{t.node, server}]; known && sent > at.Add(j.terms.Grace) {
 		j.breach(3, now, id, t.node, server, fmt.Sprintf("a leg went to a server %v after it was told to want none", sent.Since(at)))
 	}
-	if g.Effect == policy.Irreversible && t.mayHaveRun() {
+	if g.Idempotency == policy.NotIdempotent && t.mayHaveRun() {
 		j.breach(2, now, id, t.node, server, "another leg of an irreversible request, though one may have run")
 	}
 	if t.answered != 0 && t.final == Rejected && !harmless(g) {
@@ -237,7 +237,7 @@
 }
 
 // Left tells that a server has answered a leg, or that the node has given it up or called it off.
-func (j *Judge) Left(now policy.Instant, id string, server policy.CacheID, neverRan bool) {
+func (j *Judge) Left(now policy.Instant, id string, server policy.EndpointID, neverRan bool) {
 	t := j.hand[id]
 	if t == nil {
 		return
@@ -249,7 +249,7 @@
 			continue
 		}
 		l.left, l.never = now, neverRan
-		if j.terms.SecondCopies && g.Effect != policy.Irreversible {
+		if j.terms.SecondCopies && g.Idempotency != policy.NotIdempotent {
 			return
 		}
 		for k := range t.legs { // one that came while this was still out, by more than what crosses
@@ -262,13 +262,13 @@
 }
 
 // Effect tells that a write has had its effect at a server, repeats that were dropped apart.
-func (j *Judge) Effect(now policy.Instant, id, label string, grade int, server policy.CacheID) {
+func (j *Judge) Effect(now policy.Instant, id, label string, grade int, server policy.EndpointID) {
 	name := label
 	if name == "" {
 		name = id
 	}
 	if j.effects[name]++; j.effects[name] > 1 {
-		j.breach(2, now, id, -1, server, fmt.Sprintf("the effect of %s %q happened %d times", effectName[j.terms.Grades[grade].Effect],
+		j.breach(2, now, id, -1, server, fmt.Sprintf("the effect of %s %q happened %d times", effectName[j.terms.Grades[grade].Idempotency],
 			name, j.effects[name]))
 	}
 	if t := j.hand[id]; t != nil {
@@ -278,10 +278,10 @@
 	}
 }
 
-var effectName = map[policy.Effect]string{policy.Irreversible: "irreversible", policy.Labelled: "labelled", policy.Idempotent: "idempotent"}
+var effectName = map[policy.Idempotency]string{policy.NotIdempotent: "irreversible", policy.IdempotentByKey: "labelled", policy.Idempotent: "idempotent"}
 
 // Fell tells that a server was pushed over.
-func (j *Judge) Fell(now policy.Instant, server policy.CacheID, why string) {
+func (j *Judge) Fell(now policy.Instant, server policy.EndpointID, why string) {
 	j.breach(4, now, "", -1, server, "pushed over: "+why)
 }
 
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/judge/judge_test.go
@@ -9,10 +9,10 @@
 
 const ms = policy.Instant(time.Millisecond)
 
-func grades() []policy.Grade {
-	return []policy.Grade{{SoftLimit: 50 * time.Millisecond, Effect: policy.Idempotent},
-		{SoftLimit: 50 * time.Millisecond, Effect: policy.Labelled, Scope: policy.SameGroup, Window: time.Second},
-		{SoftLimit: 50 * time.Millisecond, Effect: policy.Irreversible}}
+func grades() []policy.ServiceClass {
+	return []policy.ServiceClass{{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.Idempotent},
+		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.IdempotentByKey, DedupScope: policy.SameGroup, DedupWindow: time.Second},
+		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.NotIdempotent}}
 }
 
 // gone has clients go, and an attempt for each begin so long after that.
@@ -91,12 +91,12 @@
 		{"to one that drains", 3, func(j *Judge) { j.Told(0, 0, "c1", policy.Draining); sent(j, 0); j.Came(60*ms, 51*ms, "r", "c1") }},
 		{"to one that drains, within the grace", 0, func(j *Judge) { j.Told(0, 0, "c1", policy.Draining); sent(j, 0); j.Came(60*ms, 49*ms, "r", "c1") }},
 		{"to one that is back", 0, func(j *Judge) {
-			j.Told(0, 0, "c1", policy.Gone)
+			j.Told(0, 0, "c1", policy.Removed)
 			j.Told(1, 0, "c1", policy.Ready)
 			sent(j, 0)
 			j.Came(60*ms, 60*ms, "r", "c1")
 		}},
-		{"told another node", 0, func(j *Judge) { j.Told(0, 1, "c1", policy.Gone); sent(j, 0); j.Came(60*ms, 60*ms, "r", "c1") }},
+		{"told another node", 0, func(j *Judge) { j.Told(0, 1, "c1", policy.Removed); sent(j, 0); j.Came(60*ms, 60*ms, "r", "c1") }},
 		{"pushed over", 4, func(j *Judge) { j.Fell(0, "c1", "cold") }},
 	} {
 		j := New(Terms{Grades: grades(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
--- a/internal/emulator/onwire/agent.go
+++ b/internal/emulator/onwire/agent.go
@@ -21,9 +21,9 @@
 	at     net.Listener
 	web    *http.Server
 	mu     sync.Mutex
-	log    []policy.Entry // changes; a version is how many there were
-	all    map[policy.CacheID]policy.Entry
-	order  []policy.CacheID
+	log    []policy.Endpoint // changes; a version is how many there were
+	all    map[policy.EndpointID]policy.Endpoint
+	order  []policy.EndpointID
 	news   chan struct{} // closed at the next change
 	closed chan struct{}
 }
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{r: r, node: node, at: l, all: map[policy.CacheID]policy.Entry{}, news: make(chan struct{}), closed: make(chan struct{})}
+	a := &agent{r: r, node: node, at: l, all: map[policy.EndpointID]policy.Endpoint{}, news: make(chan struct{}), closed: make(chan struct{})}
 	for i := range r.world.Servers {
 		a.hear(course.EntryOf(r.world, i))
 	}
@@ -43,7 +43,7 @@
 }
 
 // hear takes a change.
-func (a *agent) hear(e policy.Entry) {
+func (a *agent) hear(e policy.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, known := a.all[e.ID]; !known {
@@ -117,7 +117,7 @@
 	if whole {
 		changed = nil
 		for _, id := range a.order {
-			if e := a.all[id]; e.State != policy.Gone {
+			if e := a.all[id]; e.Lifecycle != policy.Removed {
 				changed = append(changed, e)
 			}
 		}
@@ -130,13 +130,13 @@
 	}
 	a.r.mu.Lock()
 	for _, e := range changed {
-		a.r.judge.Told(a.r.now(), a.node, e.ID, e.State)
+		a.r.judge.Told(a.r.now(), a.node, e.ID, e.Lifecycle)
 	}
 	a.r.mu.Unlock()
 }
 
 // list writes entries as the list has them.
-func (r *Rig) list(version int, whole bool, entries []policy.Entry) []byte {
+func (r *Rig) list(version int, whole bool, entries []policy.Endpoint) []byte {
 	rows := []map[string]any{}
 	r.mu.Lock()
 	for _, e := range entries {
@@ -145,12 +145,12 @@
 			continue
 		}
 		born := int64(0)
-		if e.Born != 0 {
-			born = r.began.Add(e.Born.Since(epoch)).UnixMilli()
+		if e.StartedAt != 0 {
+			born = r.began.Add(e.StartedAt.Since(epoch)).UnixMilli()
 		}
 		rows = append(rows, map[string]any{"instanceId": string(e.ID), "hostPort": r.servers[i].addr, "zone": string(e.Zone),
 			"machineType": [...]string{"cache", "origin"}[e.Kind], "cell": int64(e.Group), "weight": e.Weight, "startedAtMs": born,
-			"lifecycle": [...]string{policy.Ready: "in_service", policy.Draining: "terminating", policy.Gone: "terminated"}[e.State]})
+			"lifecycle": [...]string{policy.Ready: "in_service", policy.Draining: "terminating", policy.Removed: "terminated"}[e.Lifecycle]})
 	}
 	r.mu.Unlock()
 	text, err := json.Marshal(map[string]any{"generation": version, "reset": whole, "instances": rows})
--- a/internal/emulator/onwire/member.go
+++ b/internal/emulator/onwire/member.go
@@ -129,7 +129,7 @@
 		r.At(r.now().Add(signalsApart), p.Reload)
 		r.At(r.now().Add(2*signalsApart), process.End)
 	}
-	r.At(r.now().Add(min(r.terms.LongestStop, mostToEnd)+killedAfter), func() {
+	r.At(r.now().Add(min(r.terms.LongestDeadline, mostToEnd)+killedAfter), func() {
 		m.parting = false
 		process.Kill()
 	})
@@ -180,7 +180,7 @@
 	m.pool.Close() // or it would wait for idle clients
 	select {
 	case <-p.Done():
-	case <-time.After(m.r.terms.LongestStop + spareToEnd):
+	case <-time.After(m.r.terms.LongestDeadline + spareToEnd):
 		p.Kill()
 		<-p.Done()
 	}
@@ -192,10 +192,10 @@
 	if listen != m.addr { // a twin, which no operator calls
 		ops = ""
 	}
-	var held []policy.Entry
+	var held []policy.Endpoint
 	m.agent.mu.Lock()
 	for _, id := range m.agent.order {
-		if e := m.agent.all[id]; e.State != policy.Gone {
+		if e := m.agent.all[id]; e.Lifecycle != policy.Removed {
 			held = append(held, e)
 		}
 	}
--- a/internal/emulator/onwire/onwire_test.go
+++ b/internal/emulator/onwire/onwire_test.go
@@ -410,9 +410,9 @@
 func newWorld(s *script.Script) *world.World { return world.New(s.World(nil)) }
 
 func newJudge(s *script.Script) *judge.Judge {
-	var gs []policy.Grade
+	var gs []policy.ServiceClass
 	for _, g := range s.Terms() {
-		gs = append(gs, g.Grade)
+		gs = append(gs, g.ServiceClass)
 	}
 	return judge.New(judge.Terms{Grades: gs})
 }
--- a/internal/emulator/onwire/operators.go
+++ b/internal/emulator/onwire/operators.go
@@ -64,7 +64,7 @@
 		old.End()
 		select {
 		case <-old.Done():
-		case <-time.After(r.terms.LongestStop + spareToEnd):
+		case <-time.After(r.terms.LongestDeadline + spareToEnd):
 			m.failed("the old process does not end")
 			old.Kill()
 		}
--- a/internal/emulator/onwire/rig.go
+++ b/internal/emulator/onwire/rig.go
@@ -75,7 +75,7 @@
 // Rig is one run.
 type Rig struct {
 	script *script.Script
-	terms  houserules.Terms
+	terms  houserules.Settings
 	runner Runner
 	began  time.Time
 	tell   func(string) // progress, a line at a time; nil for nobody
@@ -95,9 +95,9 @@
 	legs     map[uint64]*leg
 	tags     uint64
 	nodes    []*member
-	avoids   map[policy.CacheID]map[int]bool
+	avoids   map[policy.EndpointID]map[int]bool
 	upList   chan struct{} // closed while discovery is up
-	pending  []policy.Entry
+	pending  []policy.Endpoint
 	died     []string
 	asking   sync.WaitGroup
 	between  *between.Sockets    // nil where nodes do not know one another
@@ -121,9 +121,9 @@
 	up := make(chan struct{})
 	close(up)
 	r := &Rig{registry: s.Registry(), script: s, terms: terms, runner: runner, began: time.Now(), tell: tell, wake: make(chan struct{}, 1), legs: map[uint64]*leg{},
-		avoids: map[policy.CacheID]map[int]bool{}, upList: up}
+		avoids: map[policy.EndpointID]map[int]bool{}, upList: up}
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = judge.New(judge.Terms{Grades: terms.Rules.Grades, SecondCopies: s.Allowed.SecondCopies,
+	r.judge = judge.New(judge.Terms{Grades: terms.Policy.Classes, SecondCopies: s.Allowed.SecondCopies,
 		Grace: script.Span(s.Allowed.GraceMs / 1000), Slack: max(slack, script.Span(s.Allowed.SlackMs/1000)), AnswerSlack: script.Span(s.Allowed.LateAnswerMs / 1000)})
 	r.log = outcome.NewLog(s, epoch)
 	ear := &course.Ear{Judge: r.judge, Log: r.log, Rig: r}
@@ -162,7 +162,7 @@
 	ear.Log = r.log
 	r.log.Views = r.views
 	r.fleet = records.New(outcome.FleetsBook, r.log.Note, isOrigin)
-	r.fleet.Listed(start, policy.Whole, course.Entries(r.world))
+	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, course.Entries(r.world))
 	r.course = course.Play(s, r.world, r.traffic, start, r)
 	r.poke()
 	r.mu.Unlock()
@@ -172,7 +172,7 @@
 	select { // the last ones have their deadlines still to come
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(terms.LongestStop + 2*slack):
+	case <-time.After(terms.LongestDeadline + 2*slack):
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,7 +184,7 @@
 	return report, nil
 }
 
-func isOrigin(e policy.Entry) bool { return e.ID == world.OriginID }
+func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
 
 func (r *Rig) now() policy.Instant { return r.at(time.Now()) }
 
@@ -242,9 +242,9 @@
 
 // warm puts keys where the module would send them.
 func (r *Rig) warm() {
-	p := policy.New(epoch, r.script.Seed, r.terms.Rules)
-	p.Listed(epoch, policy.Whole, course.Entries(r.world))
-	world.WarmBy(r.world, p.Where, epoch, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
+	p := policy.New(epoch, r.script.Seed, r.terms.Policy)
+	p.UpdateEndpoints(epoch, policy.CompleteUpdate, course.Entries(r.world))
+	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
 func (r *Rig) ready(ctx context.Context) error {
@@ -386,7 +386,7 @@
 		r.judge.Answered(now, req.ID, got.Final)
 	}
 	if got.Final == judge.Satisfied {
-		if now.Since(first) <= g.SoftLimit {
+		if now.Since(first) <= g.LatencyObjective {
 			r.judge.Served(req.Grade)
 			r.log.InTime(first)
 		}
@@ -431,7 +431,7 @@
 }
 
 // Listed tells a change of the list to each node's agent, late.
-func (r *Rig) Listed(e policy.Entry) {
+func (r *Rig) Listed(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
 		r.attend(i)
 	}
@@ -446,7 +446,7 @@
 	}
 	if r.fleet != nil {
 		r.At(r.now().Add(script.Span(r.script.Discovery.NoticeS[0])), func() {
-			r.fleet.Listed(r.now(), policy.Changes, []policy.Entry{e})
+			r.fleet.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
 		})
 	}
 }
@@ -469,17 +469,17 @@
 	}
 	if e.What == records.Back {
 		delete(r.avoids[e.Server], number)
-		s = policy.InUse
+		s = policy.StateInUse
 	} else {
 		r.avoids[e.Server][number] = true
 	}
 	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.What == records.Back {
-		r.fleet.Stands(e.At, e.Server, s)
+		r.fleet.EndpointStateChanged(e.At, e.Server, s)
 	}
 }
 
-var standings = map[string]policy.Standing{policy.Quiet.String(): policy.Quiet, policy.Refusing.String(): policy.Refusing,
-	policy.Erring.String(): policy.Erring}
+var standings = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
+	policy.StateFailing.String(): policy.StateFailing}
 
 // close ends all that runs.
 func (r *Rig) close() {
--- a/internal/emulator/onwire/servers.go
+++ b/internal/emulator/onwire/servers.go
@@ -309,9 +309,9 @@
 	if l != nil {
 		delete(r.legs, tag)
 		r.log.Ended(r.now(), how)
-		r.judge.Left(r.now(), l.id, r.world.Servers[l.server].ID, how.NeverRan())
+		r.judge.Left(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
 		if r.fleet != nil {
-			r.fleet.Ended(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.came))
+			r.fleet.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.came))
 		}
 	}
 	return l
@@ -433,11 +433,11 @@
 }
 
 // came tells of a leg that came whole.
-func (r *Rig) came(now policy.Instant, id string, server policy.CacheID) {
+func (r *Rig) came(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.Leg(now, server)
 	r.judge.Came(now, now, id, server)
 	if r.fleet != nil {
-		r.fleet.Sent(now, server)
+		r.fleet.AttemptSent(now, server)
 	}
 }
 
@@ -472,7 +472,7 @@
 	r.legs[r.tags] = l
 	j := world.Job{Request: id, Key: key, Label: item("k"), Grade: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.tags}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
-		r.left(r.tags, policy.TurnedAway)
+		r.left(r.tags, policy.Rejected)
 		return false
 	}
 	r.poke()
@@ -480,8 +480,8 @@
 }
 
 // outcomes are what a server's answers mean for a leg.
-var outcomes = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.Missed,
-	world.Busy: policy.TurnedAway, world.Failed: policy.Errored}
+var outcomes = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
+	world.Busy: policy.Rejected, world.Failed: policy.Errored}
 
 // served is a job's end; the lock is held.
 func (r *Rig) served(d world.Done) {
--- a/internal/emulator/onwire/together.go
+++ b/internal/emulator/onwire/together.go
@@ -100,7 +100,7 @@
 	do(p, stop)
 	r.views.Truth(r.now(), m.name, !stop, false)
 	if !stop {
-		r.At(r.now().Add(r.terms.LongestStop), func() {
+		r.At(r.now().Add(r.terms.LongestDeadline), func() {
 			if !m.ending {
 				m.serving = true
 			}
--- a/internal/emulator/outcome/outcome.go
+++ b/internal/emulator/outcome/outcome.go
@@ -69,7 +69,7 @@
 type Log struct {
 	began   policy.Instant
 	Seconds []Second
-	Legs    map[policy.CacheID]uint64
+	Legs    map[policy.EndpointID]uint64
 	Records []records.Entry
 	Dropped int // records beyond what is kept
 	Events  []Said
@@ -86,7 +86,7 @@
 
 // NewLog starts one; began is when the script's time is 0.
 func NewLog(s *script.Script, began policy.Instant) *Log {
-	return &Log{began: began, Seconds: make([]Second, int(s.Seconds)+1), Legs: map[policy.CacheID]uint64{}}
+	return &Log{began: began, Seconds: make([]Second, int(s.Seconds)+1), Legs: map[policy.EndpointID]uint64{}}
 }
 
 func (l *Log) second(at policy.Instant) *Second {
@@ -106,7 +106,7 @@
 func (l *Log) InTime(first policy.Instant) { l.second(first).InTime++ }
 
 // Leg counts one that came to a server.
-func (l *Log) Leg(at policy.Instant, server policy.CacheID) {
+func (l *Log) Leg(at policy.Instant, server policy.EndpointID) {
 	l.Legs[server]++
 	s := l.second(at)
 	if s.Legs++; server == world.OriginID {
@@ -120,8 +120,8 @@
 // Ended counts how a leg to a server ended.
 func (l *Log) Ended(at policy.Instant, how policy.Result) {
 	switch how {
-	case policy.Answered, policy.Cancelled, policy.NeverSent:
-	case policy.Missed:
+	case policy.Answered, policy.Cancelled, policy.NotSent:
+	case policy.CacheMiss:
 		l.second(at).Misses++
 	default:
 		l.second(at).Vain++
@@ -164,10 +164,10 @@
 
 // Server is what one server got.
 type Server struct {
-	ID     policy.CacheID `json:"id"`
-	Legs   uint64         `json:"legs"`
-	Hits   uint64         `json:"hits"`
-	Misses uint64         `json:"misses"`
+	ID     policy.EndpointID `json:"id"`
+	Legs   uint64            `json:"legs"`
+	Hits   uint64            `json:"hits"`
+	Misses uint64            `json:"misses"`
 }
 
 // Report is what a run brought.
@@ -216,8 +216,8 @@
 		row.P50, row.P99 = quantile(j.Took[i], 0.5), quantile(j.Took[i], 0.99)
 		r.Grades = append(r.Grades, row)
 		tries += t.Asked
-		asked += g.Benefit * float64(t.First)
-		got += g.Benefit * float64(t.FirstInTime)
+		asked += g.PriorityWeight * float64(t.First)
+		got += g.PriorityWeight * float64(t.FirstInTime)
 	}
 	legs := uint64(0)
 	for _, server := range w.Servers {
@@ -294,11 +294,11 @@
 		}
 	}
 	for _, a := range s.Expect.Avoided {
-		at := r.FirstOf(policy.CacheID(a.Server), records.Avoided)
+		at := r.FirstOf(policy.EndpointID(a.Server), records.Avoided)
 		r.want(at >= 0 && at <= a.ByS, fmt.Sprintf("%.1f s", at), "%s is avoided by %g s", a.Server, a.ByS)
 	}
 	for _, id := range s.Expect.Drained {
-		at := r.FirstOf(policy.CacheID(id), records.Drained)
+		at := r.FirstOf(policy.EndpointID(id), records.Drained)
 		r.want(at >= 0, fmt.Sprintf("%.1f s", at), "%s is drained", id)
 	}
 	if most := s.Expect.OriginMost; most > 0 {
@@ -328,7 +328,7 @@
 }
 
 // FirstOf tells when the whole fleet's records first say something of a server, in seconds; -1 for never.
-func (r *Report) FirstOf(id policy.CacheID, what string) float64 {
+func (r *Report) FirstOf(id policy.EndpointID, what string) float64 {
 	for _, e := range r.Records {
 		if e.Server == id && e.What == what && e.Node == FleetsBook {
 			return time.Duration(e.At).Seconds()
--- a/internal/emulator/script/script.go
+++ b/internal/emulator/script/script.go
@@ -523,8 +523,8 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "labelled": policy.Labelled, "irreversible": policy.Irreversible}
-	scopes  = map[string]policy.Scope{"all": policy.AllCaches, "zone": policy.SameZone, "group": policy.SameGroup}
+	effects = map[string]policy.Idempotency{"idempotent": policy.Idempotent, "labelled": policy.IdempotentByKey, "irreversible": policy.NotIdempotent}
+	scopes  = map[string]policy.DedupScope{"all": policy.AllCaches, "zone": policy.SameZone, "group": policy.SameGroup}
 )
 
 // Span turns seconds into whole nanoseconds.
@@ -539,7 +539,7 @@
 func (s *Script) Terms() (gs []world.Grade) {
 	for _, g := range s.Grades {
 		gs = append(gs, world.Grade{Name: g.Name, Write: g.Write, Deadline: ms(g.HardMs), Work: ms(g.WorkMs), Share: g.Share, Tries: g.Tries,
-			Grade: policy.Grade{Benefit: g.Benefit, SoftLimit: ms(g.SoftMs), Effect: effects[g.Effect], Scope: scopes[g.Scope], Window: Span(g.WindowS)}})
+			ServiceClass: policy.ServiceClass{PriorityWeight: g.Benefit, LatencyObjective: ms(g.SoftMs), Idempotency: effects[g.Effect], DedupScope: scopes[g.Scope], DedupWindow: Span(g.WindowS)}})
 	}
 	return gs
 }
@@ -549,7 +549,7 @@
 	f := &s.Fleet
 	chance := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*2654435761}
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Next()
-	return world.Traits{ID: policy.CacheID(fmt.Sprintf("c%d", n)), Zone: policy.ZoneID(f.Zones[(n-1)%len(f.Zones)]),
+	return world.Traits{ID: policy.EndpointID(fmt.Sprintf("c%d", n)), Zone: policy.ZoneID(f.Zones[(n-1)%len(f.Zones)]),
 		Group: policy.GroupID((n - 1) / f.Group), Cores: f.Cores, Queue: f.Queue, Speed: speed, Weight: speed * float64(f.Cores),
 		Keys: f.Keys, ColdFrom: f.ColdFrom, ColdFor: Span(f.ColdS), FallMultiple: f.FallMultiple, FallFor: Span(f.FallS),
 		Connections: f.Connections, Handshake: ms(f.HandshakeMs)}
@@ -577,9 +577,9 @@
 }
 
 // Chosen returns the caches that an event concerns, in the order of their names' hashes where it chooses by a part.
-func (s *Script) Chosen(e *Event) (ids []policy.CacheID) {
+func (s *Script) Chosen(e *Event) (ids []policy.EndpointID) {
 	for _, name := range e.Caches {
-		ids = append(ids, policy.CacheID(name))
+		ids = append(ids, policy.EndpointID(name))
 	}
 	if e.Zone == "" && (e.Part == 0 || kinds[e.Do].nodes) {
 		return ids
@@ -590,7 +590,7 @@
 		}
 	}
 	if e.Zone == "" {
-		ids = part(ids, e.Part, int(s.Seed), func(id policy.CacheID) string { return string(id) })
+		ids = part(ids, e.Part, int(s.Seed), func(id policy.EndpointID) string { return string(id) })
 	}
 	return ids
 }
--- a/internal/emulator/script/settings.go
+++ b/internal/emulator/script/settings.go
@@ -44,10 +44,10 @@
 }
 
 // TermsAt is what a node in a zone goes by.
-func (s *Script) TermsAt(zone string) (houserules.Terms, error) {
+func (s *Script) TermsAt(zone string) (houserules.Settings, error) {
 	v, err := fastjson.ParseBytes(s.Settings(zone))
 	if err != nil {
-		return houserules.Terms{}, err
+		return houserules.Settings{}, err
 	}
 	terms, err := houserules.Decode(v)
 	if err != nil {
--- a/internal/emulator/script/stated_test.go
+++ b/internal/emulator/script/stated_test.go
@@ -19,8 +19,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if terms, err := s.TermsAt("a"); err != nil || terms.Rules.Nodes != want {
-			t.Errorf("%q: nodes go by %d (%v), not %d", stated, terms.Rules.Nodes, err, want)
+		if terms, err := s.TermsAt("a"); err != nil || terms.Policy.Nodes != want {
+			t.Errorf("%q: nodes go by %d (%v), not %d", stated, terms.Policy.Nodes, err, want)
 		}
 	}
 }
--- a/internal/emulator/virtual/decisions_test.go
+++ b/internal/emulator/virtual/decisions_test.go
@@ -95,7 +95,7 @@
 		slices.SortStableFunc(s.Events, func(a, b script.Event) int { return int(math.Copysign(1, a.AtS-b.AtS)) })
 	}
 	r := &recorder{sum: fnv.New64a()}
-	play(t, s, "module", func(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider {
+	play(t, s, "module", func(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
 		return &recordedDecider{recorder: r, Decider: Module(now, seed, rules)}
 	})
 	return r.sum.Sum64()
@@ -126,56 +126,56 @@
 	host.Decider
 }
 
-func (d *recordedDecider) Where(now policy.Instant, q *policy.Request) policy.Move {
+func (d *recordedDecider) Route(now policy.Instant, q *policy.Request) policy.Decision {
 	d.request(now, q)
-	return d.move(d.Decider.Where(now, q))
+	return d.move(d.Decider.Route(now, q))
 }
 
-func (d *recordedDecider) After(now policy.Instant, q *policy.Request, o policy.Outcome) policy.Move {
+func (d *recordedDecider) OnAttemptDone(now policy.Instant, q *policy.Request, o policy.Outcome) policy.Decision {
 	d.request(now, q)
-	d.numbers(uint64(o.Leg), uint64(o.Took), uint64(len(o.Report)))
-	for _, x := range o.Report {
+	d.numbers(uint64(o.Attempt), uint64(o.Latency), uint64(len(o.LoadReport)))
+	for _, x := range o.LoadReport {
 		d.numbers(math.Float64bits(x))
 	}
-	return d.move(d.Decider.After(now, q, o))
+	return d.move(d.Decider.OnAttemptDone(now, q, o))
 }
 
-func (d *recordedDecider) Wait(now policy.Instant) (time.Duration, []policy.Chore) {
-	wait, chores := d.Decider.Wait(now)
+func (d *recordedDecider) Tick(now policy.Instant) (time.Duration, []policy.Action) {
+	wait, chores := d.Decider.Tick(now)
 	d.numbers(uint64(now), uint64(wait), uint64(len(chores)))
 	for _, c := range chores {
 		d.numbers(uint64(c.Kind))
-		d.text(string(c.Cache))
+		d.text(string(c.Endpoint))
 	}
 	return wait, chores
 }
 
-func (d *recordedDecider) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
+func (d *recordedDecider) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	d.numbers(uint64(now), uint64(form), uint64(len(entries)))
 	for _, e := range entries {
 		d.text(string(e.ID))
 		d.text(string(e.Zone))
-		d.numbers(uint64(e.Kind), uint64(e.State), uint64(e.Born), uint64(e.Group), math.Float64bits(e.Weight))
+		d.numbers(uint64(e.Kind), uint64(e.Lifecycle), uint64(e.StartedAt), uint64(e.Group), math.Float64bits(e.Weight))
 	}
-	d.Decider.Listed(now, form, entries)
+	d.Decider.UpdateEndpoints(now, form, entries)
 }
 
-func (d *recordedDecider) Probed(now policy.Instant, id policy.CacheID, found policy.Result) {
+func (d *recordedDecider) OnHealthCheck(now policy.Instant, id policy.EndpointID, found policy.Result) {
 	d.numbers(uint64(now), uint64(found))
 	d.text(string(id))
-	d.Decider.Probed(now, id, found)
+	d.Decider.OnHealthCheck(now, id, found)
 }
 
-func (d *recordedDecider) Still(now policy.Instant, q policy.Request, leg int) bool {
-	may := d.Decider.Still(now, q, leg)
+func (d *recordedDecider) MayStart(now policy.Instant, q policy.Request, leg int) bool {
+	may := d.Decider.MayStart(now, q, leg)
 	d.numbers(uint64(now), uint64(leg))
 	d.text(fmt.Sprint(may))
 	return may
 }
 
-// Standings passes on what the module tells of its caches: a host looks for it beside the interface.
-func (d *recordedDecider) Standings(now policy.Instant, tell func(policy.CacheID, policy.Standing)) {
-	d.Decider.(*policy.Router).Standings(now, func(id policy.CacheID, s policy.Standing) {
+// EndpointStates passes on what the module tells of its caches: a host looks for it beside the interface.
+func (d *recordedDecider) EndpointStates(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
+	d.Decider.(*policy.Router).EndpointStates(now, func(id policy.EndpointID, s policy.EndpointState) {
 		d.text(string(id))
 		d.numbers(uint64(s))
 		tell(id, s)
@@ -183,20 +183,20 @@
 }
 
 func (d *recordedDecider) request(now policy.Instant, q *policy.Request) {
-	d.numbers(uint64(now), uint64(q.Grade), uint64(q.League), uint64(q.Arrived), uint64(q.Deadline), uint64(len(q.Legs)))
+	d.numbers(uint64(now), uint64(q.Class), uint64(q.Tenant), uint64(q.ArrivedAt), uint64(q.Deadline), uint64(len(q.Attempts)))
 	d.text(string(q.ID))
 	d.text(q.Key)
-	d.text(fmt.Sprint(q.Write, q.Over))
-	for _, leg := range q.Legs {
-		d.text(string(leg.To))
-		d.text(fmt.Sprint(leg.Out))
-		d.numbers(uint64(leg.Sent), uint64(leg.Result))
+	d.text(fmt.Sprint(q.Write, q.Finished))
+	for _, leg := range q.Attempts {
+		d.text(string(leg.Endpoint))
+		d.text(fmt.Sprint(leg.InFlight))
+		d.numbers(uint64(leg.SentAt), uint64(leg.Result))
 	}
 }
 
-func (d *recordedDecider) move(m policy.Move) policy.Move {
-	d.numbers(uint64(m.GiveUpAt), uint64(m.Answer), uint64(m.ComeBack), uint64(m.AskAgain), uint64(len(m.To)), uint64(len(m.Cancel)))
-	for _, to := range m.To {
+func (d *recordedDecider) move(m policy.Decision) policy.Decision {
+	d.numbers(uint64(m.AttemptDeadline), uint64(m.Answer), uint64(m.RetryAfter), uint64(m.ReviewAt), uint64(len(m.SendTo)), uint64(len(m.Cancel)))
+	for _, to := range m.SendTo {
 		d.text(string(to))
 	}
 	for _, leg := range m.Cancel {
--- a/internal/emulator/virtual/list.go
+++ b/internal/emulator/virtual/list.go
@@ -68,12 +68,12 @@
 	})
 }
 
-func (w watch) heard(version int, entries []policy.Entry) {
+func (w watch) heard(version int, entries []policy.Endpoint) {
 	if !w.current() {
 		return
 	}
 	form, _ := w.n.lists.Heard(version, false)
-	if w.n.held = version; len(entries) > 0 || form != policy.Changes {
+	if w.n.held = version; len(entries) > 0 || form != policy.DeltaUpdate {
 		w.n.hear(form, entries)
 	}
 	w.n.call()
@@ -98,9 +98,9 @@
 }
 
 // publish takes a change in, and tells it to all who watch: their calls have had their work.
-func (r *Run) publish(e policy.Entry) {
+func (r *Run) publish(e policy.Endpoint) {
 	r.changes = append(r.changes, e)
-	r.fleet.Listed(r.now, policy.Changes, []policy.Entry{e})
+	r.fleet.EndpointsUpdated(r.now, policy.DeltaUpdate, []policy.Endpoint{e})
 	waiting := r.watches
 	r.watches = nil
 	for _, w := range waiting {
--- a/internal/emulator/virtual/node.go
+++ b/internal/emulator/virtual/node.go
@@ -23,11 +23,11 @@
 	r      *Run
 	number int
 	part   float64 // of the traffic, against others'
-	terms  houserules.Terms
-	life   int        // counts its starts, so that what was meant for an earlier one is passed over
-	host   *host.Host // nil while it is down
+	terms  houserules.Settings
+	life   int              // counts its starts, so that what was meant for an earlier one is passed over
+	host   *host.Dispatcher // nil while it is down
 	book   *records.Book
-	known  []policy.Entry // the list as last heard
+	known  []policy.Endpoint // the list as last heard
 	lists  discovery.Caller
 	held   int // the version of the list as last heard
 	kept   keeping.Span
@@ -35,7 +35,7 @@
 	hand   map[policy.RequestID]*taken
 	count  uint64
 	links  map[int][]idle // by server, the latest used last
-	avoids map[policy.CacheID]bool
+	avoids map[policy.EndpointID]bool
 }
 
 // idle is a connection in nobody's use.
@@ -68,38 +68,38 @@
 	breaks  uint64
 }
 
-func (n *node) start(form policy.ListForm, entries []policy.Entry) {
+func (n *node) start(form policy.UpdateKind, entries []policy.Endpoint) {
 	n.life++
-	n.hand, n.links, n.avoids = map[policy.RequestID]*taken{}, map[int][]idle{}, map[policy.CacheID]bool{}
-	n.kept = keeping.New(n.terms.Rules.IdleConnection)
+	n.hand, n.links, n.avoids = map[policy.RequestID]*taken{}, map[int][]idle{}, map[policy.EndpointID]bool{}
+	n.kept = keeping.New(n.terms.Policy.IdleTimeout)
 	n.book = records.New("n"+strconv.Itoa(n.number+1), n.r.log.Note, isOrigin)
 	seed := n.r.script.Seed*7919 + int64(n.number)*31 + int64(n.life)
 	n.r.Decided++
-	decider := n.r.make(n.r.now, seed, n.terms.Rules)
+	decider := n.r.make(n.r.now, seed, n.terms.Policy)
 	if len(n.r.script.Levels) > 0 {
 		decider = levels.Before(decider, n.r.now, uint32(seed), n.r.script.Levels, &n.terms, func(now policy.Instant, _ int, name string) {
 			n.book.Level(now, name)
 		}, new(uint64))
 	}
-	n.host = host.With(n.r.now, decider, n, n)
+	n.host = host.NewWithDecider(n.r.now, decider, n, n)
 	n.hear(form, entries)
 	if n.r.registry.Bounded() {
-		n.lists = discovery.New(n.terms.Rules.Nodes)
+		n.lists = discovery.New(n.terms.Policy.Nodes)
 		n.lists.Hold(n.held)
 		n.call()
 	}
 	n.r.serving = append(n.r.serving, n)
 }
 
-func (n *node) hear(form policy.ListForm, entries []policy.Entry) {
+func (n *node) hear(form policy.UpdateKind, entries []policy.Endpoint) {
 	for _, e := range entries {
-		n.r.judge.Told(n.r.now, n.number, e.ID, e.State)
-		n.known = slices.DeleteFunc(n.known, func(o policy.Entry) bool { return o.ID == e.ID })
-		if e.State != policy.Gone {
+		n.r.judge.Told(n.r.now, n.number, e.ID, e.Lifecycle)
+		n.known = slices.DeleteFunc(n.known, func(o policy.Endpoint) bool { return o.ID == e.ID })
+		if e.Lifecycle != policy.Removed {
 			n.known = append(n.known, e)
 		}
 	}
-	n.host.Listed(n.r.now, form, entries)
+	n.host.UpdateEndpoints(n.r.now, form, entries)
 }
 
 // kill ends it at once: its connections are reset, and what it had in hand is nobody's.
@@ -147,8 +147,8 @@
 	v := &taken{id: policy.RequestID(b[:]), req: req, first: first}
 	n.hand[v.id] = v
 	n.r.Decided++
-	n.host.Arrived(n.r.now, &policy.Request{ID: v.id, Key: req.Key, Grade: policy.GradeID(req.Grade), League: -1,
-		Write: n.r.traffic.Grades[req.Grade].Write, Arrived: n.r.now, Deadline: n.r.now.Add(req.Deadline)})
+	n.host.RequestArrived(n.r.now, &policy.Request{ID: v.id, Key: req.Key, Class: policy.ClassID(req.Grade), Tenant: -1,
+		Write: n.r.traffic.Grades[req.Grade].Write, ArrivedAt: n.r.now, Deadline: n.r.now.Add(req.Deadline)})
 	return v
 }
 
@@ -164,9 +164,9 @@
 		}
 		v.answered = true
 		n.r.Decided++
-		n.host.Left(n.r.now, v.id)
+		n.host.ClientGone(n.r.now, v.id)
 		for _, l := range v.legs {
-			if l.out && n.terms.Rules.MayCancel {
+			if l.out && n.terms.Policy.CancelAllowed {
 				l.stop(policy.Cancelled)
 			}
 		}
@@ -184,7 +184,7 @@
 			r.again(v.req, v.first, how == judge.Rejected, comeBack)
 			return
 		}
-		if r.now.Since(v.first) <= r.terms.Rules.Grades[v.req.Grade].SoftLimit {
+		if r.now.Since(v.first) <= r.terms.Policy.Classes[v.req.Grade].LatencyObjective {
 			r.judge.Served(v.req.Grade)
 			r.log.InTime(v.first)
 		}
@@ -199,13 +199,13 @@
 }
 
 // Send starts a leg.
-func (n *node) Send(id policy.RequestID, to policy.CacheID, giveUpAt policy.Instant) {
+func (n *node) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
 	v, r := n.hand[id], n.r
 	l := &leg{n: n, life: n.life, v: v, number: len(v.legs), sent: r.now, out: true}
 	v.legs = append(v.legs, l)
 	server, known := r.world.Find(to)
 	if !known {
-		r.after(0, func() { l.end(policy.Unconnected, nil) })
+		r.after(0, func() { l.end(policy.ConnectFailed, nil) })
 		return
 	}
 	l.server = server
@@ -215,7 +215,7 @@
 		if l.out {
 			how := policy.TimedOut
 			if !l.written {
-				how = policy.Unconnected
+				how = policy.ConnectFailed
 			}
 			l.stop(how)
 		}
@@ -239,7 +239,7 @@
 	s := r.world.Servers[l.server]
 	r.log.Now(r.now).Dials++
 	if s.Life == world.Silent { // nothing ever comes back
-		r.At(l.sent.Add(script.Span(r.script.Allowed.ConnectMs/1000)), func() { l.end(policy.Unconnected, nil) })
+		r.At(l.sent.Add(script.Span(r.script.Allowed.ConnectMs/1000)), func() { l.end(policy.ConnectFailed, nil) })
 		return
 	}
 	if r.fault(l.server) == "refuse" || !r.world.Connect(r.now, l.server) {
@@ -249,7 +249,7 @@
 				l.n.full()
 			}
 		}
-		r.after(r.way(l.n, l.server), func() { l.end(policy.Unconnected, nil) })
+		r.after(r.way(l.n, l.server), func() { l.end(policy.ConnectFailed, nil) })
 		return
 	}
 	s.Held++
@@ -259,7 +259,7 @@
 			if breaks == r.breaks(l.server) {
 				s.Held--
 			}
-			l.end(policy.Unconnected, nil)
+			l.end(policy.ConnectFailed, nil)
 		})
 		return
 	}
@@ -270,9 +270,9 @@
 			l.drop()
 		case !l.out:
 			l.rest()
-		case !l.n.host.Still(r.now, l.v.id, l.number):
+		case !l.n.host.MayStart(r.now, l.v.id, l.number):
 			l.rest()
-			l.over(policy.NeverSent)
+			l.over(policy.NotSent)
 		default:
 			l.write()
 		}
@@ -327,7 +327,7 @@
 		return
 	}
 	l.out = false
-	if how == policy.Broken || how == policy.Errored && n.r.fault(l.server) == "garbage" {
+	if how == policy.ConnectionBroken || how == policy.Errored && n.r.fault(l.server) == "garbage" {
 		l.drop()
 	} else {
 		l.rest()
@@ -336,7 +336,7 @@
 		n.answer(l.v, judge.Satisfied, 0)
 	}
 	n.r.Decided++
-	n.host.Ended(n.r.now, l.v.id, how, l.v.answered, policy.Outcome{Leg: l.number, Took: n.r.now.Since(l.sent), Report: report})
+	n.host.AttemptDone(n.r.now, l.v.id, how, l.v.answered, policy.Outcome{Attempt: l.number, Latency: n.r.now.Since(l.sent), LoadReport: report})
 	n.release(l.v)
 }
 
@@ -347,14 +347,14 @@
 		l.n.r.judge.Left(l.n.r.now, l.v.req.ID, l.n.r.world.Servers[l.server].ID, false)
 	}
 	l.holds = false
-	l.end(policy.Broken, nil)
+	l.end(policy.ConnectionBroken, nil)
 }
 
 // stop ends a leg from this side, by closing its connection.
 func (l *leg) stop(how policy.Result) {
 	if !l.written {
-		if how != policy.Unconnected {
-			how = policy.NeverSent
+		if how != policy.ConnectFailed {
+			how = policy.NotSent
 		}
 	} else {
 		l.abandon()
@@ -367,7 +367,7 @@
 	l.out = false
 	n := l.n
 	n.r.Decided++
-	n.host.Ended(n.r.now, l.v.id, how, l.v.answered, policy.Outcome{Leg: l.number, Took: n.r.now.Since(l.sent)})
+	n.host.AttemptDone(n.r.now, l.v.id, how, l.v.answered, policy.Outcome{Attempt: l.number, Latency: n.r.now.Since(l.sent)})
 	n.release(l.v)
 }
 
@@ -480,18 +480,18 @@
 func (n *node) later(v *taken) { n.r.after(0, func() { n.release(v) }) }
 
 // Timer wakes the host.
-func (n *node) Timer(in time.Duration, token string) {
+func (n *node) SetTimer(in time.Duration, token string) {
 	life := n.life
 	n.r.after(max(in, 1), func() {
 		if n.life == life && n.host != nil {
 			n.r.Decided++
-			n.host.Woken(n.r.now, token)
+			n.host.OnTimer(n.r.now, token)
 		}
 	})
 }
 
 // Probe checks on a server.
-func (n *node) Probe(id policy.CacheID) {
+func (n *node) CheckHealth(id policy.EndpointID) {
 	r, life := n.r, n.life
 	server, known := r.world.Find(id)
 	if !known {
@@ -501,31 +501,31 @@
 	found, wait := policy.Answered, r.way(n, server)+r.way(n, server)
 	switch s := r.world.Servers[server]; {
 	case s.Life == world.Down, r.fault(server) == "refuse":
-		found = policy.Unconnected
+		found = policy.ConnectFailed
 	case s.Life == world.Up && len(n.links[server]) == 0 && s.Held >= s.Connections: // it needs a connection, as legs do
 		r.log.Now(r.now).FullDials++
-		found = policy.Unconnected
+		found = policy.ConnectFailed
 	case s.Life == world.Silent, s.Frozen(r.now), r.fault(server) == "silent":
 		found, wait = policy.TimedOut, script.Span(r.script.Allowed.ConnectMs/1000)
 	case r.fault(server) != "":
-		found = policy.Broken
+		found = policy.ConnectionBroken
 	}
 	r.after(wait, func() {
 		if n.life == life && n.host != nil {
-			n.host.Probed(r.now, id, found)
+			n.host.OnHealthCheck(r.now, id, found)
 		}
 	})
 }
 
 // Follow needs nothing: the list is always followed.
-func (n *node) Follow() {}
+func (n *node) PollEndpoints() {}
 
 // The node watches its own host: for its own book, and for the fleet's.
 
 // Stands hears how a cache stands. The fleet as a whole avoids what most of its nodes avoid.
-func (n *node) Stands(now policy.Instant, id policy.CacheID, s policy.Standing) {
-	n.book.Stands(now, id, s)
-	r, bad := n.r, s == policy.Quiet || s == policy.Refusing || s == policy.Erring
+func (n *node) EndpointStateChanged(now policy.Instant, id policy.EndpointID, s policy.EndpointState) {
+	n.book.EndpointStateChanged(now, id, s)
+	r, bad := n.r, s == policy.StateUnresponsive || s == policy.StateUnreachable || s == policy.StateFailing
 	if n.avoids[id] != bad {
 		if n.avoids[id] = bad; bad {
 			r.avoiders[id]++
@@ -535,26 +535,26 @@
 	}
 	switch most := 2*r.avoiders[id] > len(r.nodes); {
 	case most && bad:
-		r.fleet.Stands(now, id, s)
+		r.fleet.EndpointStateChanged(now, id, s)
 	case !most:
-		r.fleet.Stands(now, id, policy.InUse)
+		r.fleet.EndpointStateChanged(now, id, policy.StateInUse)
 	}
 }
 
 // Sent hears of a leg.
-func (n *node) Sent(now policy.Instant, id policy.CacheID) {
-	n.book.Sent(now, id)
-	n.r.fleet.Sent(now, id)
+func (n *node) AttemptSent(now policy.Instant, id policy.EndpointID) {
+	n.book.AttemptSent(now, id)
+	n.r.fleet.AttemptSent(now, id)
 }
 
 // Ended hears of a leg's end.
-func (n *node) Ended(now policy.Instant, id policy.CacheID, how policy.Result, took time.Duration) {
+func (n *node) AttemptDone(now policy.Instant, id policy.EndpointID, how policy.Result, took time.Duration) {
 	n.r.log.Ended(now, how)
-	n.book.Ended(now, id, how, took)
-	n.r.fleet.Ended(now, id, how, took)
+	n.book.AttemptDone(now, id, how, took)
+	n.r.fleet.AttemptDone(now, id, how, took)
 }
 
 // Listed hears the list.
-func (n *node) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
-	n.book.Listed(now, form, entries)
+func (n *node) EndpointsUpdated(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+	n.book.EndpointsUpdated(now, form, entries)
 }
--- a/internal/emulator/virtual/virtual.go
+++ b/internal/emulator/virtual/virtual.go
@@ -31,17 +31,17 @@
 )
 
 // Maker makes a node's decider.
-type Maker func(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider
+type Maker func(now policy.Instant, seed int64, rules policy.Settings) host.Decider
 
 // Module is the maker of the module itself.
-func Module(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider {
+func Module(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
 	return policy.New(now, seed, rules)
 }
 
 // Run is one run.
 type Run struct {
 	script   *script.Script
-	terms    houserules.Terms
+	terms    houserules.Settings
 	make     Maker
 	world    *world.World
 	traffic  *world.Traffic
@@ -56,16 +56,16 @@
 	chance   keyhash.Source
 	legs     map[uint64]*leg // by tag: those that a server has in hand
 	tags     uint64
-	avoiders map[policy.CacheID]int // nodes that avoid it
-	broken   []uint64               // by server: how often all connections to it broke
+	avoiders map[policy.EndpointID]int // nodes that avoid it
+	broken   []uint64                  // by server: how often all connections to it broke
 	faults   []string
 	upList   bool
-	pending  []policy.Entry // told once discovery is up again
+	pending  []policy.Endpoint // told once discovery is up again
 	registry *world.Registry
-	changes  []policy.Entry // what the list has told, where nodes call for it; a version is how many there were
-	watches  []watch        // calls that wait for news, in order
-	Steps    uint64         // events played
-	Decided  uint64         // calls into deciders
+	changes  []policy.Endpoint // what the list has told, where nodes call for it; a version is how many there were
+	watches  []watch           // calls that wait for news, in order
+	Steps    uint64            // events played
+	Decided  uint64            // calls into deciders
 }
 
 // Play plays a script. The decider's name is for the report.
@@ -77,9 +77,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &Run{registry: s.Registry(), script: s, terms: terms, make: make, now: epoch, legs: map[uint64]*leg{}, avoiders: map[policy.CacheID]int{}, upList: true, log: outcome.NewLog(s, epoch)}
+	r := &Run{registry: s.Registry(), script: s, terms: terms, make: make, now: epoch, legs: map[uint64]*leg{}, avoiders: map[policy.EndpointID]int{}, upList: true, log: outcome.NewLog(s, epoch)}
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = judge.New(judge.Terms{Grades: terms.Rules.Grades, SecondCopies: s.Allowed.SecondCopies,
+	r.judge = judge.New(judge.Terms{Grades: terms.Policy.Classes, SecondCopies: s.Allowed.SecondCopies,
 		Grace: script.Span(s.Allowed.GraceMs / 1000), Slack: slack})
 	ear := &course.Ear{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
@@ -90,19 +90,19 @@
 		r.warm()
 	}
 	for i := range s.Fleet.Nodes {
-		n := &node{r: r, number: i, terms: terms, part: math.Pow(float64(1+i%terms.Rules.Nodes), -s.Traffic.Skew)}
+		n := &node{r: r, number: i, terms: terms, part: math.Pow(float64(1+i%terms.Policy.Nodes), -s.Traffic.Skew)}
 		if zone := s.ZoneOf(i); zone != s.Fleet.Zones[0] {
 			if n.terms, err = s.TermsAt(zone); err != nil {
 				return nil, nil, err
 			}
 		}
 		r.nodes = append(r.nodes, n)
-		n.start(policy.Whole, course.Entries(r.world))
+		n.start(policy.CompleteUpdate, course.Entries(r.world))
 	}
-	r.fleet.Listed(r.now, policy.Whole, course.Entries(r.world))
+	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, course.Entries(r.world))
 	r.course = course.Play(s, r.world, r.traffic, epoch, r)
 	r.arrive(r.traffic.Next(r.now))
-	end := epoch.Add(s.Long() + terms.LongestStop + settle)
+	end := epoch.Add(s.Long() + terms.LongestDeadline + settle)
 	if err := r.run(end); err != nil {
 		return nil, nil, err
 	}
@@ -156,7 +156,7 @@
 
 func (r *Run) way(n *node, server int) time.Duration {
 	ms := r.script.Network.OneWayMs
-	if zone := r.world.Servers[server].Zone; zone != "" && zone != n.terms.Rules.Zone {
+	if zone := r.world.Servers[server].Zone; zone != "" && zone != n.terms.Policy.Zone {
 		ms = r.script.Network.CrossZoneMs
 	}
 	return r.jittered(script.Span(ms / 1000))
@@ -173,13 +173,13 @@
 
 // warm puts keys where the decider's own kind would send them.
 func (r *Run) warm() {
-	d := r.make(r.now, r.script.Seed, r.terms.Rules)
-	d.Listed(r.now, policy.Whole, course.Entries(r.world))
-	world.WarmBy(r.world, d.Where, r.now, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
+	d := r.make(r.now, r.script.Seed, r.terms.Policy)
+	d.UpdateEndpoints(r.now, policy.CompleteUpdate, course.Entries(r.world))
+	world.WarmBy(r.world, d.Route, r.now, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
 // isOrigin tells whom records pass over.
-func isOrigin(e policy.Entry) bool { return e.ID == world.OriginID }
+func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
 
 // Broke breaks all connections to a server, and all legs on them.
 func (r *Run) Broke(server int) {
@@ -232,7 +232,7 @@
 func (r *Run) Said(now policy.Instant, what string) { r.log.Say(now, what) }
 
 // Listed tells a change of the list to each node, late.
-func (r *Run) Listed(e policy.Entry) {
+func (r *Run) Listed(e policy.Endpoint) {
 	if !r.upList {
 		r.pending = append(r.pending, e)
 		return
@@ -249,11 +249,11 @@
 		life := n.life
 		r.after(late, func() {
 			if n.life == life && n.host != nil {
-				n.hear(policy.Changes, []policy.Entry{e})
+				n.hear(policy.DeltaUpdate, []policy.Endpoint{e})
 			}
 		})
 	}
-	r.after(first, func() { r.fleet.Listed(r.now, policy.Changes, []policy.Entry{e}) })
+	r.after(first, func() { r.fleet.EndpointsUpdated(r.now, policy.DeltaUpdate, []policy.Endpoint{e}) })
 }
 
 // Registry is what discovery can bear.
@@ -308,14 +308,14 @@
 		}
 		n.kill()
 	}
-	n.start(policy.LastHeld, n.known)
+	n.start(policy.LastKnownUpdate, n.known)
 	if r.registry.Bounded() {
 		return // it calls by itself
 	}
 	entries, life := course.Entries(r.world), n.life
 	r.after(script.Span(r.script.Discovery.NoticeS[0]), func() {
 		if n.life == life && r.upList {
-			n.hear(policy.Whole, entries)
+			n.hear(policy.CompleteUpdate, entries)
 		}
 	})
 }
@@ -400,20 +400,20 @@
 	}
 	r.judge.Left(r.now, l.v.req.ID, r.world.Servers[d.Server].ID, d.Said == world.Busy)
 	delete(r.legs, d.Job.Tag)
-	how := [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.Missed,
-		world.Busy: policy.TurnedAway, world.Failed: policy.Errored}[d.Said]
+	how := [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
+		world.Busy: policy.Rejected, world.Failed: policy.Errored}[d.Said]
 	switch r.fault(d.Server) {
 	case "half":
-		how = policy.Broken
+		how = policy.ConnectionBroken
 	case "garbage":
 		how = policy.Errored
 	case "stale":
 		if d.Said == world.Value {
-			how = policy.Missed
+			how = policy.CacheMiss
 		}
 	}
 	var report []float64
-	if r.script.Fleet.Reports && !r.world.IsOrigin(d.Server) && how != policy.Broken {
+	if r.script.Fleet.Reports && !r.world.IsOrigin(d.Server) && how != policy.ConnectionBroken {
 		report = []float64{d.Load}
 	}
 	if lost := r.script.Network.LostShare; lost > 0 && !r.world.IsOrigin(d.Server) && r.chance.Next() < lost {
--- a/internal/emulator/virtual/virtual_test.go
+++ b/internal/emulator/virtual/virtual_test.go
@@ -132,12 +132,12 @@
 type wrong struct {
 	host.Decider
 	how string
-	r   policy.HouseRules
-	ids []policy.CacheID
+	r   policy.Settings
+	ids []policy.EndpointID
 }
 
-func (w *wrong) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
-	w.Decider.Listed(now, form, entries)
+func (w *wrong) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+	w.Decider.UpdateEndpoints(now, form, entries)
 	for _, e := range entries {
 		if e.Kind != w.r.OriginKind {
 			w.ids = append(w.ids, e.ID)
@@ -145,20 +145,20 @@
 	}
 }
 
-func (w *wrong) Where(now policy.Instant, r *policy.Request) policy.Move {
-	m := w.Decider.Where(now, r)
+func (w *wrong) Route(now policy.Instant, r *policy.Request) policy.Decision {
+	m := w.Decider.Route(now, r)
 	switch by := r.Deadline; {
-	case len(r.Legs) > 0 || r.Over:
+	case len(r.Attempts) > 0 || r.Finished:
 	case w.how == "to one that drains" && !r.Write: // each starts at the first it ever heard of
-		m.To, m.GiveUpAt = w.ids[:1], by
+		m.SendTo, m.AttemptDeadline = w.ids[:1], by
 	case w.how == "to the newest only" && !r.Write:
-		m.To, m.GiveUpAt = w.ids[len(w.ids)-1:], by
+		m.SendTo, m.AttemptDeadline = w.ids[len(w.ids)-1:], by
 	case w.how == "beside" && !r.Write:
-		m.To, m.GiveUpAt = w.ids[:3], by
+		m.SendTo, m.AttemptDeadline = w.ids[:3], by
 	case w.how == "twice" && r.Write:
-		m.To, m.GiveUpAt = []policy.CacheID{"origin", "origin"}, by
+		m.SendTo, m.AttemptDeadline = []policy.EndpointID{"origin", "origin"}, by
 	case w.how == "too late" && !r.Write:
-		m.Answer, m.To, m.AskAgain = policy.Nothing, nil, now.Add(time.Second)
+		m.Answer, m.SendTo, m.ReviewAt = policy.NoAnswer, nil, now.Add(time.Second)
 	}
 	return m
 }
@@ -176,7 +176,7 @@
 		if how == "to one that drains" {
 			s.Events[0].Caches = []string{"c1"}
 		}
-		r := play(t, s, how, func(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider {
+		r := play(t, s, how, func(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
 			return &wrong{Decider: policy.New(now, seed, rules), how: how, r: rules}
 		})
 		if rule == 0 && r.Rules != [4]uint64{} || rule > 0 && r.Rules[rule-1] == 0 {
@@ -221,13 +221,13 @@
 // loops asks again at once, for ever.
 type loops struct{ host.Decider }
 
-func (loops) Where(now policy.Instant, r *policy.Request) policy.Move {
-	return policy.Move{AskAgain: now}
+func (loops) Route(now policy.Instant, r *policy.Request) policy.Decision {
+	return policy.Decision{ReviewAt: now}
 }
 
 // A decider that never comes to an end is told as such; a run that hung would tell nothing.
 func TestADeciderThatLoopsIsTold(t *testing.T) {
-	_, _, err := Play(load(t, "moves"), "loops", func(now policy.Instant, seed int64, rules policy.HouseRules) host.Decider {
+	_, _, err := Play(load(t, "moves"), "loops", func(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
 		return loops{policy.New(now, seed, rules)}
 	})
 	if err == nil || !strings.Contains(err.Error(), "loops") {
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -104,7 +104,7 @@
 	}
 	r.ID = t.name()
 	r.Deadline, r.Leaves = t.waits(r.ID, g.Deadline), t.leaves(r.ID)
-	if g.Effect == policy.Labelled {
+	if g.Idempotency == policy.IdempotentByKey {
 		r.Label = "l" + r.ID
 	}
 	return r
@@ -143,7 +143,7 @@
 // again only where a second run does no harm, or is dropped by all caches for as long as the client waits for it; one that was rejected never ran.
 func (t *Traffic) Again(now policy.Instant, r Request, rejected bool, comeBack time.Duration) (Request, policy.Instant, bool) {
 	g := &t.Grades[r.Grade]
-	if r.Try >= g.Tries || !rejected && (g.Effect == policy.Irreversible || g.Effect == policy.Labelled && g.Scope != policy.AllCaches) {
+	if r.Try >= g.Tries || !rejected && (g.Idempotency == policy.NotIdempotent || g.Idempotency == policy.IdempotentByKey && g.DedupScope != policy.AllCaches) {
 		return r, 0, false
 	}
 	wait := comeBack
@@ -154,7 +154,7 @@
 	r.Try++
 	r.ID, r.Sent = t.name(), now.Add(wait)
 	r.Deadline, r.Leaves = t.waits(r.ID, g.Deadline), t.leaves(r.ID)
-	if g.Effect == policy.Labelled && r.Sent.Add(r.Deadline).Since(r.First) > g.Window {
+	if g.Idempotency == policy.IdempotentByKey && r.Sent.Add(r.Deadline).Since(r.First) > g.DedupWindow {
 		return r, 0, false
 	}
 	return r, r.Sent, true
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -34,7 +34,7 @@
 
 // Traits are what one cache server is.
 type Traits struct {
-	ID           policy.CacheID
+	ID           policy.EndpointID
 	Zone         policy.ZoneID
 	Group        policy.GroupID
 	Cores, Queue int
@@ -52,7 +52,7 @@
 
 // Grade is what the world must know of a service grade.
 type Grade struct {
-	policy.Grade
+	policy.ServiceClass
 	Name     string
 	Write    bool
 	Deadline time.Duration
@@ -72,7 +72,7 @@
 }
 
 // OriginID is the origin's name.
-const OriginID policy.CacheID = "origin"
+const OriginID policy.EndpointID = "origin"
 
 // Job is a leg as a server sees it.
 type Job struct {
@@ -106,9 +106,9 @@
 
 // Hearer hears what really happened, whatever a router says of it.
 type Hearer interface {
-	Effect(now policy.Instant, request, label string, grade int, server policy.CacheID)
-	Fell(now policy.Instant, server policy.CacheID, why string)
-	Rose(now policy.Instant, server policy.CacheID) // a server that had fallen starts anew
+	Effect(now policy.Instant, request, label string, grade int, server policy.EndpointID)
+	Fell(now policy.Instant, server policy.EndpointID, why string)
+	Rose(now policy.Instant, server policy.EndpointID) // a server that had fallen starts anew
 }
 
 // Plan is a world to make.
@@ -134,7 +134,7 @@
 type Server struct {
 	Traits
 	Life   Life
-	State  policy.State // as the list has it
+	State  policy.Lifecycle // as the list has it
 	Born   policy.Instant
 	Held   int // connections that are open to it, the shell's to count
 	origin *OriginTraits
@@ -160,7 +160,7 @@
 type World struct {
 	plan     Plan
 	Servers  []*Server // the origin last, where there is one
-	byID     map[policy.CacheID]int
+	byID     map[policy.EndpointID]int
 	chance   keyhash.Source
 	due      deadlines.Queue[wake]
 	meanWork time.Duration    // of a request at a cache of speed 1
@@ -185,7 +185,7 @@
 
 // New makes a world. All caches are warm and empty.
 func New(p Plan) *World {
-	w := &World{plan: p, byID: map[policy.CacheID]int{}, missed: map[string][]int{}, shared: map[string]*labels{}}
+	w := &World{plan: p, byID: map[policy.EndpointID]int{}, missed: map[string][]int{}, shared: map[string]*labels{}}
 	w.chance.Seed, w.meanWork = p.Seed, p.meanWork()
 	for _, t := range p.Caches {
 		w.AddCache(t, 0)
@@ -213,7 +213,7 @@
 }
 
 // Find returns a server's number.
-func (w *World) Find(id policy.CacheID) (int, bool) {
+func (w *World) Find(id policy.EndpointID) (int, bool) {
 	i, ok := w.byID[id]
 	return i, ok
 }
@@ -246,7 +246,7 @@
 		return s.labels
 	}
 	name := ""
-	switch g.Scope {
+	switch g.DedupScope {
 	case policy.SameZone:
 		name = "zone " + string(s.Zone)
 	case policy.SameGroup:
@@ -495,7 +495,7 @@
 	w.written++
 	d.Text = strconv.FormatUint(w.written, 36)
 	if j.Label != "" {
-		w.memory(s, g).keep(j.Label, d.Text, int64(now.Add(g.Window)))
+		w.memory(s, g).keep(j.Label, d.Text, int64(now.Add(g.DedupWindow)))
 	}
 	w.plan.Hearer.Effect(now, j.Request, j.Label, j.Grade, s.ID)
 	if s.origin != nil {
@@ -581,7 +581,7 @@
 
 // WarmBy fills the caches with the keys of traffic, the most popular last, as a fleet that has served for long would hold
 // them. where is a decider's, which is not used again: each of three calls goes to the least loaded, so they tell the holders.
-func WarmBy(w *World, where func(policy.Instant, *policy.Request) policy.Move, now policy.Instant, t *Traffic, most int) {
+func WarmBy(w *World, where func(policy.Instant, *policy.Request) policy.Decision, now policy.Instant, t *Traffic, most int) {
 	grade := slices.IndexFunc(t.Grades, func(g Grade) bool { return !g.Write })
 	if grade < 0 {
 		return
@@ -589,9 +589,9 @@
 	for rank := min(t.Keys, most) - 1; rank >= 0; rank-- {
 		key := KeyOf(rank)
 		for range 3 {
-			m := where(now, &policy.Request{ID: "w", Key: key, Grade: policy.GradeID(grade), League: -1, Arrived: now,
+			m := where(now, &policy.Request{ID: "w", Key: key, Class: policy.ClassID(grade), Tenant: -1, ArrivedAt: now,
 				Deadline: now.Add(time.Hour)})
-			for _, id := range m.To {
+			for _, id := range m.SendTo {
 				if i, ok := w.byID[id]; ok && w.Servers[i].origin == nil {
 					w.Servers[i].store.put(key)
 				}
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -11,9 +11,9 @@
 
 type heard struct{ effects, fell, rose int }
 
-func (h *heard) Effect(policy.Instant, string, string, int, policy.CacheID) { h.effects++ }
-func (h *heard) Fell(policy.Instant, policy.CacheID, string)                { h.fell++ }
-func (h *heard) Rose(policy.Instant, policy.CacheID)                        { h.rose++ }
+func (h *heard) Effect(policy.Instant, string, string, int, policy.EndpointID) { h.effects++ }
+func (h *heard) Fell(policy.Instant, policy.EndpointID, string)                { h.fell++ }
+func (h *heard) Rose(policy.Instant, policy.EndpointID)                        { h.rose++ }
 
 func make1(h Hearer, change func(*Traits)) *World {
 	t := Traits{ID: "c1", Cores: 1, Queue: 2, Speed: 1, Keys: 2, Connections: 1, ColdFrom: 0.5, ColdFor: 10 * time.Second,
@@ -23,7 +23,7 @@
 	}
 	return New(Plan{Caches: []Traits{t}, Seed: 1, Hearer: h, Origin: OriginTraits{Cores: 1, Queue: 99, Work: 4 * time.Millisecond, StallAt: 99, Stall: 1},
 		Grades: []Grade{{Name: "read", Work: 10 * time.Millisecond}, {Name: "mark", Write: true, Work: 10 * time.Millisecond,
-			Grade: policy.Grade{Effect: policy.Labelled, Window: time.Second}}}})
+			ServiceClass: policy.ServiceClass{Idempotency: policy.IdempotentByKey, DedupWindow: time.Second}}}})
 }
 
 func (w *World) all(until policy.Instant) (ds []Done) {
@@ -126,17 +126,17 @@
 
 // Which caches drop the same repeats is the grade's scope: all, those of a zone, or those of a group.
 func TestRepeatsAreDroppedWithinTheirScope(t *testing.T) {
-	for scope, effects := range map[policy.Scope]int{policy.AllCaches: 1, policy.SameZone: 2, policy.SameGroup: 3} {
+	for scope, effects := range map[policy.DedupScope]int{policy.AllCaches: 1, policy.SameZone: 2, policy.SameGroup: 3} {
 		h := &heard{}
 		var ts []Traits
 		for n, at := range []struct {
 			z policy.ZoneID
 			g policy.GroupID
 		}{{"a", 1}, {"a", 1}, {"a", 2}, {"b", 3}} {
-			ts = append(ts, Traits{ID: policy.CacheID(rune('a' + n)), Zone: at.z, Group: at.g, Cores: 1, Queue: 9, Speed: 1, Keys: 1})
+			ts = append(ts, Traits{ID: policy.EndpointID(rune('a' + n)), Zone: at.z, Group: at.g, Cores: 1, Queue: 9, Speed: 1, Keys: 1})
 		}
 		w := New(Plan{Mode: Through, Caches: ts, Hearer: h, Grades: []Grade{{Write: true, Work: time.Millisecond,
-			Grade: policy.Grade{Effect: policy.Labelled, Scope: scope, Window: time.Second}}}})
+			ServiceClass: policy.ServiceClass{Idempotency: policy.IdempotentByKey, DedupScope: scope, DedupWindow: time.Second}}}})
 		for n := range ts {
 			w.Offer(0, n, Job{Request: "r", Label: "l", Until: 1 << 60})
 		}
@@ -175,7 +175,7 @@
 // Arrivals are open loop at the stated rate, and clients repeat only what is harmless.
 func TestTrafficIsAsStated(t *testing.T) {
 	p := TrafficPlan{PerSecond: 1000, Keys: 100, Zipf: 1, Seed: 3, Grades: []Grade{{Name: "read", Share: 3, Tries: 2,
-		Grade: policy.Grade{Effect: policy.Idempotent}}, {Name: "pay", Share: 1, Tries: 9, Write: true}}}
+		ServiceClass: policy.ServiceClass{Idempotency: policy.Idempotent}}, {Name: "pay", Share: 1, Tries: 9, Write: true}}}
 	tr := NewTraffic(p)
 	tr.Heat("hot", 0.5)
 	n, reads, hot := 0, 0, 0
--- a/internal/fronts/fronts.go
+++ b/internal/fronts/fronts.go
@@ -83,7 +83,7 @@
 func Writes(method string) bool { return method == "PUT" || method == "POST" }
 
 // Read reads an operator's file. Grades and tenants are those that the deployment states.
-func Read(path string, terms *houserules.Terms) (File, error) {
+func Read(path string, terms *houserules.Settings) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return File{}, fmt.Errorf("the file cannot be read: %w", err)
@@ -92,7 +92,7 @@
 }
 
 // Parse reads the text of such a file.
-func Parse(path string, text []byte, terms *houserules.Terms) (File, error) {
+func Parse(path string, text []byte, terms *houserules.Settings) (File, error) {
 	file := File{Servers: Servers{Probe: "/", MostHeuristicS: 3600}}
 	c, err := strictly.Parse(path, text, &file)
 	if err != nil {
@@ -127,11 +127,11 @@
 	return file, c.Err()
 }
 
-func (s *Servers) check(c *strictly.Checker, terms *houserules.Terms) {
+func (s *Servers) check(c *strictly.Checker, terms *houserules.Settings) {
 	for _, kind := range s.HTTPKinds {
 		n := terms.Names.Kind([]byte(kind))
 		c.Want(n >= 0, "servers.http_kinds", "the deployment states no kind %q", kind)
-		c.Want(n < 0 || n != terms.Rules.OriginKind, "servers.http_kinds", "%q is the origin, which is spoken to as ever", kind)
+		c.Want(n < 0 || n != terms.Policy.OriginKind, "servers.http_kinds", "%q is the origin, which is spoken to as ever", kind)
 	}
 	c.Want(strings.HasPrefix(s.Probe, "/") && !strings.ContainsAny(s.Probe, " \r\n"), "servers.probe_path", "%q is no path", s.Probe)
 	c.Want(!strings.ContainsAny(s.Host, " /\r\n\t"), "servers.host", "%q is no host", s.Host)
@@ -140,7 +140,7 @@
 	c.Within(s.MostHeuristicS, 0, 86400, "servers.most_heuristic_s")
 }
 
-func (f *Front) check(c *strictly.Checker, n int, at string, terms *houserules.Terms) {
+func (f *Front) check(c *strictly.Checker, n int, at string, terms *houserules.Settings) {
 	r := &f.Routes[n]
 	c.Want(strings.HasPrefix(r.Path, "/") && strings.HasSuffix(r.Path, "/") && !strings.ContainsAny(r.Path, "?#% "), at+"path",
 		"%q does not begin and end with a slash, or has what no plain path has", r.Path)
@@ -151,8 +151,8 @@
 			c.Want(o.Path != r.Path || !slices.Contains(o.Methods, m), at+"methods", "%s %s stands twice", m, r.Path)
 		}
 	}
-	c.Want(terms.Names.Grade([]byte(r.Grade)) >= 0, at+"grade", "the deployment states no grade %q", r.Grade)
-	c.Want(r.Tenant == "" || terms.Names.League([]byte(r.Tenant)) >= 0, at+"tenant", "the deployment states no tenant %q", r.Tenant)
+	c.Want(terms.Names.Class([]byte(r.Grade)) >= 0, at+"grade", "the deployment states no grade %q", r.Grade)
+	c.Want(r.Tenant == "" || terms.Names.Tenant([]byte(r.Tenant)) >= 0, at+"tenant", "the deployment states no tenant %q", r.Tenant)
 	c.Within(r.DeadlineMs, 0, mostMs, at+"deadline_ms")
 }
 
--- a/internal/houserules/check_test.go
+++ b/internal/houserules/check_test.go
@@ -11,14 +11,14 @@
 func TestASettingThatCantBeIsNamedInOneLine(t *testing.T) {
 	const good = `{"service_grades":[{"late_benefit":0.5}],"tenants":[{"quota_rps":null}],"zone":"a","failure_domains":["a","b"],
 		"rules":{"overload_factor":3},"tariffs":{"cross_zone":0.2},"bounds":{"cancel":true}}`
-	if terms, err := Decode(fastjson.MustParse(good)); err != nil || terms.Rules.Grades[0].Late != 0.5 || terms.Rules.FallMultiple != 3 {
-		t.Fatal(terms.Rules, err)
+	if terms, err := Decode(fastjson.MustParse(good)); err != nil || terms.Policy.Classes[0].LateShare != 0.5 || terms.Policy.OverloadFactor != 3 {
+		t.Fatal(terms.Policy, err)
 	}
 	// a kind that the settings do not name was the origin's, and so was the first of all where the origin's was null
 	for _, family := range []string{`{}`, `{"origin_kind":null}`} {
 		terms, err := Decode(fastjson.MustParse(`{"service_grades":[{}],"kinds":["box"],"family_info":` + family + `}`))
 		for _, kind := range []string{"box", "other"} {
-			if err != nil || terms.Names.Kind([]byte(kind)) == terms.Rules.OriginKind {
+			if err != nil || terms.Names.Kind([]byte(kind)) == terms.Policy.OriginKind {
 				t.Errorf("with %s, a cache of the kind %q is the origin (%v)", family, kind, err)
 			}
 		}
--- a/internal/houserules/houserules.go
+++ b/internal/houserules/houserules.go
@@ -15,18 +15,18 @@
 )
 
 // Terms is what a deployment states, as far as anything here reads it.
-type Terms struct {
-	Rules       policy.HouseRules
-	Names       Vocabulary
-	Connect     time.Duration   // a connection that is not up by then never comes up
-	Stops       []time.Duration // deadlines by grade
-	LongestStop time.Duration   // the longest of them
+type Settings struct {
+	Policy          policy.Settings
+	Names           NameTable
+	ConnectTimeout  time.Duration   // a connection that is not up by then never comes up
+	Deadlines       []time.Duration // deadlines by grade
+	LongestDeadline time.Duration   // the longest of them
 }
 
 const noKind = -2 // no cache's kind: one that is not stated is -1
 
 // Vocabulary turns a deployment's names into numbers; a name that it did not state is -1.
-type Vocabulary struct {
+type NameTable struct {
 	grades, leagues, kinds map[string]int
 	columns                []string
 	values                 []float64
@@ -40,21 +40,21 @@
 }
 
 // Grade returns a service grade's number.
-func (n *Vocabulary) Grade(name []byte) policy.GradeID { return policy.GradeID(lookup(n.grades, name)) }
+func (n *NameTable) Class(name []byte) policy.ClassID { return policy.ClassID(lookup(n.grades, name)) }
 
 // Grades gives every service grade's number by its name.
-func (n *Vocabulary) Grades() iter.Seq2[string, int] { return maps.All(n.grades) }
+func (n *NameTable) Classes() iter.Seq2[string, int] { return maps.All(n.grades) }
 
 // League returns a league's number.
-func (n *Vocabulary) League(name []byte) policy.LeagueID {
-	return policy.LeagueID(lookup(n.leagues, name))
+func (n *NameTable) Tenant(name []byte) policy.TenantID {
+	return policy.TenantID(lookup(n.leagues, name))
 }
 
 // Kind returns the number of a kind of cache.
-func (n *Vocabulary) Kind(name []byte) int { return lookup(n.kinds, name) }
+func (n *NameTable) Kind(name []byte) int { return lookup(n.kinds, name) }
 
 // Report returns a load report's values in the order of the stated columns, or nil if one is not told.
-func (n *Vocabulary) Report(value func(column string) (float64, bool)) []float64 {
+func (n *NameTable) LoadReport(value func(column string) (float64, bool)) []float64 {
 	n.values = n.values[:0]
 	for _, c := range n.columns {
 		x, ok := value(c)
@@ -75,9 +75,9 @@
 }
 
 // Decode reads the object. Without a service grade nothing can be decided.
-func Decode(env *fastjson.Value) (Terms, error) {
-	var t Terms
-	r, n := &t.Rules, &t.Names
+func Decode(env *fastjson.Value) (Settings, error) {
+	var t Settings
+	r, n := &t.Policy, &t.Names
 	grades := env.GetArray("service_grades")
 	if len(grades) == 0 {
 		return t, errors.New("the settings name no service grades, so nothing can be decided")
@@ -89,50 +89,50 @@
 	named := func(v *fastjson.Value) *fastjson.Value { return v.Get("name") }
 	n.grades, n.leagues = index(grades, named), index(env.GetArray("tenants"), named)
 	n.kinds = index(env.GetArray("kinds"), itself)
-	effects := map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Labelled}
-	scopes := map[string]policy.Scope{"all": policy.AllCaches, "zone": policy.SameZone}
+	effects := map[string]policy.Idempotency{"idempotent": policy.Idempotent, "deduplicated": policy.IdempotentByKey}
+	scopes := map[string]policy.DedupScope{"all": policy.AllCaches, "zone": policy.SameZone}
 	for _, g := range grades {
-		r.Grades = append(r.Grades, policy.Grade{
-			Benefit: g.GetFloat64("benefit"), Late: Number(g.Get("late_benefit")), SoftLimit: Span(g.Get("soft_limit_s")),
-			Effect: effects[string(g.GetStringBytes("effect"))], Scope: scopes[string(g.GetStringBytes("group"))],
-			Window: Span(g.Get("key_ttl_s")),
+		r.Classes = append(r.Classes, policy.ServiceClass{
+			PriorityWeight: g.GetFloat64("benefit"), LateShare: Number(g.Get("late_benefit")), LatencyObjective: Seconds(g.Get("soft_limit_s")),
+			Idempotency: effects[string(g.GetStringBytes("effect"))], DedupScope: scopes[string(g.GetStringBytes("group"))],
+			DedupWindow: Seconds(g.Get("key_ttl_s")),
 		})
-		t.Stops = append(t.Stops, Span(g.Get("hard_stop_s")))
-		t.LongestStop = max(t.LongestStop, t.Stops[len(t.Stops)-1])
+		t.Deadlines = append(t.Deadlines, Seconds(g.Get("hard_stop_s")))
+		t.LongestDeadline = max(t.LongestDeadline, t.Deadlines[len(t.Deadlines)-1])
 	}
 	for _, v := range env.GetArray("tenants") {
-		r.Leagues = append(r.Leagues, policy.League{QuotaPerSecond: Number(v.Get("quota_rps"))})
+		r.Tenants = append(r.Tenants, policy.Tenant{QuotaPerSecond: Number(v.Get("quota_rps"))})
 	}
 	bounds, rules, family := env.Get("bounds"), env.Get("rules"), env.Get("family_info")
-	t.Connect = Span(bounds.Get("connect_timeout_s"))
+	t.ConnectTimeout = Seconds(bounds.Get("connect_timeout_s"))
 	r.Zone, r.Nodes = policy.ZoneID(env.GetStringBytes("zone")), env.GetInt("n_instances")
-	r.Aside = string(family.GetStringBytes("mode")) == "aside"
+	r.CacheAside = string(family.GetStringBytes("mode")) == "aside"
 	r.OriginKind = noKind
 	if stated(family.Get("origin_kind")) {
 		r.OriginKind = family.GetInt("origin_kind")
 	}
-	r.MustAsk = string(env.GetStringBytes("discovery")) == "ask"
-	r.ExcessBenefit = env.GetFloat64("excess_benefit")
-	r.CrossingPrice, r.WastePrice = env.GetFloat64("tariffs", "cross_zone"), env.GetFloat64("tariffs", "waste")
-	r.MostLegs, r.IdleConnection = bounds.GetInt("most_legs"), Span(bounds.Get("conn_idle_s"))
-	r.SecondCopies, r.MayCancel = bounds.GetBool("second_copies"), bounds.GetBool("cancel")
-	r.MayProbe = bounds.GetBool("probes")
+	r.PollEndpoints = string(env.GetStringBytes("discovery")) == "ask"
+	r.OverQuotaWeight = env.GetFloat64("excess_benefit")
+	r.CrossZoneCost, r.WasteCost = env.GetFloat64("tariffs", "cross_zone"), env.GetFloat64("tariffs", "waste")
+	r.MaxAttempts, r.IdleTimeout = bounds.GetInt("most_legs"), Seconds(bounds.Get("conn_idle_s"))
+	r.HedgingAllowed, r.CancelAllowed = bounds.GetBool("second_copies"), bounds.GetBool("cancel")
+	r.HealthChecksAllowed = bounds.GetBool("probes")
 	if bounds.GetBool("retry_after") {
-		r.MaxComeBack = Span(bounds.Get("max_retry_after_s"))
+		r.MaxRetryAfter = Seconds(bounds.Get("max_retry_after_s"))
 	}
-	r.Round = Span(env.Get("round_s"))
-	r.AskWithin = Span(rules.Get("ask_within_s"))
-	r.ColdFrom, r.ColdFor = rules.GetFloat64("cold_from"), Span(rules.Get("cold_s"))
-	r.FallMultiple = Number(rules.Get("overload_factor"))
-	r.InFlightAt, r.WaitingAt = -1, -1
+	r.TickInterval = Seconds(env.Get("round_s"))
+	r.PollInterval = Seconds(rules.Get("ask_within_s"))
+	r.SlowStartShare, r.SlowStartDuration = rules.GetFloat64("cold_from"), Seconds(rules.Get("cold_s"))
+	r.OverloadFactor = Number(rules.Get("overload_factor"))
+	r.InFlightColumn, r.QueueColumn = -1, -1
 	for i, c := range env.GetArray("telemetry", "columns") {
 		name := string(c.GetStringBytes())
 		n.columns = append(n.columns, name)
 		if name == "outstanding" {
-			r.InFlightAt = i
+			r.InFlightColumn = i
 		}
 		if name == "backlog" {
-			r.WaitingAt = i
+			r.QueueColumn = i
 		}
 	}
 	return t, nil
@@ -151,6 +151,6 @@
 }
 
 // Span reads seconds, to the microsecond.
-func Span(v *fastjson.Value) time.Duration {
+func Seconds(v *fastjson.Value) time.Duration {
 	return time.Duration(math.Round(min(max(Number(v), -1e9), 1e9)*1e6)) * time.Microsecond
 }
--- a/internal/levels/filter.go
+++ b/internal/levels/filter.go
@@ -13,22 +13,22 @@
 type Filter struct {
 	host.Decider
 	machine *Machine
-	rules   *policy.HouseRules
-	shed    []map[policy.GradeID]bool // by level
-	origin  policy.CacheID
+	rules   *policy.Settings
+	shed    []map[policy.ClassID]bool // by level
+	origin  policy.EndpointID
 	chance  keyhash.Source
 	told    func(now policy.Instant, level int, name string)
 	count   *uint64 // of those shed
 }
 
 // Before puts a filter before a decider. told hears of each change of level, and what is shed is counted.
-func Before(d host.Decider, now policy.Instant, seed uint32, plan []Level, terms *houserules.Terms,
+func Before(d host.Decider, now policy.Instant, seed uint32, plan []Level, terms *houserules.Settings,
 	told func(now policy.Instant, level int, name string), count *uint64) *Filter {
-	f := &Filter{Decider: d, machine: New(now, plan), rules: &terms.Rules, chance: keyhash.Source{Seed: seed}, told: told, count: count}
+	f := &Filter{Decider: d, machine: New(now, plan), rules: &terms.Policy, chance: keyhash.Source{Seed: seed}, told: told, count: count}
 	for _, l := range plan {
-		grades := map[policy.GradeID]bool{}
+		grades := map[policy.ClassID]bool{}
 		for _, name := range l.Shed {
-			grades[terms.Names.Grade([]byte(name))] = true
+			grades[terms.Names.Class([]byte(name))] = true
 		}
 		f.shed = append(f.shed, grades)
 	}
@@ -37,16 +37,16 @@
 
 // Admit tells whether what has just come is let through; else how it is answered. Those who are to come back come at times
 // of their own, so that they are no wave.
-func (f *Filter) Admit(now policy.Instant, r *policy.Request) (m policy.Move, in bool) {
+func (f *Filter) Admit(now policy.Instant, r *policy.Request) (m policy.Decision, in bool) {
 	f.look(now)
 	level, share := f.machine.At()
-	if level == 0 || !f.shed[level-1][r.Grade] || f.chance.Next() >= share {
+	if level == 0 || !f.shed[level-1][r.Class] || f.chance.Next() >= share {
 		f.machine.Let()
 		return m, true
 	}
 	*f.count++
 	m.Answer = policy.Reject
-	m.ComeBack = time.Duration((1 + f.chance.Next()) / 2 * float64(min(f.rules.MaxComeBack, window)))
+	m.RetryAfter = time.Duration((1 + f.chance.Next()) / 2 * float64(min(f.rules.MaxRetryAfter, window)))
 	return m, false
 }
 
@@ -62,18 +62,18 @@
 }
 
 // After counts a leg's end, and passes it on.
-func (f *Filter) After(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Move {
-	leg := &r.Legs[o.Leg]
-	f.machine.Leg(leg.Result, o.Took, f.rules.Grades[r.Grade].SoftLimit, leg.To == f.origin)
-	return f.noted(f.Decider.After(now, r, o))
+func (f *Filter) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
+	leg := &r.Attempts[o.Attempt]
+	f.machine.Leg(leg.Result, o.Latency, f.rules.Classes[r.Class].LatencyObjective, leg.Endpoint == f.origin)
+	return f.noted(f.Decider.OnAttemptDone(now, r, o))
 }
 
 // Where passes on.
-func (f *Filter) Where(now policy.Instant, r *policy.Request) policy.Move {
-	return f.noted(f.Decider.Where(now, r))
+func (f *Filter) Route(now policy.Instant, r *policy.Request) policy.Decision {
+	return f.noted(f.Decider.Route(now, r))
 }
 
-func (f *Filter) noted(m policy.Move) policy.Move {
+func (f *Filter) noted(m policy.Decision) policy.Decision {
 	if m.Answer == policy.Reject {
 		f.machine.Rejected()
 	}
@@ -81,26 +81,26 @@
 }
 
 // Wait also lets a level end while nobody asks.
-func (f *Filter) Wait(now policy.Instant) (time.Duration, []policy.Chore) {
+func (f *Filter) Tick(now policy.Instant) (time.Duration, []policy.Action) {
 	f.look(now)
-	return f.Decider.Wait(now)
+	return f.Decider.Tick(now)
 }
 
 // Listed notes which is the origin.
-func (f *Filter) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
+func (f *Filter) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	for _, e := range entries {
-		if f.rules.Aside && e.Kind == f.rules.OriginKind {
+		if f.rules.CacheAside && e.Kind == f.rules.OriginKind {
 			f.origin = e.ID
 		}
 	}
-	f.Decider.Listed(now, form, entries)
+	f.Decider.UpdateEndpoints(now, form, entries)
 }
 
-// Standings passes on how the decider says that caches stand, where it does.
-func (f *Filter) Standings(now policy.Instant, tell func(policy.CacheID, policy.Standing)) {
+// EndpointStates passes on how the decider says that caches stand, where it does.
+func (f *Filter) EndpointStates(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
 	if d, ok := f.Decider.(interface {
-		Standings(policy.Instant, func(policy.CacheID, policy.Standing))
+		EndpointStates(policy.Instant, func(policy.EndpointID, policy.EndpointState))
 	}); ok {
-		d.Standings(now, tell)
+		d.EndpointStates(now, tell)
 	}
 }
--- a/internal/levels/levels.go
+++ b/internal/levels/levels.go
@@ -60,7 +60,7 @@
 func (l *Level) stay() time.Duration { return time.Duration(l.StayS * float64(time.Second)) }
 
 // Check looks at what is stated. Grades are those of the deployment.
-func Check(c *strictly.Checker, plan []Level, terms *houserules.Terms) {
+func Check(c *strictly.Checker, plan []Level, terms *houserules.Settings) {
 	c.Want(len(plan) <= most, "level", "more than %d", most)
 	for i := range plan {
 		l, at := &plan[i], fmt.Sprintf("level.%d.", i)
@@ -75,11 +75,11 @@
 		c.Want(any, at+"enter", "nothing enters it")
 		c.Want(len(l.Shed) > 0, at+"shed", "names no grade")
 		for _, name := range l.Shed {
-			g := terms.Names.Grade([]byte(name))
+			g := terms.Names.Class([]byte(name))
 			c.Want(g >= 0, at+"shed", "the deployment states no grade %q", name)
-			c.Want(g < 0 || terms.Rules.Grades[g].Effect == policy.Idempotent, at+"shed", "%q may have an effect, and is never shed", name)
+			c.Want(g < 0 || terms.Policy.Classes[g].Idempotency == policy.Idempotent, at+"shed", "%q may have an effect, and is never shed", name)
 		}
-		c.Want(len(l.Shed) < len(terms.Rules.Grades), at+"shed", "leaves no grade")
+		c.Want(len(l.Shed) < len(terms.Policy.Classes), at+"shed", "leaves no grade")
 	}
 }
 
@@ -120,11 +120,11 @@
 func (m *Machine) Leg(how policy.Result, took, soft time.Duration, atOrigin bool) {
 	late, lost := false, false
 	switch how {
-	case policy.Answered, policy.Missed:
+	case policy.Answered, policy.CacheMiss:
 		late = took > soft
-	case policy.TurnedAway:
+	case policy.Rejected:
 		m.n.away++
-	case policy.Cancelled, policy.NeverSent: // says nothing of who was asked
+	case policy.Cancelled, policy.NotSent: // says nothing of who was asked
 		return
 	default:
 		lost = true
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -71,7 +71,7 @@
 			defer asking.Done()
 			mu.Lock()
 			defer mu.Unlock()
-			g.count(got, due, t.SoftLimit)
+			g.count(got, due, t.LatencyObjective)
 		})
 	}
 	asking.Wait()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -57,7 +57,7 @@
 
 func reads(rate float64) *world.Traffic {
 	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Grades: []world.Grade{{Name: "read", Share: 1,
-		Deadline: 2 * time.Second, Grade: policy.Grade{SoftLimit: 100 * time.Millisecond}}}})
+		Deadline: 2 * time.Second, ServiceClass: policy.ServiceClass{LatencyObjective: 100 * time.Millisecond}}}})
 }
 
 // A server that stops for 400 ms is to be seen in all that fell due meanwhile, and must not hold later arrivals back: a
--- a/internal/net/counters/counters.go
+++ b/internal/net/counters/counters.go
@@ -16,12 +16,12 @@
 	LeftWaiting                     uint64 // of the clients that went, those of whose request nothing had been sent on
 	Stalls, LongestIterationMs      uint64 // iterations of the event loop that took too long; the longest one, in milliseconds
 	AnsweredLate                    uint64 // final answers given after their request's deadline
-	Ended                           [policy.Missed + 1]uint64
+	Ended                           [policy.CacheMiss + 1]uint64
 }
 
-var endings = [policy.Missed + 1]string{policy.Answered: "answered", policy.Errored: "errored",
-	policy.TurnedAway: "turned_away", policy.TimedOut: "timed_out", policy.Unconnected: "unconnected",
-	policy.Broken: "broken", policy.Cancelled: "cancelled", policy.NeverSent: "never_sent", policy.Missed: "missed"}
+var endings = [policy.CacheMiss + 1]string{policy.Answered: "answered", policy.Errored: "errored",
+	policy.Rejected: "turned_away", policy.TimedOut: "timed_out", policy.ConnectFailed: "unconnected",
+	policy.ConnectionBroken: "broken", policy.Cancelled: "cancelled", policy.NotSent: "never_sent", policy.CacheMiss: "missed"}
 
 // Each calls f for every counter, always in the same order.
 func (c *Counters) Each(f func(name string, n uint64)) {
--- a/internal/net/purges/list.go
+++ b/internal/net/purges/list.go
@@ -123,7 +123,7 @@
 
 // take takes a list, or what has changed in it, that was asked for at a time. What can't be read may be any cache that is not named: then all
 // stay.
-func (p *Purger) take(rows []row, form policy.ListForm, at policy.Instant) {
+func (p *Purger) take(rows []row, form policy.UpdateKind, at policy.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -131,7 +131,7 @@
 		return
 	default:
 	}
-	whole, odd, named := form != policy.Changes, false, map[purges.CacheID]bool{}
+	whole, odd, named := form != policy.DeltaUpdate, false, map[purges.CacheID]bool{}
 	for _, r := range rows {
 		_, bad := netip.ParseAddrPort(r.Addr)
 		switch {
--- a/internal/net/relay/caches.go
+++ b/internal/net/relay/caches.go
@@ -23,7 +23,7 @@
 
 // cache is what the list says of a cache, and the connections to it.
 type cache struct {
-	id      policy.CacheID
+	id      policy.EndpointID
 	addr    string
 	carrier carrier
 	start   start
@@ -82,8 +82,8 @@
 }
 
 func (r *Relay) connectTime() time.Duration {
-	if r.Terms.Connect > 0 {
-		return r.Terms.Connect
+	if r.Terms.ConnectTimeout > 0 {
+		return r.Terms.ConnectTimeout
 	}
 	return connect
 }
@@ -91,7 +91,7 @@
 func (r *Relay) idleTime() time.Duration { return r.kept.Now(r.now()) }
 
 // Send starts a leg on the connection used last, or on a new one.
-func (r *Relay) Send(id policy.RequestID, to policy.CacheID, giveUpAt policy.Instant) {
+func (r *Relay) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
 	v := r.hand.Get(slotOf(id))
 	if v == nil {
 		return
@@ -102,16 +102,16 @@
 	r.count.Legs++
 	c := r.caches[to]
 	if c == nil {
-		r.end(v, ref.leg, policy.Unconnected, nil)
+		r.end(v, ref.leg, policy.ConnectFailed, nil)
 		return
 	}
 	if r.leftUnheard(v) {
-		r.end(v, ref.leg, policy.NeverSent, nil)
+		r.end(v, ref.leg, policy.NotSent, nil)
 		return
 	}
 	l, err := r.linkTo(c, aLeg, !v.call.idempotent || !c.carrier.names())
 	if err != nil {
-		r.end(v, ref.leg, policy.NeverSent, nil) // for want of a descriptor: the cache is not to blame
+		r.end(v, ref.leg, policy.NotSent, nil) // for want of a descriptor: the cache is not to blame
 		return
 	}
 	l.leg, v.legs[ref.leg].link = ref, l.id
@@ -183,7 +183,7 @@
 	wait := max(1, int64(v.legs[n].giveUpAt.Since(r.now())/time.Millisecond))
 	v.went = true
 	if l.wire.Write(l.cache.carrier.ask(&v.call, l.cache.addr, wait)) != nil {
-		r.lose(l, policy.Unconnected)
+		r.lose(l, policy.ConnectFailed)
 	} else if leg := &v.legs[n]; l.wire.Unsent() == 0 {
 		r.whole++
 	} else {
@@ -218,9 +218,9 @@
 	l := r.links.Get(v.legs[n].link)
 	if l != nil && (l.wire == nil || r.dropLink(l) > 0) {
 		if l.does = nothing; how == policy.TimedOut {
-			how = policy.Unconnected
+			how = policy.ConnectFailed
 		} else {
-			how = policy.NeverSent
+			how = policy.NotSent
 		}
 	}
 	r.end(v, n, how, nil)
@@ -230,14 +230,14 @@
 func (r *Relay) end(v *request, n int, how policy.Result, report []float64) {
 	l := &v.legs[n]
 	l.out = false
-	if l.begun && how != policy.Unconnected && how != policy.NeverSent {
+	if l.begun && how != policy.ConnectFailed && how != policy.NotSent {
 		r.whole++
 	}
 	v.late = how == policy.TimedOut
 	r.count.Ended[how]++
-	o := policy.Outcome{Leg: n, Took: r.now().Since(l.sent), Report: report}
+	o := policy.Outcome{Attempt: n, Latency: r.now().Since(l.sent), LoadReport: report}
 	r.later = append(r.later, func() {
-		r.host.Ended(r.now(), token(v.id), how, v.answered, o)
+		r.host.AttemptDone(r.now(), token(v.id), how, v.answered, o)
 		r.release(v)
 	})
 }
@@ -264,10 +264,10 @@
 		switch {
 		case l == nil:
 		case ev.Local && l.does == aLeg: // the cache is not to blame
-			r.lose(l, policy.NeverSent)
+			r.lose(l, policy.NotSent)
 		default:
 			r.refused(l)
-			r.lose(l, policy.Unconnected)
+			r.lose(l, policy.ConnectFailed)
 		}
 	case l == nil:
 		ev.Wire.Close()
@@ -306,10 +306,10 @@
 		v := r.hand.Get(l.leg.hand)
 		// nothing goes out after the final answer, though the leg could not be called off, nor to a cache that drains by now, nor
 		// as a repeat when its window is over: what was lawful as the leg was decided may not be any more
-		if v.answered || r.leftUnheard(v) || !r.host.Still(r.now(), token(v.id), l.leg.leg) {
+		if v.answered || r.leftUnheard(v) || !r.host.MayStart(r.now(), token(v.id), l.leg.leg) {
 			ref := l.leg
 			r.rest(l)
-			r.end(v, ref.leg, policy.NeverSent, nil)
+			r.end(v, ref.leg, policy.NotSent, nil)
 			return
 		}
 		r.write(l, v, l.leg.leg)
@@ -346,7 +346,7 @@
 		return
 	}
 	if l.stopAt != 0 && now >= l.stopAt {
-		how := policy.Unconnected
+		how := policy.ConnectFailed
 		if l.wire != nil {
 			how = policy.TimedOut
 		}
@@ -420,14 +420,14 @@
 	case r.links.Get(id) == nil:
 	case unsent:
 		r.refused(l)
-		r.lose(l, policy.Unconnected)
+		r.lose(l, policy.ConnectFailed)
 	case l.does == aStream && l.stream.left+l.stream.tail <= len(l.buf.Unused()): // all is there; its reader is slow
 		l.last = true
 	default:
 		if !orderly && l.does != nothing && r.now().Since(l.usedAt) < r.connectTime() {
 			r.refused(l) // it came up only to be reset: so a full table shows where the kernel accepts for it
 		}
-		r.lose(l, policy.Broken)
+		r.lose(l, policy.ConnectionBroken)
 	}
 }
 
@@ -452,7 +452,7 @@
 	r.coming += unused - l.coming
 	if l.coming = unused; l.coming > fewBytes && l.cache != nil && int64(r.coming) > r.Memory/shareComing {
 		r.count.Crowded++
-		r.lose(l, policy.Broken) // for want of memory: the cache is not to blame
+		r.lose(l, policy.ConnectionBroken) // for want of memory: the cache is not to blame
 	}
 }
 
@@ -531,7 +531,7 @@
 	if len(load) == 0 {
 		return nil
 	}
-	return r.Terms.Names.Report(func(column string) (float64, bool) {
+	return r.Terms.Names.LoadReport(func(column string) (float64, bool) {
 		said, _ := meta.Item(load, column)
 		x, err := strconv.ParseFloat(string(said), 64)
 		return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
@@ -539,7 +539,7 @@
 }
 
 // Probe checks on a cache.
-func (r *Relay) Probe(id policy.CacheID) {
+func (r *Relay) CheckHealth(id policy.EndpointID) {
 	c := r.caches[id]
 	if c == nil {
 		return
@@ -547,7 +547,7 @@
 	r.count.Probes++
 	l, err := r.linkTo(c, aProbe, false)
 	if err != nil {
-		r.probed(id, policy.Unconnected)
+		r.probed(id, policy.ConnectFailed)
 		return
 	}
 	if l.wire != nil {
@@ -559,7 +559,7 @@
 	l.stopAt = r.now().Add(r.connectTime())
 	r.due.Put(l.stopAt, due{link: l.id})
 	if l.wire.Write(l.cache.carrier.probe(l.cache.addr)) != nil {
-		r.lose(l, policy.Unconnected)
+		r.lose(l, policy.ConnectFailed)
 	}
 }
 
@@ -571,7 +571,7 @@
 	}
 	switch {
 	case err != nil:
-		r.lose(l, policy.Broken)
+		r.lose(l, policy.ConnectionBroken)
 	case size > 0:
 		l.use(size)
 		r.rest(l)
@@ -579,6 +579,6 @@
 	}
 }
 
-func (r *Relay) probed(id policy.CacheID, found policy.Result) {
-	r.later = append(r.later, func() { r.host.Probed(r.now(), id, found) })
+func (r *Relay) probed(id policy.EndpointID, found policy.Result) {
+	r.later = append(r.later, func() { r.host.OnHealthCheck(r.now(), id, found) })
 }
--- a/internal/net/relay/carriers.go
+++ b/internal/net/relay/carriers.go
@@ -65,11 +65,11 @@
 	case ours && (a.Said == meta.Value && !c.write || a.Said == meta.Done && c.write):
 		r.how = policy.Answered
 	case a.Said == meta.Miss && ours:
-		r.how = policy.Missed
+		r.how = policy.CacheMiss
 	case a.Said == meta.Failed:
 		r.how = policy.Errored
 	case a.Said == meta.Busy:
-		r.how = policy.TurnedAway
+		r.how = policy.Rejected
 	}
 	return r, size, 0
 }
@@ -120,7 +120,7 @@
 			r.how = policy.Answered
 		}
 	case string(a.Header("X-Rejected")) == "1":
-		r.how = policy.TurnedAway
+		r.how = policy.Rejected
 	}
 	return r, size, 0
 }
--- a/internal/net/relay/clients.go
+++ b/internal/net/relay/clients.go
@@ -63,7 +63,7 @@
 // request is one in hand. The host keeps its own part of it.
 type request struct {
 	id       handID
-	grade    policy.GradeID
+	grade    policy.ClassID
 	client   clientID
 	turn     uint64
 	face     face
@@ -200,7 +200,7 @@
 // take takes a request in hand. One whose deadline or grade can't be told is malformed, and so is one with the id
 // of another in hand: caches could not tell the two apart.
 func (r *Relay) take(c *client, asked *call, at policy.Instant) {
-	grade := r.Terms.Names.Grade(asked.grade)
+	grade := r.Terms.Names.Class(asked.grade)
 	if asked.wait <= 0 || grade < 0 {
 		r.count.Malformed++
 		r.say(c, c.face.refused(badCall, asked.bare))
@@ -215,7 +215,7 @@
 	stop := at.Add(min(asked.wait, mostWait))
 	outlasts := false
 	if by := r.endBy().Add(-lastWords); r.phase == Draining && stop > by {
-		outlasts = r.Terms.Rules.Grades[grade].Effect != policy.Idempotent || by.Since(at) < r.Terms.Rules.Grades[grade].SoftLimit
+		outlasts = r.Terms.Policy.Classes[grade].Idempotency != policy.Idempotent || by.Since(at) < r.Terms.Policy.Classes[grade].LatencyObjective
 		stop = by // guards against turning away what is served within its soft limit as a rule, and would have been
 	}
 	if len(c.turns) >= mostTurns || r.phase == Starting || outlasts || r.turnsAway() || c.excess && r.tooManyClients() ||
@@ -227,7 +227,7 @@
 		return
 	}
 	c.excess = false
-	asked.idempotent = r.Terms.Rules.Grades[grade].Effect == policy.Idempotent
+	asked.idempotent = r.Terms.Policy.Classes[grade].Idempotency == policy.Idempotent
 	v := &request{grade: grade, deadline: stop, client: c.id, turn: c.first + uint64(len(c.turns)), face: c.face}
 	v.call, v.bytes = copyOf(asked)
 	r.held += v.bytes
@@ -235,9 +235,9 @@
 	r.pending++
 	r.taken[string(v.call.id)] = true
 	c.turns = append(c.turns, turn{hand: v.id})
-	r.host.Arrived(r.now(), &policy.Request{ID: token(v.id), Key: string(asked.key),
-		Grade: grade, League: r.Terms.Names.League(asked.league),
-		Write: asked.write, Arrived: at, Deadline: stop})
+	r.host.RequestArrived(r.now(), &policy.Request{ID: token(v.id), Key: string(asked.key),
+		Class: grade, Tenant: r.Terms.Names.Tenant(asked.league),
+		Write: asked.write, ArrivedAt: at, Deadline: stop})
 }
 
 // copyOf keeps a call beyond the buffer that it was read from, but for what it is no longer needed for.
@@ -392,9 +392,9 @@
 		if !v.went {
 			r.count.LeftWaiting++
 		}
-		r.host.Left(r.now(), token(v.id))
+		r.host.ClientGone(r.now(), token(v.id))
 		for n := range v.legs {
-			if r.Terms.Rules.MayCancel || r.inPart(v, n) {
+			if r.Terms.Policy.CancelAllowed || r.inPart(v, n) {
 				r.Cancel(token(v.id), n)
 			}
 		}
--- a/internal/net/relay/discovery.go
+++ b/internal/net/relay/discovery.go
@@ -19,8 +19,8 @@
 	maxList  = 8 << 20 // bytes of a list: tens of thousands of caches
 )
 
-var states = map[string]policy.State{"in_service": policy.Ready, "terminating": policy.Draining,
-	"terminated": policy.Gone}
+var states = map[string]policy.Lifecycle{"in_service": policy.Ready, "terminating": policy.Draining,
+	"terminated": policy.Removed}
 
 // listCall is the one call for the list.
 type listCall struct {
@@ -62,7 +62,7 @@
 		path = strconv.AppendInt(append(path, "&timeout_ms="...), int64((wait+time.Millisecond-1)/time.Millisecond), 10)
 	}
 	if l.wire.Write(http1.AppendRequest(nil, "GET", path, r.Discovery, nil, nil)) != nil {
-		r.lose(l, policy.Unconnected)
+		r.lose(l, policy.ConnectFailed)
 	}
 }
 
@@ -117,13 +117,13 @@
 		if err == nil && (a.Status == http1.Unavailable || a.Status == http1.TooMany) {
 			r.list.failed = discovery.Refused
 		}
-		r.lose(l, policy.Broken)
+		r.lose(l, policy.ConnectionBroken)
 		return
 	}
 	news, err := r.list.reader.Read(a.Body) // refuses half a list, which would read as one without caches
 	if err != nil || !news.HasVersion || !r.list.caller.Takes(news.Version, news.Whole) {
 		r.list.failed = discovery.Unreadable
-		r.lose(l, policy.Broken)
+		r.lose(l, policy.ConnectionBroken)
 		return
 	}
 	r.count.Lists++
@@ -146,16 +146,16 @@
 }
 
 // hear passes a list on, and closes idle connections to caches that are gone or started anew.
-func (r *Relay) hear(news *listing.List, form policy.ListForm) {
-	entries := make([]policy.Entry, 0, news.Len())
-	named, odd := map[policy.CacheID]bool{}, 0
+func (r *Relay) hear(news *listing.List, form policy.UpdateKind) {
+	entries := make([]policy.Endpoint, 0, news.Len())
+	named, odd := map[policy.EndpointID]bool{}, 0
 	news.Each(func(row *fastjson.Value) {
-		id := policy.CacheID(row.GetStringBytes("instanceId"))
+		id := policy.EndpointID(row.GetStringBytes("instanceId"))
 		c := r.caches[id]
 		began := r.startOf(c, row.GetFloat64("startedAtMs"))
-		e := policy.Entry{
+		e := policy.Endpoint{
 			ID: id, Kind: r.Terms.Names.Kind(row.GetStringBytes("machineType")),
-			State: policy.Draining, Born: began.at,
+			Lifecycle: policy.Draining, StartedAt: began.at,
 			Zone: policy.ZoneID(row.GetStringBytes("zone")), Group: policy.GroupID(row.GetInt("cell")),
 			Weight: houserules.Number(row.Get("weight")),
 		}
@@ -165,14 +165,14 @@
 			return
 		}
 		if s, ok := states[string(row.GetStringBytes("lifecycle"))]; ok { // nothing new to what is in an unknown state
-			e.State = s
+			e.Lifecycle = s
 		}
 		entries, named[e.ID] = append(entries, e), true
-		if c != nil && (e.State == policy.Gone || c.addr != addr || e.Born > c.start.at) {
+		if c != nil && (e.Lifecycle == policy.Removed || c.addr != addr || e.StartedAt > c.start.at) {
 			r.forget(c)
 			c = nil
 		}
-		if c == nil && e.State != policy.Gone {
+		if c == nil && e.Lifecycle != policy.Removed {
 			c = &cache{id: e.ID, addr: addr, start: began}
 			r.caches[e.ID] = c
 		}
@@ -182,24 +182,24 @@
 			case r.isOrigin(e.Kind):
 				c.carrier = originCarrier{}
 			case slices.Contains(r.Operator.Servers.HTTPKinds, kind):
-				c.carrier = httpCarrier{&r.Operator.Servers, r.Terms.Rules.Aside}
+				c.carrier = httpCarrier{&r.Operator.Servers, r.Terms.Policy.CacheAside}
 			}
 		}
 	})
 	if odd > 0 && !r.list.odd { // each list has them from now on, and a line for each would bury the log
 		r.Log.WithField("entries", odd).Warn("the list has entries that cannot be read; caches that it does not name stay")
 	}
-	if r.list.odd = odd > 0; odd > 0 && form == policy.Whole { // an entry that cannot be read may be that of any cache which is not named
-		form = policy.Changes
+	if r.list.odd = odd > 0; odd > 0 && form == policy.CompleteUpdate { // an entry that cannot be read may be that of any cache which is not named
+		form = policy.DeltaUpdate
 	}
 	for id, c := range r.caches {
-		if form != policy.Changes && !named[id] {
+		if form != policy.DeltaUpdate && !named[id] {
 			r.forget(c)
 		}
 	}
 	r.countMembers()
-	if len(entries) > 0 || form != policy.Changes {
-		r.host.Listed(r.now(), form, entries)
+	if len(entries) > 0 || form != policy.DeltaUpdate {
+		r.host.UpdateEndpoints(r.now(), form, entries)
 	}
 }
 
@@ -212,7 +212,7 @@
 		}
 	}
 	if r.stance != nil {
-		r.stance.keep(func(id policy.CacheID) bool { return r.caches[id] != nil })
+		r.stance.keep(func(id policy.EndpointID) bool { return r.caches[id] != nil })
 	}
 }
 
--- a/internal/net/relay/httpcarrier.go
+++ b/internal/net/relay/httpcarrier.go
@@ -57,9 +57,9 @@
 	case err != nil, a.Status == 206, a.Status == 304 && !c.beside().conditional: // nobody asked for a part, or whether something still holds
 		r.how = spoilt
 	case a.Status == 504 && h.aside && !c.write && !only:
-		r.how = policy.Missed
+		r.how = policy.CacheMiss
 	case (a.Status == http1.Unavailable || a.Status == http1.TooMany) && c.idempotent:
-		r.how = policy.TurnedAway
+		r.how = policy.Rejected
 	case c.write && (ok || a.Status == 201 || a.Status == 204):
 		if r.how = policy.Answered; c.web == nil && !meta.Plain(a.Body) { // a receipt is one word: the status, where none came
 			r.said = strconv.AppendInt(nil, int64(a.Status), 10)
@@ -71,7 +71,7 @@
 		if h.usable(&a, c) {
 			r.how = policy.Answered
 		} else if c.idempotent {
-			r.how = policy.Missed
+			r.how = policy.CacheMiss
 		}
 	}
 	if r.how == policy.Answered && c.web != nil {
--- a/internal/net/relay/httpface.go
+++ b/internal/net/relay/httpface.go
@@ -29,7 +29,7 @@
 // its receipt.
 type httpFace struct {
 	front    *fronts.Front
-	names    *houserules.Vocabulary
+	names    *houserules.NameTable
 	labelled map[string]bool          // grades whose repeats are told by their id
 	stops    map[string]time.Duration // the grades' deadlines
 	passes   bool                     // some caches speak HTTP, and are told what a client says beside
@@ -42,9 +42,9 @@
 func newHTTPFace(f *fronts.Front, number int, r *Relay) *httpFace {
 	h := &httpFace{front: f, names: &r.Terms.Names, labelled: map[string]bool{}, stops: map[string]time.Duration{},
 		passes: len(r.Operator.Servers.HTTPKinds) > 0, own: fmt.Sprintf("h%x-%x-%d-", r.began.UnixNano(), uint64(r.Seed), number)}
-	for name, g := range r.Terms.Names.Grades() {
-		h.labelled[name] = r.Terms.Rules.Grades[g].Effect == policy.Labelled
-		h.stops[name] = r.Terms.Stops[g]
+	for name, g := range r.Terms.Names.Classes() {
+		h.labelled[name] = r.Terms.Policy.Classes[g].Idempotency == policy.IdempotentByKey
+		h.stops[name] = r.Terms.Deadlines[g]
 	}
 	return h
 }
@@ -124,7 +124,7 @@
 		return usual
 	}
 	grade, league := stated(h.front.GradeHeader, route.Grade), stated(h.front.TenantHeader, route.Tenant)
-	if h.names.Grade([]byte(grade)) < 0 || league != "" && h.names.League([]byte(league)) < 0 { // what goes along is for caches to read
+	if h.names.Class([]byte(grade)) < 0 || league != "" && h.names.Tenant([]byte(league)) < 0 { // what goes along is for caches to read
 		h.refuse(a, 400, "a grade or tenant that is none here")
 		return
 	}
--- a/internal/net/relay/httpface_test.go
+++ b/internal/net/relay/httpface_test.go
@@ -286,12 +286,12 @@
 		means string
 	}{
 		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", call{idempotent: true, sent: now, web: web}, policy.Answered, ""},
-		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", call{idempotent: true, sent: now.Add(-2 * time.Second), web: web}, policy.Missed, ""},
+		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", call{idempotent: true, sent: now.Add(-2 * time.Second), web: web}, policy.CacheMiss, ""},
 		{true, "200 OK\r\nAge: 61\r\nCache-Control: max-age=60", call{sent: now, web: web}, policy.Errored, ""},
 		{false, "200 OK\r\nCache-Control: private", call{idempotent: true, sent: now, web: web}, policy.Answered, ""},
 		{false, "200 OK\r\nX: y", call{idempotent: true, sent: now, web: web}, policy.Answered, ""},
-		{false, "200 OK\r\nCache-Control: max-age=60\r\nDate: Tue, 01 Dec 2020 10:00:00 GMT", call{idempotent: true, sent: now, web: web}, policy.Missed, ""},
-		{false, "200 OK\r\nAge: 1", call{idempotent: true, sent: now, web: web}, policy.Missed, ""},
+		{false, "200 OK\r\nCache-Control: max-age=60\r\nDate: Tue, 01 Dec 2020 10:00:00 GMT", call{idempotent: true, sent: now, web: web}, policy.CacheMiss, ""},
+		{false, "200 OK\r\nAge: 1", call{idempotent: true, sent: now, web: web}, policy.CacheMiss, ""},
 		{false, "204 No Content", call{write: true, sent: now}, policy.Answered, "204"},
 		{false, "503 Service Unavailable", call{write: true, sent: now}, policy.Errored, ""},
 	} {
--- a/internal/net/relay/leaving_test.go
+++ b/internal/net/relay/leaving_test.go
@@ -106,7 +106,7 @@
 							<-may
 						}
 						return value(line)
-					}, func(b *Berth) { b.Terms.Rules.MayCancel = cancel })
+					}, func(b *Berth) { b.Terms.Policy.CancelAllowed = cancel })
 					c, r := g.client()
 					ask(c, "Owarm")
 					g.expect(r, "VA 5 Owarm", "hello")
@@ -117,11 +117,11 @@
 					waits(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
 					g.until("it has left", func(n counters.Counters) bool { return n.Left+n.Crowded == 1 })
 					n := g.Counts()
-					if n.Crowded == 1 && place == "at the gate" && n.Ended[policy.NeverSent] == 0 && n.Legs == before {
+					if n.Crowded == 1 && place == "at the gate" && n.Ended[policy.NotSent] == 0 && n.Legs == before {
 						return // it was let in before room for it was heard of, and rejected, which is no leg either
 					}
-					if waited := n.LeftWaiting == 1 || place == "after a miss"; n.Ended[policy.NeverSent] != 1 || !waited {
-						t.Errorf("%d legs not sent on, %d left waiting: %v", n.Ended[policy.NeverSent], n.LeftWaiting, n.Ended)
+					if waited := n.LeftWaiting == 1 || place == "after a miss"; n.Ended[policy.NotSent] != 1 || !waited {
+						t.Errorf("%d legs not sent on, %d left waiting: %v", n.Ended[policy.NotSent], n.LeftWaiting, n.Ended)
 					}
 				})
 			}
@@ -161,7 +161,7 @@
 					g.held(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
 				}
 				g.until("it has left", func(n counters.Counters) bool { return n.Left == 1 })
-				g.until("nothing is out", func(n counters.Counters) bool { return n.Ended[policy.NeverSent] == 1 })
+				g.until("nothing is out", func(n counters.Counters) bool { return n.Ended[policy.NotSent] == 1 })
 				if n := g.Counts(); len(g.lines) > 0 || len(g.calls) > 0 {
 					t.Errorf("an attempt went out: %v", n.Ended)
 				}
@@ -187,7 +187,7 @@
 func TestALegWrittenInPartStopsWithItsClient(t *testing.T) {
 	for way, leave := range leaving {
 		for _, cancel := range []bool{true, false} {
-			g := newRig(t, 200, value, func(b *Berth) { b.Terms.Rules.MayCancel = cancel })
+			g := newRig(t, 200, value, func(b *Berth) { b.Terms.Policy.CancelAllowed = cancel })
 			tight := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 				return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 1) })
 			}}
@@ -198,7 +198,7 @@
 			defer l.Close()
 			g.ask(func() {
 				g.caches["o"].addr = l.Addr().String()
-				g.Probe("o")
+				g.CheckHealth("o")
 			})
 			origin, err := l.Accept() // which reads nothing of what comes later
 			if err != nil {
@@ -217,7 +217,7 @@
 			g.until("a part is written", func(n counters.Counters) bool { return n.Legs == 1 && g.eng.Unsent() > 0 })
 			leave(c.(*net.TCPConn))
 			g.until("it has left", func(n counters.Counters) bool { return n.Left == 1 })
-			if n := g.Counts(); n.Ended[policy.NeverSent] != 1 || g.eng.Unsent() != 0 {
+			if n := g.Counts(); n.Ended[policy.NotSent] != 1 || g.eng.Unsent() != 0 {
 				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Ended, g.eng.Unsent())
 			}
 		}
@@ -263,7 +263,7 @@
 			io.WriteString(fresh, value(line))
 		}
 		g.expect(r, c.want)
-		if n := g.Counts(); n.Legs != c.sent || n.Ended[policy.Broken] != 0 != c.after {
+		if n := g.Counts(); n.Legs != c.sent || n.Ended[policy.ConnectionBroken] != 0 != c.after {
 			t.Errorf("%s, after the write: %v: %d legs, %v", c.end, c.after, n.Legs, n.Ended)
 		}
 	}
--- a/internal/net/relay/operators.go
+++ b/internal/net/relay/operators.go
@@ -20,50 +20,50 @@
 
 // stance hears how the module says that caches stand, and passes all on to the records' book if there is one.
 type stance struct {
-	host.Watcher
-	of   map[policy.CacheID]policy.Standing   // those that are not in use as usual
-	sent map[policy.CacheID][2]policy.Instant // the last two legs there, the latest last
+	host.Observer
+	of   map[policy.EndpointID]policy.EndpointState // those that are not in use as usual
+	sent map[policy.EndpointID][2]policy.Instant    // the last two legs there, the latest last
 }
 
 // avoided tells whether a cache gets nothing that another could have. One that errs may for some grades only; one that has been
 // silent stands so until it answers, but is avoided only once it gets no more than a leg now and then, as a trial.
-func (s *stance) avoided(now policy.Instant, id policy.CacheID) bool {
+func (s *stance) avoided(now policy.Instant, id policy.EndpointID) bool {
 	is := s.of[id]
-	return is > policy.Quiet || is == policy.Quiet && now.Since(s.sent[id][0]) >= trialsApart
+	return is > policy.StateUnresponsive || is == policy.StateUnresponsive && now.Since(s.sent[id][0]) >= trialsApart
 }
 
-func (s *stance) Stands(now policy.Instant, id policy.CacheID, is policy.Standing) {
-	if s.of[id] = is; is == policy.InUse {
+func (s *stance) EndpointStateChanged(now policy.Instant, id policy.EndpointID, is policy.EndpointState) {
+	if s.of[id] = is; is == policy.StateInUse {
 		delete(s.of, id)
 	}
-	if s.Watcher != nil {
-		s.Watcher.Stands(now, id, is)
+	if s.Observer != nil {
+		s.Observer.EndpointStateChanged(now, id, is)
 	}
 }
 
-func (s *stance) Sent(now policy.Instant, id policy.CacheID) {
+func (s *stance) AttemptSent(now policy.Instant, id policy.EndpointID) {
 	s.sent[id] = [2]policy.Instant{s.sent[id][1], now}
-	if s.Watcher != nil {
-		s.Watcher.Sent(now, id)
+	if s.Observer != nil {
+		s.Observer.AttemptSent(now, id)
 	}
 }
 
-func (s *stance) Ended(now policy.Instant, id policy.CacheID, how policy.Result, took time.Duration) {
-	if s.Watcher != nil {
-		s.Watcher.Ended(now, id, how, took)
+func (s *stance) AttemptDone(now policy.Instant, id policy.EndpointID, how policy.Result, took time.Duration) {
+	if s.Observer != nil {
+		s.Observer.AttemptDone(now, id, how, took)
 	}
 }
 
-func (s *stance) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
-	if s.Watcher != nil {
-		s.Watcher.Listed(now, form, entries)
+func (s *stance) EndpointsUpdated(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+	if s.Observer != nil {
+		s.Observer.EndpointsUpdated(now, form, entries)
 	}
 }
 
 // keep forgets the caches that the list does not name any more.
-func (s *stance) keep(listed func(policy.CacheID) bool) {
-	maps.DeleteFunc(s.of, func(id policy.CacheID, _ policy.Standing) bool { return !listed(id) })
-	maps.DeleteFunc(s.sent, func(id policy.CacheID, _ [2]policy.Instant) bool { return !listed(id) })
+func (s *stance) keep(listed func(policy.EndpointID) bool) {
+	maps.DeleteFunc(s.of, func(id policy.EndpointID, _ policy.EndpointState) bool { return !listed(id) })
+	maps.DeleteFunc(s.sent, func(id policy.EndpointID, _ [2]policy.Instant) bool { return !listed(id) })
 }
 
 // publish hands out a new copy of the figures. It is called ten times a second, so it looks only at caches that are not in use as usual: there may
--- a/internal/net/relay/operators_test.go
+++ b/internal/net/relay/operators_test.go
@@ -115,16 +115,16 @@
 		t.Errorf("%+v", s)
 	}
 	g.ask(func() {
-		g.stance.Stands(g.now(), "c", policy.Refusing)
-		g.stance.Stands(g.now(), "long gone", policy.Quiet)
+		g.stance.EndpointStateChanged(g.now(), "c", policy.StateUnreachable)
+		g.stance.EndpointStateChanged(g.now(), "long gone", policy.StateUnresponsive)
 	})
 	if s := look(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
 	g.ask(func() { // silent, and still with its share of legs: not avoided; with a trial now and then: avoided
-		g.stance.Stands(g.now(), "c", policy.Quiet)
+		g.stance.EndpointStateChanged(g.now(), "c", policy.StateUnresponsive)
 		for range 2 {
-			g.stance.Sent(g.now(), "c")
+			g.stance.AttemptSent(g.now(), "c")
 		}
 	})
 	if s := look(); s.Unavailable != 0 {
--- a/internal/net/relay/relay.go
+++ b/internal/net/relay/relay.go
@@ -73,7 +73,7 @@
 	Descriptors       int
 	Beside            int   // descriptors that the process has for other things
 	Memory            int64 // bytes it may use in all
-	Terms             houserules.Terms
+	Terms             houserules.Settings
 	Known             []byte // the list as last held, as discovery writes it, or nil
 	Log               *logrus.Logger
 	Moved             func(Phase)                    // told of each phase; nil for nobody
@@ -91,7 +91,7 @@
 	Berth
 	phase     Phase
 	eng       *sockets.Engine
-	host      *host.Host
+	host      *host.Dispatcher
 	began     time.Time        // with the monotonic clock's reading
 	wallClock func() time.Time // for what the list states by it, and nothing else
 	due       deadlines.Queue[due]
@@ -102,7 +102,7 @@
 	asked     asked           // what was read last
 	came      reply           // the same of servers
 	faces     []face          // by the address that a client came to
-	caches    map[policy.CacheID]*cache
+	caches    map[policy.EndpointID]*cache
 	members   int // of them, those that are not the origin
 	idleLinks idleLinks
 	list      listCall
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Berth: b, eng: eng, allMemory: b.Memory, began: time.Now(), wallClock: time.Now, caches: map[policy.CacheID]*cache{}, taken: map[string]bool{},
+	r := &Relay{Berth: b, eng: eng, allMemory: b.Memory, began: time.Now(), wallClock: time.Now, caches: map[policy.EndpointID]*cache{}, taken: map[string]bool{},
 		asks: make(chan func(), 16), done: make(chan struct{})}
 	r.faces = []face{metaFace{}}
 	for i := range b.Operator.Listeners {
@@ -176,23 +176,23 @@
 			r.faces = append(r.faces, metaFace{})
 		}
 	}
-	var watcher host.Watcher
+	var watcher host.Observer
 	if b.Records != nil {
 		watcher = records.New(b.Name, func(e records.Entry) { b.Records(e, r.began.Add(e.At.Since(epoch))) },
-			func(e policy.Entry) bool { return r.isOrigin(e.Kind) })
+			func(e policy.Endpoint) bool { return r.isOrigin(e.Kind) })
 	}
 	decider := r.decider(watcher)
-	r.byGrade = make([]counters.GradeSheet, len(b.Terms.Rules.Grades))
-	for name, n := range b.Terms.Names.Grades() {
+	r.byGrade = make([]counters.GradeSheet, len(b.Terms.Policy.Classes))
+	for name, n := range b.Terms.Names.Classes() {
 		r.byGrade[n].Name = name
 	}
 	if b.Figures {
-		r.stance = &stance{Watcher: watcher, of: map[policy.CacheID]policy.Standing{}, sent: map[policy.CacheID][2]policy.Instant{}}
+		r.stance = &stance{Observer: watcher, of: map[policy.EndpointID]policy.EndpointState{}, sent: map[policy.EndpointID][2]policy.Instant{}}
 		watcher = r.stance
 	}
-	r.host = host.With(r.now(), decider, r, watcher)
-	r.kept = keeping.New(b.Terms.Rules.IdleConnection)
-	r.list.caller, r.chance.Seed = discovery.New(b.Terms.Rules.Nodes), uint32(b.Seed^b.Seed>>32)
+	r.host = host.NewWithDecider(r.now(), decider, r, watcher)
+	r.kept = keeping.New(b.Terms.Policy.IdleTimeout)
+	r.list.caller, r.chance.Seed = discovery.New(b.Terms.Policy.Nodes), uint32(b.Seed^b.Seed>>32)
 	r.hearKnown()
 	r.due.Put(r.now().Add(readyBy), due{ready: true})
 	if b.Succeeds != nil {
@@ -212,14 +212,14 @@
 	if err != nil {
 		return
 	}
-	if r.hear(&known, policy.LastHeld); known.HasVersion && len(r.caches) > 0 {
+	if r.hear(&known, policy.LastKnownUpdate); known.HasVersion && len(r.caches) > 0 {
 		r.list.caller.Hold(known.Version)
 	}
 }
 
 // decider is the module, behind the operator's service levels if there are any.
-func (r *Relay) decider(watcher host.Watcher) host.Decider {
-	module := policy.New(r.now(), r.Seed, r.Terms.Rules)
+func (r *Relay) decider(watcher host.Observer) host.Decider {
+	module := policy.New(r.now(), r.Seed, r.Terms.Policy)
 	if len(r.Operator.Levels) == 0 {
 		return module
 	}
@@ -233,7 +233,7 @@
 }
 
 func (r *Relay) isOrigin(kind int) bool {
-	return r.Terms.Rules.Aside && kind == r.Terms.Rules.OriginKind
+	return r.Terms.Policy.CacheAside && kind == r.Terms.Policy.OriginKind
 }
 
 // Addr is where it listens; front counts the further ones from 1.
@@ -384,7 +384,7 @@
 		}
 		switch {
 		case d.token != "":
-			r.host.Woken(r.now(), d.token)
+			r.host.OnTimer(r.now(), d.token)
 		case d.leg.hand != 0:
 			r.giveUp(d.leg)
 		case d.link != 0:
@@ -432,7 +432,7 @@
 // which its clients would never have heard.
 func (r *Relay) hasten() {
 	by := r.endBy().Add(-lastWords)
-	r.host.Hasten(r.now(), by)
+	r.host.CapDeadlines(r.now(), by)
 	r.hand.Each(func(id handID, v *request) {
 		for n, l := range v.legs {
 			if l.out && l.giveUpAt > by {
@@ -475,7 +475,7 @@
 
 // endBy is when a node that drains ends at the latest: before who told it to ends it.
 func (r *Relay) endBy() policy.Instant {
-	return r.ending.Add(min(cmp.Or(r.Terms.LongestStop, mostToStop), mostToStop) + spareToStop)
+	return r.ending.Add(min(cmp.Or(r.Terms.LongestDeadline, mostToStop), mostToStop) + spareToStop)
 }
 
 // token is a request's id towards the host: a slot's, so that no client can name another's.
@@ -493,10 +493,12 @@
 }
 
 // Timer wakes the host.
-func (r *Relay) Timer(in time.Duration, token string) { r.due.Put(r.now().Add(in), due{token: token}) }
+func (r *Relay) SetTimer(in time.Duration, token string) {
+	r.due.Put(r.now().Add(in), due{token: token})
+}
 
 // Follow needs nothing: the list is always followed.
-func (r *Relay) Follow() {}
+func (r *Relay) PollEndpoints() {}
 
 // makeRoom frees one descriptor of the least use: an idle link first, then an idle client.
 func (r *Relay) makeRoom() bool { return r.closeIdleLink() || r.closeIdleClient() }
--- a/internal/net/relay/relay_test.go
+++ b/internal/net/relay/relay_test.go
@@ -266,7 +266,7 @@
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
-	g.until("they are cut off", func(n counters.Counters) bool { return n.Ended[policy.Broken] >= 2 && n.Crowded >= 2 })
+	g.until("they are cut off", func(n counters.Counters) bool { return n.Ended[policy.ConnectionBroken] >= 2 && n.Crowded >= 2 })
 	coming := make(chan int, 1)
 	if g.ask(func() { coming <- g.coming }); <-coming > len(long) {
 		t.Error("what is dropped is still counted")
@@ -274,9 +274,9 @@
 }
 
 func TestOutcomesAreTheProtocols(t *testing.T) {
-	for said, how := range map[string]policy.Result{"EN Oa\r\n": policy.Missed, "SERVER_ERROR failed\r\n": policy.Errored,
-		"SERVER_ERROR busy\r\n": policy.TurnedAway, "ERROR\r\n": policy.Errored, breaksOff: policy.Broken,
-		"VA 5 Oa\r\nhe" + breaksOff: policy.Broken, "VA 5 Oa\r\nhelloo\r\n": policy.Errored, "HD Oa c1\r\n": policy.Errored,
+	for said, how := range map[string]policy.Result{"EN Oa\r\n": policy.CacheMiss, "SERVER_ERROR failed\r\n": policy.Errored,
+		"SERVER_ERROR busy\r\n": policy.Rejected, "ERROR\r\n": policy.Errored, breaksOff: policy.ConnectionBroken,
+		"VA 5 Oa\r\nhe" + breaksOff: policy.ConnectionBroken, "VA 5 Oa\r\nhelloo\r\n": policy.Errored, "HD Oa c1\r\n": policy.Errored,
 		"VA 5 Oa\r\nhello\r\n" + breaksOff: policy.Answered, "\x8c\xa1 that never ends": policy.Errored,
 		"VA 3221225472 Oa\r\nhello": policy.Errored, "VA 5 Oanother\r\nhello\r\n": policy.Errored,
 		"VA 5 Oa Lx=\x01\xff,=\r\nhello\r\n\r\nnoise behind": policy.Answered, "EN Oa" + strings.Repeat("x", 5000): policy.Errored} {
@@ -303,7 +303,7 @@
 	other := g.listen(func(c net.Conn) { cache <- c })
 	g.ask(func() {
 		g.caches["c"].addr = other
-		g.Probe("c")
+		g.CheckHealth("c")
 	})
 	c := wait(t, cache)
 	io.WriteString(c, "MN\r\n")
@@ -357,7 +357,7 @@
 				io.WriteString(s, before)
 			}
 		})
-		g.moves(policy.CacheID(c.server), addr)
+		g.moves(policy.EndpointID(c.server), addr)
 		client, r := g.client()
 		ask := func(n int) { fmt.Fprintf(client, "mg k%d v Ox%d Pc=%s,d=9000\r\n", n, n, c.grade) }
 		ask(1)
@@ -366,7 +366,7 @@
 			r.ReadString('\n')
 		}
 		g.ask(func() { // the time in which a second would come is not over for this test
-			for _, id := range g.caches[policy.CacheID(c.server)].idle {
+			for _, id := range g.caches[policy.EndpointID(c.server)].idle {
 				if l := g.links.Get(id); l.nobody != 0 {
 					l.nobody = g.now().Add(time.Hour)
 				}
@@ -737,7 +737,7 @@
 				return value(line)
 			}, func(b *Berth) {
 				if c.after > 0 {
-					b.Terms.Rules.Grades[0].SoftLimit = endsIn * 9 / 10
+					b.Terms.Policy.Classes[0].LatencyObjective = endsIn * 9 / 10
 				}
 			})
 			to, r := g.client()
@@ -770,7 +770,7 @@
 
 // A node that was held up while it drained ended as it went on: who had come meanwhile stood in the kernel's queue and was cut off.
 func TestANodeHeldUpWhileItDrainsLetsInWhoCameMeanwhile(t *testing.T) {
-	g := newRig(t, 200, value, func(b *Berth) { b.Terms.LongestStop = mostToStop })
+	g := newRig(t, 200, value, func(b *Berth) { b.Terms.LongestDeadline = mostToStop })
 	g.eng.Accept(false) // as if the whole process stood still
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
@@ -791,7 +791,7 @@
 	for _, longest := range []time.Duration{0, 500 * time.Millisecond, time.Minute} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, 200, func(string) string { return "" }, func(b *Berth) { b.Terms.LongestStop = longest })
+			g := newRig(t, 200, func(string) string { return "" }, func(b *Berth) { b.Terms.LongestDeadline = longest })
 			l, addr := scripted(t) // an origin that says nothing, and one leg at a time
 			g.moves("o", addr)
 			wants := map[string]string{"mg k1 v Oa Pc=read,d=60000": "SERVER_ERROR busy 250", "ms k2 1 Ob Pc=pay,d=60000\r\nx": "SERVER_ERROR failed",
@@ -863,7 +863,7 @@
 // event was handled meanwhile: eight requests were lost on a rough day.
 func TestLinkInUseAtItsIdleTimeIsLeftForLater(t *testing.T) {
 	r := &Relay{began: time.Now()}
-	r.Terms.Rules.IdleConnection = 10 * time.Second
+	r.Terms.Policy.IdleTimeout = 10 * time.Second
 	l := &link{does: aLeg, usedAt: policy.Instant(-time.Hour), idleAt: epoch}
 	l.id = r.links.Add(l)
 	r.tend(l.id)
@@ -894,7 +894,7 @@
 }
 
 // moves has a server be elsewhere, for whatever comes after.
-func (g *rig) moves(id policy.CacheID, addr string) {
+func (g *rig) moves(id policy.EndpointID, addr string) {
 	g.ask(func() { g.caches[id].addr = addr })
 	g.Counts() // else the next command may come before
 }
@@ -913,7 +913,7 @@
 // A leg that waited for its connection went to a cache that was told to drain meanwhile.
 func TestALinkThatComesUpAfterTheNewsCarriesNoLegToACacheThatDrains(t *testing.T) {
 	for _, state := range []string{"terminating", "terminated"} {
-		g := newRig(t, 200, value, func(b *Berth) { b.Terms.Connect, b.Terms.Rules.MayCancel = patience, false })
+		g := newRig(t, 200, value, func(b *Berth) { b.Terms.ConnectTimeout, b.Terms.Policy.CancelAllowed = patience, false })
 		l, addr := scripted(t)
 		let := gated(t, l)
 		g.moves("c", addr)
@@ -932,7 +932,7 @@
 				io.WriteString(up, value(line))
 			}
 		}()
-		if got, _ := r.ReadString('\n'); strings.TrimSpace(got) == "VA 5 Ox" || g.Counts().Ended[policy.NeverSent] != 1 {
+		if got, _ := r.ReadString('\n'); strings.TrimSpace(got) == "VA 5 Ox" || g.Counts().Ended[policy.NotSent] != 1 {
 			t.Errorf("%s: served %q by it, %v", state, got, g.Counts().Ended)
 		}
 	}
@@ -942,8 +942,8 @@
 func TestALinkThatComesUpAfterTheWindowCarriesNoRepeat(t *testing.T) {
 	const window = 400 * time.Millisecond
 	g := newRig(t, 200, value, func(b *Berth) {
-		b.Terms.Connect, b.Terms.Rules.Grades = patience, slices.Clone(b.Terms.Rules.Grades)
-		b.Terms.Rules.Grades[b.Terms.Names.Grade([]byte("put"))].Window = window
+		b.Terms.ConnectTimeout, b.Terms.Policy.Classes = patience, slices.Clone(b.Terms.Policy.Classes)
+		b.Terms.Policy.Classes[b.Terms.Names.Class([]byte("put"))].DedupWindow = window
 	})
 	l, addr := scripted(t)
 	g.moves("o", addr)
@@ -990,7 +990,7 @@
 	v.id = r.hand.Add(v)
 	l := &link{does: aLeg, leg: legRef{hand: v.id}, cache: &cache{}}
 	l.id = r.links.Add(l)
-	if r.begin(l); r.count.Ended[policy.NeverSent] != 1 || v.legs[0].out || l.does != nothing {
+	if r.begin(l); r.count.Ended[policy.NotSent] != 1 || v.legs[0].out || l.does != nothing {
 		t.Errorf("%v, still out: %v", r.count.Ended, v.legs[0].out)
 	}
 }
--- a/internal/net/relay/starts_test.go
+++ b/internal/net/relay/starts_test.go
@@ -30,7 +30,7 @@
 		stepped := time.Duration(0)
 		r.wallClock = func() time.Time { return time.Now().Add(stepped) }
 		stated := func(ago time.Duration) int64 { return r.wallClock().Add(-ago).UnixMilli() }
-		hear := func(form policy.ListForm, startedAt int64) policy.Instant {
+		hear := func(form policy.UpdateKind, startedAt int64) policy.Instant {
 			news, err := r.list.reader.Read(fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service",
 "zone":"z","startedAtMs":%d}]}`, startedAt))
 			if err != nil {
@@ -47,14 +47,14 @@
 			}
 		}
 		first := stated(3 * time.Minute)
-		was := hear(policy.Whole, first)
+		was := hear(policy.CompleteUpdate, first)
 		near("first start", was, 3*time.Minute)
 		stepped = step
 		old := r.caches["c"]
-		if again := hear(policy.Whole, first); again != was || r.caches["c"] != old {
+		if again := hear(policy.CompleteUpdate, first); again != was || r.caches["c"] != old {
 			t.Errorf("%v: the same start became another one", step)
 		}
-		near("a start after the step", hear(policy.Changes, stated(500*time.Millisecond)), 500*time.Millisecond)
+		near("a start after the step", hear(policy.DeltaUpdate, stated(500*time.Millisecond)), 500*time.Millisecond)
 		if r.caches["c"] == old {
 			t.Errorf("%v: a start after the step is taken for none", step)
 		}
--- a/internal/net/relay/stream.go
+++ b/internal/net/relay/stream.go
@@ -20,7 +20,7 @@
 type stream struct {
 	client clientID
 	turn   uint64
-	grade  policy.GradeID
+	grade  policy.ClassID
 	face   face
 	call   call
 	left   int // bytes of the value still to come
@@ -146,7 +146,7 @@
 	s := l.stream
 	if wrong {
 		r.count.Strange++
-		r.lose(l, policy.Broken)
+		r.lose(l, policy.ConnectionBroken)
 		return
 	}
 	l.buf.Use(s.tail)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -24,12 +24,12 @@
 
 // Entry is one thing that a node did.
 type Entry struct {
-	At     policy.Instant `json:"at_ns"`
-	Node   string         `json:"node"`
-	Server policy.CacheID `json:"server"`
-	What   string         `json:"what"`
-	Why    string         `json:"why,omitempty"`
-	For    time.Duration  `json:"for_ns,omitempty"` // with "back": how long it was avoided
+	At     policy.Instant    `json:"at_ns"`
+	Node   string            `json:"node"`
+	Server policy.EndpointID `json:"server"`
+	What   string            `json:"what"`
+	Why    string            `json:"why,omitempty"`
+	For    time.Duration     `json:"for_ns,omitempty"` // with "back": how long it was avoided
 }
 
 func (e Entry) String() string {
@@ -59,19 +59,19 @@
 type Book struct {
 	node    string
 	tell    func(Entry)
-	caches  map[policy.CacheID]*page
-	order   []policy.CacheID // so that what happens at once is told in one order
+	caches  map[policy.EndpointID]*page
+	order   []policy.EndpointID // so that what happens at once is told in one order
 	lookAt  policy.Instant
 	looked  int
 	ready   int // caches that may get legs
 	legs    float64
-	without func(policy.Entry) bool // servers whose share says nothing: the origin
+	without func(policy.Endpoint) bool // servers whose share says nothing: the origin
 }
 
 type page struct {
-	state    policy.State
+	state    policy.Lifecycle
 	born     policy.Instant // of the process that stands so
-	stands   policy.Standing
+	stands   policy.EndpointState
 	avoided  policy.Instant // since when; 0 for not
 	why      string
 	spared   bool
@@ -85,23 +85,23 @@
 }
 
 // New starts a book. Entries go to tell, in order.
-func New(node string, tell func(Entry), without func(policy.Entry) bool) *Book {
+func New(node string, tell func(Entry), without func(policy.Endpoint) bool) *Book {
 	if without == nil {
-		without = func(policy.Entry) bool { return false }
+		without = func(policy.Endpoint) bool { return false }
 	}
-	return &Book{node: node, tell: tell, caches: map[policy.CacheID]*page{}, without: without}
+	return &Book{node: node, tell: tell, caches: map[policy.EndpointID]*page{}, without: without}
 }
 
-func (b *Book) say(now policy.Instant, id policy.CacheID, what, why string, long time.Duration) {
+func (b *Book) say(now policy.Instant, id policy.EndpointID, what, why string, long time.Duration) {
 	b.tell(Entry{At: now, Node: b.node, Server: id, What: what, Why: why, For: long})
 }
 
 // Listed hears the list.
-func (b *Book) Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry) {
-	if form == policy.AskFailed {
+func (b *Book) EndpointsUpdated(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+	if form == policy.PollFailed {
 		return
 	}
-	named := map[policy.CacheID]bool{}
+	named := map[policy.EndpointID]bool{}
 	for _, e := range entries {
 		if b.without(e) {
 			continue
@@ -109,31 +109,31 @@
 		named[e.ID] = true
 		p := b.caches[e.ID]
 		switch {
-		case p == nil && e.State != policy.Gone:
-			p = &page{state: e.State, born: e.Born}
+		case p == nil && e.Lifecycle != policy.Removed:
+			p = &page{state: e.Lifecycle, born: e.StartedAt}
 			b.caches[e.ID] = p
 			b.order = append(b.order, e.ID)
 			slices.Sort(b.order)
 			b.say(now, e.ID, Listed, "", 0)
-			if e.State == policy.Draining {
+			if e.Lifecycle == policy.Draining {
 				b.say(now, e.ID, Drained, "the list says so", 0)
 			}
-		case p != nil && e.State == policy.Gone:
+		case p != nil && e.Lifecycle == policy.Removed:
 			b.drop(now, e.ID, "the list says so")
-		case p != nil && e.State == policy.Draining && p.state == policy.Ready:
-			p.state = e.State
+		case p != nil && e.Lifecycle == policy.Draining && p.state == policy.Ready:
+			p.state = e.Lifecycle
 			b.say(now, e.ID, Drained, "the list says so", 0)
 		case p != nil:
-			p.state = e.State
+			p.state = e.Lifecycle
 		}
-		if p != nil && e.Born > p.born { // started anew: how the old process stood says nothing, and nobody takes it back
-			p.born, p.stands = e.Born, policy.InUse
-			if e.State == policy.Ready && !p.spared {
+		if p != nil && e.StartedAt > p.born { // started anew: how the old process stood says nothing, and nobody takes it back
+			p.born, p.stands = e.StartedAt, policy.StateInUse
+			if e.Lifecycle == policy.Ready && !p.spared {
 				b.back(now, e.ID, p)
 			}
 		}
 	}
-	if form != policy.Changes {
+	if form != policy.DeltaUpdate {
 		for _, id := range slices.Clone(b.order) {
 			if !named[id] {
 				b.drop(now, id, "the whole list does not name it")
@@ -148,34 +148,34 @@
 	}
 }
 
-func (b *Book) drop(now policy.Instant, id policy.CacheID, why string) {
+func (b *Book) drop(now policy.Instant, id policy.EndpointID, why string) {
 	delete(b.caches, id)
-	b.order = slices.DeleteFunc(b.order, func(o policy.CacheID) bool { return o == id })
+	b.order = slices.DeleteFunc(b.order, func(o policy.EndpointID) bool { return o == id })
 	b.say(now, id, Gone, why, 0)
 }
 
 // Stands hears how a cache stands, when that has changed.
-func (b *Book) Stands(now policy.Instant, id policy.CacheID, s policy.Standing) {
+func (b *Book) EndpointStateChanged(now policy.Instant, id policy.EndpointID, s policy.EndpointState) {
 	p := b.caches[id]
 	if p == nil || p.stands == s {
 		return
 	}
 	p.stands = s
-	if s == policy.Quiet || s == policy.Refusing || s == policy.Erring {
+	if s == policy.StateUnresponsive || s == policy.StateUnreachable || s == policy.StateFailing {
 		b.avoid(now, id, p, s.String())
-	} else if !p.spared && s != policy.Drains {
+	} else if !p.spared && s != policy.StateDraining {
 		b.back(now, id, p)
 	}
 }
 
-func (b *Book) avoid(now policy.Instant, id policy.CacheID, p *page, why string) {
+func (b *Book) avoid(now policy.Instant, id policy.EndpointID, p *page, why string) {
 	if p.avoided == 0 {
 		p.avoided, p.why = now, why
 		b.say(now, id, Avoided, why, 0)
 	}
 }
 
-func (b *Book) back(now policy.Instant, id policy.CacheID, p *page) {
+func (b *Book) back(now policy.Instant, id policy.EndpointID, p *page) {
 	if p.avoided != 0 {
 		long := now.Since(p.avoided)
 		p.avoided, p.triedFor = 0, 0
@@ -188,14 +188,14 @@
 func (b *Book) Level(now policy.Instant, name string) { b.say(now, "", Level, name, 0) }
 
 // Sent hears of a leg. One to a cache that is avoided since it said nothing is a trial; the first of each spell is told.
-func (b *Book) Sent(now policy.Instant, id policy.CacheID) {
+func (b *Book) AttemptSent(now policy.Instant, id policy.EndpointID) {
 	p := b.caches[id]
 	if p == nil {
 		return
 	}
 	p.legs++
 	b.legs++
-	if p.avoided != 0 && !p.spared && (p.stands == policy.Quiet || p.stands == policy.Refusing) {
+	if p.avoided != 0 && !p.spared && (p.stands == policy.StateUnresponsive || p.stands == policy.StateUnreachable) {
 		if p.triedFor++; p.triedFor == 1 {
 			b.say(now, id, Trial, p.why, 0)
 		}
@@ -204,8 +204,8 @@
 }
 
 // Ended hears of a leg's end.
-func (b *Book) Ended(_ policy.Instant, id policy.CacheID, how policy.Result, took time.Duration) {
-	if p := b.caches[id]; p != nil && (how == policy.Answered || how == policy.Missed) {
+func (b *Book) AttemptDone(_ policy.Instant, id policy.EndpointID, how policy.Result, took time.Duration) {
+	if p := b.caches[id]; p != nil && (how == policy.Answered || how == policy.CacheMiss) {
 		p.served++
 		p.took += took
 	}
@@ -258,7 +258,7 @@
 			if p.spared {
 				b.avoid(now, id, p, fmt.Sprintf("load: %.0f%% of its usual share, legs take %.1f ms after %.1f ms", 100*ratio,
 					float64(mean)/1e6, float64(p.was)/1e6))
-			} else if p.stands != policy.Quiet && p.stands != policy.Refusing && p.stands != policy.Erring {
+			} else if p.stands != policy.StateUnresponsive && p.stands != policy.StateUnreachable && p.stands != policy.StateFailing {
 				b.back(now, id, p)
 			}
 		}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -22,32 +22,32 @@
 		if e.What != Listed {
 			g.told = append(g.told, fmt.Sprintf("%s %s", e.Server, e.What))
 		}
-	}, func(e policy.Entry) bool { return e.ID == "origin" })
-	var es []policy.Entry
-	for _, id := range []policy.CacheID{"a", "b", "c", "d", "e", "origin"} {
-		es = append(es, policy.Entry{ID: id})
+	}, func(e policy.Endpoint) bool { return e.ID == "origin" })
+	var es []policy.Endpoint
+	for _, id := range []policy.EndpointID{"a", "b", "c", "d", "e", "origin"} {
+		es = append(es, policy.Endpoint{ID: id})
 	}
-	g.Book.Listed(g.now, policy.Whole, es)
+	g.Book.EndpointsUpdated(g.now, policy.CompleteUpdate, es)
 	return g
 }
 
-func (g *rig) seconds(n int, share map[policy.CacheID]float64) {
+func (g *rig) seconds(n int, share map[policy.EndpointID]float64) {
 	for range n * 100 {
 		g.now = g.now.Add(10 * time.Millisecond)
-		for i, id := range []policy.CacheID{"a", "b", "c", "d", "e"} {
-			g.Stands(g.now, id, g.caches[id].stands)
+		for i, id := range []policy.EndpointID{"a", "b", "c", "d", "e"} {
+			g.EndpointStateChanged(g.now, id, g.caches[id].stands)
 			legs := 1.0
 			if s, ok := share[id]; ok {
 				legs = s
 			}
 			if at := int(g.now.Since(0) / (10 * time.Millisecond)); legs > 1 || float64((at+i*7)%10) < legs*10 {
 				for range max(1, int(legs)) {
-					g.Sent(g.now, id)
+					g.AttemptSent(g.now, id)
 					took := 4 * time.Millisecond
 					if id == "b" {
 						took = g.took
 					}
-					g.Ended(g.now, id, policy.Answered, took)
+					g.AttemptDone(g.now, id, policy.Answered, took)
 				}
 			}
 		}
@@ -67,44 +67,44 @@
 func TestALostShareIsToldOnce(t *testing.T) {
 	g := newRig()
 	g.seconds(40, nil)
-	g.seconds(5, map[policy.CacheID]float64{"b": 0.3})
+	g.seconds(5, map[policy.EndpointID]float64{"b": 0.3})
 	g.want(t) // as quick as ever: it is only asked for less
 	g = newRig()
 	g.seconds(40, nil)
 	g.took = 9 * time.Millisecond
-	g.seconds(5, map[policy.CacheID]float64{"b": 0.3})
+	g.seconds(5, map[policy.EndpointID]float64{"b": 0.3})
 	g.want(t, "b avoided")
-	g.seconds(30, map[policy.CacheID]float64{"b": 0.7})
+	g.seconds(30, map[policy.EndpointID]float64{"b": 0.7})
 	g.want(t)
 	g.seconds(5, nil)
 	g.want(t, "b back")
-	g.seconds(10, map[policy.CacheID]float64{"a": 4})
+	g.seconds(10, map[policy.EndpointID]float64{"a": 4})
 	g.want(t)
-	g.seconds(10, map[policy.CacheID]float64{"a": 0.2, "b": 0.2, "c": 0.2, "d": 0.2, "e": 0.2})
+	g.seconds(10, map[policy.EndpointID]float64{"a": 0.2, "b": 0.2, "c": 0.2, "d": 0.2, "e": 0.2})
 	g.want(t)
 }
 
 // Standings and the list make entries of their own; a trial leg is told once a spell, and what was drained is not back.
 func TestStandingsAndTheListAreTold(t *testing.T) {
 	g := newRig()
-	g.Stands(g.now, "c", policy.Quiet)
-	g.Stands(g.now, "c", policy.Refusing) // still the same spell
-	g.Sent(g.now, "c")
-	g.Sent(g.now, "c")
-	g.Stands(g.now, "c", policy.InUse)
-	g.Stands(g.now, "d", policy.Crowded)
-	g.Stands(g.now, "d", policy.InUse)
-	g.Stands(g.now, "nobody", policy.Quiet)
+	g.EndpointStateChanged(g.now, "c", policy.StateUnresponsive)
+	g.EndpointStateChanged(g.now, "c", policy.StateUnreachable) // still the same spell
+	g.AttemptSent(g.now, "c")
+	g.AttemptSent(g.now, "c")
+	g.EndpointStateChanged(g.now, "c", policy.StateInUse)
+	g.EndpointStateChanged(g.now, "d", policy.StateOverloaded)
+	g.EndpointStateChanged(g.now, "d", policy.StateInUse)
+	g.EndpointStateChanged(g.now, "nobody", policy.StateUnresponsive)
 	g.want(t, "c avoided", "c trial leg", "c back")
-	g.Stands(g.now, "e", policy.Refusing)
-	g.Book.Listed(g.now, policy.Changes, []policy.Entry{{ID: "e"}})
+	g.EndpointStateChanged(g.now, "e", policy.StateUnreachable)
+	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "e"}})
 	g.want(t, "e avoided")
-	g.Book.Listed(g.now, policy.Changes, []policy.Entry{{ID: "e", Born: 5}}) // the module forgets the old process as silently
+	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "e", StartedAt: 5}}) // the module forgets the old process as silently
 	g.want(t, "e back")
-	g.Book.Listed(g.now, policy.Changes, []policy.Entry{{ID: "d", State: policy.Draining}, {ID: "f", State: policy.Gone}})
-	g.Stands(g.now, "d", policy.Drains)
-	g.Book.Listed(g.now, policy.AskFailed, nil)
-	g.Book.Listed(g.now, policy.Whole, []policy.Entry{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e"}, {ID: "origin"}})
-	g.Book.Listed(g.now, policy.Changes, []policy.Entry{{ID: "a", State: policy.Gone}, {ID: "origin", State: policy.Gone}})
+	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "d", Lifecycle: policy.Draining}, {ID: "f", Lifecycle: policy.Removed}})
+	g.EndpointStateChanged(g.now, "d", policy.StateDraining)
+	g.Book.EndpointsUpdated(g.now, policy.PollFailed, nil)
+	g.Book.EndpointsUpdated(g.now, policy.CompleteUpdate, []policy.Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e"}, {ID: "origin"}})
+	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "a", Lifecycle: policy.Removed}, {ID: "origin", Lifecycle: policy.Removed}})
 	g.want(t, "d drained", "d gone", "a gone")
 }
--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -41,19 +41,19 @@
 	zoneOf := func(i int) int { // as nodes stand: region by region
 		return turnOf(i/at.Regions, RegionID(i%at.Regions), at.Regions, at.Zones)
 	}
-	zones, list := map[policy.CacheID]int{}, []policy.Entry{}
+	zones, list := map[policy.EndpointID]int{}, []policy.Endpoint{}
 	for i := range caches {
-		e := policy.Entry{ID: policy.CacheID(fmt.Sprintf("cache-%d", i+1)), Zone: policy.ZoneID(fmt.Sprintf("zone-%d", zoneOf(i))), Weight: 1}
+		e := policy.Endpoint{ID: policy.EndpointID(fmt.Sprintf("cache-%d", i+1)), Zone: policy.ZoneID(fmt.Sprintf("zone-%d", zoneOf(i))), Weight: 1}
 		zones[e.ID] = zoneOf(i)
 		list = append(list, e)
 	}
 	router := func(zone int) *policy.Router {
-		p := policy.New(1, int64(zone), policy.HouseRules{
-			Grades: []policy.Grade{{Benefit: 1, SoftLimit: soonEnough, Effect: policy.Idempotent},
-				{Benefit: 1, SoftLimit: soonEnough, Effect: policy.Labelled, Scope: policy.AllCaches, Window: soonEnough}},
-			Zone: policy.ZoneID(fmt.Sprintf("zone-%d", zone)), Nodes: nodes, OriginKind: -1, CrossingPrice: price, MostLegs: holds + 1, SecondCopies: true, MayCancel: true,
-			Round: apartAsked, AskWithin: time.Hour, IdleConnection: time.Hour, InFlightAt: -1, WaitingAt: -1})
-		p.Listed(1, policy.Whole, list)
+		p := policy.New(1, int64(zone), policy.Settings{
+			Classes: []policy.ServiceClass{{PriorityWeight: 1, LatencyObjective: soonEnough, Idempotency: policy.Idempotent},
+				{PriorityWeight: 1, LatencyObjective: soonEnough, Idempotency: policy.IdempotentByKey, DedupScope: policy.AllCaches, DedupWindow: soonEnough}},
+			Zone: policy.ZoneID(fmt.Sprintf("zone-%d", zone)), Nodes: nodes, OriginKind: -1, CrossZoneCost: price, MaxAttempts: holds + 1, HedgingAllowed: true, CancelAllowed: true,
+			TickInterval: apartAsked, PollInterval: time.Hour, IdleTimeout: time.Hour, InFlightColumn: -1, QueueColumn: -1})
+		p.UpdateEndpoints(1, policy.CompleteUpdate, list)
 		return p
 	}
 	x := Placement{Keys: keys, Holders: holds}
@@ -62,7 +62,7 @@
 	twoInZone, twoInRegion := 0, 0
 	for zone := range at.Zones {
 		p, now := router(zone), policy.Instant(1)
-		crosses := func(to []policy.CacheID, in *Crossings, n *[2]int) {
+		crosses := func(to []policy.EndpointID, in *Crossings, n *[2]int) {
 			if len(to) == 0 {
 				return
 			}
@@ -76,31 +76,31 @@
 		for k := range keys / at.Zones {
 			now = now.Add(apartAsked)
 			key := fmt.Sprintf("key-%d-%d", zone, k) // each is asked for once: none is in demand
-			r := &policy.Request{ID: policy.RequestID(key), Key: key, Arrived: now, Deadline: now.Add(requestDeadline)}
-			m := p.Where(now, r)
-			crosses(m.To, &x.First, &first)
-			for leg := 0; len(m.To) > 0 && leg < 2; leg++ {
-				r.Legs = append(r.Legs, policy.Leg{To: m.To[0], Sent: now, Result: policy.Answered})
+			r := &policy.Request{ID: policy.RequestID(key), Key: key, ArrivedAt: now, Deadline: now.Add(requestDeadline)}
+			m := p.Route(now, r)
+			crosses(m.SendTo, &x.First, &first)
+			for leg := 0; len(m.SendTo) > 0 && leg < 2; leg++ {
+				r.Attempts = append(r.Attempts, policy.Attempt{Endpoint: m.SendTo[0], SentAt: now, Result: policy.Answered})
 				if leg == 0 && k%turnedEvery == 0 {
-					r.Legs[0].Result = policy.TurnedAway
+					r.Attempts[0].Result = policy.Rejected
 				}
 				now = now.Add(answersIn)
-				if m = p.After(now, r, policy.Outcome{Leg: leg, Took: answersIn}); len(m.To) > 0 {
-					crosses(m.To, &x.Second, &second)
+				if m = p.OnAttemptDone(now, r, policy.Outcome{Attempt: leg, Latency: answersIn}); len(m.SendTo) > 0 {
+					crosses(m.SendTo, &x.Second, &second)
 				}
 			}
-			r.Over = true
-			w := &policy.Request{ID: policy.RequestID(key + "-w"), Key: key, Grade: 1, Write: true, Arrived: now, Deadline: now.Add(requestDeadline)}
-			to := p.Where(now, w).To // a write goes to all holders at once
+			r.Finished = true
+			w := &policy.Request{ID: policy.RequestID(key + "-w"), Key: key, Class: 1, Write: true, ArrivedAt: now, Deadline: now.Add(requestDeadline)}
+			to := p.Route(now, w).SendTo // a write goes to all holders at once
 			x.Holders = min(x.Holders, len(to))
 			inZone, inRegion := map[int]int{}, map[int]int{}
 			for i, c := range to {
 				inZone[zones[c]]++
 				inRegion[region(zones[c])]++
-				w.Legs = append(w.Legs, policy.Leg{To: c, Sent: now, Result: policy.Answered})
-				p.After(now.Add(answersIn), w, policy.Outcome{Leg: i, Took: answersIn})
+				w.Attempts = append(w.Attempts, policy.Attempt{Endpoint: c, SentAt: now, Result: policy.Answered})
+				p.OnAttemptDone(now.Add(answersIn), w, policy.Outcome{Attempt: i, Latency: answersIn})
 			}
-			w.Over = true
+			w.Finished = true
 			count := func(in, worst map[int]int) (two bool) {
 				for at, n := range in {
 					if n >= 2 {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -18,17 +18,17 @@
 
 // Node is one instance, from its start until it is killed.
 type Node interface {
-	Listed(now policy.Instant, form policy.ListForm, entries []policy.Entry)
-	Arrived(now policy.Instant, r *policy.Request)
-	Ended(now policy.Instant, id policy.RequestID, how policy.Result, over bool, o policy.Outcome)
-	Started(id policy.RequestID)
-	Left(now policy.Instant, id policy.RequestID)
-	Probed(now policy.Instant, id policy.CacheID, found policy.Result)
-	Woken(now policy.Instant, token string)
+	UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint)
+	RequestArrived(now policy.Instant, r *policy.Request)
+	AttemptDone(now policy.Instant, id policy.RequestID, how policy.Result, over bool, o policy.Outcome)
+	ResponseStarted(id policy.RequestID)
+	ClientGone(now policy.Instant, id policy.RequestID)
+	OnHealthCheck(now policy.Instant, id policy.EndpointID, found policy.Result)
+	OnTimer(now policy.Instant, token string)
 }
 
 // Start makes a Node for an instance that comes up.
-type Start func(now policy.Instant, seed int64, rules policy.HouseRules, out *Writer) Node
+type Start func(now policy.Instant, seed int64, rules policy.Settings, out *Writer) Node
 
 type server struct {
 	start  Start
@@ -36,20 +36,20 @@
 	out    Writer
 	nodes  map[int]*instance
 	lists  [16][]*fastjson.Value
-	names  map[string]policy.CacheID
+	names  map[string]policy.EndpointID
 	log    io.Writer
 }
 
 type instance struct {
 	node  Node
-	names houserules.Vocabulary
-	last  []policy.Entry
+	names houserules.NameTable
+	last  []policy.Endpoint
 }
 
 // Serve answers batches from in on out until in ends. What is odd within a batch is passed over and noted
 // on log.
 func Serve(in io.Reader, out, log io.Writer, start Start) error {
-	s := &server{start: start, nodes: map[int]*instance{}, names: map[string]policy.CacheID{}, log: log}
+	s := &server{start: start, nodes: map[int]*instance{}, names: map[string]policy.EndpointID{}, log: log}
 	r := bufio.NewReaderSize(in, 1<<20)
 	var line []byte
 	for {
@@ -118,7 +118,7 @@
 		if err != nil {
 			return err
 		}
-		s.nodes[node] = &instance{s.start(now, at(1).GetInt64(), terms.Rules, &s.out), terms.Names, nil}
+		s.nodes[node] = &instance{s.start(now, at(1).GetInt64(), terms.Policy, &s.out), terms.Names, nil}
 		return nil
 	case "ledger":
 		if n := houserules.Number(at(1)); n >= 0 && n < 16 {
@@ -142,27 +142,27 @@
 			break
 		}
 		in.last = in.last[:0]
-		if form != policy.AskFailed {
+		if form != policy.PollFailed {
 			for _, e := range s.lists[n] {
 				if entry, ok := s.entry(in, e.GetArray()); ok {
 					in.last = append(in.last, entry)
 				}
 			}
 		}
-		in.node.Listed(now, form, in.last)
+		in.node.UpdateEndpoints(now, form, in.last)
 	case "job_in":
 		flags := int(houserules.Number(at(8)))
 		r := &policy.Request{
 			ID: policy.RequestID(at(1).GetStringBytes()), Key: string(at(6).GetStringBytes()),
-			Grade:  in.names.Grade(at(3).GetStringBytes()),
-			League: in.names.League(at(4).GetStringBytes()),
-			Write:  flags&4 != 0, Arrived: now, Deadline: instant(at(5)),
+			Class:  in.names.Class(at(3).GetStringBytes()),
+			Tenant: in.names.Tenant(at(4).GetStringBytes()),
+			Write:  flags&4 != 0, ArrivedAt: now, Deadline: instant(at(5)),
 		}
 		if r.ID == "" || r.Deadline <= 0 {
 			fmt.Fprintln(s.log, "passed over a request without an id or a deadline")
 			break
 		}
-		in.node.Arrived(now, r)
+		in.node.RequestArrived(now, r)
 	case "attempt_end":
 		how, ok := result(at(2))
 		leg := at(5)
@@ -170,18 +170,18 @@
 			fmt.Fprintln(s.log, "passed over an outcome of an unknown kind")
 			break
 		}
-		in.node.Ended(now, policy.RequestID(at(1).GetStringBytes()), how, at(3).GetBool(),
-			policy.Outcome{Leg: leg.GetInt(), Took: houserules.Span(at(6)), Report: report(&in.names, at(8))})
+		in.node.AttemptDone(now, policy.RequestID(at(1).GetStringBytes()), how, at(3).GetBool(),
+			policy.Outcome{Attempt: leg.GetInt(), Latency: houserules.Seconds(at(6)), LoadReport: report(&in.names, at(8))})
 	case "timed_out_client":
-		in.node.Left(now, policy.RequestID(at(1).GetStringBytes()))
+		in.node.ClientGone(now, policy.RequestID(at(1).GetStringBytes()))
 	case "sampled":
 		if how, ok := result(at(2)); ok {
-			in.node.Probed(now, s.cacheID(at(1)), how)
+			in.node.OnHealthCheck(now, s.cacheID(at(1)), how)
 		}
 	case "wake":
-		in.node.Woken(now, string(at(1).GetStringBytes()))
+		in.node.OnTimer(now, string(at(1).GetStringBytes()))
 	case "established":
-		in.node.Started(policy.RequestID(at(1).GetStringBytes()))
+		in.node.ResponseStarted(policy.RequestID(at(1).GetStringBytes()))
 	case "inbox": // nodes tell each other nothing yet
 	default:
 		fmt.Fprintf(s.log, "passed over an unknown event %q\n", name)
@@ -201,37 +201,37 @@
 	return kept.GetArray()
 }
 
-func (s *server) cacheID(v *fastjson.Value) policy.CacheID {
+func (s *server) cacheID(v *fastjson.Value) policy.EndpointID {
 	b := v.GetStringBytes()
 	id, ok := s.names[string(b)]
 	if !ok {
-		id = policy.CacheID(b)
+		id = policy.EndpointID(b)
 		s.names[string(id)] = id
 	}
 	return id
 }
 
-func (s *server) entry(in *instance, f []*fastjson.Value) (policy.Entry, bool) {
+func (s *server) entry(in *instance, f []*fastjson.Value) (policy.Endpoint, bool) {
 	if len(f) < 7 || len(f[5].GetStringBytes()) == 0 {
 		fmt.Fprintln(s.log, "passed over a list entry that is too short")
-		return policy.Entry{}, false
+		return policy.Endpoint{}, false
 	}
 	state, ok := states[string(f[2].GetStringBytes())]
 	if !ok { // send nothing new to what is in a state not known here
 		state = policy.Draining
 	}
-	return policy.Entry{
-		Weight: houserules.Number(f[0]), Kind: in.names.Kind(f[1].GetStringBytes()), State: state, Born: instant(f[3]),
+	return policy.Endpoint{
+		Weight: houserules.Number(f[0]), Kind: in.names.Kind(f[1].GetStringBytes()), Lifecycle: state, StartedAt: instant(f[3]),
 		Zone: policy.ZoneID(f[4].GetStringBytes()), ID: s.cacheID(f[5]), Group: policy.GroupID(houserules.Number(f[6])),
 	}, true
 }
 
 var (
-	listForms = map[string]policy.ListForm{"delta": policy.Changes, "full": policy.Whole, "cached": policy.LastHeld,
-		"failed": policy.AskFailed}
-	states  = map[string]policy.State{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
-	results = []policy.Result{policy.Answered, policy.Errored, policy.TurnedAway, policy.TimedOut, policy.Unconnected,
-		policy.Broken, policy.Cancelled, policy.NeverSent, policy.Missed}
+	listForms = map[string]policy.UpdateKind{"delta": policy.DeltaUpdate, "full": policy.CompleteUpdate, "cached": policy.LastKnownUpdate,
+		"failed": policy.PollFailed}
+	states  = map[string]policy.Lifecycle{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Removed}
+	results = []policy.Result{policy.Answered, policy.Errored, policy.Rejected, policy.TimedOut, policy.ConnectFailed,
+		policy.ConnectionBroken, policy.Cancelled, policy.NotSent, policy.CacheMiss}
 )
 
 func result(v *fastjson.Value) (policy.Result, bool) {
@@ -245,17 +245,17 @@
 	return results[n], true
 }
 
-func report(names *houserules.Vocabulary, v *fastjson.Value) []float64 {
+func report(names *houserules.NameTable, v *fastjson.Value) []float64 {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil
 	}
-	return names.Report(func(column string) (float64, bool) {
+	return names.LoadReport(func(column string) (float64, bool) {
 		x := v.Get(column)
 		return houserules.Number(x), x != nil && x.Type() == fastjson.TypeNumber
 	})
 }
 
-func instant(v *fastjson.Value) policy.Instant { return policy.Instant(houserules.Span(v)) }
+func instant(v *fastjson.Value) policy.Instant { return policy.Instant(houserules.Seconds(v)) }
 
 func appendQuoted(b []byte, s string) []byte {
 	q, _ := json.Marshal(s) // a string always marshals
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -93,7 +93,7 @@
 func (w *Writer) end() { w.buf = append(w.buf, ']') }
 
 // Send starts a leg.
-func (w *Writer) Send(id policy.RequestID, to policy.CacheID, giveUpAt policy.Instant) {
+func (w *Writer) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
 	w.begin("place")
 	w.text(string(id))
 	w.text(string(to))
@@ -125,7 +125,7 @@
 }
 
 // Timer asks to be woken with a token.
-func (w *Writer) Timer(in time.Duration, token string) {
+func (w *Writer) SetTimer(in time.Duration, token string) {
 	w.begin("timer")
 	w.seconds(in)
 	w.text(token)
@@ -133,14 +133,14 @@
 }
 
 // Probe checks on a cache.
-func (w *Writer) Probe(id policy.CacheID) {
+func (w *Writer) CheckHealth(id policy.EndpointID) {
 	w.begin("touch")
 	w.text(string(id))
 	w.end()
 }
 
 // Follow subscribes to the list.
-func (w *Writer) Follow() {
+func (w *Writer) PollEndpoints() {
 	w.begin("keep_informed")
 	w.buf = append(w.buf, ",true"...)
 	w.end()
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -21,7 +21,7 @@
 		lines[i] = strings.ReplaceAll(l, "\n", "")
 	}
 	err := simwire.Serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out, &log,
-		func(now policy.Instant, seed int64, rules policy.HouseRules, w *simwire.Writer) simwire.Node {
+		func(now policy.Instant, seed int64, rules policy.Settings, w *simwire.Writer) simwire.Node {
 			return host.New(now, seed, rules, w)
 		})
 	return out.String(), err
--- a/node/posting.go
+++ b/node/posting.go
@@ -26,7 +26,7 @@
 	Seed                    int64
 	MemoryMB, Sockets       int
 	Records                 func(Entry, time.Time) // told what the node does to caches, from a goroutine of its own; nil for nobody
-	terms                   houserules.Terms
+	terms                   houserules.Settings
 	known                   []byte // the list as last held, as discovery writes it; until the node has taken it
 	operator                fronts.File
 	charter                 *charter.File                  // by which it joins other nodes; nil for none
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -10,13 +10,13 @@
 func BenchmarkListed(b *testing.B) {
 	for _, n := range []int{12, 190, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var es []Entry
+			var es []Endpoint
 			for i := range n {
-				es = append(es, Entry{ID: CacheID(fmt.Sprintf("c%d", i)), Weight: 1})
+				es = append(es, Endpoint{ID: EndpointID(fmt.Sprintf("c%d", i)), Weight: 1})
 			}
-			p := New(1, 1, HouseRules{Grades: []Grade{{SoftLimit: time.Second}}})
+			p := New(1, 1, Settings{Classes: []ServiceClass{{LatencyObjective: time.Second}}})
 			for b.Loop() {
-				p.Listed(1, Whole, es)
+				p.UpdateEndpoints(1, CompleteUpdate, es)
 			}
 		})
 	}
@@ -29,7 +29,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p, r := waitingAtTheOrigin(n)
 			for b.Loop() {
-				p.After(Instant(time.Second), r, Outcome{Took: time.Millisecond})
+				p.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: time.Millisecond})
 			}
 		})
 	}
@@ -38,17 +38,17 @@
 // waitingAtTheOrigin is a router with so many reads that wait for room at the origin, and a request that ends elsewhere.
 func waitingAtTheOrigin(n int) (*Router, *Request) {
 	rules, now := testRules(), Instant(time.Second)
-	rules.Aside = true
+	rules.CacheAside = true
 	p := New(0, 1, rules)
-	p.Listed(0, Whole, fleet(50, true))
+	p.UpdateEndpoints(0, CompleteUpdate, fleet(50, true))
 	p.origin.out = int(p.room)
 	for i := range n {
-		r := &Request{ID: RequestID(fmt.Sprint(i)), Key: fmt.Sprint("k", i), Grade: GradeID(i % 2), Arrived: now, Deadline: now.Add(time.Second)}
+		r := &Request{ID: RequestID(fmt.Sprint(i)), Key: fmt.Sprint("k", i), Class: ClassID(i % 2), ArrivedAt: now, Deadline: now.Add(time.Second)}
 		p.meet(now, r)
-		r.Legs = []Leg{{To: "cache-1", Sent: now, Result: Missed}}
+		r.Attempts = []Attempt{{Endpoint: "cache-1", SentAt: now, Result: CacheMiss}}
 		p.toOrigin(now, r)
 	}
-	r := &Request{ID: "x", Key: "x", Arrived: now, Deadline: now.Add(time.Second), Over: true, Legs: []Leg{{To: "cache-1", Sent: now, Result: Answered}}}
+	r := &Request{ID: "x", Key: "x", ArrivedAt: now, Deadline: now.Add(time.Second), Finished: true, Attempts: []Attempt{{Endpoint: "cache-1", SentAt: now, Result: Answered}}}
 	p.meet(now, r)
 	return p, r
 }
@@ -58,9 +58,9 @@
 	for _, n := range []int{200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := New(0, 1, testRules())
-			p.Listed(0, Whole, fleet(n, true))
+			p.UpdateEndpoints(0, CompleteUpdate, fleet(n, true))
 			for b.Loop() {
-				p.Standings(Instant(time.Second), func(CacheID, Standing) {})
+				p.EndpointStates(Instant(time.Second), func(EndpointID, EndpointState) {})
 			}
 		})
 	}
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -53,10 +53,10 @@
 // driver plays a stream of events against one router.
 type driver struct {
 	chance   *rand.Rand
-	rules    policy.HouseRules
+	rules    policy.Settings
 	router   *policy.Router
 	now      policy.Instant
-	entries  []policy.Entry
+	entries  []policy.Endpoint
 	requests []*policy.Request
 	waiting  map[policy.RequestID]policy.Instant // when Where is due again
 	finished int
@@ -73,7 +73,7 @@
 	for i := range 4 + d.chance.Intn(60) {
 		d.entries = append(d.entries, d.drawEntry(i))
 	}
-	d.listed(policy.Whole, d.entries)
+	d.listed(policy.CompleteUpdate, d.entries)
 	return d
 }
 
@@ -83,36 +83,36 @@
 	return low + time.Duration(d.chance.Int63n(int64(high-low)))
 }
 
-func (d *driver) drawRules() policy.HouseRules {
-	r := policy.HouseRules{
-		Zone: "a", Nodes: 1 + d.chance.Intn(40), Aside: d.chance.Intn(3) > 0, OriginKind: 1, MustAsk: d.chance.Intn(2) == 0,
-		ExcessBenefit: d.oneOf(0, 0.1, 1), CrossingPrice: d.oneOf(0, 0, 0.02, 0.2), WastePrice: d.oneOf(0, 0.04, 0.5),
-		MostLegs: 1 + d.chance.Intn(5), IdleConnection: d.span(time.Second, 20*time.Second),
-		SecondCopies: d.chance.Intn(2) == 0, MayCancel: d.chance.Intn(2) == 0, MayProbe: d.chance.Intn(2) == 0,
-		MaxComeBack: time.Duration(d.oneOf(0, 6e8)), Round: 2 * time.Millisecond, AskWithin: 2 * time.Second,
-		ColdFrom: d.oneOf(0.1, 0.4), ColdFor: d.span(time.Second, 20*time.Second), FallMultiple: d.oneOf(0, 1.5, 3),
-		WaitingAt: -1, InFlightAt: -1,
+func (d *driver) drawRules() policy.Settings {
+	r := policy.Settings{
+		Zone: "a", Nodes: 1 + d.chance.Intn(40), CacheAside: d.chance.Intn(3) > 0, OriginKind: 1, PollEndpoints: d.chance.Intn(2) == 0,
+		OverQuotaWeight: d.oneOf(0, 0.1, 1), CrossZoneCost: d.oneOf(0, 0, 0.02, 0.2), WasteCost: d.oneOf(0, 0.04, 0.5),
+		MaxAttempts: 1 + d.chance.Intn(5), IdleTimeout: d.span(time.Second, 20*time.Second),
+		HedgingAllowed: d.chance.Intn(2) == 0, CancelAllowed: d.chance.Intn(2) == 0, HealthChecksAllowed: d.chance.Intn(2) == 0,
+		MaxRetryAfter: time.Duration(d.oneOf(0, 6e8)), TickInterval: 2 * time.Millisecond, PollInterval: 2 * time.Second,
+		SlowStartShare: d.oneOf(0.1, 0.4), SlowStartDuration: d.span(time.Second, 20*time.Second), OverloadFactor: d.oneOf(0, 1.5, 3),
+		QueueColumn: -1, InFlightColumn: -1,
 	}
 	switch d.chance.Intn(3) {
 	case 0:
-		r.WaitingAt = 1
+		r.QueueColumn = 1
 	case 1:
-		r.InFlightAt = 0
+		r.InFlightColumn = 0
 	}
-	for _, effect := range []policy.Effect{policy.Idempotent, policy.Labelled, policy.Irreversible, policy.Idempotent} {
-		r.Grades = append(r.Grades, policy.Grade{
-			Benefit: d.oneOf(0.1, 1, 8), SoftLimit: d.span(20*time.Millisecond, 400*time.Millisecond), Late: d.oneOf(0, 0.3),
-			Effect: effect, Scope: policy.Scope(d.chance.Intn(3)), Window: d.span(50*time.Millisecond, 5*time.Second),
+	for _, effect := range []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent, policy.Idempotent} {
+		r.Classes = append(r.Classes, policy.ServiceClass{
+			PriorityWeight: d.oneOf(0.1, 1, 8), LatencyObjective: d.span(20*time.Millisecond, 400*time.Millisecond), LateShare: d.oneOf(0, 0.3),
+			Idempotency: effect, DedupScope: policy.DedupScope(d.chance.Intn(3)), DedupWindow: d.span(50*time.Millisecond, 5*time.Second),
 		})
 	}
 	for range d.chance.Intn(4) {
-		r.Leagues = append(r.Leagues, policy.League{QuotaPerSecond: d.oneOf(0, 20, 500)})
+		r.Tenants = append(r.Tenants, policy.Tenant{QuotaPerSecond: d.oneOf(0, 20, 500)})
 	}
 	return r
 }
 
-func (d *driver) drawEntry(i int) policy.Entry {
-	e := policy.Entry{ID: policy.CacheID(fmt.Sprintf("c%d", i)), Zone: policy.ZoneID([]string{"a", "a", "b", "c"}[d.chance.Intn(4)]),
+func (d *driver) drawEntry(i int) policy.Endpoint {
+	e := policy.Endpoint{ID: policy.EndpointID(fmt.Sprintf("c%d", i)), Zone: policy.ZoneID([]string{"a", "a", "b", "c"}[d.chance.Intn(4)]),
 		Group: policy.GroupID(d.chance.Intn(4)), Weight: d.oneOf(0, 0.5, 1, 2)}
 	if i == 0 {
 		e.Kind = d.rules.OriginKind
@@ -120,9 +120,9 @@
 	return e
 }
 
-func (d *driver) listed(form policy.ListForm, entries []policy.Entry) {
+func (d *driver) listed(form policy.UpdateKind, entries []policy.Endpoint) {
 	d.record(uint64(form), uint64(len(entries)))
-	d.router.Listed(d.now, form, entries)
+	d.router.UpdateEndpoints(d.now, form, entries)
 }
 
 func (d *driver) run(steps int) uint64 {
@@ -152,13 +152,13 @@
 }
 
 func (d *driver) tick() time.Duration {
-	wait, chores := d.router.Wait(d.now)
+	wait, chores := d.router.Tick(d.now)
 	d.record(uint64(wait))
 	for _, c := range chores {
 		d.record(uint64(c.Kind))
-		d.recordText(string(c.Cache))
+		d.recordText(string(c.Endpoint))
 	}
-	d.router.Standings(d.now, func(id policy.CacheID, s policy.Standing) {
+	d.router.EndpointStates(d.now, func(id policy.EndpointID, s policy.EndpointState) {
 		d.recordText(string(id))
 		d.record(uint64(s))
 	})
@@ -167,9 +167,9 @@
 
 func (d *driver) callDue() {
 	for _, r := range d.requests {
-		if at, ok := d.waiting[r.ID]; ok && !r.Over && d.now >= at {
+		if at, ok := d.waiting[r.ID]; ok && !r.Finished && d.now >= at {
 			delete(d.waiting, r.ID)
-			d.carryOut(r, d.router.Where(d.now, r))
+			d.carryOut(r, d.router.Route(d.now, r))
 		}
 	}
 }
@@ -182,40 +182,40 @@
 	}
 	d.finished++
 	r := &policy.Request{
-		ID: policy.RequestID(fmt.Sprint("r", d.finished)), Key: key, Grade: policy.GradeID(d.chance.Intn(len(d.rules.Grades)+2) - 1),
-		League: policy.LeagueID(d.chance.Intn(4) - 1), Write: d.chance.Intn(5) == 0, Arrived: d.now,
+		ID: policy.RequestID(fmt.Sprint("r", d.finished)), Key: key, Class: policy.ClassID(d.chance.Intn(len(d.rules.Classes)+2) - 1),
+		Tenant: policy.TenantID(d.chance.Intn(4) - 1), Write: d.chance.Intn(5) == 0, ArrivedAt: d.now,
 		Deadline: d.now.Add(d.span(10*time.Millisecond, 800*time.Millisecond)),
 	}
 	d.requests = append(d.requests, r)
-	d.carryOut(r, d.router.Where(d.now, r))
+	d.carryOut(r, d.router.Route(d.now, r))
 }
 
-func (d *driver) carryOut(r *policy.Request, m policy.Move) {
+func (d *driver) carryOut(r *policy.Request, m policy.Decision) {
 	d.recordText(string(r.ID))
-	d.record(uint64(m.GiveUpAt), uint64(m.Answer), uint64(m.ComeBack), uint64(m.AskAgain), uint64(len(m.To)), uint64(len(m.Cancel)))
-	for _, to := range m.To {
+	d.record(uint64(m.AttemptDeadline), uint64(m.Answer), uint64(m.RetryAfter), uint64(m.ReviewAt), uint64(len(m.SendTo)), uint64(len(m.Cancel)))
+	for _, to := range m.SendTo {
 		d.recordText(string(to))
-		r.Legs = append(r.Legs, policy.Leg{To: to, Sent: d.now, Out: true})
+		r.Attempts = append(r.Attempts, policy.Attempt{Endpoint: to, SentAt: d.now, InFlight: true})
 	}
 	for _, leg := range m.Cancel {
 		d.record(uint64(leg))
 	}
-	if m.Answer != policy.Nothing {
-		r.Over = true
+	if m.Answer != policy.NoAnswer {
+		r.Finished = true
 	}
-	if m.AskAgain != 0 {
-		d.waiting[r.ID] = m.AskAgain
+	if m.ReviewAt != 0 {
+		d.waiting[r.ID] = m.ReviewAt
 	}
 	for _, leg := range m.Cancel {
-		if r.Legs[leg].Out {
+		if r.Attempts[leg].InFlight {
 			d.end(r, leg, policy.Cancelled)
 		}
 	}
 	for _, id := range m.Wake {
 		d.recordText(string(id))
-		if woken := d.request(id); woken != nil && !woken.Over {
+		if woken := d.request(id); woken != nil && !woken.Finished {
 			delete(d.waiting, id)
-			d.carryOut(woken, d.router.Where(d.now, woken))
+			d.carryOut(woken, d.router.Route(d.now, woken))
 		}
 	}
 	d.forget(r)
@@ -232,7 +232,7 @@
 
 // forget drops a request that is answered and has no leg out.
 func (d *driver) forget(r *policy.Request) {
-	if !r.Over || outLeg(r) >= 0 {
+	if !r.Finished || outLeg(r) >= 0 {
 		return
 	}
 	for i, other := range d.requests {
@@ -245,8 +245,8 @@
 }
 
 func outLeg(r *policy.Request) int {
-	for i, leg := range r.Legs {
-		if leg.Out {
+	for i, leg := range r.Attempts {
+		if leg.InFlight {
 			return i
 		}
 	}
@@ -267,18 +267,18 @@
 	if d.chance.Intn(3) > 0 {
 		return policy.Answered
 	}
-	return policy.Result(d.chance.Intn(int(policy.Missed) + 1))
+	return policy.Result(d.chance.Intn(int(policy.CacheMiss) + 1))
 }
 
 func (d *driver) end(r *policy.Request, leg int, result policy.Result) {
-	r.Legs[leg].Out = false
-	r.Legs[leg].Result = result
-	r.Over = r.Over || result == policy.Answered
-	o := policy.Outcome{Leg: leg, Took: d.now.Since(r.Legs[leg].Sent)}
+	r.Attempts[leg].InFlight = false
+	r.Attempts[leg].Result = result
+	r.Finished = r.Finished || result == policy.Answered
+	o := policy.Outcome{Attempt: leg, Latency: d.now.Since(r.Attempts[leg].SentAt)}
 	if d.chance.Intn(2) == 0 {
-		o.Report = []float64{d.chance.Float64() * 10, d.chance.Float64() * 5}
+		o.LoadReport = []float64{d.chance.Float64() * 10, d.chance.Float64() * 5}
 	}
-	d.carryOut(r, d.router.After(d.now, r, o))
+	d.carryOut(r, d.router.OnAttemptDone(d.now, r, o))
 }
 
 func (d *driver) mayStart() {
@@ -288,7 +288,7 @@
 	r := d.requests[d.chance.Intn(len(d.requests))]
 	if leg := outLeg(r); leg >= 0 {
 		may := uint64(0)
-		if d.router.Still(d.now, *r, leg) {
+		if d.router.MayStart(d.now, *r, leg) {
 			may = 1
 		}
 		d.record(may)
@@ -297,14 +297,14 @@
 
 func (d *driver) probe() {
 	id := d.entries[d.chance.Intn(len(d.entries))].ID
-	d.router.Probed(d.now, id, d.drawResult())
+	d.router.OnHealthCheck(d.now, id, d.drawResult())
 }
 
 // leave has a client go before it has its answer.
 func (d *driver) leave() {
 	if len(d.requests) > 0 {
 		r := d.requests[d.chance.Intn(len(d.requests))]
-		r.Over = true
+		r.Finished = true
 		d.forget(r)
 	}
 }
@@ -312,25 +312,25 @@
 func (d *driver) changeList() {
 	switch d.chance.Intn(8) {
 	case 0:
-		d.listed(policy.AskFailed, nil)
+		d.listed(policy.PollFailed, nil)
 	case 1:
-		d.listed(policy.LastHeld, d.entries)
+		d.listed(policy.LastKnownUpdate, d.entries)
 	case 2:
-		d.listed(policy.Whole, d.entries)
+		d.listed(policy.CompleteUpdate, d.entries)
 	case 3:
 		e := d.drawEntry(len(d.entries))
-		e.Born = d.now
+		e.StartedAt = d.now
 		d.entries = append(d.entries, e)
-		d.listed(policy.Changes, []policy.Entry{e})
+		d.listed(policy.DeltaUpdate, []policy.Endpoint{e})
 	default:
 		e := &d.entries[d.chance.Intn(len(d.entries))]
-		if e.State = policy.State(d.chance.Intn(5) / 2); e.State != policy.Ready && d.chance.Intn(2) == 0 {
-			e.State = policy.Ready
+		if e.Lifecycle = policy.Lifecycle(d.chance.Intn(5) / 2); e.Lifecycle != policy.Ready && d.chance.Intn(2) == 0 {
+			e.Lifecycle = policy.Ready
 		}
 		if d.chance.Intn(2) == 0 {
-			e.Born = d.now
+			e.StartedAt = d.now
 		}
-		d.listed(policy.Changes, []policy.Entry{*e})
+		d.listed(policy.DeltaUpdate, []policy.Endpoint{*e})
 	}
 }
 
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,26 +9,26 @@
 
 const ms = time.Millisecond
 
-func testRules() HouseRules {
-	return HouseRules{
-		Grades: []Grade{
-			{Benefit: 1, SoftLimit: 300 * ms, Effect: Idempotent},
-			{Benefit: 5, SoftLimit: 250 * ms, Effect: Labelled, Scope: AllCaches, Window: 600 * ms},
-			{Benefit: 10, SoftLimit: 250 * ms, Effect: Irreversible},
-			{Benefit: 2, SoftLimit: 250 * ms, Effect: Labelled, Scope: SameGroup, Window: 600 * ms},
+func testRules() Settings {
+	return Settings{
+		Classes: []ServiceClass{
+			{PriorityWeight: 1, LatencyObjective: 300 * ms, Idempotency: Idempotent},
+			{PriorityWeight: 5, LatencyObjective: 250 * ms, Idempotency: IdempotentByKey, DedupScope: AllCaches, DedupWindow: 600 * ms},
+			{PriorityWeight: 10, LatencyObjective: 250 * ms, Idempotency: NotIdempotent},
+			{PriorityWeight: 2, LatencyObjective: 250 * ms, Idempotency: IdempotentByKey, DedupScope: SameGroup, DedupWindow: 600 * ms},
 		},
-		Zone: "here", Nodes: 1, OriginKind: 9, MostLegs: 4, SecondCopies: true, MayCancel: true, Round: 5 * ms,
-		MaxComeBack: time.Second, AskWithin: 10 * time.Second, ColdFrom: 0.3, ColdFor: 8 * time.Second,
-		InFlightAt: -1, WaitingAt: -1,
+		Zone: "here", Nodes: 1, OriginKind: 9, MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, TickInterval: 5 * ms,
+		MaxRetryAfter: time.Second, PollInterval: 10 * time.Second, SlowStartShare: 0.3, SlowStartDuration: 8 * time.Second,
+		InFlightColumn: -1, QueueColumn: -1,
 	}
 }
 
-func fleet(n int, aside bool) (es []Entry) {
+func fleet(n int, aside bool) (es []Endpoint) {
 	for i := range n {
-		es = append(es, Entry{ID: CacheID(fmt.Sprintf("cache-%d", i)), Zone: "here", Group: GroupID(i % 2), Weight: 1})
+		es = append(es, Endpoint{ID: EndpointID(fmt.Sprintf("cache-%d", i)), Zone: "here", Group: GroupID(i % 2), Weight: 1})
 	}
 	if aside {
-		es = append(es, Entry{ID: "origin", Kind: 9, Zone: "here", Weight: 1})
+		es = append(es, Endpoint{ID: "origin", Kind: 9, Zone: "here", Weight: 1})
 	}
 	return es
 }
@@ -37,89 +37,91 @@
 type world struct {
 	t     *testing.T
 	p     *Router
-	rules HouseRules
+	rules Settings
 	now   Instant
-	state map[CacheID]Entry
+	state map[EndpointID]Endpoint
 	hand  []*Request
 	due   map[*Request]Instant
 	stop  map[*Request]Instant // when its legs time out
 	says  []float64            // what caches report
 }
 
-func newWorld(t *testing.T, rules HouseRules, es []Entry) *world {
-	w := &world{t: t, p: New(0, 1, rules), rules: rules, state: map[CacheID]Entry{}, due: map[*Request]Instant{},
+func newWorld(t *testing.T, rules Settings, es []Endpoint) *world {
+	w := &world{t: t, p: New(0, 1, rules), rules: rules, state: map[EndpointID]Endpoint{}, due: map[*Request]Instant{},
 		stop: map[*Request]Instant{}}
-	w.list(LastHeld, es...)
+	w.list(LastKnownUpdate, es...)
 	return w
 }
 
-func (w *world) list(form ListForm, es ...Entry) {
+func (w *world) list(form UpdateKind, es ...Endpoint) {
 	for _, e := range es {
 		w.state[e.ID] = e
 	}
-	w.p.Listed(w.now, form, es)
+	w.p.UpdateEndpoints(w.now, form, es)
 }
 
-func (w *world) arrive(key string, grade GradeID, write bool) (*Request, Move) {
-	r := &Request{ID: RequestID(fmt.Sprint("r", len(w.hand))), Key: key, Grade: grade, Write: write, Arrived: w.now,
+func (w *world) arrive(key string, grade ClassID, write bool) (*Request, Decision) {
+	r := &Request{ID: RequestID(fmt.Sprint("r", len(w.hand))), Key: key, Class: grade, Write: write, ArrivedAt: w.now,
 		Deadline: w.now.Add(800 * ms)}
 	w.hand = append(w.hand, r)
-	return r, w.apply(r, w.p.Where(w.now, r))
+	return r, w.apply(r, w.p.Route(w.now, r))
 }
 
-func (w *world) end(r *Request, leg int, how Result) Move {
-	r.Legs[leg].Out, r.Legs[leg].Result = false, how
-	r.Over = r.Over || how == Answered
-	return w.apply(r, w.p.After(w.now, r, Outcome{Leg: leg, Took: w.now.Since(r.Legs[leg].Sent), Report: w.says}))
+func (w *world) end(r *Request, leg int, how Result) Decision {
+	r.Attempts[leg].InFlight, r.Attempts[leg].Result = false, how
+	r.Finished = r.Finished || how == Answered
+	return w.apply(r, w.p.OnAttemptDone(w.now, r, Outcome{Attempt: leg, Latency: w.now.Since(r.Attempts[leg].SentAt), LoadReport: w.says}))
 }
 
 // drive lets requests arrive, one after the other; how a first leg ends is asked, and no other is made. It
 // counts them by cache and in all.
-func (w *world) drive(n int, every time.Duration, key func(int) string, how func(int, CacheID) Result) (to map[CacheID]int, all int) {
-	to = map[CacheID]int{}
+func (w *world) drive(n int, every time.Duration, key func(int) string, how func(int, EndpointID) Result) (to map[EndpointID]int, all int) {
+	to = map[EndpointID]int{}
 	for i := range n {
 		r, m := w.arrive(key(i), 0, false)
-		if w.pass(every); len(m.To) == 0 {
+		if w.pass(every); len(m.SendTo) == 0 {
 			continue
 		}
-		to[m.To[0]], all = to[m.To[0]]+1, all+1
-		if r.Over = true; r.Legs[0].Out {
-			w.end(r, 0, how(i, m.To[0]))
+		to[m.SendTo[0]], all = to[m.SendTo[0]]+1, all+1
+		if r.Finished = true; r.Attempts[0].InFlight {
+			w.end(r, 0, how(i, m.SendTo[0]))
 		}
 	}
 	return to, all
 }
 
-func oneKey(int) string                           { return "k" }
-func anyKey(i int) string                         { return fmt.Sprint("key", i) }
-func always(how Result) func(int, CacheID) Result { return func(int, CacheID) Result { return how } }
+func oneKey(int) string   { return "k" }
+func anyKey(i int) string { return fmt.Sprint("key", i) }
+func always(how Result) func(int, EndpointID) Result {
+	return func(int, EndpointID) Result { return how }
+}
 
-func (w *world) apply(r *Request, m Move) Move {
+func (w *world) apply(r *Request, m Decision) Decision {
 	delete(w.due, r)
-	if m.Answer != Nothing {
-		if !plainAnswer(w.rules, r, m.Answer) || r.Over {
-			w.t.Fatalf("%v: answer %v after legs %v is not allowed", w.now, m.Answer, r.Legs)
+	if m.Answer != NoAnswer {
+		if !plainAnswer(w.rules, r, m.Answer) || r.Finished {
+			w.t.Fatalf("%v: answer %v after legs %v is not allowed", w.now, m.Answer, r.Attempts)
 		}
-		r.Over = true
+		r.Finished = true
 	}
-	for _, to := range m.To {
+	for _, to := range m.SendTo {
 		if !plainAllowed(w.rules, w.state, w.now, r, to) {
-			w.t.Fatalf("%v: a leg to %v after legs %v is not allowed", w.now, to, r.Legs)
+			w.t.Fatalf("%v: a leg to %v after legs %v is not allowed", w.now, to, r.Attempts)
 		}
-		r.Legs = append(r.Legs, Leg{To: to, Sent: w.now, Out: true})
-		w.stop[r] = m.GiveUpAt
+		r.Attempts = append(r.Attempts, Attempt{Endpoint: to, SentAt: w.now, InFlight: true})
+		w.stop[r] = m.AttemptDeadline
 	}
-	if m.AskAgain != 0 {
-		w.due[r] = m.AskAgain
+	if m.ReviewAt != 0 {
+		w.due[r] = m.ReviewAt
 	}
 	for _, i := range m.Cancel {
-		if r.Legs[i].Out {
+		if r.Attempts[i].InFlight {
 			w.end(r, i, Cancelled)
 		}
 	}
 	for _, id := range m.Wake {
-		if i := slices.IndexFunc(w.hand, func(q *Request) bool { return q.ID == id }); i >= 0 && !w.hand[i].Over {
-			w.apply(w.hand[i], w.p.Where(w.now, w.hand[i]))
+		if i := slices.IndexFunc(w.hand, func(q *Request) bool { return q.ID == id }); i >= 0 && !w.hand[i].Finished {
+			w.apply(w.hand[i], w.p.Route(w.now, w.hand[i]))
 		}
 	}
 	return m
@@ -129,57 +131,57 @@
 // stop.
 func (w *world) pass(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
-		w.now = w.now.Add(w.rules.Round)
+		w.now = w.now.Add(w.rules.TickInterval)
 		if w.now%Instant(upkeepEvery) == 0 {
-			w.p.Wait(w.now)
+			w.p.Tick(w.now)
 		}
 		for _, r := range w.hand {
-			for i := range r.Legs {
-				if r.Legs[i].Out && w.now >= w.stop[r] {
+			for i := range r.Attempts {
+				if r.Attempts[i].InFlight && w.now >= w.stop[r] {
 					w.end(r, i, TimedOut)
 				}
 			}
-			if at, ok := w.due[r]; ok && w.now >= at && !r.Over {
-				w.apply(r, w.p.Where(w.now, r))
+			if at, ok := w.due[r]; ok && w.now >= at && !r.Finished {
+				w.apply(r, w.p.Route(w.now, r))
 			}
-			if !r.Over && w.now >= r.Deadline {
-				w.t.Fatalf("%v: %v has no answer at its deadline, legs %v", w.now, r.ID, r.Legs)
+			if !r.Finished && w.now >= r.Deadline {
+				w.t.Fatalf("%v: %v has no answer at its deadline, legs %v", w.now, r.ID, r.Attempts)
 			}
 		}
 	}
 }
 
-func mayHaveRun(l Leg) bool {
-	return l.Out || !slices.Contains([]Result{TurnedAway, Unconnected, NeverSent, Missed}, l.Result)
+func mayHaveRun(l Attempt) bool {
+	return l.InFlight || !slices.Contains([]Result{Rejected, ConnectFailed, NotSent, CacheMiss}, l.Result)
 }
 
-func gradeOf(h HouseRules, r *Request) Grade {
-	if r.Grade >= 0 && int(r.Grade) < len(h.Grades) {
-		return h.Grades[r.Grade]
+func gradeOf(h Settings, r *Request) ServiceClass {
+	if r.Class >= 0 && int(r.Class) < len(h.Classes) {
+		return h.Classes[r.Class]
 	}
-	return Grade{}
+	return ServiceClass{}
 }
 
 // plainAllowed is the plain model of what may be sent: slow, and with nothing taken from the module.
-func plainAllowed(h HouseRules, state map[CacheID]Entry, now Instant, r *Request, to CacheID) bool {
+func plainAllowed(h Settings, state map[EndpointID]Endpoint, now Instant, r *Request, to EndpointID) bool {
 	e, listed := state[to]
-	if r.Over || !listed || e.State != Ready || len(r.Legs) >= h.MostLegs || now >= r.Deadline {
+	if r.Finished || !listed || e.Lifecycle != Ready || len(r.Attempts) >= h.MaxAttempts || now >= r.Deadline {
 		return false
 	}
-	if h.Aside && r.Write && e.Kind != h.OriginKind { // caches only store
+	if h.CacheAside && r.Write && e.Kind != h.OriginKind { // caches only store
 		return false
 	}
 	g := gradeOf(h, r)
-	for _, l := range r.Legs {
-		if l.Out && !h.SecondCopies {
+	for _, l := range r.Attempts {
+		if l.InFlight && !h.HedgingAllowed {
 			return false
 		}
-		if !mayHaveRun(l) || g.Effect == Idempotent {
+		if !mayHaveRun(l) || g.Idempotency == Idempotent {
 			continue
 		}
-		was := state[l.To]
-		same := g.Scope == AllCaches || g.Scope == SameZone && was.Zone == e.Zone || g.Scope == SameGroup && was.Group == e.Group
-		if g.Effect == Irreversible || !same || now-l.Sent >= Instant(g.Window) {
+		was := state[l.Endpoint]
+		same := g.DedupScope == AllCaches || g.DedupScope == SameZone && was.Zone == e.Zone || g.DedupScope == SameGroup && was.Group == e.Group
+		if g.Idempotency == NotIdempotent || !same || now-l.SentAt >= Instant(g.DedupWindow) {
 			return false
 		}
 	}
@@ -187,8 +189,8 @@
 }
 
 // plainAnswer is the plain model of rejections: only where a retry is sure to do no harm.
-func plainAnswer(h HouseRules, r *Request, a Answer) bool {
+func plainAnswer(h Settings, r *Request, a FinalAnswer) bool {
 	g := gradeOf(h, r)
-	return a == Fail || g.Effect == Idempotent || g.Effect == Labelled && g.Scope == AllCaches ||
-		!slices.ContainsFunc(r.Legs, mayHaveRun)
+	return a == Fail || g.Idempotency == Idempotent || g.Idempotency == IdempotentByKey && g.DedupScope == AllCaches ||
+		!slices.ContainsFunc(r.Attempts, mayHaveRun)
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -77,8 +77,8 @@
 // cachesNamed are caches as a list has them.
 func cachesNamed(n int) (caches []*cache) {
 	for i := range n {
-		id := CacheID(fmt.Sprint("cache-", i))
-		caches = append(caches, &cache{Entry: Entry{ID: id, Weight: 1}, hash: keyhash.Text(string(id))})
+		id := EndpointID(fmt.Sprint("cache-", i))
+		caches = append(caches, &cache{Endpoint: Endpoint{ID: id, Weight: 1}, hash: keyhash.Text(string(id))})
 	}
 	return caches
 }
