--- a/policy/policy.go
+++ b/policy/policy.go
@@ -56,7 +56,7 @@
 )
 
 type cache struct {
-	Entry
+	Endpoint
 	hash              uint64
 	out               int     // own legs in hand
 	waitingOn, heard  Instant // first sending since the last word from it, and that word
@@ -66,7 +66,7 @@
 	erred             []uint8 // errors by grade, halved by answers and by time
 	vain, served      float64 // share of the last few legs that were full, late or lost; answered in two seconds
 	faulty            float64 // how far it is believed to err, by any grade
-	stood             Standing
+	stood             EndpointState
 	passed            Instant // when the last leg to it that was answered in time was sent
 	usedAt, toldAt    Instant // when a connection there was last in use; when it last reported
 }
@@ -78,19 +78,19 @@
 
 type memo struct {
 	met            bool
-	grade          Grade
+	grade          ServiceClass
 	at             int // place of the grade among all
 	key            uint64
-	benefit, cheap float64 // the second: how readily it is turned away; 1 is the mean
-	keptAt         CacheID // a shared fetch has put the value here
+	benefit, cheap float64    // the second: how readily it is turned away; 1 is the mean
+	keptAt         EndpointID // a shared fetch has put the value here
 }
 
-var errs = [...]uint8{Errored: breaksToRest / failsToRest, Broken: 1, Missed: 0} // what each counts for
+var errs = [...]uint8{Errored: breaksToRest / failsToRest, ConnectionBroken: 1, CacheMiss: 0} // what each counts for
 
 type Router struct {
-	rules                HouseRules
+	rules                Settings
 	chance               keyhash.Source
-	caches               map[CacheID]*cache
+	caches               map[EndpointID]*cache
 	listed               []*cache            // without the origin
 	placements           [2]*placement       // of home and of all; nil until asked for
 	origin               *cache              // nil in through mode
@@ -115,14 +115,14 @@
 	originAt, originRest Instant // when a small room may have its next leg, and when any may
 }
 
-func New(now Instant, seed int64, rules HouseRules) *Router {
-	rules.Nodes, rules.MostLegs = max(1, rules.Nodes), max(1, rules.MostLegs)
-	rules.Round = max(time.Millisecond, rules.Round)
+func New(now Instant, seed int64, rules Settings) *Router {
+	rules.Nodes, rules.MaxAttempts = max(1, rules.Nodes), max(1, rules.MaxAttempts)
+	rules.TickInterval = max(time.Millisecond, rules.TickInterval)
 	p := &Router{rules: rules, cheap: 1, askAt: now, room: max(1, originFirst/float64(rules.Nodes)),
 		turns: max(0, float64(rules.Nodes)/originFirst-2), spurned: originWary, cut: map[ZoneID]int{},
-		coldShare: max(1, fallPart*rules.FallMultiple), doors: [2]door{{evidence, evidence}, {evidence, evidence}},
-		coldMost: float64(rules.ColdFor) * max(1, float64(rules.Nodes)/coldFirst), fetches: map[uint64]*Request{},
-		caches: map[CacheID]*cache{}, wanted: map[uint64]float64{}, metered: make([]Instant, len(rules.Leagues)),
+		coldShare: max(1, fallPart*rules.OverloadFactor), doors: [2]door{{evidence, evidence}, {evidence, evidence}},
+		coldMost: float64(rules.SlowStartDuration) * max(1, float64(rules.Nodes)/coldFirst), fetches: map[uint64]*Request{},
+		caches: map[EndpointID]*cache{}, wanted: map[uint64]float64{}, metered: make([]Instant, len(rules.Tenants)),
 		chance: keyhash.Source{Seed: uint32(seed ^ seed>>32)}}
 	p.retime()
 	p.originRest = now.Add(time.Duration(p.chance.Next() * p.turns * float64(p.slow) / originLate))
@@ -134,7 +134,7 @@
 	p.listed, p.placements, p.origin = nil, [2]*placement{}, nil
 	n := 0
 	for _, c := range p.caches {
-		if !p.rules.Aside || c.Kind != p.rules.OriginKind {
+		if !p.rules.CacheAside || c.Kind != p.rules.OriginKind {
 			if p.listed = append(p.listed, c); c.Zone == p.rules.Zone {
 				n++
 			}
@@ -148,7 +148,7 @@
 		}
 		return cmp.Compare(a.ID, b.ID)
 	})
-	p.apart = p.rules.CrossingPrice > 0 && n >= copies && n < len(p.listed)
+	p.apart = p.rules.CrossZoneCost > 0 && n >= copies && n < len(p.listed)
 }
 
 func (p *Router) sideOf(c *cache) int {
@@ -172,29 +172,29 @@
 	return p.placements[side]
 }
 
-func (p *Router) Listed(now Instant, form ListForm, entries []Entry) {
-	if form == AskFailed {
+func (p *Router) UpdateEndpoints(now Instant, form UpdateKind, entries []Endpoint) {
+	if form == PollFailed {
 		p.askFails = min(p.askFails+1, 5)
 		p.askAt = now.Add(time.Duration((0.5 + p.chance.Next()) * float64(upkeepEvery<<p.askFails)))
 		return
 	}
-	if form != LastHeld { // it is being followed
+	if form != LastKnownUpdate { // it is being followed
 		p.askFails, p.askAt = 0, math.MaxInt64
 	}
-	named, changed := map[CacheID]bool{}, false
+	named, changed := map[EndpointID]bool{}, false
 	for _, e := range entries {
 		c := cmp.Or(p.caches[e.ID], &cache{})
-		named[e.ID], e.Born, e.Weight = true, cmp.Or(e.Born, Never), cmp.Or(max(e.Weight, 0), 1)
+		named[e.ID], e.StartedAt, e.Weight = true, cmp.Or(e.StartedAt, Never), cmp.Or(max(e.Weight, 0), 1)
 		p.caches[e.ID] = c
-		if c.ID == "" || e.Born > c.Born { // started anew: what was learned of the old process says nothing
-			*c = cache{Entry: c.Entry, hash: keyhash.Text(string(e.ID)), toldAt: Never, usedAt: Never,
-				erred: make([]uint8, len(p.rules.Grades)+1)}
+		if c.ID == "" || e.StartedAt > c.StartedAt { // started anew: what was learned of the old process says nothing
+			*c = cache{Endpoint: c.Endpoint, hash: keyhash.Text(string(e.ID)), toldAt: Never, usedAt: Never,
+				erred: make([]uint8, len(p.rules.Classes)+1)}
 		}
 		changed = changed || c.ID == "" || c.Zone != e.Zone || c.Kind != e.Kind
-		c.Entry = e
+		c.Endpoint = e
 	}
 	for id, c := range p.caches {
-		if c.State == Gone || form != Changes && !named[id] {
+		if c.Lifecycle == Removed || form != DeltaUpdate && !named[id] {
 			delete(p.caches, id)
 			changed = true
 		}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (p *Router) Probed(now Instant, id CacheID, found Result) {
+func (p *Router) OnHealthCheck(now Instant, id EndpointID, found Result) {
 	if c := p.caches[id]; c != nil && found != Answered {
 		p.failed(now, c, found)
 	} else if c != nil {
@@ -213,7 +213,7 @@
 }
 
 func (p *Router) failed(now Instant, c *cache, how Result) {
-	if c.fails++; how == Unconnected {
+	if c.fails++; how == ConnectFailed {
 		c.refused, p.cut[c.Zone] = c.refused+1, p.cut[c.Zone]+1
 	}
 	if c.fails >= failsToRest {
@@ -223,13 +223,13 @@
 
 // silent tells whether a cache says nothing. After a rest a single leg, or a probe, may show that it is back.
 func (p *Router) silent(now Instant, c *cache) bool {
-	return now < c.restUntil || c.fails >= failsToRest && (c.out > 0 || p.rules.MayProbe) ||
+	return now < c.restUntil || c.fails >= failsToRest && (c.out > 0 || p.rules.HealthChecksAllowed) ||
 		c.out > 0 && now.Since(c.waitingOn) > p.patience
 }
 
 func (p *Router) warmth(now Instant, c *cache) float64 { // the share of capacity it is sure to have by now
-	old := max(0, float64(now.Since(c.Born))) / max(1, float64(p.rules.ColdFor))
-	return min(1, p.rules.ColdFrom+(1-p.rules.ColdFrom)*old)
+	old := max(0, float64(now.Since(c.StartedAt))) / max(1, float64(p.rules.SlowStartDuration))
+	return min(1, p.rules.SlowStartShare+(1-p.rules.SlowStartShare)*old)
 }
 
 // coldTo guards against pushing a cold cache over: by a slice of the keys that widens, and by gaps in time.
@@ -254,21 +254,21 @@
 
 // lawful is the second rule and the third: may this request go to this cache now, however wise it seems?
 func (p *Router) lawful(now Instant, r *Request, c *cache) bool {
-	if r.Over || c.State != Ready || len(r.Legs) >= p.rules.MostLegs || p.left(now, r) <= 0 {
+	if r.Finished || c.Lifecycle != Ready || len(r.Attempts) >= p.rules.MaxAttempts || p.left(now, r) <= 0 {
 		return false
 	}
 	g := r.memo.grade
-	for _, leg := range r.Legs {
-		if leg.Out && (!p.rules.SecondCopies || g.Effect == Irreversible) {
+	for _, leg := range r.Attempts {
+		if leg.InFlight && (!p.rules.HedgingAllowed || g.Idempotency == NotIdempotent) {
 			return false
 		}
-		if !leg.Out && leg.Result.NeverRan() || g.Effect == Idempotent {
+		if !leg.InFlight && leg.Result.NotExecuted() || g.Idempotency == Idempotent {
 			continue
 		}
-		was := p.caches[leg.To]
-		if g.Effect == Irreversible || now.Since(leg.Sent) >= g.Window-p.rules.Round ||
-			g.Scope != AllCaches && was == nil || g.Scope == SameZone && was.Zone != c.Zone ||
-			g.Scope == SameGroup && was.Group != c.Group {
+		was := p.caches[leg.Endpoint]
+		if g.Idempotency == NotIdempotent || now.Since(leg.SentAt) >= g.DedupWindow-p.rules.TickInterval ||
+			g.DedupScope != AllCaches && was == nil || g.DedupScope == SameZone && was.Zone != c.Zone ||
+			g.DedupScope == SameGroup && was.Group != c.Group {
 			return false
 		}
 	}
@@ -276,27 +276,27 @@
 }
 
 // Still tells whether a leg may go out whose connection took time: news may have come, or a window passed.
-func (p *Router) Still(now Instant, r Request, leg int) bool {
-	c := p.caches[r.Legs[leg].To]
-	r.Legs = slices.Delete(slices.Clone(r.Legs), leg, leg+1)
+func (p *Router) MayStart(now Instant, r Request, leg int) bool {
+	c := p.caches[r.Attempts[leg].Endpoint]
+	r.Attempts = slices.Delete(slices.Clone(r.Attempts), leg, leg+1)
 	return c != nil && p.lawful(now, &r, c)
 }
 
 // left is the time in which a leg can still be answered before the deadline.
 func (p *Router) left(now Instant, r *Request) time.Duration {
-	return r.Deadline.Since(now) - 2*p.rules.Round
+	return r.Deadline.Since(now) - 2*p.rules.TickInterval
 }
 
-var isOut, missed = func(l Leg) bool { return l.Out }, func(l Leg) bool { return l.Result == Missed }
+var isOut, missed = func(l Attempt) bool { return l.InFlight }, func(l Attempt) bool { return l.Result == CacheMiss }
 
 // giveUp ends a request at once: with a rejection where a retry is sure to do no harm.
-func (p *Router) giveUp(r *Request) Move {
+func (p *Router) giveUp(r *Request) Decision {
 	g := r.memo.grade
-	if g.Effect == Idempotent || g.Effect == Labelled && g.Scope == AllCaches ||
-		!slices.ContainsFunc(r.Legs, func(l Leg) bool { return l.Out || !l.Result.NeverRan() }) {
-		return Move{Answer: Reject, ComeBack: min(p.rules.MaxComeBack, g.SoftLimit/2)}
+	if g.Idempotency == Idempotent || g.Idempotency == IdempotentByKey && g.DedupScope == AllCaches ||
+		!slices.ContainsFunc(r.Attempts, func(l Attempt) bool { return l.InFlight || !l.Result.NotExecuted() }) {
+		return Decision{Answer: Reject, RetryAfter: min(p.rules.MaxRetryAfter, g.LatencyObjective/2)}
 	}
-	return Move{Answer: Fail}
+	return Decision{Answer: Fail}
 }
 
 // turnAway guards against collapse: while far more is asked than answered, by chance, cheaper ones more.
@@ -344,7 +344,7 @@
 
 // pick chooses the least loaded holder not yet tried; full: queues would take the rest of the soft limit.
 func (p *Router) pick(now Instant, r *Request, hs []*cache) (best *cache, full bool) {
-	soft, least := r.memo.grade.SoftLimit, math.Inf(1)
+	soft, least := r.memo.grade.LatencyObjective, math.Inf(1)
 	// while the origin is short, earlier ones may have legs more; by chance, or it would part all equal loads
 	lean, rank := rankTie, max(0, rankLegs*max(p.short, min(1, p.missing))-p.chance.Next())
 	if len(hs) > copies { // a key that is spread has no first holder
@@ -354,11 +354,11 @@
 		load := p.load(now, c)
 		l := load + rank*float64(i) + p.tie(now, c, lean*float64(i))
 		if c.Zone != p.rules.Zone {
-			l += crossingLegs * p.rules.CrossingPrice
+			l += crossingLegs * p.rules.CrossZoneCost
 		}
 		switch {
-		case slices.ContainsFunc(r.Legs, func(l Leg) bool { return l.To == c.ID }):
-		case p.crowded(load, max(soft-now.Since(r.Arrived), soft/2), min(sooner, max(1, r.memo.cheap))):
+		case slices.ContainsFunc(r.Attempts, func(l Attempt) bool { return l.Endpoint == c.ID }):
+		case p.crowded(load, max(soft-now.Since(r.ArrivedAt), soft/2), min(sooner, max(1, r.memo.cheap))):
 			full = true
 		case l < least:
 			best, least = c, l
@@ -385,37 +385,37 @@
 // tie parts equal loads, as most are at a node that sees few: by chance, worth, rank and open connections.
 func (p *Router) tie(now Instant, c *cache, rank float64) float64 {
 	t := rank + vainWeight*(c.vain+2*c.faulty) - math.Log(1-p.chance.Next())
-	if c.out == 0 && now.Since(c.usedAt) > p.rules.IdleConnection-time.Second {
+	if c.out == 0 && now.Since(c.usedAt) > p.rules.IdleTimeout-time.Second {
 		t += opening
 	}
 	return tieBreak * t / c.Weight
 }
 
-func (p *Router) send(now Instant, r *Request, cs ...*cache) Move {
-	m := Move{GiveUpAt: now.Add(p.left(now, r)), AskAgain: now.Add(p.slow)}
+func (p *Router) send(now Instant, r *Request, cs ...*cache) Decision {
+	m := Decision{AttemptDeadline: now.Add(p.left(now, r)), ReviewAt: now.Add(p.slow)}
 	for _, c := range cs {
 		if c.out++; c.out == 1 {
 			c.waitingOn = now
 		}
 		p.spaceOut(now, c, 1)
 		c.usedAt = now
-		m.To = append(m.To, c.ID)
+		m.SendTo = append(m.SendTo, c.ID)
 	}
 	return m
 }
 
 func (p *Router) meet(now Instant, r *Request) { // an unknown grade counts as of the strictest there is
-	g, at := Grade{SoftLimit: r.Deadline.Since(r.Arrived)}, len(p.rules.Grades)
-	if r.Grade >= 0 && int(r.Grade) < at {
-		g, at = p.rules.Grades[r.Grade], int(r.Grade)
+	g, at := ServiceClass{LatencyObjective: r.Deadline.Since(r.ArrivedAt)}, len(p.rules.Classes)
+	if r.Class >= 0 && int(r.Class) < at {
+		g, at = p.rules.Classes[r.Class], int(r.Class)
 	}
-	benefit := g.Benefit
-	if l := int(r.League); l >= 0 && l < len(p.metered) && p.rules.Leagues[l].QuotaPerSecond > 0 {
-		each := float64(time.Second) * float64(p.rules.Nodes) / p.rules.Leagues[l].QuotaPerSecond
+	benefit := g.PriorityWeight
+	if l := int(r.Tenant); l >= 0 && l < len(p.metered) && p.rules.Tenants[l].QuotaPerSecond > 0 {
+		each := float64(time.Second) * float64(p.rules.Nodes) / p.rules.Tenants[l].QuotaPerSecond
 		if at := max(p.metered[l].Add(time.Duration(each)), now.Add(-time.Second)); at <= now {
 			p.metered[l] = at
 		} else { // beyond its share
-			benefit *= p.rules.ExcessBenefit
+			benefit *= p.rules.OverQuotaWeight
 		}
 	}
 	cheap, key := 1/math.Sqrt(max(benefit, 0.01)), keyhash.Text(r.Key)
@@ -425,49 +425,49 @@
 	r.memo = memo{true, g, at, key, benefit, cheap / p.cheap, ""}
 }
 
-func (p *Router) Where(now Instant, r *Request) Move {
-	if r.Over {
-		return Move{}
+func (p *Router) Route(now Instant, r *Request) Decision {
+	if r.Finished {
+		return Decision{}
 	} else if !r.memo.met {
 		p.meet(now, r)
 	}
-	if i := slices.IndexFunc(r.Legs, isOut); i >= 0 {
+	if i := slices.IndexFunc(r.Attempts, isOut); i >= 0 {
 		return p.further(now, r, i)
 	}
 	return p.next(now, r)
 }
 
 // further decides on a read whose leg is out long: a copy beside it, if lateness costs more, or calling off.
-func (p *Router) further(now Instant, r *Request, leg int) Move {
-	to := p.caches[r.Legs[leg].To]
-	origin, soft := to != nil && to == p.origin, r.memo.grade.SoftLimit
-	out, late := now.Since(r.Legs[leg].Sent), max(originLate*p.originTook, soft/2)
+func (p *Router) further(now Instant, r *Request, leg int) Decision {
+	to := p.caches[r.Attempts[leg].Endpoint]
+	origin, soft := to != nil && to == p.origin, r.memo.grade.LatencyObjective
+	out, late := now.Since(r.Attempts[leg].SentAt), max(originLate*p.originTook, soft/2)
 	silent := to == nil || !origin && p.silent(now, to) || origin && p.spare >= 1 && out > late
 	switch {
-	case r.Write || r.memo.grade.Effect == Irreversible:
-		return Move{}
-	case !origin && p.rules.SecondCopies && p.spare >= 1 && p.chance.Next() >= p.short &&
-		(silent || p.rules.WastePrice <= p.took.Above(soft)/max(1, p.took.Above(out))):
+	case r.Write || r.memo.grade.Idempotency == NotIdempotent:
+		return Decision{}
+	case !origin && p.rules.HedgingAllowed && p.spare >= 1 && p.chance.Next() >= p.short &&
+		(silent || p.rules.WasteCost <= p.took.Above(soft)/max(1, p.took.Above(out))):
 		if c, _, _ := p.choose(now, r, home); c != nil && !p.silent(now, c) {
 			p.spare--
 			return p.send(now, r, c)
 		}
-	case (origin || !p.rules.SecondCopies) && p.rules.MayCancel && silent && p.left(now, r) > p.slow:
-		return Move{Cancel: []int{leg}}
+	case (origin || !p.rules.HedgingAllowed) && p.rules.CancelAllowed && silent && p.left(now, r) > p.slow:
+		return Decision{Cancel: []int{leg}}
 	}
-	return Move{AskAgain: now.Add(p.slow)}
+	return Decision{ReviewAt: now.Add(p.slow)}
 }
 
-func (p *Router) next(now Instant, r *Request) Move {
-	g, ran := r.memo.grade, len(r.Legs) > 0 && !r.Legs[len(r.Legs)-1].Result.NeverRan()
-	if len(r.Legs) >= p.rules.MostLegs || p.left(now, r) <= p.slow/8 || ran && p.spare < 0 {
+func (p *Router) next(now Instant, r *Request) Decision {
+	g, ran := r.memo.grade, len(r.Attempts) > 0 && !r.Attempts[len(r.Attempts)-1].Result.NotExecuted()
+	if len(r.Attempts) >= p.rules.MaxAttempts || p.left(now, r) <= p.slow/8 || ran && p.spare < 0 {
 		return p.giveUp(r)
 	}
 	// a last leg after a full one goes where the value surely is: a third cache may be full, or lack it
 	pressure := max(p.short, strainWeight*p.strain)
-	sure := p.origin != nil && p.free(now) > 0 && p.chance.Next() >= strainWeight*pressure && len(r.Legs) > 0 &&
-		len(r.Legs) == p.rules.MostLegs-1 && r.Legs[len(r.Legs)-1].Result == TurnedAway && g.Effect == Idempotent
-	if p.rules.Aside && (r.Write || sure || slices.ContainsFunc(r.Legs, missed)) {
+	sure := p.origin != nil && p.free(now) > 0 && p.chance.Next() >= strainWeight*pressure && len(r.Attempts) > 0 &&
+		len(r.Attempts) == p.rules.MaxAttempts-1 && r.Attempts[len(r.Attempts)-1].Result == Rejected && g.Idempotency == Idempotent
+	if p.rules.CacheAside && (r.Write || sure || slices.ContainsFunc(r.Attempts, missed)) {
 		kept := p.caches[r.memo.keptAt]
 		if r.memo.keptAt = ""; kept != nil && p.lawful(now, r, kept) {
 			return p.send(now, r, kept)
@@ -479,19 +479,19 @@
 		side = pool
 	}
 	c, hs, full := p.choose(now, r, side)
-	refused := c != nil && len(r.Legs) == 0 && p.turnAway(r, p.sideOf(c)) // full queues are no loss
+	refused := c != nil && len(r.Attempts) == 0 && p.turnAway(r, p.sideOf(c)) // full queues are no loss
 	if refused && p.apart && p.sideOf(c) == home {
 		c, hs, full = p.choose(now, r, away)
 		refused = c != nil && p.turnAway(r, away)
 	}
 	switch {
 	case refused:
-	case c != nil && r.Write && g.Effect == Labelled && g.Scope == AllCaches && p.rules.SecondCopies &&
-		len(r.Legs) == 0 && p.short < shortLeast:
-		return p.send(now, r, hs[:min(len(hs), p.rules.MostLegs)]...) // through mode: to all holders
+	case c != nil && r.Write && g.Idempotency == IdempotentByKey && g.DedupScope == AllCaches && p.rules.HedgingAllowed &&
+		len(r.Attempts) == 0 && p.short < shortLeast:
+		return p.send(now, r, hs[:min(len(hs), p.rules.MaxAttempts)]...) // through mode: to all holders
 	case c != nil:
 		return p.send(now, r, c)
-	case !full && len(p.listed) > 0 && p.rules.Aside && g.Effect == Idempotent:
+	case !full && len(p.listed) > 0 && p.rules.CacheAside && g.Idempotency == Idempotent:
 		return p.toOrigin(now, r)
 	}
 	return p.giveUp(r)
@@ -499,12 +499,12 @@
 
 func (p *Router) leads(r *Request) bool { // to the origin itself: it has no other's fetch to wait for
 	f := p.fetches[r.memo.key]
-	return r.Write || f == nil || f == r || f.Over
+	return r.Write || f == nil || f == r || f.Finished
 }
 
 // toOrigin sends a write, or a read that missed: one fetches a key while others wait, and legs are bounded.
-func (p *Router) toOrigin(now Instant, r *Request) Move {
-	left := r.memo.grade.SoftLimit - now.Since(r.Arrived)
+func (p *Router) toOrigin(now Instant, r *Request) Decision {
+	left := r.memo.grade.LatencyObjective - now.Since(r.ArrivedAt)
 	queued := slices.Contains(p.queue, r)
 	if p.origin == nil || !p.lawful(now, r, p.origin) || queued && left <= 0 {
 		return p.giveUp(r)
@@ -528,7 +528,7 @@
 		}
 		p.queue = append(p.queue, r)
 	}
-	return Move{AskAgain: now.Add(min(max(left, 2*p.rules.Round), p.left(now, r)))}
+	return Decision{ReviewAt: now.Add(min(max(left, 2*p.rules.TickInterval), p.left(now, r)))}
 }
 
 // free is how many legs more the origin may have; in a room for less than one, one now and then.
@@ -541,7 +541,7 @@
 
 // dequeue wakes those whose fetch is over, or that the origin has room for: worth most first, then oldest.
 func (p *Router) dequeue(now Instant) (wake []RequestID) {
-	done := func(q *Request) bool { return q.Over || slices.ContainsFunc(q.Legs, isOut) }
+	done := func(q *Request) bool { return q.Finished || slices.ContainsFunc(q.Attempts, isOut) }
 	p.queue = slices.DeleteFunc(p.queue, done)
 	free, unserved := p.free(now), 0.0
 	if free > 0 { // else nobody is woken by worth: sorting at each outcome would take longer the more requests wait
@@ -563,28 +563,28 @@
 	return wake
 }
 
-func (p *Router) After(now Instant, r *Request, o Outcome) (m Move) {
-	leg, leads := r.Legs[o.Leg], p.fetches[r.memo.key] == r
-	if c := p.caches[leg.To]; c != nil {
+func (p *Router) OnAttemptDone(now Instant, r *Request, o Outcome) (m Decision) {
+	leg, leads := r.Attempts[o.Attempt], p.fetches[r.memo.key] == r
+	if c := p.caches[leg.Endpoint]; c != nil {
 		p.learn(now, c, r, leg, o)
 	}
-	if !r.Over && !leg.Result.NeverRan() && leg.Result != Broken { // against storms of legs when most fail
+	if !r.Finished && !leg.Result.NotExecuted() && leg.Result != ConnectionBroken { // against storms of legs when most fail
 		p.spare = max(-1, p.spare-1)
 	}
-	if !r.Over && !slices.ContainsFunc(r.Legs, isOut) {
+	if !r.Finished && !slices.ContainsFunc(r.Attempts, isOut) {
 		m = p.next(now, r)
 	}
-	for i, l := range r.Legs {
-		if r.Over && l.Out && p.rules.MayCancel {
+	for i, l := range r.Attempts {
+		if r.Finished && l.InFlight && p.rules.CancelAllowed {
 			m.Cancel = append(m.Cancel, i)
 		}
 	}
-	if leads && (r.Over || m.Answer != Nothing) { // its fetch is over, well or not
+	if leads && (r.Finished || m.Answer != NoAnswer) { // its fetch is over, well or not
 		delete(p.fetches, r.memo.key)
-		first := slices.IndexFunc(r.Legs, missed) // where the value is kept now
+		first := slices.IndexFunc(r.Attempts, missed) // where the value is kept now
 		for _, q := range p.queue {
 			if q.memo.key == r.memo.key && !q.Write && leg.Result == Answered && first >= 0 {
-				q.memo.keptAt = r.Legs[first].To
+				q.memo.keptAt = r.Attempts[first].Endpoint
 			}
 		}
 	}
@@ -594,14 +594,14 @@
 	return m
 }
 
-func (p *Router) learn(now Instant, c *cache, r *Request, leg Leg, o Outcome) {
+func (p *Router) learn(now Instant, c *cache, r *Request, leg Attempt, o Outcome) {
 	d, at, own, inTime, sign := &p.doors[p.sideOf(c)], r.memo.at, float64(c.out), 0.0, 1.0
-	if (leg.Result == Answered || leg.Result == Missed) && o.Took <= r.memo.grade.SoftLimit {
-		inTime, c.passed = 1, max(c.passed, leg.Sent)
+	if (leg.Result == Answered || leg.Result == CacheMiss) && o.Latency <= r.memo.grade.LatencyObjective {
+		inTime, c.passed = 1, max(c.passed, leg.SentAt)
 	} else if leg.Result == Answered {
-		inTime = r.memo.grade.Late
+		inTime = r.memo.grade.LateShare
 	} else if leg.Result == TimedOut { // the less time it had, the less is the cache to blame
-		sign = min(1, float64(o.Took)/max(1, float64(r.memo.grade.SoftLimit)))
+		sign = min(1, float64(o.Latency)/max(1, float64(r.memo.grade.LatencyObjective)))
 	}
 	if c.faulty *= beliefKept; leg.Result == Errored {
 		c.faulty += (1 - c.faulty) * faultyOne
@@ -611,53 +611,53 @@
 	} else if leg.Result == Answered {
 		c.erred[at] /= 2
 		if c != p.origin {
-			p.took.Add(o.Took)
+			p.took.Add(o.Latency)
 			if before := p.load(now, c) - 1; before < 1 {
-				p.alone.Add(o.Took)
+				p.alone.Add(o.Latency)
 			} else {
-				p.pace.Add(time.Duration(float64(o.Took-p.alone.Quantile(0.5, 0)) / before))
+				p.pace.Add(time.Duration(float64(o.Latency-p.alone.Quantile(0.5, 0)) / before))
 			}
 		}
 	}
-	if c != p.origin && leg.Result == Missed {
-		p.missing += missWeight * p.rules.CrossingPrice / lately // it crosses to the origin
+	if c != p.origin && leg.Result == CacheMiss {
+		p.missing += missWeight * p.rules.CrossZoneCost / lately // it crosses to the origin
 	}
-	if c.out, c.usedAt = max(0, c.out-1), now; leg.Result == Answered || leg.Result == Missed {
+	if c.out, c.usedAt = max(0, c.out-1), now; leg.Result == Answered || leg.Result == CacheMiss {
 		c.served++
 	}
 	switch leg.Result {
-	case Answered, Missed, Errored, TurnedAway:
+	case Answered, CacheMiss, Errored, Rejected:
 		c.heard, c.waitingOn, c.fails, c.refused, c.restUntil, p.cut[c.Zone] = now, now, 0, 0, 0, 0
-	case TimedOut, Unconnected, Cancelled:
-		if c.heard < leg.Sent && (leg.Result == Unconnected || now.Since(leg.Sent) > p.patience) {
+	case TimedOut, ConnectFailed, Cancelled:
+		if c.heard < leg.SentAt && (leg.Result == ConnectFailed || now.Since(leg.SentAt) > p.patience) {
 			p.failed(now, c, leg.Result)
 		}
 	}
-	switch i, q := p.rules.InFlightAt, p.rules.WaitingAt; {
-	case i >= 0 && i < len(o.Report): // it counts own legs too
-		c.foreign, c.toldAt = max(0, o.Report[i]-own), now
-	case q >= 0 && q < len(o.Report): // own legs are mostly in work, which this leaves out
-		c.foreign, c.toldAt = max(0, o.Report[q]), now
+	switch i, q := p.rules.InFlightColumn, p.rules.QueueColumn; {
+	case i >= 0 && i < len(o.LoadReport): // it counts own legs too
+		c.foreign, c.toldAt = max(0, o.LoadReport[i]-own), now
+	case q >= 0 && q < len(o.LoadReport): // own legs are mostly in work, which this leaves out
+		c.foreign, c.toldAt = max(0, o.LoadReport[q]), now
 	}
 	if c.toldAt == now && c != p.origin {
 		p.othersLoad += (min(c.foreign, 2*p.othersLoad+1) - p.othersLoad) / evidence
 		p.newsAt = now
 	}
 	switch { // first what is no sign of load
-	case leg.Result == TimedOut && c != p.origin && c.passed > leg.Sent: // a later one has overtaken it
-	case errs[leg.Result] > 0, leg.Result == Cancelled, leg.Result == NeverSent, leg.Result == Unconnected:
-	case leg.Result == TurnedAway && c != p.origin:
+	case leg.Result == TimedOut && c != p.origin && c.passed > leg.SentAt: // a later one has overtaken it
+	case errs[leg.Result] > 0, leg.Result == Cancelled, leg.Result == NotSent, leg.Result == ConnectFailed:
+	case leg.Result == Rejected && c != p.origin:
 		d.asked, c.vain = d.asked+fullShare, c.vain+(1-c.vain)/vainLegs
 	case c != p.origin:
 		d.asked, d.good, c.vain = d.asked+sign, d.good+inTime, c.vain+(1-inTime-c.vain)/vainLegs
 	default:
-		p.spurned = map[bool]float64{leg.Result == TurnedAway: p.spurned + 1}[true]
-		if leg.Result == TurnedAway { // once says little; on end all may be, and must not come back together
-			o.Took = max(o.Took, p.originTook) // nor does it tell how long work takes
+		p.spurned = map[bool]float64{leg.Result == Rejected: p.spurned + 1}[true]
+		if leg.Result == Rejected { // once says little; on end all may be, and must not come back together
+			o.Latency = max(o.Latency, p.originTook) // nor does it tell how long work takes
 			rest := (0.5 + p.chance.Next()) * min(runMost*p.turns, math.Pow(originWary, p.spurned-1)-1)
 			p.originRest = now.Add(time.Duration(rest * float64(p.slow)))
 		}
-		if p.originTook += (o.Took - p.originTook) / 8; inTime == 1 && o.Took <= r.memo.grade.SoftLimit/2 {
+		if p.originTook += (o.Latency - p.originTook) / 8; inTime == 1 && o.Latency <= r.memo.grade.LatencyObjective/2 {
 			p.strain -= p.strain / evidence
 			p.room += min(1/p.room, originGrow*p.room, max(0, 2*own-p.room)) // room that is not used is no sign
 		} else if p.strain += (1 - p.strain) / evidence; now.Since(p.cutAt) > p.slow {
@@ -666,7 +666,7 @@
 	}
 }
 
-func (p *Router) Wait(now Instant) (wait time.Duration, chores []Chore) {
+func (p *Router) Tick(now Instant) (wait time.Duration, chores []Action) {
 	halve := p.upkeeps%halveEvery == halveEvery-1
 	if p.upkeeps++; halve {
 		for i := range p.doors {
@@ -687,9 +687,9 @@
 				return w*p.cheap*p.cheap < 0.5
 			})
 		}
-		maps.DeleteFunc(p.fetches, func(_ uint64, r *Request) bool { return r.Over })
+		maps.DeleteFunc(p.fetches, func(_ uint64, r *Request) bool { return r.Finished })
 	}
-	if d := p.doors[home]; !p.rules.Aside { // as far as can be seen, who loses legs is short of its origin
+	if d := p.doors[home]; !p.rules.CacheAside { // as far as can be seen, who loses legs is short of its origin
 		p.short = max(0, d.asked-d.good) / max(1, d.asked)
 	}
 	p.retime()
@@ -702,24 +702,24 @@
 			}
 		}
 		served, weight = served+c.served, weight+c.Weight*p.warmth(now, c)
-		if p.rules.MayProbe && c.fails >= failsToRest && now >= c.restUntil {
-			chores = append(chores, Chore{Kind: ProbeCache, Cache: c.ID})
+		if p.rules.HealthChecksAllowed && c.fails >= failsToRest && now >= c.restUntil {
+			chores = append(chores, Action{Kind: CheckHealth, Endpoint: c.ID})
 			c.restUntil = now.Add(p.patience)
 		}
 	}
 	p.usual = served / max(weight, 1e-9)
-	if p.rules.MustAsk && now >= p.askAt {
-		p.askAt = now.Add(max(p.rules.AskWithin, time.Second))
-		chores = append(chores, Chore{Kind: FollowList})
+	if p.rules.PollEndpoints && now >= p.askAt {
+		p.askAt = now.Add(max(p.rules.PollInterval, time.Second))
+		chores = append(chores, Action{Kind: PollEndpoints})
 	}
 	return upkeepEvery, chores
 }
 
 func (p *Router) retime() {
 	soft := time.Second
-	for _, g := range p.rules.Grades {
-		soft = min(soft, g.SoftLimit)
+	for _, g := range p.rules.Classes {
+		soft = min(soft, g.LatencyObjective)
 	}
-	p.slow = max(p.took.Quantile(0.95, soft/2), 2*p.rules.Round)
-	p.patience = max(2*p.took.Quantile(0.99, soft), 4*p.rules.Round)
+	p.slow = max(p.took.Quantile(0.95, soft/2), 2*p.rules.TickInterval)
+	p.patience = max(2*p.took.Quantile(0.99, soft), 4*p.rules.TickInterval)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func holdersOf(p *Router, key string) (ids []CacheID) {
+func holdersOf(p *Router, key string) (ids []EndpointID) {
 	r := &Request{Key: key, Deadline: 1e12}
 	p.meet(0, r)
 	for _, c := range p.holders(0, r, home) {
@@ -44,7 +44,7 @@
 		slices.Reverse(es)
 		other := newWorld(t, testRules(), es).p
 		kept := other.caches[es[1].ID]
-		other.Listed(0, Changes, []Entry{{ID: es[0].ID, State: Gone}, es[1]})
+		other.UpdateEndpoints(0, DeltaUpdate, []Endpoint{{ID: es[0].ID, Lifecycle: Removed}, es[1]})
 		moved := 0
 		for k := range 500 {
 			is := holdersOf(other, anyKey(k))
@@ -57,7 +57,7 @@
 		if moved > 450 { // 30%; the departed one held 3% to 14% of a small fleet
 			t.Errorf("%d caches: one departure moved %d of 1500 holders", n, moved)
 		}
-		other.Listed(0, Changes, es[:1])
+		other.UpdateEndpoints(0, DeltaUpdate, es[:1])
 		if !slices.Equal(holdersOf(whole, "k"), holdersOf(other, "k")) || other.caches[es[1].ID] != kept {
 			t.Errorf("%d caches: nodes with the same list disagree, or what was learned is lost", n)
 		}
@@ -68,7 +68,7 @@
 	w := newWorld(t, testRules(), fleet(14, false)) // two slots a segment
 	dead := w.p.placement(home)[0].slots[1]
 	for range failsToRest {
-		w.p.failed(0, dead, Unconnected)
+		w.p.failed(0, dead, ConnectFailed)
 	}
 	for key := range uint64(100) {
 		if w.p.locate(1, home, 0, keyhash.Mix(key)) != w.p.placement(home)[0].slots[0] {
@@ -81,10 +81,10 @@
 	w := newWorld(t, testRules(), fleet(12, false))
 	first := holdersOf(w.p, "k")
 	w.p.caches[first[0]].restUntil = 1e9
-	w.p.caches[first[1]].State = Draining
+	w.p.caches[first[1]].Lifecycle = Draining
 	w.p.caches[first[2]].erred[0] = breaksToRest
 	now := holdersOf(w.p, "k")
-	if same := func(id CacheID) bool { return slices.Contains(first, id) }; slices.ContainsFunc(now, same) {
+	if same := func(id EndpointID) bool { return slices.Contains(first, id) }; slices.ContainsFunc(now, same) {
 		t.Errorf("holders %v became %v", first, now)
 	}
 }
@@ -95,15 +95,15 @@
 	w := newWorld(t, testRules(), fleet(12, false))
 	for i := range 600 {
 		r, m := w.arrive(anyKey(i), 0, false)
-		if len(m.To) == 0 {
+		if len(m.SendTo) == 0 {
 			t.Fatalf("the %dth is turned away", i)
 		}
 		if i%12 < 2 { // two in a row, at times on one cache
-			if w.end(r, 0, Broken); len(r.Legs) < 2 {
+			if w.end(r, 0, ConnectionBroken); len(r.Attempts) < 2 {
 				t.Fatalf("the %dth has no further leg", i)
 			}
 		}
-		w.end(r, len(r.Legs)-1, Answered)
+		w.end(r, len(r.Attempts)-1, Answered)
 		w.pass(5 * ms)
 	}
 	for _, c := range w.p.listed {
@@ -112,9 +112,9 @@
 		}
 	}
 	first := holdersOf(w.p, "k")[0]
-	to, all := w.drive(60, 5*ms, oneKey, func(_ int, id CacheID) Result {
+	to, all := w.drive(60, 5*ms, oneKey, func(_ int, id EndpointID) Result {
 		if id == first {
-			return Broken
+			return ConnectionBroken
 		}
 		return Answered
 	})
@@ -125,18 +125,18 @@
 
 // A few caches that err, or have gone, closed the door of each node for most of what came, long after they were well.
 func TestErrorsAndDeadCachesDoNotCloseTheDoor(t *testing.T) {
-	for _, how := range []Result{Errored, Unconnected} {
+	for _, how := range []Result{Errored, ConnectFailed} {
 		w := newWorld(t, testRules(), fleet(60, false))
 		for i := range 400 {
 			r, m := w.arrive(anyKey(i), 0, false)
-			if len(m.To) == 0 {
+			if len(m.SendTo) == 0 {
 				t.Fatalf("the %dth is turned away, as one in eight met result %v before it", i, how)
 			}
 			if i%8 == 0 {
 				w.end(r, 0, how)
 			}
-			if !r.Over {
-				w.end(r, len(r.Legs)-1, Answered)
+			if !r.Finished {
+				w.end(r, len(r.Attempts)-1, Answered)
 			}
 			w.pass(50 * ms)
 		}
@@ -148,16 +148,16 @@
 	w := newWorld(t, testRules(), fleet(12, false))
 	sick, legs, erred := holdersOf(w.p, "k")[0], 0, 0
 	for i := range 400 {
-		r, m := w.arrive("k", GradeID(i%2), false)
-		if len(m.To) > 0 && m.To[0] == sick {
+		r, m := w.arrive("k", ClassID(i%2), false)
+		if len(m.SendTo) > 0 && m.SendTo[0] == sick {
 			legs++
 			if i%3 > 0 {
 				erred++
 				w.end(r, 0, Errored)
 			}
 		}
-		if !r.Over && len(r.Legs) > 0 {
-			w.end(r, len(r.Legs)-1, Answered)
+		if !r.Finished && len(r.Attempts) > 0 {
+			w.end(r, len(r.Attempts)-1, Answered)
 		}
 		w.pass(50 * ms) // 20 seconds in all
 	}
@@ -165,8 +165,8 @@
 		t.Errorf("%d legs, of which %d erred, to a cache that errs on two in three", legs, erred)
 	}
 	for i := range 200 { // well again
-		if r, m := w.arrive("k", 0, false); len(m.To) > 0 {
-			if i >= 100 && m.To[0] == sick {
+		if r, m := w.arrive("k", 0, false); len(m.SendTo) > 0 {
+			if i >= 100 && m.SendTo[0] == sick {
 				return
 			}
 			w.end(r, 0, Answered)
@@ -189,7 +189,7 @@
 // A fleet of which most was new stayed on its few old caches, full as they were: a connection had to be opened to the others.
 func TestAFullCacheIsLeftForOneWithoutAConnection(t *testing.T) {
 	rules := testRules()
-	rules.IdleConnection = time.Minute
+	rules.IdleTimeout = time.Minute
 	w := newWorld(t, rules, fleet(12, false))
 	two := []*cache{w.p.caches["cache-0"], w.p.caches["cache-1"]}
 	two[0].usedAt = w.now
@@ -213,7 +213,7 @@
 // Misses did not count as what a warm cache bears, so that after a join, when most legs miss, new caches got next to nothing.
 func TestMissesCountAsWhatACacheBears(t *testing.T) {
 	w := newWorld(t, testRules(), fleet(12, false))
-	w.drive(100, 50*ms, anyKey, always(Missed))
+	w.drive(100, 50*ms, anyKey, always(CacheMiss))
 	if w.p.usual == 0 {
 		t.Error("a fleet whose caches answer that they miss is taken to bear nothing")
 	}
@@ -229,9 +229,9 @@
 		first := w.p.caches[holdersOf(w.p, "k")[0]]
 		w.now = w.now.Add(time.Second)
 		for range failsToRest {
-			r := &Request{Deadline: w.now.Add(c.took), Legs: []Leg{{To: first.ID, Sent: w.now, Result: TimedOut}}, Over: true}
+			r := &Request{Deadline: w.now.Add(c.took), Attempts: []Attempt{{Endpoint: first.ID, SentAt: w.now, Result: TimedOut}}, Finished: true}
 			w.now = w.now.Add(c.took)
-			w.p.After(w.now, r, Outcome{Took: c.took})
+			w.p.OnAttemptDone(w.now, r, Outcome{Latency: c.took})
 		}
 		if got := first.restUntil > w.now; got != c.rest {
 			t.Errorf("after legs of %v: rests %v", c.took, got)
@@ -241,15 +241,15 @@
 
 func TestWritesGoToAllHoldersInThroughMode(t *testing.T) {
 	w := newWorld(t, testRules(), fleet(12, false))
-	if _, m := w.arrive("k", 1, true); len(m.To) != copies {
-		t.Errorf("a labelled write went to %v", m.To)
+	if _, m := w.arrive("k", 1, true); len(m.SendTo) != copies {
+		t.Errorf("a labelled write went to %v", m.SendTo)
 	}
-	if _, m := w.arrive("k", 2, true); len(m.To) != 1 {
-		t.Errorf("an irreversible write went to %v", m.To)
+	if _, m := w.arrive("k", 2, true); len(m.SendTo) != 1 {
+		t.Errorf("an irreversible write went to %v", m.SendTo)
 	}
 	w.p.short = 0.5 // three legs are three writes at an origin that is short already
-	if _, m := w.arrive("k", 1, true); len(m.To) != 1 {
-		t.Errorf("with legs being lost a labelled write went to %v", m.To)
+	if _, m := w.arrive("k", 1, true); len(m.SendTo) != 1 {
+		t.Errorf("with legs being lost a labelled write went to %v", m.SendTo)
 	}
 }
 
@@ -260,10 +260,10 @@
 		es[i].Zone = "there"
 	}
 	w, tried := newWorld(t, testRules(), es), 0
-	to, _ := w.drive(200, 50*ms, anyKey, func(_ int, to CacheID) Result {
+	to, _ := w.drive(200, 50*ms, anyKey, func(_ int, to EndpointID) Result {
 		w.p.doors[home] = door{evidence, evidence} // the door stays open
 		if w.state[to].Zone == "there" {
-			return Unconnected
+			return ConnectFailed
 		}
 		return Answered
 	})
@@ -285,12 +285,12 @@
 		}
 		c.out = 3
 	}
-	if r, m := w.arrive("k", 0, false); len(m.To) > 0 || m.Answer != Reject || w.p.doors[home].asked > evidence {
+	if r, m := w.arrive("k", 0, false); len(m.SendTo) > 0 || m.Answer != Reject || w.p.doors[home].asked > evidence {
 		t.Errorf("sent behind a queue longer than the soft limit, or closed the door for it: %v %v", r, m)
 	}
 	// own work over half the soft limit made idle caches look full, and own legs were taken off a queue that had none
 	w = newWorld(t, testRules(), fleet(12, false))
-	w.p.rules.WaitingAt, w.p.rules.Grades[0].Late, w.says = 0, 0.5, []float64{0}
+	w.p.rules.QueueColumn, w.p.rules.Classes[0].LateShare, w.says = 0, 0.5, []float64{0}
 	_, idle := w.drive(60, 180*ms, anyKey, always(Answered))
 	w.says[0] = 2
 	_, two := w.drive(60, 220*ms, anyKey, always(Answered))
@@ -298,7 +298,7 @@
 	r, m := w.arrive("late", 0, false)
 	w.pass(400 * ms)
 	w.end(r, 0, Answered) // for half of its benefit
-	late, waiting := w.p.doors[home].good-was, w.p.caches[m.To[0]].foreign
+	late, waiting := w.p.doors[home].good-was, w.p.caches[m.SendTo[0]].foreign
 	w.says[0] = 5
 	_, many := w.drive(60, 280*ms, anyKey, always(Answered))
 	if idle < 58 || two < 50 || many > 40 || late != 0.5 || waiting != 2 {
@@ -312,11 +312,11 @@
 	for _, good := range []float64{36, 5} {
 		want := int(0.9 * 4000 * (lostLeast*good/100 + trialShare))
 		w, in := newWorld(t, testRules(), fleet(12, false)), [2]int{}
-		w.p.rules.Grades[1].Benefit = 0.05
+		w.p.rules.Classes[1].PriorityWeight = 0.05
 		for i := range 6000 {
 			w.p.doors[home] = door{100, good}
 			grade := min(1, i%3)
-			if _, m := w.arrive("k", GradeID(grade), false); m.Answer == Nothing && i >= 2000 {
+			if _, m := w.arrive("k", ClassID(grade), false); m.Answer == NoAnswer && i >= 2000 {
 				in[grade]++
 			}
 		}
@@ -335,10 +335,10 @@
 			clear(c.erred)
 		}
 		r, _ := w.arrive("k", 0, false)
-		for i := 0; i < len(r.Legs); i++ {
+		for i := 0; i < len(r.Attempts); i++ {
 			w.end(r, i, Errored)
 		}
-		legs += len(r.Legs)
+		legs += len(r.Attempts)
 	}
 	if legs > 200+2*spareMost+10 {
 		t.Errorf("200 requests that all fail made %d legs", legs)
@@ -347,7 +347,7 @@
 
 func TestSecondCopyOnlyWhereLatenessOutweighsWaste(t *testing.T) {
 	rules := testRules()
-	rules.WastePrice = 0.25
+	rules.WasteCost = 0.25
 	w := newWorld(t, rules, fleet(12, false))
 	for range 1000 {
 		w.p.took.Add(40 * ms)
@@ -356,11 +356,11 @@
 	w.p.spare = spareMost
 	r, _ := w.arrive("k", 0, false)
 	w.pass(50 * ms)
-	if len(r.Legs) != 1 {
+	if len(r.Attempts) != 1 {
 		t.Error("a copy was sent though hardly any leg is late")
 	}
 	w.pass(250 * ms)
-	if len(r.Legs) < 2 {
+	if len(r.Attempts) < 2 {
 		t.Error("no copy was sent though the cache is silent")
 	}
 }
@@ -368,17 +368,17 @@
 // A cold cache is measured against legs that warm ones answered: misses and refusals cost those little. What
 // is little from one node must be so from hundreds, in a storm of tries too.
 func TestColdCacheGetsNoMoreThanItCanBear(t *testing.T) {
-	cold, cache := 0, Entry{ID: "cold", Born: Instant(2 * time.Second), Zone: "here", Weight: 1}
+	cold, cache := 0, Endpoint{ID: "cold", StartedAt: Instant(2 * time.Second), Zone: "here", Weight: 1}
 	for node := range 200 {
 		w := newWorld(t, testRules(), fleet(11, false))
 		w.p.chance.Seed = uint32(node)
 		w.drive(40, 50*ms, anyKey, always(Answered))
-		w.list(Changes, cache)
-		to, _ := w.drive(200, 5*ms, anyKey, func(i int, _ CacheID) Result {
+		w.list(DeltaUpdate, cache)
+		to, _ := w.drive(200, 5*ms, anyKey, func(i int, _ EndpointID) Result {
 			if i%20 == 0 {
 				return Answered
 			}
-			return TurnedAway
+			return Rejected
 		})
 		cold += to["cold"]
 	}
@@ -386,15 +386,15 @@
 		t.Errorf("a cold cache got %d legs in its first second, a warm one answered about 180", cold)
 	}
 	w := newWorld(t, testRules(), fleet(11, false))
-	w.list(Changes, cache)
-	if to, _ := w.drive(4000, 0, anyKey, always(TurnedAway)); to["cold"] > 2 {
+	w.list(DeltaUpdate, cache)
+	if to, _ := w.drive(4000, 0, anyKey, always(Rejected)); to["cold"] > 2 {
 		t.Errorf("a cold cache got %v legs while no warm one answered any", to["cold"])
 	}
 	rules, taken := testRules(), 0 // a deploy left all to the warm ones; two thirds of a stated multiple may be used
-	rules.FallMultiple = 3
-	p := newWorld(t, rules, []Entry{cache}).p
+	rules.OverloadFactor = 3
+	p := newWorld(t, rules, []Endpoint{cache}).p
 	for i := range uint64(1000) {
-		if p.caches["cold"].coldAt = -1; !p.coldTo(cache.Born, p.caches["cold"], keyhash.Mix(i)) {
+		if p.caches["cold"].coldAt = -1; !p.coldTo(cache.StartedAt, p.caches["cold"], keyhash.Mix(i)) {
 			taken++
 		}
 	}
@@ -420,21 +420,21 @@
 		least, atMost int // let in of the last 400
 	}{"lost on the way": {true, 390, 400}, "queues that nobody leaves in time": {false, 10, 150}} {
 		rules := testRules()
-		rules.SecondCopies, rules.MayCancel = false, false
+		rules.HedgingAllowed, rules.CancelAllowed = false, false
 		w, in := newWorld(t, rules, fleet(6, false)), 0
-		lost := map[CacheID]Instant{}
+		lost := map[EndpointID]Instant{}
 		for i := range 800 {
 			r, m := w.arrive(anyKey(i), 0, false)
 			w.pass(20 * ms)
-			if len(m.To) == 0 {
+			if len(m.SendTo) == 0 {
 				continue
 			}
 			if i >= 400 {
 				in++
 			}
 			if i%5 == 0 {
-				lost[m.To[0]] = r.Deadline // until then nothing is answered there where queues are to blame
-			} else if r.Legs[0].Out && (c.overtaken || w.now > lost[m.To[0]]) {
+				lost[m.SendTo[0]] = r.Deadline // until then nothing is answered there where queues are to blame
+			} else if r.Attempts[0].InFlight && (c.overtaken || w.now > lost[m.SendTo[0]]) {
 				w.end(r, 0, Answered)
 			}
 		}
@@ -452,16 +452,16 @@
 		least, atMost int // let in of the last 400
 	}{{120 * ms, 380, 400}, {320 * ms, 10, 200}} {
 		rules := testRules()
-		rules.SecondCopies, rules.MayCancel = false, false
+		rules.HedgingAllowed, rules.CancelAllowed = false, false
 		w, in := newWorld(t, rules, fleet(12, false)), 0
 		for i := range 800 {
-			r := &Request{ID: RequestID(anyKey(i)), Key: anyKey(i), Arrived: w.now, Deadline: w.now.Add(800 * ms)}
+			r := &Request{ID: RequestID(anyKey(i)), Key: anyKey(i), ArrivedAt: w.now, Deadline: w.now.Add(800 * ms)}
 			if i%5 == 0 {
 				r.Deadline = w.now.Add(c.waits)
 			}
 			w.hand = append(w.hand, r)
-			m := w.apply(r, w.p.Where(w.now, r))
-			if w.pass(100 * ms); len(m.To) == 0 {
+			m := w.apply(r, w.p.Route(w.now, r))
+			if w.pass(100 * ms); len(m.SendTo) == 0 {
 				continue
 			}
 			if i >= 400 {
@@ -482,11 +482,11 @@
 // Many nodes have nothing in hand, so equal loads are parted by legs lost or
 // in vain there, and by open connections, as hundreds of nodes would open one for most legs.
 func TestWhatPartsHoldersOfEqualLoad(t *testing.T) {
-	for _, lost := range []Result{TimedOut, TurnedAway} {
-		rules, first := testRules(), CacheID("")
-		rules.IdleConnection = 15 * time.Second
+	for _, lost := range []Result{TimedOut, Rejected} {
+		rules, first := testRules(), EndpointID("")
+		rules.IdleTimeout = 15 * time.Second
 		w := newWorld(t, rules, fleet(45, false))
-		how := func(_ int, to CacheID) Result {
+		how := func(_ int, to EndpointID) Result {
 			first = cmp.Or(first, to)
 			if to == first {
 				return lost
@@ -503,11 +503,11 @@
 // After a burst a few crowded caches, and news that nothing renews, must not make all others look full.
 func TestFewCrowdedCachesDoNotMakeTheOthersLookFull(t *testing.T) {
 	rules := testRules()
-	rules.InFlightAt = 0
+	rules.InFlightColumn = 0
 	w := newWorld(t, rules, fleet(45, false))
 	w.says = []float64{60}
 	w.drive(100, 60*ms, anyKey, always(Answered))
-	some := func(i int, _ CacheID) Result {
+	some := func(i int, _ EndpointID) Result {
 		w.says = []float64{60}
 		if i%5 > 0 {
 			w.says = []float64{1}
@@ -536,7 +536,7 @@
 
 func asideWorld(t *testing.T) *world {
 	rules := testRules()
-	rules.Aside, rules.SecondCopies = true, false
+	rules.CacheAside, rules.HedgingAllowed = true, false
 	return newWorld(t, rules, fleet(12, true))
 }
 
@@ -549,16 +549,16 @@
 	}
 	w.now = w.now.Add(5 * ms)
 	for _, r := range rs {
-		w.end(r, 0, Missed)
+		w.end(r, 0, CacheMiss)
 	}
-	if len(rs[0].Legs) != 2 || rs[0].Legs[1].To != "origin" || len(rs[1].Legs) != 1 {
-		t.Fatalf("legs after the misses: %v %v", rs[0].Legs, rs[1].Legs)
+	if len(rs[0].Attempts) != 2 || rs[0].Attempts[1].Endpoint != "origin" || len(rs[1].Attempts) != 1 {
+		t.Fatalf("legs after the misses: %v %v", rs[0].Attempts, rs[1].Attempts)
 	}
 	w.now = w.now.Add(20 * ms)
 	w.end(rs[0], 1, Answered)
 	for _, r := range rs[1:] {
-		if len(r.Legs) != 2 || r.Legs[1].To != rs[0].Legs[0].To {
-			t.Errorf("a waiter went to %v, the value is kept at %v", r.Legs, rs[0].Legs[0].To)
+		if len(r.Attempts) != 2 || r.Attempts[1].Endpoint != rs[0].Attempts[0].Endpoint {
+			t.Errorf("a waiter went to %v, the value is kept at %v", r.Attempts, rs[0].Attempts[0].Endpoint)
 		}
 	}
 }
@@ -566,16 +566,16 @@
 // After two full caches a third was full too, or lacked the key, four times in five, and no leg was left for the origin.
 func TestALastLegAfterFullOnesGoesToAnOriginWithRoom(t *testing.T) {
 	rules := testRules()
-	rules.Aside, rules.MostLegs = true, 3
+	rules.CacheAside, rules.MaxAttempts = true, 3
 	for i, want := range []bool{true, false, false} { // with room, without, and one that only its group may repeat
 		w := newWorld(t, rules, fleet(12, true))
 		if i == 1 {
 			w.p.origin.out = int(w.p.room)
 		}
-		r, _ := w.arrive("k", []GradeID{0, 0, 3}[i], false)
-		w.end(r, 0, TurnedAway)
-		if w.end(r, 1, TurnedAway); len(r.Legs) != 3 || r.Legs[1].To == "origin" || (r.Legs[2].To == "origin") != want {
-			t.Errorf("case %d: %v", i, r.Legs)
+		r, _ := w.arrive("k", []ClassID{0, 0, 3}[i], false)
+		w.end(r, 0, Rejected)
+		if w.end(r, 1, Rejected); len(r.Attempts) != 3 || r.Attempts[1].Endpoint == "origin" || (r.Attempts[2].Endpoint == "origin") != want {
+			t.Errorf("case %d: %v", i, r.Attempts)
 		}
 	}
 }
@@ -584,13 +584,13 @@
 	w := asideWorld(t)
 	for i := range 200 {
 		r, _ := w.arrive(fmt.Sprint("key", i), 0, false)
-		w.end(r, 0, Missed)
+		w.end(r, 0, CacheMiss)
 	}
 	if out := w.p.origin.out; out > originFirst {
 		t.Errorf("%d legs are out at an origin of unknown size", out)
 	}
 	w.p.bar = 1e9 // all that waits is worth more, so waiting would be in vain
-	if r, _ := w.arrive("cheap", 0, false); w.end(r, 0, Missed).Answer != Reject {
+	if r, _ := w.arrive("cheap", 0, false); w.end(r, 0, CacheMiss).Answer != Reject {
 		t.Error("what is worth too little to be fetched is kept waiting")
 	}
 }
@@ -602,7 +602,7 @@
 		w.p.room = 2
 		for i := range 100 * together {
 			r, _ := w.arrive(fmt.Sprint("key", i), 0, false)
-			if w.end(r, 0, Missed); i%together == together-1 {
+			if w.end(r, 0, CacheMiss); i%together == together-1 {
 				w.pass(20 * ms)
 				for _, q := range w.hand[i-together+1:] {
 					w.end(q, 1, Answered)
@@ -618,13 +618,13 @@
 // The least a node may have at the origin is multiplied by hundreds: late answers must bring it under one leg.
 func TestManyNodesTogetherSpareASlowOrigin(t *testing.T) {
 	rules := testRules()
-	rules.Aside, rules.Nodes = true, 400
+	rules.CacheAside, rules.Nodes = true, 400
 	w, legs := newWorld(t, rules, fleet(12, true)), 0
 	for i := range 120 {
 		r, _ := w.arrive(fmt.Sprint("key", i), 0, false)
-		w.end(r, 0, Missed)
+		w.end(r, 0, CacheMiss)
 		w.pass(200 * ms) // in time, but so late that queues there are long
-		if len(r.Legs) > 1 {
+		if len(r.Attempts) > 1 {
 			if w.end(r, 1, Answered); i >= 60 {
 				legs++
 			}
@@ -641,17 +641,17 @@
 		w := asideWorld(t)
 		w.p.spare = spare
 		r, _ := w.arrive("k", 0, false)
-		w.end(r, 0, Missed)
+		w.end(r, 0, CacheMiss)
 		w.pass(300 * ms)
-		if again := len(r.Legs) == 3 && r.Legs[1].Result == Cancelled && r.Legs[2].To == "origin"; again != (spare > 1) {
-			t.Errorf("with %v saved: %v", spare, r.Legs)
+		if again := len(r.Attempts) == 3 && r.Attempts[1].Result == Cancelled && r.Attempts[2].Endpoint == "origin"; again != (spare > 1) {
+			t.Errorf("with %v saved: %v", spare, r.Attempts)
 		}
 		if out := w.p.origin.out; out != 1 {
 			t.Errorf("%d legs count as out there", out)
 		}
 		write, _ := w.arrive("k2", 1, true)
-		if w.pass(300 * ms); len(write.Legs) != 1 || !write.Legs[0].Out {
-			t.Errorf("a write there: %v", write.Legs)
+		if w.pass(300 * ms); len(write.Attempts) != 1 || !write.Attempts[0].InFlight {
+			t.Errorf("a write there: %v", write.Attempts)
 		}
 	}
 }
@@ -660,7 +660,7 @@
 	for short, want := range []int{copies, 1, 1} {
 		w, how := asideWorld(t), Answered
 		if w.p.short, w.p.asking = float64(short), 1e6; short == 2 { // or reads miss, where that crosses zones
-			w.p.short, w.p.rules.CrossingPrice, how = 0, 0.2, Missed
+			w.p.short, w.p.rules.CrossZoneCost, how = 0, 0.2, CacheMiss
 			w.drive(100, 0, anyKey, always(how))
 		}
 		if to, _ := w.drive(400, 0, oneKey, always(how)); len(to) != want {
@@ -671,13 +671,13 @@
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
 	rules := testRules()
-	rules.MustAsk = true
+	rules.PollEndpoints = true
 	p := New(0, 1, rules)
 	asks, now := 0, Instant(0)
 	for range 100 {
-		d, chores := p.Wait(now)
+		d, chores := p.Tick(now)
 		if asks += len(chores); len(chores) > 0 {
-			p.Listed(now, AskFailed, nil)
+			p.UpdateEndpoints(now, PollFailed, nil)
 		}
 		now = now.Add(d)
 	}
@@ -688,11 +688,11 @@
 
 func TestLeagueBeyondItsShareCountsForLittle(t *testing.T) {
 	rules := testRules()
-	rules.Leagues, rules.ExcessBenefit = []League{{QuotaPerSecond: 10}}, 0.05
+	rules.Tenants, rules.OverQuotaWeight = []Tenant{{QuotaPerSecond: 10}}, 0.05
 	w, within := newWorld(t, rules, fleet(12, false)), 0
 	w.now = Instant(5 * time.Second)
 	for range 50 {
-		r := &Request{League: 0, Deadline: w.now.Add(time.Second)}
+		r := &Request{Tenant: 0, Deadline: w.now.Add(time.Second)}
 		if w.p.meet(w.now, r); r.memo.benefit == 1 {
 			within++
 		}
@@ -706,11 +706,11 @@
 func TestWaitersAreNotSortedWhileTheOriginHasNoRoom(t *testing.T) {
 	p, r := waitingAtTheOrigin(50)
 	before := slices.Clone(p.queue)
-	if m := p.After(Instant(time.Second), r, Outcome{Took: ms}); len(m.Wake) > 0 || !slices.Equal(before, p.queue) {
+	if m := p.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms}); len(m.Wake) > 0 || !slices.Equal(before, p.queue) {
 		t.Errorf("%d were woken, or all were sorted, while nobody can be woken", len(m.Wake))
 	}
 	p.origin.out = 0
-	m := p.After(Instant(time.Second), r, Outcome{Took: ms})
+	m := p.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms})
 	worth := func(id RequestID) float64 {
 		return p.wanted[p.queue[slices.IndexFunc(p.queue, func(q *Request) bool { return q.ID == id })].memo.key]
 	}
@@ -725,14 +725,14 @@
 	w := asideWorld(t)
 	w.p.room = 1
 	read, _ := w.arrive("k", 0, false)
-	w.end(read, 0, Missed) // it fetches, and takes the room
+	w.end(read, 0, CacheMiss) // it fetches, and takes the room
 	write, m := w.arrive("k", 1, true)
-	if len(m.To) > 0 || m.Answer != Nothing {
+	if len(m.SendTo) > 0 || m.Answer != NoAnswer {
 		t.Fatalf("the write does not wait: %v", m)
 	}
 	w.now = w.now.Add(20 * ms)
 	w.end(read, 1, Answered)
-	if len(write.Legs) != 1 || write.Legs[0].To != "origin" {
-		t.Errorf("the write went to %v", write.Legs)
+	if len(write.Attempts) != 1 || write.Attempts[0].Endpoint != "origin" {
+		t.Errorf("the write went to %v", write.Attempts)
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -16,27 +16,27 @@
 	}
 	f.Fuzz(func(t *testing.T, aside, copies bool, steps []byte) {
 		rules := testRules()
-		rules.Aside, rules.SecondCopies, rules.MayProbe = aside, copies, copies
+		rules.CacheAside, rules.HedgingAllowed, rules.HealthChecksAllowed = aside, copies, copies
 		w := newWorld(t, rules, fleet(9, aside))
 		for i := 0; i+1 < len(steps) && i < 1000; i += 2 {
 			a, b := steps[i], int(steps[i+1])
 			switch {
 			case a < 100:
-				w.arrive(fmt.Sprint("key", b%7), GradeID(b%6)-1, b%3 == 0)
+				w.arrive(fmt.Sprint("key", b%7), ClassID(b%6)-1, b%3 == 0)
 			case a < 190:
 				w.someOutcome(b)
 			case a < 205:
-				id := CacheID(fmt.Sprintf("cache-%d", b%12))
-				w.list(Changes, Entry{ID: id, State: State(b / 12 % 3), Born: w.now, Zone: "here", Group: GroupID(b % 2)})
+				id := EndpointID(fmt.Sprintf("cache-%d", b%12))
+				w.list(DeltaUpdate, Endpoint{ID: id, Lifecycle: Lifecycle(b / 12 % 3), StartedAt: w.now, Zone: "here", Group: GroupID(b % 2)})
 			case a < 208:
-				w.list(AskFailed)
+				w.list(PollFailed)
 			default:
 				w.pass(time.Duration(b%60) * ms)
 			}
 		}
 		w.pass(time.Second)
 		for _, r := range w.hand {
-			if !r.Over {
+			if !r.Finished {
 				t.Fatalf("%v was lost", r.ID)
 			}
 		}
@@ -46,8 +46,8 @@
 func (w *world) someOutcome(pick int) {
 	for i := range w.hand {
 		r := w.hand[(i+pick)%len(w.hand)]
-		for leg := range r.Legs {
-			if r.Legs[leg].Out {
+		for leg := range r.Attempts {
+			if r.Attempts[leg].InFlight {
 				w.end(r, leg, Result(pick%9))
 				return
 			}
@@ -63,25 +63,25 @@
 	f.Fuzz(func(t *testing.T, seed int64) {
 		rnd := rand.New(rand.NewSource(seed))
 		rules := testRules()
-		rules.SecondCopies, rules.MostLegs = rnd.Intn(2) == 0, 1+rnd.Intn(4)
-		rules.Grades[1].Window, rules.Grades[3].Scope = 400*ms, Scope(rnd.Intn(3))
+		rules.HedgingAllowed, rules.MaxAttempts = rnd.Intn(2) == 0, 1+rnd.Intn(4)
+		rules.Classes[1].DedupWindow, rules.Classes[3].DedupScope = 400*ms, DedupScope(rnd.Intn(3))
 		w := newWorld(t, rules, fleet(6, false))
-		r := &Request{Grade: GradeID(rnd.Intn(6) - 1), Deadline: Instant(800 * ms), Over: rnd.Intn(9) == 0}
+		r := &Request{Class: ClassID(rnd.Intn(6) - 1), Deadline: Instant(800 * ms), Finished: rnd.Intn(9) == 0}
 		w.p.meet(0, r)
 		for range rnd.Intn(4) {
-			r.Legs = append(r.Legs, Leg{To: CacheID(fmt.Sprintf("cache-%d", rnd.Intn(6))), Sent: Instant(rnd.Intn(300)) * Instant(ms),
-				Out: rnd.Intn(4) == 0, Result: Result(rnd.Intn(9))})
+			r.Attempts = append(r.Attempts, Attempt{Endpoint: EndpointID(fmt.Sprintf("cache-%d", rnd.Intn(6))), SentAt: Instant(rnd.Intn(300)) * Instant(ms),
+				InFlight: rnd.Intn(4) == 0, Result: Result(rnd.Intn(9))})
 		}
 		w.now = Instant(300+rnd.Intn(400)) * Instant(ms)
 		e := w.state["cache-1"]
-		e.State = State(rnd.Intn(2))
-		w.list(Changes, e)
+		e.Lifecycle = Lifecycle(rnd.Intn(2))
+		w.list(DeltaUpdate, e)
 		got, want := w.p.lawful(w.now, r, w.p.caches["cache-1"]), plainAllowed(rules, w.state, w.now, r, "cache-1")
 		if got && !want {
 			t.Errorf("at %v a leg to %v is not allowed: %+v", w.now, e, r)
 		}
 		// The module may be stricter only by the rounds it keeps in hand before a limit.
-		later := w.now.Add(2 * rules.Round)
+		later := w.now.Add(2 * rules.TickInterval)
 		if want && !got && plainAllowed(rules, w.state, later, r, "cache-1") && later < r.Deadline {
 			t.Errorf("at %v a leg to %v is allowed: %+v", w.now, e, r)
 		}
--- a/policy/types.go
+++ b/policy/types.go
@@ -18,104 +18,104 @@
 
 // The kinds of id. Names are compared and hashed, never read for meaning.
 type (
-	CacheID   string
-	RequestID string
-	ZoneID    string
-	GroupID   int64 // caches that remember the same labelled writes
-	GradeID   int   // index into HouseRules.Grades; any other value is an unknown grade
-	LeagueID  int   // index into HouseRules.Leagues; any other value is no league
+	EndpointID string
+	RequestID  string
+	ZoneID     string
+	GroupID    int64 // caches that remember the same labelled writes
+	ClassID    int   // index into HouseRules.Grades; any other value is an unknown grade
+	TenantID   int   // index into HouseRules.Leagues; any other value is no league
 )
 
 // Effect says what a second run of a request would do.
-type Effect int
+type Idempotency int
 
 // The zero Effect is the strictest, so that whatever is unknown is treated with most care.
 const (
-	Irreversible Effect = iota
-	Labelled
+	NotIdempotent Idempotency = iota
+	IdempotentByKey
 	Idempotent
 )
 
 // Scope says which caches drop repeats of a labelled request.
-type Scope int
+type DedupScope int
 
 // The zero Scope is the narrowest.
 const (
-	SameGroup Scope = iota
+	SameGroup DedupScope = iota
 	SameZone
 	AllCaches
 )
 
 // Grade is one service grade.
-type Grade struct {
-	Benefit   float64
-	SoftLimit time.Duration
-	Late      float64 // share of the benefit that an answer after the soft limit still has
-	Effect    Effect
-	Scope     Scope
-	Window    time.Duration // how long repeats of a labelled request are dropped
+type ServiceClass struct {
+	PriorityWeight   float64
+	LatencyObjective time.Duration
+	LateShare        float64 // share of the benefit that an answer after the soft limit still has
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      time.Duration // how long repeats of a labelled request are dropped
 }
 
 // League is one customer's share.
-type League struct {
+type Tenant struct {
 	QuotaPerSecond float64 // over all nodes; 0 means no quota
 }
 
 // HouseRules is what a deployment states at the start, as far as the decisions read it.
-type HouseRules struct {
-	Grades         []Grade
-	Leagues        []League
-	Zone           ZoneID
-	Nodes          int
-	Aside          bool
-	OriginKind     int
-	MustAsk        bool // the list comes only when asked for
-	ExcessBenefit  float64
-	CrossingPrice  float64 // points off for each leg that crosses zones, as a share of a request
-	WastePrice     float64
-	MostLegs       int
-	IdleConnection time.Duration // a connection not in use closes after this
-	SecondCopies   bool
-	MayCancel      bool
-	MayProbe       bool
-	MaxComeBack    time.Duration // 0: clients are told no time
-	Round          time.Duration
-	AskWithin      time.Duration
-	ColdFrom       float64
-	ColdFor        time.Duration
-	FallMultiple   float64 // times its capacity that push a cold cache over; 0 if not stated
-	WaitingAt      int     // which report value counts those that wait for a core; -1 for none
-	InFlightAt     int     // which report value counts requests in hand; -1 for none
+type Settings struct {
+	Classes             []ServiceClass
+	Tenants             []Tenant
+	Zone                ZoneID
+	Nodes               int
+	CacheAside          bool
+	OriginKind          int
+	PollEndpoints       bool // the list comes only when asked for
+	OverQuotaWeight     float64
+	CrossZoneCost       float64 // points off for each leg that crosses zones, as a share of a request
+	WasteCost           float64
+	MaxAttempts         int
+	IdleTimeout         time.Duration // a connection not in use closes after this
+	HedgingAllowed      bool
+	CancelAllowed       bool
+	HealthChecksAllowed bool
+	MaxRetryAfter       time.Duration // 0: clients are told no time
+	TickInterval        time.Duration
+	PollInterval        time.Duration
+	SlowStartShare      float64
+	SlowStartDuration   time.Duration
+	OverloadFactor      float64 // times its capacity that push a cold cache over; 0 if not stated
+	QueueColumn         int     // which report value counts those that wait for a core; -1 for none
+	InFlightColumn      int     // which report value counts requests in hand; -1 for none
 }
 
 // ListForm says how a list is to be read.
-type ListForm int
+type UpdateKind int
 
 const (
-	Changes  ListForm = iota // only what changed
-	Whole                    // all there are
-	LastHeld                 // all that was known before a restart
-	AskFailed
+	DeltaUpdate     UpdateKind = iota // only what changed
+	CompleteUpdate                    // all there are
+	LastKnownUpdate                   // all that was known before a restart
+	PollFailed
 )
 
 // State is what the list says of a cache.
-type State int
+type Lifecycle int
 
 const (
-	Ready State = iota
+	Ready Lifecycle = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Entry is one line of the list.
-type Entry struct {
-	ID     CacheID
-	Kind   int
-	State  State
-	Born   Instant // when it last started; 0 means long ago
-	Zone   ZoneID
-	Group  GroupID
-	Weight float64
+type Endpoint struct {
+	ID        EndpointID
+	Kind      int
+	Lifecycle Lifecycle
+	StartedAt Instant // when it last started; 0 means long ago
+	Zone      ZoneID
+	Group     GroupID
+	Weight    float64
 }
 
 // Result is how a leg ended.
@@ -124,98 +124,98 @@
 const (
 	Answered Result = iota
 	Errored
-	TurnedAway
+	Rejected
 	TimedOut
-	Unconnected
-	Broken
+	ConnectFailed
+	ConnectionBroken
 	Cancelled
-	NeverSent
-	Missed
+	NotSent
+	CacheMiss
 )
 
 // NeverRan tells whether this result proves that the leg had no effect.
-func (r Result) NeverRan() bool {
-	return r == TurnedAway || r == Unconnected || r == NeverSent || r == Missed
+func (r Result) NotExecuted() bool {
+	return r == Rejected || r == ConnectFailed || r == NotSent || r == CacheMiss
 }
 
 // Leg is one sending of a request.
-type Leg struct {
-	To     CacheID
-	Sent   Instant
-	Out    bool
-	Result Result // once it is no longer out
+type Attempt struct {
+	Endpoint EndpointID
+	SentAt   Instant
+	InFlight bool
+	Result   Result // once it is no longer out
 }
 
 // Request is one in hand. The caller fills in the exported fields, appends a Leg for each sending it was
 // told to make, and closes the Leg before it tells of the outcome.
 type Request struct {
-	ID       RequestID
-	Key      string
-	Grade    GradeID
-	League   LeagueID
-	Write    bool
-	Arrived  Instant
-	Deadline Instant
-	Legs     []Leg
-	Over     bool // it has had its final answer
+	ID        RequestID
+	Key       string
+	Class     ClassID
+	Tenant    TenantID
+	Write     bool
+	ArrivedAt Instant
+	Deadline  Instant
+	Attempts  []Attempt
+	Finished  bool // it has had its final answer
 
 	memo memo
 }
 
 // Outcome is news of one leg.
 type Outcome struct {
-	Leg    int
-	Took   time.Duration
-	Report []float64 // the cache's load report, nil when none came
+	Attempt    int
+	Latency    time.Duration
+	LoadReport []float64 // the cache's load report, nil when none came
 }
 
 // Answer is what a Move says to the client.
-type Answer int
+type FinalAnswer int
 
 const (
-	Nothing Answer = iota
+	NoAnswer FinalAnswer = iota
 	Reject
 	Fail
 )
 
 // Move is what to do with one request. Several parts may be set at once.
-type Move struct {
-	To       []CacheID     // send a leg to each of these, in order
-	GiveUpAt Instant       // when these legs time out
-	Cancel   []int         // call off these legs
-	Answer   Answer        // final answer, if any
-	ComeBack time.Duration // told to the client with a rejection; 0 for none
-	AskAgain Instant       // call Where again then, unless it is over; 0 for no need
-	Wake     []RequestID   // call Where for these now
+type Decision struct {
+	SendTo          []EndpointID  // send a leg to each of these, in order
+	AttemptDeadline Instant       // when these legs time out
+	Cancel          []int         // call off these legs
+	Answer          FinalAnswer   // final answer, if any
+	RetryAfter      time.Duration // told to the client with a rejection; 0 for none
+	ReviewAt        Instant       // call Where again then, unless it is over; 0 for no need
+	Wake            []RequestID   // call Where for these now
 }
 
 // ChoreKind is a kind of upkeep.
-type ChoreKind int
+type ActionKind int
 
 const (
-	FollowList ChoreKind = iota
-	ProbeCache
+	PollEndpoints ActionKind = iota
+	CheckHealth
 )
 
 // Chore is upkeep for the caller to carry out.
-type Chore struct {
-	Kind  ChoreKind
-	Cache CacheID
+type Action struct {
+	Kind     ActionKind
+	Endpoint EndpointID
 }
 
 // Standing is how a cache stands with a node.
-type Standing int
+type EndpointState int
 
 const (
-	InUse Standing = iota
-	Warming
-	Crowded  // its queue would take half of every soft limit
-	Erring   // some grade avoids it
-	Quiet    // it says nothing, or rests after that
-	Refusing // it takes no connection, and its slot counts as dead
-	Drains   // the list says so
+	StateInUse EndpointState = iota
+	StateWarmingUp
+	StateOverloaded   // its queue would take half of every soft limit
+	StateFailing      // some grade avoids it
+	StateUnresponsive // it says nothing, or rests after that
+	StateUnreachable  // it takes no connection, and its slot counts as dead
+	StateDraining     // the list says so
 )
 
-func (s Standing) String() string {
+func (s EndpointState) String() string {
 	return [...]string{"in use", "warming", "crowded", "erring", "quiet", "refusing", "drains"}[s]
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -6,9 +6,9 @@
 )
 
 // zoned is a world of three zones of twenty caches, "here" one of them, in which a crossing costs.
-func zoned(t *testing.T) (*world, []Entry) {
+func zoned(t *testing.T) (*world, []Endpoint) {
 	rules, es := testRules(), fleet(60, true)
-	rules.Aside, rules.CrossingPrice, rules.FallMultiple = true, 0.2, 3
+	rules.CacheAside, rules.CrossZoneCost, rules.OverloadFactor = true, 0.2, 3
 	for i := range es[:60] {
 		es[i].Zone = []ZoneID{"here", "there", "far"}[i%3]
 	}
@@ -23,7 +23,7 @@
 		least, most int                  // legs of 60 that may cross
 	}{
 		"well":     {func(*world, *cache) {}, 0, 0},
-		"gone":     {func(w *world, c *cache) { w.list(Changes, Entry{ID: c.ID, State: Gone}) }, 60, 60},
+		"gone":     {func(w *world, c *cache) { w.list(DeltaUpdate, Endpoint{ID: c.ID, Lifecycle: Removed}) }, 60, 60},
 		"silent":   {func(w *world, c *cache) { c.restUntil = 1e12 }, 55, 60},
 		"full":     {func(w *world, c *cache) { c.out = 3; w.p.pace.Add(200 * ms) }, 55, 60},
 		"all full": {func(w *world, c *cache) { c.out = 3; w.p.pace.Add(200 * ms) }, 0, 0}, // none goes to the origin for that
@@ -43,11 +43,11 @@
 		for i := range 60 {
 			r := &Request{Key: anyKey(i), Deadline: Instant(800 * ms)}
 			if w.p.doors[away], w.p.spare = (door{evidence, evidence}), spareMost; name == "copy" {
-				r.Legs = []Leg{{To: es[0].ID, Out: true}}
+				r.Attempts = []Attempt{{Endpoint: es[0].ID, InFlight: true}}
 			}
-			if m := w.p.Where(1, r); len(m.To) == 1 && (w.state[m.To[0]].Zone != "here" || m.To[0] == "origin") {
+			if m := w.p.Route(1, r); len(m.SendTo) == 1 && (w.state[m.SendTo[0]].Zone != "here" || m.SendTo[0] == "origin") {
 				far++
-				w.p.caches[m.To[0]].out-- // it ends at once
+				w.p.caches[m.SendTo[0]].out-- // it ends at once
 			}
 		}
 		if far < c.least || far > c.most {
@@ -61,8 +61,8 @@
 func TestPlacementsAreMadeWhenTheSetOfCachesChanges(t *testing.T) {
 	w, es := zoned(t)
 	was, at := holdersOf(w.p, "k"), w.p.placement(home)
-	for i, e := range []Entry{{ID: es[1].ID, Zone: "there", State: Draining}, {ID: es[1].ID, Zone: "there", Born: 7}, {ID: es[1].ID, State: Gone}} {
-		if w.p.Listed(9, Changes, []Entry{e}); (w.p.placement(home) == at) != (i < 2) || w.p.placements[away] != nil {
+	for i, e := range []Endpoint{{ID: es[1].ID, Zone: "there", Lifecycle: Draining}, {ID: es[1].ID, Zone: "there", StartedAt: 7}, {ID: es[1].ID, Lifecycle: Removed}} {
+		if w.p.UpdateEndpoints(9, DeltaUpdate, []Endpoint{e}); (w.p.placement(home) == at) != (i < 2) || w.p.placements[away] != nil {
 			t.Errorf("news %d: placed anew, or over all unasked, or not", i)
 		}
 	}
