--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -61,7 +61,7 @@
 			if file != "" {
 				text, err := os.ReadFile(file)
 				if err == nil {
-					_, err = node.ParsePosting(text)
+					_, err = node.ParseConfig(text)
 				}
 				if err != nil {
 					return fmt.Errorf("not published: %w", err)
--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -50,7 +50,7 @@
 	)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "dahliapin:", err)
-		var all strictly.Faults
+		var all strictly.FieldErrors
 		if errors.As(err, &all) && checking.CalledAs() != "" { // who checks a file wants to know of all at once
 			for _, f := range all[1:] {
 				fmt.Fprintln(os.Stderr, "dahliapin:", f)
@@ -71,23 +71,23 @@
 }
 
 // posting reads a configuration, and what an operator adds to it.
-func posting(config, operator, charter string) (*node.Posting, error) {
-	p, err := node.ReadPosting(config)
+func posting(config, operator, charter string) (*node.Config, error) {
+	p, err := node.ReadConfig(config)
 	if at := os.Getenv("RELAY_OPS"); err == nil && at != "" {
-		err = p.OpsAt(at)
+		err = p.SetAdminAddr(at)
 	}
 	if err == nil && operator != "" {
-		err = p.Open(operator)
+		err = p.LoadListenersFile(operator)
 	}
 	if err == nil && charter != "" {
-		err = p.Join(charter)
+		err = p.LoadFleetFile(charter)
 	}
 	return p, err
 }
 
 // reload reads the configuration again; one that can't be used changes nothing.
 func reload(n *node.Node, config string) {
-	p, err := node.ReadPosting(config)
+	p, err := node.ReadConfig(config)
 	if err != nil {
 		logrus.WithError(err).Error("configuration not taken, the last one stays")
 		return
@@ -96,13 +96,13 @@
 }
 
 // keepRecords adds records to a file, a line each, with their time as Unix nanoseconds.
-func keepRecords(p *node.Posting, path string) error {
+func keepRecords(p *node.Config, path string) error {
 	f, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("records cannot be kept: %w", err)
 	}
 	failed := false
-	p.Records = func(e node.Entry, at time.Time) {
+	p.OnEvent = func(e node.Event, at time.Time) {
 		e.At = policy.Instant(at.UnixNano())
 		line, err := json.Marshal(e)
 		if err == nil {
@@ -132,7 +132,7 @@
 			os.Exit(0)
 		case n := <-made:
 			<-ends
-			n.End()
+			n.Shutdown()
 		}
 	}()
 	p, err := posting(config, operator, charter)
@@ -152,9 +152,9 @@
 		if err != nil {
 			return fmt.Errorf("the trace cannot be kept: %w", err)
 		}
-		p.Trace = func(line []byte) { _, _ = f.Write(line) }
+		p.OnTrace = func(line []byte) { _, _ = f.Write(line) }
 	}
-	node.Fit(p)
+	node.ApplyLimits(p)
 	n, err := node.New(p, logrus.StandardLogger())
 	if err != nil {
 		return err
@@ -164,15 +164,15 @@
 		for s := range calls {
 			switch s {
 			case syscall.SIGUSR1:
-				n.LogCounts()
+				n.LogCounters()
 			case syscall.SIGUSR2:
-				n.Hang()
+				n.BlockLoop()
 			case syscall.SIGHUP:
 				reload(n, config)
 			}
 		}
 	}()
 	n.Serve()
-	n.LogCounts()
-	return n.Fault()
+	n.LogCounters()
+	return n.Err()
 }
--- a/cmd/dahliapin/migrate.go
+++ b/cmd/dahliapin/migrate.go
@@ -48,7 +48,7 @@
 	for _, r := range remarks {
 		fmt.Fprintln(out, r)
 	}
-	if _, err := node.ParsePosting(text); err != nil {
+	if _, err := node.ParseConfig(text); err != nil {
 		fmt.Fprintln(out, "not usable as it is:", err)
 	}
 	if dry {
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -90,7 +90,7 @@
 		t.Errorf("%v: %.200s", err, text)
 	}
 	lines, _ := os.ReadFile(dir + "/records.jsonl")
-	if !strings.Contains(string(lines), `"node":"n2","server":"c2","what":"`+records.Avoided) {
+	if !strings.Contains(string(lines), `"node":"n2","server":"c2","what":"`+records.EndpointAvoided) {
 		t.Errorf("no record of a process: %s", lines)
 	}
 	out, code, left = program(t, func(p *os.Process) {
--- a/internal/baselines/baselines.go
+++ b/internal/baselines/baselines.go
@@ -93,7 +93,7 @@
 	slices.SortFunc(p.ready, func(a, b *cache) int { return cmp.Compare(a.ID, b.ID) })
 	for _, c := range p.ready {
 		for n := range points {
-			p.ring = append(p.ring, point{keyhash.Salted(keyhash.Text(string(c.ID)), n), c})
+			p.ring = append(p.ring, point{keyhash.Salted(keyhash.String(string(c.ID)), n), c})
 		}
 	}
 	slices.SortFunc(p.ring, func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.c.ID, b.c.ID)) })
@@ -111,7 +111,7 @@
 
 // on lists a key's holders on the ring: the next three caches to the right.
 func (p *plain) on(key string) (hs []*cache) {
-	h := keyhash.Text(key)
+	h := keyhash.String(key)
 	from, _ := slices.BinarySearchFunc(p.ring, h, func(q point, h uint64) int { return cmp.Compare(q.at, h) })
 	for i := 0; i < len(p.ring) && len(hs) < holders; i++ {
 		if c := p.ring[(from+i)%len(p.ring)].c; !slices.Contains(hs, c) {
@@ -127,7 +127,7 @@
 	if len(hs) == 0 {
 		return ""
 	}
-	return hs[int(p.chance.Next()*float64(len(hs)))].ID
+	return hs[int(p.chance.Float64()*float64(len(hs)))].ID
 }
 
 // leastOfThree is the holder with the fewest own legs out, the first on the ring among equals.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -33,25 +33,25 @@
 type Failure int
 
 const (
-	Lost       Failure = iota // no connection, no answer in time, or a connection that broke
-	Refused                   // discovery says that it has too much to do
-	Unreadable                // an answer that cannot be taken as it stands: our version may not be known there
+	ConnectionLost Failure = iota // no connection, no answer in time, or a connection that broke
+	Refused                       // discovery says that it has too much to do
+	Unreadable                    // an answer that cannot be taken as it stands: our version may not be known there
 )
 
 func (f Failure) String() string { return [...]string{"lost", "refused", "unreadable"}[f] }
 
 // Call is what to ask: the whole list, or what is newer than a version, for which the answer may wait.
-type Call struct {
-	Whole  bool
-	Since  int
-	Wait   time.Duration
-	Within time.Duration // after which the call is given up
+type Poll struct {
+	Complete     bool
+	SinceVersion int
+	LongPoll     time.Duration
+	Timeout      time.Duration // after which the call is given up
 }
 
 // Caller makes one node's calls, one at a time. Whatever has failed before, news is asked for so soon that what runs still takes
 // 4.75 s at most: a rest of 3 s, a call that is given up after 1.5 s and a rest of 0.25 s, or a watch that has fallen silent, given up
 // after 4.5 s, and a rest of 0.05 s. The answer to the next call comes on top of that.
-type Caller struct {
+type Poller struct {
 	nodes  int // that call as this one does
 	since  int
 	fails  int  // in a row
@@ -62,53 +62,53 @@
 }
 
 // New makes the caller of one of so many nodes. It holds no list.
-func New(nodes int) Caller { return Caller{nodes: nodes, since: unknown} }
+func New(nodes int) Poller { return Poller{nodes: nodes, since: unknown} }
 
 // Hold tells that a last list of a version is held: what is new since is less than the whole.
-func (c *Caller) Hold(version int) { c.since = version }
+func (c *Poller) SetVersion(version int) { c.since = version }
 
 // Moved tells that another address is called from now on, whose versions are its own.
-func (c *Caller) Moved() { *c = New(c.nodes) }
+func (c *Poller) OnAddressChange() { *c = New(c.nodes) }
 
 // asksWhole tells whether the next call, or the one that is out, asks for the whole list.
-func (c *Caller) asksWhole() bool { return c.since == unknown || c.doubts }
+func (c *Poller) asksWhole() bool { return c.since == unknown || c.doubts }
 
 // Next is the call to make now. One that is slow has much to do, and who stops waiting and asks again makes it do the same once more: so
 // the whole list may take longer where many ask for it, and any call once another was given up. After a call that was lost it asks for
 // what is new at once: a second watch that falls silent would be known as late again, and the news that the first has missed with it. For
 // the same reason a watch after a refusal is a short one.
-func (c *Caller) Next() Call {
+func (c *Poller) NextPoll() Poll {
 	within := promptWithin
 	if c.late {
 		within = slowWithin
 	}
 	switch {
 	case c.asksWhole() && c.fails == 0:
-		return Call{Whole: true, Within: min(within, wholeWithin+time.Duration(c.nodes)*wholeEach)}
+		return Poll{Complete: true, Timeout: min(within, wholeWithin+time.Duration(c.nodes)*wholeEach)}
 	case c.asksWhole():
-		return Call{Whole: true, Within: within}
+		return Poll{Complete: true, Timeout: within}
 	case c.lost:
-		return Call{Since: c.since, Wait: atOnce, Within: within}
+		return Poll{SinceVersion: c.since, LongPoll: atOnce, Timeout: within}
 	case c.fails > 0:
-		return Call{Since: c.since, Wait: promptWithin - watchSlack, Within: promptWithin}
+		return Poll{SinceVersion: c.since, LongPoll: promptWithin - watchSlack, Timeout: promptWithin}
 	}
-	return Call{Since: c.since, Wait: watchFor, Within: watchFor + watchSlack}
+	return Poll{SinceVersion: c.since, LongPoll: watchFor, Timeout: watchFor + watchSlack}
 }
 
 // Takes tells whether an answer can be taken as it stands. Changes up to an older version than is held are of a past that is over: a cache
 // that drains would be in service again.
-func (c *Caller) Takes(version int, whole bool) bool {
+func (c *Poller) Accepts(version int, whole bool) bool {
 	return whole || c.asksWhole() || version >= c.since
 }
 
 // Heard takes the version of an answer that can be read, and whether that says it is the whole list. It tells how the
 // entries are to be taken, and whether calls had failed until now.
-func (c *Caller) Heard(version int, whole bool) (form policy.UpdateKind, again bool) {
+func (c *Poller) OnUpdate(version int, whole bool) (form policy.UpdateKind, again bool) {
 	if form = policy.DeltaUpdate; whole || c.asksWhole() {
 		form = policy.CompleteUpdate
 	}
 	again = c.fails > 0
-	*c = Caller{nodes: c.nodes, since: version}
+	*c = Poller{nodes: c.nodes, since: version}
 	return form, again
 }
 
@@ -118,10 +118,10 @@
 // the number of nodes that says how long. Once a span is long, their first shares have spread the nodes over it, and each rests most of
 // it from then on. It guards against a discovery that has too much to do and is kept there by all nodes, each of them asking again as
 // often as if it were alone.
-func (c *Caller) Failed(how Failure, took time.Duration, chance float64) (rest time.Duration, first bool) {
-	c.late = how == Lost && took >= c.Next().Within
+func (c *Poller) OnFailure(how Failure, took time.Duration, chance float64) (rest time.Duration, first bool) {
+	c.late = how == ConnectionLost && took >= c.NextPoll().Timeout
 	c.fails++
-	if c.lost = how == Lost; !c.lost { // one that was lost says nothing of the version
+	if c.lost = how == ConnectionLost; !c.lost { // one that was lost says nothing of the version
 		c.doubts = how == Unreadable && !c.asksWhole()
 	}
 	span, most := againWithin<<min(c.fails-1, 10), refusedMost
@@ -133,7 +133,7 @@
 		span = max(span, time.Duration(c.nodes)*lostEach)
 	}
 	switch {
-	case how == Lost:
+	case how == ConnectionLost:
 		most = lostMost
 	case c.doubts:
 		most = doubtMost
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,7 +17,7 @@
 		for n := range nodes {
 			c, chance := New(nodes), keyhash.Source{Seed: uint32(n)}
 			for at := time.Duration(0); ; {
-				rest, _ := c.Failed(Refused, 0, chance.Next())
+				rest, _ := c.OnFailure(Refused, 0, chance.Float64())
 				if rest > refusedMost {
 					t.Fatalf("rests %v", rest)
 				}
@@ -32,7 +32,7 @@
 		}
 	}
 	c := New(80)
-	if rest, _ := c.Failed(Lost, 0, 0.99); rest > 150*time.Millisecond {
+	if rest, _ := c.OnFailure(ConnectionLost, 0, 0.99); rest > 150*time.Millisecond {
 		t.Errorf("a watch that broke is renewed after %v: over the 200 ms in which it goes on", rest)
 	}
 }
@@ -40,20 +40,20 @@
 // An answer that cannot be read made each call one for the same news again; a failure that has passed must leave no pause.
 func TestAfterAFailureTheWholeListOrTheSameNewsIsAskedFor(t *testing.T) {
 	c := New(80)
-	c.Hold(7)
-	for i, how := range []Failure{Lost, Refused, Unreadable} {
-		_, first := c.Failed(how, 0, 0.5)
-		if next := c.Next(); first != (i == 0) || next.Whole != (how == Unreadable) || !next.Whole && next.Since != 7 {
+	c.SetVersion(7)
+	for i, how := range []Failure{ConnectionLost, Refused, Unreadable} {
+		_, first := c.OnFailure(how, 0, 0.5)
+		if next := c.NextPoll(); first != (i == 0) || next.Complete != (how == Unreadable) || !next.Complete && next.SinceVersion != 7 {
 			t.Errorf("after one that was %v, first %v: %+v", how, first, next)
 		}
 	}
 	for range 20 { // a discovery that was down for some seconds was asked again only half a minute later
-		if rest, _ := c.Failed(Lost, 0, 1); rest > lostMost {
+		if rest, _ := c.OnFailure(ConnectionLost, 0, 1); rest > lostMost {
 			t.Errorf("after a call that was lost it rests %v", rest)
 		}
 	}
-	form, again := c.Heard(9, false)
-	if rest, first := c.Failed(Lost, 0, 1); form != policy.CompleteUpdate || !again || !first || rest > againWithin || c.Next().Since != 9 {
-		t.Errorf("took the whole list as %v (%v), then rests %v (%v), then %+v", form, again, rest, first, c.Next())
+	form, again := c.OnUpdate(9, false)
+	if rest, first := c.OnFailure(ConnectionLost, 0, 1); form != policy.CompleteUpdate || !again || !first || rest > againWithin || c.NextPoll().SinceVersion != 9 {
+		t.Errorf("took the whole list as %v (%v), then rests %v (%v), then %+v", form, again, rest, first, c.NextPoll())
 	}
 }
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/news_test.go
@@ -68,11 +68,11 @@
 
 // asker is one node.
 type asker struct {
-	Caller
+	Poller
 	chance keyhash.Source
 	call   int // counts calls and rests, so that what comes late knows that it does
 	began  time.Duration
-	asks   Call
+	asks   Poll
 	waits  bool          // a watch of it is held
 	rests  bool          // no call is out
 	told   time.Duration // when the news came; 0 for not yet
@@ -99,8 +99,8 @@
 func newTrial(nodes, seed int, phases []phase, news time.Duration) *trial {
 	t := &trial{phases: phases, news: news, old: 41, new: 42, takes: lateBy}
 	for n := range nodes {
-		a := &asker{Caller: New(nodes), chance: keyhash.Source{Seed: uint32(seed*1000 + n)}}
-		a.Hold(t.old)
+		a := &asker{Poller: New(nodes), chance: keyhash.Source{Seed: uint32(seed*1000 + n)}}
+		a.SetVersion(t.old)
 		t.nodes = append(t.nodes, a)
 	}
 	for _, p := range phases {
@@ -120,7 +120,7 @@
 	for _, a := range t.nodes {
 		at := time.Duration(0)
 		if !started {
-			at = time.Duration(a.chance.Next() * float64(watchFor))
+			at = time.Duration(a.chance.Float64() * float64(watchFor))
 		}
 		t.after(at, func() { t.ask(a) })
 	}
@@ -157,12 +157,12 @@
 			}
 		}
 	}
-	a.began, a.asks, a.waits, a.rests = t.now, a.Next(), false, false
+	a.began, a.asks, a.waits, a.rests = t.now, a.NextPoll(), false, false
 	for len(t.perSecond) <= int(t.now/time.Second) {
 		t.perSecond = append(t.perSecond, 0)
 	}
 	t.perSecond[t.now/time.Second]++
-	t.after(a.asks.Within, current(func() { t.fail(a, Lost) }))
+	t.after(a.asks.Timeout, current(func() { t.fail(a, ConnectionLost) }))
 	t.after(way, current(func() {
 		m := t.manner()
 		if a.drops && m <= late {
@@ -179,7 +179,7 @@
 				factor = 20
 			}
 			t.price.Slow(factor)
-			at, taken := t.price.Call(policy.Instant(t.now), a.asks.Whole)
+			at, taken := t.price.Call(policy.Instant(t.now), a.asks.Complete)
 			if !taken {
 				t.refused, t.refusedAt = t.refused+1, t.now
 				t.meets(a, refuses, current)
@@ -196,8 +196,8 @@
 				t.meets(a, m, current)
 				return
 			}
-			if a.waits = !a.asks.Whole && a.asks.Since == t.version(); a.waits {
-				t.after(a.asks.Wait, current(func() { t.answer(a) }))
+			if a.waits = !a.asks.Complete && a.asks.SinceVersion == t.version(); a.waits {
+				t.after(a.asks.LongPoll, current(func() { t.answer(a) }))
 				return
 			}
 			t.answer(a)
@@ -208,7 +208,7 @@
 // meets has a call end as discovery ends it.
 func (t *trial) meets(a *asker, m manner, current func(func()) func()) {
 	a.waits = false
-	if how, ends := map[manner]Failure{refuses: Refused, resets: Lost, halves: Unreadable}[m]; ends {
+	if how, ends := map[manner]Failure{refuses: Refused, resets: ConnectionLost, halves: Unreadable}[m]; ends {
 		t.after(way, current(func() { t.fail(a, how) }))
 	}
 }
@@ -230,9 +230,9 @@
 		switch {
 		case m > late:
 			a.call, call = a.call+1, a.call+1 // not answered at its wait's end, but given up all the same
-			t.after(a.began+a.asks.Within-t.now, current(func() { t.fail(a, Lost) }))
+			t.after(a.began+a.asks.Timeout-t.now, current(func() { t.fail(a, ConnectionLost) }))
 			t.meets(a, m, current)
-		case t.version() != a.asks.Since:
+		case t.version() != a.asks.SinceVersion:
 			t.answer(a)
 		}
 	}
@@ -240,16 +240,16 @@
 
 func (t *trial) answer(a *asker) {
 	a.waits = false
-	call, version, whole := a.call, t.version(), a.asks.Whole
+	call, version, whole := a.call, t.version(), a.asks.Complete
 	t.after(way, func() {
 		if a.call != call {
 			return
 		}
-		if !a.Takes(version, false) {
+		if !a.Accepts(version, false) {
 			t.fail(a, Unreadable)
 			return
 		}
-		form, _ := a.Heard(version, false)
+		form, _ := a.OnUpdate(version, false)
 		if whole != (form == policy.CompleteUpdate) {
 			panic("a whole list is taken as changes, or the other way round")
 		}
@@ -264,7 +264,7 @@
 	a.call++
 	call := a.call
 	a.rests = true
-	rest, _ := a.Failed(how, t.now-a.began, a.chance.Next())
+	rest, _ := a.OnFailure(how, t.now-a.began, a.chance.Float64())
 	t.after(rest, func() {
 		if a.call == call {
 			t.ask(a)
@@ -274,7 +274,7 @@
 
 // moves has a node call another address, as SIGHUP does.
 func (t *trial) moves(a *asker) {
-	a.Moved()
+	a.OnAddressChange()
 	t.ask(a)
 }
 
@@ -315,7 +315,7 @@
 func (o *outage) meet(order []manner, nodes, seed int) (last time.Duration, inMoment int) {
 	draw, at := keyhash.Source{Seed: uint32(seed)}, time.Duration(0)
 	if !o.starts {
-		at = watchFor + time.Duration(draw.Next()*float64(watchFor))
+		at = watchFor + time.Duration(draw.Float64()*float64(watchFor))
 	}
 	phases := []phase{{well, 0}}
 	for _, m := range order {
@@ -323,12 +323,12 @@
 			m = silent
 		}
 		phases = append(phases, phase{m, at})
-		at += 20*time.Millisecond + time.Duration(draw.Next()*draw.Next()*float64(12*time.Second))
+		at += 20*time.Millisecond + time.Duration(draw.Float64()*draw.Float64()*float64(12*time.Second))
 	}
 	phases = append(phases, phase{o.ends, at})
 	forGood := at
 	if o.moment > 0 {
-		forGood += o.moment + time.Duration((1+4*draw.Next())*float64(time.Second))
+		forGood += o.moment + time.Duration((1+4*draw.Float64())*float64(time.Second))
 		phases = append(phases, phase{order[len(order)-1], at + o.moment}, phase{o.ends, forGood})
 	}
 	r := newTrial(nodes, seed, phases, at)
@@ -340,13 +340,13 @@
 	}
 	for _, a := range r.nodes {
 		if !o.holds {
-			a.Caller = New(nodes)
+			a.Poller = New(nodes)
 		}
 		if o.drops {
 			r.after(at, func() { a.drops = a.rests })
 		}
 		if o.moves {
-			r.after(time.Duration(draw.Next()*float64(at)), func() { r.moves(a) })
+			r.after(time.Duration(draw.Float64()*float64(at)), func() { r.moves(a) })
 		}
 	}
 	r.play(forGood+2*slowBound, o.starts)
--- a/internal/emulator/between/between.go
+++ b/internal/emulator/between/between.go
@@ -55,17 +55,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.ways[pair{from, to}]
-	if w.Cut || w.Loss > 0 && f.chance.Next() < w.Loss {
+	if w.Cut || w.Loss > 0 && f.chance.Float64() < w.Loss {
 		return nil
 	}
 	copies := 1
-	if w.Twice > 0 && f.chance.Next() < w.Twice {
+	if w.Twice > 0 && f.chance.Float64() < w.Twice {
 		copies = 2
 	}
 	for range copies {
 		d := w.Delay
 		if w.Late > 0 {
-			d += time.Duration(f.chance.Next() * float64(w.Late))
+			d += time.Duration(f.chance.Float64() * float64(w.Late))
 		}
 		late = append(late, d)
 	}
@@ -83,12 +83,12 @@
 	}
 	late = w.Delay
 	again := streamAgain
-	for n := 0; n < mostAgain && w.Loss > 0 && f.chance.Next() < w.Loss; n++ {
+	for n := 0; n < mostAgain && w.Loss > 0 && f.chance.Float64() < w.Loss; n++ {
 		late += again
 		again *= 2
 	}
 	if w.Late > 0 {
-		late += time.Duration(f.chance.Next() * float64(w.Late))
+		late += time.Duration(f.chance.Float64() * float64(w.Late))
 	}
 	return late, false
 }
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -116,7 +116,7 @@
 // Sent tells that a client has handed a request to a node; repeats are tries of their own.
 func (j *Judge) Sent(now policy.Instant, id string, node, grade int, label string, stop policy.Instant, first bool) {
 	j.hand[id] = &taken{node: node, grade: grade, label: label, sent: now, stop: stop}
-	j.due.Put(stop.Add(j.answerSlack()), id)
+	j.due.Push(stop.Add(j.answerSlack()), id)
 	j.Grades[grade].Asked++
 	if first {
 		j.Grades[grade].First++
@@ -288,7 +288,7 @@
 // Advance looks at what is due: requests without an answer at their deadline.
 func (j *Judge) Advance(now policy.Instant) {
 	for {
-		id, ok := j.due.Due(now)
+		id, ok := j.due.PopDue(now)
 		if !ok {
 			break
 		}
@@ -300,10 +300,10 @@
 			j.breach(1, now, id, t.node, "", "no final answer by its deadline")
 			t.answered, t.lost = now, true
 		}
-		j.forget.Put(t.stop.Add(keepFor), id)
+		j.forget.Push(t.stop.Add(keepFor), id)
 	}
 	for {
-		id, ok := j.forget.Due(now)
+		id, ok := j.forget.PopDue(now)
 		if !ok {
 			return
 		}
--- a/internal/emulator/onwire/embedded_test.go
+++ b/internal/emulator/onwire/embedded_test.go
@@ -18,18 +18,18 @@
 
 // Start starts one.
 func (Embedded) Start(o Order) (Process, error) {
-	p, err := node.ParsePosting(o.Configuration)
+	p, err := node.ParseConfig(o.Configuration)
 	if err == nil && o.Operator != nil {
-		err = p.OpenText("operator", o.Operator)
+		err = p.ParseListeners("operator", o.Operator)
 	}
 	if err == nil && o.Charter != nil {
-		p.Trace = o.Trace
-		err = p.JoinText("charter", o.Charter)
+		p.OnTrace = o.Trace
+		err = p.ParseFleet("charter", o.Charter)
 	}
 	if err != nil {
 		return nil, err
 	}
-	p.Records = o.Note
+	p.OnEvent = o.Note
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n, err := node.New(p, quiet)
@@ -44,7 +44,7 @@
 	return e, nil
 }
 
-func (e *embedded) End()                  { e.n.End() }
-func (e *embedded) Kill()                 { e.n.End() }
+func (e *embedded) End()                  { e.n.Shutdown() }
+func (e *embedded) Kill()                 { e.n.Shutdown() }
 func (e *embedded) Done() <-chan struct{} { return e.done }
 func (e *embedded) Ended() string         { return "" }
--- a/internal/emulator/onwire/member.go
+++ b/internal/emulator/onwire/member.go
@@ -70,7 +70,7 @@
 	}
 	number := m.number
 	p, err := m.r.runner.Start(Order{Name: m.name, Configuration: configuration, Operator: m.r.script.Operator(m.http), Charter: m.r.charter(number),
-		Note: func(e records.Entry, at time.Time) { m.r.note(number, e, at) }, Trace: m.r.traced})
+		Note: func(e records.Event, at time.Time) { m.r.note(number, e, at) }, Trace: m.r.traced})
 	if err != nil {
 		return fmt.Errorf("node %s does not start: %w", m.name, err)
 	}
--- a/internal/emulator/onwire/rig.go
+++ b/internal/emulator/onwire/rig.go
@@ -49,7 +49,7 @@
 	Configuration []byte
 	Operator      []byte                         // nil for none
 	Charter       []byte                         // by which it joins other nodes; nil for none
-	Note          func(records.Entry, time.Time) // told its records, in the time of their making
+	Note          func(records.Event, time.Time) // told its records, in the time of their making
 	Trace         func([]byte)                   // told a line of its trace
 }
 
@@ -86,7 +86,7 @@
 	judge    *judge.Judge
 	log      *outcome.Log
 	course   *course.Course
-	fleet    *records.Book
+	fleet    *records.Recorder
 	queue    deadlines.Queue[func()]
 	wake     chan struct{}
 	chance   keyhash.Source
@@ -202,7 +202,7 @@
 		}
 		now := r.now()
 		for {
-			do, ok := r.queue.Due(now)
+			do, ok := r.queue.PopDue(now)
 			if !ok {
 				break
 			}
@@ -236,7 +236,7 @@
 
 // At hangs something in; it is done under the lock.
 func (r *Rig) At(at policy.Instant, do func()) {
-	r.queue.Put(at, do)
+	r.queue.Push(at, do)
 	r.poke()
 }
 
@@ -327,7 +327,7 @@
 		}
 		return
 	}
-	m := up[int(r.chance.Next()*float64(len(up)))]
+	m := up[int(r.chance.Float64()*float64(len(up)))]
 	now, life := r.now(), m.lives
 	m.figures.open++
 	m.asks[req.ID] = true
@@ -441,7 +441,7 @@
 	}
 	for _, m := range r.nodes {
 		span := r.script.Discovery.NoticeS
-		late := script.Span(span[0] + (span[1]-span[0])*r.chance.Next())
+		late := script.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
 		r.At(r.now().Add(late), func() { m.agent.hear(e) })
 	}
 	if r.fleet != nil {
@@ -452,7 +452,7 @@
 }
 
 // note hears a node's record. The fleet as a whole avoids what most of its nodes avoid.
-func (r *Rig) note(number int, e records.Entry, at time.Time) {
+func (r *Rig) note(number int, e records.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.fleet == nil || r.stopped {
@@ -460,20 +460,20 @@
 	}
 	e.At = r.at(at)
 	r.log.Note(e)
-	s, known := standings[e.Why]
-	if !known || e.What != records.Avoided && e.What != records.Back {
+	s, known := standings[e.Reason]
+	if !known || e.Kind != records.EndpointAvoided && e.Kind != records.EndpointRestored {
 		return
 	}
 	if r.avoids[e.Server] == nil {
 		r.avoids[e.Server] = map[int]bool{}
 	}
-	if e.What == records.Back {
+	if e.Kind == records.EndpointRestored {
 		delete(r.avoids[e.Server], number)
 		s = policy.StateInUse
 	} else {
 		r.avoids[e.Server][number] = true
 	}
-	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.What == records.Back {
+	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.Kind == records.EndpointRestored {
 		r.fleet.EndpointStateChanged(e.At, e.Server, s)
 	}
 }
--- a/internal/emulator/onwire/runner.go
+++ b/internal/emulator/onwire/runner.go
@@ -92,7 +92,7 @@
 	go func() {
 		defer from.Close()
 		for lines := bufio.NewScanner(from); lines.Scan(); {
-			var e records.Entry
+			var e records.Event
 			if json.Unmarshal(lines.Bytes(), &e) == nil {
 				o.Note(e, time.Unix(0, int64(e.At)))
 			}
--- a/internal/emulator/onwire/together.go
+++ b/internal/emulator/onwire/together.go
@@ -148,7 +148,7 @@
 	all := slices.Clone(m.r.hears)
 	all[m.number] = hears
 	return m.r.runner.Start(Order{Name: m.name + "-twin", Configuration: configuration, Charter: m.r.script.Charter(m.number, m.r.label(), all, nil),
-		Note: func(records.Entry, time.Time) {}, Trace: func([]byte) {}})
+		Note: func(records.Event, time.Time) {}, Trace: func([]byte) {}})
 }
 
 // Between changes what goes wrong between two nodes, one way.
--- a/internal/emulator/outcome/outcome.go
+++ b/internal/emulator/outcome/outcome.go
@@ -70,7 +70,7 @@
 	began   policy.Instant
 	Seconds []Second
 	Legs    map[policy.EndpointID]uint64
-	Records []records.Entry
+	Records []records.Event
 	Dropped int // records beyond what is kept
 	Events  []Said
 	Late    int // arrivals that were played late
@@ -129,7 +129,7 @@
 }
 
 // Note keeps a record.
-func (l *Log) Note(e records.Entry) {
+func (l *Log) Note(e records.Event) {
 	if e.At -= l.began; len(l.Records) >= mostRecords {
 		l.Dropped++
 		return
@@ -191,7 +191,7 @@
 	Busy     string          `json:"machine_too_busy,omitempty"`
 	Course   []Second        `json:"course"`
 	Events   []Said          `json:"events"`
-	Records  []records.Entry `json:"-"`
+	Records  []records.Event `json:"-"`
 	Dropped  int             `json:"records_dropped,omitempty"`
 	Together *Fleet          `json:"together,omitempty"`
 }
@@ -294,11 +294,11 @@
 		}
 	}
 	for _, a := range s.Expect.Avoided {
-		at := r.FirstOf(policy.EndpointID(a.Server), records.Avoided)
+		at := r.FirstOf(policy.EndpointID(a.Server), records.EndpointAvoided)
 		r.want(at >= 0 && at <= a.ByS, fmt.Sprintf("%.1f s", at), "%s is avoided by %g s", a.Server, a.ByS)
 	}
 	for _, id := range s.Expect.Drained {
-		at := r.FirstOf(policy.EndpointID(id), records.Drained)
+		at := r.FirstOf(policy.EndpointID(id), records.EndpointDrained)
 		r.want(at >= 0, fmt.Sprintf("%.1f s", at), "%s is drained", id)
 	}
 	if most := s.Expect.OriginMost; most > 0 {
@@ -330,7 +330,7 @@
 // FirstOf tells when the whole fleet's records first say something of a server, in seconds; -1 for never.
 func (r *Report) FirstOf(id policy.EndpointID, what string) float64 {
 	for _, e := range r.Records {
-		if e.Server == id && e.What == what && e.Node == FleetsBook {
+		if e.Server == id && e.Kind == what && e.Node == FleetsBook {
 			return time.Duration(e.At).Seconds()
 		}
 	}
@@ -368,7 +368,7 @@
 		fmt.Fprintf(to, "%8.3f s  script: %s\n", time.Duration(e.At).Seconds(), e.What)
 	}
 	for _, e := range r.Records {
-		if e.Node == FleetsBook && e.What != records.Listed || e.What == records.Level {
+		if e.Node == FleetsBook && e.Kind != records.EndpointListed || e.Kind == records.LevelChanged {
 			fmt.Fprintln(to, e)
 		}
 	}
--- a/internal/emulator/script/nemesis.go
+++ b/internal/emulator/script/nemesis.go
@@ -26,7 +26,7 @@
 	s.Grades = []Grade{{Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all"}}
 	s.Together = &Together{}
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x0e5e}
-	upTo := func(most float64) float64 { return math.Round(chance.Next()*most*10) / 10 }
+	upTo := func(most float64) float64 { return math.Round(chance.Float64()*most*10) / 10 }
 	free := make([]float64, nodes) // from when a node may be in trouble again
 	end := s.Seconds - quietLast
 	for at := formsIn; ; at += 1 + upTo(5) {
@@ -38,7 +38,7 @@
 			}
 		}
 		e := Event{AtS: at, ForS: math.Round(long*10) / 10}
-		n := int(chance.Next() * float64(nodes))
+		n := int(chance.Float64() * float64(nodes))
 		busy := 0
 		for _, f := range free {
 			if f > at {
@@ -46,19 +46,19 @@
 			}
 		}
 		one := free[n] <= at && (busy+1)*troubled <= nodes
-		switch kind := int(chance.Next() * 10); {
+		switch kind := int(chance.Float64() * 10); {
 		case kind == 0:
 			e.Do, e.Share = loss, 0.05+upTo(roughness-0.05)
 		case kind == 1:
 			e.Do, e.Share = twice, 0.3
 		case kind == 2:
-			e.Do, e.LateMs = late, 20+math.Round(chance.Next()*280)
+			e.Do, e.LateMs = late, 20+math.Round(chance.Float64()*280)
 		case kind == 3: // a pair that does not hear each other is nobody's end
-			m := int(chance.Next() * float64(nodes))
+			m := int(chance.Float64() * float64(nodes))
 			if m == n || !one {
 				continue
 			}
-			e.Do, e.From, e.To, e.Both = cut, []int{n + 1}, []int{m + 1}, chance.Next() < 0.5
+			e.Do, e.From, e.To, e.Both = cut, []int{n + 1}, []int{m + 1}, chance.Float64() < 0.5
 		case !one:
 			continue
 		case kind == 4:
--- a/internal/emulator/script/script.go
+++ b/internal/emulator/script/script.go
@@ -315,71 +315,71 @@
 }
 
 func (s *Script) check(c *strictly.Checker) {
-	c.Within(s.Seconds, 1, mostSeconds, "seconds")
+	c.InRange(s.Seconds, 1, mostSeconds, "seconds")
 	f := &s.Fleet
-	c.Within(float64(f.Nodes), 1, mostNodes, "fleet.nodes")
-	c.Within(float64(f.Stated), 0, mostNodes, "fleet.stated")
-	c.Within(float64(f.Caches), 1, mostCaches, "fleet.caches")
-	c.Within(float64(f.Cores), 1, 1024, "fleet.cores")
-	c.Within(float64(f.Queue), 0, 1e6, "fleet.queue")
-	c.Within(float64(f.Keys), 1, mostKeys, "fleet.keys")
-	c.Within(float64(f.Group), 1, mostCaches, "fleet.group")
-	c.Within(float64(f.Connections), 1, 1e6, "fleet.connections")
-	c.Within(f.Speed[0], 0.001, 1000, "fleet.speed")
-	c.Within(f.Speed[1], f.Speed[0], 1000, "fleet.speed")
-	c.Within(f.ColdFrom, 0.01, 1, "fleet.cold_from")
-	c.Within(f.ColdS, 0, mostSeconds, "fleet.cold_s")
-	c.Within(f.FallMultiple, 0, 1e6, "fleet.fall_multiple")
-	c.Want(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s", "a multiple that fells a cache needs a time over which it counts")
-	c.Within(f.FallS, 0, mostSeconds, "fleet.fall_s")
-	c.Within(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
-	c.Within(f.IdleS, 0.1, mostSeconds, "fleet.idle_s")
-	c.Want(f.Protocol == fronts.Meta || f.Protocol == fronts.HTTP, "fleet.protocol", "%q is neither %s nor %s", f.Protocol, fronts.Meta, fronts.HTTP)
-	c.Want(f.Protocol != fronts.HTTP || s.Traffic.Protocol == fronts.HTTP && !f.Reports, "fleet.protocol", "caches speak http only where clients do, and tell no load")
-	c.Want(s.Traffic.Protocol == fronts.Meta || s.Traffic.Protocol == fronts.HTTP, "traffic.protocol", "%q is neither %s nor %s", s.Traffic.Protocol, fronts.Meta, fronts.HTTP)
-	c.Want(len(f.Zones) > 0, "fleet.zones", "names no zone")
+	c.InRange(float64(f.Nodes), 1, mostNodes, "fleet.nodes")
+	c.InRange(float64(f.Stated), 0, mostNodes, "fleet.stated")
+	c.InRange(float64(f.Caches), 1, mostCaches, "fleet.caches")
+	c.InRange(float64(f.Cores), 1, 1024, "fleet.cores")
+	c.InRange(float64(f.Queue), 0, 1e6, "fleet.queue")
+	c.InRange(float64(f.Keys), 1, mostKeys, "fleet.keys")
+	c.InRange(float64(f.Group), 1, mostCaches, "fleet.group")
+	c.InRange(float64(f.Connections), 1, 1e6, "fleet.connections")
+	c.InRange(f.Speed[0], 0.001, 1000, "fleet.speed")
+	c.InRange(f.Speed[1], f.Speed[0], 1000, "fleet.speed")
+	c.InRange(f.ColdFrom, 0.01, 1, "fleet.cold_from")
+	c.InRange(f.ColdS, 0, mostSeconds, "fleet.cold_s")
+	c.InRange(f.FallMultiple, 0, 1e6, "fleet.fall_multiple")
+	c.Require(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s", "a multiple that fells a cache needs a time over which it counts")
+	c.InRange(f.FallS, 0, mostSeconds, "fleet.fall_s")
+	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
+	c.InRange(f.IdleS, 0.1, mostSeconds, "fleet.idle_s")
+	c.Require(f.Protocol == fronts.Meta || f.Protocol == fronts.HTTP, "fleet.protocol", "%q is neither %s nor %s", f.Protocol, fronts.Meta, fronts.HTTP)
+	c.Require(f.Protocol != fronts.HTTP || s.Traffic.Protocol == fronts.HTTP && !f.Reports, "fleet.protocol", "caches speak http only where clients do, and tell no load")
+	c.Require(s.Traffic.Protocol == fronts.Meta || s.Traffic.Protocol == fronts.HTTP, "traffic.protocol", "%q is neither %s nor %s", s.Traffic.Protocol, fronts.Meta, fronts.HTTP)
+	c.Require(len(f.Zones) > 0, "fleet.zones", "names no zone")
 	o := &s.Origin
-	c.Within(float64(o.Cores), 1, 1024, "origin.cores")
-	c.Within(float64(o.Queue), 0, 1e6, "origin.queue")
-	c.Within(o.WorkMs, 0.01, 1e5, "origin.work_ms")
-	c.Within(float64(o.StallAt), 1, 1e6, "origin.stall_at")
-	c.Within(o.Stall, 1, 1000, "origin.stall")
-	c.Within(o.FallMultiple, 0, 1e6, "origin.fall_multiple")
-	c.Within(o.FallS, 0, mostSeconds, "origin.fall_s")
+	c.InRange(float64(o.Cores), 1, 1024, "origin.cores")
+	c.InRange(float64(o.Queue), 0, 1e6, "origin.queue")
+	c.InRange(o.WorkMs, 0.01, 1e5, "origin.work_ms")
+	c.InRange(float64(o.StallAt), 1, 1e6, "origin.stall_at")
+	c.InRange(o.Stall, 1, 1000, "origin.stall")
+	c.InRange(o.FallMultiple, 0, 1e6, "origin.fall_multiple")
+	c.InRange(o.FallS, 0, mostSeconds, "origin.fall_s")
 	for path, ms := range map[string]float64{"network.one_way_ms": s.Network.OneWayMs, "network.cross_zone_ms": s.Network.CrossZoneMs,
 		"network.client_ms": s.Network.ClientMs, "network.late_ms": s.Network.LateMs, "allowed.come_back_ms": s.Allowed.ComeBackMs, "allowed.grace_ms": s.Allowed.GraceMs,
 		"allowed.connect_ms": s.Allowed.ConnectMs, "allowed.slack_ms": s.Allowed.SlackMs, "allowed.late_answer_ms": s.Allowed.LateAnswerMs} {
-		c.Within(ms, 0, 1e5, path)
+		c.InRange(ms, 0, 1e5, path)
 	}
-	c.Within(s.Network.Jitter, 0, 1, "network.jitter")
-	c.Within(s.Network.LateShare, 0, 1, "network.late_share")
-	c.Within(s.Network.LostShare, 0, 1, "network.lost_share")
-	c.Within(s.Discovery.NoticeS[0], 0, mostSeconds, "discovery.notice_s")
-	c.Within(s.Discovery.NoticeS[1], s.Discovery.NoticeS[0], mostSeconds, "discovery.notice_s")
+	c.InRange(s.Network.Jitter, 0, 1, "network.jitter")
+	c.InRange(s.Network.LateShare, 0, 1, "network.late_share")
+	c.InRange(s.Network.LostShare, 0, 1, "network.lost_share")
+	c.InRange(s.Discovery.NoticeS[0], 0, mostSeconds, "discovery.notice_s")
+	c.InRange(s.Discovery.NoticeS[1], s.Discovery.NoticeS[0], mostSeconds, "discovery.notice_s")
 	for path, ms := range map[string]float64{"discovery.watch_ms": s.Discovery.WatchMs, "discovery.whole_ms": s.Discovery.WholeMs,
 		"discovery.backlog_ms": s.Discovery.BacklogMs} {
-		c.Within(ms, 0, 1e5, path)
+		c.InRange(ms, 0, 1e5, path)
 	}
-	c.Want(s.Allowed.Mode == "aside" || s.Allowed.Mode == "through", "allowed.mode", "%q is neither aside nor through", s.Allowed.Mode)
-	c.Within(float64(s.Allowed.MostLegs), 1, 100, "allowed.most_legs")
-	c.Within(s.Allowed.WastePrice, 0, 100, "allowed.waste_price")
+	c.Require(s.Allowed.Mode == "aside" || s.Allowed.Mode == "through", "allowed.mode", "%q is neither aside nor through", s.Allowed.Mode)
+	c.InRange(float64(s.Allowed.MostLegs), 1, 100, "allowed.most_legs")
+	c.InRange(s.Allowed.WastePrice, 0, 100, "allowed.waste_price")
 	t := &s.Traffic
-	c.Within(t.PerSecond, 0, mostRate, "traffic.per_second")
-	c.Within(t.Swing, 0, 1, "traffic.swing")
-	c.Within(t.WaveS, 0, mostSeconds, "traffic.wave_s")
-	c.Within(float64(t.Keys), 1, mostKeys, "traffic.keys")
-	c.Within(t.Zipf, 0, 5, "traffic.zipf")
-	c.Within(t.Jitter, 0, 10, "traffic.jitter")
-	c.Within(t.Skew, 0, 5, "traffic.skew")
-	c.Within(t.Leaves, 0, 1, "traffic.leaves")
-	c.Within(t.LeaveMs, 0, 1e5, "traffic.leave_ms")
-	c.Want(t.Leaves == 0 || t.LeaveMs > 0, "traffic.leave_ms", "clients that leave do so after some time")
-	c.Within(t.Short, 0, 1, "traffic.short")
-	c.Within(t.ShortMs, 0, 1e5, "traffic.short_ms")
-	c.Want(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "clients that wait less do so for some time")
-	c.Within(t.LongShare, 0, 1, "traffic.long_share")
-	c.Within(float64(t.LongKB), 0, mostLongKB, "traffic.long_kb")
-	c.Want(t.LongShare == 0 || t.Protocol == fronts.Meta, "traffic.long_share", "values are long only by %s", fronts.Meta)
+	c.InRange(t.PerSecond, 0, mostRate, "traffic.per_second")
+	c.InRange(t.Swing, 0, 1, "traffic.swing")
+	c.InRange(t.WaveS, 0, mostSeconds, "traffic.wave_s")
+	c.InRange(float64(t.Keys), 1, mostKeys, "traffic.keys")
+	c.InRange(t.Zipf, 0, 5, "traffic.zipf")
+	c.InRange(t.Jitter, 0, 10, "traffic.jitter")
+	c.InRange(t.Skew, 0, 5, "traffic.skew")
+	c.InRange(t.Leaves, 0, 1, "traffic.leaves")
+	c.InRange(t.LeaveMs, 0, 1e5, "traffic.leave_ms")
+	c.Require(t.Leaves == 0 || t.LeaveMs > 0, "traffic.leave_ms", "clients that leave do so after some time")
+	c.InRange(t.Short, 0, 1, "traffic.short")
+	c.InRange(t.ShortMs, 0, 1e5, "traffic.short_ms")
+	c.Require(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "clients that wait less do so for some time")
+	c.InRange(t.LongShare, 0, 1, "traffic.long_share")
+	c.InRange(float64(t.LongKB), 0, mostLongKB, "traffic.long_kb")
+	c.Require(t.LongShare == 0 || t.Protocol == fronts.Meta, "traffic.long_share", "values are long only by %s", fronts.Meta)
 	s.checkGrades(c)
 	s.checkEvents(c)
 	s.checkExpect(c)
@@ -388,34 +388,34 @@
 }
 
 func (s *Script) checkGrades(c *strictly.Checker) {
-	c.Want(len(s.Grades) > 0, "grade", "no grade is stated, so nothing can be asked")
+	c.Require(len(s.Grades) > 0, "grade", "no grade is stated, so nothing can be asked")
 	names, sum := map[string]bool{}, 0.0
 	for i := range s.Grades {
 		g, at := &s.Grades[i], fmt.Sprintf("grade.%d.", i)
 		g.Tries, g.Effect, g.Scope = cmp.Or(g.Tries, 1), cmp.Or(g.Effect, "idempotent"), cmp.Or(g.Scope, "all")
-		c.Want(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name", "%q is no name", g.Name)
-		c.Want(!names[g.Name], at+"name", "%q stands twice", g.Name)
+		c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name", "%q is no name", g.Name)
+		c.Require(!names[g.Name], at+"name", "%q stands twice", g.Name)
 		names[g.Name] = true
 		_, known := effects[g.Effect]
-		c.Want(known, at+"effect", "%q is none of idempotent, labelled, irreversible", g.Effect)
+		c.Require(known, at+"effect", "%q is none of idempotent, labelled, irreversible", g.Effect)
 		_, known = scopes[g.Scope]
-		c.Want(known, at+"scope", "%q is none of all, zone, group", g.Scope)
-		c.Within(g.Share, 0, 1e6, at+"share")
-		c.Within(g.Benefit, 0, 1e6, at+"benefit")
-		c.Within(g.SoftMs, 1, 1e6, at+"soft_ms")
-		c.Within(g.HardMs, g.SoftMs, 1e6, at+"hard_ms")
-		c.Within(g.WorkMs, 0.01, 1e5, at+"work_ms")
-		c.Within(g.WindowS, 0, mostSeconds, at+"window_s")
-		c.Within(float64(g.Tries), 1, 20, at+"tries")
-		c.Want(g.Effect == "idempotent" || g.Write, at+"effect", "a read is idempotent")
-		c.Want(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "a labelled grade needs a window")
+		c.Require(known, at+"scope", "%q is none of all, zone, group", g.Scope)
+		c.InRange(g.Share, 0, 1e6, at+"share")
+		c.InRange(g.Benefit, 0, 1e6, at+"benefit")
+		c.InRange(g.SoftMs, 1, 1e6, at+"soft_ms")
+		c.InRange(g.HardMs, g.SoftMs, 1e6, at+"hard_ms")
+		c.InRange(g.WorkMs, 0.01, 1e5, at+"work_ms")
+		c.InRange(g.WindowS, 0, mostSeconds, at+"window_s")
+		c.InRange(float64(g.Tries), 1, 20, at+"tries")
+		c.Require(g.Effect == "idempotent" || g.Write, at+"effect", "a read is idempotent")
+		c.Require(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "a labelled grade needs a window")
 		sum += g.Share
 	}
-	c.Want(len(s.Grades) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
+	c.Require(len(s.Grades) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
 }
 
 func (s *Script) checkEvents(c *strictly.Checker) {
-	c.Want(len(s.Events) <= mostEvents, "event", "more than %d events", mostEvents)
+	c.Require(len(s.Events) <= mostEvents, "event", "more than %d events", mostEvents)
 	added := 0
 	for _, e := range s.Events {
 		if e.Do == "add" {
@@ -425,65 +425,65 @@
 	for i := range s.Events {
 		e, at := &s.Events[i], fmt.Sprintf("event.%d.", i)
 		k, known := kinds[e.Do]
-		c.Want(known, at+"do", "%q is nothing that can be done", e.Do)
+		c.Require(known, at+"do", "%q is nothing that can be done", e.Do)
 		if !known {
 			continue
 		}
-		c.Within(e.AtS, 0, s.Seconds, at+"at_s")
-		c.Within(e.ForS, 0, mostSeconds, at+"for_s")
-		c.Within(e.Part, 0, 1, at+"part")
-		c.Want(!k.long || e.ForS > 0, at+"for_s", "%s needs how long it lasts", e.Do)
+		c.InRange(e.AtS, 0, s.Seconds, at+"at_s")
+		c.InRange(e.ForS, 0, mostSeconds, at+"for_s")
+		c.InRange(e.Part, 0, 1, at+"part")
+		c.Require(!k.long || e.ForS > 0, at+"for_s", "%s needs how long it lasts", e.Do)
 		ways := 0
 		for _, stated := range []bool{len(e.Caches) > 0, e.Part > 0, e.Zone != ""} {
 			if stated {
 				ways++
 			}
 		}
-		c.Want(!k.caches || ways == 1, at+"caches", "%s needs either names of caches, a part of them or a zone", e.Do)
-		c.Want(k.caches || len(e.Caches) == 0 && e.Zone == "" && (k.nodes || e.Part == 0), at+"caches", "%s concerns no caches", e.Do)
-		c.Want(e.Zone == "" || slices.Contains(s.Fleet.Zones, e.Zone), at+"zone", "there is no zone %q", e.Zone)
-		c.Within(e.OverS, 0, mostSeconds, at+"over_s")
-		c.Want(e.OverS == 0 || k.caches || k.nodes || e.Do == "add", at+"over_s", "%s happens at once", e.Do)
-		c.Want(e.Do != "discovery_slow" || s.Discovery.WatchMs > 0, at+"do", "discovery has no bound, so that it can't be slow")
+		c.Require(!k.caches || ways == 1, at+"caches", "%s needs either names of caches, a part of them or a zone", e.Do)
+		c.Require(k.caches || len(e.Caches) == 0 && e.Zone == "" && (k.nodes || e.Part == 0), at+"caches", "%s concerns no caches", e.Do)
+		c.Require(e.Zone == "" || slices.Contains(s.Fleet.Zones, e.Zone), at+"zone", "there is no zone %q", e.Zone)
+		c.InRange(e.OverS, 0, mostSeconds, at+"over_s")
+		c.Require(e.OverS == 0 || k.caches || k.nodes || e.Do == "add", at+"over_s", "%s happens at once", e.Do)
+		c.Require(e.Do != "discovery_slow" || s.Discovery.WatchMs > 0, at+"do", "discovery has no bound, so that it can't be slow")
 		for _, name := range e.Caches {
 			n, err := strconv.Atoi(strings.TrimPrefix(name, "c"))
-			c.Want(err == nil && strings.HasPrefix(name, "c") && n >= 1 && n <= s.Fleet.Caches+added, at+"caches", "there is no server %q", name)
+			c.Require(err == nil && strings.HasPrefix(name, "c") && n >= 1 && n <= s.Fleet.Caches+added, at+"caches", "there is no server %q", name)
 		}
-		c.Want(!k.count || e.Count > 0, at+"count", "%s needs how many", e.Do)
-		c.Want(e.Do != freeze || e.ForS <= longestFreeze, at+"for_s", "%s lasts %g s at most", e.Do, longestFreeze)
-		c.Want(!k.nodes || (len(e.Nodes) > 0) != (e.Part > 0), at+"nodes", "%s needs either numbers of nodes or a part of them", e.Do)
+		c.Require(!k.count || e.Count > 0, at+"count", "%s needs how many", e.Do)
+		c.Require(e.Do != freeze || e.ForS <= longestFreeze, at+"for_s", "%s lasts %g s at most", e.Do, longestFreeze)
+		c.Require(!k.nodes || (len(e.Nodes) > 0) != (e.Part > 0), at+"nodes", "%s needs either numbers of nodes or a part of them", e.Do)
 		for _, n := range e.Nodes {
-			c.Want(n >= 1 && n <= s.Fleet.Nodes, at+"nodes", "there is no node %d", n)
+			c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"nodes", "there is no node %d", n)
 		}
 		if k.factor {
-			c.Within(e.Factor, 0.01, 1000, at+"factor")
+			c.InRange(e.Factor, 0.01, 1000, at+"factor")
 		} else {
-			c.Want(e.Factor == 0, at+"factor", "%s takes no factor", e.Do)
+			c.Require(e.Factor == 0, at+"factor", "%s takes no factor", e.Do)
 		}
 		if k.share {
-			c.Within(e.Share, 0.001, 1, at+"share")
+			c.InRange(e.Share, 0.001, 1, at+"share")
 		} else {
-			c.Want(e.Share == 0, at+"share", "%s takes no share", e.Do)
+			c.Require(e.Share == 0, at+"share", "%s takes no share", e.Do)
 		}
-		c.Want(e.Do != twin || s.Together != nil, at+"do", "nodes do not know one another: there is no [together]")
-		c.Want(!k.pairs || s.Together != nil, at+"do", "nodes say nothing to each other: there is no [together]")
-		c.Want(k.pairs || len(e.From)+len(e.To) == 0 && !e.Both && e.TurnS == 0, at+"from", "%s is not between nodes", e.Do)
+		c.Require(e.Do != twin || s.Together != nil, at+"do", "nodes do not know one another: there is no [together]")
+		c.Require(!k.pairs || s.Together != nil, at+"do", "nodes say nothing to each other: there is no [together]")
+		c.Require(k.pairs || len(e.From)+len(e.To) == 0 && !e.Both && e.TurnS == 0, at+"from", "%s is not between nodes", e.Do)
 		for _, n := range slices.Concat(e.From, e.To) {
-			c.Want(n >= 1 && n <= s.Fleet.Nodes, at+"from", "there is no node %d", n)
+			c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"from", "there is no node %d", n)
 		}
-		c.Within(e.TurnS, 0, mostSeconds, at+"turn_s")
+		c.InRange(e.TurnS, 0, mostSeconds, at+"turn_s")
 		if k.late {
-			c.Within(e.LateMs, 1, 1e5, at+"late_ms")
+			c.InRange(e.LateMs, 1, 1e5, at+"late_ms")
 		} else {
-			c.Want(e.LateMs == 0, at+"late_ms", "%s makes nothing late", e.Do)
+			c.Require(e.LateMs == 0, at+"late_ms", "%s makes nothing late", e.Do)
 		}
-		c.Within(float64(e.Rank), 0, float64(s.Traffic.Keys-1), at+"rank")
-		c.Within(float64(e.Count), 0, mostCaches, at+"count")
-		c.Want(e.Do != "shrink" || e.Count < s.Fleet.Caches, at+"count", "a fleet of %d can't shrink by %d", s.Fleet.Caches, e.Count)
-		c.Want(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault", "%q is none of %s", e.Fault, strings.Join(faults, ", "))
-		c.Want(e.Fault != stale || s.Fleet.Protocol == fronts.HTTP, at+"fault", "only caches that speak http keep what is stale")
-		c.Want(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
-		c.Want(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
+		c.InRange(float64(e.Rank), 0, float64(s.Traffic.Keys-1), at+"rank")
+		c.InRange(float64(e.Count), 0, mostCaches, at+"count")
+		c.Require(e.Do != "shrink" || e.Count < s.Fleet.Caches, at+"count", "a fleet of %d can't shrink by %d", s.Fleet.Caches, e.Count)
+		c.Require(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault", "%q is none of %s", e.Fault, strings.Join(faults, ", "))
+		c.Require(e.Fault != stale || s.Fleet.Protocol == fronts.HTTP, at+"fault", "only caches that speak http keep what is stale")
+		c.Require(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
+		c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
 	}
 }
 
@@ -492,25 +492,25 @@
 		return slices.ContainsFunc(s.Grades, func(g Grade) bool { return g.Name == grade })
 	}
 	for _, name := range sorted(s.Expect.Satisfied) {
-		c.Want(known(name), "expect.satisfied", "there is no grade %q", name)
-		c.Within(s.Expect.Satisfied[name], 0, 1, "expect.satisfied")
+		c.Require(known(name), "expect.satisfied", "there is no grade %q", name)
+		c.InRange(s.Expect.Satisfied[name], 0, 1, "expect.satisfied")
 	}
 	for _, name := range sorted(s.Expect.P99Ms) {
-		c.Want(known(name), "expect.p99_ms", "there is no grade %q", name)
-		c.Within(s.Expect.P99Ms[name], 0, 1e6, "expect.p99_ms")
+		c.Require(known(name), "expect.p99_ms", "there is no grade %q", name)
+		c.InRange(s.Expect.P99Ms[name], 0, 1e6, "expect.p99_ms")
 	}
 	for i, a := range s.Expect.Avoided {
 		at := fmt.Sprintf("expect.avoided.%d.", i)
-		c.Want(strings.HasPrefix(a.Server, "c"), at+"server", "there is no server %q", a.Server)
-		c.Within(a.ByS, 0, s.Seconds, at+"by_s")
+		c.Require(strings.HasPrefix(a.Server, "c"), at+"server", "there is no server %q", a.Server)
+		c.InRange(a.ByS, 0, s.Seconds, at+"by_s")
 	}
-	c.Within(s.Expect.OriginMost, 0, 1e6, "expect.origin_most_per_s")
-	c.Within(s.Expect.RecoveredBy, 0, s.Seconds, "expect.recovered_by_s")
+	c.InRange(s.Expect.OriginMost, 0, 1e6, "expect.origin_most_per_s")
+	c.InRange(s.Expect.RecoveredBy, 0, s.Seconds, "expect.recovered_by_s")
 	for _, name := range sorted(s.Expect.MostPerS) {
-		c.Want(slices.Contains(Counted, name), "expect.most_per_s", "%q is none of %s", name, strings.Join(Counted, ", "))
+		c.Require(slices.Contains(Counted, name), "expect.most_per_s", "%q is none of %s", name, strings.Join(Counted, ", "))
 	}
-	c.Within(s.Expect.Excess, 0, 100, "expect.most_legs_per_request")
-	c.Want(s.Expect.Views == nil || s.Together != nil && *s.Expect.Views >= 0, "expect.most_view_changes", "is for nodes that know one another, and not under 0")
+	c.InRange(s.Expect.Excess, 0, 100, "expect.most_legs_per_request")
+	c.Require(s.Expect.Views == nil || s.Together != nil && *s.Expect.Views >= 0, "expect.most_view_changes", "is for nodes that know one another, and not under 0")
 }
 
 func sorted(m map[string]float64) []string {
@@ -548,7 +548,7 @@
 func (s *Script) Cache(n int) world.Traits {
 	f := &s.Fleet
 	chance := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*2654435761}
-	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Next()
+	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
 	return world.Traits{ID: policy.EndpointID(fmt.Sprintf("c%d", n)), Zone: policy.ZoneID(f.Zones[(n-1)%len(f.Zones)]),
 		Group: policy.GroupID((n - 1) / f.Group), Cores: f.Cores, Queue: f.Queue, Speed: speed, Weight: speed * float64(f.Cores),
 		Keys: f.Keys, ColdFrom: f.ColdFrom, ColdFor: Span(f.ColdS), FallMultiple: f.FallMultiple, FallFor: Span(f.FallS),
@@ -609,7 +609,7 @@
 
 // part takes a share of some, by the hash of their names.
 func part[T any](all []T, share float64, seed int, name func(T) string) []T {
-	score := func(one T) uint64 { return keyhash.Salted(keyhash.Text(name(one)), seed) }
+	score := func(one T) uint64 { return keyhash.Salted(keyhash.String(name(one)), seed) }
 	slices.SortFunc(all, func(a, b T) int { return cmp.Compare(score(a), score(b)) })
 	return all[:max(1, int(math.Round(share*float64(len(all)))))]
 }
--- a/internal/emulator/script/soak.go
+++ b/internal/emulator/script/soak.go
@@ -43,15 +43,15 @@
 
 // upTo draws a number from low to high, to hundredths.
 func (d *soak) upTo(low, high float64) float64 {
-	return math.Round((low+(high-low)*d.chance.Next())*100) / 100
+	return math.Round((low+(high-low)*d.chance.Float64())*100) / 100
 }
 
 // count draws a whole number from low to high.
-func (d *soak) count(low, high int) int { return low + int(d.chance.Next()*float64(high-low+1)) }
+func (d *soak) count(low, high int) int { return low + int(d.chance.Float64()*float64(high-low+1)) }
 
-func (d *soak) yes(share float64) bool { return d.chance.Next() < share }
+func (d *soak) yes(share float64) bool { return d.chance.Float64() < share }
 
-func oneOf[T any](d *soak, all ...T) T { return all[int(d.chance.Next()*float64(len(all)))] }
+func oneOf[T any](d *soak, all ...T) T { return all[int(d.chance.Float64()*float64(len(all)))] }
 
 func (d *soak) deployment() {
 	s := &d.script
--- a/internal/emulator/script/together.go
+++ b/internal/emulator/script/together.go
@@ -36,11 +36,11 @@
 	if t.Seeds == 0 {
 		t.Seeds = min(usualSeeds, s.Fleet.Nodes)
 	}
-	c.Want(t.Engine == charter.Tuned || t.Engine == charter.Plain, "together.engine", "%q is neither %s nor %s", t.Engine, charter.Tuned, charter.Plain)
-	c.Within(t.PauseS, 0.2, 60, "together.pause_s")
-	c.Within(t.BackS, 0, 600, "together.back_s")
-	c.Within(float64(t.Seeds), 1, float64(min(s.Fleet.Nodes, 64)), "together.seeds")
-	c.Within(float64(s.Fleet.Nodes), 1, 64, "fleet.nodes") // a door for each ordered pair
+	c.Require(t.Engine == charter.Tuned || t.Engine == charter.Plain, "together.engine", "%q is neither %s nor %s", t.Engine, charter.Tuned, charter.Plain)
+	c.InRange(t.PauseS, 0.2, 60, "together.pause_s")
+	c.InRange(t.BackS, 0, 600, "together.back_s")
+	c.InRange(float64(t.Seeds), 1, float64(min(s.Fleet.Nodes, 64)), "together.seeds")
+	c.InRange(float64(s.Fleet.Nodes), 1, 64, "fleet.nodes") // a door for each ordered pair
 }
 
 // Pairs are the ordered pairs of nodes, from 0, that an event concerns.
--- a/internal/emulator/virtual/list.go
+++ b/internal/emulator/virtual/list.go
@@ -23,23 +23,23 @@
 
 // call makes a node's next call for the list.
 func (n *node) call() {
-	r, c := n.r, n.lists.Next()
+	r, c := n.r, n.lists.NextPoll()
 	n.called++
-	w := watch{n: n, life: n.life, called: n.called, began: r.now, since: c.Since}
+	w := watch{n: n, life: n.life, called: n.called, began: r.now, since: c.SinceVersion}
 	r.after(r.clientWay(), func() {
 		r.log.Now(r.now).Calls++
 		if !r.upList {
 			return // silent
 		}
-		at, taken := r.registry.Call(r.now, c.Whole)
+		at, taken := r.registry.Call(r.now, c.Complete)
 		if !taken {
 			r.after(r.clientWay(), func() { w.lost(discovery.Refused) })
 			return
 		}
 		r.At(at, func() {
-			switch w.until = r.now.Add(c.Wait); {
+			switch w.until = r.now.Add(c.LongPoll); {
 			case !r.upList: // it has gone silent meanwhile
-			case c.Whole:
+			case c.Complete:
 				entries, version := course.Entries(r.world), len(r.changes)
 				r.after(r.clientWay(), func() { w.heard(version, entries) })
 			case w.since < len(r.changes):
@@ -50,7 +50,7 @@
 			}
 		})
 	})
-	r.after(c.Within, func() { w.lost(discovery.Lost) })
+	r.after(c.Timeout, func() { w.lost(discovery.ConnectionLost) })
 }
 
 // lost ends a call without an answer; whoever waits for another by now is not concerned.
@@ -60,7 +60,7 @@
 	}
 	n := w.n
 	n.called++
-	rest, _ := n.lists.Failed(how, n.r.now.Since(w.began), n.r.chance.Next())
+	rest, _ := n.lists.OnFailure(how, n.r.now.Since(w.began), n.r.chance.Float64())
 	n.r.after(rest, func() {
 		if w.n.life == w.life && n.host != nil {
 			n.call()
@@ -72,7 +72,7 @@
 	if !w.current() {
 		return
 	}
-	form, _ := w.n.lists.Heard(version, false)
+	form, _ := w.n.lists.OnUpdate(version, false)
 	if w.n.held = version; len(entries) > 0 || form != policy.DeltaUpdate {
 		w.n.hear(form, entries)
 	}
--- a/internal/emulator/virtual/node.go
+++ b/internal/emulator/virtual/node.go
@@ -26,11 +26,11 @@
 	terms  houserules.Settings
 	life   int              // counts its starts, so that what was meant for an earlier one is passed over
 	host   *host.Dispatcher // nil while it is down
-	book   *records.Book
+	book   *records.Recorder
 	known  []policy.Endpoint // the list as last heard
-	lists  discovery.Caller
+	lists  discovery.Poller
 	held   int // the version of the list as last heard
-	kept   keeping.Span
+	kept   keeping.Timeout
 	called uint64 // counts its calls for the list, so that an answer knows its own
 	hand   map[policy.RequestID]*taken
 	count  uint64
@@ -77,7 +77,7 @@
 	n.r.Decided++
 	decider := n.r.make(n.r.now, seed, n.terms.Policy)
 	if len(n.r.script.Levels) > 0 {
-		decider = levels.Before(decider, n.r.now, uint32(seed), n.r.script.Levels, &n.terms, func(now policy.Instant, _ int, name string) {
+		decider = levels.NewFilter(decider, n.r.now, uint32(seed), n.r.script.Levels, &n.terms, func(now policy.Instant, _ int, name string) {
 			n.book.Level(now, name)
 		}, new(uint64))
 	}
@@ -85,7 +85,7 @@
 	n.hear(form, entries)
 	if n.r.registry.Bounded() {
 		n.lists = discovery.New(n.terms.Policy.Nodes)
-		n.lists.Hold(n.held)
+		n.lists.SetVersion(n.held)
 		n.call()
 	}
 	n.r.serving = append(n.r.serving, n)
@@ -422,9 +422,9 @@
 // tend closes an idle connection once its time has come.
 func (n *node) tend(server int, one idle) {
 	life := n.life
-	n.r.At(one.since.Add(n.kept.Now(n.r.now)), func() {
+	n.r.At(one.since.Add(n.kept.Current(n.r.now)), func() {
 		i := slices.Index(n.links[server], one)
-		if n.life != life || i < 0 || n.r.now.Since(one.since) < n.kept.Now(n.r.now) {
+		if n.life != life || i < 0 || n.r.now.Since(one.since) < n.kept.Current(n.r.now) {
 			return // another that is due later looks after it
 		}
 		n.links[server] = slices.Delete(n.links[server], i, i+1)
@@ -436,7 +436,7 @@
 
 // full tells that a server that lives had no room for a connection: idle ones are given back sooner.
 func (n *node) full() {
-	if !n.kept.Full(n.r.now) {
+	if !n.kept.OnServerFull(n.r.now) {
 		return
 	}
 	for server := range n.r.world.Servers {
--- a/internal/emulator/virtual/virtual.go
+++ b/internal/emulator/virtual/virtual.go
@@ -48,7 +48,7 @@
 	judge    *judge.Judge
 	log      *outcome.Log
 	course   *course.Course
-	fleet    *records.Book
+	fleet    *records.Recorder
 	queue    deadlines.Queue[func()]
 	now      policy.Instant
 	nodes    []*node
@@ -136,18 +136,18 @@
 			r.world.Advance(r.now, r.served)
 			continue
 		}
-		do, _ := r.queue.Due(r.now)
+		do, _ := r.queue.PopDue(r.now)
 		do()
 	}
 }
 
 // At hangs something in.
-func (r *Run) At(at policy.Instant, do func()) { r.queue.Put(max(at, r.now), do) }
+func (r *Run) At(at policy.Instant, do func()) { r.queue.Push(max(at, r.now), do) }
 
-func (r *Run) after(d time.Duration, do func()) { r.queue.Put(r.now.Add(d), do) }
+func (r *Run) after(d time.Duration, do func()) { r.queue.Push(r.now.Add(d), do) }
 
 func (r *Run) jittered(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + r.script.Network.Jitter*r.chance.Next()))
+	return time.Duration(float64(d) * (1 + r.script.Network.Jitter*r.chance.Float64()))
 }
 
 func (r *Run) clientWay() time.Duration {
@@ -165,10 +165,10 @@
 // late is by how much a new connection to a cache comes up late.
 func (r *Run) late(server int) time.Duration {
 	n := &r.script.Network
-	if n.LateShare == 0 || r.world.IsOrigin(server) || r.chance.Next() >= n.LateShare {
+	if n.LateShare == 0 || r.world.IsOrigin(server) || r.chance.Float64() >= n.LateShare {
 		return 0
 	}
-	return time.Duration(r.chance.Next() * float64(script.Span(n.LateMs/1000)))
+	return time.Duration(r.chance.Float64() * float64(script.Span(n.LateMs/1000)))
 }
 
 // warm puts keys where the decider's own kind would send them.
@@ -244,7 +244,7 @@
 	first := time.Duration(math.MaxInt64)
 	for _, n := range r.nodes {
 		span := r.script.Discovery.NoticeS
-		late := script.Span(span[0] + (span[1]-span[0])*r.chance.Next())
+		late := script.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
 		first = min(first, late)
 		life := n.life
 		r.after(late, func() {
@@ -363,7 +363,7 @@
 // choose picks the node that a try goes to: any alike, or the earlier the more where their traffic is uneven. Two processes of one node,
 // which stand as far apart as the settings state nodes, share its part.
 func (r *Run) choose() *node {
-	x := r.chance.Next()
+	x := r.chance.Float64()
 	if r.script.Traffic.Skew == 0 {
 		return r.serving[int(x*float64(len(r.serving)))]
 	}
@@ -416,7 +416,7 @@
 	if r.script.Fleet.Reports && !r.world.IsOrigin(d.Server) && how != policy.ConnectionBroken {
 		report = []float64{d.Load}
 	}
-	if lost := r.script.Network.LostShare; lost > 0 && !r.world.IsOrigin(d.Server) && r.chance.Next() < lost {
+	if lost := r.script.Network.LostShare; lost > 0 && !r.world.IsOrigin(d.Server) && r.chance.Float64() < lost {
 		return // its connection has fallen silent under it
 	}
 	r.after(r.way(l.n, d.Server), func() { l.end(how, report) })
--- a/internal/emulator/virtual/virtual_test.go
+++ b/internal/emulator/virtual/virtual_test.go
@@ -116,12 +116,12 @@
 		s := load(t, "slow-quarter")
 		s.Seed = seed + 100
 		r := play(t, s, "module", Module)
-		c2, c5, c9 := r.FirstOf("c2", records.Avoided), r.FirstOf("c5", records.Avoided), r.FirstOf("c9", records.Avoided)
+		c2, c5, c9 := r.FirstOf("c2", records.EndpointAvoided), r.FirstOf("c5", records.EndpointAvoided), r.FirstOf("c9", records.EndpointAvoided)
 		if c2 < 15 || c2 > 20 || c5 < 15 || c5 > 25 || c9 >= 0 && c9 < min(c2, c5) {
 			t.Errorf("seed %d: c2 (9 times slower) at %v, c5 (6) at %v, c9 (3) at %v", s.Seed, c2, c5, c9)
 		}
 		for _, e := range r.Records {
-			if slow := e.Server == "c2" || e.Server == "c5" || e.Server == "c9"; e.What == records.Avoided && e.Node == outcome.FleetsBook && !slow {
+			if slow := e.Server == "c2" || e.Server == "c5" || e.Server == "c9"; e.Kind == records.EndpointAvoided && e.Node == outcome.FleetsBook && !slow {
 				t.Errorf("seed %d: %v", s.Seed, e)
 			}
 		}
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -84,7 +84,7 @@
 
 // Next tells when the next one comes.
 func (t *Traffic) Next(now policy.Instant) policy.Instant {
-	gap := -math.Log(1-t.chance.Next()) / max(rarest, t.Rate(now))
+	gap := -math.Log(1-t.chance.Float64()) / max(rarest, t.Rate(now))
 	return now.Add(max(1, time.Duration(gap*float64(time.Second))))
 }
 
@@ -94,12 +94,12 @@
 // Draw makes the request that comes now.
 func (t *Traffic) Draw(now policy.Instant) Request {
 	pick := func(cumulated []float64) int {
-		x := t.chance.Next() * cumulated[len(cumulated)-1]
+		x := t.chance.Float64() * cumulated[len(cumulated)-1]
 		return sort.SearchFloat64s(cumulated, x)
 	}
 	r := Request{Grade: pick(t.mix), Key: KeyOf(pick(t.ranks)), Try: 1, First: now, Sent: now}
 	g := &t.Grades[r.Grade]
-	if !g.Write && t.hot != "" && t.chance.Next() < t.hotBy {
+	if !g.Write && t.hot != "" && t.chance.Float64() < t.hotBy {
 		r.Key = t.hot
 	}
 	r.ID = t.name()
@@ -112,20 +112,20 @@
 
 // leaves tells when the client of a try goes. It goes by the try's id, so that all else is drawn as without.
 func (t *Traffic) leaves(id string) time.Duration {
-	of := keyhash.Source{Seed: uint32(keyhash.Text(id))}
-	if of.Next() >= t.Leaves {
+	of := keyhash.Source{Seed: uint32(keyhash.String(id))}
+	if of.Float64() >= t.Leaves {
 		return 0
 	}
-	return max(1, time.Duration(of.Next()*float64(t.LeaveMost)))
+	return max(1, time.Duration(of.Float64()*float64(t.LeaveMost)))
 }
 
 // waits tells how long the client of a try waits: its grade's deadline, or half to all of the short time. By the try's id, as above.
 func (t *Traffic) waits(id string, usual time.Duration) time.Duration {
-	of := keyhash.Source{Seed: ^uint32(keyhash.Text(id))}
-	if of.Next() >= t.Short {
+	of := keyhash.Source{Seed: ^uint32(keyhash.String(id))}
+	if of.Float64() >= t.Short {
 		return usual
 	}
-	return min(usual, max(1, time.Duration((1+of.Next())/2*float64(t.ShortMost))))
+	return min(usual, max(1, time.Duration((1+of.Float64())/2*float64(t.ShortMost))))
 }
 
 func (t *Traffic) name() string {
@@ -150,7 +150,7 @@
 	if wait == 0 {
 		wait = firstOff << (r.Try - 1)
 	}
-	wait += time.Duration(float64(wait) * t.Jitter * t.chance.Next())
+	wait += time.Duration(float64(wait) * t.Jitter * t.chance.Float64())
 	r.Try++
 	r.ID, r.Sent = t.name(), now.Add(wait)
 	r.Deadline, r.Leaves = t.waits(r.ID, g.Deadline), t.leaves(r.ID)
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -312,7 +312,7 @@
 	return time.Duration(float64(work) * (0.6 + 0.4*w.exponential()))
 }
 
-func (w *World) exponential() float64 { return -math.Log(1 - w.chance.Next()) }
+func (w *World) exponential() float64 { return -math.Log(1 - w.chance.Float64()) }
 
 // demanded looks whether a server is asked for far too much: a cold cache falls over at once, the origin once it has been so for a
 // time. The origin, whose reads are misses of caches, is told to have been pushed over, and goes on as slowly as it then is.
@@ -348,7 +348,7 @@
 	w.plan.Hearer.Fell(now, s.ID, fmt.Sprintf("%.1f requests of mean work within %v, where %.1f is the most", asked, s.FallFor, most))
 	w.Kill(now, w.byID[s.ID])
 	s.fellTill = now.Add(fallenFor)
-	w.due.Put(s.fellTill, wake{w.byID[s.ID], 0})
+	w.due.Push(s.fellTill, wake{w.byID[s.ID], 0})
 }
 
 // loaded averages the work that comes to the origin.
@@ -391,7 +391,7 @@
 	s := w.Servers[server]
 	s.gen++
 	if at, any := s.station.next(); any {
-		w.due.Put(at, wake{server, s.gen})
+		w.due.Push(at, wake{server, s.gen})
 	}
 }
 
@@ -405,7 +405,7 @@
 		if !any || at > now {
 			break
 		}
-		it, _ := w.due.Due(now)
+		it, _ := w.due.PopDue(now)
 		w.now = at
 		s := w.Servers[it.server]
 		if it.gen == 0 {
@@ -435,7 +435,7 @@
 		w.arm(it.server)
 	}
 	for {
-		id, ok := w.forget.Due(now)
+		id, ok := w.forget.PopDue(now)
 		if !ok {
 			break
 		}
@@ -450,7 +450,7 @@
 		s.load, s.loadAt = float64(s.station.inHand()), now
 	}
 	d := Done{Job: j, Server: j.server, Load: s.load}
-	if s.ErrorRate > 0 && w.chance.Next() < s.ErrorRate {
+	if s.ErrorRate > 0 && w.chance.Float64() < s.ErrorRate {
 		d.Said = Failed
 		return d
 	}
@@ -474,7 +474,7 @@
 	s.Misses++
 	d.Said = Miss
 	if w.missed[j.Request] == nil {
-		w.forget.Put(now.Add(missesKept), j.Request)
+		w.forget.Push(now.Add(missesKept), j.Request)
 	}
 	w.missed[j.Request] = append(w.missed[j.Request], j.server)
 	return d
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -64,7 +64,7 @@
 
 // Mark is the same for what says the same: by it a judge sees one change ordered twice, whatever its ids.
 func (p Proposal) Mark() uint64 {
-	return keyhash.Salted(keyhash.Text(string(p.Body)), int(p.Kind))
+	return keyhash.Salted(keyhash.String(string(p.Body)), int(p.Kind))
 }
 
 // Check tells whether a proposal may become an entry.
--- a/internal/fleet/charter/charter.go
+++ b/internal/fleet/charter/charter.go
@@ -88,7 +88,7 @@
 	}
 	address := func(at, path string) {
 		_, err := netip.ParseAddrPort(at)
-		c.Want(err == nil, path, "%q is not an address and a port", at)
+		c.Require(err == nil, path, "%q is not an address and a port", at)
 	}
 	address(f.Fleet.Listen, "fleet.listen")
 	listens := f.Fleet.Advertise == ""
@@ -96,23 +96,23 @@
 		f.Fleet.Advertise = f.Fleet.Listen
 	}
 	if at, err := netip.ParseAddrPort(f.Fleet.Advertise); err != nil && !listens || err == nil && (at.Addr().IsUnspecified() || at.Port() == 0) {
-		c.Want(false, "fleet.advertise", "%q is not an address and a port that others can reach", f.Fleet.Advertise)
+		c.Require(false, "fleet.advertise", "%q is not an address and a port that others can reach", f.Fleet.Advertise)
 	}
-	c.Want(len(f.Fleet.Label) <= longestLabel, "fleet.label", "longer than %d bytes", longestLabel)
-	c.Want(len(f.Fleet.Seeds) <= mostSeeds, "fleet.seeds", "more than %d", mostSeeds)
+	c.Require(len(f.Fleet.Label) <= longestLabel, "fleet.label", "longer than %d bytes", longestLabel)
+	c.Require(len(f.Fleet.Seeds) <= mostSeeds, "fleet.seeds", "more than %d", mostSeeds)
 	for _, s := range f.Fleet.Seeds {
 		address(s, "fleet.seeds")
 	}
 	key, err := base64.StdEncoding.DecodeString(f.Fleet.Key)
-	c.Want(err == nil && (len(key) == 0 || len(key) == 16 || len(key) == 24 || len(key) == 32), "fleet.key", "it is not the base64 of 16, 24 or 32 bytes")
-	c.Want(f.Fleet.Engine == Tuned || f.Fleet.Engine == Plain, "fleet.engine", "%q is neither %s nor %s", f.Fleet.Engine, Tuned, Plain)
+	c.Require(err == nil && (len(key) == 0 || len(key) == 16 || len(key) == 24 || len(key) == 32), "fleet.key", "it is not the base64 of 16, 24 or 32 bytes")
+	c.Require(f.Fleet.Engine == Tuned || f.Fleet.Engine == Plain, "fleet.engine", "%q is neither %s nor %s", f.Fleet.Engine, Tuned, Plain)
 	CheckMembers(c, &f.Members)
-	c.Want(len(f.Changes.At) <= mostMachines, "changes.at", "more than %d", mostMachines)
+	c.Require(len(f.Changes.At) <= mostMachines, "changes.at", "more than %d", mostMachines)
 	for _, at := range f.Changes.At {
 		address(at, "changes.at")
 	}
-	c.Within(f.Changes.StaleS, 5, 86_400, "changes.stale_s")
-	c.Want(len(f.Ways) <= mostWays, "way", "more than %d", mostWays)
+	c.InRange(f.Changes.StaleS, 5, 86_400, "changes.stale_s")
+	c.Require(len(f.Ways) <= mostWays, "way", "more than %d", mostWays)
 	for i, w := range f.Ways {
 		address(w.To, fmt.Sprintf("way.%d.to", i))
 		address(w.Through, fmt.Sprintf("way.%d.through", i))
@@ -125,13 +125,13 @@
 
 // CheckMembers looks at how failures are told, in any file that states it.
 func CheckMembers(c *strictly.Checker, m *Members) {
-	c.Within(m.PauseS, 0.2, 60, "members.pause_s")
-	c.Within(m.HelloMs, 50, 5000, "members.hello_ms")
-	c.Want(m.PauseS <= 0 || m.HelloMs <= m.PauseS*500, "members.hello_ms", "at least two signs of life have to fit into pause_s")
-	c.Within(m.BackS, 0, 600, "members.back_s")
-	c.Within(m.LoopS, 0.2, 60, "members.loop_s")
-	c.Within(m.ForgetS, m.PauseS+m.BackS, 86400, "members.forget_s")
-	c.Within(float64(m.Most), 1, 100_000, "members.most")
+	c.InRange(m.PauseS, 0.2, 60, "members.pause_s")
+	c.InRange(m.HelloMs, 50, 5000, "members.hello_ms")
+	c.Require(m.PauseS <= 0 || m.HelloMs <= m.PauseS*500, "members.hello_ms", "at least two signs of life have to fit into pause_s")
+	c.InRange(m.BackS, 0, 600, "members.back_s")
+	c.InRange(m.LoopS, 0.2, 60, "members.loop_s")
+	c.InRange(m.ForgetS, m.PauseS+m.BackS, 86400, "members.forget_s")
+	c.InRange(float64(m.Most), 1, 100_000, "members.most")
 }
 
 // KeyBytes is the key, nil for none.
--- a/internal/fleet/charter/charter_test.go
+++ b/internal/fleet/charter/charter_test.go
@@ -27,7 +27,7 @@
 		"[fleet]\nlisten = \"n1:7946\"\n":                       "f:2: fleet.listen",
 	} {
 		_, err := Parse("f", []byte(text))
-		var all strictly.Faults
+		var all strictly.FieldErrors
 		if !errors.As(err, &all) || !strings.Contains(all.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
--- a/internal/fleet/charter/control.go
+++ b/internal/fleet/charter/control.go
@@ -104,35 +104,35 @@
 	}
 	address := func(at, path string) {
 		_, err := netip.ParseAddrPort(at)
-		c.Want(err == nil, path, "%q is not an address and a port", at)
+		c.Require(err == nil, path, "%q is not an address and a port", at)
 	}
 	address(f.Control.Peers, "control.peers")
 	address(f.Control.Nodes, "control.nodes")
-	c.Want(len(f.Control.Label) <= longestLabel, "control.label", "longer than %d bytes", longestLabel)
-	c.Want(f.Control.Data != "" && len(f.Control.Data) <= longestPath, "control.data", "no folder for the log is named")
-	c.Want(len(f.Machines) > 0 && len(f.Machines) <= mostMachines, "machine", "%d control machines, from 1 to %d can be", len(f.Machines), mostMachines)
+	c.Require(len(f.Control.Label) <= longestLabel, "control.label", "longer than %d bytes", longestLabel)
+	c.Require(f.Control.Data != "" && len(f.Control.Data) <= longestPath, "control.data", "no folder for the log is named")
+	c.Require(len(f.Machines) > 0 && len(f.Machines) <= mostMachines, "machine", "%d control machines, from 1 to %d can be", len(f.Machines), mostMachines)
 	ids, names, voters, self := map[uint64]bool{}, map[string]bool{}, 0, false
 	for i, m := range f.Machines {
 		path := fmt.Sprintf("machine.%d", i)
 		address(m.Addr, path+".addr")
-		c.Want(m.ID > 0 && !ids[m.ID], path+".id", "%d is 0 or another's", m.ID)
-		c.Want(m.Name != "" && len(m.Name) <= longestName && !names[m.Name], path+".name", "%q is empty, too long or another's", m.Name)
+		c.Require(m.ID > 0 && !ids[m.ID], path+".id", "%d is 0 or another's", m.ID)
+		c.Require(m.Name != "" && len(m.Name) <= longestName && !names[m.Name], path+".name", "%q is empty, too long or another's", m.Name)
 		ids[m.ID], names[m.Name] = true, true
 		if self = self || m.ID == f.Control.ID; !m.Learner {
 			voters++
 		}
 	}
-	c.Want(self, "control.id", "no [[machine]] has the id %d", f.Control.ID)
-	c.Want(voters%2 == 1, "machine", "%d voters: an odd number is needed, as one more to an odd number bears no more failures", voters)
+	c.Require(self, "control.id", "no [[machine]] has the id %d", f.Control.ID)
+	c.Require(voters%2 == 1, "machine", "%d voters: an odd number is needed, as one more to an odd number bears no more failures", voters)
 	b := &f.Bounds
-	c.Within(float64(b.Entries), 1024, 1<<20, "bounds.entries")
-	c.Within(b.KeptMB, 1, 256, "bounds.kept_mb")
-	c.Within(b.WindowKB, 16, 16_384, "bounds.window_kb")
-	c.Within(b.PaceMB, 0.1, 1024, "bounds.pace_mb_s")
-	c.Within(float64(b.Followers), 1, 100_000, "bounds.followers")
-	c.Within(b.HoldS, 1, 86_400, "bounds.hold_s")
-	c.Within(b.ForgetS, 10, 30*86_400, "bounds.forget_s")
-	c.Within(b.ElectMs, 200, 60_000, "bounds.election_ms")
+	c.InRange(float64(b.Entries), 1024, 1<<20, "bounds.entries")
+	c.InRange(b.KeptMB, 1, 256, "bounds.kept_mb")
+	c.InRange(b.WindowKB, 16, 16_384, "bounds.window_kb")
+	c.InRange(b.PaceMB, 0.1, 1024, "bounds.pace_mb_s")
+	c.InRange(float64(b.Followers), 1, 100_000, "bounds.followers")
+	c.InRange(b.HoldS, 1, 86_400, "bounds.hold_s")
+	c.InRange(b.ForgetS, 10, 30*86_400, "bounds.forget_s")
+	c.InRange(b.ElectMs, 200, 60_000, "bounds.election_ms")
 	if f.Purges != nil {
 		f.Purges.check(c, address)
 	}
@@ -143,21 +143,21 @@
 }
 
 func (p *Purges) check(c *strictly.Checker, address func(at, path string)) {
-	c.Want((p.Discovery != "") != (len(p.Caches) > 0), "purges", "either discovery or [[purges.cache]]s say which caches there are")
+	c.Require((p.Discovery != "") != (len(p.Caches) > 0), "purges", "either discovery or [[purges.cache]]s say which caches there are")
 	if p.Discovery != "" {
 		address(p.Discovery, "purges.discovery")
 	}
-	c.Want(len(p.Caches) <= mostCaches, "purges.cache", "more than %d", mostCaches)
+	c.Require(len(p.Caches) <= mostCaches, "purges.cache", "more than %d", mostCaches)
 	ids := map[string]bool{}
 	for i, at := range p.Caches {
 		path := fmt.Sprintf("purges.cache.%d", i)
-		c.Want(at.ID != "" && len(at.ID) <= longestName && !ids[at.ID], path+".id", "%q is empty, too long or another's", at.ID)
+		c.Require(at.ID != "" && len(at.ID) <= longestName && !ids[at.ID], path+".id", "%q is empty, too long or another's", at.ID)
 		address(at.Addr, path+".addr")
 		ids[at.ID] = true
 	}
-	c.Within(p.FillsS, 0.05, 600, "purges.fills_s")
-	c.Within(p.PaceS, 10, 10_000, "purges.commands_s")
-	c.Within(p.FlushS, 0.1, 3600, "purges.flush_each_s")
+	c.InRange(p.FillsS, 0.05, 600, "purges.fills_s")
+	c.InRange(p.PaceS, 10, 10_000, "purges.commands_s")
+	c.InRange(p.FlushS, 0.1, 3600, "purges.flush_each_s")
 }
 
 // Self is the machine that the file is of.
--- a/internal/fleet/members/book.go
+++ b/internal/fleet/members/book.go
@@ -290,7 +290,7 @@
 	if len(at) == 0 {
 		return ""
 	}
-	return at[int(b.chance.Next()*float64(len(at)))]
+	return at[int(b.chance.Float64()*float64(len(at)))]
 }
 
 // neighbours makes the rings anew where processes came or went: each ring is an order of all by chance, the same everywhere, and a
@@ -549,7 +549,7 @@
 		if !b.merged && (b.heardOther || len(b.seeds) > 0) { // somebody may yet say who had the name
 			wait += b.terms.Claim
 			if b.heardOther && len(b.ring) > 0 {
-				b.sync(b.ring[int(b.chance.Next()*float64(len(b.ring)))].Addr)
+				b.sync(b.ring[int(b.chance.Float64()*float64(len(b.ring)))].Addr)
 			}
 		}
 		for _, p := range b.named() { // each had the time to say that it lives
--- a/internal/fleet/members/book_test.go
+++ b/internal/fleet/members/book_test.go
@@ -95,7 +95,7 @@
 	chance := keyhash.Source{Seed: 5}
 	for i := range 300 {
 		id := ProcessID(keyhash.Mix(uint64(i + 1)))
-		if !b.Told(Statement{Process: id, Node: NodeName(fmt.Sprint("n", int(chance.Next()*200))), Revision: 1, Addr: fmt.Sprint("a", i)}) {
+		if !b.Told(Statement{Process: id, Node: NodeName(fmt.Sprint("n", int(chance.Float64()*200))), Revision: 1, Addr: fmt.Sprint("a", i)}) {
 			t.Fatalf("%d is no news", i)
 		}
 		if b.order == nil {
--- a/internal/fleet/members/sim_test.go
+++ b/internal/fleet/members/sim_test.go
@@ -118,7 +118,7 @@
 	s.views.Cut(s.now, from, to, yes)
 }
 
-func (s *sim) at(in time.Duration, do func()) { s.queue.Put(s.now.Add(in), do) }
+func (s *sim) at(in time.Duration, do func()) { s.queue.Push(s.now.Add(in), do) }
 
 // send has a datagram come to whoever has an address then.
 func (p *simProcess) send(addr string, hear func(*simProcess)) {
@@ -191,7 +191,7 @@
 		for _, id := range slices.Sorted(maps.Keys(p.fresh)) { // by order, as each draws chance
 			w, left := p.words[id], p.fresh[id]
 			for range fanOut {
-				if to := s.nodes[int(s.chance.Next()*float64(len(s.nodes)))]; to != p.n {
+				if to := s.nodes[int(s.chance.Float64()*float64(len(s.nodes)))]; to != p.n {
 					p.send(addrOf(to.number), func(o *simProcess) { o.told(w) })
 				}
 			}
@@ -218,7 +218,7 @@
 func (s *sim) run(long time.Duration) {
 	for end := s.now.Add(long); s.now < end; s.ticks++ {
 		for i, n := range s.nodes {
-			s.queue.Put(s.now.Add(time.Duration(i)*step/time.Duration(len(s.nodes))), func() {
+			s.queue.Push(s.now.Add(time.Duration(i)*step/time.Duration(len(s.nodes))), func() {
 				if n.process != nil && !n.stopped {
 					n.process.look()
 				}
@@ -230,7 +230,7 @@
 			if !any || at >= next {
 				break
 			}
-			do, _ := s.queue.Due(at)
+			do, _ := s.queue.PopDue(at)
 			s.now = max(s.now, at)
 			do()
 		}
--- a/internal/fleet/members/types.go
+++ b/internal/fleet/members/types.go
@@ -132,7 +132,7 @@
 // mark sums up names, in whatever order.
 func mark(names []NodeName) (sum uint64) {
 	for _, n := range names {
-		sum ^= keyhash.Text(string(n))
+		sum ^= keyhash.String(string(n))
 	}
 	return sum
 }
--- a/internal/fleet/purges/purges_test.go
+++ b/internal/fleet/purges/purges_test.go
@@ -316,7 +316,7 @@
 func chances(t *testing.T, seed uint32, fills time.Duration, leads, fresh, keeps bool) (broken int) {
 	const step, keys, kept = 50 * time.Millisecond, 6, 150
 	chance := keyhash.Source{Seed: seed}
-	is := func(p float64) bool { return chance.Next() < p }
+	is := func(p float64) bool { return chance.Float64() < p }
 	b := newBench(t)
 	b.Cache = NewCache(Terms{fills, usual.Each}, Cursor{}, b.now)
 	disk, started, listed := Cursor{}, Incarnation(1), Incarnation(1)
@@ -338,9 +338,9 @@
 	for n := range int(10 * time.Minute / step) {
 		b.wait(step)
 		if is(0.2) { // a write at the origin, and its purge
-			k := int(chance.Next() * keys)
+			k := int(chance.Float64() * keys)
 			origin[k]++
-			ordered = max(ordered, b.now.Add(time.Duration(chance.Next()*2e9)))
+			ordered = max(ordered, b.now.Add(time.Duration(chance.Float64()*2e9)))
 			waits = append(waits, wait{k, origin[k], b.now, ordered})
 		}
 		for ; len(waits) > 0 && waits[0].ordered <= b.now; waits = waits[1:] {
@@ -351,8 +351,8 @@
 			}
 		}
 		b.log.floor = accord.Index(max(0, len(b.log.all)-kept))
-		if k := int(chance.Next() * keys); down == 0 && holds[k] == 0 {
-			filling = append(filling, fill{k, origin[k] + 1, b.now.Add(time.Duration(chance.Next() * float64(usual.Fills)))})
+		if k := int(chance.Float64() * keys); down == 0 && holds[k] == 0 {
+			filling = append(filling, fill{k, origin[k] + 1, b.now.Add(time.Duration(chance.Float64() * float64(usual.Fills)))})
 		}
 		for i := 0; i < len(filling); i++ {
 			if f := filling[i]; f.at <= b.now {
@@ -365,9 +365,9 @@
 		}
 		switch { // what befalls: a cut, a restart, or the control machine killed
 		case is(0.0015):
-			cut = int(chance.Next() * 1200)
+			cut = int(chance.Float64() * 1200)
 		case is(0.001):
-			down, started, tells = int(chance.Next()*200), started+1, b.now.Add(time.Duration(chance.Next()*6e9))
+			down, started, tells = int(chance.Float64()*200), started+1, b.now.Add(time.Duration(chance.Float64()*6e9))
 			clear(holds)
 		case is(0.001):
 			if leads {
--- a/internal/fronts/fronts.go
+++ b/internal/fronts/fronts.go
@@ -31,41 +31,41 @@
 
 // File is an operator's file.
 type File struct {
-	Listeners []Front        `toml:"listener"`
+	Listeners []Listener     `toml:"listener"`
 	Servers   Servers        `toml:"servers"`
 	Levels    []levels.Level `toml:"level"`
 }
 
 // Servers is what is stated of caches that speak HTTP.
 type Servers struct {
-	HTTPKinds      []string `toml:"http_kinds"`       // the kinds of cache that do
-	Host           string   `toml:"host"`             // under which they are asked; empty for their addresses
-	Probe          string   `toml:"probe_path"`       // answers 200 where one is up
-	ClockOffS      float64  `toml:"clock_off_s"`      // how far their clocks may be off
-	Heuristic      float64  `toml:"heuristic"`        // share of the time since Last-Modified for which what states nothing is fresh
-	MostHeuristicS float64  `toml:"most_heuristic_s"` // bound of that
+	HTTPKinds       []string `toml:"http_kinds"`       // the kinds of cache that do
+	Host            string   `toml:"host"`             // under which they are asked; empty for their addresses
+	HealthCheckPath string   `toml:"probe_path"`       // answers 200 where one is up
+	ClockOffS       float64  `toml:"clock_off_s"`      // how far their clocks may be off
+	Heuristic       float64  `toml:"heuristic"`        // share of the time since Last-Modified for which what states nothing is fresh
+	MaxHeuristicS   float64  `toml:"most_heuristic_s"` // bound of that
 }
 
 // ClockOff is how far their clocks may be off.
 func (s *Servers) ClockOff() time.Duration { return time.Duration(s.ClockOffS * float64(time.Second)) }
 
 // MostHeuristic bounds what is guessed.
-func (s *Servers) MostHeuristic() time.Duration {
-	return time.Duration(s.MostHeuristicS * float64(time.Second))
+func (s *Servers) MaxHeuristic() time.Duration {
+	return time.Duration(s.MaxHeuristicS * float64(time.Second))
 }
 
 // Front is one further listener.
-type Front struct {
+type Listener struct {
 	Listen   string `toml:"listen"`
 	Protocol string `toml:"protocol"`
 	// The names of headers by which a client may state its grade, its tenant and for how many milliseconds it waits; an
 	// empty one states nothing.
-	GradeHeader    string  `toml:"grade_header"`
+	ClassHeader    string  `toml:"grade_header"`
 	TenantHeader   string  `toml:"tenant_header"`
 	IDHeader       string  `toml:"id_header"` // and the name of its request, of no two that are in hand
 	DeadlineHeader string  `toml:"deadline_header"`
-	Ready          string  `toml:"ready_path"`    // answers whether requests are served; empty for none
-	Counters       string  `toml:"counters_path"` // answers the counters; empty for none
+	ReadyPath      string  `toml:"ready_path"`    // answers whether requests are served; empty for none
+	CountersPath   string  `toml:"counters_path"` // answers the counters; empty for none
 	SortQuery      bool    `toml:"sort_query"`    // the order of a query's parts makes no other key
 	Routes         []Route `toml:"route"`
 }
@@ -74,13 +74,13 @@
 type Route struct {
 	Path       string   `toml:"path"` // whole segments, from the first on; what follows is the key
 	Methods    []string `toml:"methods"`
-	Grade      string   `toml:"grade"`
+	Class      string   `toml:"grade"`
 	Tenant     string   `toml:"tenant"`
 	DeadlineMs float64  `toml:"deadline_ms"` // unless the client states one; 0 for the grade's deadline
 }
 
 // Writes tells whether a method puts a value; the others that may stand in a route read.
-func Writes(method string) bool { return method == "PUT" || method == "POST" }
+func IsWrite(method string) bool { return method == "PUT" || method == "POST" }
 
 // Read reads an operator's file. Grades and tenants are those that the deployment states.
 func Read(path string, terms *houserules.Settings) (File, error) {
@@ -93,31 +93,31 @@
 
 // Parse reads the text of such a file.
 func Parse(path string, text []byte, terms *houserules.Settings) (File, error) {
-	file := File{Servers: Servers{Probe: "/", MostHeuristicS: 3600}}
+	file := File{Servers: Servers{HealthCheckPath: "/", MaxHeuristicS: 3600}}
 	c, err := strictly.Parse(path, text, &file)
 	if err != nil {
 		return file, err
 	}
 	all := file.Listeners
-	c.Want(len(all) <= most, "listener", "more than %d", most)
+	c.Require(len(all) <= most, "listener", "more than %d", most)
 	for i := range all {
 		f, at := &all[i], "listener."+strconv.Itoa(i)+"."
 		_, err := netip.ParseAddrPort(f.Listen)
-		c.Want(err == nil, at+"listen", "%q is not an address and a port", f.Listen)
-		c.Want(!slices.ContainsFunc(all[:i], func(o Front) bool { return o.Listen == f.Listen }) || strings.HasSuffix(f.Listen, ":0"),
+		c.Require(err == nil, at+"listen", "%q is not an address and a port", f.Listen)
+		c.Require(!slices.ContainsFunc(all[:i], func(o Listener) bool { return o.Listen == f.Listen }) || strings.HasSuffix(f.Listen, ":0"),
 			at+"listen", "%s stands twice", f.Listen)
-		c.Want(f.Protocol == Meta || f.Protocol == HTTP, at+"protocol", "%q is neither %s nor %s", f.Protocol, Meta, HTTP)
-		for field, name := range map[string]string{"grade_header": f.GradeHeader, "tenant_header": f.TenantHeader, "id_header": f.IDHeader,
+		c.Require(f.Protocol == Meta || f.Protocol == HTTP, at+"protocol", "%q is neither %s nor %s", f.Protocol, Meta, HTTP)
+		for field, name := range map[string]string{"grade_header": f.ClassHeader, "tenant_header": f.TenantHeader, "id_header": f.IDHeader,
 			"deadline_header": f.DeadlineHeader} {
-			c.Want(strings.Trim(name, "-abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789") == "", at+field, "%q can't be a header's name", name)
+			c.Require(strings.Trim(name, "-abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789") == "", at+field, "%q can't be a header's name", name)
 		}
-		for field, page := range map[string]string{"ready_path": f.Ready, "counters_path": f.Counters} {
-			c.Want(page == "" || page[0] == '/', at+field, "%q does not begin with a slash", page)
+		for field, page := range map[string]string{"ready_path": f.ReadyPath, "counters_path": f.CountersPath} {
+			c.Require(page == "" || page[0] == '/', at+field, "%q does not begin with a slash", page)
 		}
-		c.Want(f.Protocol != Meta || len(f.Routes) == 0 && !f.SortQuery && f.Ready+f.Counters+f.GradeHeader+f.TenantHeader+f.IDHeader+f.DeadlineHeader == "",
+		c.Require(f.Protocol != Meta || len(f.Routes) == 0 && !f.SortQuery && f.ReadyPath+f.CountersPath+f.ClassHeader+f.TenantHeader+f.IDHeader+f.DeadlineHeader == "",
 			at+"protocol", "meta commands need no routes, pages and headers")
-		c.Want(f.Protocol != HTTP || len(f.Routes) > 0, at+"protocol", "names no route, so nothing could be asked")
-		c.Want(len(f.Routes) <= mostRoutes, at+"route", "more than %d", mostRoutes)
+		c.Require(f.Protocol != HTTP || len(f.Routes) > 0, at+"protocol", "names no route, so nothing could be asked")
+		c.Require(len(f.Routes) <= mostRoutes, at+"route", "more than %d", mostRoutes)
 		for n := range f.Routes {
 			f.check(c, n, at+"route."+strconv.Itoa(n)+".", terms)
 		}
@@ -130,34 +130,34 @@
 func (s *Servers) check(c *strictly.Checker, terms *houserules.Settings) {
 	for _, kind := range s.HTTPKinds {
 		n := terms.Names.Kind([]byte(kind))
-		c.Want(n >= 0, "servers.http_kinds", "the deployment states no kind %q", kind)
-		c.Want(n < 0 || n != terms.Policy.OriginKind, "servers.http_kinds", "%q is the origin, which is spoken to as ever", kind)
+		c.Require(n >= 0, "servers.http_kinds", "the deployment states no kind %q", kind)
+		c.Require(n < 0 || n != terms.Policy.OriginKind, "servers.http_kinds", "%q is the origin, which is spoken to as ever", kind)
 	}
-	c.Want(strings.HasPrefix(s.Probe, "/") && !strings.ContainsAny(s.Probe, " \r\n"), "servers.probe_path", "%q is no path", s.Probe)
-	c.Want(!strings.ContainsAny(s.Host, " /\r\n\t"), "servers.host", "%q is no host", s.Host)
-	c.Within(s.ClockOffS, 0, 86400, "servers.clock_off_s")
-	c.Within(s.Heuristic, 0, 1, "servers.heuristic")
-	c.Within(s.MostHeuristicS, 0, 86400, "servers.most_heuristic_s")
+	c.Require(strings.HasPrefix(s.HealthCheckPath, "/") && !strings.ContainsAny(s.HealthCheckPath, " \r\n"), "servers.probe_path", "%q is no path", s.HealthCheckPath)
+	c.Require(!strings.ContainsAny(s.Host, " /\r\n\t"), "servers.host", "%q is no host", s.Host)
+	c.InRange(s.ClockOffS, 0, 86400, "servers.clock_off_s")
+	c.InRange(s.Heuristic, 0, 1, "servers.heuristic")
+	c.InRange(s.MaxHeuristicS, 0, 86400, "servers.most_heuristic_s")
 }
 
-func (f *Front) check(c *strictly.Checker, n int, at string, terms *houserules.Settings) {
+func (f *Listener) check(c *strictly.Checker, n int, at string, terms *houserules.Settings) {
 	r := &f.Routes[n]
-	c.Want(strings.HasPrefix(r.Path, "/") && strings.HasSuffix(r.Path, "/") && !strings.ContainsAny(r.Path, "?#% "), at+"path",
+	c.Require(strings.HasPrefix(r.Path, "/") && strings.HasSuffix(r.Path, "/") && !strings.ContainsAny(r.Path, "?#% "), at+"path",
 		"%q does not begin and end with a slash, or has what no plain path has", r.Path)
-	c.Want(len(r.Methods) > 0, at+"methods", "names no method")
+	c.Require(len(r.Methods) > 0, at+"methods", "names no method")
 	for _, m := range r.Methods {
-		c.Want(m == "GET" || m == "HEAD" || Writes(m), at+"methods", "%q is none of GET, HEAD, PUT, POST", m)
+		c.Require(m == "GET" || m == "HEAD" || IsWrite(m), at+"methods", "%q is none of GET, HEAD, PUT, POST", m)
 		for _, o := range f.Routes[:n] {
-			c.Want(o.Path != r.Path || !slices.Contains(o.Methods, m), at+"methods", "%s %s stands twice", m, r.Path)
+			c.Require(o.Path != r.Path || !slices.Contains(o.Methods, m), at+"methods", "%s %s stands twice", m, r.Path)
 		}
 	}
-	c.Want(terms.Names.Class([]byte(r.Grade)) >= 0, at+"grade", "the deployment states no grade %q", r.Grade)
-	c.Want(r.Tenant == "" || terms.Names.Tenant([]byte(r.Tenant)) >= 0, at+"tenant", "the deployment states no tenant %q", r.Tenant)
-	c.Within(r.DeadlineMs, 0, mostMs, at+"deadline_ms")
+	c.Require(terms.Names.Class([]byte(r.Class)) >= 0, at+"grade", "the deployment states no grade %q", r.Class)
+	c.Require(r.Tenant == "" || terms.Names.Tenant([]byte(r.Tenant)) >= 0, at+"tenant", "the deployment states no tenant %q", r.Tenant)
+	c.InRange(r.DeadlineMs, 0, mostMs, at+"deadline_ms")
 }
 
 // Route finds the route with the longest path that a request is under. Without one, known tells whether another method has one.
-func (f *Front) Route(method, path string) (found *Route, known bool) {
+func (f *Listener) Route(method, path string) (found *Route, known bool) {
 	for i := range f.Routes {
 		r := &f.Routes[i]
 		if !strings.HasPrefix(path, r.Path) {
@@ -172,7 +172,7 @@
 }
 
 // Allowed lists the methods that have a route for a path.
-func (f *Front) Allowed(path string) (methods []string) {
+func (f *Listener) Allowed(path string) (methods []string) {
 	for _, r := range f.Routes {
 		for _, m := range r.Methods {
 			if strings.HasPrefix(path, r.Path) && !slices.Contains(methods, m) {
--- a/internal/keeping/keeping.go
+++ b/internal/keeping/keeping.go
@@ -18,15 +18,15 @@
 
 // Span is how long idle connections are kept. A cache holds so many connections, which all nodes share without seeing each
 // other: those that keep theirs for long, for a leg in some seconds, leave none to the others, which dial and probe in vain.
-type Span struct {
+type Timeout struct {
 	stated time.Duration
 	times  float64 // shorter than stated
 	at     policy.Instant
 }
 
 // New makes the span under a stated idle limit; 0 for none.
-func New(limit time.Duration) Span {
-	s := Span{stated: usual, times: 1}
+func New(limit time.Duration) Timeout {
+	s := Timeout{stated: usual, times: 1}
 	if limit > 0 {
 		s.stated = time.Duration(share * float64(limit))
 	}
@@ -35,7 +35,7 @@
 
 // Full tells that a cache had no room for a connection, though it lives: another connection to it is up. It tells nothing
 // of a cache that refuses while it is down. It tells whether the span is shorter for it.
-func (s *Span) Full(now policy.Instant) bool {
+func (s *Timeout) OnServerFull(now policy.Instant) bool {
 	s.fade(now)
 	before := s.times
 	s.times, s.at = min(s.times*shrink, max(1, float64(s.stated)/float64(least))), now
@@ -43,13 +43,13 @@
 }
 
 // Now is the span as it is.
-func (s *Span) Now(now policy.Instant) time.Duration {
+func (s *Timeout) Current(now policy.Instant) time.Duration {
 	s.fade(now)
 	return time.Duration(float64(s.stated) / s.times)
 }
 
 // fade lets it grow back by whole steps of time, so that it does not matter how often it is asked.
-func (s *Span) fade(now policy.Instant) {
+func (s *Timeout) fade(now policy.Instant) {
 	for ; s.times > 1 && now.Since(s.at) >= regain; s.at = s.at.Add(regain) {
 		s.times = max(1, s.times/shrink)
 	}
--- a/internal/keeping/keeping_test.go
+++ b/internal/keeping/keeping_test.go
@@ -12,10 +12,10 @@
 	s, now := New(15*time.Second), policy.Instant(0)
 	for ; now < policy.Instant(12*regain); now = now.Add(100 * time.Millisecond) {
 		full := now <= policy.Instant(2*regain)
-		if full && s.Full(now) != (now < policy.Instant(400*time.Millisecond)) {
+		if full && s.OnServerFull(now) != (now < policy.Instant(400*time.Millisecond)) {
 			t.Fatalf("%v: a full cache tells that it is shorter, or not, wrongly", now)
 		}
-		if got := s.Now(now); full && now > policy.Instant(time.Second) && got != least || now > policy.Instant(7*regain) && got != 12*time.Second {
+		if got := s.Current(now); full && now > policy.Instant(time.Second) && got != least || now > policy.Instant(7*regain) && got != 12*time.Second {
 			t.Fatalf("%v: connections are kept %v", time.Duration(now), got)
 		}
 	}
--- a/internal/keyhash/keyhash.go
+++ b/internal/keyhash/keyhash.go
@@ -21,7 +21,7 @@
 func Salt(n int) uint64 { return Mix(uint64(n+1) * 0x9e3779b97f4a7c15) }
 
 // Text hashes a name (FNV-1a, mixed).
-func Text(s string) uint64 {
+func String(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
 		h = (h ^ uint64(s[i])) * 1099511628211
@@ -34,7 +34,7 @@
 
 // Next returns a number from 0 up to 1. Without the mix, CRC32 being linear, draws that follow a low one
 // are not chance: a door of 15% that draws thrice more for each one let in would let in 10%.
-func (s *Source) Next() float64 {
+func (s *Source) Float64() float64 {
 	var b [8]byte
 	s.drawn++
 	binary.LittleEndian.PutUint32(b[:4], s.Seed)
--- a/internal/keyhash/keyhash_test.go
+++ b/internal/keyhash/keyhash_test.go
@@ -5,11 +5,11 @@
 func TestChanceHoldsWhenDrawsDependOnDraws(t *testing.T) {
 	s, in := Source{Seed: 12345}, 0
 	for range 20000 {
-		if s.Next() < 0.15 {
+		if s.Float64() < 0.15 {
 			in++
-			s.Next()
-			s.Next()
-			s.Next()
+			s.Float64()
+			s.Float64()
+			s.Float64()
 		}
 	}
 	if in < 2800 || in > 3200 {
--- a/internal/levels/filter.go
+++ b/internal/levels/filter.go
@@ -12,7 +12,7 @@
 // Filter stands before a decider, and sheds by level what comes anew. What has been let through is the decider's alone.
 type Filter struct {
 	host.Decider
-	machine *Machine
+	machine *Controller
 	rules   *policy.Settings
 	shed    []map[policy.ClassID]bool // by level
 	origin  policy.EndpointID
@@ -22,7 +22,7 @@
 }
 
 // Before puts a filter before a decider. told hears of each change of level, and what is shed is counted.
-func Before(d host.Decider, now policy.Instant, seed uint32, plan []Level, terms *houserules.Settings,
+func NewFilter(d host.Decider, now policy.Instant, seed uint32, plan []Level, terms *houserules.Settings,
 	told func(now policy.Instant, level int, name string), count *uint64) *Filter {
 	f := &Filter{Decider: d, machine: New(now, plan), rules: &terms.Policy, chance: keyhash.Source{Seed: seed}, told: told, count: count}
 	for _, l := range plan {
@@ -39,19 +39,19 @@
 // of their own, so that they are no wave.
 func (f *Filter) Admit(now policy.Instant, r *policy.Request) (m policy.Decision, in bool) {
 	f.look(now)
-	level, share := f.machine.At()
-	if level == 0 || !f.shed[level-1][r.Class] || f.chance.Next() >= share {
-		f.machine.Let()
+	level, share := f.machine.Current()
+	if level == 0 || !f.shed[level-1][r.Class] || f.chance.Float64() >= share {
+		f.machine.RecordAdmitted()
 		return m, true
 	}
 	*f.count++
 	m.Answer = policy.Reject
-	m.RetryAfter = time.Duration((1 + f.chance.Next()) / 2 * float64(min(f.rules.MaxRetryAfter, window)))
+	m.RetryAfter = time.Duration((1 + f.chance.Float64()) / 2 * float64(min(f.rules.MaxRetryAfter, window)))
 	return m, false
 }
 
 func (f *Filter) look(now policy.Instant) {
-	if !f.machine.Look(now) {
+	if !f.machine.Evaluate(now) {
 		return
 	}
 	name, level := "normal", f.machine.at
@@ -64,7 +64,7 @@
 // After counts a leg's end, and passes it on.
 func (f *Filter) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
 	leg := &r.Attempts[o.Attempt]
-	f.machine.Leg(leg.Result, o.Latency, f.rules.Classes[r.Class].LatencyObjective, leg.Endpoint == f.origin)
+	f.machine.RecordAttempt(leg.Result, o.Latency, f.rules.Classes[r.Class].LatencyObjective, leg.Endpoint == f.origin)
 	return f.noted(f.Decider.OnAttemptDone(now, r, o))
 }
 
@@ -75,7 +75,7 @@
 
 func (f *Filter) noted(m policy.Decision) policy.Decision {
 	if m.Answer == policy.Reject {
-		f.machine.Rejected()
+		f.machine.RecordRejected()
 	}
 	return m
 }
--- a/internal/levels/levels.go
+++ b/internal/levels/levels.go
@@ -27,17 +27,17 @@
 
 // Shares are of the legs and requests of one look. As bounds, 0 looks at nothing.
 type Shares struct {
-	Late       float64 `toml:"late"`        // answered after the soft limit
-	Lost       float64 `toml:"lost"`        // errors, breaks, and no answer in time
-	TurnedAway float64 `toml:"turned_away"` // by caches that are full
-	OriginLate float64 `toml:"origin_late"` // late or lost there, of the legs there
-	Rejected   float64 `toml:"rejected"`    // by the module, of the requests that the level lets through
+	Late          float64 `toml:"late"`        // answered after the soft limit
+	Lost          float64 `toml:"lost"`        // errors, breaks, and no answer in time
+	CacheRejected float64 `toml:"turned_away"` // by caches that are full
+	OriginLate    float64 `toml:"origin_late"` // late or lost there, of the legs there
+	Rejected      float64 `toml:"rejected"`    // by the module, of the requests that the level lets through
 }
 
 func (s Shares) each(o Shares, f func(name string, mine, other float64)) {
 	f("late", s.Late, o.Late)
 	f("lost", s.Lost, o.Lost)
-	f("turned_away", s.TurnedAway, o.TurnedAway)
+	f("turned_away", s.CacheRejected, o.CacheRejected)
 	f("origin_late", s.OriginLate, o.OriginLate)
 	f("rejected", s.Rejected, o.Rejected)
 }
@@ -50,36 +50,36 @@
 
 // Level is one reduced level; they stand from the mildest to the hardest.
 type Level struct {
-	Name  string   `toml:"name"`
-	Enter Shares   `toml:"enter"` // one of them reached in two looks enters it
-	Leave Shares   `toml:"leave"` // all of them under this lets what is shed come back
-	StayS float64  `toml:"stay_s"`
-	Shed  []string `toml:"shed"` // grades that are rejected
+	Name     string   `toml:"name"`
+	Enter    Shares   `toml:"enter"` // one of them reached in two looks enters it
+	Leave    Shares   `toml:"leave"` // all of them under this lets what is shed come back
+	MinStayS float64  `toml:"stay_s"`
+	Shed     []string `toml:"shed"` // grades that are rejected
 }
 
-func (l *Level) stay() time.Duration { return time.Duration(l.StayS * float64(time.Second)) }
+func (l *Level) stay() time.Duration { return time.Duration(l.MinStayS * float64(time.Second)) }
 
 // Check looks at what is stated. Grades are those of the deployment.
 func Check(c *strictly.Checker, plan []Level, terms *houserules.Settings) {
-	c.Want(len(plan) <= most, "level", "more than %d", most)
+	c.Require(len(plan) <= most, "level", "more than %d", most)
 	for i := range plan {
 		l, at := &plan[i], fmt.Sprintf("level.%d.", i)
-		c.Want(l.Name != "" && !slices.ContainsFunc(plan[:i], func(o Level) bool { return o.Name == l.Name }), at+"name", "%q is no name of its own", l.Name)
-		c.Within(l.StayS, window.Seconds(), mostStay.Seconds(), at+"stay_s")
+		c.Require(l.Name != "" && !slices.ContainsFunc(plan[:i], func(o Level) bool { return o.Name == l.Name }), at+"name", "%q is no name of its own", l.Name)
+		c.InRange(l.MinStayS, window.Seconds(), mostStay.Seconds(), at+"stay_s")
 		any := false
 		l.Enter.each(l.Leave, func(name string, in, out float64) {
 			any = any || in > 0
-			c.Within(in, 0, 1, at+"enter."+name)
-			c.Want(in == 0 && out == 0 || out > 0 && out < in, at+"leave."+name, "%v is not above 0 and under %v, at which the level is entered", out, in)
+			c.InRange(in, 0, 1, at+"enter."+name)
+			c.Require(in == 0 && out == 0 || out > 0 && out < in, at+"leave."+name, "%v is not above 0 and under %v, at which the level is entered", out, in)
 		})
-		c.Want(any, at+"enter", "nothing enters it")
-		c.Want(len(l.Shed) > 0, at+"shed", "names no grade")
+		c.Require(any, at+"enter", "nothing enters it")
+		c.Require(len(l.Shed) > 0, at+"shed", "names no grade")
 		for _, name := range l.Shed {
 			g := terms.Names.Class([]byte(name))
-			c.Want(g >= 0, at+"shed", "the deployment states no grade %q", name)
-			c.Want(g < 0 || terms.Policy.Classes[g].Idempotency == policy.Idempotent, at+"shed", "%q may have an effect, and is never shed", name)
+			c.Require(g >= 0, at+"shed", "the deployment states no grade %q", name)
+			c.Require(g < 0 || terms.Policy.Classes[g].Idempotency == policy.Idempotent, at+"shed", "%q may have an effect, and is never shed", name)
 		}
-		c.Want(len(l.Shed) < len(terms.Policy.Classes), at+"shed", "leaves no grade")
+		c.Require(len(l.Shed) < len(terms.Policy.Classes), at+"shed", "leaves no grade")
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // Machine is where a node stands.
-type Machine struct {
+type Controller struct {
 	plan   []Level
 	at     int     // 0 is normal; else plan[at-1]
 	share  float64 // of what the level sheds that is shed
@@ -109,15 +109,15 @@
 }
 
 // New starts at normal.
-func New(now policy.Instant, plan []Level) *Machine {
-	return &Machine{plan: plan, from: now, learns: now.Add(learnsFor), above: make([]int, len(plan))}
+func New(now policy.Instant, plan []Level) *Controller {
+	return &Controller{plan: plan, from: now, learns: now.Add(learnsFor), above: make([]int, len(plan))}
 }
 
 // At tells the level's number, 0 for normal, and the share of what it sheds that is shed.
-func (m *Machine) At() (level int, share float64) { return m.at, m.share }
+func (m *Controller) Current() (level int, share float64) { return m.at, m.share }
 
 // Leg takes a leg's end.
-func (m *Machine) Leg(how policy.Result, took, soft time.Duration, atOrigin bool) {
+func (m *Controller) RecordAttempt(how policy.Result, took, soft time.Duration, atOrigin bool) {
 	late, lost := false, false
 	switch how {
 	case policy.Answered, policy.CacheMiss:
@@ -144,12 +144,12 @@
 }
 
 // Let takes a request that is let through, and Rejected one that the module rejected.
-func (m *Machine) Let()      { m.n.let++ }
-func (m *Machine) Rejected() { m.n.rejected++ }
+func (m *Controller) RecordAdmitted() { m.n.let++ }
+func (m *Controller) RecordRejected() { m.n.rejected++ }
 
 // Look moves on, and tells whether the level has changed. A look on few requests would dither at nodes that see few: it waits for more,
 // and for so long only.
-func (m *Machine) Look(now policy.Instant) (changed bool) {
+func (m *Controller) Evaluate(now policy.Instant) (changed bool) {
 	long := now.Since(m.from)
 	if long < window || m.n.let < leastSeen && long < thinFor {
 		return false
@@ -186,13 +186,13 @@
 }
 
 // enter starts a level with all that it sheds shed, for its least stay.
-func (m *Machine) enter(now policy.Instant, to int) {
+func (m *Controller) enter(now policy.Instant, to int) {
 	l := &m.plan[to-1]
 	m.at, m.share, m.since = to, 1, now.Add(l.stay()-l.stay()/stepsAStay)
 }
 
 // leave goes to the next milder level, which sheds all that it does at first.
-func (m *Machine) leave(now policy.Instant) {
+func (m *Controller) leave(now policy.Instant) {
 	if m.at--; m.at > 0 {
 		m.enter(now, m.at)
 	}
--- a/internal/levels/levels_test.go
+++ b/internal/levels/levels_test.go
@@ -12,20 +12,20 @@
 
 func init() { flag.Set("rapid.seed", "1") } // the same signals each time, unless a seed is asked for
 
-var plan = []Level{{Name: "mild", Enter: Shares{Late: 0.2}, Leave: Shares{Late: 0.1}, StayS: 4, Shed: []string{"read"}},
-	{Name: "hard", Enter: Shares{Late: 0.5}, Leave: Shares{Late: 0.3}, StayS: 8, Shed: []string{"read", "board"}}}
+var plan = []Level{{Name: "mild", Enter: Shares{Late: 0.2}, Leave: Shares{Late: 0.1}, MinStayS: 4, Shed: []string{"read"}},
+	{Name: "hard", Enter: Shares{Late: 0.5}, Leave: Shares{Late: 0.3}, MinStayS: 8, Shed: []string{"read", "board"}}}
 
 // second feeds one second of legs, so many of them late, and looks.
-func second(m *Machine, now policy.Instant, legs, late int) bool {
+func second(m *Controller, now policy.Instant, legs, late int) bool {
 	for n := range legs {
-		m.Let()
+		m.RecordAdmitted()
 		took := time.Millisecond
 		if n < late {
 			took = time.Second
 		}
-		m.Leg(policy.Answered, took, 100*time.Millisecond, false)
+		m.RecordAttempt(policy.Answered, took, 100*time.Millisecond, false)
 	}
-	return m.Look(now)
+	return m.Evaluate(now)
 }
 
 // Whatever the signal does, a level that flaps would shed and readmit in waves, and one that stays sheds for nothing: none is entered
@@ -44,7 +44,7 @@
 			if dirty++; !plan[0].Enter.reached(Shares{Late: float64(late) / float64(legs)}) || now < m.learns {
 				dirty = 0
 			}
-			at, share := m.At()
+			at, share := m.Current()
 			switch {
 			case changed != (at != was) || share < 0 || share > 1 || at == 0 && share != 0:
 				t.Fatalf("at %d with %v from %d, told %v", at, share, was, changed)
@@ -61,7 +61,7 @@
 			now = now.Add(window)
 			second(m, now, 100, 0)
 		}
-		if at, _ := m.At(); at != 0 {
+		if at, _ := m.Current(); at != 0 {
 			t.Fatalf("still at %d", at)
 		}
 	})
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -21,7 +21,7 @@
 type List struct {
 	Version    int
 	HasVersion bool
-	Whole      bool // it names all caches there are
+	Complete   bool // it names all caches there are
 
 	reader *Reader
 	tree   []*fastjson.Value // entries of a short list
@@ -45,7 +45,7 @@
 		return List{}, ErrNoList
 	}
 	l.HasVersion = object.Exists("generation")
-	l.Version, l.Whole = object.GetInt("generation"), object.GetBool("reset")
+	l.Version, l.Complete = object.GetInt("generation"), object.GetBool("reset")
 	if l.texts == nil {
 		l.tree = entries.GetArray()
 	}
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -21,8 +21,8 @@
 	var r Reader
 	for _, n := range []int{0, 1, 3, 2000, 2} { // in an order that leaves nothing of one to the next
 		l, err := r.Read([]byte(text(n)))
-		if err != nil || l.Version != 41 || !l.Whole || l.Len() != n {
-			t.Fatalf("%d entries: %v, version %d, whole %v, %d entries", n, err, l.Version, l.Whole, l.Len())
+		if err != nil || l.Version != 41 || !l.Complete || l.Len() != n {
+			t.Fatalf("%d entries: %v, version %d, whole %v, %d entries", n, err, l.Version, l.Complete, l.Len())
 		}
 		i := 0
 		l.Each(func(e *fastjson.Value) {
--- a/internal/net/accord/accord_test.go
+++ b/internal/net/accord/accord_test.go
@@ -450,7 +450,7 @@
 func (f *fleet) seedFor(i int) uint32 {
 	for seed := uint32(0); ; seed++ {
 		first := slices.MinFunc(f.all(), func(x, y string) int {
-			return cmp.Compare(keyhash.Salted(keyhash.Text(x), int(seed)), keyhash.Salted(keyhash.Text(y), int(seed)))
+			return cmp.Compare(keyhash.Salted(keyhash.String(x), int(seed)), keyhash.Salted(keyhash.String(y), int(seed)))
 		})
 		if first == nodeAt(i) {
 			return seed
--- a/internal/net/accord/follow.go
+++ b/internal/net/accord/follow.go
@@ -95,7 +95,7 @@
 func Follow(b FollowBerth) *Following {
 	f := &Following{FollowBerth: b, order: slices.Clone(b.At), chance: keyhash.Source{Seed: b.Seed}, closed: make(chan struct{}), done: make(chan struct{})}
 	slices.SortFunc(f.order, func(x, y string) int { // each node's own order: a machine's nodes spread over all others when it is gone
-		return cmp.Compare(keyhash.Salted(keyhash.Text(x), int(b.Seed)), keyhash.Salted(keyhash.Text(y), int(b.Seed)))
+		return cmp.Compare(keyhash.Salted(keyhash.String(x), int(b.Seed)), keyhash.Salted(keyhash.String(y), int(b.Seed)))
 	})
 	f.note()
 	f.heard.Store(int64(b.Now()))
@@ -129,7 +129,7 @@
 	unled := unledFor
 	for tries, at := 0, 0; ; at++ {
 		if tries > 0 || at > 0 {
-			wait := time.Duration(f.chance.Next() * float64(min(mostAgain, firstAgain<<min(tries, 8))))
+			wait := time.Duration(f.chance.Float64() * float64(min(mostAgain, firstAgain<<min(tries, 8))))
 			select {
 			case <-time.After(wait):
 			case <-f.closed:
--- a/internal/net/accord/machine.go
+++ b/internal/net/accord/machine.go
@@ -180,7 +180,7 @@
 	if t := b.File.Purges; t != nil {
 		var err error
 		if m.purger, err = purger.Open(purger.Berth{Terms: t, Machines: len(b.File.Machines), Log: log{m}, Dir: b.File.Control.Data, Logger: b.Log,
-			Now: b.Now, Counted: b.Counted, Seed: uint32(keyhash.Salted(keyhash.Text(b.File.Control.Label), int(self.ID)))}); err != nil {
+			Now: b.Now, Counted: b.Counted, Seed: uint32(keyhash.Salted(keyhash.String(b.File.Control.Label), int(self.ID)))}); err != nil {
 			_, _, _ = m.nodes.Close(), m.others.Close(), m.disk.Close()
 			return nil, err
 		}
--- a/internal/net/accord/peers.go
+++ b/internal/net/accord/peers.go
@@ -129,7 +129,7 @@
 	defer p.m.done.Done()
 	for tries := 0; ; tries++ {
 		if began := time.Now(); tries > 0 {
-			wait := time.Duration(p.chance.Next() * float64(min(mostAgain, leastAgain<<min(tries, 8))))
+			wait := time.Duration(p.chance.Float64() * float64(min(mostAgain, leastAgain<<min(tries, 8))))
 			for wait > 0 { // what is queued meanwhile is old by then
 				select {
 				case out := <-p.out:
--- a/internal/net/buffer/buffer_test.go
+++ b/internal/net/buffer/buffer_test.go
@@ -13,16 +13,16 @@
 		for i, s := range steps {
 			if i%2 == 0 {
 				p := bytes.Repeat([]byte{s}, int(s)*50)
-				b.Expect(len(b.Unused()) + 3*len(p)) // changes nothing that is there
-				b.Add(p)
+				b.Reserve(len(b.Unread()) + 3*len(p)) // changes nothing that is there
+				b.Append(p)
 				plain = append(plain, p...)
 			} else {
 				n := min(int(s)*50, len(plain))
-				b.Use(n)
+				b.Consume(n)
 				plain = plain[n:]
 			}
-			if !bytes.Equal(b.Unused(), plain) {
-				t.Fatalf("step %d: %d bytes, want %d", i, len(b.Unused()), len(plain))
+			if !bytes.Equal(b.Unread(), plain) {
+				t.Fatalf("step %d: %d bytes, want %d", i, len(b.Unread()), len(plain))
 			}
 			if len(plain) == 0 && cap(b.data) > Keep {
 				t.Fatalf("step %d: empty, yet %d bytes are kept", i, cap(b.data))
--- a/internal/net/deadlines/deadlines.go
+++ b/internal/net/deadlines/deadlines.go
@@ -19,7 +19,7 @@
 func (e *entry[E]) before(o *entry[E]) bool { return e.at < o.at || e.at == o.at && e.put < o.put }
 
 // Put hangs something in. The heap is the package's own: the library's takes each entry as an interface, an allocation each.
-func (q *Queue[E]) Put(at policy.Instant, due E) {
+func (q *Queue[E]) Push(at policy.Instant, due E) {
 	q.puts++
 	q.in = append(q.in, entry[E]{at, q.puts, due})
 	for i := len(q.in) - 1; i > 0; {
@@ -41,7 +41,7 @@
 }
 
 // Due takes out the next that is due by now.
-func (q *Queue[E]) Due(now policy.Instant) (due E, ok bool) {
+func (q *Queue[E]) PopDue(now policy.Instant) (due E, ok bool) {
 	if len(q.in) == 0 || q.in[0].at > now {
 		return due, false
 	}
--- a/internal/net/deadlines/deadlines_test.go
+++ b/internal/net/deadlines/deadlines_test.go
@@ -13,16 +13,16 @@
 		var q Queue[int]
 		order := make([]int, len(times))
 		for i, at := range times {
-			q.Put(policy.Instant(at), i)
+			q.Push(policy.Instant(at), i)
 			order[i] = i
 		}
 		slices.SortStableFunc(order, func(a, b int) int { return int(times[a]) - int(times[b]) })
 		for _, want := range order {
 			at, _ := q.Next()
-			if _, early := q.Due(at - 1); early {
+			if _, early := q.PopDue(at - 1); early {
 				t.Fatal("handed out early")
 			}
-			if got, ok := q.Due(at); !ok || got != want || at != policy.Instant(times[want]) {
+			if got, ok := q.PopDue(at); !ok || got != want || at != policy.Instant(times[want]) {
 				t.Fatalf("got %d at %d, want %d", got, at, want)
 			}
 		}
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -32,7 +32,7 @@
 
 // Path names the socket by which a node that listens there is replaced.
 func Path(folder, listen string) string {
-	return filepath.Join(folder, fmt.Sprintf("dahliapin-%016x.sock", keyhash.Text(listen)))
+	return filepath.Join(folder, fmt.Sprintf("dahliapin-%016x.sock", keyhash.String(listen)))
 }
 
 // under calls f with a name for a path that a socket may have: a long one goes by its folder's descriptor.
@@ -49,13 +49,13 @@
 }
 
 // Taken is what a process got from the one that it replaces.
-type Taken struct {
+type Inherited struct {
 	Listeners map[string]net.Listener // by address, as the old process listens on it
 	conn      *net.UnixConn
 }
 
 // Take asks whoever offers there. Without anybody it returns nil and no error.
-func Take(path string) (*Taken, error) {
+func Inherit(path string) (*Inherited, error) {
 	var c net.Conn
 	err := under(path, func(name string) (err error) {
 		c, err = net.DialTimeout("unix", name, within)
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Taken{Listeners: map[string]net.Listener{}, conn: c.(*net.UnixConn)}
+	t := &Inherited{Listeners: map[string]net.Listener{}, conn: c.(*net.UnixConn)}
 	if err := t.take(); err != nil {
 		t.Close()
 		return nil, err
@@ -75,7 +75,7 @@
 	return t, nil
 }
 
-func (t *Taken) take() error {
+func (t *Inherited) take() error {
 	_ = t.conn.SetDeadline(time.Now().Add(within))
 	if !ours(t.conn) {
 		return errors.New("who offers its sockets is not of this user")
@@ -116,13 +116,13 @@
 }
 
 // Serving tells the old process that clients are taken here from now on.
-func (t *Taken) Serving() error {
+func (t *Inherited) Serving() error {
 	_, err := t.conn.Write([]byte(serving))
 	return err
 }
 
 // Wait returns once the old process has gone.
-func (t *Taken) Wait() {
+func (t *Inherited) Wait() {
 	for b := make([]byte, 64); ; {
 		if _, err := t.conn.Read(b); err != nil {
 			return
@@ -131,7 +131,7 @@
 }
 
 // Close gives back what was not used.
-func (t *Taken) Close() {
+func (t *Inherited) Close() {
 	for _, l := range t.Listeners {
 		_ = l.Close()
 	}
@@ -142,9 +142,9 @@
 type Stage int
 
 const (
-	Came  Stage = iota // it has the sockets
-	Takes              // it takes clients
-	Left               // it has gone: this one goes on as before
+	SocketsSent      Stage = iota // it has the sockets
+	SuccessorServing              // it takes clients
+	SuccessorGone                 // it has gone: this one goes on as before
 )
 
 // Offer is a process's readiness to be replaced, by one other at a time.
@@ -198,7 +198,7 @@
 			tell := came && !o.closed
 			o.mu.Unlock()
 			if tell {
-				o.heard(Left)
+				o.heard(SuccessorGone)
 			}
 		}()
 	}
@@ -222,14 +222,14 @@
 		return false
 	}
 	_ = c.SetDeadline(time.Time{})
-	o.heard(Came)
+	o.heard(SocketsSent)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
 			return true
 		}
 		if line == serving {
-			o.heard(Takes)
+			o.heard(SuccessorServing)
 		}
 	}
 }
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -47,25 +47,25 @@
 	path := Path(folder, "127.0.0.1:7")
 	l, heard, o := offer(t, path)
 	for range 2 { // the first goes before it serves
-		n, err := Take(path)
+		n, err := Inherit(path)
 		if err != nil || n == nil || len(n.Listeners) != 1 {
 			t.Fatal(n, err)
 		}
-		expect(t, heard, Came)
-		if third, err := Take(path); err == nil {
+		expect(t, heard, SocketsSent)
+		if third, err := Inherit(path); err == nil {
 			t.Error("a third came while the second had not served", third)
 		}
 		n.Close()
-		expect(t, heard, Left)
+		expect(t, heard, SuccessorGone)
 	}
-	n, err := Take(path)
+	n, err := Inherit(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	expect(t, heard, Came)
+	expect(t, heard, SocketsSent)
 	n.Serving()
-	expect(t, heard, Takes)
+	expect(t, heard, SuccessorServing)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 // A folder that is missing or holds a killed process's rubbish, and an old process that hangs, leave a node to start as any.
 func TestWhereNothingCanBeTakenItIsSaidInTime(t *testing.T) {
 	folder := t.TempDir()
-	if n, err := Take(folder + "/none.sock"); n != nil || err != nil {
+	if n, err := Inherit(folder + "/none.sock"); n != nil || err != nil {
 		t.Error(n, err)
 	}
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: folder + "/killed.sock", Net: "unix"})
@@ -99,11 +99,11 @@
 	}
 	l.SetUnlinkOnClose(false)
 	l.Close()
-	if n, err := Take(folder + "/killed.sock"); n != nil || err != nil {
+	if n, err := Inherit(folder + "/killed.sock"); n != nil || err != nil {
 		t.Error(n, err)
 	}
 	os.WriteFile(folder+"/rubbish.sock", []byte("x"), 0o600)
-	if n, err := Take(folder + "/rubbish.sock"); n != nil || err != nil {
+	if n, err := Inherit(folder + "/rubbish.sock"); n != nil || err != nil {
 		t.Error(n, err)
 	}
 	hangs, err := net.Listen("unix", folder+"/hangs.sock")
@@ -111,10 +111,10 @@
 		t.Fatal(err)
 	}
 	defer hangs.Close()
-	if n, err := Take(folder + "/hangs.sock"); n != nil || err == nil {
+	if n, err := Inherit(folder + "/hangs.sock"); n != nil || err == nil {
 		t.Error("took from one that says nothing")
 	}
-	if n, err := Take(Path(folder+"/none/"+strings.Repeat("long", longestPath/4), "127.0.0.1:7")); n != nil || err != nil {
+	if n, err := Inherit(Path(folder+"/none/"+strings.Repeat("long", longestPath/4), "127.0.0.1:7")); n != nil || err != nil {
 		t.Error(n, err)
 	}
 	offer(t, folder+"/killed.sock") // over the rubbish
--- a/internal/net/ops/ops.go
+++ b/internal/net/ops/ops.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	MostCallers = 24                     // connections at a time: some callers stay for seconds and say nothing
-	headBy      = 3 * time.Second        // for a call to come whole
-	answerBy    = 2 * time.Second        // for its answer to be read
-	loopBy      = 700 * time.Millisecond // for the loop to carry a call out: answers are due within 1 s
-	staleAfter  = 2 * time.Second        // figures are handed out ten times a second: past that the loop takes nothing
-	longestHead = 4 << 10                // bytes of a call's head
-	longestBody = 1 << 10                // bytes of a body: none is needed
+	MaxConnections = 24                     // connections at a time: some callers stay for seconds and say nothing
+	headBy         = 3 * time.Second        // for a call to come whole
+	answerBy       = 2 * time.Second        // for its answer to be read
+	loopBy         = 700 * time.Millisecond // for the loop to carry a call out: answers are due within 1 s
+	staleAfter     = 2 * time.Second        // figures are handed out ten times a second: past that the loop takes nothing
+	longestHead    = 4 << 10                // bytes of a call's head
+	longestBody    = 1 << 10                // bytes of a body: none is needed
 )
 
 // ErrEnding says that a node which ends does neither stand by nor come back.
@@ -34,7 +34,7 @@
 
 // Node is what is asked and told.
 type Node interface {
-	Sheet() *counters.Sheet
+	Metrics() *counters.Snapshot
 	Standby(context.Context) error
 	Active(context.Context) error
 }
@@ -46,7 +46,7 @@
 }
 
 // Desk takes the calls.
-type Desk struct {
+type Server struct {
 	l    net.Listener
 	http http.Server
 	mu   sync.Mutex
@@ -54,21 +54,21 @@
 }
 
 // Open listens; Serve is to follow.
-func Open(addr string) (*Desk, error) {
+func Open(addr string) (*Server, error) {
 	plain := net.ListenConfig{KeepAlive: -1}
 	plain.SetMultipathTCP(false)
 	l, err := plain.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("cannot listen for operators on %s: %w", addr, err)
 	}
-	return &Desk{l: l}, nil
+	return &Server{l: l}, nil
 }
 
 // Addr is where it listens.
-func (d *Desk) Addr() string { return d.l.Addr().String() }
+func (d *Server) Addr() string { return d.l.Addr().String() }
 
 // Serve starts to answer for a node, and for what it knows of others; nil for nothing.
-func (d *Desk) Serve(n Node, f Fleet, log *logrus.Logger) {
+func (d *Server) Serve(n Node, f Fleet, log *logrus.Logger) {
 	d.http = http.Server{Handler: handler(n, f, log), ReadTimeout: headBy, WriteTimeout: headBy + answerBy, MaxHeaderBytes: longestHead,
 		ConnState: d.state, ErrorLog: stdlog.New(io.Discard, "", 0)}
 	d.http.SetKeepAlivesEnabled(false)
@@ -76,19 +76,19 @@
 }
 
 // Close ends all calls.
-func (d *Desk) Close() {
+func (d *Server) Close() {
 	_ = d.l.Close()
 	_ = d.http.Close()
 }
 
 // state bounds the callers. Guards against those who say nothing and stay: the one that came first goes, so that an honest
 // call, which takes no time, still finds room.
-func (d *Desk) state(c net.Conn, s http.ConnState) {
+func (d *Server) state(c net.Conn, s http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		if len(d.here) >= MostCallers {
+		if len(d.here) >= MaxConnections {
 			_ = d.here[0].Close()
 			d.here = d.here[1:]
 		}
@@ -106,11 +106,11 @@
 func handler(n Node, f Fleet, log *logrus.Logger) http.Handler {
 	calls := http.NewServeMux() // a path that it does not know gets 404, a method 405
 	calls.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
-		s := n.Sheet()
+		s := n.Metrics()
 		switch {
 		case time.Since(s.At) > staleAfter:
 			http.Error(w, "stuck: the loop takes nothing", http.StatusServiceUnavailable)
-		case !s.Takes:
+		case !s.Serving:
 			http.Error(w, s.Phase, http.StatusServiceUnavailable)
 		default:
 			fmt.Fprintln(w, s.Phase)
@@ -118,7 +118,7 @@
 	})
 	calls.HandleFunc("GET /status/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = w.Write(n.Sheet().Text())
+		_, _ = w.Write(n.Metrics().Text())
 	})
 	told := func(what string, do func(context.Context) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/net/ops/ops_test.go
+++ b/internal/net/ops/ops_test.go
@@ -18,12 +18,12 @@
 
 // standIn is a node whose answers a test sets.
 type standIn struct {
-	sheet counters.Sheet
+	sheet counters.Snapshot
 	err   error
 	calls string
 }
 
-func (s *standIn) Sheet() *counters.Sheet { return &s.sheet }
+func (s *standIn) Metrics() *counters.Snapshot { return &s.sheet }
 
 func (s *standIn) Standby(context.Context) error { s.calls += "standby "; return s.err }
 
@@ -69,8 +69,8 @@
 
 // Each answer is yes or no for a reason of its own; a loop that hangs is no yes, and no call waits for it.
 func TestCallsAreAnsweredForTheNodeAsItStands(t *testing.T) {
-	n := &standIn{sheet: counters.Sheet{At: time.Now().Add(time.Hour), Takes: true, Phase: "serving", Pending: 3, Members: 2,
-		Grades: []counters.GradeSheet{{Name: "a.b:c|d e\n", Satisfied: 812, Rejected: 1, Failed: 2}}}}
+	n := &standIn{sheet: counters.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving", Pending: 3, Members: 2,
+		Classes: []counters.ClassSnapshot{{Name: "a.b:c|d e\n", Satisfied: 812, Rejected: 1, Failed: 2}}}}
 	addr := open(t, n)
 	head := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: n\r\n" }
 	for text, want := range map[string]int{head("GET", "/status") + "\r\n": 200, head("GET", "/status/metrics") + "\r\n": 200,
@@ -95,8 +95,8 @@
 		text   string
 		want   int
 	}{
-		{func() { n.sheet.Takes, n.sheet.Phase = false, "standby" }, head("GET", "/status") + "\r\n", 503},
-		{func() { n.sheet.Takes, n.sheet.At = true, time.Now().Add(-staleAfter) }, head("GET", "/status") + "\r\n", 503},
+		{func() { n.sheet.Serving, n.sheet.Phase = false, "standby" }, head("GET", "/status") + "\r\n", 503},
+		{func() { n.sheet.Serving, n.sheet.At = true, time.Now().Add(-staleAfter) }, head("GET", "/status") + "\r\n", 503},
 		{func() { n.err = ErrEnding }, head("PUT", "/standby") + "\r\n", 409},
 		{func() { n.err = context.DeadlineExceeded }, head("PUT", "/active") + "\r\n", 503},
 	} {
@@ -110,7 +110,7 @@
 // Callers that say nothing, or half a call, stay for seconds: an honest one is answered among a hundred of them, and they do not
 // take more connections than they may.
 func TestAnHonestCallIsAnsweredAmongThoseWhoSayNothing(t *testing.T) {
-	addr := open(t, &standIn{sheet: counters.Sheet{At: time.Now().Add(time.Hour), Takes: true, Phase: "serving"}})
+	addr := open(t, &standIn{sheet: counters.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving"}})
 	ended := make(chan bool, 100)
 	for i := range 100 {
 		c, err := net.Dial("tcp", addr)
@@ -129,7 +129,7 @@
 	if got, _ := call(t, addr, "GET /status HTTP/1.1\r\nHost: n\r\n\r\n"); got != 200 {
 		t.Error(got)
 	}
-	for range 100 - MostCallers { // at once, not once their time is up
+	for range 100 - MaxConnections { // at once, not once their time is up
 		select {
 		case <-ended:
 		case <-time.After(headBy / 2):
--- a/internal/net/purges/cache.go
+++ b/internal/net/purges/cache.go
@@ -73,7 +73,7 @@
 			p.mu.Unlock()
 			return
 		}
-		rest := c.Broke(p.Now(), c.chance.Next())
+		rest := c.Broke(p.Now(), c.chance.Float64())
 		c.reason = short(err)
 		p.mu.Unlock()
 		select {
--- a/internal/net/purges/list.go
+++ b/internal/net/purges/list.go
@@ -56,13 +56,13 @@
 	defer web.CloseIdleConnections()
 	caller, chance := discovery.New(p.Machines), keyhash.Source{Seed: p.Seed}
 	for {
-		call, began, at := caller.Next(), time.Now(), p.Now()
+		call, began, at := caller.NextPoll(), time.Now(), p.Now()
 		n, err := p.ask(ctx, web, call)
-		if err == nil && !caller.Takes(*n.Generation, n.Reset) {
+		if err == nil && !caller.Accepts(*n.Generation, n.Reset) {
 			err = errNews
 		}
 		if err == nil {
-			form, again := caller.Heard(*n.Generation, n.Reset)
+			form, again := caller.OnUpdate(*n.Generation, n.Reset)
 			if again {
 				p.Logger.Info("the list of caches is had again")
 			}
@@ -74,14 +74,14 @@
 				continue
 			}
 		}
-		how := discovery.Lost
+		how := discovery.ConnectionLost
 		switch {
 		case errors.Is(err, errRefused):
 			how = discovery.Refused
 		case errors.Is(err, errNews):
 			how = discovery.Unreadable
 		}
-		rest, first := caller.Failed(how, time.Since(began), chance.Next())
+		rest, first := caller.OnFailure(how, time.Since(began), chance.Float64())
 		if first {
 			p.Logger.WithError(err).Warn("the list of caches cannot be had; the last one stays")
 		}
@@ -93,12 +93,12 @@
 	}
 }
 
-func (p *Purger) ask(ctx context.Context, web *http.Client, call discovery.Call) (n news, err error) {
-	ctx, done := context.WithTimeout(ctx, call.Within)
+func (p *Purger) ask(ctx context.Context, web *http.Client, call discovery.Poll) (n news, err error) {
+	ctx, done := context.WithTimeout(ctx, call.Timeout)
 	defer done()
 	url := "http://" + p.Terms.Discovery + listPath
-	if !call.Whole {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", call.Since, max(1, call.Wait.Milliseconds()))
+	if !call.Complete {
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", call.SinceVersion, max(1, call.LongPoll.Milliseconds()))
 	}
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/net/purges/purges.go
+++ b/internal/net/purges/purges.go
@@ -132,7 +132,7 @@
 	if len(p.caches) >= mostKept && !p.forget() {
 		return nil
 	}
-	k := &cache{p: p, id: id, chance: keyhash.Source{Seed: p.Seed ^ uint32(keyhash.Text(string(id)))}, nudge: make(chan struct{}, 1), heard: p.Now(), saved: c,
+	k := &cache{p: p, id: id, chance: keyhash.Source{Seed: p.Seed ^ uint32(keyhash.String(string(id)))}, nudge: make(chan struct{}, 1), heard: p.Now(), saved: c,
 		Cache: purges.NewCache(purges.Terms{Fills: p.Terms.Fills(), Each: p.Terms.Each()}, c, p.Now())}
 	p.caches[id] = k
 	return k
--- a/internal/net/relay/caches.go
+++ b/internal/net/relay/caches.go
@@ -69,7 +69,7 @@
 
 // use passes over an answer that has been read; what follows belongs to the next.
 func (l *link) use(size int) {
-	l.buf.Use(size)
+	l.buf.Consume(size)
 	l.read = http1.Progress{}
 }
 
@@ -81,17 +81,17 @@
 	begun    bool // written, but the kernel had not taken all of it then
 }
 
-func (r *Relay) connectTime() time.Duration {
-	if r.Terms.ConnectTimeout > 0 {
-		return r.Terms.ConnectTimeout
+func (r *Proxy) connectTime() time.Duration {
+	if r.Settings.ConnectTimeout > 0 {
+		return r.Settings.ConnectTimeout
 	}
 	return connect
 }
 
-func (r *Relay) idleTime() time.Duration { return r.kept.Now(r.now()) }
+func (r *Proxy) idleTime() time.Duration { return r.kept.Current(r.now()) }
 
 // Send starts a leg on the connection used last, or on a new one.
-func (r *Relay) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
+func (r *Proxy) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
 	v := r.hand.Get(slotOf(id))
 	if v == nil {
 		return
@@ -99,7 +99,7 @@
 	now := r.now()
 	ref := legRef{v.id, len(v.legs)}
 	v.legs = append(v.legs, leg{out: true, sent: now, giveUpAt: giveUpAt})
-	r.count.Legs++
+	r.count.Attempts++
 	c := r.caches[to]
 	if c == nil {
 		r.end(v, ref.leg, policy.ConnectFailed, nil)
@@ -115,7 +115,7 @@
 		return
 	}
 	l.leg, v.legs[ref.leg].link = ref, l.id
-	r.due.Put(giveUpAt, due{leg: ref})
+	r.due.Push(giveUpAt, due{leg: ref})
 	if l.wire != nil {
 		r.write(l, v, ref.leg)
 	}
@@ -123,7 +123,7 @@
 
 // linkTo finds the idle link used last or dials a new one. A strict errand takes none on which the last answer did not say whose it was
 // until a second of its kind would have come: that could be taken for this errand's.
-func (r *Relay) linkTo(c *cache, does errand, strict bool) (*link, error) {
+func (r *Proxy) linkTo(c *cache, does errand, strict bool) (*link, error) {
 	for i := len(c.idle) - 1; i >= 0; i-- {
 		l := r.links.Get(c.idle[i])
 		if strict && l.nobody != 0 && r.now().Since(l.nobody) < settleFor {
@@ -131,7 +131,7 @@
 		}
 		if quiet, sure := l.wire.Quiet(); !quiet {
 			if sure { // more has come than belongs to the last answer, or its end: that is not the next one's
-				r.count.Strange++
+				r.count.ProtocolErrors++
 				r.dropLink(l)
 			}
 			continue
@@ -151,21 +151,21 @@
 }
 
 // open dials for a new link.
-func (r *Relay) open(l *link, addr string) error {
+func (r *Proxy) open(l *link, addr string) error {
 	l.usedAt = r.now()
 	l.stopAt = l.usedAt.Add(r.connectTime())
 	l.id = r.links.Add(l)
 	if err := r.dial(addr, l.id, l.cache == nil); err != nil {
-		r.links.Drop(l.id)
+		r.links.Remove(l.id)
 		return err
 	}
-	r.due.Put(l.stopAt, due{link: l.id})
+	r.due.Push(l.stopAt, due{link: l.id})
 	return nil
 }
 
 // leftUnheard tells whether the client of a request has gone, which the loop has not come to yet: its end stands behind others'
 // bytes, or its own, and it may have waited long before anything of it was taken. Guards against legs for nobody.
-func (r *Relay) leftUnheard(v *request) bool {
+func (r *Proxy) leftUnheard(v *request) bool {
 	c := r.clients.Get(v.client)
 	if v.answered || c == nil || !c.wire.Left() {
 		return false
@@ -179,7 +179,7 @@
 }
 
 // write hands a leg to the kernel. Only if that fails is it sure that its last byte never was.
-func (r *Relay) write(l *link, v *request, n int) {
+func (r *Proxy) write(l *link, v *request, n int) {
 	wait := max(1, int64(v.legs[n].giveUpAt.Since(r.now())/time.Millisecond))
 	v.went = true
 	if l.wire.Write(l.cache.carrier.ask(&v.call, l.cache.addr, wait)) != nil {
@@ -192,7 +192,7 @@
 }
 
 // Cancel calls a leg off by closing its connection, which carries no other. One that is still coming up is kept.
-func (r *Relay) Cancel(id policy.RequestID, n int) {
+func (r *Proxy) Cancel(id policy.RequestID, n int) {
 	v := r.hand.Get(slotOf(id))
 	if v == nil || n < 0 || n >= len(v.legs) || !v.legs[n].out {
 		return
@@ -202,19 +202,19 @@
 
 // inPart tells whether the kernel has not taken all of a leg yet. Such a leg has not been sent, and so may be stopped whatever the
 // settings say of calling off. Guards against one that goes out whole long after nobody waits for it any more.
-func (r *Relay) inPart(v *request, n int) bool {
+func (r *Proxy) inPart(v *request, n int) bool {
 	l := r.links.Get(v.legs[n].link)
 	return v.legs[n].out && l != nil && l.wire != nil && l.wire.Unsent() > 0
 }
 
-func (r *Relay) giveUp(ref legRef) {
+func (r *Proxy) giveUp(ref legRef) {
 	if v := r.hand.Get(ref.hand); v != nil && v.legs[ref.leg].out {
 		r.stopWaiting(v, ref.leg, policy.TimedOut)
 	}
 }
 
 // stopWaiting ends a leg. If its last byte never went to the kernel, it never ran.
-func (r *Relay) stopWaiting(v *request, n int, how policy.Result) {
+func (r *Proxy) stopWaiting(v *request, n int, how policy.Result) {
 	l := r.links.Get(v.legs[n].link)
 	if l != nil && (l.wire == nil || r.dropLink(l) > 0) {
 		if l.does = nothing; how == policy.TimedOut {
@@ -227,14 +227,14 @@
 }
 
 // end closes a leg with its one outcome; the host hears of it once it has carried out what it is at.
-func (r *Relay) end(v *request, n int, how policy.Result, report []float64) {
+func (r *Proxy) end(v *request, n int, how policy.Result, report []float64) {
 	l := &v.legs[n]
 	l.out = false
 	if l.begun && how != policy.ConnectFailed && how != policy.NotSent {
 		r.whole++
 	}
 	v.late = how == policy.TimedOut
-	r.count.Ended[how]++
+	r.count.Outcomes[how]++
 	o := policy.Outcome{Attempt: n, Latency: r.now().Since(l.sent), LoadReport: report}
 	r.later = append(r.later, func() {
 		r.host.AttemptDone(r.now(), token(v.id), how, v.answered, o)
@@ -243,21 +243,21 @@
 }
 
 // release forgets a request that is answered and has nothing out.
-func (r *Relay) release(v *request) {
+func (r *Proxy) release(v *request) {
 	for _, l := range v.legs {
 		if l.out {
 			return
 		}
 	}
 	if v.answered && r.hand.Get(v.id) != nil {
-		r.hand.Drop(v.id)
+		r.hand.Remove(v.id)
 		delete(r.taken, string(v.call.id))
 		r.held -= v.bytes
 	}
 }
 
 // dialled tells of a connection that is up, or never will be.
-func (r *Relay) dialled(ev *sockets.Event) {
+func (r *Proxy) dialled(ev *sockets.Event) {
 	l := r.links.Get(linkID(ev.Dial))
 	switch {
 	case ev.What == sockets.Refused:
@@ -279,7 +279,7 @@
 
 // refused looks at a new link that a server did not take. If others to it are up, it lives and is full: idle links are given back
 // sooner then, to all. Guards against nodes that keep a connection for a leg in some seconds while others dial in vain.
-func (r *Relay) refused(l *link) {
+func (r *Proxy) refused(l *link) {
 	if l.proven || l.cache == nil || r.caches[l.cache.id] != l.cache { // an old link ends for many reasons
 		return
 	}
@@ -288,19 +288,19 @@
 	if !up {
 		return
 	}
-	if r.count.Full++; !r.kept.Full(r.now()) {
+	if r.count.ServerFull++; !r.kept.OnServerFull(r.now()) {
 		return
 	}
 	r.links.Each(func(id linkID, o *link) {
 		if o.cache != nil && o.does == nothing && o.wire != nil {
 			o.idleAt = o.usedAt.Add(r.idleTime())
-			r.due.Put(o.idleAt, due{link: id})
+			r.due.Push(o.idleAt, due{link: id})
 		}
 	})
 }
 
 // begin does what a link was dialled for.
-func (r *Relay) begin(l *link) {
+func (r *Proxy) begin(l *link) {
 	switch l.does {
 	case aLeg:
 		v := r.hand.Get(l.leg.hand)
@@ -323,7 +323,7 @@
 }
 
 // rest keeps a link for the next leg.
-func (r *Relay) rest(l *link) {
+func (r *Proxy) rest(l *link) {
 	l.proven = l.proven || l.does == aLeg || l.does == aProbe
 	l.does, l.usedAt, l.stopAt = nothing, r.now(), 0
 	if r.caches[l.cache.id] != l.cache { // the list does not name it any more
@@ -334,13 +334,13 @@
 	r.idleLinks.push(l)
 	if l.idleAt == 0 {
 		l.idleAt = l.usedAt.Add(r.idleTime())
-		r.due.Put(l.idleAt, due{link: l.id})
+		r.due.Push(l.idleAt, due{link: l.id})
 	}
 }
 
 // tend looks after a link whose time has come: it may not have come up, a probe may have gone unanswered, or it
 // may have been idle for long.
-func (r *Relay) tend(id linkID) {
+func (r *Proxy) tend(id linkID) {
 	l, now := r.links.Get(id), r.now()
 	if l == nil {
 		return
@@ -365,12 +365,12 @@
 	if l.does != nothing { // taken up just before its time: looked after at once, it would be until its leg ends
 		l.idleAt = now.Add(r.idleTime())
 	}
-	r.due.Put(l.idleAt, due{link: l.id})
+	r.due.Push(l.idleAt, due{link: l.id})
 }
 
 // dropLink closes a link, and returns how much of what was written to it never went to the kernel.
-func (r *Relay) dropLink(l *link) (lost int64) {
-	r.links.Drop(l.id)
+func (r *Proxy) dropLink(l *link) (lost int64) {
+	r.links.Remove(l.id)
 	r.idleLinks.remove(l)
 	r.coming -= l.coming
 	l.coming = 0
@@ -390,7 +390,7 @@
 }
 
 // lose drops a link, and tells what that means for what it was used for.
-func (r *Relay) lose(l *link, how policy.Result) {
+func (r *Proxy) lose(l *link, how policy.Result) {
 	does := l.does
 	l.does = nothing
 	r.dropLink(l)
@@ -408,12 +408,12 @@
 	}
 }
 
-func (r *Relay) linkClosed(id linkID, unsent, orderly bool) {
+func (r *Proxy) linkClosed(id linkID, unsent, orderly bool) {
 	l := r.links.Get(id)
 	if l == nil {
 		return
 	}
-	if l.ended = orderly; orderly && len(l.buf.Unused()) > 0 && l.does != aStream { // an answer of the origin or of discovery may end with its connection
+	if l.ended = orderly; orderly && len(l.buf.Unread()) > 0 && l.does != aStream { // an answer of the origin or of discovery may end with its connection
 		r.read(l)
 	}
 	switch {
@@ -421,7 +421,7 @@
 	case unsent:
 		r.refused(l)
 		r.lose(l, policy.ConnectFailed)
-	case l.does == aStream && l.stream.left+l.stream.tail <= len(l.buf.Unused()): // all is there; its reader is slow
+	case l.does == aStream && l.stream.left+l.stream.tail <= len(l.buf.Unread()): // all is there; its reader is slow
 		l.last = true
 	default:
 		if !orderly && l.does != nothing && r.now().Since(l.usedAt) < r.connectTime() {
@@ -431,7 +431,7 @@
 	}
 }
 
-func (r *Relay) linkData(id linkID, data []byte) {
+func (r *Proxy) linkData(id linkID, data []byte) {
 	l := r.links.Get(id)
 	if l == nil {
 		return
@@ -441,27 +441,27 @@
 			return
 		}
 	}
-	l.buf.Add(data)
+	l.buf.Append(data)
 	if r.read(l); r.links.Get(id) == nil {
 		return
 	}
-	unused := len(l.buf.Unused())
+	unused := len(l.buf.Unread())
 	if l.does == aStream { // bounded each, by what may wait for the loop
 		unused = 0
 	}
 	r.coming += unused - l.coming
 	if l.coming = unused; l.coming > fewBytes && l.cache != nil && int64(r.coming) > r.Memory/shareComing {
-		r.count.Crowded++
+		r.count.RejectedForRoom++
 		r.lose(l, policy.ConnectionBroken) // for want of memory: the cache is not to blame
 	}
 }
 
-func (r *Relay) read(l *link) {
+func (r *Proxy) read(l *link) {
 	switch {
 	case l.does == theList:
 		r.listData(l)
 	case l.does == nothing: // nobody asked
-		r.count.Strange++
+		r.count.ProtocolErrors++
 		r.dropLink(l)
 	case l.does == aProbe:
 		r.probeData(l)
@@ -473,15 +473,15 @@
 }
 
 // legData reads a server's answer to a leg.
-func (r *Relay) legData(l *link, v *request) {
+func (r *Proxy) legData(l *link, v *request) {
 	came, size, wants := &r.came, 0, 0
 	v.call.sent = r.began.Add(v.legs[l.leg.leg].sent.Since(epoch))
-	*came, size, wants = l.cache.carrier.reply(l.buf.Unused(), &v.call, l.ended, &l.read)
+	*came, size, wants = l.cache.carrier.reply(l.buf.Unread(), &v.call, l.ended, &l.read)
 	if size == 0 && came.how != spoilt {
 		if r.startStream(l, v, came, wants) {
 			return
 		}
-		l.buf.Expect(wants)
+		l.buf.Reserve(wants)
 		return
 	}
 	r.answered(l, v, came, size)
@@ -492,9 +492,9 @@
 
 // answered ends a leg by what came back. What can't be read or answers another request is served to nobody: the
 // leg has failed and may have run, though the cache lives; whatever else comes on its connection can't be trusted.
-func (r *Relay) answered(l *link, v *request, came *reply, size int) {
+func (r *Proxy) answered(l *link, v *request, came *reply, size int) {
 	if came.how == spoilt {
-		r.count.Strange++
+		r.count.ProtocolErrors++
 		r.lose(l, policy.Errored)
 		return
 	}
@@ -512,8 +512,8 @@
 		l.nobody = r.now()
 	}
 	n := l.leg.leg
-	if len(l.buf.Unused()) > 0 {
-		r.count.Strange++
+	if len(l.buf.Unread()) > 0 {
+		r.count.ProtocolErrors++
 		r.dropLink(l)
 	} else {
 		r.rest(l)
@@ -527,11 +527,11 @@
 }
 
 // report reads a load report: names and values, of which only the stated columns count.
-func (r *Relay) report(load []byte) []float64 {
+func (r *Proxy) report(load []byte) []float64 {
 	if len(load) == 0 {
 		return nil
 	}
-	return r.Terms.Names.LoadReport(func(column string) (float64, bool) {
+	return r.Settings.Names.LoadReport(func(column string) (float64, bool) {
 		said, _ := meta.Item(load, column)
 		x, err := strconv.ParseFloat(string(said), 64)
 		return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
@@ -539,12 +539,12 @@
 }
 
 // Probe checks on a cache.
-func (r *Relay) CheckHealth(id policy.EndpointID) {
+func (r *Proxy) CheckHealth(id policy.EndpointID) {
 	c := r.caches[id]
 	if c == nil {
 		return
 	}
-	r.count.Probes++
+	r.count.HealthChecks++
 	l, err := r.linkTo(c, aProbe, false)
 	if err != nil {
 		r.probed(id, policy.ConnectFailed)
@@ -555,17 +555,17 @@
 	}
 }
 
-func (r *Relay) writeProbe(l *link) {
+func (r *Proxy) writeProbe(l *link) {
 	l.stopAt = r.now().Add(r.connectTime())
-	r.due.Put(l.stopAt, due{link: l.id})
+	r.due.Push(l.stopAt, due{link: l.id})
 	if l.wire.Write(l.cache.carrier.probe(l.cache.addr)) != nil {
 		r.lose(l, policy.ConnectFailed)
 	}
 }
 
-func (r *Relay) probeData(l *link) {
+func (r *Proxy) probeData(l *link) {
 	how := policy.Errored
-	up, size, err := l.cache.carrier.up(l.buf.Unused(), l.ended)
+	up, size, err := l.cache.carrier.up(l.buf.Unread(), l.ended)
 	if up {
 		how = policy.Answered
 	}
@@ -579,6 +579,6 @@
 	}
 }
 
-func (r *Relay) probed(id policy.EndpointID, found policy.Result) {
+func (r *Proxy) probed(id policy.EndpointID, found policy.Result) {
 	r.later = append(r.later, func() { r.host.OnHealthCheck(r.now(), id, found) })
 }
--- a/internal/net/relay/clients.go
+++ b/internal/net/relay/clients.go
@@ -57,7 +57,7 @@
 func (t *turn) bytes() int { return len(t.out) + len(t.long) }
 
 func (c *client) idle() bool {
-	return len(c.turns) == 0 && len(c.buf.Unused()) == 0 && c.wire.Unsent() == 0
+	return len(c.turns) == 0 && len(c.buf.Unread()) == 0 && c.wire.Unsent() == 0
 }
 
 // request is one in hand. The host keeps its own part of it.
@@ -76,7 +76,7 @@
 	legs     []leg
 }
 
-func (r *Relay) opened(ev *sockets.Event) {
+func (r *Proxy) opened(ev *sockets.Event) {
 	c := &client{wire: ev.Wire, face: r.faces[ev.Wire.At], usedAt: r.at(ev.At), since: r.at(ev.At)}
 	c.id = r.clients.Add(c)
 	c.wire.Tag = uint64(c.id)
@@ -88,27 +88,27 @@
 }
 
 // tooManyClients tells whether they take what links need: half, or more while there are few links.
-func (r *Relay) tooManyClients() bool {
+func (r *Proxy) tooManyClients() bool {
 	most := r.eng.Most()
 	return r.clients.Len() > max(most-r.mostLinks(), most-most/shareSpare-r.links.Len())
 }
 
-func (r *Relay) mostLinks() int { return r.eng.Most() / shareLinks }
+func (r *Proxy) mostLinks() int { return r.eng.Most() / shareLinks }
 
-func (r *Relay) clientData(id clientID, data []byte, at policy.Instant) {
+func (r *Proxy) clientData(id clientID, data []byte, at policy.Instant) {
 	c := r.clients.Get(id)
 	if c == nil || c.closing {
 		return
 	}
 	c.usedAt = at
-	c.buf.Add(data)
+	c.buf.Append(data)
 	began := at
 	if c.partial > 0 {
 		began = c.since
 	}
 	for !c.closing {
 		a := &r.asked
-		size := c.face.read(c.buf.Unused(), a, &c.read)
+		size := c.face.read(c.buf.Unread(), a, &c.read)
 		if size == 0 && a.wish != unserved && (a.wish != invited || c.invited) {
 			break
 		}
@@ -127,7 +127,7 @@
 			r.take(c, &a.call, at)
 		}
 		c.closing = c.closing || a.closes
-		if c.buf.Use(size); size > 0 {
+		if c.buf.Consume(size); size > 0 {
 			c.read = http1.Progress{}
 		}
 		began = at
@@ -136,13 +136,13 @@
 			c.closing = true
 		}
 	}
-	r.partial += len(c.buf.Unused()) - c.partial
-	c.partial = len(c.buf.Unused())
+	r.partial += len(c.buf.Unread()) - c.partial
+	c.partial = len(c.buf.Unread())
 	if c.since = 0; c.partial > 0 {
 		c.since = began
 	}
 	if c.partial > 0 && int64(r.partial) > r.Memory/sharePart {
-		r.count.Crowded++
+		r.count.RejectedForRoom++
 		r.say(c, c.face.refused(noMemory, false))
 		c.closing = true
 	}
@@ -152,9 +152,9 @@
 // sweep ends connections on which nothing was said, or a command has not come whole, in time, and those that are idle
 // for long. Clients may hold only so many, and some ask once and keep theirs: of idle ones only so many are kept, those
 // that came back rather than those that did not, then those used last.
-func (r *Relay) sweep() {
+func (r *Proxy) sweep() {
 	now := r.now()
-	r.due.Put(now.Add(sweepEvery), due{sweep: true})
+	r.due.Push(now.Add(sweepEvery), due{sweep: true})
 	r.publish()
 	r.eng.Ahead(r.Memory / shareAhead / int64(1+r.links.Len()))
 	var idle []*client
@@ -192,15 +192,15 @@
 }
 
 // say answers a command that is no request in hand, in its turn.
-func (r *Relay) say(c *client, out []byte) {
+func (r *Proxy) say(c *client, out []byte) {
 	r.held += len(out)
 	c.turns = append(c.turns, turn{done: true, out: out})
 }
 
 // take takes a request in hand. One whose deadline or grade can't be told is malformed, and so is one with the id
 // of another in hand: caches could not tell the two apart.
-func (r *Relay) take(c *client, asked *call, at policy.Instant) {
-	grade := r.Terms.Names.Class(asked.grade)
+func (r *Proxy) take(c *client, asked *call, at policy.Instant) {
+	grade := r.Settings.Names.Class(asked.grade)
 	if asked.wait <= 0 || grade < 0 {
 		r.count.Malformed++
 		r.say(c, c.face.refused(badCall, asked.bare))
@@ -215,19 +215,19 @@
 	stop := at.Add(min(asked.wait, mostWait))
 	outlasts := false
 	if by := r.endBy().Add(-lastWords); r.phase == Draining && stop > by {
-		outlasts = r.Terms.Policy.Classes[grade].Idempotency != policy.Idempotent || by.Since(at) < r.Terms.Policy.Classes[grade].LatencyObjective
+		outlasts = r.Settings.Policy.Classes[grade].Idempotency != policy.Idempotent || by.Since(at) < r.Settings.Policy.Classes[grade].LatencyObjective
 		stop = by // guards against turning away what is served within its soft limit as a rule, and would have been
 	}
 	if len(c.turns) >= mostTurns || r.phase == Starting || outlasts || r.turnsAway() || c.excess && r.tooManyClients() ||
 		int64(r.held)+r.eng.Unsent() > r.Memory/shareHeld {
-		r.count.Crowded++
+		r.count.RejectedForRoom++
 		r.count.Rejected++
 		r.byGrade[grade].Rejected++
 		r.say(c, c.face.rejected(asked, 0))
 		return
 	}
 	c.excess = false
-	asked.idempotent = r.Terms.Policy.Classes[grade].Idempotency == policy.Idempotent
+	asked.idempotent = r.Settings.Policy.Classes[grade].Idempotency == policy.Idempotent
 	v := &request{grade: grade, deadline: stop, client: c.id, turn: c.first + uint64(len(c.turns)), face: c.face}
 	v.call, v.bytes = copyOf(asked)
 	r.held += v.bytes
@@ -236,7 +236,7 @@
 	r.taken[string(v.call.id)] = true
 	c.turns = append(c.turns, turn{hand: v.id})
 	r.host.RequestArrived(r.now(), &policy.Request{ID: token(v.id), Key: string(asked.key),
-		Class: grade, Tenant: r.Terms.Names.Tenant(asked.league),
+		Class: grade, Tenant: r.Settings.Names.Tenant(asked.league),
 		Write: asked.write, ArrivedAt: at, Deadline: stop})
 }
 
@@ -255,7 +255,7 @@
 }
 
 // answer gives a request its one final answer.
-func (r *Relay) answer(v *request, out, long []byte) {
+func (r *Proxy) answer(v *request, out, long []byte) {
 	v.answered = true
 	if r.now() > v.deadline {
 		r.count.AnsweredLate++
@@ -276,7 +276,7 @@
 }
 
 // flush writes what is answered, in the order of the commands.
-func (r *Relay) flush(c *client) {
+func (r *Proxy) flush(c *client) {
 	var pieces [][]byte
 	var out []byte
 	n := 0
@@ -329,7 +329,7 @@
 
 // part lets a node that drains say with the last answer on a connection that it ends with that, so that nothing more is sent on it
 // to be lost. It is the last only as it leaves: what was answered before may have waited.
-func (r *Relay) part(c *client, t *turn) {
+func (r *Proxy) part(c *client, t *turn) {
 	if r.phase != Draining && r.phase != Standby || c.partial > 0 || c.closing {
 		return
 	}
@@ -339,19 +339,19 @@
 }
 
 // closeFlushed closes a connection once its last answer is with the kernel, or its reader too slow.
-func (r *Relay) closeFlushed(id clientID) {
+func (r *Proxy) closeFlushed(id clientID) {
 	c := r.clients.Get(id)
 	switch now := r.now(); {
 	case c == nil:
 	case c.wire.Unsent() == 0 || now >= c.until:
 		r.closeClient(c)
 	default:
-		r.due.Put(now.Add(flushEvery), due{flush: id})
+		r.due.Push(now.Add(flushEvery), due{flush: id})
 	}
 }
 
 // closeIdle closes a client between commands; one whose next is on its way through the queue stays.
-func (r *Relay) closeIdle(c *client) bool {
+func (r *Proxy) closeIdle(c *client) bool {
 	if !c.wire.CloseIfQuiet() {
 		return false
 	}
@@ -359,12 +359,12 @@
 	return true
 }
 
-func (r *Relay) closeClient(c *client) {
+func (r *Proxy) closeClient(c *client) {
 	c.wire.Close()
 	r.dropClient(c)
 }
 
-func (r *Relay) clientClosed(id clientID) {
+func (r *Proxy) clientClosed(id clientID) {
 	if c := r.clients.Get(id); c != nil {
 		r.dropClient(c)
 	}
@@ -372,14 +372,14 @@
 
 // dropClient forgets a connection. Those whose answers it waited for have left: their legs are called off where
 // that is allowed.
-func (r *Relay) dropClient(c *client) {
-	r.clients.Drop(c.id)
+func (r *Proxy) dropClient(c *client) {
+	r.clients.Remove(c.id)
 	r.partial -= c.partial
 	for _, t := range c.turns {
 		r.held -= t.bytes()
 		if l := r.links.Get(t.stream); l != nil { // the rest is nobody's
 			r.pending--
-			r.count.Left++
+			r.count.ClientsGone++
 			r.dropLink(l)
 		}
 		v := r.hand.Get(t.hand)
@@ -388,13 +388,13 @@
 		}
 		v.answered = true
 		r.pending--
-		r.count.Left++
+		r.count.ClientsGone++
 		if !v.went {
-			r.count.LeftWaiting++
+			r.count.ClientsGoneUnsent++
 		}
 		r.host.ClientGone(r.now(), token(v.id))
 		for n := range v.legs {
-			if r.Terms.Policy.CancelAllowed || r.inPart(v, n) {
+			if r.Settings.Policy.CancelAllowed || r.inPart(v, n) {
 				r.Cancel(token(v.id), n)
 			}
 		}
@@ -403,7 +403,7 @@
 }
 
 // Reject answers that a retry is harmless.
-func (r *Relay) Reject(id policy.RequestID, comeBack time.Duration) {
+func (r *Proxy) Reject(id policy.RequestID, comeBack time.Duration) {
 	if v := r.hand.Get(slotOf(id)); v != nil && !v.answered {
 		r.count.Rejected++
 		r.byGrade[v.grade].Rejected++
@@ -413,7 +413,7 @@
 }
 
 // Fail answers that it failed.
-func (r *Relay) Fail(id policy.RequestID) {
+func (r *Proxy) Fail(id policy.RequestID) {
 	if v := r.hand.Get(slotOf(id)); v != nil && !v.answered {
 		r.count.Failed++
 		r.byGrade[v.grade].Failed++
--- a/internal/net/relay/discovery.go
+++ b/internal/net/relay/discovery.go
@@ -26,9 +26,9 @@
 type listCall struct {
 	link    linkID
 	call    uint64 // counts calls, so that a deadline knows its own
-	asks    discovery.Call
+	asks    discovery.Poll
 	since   policy.Instant // when the call began, its connection among it
-	caller  discovery.Caller
+	caller  discovery.Poller
 	failed  discovery.Failure // how the call that is about to be lost has failed
 	heardAt policy.Instant    // when the last answer was taken
 	odd     bool              // the last list had entries that cannot be read
@@ -36,7 +36,7 @@
 }
 
 // follow starts a call for the list on a new connection. The first asks for the whole list.
-func (r *Relay) follow() {
+func (r *Proxy) follow() {
 	r.beginCall()
 	l := &link{does: theList}
 	if err := r.open(l, r.Discovery); err != nil {
@@ -47,18 +47,18 @@
 }
 
 // beginCall decides what to ask, and by when. The deadline is that of the whole call: connecting takes of it.
-func (r *Relay) beginCall() {
+func (r *Proxy) beginCall() {
 	r.list.call++
-	r.list.asks, r.list.since = r.list.caller.Next(), r.now()
-	r.due.Put(r.list.since.Add(r.list.asks.Within), due{list: r.list.call})
+	r.list.asks, r.list.since = r.list.caller.NextPoll(), r.now()
+	r.due.Push(r.list.since.Add(r.list.asks.Timeout), due{list: r.list.call})
 }
 
 // askForList writes the call for the list on a connection that is up.
-func (r *Relay) askForList(l *link) {
+func (r *Proxy) askForList(l *link) {
 	path, call := []byte(listPath), r.list.asks
-	if !call.Whole {
-		wait := max(time.Millisecond, call.Wait-r.now().Since(r.list.since)) // so that it is over before it is given up
-		path = strconv.AppendInt(append(path, "?since="...), int64(call.Since), 10)
+	if !call.Complete {
+		wait := max(time.Millisecond, call.LongPoll-r.now().Since(r.list.since)) // so that it is over before it is given up
+		path = strconv.AppendInt(append(path, "?since="...), int64(call.SinceVersion), 10)
 		path = strconv.AppendInt(append(path, "&timeout_ms="...), int64((wait+time.Millisecond-1)/time.Millisecond), 10)
 	}
 	if l.wire.Write(http1.AppendRequest(nil, "GET", path, r.Discovery, nil, nil)) != nil {
@@ -68,13 +68,13 @@
 
 // moveList calls another address. Versions are the old one's, so the whole list is asked for there. The old call is
 // closed first: one that still waits could bring an older list than the new address has told.
-func (r *Relay) moveList(addr string) {
+func (r *Proxy) moveList(addr string) {
 	if addr == r.Discovery {
 		return
 	}
 	r.Discovery = addr
-	r.list.caller.Moved()
-	r.count.Moves++
+	r.list.caller.OnAddressChange()
+	r.count.DiscoveryChanges++
 	if l := r.links.Get(r.list.link); l != nil {
 		r.dropLink(l)
 	}
@@ -82,7 +82,7 @@
 }
 
 // listSilent ends a call that has gone unanswered; the list last held stays.
-func (r *Relay) listSilent(call uint64) {
+func (r *Proxy) listSilent(call uint64) {
 	if l := r.links.Get(r.list.link); call == r.list.call {
 		if l == nil {
 			r.follow()
@@ -93,23 +93,23 @@
 }
 
 // listLost calls again after a pause. Only the first failure in a row is logged: at size nobody could read a line a call.
-func (r *Relay) listLost() {
+func (r *Proxy) listLost() {
 	r.count.Reconnects++
 	r.list.link = 0
 	r.list.call++
 	how := r.list.failed
-	r.list.failed = discovery.Lost
-	rest, first := r.list.caller.Failed(how, r.now().Since(r.list.since), r.chance.Next())
+	r.list.failed = discovery.ConnectionLost
+	rest, first := r.list.caller.OnFailure(how, r.now().Since(r.list.since), r.chance.Float64())
 	if first {
 		r.Log.WithField("how", how).Warn("the list cannot be had; the last one stays")
 	}
-	r.due.Put(r.now().Add(rest), due{list: r.list.call})
+	r.due.Push(r.now().Add(rest), due{list: r.list.call})
 }
 
-func (r *Relay) listData(l *link) {
-	a, size, err := l.read.ReadAnswer(l.buf.Unused(), maxList, l.ended)
+func (r *Proxy) listData(l *link) {
+	a, size, err := l.read.ReadAnswer(l.buf.Unread(), maxList, l.ended)
 	if err == nil && size == 0 {
-		l.buf.Expect(a.Wants)
+		l.buf.Reserve(a.Wants)
 		return
 	}
 	if err != nil || a.Status != 200 {
@@ -121,14 +121,14 @@
 		return
 	}
 	news, err := r.list.reader.Read(a.Body) // refuses half a list, which would read as one without caches
-	if err != nil || !news.HasVersion || !r.list.caller.Takes(news.Version, news.Whole) {
+	if err != nil || !news.HasVersion || !r.list.caller.Accepts(news.Version, news.Complete) {
 		r.list.failed = discovery.Unreadable
 		r.lose(l, policy.ConnectionBroken)
 		return
 	}
-	r.count.Lists++
+	r.count.EndpointUpdates++
 	r.stalls.lists++
-	form, again := r.list.caller.Heard(news.Version, news.Whole)
+	form, again := r.list.caller.OnUpdate(news.Version, news.Complete)
 	if again {
 		r.Log.Info("the list is had again")
 	}
@@ -146,7 +146,7 @@
 }
 
 // hear passes a list on, and closes idle connections to caches that are gone or started anew.
-func (r *Relay) hear(news *listing.List, form policy.UpdateKind) {
+func (r *Proxy) hear(news *listing.List, form policy.UpdateKind) {
 	entries := make([]policy.Endpoint, 0, news.Len())
 	named, odd := map[policy.EndpointID]bool{}, 0
 	news.Each(func(row *fastjson.Value) {
@@ -154,7 +154,7 @@
 		c := r.caches[id]
 		began := r.startOf(c, row.GetFloat64("startedAtMs"))
 		e := policy.Endpoint{
-			ID: id, Kind: r.Terms.Names.Kind(row.GetStringBytes("machineType")),
+			ID: id, Kind: r.Settings.Names.Kind(row.GetStringBytes("machineType")),
 			Lifecycle: policy.Draining, StartedAt: began.at,
 			Zone: policy.ZoneID(row.GetStringBytes("zone")), Group: policy.GroupID(row.GetInt("cell")),
 			Weight: houserules.Number(row.Get("weight")),
@@ -181,8 +181,8 @@
 			switch kind := string(row.GetStringBytes("machineType")); {
 			case r.isOrigin(e.Kind):
 				c.carrier = originCarrier{}
-			case slices.Contains(r.Operator.Servers.HTTPKinds, kind):
-				c.carrier = httpCarrier{&r.Operator.Servers, r.Terms.Policy.CacheAside}
+			case slices.Contains(r.Listeners.Servers.HTTPKinds, kind):
+				c.carrier = httpCarrier{&r.Listeners.Servers, r.Settings.Policy.CacheAside}
 			}
 		}
 	})
@@ -204,7 +204,7 @@
 }
 
 // countMembers counts the caches without the origin, as the list has changed.
-func (r *Relay) countMembers() {
+func (r *Proxy) countMembers() {
 	r.members = 0
 	for _, c := range r.caches {
 		if _, isOrigin := c.carrier.(originCarrier); !isOrigin {
@@ -217,7 +217,7 @@
 }
 
 // forget closes what is idle; legs that are out go on.
-func (r *Relay) forget(c *cache) {
+func (r *Proxy) forget(c *cache) {
 	delete(r.caches, c.id)
 	for len(c.idle) > 0 {
 		r.dropLink(r.links.Get(c.idle[len(c.idle)-1]))
--- a/internal/net/relay/httpcarrier.go
+++ b/internal/net/relay/httpcarrier.go
@@ -101,7 +101,7 @@
 		said.SetExpires(string(expires))
 	}
 	now := time.Now()
-	rules := freshness.Rules{ClockOff: h.servers.ClockOff(), Heuristic: h.servers.Heuristic, MostHeuristic: h.servers.MostHeuristic()}
+	rules := freshness.Rules{ClockOff: h.servers.ClockOff(), Heuristic: h.servers.Heuristic, MostHeuristic: h.servers.MaxHeuristic()}
 	v := freshness.Judge(&c.beside().judged, &said, c.sent, now, now, rules, false)
 	if v.Use <= freshness.Stale {
 		return true
@@ -114,7 +114,7 @@
 	if h.servers.Host != "" {
 		host = h.servers.Host
 	}
-	return http1.AppendRequest(nil, "GET", []byte(h.servers.Probe), host, nil, nil)
+	return http1.AppendRequest(nil, "GET", []byte(h.servers.HealthCheckPath), host, nil, nil)
 }
 
 func (httpCarrier) up(b []byte, ended bool) (is bool, size int, err error) {
--- a/internal/net/relay/httpface.go
+++ b/internal/net/relay/httpface.go
@@ -28,7 +28,7 @@
 // httpFace speaks HTTP/1.1. What a URL has behind its route's path is the key; a read is answered with its value, a write with
 // its receipt.
 type httpFace struct {
-	front    *fronts.Front
+	front    *fronts.Listener
 	names    *houserules.NameTable
 	labelled map[string]bool          // grades whose repeats are told by their id
 	stops    map[string]time.Duration // the grades' deadlines
@@ -39,12 +39,12 @@
 	dated    int64
 }
 
-func newHTTPFace(f *fronts.Front, number int, r *Relay) *httpFace {
-	h := &httpFace{front: f, names: &r.Terms.Names, labelled: map[string]bool{}, stops: map[string]time.Duration{},
-		passes: len(r.Operator.Servers.HTTPKinds) > 0, own: fmt.Sprintf("h%x-%x-%d-", r.began.UnixNano(), uint64(r.Seed), number)}
-	for name, g := range r.Terms.Names.Classes() {
-		h.labelled[name] = r.Terms.Policy.Classes[g].Idempotency == policy.IdempotentByKey
-		h.stops[name] = r.Terms.Deadlines[g]
+func newHTTPFace(f *fronts.Listener, number int, r *Proxy) *httpFace {
+	h := &httpFace{front: f, names: &r.Settings.Names, labelled: map[string]bool{}, stops: map[string]time.Duration{},
+		passes: len(r.Listeners.Servers.HTTPKinds) > 0, own: fmt.Sprintf("h%x-%x-%d-", r.began.UnixNano(), uint64(r.Seed), number)}
+	for name, g := range r.Settings.Names.Classes() {
+		h.labelled[name] = r.Settings.Policy.Classes[g].Idempotency == policy.IdempotentByKey
+		h.stops[name] = r.Settings.Deadlines[g]
 	}
 	return h
 }
@@ -83,11 +83,11 @@
 	}
 	path := whole[strings.IndexByte(whole, '/'):]
 	method := string(q.Method)
-	if method == http.MethodGet && path == h.front.Ready {
+	if method == http.MethodGet && path == h.front.ReadyPath {
 		a.wish = readiness
 		return
 	}
-	if method == http.MethodGet && path == h.front.Counters {
+	if method == http.MethodGet && path == h.front.CountersPath {
 		a.wish = counts
 		return
 	}
@@ -123,12 +123,12 @@
 		}
 		return usual
 	}
-	grade, league := stated(h.front.GradeHeader, route.Grade), stated(h.front.TenantHeader, route.Tenant)
+	grade, league := stated(h.front.ClassHeader, route.Class), stated(h.front.TenantHeader, route.Tenant)
 	if h.names.Class([]byte(grade)) < 0 || league != "" && h.names.Tenant([]byte(league)) < 0 { // what goes along is for caches to read
 		h.refuse(a, 400, "a grade or tenant that is none here")
 		return
 	}
-	a.key, a.value, a.grade, a.league, a.write = []byte(key), q.Body, []byte(grade), []byte(league), fronts.Writes(method)
+	a.key, a.value, a.grade, a.league, a.write = []byte(key), q.Body, []byte(grade), []byte(league), fronts.IsWrite(method)
 	conditional := false
 	for _, name := range []string{"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since"} {
 		conditional = conditional || q.Header(name) != nil
--- a/internal/net/relay/httpface_test.go
+++ b/internal/net/relay/httpface_test.go
@@ -18,11 +18,11 @@
 	"dahliapin/policy"
 )
 
-var front = fronts.Front{Listen: "127.0.0.1:0", Protocol: fronts.HTTP, Ready: "/up", SortQuery: true, GradeHeader: "X-Grade", IDHeader: "X-Id", DeadlineHeader: "X-Wait", TenantHeader: "X-Tenant",
-	Routes: []fronts.Route{{Path: "/p/", Methods: []string{"GET", "HEAD"}, Grade: "read", DeadlineMs: 9000},
-		{Path: "/p/", Methods: []string{"PUT"}, Grade: "put"}, {Path: "/pay/", Methods: []string{"POST"}, Grade: "pay"}}}
+var front = fronts.Listener{Listen: "127.0.0.1:0", Protocol: fronts.HTTP, ReadyPath: "/up", SortQuery: true, ClassHeader: "X-Grade", IDHeader: "X-Id", DeadlineHeader: "X-Wait", TenantHeader: "X-Tenant",
+	Routes: []fronts.Route{{Path: "/p/", Methods: []string{"GET", "HEAD"}, Class: "read", DeadlineMs: 9000},
+		{Path: "/p/", Methods: []string{"PUT"}, Class: "put"}, {Path: "/pay/", Methods: []string{"POST"}, Class: "pay"}}}
 
-func withFront(b *Berth) { b.Operator.Listeners = []fronts.Front{front, front} }
+func withFront(b *Config) { b.Listeners.Listeners = []fronts.Listener{front, front} }
 
 // req is a request's head.
 func req(line string, headers ...string) string {
@@ -121,8 +121,8 @@
 			t.Error(got)
 		}
 	}
-	if n := g.Counts(); len(g.calls) > 0 || n.Legs != 3 {
-		t.Errorf("%d legs, %d calls more", n.Legs, len(g.calls))
+	if n := g.Counters(); len(g.calls) > 0 || n.Attempts != 3 {
+		t.Errorf("%d legs, %d calls more", n.Attempts, len(g.calls))
 	}
 	for _, shape := range []string{post("/q/k", 6), post("/pay/k", 3<<30), "GET /p/k HTTP/1.1\nHost: n\n\n", req("PUT /p/k", "Content-Length: 1", "Transfer-Encoding: chunked")} {
 		if said := g.web(1)(shape, "GET", "GET"); !strings.HasPrefix(said[0], "4") || !strings.HasSuffix(said[0], " close") || said[1] != "ended" {
@@ -232,8 +232,8 @@
 		t.Run(key, func(t *testing.T) {
 			t.Parallel()
 			k := &keeper{row: row[0]}
-			g := newRig(t, 200, k.answer, withFront, func(b *Berth) {
-				b.Operator.Servers = fronts.Servers{HTTPKinds: []string{"box"}, ClockOffS: 30, Probe: "/"}
+			g := newRig(t, 200, k.answer, withFront, func(b *Config) {
+				b.Listeners.Servers = fronts.Servers{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
 			})
 			q, _ := http.NewRequest("GET", "http://"+g.Addr(1)+"/p/"+key+"%2Fx?b=1", nil)
 			if name, said, ok := strings.Cut(row[1], ": "); ok {
--- a/internal/net/relay/idle_links.go
+++ b/internal/net/relay/idle_links.go
@@ -39,12 +39,12 @@
 }
 
 // closeIdleLink closes the link that has been idle longest: its loss costs least.
-func (r *Relay) closeIdleLink() bool {
+func (r *Proxy) closeIdleLink() bool {
 	oldest := r.idleLinks.oldest
 	if oldest == nil {
 		return false
 	}
-	r.count.RoomClosed++
+	r.count.ClosedForRoom++
 	r.dropLink(oldest)
 	return true
 }
--- a/internal/net/relay/idle_links_test.go
+++ b/internal/net/relay/idle_links_test.go
@@ -16,9 +16,9 @@
 		links[i] = &link{id: linkID(i + 1)}
 	}
 	for range 2000 {
-		l := links[int(chance.Next()*float64(len(links)))]
+		l := links[int(chance.Float64()*float64(len(links)))]
 		switch at := slices.Index(plain, l); {
-		case chance.Next() < 0.5:
+		case chance.Float64() < 0.5:
 			if q.push(l); at < 0 {
 				plain = append(plain, l)
 			}
--- a/internal/net/relay/leaving_test.go
+++ b/internal/net/relay/leaving_test.go
@@ -59,7 +59,7 @@
 			g.held(func() { ask(c, "Ox") }, nil, func() { leave(c) })
 		},
 		"for a link that comes up": func(g *rig, c net.Conn, _ chan bool, leave func(net.Conn)) {
-			dials := g.Counts().Dials
+			dials := g.Counters().Dials
 			g.ask(func() { g.caches["c"].idle = nil }) // its end would be an event, too
 			g.held(func() { ask(c, "Ox") }, func() bool { return g.count.Dials > dials }, func() { leave(c) })
 		},
@@ -73,7 +73,7 @@
 			ask(slow, "Oslow")
 			wait(g.t, g.lines)
 			var half []net.Conn // commands that have not come whole keep their connections
-			for n := g.Counts().Clients; !g.eng.Crowded(); n++ {
+			for n := g.Counters().Clients; !g.eng.Crowded(); n++ {
 				c, _ := g.client()
 				fmt.Fprint(c, "mg k")
 				half = append(half, c)
@@ -106,22 +106,22 @@
 							<-may
 						}
 						return value(line)
-					}, func(b *Berth) { b.Terms.Policy.CancelAllowed = cancel })
+					}, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
 					c, r := g.client()
 					ask(c, "Owarm")
 					g.expect(r, "VA 5 Owarm", "hello")
 					wait(t, g.lines)
 					fmt.Fprint(c, "ms k 1 Oput Pc=put,d=9000,k=1\r\nx\r\n")
 					g.expect(r, "HD Oput cfrom-origin")
-					before := g.Counts().Legs + 1 // a slow one's beside
+					before := g.Counters().Attempts + 1 // a slow one's beside
 					waits(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
-					g.until("it has left", func(n counters.Counters) bool { return n.Left+n.Crowded == 1 })
-					n := g.Counts()
-					if n.Crowded == 1 && place == "at the gate" && n.Ended[policy.NotSent] == 0 && n.Legs == before {
+					g.until("it has left", func(n counters.Counters) bool { return n.ClientsGone+n.RejectedForRoom == 1 })
+					n := g.Counters()
+					if n.RejectedForRoom == 1 && place == "at the gate" && n.Outcomes[policy.NotSent] == 0 && n.Attempts == before {
 						return // it was let in before room for it was heard of, and rejected, which is no leg either
 					}
-					if waited := n.LeftWaiting == 1 || place == "after a miss"; n.Ended[policy.NotSent] != 1 || !waited {
-						t.Errorf("%d legs not sent on, %d left waiting: %v", n.Ended[policy.NotSent], n.LeftWaiting, n.Ended)
+					if waited := n.ClientsGoneUnsent == 1 || place == "after a miss"; n.Outcomes[policy.NotSent] != 1 || !waited {
+						t.Errorf("%d legs not sent on, %d left waiting: %v", n.Outcomes[policy.NotSent], n.ClientsGoneUnsent, n.Outcomes)
 					}
 				})
 			}
@@ -160,10 +160,10 @@
 					wait(t, g.lines)
 					g.held(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
 				}
-				g.until("it has left", func(n counters.Counters) bool { return n.Left == 1 })
-				g.until("nothing is out", func(n counters.Counters) bool { return n.Ended[policy.NotSent] == 1 })
-				if n := g.Counts(); len(g.lines) > 0 || len(g.calls) > 0 {
-					t.Errorf("an attempt went out: %v", n.Ended)
+				g.until("it has left", func(n counters.Counters) bool { return n.ClientsGone == 1 })
+				g.until("nothing is out", func(n counters.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
+				if n := g.Counters(); len(g.lines) > 0 || len(g.calls) > 0 {
+					t.Errorf("an attempt went out: %v", n.Outcomes)
 				}
 			})
 		}
@@ -187,7 +187,7 @@
 func TestALegWrittenInPartStopsWithItsClient(t *testing.T) {
 	for way, leave := range leaving {
 		for _, cancel := range []bool{true, false} {
-			g := newRig(t, 200, value, func(b *Berth) { b.Terms.Policy.CancelAllowed = cancel })
+			g := newRig(t, 200, value, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
 			tight := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 				return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 1) })
 			}}
@@ -214,11 +214,11 @@
 			narrow(t, l.Addr().String())
 			c, _ := g.client()
 			fmt.Fprintf(c, "ms k 60000 Ox Pc=put,d=9000,k=1\r\n%s\r\n", strings.Repeat("v", 60000))
-			g.until("a part is written", func(n counters.Counters) bool { return n.Legs == 1 && g.eng.Unsent() > 0 })
+			g.until("a part is written", func(n counters.Counters) bool { return n.Attempts == 1 && g.eng.Unsent() > 0 })
 			leave(c.(*net.TCPConn))
-			g.until("it has left", func(n counters.Counters) bool { return n.Left == 1 })
-			if n := g.Counts(); n.Ended[policy.NotSent] != 1 || g.eng.Unsent() != 0 {
-				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Ended, g.eng.Unsent())
+			g.until("it has left", func(n counters.Counters) bool { return n.ClientsGone == 1 })
+			if n := g.Counters(); n.Outcomes[policy.NotSent] != 1 || g.eng.Unsent() != 0 {
+				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Outcomes, g.eng.Unsent())
 			}
 		}
 	}
@@ -263,8 +263,8 @@
 			io.WriteString(fresh, value(line))
 		}
 		g.expect(r, c.want)
-		if n := g.Counts(); n.Legs != c.sent || n.Ended[policy.ConnectionBroken] != 0 != c.after {
-			t.Errorf("%s, after the write: %v: %d legs, %v", c.end, c.after, n.Legs, n.Ended)
+		if n := g.Counters(); n.Attempts != c.sent || n.Outcomes[policy.ConnectionBroken] != 0 != c.after {
+			t.Errorf("%s, after the write: %v: %d legs, %v", c.end, c.after, n.Attempts, n.Outcomes)
 		}
 	}
 }
--- a/internal/net/relay/news_test.go
+++ b/internal/net/relay/news_test.go
@@ -108,15 +108,15 @@
 		web := &http.Server{Handler: a}
 		go web.Serve(l)
 		up := make(chan bool, 9)
-		r, err := New(Berth{Listen: "127.0.0.1:0", Discovery: l.Addr().String(), Descriptors: 64, Memory: 16 << 20, Seed: int64(n + 1), Terms: rules,
-			Log: quiet, Moved: func(p Phase) { up <- p == Serving }})
+		r, err := New(Config{Listen: "127.0.0.1:0", Discovery: l.Addr().String(), Descriptors: 64, Memory: 16 << 20, Seed: int64(n + 1), Settings: rules,
+			Log: quiet, OnPhaseChange: func(p Phase) { up <- p == Serving }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var loop sync.WaitGroup
 		loop.Add(1)
 		go func() { defer loop.Done(); r.Run() }()
-		t.Cleanup(func() { close(a.over); r.End(); loop.Wait(); web.Close() })
+		t.Cleanup(func() { close(a.over); r.Shutdown(); loop.Wait(); web.Close() })
 		if !wait(t, up) {
 			t.Fatal("not serving")
 		}
--- a/internal/net/relay/operators.go
+++ b/internal/net/relay/operators.go
@@ -68,12 +68,12 @@
 
 // publish hands out a new copy of the figures. It is called ten times a second, so it looks only at caches that are not in use as usual: there may
 // be thousands.
-func (r *Relay) publish() {
+func (r *Proxy) publish() {
 	if r.stance == nil {
 		return
 	}
-	s := &counters.Sheet{At: time.Now(), Takes: r.phase == Serving, Phase: r.phase.String(), Grades: slices.Clone(r.byGrade),
-		Legs: r.whole, Pending: r.pending}
+	s := &counters.Snapshot{At: time.Now(), Serving: r.phase == Serving, Phase: r.phase.String(), Classes: slices.Clone(r.byGrade),
+		Attempts: r.whole, Pending: r.pending}
 	s.Members = r.members
 	now := r.now()
 	for id := range r.stance.of {
@@ -85,16 +85,16 @@
 }
 
 // Sheet returns the figures as they were last handed out. It may be called from anywhere.
-func (r *Relay) Sheet() *counters.Sheet { return r.sheet.Load() }
+func (r *Proxy) Metrics() *counters.Snapshot { return r.sheet.Load() }
 
 // Standby drains the node without ending it, and Active ends that. They may be called from anywhere, and more than once.
-func (r *Relay) Standby(ctx context.Context) error { return r.order(ctx, r.standBy) }
+func (r *Proxy) Standby(ctx context.Context) error { return r.order(ctx, r.standBy) }
 
 // Active takes clients again, after Standby.
-func (r *Relay) Active(ctx context.Context) error { return r.order(ctx, r.beActive) }
+func (r *Proxy) Active(ctx context.Context) error { return r.order(ctx, r.beActive) }
 
 // order has the loop do something, and waits for it only as long as the caller may.
-func (r *Relay) order(ctx context.Context, do func() error) error {
+func (r *Proxy) order(ctx context.Context, do func() error) error {
 	answer := make(chan error, 1)
 	select {
 	case r.asks <- func() { answer <- do(); r.publish() }:
@@ -113,7 +113,7 @@
 	}
 }
 
-func (r *Relay) standBy() error {
+func (r *Proxy) standBy() error {
 	switch r.phase {
 	case Draining, Stopped:
 		return ops.ErrEnding
@@ -125,12 +125,12 @@
 	r.enter(Standby)
 	if !r.looks { // a look of a standby that was ended may still be due
 		r.looks = true
-		r.due.Put(r.now().Add(drainEvery), due{drain: true})
+		r.due.Push(r.now().Add(drainEvery), due{drain: true})
 	}
 	return nil
 }
 
-func (r *Relay) beActive() error {
+func (r *Proxy) beActive() error {
 	switch r.phase {
 	case Draining, Stopped:
 		return ops.ErrEnding
@@ -142,17 +142,17 @@
 }
 
 // standbyStep closes clients as they fall idle, those that come to ask as well, for as long as the node stands by.
-func (r *Relay) standbyStep() {
+func (r *Proxy) standbyStep() {
 	if r.looks = r.phase == Standby; !r.looks {
 		return
 	}
 	if r.now().Since(r.stoodBy) >= standbyComing {
 		r.closeIdleOnes()
 	}
-	r.due.Put(r.now().Add(drainEvery), due{drain: true})
+	r.due.Push(r.now().Add(drainEvery), due{drain: true})
 }
 
 // turnsAway tells whether what still comes on a kept connection is rejected while standing by, so that it falls idle.
-func (r *Relay) turnsAway() bool {
+func (r *Proxy) turnsAway() bool {
 	return r.phase == Standby && r.now().Since(r.stoodBy) >= standbyComing+standbyTakes
 }
--- a/internal/net/relay/operators_test.go
+++ b/internal/net/relay/operators_test.go
@@ -15,7 +15,7 @@
 	"dahliapin/policy"
 )
 
-func withFigures(b *Berth) { b.Figures = true }
+func withFigures(b *Config) { b.PublishMetrics = true }
 
 // The front was told that the node takes clients for as long as it ran. Standing by, it says no at once, loses nothing that it has
 // or that still comes, gives back whoever is idle, keeps its caches, and comes back as it was.
@@ -51,24 +51,24 @@
 	late := func(id string, want ...string) {
 		t.Helper()
 		fmt.Fprintf(slow, "mg k v O%s Pc=read,d=9000\r\n", id)
-		g.Counts()
+		g.Counters()
 		g.expect(answers, want...)
 	}
 	g.ask(func() { g.stoodBy = g.stoodBy.Add(-standbyComing - standbyTakes) })
 	close(hold)
 	late("d", "VA 5 Oa", "hello", "SERVER_ERROR busy") // who asks without end would be held for ever
 	closed(answers)
-	if s := g.Sheet(); s.Takes || s.Phase != "standby" {
+	if s := g.Metrics(); s.Serving || s.Phase != "standby" {
 		t.Errorf("%+v", s)
 	}
-	dials := g.Counts().Dials
+	dials := g.Counters().Dials
 	for range 2 {
 		told(g.Active, nil)
 	}
 	back, again := g.client()
 	fmt.Fprint(back, "mn\r\nmg k v Oe Pc=read,d=9000\r\n")
 	g.expect(again, "MN", "VA 5 Oe", "hello")
-	if n := g.Counts(); n.Dials != dials || n.Satisfied != 4 || n.Rejected != 1 || n.Left+n.Failed != 0 {
+	if n := g.Counters(); n.Dials != dials || n.Satisfied != 4 || n.Rejected != 1 || n.ClientsGone+n.Failed != 0 {
 		t.Errorf("%+v", n)
 	}
 	told(g.Standby, nil)
@@ -96,22 +96,22 @@
 	g.expect(r, "VA 5 Oa", "hello", "VA 11 Omiss", "from-origin", "SERVER_ERROR failed")
 	gone, _ := g.client()
 	fmt.Fprint(gone, "mg k v Oheld2 Pc=read,d=9000\r\n")
-	g.until("both are held", func(n counters.Counters) bool { return n.Requests == 5 && n.Legs == 6 })
+	g.until("both are held", func(n counters.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
 	gone.(*net.TCPConn).SetLinger(0)
 	gone.Close()
-	g.until("one has left", func(n counters.Counters) bool { return n.Left == 1 })
-	said := make(chan *counters.Sheet, 1)
-	look := func() *counters.Sheet {
-		g.ask(func() { g.publish(); said <- g.Sheet() })
+	g.until("one has left", func(n counters.Counters) bool { return n.ClientsGone == 1 })
+	said := make(chan *counters.Snapshot, 1)
+	look := func() *counters.Snapshot {
+		g.ask(func() { g.publish(); said <- g.Metrics() })
 		return wait(t, said)
 	}
 	s := look()
-	of := map[string]counters.GradeSheet{}
-	for _, grade := range s.Grades {
+	of := map[string]counters.ClassSnapshot{}
+	for _, grade := range s.Classes {
 		of[grade.Name] = grade
 	}
-	if of["read"] != (counters.GradeSheet{Name: "read", Satisfied: 2}) || of["pay"] != (counters.GradeSheet{Name: "pay", Failed: 1}) ||
-		s.Legs != 6 || s.Pending != 1 || s.Members != 1 || s.Unavailable != 0 || !s.Takes {
+	if of["read"] != (counters.ClassSnapshot{Name: "read", Satisfied: 2}) || of["pay"] != (counters.ClassSnapshot{Name: "pay", Failed: 1}) ||
+		s.Attempts != 6 || s.Pending != 1 || s.Members != 1 || s.Unavailable != 0 || !s.Serving {
 		t.Errorf("%+v", s)
 	}
 	g.ask(func() {
@@ -146,7 +146,7 @@
 func TestAProcessThatIsGivenBackEndsOnlyOnceNobodyCanBeOnTheWay(t *testing.T) {
 	g := newRig(t, 200, holdingOa(nil))
 	g.ask(func() { g.replaced = true })
-	g.End()
+	g.Shutdown()
 	g.serve.Wait()
 	if took := g.now().Since(g.ending); took < quietFor {
 		t.Errorf("ended %v after it was told to", took)
--- a/internal/net/relay/relay.go
+++ b/internal/net/relay/relay.go
@@ -66,29 +66,29 @@
 func (p Phase) String() string { return phaseNames[p] }
 
 // Berth is where and with what a node runs.
-type Berth struct {
+type Config struct {
 	Listen, Discovery string
-	Operator          fronts.File // further listeners, and caches that speak HTTP
+	Listeners         fronts.File // further listeners, and caches that speak HTTP
 	Seed              int64
 	Descriptors       int
-	Beside            int   // descriptors that the process has for other things
+	OtherDescriptors  int   // descriptors that the process has for other things
 	Memory            int64 // bytes it may use in all
-	Terms             houserules.Settings
-	Known             []byte // the list as last held, as discovery writes it, or nil
+	Settings          houserules.Settings
+	LastEndpoints     []byte // the list as last held, as discovery writes it, or nil
 	Log               *logrus.Logger
-	Moved             func(Phase)                    // told of each phase; nil for nobody
-	Figures           bool                           // hand out copies of the figures, for operators
-	Succeeds          *handover.Taken                // what the process had that this one replaces; nil for none
-	Handover          string                         // where another process may take this one's place; empty for nowhere
-	Turned            func()                         // called at each turn of the loop, and not to wait; nil for nobody
-	Together          func(bool)                     // told when two processes share the node's limits, and when not; nil for nobody
+	OnPhaseChange     func(Phase)                    // told of each phase; nil for nobody
+	PublishMetrics    bool                           // hand out copies of the figures, for operators
+	Inherited         *handover.Inherited            // what the process had that this one replaces; nil for none
+	HandoverPath      string                         // where another process may take this one's place; empty for nowhere
+	OnLoopIteration   func()                         // called at each turn of the loop, and not to wait; nil for nobody
+	OnSharedLimits    func(bool)                     // told when two processes share the node's limits, and when not; nil for nobody
 	Name              string                         // for records
-	Records           func(records.Entry, time.Time) // told of each, within the loop, and not to wait; nil for nobody
+	OnEvent           func(records.Event, time.Time) // told of each, within the loop, and not to wait; nil for nobody
 }
 
 // Relay is one node.
-type Relay struct {
-	Berth
+type Proxy struct {
+	Config
 	phase     Phase
 	eng       *sockets.Engine
 	host      *host.Dispatcher
@@ -106,7 +106,7 @@
 	members   int // of them, those that are not the origin
 	idleLinks idleLinks
 	list      listCall
-	kept      keeping.Span
+	kept      keeping.Timeout
 	chance    keyhash.Source
 	later     []func() // what must not happen within a call into the host
 	count     counters.Counters
@@ -119,8 +119,8 @@
 	alone     bool            // the process before this one has gone
 	told      bool            // the process before this one knows that clients are taken here
 	stance    *stance         // nil where nobody asks for figures
-	sheet     atomic.Pointer[counters.Sheet]
-	byGrade   []counters.GradeSheet
+	sheet     atomic.Pointer[counters.Snapshot]
+	byGrade   []counters.ClassSnapshot
 	whole     uint64         // legs written whole
 	pending   int            // requests taken and not ended
 	looks     bool           // a look for idle clients is due, or was when the standby ended
@@ -153,49 +153,49 @@
 }
 
 // New listens and starts; Run is to follow.
-func New(b Berth) (*Relay, error) {
+func New(b Config) (*Proxy, error) {
 	listen := []string{b.Listen}
-	for _, f := range b.Operator.Listeners {
+	for _, f := range b.Listeners.Listeners {
 		listen = append(listen, f.Listen)
 	}
 	var held map[string]net.Listener
-	if b.Succeeds != nil {
-		held = b.Succeeds.Listeners
+	if b.Inherited != nil {
+		held = b.Inherited.Listeners
 	}
 	eng, err := sockets.New(listen, b.Descriptors, held)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Berth: b, eng: eng, allMemory: b.Memory, began: time.Now(), wallClock: time.Now, caches: map[policy.EndpointID]*cache{}, taken: map[string]bool{},
+	r := &Proxy{Config: b, eng: eng, allMemory: b.Memory, began: time.Now(), wallClock: time.Now, caches: map[policy.EndpointID]*cache{}, taken: map[string]bool{},
 		asks: make(chan func(), 16), done: make(chan struct{})}
 	r.faces = []face{metaFace{}}
-	for i := range b.Operator.Listeners {
-		if f := &b.Operator.Listeners[i]; f.Protocol == fronts.HTTP {
+	for i := range b.Listeners.Listeners {
+		if f := &b.Listeners.Listeners[i]; f.Protocol == fronts.HTTP {
 			r.faces = append(r.faces, newHTTPFace(f, i, r))
 		} else {
 			r.faces = append(r.faces, metaFace{})
 		}
 	}
 	var watcher host.Observer
-	if b.Records != nil {
-		watcher = records.New(b.Name, func(e records.Entry) { b.Records(e, r.began.Add(e.At.Since(epoch))) },
+	if b.OnEvent != nil {
+		watcher = records.New(b.Name, func(e records.Event) { b.OnEvent(e, r.began.Add(e.At.Since(epoch))) },
 			func(e policy.Endpoint) bool { return r.isOrigin(e.Kind) })
 	}
 	decider := r.decider(watcher)
-	r.byGrade = make([]counters.GradeSheet, len(b.Terms.Policy.Classes))
-	for name, n := range b.Terms.Names.Classes() {
+	r.byGrade = make([]counters.ClassSnapshot, len(b.Settings.Policy.Classes))
+	for name, n := range b.Settings.Names.Classes() {
 		r.byGrade[n].Name = name
 	}
-	if b.Figures {
+	if b.PublishMetrics {
 		r.stance = &stance{Observer: watcher, of: map[policy.EndpointID]policy.EndpointState{}, sent: map[policy.EndpointID][2]policy.Instant{}}
 		watcher = r.stance
 	}
 	r.host = host.NewWithDecider(r.now(), decider, r, watcher)
-	r.kept = keeping.New(b.Terms.Policy.IdleTimeout)
-	r.list.caller, r.chance.Seed = discovery.New(b.Terms.Policy.Nodes), uint32(b.Seed^b.Seed>>32)
+	r.kept = keeping.New(b.Settings.Policy.IdleTimeout)
+	r.list.caller, r.chance.Seed = discovery.New(b.Settings.Policy.Nodes), uint32(b.Seed^b.Seed>>32)
 	r.hearKnown()
-	r.due.Put(r.now().Add(readyBy), due{ready: true})
-	if b.Succeeds != nil {
+	r.due.Push(r.now().Add(readyBy), due{ready: true})
+	if b.Inherited != nil {
 		r.succeed()
 	} else {
 		r.offer()
@@ -206,60 +206,60 @@
 }
 
 // hearKnown takes the list as last held, if there is one that can be read. What is new since is less than the whole.
-func (r *Relay) hearKnown() {
-	known, err := r.list.reader.Read(r.Known)
-	r.Known = nil
+func (r *Proxy) hearKnown() {
+	known, err := r.list.reader.Read(r.LastEndpoints)
+	r.LastEndpoints = nil
 	if err != nil {
 		return
 	}
 	if r.hear(&known, policy.LastKnownUpdate); known.HasVersion && len(r.caches) > 0 {
-		r.list.caller.Hold(known.Version)
+		r.list.caller.SetVersion(known.Version)
 	}
 }
 
 // decider is the module, behind the operator's service levels if there are any.
-func (r *Relay) decider(watcher host.Observer) host.Decider {
-	module := policy.New(r.now(), r.Seed, r.Terms.Policy)
-	if len(r.Operator.Levels) == 0 {
+func (r *Proxy) decider(watcher host.Observer) host.Decider {
+	module := policy.New(r.now(), r.Seed, r.Settings.Policy)
+	if len(r.Listeners.Levels) == 0 {
 		return module
 	}
-	return levels.Before(module, r.now(), uint32(r.Seed), r.Operator.Levels, &r.Terms, func(now policy.Instant, level int, name string) {
+	return levels.NewFilter(module, r.now(), uint32(r.Seed), r.Listeners.Levels, &r.Settings, func(now policy.Instant, level int, name string) {
 		r.count.Level = uint64(level)
 		r.Log.WithField("level", name).Warn("service level changed")
-		if book, ok := watcher.(*records.Book); ok {
+		if book, ok := watcher.(*records.Recorder); ok {
 			book.Level(now, name)
 		}
 	}, &r.count.Shed)
 }
 
-func (r *Relay) isOrigin(kind int) bool {
-	return r.Terms.Policy.CacheAside && kind == r.Terms.Policy.OriginKind
+func (r *Proxy) isOrigin(kind int) bool {
+	return r.Settings.Policy.CacheAside && kind == r.Settings.Policy.OriginKind
 }
 
 // Addr is where it listens; front counts the further ones from 1.
-func (r *Relay) Addr(front int) string { return r.eng.Addr(front).String() }
+func (r *Proxy) Addr(front int) string { return r.eng.Addr(front).String() }
 
-func (r *Relay) now() policy.Instant { return r.at(time.Now()) }
+func (r *Proxy) now() policy.Instant { return r.at(time.Now()) }
 
-func (r *Relay) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.began)) }
+func (r *Proxy) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.began)) }
 
-func (r *Relay) enter(p Phase) {
+func (r *Proxy) enter(p Phase) {
 	r.phase = p
 	r.publish()
-	if r.Moved != nil {
-		r.Moved(p)
+	if r.OnPhaseChange != nil {
+		r.OnPhaseChange(p)
 	}
 }
 
 // End asks the node to drain and stop. It may be called from anywhere, and more than once.
-func (r *Relay) End() { r.ask(r.drain) }
+func (r *Proxy) Shutdown() { r.ask(r.drain) }
 
 // Move follows the list at another address from now on. The list last held stays until the whole one has come from
 // there. It may be called from anywhere, and more than once.
-func (r *Relay) Move(discovery string) { r.ask(func() { r.moveList(discovery) }) }
+func (r *Proxy) SetDiscovery(discovery string) { r.ask(func() { r.moveList(discovery) }) }
 
 // Counts returns the counters as they stand. It may be called from anywhere.
-func (r *Relay) Counts() (c counters.Counters) {
+func (r *Proxy) Counters() (c counters.Counters) {
 	answer := make(chan counters.Counters, 1)
 	if !r.ask(func() { answer <- r.count }) {
 		return r.count
@@ -272,7 +272,7 @@
 	return c
 }
 
-func (r *Relay) ask(f func()) bool {
+func (r *Proxy) ask(f func()) bool {
 	select {
 	case r.asks <- f:
 		return true
@@ -282,12 +282,12 @@
 }
 
 // Run is the loop. It returns once the node has stopped.
-func (r *Relay) Run() {
+func (r *Proxy) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for r.phase != Stopped {
-		if r.Turned != nil {
-			r.Turned()
+		if r.OnLoopIteration != nil {
+			r.OnLoopIteration()
 		}
 		if r.heldUp() {
 			r.awaitList()
@@ -323,7 +323,7 @@
 }
 
 // handle handles events. Those of the call for the list go first: nothing that waits beside news is decided by the list before it.
-func (r *Relay) handle(events []sockets.Event) {
+func (r *Proxy) handle(events []sockets.Event) {
 	for i := range events {
 		ev := &events[i]
 		if ev.Wire != nil && ev.Wire.Out && linkID(ev.Wire.Tag) == r.list.link {
@@ -342,7 +342,7 @@
 }
 
 // settle does what calls into the host left to do.
-func (r *Relay) settle() {
+func (r *Proxy) settle() {
 	for len(r.later) > 0 {
 		next := r.later
 		r.later = nil
@@ -352,7 +352,7 @@
 	}
 }
 
-func (r *Relay) event(ev *sockets.Event) {
+func (r *Proxy) event(ev *sockets.Event) {
 	switch ev.What {
 	case sockets.Opened:
 		r.opened(ev)
@@ -375,10 +375,10 @@
 }
 
 // deadlines does what is due. What that puts in anew waits until events have been handled, however soon it is due.
-func (r *Relay) deadlines() {
+func (r *Proxy) deadlines() {
 	now := r.now()
 	for {
-		d, ok := r.due.Due(now)
+		d, ok := r.due.PopDue(now)
 		if !ok {
 			return
 		}
@@ -408,7 +408,7 @@
 	}
 }
 
-func (r *Relay) ready() {
+func (r *Proxy) ready() {
 	if r.phase == Starting && len(r.caches) > 0 {
 		r.Log.WithField("caches", len(r.caches)).Info("serving")
 		r.letIn()
@@ -416,7 +416,7 @@
 	}
 }
 
-func (r *Relay) drain() {
+func (r *Proxy) drain() {
 	if r.phase == Draining || r.phase == Stopped {
 		return
 	}
@@ -430,20 +430,20 @@
 
 // hasten has what is in hand answered while the node can still say it. Guards against deadlines that lie beyond the node's own end, of
 // which its clients would never have heard.
-func (r *Relay) hasten() {
+func (r *Proxy) hasten() {
 	by := r.endBy().Add(-lastWords)
 	r.host.CapDeadlines(r.now(), by)
 	r.hand.Each(func(id handID, v *request) {
 		for n, l := range v.legs {
 			if l.out && l.giveUpAt > by {
-				r.due.Put(by, due{leg: legRef{id, n}})
+				r.due.Push(by, due{leg: legRef{id, n}})
 			}
 		}
 	})
 }
 
 // drainStep goes on serving while connections may still come, then closes clients as they fall idle.
-func (r *Relay) drainStep() {
+func (r *Proxy) drainStep() {
 	now := r.now()
 	// guards against a process that was held up: nobody was let in meanwhile, and who came stands in the kernel's queue
 	if r.looksIdle++; r.lastCame >= r.lookedAt || now.Since(r.lookedAt) > quietFor/2 {
@@ -462,10 +462,10 @@
 		r.enter(Stopped)
 		return
 	}
-	r.due.Put(now.Add(drainEvery), due{drain: true})
+	r.due.Push(now.Add(drainEvery), due{drain: true})
 }
 
-func (r *Relay) closeIdleOnes() {
+func (r *Proxy) closeIdleOnes() {
 	r.clients.Each(func(_ clientID, c *client) {
 		if r.mayClose(c) {
 			r.closeIdle(c)
@@ -474,8 +474,8 @@
 }
 
 // endBy is when a node that drains ends at the latest: before who told it to ends it.
-func (r *Relay) endBy() policy.Instant {
-	return r.ending.Add(min(cmp.Or(r.Terms.LongestDeadline, mostToStop), mostToStop) + spareToStop)
+func (r *Proxy) endBy() policy.Instant {
+	return r.ending.Add(min(cmp.Or(r.Settings.LongestDeadline, mostToStop), mostToStop) + spareToStop)
 }
 
 // token is a request's id towards the host: a slot's, so that no client can name another's.
@@ -493,23 +493,23 @@
 }
 
 // Timer wakes the host.
-func (r *Relay) SetTimer(in time.Duration, token string) {
-	r.due.Put(r.now().Add(in), due{token: token})
+func (r *Proxy) SetTimer(in time.Duration, token string) {
+	r.due.Push(r.now().Add(in), due{token: token})
 }
 
 // Follow needs nothing: the list is always followed.
-func (r *Relay) PollEndpoints() {}
+func (r *Proxy) PollEndpoints() {}
 
 // makeRoom frees one descriptor of the least use: an idle link first, then an idle client.
-func (r *Relay) makeRoom() bool { return r.closeIdleLink() || r.closeIdleClient() }
+func (r *Proxy) makeRoom() bool { return r.closeIdleLink() || r.closeIdleClient() }
 
 // mayClose tells whether a client is idle; who has just connected has some time for its first command.
-func (r *Relay) mayClose(c *client) bool {
+func (r *Proxy) mayClose(c *client) bool {
 	return c.idle() && (c.first > 0 || r.now().Since(c.usedAt) >= lingerFor)
 }
 
 // closeIdleClient closes the one that has been idle longest, but first those that have never said anything.
-func (r *Relay) closeIdleClient() bool {
+func (r *Proxy) closeIdleClient() bool {
 	var idle []*client
 	r.clients.Each(func(_ clientID, c *client) {
 		if r.mayClose(c) {
@@ -519,7 +519,7 @@
 	slices.SortFunc(idle, leastKept(1))
 	for _, c := range idle {
 		if r.closeIdle(c) {
-			r.count.RoomClosed++
+			r.count.ClosedForRoom++
 			return true
 		}
 	}
@@ -528,7 +528,7 @@
 
 // dial opens a connection for a link, making room for it if need be. Links never take the clients' share: who
 // comes could not be let in then, and what it had sent would be lost. The one for the list is owed at any time.
-func (r *Relay) dial(addr string, id linkID, owed bool) error {
+func (r *Proxy) dial(addr string, id linkID, owed bool) error {
 	if !owed && r.links.Len() > r.mostLinks() && !r.closeIdleLink() {
 		return sockets.ErrNoDescriptor
 	}
