--- a/internal/net/relay/relay_test.go
+++ b/internal/net/relay/relay_test.go
@@ -41,7 +41,7 @@
 
 // rig is a node with one cache, an origin and discovery, which are the test's own.
 type rig struct {
-	*Relay
+	*Proxy
 	t     *testing.T
 	addr  string
 	lines chan string // what the cache was sent
@@ -54,7 +54,7 @@
 }
 
 // newRig starts one. The cache answers each line by the function; "" leaves it unanswered.
-func newRig(t *testing.T, descriptors int, answer func(line string) string, with ...func(*Berth)) *rig {
+func newRig(t *testing.T, descriptors int, answer func(line string) string, with ...func(*Config)) *rig {
 	g := &rig{t: t, lines: make(chan string, 999), ended: make(chan bool, 999), calls: make(chan string, 99),
 		list: make(chan string, 9), asked: make(chan string, 99), over: make(chan bool)}
 	cache := g.listen(func(c net.Conn) {
@@ -121,18 +121,18 @@
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	up := make(chan bool, 9)
-	b := Berth{Listen: "127.0.0.1:0", Discovery: list, Descriptors: descriptors, Memory: 64 << 20,
-		Terms: rules, Log: quiet, Moved: func(p Phase) { up <- p == Serving }}
+	b := Config{Listen: "127.0.0.1:0", Discovery: list, Descriptors: descriptors, Memory: 64 << 20,
+		Settings: rules, Log: quiet, OnPhaseChange: func(p Phase) { up <- p == Serving }}
 	for _, add := range with {
 		add(&b)
 	}
-	if g.Relay, err = New(b); err != nil {
+	if g.Proxy, err = New(b); err != nil {
 		t.Fatal(err)
 	}
 	g.addr = g.Addr(0)
 	g.serve.Add(1)
 	go func() { defer g.serve.Done(); g.Run() }()
-	t.Cleanup(func() { close(g.over); g.End(); g.serve.Wait() })
+	t.Cleanup(func() { close(g.over); g.Shutdown(); g.serve.Wait() })
 	if !wait(t, up) {
 		t.Fatal("not serving")
 	}
@@ -189,7 +189,7 @@
 
 func (g *rig) until(what string, ok func(counters.Counters) bool) {
 	g.t.Helper()
-	for by := time.Now().Add(patience); !ok(g.Counts()); {
+	for by := time.Now().Add(patience); !ok(g.Counters()); {
 		if time.Now().After(by) {
 			g.t.Fatalf("never: %s", what)
 		}
@@ -266,7 +266,9 @@
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
-	g.until("they are cut off", func(n counters.Counters) bool { return n.Ended[policy.ConnectionBroken] >= 2 && n.Crowded >= 2 })
+	g.until("they are cut off", func(n counters.Counters) bool {
+		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.RejectedForRoom >= 2
+	})
 	coming := make(chan int, 1)
 	if g.ask(func() { coming <- g.coming }); <-coming > len(long) {
 		t.Error("what is dropped is still counted")
@@ -286,8 +288,8 @@
 		if got, err := r.ReadString('\n'); err != nil || strings.HasPrefix(got, "VA 5") != (how == policy.Answered) {
 			t.Errorf("after %q: %q %v", said, got, err)
 		}
-		if n := g.Counts(); n.Ended[how] == 0 || n.Legs > 3 || n.Ended[policy.TimedOut] > 0 {
-			t.Errorf("after %q: %v of %d legs", said, n.Ended, n.Legs)
+		if n := g.Counters(); n.Outcomes[how] == 0 || n.Attempts > 3 || n.Outcomes[policy.TimedOut] > 0 {
+			t.Errorf("after %q: %v of %d legs", said, n.Outcomes, n.Attempts)
 		}
 		if proper := strings.HasPrefix(said, "EN Oa\r") || strings.HasPrefix(said, "SERVER_"); !proper {
 			wait(t, g.ended) // its connection is of no further use
@@ -372,7 +374,7 @@
 				}
 			}
 		})
-		g.Counts() // comes after that
+		g.Counters() // comes after that
 		ask(2)
 		g.expect(r, c.want)
 	}
@@ -386,7 +388,7 @@
 	c.Close()
 	wait(t, g.ended)
 	g.until("it has left", func(n counters.Counters) bool {
-		return n.Left == 1 && n.Ended[policy.Cancelled] == 1 && n.Satisfied+n.Rejected+n.Failed == 0
+		return n.ClientsGone == 1 && n.Outcomes[policy.Cancelled] == 1 && n.Satisfied+n.Rejected+n.Failed == 0
 	})
 }
 
@@ -408,7 +410,7 @@
 			t.Errorf("after %.20q: %q", bad, rest)
 		}
 	}
-	g.until("all are gone", func(n counters.Counters) bool { return n.Malformed == 3 && n.Legs == 3 })
+	g.until("all are gone", func(n counters.Counters) bool { return n.Malformed == 3 && n.Attempts == 3 })
 }
 
 // What no cache could use went on to one, and an id in use made two requests one there.
@@ -434,8 +436,8 @@
 		return <-left == 0
 	})
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000.5\r\n")
-	if g.expect(r, "VA 5 Oa", "hello"); g.Counts().Legs != 2 {
-		t.Errorf("%d legs for two", g.Counts().Legs)
+	if g.expect(r, "VA 5 Oa", "hello"); g.Counters().Attempts != 2 {
+		t.Errorf("%d legs for two", g.Counters().Attempts)
 	}
 }
 
@@ -454,7 +456,7 @@
 		}
 	}
 	g.same(wait(t, late), "408 not whole in time 18 close", "ended")
-	if n := g.Counts(); n.Overdue != 3 {
+	if n := g.Counters(); n.Overdue != 3 {
 		t.Errorf("%d were overdue", n.Overdue)
 	}
 }
@@ -479,7 +481,7 @@
 		t.Errorf("closed with: %v", err)
 	}
 	fmt.Fprint(often, "mn\r\n")
-	if g.expect(r, "MN"); int(g.Counts().IdleClosed) == 31 {
+	if g.expect(r, "MN"); int(g.Counters().IdleClosed) == 31 {
 		t.Error("all are closed")
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, syscall.ECONNRESET) { // after two seconds
@@ -588,9 +590,9 @@
 	wait(t, g.asked)
 	wait(t, g.asked)
 	up := make(chan bool, 9)
-	again := g.Berth
-	again.Listen, again.Moved = "127.0.0.1:0", func(p Phase) { up <- p == Serving }
-	again.Known = []byte(`{"generation":41,"reset":true,"instances":[
+	again := g.Config
+	again.Listen, again.OnPhaseChange = "127.0.0.1:0", func(p Phase) { up <- p == Serving }
+	again.LastEndpoints = []byte(`{"generation":41,"reset":true,"instances":[
 {"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"in_service","zone":"z"}]}`)
 	r, err := New(again)
 	if err != nil {
@@ -598,7 +600,7 @@
 	}
 	g.serve.Add(1)
 	go func() { defer g.serve.Done(); r.Run() }()
-	t.Cleanup(r.End)
+	t.Cleanup(r.Shutdown)
 	if got := wait(t, g.asked); !strings.HasPrefix(got, listPath+"?since=41&") {
 		t.Errorf("asked %q", got)
 	}
@@ -679,7 +681,7 @@
 		}
 	})
 	asked := make(chan string, 9)
-	g.Move(g.listen(func(c net.Conn) {
+	g.SetDiscovery(g.listen(func(c net.Conn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		asked <- line
 	}))
@@ -698,9 +700,9 @@
 	for range 3 {
 		wait(t, g.lines)
 	}
-	g.End()
-	g.End()
-	g.Counts() // comes after what was asked before: else the next command may, too
+	g.Shutdown()
+	g.Shutdown()
+	g.Counters() // comes after what was asked before: else the next command may, too
 	after, r := g.client()
 	fmt.Fprint(after, "mn\r\nmg k2 v Ob Pc=read,d=900\r\nmg k3 v Oc Pc=pay,d=9000\r\n")
 	g.expect(r, "SERVER_ERROR draining", "VA 5 Ob", "hello", "SERVER_ERROR busy") // the last would outlast the node
@@ -735,16 +737,16 @@
 					return ""
 				}
 				return value(line)
-			}, func(b *Berth) {
+			}, func(b *Config) {
 				if c.after > 0 {
-					b.Terms.Policy.Classes[0].LatencyObjective = endsIn * 9 / 10
+					b.Settings.Policy.Classes[0].LatencyObjective = endsIn * 9 / 10
 				}
 			})
 			to, r := g.client()
 			fmt.Fprintf(to, "mg hangs v Oz Pc=read,%s\r\n", long)
 			wait(t, g.lines)
-			g.End()
-			g.Counts()
+			g.Shutdown()
+			g.Counters()
 			began := time.Now()
 			time.Sleep(c.after)
 			fmt.Fprint(to, c.asks+"\r\n")
@@ -761,7 +763,7 @@
 					t.Errorf("%q (%v) after %v, want %q", got, err, time.Since(began), want)
 				}
 			}
-			if n := g.Counts().Legs; n != c.attempts {
+			if n := g.Counters().Attempts; n != c.attempts {
 				t.Errorf("%d attempts, %d wanted", n, c.attempts)
 			}
 		})
@@ -770,18 +772,18 @@
 
 // A node that was held up while it drained ended as it went on: who had come meanwhile stood in the kernel's queue and was cut off.
 func TestANodeHeldUpWhileItDrainsLetsInWhoCameMeanwhile(t *testing.T) {
-	g := newRig(t, 200, value, func(b *Berth) { b.Terms.LongestDeadline = mostToStop })
+	g := newRig(t, 200, value, func(b *Config) { b.Settings.LongestDeadline = mostToStop })
 	g.eng.Accept(false) // as if the whole process stood still
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
-	g.End()
+	g.Shutdown()
 	g.ask(func() {
 		for g.now().Since(g.ending) < comingFor+quietFor {
 		}
 		g.eng.Accept(true)
 	})
 	if got, err := r.ReadString('\n'); strings.TrimSpace(got) != "VA 5 Ox" {
-		t.Errorf("got %q (%v), %+v", got, err, g.Counts())
+		t.Errorf("got %q (%v), %+v", got, err, g.Counters())
 	}
 }
 
@@ -791,7 +793,7 @@
 	for _, longest := range []time.Duration{0, 500 * time.Millisecond, time.Minute} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, 200, func(string) string { return "" }, func(b *Berth) { b.Terms.LongestDeadline = longest })
+			g := newRig(t, 200, func(string) string { return "" }, func(b *Config) { b.Settings.LongestDeadline = longest })
 			l, addr := scripted(t) // an origin that says nothing, and one leg at a time
 			g.moves("o", addr)
 			wants := map[string]string{"mg k1 v Oa Pc=read,d=60000": "SERVER_ERROR busy 250", "ms k2 1 Ob Pc=pay,d=60000\r\nx": "SERVER_ERROR failed",
@@ -802,10 +804,10 @@
 				fmt.Fprint(c, command+"\r\n")
 				told[command] = r
 			}
-			g.until("all are taken", func(n counters.Counters) bool { return n.Requests == 4 && n.Legs >= 4 })
+			g.until("all are taken", func(n counters.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
 			defer l.Close()
 			began := time.Now()
-			g.End()
+			g.Shutdown()
 			for command, r := range told {
 				g.expect(r, wants[command])
 				if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -826,8 +828,8 @@
 		fmt.Fprintf(c, "mg k%d v Oa Pc=read,d=9000\r\n", n)
 		g.expect(r, "VA 5 Oa", "hello")
 	}
-	if n := g.Counts(); n.RoomClosed == 0 || n.RoomClosed+n.IdleClosed < 50 || n.Crowded > 0 { // a slow machine's are idle for long, too
-		t.Errorf("%d closed to make room, %d when idle, %d rejected for want of it", n.RoomClosed, n.IdleClosed, n.Crowded)
+	if n := g.Counters(); n.ClosedForRoom == 0 || n.ClosedForRoom+n.IdleClosed < 50 || n.RejectedForRoom > 0 { // a slow machine's are idle for long, too
+		t.Errorf("%d closed to make room, %d when idle, %d rejected for want of it", n.ClosedForRoom, n.IdleClosed, n.RejectedForRoom)
 	}
 }
 
@@ -862,8 +864,8 @@
 // A link that is taken up just before its idle time was looked after again at once until its leg ended, and no
 // event was handled meanwhile: eight requests were lost on a rough day.
 func TestLinkInUseAtItsIdleTimeIsLeftForLater(t *testing.T) {
-	r := &Relay{began: time.Now()}
-	r.Terms.Policy.IdleTimeout = 10 * time.Second
+	r := &Proxy{began: time.Now()}
+	r.Settings.Policy.IdleTimeout = 10 * time.Second
 	l := &link{does: aLeg, usedAt: policy.Instant(-time.Hour), idleAt: epoch}
 	l.id = r.links.Add(l)
 	r.tend(l.id)
@@ -896,7 +898,7 @@
 // moves has a server be elsewhere, for whatever comes after.
 func (g *rig) moves(id policy.EndpointID, addr string) {
 	g.ask(func() { g.caches[id].addr = addr })
-	g.Counts() // else the next command may come before
+	g.Counters() // else the next command may come before
 }
 
 // scripted is a server that the test steps itself.
@@ -913,7 +915,7 @@
 // A leg that waited for its connection went to a cache that was told to drain meanwhile.
 func TestALinkThatComesUpAfterTheNewsCarriesNoLegToACacheThatDrains(t *testing.T) {
 	for _, state := range []string{"terminating", "terminated"} {
-		g := newRig(t, 200, value, func(b *Berth) { b.Terms.ConnectTimeout, b.Terms.Policy.CancelAllowed = patience, false })
+		g := newRig(t, 200, value, func(b *Config) { b.Settings.ConnectTimeout, b.Settings.Policy.CancelAllowed = patience, false })
 		l, addr := scripted(t)
 		let := gated(t, l)
 		g.moves("c", addr)
@@ -921,7 +923,7 @@
 		fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n")
 		g.until("it waits for its link", func(n counters.Counters) bool { return n.Dials == 1 })
 		g.list <- fmt.Sprintf(`{"generation":8,"reset":false,"instances":[{"instanceId":"c","hostPort":"%s","machineType":"box","lifecycle":"%s"}]}`, addr, state)
-		g.until("the news is heard", func(n counters.Counters) bool { return n.Lists == 2 })
+		g.until("the news is heard", func(n counters.Counters) bool { return n.EndpointUpdates == 2 })
 		let()
 		up, err := l.Accept()
 		if err != nil {
@@ -932,8 +934,8 @@
 				io.WriteString(up, value(line))
 			}
 		}()
-		if got, _ := r.ReadString('\n'); strings.TrimSpace(got) == "VA 5 Ox" || g.Counts().Ended[policy.NotSent] != 1 {
-			t.Errorf("%s: served %q by it, %v", state, got, g.Counts().Ended)
+		if got, _ := r.ReadString('\n'); strings.TrimSpace(got) == "VA 5 Ox" || g.Counters().Outcomes[policy.NotSent] != 1 {
+			t.Errorf("%s: served %q by it, %v", state, got, g.Counters().Outcomes)
 		}
 	}
 }
@@ -941,9 +943,9 @@
 // The repeat of a labelled write waited for its connection until its window was over, and began then: its effect could happen twice.
 func TestALinkThatComesUpAfterTheWindowCarriesNoRepeat(t *testing.T) {
 	const window = 400 * time.Millisecond
-	g := newRig(t, 200, value, func(b *Berth) {
-		b.Terms.ConnectTimeout, b.Terms.Policy.Classes = patience, slices.Clone(b.Terms.Policy.Classes)
-		b.Terms.Policy.Classes[b.Terms.Names.Class([]byte("put"))].DedupWindow = window
+	g := newRig(t, 200, value, func(b *Config) {
+		b.Settings.ConnectTimeout, b.Settings.Policy.Classes = patience, slices.Clone(b.Settings.Policy.Classes)
+		b.Settings.Policy.Classes[b.Settings.Names.Class([]byte("put"))].DedupWindow = window
 	})
 	l, addr := scripted(t)
 	g.moves("o", addr)
@@ -952,7 +954,7 @@
 		fmt.Fprintf(c, "mg k v Oa%d Pc=read,d=9000\r\n", n)
 		g.expect(r, fmt.Sprintf("VA 5 Oa%d", n), "hello")
 	}
-	dials := g.Counts().Dials
+	dials := g.Counters().Dials
 	fmt.Fprint(c, "ms k 1 Ox Pc=put,d=9000,k=7\r\nx\r\n")
 	first, err := l.Accept()
 	if err != nil {
@@ -985,12 +987,12 @@
 
 // Where legs may not be called off, a link that comes up late must not carry a leg of what is answered by then.
 func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
-	r := &Relay{began: time.Now()}
+	r := &Proxy{began: time.Now()}
 	v := &request{answered: true, legs: []leg{{out: true}}}
 	v.id = r.hand.Add(v)
 	l := &link{does: aLeg, leg: legRef{hand: v.id}, cache: &cache{}}
 	l.id = r.links.Add(l)
-	if r.begin(l); r.count.Ended[policy.NotSent] != 1 || v.legs[0].out || l.does != nothing {
-		t.Errorf("%v, still out: %v", r.count.Ended, v.legs[0].out)
+	if r.begin(l); r.count.Outcomes[policy.NotSent] != 1 || v.legs[0].out || l.does != nothing {
+		t.Errorf("%v, still out: %v", r.count.Outcomes, v.legs[0].out)
 	}
 }
--- a/internal/net/relay/stalls.go
+++ b/internal/net/relay/stalls.go
@@ -32,10 +32,10 @@
 }
 
 // beginIteration starts the observation of an iteration of the loop.
-func (r *Relay) beginIteration(events int) { r.stalls.begin(r.now(), events) }
+func (r *Proxy) beginIteration(events int) { r.stalls.begin(r.now(), events) }
 
 // endIteration counts an iteration that has ended, and logs it if it was a stall.
-func (r *Relay) endIteration(now policy.Instant) {
+func (r *Proxy) endIteration(now policy.Instant) {
 	took := now.Since(r.stalls.began)
 	r.stalls.stalled = took >= stallAfter
 	r.count.LongestIterationMs = max(r.count.LongestIterationMs, uint64(took/time.Millisecond))
@@ -54,7 +54,7 @@
 
 // heldUp tells whether the loop has just stood still: the iteration before took long, or what is due waits for so long that the process
 // did not run.
-func (r *Relay) heldUp() bool {
+func (r *Proxy) heldUp() bool {
 	at, ok := r.due.Next()
 	return r.stalls.stalled || ok && r.now().Since(at) >= stallAfter
 }
@@ -62,7 +62,7 @@
 // awaitList waits until the poller has read what discovery has written by now. After a stall it stands in the kernel beside requests that came
 // before or after it, and the poller brings them in any order. Guards against decisions by a list that was out of date for longer than
 // the grace.
-func (r *Relay) awaitList() {
+func (r *Proxy) awaitList() {
 	l := r.links.Get(r.list.link)
 	if l == nil || l.wire == nil {
 		return
--- a/internal/net/relay/starts.go
+++ b/internal/net/relay/starts.go
@@ -19,7 +19,7 @@
 // time is turned into the node's own once, as it is first told, by what the wall clock says then; the same stated time is the same start from then
 // on, and another one is another start, be it earlier or later. What the step itself makes of a start told just then is bounded: none lies in
 // the future, and a cache that was started anew has not been before the last answer that told of its old process, but for what may be untold.
-func (r *Relay) startOf(known *cache, stated float64) start {
+func (r *Proxy) startOf(known *cache, stated float64) start {
 	if stated == 0 {
 		return start{}
 	}
--- a/internal/net/relay/starts_test.go
+++ b/internal/net/relay/starts_test.go
@@ -23,7 +23,7 @@
 		}
 		quiet := logrus.New()
 		quiet.SetOutput(io.Discard)
-		r, err := New(Berth{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Descriptors: 64, Memory: 16 << 20, Terms: rules, Log: quiet})
+		r, err := New(Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Descriptors: 64, Memory: 16 << 20, Settings: rules, Log: quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 		if r.caches["c"] == old {
 			t.Errorf("%v: a start after the step is taken for none", step)
 		}
-		r.End()
+		r.Shutdown()
 		r.Run()
 	}
 }
@@ -68,7 +68,7 @@
 	now := epoch.Add(time.Hour)
 	began := time.Now().Add(-now.Since(epoch))
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		r := &Relay{began: began, wallClock: func() time.Time { return time.Now().Add(step) }}
+		r := &Proxy{began: began, wallClock: func() time.Time { return time.Now().Add(step) }}
 		r.list.heardAt = now
 		known := &cache{start: start{stated: 5, at: epoch}}
 		got := r.startOf(known, float64(time.Now().Add(-time.Second).UnixMilli())).at
--- a/internal/net/relay/stream.go
+++ b/internal/net/relay/stream.go
@@ -34,7 +34,7 @@
 }
 
 // startStream begins to pass on a long value of which the head is there, and tells whether it did.
-func (r *Relay) startStream(l *link, v *request, came *reply, wants int) bool {
+func (r *Proxy) startStream(l *link, v *request, came *reply, wants int) bool {
 	c := r.clients.Get(v.client)
 	if came.head == 0 || came.long <= streamOver || v.answered || v.call.bare || c == nil {
 		return false
@@ -43,7 +43,7 @@
 	head := v.face.head(&v.call, came, came.long)
 	s := &stream{client: v.client, turn: v.turn, grade: v.grade, face: v.face, call: v.call, left: came.long,
 		tail: wants - came.head - came.long, lastAt: r.now()}
-	l.buf.Use(came.head)
+	l.buf.Consume(came.head)
 	t := &c.turns[v.turn-c.first]
 	t.hand, t.out, t.stream = 0, head, l.id
 	r.held += t.bytes()
@@ -55,7 +55,7 @@
 }
 
 // pass hands on what has come of a value, as far as its reader takes it.
-func (r *Relay) pass(l *link) {
+func (r *Proxy) pass(l *link) {
 	s := l.stream
 	c := r.clients.Get(s.client)
 	if c == nil {
@@ -63,11 +63,11 @@
 		return
 	}
 	if c.first == s.turn && c.wire.Unsent() <= streamAhead {
-		used, more := r.passOn(l, c, l.buf.Unused())
+		used, more := r.passOn(l, c, l.buf.Unread())
 		if !more {
 			return
 		}
-		l.buf.Use(used)
+		l.buf.Consume(used)
 	}
 	hold := c.first != s.turn || c.wire.Unsent() > streamAhead
 	if s.held && !hold {
@@ -91,15 +91,15 @@
 	}
 	if at := r.now().Add(wait); s.lookAt == 0 || at < s.lookAt { // sooner than was thought: who is held is brought no bytes that would wake it
 		s.lookAt = at
-		r.due.Put(at, due{stream: l.id})
+		r.due.Push(at, due{stream: l.id})
 	}
 }
 
 // passStraight hands on what has just come without a copy, as far as its reader takes it, and returns the rest.
-func (r *Relay) passStraight(l *link, data []byte) (rest []byte) {
+func (r *Proxy) passStraight(l *link, data []byte) (rest []byte) {
 	s := l.stream
 	c := r.clients.Get(s.client)
-	if c == nil || c.first != s.turn || s.left <= len(data) || len(l.buf.Unused()) > 0 { // its end is for who knows what may follow
+	if c == nil || c.first != s.turn || s.left <= len(data) || len(l.buf.Unread()) > 0 { // its end is for who knows what may follow
 		return data
 	}
 	used, more := r.passOn(l, c, data)
@@ -110,7 +110,7 @@
 }
 
 // passOn writes bytes of a value to its reader, and tells how many, and whether there is more to come.
-func (r *Relay) passOn(l *link, c *client, b []byte) (used int, more bool) {
+func (r *Proxy) passOn(l *link, c *client, b []byte) (used int, more bool) {
 	s := l.stream
 	if !s.begun {
 		t := &c.turns[0]
@@ -134,7 +134,7 @@
 		}
 	}
 	if rest := b[used:]; s.left == 0 && len(rest) >= s.tail {
-		l.buf.Use(used)
+		l.buf.Consume(used)
 		r.endStream(l, c, s.tail > 0 && string(rest[:s.tail]) != meta.End)
 		return 0, false
 	}
@@ -142,14 +142,14 @@
 }
 
 // endStream ends a value that has come whole, or, where its end is not that of a value, its reader's connection.
-func (r *Relay) endStream(l *link, c *client, wrong bool) {
+func (r *Proxy) endStream(l *link, c *client, wrong bool) {
 	s := l.stream
 	if wrong {
-		r.count.Strange++
+		r.count.ProtocolErrors++
 		r.lose(l, policy.ConnectionBroken)
 		return
 	}
-	l.buf.Use(s.tail)
+	l.buf.Consume(s.tail)
 	if l.stream = nil; !l.cache.carrier.names() {
 		l.nobody = r.now()
 	}
@@ -159,8 +159,8 @@
 	switch l.proven = true; {
 	case l.last:
 		r.dropLink(l)
-	case len(l.buf.Unused()) > 0:
-		r.count.Strange++
+	case len(l.buf.Unread()) > 0:
+		r.count.ProtocolErrors++
 		r.dropLink(l)
 	default:
 		r.rest(l)
@@ -176,7 +176,7 @@
 
 // failStream ends a value that will not come whole. Of what has begun the client can tell by the end of its connection; before
 // that it is told as of any other.
-func (r *Relay) failStream(s *stream) {
+func (r *Proxy) failStream(s *stream) {
 	r.pending--
 	r.count.Failed++
 	r.byGrade[s.grade].Failed++
@@ -196,7 +196,7 @@
 }
 
 // lookAtStream goes on with a value whose reader was slow, and ends one whose server has fallen silent.
-func (r *Relay) lookAtStream(id linkID) {
+func (r *Proxy) lookAtStream(id linkID) {
 	l := r.links.Get(id)
 	if l == nil || l.stream == nil || r.now() < l.stream.lookAt {
 		return
--- a/internal/net/relay/stream_test.go
+++ b/internal/net/relay/stream_test.go
@@ -62,7 +62,7 @@
 	g.expect(others, "VA 5 Oshort", "hello")
 	close(rest)
 	g.expect(r, first[half:], fmt.Sprintf("VA %d Ob", len(second)), second, "MN")
-	if n := g.Counts(); n.Satisfied != 3 || n.Legs != 3 || g.coming > 2*streamAhead {
+	if n := g.Counters(); n.Satisfied != 3 || n.Attempts != 3 || g.coming > 2*streamAhead {
 		t.Errorf("%+v, %d bytes are still counted", n, g.coming)
 	}
 }
@@ -79,7 +79,7 @@
 	if got, err := io.ReadAll(r); len(got) > 100<<10 || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	if n := g.Counts(); n.Failed != 1 || n.Satisfied != 0 || n.Legs != 1 {
+	if n := g.Counters(); n.Failed != 1 || n.Satisfied != 0 || n.Attempts != 1 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %d of %d bytes, %v", key, len(got), len(want), err)
 		}
 	}
-	if n := g.Counts(); n.Satisfied != 3 || n.Clients != 1 || n.Strange != 0 {
+	if n := g.Counters(); n.Satisfied != 3 || n.Clients != 1 || n.ProtocolErrors != 0 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/net/slots/slots.go
+++ b/internal/net/slots/slots.go
@@ -36,7 +36,7 @@
 }
 
 // Drop takes a slot back; an id that is gone is ignored.
-func (t *Table[K, T]) Drop(id K) {
+func (t *Table[K, T]) Remove(id K) {
 	if t.Get(id) == nil {
 		return
 	}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -23,42 +23,42 @@
 )
 
 // Entry is one thing that a node did.
-type Entry struct {
-	At     policy.Instant    `json:"at_ns"`
-	Node   string            `json:"node"`
-	Server policy.EndpointID `json:"server"`
-	What   string            `json:"what"`
-	Why    string            `json:"why,omitempty"`
-	For    time.Duration     `json:"for_ns,omitempty"` // with "back": how long it was avoided
+type Event struct {
+	At       policy.Instant    `json:"at_ns"`
+	Node     string            `json:"node"`
+	Server   policy.EndpointID `json:"server"`
+	Kind     string            `json:"what"`
+	Reason   string            `json:"why,omitempty"`
+	Duration time.Duration     `json:"for_ns,omitempty"` // with "back": how long it was avoided
 }
 
-func (e Entry) String() string {
-	s := fmt.Sprintf("%8.3f s  %-6s %-10s %s", time.Duration(e.At).Seconds(), e.Node, e.Server, e.What)
-	if e.Why != "" {
-		s += ": " + e.Why
+func (e Event) String() string {
+	s := fmt.Sprintf("%8.3f s  %-6s %-10s %s", time.Duration(e.At).Seconds(), e.Node, e.Server, e.Kind)
+	if e.Reason != "" {
+		s += ": " + e.Reason
 	}
-	if e.For > 0 {
-		s += fmt.Sprintf(" after %.1f s", e.For.Seconds())
+	if e.Duration > 0 {
+		s += fmt.Sprintf(" after %.1f s", e.Duration.Seconds())
 	}
 	return s
 }
 
 // What an entry says was done.
 const (
-	Listed  = "listed"
-	Avoided = "avoided"
-	Back    = "back"
-	Drained = "drained"
-	Gone    = "gone"
-	Trial   = "trial leg"
-	Level   = "level"
+	EndpointListed   = "listed"
+	EndpointAvoided  = "avoided"
+	EndpointRestored = "back"
+	EndpointDrained  = "drained"
+	EndpointRemoved  = "gone"
+	TrialAttempt     = "trial leg"
+	LevelChanged     = "level"
 )
 
 // Book keeps one node's records; it is a host's watcher. The same may be fed by all nodes of a fleet, which then counts
 // as one.
-type Book struct {
+type Recorder struct {
 	node    string
-	tell    func(Entry)
+	tell    func(Event)
 	caches  map[policy.EndpointID]*page
 	order   []policy.EndpointID // so that what happens at once is told in one order
 	lookAt  policy.Instant
@@ -85,19 +85,19 @@
 }
 
 // New starts a book. Entries go to tell, in order.
-func New(node string, tell func(Entry), without func(policy.Endpoint) bool) *Book {
+func New(node string, tell func(Event), without func(policy.Endpoint) bool) *Recorder {
 	if without == nil {
 		without = func(policy.Endpoint) bool { return false }
 	}
-	return &Book{node: node, tell: tell, caches: map[policy.EndpointID]*page{}, without: without}
+	return &Recorder{node: node, tell: tell, caches: map[policy.EndpointID]*page{}, without: without}
 }
 
-func (b *Book) say(now policy.Instant, id policy.EndpointID, what, why string, long time.Duration) {
-	b.tell(Entry{At: now, Node: b.node, Server: id, What: what, Why: why, For: long})
+func (b *Recorder) say(now policy.Instant, id policy.EndpointID, what, why string, long time.Duration) {
+	b.tell(Event{At: now, Node: b.node, Server: id, Kind: what, Reason: why, Duration: long})
 }
 
 // Listed hears the list.
-func (b *Book) EndpointsUpdated(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+func (b *Recorder) EndpointsUpdated(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	if form == policy.PollFailed {
 		return
 	}
@@ -114,15 +114,15 @@
 			b.caches[e.ID] = p
 			b.order = append(b.order, e.ID)
 			slices.Sort(b.order)
-			b.say(now, e.ID, Listed, "", 0)
+			b.say(now, e.ID, EndpointListed, "", 0)
 			if e.Lifecycle == policy.Draining {
-				b.say(now, e.ID, Drained, "the list says so", 0)
+				b.say(now, e.ID, EndpointDrained, "the list says so", 0)
 			}
 		case p != nil && e.Lifecycle == policy.Removed:
 			b.drop(now, e.ID, "the list says so")
 		case p != nil && e.Lifecycle == policy.Draining && p.state == policy.Ready:
 			p.state = e.Lifecycle
-			b.say(now, e.ID, Drained, "the list says so", 0)
+			b.say(now, e.ID, EndpointDrained, "the list says so", 0)
 		case p != nil:
 			p.state = e.Lifecycle
 		}
@@ -148,14 +148,14 @@
 	}
 }
 
-func (b *Book) drop(now policy.Instant, id policy.EndpointID, why string) {
+func (b *Recorder) drop(now policy.Instant, id policy.EndpointID, why string) {
 	delete(b.caches, id)
 	b.order = slices.DeleteFunc(b.order, func(o policy.EndpointID) bool { return o == id })
-	b.say(now, id, Gone, why, 0)
+	b.say(now, id, EndpointRemoved, why, 0)
 }
 
 // Stands hears how a cache stands, when that has changed.
-func (b *Book) EndpointStateChanged(now policy.Instant, id policy.EndpointID, s policy.EndpointState) {
+func (b *Recorder) EndpointStateChanged(now policy.Instant, id policy.EndpointID, s policy.EndpointState) {
 	p := b.caches[id]
 	if p == nil || p.stands == s {
 		return
@@ -168,27 +168,27 @@
 	}
 }
 
-func (b *Book) avoid(now policy.Instant, id policy.EndpointID, p *page, why string) {
+func (b *Recorder) avoid(now policy.Instant, id policy.EndpointID, p *page, why string) {
 	if p.avoided == 0 {
 		p.avoided, p.why = now, why
-		b.say(now, id, Avoided, why, 0)
+		b.say(now, id, EndpointAvoided, why, 0)
 	}
 }
 
-func (b *Book) back(now policy.Instant, id policy.EndpointID, p *page) {
+func (b *Recorder) back(now policy.Instant, id policy.EndpointID, p *page) {
 	if p.avoided != 0 {
 		long := now.Since(p.avoided)
 		p.avoided, p.triedFor = 0, 0
 		why, _, _ := strings.Cut(p.why, ":")
-		b.say(now, id, Back, why, long)
+		b.say(now, id, EndpointRestored, why, long)
 	}
 }
 
 // Level hears that the node's service level has changed.
-func (b *Book) Level(now policy.Instant, name string) { b.say(now, "", Level, name, 0) }
+func (b *Recorder) Level(now policy.Instant, name string) { b.say(now, "", LevelChanged, name, 0) }
 
 // Sent hears of a leg. One to a cache that is avoided since it said nothing is a trial; the first of each spell is told.
-func (b *Book) AttemptSent(now policy.Instant, id policy.EndpointID) {
+func (b *Recorder) AttemptSent(now policy.Instant, id policy.EndpointID) {
 	p := b.caches[id]
 	if p == nil {
 		return
@@ -197,14 +197,14 @@
 	b.legs++
 	if p.avoided != 0 && !p.spared && (p.stands == policy.StateUnresponsive || p.stands == policy.StateUnreachable) {
 		if p.triedFor++; p.triedFor == 1 {
-			b.say(now, id, Trial, p.why, 0)
+			b.say(now, id, TrialAttempt, p.why, 0)
 		}
 	}
 	b.look(now)
 }
 
 // Ended hears of a leg's end.
-func (b *Book) AttemptDone(_ policy.Instant, id policy.EndpointID, how policy.Result, took time.Duration) {
+func (b *Recorder) AttemptDone(_ policy.Instant, id policy.EndpointID, how policy.Result, took time.Duration) {
 	if p := b.caches[id]; p != nil && (how == policy.Answered || how == policy.CacheMiss) {
 		p.served++
 		p.took += took
@@ -213,7 +213,7 @@
 
 // look compares shares once enough legs went out. A cache whose share falls while the median's does not is avoided for
 // its load, which no standing tells: nothing decides so but that others are picked.
-func (b *Book) look(now policy.Instant) {
+func (b *Recorder) look(now policy.Instant) {
 	if b.lookAt == 0 {
 		b.lookAt = now
 	}
@@ -275,7 +275,7 @@
 	b.clear(now)
 }
 
-func (b *Book) clear(now policy.Instant) {
+func (b *Recorder) clear(now policy.Instant) {
 	b.legs, b.lookAt = 0, now
 	for _, p := range b.caches {
 		p.legs, p.served, p.took = 0, 0, 0
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -10,7 +10,7 @@
 
 // rig plays legs to five caches, a hundred to each in a second, and keeps what is told.
 type rig struct {
-	*Book
+	*Recorder
 	now  policy.Instant
 	told []string
 	took time.Duration // of legs to b
@@ -18,16 +18,16 @@
 
 func newRig() *rig {
 	g := &rig{now: policy.Instant(time.Second), took: 4 * time.Millisecond}
-	g.Book = New("n", func(e Entry) {
-		if e.What != Listed {
-			g.told = append(g.told, fmt.Sprintf("%s %s", e.Server, e.What))
+	g.Recorder = New("n", func(e Event) {
+		if e.Kind != EndpointListed {
+			g.told = append(g.told, fmt.Sprintf("%s %s", e.Server, e.Kind))
 		}
 	}, func(e policy.Endpoint) bool { return e.ID == "origin" })
 	var es []policy.Endpoint
 	for _, id := range []policy.EndpointID{"a", "b", "c", "d", "e", "origin"} {
 		es = append(es, policy.Endpoint{ID: id})
 	}
-	g.Book.EndpointsUpdated(g.now, policy.CompleteUpdate, es)
+	g.Recorder.EndpointsUpdated(g.now, policy.CompleteUpdate, es)
 	return g
 }
 
@@ -97,14 +97,14 @@
 	g.EndpointStateChanged(g.now, "nobody", policy.StateUnresponsive)
 	g.want(t, "c avoided", "c trial leg", "c back")
 	g.EndpointStateChanged(g.now, "e", policy.StateUnreachable)
-	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "e"}})
+	g.Recorder.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "e"}})
 	g.want(t, "e avoided")
-	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "e", StartedAt: 5}}) // the module forgets the old process as silently
+	g.Recorder.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "e", StartedAt: 5}}) // the module forgets the old process as silently
 	g.want(t, "e back")
-	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "d", Lifecycle: policy.Draining}, {ID: "f", Lifecycle: policy.Removed}})
+	g.Recorder.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "d", Lifecycle: policy.Draining}, {ID: "f", Lifecycle: policy.Removed}})
 	g.EndpointStateChanged(g.now, "d", policy.StateDraining)
-	g.Book.EndpointsUpdated(g.now, policy.PollFailed, nil)
-	g.Book.EndpointsUpdated(g.now, policy.CompleteUpdate, []policy.Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e"}, {ID: "origin"}})
-	g.Book.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "a", Lifecycle: policy.Removed}, {ID: "origin", Lifecycle: policy.Removed}})
+	g.Recorder.EndpointsUpdated(g.now, policy.PollFailed, nil)
+	g.Recorder.EndpointsUpdated(g.now, policy.CompleteUpdate, []policy.Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e"}, {ID: "origin"}})
+	g.Recorder.EndpointsUpdated(g.now, policy.DeltaUpdate, []policy.Endpoint{{ID: "a", Lifecycle: policy.Removed}, {ID: "origin", Lifecycle: policy.Removed}})
 	g.want(t, "d drained", "d gone", "a gone")
 }
--- a/internal/scale/changes/rig/between.go
+++ b/internal/scale/changes/rig/between.go
@@ -132,7 +132,7 @@
 		return 0
 	}
 	p := 1 - math.Pow(1-b.loss, math.Ceil(float64(bytes)/segment))
-	for n := 0; n < mostAgain && chance.Next() < p; n++ {
+	for n := 0; n < mostAgain && chance.Float64() < p; n++ {
 		late += first
 		first *= 2
 		p = b.loss
--- a/internal/scale/changes/rig/caches.go
+++ b/internal/scale/changes/rig/caches.go
@@ -92,7 +92,7 @@
 func (r *run) chance() float64 {
 	r.caches.mu.Lock()
 	defer r.caches.mu.Unlock()
-	return r.caches.chance.Next()
+	return r.caches.chance.Float64()
 }
 
 // refill has fills with the old value under way when a purge is published: each ends within the longest that one may take.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -56,7 +56,7 @@
 	}
 	n.parts = append(n.parts, turn(n.Post))
 	if at.List != "" {
-		n.parts = append(n.parts, follow(at.List, nodes, uint32(keyhash.Text(at.Name))))
+		n.parts = append(n.parts, follow(at.List, nodes, uint32(keyhash.String(at.Name))))
 	}
 	for _, open := range more {
 		p, err := open(n)
@@ -104,7 +104,7 @@
 // caller calls for the list of caches as a node does, and drops what it hears.
 type caller struct {
 	addr   string
-	calls  discovery.Caller
+	calls  discovery.Poller
 	chance keyhash.Source
 	began  time.Time // the call that is out; its connection, where it is the first there
 	end    chan struct{}
@@ -121,7 +121,7 @@
 		for {
 			c.began = time.Now()
 			how := c.follow()
-			rest, _ := c.calls.Failed(how, time.Since(c.began), c.chance.Next())
+			rest, _ := c.calls.OnFailure(how, time.Since(c.began), c.chance.Float64())
 			select {
 			case <-c.end:
 				return
@@ -136,7 +136,7 @@
 func (c *caller) follow() discovery.Failure {
 	conn, err := net.DialTimeout("tcp", c.addr, listDialBy)
 	if err != nil || !c.hold(conn) {
-		return discovery.Lost
+		return discovery.ConnectionLost
 	}
 	defer conn.Close()
 	in, have := make([]byte, 0, 4<<10), 0
@@ -145,14 +145,14 @@
 		if !first {
 			c.began = time.Now()
 		}
-		path, call := []byte(listPath), c.calls.Next()
-		if !call.Whole {
-			path = strconv.AppendInt(append(path, "?since="...), int64(call.Since), 10)
-			path = strconv.AppendInt(append(path, "&timeout_ms="...), int64(call.Wait/time.Millisecond), 10)
+		path, call := []byte(listPath), c.calls.NextPoll()
+		if !call.Complete {
+			path = strconv.AppendInt(append(path, "?since="...), int64(call.SinceVersion), 10)
+			path = strconv.AppendInt(append(path, "&timeout_ms="...), int64(call.LongPoll/time.Millisecond), 10)
 		}
-		_ = conn.SetDeadline(time.Now().Add(call.Within))
+		_ = conn.SetDeadline(time.Now().Add(call.Timeout))
 		if _, err := conn.Write(http1.AppendRequest(nil, "GET", path, c.addr, nil, nil)); err != nil {
-			return discovery.Lost
+			return discovery.ConnectionLost
 		}
 		for read := (http1.Progress{}); ; {
 			a, size, err := read.ReadAnswer(in[:have], longestList, false)
@@ -171,7 +171,7 @@
 			}
 			n, err := conn.Read(in[have:cap(in)])
 			if err != nil {
-				return discovery.Lost
+				return discovery.ConnectionLost
 			}
 			have += n
 		}
@@ -185,10 +185,10 @@
 		return discovery.Refused
 	}
 	news, err := parser.ParseBytes(bytes.Clone(a.Body))
-	if a.Status != 200 || err != nil || !news.Exists("generation") || !c.calls.Takes(news.GetInt("generation"), news.GetBool("reset")) {
+	if a.Status != 200 || err != nil || !news.Exists("generation") || !c.calls.Accepts(news.GetInt("generation"), news.GetBool("reset")) {
 		return discovery.Unreadable
 	}
-	c.calls.Heard(news.GetInt("generation"), news.GetBool("reset"))
+	c.calls.OnUpdate(news.GetInt("generation"), news.GetBool("reset"))
 	return taken
 }
 
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -95,7 +95,7 @@
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
 	for a := range f.Places.Regions {
 		for b := range a {
-			d := ms(f.Between.DelayMs + chance.Next()*(f.Between.DelayMostMs-f.Between.DelayMs))
+			d := ms(f.Between.DelayMs + chance.Float64()*(f.Between.DelayMostMs-f.Between.DelayMs))
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
 				faults.Change(pair[0], pair[1], func(w *between.Way) {
 					w.Delay, w.Late, w.Loss = d, ms(f.Between.LateMs), f.Between.Loss
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -116,25 +116,25 @@
 	if err != nil {
 		return f, err
 	}
-	c.Within(float64(f.Places.Regions), 1, mostPlaces, "places.regions")
-	c.Within(float64(f.Places.Sites), float64(f.Places.Regions), MostNodes, "places.sites")
-	c.Within(float64(f.Places.Zones), float64(f.Places.Regions), MostNodes, "places.zones")
-	c.Within(f.Starts.ApartMs, 1, 10_000, "starts.apart_ms")
-	c.Within(f.Between.DelayMs, 0, 2000, "between.delay_ms")
+	c.InRange(float64(f.Places.Regions), 1, mostPlaces, "places.regions")
+	c.InRange(float64(f.Places.Sites), float64(f.Places.Regions), MostNodes, "places.sites")
+	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MostNodes, "places.zones")
+	c.InRange(f.Starts.ApartMs, 1, 10_000, "starts.apart_ms")
+	c.InRange(f.Between.DelayMs, 0, 2000, "between.delay_ms")
 	if f.Between.DelayMostMs == 0 {
 		f.Between.DelayMostMs = f.Between.DelayMs
 	}
-	c.Within(f.Between.DelayMostMs, f.Between.DelayMs, 2000, "between.delay_most_ms")
-	c.Within(f.Between.LateMs, 0, 2000, "between.late_ms")
-	c.Within(f.Between.Loss, 0, 0.9, "between.loss")
-	c.Within(f.Cut.ForS, 0, 600, "cut.for_s")
-	c.Within(float64(f.Cut.Region), 0, float64(f.Places.Regions-1), "cut.region")
-	c.Want(f.Cut.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
-	c.Within(f.Lost.ForS, 0, 600, "lost.for_s")
-	c.Within(float64(f.List.Caches), 0, 10_000, "list.caches")
+	c.InRange(f.Between.DelayMostMs, f.Between.DelayMs, 2000, "between.delay_most_ms")
+	c.InRange(f.Between.LateMs, 0, 2000, "between.late_ms")
+	c.InRange(f.Between.Loss, 0, 0.9, "between.loss")
+	c.InRange(f.Cut.ForS, 0, 600, "cut.for_s")
+	c.InRange(float64(f.Cut.Region), 0, float64(f.Places.Regions-1), "cut.region")
+	c.Require(f.Cut.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
+	c.InRange(f.Lost.ForS, 0, 600, "lost.for_s")
+	c.InRange(float64(f.List.Caches), 0, 10_000, "list.caches")
 	charter.CheckMembers(c, &f.Members)
 	for path, x := range map[string]float64{"core_percent": f.Budget.CorePercent, "memory_mb": f.Budget.MemoryMB, "kb_per_s": f.Budget.KBPerS} {
-		c.Within(x, 0, 1e6, "budget."+path)
+		c.InRange(x, 0, 1e6, "budget."+path)
 	}
 	return f, c.Err()
 }
--- a/internal/strictly/strictly.go
+++ b/internal/strictly/strictly.go
@@ -15,13 +15,13 @@
 )
 
 // Fault is what is wrong with a file, and where.
-type Fault struct {
+type FieldError struct {
 	File   string
 	Line   int // 0 where it is the whole that is wrong
 	Reason string
 }
 
-func (f Fault) Error() string {
+func (f FieldError) Error() string {
 	if f.Line == 0 {
 		return f.File + ": " + f.Reason
 	}
@@ -29,9 +29,9 @@
 }
 
 // Faults are all that is wrong with a file, in its order. As an error they are one line: the first.
-type Faults []Fault
+type FieldErrors []FieldError
 
-func (f Faults) Error() string { return f[0].Error() }
+func (f FieldErrors) Error() string { return f[0].Error() }
 
 // Parse reads a file's text into a struct. The checker then takes what else is wanted of it.
 func Parse(file string, text []byte, into any) (*Checker, error) {
@@ -40,17 +40,17 @@
 	var bad *toml.DecodeError
 	switch {
 	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
-		var all Faults
+		var all FieldErrors
 		for _, u := range unknown.Errors {
 			row, _ := u.Position()
-			all = append(all, Fault{file, row, "no such field: " + strings.Join(u.Key(), ".")})
+			all = append(all, FieldError{file, row, "no such field: " + strings.Join(u.Key(), ".")})
 		}
 		return nil, all
 	case errors.As(err, &bad):
 		row, _ := bad.Position()
-		return nil, Faults{{file, row, strings.TrimPrefix(bad.Error(), "toml: ")}}
+		return nil, FieldErrors{{file, row, strings.TrimPrefix(bad.Error(), "toml: ")}}
 	case err != nil:
-		return nil, Faults{{file, 0, err.Error()}}
+		return nil, FieldErrors{{file, 0, err.Error()}}
 	}
 	return &Checker{file: file, lines: linesOf(text)}, nil
 }
@@ -95,11 +95,11 @@
 type Checker struct {
 	file  string
 	lines map[string]int
-	wrong Faults
+	wrong FieldErrors
 }
 
 // Want notes what is wrong at a path unless it holds. A field that is not written has the line of what it belongs to.
-func (c *Checker) Want(holds bool, path, reason string, args ...any) {
+func (c *Checker) Require(holds bool, path, reason string, args ...any) {
 	if holds {
 		return
 	}
@@ -108,12 +108,12 @@
 		line = c.lines[at]
 		at = at[:max(0, strings.LastIndexByte(at, '.'))]
 	}
-	c.wrong = append(c.wrong, Fault{c.file, line, path + ": " + fmt.Sprintf(reason, args...)})
+	c.wrong = append(c.wrong, FieldError{c.file, line, path + ": " + fmt.Sprintf(reason, args...)})
 }
 
 // Within wants a number to be in a range.
-func (c *Checker) Within(x, least, most float64, path string) {
-	c.Want(x >= least && x <= most, path, "%v is not from %v to %v", x, least, most)
+func (c *Checker) InRange(x, least, most float64, path string) {
+	c.Require(x >= least && x <= most, path, "%v is not from %v to %v", x, least, most)
 }
 
 // Err is all that is wrong, or nil.
@@ -121,7 +121,7 @@
 	if len(c.wrong) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(c.wrong, func(a, b Fault) int {
+	slices.SortStableFunc(c.wrong, func(a, b FieldError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Reason, b.Reason))
 	})
 	return c.wrong
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	bins  = 14               // each twice the last: from under 1 ms to over 4 s
-	First = time.Millisecond // upper end of the first bin; below this all caches look alike
-	known = bins             // samples below which a histogram says nothing
+	bins     = 14               // each twice the last: from under 1 ms to over 4 s
+	FirstBin = time.Millisecond // upper end of the first bin; below this all caches look alike
+	known    = bins             // samples below which a histogram says nothing
 )
 
 // Histogram counts times by size.
 type Histogram [bins]uint32
 
 // Add counts one time.
-func (h *Histogram) Add(d time.Duration) {
-	h[min(bins-1, bits.Len64(uint64(max(0, d)/First)))]++
+func (h *Histogram) Observe(d time.Duration) {
+	h[min(bins-1, bits.Len64(uint64(max(0, d)/FirstBin)))]++
 }
 
 // Halve lets what is old count for less, as long as enough is left to say something.
-func (h *Histogram) Halve() {
+func (h *Histogram) Decay() {
 	if h.total() < 2*known {
 		return
 	}
@@ -44,7 +44,7 @@
 		return otherwise
 	}
 	for i, n := range h {
-		high := First << i
+		high := FirstBin << i
 		if float64(n) >= want {
 			return low + time.Duration(want/float64(max(n, 1))*float64(high-low))
 		}
@@ -54,10 +54,10 @@
 }
 
 // Above returns about how many times were longer than d.
-func (h *Histogram) Above(d time.Duration) (n float64) {
+func (h *Histogram) CountAbove(d time.Duration) (n float64) {
 	low := time.Duration(0)
 	for i, c := range h {
-		high := First << i
+		high := FirstBin << i
 		n += float64(c) * min(1, max(0, float64(high-d)/float64(high-low)))
 		low = high
 	}
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -183,13 +183,13 @@
 		json.NewEncoder(w).Encode(map[string]any{"generation": 1, "reset": true, "instances": rows})
 	}))
 	b.Cleanup(func() { close(over); list.Close() })
-	p, err := node.ParsePosting(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
+	p, err := node.ParseConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
 "service_grades":[{"name":"read","effect":"idempotent","benefit":1,"soft_limit_s":0.5,"hard_stop_s":1}],"zone":"z","n_instances":1,
 "round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15},"family_info":{"mode":"through"}}}`, list.Listener.Addr()))
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := p.OpenText("o", []byte("[[listener]]\nlisten='127.0.0.1:0'\nprotocol='http'\n[[listener.route]]\npath='/p/'\nmethods=['GET']\ngrade='read'\n")); err != nil {
+	if err := p.ParseListeners("o", []byte("[[listener]]\nlisten='127.0.0.1:0'\nprotocol='http'\n[[listener.route]]\npath='/p/'\nmethods=['GET']\ngrade='read'\n")); err != nil {
 		b.Fatal(err)
 	}
 	quiet := logrus.New()
@@ -200,7 +200,7 @@
 	}
 	done := make(chan bool)
 	go func() { n.Serve(); close(done) }()
-	b.Cleanup(func() { n.End(); <-done })
+	b.Cleanup(func() { n.Shutdown(); <-done })
 	for n.Phase() != node.Serving {
 		time.Sleep(time.Millisecond)
 	}
@@ -209,7 +209,7 @@
 		b.Run("long-slow-"+name, func(b *testing.B) { askLong(b, addr, 32, 5*time.Millisecond) })
 	}
 	for _, connections := range []int{1, 64} {
-		for name, addr := range map[string]string{"straight": rows[0]["hostPort"].(string), "node": n.Addr(), "http": n.FrontAddr(0)} {
+		for name, addr := range map[string]string{"straight": rows[0]["hostPort"].(string), "node": n.Addr(), "http": n.ListenerAddr(0)} {
 			b.Run(fmt.Sprintf("%s-%d", name, connections), func(b *testing.B) {
 				b.ReportAllocs()
 				ask(b, addr, connections, name == "http")
--- a/node/changes.go
+++ b/node/changes.go
@@ -21,7 +21,7 @@
 	var process [8]byte
 	_, _ = rand.Read(process[:]) // never fails
 	n.follows.Store(accord.Follow(accord.FollowBerth{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
-		At: c.At, Seed: uint32(keyhash.Salted(keyhash.Text(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewReader(byLog{n}), Log: n.log, Now: fleet.Boottime}))
+		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewReader(byLog{n}), Log: n.log, Now: fleet.Boottime}))
 }
 
 // byLog is what the node does by the log of changes.
@@ -34,21 +34,21 @@
 
 // Purge hands a purge on. It is not carried out at caches yet.
 func (b byLog) Purge(at changes.Index, key string) {
-	if b.n.posting.Purged != nil {
-		b.n.posting.Purged(uint64(at), key)
+	if b.n.posting.OnPurge != nil {
+		b.n.posting.OnPurge(uint64(at), key)
 	}
 }
 
 // Configure takes a published configuration as one that was read again; what is each node's own stays so.
 func (b byLog) Configure(at changes.Index, text []byte) error {
 	log := b.n.log.WithFields(logrus.Fields{"index": at})
-	p, err := ParsePosting(text)
+	p, err := ParseConfig(text)
 	if err != nil {
 		log.WithError(err).Error("published configuration not taken, the last one stays")
 		return err
 	}
 	own := b.n.posting
-	p.Name, p.Listen, p.Ops, p.MemoryMB, p.Sockets = own.Name, own.Listen, own.Ops, own.MemoryMB, own.Sockets
+	p.Name, p.Listen, p.Admin, p.MemoryMB, p.Sockets = own.Name, own.Listen, own.Admin, own.MemoryMB, own.Sockets
 	log.Info("published configuration taken")
 	b.n.Reload(p)
 	return nil
--- a/node/changes_test.go
+++ b/node/changes_test.go
@@ -60,15 +60,15 @@
 	published(t, at, accord.NewProposal(changes.Purge, []byte("before it began")))
 	text := strings.Replace(posting, `"sockets":100`, `"sockets":200`, 1)
 	start := func(followed string) (*Node, *strings.Builder, func()) {
-		p, err := ParsePosting([]byte(text))
+		p, err := ParseConfig([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.JoinText("f", []byte("[fleet]\nlabel='l'\nlisten='127.0.0.1:0'\nadvertise='127.0.0.1:9'\n"+followed)); err != nil {
+		if err := p.ParseFleet("f", []byte("[fleet]\nlabel='l'\nlisten='127.0.0.1:0'\nadvertise='127.0.0.1:9'\n"+followed)); err != nil {
 			t.Fatal(err)
 		}
 		purged := make(chan string, 9)
-		p.Purged = func(index uint64, key string) { purged <- fmt.Sprint(index, key) }
+		p.OnPurge = func(index uint64, key string) { purged <- fmt.Sprint(index, key) }
 		log, said := logrus.New(), &strings.Builder{}
 		log.SetOutput(&safe{to: said})
 		n, err := New(p, log)
@@ -78,7 +78,7 @@
 		done := make(chan bool)
 		go func() { n.Serve(); close(done) }()
 		return n, said, func() {
-			n.End()
+			n.Shutdown()
 			<-done
 			close(purged)
 			for k := range purged {
--- a/node/node.go
+++ b/node/node.go
@@ -49,25 +49,25 @@
 )
 
 // Entry is a record of what a node did to a cache.
-type Entry = records.Entry
+type Event = records.Event
 
 // told is one on its way.
 type told struct {
-	entry Entry
+	entry Event
 	at    time.Time
 }
 
 // Node is one node.
 type Node struct {
-	relay   *relay.Relay
+	relay   *relay.Proxy
 	records chan told // nil where nobody is told
 	kept    chan struct{}
 	fault   atomic.Pointer[error] // why it had to end
 	dropped uint64                // records; the loop's own until it has ended
 	phase   atomic.Int32
 	log     *logrus.Logger
-	posting *Posting                         // as it started
-	desk    *ops.Desk                        // nil where no operators call
+	posting *Config                          // as it started
+	desk    *ops.Server                      // nil where no operators call
 	post    atomic.Pointer[fleet.Post]       // nil where it knows of no other node, or not yet
 	follows atomic.Pointer[accord.Following] // nil where it follows no log of changes, or not yet
 	hung    chan struct{}                    // closed when the loop is to go on; nil while it does
@@ -76,20 +76,20 @@
 }
 
 // New listens as the posting says and starts. Serve is to follow.
-func New(p *Posting, log *logrus.Logger) (*Node, error) {
+func New(p *Config, log *logrus.Logger) (*Node, error) {
 	n := &Node{log: log, posting: p}
-	var note func(Entry, time.Time)
-	if p.Records != nil {
+	var note func(Event, time.Time)
+	if p.OnEvent != nil {
 		n.records, n.kept = make(chan told, recordsAhead), make(chan struct{})
 		note = n.note
 	}
 	var err error
 	beside := 0
-	if p.Ops != "" {
-		if n.desk, err = ops.Open(p.Ops); err != nil {
+	if p.Admin != "" {
+		if n.desk, err = ops.Open(p.Admin); err != nil {
 			return nil, err
 		}
-		beside = ops.MostCallers + deskFiles
+		beside = ops.MaxConnections + deskFiles
 	}
 	beside += p.fleetFiles()
 	succeeds, handoverAt := n.predecessor()
@@ -97,12 +97,12 @@
 	if p.charter != nil {
 		turned = n.turned
 	}
-	n.relay, err = relay.New(relay.Berth{
-		Turned: turned,
-		Listen: p.Listen, Operator: p.operator, Discovery: p.Discovery, Seed: p.Seed, Descriptors: cmp.Or(p.Sockets, usualSockets) - beside, Beside: beside, Figures: n.desk != nil,
-		Succeeds: succeeds, Handover: handoverAt, Together: n.together,
-		Memory: p.memory(), Terms: p.terms, Known: p.known, Log: log,
-		Moved: n.moved, Name: p.Name, Records: note,
+	n.relay, err = relay.New(relay.Config{
+		OnLoopIteration: turned,
+		Listen:          p.Listen, Listeners: p.operator, Discovery: p.Discovery, Seed: p.Seed, Descriptors: cmp.Or(p.Sockets, usualSockets) - beside, OtherDescriptors: beside, PublishMetrics: n.desk != nil,
+		Inherited: succeeds, HandoverPath: handoverAt, OnSharedLimits: n.together,
+		Memory: p.memory(), Settings: p.terms, LastEndpoints: p.known, Log: log,
+		OnPhaseChange: n.moved, Name: p.Name, OnEvent: note,
 	})
 	p.known = nil
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 	if p.charter != nil && succeeds == nil { // else it waits for the one before it to go
 		if err := n.join(); err != nil {
-			n.relay.End()
+			n.relay.Shutdown()
 			n.relay.Run()
 			if n.desk != nil {
 				n.desk.Close()
@@ -128,7 +128,7 @@
 		}
 	}
 	listening := logrus.Fields{"name": p.Name, "listen": n.Addr()}
-	if ops := n.OpsAddr(); ops != "" {
+	if ops := n.AdminAddr(); ops != "" {
 		listening["ops"] = ops
 	}
 	log.WithFields(listening).Info("listening")
@@ -136,7 +136,7 @@
 }
 
 // note hands a record over, or drops it where whoever keeps them is slow.
-func (n *Node) note(e Entry, at time.Time) {
+func (n *Node) note(e Event, at time.Time) {
 	select {
 	case n.records <- told{e, at}:
 	default:
@@ -164,7 +164,7 @@
 	go func() {
 		defer close(n.kept)
 		for t := range n.records {
-			n.posting.Records(t.entry, t.at)
+			n.posting.OnEvent(t.entry, t.at)
 		}
 	}()
 	n.relay.Run()
@@ -176,11 +176,11 @@
 }
 
 // End asks the node to drain and stop. It may be called from anywhere.
-func (n *Node) End() { n.relay.End() }
+func (n *Node) Shutdown() { n.relay.Shutdown() }
 
 // Reload takes a posting that has come anew: the address of discovery, and nothing else. What else differs is named
 // in the log, for a restart to take. It may be called from anywhere.
-func (n *Node) Reload(p *Posting) {
+func (n *Node) Reload(p *Config) {
 	at := n.posting
 	log := n.log.WithField("discovery", p.Discovery)
 	for field, same := range map[string]bool{"name": p.Name == at.Name, "listen": p.Listen == at.Listen,
@@ -191,11 +191,11 @@
 		}
 	}
 	log.Info("configuration read again")
-	n.relay.Move(p.Discovery)
+	n.relay.SetDiscovery(p.Discovery)
 }
 
 // Fault tells why the node had to end by itself; nil for no such reason. It is to be asked once Serve has returned.
-func (n *Node) Fault() error {
+func (n *Node) Err() error {
 	if err := n.fault.Load(); err != nil {
 		return *err
 	}
@@ -209,7 +209,7 @@
 func (n *Node) Addr() string { return n.relay.Addr(0) }
 
 // OpsAddr is where operators call; empty for nowhere.
-func (n *Node) OpsAddr() string {
+func (n *Node) AdminAddr() string {
 	if n.desk == nil {
 		return ""
 	}
@@ -217,13 +217,13 @@
 }
 
 // FrontAddr is where a further listener of the operator's file listens, by its number there from 0.
-func (n *Node) FrontAddr(i int) string { return n.relay.Addr(i + 1) }
+func (n *Node) ListenerAddr(i int) string { return n.relay.Addr(i + 1) }
 
 // Counts returns its counters.
-func (n *Node) Counts() counters.Counters { return n.relay.Counts() }
+func (n *Node) Counters() counters.Counters { return n.relay.Counters() }
 
 // Fit makes the process keep within a posting's limits. It is for a program that runs one node and nothing else.
-func Fit(p *Posting) {
+func ApplyLimits(p *Config) {
 	runtime.GOMAXPROCS(max(fewestThreads, runtime.GOMAXPROCS(0)))
 	debug.SetGCPercent(rarely)
 	p.fitted = true
@@ -232,12 +232,12 @@
 
 // predecessor finds the process that this one is to replace, and where this one may be replaced itself. Only nodes that operators
 // call are replaced, and whatever is wrong with the folder for it, a node starts as without it.
-func (n *Node) predecessor() (*handover.Taken, string) {
+func (n *Node) predecessor() (*handover.Inherited, string) {
 	if at, err := netip.ParseAddrPort(n.posting.Listen); n.desk == nil || err != nil || at.Port() == 0 {
 		return nil, ""
 	}
 	path := handover.Path(os.TempDir(), n.posting.Listen)
-	from, err := handover.Take(path)
+	from, err := handover.Inherit(path)
 	if err != nil {
 		n.log.WithError(err).Warn("no process can be replaced")
 	}
@@ -257,7 +257,7 @@
 	}
 }
 
-func (p *Posting) fit(together bool) {
+func (p *Config) fit(together bool) {
 	limit := heapShare * float64(p.memory())
 	if together {
 		limit /= 2
@@ -265,12 +265,12 @@
 	debug.SetMemoryLimit(int64(limit))
 }
 
-func (p *Posting) memory() int64 { return int64(cmp.Or(p.MemoryMB, usualMemory)) << 20 }
+func (p *Config) memory() int64 { return int64(cmp.Or(p.MemoryMB, usualMemory)) << 20 }
 
 // LogCounts writes the counters to the log, in one line.
-func (n *Node) LogCounts() {
+func (n *Node) LogCounters() {
 	fields := logrus.Fields{}
-	c := n.Counts()
+	c := n.Counters()
 	c.Each(func(name string, count uint64) { fields[name] = count })
 	n.log.WithFields(fields).Info(fmt.Sprintf("counters, %s", n.Phase()))
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -20,27 +20,27 @@
 		strings.Replace(posting, "service_grades", "x", 1), strings.Replace(posting, `"seed"`, `"ops":"127.0.0.1:0","seed"`, 1),
 		strings.Replace(strings.Replace(posting, "100", "200", 1), `"seed"`, `"ops":"nowhere","seed"`, 1),
 		strings.NewReplacer("100", "200", "127.0.0.1:0", "127.0.0.1:7", `"seed"`, `"ops":"127.0.0.1:7","seed"`).Replace(posting)} {
-		if _, err := ParsePosting([]byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := ParseConfig([]byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
-	if _, err := ParsePosting([]byte(strings.NewReplacer("100", "200", `"seed"`, `"ops":"127.0.0.1:0","seed"`).Replace(posting))); err != nil {
+	if _, err := ParseConfig([]byte(strings.NewReplacer("100", "200", `"seed"`, `"ops":"127.0.0.1:0","seed"`).Replace(posting))); err != nil {
 		t.Errorf("two ports that the system chooses are not the same: %v", err)
 	}
-	if _, err := ReadPosting("/nowhere/at/all"); err == nil {
+	if _, err := ReadConfig("/nowhere/at/all"); err == nil {
 		t.Error("read what is not there")
 	}
 }
 
 func TestANodeGoesThroughItsPhases(t *testing.T) {
-	p, err := ParsePosting([]byte(posting))
+	p, err := ParseConfig([]byte(posting))
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := t.TempDir() + "/o.toml"
 	os.WriteFile(file, []byte("[[listener]]\nlisten='127.0.0.1:0'\nprotocol='meta'\n[[listener]]\nlisten='127.0.0.1:0'\nprotocol='http'\n"+
 		"ready_path='/up'\n[[listener.route]]\npath='/'\nmethods=['GET']\ngrade='read'\n"), 0o600)
-	if err := p.Open(file); err != nil {
+	if err := p.LoadListenersFile(file); err != nil {
 		t.Fatal(err)
 	}
 	quiet := logrus.New()
@@ -62,7 +62,7 @@
 		t.Errorf("%v, %q", n.Phase(), got)
 	}
 	for i, said := range []string{"SERVER_ERROR starting\r\n", "HTTP/1.1 503 "} { // each further listener speaks its own protocol
-		c, err := net.Dial("tcp", n.FrontAddr(i))
+		c, err := net.Dial("tcp", n.ListenerAddr(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,13 +71,13 @@
 			t.Errorf("listener %d: %q", i, b[:k])
 		}
 	}
-	if _, err := New(&Posting{Listen: n.Addr()}, quiet); err == nil {
+	if _, err := New(&Config{Listen: n.Addr()}, quiet); err == nil {
 		t.Error("listens where another does")
 	}
-	n.End()
+	n.Shutdown()
 	<-done
-	if n.LogCounts(); n.Phase() != Stopped || n.Counts().Requests != 1 {
-		t.Error(n.Phase(), n.Counts())
+	if n.LogCounters(); n.Phase() != Stopped || n.Counters().Requests != 1 {
+		t.Error(n.Phase(), n.Counters())
 	}
 }
 
@@ -85,11 +85,11 @@
 func TestOtherNodesNeedDescriptors(t *testing.T) {
 	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"sockets":%d},"settings":{"service_grades":[{"name":"read"}]}}`
 	for sockets, want := range map[int]bool{64: false, 102: false, 103: true, 0: true} {
-		p, err := ParsePosting([]byte(strings.Replace(text, "%d", strconv.Itoa(sockets), 1)))
+		p, err := ParseConfig([]byte(strings.Replace(text, "%d", strconv.Itoa(sockets), 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.JoinText("f", []byte("[fleet]\nlisten = \"127.0.0.1:7946\"\n")); (err == nil) != want {
+		if err := p.ParseFleet("f", []byte("[fleet]\nlisten = \"127.0.0.1:7946\"\n")); (err == nil) != want {
 			t.Errorf("%d sockets: %v", sockets, err)
 		}
 	}
--- a/node/posting.go
+++ b/node/posting.go
@@ -20,49 +20,49 @@
 )
 
 // Posting is what a node is told at its start: its name, where it stands, and the terms it works under.
-type Posting struct {
+type Config struct {
 	Name, Listen, Discovery string
-	Ops                     string // where operators call; empty for nowhere
+	Admin                   string // where operators call; empty for nowhere
 	Seed                    int64
 	MemoryMB, Sockets       int
-	Records                 func(Entry, time.Time) // told what the node does to caches, from a goroutine of its own; nil for nobody
+	OnEvent                 func(Event, time.Time) // told what the node does to caches, from a goroutine of its own; nil for nobody
 	terms                   houserules.Settings
 	known                   []byte // the list as last held, as discovery writes it; until the node has taken it
 	operator                fronts.File
 	charter                 *charter.File                  // by which it joins other nodes; nil for none
-	Trace                   func([]byte)                   // told each line of what it does in the fleet, from a goroutine of its own; nil for nobody
-	Purged                  func(index uint64, key string) // told of each purge that the log of changes brings, from a goroutine of its own; nil for nobody
+	OnTrace                 func([]byte)                   // told each line of what it does in the fleet, from a goroutine of its own; nil for nobody
+	OnPurge                 func(index uint64, key string) // told of each purge that the log of changes brings, from a goroutine of its own; nil for nobody
 	fitted                  bool                           // the process keeps within its limits
 }
 
 // Open adds what an operator's file states: further listeners, caches that speak HTTP, service levels.
-func (p *Posting) Open(path string) (err error) {
+func (p *Config) LoadListenersFile(path string) (err error) {
 	p.operator, err = fronts.Read(path, &p.terms)
 	return err
 }
 
 // OpenText does so with the text of such a file.
-func (p *Posting) OpenText(name string, text []byte) (err error) {
+func (p *Config) ParseListeners(name string, text []byte) (err error) {
 	p.operator, err = fronts.Parse(name, text, &p.terms)
 	return err
 }
 
 // Join adds the file by which it joins other nodes.
-func (p *Posting) Join(path string) (err error) {
+func (p *Config) LoadFleetFile(path string) (err error) {
 	p.charter, err = charter.Read(path)
 	return p.mayJoin(err)
 }
 
 // JoinText does so with the text of such a file.
-func (p *Posting) JoinText(name string, text []byte) (err error) {
+func (p *Config) ParseFleet(name string, text []byte) (err error) {
 	p.charter, err = charter.Parse(name, text)
 	return p.mayJoin(err)
 }
 
 // mayJoin tells whether there are descriptors for the other nodes as well.
-func (p *Posting) mayJoin(err error) error {
+func (p *Config) mayJoin(err error) error {
 	fewest := fewestSockets + p.fleetFiles()
-	if p.Ops != "" {
+	if p.Admin != "" {
 		fewest = fewestWithOps + 2*p.fleetFiles()
 	}
 	if err == nil && p.Sockets > 0 && p.Sockets < fewest {
@@ -72,7 +72,7 @@
 }
 
 // fleetFiles are the descriptors for what the charter has this node do; 0 without one.
-func (p *Posting) fleetFiles() int {
+func (p *Config) fleetFiles() int {
 	switch {
 	case p.charter == nil:
 		return 0
@@ -83,7 +83,7 @@
 }
 
 // ReadPosting reads a posting from a file.
-func ReadPosting(path string) (*Posting, error) {
+func ReadConfig(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration is named: set RELAY_CONFIG or give --config")
 	}
@@ -91,11 +91,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("the configuration cannot be read: %w", err)
 	}
-	return ParsePosting(text)
+	return ParseConfig(text)
 }
 
 // ParsePosting reads a posting. What it names wrongly or not at all is told in one line.
-func ParsePosting(text []byte) (*Posting, error) {
+func ParseConfig(text []byte) (*Config, error) {
 	text, known, err := cutKnown(text)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	if v.Exists("known") && known == nil {
 		known = v.Get("known").MarshalTo(nil)
 	}
-	p := &Posting{Name: string(v.GetStringBytes("name")), Listen: string(v.GetStringBytes("listen")),
+	p := &Config{Name: string(v.GetStringBytes("name")), Listen: string(v.GetStringBytes("listen")),
 		Discovery: string(v.GetStringBytes("discovery")), MemoryMB: v.GetInt("limits", "memory_mb"),
 		Sockets: v.GetInt("limits", "sockets"), known: known}
 	for _, addr := range []string{p.Listen, p.Discovery} {
@@ -115,7 +115,7 @@
 			return nil, fmt.Errorf("the configuration's listen or discovery is not an address and a port: %q", addr)
 		}
 	}
-	p.Ops = string(v.GetStringBytes("ops"))
+	p.Admin = string(v.GetStringBytes("ops"))
 	if err := p.mayCall(); err != nil {
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 	if n, err := strconv.ParseUint(seed, 16, 64); err == nil {
 		p.Seed = int64(n)
 	} else {
-		p.Seed = int64(keyhash.Text(seed))
+		p.Seed = int64(keyhash.String(seed))
 	}
 	return p, nil
 }
@@ -149,24 +149,24 @@
 }
 
 // OpsAt has operators call elsewhere than the configuration says. Two processes may start by one configuration.
-func (p *Posting) OpsAt(addr string) error {
-	p.Ops = addr
+func (p *Config) SetAdminAddr(addr string) error {
+	p.Admin = addr
 	return p.mayCall()
 }
 
-func (p *Posting) mayCall() error {
-	if p.Ops == "" {
+func (p *Config) mayCall() error {
+	if p.Admin == "" {
 		return nil
 	}
 	if p.Sockets > 0 && p.Sockets < fewestWithOps {
 		return fmt.Errorf("the configuration's limits are too low for operators' calls: %d sockets, %d are needed", p.Sockets, fewestWithOps)
 	}
-	at, err := netip.ParseAddrPort(p.Ops)
+	at, err := netip.ParseAddrPort(p.Admin)
 	if err != nil {
-		return fmt.Errorf("the address for operators, ops, is not an address and a port: %q", p.Ops)
+		return fmt.Errorf("the address for operators, ops, is not an address and a port: %q", p.Admin)
 	}
-	if p.Ops == p.Listen && at.Port() != 0 { // port 0 is any that is free, another each time
-		return fmt.Errorf("the address for operators, ops, is that of clients: %q", p.Ops)
+	if p.Admin == p.Listen && at.Port() != 0 { // port 0 is any that is free, another each time
+		return fmt.Errorf("the address for operators, ops, is that of clients: %q", p.Admin)
 	}
 	return nil
 }
--- a/node/together.go
+++ b/node/together.go
@@ -14,11 +14,11 @@
 
 // join has the node know the others.
 func (n *Node) join() error {
-	post, err := fleet.Open(fleet.Berth{Name: n.posting.Name, Charter: n.posting.charter, Log: n.log, Now: fleet.Boottime, Trace: n.posting.Trace,
+	post, err := fleet.Open(fleet.Berth{Name: n.posting.Name, Charter: n.posting.charter, Log: n.log, Now: fleet.Boottime, Trace: n.posting.OnTrace,
 		Ended: func(err error) {
 			n.log.WithError(err).Error("this process ends")
 			n.fault.Store(&err)
-			n.End()
+			n.Shutdown()
 		}})
 	if err == nil {
 		n.post.Store(post)
@@ -108,12 +108,12 @@
 
 // Hang has the loop stand still, or go on, while all else in the process runs. It is for rehearsals: a node that is alive to its peers
 // and dead to its clients. It is to be called from one goroutine.
-func (n *Node) Hang() {
+func (n *Node) BlockLoop() {
 	if n.hung != nil {
 		close(n.hung)
 		n.hung = nil
 		return
 	}
 	n.hung = make(chan struct{})
-	n.relay.Hang(n.hung)
+	n.relay.BlockLoop(n.hung)
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -36,7 +36,7 @@
 	for _, items := range []int{0, 1, 2, 6, 7, 8, 9, 17, 64, 65, 199, 458} {
 		hashes := make([]uint64, items)
 		for i := range hashes {
-			hashes[i] = keyhash.Text(fmt.Sprint(items, "cache", i))
+			hashes[i] = keyhash.String(fmt.Sprint(items, "cache", i))
 		}
 		for _, places := range []int{segments, max(1, items), 3 * items / 2} {
 			if places == 0 {
@@ -78,7 +78,7 @@
 func cachesNamed(n int) (caches []*cache) {
 	for i := range n {
 		id := EndpointID(fmt.Sprint("cache-", i))
-		caches = append(caches, &cache{Endpoint: Endpoint{ID: id, Weight: 1}, hash: keyhash.Text(string(id))})
+		caches = append(caches, &cache{Endpoint: Endpoint{ID: id, Weight: 1}, hash: keyhash.String(string(id))})
 	}
 	return caches
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -125,7 +125,7 @@
 		caches: map[EndpointID]*cache{}, wanted: map[uint64]float64{}, metered: make([]Instant, len(rules.Tenants)),
 		chance: keyhash.Source{Seed: uint32(seed ^ seed>>32)}}
 	p.retime()
-	p.originRest = now.Add(time.Duration(p.chance.Next() * p.turns * float64(p.slow) / originLate))
+	p.originRest = now.Add(time.Duration(p.chance.Float64() * p.turns * float64(p.slow) / originLate))
 	return p
 }
 
@@ -175,7 +175,7 @@
 func (p *Router) UpdateEndpoints(now Instant, form UpdateKind, entries []Endpoint) {
 	if form == PollFailed {
 		p.askFails = min(p.askFails+1, 5)
-		p.askAt = now.Add(time.Duration((0.5 + p.chance.Next()) * float64(upkeepEvery<<p.askFails)))
+		p.askAt = now.Add(time.Duration((0.5 + p.chance.Float64()) * float64(upkeepEvery<<p.askFails)))
 		return
 	}
 	if form != LastKnownUpdate { // it is being followed
@@ -187,7 +187,7 @@
 		named[e.ID], e.StartedAt, e.Weight = true, cmp.Or(e.StartedAt, Never), cmp.Or(max(e.Weight, 0), 1)
 		p.caches[e.ID] = c
 		if c.ID == "" || e.StartedAt > c.StartedAt { // started anew: what was learned of the old process says nothing
-			*c = cache{Endpoint: c.Endpoint, hash: keyhash.Text(string(e.ID)), toldAt: Never, usedAt: Never,
+			*c = cache{Endpoint: c.Endpoint, hash: keyhash.String(string(e.ID)), toldAt: Never, usedAt: Never,
 				erred: make([]uint8, len(p.rules.Classes)+1)}
 		}
 		changed = changed || c.ID == "" || c.Zone != e.Zone || c.Kind != e.Kind
@@ -236,7 +236,7 @@
 func (p *Router) coldTo(now Instant, c *cache, key uint64) bool {
 	w := p.warmth(now, c)
 	if w < 1 && c.coldAt == 0 {
-		p.spaceOut(now, c, p.chance.Next())
+		p.spaceOut(now, c, p.chance.Float64())
 	}
 	return w < 1 && (float64(keyhash.Mix(key^c.hash)) > p.coldShare*w*(1<<64) || now < c.coldAt)
 }
@@ -306,7 +306,7 @@
 		least = 1 - trialShare
 	}
 	over := (1-trialShare)*d.asked - least*d.good
-	if over <= 0 || p.chance.Next() < math.Pow(1-over/d.asked, r.memo.cheap) {
+	if over <= 0 || p.chance.Float64() < math.Pow(1-over/d.asked, r.memo.cheap) {
 		return false
 	}
 	d.asked++
@@ -334,7 +334,7 @@
 		c := p.locate(now, side, seg, r.memo.key)
 		if c != nil && len(hs) < n && (side != away || c.Zone != p.rules.Zone) &&
 			p.lawful(now, r, c) && !p.coldTo(now, c, r.memo.key) &&
-			(c.Zone == p.rules.Zone || p.cut[c.Zone] < copies || p.chance.Next()*evidence < 1) && // cut off: a few try
+			(c.Zone == p.rules.Zone || p.cut[c.Zone] < copies || p.chance.Float64()*evidence < 1) && // cut off: a few try
 			!p.silent(now, c) && c.erred[r.memo.at] < breaksToRest {
 			hs = append(hs, c)
 		}
@@ -346,7 +346,7 @@
 func (p *Router) pick(now Instant, r *Request, hs []*cache) (best *cache, full bool) {
 	soft, least := r.memo.grade.LatencyObjective, math.Inf(1)
 	// while the origin is short, earlier ones may have legs more; by chance, or it would part all equal loads
-	lean, rank := rankTie, max(0, rankLegs*max(p.short, min(1, p.missing))-p.chance.Next())
+	lean, rank := rankTie, max(0, rankLegs*max(p.short, min(1, p.missing))-p.chance.Float64())
 	if len(hs) > copies { // a key that is spread has no first holder
 		rank, lean = 0, 0
 	}
@@ -384,7 +384,7 @@
 
 // tie parts equal loads, as most are at a node that sees few: by chance, worth, rank and open connections.
 func (p *Router) tie(now Instant, c *cache, rank float64) float64 {
-	t := rank + vainWeight*(c.vain+2*c.faulty) - math.Log(1-p.chance.Next())
+	t := rank + vainWeight*(c.vain+2*c.faulty) - math.Log(1-p.chance.Float64())
 	if c.out == 0 && now.Since(c.usedAt) > p.rules.IdleTimeout-time.Second {
 		t += opening
 	}
@@ -418,7 +418,7 @@
 			benefit *= p.rules.OverQuotaWeight
 		}
 	}
-	cheap, key := 1/math.Sqrt(max(benefit, 0.01)), keyhash.Text(r.Key)
+	cheap, key := 1/math.Sqrt(max(benefit, 0.01)), keyhash.String(r.Key)
 	p.cheap += (cheap - p.cheap) / lately // set against its mean, or a few very cheap ones would close the door
 	p.spare, p.missing = min(spareMost, p.spare+spareShare), p.missing-p.missing/lately
 	p.wanted[key], p.asking = p.wanted[key]+benefit, p.asking+benefit
@@ -446,8 +446,8 @@
 	switch {
 	case r.Write || r.memo.grade.Idempotency == NotIdempotent:
 		return Decision{}
-	case !origin && p.rules.HedgingAllowed && p.spare >= 1 && p.chance.Next() >= p.short &&
-		(silent || p.rules.WasteCost <= p.took.Above(soft)/max(1, p.took.Above(out))):
+	case !origin && p.rules.HedgingAllowed && p.spare >= 1 && p.chance.Float64() >= p.short &&
+		(silent || p.rules.WasteCost <= p.took.CountAbove(soft)/max(1, p.took.CountAbove(out))):
 		if c, _, _ := p.choose(now, r, home); c != nil && !p.silent(now, c) {
 			p.spare--
 			return p.send(now, r, c)
@@ -465,7 +465,7 @@
 	}
 	// a last leg after a full one goes where the value surely is: a third cache may be full, or lack it
 	pressure := max(p.short, strainWeight*p.strain)
-	sure := p.origin != nil && p.free(now) > 0 && p.chance.Next() >= strainWeight*pressure && len(r.Attempts) > 0 &&
+	sure := p.origin != nil && p.free(now) > 0 && p.chance.Float64() >= strainWeight*pressure && len(r.Attempts) > 0 &&
 		len(r.Attempts) == p.rules.MaxAttempts-1 && r.Attempts[len(r.Attempts)-1].Result == Rejected && g.Idempotency == Idempotent
 	if p.rules.CacheAside && (r.Write || sure || slices.ContainsFunc(r.Attempts, missed)) {
 		kept := p.caches[r.memo.keptAt]
@@ -475,7 +475,7 @@
 		return p.toOrigin(now, r)
 	}
 	side := home // while the origin is strained, zones do without copies of their own
-	if p.apart && p.chance.Next() < pressure {
+	if p.apart && p.chance.Float64() < pressure {
 		side = pool
 	}
 	c, hs, full := p.choose(now, r, side)
@@ -523,7 +523,7 @@
 		return p.send(now, r, p.origin)
 	}
 	if !queued {
-		if p.chance.Next()*p.bar > p.wanted[r.memo.key] {
+		if p.chance.Float64()*p.bar > p.wanted[r.memo.key] {
 			return p.giveUp(r)
 		}
 		p.queue = append(p.queue, r)
@@ -611,11 +611,11 @@
 	} else if leg.Result == Answered {
 		c.erred[at] /= 2
 		if c != p.origin {
-			p.took.Add(o.Latency)
+			p.took.Observe(o.Latency)
 			if before := p.load(now, c) - 1; before < 1 {
-				p.alone.Add(o.Latency)
+				p.alone.Observe(o.Latency)
 			} else {
-				p.pace.Add(time.Duration(float64(o.Latency-p.alone.Quantile(0.5, 0)) / before))
+				p.pace.Observe(time.Duration(float64(o.Latency-p.alone.Quantile(0.5, 0)) / before))
 			}
 		}
 	}
@@ -654,7 +654,7 @@
 		p.spurned = map[bool]float64{leg.Result == Rejected: p.spurned + 1}[true]
 		if leg.Result == Rejected { // once says little; on end all may be, and must not come back together
 			o.Latency = max(o.Latency, p.originTook) // nor does it tell how long work takes
-			rest := (0.5 + p.chance.Next()) * min(runMost*p.turns, math.Pow(originWary, p.spurned-1)-1)
+			rest := (0.5 + p.chance.Float64()) * min(runMost*p.turns, math.Pow(originWary, p.spurned-1)-1)
 			p.originRest = now.Add(time.Duration(rest * float64(p.slow)))
 		}
 		if p.originTook += (o.Latency - p.originTook) / 8; inTime == 1 && o.Latency <= r.memo.grade.LatencyObjective/2 {
@@ -677,9 +677,9 @@
 		if now.Since(p.newsAt) > halveEvery*upkeepEvery { // or where all look full, no leg would ever find out
 			p.othersLoad /= 2
 		}
-		p.took.Halve()
-		p.alone.Halve()
-		p.pace.Halve()
+		p.took.Decay()
+		p.alone.Decay()
+		p.pace.Decay()
 		if len(p.wanted) > lately { // else there is too little to tell which are popular
 			p.asking /= 2
 			maps.DeleteFunc(p.wanted, func(key uint64, w float64) bool {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -281,7 +281,7 @@
 	w := newWorld(t, testRules(), fleet(12, false))
 	for _, c := range w.p.listed {
 		for range 40 {
-			w.p.pace.Add(200 * ms)
+			w.p.pace.Observe(200 * ms)
 		}
 		c.out = 3
 	}
@@ -350,7 +350,7 @@
 	rules.WasteCost = 0.25
 	w := newWorld(t, rules, fleet(12, false))
 	for range 1000 {
-		w.p.took.Add(40 * ms)
+		w.p.took.Observe(40 * ms)
 	}
 	w.p.retime()
 	w.p.spare = spareMost
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -25,8 +25,8 @@
 		"well":     {func(*world, *cache) {}, 0, 0},
 		"gone":     {func(w *world, c *cache) { w.list(DeltaUpdate, Endpoint{ID: c.ID, Lifecycle: Removed}) }, 60, 60},
 		"silent":   {func(w *world, c *cache) { c.restUntil = 1e12 }, 55, 60},
-		"full":     {func(w *world, c *cache) { c.out = 3; w.p.pace.Add(200 * ms) }, 55, 60},
-		"all full": {func(w *world, c *cache) { c.out = 3; w.p.pace.Add(200 * ms) }, 0, 0}, // none goes to the origin for that
+		"full":     {func(w *world, c *cache) { c.out = 3; w.p.pace.Observe(200 * ms) }, 55, 60},
+		"all full": {func(w *world, c *cache) { c.out = 3; w.p.pace.Observe(200 * ms) }, 0, 0}, // none goes to the origin for that
 		"late":     {func(w *world, c *cache) { w.p.doors[home] = door{100, 20} }, 30, 55},
 		"strained": {func(w *world, c *cache) { w.p.strain = 1 }, 5, 55},
 		"copy":     {func(w *world, c *cache) { c.out, c.restUntil = 1, 1e12 }, 55, 60}, // beside a leg that is silent
