--- a/cmd/dahliapin/control.go
+++ b/cmd/dahliapin/control.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	b := accord.Berth{File: f, New: first, Log: logrus.StandardLogger(), Now: fleet.Boottime}
+	b := accord.Berth{File: f, New: first, Log: logrus.StandardLogger(), Now: fleet.BootTime}
 	if traced != "" {
 		keep, end, err := keptTrace(traced)
 		if err != nil {
@@ -76,7 +76,7 @@
 	return func(id purges.CacheID, c purges.Cursor) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = out.Encode(trace.Cached{At: fleet.Boottime(), Cache: string(id), What: trace.Counted, Index: uint64(c.Done)})
+		_ = out.Encode(trace.Cached{At: fleet.BootTime(), Cache: string(id), What: trace.Counted, Index: uint64(c.Done)})
 	}, func() { _ = f.Close() }, nil
 }
 
@@ -89,7 +89,7 @@
 	var mu sync.Mutex
 	w := bufio.NewWriter(f)
 	keep = func(all []changes.Proposal) {
-		l := trace.Kept{At: fleet.Boottime()}
+		l := trace.Kept{At: fleet.BootTime()}
 		for _, p := range all {
 			l.Marks = append(l.Marks, p.Mark())
 		}
--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -54,7 +54,7 @@
 		return errAnswer
 	}
 	_, err := fmt.Fprintf(to, "%s (process %s, life %d): view %d, mark %s, %d members, %d suspected, cut off: %t\n%d datagrams in (%d bytes), %d out (%d bytes), %d streams in; foreign %d, unread %d, dropped %d\n",
-		s.Node, s.Process, s.Life, s.View, s.Mark, s.Members, s.Suspected, s.CutOff, s.In, s.InBytes, s.Out, s.OutBytes, s.Streams, s.Foreign, s.Unread, s.Dropped)
+		s.Node, s.Process, s.Incarnation, s.View, s.Mark, s.Members, s.Suspected, s.CutOff, s.In, s.InBytes, s.Out, s.OutBytes, s.Streams, s.Foreign, s.Unread, s.Dropped)
 	if c := s.Changes; c != nil && err == nil {
 		_, err = fmt.Fprintf(to, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, all up to %d presumed purged; at %s, heard %.1f s ago, stale: %t, %d gaps\n",
 			c.Applied, c.Head, c.Config, c.Refused, c.Reason, c.Purges, c.Presumed, c.Via, c.HeardS, c.Stale, c.Gaps)
@@ -70,7 +70,7 @@
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "node\tlife\tstanding\theard by\tmissed by\taddress\tprocess")
 	for _, m := range all {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%s\t%s\n", m.Node, m.Life, m.Standing, m.Hears, m.Misses, m.Addr, m.Process)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%s\t%s\n", m.Node, m.Incarnation, m.Status, m.Hears, m.Misses, m.Addr, m.Process)
 	}
 	return w.Flush()
 }
--- a/internal/emulator/onwire/together.go
+++ b/internal/emulator/onwire/together.go
@@ -23,7 +23,7 @@
 	if r.script.Together == nil {
 		return nil
 	}
-	r.boot = fleet.Boottime()
+	r.boot = fleet.BootTime()
 	r.views = judge.NewViews(r.script.Fleet.Nodes)
 	r.between = between.Open(between.New(uint32(r.script.Seed)))
 	for range r.script.Fleet.Nodes {
--- a/internal/emulator/script/together.go
+++ b/internal/emulator/script/together.go
@@ -23,7 +23,7 @@
 	if t == nil {
 		return
 	}
-	usual := charter.Usual()
+	usual := charter.Default()
 	if t.Engine == "" {
 		t.Engine = usual.Fleet.Engine
 	}
--- a/internal/fleet/charter/charter.go
+++ b/internal/fleet/charter/charter.go
@@ -26,10 +26,10 @@
 
 // File is what the operator's file states.
 type File struct {
-	Fleet   Fleet   `toml:"fleet"`
-	Members Members `toml:"members"`
-	Changes Changes `toml:"changes"`
-	Ways    []Way   `toml:"way"`
+	Fleet           Fleet            `toml:"fleet"`
+	Members         Members          `toml:"members"`
+	Changes         Changes          `toml:"changes"`
+	AddressMappings []AddressMapping `toml:"way"`
 }
 
 // Fleet says how this node is reached and reaches others.
@@ -44,12 +44,12 @@
 
 // Members says how failures are told.
 type Members struct {
-	PauseS  float64 `toml:"pause_s"`  // that a process may stand still and stays a member
-	HelloMs float64 `toml:"hello_ms"` // between two signs of life to a neighbour
-	BackS   float64 `toml:"back_s"`   // that who was taken out must be heard before it is taken in again
-	LoopS   float64 `toml:"loop_s"`   // that the loop which serves clients may stand still and the node still gives signs of life
-	ForgetS float64 `toml:"forget_s"` // after which one that was taken out is forgotten
-	Most    int     `toml:"most"`     // members
+	PauseS     float64 `toml:"pause_s"`  // that a process may stand still and stays a member
+	HelloMs    float64 `toml:"hello_ms"` // between two signs of life to a neighbour
+	BackS      float64 `toml:"back_s"`   // that who was taken out must be heard before it is taken in again
+	LoopS      float64 `toml:"loop_s"`   // that the loop which serves clients may stand still and the node still gives signs of life
+	ForgetS    float64 `toml:"forget_s"` // after which one that was taken out is forgotten
+	MaxMembers int     `toml:"most"`     // members
 }
 
 // Changes says where this node follows the fleet's log of changes. Without control machines it follows none.
@@ -59,14 +59,14 @@
 }
 
 // Way is how a member is reached elsewhere than where it says: by a forwarded port, say.
-type Way struct {
+type AddressMapping struct {
 	To      string `toml:"to"`
 	Through string `toml:"through"`
 }
 
 // Usual is what holds where nothing is written.
-func Usual() File {
-	return File{Fleet: Fleet{Engine: Tuned}, Members: Members{PauseS: 2, HelloMs: 300, BackS: 2, LoopS: 1, ForgetS: 60, Most: 4000},
+func Default() File {
+	return File{Fleet: Fleet{Engine: Tuned}, Members: Members{PauseS: 2, HelloMs: 300, BackS: 2, LoopS: 1, ForgetS: 60, MaxMembers: 4000},
 		Changes: Changes{StaleS: 30}}
 }
 
@@ -81,7 +81,7 @@
 
 // Parse reads a file's text; all that is wrong with it is told with its line.
 func Parse(file string, text []byte) (*File, error) {
-	f := Usual()
+	f := Default()
 	c, err := strictly.Parse(file, text, &f)
 	if err != nil {
 		return nil, err
@@ -112,8 +112,8 @@
 		address(at, "changes.at")
 	}
 	c.InRange(f.Changes.StaleS, 5, 86_400, "changes.stale_s")
-	c.Require(len(f.Ways) <= mostWays, "way", "more than %d", mostWays)
-	for i, w := range f.Ways {
+	c.Require(len(f.AddressMappings) <= mostWays, "way", "more than %d", mostWays)
+	for i, w := range f.AddressMappings {
 		address(w.To, fmt.Sprintf("way.%d.to", i))
 		address(w.Through, fmt.Sprintf("way.%d.through", i))
 	}
@@ -131,7 +131,7 @@
 	c.InRange(m.BackS, 0, 600, "members.back_s")
 	c.InRange(m.LoopS, 0.2, 60, "members.loop_s")
 	c.InRange(m.ForgetS, m.PauseS+m.BackS, 86400, "members.forget_s")
-	c.InRange(float64(m.Most), 1, 100_000, "members.most")
+	c.InRange(float64(m.MaxMembers), 1, 100_000, "members.most")
 }
 
 // KeyBytes is the key, nil for none.
--- a/internal/fleet/charter/control.go
+++ b/internal/fleet/charter/control.go
@@ -70,12 +70,12 @@
 }
 
 // UsualControl is what holds where nothing is written.
-func UsualControl() ControlFile {
+func DefaultControl() ControlFile {
 	return ControlFile{Bounds: ControlBounds{Entries: 65_536, KeptMB: 32, WindowKB: 256, PaceMB: 4, Followers: 600, HoldS: 7200, ForgetS: 86_400, ElectMs: 1200}}
 }
 
 // UsualPurges is what holds in [purges] where nothing else is written: a longest deadline of 3 s and a reserve.
-func UsualPurges() *Purges {
+func DefaultPurges() *Purges {
 	return &Purges{Origins: []string{"origin"}, FillsS: 3.5, PaceS: 500, FlushS: 10}
 }
 
@@ -90,14 +90,14 @@
 
 // ParseControl reads the text of such a file; all that is wrong with it is told with its line.
 func ParseControl(file string, text []byte) (*ControlFile, error) {
-	f := UsualControl()
+	f := DefaultControl()
 	c, err := strictly.Parse(file, text, &f)
 	if err != nil {
 		return nil, err
 	}
 	if f.Purges != nil { // again, over what is usual
-		f = UsualControl()
-		f.Purges = UsualPurges()
+		f = DefaultControl()
+		f.Purges = DefaultPurges()
 		if c, err = strictly.Parse(file, text, &f); err != nil {
 			return nil, err
 		}
--- a/internal/fleet/charter/control_test.go
+++ b/internal/fleet/charter/control_test.go
@@ -21,7 +21,7 @@
 	}
 	text = regexp.MustCompile(`\n#(\S)`).ReplaceAll(text, []byte("\n$1")) // with the section
 	f, err := ParseControl("f", text)
-	if err != nil || f.Self().Name != "control-1" || f.Bounds != UsualControl().Bounds || f.Purges.Fills() != 3500*time.Millisecond || f.Purges.Each() != 2*time.Millisecond {
+	if err != nil || f.Self().Name != "control-1" || f.Bounds != DefaultControl().Bounds || f.Purges.Fills() != 3500*time.Millisecond || f.Purges.Each() != 2*time.Millisecond {
 		t.Errorf("%v, %+v", err, f)
 	}
 	for old, bad := range map[string][2]string{
--- a/internal/fleet/members/book.go
+++ b/internal/fleet/members/book.go
@@ -25,9 +25,9 @@
 var sound = rules{observers: 2, majority: true, doubts: true, freezes: true, runs: true, turns: true}
 
 // Book is one process's knowledge of the fleet.
-type Book struct {
+type Detector struct {
 	rules
-	terms  Terms
+	terms  Config
 	own    *peer
 	all    map[ProcessID]*peer
 	order  []*peer // all of them, in one order; nil where it is to be made anew, shown and byNode with it
@@ -70,7 +70,7 @@
 
 type peer struct {
 	Statement
-	standing Standing
+	standing Status
 	since    time.Duration
 	foundAt  time.Duration // when it was first told of
 	knownAt  time.Duration // since when it is a neighbour
@@ -94,8 +94,8 @@
 }
 
 // New begins a book; the process has not taken its name yet.
-func New(terms Terms, process ProcessID, node NodeName, addr string, seeds []string) *Book {
-	b := &Book{rules: sound, terms: terms, all: map[ProcessID]*peer{}, gone: map[ProcessID]ended{}, seeds: seeds,
+func New(terms Config, process ProcessID, node NodeName, addr string, seeds []string) *Detector {
+	b := &Detector{rules: sound, terms: terms, all: map[ProcessID]*peer{}, gone: map[ProcessID]ended{}, seeds: seeds,
 		chance: keyhash.Source{Seed: uint32(process)}, reordered: true, view: &View{Own: process}}
 	b.own = &peer{Statement: Statement{Process: process, Node: node, Addr: addr, Revision: 1}, doubtAt: -1, askAt: -1}
 	b.all[process] = b.own
@@ -106,29 +106,29 @@
 func (p *peer) sum() uint64 { return keyhash.Mix(uint64(p.Process) ^ keyhash.Mix(uint64(p.Revision))) }
 
 // Own is the process's statement, and whether it is new since this was last asked.
-func (b *Book) Own() (s Statement, isNew bool) {
+func (b *Detector) OwnStatement() (s Statement, isNew bool) {
 	isNew, b.unsaid = b.unsaid, false
 	return b.own.Statement, isNew
 }
 
 // View is the latest.
-func (b *Book) View() *View { return b.view }
+func (b *Detector) View() *View { return b.view }
 
 // Verdict tells why this process is to end: another one has its name. Nil while it is not.
-func (b *Book) Verdict() error { return b.verdict }
+func (b *Detector) NameConflict() error { return b.verdict }
 
 // Known counts the processes.
-func (b *Book) Known() int { return len(b.all) }
+func (b *Detector) KnownCount() int { return len(b.all) }
 
 // Turned tells how often the loop that serves clients has turned.
-func (b *Book) Turned(turns uint64) {
+func (b *Detector) LoopAdvanced(turns uint64) {
 	if turns != b.turned {
 		b.turned, b.turnedAt = turns, b.ran
 	}
 }
 
 // Told takes a statement, however it came, and tells whether it was news.
-func (b *Book) Told(s Statement) bool {
+func (b *Detector) Merge(s Statement) bool {
 	if !s.valid() {
 		return false
 	}
@@ -141,7 +141,7 @@
 	}
 	p, isNew := b.all[s.Process], false
 	if p == nil {
-		if was, is := b.gone[s.Process]; is && s.Revision <= was.revision || len(b.all) >= b.terms.Most || s.Leaves {
+		if was, is := b.gone[s.Process]; is && s.Revision <= was.revision || len(b.all) >= b.terms.MaxMembers || s.Leaving {
 			return false
 		}
 		p = &peer{standing: Joining, since: b.ran, foundAt: b.ran, knownAt: b.ran, doubtAt: -1, askAt: -1}
@@ -151,19 +151,19 @@
 	} else if s.Revision <= p.Revision || s.Node != p.Node {
 		return false
 	}
-	if s.Leaves != p.Leaves || s.Life != p.Life || s.Addr != p.Addr {
+	if s.Leaving != p.Leaving || s.Incarnation != p.Incarnation || s.Addr != p.Addr {
 		b.reordered = true
 	}
 	s.Hears, s.Misses = slices.Clone(s.Hears), slices.Clone(s.Misses)
 	if p.Statement = s; isNew {
 		b.enlist(p)
 	}
-	b.doubted(p, s.Doubts)
+	b.doubted(p, s.SelfDoubt)
 	b.changed, b.heardOther = true, true
 	return true
 }
 
-func (b *Book) doubted(p *peer, doubts bool) {
+func (b *Detector) doubted(p *peer, doubts bool) {
 	switch {
 	case !doubts:
 		p.doubtAt = -1
@@ -173,11 +173,11 @@
 }
 
 // Heard takes a sign of life.
-func (b *Book) Heard(h Hello) {
-	if h.Process == b.own.Process || h.Process == 0 || len(h.Addr) > LongestAddr || h.Addr == "" {
+func (b *Detector) OnHeartbeat(h Heartbeat) {
+	if h.Process == b.own.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
 		return
 	}
-	if h.Asks && len(b.replies) < mostReplies {
+	if h.WantsReply && len(b.replies) < mostReplies {
 		b.replies = append(b.replies, h.Addr)
 	}
 	p := b.all[h.Process]
@@ -188,9 +188,9 @@
 		return
 	}
 	p.heard, p.heardAt = true, b.ran
-	b.doubted(p, h.Doubts)
+	b.doubted(p, h.SelfDoubt)
 	switch {
-	case uint32(h.Sum) == uint32(b.sum):
+	case uint32(h.Digest) == uint32(b.sum):
 		p.askAt = -1
 	case p.askAt < 0:
 		p.askAt = b.ran
@@ -202,7 +202,7 @@
 
 // patience is how long words are waited for, or gathered: they take longer to come round the more there are to hear them. Guards against a
 // large fleet in which each change has all ask for all that is known, and each who is busy with that says more that has to come round.
-func (b *Book) patience(few time.Duration) time.Duration {
+func (b *Detector) patience(few time.Duration) time.Duration {
 	span := few
 	for n := soonTo; n < len(b.all); n *= 2 {
 		span += few / 2
@@ -211,15 +211,15 @@
 }
 
 // sync asks for all that another has heard, not too often.
-func (b *Book) sync(addr string) {
+func (b *Detector) sync(addr string) {
 	if b.wantsSync == "" && (b.syncedAt == 0 || b.ran-b.syncedAt >= syncApart/2+b.patience(time.Duration(len(b.all))*syncEach)) {
 		b.wantsSync, b.syncedAt = addr, b.ran
 	}
 }
 
 // Todo is what is to be sent now.
-type Todo struct {
-	Hello   Hello
+type Actions struct {
+	Hello   Heartbeat
 	Hellos  []string // addresses
 	Replies []string
 	Asks    []string // for a sign of life in return
@@ -227,13 +227,13 @@
 }
 
 // Look does what is due. It is to be called several times between two signs of life.
-func (b *Book) Look(now policy.Instant) (do Todo) {
+func (b *Detector) Tick(now policy.Instant) (do Actions) {
 	if !b.began {
 		b.began, b.last = true, now
 	}
 	// guards against a process that was stopped, or starved: what it has not heard meanwhile is its own doing
 	step := now.Since(b.last)
-	if most := longestStep * b.terms.Hello; b.runs && step > most {
+	if most := longestStep * b.terms.HeartbeatInterval; b.runs && step > most {
 		step, b.wokeAt = most, b.ran+most
 	}
 	b.ran += step
@@ -242,20 +242,20 @@
 	b.listen()
 	b.claim()
 	b.judge()
-	do.Hello = Hello{Process: b.own.Process, Revision: b.own.Revision, Sum: b.sum, Addr: b.own.Addr, Doubts: b.own.Doubts}
+	do.Hello = Heartbeat{Process: b.own.Process, Revision: b.own.Revision, Digest: b.sum, Addr: b.own.Addr, SelfDoubt: b.own.SelfDoubt}
 	do.Sync, b.wantsSync = b.wantsSync, ""
 	do.Replies, b.replies = b.replies, nil
 	// guards against a node that is alive to others and dead to its clients
-	if b.turns && b.ran-b.turnedAt > b.terms.Loop || b.own.Leaves {
+	if b.turns && b.ran-b.turnedAt > b.terms.LoopTimeout || b.own.Leaving {
 		do.Replies = nil
 		return do
 	}
 	if b.ran >= b.hellosAt {
-		b.hellosAt = max(b.hellosAt+b.terms.Hello, b.ran+b.terms.Hello/2)
+		b.hellosAt = max(b.hellosAt+b.terms.HeartbeatInterval, b.ran+b.terms.HeartbeatInterval/2)
 		for _, p := range b.ring {
 			do.Hellos = append(do.Hellos, p.Addr)
 		}
-		if b.own.Life == 0 {
+		if b.own.Incarnation == 0 {
 			for _, p := range b.named() {
 				do.Asks = append(do.Asks, p.Addr)
 			}
@@ -271,7 +271,7 @@
 }
 
 // missing picks somebody who is not known: after a long cut, nobody else would look for the other side.
-func (b *Book) missing() string {
+func (b *Detector) missing() string {
 	known := map[string]bool{}
 	for _, p := range b.all {
 		known[p.Addr] = true
@@ -295,7 +295,7 @@
 
 // neighbours makes the rings anew where processes came or went: each ring is an order of all by chance, the same everywhere, and a
 // process has those before and after it. Who is few has all.
-func (b *Book) neighbours() {
+func (b *Detector) neighbours() {
 	if !b.reordered {
 		return
 	}
@@ -303,7 +303,7 @@
 	ids, shared := make([]ProcessID, 0, len(b.all)), b.shared()
 	for _, p := range b.sorted() {
 		// guards against rings full of the dead after a restart of many: whose address a successor has is not there
-		if !p.Leaves && (!shared || !slices.ContainsFunc(b.of(p.Node), func(o *peer) bool { return o.Addr == p.Addr && o.succeeds(p) })) {
+		if !p.Leaving && (!shared || !slices.ContainsFunc(b.of(p.Node), func(o *peer) bool { return o.Addr == p.Addr && o.succeeds(p) })) {
 			ids = append(ids, p.Process)
 		}
 	}
@@ -329,7 +329,7 @@
 		p.beside = true
 		if b.ring = append(b.ring, p); !was[id] {
 			p.knownAt = b.ran // a neighbour from now on: what it says to others says nothing of its silence
-			if p.heardAt < b.ran-b.terms.Misses {
+			if p.heardAt < b.ran-b.terms.HeartbeatTimeout {
 				p.heard = false
 			}
 		}
@@ -337,7 +337,7 @@
 }
 
 // beside finds who stands before and after this process in a ring: one look at each, as nobody needs the whole order.
-func (b *Book) beside(ids []ProcessID, ring int) (before, after ProcessID) {
+func (b *Detector) beside(ids []ProcessID, ring int) (before, after ProcessID) {
 	type spot struct {
 		at uint64
 		id ProcessID
@@ -371,7 +371,7 @@
 
 // succeeds tells whether a process is a later one of the same node.
 func (p *peer) succeeds(o *peer) bool {
-	return p.Node == o.Node && p.Life > o.Life && o.Life > 0
+	return p.Node == o.Node && p.Incarnation > o.Incarnation && o.Incarnation > 0
 }
 
 func byProcess(x, y *peer) int { return cmp.Compare(x.Process, y.Process) }
@@ -384,7 +384,7 @@
 }
 
 // sorted are all processes in one order, so that the same words lead to the same standings.
-func (b *Book) sorted() []*peer {
+func (b *Detector) sorted() []*peer {
 	if b.order == nil {
 		b.order = slices.SortedFunc(maps.Values(b.all), byProcess)
 		b.shown = slices.SortedFunc(slices.Values(b.order), byName)
@@ -403,7 +403,7 @@
 
 // enlist puts one that is new in its place in each order. Guards against a large fleet that starts, in which each hears of all others one
 // by one: to sort all for each is most of what that would cost it. The same holds for one that forgets many.
-func (b *Book) enlist(p *peer) {
+func (b *Detector) enlist(p *peer) {
 	if b.order == nil {
 		return
 	}
@@ -417,7 +417,7 @@
 
 // strike takes out one that is forgotten: from its node's at once, and from all with the others that go along with it. Whoever is going
 // through all goes on through them as they were.
-func (b *Book) strike(p *peer) {
+func (b *Detector) strike(p *peer) {
 	if b.order == nil {
 		return
 	}
@@ -429,13 +429,13 @@
 }
 
 // shared tells whether any node has several processes.
-func (b *Book) shared() bool {
+func (b *Detector) shared() bool {
 	b.sorted()
 	return len(b.byNode) < len(b.order)
 }
 
 // of are the processes of a node, nearly always one, in the same order.
-func (b *Book) of(node NodeName) []*peer {
+func (b *Detector) of(node NodeName) []*peer {
 	if b.order == nil {
 		b.sorted()
 	}
@@ -443,28 +443,28 @@
 }
 
 // silent is how long a neighbour has said nothing here.
-func (b *Book) silent(p *peer) time.Duration { return b.ran - max(p.heardAt, p.knownAt) }
+func (b *Detector) silent(p *peer) time.Duration { return b.ran - max(p.heardAt, p.knownAt) }
 
 // fresh tells whether a neighbour was heard, or came to be one, since.
 func (p *peer) fresh(since time.Duration) bool { return max(p.heardAt, p.knownAt) >= since }
 
 // listen looks whom of the neighbours this process hears, whether it doubts itself, and says so.
-func (b *Book) listen() {
+func (b *Detector) listen() {
 	hears, missed, counted := make([]ProcessID, 0, neighbours), make([]ProcessID, 0, neighbours), 0
 	heard := 0
 	for _, p := range b.ring {
-		here := b.silent(p) < b.terms.Misses
+		here := b.silent(p) < b.terms.HeartbeatTimeout
 		// guards against both sides of a cut that each go by who is left: all count that are remembered, those that are out as well
 		switch {
 		case here && !p.heard: // it has had no time to be heard: neither
 		case here && p.fresh(b.wokeAt) && (p.member() || p.doubtAt < 0):
 			counted, heard = counted+1, heard+1
-		case (p.member() || p.standing == Cut) && p.Node != b.own.Node && !b.succeeded(p):
+		case (p.member() || p.standing == Removed) && p.Node != b.own.Node && !b.succeeded(p):
 			counted++
 		}
 		switch {
 		// guards against one that is heard and hears nobody; and, once it is out, against its coming in before it hears
-		case !here, p.doubtAt >= 0 && !b.own.Doubts && (p.standing == Cut || b.ran-max(p.doubtAt, p.knownAt, b.sureAt) >= b.terms.Deaf):
+		case !here, p.doubtAt >= 0 && !b.own.SelfDoubt && (p.standing == Removed || b.ran-max(p.doubtAt, p.knownAt, b.sureAt) >= b.terms.SelfDoubtTimeout):
 			missed = append(missed, p.Process)
 		case p.heard:
 			hears = append(hears, p.Process)
@@ -474,55 +474,55 @@
 	if doubts { // what it says of others counts for nothing; it stays as it was, so that there is no more to say
 		hears, missed = b.own.Hears, b.own.Misses
 	}
-	if doubts == b.own.Doubts && slices.Equal(hears, b.own.Hears) && slices.Equal(missed, b.own.Misses) {
+	if doubts == b.own.SelfDoubt && slices.Equal(hears, b.own.Hears) && slices.Equal(missed, b.own.Misses) {
 		return
 	}
-	if b.ran-b.saidAt < b.patience(b.terms.Hello/2) && b.saidAt > 0 && doubts == b.own.Doubts {
+	if b.ran-b.saidAt < b.patience(b.terms.HeartbeatInterval/2) && b.saidAt > 0 && doubts == b.own.SelfDoubt {
 		return // several changes go in one
 	}
-	if b.own.Doubts && !doubts { // of those who were cut off along with it, it hears that they doubt for a while yet
+	if b.own.SelfDoubt && !doubts { // of those who were cut off along with it, it hears that they doubt for a while yet
 		b.sureAt = b.ran
 	}
-	b.own.Hears, b.own.Misses, b.own.Doubts = hears, missed, doubts
+	b.own.Hears, b.own.Misses, b.own.SelfDoubt = hears, missed, doubts
 	b.say()
 }
 
 // succeeded tells whether another process of the same node is heard. Guards against a fleet of which so many were started anew that each
 // who stayed doubts itself, and so none of the new ones is believed to be there.
-func (b *Book) succeeded(p *peer) bool {
+func (b *Detector) succeeded(p *peer) bool {
 	return slices.ContainsFunc(b.of(p.Node), func(o *peer) bool {
-		return o != p && o.beside && o.heard && b.silent(o) < b.terms.Misses
+		return o != p && o.beside && o.heard && b.silent(o) < b.terms.HeartbeatTimeout
 	})
 }
 
 // say makes the own statement new.
-func (b *Book) say() {
+func (b *Detector) say() {
 	b.own.Revision++
 	b.saidAt, b.unsaid, b.changed = b.ran, true, true
 }
 
 // Leave says that this process ends in order or stands by; where another takes its place, it yields its name instead.
-func (b *Book) Leave(yields bool) {
-	if b.own.Leaves || b.own.Yields {
+func (b *Detector) Leave(yields bool) {
+	if b.own.Leaving || b.own.YieldsName {
 		return
 	}
-	b.own.Leaves, b.own.Yields = !yields, yields
+	b.own.Leaving, b.own.YieldsName = !yields, yields
 	b.reordered = true
 	b.say()
 }
 
 // Return takes that back.
-func (b *Book) Return() {
-	if b.own.Leaves || b.own.Yields {
-		b.own.Leaves, b.own.Yields, b.reordered = false, false, true
+func (b *Detector) Rejoin() {
+	if b.own.Leaving || b.own.YieldsName {
+		b.own.Leaving, b.own.YieldsName, b.reordered = false, false, true
 		b.say()
 	}
 }
 
 // named are the other processes with this one's name.
-func (b *Book) named() (ps []*peer) {
+func (b *Detector) named() (ps []*peer) {
 	for _, p := range b.of(b.own.Node) {
-		if p != b.own && !p.Leaves {
+		if p != b.own && !p.Leaving {
 			ps = append(ps, p)
 		}
 	}
@@ -531,23 +531,23 @@
 
 // claim takes the node's name once no other process with it lives, or has this process end. Guards against one name started twice: who
 // has the name and lives keeps it, and of two that start at once the same one gives way wherever one looks.
-func (b *Book) claim() {
+func (b *Detector) claim() {
 	if b.verdict != nil {
 		return
 	}
-	if b.own.Life > 0 { // guards against one that took its name before it had heard of the process that had it
+	if b.own.Incarnation > 0 { // guards against one that took its name before it had heard of the process that had it
 		for _, p := range b.named() {
 			if p.before(b.own) && (p.Addr == b.own.Addr || p.silenced(b.observers)) {
-				b.own.Life, b.reordered = p.Life+1, true
+				b.own.Incarnation, b.reordered = p.Incarnation+1, true
 				b.say()
 			}
 		}
 		return
 	}
 	if !b.yielded() {
-		wait := b.terms.Claim
+		wait := b.terms.ClaimPeriod
 		if !b.merged && (b.heardOther || len(b.seeds) > 0) { // somebody may yet say who had the name
-			wait += b.terms.Claim
+			wait += b.terms.ClaimPeriod
 			if b.heardOther && len(b.ring) > 0 {
 				b.sync(b.ring[int(b.chance.Float64()*float64(len(b.ring)))].Addr)
 			}
@@ -557,34 +557,34 @@
 				wait = 0
 				break
 			}
-			wait = max(wait, p.foundAt+b.terms.Claim)
+			wait = max(wait, p.foundAt+b.terms.ClaimPeriod)
 		}
 		if b.ran < wait {
 			return
 		}
 	}
-	life := Life(0)
+	life := Incarnation(0)
 	for _, p := range b.named() {
-		lives := p.Addr != b.own.Addr && p.heard && b.ran-p.heardAt < b.terms.Misses && !p.Yields
-		if lives && (p.Life > 0 || p.Process < b.own.Process) {
+		lives := p.Addr != b.own.Addr && p.heard && b.ran-p.heardAt < b.terms.HeartbeatTimeout && !p.YieldsName
+		if lives && (p.Incarnation > 0 || p.Process < b.own.Process) {
 			b.verdict = fmt.Errorf("another process has the name %s and lives, at %s", p.Node, p.Addr)
 			return
 		}
-		life = max(life, p.Life)
+		life = max(life, p.Incarnation)
 	}
-	b.own.Life = life + 1
+	b.own.Incarnation = life + 1
 	b.reordered = true
-	b.own.standing, b.own.since = Present, b.ran
+	b.own.standing, b.own.since = Alive, b.ran
 	b.say()
 }
 
 // Merged tells that all that another has heard was taken over.
-func (b *Book) Merged() { b.merged = true }
+func (b *Detector) Merged() { b.merged = true }
 
 // silenced tells whether enough miss a process.
 func (p *peer) silenced(observers int) bool { return p.misses >= observers && p.misses > p.hears }
 
 // yielded tells whether a process with this one's name gives it up.
-func (b *Book) yielded() bool {
-	return slices.ContainsFunc(b.named(), func(p *peer) bool { return p.Yields })
+func (b *Detector) yielded() bool {
+	return slices.ContainsFunc(b.named(), func(p *peer) bool { return p.YieldsName })
 }
--- a/internal/fleet/members/book_test.go
+++ b/internal/fleet/members/book_test.go
@@ -14,7 +14,7 @@
 	for _, n := range []int{14, 15, 40, 200} {
 		for own := range n {
 			id := ProcessID(keyhash.Mix(uint64(own + 1)))
-			b := New(Terms{Most: 1000}, id, "n", "a", nil)
+			b := New(Config{MaxMembers: 1000}, id, "n", "a", nil)
 			ids := []ProcessID{}
 			for i := range n {
 				ids = append(ids, ProcessID(keyhash.Mix(uint64(i+1))))
@@ -39,7 +39,7 @@
 // Up to a size all goes as it did; from there on words are waited for longer, each time that there are as many again.
 func TestPatienceGrowsWithTheFleet(t *testing.T) {
 	for n, want := range map[int]time.Duration{1: 300, 32: 300, 33: 450, 64: 450, 65: 600, 480: 900, 960: 1050} {
-		b := New(Terms{Most: 1000}, 1, "n", "a", nil)
+		b := New(Config{MaxMembers: 1000}, 1, "n", "a", nil)
 		for i := len(b.all); i < n; i++ {
 			b.all[ProcessID(i+1)] = &peer{}
 		}
@@ -52,7 +52,7 @@
 // All that is known is asked for the less often the more it is, over its size: what that costs in all does not grow with the fleet.
 func TestAllThatIsKnownIsAskedForMoreRarelyTheMoreItIs(t *testing.T) {
 	for n, want := range map[int]time.Duration{12: 560, 32: 660, 120: 1700, 480: 7700} { // ms
-		b := New(Terms{Most: 1000}, 1, "n", "a", nil)
+		b := New(Config{MaxMembers: 1000}, 1, "n", "a", nil)
 		for i := len(b.all); i < n; i++ {
 			b.all[ProcessID(i+1)] = &peer{}
 		}
@@ -72,12 +72,12 @@
 
 // Views are in the order of nodes and processes, whoever came first.
 func TestViewsAreInOrder(t *testing.T) {
-	b := New(TermsFor(2*time.Second, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 100), 50, "m", "127.0.0.1:1", nil)
+	b := New(NewConfig(2*time.Second, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 100), 50, "m", "127.0.0.1:1", nil)
 	for i, node := range []NodeName{"z", "a", "q", "a"} {
-		b.Told(Statement{Process: ProcessID(100 - i), Node: node, Revision: 1, Addr: fmt.Sprintf("127.0.0.1:%d", 2+i)})
+		b.Merge(Statement{Process: ProcessID(100 - i), Node: node, Revision: 1, Addr: fmt.Sprintf("127.0.0.1:%d", 2+i)})
 	}
-	b.Turned(1)
-	b.Look(1)
+	b.LoopAdvanced(1)
+	b.Tick(1)
 	text := ""
 	for _, m := range b.View().Members {
 		text += fmt.Sprintf("%s%d ", m.Node, m.Process)
@@ -90,12 +90,12 @@
 // One that is new takes its place in each order without all being sorted again, and the orders are those that sorting gives: also where a
 // node has several processes, and after some were forgotten.
 func TestNewProcessesTakeTheirPlace(t *testing.T) {
-	b := New(Terms{Most: 1000, Claim: time.Second}, 1<<40, "n7", "a", nil)
+	b := New(Config{MaxMembers: 1000, ClaimPeriod: time.Second}, 1<<40, "n7", "a", nil)
 	b.sorted()
 	chance := keyhash.Source{Seed: 5}
 	for i := range 300 {
 		id := ProcessID(keyhash.Mix(uint64(i + 1)))
-		if !b.Told(Statement{Process: id, Node: NodeName(fmt.Sprint("n", int(chance.Float64()*200))), Revision: 1, Addr: fmt.Sprint("a", i)}) {
+		if !b.Merge(Statement{Process: id, Node: NodeName(fmt.Sprint("n", int(chance.Float64()*200))), Revision: 1, Addr: fmt.Sprint("a", i)}) {
 			t.Fatalf("%d is no news", i)
 		}
 		if b.order == nil {
--- a/internal/fleet/members/export_test.go
+++ b/internal/fleet/members/export_test.go
@@ -1,6 +1,6 @@
 package members
 
 // Break has a book go by other rules, to see that the judge catches it.
-func Break(b *Book, observers int, majority, doubts, freezes, runs, turns bool) {
+func Break(b *Detector, observers int, majority, doubts, freezes, runs, turns bool) {
 	b.rules = rules{observers, majority, doubts, freezes, runs, turns}
 }
--- a/internal/fleet/members/judge.go
+++ b/internal/fleet/members/judge.go
@@ -20,11 +20,11 @@
 	judgeApart  = 50 * time.Millisecond  // between two judgements in a large fleet, more for each time that it is as large again: each looks at all
 )
 
-func (p *peer) member() bool { return p.standing == Present || p.standing == Suspected }
+func (p *peer) member() bool { return p.standing == Alive || p.standing == Suspected }
 
 // count sums up who hears and who misses each process. Not believed are: who doubts itself, who is no member yet as to misses, and
 // whose last word may be old.
-func (b *Book) count() {
+func (b *Detector) count() {
 	for _, p := range b.sorted() {
 		p.hears, p.misses, p.raw, p.unsure = 0, 0, 0, 0
 	}
@@ -34,7 +34,7 @@
 			b.sum, b.members = b.sum^p.sum(), b.members+1
 		}
 	}
-	speaks := func(o *peer) bool { return !o.Doubts && !o.Leaves && (o.member() || o.standing == Joining) }
+	speaks := func(o *peer) bool { return !o.SelfDoubt && !o.Leaving && (o.member() || o.standing == Joining) }
 	for _, o := range b.sorted() {
 		if !speaks(o) || !o.member() {
 			continue
@@ -49,7 +49,7 @@
 		if !b.recent(o) {
 			continue
 		}
-		if o.Doubts && o.member() { // guards against a few who decide where most cannot tell
+		if o.SelfDoubt && o.member() { // guards against a few who decide where most cannot tell
 			for _, ids := range [][]ProcessID{o.Hears, o.Misses} {
 				for _, id := range ids {
 					if p := b.all[id]; p != nil {
@@ -79,16 +79,16 @@
 
 // recent tells whether what a process said last can be taken for how things stand: who is missed by several may have said it long ago,
 // unless it is heard right here. Guards against the two sides of a cut whose last words discredit one another for good.
-func (b *Book) recent(o *peer) bool {
-	return o == b.own || o.raw < b.observers || o.beside && o.heard && b.silent(o) < b.terms.Misses
+func (b *Detector) recent(o *peer) bool {
+	return o == b.own || o.raw < b.observers || o.beside && o.heard && b.silent(o) < b.terms.HeartbeatTimeout
 }
 
 // freeze tells whether so many are missing that it may well be this process which is cut off. Guards against the sides of a cut that
 // take each other out, and against one who takes all others for dead.
-func (b *Book) freeze() bool {
+func (b *Detector) freeze() bool {
 	members, missing := 0, 0
 	for _, p := range b.sorted() {
-		cutLately := p.standing == Cut && b.ran-p.since < lately*b.terms.Hold
+		cutLately := p.standing == Removed && b.ran-p.since < lately*b.terms.RemovalDelay
 		if p.member() || cutLately {
 			members++
 		}
@@ -101,13 +101,13 @@
 		part = frozenRings
 	}
 	if !b.freezes {
-		return b.own.Doubts
+		return b.own.SelfDoubt
 	}
-	return b.own.Doubts || members > 1 && float64(missing) > part*float64(members)
+	return b.own.SelfDoubt || members > 1 && float64(missing) > part*float64(members)
 }
 
 // judge looks at all standings, and makes a new view where something has changed.
-func (b *Book) judge() {
+func (b *Detector) judge() {
 	step := b.ran - b.judgedAt
 	if apart := b.patience(judgeApart) - judgeApart; step < apart {
 		return
@@ -127,30 +127,30 @@
 	waits, comes := false, false // for others that are about to be taken out, or in
 	for _, p := range b.sorted() {
 		switch {
-		case p.Leaves && p.standing != Left:
+		case p.Leaving && p.standing != Left:
 			b.stand(p, Left)
-		case p.standing == Left && !p.Leaves:
+		case p.standing == Left && !p.Leaving:
 			b.stand(p, Joining)
 		case p.standing == Left:
 			if b.pending = true; p != b.own && b.ran-p.since >= leftStays {
 				b.forget(p)
 			}
 		case p.standing == Joining:
-			if p.Life > 0 && p.hears > 0 && p.hears >= p.misses && (p == b.own || b.fits(p)) {
-				b.stand(p, Present)
-			} else if b.pending = true; p != b.own && b.ran-p.since >= b.terms.Forget {
+			if p.Incarnation > 0 && p.hears > 0 && p.hears >= p.misses && (p == b.own || b.fits(p)) {
+				b.stand(p, Alive)
+			} else if b.pending = true; p != b.own && b.ran-p.since >= b.terms.ForgetAfter {
 				b.forget(p)
 			}
-		case p.standing == Cut:
+		case p.standing == Removed:
 			b.pending = true
 			if p.held += step; p.hears == 0 || p.hears < p.misses {
 				p.held = 0
 			}
-			if p.held >= b.terms.Back {
+			if p.held >= b.terms.RejoinDelay {
 				in = append(in, p)
 			} else if p.held > 0 {
 				comes = true
-			} else if p != b.own && b.ran-p.since >= b.terms.Forget {
+			} else if p != b.own && b.ran-p.since >= b.terms.ForgetAfter {
 				b.forget(p)
 			}
 		default:
@@ -163,25 +163,25 @@
 				break
 			}
 			b.pending = true
-			if p.held += step; p.held >= b.terms.Hold {
+			if p.held += step; p.held >= b.terms.RemovalDelay {
 				out = append(out, p)
-			} else if p.held >= b.terms.Hold-gather {
+			} else if p.held >= b.terms.RemovalDelay-gather {
 				waits = true
 			}
 		}
 	}
 	// whom one trouble befell together is out together, and in again
-	if comes && !slices.ContainsFunc(in, func(p *peer) bool { return p.held >= b.terms.Back+gather }) {
+	if comes && !slices.ContainsFunc(in, func(p *peer) bool { return p.held >= b.terms.RejoinDelay+gather }) {
 		in = nil
 	}
 	for _, p := range in {
-		b.stand(p, Present)
+		b.stand(p, Alive)
 	}
-	if waits && !slices.ContainsFunc(out, func(p *peer) bool { return p.held >= b.terms.Hold+gather }) {
+	if waits && !slices.ContainsFunc(out, func(p *peer) bool { return p.held >= b.terms.RemovalDelay+gather }) {
 		out = nil
 	}
 	for _, p := range out {
-		b.stand(p, Cut)
+		b.stand(p, Removed)
 	}
 	if news || b.changed {
 		b.names()
@@ -193,7 +193,7 @@
 
 // fits tells whether one that joins hears half of those it should, and half of them hear it. Guards against one that is cut off in one
 // direction from its start: it would be in until it comes to doubt itself, or the others to miss it.
-func (b *Book) fits(p *peer) bool {
+func (b *Detector) fits(p *peer) bool {
 	others := b.members
 	if slices.ContainsFunc(b.of(p.Node), (*peer).member) {
 		others--
@@ -201,16 +201,16 @@
 	return len(p.Hears) > 0 && 2*min(len(p.Hears), p.hears) >= min(others, neighbours)
 }
 
-var suspicion = map[bool]Standing{false: Present, true: Suspected}
+var suspicion = map[bool]Status{false: Alive, true: Suspected}
 
-func (b *Book) stand(p *peer, as Standing) {
+func (b *Detector) stand(p *peer, as Status) {
 	p.standing, p.since, p.held = as, b.ran, 0
 	b.changed = true // what others say may count otherwise now
 }
 
-func (b *Book) forget(p *peer) {
+func (b *Detector) forget(p *peer) {
 	delete(b.all, p.Process)
-	p.standing = Gone
+	p.standing = Forgotten
 	if len(b.gone) >= mostGone {
 		oldest := slices.MinFunc(slices.Collect(maps.Keys(b.gone)), func(x, y ProcessID) int {
 			return cmp.Or(cmp.Compare(b.gone[x].at, b.gone[y].at), cmp.Compare(x, y))
@@ -224,7 +224,7 @@
 
 // names leaves one process to each name: the latest life, and of two with the same the lower process. One that nobody hears, and that has
 // a successor, is none.
-func (b *Book) names() {
+func (b *Detector) names() {
 	if !b.shared() {
 		return
 	}
@@ -240,7 +240,7 @@
 		}
 		for _, o := range b.of(p.Node) {
 			// one that has just come is about to be a member, unless it is known to be silent
-			if o.succeeds(p) && (o.standing != Joining || b.ran-o.foundAt >= joinsIn*b.terms.Claim || o.silenced(b.observers)) {
+			if o.succeeds(p) && (o.standing != Joining || b.ran-o.foundAt >= joinsIn*b.terms.ClaimPeriod || o.silenced(b.observers)) {
 				b.forget(p)
 				delete(holds, p.Node)
 				break
@@ -249,7 +249,7 @@
 	}
 	for _, p := range b.sorted() {
 		h := holds[p.Node]
-		if h == nil || h == p || p.Life == 0 || !h.before(p) || p.standing == Left {
+		if h == nil || h == p || p.Incarnation == 0 || !h.before(p) || p.standing == Left {
 			continue
 		}
 		if p == b.own {
@@ -263,16 +263,16 @@
 }
 
 func (p *peer) before(o *peer) bool {
-	return cmp.Or(-cmp.Compare(p.Life, o.Life), cmp.Compare(p.Process, o.Process)) < 0
+	return cmp.Or(-cmp.Compare(p.Incarnation, o.Incarnation), cmp.Compare(p.Process, o.Process)) < 0
 }
 
 // show makes a new view. Its number goes up where another set of nodes are members.
-func (b *Book) show() {
-	v := &View{Number: b.view.Number, Own: b.own.Process, Life: b.own.Life, CutOff: b.frozen || b.own.standing == Cut}
+func (b *Detector) show() {
+	v := &View{Number: b.view.Number, Own: b.own.Process, Incarnation: b.own.Incarnation, CutOff: b.frozen || b.own.standing == Removed}
 	b.sorted()
 	v.Members, v.Nodes = make([]Member, 0, len(b.shown)), make([]NodeName, 0, len(b.shown))
 	for _, p := range b.shown {
-		v.Members = append(v.Members, Member{Process: p.Process, Node: p.Node, Life: p.Life, Addr: p.Addr, Standing: p.standing, Since: p.since,
+		v.Members = append(v.Members, Member{Process: p.Process, Node: p.Node, Incarnation: p.Incarnation, Addr: p.Addr, Status: p.standing, Since: p.since,
 			Hears: p.hears, Misses: p.misses})
 		if p.member() {
 			v.Nodes = append(v.Nodes, p.Node)
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -173,7 +173,7 @@
 	}},
 }
 
-func played(nodes int, seed uint32, broken func(*members.Book), t trouble) *sim {
+func played(nodes int, seed uint32, broken func(*members.Detector), t trouble) *sim {
 	s := newSim(nodes, seed, broken)
 	s.run(6 * sec)
 	t.play(s)
@@ -200,13 +200,13 @@
 	for _, c := range []struct {
 		name   string
 		in     string
-		breaks func(*members.Book)
+		breaks func(*members.Detector)
 	}{
-		{"one observer's word is enough", "one does not hear another", func(b *members.Book) { members.Break(b, 1, false, true, true, true, true) }},
-		{"doubts nothing, stops at nothing", "halves", func(b *members.Book) { members.Break(b, 2, true, false, false, true, true) }},
-		{"takes all others for dead", "the network down for everyone", func(b *members.Book) { members.Break(b, 1, true, false, false, true, true) }},
-		{"measures by the clock", "stopped for more", func(b *members.Book) { members.Break(b, 1, false, false, false, false, true) }},
-		{"gives signs of life while its loop hangs", "the loop hangs", func(b *members.Book) { members.Break(b, 2, true, true, true, true, false) }},
+		{"one observer's word is enough", "one does not hear another", func(b *members.Detector) { members.Break(b, 1, false, true, true, true, true) }},
+		{"doubts nothing, stops at nothing", "halves", func(b *members.Detector) { members.Break(b, 2, true, false, false, true, true) }},
+		{"takes all others for dead", "the network down for everyone", func(b *members.Detector) { members.Break(b, 1, true, false, false, true, true) }},
+		{"measures by the clock", "stopped for more", func(b *members.Detector) { members.Break(b, 1, false, false, false, false, true) }},
+		{"gives signs of life while its loop hangs", "the loop hangs", func(b *members.Detector) { members.Break(b, 2, true, true, true, true, false) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, k := range troubles {
@@ -360,7 +360,7 @@
 	for _, c := range []struct {
 		do   func()
 		want int
-	}{{func() { b.Leave(false) }, 4}, {b.Return, 5}, {func() { b.Leave(false) }, 4}} {
+	}{{func() { b.Leave(false) }, 4}, {b.Rejoin, 5}, {func() { b.Leave(false) }, 4}} {
 		c.do()
 		s.run(sec)
 		for _, n := range []int{0, 1, 3, 4} {
@@ -378,21 +378,21 @@
 	good := members.Statement{Process: 9, Node: "n2", Addr: "10.0.0.2:1", Revision: 3}
 	for _, bad := range []func(*members.Statement){
 		func(s *members.Statement) { s.Process = 0 }, func(s *members.Statement) { s.Node = "" }, func(s *members.Statement) { s.Addr = "" },
-		func(s *members.Statement) { s.Node = members.NodeName(make([]byte, members.LongestName+1)) },
-		func(s *members.Statement) { s.Hears = make([]members.ProcessID, members.MostOf+1) },
+		func(s *members.Statement) { s.Node = members.NodeName(make([]byte, members.MaxNameBytes+1)) },
+		func(s *members.Statement) { s.Hears = make([]members.ProcessID, members.MaxNeighbours+1) },
 		func(s *members.Statement) { s.Misses = []members.ProcessID{9} },
 	} {
 		s := good
-		if bad(&s); b.Told(s) {
+		if bad(&s); b.Merge(s) {
 			t.Errorf("taken: %+v", s)
 		}
 	}
-	if !b.Told(good) || b.Told(good) {
+	if !b.Merge(good) || b.Merge(good) {
 		t.Error("a good one is news once")
 	}
 	renamed := good
 	renamed.Node, renamed.Revision = "n3", 4
-	if b.Told(renamed) {
+	if b.Merge(renamed) {
 		t.Error("a process has one name")
 	}
 }
--- a/internal/fleet/members/sim_test.go
+++ b/internal/fleet/members/sim_test.go
@@ -23,7 +23,7 @@
 	onTheWay = time.Millisecond
 )
 
-var terms = members.TermsFor(pause, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 4000)
+var terms = members.NewConfig(pause, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 4000)
 
 // sim plays books in virtual time: the decisions as in service, on a network of the go-between's faults, with gossip like the library's.
 type sim struct {
@@ -34,7 +34,7 @@
 	chance keyhash.Source
 	views  *judge.Views
 	made   uint64
-	broken func(*members.Book)
+	broken func(*members.Detector)
 	ticks  int
 	byAddr map[string]*simNode
 }
@@ -51,7 +51,7 @@
 
 type simProcess struct {
 	n     *simNode
-	book  *members.Book
+	book  *members.Detector
 	words map[members.ProcessID]members.Statement
 	fresh map[members.ProcessID]int // rounds still to go
 	shown uint64
@@ -60,7 +60,7 @@
 	addr  string
 }
 
-func newSim(nodes int, seed uint32, broken func(*members.Book)) *sim {
+func newSim(nodes int, seed uint32, broken func(*members.Detector)) *sim {
 	s := &sim{now: 1, faults: between.New(seed), chance: keyhash.Source{Seed: seed}, views: judge.NewViews(nodes), broken: broken, byAddr: map[string]*simNode{}}
 	for n := range nodes {
 		s.nodes = append(s.nodes, &simNode{s: s, number: n, name: judge.NameOf(n)})
@@ -141,7 +141,7 @@
 }
 
 func (p *simProcess) told(w members.Statement) {
-	if p.book.Told(w) {
+	if p.book.Merge(w) {
 		p.words[w.Process], p.fresh[w.Process] = w, rounds
 	}
 }
@@ -169,20 +169,20 @@
 	if !p.n.hangs {
 		p.turns++
 	}
-	p.book.Turned(p.turns)
-	do := p.book.Look(s.now)
-	if own, isNew := p.book.Own(); isNew {
+	p.book.LoopAdvanced(p.turns)
+	do := p.book.Tick(s.now)
+	if own, isNew := p.book.OwnStatement(); isNew {
 		p.words[own.Process], p.fresh[own.Process] = own, rounds
 	}
-	hello := func(to []string, h members.Hello) {
+	hello := func(to []string, h members.Heartbeat) {
 		for _, a := range to {
-			p.send(a, func(o *simProcess) { o.book.Heard(h) })
+			p.send(a, func(o *simProcess) { o.book.OnHeartbeat(h) })
 		}
 	}
 	hello(do.Hellos, do.Hello)
 	hello(do.Replies, do.Hello)
 	asks := do.Hello
-	asks.Asks = true
+	asks.WantsReply = true
 	hello(do.Asks, asks)
 	if do.Sync != "" {
 		s.at(onTheWay, func() { p.sync(do.Sync) })
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	if p.book.Verdict() != nil {
+	if p.book.NameConflict() != nil {
 		p.n.kill()
 		return
 	}
--- a/internal/fleet/members/types.go
+++ b/internal/fleet/members/types.go
@@ -16,80 +16,80 @@
 )
 
 type (
-	ProcessID uint64 // drawn anew by each process
-	NodeName  string // stays over restarts
-	Life      uint32 // which process of a node's: each takes the next; 0 for one that has not taken its name
-	Revision  uint64 // of what a process says: the highest holds
+	ProcessID   uint64 // drawn anew by each process
+	NodeName    string // stays over restarts
+	Incarnation uint32 // which process of a node's: each takes the next; 0 for one that has not taken its name
+	Revision    uint64 // of what a process says: the highest holds
 )
 
 // Bounds of what others may say.
 const (
-	LongestName = 64 // bytes of a node's name
-	LongestAddr = 64 // bytes of an address
-	MostOf      = 64 // neighbours in one statement
+	MaxNameBytes  = 64 // bytes of a node's name
+	MaxAddrBytes  = 64 // bytes of an address
+	MaxNeighbours = 64 // neighbours in one statement
 )
 
 // Statement is all that a process says, of itself and of its neighbours. Only the process itself makes it.
 type Statement struct {
-	Process  ProcessID
-	Node     NodeName
-	Life     Life
-	Revision Revision
-	Addr     string
-	Leaves   bool // it ends in order
-	Yields   bool // its name goes to the next process, which may take it at once
-	Doubts   bool // it hears too few of its neighbours to be believed
-	Hears    []ProcessID
-	Misses   []ProcessID
+	Process     ProcessID
+	Node        NodeName
+	Incarnation Incarnation
+	Revision    Revision
+	Addr        string
+	Leaving     bool // it ends in order
+	YieldsName  bool // its name goes to the next process, which may take it at once
+	SelfDoubt   bool // it hears too few of its neighbours to be believed
+	Hears       []ProcessID
+	Misses      []ProcessID
 }
 
 // Hello is a sign of life between neighbours.
-type Hello struct {
-	Process  ProcessID
-	Revision Revision // of its statement
-	Sum      uint64   // of all that members have said, its lower half: two with the same sum have heard the same
-	Addr     string
-	Doubts   bool
-	Asks     bool // for one in return
+type Heartbeat struct {
+	Process    ProcessID
+	Revision   Revision // of its statement
+	Digest     uint64   // of all that members have said, its lower half: two with the same sum have heard the same
+	Addr       string
+	SelfDoubt  bool
+	WantsReply bool // for one in return
 }
 
 // Standing is what a process is to the fleet.
-type Standing int
+type Status int
 
 const (
-	Joining   Standing = iota // heard of; not yet heard by enough
-	Present                   // a member
-	Suspected                 // a member that some neighbour misses
-	Cut                       // taken out: more neighbours miss it than hear it
-	Left                      // gone in order
-	Gone                      // forgotten, or another process has its name
+	Joining   Status = iota // heard of; not yet heard by enough
+	Alive                   // a member
+	Suspected               // a member that some neighbour misses
+	Removed                 // taken out: more neighbours miss it than hear it
+	Left                    // gone in order
+	Forgotten               // forgotten, or another process has its name
 )
 
-func (s Standing) String() string {
+func (s Status) String() string {
 	return [...]string{"joining", "present", "suspected", "cut", "left", "gone"}[s]
 }
 
 // Terms are the spans by which the book decides, in time that the process has run.
-type Terms struct {
-	Hello  time.Duration // between two signs of life to a neighbour
-	Misses time.Duration // without one, after which a neighbour is missed
-	Hold   time.Duration // that enough must miss it before it is taken out
-	Back   time.Duration // that enough must hear it before it is taken in again: longer than Misses, or one that hears nobody is in before it doubts itself
-	Deaf   time.Duration // that a neighbour may say that it doubts itself before it is missed
-	Loop   time.Duration // that the loop which serves clients may stand still
-	Forget time.Duration // after which one that was taken out is forgotten
-	Claim  time.Duration // that a process looks whether another with its name lives
-	Most   int           // processes known
+type Config struct {
+	HeartbeatInterval time.Duration // between two signs of life to a neighbour
+	HeartbeatTimeout  time.Duration // without one, after which a neighbour is missed
+	RemovalDelay      time.Duration // that enough must miss it before it is taken out
+	RejoinDelay       time.Duration // that enough must hear it before it is taken in again: longer than Misses, or one that hears nobody is in before it doubts itself
+	SelfDoubtTimeout  time.Duration // that a neighbour may say that it doubts itself before it is missed
+	LoopTimeout       time.Duration // that the loop which serves clients may stand still
+	ForgetAfter       time.Duration // after which one that was taken out is forgotten
+	ClaimPeriod       time.Duration // that a process looks whether another with its name lives
+	MaxMembers        int           // processes known
 }
 
 // TermsFor makes terms of a stated pause that a process is to bear, and how often signs of life go out.
 //
 // A process that stands still for the whole pause, from just before a sign of life was due, has been silent for pause + hello. It is
 // missed before that, so that whoever is on the wrong side of a cut has long known it, and taken out after it.
-func TermsFor(pause, hello, back, loop, forget time.Duration, most int) Terms {
+func NewConfig(pause, hello, back, loop, forget time.Duration, most int) Config {
 	misses := max(pause-hello*8/5, 2*hello)
-	return Terms{Hello: hello, Misses: misses, Hold: pause + hello - misses + spareToHear, Back: back, Deaf: misses, Loop: loop, Forget: forget,
-		Claim: misses + 2*hello, Most: most}
+	return Config{HeartbeatInterval: hello, HeartbeatTimeout: misses, RemovalDelay: pause + hello - misses + spareToHear, RejoinDelay: back, SelfDoubtTimeout: misses, LoopTimeout: loop, ForgetAfter: forget,
+		ClaimPeriod: misses + 2*hello, MaxMembers: most}
 }
 
 const (
@@ -108,25 +108,25 @@
 
 // Member is what is known of one process.
 type Member struct {
-	Process  ProcessID
-	Node     NodeName
-	Life     Life
-	Addr     string
-	Standing Standing
-	Since    time.Duration // that it has stood so
-	Hears    int           // of those who may be believed: who hears it
-	Misses   int           // and who misses it
+	Process     ProcessID
+	Node        NodeName
+	Incarnation Incarnation
+	Addr        string
+	Status      Status
+	Since       time.Duration // that it has stood so
+	Hears       int           // of those who may be believed: who hears it
+	Misses      int           // and who misses it
 }
 
 // View is who is there, to one process. Nobody changes it.
 type View struct {
-	Number  uint64 // of changes, at this process
-	Mark    uint64 // the same wherever the same nodes are members
-	Nodes   []NodeName
-	Members []Member // all that are known, by node and process
-	CutOff  bool     // this process is taken out, hears too few, or half the fleet is missing: the view stays as it was
-	Own     ProcessID
-	Life    Life
+	Number      uint64 // of changes, at this process
+	Mark        uint64 // the same wherever the same nodes are members
+	Nodes       []NodeName
+	Members     []Member // all that are known, by node and process
+	CutOff      bool     // this process is taken out, hears too few, or half the fleet is missing: the view stays as it was
+	Own         ProcessID
+	Incarnation Incarnation
 }
 
 // mark sums up names, in whatever order.
@@ -139,6 +139,6 @@
 
 // valid tells whether a statement keeps the bounds.
 func (s *Statement) valid() bool {
-	return s.Process != 0 && s.Node != "" && len(s.Node) <= LongestName && s.Addr != "" && len(s.Addr) <= LongestAddr &&
-		len(s.Hears) <= MostOf && len(s.Misses) <= MostOf && !slices.Contains(s.Hears, s.Process) && !slices.Contains(s.Misses, s.Process)
+	return s.Process != 0 && s.Node != "" && len(s.Node) <= MaxNameBytes && s.Addr != "" && len(s.Addr) <= MaxAddrBytes &&
+		len(s.Hears) <= MaxNeighbours && len(s.Misses) <= MaxNeighbours && !slices.Contains(s.Hears, s.Process) && !slices.Contains(s.Misses, s.Process)
 }
--- a/internal/net/accord/accord_test.go
+++ b/internal/net/accord/accord_test.go
@@ -70,7 +70,7 @@
 
 func (f *fleet) start(i int, first bool) {
 	f.t.Helper()
-	file := charter.UsualControl()
+	file := charter.DefaultControl()
 	file.Control = charter.Control{ID: uint64(i + 1), Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: f.dirs[i]}
 	file.Bounds.ElectMs = 500
 	for j := range f.ms {
--- a/internal/net/accord/caches_test.go
+++ b/internal/net/accord/caches_test.go
@@ -16,7 +16,7 @@
 // that is stopped and comes back has what the others have done.
 func TestPurgesAreDoneAtCaches(t *testing.T) {
 	t.Parallel()
-	terms := charter.UsualPurges()
+	terms := charter.DefaultPurges()
 	terms.FillsS = 0.3
 	var caches []*keeper.Cache
 	for i := range 3 {
--- a/internal/net/fleet/fleet.go
+++ b/internal/net/fleet/fleet.go
@@ -43,18 +43,18 @@
 )
 
 // Berth is where and with what a node joins.
-type Berth struct {
-	Name    string
-	Charter *charter.File
-	Log     *logrus.Logger
-	Now     func() policy.Instant // by a clock that runs through suspends
-	Trace   func([]byte)          // told each line of what is done here, off the loop; nil for nobody
-	Ended   func(error)           // told once that this process is to end, as another has its name; nil for nobody
+type Config struct {
+	Name           string
+	FleetConfig    *charter.File
+	Log            *logrus.Logger
+	Now            func() policy.Instant // by a clock that runs through suspends
+	Trace          func([]byte)          // told each line of what is done here, off the loop; nil for nobody
+	OnNameConflict func(error)           // told once that this process is to end, as another has its name; nil for nobody
 }
 
 // Post is one node's part in the fleet.
-type Post struct {
-	Berth
+type Node struct {
+	Config
 	process members.ProcessID
 	t       *transport
 	list    *memberlist.Memberlist
@@ -71,7 +71,7 @@
 	once    sync.Once
 
 	mu    sync.Mutex
-	book  *members.Book
+	book  *members.Detector
 	raw   map[members.ProcessID]heldWord // statements as they came
 	held  map[uint64]bool                // their sums: each comes many times
 	there []string                       // names of members, as the library has them
@@ -80,18 +80,18 @@
 }
 
 // Open joins by sockets of its own.
-func Open(b Berth) (*Post, error) {
-	lines, err := Listen(b.Charter.Fleet.Listen)
+func Open(b Config) (*Node, error) {
+	lines, err := Listen(b.FleetConfig.Fleet.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("cannot listen for other nodes on %s: %w", b.Charter.Fleet.Listen, err)
+		return nil, fmt.Errorf("cannot listen for other nodes on %s: %w", b.FleetConfig.Fleet.Listen, err)
 	}
 	return Join(b, lines)
 }
 
 // Join joins over such lines, and closes them at its end.
-func Join(b Berth, lines Lines) (*Post, error) {
+func Join(b Config, lines Transport) (*Node, error) {
 	var id [8]byte
-	at, err := netip.ParseAddrPort(b.Charter.Fleet.Advertise)
+	at, err := netip.ParseAddrPort(b.FleetConfig.Fleet.Advertise)
 	if err == nil {
 		_, err = rand.Read(id[:])
 	}
@@ -99,18 +99,18 @@
 		lines.close()
 		return nil, err
 	}
-	p := &Post{Berth: b, process: members.ProcessID(binary.LittleEndian.Uint64(id[:]) | 1), closed: make(chan struct{}), trace: newTracer(b.Trace),
+	p := &Node{Config: b, process: members.ProcessID(binary.LittleEndian.Uint64(id[:]) | 1), closed: make(chan struct{}), trace: newTracer(b.Trace),
 		syncs: make(chan string, 1), raw: map[members.ProcessID]heldWord{}, held: map[uint64]bool{}}
 	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmit, NumNodes: func() int { return int(p.known.Load()) }}
-	m := &b.Charter.Members
-	p.book = members.New(members.TermsFor(m.Pause(), m.Hello(), m.Back(), m.Loop(), m.Forget(), m.Most), p.process, members.NodeName(b.Name),
-		at.String(), b.Charter.Fleet.Seeds)
+	m := &b.FleetConfig.Members
+	p.book = members.New(members.NewConfig(m.Pause(), m.Hello(), m.Back(), m.Loop(), m.Forget(), m.MaxMembers), p.process, members.NodeName(b.Name),
+		at.String(), b.FleetConfig.Fleet.Seeds)
 	p.view.Store(p.book.View())
 	ways := map[string]string{}
-	for _, w := range b.Charter.Ways {
+	for _, w := range b.FleetConfig.AddressMappings {
 		ways[w.To] = w.Through
 	}
-	p.t = newTransport(lines, at, b.Charter.Fleet.Label, ways, p.hello)
+	p.t = newTransport(lines, at, b.FleetConfig.Fleet.Label, ways, p.hello)
 	if p.list, err = memberlist.Create(p.engine()); err != nil {
 		_ = p.t.Shutdown()
 		p.trace.close()
@@ -119,7 +119,7 @@
 	p.done.Add(2)
 	go p.joining()
 	go p.syncing()
-	if b.Charter.Fleet.Engine != charter.Plain {
+	if b.FleetConfig.Fleet.Engine != charter.Plain {
 		p.done.Add(1)
 		go p.looking()
 	}
@@ -127,13 +127,13 @@
 }
 
 // engine is how the library is set up.
-func (p *Post) engine() *memberlist.Config {
+func (p *Node) engine() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = fmt.Sprintf("%s%s%016x", p.Name, nameEnds, p.process)
-	c.Transport, c.Events, c.Delegate, c.SecretKey = p.t, p, delegate{p}, p.Charter.Fleet.KeyBytes()
+	c.Transport, c.Events, c.Delegate, c.SecretKey = p.t, p, delegate{p}, p.FleetConfig.Fleet.KeyBytes()
 	c.UDPBufferSize = longestDatagram - prefaceLen
 	c.Logger = stdlog.New(io.Discard, "", 0)
-	if p.Charter.Fleet.Engine == charter.Tuned {
+	if p.FleetConfig.Fleet.Engine == charter.Tuned {
 		tune(c)
 	}
 	return c
@@ -151,7 +151,7 @@
 }
 
 // ExchangeEach is how often a node begins an exchange of all that is known, in a fleet of so many.
-func ExchangeEach(members int) time.Duration {
+func PushPullInterval(members int) time.Duration {
 	each := exchangeEach
 	for n := exchangeFrom; n < members; n *= 2 {
 		each += exchangeEach
@@ -160,14 +160,14 @@
 }
 
 // joining asks the seeds until somebody is known.
-func (p *Post) joining() {
+func (p *Node) joining() {
 	defer p.done.Done()
 	for {
-		for _, seed := range p.Charter.Fleet.Seeds {
+		for _, seed := range p.FleetConfig.Fleet.Seeds {
 			if p.list.NumMembers() > 1 || p.over() {
 				break
 			}
-			if seed != p.Charter.Fleet.Advertise {
+			if seed != p.FleetConfig.Fleet.Advertise {
 				_, _ = p.list.Join([]string{seed})
 			}
 		}
@@ -179,7 +179,7 @@
 	}
 }
 
-func (p *Post) over() bool {
+func (p *Node) over() bool {
 	select {
 	case <-p.closed:
 		return true
@@ -189,7 +189,7 @@
 }
 
 // syncing exchanges all that is known with who is named, one after the other.
-func (p *Post) syncing() {
+func (p *Node) syncing() {
 	defer p.done.Done()
 	for {
 		select {
@@ -202,7 +202,7 @@
 }
 
 // looking does what is due.
-func (p *Post) looking() {
+func (p *Node) looking() {
 	defer p.done.Done()
 	each := time.NewTicker(lookEach)
 	defer each.Stop()
@@ -216,17 +216,17 @@
 	}
 }
 
-func (p *Post) look() {
+func (p *Node) look() {
 	if p.looks++; p.looks%trafficEach == 0 {
 		p.say(trace.Line{What: trace.Traffic, Out: p.t.count.outBytes.Load(), In: p.t.count.inBytes.Load()})
 	}
 	p.mu.Lock()
-	p.book.Turned(p.turns.Load())
+	p.book.LoopAdvanced(p.turns.Load())
 	p.stand()
-	do := p.book.Look(p.Now())
-	view, verdict := p.book.View(), p.book.Verdict()
+	do := p.book.Tick(p.Now())
+	view, verdict := p.book.View(), p.book.NameConflict()
 	p.tellOwn()
-	p.known.Store(int64(p.book.Known()))
+	p.known.Store(int64(p.book.KnownCount()))
 	p.forget(view)
 	tell := verdict != nil && !p.ended
 	p.ended = p.ended || tell
@@ -237,7 +237,7 @@
 	p.send(do.Hello, do.Hellos)
 	p.send(do.Hello, do.Replies)
 	asks := do.Hello
-	asks.Asks = true
+	asks.WantsReply = true
 	p.send(asks, do.Asks)
 	if do.Sync != "" {
 		select {
@@ -246,12 +246,12 @@
 		}
 	}
 	p.t.look(p.known.Load() > exchangeFrom)
-	if tell && p.Ended != nil {
-		p.Ended(verdict)
+	if tell && p.OnNameConflict != nil {
+		p.OnNameConflict(verdict)
 	}
 }
 
-func (p *Post) send(h members.Hello, to []string) {
+func (p *Node) send(h members.Heartbeat, to []string) {
 	if len(to) == 0 {
 		return
 	}
@@ -265,8 +265,8 @@
 }
 
 // tellOwn has the own statement passed on where it is new; the lock is held.
-func (p *Post) tellOwn() {
-	if own, isNew := p.book.Own(); isNew {
+func (p *Node) tellOwn() {
+	if own, isNew := p.book.OwnStatement(); isNew {
 		if b, err := encodeStatement(own); err == nil {
 			p.hold(own.Process, b)
 			p.queue.QueueBroadcast(word{own.Process, b})
@@ -275,8 +275,8 @@
 }
 
 // forget drops the words of those who are known no more; the lock is held.
-func (p *Post) forget(v *members.View) {
-	if len(p.raw) <= p.book.Known() {
+func (p *Node) forget(v *members.View) {
+	if len(p.raw) <= p.book.KnownCount() {
 		return
 	}
 	is := map[members.ProcessID]bool{p.process: true}
@@ -300,21 +300,21 @@
 var sums = maphash.MakeSeed()
 
 // hold keeps a process's last word; the lock is held.
-func (p *Post) hold(of members.ProcessID, b []byte) {
+func (p *Node) hold(of members.ProcessID, b []byte) {
 	delete(p.held, p.raw[of].sum)
 	p.raw[of] = heldWord{b, maphash.Bytes(sums, b)}
 	p.held[p.raw[of].sum] = true
 }
 
 // holds tells whether a word is one that is held, as it came. Nothing new follows from it, and it need not be read again.
-func (p *Post) holds(b []byte) bool {
+func (p *Node) holds(b []byte) bool {
 	sum := maphash.Bytes(sums, b)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held[sum]
 }
 
-func (p *Post) changed(was, is *members.View) {
+func (p *Node) changed(was, is *members.View) {
 	l := trace.Line{What: trace.View, Number: is.Number, Mark: fmt.Sprintf("%016x", is.Mark), Cut: is.CutOff}
 	for _, n := range is.Nodes {
 		l.Members = append(l.Members, string(n))
@@ -338,7 +338,7 @@
 }
 
 // hello hears a sign of life.
-func (p *Post) hello(b []byte) {
+func (p *Node) hello(b []byte) {
 	h, err := decodeHello(b)
 	if err != nil {
 		p.bad.Add(1)
@@ -346,32 +346,32 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.Heard(h)
+	p.book.OnHeartbeat(h)
 }
 
 // Turned tells that the loop which serves clients has turned. It may be called from anywhere, and waits for nothing.
-func (p *Post) Turned() { p.turns.Add(1) }
+func (p *Node) LoopAdvanced() { p.turns.Add(1) }
 
 // View is who is there, as it was last known.
-func (p *Post) View() *members.View { return p.view.Load() }
+func (p *Node) View() *members.View { return p.view.Load() }
 
 // Stance is what a process is to the others.
-type Stance int32
+type Presence int32
 
 const (
-	Staying  Stance = iota
-	Leaving         // it ends, or stands by
-	Yielding        // it ends, and its name goes to the process that takes its place
+	Staying  Presence = iota
+	Leaving           // it ends, or stands by
+	Yielding          // it ends, and its name goes to the process that takes its place
 )
 
 // Stand has it be that, at the next look. It may be called from anywhere, and waits for nothing.
-func (p *Post) Stand(s Stance) { p.stance.Store(int32(s)) }
+func (p *Node) SetPresence(s Presence) { p.stance.Store(int32(s)) }
 
 // stand tells the others of a stance that has changed; the lock is held.
-func (p *Post) stand() {
-	switch Stance(p.stance.Load()) {
+func (p *Node) stand() {
+	switch Presence(p.stance.Load()) {
 	case Staying:
-		p.book.Return()
+		p.book.Rejoin()
 	case Leaving:
 		p.book.Leave(false)
 	case Yielding:
@@ -402,7 +402,7 @@
 func (w word) Finished() {}
 
 // delegate is what the library calls.
-type delegate struct{ p *Post }
+type delegate struct{ p *Node }
 
 // NodeMeta is memberlist's.
 func (delegate) NodeMeta(int) []byte { return nil }
@@ -425,7 +425,7 @@
 	}
 	d.p.mu.Lock()
 	defer d.p.mu.Unlock()
-	if d.p.book.Told(s) {
+	if d.p.book.Merge(s) {
 		d.p.hold(s.Process, b)
 		d.p.queue.QueueBroadcast(word{s.Process, b})
 	}
@@ -475,15 +475,15 @@
 }
 
 // NotifyJoin is memberlist's.
-func (p *Post) NotifyJoin(n *memberlist.Node) { p.library(n.Name, true) }
+func (p *Node) NotifyJoin(n *memberlist.Node) { p.library(n.Name, true) }
 
 // NotifyLeave is memberlist's.
-func (p *Post) NotifyLeave(n *memberlist.Node) { p.library(n.Name, false) }
+func (p *Node) NotifyLeave(n *memberlist.Node) { p.library(n.Name, false) }
 
 // NotifyUpdate is memberlist's.
-func (p *Post) NotifyUpdate(*memberlist.Node) {}
+func (p *Node) NotifyUpdate(*memberlist.Node) {}
 
-func (p *Post) library(name string, here bool) {
+func (p *Node) library(name string, here bool) {
 	if p.trace == nil {
 		return
 	}
@@ -504,18 +504,18 @@
 	p.say(l)
 }
 
-func (p *Post) say(l trace.Line) {
+func (p *Node) say(l trace.Line) {
 	l.At, l.Node, l.Process = p.Now(), p.Name, hex(p.process)
 	p.trace.say(l)
 }
 
 // Close ends it, and first tells the others in order, if it is to. It takes a second at the most, whoever does not answer.
-func (p *Post) Close(orderly bool) {
+func (p *Node) Close(orderly bool) {
 	p.once.Do(func() {
 		close(p.closed)
 		if orderly {
 			p.mu.Lock()
-			p.Stand(Leaving)
+			p.SetPresence(Leaving)
 			p.stand()
 			p.mu.Unlock()
 			_ = p.list.Leave(leaveBy)
--- a/internal/net/fleet/fleet_test.go
+++ b/internal/net/fleet/fleet_test.go
@@ -22,7 +22,7 @@
 }
 
 // posts opens some that know one another by the first's address.
-func posts(t *testing.T, n int, change func(*charter.File)) (ps []*Post) {
+func posts(t *testing.T, n int, change func(*charter.File)) (ps []*Node) {
 	t.Helper()
 	seed := ""
 	for i := range n {
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := charter.Usual()
+		f := charter.Default()
 		f.Members.HelloMs, f.Members.PauseS, f.Members.BackS = 50, 0.4, 0.3
 		f.Fleet.Advertise = lines.Datagrams.LocalAddr().String()
 		if i == 0 {
@@ -40,7 +40,7 @@
 		if change != nil {
 			change(&f)
 		}
-		p, err := Join(Berth{Name: string(rune('a' + i)), Charter: &f, Log: quiet(), Now: Boottime, Trace: func([]byte) {}}, lines)
+		p, err := Join(Config{Name: string(rune('a' + i)), FleetConfig: &f, Log: quiet(), Now: BootTime, Trace: func([]byte) {}}, lines)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 				case <-over:
 					return
 				case <-time.After(20 * time.Millisecond):
-					p.Turned()
+					p.LoopAdvanced()
 				}
 			}
 		}()
@@ -70,7 +70,7 @@
 	}
 }
 
-func all(ps []*Post, n int) func() bool {
+func all(ps []*Node, n int) func() bool {
 	return func() bool {
 		for _, p := range ps {
 			if v := p.View(); len(v.Nodes) != n || v.Mark != ps[0].View().Mark {
@@ -85,7 +85,7 @@
 func TestPostsJoinLeaveAndDropWhatIsForeign(t *testing.T) {
 	ps := posts(t, 3, func(f *charter.File) { f.Fleet.Key = "MDEyMzQ1Njc4OWFiY2RlZg==" })
 	within(t, "all know all", all(ps, 3))
-	at := ps[0].Charter.Fleet.Advertise
+	at := ps[0].FleetConfig.Fleet.Advertise
 	c, err := net.Dial("udp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -115,9 +115,9 @@
 		got := s.(Status)
 		return got.Foreign >= 9 && got.Unread >= 3
 	})
-	ps[2].Stand(Leaving)
+	ps[2].SetPresence(Leaving)
 	within(t, "the one that left is out", all(ps[:2], 2))
-	ps[2].Stand(Staying)
+	ps[2].SetPresence(Staying)
 	within(t, "and back", all(ps, 3))
 	if s, whole := ps[0].FleetStatus(); !whole || s.(Status).CutOff {
 		t.Errorf("%+v", s)
@@ -128,7 +128,7 @@
 func TestFlowsAreToldApart(t *testing.T) {
 	ps := posts(t, 3, nil)
 	within(t, "all know all", all(ps, 3))
-	ps[2].Stand(Leaving) // something to say
+	ps[2].SetPresence(Leaving) // something to say
 	within(t, "the one that left is out", all(ps[:2], 2))
 	for _, p := range ps {
 		within(t, "what is counted adds up", func() bool { // it goes on meanwhile
@@ -185,13 +185,13 @@
 
 // Whatever comes is read or refused, and what is read is written the same again.
 func FuzzMessages(f *testing.F) {
-	s := members.Statement{Process: 7, Node: "n1", Life: 2, Revision: 9, Addr: "10.0.0.1:7946", Doubts: true, Hears: []members.ProcessID{8}, Misses: []members.ProcessID{9}}
+	s := members.Statement{Process: 7, Node: "n1", Incarnation: 2, Revision: 9, Addr: "10.0.0.1:7946", SelfDoubt: true, Hears: []members.ProcessID{8}, Misses: []members.ProcessID{9}}
 	one, err := encodeStatement(s)
 	if err != nil {
 		f.Fatal(err)
 	}
 	state, _ := encodeState([][]byte{one, one})
-	hello, _ := encodeHello(members.Hello{Process: 7, Revision: 9, Sum: 1, Addr: "[::1]:1"})
+	hello, _ := encodeHello(members.Heartbeat{Process: 7, Revision: 9, Digest: 1, Addr: "[::1]:1"})
 	for _, b := range [][]byte{one, state, hello, {}, {0xbf}, {0xa1, 0x00, 0x01}, {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
 		f.Add(b)
 	}
--- a/internal/net/fleet/flows.go
+++ b/internal/net/fleet/flows.go
@@ -18,7 +18,7 @@
 
 // Flow is what one kind of message has taken of the sockets until now. Of hellos and gossip the messages are datagrams, of streams
 // connections; statements are counted each, and the datagrams that carry them are those of gossip.
-type Flow struct {
+type TrafficStats struct {
 	Name     string `json:"name"`
 	In       uint64 `json:"in"`
 	InBytes  uint64 `json:"in_bytes"`
@@ -39,11 +39,11 @@
 }
 
 // Flows are all kinds.
-func (p *Post) Flows() []Flow {
-	all := make([]Flow, flowKinds)
+func (p *Node) Traffic() []TrafficStats {
+	all := make([]TrafficStats, flowKinds)
 	for kind := range all { // statements first: they are never more than the gossip that carries them
 		c := &p.t.count.flows[kind]
-		all[kind] = Flow{flowNames[kind], c.in.Load(), c.inBytes.Load(), c.out.Load(), c.outBytes.Load()}
+		all[kind] = TrafficStats{flowNames[kind], c.in.Load(), c.inBytes.Load(), c.out.Load(), c.outBytes.Load()}
 	}
 	all[gossip].InBytes -= min(all[gossip].InBytes, all[statements].InBytes)
 	all[gossip].OutBytes -= min(all[gossip].OutBytes, all[statements].OutBytes)
--- a/internal/net/fleet/less_test.go
+++ b/internal/net/fleet/less_test.go
@@ -26,7 +26,7 @@
 // A newer word of a process takes the place of an older one that waits, and those of others stay; a word that is held is not read again.
 func TestWordsTakeEachOthersPlace(t *testing.T) {
 	p := posts(t, 1, nil)[0]
-	within(t, "its name is taken", func() bool { return p.View().Life > 0 })
+	within(t, "its name is taken", func() bool { return p.View().Incarnation > 0 })
 	word := func(of members.ProcessID, revision members.Revision) []byte {
 		b, err := encodeStatement(members.Statement{Process: of, Node: members.NodeName(fmt.Sprint("x", of)), Revision: revision, Addr: "127.0.0.1:1"})
 		if err != nil {
--- a/internal/net/fleet/trace.go
+++ b/internal/net/fleet/trace.go
@@ -13,7 +13,7 @@
 const traceAhead = 4096 // lines that may wait for who keeps them; more are dropped, as nothing is to wait
 
 // Boottime reads the clock that all processes of a machine share, and that runs on through a suspend.
-func Boottime() policy.Instant {
+func BootTime() policy.Instant {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
 		return 0
--- a/internal/net/fleet/transport.go
+++ b/internal/net/fleet/transport.go
@@ -28,7 +28,7 @@
 )
 
 // Files are the descriptors that a post may have.
-const Files = 2 + streamsAtOnce + streamsOut + 1 // its sockets, and a stream that is just being refused
+const Descriptors = 2 + streamsAtOnce + streamsOut + 1 // its sockets, and a stream that is just being refused
 
 // What stands before each datagram and stream: two bytes that are nobody else's, the version of this way of speaking, the kind, and
 // the fleet. Guards against an address that has come to be another fleet's, whose nodes may well have the same names.
@@ -55,7 +55,7 @@
 }
 
 // Lines are what datagrams and streams go over: sockets.
-type Lines struct {
+type Transport struct {
 	Datagrams net.PacketConn
 	Streams   net.Listener
 	Dial      func(addr string, within time.Duration) (net.Conn, error)
@@ -63,23 +63,23 @@
 }
 
 // Listen opens sockets for datagrams and streams at the same address.
-func Listen(addr string) (Lines, error) {
+func Listen(addr string) (Transport, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return Lines{}, err
+		return Transport{}, err
 	}
 	var udp *net.UDPConn
 	var tcp *net.TCPListener
 	for tries := 0; ; tries++ {
 		if udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
-			return Lines{}, err
+			return Transport{}, err
 		}
 		if tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(udp.LocalAddr().(*net.UDPAddr).AddrPort())); err == nil {
 			break
 		}
 		_ = udp.Close()
 		if at.Port() != 0 || tries == anyPortTries { // any port has to be free for both
-			return Lines{}, err
+			return Transport{}, err
 		}
 	}
 	// as datagrams do, streams come from the address that others know, so that who hears can tell by it
@@ -87,7 +87,7 @@
 	if !at.Addr().IsUnspecified() {
 		from.LocalAddr = &net.TCPAddr{IP: at.Addr().AsSlice(), Zone: at.Addr().Zone()}
 	}
-	return Lines{Datagrams: udp, Streams: tcp,
+	return Transport{Datagrams: udp, Streams: tcp,
 		Dial: func(addr string, within time.Duration) (net.Conn, error) {
 			d := from
 			d.Timeout = within
@@ -102,7 +102,7 @@
 		}}, nil
 }
 
-func (l *Lines) close() {
+func (l *Transport) close() {
 	_ = l.Datagrams.Close()
 	_ = l.Streams.Close()
 }
@@ -116,7 +116,7 @@
 // transport carries the library's messages and the signs of life over the same two sockets. Whatever does not begin as it should is
 // dropped with a count, before anybody reads it.
 type transport struct {
-	lines   Lines
+	lines   Transport
 	at      netip.AddrPort // as others see it
 	label   uint32         // of the fleet
 	ways    map[string]string
@@ -131,7 +131,7 @@
 	looks   chan struct{} // has one once there was a look
 }
 
-func newTransport(l Lines, at netip.AddrPort, label string, ways map[string]string, hello func([]byte)) *transport {
+func newTransport(l Transport, at netip.AddrPort, label string, ways map[string]string, hello func([]byte)) *transport {
 	t := &transport{lines: l, at: at, label: crc32.ChecksumIEEE([]byte(label)), ways: ways, hello: hello, packets: make(chan *memberlist.Packet, packetsAhead), streams: make(chan net.Conn),
 		slots: make(chan struct{}, streamsAtOnce), closed: make(chan struct{}), looks: make(chan struct{}, 1)}
 	go t.readDatagrams()
--- a/internal/net/fleet/wire.go
+++ b/internal/net/fleet/wire.go
@@ -75,19 +75,19 @@
 	return at.String()
 }
 
-func encodeHello(h members.Hello) ([]byte, error) {
-	return cbor.Marshal(wireHello{wireVersion, uint64(h.Process), uint64(h.Revision), uint32(h.Sum), packAddr(h.Addr), h.Doubts, h.Asks})
+func encodeHello(h members.Heartbeat) ([]byte, error) {
+	return cbor.Marshal(wireHello{wireVersion, uint64(h.Process), uint64(h.Revision), uint32(h.Digest), packAddr(h.Addr), h.SelfDoubt, h.WantsReply})
 }
 
-func decodeHello(b []byte) (members.Hello, error) {
+func decodeHello(b []byte) (members.Heartbeat, error) {
 	var w wireHello
 	if err := reading.Unmarshal(b, &w); err != nil {
-		return members.Hello{}, err
+		return members.Heartbeat{}, err
 	}
-	h := members.Hello{Process: members.ProcessID(w.Process), Revision: members.Revision(w.Revision), Sum: uint64(w.Sum),
-		Addr: unpackAddr(w.Addr), Doubts: w.Doubts, Asks: w.Asks}
+	h := members.Heartbeat{Process: members.ProcessID(w.Process), Revision: members.Revision(w.Revision), Digest: uint64(w.Sum),
+		Addr: unpackAddr(w.Addr), SelfDoubt: w.Doubts, WantsReply: w.Asks}
 	if w.Version == 0 || h.Process == 0 || h.Addr == "" {
-		return members.Hello{}, errWire
+		return members.Heartbeat{}, errWire
 	}
 	return h, nil
 }
@@ -100,8 +100,8 @@
 }
 
 func encodeStatement(s members.Statement) ([]byte, error) {
-	return cbor.Marshal(wireStatement{wireVersion, uint64(s.Process), string(s.Node), uint32(s.Life), uint64(s.Revision), packAddr(s.Addr),
-		s.Leaves, s.Yields, s.Doubts, ids[uint64](s.Hears), ids[uint64](s.Misses)})
+	return cbor.Marshal(wireStatement{wireVersion, uint64(s.Process), string(s.Node), uint32(s.Incarnation), uint64(s.Revision), packAddr(s.Addr),
+		s.Leaving, s.YieldsName, s.SelfDoubt, ids[uint64](s.Hears), ids[uint64](s.Misses)})
 }
 
 func decodeStatement(b []byte) (members.Statement, error) {
@@ -112,11 +112,11 @@
 	if err := reading.Unmarshal(b, &w); err != nil {
 		return members.Statement{}, err
 	}
-	if w.Version == 0 || len(w.Hears) > members.MostOf || len(w.Misses) > members.MostOf {
+	if w.Version == 0 || len(w.Hears) > members.MaxNeighbours || len(w.Misses) > members.MaxNeighbours {
 		return members.Statement{}, errWire
 	}
-	return members.Statement{Process: members.ProcessID(w.Process), Node: members.NodeName(w.Node), Life: members.Life(w.Life),
-		Revision: members.Revision(w.Revision), Addr: unpackAddr(w.Addr), Leaves: w.Leaves, Yields: w.Yields, Doubts: w.Doubts,
+	return members.Statement{Process: members.ProcessID(w.Process), Node: members.NodeName(w.Node), Incarnation: members.Incarnation(w.Life),
+		Revision: members.Revision(w.Revision), Addr: unpackAddr(w.Addr), Leaving: w.Leaves, YieldsName: w.Yields, SelfDoubt: w.Doubts,
 		Hears: ids[members.ProcessID](w.Hears), Misses: ids[members.ProcessID](w.Misses)}, nil
 }
 
--- a/internal/net/purges/purges_test.go
+++ b/internal/net/purges/purges_test.go
@@ -78,7 +78,7 @@
 const fills = 400 * time.Millisecond
 
 func newFleet(t *testing.T, caches, machines int) *fleet {
-	f := &fleet{t: t, terms: *charter.UsualPurges()}
+	f := &fleet{t: t, terms: *charter.DefaultPurges()}
 	f.terms.FillsS, f.terms.FlushS, f.log.fresh = fills.Seconds(), 0.1, make(chan struct{})
 	for i := range caches {
 		c, err := keeper.Open(fmt.Sprint("c", i), boottime, f.tell)
--- a/internal/scale/changes/rig/caches.go
+++ b/internal/scale/changes/rig/caches.go
@@ -39,7 +39,7 @@
 
 func (r *run) openCaches() error {
 	for i := range r.Caches {
-		c, err := keeper.Open(fmt.Sprintf("cache-%02d", i), fleet.Boottime, func(x trace.Cached) {
+		c, err := keeper.Open(fmt.Sprintf("cache-%02d", i), fleet.BootTime, func(x trace.Cached) {
 			r.caches.mu.Lock()
 			defer r.caches.mu.Unlock()
 			r.caches.records = append(r.caches.records, x)
@@ -105,9 +105,9 @@
 			key, by := string(p.Body), sent.Add(r.Fills-refillLate)
 			at := sent.Add(time.Duration(r.chance() * float64(r.Fills-2*refillLate)))
 			r.caches.fills.Add(1)
-			time.AfterFunc(at.Since(fleet.Boottime()), func() {
+			time.AfterFunc(at.Since(fleet.BootTime()), func() {
 				defer r.caches.fills.Done()
-				if fleet.Boottime() < by {
+				if fleet.BootTime() < by {
 					c.Fill(key, 1)
 				}
 			})
@@ -175,7 +175,7 @@
 		}
 	}
 	c.Break(keeper.None, 0)
-	r.caches.back = fleet.Boottime()
+	r.caches.back = fleet.BootTime()
 	all.Wait()
 	return err
 }
--- a/internal/scale/changes/rig/hollow.go
+++ b/internal/scale/changes/rig/hollow.go
@@ -84,7 +84,7 @@
 		h.mark = mark
 		return
 	}
-	h.to.put(trace.Record{At: fleet.Boottime(), Index: uint64(at), Mark: mark, Node: h.number, What: what})
+	h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, What: what})
 }
 
 func (h *hollow) Purge(at accord.Index, key string) { h.note(trace.Applied, at, accord.Purge, key) }
@@ -99,7 +99,7 @@
 	h.begins, h.mark = true, 0
 	err := h.reader.Begin(log, at, config)
 	if h.begins = false; err == nil {
-		h.to.put(trace.Record{At: fleet.Boottime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: trace.Began})
+		h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: trace.Began})
 	}
 	return err
 }
@@ -108,7 +108,7 @@
 func (h *hollow) Now() accord.Standing             { return h.reader.Now() }
 
 func (h *hollow) told(at accord.Index) {
-	h.to.put(trace.Record{At: fleet.Boottime(), Index: uint64(at), Node: h.number, What: trace.Told})
+	h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Node: h.number, What: trace.Told})
 }
 
 // Name is a hollow node's.
@@ -145,7 +145,7 @@
 		h := &hollow{to: to, number: s.First + uint32(i)}
 		h.reader = accord.NewReader(h)
 		all = append(all, net.Follow(net.FollowBerth{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, At: s.At, Seed: s.Seed + h.number, Stale: 30 * time.Second,
-			Reader: h, Log: log, Now: fleet.Boottime, Told: h.told}))
+			Reader: h, Log: log, Now: fleet.BootTime, Told: h.told}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
 	each := time.NewTicker(sampleEach)
@@ -167,7 +167,7 @@
 func sample(all []*net.Following) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	s := Sample{At: fleet.Boottime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
+	s := Sample{At: fleet.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
 	for _, f := range all {
 		now := f.Status()
 		s.In, s.Out = append(s.In, now.InBytes), append(s.Out, now.OutBytes)
--- a/internal/scale/changes/rig/rig.go
+++ b/internal/scale/changes/rig/rig.go
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	for _, play := range p.Plays {
-		m := mark{play: play, from: fleet.Boottime(), before: r.usedBy()}
+		m := mark{play: play, from: fleet.BootTime(), before: r.usedBy()}
 		r.say("%s begins; load %s", play, Load())
 		switch play {
 		case Steady:
@@ -195,7 +195,7 @@
 			return nil, fmt.Errorf("%s: %w", play, err)
 		}
 		time.Sleep(2 * sampleEach) // so that no play is in another one's figures
-		m.until, m.after, m.rss = fleet.Boottime(), r.usedBy(), r.residentBy()
+		m.until, m.after, m.rss = fleet.BootTime(), r.usedBy(), r.residentBy()
 		r.marks = append(r.marks, m)
 	}
 	r.report.Load = append(r.report.Load, Load())
@@ -369,10 +369,10 @@
 	ctx, done := context.WithTimeout(ctx, publishBy)
 	defer done()
 	r.cached(all)
-	sent := fleet.Boottime()
+	sent := fleet.BootTime()
 	r.refill(all, sent)
 	at, err := r.caller.Publish(ctx, all)
-	acked := fleet.Boottime()
+	acked := fleet.BootTime()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, p := range all {
@@ -463,7 +463,7 @@
 // cutOff cuts a region off while an hour's changes pass, and measures until it has all again.
 func (r *run) cutOff(ctx context.Context) error {
 	region := r.CutRegion
-	r.cutFrom = fleet.Boottime()
+	r.cutFrom = fleet.BootTime()
 	r.between.Cut(region, true)
 	r.say("region %d is cut off", region)
 	var all sync.WaitGroup
@@ -498,7 +498,7 @@
 	}
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent))
 	r.between.Cut(region, false)
-	r.cutUntil = fleet.Boottime()
+	r.cutUntil = fleet.BootTime()
 	r.say("region %d is back; newest entry %d", region, o.Last)
 	all.Wait()
 	return nil
@@ -517,7 +517,7 @@
 				break
 			}
 		}
-		r.report.Shown = max(r.report.Shown, time.Duration(fleet.Boottime()-o.Acked).Seconds())
+		r.report.Shown = max(r.report.Shown, time.Duration(fleet.BootTime()-o.Acked).Seconds())
 	}
 }
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -34,7 +34,7 @@
 // Node is one hollow node: the control part of a real one, on sockets.
 type Node struct {
 	Place Place
-	Post  *fleet.Post
+	Post  *fleet.Node
 	parts []Part
 	once  sync.Once
 }
@@ -51,7 +51,7 @@
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n := &Node{Place: at}
-	if n.Post, err = fleet.Join(fleet.Berth{Name: at.Name, Charter: f, Log: quiet, Now: fleet.Boottime}, lines); err != nil {
+	if n.Post, err = fleet.Join(fleet.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: fleet.BootTime}, lines); err != nil {
 		return nil, err
 	}
 	n.parts = append(n.parts, turn(n.Post))
@@ -82,7 +82,7 @@
 // turning stands for the loop that serves clients.
 type turning struct{ end chan struct{} }
 
-func turn(p *fleet.Post) turning {
+func turn(p *fleet.Node) turning {
 	t := turning{make(chan struct{})}
 	go func() {
 		each := time.NewTicker(turnsEach)
@@ -92,7 +92,7 @@
 			case <-t.end:
 				return
 			case <-each.C:
-				p.Turned()
+				p.LoopAdvanced()
 			}
 		}
 	}()
--- a/internal/scale/lines.go
+++ b/internal/scale/lines.go
@@ -28,7 +28,7 @@
 }
 
 // Lines are sockets that go by the rules.
-func (r *ruler) lines(l fleet.Lines, region RegionID) fleet.Lines {
+func (r *ruler) lines(l fleet.Transport, region RegionID) fleet.Transport {
 	dial := l.Dial
 	l.Datagrams, l.Streams = &ruledDatagrams{PacketConn: l.Datagrams, r: r, region: region}, &ruledStreams{l.Streams, r, region}
 	l.Dial = func(addr string, within time.Duration) (net.Conn, error) {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -94,7 +94,7 @@
 }
 
 func usual() File {
-	return File{Places: Places{Regions: 1, Sites: 1, Zones: 1}, Starts: Starts{ApartMs: 25}, Members: charter.Usual().Members}
+	return File{Places: Places{Regions: 1, Sites: 1, Zones: 1}, Starts: Starts{ApartMs: 25}, Members: charter.Default().Members}
 }
 
 // ReadFile reads such a file; no name is for the usual.
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -55,12 +55,12 @@
 
 // status is how one node stands.
 type status struct {
-	Name    string       `json:"name"`
-	Members int          `json:"members"`
-	Mark    string       `json:"mark"`
-	CutOff  bool         `json:"cut_off"`
-	Flows   []fleet.Flow `json:"flows,omitempty"`
-	Dropped uint64       `json:"dropped,omitempty"`
+	Name    string               `json:"name"`
+	Members int                  `json:"members"`
+	Mark    string               `json:"mark"`
+	CutOff  bool                 `json:"cut_off"`
+	Flows   []fleet.TrafficStats `json:"flows,omitempty"`
+	Dropped uint64               `json:"dropped,omitempty"`
 }
 
 // process is the rig's hand in a process of hollow nodes.
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -357,9 +357,9 @@
 		}
 		f.places[i].List = at
 	}
-	file := charter.Usual()
+	file := charter.Default()
 	file.Members = p.File.Members
-	file.Members.Most = max(file.Members.Most, nodes)
+	file.Members.MaxMembers = max(file.Members.MaxMembers, nodes)
 	file.Fleet.Label = fmt.Sprintf("scale-%d-%d-%d", os.Getpid(), nodes, p.Seed)
 	for i := range min(seedsOf, nodes) {
 		file.Fleet.Seeds = append(file.Fleet.Seeds, f.places[i*nodes/min(seedsOf, nodes)].Addr)
@@ -637,7 +637,7 @@
 // window is how long a size is measured once it is steady: so long that each node begins as many exchanges of all that is known as any
 // other.
 func (p *Plan) window(nodes int) time.Duration {
-	each := fleet.ExchangeEach(nodes)
+	each := fleet.PushPullInterval(nodes)
 	if p.Window < each/2 { // a short look, in which none may be
 		return p.Window
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -193,7 +193,7 @@
 	faults := between.New(1)
 	r := &ruler{faults: faults}
 	come := map[net.Addr]chan string{}
-	open := func(addr string, region RegionID, ruled bool) fleet.Lines {
+	open := func(addr string, region RegionID, ruled bool) fleet.Transport {
 		l, err := fleet.Listen(addr)
 		if err != nil {
 			t.Fatal(err)
@@ -216,7 +216,7 @@
 		return l
 	}
 	here, near, far, real := open("127.10.0.1:0", 0, true), open("127.10.0.2:0", 0, true), open("127.11.0.1:0", 1, true), open("127.11.200.1:0", 1, false)
-	datagram := func(from, to fleet.Lines, want time.Duration) {
+	datagram := func(from, to fleet.Transport, want time.Duration) {
 		t.Helper()
 		began := time.Now()
 		if _, err := from.Datagrams.WriteTo([]byte("x"), to.Datagrams.LocalAddr()); err != nil {
@@ -231,7 +231,7 @@
 			t.Fatal("a datagram never came")
 		}
 	}
-	stream := func(from, to fleet.Lines, within time.Duration, want string) (took time.Duration) {
+	stream := func(from, to fleet.Transport, within time.Duration, want string) (took time.Duration) {
 		t.Helper()
 		said := make(chan string, 1)
 		go func() {
@@ -280,14 +280,14 @@
 	if took := stream(here, near, 5*time.Second, "yes"); took > delay {
 		t.Errorf("a stream within a region took %v", took)
 	}
-	for _, pair := range [][2]fleet.Lines{{here, far}, {here, real}, {real, here}} {
+	for _, pair := range [][2]fleet.Transport{{here, far}, {here, real}, {real, here}} {
 		if took := stream(pair[0], pair[1], 5*time.Second, "yes"); took < 2*delay {
 			t.Errorf("a stream there and back took %v", took)
 		}
 	}
 	cut(faults, 1, 2, true)
-	for _, from := range []fleet.Lines{here, real} {
-		to := map[bool]fleet.Lines{true: far, false: here}[from.Datagrams == here.Datagrams]
+	for _, from := range []fleet.Transport{here, real} {
+		to := map[bool]fleet.Transport{true: far, false: here}[from.Datagrams == here.Datagrams]
 		from.Datagrams.WriteTo([]byte("lost"), to.Datagrams.LocalAddr())
 		stream(from, to, delay, "")
 	}
@@ -317,7 +317,7 @@
 	all, port := []*Node{}, free.Streams.Addr().(*net.TCPAddr).AddrPort().Port()
 	free.Datagrams.Close()
 	free.Streams.Close()
-	file := charter.Usual()
+	file := charter.Default()
 	file.Members.HelloMs, file.Members.PauseS, file.Members.BackS = 100, 0.8, 0.6
 	file.Fleet.Label = "hollow"
 	for _, at := range Lay(nodes, 0, f.Places, port) {
@@ -363,7 +363,7 @@
 		if flow.OutMessages < 2 || flow.In < float64(len(list.whole)) || flow.Out == 0 {
 			t.Errorf("%s has called %+v", n.Place.Name, flow)
 		}
-		hellos := n.Post.Flows()[0]
+		hellos := n.Post.Traffic()[0]
 		if hellos.Out == 0 || hellos.InBytes == 0 {
 			t.Errorf("%s: %+v", n.Place.Name, hellos)
 		}
--- a/node/changes.go
+++ b/node/changes.go
@@ -21,7 +21,7 @@
 	var process [8]byte
 	_, _ = rand.Read(process[:]) // never fails
 	n.follows.Store(accord.Follow(accord.FollowBerth{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
-		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewReader(byLog{n}), Log: n.log, Now: fleet.Boottime}))
+		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewReader(byLog{n}), Log: n.log, Now: fleet.BootTime}))
 }
 
 // byLog is what the node does by the log of changes.
--- a/node/changes_test.go
+++ b/node/changes_test.go
@@ -19,12 +19,12 @@
 
 // control is a control machine on its own.
 func control(t *testing.T) accord.Caller {
-	f := charter.UsualControl()
+	f := charter.DefaultControl()
 	f.Control = charter.Control{ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir()}
 	f.Machines, f.Bounds.ElectMs = []charter.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}, 200
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	m, err := accord.Open(accord.Berth{File: &f, New: true, Log: quiet, Now: fleet.Boottime})
+	m, err := accord.Open(accord.Berth{File: &f, New: true, Log: quiet, Now: fleet.BootTime})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -68,7 +68,7 @@
 	log     *logrus.Logger
 	posting *Config                          // as it started
 	desk    *ops.Server                      // nil where no operators call
-	post    atomic.Pointer[fleet.Post]       // nil where it knows of no other node, or not yet
+	post    atomic.Pointer[fleet.Node]       // nil where it knows of no other node, or not yet
 	follows atomic.Pointer[accord.Following] // nil where it follows no log of changes, or not yet
 	hung    chan struct{}                    // closed when the loop is to go on; nil while it does
 	takes   sync.Once                        // its place among the nodes
--- a/node/posting.go
+++ b/node/posting.go
@@ -77,9 +77,9 @@
 	case p.charter == nil:
 		return 0
 	case len(p.charter.Changes.At) > 0:
-		return fleet.Files + accord.FollowFiles
+		return fleet.Descriptors + accord.FollowFiles
 	}
-	return fleet.Files
+	return fleet.Descriptors
 }
 
 // ReadPosting reads a posting from a file.
--- a/node/together.go
+++ b/node/together.go
@@ -14,8 +14,8 @@
 
 // join has the node know the others.
 func (n *Node) join() error {
-	post, err := fleet.Open(fleet.Berth{Name: n.posting.Name, Charter: n.posting.charter, Log: n.log, Now: fleet.Boottime, Trace: n.posting.OnTrace,
-		Ended: func(err error) {
+	post, err := fleet.Open(fleet.Config{Name: n.posting.Name, FleetConfig: n.posting.charter, Log: n.log, Now: fleet.BootTime, Trace: n.posting.OnTrace,
+		OnNameConflict: func(err error) {
 			n.log.WithError(err).Error("this process ends")
 			n.fault.Store(&err)
 			n.Shutdown()
@@ -53,7 +53,7 @@
 // turned is called at each turn of the loop.
 func (n *Node) turned() {
 	if post := n.post.Load(); post != nil {
-		post.Turned()
+		post.LoopAdvanced()
 	}
 }
 
@@ -70,11 +70,11 @@
 		if n.yields = n.relay.Replaced(); n.yields {
 			stance = fleet.Yielding
 		}
-		post.Stand(stance)
+		post.SetPresence(stance)
 	case to == Standby:
-		post.Stand(fleet.Leaving)
+		post.SetPresence(fleet.Leaving)
 	case was == Standby && to != Standby:
-		post.Stand(fleet.Staying)
+		post.SetPresence(fleet.Staying)
 	}
 }
 
