--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -29,8 +29,8 @@
 // errLacks says that not every node has all; scripts tell it by the exit code.
 var errLacks = errors.New("not every node has all changes, not all purges are done at every cache, or no leader is heard")
 
-func callerOf(at, label string) (accord.Caller, error) {
-	c := accord.Caller{At: strings.Split(at, ","), Label: label}
+func callerOf(at, label string) (accord.Client, error) {
+	c := accord.Client{At: strings.Split(at, ","), Label: label}
 	for _, a := range c.At {
 		if _, err := netip.ParseAddrPort(a); err != nil || len(c.At) > mostToAsk {
 			return c, fmt.Errorf("--at %q is not one to %d addresses and ports of control machines, with commas", at, mostToAsk)
@@ -95,7 +95,7 @@
 			if err != nil {
 				return err
 			}
-			o, err := caller.Changes()
+			o, err := caller.Overview()
 			if err != nil {
 				return err
 			}
@@ -104,7 +104,7 @@
 			} else {
 				err = showChanges(c.OutOrStdout(), o)
 			}
-			if err == nil && !o.Whole() {
+			if err == nil && !o.CaughtUp() {
 				return errLacks
 			}
 			return err
@@ -131,7 +131,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", m.Name, role, m.Last, m.Floor, m.Config, m.Out, m.Foreign, m.Away, heard)
 	}
-	var lacking []accord.NodeRow
+	var lacking []accord.NodeStatus
 	for _, n := range o.Nodes {
 		if n.Lacks > 0 || n.Silent || n.Begins || n.Refused > 0 {
 			lacking = append(lacking, n)
@@ -167,7 +167,7 @@
 	if len(o.Caches) == 0 {
 		return
 	}
-	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c accord.CacheRow) bool { return c.Lacks == 0 })
+	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c accord.CacheStatus) bool { return c.Lacks == 0 })
 	fmt.Fprintf(w, "\n%d caches, purges are done at %d of them\n", len(o.Caches), len(o.Caches)-len(lacking))
 	if len(lacking) > 0 {
 		fmt.Fprintln(w, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -113,8 +113,8 @@
 	if text := shown(o); strings.Contains(text, "cache") {
 		t.Errorf("%s", text)
 	}
-	o.Caches = []accord.CacheRow{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
-		Machines: []accord.CacheAt{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
+	o.Caches = []accord.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
+		Machines: []accord.CacheProgress{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
 	text := shown(o)
 	for _, want := range []string{"2 caches, purges are done at 1 of them", "ill    4     5      3     6             1: refused, 2.5 s; to be flushed"} {
 		if !strings.Contains(text, want) {
--- a/cmd/dahliapin/control.go
+++ b/cmd/dahliapin/control.go
@@ -36,20 +36,20 @@
 	if err != nil {
 		return err
 	}
-	b := accord.Berth{File: f, New: first, Log: logrus.StandardLogger(), Now: fleet.BootTime}
+	b := accord.Config{File: f, New: first, Log: logrus.StandardLogger(), Now: fleet.BootTime}
 	if traced != "" {
 		keep, end, err := keptTrace(traced)
 		if err != nil {
 			return err
 		}
 		defer end()
-		b.Kept = keep
+		b.OnPersisted = keep
 		count, end, err := countedTrace(traced)
 		if err != nil {
 			return err
 		}
 		defer end()
-		b.Counted = count
+		b.OnPurgeProgress = count
 	}
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
@@ -91,7 +91,7 @@
 	keep = func(all []changes.Proposal) {
 		l := trace.Kept{At: fleet.BootTime()}
 		for _, p := range all {
-			l.Marks = append(l.Marks, p.Mark())
+			l.Marks = append(l.Marks, p.ContentHash())
 		}
 		if text, err := json.Marshal(l); err == nil {
 			mu.Lock()
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	LongestKey    = 250       // bytes of a purged key: the cache protocol's own limit
-	LongestConfig = 256 << 10 // bytes of a configuration
-	MostAtOnce    = 1024      // proposals in one batch: a burst of a thousand is one
-	Remembered    = 65_536    // ids by which a proposal made again is known: almost two hours at 9.5 a second
-	mostPayload   = 40        // bytes of an entry beside its body
+	MaxKeyBytes       = 250       // bytes of a purged key: the cache protocol's own limit
+	MaxConfigBytes    = 256 << 10 // bytes of a configuration
+	MaxBatchProposals = 1024      // proposals in one batch: a burst of a thousand is one
+	DedupWindow       = 65_536    // ids by which a proposal made again is known: almost two hours at 9.5 a second
+	mostPayload       = 40        // bytes of an entry beside its body
 )
 
 // Index numbers the entries of the log, from 1 without gaps. It is not the replicated log's own, which also counts entries of its own.
@@ -63,7 +63,7 @@
 var ErrProposal = errors.New("not a change that can be published")
 
 // Mark is the same for what says the same: by it a judge sees one change ordered twice, whatever its ids.
-func (p Proposal) Mark() uint64 {
+func (p Proposal) ContentHash() uint64 {
 	return keyhash.Salted(keyhash.String(string(p.Body)), int(p.Kind))
 }
 
@@ -72,10 +72,10 @@
 	switch {
 	case p.ID == ProposalID{}:
 		return fmt.Errorf("%w: it has no id", ErrProposal)
-	case p.Kind == Purge && (len(p.Body) == 0 || len(p.Body) > LongestKey):
-		return fmt.Errorf("%w: a key of %d bytes, from 1 to %d can be", ErrProposal, len(p.Body), LongestKey)
-	case p.Kind == Config && (len(p.Body) == 0 || len(p.Body) > LongestConfig):
-		return fmt.Errorf("%w: a configuration of %d bytes, from 1 to %d can be", ErrProposal, len(p.Body), LongestConfig)
+	case p.Kind == Purge && (len(p.Body) == 0 || len(p.Body) > MaxKeyBytes):
+		return fmt.Errorf("%w: a key of %d bytes, from 1 to %d can be", ErrProposal, len(p.Body), MaxKeyBytes)
+	case p.Kind == Config && (len(p.Body) == 0 || len(p.Body) > MaxConfigBytes):
+		return fmt.Errorf("%w: a configuration of %d bytes, from 1 to %d can be", ErrProposal, len(p.Body), MaxConfigBytes)
 	case p.Kind != Purge && p.Kind != Config:
 		return fmt.Errorf("%w: %v", ErrProposal, p.Kind)
 	}
@@ -90,13 +90,13 @@
 
 // Bounds are how much of the log is kept for nodes that come back.
 type Bounds struct {
-	Entries int // at most
-	Bytes   int // of them, at most
-	Least   int // entries kept although all have applied them, for who is just off
+	Entries    int // at most
+	Bytes      int // of them, at most
+	MinEntries int // entries kept although all have applied them, for who is just off
 }
 
 // UsualBounds hold more than an hour of 9.5 purges a second.
-var UsualBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, Least: 4096}
+var DefaultBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, MinEntries: 4096}
 
 // kept is an entry as it is kept: encoded once, for all that follow.
 type kept struct {
@@ -128,7 +128,7 @@
 func (s *State) Floor() Index { return s.floor }
 
 // Log is which log it is; 0 until its first leader has said so.
-func (s *State) Log() LogID { return s.log }
+func (s *State) ID() LogID { return s.log }
 
 // Config is the latest configuration and its index; 0 for none.
 func (s *State) Config() Index {
@@ -158,13 +158,13 @@
 		at[i] = s.last
 		s.keep(Entry{s.last, p})
 		s.ids[p.ID] = s.last
-		if s.recent = append(s.recent, p.ID); len(s.recent) > Remembered {
+		if s.recent = append(s.recent, p.ID); len(s.recent) > DedupWindow {
 			delete(s.ids, s.recent[0])
 			s.recent = s.recent[1:]
 		}
 	}
 	if all := min(b.Trim, s.last); all > s.floor {
-		s.cut(min(int(all-s.floor), max(0, len(s.tail)-s.bounds.Least)))
+		s.cut(min(int(all-s.floor), max(0, len(s.tail)-s.bounds.MinEntries)))
 	}
 	over := max(0, len(s.tail)-s.bounds.Entries)
 	for over < len(s.tail)-1 && s.end()-s.tail[over].end+s.sizeAt(over) > uint64(s.bounds.Bytes) {
@@ -221,7 +221,7 @@
 
 // After hands out encoded entries that follow an index, one at least and more up to a number of bytes; and false where they are not
 // kept any more.
-func (s *State) After(i Index, bytes int) (raw []cbor.RawMessage, upTo Index, is bool) {
+func (s *State) EntriesAfter(i Index, bytes int) (raw []cbor.RawMessage, upTo Index, is bool) {
 	if i < s.floor {
 		return nil, 0, false
 	}
@@ -247,7 +247,7 @@
 
 // Begin is where a node starts that has nothing, or less than is kept: at an index, with the configuration in force there, encoded;
 // nil for none. A fresh node starts at the newest entry, one that is behind at the floor, so that it misses no purge that is kept.
-func (s *State) Begin(fresh bool) (Index, cbor.RawMessage) {
+func (s *State) StartingPoint(fresh bool) (Index, cbor.RawMessage) {
 	at, config := s.floor, s.base
 	if fresh {
 		at, config = s.last, s.config
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -32,7 +32,7 @@
 	refuse   string
 }
 
-func (n *node) Presume(upTo Index) { n.presumed = upTo }
+func (n *node) PresumePurged(upTo Index) { n.presumed = upTo }
 func (n *node) Purge(at Index, key string) {
 	n.did, n.at = append(n.did, key), append(n.at, at)
 }
@@ -50,18 +50,18 @@
 // configuration.
 func TestTheLogHasEachChangeOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := Bounds{Entries: rapid.IntRange(3, 40).Draw(t, "entries"), Bytes: rapid.IntRange(100, 4000).Draw(t, "bytes"), Least: rapid.IntRange(0, 3).Draw(t, "least")}
+		bounds := Bounds{Entries: rapid.IntRange(3, 40).Draw(t, "entries"), Bytes: rapid.IntRange(100, 4000).Draw(t, "bytes"), MinEntries: rapid.IntRange(0, 3).Draw(t, "least")}
 		a, b := New(bounds), New(bounds)
 		var said []string // by index from 1
 		first := map[ProposalID]Index{}
 		did := &node{}
-		reader := NewReader(did)
+		reader := NewApplier(did)
 		seen, begins := Index(0), 0
 		follow := func() {
-			raw, _, is := a.After(reader.Now().Applied, rapid.IntRange(0, 200).Draw(t, "frame"))
-			if !reader.Now().Begun || !is {
-				at, base := a.Begin(!reader.Now().Begun)
-				if err := reader.Begin(0, at, base); err != nil {
+			raw, _, is := a.EntriesAfter(reader.CurrentProgress().Applied, rapid.IntRange(0, 200).Draw(t, "frame"))
+			if !reader.CurrentProgress().Started || !is {
+				at, base := a.StartingPoint(!reader.CurrentProgress().Started)
+				if err := reader.Start(0, at, base); err != nil {
 					t.Fatal(err)
 				}
 				seen, begins = at, begins+1
@@ -77,7 +77,7 @@
 				did.did, did.at = nil, nil
 				return
 			}
-			if err := reader.Take(raw); err != nil {
+			if err := reader.Apply(raw); err != nil {
 				t.Fatal(err)
 			}
 			for i, at := range did.at {
@@ -133,22 +133,22 @@
 				follow()
 			}
 		}
-		for reader.Now().Applied < a.Last() || !reader.Now().Begun {
+		for reader.CurrentProgress().Applied < a.Last() || !reader.CurrentProgress().Started {
 			follow()
 		}
 	})
 }
 
 func TestALogKeepsItsFirstID(t *testing.T) {
-	s := New(UsualBounds)
+	s := New(DefaultBounds)
 	for _, log := range []LogID{0, 5, 6, 0} {
 		b, err := DecodeBatch(Batch{Log: log}.Encode())
 		if s.Apply(b); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if r, err := Restore(s.Snapshot(), UsualBounds); err != nil || s.Log() != 5 || r.Log() != 5 {
-		t.Errorf("%d, %v", s.Log(), err)
+	if r, err := Restore(s.Snapshot(), DefaultBounds); err != nil || s.ID() != 5 || r.ID() != 5 {
+		t.Errorf("%d, %v", s.ID(), err)
 	}
 }
 
@@ -157,17 +157,17 @@
 	one := purge(1)
 	s.Apply(Batch{Proposals: []Proposal{one}})
 	p := purge(2)
-	for n := range Remembered - 1 {
+	for n := range DedupWindow - 1 {
 		p.ID[5], p.ID[6], p.ID[7] = byte(n), byte(n>>8), byte(n>>16)
 		s.Apply(Batch{Proposals: []Proposal{p}})
 	}
 	if at := s.Apply(Batch{Proposals: []Proposal{one}}); at[0] != 1 || s.repeated != 1 {
-		t.Errorf("among the last %d: %v", Remembered, at)
+		t.Errorf("among the last %d: %v", DedupWindow, at)
 	}
-	if s.Apply(Batch{Proposals: []Proposal{purge(3)}}); len(s.ids) != Remembered || len(s.recent) != Remembered {
+	if s.Apply(Batch{Proposals: []Proposal{purge(3)}}); len(s.ids) != DedupWindow || len(s.recent) != DedupWindow {
 		t.Errorf("%d ids, %d in a row", len(s.ids), len(s.recent))
 	}
-	if r, err := Restore(s.Snapshot(), s.bounds); err != nil || len(r.ids) != Remembered || r.ids[p.ID] != s.last-1 {
+	if r, err := Restore(s.Snapshot(), s.bounds); err != nil || len(r.ids) != DedupWindow || r.ids[p.ID] != s.last-1 {
 		t.Errorf("restored: %v, %v", r, err)
 	}
 }
@@ -182,62 +182,62 @@
 
 func TestAReaderLetsNoGapPass(t *testing.T) {
 	did := &node{}
-	r := NewReader(did)
-	if err := r.Take(raws(t, 1, 1)); !errors.Is(err, ErrGap) {
+	r := NewApplier(did)
+	if err := r.Apply(raws(t, 1, 1)); !errors.Is(err, ErrGap) {
 		t.Errorf("before it began: %v", err)
 	}
-	if err := r.Begin(7, 4, encodeEntry(Entry{2, config(2)})); err != nil || did.config != "config 2" || did.presumed != 4 {
+	if err := r.Start(7, 4, encodeEntry(Entry{2, config(2)})); err != nil || did.config != "config 2" || did.presumed != 4 {
 		t.Errorf("%v, %q, presumed %d", err, did.config, did.presumed)
 	}
-	if err := r.Take(append(raws(t, 3, 6), raws(t, 8, 9)...)); !errors.Is(err, ErrGap) {
+	if err := r.Apply(append(raws(t, 3, 6), raws(t, 8, 9)...)); !errors.Is(err, ErrGap) {
 		t.Errorf("a gap: %v", err)
 	}
-	if now := r.Now(); now.Applied != 6 || now.Gaps != 2 || !slices.Equal(did.at, []Index{2, 5, 6}) {
+	if now := r.CurrentProgress(); now.Applied != 6 || now.Gaps != 2 || !slices.Equal(did.at, []Index{2, 5, 6}) {
 		t.Errorf("%+v, %v", now, did.at)
 	}
-	if err := r.Begin(7, 6, nil); !errors.Is(err, ErrGap) {
+	if err := r.Start(7, 6, nil); !errors.Is(err, ErrGap) {
 		t.Errorf("an old beginning was taken: %v", err)
 	}
-	if err := r.Begin(8, 1, encodeEntry(Entry{1, config(1)})); err != nil || r.Now().Applied != 1 || did.config != "config 1" || did.presumed != 1 {
-		t.Errorf("another log: %v, %+v", err, r.Now())
+	if err := r.Start(8, 1, encodeEntry(Entry{1, config(1)})); err != nil || r.CurrentProgress().Applied != 1 || did.config != "config 1" || did.presumed != 1 {
+		t.Errorf("another log: %v, %+v", err, r.CurrentProgress())
 	}
-	if err := r.Begin(9, 0, nil); err != nil || r.Now().Config != 0 {
-		t.Errorf("one without a configuration: %v, %+v", err, r.Now())
+	if err := r.Start(9, 0, nil); err != nil || r.CurrentProgress().Config != 0 {
+		t.Errorf("one without a configuration: %v, %+v", err, r.CurrentProgress())
 	}
 }
 
 func TestARefusedConfigurationIsToldAndChangesNothing(t *testing.T) {
 	did := &node{refuse: "config 2"}
-	r := NewReader(did)
-	_ = r.Begin(0, 0, nil)
-	_ = r.Take([]cbor.RawMessage{encodeEntry(Entry{1, config(1)}), encodeEntry(Entry{2, config(2)}), encodeEntry(Entry{3, purge(3)})})
-	if now := r.Now(); now.Config != 1 || now.Refused != 2 || now.Reason == "" || now.Applied != 3 || did.config != "config 1" {
+	r := NewApplier(did)
+	_ = r.Start(0, 0, nil)
+	_ = r.Apply([]cbor.RawMessage{encodeEntry(Entry{1, config(1)}), encodeEntry(Entry{2, config(2)}), encodeEntry(Entry{3, purge(3)})})
+	if now := r.CurrentProgress(); now.Config != 1 || now.Refused != 2 || now.Reason == "" || now.Applied != 3 || did.config != "config 1" {
 		t.Errorf("%+v, %q", now, did.config)
 	}
-	_ = r.Take([]cbor.RawMessage{encodeEntry(Entry{4, config(4)})})
-	if now := r.Now(); now.Config != 4 || now.Refused != 0 || now.Reason != "" {
+	_ = r.Apply([]cbor.RawMessage{encodeEntry(Entry{4, config(4)})})
+	if now := r.CurrentProgress(); now.Config != 4 || now.Refused != 0 || now.Reason != "" {
 		t.Errorf("%+v", now)
 	}
 }
 
 func TestWhatIsNoPartOfTheLogIsRefused(t *testing.T) {
 	for name, p := range map[string]Proposal{"no id": {Kind: Purge, Body: []byte("k")}, "no key": {ID: ProposalID{1}, Kind: Purge},
-		"a long key": {ID: ProposalID{1}, Kind: Purge, Body: make([]byte, LongestKey+1)}, "a kind": {ID: ProposalID{1}, Kind: 9, Body: []byte("k")},
-		"a long configuration": {ID: ProposalID{1}, Kind: Config, Body: make([]byte, LongestConfig+1)}} {
-		if s := New(UsualBounds); !errors.Is(p.Check(), ErrProposal) || s.Apply(Batch{Proposals: []Proposal{p}})[0] != 0 || s.Last() != 0 {
+		"a long key": {ID: ProposalID{1}, Kind: Purge, Body: make([]byte, MaxKeyBytes+1)}, "a kind": {ID: ProposalID{1}, Kind: 9, Body: []byte("k")},
+		"a long configuration": {ID: ProposalID{1}, Kind: Config, Body: make([]byte, MaxConfigBytes+1)}} {
+		if s := New(DefaultBounds); !errors.Is(p.Check(), ErrProposal) || s.Apply(Batch{Proposals: []Proposal{p}})[0] != 0 || s.Last() != 0 {
 			t.Errorf("%s: %v", name, p.Check())
 		}
 	}
 	good := Batch{Proposals: []Proposal{purge(1)}}.Encode()
 	for _, bad := range [][]byte{nil, {0xff}, good[:len(good)-1], encode(wireBatch{}), encode(wireBatch{Version: 1, Proposals: []wireProposal{{ID: []byte("short")}}}),
-		encode(wireBatch{Version: 1, Proposals: make([]wireProposal, MostAtOnce+1)})} {
+		encode(wireBatch{Version: 1, Proposals: make([]wireProposal, MaxBatchProposals+1)})} {
 		if _, err := DecodeBatch(bad); !errors.Is(err, ErrWire) {
 			t.Errorf("% x: %v", bad[:min(len(bad), 20)], err)
 		}
 	}
 	for _, bad := range [][]byte{nil, encode(wireState{}), encode(wireState{Version: 1, Last: 2, Tail: []cbor.RawMessage{encodeEntry(Entry{1, purge(1)})}}),
 		encode(wireState{Version: 1, Last: 1, Tail: []cbor.RawMessage{encodeEntry(Entry{2, purge(1)})}}), encode(wireState{Version: 1, IDs: make([]byte, 16)})} {
-		if _, err := Restore(bad, UsualBounds); !errors.Is(err, ErrWire) {
+		if _, err := Restore(bad, DefaultBounds); !errors.Is(err, ErrWire) {
 			t.Errorf("% x: %v", bad, err)
 		}
 	}
@@ -252,11 +252,11 @@
 	for n := range 2500 {
 		all = append(all, purge(n+1))
 	}
-	if got := Batches(all); len(got) != 3 || len(got[2].Proposals) != 2500-2*MostAtOnce {
+	if got := Batches(all); len(got) != 3 || len(got[2].Proposals) != 2500-2*MaxBatchProposals {
 		t.Errorf("%d batches", len(got))
 	}
 	big := config(1)
-	big.Body = make([]byte, LongestConfig)
+	big.Body = make([]byte, MaxConfigBytes)
 	for _, b := range Batches(slices.Repeat([]Proposal{big}, 20)) {
 		if n := len(b.Encode()); n > longestBatch+1000 {
 			t.Errorf("a batch of %d bytes", n)
--- a/internal/fleet/accord/reader.go
+++ b/internal/fleet/accord/reader.go
@@ -13,7 +13,7 @@
 // Handler is what a node does by the log. Calls come one at a time, in the log's order.
 type Handler interface {
 	// Presume carries out the rule presume-purged: everything up to an index may have been purged, and which keys is not known.
-	Presume(upTo Index)
+	PresumePurged(upTo Index)
 	// Purge has caches no longer serve a key.
 	Purge(at Index, key string)
 	// Configure takes a configuration. With an error it is refused: what runs stays, and the refusal is told.
@@ -21,36 +21,36 @@
 }
 
 // Standing is up to where a node has come.
-type Standing struct {
-	Begun    bool
-	Log      LogID // that it begun with
-	Applied  Index
-	Config   Index // of the configuration in force, 0 for the node's own
-	Refused  Index // of the latest configuration that could not be taken, 0 for none since the one in force
-	Reason   string
-	Presumed Index // everything up to here may have been purged
-	Purges   uint64
-	Unknown  uint64 // entries of kinds that this node does not know
-	Gaps     uint64 // times that what came did not follow
+type Progress struct {
+	Started        bool
+	Log            LogID // that it begun with
+	Applied        Index
+	Config         Index // of the configuration in force, 0 for the node's own
+	Refused        Index // of the latest configuration that could not be taken, 0 for none since the one in force
+	Reason         string
+	PresumedPurged Index // everything up to here may have been purged
+	Purges         uint64
+	Unknown        uint64 // entries of kinds that this node does not know
+	Gaps           uint64 // times that what came did not follow
 }
 
 // Reader applies entries in order, and none twice. It is one goroutine's.
-type Reader struct {
+type Applier struct {
 	to Handler
-	Standing
+	Progress
 }
 
 // NewReader has applied nothing.
-func NewReader(to Handler) *Reader { return &Reader{to: to} }
+func NewApplier(to Handler) *Applier { return &Applier{to: to} }
 
 // Now is how it stands.
-func (r *Reader) Now() Standing { return r.Standing }
+func (r *Applier) CurrentProgress() Progress { return r.Progress }
 
 // Begin starts at an index of a log with the configuration in force there, encoded; empty for none. One of the same log that is no
 // further than what was applied is refused: it would take older for newer.
-func (r *Reader) Begin(log LogID, at Index, config cbor.RawMessage) error {
-	another := r.Begun && log != r.Log
-	if r.Begun && !another && at <= r.Applied {
+func (r *Applier) Start(log LogID, at Index, config cbor.RawMessage) error {
+	another := r.Started && log != r.Log
+	if r.Started && !another && at <= r.Applied {
 		return fmt.Errorf("%w: to begin at %d, after %d was applied", ErrGap, at, r.Applied)
 	}
 	if another { // what was in force by it stays, and has no index here
@@ -67,13 +67,13 @@
 			r.configure(e)
 		}
 	}
-	r.Begun, r.Log, r.Applied, r.Presumed = true, log, at, at
-	r.to.Presume(at)
+	r.Started, r.Log, r.Applied, r.PresumedPurged = true, log, at, at
+	r.to.PresumePurged(at)
 	return nil
 }
 
 // Take applies entries that follow one another and what was applied. Those that were applied before are passed over; at a gap it stops.
-func (r *Reader) Take(raw []cbor.RawMessage) error {
+func (r *Applier) Apply(raw []cbor.RawMessage) error {
 	for _, b := range raw {
 		e, err := DecodeEntry(b)
 		if err != nil {
@@ -82,7 +82,7 @@
 		if e.Index <= r.Applied {
 			continue
 		}
-		if !r.Begun || e.Index != r.Applied+1 {
+		if !r.Started || e.Index != r.Applied+1 {
 			r.Gaps++
 			return fmt.Errorf("%w: %d after %d", ErrGap, e.Index, r.Applied)
 		}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (r *Reader) configure(e Entry) {
+func (r *Applier) configure(e Entry) {
 	if err := r.to.Configure(e.Index, e.Body); err != nil {
 		r.Refused, r.Reason = e.Index, err.Error()
 		return
--- a/internal/fleet/accord/store/store.go
+++ b/internal/fleet/accord/store/store.go
@@ -44,11 +44,11 @@
 // Store is one machine's disk. It is one goroutine's, but for Storage's own reading.
 type Store struct {
 	*raft.MemoryStorage
-	db     *bbolt.DB
-	OnDisk func([]*pb.Entry) // told of entries once they are on disk; nil for nobody
-	since  int               // bytes of entries since the last snapshot
-	snapAt uint64
-	prevAt uint64 // raft's index of the snapshot before
+	db          *bbolt.DB
+	OnPersisted func([]*pb.Entry) // told of entries once they are on disk; nil for nobody
+	since       int               // bytes of entries since the last snapshot
+	snapAt      uint64
+	prevAt      uint64 // raft's index of the snapshot before
 }
 
 // Open opens a folder's store. In an empty one the log begins with such voters and learners; that is refused unless it may.
@@ -207,8 +207,8 @@
 	if err := s.MemoryStorage.Append(entries); err != nil {
 		return err
 	}
-	if s.OnDisk != nil && len(entries) > 0 {
-		s.OnDisk(entries)
+	if s.OnPersisted != nil && len(entries) > 0 {
+		s.OnPersisted(entries)
 	}
 	return nil
 }
@@ -229,13 +229,13 @@
 }
 
 // Since is how many entries of raft's up to one, and how many bytes, came after the last snapshot.
-func (s *Store) Since(applied uint64) (entries uint64, bytes int) {
+func (s *Store) SizeSinceSnapshot(applied uint64) (entries uint64, bytes int) {
 	return applied - min(applied, s.snapAt), s.since
 }
 
 // Shorten keeps a snapshot of the state at an index of raft's, and no entries before the snapshot that was before it: a machine that is
 // a little behind gets entries, not all.
-func (s *Store) Shorten(applied uint64, state []byte) error {
+func (s *Store) Compact(applied uint64, state []byte) error {
 	snap, err := s.MemoryStorage.CreateSnapshot(applied, nil, state)
 	if err != nil {
 		return err
--- a/internal/fleet/accord/store/store_test.go
+++ b/internal/fleet/accord/store/store_test.go
@@ -58,7 +58,7 @@
 	dir := t.TempDir()
 	s := opened(t, dir, true)
 	told := 0
-	s.OnDisk = func(es []*pb.Entry) { told += len(es) }
+	s.OnPersisted = func(es []*pb.Entry) { told += len(es) }
 	saved(t, s.Save(hard(2, 3, 1), []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil))
 	saved(t, s.Save(hard(3, 1, 1), []*pb.Entry{entry(3, 3, "B")}, nil)) // a later leader's take the place of b and c
 	if got := texts(t, s); got != "aB" || told != 4 {
@@ -70,7 +70,7 @@
 	if got := texts(t, s); got != "aB" || h.GetTerm() != 3 || h.GetVote() != 1 || len(conf.GetVoters()) != 3 || len(conf.GetLearners()) != 1 {
 		t.Errorf("%q, %v, %v", got, h, conf)
 	}
-	saved(t, s.Shorten(3, []byte("state")))
+	saved(t, s.Compact(3, []byte("state")))
 	saved(t, s.Save(nil, []*pb.Entry{entry(4, 3, "d")}, nil))
 	saved(t, s.Close())
 	s = opened(t, dir, false)
@@ -79,7 +79,7 @@
 	if got := texts(t, s); got != "d" || string(snap.GetData()) != "state" || snap.GetMetadata().GetTerm() != 3 || h.GetCommit() < 3 || len(conf.GetVoters()) != 3 {
 		t.Errorf("%q, %v, %v, %v", got, snap, h, conf)
 	}
-	if n, bytes := s.Since(4); n != 1 || bytes != 1 {
+	if n, bytes := s.SizeSinceSnapshot(4); n != 1 || bytes != 1 {
 		t.Errorf("since the snapshot: %d, %d bytes", n, bytes)
 	}
 	// another's snapshot takes the place of all
--- a/internal/fleet/accord/wire.go
+++ b/internal/fleet/accord/wire.go
@@ -54,7 +54,7 @@
 var ErrWire = errors.New("not a part of the log of changes")
 
 // Reading reads with bounds: guards against messages that would cost more to read than they could be worth.
-var Reading = func() cbor.DecMode {
+var DecodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: math.MaxInt32 >> 4, MaxMapPairs: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
@@ -88,10 +88,10 @@
 // DecodeEntry reads an entry. A kind that is not known is the reader's to pass over.
 func DecodeEntry(b []byte) (Entry, error) {
 	var w wireEntry
-	if len(b) > LongestConfig+2*mostPayload {
+	if len(b) > MaxConfigBytes+2*mostPayload {
 		return Entry{}, fmt.Errorf("%w: an entry of %d bytes", ErrWire, len(b))
 	}
-	if err := Reading.Unmarshal(b, &w); err != nil {
+	if err := DecodeMode.Unmarshal(b, &w); err != nil {
 		return Entry{}, fmt.Errorf("%w: %w", ErrWire, err)
 	}
 	p, err := w.proposal()
@@ -113,10 +113,10 @@
 	if len(b) > 2*longestBatch {
 		return Batch{}, fmt.Errorf("%w: a batch of %d bytes", ErrWire, len(b))
 	}
-	if err := Reading.Unmarshal(b, &w); err != nil {
+	if err := DecodeMode.Unmarshal(b, &w); err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrWire, err)
 	}
-	if w.Version == 0 || len(w.Proposals) > MostAtOnce {
+	if w.Version == 0 || len(w.Proposals) > MaxBatchProposals {
 		return Batch{}, fmt.Errorf("%w: version %d, %d proposals", ErrWire, w.Version, len(w.Proposals))
 	}
 	out := Batch{Trim: Index(w.Trim), Log: LogID(w.Log)}
@@ -135,7 +135,7 @@
 	bytes := 0
 	for _, p := range all {
 		size := len(p.Body) + mostPayload
-		if n := len(out); n == 0 || len(out[n-1].Proposals) == MostAtOnce || bytes+size > longestBatch {
+		if n := len(out); n == 0 || len(out[n-1].Proposals) == MaxBatchProposals || bytes+size > longestBatch {
 			out, bytes = append(out, Batch{}), 0
 		}
 		bytes += size
@@ -163,11 +163,11 @@
 // Restore is the state that a snapshot has.
 func Restore(b []byte, bounds Bounds) (*State, error) {
 	var w wireState
-	if err := Reading.Unmarshal(b, &w); err != nil {
+	if err := DecodeMode.Unmarshal(b, &w); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrWire, err)
 	}
 	ids := len(w.IDs) / len(ProposalID{})
-	if w.Version == 0 || w.Floor+uint64(len(w.Tail)) != w.Last || len(w.IDs)%len(ProposalID{}) != 0 || ids > Remembered || uint64(ids) > w.Last {
+	if w.Version == 0 || w.Floor+uint64(len(w.Tail)) != w.Last || len(w.IDs)%len(ProposalID{}) != 0 || ids > DedupWindow || uint64(ids) > w.Last {
 		return nil, fmt.Errorf("%w: a snapshot of version %d, %d entries from %d to %d, %d bytes of ids", ErrWire, w.Version, len(w.Tail), w.Floor, w.Last, len(w.IDs))
 	}
 	s := New(bounds)
--- a/internal/fleet/purges/purges.go
+++ b/internal/fleet/purges/purges.go
@@ -46,17 +46,17 @@
 }
 
 // Terms are how purges are carried out.
-type Terms struct {
-	Fills time.Duration // the longest that a fill may take: from reading the value at the origin until it is in a cache
-	Each  time.Duration // between two commands to a cache, once a burst has gone
+type Config struct {
+	LongestFill     time.Duration // the longest that a fill may take: from reading the value at the origin until it is in a cache
+	CommandInterval time.Duration // between two commands to a cache, once a burst has gone
 }
 
 // Log is what a control machine has of the log of changes.
 type Log interface {
-	Stands() (id accord.LogID, floor, last accord.Index)
+	Position() (id accord.LogID, floor, last accord.Index)
 	Entry(accord.Index) (accord.Entry, bool) // false where it is not kept
 	// Asked is when this machine was first asked to have an entry ordered; false where it was not, or that is forgotten.
-	Asked(accord.Index) (policy.Instant, bool)
+	RequestedAt(accord.Index) (policy.Instant, bool)
 }
 
 type point struct {
@@ -65,13 +65,13 @@
 }
 
 // Times remembers when this machine had which entries. A purge was published before that, as before this machine was asked to have it ordered.
-type Times struct {
+type ArrivalTimes struct {
 	log    accord.LogID
 	points []point
 }
 
 // Note says which entries there are now. With another log all begins anew.
-func (t *Times) Note(now policy.Instant, log accord.LogID, last accord.Index) {
+func (t *ArrivalTimes) Record(now policy.Instant, log accord.LogID, last accord.Index) {
 	if log != t.log {
 		t.log, t.points = log, nil
 	}
@@ -84,7 +84,7 @@
 }
 
 // Last is the newest entry that was noted.
-func (t *Times) Last() accord.Index {
+func (t *ArrivalTimes) Last() accord.Index {
 	if len(t.points) == 0 {
 		return 0
 	}
@@ -92,7 +92,7 @@
 }
 
 // Had is when an entry was there at the latest; false for not yet.
-func (t *Times) Had(i accord.Index) (policy.Instant, bool) {
+func (t *ArrivalTimes) KnownAt(i accord.Index) (policy.Instant, bool) {
 	n := sort.Search(len(t.points), func(n int) bool { return t.points[n].last >= i })
 	if n == len(t.points) {
 		return 0, false
@@ -101,7 +101,7 @@
 }
 
 // Newest is the newest entry that was there at a time; 0 where that is not known.
-func (t *Times) Newest(at policy.Instant) accord.Index {
+func (t *ArrivalTimes) NewestAt(at policy.Instant) accord.Index {
 	n := sort.Search(len(t.points), func(n int) bool { return t.points[n].at > at })
 	if n == 0 {
 		return 0
@@ -110,13 +110,13 @@
 }
 
 // Gate spreads flushes over time, as each empties a cache whose load goes to the origin.
-type Gate struct {
+type FlushLimiter struct {
 	Each time.Duration
 	next policy.Instant
 }
 
 // pass takes a turn, or tells when there is one.
-func (g *Gate) pass(now policy.Instant) (is bool, at policy.Instant) {
+func (g *FlushLimiter) pass(now policy.Instant) (is bool, at policy.Instant) {
 	if now < g.next {
 		return false, g.next
 	}
@@ -129,10 +129,10 @@
 
 // The kinds of commands.
 const (
-	First Kind = iota + 1 // deletes a key at once
-	Final                 // deletes it once no fill from before can be under way
-	Flush                 // has all of it go: what is lacking is not kept
-	Last                  // the same, once no fill from before can be under way
+	FirstDelete      Kind = iota + 1 // deletes a key at once
+	ConfirmingDelete                 // deletes it once no fill from before can be under way
+	Flush                            // has all of it go: what is lacking is not kept
+	ConfirmingFlush                  // the same, once no fill from before can be under way
 )
 
 // Command is one to be sent.
@@ -150,7 +150,7 @@
 
 // Cache is one cache, as one control machine knows it. It is used by one goroutine at a time.
 type Cache struct {
-	Terms
+	Config
 	cursor  Cursor
 	log     accord.LogID // that all of the following are of
 	first   accord.Index // first deletes are answered up to here
@@ -167,15 +167,15 @@
 }
 
 // NewCache has what its cursor says.
-func NewCache(t Terms, c Cursor, now policy.Instant) *Cache {
-	return &Cache{Terms: t, cursor: c, log: c.Log, first: c.Done, sent1: c.Done, sent2: c.Done, asks: now.Add(othersBy)}
+func NewCache(t Config, c Cursor, now policy.Instant) *Cache {
+	return &Cache{Config: t, cursor: c, log: c.Log, first: c.Done, sent1: c.Done, sent2: c.Done, asks: now.Add(othersBy)}
 }
 
 // Cursor is up to where purges are done.
 func (c *Cache) Cursor() Cursor { return c.cursor }
 
 // First is up to where each key was deleted at least once.
-func (c *Cache) First() accord.Index {
+func (c *Cache) FirstDeleted() accord.Index {
 	if c.done() < c.skipped {
 		return c.done()
 	}
@@ -192,13 +192,13 @@
 
 // Flushing tells whether all of it has to go, or is going.
 func (c *Cache) Flushing(log Log) bool {
-	id, floor, _ := log.Stands()
+	id, floor, _ := log.Position()
 	return c.lacks(id, floor)
 }
 
 // Listed says that the list has a process of the cache now. A later one may be elsewhere, and what was done since it began was done at the one
 // before it: it gets all that its fills could bring, which is what was known since so long before the list last had the one before.
-func (c *Cache) Listed(now policy.Instant, started Incarnation, t *Times) {
+func (c *Cache) OnListed(now policy.Instant, started Incarnation, t *ArrivalTimes) {
 	if started < c.cursor.Started { // an older list, or a clock set back: what is done is done at the later one
 		return
 	}
@@ -207,16 +207,16 @@
 			c.cursor.Done = c.cursor.Sure
 			c.first, c.sent1, c.sent2, c.skipped = c.done(), c.done(), c.done(), 0
 		}
-		c.Broke(now, 0) // what is in flight is to the process before
+		c.OnDisconnect(now, 0) // what is in flight is to the process before
 		c.emptied, c.fails = false, 0
 	}
 	if c.cursor.Log == t.log {
-		c.cursor.Sure = max(c.cursor.Sure, t.Newest(now.Add(-NewsBy-c.Fills)))
+		c.cursor.Sure = max(c.cursor.Sure, t.NewestAt(now.Add(-NewsBy-c.LongestFill)))
 	}
 }
 
 // Adopt takes what another control machine knows to be done at the same process of the cache: that does not become untrue.
-func (c *Cache) Adopt(o Cursor) {
+func (c *Cache) MergeCursor(o Cursor) {
 	if o.Log != 0 && o.Started == c.cursor.Started && (c.cursor.Log == 0 || o.Log == c.cursor.Log && o.Done > c.cursor.Done) {
 		c.goOn(Cursor{o.Log, o.Started, o.Done, c.sure(o.Log)})
 	}
@@ -250,14 +250,14 @@
 }
 
 // Idle tells whether there is nothing to do, now or later, until there is more in the log.
-func (c *Cache) Idle(log Log, t *Times) bool {
-	id, floor, _ := log.Stands()
+func (c *Cache) Idle(log Log, t *ArrivalTimes) bool {
+	id, floor, _ := log.Position()
 	return id == 0 || c.cursor.Log == id && c.cursor.Done >= max(floor, t.Last())
 }
 
 // Next is the command to send now, or when to ask again; a time of 0 is at the next entry or answer.
-func (c *Cache) Next(now policy.Instant, log Log, t *Times, g *Gate) (cmd Command, is bool, again policy.Instant) {
-	id, floor, _ := log.Stands()
+func (c *Cache) NextCommand(now policy.Instant, log Log, t *ArrivalTimes, g *FlushLimiter) (cmd Command, is bool, again policy.Instant) {
+	id, floor, _ := log.Position()
 	last := t.Last()
 	if id == 0 || t.log != id {
 		return cmd, false, 0
@@ -269,8 +269,8 @@
 	if len(c.flights) >= Window {
 		return cmd, false, again
 	}
-	if c.tat = max(c.tat, now); c.tat > now.Add((Burst-1)*c.Each) {
-		return cmd, false, sooner(again, c.tat.Add((together-Burst)*c.Each))
+	if c.tat = max(c.tat, now); c.tat > now.Add((Burst-1)*c.CommandInterval) {
+		return cmd, false, sooner(again, c.tat.Add((together-Burst)*c.CommandInterval))
 	}
 	if c.lacks(id, floor) {
 		if cmd, is, again = c.nextFlush(now, last, g, again); is || !c.emptied {
@@ -279,7 +279,7 @@
 	} else if c.emptied = false; c.cursor.Log == 0 {
 		c.goOn(Cursor{Log: id, Started: c.cursor.Started}) // all that the log has ever had is kept
 	}
-	over := t.Newest(now.Add(-c.Fills)) // fills from before these are over
+	over := t.NewestAt(now.Add(-c.LongestFill)) // fills from before these are over
 	if over > max(c.sent1, c.done()) && !c.emptied {
 		c.skipped = over
 	}
@@ -289,9 +289,9 @@
 			break
 		}
 		if c.sent1 = n; purge(e) {
-			return c.send(now, First, e), true, 0
+			return c.send(now, FirstDelete, e), true, 0
 		}
-		c.pass(First, n)
+		c.pass(FirstDelete, n)
 	}
 	for n := c.sent2 + 1; n <= last && !c.emptied; n++ {
 		e, is := log.Entry(n)
@@ -300,24 +300,24 @@
 		}
 		if !purge(e) {
 			c.sent2 = n
-			c.pass(Final, n)
+			c.pass(ConfirmingDelete, n)
 			continue
 		}
-		had, _ := t.Had(n)
-		if at, is := log.Asked(n); is { // it was published before that: what ordering took is no matter to fills
+		had, _ := t.KnownAt(n)
+		if at, is := log.RequestedAt(n); is { // it was published before that: what ordering took is no matter to fills
 			had = min(had, at)
 		}
-		if had.Add(c.Fills) > now {
-			return cmd, false, sooner(again, had.Add(c.Fills))
+		if had.Add(c.LongestFill) > now {
+			return cmd, false, sooner(again, had.Add(c.LongestFill))
 		}
 		c.sent2 = n
-		return c.send(now, Final, e), true, 0
+		return c.send(now, ConfirmingDelete, e), true, 0
 	}
 	return cmd, false, again
 }
 
 // nextFlush has all of it go twice: at once, and once no fill from before can be under way.
-func (c *Cache) nextFlush(now policy.Instant, last accord.Index, g *Gate, again policy.Instant) (cmd Command, is bool, at policy.Instant) {
+func (c *Cache) nextFlush(now policy.Instant, last accord.Index, g *FlushLimiter, again policy.Instant) (cmd Command, is bool, at policy.Instant) {
 	for _, f := range c.flights {
 		if f.Kind >= Flush {
 			return cmd, false, again
@@ -325,7 +325,7 @@
 	}
 	kind, ready := Flush, c.asks
 	if c.emptied {
-		kind, ready = Last, c.flushed.Add(c.Fills)
+		kind, ready = ConfirmingFlush, c.flushed.Add(c.LongestFill)
 	}
 	if now < ready {
 		return cmd, false, sooner(again, ready)
@@ -347,7 +347,7 @@
 
 // purge tells whether an entry is one that a cache can have something to do with: no command can be made of other keys, and none kept.
 func purge(e accord.Entry) bool {
-	if e.Kind != accord.Purge || len(e.Body) > accord.LongestKey {
+	if e.Kind != accord.Purge || len(e.Body) > accord.MaxKeyBytes {
 		return false
 	}
 	for _, b := range e.Body {
@@ -366,7 +366,7 @@
 			return
 		}
 	}
-	if kind == Final {
+	if kind == ConfirmingDelete {
 		c.cursor.Done = n
 	}
 	c.first = max(c.first, n)
@@ -375,12 +375,12 @@
 func (c *Cache) send(now policy.Instant, kind Kind, e accord.Entry) Command {
 	cmd := Command{kind, e.Index, e.Body}
 	c.flights = append(c.flights, flight{cmd, e.Index, now})
-	c.tat = c.tat.Add(c.Each)
+	c.tat = c.tat.Add(c.CommandInterval)
 	return cmd
 }
 
 // Due is the command whose answer comes next; false for none.
-func (c *Cache) Due() (Command, bool) {
+func (c *Cache) AwaitingAnswer() (Command, bool) {
 	if len(c.flights) == 0 {
 		return Command{}, false
 	}
@@ -388,7 +388,7 @@
 }
 
 // Answered takes the cache's word that the command due is carried out.
-func (c *Cache) Answered(log Log, t *Times) {
+func (c *Cache) OnAnswer(log Log, t *ArrivalTimes) {
 	if len(c.flights) == 0 {
 		return
 	}
@@ -396,29 +396,29 @@
 	c.flights = c.flights[1:]
 	c.fails = 0
 	switch f.Kind {
-	case First:
+	case FirstDelete:
 		c.first = max(c.first, f.upTo)
-	case Final:
+	case ConfirmingDelete:
 		c.cursor.Done = max(c.cursor.Done, f.upTo)
 		c.first = max(c.first, f.upTo)
 	case Flush:
 		c.emptied, c.flush, c.flushed = true, f.Index, f.sent
 		c.first, c.sent1 = max(c.first, c.flush), max(c.sent1, c.flush)
-	case Last:
-		if id, floor, _ := log.Stands(); id == t.log && c.lacks(id, floor) {
-			c.goOn(Cursor{id, c.cursor.Started, max(c.flush, t.Newest(f.sent.Add(-c.Fills))), c.sure(id)})
+	case ConfirmingFlush:
+		if id, floor, _ := log.Position(); id == t.log && c.lacks(id, floor) {
+			c.goOn(Cursor{id, c.cursor.Started, max(c.flush, t.NewestAt(f.sent.Add(-c.LongestFill))), c.sure(id)})
 		}
 		c.emptied = false
 	}
 }
 
 // Silent tells whether an answer is overdue.
-func (c *Cache) Silent(now policy.Instant) bool {
+func (c *Cache) AnswerOverdue(now policy.Instant) bool {
 	return len(c.flights) > 0 && now >= c.flights[0].sent.Add(AnswerBy)
 }
 
 // Broke says that a connection ended, or never came up: what was not answered is sent again, after a rest. Chance is from 0 up to 1.
-func (c *Cache) Broke(now policy.Instant, chance float64) (rest time.Duration) {
+func (c *Cache) OnDisconnect(now policy.Instant, chance float64) (rest time.Duration) {
 	for _, f := range c.flights {
 		if f.Kind == Flush {
 			c.asks = now.Add(flushAgain)
@@ -432,8 +432,8 @@
 }
 
 // Late counts entries that should be done by now, with so long a reserve.
-func (c *Cache) Late(now policy.Instant, t *Times, reserve time.Duration) uint64 {
-	due := t.Newest(now.Add(-c.Fills - reserve))
+func (c *Cache) Overdue(now policy.Instant, t *ArrivalTimes, reserve time.Duration) uint64 {
+	due := t.NewestAt(now.Add(-c.LongestFill - reserve))
 	if c.cursor.Log != t.log {
 		return uint64(due)
 	}
--- a/internal/fleet/purges/purges_test.go
+++ b/internal/fleet/purges/purges_test.go
@@ -18,7 +18,7 @@
 	asked map[accord.Index]policy.Instant
 }
 
-func (l *list) Stands() (accord.LogID, accord.Index, accord.Index) {
+func (l *list) Position() (accord.LogID, accord.Index, accord.Index) {
 	return l.id, l.floor, accord.Index(len(l.all))
 }
 func (l *list) Entry(i accord.Index) (e accord.Entry, is bool) {
@@ -27,7 +27,7 @@
 	}
 	return l.all[i-1], true
 }
-func (l *list) Asked(i accord.Index) (policy.Instant, bool) {
+func (l *list) RequestedAt(i accord.Index) (policy.Instant, bool) {
 	at, is := l.asked[i]
 	return at, is
 }
@@ -35,20 +35,20 @@
 	l.all = append(l.all, accord.Entry{Index: accord.Index(len(l.all) + 1), Proposal: accord.Proposal{Kind: kind, Body: []byte(body)}})
 }
 
-var usual = Terms{Fills: 3 * time.Second, Each: 2 * time.Millisecond}
+var usual = Config{LongestFill: 3 * time.Second, CommandInterval: 2 * time.Millisecond}
 
 // bench is one cache, as one control machine has it, and the clock.
 type bench struct {
 	t     *testing.T
 	now   policy.Instant
 	log   list
-	times Times
-	gate  Gate
+	times ArrivalTimes
+	gate  FlushLimiter
 	*Cache
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, now: policy.Instant(time.Hour), log: list{id: 7}, gate: Gate{Each: 10 * time.Second}}
+	b := &bench{t: t, now: policy.Instant(time.Hour), log: list{id: 7}, gate: FlushLimiter{Each: 10 * time.Second}}
 	b.Cache = NewCache(usual, Cursor{}, b.now)
 	return b
 }
@@ -59,13 +59,13 @@
 	}
 	b.note()
 }
-func (b *bench) note()                { b.times.Note(b.now, b.log.id, accord.Index(len(b.log.all))) }
+func (b *bench) note()                { b.times.Record(b.now, b.log.id, accord.Index(len(b.log.all))) }
 func (b *bench) wait(d time.Duration) { b.now = b.now.Add(d) }
 
 // sends tells all commands that go now, as kinds and indexes.
 func (b *bench) sends() (out string) {
 	for {
-		cmd, is, _ := b.Next(b.now, &b.log, &b.times, &b.gate)
+		cmd, is, _ := b.NextCommand(b.now, &b.log, &b.times, &b.gate)
 		if !is {
 			return out
 		}
@@ -75,7 +75,7 @@
 
 func (b *bench) answer(n int) {
 	for range n {
-		b.Answered(&b.log, &b.times)
+		b.OnAnswer(&b.log, &b.times)
 	}
 }
 
@@ -94,10 +94,10 @@
 	b.publish("a key", "a\r\nflush_all") // of these no command can be made
 	b.wants("at once", "11 12 ", 0)
 	b.answer(2)
-	if b.First() != 5 {
-		t.Errorf("first %d", b.First())
+	if b.FirstDeleted() != 5 {
+		t.Errorf("first %d", b.FirstDeleted())
 	}
-	b.wait(usual.Fills - 1)
+	b.wait(usual.LongestFill - 1)
 	b.wants("while a fill may be under way", "", 0)
 	b.wait(1)
 	b.wants("then", "21 22 ", 0)
@@ -117,7 +117,7 @@
 	b.publish("a", "b", "c")
 	b.wants("at once", "11 12 13 ", 0)
 	b.answer(3)
-	b.wait(usual.Fills - 2*time.Second)
+	b.wait(usual.LongestFill - 2*time.Second)
 	b.wants("the fills of the first are over", "21 ", 0)
 	b.answer(1)
 	b.wait(2*time.Second - 1)
@@ -133,22 +133,22 @@
 	b.answer(1)
 	var rests []time.Duration
 	for range 7 {
-		rests = append(rests, b.Broke(b.now, 0.999999))
+		rests = append(rests, b.OnDisconnect(b.now, 0.999999))
 	}
-	if rests[0] > firstRest || rests[1] < firstRest || rests[6] < mostRest*9/10 || rests[6] > mostRest || b.Broke(b.now, 0) != mostRest/2 {
+	if rests[0] > firstRest || rests[1] < firstRest || rests[6] < mostRest*9/10 || rests[6] > mostRest || b.OnDisconnect(b.now, 0) != mostRest/2 {
 		t.Errorf("rests %v", rests)
 	}
 	b.wants("again", "12 13 ", 0)
 	b.answer(2)
-	b.wait(usual.Fills)
+	b.wait(usual.LongestFill)
 	b.wants("final", "21 22 23 ", 0)
 	b.answer(2)
-	b.Broke(b.now, 0)
+	b.OnDisconnect(b.now, 0)
 	b.wants("the last final again", "23 ", 2)
-	if b.wait(AnswerBy - 1); b.Silent(b.now) {
+	if b.wait(AnswerBy - 1); b.AnswerOverdue(b.now) {
 		t.Error("silent too early")
 	}
-	if b.wait(1); !b.Silent(b.now) {
+	if b.wait(1); !b.AnswerOverdue(b.now) {
 		t.Error("not silent")
 	}
 }
@@ -171,11 +171,11 @@
 	if sent != Burst {
 		t.Errorf("%d went at once", sent)
 	}
-	_, is, at := b.Next(b.now, &b.log, &b.times, &b.gate)
-	if is || at != b.now.Add(together*usual.Each) {
+	_, is, at := b.NextCommand(b.now, &b.log, &b.times, &b.gate)
+	if is || at != b.now.Add(together*usual.CommandInterval) {
 		t.Errorf("%t, %v later", is, at.Since(b.now))
 	}
-	b.wait(100 * usual.Each)
+	b.wait(100 * usual.CommandInterval)
 	if b.sends(); len(b.flights) != 100 {
 		t.Errorf("%d by the pace", len(b.flights))
 	}
@@ -187,15 +187,15 @@
 	b.sends()
 	b.wait(time.Minute)
 	b.publish("b")
-	b.Broke(b.now, 0)
+	b.OnDisconnect(b.now, 0)
 	b.wants("old ones once, as their fills are over, and what is new at once", "12 21 ", 0)
 	b.answer(1)
-	if b.First() != 0 {
-		t.Errorf("first %d, though the one before was never deleted", b.First())
+	if b.FirstDeleted() != 0 {
+		t.Errorf("first %d, though the one before was never deleted", b.FirstDeleted())
 	}
 	b.answer(1)
 	b.wants("", "", 1)
-	if b.Late(b.now, &b.times, 0) != 0 || b.Late(b.now.Add(usual.Fills), &b.times, 0) != 1 {
+	if b.Overdue(b.now, &b.times, 0) != 0 || b.Overdue(b.now.Add(usual.LongestFill), &b.times, 0) != 1 {
 		t.Error("late")
 	}
 }
@@ -213,7 +213,7 @@
 		b.answer(1)
 		b.wants(name+": what is new goes on", "14 ", begin.Done)
 		b.answer(1)
-		b.wait(usual.Fills - 1)
+		b.wait(usual.LongestFill - 1)
 		b.wants(name+": fills under way", "", begin.Done)
 		b.wait(1)
 		b.wants(name+": again", "L4 ", begin.Done)
@@ -222,17 +222,17 @@
 			t.Errorf("%s: %+v", name, c)
 		}
 		other := NewCache(usual, Cursor{}, b.now)
-		if other.Adopt(Cursor{Log: 7, Done: 4}); other.Flushing(&b.log) || other.Cursor().Done != 4 {
+		if other.MergeCursor(Cursor{Log: 7, Done: 4}); other.Flushing(&b.log) || other.Cursor().Done != 4 {
 			t.Error("another machine has done it")
 		}
 		other = NewCache(usual, Cursor{}, b.now.Add(-othersBy))
 		other.send(b.now, Flush, accord.Entry{})
-		other.Broke(b.now, 0)
-		if _, is, at := other.Next(b.now, &b.log, &b.times, &Gate{}); is || at != b.now.Add(flushAgain) {
+		other.OnDisconnect(b.now, 0)
+		if _, is, at := other.NextCommand(b.now, &b.log, &b.times, &FlushLimiter{}); is || at != b.now.Add(flushAgain) {
 			t.Error("one without an answer takes the next turn")
 		}
 		other = NewCache(usual, Cursor{}, b.now.Add(-othersBy))
-		if _, is, at := other.Next(b.now, &b.log, &b.times, &b.gate); is || at != b.gate.next {
+		if _, is, at := other.NextCommand(b.now, &b.log, &b.times, &b.gate); is || at != b.gate.next {
 			t.Error("two flushes at once")
 		}
 	}
@@ -244,7 +244,7 @@
 	b.note()
 	b.wants("flush", "F0 ", 9)
 	b.answer(1)
-	b.wait(usual.Fills)
+	b.wait(usual.LongestFill)
 	b.wants("again", "L0 ", 9)
 	b.answer(1)
 	b.wants("", "", 0)
@@ -254,38 +254,38 @@
 
 func TestACacheThatBeganAnew(t *testing.T) {
 	b := newBench(t)
-	b.Listed(b.now, 5, &b.times)
+	b.OnListed(b.now, 5, &b.times)
 	b.publish("a")
 	b.wants("it is down, and nothing answers", "11 ", 0)
-	b.wait(NewsBy + usual.Fills)
-	b.Listed(b.now, 5, &b.times)
+	b.wait(NewsBy + usual.LongestFill)
+	b.OnListed(b.now, 5, &b.times)
 	b.publish("b") // a fill from before may be under way to the new one
 	b.wants("still", "12 21 ", 0)
 	b.wait(time.Second)
-	b.Listed(b.now, 6, &b.times)
+	b.OnListed(b.now, 6, &b.times)
 	b.wants("what its fills can't bring is left out", "12 ", 1)
 	b.answer(1)
-	b.wait(usual.Fills)
+	b.wait(usual.LongestFill)
 	b.wants("and what they can is not", "22 ", 1)
 	b.answer(1)
 	b.publish("c")
-	b.Listed(b.now, 5, &b.times)
+	b.OnListed(b.now, 5, &b.times)
 	b.wants("an older list", "13 ", 2)
 	if b.Cursor().Started != 6 {
 		t.Error("an older process is taken for a later one")
 	}
-	if b.Adopt(Cursor{Log: 7, Started: 5, Done: 3}); b.Cursor().Done != 2 {
+	if b.MergeCursor(Cursor{Log: 7, Started: 5, Done: 3}); b.Cursor().Done != 2 {
 		t.Error("another process's cursor is adopted")
 	}
-	b.wait(2*NewsBy + usual.Fills)
-	b.Listed(b.now, 5, &b.times)
-	if b.Listed(b.now, 7, &b.times); b.Cursor().Done != 1 {
+	b.wait(2*NewsBy + usual.LongestFill)
+	b.OnListed(b.now, 5, &b.times)
+	if b.OnListed(b.now, 7, &b.times); b.Cursor().Done != 1 {
 		t.Errorf("done up to %d; an older list tells nothing, and what was done lately was done at the one before", b.Cursor().Done)
 	}
 	b.wants("all of it once more", "22 23 ", 1)
 	was := b.Cursor()
 	b.Cache = NewCache(usual, was, b.now) // killed, and back with its disk
-	if b.Listed(b.now, 8, &b.times); b.Cursor().Done != was.Sure {
+	if b.OnListed(b.now, 8, &b.times); b.Cursor().Done != was.Sure {
 		t.Errorf("%+v after %+v", b.Cursor(), was)
 	}
 }
@@ -300,8 +300,8 @@
 		fresh bool          // one that returns begins at the newest
 		keeps bool          // its cursor holds for another process
 		want  bool
-	}{{name: "sound", fills: usual.Fills}, {name: "no second pass", want: true}, {name: "a cursor that leads", fills: usual.Fills, leads: true, want: true},
-		{name: "a returned one begins at the newest", fills: usual.Fills, fresh: true, want: true}, {name: "a cursor of the process before", fills: usual.Fills, keeps: true, want: true}} {
+	}{{name: "sound", fills: usual.LongestFill}, {name: "no second pass", want: true}, {name: "a cursor that leads", fills: usual.LongestFill, leads: true, want: true},
+		{name: "a returned one begins at the newest", fills: usual.LongestFill, fresh: true, want: true}, {name: "a cursor of the process before", fills: usual.LongestFill, keeps: true, want: true}} {
 		broken := 0
 		for seed := range uint32(20) {
 			broken += chances(t, seed, v.fills, v.leads, v.fresh, v.keeps)
@@ -318,7 +318,7 @@
 	chance := keyhash.Source{Seed: seed}
 	is := func(p float64) bool { return chance.Float64() < p }
 	b := newBench(t)
-	b.Cache = NewCache(Terms{fills, usual.Each}, Cursor{}, b.now)
+	b.Cache = NewCache(Config{fills, usual.CommandInterval}, Cursor{}, b.now)
 	disk, started, listed := Cursor{}, Incarnation(1), Incarnation(1)
 	origin, holds, asOf := [keys]int{}, map[int]int{}, map[accord.Index]int{}
 	type fill struct {
@@ -352,7 +352,7 @@
 		}
 		b.log.floor = accord.Index(max(0, len(b.log.all)-kept))
 		if k := int(chance.Float64() * keys); down == 0 && holds[k] == 0 {
-			filling = append(filling, fill{k, origin[k] + 1, b.now.Add(time.Duration(chance.Float64() * float64(usual.Fills)))})
+			filling = append(filling, fill{k, origin[k] + 1, b.now.Add(time.Duration(chance.Float64() * float64(usual.LongestFill)))})
 		}
 		for i := 0; i < len(filling); i++ {
 			if f := filling[i]; f.at <= b.now {
@@ -373,19 +373,19 @@
 			if leads {
 				disk.Log, disk.Done = b.log.id, accord.Index(len(b.log.all))
 			}
-			b.Cache, b.times = NewCache(Terms{fills, usual.Each}, disk, b.now), Times{}
+			b.Cache, b.times = NewCache(Config{fills, usual.CommandInterval}, disk, b.now), ArrivalTimes{}
 			b.note()
 		}
 		if cut, down = max(0, cut-1), max(0, down-1); down == 0 && b.now >= tells {
 			listed = started
 		}
 		before := b.Cursor()
-		if b.Listed(b.now, listed, &b.times); keeps && b.Cursor().Done < before.Done {
+		if b.OnListed(b.now, listed, &b.times); keeps && b.Cursor().Done < before.Done {
 			b.goOn(Cursor{Log: before.Log, Started: listed, Done: before.Done})
 		}
 		if cut > 0 || down > 0 {
-			if b.Silent(b.now) || is(0.01) {
-				b.Broke(b.now, 0)
+			if b.AnswerOverdue(b.now) || is(0.01) {
+				b.OnDisconnect(b.now, 0)
 			}
 			if b.sends(); fresh && cut+down == 1 {
 				b.goOn(Cursor{Log: b.log.id, Started: listed, Done: accord.Index(len(b.log.all))})
@@ -393,7 +393,7 @@
 		} else {
 			b.sends()
 			for len(b.flights) > 0 && is(0.9) { // in order, some of it with the next step
-				if cmd, _ := b.Due(); listed != started {
+				if cmd, _ := b.AwaitingAnswer(); listed != started {
 					// the process before it still answers, elsewhere
 				} else if cmd.Kind >= Flush {
 					clear(holds)
@@ -403,7 +403,7 @@
 				b.answer(1)
 			}
 			if is(0.02) {
-				b.Broke(b.now, 0)
+				b.OnDisconnect(b.now, 0)
 			}
 		}
 		done := b.Cursor().Done
--- a/internal/net/accord/accord_test.go
+++ b/internal/net/accord/accord_test.go
@@ -42,18 +42,18 @@
 	t    *testing.T
 	dirs []string
 	mu   sync.Mutex
-	ms   []*Machine
+	ms   []*Server
 	cut  map[string]bool // addresses that are not reached
 	open map[string][]net.Conn
-	bent func(i int, b *Berth) // a broken variant
+	bent func(i int, b *Config) // a broken variant
 	file func(*charter.ControlFile)
 }
 
 func peerAt(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 func nodeAt(i int) string { return fmt.Sprintf("10.0.0.%d:2", i+1) }
 
-func newFleet(t *testing.T, file func(*charter.ControlFile), bent func(int, *Berth)) *fleet {
-	f := &fleet{t: t, cut: map[string]bool{}, open: map[string][]net.Conn{}, ms: make([]*Machine, 4), bent: bent, file: file}
+func newFleet(t *testing.T, file func(*charter.ControlFile), bent func(int, *Config)) *fleet {
+	f := &fleet{t: t, cut: map[string]bool{}, open: map[string][]net.Conn{}, ms: make([]*Server, 4), bent: bent, file: file}
 	for range f.ms {
 		f.dirs = append(f.dirs, t.TempDir())
 	}
@@ -79,7 +79,7 @@
 	if f.file != nil {
 		f.file(&file)
 	}
-	b := Berth{File: &file, New: first, Log: quietly(), Now: boottime, Dial: func(addr string, within time.Duration) (net.Conn, error) {
+	b := Config{File: &file, New: first, Log: quietly(), Now: boottime, Dial: func(addr string, within time.Duration) (net.Conn, error) {
 		if f.isCut(peerAt(i)) { // a machine that is cut off reaches nobody
 			return nil, errors.New("cut")
 		}
@@ -183,7 +183,7 @@
 	}
 	ctx, done := context.WithTimeout(context.Background(), 20*time.Second)
 	defer done()
-	got, err := Caller{At: at, Label: "l", Dial: f.dial}.Publish(ctx, all)
+	got, err := Client{At: at, Label: "l", Dial: f.dial}.Publish(ctx, all)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 
 // follower keeps what it did by the log.
 type follower struct {
-	*Following
+	*Follower
 	mu       sync.Mutex
 	index    []accord.Index
 	did      []string
@@ -200,7 +200,7 @@
 	cut      bool
 }
 
-func (n *follower) Presume(upTo accord.Index) {
+func (n *follower) PresumePurged(upTo accord.Index) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.presumed = append(n.presumed, upTo)
@@ -220,7 +220,7 @@
 
 func (f *fleet) follow(name string, seed uint32) *follower {
 	n := &follower{}
-	n.Following = Follow(FollowBerth{Name: name, Label: "l", At: f.all(), Seed: seed, Stale: time.Second, Reader: accord.NewReader(n), Log: quietly(), Now: boottime,
+	n.Follower = StartFollower(FollowerConfig{Name: name, Label: "l", At: f.all(), Seed: seed, Stale: time.Second, Reader: accord.NewApplier(n), Log: quietly(), Now: boottime,
 		Dial: func(addr string, within time.Duration) (net.Conn, error) {
 			n.mu.Lock()
 			cut := n.cut
@@ -310,7 +310,7 @@
 		nodes = append(nodes, f.follow(fmt.Sprintf("n%02d", i), uint32(i)))
 	}
 	for _, n := range nodes {
-		for by := time.Now().Add(10 * time.Second); !n.now.Load().Begun && time.Now().Before(by); {
+		for by := time.Now().Add(10 * time.Second); !n.now.Load().Started && time.Now().Before(by); {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -349,8 +349,8 @@
 		t.Errorf("the nodes are at %v", used)
 	}
 	time.Sleep(2 * toldEach)
-	o, err := Caller{At: f.all(), Label: "l", Dial: f.dial}.Changes()
-	if err != nil || !o.Whole() || len(o.Nodes) != 24 || o.Last != 1012 || len(o.Machines) != 4 {
+	o, err := Client{At: f.all(), Label: "l", Dial: f.dial}.Overview()
+	if err != nil || !o.CaughtUp() || len(o.Nodes) != 24 || o.Last != 1012 || len(o.Machines) != 4 {
 		t.Errorf("%v: %+v", err, o)
 	}
 	if err := f.ms[was].Fault(); err != nil {
@@ -368,14 +368,14 @@
 	}
 	f.publish(purges(0, 1))
 	for _, n := range nodes {
-		f.upTo(n, 1-min(1, n.Status().Presumed))
+		f.upTo(n, 1-min(1, n.Status().PresumedPurged))
 	}
 	gone := f.leader()
 	lone := f.ms[gone]
 	n := &follower{} // a node that had rather be there than anywhere
-	n.Following = Follow(FollowBerth{Name: "there", Label: "l", At: f.all(), Seed: f.seedFor(gone), Stale: time.Second, Reader: accord.NewReader(n), Log: quietly(), Now: boottime, Dial: f.dial})
+	n.Follower = StartFollower(FollowerConfig{Name: "there", Label: "l", At: f.all(), Seed: f.seedFor(gone), Stale: time.Second, Reader: accord.NewApplier(n), Log: quietly(), Now: boottime, Dial: f.dial})
 	t.Cleanup(n.Close)
-	f.upTo(n, 1-min(1, n.Status().Presumed))
+	f.upTo(n, 1-min(1, n.Status().PresumedPurged))
 	nodes = append(nodes, n)
 	f.sever(gone, true)
 	began := time.Now()
@@ -409,7 +409,7 @@
 	n := f.follow("n", 1)
 	f.publish([]accord.Proposal{NewProposal(accord.Config, []byte("first")), NewProposal(accord.Config, []byte("bad one"))})
 	f.upTo(n, 2)
-	if s := n.Status(); s.Config > 1 || s.Presumed < 2 && (s.Refused != 2 || s.Reason == "") {
+	if s := n.Status(); s.Config > 1 || s.PresumedPurged < 2 && (s.Refused != 2 || s.Reason == "") {
 		t.Errorf("%+v", s)
 	}
 	n.mu.Lock()
@@ -428,7 +428,7 @@
 	n.cut = false
 	n.mu.Unlock()
 	f.upTo(n, 2003)
-	floor := n.Status().Presumed
+	floor := n.Status().PresumedPurged
 	if floor < 2003-1024 || floor > 2003-1 {
 		t.Errorf("it began at %d", floor)
 	}
@@ -524,7 +524,7 @@
 
 // broken is a disk that takes nothing more from some time on.
 type broken struct {
-	Disk
+	Storage
 	mu   sync.Mutex
 	full bool
 }
@@ -535,19 +535,19 @@
 	if b.full {
 		return errors.New("no space left")
 	}
-	return b.Disk.Save(hard, entries, snap)
+	return b.Storage.Save(hard, entries, snap)
 }
 
 // A machine whose disk takes nothing more acknowledges nothing more and ends; the others go on.
 func TestAMachineWhoseDiskIsFullEnds(t *testing.T) {
 	t.Parallel()
 	var disks [4]*broken
-	f := newFleet(t, nil, func(i int, b *Berth) {
+	f := newFleet(t, nil, func(i int, b *Config) {
 		s, err := store.Open(b.File.Control.Data, store.Owner{ID: uint64(i + 1), Label: "l"}, []uint64{1, 2, 3}, []uint64{4}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		disks[i] = &broken{Disk: s}
+		disks[i] = &broken{Storage: s}
 		b.Disk = disks[i]
 	})
 	f.publish(purges(0, 1))
@@ -593,7 +593,7 @@
 	if got := m.table.foreign.Load() - before; got != 10 {
 		t.Errorf("%d of 10 were counted", got)
 	}
-	if o, err := (Caller{At: []string{m.Addr()}, Label: "l"}).Changes(); err != nil || o.Machines[0].Foreign != before+10 || o.Machines[0].Out == 0 {
+	if o, err := (Client{At: []string{m.Addr()}, Label: "l"}).Overview(); err != nil || o.Machines[0].Foreign != before+10 || o.Machines[0].Out == 0 {
 		t.Errorf("told: %v, %+v", err, o)
 	}
 }
@@ -620,7 +620,7 @@
 			t.Fatalf("%+v", n.Status())
 		}
 	}
-	began := n.Status().Presumed
+	began := n.Status().PresumedPurged
 	late := purges(100, 5)
 	f.publish(late)
 	f.upTo(n, 5)
@@ -656,7 +656,7 @@
 func TestWhoLacksSomethingIsToldSo(t *testing.T) {
 	t.Parallel()
 	sound := word{Led: true, Head: 5, Rows: []row{{Node: "n", Applied: 5, Config: 2}}, Machines: []machineRow{{ID: 1, Head: 5}}}
-	if o := overview(sound); !o.Whole() {
+	if o := overview(sound); !o.CaughtUp() {
 		t.Errorf("%+v", o)
 	}
 	for name, spoil := range map[string]func(w *word, r *row){
@@ -664,7 +664,7 @@
 		"has not begun": func(_ *word, r *row) { r.Begins = true }, "no leader": func(w *word, _ *row) { w.Led = false }} {
 		w := sound
 		w.Rows = slices.Clone(sound.Rows)
-		if spoil(&w, &w.Rows[0]); overview(w).Whole() {
+		if spoil(&w, &w.Rows[0]); overview(w).CaughtUp() {
 			t.Errorf("%s: whole", name)
 		}
 	}
--- a/internal/net/accord/caches_test.go
+++ b/internal/net/accord/caches_test.go
@@ -41,20 +41,20 @@
 		t.Helper()
 		for by := time.Now().Add(15 * time.Second); time.Now().Before(by); time.Sleep(20 * time.Millisecond) {
 			var err error
-			if o, err = (Caller{At: f.all(), Label: "l", Dial: f.dial}).Changes(); err == nil && is(o) {
+			if o, err = (Client{At: f.all(), Label: "l", Dial: f.dial}).Overview(); err == nil && is(o) {
 				return o
 			}
 		}
 		t.Fatalf("never: %s: %+v", what, o)
 		return o
 	}
-	whole := func(o Overview) bool { return o.Whole() && len(o.Caches) == 3 }
+	whole := func(o Overview) bool { return o.CaughtUp() && len(o.Caches) == 3 }
 	caches[0].Fill("key-1", 1)
 	f.publish(purges(0, 10))
 	until("all is done", func(o Overview) bool {
 		return whole(o) && o.Last == 10 && len(o.Caches[0].Machines) == 4 && o.Caches[0].Machines[3].Done == 10 && o.Caches[0].Machines[3].Reason != ""
 	})
-	if at, is := (log{f.ms[0]}).Asked(10); !is || at <= 0 || at >= boottime() {
+	if at, is := (log{f.ms[0]}).RequestedAt(10); !is || at <= 0 || at >= boottime() {
 		t.Errorf("the machine that was asked does not know since when: %v, %t", at, is)
 	}
 	if _, is := caches[0].Serve("key-1"); is {
@@ -65,7 +65,7 @@
 	o := until("two of three", func(o Overview) bool {
 		return len(o.Caches) == 3 && o.Caches[0].Lacks == 0 && o.Caches[2].Lacks == 0 && o.Caches[1].Late > 0 && len(o.Caches[1].Machines) == 4
 	})
-	if c := o.Caches[1]; o.Whole() || c.Done != 10 || c.Lacks != 2500 || c.Machines[0].Reason == "" || c.Flushing {
+	if c := o.Caches[1]; o.CaughtUp() || c.Done != 10 || c.Lacks != 2500 || c.Machines[0].Reason == "" || c.Flushing {
 		t.Errorf("%+v", c)
 	}
 	m := f.ms[f.leader()]
@@ -78,7 +78,7 @@
 	})
 	<-done
 	time.Sleep(200 * time.Millisecond)
-	if _, floor, _ := (log{m}).Stands(); floor > 10 {
+	if _, floor, _ := (log{m}).Position(); floor > 10 {
 		t.Errorf("kept after %d, although a cache lacks it", floor)
 	}
 	f.stop(3)
@@ -89,14 +89,14 @@
 
 // What any machine has done is done; who is silent says nothing of what there is now.
 func TestWhichCachesLackWhat(t *testing.T) {
-	row := func(cache string, machine, done uint64, bend ...func(*purger.Row)) purger.Row {
-		r := purger.Row{Cache: cache, Machine: machine, Done: done, First: done, Log: 7}
+	row := func(cache string, machine, done uint64, bend ...func(*purger.Progress)) purger.Progress {
+		r := purger.Progress{Cache: cache, Machine: machine, Done: done, First: done, Log: 7}
 		for _, b := range bend {
 			b(&r)
 		}
 		return r
 	}
-	sound := word{Led: true, Head: 9, Machines: []machineRow{{ID: 1, Purges: true}, {ID: 2, Purges: true}, {ID: 3}}, Caches: []purger.Row{row("a", 1, 9), row("a", 2, 4)}}
+	sound := word{Led: true, Head: 9, Machines: []machineRow{{ID: 1, Purges: true}, {ID: 2, Purges: true}, {ID: 3}}, Caches: []purger.Progress{row("a", 1, 9), row("a", 2, 4)}}
 	for name, c := range map[string]struct {
 		bend  func(*word)
 		whole bool
@@ -123,8 +123,8 @@
 				t.Errorf("%s: nobody says what is late", name)
 			}
 		}
-		if o.Whole() != c.whole || !slices.Equal(lacks, c.lacks) {
-			t.Errorf("%s: whole %t, lacks %v", name, o.Whole(), lacks)
+		if o.CaughtUp() != c.whole || !slices.Equal(lacks, c.lacks) {
+			t.Errorf("%s: whole %t, lacks %v", name, o.CaughtUp(), lacks)
 		}
 	}
 }
--- a/internal/net/accord/client.go
+++ b/internal/net/accord/client.go
@@ -24,14 +24,14 @@
 )
 
 // Caller is who publishes or asks.
-type Caller struct {
+type Client struct {
 	At    []string // control machines, asked one after the other
 	Label string
 	Dial  func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 }
 
 // ErrNobody says that no control machine did what was asked.
-var ErrNobody = errors.New("no control machine answers")
+var ErrUnavailable = errors.New("no control machine answers")
 
 // NewProposal gives a change its id, by which it becomes one entry however often it is put forward.
 func NewProposal(kind accord.Kind, body []byte) accord.Proposal {
@@ -42,7 +42,7 @@
 
 // Publish has changes ordered and tells the index of each: they are on disk at a majority of the voters then. It asks one machine after
 // the other until one says so, with the same ids. An error says that it is not known whether they are ordered, or that they can't be.
-func (c Caller) Publish(ctx context.Context, all []accord.Proposal) ([]accord.Index, error) {
+func (c Client) Publish(ctx context.Context, all []accord.Proposal) ([]accord.Index, error) {
 	for i, p := range all {
 		if err := p.Check(); err != nil {
 			return nil, fmt.Errorf("number %d: %w", i+1, err)
@@ -60,10 +60,10 @@
 }
 
 // batch asks one machine, and the next as well where one says no or nothing for a while: a machine that is cut off can't know yet that it is.
-func (c Caller) batch(ctx context.Context, b accord.Batch) (out []accord.Index, err error) {
+func (c Client) batch(ctx context.Context, b accord.Batch) (out []accord.Index, err error) {
 	ctx, done := context.WithCancel(ctx)
 	defer done()
-	err = ErrNobody
+	err = ErrUnavailable
 	w := word{Kind: wordPublish, Batch: b.Encode()}
 	type answer struct {
 		indexes []uint64
@@ -78,7 +78,7 @@
 				said, fault := c.one(ctx, addr, w, orderBy+writeBy)
 				switch {
 				case fault != nil:
-					fault = fmt.Errorf("%w: %w", ErrNobody, fault)
+					fault = fmt.Errorf("%w: %w", ErrUnavailable, fault)
 				case said.Kind == wordRefused:
 					fault = fmt.Errorf("%s: %s", addr, said.Reason)
 				case said.Kind != wordOrdered || len(said.Indexes) != len(b.Proposals):
@@ -109,7 +109,7 @@
 	}
 }
 
-func (c Caller) one(ctx context.Context, addr string, w word, by time.Duration) (word, error) {
+func (c Client) one(ctx context.Context, addr string, w word, by time.Duration) (word, error) {
 	l, err := call(c.Dial, addr, kindCaller, c.Label, longestFrame)
 	if err != nil {
 		return word{}, err
@@ -124,7 +124,7 @@
 }
 
 // NodeRow is how a node stands.
-type NodeRow struct {
+type NodeStatus struct {
 	Node     string       `json:"node"`
 	Applied  accord.Index `json:"applied"`
 	Lacks    uint64       `json:"lacks"` // entries, up to the newest
@@ -140,7 +140,7 @@
 }
 
 // MachineRow is how a control machine stands.
-type MachineRow struct {
+type ServerStatus struct {
 	ID      uint64       `json:"id"`
 	Name    string       `json:"name"`
 	Learner bool         `json:"learner,omitempty"`
@@ -160,18 +160,18 @@
 }
 
 // CacheRow is how a cache stands: what any control machine has done there is done.
-type CacheRow struct {
-	Cache    string       `json:"cache"`
-	Done     accord.Index `json:"done"`               // purges up to here count as done
-	First    accord.Index `json:"first"`              // and up to here were deleted at least once
-	Lacks    uint64       `json:"lacks"`              // entries, up to the newest
-	Late     uint64       `json:"late"`               // of them, that should be done by now
-	Flushing bool         `json:"flushing,omitempty"` // what it lacks is not kept anywhere: all of it has to go
-	Machines []CacheAt    `json:"machines"`
+type CacheStatus struct {
+	Cache    string          `json:"cache"`
+	Done     accord.Index    `json:"done"`               // purges up to here count as done
+	First    accord.Index    `json:"first"`              // and up to here were deleted at least once
+	Lacks    uint64          `json:"lacks"`              // entries, up to the newest
+	Late     uint64          `json:"late"`               // of them, that should be done by now
+	Flushing bool            `json:"flushing,omitempty"` // what it lacks is not kept anywhere: all of it has to go
+	Machines []CacheProgress `json:"machines"`
 }
 
 // CacheAt is how one control machine stands with it.
-type CacheAt struct {
+type CacheProgress struct {
 	Machine uint64       `json:"machine"`
 	Done    accord.Index `json:"done"`
 	Late    uint64       `json:"late"`
@@ -183,21 +183,21 @@
 
 // Overview is who has applied what.
 type Overview struct {
-	Last     accord.Index `json:"last"` // the newest entry that any control machine has
-	Led      bool         `json:"led"`  // the machine that was asked hears a leader
-	Nodes    []NodeRow    `json:"nodes"`
-	Machines []MachineRow `json:"machines"`
-	Caches   []CacheRow   `json:"caches,omitempty"`
-	Unlisted bool         `json:"unlisted,omitempty"` // purges are to be carried out at caches, and no machine that does it has a list of them
+	Last     accord.Index   `json:"last"` // the newest entry that any control machine has
+	Led      bool           `json:"led"`  // the machine that was asked hears a leader
+	Nodes    []NodeStatus   `json:"nodes"`
+	Machines []ServerStatus `json:"machines"`
+	Caches   []CacheStatus  `json:"caches,omitempty"`
+	Unlisted bool           `json:"unlisted,omitempty"` // purges are to be carried out at caches, and no machine that does it has a list of them
 }
 
 // Whole tells whether every node has applied all and is heard, and all purges are done at every cache.
-func (o Overview) Whole() bool {
-	return !o.Unlisted && o.NodesWhole() && !slices.ContainsFunc(o.Caches, func(c CacheRow) bool { return c.Lacks > 0 })
+func (o Overview) CaughtUp() bool {
+	return !o.Unlisted && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, func(c CacheStatus) bool { return c.Lacks > 0 })
 }
 
 // NodesWhole tells whether every node has applied all and is heard.
-func (o Overview) NodesWhole() bool {
+func (o Overview) NodesCaughtUp() bool {
 	for _, n := range o.Nodes {
 		if n.Lacks > 0 || n.Silent || n.Begins || n.Refused > 0 {
 			return false
@@ -207,7 +207,7 @@
 }
 
 // Changes asks all control machines at once for who has applied what, and takes of each node and machine what was heard last.
-func (c Caller) Changes() (Overview, error) {
+func (c Client) Overview() (Overview, error) {
 	type said struct {
 		word
 		error
@@ -222,13 +222,13 @@
 			all <- said{w, fault}
 		}()
 	}
-	err, is, whole := ErrNobody, false, word{}
+	err, is, whole := ErrUnavailable, false, word{}
 	nodes, machines := map[string]row{}, map[uint64]machineRow{}
 	type spot struct {
 		cache   string
 		machine uint64
 	}
-	caches := map[spot]purger.Row{}
+	caches := map[spot]purger.Progress{}
 	for by, wait := time.After(askBy), len(c.At); wait > 0; wait-- {
 		var s said
 		select {
@@ -237,7 +237,7 @@
 			s.error, wait = context.DeadlineExceeded, 1 // whoever else was asked is not waited for
 		}
 		if s.error != nil {
-			err = fmt.Errorf("%w: %w", ErrNobody, s.error)
+			err = fmt.Errorf("%w: %w", ErrUnavailable, s.error)
 			continue
 		}
 		is, whole.Led, whole.Head = true, whole.Led || s.Led, max(whole.Head, s.Head)
@@ -263,7 +263,7 @@
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		whole.Rows = append(whole.Rows, nodes[name])
 	}
-	whole.Caches = slices.SortedFunc(maps.Values(caches), func(a, b purger.Row) int {
+	whole.Caches = slices.SortedFunc(maps.Values(caches), func(a, b purger.Progress) int {
 		return cmp.Or(cmp.Compare(a.Cache, b.Cache), cmp.Compare(a.Machine, b.Machine))
 	})
 	for _, id := range slices.Sorted(maps.Keys(machines)) {
@@ -273,10 +273,10 @@
 }
 
 func overview(w word) Overview {
-	o := Overview{Last: accord.Index(w.Head), Led: w.Led, Nodes: []NodeRow{}, Machines: []MachineRow{}}
+	o := Overview{Last: accord.Index(w.Head), Led: w.Led, Nodes: []NodeStatus{}, Machines: []ServerStatus{}}
 	const heardWithin = float64(nodeSilence / time.Second)
 	for _, r := range w.Rows {
-		n := NodeRow{Node: r.Node, Applied: accord.Index(r.Applied), Config: accord.Index(r.Config), Refused: accord.Index(r.Refused), Reason: r.Reason,
+		n := NodeStatus{Node: r.Node, Applied: accord.Index(r.Applied), Config: accord.Index(r.Config), Refused: accord.Index(r.Refused), Reason: r.Reason,
 			Presumed: accord.Index(r.Presumed), Gaps: r.Gaps, Machine: r.Machine, Begins: r.Begins, HeardS: float64(r.AgoMs) / 1000}
 		if n.Silent = n.HeardS > heardWithin; w.Head > r.Applied {
 			n.Lacks = w.Head - r.Applied
@@ -285,7 +285,7 @@
 	}
 	for _, r := range w.Machines {
 		h := float64(r.AgoMs) / 1000
-		o.Machines = append(o.Machines, MachineRow{r.ID, r.Name, r.Learner, r.Leads, r.Term, accord.Index(r.Head), accord.Index(r.Floor), accord.Index(r.Config), h, r.Unheard || h > heardWithin, r.In, r.Out, r.Foreign, r.Away, r.Purges, r.NoList})
+		o.Machines = append(o.Machines, ServerStatus{r.ID, r.Name, r.Learner, r.Leads, r.Term, accord.Index(r.Head), accord.Index(r.Floor), accord.Index(r.Config), h, r.Unheard || h > heardWithin, r.In, r.Out, r.Foreign, r.Away, r.Purges, r.NoList})
 	}
 	o.Caches, o.Unlisted = cacheRows(w, heardWithin)
 	return o
@@ -293,7 +293,7 @@
 
 // cacheRows puts together what machines tell of caches, in their order. What is done stays done, also if who did it is silent now; which caches
 // there are, and what is late, only who is heard can say.
-func cacheRows(w word, heardWithin float64) (all []CacheRow, unlisted bool) {
+func cacheRows(w word, heardWithin float64) (all []CacheStatus, unlisted bool) {
 	heard, does := map[uint64]bool{}, false
 	for _, m := range w.Machines {
 		heard[m.ID] = !m.Unheard && float64(m.AgoMs)/1000 <= heardWithin
@@ -306,10 +306,10 @@
 	for _, r := range w.Caches {
 		n := len(all)
 		if n == 0 || all[n-1].Cache != r.Cache {
-			all = append(all, CacheRow{Cache: r.Cache, Late: math.MaxUint64, Flushing: true})
+			all = append(all, CacheStatus{Cache: r.Cache, Late: math.MaxUint64, Flushing: true})
 			n++
 		}
-		c, at := &all[n-1], CacheAt{r.Machine, accord.Index(r.Done), r.Late, float64(r.QuietMs) / 1000, r.Reason, float64(r.AgoMs) / 1000, !heard[r.Machine]}
+		c, at := &all[n-1], CacheProgress{r.Machine, accord.Index(r.Done), r.Late, float64(r.QuietMs) / 1000, r.Reason, float64(r.AgoMs) / 1000, !heard[r.Machine]}
 		if r.Foreign || r.Started < latest[r.Cache] {
 			at.Done, r.First = 0, 0
 		}
@@ -319,8 +319,8 @@
 		}
 		c.Machines = append(c.Machines, at)
 	}
-	all = slices.DeleteFunc(all, func(c CacheRow) bool {
-		return !slices.ContainsFunc(c.Machines, func(m CacheAt) bool { return !m.Silent })
+	all = slices.DeleteFunc(all, func(c CacheStatus) bool {
+		return !slices.ContainsFunc(c.Machines, func(m CacheProgress) bool { return !m.Silent })
 	})
 	for i := range all {
 		all[i].Lacks = max(w.Head, uint64(all[i].Done)) - uint64(all[i].Done)
--- a/internal/net/accord/follow.go
+++ b/internal/net/accord/follow.go
@@ -30,56 +30,56 @@
 )
 
 // FollowFiles are the descriptors that a node needs to follow: its stream, and one more while it goes to another machine.
-const FollowFiles = 2
+const FollowerDescriptors = 2
 
 // Reader is what applies the log at a node. accord.Reader is the one; tests have others.
-type Reader interface {
-	Begin(log accord.LogID, at accord.Index, config cbor.RawMessage) error
-	Take([]cbor.RawMessage) error
-	Now() accord.Standing
+type Applier interface {
+	Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error
+	Apply([]cbor.RawMessage) error
+	CurrentProgress() accord.Progress
 }
 
 // FollowBerth is what a node follows with.
-type FollowBerth struct {
+type FollowerConfig struct {
 	Name    string
 	Process uint64 // which process of that name
 	Label   string
 	At      []string // of control machines
 	Seed    uint32
 	Stale   time.Duration // without a word from a led control machine: the rule stale, see Status
-	Reader  Reader        // used by one goroutine at a time
+	Reader  Applier       // used by one goroutine at a time
 	Log     *logrus.Logger
 	Now     func() policy.Instant
 	Dial    func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// Told is told what was told of how the node stands; nil for nobody.
-	Told func(applied accord.Index)
+	OnProgressSent func(applied accord.Index)
 }
 
 // FollowStatus is how a node follows, for operators.
-type FollowStatus struct {
-	Applied  accord.Index `json:"applied"`
-	Head     accord.Index `json:"head"` // the newest entry heard of
-	Config   accord.Index `json:"config"`
-	Refused  accord.Index `json:"refused,omitempty"`
-	Reason   string       `json:"reason,omitempty"`
-	Presumed accord.Index `json:"presumed,omitempty"` // everything up to here may have been purged
-	Purges   uint64       `json:"purges"`
-	Unknown  uint64       `json:"unknown,omitempty"`
-	Gaps     uint64       `json:"gaps"`
-	Moves    uint64       `json:"moves"` // to another stream
-	Via      string       `json:"via"`   // the control machine's address; empty between two
-	HeardS   float64      `json:"heard_s"`
-	Stale    bool         `json:"stale"` // nothing from a led machine for longer than stated: the last configuration stays in force, and purges may be missing
-	InBytes  uint64       `json:"bytes_in"`
-	OutBytes uint64       `json:"bytes_out"`
+type FollowerStatus struct {
+	Applied        accord.Index `json:"applied"`
+	Head           accord.Index `json:"head"` // the newest entry heard of
+	Config         accord.Index `json:"config"`
+	Refused        accord.Index `json:"refused,omitempty"`
+	Reason         string       `json:"reason,omitempty"`
+	PresumedPurged accord.Index `json:"presumed,omitempty"` // everything up to here may have been purged
+	Purges         uint64       `json:"purges"`
+	Unknown        uint64       `json:"unknown,omitempty"`
+	Gaps           uint64       `json:"gaps"`
+	Moves          uint64       `json:"moves"` // to another stream
+	Via            string       `json:"via"`   // the control machine's address; empty between two
+	HeardS         float64      `json:"heard_s"`
+	Stale          bool         `json:"stale"` // nothing from a led machine for longer than stated: the last configuration stays in force, and purges may be missing
+	InBytes        uint64       `json:"bytes_in"`
+	OutBytes       uint64       `json:"bytes_out"`
 }
 
 // Following is a node that follows the log.
-type Following struct {
-	FollowBerth
+type Follower struct {
+	FollowerConfig
 	order   []string // of machines, this node's own
 	chance  keyhash.Source
-	now     atomic.Pointer[accord.Standing]
+	now     atomic.Pointer[accord.Progress]
 	head    atomic.Uint64
 	heard   atomic.Int64 // when a led machine was heard last
 	via     atomic.Pointer[string]
@@ -92,8 +92,8 @@
 }
 
 // Follow starts to follow. Nothing waits for it.
-func Follow(b FollowBerth) *Following {
-	f := &Following{FollowBerth: b, order: slices.Clone(b.At), chance: keyhash.Source{Seed: b.Seed}, closed: make(chan struct{}), done: make(chan struct{})}
+func StartFollower(b FollowerConfig) *Follower {
+	f := &Follower{FollowerConfig: b, order: slices.Clone(b.At), chance: keyhash.Source{Seed: b.Seed}, closed: make(chan struct{}), done: make(chan struct{})}
 	slices.SortFunc(f.order, func(x, y string) int { // each node's own order: a machine's nodes spread over all others when it is gone
 		return cmp.Compare(keyhash.Salted(keyhash.String(x), int(b.Seed)), keyhash.Salted(keyhash.String(y), int(b.Seed)))
 	})
@@ -105,26 +105,26 @@
 }
 
 // Close ends it.
-func (f *Following) Close() {
+func (f *Follower) Close() {
 	f.once.Do(func() { close(f.closed) })
 	<-f.done
 }
 
-func (f *Following) note() {
-	s := f.Reader.Now()
+func (f *Follower) note() {
+	s := f.Reader.CurrentProgress()
 	f.now.Store(&s)
 }
 
 // Status is how it follows. It may be asked from anywhere.
-func (f *Following) Status() FollowStatus {
+func (f *Follower) Status() FollowerStatus {
 	s, quiet := f.now.Load(), time.Duration(f.Now()-policy.Instant(f.heard.Load()))
-	return FollowStatus{Applied: s.Applied, Head: accord.Index(f.head.Load()), Config: s.Config, Refused: s.Refused, Reason: s.Reason, Presumed: s.Presumed,
+	return FollowerStatus{Applied: s.Applied, Head: accord.Index(f.head.Load()), Config: s.Config, Refused: s.Refused, Reason: s.Reason, PresumedPurged: s.PresumedPurged,
 		Purges: s.Purges, Unknown: s.Unknown, Gaps: s.Gaps, Moves: f.moves.Load(), Via: *f.via.Load(), HeardS: quiet.Seconds(),
 		Stale: quiet > f.Stale, InBytes: f.in.Load(), OutBytes: f.out.Load()}
 }
 
 // run goes from machine to machine.
-func (f *Following) run() {
+func (f *Follower) run() {
 	defer close(f.done)
 	unled := unledFor
 	for tries, at := 0, 0; ; at++ {
@@ -166,7 +166,7 @@
 }
 
 // told says once that nothing was heard for too long, and once that it was again.
-func (f *Following) told() {
+func (f *Follower) told() {
 	if s := f.Status(); s.Stale != f.stale {
 		f.stale = s.Stale
 		f.Log.WithFields(logrus.Fields{"stale": s.Stale, "heard_s": s.HeardS, "applied": s.Applied, "config": s.Config}).Warn("the log of changes")
@@ -176,11 +176,11 @@
 var errUnled = errors.New("the control machine hears no leader")
 
 // over follows over a stream until it breaks.
-func (f *Following) over(l *line, unled time.Duration) error {
+func (f *Follower) over(l *line, unled time.Duration) error {
 	stop, nudge := make(chan struct{}), make(chan struct{}, 1)
 	var told sync.WaitGroup
 	hello := f.stands(wordHello)
-	hello.Fresh, hello.Log = !f.now.Load().Begun, uint64(f.now.Load().Log)
+	hello.Fresh, hello.Log = !f.now.Load().Started, uint64(f.now.Load().Log)
 	n, err := l.say(hello, greetBy)
 	f.out.Add(uint64(n))
 	if err != nil {
@@ -198,9 +198,9 @@
 		}
 		switch w.Kind {
 		case wordBegin:
-			err = f.Reader.Begin(accord.LogID(w.Log), accord.Index(w.Index), w.Base)
+			err = f.Reader.Start(accord.LogID(w.Log), accord.Index(w.Index), w.Base)
 		case wordEntries:
-			err = f.Reader.Take(w.Entries)
+			err = f.Reader.Apply(w.Entries)
 		}
 		f.note()
 		if w.Kind == wordBegin {
@@ -228,10 +228,10 @@
 }
 
 // tell says how the node stands: where that has changed, where a lot was applied, and as a sign of life.
-func (f *Following) tell(l *line, stop, nudge chan struct{}) {
+func (f *Follower) tell(l *line, stop, nudge chan struct{}) {
 	t := time.NewTicker(toldEach)
 	defer t.Stop()
-	var last accord.Standing
+	var last accord.Progress
 	for quiet := 0; ; quiet++ {
 		select {
 		case <-t.C:
@@ -248,8 +248,8 @@
 			continue
 		}
 		w := f.stands(wordApplied)
-		if f.Told != nil {
-			f.Told(accord.Index(w.Rows[0].Applied))
+		if f.OnProgressSent != nil {
+			f.OnProgressSent(accord.Index(w.Rows[0].Applied))
 		}
 		n, err := l.say(w, writeBy)
 		f.out.Add(uint64(n))
@@ -260,8 +260,8 @@
 	}
 }
 
-func (f *Following) stands(kind uint8) word {
+func (f *Follower) stands(kind uint8) word {
 	s := f.now.Load()
 	return word{Kind: kind, Rows: []row{{Node: f.Name, Process: f.Process, Applied: uint64(s.Applied), Config: uint64(s.Config), Refused: uint64(s.Refused),
-		Presumed: uint64(s.Presumed), Begins: !s.Begun, Gaps: s.Gaps, Reason: s.Reason[:min(len(s.Reason), longestReason)]}}}
+		Presumed: uint64(s.PresumedPurged), Begins: !s.Started, Gaps: s.Gaps, Reason: s.Reason[:min(len(s.Reason), longestReason)]}}}
 }
--- a/internal/net/accord/machine.go
+++ b/internal/net/accord/machine.go
@@ -50,27 +50,27 @@
 )
 
 // Disk is where a machine keeps its log.
-type Disk interface {
+type Storage interface {
 	raft.Storage
 	// Save returns once all of it is on disk.
 	Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error
-	Since(applied uint64) (entries uint64, bytes int)
-	Shorten(applied uint64, state []byte) error
+	SizeSinceSnapshot(applied uint64) (entries uint64, bytes int)
+	Compact(applied uint64, state []byte) error
 	Close() error
 }
 
 // Berth is what a control machine is started with.
-type Berth struct {
+type Config struct {
 	File *charter.ControlFile
 	New  bool // an empty data folder is the first start
 	Log  *logrus.Logger
 	Now  func() policy.Instant // by a clock that runs through suspends
 	// Kept is told of proposals once they are on this machine's disk, in the loop: for a judge. nil for nobody.
-	Kept func([]accord.Proposal)
-	Disk Disk // nil for the file's folder
-	Dial func(addr string, within time.Duration) (net.Conn, error)
+	OnPersisted func([]accord.Proposal)
+	Disk        Storage // nil for the file's folder
+	Dial        func(addr string, within time.Duration) (net.Conn, error)
 	// Counted is told up to where purges count as done at a cache, whenever that has changed: for a judge. nil for nobody.
-	Counted func(caches.CacheID, caches.Cursor)
+	OnPurgeProgress func(caches.CacheID, caches.Cursor)
 }
 
 // ask is a call to publish.
@@ -104,10 +104,10 @@
 }
 
 // Machine is one control machine.
-type Machine struct {
-	Berth
+type Server struct {
+	Config
 	id     uint64
-	disk   Disk
+	disk   Storage
 	raw    *raft.RawNode
 	peers  map[uint64]*peer
 	table  *table
@@ -143,7 +143,7 @@
 }
 
 // Open starts a control machine.
-func Open(b Berth) (*Machine, error) {
+func Open(b Config) (*Server, error) {
 	self := b.File.Self()
 	var voters, learners []uint64
 	for _, m := range b.File.Machines {
@@ -153,10 +153,10 @@
 			voters = append(voters, m.ID)
 		}
 	}
-	bounds := accord.UsualBounds
+	bounds := accord.DefaultBounds
 	bounds.Entries, bounds.Bytes = b.File.Bounds.Entries, int(b.File.Bounds.KeptMB*(1<<20))
-	bounds.Least = min(bounds.Least, bounds.Entries/2)
-	m := &Machine{Berth: b, id: self.ID, disk: b.Disk, peers: map[uint64]*peer{}, inbox: make(chan *pb.Message, mostInbox), asks: make(chan *ask, mostAsks),
+	bounds.MinEntries = min(bounds.MinEntries, bounds.Entries/2)
+	m := &Server{Config: b, id: self.ID, disk: b.Disk, peers: map[uint64]*peer{}, inbox: make(chan *pb.Message, mostInbox), asks: make(chan *ask, mostAsks),
 		calls: make(chan func(), mostInbox), dirty: make(chan struct{}, 1), closed: make(chan struct{}), pace: &pacer{rate: b.File.Bounds.PaceMB * (1 << 20)},
 		waits: map[accord.ProposalID]*wait{}, state: accord.New(bounds), began: time.Now(), conns: conns{all: map[net.Conn]bool{}}}
 	m.table = newTable(m)
@@ -168,8 +168,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if b.Kept != nil {
-			s.OnDisk = m.OnDisk
+		if b.OnPersisted != nil {
+			s.OnPersisted = m.OnDisk
 		}
 		m.disk = s
 	}
@@ -179,8 +179,8 @@
 	}
 	if t := b.File.Purges; t != nil {
 		var err error
-		if m.purger, err = purger.Open(purger.Berth{Terms: t, Machines: len(b.File.Machines), Log: log{m}, Dir: b.File.Control.Data, Logger: b.Log,
-			Now: b.Now, Counted: b.Counted, Seed: uint32(keyhash.Salted(keyhash.String(b.File.Control.Label), int(self.ID)))}); err != nil {
+		if m.purger, err = purger.Open(purger.Config{Terms: t, Machines: len(b.File.Machines), Log: log{m}, Dir: b.File.Control.Data, Logger: b.Log,
+			Now: b.Now, OnProgress: b.OnPurgeProgress, Seed: uint32(keyhash.Salted(keyhash.String(b.File.Control.Label), int(self.ID)))}); err != nil {
 			_, _, _ = m.nodes.Close(), m.others.Close(), m.disk.Close()
 			return nil, err
 		}
@@ -200,7 +200,7 @@
 }
 
 // start reads what the disk has, and listens.
-func (m *Machine) start(bounds accord.Bounds) error {
+func (m *Server) start(bounds accord.Bounds) error {
 	snap, err := m.disk.Snapshot()
 	if err != nil {
 		return err
@@ -229,31 +229,31 @@
 }
 
 // OnDisk tells a judge what is on this machine's disk now.
-func (m *Machine) OnDisk(entries []*pb.Entry) {
+func (m *Server) OnDisk(entries []*pb.Entry) {
 	for _, e := range entries {
-		if b, err := accord.DecodeBatch(e.GetData()); err == nil && len(b.Proposals) > 0 && m.Kept != nil {
-			m.Kept(b.Proposals)
+		if b, err := accord.DecodeBatch(e.GetData()); err == nil && len(b.Proposals) > 0 && m.OnPersisted != nil {
+			m.OnPersisted(b.Proposals)
 		}
 	}
 }
 
 // Addr is where nodes are heard.
-func (m *Machine) Addr() string { return m.nodes.Addr().String() }
+func (m *Server) Addr() string { return m.nodes.Addr().String() }
 
 // Last is the newest entry that it has.
-func (m *Machine) Last() accord.Index {
+func (m *Server) Last() accord.Index {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.Last()
 }
 
 // log is what the machine has, for who carries purges out.
-type log struct{ *Machine }
+type log struct{ *Server }
 
-func (l log) Stands() (accord.LogID, accord.Index, accord.Index) {
+func (l log) Position() (accord.LogID, accord.Index, accord.Index) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return l.state.Log(), l.state.Floor(), l.state.Last()
+	return l.state.ID(), l.state.Floor(), l.state.Last()
 }
 
 func (l log) Entry(i accord.Index) (accord.Entry, bool) {
@@ -262,7 +262,7 @@
 	return l.state.Entry(i)
 }
 
-func (l log) Asked(i accord.Index) (policy.Instant, bool) {
+func (l log) RequestedAt(i accord.Index) (policy.Instant, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	n, is := slices.BinarySearchFunc(l.asked, i, func(a asked, i accord.Index) int { return cmp.Compare(a.index, i) })
@@ -279,7 +279,7 @@
 }
 
 // noteAsked remembers it of a batch's entries; the state's lock is held, and it is the loop that asks.
-func (m *Machine) noteAsked(b accord.Batch, at []accord.Index) {
+func (m *Server) noteAsked(b accord.Batch, at []accord.Index) {
 	for i, p := range b.Proposals {
 		if w := m.waits[p.ID]; w != nil && (len(m.asked) == 0 || m.asked[len(m.asked)-1].index < at[i]) {
 			m.asked = append(m.asked, asked{at[i], w.since})
@@ -290,13 +290,13 @@
 	}
 }
 
-func (l log) Fresh() <-chan struct{} { return *l.fresh.Load() }
+func (l log) Changed() <-chan struct{} { return *l.fresh.Load() }
 
 // Done is closed once the machine has ended; Fault then tells why it had to, or nil.
-func (m *Machine) Done() <-chan struct{} { return m.closed }
+func (m *Server) Done() <-chan struct{} { return m.closed }
 
 // Fault tells why it had to end by itself.
-func (m *Machine) Fault() error {
+func (m *Server) Fault() error {
 	if err := m.fault.Load(); err != nil {
 		return *err
 	}
@@ -304,7 +304,7 @@
 }
 
 // Close ends it.
-func (m *Machine) Close() {
+func (m *Server) Close() {
 	m.end(nil)
 	m.done.Wait()
 	if m.purger != nil {
@@ -313,7 +313,7 @@
 	_ = m.disk.Close()
 }
 
-func (m *Machine) end(err error) {
+func (m *Server) end(err error) {
 	m.once.Do(func() {
 		if err != nil {
 			m.fault.Store(&err)
@@ -327,7 +327,7 @@
 }
 
 // loop is raft's: what came while the disk was written is taken together, with one write for all of it.
-func (m *Machine) loop() {
+func (m *Server) loop() {
 	defer m.done.Done()
 	defer func() {
 		if r := recover(); r != nil { // raft's own way to say that what it was given can't be
@@ -378,7 +378,7 @@
 	}
 }
 
-func (m *Machine) step(in *pb.Message) {
+func (m *Server) step(in *pb.Message) {
 	if status := m.raw.BasicStatus(); status.Lead != raft.None && in.GetFrom() == status.Lead {
 		m.heardLead = time.Now()
 	}
@@ -386,7 +386,7 @@
 }
 
 // note hands out what is known of the leader.
-func (m *Machine) note() {
+func (m *Server) note() {
 	s := m.raw.BasicStatus()
 	now := lead{leads: s.RaftState == raft.StateLeader, term: s.GetTerm()}
 	now.led = now.leads || s.Lead != raft.None && time.Since(m.heardLead) < ledWithin
@@ -399,7 +399,7 @@
 }
 
 // take notes a call's proposals, and puts those forward that are not on their way.
-func (m *Machine) take(a *ask, put []accord.Proposal) []accord.Proposal {
+func (m *Server) take(a *ask, put []accord.Proposal) []accord.Proposal {
 	bytes := 0
 	for _, p := range a.all {
 		bytes += len(p.Body)
@@ -425,7 +425,7 @@
 }
 
 // again puts proposals forward once more that are not ordered yet, and gives up those whose callers have gone.
-func (m *Machine) again(put []accord.Proposal) []accord.Proposal {
+func (m *Server) again(put []accord.Proposal) []accord.Proposal {
 	if len(m.waits) == 0 {
 		return put
 	}
@@ -457,7 +457,7 @@
 }
 
 // propose hands proposals to raft, which brings them to the leader. Without one they stay for the next turns.
-func (m *Machine) propose(all []accord.Proposal) {
+func (m *Server) propose(all []accord.Proposal) {
 	now := time.Now()
 	for _, b := range accord.Batches(all) {
 		if m.raw.Propose(b.Encode()) != nil {
@@ -472,7 +472,7 @@
 }
 
 // ready does what raft wants done: first the disk, then messages, then what is agreed.
-func (m *Machine) ready() error {
+func (m *Server) ready() error {
 	rd := m.raw.Ready()
 	if err := m.disk.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
 		return err
@@ -493,19 +493,19 @@
 		}
 	}
 	m.raw.Advance(rd)
-	if n, bytes := m.disk.Since(m.applied); n >= snapshotEach || bytes >= snapshotBytes && n > 0 {
+	if n, bytes := m.disk.SizeSinceSnapshot(m.applied); n >= snapshotEach || bytes >= snapshotBytes && n > 0 {
 		m.mu.RLock()
 		text := m.state.Snapshot()
 		m.mu.RUnlock()
-		return m.disk.Shorten(m.applied, text)
+		return m.disk.Compact(m.applied, text)
 	}
 	return nil
 }
 
-func (m *Machine) restore(snap *pb.Snapshot) error {
-	bounds := accord.UsualBounds
+func (m *Server) restore(snap *pb.Snapshot) error {
+	bounds := accord.DefaultBounds
 	bounds.Entries, bounds.Bytes = m.File.Bounds.Entries, int(m.File.Bounds.KeptMB*(1<<20))
-	bounds.Least = min(bounds.Least, bounds.Entries/2)
+	bounds.MinEntries = min(bounds.MinEntries, bounds.Entries/2)
 	s := accord.New(bounds)
 	if len(snap.GetData()) > 0 {
 		var err error
@@ -522,7 +522,7 @@
 }
 
 // apply takes an agreed entry of raft's, and answers those who wait for what is in it.
-func (m *Machine) apply(e *pb.Entry) error {
+func (m *Server) apply(e *pb.Entry) error {
 	m.applied = e.GetIndex()
 	if e.GetType() != pb.EntryNormal || len(e.GetData()) == 0 {
 		return nil // of raft's own: a new leader's first
@@ -555,7 +555,7 @@
 	return nil
 }
 
-func (m *Machine) stir() {
+func (m *Server) stir() {
 	select {
 	case m.dirty <- struct{}{}:
 	default:
@@ -563,7 +563,7 @@
 }
 
 // gather wakes who delivers to nodes, not more often than gatherFor.
-func (m *Machine) gather() {
+func (m *Server) gather() {
 	defer m.done.Done()
 	for {
 		select {
@@ -578,8 +578,8 @@
 }
 
 // trim has the leader say up to where every node has applied, so that all machines stop keeping it; and, of a new log, which it is.
-func (m *Machine) trim() {
-	if m.lead.Load().leads && m.state.Log() == 0 && time.Since(m.named) > proposeAgain {
+func (m *Server) trim() {
+	if m.lead.Load().leads && m.state.ID() == 0 && time.Since(m.named) > proposeAgain {
 		var id [8]byte
 		_, _ = rand.Read(id[:]) // never fails
 		m.named = time.Now()
@@ -595,7 +595,7 @@
 	floor := m.state.Floor()
 	m.mu.RUnlock()
 	if m.purger != nil { // what a cache lacks is kept for it, as far as the bounds go
-		if least, some := m.purger.Least(); some {
+		if least, some := m.purger.DoneEverywhere(); some {
 			all = min(all, least)
 		}
 	}
@@ -607,7 +607,7 @@
 var errClosed = errors.New("the control machine ends")
 
 // call runs something in the loop, or not at all once it has ended or is far behind.
-func (m *Machine) call(f func()) {
+func (m *Server) call(f func()) {
 	select {
 	case m.calls <- f:
 	case <-m.closed:
@@ -615,7 +615,7 @@
 }
 
 // publish waits until proposals are ordered.
-func (m *Machine) publish(all []accord.Proposal) ([]uint64, error) {
+func (m *Server) publish(all []accord.Proposal) ([]uint64, error) {
 	a := &ask{all: all, answer: make(chan *ask, 2)}
 	select {
 	case m.asks <- a:
--- a/internal/net/accord/machine_test.go
+++ b/internal/net/accord/machine_test.go
@@ -1,7 +1,7 @@
 package accord
 
 // PeersAddr is where control machines are heard.
-func (m *Machine) PeersAddr() string { return m.others.Addr().String() }
+func (m *Server) PeersAddr() string { return m.others.Addr().String() }
 
 // Leads tells whether it is the leader, as far as it knows.
-func (m *Machine) Leads() bool { return m.lead.Load().leads }
+func (m *Server) Leads() bool { return m.lead.Load().leads }
--- a/internal/net/accord/nodes.go
+++ b/internal/net/accord/nodes.go
@@ -38,7 +38,7 @@
 }
 
 // serve takes a stream from a node, or from who publishes or asks.
-func (m *Machine) serve(l *line) {
+func (m *Server) serve(l *line) {
 	switch kind, err := greeted(l, m.File.Control.Label); {
 	case err != nil:
 		m.table.foreign.Add(1)
@@ -52,7 +52,7 @@
 }
 
 // answer answers who publishes or asks.
-func (m *Machine) answer(l *line) {
+func (m *Server) answer(l *line) {
 	for {
 		w, _, err := l.hear(callerStays)
 		if err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (m *Machine) order(w word) word {
+func (m *Server) order(w word) word {
 	b, err := accord.DecodeBatch(w.Batch)
 	for _, p := range b.Proposals {
 		if err == nil {
@@ -102,7 +102,7 @@
 }
 
 // follow delivers to a node and hears up to where it has applied.
-func (m *Machine) follow(l *line) {
+func (m *Server) follow(l *line) {
 	hello, _, err := l.hear(greetBy)
 	if err != nil || hello.Kind != wordHello || len(hello.Rows) != 1 || hello.Rows[0].Node == "" || len(hello.Rows[0].Node) > longestName {
 		m.table.foreign.Add(1)
@@ -140,7 +140,7 @@
 }
 
 // deliver sends what follows an index, in order: so much unacknowledged at most, and by the pace of all where it lacks a lot.
-func (m *Machine) deliver(s *stream, log accord.LogID, sent accord.Index, anew bool) {
+func (m *Server) deliver(s *stream, log accord.LogID, sent accord.Index, anew bool) {
 	begin := anew
 	window := uint64(m.File.Bounds.WindowKB * (1 << 10))
 	timer := time.NewTimer(0)
@@ -167,7 +167,7 @@
 		size, lacks := 0, uint64(0)
 		m.mu.RLock()
 		last := m.state.Last()
-		if now := m.state.Log(); now == 0 {
+		if now := m.state.ID(); now == 0 {
 			begin = false // nothing is known to be of the node's log, or for it to begin with
 			last = 0
 		} else if anew || log != now { // fresh, or from a log that is no more
@@ -178,7 +178,7 @@
 			if m.state.Bytes(accord.Index(s.acked.Load()), sent) < window {
 				var is bool
 				from := sent
-				if w.Entries, sent, is = m.state.After(sent, entryBytes); !is {
+				if w.Entries, sent, is = m.state.EntriesAfter(sent, entryBytes); !is {
 					sent, begin = from, true
 				}
 				for _, e := range w.Entries {
@@ -188,7 +188,7 @@
 		}
 		fresher := false
 		if begin {
-			at, base := m.state.Begin(anew)
+			at, base := m.state.StartingPoint(anew)
 			if fresher = at > sent || anew; fresher {
 				w = word{Kind: wordBegin, Index: uint64(at), Log: uint64(log), Base: base, Head: uint64(last), Led: w.Led}
 				sent = at
--- a/internal/net/accord/peers.go
+++ b/internal/net/accord/peers.go
@@ -59,7 +59,7 @@
 }
 
 // accept takes streams, so many at once.
-func (m *Machine) accept(l net.Listener, most int, take func(*line)) {
+func (m *Server) accept(l net.Listener, most int, take func(*line)) {
 	defer m.done.Done()
 	slots := make(chan struct{}, most)
 	for {
@@ -95,12 +95,12 @@
 // peer sends to another control machine.
 type peer struct {
 	charter.Machine
-	m      *Machine
+	m      *Server
 	out    chan *pb.Message
 	chance keyhash.Source
 }
 
-func newPeer(m *Machine, other charter.Machine) *peer {
+func newPeer(m *Server, other charter.Machine) *peer {
 	p := &peer{Machine: other, m: m, out: make(chan *pb.Message, mostOutbox), chance: keyhash.Source{Seed: uint32(keyhash.Salted(m.id, int(other.ID)))}}
 	m.done.Add(1)
 	go p.run()
@@ -219,7 +219,7 @@
 }
 
 // hearPeer takes what another control machine sends.
-func (m *Machine) hearPeer(l *line) {
+func (m *Server) hearPeer(l *line) {
 	l.most = longestByPeer
 	if kind, err := greeted(l, m.File.Control.Label); err != nil || kind != kindPeer {
 		m.table.foreign.Add(1)
--- a/internal/net/accord/table.go
+++ b/internal/net/accord/table.go
@@ -20,13 +20,13 @@
 // heardMachine is another control machine's word on itself and on caches, and when it came.
 type heardMachine struct {
 	machineRow
-	caches []purger.Row
+	caches []purger.Progress
 	heard  policy.Instant
 }
 
 // table is how nodes stand: own rows of those that follow here, and others' as other control machines tell them. All are hints.
 type table struct {
-	m          *Machine
+	m          *Server
 	mu         sync.Mutex
 	rows       map[string]seen // by node's name; at most mostRows
 	machines   map[uint64]heardMachine
@@ -36,7 +36,7 @@
 	outBytes   atomic.Uint64
 }
 
-func newTable(m *Machine) *table {
+func newTable(m *Server) *table {
 	return &table{m: m, rows: map[string]seen{}, machines: map[uint64]heardMachine{}}
 }
 
@@ -93,7 +93,7 @@
 	}
 	for _, r := range w.Machines {
 		if r.ID == from {
-			w.Caches = slices.DeleteFunc(w.Caches, func(c purger.Row) bool {
+			w.Caches = slices.DeleteFunc(w.Caches, func(c purger.Progress) bool {
 				return c.Cache == "" || len(c.Cache) > longestName || len(c.Reason) > longestReason
 			})
 			w.Caches = w.Caches[:min(len(w.Caches), mostCacheRows)]
@@ -104,18 +104,18 @@
 			t.machines[from] = heardMachine{r, w.Caches, now}
 			t.mu.Unlock()
 			if t.m.purger != nil {
-				t.m.purger.Heard(w.Caches)
+				t.m.purger.MergeProgress(w.Caches)
 			}
 		}
 	}
 }
 
 // cacheRows are how the machine stands with caches; nil where it has nothing to do with them.
-func (m *Machine) cacheRows(self *machineRow) []purger.Row {
+func (m *Server) cacheRows(self *machineRow) []purger.Progress {
 	if m.purger == nil {
 		return nil
 	}
-	rows, listed := m.purger.Rows()
+	rows, listed := m.purger.Progress()
 	self.Purges, self.NoList = true, !listed
 	for i := range rows {
 		rows[i].Machine = m.id
@@ -137,7 +137,7 @@
 }
 
 // stands is the machine's word on itself.
-func (m *Machine) stands() machineRow {
+func (m *Server) stands() machineRow {
 	l, self := m.lead.Load(), m.File.Self()
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/net/accord/variants_test.go
+++ b/internal/net/accord/variants_test.go
@@ -35,7 +35,7 @@
 	return func(all []accord.Proposal) {
 		k := trace.Kept{At: boottime()}
 		for _, p := range all {
-			k.Marks = append(k.Marks, p.Mark())
+			k.Marks = append(k.Marks, p.ContentHash())
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 func (e *evidence) publish(f *fleet, p accord.Proposal) {
-	o := trace.Ordered{Mark: p.Mark(), Config: p.Kind == accord.Config, Sent: boottime()}
+	o := trace.Ordered{Mark: p.ContentHash(), Config: p.Kind == accord.Config, Sent: boottime()}
 	o.Index = uint64(f.publish([]accord.Proposal{p})[0])
 	o.Acked = boottime()
 	e.mu.Lock()
@@ -54,7 +54,7 @@
 
 // sound is a reader that keeps the rules and writes down what it does. The broken ones stand on it.
 type sound struct {
-	*accord.Reader
+	*accord.Applier
 	e      *evidence
 	number uint32
 	begins bool
@@ -63,13 +63,13 @@
 
 func (s *sound) note(at accord.Index, p accord.Proposal) {
 	if s.begins {
-		s.mark = p.Mark()
+		s.mark = p.ContentHash()
 		return
 	}
-	s.e.put(trace.Record{Index: uint64(at), Mark: p.Mark(), Node: s.number, What: trace.Applied})
+	s.e.put(trace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: s.number, What: trace.Applied})
 }
 
-func (s *sound) Presume(accord.Index) {}
+func (s *sound) PresumePurged(accord.Index) {}
 func (s *sound) Purge(at accord.Index, key string) {
 	s.note(at, accord.Proposal{Kind: accord.Purge, Body: []byte(key)})
 }
@@ -78,9 +78,9 @@
 	return nil
 }
 
-func (s *sound) Begin(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
+func (s *sound) Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
 	s.begins = true
-	err := s.Reader.Begin(log, at, config)
+	err := s.Applier.Start(log, at, config)
 	if s.begins = false; err == nil {
 		s.e.put(trace.Record{Index: uint64(at), Mark: s.mark, Node: s.number, What: trace.Began})
 	}
@@ -90,8 +90,8 @@
 // unheeding takes an old configuration, or none, for the one in force where it begins.
 type unheeding struct{ *sound }
 
-func (u unheeding) Begin(log accord.LogID, at accord.Index, _ cbor.RawMessage) error {
-	return u.sound.Begin(log, at, nil)
+func (u unheeding) Start(log accord.LogID, at accord.Index, _ cbor.RawMessage) error {
+	return u.sound.Start(log, at, nil)
 }
 
 // gapped loses a frame and goes on with the next as if nothing were missing.
@@ -101,12 +101,12 @@
 	applied accord.Index
 }
 
-func (g *gapped) Begin(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
+func (g *gapped) Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
 	g.applied = at
-	return g.sound.Begin(log, at, config)
+	return g.sound.Start(log, at, config)
 }
 
-func (g *gapped) Take(raw []cbor.RawMessage) error {
+func (g *gapped) Apply(raw []cbor.RawMessage) error {
 	if len(raw) > 0 { // else it is a sign of life
 		if g.frames++; g.frames == 3 {
 			return nil
@@ -121,8 +121,8 @@
 	return nil
 }
 
-func (g *gapped) Now() accord.Standing {
-	s := g.sound.Now()
+func (g *gapped) CurrentProgress() accord.Progress {
+	s := g.sound.CurrentProgress()
 	s.Applied = g.applied
 	return s
 }
@@ -134,7 +134,7 @@
 	later []cbor.RawMessage
 }
 
-func (h *hasty) Take(raw []cbor.RawMessage) error {
+func (h *hasty) Apply(raw []cbor.RawMessage) error {
 	now := append(h.later, raw...)
 	if h.later = nil; len(now) > 0 && len(raw) > 0 { // the newest waits for the next frame
 		h.later, now = now[len(now)-1:], now[:len(now)-1]
@@ -144,11 +144,11 @@
 			h.heard = e.Index
 		}
 	}
-	return h.sound.Take(now)
+	return h.sound.Apply(now)
 }
 
-func (h *hasty) Now() accord.Standing {
-	s := h.sound.Now()
+func (h *hasty) CurrentProgress() accord.Progress {
+	s := h.sound.CurrentProgress()
 	s.Applied = max(s.Applied, h.heard)
 	return s
 }
@@ -156,8 +156,8 @@
 // late says for a while yet that it is one entry back, so that its next stream brings that one again, and it does not look.
 type late struct{ gapped }
 
-func (l *late) Now() accord.Standing {
-	s := l.gapped.Now()
+func (l *late) CurrentProgress() accord.Progress {
+	s := l.gapped.CurrentProgress()
 	s.Applied = max(1, s.Applied) - 1
 	return s
 }
@@ -169,10 +169,10 @@
 }
 
 func (l *lazy) Save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
-	tell := l.Store.OnDisk
-	l.Store.OnDisk = nil
+	tell := l.Store.OnPersisted
+	l.Store.OnPersisted = nil
 	err := l.Store.Save(hard, entries, snap) // in memory, as far as a judge can know: what is told of is on disk
-	l.Store.OnDisk = tell
+	l.Store.OnPersisted = tell
 	l.done.Go(func() {
 		time.Sleep(200 * time.Millisecond)
 		tell(entries)
@@ -190,30 +190,30 @@
 	t.Parallel()
 	for _, v := range []struct {
 		name   string
-		reader func(*sound) Reader
+		reader func(*sound) Applier
 		disk   bool // lazy ones
 		again  bool // who publishes gives a change another id when it tries again
 		want   []string
 	}{
 		{name: "sound"},
-		{name: "a gap passed over", reader: func(s *sound) Reader { return &gapped{sound: s} }, want: []string{judge.Missing}},
+		{name: "a gap passed over", reader: func(s *sound) Applier { return &gapped{sound: s} }, want: []string{judge.Missing}},
 		{name: "acknowledged before a majority", disk: true, want: []string{judge.EarlyAck, judge.EarlyInForce}},
-		{name: "an old beginning", reader: func(s *sound) Reader { return unheeding{s} }, want: []string{judge.OldBeginning}},
-		{name: "told too early", reader: func(s *sound) Reader { return &hasty{sound: s} }, want: []string{judge.EarlyTold}},
-		{name: "applied again", reader: func(s *sound) Reader { return &late{gapped{sound: s, frames: 100}} }, want: []string{judge.Doubled}},
+		{name: "an old beginning", reader: func(s *sound) Applier { return unheeding{s} }, want: []string{judge.OldBeginning}},
+		{name: "told too early", reader: func(s *sound) Applier { return &hasty{sound: s} }, want: []string{judge.EarlyTold}},
+		{name: "applied again", reader: func(s *sound) Applier { return &late{gapped{sound: s, frames: 100}} }, want: []string{judge.Doubled}},
 		{name: "doubled on retry", again: true, want: []string{judge.Doubled}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
 			e := &evidence{}
-			f := newFleet(t, nil, func(i int, b *Berth) {
-				b.Kept = e.keeps(i)
+			f := newFleet(t, nil, func(i int, b *Config) {
+				b.OnPersisted = e.keeps(i)
 				if v.disk {
 					s, err := store.Open(b.File.Control.Data, store.Owner{ID: uint64(i + 1), Label: "l"}, []uint64{1, 2, 3}, []uint64{4}, true)
 					if err != nil {
 						t.Fatal(err)
 					}
-					s.OnDisk = func(all []*pb.Entry) { (&Machine{Berth: *b}).OnDisk(all) }
+					s.OnPersisted = func(all []*pb.Entry) { (&Server{Config: *b}).OnDisk(all) }
 					b.Disk = &lazy{Store: s}
 				}
 			})
@@ -224,20 +224,20 @@
 					time.Sleep(time.Millisecond)
 				}
 			}
-			var nodes []*Following
+			var nodes []*Follower
 			for i := range uint32(2) {
 				s := &sound{e: e, number: i}
-				s.Reader = accord.NewReader(s)
-				var r Reader = s
+				s.Applier = accord.NewApplier(s)
+				var r Applier = s
 				if v.reader != nil && i == 0 {
 					r = v.reader(s)
 				}
-				n := Follow(FollowBerth{Name: fmt.Sprint("n", i), Label: "l", At: f.all(), Seed: i, Stale: time.Second, Reader: r, Log: quietly(), Now: boottime, Dial: f.dial,
-					Told: func(at accord.Index) { e.put(trace.Record{Index: uint64(at), Node: i, What: trace.Told}) }})
+				n := StartFollower(FollowerConfig{Name: fmt.Sprint("n", i), Label: "l", At: f.all(), Seed: i, Stale: time.Second, Reader: r, Log: quietly(), Now: boottime, Dial: f.dial,
+					OnProgressSent: func(at accord.Index) { e.put(trace.Record{Index: uint64(at), Node: i, What: trace.Told}) }})
 				t.Cleanup(n.Close)
 				nodes = append(nodes, n)
 			}
-			for by := time.Now().Add(10 * time.Second); !nodes[0].now.Load().Begun || !nodes[1].now.Load().Begun; time.Sleep(time.Millisecond) {
+			for by := time.Now().Add(10 * time.Second); !nodes[0].now.Load().Started || !nodes[1].now.Load().Started; time.Sleep(time.Millisecond) {
 				if time.Now().After(by) {
 					t.Fatal("they never began")
 				}
--- a/internal/net/accord/wire.go
+++ b/internal/net/accord/wire.go
@@ -81,7 +81,7 @@
 	Fresh    bool              `cbor:"12,keyasint,omitempty"` // the node has applied nothing
 	Machines []machineRow      `cbor:"13,keyasint,omitempty"`
 	Log      uint64            `cbor:"14,keyasint,omitempty"` // which log: of a beginning, and of a node's hello
-	Caches   []purger.Row      `cbor:"15,keyasint,omitempty"` // how machines stand with caches
+	Caches   []purger.Progress `cbor:"15,keyasint,omitempty"` // how machines stand with caches
 }
 
 // row is how a node stands, as control machines tell each other and operators.
@@ -189,7 +189,7 @@
 	if err != nil {
 		return w, 0, err
 	}
-	if err := accord.Reading.Unmarshal(b, &w); err != nil {
+	if err := accord.DecodeMode.Unmarshal(b, &w); err != nil {
 		return w, 0, fmt.Errorf("%w: %w", errWord, err)
 	}
 	if w.Version == 0 || len(w.Rows) > mostRows || len(w.Caches) > mostMachines*mostCacheRows {
--- a/internal/net/purges/cache.go
+++ b/internal/net/purges/cache.go
@@ -37,8 +37,8 @@
 // moves does something by which the cursor may move, and tells of it.
 func (c *cache) moves(do func()) {
 	before := c.Cursor()
-	if do(); c.p.Counted != nil && c.Cursor() != before {
-		c.p.Counted(c.id, c.Cursor())
+	if do(); c.p.OnProgress != nil && c.Cursor() != before {
+		c.p.OnProgress(c.id, c.Cursor())
 	}
 }
 
@@ -73,7 +73,7 @@
 			p.mu.Unlock()
 			return
 		}
-		rest := c.Broke(p.Now(), c.chance.Float64())
+		rest := c.OnDisconnect(p.Now(), c.chance.Float64())
 		c.reason = short(err)
 		p.mu.Unlock()
 		select {
@@ -100,10 +100,10 @@
 			return errLeft
 		}
 		now, fresh := p.Now(), p.fresh
-		silent := c.Silent(now)
+		silent := c.AnswerOverdue(now)
 		for is := true; is && len(out) < writeAtOnce && !silent; {
 			var cmd purges.Command
-			c.moves(func() { cmd, is, again = c.Next(now, p.Log, &p.times, &p.gate) })
+			c.moves(func() { cmd, is, again = c.NextCommand(now, p.Log, &p.times, &p.gate) })
 			switch {
 			case is && cmd.Kind >= purges.Flush:
 				out = append(out, meta.FlushAll...)
@@ -160,11 +160,11 @@
 			}
 			held = held[size:]
 			p.mu.Lock()
-			due, is := c.Due()
+			due, is := c.AwaitingAnswer()
 			ok := c.stop == stop && is && flushed == (due.Kind >= purges.Flush) && (flushed || id == uint64(due.Index))
 			if ok {
 				c.heard, c.reason = p.Now(), ""
-				c.moves(func() { c.Answered(p.Log, &p.times) })
+				c.moves(func() { c.OnAnswer(p.Log, &p.times) })
 			}
 			p.mu.Unlock()
 			if !ok {
--- a/internal/net/purges/purges.go
+++ b/internal/net/purges/purges.go
@@ -33,11 +33,11 @@
 // Log is what a control machine has of the log of changes.
 type Log interface {
 	purges.Log
-	Fresh() <-chan struct{} // closed when there is more
+	Changed() <-chan struct{} // closed when there is more
 }
 
 // Berth is what is started with.
-type Berth struct {
+type Config struct {
 	Terms    *charter.Purges
 	Machines int // control machines, which call for the list as this one does
 	Log      Log
@@ -47,11 +47,11 @@
 	Now      func() policy.Instant
 	Dial     func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// Counted is told of a cursor that has moved, as it moves: for a judge. nil for nobody.
-	Counted func(purges.CacheID, purges.Cursor)
+	OnProgress func(purges.CacheID, purges.Cursor)
 }
 
 // Row is how a control machine stands with a cache, as machines tell each other and operators.
-type Row struct {
+type Progress struct {
 	Cache    string `cbor:"1,keyasint"`
 	Started  int64  `cbor:"2,keyasint,omitempty"`
 	Log      uint64 `cbor:"3,keyasint,omitempty"`
@@ -68,10 +68,10 @@
 
 // Purger carries purges out at all caches.
 type Purger struct {
-	Berth
+	Config
 	mu      sync.Mutex // of all that follows, and of all rules
-	times   purges.Times
-	gate    purges.Gate
+	times   purges.ArrivalTimes
+	gate    purges.FlushLimiter
 	caches  map[purges.CacheID]*cache
 	fresh   chan struct{} // closed once there is more
 	hasList bool
@@ -81,7 +81,7 @@
 }
 
 // Open starts to carry purges out.
-func Open(b Berth) (*Purger, error) {
+func Open(b Config) (*Purger, error) {
 	d, known, err := openDisk(b.Dir)
 	if err != nil {
 		return nil, err
@@ -89,12 +89,12 @@
 	if b.Dial == nil {
 		b.Dial = func(addr string, within time.Duration) (net.Conn, error) { return net.DialTimeout("tcp", addr, within) }
 	}
-	p := &Purger{Berth: b, gate: purges.Gate{Each: b.Terms.FlushEach()}, caches: map[purges.CacheID]*cache{}, fresh: make(chan struct{}), closed: make(chan struct{}), disk: d}
+	p := &Purger{Config: b, gate: purges.FlushLimiter{Each: b.Terms.FlushEach()}, caches: map[purges.CacheID]*cache{}, fresh: make(chan struct{}), closed: make(chan struct{}), disk: d}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range known {
-		if p.know(id, c); b.Counted != nil {
-			b.Counted(id, c)
+		if p.know(id, c); b.OnProgress != nil {
+			b.OnProgress(id, c)
 		}
 	}
 	p.note()
@@ -133,7 +133,7 @@
 		return nil
 	}
 	k := &cache{p: p, id: id, chance: keyhash.Source{Seed: p.Seed ^ uint32(keyhash.String(string(id)))}, nudge: make(chan struct{}, 1), heard: p.Now(), saved: c,
-		Cache: purges.NewCache(purges.Terms{Fills: p.Terms.Fills(), Each: p.Terms.Each()}, c, p.Now())}
+		Cache: purges.NewCache(purges.Config{LongestFill: p.Terms.Fills(), CommandInterval: p.Terms.Each()}, c, p.Now())}
 	p.caches[id] = k
 	return k
 }
@@ -156,7 +156,7 @@
 func (p *Purger) follow() {
 	defer p.done.Done()
 	for {
-		fresh := p.Log.Fresh()
+		fresh := p.Log.Changed()
 		p.mu.Lock()
 		p.note()
 		close(p.fresh)
@@ -171,8 +171,8 @@
 }
 
 func (p *Purger) note() {
-	id, _, last := p.Log.Stands()
-	p.times.Note(p.Now(), id, last)
+	id, _, last := p.Log.Position()
+	p.times.Record(p.Now(), id, last)
 }
 
 // save keeps cursors that have moved. Those on disk lag, and never lead.
@@ -217,45 +217,45 @@
 }
 
 // Rows are how this machine stands with each cache in the list. Listed is false until there is a list.
-func (p *Purger) Rows() (all []Row, listed bool) {
+func (p *Purger) Progress() (all []Progress, listed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
-	log, _, _ := p.Log.Stands()
+	log, _, _ := p.Log.Position()
 	for id, c := range p.caches {
 		if c.stop == nil {
 			continue
 		}
 		at := c.Cursor()
-		r := Row{Cache: string(id), Started: int64(at.Started), Log: uint64(at.Log), Done: uint64(at.Done), First: uint64(c.First()), Late: c.Late(now, &p.times, lateAfter),
+		r := Progress{Cache: string(id), Started: int64(at.Started), Log: uint64(at.Log), Done: uint64(at.Done), First: uint64(c.FirstDeleted()), Late: c.Overdue(now, &p.times, lateAfter),
 			Flushing: c.Flushing(p.Log), Reason: c.reason, Foreign: at.Log != log}
-		if _, is := c.Due(); is || c.reason != "" {
+		if _, is := c.AwaitingAnswer(); is || c.reason != "" {
 			r.QuietMs = uint64(max(0, now.Since(c.heard)) / time.Millisecond)
 		}
 		all = append(all, r)
 	}
-	slices.SortFunc(all, func(a, b Row) int { return cmp.Compare(a.Cache, b.Cache) })
+	slices.SortFunc(all, func(a, b Progress) int { return cmp.Compare(a.Cache, b.Cache) })
 	return all, p.hasList
 }
 
 // Heard takes what another control machine tells to be done.
-func (p *Purger) Heard(rows []Row) {
+func (p *Purger) MergeProgress(rows []Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range rows {
 		if c := p.caches[purges.CacheID(r.Cache)]; c != nil {
 			c.moves(func() {
-				c.Adopt(purges.Cursor{Log: accord.LogID(r.Log), Started: purges.Incarnation(r.Started), Done: accord.Index(r.Done)})
+				c.MergeCursor(purges.Cursor{Log: accord.LogID(r.Log), Started: purges.Incarnation(r.Started), Done: accord.Index(r.Done)})
 			})
 		}
 	}
 }
 
 // Least is up to where purges are done at all caches in the list: what comes after it is needed yet.
-func (p *Purger) Least() (least accord.Index, is bool) {
+func (p *Purger) DoneEverywhere() (least accord.Index, is bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	log, _, _ := p.Log.Stands()
+	log, _, _ := p.Log.Position()
 	for _, c := range p.caches {
 		if at := c.Cursor(); c.stop != nil && at.Log == log && (!is || at.Done < least) {
 			least, is = at.Done, true
@@ -282,7 +282,7 @@
 		return
 	}
 	before := c.Cursor().Started
-	c.moves(func() { c.Listed(at, e.started, &p.times) })
+	c.moves(func() { c.OnListed(at, e.started, &p.times) })
 	if c.stop != nil && (c.addr != e.addr || c.Cursor().Started != before) {
 		p.unlist(c)
 	}
@@ -298,7 +298,7 @@
 	if c.stop != nil {
 		close(c.stop)
 		c.stop = nil
-		c.Broke(p.Now(), 0)
+		c.OnDisconnect(p.Now(), 0)
 	}
 }
 
--- a/internal/net/purges/purges_test.go
+++ b/internal/net/purges/purges_test.go
@@ -38,7 +38,7 @@
 	fresh chan struct{}
 }
 
-func (l *log) Stands() (accord.LogID, accord.Index, accord.Index) {
+func (l *log) Position() (accord.LogID, accord.Index, accord.Index) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 7, l.floor, accord.Index(len(l.all))
@@ -53,9 +53,9 @@
 	return l.all[i-1], true
 }
 
-func (l *log) Asked(accord.Index) (policy.Instant, bool) { return 0, false }
+func (l *log) RequestedAt(accord.Index) (policy.Instant, bool) { return 0, false }
 
-func (l *log) Fresh() <-chan struct{} {
+func (l *log) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fresh
@@ -111,8 +111,8 @@
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	terms := f.terms
-	p, err := Open(Berth{Terms: &terms, Machines: 4, Log: &f.log, Dir: f.dirs[i], Seed: uint32(i), Logger: l, Now: boottime, Dial: f.dial,
-		Counted: func(id purges.CacheID, c purges.Cursor) {
+	p, err := Open(Config{Terms: &terms, Machines: 4, Log: &f.log, Dir: f.dirs[i], Seed: uint32(i), Logger: l, Now: boottime, Dial: f.dial,
+		OnProgress: func(id purges.CacheID, c purges.Cursor) {
 			f.tell(trace.Cached{At: boottime(), Cache: string(id), What: trace.Counted, Index: uint64(c.Done)})
 		}})
 	if err != nil {
@@ -142,14 +142,14 @@
 }
 
 // row is how a machine stands with a cache.
-func (f *fleet) row(i int, cache string) Row {
-	all, _ := f.ps[i].Rows()
+func (f *fleet) row(i int, cache string) Progress {
+	all, _ := f.ps[i].Progress()
 	for _, r := range all {
 		if r.Cache == cache {
 			return r
 		}
 	}
-	return Row{Cache: "none"}
+	return Progress{Cache: "none"}
 }
 
 // until waits for something.
@@ -329,9 +329,9 @@
 	f.stop(0)
 	f.dirs[0] = t.TempDir()
 	f.start(0)
-	rows, _ := f.ps[1].Rows()
+	rows, _ := f.ps[1].Progress()
 	f.until("the other has done it", func() bool { return f.row(1, "c0").Done == 30 })
-	f.ps[0].Heard(rows[1:])
+	f.ps[0].MergeProgress(rows[1:])
 	if r := f.row(0, "c1"); r.Done != 30 || r.Flushing {
 		t.Errorf("%+v", r)
 	}
@@ -390,21 +390,21 @@
 	f.terms.Caches, f.terms.Discovery = nil, strings.TrimPrefix(web.URL, "http://")
 	f.ps, f.dirs = []*Purger{nil}, []string{t.TempDir()}
 	f.start(0)
-	if _, is := f.ps[0].Rows(); is {
+	if _, is := f.ps[0].Progress(); is {
 		t.Error("a list before one came")
 	}
 	d.set(at(0, 5, "in_service"), at(1, 5, "terminating"), origin)
 	f.publish(2, "a")
-	f.until("both are listed", func() bool { all, _ := f.ps[0].Rows(); return len(all) == 2 })
+	f.until("both are listed", func() bool { all, _ := f.ps[0].Progress(); return len(all) == 2 })
 	f.done(0, "c0")
 	f.done(0, "c1")
 	d.set(at(0, 5, "in_service"), origin, odd)
 	time.Sleep(100 * time.Millisecond)
-	if all, _ := f.ps[0].Rows(); len(all) != 2 {
+	if all, _ := f.ps[0].Progress(); len(all) != 2 {
 		t.Error("an entry that can't be read took a cache out")
 	}
 	d.set(at(0, 5, "in_service"), at(1, 5, "terminated"), origin)
-	f.until("one left", func() bool { all, _ := f.ps[0].Rows(); return len(all) == 1 })
+	f.until("one left", func() bool { all, _ := f.ps[0].Progress(); return len(all) == 1 })
 	f.caches[1].Fill("b", 1)
 	f.publish(2, "b")
 	f.done(0, "c0")
@@ -507,7 +507,7 @@
 			cache.Break(keeper.None, 0)
 			f.start(0)
 			if v.fresh {
-				f.ps[0].Heard([]Row{{Cache: "c0", Log: 7, Done: 3}})
+				f.ps[0].MergeProgress([]Progress{{Cache: "c0", Log: 7, Done: 3}})
 			}
 			f.done(0, "c0")
 			_, _ = cache.Serve("b")
--- a/internal/scale/changes/rig/caches.go
+++ b/internal/scale/changes/rig/caches.go
@@ -163,7 +163,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheCut, r.CutFor+r.After, r.PurgesASecond, 0) })
 	time.Sleep(r.CutFor)
-	o, err := r.caller.Changes()
+	o, err := r.caller.Overview()
 	for _, x := range o.Caches {
 		if x.Cache == c.Name() && err == nil {
 			why := []string{}
--- a/internal/scale/changes/rig/hollow.go
+++ b/internal/scale/changes/rig/hollow.go
@@ -69,17 +69,17 @@
 
 // hollow is a node that follows the log by the real code, and does nothing by it but write it down.
 type hollow struct {
-	reader *accord.Reader
+	reader *accord.Applier
 	to     *writer
 	number uint32
 	begins bool
 	mark   uint64
 }
 
-func (h *hollow) Presume(accord.Index) {}
+func (h *hollow) PresumePurged(accord.Index) {}
 
 func (h *hollow) note(what trace.What, at accord.Index, kind accord.Kind, body string) {
-	mark := accord.Proposal{Kind: kind, Body: []byte(body)}.Mark()
+	mark := accord.Proposal{Kind: kind, Body: []byte(body)}.ContentHash()
 	if h.begins {
 		h.mark = mark
 		return
@@ -95,17 +95,17 @@
 }
 
 // Begin and Take are a Reader's.
-func (h *hollow) Begin(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
+func (h *hollow) Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
 	h.begins, h.mark = true, 0
-	err := h.reader.Begin(log, at, config)
+	err := h.reader.Start(log, at, config)
 	if h.begins = false; err == nil {
 		h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: trace.Began})
 	}
 	return err
 }
 
-func (h *hollow) Take(raw []cbor.RawMessage) error { return h.reader.Take(raw) }
-func (h *hollow) Now() accord.Standing             { return h.reader.Now() }
+func (h *hollow) Apply(raw []cbor.RawMessage) error { return h.reader.Apply(raw) }
+func (h *hollow) CurrentProgress() accord.Progress  { return h.reader.CurrentProgress() }
 
 func (h *hollow) told(at accord.Index) {
 	h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Node: h.number, What: trace.Told})
@@ -135,7 +135,7 @@
 	to := &writer{w: bufio.NewWriterSize(traced, traceAhead)}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	var all []*net.Following
+	var all []*net.Follower
 	ends := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, until)
@@ -143,9 +143,9 @@
 	}()
 	for i := range s.Nodes {
 		h := &hollow{to: to, number: s.First + uint32(i)}
-		h.reader = accord.NewReader(h)
-		all = append(all, net.Follow(net.FollowBerth{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, At: s.At, Seed: s.Seed + h.number, Stale: 30 * time.Second,
-			Reader: h, Log: log, Now: fleet.BootTime, Told: h.told}))
+		h.reader = accord.NewApplier(h)
+		all = append(all, net.StartFollower(net.FollowerConfig{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, At: s.At, Seed: s.Seed + h.number, Stale: 30 * time.Second,
+			Reader: h, Log: log, Now: fleet.BootTime, OnProgressSent: h.told}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
 	each := time.NewTicker(sampleEach)
@@ -164,7 +164,7 @@
 	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
 }
 
-func sample(all []*net.Following) Sample {
+func sample(all []*net.Follower) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s := Sample{At: fleet.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
--- a/internal/scale/changes/rig/rig.go
+++ b/internal/scale/changes/rig/rig.go
@@ -128,7 +128,7 @@
 	hollows  []*process
 	specs    []Spec
 	real     []*process
-	caller   net.Caller
+	caller   net.Client
 	mu       sync.Mutex
 	orders   []trace.Ordered
 	report   Report
@@ -274,7 +274,7 @@
 			return err
 		}
 	}
-	r.caller = net.Caller{At: r.nodes[:], Label: label}
+	r.caller = net.Client{At: r.nodes[:], Label: label}
 	first := uint32(0)
 	for region := range r.Regions {
 		doors, err := r.doors(region)
@@ -300,8 +300,8 @@
 		}
 	}
 	for by := time.Now().Add(readyBy); ; time.Sleep(lookEach) {
-		o, err := r.caller.Changes()
-		if err == nil && o.Led && len(o.Nodes) == r.Nodes+r.Real && o.Whole() {
+		o, err := r.caller.Overview()
+		if err == nil && o.Led && len(o.Nodes) == r.Nodes+r.Real && o.CaughtUp() {
 			r.say("%d nodes follow", len(o.Nodes))
 			return nil
 		}
@@ -376,7 +376,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, p := range all {
-		o := trace.Ordered{Mark: p.Mark(), Config: p.Kind == accord.Config, Sent: sent, Acked: acked, Play: play}
+		o := trace.Ordered{Mark: p.ContentHash(), Config: p.Kind == accord.Config, Sent: sent, Acked: acked, Play: play}
 		if i < len(at) {
 			o.Index = uint64(at[i])
 		}
@@ -423,12 +423,12 @@
 	if r.Kill || r.Hang {
 		others.Go(func() {
 			time.Sleep(r.For / killedAt)
-			o, err := r.caller.Changes()
+			o, err := r.caller.Overview()
 			if err != nil {
 				fault = err
 				return
 			}
-			at := slices.IndexFunc(o.Machines, func(m net.MachineRow) bool { return m.Leads })
+			at := slices.IndexFunc(o.Machines, func(m net.ServerStatus) bool { return m.Leads })
 			if at < 0 {
 				fault = errors.New("nobody to kill leads")
 				return
@@ -486,7 +486,7 @@
 	}
 	backlog.Wait()
 	time.Sleep(time.Until(begin.Add(r.CutFor)))
-	o, err := r.caller.Changes()
+	o, err := r.caller.Overview()
 	if err != nil {
 		return err
 	}
@@ -511,9 +511,9 @@
 		o := r.orders[len(r.orders)-1]
 		for by := time.Now().Add(showBy); o.Index > 0 && time.Now().Before(by); time.Sleep(showEach) {
 			asked := time.Now()
-			all, err := r.caller.Changes()
+			all, err := r.caller.Overview()
 			r.report.Asked = max(r.report.Asked, time.Since(asked).Seconds())
-			if err == nil && uint64(all.Last) >= o.Index && all.NodesWhole() && len(all.Nodes) == r.Nodes+r.Real {
+			if err == nil && uint64(all.Last) >= o.Index && all.NodesCaughtUp() && len(all.Nodes) == r.Nodes+r.Real {
 				break
 			}
 		}
@@ -524,8 +524,8 @@
 // settle waits until every node has all.
 func (r *run) settle(ctx context.Context) error {
 	for by := time.Now().Add(settleBy); ; time.Sleep(lookEach) {
-		o, err := r.caller.Changes()
-		if err == nil && o.Whole() && len(o.Nodes) == r.Nodes+r.Real {
+		o, err := r.caller.Overview()
+		if err == nil && o.CaughtUp() && len(o.Nodes) == r.Nodes+r.Real {
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -569,7 +569,7 @@
 
 // realWhole counts the real nodes that say they have all.
 func (r *run) realWhole() {
-	o, err := r.caller.Changes()
+	o, err := r.caller.Overview()
 	if err != nil {
 		r.report.Notes = append(r.report.Notes, err.Error())
 		return
--- a/node/changes.go
+++ b/node/changes.go
@@ -20,15 +20,15 @@
 	}
 	var process [8]byte
 	_, _ = rand.Read(process[:]) // never fails
-	n.follows.Store(accord.Follow(accord.FollowBerth{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
-		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewReader(byLog{n}), Log: n.log, Now: fleet.BootTime}))
+	n.follows.Store(accord.StartFollower(accord.FollowerConfig{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
+		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewApplier(byLog{n}), Log: n.log, Now: fleet.BootTime}))
 }
 
 // byLog is what the node does by the log of changes.
 type byLog struct{ n *Node }
 
 // Presume says that everything up to an index may have been purged: the rule presume-purged.
-func (b byLog) Presume(upTo changes.Index) {
+func (b byLog) PresumePurged(upTo changes.Index) {
 	b.n.log.WithField("up_to", upTo).Info("the log of changes begins: everything up to there may have been purged")
 }
 
@@ -57,7 +57,7 @@
 // FleetStatus is how a node stands in its fleet, for operators.
 type FleetStatus struct {
 	fleet.Status
-	Changes *accord.FollowStatus `json:"changes,omitempty"` // nil where it follows no log of changes
+	Changes *accord.FollowerStatus `json:"changes,omitempty"` // nil where it follows no log of changes
 }
 
 // withChanges adds how the node follows.
--- a/node/posting.go
+++ b/node/posting.go
@@ -77,7 +77,7 @@
 	case p.charter == nil:
 		return 0
 	case len(p.charter.Changes.At) > 0:
-		return fleet.Descriptors + accord.FollowFiles
+		return fleet.Descriptors + accord.FollowerDescriptors
 	}
 	return fleet.Descriptors
 }
