--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -117,7 +117,7 @@
 }
 
 // shown plays a script on sockets and tells what happens, until its end or Ctrl-C.
-func shown(c *cobra.Command, s *script.Script) error {
+func shown(c *cobra.Command, s *script.Scenario) error {
 	out := c.OutOrStdout()
 	r, err := onSockets(c.Context(), s, func(line string) { fmt.Fprintln(out, line) })
 	if errors.Is(err, context.Canceled) {
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -75,8 +75,8 @@
 		for i := 1; i < 12; i += 2 { // zone b
 			far += report.Servers[i].Legs
 		}
-		if (far == 0) != (m.dir != "") || report.Grades[0].Asked == 0 || !report.Good() {
-			t.Errorf("%+v: %d legs crossed, %+v", m, far, report.Grades)
+		if (far == 0) != (m.dir != "") || report.Classes[0].Asked == 0 || !report.Good() {
+			t.Errorf("%+v: %d legs crossed, %+v", m, far, report.Classes)
 		}
 	}
 }
--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -68,7 +68,7 @@
 }
 
 // find reads a script from a file, or takes one of those that come with the program.
-func find(name string) (*script.Script, error) {
+func find(name string) (*script.Scenario, error) {
 	if text, ok := rehearsals.Text(name); ok {
 		return script.Parse(name+".toml", text)
 	}
@@ -117,7 +117,7 @@
 }
 
 // onSockets plays a script against node processes of this very program. Nothing is left behind, however it ends.
-func onSockets(ctx context.Context, s *script.Script, tell func(string)) (*outcome.Report, error) {
+func onSockets(ctx context.Context, s *script.Scenario, tell func(string)) (*outcome.Report, error) {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	self, err := os.Executable()
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -86,7 +86,7 @@
 	}
 	var r outcome.Report
 	text, _ := os.ReadFile(dir + "/report.json")
-	if err := json.Unmarshal(text, &r); err != nil || r.Grades[0].Asked < 300 {
+	if err := json.Unmarshal(text, &r); err != nil || r.Classes[0].Asked < 300 {
 		t.Errorf("%v: %.200s", err, text)
 	}
 	lines, _ := os.ReadFile(dir + "/records.jsonl")
@@ -182,14 +182,14 @@
 // machine was too busy for shows nothing.
 func TestTheNemesisShortensWhatBreaks(t *testing.T) {
 	dir, plays := t.TempDir(), 0
-	needs := func(s *script.Script, do string) bool {
+	needs := func(s *script.Scenario, do string) bool {
 		return slices.ContainsFunc(s.Events, func(e script.Event) bool { return e.Do == do })
 	}
-	play := func(s *script.Script) (*outcome.Report, error) {
+	play := func(s *script.Scenario) (*outcome.Report, error) {
 		plays++
 		return &outcome.Report{Expected: []outcome.Expected{{What: "all is well", Met: !needs(s, "node_pause") || !needs(s, "node_kill")}}}, nil
 	}
-	schedule := func(k int) *script.Script { return script.Nemesis(int64(k), 12, 90) }
+	schedule := func(k int) *script.Scenario { return script.Nemesis(int64(k), 12, 90) }
 	var said bytes.Buffer
 	err := hunt(&said, 50, 100, dir, schedule, play)
 	lines := strings.Split(strings.TrimSpace(said.String()), "\n")
@@ -204,7 +204,7 @@
 		t.Error(err)
 	}
 	said.Reset()
-	busy := func(*script.Script) (*outcome.Report, error) { return &outcome.Report{Busy: "late"}, nil }
+	busy := func(*script.Scenario) (*outcome.Report, error) { return &outcome.Report{Busy: "late"}, nil }
 	if err := hunt(&said, 3, 100, dir, schedule, busy); err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
 		t.Errorf("%v: %s", err, &said)
 	}
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -27,7 +27,7 @@
 		call.last = 2
 	}
 	var said bytes.Buffer
-	err := call.play(&said, func(s *script.Script) (*outcome.Report, error) {
+	err := call.play(&said, func(s *script.Scenario) (*outcome.Report, error) {
 		return onwire.Play(context.Background(), s, processes, nil)
 	})
 	t.Logf("%s", said.String())
--- a/internal/emulator/course/course.go
+++ b/internal/emulator/course/course.go
@@ -43,8 +43,8 @@
 }
 
 // Course plays one script.
-type Course struct {
-	script      *script.Script
+type Run struct {
+	script      *script.Scenario
 	world       *world.World
 	traffic     *world.Traffic
 	rig         Rig
@@ -56,8 +56,8 @@
 }
 
 // Play hangs all events in. began is when the script's time is 0.
-func Play(s *script.Script, w *world.World, t *world.Traffic, began policy.Instant, rig Rig) *Course {
-	c := &Course{script: s, world: w, traffic: t, rig: rig, began: began}
+func Play(s *script.Scenario, w *world.World, t *world.Traffic, began policy.Instant, rig Rig) *Run {
+	c := &Run{script: s, world: w, traffic: t, rig: rig, began: began}
 	events := slices.Clone(s.Events)
 	slices.SortStableFunc(events, func(a, b script.Event) int { return cmp.Compare(a.AtS, b.AtS) })
 	for i := range events {
@@ -72,7 +72,7 @@
 	return c
 }
 
-func (c *Course) each(now policy.Instant, e *script.Event, do func(at policy.Instant, server int)) {
+func (c *Run) each(now policy.Instant, e *script.Event, do func(at policy.Instant, server int)) {
 	ids := c.script.Chosen(e)
 	for n, id := range ids {
 		c.spaced(now, e, n, len(ids), func(at policy.Instant) {
@@ -84,7 +84,7 @@
 }
 
 // spaced does the n-th of so many things at its time in the event's span, the first at once.
-func (c *Course) spaced(now policy.Instant, e *script.Event, n, of int, do func(at policy.Instant)) {
+func (c *Run) spaced(now policy.Instant, e *script.Event, n, of int, do func(at policy.Instant)) {
 	if n == 0 || e.OverS == 0 {
 		do(now)
 		return
@@ -93,7 +93,7 @@
 	c.rig.At(at, func() { do(at) })
 }
 
-func (c *Course) do(now policy.Instant, e *script.Event) {
+func (c *Run) do(now policy.Instant, e *script.Event) {
 	w, long := c.world, script.Span(e.ForS)
 	end := now.Add(long + script.Span(e.OverS)) // all end together
 	c.rig.Said(now, describe(c.script, e))
@@ -229,7 +229,7 @@
 }
 
 // discovery ends or begins a spell without discovery: it is there while there is none, as spells may overlap.
-func (c *Course) discovery(change int) {
+func (c *Run) discovery(change int) {
 	was := c.discoveryUp
 	c.discoveryUp += change
 	if (was == 0) != (c.discoveryUp == 0) {
@@ -238,7 +238,7 @@
 }
 
 // disturb does to a node what it has to bear without any excuse.
-func (c *Course) disturb(node int, e *script.Event, at policy.Instant) {
+func (c *Run) disturb(node int, e *script.Event, at policy.Instant) {
 	long := script.Span(e.ForS)
 	switch e.Do {
 	case "node_crowd":
@@ -260,7 +260,7 @@
 }
 
 // turns changes ways between nodes until an end, or by turns where the event comes and goes.
-func (c *Course) turns(now, end policy.Instant, e *script.Event, set func(w *between.Way, on bool)) {
+func (c *Run) turns(now, end policy.Instant, e *script.Event, set func(w *between.Way, on bool)) {
 	all := func(on bool) {
 		for _, p := range c.script.Pairs(e) {
 			c.rig.Between(p[0], p[1], func(w *between.Way) { set(w, on) })
@@ -279,13 +279,13 @@
 }
 
 // start starts a server's process anew. Connections that outlived the old one, as a vanished machine's do, are reset.
-func (c *Course) start(now policy.Instant, s int) {
+func (c *Run) start(now policy.Instant, s int) {
 	c.world.Start(now, s)
 	c.rig.Broke(s)
 	c.rig.Listed(EntryOf(c.world, s))
 }
 
-func (c *Course) drain(now policy.Instant, s int, long time.Duration) {
+func (c *Run) drain(now policy.Instant, s int, long time.Duration) {
 	server := c.world.Servers[s]
 	server.State = policy.Draining
 	c.rig.Listed(EntryOf(c.world, s))
@@ -318,7 +318,7 @@
 	return es
 }
 
-func describe(s *script.Script, e *script.Event) string {
+func describe(s *script.Scenario, e *script.Event) string {
 	text := e.Do
 	if ids := s.Chosen(e); len(ids) > 0 {
 		text += fmt.Sprint(" ", ids)
--- a/internal/emulator/course/ear.go
+++ b/internal/emulator/course/ear.go
@@ -9,20 +9,20 @@
 
 // Ear hears what really happens in a world, for the judge and the run's log, and tells the rig whose connections broke.
 // It is the world's hearer in either shell.
-type Ear struct {
-	Judge *judge.Judge
+type ListWatcher struct {
+	Judge *judge.Checker
 	Log   *outcome.Log
 	World *world.World
 	Rig   Rig
 }
 
 // Effect hears that a write had its effect.
-func (e *Ear) Effect(now policy.Instant, id, label string, grade int, server policy.EndpointID) {
+func (e *ListWatcher) Effect(now policy.Instant, id, label string, grade int, server policy.EndpointID) {
 	e.Judge.Effect(now, id, label, grade, server)
 }
 
 // Fell hears that a server was pushed over. A cache's connections break; the origin goes on.
-func (e *Ear) Fell(now policy.Instant, server policy.EndpointID, why string) {
+func (e *ListWatcher) Fell(now policy.Instant, server policy.EndpointID, why string) {
 	e.Judge.Fell(now, server, why)
 	e.Log.Say(now, string(server)+" "+why)
 	if i, ok := e.World.Find(server); ok && !e.World.IsOrigin(i) {
@@ -31,7 +31,7 @@
 }
 
 // Rose hears that it is back.
-func (e *Ear) Rose(_ policy.Instant, server policy.EndpointID) {
+func (e *ListWatcher) Rose(_ policy.Instant, server policy.EndpointID) {
 	if i, ok := e.World.Find(server); ok {
 		e.Rig.Listed(EntryOf(e.World, i))
 	}
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/judge/judge.go
@@ -45,12 +45,12 @@
 }
 
 // Terms are what it judges by.
-type Terms struct {
-	Grades       []policy.ServiceClass
-	SecondCopies bool
-	Grace        time.Duration // after a change of the list is told
-	Slack        time.Duration // that what crosses may take
-	AnswerSlack  time.Duration // after its deadline that a final answer may come; 0 for Slack
+type Rules struct {
+	Classes        []policy.ServiceClass
+	HedgingAllowed bool
+	Grace          time.Duration // after a change of the list is told
+	Slack          time.Duration // that what crosses may take
+	AnswerSlack    time.Duration // after its deadline that a final answer may come; 0 for Slack
 }
 
 // Tally counts what clients were answered, by grade.
@@ -60,8 +60,8 @@
 }
 
 // Judge is told of one run.
-type Judge struct {
-	terms     Terms
+type Checker struct {
+	terms     Rules
 	hand      map[string]*taken
 	due       deadlines.Queue[string]
 	forget    deadlines.Queue[string]
@@ -70,7 +70,7 @@
 	Counts    [5]uint64                // breaches by rule
 	AfterGone uint64                   // attempts that began after their clients had gone, beyond what crosses
 	Breaches  []Breach
-	Grades    []Tally
+	Classes   []Tally
 	Took      [][]time.Duration // by grade, of those satisfied
 }
 
@@ -101,12 +101,12 @@
 }
 
 // New starts one.
-func New(t Terms) *Judge {
-	return &Judge{terms: t, hand: map[string]*taken{}, effects: map[string]int{}, told: map[place]policy.Instant{},
-		Grades: make([]Tally, len(t.Grades)), Took: make([][]time.Duration, len(t.Grades))}
+func New(t Rules) *Checker {
+	return &Checker{terms: t, hand: map[string]*taken{}, effects: map[string]int{}, told: map[place]policy.Instant{},
+		Classes: make([]Tally, len(t.Classes)), Took: make([][]time.Duration, len(t.Classes))}
 }
 
-func (j *Judge) breach(rule int, at policy.Instant, id string, node int, server policy.EndpointID, what string) {
+func (j *Checker) breach(rule int, at policy.Instant, id string, node int, server policy.EndpointID, what string) {
 	j.Counts[rule]++
 	if len(j.Breaches) < mostKept {
 		j.Breaches = append(j.Breaches, Breach{rule, at, what, id, server, node})
@@ -114,19 +114,19 @@
 }
 
 // Sent tells that a client has handed a request to a node; repeats are tries of their own.
-func (j *Judge) Sent(now policy.Instant, id string, node, grade int, label string, stop policy.Instant, first bool) {
+func (j *Checker) Sent(now policy.Instant, id string, node, grade int, label string, stop policy.Instant, first bool) {
 	j.hand[id] = &taken{node: node, grade: grade, label: label, sent: now, stop: stop}
 	j.due.Push(stop.Add(j.answerSlack()), id)
-	j.Grades[grade].Asked++
+	j.Classes[grade].Asked++
 	if first {
-		j.Grades[grade].First++
+		j.Classes[grade].First++
 	}
 }
 
-func (j *Judge) answerSlack() time.Duration { return cmp.Or(j.terms.AnswerSlack, j.terms.Slack) }
+func (j *Checker) answerSlack() time.Duration { return cmp.Or(j.terms.AnswerSlack, j.terms.Slack) }
 
 // Answered tells that a client has got an answer whole. It returns the time that took.
-func (j *Judge) Answered(now policy.Instant, id string, how Final) time.Duration {
+func (j *Checker) Answered(now policy.Instant, id string, how Final) time.Duration {
 	t := j.hand[id]
 	if t == nil {
 		j.breach(1, now, id, -1, "", "an answer to what nobody asked, or long after its deadline")
@@ -147,7 +147,7 @@
 	if now > t.stop.Add(j.answerSlack()) {
 		j.breach(1, now, id, t.node, "", "the final answer came after the deadline")
 	}
-	c, g := &j.Grades[t.grade], &j.terms.Grades[t.grade]
+	c, g := &j.Classes[t.grade], &j.terms.Classes[t.grade]
 	took := now.Since(t.sent)
 	switch how {
 	case Satisfied:
@@ -171,20 +171,20 @@
 }
 
 // Gone tells that a client has left, and waits for no answer any more.
-func (j *Judge) Gone(now policy.Instant, id string) {
+func (j *Checker) Gone(now policy.Instant, id string) {
 	if t := j.hand[id]; t != nil && t.answered == 0 {
 		t.gone = now
 	}
 }
 
 // Wrong tells that an answer is not what a server made for this request.
-func (j *Judge) Wrong(now policy.Instant, id, what string) { j.breach(1, now, id, -1, "", what) }
+func (j *Checker) Wrong(now policy.Instant, id, what string) { j.breach(1, now, id, -1, "", what) }
 
 // Served counts a first try whose client was satisfied, by whichever try, within its soft limit.
-func (j *Judge) Served(grade int) { j.Grades[grade].FirstInTime++ }
+func (j *Checker) Served(grade int) { j.Classes[grade].FirstInTime++ }
 
 // Excuse forgets a request whose node was killed by the script: nobody could have answered it.
-func (j *Judge) Excuse(id string) { delete(j.hand, id) }
+func (j *Checker) Excuse(id string) { delete(j.hand, id) }
 
 func harmless(g *policy.ServiceClass) bool {
 	return g.Idempotency == policy.Idempotent || g.Idempotency == policy.IdempotentByKey && g.DedupScope == policy.AllCaches
@@ -200,7 +200,7 @@
 }
 
 // Told tells that a node has heard what the list says of a server.
-func (j *Judge) Told(now policy.Instant, node int, server policy.EndpointID, state policy.Lifecycle) {
+func (j *Checker) Told(now policy.Instant, node int, server policy.EndpointID, state policy.Lifecycle) {
 	at := place{node, server}
 	if state == policy.Ready {
 		delete(j.told, at)
@@ -210,12 +210,12 @@
 }
 
 // Came tells that a leg has come to a server whole, and since when it was on its way.
-func (j *Judge) Came(now, sent policy.Instant, id string, server policy.EndpointID) {
+func (j *Checker) Came(now, sent policy.Instant, id string, server policy.EndpointID) {
 	t := j.hand[id]
 	if t == nil {
 		return // nobody's, or of one long over: what it does shows as an effect
 	}
-	g := &j.terms.Grades[t.grade]
+	g := &j.terms.Classes[t.grade]
 	if t.gone != 0 && sent > t.gone.Add(leftFor) {
 		if j.AfterGone++; j.AfterGone > leftAllowed {
 			j.breach(1, now, id, t.node, server, fmt.Sprintf("an attempt began %v after its client had gone, the %dth such", sent.Since(t.gone), j.AfterGone))
@@ -237,19 +237,19 @@
 }
 
 // Left tells that a server has answered a leg, or that the node has given it up or called it off.
-func (j *Judge) Left(now policy.Instant, id string, server policy.EndpointID, neverRan bool) {
+func (j *Checker) Left(now policy.Instant, id string, server policy.EndpointID, neverRan bool) {
 	t := j.hand[id]
 	if t == nil {
 		return
 	}
-	g := &j.terms.Grades[t.grade]
+	g := &j.terms.Classes[t.grade]
 	for i := range t.legs {
 		l := &t.legs[i]
 		if l.server != server || l.left != 0 {
 			continue
 		}
 		l.left, l.never = now, neverRan
-		if j.terms.SecondCopies && g.Idempotency != policy.NotIdempotent {
+		if j.terms.HedgingAllowed && g.Idempotency != policy.NotIdempotent {
 			return
 		}
 		for k := range t.legs { // one that came while this was still out, by more than what crosses
@@ -262,17 +262,17 @@
 }
 
 // Effect tells that a write has had its effect at a server, repeats that were dropped apart.
-func (j *Judge) Effect(now policy.Instant, id, label string, grade int, server policy.EndpointID) {
+func (j *Checker) Effect(now policy.Instant, id, label string, grade int, server policy.EndpointID) {
 	name := label
 	if name == "" {
 		name = id
 	}
 	if j.effects[name]++; j.effects[name] > 1 {
-		j.breach(2, now, id, -1, server, fmt.Sprintf("the effect of %s %q happened %d times", effectName[j.terms.Grades[grade].Idempotency],
+		j.breach(2, now, id, -1, server, fmt.Sprintf("the effect of %s %q happened %d times", effectName[j.terms.Classes[grade].Idempotency],
 			name, j.effects[name]))
 	}
 	if t := j.hand[id]; t != nil {
-		if t.ran = true; t.answered != 0 && t.final == Rejected && !harmless(&j.terms.Grades[grade]) {
+		if t.ran = true; t.answered != 0 && t.final == Rejected && !harmless(&j.terms.Classes[grade]) {
 			j.breach(2, now, id, t.node, server, "it ran after it was rejected")
 		}
 	}
@@ -281,12 +281,12 @@
 var effectName = map[policy.Idempotency]string{policy.NotIdempotent: "irreversible", policy.IdempotentByKey: "labelled", policy.Idempotent: "idempotent"}
 
 // Fell tells that a server was pushed over.
-func (j *Judge) Fell(now policy.Instant, server policy.EndpointID, why string) {
+func (j *Checker) Fell(now policy.Instant, server policy.EndpointID, why string) {
 	j.breach(4, now, "", -1, server, "pushed over: "+why)
 }
 
 // Advance looks at what is due: requests without an answer at their deadline.
-func (j *Judge) Advance(now policy.Instant) {
+func (j *Checker) Advance(now policy.Instant) {
 	for {
 		id, ok := j.due.PopDue(now)
 		if !ok {
@@ -314,7 +314,7 @@
 const keepFor = 5 * time.Second // that a request is watched beyond its deadline
 
 // Broken counts all breaches.
-func (j *Judge) Broken() (n uint64) {
+func (j *Checker) Broken() (n uint64) {
 	for _, c := range j.Counts {
 		n += c
 	}
--- a/internal/emulator/onwire/onwire_test.go
+++ b/internal/emulator/onwire/onwire_test.go
@@ -73,7 +73,7 @@
 work_ms = 2
 `
 
-func parse(t *testing.T, text string) *script.Script {
+func parse(t *testing.T, text string) *script.Scenario {
 	t.Helper()
 	s, err := script.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -290,11 +290,11 @@
 			s := parse(t, small+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
 				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n"}[rule])
 			if rule == 2 && strings.Contains(wrong, "second") { // the first is to be out for long enough to be seen beside
-				s.Grades[0].WorkMs = 120
+				s.Classes[0].WorkMs = 120
 				s.Traffic.PerSecond = 20
 			}
 			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(wrong, "left") {
-				s.Traffic.Leaves, s.Grades[0].HardMs = 1, 2000 // and none of them may count as late
+				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // and none of them may count as late
 			}
 			if s.Fleet.Queue = 1000; rule == 4 {
 				s.Fleet.FallMultiple = 1.2
@@ -356,8 +356,8 @@
 			if r.Rules != [4]uint64{} {
 				t.Errorf("%v: %v", r.Rules, r.Breaches)
 			}
-			if r.Grades[0].Asked < 300 || r.Grades[0].InTime < 0.8 || len(r.Events) != 5 {
-				t.Errorf("%+v, %v", r.Grades, r.Events)
+			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
+				t.Errorf("%+v, %v", r.Classes, r.Events)
 			}
 			if at := r.FirstOf("c3", records.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
@@ -407,14 +407,14 @@
 	}
 }
 
-func newWorld(s *script.Script) *world.World { return world.New(s.World(nil)) }
+func newWorld(s *script.Scenario) *world.World { return world.New(s.World(nil)) }
 
-func newJudge(s *script.Script) *judge.Judge {
+func newJudge(s *script.Scenario) *judge.Checker {
 	var gs []policy.ServiceClass
 	for _, g := range s.Terms() {
 		gs = append(gs, g.ServiceClass)
 	}
-	return judge.New(judge.Terms{Grades: gs})
+	return judge.New(judge.Rules{Classes: gs})
 }
 
 // A cache of the emulator's carries purges out: what it held is gone, and it says whether it held it.
--- a/internal/emulator/onwire/rig.go
+++ b/internal/emulator/onwire/rig.go
@@ -74,7 +74,7 @@
 
 // Rig is one run.
 type Rig struct {
-	script *script.Script
+	script *script.Scenario
 	terms  houserules.Settings
 	runner Runner
 	began  time.Time
@@ -83,9 +83,9 @@
 	mu       sync.Mutex
 	world    *world.World
 	traffic  *world.Traffic
-	judge    *judge.Judge
+	judge    *judge.Checker
 	log      *outcome.Log
-	course   *course.Course
+	course   *course.Run
 	fleet    *records.Recorder
 	queue    deadlines.Queue[func()]
 	wake     chan struct{}
@@ -110,7 +110,7 @@
 }
 
 // Play plays a script on sockets. A cancelled context ends it early, without a report.
-func Play(ctx context.Context, s *script.Script, runner Runner, tell func(string)) (*outcome.Report, error) {
+func Play(ctx context.Context, s *script.Scenario, starter Runner, tell func(string)) (*outcome.Report, error) {
 	terms, err := s.TermsAt(s.Fleet.Zones[0])
 	if err == nil && s.InVirtualTime() {
 		err = errors.New("uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
@@ -120,13 +120,13 @@
 	}
 	up := make(chan struct{})
 	close(up)
-	r := &Rig{registry: s.Registry(), script: s, terms: terms, runner: runner, began: time.Now(), tell: tell, wake: make(chan struct{}, 1), legs: map[uint64]*leg{},
+	r := &Rig{registry: s.Registry(), script: s, terms: terms, runner: starter, began: time.Now(), tell: tell, wake: make(chan struct{}, 1), legs: map[uint64]*leg{},
 		avoids: map[policy.EndpointID]map[int]bool{}, upList: up}
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = judge.New(judge.Terms{Grades: terms.Policy.Classes, SecondCopies: s.Allowed.SecondCopies,
+	r.judge = judge.New(judge.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
 		Grace: script.Span(s.Allowed.GraceMs / 1000), Slack: max(slack, script.Span(s.Allowed.SlackMs/1000)), AnswerSlack: script.Span(s.Allowed.LateAnswerMs / 1000)})
 	r.log = outcome.NewLog(s, epoch)
-	ear := &course.Ear{Judge: r.judge, Log: r.log, Rig: r}
+	ear := &course.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
 	r.traffic = world.NewTraffic(s.Asks())
@@ -177,11 +177,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.judge.Advance(r.now().Add(time.Hour)) // whoever has no answer by now has none
-	report := outcome.Draw(s, "sockets", "module", r.world, r.judge, r.log, r.course.First, r.course.Last)
+	result := outcome.Draw(s, "sockets", "module", r.world, r.judge, r.log, r.course.First, r.course.Last)
 	for _, how := range r.died {
-		report.Expected = append(report.Expected, outcome.Expected{What: "no node ends by itself", Got: how})
+		result.Expected = append(result.Expected, outcome.Expected{What: "no node ends by itself", Got: how})
 	}
-	return report, nil
+	return result, nil
 }
 
 func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
@@ -319,9 +319,9 @@
 			up = append(up, m)
 		}
 	}
-	g := &r.traffic.Grades[req.Grade]
+	g := &r.traffic.Classes[req.Class]
 	if len(up) == 0 {
-		t := &r.judge.Grades[req.Grade]
+		t := &r.judge.Classes[req.Class]
 		if t.Asked, t.Cut = t.Asked+1, t.Cut+1; isFirst {
 			t.First++
 		}
@@ -331,7 +331,7 @@
 	now, life := r.now(), m.lives
 	m.figures.open++
 	m.asks[req.ID] = true
-	r.judge.Sent(now, req.ID, m.number, req.Grade, req.Label, now.Add(req.Deadline), isFirst)
+	r.judge.Sent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
 	a := &client.Ask{ID: req.ID, Key: req.Key, Label: req.Label, Grade: g.Name, Write: g.Write, Repeat: req.Try > 1, Wait: req.Deadline, Leaves: req.Leaves, OnlyOpen: !m.serving}
 	if g.Write {
 		a.Value = world.ValueOf(req.Key)
@@ -354,18 +354,18 @@
 		return
 	}
 	delete(m.asks, req.ID)
-	g, now := &r.traffic.Grades[req.Grade], r.at(got.Got)
+	g, now := &r.traffic.Classes[req.Class], r.at(got.Got)
 	if got.Extra {
 		r.judge.Wrong(now, "", "more came on a connection than one answer for each request")
 	}
 	switch {
 	case got.Nowhere: // it was taken by nobody, and asks another node
 		r.judge.Excuse(req.ID)
-		r.judge.Grades[req.Grade].Cut++
+		r.judge.Classes[req.Class].Cut++
 		return
 	case m.excused[req.ID]:
 		delete(m.excused, req.ID)
-		r.judge.Grades[req.Grade].Cut++
+		r.judge.Classes[req.Class].Cut++
 		return
 	case got.Left:
 		r.judge.Gone(now, req.ID)
@@ -374,7 +374,7 @@
 		return
 	case got.Final == judge.Cut && m.lives != life || got.Final == judge.Cut && m.killed:
 		r.judge.Excuse(req.ID)
-		r.judge.Grades[req.Grade].Cut++
+		r.judge.Classes[req.Class].Cut++
 	default:
 		m.figures.ended(g.Name, got.Final)
 		if got.Final == judge.Satisfied && !g.Write && got.Value != r.script.Value(world.ValueOf(req.Key)) {
@@ -387,7 +387,7 @@
 	}
 	if got.Final == judge.Satisfied {
 		if now.Since(first) <= g.LatencyObjective {
-			r.judge.Served(req.Grade)
+			r.judge.Served(req.Class)
 			r.log.InTime(first)
 		}
 		return
--- a/internal/emulator/onwire/servers.go
+++ b/internal/emulator/onwire/servers.go
@@ -453,9 +453,9 @@
 	if write && r.script.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
 		r.judge.Wrong(now, id, fmt.Sprintf("a write was sent to %s, which only stores", w.ID))
 	}
-	grade := slices.IndexFunc(r.traffic.Grades, func(g world.Grade) bool { return g.Name == item("c") })
+	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
 	wait, err := strconv.ParseFloat(item("d"), 64)
-	if grade < 0 || err != nil || wait <= 0 || r.traffic.Grades[grade].Write != write {
+	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
 		r.judge.Wrong(now, id, fmt.Sprintf("a server was sent a leg that no client's could become: grade %q, wait %q", item("c"), item("d")))
 		r.judge.Left(now, id, w.ID, true)
 		return false
@@ -470,7 +470,7 @@
 	r.tags++
 	l.server, l.id, l.came = s.number, id, now
 	r.legs[r.tags] = l
-	j := world.Job{Request: id, Key: key, Label: item("k"), Grade: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.tags}
+	j := world.Job{Request: id, Key: key, Label: item("k"), Class: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.tags}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
 		r.left(r.tags, policy.Rejected)
 		return false
--- a/internal/emulator/outcome/outcome.go
+++ b/internal/emulator/outcome/outcome.go
@@ -85,7 +85,7 @@
 }
 
 // NewLog starts one; began is when the script's time is 0.
-func NewLog(s *script.Script, began policy.Instant) *Log {
+func NewLog(s *script.Scenario, began policy.Instant) *Log {
 	return &Log{began: began, Seconds: make([]Second, int(s.Seconds)+1), Legs: map[policy.EndpointID]uint64{}}
 }
 
@@ -143,7 +143,7 @@
 }
 
 // Grade is what one grade got.
-type Grade struct {
+type Class struct {
 	Name     string  `json:"name"`
 	Asked    uint64  `json:"asked"`
 	InTime   float64 `json:"satisfied_in_time"` // share of first tries
@@ -185,7 +185,7 @@
 	Back     float64         `json:"recovered_at_s"` // since when it serves as before the first event; -1 for never
 	Rules    [4]uint64       `json:"breaches_by_rule"`
 	Breaches []judge.Breach  `json:"breaches"`
-	Grades   []Grade         `json:"grades"`
+	Classes  []Class         `json:"grades"`
 	Servers  []Server        `json:"servers"`
 	Expected []Expected      `json:"expected"`
 	Busy     string          `json:"machine_too_busy,omitempty"`
@@ -197,7 +197,7 @@
 }
 
 // Draw up a report. first is when the first event begins and last when the last ends, 0 for none.
-func Draw(s *script.Script, shell, decider string, w *world.World, j *judge.Judge, l *Log, first, last policy.Instant) *Report {
+func Draw(s *script.Scenario, shell, decider string, w *world.World, j *judge.Checker, l *Log, first, last policy.Instant) *Report {
 	r := &Report{Script: s.Name, Seed: s.Seed, Shell: shell, Decider: decider, Nodes: s.Fleet.Nodes, Caches: s.Fleet.Caches, Seconds: s.Seconds,
 		Breaches: j.Breaches, Course: slices.Clone(l.Seconds), Events: l.Events, Records: l.Records, Dropped: l.Dropped}
 	copy(r.Rules[:], j.Counts[1:])
@@ -207,14 +207,14 @@
 	}
 	asked, got, tries := 0.0, 0.0, uint64(0)
 	for i, g := range s.Terms() {
-		t := &j.Grades[i]
-		row := Grade{Name: g.Name, Asked: t.First, Rejected: t.Rejected, Failed: t.Failed, Cut: t.Cut}
+		t := &j.Classes[i]
+		row := Class{Name: g.Name, Asked: t.First, Rejected: t.Rejected, Failed: t.Failed, Cut: t.Cut}
 		if t.First > 0 {
 			row.InTime = float64(t.FirstInTime) / float64(t.First)
 			row.Tries = float64(t.Asked) / float64(t.First)
 		}
 		row.P50, row.P99 = quantile(j.Took[i], 0.5), quantile(j.Took[i], 0.99)
-		r.Grades = append(r.Grades, row)
+		r.Classes = append(r.Classes, row)
 		tries += t.Asked
 		asked += g.PriorityWeight * float64(t.First)
 		got += g.PriorityWeight * float64(t.FirstInTime)
@@ -279,13 +279,13 @@
 	r.Expected = append(r.Expected, Expected{fmt.Sprintf(what, args...), got, met})
 }
 
-func (r *Report) expect(s *script.Script) {
+func (r *Report) expect(s *script.Scenario) {
 	broken := uint64(0)
 	for _, n := range r.Rules {
 		broken += n
 	}
 	r.want(broken == 0, fmt.Sprint(r.Rules), "no rule is broken")
-	for _, g := range r.Grades {
+	for _, g := range r.Classes {
 		if least, ok := s.Expect.Satisfied[g.Name]; ok {
 			r.want(g.InTime >= least, fmt.Sprintf("%.4f", g.InTime), "%s: at least %g satisfied in time", g.Name, least)
 		}
@@ -349,7 +349,7 @@
 func (r *Report) Print(to io.Writer) {
 	fmt.Fprintf(to, "%s (seed %d, %s, %s): %d nodes, %d caches, %g s\n", r.Script, r.Seed, r.Shell, r.Decider, r.Nodes, r.Caches, r.Seconds)
 	fmt.Fprintf(to, "%-12s %9s %9s %7s %10s %9s %5s %9s %9s\n", "grade", "asked", "in time", "tries", "rejected", "failed", "cut", "p50 ms", "p99 ms")
-	for _, g := range r.Grades {
+	for _, g := range r.Classes {
 		fmt.Fprintf(to, "%-12s %9d %8.2f%% %7.2f %10d %9d %5d %9.1f %9.1f\n", g.Name, g.Asked, 100*g.InTime, g.Tries, g.Rejected, g.Failed, g.Cut,
 			g.P50, g.P99)
 	}
--- a/internal/emulator/outcome/views.go
+++ b/internal/emulator/outcome/views.go
@@ -150,7 +150,7 @@
 }
 
 // expectViews wants views to be as what befell nodes has them. Without views, or with a trace that has gaps, nothing is shown.
-func (r *Report) expectViews(s *script.Script) {
+func (r *Report) expectViews(s *script.Scenario) {
 	f := r.Together
 	if f == nil || s.Together.Engine == charter.Plain {
 		return
--- a/internal/emulator/script/nemesis.go
+++ b/internal/emulator/script/nemesis.go
@@ -18,12 +18,12 @@
 )
 
 // Nemesis makes a random schedule of troubles between nodes, the same for the same seed.
-func Nemesis(seed int64, nodes int, seconds float64) *Script {
+func Nemesis(seed int64, nodes int, seconds float64) *Scenario {
 	s := usual()
 	s.Name, s.Seed, s.Seconds = fmt.Sprintf("nemesis-%d", seed), seed, math.Max(seconds, formsIn+quietLast+5)
 	s.About = "A random schedule of troubles between nodes."
 	s.Fleet.Nodes, s.Fleet.Caches, s.Traffic.PerSecond, s.Traffic.Keys = nodes, 4, 100, 500
-	s.Grades = []Grade{{Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all"}}
+	s.Classes = []Class{{Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all"}}
 	s.Together = &Together{}
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x0e5e}
 	upTo := func(most float64) float64 { return math.Round(chance.Float64()*most*10) / 10 }
@@ -83,11 +83,11 @@
 }
 
 // Without is the script less one event.
-func (s *Script) Without(event int) *Script {
+func (s *Scenario) Without(event int) *Scenario {
 	c := *s
 	c.Events = append(append([]Event(nil), s.Events[:event]...), s.Events[event+1:]...)
 	return &c
 }
 
 // Text writes a script as a file that plays the same.
-func (s *Script) Text() ([]byte, error) { return toml.Marshal(s) }
+func (s *Scenario) Text() ([]byte, error) { return toml.Marshal(s) }
--- a/internal/emulator/script/script.go
+++ b/internal/emulator/script/script.go
@@ -33,7 +33,7 @@
 )
 
 // Script is one rehearsal.
-type Script struct {
+type Scenario struct {
 	Name      string         `toml:"name"`
 	About     string         `toml:"about"`
 	Seed      int64          `toml:"seed"`
@@ -44,7 +44,7 @@
 	Discovery Discovery      `toml:"discovery"`
 	Allowed   Allowed        `toml:"allowed"`
 	Traffic   Traffic        `toml:"traffic"`
-	Grades    []Grade        `toml:"grade"`
+	Classes   []Class        `toml:"grade"`
 	Events    []Event        `toml:"event"`
 	Expect    Expect         `toml:"expect"`
 	Levels    []levels.Level `toml:"level,omitempty"` // of all nodes
@@ -109,11 +109,11 @@
 // Allowed is what the deployment lets nodes do.
 type Allowed struct {
 	Mode         string  `toml:"mode"`
-	MostLegs     int     `toml:"most_legs"`
-	SecondCopies bool    `toml:"second_copies"`
+	MaxAttempts  int     `toml:"most_legs"`
+	Hedging      bool    `toml:"second_copies"`
 	Cancel       bool    `toml:"cancel"`
 	Probes       bool    `toml:"probes"`
-	ComeBackMs   float64 `toml:"come_back_ms"`
+	RetryAfterMs float64 `toml:"come_back_ms"`
 	GraceMs      float64 `toml:"grace_ms"`
 	ConnectMs    float64 `toml:"connect_ms"`
 	WastePrice   float64 `toml:"waste_price"`
@@ -141,7 +141,7 @@
 }
 
 // Grade is one service grade.
-type Grade struct {
+type Class struct {
 	Name    string  `toml:"name"`
 	Share   float64 `toml:"share"`
 	Benefit float64 `toml:"benefit"`
@@ -242,7 +242,7 @@
 const mostLongKB = 4096
 
 // Value is a key's value by its usual one: of a share of the keys it is long, and the same wherever it is kept.
-func (s *Script) Value(usual string) string {
+func (s *Scenario) Value(usual string) string {
 	t := &s.Traffic
 	if float64(crc32.ChecksumIEEE([]byte(usual))%1000) >= 1000*t.LongShare {
 		return usual
@@ -251,18 +251,18 @@
 }
 
 // Operated tells whether operators call nodes.
-func (s *Script) Operated() bool {
+func (s *Scenario) Operated() bool {
 	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == upgrade || e.Do == standby || e.Do == scrape })
 }
 
 // InVirtualTime tells whether a script has what there is in virtual time only.
-func (s *Script) InVirtualTime() bool {
+func (s *Scenario) InVirtualTime() bool {
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
 
 // OnSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
 // whatever nodes do.
-func (s *Script) OnSockets() bool {
+func (s *Scenario) OnSockets() bool {
 	return s.Operated() || s.Together != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze
 	})
@@ -274,22 +274,22 @@
 // stale is the fault of an HTTP cache that answers with what it may not serve any more.
 const stale = "stale"
 
-func usual() Script {
-	return Script{
+func usual() Scenario {
+	return Scenario{
 		Seed: 1, Seconds: 30,
 		Fleet: Fleet{Protocol: fronts.Meta, Nodes: 1, Caches: 12, Zones: []string{"a"}, Group: 4, Cores: 1, Queue: 12, Speed: [2]float64{1, 1}, Keys: 2000, Warm: true,
 			ColdFrom: 0.4, ColdS: 5, FallMultiple: 3, FallS: 1, Connections: 600, HandshakeMs: 1, IdleS: 15},
 		Origin:    Origin{Cores: 4, Queue: 64, WorkMs: 15, StallAt: 40, Stall: 2, FallMultiple: 3, FallS: 1},
 		Network:   Network{OneWayMs: 0.2, CrossZoneMs: 5, ClientMs: 0.5, Jitter: 0.2},
 		Discovery: Discovery{NoticeS: [2]float64{0.3, 1}},
-		Allowed: Allowed{Mode: "aside", MostLegs: 3, SecondCopies: true, Cancel: true, Probes: true, ComeBackMs: 600, GraceMs: 400,
+		Allowed: Allowed{Mode: "aside", MaxAttempts: 3, Hedging: true, Cancel: true, Probes: true, RetryAfterMs: 600, GraceMs: 400,
 			ConnectMs: 100, WastePrice: 0.04},
 		Traffic: Traffic{Protocol: fronts.Meta, PerSecond: 300, Keys: 5000, Zipf: 0.9, WaveS: 30, Jitter: 0.5},
 	}
 }
 
 // Read reads a script from a file.
-func Read(path string) (*Script, error) {
+func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("the script cannot be read: %w", err)
@@ -298,7 +298,7 @@
 }
 
 // Parse reads a script. What is wrong with it is told with its line.
-func Parse(file string, text []byte) (*Script, error) {
+func Parse(file string, text []byte) (*Scenario, error) {
 	s := usual()
 	c, err := strictly.Parse(file, text, &s)
 	if err != nil {
@@ -314,7 +314,7 @@
 	return &s, nil
 }
 
-func (s *Script) check(c *strictly.Checker) {
+func (s *Scenario) check(c *strictly.Checker) {
 	c.InRange(s.Seconds, 1, mostSeconds, "seconds")
 	f := &s.Fleet
 	c.InRange(float64(f.Nodes), 1, mostNodes, "fleet.nodes")
@@ -347,7 +347,7 @@
 	c.InRange(o.FallMultiple, 0, 1e6, "origin.fall_multiple")
 	c.InRange(o.FallS, 0, mostSeconds, "origin.fall_s")
 	for path, ms := range map[string]float64{"network.one_way_ms": s.Network.OneWayMs, "network.cross_zone_ms": s.Network.CrossZoneMs,
-		"network.client_ms": s.Network.ClientMs, "network.late_ms": s.Network.LateMs, "allowed.come_back_ms": s.Allowed.ComeBackMs, "allowed.grace_ms": s.Allowed.GraceMs,
+		"network.client_ms": s.Network.ClientMs, "network.late_ms": s.Network.LateMs, "allowed.come_back_ms": s.Allowed.RetryAfterMs, "allowed.grace_ms": s.Allowed.GraceMs,
 		"allowed.connect_ms": s.Allowed.ConnectMs, "allowed.slack_ms": s.Allowed.SlackMs, "allowed.late_answer_ms": s.Allowed.LateAnswerMs} {
 		c.InRange(ms, 0, 1e5, path)
 	}
@@ -361,7 +361,7 @@
 		c.InRange(ms, 0, 1e5, path)
 	}
 	c.Require(s.Allowed.Mode == "aside" || s.Allowed.Mode == "through", "allowed.mode", "%q is neither aside nor through", s.Allowed.Mode)
-	c.InRange(float64(s.Allowed.MostLegs), 1, 100, "allowed.most_legs")
+	c.InRange(float64(s.Allowed.MaxAttempts), 1, 100, "allowed.most_legs")
 	c.InRange(s.Allowed.WastePrice, 0, 100, "allowed.waste_price")
 	t := &s.Traffic
 	c.InRange(t.PerSecond, 0, mostRate, "traffic.per_second")
@@ -387,11 +387,11 @@
 	s.checkTogether(c)
 }
 
-func (s *Script) checkGrades(c *strictly.Checker) {
-	c.Require(len(s.Grades) > 0, "grade", "no grade is stated, so nothing can be asked")
+func (s *Scenario) checkGrades(c *strictly.Checker) {
+	c.Require(len(s.Classes) > 0, "grade", "no grade is stated, so nothing can be asked")
 	names, sum := map[string]bool{}, 0.0
-	for i := range s.Grades {
-		g, at := &s.Grades[i], fmt.Sprintf("grade.%d.", i)
+	for i := range s.Classes {
+		g, at := &s.Classes[i], fmt.Sprintf("grade.%d.", i)
 		g.Tries, g.Effect, g.Scope = cmp.Or(g.Tries, 1), cmp.Or(g.Effect, "idempotent"), cmp.Or(g.Scope, "all")
 		c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name", "%q is no name", g.Name)
 		c.Require(!names[g.Name], at+"name", "%q stands twice", g.Name)
@@ -411,10 +411,10 @@
 		c.Require(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "a labelled grade needs a window")
 		sum += g.Share
 	}
-	c.Require(len(s.Grades) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
+	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
 }
 
-func (s *Script) checkEvents(c *strictly.Checker) {
+func (s *Scenario) checkEvents(c *strictly.Checker) {
 	c.Require(len(s.Events) <= mostEvents, "event", "more than %d events", mostEvents)
 	added := 0
 	for _, e := range s.Events {
@@ -487,9 +487,9 @@
 	}
 }
 
-func (s *Script) checkExpect(c *strictly.Checker) {
+func (s *Scenario) checkExpect(c *strictly.Checker) {
 	known := func(grade string) bool {
-		return slices.ContainsFunc(s.Grades, func(g Grade) bool { return g.Name == grade })
+		return slices.ContainsFunc(s.Classes, func(g Class) bool { return g.Name == grade })
 	}
 	for _, name := range sorted(s.Expect.Satisfied) {
 		c.Require(known(name), "expect.satisfied", "there is no grade %q", name)
@@ -533,19 +533,19 @@
 func ms(x float64) time.Duration { return Span(x / 1000) }
 
 // Long is how long it plays.
-func (s *Script) Long() time.Duration { return Span(s.Seconds) }
+func (s *Scenario) Long() time.Duration { return Span(s.Seconds) }
 
 // Terms are the grades as the world has them.
-func (s *Script) Terms() (gs []world.Grade) {
-	for _, g := range s.Grades {
-		gs = append(gs, world.Grade{Name: g.Name, Write: g.Write, Deadline: ms(g.HardMs), Work: ms(g.WorkMs), Share: g.Share, Tries: g.Tries,
+func (s *Scenario) Terms() (gs []world.Class) {
+	for _, g := range s.Classes {
+		gs = append(gs, world.Class{Name: g.Name, Write: g.Write, Deadline: ms(g.HardMs), Work: ms(g.WorkMs), Share: g.Share, Tries: g.Tries,
 			ServiceClass: policy.ServiceClass{PriorityWeight: g.Benefit, LatencyObjective: ms(g.SoftMs), Idempotency: effects[g.Effect], DedupScope: scopes[g.Scope], DedupWindow: Span(g.WindowS)}})
 	}
 	return gs
 }
 
 // Cache is the n-th cache's traits, from 1, those that are added among them.
-func (s *Script) Cache(n int) world.Traits {
+func (s *Scenario) Cache(n int) world.Traits {
 	f := &s.Fleet
 	chance := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*2654435761}
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
@@ -556,8 +556,8 @@
 }
 
 // World is the world at its start.
-func (s *Script) World(hearer world.Hearer) world.Plan {
-	p := world.Plan{Grades: s.Terms(), Seed: uint32(s.Seed), Hearer: hearer, Origin: world.OriginTraits{Cores: s.Origin.Cores, Queue: s.Origin.Queue,
+func (s *Scenario) World(hearer world.Observer) world.Plan {
+	p := world.Plan{Classes: s.Terms(), Seed: uint32(s.Seed), Hearer: hearer, Origin: world.OriginTraits{Cores: s.Origin.Cores, Queue: s.Origin.Queue,
 		Work: ms(s.Origin.WorkMs), StallAt: s.Origin.StallAt, Stall: s.Origin.Stall, FallMultiple: s.Origin.FallMultiple, FallFor: Span(s.Origin.FallS)}}
 	if s.Allowed.Mode == "through" {
 		p.Mode = world.Through
@@ -569,15 +569,15 @@
 }
 
 // Asks is what clients ask.
-func (s *Script) Asks() world.TrafficPlan {
+func (s *Scenario) Asks() world.TrafficPlan {
 	return world.TrafficPlan{PerSecond: s.Traffic.PerSecond, Swing: s.Traffic.Swing, Wave: Span(s.Traffic.WaveS), Keys: s.Traffic.Keys,
-		Zipf: s.Traffic.Zipf, Grades: s.Terms(), Seed: uint32(s.Seed) ^ 0x5eed, Jitter: s.Traffic.Jitter,
+		Zipf: s.Traffic.Zipf, Classes: s.Terms(), Seed: uint32(s.Seed) ^ 0x5eed, Jitter: s.Traffic.Jitter,
 		Leaves: s.Traffic.Leaves, LeaveMost: Span(s.Traffic.LeaveMs / 1000),
 		Short: s.Traffic.Short, ShortMost: Span(s.Traffic.ShortMs / 1000)}
 }
 
 // Chosen returns the caches that an event concerns, in the order of their names' hashes where it chooses by a part.
-func (s *Script) Chosen(e *Event) (ids []policy.EndpointID) {
+func (s *Scenario) Chosen(e *Event) (ids []policy.EndpointID) {
 	for _, name := range e.Caches {
 		ids = append(ids, policy.EndpointID(name))
 	}
@@ -596,7 +596,7 @@
 }
 
 // Members returns the numbers of the nodes that an event concerns, from 1.
-func (s *Script) Members(e *Event) []int {
+func (s *Scenario) Members(e *Event) []int {
 	if !kinds[e.Do].nodes || e.Part == 0 {
 		return e.Nodes
 	}
@@ -615,7 +615,7 @@
 }
 
 // ZoneOf is where a node stands, by its number from 0.
-func (s *Script) ZoneOf(node int) string {
+func (s *Scenario) ZoneOf(node int) string {
 	if !s.Fleet.Spread {
 		return s.Fleet.Zones[0]
 	}
@@ -623,13 +623,13 @@
 }
 
 // Registry is what discovery can bear.
-func (s *Script) Registry() *world.Registry {
+func (s *Scenario) Registry() *world.Registry {
 	d := &s.Discovery
 	return &world.Registry{Whole: max(ms(d.WholeMs), ms(d.WatchMs)), Watch: ms(d.WatchMs), Backlog: ms(d.BacklogMs)}
 }
 
 // Repeat lets the events come round again, as often as the script's time has room for them.
-func (s *Script) Repeat() {
+func (s *Scenario) Repeat() {
 	round := 0.0
 	for _, e := range s.Events {
 		round = max(round, e.AtS+e.ForS)
@@ -646,7 +646,7 @@
 	}
 }
 
-func (s *Script) checkLevels(c *strictly.Checker) {
+func (s *Scenario) checkLevels(c *strictly.Checker) {
 	if len(s.Levels) == 0 {
 		return
 	}
--- a/internal/emulator/script/settings.go
+++ b/internal/emulator/script/settings.go
@@ -14,10 +14,10 @@
 )
 
 // Settings is what a node of this deployment is told at its start, as its configuration has it.
-func (s *Script) Settings(zone string) json.RawMessage {
+func (s *Scenario) Settings(zone string) json.RawMessage {
 	effect := map[string]string{"idempotent": "idempotent", "labelled": "deduplicated", "irreversible": "irreversible"}
 	var grades []map[string]any
-	for _, g := range s.Grades {
+	for _, g := range s.Classes {
 		grades = append(grades, map[string]any{"name": g.Name, "benefit": g.Benefit, "effect": effect[g.Effect], "group": g.Scope,
 			"soft_limit_s": g.SoftMs / 1000, "hard_stop_s": g.HardMs / 1000, "key_ttl_s": g.WindowS})
 	}
@@ -26,8 +26,8 @@
 		"service_grades": grades, "zone": zone, "n_instances": cmp.Or(s.Fleet.Stated, s.Fleet.Nodes), "round_s": 0.002, "excess_benefit": 1,
 		"kinds":       []string{"cache", "origin"},
 		"family_info": map[string]any{"mode": a.Mode, "origin_kind": 1},
-		"bounds": map[string]any{"most_legs": a.MostLegs, "second_copies": a.SecondCopies, "cancel": a.Cancel, "probes": a.Probes,
-			"retry_after": a.ComeBackMs > 0, "max_retry_after_s": a.ComeBackMs / 1000, "conn_idle_s": s.Fleet.IdleS,
+		"bounds": map[string]any{"most_legs": a.MaxAttempts, "second_copies": a.Hedging, "cancel": a.Cancel, "probes": a.Probes,
+			"retry_after": a.RetryAfterMs > 0, "max_retry_after_s": a.RetryAfterMs / 1000, "conn_idle_s": s.Fleet.IdleS,
 			"connect_timeout_s": a.ConnectMs / 1000},
 		"rules": map[string]any{"cold_from": s.Fleet.ColdFrom, "cold_s": s.Fleet.ColdS, "overload_factor": s.Fleet.FallMultiple,
 			"overload_for_s": s.Fleet.FallS, "stop_sending_within_s": a.GraceMs / 1000},
@@ -44,7 +44,7 @@
 }
 
 // TermsAt is what a node in a zone goes by.
-func (s *Script) TermsAt(zone string) (houserules.Settings, error) {
+func (s *Scenario) TermsAt(zone string) (houserules.Settings, error) {
 	v, err := fastjson.ParseBytes(s.Settings(zone))
 	if err != nil {
 		return houserules.Settings{}, err
@@ -58,7 +58,7 @@
 
 // Operator is the file of a node whose clients speak HTTP at an address, as internal/emulator/client does, or that has service levels;
 // nil where there are neither.
-func (s *Script) Operator(listen string) []byte {
+func (s *Scenario) Operator(listen string) []byte {
 	var text string
 	if s.Traffic.Protocol == fronts.HTTP {
 		text = fmt.Sprintf(`[[listener]]
@@ -72,7 +72,7 @@
 path = %q
 methods = ["GET", "HEAD", "PUT", "POST"]
 grade = %q
-`, listen, client.ReadyPath, client.IDHeader, client.GradeHeader, client.WaitHeader, client.Path, s.Grades[0].Name)
+`, listen, client.ReadyPath, client.IDHeader, client.GradeHeader, client.WaitHeader, client.Path, s.Classes[0].Name)
 	}
 	if s.Fleet.Protocol == fronts.HTTP {
 		text += "[servers]\nhttp_kinds = [\"cache\"]\n"
--- a/internal/emulator/script/soak.go
+++ b/internal/emulator/script/soak.go
@@ -23,13 +23,13 @@
 // soak draws one schedule.
 type soak struct {
 	chance keyhash.Source
-	script Script
+	script Scenario
 	end    float64   // of the last trouble
 	busy   []float64 // by node, until when it is not told to end
 }
 
 // Soak draws deployment, traffic and troubles by a seed, the same for the same seed. The troubles are those that rules give no excuse for.
-func Soak(seed int64, seconds float64) *Script {
+func Soak(seed int64, seconds float64) *Scenario {
 	d := &soak{chance: keyhash.Source{Seed: uint32(seed) ^ 0x50a4}, script: usual()}
 	s := &d.script
 	s.Name, s.Seed, s.Seconds = fmt.Sprintf("soak-%d", seed), seed, math.Max(seconds, soakBegins+soakLongest+soakQuiet)
@@ -65,8 +65,8 @@
 	f.Connections = oneOf(d, 20, 100, 600)
 	d.busy = make([]float64, f.Nodes)
 	a.Mode = oneOf(d, "aside", "aside", "through")
-	a.MostLegs, a.SecondCopies, a.Cancel, a.Probes = d.count(1, 4), d.yes(0.5), d.yes(0.7), d.yes(0.5)
-	a.ComeBackMs, a.ConnectMs = oneOf(d, 0.0, 200, 600), oneOf(d, 50.0, 100, 250)
+	a.MaxAttempts, a.Hedging, a.Cancel, a.Probes = d.count(1, 4), d.yes(0.5), d.yes(0.7), d.yes(0.5)
+	a.RetryAfterMs, a.ConnectMs = oneOf(d, 0.0, 200, 600), oneOf(d, 50.0, 100, 250)
 	a.GraceMs, a.SlackMs, a.LateAnswerMs = 400, soakSlackMs, soakLateMs
 	t.PerSecond, t.Keys, t.UntilKill = d.upTo(80, 300), 2000, true
 	if d.yes(0.5) {
@@ -80,18 +80,18 @@
 // grades draws a class of reads, and classes of writes with each effect.
 func (d *soak) grades() {
 	s := &d.script
-	add := func(g Grade) {
+	add := func(g Class) {
 		g.SoftMs = math.Round(d.upTo(0.3, 0.8) * g.HardMs)
 		g.WorkMs, g.Benefit, g.Tries = d.upTo(1, 4), float64(d.count(1, 8)), d.count(1, 3)
-		s.Grades = append(s.Grades, g)
+		s.Classes = append(s.Classes, g)
 	}
-	add(Grade{Name: "read", Share: 0.7, Effect: "idempotent", Scope: "all", HardMs: d.upTo(200, 1200)})
+	add(Class{Name: "read", Share: 0.7, Effect: "idempotent", Scope: "all", HardMs: d.upTo(200, 1200)})
 	if d.yes(0.5) {
-		add(Grade{Name: "quick", Share: 0.2, Effect: "idempotent", Scope: "all", HardMs: d.upTo(60, 200)})
+		add(Class{Name: "quick", Share: 0.2, Effect: "idempotent", Scope: "all", HardMs: d.upTo(60, 200)})
 	}
-	add(Grade{Name: "mark", Share: 0.15, Effect: "labelled", Write: true, Scope: oneOf(d, "all", "zone", "group"),
+	add(Class{Name: "mark", Share: 0.15, Effect: "labelled", Write: true, Scope: oneOf(d, "all", "zone", "group"),
 		HardMs: d.upTo(300, 2500), WindowS: d.upTo(0.2, 5)})
-	add(Grade{Name: "pay", Share: 0.1, Effect: "irreversible", Write: true, Scope: "all", HardMs: d.upTo(300, 2500)})
+	add(Class{Name: "pay", Share: 0.1, Effect: "irreversible", Write: true, Scope: "all", HardMs: d.upTo(300, 2500)})
 }
 
 // troubles draws what goes wrong, one thing after the other; most last until others have begun.
--- a/internal/emulator/script/together.go
+++ b/internal/emulator/script/together.go
@@ -18,7 +18,7 @@
 
 const usualSeeds = 3
 
-func (s *Script) checkTogether(c *strictly.Checker) {
+func (s *Scenario) checkTogether(c *strictly.Checker) {
 	t := s.Together
 	if t == nil {
 		return
@@ -44,7 +44,7 @@
 }
 
 // Pairs are the ordered pairs of nodes, from 0, that an event concerns.
-func (s *Script) Pairs(e *Event) (ps [][2]int) {
+func (s *Scenario) Pairs(e *Event) (ps [][2]int) {
 	all := func(some []int) []int {
 		if len(some) > 0 {
 			return some
@@ -69,7 +69,7 @@
 }
 
 // Charter is the file by which a node joins the others: where each of them hears, and the way to it.
-func (s *Script) Charter(node int, label string, hears []string, ways map[string]string) []byte {
+func (s *Scenario) Charter(node int, label string, hears []string, ways map[string]string) []byte {
 	var b strings.Builder
 	t := s.Together
 	fmt.Fprintf(&b, "[fleet]\nlabel = %q\nlisten = %q\nengine = %q\nseeds = [", label, hears[node], t.Engine)
--- a/internal/emulator/virtual/door_test.go
+++ b/internal/emulator/virtual/door_test.go
@@ -81,7 +81,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Grades[0].WorkMs, s.Traffic.Short, s.Traffic.ShortMs = c.work, c.short, 120
+			s.Classes[0].WorkMs, s.Traffic.Short, s.Traffic.ShortMs = c.work, c.short, 120
 			r := play(t, s, "module", Module)
 			t.Logf("%s: rules %v, benefit in time %.3f, legs in vain in a second %d", name, r.Rules, r.Gain, r.Most("vain_legs"))
 			if r.Rules != [4]uint64{} || r.Gain < c.gain || r.Most("vain_legs") > c.inVain {
--- a/internal/emulator/virtual/list.go
+++ b/internal/emulator/virtual/list.go
@@ -80,13 +80,13 @@
 }
 
 // tell answers a watch with what is new.
-func (r *Run) tell(w watch) {
+func (r *Simulation) tell(w watch) {
 	version, news := len(r.changes), r.changes[w.since:]
 	r.after(r.clientWay(), func() { w.heard(version, news) })
 }
 
 // expire ends a watch without news.
-func (r *Run) expire(w watch) {
+func (r *Simulation) expire(w watch) {
 	for i, o := range r.watches {
 		if o == w {
 			if r.watches = append(r.watches[:i], r.watches[i+1:]...); r.upList {
@@ -98,7 +98,7 @@
 }
 
 // publish takes a change in, and tells it to all who watch: their calls have had their work.
-func (r *Run) publish(e policy.Endpoint) {
+func (r *Simulation) publish(e policy.Endpoint) {
 	r.changes = append(r.changes, e)
 	r.fleet.EndpointsUpdated(r.now, policy.DeltaUpdate, []policy.Endpoint{e})
 	waiting := r.watches
--- a/internal/emulator/virtual/node.go
+++ b/internal/emulator/virtual/node.go
@@ -20,7 +20,7 @@
 
 // node is one node: a host, its requests, and its connections.
 type node struct {
-	r      *Run
+	r      *Simulation
 	number int
 	part   float64 // of the traffic, against others'
 	terms  houserules.Settings
@@ -147,8 +147,8 @@
 	v := &taken{id: policy.RequestID(b[:]), req: req, first: first}
 	n.hand[v.id] = v
 	n.r.Decided++
-	n.host.RequestArrived(n.r.now, &policy.Request{ID: v.id, Key: req.Key, Class: policy.ClassID(req.Grade), Tenant: -1,
-		Write: n.r.traffic.Grades[req.Grade].Write, ArrivedAt: n.r.now, Deadline: n.r.now.Add(req.Deadline)})
+	n.host.RequestArrived(n.r.now, &policy.Request{ID: v.id, Key: req.Key, Class: policy.ClassID(req.Class), Tenant: -1,
+		Write: n.r.traffic.Classes[req.Class].Write, ArrivedAt: n.r.now, Deadline: n.r.now.Add(req.Deadline)})
 	return v
 }
 
@@ -184,8 +184,8 @@
 			r.again(v.req, v.first, how == judge.Rejected, comeBack)
 			return
 		}
-		if r.now.Since(v.first) <= r.terms.Policy.Classes[v.req.Grade].LatencyObjective {
-			r.judge.Served(v.req.Grade)
+		if r.now.Since(v.first) <= r.terms.Policy.Classes[v.req.Class].LatencyObjective {
+			r.judge.Served(v.req.Class)
 			r.log.InTime(v.first)
 		}
 	})
@@ -307,7 +307,7 @@
 	case "silent":
 		return
 	}
-	j := world.Job{Request: l.v.req.ID, Node: l.n.number, Key: l.v.req.Key, Label: l.v.req.Label, Grade: l.v.req.Grade,
+	j := world.Job{Request: l.v.req.ID, Node: l.n.number, Key: l.v.req.Key, Label: l.v.req.Label, Class: l.v.req.Class,
 		Until: l.v.req.Sent.Add(l.v.req.Deadline + slack), Tag: l.tag}
 	r.legs[l.tag] = l
 	if d, ok := r.world.Offer(r.now, l.server, j); !ok {
--- a/internal/emulator/virtual/sums_test.go
+++ b/internal/emulator/virtual/sums_test.go
@@ -9,7 +9,7 @@
 )
 
 // together is a fleet of so many nodes before 50 caches, which all together must push neither the origin nor a cold cache over.
-func together(t *testing.T, script string, nodes int, seed int64) (*outcome.Report, *Run) {
+func together(t *testing.T, script string, nodes int, seed int64) (*outcome.Report, *Simulation) {
 	t.Helper()
 	s := load(t, script)
 	s.Fleet.Nodes, s.Seed = nodes, seed
@@ -81,7 +81,7 @@
 // beyond has more nodes run than the settings state, from an instant on: a quarter more, which stay, or a second process of each, for
 // which the first makes room three seconds later. Traffic is uneven between nodes, clients come again at once and often, three caches fall
 // silent and are probed, and in the middle of it half of all nodes are killed and start anew.
-func beyond(s *script.Script, stated int, upgrade bool, from float64) {
+func beyond(s *script.Scenario, stated int, upgrade bool, from float64) {
 	s.Fleet.Stated, s.Fleet.Nodes = stated, stated+stated/4
 	if upgrade {
 		s.Fleet.Nodes = 2 * stated
@@ -90,9 +90,9 @@
 	s.Events = append(s.Events, script.Event{Do: "node_kill", Nodes: numbers(stated+1, s.Fleet.Nodes), ForS: from},
 		script.Event{AtS: from + 0.5, Do: "silent", Caches: []string{"c3", "c9", "c17"}},
 		script.Event{AtS: from + 1.5, Do: "node_kill", Part: 0.5, ForS: 0.4})
-	s.Traffic.Skew, s.Allowed.ComeBackMs = 0.6, 0
-	for i := range s.Grades {
-		s.Grades[i].Tries = 4
+	s.Traffic.Skew, s.Allowed.RetryAfterMs = 0.6, 0
+	for i := range s.Classes {
+		s.Classes[i].Tries = 4
 	}
 }
 
--- a/internal/emulator/virtual/virtual.go
+++ b/internal/emulator/virtual/virtual.go
@@ -39,15 +39,15 @@
 }
 
 // Run is one run.
-type Run struct {
-	script   *script.Script
+type Simulation struct {
+	script   *script.Scenario
 	terms    houserules.Settings
 	make     Maker
 	world    *world.World
 	traffic  *world.Traffic
-	judge    *judge.Judge
+	judge    *judge.Checker
 	log      *outcome.Log
-	course   *course.Course
+	course   *course.Run
 	fleet    *records.Recorder
 	queue    deadlines.Queue[func()]
 	now      policy.Instant
@@ -69,7 +69,7 @@
 }
 
 // Play plays a script. The decider's name is for the report.
-func Play(s *script.Script, name string, make Maker) (*outcome.Report, *Run, error) {
+func Play(s *script.Scenario, name string, make Maker) (*outcome.Report, *Simulation, error) {
 	terms, err := s.TermsAt(s.Fleet.Zones[0])
 	if err == nil && s.OnSockets() {
 		err = errors.New("what is done to processes, and between them, is not there: this script plays on sockets only")
@@ -77,11 +77,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &Run{registry: s.Registry(), script: s, terms: terms, make: make, now: epoch, legs: map[uint64]*leg{}, avoiders: map[policy.EndpointID]int{}, upList: true, log: outcome.NewLog(s, epoch)}
+	r := &Simulation{registry: s.Registry(), script: s, terms: terms, make: make, now: epoch, legs: map[uint64]*leg{}, avoiders: map[policy.EndpointID]int{}, upList: true, log: outcome.NewLog(s, epoch)}
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = judge.New(judge.Terms{Grades: terms.Policy.Classes, SecondCopies: s.Allowed.SecondCopies,
+	r.judge = judge.New(judge.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
 		Grace: script.Span(s.Allowed.GraceMs / 1000), Slack: slack})
-	ear := &course.Ear{Judge: r.judge, Log: r.log, Rig: r}
+	ear := &course.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
 	r.traffic = world.NewTraffic(s.Asks())
@@ -111,7 +111,7 @@
 }
 
 // run plays what is due up to an instant. The world's own events and the queue's are taken by time, the world's first.
-func (r *Run) run(until policy.Instant) error {
+func (r *Simulation) run(until policy.Instant) error {
 	for looked := r.now; ; {
 		if r.Steps%stepsAtOne == stepsAtOne-1 {
 			if r.now.Since(looked) < time.Millisecond {
@@ -142,19 +142,19 @@
 }
 
 // At hangs something in.
-func (r *Run) At(at policy.Instant, do func()) { r.queue.Push(max(at, r.now), do) }
+func (r *Simulation) At(at policy.Instant, do func()) { r.queue.Push(max(at, r.now), do) }
 
-func (r *Run) after(d time.Duration, do func()) { r.queue.Push(r.now.Add(d), do) }
+func (r *Simulation) after(d time.Duration, do func()) { r.queue.Push(r.now.Add(d), do) }
 
-func (r *Run) jittered(d time.Duration) time.Duration {
+func (r *Simulation) jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + r.script.Network.Jitter*r.chance.Float64()))
 }
 
-func (r *Run) clientWay() time.Duration {
+func (r *Simulation) clientWay() time.Duration {
 	return r.jittered(script.Span(r.script.Network.ClientMs / 1000))
 }
 
-func (r *Run) way(n *node, server int) time.Duration {
+func (r *Simulation) way(n *node, server int) time.Duration {
 	ms := r.script.Network.OneWayMs
 	if zone := r.world.Servers[server].Zone; zone != "" && zone != n.terms.Policy.Zone {
 		ms = r.script.Network.CrossZoneMs
@@ -163,7 +163,7 @@
 }
 
 // late is by how much a new connection to a cache comes up late.
-func (r *Run) late(server int) time.Duration {
+func (r *Simulation) late(server int) time.Duration {
 	n := &r.script.Network
 	if n.LateShare == 0 || r.world.IsOrigin(server) || r.chance.Float64() >= n.LateShare {
 		return 0
@@ -172,7 +172,7 @@
 }
 
 // warm puts keys where the decider's own kind would send them.
-func (r *Run) warm() {
+func (r *Simulation) warm() {
 	d := r.make(r.now, r.script.Seed, r.terms.Policy)
 	d.UpdateEndpoints(r.now, policy.CompleteUpdate, course.Entries(r.world))
 	world.WarmBy(r.world, d.Route, r.now, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
@@ -182,7 +182,7 @@
 func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
 
 // Broke breaks all connections to a server, and all legs on them.
-func (r *Run) Broke(server int) {
+func (r *Simulation) Broke(server int) {
 	r.brokenAt(server)
 	var on []uint64
 	for tag, l := range r.legs {
@@ -197,7 +197,7 @@
 	}
 }
 
-func (r *Run) brokenAt(server int) uint64 {
+func (r *Simulation) brokenAt(server int) uint64 {
 	for len(r.broken) <= server {
 		r.broken = append(r.broken, 0)
 	}
@@ -206,14 +206,14 @@
 	return r.broken[server]
 }
 
-func (r *Run) breaks(server int) uint64 {
+func (r *Simulation) breaks(server int) uint64 {
 	if server < len(r.broken) {
 		return r.broken[server]
 	}
 	return 0
 }
 
-func (r *Run) fault(server int) string {
+func (r *Simulation) fault(server int) string {
 	if server < len(r.faults) {
 		return r.faults[server]
 	}
@@ -221,7 +221,7 @@
 }
 
 // Fault sets what goes wrong on a server's connections.
-func (r *Run) Fault(server int, kind string) {
+func (r *Simulation) Fault(server int, kind string) {
 	for len(r.faults) <= server {
 		r.faults = append(r.faults, "")
 	}
@@ -229,10 +229,10 @@
 }
 
 // Said keeps a line of what the script does.
-func (r *Run) Said(now policy.Instant, what string) { r.log.Say(now, what) }
+func (r *Simulation) Said(now policy.Instant, what string) { r.log.Say(now, what) }
 
 // Listed tells a change of the list to each node, late.
-func (r *Run) Listed(e policy.Endpoint) {
+func (r *Simulation) Listed(e policy.Endpoint) {
 	if !r.upList {
 		r.pending = append(r.pending, e)
 		return
@@ -257,10 +257,10 @@
 }
 
 // Registry is what discovery can bear.
-func (r *Run) Registry() *world.Registry { return r.registry }
+func (r *Simulation) Registry() *world.Registry { return r.registry }
 
 // Discovery goes down or comes back.
-func (r *Run) Discovery(up bool) {
+func (r *Simulation) Discovery(up bool) {
 	if r.upList = up; up {
 		for _, e := range r.pending {
 			r.Listed(e)
@@ -270,7 +270,7 @@
 }
 
 // EndNode ends a node. An orderly one finishes what it has in hand; no more clients come to either.
-func (r *Run) EndNode(number int, orderly bool) {
+func (r *Simulation) EndNode(number int, orderly bool) {
 	n := r.nodes[number]
 	r.serving = slices.DeleteFunc(r.serving, func(o *node) bool { return o == n })
 	if !orderly {
@@ -279,27 +279,27 @@
 }
 
 // UpgradeNode does nothing: a script with it is refused in virtual time.
-func (r *Run) UpgradeNode(int) {}
+func (r *Simulation) UpgradeNode(int) {}
 
 // StandbyNode does nothing, as UpgradeNode.
-func (r *Run) StandbyNode(int, bool) {}
+func (r *Simulation) StandbyNode(int, bool) {}
 
 // ScrapeNode does nothing, as UpgradeNode.
-func (r *Run) ScrapeNode(int, policy.Instant) {}
+func (r *Simulation) ScrapeNode(int, policy.Instant) {}
 
 // PauseNode does nothing, as all that concerns processes or what is between them: a script with it is refused.
-func (r *Run) PauseNode(int, bool) {}
+func (r *Simulation) PauseNode(int, bool) {}
 
-func (r *Run) HangNode(int, bool)                   {}
-func (r *Run) CrowdNode(int, int, policy.Instant)   {}
-func (r *Run) StallClients(int, int)                {}
-func (r *Run) ReloadNode(int, int)                  {}
-func (r *Run) FreezeNode(int, time.Duration)        {}
-func (r *Run) TwinNode(int)                         {}
-func (r *Run) Between(int, int, func(*between.Way)) {}
+func (r *Simulation) HangNode(int, bool)                   {}
+func (r *Simulation) CrowdNode(int, int, policy.Instant)   {}
+func (r *Simulation) StallClients(int, int)                {}
+func (r *Simulation) ReloadNode(int, int)                  {}
+func (r *Simulation) FreezeNode(int, time.Duration)        {}
+func (r *Simulation) TwinNode(int)                         {}
+func (r *Simulation) Between(int, int, func(*between.Way)) {}
 
 // StartNode starts it anew: it has its last list, and hears the whole one soon after.
-func (r *Run) StartNode(number int) {
+func (r *Simulation) StartNode(number int) {
 	n := r.nodes[number]
 	if n.host != nil {
 		if len(n.hand) > 0 { // it still drains
@@ -321,7 +321,7 @@
 }
 
 // arrive plays the next first try, and hangs in the one after.
-func (r *Run) arrive(at policy.Instant) {
+func (r *Simulation) arrive(at policy.Instant) {
 	if at.Since(epoch) >= r.script.Long() {
 		return
 	}
@@ -333,19 +333,19 @@
 }
 
 // ask sends one try to a node.
-func (r *Run) ask(req world.Request, first policy.Instant, isFirst bool) {
+func (r *Simulation) ask(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.Asked(r.now, isFirst)
 	if len(r.serving) == 0 {
-		r.judge.Grades[req.Grade].Asked++
+		r.judge.Classes[req.Class].Asked++
 		if isFirst {
-			r.judge.Grades[req.Grade].First++
+			r.judge.Classes[req.Class].First++
 		}
-		r.judge.Grades[req.Grade].Cut++
+		r.judge.Classes[req.Class].Cut++
 		return
 	}
 	n := r.choose()
 	req.Sent = r.now
-	r.judge.Sent(r.now, req.ID, n.number, req.Grade, req.Label, r.now.Add(req.Deadline), isFirst)
+	r.judge.Sent(r.now, req.ID, n.number, req.Class, req.Label, r.now.Add(req.Deadline), isFirst)
 	life := n.life
 	r.after(r.clientWay(), func() {
 		if n.life != life || n.host == nil { // it died while this was on its way: the client sees a reset
@@ -362,7 +362,7 @@
 
 // choose picks the node that a try goes to: any alike, or the earlier the more where their traffic is uneven. Two processes of one node,
 // which stand as far apart as the settings state nodes, share its part.
-func (r *Run) choose() *node {
+func (r *Simulation) choose() *node {
 	x := r.chance.Float64()
 	if r.script.Traffic.Skew == 0 {
 		return r.serving[int(x*float64(len(r.serving)))]
@@ -381,19 +381,19 @@
 }
 
 // cut is what a client does whose node died.
-func (r *Run) cut(req world.Request, first policy.Instant) {
-	r.judge.Grades[req.Grade].Cut++
+func (r *Simulation) cut(req world.Request, first policy.Instant) {
+	r.judge.Classes[req.Class].Cut++
 	r.again(req, first, false, 0)
 }
 
-func (r *Run) again(req world.Request, first policy.Instant, rejected bool, comeBack time.Duration) {
+func (r *Simulation) again(req world.Request, first policy.Instant, rejected bool, comeBack time.Duration) {
 	if next, at, ok := r.traffic.Again(r.now, req, rejected, comeBack); ok {
 		r.At(at, func() { r.ask(next, first, false) })
 	}
 }
 
 // served is a job's end at a server.
-func (r *Run) served(d world.Done) {
+func (r *Simulation) served(d world.Done) {
 	l := r.legs[d.Job.Tag]
 	if l == nil {
 		return
--- a/internal/emulator/virtual/virtual_test.go
+++ b/internal/emulator/virtual/virtual_test.go
@@ -16,7 +16,7 @@
 	"dahliapin/rehearsals"
 )
 
-func load(t testing.TB, name string) *script.Script {
+func load(t testing.TB, name string) *script.Scenario {
 	t.Helper()
 	text, ok := rehearsals.Text(name)
 	if !ok {
@@ -29,7 +29,7 @@
 	return s
 }
 
-func play(t testing.TB, s *script.Script, name string, m Maker) *outcome.Report {
+func play(t testing.TB, s *script.Scenario, name string, m Maker) *outcome.Report {
 	t.Helper()
 	r, _, err := Play(s, name, m)
 	if err != nil {
@@ -170,8 +170,8 @@
 	}
 	for how, rule := range map[string]int{"": 0, "to one that drains": 3, "to the newest only": 4, "beside": 2, "twice": 2, "too late": 1} {
 		s := load(t, "moves")
-		s.Seconds, s.Fleet.Nodes, s.Allowed.SecondCopies = 24, 1, false
-		s.Grades[2].Effect, s.Grades[2].WindowS = "irreversible", 0
+		s.Seconds, s.Fleet.Nodes, s.Allowed.Hedging = 24, 1, false
+		s.Classes[2].Effect, s.Classes[2].WindowS = "irreversible", 0
 		s.Events = []script.Event{{AtS: 3, Do: "drain", Caches: []string{"c4"}, ForS: 9}, {AtS: 5, Do: "add", Count: 1}}
 		if how == "to one that drains" {
 			s.Events[0].Caches = []string{"c1"}
@@ -200,7 +200,7 @@
 	rare.Traffic.PerSecond, rare.Seconds = 110, 60
 	rare.Events = []script.Event{{AtS: 5, Do: "errors", Caches: []string{"c9"}, Share: 1, ForS: 30}}
 	for name, c := range map[string]struct {
-		s             *script.Script
+		s             *script.Scenario
 		calls, inVain int
 	}{"sixty": {sixty, 300, 400}, "silent": {silent, 200, 250}, "rare": {rare, 100, 10}} {
 		r := play(t, c.s, "module", Module)
@@ -244,7 +244,7 @@
 		}
 		s := load(t, "bad-wires")
 		s.Traffic.PerSecond = 200
-		s.Grades[2].Scope = "group"
+		s.Classes[2].Scope = "group"
 		s.Events = append(s.Events, script.Event{AtS: 10, Do: "drain", Caches: []string{"c2"}, ForS: 3})
 		r := play(t, s, name, Maker(m))
 		if r.Rules != [4]uint64{} || r.Gain < 0.9 {
@@ -257,7 +257,7 @@
 }
 
 // Size is a fleet as grown: few requests a second at each of many nodes.
-func size(nodes, caches int, perSecond, seconds float64) *script.Script {
+func size(nodes, caches int, perSecond, seconds float64) *script.Scenario {
 	s, err := script.Parse("size", fmt.Appendf(nil, `
 seconds = %g
 [fleet]
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -20,7 +20,7 @@
 	ID       string // new with each try
 	Key      string
 	Label    string // the same with each try
-	Grade    int
+	Class    int
 	Try      int            // from 1
 	First    policy.Instant // when the first try was sent
 	Sent     policy.Instant // by the client
@@ -35,7 +35,7 @@
 	Wave      time.Duration // in which it does so once
 	Keys      int
 	Zipf      float64 // exponent of popularity
-	Grades    []Grade
+	Classes   []Class
 	Seed      uint32
 	Jitter    float64 // of the time after which a client asks again
 	Leaves    float64 // share of tries whose client goes before its deadline
@@ -66,7 +66,7 @@
 		t.ranks[i] = sum
 	}
 	sum = 0
-	for _, g := range p.Grades {
+	for _, g := range p.Classes {
 		sum += g.Share
 		t.mix = append(t.mix, sum)
 	}
@@ -97,8 +97,8 @@
 		x := t.chance.Float64() * cumulated[len(cumulated)-1]
 		return sort.SearchFloat64s(cumulated, x)
 	}
-	r := Request{Grade: pick(t.mix), Key: KeyOf(pick(t.ranks)), Try: 1, First: now, Sent: now}
-	g := &t.Grades[r.Grade]
+	r := Request{Class: pick(t.mix), Key: KeyOf(pick(t.ranks)), Try: 1, First: now, Sent: now}
+	g := &t.Classes[r.Class]
 	if !g.Write && t.hot != "" && t.chance.Float64() < t.hotBy {
 		r.Key = t.hot
 	}
@@ -142,7 +142,7 @@
 // Again tells when a client tries again after an answer that did not satisfy it, if it does. A try that failed is made
 // again only where a second run does no harm, or is dropped by all caches for as long as the client waits for it; one that was rejected never ran.
 func (t *Traffic) Again(now policy.Instant, r Request, rejected bool, comeBack time.Duration) (Request, policy.Instant, bool) {
-	g := &t.Grades[r.Grade]
+	g := &t.Classes[r.Class]
 	if r.Try >= g.Tries || !rejected && (g.Idempotency == policy.NotIdempotent || g.Idempotency == policy.IdempotentByKey && g.DedupScope != policy.AllCaches) {
 		return r, 0, false
 	}
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -51,7 +51,7 @@
 }
 
 // Grade is what the world must know of a service grade.
-type Grade struct {
+type Class struct {
 	policy.ServiceClass
 	Name     string
 	Write    bool
@@ -80,7 +80,7 @@
 	Node    int
 	Key     string
 	Label   string // of a labelled write
-	Grade   int
+	Class   int
 	Until   policy.Instant // when nobody waits any more
 	Tag     uint64         // the shell's own
 	server  int
@@ -105,7 +105,7 @@
 )
 
 // Hearer hears what really happened, whatever a router says of it.
-type Hearer interface {
+type Observer interface {
 	Effect(now policy.Instant, request, label string, grade int, server policy.EndpointID)
 	Fell(now policy.Instant, server policy.EndpointID, why string)
 	Rose(now policy.Instant, server policy.EndpointID) // a server that had fallen starts anew
@@ -113,27 +113,27 @@
 
 // Plan is a world to make.
 type Plan struct {
-	Mode   Mode
-	Caches []Traits
-	Origin OriginTraits
-	Grades []Grade
-	Seed   uint32
-	Hearer Hearer
+	Mode    Mode
+	Caches  []Traits
+	Origin  OriginTraits
+	Classes []Class
+	Seed    uint32
+	Hearer  Observer
 }
 
 // Life is how a server lives.
-type Life int
+type Liveness int
 
 const (
-	Up     Life = iota
-	Down        // connections are refused, those open are broken
-	Silent      // nothing is answered, nothing refused
+	Up     Liveness = iota
+	Down            // connections are refused, those open are broken
+	Silent          // nothing is answered, nothing refused
 )
 
 // Server is one cache or the origin.
 type Server struct {
 	Traits
-	Life   Life
+	Life   Liveness
 	State  policy.Lifecycle // as the list has it
 	Born   policy.Instant
 	Held   int // connections that are open to it, the shell's to count
@@ -241,7 +241,7 @@
 }
 
 // memory is what a server knows of labelled writes: the origin its own, caches what their grade's scope shares.
-func (w *World) memory(s *Server, g *Grade) *labels {
+func (w *World) memory(s *Server, g *Class) *labels {
 	if s.origin != nil {
 		return s.labels
 	}
@@ -297,7 +297,7 @@
 }
 
 func (w *World) workOf(s *Server, j *Job) time.Duration {
-	g := &w.plan.Grades[j.Grade]
+	g := &w.plan.Classes[j.Class]
 	work := g.Work
 	switch {
 	case s.origin != nil:
@@ -374,13 +374,13 @@
 // meanWork is that of a request at a cache, by the shares of grades.
 func (p *Plan) meanWork() time.Duration {
 	work, share := 0.0, 0.0
-	for _, g := range p.Grades {
+	for _, g := range p.Classes {
 		if !g.Write || p.Mode == Through {
 			work, share = work+g.Share*float64(g.Work), share+g.Share
 		}
 	}
 	if share <= 0 { // a plan that states none: all alike
-		for _, g := range p.Grades {
+		for _, g := range p.Classes {
 			work, share = work+float64(g.Work), share+1
 		}
 	}
@@ -454,7 +454,7 @@
 		d.Said = Failed
 		return d
 	}
-	if g := &w.plan.Grades[j.Grade]; g.Write {
+	if g := &w.plan.Classes[j.Class]; g.Write {
 		return w.write(now, s, g, j, d)
 	}
 	if s.origin != nil || w.plan.Mode == Through {
@@ -484,7 +484,7 @@
 func ValueOf(key string) string { return "v:" + key }
 
 // write has its effect unless it is a repeat within its window.
-func (w *World) write(now policy.Instant, s *Server, g *Grade, j Job, d Done) Done {
+func (w *World) write(now policy.Instant, s *Server, g *Class, j Job, d Done) Done {
 	d.Said = Receipt
 	if j.Label != "" {
 		if receipt, again := w.memory(s, g).repeat(int64(now), j.Label); again {
@@ -497,7 +497,7 @@
 	if j.Label != "" {
 		w.memory(s, g).keep(j.Label, d.Text, int64(now.Add(g.DedupWindow)))
 	}
-	w.plan.Hearer.Effect(now, j.Request, j.Label, j.Grade, s.ID)
+	w.plan.Hearer.Effect(now, j.Request, j.Label, j.Class, s.ID)
 	if s.origin != nil {
 		for _, c := range w.Servers {
 			if c.origin == nil {
@@ -582,7 +582,7 @@
 // WarmBy fills the caches with the keys of traffic, the most popular last, as a fleet that has served for long would hold
 // them. where is a decider's, which is not used again: each of three calls goes to the least loaded, so they tell the holders.
 func WarmBy(w *World, where func(policy.Instant, *policy.Request) policy.Decision, now policy.Instant, t *Traffic, most int) {
-	grade := slices.IndexFunc(t.Grades, func(g Grade) bool { return !g.Write })
+	grade := slices.IndexFunc(t.Classes, func(g Class) bool { return !g.Write })
 	if grade < 0 {
 		return
 	}
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -15,14 +15,14 @@
 func (h *heard) Fell(policy.Instant, policy.EndpointID, string)                { h.fell++ }
 func (h *heard) Rose(policy.Instant, policy.EndpointID)                        { h.rose++ }
 
-func make1(h Hearer, change func(*Traits)) *World {
+func make1(h Observer, change func(*Traits)) *World {
 	t := Traits{ID: "c1", Cores: 1, Queue: 2, Speed: 1, Keys: 2, Connections: 1, ColdFrom: 0.5, ColdFor: 10 * time.Second,
 		FallMultiple: 2, FallFor: 200 * time.Millisecond}
 	if change != nil {
 		change(&t)
 	}
 	return New(Plan{Caches: []Traits{t}, Seed: 1, Hearer: h, Origin: OriginTraits{Cores: 1, Queue: 99, Work: 4 * time.Millisecond, StallAt: 99, Stall: 1},
-		Grades: []Grade{{Name: "read", Work: 10 * time.Millisecond}, {Name: "mark", Write: true, Work: 10 * time.Millisecond,
+		Classes: []Class{{Name: "read", Work: 10 * time.Millisecond}, {Name: "mark", Write: true, Work: 10 * time.Millisecond,
 			ServiceClass: policy.ServiceClass{Idempotency: policy.IdempotentByKey, DedupWindow: time.Second}}}})
 }
 
@@ -109,7 +109,7 @@
 	h := &heard{}
 	w := make1(h, nil)
 	write := func(at policy.Instant, label string) string {
-		w.Offer(at, 1, Job{Request: "r", Key: "k", Label: label, Grade: 1, Until: 1 << 60})
+		w.Offer(at, 1, Job{Request: "r", Key: "k", Label: label, Class: 1, Until: 1 << 60})
 		return w.all(1 << 60)[0].Text
 	}
 	first := write(0, "l")
@@ -135,7 +135,7 @@
 		}{{"a", 1}, {"a", 1}, {"a", 2}, {"b", 3}} {
 			ts = append(ts, Traits{ID: policy.EndpointID(rune('a' + n)), Zone: at.z, Group: at.g, Cores: 1, Queue: 9, Speed: 1, Keys: 1})
 		}
-		w := New(Plan{Mode: Through, Caches: ts, Hearer: h, Grades: []Grade{{Write: true, Work: time.Millisecond,
+		w := New(Plan{Mode: Through, Caches: ts, Hearer: h, Classes: []Class{{Write: true, Work: time.Millisecond,
 			ServiceClass: policy.ServiceClass{Idempotency: policy.IdempotentByKey, DedupScope: scope, DedupWindow: time.Second}}}})
 		for n := range ts {
 			w.Offer(0, n, Job{Request: "r", Label: "l", Until: 1 << 60})
@@ -174,25 +174,25 @@
 
 // Arrivals are open loop at the stated rate, and clients repeat only what is harmless.
 func TestTrafficIsAsStated(t *testing.T) {
-	p := TrafficPlan{PerSecond: 1000, Keys: 100, Zipf: 1, Seed: 3, Grades: []Grade{{Name: "read", Share: 3, Tries: 2,
+	p := TrafficPlan{PerSecond: 1000, Keys: 100, Zipf: 1, Seed: 3, Classes: []Class{{Name: "read", Share: 3, Tries: 2,
 		ServiceClass: policy.ServiceClass{Idempotency: policy.Idempotent}}, {Name: "pay", Share: 1, Tries: 9, Write: true}}}
 	tr := NewTraffic(p)
 	tr.Heat("hot", 0.5)
 	n, reads, hot := 0, 0, 0
 	for at := tr.Next(0); at < policy.Instant(10*time.Second); at = tr.Next(at) {
 		r := tr.Draw(at)
-		if n++; r.Grade == 0 {
+		if n++; r.Class == 0 {
 			reads++
 		}
 		if r.Key == "hot" {
 			hot++
 		}
-		if _, _, ok := tr.Again(at, r, false, 0); ok != (r.Grade == 0) {
-			t.Fatal("repeats after a failure", r.Grade, ok)
+		if _, _, ok := tr.Again(at, r, false, 0); ok != (r.Class == 0) {
+			t.Fatal("repeats after a failure", r.Class, ok)
 		}
 		again, _, _ := tr.Again(at, r, true, time.Second)
-		if _, _, ok := tr.Again(at, again, true, 0); ok != (r.Grade == 1) || again.ID == r.ID || again.Sent < at.Add(time.Second) {
-			t.Fatal("repeats after a rejection", r.Grade, ok)
+		if _, _, ok := tr.Again(at, again, true, 0); ok != (r.Class == 1) || again.ID == r.ID || again.Sent < at.Add(time.Second) {
+			t.Fatal("repeats after a rejection", r.Class, ok)
 		}
 	}
 	if n < 9700 || n > 10300 || reads < 7300 || reads > 7700 || hot < 3500 || hot > 4000 {
@@ -218,9 +218,9 @@
 
 // Clients that wait less do so by the try's id: all else is drawn as without them.
 func TestSomeClientsWaitLess(t *testing.T) {
-	grades := []Grade{{Share: 1, Deadline: time.Second, Tries: 2}}
-	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Grades: grades, Seed: 3})
-	hasty := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Grades: grades, Seed: 3, Short: 0.25, ShortMost: 200 * time.Millisecond})
+	grades := []Class{{Share: 1, Deadline: time.Second, Tries: 2}}
+	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: grades, Seed: 3})
+	hasty := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: grades, Seed: 3, Short: 0.25, ShortMost: 200 * time.Millisecond})
 	short := 0
 	for range 2000 {
 		a, b := plain.Draw(0), hasty.Draw(0)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,7 +27,7 @@
 )
 
 // Grade is what one grade got.
-type Grade struct {
+type Class struct {
 	Name                          string
 	Asked, Satisfied, InTime      int64
 	Rejected, Failed, Cut, Silent int64
@@ -38,7 +38,7 @@
 
 // Result is what a run got.
 type Result struct {
-	Grades []Grade
+	Grades []Class
 	Long   time.Duration
 	Late   int64
 	Asked  int64
@@ -47,8 +47,8 @@
 // Run asks until its time is over or the context is, by HTTP as internal/emulator/client puts it, or by meta commands.
 func Run(ctx context.Context, addr string, http bool, traffic *world.Traffic, long time.Duration) *Result {
 	r := &Result{}
-	for _, g := range traffic.Grades {
-		r.Grades = append(r.Grades, Grade{Name: g.Name, Took: hdrhistogram.New(shortest, longest, digits),
+	for _, g := range traffic.Classes {
+		r.Grades = append(r.Grades, Class{Name: g.Name, Took: hdrhistogram.New(shortest, longest, digits),
 			Bare: hdrhistogram.New(shortest, longest, digits)})
 	}
 	pool := &client.Pool{Addr: addr, HTTP: http}
@@ -58,7 +58,7 @@
 	now := func() policy.Instant { return policy.Instant(time.Since(began)) }
 	for at := traffic.Next(0); time.Duration(at) < long && wait(ctx, began.Add(time.Duration(at))); at = traffic.Next(at) {
 		req := traffic.Draw(at)
-		due, g, t := began.Add(time.Duration(at)), &r.Grades[req.Grade], &traffic.Grades[req.Grade]
+		due, g, t := began.Add(time.Duration(at)), &r.Grades[req.Class], &traffic.Classes[req.Class]
 		if r.Asked++; time.Since(due) > lateBy {
 			r.Late++
 		}
@@ -95,7 +95,7 @@
 	return ctx.Err() == nil
 }
 
-func (g *Grade) count(got client.Answer, due time.Time, soft time.Duration) {
+func (g *Class) count(got client.Answer, due time.Time, soft time.Duration) {
 	g.Asked++
 	if got.Wrong != "" || got.Extra {
 		g.Wrong++
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -56,7 +56,7 @@
 }
 
 func reads(rate float64) *world.Traffic {
-	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Grades: []world.Grade{{Name: "read", Share: 1,
+	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Classes: []world.Class{{Name: "read", Share: 1,
 		Deadline: 2 * time.Second, ServiceClass: policy.ServiceClass{LatencyObjective: 100 * time.Millisecond}}}})
 }
 
