--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -6,15 +6,15 @@
 	"fmt"
 	"os"
 
-	"dahliapin/internal/host"
-	"dahliapin/internal/simwire"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/wire/simwire"
 	"dahliapin/policy"
 )
 
 func main() {
 	err := simwire.Serve(os.Stdin, os.Stdout, os.Stderr,
 		func(now policy.Instant, seed int64, rules policy.Settings, out *simwire.Writer) simwire.Node {
-			return host.New(now, seed, rules, out)
+			return dispatch.New(now, seed, rules, out)
 		})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/net/accord"
-	"dahliapin/internal/ports"
+	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/freeport"
 )
 
 // freePorts are some that nobody has.
 func freePorts(t *testing.T, n int) (at []string) {
 	t.Helper()
 	for range n {
-		one, err := ports.Free()
+		one, err := freeport.Free()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,10 +71,10 @@
 	}
 	_, said := start(0)
 	expect(t, said, "control machine listening")
-	var o accord.Overview
+	var o controlserver.Overview
 	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(50 * time.Millisecond) {
 		out, code := asked(t, "fleet", "changes", "--at", nodes[0], "--label", "l", "--json")
-		if o = (accord.Overview{}); json.Unmarshal([]byte(out), &o) == nil && len(o.Machines) == 4 && o.Machines[0].Last == 3 && code == 0 {
+		if o = (controlserver.Overview{}); json.Unmarshal([]byte(out), &o) == nil && len(o.Machines) == 4 && o.Machines[0].Last == 3 && code == 0 {
 			break
 		}
 	}
@@ -102,19 +102,19 @@
 
 // What operators are told of caches: those that lack something, with each machine's reason; nothing where purges are not carried out.
 func TestCachesThatLackPurgesAreShown(t *testing.T) {
-	shown := func(o accord.Overview) string {
+	shown := func(o controlserver.Overview) string {
 		var out strings.Builder
 		if err := showChanges(&out, o); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
 	}
-	o := accord.Overview{Last: 9, Led: true}
+	o := controlserver.Overview{Last: 9, Led: true}
 	if text := shown(o); strings.Contains(text, "cache") {
 		t.Errorf("%s", text)
 	}
-	o.Caches = []accord.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
-		Machines: []accord.CacheProgress{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
+	o.Caches = []controlserver.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
+		Machines: []controlserver.CacheProgress{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
 	text := shown(o)
 	for _, want := range []string{"2 caches, purges are done at 1 of them", "ill    4     5      3     6             1: refused, 2.5 s; to be flushed"} {
 		if !strings.Contains(text, want) {
--- a/cmd/dahliapin/control.go
+++ b/cmd/dahliapin/control.go
@@ -12,12 +12,12 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	changes "dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fleet/purges"
-	"dahliapin/internal/net/accord"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/scale/changes/trace"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/purge"
+	changes "dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/membership/gossip"
 )
 
 // controlCommand runs one control machine of the log of changes.
@@ -32,11 +32,11 @@
 }
 
 func control(path string, first bool, traced string) error {
-	f, err := charter.ReadControl(path)
+	f, err := fleetconfig.ReadControl(path)
 	if err != nil {
 		return err
 	}
-	b := accord.Config{File: f, New: first, Log: logrus.StandardLogger(), Now: fleet.BootTime}
+	b := controlserver.Config{File: f, New: first, Log: logrus.StandardLogger(), Now: gossip.BootTime}
 	if traced != "" {
 		keep, end, err := keptTrace(traced)
 		if err != nil {
@@ -53,7 +53,7 @@
 	}
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
-	m, err := accord.Open(b)
+	m, err := controlserver.Open(b)
 	if err != nil {
 		return err
 	}
@@ -66,17 +66,17 @@
 }
 
 // countedTrace writes a line of each cache at which purges count as done up to a later index, beside the other trace.
-func countedTrace(path string) (count func(purges.CacheID, purges.Cursor), end func(), err error) {
+func countedTrace(path string) (count func(purge.CacheID, purge.Cursor), end func(), err error) {
 	f, err := os.OpenFile(path+".caches", os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, nil, fmt.Errorf("the trace cannot be kept: %w", err)
 	}
 	var mu sync.Mutex
 	out := json.NewEncoder(f)
-	return func(id purges.CacheID, c purges.Cursor) {
+	return func(id purge.CacheID, c purge.Cursor) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = out.Encode(trace.Cached{At: fleet.BootTime(), Cache: string(id), What: trace.Counted, Index: uint64(c.Done)})
+		_ = out.Encode(logtrace.Cached{At: gossip.BootTime(), Cache: string(id), What: logtrace.Counted, Index: uint64(c.Done)})
 	}, func() { _ = f.Close() }, nil
 }
 
@@ -89,7 +89,7 @@
 	var mu sync.Mutex
 	w := bufio.NewWriter(f)
 	keep = func(all []changes.Proposal) {
-		l := trace.Kept{At: fleet.BootTime()}
+		l := logtrace.Kept{At: gossip.BootTime()}
 		for _, p := range all {
 			l.Marks = append(l.Marks, p.ContentHash())
 		}
--- a/cmd/dahliapin/deciders.go
+++ b/cmd/dahliapin/deciders.go
@@ -1,15 +1,15 @@
 package main
 
 import (
-	"dahliapin/internal/baselines"
-	"dahliapin/internal/emulator/virtual"
+	"dahliapin/internal/emulator/baselines"
+	"dahliapin/internal/emulator/simulation"
 )
 
 // decider finds the module or a baseline by its name.
-func decider(name string) (virtual.Maker, error) {
+func decider(name string) (simulation.Maker, error) {
 	if name == "module" {
-		return virtual.Module, nil
+		return simulation.Module, nil
 	}
 	m, err := baselines.Make(name)
-	return virtual.Maker(m), err
+	return simulation.Maker(m), err
 }
--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/membership/gossip"
 	"dahliapin/node"
 )
 
@@ -63,7 +63,7 @@
 }
 
 func showMembers(to io.Writer, text []byte) error {
-	var all []fleet.MemberStatus
+	var all []gossip.MemberStatus
 	if json.Unmarshal(text, &all) != nil {
 		return errAnswer
 	}
--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/load"
+	"dahliapin/internal/loadgen"
 	"dahliapin/rehearsals"
 )
 
@@ -48,13 +48,13 @@
 			if protocol == "" {
 				protocol = s.Traffic.Protocol
 			}
-			if protocol != fronts.Meta && protocol != fronts.HTTP {
-				return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, fronts.Meta, fronts.HTTP)
+			if protocol != listeners.Meta && protocol != listeners.HTTP {
+				return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, listeners.Meta, listeners.HTTP)
 			}
 			asks.Seed = uint32(time.Now().UnixNano()) // names of requests are never to come twice at one node
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			r := load.Run(ctx, args[0], protocol == fronts.HTTP, world.NewTraffic(asks), long)
+			r := loadgen.Run(ctx, args[0], protocol == listeners.HTTP, world.NewTraffic(asks), long)
 			r.Print(c.OutOrStdout())
 			if r.TooBusy() {
 				return errors.New("not judged")
@@ -80,7 +80,7 @@
 				return demoTogether(c, nodes)
 			}
 			text, _ := rehearsals.Text("demo")
-			s, err := script.Parse("demo.toml", text)
+			s, err := scenario.Parse("demo.toml", text)
 			if err != nil {
 				return err
 			}
@@ -106,7 +106,7 @@
 		return fmt.Errorf("--nodes %d is not 1, nor from %d to %d", nodes, fewestTogether, mostTogether)
 	}
 	text, _ := rehearsals.Text("members-first")
-	s, err := script.Parse("members-first.toml", text)
+	s, err := scenario.Parse("members-first.toml", text)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 }
 
 // shown plays a script on sockets and tells what happens, until its end or Ctrl-C.
-func shown(c *cobra.Command, s *script.Scenario) error {
+func shown(c *cobra.Command, s *scenario.Scenario) error {
 	out := c.OutOrStdout()
 	r, err := onSockets(c.Context(), s, func(line string) { fmt.Fprintln(out, line) })
 	if errors.Is(err, context.Canceled) {
--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/emulator/onwire"
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/strictconfig"
+	"dahliapin/internal/emulator/realtime"
 	"dahliapin/node"
 	"dahliapin/policy"
 )
@@ -50,7 +50,7 @@
 	)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "dahliapin:", err)
-		var all strictly.FieldErrors
+		var all strictconfig.FieldErrors
 		if errors.As(err, &all) && checking.CalledAs() != "" { // who checks a file wants to know of all at once
 			for _, f := range all[1:] {
 				fmt.Fprintln(os.Stderr, "dahliapin:", f)
@@ -122,7 +122,7 @@
 	ends, calls := make(chan os.Signal, 1), make(chan os.Signal, 4)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(calls, syscall.SIGUSR1, syscall.SIGHUP)
-	if os.Getenv(onwire.Rehearsed) != "" {
+	if os.Getenv(realtime.Rehearsed) != "" {
 		signal.Notify(calls, syscall.SIGUSR2)
 	}
 	made := make(chan *node.Node)
--- a/cmd/dahliapin/migrate.go
+++ b/cmd/dahliapin/migrate.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/migration"
+	"dahliapin/internal/config/migration"
 	"dahliapin/node"
 )
 
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"dahliapin/internal/emulator/onwire"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/realtime"
+	"dahliapin/internal/emulator/scenario"
 )
 
 // What an operator must fill in, and what was lost, must be said; what stands is left alone, and no half file is left.
@@ -44,11 +44,11 @@
 
 // moved starts nodes on what migrate makes of their configuration, with what an operator fills in.
 type moved struct {
-	onwire.Runner
+	realtime.Runner
 	dir string
 }
 
-func (m moved) Start(o onwire.Order) (onwire.Process, error) {
+func (m moved) Start(o realtime.Order) (realtime.Process, error) {
 	text := o.Configuration
 	if m.dir != "" {
 		os.WriteFile(m.dir+"/old", text, 0o600)
@@ -62,12 +62,12 @@
 
 // A node on a migrated file must serve, and ask its own zone's caches; gone back to the old one it asks all.
 func TestAMigratedNodeKeepsToItsZoneAndGoesBack(t *testing.T) {
-	s, err := script.Parse("test.toml", []byte(strings.Replace(strings.Split(short, "[[event]]")[0], "caches = 4",
+	s, err := scenario.Parse("test.toml", []byte(strings.Replace(strings.Split(short, "[[event]]")[0], "caches = 4",
 		"caches = 12\nzones = [\"a\", \"b\"]", 1)))
 	t.Setenv(asProgram, "1")
-	run := &onwire.Processes{Program: os.Args[0], Dir: t.TempDir()}
+	run := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 	for _, m := range []moved{{run, t.TempDir()}, {run, ""}} {
-		report, bad := onwire.Play(context.Background(), s, m, nil)
+		report, bad := realtime.Play(context.Background(), s, m, nil)
 		if err != nil || bad != nil {
 			t.Fatal(err, bad)
 		}
--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
 )
 
 const (
@@ -50,8 +50,8 @@
 			case what != "members":
 				return fmt.Errorf("%w: --what %q is not there: members is", errCall, what)
 			}
-			return hunt(c.OutOrStdout(), schedules, shrink, out, func(k int) *script.Scenario { return script.Nemesis(seed+int64(k), nodes, long.Seconds()) },
-				func(s *script.Scenario) (*outcome.Report, error) { return played(c, s) })
+			return hunt(c.OutOrStdout(), schedules, shrink, out, func(k int) *scenario.Scenario { return scenario.Nemesis(seed+int64(k), nodes, long.Seconds()) },
+				func(s *scenario.Scenario) (*report.Report, error) { return played(c, s) })
 		}}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errCall, err) })
 	c.Flags().IntVar(&nodes, "nodes", 12, "processes")
@@ -65,7 +65,7 @@
 }
 
 // hunt plays schedules until one shows a breach, and shortens that. Those that the machine was too busy for show nothing, and it says so.
-func hunt(to io.Writer, schedules, shrink int, out string, schedule func(k int) *script.Scenario, play func(*script.Scenario) (*outcome.Report, error)) error {
+func hunt(to io.Writer, schedules, shrink int, out string, schedule func(k int) *scenario.Scenario, play func(*scenario.Scenario) (*report.Report, error)) error {
 	busy := 0
 	for k := range schedules {
 		s := schedule(k)
@@ -99,12 +99,12 @@
 	return nil
 }
 
-func played(c *cobra.Command, s *script.Scenario) (*outcome.Report, error) {
+func played(c *cobra.Command, s *scenario.Scenario) (*report.Report, error) {
 	text, err := s.Text()
 	if err != nil {
 		return nil, err
 	}
-	again, err := script.Parse(s.Name+".toml", text) // what is kept is what was played
+	again, err := scenario.Parse(s.Name+".toml", text) // what is kept is what was played
 	if err != nil {
 		return nil, err
 	}
@@ -112,9 +112,9 @@
 }
 
 // broken tells whether a run shows a breach; one on a machine that was too busy shows nothing.
-func broken(r *outcome.Report) bool { return r.Busy == "" && !r.Good() }
+func broken(r *report.Report) bool { return r.Busy == "" && !r.Good() }
 
-func tellPlay(to io.Writer, s *script.Scenario, r *outcome.Report) {
+func tellPlay(to io.Writer, s *scenario.Scenario, r *report.Report) {
 	if r.Together == nil || r.Together.View == nil {
 		fmt.Fprintf(to, "%s: no node had a view\n", s.Name)
 		return
@@ -127,7 +127,7 @@
 		s.Name, len(s.Events), d.Wrong(), d.False, d.Rash, d.Missed, d.Flaps, d.Unlike, r.Rules, d.Changes, worst, d.Alike, map[bool]string{true: "; not judged, the machine was too busy"}[r.Busy != ""])
 }
 
-func breach(to io.Writer, s *script.Scenario, r *outcome.Report, out string) error {
+func breach(to io.Writer, s *scenario.Scenario, r *report.Report, out string) error {
 	r.Print(to)
 	text, err := s.Text()
 	if err == nil {
--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/emulator/onwire"
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/emulator/virtual"
+	"dahliapin/internal/emulator/realtime"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/emulator/simulation"
 	"dahliapin/rehearsals"
 )
 
@@ -35,11 +35,11 @@
 			if c.Flags().Changed("seed") {
 				s.Seed = seed
 			}
-			var r *outcome.Report
+			var r *report.Report
 			if inVirtual {
-				var make virtual.Maker
+				var make simulation.Maker
 				if make, err = decider(by); err == nil {
-					r, _, err = virtual.Play(s, by, make)
+					r, _, err = simulation.Play(s, by, make)
 				}
 			} else if by != "module" {
 				err = errors.New("baselines play in virtual time only: add --virtual")
@@ -68,11 +68,11 @@
 }
 
 // find reads a script from a file, or takes one of those that come with the program.
-func find(name string) (*script.Scenario, error) {
+func find(name string) (*scenario.Scenario, error) {
 	if text, ok := rehearsals.Text(name); ok {
-		return script.Parse(name+".toml", text)
+		return scenario.Parse(name+".toml", text)
 	}
-	s, err := script.Read(name)
+	s, err := scenario.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("there is no file %s, nor a rehearsal of that name: %s", name, strings.Join(rehearsals.Names(), ", "))
 	}
@@ -88,7 +88,7 @@
 }
 
 // keep writes a report to a folder; each file is there whole or not at all.
-func keep(dir string, r *outcome.Report) error {
+func keep(dir string, r *report.Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("the folder for reports cannot be made: %w", err)
 	}
@@ -117,7 +117,7 @@
 }
 
 // onSockets plays a script against node processes of this very program. Nothing is left behind, however it ends.
-func onSockets(ctx context.Context, s *script.Scenario, tell func(string)) (*outcome.Report, error) {
+func onSockets(ctx context.Context, s *scenario.Scenario, tell func(string)) (*report.Report, error) {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	self, err := os.Executable()
@@ -129,5 +129,5 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return onwire.Play(ctx, s, &onwire.Processes{Program: self, Dir: dir}, tell)
+	return realtime.Play(ctx, s, &realtime.Processes{Program: self, Dir: dir}, tell)
 }
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/records"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/proxy/eventlog"
 )
 
 const short = `seconds = 5
@@ -84,13 +84,13 @@
 	if code != 0 || len(left) > 0 || !strings.Contains(out, "no rule is broken ([0 0 0 0])") {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
-	var r outcome.Report
+	var r report.Report
 	text, _ := os.ReadFile(dir + "/report.json")
 	if err := json.Unmarshal(text, &r); err != nil || r.Classes[0].Asked < 300 {
 		t.Errorf("%v: %.200s", err, text)
 	}
 	lines, _ := os.ReadFile(dir + "/records.jsonl")
-	if !strings.Contains(string(lines), `"node":"n2","server":"c2","what":"`+records.EndpointAvoided) {
+	if !strings.Contains(string(lines), `"node":"n2","server":"c2","what":"`+eventlog.EndpointAvoided) {
 		t.Errorf("no record of a process: %s", lines)
 	}
 	out, code, left = program(t, func(p *os.Process) {
@@ -182,21 +182,21 @@
 // machine was too busy for shows nothing.
 func TestTheNemesisShortensWhatBreaks(t *testing.T) {
 	dir, plays := t.TempDir(), 0
-	needs := func(s *script.Scenario, do string) bool {
-		return slices.ContainsFunc(s.Events, func(e script.Event) bool { return e.Do == do })
+	needs := func(s *scenario.Scenario, do string) bool {
+		return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
 	}
-	play := func(s *script.Scenario) (*outcome.Report, error) {
+	play := func(s *scenario.Scenario) (*report.Report, error) {
 		plays++
-		return &outcome.Report{Expected: []outcome.Expected{{What: "all is well", Met: !needs(s, "node_pause") || !needs(s, "node_kill")}}}, nil
+		return &report.Report{Expected: []report.Expected{{What: "all is well", Met: !needs(s, "node_pause") || !needs(s, "node_kill")}}}, nil
 	}
-	schedule := func(k int) *script.Scenario { return script.Nemesis(int64(k), 12, 90) }
+	schedule := func(k int) *scenario.Scenario { return scenario.Nemesis(int64(k), 12, 90) }
 	var said bytes.Buffer
 	err := hunt(&said, 50, 100, dir, schedule, play)
 	lines := strings.Split(strings.TrimSpace(said.String()), "\n")
 	if !errors.Is(err, errNotMet) {
 		t.Fatalf("%v\n%s", err, &said)
 	}
-	s, err := script.Read(lines[len(lines)-1])
+	s, err := scenario.Read(lines[len(lines)-1])
 	if err != nil || len(s.Events) != 2 || !needs(s, "node_pause") || !needs(s, "node_kill") {
 		t.Errorf("kept %+v, %v", s, err)
 	}
@@ -204,7 +204,7 @@
 		t.Error(err)
 	}
 	said.Reset()
-	busy := func(*script.Scenario) (*outcome.Report, error) { return &outcome.Report{Busy: "late"}, nil }
+	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{Busy: "late"}, nil }
 	if err := hunt(&said, 3, 100, dir, schedule, busy); err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
 		t.Errorf("%v: %s", err, &said)
 	}
--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/scale/changes/rig"
+	"dahliapin/internal/scale/logscale/rig"
 )
 
 // What operators state, and what the rig may ask of the machine.
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"dahliapin/internal/scale/changes/rig"
+	"dahliapin/internal/scale/logscale/rig"
 )
 
 // playedSmall plays the log of changes by real processes for some 25 s, beside other tests that wait most of their time as well.
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
 )
 
 const (
@@ -75,7 +75,7 @@
 			if err := call.check(); err != nil {
 				return err
 			}
-			return call.play(c.OutOrStdout(), func(s *script.Scenario) (*outcome.Report, error) { return played(c, s) })
+			return call.play(c.OutOrStdout(), func(s *scenario.Scenario) (*report.Report, error) { return played(c, s) })
 		}}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errCall, err) })
 	c.Flags().StringVar(&seeds, "seeds", "1..50", "of the schedules")
@@ -94,7 +94,7 @@
 }
 
 // play plays all schedules, several at once. Those that the machine was too busy for show nothing, and it says so.
-func (s *soakCall) play(to io.Writer, play func(*script.Scenario) (*outcome.Report, error)) error {
+func (s *soakCall) play(to io.Writer, play func(*scenario.Scenario) (*report.Report, error)) error {
 	var tally soakTally
 	var workers sync.WaitGroup
 	seeds := make(chan int64)
@@ -103,7 +103,7 @@
 		go func() {
 			defer workers.Done()
 			for seed := range seeds {
-				schedule := script.Soak(seed, s.long.Seconds())
+				schedule := scenario.Soak(seed, s.long.Seconds())
 				report, err := play(schedule)
 				if err == nil {
 					err = tally.count(to, schedule, report, s.out)
@@ -138,7 +138,7 @@
 }
 
 // count tells what came of one schedule, and keeps it if it broke a rule.
-func (t *soakTally) count(to io.Writer, schedule *script.Scenario, r *outcome.Report, out string) error {
+func (t *soakTally) count(to io.Writer, schedule *scenario.Scenario, r *report.Report, out string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/emulator/onwire"
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/realtime"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
 )
 
 const (
@@ -27,8 +27,8 @@
 		call.last = 2
 	}
 	var said bytes.Buffer
-	err := call.play(&said, func(s *script.Scenario) (*outcome.Report, error) {
-		return onwire.Play(context.Background(), s, processes, nil)
+	err := call.play(&said, func(s *scenario.Scenario) (*report.Report, error) {
+		return realtime.Play(context.Background(), s, processes, nil)
 	})
 	t.Logf("%s", said.String())
 	if err != nil {
@@ -37,19 +37,19 @@
 }
 
 // nodes runs the program in processes of its own: this test's binary is the program where its environment says so.
-func nodes(t *testing.T) *onwire.Processes {
+func nodes(t *testing.T) *realtime.Processes {
 	t.Setenv(asProgram, "1")
-	return &onwire.Processes{Program: os.Args[0], Dir: t.TempDir()}
+	return &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 }
 
 // hasty runs nodes that end at once when they are told to, with all that they have in hand.
-type hasty struct{ *onwire.Processes }
+type hasty struct{ *realtime.Processes }
 
-type hastyProcess struct{ onwire.Process }
+type hastyProcess struct{ realtime.Process }
 
 func (p hastyProcess) End() { p.Kill() }
 
-func (h hasty) Start(o onwire.Order) (onwire.Process, error) {
+func (h hasty) Start(o realtime.Order) (realtime.Process, error) {
 	p, err := h.Processes.Start(o)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 
 // A soak is worth something only if it tells a node that ends at once from one that drains.
 func TestSoakTellsANodeThatDoesNotDrain(t *testing.T) {
-	s, err := script.Parse("hasty.toml", []byte(`
+	s, err := scenario.Parse("hasty.toml", []byte(`
 seconds = 10
 [fleet]
 nodes = 2
@@ -90,11 +90,11 @@
 	}
 	for _, ends := range []bool{true, false} {
 		processes := nodes(t)
-		var runner onwire.Runner = processes
+		var runner realtime.Runner = processes
 		if ends {
 			runner = hasty{processes}
 		}
-		r, err := onwire.Play(context.Background(), s, runner, nil)
+		r, err := realtime.Play(context.Background(), s, runner, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -126,15 +126,15 @@
 
 func TestSoakDrawsTheSameBySeedAndAScriptThatPlays(t *testing.T) {
 	for seed := range int64(300) {
-		s := script.Soak(seed+1, soakFor.Seconds())
+		s := scenario.Soak(seed+1, soakFor.Seconds())
 		text, err := s.Text()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := script.Parse(s.Name, text); err != nil {
+		if _, err := scenario.Parse(s.Name, text); err != nil {
 			t.Errorf("seed %d: %v", seed+1, err)
 		}
-		if again, _ := script.Soak(seed+1, soakFor.Seconds()).Text(); !bytes.Equal(text, again) {
+		if again, _ := scenario.Soak(seed+1, soakFor.Seconds()).Text(); !bytes.Equal(text, again) {
 			t.Errorf("seed %d draws otherwise the second time", seed+1)
 		}
 	}
--- a/internal/net/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -13,7 +13,7 @@
 	used int
 }
 
-// Add puts bytes behind those there, first moving these to the front if that makes room.
+// Append puts bytes behind those there, first moving these to the front if that makes room.
 func (b *Buffer) Append(p []byte) {
 	if b.used > 0 && len(b.data)+len(p) > cap(b.data) {
 		b.data = b.data[:copy(b.data, b.data[b.used:])]
@@ -22,17 +22,17 @@
 	b.data = append(b.data, p...)
 }
 
-// Expect makes room for n bytes in all, but no more than a few times what is there: who announces much may send little.
+// Reserve makes room for n bytes in all, but no more than a few times what is there: who announces much may send little.
 func (b *Buffer) Reserve(n int) {
 	if n = min(n, ahead*len(b.Unread())); n > cap(b.data)-b.used {
 		b.data, b.used = append(make([]byte, 0, n), b.Unread()...), 0
 	}
 }
 
-// Unused is what is there; it stays valid until the next Add.
+// Unread is what is there; it stays valid until the next Add.
 func (b *Buffer) Unread() []byte { return b.data[b.used:] }
 
-// Use passes over n bytes.
+// Consume passes over n bytes.
 func (b *Buffer) Consume(n int) {
 	if b.used += n; b.used < len(b.data) {
 		return
--- a/internal/fleet/charter/charter.go
+++ b/internal/config/fleetconfig/charter.go
@@ -1,6 +1,6 @@
 // Package charter reads what an operator states of nodes that know one another: where a node is heard, whom it asks first, and how
 // long a silence is borne. Without such a file a node knows of no other.
-package charter
+package fleetconfig
 
 import (
 	"encoding/base64"
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/strictconfig"
 )
 
 const (
@@ -58,13 +58,13 @@
 	StaleS float64  `toml:"stale_s"` // without a word from one that hears a leader: the node says then that it is stale, and goes on
 }
 
-// Way is how a member is reached elsewhere than where it says: by a forwarded port, say.
+// AddressMapping is how a member is reached elsewhere than where it says: by a forwarded port, say.
 type AddressMapping struct {
 	To      string `toml:"to"`
 	Through string `toml:"through"`
 }
 
-// Usual is what holds where nothing is written.
+// Default is what holds where nothing is written.
 func Default() File {
 	return File{Fleet: Fleet{Engine: Tuned}, Members: Members{PauseS: 2, HelloMs: 300, BackS: 2, LoopS: 1, ForgetS: 60, MaxMembers: 4000},
 		Changes: Changes{StaleS: 30}}
@@ -82,7 +82,7 @@
 // Parse reads a file's text; all that is wrong with it is told with its line.
 func Parse(file string, text []byte) (*File, error) {
 	f := Default()
-	c, err := strictly.Parse(file, text, &f)
+	c, err := strictconfig.Parse(file, text, &f)
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 }
 
 // CheckMembers looks at how failures are told, in any file that states it.
-func CheckMembers(c *strictly.Checker, m *Members) {
+func CheckMembers(c *strictconfig.Checker, m *Members) {
 	c.InRange(m.PauseS, 0.2, 60, "members.pause_s")
 	c.InRange(m.HelloMs, 50, 5000, "members.hello_ms")
 	c.Require(m.PauseS <= 0 || m.HelloMs <= m.PauseS*500, "members.hello_ms", "at least two signs of life have to fit into pause_s")
--- a/internal/fleet/charter/charter_test.go
+++ b/internal/config/fleetconfig/charter_test.go
@@ -1,11 +1,11 @@
-package charter
+package fleetconfig
 
 import (
 	"errors"
 	"strings"
 	"testing"
 
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/strictconfig"
 )
 
 // Each fault is told with its line; a file without one is taken, with the usual spans.
@@ -27,7 +27,7 @@
 		"[fleet]\nlisten = \"n1:7946\"\n":                       "f:2: fleet.listen",
 	} {
 		_, err := Parse("f", []byte(text))
-		var all strictly.FieldErrors
+		var all strictconfig.FieldErrors
 		if !errors.As(err, &all) || !strings.Contains(all.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
--- a/internal/fleet/charter/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -1,4 +1,4 @@
-package charter
+package fleetconfig
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/strictconfig"
 )
 
 const (
@@ -69,12 +69,12 @@
 	ElectMs   float64 `toml:"election_ms"` // without a word from the leader until another is elected, at least; twice that at most
 }
 
-// UsualControl is what holds where nothing is written.
+// DefaultControl is what holds where nothing is written.
 func DefaultControl() ControlFile {
 	return ControlFile{Bounds: ControlBounds{Entries: 65_536, KeptMB: 32, WindowKB: 256, PaceMB: 4, Followers: 600, HoldS: 7200, ForgetS: 86_400, ElectMs: 1200}}
 }
 
-// UsualPurges is what holds in [purges] where nothing else is written: a longest deadline of 3 s and a reserve.
+// DefaultPurges is what holds in [purges] where nothing else is written: a longest deadline of 3 s and a reserve.
 func DefaultPurges() *Purges {
 	return &Purges{Origins: []string{"origin"}, FillsS: 3.5, PaceS: 500, FlushS: 10}
 }
@@ -91,14 +91,14 @@
 // ParseControl reads the text of such a file; all that is wrong with it is told with its line.
 func ParseControl(file string, text []byte) (*ControlFile, error) {
 	f := DefaultControl()
-	c, err := strictly.Parse(file, text, &f)
+	c, err := strictconfig.Parse(file, text, &f)
 	if err != nil {
 		return nil, err
 	}
 	if f.Purges != nil { // again, over what is usual
 		f = DefaultControl()
 		f.Purges = DefaultPurges()
-		if c, err = strictly.Parse(file, text, &f); err != nil {
+		if c, err = strictconfig.Parse(file, text, &f); err != nil {
 			return nil, err
 		}
 	}
@@ -142,7 +142,7 @@
 	return &f, nil
 }
 
-func (p *Purges) check(c *strictly.Checker, address func(at, path string)) {
+func (p *Purges) check(c *strictconfig.Checker, address func(at, path string)) {
 	c.Require((p.Discovery != "") != (len(p.Caches) > 0), "purges", "either discovery or [[purges.cache]]s say which caches there are")
 	if p.Discovery != "" {
 		address(p.Discovery, "purges.discovery")
--- a/internal/fleet/charter/control_test.go
+++ b/internal/config/fleetconfig/control_test.go
@@ -1,4 +1,4 @@
-package charter
+package fleetconfig
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/strictconfig"
 )
 
 func TestAControlMachinesFile(t *testing.T) {
@@ -39,7 +39,7 @@
 		"# Without the section":     {"[[purges.cache]]\nid = \"\"\naddr = \"127.0.0.1:1\"\n#", "f:43: purges.cache.0.id"},
 	} {
 		_, err := ParseControl("f", []byte(strings.Replace(string(text), old, bad[0], 1)))
-		var faults strictly.FieldErrors
+		var faults strictconfig.FieldErrors
 		if !errors.As(err, &faults) || !strings.Contains(err.Error(), bad[1]) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, wanted %s", old, err, bad[1])
 		}
--- a/internal/fronts/fronts.go
+++ b/internal/config/listeners/fronts.go
@@ -1,7 +1,7 @@
 // Package fronts reads what an operator states of further listeners: the protocol spoken there, and for HTTP which
 // requests are of which service grade; which caches speak HTTP; and reduced
 // service levels.
-package fronts
+package listeners
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/levels"
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/config/strictconfig"
+	"dahliapin/internal/proxy/degradation"
 )
 
 // The protocols that a front may speak.
@@ -31,9 +31,9 @@
 
 // File is an operator's file.
 type File struct {
-	Listeners []Listener     `toml:"listener"`
-	Servers   Servers        `toml:"servers"`
-	Levels    []levels.Level `toml:"level"`
+	Listeners []Listener          `toml:"listener"`
+	Servers   Servers             `toml:"servers"`
+	Levels    []degradation.Level `toml:"level"`
 }
 
 // Servers is what is stated of caches that speak HTTP.
@@ -49,12 +49,12 @@
 // ClockOff is how far their clocks may be off.
 func (s *Servers) ClockOff() time.Duration { return time.Duration(s.ClockOffS * float64(time.Second)) }
 
-// MostHeuristic bounds what is guessed.
+// MaxHeuristic bounds what is guessed.
 func (s *Servers) MaxHeuristic() time.Duration {
 	return time.Duration(s.MaxHeuristicS * float64(time.Second))
 }
 
-// Front is one further listener.
+// Listener is one further listener.
 type Listener struct {
 	Listen   string `toml:"listen"`
 	Protocol string `toml:"protocol"`
@@ -79,11 +79,11 @@
 	DeadlineMs float64  `toml:"deadline_ms"` // unless the client states one; 0 for the grade's deadline
 }
 
-// Writes tells whether a method puts a value; the others that may stand in a route read.
+// IsWrite tells whether a method puts a value; the others that may stand in a route read.
 func IsWrite(method string) bool { return method == "PUT" || method == "POST" }
 
 // Read reads an operator's file. Grades and tenants are those that the deployment states.
-func Read(path string, terms *houserules.Settings) (File, error) {
+func Read(path string, terms *settings.Settings) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return File{}, fmt.Errorf("the file cannot be read: %w", err)
@@ -92,9 +92,9 @@
 }
 
 // Parse reads the text of such a file.
-func Parse(path string, text []byte, terms *houserules.Settings) (File, error) {
+func Parse(path string, text []byte, terms *settings.Settings) (File, error) {
 	file := File{Servers: Servers{HealthCheckPath: "/", MaxHeuristicS: 3600}}
-	c, err := strictly.Parse(path, text, &file)
+	c, err := strictconfig.Parse(path, text, &file)
 	if err != nil {
 		return file, err
 	}
@@ -123,11 +123,11 @@
 		}
 	}
 	file.Servers.check(c, terms)
-	levels.Check(c, file.Levels, terms)
+	degradation.Check(c, file.Levels, terms)
 	return file, c.Err()
 }
 
-func (s *Servers) check(c *strictly.Checker, terms *houserules.Settings) {
+func (s *Servers) check(c *strictconfig.Checker, terms *settings.Settings) {
 	for _, kind := range s.HTTPKinds {
 		n := terms.Names.Kind([]byte(kind))
 		c.Require(n >= 0, "servers.http_kinds", "the deployment states no kind %q", kind)
@@ -140,7 +140,7 @@
 	c.InRange(s.MaxHeuristicS, 0, 86400, "servers.most_heuristic_s")
 }
 
-func (f *Listener) check(c *strictly.Checker, n int, at string, terms *houserules.Settings) {
+func (f *Listener) check(c *strictconfig.Checker, n int, at string, terms *settings.Settings) {
 	r := &f.Routes[n]
 	c.Require(strings.HasPrefix(r.Path, "/") && strings.HasSuffix(r.Path, "/") && !strings.ContainsAny(r.Path, "?#% "), at+"path",
 		"%q does not begin and end with a slash, or has what no plain path has", r.Path)
--- a/internal/fronts/fronts_test.go
+++ b/internal/config/listeners/fronts_test.go
@@ -1,4 +1,4 @@
-package fronts
+package listeners
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"dahliapin/internal/houserules"
+	"dahliapin/internal/config/settings"
 )
 
 const listener = "[[listener]]\nlisten = \"127.0.0.1:0\"\nprotocol = \"http\"\n"
@@ -16,7 +16,7 @@
 
 // A file that is taken as something else than it says would send writes out as reads, or leave a listener without routes.
 func TestAFileOfListenersIsTakenAsItStandsOrRefusedWithItsLine(t *testing.T) {
-	terms, err := houserules.Decode(fastjson.MustParse(`{"service_grades":[{"name":"read"},{"name":"submit"}],"tenants":[{"name":"adda"}]}`))
+	terms, err := settings.Decode(fastjson.MustParse(`{"service_grades":[{"name":"read"},{"name":"submit"}],"tenants":[{"name":"adda"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	if f, err := Read("../../deploy/listeners.toml", &terms); err != nil || len(f.Listeners) == 0 {
+	if f, err := Read("../../../deploy/listeners.toml", &terms); err != nil || len(f.Listeners) == 0 {
 		t.Errorf("the file in deploy: %v", err)
 	}
 }
--- a/internal/houserules/check_test.go
+++ b/internal/config/settings/check_test.go
@@ -1,4 +1,4 @@
-package houserules
+package settings
 
 import (
 	"strings"
--- a/internal/houserules/houserules.go
+++ b/internal/config/settings/houserules.go
@@ -1,6 +1,6 @@
 // Package houserules decodes what a deployment states at the start: the same object reaches the adapter on the
 // simulator's wire and a node in its configuration. Its names end here.
-package houserules
+package settings
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"dahliapin/policy"
 )
 
-// Terms is what a deployment states, as far as anything here reads it.
+// Settings is what a deployment states, as far as anything here reads it.
 type Settings struct {
 	Policy          policy.Settings
 	Names           NameTable
@@ -25,7 +25,7 @@
 
 const noKind = -2 // no cache's kind: one that is not stated is -1
 
-// Vocabulary turns a deployment's names into numbers; a name that it did not state is -1.
+// NameTable turns a deployment's names into numbers; a name that it did not state is -1.
 type NameTable struct {
 	grades, leagues, kinds map[string]int
 	columns                []string
@@ -39,13 +39,13 @@
 	return -1
 }
 
-// Grade returns a service grade's number.
+// Class returns a service grade's number.
 func (n *NameTable) Class(name []byte) policy.ClassID { return policy.ClassID(lookup(n.grades, name)) }
 
-// Grades gives every service grade's number by its name.
+// Classes gives every service grade's number by its name.
 func (n *NameTable) Classes() iter.Seq2[string, int] { return maps.All(n.grades) }
 
-// League returns a league's number.
+// Tenant returns a league's number.
 func (n *NameTable) Tenant(name []byte) policy.TenantID {
 	return policy.TenantID(lookup(n.leagues, name))
 }
@@ -53,7 +53,7 @@
 // Kind returns the number of a kind of cache.
 func (n *NameTable) Kind(name []byte) int { return lookup(n.kinds, name) }
 
-// Report returns a load report's values in the order of the stated columns, or nil if one is not told.
+// LoadReport returns a load report's values in the order of the stated columns, or nil if one is not told.
 func (n *NameTable) LoadReport(value func(column string) (float64, bool)) []float64 {
 	n.values = n.values[:0]
 	for _, c := range n.columns {
@@ -150,7 +150,7 @@
 	return x
 }
 
-// Span reads seconds, to the microsecond.
+// Seconds reads seconds, to the microsecond.
 func Seconds(v *fastjson.Value) time.Duration {
 	return time.Duration(math.Round(min(max(Number(v), -1e9), 1e9)*1e6)) * time.Microsecond
 }
--- a/internal/strictly/strictly.go
+++ b/internal/config/strictconfig/strictly.go
@@ -1,6 +1,6 @@
 // Package strictly reads the TOML files that operators write. A field that nobody knows, or a value that can't be, is told in one
 // line with the file's line.
-package strictly
+package strictconfig
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Fault is what is wrong with a file, and where.
+// FieldError is what is wrong with a file, and where.
 type FieldError struct {
 	File   string
 	Line   int // 0 where it is the whole that is wrong
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason)
 }
 
-// Faults are all that is wrong with a file, in its order. As an error they are one line: the first.
+// FieldErrors are all that is wrong with a file, in its order. As an error they are one line: the first.
 type FieldErrors []FieldError
 
 func (f FieldErrors) Error() string { return f[0].Error() }
@@ -98,7 +98,7 @@
 	wrong FieldErrors
 }
 
-// Want notes what is wrong at a path unless it holds. A field that is not written has the line of what it belongs to.
+// Require notes what is wrong at a path unless it holds. A field that is not written has the line of what it belongs to.
 func (c *Checker) Require(holds bool, path, reason string, args ...any) {
 	if holds {
 		return
@@ -111,7 +111,7 @@
 	c.wrong = append(c.wrong, FieldError{c.file, line, path + ": " + fmt.Sprintf(reason, args...)})
 }
 
-// Within wants a number to be in a range.
+// InRange wants a number to be in a range.
 func (c *Checker) InRange(x, least, most float64, path string) {
 	c.Require(x >= least && x <= most, path, "%v is not from %v to %v", x, least, most)
 }
--- a/internal/net/accord/accord_test.go
+++ b/internal/control/controlserver/accord_test.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"cmp"
@@ -18,11 +18,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/accord/store"
-	"dahliapin/internal/fleet/charter"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/control/replicatedlog/store"
 	"dahliapin/internal/keyhash"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 func quietly() *logrus.Logger {
@@ -31,10 +31,10 @@
 	return l
 }
 
-func boottime() policy.Instant {
+func boottime() monotime.Instant {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
-	return policy.Instant(t.Nano())
+	return monotime.Instant(t.Nano())
 }
 
 // fleet is some control machines in this process, whose streams can be cut.
@@ -46,13 +46,13 @@
 	cut  map[string]bool // addresses that are not reached
 	open map[string][]net.Conn
 	bent func(i int, b *Config) // a broken variant
-	file func(*charter.ControlFile)
+	file func(*fleetconfig.ControlFile)
 }
 
 func peerAt(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 func nodeAt(i int) string { return fmt.Sprintf("10.0.0.%d:2", i+1) }
 
-func newFleet(t *testing.T, file func(*charter.ControlFile), bent func(int, *Config)) *fleet {
+func newFleet(t *testing.T, file func(*fleetconfig.ControlFile), bent func(int, *Config)) *fleet {
 	f := &fleet{t: t, cut: map[string]bool{}, open: map[string][]net.Conn{}, ms: make([]*Server, 4), bent: bent, file: file}
 	for range f.ms {
 		f.dirs = append(f.dirs, t.TempDir())
@@ -70,11 +70,11 @@
 
 func (f *fleet) start(i int, first bool) {
 	f.t.Helper()
-	file := charter.DefaultControl()
-	file.Control = charter.Control{ID: uint64(i + 1), Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: f.dirs[i]}
+	file := fleetconfig.DefaultControl()
+	file.Control = fleetconfig.Control{ID: uint64(i + 1), Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: f.dirs[i]}
 	file.Bounds.ElectMs = 500
 	for j := range f.ms {
-		file.Machines = append(file.Machines, charter.Machine{ID: uint64(j + 1), Name: fmt.Sprintf("c%d", j+1), Addr: peerAt(j), Learner: j == 3})
+		file.Machines = append(file.Machines, fleetconfig.Machine{ID: uint64(j + 1), Name: fmt.Sprintf("c%d", j+1), Addr: peerAt(j), Learner: j == 3})
 	}
 	if f.file != nil {
 		f.file(&file)
@@ -176,7 +176,7 @@
 	return at
 }
 
-func (f *fleet) publish(all []accord.Proposal, at ...string) []accord.Index {
+func (f *fleet) publish(all []replicatedlog.Proposal, at ...string) []replicatedlog.Index {
 	f.t.Helper()
 	if len(at) == 0 {
 		at = f.all()
@@ -194,21 +194,21 @@
 type follower struct {
 	*Follower
 	mu       sync.Mutex
-	index    []accord.Index
+	index    []replicatedlog.Index
 	did      []string
-	presumed []accord.Index
+	presumed []replicatedlog.Index
 	cut      bool
 }
 
-func (n *follower) PresumePurged(upTo accord.Index) {
+func (n *follower) PresumePurged(upTo replicatedlog.Index) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.presumed = append(n.presumed, upTo)
 }
 
-func (n *follower) Purge(at accord.Index, key string) { _ = n.Configure(at, []byte(key)) }
+func (n *follower) Purge(at replicatedlog.Index, key string) { _ = n.Configure(at, []byte(key)) }
 
-func (n *follower) Configure(at accord.Index, text []byte) error {
+func (n *follower) Configure(at replicatedlog.Index, text []byte) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.index, n.did = append(n.index, at), append(n.did, string(text))
@@ -220,7 +220,7 @@
 
 func (f *fleet) follow(name string, seed uint32) *follower {
 	n := &follower{}
-	n.Follower = StartFollower(FollowerConfig{Name: name, Label: "l", At: f.all(), Seed: seed, Stale: time.Second, Reader: accord.NewApplier(n), Log: quietly(), Now: boottime,
+	n.Follower = StartFollower(FollowerConfig{Name: name, Label: "l", At: f.all(), Seed: seed, Stale: time.Second, Reader: replicatedlog.NewApplier(n), Log: quietly(), Now: boottime,
 		Dial: func(addr string, within time.Duration) (net.Conn, error) {
 			n.mu.Lock()
 			cut := n.cut
@@ -256,7 +256,7 @@
 }
 
 // upTo waits until a follower has applied up to an index.
-func (f *fleet) upTo(n *follower, at accord.Index) {
+func (f *fleet) upTo(n *follower, at replicatedlog.Index) {
 	f.t.Helper()
 	for by := time.Now().Add(15 * time.Second); n.Status().Applied < at; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(by) {
@@ -265,14 +265,14 @@
 	}
 }
 
-func purges(from, n int) (all []accord.Proposal) {
+func purges(from, n int) (all []replicatedlog.Proposal) {
 	for i := range n {
-		all = append(all, NewProposal(accord.Purge, fmt.Appendf(nil, "key-%d", from+i)))
+		all = append(all, NewProposal(replicatedlog.Purge, fmt.Appendf(nil, "key-%d", from+i)))
 	}
 	return all
 }
 
-func (n *follower) have(t *testing.T, from accord.Index, want ...string) {
+func (n *follower) have(t *testing.T, from replicatedlog.Index, want ...string) {
 	t.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -284,14 +284,14 @@
 		t.Errorf("%s did %d, wanted %d; the same up to %d: %q", n.Name, len(n.did), len(want), first, n.did[min(first, len(n.did)):min(first+3, len(n.did))])
 	}
 	for i, at := range n.index {
-		if at != from+accord.Index(i) {
+		if at != from+replicatedlog.Index(i) {
 			t.Errorf("%s: entry %d at %d", n.Name, at, i)
 			return
 		}
 	}
 }
 
-func bodies(all ...[]accord.Proposal) (out []string) {
+func bodies(all ...[]replicatedlog.Proposal) (out []string) {
 	for _, some := range all {
 		for _, p := range some {
 			out = append(out, string(p.Body))
@@ -317,7 +317,7 @@
 	one, burst, last := purges(0, 5), purges(100, 1000), purges(2000, 7)
 	for i := range one {
 		at := f.publish(one[i:i+1], nodeAt(i%4))
-		if again := f.publish(one[i:i+1], nodeAt((i+1)%4)); at[0] != accord.Index(i+1) || again[0] != at[0] {
+		if again := f.publish(one[i:i+1], nodeAt((i+1)%4)); at[0] != replicatedlog.Index(i+1) || again[0] != at[0] {
 			t.Errorf("ordered at %v, again at %v", at, again)
 		}
 	}
@@ -373,7 +373,7 @@
 	gone := f.leader()
 	lone := f.ms[gone]
 	n := &follower{} // a node that had rather be there than anywhere
-	n.Follower = StartFollower(FollowerConfig{Name: "there", Label: "l", At: f.all(), Seed: f.seedFor(gone), Stale: time.Second, Reader: accord.NewApplier(n), Log: quietly(), Now: boottime, Dial: f.dial})
+	n.Follower = StartFollower(FollowerConfig{Name: "there", Label: "l", At: f.all(), Seed: f.seedFor(gone), Stale: time.Second, Reader: replicatedlog.NewApplier(n), Log: quietly(), Now: boottime, Dial: f.dial})
 	t.Cleanup(n.Close)
 	f.upTo(n, 1-min(1, n.Status().PresumedPurged))
 	nodes = append(nodes, n)
@@ -405,9 +405,9 @@
 // A machine and a node that are behind what is kept begin anew: the latest configuration, and all before may have been purged.
 func TestWhoIsBehindWhatIsKeptBeginsAnew(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, func(c *charter.ControlFile) { c.Bounds.Entries = 1024 }, nil)
+	f := newFleet(t, func(c *fleetconfig.ControlFile) { c.Bounds.Entries = 1024 }, nil)
 	n := f.follow("n", 1)
-	f.publish([]accord.Proposal{NewProposal(accord.Config, []byte("first")), NewProposal(accord.Config, []byte("bad one"))})
+	f.publish([]replicatedlog.Proposal{NewProposal(replicatedlog.Config, []byte("first")), NewProposal(replicatedlog.Config, []byte("bad one"))})
 	f.upTo(n, 2)
 	if s := n.Status(); s.Config > 1 || s.PresumedPurged < 2 && (s.Refused != 2 || s.Reason == "") {
 		t.Errorf("%+v", s)
@@ -417,7 +417,7 @@
 	n.mu.Unlock()
 	behind := (f.leader() + 1) % 3
 	f.stop(behind)
-	f.publish([]accord.Proposal{NewProposal(accord.Config, []byte("second"))}, f.others(behind)...)
+	f.publish([]replicatedlog.Proposal{NewProposal(replicatedlog.Config, []byte("second"))}, f.others(behind)...)
 	late := purges(0, 2000)
 	f.publish(late, f.others(behind)...)
 	if s := n.Status(); s.Stale != (s.HeardS > 1) {
@@ -463,7 +463,7 @@
 // What all nodes have applied is not kept on; a node that is off holds it until it was not heard for as long as stated.
 func TestWhatAllHaveIsNotKept(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, func(c *charter.ControlFile) { c.Bounds.Entries, c.Bounds.HoldS = 3000, 3600 }, nil)
+	f := newFleet(t, func(c *fleetconfig.ControlFile) { c.Bounds.Entries, c.Bounds.HoldS = 3000, 3600 }, nil)
 	one, off := f.follow("one", 1), f.follow("off", 2)
 	f.publish(purges(0, 10))
 	f.upTo(one, 10)
@@ -484,7 +484,7 @@
 		})
 		<-done
 	}
-	floors := func() (all []accord.Index) {
+	floors := func() (all []replicatedlog.Index) {
 		for _, m := range f.ms {
 			m.mu.RLock()
 			all = append(all, m.state.Floor())
@@ -505,7 +505,7 @@
 		for _, m := range f.ms {
 			m.table.mu.Lock()
 			if was, is := m.table.rows["off"]; is {
-				was.heard -= policy.Instant(2 * time.Hour)
+				was.heard -= monotime.Instant(2 * time.Hour)
 				m.table.rows["off"] = was
 			}
 			m.table.mu.Unlock()
@@ -514,7 +514,7 @@
 	unheard()
 	trim(0)
 	kept("by a leader that has just begun, and may not know of all")
-	for by := time.Now().Add(10 * time.Second); !slices.Equal(floors(), []accord.Index{1200, 1200, 1200, 1200}); time.Sleep(100 * time.Millisecond) {
+	for by := time.Now().Add(10 * time.Second); !slices.Equal(floors(), []replicatedlog.Index{1200, 1200, 1200, 1200}); time.Sleep(100 * time.Millisecond) {
 		unheard()
 		if trim(2 * time.Hour); time.Now().After(by) {
 			t.Fatalf("kept after %v", floors())
--- a/internal/net/accord/caches_test.go
+++ b/internal/control/controlserver/caches_test.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"fmt"
@@ -7,32 +7,32 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/emulator/keeper"
-	"dahliapin/internal/fleet/charter"
-	purger "dahliapin/internal/net/purges"
+	"dahliapin/internal/config/fleetconfig"
+	purger "dahliapin/internal/control/purger"
+	"dahliapin/internal/emulator/cachestub"
 )
 
 // Four control machines carry out at three caches, and any of them says which cache lacks what: one that refuses all, until it doesn't. One
 // that is stopped and comes back has what the others have done.
 func TestPurgesAreDoneAtCaches(t *testing.T) {
 	t.Parallel()
-	terms := charter.DefaultPurges()
+	terms := fleetconfig.DefaultPurges()
 	terms.FillsS = 0.3
-	var caches []*keeper.Cache
+	var caches []*cachestub.Cache
 	for i := range 3 {
-		c, err := keeper.Open(fmt.Sprint("cache-", i), boottime, nil)
+		c, err := cachestub.Open(fmt.Sprint("cache-", i), boottime, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(c.Close)
-		caches, terms.Caches = append(caches, c), append(terms.Caches, charter.Cache{ID: c.Name(), Addr: c.Addr()})
+		caches, terms.Caches = append(caches, c), append(terms.Caches, fleetconfig.Cache{ID: c.Name(), Addr: c.Addr()})
 	}
 	lame := *terms // the learner reaches no cache, and takes over what others have done
 	lame.Caches = slices.Clone(terms.Caches)
 	for i := range lame.Caches {
 		lame.Caches[i].Addr = "127.0.0.1:1"
 	}
-	f := newFleet(t, func(c *charter.ControlFile) {
+	f := newFleet(t, func(c *fleetconfig.ControlFile) {
 		if c.Purges, c.Bounds.Entries = terms, 3000; c.Control.ID == 4 {
 			c.Purges = &lame
 		}
@@ -60,7 +60,7 @@
 	if _, is := caches[0].Serve("key-1"); is {
 		t.Error("a purged value is served")
 	}
-	caches[1].Break(keeper.Refuse, 0)
+	caches[1].Break(cachestub.Refuse, 0)
 	at := f.publish(purges(10, 2500))
 	o := until("two of three", func(o Overview) bool {
 		return len(o.Caches) == 3 && o.Caches[0].Lacks == 0 && o.Caches[2].Lacks == 0 && o.Caches[1].Late > 0 && len(o.Caches[1].Machines) == 4
@@ -82,7 +82,7 @@
 		t.Errorf("kept after %d, although a cache lacks it", floor)
 	}
 	f.stop(3)
-	caches[1].Break(keeper.None, 0)
+	caches[1].Break(cachestub.None, 0)
 	f.start(3, false)
 	until("all three", func(o Overview) bool { return whole(o) && len(o.Caches[1].Machines) == 4 })
 }
--- a/internal/net/accord/client.go
+++ b/internal/control/controlserver/client.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/fleet/accord"
-	purger "dahliapin/internal/net/purges"
+	purger "dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
 )
 
 const (
@@ -23,33 +23,33 @@
 	askAgain  = 200 * time.Millisecond // between two rounds of all machines while nobody orders
 )
 
-// Caller is who publishes or asks.
+// Client is who publishes or asks.
 type Client struct {
 	At    []string // control machines, asked one after the other
 	Label string
 	Dial  func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 }
 
-// ErrNobody says that no control machine did what was asked.
+// ErrUnavailable says that no control machine did what was asked.
 var ErrUnavailable = errors.New("no control machine answers")
 
 // NewProposal gives a change its id, by which it becomes one entry however often it is put forward.
-func NewProposal(kind accord.Kind, body []byte) accord.Proposal {
-	p := accord.Proposal{Kind: kind, Body: body}
+func NewProposal(kind replicatedlog.Kind, body []byte) replicatedlog.Proposal {
+	p := replicatedlog.Proposal{Kind: kind, Body: body}
 	_, _ = rand.Read(p.ID[:]) // never fails
 	return p
 }
 
 // Publish has changes ordered and tells the index of each: they are on disk at a majority of the voters then. It asks one machine after
 // the other until one says so, with the same ids. An error says that it is not known whether they are ordered, or that they can't be.
-func (c Client) Publish(ctx context.Context, all []accord.Proposal) ([]accord.Index, error) {
+func (c Client) Publish(ctx context.Context, all []replicatedlog.Proposal) ([]replicatedlog.Index, error) {
 	for i, p := range all {
 		if err := p.Check(); err != nil {
 			return nil, fmt.Errorf("number %d: %w", i+1, err)
 		}
 	}
-	var out []accord.Index
-	for _, b := range accord.Batches(all) {
+	var out []replicatedlog.Index
+	for _, b := range replicatedlog.Batches(all) {
 		at, err := c.batch(ctx, b)
 		if err != nil {
 			return out, err
@@ -60,7 +60,7 @@
 }
 
 // batch asks one machine, and the next as well where one says no or nothing for a while: a machine that is cut off can't know yet that it is.
-func (c Client) batch(ctx context.Context, b accord.Batch) (out []accord.Index, err error) {
+func (c Client) batch(ctx context.Context, b replicatedlog.Batch) (out []replicatedlog.Index, err error) {
 	ctx, done := context.WithCancel(ctx)
 	defer done()
 	err = ErrUnavailable
@@ -92,7 +92,7 @@
 			waits--
 			if a.error == nil {
 				for _, at := range a.indexes {
-					out = append(out, accord.Index(at))
+					out = append(out, replicatedlog.Index(at))
 				}
 				return out, nil
 			}
@@ -123,80 +123,80 @@
 	return said, err
 }
 
-// NodeRow is how a node stands.
+// NodeStatus is how a node stands.
 type NodeStatus struct {
-	Node     string       `json:"node"`
-	Applied  accord.Index `json:"applied"`
-	Lacks    uint64       `json:"lacks"` // entries, up to the newest
-	Config   accord.Index `json:"config"`
-	Refused  accord.Index `json:"refused,omitempty"`
-	Reason   string       `json:"reason,omitempty"`
-	Presumed accord.Index `json:"presumed,omitempty"`
-	Gaps     uint64       `json:"gaps,omitempty"`
-	Machine  uint64       `json:"machine"` // where it was heard
-	HeardS   float64      `json:"heard_s"` // since then
-	Silent   bool         `json:"silent,omitempty"`
-	Begins   bool         `json:"begins,omitempty"` // it has not been told yet where it begins
+	Node     string              `json:"node"`
+	Applied  replicatedlog.Index `json:"applied"`
+	Lacks    uint64              `json:"lacks"` // entries, up to the newest
+	Config   replicatedlog.Index `json:"config"`
+	Refused  replicatedlog.Index `json:"refused,omitempty"`
+	Reason   string              `json:"reason,omitempty"`
+	Presumed replicatedlog.Index `json:"presumed,omitempty"`
+	Gaps     uint64              `json:"gaps,omitempty"`
+	Machine  uint64              `json:"machine"` // where it was heard
+	HeardS   float64             `json:"heard_s"` // since then
+	Silent   bool                `json:"silent,omitempty"`
+	Begins   bool                `json:"begins,omitempty"` // it has not been told yet where it begins
 }
 
-// MachineRow is how a control machine stands.
+// ServerStatus is how a control machine stands.
 type ServerStatus struct {
-	ID      uint64       `json:"id"`
-	Name    string       `json:"name"`
-	Learner bool         `json:"learner,omitempty"`
-	Leads   bool         `json:"leads,omitempty"`
-	Term    uint64       `json:"term"`
-	Last    accord.Index `json:"last"`
-	Floor   accord.Index `json:"floor"`
-	Config  accord.Index `json:"config"`
-	HeardS  float64      `json:"heard_s"`
-	Silent  bool         `json:"silent,omitempty"`
-	In      uint64       `json:"bytes_in"`
-	Out     uint64       `json:"bytes_out"`
-	Foreign uint64       `json:"foreign"`           // streams and messages that were not to be read
-	Away    uint64       `json:"turned_away"`       // streams, for want of room
-	Purges  bool         `json:"purges,omitempty"`  // it carries purges out at caches
-	NoList  bool         `json:"no_list,omitempty"` // and has no list of them yet
+	ID      uint64              `json:"id"`
+	Name    string              `json:"name"`
+	Learner bool                `json:"learner,omitempty"`
+	Leads   bool                `json:"leads,omitempty"`
+	Term    uint64              `json:"term"`
+	Last    replicatedlog.Index `json:"last"`
+	Floor   replicatedlog.Index `json:"floor"`
+	Config  replicatedlog.Index `json:"config"`
+	HeardS  float64             `json:"heard_s"`
+	Silent  bool                `json:"silent,omitempty"`
+	In      uint64              `json:"bytes_in"`
+	Out     uint64              `json:"bytes_out"`
+	Foreign uint64              `json:"foreign"`           // streams and messages that were not to be read
+	Away    uint64              `json:"turned_away"`       // streams, for want of room
+	Purges  bool                `json:"purges,omitempty"`  // it carries purges out at caches
+	NoList  bool                `json:"no_list,omitempty"` // and has no list of them yet
 }
 
-// CacheRow is how a cache stands: what any control machine has done there is done.
+// CacheStatus is how a cache stands: what any control machine has done there is done.
 type CacheStatus struct {
-	Cache    string          `json:"cache"`
-	Done     accord.Index    `json:"done"`               // purges up to here count as done
-	First    accord.Index    `json:"first"`              // and up to here were deleted at least once
-	Lacks    uint64          `json:"lacks"`              // entries, up to the newest
-	Late     uint64          `json:"late"`               // of them, that should be done by now
-	Flushing bool            `json:"flushing,omitempty"` // what it lacks is not kept anywhere: all of it has to go
-	Machines []CacheProgress `json:"machines"`
+	Cache    string              `json:"cache"`
+	Done     replicatedlog.Index `json:"done"`               // purges up to here count as done
+	First    replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
+	Lacks    uint64              `json:"lacks"`              // entries, up to the newest
+	Late     uint64              `json:"late"`               // of them, that should be done by now
+	Flushing bool                `json:"flushing,omitempty"` // what it lacks is not kept anywhere: all of it has to go
+	Machines []CacheProgress     `json:"machines"`
 }
 
-// CacheAt is how one control machine stands with it.
+// CacheProgress is how one control machine stands with it.
 type CacheProgress struct {
-	Machine uint64       `json:"machine"`
-	Done    accord.Index `json:"done"`
-	Late    uint64       `json:"late"`
-	QuietS  float64      `json:"quiet_s"` // since it answered, where something was due
-	Reason  string       `json:"reason,omitempty"`
-	HeardS  float64      `json:"heard_s"`
-	Silent  bool         `json:"silent,omitempty"`
+	Machine uint64              `json:"machine"`
+	Done    replicatedlog.Index `json:"done"`
+	Late    uint64              `json:"late"`
+	QuietS  float64             `json:"quiet_s"` // since it answered, where something was due
+	Reason  string              `json:"reason,omitempty"`
+	HeardS  float64             `json:"heard_s"`
+	Silent  bool                `json:"silent,omitempty"`
 }
 
 // Overview is who has applied what.
 type Overview struct {
-	Last     accord.Index   `json:"last"` // the newest entry that any control machine has
-	Led      bool           `json:"led"`  // the machine that was asked hears a leader
-	Nodes    []NodeStatus   `json:"nodes"`
-	Machines []ServerStatus `json:"machines"`
-	Caches   []CacheStatus  `json:"caches,omitempty"`
-	Unlisted bool           `json:"unlisted,omitempty"` // purges are to be carried out at caches, and no machine that does it has a list of them
+	Last     replicatedlog.Index `json:"last"` // the newest entry that any control machine has
+	Led      bool                `json:"led"`  // the machine that was asked hears a leader
+	Nodes    []NodeStatus        `json:"nodes"`
+	Machines []ServerStatus      `json:"machines"`
+	Caches   []CacheStatus       `json:"caches,omitempty"`
+	Unlisted bool                `json:"unlisted,omitempty"` // purges are to be carried out at caches, and no machine that does it has a list of them
 }
 
-// Whole tells whether every node has applied all and is heard, and all purges are done at every cache.
+// CaughtUp tells whether every node has applied all and is heard, and all purges are done at every cache.
 func (o Overview) CaughtUp() bool {
 	return !o.Unlisted && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, func(c CacheStatus) bool { return c.Lacks > 0 })
 }
 
-// NodesWhole tells whether every node has applied all and is heard.
+// NodesCaughtUp tells whether every node has applied all and is heard.
 func (o Overview) NodesCaughtUp() bool {
 	for _, n := range o.Nodes {
 		if n.Lacks > 0 || n.Silent || n.Begins || n.Refused > 0 {
@@ -206,7 +206,7 @@
 	return o.Led
 }
 
-// Changes asks all control machines at once for who has applied what, and takes of each node and machine what was heard last.
+// Overview asks all control machines at once for who has applied what, and takes of each node and machine what was heard last.
 func (c Client) Overview() (Overview, error) {
 	type said struct {
 		word
@@ -273,11 +273,11 @@
 }
 
 func overview(w word) Overview {
-	o := Overview{Last: accord.Index(w.Head), Led: w.Led, Nodes: []NodeStatus{}, Machines: []ServerStatus{}}
+	o := Overview{Last: replicatedlog.Index(w.Head), Led: w.Led, Nodes: []NodeStatus{}, Machines: []ServerStatus{}}
 	const heardWithin = float64(nodeSilence / time.Second)
 	for _, r := range w.Rows {
-		n := NodeStatus{Node: r.Node, Applied: accord.Index(r.Applied), Config: accord.Index(r.Config), Refused: accord.Index(r.Refused), Reason: r.Reason,
-			Presumed: accord.Index(r.Presumed), Gaps: r.Gaps, Machine: r.Machine, Begins: r.Begins, HeardS: float64(r.AgoMs) / 1000}
+		n := NodeStatus{Node: r.Node, Applied: replicatedlog.Index(r.Applied), Config: replicatedlog.Index(r.Config), Refused: replicatedlog.Index(r.Refused), Reason: r.Reason,
+			Presumed: replicatedlog.Index(r.Presumed), Gaps: r.Gaps, Machine: r.Machine, Begins: r.Begins, HeardS: float64(r.AgoMs) / 1000}
 		if n.Silent = n.HeardS > heardWithin; w.Head > r.Applied {
 			n.Lacks = w.Head - r.Applied
 		}
@@ -285,7 +285,7 @@
 	}
 	for _, r := range w.Machines {
 		h := float64(r.AgoMs) / 1000
-		o.Machines = append(o.Machines, ServerStatus{r.ID, r.Name, r.Learner, r.Leads, r.Term, accord.Index(r.Head), accord.Index(r.Floor), accord.Index(r.Config), h, r.Unheard || h > heardWithin, r.In, r.Out, r.Foreign, r.Away, r.Purges, r.NoList})
+		o.Machines = append(o.Machines, ServerStatus{r.ID, r.Name, r.Learner, r.Leads, r.Term, replicatedlog.Index(r.Head), replicatedlog.Index(r.Floor), replicatedlog.Index(r.Config), h, r.Unheard || h > heardWithin, r.In, r.Out, r.Foreign, r.Away, r.Purges, r.NoList})
 	}
 	o.Caches, o.Unlisted = cacheRows(w, heardWithin)
 	return o
@@ -309,11 +309,11 @@
 			all = append(all, CacheStatus{Cache: r.Cache, Late: math.MaxUint64, Flushing: true})
 			n++
 		}
-		c, at := &all[n-1], CacheProgress{r.Machine, accord.Index(r.Done), r.Late, float64(r.QuietMs) / 1000, r.Reason, float64(r.AgoMs) / 1000, !heard[r.Machine]}
+		c, at := &all[n-1], CacheProgress{r.Machine, replicatedlog.Index(r.Done), r.Late, float64(r.QuietMs) / 1000, r.Reason, float64(r.AgoMs) / 1000, !heard[r.Machine]}
 		if r.Foreign || r.Started < latest[r.Cache] {
 			at.Done, r.First = 0, 0
 		}
-		c.Done, c.First = max(c.Done, at.Done), max(c.First, accord.Index(r.First))
+		c.Done, c.First = max(c.Done, at.Done), max(c.First, replicatedlog.Index(r.First))
 		if !at.Silent {
 			c.Late, c.Flushing = min(c.Late, r.Late), c.Flushing && r.Flushing
 		}
--- a/internal/net/accord/follow.go
+++ b/internal/control/controlserver/follow.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"cmp"
@@ -14,9 +14,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dahliapin/internal/fleet/accord"
+	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/keyhash"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -29,17 +29,17 @@
 	firstAgain = 100 * time.Millisecond // before another machine is tried, jittered from 0; doubled up to mostAgain
 )
 
-// FollowFiles are the descriptors that a node needs to follow: its stream, and one more while it goes to another machine.
+// FollowerDescriptors are the descriptors that a node needs to follow: its stream, and one more while it goes to another machine.
 const FollowerDescriptors = 2
 
-// Reader is what applies the log at a node. accord.Reader is the one; tests have others.
+// Applier is what applies the log at a node. accord.Reader is the one; tests have others.
 type Applier interface {
-	Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error
+	Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error
 	Apply([]cbor.RawMessage) error
-	CurrentProgress() accord.Progress
+	CurrentProgress() replicatedlog.Progress
 }
 
-// FollowBerth is what a node follows with.
+// FollowerConfig is what a node follows with.
 type FollowerConfig struct {
 	Name    string
 	Process uint64 // which process of that name
@@ -49,37 +49,37 @@
 	Stale   time.Duration // without a word from a led control machine: the rule stale, see Status
 	Reader  Applier       // used by one goroutine at a time
 	Log     *logrus.Logger
-	Now     func() policy.Instant
+	Now     func() monotime.Instant
 	Dial    func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// Told is told what was told of how the node stands; nil for nobody.
-	OnProgressSent func(applied accord.Index)
+	OnProgressSent func(applied replicatedlog.Index)
 }
 
-// FollowStatus is how a node follows, for operators.
+// FollowerStatus is how a node follows, for operators.
 type FollowerStatus struct {
-	Applied        accord.Index `json:"applied"`
-	Head           accord.Index `json:"head"` // the newest entry heard of
-	Config         accord.Index `json:"config"`
-	Refused        accord.Index `json:"refused,omitempty"`
-	Reason         string       `json:"reason,omitempty"`
-	PresumedPurged accord.Index `json:"presumed,omitempty"` // everything up to here may have been purged
-	Purges         uint64       `json:"purges"`
-	Unknown        uint64       `json:"unknown,omitempty"`
-	Gaps           uint64       `json:"gaps"`
-	Moves          uint64       `json:"moves"` // to another stream
-	Via            string       `json:"via"`   // the control machine's address; empty between two
-	HeardS         float64      `json:"heard_s"`
-	Stale          bool         `json:"stale"` // nothing from a led machine for longer than stated: the last configuration stays in force, and purges may be missing
-	InBytes        uint64       `json:"bytes_in"`
-	OutBytes       uint64       `json:"bytes_out"`
+	Applied        replicatedlog.Index `json:"applied"`
+	Head           replicatedlog.Index `json:"head"` // the newest entry heard of
+	Config         replicatedlog.Index `json:"config"`
+	Refused        replicatedlog.Index `json:"refused,omitempty"`
+	Reason         string              `json:"reason,omitempty"`
+	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
+	Purges         uint64              `json:"purges"`
+	Unknown        uint64              `json:"unknown,omitempty"`
+	Gaps           uint64              `json:"gaps"`
+	Moves          uint64              `json:"moves"` // to another stream
+	Via            string              `json:"via"`   // the control machine's address; empty between two
+	HeardS         float64             `json:"heard_s"`
+	Stale          bool                `json:"stale"` // nothing from a led machine for longer than stated: the last configuration stays in force, and purges may be missing
+	InBytes        uint64              `json:"bytes_in"`
+	OutBytes       uint64              `json:"bytes_out"`
 }
 
-// Following is a node that follows the log.
+// Follower is a node that follows the log.
 type Follower struct {
 	FollowerConfig
 	order   []string // of machines, this node's own
 	chance  keyhash.Source
-	now     atomic.Pointer[accord.Progress]
+	now     atomic.Pointer[replicatedlog.Progress]
 	head    atomic.Uint64
 	heard   atomic.Int64 // when a led machine was heard last
 	via     atomic.Pointer[string]
@@ -91,7 +91,7 @@
 	stale   bool // it was said; the run's own
 }
 
-// Follow starts to follow. Nothing waits for it.
+// StartFollower starts to follow. Nothing waits for it.
 func StartFollower(b FollowerConfig) *Follower {
 	f := &Follower{FollowerConfig: b, order: slices.Clone(b.At), chance: keyhash.Source{Seed: b.Seed}, closed: make(chan struct{}), done: make(chan struct{})}
 	slices.SortFunc(f.order, func(x, y string) int { // each node's own order: a machine's nodes spread over all others when it is gone
@@ -117,8 +117,8 @@
 
 // Status is how it follows. It may be asked from anywhere.
 func (f *Follower) Status() FollowerStatus {
-	s, quiet := f.now.Load(), time.Duration(f.Now()-policy.Instant(f.heard.Load()))
-	return FollowerStatus{Applied: s.Applied, Head: accord.Index(f.head.Load()), Config: s.Config, Refused: s.Refused, Reason: s.Reason, PresumedPurged: s.PresumedPurged,
+	s, quiet := f.now.Load(), time.Duration(f.Now()-monotime.Instant(f.heard.Load()))
+	return FollowerStatus{Applied: s.Applied, Head: replicatedlog.Index(f.head.Load()), Config: s.Config, Refused: s.Refused, Reason: s.Reason, PresumedPurged: s.PresumedPurged,
 		Purges: s.Purges, Unknown: s.Unknown, Gaps: s.Gaps, Moves: f.moves.Load(), Via: *f.via.Load(), HeardS: quiet.Seconds(),
 		Stale: quiet > f.Stale, InBytes: f.in.Load(), OutBytes: f.out.Load()}
 }
@@ -150,7 +150,7 @@
 			} else {
 				unled = min(2*unled, mostUnled)
 			}
-			if errors.Is(err, accord.ErrGap) {
+			if errors.Is(err, replicatedlog.ErrGap) {
 				at-- // the same again, from what was applied
 			}
 		}
@@ -198,7 +198,7 @@
 		}
 		switch w.Kind {
 		case wordBegin:
-			err = f.Reader.Start(accord.LogID(w.Log), accord.Index(w.Index), w.Base)
+			err = f.Reader.Start(replicatedlog.LogID(w.Log), replicatedlog.Index(w.Index), w.Base)
 		case wordEntries:
 			err = f.Reader.Apply(w.Entries)
 		}
@@ -231,7 +231,7 @@
 func (f *Follower) tell(l *line, stop, nudge chan struct{}) {
 	t := time.NewTicker(toldEach)
 	defer t.Stop()
-	var last accord.Progress
+	var last replicatedlog.Progress
 	for quiet := 0; ; quiet++ {
 		select {
 		case <-t.C:
@@ -249,7 +249,7 @@
 		}
 		w := f.stands(wordApplied)
 		if f.OnProgressSent != nil {
-			f.OnProgressSent(accord.Index(w.Rows[0].Applied))
+			f.OnProgressSent(replicatedlog.Index(w.Rows[0].Applied))
 		}
 		n, err := l.say(w, writeBy)
 		f.out.Add(uint64(n))
--- a/internal/net/accord/machine.go
+++ b/internal/control/controlserver/machine.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"cmp"
@@ -17,13 +17,13 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/accord/store"
-	"dahliapin/internal/fleet/charter"
-	caches "dahliapin/internal/fleet/purges"
+	"dahliapin/internal/config/fleetconfig"
+	caches "dahliapin/internal/control/purge"
+	purger "dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/control/replicatedlog/store"
 	"dahliapin/internal/keyhash"
-	purger "dahliapin/internal/net/purges"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -49,7 +49,7 @@
 	tablesEach     = 300 * time.Millisecond // between two tellings of the own nodes' table to other machines
 )
 
-// Disk is where a machine keeps its log.
+// Storage is where a machine keeps its log.
 type Storage interface {
 	raft.Storage
 	// Save returns once all of it is on disk.
@@ -59,14 +59,14 @@
 	Close() error
 }
 
-// Berth is what a control machine is started with.
+// Config is what a control machine is started with.
 type Config struct {
-	File *charter.ControlFile
+	File *fleetconfig.ControlFile
 	New  bool // an empty data folder is the first start
 	Log  *logrus.Logger
-	Now  func() policy.Instant // by a clock that runs through suspends
+	Now  func() monotime.Instant // by a clock that runs through suspends
 	// Kept is told of proposals once they are on this machine's disk, in the loop: for a judge. nil for nobody.
-	OnPersisted func([]accord.Proposal)
+	OnPersisted func([]replicatedlog.Proposal)
 	Disk        Storage // nil for the file's folder
 	Dial        func(addr string, within time.Duration) (net.Conn, error)
 	// Counted is told up to where purges count as done at a cache, whenever that has changed: for a judge. nil for nobody.
@@ -75,7 +75,7 @@
 
 // ask is a call to publish.
 type ask struct {
-	all    []accord.Proposal
+	all    []replicatedlog.Proposal
 	index  []uint64
 	left   int
 	until  time.Time
@@ -85,9 +85,9 @@
 
 // wait is a proposal that is not ordered yet.
 type wait struct {
-	accord.Proposal
+	replicatedlog.Proposal
 	came  uint64 // its place among all that waited
-	since policy.Instant
+	since monotime.Instant
 	put   time.Time // when it was put forward; zero for not yet
 	asked []place
 }
@@ -103,7 +103,7 @@
 	term       uint64
 }
 
-// Machine is one control machine.
+// Server is one control machine.
 type Server struct {
 	Config
 	id     uint64
@@ -129,11 +129,11 @@
 	began  time.Time
 
 	mu    sync.RWMutex
-	state *accord.State
+	state *replicatedlog.State
 	asked []asked // for purges at caches; by index, at most mostRemembered
 
 	// the loop's own
-	waits     map[accord.ProposalID]*wait
+	waits     map[replicatedlog.ProposalID]*wait
 	waitBytes int
 	came      uint64
 	applied   uint64 // raft's index
@@ -153,12 +153,12 @@
 			voters = append(voters, m.ID)
 		}
 	}
-	bounds := accord.DefaultBounds
+	bounds := replicatedlog.DefaultBounds
 	bounds.Entries, bounds.Bytes = b.File.Bounds.Entries, int(b.File.Bounds.KeptMB*(1<<20))
 	bounds.MinEntries = min(bounds.MinEntries, bounds.Entries/2)
 	m := &Server{Config: b, id: self.ID, disk: b.Disk, peers: map[uint64]*peer{}, inbox: make(chan *pb.Message, mostInbox), asks: make(chan *ask, mostAsks),
 		calls: make(chan func(), mostInbox), dirty: make(chan struct{}, 1), closed: make(chan struct{}), pace: &pacer{rate: b.File.Bounds.PaceMB * (1 << 20)},
-		waits: map[accord.ProposalID]*wait{}, state: accord.New(bounds), began: time.Now(), conns: conns{all: map[net.Conn]bool{}}}
+		waits: map[replicatedlog.ProposalID]*wait{}, state: replicatedlog.New(bounds), began: time.Now(), conns: conns{all: map[net.Conn]bool{}}}
 	m.table = newTable(m)
 	m.lead.Store(&lead{})
 	ch := make(chan struct{})
@@ -200,13 +200,13 @@
 }
 
 // start reads what the disk has, and listens.
-func (m *Server) start(bounds accord.Bounds) error {
+func (m *Server) start(bounds replicatedlog.Bounds) error {
 	snap, err := m.disk.Snapshot()
 	if err != nil {
 		return err
 	}
 	if len(snap.GetData()) > 0 {
-		if m.state, err = accord.Restore(snap.GetData(), bounds); err != nil {
+		if m.state, err = replicatedlog.Restore(snap.GetData(), bounds); err != nil {
 			return err
 		}
 	}
@@ -231,7 +231,7 @@
 // OnDisk tells a judge what is on this machine's disk now.
 func (m *Server) OnDisk(entries []*pb.Entry) {
 	for _, e := range entries {
-		if b, err := accord.DecodeBatch(e.GetData()); err == nil && len(b.Proposals) > 0 && m.OnPersisted != nil {
+		if b, err := replicatedlog.DecodeBatch(e.GetData()); err == nil && len(b.Proposals) > 0 && m.OnPersisted != nil {
 			m.OnPersisted(b.Proposals)
 		}
 	}
@@ -241,7 +241,7 @@
 func (m *Server) Addr() string { return m.nodes.Addr().String() }
 
 // Last is the newest entry that it has.
-func (m *Server) Last() accord.Index {
+func (m *Server) Last() replicatedlog.Index {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.Last()
@@ -250,22 +250,22 @@
 // log is what the machine has, for who carries purges out.
 type log struct{ *Server }
 
-func (l log) Position() (accord.LogID, accord.Index, accord.Index) {
+func (l log) Position() (replicatedlog.LogID, replicatedlog.Index, replicatedlog.Index) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.ID(), l.state.Floor(), l.state.Last()
 }
 
-func (l log) Entry(i accord.Index) (accord.Entry, bool) {
+func (l log) Entry(i replicatedlog.Index) (replicatedlog.Entry, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.Entry(i)
 }
 
-func (l log) RequestedAt(i accord.Index) (policy.Instant, bool) {
+func (l log) RequestedAt(i replicatedlog.Index) (monotime.Instant, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	n, is := slices.BinarySearchFunc(l.asked, i, func(a asked, i accord.Index) int { return cmp.Compare(a.index, i) })
+	n, is := slices.BinarySearchFunc(l.asked, i, func(a asked, i replicatedlog.Index) int { return cmp.Compare(a.index, i) })
 	if !is {
 		return 0, false
 	}
@@ -274,12 +274,12 @@
 
 // asked is when this machine was first asked to have an entry ordered.
 type asked struct {
-	index accord.Index
-	at    policy.Instant
+	index replicatedlog.Index
+	at    monotime.Instant
 }
 
 // noteAsked remembers it of a batch's entries; the state's lock is held, and it is the loop that asks.
-func (m *Server) noteAsked(b accord.Batch, at []accord.Index) {
+func (m *Server) noteAsked(b replicatedlog.Batch, at []replicatedlog.Index) {
 	for i, p := range b.Proposals {
 		if w := m.waits[p.ID]; w != nil && (len(m.asked) == 0 || m.asked[len(m.asked)-1].index < at[i]) {
 			m.asked = append(m.asked, asked{at[i], w.since})
@@ -337,7 +337,7 @@
 	t := time.NewTicker(tick)
 	defer t.Stop()
 	for {
-		var put []accord.Proposal
+		var put []replicatedlog.Proposal
 		select {
 		case <-t.C:
 			m.raw.Tick()
@@ -399,7 +399,7 @@
 }
 
 // take notes a call's proposals, and puts those forward that are not on their way.
-func (m *Server) take(a *ask, put []accord.Proposal) []accord.Proposal {
+func (m *Server) take(a *ask, put []replicatedlog.Proposal) []replicatedlog.Proposal {
 	bytes := 0
 	for _, p := range a.all {
 		bytes += len(p.Body)
@@ -425,7 +425,7 @@
 }
 
 // again puts proposals forward once more that are not ordered yet, and gives up those whose callers have gone.
-func (m *Server) again(put []accord.Proposal) []accord.Proposal {
+func (m *Server) again(put []replicatedlog.Proposal) []replicatedlog.Proposal {
 	if len(m.waits) == 0 {
 		return put
 	}
@@ -457,9 +457,9 @@
 }
 
 // propose hands proposals to raft, which brings them to the leader. Without one they stay for the next turns.
-func (m *Server) propose(all []accord.Proposal) {
+func (m *Server) propose(all []replicatedlog.Proposal) {
 	now := time.Now()
-	for _, b := range accord.Batches(all) {
+	for _, b := range replicatedlog.Batches(all) {
 		if m.raw.Propose(b.Encode()) != nil {
 			continue // no leader, or too much on its way
 		}
@@ -503,13 +503,13 @@
 }
 
 func (m *Server) restore(snap *pb.Snapshot) error {
-	bounds := accord.DefaultBounds
+	bounds := replicatedlog.DefaultBounds
 	bounds.Entries, bounds.Bytes = m.File.Bounds.Entries, int(m.File.Bounds.KeptMB*(1<<20))
 	bounds.MinEntries = min(bounds.MinEntries, bounds.Entries/2)
-	s := accord.New(bounds)
+	s := replicatedlog.New(bounds)
 	if len(snap.GetData()) > 0 {
 		var err error
-		if s, err = accord.Restore(snap.GetData(), bounds); err != nil {
+		if s, err = replicatedlog.Restore(snap.GetData(), bounds); err != nil {
 			return err
 		}
 	}
@@ -527,7 +527,7 @@
 	if e.GetType() != pb.EntryNormal || len(e.GetData()) == 0 {
 		return nil // of raft's own: a new leader's first
 	}
-	b, err := accord.DecodeBatch(e.GetData())
+	b, err := replicatedlog.DecodeBatch(e.GetData())
 	if err != nil {
 		return fmt.Errorf("entry %d of the replicated log: %w", e.GetIndex(), err)
 	}
@@ -583,7 +583,7 @@
 		var id [8]byte
 		_, _ = rand.Read(id[:]) // never fails
 		m.named = time.Now()
-		_ = m.raw.Propose(accord.Batch{Log: accord.LogID(binary.LittleEndian.Uint64(id[:]) | 1)}.Encode())
+		_ = m.raw.Propose(replicatedlog.Batch{Log: replicatedlog.LogID(binary.LittleEndian.Uint64(id[:]) | 1)}.Encode())
 	}
 	hold := m.File.Bounds.Hold()
 	if time.Since(m.trimmed) < trimEach || !m.lead.Load().leads || time.Since(m.began) < hold { // a node may be cut off since before this process began
@@ -600,7 +600,7 @@
 		}
 	}
 	if is && all > floor+trimLeast {
-		_ = m.raw.Propose(accord.Batch{Trim: all}.Encode()) // the next look tries again
+		_ = m.raw.Propose(replicatedlog.Batch{Trim: all}.Encode()) // the next look tries again
 	}
 }
 
@@ -615,7 +615,7 @@
 }
 
 // publish waits until proposals are ordered.
-func (m *Server) publish(all []accord.Proposal) ([]uint64, error) {
+func (m *Server) publish(all []replicatedlog.Proposal) ([]uint64, error) {
 	a := &ask{all: all, answer: make(chan *ask, 2)}
 	select {
 	case m.asks <- a:
@@ -632,7 +632,7 @@
 	}
 	for i, at := range a.index {
 		if at == 0 {
-			return nil, fmt.Errorf("%w: number %d of %d", accord.ErrProposal, i+1, len(all))
+			return nil, fmt.Errorf("%w: number %d of %d", replicatedlog.ErrProposal, i+1, len(all))
 		}
 	}
 	return a.index, nil
--- a/internal/net/accord/machine_test.go
+++ b/internal/control/controlserver/machine_test.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 // PeersAddr is where control machines are heard.
 func (m *Server) PeersAddr() string { return m.others.Addr().String() }
--- a/internal/net/accord/nodes.go
+++ b/internal/control/controlserver/nodes.go
@@ -1,11 +1,11 @@
-package accord
+package controlserver
 
 import (
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"dahliapin/internal/fleet/accord"
+	"dahliapin/internal/control/replicatedlog"
 )
 
 const (
@@ -74,7 +74,7 @@
 }
 
 func (m *Server) order(w word) word {
-	b, err := accord.DecodeBatch(w.Batch)
+	b, err := replicatedlog.DecodeBatch(w.Batch)
 	for _, p := range b.Proposals {
 		if err == nil {
 			err = p.Check()
@@ -82,7 +82,7 @@
 	}
 	var at []uint64
 	if err == nil && len(b.Proposals) == 0 {
-		err = accord.ErrProposal
+		err = replicatedlog.ErrProposal
 	}
 	if err == nil {
 		at, err = m.publish(b.Proposals)
@@ -123,7 +123,7 @@
 	go func() {
 		defer m.done.Done()
 		defer l.Close()
-		m.deliver(s, accord.LogID(hello.Log), accord.Index(hello.Rows[0].Applied), hello.Fresh)
+		m.deliver(s, replicatedlog.LogID(hello.Log), replicatedlog.Index(hello.Rows[0].Applied), hello.Fresh)
 	}()
 	defer close(s.over)
 	for {
@@ -140,7 +140,7 @@
 }
 
 // deliver sends what follows an index, in order: so much unacknowledged at most, and by the pace of all where it lacks a lot.
-func (m *Server) deliver(s *stream, log accord.LogID, sent accord.Index, anew bool) {
+func (m *Server) deliver(s *stream, log replicatedlog.LogID, sent replicatedlog.Index, anew bool) {
 	begin := anew
 	window := uint64(m.File.Bounds.WindowKB * (1 << 10))
 	timer := time.NewTimer(0)
@@ -175,7 +175,7 @@
 		}
 		if w.Head = uint64(last); !begin && sent < last {
 			lacks = m.state.Bytes(sent, last)
-			if m.state.Bytes(accord.Index(s.acked.Load()), sent) < window {
+			if m.state.Bytes(replicatedlog.Index(s.acked.Load()), sent) < window {
 				var is bool
 				from := sent
 				if w.Entries, sent, is = m.state.EntriesAfter(sent, entryBytes); !is {
--- a/internal/net/accord/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"dahliapin/internal/fleet/charter"
+	"dahliapin/internal/config/fleetconfig"
 	"dahliapin/internal/keyhash"
 )
 
@@ -94,13 +94,13 @@
 
 // peer sends to another control machine.
 type peer struct {
-	charter.Machine
+	fleetconfig.Machine
 	m      *Server
 	out    chan *pb.Message
 	chance keyhash.Source
 }
 
-func newPeer(m *Server, other charter.Machine) *peer {
+func newPeer(m *Server, other fleetconfig.Machine) *peer {
 	p := &peer{Machine: other, m: m, out: make(chan *pb.Message, mostOutbox), chance: keyhash.Source{Seed: uint32(keyhash.Salted(m.id, int(other.ID)))}}
 	m.done.Add(1)
 	go p.run()
--- a/internal/net/accord/table.go
+++ b/internal/control/controlserver/table.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"slices"
@@ -6,22 +6,22 @@
 	"sync/atomic"
 	"time"
 
-	"dahliapin/internal/fleet/accord"
-	purger "dahliapin/internal/net/purges"
-	"dahliapin/policy"
+	purger "dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/monotime"
 )
 
 // seen is a node's row, and when it was heard.
 type seen struct {
 	row
-	heard policy.Instant
+	heard monotime.Instant
 }
 
 // heardMachine is another control machine's word on itself and on caches, and when it came.
 type heardMachine struct {
 	machineRow
 	caches []purger.Progress
-	heard  policy.Instant
+	heard  monotime.Instant
 }
 
 // table is how nodes stand: own rows of those that follow here, and others' as other control machines tell them. All are hints.
@@ -41,7 +41,7 @@
 }
 
 // note takes a node's row. Of two tellings of one node the one heard last holds.
-func (t *table) note(r row, heard policy.Instant) {
+func (t *table) note(r row, heard monotime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	was, is := t.rows[r.Node]
@@ -62,7 +62,7 @@
 	return len(t.rows) < mostRows
 }
 
-func ago(now, at policy.Instant) uint64 {
+func ago(now, at monotime.Instant) uint64 {
 	return uint64(max(0, time.Duration(now-at)) / time.Millisecond)
 }
 
@@ -88,7 +88,7 @@
 	for _, r := range w.Rows {
 		if r.Node != "" && len(r.Node) <= longestName && len(r.Reason) <= longestReason && r.AgoMs < 1<<40 {
 			r.Machine = from
-			t.note(r, now-policy.Instant(time.Duration(r.AgoMs)*time.Millisecond))
+			t.note(r, now-monotime.Instant(time.Duration(r.AgoMs)*time.Millisecond))
 		}
 	}
 	for _, r := range w.Machines {
@@ -124,12 +124,12 @@
 }
 
 // least is up to where all nodes have applied that were heard within a time.
-func (t *table) least(within time.Duration) (least accord.Index, is bool) {
+func (t *table) least(within time.Duration) (least replicatedlog.Index, is bool) {
 	now := t.m.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.rows {
-		if at := accord.Index(s.Applied); time.Duration(now-s.heard) <= within && (!is || at < least) {
+		if at := replicatedlog.Index(s.Applied); time.Duration(now-s.heard) <= within && (!is || at < least) {
 			least, is = at, true
 		}
 	}
--- a/internal/net/accord/variants_test.go
+++ b/internal/control/controlserver/variants_test.go
@@ -1,4 +1,4 @@
-package accord
+package controlserver
 
 import (
 	"fmt"
@@ -10,30 +10,30 @@
 	"github.com/fxamacker/cbor/v2"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/accord/store"
-	"dahliapin/internal/scale/changes/judge"
-	"dahliapin/internal/scale/changes/trace"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/control/replicatedlog/store"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/scale/logscale/checker"
 )
 
 // evidence is what a small fleet leaves for the judge.
 type evidence struct {
 	mu      sync.Mutex
-	kept    [4][]trace.Kept
-	orders  []trace.Ordered
-	records []trace.Record
+	kept    [4][]logtrace.Kept
+	orders  []logtrace.Ordered
+	records []logtrace.Record
 }
 
-func (e *evidence) put(r trace.Record) {
+func (e *evidence) put(r logtrace.Record) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.At = boottime()
 	e.records = append(e.records, r)
 }
 
-func (e *evidence) keeps(i int) func([]accord.Proposal) {
-	return func(all []accord.Proposal) {
-		k := trace.Kept{At: boottime()}
+func (e *evidence) keeps(i int) func([]replicatedlog.Proposal) {
+	return func(all []replicatedlog.Proposal) {
+		k := logtrace.Kept{At: boottime()}
 		for _, p := range all {
 			k.Marks = append(k.Marks, p.ContentHash())
 		}
@@ -43,9 +43,9 @@
 	}
 }
 
-func (e *evidence) publish(f *fleet, p accord.Proposal) {
-	o := trace.Ordered{Mark: p.ContentHash(), Config: p.Kind == accord.Config, Sent: boottime()}
-	o.Index = uint64(f.publish([]accord.Proposal{p})[0])
+func (e *evidence) publish(f *fleet, p replicatedlog.Proposal) {
+	o := logtrace.Ordered{Mark: p.ContentHash(), Config: p.Kind == replicatedlog.Config, Sent: boottime()}
+	o.Index = uint64(f.publish([]replicatedlog.Proposal{p})[0])
 	o.Acked = boottime()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,35 +54,35 @@
 
 // sound is a reader that keeps the rules and writes down what it does. The broken ones stand on it.
 type sound struct {
-	*accord.Applier
+	*replicatedlog.Applier
 	e      *evidence
 	number uint32
 	begins bool
 	mark   uint64
 }
 
-func (s *sound) note(at accord.Index, p accord.Proposal) {
+func (s *sound) note(at replicatedlog.Index, p replicatedlog.Proposal) {
 	if s.begins {
 		s.mark = p.ContentHash()
 		return
 	}
-	s.e.put(trace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: s.number, What: trace.Applied})
+	s.e.put(logtrace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: s.number, What: logtrace.Applied})
 }
 
-func (s *sound) PresumePurged(accord.Index) {}
-func (s *sound) Purge(at accord.Index, key string) {
-	s.note(at, accord.Proposal{Kind: accord.Purge, Body: []byte(key)})
+func (s *sound) PresumePurged(replicatedlog.Index) {}
+func (s *sound) Purge(at replicatedlog.Index, key string) {
+	s.note(at, replicatedlog.Proposal{Kind: replicatedlog.Purge, Body: []byte(key)})
 }
-func (s *sound) Configure(at accord.Index, text []byte) error {
-	s.note(at, accord.Proposal{Kind: accord.Config, Body: text})
+func (s *sound) Configure(at replicatedlog.Index, text []byte) error {
+	s.note(at, replicatedlog.Proposal{Kind: replicatedlog.Config, Body: text})
 	return nil
 }
 
-func (s *sound) Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
+func (s *sound) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
 	s.begins = true
 	err := s.Applier.Start(log, at, config)
 	if s.begins = false; err == nil {
-		s.e.put(trace.Record{Index: uint64(at), Mark: s.mark, Node: s.number, What: trace.Began})
+		s.e.put(logtrace.Record{Index: uint64(at), Mark: s.mark, Node: s.number, What: logtrace.Began})
 	}
 	return err
 }
@@ -90,7 +90,7 @@
 // unheeding takes an old configuration, or none, for the one in force where it begins.
 type unheeding struct{ *sound }
 
-func (u unheeding) Start(log accord.LogID, at accord.Index, _ cbor.RawMessage) error {
+func (u unheeding) Start(log replicatedlog.LogID, at replicatedlog.Index, _ cbor.RawMessage) error {
 	return u.sound.Start(log, at, nil)
 }
 
@@ -98,10 +98,10 @@
 type gapped struct {
 	*sound
 	frames  int
-	applied accord.Index
+	applied replicatedlog.Index
 }
 
-func (g *gapped) Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
+func (g *gapped) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
 	g.applied = at
 	return g.sound.Start(log, at, config)
 }
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, b := range raw {
-		if e, err := accord.DecodeEntry(b); err == nil {
+		if e, err := replicatedlog.DecodeEntry(b); err == nil {
 			g.note(e.Index, e.Proposal)
 			g.applied = e.Index
 		}
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func (g *gapped) CurrentProgress() accord.Progress {
+func (g *gapped) CurrentProgress() replicatedlog.Progress {
 	s := g.sound.CurrentProgress()
 	s.Applied = g.applied
 	return s
@@ -130,7 +130,7 @@
 // hasty tells of entries when they have come, and applies them later.
 type hasty struct {
 	*sound
-	heard accord.Index
+	heard replicatedlog.Index
 	later []cbor.RawMessage
 }
 
@@ -140,14 +140,14 @@
 		h.later, now = now[len(now)-1:], now[:len(now)-1]
 	}
 	for _, b := range h.later {
-		if e, err := accord.DecodeEntry(b); err == nil {
+		if e, err := replicatedlog.DecodeEntry(b); err == nil {
 			h.heard = e.Index
 		}
 	}
 	return h.sound.Apply(now)
 }
 
-func (h *hasty) CurrentProgress() accord.Progress {
+func (h *hasty) CurrentProgress() replicatedlog.Progress {
 	s := h.sound.CurrentProgress()
 	s.Applied = max(s.Applied, h.heard)
 	return s
@@ -156,7 +156,7 @@
 // late says for a while yet that it is one entry back, so that its next stream brings that one again, and it does not look.
 type late struct{ gapped }
 
-func (l *late) CurrentProgress() accord.Progress {
+func (l *late) CurrentProgress() replicatedlog.Progress {
 	s := l.gapped.CurrentProgress()
 	s.Applied = max(1, s.Applied) - 1
 	return s
@@ -196,12 +196,12 @@
 		want   []string
 	}{
 		{name: "sound"},
-		{name: "a gap passed over", reader: func(s *sound) Applier { return &gapped{sound: s} }, want: []string{judge.Missing}},
-		{name: "acknowledged before a majority", disk: true, want: []string{judge.EarlyAck, judge.EarlyInForce}},
-		{name: "an old beginning", reader: func(s *sound) Applier { return unheeding{s} }, want: []string{judge.OldBeginning}},
-		{name: "told too early", reader: func(s *sound) Applier { return &hasty{sound: s} }, want: []string{judge.EarlyTold}},
-		{name: "applied again", reader: func(s *sound) Applier { return &late{gapped{sound: s, frames: 100}} }, want: []string{judge.Doubled}},
-		{name: "doubled on retry", again: true, want: []string{judge.Doubled}},
+		{name: "a gap passed over", reader: func(s *sound) Applier { return &gapped{sound: s} }, want: []string{checker.Missing}},
+		{name: "acknowledged before a majority", disk: true, want: []string{checker.EarlyAck, checker.EarlyInForce}},
+		{name: "an old beginning", reader: func(s *sound) Applier { return unheeding{s} }, want: []string{checker.OldBeginning}},
+		{name: "told too early", reader: func(s *sound) Applier { return &hasty{sound: s} }, want: []string{checker.EarlyTold}},
+		{name: "applied again", reader: func(s *sound) Applier { return &late{gapped{sound: s, frames: 100}} }, want: []string{checker.Doubled}},
+		{name: "doubled on retry", again: true, want: []string{checker.Doubled}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
@@ -217,7 +217,7 @@
 					b.Disk = &lazy{Store: s}
 				}
 			})
-			one := NewProposal(accord.Config, []byte("the first"))
+			one := NewProposal(replicatedlog.Config, []byte("the first"))
 			e.publish(f, one)
 			for _, m := range f.ms {
 				for by := time.Now().Add(10 * time.Second); m.Last() < 1 && time.Now().Before(by); {
@@ -227,13 +227,13 @@
 			var nodes []*Follower
 			for i := range uint32(2) {
 				s := &sound{e: e, number: i}
-				s.Applier = accord.NewApplier(s)
+				s.Applier = replicatedlog.NewApplier(s)
 				var r Applier = s
 				if v.reader != nil && i == 0 {
 					r = v.reader(s)
 				}
 				n := StartFollower(FollowerConfig{Name: fmt.Sprint("n", i), Label: "l", At: f.all(), Seed: i, Stale: time.Second, Reader: r, Log: quietly(), Now: boottime, Dial: f.dial,
-					OnProgressSent: func(at accord.Index) { e.put(trace.Record{Index: uint64(at), Node: i, What: trace.Told}) }})
+					OnProgressSent: func(at replicatedlog.Index) { e.put(logtrace.Record{Index: uint64(at), Node: i, What: logtrace.Told}) }})
 				t.Cleanup(n.Close)
 				nodes = append(nodes, n)
 			}
@@ -243,13 +243,13 @@
 				}
 			}
 			for i := range 12 {
-				p := NewProposal(accord.Purge, fmt.Append(nil, "key-", i))
+				p := NewProposal(replicatedlog.Purge, fmt.Append(nil, "key-", i))
 				e.publish(f, p)
 				if i == 7 {
 					if v.again {
 						p = NewProposal(p.Kind, p.Body)
 					}
-					f.publish([]accord.Proposal{p}) // its answer was lost, say
+					f.publish([]replicatedlog.Proposal{p}) // its answer was lost, say
 				}
 				if i == 5 {
 					f.mu.Lock() // streams break, and come again
@@ -269,7 +269,7 @@
 			for i := range f.ms {
 				f.stop(i)
 			}
-			j := judge.New(3, nil)
+			j := checker.New(3, nil)
 			for i := range 3 {
 				for _, k := range e.kept[i] {
 					j.Kept(i, k)
--- a/internal/net/accord/wire.go
+++ b/internal/control/controlserver/wire.go
@@ -1,6 +1,6 @@
 // Package accord carries the fleet's log of changes: Open runs a control machine (raft between control machines over streams, delivery
 // to the nodes that follow), Follow is a node's side, Publish and Changes are an operator's. All of it runs on goroutines of its own.
-package accord
+package controlserver
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dahliapin/internal/fleet/accord"
-	purger "dahliapin/internal/net/purges"
+	purger "dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
 )
 
 const (
@@ -189,7 +189,7 @@
 	if err != nil {
 		return w, 0, err
 	}
-	if err := accord.DecodeMode.Unmarshal(b, &w); err != nil {
+	if err := replicatedlog.DecodeMode.Unmarshal(b, &w); err != nil {
 		return w, 0, fmt.Errorf("%w: %w", errWord, err)
 	}
 	if w.Version == 0 || len(w.Rows) > mostRows || len(w.Caches) > mostMachines*mostCacheRows {
--- a/internal/fleet/purges/purges.go
+++ b/internal/control/purge/purges.go
@@ -7,15 +7,15 @@
 //
 // Invariants: the cursor never leads what the cache has answered; it never falls but with another process or log; what is in flight is
 // bounded, and answers are taken in the order in which it was sent.
-package purges
+package purge
 
 import (
 	"math/bits"
 	"sort"
 	"time"
 
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/policy"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -39,13 +39,13 @@
 
 // Cursor is up to where purges are done at a cache.
 type Cursor struct {
-	Log     accord.LogID // of which log; 0 for none yet
-	Started Incarnation  // at which process of the cache
-	Done    accord.Index
-	Sure    accord.Index // up to where a later process has nothing to do: it began empty, after their fills were over
+	Log     replicatedlog.LogID // of which log; 0 for none yet
+	Started Incarnation         // at which process of the cache
+	Done    replicatedlog.Index
+	Sure    replicatedlog.Index // up to where a later process has nothing to do: it began empty, after their fills were over
 }
 
-// Terms are how purges are carried out.
+// Config are how purges are carried out.
 type Config struct {
 	LongestFill     time.Duration // the longest that a fill may take: from reading the value at the origin until it is in a cache
 	CommandInterval time.Duration // between two commands to a cache, once a burst has gone
@@ -53,25 +53,25 @@
 
 // Log is what a control machine has of the log of changes.
 type Log interface {
-	Position() (id accord.LogID, floor, last accord.Index)
-	Entry(accord.Index) (accord.Entry, bool) // false where it is not kept
+	Position() (id replicatedlog.LogID, floor, last replicatedlog.Index)
+	Entry(replicatedlog.Index) (replicatedlog.Entry, bool) // false where it is not kept
 	// Asked is when this machine was first asked to have an entry ordered; false where it was not, or that is forgotten.
-	RequestedAt(accord.Index) (policy.Instant, bool)
+	RequestedAt(replicatedlog.Index) (monotime.Instant, bool)
 }
 
 type point struct {
-	at   policy.Instant
-	last accord.Index
+	at   monotime.Instant
+	last replicatedlog.Index
 }
 
-// Times remembers when this machine had which entries. A purge was published before that, as before this machine was asked to have it ordered.
+// ArrivalTimes remembers when this machine had which entries. A purge was published before that, as before this machine was asked to have it ordered.
 type ArrivalTimes struct {
-	log    accord.LogID
+	log    replicatedlog.LogID
 	points []point
 }
 
-// Note says which entries there are now. With another log all begins anew.
-func (t *ArrivalTimes) Record(now policy.Instant, log accord.LogID, last accord.Index) {
+// Record says which entries there are now. With another log all begins anew.
+func (t *ArrivalTimes) Record(now monotime.Instant, log replicatedlog.LogID, last replicatedlog.Index) {
 	if log != t.log {
 		t.log, t.points = log, nil
 	}
@@ -84,15 +84,15 @@
 }
 
 // Last is the newest entry that was noted.
-func (t *ArrivalTimes) Last() accord.Index {
+func (t *ArrivalTimes) Last() replicatedlog.Index {
 	if len(t.points) == 0 {
 		return 0
 	}
 	return t.points[len(t.points)-1].last
 }
 
-// Had is when an entry was there at the latest; false for not yet.
-func (t *ArrivalTimes) KnownAt(i accord.Index) (policy.Instant, bool) {
+// KnownAt is when an entry was there at the latest; false for not yet.
+func (t *ArrivalTimes) KnownAt(i replicatedlog.Index) (monotime.Instant, bool) {
 	n := sort.Search(len(t.points), func(n int) bool { return t.points[n].last >= i })
 	if n == len(t.points) {
 		return 0, false
@@ -100,8 +100,8 @@
 	return t.points[n].at, true
 }
 
-// Newest is the newest entry that was there at a time; 0 where that is not known.
-func (t *ArrivalTimes) NewestAt(at policy.Instant) accord.Index {
+// NewestAt is the newest entry that was there at a time; 0 where that is not known.
+func (t *ArrivalTimes) NewestAt(at monotime.Instant) replicatedlog.Index {
 	n := sort.Search(len(t.points), func(n int) bool { return t.points[n].at > at })
 	if n == 0 {
 		return 0
@@ -109,14 +109,14 @@
 	return t.points[n-1].last
 }
 
-// Gate spreads flushes over time, as each empties a cache whose load goes to the origin.
+// FlushLimiter spreads flushes over time, as each empties a cache whose load goes to the origin.
 type FlushLimiter struct {
 	Each time.Duration
-	next policy.Instant
+	next monotime.Instant
 }
 
 // pass takes a turn, or tells when there is one.
-func (g *FlushLimiter) pass(now policy.Instant) (is bool, at policy.Instant) {
+func (g *FlushLimiter) pass(now monotime.Instant) (is bool, at monotime.Instant) {
 	if now < g.next {
 		return false, g.next
 	}
@@ -138,44 +138,44 @@
 // Command is one to be sent.
 type Command struct {
 	Kind  Kind
-	Index accord.Index // of the purge; of a flush, up to where it goes
+	Index replicatedlog.Index // of the purge; of a flush, up to where it goes
 	Key   []byte
 }
 
 type flight struct {
 	Command
-	upTo accord.Index // entries after it that are no purges
-	sent policy.Instant
+	upTo replicatedlog.Index // entries after it that are no purges
+	sent monotime.Instant
 }
 
 // Cache is one cache, as one control machine knows it. It is used by one goroutine at a time.
 type Cache struct {
 	Config
 	cursor  Cursor
-	log     accord.LogID // that all of the following are of
-	first   accord.Index // first deletes are answered up to here
-	sent1   accord.Index // and sent
-	sent2   accord.Index // final ones are sent
-	flights []flight     // at most Window
-	tat     policy.Instant
-	asks    policy.Instant // from when on it may be presumed that nobody knows what is done
-	emptied bool           // the first of two flushes was answered
-	flushed policy.Instant // when it was sent
-	flush   accord.Index   // up to where it went
-	skipped accord.Index   // up to here first deletes were left out, as it was time for final ones
+	log     replicatedlog.LogID // that all of the following are of
+	first   replicatedlog.Index // first deletes are answered up to here
+	sent1   replicatedlog.Index // and sent
+	sent2   replicatedlog.Index // final ones are sent
+	flights []flight            // at most Window
+	tat     monotime.Instant
+	asks    monotime.Instant    // from when on it may be presumed that nobody knows what is done
+	emptied bool                // the first of two flushes was answered
+	flushed monotime.Instant    // when it was sent
+	flush   replicatedlog.Index // up to where it went
+	skipped replicatedlog.Index // up to here first deletes were left out, as it was time for final ones
 	fails   int
 }
 
 // NewCache has what its cursor says.
-func NewCache(t Config, c Cursor, now policy.Instant) *Cache {
+func NewCache(t Config, c Cursor, now monotime.Instant) *Cache {
 	return &Cache{Config: t, cursor: c, log: c.Log, first: c.Done, sent1: c.Done, sent2: c.Done, asks: now.Add(othersBy)}
 }
 
 // Cursor is up to where purges are done.
 func (c *Cache) Cursor() Cursor { return c.cursor }
 
-// First is up to where each key was deleted at least once.
-func (c *Cache) FirstDeleted() accord.Index {
+// FirstDeleted is up to where each key was deleted at least once.
+func (c *Cache) FirstDeleted() replicatedlog.Index {
 	if c.done() < c.skipped {
 		return c.done()
 	}
@@ -183,7 +183,7 @@
 }
 
 // done is the cursor in the log that there is.
-func (c *Cache) done() accord.Index {
+func (c *Cache) done() replicatedlog.Index {
 	if c.cursor.Log != c.log {
 		return 0
 	}
@@ -196,9 +196,9 @@
 	return c.lacks(id, floor)
 }
 
-// Listed says that the list has a process of the cache now. A later one may be elsewhere, and what was done since it began was done at the one
+// OnListed says that the list has a process of the cache now. A later one may be elsewhere, and what was done since it began was done at the one
 // before it: it gets all that its fills could bring, which is what was known since so long before the list last had the one before.
-func (c *Cache) OnListed(now policy.Instant, started Incarnation, t *ArrivalTimes) {
+func (c *Cache) OnListed(now monotime.Instant, started Incarnation, t *ArrivalTimes) {
 	if started < c.cursor.Started { // an older list, or a clock set back: what is done is done at the later one
 		return
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-// Adopt takes what another control machine knows to be done at the same process of the cache: that does not become untrue.
+// MergeCursor takes what another control machine knows to be done at the same process of the cache: that does not become untrue.
 func (c *Cache) MergeCursor(o Cursor) {
 	if o.Log != 0 && o.Started == c.cursor.Started && (c.cursor.Log == 0 || o.Log == c.cursor.Log && o.Done > c.cursor.Done) {
 		c.goOn(Cursor{o.Log, o.Started, o.Done, c.sure(o.Log)})
@@ -223,7 +223,7 @@
 }
 
 // sure is the same of a log.
-func (c *Cache) sure(log accord.LogID) accord.Index {
+func (c *Cache) sure(log replicatedlog.LogID) replicatedlog.Index {
 	if c.cursor.Log != log {
 		return 0
 	}
@@ -231,7 +231,7 @@
 }
 
 // of says which log there is. With another one nothing is sent or answered yet.
-func (c *Cache) of(log accord.LogID) {
+func (c *Cache) of(log replicatedlog.LogID) {
 	if log != c.log {
 		c.log, c.first, c.sent1, c.sent2, c.skipped, c.flights = log, 0, 0, 0, 0, nil
 	}
@@ -245,7 +245,7 @@
 }
 
 // lacks tells whether what is to be done can't be known: presume-purged, all of it has to go.
-func (c *Cache) lacks(log accord.LogID, floor accord.Index) bool {
+func (c *Cache) lacks(log replicatedlog.LogID, floor replicatedlog.Index) bool {
 	return c.cursor.Log != log && (c.cursor.Log != 0 || floor > 0) || c.cursor.Done < floor
 }
 
@@ -255,8 +255,8 @@
 	return id == 0 || c.cursor.Log == id && c.cursor.Done >= max(floor, t.Last())
 }
 
-// Next is the command to send now, or when to ask again; a time of 0 is at the next entry or answer.
-func (c *Cache) NextCommand(now policy.Instant, log Log, t *ArrivalTimes, g *FlushLimiter) (cmd Command, is bool, again policy.Instant) {
+// NextCommand is the command to send now, or when to ask again; a time of 0 is at the next entry or answer.
+func (c *Cache) NextCommand(now monotime.Instant, log Log, t *ArrivalTimes, g *FlushLimiter) (cmd Command, is bool, again monotime.Instant) {
 	id, floor, _ := log.Position()
 	last := t.Last()
 	if id == 0 || t.log != id {
@@ -317,7 +317,7 @@
 }
 
 // nextFlush has all of it go twice: at once, and once no fill from before can be under way.
-func (c *Cache) nextFlush(now policy.Instant, last accord.Index, g *FlushLimiter, again policy.Instant) (cmd Command, is bool, at policy.Instant) {
+func (c *Cache) nextFlush(now monotime.Instant, last replicatedlog.Index, g *FlushLimiter, again monotime.Instant) (cmd Command, is bool, at monotime.Instant) {
 	for _, f := range c.flights {
 		if f.Kind >= Flush {
 			return cmd, false, again
@@ -335,10 +335,10 @@
 			return cmd, false, sooner(again, at)
 		}
 	}
-	return c.send(now, kind, accord.Entry{Index: last}), true, 0
+	return c.send(now, kind, replicatedlog.Entry{Index: last}), true, 0
 }
 
-func sooner(a, b policy.Instant) policy.Instant {
+func sooner(a, b monotime.Instant) monotime.Instant {
 	if a == 0 || b < a {
 		return b
 	}
@@ -346,8 +346,8 @@
 }
 
 // purge tells whether an entry is one that a cache can have something to do with: no command can be made of other keys, and none kept.
-func purge(e accord.Entry) bool {
-	if e.Kind != accord.Purge || len(e.Body) > accord.MaxKeyBytes {
+func purge(e replicatedlog.Entry) bool {
+	if e.Kind != replicatedlog.Purge || len(e.Body) > replicatedlog.MaxKeyBytes {
 		return false
 	}
 	for _, b := range e.Body {
@@ -359,7 +359,7 @@
 }
 
 // pass goes past an entry that is no purge, with the one before it.
-func (c *Cache) pass(kind Kind, n accord.Index) {
+func (c *Cache) pass(kind Kind, n replicatedlog.Index) {
 	for i := len(c.flights) - 1; i >= 0; i-- {
 		if c.flights[i].Kind == kind {
 			c.flights[i].upTo = n
@@ -372,14 +372,14 @@
 	c.first = max(c.first, n)
 }
 
-func (c *Cache) send(now policy.Instant, kind Kind, e accord.Entry) Command {
+func (c *Cache) send(now monotime.Instant, kind Kind, e replicatedlog.Entry) Command {
 	cmd := Command{kind, e.Index, e.Body}
 	c.flights = append(c.flights, flight{cmd, e.Index, now})
 	c.tat = c.tat.Add(c.CommandInterval)
 	return cmd
 }
 
-// Due is the command whose answer comes next; false for none.
+// AwaitingAnswer is the command whose answer comes next; false for none.
 func (c *Cache) AwaitingAnswer() (Command, bool) {
 	if len(c.flights) == 0 {
 		return Command{}, false
@@ -387,7 +387,7 @@
 	return c.flights[0].Command, true
 }
 
-// Answered takes the cache's word that the command due is carried out.
+// OnAnswer takes the cache's word that the command due is carried out.
 func (c *Cache) OnAnswer(log Log, t *ArrivalTimes) {
 	if len(c.flights) == 0 {
 		return
@@ -412,13 +412,13 @@
 	}
 }
 
-// Silent tells whether an answer is overdue.
-func (c *Cache) AnswerOverdue(now policy.Instant) bool {
+// AnswerOverdue tells whether an answer is overdue.
+func (c *Cache) AnswerOverdue(now monotime.Instant) bool {
 	return len(c.flights) > 0 && now >= c.flights[0].sent.Add(AnswerBy)
 }
 
-// Broke says that a connection ended, or never came up: what was not answered is sent again, after a rest. Chance is from 0 up to 1.
-func (c *Cache) OnDisconnect(now policy.Instant, chance float64) (rest time.Duration) {
+// OnDisconnect says that a connection ended, or never came up: what was not answered is sent again, after a rest. Chance is from 0 up to 1.
+func (c *Cache) OnDisconnect(now monotime.Instant, chance float64) (rest time.Duration) {
 	for _, f := range c.flights {
 		if f.Kind == Flush {
 			c.asks = now.Add(flushAgain)
@@ -431,8 +431,8 @@
 	return span/2 + time.Duration(chance*float64(span/2))
 }
 
-// Late counts entries that should be done by now, with so long a reserve.
-func (c *Cache) Overdue(now policy.Instant, t *ArrivalTimes, reserve time.Duration) uint64 {
+// Overdue counts entries that should be done by now, with so long a reserve.
+func (c *Cache) Overdue(now monotime.Instant, t *ArrivalTimes, reserve time.Duration) uint64 {
 	due := t.NewestAt(now.Add(-c.LongestFill - reserve))
 	if c.cursor.Log != t.log {
 		return uint64(due)
--- a/internal/fleet/purges/purges_test.go
+++ b/internal/control/purge/purges_test.go
@@ -1,38 +1,38 @@
-package purges
+package purge
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"dahliapin/internal/fleet/accord"
+	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/keyhash"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 // list is a log whose last so many entries are kept.
 type list struct {
-	id    accord.LogID
-	all   []accord.Entry
-	floor accord.Index
-	asked map[accord.Index]policy.Instant
+	id    replicatedlog.LogID
+	all   []replicatedlog.Entry
+	floor replicatedlog.Index
+	asked map[replicatedlog.Index]monotime.Instant
 }
 
-func (l *list) Position() (accord.LogID, accord.Index, accord.Index) {
-	return l.id, l.floor, accord.Index(len(l.all))
+func (l *list) Position() (replicatedlog.LogID, replicatedlog.Index, replicatedlog.Index) {
+	return l.id, l.floor, replicatedlog.Index(len(l.all))
 }
-func (l *list) Entry(i accord.Index) (e accord.Entry, is bool) {
+func (l *list) Entry(i replicatedlog.Index) (e replicatedlog.Entry, is bool) {
 	if i <= l.floor || int(i) > len(l.all) {
 		return e, false
 	}
 	return l.all[i-1], true
 }
-func (l *list) RequestedAt(i accord.Index) (policy.Instant, bool) {
+func (l *list) RequestedAt(i replicatedlog.Index) (monotime.Instant, bool) {
 	at, is := l.asked[i]
 	return at, is
 }
-func (l *list) add(kind accord.Kind, body string) {
-	l.all = append(l.all, accord.Entry{Index: accord.Index(len(l.all) + 1), Proposal: accord.Proposal{Kind: kind, Body: []byte(body)}})
+func (l *list) add(kind replicatedlog.Kind, body string) {
+	l.all = append(l.all, replicatedlog.Entry{Index: replicatedlog.Index(len(l.all) + 1), Proposal: replicatedlog.Proposal{Kind: kind, Body: []byte(body)}})
 }
 
 var usual = Config{LongestFill: 3 * time.Second, CommandInterval: 2 * time.Millisecond}
@@ -40,7 +40,7 @@
 // bench is one cache, as one control machine has it, and the clock.
 type bench struct {
 	t     *testing.T
-	now   policy.Instant
+	now   monotime.Instant
 	log   list
 	times ArrivalTimes
 	gate  FlushLimiter
@@ -48,18 +48,18 @@
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, now: policy.Instant(time.Hour), log: list{id: 7}, gate: FlushLimiter{Each: 10 * time.Second}}
+	b := &bench{t: t, now: monotime.Instant(time.Hour), log: list{id: 7}, gate: FlushLimiter{Each: 10 * time.Second}}
 	b.Cache = NewCache(usual, Cursor{}, b.now)
 	return b
 }
 
 func (b *bench) publish(keys ...string) {
 	for _, k := range keys {
-		b.log.add(accord.Purge, k)
+		b.log.add(replicatedlog.Purge, k)
 	}
 	b.note()
 }
-func (b *bench) note()                { b.times.Record(b.now, b.log.id, accord.Index(len(b.log.all))) }
+func (b *bench) note()                { b.times.Record(b.now, b.log.id, replicatedlog.Index(len(b.log.all))) }
 func (b *bench) wait(d time.Duration) { b.now = b.now.Add(d) }
 
 // sends tells all commands that go now, as kinds and indexes.
@@ -80,7 +80,7 @@
 }
 
 // wants compares what goes now and where the cursor stands.
-func (b *bench) wants(what, sent string, done accord.Index) {
+func (b *bench) wants(what, sent string, done replicatedlog.Index) {
 	b.t.Helper()
 	if got := b.sends(); got != sent || b.Cursor().Done != done {
 		b.t.Errorf("%s: sent %q, done %d; wanted %q, %d", what, got, b.Cursor().Done, sent, done)
@@ -90,7 +90,7 @@
 func TestAPurgeIsDoneWithTheSecondAnswer(t *testing.T) {
 	b := newBench(t)
 	b.publish("a", "b")
-	b.log.add(accord.Config, "c")
+	b.log.add(replicatedlog.Config, "c")
 	b.publish("a key", "a\r\nflush_all") // of these no command can be made
 	b.wants("at once", "11 12 ", 0)
 	b.answer(2)
@@ -112,7 +112,7 @@
 // Who was asked to have it ordered knows that it was published before, and need not add what ordering took.
 func TestFillsAreOverWhileAPurgeIsOrdered(t *testing.T) {
 	b := newBench(t)
-	b.log.asked = map[accord.Index]policy.Instant{1: b.now, 3: b.now}
+	b.log.asked = map[replicatedlog.Index]monotime.Instant{1: b.now, 3: b.now}
 	b.wait(2 * time.Second)
 	b.publish("a", "b", "c")
 	b.wants("at once", "11 12 13 ", 0)
@@ -156,7 +156,7 @@
 func TestABurstIsBoundedAndPaced(t *testing.T) {
 	b := newBench(t)
 	for i := range 3000 {
-		b.log.add(accord.Purge, fmt.Sprint("k", i))
+		b.log.add(replicatedlog.Purge, fmt.Sprint("k", i))
 	}
 	b.note()
 	if b.sends(); len(b.flights) != Window {
@@ -226,7 +226,7 @@
 			t.Error("another machine has done it")
 		}
 		other = NewCache(usual, Cursor{}, b.now.Add(-othersBy))
-		other.send(b.now, Flush, accord.Entry{})
+		other.send(b.now, Flush, replicatedlog.Entry{})
 		other.OnDisconnect(b.now, 0)
 		if _, is, at := other.NextCommand(b.now, &b.log, &b.times, &FlushLimiter{}); is || at != b.now.Add(flushAgain) {
 			t.Error("one without an answer takes the next turn")
@@ -320,21 +320,21 @@
 	b := newBench(t)
 	b.Cache = NewCache(Config{fills, usual.CommandInterval}, Cursor{}, b.now)
 	disk, started, listed := Cursor{}, Incarnation(1), Incarnation(1)
-	origin, holds, asOf := [keys]int{}, map[int]int{}, map[accord.Index]int{}
+	origin, holds, asOf := [keys]int{}, map[int]int{}, map[replicatedlog.Index]int{}
 	type fill struct {
 		key, value int
-		at         policy.Instant
+		at         monotime.Instant
 	}
 	type wait struct {
 		key, version   int
-		asked, ordered policy.Instant
+		asked, ordered monotime.Instant
 	}
 	var waits []wait
-	var ordered policy.Instant
+	var ordered monotime.Instant
 	var filling []fill
-	b.log.asked = map[accord.Index]policy.Instant{}
-	var tells policy.Instant
-	cut, down, most, looked, purged := 0, 0, accord.Index(0), accord.Index(0), [keys]int{}
+	b.log.asked = map[replicatedlog.Index]monotime.Instant{}
+	var tells monotime.Instant
+	cut, down, most, looked, purged := 0, 0, replicatedlog.Index(0), replicatedlog.Index(0), [keys]int{}
 	for n := range int(10 * time.Minute / step) {
 		b.wait(step)
 		if is(0.2) { // a write at the origin, and its purge
@@ -345,12 +345,12 @@
 		}
 		for ; len(waits) > 0 && waits[0].ordered <= b.now; waits = waits[1:] {
 			b.publish(fmt.Sprint(waits[0].key))
-			last := accord.Index(len(b.log.all))
+			last := replicatedlog.Index(len(b.log.all))
 			if asOf[last] = waits[0].version; last%3 > 0 { // the others were asked for elsewhere
 				b.log.asked[last] = waits[0].asked
 			}
 		}
-		b.log.floor = accord.Index(max(0, len(b.log.all)-kept))
+		b.log.floor = replicatedlog.Index(max(0, len(b.log.all)-kept))
 		if k := int(chance.Float64() * keys); down == 0 && holds[k] == 0 {
 			filling = append(filling, fill{k, origin[k] + 1, b.now.Add(time.Duration(chance.Float64() * float64(usual.LongestFill)))})
 		}
@@ -371,7 +371,7 @@
 			clear(holds)
 		case is(0.001):
 			if leads {
-				disk.Log, disk.Done = b.log.id, accord.Index(len(b.log.all))
+				disk.Log, disk.Done = b.log.id, replicatedlog.Index(len(b.log.all))
 			}
 			b.Cache, b.times = NewCache(Config{fills, usual.CommandInterval}, disk, b.now), ArrivalTimes{}
 			b.note()
@@ -388,7 +388,7 @@
 				b.OnDisconnect(b.now, 0)
 			}
 			if b.sends(); fresh && cut+down == 1 {
-				b.goOn(Cursor{Log: b.log.id, Started: listed, Done: accord.Index(len(b.log.all))})
+				b.goOn(Cursor{Log: b.log.id, Started: listed, Done: replicatedlog.Index(len(b.log.all))})
 			}
 		} else {
 			b.sends()
--- a/internal/net/purges/cache.go
+++ b/internal/control/purger/cache.go
@@ -1,14 +1,14 @@
-package purges
+package purger
 
 import (
 	"errors"
 	"net"
 	"time"
 
-	"dahliapin/internal/fleet/purges"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/meta"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/wire/meta"
 )
 
 const (
@@ -22,16 +22,16 @@
 
 // cache is what is known of one, and its connection's goroutines while it is in the list. All fields are under the purger's lock.
 type cache struct {
-	*purges.Cache
+	*purge.Cache
 	p      *Purger
-	id     purges.CacheID
+	id     purge.CacheID
 	addr   string
 	stop   chan struct{} // nil while it is not in the list; closed when it leaves
 	chance keyhash.Source
 	nudge  chan struct{} // an answer came
-	heard  policy.Instant
+	heard  monotime.Instant
 	reason string
-	saved  purges.Cursor
+	saved  purge.Cursor
 }
 
 // moves does something by which the cursor may move, and tells of it.
@@ -93,7 +93,7 @@
 	defer timer.Stop()
 	for {
 		var out []byte
-		var again policy.Instant
+		var again monotime.Instant
 		p.mu.Lock()
 		if c.stop != stop {
 			p.mu.Unlock()
@@ -102,10 +102,10 @@
 		now, fresh := p.Now(), p.fresh
 		silent := c.AnswerOverdue(now)
 		for is := true; is && len(out) < writeAtOnce && !silent; {
-			var cmd purges.Command
+			var cmd purge.Command
 			c.moves(func() { cmd, is, again = c.NextCommand(now, p.Log, &p.times, &p.gate) })
 			switch {
-			case is && cmd.Kind >= purges.Flush:
+			case is && cmd.Kind >= purge.Flush:
 				out = append(out, meta.FlushAll...)
 			case is:
 				out = meta.AppendDelete(out, cmd.Key, uint64(cmd.Index))
@@ -161,7 +161,7 @@
 			held = held[size:]
 			p.mu.Lock()
 			due, is := c.AwaitingAnswer()
-			ok := c.stop == stop && is && flushed == (due.Kind >= purges.Flush) && (flushed || id == uint64(due.Index))
+			ok := c.stop == stop && is && flushed == (due.Kind >= purge.Flush) && (flushed || id == uint64(due.Index))
 			if ok {
 				c.heard, c.reason = p.Now(), ""
 				c.moves(func() { c.OnAnswer(p.Log, &p.times) })
--- a/internal/net/purges/disk.go
+++ b/internal/control/purger/disk.go
@@ -1,4 +1,4 @@
-package purges
+package purger
 
 import (
 	"encoding/binary"
@@ -9,8 +9,8 @@
 
 	"go.etcd.io/bbolt"
 
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/purges"
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/control/replicatedlog"
 )
 
 const (
@@ -26,7 +26,7 @@
 type disk struct{ db *bbolt.DB }
 
 // openDisk reads what is kept. A cursor that can't be read is passed over: it is as if the cache were not known.
-func openDisk(dir string) (*disk, map[purges.CacheID]purges.Cursor, error) {
+func openDisk(dir string) (*disk, map[purge.CacheID]purge.Cursor, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("the data folder cannot be made: %w", err)
 	}
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s cannot be opened (is another process at it?): %w", path, err)
 	}
-	known := map[purges.CacheID]purges.Cursor{}
+	known := map[purge.CacheID]purge.Cursor{}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(bucketCursors)
 		if err != nil {
@@ -43,9 +43,9 @@
 		}
 		return b.ForEach(func(id, v []byte) error {
 			if len(v) == cursorLen && v[0] == version && len(known) < mostKept {
-				known[purges.CacheID(id)] = purges.Cursor{Log: accord.LogID(binary.BigEndian.Uint64(v[1:])),
-					Started: purges.Incarnation(binary.BigEndian.Uint64(v[9:])), Done: accord.Index(binary.BigEndian.Uint64(v[17:])),
-					Sure: accord.Index(binary.BigEndian.Uint64(v[25:]))}
+				known[purge.CacheID(id)] = purge.Cursor{Log: replicatedlog.LogID(binary.BigEndian.Uint64(v[1:])),
+					Started: purge.Incarnation(binary.BigEndian.Uint64(v[9:])), Done: replicatedlog.Index(binary.BigEndian.Uint64(v[17:])),
+					Sure: replicatedlog.Index(binary.BigEndian.Uint64(v[25:]))}
 			}
 			return nil
 		})
@@ -58,7 +58,7 @@
 }
 
 // put writes cursors, and takes those out that are not known any more. They are on disk when it returns without an error.
-func (d *disk) put(moved map[purges.CacheID]purges.Cursor, all []purges.CacheID) error {
+func (d *disk) put(moved map[purge.CacheID]purge.Cursor, all []purge.CacheID) error {
 	return d.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketCursors)
 		for id, c := range moved {
--- a/internal/net/purges/list.go
+++ b/internal/control/purger/list.go
@@ -1,4 +1,4 @@
-package purges
+package purger
 
 import (
 	"context"
@@ -11,9 +11,10 @@
 	"slices"
 	"time"
 
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/discovery"
-	"dahliapin/internal/fleet/purges"
 	"dahliapin/internal/keyhash"
+	"dahliapin/internal/monotime"
 	"dahliapin/policy"
 )
 
@@ -123,7 +124,7 @@
 
 // take takes a list, or what has changed in it, that was asked for at a time. What can't be read may be any cache that is not named: then all
 // stay.
-func (p *Purger) take(rows []row, form policy.UpdateKind, at policy.Instant) {
+func (p *Purger) take(rows []row, form policy.UpdateKind, at monotime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -131,7 +132,7 @@
 		return
 	default:
 	}
-	whole, odd, named := form != policy.DeltaUpdate, false, map[purges.CacheID]bool{}
+	whole, odd, named := form != policy.DeltaUpdate, false, map[purge.CacheID]bool{}
 	for _, r := range rows {
 		_, bad := netip.ParseAddrPort(r.Addr)
 		switch {
@@ -139,9 +140,9 @@
 		case r.ID == "" || len(r.ID) > longestID || bad != nil && r.Lifecycle != gone:
 			odd = true
 		default:
-			id := purges.CacheID(r.ID)
+			id := purge.CacheID(r.ID)
 			named[id] = true
-			p.list(entry{id, r.Addr, purges.Incarnation(r.Started), r.Lifecycle == gone}, at)
+			p.list(entry{id, r.Addr, purge.Incarnation(r.Started), r.Lifecycle == gone}, at)
 		}
 	}
 	for id, c := range p.caches {
--- a/internal/net/purges/purges.go
+++ b/internal/control/purger/purges.go
@@ -1,6 +1,6 @@
 // Package purges carries purges out at caches: a control machine's connections to them, one each, its list of them, and what it keeps of its
-// cursors on disk. When to send what is internal/fleet/purges' to say. All of it runs on goroutines of its own.
-package purges
+// cursors on disk. When to send what is internal/control/purge' to say. All of it runs on goroutines of its own.
+package purger
 
 import (
 	"cmp"
@@ -14,11 +14,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fleet/purges"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/keyhash"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -32,25 +32,25 @@
 
 // Log is what a control machine has of the log of changes.
 type Log interface {
-	purges.Log
+	purge.Log
 	Changed() <-chan struct{} // closed when there is more
 }
 
-// Berth is what is started with.
+// Config is what is started with.
 type Config struct {
-	Terms    *charter.Purges
+	Terms    *fleetconfig.Purges
 	Machines int // control machines, which call for the list as this one does
 	Log      Log
 	Dir      string // of the cursors
 	Seed     uint32
 	Logger   *logrus.Logger
-	Now      func() policy.Instant
+	Now      func() monotime.Instant
 	Dial     func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// Counted is told of a cursor that has moved, as it moves: for a judge. nil for nobody.
-	OnProgress func(purges.CacheID, purges.Cursor)
+	OnProgress func(purge.CacheID, purge.Cursor)
 }
 
-// Row is how a control machine stands with a cache, as machines tell each other and operators.
+// Progress is how a control machine stands with a cache, as machines tell each other and operators.
 type Progress struct {
 	Cache    string `cbor:"1,keyasint"`
 	Started  int64  `cbor:"2,keyasint,omitempty"`
@@ -70,9 +70,9 @@
 type Purger struct {
 	Config
 	mu      sync.Mutex // of all that follows, and of all rules
-	times   purges.ArrivalTimes
-	gate    purges.FlushLimiter
-	caches  map[purges.CacheID]*cache
+	times   purge.ArrivalTimes
+	gate    purge.FlushLimiter
+	caches  map[purge.CacheID]*cache
 	fresh   chan struct{} // closed once there is more
 	hasList bool
 	closed  chan struct{}
@@ -89,7 +89,7 @@
 	if b.Dial == nil {
 		b.Dial = func(addr string, within time.Duration) (net.Conn, error) { return net.DialTimeout("tcp", addr, within) }
 	}
-	p := &Purger{Config: b, gate: purges.FlushLimiter{Each: b.Terms.FlushEach()}, caches: map[purges.CacheID]*cache{}, fresh: make(chan struct{}), closed: make(chan struct{}), disk: d}
+	p := &Purger{Config: b, gate: purge.FlushLimiter{Each: b.Terms.FlushEach()}, caches: map[purge.CacheID]*cache{}, fresh: make(chan struct{}), closed: make(chan struct{}), disk: d}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range known {
@@ -106,7 +106,7 @@
 		go p.askForList()
 	}
 	for _, c := range b.Terms.Caches {
-		p.list(entry{purges.CacheID(c.ID), c.Addr, 0, false}, b.Now())
+		p.list(entry{purge.CacheID(c.ID), c.Addr, 0, false}, b.Now())
 	}
 	p.hasList = len(b.Terms.Caches) > 0
 	return p, nil
@@ -125,7 +125,7 @@
 }
 
 // know has rules for a cache; the lock is held. It is nil where there is no room for one more.
-func (p *Purger) know(id purges.CacheID, c purges.Cursor) *cache {
+func (p *Purger) know(id purge.CacheID, c purge.Cursor) *cache {
 	if k := p.caches[id]; k != nil {
 		return k
 	}
@@ -133,7 +133,7 @@
 		return nil
 	}
 	k := &cache{p: p, id: id, chance: keyhash.Source{Seed: p.Seed ^ uint32(keyhash.String(string(id)))}, nudge: make(chan struct{}, 1), heard: p.Now(), saved: c,
-		Cache: purges.NewCache(purges.Config{LongestFill: p.Terms.Fills(), CommandInterval: p.Terms.Each()}, c, p.Now())}
+		Cache: purge.NewCache(purge.Config{LongestFill: p.Terms.Fills(), CommandInterval: p.Terms.Each()}, c, p.Now())}
 	p.caches[id] = k
 	return k
 }
@@ -187,7 +187,7 @@
 		case <-p.closed:
 			ends = true
 		}
-		moved := map[purges.CacheID]purges.Cursor{}
+		moved := map[purge.CacheID]purge.Cursor{}
 		p.mu.Lock()
 		for id, c := range p.caches {
 			if now := c.Cursor(); now != c.saved {
@@ -216,7 +216,7 @@
 	}
 }
 
-// Rows are how this machine stands with each cache in the list. Listed is false until there is a list.
+// Progress are how this machine stands with each cache in the list. Listed is false until there is a list.
 func (p *Purger) Progress() (all []Progress, listed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,21 +238,21 @@
 	return all, p.hasList
 }
 
-// Heard takes what another control machine tells to be done.
+// MergeProgress takes what another control machine tells to be done.
 func (p *Purger) MergeProgress(rows []Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range rows {
-		if c := p.caches[purges.CacheID(r.Cache)]; c != nil {
+		if c := p.caches[purge.CacheID(r.Cache)]; c != nil {
 			c.moves(func() {
-				c.MergeCursor(purges.Cursor{Log: accord.LogID(r.Log), Started: purges.Incarnation(r.Started), Done: accord.Index(r.Done)})
+				c.MergeCursor(purge.Cursor{Log: replicatedlog.LogID(r.Log), Started: purge.Incarnation(r.Started), Done: replicatedlog.Index(r.Done)})
 			})
 		}
 	}
 }
 
-// Least is up to where purges are done at all caches in the list: what comes after it is needed yet.
-func (p *Purger) DoneEverywhere() (least accord.Index, is bool) {
+// DoneEverywhere is up to where purges are done at all caches in the list: what comes after it is needed yet.
+func (p *Purger) DoneEverywhere() (least replicatedlog.Index, is bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	log, _, _ := p.Log.Position()
@@ -266,15 +266,15 @@
 
 // entry is a cache in the list.
 type entry struct {
-	id      purges.CacheID
+	id      purge.CacheID
 	addr    string
-	started purges.Incarnation
+	started purge.Incarnation
 	gone    bool
 }
 
 // list takes a cache's place in the list, as of a time; the lock is held.
-func (p *Purger) list(e entry, at policy.Instant) {
-	c := p.know(e.id, purges.Cursor{})
+func (p *Purger) list(e entry, at monotime.Instant) {
+	c := p.know(e.id, purge.Cursor{})
 	if c == nil || e.gone {
 		if c != nil {
 			p.unlist(c)
--- a/internal/net/purges/purges_test.go
+++ b/internal/control/purger/purges_test.go
@@ -1,4 +1,4 @@
-package purges
+package purger
 
 import (
 	"encoding/json"
@@ -15,36 +15,36 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/emulator/keeper"
-	"dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fleet/purges"
-	"dahliapin/internal/scale/changes/judge"
-	"dahliapin/internal/scale/changes/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/cachestub"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/scale/logscale/checker"
 )
 
-func boottime() policy.Instant {
+func boottime() monotime.Instant {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
-	return policy.Instant(t.Nano())
+	return monotime.Instant(t.Nano())
 }
 
 // log is a log of changes that only grows.
 type log struct {
 	mu    sync.Mutex
-	all   []accord.Entry
-	floor accord.Index
+	all   []replicatedlog.Entry
+	floor replicatedlog.Index
 	fresh chan struct{}
 }
 
-func (l *log) Position() (accord.LogID, accord.Index, accord.Index) {
+func (l *log) Position() (replicatedlog.LogID, replicatedlog.Index, replicatedlog.Index) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return 7, l.floor, accord.Index(len(l.all))
+	return 7, l.floor, replicatedlog.Index(len(l.all))
 }
 
-func (l *log) Entry(i accord.Index) (e accord.Entry, is bool) {
+func (l *log) Entry(i replicatedlog.Index) (e replicatedlog.Entry, is bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i <= l.floor || int(i) > len(l.all) {
@@ -53,7 +53,7 @@
 	return l.all[i-1], true
 }
 
-func (l *log) RequestedAt(accord.Index) (policy.Instant, bool) { return 0, false }
+func (l *log) RequestedAt(replicatedlog.Index) (monotime.Instant, bool) { return 0, false }
 
 func (l *log) Changed() <-chan struct{} {
 	l.mu.Lock()
@@ -65,29 +65,29 @@
 type fleet struct {
 	t       *testing.T
 	log     log
-	terms   charter.Purges
-	caches  []*keeper.Cache
+	terms   fleetconfig.Purges
+	caches  []*cachestub.Cache
 	ps      []*Purger
 	dirs    []string
 	dial    func(addr string, within time.Duration) (net.Conn, error)
 	mu      sync.Mutex
-	records []trace.Cached
-	purged  []trace.Purged
+	records []logtrace.Cached
+	purged  []logtrace.Purged
 }
 
 const fills = 400 * time.Millisecond
 
 func newFleet(t *testing.T, caches, machines int) *fleet {
-	f := &fleet{t: t, terms: *charter.DefaultPurges()}
+	f := &fleet{t: t, terms: *fleetconfig.DefaultPurges()}
 	f.terms.FillsS, f.terms.FlushS, f.log.fresh = fills.Seconds(), 0.1, make(chan struct{})
 	for i := range caches {
-		c, err := keeper.Open(fmt.Sprint("c", i), boottime, f.tell)
+		c, err := cachestub.Open(fmt.Sprint("c", i), boottime, f.tell)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(c.Close)
 		f.caches = append(f.caches, c)
-		f.terms.Caches = append(f.terms.Caches, charter.Cache{ID: c.Name(), Addr: c.Addr()})
+		f.terms.Caches = append(f.terms.Caches, fleetconfig.Cache{ID: c.Name(), Addr: c.Addr()})
 	}
 	for i := range machines {
 		f.ps, f.dirs = append(f.ps, nil), append(f.dirs, t.TempDir())
@@ -101,7 +101,7 @@
 	return f
 }
 
-func (f *fleet) tell(r trace.Cached) {
+func (f *fleet) tell(r logtrace.Cached) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.records = append(f.records, r)
@@ -112,8 +112,8 @@
 	l.SetOutput(io.Discard)
 	terms := f.terms
 	p, err := Open(Config{Terms: &terms, Machines: 4, Log: &f.log, Dir: f.dirs[i], Seed: uint32(i), Logger: l, Now: boottime, Dial: f.dial,
-		OnProgress: func(id purges.CacheID, c purges.Cursor) {
-			f.tell(trace.Cached{At: boottime(), Cache: string(id), What: trace.Counted, Index: uint64(c.Done)})
+		OnProgress: func(id purge.CacheID, c purge.Cursor) {
+			f.tell(logtrace.Cached{At: boottime(), Cache: string(id), What: logtrace.Counted, Index: uint64(c.Done)})
 		}})
 	if err != nil {
 		f.t.Fatal(err)
@@ -133,8 +133,8 @@
 	f.log.mu.Lock()
 	defer f.log.mu.Unlock()
 	for _, k := range keys {
-		e := accord.Entry{Index: accord.Index(len(f.log.all) + 1), Proposal: accord.Proposal{Kind: accord.Purge, Body: []byte(k)}}
-		f.purged = append(f.purged, trace.Purged{Index: uint64(e.Index), Key: k, Version: version, Sent: boottime()})
+		e := replicatedlog.Entry{Index: replicatedlog.Index(len(f.log.all) + 1), Proposal: replicatedlog.Proposal{Kind: replicatedlog.Purge, Body: []byte(k)}}
+		f.purged = append(f.purged, logtrace.Purged{Index: uint64(e.Index), Key: k, Version: version, Sent: boottime()})
 		f.log.all = append(f.log.all, e)
 	}
 	close(f.log.fresh)
@@ -168,10 +168,10 @@
 	f.until(fmt.Sprintf("%s has all %d", cache, last), func() bool { return f.row(i, cache).Done >= last })
 }
 
-func (f *fleet) judged() judge.CachesReport {
+func (f *fleet) judged() checker.CachesReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return judge.Caches(f.purged, f.records, nil)
+	return checker.Caches(f.purged, f.records, nil)
 }
 
 func (f *fleet) sound() {
@@ -243,7 +243,7 @@
 // Whatever a cache does to its connections, others are not held up, it has one connection at a time, and has all once it is well.
 func TestTroubledCachesHoldNobodyUp(t *testing.T) {
 	t.Parallel()
-	faults := []keeper.Fault{keeper.None, keeper.Silent, keeper.Refuse, keeper.Garbage, keeper.Busy, keeper.Ends}
+	faults := []cachestub.Fault{cachestub.None, cachestub.Silent, cachestub.Refuse, cachestub.Garbage, cachestub.Busy, cachestub.Ends}
 	f, open := newFleet(t, len(faults)+1, 0), &counting{now: map[string]int{}, most: map[string]int{}}
 	f.dial, f.ps, f.dirs = open.dial, make([]*Purger, 2), []string{t.TempDir(), t.TempDir()}
 	f.start(0)
@@ -252,7 +252,7 @@
 		f.caches[i].Break(how, 0)
 	}
 	slow := len(faults)
-	f.caches[slow].Break(keeper.None, 20*time.Millisecond)
+	f.caches[slow].Break(cachestub.None, 20*time.Millisecond)
 	for i, c := range f.caches {
 		c.Fill("key-1", uint64(i))
 	}
@@ -268,7 +268,7 @@
 		if r := f.row(0, fmt.Sprint("c", i)); r.Done != 0 || r.Reason == "" || r.Late == 0 && i == 1 {
 			t.Errorf("fault %d: %+v", faults[i], r)
 		}
-		f.caches[i].Break(keeper.None, 0)
+		f.caches[i].Break(cachestub.None, 0)
 	}
 	for i := range f.caches {
 		f.done(0, fmt.Sprint("c", i))
@@ -282,7 +282,7 @@
 	f.sound()
 }
 
-const answerTwice = 2*purges.AnswerBy + fills
+const answerTwice = 2*purge.AnswerBy + fills
 
 func TestABurstOfAThousand(t *testing.T) {
 	t.Parallel()
@@ -312,7 +312,7 @@
 		defer f.ps[0].mu.Unlock()
 		return f.ps[0].caches["c0"].saved.Done == 10
 	})
-	f.caches[0].Break(keeper.Silent, 0)
+	f.caches[0].Break(cachestub.Silent, 0)
 	f.publish(3, keys(10)...)
 	f.stop(0)
 	f.publish(4, keys(10)...)
@@ -320,7 +320,7 @@
 	if r := f.row(0, "c0"); r.Done != 10 {
 		t.Errorf("%+v", r)
 	}
-	f.caches[0].Break(keeper.None, 0)
+	f.caches[0].Break(cachestub.None, 0)
 	f.done(0, "c0")
 	f.done(0, "c1")
 	f.log.mu.Lock()
@@ -435,7 +435,7 @@
 func (l *liar) Write(b []byte) (int, error) {
 	var out []byte
 	for line := range strings.Lines(string(b)) {
-		o, _ := keeper.ReadOrder([]byte(line))
+		o, _ := cachestub.ReadOrder([]byte(line))
 		out = append(out, o.Answer(true)...)
 	}
 	l.said <- out
@@ -462,15 +462,15 @@
 		fresh bool // one that is back begins at the newest
 		want  string
 	}{{name: "sound"},
-		{name: "no second pass after fills", bent: func(f *fleet) { f.terms.FillsS = 1e-6 }, want: judge.OldServed},
+		{name: "no second pass after fills", bent: func(f *fleet) { f.terms.FillsS = 1e-6 }, want: checker.OldServed},
 		{name: "counted without an answer", bent: func(f *fleet) {
 			f.dial = func(addr string, within time.Duration) (net.Conn, error) {
 				c, err := net.DialTimeout("tcp", addr, within)
 				return &liar{c, make(chan []byte, 1000)}, err
 			}
-		}, want: judge.NotDone},
-		{name: "a cursor that leads", leads: true, want: judge.NotDone},
-		{name: "one that is back begins at the newest", fresh: true, want: judge.OldServed},
+		}, want: checker.NotDone},
+		{name: "a cursor that leads", leads: true, want: checker.NotDone},
+		{name: "one that is back begins at the newest", fresh: true, want: checker.OldServed},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
@@ -490,21 +490,21 @@
 			f.done(0, "c0")
 			_, _ = cache.Serve("a")
 			cache.Fill("b", 1)
-			cache.Break(keeper.Refuse, 0)
+			cache.Break(cachestub.Refuse, 0)
 			f.publish(2, "b", "c")
 			time.Sleep(fills / 4)
 			f.stop(0)
 			if v.leads {
 				d, _, err := openDisk(f.dirs[0])
 				if err == nil {
-					err = d.put(map[purges.CacheID]purges.Cursor{"c0": {Log: 7, Done: 3}}, []purges.CacheID{"c0"})
+					err = d.put(map[purge.CacheID]purge.Cursor{"c0": {Log: 7, Done: 3}}, []purge.CacheID{"c0"})
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
 				d.close()
 			}
-			cache.Break(keeper.None, 0)
+			cache.Break(cachestub.None, 0)
 			f.start(0)
 			if v.fresh {
 				f.ps[0].MergeProgress([]Progress{{Cache: "c0", Log: 7, Done: 3}})
--- a/internal/fleet/accord/accord.go
+++ b/internal/control/replicatedlog/accord.go
@@ -4,7 +4,7 @@
 //
 // Invariants: indexes are dense from 1; an id among the last Remembered gets no second index; entries at or below the floor are not
 // kept, but the latest configuration among them is; the floor never falls.
-package accord
+package replicatedlog
 
 import (
 	"errors"
@@ -62,7 +62,7 @@
 // ErrProposal says that a proposal can't become an entry.
 var ErrProposal = errors.New("not a change that can be published")
 
-// Mark is the same for what says the same: by it a judge sees one change ordered twice, whatever its ids.
+// ContentHash is the same for what says the same: by it a judge sees one change ordered twice, whatever its ids.
 func (p Proposal) ContentHash() uint64 {
 	return keyhash.Salted(keyhash.String(string(p.Body)), int(p.Kind))
 }
@@ -95,7 +95,7 @@
 	MinEntries int // entries kept although all have applied them, for who is just off
 }
 
-// UsualBounds hold more than an hour of 9.5 purges a second.
+// DefaultBounds hold more than an hour of 9.5 purges a second.
 var DefaultBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, MinEntries: 4096}
 
 // kept is an entry as it is kept: encoded once, for all that follow.
@@ -127,7 +127,7 @@
 func (s *State) Last() Index  { return s.last }
 func (s *State) Floor() Index { return s.floor }
 
-// Log is which log it is; 0 until its first leader has said so.
+// ID is which log it is; 0 until its first leader has said so.
 func (s *State) ID() LogID { return s.log }
 
 // Config is the latest configuration and its index; 0 for none.
@@ -219,7 +219,7 @@
 	return 0
 }
 
-// After hands out encoded entries that follow an index, one at least and more up to a number of bytes; and false where they are not
+// EntriesAfter hands out encoded entries that follow an index, one at least and more up to a number of bytes; and false where they are not
 // kept any more.
 func (s *State) EntriesAfter(i Index, bytes int) (raw []cbor.RawMessage, upTo Index, is bool) {
 	if i < s.floor {
@@ -245,7 +245,7 @@
 	return s.tail[i-s.floor-1].Entry, true
 }
 
-// Begin is where a node starts that has nothing, or less than is kept: at an index, with the configuration in force there, encoded;
+// StartingPoint is where a node starts that has nothing, or less than is kept: at an index, with the configuration in force there, encoded;
 // nil for none. A fresh node starts at the newest entry, one that is behind at the floor, so that it misses no purge that is kept.
 func (s *State) StartingPoint(fresh bool) (Index, cbor.RawMessage) {
 	at, config := s.floor, s.base
--- a/internal/fleet/accord/reader.go
+++ b/internal/control/replicatedlog/reader.go
@@ -1,4 +1,4 @@
-package accord
+package replicatedlog
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 	Configure(at Index, text []byte) error
 }
 
-// Standing is up to where a node has come.
+// Progress is up to where a node has come.
 type Progress struct {
 	Started        bool
 	Log            LogID // that it begun with
@@ -34,19 +34,19 @@
 	Gaps           uint64 // times that what came did not follow
 }
 
-// Reader applies entries in order, and none twice. It is one goroutine's.
+// Applier applies entries in order, and none twice. It is one goroutine's.
 type Applier struct {
 	to Handler
 	Progress
 }
 
-// NewReader has applied nothing.
+// NewApplier has applied nothing.
 func NewApplier(to Handler) *Applier { return &Applier{to: to} }
 
-// Now is how it stands.
+// CurrentProgress is how it stands.
 func (r *Applier) CurrentProgress() Progress { return r.Progress }
 
-// Begin starts at an index of a log with the configuration in force there, encoded; empty for none. One of the same log that is no
+// Start starts at an index of a log with the configuration in force there, encoded; empty for none. One of the same log that is no
 // further than what was applied is refused: it would take older for newer.
 func (r *Applier) Start(log LogID, at Index, config cbor.RawMessage) error {
 	another := r.Started && log != r.Log
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Take applies entries that follow one another and what was applied. Those that were applied before are passed over; at a gap it stops.
+// Apply applies entries that follow one another and what was applied. Those that were applied before are passed over; at a gap it stops.
 func (r *Applier) Apply(raw []cbor.RawMessage) error {
 	for _, b := range raw {
 		e, err := DecodeEntry(b)
--- a/internal/fleet/accord/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -228,12 +228,12 @@
 	return nil
 }
 
-// Since is how many entries of raft's up to one, and how many bytes, came after the last snapshot.
+// SizeSinceSnapshot is how many entries of raft's up to one, and how many bytes, came after the last snapshot.
 func (s *Store) SizeSinceSnapshot(applied uint64) (entries uint64, bytes int) {
 	return applied - min(applied, s.snapAt), s.since
 }
 
-// Shorten keeps a snapshot of the state at an index of raft's, and no entries before the snapshot that was before it: a machine that is
+// Compact keeps a snapshot of the state at an index of raft's, and no entries before the snapshot that was before it: a machine that is
 // a little behind gets entries, not all.
 func (s *Store) Compact(applied uint64, state []byte) error {
 	snap, err := s.MemoryStorage.CreateSnapshot(applied, nil, state)
--- a/internal/fleet/accord/wire.go
+++ b/internal/control/replicatedlog/wire.go
@@ -1,4 +1,4 @@
-package accord
+package replicatedlog
 
 import (
 	"errors"
@@ -53,7 +53,7 @@
 // ErrWire says that bytes are not what they should be.
 var ErrWire = errors.New("not a part of the log of changes")
 
-// Reading reads with bounds: guards against messages that would cost more to read than they could be worth.
+// DecodeMode reads with bounds: guards against messages that would cost more to read than they could be worth.
 var DecodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: math.MaxInt32 >> 4, MaxMapPairs: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -40,7 +40,7 @@
 
 func (f Failure) String() string { return [...]string{"lost", "refused", "unreadable"}[f] }
 
-// Call is what to ask: the whole list, or what is newer than a version, for which the answer may wait.
+// Poll is what to ask: the whole list, or what is newer than a version, for which the answer may wait.
 type Poll struct {
 	Complete     bool
 	SinceVersion int
@@ -48,7 +48,7 @@
 	Timeout      time.Duration // after which the call is given up
 }
 
-// Caller makes one node's calls, one at a time. Whatever has failed before, news is asked for so soon that what runs still takes
+// Poller makes one node's calls, one at a time. Whatever has failed before, news is asked for so soon that what runs still takes
 // 4.75 s at most: a rest of 3 s, a call that is given up after 1.5 s and a rest of 0.25 s, or a watch that has fallen silent, given up
 // after 4.5 s, and a rest of 0.05 s. The answer to the next call comes on top of that.
 type Poller struct {
@@ -64,16 +64,16 @@
 // New makes the caller of one of so many nodes. It holds no list.
 func New(nodes int) Poller { return Poller{nodes: nodes, since: unknown} }
 
-// Hold tells that a last list of a version is held: what is new since is less than the whole.
+// SetVersion tells that a last list of a version is held: what is new since is less than the whole.
 func (c *Poller) SetVersion(version int) { c.since = version }
 
-// Moved tells that another address is called from now on, whose versions are its own.
+// OnAddressChange tells that another address is called from now on, whose versions are its own.
 func (c *Poller) OnAddressChange() { *c = New(c.nodes) }
 
 // asksWhole tells whether the next call, or the one that is out, asks for the whole list.
 func (c *Poller) asksWhole() bool { return c.since == unknown || c.doubts }
 
-// Next is the call to make now. One that is slow has much to do, and who stops waiting and asks again makes it do the same once more: so
+// NextPoll is the call to make now. One that is slow has much to do, and who stops waiting and asks again makes it do the same once more: so
 // the whole list may take longer where many ask for it, and any call once another was given up. After a call that was lost it asks for
 // what is new at once: a second watch that falls silent would be known as late again, and the news that the first has missed with it. For
 // the same reason a watch after a refusal is a short one.
@@ -95,13 +95,13 @@
 	return Poll{SinceVersion: c.since, LongPoll: watchFor, Timeout: watchFor + watchSlack}
 }
 
-// Takes tells whether an answer can be taken as it stands. Changes up to an older version than is held are of a past that is over: a cache
+// Accepts tells whether an answer can be taken as it stands. Changes up to an older version than is held are of a past that is over: a cache
 // that drains would be in service again.
 func (c *Poller) Accepts(version int, whole bool) bool {
 	return whole || c.asksWhole() || version >= c.since
 }
 
-// Heard takes the version of an answer that can be read, and whether that says it is the whole list. It tells how the
+// OnUpdate takes the version of an answer that can be read, and whether that says it is the whole list. It tells how the
 // entries are to be taken, and whether calls had failed until now.
 func (c *Poller) OnUpdate(version int, whole bool) (form policy.UpdateKind, again bool) {
 	if form = policy.DeltaUpdate; whole || c.asksWhole() {
@@ -112,7 +112,7 @@
 	return form, again
 }
 
-// Failed takes a call's failure, how long the call took from its start (that of its connection, where it needed one) and a number from 0
+// OnFailure takes a call's failure, how long the call took from its start (that of its connection, where it needed one) and a number from 0
 // up to 1 by chance. It tells how long to rest, 3 s at most, and whether this is the first failure in a row. The rest is a share by
 // chance of a span that doubles each time. It is short at first after a call that was lost, so that a watch goes on; after a refusal it is
 // the number of nodes that says how long. Once a span is long, their first shares have spread the nodes over it, and each rests most of
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/news_test.go
@@ -10,6 +10,7 @@
 
 	"dahliapin/internal/emulator/world"
 	"dahliapin/internal/keyhash"
+	"dahliapin/internal/monotime"
 	"dahliapin/policy"
 )
 
@@ -179,13 +180,13 @@
 				factor = 20
 			}
 			t.price.Slow(factor)
-			at, taken := t.price.Call(policy.Instant(t.now), a.asks.Complete)
+			at, taken := t.price.Call(monotime.Instant(t.now), a.asks.Complete)
 			if !taken {
 				t.refused, t.refusedAt = t.refused+1, t.now
 				t.meets(a, refuses, current)
 				return
 			}
-			answerIn += at.Since(policy.Instant(t.now))
+			answerIn += at.Since(monotime.Instant(t.now))
 		}
 		if m > late {
 			t.meets(a, m, current)
--- a/internal/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/host"
 	"dahliapin/internal/keyhash"
+	"dahliapin/internal/proxy/dispatch"
 	"dahliapin/policy"
 )
 
@@ -22,7 +22,7 @@
 )
 
 // Maker makes a decider, as the shells of the emulator want it.
-type Maker = func(now policy.Instant, seed int64, rules policy.Settings) host.Decider
+type Maker = func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider
 
 // Names are the baselines there are.
 var Names = []string{"random", "ring"}
@@ -39,7 +39,7 @@
 }
 
 func maker(choose func(*plain, *policy.Request) policy.EndpointID) Maker {
-	return func(_ policy.Instant, seed int64, rules policy.Settings) host.Decider {
+	return func(_ policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
 		p := &plain{rules: rules, choose: choose, caches: map[policy.EndpointID]*cache{}, chance: keyhash.Source{Seed: uint32(seed)}}
 		p.rules.MaxAttempts = max(1, rules.MaxAttempts)
 		return p
--- a/internal/emulator/keeper/keeper.go
+++ b/internal/emulator/cachestub/keeper.go
@@ -1,6 +1,6 @@
 // Package keeper is a stand-in for a cache server as purges find it: it keeps which version of a value it has under each key, and speaks the
 // deletions of the memcache text protocol. What it did is told, for a judge.
-package keeper
+package cachestub
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dahliapin/internal/scale/changes/trace"
+	"dahliapin/internal/emulator/logtrace"
 	"dahliapin/policy"
 )
 
@@ -73,7 +73,7 @@
 type Cache struct {
 	name  string
 	now   func() policy.Instant
-	tell  func(trace.Cached)
+	tell  func(logtrace.Cached)
 	at    net.Listener
 	mu    sync.Mutex
 	holds map[string]uint64
@@ -85,7 +85,7 @@
 }
 
 // Open has a cache server listen. It tells what it does.
-func Open(name string, now func() policy.Instant, tell func(trace.Cached)) (*Cache, error) {
+func Open(name string, now func() policy.Instant, tell func(logtrace.Cached)) (*Cache, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	defer c.mu.Unlock()
 	v, is := c.holds[key]
 	if is {
-		c.says(trace.Cached{What: trace.Served, Key: key, Version: v})
+		c.says(logtrace.Cached{What: logtrace.Served, Key: key, Version: v})
 	}
 	return v, is
 }
@@ -122,7 +122,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.holds)
-	c.says(trace.Cached{What: trace.Emptied})
+	c.says(logtrace.Cached{What: logtrace.Emptied})
 	c.endAll()
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-func (c *Cache) says(r trace.Cached) {
+func (c *Cache) says(r logtrace.Cached) {
 	if r.Cache, r.At = c.name, c.now(); c.tell != nil {
 		c.tell(r)
 	}
@@ -218,10 +218,10 @@
 	_, was := c.holds[o.Key]
 	if o.Flush {
 		clear(c.holds)
-		c.says(trace.Cached{What: trace.Emptied})
+		c.says(logtrace.Cached{What: logtrace.Emptied})
 	} else {
 		delete(c.holds, o.Key)
-		c.says(trace.Cached{What: trace.Deleted, Key: o.Key})
+		c.says(logtrace.Cached{What: logtrace.Deleted, Key: o.Key})
 	}
 	if c.fault == Ends {
 		return nil
--- a/internal/emulator/keeper/keeper_test.go
+++ b/internal/emulator/cachestub/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package cachestub
 
 import (
 	"bufio"
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/scale/changes/trace"
+	"dahliapin/internal/emulator/logtrace"
 	"dahliapin/policy"
 )
 
 func TestADeletionTakesTheValueAndSaysWhetherItWasThere(t *testing.T) {
-	var told []trace.Did
-	c, err := Open("c", func() policy.Instant { return 1 }, func(x trace.Cached) { told = append(told, x.What) })
+	var told []logtrace.Did
+	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.Cached) { told = append(told, x.What) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 			t.Errorf("%q: %q, %v", x[0], got, err)
 		}
 	}
-	if _, is := c.Serve("b"); is || len(told) != 4 || told[2] != trace.Emptied {
+	if _, is := c.Serve("b"); is || len(told) != 4 || told[2] != logtrace.Emptied {
 		t.Errorf("%t, %v", is, told)
 	}
 }
--- a/internal/emulator/judge/judge.go
+++ b/internal/emulator/checker/judge.go
@@ -1,13 +1,13 @@
 // Package judge counts answers and effects for itself, whatever a router says of them, and tells each breach of the four
 // rules. It is told what happened where it happened: at the clients, at the servers, and where the list is told.
-package judge
+package checker
 
 import (
 	"cmp"
 	"fmt"
 	"time"
 
-	"dahliapin/internal/net/deadlines"
+	"dahliapin/internal/timerqueue"
 	"dahliapin/policy"
 )
 
@@ -44,7 +44,7 @@
 		b.Request, b.Server, b.Node)
 }
 
-// Terms are what it judges by.
+// Rules are what it judges by.
 type Rules struct {
 	Classes        []policy.ServiceClass
 	HedgingAllowed bool
@@ -59,12 +59,12 @@
 	First, FirstInTime                              uint64 // first tries, and those of them that a try satisfied within the soft limit
 }
 
-// Judge is told of one run.
+// Checker is told of one run.
 type Checker struct {
 	terms     Rules
 	hand      map[string]*taken
-	due       deadlines.Queue[string]
-	forget    deadlines.Queue[string]
+	due       timerqueue.Queue[string]
+	forget    timerqueue.Queue[string]
 	effects   map[string]int
 	told      map[place]policy.Instant // when a node was told that a server wants nothing new
 	Counts    [5]uint64                // breaches by rule
--- a/internal/emulator/judge/judge_test.go
+++ b/internal/emulator/checker/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"testing"
--- a/internal/emulator/judge/views.go
+++ b/internal/emulator/checker/views.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"dahliapin/internal/fleet/trace"
+	"dahliapin/internal/membership/trace"
 	"dahliapin/policy"
 )
 
--- a/internal/emulator/judge/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"reflect"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/fleet/trace"
+	"dahliapin/internal/membership/trace"
 	"dahliapin/policy"
 )
 
--- a/internal/emulator/client/client.go
+++ b/internal/emulator/client/client.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/emulator/judge"
+	"dahliapin/internal/emulator/checker"
 )
 
 const (
@@ -42,7 +42,7 @@
 
 // Answer is what came of it.
 type Answer struct {
-	Final    judge.Final
+	Final    checker.Final
 	ComeBack time.Duration
 	Value    string // or the receipt
 	Wrong    string // what is not as it should be
@@ -78,7 +78,7 @@
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		go done(Answer{Final: judge.Cut, Sent: time.Now(), Got: time.Now()})
+		go done(Answer{Final: checker.Cut, Sent: time.Now(), Got: time.Now()})
 		return
 	}
 	var c *conn
@@ -87,7 +87,7 @@
 	}
 	if c == nil && a.OnlyOpen {
 		p.mu.Unlock()
-		go done(Answer{Final: judge.Cut, Nowhere: true, Sent: time.Now(), Got: time.Now()})
+		go done(Answer{Final: checker.Cut, Nowhere: true, Sent: time.Now(), Got: time.Now()})
 		return
 	}
 	p.wg.Add(1)
@@ -103,7 +103,7 @@
 		}
 		answer.Extra = answer.Extra || extra
 		if answer.Sent, answer.Got = sent, time.Now(); err != nil {
-			answer.Final, answer.Silent, answer.Left, answer.Nowhere = judge.Cut, errors.Is(err, errSilent), errors.Is(err, errLeft), crossed && a.OnlyOpen
+			answer.Final, answer.Silent, answer.Left, answer.Nowhere = checker.Cut, errors.Is(err, errSilent), errors.Is(err, errLeft), crossed && a.OnlyOpen
 		}
 		done(answer)
 	}()
@@ -319,30 +319,30 @@
 		b := make([]byte, n+2)
 		var late net.Error
 		if _, err = io.ReadFull(r, b); err != nil && n > longOver && !(errors.As(err, &late) && late.Timeout()) {
-			return Answer{Final: judge.Failed, last: true}, nil // begun and not whole, as its reader can tell
+			return Answer{Final: checker.Failed, last: true}, nil // begun and not whole, as its reader can tell
 		} else if err != nil {
 			return answer, err
 		}
 		if !bytes.HasSuffix(b, []byte("\r\n")) {
 			answer.Wrong = "a value does not end where it should"
 		}
-		answer.Final, answer.Value = judge.Satisfied, string(b[:n])
+		answer.Final, answer.Value = checker.Satisfied, string(b[:n])
 	case len(words) >= 2 && words[0] == "HD" && a.Write:
-		answer.Final = judge.Satisfied
+		answer.Final = checker.Satisfied
 		for _, w := range words[1:] {
 			if w[0] == 'c' {
 				answer.Value = w[1:]
 			}
 		}
 	case len(words) >= 2 && words[0] == "SERVER_ERROR" && words[1] == "busy":
-		answer.Final = judge.Rejected
+		answer.Final = checker.Rejected
 		if len(words) > 2 {
 			back, _ := strconv.Atoi(words[2])
 			answer.ComeBack = time.Duration(back) * time.Millisecond
 		}
 		return answer, nil
 	default:
-		answer.Final = judge.Failed
+		answer.Final = checker.Failed
 		return answer, nil
 	}
 	if id := named(); id != a.ID {
--- a/internal/emulator/client/http.go
+++ b/internal/emulator/client/http.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dahliapin/internal/emulator/judge"
+	"dahliapin/internal/emulator/checker"
 )
 
 // How clients of HTTP say what a try is. The node is told so by its operator's file.
@@ -55,16 +55,16 @@
 	if err != nil {
 		return answer, err
 	}
-	answer.last, answer.Final = said.Close, judge.Failed
+	answer.last, answer.Final = said.Close, checker.Failed
 	switch said.StatusCode {
 	case http.StatusOK:
-		answer.Final, answer.Value = judge.Satisfied, string(body)
+		answer.Final, answer.Value = checker.Satisfied, string(body)
 	case http.StatusNotModified:
-		if answer.Final, answer.Value = judge.Satisfied, a.Holds; a.Holds == "" {
+		if answer.Final, answer.Value = checker.Satisfied, a.Holds; a.Holds == "" {
 			answer.Wrong = "a 304 that was not asked for"
 		}
 	case http.StatusServiceUnavailable:
-		answer.Final = judge.Rejected
+		answer.Final = checker.Rejected
 		back, _ := strconv.Atoi(said.Header.Get("Retry-After"))
 		answer.ComeBack = time.Duration(back) * time.Second
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
--- /dev/null
+++ b/internal/emulator/logtrace/caches.go
@@ -0,0 +1,33 @@
+package logtrace
+
+import "dahliapin/internal/monotime"
+
+// Did says what befell a cache server.
+type Did uint8
+
+// What befalls a cache server.
+const (
+	Deleted Did = 1 // a key was deleted
+	Emptied Did = 2 // all of it has gone, by a flush or a restart
+	Served  Did = 3 // a key's value, in a version, was read
+	Counted Did = 4 // a control machine counts purges up to an index as done there
+)
+
+// Cached is one thing that befell a cache server.
+type Cached struct {
+	At      monotime.Instant `json:"at"`
+	Cache   string           `json:"cache"`
+	What    Did              `json:"what"`
+	Key     string           `json:"key,omitempty"`
+	Version uint64           `json:"version,omitempty"`
+	Index   uint64           `json:"index,omitempty"`
+}
+
+// Purged is a purge: its key's value had that version when it was published.
+type Purged struct {
+	Index   uint64           `json:"index"`
+	Key     string           `json:"key"`
+	Version uint64           `json:"version"`
+	Sent    monotime.Instant `json:"sent"`
+	Play    string           `json:"play,omitempty"`
+}
--- a/internal/scale/changes/trace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -1,6 +1,6 @@
 // Package trace is what a run of the log of changes leaves for its judge: what was published and ordered, what was on which machine's
 // disk, what each node applied and told. All clocks are the one that all processes of a machine share (CLOCK_BOOTTIME, ns).
-package trace
+package logtrace
 
 import (
 	"bufio"
@@ -11,25 +11,25 @@
 	"io"
 	"os"
 
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 const recordLen = 32 // bytes: a run writes millions
 
 // Kept is what a control machine has on disk since then, by marks of changes.
 type Kept struct {
-	At    policy.Instant `json:"at"`
-	Marks []uint64       `json:"marks"`
+	At    monotime.Instant `json:"at"`
+	Marks []uint64         `json:"marks"`
 }
 
 // Ordered is a change from its publishing to its being acknowledged.
 type Ordered struct {
-	Mark   uint64         `json:"mark"`
-	Index  uint64         `json:"index"` // 0: never acknowledged
-	Config bool           `json:"config,omitempty"`
-	Sent   policy.Instant `json:"sent"`
-	Acked  policy.Instant `json:"acked"`
-	Play   string         `json:"play,omitempty"` // which part of a run it belongs to
+	Mark   uint64           `json:"mark"`
+	Index  uint64           `json:"index"` // 0: never acknowledged
+	Config bool             `json:"config,omitempty"`
+	Sent   monotime.Instant `json:"sent"`
+	Acked  monotime.Instant `json:"acked"`
+	Play   string           `json:"play,omitempty"` // which part of a run it belongs to
 }
 
 // What says what a node did.
@@ -45,7 +45,7 @@
 
 // Record is one thing that a node did.
 type Record struct {
-	At    policy.Instant
+	At    monotime.Instant
 	Index uint64
 	Mark  uint64
 	Node  uint32
@@ -80,7 +80,7 @@
 		case err != nil:
 			return fmt.Errorf("a trace cannot be read: %w", err)
 		}
-		each(Record{At: policy.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
+		each(Record{At: monotime.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
 			Node: binary.LittleEndian.Uint32(b[24:]), What: What(b[28])})
 	}
 }
--- a/internal/emulator/between/between.go
+++ b/internal/emulator/netfault/between.go
@@ -1,6 +1,6 @@
 // Package between is the network between processes, and what goes wrong on it: each direction of each pair by itself. It decides what
 // becomes of a datagram or a piece of a stream; sockets.go carries it out, and so do simulations in tests.
-package between
+package netfault
 
 import (
 	"sync"
--- a/internal/emulator/between/between_test.go
+++ b/internal/emulator/netfault/between_test.go
@@ -1,4 +1,4 @@
-package between
+package netfault
 
 import (
 	"testing"
--- a/internal/emulator/onwire/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"dahliapin/internal/emulator/course"
+	"dahliapin/internal/emulator/runner"
 	"dahliapin/policy"
 )
 
@@ -35,7 +35,7 @@
 	}
 	a := &agent{r: r, node: node, at: l, all: map[policy.EndpointID]policy.Endpoint{}, news: make(chan struct{}), closed: make(chan struct{})}
 	for i := range r.world.Servers {
-		a.hear(course.EntryOf(r.world, i))
+		a.hear(runner.EntryOf(r.world, i))
 	}
 	a.web = &http.Server{Handler: a}
 	go a.web.Serve(l)
--- a/internal/emulator/onwire/embedded_test.go
+++ b/internal/emulator/realtime/embedded_test.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"io"
--- a/internal/emulator/onwire/figures.go
+++ b/internal/emulator/realtime/figures.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dahliapin/internal/emulator/judge"
+	"dahliapin/internal/emulator/checker"
 	"dahliapin/policy"
 )
 
@@ -29,9 +29,9 @@
 }
 
 // The names by which a node tells each kind of end.
-var endNames = map[judge.Final]string{judge.Satisfied: "completed", judge.Rejected: "rejected", judge.Failed: "failed"}
+var endNames = map[checker.Final]string{checker.Satisfied: "completed", checker.Rejected: "rejected", checker.Failed: "failed"}
 
-func (f *figures) ended(grade string, how judge.Final) {
+func (f *figures) ended(grade string, how checker.Final) {
 	name, is := endNames[how]
 	if !is {
 		return
--- a/internal/emulator/onwire/figures_test.go
+++ b/internal/emulator/realtime/figures_test.go
@@ -1,10 +1,10 @@
-package onwire
+package realtime
 
 import (
 	"fmt"
 	"testing"
 
-	"dahliapin/internal/emulator/judge"
+	"dahliapin/internal/emulator/checker"
 )
 
 // A node that counts two of a hundred twice, or forgets them, is to be seen; one that lags, or has answered what is still on its
@@ -13,10 +13,10 @@
 	var from, to figures
 	for n := range 2000 {
 		to.open++
-		to.ended("read", judge.Satisfied)
+		to.ended("read", checker.Satisfied)
 		if n < 1900 { // seen half a second before
 			from.open++
-			from.ended("read", judge.Satisfied)
+			from.ended("read", checker.Satisfied)
 		}
 	}
 	to.open = 5
--- a/internal/emulator/onwire/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"dahliapin/internal/emulator/client"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/net/http1"
+	"dahliapin/internal/wire/http1"
 )
 
 // A cache of the emulator that speaks HTTP/1.1, from RFC 9111: what it keeps it serves with its age, what it does not keep is 504
--- a/internal/emulator/onwire/member.go
+++ b/internal/emulator/realtime/member.go
@@ -1,15 +1,15 @@
-package onwire
+package realtime
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
+	"dahliapin/internal/config/listeners"
 	"dahliapin/internal/emulator/client"
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/ports"
-	"dahliapin/internal/records"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/freeport"
+	"dahliapin/internal/proxy/eventlog"
 	"dahliapin/policy"
 )
 
@@ -43,14 +43,14 @@
 	}
 	var addrs [2]string
 	for i := range addrs { // the node takes them right away
-		if addrs[i], err = ports.Free(); err != nil {
+		if addrs[i], err = freeport.Free(); err != nil {
 			a.close()
 			return nil, err
 		}
 	}
-	beyond := script.Span(r.script.Allowed.LateAnswerMs / 1000)
+	beyond := scenario.Span(r.script.Allowed.LateAnswerMs / 1000)
 	pool := &client.Pool{Addr: addrs[0], Beyond: beyond}
-	if r.script.Traffic.Protocol == fronts.HTTP {
+	if r.script.Traffic.Protocol == listeners.HTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, Beyond: beyond}
 	}
 	return &member{r: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], http: addrs[1], agent: a, pool: pool, asks: map[string]bool{}, excused: map[string]bool{}}, nil
@@ -60,7 +60,7 @@
 func (m *member) start(replaces bool) error {
 	if m.r.script.Operated() {
 		var err error
-		if m.ops, err = ports.Free(); err != nil { // new for each process: two may be up at once
+		if m.ops, err = freeport.Free(); err != nil { // new for each process: two may be up at once
 			return err
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 	number := m.number
 	p, err := m.r.runner.Start(Order{Name: m.name, Configuration: configuration, Operator: m.r.script.Operator(m.http), Charter: m.r.charter(number),
-		Note: func(e records.Event, at time.Time) { m.r.note(number, e, at) }, Trace: m.r.traced})
+		Note: func(e eventlog.Event, at time.Time) { m.r.note(number, e, at) }, Trace: m.r.traced})
 	if err != nil {
 		return fmt.Errorf("node %s does not start: %w", m.name, err)
 	}
--- a/internal/emulator/onwire/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"bufio"
@@ -14,12 +14,12 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/net/meta"
-	"dahliapin/internal/records"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
@@ -73,9 +73,9 @@
 work_ms = 2
 `
 
-func parse(t *testing.T, text string) *script.Scenario {
+func parse(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
-	s, err := script.Parse("test.toml", []byte(text))
+	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -359,7 +359,7 @@
 			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
 				t.Errorf("%+v, %v", r.Classes, r.Events)
 			}
-			if at := r.FirstOf("c3", records.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
+			if at := r.FirstOf("c3", eventlog.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
 			}
 		})
@@ -396,25 +396,25 @@
 // A machine that can't keep the pace says so instead of judging.
 func TestAMachineTooBusyDoesNotJudge(t *testing.T) {
 	s := parse(t, small)
-	l := outcome.NewLog(s, epoch)
+	l := report.NewLog(s, epoch)
 	l.Played, l.Late = 100, 3
-	if r := outcome.Draw(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Good() || r.Busy == "" {
+	if r := report.Draw(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Good() || r.Busy == "" {
 		t.Error("judged")
 	}
 	l.Late = 2
-	if r := outcome.Draw(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Good() {
+	if r := report.Draw(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Good() {
 		t.Error("not judged", r.Expected)
 	}
 }
 
-func newWorld(s *script.Scenario) *world.World { return world.New(s.World(nil)) }
+func newWorld(s *scenario.Scenario) *world.World { return world.New(s.World(nil)) }
 
-func newJudge(s *script.Scenario) *judge.Checker {
+func newJudge(s *scenario.Scenario) *checker.Checker {
 	var gs []policy.ServiceClass
 	for _, g := range s.Terms() {
 		gs = append(gs, g.ServiceClass)
 	}
-	return judge.New(judge.Rules{Classes: gs})
+	return checker.New(checker.Rules{Classes: gs})
 }
 
 // A cache of the emulator's carries purges out: what it held is gone, and it says whether it held it.
@@ -424,7 +424,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{script: s, terms: terms, began: time.Now(), world: newWorld(s), judge: newJudge(s), log: outcome.NewLog(s, epoch), legs: map[uint64]*leg{}, wake: make(chan struct{}, 1)}
+	r := &Rig{script: s, terms: terms, began: time.Now(), world: newWorld(s), judge: newJudge(s), log: report.NewLog(s, epoch), legs: map[uint64]*leg{}, wake: make(chan struct{}, 1)}
 	if err := r.open(0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/onwire/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -1,7 +1,7 @@
 // Package onwire plays a script in real time, on real sockets: caches, origin, discovery and clients stand on loopback
 // round nodes that are processes of their own, or embedded. All of it but the nodes is one model of the world under one
 // lock.
-package onwire
+package realtime
 
 import (
 	"context"
@@ -11,17 +11,17 @@
 	"sync"
 	"time"
 
-	"dahliapin/internal/emulator/between"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/emulator/checker"
 	"dahliapin/internal/emulator/client"
-	"dahliapin/internal/emulator/course"
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/runner"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/houserules"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/deadlines"
-	"dahliapin/internal/records"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/internal/timerqueue"
 	"dahliapin/policy"
 )
 
@@ -47,10 +47,10 @@
 type Order struct {
 	Name          string
 	Configuration []byte
-	Operator      []byte                         // nil for none
-	Charter       []byte                         // by which it joins other nodes; nil for none
-	Note          func(records.Event, time.Time) // told its records, in the time of their making
-	Trace         func([]byte)                   // told a line of its trace
+	Operator      []byte                          // nil for none
+	Charter       []byte                          // by which it joins other nodes; nil for none
+	Note          func(eventlog.Event, time.Time) // told its records, in the time of their making
+	Trace         func([]byte)                    // told a line of its trace
 }
 
 // Process is one node that runs.
@@ -74,8 +74,8 @@
 
 // Rig is one run.
 type Rig struct {
-	script *script.Scenario
-	terms  houserules.Settings
+	script *scenario.Scenario
+	terms  settings.Settings
 	runner Runner
 	began  time.Time
 	tell   func(string) // progress, a line at a time; nil for nobody
@@ -83,11 +83,11 @@
 	mu       sync.Mutex
 	world    *world.World
 	traffic  *world.Traffic
-	judge    *judge.Checker
-	log      *outcome.Log
-	course   *course.Run
-	fleet    *records.Recorder
-	queue    deadlines.Queue[func()]
+	judge    *checker.Checker
+	log      *report.Log
+	course   *runner.Run
+	fleet    *eventlog.Recorder
+	queue    timerqueue.Queue[func()]
 	wake     chan struct{}
 	chance   keyhash.Source
 	registry *world.Registry
@@ -100,17 +100,17 @@
 	pending  []policy.Endpoint
 	died     []string
 	asking   sync.WaitGroup
-	between  *between.Sockets    // nil where nodes do not know one another
+	between  *netfault.Sockets   // nil where nodes do not know one another
 	doors    []map[string]string // the way from each node to each address
 	boot     policy.Instant      // the shared clock when the run began
 	hears    []string            // where each node hears the others
-	views    *judge.Views
+	views    *checker.Views
 	closing  bool // no node is started any more
 	stopped  bool // nor anything else done
 }
 
 // Play plays a script on sockets. A cancelled context ends it early, without a report.
-func Play(ctx context.Context, s *script.Scenario, starter Runner, tell func(string)) (*outcome.Report, error) {
+func Play(ctx context.Context, s *scenario.Scenario, starter Runner, tell func(string)) (*report.Report, error) {
 	terms, err := s.TermsAt(s.Fleet.Zones[0])
 	if err == nil && s.InVirtualTime() {
 		err = errors.New("uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
@@ -123,10 +123,10 @@
 	r := &Rig{registry: s.Registry(), script: s, terms: terms, runner: starter, began: time.Now(), tell: tell, wake: make(chan struct{}, 1), legs: map[uint64]*leg{},
 		avoids: map[policy.EndpointID]map[int]bool{}, upList: up}
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = judge.New(judge.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
-		Grace: script.Span(s.Allowed.GraceMs / 1000), Slack: max(slack, script.Span(s.Allowed.SlackMs/1000)), AnswerSlack: script.Span(s.Allowed.LateAnswerMs / 1000)})
-	r.log = outcome.NewLog(s, epoch)
-	ear := &course.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
+	r.judge = checker.New(checker.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
+		Grace: scenario.Span(s.Allowed.GraceMs / 1000), Slack: max(slack, scenario.Span(s.Allowed.SlackMs/1000)), AnswerSlack: scenario.Span(s.Allowed.LateAnswerMs / 1000)})
+	r.log = report.NewLog(s, epoch)
+	ear := &runner.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
 	r.traffic = world.NewTraffic(s.Asks())
@@ -158,12 +158,12 @@
 	}
 	r.mu.Lock()
 	start := r.now()
-	r.log = outcome.NewLog(s, start)
+	r.log = report.NewLog(s, start)
 	ear.Log = r.log
 	r.log.Views = r.views
-	r.fleet = records.New(outcome.FleetsBook, r.log.Note, isOrigin)
-	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, course.Entries(r.world))
-	r.course = course.Play(s, r.world, r.traffic, start, r)
+	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
+	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Entries(r.world))
+	r.course = runner.Play(s, r.world, r.traffic, start, r)
 	r.poke()
 	r.mu.Unlock()
 	if err := r.arrivals(ctx, start); err != nil {
@@ -177,9 +177,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.judge.Advance(r.now().Add(time.Hour)) // whoever has no answer by now has none
-	result := outcome.Draw(s, "sockets", "module", r.world, r.judge, r.log, r.course.First, r.course.Last)
+	result := report.Draw(s, "sockets", "module", r.world, r.judge, r.log, r.course.First, r.course.Last)
 	for _, how := range r.died {
-		result.Expected = append(result.Expected, outcome.Expected{What: "no node ends by itself", Got: how})
+		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
 	}
 	return result, nil
 }
@@ -243,7 +243,7 @@
 // warm puts keys where the module would send them.
 func (r *Rig) warm() {
 	p := policy.New(epoch, r.script.Seed, r.terms.Policy)
-	p.UpdateEndpoints(epoch, policy.CompleteUpdate, course.Entries(r.world))
+	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Entries(r.world))
 	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
@@ -288,7 +288,7 @@
 		for now := r.now(); at <= now && at < end; { // the traffic's time is the script's: waves and seconds are its own
 			req := r.traffic.Draw(at)
 			r.ask(req, at, true)
-			if now.Since(at) > outcome.LateBy {
+			if now.Since(at) > report.LateBy {
 				r.log.Late++
 			}
 			at = r.traffic.Next(at)
@@ -372,12 +372,12 @@
 		return
 	case got.Silent: // the judge counts it as lost at its deadline
 		return
-	case got.Final == judge.Cut && m.lives != life || got.Final == judge.Cut && m.killed:
+	case got.Final == checker.Cut && m.lives != life || got.Final == checker.Cut && m.killed:
 		r.judge.Excuse(req.ID)
 		r.judge.Classes[req.Class].Cut++
 	default:
 		m.figures.ended(g.Name, got.Final)
-		if got.Final == judge.Satisfied && !g.Write && got.Value != r.script.Value(world.ValueOf(req.Key)) {
+		if got.Final == checker.Satisfied && !g.Write && got.Value != r.script.Value(world.ValueOf(req.Key)) {
 			got.Wrong = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
 		}
 		if got.Wrong != "" {
@@ -385,14 +385,14 @@
 		}
 		r.judge.Answered(now, req.ID, got.Final)
 	}
-	if got.Final == judge.Satisfied {
+	if got.Final == checker.Satisfied {
 		if now.Since(first) <= g.LatencyObjective {
 			r.judge.Served(req.Class)
 			r.log.InTime(first)
 		}
 		return
 	}
-	if next, at, ok := r.traffic.Again(now, req, got.Final == judge.Rejected, got.ComeBack); ok {
+	if next, at, ok := r.traffic.Again(now, req, got.Final == checker.Rejected, got.ComeBack); ok {
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
@@ -441,18 +441,18 @@
 	}
 	for _, m := range r.nodes {
 		span := r.script.Discovery.NoticeS
-		late := script.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
+		late := scenario.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
 		r.At(r.now().Add(late), func() { m.agent.hear(e) })
 	}
 	if r.fleet != nil {
-		r.At(r.now().Add(script.Span(r.script.Discovery.NoticeS[0])), func() {
+		r.At(r.now().Add(scenario.Span(r.script.Discovery.NoticeS[0])), func() {
 			r.fleet.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
 		})
 	}
 }
 
 // note hears a node's record. The fleet as a whole avoids what most of its nodes avoid.
-func (r *Rig) note(number int, e records.Event, at time.Time) {
+func (r *Rig) note(number int, e eventlog.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.fleet == nil || r.stopped {
@@ -461,19 +461,19 @@
 	e.At = r.at(at)
 	r.log.Note(e)
 	s, known := standings[e.Reason]
-	if !known || e.Kind != records.EndpointAvoided && e.Kind != records.EndpointRestored {
+	if !known || e.Kind != eventlog.EndpointAvoided && e.Kind != eventlog.EndpointRestored {
 		return
 	}
 	if r.avoids[e.Server] == nil {
 		r.avoids[e.Server] = map[int]bool{}
 	}
-	if e.Kind == records.EndpointRestored {
+	if e.Kind == eventlog.EndpointRestored {
 		delete(r.avoids[e.Server], number)
 		s = policy.StateInUse
 	} else {
 		r.avoids[e.Server][number] = true
 	}
-	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.Kind == records.EndpointRestored {
+	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
 		r.fleet.EndpointStateChanged(e.At, e.Server, s)
 	}
 }
--- a/internal/emulator/onwire/runner.go
+++ b/internal/emulator/realtime/runner.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"dahliapin/internal/records"
+	"dahliapin/internal/proxy/eventlog"
 )
 
 // Rehearsed is set in the environment of a node process that is part of a rehearsal: its loop can be made to hang there.
@@ -92,7 +92,7 @@
 	go func() {
 		defer from.Close()
 		for lines := bufio.NewScanner(from); lines.Scan(); {
-			var e records.Event
+			var e eventlog.Event
 			if json.Unmarshal(lines.Bytes(), &e) == nil {
 				o.Note(e, time.Unix(0, int64(e.At)))
 			}
--- a/internal/emulator/onwire/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/emulator/keeper"
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/emulator/cachestub"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/net/meta"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
@@ -356,9 +356,9 @@
 		}
 		for {
 			size := 0
-			if r.script.Fleet.Protocol == fronts.HTTP {
+			if r.script.Fleet.Protocol == listeners.HTTP {
 				size = c.nextRequest(held)
-			} else if o, n := keeper.ReadOrder(held); n > 0 {
+			} else if o, n := cachestub.ReadOrder(held); n > 0 {
 				r.mu.Lock()
 				for r.world.Servers[c.s.number].Frozen(r.now()) && c.s.conns[c] {
 					r.mu.Unlock()
@@ -415,7 +415,7 @@
 }
 
 // order carries out a purge, at a cache that lives; the lock is held.
-func (c *serverConn) order(o keeper.Order) {
+func (c *serverConn) order(o cachestub.Order) {
 	r, s := c.s.r, c.s
 	w := r.world.Servers[s.number]
 	switch {
@@ -495,7 +495,7 @@
 	}
 	s := r.servers[l.server]
 	out := r.answerOf(d, r.script.Fleet.Reports)
-	if r.script.Fleet.Protocol == fronts.HTTP {
+	if r.script.Fleet.Protocol == listeners.HTTP {
 		out = keptAnswer(d, s.fault == "stale", l.tag)
 	}
 	switch s.fault {
--- a/internal/emulator/onwire/together.go
+++ b/internal/emulator/realtime/together.go
@@ -1,4 +1,4 @@
-package onwire
+package realtime
 
 import (
 	"encoding/json"
@@ -8,12 +8,12 @@
 	"strings"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/fleet/trace"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/ports"
-	"dahliapin/internal/records"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/freeport"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/membership/trace"
+	"dahliapin/internal/proxy/eventlog"
 )
 
 const twinEndsBy = 15 * time.Second // for a process that finds its name taken
@@ -23,11 +23,11 @@
 	if r.script.Together == nil {
 		return nil
 	}
-	r.boot = fleet.BootTime()
-	r.views = judge.NewViews(r.script.Fleet.Nodes)
-	r.between = between.Open(between.New(uint32(r.script.Seed)))
+	r.boot = gossip.BootTime()
+	r.views = checker.NewViews(r.script.Fleet.Nodes)
+	r.between = netfault.Open(netfault.New(uint32(r.script.Seed)))
 	for range r.script.Fleet.Nodes {
-		at, err := ports.Free()
+		at, err := freeport.Free()
 		if err != nil {
 			return err
 		}
@@ -133,11 +133,11 @@
 
 // twin starts one, which no client asks.
 func (m *member) twin() (Process, error) {
-	hears, err := ports.Free()
+	hears, err := freeport.Free()
 	if err != nil {
 		return nil, err
 	}
-	serves, err := ports.Free()
+	serves, err := freeport.Free()
 	if err != nil {
 		return nil, err
 	}
@@ -148,12 +148,12 @@
 	all := slices.Clone(m.r.hears)
 	all[m.number] = hears
 	return m.r.runner.Start(Order{Name: m.name + "-twin", Configuration: configuration, Charter: m.r.script.Charter(m.number, m.r.label(), all, nil),
-		Note: func(records.Event, time.Time) {}, Trace: func([]byte) {}})
+		Note: func(eventlog.Event, time.Time) {}, Trace: func([]byte) {}})
 }
 
 // Between changes what goes wrong between two nodes, one way.
-func (r *Rig) Between(from, to int, change func(*between.Way)) {
-	r.between.Change(from, to, func(w *between.Way) {
+func (r *Rig) Between(from, to int, change func(*netfault.Way)) {
+	r.between.Change(from, to, func(w *netfault.Way) {
 		was := w.Cut
 		if change(w); w.Cut != was {
 			r.views.Cut(r.now(), from, to, w.Cut)
--- a/internal/emulator/outcome/outcome.go
+++ b/internal/emulator/report/outcome.go
@@ -1,5 +1,5 @@
 // Package outcome gathers what a run brought, sets it against what its script expects, and writes it down.
-package outcome
+package report
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/records"
+	"dahliapin/internal/proxy/eventlog"
 	"dahliapin/policy"
 )
 
@@ -70,12 +70,12 @@
 	began   policy.Instant
 	Seconds []Second
 	Legs    map[policy.EndpointID]uint64
-	Records []records.Event
+	Records []eventlog.Event
 	Dropped int // records beyond what is kept
 	Events  []Said
 	Late    int // arrivals that were played late
 	Played  int
-	Views   *judge.Views // what nodes say of one another; nil where they know of none
+	Views   *checker.Views // what nodes say of one another; nil where they know of none
 }
 
 // Said is a line of what the script did.
@@ -85,7 +85,7 @@
 }
 
 // NewLog starts one; began is when the script's time is 0.
-func NewLog(s *script.Scenario, began policy.Instant) *Log {
+func NewLog(s *scenario.Scenario, began policy.Instant) *Log {
 	return &Log{began: began, Seconds: make([]Second, int(s.Seconds)+1), Legs: map[policy.EndpointID]uint64{}}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // Note keeps a record.
-func (l *Log) Note(e records.Event) {
+func (l *Log) Note(e eventlog.Event) {
 	if e.At -= l.began; len(l.Records) >= mostRecords {
 		l.Dropped++
 		return
@@ -142,7 +142,7 @@
 	l.Events = append(l.Events, Said{at - l.began, what})
 }
 
-// Grade is what one grade got.
+// Class is what one grade got.
 type Class struct {
 	Name     string  `json:"name"`
 	Asked    uint64  `json:"asked"`
@@ -172,36 +172,36 @@
 
 // Report is what a run brought.
 type Report struct {
-	Script   string          `json:"script"`
-	Seed     int64           `json:"seed"`
-	Shell    string          `json:"shell"`
-	Decider  string          `json:"decider"`
-	Nodes    int             `json:"nodes"`
-	Caches   int             `json:"caches"`
-	Seconds  float64         `json:"seconds"`
-	Gain     float64         `json:"benefit_in_time"` // share of all benefit asked
-	PerAsked float64         `json:"legs_per_request"`
-	Origin   int             `json:"most_origin_legs_per_s"`
-	Back     float64         `json:"recovered_at_s"` // since when it serves as before the first event; -1 for never
-	Rules    [4]uint64       `json:"breaches_by_rule"`
-	Breaches []judge.Breach  `json:"breaches"`
-	Classes  []Class         `json:"grades"`
-	Servers  []Server        `json:"servers"`
-	Expected []Expected      `json:"expected"`
-	Busy     string          `json:"machine_too_busy,omitempty"`
-	Course   []Second        `json:"course"`
-	Events   []Said          `json:"events"`
-	Records  []records.Event `json:"-"`
-	Dropped  int             `json:"records_dropped,omitempty"`
-	Together *Fleet          `json:"together,omitempty"`
+	Script   string           `json:"script"`
+	Seed     int64            `json:"seed"`
+	Shell    string           `json:"shell"`
+	Decider  string           `json:"decider"`
+	Nodes    int              `json:"nodes"`
+	Caches   int              `json:"caches"`
+	Seconds  float64          `json:"seconds"`
+	Gain     float64          `json:"benefit_in_time"` // share of all benefit asked
+	PerAsked float64          `json:"legs_per_request"`
+	Origin   int              `json:"most_origin_legs_per_s"`
+	Back     float64          `json:"recovered_at_s"` // since when it serves as before the first event; -1 for never
+	Rules    [4]uint64        `json:"breaches_by_rule"`
+	Breaches []checker.Breach `json:"breaches"`
+	Classes  []Class          `json:"grades"`
+	Servers  []Server         `json:"servers"`
+	Expected []Expected       `json:"expected"`
+	Busy     string           `json:"machine_too_busy,omitempty"`
+	Course   []Second         `json:"course"`
+	Events   []Said           `json:"events"`
+	Records  []eventlog.Event `json:"-"`
+	Dropped  int              `json:"records_dropped,omitempty"`
+	Together *Fleet           `json:"together,omitempty"`
 }
 
 // Draw up a report. first is when the first event begins and last when the last ends, 0 for none.
-func Draw(s *script.Scenario, shell, decider string, w *world.World, j *judge.Checker, l *Log, first, last policy.Instant) *Report {
+func Draw(s *scenario.Scenario, shell, decider string, w *world.World, j *checker.Checker, l *Log, first, last policy.Instant) *Report {
 	r := &Report{Script: s.Name, Seed: s.Seed, Shell: shell, Decider: decider, Nodes: s.Fleet.Nodes, Caches: s.Fleet.Caches, Seconds: s.Seconds,
 		Breaches: j.Breaches, Course: slices.Clone(l.Seconds), Events: l.Events, Records: l.Records, Dropped: l.Dropped}
 	copy(r.Rules[:], j.Counts[1:])
-	slices.SortStableFunc(r.Breaches, func(a, b judge.Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(r.Breaches, func(a, b checker.Breach) int { return cmp.Compare(a.At, b.At) })
 	for i := range r.Breaches {
 		r.Breaches[i].At -= l.began
 	}
@@ -230,7 +230,7 @@
 	}
 	r.Back = l.recovered(first, last)
 	if l.Views != nil {
-		r.Together = newFleet(l.Views.From(l.began), script.Span(s.Together.PauseS), policy.Instant(s.Long()))
+		r.Together = newFleet(l.Views.From(l.began), scenario.Span(s.Together.PauseS), policy.Instant(s.Long()))
 	}
 	if l.Played > 0 && float64(l.Late) > lateArrivals*float64(l.Played) {
 		r.Busy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.Played, LateBy)
@@ -279,7 +279,7 @@
 	r.Expected = append(r.Expected, Expected{fmt.Sprintf(what, args...), got, met})
 }
 
-func (r *Report) expect(s *script.Scenario) {
+func (r *Report) expect(s *scenario.Scenario) {
 	broken := uint64(0)
 	for _, n := range r.Rules {
 		broken += n
@@ -294,17 +294,17 @@
 		}
 	}
 	for _, a := range s.Expect.Avoided {
-		at := r.FirstOf(policy.EndpointID(a.Server), records.EndpointAvoided)
+		at := r.FirstOf(policy.EndpointID(a.Server), eventlog.EndpointAvoided)
 		r.want(at >= 0 && at <= a.ByS, fmt.Sprintf("%.1f s", at), "%s is avoided by %g s", a.Server, a.ByS)
 	}
 	for _, id := range s.Expect.Drained {
-		at := r.FirstOf(policy.EndpointID(id), records.EndpointDrained)
+		at := r.FirstOf(policy.EndpointID(id), eventlog.EndpointDrained)
 		r.want(at >= 0, fmt.Sprintf("%.1f s", at), "%s is drained", id)
 	}
 	if most := s.Expect.OriginMost; most > 0 {
 		r.want(float64(r.Origin) <= most, fmt.Sprint(r.Origin), "at most %g legs at the origin in a second", most)
 	}
-	for _, name := range script.Counted {
+	for _, name := range scenario.Counted {
 		if most, ok := s.Expect.MostPerS[name]; ok {
 			got := r.Most(name)
 			r.want(float64(got) <= most, fmt.Sprint(got), "at most %g %s in a second over the whole fleet", most, name)
@@ -356,7 +356,7 @@
 	fmt.Fprintf(to, "benefit in time %.4f; %.3f legs for each request, at most %d a second at the origin\n", r.Gain, r.PerAsked, r.Origin)
 	fmt.Fprintln(to, "course:", r.sparks())
 	fmt.Fprint(to, "over the fleet, in all and most in a second:")
-	for _, name := range script.Counted {
+	for _, name := range scenario.Counted {
 		all := 0
 		for i := range r.Course {
 			all += r.Course[i].Counted(name)
@@ -368,7 +368,7 @@
 		fmt.Fprintf(to, "%8.3f s  script: %s\n", time.Duration(e.At).Seconds(), e.What)
 	}
 	for _, e := range r.Records {
-		if e.Node == FleetsBook && e.Kind != records.EndpointListed || e.Kind == records.LevelChanged {
+		if e.Node == FleetsBook && e.Kind != eventlog.EndpointListed || e.Kind == eventlog.LevelChanged {
 			fmt.Fprintln(to, e)
 		}
 	}
