--- a/internal/emulator/outcome/views.go
+++ b/internal/emulator/report/views.go
@@ -1,4 +1,4 @@
-package outcome
+package report
 
 import (
 	"cmp"
@@ -10,21 +10,21 @@
 	"strings"
 	"time"
 
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fleet/trace"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/membership/trace"
 	"dahliapin/policy"
 )
 
 // Fleet is what became of the nodes' views of one another.
 type Fleet struct {
-	Views   *judge.Views   `json:"views"`
-	Library *judge.Verdict `json:"library"` // of the gossip library's members
-	View    *judge.Verdict `json:"view"`    // of the views; nil where there were none
+	Views   *checker.Views   `json:"views"`
+	Library *checker.Verdict `json:"library"` // of the gossip library's members
+	View    *checker.Verdict `json:"view"`    // of the views; nil where there were none
 }
 
-func newFleet(v *judge.Views, pause time.Duration, end policy.Instant) *Fleet {
+func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Fleet {
 	f := &Fleet{Views: v, Library: v.Judge(trace.Library, pause, end)}
 	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.What == trace.View }) {
 		f.View = v.Judge(trace.View, pause, end)
@@ -36,7 +36,7 @@
 func letters(nodes int, names []string) string {
 	var b strings.Builder
 	for n := range nodes {
-		if slices.Contains(names, judge.NameOf(n)) {
+		if slices.Contains(names, checker.NameOf(n)) {
 			b.WriteString(strconv.FormatInt(int64(n+1), 36))
 		} else {
 			b.WriteByte('.')
@@ -59,15 +59,15 @@
 	for at := policy.Instant(0); at <= policy.Instant(long); at += policy.Instant(time.Second) {
 		says := map[string][]string{}
 		for n := range v.Nodes {
-			l := lineAt(v, at, judge.NameOf(n), what)
+			l := lineAt(v, at, checker.NameOf(n), what)
 			cell := letters(v.Nodes, l.Members)
 			if l.Cut {
 				cell += "!"
 			}
-			if !runsAt(v, at, judge.NameOf(n)) {
+			if !runsAt(v, at, checker.NameOf(n)) {
 				cell = "x"
 			}
-			says[cell] = append(says[cell], judge.NameOf(n))
+			says[cell] = append(says[cell], checker.NameOf(n))
 		}
 		cells := slices.SortedFunc(maps.Keys(says), func(a, b string) int {
 			return cmp.Or(-cmp.Compare(len(says[a]), len(says[b])), cmp.Compare(says[a][0], says[b][0]))
@@ -86,7 +86,7 @@
 	}
 	for _, d := range []struct {
 		of string
-		*judge.Verdict
+		*checker.Verdict
 	}{{"library", f.Library}, {"view", f.View}} {
 		if d.Verdict == nil {
 			continue
@@ -100,7 +100,7 @@
 }
 
 // rates are the bytes a second that each process sent to other nodes.
-func rates(v *judge.Views) (out []float64) {
+func rates(v *checker.Views) (out []float64) {
 	first, last := map[string]trace.Line{}, map[string]trace.Line{}
 	for _, l := range v.Lines {
 		if l.What != trace.Traffic {
@@ -128,7 +128,7 @@
 }
 
 // lineAt is the last line of a kind that a node had written by then.
-func lineAt(v *judge.Views, at policy.Instant, node, what string) (last trace.Line) {
+func lineAt(v *checker.Views, at policy.Instant, node, what string) (last trace.Line) {
 	for _, l := range v.Lines {
 		if l.At > at {
 			break
@@ -140,7 +140,7 @@
 	return last
 }
 
-func runsAt(v *judge.Views, at policy.Instant, node string) (runs bool) {
+func runsAt(v *checker.Views, at policy.Instant, node string) (runs bool) {
 	for _, t := range v.Truths {
 		if t.At <= at && t.Node == node {
 			runs = t.Runs
@@ -150,9 +150,9 @@
 }
 
 // expectViews wants views to be as what befell nodes has them. Without views, or with a trace that has gaps, nothing is shown.
-func (r *Report) expectViews(s *script.Scenario) {
+func (r *Report) expectViews(s *scenario.Scenario) {
 	f := r.Together
-	if f == nil || s.Together.Engine == charter.Plain {
+	if f == nil || s.Together.Engine == fleetconfig.Plain {
 		return
 	}
 	lost := uint64(f.Views.Dropped)
--- a/internal/emulator/course/course.go
+++ b/internal/emulator/runner/course.go
@@ -1,5 +1,5 @@
 // Package course plays a script's events on a world, for whatever shell is round it.
-package course
+package runner
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
 	"dahliapin/policy"
 )
@@ -36,15 +36,15 @@
 	StallClients(node, clients int)                    // so many clients stop in the middle of a request, and stay
 	ReloadNode(node, times int)                        // it is told so many times in a row to read its configuration again
 	FreezeNode(node int, long time.Duration)           // its process stands still for a moment that the rules allow for
-	Between(from, to int, f func(*between.Way))        // what goes wrong between two nodes, one way
+	Between(from, to int, f func(*netfault.Way))       // what goes wrong between two nodes, one way
 	Fault(server int, kind string)                     // what goes wrong on its connections; "" for nothing
 	At(at policy.Instant, do func())                   // do it then
 	Said(now policy.Instant, what string)              // for the log of the run
 }
 
-// Course plays one script.
+// Run plays one script.
 type Run struct {
-	script      *script.Scenario
+	script      *scenario.Scenario
 	world       *world.World
 	traffic     *world.Traffic
 	rig         Rig
@@ -56,23 +56,23 @@
 }
 
 // Play hangs all events in. began is when the script's time is 0.
-func Play(s *script.Scenario, w *world.World, t *world.Traffic, began policy.Instant, rig Rig) *Run {
+func Play(s *scenario.Scenario, w *world.World, t *world.Traffic, began policy.Instant, rig Rig) *Run {
 	c := &Run{script: s, world: w, traffic: t, rig: rig, began: began}
 	events := slices.Clone(s.Events)
-	slices.SortStableFunc(events, func(a, b script.Event) int { return cmp.Compare(a.AtS, b.AtS) })
+	slices.SortStableFunc(events, func(a, b scenario.Event) int { return cmp.Compare(a.AtS, b.AtS) })
 	for i := range events {
 		e := &events[i]
-		at := began.Add(script.Span(e.AtS))
+		at := began.Add(scenario.Span(e.AtS))
 		if i == 0 {
 			c.First = at
 		}
-		c.Last = max(c.Last, at.Add(script.Span(e.OverS+e.ForS)))
+		c.Last = max(c.Last, at.Add(scenario.Span(e.OverS+e.ForS)))
 		rig.At(at, func() { c.do(at, e) })
 	}
 	return c
 }
 
-func (c *Run) each(now policy.Instant, e *script.Event, do func(at policy.Instant, server int)) {
+func (c *Run) each(now policy.Instant, e *scenario.Event, do func(at policy.Instant, server int)) {
 	ids := c.script.Chosen(e)
 	for n, id := range ids {
 		c.spaced(now, e, n, len(ids), func(at policy.Instant) {
@@ -84,18 +84,18 @@
 }
 
 // spaced does the n-th of so many things at its time in the event's span, the first at once.
-func (c *Run) spaced(now policy.Instant, e *script.Event, n, of int, do func(at policy.Instant)) {
+func (c *Run) spaced(now policy.Instant, e *scenario.Event, n, of int, do func(at policy.Instant)) {
 	if n == 0 || e.OverS == 0 {
 		do(now)
 		return
 	}
-	at := now.Add(script.Span(e.OverS * float64(n) / float64(of)))
+	at := now.Add(scenario.Span(e.OverS * float64(n) / float64(of)))
 	c.rig.At(at, func() { do(at) })
 }
 
-func (c *Run) do(now policy.Instant, e *script.Event) {
-	w, long := c.world, script.Span(e.ForS)
-	end := now.Add(long + script.Span(e.OverS)) // all end together
+func (c *Run) do(now policy.Instant, e *scenario.Event) {
+	w, long := c.world, scenario.Span(e.ForS)
+	end := now.Add(long + scenario.Span(e.OverS)) // all end together
 	c.rig.Said(now, describe(c.script, e))
 	switch e.Do {
 	case "slow":
@@ -206,13 +206,13 @@
 			})
 		}
 	case "between_cut":
-		c.turns(now, end, e, func(w *between.Way, on bool) { w.Cut = on })
+		c.turns(now, end, e, func(w *netfault.Way, on bool) { w.Cut = on })
 	case "between_loss":
-		c.turns(now, end, e, func(w *between.Way, on bool) { w.Loss = when(on, e.Share) })
+		c.turns(now, end, e, func(w *netfault.Way, on bool) { w.Loss = when(on, e.Share) })
 	case "between_twice":
-		c.turns(now, end, e, func(w *between.Way, on bool) { w.Twice = when(on, e.Share) })
+		c.turns(now, end, e, func(w *netfault.Way, on bool) { w.Twice = when(on, e.Share) })
 	case "between_late":
-		c.turns(now, end, e, func(w *between.Way, on bool) { w.Late = script.Span(when(on, e.LateMs) / 1000) })
+		c.turns(now, end, e, func(w *netfault.Way, on bool) { w.Late = scenario.Span(when(on, e.LateMs) / 1000) })
 	case "fault":
 		c.each(now, e, func(now policy.Instant, s int) {
 			if c.rig.Fault(s, e.Fault); e.Fault == "refuse" {
@@ -238,8 +238,8 @@
 }
 
 // disturb does to a node what it has to bear without any excuse.
-func (c *Run) disturb(node int, e *script.Event, at policy.Instant) {
-	long := script.Span(e.ForS)
+func (c *Run) disturb(node int, e *scenario.Event, at policy.Instant) {
+	long := scenario.Span(e.ForS)
 	switch e.Do {
 	case "node_crowd":
 		c.rig.CrowdNode(node, e.Count, at.Add(long))
@@ -260,14 +260,14 @@
 }
 
 // turns changes ways between nodes until an end, or by turns where the event comes and goes.
-func (c *Run) turns(now, end policy.Instant, e *script.Event, set func(w *between.Way, on bool)) {
+func (c *Run) turns(now, end policy.Instant, e *scenario.Event, set func(w *netfault.Way, on bool)) {
 	all := func(on bool) {
 		for _, p := range c.script.Pairs(e) {
-			c.rig.Between(p[0], p[1], func(w *between.Way) { set(w, on) })
+			c.rig.Between(p[0], p[1], func(w *netfault.Way) { set(w, on) })
 		}
 	}
 	all(true)
-	if turn := script.Span(e.TurnS); turn > 0 {
+	if turn := scenario.Span(e.TurnS); turn > 0 {
 		on := true
 		for at := now.Add(turn); at < end; at = at.Add(turn) {
 			on = !on
@@ -318,7 +318,7 @@
 	return es
 }
 
-func describe(s *script.Scenario, e *script.Event) string {
+func describe(s *scenario.Scenario, e *scenario.Event) string {
 	text := e.Do
 	if ids := s.Chosen(e); len(ids) > 0 {
 		text += fmt.Sprint(" ", ids)
--- a/internal/emulator/course/ear.go
+++ b/internal/emulator/runner/ear.go
@@ -1,17 +1,17 @@
-package course
+package runner
 
 import (
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/outcome"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/report"
 	"dahliapin/internal/emulator/world"
 	"dahliapin/policy"
 )
 
-// Ear hears what really happens in a world, for the judge and the run's log, and tells the rig whose connections broke.
+// ListWatcher hears what really happens in a world, for the judge and the run's log, and tells the rig whose connections broke.
 // It is the world's hearer in either shell.
 type ListWatcher struct {
-	Judge *judge.Checker
-	Log   *outcome.Log
+	Judge *checker.Checker
+	Log   *report.Log
 	World *world.World
 	Rig   Rig
 }
--- a/internal/emulator/script/script.go
+++ b/internal/emulator/scenario/script.go
@@ -1,6 +1,6 @@
 // Package script reads rehearsals: plain files that say what fleet there is, what clients ask, what goes wrong when, and
 // what is expected of it all.
-package script
+package scenario
 
 import (
 	"cmp"
@@ -13,11 +13,11 @@
 	"strings"
 	"time"
 
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/strictconfig"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/fronts"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/levels"
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/proxy/degradation"
 	"dahliapin/policy"
 )
 
@@ -32,23 +32,23 @@
 	repeatAfter = 6 // seconds without trouble between two rounds of events
 )
 
-// Script is one rehearsal.
+// Scenario is one rehearsal.
 type Scenario struct {
-	Name      string         `toml:"name"`
-	About     string         `toml:"about"`
-	Seed      int64          `toml:"seed"`
-	Seconds   float64        `toml:"seconds"`
-	Fleet     Fleet          `toml:"fleet"`
-	Origin    Origin         `toml:"origin"`
-	Network   Network        `toml:"network"`
-	Discovery Discovery      `toml:"discovery"`
-	Allowed   Allowed        `toml:"allowed"`
-	Traffic   Traffic        `toml:"traffic"`
-	Classes   []Class        `toml:"grade"`
-	Events    []Event        `toml:"event"`
-	Expect    Expect         `toml:"expect"`
-	Levels    []levels.Level `toml:"level,omitempty"` // of all nodes
-	Together  *Together      `toml:"together"`
+	Name      string              `toml:"name"`
+	About     string              `toml:"about"`
+	Seed      int64               `toml:"seed"`
+	Seconds   float64             `toml:"seconds"`
+	Fleet     Fleet               `toml:"fleet"`
+	Origin    Origin              `toml:"origin"`
+	Network   Network             `toml:"network"`
+	Discovery Discovery           `toml:"discovery"`
+	Allowed   Allowed             `toml:"allowed"`
+	Traffic   Traffic             `toml:"traffic"`
+	Classes   []Class             `toml:"grade"`
+	Events    []Event             `toml:"event"`
+	Expect    Expect              `toml:"expect"`
+	Levels    []degradation.Level `toml:"level,omitempty"` // of all nodes
+	Together  *Together           `toml:"together"`
 }
 
 // Fleet says what caches and nodes there are.
@@ -140,7 +140,7 @@
 	UntilKill bool    `toml:"until_kill"` // clients use open connections until a node that was told to end is killed, at the earliest time; on sockets only
 }
 
-// Grade is one service grade.
+// Class is one service grade.
 type Class struct {
 	Name    string  `toml:"name"`
 	Share   float64 `toml:"share"`
@@ -277,14 +277,14 @@
 func usual() Scenario {
 	return Scenario{
 		Seed: 1, Seconds: 30,
-		Fleet: Fleet{Protocol: fronts.Meta, Nodes: 1, Caches: 12, Zones: []string{"a"}, Group: 4, Cores: 1, Queue: 12, Speed: [2]float64{1, 1}, Keys: 2000, Warm: true,
+		Fleet: Fleet{Protocol: listeners.Meta, Nodes: 1, Caches: 12, Zones: []string{"a"}, Group: 4, Cores: 1, Queue: 12, Speed: [2]float64{1, 1}, Keys: 2000, Warm: true,
 			ColdFrom: 0.4, ColdS: 5, FallMultiple: 3, FallS: 1, Connections: 600, HandshakeMs: 1, IdleS: 15},
 		Origin:    Origin{Cores: 4, Queue: 64, WorkMs: 15, StallAt: 40, Stall: 2, FallMultiple: 3, FallS: 1},
 		Network:   Network{OneWayMs: 0.2, CrossZoneMs: 5, ClientMs: 0.5, Jitter: 0.2},
 		Discovery: Discovery{NoticeS: [2]float64{0.3, 1}},
 		Allowed: Allowed{Mode: "aside", MaxAttempts: 3, Hedging: true, Cancel: true, Probes: true, RetryAfterMs: 600, GraceMs: 400,
 			ConnectMs: 100, WastePrice: 0.04},
-		Traffic: Traffic{Protocol: fronts.Meta, PerSecond: 300, Keys: 5000, Zipf: 0.9, WaveS: 30, Jitter: 0.5},
+		Traffic: Traffic{Protocol: listeners.Meta, PerSecond: 300, Keys: 5000, Zipf: 0.9, WaveS: 30, Jitter: 0.5},
 	}
 }
 
@@ -300,7 +300,7 @@
 // Parse reads a script. What is wrong with it is told with its line.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := usual()
-	c, err := strictly.Parse(file, text, &s)
+	c, err := strictconfig.Parse(file, text, &s)
 	if err != nil {
 		return nil, err
 	}
@@ -314,7 +314,7 @@
 	return &s, nil
 }
 
-func (s *Scenario) check(c *strictly.Checker) {
+func (s *Scenario) check(c *strictconfig.Checker) {
 	c.InRange(s.Seconds, 1, mostSeconds, "seconds")
 	f := &s.Fleet
 	c.InRange(float64(f.Nodes), 1, mostNodes, "fleet.nodes")
@@ -334,9 +334,9 @@
 	c.InRange(f.FallS, 0, mostSeconds, "fleet.fall_s")
 	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
 	c.InRange(f.IdleS, 0.1, mostSeconds, "fleet.idle_s")
-	c.Require(f.Protocol == fronts.Meta || f.Protocol == fronts.HTTP, "fleet.protocol", "%q is neither %s nor %s", f.Protocol, fronts.Meta, fronts.HTTP)
-	c.Require(f.Protocol != fronts.HTTP || s.Traffic.Protocol == fronts.HTTP && !f.Reports, "fleet.protocol", "caches speak http only where clients do, and tell no load")
-	c.Require(s.Traffic.Protocol == fronts.Meta || s.Traffic.Protocol == fronts.HTTP, "traffic.protocol", "%q is neither %s nor %s", s.Traffic.Protocol, fronts.Meta, fronts.HTTP)
+	c.Require(f.Protocol == listeners.Meta || f.Protocol == listeners.HTTP, "fleet.protocol", "%q is neither %s nor %s", f.Protocol, listeners.Meta, listeners.HTTP)
+	c.Require(f.Protocol != listeners.HTTP || s.Traffic.Protocol == listeners.HTTP && !f.Reports, "fleet.protocol", "caches speak http only where clients do, and tell no load")
+	c.Require(s.Traffic.Protocol == listeners.Meta || s.Traffic.Protocol == listeners.HTTP, "traffic.protocol", "%q is neither %s nor %s", s.Traffic.Protocol, listeners.Meta, listeners.HTTP)
 	c.Require(len(f.Zones) > 0, "fleet.zones", "names no zone")
 	o := &s.Origin
 	c.InRange(float64(o.Cores), 1, 1024, "origin.cores")
@@ -379,7 +379,7 @@
 	c.Require(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "clients that wait less do so for some time")
 	c.InRange(t.LongShare, 0, 1, "traffic.long_share")
 	c.InRange(float64(t.LongKB), 0, mostLongKB, "traffic.long_kb")
-	c.Require(t.LongShare == 0 || t.Protocol == fronts.Meta, "traffic.long_share", "values are long only by %s", fronts.Meta)
+	c.Require(t.LongShare == 0 || t.Protocol == listeners.Meta, "traffic.long_share", "values are long only by %s", listeners.Meta)
 	s.checkGrades(c)
 	s.checkEvents(c)
 	s.checkExpect(c)
@@ -387,7 +387,7 @@
 	s.checkTogether(c)
 }
 
-func (s *Scenario) checkGrades(c *strictly.Checker) {
+func (s *Scenario) checkGrades(c *strictconfig.Checker) {
 	c.Require(len(s.Classes) > 0, "grade", "no grade is stated, so nothing can be asked")
 	names, sum := map[string]bool{}, 0.0
 	for i := range s.Classes {
@@ -414,7 +414,7 @@
 	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
 }
 
-func (s *Scenario) checkEvents(c *strictly.Checker) {
+func (s *Scenario) checkEvents(c *strictconfig.Checker) {
 	c.Require(len(s.Events) <= mostEvents, "event", "more than %d events", mostEvents)
 	added := 0
 	for _, e := range s.Events {
@@ -481,13 +481,13 @@
 		c.InRange(float64(e.Count), 0, mostCaches, at+"count")
 		c.Require(e.Do != "shrink" || e.Count < s.Fleet.Caches, at+"count", "a fleet of %d can't shrink by %d", s.Fleet.Caches, e.Count)
 		c.Require(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault", "%q is none of %s", e.Fault, strings.Join(faults, ", "))
-		c.Require(e.Fault != stale || s.Fleet.Protocol == fronts.HTTP, at+"fault", "only caches that speak http keep what is stale")
+		c.Require(e.Fault != stale || s.Fleet.Protocol == listeners.HTTP, at+"fault", "only caches that speak http keep what is stale")
 		c.Require(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
 		c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
 	}
 }
 
-func (s *Scenario) checkExpect(c *strictly.Checker) {
+func (s *Scenario) checkExpect(c *strictconfig.Checker) {
 	known := func(grade string) bool {
 		return slices.ContainsFunc(s.Classes, func(g Class) bool { return g.Name == grade })
 	}
@@ -646,11 +646,11 @@
 	}
 }
 
-func (s *Scenario) checkLevels(c *strictly.Checker) {
+func (s *Scenario) checkLevels(c *strictconfig.Checker) {
 	if len(s.Levels) == 0 {
 		return
 	}
 	if terms, err := s.TermsAt(""); err == nil { // else the grades are at fault, and told
-		levels.Check(c, s.Levels, &terms)
+		degradation.Check(c, s.Levels, &terms)
 	}
 }
--- a/internal/emulator/script/script_test.go
+++ b/internal/emulator/scenario/script_test.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"encoding/json"
--- a/internal/emulator/script/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/valyala/fastjson"
 
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/settings"
 	"dahliapin/internal/emulator/client"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/houserules"
 )
 
 // Settings is what a node of this deployment is told at its start, as its configuration has it.
@@ -44,12 +44,12 @@
 }
 
 // TermsAt is what a node in a zone goes by.
-func (s *Scenario) TermsAt(zone string) (houserules.Settings, error) {
+func (s *Scenario) TermsAt(zone string) (settings.Settings, error) {
 	v, err := fastjson.ParseBytes(s.Settings(zone))
 	if err != nil {
-		return houserules.Settings{}, err
+		return settings.Settings{}, err
 	}
-	terms, err := houserules.Decode(v)
+	terms, err := settings.Decode(v)
 	if err != nil {
 		return terms, fmt.Errorf("the script's settings cannot be used: %w", err)
 	}
@@ -60,7 +60,7 @@
 // nil where there are neither.
 func (s *Scenario) Operator(listen string) []byte {
 	var text string
-	if s.Traffic.Protocol == fronts.HTTP {
+	if s.Traffic.Protocol == listeners.HTTP {
 		text = fmt.Sprintf(`[[listener]]
 listen = %q
 protocol = "http"
@@ -74,7 +74,7 @@
 grade = %q
 `, listen, client.ReadyPath, client.IDHeader, client.GradeHeader, client.WaitHeader, client.Path, s.Classes[0].Name)
 	}
-	if s.Fleet.Protocol == fronts.HTTP {
+	if s.Fleet.Protocol == listeners.HTTP {
 		text += "[servers]\nhttp_kinds = [\"cache\"]\n"
 	}
 	if len(s.Levels) > 0 {
--- a/internal/emulator/script/together.go
+++ b/internal/emulator/scenario/together.go
@@ -1,11 +1,11 @@
-package script
+package scenario
 
 import (
 	"fmt"
 	"strings"
 
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/config/strictconfig"
 )
 
 // Together says that nodes know one another. The spans are those of a node's file; what is not written has its usual value.
@@ -18,12 +18,12 @@
 
 const usualSeeds = 3
 
-func (s *Scenario) checkTogether(c *strictly.Checker) {
+func (s *Scenario) checkTogether(c *strictconfig.Checker) {
 	t := s.Together
 	if t == nil {
 		return
 	}
-	usual := charter.Default()
+	usual := fleetconfig.Default()
 	if t.Engine == "" {
 		t.Engine = usual.Fleet.Engine
 	}
@@ -36,7 +36,7 @@
 	if t.Seeds == 0 {
 		t.Seeds = min(usualSeeds, s.Fleet.Nodes)
 	}
-	c.Require(t.Engine == charter.Tuned || t.Engine == charter.Plain, "together.engine", "%q is neither %s nor %s", t.Engine, charter.Tuned, charter.Plain)
+	c.Require(t.Engine == fleetconfig.Tuned || t.Engine == fleetconfig.Plain, "together.engine", "%q is neither %s nor %s", t.Engine, fleetconfig.Tuned, fleetconfig.Plain)
 	c.InRange(t.PauseS, 0.2, 60, "together.pause_s")
 	c.InRange(t.BackS, 0, 600, "together.back_s")
 	c.InRange(float64(t.Seeds), 1, float64(min(s.Fleet.Nodes, 64)), "together.seeds")
--- a/internal/emulator/virtual/decisions_test.go
+++ b/internal/emulator/simulation/decisions_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/binary"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/host"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/proxy/dispatch"
 	"dahliapin/policy"
 	"dahliapin/rehearsals"
 )
@@ -92,10 +92,10 @@
 		for i := range s.Events { // the first troubles within the short time
 			s.Events[i].AtS = 1 + math.Mod(s.Events[i].AtS, shortSeconds-2)
 		}
-		slices.SortStableFunc(s.Events, func(a, b script.Event) int { return int(math.Copysign(1, a.AtS-b.AtS)) })
+		slices.SortStableFunc(s.Events, func(a, b scenario.Event) int { return int(math.Copysign(1, a.AtS-b.AtS)) })
 	}
 	r := &recorder{sum: fnv.New64a()}
-	play(t, s, "module", func(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
+	play(t, s, "module", func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
 		return &recordedDecider{recorder: r, Decider: Module(now, seed, rules)}
 	})
 	return r.sum.Sum64()
@@ -123,7 +123,7 @@
 // recordedDecider passes all calls on to the module.
 type recordedDecider struct {
 	*recorder
-	host.Decider
+	dispatch.Decider
 }
 
 func (d *recordedDecider) Route(now policy.Instant, q *policy.Request) policy.Decision {
--- a/internal/emulator/virtual/door_test.go
+++ b/internal/emulator/simulation/door_test.go
@@ -1,10 +1,10 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/scenario"
 )
 
 // desk is a fleet of 12 caches that are the store themselves, under 6 nodes, before which a submission may not be repeated.
@@ -77,7 +77,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, err := script.Parse("desk", fmt.Appendf(nil, desk, c.queue, c.idle, c.late, c.lost, c.rate))
+			s, err := scenario.Parse("desk", fmt.Appendf(nil, desk, c.queue, c.idle, c.late, c.lost, c.rate))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulator/virtual/list.go
+++ b/internal/emulator/simulation/list.go
@@ -1,8 +1,8 @@
-package virtual
+package simulation
 
 import (
 	"dahliapin/internal/discovery"
-	"dahliapin/internal/emulator/course"
+	"dahliapin/internal/emulator/runner"
 	"dahliapin/policy"
 )
 
@@ -40,7 +40,7 @@
 			switch w.until = r.now.Add(c.LongPoll); {
 			case !r.upList: // it has gone silent meanwhile
 			case c.Complete:
-				entries, version := course.Entries(r.world), len(r.changes)
+				entries, version := runner.Entries(r.world), len(r.changes)
 				r.after(r.clientWay(), func() { w.heard(version, entries) })
 			case w.since < len(r.changes):
 				r.tell(w)
--- a/internal/emulator/virtual/node.go
+++ b/internal/emulator/simulation/node.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/binary"
@@ -6,15 +6,15 @@
 	"strconv"
 	"time"
 
+	"dahliapin/internal/config/settings"
 	"dahliapin/internal/discovery"
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/host"
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/keeping"
-	"dahliapin/internal/levels"
-	"dahliapin/internal/records"
+	"dahliapin/internal/idletimeout"
+	"dahliapin/internal/proxy/degradation"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/proxy/eventlog"
 	"dahliapin/policy"
 )
 
@@ -23,14 +23,14 @@
 	r      *Simulation
 	number int
 	part   float64 // of the traffic, against others'
-	terms  houserules.Settings
-	life   int              // counts its starts, so that what was meant for an earlier one is passed over
-	host   *host.Dispatcher // nil while it is down
-	book   *records.Recorder
+	terms  settings.Settings
+	life   int                  // counts its starts, so that what was meant for an earlier one is passed over
+	host   *dispatch.Dispatcher // nil while it is down
+	book   *eventlog.Recorder
 	known  []policy.Endpoint // the list as last heard
 	lists  discovery.Poller
 	held   int // the version of the list as last heard
-	kept   keeping.Timeout
+	kept   idletimeout.Timeout
 	called uint64 // counts its calls for the list, so that an answer knows its own
 	hand   map[policy.RequestID]*taken
 	count  uint64
@@ -71,17 +71,17 @@
 func (n *node) start(form policy.UpdateKind, entries []policy.Endpoint) {
 	n.life++
 	n.hand, n.links, n.avoids = map[policy.RequestID]*taken{}, map[int][]idle{}, map[policy.EndpointID]bool{}
-	n.kept = keeping.New(n.terms.Policy.IdleTimeout)
-	n.book = records.New("n"+strconv.Itoa(n.number+1), n.r.log.Note, isOrigin)
+	n.kept = idletimeout.New(n.terms.Policy.IdleTimeout)
+	n.book = eventlog.New("n"+strconv.Itoa(n.number+1), n.r.log.Note, isOrigin)
 	seed := n.r.script.Seed*7919 + int64(n.number)*31 + int64(n.life)
 	n.r.Decided++
 	decider := n.r.make(n.r.now, seed, n.terms.Policy)
 	if len(n.r.script.Levels) > 0 {
-		decider = levels.NewFilter(decider, n.r.now, uint32(seed), n.r.script.Levels, &n.terms, func(now policy.Instant, _ int, name string) {
+		decider = degradation.NewFilter(decider, n.r.now, uint32(seed), n.r.script.Levels, &n.terms, func(now policy.Instant, _ int, name string) {
 			n.book.Level(now, name)
 		}, new(uint64))
 	}
-	n.host = host.NewWithDecider(n.r.now, decider, n, n)
+	n.host = dispatch.NewWithDecider(n.r.now, decider, n, n)
 	n.hear(form, entries)
 	if n.r.registry.Bounded() {
 		n.lists = discovery.New(n.terms.Policy.Nodes)
@@ -175,13 +175,13 @@
 }
 
 // answer gives the one final answer; the client has it a way later.
-func (n *node) answer(v *taken, how judge.Final, comeBack time.Duration) {
+func (n *node) answer(v *taken, how checker.Final, comeBack time.Duration) {
 	v.answered = true
 	r := n.r
 	r.after(r.clientWay(), func() {
 		r.judge.Answered(r.now, v.req.ID, how)
-		if how != judge.Satisfied {
-			r.again(v.req, v.first, how == judge.Rejected, comeBack)
+		if how != checker.Satisfied {
+			r.again(v.req, v.first, how == checker.Rejected, comeBack)
 			return
 		}
 		if r.now.Since(v.first) <= r.terms.Policy.Classes[v.req.Class].LatencyObjective {
@@ -239,7 +239,7 @@
 	s := r.world.Servers[l.server]
 	r.log.Now(r.now).Dials++
 	if s.Life == world.Silent { // nothing ever comes back
-		r.At(l.sent.Add(script.Span(r.script.Allowed.ConnectMs/1000)), func() { l.end(policy.ConnectFailed, nil) })
+		r.At(l.sent.Add(scenario.Span(r.script.Allowed.ConnectMs/1000)), func() { l.end(policy.ConnectFailed, nil) })
 		return
 	}
 	if r.fault(l.server) == "refuse" || !r.world.Connect(r.now, l.server) {
@@ -254,7 +254,7 @@
 	}
 	s.Held++
 	breaks, late := r.breaks(l.server), r.late(l.server)
-	if most := script.Span(r.script.Allowed.ConnectMs / 1000); late > most {
+	if most := scenario.Span(r.script.Allowed.ConnectMs / 1000); late > most {
 		r.At(l.sent.Add(most), func() {
 			if breaks == r.breaks(l.server) {
 				s.Held--
@@ -333,7 +333,7 @@
 		l.rest()
 	}
 	if how == policy.Answered && !l.v.answered {
-		n.answer(l.v, judge.Satisfied, 0)
+		n.answer(l.v, checker.Satisfied, 0)
 	}
 	n.r.Decided++
 	n.host.AttemptDone(n.r.now, l.v.id, how, l.v.answered, policy.Outcome{Attempt: l.number, Latency: n.r.now.Since(l.sent), LoadReport: report})
@@ -463,7 +463,7 @@
 // Reject answers that a retry is harmless.
 func (n *node) Reject(id policy.RequestID, comeBack time.Duration) {
 	if v := n.hand[id]; v != nil && !v.answered {
-		n.answer(v, judge.Rejected, comeBack)
+		n.answer(v, checker.Rejected, comeBack)
 		n.later(v)
 	}
 }
@@ -471,7 +471,7 @@
 // Fail answers that it failed.
 func (n *node) Fail(id policy.RequestID) {
 	if v := n.hand[id]; v != nil && !v.answered {
-		n.answer(v, judge.Failed, 0)
+		n.answer(v, checker.Failed, 0)
 		n.later(v)
 	}
 }
@@ -506,7 +506,7 @@
 		r.log.Now(r.now).FullDials++
 		found = policy.ConnectFailed
 	case s.Life == world.Silent, s.Frozen(r.now), r.fault(server) == "silent":
-		found, wait = policy.TimedOut, script.Span(r.script.Allowed.ConnectMs/1000)
+		found, wait = policy.TimedOut, scenario.Span(r.script.Allowed.ConnectMs/1000)
 	case r.fault(server) != "":
 		found = policy.ConnectionBroken
 	}
--- a/internal/emulator/virtual/sums_test.go
+++ b/internal/emulator/simulation/sums_test.go
@@ -1,15 +1,15 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
 )
 
 // together is a fleet of so many nodes before 50 caches, which all together must push neither the origin nor a cold cache over.
-func together(t *testing.T, script string, nodes int, seed int64) (*outcome.Report, *Simulation) {
+func together(t *testing.T, script string, nodes int, seed int64) (*report.Report, *Simulation) {
 	t.Helper()
 	s := load(t, script)
 	s.Fleet.Nodes, s.Seed = nodes, seed
@@ -46,11 +46,11 @@
 	if testing.Short() {
 		t.Skip("as above")
 	}
-	hot := script.Event{AtS: 3.9, Do: "hot", Share: 0.5, ForS: 10}
-	anew := script.Event{AtS: 4.5, Do: "node_kill", Part: 0.9, ForS: 0.3}
+	hot := scenario.Event{AtS: 3.9, Do: "hot", Share: 0.5, ForS: 10}
+	anew := scenario.Event{AtS: 4.5, Do: "node_kill", Part: 0.9, ForS: 0.3}
 	for name, c := range map[string]struct {
 		nodes  int
-		event  script.Event
+		event  scenario.Event
 		ramped float64 // share of what makes a cold cache fall
 		gain   float64
 	}{"24, hot": {24, hot, 0.5, 0.45}, "480, hot": {480, hot, 0.5, 0.7}, "480, anew": {480, anew, 0.5, 0.62}} {
@@ -81,15 +81,15 @@
 // beyond has more nodes run than the settings state, from an instant on: a quarter more, which stay, or a second process of each, for
 // which the first makes room three seconds later. Traffic is uneven between nodes, clients come again at once and often, three caches fall
 // silent and are probed, and in the middle of it half of all nodes are killed and start anew.
-func beyond(s *script.Scenario, stated int, upgrade bool, from float64) {
+func beyond(s *scenario.Scenario, stated int, upgrade bool, from float64) {
 	s.Fleet.Stated, s.Fleet.Nodes = stated, stated+stated/4
 	if upgrade {
 		s.Fleet.Nodes = 2 * stated
-		s.Events = append(s.Events, script.Event{AtS: from + 3, Do: "node_restart", Nodes: numbers(1, stated), ForS: s.Seconds})
+		s.Events = append(s.Events, scenario.Event{AtS: from + 3, Do: "node_restart", Nodes: numbers(1, stated), ForS: s.Seconds})
 	}
-	s.Events = append(s.Events, script.Event{Do: "node_kill", Nodes: numbers(stated+1, s.Fleet.Nodes), ForS: from},
-		script.Event{AtS: from + 0.5, Do: "silent", Caches: []string{"c3", "c9", "c17"}},
-		script.Event{AtS: from + 1.5, Do: "node_kill", Part: 0.5, ForS: 0.4})
+	s.Events = append(s.Events, scenario.Event{Do: "node_kill", Nodes: numbers(stated+1, s.Fleet.Nodes), ForS: from},
+		scenario.Event{AtS: from + 0.5, Do: "silent", Caches: []string{"c3", "c9", "c17"}},
+		scenario.Event{AtS: from + 1.5, Do: "node_kill", Part: 0.5, ForS: 0.4})
 	s.Traffic.Skew, s.Allowed.RetryAfterMs = 0.6, 0
 	for i := range s.Classes {
 		s.Classes[i].Tries = 4
@@ -127,7 +127,7 @@
 			from := 0.7
 			if s.Fleet.Warm {
 				s.Seconds, from = 10, 4.5
-				s.Events = append(s.Events, script.Event{AtS: 3.9, Do: "hot", Share: 0.5, ForS: 10})
+				s.Events = append(s.Events, scenario.Event{AtS: 3.9, Do: "hot", Share: 0.5, ForS: 10})
 			} else {
 				s.Seconds, s.Traffic.PerSecond = 4, 4000
 			}
--- a/internal/emulator/virtual/virtual.go
+++ b/internal/emulator/simulation/virtual.go
@@ -1,6 +1,6 @@
 // Package virtual plays a script in virtual time: any number of nodes, each a host with its decider, on one model of the
 // world. The same seed gives the same run to the byte, on any machine.
-package virtual
+package simulation
 
 import (
 	"errors"
@@ -9,17 +9,17 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/emulator/course"
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/runner"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
-	"dahliapin/internal/host"
-	"dahliapin/internal/houserules"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/deadlines"
-	"dahliapin/internal/records"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/internal/timerqueue"
 	"dahliapin/policy"
 )
 
@@ -31,25 +31,25 @@
 )
 
 // Maker makes a node's decider.
-type Maker func(now policy.Instant, seed int64, rules policy.Settings) host.Decider
+type Maker func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider
 
 // Module is the maker of the module itself.
-func Module(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
+func Module(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
 	return policy.New(now, seed, rules)
 }
 
-// Run is one run.
+// Simulation is one run.
 type Simulation struct {
-	script   *script.Scenario
-	terms    houserules.Settings
+	script   *scenario.Scenario
+	terms    settings.Settings
 	make     Maker
 	world    *world.World
 	traffic  *world.Traffic
-	judge    *judge.Checker
-	log      *outcome.Log
-	course   *course.Run
-	fleet    *records.Recorder
-	queue    deadlines.Queue[func()]
+	judge    *checker.Checker
+	log      *report.Log
+	course   *runner.Run
+	fleet    *eventlog.Recorder
+	queue    timerqueue.Queue[func()]
 	now      policy.Instant
 	nodes    []*node
 	serving  []*node
@@ -69,7 +69,7 @@
 }
 
 // Play plays a script. The decider's name is for the report.
-func Play(s *script.Scenario, name string, make Maker) (*outcome.Report, *Simulation, error) {
+func Play(s *scenario.Scenario, name string, make Maker) (*report.Report, *Simulation, error) {
 	terms, err := s.TermsAt(s.Fleet.Zones[0])
 	if err == nil && s.OnSockets() {
 		err = errors.New("what is done to processes, and between them, is not there: this script plays on sockets only")
@@ -77,15 +77,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &Simulation{registry: s.Registry(), script: s, terms: terms, make: make, now: epoch, legs: map[uint64]*leg{}, avoiders: map[policy.EndpointID]int{}, upList: true, log: outcome.NewLog(s, epoch)}
+	r := &Simulation{registry: s.Registry(), script: s, terms: terms, make: make, now: epoch, legs: map[uint64]*leg{}, avoiders: map[policy.EndpointID]int{}, upList: true, log: report.NewLog(s, epoch)}
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = judge.New(judge.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
-		Grace: script.Span(s.Allowed.GraceMs / 1000), Slack: slack})
-	ear := &course.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
+	r.judge = checker.New(checker.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
+		Grace: scenario.Span(s.Allowed.GraceMs / 1000), Slack: slack})
+	ear := &runner.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
 	r.traffic = world.NewTraffic(s.Asks())
-	r.fleet = records.New(outcome.FleetsBook, r.log.Note, isOrigin)
+	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
 	if s.Fleet.Warm {
 		r.warm()
 	}
@@ -97,17 +97,17 @@
 			}
 		}
 		r.nodes = append(r.nodes, n)
-		n.start(policy.CompleteUpdate, course.Entries(r.world))
+		n.start(policy.CompleteUpdate, runner.Entries(r.world))
 	}
-	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, course.Entries(r.world))
-	r.course = course.Play(s, r.world, r.traffic, epoch, r)
+	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, runner.Entries(r.world))
+	r.course = runner.Play(s, r.world, r.traffic, epoch, r)
 	r.arrive(r.traffic.Next(r.now))
 	end := epoch.Add(s.Long() + terms.LongestDeadline + settle)
 	if err := r.run(end); err != nil {
 		return nil, nil, err
 	}
 	r.judge.Advance(end)
-	return outcome.Draw(s, "virtual", name, r.world, r.judge, r.log, r.course.First, r.course.Last), r, nil
+	return report.Draw(s, "virtual", name, r.world, r.judge, r.log, r.course.First, r.course.Last), r, nil
 }
 
 // run plays what is due up to an instant. The world's own events and the queue's are taken by time, the world's first.
@@ -151,7 +151,7 @@
 }
 
 func (r *Simulation) clientWay() time.Duration {
-	return r.jittered(script.Span(r.script.Network.ClientMs / 1000))
+	return r.jittered(scenario.Span(r.script.Network.ClientMs / 1000))
 }
 
 func (r *Simulation) way(n *node, server int) time.Duration {
@@ -159,7 +159,7 @@
 	if zone := r.world.Servers[server].Zone; zone != "" && zone != n.terms.Policy.Zone {
 		ms = r.script.Network.CrossZoneMs
 	}
-	return r.jittered(script.Span(ms / 1000))
+	return r.jittered(scenario.Span(ms / 1000))
 }
 
 // late is by how much a new connection to a cache comes up late.
@@ -168,13 +168,13 @@
 	if n.LateShare == 0 || r.world.IsOrigin(server) || r.chance.Float64() >= n.LateShare {
 		return 0
 	}
-	return time.Duration(r.chance.Float64() * float64(script.Span(n.LateMs/1000)))
+	return time.Duration(r.chance.Float64() * float64(scenario.Span(n.LateMs/1000)))
 }
 
 // warm puts keys where the decider's own kind would send them.
 func (r *Simulation) warm() {
 	d := r.make(r.now, r.script.Seed, r.terms.Policy)
-	d.UpdateEndpoints(r.now, policy.CompleteUpdate, course.Entries(r.world))
+	d.UpdateEndpoints(r.now, policy.CompleteUpdate, runner.Entries(r.world))
 	world.WarmBy(r.world, d.Route, r.now, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
@@ -238,13 +238,13 @@
 		return
 	}
 	if r.registry.Bounded() {
-		r.after(script.Span(r.script.Discovery.NoticeS[0]), func() { r.publish(e) })
+		r.after(scenario.Span(r.script.Discovery.NoticeS[0]), func() { r.publish(e) })
 		return
 	}
 	first := time.Duration(math.MaxInt64)
 	for _, n := range r.nodes {
 		span := r.script.Discovery.NoticeS
-		late := script.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
+		late := scenario.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
 		first = min(first, late)
 		life := n.life
 		r.after(late, func() {
@@ -290,13 +290,13 @@
 // PauseNode does nothing, as all that concerns processes or what is between them: a script with it is refused.
 func (r *Simulation) PauseNode(int, bool) {}
 
-func (r *Simulation) HangNode(int, bool)                   {}
-func (r *Simulation) CrowdNode(int, int, policy.Instant)   {}
-func (r *Simulation) StallClients(int, int)                {}
-func (r *Simulation) ReloadNode(int, int)                  {}
-func (r *Simulation) FreezeNode(int, time.Duration)        {}
-func (r *Simulation) TwinNode(int)                         {}
-func (r *Simulation) Between(int, int, func(*between.Way)) {}
+func (r *Simulation) HangNode(int, bool)                    {}
+func (r *Simulation) CrowdNode(int, int, policy.Instant)    {}
+func (r *Simulation) StallClients(int, int)                 {}
+func (r *Simulation) ReloadNode(int, int)                   {}
+func (r *Simulation) FreezeNode(int, time.Duration)         {}
+func (r *Simulation) TwinNode(int)                          {}
+func (r *Simulation) Between(int, int, func(*netfault.Way)) {}
 
 // StartNode starts it anew: it has its last list, and hears the whole one soon after.
 func (r *Simulation) StartNode(number int) {
@@ -312,8 +312,8 @@
 	if r.registry.Bounded() {
 		return // it calls by itself
 	}
-	entries, life := course.Entries(r.world), n.life
-	r.after(script.Span(r.script.Discovery.NoticeS[0]), func() {
+	entries, life := runner.Entries(r.world), n.life
+	r.after(scenario.Span(r.script.Discovery.NoticeS[0]), func() {
 		if n.life == life && r.upList {
 			n.hear(policy.CompleteUpdate, entries)
 		}
--- a/internal/emulator/virtual/virtual_test.go
+++ b/internal/emulator/simulation/virtual_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"encoding/json"
@@ -7,29 +7,29 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/baselines"
-	"dahliapin/internal/emulator/outcome"
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/host"
-	"dahliapin/internal/records"
+	"dahliapin/internal/emulator/baselines"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/proxy/eventlog"
 	"dahliapin/policy"
 	"dahliapin/rehearsals"
 )
 
-func load(t testing.TB, name string) *script.Scenario {
+func load(t testing.TB, name string) *scenario.Scenario {
 	t.Helper()
 	text, ok := rehearsals.Text(name)
 	if !ok {
 		t.Fatalf("no rehearsal %q", name)
 	}
-	s, err := script.Parse(name, text)
+	s, err := scenario.Parse(name, text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func play(t testing.TB, s *script.Scenario, name string, m Maker) *outcome.Report {
+func play(t testing.TB, s *scenario.Scenario, name string, m Maker) *report.Report {
 	t.Helper()
 	r, _, err := Play(s, name, m)
 	if err != nil {
@@ -84,9 +84,9 @@
 	text := func(seed int64) string {
 		s := load(t, "moves")
 		s.Seed, s.Seconds, s.Fleet.Nodes = seed, 38, 3
-		s.Discovery.WatchMs, s.Discovery.WholeMs, s.Discovery.BacklogMs = 30, 60, 40                     // calls wait, and some are refused
-		s.Events = append(s.Events, script.Event{AtS: 9, Do: "silent", Caches: []string{"c1"}, ForS: 2}, // each break sorts legs
-			script.Event{AtS: 12, Do: "node_kill", Nodes: []int{2}, ForS: 1})
+		s.Discovery.WatchMs, s.Discovery.WholeMs, s.Discovery.BacklogMs = 30, 60, 40                       // calls wait, and some are refused
+		s.Events = append(s.Events, scenario.Event{AtS: 9, Do: "silent", Caches: []string{"c1"}, ForS: 2}, // each break sorts legs
+			scenario.Event{AtS: 12, Do: "node_kill", Nodes: []int{2}, ForS: 1})
 		r := play(t, s, "module", Module)
 		a, err := json.Marshal(r)
 		b, bad := json.Marshal(r.Records)
@@ -116,12 +116,12 @@
 		s := load(t, "slow-quarter")
 		s.Seed = seed + 100
 		r := play(t, s, "module", Module)
-		c2, c5, c9 := r.FirstOf("c2", records.EndpointAvoided), r.FirstOf("c5", records.EndpointAvoided), r.FirstOf("c9", records.EndpointAvoided)
+		c2, c5, c9 := r.FirstOf("c2", eventlog.EndpointAvoided), r.FirstOf("c5", eventlog.EndpointAvoided), r.FirstOf("c9", eventlog.EndpointAvoided)
 		if c2 < 15 || c2 > 20 || c5 < 15 || c5 > 25 || c9 >= 0 && c9 < min(c2, c5) {
 			t.Errorf("seed %d: c2 (9 times slower) at %v, c5 (6) at %v, c9 (3) at %v", s.Seed, c2, c5, c9)
 		}
 		for _, e := range r.Records {
-			if slow := e.Server == "c2" || e.Server == "c5" || e.Server == "c9"; e.Kind == records.EndpointAvoided && e.Node == outcome.FleetsBook && !slow {
+			if slow := e.Server == "c2" || e.Server == "c5" || e.Server == "c9"; e.Kind == eventlog.EndpointAvoided && e.Node == report.FleetsBook && !slow {
 				t.Errorf("seed %d: %v", s.Seed, e)
 			}
 		}
@@ -130,7 +130,7 @@
 
 // wrong is a decider that breaks one rule; the host carries out what it says.
 type wrong struct {
-	host.Decider
+	dispatch.Decider
 	how string
 	r   policy.Settings
 	ids []policy.EndpointID
@@ -172,11 +172,11 @@
 		s := load(t, "moves")
 		s.Seconds, s.Fleet.Nodes, s.Allowed.Hedging = 24, 1, false
 		s.Classes[2].Effect, s.Classes[2].WindowS = "irreversible", 0
-		s.Events = []script.Event{{AtS: 3, Do: "drain", Caches: []string{"c4"}, ForS: 9}, {AtS: 5, Do: "add", Count: 1}}
+		s.Events = []scenario.Event{{AtS: 3, Do: "drain", Caches: []string{"c4"}, ForS: 9}, {AtS: 5, Do: "add", Count: 1}}
 		if how == "to one that drains" {
 			s.Events[0].Caches = []string{"c1"}
 		}
-		r := play(t, s, how, func(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
+		r := play(t, s, how, func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
 			return &wrong{Decider: policy.New(now, seed, rules), how: how, r: rules}
 		})
 		if rule == 0 && r.Rules != [4]uint64{} || rule > 0 && r.Rules[rule-1] == 0 {
@@ -195,12 +195,12 @@
 	sixty, silent, rare := load(t, "join"), load(t, "herd"), load(t, "join")
 	sixty.Fleet.FallMultiple, sixty.Fleet.FallS, sixty.Seconds = 1.5, 0.3, 16
 	sixty.Traffic.PerSecond, sixty.Origin.Cores, sixty.Origin.StallAt, sixty.Fleet.ColdFrom = 1500, 60, 400, 0.05
-	sixty.Events = []script.Event{{AtS: 6, Do: "add", Count: 60}}
-	silent.Events = []script.Event{{AtS: 7, Do: "discovery_down", ForS: 10}, {AtS: 8, Do: "node_kill", Part: 0.99}}
+	sixty.Events = []scenario.Event{{AtS: 6, Do: "add", Count: 60}}
+	silent.Events = []scenario.Event{{AtS: 7, Do: "discovery_down", ForS: 10}, {AtS: 8, Do: "node_kill", Part: 0.99}}
 	rare.Traffic.PerSecond, rare.Seconds = 110, 60
-	rare.Events = []script.Event{{AtS: 5, Do: "errors", Caches: []string{"c9"}, Share: 1, ForS: 30}}
+	rare.Events = []scenario.Event{{AtS: 5, Do: "errors", Caches: []string{"c9"}, Share: 1, ForS: 30}}
 	for name, c := range map[string]struct {
-		s             *script.Scenario
+		s             *scenario.Scenario
 		calls, inVain int
 	}{"sixty": {sixty, 300, 400}, "silent": {silent, 200, 250}, "rare": {rare, 100, 10}} {
 		r := play(t, c.s, "module", Module)
@@ -219,7 +219,7 @@
 }
 
 // loops asks again at once, for ever.
-type loops struct{ host.Decider }
+type loops struct{ dispatch.Decider }
 
 func (loops) Route(now policy.Instant, r *policy.Request) policy.Decision {
 	return policy.Decision{ReviewAt: now}
@@ -227,7 +227,7 @@
 
 // A decider that never comes to an end is told as such; a run that hung would tell nothing.
 func TestADeciderThatLoopsIsTold(t *testing.T) {
-	_, _, err := Play(load(t, "moves"), "loops", func(now policy.Instant, seed int64, rules policy.Settings) host.Decider {
+	_, _, err := Play(load(t, "moves"), "loops", func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
 		return loops{policy.New(now, seed, rules)}
 	})
 	if err == nil || !strings.Contains(err.Error(), "loops") {
@@ -245,7 +245,7 @@
 		s := load(t, "bad-wires")
 		s.Traffic.PerSecond = 200
 		s.Classes[2].Scope = "group"
-		s.Events = append(s.Events, script.Event{AtS: 10, Do: "drain", Caches: []string{"c2"}, ForS: 3})
+		s.Events = append(s.Events, scenario.Event{AtS: 10, Do: "drain", Caches: []string{"c2"}, ForS: 3})
 		r := play(t, s, name, Maker(m))
 		if r.Rules != [4]uint64{} || r.Gain < 0.9 {
 			t.Errorf("%s: %v %v %v", name, r.Rules, r.Gain, r.Breaches)
@@ -257,8 +257,8 @@
 }
 
 // Size is a fleet as grown: few requests a second at each of many nodes.
-func size(nodes, caches int, perSecond, seconds float64) *script.Scenario {
-	s, err := script.Parse("size", fmt.Appendf(nil, `
+func size(nodes, caches int, perSecond, seconds float64) *scenario.Scenario {
+	s, err := scenario.Parse("size", fmt.Appendf(nil, `
 seconds = %g
 [fleet]
 nodes = %d
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/deadlines"
+	"dahliapin/internal/timerqueue"
 	"dahliapin/policy"
 )
 
@@ -50,7 +50,7 @@
 	ErrorRate    float64
 }
 
-// Grade is what the world must know of a service grade.
+// Class is what the world must know of a service grade.
 type Class struct {
 	policy.ServiceClass
 	Name     string
@@ -104,7 +104,7 @@
 	Through
 )
 
-// Hearer hears what really happened, whatever a router says of it.
+// Observer hears what really happened, whatever a router says of it.
 type Observer interface {
 	Effect(now policy.Instant, request, label string, grade int, server policy.EndpointID)
 	Fell(now policy.Instant, server policy.EndpointID, why string)
@@ -121,7 +121,7 @@
 	Hearer  Observer
 }
 
-// Life is how a server lives.
+// Liveness is how a server lives.
 type Liveness int
 
 const (
@@ -162,10 +162,10 @@
 	Servers  []*Server // the origin last, where there is one
 	byID     map[policy.EndpointID]int
 	chance   keyhash.Source
-	due      deadlines.Queue[wake]
+	due      timerqueue.Queue[wake]
 	meanWork time.Duration    // of a request at a cache of speed 1
 	missed   map[string][]int // by request: the caches that lacked its key
-	forget   deadlines.Queue[string]
+	forget   timerqueue.Queue[string]
 	written  uint64 // version of values
 	now      policy.Instant
 	Ramped   float64            // the most that came to a cold cache, as a share of what makes it fall over
--- a/internal/ports/ports.go
+++ b/internal/freeport/ports.go
@@ -1,6 +1,6 @@
 // Package ports finds addresses for rigs and tests whose processes have to be told beforehand where to listen, as others are told it too or as
 // they come back there. Who can, listens on port 0 instead.
-package ports
+package freeport
 
 import (
 	"fmt"
--- a/internal/ports/ports_test.go
+++ b/internal/freeport/ports_test.go
@@ -1,4 +1,4 @@
-package ports
+package freeport
 
 import (
 	"net"
--- a/internal/tally/tally.go
+++ b/internal/histogram/tally.go
@@ -1,5 +1,5 @@
 // Package tally keeps times in small histograms with few coarse bins.
-package tally
+package histogram
 
 import (
 	"math/bits"
@@ -15,12 +15,12 @@
 // Histogram counts times by size.
 type Histogram [bins]uint32
 
-// Add counts one time.
+// Observe counts one time.
 func (h *Histogram) Observe(d time.Duration) {
 	h[min(bins-1, bits.Len64(uint64(max(0, d)/FirstBin)))]++
 }
 
-// Halve lets what is old count for less, as long as enough is left to say something.
+// Decay lets what is old count for less, as long as enough is left to say something.
 func (h *Histogram) Decay() {
 	if h.total() < 2*known {
 		return
@@ -53,7 +53,7 @@
 	return low
 }
 
-// Above returns about how many times were longer than d.
+// CountAbove returns about how many times were longer than d.
 func (h *Histogram) CountAbove(d time.Duration) (n float64) {
 	low := time.Duration(0)
 	for i, c := range h {
--- a/internal/keeping/keeping.go
+++ b/internal/idletimeout/keeping.go
@@ -1,11 +1,11 @@
 // Package keeping decides how long a node keeps a connection to a cache that nobody uses. It does no I/O; the sockets and virtual
 // time both go by it.
-package keeping
+package idletimeout
 
 import (
 	"time"
 
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -16,12 +16,12 @@
 	regain = 10 * time.Second // in which it doubles while none is
 )
 
-// Span is how long idle connections are kept. A cache holds so many connections, which all nodes share without seeing each
+// Timeout is how long idle connections are kept. A cache holds so many connections, which all nodes share without seeing each
 // other: those that keep theirs for long, for a leg in some seconds, leave none to the others, which dial and probe in vain.
 type Timeout struct {
 	stated time.Duration
 	times  float64 // shorter than stated
-	at     policy.Instant
+	at     monotime.Instant
 }
 
 // New makes the span under a stated idle limit; 0 for none.
@@ -33,23 +33,23 @@
 	return s
 }
 
-// Full tells that a cache had no room for a connection, though it lives: another connection to it is up. It tells nothing
+// OnServerFull tells that a cache had no room for a connection, though it lives: another connection to it is up. It tells nothing
 // of a cache that refuses while it is down. It tells whether the span is shorter for it.
-func (s *Timeout) OnServerFull(now policy.Instant) bool {
+func (s *Timeout) OnServerFull(now monotime.Instant) bool {
 	s.fade(now)
 	before := s.times
 	s.times, s.at = min(s.times*shrink, max(1, float64(s.stated)/float64(least))), now
 	return s.times > before
 }
 
-// Now is the span as it is.
-func (s *Timeout) Current(now policy.Instant) time.Duration {
+// Current is the span as it is.
+func (s *Timeout) Current(now monotime.Instant) time.Duration {
 	s.fade(now)
 	return time.Duration(float64(s.stated) / s.times)
 }
 
 // fade lets it grow back by whole steps of time, so that it does not matter how often it is asked.
-func (s *Timeout) fade(now policy.Instant) {
+func (s *Timeout) fade(now monotime.Instant) {
 	for ; s.times > 1 && now.Since(s.at) >= regain; s.at = s.at.Add(regain) {
 		s.times = max(1, s.times/shrink)
 	}
--- a/internal/keyhash/keyhash.go
+++ b/internal/keyhash/keyhash.go
@@ -20,7 +20,7 @@
 // Salt spreads a salt's number over all bits: Salted(h, n) is Mix(h ^ Salt(n)), for who hashes much by the same salts.
 func Salt(n int) uint64 { return Mix(uint64(n+1) * 0x9e3779b97f4a7c15) }
 
-// Text hashes a name (FNV-1a, mixed).
+// String hashes a name (FNV-1a, mixed).
 func String(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -32,7 +32,7 @@
 // Source draws numbers from a seed and a counter.
 type Source struct{ Seed, drawn uint32 }
 
-// Next returns a number from 0 up to 1. Without the mix, CRC32 being linear, draws that follow a low one
+// Float64 returns a number from 0 up to 1. Without the mix, CRC32 being linear, draws that follow a low one
 // are not chance: a door of 15% that draws thrice more for each one let in would let in 10%.
 func (s *Source) Float64() float64 {
 	var b [8]byte
--- a/internal/load/load.go
+++ b/internal/loadgen/load.go
@@ -1,7 +1,7 @@
 // Package load asks a node, or anything that speaks its protocol, at a stated rate, and tells what came. It is open loop:
 // a try goes out at its time whether or not earlier ones have been answered, and its time counts from when it was due, not
 // from when it could be sent, so that a stall is felt by all that fell due in it (corrected for coordinated omission).
-package load
+package loadgen
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"dahliapin/internal/emulator/checker"
 	"dahliapin/internal/emulator/client"
-	"dahliapin/internal/emulator/judge"
 	"dahliapin/internal/emulator/world"
 	"dahliapin/policy"
 )
@@ -26,7 +26,7 @@
 	yieldsUnder               = 300 * time.Microsecond                         // timers wake up to a millisecond late: the rest is waited for awake
 )
 
-// Grade is what one grade got.
+// Class is what one grade got.
 type Class struct {
 	Name                          string
 	Asked, Satisfied, InTime      int64
@@ -103,7 +103,7 @@
 	switch {
 	case got.Silent:
 		g.Silent++
-	case got.Final == judge.Satisfied:
+	case got.Final == checker.Satisfied:
 		g.Satisfied++
 		took := got.Got.Sub(due)
 		if took <= soft {
@@ -111,9 +111,9 @@
 		}
 		_ = g.Took.RecordValue(min(max(int64(took), shortest), longest)) // within its bounds it can't fail
 		_ = g.Bare.RecordValue(min(max(int64(got.Got.Sub(got.Sent)), shortest), longest))
-	case got.Final == judge.Rejected:
+	case got.Final == checker.Rejected:
 		g.Rejected++
-	case got.Final == judge.Cut:
+	case got.Final == checker.Cut:
 		g.Cut++
 	default:
 		g.Failed++
--- a/internal/load/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
--- a/internal/fleet/members/book.go
+++ b/internal/membership/book.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 
 	"dahliapin/internal/keyhash"
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 // rules are what a process goes by; tests break them one at a time.
@@ -24,7 +24,7 @@
 // sound are the rules as they are.
 var sound = rules{observers: 2, majority: true, doubts: true, freezes: true, runs: true, turns: true}
 
-// Book is one process's knowledge of the fleet.
+// Detector is one process's knowledge of the fleet.
 type Detector struct {
 	rules
 	terms  Config
@@ -38,8 +38,8 @@
 	seeds  []string
 	chance keyhash.Source
 
-	last  policy.Instant // look, by the clock
-	ran   time.Duration  // that the process has run: what all spans are measured by
+	last  monotime.Instant // look, by the clock
+	ran   time.Duration    // that the process has run: what all spans are measured by
 	began bool
 
 	ring      []*peer // neighbours
@@ -105,7 +105,7 @@
 
 func (p *peer) sum() uint64 { return keyhash.Mix(uint64(p.Process) ^ keyhash.Mix(uint64(p.Revision))) }
 
-// Own is the process's statement, and whether it is new since this was last asked.
+// OwnStatement is the process's statement, and whether it is new since this was last asked.
 func (b *Detector) OwnStatement() (s Statement, isNew bool) {
 	isNew, b.unsaid = b.unsaid, false
 	return b.own.Statement, isNew
@@ -114,20 +114,20 @@
 // View is the latest.
 func (b *Detector) View() *View { return b.view }
 
-// Verdict tells why this process is to end: another one has its name. Nil while it is not.
+// NameConflict tells why this process is to end: another one has its name. Nil while it is not.
 func (b *Detector) NameConflict() error { return b.verdict }
 
-// Known counts the processes.
+// KnownCount counts the processes.
 func (b *Detector) KnownCount() int { return len(b.all) }
 
-// Turned tells how often the loop that serves clients has turned.
+// LoopAdvanced tells how often the loop that serves clients has turned.
 func (b *Detector) LoopAdvanced(turns uint64) {
 	if turns != b.turned {
 		b.turned, b.turnedAt = turns, b.ran
 	}
 }
 
-// Told takes a statement, however it came, and tells whether it was news.
+// Merge takes a statement, however it came, and tells whether it was news.
 func (b *Detector) Merge(s Statement) bool {
 	if !s.valid() {
 		return false
@@ -172,7 +172,7 @@
 	}
 }
 
-// Heard takes a sign of life.
+// OnHeartbeat takes a sign of life.
 func (b *Detector) OnHeartbeat(h Heartbeat) {
 	if h.Process == b.own.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
 		return
@@ -217,7 +217,7 @@
 	}
 }
 
-// Todo is what is to be sent now.
+// Actions is what is to be sent now.
 type Actions struct {
 	Hello   Heartbeat
 	Hellos  []string // addresses
@@ -226,8 +226,8 @@
 	Sync    string   // address; empty for none
 }
 
-// Look does what is due. It is to be called several times between two signs of life.
-func (b *Detector) Tick(now policy.Instant) (do Actions) {
+// Tick does what is due. It is to be called several times between two signs of life.
+func (b *Detector) Tick(now monotime.Instant) (do Actions) {
 	if !b.began {
 		b.began, b.last = true, now
 	}
@@ -511,7 +511,7 @@
 	b.say()
 }
 
-// Return takes that back.
+// Rejoin takes that back.
 func (b *Detector) Rejoin() {
 	if b.own.Leaving || b.own.YieldsName {
 		b.own.Leaving, b.own.YieldsName, b.reordered = false, false, true
--- a/internal/fleet/members/book_test.go
+++ b/internal/membership/book_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
--- a/internal/fleet/members/export_test.go
+++ b/internal/membership/export_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // Break has a book go by other rules, to see that the judge catches it.
 func Break(b *Detector, observers int, majority, doubts, freezes, runs, turns bool) {
--- a/internal/net/fleet/fleet.go
+++ b/internal/membership/gossip/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet joins a node to the others of its fleet: it keeps the sockets between them, lets the gossip library carry what members
 // say of themselves and of each other, and hands out what the fleet knows as a copy that anybody may read. It runs beside the
 // node's loop, which never waits for it.
-package fleet
+package gossip
 
 import (
 	"crypto/rand"
@@ -21,10 +21,10 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fleet/members"
-	"dahliapin/internal/fleet/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/membership"
+	"dahliapin/internal/membership/trace"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -42,20 +42,20 @@
 	exchangeFrom = 32               // members, from which on the library makes them rarer, and datagrams are read at looks
 )
 
-// Berth is where and with what a node joins.
+// Config is where and with what a node joins.
 type Config struct {
 	Name           string
-	FleetConfig    *charter.File
+	FleetConfig    *fleetconfig.File
 	Log            *logrus.Logger
-	Now            func() policy.Instant // by a clock that runs through suspends
-	Trace          func([]byte)          // told each line of what is done here, off the loop; nil for nobody
-	OnNameConflict func(error)           // told once that this process is to end, as another has its name; nil for nobody
+	Now            func() monotime.Instant // by a clock that runs through suspends
+	Trace          func([]byte)            // told each line of what is done here, off the loop; nil for nobody
+	OnNameConflict func(error)             // told once that this process is to end, as another has its name; nil for nobody
 }
 
-// Post is one node's part in the fleet.
+// Node is one node's part in the fleet.
 type Node struct {
 	Config
-	process members.ProcessID
+	process membership.ProcessID
 	t       *transport
 	list    *memberlist.Memberlist
 	trace   *tracer
@@ -66,15 +66,15 @@
 	turns   atomic.Uint64
 	known   atomic.Int64
 	bad     atomic.Uint64 // messages that could not be read
-	view    atomic.Pointer[members.View]
+	view    atomic.Pointer[membership.View]
 	stance  atomic.Int32 // what this process is to be to the others
 	once    sync.Once
 
 	mu    sync.Mutex
-	book  *members.Detector
-	raw   map[members.ProcessID]heldWord // statements as they came
-	held  map[uint64]bool                // their sums: each comes many times
-	there []string                       // names of members, as the library has them
+	book  *membership.Detector
+	raw   map[membership.ProcessID]heldWord // statements as they came
+	held  map[uint64]bool                   // their sums: each comes many times
+	there []string                          // names of members, as the library has them
 	ended bool
 	looks int // by its one goroutine
 }
@@ -99,11 +99,11 @@
 		lines.close()
 		return nil, err
 	}
-	p := &Node{Config: b, process: members.ProcessID(binary.LittleEndian.Uint64(id[:]) | 1), closed: make(chan struct{}), trace: newTracer(b.Trace),
-		syncs: make(chan string, 1), raw: map[members.ProcessID]heldWord{}, held: map[uint64]bool{}}
+	p := &Node{Config: b, process: membership.ProcessID(binary.LittleEndian.Uint64(id[:]) | 1), closed: make(chan struct{}), trace: newTracer(b.Trace),
+		syncs: make(chan string, 1), raw: map[membership.ProcessID]heldWord{}, held: map[uint64]bool{}}
 	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmit, NumNodes: func() int { return int(p.known.Load()) }}
 	m := &b.FleetConfig.Members
-	p.book = members.New(members.NewConfig(m.Pause(), m.Hello(), m.Back(), m.Loop(), m.Forget(), m.MaxMembers), p.process, members.NodeName(b.Name),
+	p.book = membership.New(membership.NewConfig(m.Pause(), m.Hello(), m.Back(), m.Loop(), m.Forget(), m.MaxMembers), p.process, membership.NodeName(b.Name),
 		at.String(), b.FleetConfig.Fleet.Seeds)
 	p.view.Store(p.book.View())
 	ways := map[string]string{}
@@ -119,7 +119,7 @@
 	p.done.Add(2)
 	go p.joining()
 	go p.syncing()
-	if b.FleetConfig.Fleet.Engine != charter.Plain {
+	if b.FleetConfig.Fleet.Engine != fleetconfig.Plain {
 		p.done.Add(1)
 		go p.looking()
 	}
@@ -133,7 +133,7 @@
 	c.Transport, c.Events, c.Delegate, c.SecretKey = p.t, p, delegate{p}, p.FleetConfig.Fleet.KeyBytes()
 	c.UDPBufferSize = longestDatagram - prefaceLen
 	c.Logger = stdlog.New(io.Discard, "", 0)
-	if p.FleetConfig.Fleet.Engine == charter.Tuned {
+	if p.FleetConfig.Fleet.Engine == fleetconfig.Tuned {
 		tune(c)
 	}
 	return c
@@ -150,7 +150,7 @@
 	c.GossipToTheDeadTime, c.TCPTimeout = time.Minute, streamBy
 }
 
-// ExchangeEach is how often a node begins an exchange of all that is known, in a fleet of so many.
+// PushPullInterval is how often a node begins an exchange of all that is known, in a fleet of so many.
 func PushPullInterval(members int) time.Duration {
 	each := exchangeEach
 	for n := exchangeFrom; n < members; n *= 2 {
@@ -251,7 +251,7 @@
 	}
 }
 
-func (p *Node) send(h members.Heartbeat, to []string) {
+func (p *Node) send(h membership.Heartbeat, to []string) {
 	if len(to) == 0 {
 		return
 	}
@@ -275,11 +275,11 @@
 }
 
 // forget drops the words of those who are known no more; the lock is held.
-func (p *Node) forget(v *members.View) {
+func (p *Node) forget(v *membership.View) {
 	if len(p.raw) <= p.book.KnownCount() {
 		return
 	}
-	is := map[members.ProcessID]bool{p.process: true}
+	is := map[membership.ProcessID]bool{p.process: true}
 	for _, m := range v.Members {
 		is[m.Process] = true
 	}
@@ -300,7 +300,7 @@
 var sums = maphash.MakeSeed()
 
 // hold keeps a process's last word; the lock is held.
-func (p *Node) hold(of members.ProcessID, b []byte) {
+func (p *Node) hold(of membership.ProcessID, b []byte) {
 	delete(p.held, p.raw[of].sum)
 	p.raw[of] = heldWord{b, maphash.Bytes(sums, b)}
 	p.held[p.raw[of].sum] = true
@@ -314,7 +314,7 @@
 	return p.held[sum]
 }
 
-func (p *Node) changed(was, is *members.View) {
+func (p *Node) changed(was, is *membership.View) {
 	l := trace.Line{What: trace.View, Number: is.Number, Mark: fmt.Sprintf("%016x", is.Mark), Cut: is.CutOff}
 	for _, n := range is.Nodes {
 		l.Members = append(l.Members, string(n))
@@ -325,7 +325,7 @@
 }
 
 // less are those of some names that others lack; both are in order.
-func less(of, than []members.NodeName) (rest []members.NodeName) {
+func less(of, than []membership.NodeName) (rest []membership.NodeName) {
 	for _, n := range of {
 		for len(than) > 0 && than[0] < n {
 			than = than[1:]
@@ -349,13 +349,13 @@
 	p.book.OnHeartbeat(h)
 }
 
-// Turned tells that the loop which serves clients has turned. It may be called from anywhere, and waits for nothing.
+// LoopAdvanced tells that the loop which serves clients has turned. It may be called from anywhere, and waits for nothing.
 func (p *Node) LoopAdvanced() { p.turns.Add(1) }
 
 // View is who is there, as it was last known.
-func (p *Node) View() *members.View { return p.view.Load() }
+func (p *Node) View() *membership.View { return p.view.Load() }
 
-// Stance is what a process is to the others.
+// Presence is what a process is to the others.
 type Presence int32
 
 const (
@@ -364,7 +364,7 @@
 	Yielding          // it ends, and its name goes to the process that takes its place
 )
 
-// Stand has it be that, at the next look. It may be called from anywhere, and waits for nothing.
+// SetPresence has it be that, at the next look. It may be called from anywhere, and waits for nothing.
 func (p *Node) SetPresence(s Presence) { p.stance.Store(int32(s)) }
 
 // stand tells the others of a stance that has changed; the lock is held.
@@ -382,7 +382,7 @@
 
 // word is a statement on its way.
 type word struct {
-	of   members.ProcessID
+	of   membership.ProcessID
 	text []byte
 }
 
--- a/internal/net/fleet/fleet_test.go
+++ b/internal/membership/gossip/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fleet/members"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/membership"
 )
 
 func quiet() *logrus.Logger {
@@ -22,7 +22,7 @@
 }
 
 // posts opens some that know one another by the first's address.
-func posts(t *testing.T, n int, change func(*charter.File)) (ps []*Node) {
+func posts(t *testing.T, n int, change func(*fleetconfig.File)) (ps []*Node) {
 	t.Helper()
 	seed := ""
 	for i := range n {
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := charter.Default()
+		f := fleetconfig.Default()
 		f.Members.HelloMs, f.Members.PauseS, f.Members.BackS = 50, 0.4, 0.3
 		f.Fleet.Advertise = lines.Datagrams.LocalAddr().String()
 		if i == 0 {
@@ -83,7 +83,7 @@
 
 // Three on sockets come to one view; one that leaves in order is out of it, and what is foreign is dropped with a count and harms nobody.
 func TestPostsJoinLeaveAndDropWhatIsForeign(t *testing.T) {
-	ps := posts(t, 3, func(f *charter.File) { f.Fleet.Key = "MDEyMzQ1Njc4OWFiY2RlZg==" })
+	ps := posts(t, 3, func(f *fleetconfig.File) { f.Fleet.Key = "MDEyMzQ1Njc4OWFiY2RlZg==" })
 	within(t, "all know all", all(ps, 3))
 	at := ps[0].FleetConfig.Fleet.Advertise
 	c, err := net.Dial("udp", at)
@@ -185,13 +185,13 @@
 
 // Whatever comes is read or refused, and what is read is written the same again.
 func FuzzMessages(f *testing.F) {
-	s := members.Statement{Process: 7, Node: "n1", Incarnation: 2, Revision: 9, Addr: "10.0.0.1:7946", SelfDoubt: true, Hears: []members.ProcessID{8}, Misses: []members.ProcessID{9}}
+	s := membership.Statement{Process: 7, Node: "n1", Incarnation: 2, Revision: 9, Addr: "10.0.0.1:7946", SelfDoubt: true, Hears: []membership.ProcessID{8}, Misses: []membership.ProcessID{9}}
 	one, err := encodeStatement(s)
 	if err != nil {
 		f.Fatal(err)
 	}
 	state, _ := encodeState([][]byte{one, one})
-	hello, _ := encodeHello(members.Heartbeat{Process: 7, Revision: 9, Digest: 1, Addr: "[::1]:1"})
+	hello, _ := encodeHello(membership.Heartbeat{Process: 7, Revision: 9, Digest: 1, Addr: "[::1]:1"})
 	for _, b := range [][]byte{one, state, hello, {}, {0xbf}, {0xa1, 0x00, 0x01}, {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
 		f.Add(b)
 	}
@@ -214,7 +214,7 @@
 
 // A field that an older node does not know is passed over, and goes on to others as it came.
 func TestUnknownFieldsArePassedOver(t *testing.T) {
-	one, err := encodeStatement(members.Statement{Process: 7, Node: "n1", Revision: 9, Addr: "10.0.0.1:7946"})
+	one, err := encodeStatement(membership.Statement{Process: 7, Node: "n1", Revision: 9, Addr: "10.0.0.1:7946"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +240,7 @@
 		t.Fatal(err)
 	}
 	defer mute.Close()
-	p := posts(t, 1, func(f *charter.File) {
+	p := posts(t, 1, func(f *fleetconfig.File) {
 		f.Fleet.Seeds = []string{mute.Addr().String(), mute.Addr().String(), mute.Addr().String()}
 	})[0]
 	time.Sleep(50 * time.Millisecond) // the call to the first is under way
--- a/internal/net/fleet/flows.go
+++ b/internal/membership/gossip/flows.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"net"
@@ -16,7 +16,7 @@
 
 var flowNames = [flowKinds]string{"hellos", "statements", "gossip", "streams"}
 
-// Flow is what one kind of message has taken of the sockets until now. Of hellos and gossip the messages are datagrams, of streams
+// TrafficStats is what one kind of message has taken of the sockets until now. Of hellos and gossip the messages are datagrams, of streams
 // connections; statements are counted each, and the datagrams that carry them are those of gossip.
 type TrafficStats struct {
 	Name     string `json:"name"`
@@ -38,7 +38,7 @@
 	t.outBytes.Add(uint64(bytes))
 }
 
-// Flows are all kinds.
+// Traffic are all kinds.
 func (p *Node) Traffic() []TrafficStats {
 	all := make([]TrafficStats, flowKinds)
 	for kind := range all { // statements first: they are never more than the gossip that carries them
--- a/internal/net/fleet/less_test.go
+++ b/internal/membership/gossip/less_test.go
@@ -1,15 +1,15 @@
-package fleet
+package gossip
 
 import (
 	"fmt"
 	"testing"
 
-	"dahliapin/internal/fleet/members"
+	"dahliapin/internal/membership"
 )
 
 // Who came and who went is told by name, whichever list ends first.
 func TestWhoCameAndWent(t *testing.T) {
-	type names = []members.NodeName
+	type names = []membership.NodeName
 	for _, c := range []struct {
 		of, than names
 		want     string
@@ -27,15 +27,15 @@
 func TestWordsTakeEachOthersPlace(t *testing.T) {
 	p := posts(t, 1, nil)[0]
 	within(t, "its name is taken", func() bool { return p.View().Incarnation > 0 })
-	word := func(of members.ProcessID, revision members.Revision) []byte {
-		b, err := encodeStatement(members.Statement{Process: of, Node: members.NodeName(fmt.Sprint("x", of)), Revision: revision, Addr: "127.0.0.1:1"})
+	word := func(of membership.ProcessID, revision membership.Revision) []byte {
+		b, err := encodeStatement(membership.Statement{Process: of, Node: membership.NodeName(fmt.Sprint("x", of)), Revision: revision, Addr: "127.0.0.1:1"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
 	waits := p.queue.NumQueued()
-	for revision := range members.Revision(5) {
+	for revision := range membership.Revision(5) {
 		delegate{p}.NotifyMsg(word(7, revision+1))
 		delegate{p}.NotifyMsg(word(9, revision+1))
 	}
--- a/internal/net/fleet/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"encoding/json"
@@ -6,19 +6,19 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/fleet/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/membership/trace"
+	"dahliapin/internal/monotime"
 )
 
 const traceAhead = 4096 // lines that may wait for who keeps them; more are dropped, as nothing is to wait
 
-// Boottime reads the clock that all processes of a machine share, and that runs on through a suspend.
-func BootTime() policy.Instant {
+// BootTime reads the clock that all processes of a machine share, and that runs on through a suspend.
+func BootTime() monotime.Instant {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
 		return 0
 	}
-	return policy.Instant(t.Nano())
+	return monotime.Instant(t.Nano())
 }
 
 // tracer hands lines over without waiting. Who still has something to say after its end says it to nobody.
--- a/internal/net/fleet/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"encoding/binary"
@@ -27,7 +27,7 @@
 	longestRead     = 4 << 10                // bytes of each: over any that members send; of longer ones the rest is lost
 )
 
-// Files are the descriptors that a post may have.
+// Descriptors are the descriptors that a post may have.
 const Descriptors = 2 + streamsAtOnce + streamsOut + 1 // its sockets, and a stream that is just being refused
 
 // What stands before each datagram and stream: two bytes that are nobody else's, the version of this way of speaking, the kind, and
@@ -54,7 +54,7 @@
 	return b[3], true
 }
 
-// Lines are what datagrams and streams go over: sockets.
+// Transport are what datagrams and streams go over: sockets.
 type Transport struct {
 	Datagrams net.PacketConn
 	Streams   net.Listener
--- a/internal/net/fleet/transport_test.go
+++ b/internal/membership/gossip/transport_test.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"net"
--- a/internal/net/fleet/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -1,4 +1,4 @@
-package fleet
+package gossip
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dahliapin/internal/fleet/members"
+	"dahliapin/internal/membership"
 )
 
 // What goes between nodes is CBOR (RFC 8949), a map of numbered fields with the version first. Fields that are not known are passed
@@ -75,19 +75,19 @@
 	return at.String()
 }
 
-func encodeHello(h members.Heartbeat) ([]byte, error) {
+func encodeHello(h membership.Heartbeat) ([]byte, error) {
 	return cbor.Marshal(wireHello{wireVersion, uint64(h.Process), uint64(h.Revision), uint32(h.Digest), packAddr(h.Addr), h.SelfDoubt, h.WantsReply})
 }
 
-func decodeHello(b []byte) (members.Heartbeat, error) {
+func decodeHello(b []byte) (membership.Heartbeat, error) {
 	var w wireHello
 	if err := reading.Unmarshal(b, &w); err != nil {
-		return members.Heartbeat{}, err
+		return membership.Heartbeat{}, err
 	}
-	h := members.Heartbeat{Process: members.ProcessID(w.Process), Revision: members.Revision(w.Revision), Digest: uint64(w.Sum),
+	h := membership.Heartbeat{Process: membership.ProcessID(w.Process), Revision: membership.Revision(w.Revision), Digest: uint64(w.Sum),
 		Addr: unpackAddr(w.Addr), SelfDoubt: w.Doubts, WantsReply: w.Asks}
 	if w.Version == 0 || h.Process == 0 || h.Addr == "" {
-		return members.Heartbeat{}, errWire
+		return membership.Heartbeat{}, errWire
 	}
 	return h, nil
 }
@@ -99,25 +99,25 @@
 	return to
 }
 
-func encodeStatement(s members.Statement) ([]byte, error) {
+func encodeStatement(s membership.Statement) ([]byte, error) {
 	return cbor.Marshal(wireStatement{wireVersion, uint64(s.Process), string(s.Node), uint32(s.Incarnation), uint64(s.Revision), packAddr(s.Addr),
 		s.Leaving, s.YieldsName, s.SelfDoubt, ids[uint64](s.Hears), ids[uint64](s.Misses)})
 }
 
-func decodeStatement(b []byte) (members.Statement, error) {
+func decodeStatement(b []byte) (membership.Statement, error) {
 	var w wireStatement
 	if len(b) > longestWord {
-		return members.Statement{}, errWire
+		return membership.Statement{}, errWire
 	}
 	if err := reading.Unmarshal(b, &w); err != nil {
-		return members.Statement{}, err
+		return membership.Statement{}, err
 	}
-	if w.Version == 0 || len(w.Hears) > members.MaxNeighbours || len(w.Misses) > members.MaxNeighbours {
-		return members.Statement{}, errWire
+	if w.Version == 0 || len(w.Hears) > membership.MaxNeighbours || len(w.Misses) > membership.MaxNeighbours {
+		return membership.Statement{}, errWire
 	}
-	return members.Statement{Process: members.ProcessID(w.Process), Node: members.NodeName(w.Node), Incarnation: members.Incarnation(w.Life),
-		Revision: members.Revision(w.Revision), Addr: unpackAddr(w.Addr), Leaving: w.Leaves, YieldsName: w.Yields, SelfDoubt: w.Doubts,
-		Hears: ids[members.ProcessID](w.Hears), Misses: ids[members.ProcessID](w.Misses)}, nil
+	return membership.Statement{Process: membership.ProcessID(w.Process), Node: membership.NodeName(w.Node), Incarnation: membership.Incarnation(w.Life),
+		Revision: membership.Revision(w.Revision), Addr: unpackAddr(w.Addr), Leaving: w.Leaves, YieldsName: w.Yields, SelfDoubt: w.Doubts,
+		Hears: ids[membership.ProcessID](w.Hears), Misses: ids[membership.ProcessID](w.Misses)}, nil
 }
 
 func encodeState(raw [][]byte) ([]byte, error) {
--- a/internal/fleet/members/members_test.go
+++ b/internal/membership/members_test.go
@@ -1,4 +1,4 @@
-package members_test
+package membership_test
 
 import (
 	"flag"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/fleet/members"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/membership"
 )
 
 const sec = time.Second
@@ -52,7 +52,7 @@
 func (s *sim) noisy(loss, twice float64, late time.Duration) {
 	for a := range s.nodes {
 		for b := range s.nodes {
-			s.faults.Change(a, b, func(w *between.Way) { w.Loss, w.Twice, w.Late = loss, twice, late })
+			s.faults.Change(a, b, func(w *netfault.Way) { w.Loss, w.Twice, w.Late = loss, twice, late })
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	}},
 }
 
-func played(nodes int, seed uint32, broken func(*members.Detector), t trouble) *sim {
+func played(nodes int, seed uint32, broken func(*membership.Detector), t trouble) *sim {
 	s := newSim(nodes, seed, broken)
 	s.run(6 * sec)
 	t.play(s)
@@ -200,13 +200,13 @@
 	for _, c := range []struct {
 		name   string
 		in     string
-		breaks func(*members.Detector)
+		breaks func(*membership.Detector)
 	}{
-		{"one observer's word is enough", "one does not hear another", func(b *members.Detector) { members.Break(b, 1, false, true, true, true, true) }},
-		{"doubts nothing, stops at nothing", "halves", func(b *members.Detector) { members.Break(b, 2, true, false, false, true, true) }},
-		{"takes all others for dead", "the network down for everyone", func(b *members.Detector) { members.Break(b, 1, true, false, false, true, true) }},
-		{"measures by the clock", "stopped for more", func(b *members.Detector) { members.Break(b, 1, false, false, false, false, true) }},
-		{"gives signs of life while its loop hangs", "the loop hangs", func(b *members.Detector) { members.Break(b, 2, true, true, true, true, false) }},
+		{"one observer's word is enough", "one does not hear another", func(b *membership.Detector) { membership.Break(b, 1, false, true, true, true, true) }},
+		{"doubts nothing, stops at nothing", "halves", func(b *membership.Detector) { membership.Break(b, 2, true, false, false, true, true) }},
+		{"takes all others for dead", "the network down for everyone", func(b *membership.Detector) { membership.Break(b, 1, true, false, false, true, true) }},
+		{"measures by the clock", "stopped for more", func(b *membership.Detector) { membership.Break(b, 1, false, false, false, false, true) }},
+		{"gives signs of life while its loop hangs", "the loop hangs", func(b *membership.Detector) { membership.Break(b, 2, true, true, true, true, false) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, k := range troubles {
@@ -374,13 +374,13 @@
 
 // What no process would say is not taken.
 func TestStatementsOutOfBoundsAreNone(t *testing.T) {
-	b := members.New(terms, 7, "n1", "10.0.0.1:1", nil)
-	good := members.Statement{Process: 9, Node: "n2", Addr: "10.0.0.2:1", Revision: 3}
-	for _, bad := range []func(*members.Statement){
-		func(s *members.Statement) { s.Process = 0 }, func(s *members.Statement) { s.Node = "" }, func(s *members.Statement) { s.Addr = "" },
-		func(s *members.Statement) { s.Node = members.NodeName(make([]byte, members.MaxNameBytes+1)) },
-		func(s *members.Statement) { s.Hears = make([]members.ProcessID, members.MaxNeighbours+1) },
-		func(s *members.Statement) { s.Misses = []members.ProcessID{9} },
+	b := membership.New(terms, 7, "n1", "10.0.0.1:1", nil)
+	good := membership.Statement{Process: 9, Node: "n2", Addr: "10.0.0.2:1", Revision: 3}
+	for _, bad := range []func(*membership.Statement){
+		func(s *membership.Statement) { s.Process = 0 }, func(s *membership.Statement) { s.Node = "" }, func(s *membership.Statement) { s.Addr = "" },
+		func(s *membership.Statement) { s.Node = membership.NodeName(make([]byte, membership.MaxNameBytes+1)) },
+		func(s *membership.Statement) { s.Hears = make([]membership.ProcessID, membership.MaxNeighbours+1) },
+		func(s *membership.Statement) { s.Misses = []membership.ProcessID{9} },
 	} {
 		s := good
 		if bad(&s); b.Merge(s) {
--- a/internal/fleet/members/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -1,4 +1,4 @@
-package members_test
+package membership_test
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/emulator/judge"
-	"dahliapin/internal/fleet/members"
-	"dahliapin/internal/fleet/trace"
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/netfault"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/deadlines"
-	"dahliapin/policy"
+	"dahliapin/internal/membership"
+	"dahliapin/internal/membership/trace"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/timerqueue"
 )
 
 const (
@@ -23,18 +23,18 @@
 	onTheWay = time.Millisecond
 )
 
-var terms = members.NewConfig(pause, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 4000)
+var terms = membership.NewConfig(pause, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 4000)
 
 // sim plays books in virtual time: the decisions as in service, on a network of the go-between's faults, with gossip like the library's.
 type sim struct {
-	now    policy.Instant
+	now    monotime.Instant
 	nodes  []*simNode
-	faults *between.Faults
-	queue  deadlines.Queue[func()]
+	faults *netfault.Faults
+	queue  timerqueue.Queue[func()]
 	chance keyhash.Source
-	views  *judge.Views
+	views  *checker.Views
 	made   uint64
-	broken func(*members.Detector)
+	broken func(*membership.Detector)
 	ticks  int
 	byAddr map[string]*simNode
 }
@@ -51,19 +51,19 @@
 
 type simProcess struct {
 	n     *simNode
-	book  *members.Detector
-	words map[members.ProcessID]members.Statement
-	fresh map[members.ProcessID]int // rounds still to go
+	book  *membership.Detector
+	words map[membership.ProcessID]membership.Statement
+	fresh map[membership.ProcessID]int // rounds still to go
 	shown uint64
 	cut   bool
 	turns uint64
 	addr  string
 }
 
-func newSim(nodes int, seed uint32, broken func(*members.Detector)) *sim {
-	s := &sim{now: 1, faults: between.New(seed), chance: keyhash.Source{Seed: seed}, views: judge.NewViews(nodes), broken: broken, byAddr: map[string]*simNode{}}
+func newSim(nodes int, seed uint32, broken func(*membership.Detector)) *sim {
+	s := &sim{now: 1, faults: netfault.New(seed), chance: keyhash.Source{Seed: seed}, views: checker.NewViews(nodes), broken: broken, byAddr: map[string]*simNode{}}
 	for n := range nodes {
-		s.nodes = append(s.nodes, &simNode{s: s, number: n, name: judge.NameOf(n)})
+		s.nodes = append(s.nodes, &simNode{s: s, number: n, name: checker.NameOf(n)})
 	}
 	for _, n := range s.nodes {
 		n.start()
@@ -76,9 +76,9 @@
 func (n *simNode) start() {
 	s := n.s
 	s.made++
-	id := members.ProcessID(keyhash.Mix(s.made<<20^uint64(s.chance.Seed)) | 1)
-	p := &simProcess{n: n, words: map[members.ProcessID]members.Statement{}, fresh: map[members.ProcessID]int{}, addr: addrOf(n.number)}
-	p.book = members.New(terms, id, members.NodeName(n.name), p.addr, []string{addrOf(0), addrOf(1), addrOf(2)})
+	id := membership.ProcessID(keyhash.Mix(s.made<<20^uint64(s.chance.Seed)) | 1)
+	p := &simProcess{n: n, words: map[membership.ProcessID]membership.Statement{}, fresh: map[membership.ProcessID]int{}, addr: addrOf(n.number)}
+	p.book = membership.New(terms, id, membership.NodeName(n.name), p.addr, []string{addrOf(0), addrOf(1), addrOf(2)})
 	if s.broken != nil {
 		s.broken(p.book)
 	}
@@ -114,7 +114,7 @@
 }
 
 func (s *sim) cut(from, to int, yes bool) {
-	s.faults.Change(from, to, func(w *between.Way) { w.Cut = yes })
+	s.faults.Change(from, to, func(w *netfault.Way) { w.Cut = yes })
 	s.views.Cut(s.now, from, to, yes)
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-func (p *simProcess) told(w members.Statement) {
+func (p *simProcess) told(w membership.Statement) {
 	if p.book.Merge(w) {
 		p.words[w.Process], p.fresh[w.Process] = w, rounds
 	}
@@ -174,7 +174,7 @@
 	if own, isNew := p.book.OwnStatement(); isNew {
 		p.words[own.Process], p.fresh[own.Process] = own, rounds
 	}
-	hello := func(to []string, h members.Heartbeat) {
+	hello := func(to []string, h membership.Heartbeat) {
 		for _, a := range to {
 			p.send(a, func(o *simProcess) { o.book.OnHeartbeat(h) })
 		}
@@ -239,4 +239,4 @@
 }
 
 // verdict is the judge's, who sees what nodes wrote and what befell them.
-func (s *sim) verdict() *judge.Verdict { return s.views.Judge(trace.View, pause, s.now) }
+func (s *sim) verdict() *checker.Verdict { return s.views.Judge(trace.View, pause, s.now) }
--- a/internal/fleet/members/types.go
+++ b/internal/membership/types.go
@@ -6,7 +6,7 @@
 //  2. Views depend on statements, however they came; what is heard first-hand tells only whose words may be old.
 //  3. Whoever is taken out comes back once as many of its neighbours hear it as miss it, for a stated time.
 //  4. Of two processes with one name at most one is a member, the same at all.
-package members
+package membership
 
 import (
 	"slices"
@@ -43,7 +43,7 @@
 	Misses      []ProcessID
 }
 
-// Hello is a sign of life between neighbours.
+// Heartbeat is a sign of life between neighbours.
 type Heartbeat struct {
 	Process    ProcessID
 	Revision   Revision // of its statement
@@ -53,7 +53,7 @@
 	WantsReply bool // for one in return
 }
 
-// Standing is what a process is to the fleet.
+// Status is what a process is to the fleet.
 type Status int
 
 const (
@@ -69,7 +69,7 @@
 	return [...]string{"joining", "present", "suspected", "cut", "left", "gone"}[s]
 }
 
-// Terms are the spans by which the book decides, in time that the process has run.
+// Config are the spans by which the book decides, in time that the process has run.
 type Config struct {
 	HeartbeatInterval time.Duration // between two signs of life to a neighbour
 	HeartbeatTimeout  time.Duration // without one, after which a neighbour is missed
@@ -82,7 +82,7 @@
 	MaxMembers        int           // processes known
 }
 
-// TermsFor makes terms of a stated pause that a process is to bear, and how often signs of life go out.
+// NewConfig makes terms of a stated pause that a process is to bear, and how often signs of life go out.
 //
 // A process that stands still for the whole pause, from just before a sign of life was due, has been silent for pause + hello. It is
 // missed before that, so that whoever is on the wrong side of a cut has long known it, and taken out after it.
--- a/internal/net/ops/ops.go
+++ b/internal/proxy/admin/ops.go
@@ -1,6 +1,6 @@
 // Package ops answers operators' calls: HTTP/1.1, one call to a connection, on goroutines of their own. No call waits for the
 // node's loop for longer than an answer may take, and figures come from the copy that the loop last handed out.
-package ops
+package admin
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/net/counters"
+	"dahliapin/internal/proxy/metrics"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // Node is what is asked and told.
 type Node interface {
-	Metrics() *counters.Snapshot
+	Metrics() *metrics.Snapshot
 	Standby(context.Context) error
 	Active(context.Context) error
 }
@@ -45,7 +45,7 @@
 	FleetMembers() any
 }
 
-// Desk takes the calls.
+// Server takes the calls.
 type Server struct {
 	l    net.Listener
 	http http.Server
--- a/internal/net/ops/ops_test.go
+++ b/internal/proxy/admin/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bufio"
@@ -13,17 +13,17 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/net/counters"
+	"dahliapin/internal/proxy/metrics"
 )
 
 // standIn is a node whose answers a test sets.
 type standIn struct {
-	sheet counters.Snapshot
+	sheet metrics.Snapshot
 	err   error
 	calls string
 }
 
-func (s *standIn) Metrics() *counters.Snapshot { return &s.sheet }
+func (s *standIn) Metrics() *metrics.Snapshot { return &s.sheet }
 
 func (s *standIn) Standby(context.Context) error { s.calls += "standby "; return s.err }
 
@@ -69,8 +69,8 @@
 
 // Each answer is yes or no for a reason of its own; a loop that hangs is no yes, and no call waits for it.
 func TestCallsAreAnsweredForTheNodeAsItStands(t *testing.T) {
-	n := &standIn{sheet: counters.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving", Pending: 3, Members: 2,
-		Classes: []counters.ClassSnapshot{{Name: "a.b:c|d e\n", Satisfied: 812, Rejected: 1, Failed: 2}}}}
+	n := &standIn{sheet: metrics.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving", Pending: 3, Members: 2,
+		Classes: []metrics.ClassSnapshot{{Name: "a.b:c|d e\n", Satisfied: 812, Rejected: 1, Failed: 2}}}}
 	addr := open(t, n)
 	head := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: n\r\n" }
 	for text, want := range map[string]int{head("GET", "/status") + "\r\n": 200, head("GET", "/status/metrics") + "\r\n": 200,
@@ -110,7 +110,7 @@
 // Callers that say nothing, or half a call, stay for seconds: an honest one is answered among a hundred of them, and they do not
 // take more connections than they may.
 func TestAnHonestCallIsAnsweredAmongThoseWhoSayNothing(t *testing.T) {
-	addr := open(t, &standIn{sheet: counters.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving"}})
+	addr := open(t, &standIn{sheet: metrics.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving"}})
 	ended := make(chan bool, 100)
 	for i := range 100 {
 		c, err := net.Dial("tcp", addr)
--- a/internal/net/relay/caches.go
+++ b/internal/proxy/caches.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"math"
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
-	"dahliapin/internal/net/buffer"
-	"dahliapin/internal/net/http1"
-	"dahliapin/internal/net/meta"
-	"dahliapin/internal/net/sockets"
+	"dahliapin/internal/buffer"
+	"dahliapin/internal/proxy/sockets"
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
@@ -538,7 +538,7 @@
 	})
 }
 
-// Probe checks on a cache.
+// CheckHealth checks on a cache.
 func (r *Proxy) CheckHealth(id policy.EndpointID) {
 	c := r.caches[id]
 	if c == nil {
--- a/internal/net/relay/carriers.go
+++ b/internal/proxy/carriers.go
@@ -1,10 +1,10 @@
-package relay
+package proxy
 
 import (
 	"bytes"
 
-	"dahliapin/internal/net/http1"
-	"dahliapin/internal/net/meta"
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
--- a/internal/net/relay/clients.go
+++ b/internal/proxy/clients.go
@@ -1,13 +1,13 @@
-package relay
+package proxy
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"dahliapin/internal/net/buffer"
-	"dahliapin/internal/net/http1"
-	"dahliapin/internal/net/sockets"
+	"dahliapin/internal/buffer"
+	"dahliapin/internal/proxy/sockets"
+	"dahliapin/internal/wire/http1"
 	"dahliapin/policy"
 )
 
--- a/internal/levels/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -1,17 +1,17 @@
-package levels
+package degradation
 
 import (
 	"time"
 
-	"dahliapin/internal/host"
-	"dahliapin/internal/houserules"
+	"dahliapin/internal/config/settings"
 	"dahliapin/internal/keyhash"
+	"dahliapin/internal/proxy/dispatch"
 	"dahliapin/policy"
 )
 
 // Filter stands before a decider, and sheds by level what comes anew. What has been let through is the decider's alone.
 type Filter struct {
-	host.Decider
+	dispatch.Decider
 	machine *Controller
 	rules   *policy.Settings
 	shed    []map[policy.ClassID]bool // by level
@@ -21,8 +21,8 @@
 	count   *uint64 // of those shed
 }
 
-// Before puts a filter before a decider. told hears of each change of level, and what is shed is counted.
-func NewFilter(d host.Decider, now policy.Instant, seed uint32, plan []Level, terms *houserules.Settings,
+// NewFilter puts a filter before a decider. told hears of each change of level, and what is shed is counted.
+func NewFilter(d dispatch.Decider, now policy.Instant, seed uint32, plan []Level, terms *settings.Settings,
 	told func(now policy.Instant, level int, name string), count *uint64) *Filter {
 	f := &Filter{Decider: d, machine: New(now, plan), rules: &terms.Policy, chance: keyhash.Source{Seed: seed}, told: told, count: count}
 	for _, l := range plan {
@@ -61,14 +61,14 @@
 	f.told(now, level, name)
 }
 
-// After counts a leg's end, and passes it on.
+// OnAttemptDone counts a leg's end, and passes it on.
 func (f *Filter) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
 	leg := &r.Attempts[o.Attempt]
 	f.machine.RecordAttempt(leg.Result, o.Latency, f.rules.Classes[r.Class].LatencyObjective, leg.Endpoint == f.origin)
 	return f.noted(f.Decider.OnAttemptDone(now, r, o))
 }
 
-// Where passes on.
+// Route passes on.
 func (f *Filter) Route(now policy.Instant, r *policy.Request) policy.Decision {
 	return f.noted(f.Decider.Route(now, r))
 }
@@ -80,13 +80,13 @@
 	return m
 }
 
-// Wait also lets a level end while nobody asks.
+// Tick also lets a level end while nobody asks.
 func (f *Filter) Tick(now policy.Instant) (time.Duration, []policy.Action) {
 	f.look(now)
 	return f.Decider.Tick(now)
 }
 
-// Listed notes which is the origin.
+// UpdateEndpoints notes which is the origin.
 func (f *Filter) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	for _, e := range entries {
 		if f.rules.CacheAside && e.Kind == f.rules.OriginKind {
--- a/internal/levels/levels.go
+++ b/internal/proxy/degradation/levels.go
@@ -1,14 +1,14 @@
 // Package levels holds a node's reduced service levels: when one is entered, which grades are shed in it, and when it is left.
 // It does no I/O; times are arguments. It is a filter before the module, which still decides what is let through.
-package levels
+package degradation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/config/strictconfig"
 	"dahliapin/policy"
 )
 
@@ -60,7 +60,7 @@
 func (l *Level) stay() time.Duration { return time.Duration(l.MinStayS * float64(time.Second)) }
 
 // Check looks at what is stated. Grades are those of the deployment.
-func Check(c *strictly.Checker, plan []Level, terms *houserules.Settings) {
+func Check(c *strictconfig.Checker, plan []Level, terms *settings.Settings) {
 	c.Require(len(plan) <= most, "level", "more than %d", most)
 	for i := range plan {
 		l, at := &plan[i], fmt.Sprintf("level.%d.", i)
@@ -96,7 +96,7 @@
 	return Shares{part(n.late, n.legs), part(n.lost, n.legs), part(n.away, n.legs), part(n.originLate, n.origin), part(n.rejected, n.let)}
 }
 
-// Machine is where a node stands.
+// Controller is where a node stands.
 type Controller struct {
 	plan   []Level
 	at     int     // 0 is normal; else plan[at-1]
@@ -113,10 +113,10 @@
 	return &Controller{plan: plan, from: now, learns: now.Add(learnsFor), above: make([]int, len(plan))}
 }
 
-// At tells the level's number, 0 for normal, and the share of what it sheds that is shed.
+// Current tells the level's number, 0 for normal, and the share of what it sheds that is shed.
 func (m *Controller) Current() (level int, share float64) { return m.at, m.share }
 
-// Leg takes a leg's end.
+// RecordAttempt takes a leg's end.
 func (m *Controller) RecordAttempt(how policy.Result, took, soft time.Duration, atOrigin bool) {
 	late, lost := false, false
 	switch how {
@@ -143,11 +143,11 @@
 	}
 }
 
-// Let takes a request that is let through, and Rejected one that the module rejected.
+// RecordAdmitted takes a request that is let through, and Rejected one that the module rejected.
 func (m *Controller) RecordAdmitted() { m.n.let++ }
 func (m *Controller) RecordRejected() { m.n.rejected++ }
 
-// Look moves on, and tells whether the level has changed. A look on few requests would dither at nodes that see few: it waits for more,
+// Evaluate moves on, and tells whether the level has changed. A look on few requests would dither at nodes that see few: it waits for more,
 // and for so long only.
 func (m *Controller) Evaluate(now policy.Instant) (changed bool) {
 	long := now.Since(m.from)
--- a/internal/levels/levels_test.go
+++ b/internal/proxy/degradation/levels_test.go
@@ -1,4 +1,4 @@
-package levels
+package degradation
 
 import (
 	"flag"
--- a/internal/net/relay/discovery.go
+++ b/internal/proxy/discovery.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"slices"
@@ -7,10 +7,10 @@
 
 	"github.com/valyala/fastjson"
 
+	"dahliapin/internal/config/settings"
 	"dahliapin/internal/discovery"
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/listing"
-	"dahliapin/internal/net/http1"
+	"dahliapin/internal/wire/endpointlist"
+	"dahliapin/internal/wire/http1"
 	"dahliapin/policy"
 )
 
@@ -32,7 +32,7 @@
 	failed  discovery.Failure // how the call that is about to be lost has failed
 	heardAt policy.Instant    // when the last answer was taken
 	odd     bool              // the last list had entries that cannot be read
-	reader  listing.Reader
+	reader  endpointlist.Reader
 }
 
 // follow starts a call for the list on a new connection. The first asks for the whole list.
@@ -146,7 +146,7 @@
 }
 
 // hear passes a list on, and closes idle connections to caches that are gone or started anew.
-func (r *Proxy) hear(news *listing.List, form policy.UpdateKind) {
+func (r *Proxy) hear(news *endpointlist.List, form policy.UpdateKind) {
 	entries := make([]policy.Endpoint, 0, news.Len())
 	named, odd := map[policy.EndpointID]bool{}, 0
 	news.Each(func(row *fastjson.Value) {
@@ -157,7 +157,7 @@
 			ID: id, Kind: r.Settings.Names.Kind(row.GetStringBytes("machineType")),
 			Lifecycle: policy.Draining, StartedAt: began.at,
 			Zone: policy.ZoneID(row.GetStringBytes("zone")), Group: policy.GroupID(row.GetInt("cell")),
-			Weight: houserules.Number(row.Get("weight")),
+			Weight: settings.Number(row.Get("weight")),
 		}
 		addr := string(row.GetStringBytes("hostPort"))
 		if e.ID == "" {
--- a/internal/host/host.go
+++ b/internal/proxy/dispatch/host.go
@@ -1,6 +1,6 @@
 // Package host keeps one node's timers and requests in hand and carries out what its policy.Router says.
 // It decides nothing, and two hosts share nothing.
-package host
+package dispatch
 
 import (
 	"slices"
@@ -30,12 +30,12 @@
 	MayStart(now policy.Instant, r policy.Request, leg int) bool
 }
 
-// Gate is a decider that may turn away what has just come, before it is in hand.
+// AdmissionFilter is a decider that may turn away what has just come, before it is in hand.
 type AdmissionFilter interface {
 	Admit(now policy.Instant, r *policy.Request) (m policy.Decision, in bool)
 }
 
-// Watcher hears what a node does to its caches. It is called within the node's loop and is not to wait.
+// Observer hears what a node does to its caches. It is called within the node's loop and is not to wait.
 type Observer interface {
 	// Stands is called at an upkeep for each cache that stands otherwise than at the one before; at first all are in use.
 	EndpointStateChanged(now policy.Instant, id policy.EndpointID, s policy.EndpointState)
@@ -46,7 +46,7 @@
 
 const upkeep = "upkeep" // a token that no request's id can be, being shorter
 
-// Host is one node.
+// Dispatcher is one node.
 type Dispatcher struct {
 	router  Decider
 	do      Actions
@@ -64,7 +64,7 @@
 	return NewWithDecider(now, policy.New(now, seed, rules), do, nil)
 }
 
-// With starts a node that asks another decider, or is watched.
+// NewWithDecider starts a node that asks another decider, or is watched.
 func NewWithDecider(now policy.Instant, decider Decider, do Actions, watcher Observer) *Dispatcher {
 	h := &Dispatcher{router: decider, do: do, watcher: watcher, hand: map[policy.RequestID]*held{}}
 	h.upkeep(now)
@@ -89,7 +89,7 @@
 	h.do.SetTimer(wait, upkeep)
 }
 
-// Listed passes on news of the list.
+// UpdateEndpoints passes on news of the list.
 func (h *Dispatcher) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	h.router.UpdateEndpoints(now, form, entries)
 	if h.watcher != nil {
@@ -97,12 +97,12 @@
 	}
 }
 
-// Probed passes on what a probe found.
+// OnHealthCheck passes on what a probe found.
 func (h *Dispatcher) OnHealthCheck(now policy.Instant, id policy.EndpointID, found policy.Result) {
 	h.router.OnHealthCheck(now, id, found)
 }
 
-// Arrived takes a request in hand; one that is in hand already is left as it is.
+// RequestArrived takes a request in hand; one that is in hand already is left as it is.
 func (h *Dispatcher) RequestArrived(now policy.Instant, r *policy.Request) {
 	if h.hand[r.ID] != nil {
 		return
@@ -118,13 +118,13 @@
 	h.carryOut(now, in, h.router.Route(now, &in.Request))
 }
 
-// Still tells whether a leg may go out that has waited for its connection.
+// MayStart tells whether a leg may go out that has waited for its connection.
 func (h *Dispatcher) MayStart(now policy.Instant, id policy.RequestID, leg int) bool {
 	in := h.hand[id]
 	return in != nil && !in.Finished && leg < len(in.Attempts) && h.router.MayStart(now, in.Request, leg)
 }
 
-// Ended takes a leg's outcome; one that is not out any more is ignored.
+// AttemptDone takes a leg's outcome; one that is not out any more is ignored.
 func (h *Dispatcher) AttemptDone(now policy.Instant, id policy.RequestID, how policy.Result, over bool,
 	o policy.Outcome) {
 	in := h.hand[id]
@@ -139,14 +139,14 @@
 	h.carryOut(now, in, h.router.OnAttemptDone(now, &in.Request, o))
 }
 
-// Started tells that an answer has begun to stream: from now on nothing is due for it but its end.
+// ResponseStarted tells that an answer has begun to stream: from now on nothing is due for it but its end.
 func (h *Dispatcher) ResponseStarted(id policy.RequestID) {
 	if in := h.hand[id]; in != nil {
 		in.askAt = 0
 	}
 }
 
-// Hasten has all in hand answered by a time, if not sooner.
+// CapDeadlines has all in hand answered by a time, if not sooner.
 func (h *Dispatcher) CapDeadlines(now, by policy.Instant) {
 	for id, in := range h.hand {
 		if in.Deadline <= by {
@@ -159,7 +159,7 @@
 	}
 }
 
-// Left tells that a client has gone.
+// ClientGone tells that a client has gone.
 func (h *Dispatcher) ClientGone(now policy.Instant, id policy.RequestID) {
 	if in := h.hand[id]; in != nil {
 		in.Finished = true
@@ -167,7 +167,7 @@
 	}
 }
 
-// Woken answers a timer.
+// OnTimer answers a timer.
 func (h *Dispatcher) OnTimer(now policy.Instant, token string) {
 	if token == upkeep {
 		h.upkeep(now)
--- a/internal/records/records.go
+++ b/internal/proxy/eventlog/records.go
@@ -1,6 +1,6 @@
 // Package records turns what a node does to its caches into entries: which cache was avoided, why, from when until when;
 // which was drained, gone, tried or back. It does no I/O; whoever makes a Book says where its entries go.
-package records
+package eventlog
 
 import (
 	"fmt"
@@ -22,7 +22,7 @@
 	longest   = 10 * time.Second // of one look: shares that change slower are not of one time
 )
 
-// Entry is one thing that a node did.
+// Event is one thing that a node did.
 type Event struct {
 	At       policy.Instant    `json:"at_ns"`
 	Node     string            `json:"node"`
@@ -54,7 +54,7 @@
 	LevelChanged     = "level"
 )
 
-// Book keeps one node's records; it is a host's watcher. The same may be fed by all nodes of a fleet, which then counts
+// Recorder keeps one node's records; it is a host's watcher. The same may be fed by all nodes of a fleet, which then counts
 // as one.
 type Recorder struct {
 	node    string
@@ -96,7 +96,7 @@
 	b.tell(Event{At: now, Node: b.node, Server: id, Kind: what, Reason: why, Duration: long})
 }
 
-// Listed hears the list.
+// EndpointsUpdated hears the list.
 func (b *Recorder) EndpointsUpdated(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	if form == policy.PollFailed {
 		return
@@ -154,7 +154,7 @@
 	b.say(now, id, EndpointRemoved, why, 0)
 }
 
-// Stands hears how a cache stands, when that has changed.
+// EndpointStateChanged hears how a cache stands, when that has changed.
 func (b *Recorder) EndpointStateChanged(now policy.Instant, id policy.EndpointID, s policy.EndpointState) {
 	p := b.caches[id]
 	if p == nil || p.stands == s {
@@ -187,7 +187,7 @@
 // Level hears that the node's service level has changed.
 func (b *Recorder) Level(now policy.Instant, name string) { b.say(now, "", LevelChanged, name, 0) }
 
-// Sent hears of a leg. One to a cache that is avoided since it said nothing is a trial; the first of each spell is told.
+// AttemptSent hears of a leg. One to a cache that is avoided since it said nothing is a trial; the first of each spell is told.
 func (b *Recorder) AttemptSent(now policy.Instant, id policy.EndpointID) {
 	p := b.caches[id]
 	if p == nil {
@@ -203,7 +203,7 @@
 	b.look(now)
 }
 
-// Ended hears of a leg's end.
+// AttemptDone hears of a leg's end.
 func (b *Recorder) AttemptDone(_ policy.Instant, id policy.EndpointID, how policy.Result, took time.Duration) {
 	if p := b.caches[id]; p != nil && (how == policy.Answered || how == policy.CacheMiss) {
 		p.served++
--- a/internal/records/records_test.go
+++ b/internal/proxy/eventlog/records_test.go
@@ -1,4 +1,4 @@
-package records
+package eventlog
 
 import (
 	"fmt"
--- a/internal/net/relay/faces.go
+++ b/internal/proxy/faces.go
@@ -1,14 +1,14 @@
-package relay
+package proxy
 
 import (
 	"strconv"
 	"time"
 
+	"dahliapin/internal/buffer"
 	"dahliapin/internal/freshness"
-	"dahliapin/internal/net/buffer"
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/http1"
-	"dahliapin/internal/net/meta"
+	"dahliapin/internal/proxy/metrics"
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
 )
 
 // face turns the bytes of a client into what it asks, and answers into bytes for it. It keeps nothing and knows no
@@ -28,7 +28,7 @@
 	failed(c *call, late bool) []byte
 	refused(why refusal, bare bool) []byte
 	ready(c *call, p Phase) []byte
-	counts(c *call, n *counters.Counters) []byte
+	counts(c *call, n *metrics.Counters) []byte
 	// parts has an answer say that its connection ends with it, where the protocol can.
 	parts(out []byte) (with []byte, can bool)
 }
@@ -161,7 +161,7 @@
 	return []byte("SERVER_ERROR " + p.String() + "\r\n")
 }
 
-func (metaFace) counts(_ *call, n *counters.Counters) (out []byte) {
+func (metaFace) counts(_ *call, n *metrics.Counters) (out []byte) {
 	n.Each(func(name string, n uint64) {
 		out = strconv.AppendUint(append(append(append(out, "STAT "...), name...), ' '), n, 10)
 		out = append(out, "\r\n"...)
--- a/internal/net/handover/handover.go
+++ b/internal/proxy/handover/handover.go
@@ -48,13 +48,13 @@
 	return f(fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path)))
 }
 
-// Taken is what a process got from the one that it replaces.
+// Inherited is what a process got from the one that it replaces.
 type Inherited struct {
 	Listeners map[string]net.Listener // by address, as the old process listens on it
 	conn      *net.UnixConn
 }
 
-// Take asks whoever offers there. Without anybody it returns nil and no error.
+// Inherit asks whoever offers there. Without anybody it returns nil and no error.
 func Inherit(path string) (*Inherited, error) {
 	var c net.Conn
 	err := under(path, func(name string) (err error) {
--- a/internal/net/relay/httpcarrier.go
+++ b/internal/proxy/httpcarrier.go
@@ -1,21 +1,21 @@
-package relay
+package proxy
 
 import (
 	"bytes"
 	"strconv"
 	"time"
 
+	"dahliapin/internal/config/listeners"
 	"dahliapin/internal/freshness"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/net/http1"
-	"dahliapin/internal/net/meta"
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
 // httpCarrier speaks HTTP/1.1 to caches that keep answers as RFC 9111 has it. The node keeps none: it judges what comes, and
 // what may not be served counts as a miss, so that another holder or the origin is asked.
 type httpCarrier struct {
-	servers *fronts.Servers
+	servers *listeners.Servers
 	aside   bool // a cache answers from what it keeps, or tells that it keeps nothing
 }
 
--- a/internal/net/relay/httpface.go
+++ b/internal/proxy/httpface.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -9,13 +9,13 @@
 	"strings"
 	"time"
 
+	"dahliapin/internal/buffer"
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/settings"
 	"dahliapin/internal/freshness"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/net/buffer"
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/http1"
-	"dahliapin/internal/net/meta"
+	"dahliapin/internal/proxy/metrics"
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
@@ -28,8 +28,8 @@
 // httpFace speaks HTTP/1.1. What a URL has behind its route's path is the key; a read is answered with its value, a write with
 // its receipt.
 type httpFace struct {
-	front    *fronts.Listener
-	names    *houserules.NameTable
+	front    *listeners.Listener
+	names    *settings.NameTable
 	labelled map[string]bool          // grades whose repeats are told by their id
 	stops    map[string]time.Duration // the grades' deadlines
 	passes   bool                     // some caches speak HTTP, and are told what a client says beside
@@ -39,7 +39,7 @@
 	dated    int64
 }
 
-func newHTTPFace(f *fronts.Listener, number int, r *Proxy) *httpFace {
+func newHTTPFace(f *listeners.Listener, number int, r *Proxy) *httpFace {
 	h := &httpFace{front: f, names: &r.Settings.Names, labelled: map[string]bool{}, stops: map[string]time.Duration{},
 		passes: len(r.Listeners.Servers.HTTPKinds) > 0, own: fmt.Sprintf("h%x-%x-%d-", r.began.UnixNano(), uint64(r.Seed), number)}
 	for name, g := range r.Settings.Names.Classes() {
@@ -128,7 +128,7 @@
 		h.refuse(a, 400, "a grade or tenant that is none here")
 		return
 	}
-	a.key, a.value, a.grade, a.league, a.write = []byte(key), q.Body, []byte(grade), []byte(league), fronts.IsWrite(method)
+	a.key, a.value, a.grade, a.league, a.write = []byte(key), q.Body, []byte(grade), []byte(league), listeners.IsWrite(method)
 	conditional := false
 	for _, name := range []string{"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since"} {
 		conditional = conditional || q.Header(name) != nil
@@ -279,7 +279,7 @@
 	return h.bodied(c, 503, p.String())
 }
 
-func (h *httpFace) counts(c *call, n *counters.Counters) []byte {
+func (h *httpFace) counts(c *call, n *metrics.Counters) []byte {
 	var out strings.Builder
 	n.Each(func(name string, n uint64) { fmt.Fprintf(&out, "%s %d\n", name, n) })
 	return h.bodied(c, 200, strings.TrimSuffix(out.String(), "\n"))
--- a/internal/net/relay/httpface_test.go
+++ b/internal/proxy/httpface_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -12,17 +12,17 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/http1"
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/proxy/metrics"
+	"dahliapin/internal/wire/http1"
 	"dahliapin/policy"
 )
 
-var front = fronts.Listener{Listen: "127.0.0.1:0", Protocol: fronts.HTTP, ReadyPath: "/up", SortQuery: true, ClassHeader: "X-Grade", IDHeader: "X-Id", DeadlineHeader: "X-Wait", TenantHeader: "X-Tenant",
-	Routes: []fronts.Route{{Path: "/p/", Methods: []string{"GET", "HEAD"}, Class: "read", DeadlineMs: 9000},
+var front = listeners.Listener{Listen: "127.0.0.1:0", Protocol: listeners.HTTP, ReadyPath: "/up", SortQuery: true, ClassHeader: "X-Grade", IDHeader: "X-Id", DeadlineHeader: "X-Wait", TenantHeader: "X-Tenant",
+	Routes: []listeners.Route{{Path: "/p/", Methods: []string{"GET", "HEAD"}, Class: "read", DeadlineMs: 9000},
 		{Path: "/p/", Methods: []string{"PUT"}, Class: "put"}, {Path: "/pay/", Methods: []string{"POST"}, Class: "pay"}}}
 
-func withFront(b *Config) { b.Listeners.Listeners = []fronts.Listener{front, front} }
+func withFront(b *Config) { b.Listeners.Listeners = []listeners.Listener{front, front} }
 
 // req is a request's head.
 func req(line string, headers ...string) string {
@@ -78,7 +78,7 @@
 	other(req("GET /p/slow"))
 	wait(t, g.lines)
 	go func() {
-		g.until("the second is answered", func(n counters.Counters) bool { return n.Satisfied > 0 })
+		g.until("the second is answered", func(n metrics.Counters) bool { return n.Satisfied > 0 })
 		close(slow)
 	}()
 	g.same(ask(req("GET /p/slow")+req("GET http://h/p/%6b?b=2&a=1&a=0")+req("HEAD /p/k")+req("HEAD /q/k")+req("GET /q/k")+req("DELETE /p/k")+req("GET /up"),
@@ -233,7 +233,7 @@
 			t.Parallel()
 			k := &keeper{row: row[0]}
 			g := newRig(t, 200, k.answer, withFront, func(b *Config) {
-				b.Listeners.Servers = fronts.Servers{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
+				b.Listeners.Servers = listeners.Servers{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
 			})
 			q, _ := http.NewRequest("GET", "http://"+g.Addr(1)+"/p/"+key+"%2Fx?b=1", nil)
 			if name, said, ok := strings.Cut(row[1], ": "); ok {
@@ -295,7 +295,7 @@
 		{false, "204 No Content", call{write: true, sent: now}, policy.Answered, "204"},
 		{false, "503 Service Unavailable", call{write: true, sent: now}, policy.Errored, ""},
 	} {
-		h := httpCarrier{&fronts.Servers{ClockOffS: 1}, c.aside}
+		h := httpCarrier{&listeners.Servers{ClockOffS: 1}, c.aside}
 		if r, _, _ := h.reply([]byte("HTTP/1.1 "+c.said+"\r\nContent-Length: 0\r\n\r\n"), &c.call, false, new(http1.Progress)); r.how != c.want || string(r.said) != c.means {
 			t.Errorf("%q for %+v: %v %q", c.said, c.call, r.how, r.said)
 		}
--- a/internal/net/relay/idle_links.go
+++ b/internal/proxy/idle_links.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 // idleLinks are all idle links in the order in which they fell idle, so that the one that has been idle longest is known without looking at
 // each cache: there may be thousands, and each new connection asks for it while all descriptors are in use.
--- a/internal/net/relay/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"dahliapin/internal/net/counters"
+	"dahliapin/internal/proxy/metrics"
 	"dahliapin/policy"
 
 	"golang.org/x/sys/unix"
@@ -77,7 +77,7 @@
 				c, _ := g.client()
 				fmt.Fprint(c, "mg k")
 				half = append(half, c)
-				g.until("it is let in, or waits", func(now counters.Counters) bool { return now.Clients > n || g.eng.Crowded() })
+				g.until("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.eng.Crowded() })
 			}
 			c, _ := g.client()
 			ask(c, "Ox")
@@ -115,7 +115,7 @@
 					g.expect(r, "HD Oput cfrom-origin")
 					before := g.Counters().Attempts + 1 // a slow one's beside
 					waits(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
-					g.until("it has left", func(n counters.Counters) bool { return n.ClientsGone+n.RejectedForRoom == 1 })
+					g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone+n.RejectedForRoom == 1 })
 					n := g.Counters()
 					if n.RejectedForRoom == 1 && place == "at the gate" && n.Outcomes[policy.NotSent] == 0 && n.Attempts == before {
 						return // it was let in before room for it was heard of, and rejected, which is no leg either
@@ -160,8 +160,8 @@
 					wait(t, g.lines)
 					g.held(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
 				}
-				g.until("it has left", func(n counters.Counters) bool { return n.ClientsGone == 1 })
-				g.until("nothing is out", func(n counters.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
+				g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+				g.until("nothing is out", func(n metrics.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
 				if n := g.Counters(); len(g.lines) > 0 || len(g.calls) > 0 {
 					t.Errorf("an attempt went out: %v", n.Outcomes)
 				}
@@ -207,16 +207,16 @@
 			defer origin.Close()
 			fmt.Fprint(origin, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			rested := make(chan bool, 1)
-			g.until("its link is idle", func(counters.Counters) bool {
+			g.until("its link is idle", func(metrics.Counters) bool {
 				g.ask(func() { rested <- len(g.caches["o"].idle) == 1 })
 				return <-rested
 			})
 			narrow(t, l.Addr().String())
 			c, _ := g.client()
 			fmt.Fprintf(c, "ms k 60000 Ox Pc=put,d=9000,k=1\r\n%s\r\n", strings.Repeat("v", 60000))
-			g.until("a part is written", func(n counters.Counters) bool { return n.Attempts == 1 && g.eng.Unsent() > 0 })
+			g.until("a part is written", func(n metrics.Counters) bool { return n.Attempts == 1 && g.eng.Unsent() > 0 })
 			leave(c.(*net.TCPConn))
-			g.until("it has left", func(n counters.Counters) bool { return n.ClientsGone == 1 })
+			g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
 			if n := g.Counters(); n.Outcomes[policy.NotSent] != 1 || g.eng.Unsent() != 0 {
 				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Outcomes, g.eng.Unsent())
 			}
--- a/internal/net/counters/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -1,5 +1,5 @@
 // Package counters counts what a node takes in, sends and answers.
-package counters
+package metrics
 
 import "dahliapin/policy"
 
--- a/internal/net/counters/sheet.go
+++ b/internal/proxy/metrics/sheet.go
@@ -1,4 +1,4 @@
-package counters
+package metrics
 
 import (
 	"strconv"
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sheet is a copy of a node's figures as they stood at one moment. The loop hands out a new one each time; nobody changes it.
+// Snapshot is a copy of a node's figures as they stood at one moment. The loop hands out a new one each time; nobody changes it.
 type Snapshot struct {
 	At                   time.Time // by the monotonic clock: how fresh it is
 	Serving              bool      // clients are taken, and their requests served
@@ -17,7 +17,7 @@
 	Members, Unavailable int    // caches in the list, and those of them that the node avoids
 }
 
-// GradeSheet counts final answers of one service grade.
+// ClassSnapshot counts final answers of one service grade.
 type ClassSnapshot struct {
 	Name                        string
 	Satisfied, Rejected, Failed uint64
--- a/internal/net/relay/news_test.go
+++ b/internal/proxy/news_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
 
-	"dahliapin/internal/houserules"
+	"dahliapin/internal/config/settings"
 	"dahliapin/policy"
 )
 
@@ -92,7 +92,7 @@
 
 // followers are nodes of a fleet of so many, each with its agent.
 func followers(t *testing.T, nodes, stated int, at func(a *agent)) {
-	rules, err := houserules.Decode(fastjson.MustParse(strings.Replace(fmt.Sprintf(terms, false), `"n_instances":1`, fmt.Sprintf(`"n_instances":%d`, stated), 1)))
+	rules, err := settings.Decode(fastjson.MustParse(strings.Replace(fmt.Sprintf(terms, false), `"n_instances":1`, fmt.Sprintf(`"n_instances":%d`, stated), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/relay/operators.go
+++ b/internal/proxy/operators.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/host"
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/ops"
+	"dahliapin/internal/proxy/admin"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/proxy/metrics"
 	"dahliapin/policy"
 )
 
@@ -20,7 +20,7 @@
 
 // stance hears how the module says that caches stand, and passes all on to the records' book if there is one.
 type stance struct {
-	host.Observer
+	dispatch.Observer
 	of   map[policy.EndpointID]policy.EndpointState // those that are not in use as usual
 	sent map[policy.EndpointID][2]policy.Instant    // the last two legs there, the latest last
 }
@@ -72,7 +72,7 @@
 	if r.stance == nil {
 		return
 	}
-	s := &counters.Snapshot{At: time.Now(), Serving: r.phase == Serving, Phase: r.phase.String(), Classes: slices.Clone(r.byGrade),
+	s := &metrics.Snapshot{At: time.Now(), Serving: r.phase == Serving, Phase: r.phase.String(), Classes: slices.Clone(r.byGrade),
 		Attempts: r.whole, Pending: r.pending}
 	s.Members = r.members
 	now := r.now()
@@ -84,8 +84,8 @@
 	r.sheet.Store(s)
 }
 
-// Sheet returns the figures as they were last handed out. It may be called from anywhere.
-func (r *Proxy) Metrics() *counters.Snapshot { return r.sheet.Load() }
+// Metrics returns the figures as they were last handed out. It may be called from anywhere.
+func (r *Proxy) Metrics() *metrics.Snapshot { return r.sheet.Load() }
 
 // Standby drains the node without ending it, and Active ends that. They may be called from anywhere, and more than once.
 func (r *Proxy) Standby(ctx context.Context) error { return r.order(ctx, r.standBy) }
@@ -99,7 +99,7 @@
 	select {
 	case r.asks <- func() { answer <- do(); r.publish() }:
 	case <-r.done:
-		return ops.ErrEnding
+		return admin.ErrEnding
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -107,7 +107,7 @@
 	case err := <-answer:
 		return err
 	case <-r.done:
-		return ops.ErrEnding
+		return admin.ErrEnding
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -116,7 +116,7 @@
 func (r *Proxy) standBy() error {
 	switch r.phase {
 	case Draining, Stopped:
-		return ops.ErrEnding
+		return admin.ErrEnding
 	case Standby:
 		return nil
 	}
@@ -133,7 +133,7 @@
 func (r *Proxy) beActive() error {
 	switch r.phase {
 	case Draining, Stopped:
-		return ops.ErrEnding
+		return admin.ErrEnding
 	case Standby:
 		r.enter(Starting) // with a list it serves at once, else with the first
 		r.ready()
--- a/internal/net/relay/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"syscall"
 	"testing"
 
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/ops"
+	"dahliapin/internal/proxy/admin"
+	"dahliapin/internal/proxy/metrics"
 	"dahliapin/policy"
 )
 
@@ -74,8 +74,8 @@
 	told(g.Standby, nil)
 	told(g.Active, nil)
 	g.ask(func() { g.drain() })
-	told(g.Standby, ops.ErrEnding)
-	told(g.Active, ops.ErrEnding)
+	told(g.Standby, admin.ErrEnding)
+	told(g.Active, admin.ErrEnding)
 }
 
 // Figures that miss by more than a few are as good as none: each kind of end counts once, where it belongs, and a cache that says
@@ -96,21 +96,21 @@
 	g.expect(r, "VA 5 Oa", "hello", "VA 11 Omiss", "from-origin", "SERVER_ERROR failed")
 	gone, _ := g.client()
 	fmt.Fprint(gone, "mg k v Oheld2 Pc=read,d=9000\r\n")
-	g.until("both are held", func(n counters.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
+	g.until("both are held", func(n metrics.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
 	gone.(*net.TCPConn).SetLinger(0)
 	gone.Close()
-	g.until("one has left", func(n counters.Counters) bool { return n.ClientsGone == 1 })
-	said := make(chan *counters.Snapshot, 1)
-	look := func() *counters.Snapshot {
+	g.until("one has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+	said := make(chan *metrics.Snapshot, 1)
+	look := func() *metrics.Snapshot {
 		g.ask(func() { g.publish(); said <- g.Metrics() })
 		return wait(t, said)
 	}
 	s := look()
-	of := map[string]counters.ClassSnapshot{}
+	of := map[string]metrics.ClassSnapshot{}
 	for _, grade := range s.Classes {
 		of[grade.Name] = grade
 	}
-	if of["read"] != (counters.ClassSnapshot{Name: "read", Satisfied: 2}) || of["pay"] != (counters.ClassSnapshot{Name: "pay", Failed: 1}) ||
+	if of["read"] != (metrics.ClassSnapshot{Name: "read", Satisfied: 2}) || of["pay"] != (metrics.ClassSnapshot{Name: "pay", Failed: 1}) ||
 		s.Attempts != 6 || s.Pending != 1 || s.Members != 1 || s.Unavailable != 0 || !s.Serving {
 		t.Errorf("%+v", s)
 	}
--- a/internal/net/relay/relay.go
+++ b/internal/proxy/relay.go
@@ -2,7 +2,7 @@
 // simulator's wire. It decides nothing about requests, and knows no protocol of clients or servers. The loop and its clock
 // are in this file; clients.go keeps the clients and faces.go speaks to them, caches.go keeps the servers and carriers.go
 // speaks to them, and discovery.go follows the list.
-package relay
+package proxy
 
 import (
 	"cmp"
@@ -14,19 +14,19 @@
 
 	"github.com/sirupsen/logrus"
 
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/settings"
 	"dahliapin/internal/discovery"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/host"
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/keeping"
+	"dahliapin/internal/idletimeout"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/levels"
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/deadlines"
-	"dahliapin/internal/net/handover"
-	"dahliapin/internal/net/slots"
-	"dahliapin/internal/net/sockets"
-	"dahliapin/internal/records"
+	"dahliapin/internal/proxy/degradation"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/internal/proxy/handover"
+	"dahliapin/internal/proxy/metrics"
+	"dahliapin/internal/proxy/sockets"
+	"dahliapin/internal/slotmap"
+	"dahliapin/internal/timerqueue"
 	"dahliapin/policy"
 )
 
@@ -65,39 +65,39 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Berth is where and with what a node runs.
+// Config is where and with what a node runs.
 type Config struct {
 	Listen, Discovery string
-	Listeners         fronts.File // further listeners, and caches that speak HTTP
+	Listeners         listeners.File // further listeners, and caches that speak HTTP
 	Seed              int64
 	Descriptors       int
 	OtherDescriptors  int   // descriptors that the process has for other things
 	Memory            int64 // bytes it may use in all
-	Settings          houserules.Settings
+	Settings          settings.Settings
 	LastEndpoints     []byte // the list as last held, as discovery writes it, or nil
 	Log               *logrus.Logger
-	OnPhaseChange     func(Phase)                    // told of each phase; nil for nobody
-	PublishMetrics    bool                           // hand out copies of the figures, for operators
-	Inherited         *handover.Inherited            // what the process had that this one replaces; nil for none
-	HandoverPath      string                         // where another process may take this one's place; empty for nowhere
-	OnLoopIteration   func()                         // called at each turn of the loop, and not to wait; nil for nobody
-	OnSharedLimits    func(bool)                     // told when two processes share the node's limits, and when not; nil for nobody
-	Name              string                         // for records
-	OnEvent           func(records.Event, time.Time) // told of each, within the loop, and not to wait; nil for nobody
+	OnPhaseChange     func(Phase)                     // told of each phase; nil for nobody
+	PublishMetrics    bool                            // hand out copies of the figures, for operators
+	Inherited         *handover.Inherited             // what the process had that this one replaces; nil for none
+	HandoverPath      string                          // where another process may take this one's place; empty for nowhere
+	OnLoopIteration   func()                          // called at each turn of the loop, and not to wait; nil for nobody
+	OnSharedLimits    func(bool)                      // told when two processes share the node's limits, and when not; nil for nobody
+	Name              string                          // for records
+	OnEvent           func(eventlog.Event, time.Time) // told of each, within the loop, and not to wait; nil for nobody
 }
 
-// Relay is one node.
+// Proxy is one node.
 type Proxy struct {
 	Config
 	phase     Phase
 	eng       *sockets.Engine
-	host      *host.Dispatcher
+	host      *dispatch.Dispatcher
 	began     time.Time        // with the monotonic clock's reading
 	wallClock func() time.Time // for what the list states by it, and nothing else
-	due       deadlines.Queue[due]
-	clients   slots.Table[clientID, client]
-	links     slots.Table[linkID, link]
-	hand      slots.Table[handID, request]
+	due       timerqueue.Queue[due]
+	clients   slotmap.Table[clientID, client]
+	links     slotmap.Table[linkID, link]
+	hand      slotmap.Table[handID, request]
 	taken     map[string]bool // the clients' ids of those in hand
 	asked     asked           // what was read last
 	came      reply           // the same of servers
@@ -106,10 +106,10 @@
 	members   int // of them, those that are not the origin
 	idleLinks idleLinks
 	list      listCall
-	kept      keeping.Timeout
+	kept      idletimeout.Timeout
 	chance    keyhash.Source
 	later     []func() // what must not happen within a call into the host
-	count     counters.Counters
+	count     metrics.Counters
 	held      int // bytes of requests in hand, and of answers that wait for those before them
 	partial   int // bytes of commands that have not come whole
 	coming    int // the same of answers of caches and origin
@@ -119,8 +119,8 @@
 	alone     bool            // the process before this one has gone
 	told      bool            // the process before this one knows that clients are taken here
 	stance    *stance         // nil where nobody asks for figures
-	sheet     atomic.Pointer[counters.Snapshot]
-	byGrade   []counters.ClassSnapshot
+	sheet     atomic.Pointer[metrics.Snapshot]
+	byGrade   []metrics.ClassSnapshot
 	whole     uint64         // legs written whole
 	pending   int            // requests taken and not ended
 	looks     bool           // a look for idle clients is due, or was when the standby ended
@@ -170,19 +170,19 @@
 		asks: make(chan func(), 16), done: make(chan struct{})}
 	r.faces = []face{metaFace{}}
 	for i := range b.Listeners.Listeners {
-		if f := &b.Listeners.Listeners[i]; f.Protocol == fronts.HTTP {
+		if f := &b.Listeners.Listeners[i]; f.Protocol == listeners.HTTP {
 			r.faces = append(r.faces, newHTTPFace(f, i, r))
 		} else {
 			r.faces = append(r.faces, metaFace{})
 		}
 	}
-	var watcher host.Observer
+	var watcher dispatch.Observer
 	if b.OnEvent != nil {
-		watcher = records.New(b.Name, func(e records.Event) { b.OnEvent(e, r.began.Add(e.At.Since(epoch))) },
+		watcher = eventlog.New(b.Name, func(e eventlog.Event) { b.OnEvent(e, r.began.Add(e.At.Since(epoch))) },
 			func(e policy.Endpoint) bool { return r.isOrigin(e.Kind) })
 	}
 	decider := r.decider(watcher)
-	r.byGrade = make([]counters.ClassSnapshot, len(b.Settings.Policy.Classes))
+	r.byGrade = make([]metrics.ClassSnapshot, len(b.Settings.Policy.Classes))
 	for name, n := range b.Settings.Names.Classes() {
 		r.byGrade[n].Name = name
 	}
@@ -190,8 +190,8 @@
 		r.stance = &stance{Observer: watcher, of: map[policy.EndpointID]policy.EndpointState{}, sent: map[policy.EndpointID][2]policy.Instant{}}
 		watcher = r.stance
 	}
-	r.host = host.NewWithDecider(r.now(), decider, r, watcher)
-	r.kept = keeping.New(b.Settings.Policy.IdleTimeout)
+	r.host = dispatch.NewWithDecider(r.now(), decider, r, watcher)
+	r.kept = idletimeout.New(b.Settings.Policy.IdleTimeout)
 	r.list.caller, r.chance.Seed = discovery.New(b.Settings.Policy.Nodes), uint32(b.Seed^b.Seed>>32)
 	r.hearKnown()
 	r.due.Push(r.now().Add(readyBy), due{ready: true})
@@ -218,15 +218,15 @@
 }
 
 // decider is the module, behind the operator's service levels if there are any.
-func (r *Proxy) decider(watcher host.Observer) host.Decider {
+func (r *Proxy) decider(watcher dispatch.Observer) dispatch.Decider {
 	module := policy.New(r.now(), r.Seed, r.Settings.Policy)
 	if len(r.Listeners.Levels) == 0 {
 		return module
 	}
-	return levels.NewFilter(module, r.now(), uint32(r.Seed), r.Listeners.Levels, &r.Settings, func(now policy.Instant, level int, name string) {
+	return degradation.NewFilter(module, r.now(), uint32(r.Seed), r.Listeners.Levels, &r.Settings, func(now policy.Instant, level int, name string) {
 		r.count.Level = uint64(level)
 		r.Log.WithField("level", name).Warn("service level changed")
-		if book, ok := watcher.(*records.Recorder); ok {
+		if book, ok := watcher.(*eventlog.Recorder); ok {
 			book.Level(now, name)
 		}
 	}, &r.count.Shed)
@@ -251,16 +251,16 @@
 	}
 }
 
-// End asks the node to drain and stop. It may be called from anywhere, and more than once.
+// Shutdown asks the node to drain and stop. It may be called from anywhere, and more than once.
 func (r *Proxy) Shutdown() { r.ask(r.drain) }
 
-// Move follows the list at another address from now on. The list last held stays until the whole one has come from
+// SetDiscovery follows the list at another address from now on. The list last held stays until the whole one has come from
 // there. It may be called from anywhere, and more than once.
 func (r *Proxy) SetDiscovery(discovery string) { r.ask(func() { r.moveList(discovery) }) }
 
-// Counts returns the counters as they stand. It may be called from anywhere.
-func (r *Proxy) Counters() (c counters.Counters) {
-	answer := make(chan counters.Counters, 1)
+// Counters returns the counters as they stand. It may be called from anywhere.
+func (r *Proxy) Counters() (c metrics.Counters) {
+	answer := make(chan metrics.Counters, 1)
 	if !r.ask(func() { answer <- r.count }) {
 		return r.count
 	}
@@ -492,12 +492,12 @@
 	return handID(binary.BigEndian.Uint64([]byte(id)))
 }
 
-// Timer wakes the host.
+// SetTimer wakes the host.
 func (r *Proxy) SetTimer(in time.Duration, token string) {
 	r.due.Push(r.now().Add(in), due{token: token})
 }
 
-// Follow needs nothing: the list is always followed.
+// PollEndpoints needs nothing: the list is always followed.
 func (r *Proxy) PollEndpoints() {}
 
 // makeRoom frees one descriptor of the least use: an idle link first, then an idle client.
--- a/internal/net/relay/relay_test.go
+++ b/internal/proxy/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"github.com/valyala/fastjson"
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/net/counters"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/proxy/metrics"
 	"dahliapin/policy"
 )
 
@@ -114,7 +114,7 @@
 		case <-g.over:
 		}
 	})
-	rules, err := houserules.Decode(fastjson.MustParse(fmt.Sprintf(terms, false)))
+	rules, err := settings.Decode(fastjson.MustParse(fmt.Sprintf(terms, false)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 	}
 }
 
-func (g *rig) until(what string, ok func(counters.Counters) bool) {
+func (g *rig) until(what string, ok func(metrics.Counters) bool) {
 	g.t.Helper()
 	for by := time.Now().Add(patience); !ok(g.Counters()); {
 		if time.Now().After(by) {
@@ -222,7 +222,7 @@
 	g := newRig(t, 200, holdingOa(slow))
 	c, r := g.client()
 	fmt.Fprint(c, "mg k1 v Oa Pc=read,d=9000\r\nmg k2 v Ob Pc=read,d=9000,size=3\r\nget x\r\nmg k3 v\r\nmn\r\n")
-	g.until("the second is answered", func(n counters.Counters) bool { return n.Satisfied == 1 })
+	g.until("the second is answered", func(n metrics.Counters) bool { return n.Satisfied == 1 })
 	close(slow)
 	g.expect(r, "VA 5 Oa", "hello", "VA 5 Ob", "hello", "ERROR", "CLIENT_ERROR bad command line", "MN")
 	for range 2 {
@@ -266,7 +266,7 @@
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
-	g.until("they are cut off", func(n counters.Counters) bool {
+	g.until("they are cut off", func(n metrics.Counters) bool {
 		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.RejectedForRoom >= 2
 	})
 	coming := make(chan int, 1)
@@ -310,7 +310,7 @@
 	c := wait(t, cache)
 	io.WriteString(c, "MN\r\n")
 	reused := make(chan bool, 1)
-	g.until("the link is idle", func(counters.Counters) bool {
+	g.until("the link is idle", func(metrics.Counters) bool {
 		g.ask(func() { reused <- len(g.caches["c"].idle) == 1 })
 		return <-reused
 	})
@@ -387,7 +387,7 @@
 	wait(t, g.lines)
 	c.Close()
 	wait(t, g.ended)
-	g.until("it has left", func(n counters.Counters) bool {
+	g.until("it has left", func(n metrics.Counters) bool {
 		return n.ClientsGone == 1 && n.Outcomes[policy.Cancelled] == 1 && n.Satisfied+n.Rejected+n.Failed == 0
 	})
 }
@@ -410,7 +410,7 @@
 			t.Errorf("after %.20q: %q", bad, rest)
 		}
 	}
-	g.until("all are gone", func(n counters.Counters) bool { return n.Malformed == 3 && n.Attempts == 3 })
+	g.until("all are gone", func(n metrics.Counters) bool { return n.Malformed == 3 && n.Attempts == 3 })
 }
 
 // What no cache could use went on to one, and an id in use made two requests one there.
@@ -430,7 +430,7 @@
 	}
 	close(hold)
 	g.expect(first, "VA 5 Oa", "hello")
-	g.until("it is forgotten", func(counters.Counters) bool {
+	g.until("it is forgotten", func(metrics.Counters) bool {
 		left := make(chan int, 1)
 		g.ask(func() { left <- len(g.taken) + g.hand.Len() })
 		return <-left == 0
@@ -476,7 +476,7 @@
 		g.expect(r, fmt.Sprintf("VA 5 Ob%d", n), "hello")
 		once = append(once, r)
 	}
-	g.until("few are left", func(n counters.Counters) bool { return int(n.IdleClosed) >= 31-g.eng.Most()/shareIdle })
+	g.until("few are left", func(n metrics.Counters) bool { return int(n.IdleClosed) >= 31-g.eng.Most()/shareIdle })
 	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("closed with: %v", err)
 	}
@@ -496,7 +496,7 @@
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	wait(t, g.lines)
 	go fmt.Fprint(c, strings.Repeat("mn\r\n", 2*mostSaid))
-	g.until("it is no more read", func(counters.Counters) bool {
+	g.until("it is no more read", func(metrics.Counters) bool {
 		closing := make(chan bool, 1)
 		g.ask(func() { g.clients.Each(func(_ clientID, c *client) { closing <- c.closing }) })
 		return <-closing
@@ -750,7 +750,7 @@
 			began := time.Now()
 			time.Sleep(c.after)
 			fmt.Fprint(to, c.asks+"\r\n")
-			g.until("it is taken", func(n counters.Counters) bool { return n.Requests == 2 })
+			g.until("it is taken", func(n metrics.Counters) bool { return n.Requests == 2 })
 			if c.attempts > 1 {
 				line, left := wait(t, g.lines), 0
 				_, told, _ := strings.Cut(line, "d=")
@@ -804,7 +804,7 @@
 				fmt.Fprint(c, command+"\r\n")
 				told[command] = r
 			}
-			g.until("all are taken", func(n counters.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
+			g.until("all are taken", func(n metrics.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
 			defer l.Close()
 			began := time.Now()
 			g.Shutdown()
@@ -841,7 +841,7 @@
 		c, r := g.client()
 		fmt.Fprintf(c, "mg k%[1]d v Oa%[1]d Pc=read,d=9000\r\n", n)
 		rs = append(rs, r)
-		g.until("it is taken", func(c counters.Counters) bool { return c.Requests == uint64(n+1) })
+		g.until("it is taken", func(c metrics.Counters) bool { return c.Requests == uint64(n+1) })
 	}
 	close(hold)
 	served, busy := 0, 0
@@ -921,9 +921,9 @@
 		g.moves("c", addr)
 		c, r := g.client()
 		fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n")
-		g.until("it waits for its link", func(n counters.Counters) bool { return n.Dials == 1 })
+		g.until("it waits for its link", func(n metrics.Counters) bool { return n.Dials == 1 })
 		g.list <- fmt.Sprintf(`{"generation":8,"reset":false,"instances":[{"instanceId":"c","hostPort":"%s","machineType":"box","lifecycle":"%s"}]}`, addr, state)
-		g.until("the news is heard", func(n counters.Counters) bool { return n.EndpointUpdates == 2 })
+		g.until("the news is heard", func(n metrics.Counters) bool { return n.EndpointUpdates == 2 })
 		let()
 		up, err := l.Accept()
 		if err != nil {
@@ -963,7 +963,7 @@
 	asked, _ := bufio.NewReader(first).ReadString('\n')
 	sent, let := time.Now(), gated(t, l)
 	io.WriteString(first, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-	g.until("the repeat waits for its link", func(n counters.Counters) bool { return n.Dials >= dials+2 })
+	g.until("the repeat waits for its link", func(n metrics.Counters) bool { return n.Dials >= dials+2 })
 	for time.Since(sent) < window {
 	}
 	let()
--- a/internal/net/relay/starts_test.go
+++ b/internal/proxy/starts_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
 
-	"dahliapin/internal/houserules"
+	"dahliapin/internal/config/settings"
 	"dahliapin/policy"
 )
 
@@ -17,7 +17,7 @@
 // counted as warm for an hour, so that all nodes together would have pushed it over; after a step forward it counted as cold for an hour.
 func TestStartsAfterAStepOfTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		rules, err := houserules.Decode(fastjson.MustParse(fmt.Sprintf(terms, false)))
+		rules, err := settings.Decode(fastjson.MustParse(fmt.Sprintf(terms, false)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/relay/stream.go
+++ b/internal/proxy/stream.go
@@ -1,9 +1,9 @@
-package relay
+package proxy
 
 import (
 	"time"
 
-	"dahliapin/internal/net/meta"
+	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
--- a/internal/net/relay/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"dahliapin/internal/net/counters"
+	"dahliapin/internal/proxy/metrics"
 )
 
 // Long values were gathered whole: their first byte came with the last, and many at once took the memory. A value's head goes out
@@ -45,7 +45,7 @@
 	g.ask(func() { g.caches["c"].addr = usual })
 	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\nmn\r\n")
 	held := make(chan bool, 1)
-	g.until("the second is held", func(counters.Counters) bool {
+	g.until("the second is held", func(metrics.Counters) bool {
 		g.ask(func() {
 			n := 0
 			g.links.Each(func(_ linkID, l *link) {
@@ -93,7 +93,7 @@
 		fmt.Fprintf(c, "mg k v O%d Pc=read,d=9000\r\n", n)
 	}
 	stuck := make(chan bool, 1)
-	g.until("it is left", func(n counters.Counters) bool {
+	g.until("it is left", func(n metrics.Counters) bool {
 		g.ask(func() {
 			g.links.Each(func(_ linkID, l *link) {
 				if l.stream != nil && l.stream.held && l.stream.begun { // as after a while
@@ -104,7 +104,7 @@
 		})
 		return !<-stuck && n.Overdue == 1
 	})
-	g.until("and its links", func(counters.Counters) bool {
+	g.until("and its links", func(metrics.Counters) bool {
 		g.ask(func() {
 			busy := false
 			g.links.Each(func(_ linkID, l *link) { busy = busy || l.stream != nil })
--- a/internal/net/relay/succession.go
+++ b/internal/proxy/succession.go
@@ -1,6 +1,6 @@
-package relay
+package proxy
 
-import "dahliapin/internal/net/handover"
+import "dahliapin/internal/proxy/handover"
 
 // While two processes are one node, each has this part of what the node may use.
 const shareTogether = 2
@@ -72,7 +72,7 @@
 	}
 }
 
-// Hang has the loop do nothing until a channel is closed. It is for rehearsals.
+// BlockLoop has the loop do nothing until a channel is closed. It is for rehearsals.
 func (r *Proxy) BlockLoop(until <-chan struct{}) { r.ask(func() { <-until }) }
 
 // Replaced tells whether another process lets people in. It is for the loop, as Moved is called within it.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -11,11 +11,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
 
+	"dahliapin/internal/config/fleetconfig"
 	"dahliapin/internal/discovery"
-	"dahliapin/internal/fleet/charter"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/net/http1"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/wire/http1"
 )
 
 const (
@@ -34,14 +34,14 @@
 // Node is one hollow node: the control part of a real one, on sockets.
 type Node struct {
 	Place Place
-	Post  *fleet.Node
+	Post  *gossip.Node
 	parts []Part
 	once  sync.Once
 }
 
 // OpenNode starts one, by the same file as a real one, with more parts than its membership and its calls for the list.
-func OpenNode(at Place, f *charter.File, nodes int, r *ruler, more ...PartMaker) (*Node, error) {
-	lines, err := fleet.Listen(at.Addr)
+func OpenNode(at Place, f *fleetconfig.File, nodes int, r *ruler, more ...PartMaker) (*Node, error) {
+	lines, err := gossip.Listen(at.Addr)
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n := &Node{Place: at}
-	if n.Post, err = fleet.Join(fleet.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: fleet.BootTime}, lines); err != nil {
+	if n.Post, err = gossip.Join(gossip.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: gossip.BootTime}, lines); err != nil {
 		return nil, err
 	}
 	n.parts = append(n.parts, turn(n.Post))
@@ -82,7 +82,7 @@
 // turning stands for the loop that serves clients.
 type turning struct{ end chan struct{} }
 
-func turn(p *fleet.Node) turning {
+func turn(p *gossip.Node) turning {
 	t := turning{make(chan struct{})}
 	go func() {
 		each := time.NewTicker(turnsEach)
--- a/internal/scale/lines.go
+++ b/internal/scale/lines.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/membership/gossip"
 )
 
 const (
@@ -22,13 +22,13 @@
 // ruler keeps the rules between regions for a process of hollow nodes. Hollow nodes keep them for what they send. Real ones know of no
 // rules: those to whom they send keep them for what comes from there.
 type ruler struct {
-	faults *between.Faults
+	faults *netfault.Faults
 	late   atomic.Int64
 	lost   atomic.Uint64 // for want of room here, which no rule asked for
 }
 
 // Lines are sockets that go by the rules.
-func (r *ruler) lines(l fleet.Transport, region RegionID) fleet.Transport {
+func (r *ruler) lines(l gossip.Transport, region RegionID) gossip.Transport {
 	dial := l.Dial
 	l.Datagrams, l.Streams = &ruledDatagrams{PacketConn: l.Datagrams, r: r, region: region}, &ruledStreams{l.Streams, r, region}
 	l.Dial = func(addr string, within time.Duration) (net.Conn, error) {
--- a/internal/scale/changes/judge/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -1,12 +1,12 @@
-package judge
+package checker
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"dahliapin/internal/scale/changes/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/monotime"
 )
 
 // The breaches at caches.
@@ -35,34 +35,34 @@
 }
 
 // Caches judges what caches did: purges are those of the whole log, with no index twice, records those of all caches.
-func Caches(purges []trace.Purged, records []trace.Cached, looked func(cache string) bool) CachesReport {
+func Caches(purges []logtrace.Purged, records []logtrace.Cached, looked func(cache string) bool) CachesReport {
 	j := New(0, nil)
 	r := CachesReport{Purges: len(purges), Breaches: []Breach{}}
-	slices.SortFunc(purges, func(a, b trace.Purged) int { return cmp.Compare(a.Index, b.Index) })
-	of := map[string][]trace.Cached{}
+	slices.SortFunc(purges, func(a, b logtrace.Purged) int { return cmp.Compare(a.Index, b.Index) })
+	of := map[string][]logtrace.Cached{}
 	for _, x := range records {
 		of[x.Cache] = append(of[x.Cache], x)
 	}
 	r.Caches = len(of)
-	deleted, done := make([]policy.Instant, len(purges)), make([]policy.Instant, len(purges))
+	deleted, done := make([]monotime.Instant, len(purges)), make([]monotime.Instant, len(purges))
 	for name, all := range of {
-		slices.SortStableFunc(all, func(a, b trace.Cached) int { return cmp.Compare(a.At, b.At) })
-		first := map[string][]policy.Instant{} // deletions of a key
-		emptied, purged, upTo := policy.Never, map[string]uint64{}, 0
+		slices.SortStableFunc(all, func(a, b logtrace.Cached) int { return cmp.Compare(a.At, b.At) })
+		first := map[string][]monotime.Instant{} // deletions of a key
+		emptied, purged, upTo := monotime.Never, map[string]uint64{}, 0
 		for _, x := range all {
 			switch x.What {
-			case trace.Deleted:
+			case logtrace.Deleted:
 				r.Deletes++
 				first[x.Key] = append(first[x.Key], x.At)
-			case trace.Emptied:
+			case logtrace.Emptied:
 				r.Emptied++
 				emptied = x.At
-			case trace.Served:
+			case logtrace.Served:
 				r.Served++
 				if want := purged[x.Key]; x.Version < want {
 					j.broke(OldServed, "%s: %s in version %d, after %d was purged", name, x.Key, x.Version, want)
 				}
-			case trace.Counted:
+			case logtrace.Counted:
 				for ; upTo < len(purges) && purges[upTo].Index <= x.Index; upTo++ {
 					p := purges[upTo]
 					if d := first[p.Key]; emptied < p.Sent && (len(d) == 0 || d[len(d)-1] < p.Sent) {
@@ -90,7 +90,7 @@
 		if plays[p.Play] == nil {
 			plays[p.Play], order = &[2][]time.Duration{}, append(order, p.Play)
 		}
-		for n, at := range []policy.Instant{deleted[i], done[i]} {
+		for n, at := range []monotime.Instant{deleted[i], done[i]} {
 			if at > 0 {
 				plays[p.Play][n] = append(plays[p.Play][n], at.Since(p.Sent))
 			}
--- a/internal/scale/changes/judge/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -1,7 +1,7 @@
 // Package judge looks at what a run of the log of changes left behind: none missing, none doubled, none out of order, none acknowledged
 // or in force before a majority had it on disk, nothing told too early; and how long the last node took. It takes nobody's own word for
 // any of it but the clocks.
-package judge
+package checker
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/scale/changes/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/monotime"
 )
 
 const mostExamples = 5 // of each breach that are told
@@ -66,7 +66,7 @@
 
 type change struct {
 	index uint64
-	kept  []policy.Instant // by voter, when it was on its disk first
+	kept  []monotime.Instant // by voter, when it was on its disk first
 }
 
 type nodeSeen struct {
@@ -80,7 +80,7 @@
 }
 
 type timed struct {
-	last  policy.Instant
+	last  monotime.Instant
 	nodes int
 }
 
@@ -89,7 +89,7 @@
 	voters  int
 	changes map[uint64]*change // by mark
 	byIndex map[uint64]uint64  // marks
-	orders  []trace.Ordered
+	orders  []logtrace.Ordered
 	nodes   map[uint32]*nodeSeen
 	begins  []beginning
 	last    map[uint64]*timed // by index
@@ -121,11 +121,11 @@
 }
 
 // Kept takes what a voter, numbered from 0, has on disk. Learners are no evidence.
-func (j *Judge) Kept(voter int, k trace.Kept) {
+func (j *Judge) Kept(voter int, k logtrace.Kept) {
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
 		if c == nil {
-			c = &change{kept: make([]policy.Instant, j.voters)}
+			c = &change{kept: make([]monotime.Instant, j.voters)}
 			j.changes[mark] = c
 		}
 		if c.kept[voter] == 0 || k.At < c.kept[voter] {
@@ -135,7 +135,7 @@
 }
 
 // majority is when a majority of the voters had a change on disk; the end of time for never.
-func (j *Judge) majority(mark uint64) policy.Instant {
+func (j *Judge) majority(mark uint64) monotime.Instant {
 	c := j.changes[mark]
 	if c == nil {
 		return math.MaxInt64
@@ -151,7 +151,7 @@
 }
 
 // Order takes a change that was published.
-func (j *Judge) Order(o trace.Ordered) {
+func (j *Judge) Order(o logtrace.Ordered) {
 	j.orders = append(j.orders, o)
 	if o.Index == 0 {
 		return
@@ -174,7 +174,7 @@
 	}
 	c := j.changes[mark]
 	if c == nil {
-		c = &change{kept: make([]policy.Instant, j.voters)}
+		c = &change{kept: make([]monotime.Instant, j.voters)}
 		j.changes[mark] = c
 	}
 	if c.index != 0 && c.index != index {
@@ -184,14 +184,14 @@
 }
 
 // Saw takes a node's next record.
-func (j *Judge) Saw(r trace.Record) {
+func (j *Judge) Saw(r logtrace.Record) {
 	n := j.nodes[r.Node]
 	if n == nil {
 		n = &nodeSeen{}
 		j.nodes[r.Node] = n
 	}
 	switch r.What {
-	case trace.Began:
+	case logtrace.Began:
 		if n.begun {
 			j.report.Presumed++
 		}
@@ -200,9 +200,9 @@
 		}
 		j.begins = append(j.begins, beginning{r.Node, r.Index, r.Mark})
 		n.begun, n.applied = true, r.Index
-	case trace.Refused:
+	case logtrace.Refused:
 		j.report.Refused++
-	case trace.Applied:
+	case logtrace.Applied:
 		j.report.Applied++
 		switch {
 		case r.Index <= n.applied:
@@ -224,7 +224,7 @@
 			t.last = max(t.last, r.At)
 			t.nodes++
 		}
-	case trace.Told:
+	case logtrace.Told:
 		if r.Index > n.applied {
 			j.broke(EarlyTold, "node %d told of %d with %d", r.Node, r.Index, n.applied)
 		}
--- a/internal/scale/changes/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"dahliapin/internal/emulator/keeper"
-	"dahliapin/internal/fleet/accord"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/cachestub"
+	"dahliapin/internal/emulator/logtrace"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/scale/changes/judge"
-	"dahliapin/internal/scale/changes/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/scale/logscale/checker"
 )
 
 const (
@@ -25,21 +25,21 @@
 // caches are the rig's cache servers, each in a region, and what befell them. A key's value has the version 1 before its purge is published,
 // and 2 at the origin from then on.
 type caches struct {
-	all     []*keeper.Cache
+	all     []*cachestub.Cache
 	mu      sync.Mutex
-	records []trace.Cached
+	records []logtrace.Cached
 	recent  []string // keys that were purged, to be read
 	chance  keyhash.Source
 	fills   sync.WaitGroup
-	purged  []trace.Purged
+	purged  []logtrace.Purged
 	cut     string
-	back    policy.Instant
+	back    monotime.Instant
 	closed  chan struct{}
 }
 
 func (r *run) openCaches() error {
 	for i := range r.Caches {
-		c, err := keeper.Open(fmt.Sprintf("cache-%02d", i), fleet.BootTime, func(x trace.Cached) {
+		c, err := cachestub.Open(fmt.Sprintf("cache-%02d", i), gossip.BootTime, func(x logtrace.Cached) {
 			r.caches.mu.Lock()
 			defer r.caches.mu.Unlock()
 			r.caches.records = append(r.caches.records, x)
@@ -79,10 +79,10 @@
 }
 
 // cached has all caches keep values that are about to be purged.
-func (r *run) cached(all []accord.Proposal) {
+func (r *run) cached(all []replicatedlog.Proposal) {
 	for _, p := range all {
 		for _, c := range r.caches.all {
-			if p.Kind == accord.Purge {
+			if p.Kind == replicatedlog.Purge {
 				c.Fill(string(p.Body), 1)
 			}
 		}
@@ -96,18 +96,18 @@
 }
 
 // refill has fills with the old value under way when a purge is published: each ends within the longest that one may take.
-func (r *run) refill(all []accord.Proposal, sent policy.Instant) {
+func (r *run) refill(all []replicatedlog.Proposal, sent monotime.Instant) {
 	for _, c := range r.caches.all {
 		for _, p := range all {
-			if p.Kind != accord.Purge || r.chance() > refilled {
+			if p.Kind != replicatedlog.Purge || r.chance() > refilled {
 				continue
 			}
 			key, by := string(p.Body), sent.Add(r.Fills-refillLate)
 			at := sent.Add(time.Duration(r.chance() * float64(r.Fills-2*refillLate)))
 			r.caches.fills.Add(1)
-			time.AfterFunc(at.Since(fleet.BootTime()), func() {
+			time.AfterFunc(at.Since(gossip.BootTime()), func() {
 				defer r.caches.fills.Done()
-				if fleet.BootTime() < by {
+				if gossip.BootTime() < by {
 					c.Fill(key, 1)
 				}
 			})
@@ -116,7 +116,7 @@
 	r.caches.mu.Lock()
 	defer r.caches.mu.Unlock()
 	for _, p := range all {
-		if p.Kind == accord.Purge && r.Caches > 0 {
+		if p.Kind == replicatedlog.Purge && r.Caches > 0 {
 			r.caches.recent = append(r.caches.recent, string(p.Body))
 		}
 	}
@@ -157,7 +157,7 @@
 // cutCache has a cache say nothing for a while, its contents staying.
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
-	c.Break(keeper.Silent, 0)
+	c.Break(cachestub.Silent, 0)
 	r.caches.cut = c.Name()
 	r.say("%s is silent", c.Name())
 	var all sync.WaitGroup
@@ -174,8 +174,8 @@
 				x.Cache, x.Lacks, o.Last, strings.Join(why, "; ")))
 		}
 	}
-	c.Break(keeper.None, 0)
-	r.caches.back = fleet.BootTime()
+	c.Break(cachestub.None, 0)
+	r.caches.back = gossip.BootTime()
 	all.Wait()
 	return err
 }
@@ -193,9 +193,9 @@
 			target = max(target, o.Index)
 		}
 	}
-	back := policy.Instant(0)
+	back := monotime.Instant(0)
 	for i := range machines {
-		if err := trace.Lines(r.path("control-%d.trace.caches", i), func(x trace.Cached) {
+		if err := logtrace.Lines(r.path("control-%d.trace.caches", i), func(x logtrace.Cached) {
 			r.caches.records = append(r.caches.records, x)
 			if x.Cache == r.caches.cut && x.Index >= target && (back == 0 || x.At < back) {
 				back = x.At
@@ -207,7 +207,7 @@
 	if r.caches.back > 0 {
 		r.report.CacheBack = back.Since(r.caches.back).Seconds()
 	}
-	rep := judge.Caches(r.caches.purged, r.caches.records, func(name string) bool { return name != r.caches.cut })
+	rep := checker.Caches(r.caches.purged, r.caches.records, func(name string) bool { return name != r.caches.cut })
 	r.report.Caches = &rep
 	return nil
 }
--- a/internal/scale/changes/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -17,11 +17,11 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/fleet/accord"
-	net "dahliapin/internal/net/accord"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/scale/changes/trace"
-	"dahliapin/policy"
+	net "dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/monotime"
 )
 
 const (
@@ -43,16 +43,16 @@
 
 // Sample is what a process has used until then.
 type Sample struct {
-	At    policy.Instant `json:"at"`
-	CPU   float64        `json:"cpu_s"`
-	RSS   int64          `json:"rss"`  // bytes
-	Heap  uint64         `json:"heap"` // bytes, as of the last collection
-	In    []uint64       `json:"in"`   // bytes each node's streams took until now
-	Out   []uint64       `json:"out"`
-	Moves uint64         `json:"moves"`
-	Gaps  uint64         `json:"gaps"`
-	Stale int            `json:"stale"`
-	Least uint64         `json:"least"` // what the node that is furthest behind has applied
+	At    monotime.Instant `json:"at"`
+	CPU   float64          `json:"cpu_s"`
+	RSS   int64            `json:"rss"`  // bytes
+	Heap  uint64           `json:"heap"` // bytes, as of the last collection
+	In    []uint64         `json:"in"`   // bytes each node's streams took until now
+	Out   []uint64         `json:"out"`
+	Moves uint64           `json:"moves"`
+	Gaps  uint64           `json:"gaps"`
+	Stale int              `json:"stale"`
+	Least uint64           `json:"least"` // what the node that is furthest behind has applied
 }
 
 // writer writes records of many nodes.
@@ -61,54 +61,56 @@
 	w  *bufio.Writer
 }
 
-func (w *writer) put(r trace.Record) {
+func (w *writer) put(r logtrace.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = trace.Write(w.w, r) // a full disk shows as what is missing
+	_ = logtrace.Write(w.w, r) // a full disk shows as what is missing
 }
 
 // hollow is a node that follows the log by the real code, and does nothing by it but write it down.
 type hollow struct {
-	reader *accord.Applier
+	reader *replicatedlog.Applier
 	to     *writer
 	number uint32
 	begins bool
 	mark   uint64
 }
 
-func (h *hollow) PresumePurged(accord.Index) {}
+func (h *hollow) PresumePurged(replicatedlog.Index) {}
 
-func (h *hollow) note(what trace.What, at accord.Index, kind accord.Kind, body string) {
-	mark := accord.Proposal{Kind: kind, Body: []byte(body)}.ContentHash()
+func (h *hollow) note(what logtrace.What, at replicatedlog.Index, kind replicatedlog.Kind, body string) {
+	mark := replicatedlog.Proposal{Kind: kind, Body: []byte(body)}.ContentHash()
 	if h.begins {
 		h.mark = mark
 		return
 	}
-	h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, What: what})
+	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, What: what})
 }
 
-func (h *hollow) Purge(at accord.Index, key string) { h.note(trace.Applied, at, accord.Purge, key) }
+func (h *hollow) Purge(at replicatedlog.Index, key string) {
+	h.note(logtrace.Applied, at, replicatedlog.Purge, key)
+}
 
-func (h *hollow) Configure(at accord.Index, text []byte) error {
-	h.note(trace.Applied, at, accord.Config, string(text))
+func (h *hollow) Configure(at replicatedlog.Index, text []byte) error {
+	h.note(logtrace.Applied, at, replicatedlog.Config, string(text))
 	return nil
 }
 
 // Begin and Take are a Reader's.
-func (h *hollow) Start(log accord.LogID, at accord.Index, config cbor.RawMessage) error {
+func (h *hollow) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
 	h.begins, h.mark = true, 0
 	err := h.reader.Start(log, at, config)
 	if h.begins = false; err == nil {
-		h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: trace.Began})
+		h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: logtrace.Began})
 	}
 	return err
 }
 
-func (h *hollow) Apply(raw []cbor.RawMessage) error { return h.reader.Apply(raw) }
-func (h *hollow) CurrentProgress() accord.Progress  { return h.reader.CurrentProgress() }
+func (h *hollow) Apply(raw []cbor.RawMessage) error       { return h.reader.Apply(raw) }
+func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
-func (h *hollow) told(at accord.Index) {
-	h.to.put(trace.Record{At: fleet.BootTime(), Index: uint64(at), Node: h.number, What: trace.Told})
+func (h *hollow) told(at replicatedlog.Index) {
+	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Node: h.number, What: logtrace.Told})
 }
 
 // Name is a hollow node's.
@@ -143,9 +145,9 @@
 	}()
 	for i := range s.Nodes {
 		h := &hollow{to: to, number: s.First + uint32(i)}
-		h.reader = accord.NewApplier(h)
+		h.reader = replicatedlog.NewApplier(h)
 		all = append(all, net.StartFollower(net.FollowerConfig{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, At: s.At, Seed: s.Seed + h.number, Stale: 30 * time.Second,
-			Reader: h, Log: log, Now: fleet.BootTime, OnProgressSent: h.told}))
+			Reader: h, Log: log, Now: gossip.BootTime, OnProgressSent: h.told}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
 	each := time.NewTicker(sampleEach)
@@ -167,7 +169,7 @@
 func sample(all []*net.Follower) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	s := Sample{At: fleet.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
+	s := Sample{At: gossip.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
 	for _, f := range all {
 		now := f.Status()
 		s.In, s.Out = append(s.In, now.InBytes), append(s.Out, now.OutBytes)
--- a/internal/scale/changes/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -17,14 +17,14 @@
 	"syscall"
 	"time"
 
-	"dahliapin/internal/fleet/accord"
+	net "dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/freeport"
 	"dahliapin/internal/keyhash"
-	net "dahliapin/internal/net/accord"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/ports"
-	"dahliapin/internal/scale/changes/judge"
-	"dahliapin/internal/scale/changes/trace"
-	"dahliapin/policy"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/scale/logscale/checker"
 )
 
 const (
@@ -98,18 +98,18 @@
 	Nodes, Real, Regions int
 	Loss                 float64
 	Seed                 uint32
-	Load                 []string     `json:"load"` // of the machine, before and after
-	Judge                judge.Report `json:"judge"`
-	Usage                []Usage      `json:"usage"`
-	Notes                []string     `json:"notes"`
-	Back                 float64      `json:"back_s"` // from the end of the cut until the region had all; 0 for no cut
-	StaleInCut           int          `json:"stale_in_cut"`
+	Load                 []string       `json:"load"` // of the machine, before and after
+	Judge                checker.Report `json:"judge"`
+	Usage                []Usage        `json:"usage"`
+	Notes                []string       `json:"notes"`
+	Back                 float64        `json:"back_s"` // from the end of the cut until the region had all; 0 for no cut
+	StaleInCut           int            `json:"stale_in_cut"`
 	Moves, Gaps          uint64
-	Caches               *judge.CachesReport `json:"caches,omitempty"`
-	CacheBack            float64             `json:"cache_back_s,omitempty"` // from the end of a cache's silence until all was done there that was published by then
-	RealWhole            int                 `json:"real_with_all"`
-	Shown                float64             `json:"shown_s"` // the most from an entry's acknowledgement until fleet changes showed it at every node
-	Asked                float64             `json:"asked_s"` // the most that one such call took meanwhile
+	Caches               *checker.CachesReport `json:"caches,omitempty"`
+	CacheBack            float64               `json:"cache_back_s,omitempty"` // from the end of a cache's silence until all was done there that was published by then
+	RealWhole            int                   `json:"real_with_all"`
+	Shown                float64               `json:"shown_s"` // the most from an entry's acknowledgement until fleet changes showed it at every node
+	Asked                float64               `json:"asked_s"` // the most that one such call took meanwhile
 }
 
 type process struct {
@@ -130,18 +130,18 @@
 	real     []*process
 	caller   net.Client
 	mu       sync.Mutex
-	orders   []trace.Ordered
+	orders   []logtrace.Ordered
 	report   Report
 	marks    []mark
-	cutFrom  policy.Instant
-	cutUntil policy.Instant
+	cutFrom  monotime.Instant
+	cutUntil monotime.Instant
 	caches   caches
 }
 
 // mark is when a play began and ended, with what real and control processes had used.
 type mark struct {
 	play        string
-	from, until policy.Instant
+	from, until monotime.Instant
 	before      map[int]float64
 	after       map[int]float64
 	rss         map[int]int64
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	for _, play := range p.Plays {
-		m := mark{play: play, from: fleet.BootTime(), before: r.usedBy()}
+		m := mark{play: play, from: gossip.BootTime(), before: r.usedBy()}
 		r.say("%s begins; load %s", play, Load())
 		switch play {
 		case Steady:
@@ -195,7 +195,7 @@
 			return nil, fmt.Errorf("%s: %w", play, err)
 		}
 		time.Sleep(2 * sampleEach) // so that no play is in another one's figures
-		m.until, m.after, m.rss = fleet.BootTime(), r.usedBy(), r.residentBy()
+		m.until, m.after, m.rss = gossip.BootTime(), r.usedBy(), r.residentBy()
 		r.marks = append(r.marks, m)
 	}
 	r.report.Load = append(r.report.Load, Load())
@@ -243,8 +243,8 @@
 	for i := range machines {
 		var err error
 		r.region[i] = i * r.Regions / machines
-		if r.peers[i], err = ports.Free(); err == nil {
-			r.nodes[i], err = ports.Free()
+		if r.peers[i], err = freeport.Free(); err == nil {
+			r.nodes[i], err = freeport.Free()
 		}
 		if err != nil {
 			return err
@@ -325,11 +325,11 @@
 
 // startReal starts a whole node that follows: with listeners, a loop, gossip with nobody, and no list of caches.
 func (r *run) startReal(i int) error {
-	listen, err := ports.Free()
+	listen, err := freeport.Free()
 	if err != nil {
 		return err
 	}
-	gossip, err := ports.Free()
+	gossip, err := freeport.Free()
 	if err != nil {
 		return err
 	}
@@ -356,33 +356,33 @@
 	return []byte(strings.Replace(text, `"note":""`, `"note":"`+strings.Repeat("x", max(0, configBytes-len(text)))+`"`, 1))
 }
 
-func (r *run) purges(play string, from, n int) (all []accord.Proposal) {
+func (r *run) purges(play string, from, n int) (all []replicatedlog.Proposal) {
 	for i := range n {
 		key := fmt.Sprintf("%s/%08d/", play, from+i)
-		all = append(all, net.NewProposal(accord.Purge, []byte(key+strings.Repeat("k", keyBytes-len(key)))))
+		all = append(all, net.NewProposal(replicatedlog.Purge, []byte(key+strings.Repeat("k", keyBytes-len(key)))))
 	}
 	return all
 }
 
 // publish has changes ordered and notes it.
-func (r *run) publish(ctx context.Context, play string, all []accord.Proposal) {
+func (r *run) publish(ctx context.Context, play string, all []replicatedlog.Proposal) {
 	ctx, done := context.WithTimeout(ctx, publishBy)
 	defer done()
 	r.cached(all)
-	sent := fleet.BootTime()
+	sent := gossip.BootTime()
 	r.refill(all, sent)
 	at, err := r.caller.Publish(ctx, all)
-	acked := fleet.BootTime()
+	acked := gossip.BootTime()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, p := range all {
-		o := trace.Ordered{Mark: p.ContentHash(), Config: p.Kind == accord.Config, Sent: sent, Acked: acked, Play: play}
+		o := logtrace.Ordered{Mark: p.ContentHash(), Config: p.Kind == replicatedlog.Config, Sent: sent, Acked: acked, Play: play}
 		if i < len(at) {
 			o.Index = uint64(at[i])
 		}
 		r.orders = append(r.orders, o)
-		if p.Kind == accord.Purge && o.Index > 0 && r.Caches > 0 {
-			r.caches.purged = append(r.caches.purged, trace.Purged{Index: o.Index, Key: string(p.Body), Version: 2, Sent: sent, Play: play})
+		if p.Kind == replicatedlog.Purge && o.Index > 0 && r.Caches > 0 {
+			r.caches.purged = append(r.caches.purged, logtrace.Purged{Index: o.Index, Key: string(p.Body), Version: 2, Sent: sent, Play: play})
 		}
 	}
 	if err != nil {
@@ -407,7 +407,7 @@
 		time.Sleep(time.Until(begin.Add(due)))
 		some := r.purges(play, p, 1)
 		if config {
-			some = []accord.Proposal{net.NewProposal(accord.Config, configuration("all-"+play, "127.0.0.1:1", c))}
+			some = []replicatedlog.Proposal{net.NewProposal(replicatedlog.Config, configuration("all-"+play, "127.0.0.1:1", c))}
 			c++
 		} else {
 			p++
@@ -463,7 +463,7 @@
 // cutOff cuts a region off while an hour's changes pass, and measures until it has all again.
 func (r *run) cutOff(ctx context.Context) error {
 	region := r.CutRegion
-	r.cutFrom = fleet.BootTime()
+	r.cutFrom = gossip.BootTime()
 	r.between.Cut(region, true)
 	r.say("region %d is cut off", region)
 	var all sync.WaitGroup
@@ -476,7 +476,7 @@
 		time.Sleep(time.Until(begin.Add(r.CutFor * time.Duration(i) / time.Duration(calls))))
 		some := r.purges("backlog", i*backlogOf, min(backlogOf, r.CutPurges-i*backlogOf))
 		for ; configs < r.CutConfigs*(i+1)/calls; configs++ {
-			some = append(some, net.NewProposal(accord.Config, configuration("all-cut", "127.0.0.1:1", configs)))
+			some = append(some, net.NewProposal(replicatedlog.Config, configuration("all-cut", "127.0.0.1:1", configs)))
 		}
 		slots <- struct{}{}
 		backlog.Go(func() {
@@ -498,7 +498,7 @@
 	}
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent))
 	r.between.Cut(region, false)
-	r.cutUntil = fleet.BootTime()
+	r.cutUntil = gossip.BootTime()
 	r.say("region %d is back; newest entry %d", region, o.Last)
 	all.Wait()
 	return nil
@@ -507,7 +507,7 @@
 // shown measures how soon fleet changes shows an entry at every node.
 func (r *run) shown(ctx context.Context, play string) {
 	for i := range showings {
-		r.publish(ctx, "shown", []accord.Proposal{net.NewProposal(accord.Purge, fmt.Append(nil, "shown/", play, "/", i))})
+		r.publish(ctx, "shown", []replicatedlog.Proposal{net.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))})
 		o := r.orders[len(r.orders)-1]
 		for by := time.Now().Add(showBy); o.Index > 0 && time.Now().Before(by); time.Sleep(showEach) {
 			asked := time.Now()
@@ -517,7 +517,7 @@
 				break
 			}
 		}
-		r.report.Shown = max(r.report.Shown, time.Duration(fleet.BootTime()-o.Acked).Seconds())
+		r.report.Shown = max(r.report.Shown, time.Duration(gossip.BootTime()-o.Acked).Seconds())
 	}
 }
 
@@ -624,9 +624,9 @@
 	inCut := func(node uint32) bool {
 		return r.cutFrom > 0 && node >= off.First && node < off.First+uint32(off.Nodes)
 	}
-	j := judge.New(machines-1, func(node uint32) bool { return !inCut(node) })
+	j := checker.New(machines-1, func(node uint32) bool { return !inCut(node) })
 	for i := range machines - 1 {
-		if err := trace.Lines(r.path("control-%d.trace", i), func(k trace.Kept) { j.Kept(i, k) }); err != nil {
+		if err := logtrace.Lines(r.path("control-%d.trace", i), func(k logtrace.Kept) { j.Kept(i, k) }); err != nil {
 			return err
 		}
 	}
@@ -647,9 +647,9 @@
 		}
 	}
 	for _, s := range r.specs {
-		if err := trace.Read(s.Trace, func(rec trace.Record) {
+		if err := logtrace.Read(s.Trace, func(rec logtrace.Record) {
 			j.Saw(rec)
-			if inCut(rec.Node) && rec.What == trace.Applied && rec.Index == target {
+			if inCut(rec.Node) && rec.What == logtrace.Applied && rec.Index == target {
 				r.report.Back = max(r.report.Back, time.Duration(rec.At-r.cutUntil).Seconds())
 			}
 		}); err != nil {
@@ -671,7 +671,7 @@
 		var in, out, both, core []float64
 		for i, s := range r.specs {
 			var a, b Sample
-			if err := trace.Lines(s.Stats, func(x Sample) {
+			if err := logtrace.Lines(s.Stats, func(x Sample) {
 				if x.At <= m.from || a.At == 0 {
 					a = x
 				}
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"dahliapin/internal/emulator/between"
+	"dahliapin/internal/emulator/netfault"
 	"dahliapin/internal/keyhash"
 )
 
@@ -90,14 +90,14 @@
 }
 
 // Faults are the rules between regions, with which a run begins.
-func (f *File) Faults(seed int64) *between.Faults {
-	faults := between.New(uint32(seed))
+func (f *File) Faults(seed int64) *netfault.Faults {
+	faults := netfault.New(uint32(seed))
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
 	for a := range f.Places.Regions {
 		for b := range a {
 			d := ms(f.Between.DelayMs + chance.Float64()*(f.Between.DelayMostMs-f.Between.DelayMs))
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
-				faults.Change(pair[0], pair[1], func(w *between.Way) {
+				faults.Change(pair[0], pair[1], func(w *netfault.Way) {
 					w.Delay, w.Late, w.Loss = d, ms(f.Between.LateMs), f.Between.Loss
 				})
 			}
@@ -107,13 +107,13 @@
 }
 
 // cut cuts a region off from all others, or ends that.
-func cut(faults *between.Faults, region RegionID, regions int, off bool) {
+func cut(faults *netfault.Faults, region RegionID, regions int, off bool) {
 	for other := range regions {
 		if other == int(region) {
 			continue
 		}
-		faults.Change(int(region), other, func(w *between.Way) { w.Cut = off })
-		faults.Change(other, int(region), func(w *between.Way) { w.Cut = off })
+		faults.Change(int(region), other, func(w *netfault.Way) { w.Cut = off })
+		faults.Change(other, int(region), func(w *netfault.Way) { w.Cut = off })
 	}
 }
 
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/strictly"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/config/strictconfig"
 )
 
 // Bounds of a run.
@@ -40,14 +40,14 @@
 
 // File is what an operator states of a fleet to be. Without it there is one region, nothing goes wrong and no budget is stated.
 type File struct {
-	Places  Places          `toml:"places"`
-	Starts  Starts          `toml:"starts"`
-	Between Between         `toml:"between"`
-	Cut     Cut             `toml:"cut"`
-	Lost    Lost            `toml:"lost"`
-	List    List            `toml:"list"`
-	Members charter.Members `toml:"members"` // as in a node's own file
-	Budget  Budget          `toml:"budget"`
+	Places  Places              `toml:"places"`
+	Starts  Starts              `toml:"starts"`
+	Between Between             `toml:"between"`
+	Cut     Cut                 `toml:"cut"`
+	Lost    Lost                `toml:"lost"`
+	List    List                `toml:"list"`
+	Members fleetconfig.Members `toml:"members"` // as in a node's own file
+	Budget  Budget              `toml:"budget"`
 }
 
 // Places say where nodes stand: in regions, turn and turn about.
@@ -94,7 +94,7 @@
 }
 
 func usual() File {
-	return File{Places: Places{Regions: 1, Sites: 1, Zones: 1}, Starts: Starts{ApartMs: 25}, Members: charter.Default().Members}
+	return File{Places: Places{Regions: 1, Sites: 1, Zones: 1}, Starts: Starts{ApartMs: 25}, Members: fleetconfig.Default().Members}
 }
 
 // ReadFile reads such a file; no name is for the usual.
@@ -112,7 +112,7 @@
 // ParseFile reads its text; what is wrong is told with its line.
 func ParseFile(name string, text []byte) (File, error) {
 	f := usual()
-	c, err := strictly.Parse(name, text, &f)
+	c, err := strictconfig.Parse(name, text, &f)
 	if err != nil {
 		return f, err
 	}
@@ -132,7 +132,7 @@
 	c.Require(f.Cut.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
 	c.InRange(f.Lost.ForS, 0, 600, "lost.for_s")
 	c.InRange(float64(f.List.Caches), 0, 10_000, "list.caches")
-	charter.CheckMembers(c, &f.Members)
+	fleetconfig.CheckMembers(c, &f.Members)
 	for path, x := range map[string]float64{"core_percent": f.Budget.CorePercent, "memory_mb": f.Budget.MemoryMB, "kb_per_s": f.Budget.KBPerS} {
 		c.InRange(x, 0, 1e6, "budget."+path)
 	}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/membership/gossip"
 )
 
 const (
@@ -23,15 +23,15 @@
 
 // order is what the rig asks of a process of hollow nodes, a line of JSON each.
 type order struct {
-	Do     string        `json:"do"`
-	Places []Place       `json:"places,omitempty"`
-	Fleet  *charter.File `json:"fleet,omitempty"` // but for where it listens
-	File   *File         `json:"file,omitempty"`
-	Seed   int64         `json:"seed,omitempty"`
-	Nodes  int           `json:"nodes,omitempty"`
-	Apart  time.Duration `json:"apart,omitempty"` // between the starts of two
-	Name   string        `json:"name,omitempty"`
-	Off    bool          `json:"off,omitempty"`
+	Do     string            `json:"do"`
+	Places []Place           `json:"places,omitempty"`
+	Fleet  *fleetconfig.File `json:"fleet,omitempty"` // but for where it listens
+	File   *File             `json:"file,omitempty"`
+	Seed   int64             `json:"seed,omitempty"`
+	Nodes  int               `json:"nodes,omitempty"`
+	Apart  time.Duration     `json:"apart,omitempty"` // between the starts of two
+	Name   string            `json:"name,omitempty"`
+	Off    bool              `json:"off,omitempty"`
 }
 
 // What can be asked.
@@ -55,12 +55,12 @@
 
 // status is how one node stands.
 type status struct {
-	Name    string               `json:"name"`
-	Members int                  `json:"members"`
-	Mark    string               `json:"mark"`
-	CutOff  bool                 `json:"cut_off"`
-	Flows   []fleet.TrafficStats `json:"flows,omitempty"`
-	Dropped uint64               `json:"dropped,omitempty"`
+	Name    string                `json:"name"`
+	Members int                   `json:"members"`
+	Mark    string                `json:"mark"`
+	CutOff  bool                  `json:"cut_off"`
+	Flows   []gossip.TrafficStats `json:"flows,omitempty"`
+	Dropped uint64                `json:"dropped,omitempty"`
 }
 
 // process is the rig's hand in a process of hollow nodes.
@@ -69,7 +69,7 @@
 	places []Place
 	order  order
 	ruler  *ruler
-	faults *between.Faults
+	faults *netfault.Faults
 	more   []PartMaker
 }
 
@@ -108,7 +108,7 @@
 				continue
 			}
 			told, _ := n.Post.FleetStatus()
-			s := told.(fleet.Status)
+			s := told.(gossip.Status)
 			st := status{Name: at.Name, Members: s.Members, Mark: s.Mark, CutOff: s.CutOff}
 			if o.Do == doRead {
 				st.Flows, st.Dropped = s.Flows, s.Dropped
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -21,9 +21,9 @@
 	"github.com/pelletier/go-toml/v2"
 	"golang.org/x/sys/unix"
 
-	"dahliapin/internal/emulator/script"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/membership/gossip"
 )
 
 const (
@@ -234,7 +234,7 @@
 }
 
 // StartReal starts one, by the program's serve. Without a fleet's file it knows of no other.
-func (r *Rig) StartReal(at Place, f *charter.File, nodes int, seed int64) (*RealNode, error) {
+func (r *Rig) StartReal(at Place, f *fleetconfig.File, nodes int, seed int64) (*RealNode, error) {
 	host, _, err := net.SplitHostPort(at.Addr)
 	if err != nil {
 		return nil, err
@@ -248,7 +248,7 @@
 		free[i] = l.Addr().String()
 		l.Close()
 	}
-	s, err := script.Parse("scale.toml", []byte(ofReal))
+	s, err := scenario.Parse("scale.toml", []byte(ofReal))
 	if err != nil {
 		return nil, err
 	}
@@ -308,7 +308,7 @@
 		return st, err
 	}
 	defer a.Body.Close()
-	var s fleet.Status
+	var s gossip.Status
 	if err := json.NewDecoder(io.LimitReader(a.Body, longestSaid)).Decode(&s); err != nil {
 		return st, err
 	}
@@ -357,7 +357,7 @@
 		}
 		f.places[i].List = at
 	}
-	file := charter.Default()
+	file := fleetconfig.Default()
 	file.Members = p.File.Members
 	file.Members.MaxMembers = max(file.Members.MaxMembers, nodes)
 	file.Fleet.Label = fmt.Sprintf("scale-%d-%d-%d", os.Getpid(), nodes, p.Seed)
@@ -371,7 +371,7 @@
 	return f, nil
 }
 
-func (f *fleetRun) start(ctx context.Context, file charter.File) error {
+func (f *fleetRun) start(ctx context.Context, file fleetconfig.File) error {
 	real := 0
 	for ; real < len(f.places) && f.places[real].Role == Real; real++ {
 		n, err := f.rig.StartReal(f.places[real], &file, len(f.places), f.plan.Seed+int64(real))
@@ -637,7 +637,7 @@
 // window is how long a size is measured once it is steady: so long that each node begins as many exchanges of all that is known as any
 // other.
 func (p *Plan) window(nodes int) time.Duration {
-	each := fleet.PushPullInterval(nodes)
+	each := gossip.PushPullInterval(nodes)
 	if p.Window < each/2 { // a short look, in which none may be
 		return p.Window
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/emulator/between"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/membership/gossip"
 )
 
 func TestFit(t *testing.T) {
@@ -190,11 +190,11 @@
 // sends to it, which knows of no rules. Within a region nothing goes wrong.
 func TestRulesBetweenRegions(t *testing.T) {
 	const delay, late = 300 * time.Millisecond, 100 * time.Millisecond
-	faults := between.New(1)
+	faults := netfault.New(1)
 	r := &ruler{faults: faults}
 	come := map[net.Addr]chan string{}
-	open := func(addr string, region RegionID, ruled bool) fleet.Transport {
-		l, err := fleet.Listen(addr)
+	open := func(addr string, region RegionID, ruled bool) gossip.Transport {
+		l, err := gossip.Listen(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,7 +216,7 @@
 		return l
 	}
 	here, near, far, real := open("127.10.0.1:0", 0, true), open("127.10.0.2:0", 0, true), open("127.11.0.1:0", 1, true), open("127.11.200.1:0", 1, false)
-	datagram := func(from, to fleet.Transport, want time.Duration) {
+	datagram := func(from, to gossip.Transport, want time.Duration) {
 		t.Helper()
 		began := time.Now()
 		if _, err := from.Datagrams.WriteTo([]byte("x"), to.Datagrams.LocalAddr()); err != nil {
@@ -231,7 +231,7 @@
 			t.Fatal("a datagram never came")
 		}
 	}
-	stream := func(from, to fleet.Transport, within time.Duration, want string) (took time.Duration) {
+	stream := func(from, to gossip.Transport, within time.Duration, want string) (took time.Duration) {
 		t.Helper()
 		said := make(chan string, 1)
 		go func() {
@@ -266,11 +266,11 @@
 		}
 		return time.Since(began)
 	}
-	set := func(change func(*between.Way)) {
+	set := func(change func(*netfault.Way)) {
 		faults.Change(0, 1, change)
 		faults.Change(1, 0, change)
 	}
-	set(func(w *between.Way) { w.Delay, w.Late = delay, late })
+	set(func(w *netfault.Way) { w.Delay, w.Late = delay, late })
 	datagram(here, near, 0)
 	datagram(here, far, delay)
 	datagram(far, here, delay)
@@ -280,14 +280,14 @@
 	if took := stream(here, near, 5*time.Second, "yes"); took > delay {
 		t.Errorf("a stream within a region took %v", took)
 	}
-	for _, pair := range [][2]fleet.Transport{{here, far}, {here, real}, {real, here}} {
+	for _, pair := range [][2]gossip.Transport{{here, far}, {here, real}, {real, here}} {
 		if took := stream(pair[0], pair[1], 5*time.Second, "yes"); took < 2*delay {
 			t.Errorf("a stream there and back took %v", took)
 		}
 	}
 	cut(faults, 1, 2, true)
-	for _, from := range []fleet.Transport{here, real} {
-		to := map[bool]fleet.Transport{true: far, false: here}[from.Datagrams == here.Datagrams]
+	for _, from := range []gossip.Transport{here, real} {
+		to := map[bool]gossip.Transport{true: far, false: here}[from.Datagrams == here.Datagrams]
 		from.Datagrams.WriteTo([]byte("lost"), to.Datagrams.LocalAddr())
 		stream(from, to, delay, "")
 	}
@@ -310,14 +310,14 @@
 	r := &ruler{faults: f.Faults(7)}
 	list := openListing(3)
 	defer list.close()
-	free, err := fleet.Listen("127.10.0.1:0")
+	free, err := gossip.Listen("127.10.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	all, port := []*Node{}, free.Streams.Addr().(*net.TCPAddr).AddrPort().Port()
 	free.Datagrams.Close()
 	free.Streams.Close()
-	file := charter.Default()
+	file := fleetconfig.Default()
 	file.Members.HelloMs, file.Members.PauseS, file.Members.BackS = 100, 0.8, 0.6
 	file.Fleet.Label = "hollow"
 	for _, at := range Lay(nodes, 0, f.Places, port) {
--- a/internal/net/slots/slots.go
+++ b/internal/slotmap/slots.go
@@ -1,6 +1,6 @@
 // Package slots keeps things in numbered slots. An id holds its slot's number and how often that was given out,
 // so an event that comes late for what is gone finds nothing, though the slot is in use again.
-package slots
+package slotmap
 
 // Table holds things of type T under ids of type K. The zero id finds nothing.
 type Table[K ~uint64, T any] struct {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Drop takes a slot back; an id that is gone is ignored.
+// Remove takes a slot back; an id that is gone is ignored.
 func (t *Table[K, T]) Remove(id K) {
 	if t.Get(id) == nil {
 		return
--- a/internal/net/slots/slots_test.go
+++ b/internal/slotmap/slots_test.go
@@ -1,4 +1,4 @@
-package slots
+package slotmap
 
 import "testing"
 
--- a/internal/net/deadlines/deadlines.go
+++ b/internal/timerqueue/deadlines.go
@@ -1,7 +1,7 @@
 // Package deadlines is the one ordered structure that all of a node's deadlines hang in.
-package deadlines
+package timerqueue
 
-import "dahliapin/policy"
+import "dahliapin/internal/monotime"
 
 // Queue hands out what was put in by time, and by order of putting where times are alike. Nothing is taken out
 // early: what has become void is for the caller to pass over.
@@ -11,15 +11,15 @@
 }
 
 type entry[E any] struct {
-	at  policy.Instant
+	at  monotime.Instant
 	put uint64
 	due E
 }
 
 func (e *entry[E]) before(o *entry[E]) bool { return e.at < o.at || e.at == o.at && e.put < o.put }
 
-// Put hangs something in. The heap is the package's own: the library's takes each entry as an interface, an allocation each.
-func (q *Queue[E]) Push(at policy.Instant, due E) {
+// Push hangs something in. The heap is the package's own: the library's takes each entry as an interface, an allocation each.
+func (q *Queue[E]) Push(at monotime.Instant, due E) {
 	q.puts++
 	q.in = append(q.in, entry[E]{at, q.puts, due})
 	for i := len(q.in) - 1; i > 0; {
@@ -33,15 +33,15 @@
 }
 
 // Next tells when the next is due.
-func (q *Queue[E]) Next() (policy.Instant, bool) {
+func (q *Queue[E]) Next() (monotime.Instant, bool) {
 	if len(q.in) == 0 {
 		return 0, false
 	}
 	return q.in[0].at, true
 }
 
-// Due takes out the next that is due by now.
-func (q *Queue[E]) PopDue(now policy.Instant) (due E, ok bool) {
+// PopDue takes out the next that is due by now.
+func (q *Queue[E]) PopDue(now monotime.Instant) (due E, ok bool) {
 	if len(q.in) == 0 || q.in[0].at > now {
 		return due, false
 	}
--- a/internal/net/deadlines/deadlines_test.go
+++ b/internal/timerqueue/deadlines_test.go
@@ -1,10 +1,10 @@
-package deadlines
+package timerqueue
 
 import (
 	"slices"
 	"testing"
 
-	"dahliapin/policy"
+	"dahliapin/internal/monotime"
 )
 
 func FuzzDueInOrder(f *testing.F) {
@@ -13,7 +13,7 @@
 		var q Queue[int]
 		order := make([]int, len(times))
 		for i, at := range times {
-			q.Push(policy.Instant(at), i)
+			q.Push(monotime.Instant(at), i)
 			order[i] = i
 		}
 		slices.SortStableFunc(order, func(a, b int) int { return int(times[a]) - int(times[b]) })
@@ -22,7 +22,7 @@
 			if _, early := q.PopDue(at - 1); early {
 				t.Fatal("handed out early")
 			}
-			if got, ok := q.PopDue(at); !ok || got != want || at != policy.Instant(times[want]) {
+			if got, ok := q.PopDue(at); !ok || got != want || at != monotime.Instant(times[want]) {
 				t.Fatalf("got %d at %d, want %d", got, at, want)
 			}
 		}
--- a/internal/listing/listing.go
+++ b/internal/wire/endpointlist/listing.go
@@ -1,12 +1,12 @@
 // Package listing reads lists of caches in discovery's form. A long list is read entry by entry, as its tree would take twenty times its size.
-package listing
+package endpointlist
 
 import (
 	"errors"
 
 	"github.com/valyala/fastjson"
 
-	"dahliapin/internal/jsonsplit"
+	"dahliapin/internal/wire/jsonstream"
 )
 
 const (
@@ -57,7 +57,7 @@
 	if len(text) < splitFrom {
 		return r.object.ParseBytes(text)
 	}
-	rest, texts, ok := jsonsplit.Array(text, entriesName)
+	rest, texts, ok := jsonstream.Array(text, entriesName)
 	if !ok {
 		defer func() { r.object = fastjson.Parser{} }() // its memory grows to the largest that it has parsed
 		return r.object.ParseBytes(text)
--- a/internal/jsonsplit/jsonsplit.go
+++ b/internal/wire/jsonstream/jsonsplit.go
@@ -1,6 +1,6 @@
 // Package jsonsplit cuts one long array out of a JSON object without building a tree of it, so that its elements can be parsed one by one.
 // Parsed as a whole, a list of thousands of caches takes twenty times its own size.
-package jsonsplit
+package jsonstream
 
 import "bytes"
 
--- a/internal/jsonsplit/jsonsplit_test.go
+++ b/internal/wire/jsonstream/jsonsplit_test.go
@@ -1,4 +1,4 @@
-package jsonsplit
+package jsonstream
 
 import (
 	"testing"
--- a/internal/simwire/decode.go
+++ b/internal/wire/simwire/decode.go
@@ -12,23 +12,24 @@
 
 	"github.com/valyala/fastjson"
 
-	"dahliapin/internal/houserules"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/monotime"
 	"dahliapin/policy"
 )
 
 // Node is one instance, from its start until it is killed.
 type Node interface {
-	UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint)
-	RequestArrived(now policy.Instant, r *policy.Request)
-	AttemptDone(now policy.Instant, id policy.RequestID, how policy.Result, over bool, o policy.Outcome)
+	UpdateEndpoints(now monotime.Instant, form policy.UpdateKind, entries []policy.Endpoint)
+	RequestArrived(now monotime.Instant, r *policy.Request)
+	AttemptDone(now monotime.Instant, id policy.RequestID, how policy.Result, over bool, o policy.Outcome)
 	ResponseStarted(id policy.RequestID)
-	ClientGone(now policy.Instant, id policy.RequestID)
-	OnHealthCheck(now policy.Instant, id policy.EndpointID, found policy.Result)
-	OnTimer(now policy.Instant, token string)
+	ClientGone(now monotime.Instant, id policy.RequestID)
+	OnHealthCheck(now monotime.Instant, id policy.EndpointID, found policy.Result)
+	OnTimer(now monotime.Instant, token string)
 }
 
 // Start makes a Node for an instance that comes up.
-type Start func(now policy.Instant, seed int64, rules policy.Settings, out *Writer) Node
+type Start func(now monotime.Instant, seed int64, rules policy.Settings, out *Writer) Node
 
 type server struct {
 	start  Start
@@ -42,7 +43,7 @@
 
 type instance struct {
 	node  Node
-	names houserules.NameTable
+	names settings.NameTable
 	last  []policy.Endpoint
 }
 
@@ -100,7 +101,7 @@
 	return s.out.finish(), nil
 }
 
-func (s *server) event(now policy.Instant, node int, f []*fastjson.Value) error {
+func (s *server) event(now monotime.Instant, node int, f []*fastjson.Value) error {
 	if len(f) == 0 {
 		fmt.Fprintln(s.log, "passed over an event without a name")
 		return nil
@@ -114,14 +115,14 @@
 	name := at(0).GetStringBytes()
 	switch string(name) {
 	case "begin":
-		terms, err := houserules.Decode(at(2))
+		terms, err := settings.Decode(at(2))
 		if err != nil {
 			return err
 		}
 		s.nodes[node] = &instance{s.start(now, at(1).GetInt64(), terms.Policy, &s.out), terms.Names, nil}
 		return nil
 	case "ledger":
-		if n := houserules.Number(at(1)); n >= 0 && n < 16 {
+		if n := settings.Number(at(1)); n >= 0 && n < 16 {
 			s.lists[int(n)] = copyOf(at(2))
 		}
 		return nil
@@ -136,7 +137,7 @@
 		delete(s.nodes, node)
 	case "fleet":
 		form, ok := listForms[string(at(1).GetStringBytes())]
-		n := int(houserules.Number(at(3)))
+		n := int(settings.Number(at(3)))
 		if !ok || n < 0 || n > 15 {
 			fmt.Fprintln(s.log, "passed over a list of an unknown form or number")
 			break
@@ -151,7 +152,7 @@
 		}
 		in.node.UpdateEndpoints(now, form, in.last)
 	case "job_in":
-		flags := int(houserules.Number(at(8)))
+		flags := int(settings.Number(at(8)))
 		r := &policy.Request{
 			ID: policy.RequestID(at(1).GetStringBytes()), Key: string(at(6).GetStringBytes()),
 			Class:  in.names.Class(at(3).GetStringBytes()),
@@ -171,7 +172,7 @@
 			break
 		}
 		in.node.AttemptDone(now, policy.RequestID(at(1).GetStringBytes()), how, at(3).GetBool(),
-			policy.Outcome{Attempt: leg.GetInt(), Latency: houserules.Seconds(at(6)), LoadReport: report(&in.names, at(8))})
+			policy.Outcome{Attempt: leg.GetInt(), Latency: settings.Seconds(at(6)), LoadReport: report(&in.names, at(8))})
 	case "timed_out_client":
 		in.node.ClientGone(now, policy.RequestID(at(1).GetStringBytes()))
 	case "sampled":
@@ -221,8 +222,8 @@
 		state = policy.Draining
 	}
 	return policy.Endpoint{
-		Weight: houserules.Number(f[0]), Kind: in.names.Kind(f[1].GetStringBytes()), Lifecycle: state, StartedAt: instant(f[3]),
-		Zone: policy.ZoneID(f[4].GetStringBytes()), ID: s.cacheID(f[5]), Group: policy.GroupID(houserules.Number(f[6])),
+		Weight: settings.Number(f[0]), Kind: in.names.Kind(f[1].GetStringBytes()), Lifecycle: state, StartedAt: instant(f[3]),
+		Zone: policy.ZoneID(f[4].GetStringBytes()), ID: s.cacheID(f[5]), Group: policy.GroupID(settings.Number(f[6])),
 	}, true
 }
 
@@ -245,17 +246,17 @@
 	return results[n], true
 }
 
-func report(names *houserules.NameTable, v *fastjson.Value) []float64 {
+func report(names *settings.NameTable, v *fastjson.Value) []float64 {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil
 	}
 	return names.LoadReport(func(column string) (float64, bool) {
 		x := v.Get(column)
-		return houserules.Number(x), x != nil && x.Type() == fastjson.TypeNumber
+		return settings.Number(x), x != nil && x.Type() == fastjson.TypeNumber
 	})
 }
 
-func instant(v *fastjson.Value) policy.Instant { return policy.Instant(houserules.Seconds(v)) }
+func instant(v *fastjson.Value) monotime.Instant { return monotime.Instant(settings.Seconds(v)) }
 
 func appendQuoted(b []byte, s string) []byte {
 	q, _ := json.Marshal(s) // a string always marshals
