--- a/internal/simwire/encode.go
+++ b/internal/wire/simwire/encode.go
@@ -4,6 +4,7 @@
 	"strconv"
 	"time"
 
+	"dahliapin/internal/monotime"
 	"dahliapin/policy"
 )
 
@@ -93,7 +94,7 @@
 func (w *Writer) end() { w.buf = append(w.buf, ']') }
 
 // Send starts a leg.
-func (w *Writer) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
+func (w *Writer) Send(id policy.RequestID, to policy.EndpointID, giveUpAt monotime.Instant) {
 	w.begin("place")
 	w.text(string(id))
 	w.text(string(to))
@@ -124,7 +125,7 @@
 	w.end()
 }
 
-// Timer asks to be woken with a token.
+// SetTimer asks to be woken with a token.
 func (w *Writer) SetTimer(in time.Duration, token string) {
 	w.begin("timer")
 	w.seconds(in)
@@ -132,14 +133,14 @@
 	w.end()
 }
 
-// Probe checks on a cache.
+// CheckHealth checks on a cache.
 func (w *Writer) CheckHealth(id policy.EndpointID) {
 	w.begin("touch")
 	w.text(string(id))
 	w.end()
 }
 
-// Follow subscribes to the list.
+// PollEndpoints subscribes to the list.
 func (w *Writer) PollEndpoints() {
 	w.begin("keep_informed")
 	w.buf = append(w.buf, ",true"...)
--- a/internal/simwire/simwire_test.go
+++ b/internal/wire/simwire/simwire_test.go
@@ -5,8 +5,9 @@
 	"strings"
 	"testing"
 
-	"dahliapin/internal/host"
-	"dahliapin/internal/simwire"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/proxy/dispatch"
+	"dahliapin/internal/wire/simwire"
 	"dahliapin/policy"
 )
 
@@ -21,8 +22,8 @@
 		lines[i] = strings.ReplaceAll(l, "\n", "")
 	}
 	err := simwire.Serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out, &log,
-		func(now policy.Instant, seed int64, rules policy.Settings, w *simwire.Writer) simwire.Node {
-			return host.New(now, seed, rules, w)
+		func(now monotime.Instant, seed int64, rules policy.Settings, w *simwire.Writer) simwire.Node {
+			return dispatch.New(now, seed, rules, w)
 		})
 	return out.String(), err
 }
--- a/node/changes.go
+++ b/node/changes.go
@@ -6,10 +6,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	changes "dahliapin/internal/fleet/accord"
+	"dahliapin/internal/control/controlserver"
+	changes "dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/accord"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/membership/gossip"
 )
 
 // follow has the node follow the fleet's log of changes, where its charter names control machines. The loop never waits for it.
@@ -20,8 +20,8 @@
 	}
 	var process [8]byte
 	_, _ = rand.Read(process[:]) // never fails
-	n.follows.Store(accord.StartFollower(accord.FollowerConfig{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
-		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewApplier(byLog{n}), Log: n.log, Now: fleet.BootTime}))
+	n.follows.Store(controlserver.StartFollower(controlserver.FollowerConfig{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
+		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewApplier(byLog{n}), Log: n.log, Now: gossip.BootTime}))
 }
 
 // byLog is what the node does by the log of changes.
@@ -56,14 +56,14 @@
 
 // FleetStatus is how a node stands in its fleet, for operators.
 type FleetStatus struct {
-	fleet.Status
-	Changes *accord.FollowerStatus `json:"changes,omitempty"` // nil where it follows no log of changes
+	gossip.Status
+	Changes *controlserver.FollowerStatus `json:"changes,omitempty"` // nil where it follows no log of changes
 }
 
 // withChanges adds how the node follows.
 func (n *Node) withChanges(status any, whole bool) (any, bool) {
 	follows := n.follows.Load()
-	s, is := status.(fleet.Status)
+	s, is := status.(gossip.Status)
 	if follows == nil || !is {
 		return status, whole
 	}
--- a/node/changes_test.go
+++ b/node/changes_test.go
@@ -11,28 +11,28 @@
 
 	"github.com/sirupsen/logrus"
 
-	changes "dahliapin/internal/fleet/accord"
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/net/accord"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/controlserver"
+	changes "dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/membership/gossip"
 )
 
 // control is a control machine on its own.
-func control(t *testing.T) accord.Client {
-	f := charter.DefaultControl()
-	f.Control = charter.Control{ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir()}
-	f.Machines, f.Bounds.ElectMs = []charter.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}, 200
+func control(t *testing.T) controlserver.Client {
+	f := fleetconfig.DefaultControl()
+	f.Control = fleetconfig.Control{ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir()}
+	f.Machines, f.Bounds.ElectMs = []fleetconfig.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}, 200
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	m, err := accord.Open(accord.Config{File: &f, New: true, Log: quiet, Now: fleet.BootTime})
+	m, err := controlserver.Open(controlserver.Config{File: &f, New: true, Log: quiet, Now: gossip.BootTime})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Close)
-	return accord.Client{At: []string{m.Addr()}, Label: "l"}
+	return controlserver.Client{At: []string{m.Addr()}, Label: "l"}
 }
 
-func published(t *testing.T, c accord.Client, all ...changes.Proposal) {
+func published(t *testing.T, c controlserver.Client, all ...changes.Proposal) {
 	t.Helper()
 	ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 	defer done()
@@ -57,7 +57,7 @@
 // reach the hook. Operators see it; who follows nothing has no word of it.
 func TestANodeFollowsTheLogOfChanges(t *testing.T) {
 	at := control(t)
-	published(t, at, accord.NewProposal(changes.Purge, []byte("before it began")))
+	published(t, at, controlserver.NewProposal(changes.Purge, []byte("before it began")))
 	text := strings.Replace(posting, `"sockets":100`, `"sockets":200`, 1)
 	start := func(followed string) (*Node, *strings.Builder, func()) {
 		p, err := ParseConfig([]byte(text))
@@ -87,11 +87,11 @@
 		}
 	}
 	n, said, end := start(fmt.Sprintf("[changes]\nat=['%s']\n", at.At[0]))
-	status := func() *accord.FollowerStatus {
+	status := func() *controlserver.FollowerStatus {
 		s, _ := known{n}.FleetStatus()
 		return s.(FleetStatus).Changes
 	}
-	until := func(what string, is func(s *accord.FollowerStatus) bool) {
+	until := func(what string, is func(s *controlserver.FollowerStatus) bool) {
 		t.Helper()
 		for by := time.Now().Add(10 * time.Second); !is(status()); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(by) {
@@ -99,11 +99,11 @@
 			}
 		}
 	}
-	until("began", func(s *accord.FollowerStatus) bool { return s.PresumedPurged == 1 })
-	published(t, at, accord.NewProposal(changes.Purge, []byte("k")), accord.NewProposal(changes.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
-	until("took a configuration", func(s *accord.FollowerStatus) bool { return s.Config == 3 && s.Applied == 3 })
-	published(t, at, accord.NewProposal(changes.Config, []byte("no configuration")), accord.NewProposal(changes.Purge, []byte("l")))
-	until("refused one", func(s *accord.FollowerStatus) bool {
+	until("began", func(s *controlserver.FollowerStatus) bool { return s.PresumedPurged == 1 })
+	published(t, at, controlserver.NewProposal(changes.Purge, []byte("k")), controlserver.NewProposal(changes.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
+	until("took a configuration", func(s *controlserver.FollowerStatus) bool { return s.Config == 3 && s.Applied == 3 })
+	published(t, at, controlserver.NewProposal(changes.Config, []byte("no configuration")), controlserver.NewProposal(changes.Purge, []byte("l")))
+	until("refused one", func(s *controlserver.FollowerStatus) bool {
 		return s.Refused == 4 && s.Config == 3 && s.Reason != "" && s.Applied == 5
 	})
 	if s := status(); s.Purges != 2 || s.Stale || s.Gaps != 0 {
--- a/node/node.go
+++ b/node/node.go
@@ -15,13 +15,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/net/accord"
-	"dahliapin/internal/net/counters"
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/net/handover"
-	"dahliapin/internal/net/ops"
-	"dahliapin/internal/net/relay"
-	"dahliapin/internal/records"
+	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/proxy"
+	"dahliapin/internal/proxy/admin"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/internal/proxy/handover"
+	"dahliapin/internal/proxy/metrics"
 )
 
 const (
@@ -37,19 +37,19 @@
 )
 
 // Phase is how far a node has come.
-type Phase = relay.Phase
+type Phase = proxy.Phase
 
 // The phases, in their order.
 const (
-	Starting = relay.Starting
-	Serving  = relay.Serving
-	Standby  = relay.Standby
-	Draining = relay.Draining
-	Stopped  = relay.Stopped
+	Starting = proxy.Starting
+	Serving  = proxy.Serving
+	Standby  = proxy.Standby
+	Draining = proxy.Draining
+	Stopped  = proxy.Stopped
 )
 
-// Entry is a record of what a node did to a cache.
-type Event = records.Event
+// Event is a record of what a node did to a cache.
+type Event = eventlog.Event
 
 // told is one on its way.
 type told struct {
@@ -59,20 +59,20 @@
 
 // Node is one node.
 type Node struct {
-	relay   *relay.Proxy
+	relay   *proxy.Proxy
 	records chan told // nil where nobody is told
 	kept    chan struct{}
 	fault   atomic.Pointer[error] // why it had to end
 	dropped uint64                // records; the loop's own until it has ended
 	phase   atomic.Int32
 	log     *logrus.Logger
-	posting *Config                         // as it started
-	desk    *ops.Server                     // nil where no operators call
-	post    atomic.Pointer[fleet.Node]      // nil where it knows of no other node, or not yet
-	follows atomic.Pointer[accord.Follower] // nil where it follows no log of changes, or not yet
-	hung    chan struct{}                   // closed when the loop is to go on; nil while it does
-	takes   sync.Once                       // its place among the nodes
-	yields  bool                            // its place in the fleet goes to the process that replaces it; the loop's own
+	posting *Config                                // as it started
+	desk    *admin.Server                          // nil where no operators call
+	post    atomic.Pointer[gossip.Node]            // nil where it knows of no other node, or not yet
+	follows atomic.Pointer[controlserver.Follower] // nil where it follows no log of changes, or not yet
+	hung    chan struct{}                          // closed when the loop is to go on; nil while it does
+	takes   sync.Once                              // its place among the nodes
+	yields  bool                                   // its place in the fleet goes to the process that replaces it; the loop's own
 }
 
 // New listens as the posting says and starts. Serve is to follow.
@@ -86,10 +86,10 @@
 	var err error
 	beside := 0
 	if p.Admin != "" {
-		if n.desk, err = ops.Open(p.Admin); err != nil {
+		if n.desk, err = admin.Open(p.Admin); err != nil {
 			return nil, err
 		}
-		beside = ops.MaxConnections + deskFiles
+		beside = admin.MaxConnections + deskFiles
 	}
 	beside += p.fleetFiles()
 	succeeds, handoverAt := n.predecessor()
@@ -97,7 +97,7 @@
 	if p.charter != nil {
 		turned = n.turned
 	}
-	n.relay, err = relay.New(relay.Config{
+	n.relay, err = proxy.New(proxy.Config{
 		OnLoopIteration: turned,
 		Listen:          p.Listen, Listeners: p.operator, Discovery: p.Discovery, Seed: p.Seed, Descriptors: cmp.Or(p.Sockets, usualSockets) - beside, OtherDescriptors: beside, PublishMetrics: n.desk != nil,
 		Inherited: succeeds, HandoverPath: handoverAt, OnSharedLimits: n.together,
@@ -175,7 +175,7 @@
 	}
 }
 
-// End asks the node to drain and stop. It may be called from anywhere.
+// Shutdown asks the node to drain and stop. It may be called from anywhere.
 func (n *Node) Shutdown() { n.relay.Shutdown() }
 
 // Reload takes a posting that has come anew: the address of discovery, and nothing else. What else differs is named
@@ -194,7 +194,7 @@
 	n.relay.SetDiscovery(p.Discovery)
 }
 
-// Fault tells why the node had to end by itself; nil for no such reason. It is to be asked once Serve has returned.
+// Err tells why the node had to end by itself; nil for no such reason. It is to be asked once Serve has returned.
 func (n *Node) Err() error {
 	if err := n.fault.Load(); err != nil {
 		return *err
@@ -208,7 +208,7 @@
 // Addr is where it listens.
 func (n *Node) Addr() string { return n.relay.Addr(0) }
 
-// OpsAddr is where operators call; empty for nowhere.
+// AdminAddr is where operators call; empty for nowhere.
 func (n *Node) AdminAddr() string {
 	if n.desk == nil {
 		return ""
@@ -216,13 +216,13 @@
 	return n.desk.Addr()
 }
 
-// FrontAddr is where a further listener of the operator's file listens, by its number there from 0.
+// ListenerAddr is where a further listener of the operator's file listens, by its number there from 0.
 func (n *Node) ListenerAddr(i int) string { return n.relay.Addr(i + 1) }
 
-// Counts returns its counters.
-func (n *Node) Counters() counters.Counters { return n.relay.Counters() }
+// Counters returns its counters.
+func (n *Node) Counters() metrics.Counters { return n.relay.Counters() }
 
-// Fit makes the process keep within a posting's limits. It is for a program that runs one node and nothing else.
+// ApplyLimits makes the process keep within a posting's limits. It is for a program that runs one node and nothing else.
 func ApplyLimits(p *Config) {
 	runtime.GOMAXPROCS(max(fewestThreads, runtime.GOMAXPROCS(0)))
 	debug.SetGCPercent(rarely)
@@ -267,7 +267,7 @@
 
 func (p *Config) memory() int64 { return int64(cmp.Or(p.MemoryMB, usualMemory)) << 20 }
 
-// LogCounts writes the counters to the log, in one line.
+// LogCounters writes the counters to the log, in one line.
 func (n *Node) LogCounters() {
 	fields := logrus.Fields{}
 	c := n.Counters()
--- a/node/posting.go
+++ b/node/posting.go
@@ -10,52 +10,52 @@
 
 	"github.com/valyala/fastjson"
 
-	"dahliapin/internal/fleet/charter"
-	"dahliapin/internal/fronts"
-	"dahliapin/internal/houserules"
-	"dahliapin/internal/jsonsplit"
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/control/controlserver"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/net/accord"
-	"dahliapin/internal/net/fleet"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/wire/jsonstream"
 )
 
-// Posting is what a node is told at its start: its name, where it stands, and the terms it works under.
+// Config is what a node is told at its start: its name, where it stands, and the terms it works under.
 type Config struct {
 	Name, Listen, Discovery string
 	Admin                   string // where operators call; empty for nowhere
 	Seed                    int64
 	MemoryMB, Sockets       int
 	OnEvent                 func(Event, time.Time) // told what the node does to caches, from a goroutine of its own; nil for nobody
-	terms                   houserules.Settings
+	terms                   settings.Settings
 	known                   []byte // the list as last held, as discovery writes it; until the node has taken it
-	operator                fronts.File
-	charter                 *charter.File                  // by which it joins other nodes; nil for none
+	operator                listeners.File
+	charter                 *fleetconfig.File              // by which it joins other nodes; nil for none
 	OnTrace                 func([]byte)                   // told each line of what it does in the fleet, from a goroutine of its own; nil for nobody
 	OnPurge                 func(index uint64, key string) // told of each purge that the log of changes brings, from a goroutine of its own; nil for nobody
 	fitted                  bool                           // the process keeps within its limits
 }
 
-// Open adds what an operator's file states: further listeners, caches that speak HTTP, service levels.
+// LoadListenersFile adds what an operator's file states: further listeners, caches that speak HTTP, service levels.
 func (p *Config) LoadListenersFile(path string) (err error) {
-	p.operator, err = fronts.Read(path, &p.terms)
+	p.operator, err = listeners.Read(path, &p.terms)
 	return err
 }
 
-// OpenText does so with the text of such a file.
+// ParseListeners does so with the text of such a file.
 func (p *Config) ParseListeners(name string, text []byte) (err error) {
-	p.operator, err = fronts.Parse(name, text, &p.terms)
+	p.operator, err = listeners.Parse(name, text, &p.terms)
 	return err
 }
 
-// Join adds the file by which it joins other nodes.
+// LoadFleetFile adds the file by which it joins other nodes.
 func (p *Config) LoadFleetFile(path string) (err error) {
-	p.charter, err = charter.Read(path)
+	p.charter, err = fleetconfig.Read(path)
 	return p.mayJoin(err)
 }
 
-// JoinText does so with the text of such a file.
+// ParseFleet does so with the text of such a file.
 func (p *Config) ParseFleet(name string, text []byte) (err error) {
-	p.charter, err = charter.Parse(name, text)
+	p.charter, err = fleetconfig.Parse(name, text)
 	return p.mayJoin(err)
 }
 
@@ -77,12 +77,12 @@
 	case p.charter == nil:
 		return 0
 	case len(p.charter.Changes.At) > 0:
-		return fleet.Descriptors + accord.FollowerDescriptors
+		return gossip.Descriptors + controlserver.FollowerDescriptors
 	}
-	return fleet.Descriptors
+	return gossip.Descriptors
 }
 
-// ReadPosting reads a posting from a file.
+// ReadConfig reads a posting from a file.
 func ReadConfig(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration is named: set RELAY_CONFIG or give --config")
@@ -94,7 +94,7 @@
 	return ParseConfig(text)
 }
 
-// ParsePosting reads a posting. What it names wrongly or not at all is told in one line.
+// ParseConfig reads a posting. What it names wrongly or not at all is told in one line.
 func ParseConfig(text []byte) (*Config, error) {
 	text, known, err := cutKnown(text)
 	if err != nil {
@@ -119,7 +119,7 @@
 	if err := p.mayCall(); err != nil {
 		return nil, err
 	}
-	if p.terms, err = houserules.Decode(v.Get("settings")); err != nil {
+	if p.terms, err = settings.Decode(v.Get("settings")); err != nil {
 		return nil, fmt.Errorf("the configuration cannot be used: %w", err)
 	}
 	if p.MemoryMB < 0 || p.Sockets < 0 || p.Sockets > 0 && p.Sockets < fewestSockets {
@@ -138,7 +138,7 @@
 
 // cutKnown takes the list as last held out of a configuration: it may be by far the longest part, and is read as lists are.
 func cutKnown(text []byte) (rest, known []byte, err error) {
-	rest, value, ok := jsonsplit.Member(text, "known")
+	rest, value, ok := jsonstream.Member(text, "known")
 	if !ok { // it is not there, or is found by parsing the whole
 		return text, nil, nil
 	}
@@ -148,7 +148,7 @@
 	return rest, value, nil
 }
 
-// OpsAt has operators call elsewhere than the configuration says. Two processes may start by one configuration.
+// SetAdminAddr has operators call elsewhere than the configuration says. Two processes may start by one configuration.
 func (p *Config) SetAdminAddr(addr string) error {
 	p.Admin = addr
 	return p.mayCall()
--- a/node/together.go
+++ b/node/together.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dahliapin/internal/net/fleet"
-	"dahliapin/internal/net/ops"
+	"dahliapin/internal/membership/gossip"
+	"dahliapin/internal/proxy/admin"
 )
 
 const (
@@ -14,7 +14,7 @@
 
 // join has the node know the others.
 func (n *Node) join() error {
-	post, err := fleet.Open(fleet.Config{Name: n.posting.Name, FleetConfig: n.posting.charter, Log: n.log, Now: fleet.BootTime, Trace: n.posting.OnTrace,
+	post, err := gossip.Open(gossip.Config{Name: n.posting.Name, FleetConfig: n.posting.charter, Log: n.log, Now: gossip.BootTime, Trace: n.posting.OnTrace,
 		OnNameConflict: func(err error) {
 			n.log.WithError(err).Error("this process ends")
 			n.fault.Store(&err)
@@ -66,20 +66,20 @@
 	}
 	switch {
 	case to == Draining:
-		stance := fleet.Leaving
+		stance := gossip.Leaving
 		if n.yields = n.relay.Replaced(); n.yields {
-			stance = fleet.Yielding
+			stance = gossip.Yielding
 		}
 		post.SetPresence(stance)
 	case to == Standby:
-		post.SetPresence(fleet.Leaving)
+		post.SetPresence(gossip.Leaving)
 	case was == Standby && to != Standby:
-		post.SetPresence(fleet.Staying)
+		post.SetPresence(gossip.Staying)
 	}
 }
 
 // fleet is what operators may ask of the others; nil where there are none.
-func (n *Node) fleet() ops.Fleet {
+func (n *Node) fleet() admin.Fleet {
 	if n.posting.charter == nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 	return []struct{}{}
 }
 
-// Hang has the loop stand still, or go on, while all else in the process runs. It is for rehearsals: a node that is alive to its peers
+// BlockLoop has the loop stand still, or go on, while all else in the process runs. It is for rehearsals: a node that is alive to its peers
 // and dead to its clients. It is to be called from one goroutine.
 func (n *Node) BlockLoop() {
 	if n.hung != nil {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
+	"dahliapin/internal/histogram"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/tally"
 )
 
 const (
@@ -100,7 +100,7 @@
 	wanted               map[uint64]float64  // benefit asked of each key; halved now and then
 	short, bar           float64             // share of those for the origin without room; best worth
 	strain, missing      float64             // share of late legs at the origin; of misses, by what they cost
-	took, alone, pace    tally.Histogram     // of legs to caches: time, that of lone ones, time by each before
+	took, alone, pace    histogram.Histogram // of legs to caches: time, that of lone ones, time by each before
 	originTook           time.Duration       // by a leg there, smoothed
 	slow, patience       time.Duration       // the slow twentieth, and what means silence
 	coldShare, coldMost  float64             // part of what it surely bears sent to a cold cache; longest rest
@@ -275,7 +275,7 @@
 	return true
 }
 
-// Still tells whether a leg may go out whose connection took time: news may have come, or a window passed.
+// MayStart tells whether a leg may go out whose connection took time: news may have come, or a window passed.
 func (p *Router) MayStart(now Instant, r Request, leg int) bool {
 	c := p.caches[r.Attempts[leg].Endpoint]
 	r.Attempts = slices.Delete(slices.Clone(r.Attempts), leg, leg+1)
--- a/policy/types.go
+++ b/policy/types.go
@@ -2,19 +2,17 @@
 // decides.
 package policy
 
-import "time"
+import (
+	"time"
 
-// Instant is a reading of the caller's clock in whole nanoseconds. Only differences mean anything.
-type Instant int64
-
-// Never is an Instant longer ago than any.
-const Never Instant = -1 << 62
+	"dahliapin/internal/monotime"
+)
 
-// Add returns the instant d later.
-func (t Instant) Add(d time.Duration) Instant { return t + Instant(d) }
+// Instant is a reading of the caller's monotonic clock.
+type Instant = monotime.Instant
 
-// Since returns how long after u this instant is.
-func (t Instant) Since(u Instant) time.Duration { return time.Duration(t - u) }
+// Never is an Instant longer ago than any.
+const Never = monotime.Never
 
 // The kinds of id. Names are compared and hashed, never read for meaning.
 type (
@@ -26,7 +24,7 @@
 	TenantID   int   // index into HouseRules.Leagues; any other value is no league
 )
 
-// Effect says what a second run of a request would do.
+// Idempotency says what a second run of a request would do.
 type Idempotency int
 
 // The zero Effect is the strictest, so that whatever is unknown is treated with most care.
@@ -36,7 +34,7 @@
 	Idempotent
 )
 
-// Scope says which caches drop repeats of a labelled request.
+// DedupScope says which caches drop repeats of a labelled request.
 type DedupScope int
 
 // The zero Scope is the narrowest.
@@ -46,7 +44,7 @@
 	AllCaches
 )
 
-// Grade is one service grade.
+// ServiceClass is one service grade.
 type ServiceClass struct {
 	PriorityWeight   float64
 	LatencyObjective time.Duration
@@ -56,12 +54,12 @@
 	DedupWindow      time.Duration // how long repeats of a labelled request are dropped
 }
 
-// League is one customer's share.
+// Tenant is one customer's share.
 type Tenant struct {
 	QuotaPerSecond float64 // over all nodes; 0 means no quota
 }
 
-// HouseRules is what a deployment states at the start, as far as the decisions read it.
+// Settings is what a deployment states at the start, as far as the decisions read it.
 type Settings struct {
 	Classes             []ServiceClass
 	Tenants             []Tenant
@@ -88,7 +86,7 @@
 	InFlightColumn      int     // which report value counts requests in hand; -1 for none
 }
 
-// ListForm says how a list is to be read.
+// UpdateKind says how a list is to be read.
 type UpdateKind int
 
 const (
@@ -98,7 +96,7 @@
 	PollFailed
 )
 
-// State is what the list says of a cache.
+// Lifecycle is what the list says of a cache.
 type Lifecycle int
 
 const (
@@ -107,7 +105,7 @@
 	Removed
 )
 
-// Entry is one line of the list.
+// Endpoint is one line of the list.
 type Endpoint struct {
 	ID        EndpointID
 	Kind      int
@@ -133,12 +131,12 @@
 	CacheMiss
 )
 
-// NeverRan tells whether this result proves that the leg had no effect.
+// NotExecuted tells whether this result proves that the leg had no effect.
 func (r Result) NotExecuted() bool {
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == CacheMiss
 }
 
-// Leg is one sending of a request.
+// Attempt is one sending of a request.
 type Attempt struct {
 	Endpoint EndpointID
 	SentAt   Instant
@@ -169,7 +167,7 @@
 	LoadReport []float64 // the cache's load report, nil when none came
 }
 
-// Answer is what a Move says to the client.
+// FinalAnswer is what a Move says to the client.
 type FinalAnswer int
 
 const (
@@ -178,7 +176,7 @@
 	Fail
 )
 
-// Move is what to do with one request. Several parts may be set at once.
+// Decision is what to do with one request. Several parts may be set at once.
 type Decision struct {
 	SendTo          []EndpointID  // send a leg to each of these, in order
 	AttemptDeadline Instant       // when these legs time out
@@ -189,7 +187,7 @@
 	Wake            []RequestID   // call Where for these now
 }
 
-// ChoreKind is a kind of upkeep.
+// ActionKind is a kind of upkeep.
 type ActionKind int
 
 const (
@@ -197,13 +195,13 @@
 	CheckHealth
 )
 
-// Chore is upkeep for the caller to carry out.
+// Action is upkeep for the caller to carry out.
 type Action struct {
 	Kind     ActionKind
 	Endpoint EndpointID
 }
 
-// Standing is how a cache stands with a node.
+// EndpointState is how a cache stands with a node.
 type EndpointState int
 
 const (
