--- /dev/null
+++ b/internal/control/purger/golden_test.go
@@ -0,0 +1,52 @@
+package purger
+
+import (
+	"flag"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"dahliapin/internal/control/purge"
+)
+
+const recordedCursors = "testdata/cursors"
+
+var record = flag.Bool("record-cursors", false, "write the recorded cursors anew; only for an intended change of their format")
+
+// Cursors that an earlier version kept are read as they are: a purge that is done is not done again.
+func TestCursorsOfAnEarlierVersionAreReadable(t *testing.T) {
+	want := map[purge.CacheID]purge.Cursor{
+		"c1": {Log: 7, Started: 1_700_000_000_123, Done: 41, Sure: 12}, "c2": {Log: 8, Started: 0, Done: 1, Sure: 0},
+	}
+	if *record {
+		if err := os.RemoveAll(recordedCursors); err != nil {
+			t.Fatal(err)
+		}
+		d, _, err := openDisk(recordedCursors)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := d.put(want, slices.Collect(maps.Keys(want))); err != nil {
+			t.Fatal(err)
+		}
+		d.close()
+	}
+	dir := t.TempDir()
+	kept, err := os.ReadFile(filepath.Join(recordedCursors, fileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, fileName), kept, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d, got, err := openDisk(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer d.close()
+	if !maps.Equal(got, want) {
+		t.Errorf("read %v, recorded were %v", got, want)
+	}
+}
--- /dev/null
+++ b/internal/control/replicatedlog/store/golden_test.go
@@ -0,0 +1,61 @@
+package store
+
+import (
+	"flag"
+	"os"
+	"testing"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+const (
+	recordedFolder = "testdata/folder"
+	recordedTexts  = "fourfive"
+)
+
+var record = flag.Bool("record-folder", false, "write the recorded data folder anew; only for an intended change of its format")
+
+// A control machine's folder that an earlier version wrote is taken over as it is: term, vote, snapshot and entries.
+func TestAFolderOfAnEarlierVersionIsReadable(t *testing.T) {
+	if *record {
+		recordFolder(t)
+	}
+	dir := t.TempDir()
+	kept, err := os.ReadFile(recordedFolder + "/" + fileName)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(dir+"/"+fileName, kept, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s := opened(t, dir, false)
+	state, conf, err := s.InitialState()
+	if err != nil || state.GetTerm() != 4 || state.GetVote() != 2 || state.GetCommit() != 5 || len(conf.GetVoters()) != 3 || len(conf.GetLearners()) != 1 {
+		t.Errorf("state %v, configuration %v, %v", state, conf, err)
+	}
+	if got := texts(t, s); got != recordedTexts {
+		t.Errorf("entries %q, recorded were %q", got, recordedTexts)
+	}
+	snapshot, err := s.Snapshot()
+	if err != nil || string(snapshot.GetData()) != "state" || snapshot.GetMetadata().GetIndex() != 3 {
+		t.Errorf("snapshot %v, %v", snapshot, err)
+	}
+	saved(t, s.Save(hard(5, 1, 6), nil, nil))
+}
+
+func recordFolder(t *testing.T) {
+	t.Helper()
+	if err := os.RemoveAll(recordedFolder); err != nil {
+		t.Fatal(err)
+	}
+	s, err := Open(recordedFolder, me, []uint64{1, 2, 3}, []uint64{4}, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	saved(t, s.Save(hard(4, 2, 5), nil, nil))
+	for i, text := range []string{"two", "three", "four", "five"} {
+		saved(t, s.Save(nil, []*pb.Entry{entry(uint64(i+2), 4, text)}, nil))
+	}
+	saved(t, s.Compact(3, []byte("state")))
+	saved(t, s.Close())
+}
