--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -35,7 +35,7 @@
 	}
 	a := &agent{r: r, node: node, at: l, all: map[policy.EndpointID]policy.Endpoint{}, news: make(chan struct{}), closed: make(chan struct{})}
 	for i := range r.world.Servers {
-		a.hear(runner.EntryOf(r.world, i))
+		a.hear(runner.EndpointOf(r.world, i))
 	}
 	a.web = &http.Server{Handler: a}
 	go a.web.Serve(l)
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -126,7 +126,7 @@
 	r.judge = checker.New(checker.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
 		Grace: scenario.Span(s.Allowed.GraceMs / 1000), Slack: max(slack, scenario.Span(s.Allowed.SlackMs/1000)), AnswerSlack: scenario.Span(s.Allowed.LateAnswerMs / 1000)})
 	r.log = report.NewLog(s, epoch)
-	ear := &runner.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
+	ear := &runner.WorldObserver{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
 	r.traffic = world.NewTraffic(s.Asks())
@@ -162,7 +162,7 @@
 	ear.Log = r.log
 	r.log.Views = r.views
 	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
-	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Entries(r.world))
+	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.course = runner.Play(s, r.world, r.traffic, start, r)
 	r.poke()
 	r.mu.Unlock()
@@ -243,7 +243,7 @@
 // warm puts keys where the module would send them.
 func (r *Rig) warm() {
 	p := policy.New(epoch, r.script.Seed, r.terms.Policy)
-	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Entries(r.world))
+	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
--- /dev/null
+++ b/internal/emulator/runner/handlers.go
@@ -0,0 +1,260 @@
+package runner
+
+import (
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/emulator/world"
+	"dahliapin/policy"
+)
+
+// handlers say what an event does, by its name in a scenario.
+var handlers = map[string]func(*Run, *event){
+	"slow":    (*Run).slowServers,
+	"crowd":   (*Run).crowdServers,
+	"pause":   (*Run).pauseServers,
+	"kill":    (*Run).killServers,
+	"restart": (*Run).killServers,
+	"silent":  (*Run).muteServers,
+	"drain":   (*Run).drainServers,
+	"shrink":  (*Run).shrinkFleet,
+	"add":     (*Run).addServers,
+	"fault":   (*Run).faultConnections,
+	"errors":  (*Run).failRequests,
+
+	"hot":         (*Run).heatKey,
+	"burst":       (*Run).burstTraffic,
+	"origin_slow": (*Run).slowOrigin,
+
+	"discovery_down": (*Run).stopDiscovery,
+	"discovery_slow": (*Run).slowDiscovery,
+
+	"node_restart": (*Run).restartNodes,
+	"node_kill":    (*Run).restartNodes,
+	"node_scrape":  (*Run).scrapeNodes,
+	"node_upgrade": (*Run).upgradeNodes,
+	"node_standby": (*Run).standbyNodes,
+	"node_twin":    (*Run).twinNodes,
+	"node_crowd":   (*Run).crowdNodes,
+	"node_stall":   (*Run).stallClients,
+	"node_reload":  (*Run).reloadNodes,
+	"node_freeze":  (*Run).freezeNodes,
+	"node_pause":   (*Run).pauseNodes,
+	"node_hang":    (*Run).hangNodes,
+
+	"between_cut":   (*Run).cutBetween,
+	"between_loss":  (*Run).loseBetween,
+	"between_twice": (*Run).duplicateBetween,
+	"between_late":  (*Run).delayBetween,
+}
+
+func (r *Run) slowServers(e *event) {
+	r.eachServer(e, func(now policy.Instant, server int) {
+		r.world.Slow(now, server, e.Factor)
+		r.rig.At(e.end, func() { r.world.Slow(e.end, server, 1) })
+	})
+}
+
+func (r *Run) crowdServers(e *event) {
+	r.eachServer(e, func(now policy.Instant, server int) {
+		r.world.Crowd(now, server, e.Share)
+		r.rig.At(e.end, func() { r.world.Crowd(e.end, server, 0) })
+	})
+}
+
+func (r *Run) pauseServers(e *event) {
+	r.eachServer(e, func(now policy.Instant, server int) { r.world.Pause(now, server, e.duration) })
+}
+
+func (r *Run) killServers(e *event) {
+	r.eachServer(e, func(now policy.Instant, server int) {
+		r.world.Kill(now, server)
+		r.rig.Broke(server)
+		if e.Do == "restart" || e.duration > 0 {
+			back := now.Add(max(minDowntime, e.duration))
+			r.rig.At(back, func() { r.startServer(back, server) })
+		}
+	})
+}
+
+func (r *Run) muteServers(e *event) {
+	r.eachServer(e, func(now policy.Instant, server int) {
+		r.world.Mute(now, server)
+		if e.duration > 0 {
+			r.rig.At(e.end, func() { r.startServer(e.end, server) })
+		}
+	})
+}
+
+func (r *Run) drainServers(e *event) {
+	r.eachServer(e, func(now policy.Instant, server int) { r.drainServer(now, server, e.duration) })
+}
+
+// shrinkFleet drains the caches that were added last.
+func (r *Run) shrinkFleet(e *event) {
+	left := max(1, e.Count)
+	for server := len(r.world.Servers) - 1; server >= 0 && left > 0; server-- {
+		if !r.world.IsOrigin(server) && r.world.Servers[server].State == policy.Ready {
+			r.drainServer(e.start, server, e.duration)
+			left--
+		}
+	}
+}
+
+func (r *Run) addServers(e *event) {
+	count := max(1, e.Count)
+	for i := range count {
+		r.spread(e, i, count, func(at policy.Instant) {
+			r.addedCaches++
+			server := r.world.AddCache(r.scenario.Cache(r.scenario.Fleet.Caches+r.addedCaches), at)
+			r.rig.Listed(EndpointOf(r.world, server))
+		})
+	}
+}
+
+func (r *Run) faultConnections(e *event) {
+	r.eachServer(e, func(_ policy.Instant, server int) {
+		r.rig.Fault(server, e.Fault)
+		if e.Fault == "refuse" {
+			r.rig.Broke(server)
+		}
+		r.rig.At(e.end, func() { r.rig.Fault(server, "") })
+	})
+}
+
+func (r *Run) failRequests(e *event) {
+	r.eachServer(e, func(_ policy.Instant, server int) {
+		r.world.Break(server, e.Share)
+		r.rig.At(e.end, func() { r.world.Break(server, 0) })
+	})
+}
+
+func (r *Run) heatKey(e *event) {
+	r.traffic.Heat(world.KeyOf(e.Rank), e.Share)
+	r.rig.At(e.end, func() { r.traffic.Heat("", 0) })
+}
+
+func (r *Run) burstTraffic(e *event) {
+	r.traffic.Burst(e.Factor)
+	r.rig.At(e.end, func() { r.traffic.Burst(1) })
+}
+
+func (r *Run) slowOrigin(e *event) {
+	origin, ok := r.world.Find(world.OriginID)
+	if !ok {
+		return
+	}
+	r.world.Slow(e.start, origin, e.Factor)
+	r.rig.At(e.end, func() { r.world.Slow(e.end, origin, 1) })
+}
+
+func (r *Run) stopDiscovery(e *event) {
+	r.discoveryDown(1)
+	r.rig.At(e.end, func() { r.discoveryDown(-1) })
+}
+
+func (r *Run) slowDiscovery(e *event) {
+	r.rig.Registry().Slow(e.Factor)
+	r.rig.At(e.end, func() { r.rig.Registry().Slow(1) })
+}
+
+func (r *Run) restartNodes(e *event) {
+	r.eachNode(e, func(at policy.Instant, node int) {
+		r.rig.EndNode(node, e.Do == "node_restart")
+		r.rig.At(at.Add(max(minDowntime, e.duration)), func() { r.rig.StartNode(node) })
+	})
+}
+
+// scrapeNodes reads the metrics of all nodes at once, whatever time the event is spread over.
+func (r *Run) scrapeNodes(e *event) {
+	for _, number := range r.scenario.Members(e.Event) {
+		r.rig.ScrapeNode(number-1, e.end)
+	}
+}
+
+func (r *Run) upgradeNodes(e *event) {
+	r.eachNode(e, func(_ policy.Instant, node int) { r.rig.UpgradeNode(node) })
+}
+
+func (r *Run) standbyNodes(e *event) {
+	r.eachNode(e, func(at policy.Instant, node int) {
+		r.rig.StandbyNode(node, true)
+		r.rig.At(at.Add(e.duration), func() { r.rig.StandbyNode(node, false) })
+	})
+}
+
+// twinNodes starts all twins at once, whatever time the event is spread over.
+func (r *Run) twinNodes(e *event) {
+	for _, number := range r.scenario.Members(e.Event) {
+		r.rig.TwinNode(number - 1)
+	}
+}
+
+func (r *Run) crowdNodes(e *event) {
+	r.eachNode(e, func(at policy.Instant, node int) { r.rig.CrowdNode(node, e.Count, at.Add(e.duration)) })
+}
+
+func (r *Run) stallClients(e *event) {
+	r.eachNode(e, func(_ policy.Instant, node int) { r.rig.StallClients(node, e.Count) })
+}
+
+func (r *Run) reloadNodes(e *event) {
+	r.eachNode(e, func(_ policy.Instant, node int) { r.rig.ReloadNode(node, e.Count) })
+}
+
+func (r *Run) freezeNodes(e *event) {
+	r.eachNode(e, func(_ policy.Instant, node int) { r.rig.FreezeNode(node, e.duration) })
+}
+
+func (r *Run) pauseNodes(e *event) { r.stopNodes(e, r.rig.PauseNode) }
+
+func (r *Run) hangNodes(e *event) { r.stopNodes(e, r.rig.HangNode) }
+
+// stopNodes stops something of each node, and lets it go on after the event's duration.
+func (r *Run) stopNodes(e *event, stop func(node int, stop bool)) {
+	r.eachNode(e, func(at policy.Instant, node int) {
+		stop(node, true)
+		r.rig.At(at.Add(e.duration), func() { stop(node, false) })
+	})
+}
+
+func (r *Run) cutBetween(e *event) {
+	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Cut = on })
+}
+
+func (r *Run) loseBetween(e *event) {
+	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Loss = valueIf(on, e.Share) })
+}
+
+func (r *Run) duplicateBetween(e *event) {
+	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Twice = valueIf(on, e.Share) })
+}
+
+func (r *Run) delayBetween(e *event) {
+	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Late = scenario.Span(valueIf(on, e.LateMs) / 1000) })
+}
+
+func valueIf(on bool, value float64) float64 {
+	if on {
+		return value
+	}
+	return 0
+}
+
+// changeBetween changes what goes wrong between nodes until the event's end; where the event flaps, it goes off and on by turns.
+func (r *Run) changeBetween(e *event, set func(way *netfault.Way, on bool)) {
+	setAll := func(on bool) {
+		for _, pair := range r.scenario.Pairs(e.Event) {
+			r.rig.Between(pair[0], pair[1], func(way *netfault.Way) { set(way, on) })
+		}
+	}
+	setAll(true)
+	if turn := scenario.Span(e.TurnS); turn > 0 {
+		on := true
+		for at := e.start.Add(turn); at < e.end; at = at.Add(turn) {
+			on = !on
+			state := on
+			r.rig.At(at, func() { setAll(state) })
+		}
+	}
+	r.rig.At(e.end, func() { setAll(false) })
+}
--- /dev/null
+++ b/internal/emulator/runner/rig.go
@@ -0,0 +1,64 @@
+package runner
+
+import (
+	"time"
+
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/emulator/world"
+	"dahliapin/policy"
+)
+
+// Rig is the shell of a run: it knows what an event means to connections, nodes and the endpoint list. Nodes and servers
+// are numbered from 0.
+type Rig interface {
+	ServerRig
+	NodeRig
+	// Registry is what discovery can bear.
+	Registry() *world.Registry
+	// Discovery says whether the list is told to nodes.
+	Discovery(up bool)
+	// Listed says that the endpoint list has changed.
+	Listed(e policy.Endpoint)
+	// Between changes what goes wrong between two nodes, in one direction.
+	Between(from, to int, change func(*netfault.Way))
+	// At calls a function at an instant.
+	At(at policy.Instant, do func())
+	// Said adds a line to the log of the run.
+	Said(now policy.Instant, what string)
+}
+
+// ServerRig acts on connections to servers.
+type ServerRig interface {
+	// Broke resets all connections to a server.
+	Broke(server int)
+	// Fault sets what goes wrong on a server's connections; "" for nothing.
+	Fault(server int, kind string)
+}
+
+// NodeRig acts on nodes.
+type NodeRig interface {
+	// EndNode tells a node to end (SIGTERM), or kills it.
+	EndNode(node int, orderly bool)
+	// StartNode starts a node's next process.
+	StartNode(node int)
+	// UpgradeNode has another process take the node's place.
+	UpgradeNode(node int)
+	// StandbyNode puts a node on standby, or ends that.
+	StandbyNode(node int, standby bool)
+	// ScrapeNode reads a node's metrics until an instant and compares them with what its clients saw.
+	ScrapeNode(node int, until policy.Instant)
+	// PauseNode stops a node's process (SIGSTOP), or lets it go on.
+	PauseNode(node int, stop bool)
+	// HangNode blocks a node's event loop while the rest of its process runs, or lets it go on.
+	HangNode(node int, stop bool)
+	// TwinNode starts another process with the node's name.
+	TwinNode(node int)
+	// CrowdNode has clients connect, stay silent, and come back when they are closed.
+	CrowdNode(node, clients int, until policy.Instant)
+	// StallClients has clients stop in the middle of a request, and stay connected.
+	StallClients(node, clients int)
+	// ReloadNode tells a node several times in a row to read its configuration again.
+	ReloadNode(node, times int)
+	// FreezeNode stops a node's process for a moment that the rules allow for.
+	FreezeNode(node int, duration time.Duration)
+}
--- /dev/null
+++ b/internal/emulator/runner/run.go
@@ -0,0 +1,156 @@
+package runner
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/emulator/world"
+	"dahliapin/policy"
+)
+
+const (
+	minDowntime       = 400 * time.Millisecond // that a process takes to be back at least
+	defaultDrainSpell = 5 * time.Second        // between draining and removal of a server, where the event states none
+)
+
+// Run carries out the events of one scenario.
+type Run struct {
+	// First is when the first event begins.
+	First policy.Instant
+	// Last is when the end of the last event is due.
+	Last policy.Instant
+
+	scenario    *scenario.Scenario
+	world       *world.World
+	traffic     *world.Traffic
+	rig         Rig
+	addedCaches int
+	outages     int // events that hold discovery down just now: they may overlap
+}
+
+// Play schedules all events of a scenario. Their times count from an instant.
+func Play(s *scenario.Scenario, w *world.World, t *world.Traffic, start policy.Instant, rig Rig) *Run {
+	r := &Run{scenario: s, world: w, traffic: t, rig: rig}
+	events := slices.Clone(s.Events)
+	slices.SortStableFunc(events, func(a, b scenario.Event) int { return cmp.Compare(a.AtS, b.AtS) })
+	for i := range events {
+		event := &events[i]
+		at := start.Add(scenario.Span(event.AtS))
+		if i == 0 {
+			r.First = at
+		}
+		r.Last = max(r.Last, at.Add(scenario.Span(event.OverS+event.ForS)))
+		rig.At(at, func() { r.begin(at, event) })
+	}
+	return r
+}
+
+// begin carries an event out at its time.
+func (r *Run) begin(now policy.Instant, e *scenario.Event) {
+	r.rig.Said(now, describe(r.scenario, e))
+	handle, known := handlers[e.Do]
+	if !known {
+		return
+	}
+	duration := scenario.Span(e.ForS)
+	handle(r, &event{
+		Event:    e,
+		start:    now,
+		duration: duration,
+		end:      now.Add(duration + scenario.Span(e.OverS)),
+	})
+}
+
+// event is a scenario's event at its time. What is spread over a time begins one after the other and ends together.
+type event struct {
+	*scenario.Event
+	start    policy.Instant
+	duration time.Duration // as stated, without the time over which it is spread
+	end      policy.Instant
+}
+
+// eachServer does something to each server of an event, spread over its time.
+func (r *Run) eachServer(e *event, do func(at policy.Instant, server int)) {
+	ids := r.scenario.Chosen(e.Event)
+	for i, id := range ids {
+		r.spread(e, i, len(ids), func(at policy.Instant) {
+			if server, ok := r.world.Find(id); ok {
+				do(at, server)
+			}
+		})
+	}
+}
+
+// eachNode does something to each node of an event, spread over its time.
+func (r *Run) eachNode(e *event, do func(at policy.Instant, node int)) {
+	members := r.scenario.Members(e.Event)
+	for i, number := range members {
+		r.spread(e, i, len(members), func(at policy.Instant) { do(at, number-1) })
+	}
+}
+
+// spread does the i-th of several things at its share of the event's time, the first at once.
+func (r *Run) spread(e *event, i, of int, do func(at policy.Instant)) {
+	if i == 0 || e.OverS == 0 {
+		do(e.start)
+		return
+	}
+	at := e.start.Add(scenario.Span(e.OverS * float64(i) / float64(of)))
+	r.rig.At(at, func() { do(at) })
+}
+
+// startServer starts a server's next process. Connections that outlived the last one, as a vanished machine's do, are reset.
+func (r *Run) startServer(now policy.Instant, server int) {
+	r.world.Start(now, server)
+	r.rig.Broke(server)
+	r.rig.Listed(EndpointOf(r.world, server))
+}
+
+// drainServer has the list say that a server drains, and removes it after a time.
+func (r *Run) drainServer(now policy.Instant, number int, duration time.Duration) {
+	server := r.world.Servers[number]
+	server.State = policy.Draining
+	r.rig.Listed(EndpointOf(r.world, number))
+	removal := now.Add(cmp.Or(duration, defaultDrainSpell))
+	r.rig.At(removal, func() {
+		server.State = policy.Removed
+		r.rig.Listed(EndpointOf(r.world, number))
+		r.world.Kill(removal, number)
+		r.rig.Broke(number)
+	})
+}
+
+// discoveryDown counts an outage of discovery that begins (1) or ends (-1). Discovery is there while there is none.
+func (r *Run) discoveryDown(change int) {
+	wasUp := r.outages == 0
+	r.outages += change
+	isUp := r.outages == 0
+	if wasUp != isUp {
+		r.rig.Discovery(isUp)
+	}
+}
+
+// EndpointOf is what the endpoint list says of a server.
+func EndpointOf(w *world.World, server int) policy.Endpoint {
+	s := w.Servers[server]
+	kind := 0
+	if w.IsOrigin(server) {
+		kind = 1
+	}
+	return policy.Endpoint{
+		ID: s.ID, Kind: kind, Lifecycle: s.State, StartedAt: s.Born, Zone: s.Zone, Group: s.Group, Weight: s.Weight,
+	}
+}
+
+// Endpoints is the complete endpoint list.
+func Endpoints(w *world.World) []policy.Endpoint {
+	var all []policy.Endpoint
+	for i, s := range w.Servers {
+		if s.State != policy.Removed {
+			all = append(all, EndpointOf(w, i))
+		}
+	}
+	return all
+}
--- a/internal/emulator/simulation/list.go
+++ b/internal/emulator/simulation/list.go
@@ -40,7 +40,7 @@
 			switch w.until = r.now.Add(c.LongPoll); {
 			case !r.upList: // it has gone silent meanwhile
 			case c.Complete:
-				entries, version := runner.Entries(r.world), len(r.changes)
+				entries, version := runner.Endpoints(r.world), len(r.changes)
 				r.after(r.clientWay(), func() { w.heard(version, entries) })
 			case w.since < len(r.changes):
 				r.tell(w)
--- a/internal/emulator/simulation/virtual.go
+++ b/internal/emulator/simulation/virtual.go
@@ -81,7 +81,7 @@
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
 	r.judge = checker.New(checker.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
 		Grace: scenario.Span(s.Allowed.GraceMs / 1000), Slack: slack})
-	ear := &runner.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
+	ear := &runner.WorldObserver{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
 	r.traffic = world.NewTraffic(s.Asks())
@@ -97,9 +97,9 @@
 			}
 		}
 		r.nodes = append(r.nodes, n)
-		n.start(policy.CompleteUpdate, runner.Entries(r.world))
+		n.start(policy.CompleteUpdate, runner.Endpoints(r.world))
 	}
-	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, runner.Entries(r.world))
+	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.course = runner.Play(s, r.world, r.traffic, epoch, r)
 	r.arrive(r.traffic.Next(r.now))
 	end := epoch.Add(s.Long() + terms.LongestDeadline + settle)
@@ -174,7 +174,7 @@
 // warm puts keys where the decider's own kind would send them.
 func (r *Simulation) warm() {
 	d := r.make(r.now, r.script.Seed, r.terms.Policy)
-	d.UpdateEndpoints(r.now, policy.CompleteUpdate, runner.Entries(r.world))
+	d.UpdateEndpoints(r.now, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmBy(r.world, d.Route, r.now, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
@@ -312,7 +312,7 @@
 	if r.registry.Bounded() {
 		return // it calls by itself
 	}
-	entries, life := runner.Entries(r.world), n.life
+	entries, life := runner.Endpoints(r.world), n.life
 	r.after(scenario.Span(r.script.Discovery.NoticeS[0]), func() {
 		if n.life == life && r.upList {
 			n.hear(policy.CompleteUpdate, entries)
