--- a/internal/emulator/checker/judge_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -19,14 +19,14 @@
 func gone(j *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
 	for range clients {
 		sent(j, 0)
-		j.Gone(20*ms, "r")
-		j.Came(29*ms+after, 20*ms+after, "r", "c1")
+		j.ClientGone(20*ms, "r")
+		j.AttemptArrived(29*ms+after, 20*ms+after, "r", "c1")
 	}
 }
 
 // A judge that misses a breach calls a broken node good. Each row is one way to break a rule, or one that looks like it.
 func TestEachBreachIsCaughtOnceAndItsLookAlikeIsNot(t *testing.T) {
-	sent := func(j *Checker, grade int) { j.Sent(0, "r", 0, grade, "l", 100*ms, true) }
+	sent := func(j *Checker, grade int) { j.RequestSent(0, "r", 0, grade, "l", 100*ms, true) }
 	for _, c := range []struct {
 		name string
 		rule int // 0: none is broken
@@ -41,8 +41,16 @@
 		{"never, its node killed", 0, func(j *Checker) { sent(j, 0); j.Excuse("r"); j.Advance(200 * ms) }},
 		{"cut", 1, func(j *Checker) { sent(j, 0); j.Answered(10*ms, "r", Cut) }},
 		{"nobody asked", 1, func(j *Checker) { j.Answered(10*ms, "q", Satisfied) }},
-		{"a leg after the answer", 1, func(j *Checker) { sent(j, 0); j.Answered(20*ms, "r", Failed); j.Came(40*ms, 35*ms, "r", "c1") }},
-		{"a leg that crossed the answer", 0, func(j *Checker) { sent(j, 0); j.Answered(20*ms, "r", Failed); j.Came(40*ms, 20*ms, "r", "c1") }},
+		{"an attempt after the answer", 1, func(j *Checker) {
+			sent(j, 0)
+			j.Answered(20*ms, "r", Failed)
+			j.AttemptArrived(40*ms, 35*ms, "r", "c1")
+		}},
+		{"an attempt that crossed the answer", 0, func(j *Checker) {
+			sent(j, 0)
+			j.Answered(20*ms, "r", Failed)
+			j.AttemptArrived(40*ms, 20*ms, "r", "c1")
+		}},
 		{"a third attempt that began over 0.1 s after its client had gone", 1, func(j *Checker) { gone(j, sent, 3, 101*ms) }},
 		{"two of them", 0, func(j *Checker) { gone(j, sent, 2, 101*ms) }},
 		{"attempts that crossed their clients' leaving, and an answer", 0, func(j *Checker) {
@@ -53,50 +61,66 @@
 		{"a further attempt after its client had gone counts like a first", 1, func(j *Checker) {
 			gone(j, sent, 2, 101*ms)
 			sent(j, 0)
-			j.Came(5*ms, 5*ms, "r", "c1")
-			j.Left(6*ms, "r", "c1", false)
-			j.Gone(20*ms, "r")
-			j.Came(122*ms, 122*ms, "r", "c2")
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.AttemptEnded(6*ms, "r", "c1", false)
+			j.ClientGone(20*ms, "r")
+			j.AttemptArrived(122*ms, 122*ms, "r", "c2")
 		}},
-		{"a made-up value", 1, func(j *Checker) { sent(j, 0); j.Wrong(10*ms, "r", "made up") }},
+		{"a made-up value", 1, func(j *Checker) { sent(j, 0); j.WrongAnswer(10*ms, "r", "made up") }},
 		{"effect twice", 2, func(j *Checker) { sent(j, 1); j.Effect(10*ms, "r", "l", 1, "c1"); j.Effect(20*ms, "r2", "l", 1, "c2") }},
 		{"two effects of two labels", 0, func(j *Checker) { j.Effect(10*ms, "r", "l", 1, "c1"); j.Effect(20*ms, "r", "m", 1, "c1") }},
-		{"rejected after a leg that may have run", 2, func(j *Checker) { sent(j, 2); j.Came(5*ms, 5*ms, "r", "c1"); j.Answered(10*ms, "r", Rejected) }},
+		{"rejected after an attempt that may have run", 2, func(j *Checker) {
+			sent(j, 2)
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.Answered(10*ms, "r", Rejected)
+		}},
 		{"rejected after one that was turned away", 0, func(j *Checker) {
 			sent(j, 2)
-			j.Came(5*ms, 5*ms, "r", "c1")
-			j.Left(6*ms, "r", "c1", true)
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.AttemptEnded(6*ms, "r", "c1", true)
 			j.Answered(10*ms, "r", Rejected)
 		}},
-		{"failed after a leg", 0, func(j *Checker) { sent(j, 2); j.Came(5*ms, 5*ms, "r", "c1"); j.Answered(10*ms, "r", Failed) }},
+		{"failed after an attempt", 0, func(j *Checker) { sent(j, 2); j.AttemptArrived(5*ms, 5*ms, "r", "c1"); j.Answered(10*ms, "r", Failed) }},
 		{"ran after its rejection", 2, func(j *Checker) { sent(j, 2); j.Answered(10*ms, "r", Rejected); j.Effect(12*ms, "r", "", 2, "c1") }},
 		{"irreversible sent again", 2, func(j *Checker) {
 			sent(j, 2)
-			j.Came(5*ms, 5*ms, "r", "c1")
-			j.Left(6*ms, "r", "c1", false)
-			j.Came(8*ms, 8*ms, "r", "c2")
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.AttemptEnded(6*ms, "r", "c1", false)
+			j.AttemptArrived(8*ms, 8*ms, "r", "c2")
 		}},
 		{"a second beside a first", 2, func(j *Checker) {
 			sent(j, 0)
-			j.Came(5*ms, 5*ms, "r", "c1")
-			j.Came(6*ms, 6*ms, "r", "c2")
-			j.Left(30*ms, "r", "c1", false)
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.AttemptArrived(6*ms, 6*ms, "r", "c2")
+			j.AttemptEnded(30*ms, "r", "c1", false)
 		}},
 		{"a second after a first was called off", 0, func(j *Checker) {
 			sent(j, 0)
-			j.Came(5*ms, 5*ms, "r", "c1")
-			j.Came(6*ms, 6*ms, "r", "c2")
-			j.Left(9*ms, "r", "c1", false)
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.AttemptArrived(6*ms, 6*ms, "r", "c2")
+			j.AttemptEnded(9*ms, "r", "c1", false)
+		}},
+		{"to one that drains", 3, func(j *Checker) {
+			j.Notified(0, 0, "c1", policy.Draining)
+			sent(j, 0)
+			j.AttemptArrived(60*ms, 51*ms, "r", "c1")
+		}},
+		{"to one that drains, within the grace", 0, func(j *Checker) {
+			j.Notified(0, 0, "c1", policy.Draining)
+			sent(j, 0)
+			j.AttemptArrived(60*ms, 49*ms, "r", "c1")
 		}},
-		{"to one that drains", 3, func(j *Checker) { j.Told(0, 0, "c1", policy.Draining); sent(j, 0); j.Came(60*ms, 51*ms, "r", "c1") }},
-		{"to one that drains, within the grace", 0, func(j *Checker) { j.Told(0, 0, "c1", policy.Draining); sent(j, 0); j.Came(60*ms, 49*ms, "r", "c1") }},
 		{"to one that is back", 0, func(j *Checker) {
-			j.Told(0, 0, "c1", policy.Removed)
-			j.Told(1, 0, "c1", policy.Ready)
+			j.Notified(0, 0, "c1", policy.Removed)
+			j.Notified(1, 0, "c1", policy.Ready)
+			sent(j, 0)
+			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
+		}},
+		{"told another node", 0, func(j *Checker) {
+			j.Notified(0, 1, "c1", policy.Removed)
 			sent(j, 0)
-			j.Came(60*ms, 60*ms, "r", "c1")
+			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
 		}},
-		{"told another node", 0, func(j *Checker) { j.Told(0, 1, "c1", policy.Removed); sent(j, 0); j.Came(60*ms, 60*ms, "r", "c1") }},
 		{"pushed over", 4, func(j *Checker) { j.Fell(0, "c1", "cold") }},
 	} {
 		j := New(Rules{Classes: grades(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -130,7 +130,7 @@
 	}
 	a.r.mu.Lock()
 	for _, e := range changed {
-		a.r.judge.Told(a.r.now(), a.node, e.ID, e.Lifecycle)
+		a.r.judge.Notified(a.r.now(), a.node, e.ID, e.Lifecycle)
 	}
 	a.r.mu.Unlock()
 }
--- a/internal/emulator/realtime/disturb.go
+++ b/internal/emulator/realtime/disturb.go
@@ -58,7 +58,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if m.life == life && !m.ending && !r.closing {
-				r.judge.Wrong(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledEnds+slack))
+				r.judge.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledEnds+slack))
 			}
 		}()
 	}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -307,7 +307,7 @@
 	defer r.mu.Unlock()
 	last := r.log.Seconds[max(0, sec-1)]
 	return fmt.Sprintf("%3d of %g s: %d asked, %d in time, %d legs (%d at the origin), %d breaches", sec, r.script.Seconds, last.Asked,
-		last.InTime, last.Legs, last.Origin, r.judge.Broken())
+		last.InTime, last.Legs, last.Origin, r.judge.Breached())
 }
 
 // ask sends one try; the lock is held.
@@ -331,7 +331,7 @@
 	now, life := r.now(), m.lives
 	m.figures.open++
 	m.asks[req.ID] = true
-	r.judge.Sent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
+	r.judge.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
 	a := &client.Ask{ID: req.ID, Key: req.Key, Label: req.Label, Grade: g.Name, Write: g.Write, Repeat: req.Try > 1, Wait: req.Deadline, Leaves: req.Leaves, OnlyOpen: !m.serving}
 	if g.Write {
 		a.Value = world.ValueOf(req.Key)
@@ -356,7 +356,7 @@
 	delete(m.asks, req.ID)
 	g, now := &r.traffic.Classes[req.Class], r.at(got.Got)
 	if got.Extra {
-		r.judge.Wrong(now, "", "more came on a connection than one answer for each request")
+		r.judge.WrongAnswer(now, "", "more came on a connection than one answer for each request")
 	}
 	switch {
 	case got.Nowhere: // it was taken by nobody, and asks another node
@@ -368,7 +368,7 @@
 		r.judge.Classes[req.Class].Cut++
 		return
 	case got.Left:
-		r.judge.Gone(now, req.ID)
+		r.judge.ClientGone(now, req.ID)
 		return
 	case got.Silent: // the judge counts it as lost at its deadline
 		return
@@ -381,7 +381,7 @@
 			got.Wrong = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
 		}
 		if got.Wrong != "" {
-			r.judge.Wrong(now, req.ID, got.Wrong)
+			r.judge.WrongAnswer(now, req.ID, got.Wrong)
 		}
 		r.judge.Answered(now, req.ID, got.Final)
 	}
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -309,7 +309,7 @@
 	if l != nil {
 		delete(r.legs, tag)
 		r.log.Ended(r.now(), how)
-		r.judge.Left(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
+		r.judge.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
 		if r.fleet != nil {
 			r.fleet.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.came))
 		}
@@ -394,7 +394,7 @@
 	}
 	switch {
 	case fault != nil:
-		r.judge.Wrong(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Answer))
+		r.judge.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Answer))
 		c.answer([]byte(fault.Answer))
 		return
 	case command.Verb == meta.Ready:
@@ -435,7 +435,7 @@
 // came tells of a leg that came whole.
 func (r *Rig) came(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.Leg(now, server)
-	r.judge.Came(now, now, id, server)
+	r.judge.AttemptArrived(now, now, id, server)
 	if r.fleet != nil {
 		r.fleet.AttemptSent(now, server)
 	}
@@ -451,17 +451,17 @@
 		return string(v)
 	}
 	if write && r.script.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
-		r.judge.Wrong(now, id, fmt.Sprintf("a write was sent to %s, which only stores", w.ID))
+		r.judge.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which only stores", w.ID))
 	}
 	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
 	wait, err := strconv.ParseFloat(item("d"), 64)
 	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
-		r.judge.Wrong(now, id, fmt.Sprintf("a server was sent a leg that no client's could become: grade %q, wait %q", item("c"), item("d")))
-		r.judge.Left(now, id, w.ID, true)
+		r.judge.WrongAnswer(now, id, fmt.Sprintf("a server was sent a leg that no client's could become: grade %q, wait %q", item("c"), item("d")))
+		r.judge.AttemptEnded(now, id, w.ID, true)
 		return false
 	}
 	if s.fault == "reset" {
-		r.judge.Left(now, id, w.ID, true)
+		r.judge.AttemptEnded(now, id, w.ID, true)
 		if l.conn != nil {
 			l.conn.gone(true)
 		}
--- a/internal/emulator/report/outcome.go
+++ b/internal/emulator/report/outcome.go
@@ -213,7 +213,7 @@
 			row.InTime = float64(t.FirstInTime) / float64(t.First)
 			row.Tries = float64(t.Asked) / float64(t.First)
 		}
-		row.P50, row.P99 = quantile(j.Took[i], 0.5), quantile(j.Took[i], 0.99)
+		row.P50, row.P99 = quantile(j.Latencies[i], 0.5), quantile(j.Latencies[i], 0.99)
 		r.Classes = append(r.Classes, row)
 		tries += t.Asked
 		asked += g.PriorityWeight * float64(t.First)
--- a/internal/emulator/simulation/node.go
+++ b/internal/emulator/simulation/node.go
@@ -93,7 +93,7 @@
 
 func (n *node) hear(form policy.UpdateKind, entries []policy.Endpoint) {
 	for _, e := range entries {
-		n.r.judge.Told(n.r.now, n.number, e.ID, e.Lifecycle)
+		n.r.judge.Notified(n.r.now, n.number, e.ID, e.Lifecycle)
 		n.known = slices.DeleteFunc(n.known, func(o policy.Endpoint) bool { return o.ID == e.ID })
 		if e.Lifecycle != policy.Removed {
 			n.known = append(n.known, e)
@@ -157,7 +157,7 @@
 	if v.answered || n.life != life {
 		return
 	}
-	n.r.judge.Gone(n.r.now, v.req.ID)
+	n.r.judge.ClientGone(n.r.now, v.req.ID)
 	n.r.after(n.r.clientWay(), func() {
 		if v.answered || n.life != life || n.host == nil {
 			return
@@ -298,10 +298,10 @@
 		return
 	}
 	r.log.Leg(r.now, s.ID)
-	r.judge.Came(r.now, began, l.v.req.ID, s.ID)
+	r.judge.AttemptArrived(r.now, began, l.v.req.ID, s.ID)
 	switch r.fault(l.server) {
 	case "reset":
-		r.judge.Left(r.now, l.v.req.ID, s.ID, true)
+		r.judge.AttemptEnded(r.now, l.v.req.ID, s.ID, true)
 		r.after(r.way(l.n, l.server), func() { l.lost() })
 		return
 	case "silent":
@@ -313,7 +313,7 @@
 	if d, ok := r.world.Offer(r.now, l.server, j); !ok {
 		r.served(d)
 	} else if !l.out { // its connection was closed behind it: if it has begun, it runs to its end all the same
-		r.judge.Left(r.now, l.v.req.ID, s.ID, false)
+		r.judge.AttemptEnded(r.now, l.v.req.ID, s.ID, false)
 		delete(r.legs, l.tag)
 		r.world.Withdraw(r.now, l.server, l.tag)
 	}
@@ -344,7 +344,7 @@
 func (l *leg) lost() {
 	if _, there := l.n.r.legs[l.tag]; there {
 		delete(l.n.r.legs, l.tag)
-		l.n.r.judge.Left(l.n.r.now, l.v.req.ID, l.n.r.world.Servers[l.server].ID, false)
+		l.n.r.judge.AttemptEnded(l.n.r.now, l.v.req.ID, l.n.r.world.Servers[l.server].ID, false)
 	}
 	l.holds = false
 	l.end(policy.ConnectionBroken, nil)
@@ -375,7 +375,7 @@
 func (l *leg) abandon() {
 	r := l.n.r
 	l.drop()
-	r.judge.Left(r.now, l.v.req.ID, r.world.Servers[l.server].ID, false)
+	r.judge.AttemptEnded(r.now, l.v.req.ID, r.world.Servers[l.server].ID, false)
 	r.after(r.way(l.n, l.server), func() {
 		if r.legs[l.tag] != nil {
 			delete(r.legs, l.tag)
--- a/internal/emulator/simulation/virtual.go
+++ b/internal/emulator/simulation/virtual.go
@@ -345,7 +345,7 @@
 	}
 	n := r.choose()
 	req.Sent = r.now
-	r.judge.Sent(r.now, req.ID, n.number, req.Class, req.Label, r.now.Add(req.Deadline), isFirst)
+	r.judge.RequestSent(r.now, req.ID, n.number, req.Class, req.Label, r.now.Add(req.Deadline), isFirst)
 	life := n.life
 	r.after(r.clientWay(), func() {
 		if n.life != life || n.host == nil { // it died while this was on its way: the client sees a reset
@@ -398,7 +398,7 @@
 	if l == nil {
 		return
 	}
-	r.judge.Left(r.now, l.v.req.ID, r.world.Servers[d.Server].ID, d.Said == world.Busy)
+	r.judge.AttemptEnded(r.now, l.v.req.ID, r.world.Servers[d.Server].ID, d.Said == world.Busy)
 	delete(r.legs, d.Job.Tag)
 	how := [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
 		world.Busy: policy.Rejected, world.Failed: policy.Errored}[d.Said]
