--- a/internal/config/settings/check.go
+++ b/internal/config/settings/check.go
@@ -9,88 +9,143 @@
 	"github.com/valyala/fastjson"
 )
 
-// numbers names each number that is read, by its path; none may be negative.
-var numbers = []string{
-	"round_s", "n_instances", "excess_benefit", "tariffs.cross_zone", "tariffs.waste", "rules.ask_within_s", "rules.cold_from",
-	"rules.cold_s", "rules.overload_factor", "bounds.connect_timeout_s", "bounds.most_legs", "bounds.conn_idle_s",
-	"bounds.max_retry_after_s",
-}
-
+// The keys that are checked, by what their values have to be. Numbers are finite and not negative.
 var (
-	wholes       = []string{"n_instances", "bounds.most_legs"}
-	objects      = []string{"tariffs", "rules", "bounds", "family_info", "telemetry"}
-	arrays       = []string{"service_grades", "tenants", "failure_domains", "kinds", "telemetry.columns"}
-	gradeNumbers = []string{"benefit", "soft_limit_s", "late_benefit", "key_ttl_s", "hard_stop_s"}
-	switches     = []string{"bounds.second_copies", "bounds.cancel", "bounds.probes", "bounds.retry_after"}
-	words        = []string{"zone", "discovery", "family_info.mode"}
+	objectKeys = []string{keyCosts, keyRules, keyBounds, keyFamily, keyTelemetry}
+	listKeys   = []string{
+		keyClasses, keyTenants, keyZones, keyKinds, keyTelemetry + "." + keyTelemetryColumn,
+	}
+	numberKeys = []string{
+		keyTickInterval, keyNodes, keyOverQuotaWeight,
+		keyCosts + "." + keyCrossZoneCost,
+		keyCosts + "." + keyWasteCost,
+		keyRules + "." + keyPollInterval,
+		keyRules + "." + keySlowStartShare,
+		keyRules + "." + keySlowStartDuration,
+		keyRules + "." + keyOverloadFactor,
+		keyBounds + "." + keyConnectTimeout,
+		keyBounds + "." + keyMaxAttempts,
+		keyBounds + "." + keyIdleTimeout,
+		keyBounds + "." + keyMaxRetryAfter,
+	}
+	integerKeys     = []string{keyNodes, keyBounds + "." + keyMaxAttempts}
+	classNumberKeys = []string{keyPriorityWeight, keyLatencyObjective, keyLateShare, keyDedupWindow, keyDeadline}
+	booleanKeys     = []string{
+		keyBounds + "." + keyHedging,
+		keyBounds + "." + keyCancel,
+		keyBounds + "." + keyHealthChecks,
+		keyBounds + "." + keyRetryAfter,
+	}
+	stringKeys = []string{keyZone, keyDiscovery, keyFamily + "." + keyMode}
 )
 
-// check tells in one line which key of the settings can't be what it says. What is left out has its default.
-func check(env *fastjson.Value) error {
-	at := func(path string) *fastjson.Value { return env.Get(strings.Split(path, ".")...) }
-	for _, path := range objects { // first of all: in what is none, nothing would be found, and all left at its default
-		if v := at(path); stated(v) && v.Type() != fastjson.TypeObject {
-			return fmt.Errorf("%s is not an object", path)
+// check returns a *KeyError for the first key whose value cannot be used. Without it, a value of a wrong type would
+// silently be taken for the default. Objects come first: nothing is found in a value that is no object, so that all
+// keys within it would pass as left out.
+func check(object *fastjson.Value) error {
+	checks := []func(*fastjson.Value) error{
+		checkObjects, checkLists, checkNumbers, checkIntegers, checkClasses, checkTenants, checkBooleans, checkStrings,
+		checkZone,
+	}
+	for _, checkGroup := range checks {
+		if err := checkGroup(object); err != nil {
+			return err
 		}
 	}
-	for _, path := range arrays {
-		if v := at(path); stated(v) && v.Type() != fastjson.TypeArray {
-			return fmt.Errorf("%s is not a list", path)
+	return nil
+}
+
+func checkObjects(object *fastjson.Value) error {
+	return checkType(object, objectKeys, "is not an object", fastjson.TypeObject)
+}
+
+func checkLists(object *fastjson.Value) error {
+	return checkType(object, listKeys, "is not a list", fastjson.TypeArray)
+}
+
+func checkBooleans(object *fastjson.Value) error {
+	return checkType(object, booleanKeys, "is neither true nor false", fastjson.TypeTrue, fastjson.TypeFalse)
+}
+
+func checkStrings(object *fastjson.Value) error {
+	return checkType(object, stringKeys, "is not a text", fastjson.TypeString)
+}
+
+func checkType(object *fastjson.Value, keys []string, problem string, types ...fastjson.Type) error {
+	for _, key := range keys {
+		if v := valueAt(object, key); isSet(v) && !slices.Contains(types, v.Type()) {
+			return &KeyError{Key: key, Problem: problem}
 		}
 	}
-	for _, path := range numbers {
-		if err := checkNumber(path, at(path)); err != nil {
+	return nil
+}
+
+func checkNumbers(object *fastjson.Value) error {
+	for _, key := range numberKeys {
+		if err := checkNumber(key, valueAt(object, key)); err != nil {
 			return err
 		}
 	}
-	for _, path := range wholes {
-		if x := Number(at(path)); x != math.Trunc(x) || x > math.MaxInt32 {
-			return fmt.Errorf("%s is not a whole number", path)
+	return nil
+}
+
+func checkIntegers(object *fastjson.Value) error {
+	for _, key := range integerKeys {
+		if x := Number(valueAt(object, key)); x != math.Trunc(x) || x > math.MaxInt32 {
+			return &KeyError{Key: key, Problem: "is not a whole number"}
 		}
 	}
-	for i, g := range env.GetArray("service_grades") {
-		for _, key := range gradeNumbers {
-			if err := checkNumber(fmt.Sprintf("service_grades[%d].%s", i, key), g.Get(key)); err != nil {
+	return nil
+}
+
+func checkClasses(object *fastjson.Value) error {
+	for i, class := range object.GetArray(keyClasses) {
+		for _, key := range classNumberKeys {
+			if err := checkNumber(fmt.Sprintf("%s[%d].%s", keyClasses, i, key), class.Get(key)); err != nil {
 				return err
 			}
 		}
 	}
-	for i, v := range env.GetArray("tenants") {
-		if err := checkNumber(fmt.Sprintf("tenants[%d].quota_rps", i), v.Get("quota_rps")); err != nil {
+	return nil
+}
+
+func checkTenants(object *fastjson.Value) error {
+	for i, tenant := range object.GetArray(keyTenants) {
+		if err := checkNumber(fmt.Sprintf("%s[%d].%s", keyTenants, i, keyQuota), tenant.Get(keyQuota)); err != nil {
 			return err
 		}
 	}
-	for _, path := range switches {
-		if v := at(path); stated(v) && v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
-			return fmt.Errorf("%s is neither true nor false", path)
-		}
-	}
-	for _, path := range words {
-		if v := at(path); stated(v) && v.Type() != fastjson.TypeString {
-			return fmt.Errorf("%s is not a text", path)
-		}
-	}
-	zone, places := string(env.GetStringBytes("zone")), env.GetArray("failure_domains")
-	if zone != "" && len(places) > 0 && !slices.ContainsFunc(places, func(v *fastjson.Value) bool {
-		return string(v.GetStringBytes()) == zone
-	}) {
-		return fmt.Errorf("zone is %q, which failure_domains does not name", zone)
-	}
 	return nil
 }
 
-func stated(v *fastjson.Value) bool { return v != nil && v.Type() != fastjson.TypeNull }
+// checkZone finds a node's zone among the deployment's, if both are stated.
+func checkZone(object *fastjson.Value) error {
+	zone := string(object.GetStringBytes(keyZone))
+	zones := object.GetArray(keyZones)
+	if zone == "" || len(zones) == 0 {
+		return nil
+	}
+	isZone := func(v *fastjson.Value) bool { return string(v.GetStringBytes()) == zone }
+	if slices.ContainsFunc(zones, isZone) {
+		return nil
+	}
+	return &KeyError{Key: keyZone, Problem: fmt.Sprintf("is %q, which %s does not name", zone, keyZones)}
+}
 
-func checkNumber(path string, v *fastjson.Value) error {
-	if !stated(v) {
+func checkNumber(key string, v *fastjson.Value) error {
+	if !isSet(v) {
 		return nil
 	}
 	x, err := v.Float64()
-	switch {
-	case err != nil || math.IsInf(x, 0) || math.IsNaN(x):
-		return fmt.Errorf("%s is not a finite number", path)
-	case x < 0:
-		return fmt.Errorf("%s is negative", path)
+	if err != nil || math.IsInf(x, 0) || math.IsNaN(x) {
+		return &KeyError{Key: key, Problem: "is not a finite number"}
+	}
+	if x < 0 {
+		return &KeyError{Key: key, Problem: "is negative"}
 	}
 	return nil
 }
+
+func valueAt(object *fastjson.Value, key string) *fastjson.Value {
+	return object.Get(strings.Split(key, ".")...)
+}
--- a/internal/config/settings/check_test.go
+++ b/internal/config/settings/check_test.go
@@ -1,37 +1,70 @@
 package settings
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
 	"github.com/valyala/fastjson"
 )
 
-// A setting that is read must not be taken for its default because it is of a wrong kind, unsaid.
-func TestASettingThatCantBeIsNamedInOneLine(t *testing.T) {
-	const good = `{"service_grades":[{"late_benefit":0.5}],"tenants":[{"quota_rps":null}],"zone":"a","failure_domains":["a","b"],
-		"rules":{"overload_factor":3},"tariffs":{"cross_zone":0.2},"bounds":{"cancel":true}}`
-	if terms, err := Decode(fastjson.MustParse(good)); err != nil || terms.Policy.Classes[0].LateShare != 0.5 || terms.Policy.OverloadFactor != 3 {
-		t.Fatal(terms.Policy, err)
+const validSettings = `{"service_grades":[{"late_benefit":0.5}],"tenants":[{"quota_rps":null}],"zone":"a",
+	"failure_domains":["a","b"],"rules":{"overload_factor":3},"tariffs":{"cross_zone":0.2},"bounds":{"cancel":true}}`
+
+func TestValidSettingsAreDecoded(t *testing.T) {
+	s, err := Decode(fastjson.MustParse(validSettings))
+	if err != nil || s.Policy.Classes[0].LateShare != 0.5 || s.Policy.OverloadFactor != 3 {
+		t.Fatal(s.Policy, err)
 	}
-	// a kind that the settings do not name was the origin's, and so was the first of all where the origin's was null
+}
+
+// An endpoint of a kind that the settings do not name used to be taken for the origin, and so was one of the first
+// kind where the origin's was null. Its values would have been treated as the authoritative ones.
+func TestUnknownKindIsNotTheOrigin(t *testing.T) {
 	for _, family := range []string{`{}`, `{"origin_kind":null}`} {
-		terms, err := Decode(fastjson.MustParse(`{"service_grades":[{}],"kinds":["box"],"family_info":` + family + `}`))
+		text := `{"service_grades":[{}],"kinds":["box"],"family_info":` + family + `}`
+		s, err := Decode(fastjson.MustParse(text))
 		for _, kind := range []string{"box", "other"} {
-			if err != nil || terms.Names.Kind([]byte(kind)) == terms.Policy.OriginKind {
-				t.Errorf("with %s, a cache of the kind %q is the origin (%v)", family, kind, err)
+			if err != nil || s.Names.Kind([]byte(kind)) == s.Policy.OriginKind {
+				t.Errorf("with %s, an endpoint of the kind %q is the origin (%v)", family, kind, err)
 			}
 		}
 	}
-	for key, turn := range map[string][2]string{
-		"service_grades[0].late_benefit": {"0.5", `"half"`}, "tenants[0].quota_rps": {"null", "-1"}, "rules.overload_factor": {"3}", "-3}"},
-		"tariffs.cross_zone": {"0.2", "1e999"}, "bounds.cancel": {"true", "1"}, "zone is \"c\"": {`"zone":"a"`, `"zone":"c"`},
-		"zone is not a text": {`"zone":"a"`, `"zone":1`}, "rules is not an object": {`{"overload_factor":3}`, "[]"},
-		"failure_domains is not a list": {`["a","b"]`, `"a"`}, "n_instances is not a whole": {`"zone":"a"`, `"n_instances":1.5`},
+}
+
+// A setting of a wrong type used to be taken for its default without a word to the operator.
+func TestInvalidSettingIsNamedInOneLine(t *testing.T) {
+	for _, test := range []struct {
+		want      string // within the error
+		old, with string // what is replaced in the valid settings
+		key       string
+	}{
+		{"service_grades[0].late_benefit", "0.5", `"half"`, "service_grades[0].late_benefit"},
+		{"tenants[0].quota_rps", "null", "-1", "tenants[0].quota_rps"},
+		{"rules.overload_factor", "3}", "-3}", "rules.overload_factor"},
+		{"tariffs.cross_zone", "0.2", "1e999", "tariffs.cross_zone"},
+		{"bounds.cancel", "true", "1", "bounds.cancel"},
+		{`zone is "c"`, `"zone":"a"`, `"zone":"c"`, "zone"},
+		{"zone is not a text", `"zone":"a"`, `"zone":1`, "zone"},
+		{"rules is not an object", `{"overload_factor":3}`, "[]", "rules"},
+		{"failure_domains is not a list", `["a","b"]`, `"a"`, "failure_domains"},
+		{"n_instances is not a whole", `"zone":"a"`, `"n_instances":1.5`, "n_instances"},
 	} {
-		_, err := Decode(fastjson.MustParse(strings.Replace(good, turn[0], turn[1], 1)))
-		if err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", key, err)
-		}
+		t.Run(test.want, func(t *testing.T) {
+			_, err := Decode(fastjson.MustParse(strings.Replace(validSettings, test.old, test.with, 1)))
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Fatal(err)
+			}
+			var invalid *KeyError
+			if !errors.As(err, &invalid) || invalid.Key != test.key {
+				t.Errorf("%v names the key %v, not %s", err, invalid, test.key)
+			}
+		})
+	}
+}
+
+func TestSettingsWithoutClassesAreRefused(t *testing.T) {
+	if _, err := Decode(fastjson.MustParse(`{}`)); !errors.Is(err, ErrNoClasses) {
+		t.Fatal(err)
 	}
 }
