--- a/internal/config/settings/names.go
+++ b/internal/config/settings/names.go
@@ -29,7 +29,9 @@
 func (n *NameTable) Classes() iter.Seq2[string, int] { return maps.All(n.classes) }
 
 // Tenant returns a tenant's number.
-func (n *NameTable) Tenant(name []byte) policy.TenantID { return policy.TenantID(lookup(n.tenants, name)) }
+func (n *NameTable) Tenant(name []byte) policy.TenantID {
+	return policy.TenantID(lookup(n.tenants, name))
+}
 
 // Kind returns the number of a kind of endpoint.
 func (n *NameTable) Kind(name []byte) int { return lookup(n.kinds, name) }
