--- a/internal/config/listeners/golden_test.go
+++ b/internal/config/listeners/golden_test.go
@@ -55,7 +55,8 @@
 		t.Fatal(err)
 	}
 	deployment, err := settings.Decode(fastjson.MustParse(
-		`{"service_grades":[{"name":"read","effect":"idempotent"},{"name":"submit"}],"tenants":[{"name":"adda"}],"kinds":["box"]}`))
+		`{"service_grades":[{"name":"read","effect":"idempotent"},{"name":"submit"}],` +
+			`"tenants":[{"name":"adda"}],"kinds":["box"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/scenario/script.go
+++ b/internal/emulator/scenario/script.go
@@ -17,7 +17,6 @@
 	"dahliapin/internal/config/strictconfig"
 	"dahliapin/internal/emulator/world"
 	"dahliapin/internal/keyhash"
-	"dahliapin/internal/proxy/degradation"
 	"dahliapin/policy"
 )
 
@@ -34,21 +33,21 @@
 
 // Scenario is one rehearsal.
 type Scenario struct {
-	Name      string              `toml:"name"`
-	About     string              `toml:"about"`
-	Seed      int64               `toml:"seed"`
-	Seconds   float64             `toml:"seconds"`
-	Fleet     Fleet               `toml:"fleet"`
-	Origin    Origin              `toml:"origin"`
-	Network   Network             `toml:"network"`
-	Discovery Discovery           `toml:"discovery"`
-	Allowed   Allowed             `toml:"allowed"`
-	Traffic   Traffic             `toml:"traffic"`
-	Classes   []Class             `toml:"grade"`
-	Events    []Event             `toml:"event"`
-	Expect    Expect              `toml:"expect"`
-	Levels    []degradation.Level `toml:"level,omitempty"` // of all nodes
-	Together  *Together           `toml:"together"`
+	Name      string            `toml:"name"`
+	About     string            `toml:"about"`
+	Seed      int64             `toml:"seed"`
+	Seconds   float64           `toml:"seconds"`
+	Fleet     Fleet             `toml:"fleet"`
+	Origin    Origin            `toml:"origin"`
+	Network   Network           `toml:"network"`
+	Discovery Discovery         `toml:"discovery"`
+	Allowed   Allowed           `toml:"allowed"`
+	Traffic   Traffic           `toml:"traffic"`
+	Classes   []Class           `toml:"grade"`
+	Events    []Event           `toml:"event"`
+	Expect    Expect            `toml:"expect"`
+	Levels    []listeners.Level `toml:"level,omitempty"` // of all nodes
+	Together  *Together         `toml:"together"`
 }
 
 // Fleet says what caches and nodes there are.
@@ -651,6 +650,6 @@
 		return
 	}
 	if terms, err := s.TermsAt(""); err == nil { // else the grades are at fault, and told
-		degradation.Check(c, s.Levels, &terms)
+		listeners.CheckLevels(c, s.Levels, &terms)
 	}
 }
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -53,9 +53,7 @@
 }
 
 // exceptions are imports against the direction that stand until the packages are split; each names its reason.
-var exceptions = map[string]string{
-	"internal/config/listeners -> internal/proxy/degradation": "the operator's file states service levels, whose type stands with their controller",
-}
+var exceptions = map[string]string{}
 
 type listedPackage struct {
 	ImportPath string
--- a/internal/proxy/degradation/controller.go
+++ b/internal/proxy/degradation/controller.go
@@ -1,199 +1,161 @@
-// Package levels holds a node's reduced service levels: when one is entered, which grades are shed in it, and when it is left.
-// It does no I/O; times are arguments. It is a filter before the module, which still decides what is let through.
 package degradation
 
 import (
-	"fmt"
-	"slices"
 	"time"
 
-	"dahliapin/internal/config/settings"
-	"dahliapin/internal/config/strictconfig"
+	"dahliapin/internal/config/listeners"
 	"dahliapin/policy"
 )
 
 const (
-	window     = time.Second      // between two looks: a leg takes milliseconds, a trouble lasts seconds
-	leastSeen  = 60               // requests that a look needs: at 60 a share of a tenth is off by a third at most in two of three looks
-	thinFor    = 20 * window      // after which a look is taken of whatever there is
-	learnsFor  = 10 * time.Second // after its start that a node looks at nothing: the module turns away while it knows no cache yet
-	before     = 2                // looks in a row that enter a level: one may be a pause of this very machine
-	step       = 1.0 / 8          // by which what is shed comes back
-	again      = 2 * step         // by which it goes when that was too much
-	stepsAStay = 2                // steps in a least stay: traffic swells and ebbs, and a step is to see both
-	most       = 8                // levels: an operator has to tell them apart at night
-	mostStay   = 10 * time.Minute // least stay that may be stated
-)
+	// evaluationInterval is the least time between two evaluations.
+	evaluationInterval = listeners.LevelInterval
 
-// Shares are of the legs and requests of one look. As bounds, 0 looks at nothing.
-type Shares struct {
-	Late          float64 `toml:"late"`        // answered after the soft limit
-	Lost          float64 `toml:"lost"`        // errors, breaks, and no answer in time
-	CacheRejected float64 `toml:"turned_away"` // by caches that are full
-	OriginLate    float64 `toml:"origin_late"` // late or lost there, of the legs there
-	Rejected      float64 `toml:"rejected"`    // by the module, of the requests that the level lets through
-}
+	// minRequests is how many admitted requests an evaluation needs. With 60 of them, a share of a tenth is off by a
+	// third at most in two of three evaluations.
+	minRequests = 60
 
-func (s Shares) each(o Shares, f func(name string, mine, other float64)) {
-	f("late", s.Late, o.Late)
-	f("lost", s.Lost, o.Lost)
-	f("turned_away", s.CacheRejected, o.CacheRejected)
-	f("origin_late", s.OriginLate, o.OriginLate)
-	f("rejected", s.Rejected, o.Rejected)
-}
+	// maxEvaluationInterval is the time after which an evaluation is made of whatever requests there are.
+	maxEvaluationInterval = 20 * evaluationInterval
 
-// reached tells whether one of the bounds is.
-func (s Shares) reached(by Shares) (is bool) {
-	s.each(by, func(_ string, bound, seen float64) { is = is || bound > 0 && seen >= bound })
-	return is
-}
+	// startUpGrace is the time after the start in which nothing is evaluated: the policy sheds load while it knows no
+	// cache yet.
+	startUpGrace = 10 * time.Second
+
+	// enterAfter is how many evaluations in a row enter a level: a single one may be a pause of this machine.
+	enterAfter = 2
+
+	// readmitStep is the part of what is shed that is readmitted at once, and shedStep the part that is shed again when
+	// that was too much.
+	readmitStep = 1.0 / 8
+	shedStep    = 2 * readmitStep
+
+	// stepsPerStay is the number of steps in a least stay: traffic swells and ebbs, and a step is to see both.
+	stepsPerStay = 2
+)
 
-// Level is one reduced level; they stand from the mildest to the hardest.
-type Level struct {
-	Name     string   `toml:"name"`
-	Enter    Shares   `toml:"enter"` // one of them reached in two looks enters it
-	Leave    Shares   `toml:"leave"` // all of them under this lets what is shed come back
-	MinStayS float64  `toml:"stay_s"`
-	Shed     []string `toml:"shed"` // grades that are rejected
+// Controller holds a node's degradation level. It is used by one goroutine.
+type Controller struct {
+	levels      []listeners.Level
+	level       int            // 0 is normal operation, else levels[level-1] holds
+	shedShare   float64        // share of the requests of the level's classes that is shed, from 0 to 1
+	changedAt   policy.Instant // when shedShare was last set; on entry in the future, so that all is shed for longer
+	window      window         // what happened since evaluatedAt
+	evaluatedAt policy.Instant
+	graceEnds   policy.Instant // no level is entered before
+	reachedFor  []int          // by level: evaluations in a row that reached the bounds at which it is entered
 }
 
-func (l *Level) stay() time.Duration { return time.Duration(l.MinStayS * float64(time.Second)) }
-
-// Check looks at what is stated. Grades are those of the deployment.
-func Check(c *strictconfig.Checker, plan []Level, terms *settings.Settings) {
-	c.Require(len(plan) <= most, "level", "more than %d", most)
-	for i := range plan {
-		l, at := &plan[i], fmt.Sprintf("level.%d.", i)
-		c.Require(l.Name != "" && !slices.ContainsFunc(plan[:i], func(o Level) bool { return o.Name == l.Name }), at+"name", "%q is no name of its own", l.Name)
-		c.InRange(l.MinStayS, window.Seconds(), mostStay.Seconds(), at+"stay_s")
-		any := false
-		l.Enter.each(l.Leave, func(name string, in, out float64) {
-			any = any || in > 0
-			c.InRange(in, 0, 1, at+"enter."+name)
-			c.Require(in == 0 && out == 0 || out > 0 && out < in, at+"leave."+name, "%v is not above 0 and under %v, at which the level is entered", out, in)
-		})
-		c.Require(any, at+"enter", "nothing enters it")
-		c.Require(len(l.Shed) > 0, at+"shed", "names no grade")
-		for _, name := range l.Shed {
-			g := terms.Names.Class([]byte(name))
-			c.Require(g >= 0, at+"shed", "the deployment states no grade %q", name)
-			c.Require(g < 0 || terms.Policy.Classes[g].Idempotency == policy.Idempotent, at+"shed", "%q may have an effect, and is never shed", name)
-		}
-		c.Require(len(l.Shed) < len(terms.Policy.Classes), at+"shed", "leaves no grade")
+// New returns a Controller in normal operation for levels from the mildest to the hardest.
+func New(now policy.Instant, levels []listeners.Level) *Controller {
+	return &Controller{
+		levels:      levels,
+		evaluatedAt: now,
+		graceEnds:   now.Add(startUpGrace),
+		reachedFor:  make([]int, len(levels)),
 	}
 }
 
-// counted are the legs and requests of a look.
-type counted struct{ legs, late, lost, away, origin, originLate, let, rejected int }
+// Current returns the number of the level, 0 for normal operation, and the share of what it sheds that is shed now.
+func (c *Controller) Current() (level int, share float64) { return c.level, c.shedShare }
 
-func (n *counted) shares() (s Shares) {
-	part := func(k, of int) float64 {
-		if of == 0 {
-			return 0
-		}
-		return float64(k) / float64(of)
+// name returns the operator's name of the current level.
+func (c *Controller) name() string {
+	if c.level == 0 {
+		return "normal"
 	}
-	return Shares{part(n.late, n.legs), part(n.lost, n.legs), part(n.away, n.legs), part(n.originLate, n.origin), part(n.rejected, n.let)}
+	return c.levels[c.level-1].Name
 }
 
-// Controller is where a node stands.
-type Controller struct {
-	plan   []Level
-	at     int     // 0 is normal; else plan[at-1]
-	share  float64 // of what the level sheds that is shed
-	since  policy.Instant
-	from   policy.Instant
-	learns policy.Instant // until then nothing is looked at
-	n      counted
-	above  []int // looks in a row that reached a level's bounds
+// RecordAttempt counts the end of an attempt, with the latency objective of its request's service class.
+func (c *Controller) RecordAttempt(result policy.Result, latency, objective time.Duration, atOrigin bool) {
+	c.window.recordAttempt(result, latency, objective, atOrigin)
 }
 
-// New starts at normal.
-func New(now policy.Instant, plan []Level) *Controller {
-	return &Controller{plan: plan, from: now, learns: now.Add(learnsFor), above: make([]int, len(plan))}
-}
+// RecordAdmitted counts a request that the level lets through.
+func (c *Controller) RecordAdmitted() { c.window.admitted++ }
 
-// Current tells the level's number, 0 for normal, and the share of what it sheds that is shed.
-func (m *Controller) Current() (level int, share float64) { return m.at, m.share }
-
-// RecordAttempt takes a leg's end.
-func (m *Controller) RecordAttempt(how policy.Result, took, soft time.Duration, atOrigin bool) {
-	late, lost := false, false
-	switch how {
-	case policy.Answered, policy.CacheMiss:
-		late = took > soft
-	case policy.Rejected:
-		m.n.away++
-	case policy.Cancelled, policy.NotSent: // says nothing of who was asked
-		return
-	default:
-		lost = true
-	}
-	m.n.legs++
-	if late {
-		m.n.late++
+// RecordRejected counts an admitted request that the policy rejected.
+func (c *Controller) RecordRejected() { c.window.policyRejected++ }
+
+// Evaluate evaluates what was recorded, if it is time to, and tells whether the level has changed. With few requests
+// it waits for more, up to maxEvaluationInterval: a node with little traffic would otherwise change its level by
+// single late answers.
+func (c *Controller) Evaluate(now policy.Instant) (changed bool) {
+	elapsed := now.Since(c.evaluatedAt)
+	isThin := c.window.admitted < minRequests
+	if elapsed < evaluationInterval || isThin && elapsed < maxEvaluationInterval {
+		return false
 	}
-	if lost {
-		m.n.lost++
+	seen := c.window.shares()
+	if isThin { // too few requests to say that there is a fault
+		seen = listeners.Shares{}
 	}
-	if atOrigin {
-		if m.n.origin++; late || lost {
-			m.n.originLate++
-		}
+	c.window = window{}
+	c.evaluatedAt = now
+	if now < c.graceEnds {
+		return false
 	}
+	before := c.level
+	c.move(now, seen)
+	return c.level != before
 }
 
-// RecordAdmitted takes a request that is let through, and Rejected one that the module rejected.
-func (m *Controller) RecordAdmitted() { m.n.let++ }
-func (m *Controller) RecordRejected() { m.n.rejected++ }
-
-// Evaluate moves on, and tells whether the level has changed. A look on few requests would dither at nodes that see few: it waits for more,
-// and for so long only.
-func (m *Controller) Evaluate(now policy.Instant) (changed bool) {
-	long := now.Since(m.from)
-	if long < window || m.n.let < leastSeen && long < thinFor {
-		return false
+// move enters a harder level or, within the level, adapts what is shed, down to leaving the level.
+func (c *Controller) move(now policy.Instant, seen listeners.Shares) {
+	target := c.hardestReached(seen)
+	if target > c.level {
+		c.enter(now, target)
+		return
 	}
-	seen, was := m.n.shares(), m.at
-	if m.n.let < leastSeen {
-		seen = Shares{} // too few to say that anything is wrong
+	if c.level == 0 {
+		return
 	}
-	if m.n, m.from = (counted{}), now; now < m.learns {
-		return false
+	level := &c.levels[c.level-1]
+	stayed := now.Since(c.changedAt)
+	switch {
+	case anyReached(level.Enter, seen): // too much was readmitted
+		c.setShedShare(now, min(1, c.shedShare+shedStep))
+	case anyReached(level.Leave, seen): // neither too much nor too little is shed
+	case c.shedShare > 0 && stayed >= level.MinStay()/stepsPerStay:
+		c.setShedShare(now, max(0, c.shedShare-readmitStep))
+	case c.shedShare == 0 && stayed >= level.MinStay():
+		c.leave(now)
 	}
-	to := 0
-	for i := range m.plan {
-		if m.above[i]++; !m.plan[i].Enter.reached(seen) {
-			m.above[i] = 0
+}
+
+// hardestReached updates reachedFor, and returns the hardest level that is to be entered, or 0.
+func (c *Controller) hardestReached(seen listeners.Shares) int {
+	hardest := 0
+	for i := range c.levels {
+		if !anyReached(c.levels[i].Enter, seen) {
+			c.reachedFor[i] = 0
+			continue
 		}
-		if m.above[i] >= before {
-			to = i + 1
+		c.reachedFor[i]++
+		if c.reachedFor[i] >= enterAfter {
+			hardest = i + 1
 		}
 	}
-	switch {
-	case to > m.at:
-		m.enter(now, to)
-	case m.at == 0:
-	case m.plan[m.at-1].Enter.reached(seen): // it came back too soon: more would only be asked for again
-		m.share, m.since = min(1, m.share+again), now
-	case m.plan[m.at-1].Leave.reached(seen): // neither: as it is
-	case m.share > 0 && now.Since(m.since) >= m.plan[m.at-1].stay()/stepsAStay:
-		m.share, m.since = max(0, m.share-step), now
-	case m.share == 0 && now.Since(m.since) >= m.plan[m.at-1].stay(): // all came back, and it stayed so
-		m.leave(now)
-	}
-	return m.at != was
+	return hardest
+}
+
+func (c *Controller) setShedShare(now policy.Instant, share float64) {
+	c.shedShare = share
+	c.changedAt = now
 }
 
-// enter starts a level with all that it sheds shed, for its least stay.
-func (m *Controller) enter(now policy.Instant, to int) {
-	l := &m.plan[to-1]
-	m.at, m.share, m.since = to, 1, now.Add(l.stay()-l.stay()/stepsAStay)
+// enter starts a level in which all requests of its classes are shed for its least stay.
+func (c *Controller) enter(now policy.Instant, level int) {
+	stay := c.levels[level-1].MinStay()
+	c.level = level
+	c.setShedShare(now.Add(stay-stay/stepsPerStay), 1)
 }
 
-// leave goes to the next milder level, which sheds all that it does at first.
-func (m *Controller) leave(now policy.Instant) {
-	if m.at--; m.at > 0 {
-		m.enter(now, m.at)
+// leave goes to the next milder level, which at first sheds all requests of its classes as well.
+func (c *Controller) leave(now policy.Instant) {
+	c.level--
+	if c.level > 0 {
+		c.enter(now, c.level)
 	}
 }
--- a/internal/proxy/degradation/controller_test.go
+++ b/internal/proxy/degradation/controller_test.go
@@ -7,83 +7,111 @@
 
 	"pgregory.net/rapid"
 
+	"dahliapin/internal/config/listeners"
 	"dahliapin/policy"
 )
 
-func init() { flag.Set("rapid.seed", "1") } // the same signals each time, unless a seed is asked for
+// The same signals are drawn each time, unless a seed is asked for.
+func init() { flag.Set("rapid.seed", "1") }
 
-var plan = []Level{{Name: "mild", Enter: Shares{Late: 0.2}, Leave: Shares{Late: 0.1}, MinStayS: 4, Shed: []string{"read"}},
-	{Name: "hard", Enter: Shares{Late: 0.5}, Leave: Shares{Late: 0.3}, MinStayS: 8, Shed: []string{"read", "board"}}}
+const testObjective = 100 * time.Millisecond
 
-// second feeds one second of legs, so many of them late, and looks.
-func second(m *Controller, now policy.Instant, legs, late int) bool {
-	for n := range legs {
-		m.RecordAdmitted()
-		took := time.Millisecond
+var testLevels = []listeners.Level{
+	{
+		Name: "mild", MinStayS: 4, Shed: []string{"read"},
+		Enter: listeners.Shares{Late: 0.2}, Leave: listeners.Shares{Late: 0.1},
+	},
+	{
+		Name: "hard", MinStayS: 8, Shed: []string{"read", "board"},
+		Enter: listeners.Shares{Late: 0.5}, Leave: listeners.Shares{Late: 0.3},
+	},
+}
+
+// evaluateInterval records one interval's attempts, some of them late, and evaluates them.
+func evaluateInterval(c *Controller, now policy.Instant, attempts, late int) (changed bool) {
+	for n := range attempts {
+		c.RecordAdmitted()
+		latency := time.Millisecond
 		if n < late {
-			took = time.Second
+			latency = time.Second
 		}
-		m.RecordAttempt(policy.Answered, took, 100*time.Millisecond, false)
+		c.RecordAttempt(policy.Answered, latency, testObjective, false)
 	}
-	return m.Evaluate(now)
+	return c.Evaluate(now)
 }
 
-// Whatever the signal does, a level that flaps would shed and readmit in waves, and one that stays sheds for nothing: none is entered
-// on one look, none is left within its least stay, and after a clean minute and a half all is normal.
+// A level that flaps would shed and readmit load in waves, and one that does not end would shed for nothing. Whatever
+// the shares are: no level is entered by one evaluation, none is left within its least stay, and after ninety seconds
+// without a fault operation is normal.
 func TestLevelsNeitherFlapNorStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(1, plan)
-		entered, was := policy.Instant(0), 0
+		c := New(1, testLevels)
+		enteredAt, before := policy.Instant(0), 0
 		now := policy.Instant(1)
-		dirty := 0
+		faulty := 0 // evaluations in a row
 		for range 120 {
-			now = now.Add(window)
-			legs := rapid.IntRange(leastSeen, 300).Draw(t, "legs")
-			late := rapid.IntRange(0, legs).Draw(t, "late")
-			changed := second(m, now, legs, late)
-			if dirty++; !plan[0].Enter.reached(Shares{Late: float64(late) / float64(legs)}) || now < m.learns {
-				dirty = 0
+			now = now.Add(evaluationInterval)
+			attempts := rapid.IntRange(minRequests, 300).Draw(t, "attempts")
+			late := rapid.IntRange(0, attempts).Draw(t, "late")
+			changed := evaluateInterval(c, now, attempts, late)
+			faulty++
+			shares := listeners.Shares{Late: float64(late) / float64(attempts)}
+			if !anyReached(testLevels[0].Enter, shares) || now < c.graceEnds {
+				faulty = 0
 			}
-			at, share := m.Current()
+			level, share := c.Current()
 			switch {
-			case changed != (at != was) || share < 0 || share > 1 || at == 0 && share != 0:
-				t.Fatalf("at %d with %v from %d, told %v", at, share, was, changed)
-			case at > was && dirty < before:
-				t.Fatalf("entered after %d looks", dirty)
-			case at < was && now.Since(entered) < plan[was-1].stay():
-				t.Fatalf("left after %v", now.Since(entered))
+			case changed != (level != before) || share < 0 || share > 1 || level == 0 && share != 0:
+				t.Fatalf("at %d with %v from %d, changed is %v", level, share, before, changed)
+			case level > before && faulty < enterAfter:
+				t.Fatalf("entered after %d evaluations", faulty)
+			case level < before && now.Since(enteredAt) < testLevels[before-1].MinStay():
+				t.Fatalf("left after %v", now.Since(enteredAt))
 			}
-			if at != was {
-				entered, was = now, at
+			if level != before {
+				enteredAt, before = now, level
 			}
 		}
 		for range 90 {
-			now = now.Add(window)
-			second(m, now, 100, 0)
+			now = now.Add(evaluationInterval)
+			evaluateInterval(c, now, 100, 0)
 		}
-		if at, _ := m.Current(); at != 0 {
-			t.Fatalf("still at %d", at)
+		if level, _ := c.Current(); level != 0 {
+			t.Fatalf("still at %d", level)
 		}
 	})
 }
 
-// A node that sees three requests a second would enter and leave by single late legs, or see no trouble ever; one that starts
-// knows no cache yet.
-func TestThinEvidenceAndAStartChangeNothing(t *testing.T) {
-	for _, c := range []struct{ seconds, legs, every, at int }{ // each so many seconds all legs of two are late
-		{int(learnsFor/window) - 1, 200, 1, 0}, {600, 3, 16, 0}, {60, 3, 1, 1}} {
-		m, now, in := New(1, plan), policy.Instant(1), 0
-		for n := range c.seconds {
-			late := 0
-			if n%c.every < before {
-				late = c.legs
+// A node with three requests a second would enter and leave levels by single late answers, or never see a fault; one
+// that has just started knows no cache yet, and its policy rejects all requests.
+func TestFewRequestsAndAStartChangeNothing(t *testing.T) {
+	for _, test := range []struct {
+		name              string
+		seconds, attempts int
+		every             int // of so many seconds, all attempts of the first two are late
+		entered           bool
+	}{
+		{"start", int(startUpGrace/evaluationInterval) - 1, 200, 1, false},
+		{"few requests, sometimes late", 600, 3, 16, false},
+		{"few requests, always late", 60, 3, 1, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := New(1, testLevels)
+			now := policy.Instant(1)
+			entered := false
+			for n := range test.seconds {
+				late := 0
+				if n%test.every < enterAfter {
+					late = test.attempts
+				}
+				now = now.Add(evaluationInterval)
+				if evaluateInterval(c, now, test.attempts, late) {
+					entered = true
+				}
 			}
-			if now = now.Add(window); second(m, now, c.legs, late) {
-				in = 1
+			if entered != test.entered {
+				t.Errorf("entered a level: %v", entered)
 			}
-		}
-		if in != c.at {
-			t.Errorf("%+v: entered %d", c, in)
-		}
+		})
 	}
 }
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -3,104 +3,118 @@
 import (
 	"time"
 
+	"dahliapin/internal/config/listeners"
 	"dahliapin/internal/config/settings"
 	"dahliapin/internal/keyhash"
 	"dahliapin/internal/proxy/dispatch"
 	"dahliapin/policy"
 )
 
-// Filter stands before a decider, and sheds by level what comes anew. What has been let through is the decider's alone.
+// LevelChanged is called with each new level: its number, 0 for normal operation, and the operator's name of it.
+type LevelChanged func(now policy.Instant, level int, name string)
+
+// Filter is a Decider that stands before another one and sheds new requests by the degradation level. Admitted
+// requests are decided on by the other one alone.
 type Filter struct {
 	dispatch.Decider
-	machine *Controller
-	rules   *policy.Settings
-	shed    []map[policy.ClassID]bool // by level
-	origin  policy.EndpointID
-	chance  keyhash.Source
-	told    func(now policy.Instant, level int, name string)
-	count   *uint64 // of those shed
+	controller   *Controller
+	settings     *policy.Settings
+	shedClasses  []map[policy.ClassID]bool // by level, from that of number 1
+	origin       policy.EndpointID         // empty while unknown, or where there is none
+	random       keyhash.Source
+	levelChanged LevelChanged
+	shedCount    *uint64 // the owner's counter of shed requests
 }
 
-// NewFilter puts a filter before a decider. told hears of each change of level, and what is shed is counted.
-func NewFilter(d dispatch.Decider, now policy.Instant, seed uint32, plan []Level, terms *settings.Settings,
-	told func(now policy.Instant, level int, name string), count *uint64) *Filter {
-	f := &Filter{Decider: d, machine: New(now, plan), rules: &terms.Policy, chance: keyhash.Source{Seed: seed}, told: told, count: count}
-	for _, l := range plan {
-		grades := map[policy.ClassID]bool{}
-		for _, name := range l.Shed {
-			grades[terms.Names.Class([]byte(name))] = true
+// NewFilter returns a filter before a decider. It calls levelChanged with each change of the level, from within its
+// own methods, and counts the requests that it sheds in shedCount.
+func NewFilter(decider dispatch.Decider, now policy.Instant, seed uint32, levels []listeners.Level,
+	deployment *settings.Settings, levelChanged LevelChanged, shedCount *uint64) *Filter {
+	f := &Filter{
+		Decider:      decider,
+		controller:   New(now, levels),
+		settings:     &deployment.Policy,
+		random:       keyhash.Source{Seed: seed},
+		levelChanged: levelChanged,
+		shedCount:    shedCount,
+	}
+	for _, level := range levels {
+		classes := map[policy.ClassID]bool{}
+		for _, name := range level.Shed {
+			classes[deployment.Names.Class([]byte(name))] = true
 		}
-		f.shed = append(f.shed, grades)
+		f.shedClasses = append(f.shedClasses, classes)
 	}
 	return f
 }
 
-// Admit tells whether what has just come is let through; else how it is answered. Those who are to come back come at times
-// of their own, so that they are no wave.
-func (f *Filter) Admit(now policy.Instant, r *policy.Request) (m policy.Decision, in bool) {
-	f.look(now)
-	level, share := f.machine.Current()
-	if level == 0 || !f.shed[level-1][r.Class] || f.chance.Float64() >= share {
-		f.machine.RecordAdmitted()
-		return m, true
+// Admit tells whether a new request is admitted; if not, the decision says how it is answered. The time to come back
+// is drawn by chance, as clients that are all told the same time would come back as one wave.
+func (f *Filter) Admit(now policy.Instant, r *policy.Request) (decision policy.Decision, admitted bool) {
+	f.evaluate(now)
+	level, share := f.controller.Current()
+	if level == 0 || !f.shedClasses[level-1][r.Class] || f.random.Float64() >= share {
+		f.controller.RecordAdmitted()
+		return policy.Decision{}, true
 	}
-	*f.count++
-	m.Answer = policy.Reject
-	m.RetryAfter = time.Duration((1 + f.chance.Float64()) / 2 * float64(min(f.rules.MaxRetryAfter, window)))
-	return m, false
+	*f.shedCount++
+	longest := float64(min(f.settings.MaxRetryAfter, evaluationInterval))
+	decision.Answer = policy.Reject
+	decision.RetryAfter = time.Duration((1 + f.random.Float64()) / 2 * longest)
+	return decision, false
 }
 
-func (f *Filter) look(now policy.Instant) {
-	if !f.machine.Evaluate(now) {
-		return
-	}
-	name, level := "normal", f.machine.at
-	if level > 0 {
-		name = f.machine.plan[level-1].Name
-	}
-	f.told(now, level, name)
-}
-
-// OnAttemptDone counts a leg's end, and passes it on.
+// OnAttemptDone counts the end of an attempt, and passes it on.
 func (f *Filter) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
-	leg := &r.Attempts[o.Attempt]
-	f.machine.RecordAttempt(leg.Result, o.Latency, f.rules.Classes[r.Class].LatencyObjective, leg.Endpoint == f.origin)
-	return f.noted(f.Decider.OnAttemptDone(now, r, o))
+	attempt := &r.Attempts[o.Attempt]
+	objective := f.settings.Classes[r.Class].LatencyObjective
+	f.controller.RecordAttempt(attempt.Result, o.Latency, objective, attempt.Endpoint == f.origin)
+	return f.recorded(f.Decider.OnAttemptDone(now, r, o))
 }
 
-// Route passes on.
+// Route passes an admitted request on.
 func (f *Filter) Route(now policy.Instant, r *policy.Request) policy.Decision {
-	return f.noted(f.Decider.Route(now, r))
-}
-
-func (f *Filter) noted(m policy.Decision) policy.Decision {
-	if m.Answer == policy.Reject {
-		f.machine.RecordRejected()
-	}
-	return m
+	return f.recorded(f.Decider.Route(now, r))
 }
 
-// Tick also lets a level end while nobody asks.
+// Tick also evaluates the level, which so ends while no requests come.
 func (f *Filter) Tick(now policy.Instant) (time.Duration, []policy.Action) {
-	f.look(now)
+	f.evaluate(now)
 	return f.Decider.Tick(now)
 }
 
-// UpdateEndpoints notes which is the origin.
-func (f *Filter) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
-	for _, e := range entries {
-		if f.rules.CacheAside && e.Kind == f.rules.OriginKind {
+// UpdateEndpoints finds the origin among the endpoints, and passes them on.
+func (f *Filter) UpdateEndpoints(now policy.Instant, kind policy.UpdateKind, endpoints []policy.Endpoint) {
+	for _, e := range endpoints {
+		if f.settings.CacheAside && e.Kind == f.settings.OriginKind {
 			f.origin = e.ID
 		}
 	}
-	f.Decider.UpdateEndpoints(now, form, entries)
+	f.Decider.UpdateEndpoints(now, kind, endpoints)
+}
+
+// EndpointStates passes on the decider's states of endpoints, if it tells them.
+func (f *Filter) EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState)) {
+	if d, ok := f.Decider.(endpointReporter); ok {
+		d.EndpointStates(now, report)
+	}
+}
+
+// endpointReporter is what a decider may offer beyond dispatch.Decider.
+type endpointReporter interface {
+	EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState))
+}
+
+func (f *Filter) evaluate(now policy.Instant) {
+	if f.controller.Evaluate(now) {
+		f.levelChanged(now, f.controller.level, f.controller.name())
+	}
 }
 
-// EndpointStates passes on how the decider says that caches stand, where it does.
-func (f *Filter) EndpointStates(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
-	if d, ok := f.Decider.(interface {
-		EndpointStates(policy.Instant, func(policy.EndpointID, policy.EndpointState))
-	}); ok {
-		d.EndpointStates(now, tell)
+// recorded counts a decision that rejects.
+func (f *Filter) recorded(d policy.Decision) policy.Decision {
+	if d.Answer == policy.Reject {
+		f.controller.RecordRejected()
 	}
+	return d
 }
