--- a/internal/wire/simwire/simwire_test.go
+++ b/internal/wire/simwire/server_test.go
@@ -11,12 +11,15 @@
 	"dahliapin/policy"
 )
 
+// begin starts a node with one cache.
 const begin = `["begin",7,{"service_grades":[{"name":"read","benefit":1,"effect":"idempotent","soft_limit_s":0.3}],
 "unheard_of":{"x":1},"bounds":{"most_legs":3,"second_copies":null},"telemetry":{"columns":["outstanding"]},
 "family_info":{"mode":"through"},"round_s":0.005,"zone":"z"}],["ledger",0,[[1,"k","active",null,"z","a:1",0]]],
 ["fleet","cached",1,0]`
 
+// serve answers lines of input, with a dispatcher for each node. Newlines within a line are left out.
 func serve(t *testing.T, lines ...string) (string, error) {
+	t.Helper()
 	var out, log bytes.Buffer
 	for i, l := range lines {
 		lines[i] = strings.ReplaceAll(l, "\n", "")
@@ -28,8 +31,9 @@
 	return out.String(), err
 }
 
-func batch(t, news string) string {
-	return `{"t_s":` + t + `,"parts":[{"node_id":3,"news":[` + news + `]}]}`
+// batch returns a batch of events of the node 3 at a time in seconds.
+func batch(at, events string) string {
+	return `{"t_s":` + at + `,"parts":[{"node_id":3,"news":[` + events + `]}]}`
 }
 
 func TestRequestFromArrivalToAnswer(t *testing.T) {
@@ -47,18 +51,19 @@
 	}
 }
 
-func TestOddNewsIsPassedOver(t *testing.T) {
+func TestEventsThatCannotBeUnderstoodAreIgnored(t *testing.T) {
 	got, err := serve(t, batch("10", begin), batch("10.1", `[],["what"],["fleet","odd",1,0],["fleet","delta",2,99],
 ["job_in",null],["attempt_end","nobody",0,true,"a:1",0,0.1,null,null],["attempt_end","x",77,true,"b",null,1],
 ["sampled","nowhere",0,0.1,null],["timed_out_client","nobody"],["wake","nobody"],["fleet","failed",null,null]`),
 		`{"t_s":10.2,"parts":[{"news":[]},{"node_id":9,"news":[["wake","upkeep"]]}]}`, `{"t_s":10.3,"parts":null}`,
-		batch("10.4", `["job_in","id2",null,"no such grade","no such league",10.9,null,null,4]`), batch("10.5", `["destroy"]`))
+		batch("10.4", `["job_in","id2",null,
+"no such class","no such tenant",10.9,null,null,4]`), batch("10.5", `["destroy"]`))
 	if err != nil || !strings.Contains(got, `["place","id2","a:1",`) || strings.Count(got, "place") != 1 {
 		t.Errorf("%v, got\n%s", err, got)
 	}
 }
 
-func TestUnusableInputEndsWithOneSentence(t *testing.T) {
+func TestUnusableInputEndsWithOneLine(t *testing.T) {
 	for _, line := range []string{"no json", `[1]`, batch("1", `["begin",1,{}]`), batch("1", `["begin",1,null]`)} {
 		if _, err := serve(t, line); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", line, err)
--- /dev/null
+++ b/internal/wire/simwire/writer.go
@@ -0,0 +1,174 @@
+package simwire
+
+import (
+	"encoding/json"
+	"strconv"
+	"time"
+
+	"dahliapin/internal/monotime"
+	"dahliapin/policy"
+)
+
+// Writer builds the reply to a batch: actions grouped by node, in the order of the calls. Its methods are called only
+// while a batch is carried out.
+type Writer struct {
+	buf         []byte
+	node        int  // whose events are being carried out
+	inPart      bool // the node's part has been begun, which its first action does
+	firstAction bool // the part has no action yet
+}
+
+// Send starts an attempt at an endpoint, which ends at timeoutAt by the clock of the batches at the latest.
+func (w *Writer) Send(id policy.RequestID, to policy.EndpointID, timeoutAt monotime.Instant) {
+	w.beginAction(actionSend)
+	w.text(string(id))
+	w.text(string(to))
+	w.seconds(time.Duration(timeoutAt))
+	w.endAction()
+}
+
+// Cancel cancels an attempt, by its number in the request from 0.
+func (w *Writer) Cancel(id policy.RequestID, attempt int) {
+	w.beginAction(actionCancel)
+	w.text(string(id))
+	w.integer(int64(attempt))
+	w.endAction()
+}
+
+// Reject answers that the request never ran and may be repeated, after retryAfter.
+func (w *Writer) Reject(id policy.RequestID, retryAfter time.Duration) {
+	w.beginAction(actionReject)
+	w.text(string(id))
+	w.seconds(retryAfter)
+	w.endAction()
+}
+
+// Fail answers that the request failed and may have run.
+func (w *Writer) Fail(id policy.RequestID) {
+	w.beginAction(actionFail)
+	w.text(string(id))
+	w.endAction()
+}
+
+// SetTimer asks for the timer event with this token after a time.
+func (w *Writer) SetTimer(after time.Duration, token string) {
+	w.beginAction(actionSetTimer)
+	w.seconds(after)
+	w.text(token)
+	w.endAction()
+}
+
+// CheckHealth starts a health check of an endpoint.
+func (w *Writer) CheckHealth(id policy.EndpointID) {
+	w.beginAction(actionCheckHealth)
+	w.text(string(id))
+	w.endAction()
+}
+
+// PollEndpoints subscribes to the endpoint list.
+func (w *Writer) PollEndpoints() {
+	w.beginAction(actionPollEndpoints)
+	w.buf = append(w.buf, ",true"...)
+	w.endAction()
+}
+
+// reset begins a reply.
+func (w *Writer) reset() {
+	w.buf = append(w.buf[:0], `{"parts":[`...)
+	w.inPart = false
+}
+
+// setNode says whose actions follow.
+func (w *Writer) setNode(node int) {
+	w.endPart()
+	w.node = node
+}
+
+// finish ends the reply and returns it.
+func (w *Writer) finish() []byte {
+	w.endPart()
+	w.buf = append(w.buf, "]}\n"...)
+	return w.buf
+}
+
+// beginPart begins the node's part of the reply.
+func (w *Writer) beginPart() {
+	if w.buf[len(w.buf)-1] == '}' {
+		w.buf = append(w.buf, ',')
+	}
+	w.buf = append(w.buf, `{"node_id":`...)
+	w.buf = strconv.AppendInt(w.buf, int64(w.node), 10)
+	w.buf = append(w.buf, `,"actions":[`...)
+	w.inPart = true
+	w.firstAction = true
+}
+
+func (w *Writer) endPart() {
+	if w.inPart {
+		w.buf = append(w.buf, "]}"...)
+		w.inPart = false
+	}
+}
+
+func (w *Writer) beginAction(name string) {
+	if !w.inPart {
+		w.beginPart()
+	}
+	if !w.firstAction {
+		w.buf = append(w.buf, ',')
+	}
+	w.firstAction = false
+	w.buf = append(w.buf, `["`...)
+	w.buf = append(w.buf, name...)
+	w.buf = append(w.buf, '"')
+}
+
+func (w *Writer) endAction() { w.buf = append(w.buf, ']') }
+
+func (w *Writer) text(s string) {
+	w.buf = append(w.buf, ',')
+	if !isPlain(s) {
+		quoted, _ := json.Marshal(s) // a string always marshals
+		w.buf = append(w.buf, quoted...)
+		return
+	}
+	w.buf = append(w.buf, '"')
+	w.buf = append(w.buf, s...)
+	w.buf = append(w.buf, '"')
+}
+
+// isPlain tells whether a JSON string holds a text as it is. Almost all texts are ids, which do.
+func isPlain(s string) bool {
+	for i := range len(s) {
+		if s[i] < ' ' || s[i] >= 0x7f || s[i] == '"' || s[i] == '\\' {
+			return false
+		}
+	}
+	return true
+}
+
+func (w *Writer) integer(x int64) {
+	w.buf = append(w.buf, ',')
+	w.buf = strconv.AppendInt(w.buf, x, 10)
+}
+
+// seconds writes a duration in seconds, cut to whole microseconds, the finest that the wire carries.
+func (w *Writer) seconds(d time.Duration) {
+	const microsecondsPerSecond = 1_000_000
+	microseconds := d.Microseconds()
+	w.buf = append(w.buf, ',')
+	if microseconds < 0 {
+		w.buf = append(w.buf, '-')
+		microseconds = -microseconds
+	}
+	w.buf = strconv.AppendInt(w.buf, microseconds/microsecondsPerSecond, 10)
+	fraction := microseconds % microsecondsPerSecond
+	if fraction == 0 {
+		return
+	}
+	w.buf = append(w.buf, '.')
+	for place := int64(microsecondsPerSecond / 10); place > 0 && fraction > 0; place /= 10 {
+		w.buf = append(w.buf, byte('0'+fraction/place))
+		fraction %= place
+	}
+}
