--- a/internal/proxy/carriers.go
+++ b/internal/proxy/carriers.go
@@ -53,22 +53,22 @@
 func (metaCarrier) reply(b []byte, c *call, _ bool, _ *http1.Progress) (r reply, size, wants int) {
 	a, size, err := meta.ReadAnswer(b)
 	if err == nil && size == 0 {
-		if a.Head > 0 && !c.write && bytes.Equal(a.ID, c.id) {
-			r = reply{head: a.Head, long: a.Long, load: a.Load, kept: true}
+		if a.HeadSize > 0 && !c.write && bytes.Equal(a.ID, c.id) {
+			r = reply{head: a.HeadSize, long: a.ValueSize, load: a.LoadReport, kept: true}
 		}
-		return r, 0, a.Wants
+		return r, 0, a.TotalSize
 	}
 	ours := bytes.Equal(a.ID, c.id)
-	r = reply{how: spoilt, said: a.Value, load: a.Load, kept: true, named: ours}
+	r = reply{how: spoilt, said: a.Value, load: a.LoadReport, kept: true, named: ours}
 	switch {
 	case err != nil:
-	case ours && (a.Said == meta.Value && !c.write || a.Said == meta.Done && c.write):
+	case ours && (a.Kind == meta.Value && !c.write || a.Kind == meta.Done && c.write):
 		r.how = policy.Answered
-	case a.Said == meta.Miss && ours:
+	case a.Kind == meta.Miss && ours:
 		r.how = policy.CacheMiss
-	case a.Said == meta.Failed:
+	case a.Kind == meta.Failed:
 		r.how = policy.Errored
-	case a.Said == meta.Busy:
+	case a.Kind == meta.Busy:
 		r.how = policy.Rejected
 	}
 	return r, size, 0
@@ -78,7 +78,7 @@
 
 func (metaCarrier) up(b []byte, _ bool) (is bool, size int, err error) {
 	a, size, err := meta.ReadAnswer(b)
-	return a.Said == meta.Up, size, err
+	return a.Kind == meta.Up, size, err
 }
 
 // originCarrier speaks HTTP/1.1 to the origin: a read gets the key's page, a write puts its value there.
@@ -101,15 +101,15 @@
 func (originCarrier) names() bool { return false }
 
 func (originCarrier) reply(b []byte, c *call, ended bool, read *http1.Progress) (r reply, size, wants int) {
-	a, size, err := read.ReadAnswer(b, meta.MaxValue, ended)
+	a, size, err := read.ReadResponse(b, meta.MaxValue, ended)
 	named := a.Header("X-Call-Id")
 	if err == nil && size == 0 {
-		if a.Head > 0 && a.Status == 200 && !c.write && (named == nil || bytes.Equal(named, c.id)) {
-			r = reply{head: a.Head, long: a.Long, load: a.Header("X-Load-Report"), last: a.Last}
+		if a.HeadSize > 0 && a.Status == 200 && !c.write && (named == nil || bytes.Equal(named, c.id)) {
+			r = reply{head: a.HeadSize, long: a.BodySize, load: a.Header("X-Load-Report"), last: a.Close}
 		}
-		return r, 0, a.Wants
+		return r, 0, a.TotalSize
 	}
-	r = reply{how: policy.Errored, said: a.Body, load: a.Header("X-Load-Report"), last: a.Last, named: named != nil}
+	r = reply{how: policy.Errored, said: a.Body, load: a.Header("X-Load-Report"), last: a.Close, named: named != nil}
 	switch {
 	case err != nil, named != nil && !bytes.Equal(named, c.id):
 		r.how = spoilt
@@ -130,6 +130,6 @@
 }
 
 func (originCarrier) up(b []byte, ended bool) (is bool, size int, err error) {
-	a, size, err := http1.ReadAnswer(b, meta.MaxValue, ended)
+	a, size, err := http1.ReadResponse(b, meta.MaxValue, ended)
 	return a.Status == 200, size, err
 }
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -107,9 +107,9 @@
 }
 
 func (r *Proxy) listData(l *link) {
-	a, size, err := l.read.ReadAnswer(l.buf.Unread(), maxList, l.ended)
+	a, size, err := l.read.ReadResponse(l.buf.Unread(), maxList, l.ended)
 	if err == nil && size == 0 {
-		l.buf.Reserve(a.Wants)
+		l.buf.Reserve(a.TotalSize)
 		return
 	}
 	if err != nil || a.Status != 200 {
@@ -136,7 +136,7 @@
 	r.list.heardAt = r.now()
 	l.use(size)
 	r.ready()
-	if a.Last {
+	if a.Close {
 		r.dropLink(l)
 		r.follow()
 		return
--- a/internal/proxy/httpcarrier.go
+++ b/internal/proxy/httpcarrier.go
@@ -47,11 +47,11 @@
 func (httpCarrier) names() bool { return true }
 
 func (h httpCarrier) reply(b []byte, c *call, ended bool, read *http1.Progress) (r reply, size, wants int) {
-	a, size, err := read.ReadAnswer(b, meta.MaxValue, ended)
+	a, size, err := read.ReadResponse(b, meta.MaxValue, ended)
 	if err == nil && size == 0 {
-		return r, 0, a.Wants
+		return r, 0, a.TotalSize
 	}
-	r = reply{how: policy.Errored, said: a.Body, status: a.Status, last: a.Last}
+	r = reply{how: policy.Errored, said: a.Body, status: a.Status, last: a.Close}
 	ok, only := a.Status == 200 || a.Status == 203, c.beside().judged.Control.OnlyIfCached
 	switch {
 	case err != nil, a.Status == 206, a.Status == 304 && !c.beside().conditional: // nobody asked for a part, or whether something still holds
@@ -85,7 +85,7 @@
 // usable tells whether an answer may be served (RFC 9111, 4). Beside an origin all that a cache has is kept. Else an
 // answer without Age is the origin's own (5.1), and what forbids keeping does not forbid passing it on; if it says how long it is
 // fresh, it must look so by its Date all the same, for a server may leave Age out.
-func (h httpCarrier) usable(a *http1.Answer, c *call) bool {
+func (h httpCarrier) usable(a *http1.Response, c *call) bool {
 	said := freshness.Response{Status: a.Status}
 	a.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, []byte("Cache-Control")) {
@@ -136,7 +136,7 @@
 // reader may see the end of a line: answers could be split by it.
 func forwarded(to []byte, each func(func(name, value []byte)), connection []byte) []byte {
 	each(func(name, value []byte) {
-		if perHop[string(bytes.ToLower(name))] || http1.Has(connection, string(name)) || !http1.IsField(name, value) {
+		if perHop[string(bytes.ToLower(name))] || http1.HasToken(connection, string(name)) || !http1.IsField(name, value) {
 			return
 		}
 		to = append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
--- a/internal/proxy/httpface.go
+++ b/internal/proxy/httpface.go
@@ -56,7 +56,7 @@
 		return 0
 	}
 	a.bare = string(q.Method) == http.MethodHead
-	a.last = fault != nil || q.Last || size == 0 // whether a body comes that is not asked for can't be known
+	a.last = fault != nil || q.Close || size == 0 // whether a body comes that is not asked for can't be known
 	if fault != nil {
 		h.refuse(a, fault.Status, fault.Reason)
 		return 0
@@ -202,7 +202,7 @@
 	if now := time.Now(); now.Unix() != h.dated {
 		h.dated, h.date = now.Unix(), now.UTC().Format(http.TimeFormat)
 	}
-	return http1.AppendHead(nil, status, h.date, long, last, headers...)
+	return http1.AppendResponseHead(nil, status, h.date, long, last, headers...)
 }
 
 // head writes the head that serves what a server said, with what it said of it if that was in HTTP.
@@ -217,7 +217,7 @@
 	if r.status == 304 || r.status == 204 {
 		long = http1.NoBody
 	}
-	return http1.AppendHead(nil, r.status, "", long, c.last, string(r.headers)+told)
+	return http1.AppendResponseHead(nil, r.status, "", long, c.last, string(r.headers)+told)
 }
 
 func (h *httpFace) value(c *call, r *reply) (out, long []byte) {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -155,7 +155,7 @@
 			return discovery.ConnectionLost
 		}
 		for read := (http1.Progress{}); ; {
-			a, size, err := read.ReadAnswer(in[:have], longestList, false)
+			a, size, err := read.ReadResponse(in[:have], longestList, false)
 			if err != nil {
 				return discovery.Unreadable
 			}
@@ -180,7 +180,7 @@
 
 const taken discovery.Failure = -1
 
-func (c *caller) heard(a *http1.Answer, parser *fastjson.Parser) discovery.Failure {
+func (c *caller) heard(a *http1.Response, parser *fastjson.Parser) discovery.Failure {
 	if a.Status == http1.Unavailable || a.Status == http1.TooMany {
 		return discovery.Refused
 	}
--- a/internal/wire/http1/golden_test.go
+++ b/internal/wire/http1/golden_test.go
@@ -28,15 +28,15 @@
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 20", "SSH-2.0\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n",
 	} {
 		for _, ended := range []bool{false, true} {
-			a, size, err := ReadAnswer([]byte(text), 1000, ended)
+			a, size, err := ReadResponse([]byte(text), 1000, ended)
 			fmt.Fprintf(&got, "answer %.60q ended %v: %d body %q size %d %v\n", text, ended, a.Status, a.Body, size, err)
 			a.Each(func(name, value []byte) { fmt.Fprintf(&got, "  %q %q\n", name, value) })
 		}
 	}
 	for _, b := range [][]byte{
 		AppendRequest(nil, "GET", []byte("/a"), "host:1", nil, nil), AppendRequest(nil, "PUT", []byte("/a"), "host:1", []byte("X-A: 1\r\n"), []byte("body")),
-		AppendPath(nil, []byte("a b/c?d%e")), AppendTarget(nil, []byte("a b/c?d%e")), AppendHead(nil, 200, "", 5, false), AppendHead(nil, 503, "Date: x\r\n", 0, true, "Retry-After: 1"),
-		AppendHead(nil, 304, "", NoBody, false, "Etag: x", "Vary: y"), AppendHead(nil, 429, "", 0, false), AppendHead(nil, 204, "", NoBody, true),
+		AppendPath(nil, []byte("a b/c?d%e")), AppendTarget(nil, []byte("a b/c?d%e")), AppendResponseHead(nil, 200, "", 5, false), AppendResponseHead(nil, 503, "Date: x\r\n", 0, true, "Retry-After: 1"),
+		AppendResponseHead(nil, 304, "", NoBody, false, "Etag: x", "Vary: y"), AppendResponseHead(nil, 429, "", 0, false), AppendResponseHead(nil, 204, "", NoBody, true),
 	} {
 		fmt.Fprintf(&got, "written %q\n", b)
 	}
--- a/internal/wire/http1/http1.go
+++ b/internal/wire/http1/http1.go
@@ -18,14 +18,14 @@
 const maxHead = 16 << 10 // bytes of the heads of an answer, interim ones among them: far above any honest ones
 
 // Answer is one answer. Its parts lie in the buffer it was read from, but for a body that came in chunks.
-type Answer struct {
-	Status  int
-	Body    []byte
-	Last    bool // the connection ends with it
-	Wants   int  // with a size of 0: how many bytes it will have in all, where that is known
-	Head    int  // and how many bytes stand before its body
-	Long    int  // and the body has
-	headers []byte
+type Response struct {
+	Status    int
+	Body      []byte
+	Close     bool // the connection ends with it
+	TotalSize int  // with a size of 0: how many bytes it will have in all, where that is known
+	HeadSize  int  // and how many bytes stand before its body
+	BodySize  int  // and the body has
+	headers   []byte
 }
 
 var (
@@ -64,13 +64,13 @@
 }
 
 // Header returns a header's value, or nil where it does not stand.
-func (a *Answer) Header(name string) []byte {
+func (a *Response) Header(name string) []byte {
 	value, _ := a.header(name)
 	return value
 }
 
 // header also tells whether the header says the same each time it stands.
-func (a *Answer) header(name string) (value []byte, agreed bool) {
+func (a *Response) header(name string) (value []byte, agreed bool) {
 	agreed = true
 	for rest := a.headers; len(rest) > 0; {
 		var row []byte
@@ -90,14 +90,14 @@
 
 // ReadAnswer reads the first answer in b, with a body of at most so many bytes. A size of 0 asks for more; ended
 // says that no more will come. Who reads an answer as it comes keeps a Progress instead.
-func ReadAnswer(b []byte, maxBody int, ended bool) (a Answer, size int, err error) {
+func ReadResponse(b []byte, maxBody int, ended bool) (a Response, size int, err error) {
 	var p Progress
-	return p.ReadAnswer(b, maxBody, ended)
+	return p.ReadResponse(b, maxBody, ended)
 }
 
 // ReadAnswer is ReadAnswer for an answer that comes in pieces: b begins with the same bytes at each call, until a size or an error is returned.
 // After that the Progress is to be reset for the next answer.
-func (p *Progress) ReadAnswer(b []byte, maxBody int, ended bool) (a Answer, size int, err error) {
+func (p *Progress) ReadResponse(b []byte, maxBody int, ended bool) (a Response, size int, err error) {
 	for a.Status < 200 { // interim ones say nothing; the real one follows
 		n := 0
 		if a, n, err = readHead(b[size:], maxHead-size); n == 0 {
@@ -126,7 +126,7 @@
 			return a, 0, errLength
 		}
 		if uint64(len(b)-size) < n {
-			a.Wants, a.Head, a.Long = size+int(n), size, int(n)
+			a.TotalSize, a.HeadSize, a.BodySize = size+int(n), size, int(n)
 			return a, 0, nil
 		}
 		a.Body = b[size : size+int(n)]
@@ -136,13 +136,13 @@
 	case !ended:
 		return a, 0, nil
 	}
-	a.Body, a.Last = b[size:], true
+	a.Body, a.Close = b[size:], true
 	return a, len(b), nil
 }
 
 // readHead reads a status line and headers of at most so many bytes. What has come of one that has not ended is
 // looked at as well: who sends noise may never end it.
-func readHead(b []byte, most int) (a Answer, size int, err error) {
+func readHead(b []byte, most int) (a Response, size int, err error) {
 	const version, ends = "HTTP/1.", "\r\n"
 	if n := min(len(b), len(version)); string(b[:n]) != version[:n] {
 		return a, 0, errHead
@@ -176,7 +176,7 @@
 					return a, 0, errLength
 				}
 			}
-			a.Last = status[7] == '0' || bytes.EqualFold(a.Header("Connection"), []byte("close"))
+			a.Close = status[7] == '0' || bytes.EqualFold(a.Header("Connection"), []byte("close"))
 			return a, len(status) + len(ends) + len(headers) - len(next), nil
 		case !named || len(name) == 0 || bytes.ContainsAny(name, " \t"):
 			return a, 0, errHead
--- a/internal/wire/http1/http1_test.go
+++ b/internal/wire/http1/http1_test.go
@@ -17,15 +17,15 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		want, size, err := ReadAnswer(b, 1000, false)
+		want, size, err := ReadResponse(b, 1000, false)
 		if size > len(b) || len(want.Body) > 1000 {
 			t.Fatalf("%d of %d bytes, a body of %d", size, len(b), len(want.Body))
 		}
 		var read Progress
 		for at := range b {
-			got, n, wrong := ReadAnswer(b[:at], 1000, false)
+			got, n, wrong := ReadResponse(b[:at], 1000, false)
 			if n == 0 && wrong == nil { // piece by piece it is the same
-				if kept, m, bad := read.ReadAnswer(b[:at], 1000, false); m != 0 || bad != nil || kept.Status != got.Status {
+				if kept, m, bad := read.ReadResponse(b[:at], 1000, false); m != 0 || bad != nil || kept.Status != got.Status {
 					t.Fatalf("%d of %q in pieces: %d %v", at, b, m, bad)
 				}
 			}
@@ -33,7 +33,7 @@
 				t.Fatalf("%d of %q: %d %v, whole: %d %v", at, b, n, wrong, size, err)
 			}
 		}
-		if got, n, wrong := read.ReadAnswer(b, 1000, false); n != size || (wrong == nil) != (err == nil) || !bytes.Equal(got.Body, want.Body) {
+		if got, n, wrong := read.ReadResponse(b, 1000, false); n != size || (wrong == nil) != (err == nil) || !bytes.Equal(got.Body, want.Body) {
 			t.Fatalf("%q in pieces: %d %v %q, whole: %d %v %q", b, n, wrong, got.Body, size, err, want.Body)
 		}
 	})
@@ -49,7 +49,7 @@
 	runtime.ReadMemStats(&before)
 	size := 0
 	for at := len(one); size == 0; at = min(at+len(one), len(whole)) {
-		a, n, err := read.ReadAnswer(whole[:at], 2*chunk*chunks, false)
+		a, n, err := read.ReadResponse(whole[:at], 2*chunk*chunks, false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,8 +77,8 @@
 		{"HTTP/1.0 200 OK\r\n\r\nrest", true, 200, "rest", true},
 		{"HTTP/1.0 200 OK\r\n\r\nrest", false, 0, "", false},
 	} {
-		a, size, err := ReadAnswer([]byte(c.in), 100, c.ended)
-		if err != nil || (size > 0) != (c.status > 0) || size > 0 && (a.Status != c.status || string(a.Body) != c.body || a.Last != c.last) {
+		a, size, err := ReadResponse([]byte(c.in), 100, c.ended)
+		if err != nil || (size > 0) != (c.status > 0) || size > 0 && (a.Status != c.status || string(a.Body) != c.body || a.Close != c.last) {
 			t.Errorf("%q: %v %d %v", c.in, a, size, err)
 		}
 	}
@@ -93,12 +93,12 @@
 		ok + "Content-Length:\r\n\r\n", ok + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
 		ok + "Transfer-Encoding: zip\r\n\r\n", ok + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat("T: 1\r\n", maxHead),
 		ok + strings.Repeat("x", maxHead), ok + strings.Repeat("X: y\r\n", maxHead), strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxHead)} {
-		if a, size, err := ReadAnswer([]byte(bad), 100, false); err == nil {
+		if a, size, err := ReadResponse([]byte(bad), 100, false); err == nil {
 			t.Errorf("%.90q: %v, %d", bad, a, size)
 		}
 	}
 	const twice = ok + "content-length: 5\r\nContent-Length: 5\r\nX-Load-Report: \x01\xff=,\r\n\r\nhello"
-	if a, _, err := ReadAnswer([]byte(strings.Repeat("HTTP/1.1 103 Hint\r\nA: b\r\n\r\n", 3)+twice), 100, false); err != nil || string(a.Body) != "hello" {
+	if a, _, err := ReadResponse([]byte(strings.Repeat("HTTP/1.1 103 Hint\r\nA: b\r\n\r\n", 3)+twice), 100, false); err != nil || string(a.Body) != "hello" {
 		t.Errorf("%v %v", a, err)
 	}
 }
--- a/internal/wire/http1/request.go
+++ b/internal/wire/http1/request.go
@@ -15,9 +15,9 @@
 type Request struct {
 	Method, Target []byte
 	Body           []byte
-	Last           bool // the connection ends with its answer
+	Close          bool // the connection ends with its answer
 	Continue       bool // with a size of 0: the client waits for 100 before it sends the body
-	Wants          int  // with a size of 0: how many bytes it will have in all, where that is known
+	TotalSize      int  // with a size of 0: how many bytes it will have in all, where that is known
 	headers        []byte
 }
 
@@ -33,13 +33,13 @@
 func bad(reason string) *Fault { return &Fault{400, reason} }
 
 // Header returns a header's value, or nil where it does not stand.
-func (q *Request) Header(name string) []byte { return (&Answer{headers: q.headers}).Header(name) }
+func (q *Request) Header(name string) []byte { return (&Response{headers: q.headers}).Header(name) }
 
 // Each calls f for every header line, in order.
 func (q *Request) Each(f func(name, value []byte)) { each(q.headers, f) }
 
 // Each calls f for every header line, in order.
-func (a *Answer) Each(f func(name, value []byte)) { each(a.headers, f) }
+func (a *Response) Each(f func(name, value []byte)) { each(a.headers, f) }
 
 func each(headers []byte, f func(name, value []byte)) {
 	for rest := headers; len(rest) > 0; {
@@ -124,7 +124,7 @@
 	case length > int64(maxBody):
 		return q, 0, &Fault{413, "a body that is too long"}
 	case int64(len(b)-head) < length:
-		q.Continue, q.Wants = expects && len(b) == head, skipped+head+int(length)
+		q.Continue, q.TotalSize = expects && len(b) == head, skipped+head+int(length)
 		return q, 0, nil
 	}
 	q.Body = b[head : head+int(length)]
@@ -166,7 +166,7 @@
 		if len(line) == 0 {
 			q.headers = b[from:at]
 			connection := q.Header("Connection")
-			q.Last = Has(connection, "close") || old && !Has(connection, "keep-alive")
+			q.Close = HasToken(connection, "close") || old && !HasToken(connection, "keep-alive")
 			if hosts != 1 && !old || hosts > 1 {
 				return 0, bad("no host, or several")
 			}
@@ -202,7 +202,7 @@
 }
 
 // Has tells whether a list of tokens has one, whatever its case.
-func Has(list []byte, name string) bool {
+func HasToken(list []byte, name string) bool {
 	for len(list) > 0 {
 		var item []byte
 		item, list, _ = bytes.Cut(list, []byte(","))
--- a/internal/wire/http1/request_test.go
+++ b/internal/wire/http1/request_test.go
@@ -69,7 +69,7 @@
 	for b := []byte(text); len(b) > 0; {
 		q, size, fault := ReadRequest(b, mostBody)
 		got := string(q.Method) + " " + string(q.Target) + " " + string(q.Body)
-		if q.Last {
+		if q.Close {
 			got += " last"
 		}
 		if fault != nil || size == 0 || len(want) == 0 || got != want[0] {
@@ -78,7 +78,7 @@
 		b, want = b[size:], want[1:]
 	}
 	waits := []byte("PUT /a HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
-	if q, size, _ := ReadRequest(waits, mostBody); size != 0 || !q.Continue || q.Wants != len(waits)+3 {
+	if q, size, _ := ReadRequest(waits, mostBody); size != 0 || !q.Continue || q.TotalSize != len(waits)+3 {
 		t.Errorf("%+v", q)
 	}
 	if q, _, _ := ReadRequest(append(waits, 'a'), mostBody); q.Continue {
--- a/internal/wire/http1/write.go
+++ b/internal/wire/http1/write.go
@@ -10,7 +10,7 @@
 
 // AppendHead writes the head of an answer with a body of so many bytes; last says that the connection ends with it. Headers
 // are whole lines without the last one's end. An empty date is among them.
-func AppendHead(to []byte, status int, date string, long int, last bool, headers ...string) []byte {
+func AppendResponseHead(to []byte, status int, date string, long int, last bool, headers ...string) []byte {
 	to = strconv.AppendInt(append(to, "HTTP/1.1 "...), int64(status), 10)
 	to = append(append(append(to, ' '), http.StatusText(status)...), "\r\n"...)
 	if date != "" {
--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -7,26 +7,26 @@
 )
 
 // Said is what an answer says.
-type Said int
+type AnswerKind int
 
 const (
-	Value  Said = iota // a value
-	Done               // a receipt for a write
-	Miss               // nothing is kept under the key
-	Failed             // it may have run
-	Busy               // it never ran
-	Up                 // the answer to mn
+	Value  AnswerKind = iota // a value
+	Done                     // a receipt for a write
+	Miss                     // nothing is kept under the key
+	Failed                   // it may have run
+	Busy                     // it never ran
+	Up                       // the answer to mn
 )
 
 // Answer is one answer of a cache. Its parts lie in the buffer it was read from.
 type Answer struct {
-	Said  Said
-	ID    []byte
-	Value []byte // the value or the receipt
-	Load  []byte // the load report, as names and values, or nil
-	Head  int    // with a size of 0: how many bytes stand before a value that has not come whole
-	Long  int    // and how many it has
-	Wants int    // with a size of 0: how many bytes it will have in all, where that is known
+	Kind       AnswerKind
+	ID         []byte
+	Value      []byte // the value or the receipt
+	LoadReport []byte // the load report, as names and values, or nil
+	HeadSize   int    // with a size of 0: how many bytes stand before a value that has not come whole
+	ValueSize  int    // and how many it has
+	TotalSize  int    // with a size of 0: how many bytes it will have in all, where that is known
 }
 
 var (
@@ -35,7 +35,7 @@
 	errOdd   = errors.New("an answer says nothing that the protocol knows")
 )
 
-var said = map[string]Said{"VA": Value, "HD": Done, "EN": Miss, "SERVER_ERROR": Failed, "MN": Up}
+var said = map[string]AnswerKind{"VA": Value, "HD": Done, "EN": Miss, "SERVER_ERROR": Failed, "MN": Up}
 
 // begins tells whether what has come of a line may be the beginning of an answer. Who sends noise may never end it.
 func begins(b []byte) bool {
@@ -62,10 +62,10 @@
 	}
 	first, rest := word(text)
 	known := false
-	if a.Said, known = said[string(first)]; !known {
+	if a.Kind, known = said[string(first)]; !known {
 		return a, 0, errOdd
 	}
-	switch a.Said {
+	switch a.Kind {
 	case Value:
 		digits, flags := word(rest)
 		n, ok := length(digits)
@@ -74,8 +74,8 @@
 		}
 		if len(b) < size+n+2 {
 			a.ID, _ = Flag(flags, 'O')
-			a.Load, _ = Flag(flags, 'L')
-			a.Wants, a.Head, a.Long = size+n+2, size, n
+			a.LoadReport, _ = Flag(flags, 'L')
+			a.TotalSize, a.HeadSize, a.ValueSize = size+n+2, size, n
 			return a, 0, nil
 		}
 		if !bytes.Equal(b[size+n:size+n+2], crlf) {
@@ -91,13 +91,13 @@
 	case Failed:
 		var reason []byte
 		if reason, rest = word(rest); string(reason) == "busy" {
-			a.Said = Busy
+			a.Kind = Busy
 		}
 	}
-	if a.ID, _ = Flag(rest, 'O'); a.Said <= Miss && len(a.ID) == 0 {
+	if a.ID, _ = Flag(rest, 'O'); a.Kind <= Miss && len(a.ID) == 0 {
 		return a, 0, errOdd
 	}
-	a.Load, _ = Flag(rest, 'L')
+	a.LoadReport, _ = Flag(rest, 'L')
 	return a, size, nil
 }
 
--- a/internal/wire/meta/meta_test.go
+++ b/internal/wire/meta/meta_test.go
@@ -80,8 +80,8 @@
 	for _, s := range []string{"VA 2 Oab h1 Lx=0.4,y=2\r\nab\r\n", "HD Oab c77 Lx=0.4,y=2\r\n", "EN Oab Lx=0.4,y=2\r\n",
 		"SERVER_ERROR failed Lx=0.4,y=2\r\n", "SERVER_ERROR busy Lx=0.4,y=2\r\n"} {
 		a, _, err := ReadAnswer([]byte(s))
-		if y, ok := Item(a.Load, "y"); err != nil || !ok || string(y) != "2" {
-			t.Errorf("%q: %q %v", s, a.Load, err)
+		if y, ok := Item(a.LoadReport, "y"); err != nil || !ok || string(y) != "2" {
+			t.Errorf("%q: %q %v", s, a.LoadReport, err)
 		}
 	}
 }
