--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -1,134 +1,178 @@
 package meta
 
 import (
-	"bytes"
 	"errors"
 	"strconv"
 )
 
-// Said is what an answer says.
+// The first words of answers.
+const (
+	wordValue  = "VA"
+	wordDone   = "HD"
+	wordMiss   = "EN"
+	wordError  = "SERVER_ERROR"
+	wordReady  = "MN"
+	reasonBusy = "busy" // behind wordError
+)
+
+// AnswerKind is what an answer says.
 type AnswerKind int
 
+// The kinds of answers. Those up to Miss repeat the id of their command.
 const (
-	Value  AnswerKind = iota // a value
-	Done                     // a receipt for a write
-	Miss                     // nothing is kept under the key
-	Failed                   // it may have run
-	Busy                     // it never ran
-	Up                       // the answer to mn
+	Value  AnswerKind = iota // the value that was read
+	Done                     // the receipt of a write
+	Miss                     // the cache has no value for the key
+	Failed                   // the command failed, and may have run
+	Busy                     // the command was rejected, and has not run
+	Up                       // the cache serves requests: the answer to a health check
 )
 
-// Answer is one answer of a cache. Its parts lie in the buffer it was read from.
+// Answer is an answer of a cache. Its parts lie in the buffer that it was read from.
 type Answer struct {
 	Kind       AnswerKind
-	ID         []byte
+	ID         []byte // id of the command
 	Value      []byte // the value or the receipt
-	LoadReport []byte // the load report, as names and values, or nil
-	HeadSize   int    // with a size of 0: how many bytes stand before a value that has not come whole
-	ValueSize  int    // and how many it has
-	TotalSize  int    // with a size of 0: how many bytes it will have in all, where that is known
+	LoadReport []byte // the load report, as items, or nil
+
+	// Of a value that has not been received as a whole, in bytes. They are 0 with any other answer.
+	HeadSize  int // size of the line before the value
+	ValueSize int // size of the value
+	TotalSize int // size of the whole answer
 }
 
 var (
-	errLong  = errors.New("an answer is longer than the protocol allows")
-	errValue = errors.New("a value does not end where it should")
-	errOdd   = errors.New("an answer says nothing that the protocol knows")
+	errTooLong       = errors.New("an answer is longer than the protocol allows")
+	errValueEnd      = errors.New("a value does not end where it should")
+	errUnknownAnswer = errors.New("an answer says nothing that the protocol knows")
 )
 
-var said = map[string]AnswerKind{"VA": Value, "HD": Done, "EN": Miss, "SERVER_ERROR": Failed, "MN": Up}
+var answerKinds = map[string]AnswerKind{
+	wordValue: Value,
+	wordDone:  Done,
+	wordMiss:  Miss,
+	wordError: Failed,
+	wordReady: Up,
+}
 
-// begins tells whether what has come of a line may be the beginning of an answer. Who sends noise may never end it.
-func begins(b []byte) bool {
-	for word := range said {
-		if n := min(len(b), len(word)); string(b[:n]) == word[:n] {
+// mayBeAnswer tells whether the bytes received so far may be the beginning of an answer. It guards against a server
+// that sends noise without a line end: its attempt would otherwise wait until it times out.
+func mayBeAnswer(b []byte) bool {
+	for word := range answerKinds {
+		n := min(len(b), len(word))
+		if string(b[:n]) == word[:n] {
 			return true
 		}
 	}
 	return false
 }
 
-// ReadAnswer reads the first answer in b. A size of 0 asks for more bytes. An error is final: nothing that follows
-// can be told apart any more. Flags that nothing here needs may hold anything.
+// ReadAnswer reads the first answer in b. A size of 0 without an error asks for more bytes. An error is final, as it
+// cannot be known where the next answer begins. Flags that are not used here may hold anything.
 func ReadAnswer(b []byte) (a Answer, size int, err error) {
-	text, size, long := line(b)
-	if long {
-		return a, 0, errLong
+	text, size, tooLong := cutLine(b)
+	if tooLong {
+		return a, 0, errTooLong
 	}
-	if !begins(b) {
-		return a, 0, errOdd
+	if !mayBeAnswer(b) {
+		return a, 0, errUnknownAnswer
 	}
 	if size == 0 {
 		return a, 0, nil
 	}
-	first, rest := word(text)
-	known := false
-	if a.Kind, known = said[string(first)]; !known {
-		return a, 0, errOdd
+	word, rest := cutWord(text)
+	kind, known := answerKinds[string(word)]
+	if !known {
+		return a, 0, errUnknownAnswer
 	}
-	switch a.Kind {
+	a.Kind = kind
+	switch kind {
 	case Value:
-		digits, flags := word(rest)
-		n, ok := length(digits)
-		if !ok || n > MaxValue {
-			return a, 0, errLong
-		}
-		if len(b) < size+n+2 {
-			a.ID, _ = Flag(flags, 'O')
-			a.LoadReport, _ = Flag(flags, 'L')
-			a.TotalSize, a.HeadSize, a.ValueSize = size+n+2, size, n
-			return a, 0, nil
-		}
-		if !bytes.Equal(b[size+n:size+n+2], crlf) {
-			return a, 0, errValue
+		valueSize, flags, err := a.readValue(rest, b, size)
+		if err != nil || valueSize == 0 {
+			return a, 0, err
 		}
-		a.Value = b[size : size+n]
 		rest = flags
-		size += n + 2
+		size += valueSize
 	case Done:
-		if a.Value, _ = Flag(rest, 'c'); !Plain(a.Value) {
-			return a, 0, errOdd
+		a.Value, _ = Flag(rest, flagReceipt)
+		if !Plain(a.Value) {
+			return a, 0, errUnknownAnswer
 		}
 	case Failed:
-		var reason []byte
-		if reason, rest = word(rest); string(reason) == "busy" {
+		reason, flags := cutWord(rest)
+		if string(reason) == reasonBusy {
 			a.Kind = Busy
 		}
+		rest = flags
 	}
-	if a.ID, _ = Flag(rest, 'O'); a.Kind <= Miss && len(a.ID) == 0 {
-		return a, 0, errOdd
+	a.ID, _ = Flag(rest, flagID)
+	if a.Kind <= Miss && len(a.ID) == 0 {
+		return a, 0, errUnknownAnswer
 	}
-	a.LoadReport, _ = Flag(rest, 'L')
+	a.LoadReport, _ = Flag(rest, flagLoadReport)
 	return a, size, nil
 }
 
-// AppendValue writes a value.
-func AppendValue(to, id, value []byte) []byte {
-	return append(append(AppendHead(to, id, len(value)), value...), End...)
+// readValue reads the rest of a value's line, and the value behind the line, which ends at lineSize in b. It returns
+// the size of the value with its end, or 0 while that has not been received.
+func (a *Answer) readValue(rest, b []byte, lineSize int) (size int, flags []byte, err error) {
+	digits, flags := cutWord(rest)
+	length, ok := parseLength(digits)
+	if !ok || length > MaxValue {
+		return 0, nil, errTooLong
+	}
+	value, complete, ok := cutValue(b[lineSize:], length)
+	if !complete {
+		a.ID, _ = Flag(flags, flagID)
+		a.LoadReport, _ = Flag(flags, flagLoadReport)
+		a.HeadSize = lineSize
+		a.ValueSize = length
+		a.TotalSize = lineSize + length + len(End)
+		return 0, nil, nil
+	}
+	if !ok {
+		return 0, nil, errValueEnd
+	}
+	a.Value = value
+	return length + len(End), flags, nil
 }
 
-// End is what a value ends with.
-const End = "\r\n"
+// AppendValue writes a value as the answer to a command with an id.
+func AppendValue(to, id, value []byte) []byte {
+	to = AppendHead(to, id, len(value))
+	to = append(to, value...)
+	return append(to, End...)
+}
 
-// AppendHead writes what stands before a value.
-func AppendHead(to, id []byte, long int) []byte {
-	to = strconv.AppendInt(append(to, "VA "...), int64(long), 10)
-	return append(append(append(to, " O"...), id...), crlf...)
+// AppendHead writes the line before a value of a size in bytes. End has to follow the value.
+func AppendHead(to, id []byte, size int) []byte {
+	to = append(to, wordValue+" "...)
+	to = strconv.AppendInt(to, int64(size), 10)
+	to = append(to, ' ', flagID)
+	to = append(to, id...)
+	return append(to, End...)
 }
 
-// AppendDone writes a receipt.
+// AppendDone writes the receipt of a write.
 func AppendDone(to, id, receipt []byte) []byte {
-	to = append(append(append(to, "HD O"...), id...), " c"...)
-	return append(append(to, receipt...), crlf...)
+	to = append(to, wordDone+" "...)
+	to = append(to, flagID)
+	to = append(to, id...)
+	to = append(to, ' ', flagReceipt)
+	to = append(to, receipt...)
+	return append(to, End...)
 }
 
-// AppendBusy writes a rejection, with the time to come back after unless that is 0.
-func AppendBusy(to []byte, comeBackMs int64) []byte {
-	to = append(to, "SERVER_ERROR busy"...)
-	if comeBackMs > 0 {
-		to = strconv.AppendInt(append(to, ' '), comeBackMs, 10)
+// AppendBusy writes a rejection, with the time after which to retry, in milliseconds, unless that is 0.
+func AppendBusy(to []byte, retryAfterMs int64) []byte {
+	to = append(to, wordError+" "+reasonBusy...)
+	if retryAfterMs > 0 {
+		to = append(to, ' ')
+		to = strconv.AppendInt(to, retryAfterMs, 10)
 	}
-	return append(to, crlf...)
+	return append(to, End...)
 }
 
-// AppendFailed writes a failure.
-func AppendFailed(to []byte) []byte { return append(to, "SERVER_ERROR failed\r\n"...) }
+// AppendFailed writes that a command failed.
+func AppendFailed(to []byte) []byte { return append(to, wordError+" failed"+End...) }
--- a/internal/wire/meta/delete.go
+++ b/internal/wire/meta/delete.go
@@ -2,40 +2,62 @@
 
 import "strconv"
 
-// FlushAll has all of a cache go; Flushed is its answer.
+// FlushAll removes all values of a cache. Flushed begins its answer.
 const (
-	FlushAll = "flush_all\r\n"
+	FlushAll = "flush_all" + End
 	Flushed  = "OK"
 )
 
-// AppendDelete writes a deletion with a number for its id, which comes back with HD, or with NF where the key was not there.
+// wordNotFound answers a deletion of a key that the cache does not have.
+const wordNotFound = "NF"
+
+// deleteIDBase is the base in which the id of a deletion is written.
+const deleteIDBase = 16
+
+// AppendDelete writes a deletion with a number for its id, which the answer repeats.
 func AppendDelete(to, key []byte, id uint64) []byte {
-	to = append(append(append(to, "md "...), key...), " O"...)
-	return append(strconv.AppendUint(to, id, 16), crlf...)
+	to = append(to, verbDelete+" "...)
+	to = append(to, key...)
+	to = append(to, ' ', flagID)
+	to = strconv.AppendUint(to, id, deleteIDBase)
+	return append(to, End...)
 }
 
-// ReadDeleted reads the answer to a deletion, or to FlushAll, of which there is no id. A size of 0 asks for more bytes. An error is final:
-// nothing that follows can be told apart any more.
+// ReadDeleted reads the answer to a deletion, or the one to FlushAll, which has no id. A size of 0 without an error
+// asks for more bytes. An error is final, as it cannot be known where the next answer begins.
 func ReadDeleted(b []byte) (id uint64, flushed bool, size int, err error) {
-	text, size, long := line(b)
-	if long {
-		return 0, false, 0, errLong
+	text, size, tooLong := cutLine(b)
+	if tooLong {
+		return 0, false, 0, errTooLong
 	}
 	if size == 0 {
-		if n := min(len(b), 2); n > 0 && string(b[:n]) != "HD"[:n] && string(b[:n]) != "NF"[:n] && string(b[:n]) != Flushed[:n] {
-			return 0, false, 0, errOdd
+		if !mayBeDeleted(b) {
+			return 0, false, 0, errUnknownAnswer
 		}
 		return 0, false, 0, nil
 	}
-	first, flags := word(text)
-	switch string(first) {
+	word, flags := cutWord(text)
+	switch string(word) {
 	case Flushed:
 		return 0, true, size, nil
-	case "HD", "NF":
-		digits, _ := Flag(flags, 'O')
-		if id, err = strconv.ParseUint(string(digits), 16, 64); err == nil {
+	case wordDone, wordNotFound:
+		digits, _ := Flag(flags, flagID)
+		id, err := strconv.ParseUint(string(digits), deleteIDBase, 64)
+		if err == nil {
 			return id, false, size, nil
 		}
 	}
-	return 0, false, 0, errOdd
+	return 0, false, 0, errUnknownAnswer
+}
+
+// mayBeDeleted tells whether the bytes received so far may be the beginning of the answer to a deletion, as
+// mayBeAnswer does.
+func mayBeDeleted(b []byte) bool {
+	for _, word := range []string{wordDone, wordNotFound, Flushed} {
+		n := min(len(b), len(word))
+		if string(b[:n]) == word[:n] {
+			return true
+		}
+	}
+	return false
 }
