--- /dev/null
+++ b/internal/wire/http1/framing.go
@@ -0,0 +1,55 @@
+package http1
+
+import (
+	"bytes"
+	"net/http"
+)
+
+// maxLengthDigits is the limit of the digits of a Content-Length, which so fits an int64.
+const maxLengthDigits = 18
+
+// framing returns how long the body is, in bytes, or that it is in chunks. Every shape that two readers may take
+// differently is refused: both headers, two lengths even if alike, a list, a sign, another coding than chunked.
+func (q *Request) framing() (length int64, chunked bool, fault *Fault) {
+	var lengthValue, codingValue []byte
+	lengths := 0
+	codings := 0
+	q.Each(func(name, value []byte) {
+		switch {
+		case bytes.EqualFold(name, []byte("Content-Length")):
+			lengths++
+			lengthValue = value
+		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
+			codings++
+			codingValue = value
+		}
+	})
+	switch {
+	case lengths > 0 && codings > 0 || lengths > 1 || codings > 1:
+		return 0, false, badRequest("a body with two lengths")
+	case codings == 1 && !bytes.EqualFold(codingValue, []byte("chunked")):
+		return 0, false, &Fault{http.StatusNotImplemented, "a transfer coding that is not known"}
+	case codings == 1:
+		return 0, true, nil
+	case lengths == 0:
+		return 0, false, nil
+	}
+	length, ok := parseLength(lengthValue)
+	if !ok {
+		return 0, false, badRequest("a length that can't be read")
+	}
+	return length, false, nil
+}
+
+func parseLength(digits []byte) (length int64, ok bool) {
+	if len(digits) == 0 || len(digits) > maxLengthDigits {
+		return 0, false
+	}
+	for _, c := range digits {
+		if c < '0' || c > '9' {
+			return 0, false
+		}
+		length = length*10 + int64(c-'0')
+	}
+	return length, true
+}
--- a/internal/wire/http1/request.go
+++ b/internal/wire/http1/request.go
@@ -2,248 +2,112 @@
 
 import (
 	"bytes"
-	"strconv"
+	"fmt"
+	"net/http"
 )
 
+// The limits of what a request may have.
 const (
-	maxTarget  = 4 << 10 // bytes of a request's target
-	maxHeaders = 100     // header lines: a usual client sends a dozen
-	maxTrailer = 4 << 10 // bytes of a trailer, and of each line that announces a chunk
+	maxTargetSize      = 4 << 10 // bytes of the target
+	maxRequestLineRest = 64      // bytes of the request line beside the target
+	maxHeaderLines     = 100     // a usual client sends a dozen
+	maxTrailerSize     = 4 << 10 // bytes of a trailer, of each chunk's line, and of empty lines before a request
 )
 
-// Request is one request. Its parts lie in the buffer it was read from, but for a body that came in chunks.
+// Request is a request. Its parts lie in the buffer that it was read from, but for a body in chunks.
 type Request struct {
-	Method, Target []byte
-	Body           []byte
-	Close          bool // the connection ends with its answer
-	Continue       bool // with a size of 0: the client waits for 100 before it sends the body
-	TotalSize      int  // with a size of 0: how many bytes it will have in all, where that is known
-	headers        []byte
+	Method  []byte
+	Target  []byte
+	Body    []byte
+	Close   bool // the connection ends with its response
+	headers []byte
+
+	// Of a request that has not been received as a whole.
+	Continue  bool // the client waits for the status 100 before it sends the body
+	TotalSize int  // size of the whole request, in bytes, where that is known
 }
 
-// Fault is why a request can't be served. The connection ends with the answer that tells so: where the next request begins
-// can't be known, and whoever guesses may take part of one for another (request smuggling).
+// Fault says why a request cannot be served. The connection ends with the response that tells so: it cannot be known
+// where the next request begins, and a server that guesses may take part of one for another (request smuggling).
 type Fault struct {
 	Status int
 	Reason string
 }
 
-func (f *Fault) Error() string { return strconv.Itoa(f.Status) + " " + f.Reason }
+// Error returns the status and the reason.
+func (f *Fault) Error() string { return fmt.Sprintf("%d %s", f.Status, f.Reason) }
 
-func bad(reason string) *Fault { return &Fault{400, reason} }
+func badRequest(reason string) *Fault { return &Fault{http.StatusBadRequest, reason} }
 
-// Header returns a header's value, or nil where it does not stand.
-func (q *Request) Header(name string) []byte { return (&Response{headers: q.headers}).Header(name) }
+func bodyTooLong() *Fault { return &Fault{http.StatusRequestEntityTooLarge, "a body that is too long"} }
 
-// Each calls f for every header line, in order.
-func (q *Request) Each(f func(name, value []byte)) { each(q.headers, f) }
-
-// Each calls f for every header line, in order.
-func (a *Response) Each(f func(name, value []byte)) { each(a.headers, f) }
-
-func each(headers []byte, f func(name, value []byte)) {
-	for rest := headers; len(rest) > 0; {
-		var line []byte
-		line, rest, _ = bytes.Cut(rest, crlf)
-		name, value, _ := bytes.Cut(line, []byte(":"))
-		f(name, bytes.Trim(value, " \t"))
-	}
-}
-
-var crlf = []byte("\r\n")
-
-// token are the bytes that may stand in a method or a field's name (RFC 9110, 5.6.2).
-var token = func() (is [256]bool) {
-	for _, c := range []byte("!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ") {
-		is[c] = true
-	}
-	return is
-}()
-
-// IsField tells whether a name and a value can stand as a header's line for every reader.
-func IsField(name, value []byte) bool { return isToken(name) && plainText(value, true) }
-
-func isToken(b []byte) bool {
-	for _, c := range b {
-		if !token[c] {
-			return false
-		}
-	}
-	return len(b) > 0
+// Header returns a header's value, or nil where it is absent. One that is empty is not nil.
+func (q *Request) Header(name string) []byte {
+	value, _ := findHeader(q.headers, name)
+	return value
 }
 
-// plainText tells whether a field's value, or a target, holds nothing that another reader may take for the end of a line.
-func plainText(b []byte, spaces bool) bool {
-	for _, c := range b {
-		if c < ' ' && !(spaces && c == '\t') || c == 0x7f || c == ' ' && !spaces {
-			return false
-		}
-	}
-	return true
-}
+// Each calls f for every header line, in order.
+func (q *Request) Each(f func(name, value []byte)) { eachHeader(q.headers, f) }
 
-// ReadRequest reads the first request in b, with a body of at most so many bytes. A size of 0 asks for more bytes. Lines
-// end by CR and LF only; empty ones before a request are passed over, as RFC 9112 (2.2) asks.
-// Who reads a request as it comes keeps a Progress instead.
+// ReadRequest reads the first request in b, with a body of at most maxBody bytes. A size of 0 without a fault asks for
+// more bytes. Lines end with CR and LF only; empty ones before a request are skipped (RFC 9112, 2.2). A request that
+// is received in pieces is read with a Progress instead.
 func ReadRequest(b []byte, maxBody int) (q Request, size int, fault *Fault) {
 	var p Progress
 	return p.ReadRequest(b, maxBody)
 }
 
-// ReadRequest is ReadRequest for a request that comes in pieces: b begins with the same bytes at each call, until a size or a fault is returned.
-// After that the Progress is to be reset for the next request.
+// ReadRequest does as the function of its name for a request that is received in pieces: b begins with the same bytes
+// at each call, until a size or a fault is returned. After that the Progress is to be reset for the next one.
 func (p *Progress) ReadRequest(b []byte, maxBody int) (q Request, size int, fault *Fault) {
-	skipped := 0
-	for bytes.HasPrefix(b[skipped:], crlf) {
-		if skipped += 2; skipped > maxTrailer {
-			return q, 0, bad("empty lines without end")
-		}
+	skipped, fault := skipEmptyLines(b)
+	if fault != nil {
+		return q, 0, fault
 	}
 	b = b[skipped:]
-	head, fault := readRequestHead(b, &q)
-	if head == 0 || fault != nil {
+	headSize, fault := q.readHead(b)
+	if headSize == 0 || fault != nil {
 		return q, 0, fault
 	}
 	length, chunked, fault := q.framing()
 	if fault != nil {
 		return q, 0, fault
 	}
-	expects := bytes.EqualFold(q.Header("Expect"), []byte("100-continue"))
-	if q.Header("Expect") != nil && !expects {
-		return q, 0, &Fault{417, "an expectation that is not known"}
+	expectation := q.Header("Expect")
+	expectsContinue := bytes.EqualFold(expectation, []byte("100-continue"))
+	if expectation != nil && !expectsContinue {
+		return q, 0, &Fault{http.StatusExpectationFailed, "an expectation that is not known"}
 	}
+	bodyMissing := len(b) == headSize
 	switch {
 	case chunked:
-		body, n, fault := p.requestChunks(b[head:], maxBody)
-		if n == 0 || fault != nil {
-			q.Continue = expects && len(b) == head
+		body, bodySize, fault := p.requestChunks(b[headSize:], maxBody)
+		if bodySize == 0 || fault != nil {
+			q.Continue = expectsContinue && bodyMissing
 			return q, 0, fault
 		}
 		q.Body = body
-		return q, skipped + head + n, nil
+		return q, skipped + headSize + bodySize, nil
 	case length > int64(maxBody):
-		return q, 0, &Fault{413, "a body that is too long"}
-	case int64(len(b)-head) < length:
-		q.Continue, q.TotalSize = expects && len(b) == head, skipped+head+int(length)
-		return q, 0, nil
+		return q, 0, bodyTooLong()
 	}
-	q.Body = b[head : head+int(length)]
-	return q, skipped + head + int(length), nil
-}
-
-// readRequestHead reads the request line and the headers; a size of 0 asks for more.
-func readRequestHead(b []byte, q *Request) (size int, fault *Fault) {
-	text, at, fault := requestLine(b, 0, maxTarget+64, &Fault{414, "a target that is too long"})
-	if at == 0 || fault != nil {
-		return 0, fault
-	}
-	method, rest, spaced := bytes.Cut(text, []byte(" "))
-	target, version, again := bytes.Cut(rest, []byte(" "))
-	switch {
-	case !spaced || !again || !isToken(method) || len(target) == 0 || !plainText(target, false):
-		return 0, bad("a request line that can't be read")
-	case len(version) != 8 || string(version[:5]) != "HTTP/" || version[6] != '.':
-		return 0, bad("a version that can't be read")
-	case version[5] != '1':
-		return 0, &Fault{505, "a version that is not spoken here"}
-	}
-	q.Method, q.Target = method, target
-	old := version[7] == '0'
-	from, hosts := at, 0
-	for n := 0; ; n++ {
-		line, next, fault := requestLine(b, at, maxHead, &Fault{431, "a header that is too long"})
-		switch {
-		case fault != nil:
-			return 0, fault
-		case next == 0:
-			if len(b)-from > maxHead {
-				return 0, &Fault{431, "headers that are too long"}
-			}
-			return 0, nil
-		case n > maxHeaders || next-from > maxHead:
-			return 0, &Fault{431, "too many headers"}
-		}
-		if len(line) == 0 {
-			q.headers = b[from:at]
-			connection := q.Header("Connection")
-			q.Close = HasToken(connection, "close") || old && !HasToken(connection, "keep-alive")
-			if hosts != 1 && !old || hosts > 1 {
-				return 0, bad("no host, or several")
-			}
-			if old && q.Header("Transfer-Encoding") != nil { // RFC 9112, 6.1: its framing is faulty
-				return 0, bad("a transfer coding in HTTP/1.0")
-			}
-			return next, nil
-		}
-		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) || !plainText(value, true) { // spaces before the colon and folded lines are such
-			return 0, bad("a header that can't be read")
-		}
-		if bytes.EqualFold(name, []byte("Host")) {
-			hosts++
-		}
-		at = next
-	}
-}
-
-// requestLine cuts off the line that starts at n; next is 0 until it has ended. A line feed without its carriage return, or
-// the other way round, ends no line and is none of its text.
-func requestLine(b []byte, n, most int, long *Fault) (text []byte, next int, fault *Fault) {
-	end := bytes.IndexAny(b[n:], "\r\n")
-	switch {
-	case end > most || end < 0 && len(b)-n > most:
-		return nil, 0, long
-	case end < 0, b[n+end] == '\r' && n+end+1 == len(b):
-		return nil, 0, nil
-	case b[n+end] == '\n' || b[n+end+1] != '\n':
-		return nil, 0, bad("a line that does not end by CR and LF")
-	}
-	return b[n : n+end], n + end + 2, nil
-}
-
-// Has tells whether a list of tokens has one, whatever its case.
-func HasToken(list []byte, name string) bool {
-	for len(list) > 0 {
-		var item []byte
-		item, list, _ = bytes.Cut(list, []byte(","))
-		if bytes.EqualFold(bytes.TrimSpace(item), []byte(name)) {
-			return true
-		}
+	size = skipped + headSize + int(length)
+	if int64(len(b)-headSize) < length {
+		q.Continue = expectsContinue && bodyMissing
+		q.TotalSize = size
+		return q, 0, nil
 	}
-	return false
+	q.Body = b[headSize : headSize+int(length)]
+	return q, size, nil
 }
 
-// framing tells how long the body is. Every shape that two readers might take differently is refused: both lengths, two
-// lengths (even if alike), a list, a sign, another coding than chunked.
-func (q *Request) framing() (length int64, chunked bool, fault *Fault) {
-	lengths, codings := 0, 0
-	var said, coding []byte
-	q.Each(func(name, value []byte) {
-		switch {
-		case bytes.EqualFold(name, []byte("Content-Length")):
-			lengths, said = lengths+1, value
-		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			codings, coding = codings+1, value
-		}
-	})
-	switch {
-	case lengths > 0 && codings > 0 || lengths > 1 || codings > 1:
-		return 0, false, bad("a body with two lengths")
-	case codings == 1 && !bytes.EqualFold(coding, []byte("chunked")):
-		return 0, false, &Fault{501, "a transfer coding that is not known"}
-	case codings == 1:
-		return 0, true, nil
-	case lengths == 0:
-		return 0, false, nil
-	}
-	if len(said) == 0 || len(said) > 18 {
-		return 0, false, bad("a length that can't be read")
-	}
-	for _, c := range said {
-		if c < '0' || c > '9' {
-			return 0, false, bad("a length that can't be read")
+func skipEmptyLines(b []byte) (size int, fault *Fault) {
+	for bytes.HasPrefix(b[size:], crlf) {
+		size += len(crlf)
+		if size > maxTrailerSize {
+			return 0, badRequest("empty lines without end")
 		}
-		length = length*10 + int64(c-'0')
 	}
-	return length, false, nil
+	return size, nil
 }
--- a/internal/wire/http1/request_chunks.go
+++ b/internal/wire/http1/request_chunks.go
@@ -2,14 +2,18 @@
 
 import "bytes"
 
-const hexDigits, mostHexDigits = "0123456789abcdef", 8
+const (
+	hexDigits          = "0123456789abcdef"
+	maxChunkSizeDigits = 8
+	lowerCaseBit       = 0x20 // which turns a letter to lower case, and leaves a digit as it is
+)
 
-// requestChunks joins a request's body sent in chunks, of which b holds what has come; n is 0 until it has ended, trailer and all. It is stricter
-// than what reads answers: every shape that two readers might take differently is refused.
-func (p *Progress) requestChunks(b []byte, maxBody int) (body []byte, n int, fault *Fault) {
-	for !p.trailer {
-		whole, fault := p.requestChunk(b, maxBody)
-		if !whole || fault != nil {
+// requestChunks reads a request's body in chunks and joins it. The size is 0 until it has been received as a whole,
+// with its trailer. It is stricter than the reader of responses.
+func (p *Progress) requestChunks(b []byte, maxBody int) (body []byte, size int, fault *Fault) {
+	for !p.inTrailer {
+		complete, fault := p.requestChunk(b, maxBody)
+		if !complete || fault != nil {
 			return nil, 0, fault
 		}
 	}
@@ -17,70 +21,79 @@
 	if end == 0 || fault != nil {
 		return nil, 0, fault
 	}
-	if body = join(b, p.length); body == nil {
+	body = joinChunks(b, p.length)
+	if body == nil {
 		body = []byte{}
 	}
 	return body, end, nil
 }
 
-// requestChunk passes over one chunk, if it has come whole.
-func (p *Progress) requestChunk(b []byte, maxBody int) (whole bool, fault *Fault) {
-	line, begins, fault := requestLine(b, p.next, maxTrailer, bad("a chunk's line that is too long"))
-	if begins == 0 || fault != nil {
+// requestChunk reads one chunk if it has been received as a whole.
+func (p *Progress) requestChunk(b []byte, maxBody int) (complete bool, fault *Fault) {
+	tooLong := badRequest("a chunk's line that is too long")
+	line, begin, fault := cutRequestLine(b, p.next, maxTrailerSize, tooLong)
+	if begin == 0 || fault != nil {
 		return false, fault
 	}
-	size, ok := requestChunkSize(line)
+	size, ok := parseRequestChunkSize(line)
 	if !ok {
-		return false, bad("a chunk's length that can't be read")
+		return false, badRequest("a chunk's length that can't be read")
 	}
 	if p.length+size > maxBody {
-		return false, &Fault{413, "a body that is too long"}
+		return false, bodyTooLong()
 	}
 	if size == 0 {
-		p.next, p.trailerAt, p.trailer = begins, begins, true
+		p.next = begin
+		p.trailerAt = begin
+		p.inTrailer = true
 		return true, nil
 	}
-	ends := begins + size
-	if len(b) > ends && b[ends] != '\r' || len(b) > ends+1 && b[ends+1] != '\n' {
-		return false, bad("a chunk that does not end where it should")
+	end := begin + size
+	if len(b) > end && b[end] != '\r' || len(b) > end+1 && b[end+1] != '\n' {
+		return false, badRequest("a chunk that does not end where it should")
 	}
-	if len(b) < ends+len(lineEnd) {
+	next := end + len(lineEnd)
+	if len(b) < next {
 		return false, nil
 	}
-	p.next, p.length = ends+len(lineEnd), p.length+size
+	p.next = next
+	p.length += size
 	return true, nil
 }
 
-// requestChunkSize reads a chunk's line: no spaces, no sign, no 0x, which others read differently.
-func requestChunkSize(line []byte) (size int, ok bool) {
+// parseRequestChunkSize parses a chunk's line. Spaces, a sign and 0x are refused, as others read them differently.
+func parseRequestChunkSize(line []byte) (size int, ok bool) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
-	if len(digits) == 0 || len(digits) > mostHexDigits {
+	if len(digits) == 0 || len(digits) > maxChunkSizeDigits {
 		return 0, false
 	}
 	for _, c := range digits {
-		v := bytes.IndexByte([]byte(hexDigits), c|0x20)
-		if v < 0 || c < '0' {
+		digit := bytes.IndexByte([]byte(hexDigits), c|lowerCaseBit)
+		if digit < 0 || c < '0' { // the bit turns some control bytes into digits
 			return 0, false
 		}
-		size = size*16 + v
+		size = size*len(hexDigits) + digit
 	}
 	return size, true
 }
 
-// requestTrailer passes over a trailer and the empty line behind it, and tells where that ends; 0 until it has come.
+// requestTrailer reads a trailer and the empty line behind it. It returns where that ends, or 0 until it has been
+// received.
 func (p *Progress) requestTrailer(b []byte) (end int, fault *Fault) {
 	for {
-		line, next, fault := requestLine(b, p.next, maxTrailer, bad("a trailer that is too long"))
+		tooLong := badRequest("a trailer that is too long")
+		line, next, fault := cutRequestLine(b, p.next, maxTrailerSize, tooLong)
 		switch {
 		case fault != nil || next == 0:
 			return 0, fault
-		case next-p.trailerAt > maxTrailer:
-			return 0, bad("a trailer that is too long")
+		case next-p.trailerAt > maxTrailerSize:
+			return 0, tooLong
 		case len(line) == 0:
 			return next, nil
 		}
-		if name, _, ok := bytes.Cut(line, []byte(":")); !ok || !isToken(name) {
-			return 0, bad("a trailer that can't be read")
+		name, _, ok := bytes.Cut(line, []byte(":"))
+		if !ok || !isToken(name) {
+			return 0, badRequest("a trailer that can't be read")
 		}
 		p.next = next
 	}
--- a/internal/wire/http1/request_test.go
+++ b/internal/wire/http1/request_test.go
@@ -2,20 +2,21 @@
 
 import (
 	"bytes"
+	"fmt"
 	"runtime"
-	"strconv"
 	"strings"
 	"testing"
 )
 
-const mostBody = 64
+const testMaxBody = 64
 
-// Each shape is one that two readers on the way may take differently, or that takes memory without end. Taken for good, part
-// of one client's request would be read as another's.
+// Each shape is one that two readers on the way may take differently, or that takes memory without end. If it were
+// served, part of one client's request would be read as another's.
 func TestShapesThatCouldSmuggleARequestAreRefused(t *testing.T) {
 	get := "GET /k HTTP/1.1\r\nHost: n\r\n"
 	put := "PUT /k HTTP/1.1\r\nHost: n\r\n"
-	for name, c := range map[string]struct {
+	chunked := put + "Transfer-Encoding: chunked\r\n\r\n"
+	for name, test := range map[string]struct {
 		text   string
 		status int
 	}{
@@ -46,28 +47,30 @@
 		"10,000 headers":         {get + strings.Repeat("X: y\r\n", 10000) + "\r\n", 431},
 		"a header without end":   {get + "X: " + strings.Repeat("y", 20000), 431},
 		"an odd expectation":     {get + "Expect: tea\r\n\r\n", 417},
-		"a signed chunk":         {put + "Transfer-Encoding: chunked\r\n\r\n+3\r\nabc\r\n0\r\n\r\n", 400},
-		"a chunk in 0x":          {put + "Transfer-Encoding: chunked\r\n\r\n0x3\r\nabc\r\n0\r\n\r\n", 400},
-		"a chunk with a space":   {put + "Transfer-Encoding: chunked\r\n\r\n3 \r\nabc\r\n0\r\n\r\n", 400},
-		"a chunk too short":      {put + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n", 400},
-		"a chunk of 4 GB":        {put + "Transfer-Encoding: chunked\r\n\r\nffffffff\r\n", 413},
-		"a chunk that wraps":     {put + "Transfer-Encoding: chunked\r\n\r\n100000003\r\nabc\r\n", 400},
-		"a trailer without end":  {put + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat("X: y\r\n", 2000), 400},
+		"a signed chunk":         {chunked + "+3\r\nabc\r\n0\r\n\r\n", 400},
+		"a chunk in 0x":          {chunked + "0x3\r\nabc\r\n0\r\n\r\n", 400},
+		"a chunk with a space":   {chunked + "3 \r\nabc\r\n0\r\n\r\n", 400},
+		"a chunk too short":      {chunked + "3\r\nabcd\r\n0\r\n\r\n", 400},
+		"a chunk of 4 GB":        {chunked + "ffffffff\r\n", 413},
+		"a chunk that wraps":     {chunked + "100000003\r\nabc\r\n", 400},
+		"a trailer without end":  {chunked + "0\r\n" + strings.Repeat("X: y\r\n", 2000), 400},
 	} {
-		if _, size, fault := ReadRequest([]byte(c.text), mostBody); fault == nil || fault.Status != c.status || size != 0 {
-			t.Errorf("%s: %v, size %d, want %d", name, fault, size, c.status)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, size, fault := ReadRequest([]byte(test.text), testMaxBody)
+			if fault == nil || fault.Status != test.status || size != 0 {
+				t.Errorf("%v, size %d, want %d", fault, size, test.status)
+			}
+		})
 	}
 }
 
-// What is well formed is read whole, one request after another, and who waits for 100 is told so once.
 func TestRequestsAreReadOneAfterAnother(t *testing.T) {
 	text := "\r\nPUT /a?x=1 HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc" +
 		"POST /b HTTP/1.1\r\nhost: n\r\ntransfer-encoding: Chunked\r\n\r\n2;x=y\r\nde\r\n1\r\nf\r\n0\r\nT: v\r\n\r\n" +
 		"GET /c HTTP/1.0\r\n\r\nHEAD /d HTTP/1.1\r\nHost: n\r\nConnection: x, Close\r\n\r\n"
 	want := []string{"PUT /a?x=1 abc", "POST /b def", "GET /c  last", "HEAD /d  last"}
 	for b := []byte(text); len(b) > 0; {
-		q, size, fault := ReadRequest(b, mostBody)
+		q, size, fault := ReadRequest(b, testMaxBody)
 		got := string(q.Method) + " " + string(q.Target) + " " + string(q.Body)
 		if q.Close {
 			got += " last"
@@ -75,82 +78,100 @@
 		if fault != nil || size == 0 || len(want) == 0 || got != want[0] {
 			t.Fatalf("%q %v, want %v", got, fault, want)
 		}
-		b, want = b[size:], want[1:]
+		b = b[size:]
+		want = want[1:]
 	}
-	waits := []byte("PUT /a HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
-	if q, size, _ := ReadRequest(waits, mostBody); size != 0 || !q.Continue || q.TotalSize != len(waits)+3 {
+}
+
+// A client that waits for the status 100 is told so until its body begins.
+func TestClientThatWaitsToSendItsBodyIsKnown(t *testing.T) {
+	head := []byte("PUT /a HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
+	if q, size, _ := ReadRequest(head, testMaxBody); size != 0 || !q.Continue || q.TotalSize != len(head)+3 {
 		t.Errorf("%+v", q)
 	}
-	if q, _, _ := ReadRequest(append(waits, 'a'), mostBody); q.Continue {
+	if q, _, _ := ReadRequest(append(head, 'a'), testMaxBody); q.Continue {
 		t.Error("it sends already")
 	}
 }
 
-// Cut anywhere, a request reads as the whole does: it asks for more until it is there, and is refused at last where the whole
-// is refused. Written again from its parts it reads alike.
+// Cut anywhere, a request reads as the whole does: more bytes are asked for until it has been received, and it is
+// refused at last where the whole is refused. Written again from its parts it reads alike.
 func FuzzRequestsSplitAnywhereReadAlike(f *testing.F) {
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabcGET /"))
 	f.Add([]byte("POST /b HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n"))
 	f.Add([]byte("GET /c HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"))
 	f.Add([]byte("GET /c HTTP/1.1\nHost: n\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, size, fault := ReadRequest(b, mostBody)
-		var read Progress
+		whole, wholeSize, wholeFault := ReadRequest(b, testMaxBody)
+		var progress Progress
 		for n := range b {
-			if kept, got, refused := read.ReadRequest(b[:n], mostBody); got > 0 || refused != nil { // piece by piece it is the same
-				if refused == nil && (got != size || !bytes.Equal(kept.Body, whole.Body)) || refused != nil && fault == nil {
-					t.Fatalf("%q in pieces reads as %d bytes (%v), the whole as %d (%v)", b[:n], got, refused, size, fault)
+			inPieces, size, fault := progress.ReadRequest(b[:n], testMaxBody)
+			if size > 0 || fault != nil {
+				if fault == nil && (size != wholeSize || !bytes.Equal(inPieces.Body, whole.Body)) ||
+					fault != nil && wholeFault == nil {
+					t.Fatalf("%q in pieces reads as %d bytes (%v), the whole as %d (%v)", b[:n], size, fault,
+						wholeSize, wholeFault)
 				}
-				read = Progress{}
+				progress = Progress{}
 			}
-			part, got, refused := ReadRequest(b[:n], mostBody)
+			part, size, fault := ReadRequest(b[:n], testMaxBody)
 			switch {
-			case refused != nil && fault == nil:
-				t.Fatalf("%q is refused (%v), with more it is not", b[:n], refused)
-			case got > 0 && (got != size || !bytes.Equal(part.Body, whole.Body)):
-				t.Fatalf("%q reads as %d bytes, the whole as %d", b[:n], got, size)
+			case fault != nil && wholeFault == nil:
+				t.Fatalf("%q is refused (%v), with more it is not", b[:n], fault)
+			case size > 0 && (size != wholeSize || !bytes.Equal(part.Body, whole.Body)):
+				t.Fatalf("%q reads as %d bytes, the whole as %d", b[:n], size, wholeSize)
 			}
 		}
-		if size == 0 || fault != nil {
+		if wholeSize == 0 || wholeFault != nil {
 			return
 		}
-		again := append(append(append([]byte(nil), whole.Method...), ' '), whole.Target...)
-		again = append(again, " HTTP/1.1\r\n"...)
-		host := false
-		whole.Each(func(name, value []byte) {
-			if l := strings.ToLower(string(name)); l != "content-length" && l != "transfer-encoding" && l != "connection" {
-				host = host || l == "host"
-				again = append(append(append(append(again, name...), ": "...), value...), crlf...)
-			}
-		})
-		if !host {
-			again = append(again, "Host: n\r\n"...)
+		again := rewriteRequest(&whole)
+		q, n, fault := ReadRequest(again, testMaxBody)
+		isSame := bytes.Equal(q.Body, whole.Body) && bytes.Equal(q.Target, whole.Target)
+		if fault != nil || n != len(again) || !isSame {
+			t.Fatalf("%q, written again as %q: %v", b[:wholeSize], again, fault)
 		}
-		again = append(again, "Content-Length: "...)
-		again = strconv.AppendInt(again, int64(len(whole.Body)), 10)
-		again = append(append(again, "\r\n\r\n"...), whole.Body...)
-		q, n, refused := ReadRequest(again, mostBody)
-		if refused != nil || n != len(again) || !bytes.Equal(q.Body, whole.Body) || !bytes.Equal(q.Target, whole.Target) {
-			t.Fatalf("%q, written again as %q: %v", b[:size], again, refused)
+	})
+}
+
+// rewriteRequest writes a request from its parts, with a stated length and at least one host.
+func rewriteRequest(q *Request) []byte {
+	var text bytes.Buffer
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\n", q.Method, q.Target)
+	hasHost := false
+	q.Each(func(name, value []byte) {
+		switch strings.ToLower(string(name)) {
+		case "content-length", "transfer-encoding", "connection":
+			return
+		case "host":
+			hasHost = true
 		}
+		fmt.Fprintf(&text, "%s: %s\r\n", name, value)
 	})
+	if !hasHost {
+		text.WriteString("Host: n\r\n")
+	}
+	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(q.Body), q.Body)
+	return text.Bytes()
 }
 
-// A client that sent 16,000 chunks of one byte, each by itself, took 14 s of the node's core within what a request may take to come.
-func TestARequestsChunksAreLookedAtOnce(t *testing.T) {
-	const chunks, one = 16000, "1\r\nx\r\n"
+// A client that sent 16,000 chunks of one byte, each by itself, took 14 s of the node's core within the time that a
+// request may take to be received.
+func TestRequestChunksAreReadOnce(t *testing.T) {
+	const chunks, chunk = 16000, "1\r\nx\r\n"
 	head := "POST /a HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n"
-	b := []byte(head + strings.Repeat(one, chunks) + "0\r\n\r\n")
-	var read Progress
+	b := []byte(head + strings.Repeat(chunk, chunks) + "0\r\n\r\n")
+	var progress Progress
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	size := 0
-	for at := len(head) + len(one); size == 0; at = min(at+len(one), len(b)) {
-		q, n, fault := read.ReadRequest(b[:at], 2*chunks)
+	for at := len(head) + len(chunk); size == 0; at = min(at+len(chunk), len(b)) {
+		q, n, fault := progress.ReadRequest(b[:at], 2*chunks)
 		if fault != nil {
 			t.Fatal(fault)
 		}
-		if size = n; size > 0 && (size != len(b) || len(q.Body) != chunks) {
+		size = n
+		if size > 0 && (size != len(b) || len(q.Body) != chunks) {
 			t.Fatalf("%d bytes with a body of %d", size, len(q.Body))
 		}
 	}
--- a/internal/wire/http1/response.go
+++ b/internal/wire/http1/response.go
@@ -1,186 +1,131 @@
-// Package http1 writes requests and reads answers of HTTP/1.1, as far as one asker with one request out on a
-// connection needs it.
 package http1
 
 import (
 	"bytes"
 	"errors"
+	"net/http"
 	"strconv"
-	"strings"
 )
 
-// The statuses of answers that refuse for having too much to do, and say nothing of what was asked.
+// The statuses of rejections: the server was at capacity, and the request has not run.
 const (
-	TooMany     = 429
-	Unavailable = 503
+	TooMany     = http.StatusTooManyRequests
+	Unavailable = http.StatusServiceUnavailable
 )
 
-const maxHead = 16 << 10 // bytes of the heads of an answer, interim ones among them: far above any honest ones
+// maxHeadSize is the limit, in bytes, of the heads of a message, those of interim responses among them. It is far
+// above any that a usual peer sends.
+const maxHeadSize = 16 << 10
 
-// Answer is one answer. Its parts lie in the buffer it was read from, but for a body that came in chunks.
-type Response struct {
-	Status    int
-	Body      []byte
-	Close     bool // the connection ends with it
-	TotalSize int  // with a size of 0: how many bytes it will have in all, where that is known
-	HeadSize  int  // and how many bytes stand before its body
-	BodySize  int  // and the body has
-	headers   []byte
-}
+const (
+	firstFinalStatus = 200 // statuses below are those of interim responses
+	leastStatus      = 100
+)
 
 var (
 	errHead   = errors.New("the head of an answer is malformed or too long")
 	errLength = errors.New("the length of an answer is malformed or too great")
 )
 
-// AppendRequest writes a request; headers are whole lines with their ends.
-func AppendRequest(to []byte, method string, path []byte, host string, headers, body []byte) []byte {
-	to = append(append(append(append(to, method...), ' '), path...), " HTTP/1.1\r\nHost: "...)
-	to = append(append(append(to, host...), "\r\n"...), headers...)
-	if method != "GET" {
-		to = strconv.AppendInt(append(to, "Content-Length: "...), int64(len(body)), 10)
-		to = append(to, "\r\n"...)
-	}
-	return append(append(to, "\r\n"...), body...)
-}
-
-// AppendPath writes a key as one segment of a path.
-func AppendPath(to, key []byte) []byte { return appendKey(to, key, "%?") }
-
-// AppendTarget writes a key that is what a URL has behind its first slash: its query stays one, and what it has encoded stays so.
-func AppendTarget(to, key []byte) []byte { return appendKey(to, key, "") }
+// Response is a response. Its parts lie in the buffer that it was read from, but for a body in chunks.
+type Response struct {
+	Status  int
+	Body    []byte
+	Close   bool // the connection ends with it
+	headers []byte
 
-func appendKey(to, key []byte, also string) []byte {
-	const hex = "0123456789ABCDEF"
-	to = append(to, '/')
-	for _, c := range key {
-		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"#<>[\]^{|}`+"`"+also, c) >= 0 {
-			to = append(to, '%', hex[c>>4], hex[c&15])
-		} else {
-			to = append(to, c)
-		}
-	}
-	return to
+	// Of a response of stated length that has not been received as a whole, in bytes. They are 0 with any other.
+	TotalSize int // size of the whole response
+	HeadSize  int // size of what stands before its body
+	BodySize  int // size of the body
 }
 
-// Header returns a header's value, or nil where it does not stand.
-func (a *Response) Header(name string) []byte {
-	value, _ := a.header(name)
+// Header returns a header's value, or nil where it is absent. One that is empty is not nil.
+func (r *Response) Header(name string) []byte {
+	value, _ := findHeader(r.headers, name)
 	return value
 }
 
-// header also tells whether the header says the same each time it stands.
-func (a *Response) header(name string) (value []byte, agreed bool) {
-	agreed = true
-	for rest := a.headers; len(rest) > 0; {
-		var row []byte
-		row, rest, _ = bytes.Cut(rest, []byte("\r\n"))
-		if n, v, ok := bytes.Cut(row, []byte(":")); ok && bytes.EqualFold(n, []byte(name)) {
-			if v = bytes.TrimSpace(v); v == nil {
-				v = row[:0] // it stands, and says nothing
-			}
-			if value == nil {
-				value = v
-			}
-			agreed = agreed && bytes.Equal(v, value)
-		}
-	}
-	return value, agreed
-}
+// Each calls f for every header line, in order.
+func (r *Response) Each(f func(name, value []byte)) { eachHeader(r.headers, f) }
 
-// ReadAnswer reads the first answer in b, with a body of at most so many bytes. A size of 0 asks for more; ended
-// says that no more will come. Who reads an answer as it comes keeps a Progress instead.
-func ReadResponse(b []byte, maxBody int, ended bool) (a Response, size int, err error) {
+// ReadResponse reads the first response in b, with a body of at most maxBody bytes. A size of 0 without an error asks
+// for more bytes; ended says that no more will be received. A response that is received in pieces is read with a
+// Progress instead.
+func ReadResponse(b []byte, maxBody int, ended bool) (r Response, size int, err error) {
 	var p Progress
 	return p.ReadResponse(b, maxBody, ended)
 }
 
-// ReadAnswer is ReadAnswer for an answer that comes in pieces: b begins with the same bytes at each call, until a size or an error is returned.
-// After that the Progress is to be reset for the next answer.
-func (p *Progress) ReadResponse(b []byte, maxBody int, ended bool) (a Response, size int, err error) {
-	for a.Status < 200 { // interim ones say nothing; the real one follows
-		n := 0
-		if a, n, err = readHead(b[size:], maxHead-size); n == 0 {
-			return a, 0, err
+// ReadResponse does as the function of its name for a response that is received in pieces: b begins with the same
+// bytes at each call, until a size or an error is returned. After that the Progress is to be reset for the next one.
+func (p *Progress) ReadResponse(b []byte, maxBody int, ended bool) (r Response, size int, err error) {
+	for r.Status < firstFinalStatus {
+		headSize := 0
+		r, headSize, err = readResponseHead(b[size:], maxHeadSize-size)
+		if headSize == 0 {
+			return r, 0, err
 		}
-		size += n
+		size += headSize
 	}
-	declared, coded := a.Header("Content-Length"), a.Header("Transfer-Encoding")
+	length := r.Header("Content-Length")
+	coding := r.Header("Transfer-Encoding")
 	switch {
-	case coded != nil && (declared != nil || !bytes.EqualFold(coded, []byte("chunked"))):
-		return a, 0, errLength
-	case a.Status == 204 || a.Status == 304:
-		return a, size, nil
-	case coded != nil:
-		n := 0
-		if a.Body, n, err = p.chunks(b[size:], maxBody); n == 0 {
-			if err == nil && len(b) > size+2*maxBody+maxHead {
-				err = errLength // a trailer without end, or a body in single bytes
-			}
-			return a, 0, err
-		}
-		return a, size + n, nil
-	case declared != nil:
-		n, bad := strconv.ParseUint(string(declared), 10, 32) // not signed: no sign is taken
-		if bad != nil || n > uint64(maxBody) {
-			return a, 0, errLength
-		}
-		if uint64(len(b)-size) < n {
-			a.TotalSize, a.HeadSize, a.BodySize = size+int(n), size, int(n)
-			return a, 0, nil
-		}
-		a.Body = b[size : size+int(n)]
-		return a, size + int(n), nil
-	case len(b)-size > maxBody:
-		return a, 0, errLength
-	case !ended:
-		return a, 0, nil
+	case coding != nil && (length != nil || !bytes.EqualFold(coding, []byte("chunked"))):
+		return r, 0, errLength
+	case r.Status == http.StatusNoContent || r.Status == http.StatusNotModified:
+		return r, size, nil
+	case coding != nil:
+		size, err = p.readChunkedBody(&r, b, size, maxBody)
+	case length != nil:
+		size, err = r.readBody(b, size, length, maxBody)
+	default:
+		size, err = r.readBodyToEnd(b, size, maxBody, ended)
 	}
-	a.Body, a.Close = b[size:], true
-	return a, len(b), nil
+	return r, size, err
 }
 
-// readHead reads a status line and headers of at most so many bytes. What has come of one that has not ended is
-// looked at as well: who sends noise may never end it.
-func readHead(b []byte, most int) (a Response, size int, err error) {
-	const version, ends = "HTTP/1.", "\r\n"
-	if n := min(len(b), len(version)); string(b[:n]) != version[:n] {
-		return a, 0, errHead
+// readChunkedBody reads a body in chunks behind a head, and returns the size of the response.
+func (p *Progress) readChunkedBody(r *Response, b []byte, headSize, maxBody int) (size int, err error) {
+	body, bodySize, err := p.chunks(b[headSize:], maxBody)
+	r.Body = body
+	if bodySize > 0 {
+		return headSize + bodySize, nil
 	}
-	status, headers, whole := bytes.Cut(b[:min(len(b), most)], []byte(ends))
-	if !whole {
-		if len(b) >= most {
-			return a, 0, errHead
-		}
-		return a, 0, nil
+	// Guards against a trailer without end, and a body in chunks of single bytes: either would take memory without
+	// end while the body is still short.
+	if err == nil && len(b) > headSize+2*maxBody+maxHeadSize {
+		err = errLength
 	}
-	if len(status) < 12 || status[8] != ' ' || len(status) > 12 && status[12] != ' ' {
-		return a, 0, errHead
+	return 0, err
+}
+
+// readBody reads a body of stated length behind a head, and returns the size of the response.
+func (r *Response) readBody(b []byte, headSize int, length []byte, maxBody int) (size int, err error) {
+	bodySize, err := strconv.ParseUint(string(length), 10, 32) // unsigned, as a sign is malformed
+	if err != nil || bodySize > uint64(maxBody) {
+		return 0, errLength
 	}
-	code, bad := strconv.ParseUint(string(status[9:12]), 10, 16)
-	if bad != nil || code < 100 {
-		return a, 0, errHead
+	size = headSize + int(bodySize)
+	if len(b) < size {
+		r.TotalSize = size
+		r.HeadSize = headSize
+		r.BodySize = int(bodySize)
+		return 0, nil
 	}
-	a.Status = int(code)
-	for rest := headers; ; {
-		row, next, whole := bytes.Cut(rest, []byte(ends))
-		switch name, _, named := bytes.Cut(row, []byte(":")); {
-		case !whole && len(b) >= most:
-			return a, 0, errHead
-		case !whole:
-			return a, 0, nil
-		case len(row) == 0:
-			a.headers = headers[:len(headers)-len(rest)]
-			for _, once := range []string{"Content-Length", "Transfer-Encoding"} { // two that differ tell nothing
-				if _, agreed := a.header(once); !agreed {
-					return a, 0, errLength
-				}
-			}
-			a.Close = status[7] == '0' || bytes.EqualFold(a.Header("Connection"), []byte("close"))
-			return a, len(status) + len(ends) + len(headers) - len(next), nil
-		case !named || len(name) == 0 || bytes.ContainsAny(name, " \t"):
-			return a, 0, errHead
-		}
-		rest = next
+	r.Body = b[headSize:size]
+	return size, nil
+}
+
+// readBodyToEnd reads a body that ends with its connection, and returns the size of the response.
+func (r *Response) readBodyToEnd(b []byte, headSize, maxBody int, ended bool) (size int, err error) {
+	if len(b)-headSize > maxBody {
+		return 0, errLength
+	}
+	if !ended {
+		return 0, nil
 	}
+	r.Body = b[headSize:]
+	r.Close = true
+	return len(b), nil
 }
--- a/internal/wire/http1/response_test.go
+++ b/internal/wire/http1/response_test.go
@@ -7,105 +7,137 @@
 	"testing"
 )
 
-func FuzzAnswersSplitAnywhereReadAlike(f *testing.F) {
-	for _, s := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Call-Id: a\r\n\r\nhello",
-		"HTTP/1.1 503 No\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n", "HTTP/1.1 204 None\r\n\r\n",
+func FuzzResponsesSplitAnywhereReadAlike(f *testing.F) {
+	for _, text := range []string{
+		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Call-Id: a\r\n\r\nhello",
+		"HTTP/1.1 503 No\r\nx-rejected: 1\r\ncontent-length: 0\r\n\r\n",
+		"HTTP/1.1 204 None\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n",
 		"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
-		"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "nonsense\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n"} {
-		f.Add([]byte(s))
+		"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
+		"nonsense\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n",
+	} {
+		f.Add([]byte(text))
 	}
+	const maxBody = 1000
 	f.Fuzz(func(t *testing.T, b []byte) {
-		want, size, err := ReadResponse(b, 1000, false)
-		if size > len(b) || len(want.Body) > 1000 {
-			t.Fatalf("%d of %d bytes, a body of %d", size, len(b), len(want.Body))
+		want, wantSize, wantErr := ReadResponse(b, maxBody, false)
+		if wantSize > len(b) || len(want.Body) > maxBody {
+			t.Fatalf("%d of %d bytes, a body of %d", wantSize, len(b), len(want.Body))
 		}
-		var read Progress
+		var pieces Progress
 		for at := range b {
-			got, n, wrong := ReadResponse(b[:at], 1000, false)
-			if n == 0 && wrong == nil { // piece by piece it is the same
-				if kept, m, bad := read.ReadResponse(b[:at], 1000, false); m != 0 || bad != nil || kept.Status != got.Status {
-					t.Fatalf("%d of %q in pieces: %d %v", at, b, m, bad)
+			got, size, err := ReadResponse(b[:at], maxBody, false)
+			if size == 0 && err == nil { // received in pieces it reads the same
+				inPieces, n, err := pieces.ReadResponse(b[:at], maxBody, false)
+				if n != 0 || err != nil || inPieces.Status != got.Status {
+					t.Fatalf("%d of %q in pieces: %d %v", at, b, n, err)
 				}
 			}
-			if n != 0 && (n != size || got.Status != want.Status || !bytes.Equal(got.Body, want.Body)) || wrong != nil && err == nil {
-				t.Fatalf("%d of %q: %d %v, whole: %d %v", at, b, n, wrong, size, err)
+			if size != 0 && (size != wantSize || got.Status != want.Status || !bytes.Equal(got.Body, want.Body)) ||
+				err != nil && wantErr == nil {
+				t.Fatalf("%d of %q: %d %v, whole: %d %v", at, b, size, err, wantSize, wantErr)
 			}
 		}
-		if got, n, wrong := read.ReadResponse(b, 1000, false); n != size || (wrong == nil) != (err == nil) || !bytes.Equal(got.Body, want.Body) {
-			t.Fatalf("%q in pieces: %d %v %q, whole: %d %v %q", b, n, wrong, got.Body, size, err, want.Body)
+		got, size, err := pieces.ReadResponse(b, maxBody, false)
+		if size != wantSize || (err == nil) != (wantErr == nil) || !bytes.Equal(got.Body, want.Body) {
+			t.Fatalf("%q in pieces: %d %v %q, whole: %d %v %q", b, size, err, got.Body, wantSize, wantErr, want.Body)
 		}
 	})
 }
 
-// A list of 1 MB that came in chunks and pieces of 1,000 bytes was copied anew with each piece: 2.4 s of a core.
-func TestChunksThatComeInPiecesAreLookedAtOnce(t *testing.T) {
-	const chunk, chunks, head = 1000, 1000, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	one := "3e8\r\n" + strings.Repeat("x", chunk) + "\r\n"
-	whole := []byte(head + strings.Repeat(one, chunks) + "0\r\n\r\n")
-	var read Progress
+// A list of 1 MB that was received in chunks, and in pieces of 1,000 bytes, was copied anew with each piece: 2.4 s of
+// a core.
+func TestResponseChunksAreReadOnce(t *testing.T) {
+	const chunkSize, chunks = 1000, 1000
+	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	chunk := "3e8\r\n" + strings.Repeat("x", chunkSize) + "\r\n"
+	whole := []byte(head + strings.Repeat(chunk, chunks) + "0\r\n\r\n")
+	var progress Progress
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	size := 0
-	for at := len(one); size == 0; at = min(at+len(one), len(whole)) {
-		a, n, err := read.ReadResponse(whole[:at], 2*chunk*chunks, false)
+	for at := len(chunk); size == 0; at = min(at+len(chunk), len(whole)) {
+		r, n, err := progress.ReadResponse(whole[:at], 2*chunkSize*chunks, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if size = n; size > 0 && (size != len(whole) || len(a.Body) != chunk*chunks) {
-			t.Fatalf("%d bytes with a body of %d", size, len(a.Body))
+		size = n
+		if size > 0 && (size != len(whole) || len(r.Body) != chunkSize*chunks) {
+			t.Fatalf("%d bytes with a body of %d", size, len(r.Body))
 		}
 	}
 	runtime.ReadMemStats(&after)
-	if bytes := after.TotalAlloc - before.TotalAlloc; bytes > 2*chunk*chunks {
-		t.Errorf("%d bytes were allocated for a body of %d", bytes, chunk*chunks)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 2*chunkSize*chunks {
+		t.Errorf("%d bytes were allocated for a body of %d", allocated, chunkSize*chunks)
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	for _, c := range []struct {
-		in     string
-		ended  bool
-		status int
-		body   string
-		last   bool
+func TestReadResponse(t *testing.T) {
+	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+	for _, test := range []struct {
+		name, text string
+		ended      bool
+		status     int // 0 where more bytes are asked for
+		body       string
+		isLast     bool
 	}{
-		{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP", false, 200, "hello", false},
-		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", false, 200, "abcde", false},
-		{"HTTP/1.1 500 Oh\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", false, 500, "", true},
-		{"HTTP/1.0 200 OK\r\n\r\nrest", true, 200, "rest", true},
-		{"HTTP/1.0 200 OK\r\n\r\nrest", false, 0, "", false},
+		{"stated length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP", false, 200, "hello", false},
+		{"chunks", chunked, false, 200, "abcde", false},
+		{"close", "HTTP/1.1 500 Oh\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", false, 500, "", true},
+		{"to the end", "HTTP/1.0 200 OK\r\n\r\nrest", true, 200, "rest", true},
+		{"before the end", "HTTP/1.0 200 OK\r\n\r\nrest", false, 0, "", false},
 	} {
-		a, size, err := ReadResponse([]byte(c.in), 100, c.ended)
-		if err != nil || (size > 0) != (c.status > 0) || size > 0 && (a.Status != c.status || string(a.Body) != c.body || a.Close != c.last) {
-			t.Errorf("%q: %v %d %v", c.in, a, size, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			r, size, err := ReadResponse([]byte(test.text), 100, test.ended)
+			if err != nil || (size > 0) != (test.status > 0) {
+				t.Fatalf("%q: %v %d %v", test.text, r, size, err)
+			}
+			if size > 0 && (r.Status != test.status || string(r.Body) != test.body || r.Close != test.isLast) {
+				t.Errorf("%q: %v %d %v", test.text, r, size, err)
+			}
+		})
 	}
 }
 
-// One with two lengths was served by the first of them: 49 values cut to three bytes on one day.
-func TestWhatCantBeReadIsToldAtOnce(t *testing.T) {
+// A response with two lengths was read by the first of them: 49 values were cut to three bytes on one day. What cannot
+// be read for sure is refused, and as soon as it is known.
+func TestMalformedResponseIsRefusedAtOnce(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
-	for _, bad := range []string{"\x8c", "HTTP/2", "HTTP/1.1 20x OK\r\n", "HTTP/1.1 2000\r\n", "HTTP/1.1 +20 OK\r\n", "HTTP/1.1_200_OK\r\n",
-		ok + "no colon\r\n", ok + "Content-Length : 5\r\n", ok + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhello",
-		ok + "Content-Length: -5\r\n\r\n", ok + "Content-Length: +5\r\n\r\n", ok + "Content-Length: 3221225472\r\n\r\n",
-		ok + "Content-Length:\r\n\r\n", ok + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
-		ok + "Transfer-Encoding: zip\r\n\r\n", ok + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat("T: 1\r\n", maxHead),
-		ok + strings.Repeat("x", maxHead), ok + strings.Repeat("X: y\r\n", maxHead), strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxHead)} {
-		if a, size, err := ReadResponse([]byte(bad), 100, false); err == nil {
-			t.Errorf("%.90q: %v, %d", bad, a, size)
-		}
-	}
-	const twice = ok + "content-length: 5\r\nContent-Length: 5\r\nX-Load-Report: \x01\xff=,\r\n\r\nhello"
-	if a, _, err := ReadResponse([]byte(strings.Repeat("HTTP/1.1 103 Hint\r\nA: b\r\n\r\n", 3)+twice), 100, false); err != nil || string(a.Body) != "hello" {
-		t.Errorf("%v %v", a, err)
+	for _, test := range []struct{ name, text string }{
+		{"noise", "\x8c"},
+		{"another version", "HTTP/2"},
+		{"status with a letter", "HTTP/1.1 20x OK\r\n"},
+		{"long status", "HTTP/1.1 2000\r\n"},
+		{"signed status", "HTTP/1.1 +20 OK\r\n"},
+		{"no spaces", "HTTP/1.1_200_OK\r\n"},
+		{"header without a colon", ok + "no colon\r\n"},
+		{"space before the colon", ok + "Content-Length : 5\r\n"},
+		{"two lengths", ok + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhello"},
+		{"negative length", ok + "Content-Length: -5\r\n\r\n"},
+		{"signed length", ok + "Content-Length: +5\r\n\r\n"},
+		{"length of 3 GB", ok + "Content-Length: 3221225472\r\n\r\n"},
+		{"empty length", ok + "Content-Length:\r\n\r\n"},
+		{"length and coding", ok + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"},
+		{"unknown coding", ok + "Transfer-Encoding: zip\r\n\r\n"},
+		{"long trailer", ok + "Transfer-Encoding: chunked\r\n\r\n0\r\n" + strings.Repeat("T: 1\r\n", maxHeadSize)},
+		{"long header", ok + strings.Repeat("x", maxHeadSize)},
+		{"many headers", ok + strings.Repeat("X: y\r\n", maxHeadSize)},
+		{"many interim responses", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxHeadSize)},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if r, size, err := ReadResponse([]byte(test.text), 100, false); err == nil {
+				t.Errorf("%.90q: %v, %d", test.text, r, size)
+			}
+		})
 	}
 }
 
-func TestRequest(t *testing.T) {
-	got := string(AppendRequest(nil, "PUT", AppendPath(nil, []byte("obj:a%b?c")), "h:1", []byte("A: b\r\n"), []byte("xy")))
-	if want := "PUT /obj:a%25b%3Fc HTTP/1.1\r\nHost: h:1\r\nA: b\r\nContent-Length: 2\r\n\r\nxy"; got != want {
-		t.Errorf("%q", got)
+func TestLengthStatedTwiceAlikeAndInterimResponsesAreRead(t *testing.T) {
+	const text = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\nContent-Length: 5\r\nX-Load-Report: \x01\xff=,\r\n\r\nhello"
+	interim := strings.Repeat("HTTP/1.1 103 Hint\r\nA: b\r\n\r\n", 3)
+	if r, _, err := ReadResponse([]byte(interim+text), 100, false); err != nil || string(r.Body) != "hello" {
+		t.Errorf("%v %v", r, err)
 	}
 }
