--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -37,6 +37,8 @@
 	broken func(*membership.Detector)
 	ticks  int
 	byAddr map[string]*simNode
+
+	recorder *recorder // nil: nothing is recorded
 }
 
 type simNode struct {
@@ -171,7 +173,13 @@
 	}
 	p.book.LoopAdvanced(p.turns)
 	do := p.book.Tick(s.now)
+	if s.recorder != nil {
+		s.recorder.ticked(time.Duration(s.now), p.book, do)
+	}
 	if own, isNew := p.book.OwnStatement(); isNew {
+		if s.recorder != nil {
+			s.recorder.stated(own)
+		}
 		p.words[own.Process], p.fresh[own.Process] = own, rounds
 	}
 	hello := func(to []string, h membership.Heartbeat) {
