--- /dev/null
+++ b/internal/membership/antientropy.go
@@ -0,0 +1,77 @@
+package membership
+
+import "time"
+
+const (
+	// statementGrace is the time that a newer statement, announced by a heartbeat, has to arrive by gossip before it is
+	// asked for.
+	statementGrace = 300 * time.Millisecond
+	// digestGrace is the same for digests that differ without a newer statement of the sender.
+	digestGrace = time.Second
+	// syncInterval is the shortest time between two exchanges that this process asks for, in a fleet of no size.
+	syncInterval = 500 * time.Millisecond
+	// syncIntervalPerProcess is added to it for each process known: an exchange is that much longer.
+	syncIntervalPerProcess = 5 * time.Millisecond
+	// smallFleet is the number of processes that gossip reaches within these spans; each time as many take half as long
+	// again.
+	smallFleet = 32
+)
+
+// syncState says when and with whom all that is known is exchanged: anti-entropy, beside the gossip of single statements.
+type syncState struct {
+	target      string        // address to exchange with after this tick; empty for none
+	requestedAt time.Duration // run time of the last request; 0 for none
+	heardOther  bool          // a statement of another process has arrived
+	completed   bool          // all that another process knows was taken over
+}
+
+func (s *syncState) takeTarget() string {
+	target := s.target
+	s.target = ""
+	return target
+}
+
+// SyncCompleted tells that all that another process knows was taken over.
+func (d *Detector) SyncCompleted() { d.sync.completed = true }
+
+// scaled is how long to wait for statements, or to gather them, where base is enough in a small fleet. Guards against a
+// large fleet in which each change has every process ask for all that is known: gossip takes longer to reach all the more
+// there are, and a process that is busy with exchanges has more to state that has to reach all.
+func (d *Detector) scaled(base time.Duration) time.Duration {
+	span := base
+	for n := smallFleet; n < len(d.peers.byID); n *= 2 {
+		span += base / 2
+	}
+	return span
+}
+
+// requestSync asks for an exchange with a process, not too often.
+func (d *Detector) requestSync(addr string) {
+	if d.sync.target != "" {
+		return
+	}
+	interval := syncInterval + d.scaled(time.Duration(len(d.peers.byID))*syncIntervalPerProcess)
+	if d.sync.requestedAt != 0 && d.ran-d.sync.requestedAt < interval {
+		return
+	}
+	d.sync.target = addr
+	d.sync.requestedAt = d.ran
+}
+
+// compareDigest asks for an exchange with a process whose digest has been another than this one's for long enough.
+func (d *Detector) compareDigest(p *peer, h Heartbeat) {
+	if uint32(h.Digest) == uint32(d.evaluation.digest) {
+		p.differentDigest = never
+		return
+	}
+	if p.differentDigest < 0 {
+		p.differentDigest = d.ran
+		return
+	}
+	differs := d.ran - p.differentDigest
+	missesStatement := h.Revision > p.Revision && differs >= d.scaled(statementGrace)
+	if missesStatement || differs >= d.scaled(digestGrace) {
+		p.differentDigest = never
+		d.requestSync(p.Addr)
+	}
+}
--- /dev/null
+++ b/internal/membership/detector.go
@@ -0,0 +1,129 @@
+package membership
+
+import (
+	"time"
+
+	"dahliapin/internal/keyhash"
+	"dahliapin/internal/monotime"
+)
+
+// rules are the guards that a detector applies. All are on in service; tests switch single ones off to show that the
+// invariants then break.
+type rules struct {
+	minObservers     int  // that must miss a process before anything follows from it
+	requireMajority  bool // more must miss a process than hear it
+	selfDoubt        bool // a process that hears too few doubts itself
+	freeze           bool // nobody is taken out while too many are missing at once
+	measureRunTime   bool // spans are measured in time that the process has run, not by the clock
+	stopWithDeadLoop bool // a process that no longer serves clients sends no heartbeats
+}
+
+func soundRules() rules {
+	return rules{
+		minObservers:     2,
+		requireMajority:  true,
+		selfDoubt:        true,
+		freeze:           true,
+		measureRunTime:   true,
+		stopWithDeadLoop: true,
+	}
+}
+
+// Detector is one process's knowledge of its fleet. It is not safe for concurrent use.
+type Detector struct {
+	runClock
+	rules      rules
+	config     Config
+	random     keyhash.Source
+	own        *peer // also in peers
+	peers      peerTable
+	contacts   contacts
+	neighbours neighbourSet
+	statement  ownStatement
+	heartbeats heartbeatSchedule
+	sync       syncState
+	evaluation evaluation
+	conflict   error // why this process has to end; nil for no reason
+	view       *View
+}
+
+// New makes the detector of a process that has not taken its name yet. Seeds are addresses of nodes to ask first.
+func New(config Config, process ProcessID, node NodeName, addr string, seeds []string) *Detector {
+	own := newPeer(0)
+	own.Statement = Statement{Process: process, Node: node, Addr: addr, Revision: 1}
+	return &Detector{
+		rules:      soundRules(),
+		config:     config,
+		random:     keyhash.Source{Seed: uint32(process)},
+		own:        own,
+		peers:      peerTable{byID: map[ProcessID]*peer{process: own}},
+		contacts:   contacts{seeds: seeds, forgotten: map[ProcessID]forgottenPeer{}},
+		neighbours: neighbourSet{stale: true},
+		statement:  ownStatement{unsent: true},
+		view:       &View{Own: process},
+	}
+}
+
+// KnownCount returns the number of processes that are known, this one included.
+func (d *Detector) KnownCount() int { return len(d.peers.byID) }
+
+// Actions lists what has to be sent after a tick. Addresses are those of other processes.
+type Actions struct {
+	Heartbeat   Heartbeat // of this process, to be sent to all of the following
+	HeartbeatTo []string  // neighbours whose heartbeat is due
+	ReplyTo     []string  // those that asked for one
+	ProbeTo     []string  // those that are asked for one in return: WantsReply is to be set
+	SyncWith    string    // whom to exchange all that is known with; empty for nobody
+}
+
+// Tick does what is due and returns what has to be sent. It is to be called several times in each heartbeat interval; now
+// is of a clock that runs on through a suspend.
+func (d *Detector) Tick(now monotime.Instant) Actions {
+	d.advance(now, maxTickIntervals*d.config.HeartbeatInterval, d.rules.measureRunTime)
+	d.updateNeighbours()
+	d.observeNeighbours()
+	d.claimName()
+	d.evaluate()
+
+	actions := Actions{
+		Heartbeat: Heartbeat{
+			Process:   d.own.Process,
+			Revision:  d.own.Revision,
+			Digest:    d.evaluation.digest,
+			Addr:      d.own.Addr,
+			SelfDoubt: d.own.SelfDoubt,
+		},
+		SyncWith: d.sync.takeTarget(),
+	}
+	d.scheduleHeartbeats(&actions)
+	return actions
+}
+
+// maxTickIntervals is the time in heartbeat intervals that counts as run between two ticks, at most.
+const maxTickIntervals = 2
+
+// runClock measures the time that this process has run.
+//
+// Guards against a process that was stopped or starved and takes all others for dead: what it hasn't heard meanwhile is its
+// own doing. A gap between two ticks counts as a short one, and what was heard before it doesn't count as heard now.
+type runClock struct {
+	ran       time.Duration // all spans are measured by it
+	resumedAt time.Duration // run time at the end of the last gap
+	last      monotime.Instant
+	started   bool
+}
+
+// advance adds the time since the last tick; of a longer gap only maxStep where capGaps is set.
+func (c *runClock) advance(now monotime.Instant, maxStep time.Duration, capGaps bool) {
+	if !c.started {
+		c.started = true
+		c.last = now
+	}
+	step := now.Since(c.last)
+	if capGaps && step > maxStep {
+		step = maxStep
+		c.resumedAt = c.ran + maxStep
+	}
+	c.ran += step
+	c.last = now
+}
--- /dev/null
+++ b/internal/membership/evaluation.go
@@ -0,0 +1,169 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// gatherWindow is how long processes that are due for a change of status wait for others that are about to be due, so
+	// that one failure of several processes is one change of the view.
+	gatherWindow = 400 * time.Millisecond
+	// leftRetention is how long one that left is shown in views.
+	leftRetention = 5 * time.Second
+	// evaluationInterval is the unit of the time between two evaluations in a large fleet, as each looks at all processes;
+	// there is none in a small one.
+	evaluationInterval = 50 * time.Millisecond
+)
+
+// evaluation is the state of the evaluation of all statuses.
+type evaluation struct {
+	at          time.Duration // run time of the last one
+	changed     bool          // statements, statuses or neighbours have changed since
+	pending     bool          // some status is to change with time
+	frozen      bool          // no member is taken out: see mayBeCutOff
+	digest      uint64        // of the statements of all members, when evidence was last counted
+	memberCount int           // when evidence was last counted
+}
+
+// evaluate looks at the status of each process, and makes a new view where something has changed.
+func (d *Detector) evaluate() {
+	elapsed := d.ran - d.evaluation.at
+	if elapsed < d.scaled(evaluationInterval)-evaluationInterval {
+		return
+	}
+	d.evaluation.at = d.ran
+	if !d.evaluation.changed && !d.evaluation.pending {
+		return
+	}
+	if d.evaluation.changed {
+		d.countEvidence()
+	}
+	frozen := d.mayBeCutOff()
+	isNews := d.evaluation.changed || frozen != d.evaluation.frozen
+	d.evaluation.frozen = frozen
+	d.evaluation.changed = false
+	d.evaluation.pending = frozen
+
+	var removals, returns batch
+	for _, p := range d.peers.sorted() {
+		switch {
+		case p.Leaving && p.status != Left:
+			d.setStatus(p, Left)
+		case p.status == Left:
+			d.evaluateLeft(p)
+		case p.status == Joining:
+			d.evaluateJoining(p)
+		case p.status == Removed:
+			d.evaluateRemoved(p, elapsed, &returns)
+		default:
+			if d.evaluateMember(p, elapsed, &removals) {
+				isNews = true
+			}
+		}
+	}
+	for _, p := range returns.ready(d.config.RejoinDelay) {
+		d.setStatus(p, Alive)
+	}
+	for _, p := range removals.ready(d.config.RemovalDelay) {
+		d.setStatus(p, Removed)
+	}
+	if isNews || d.evaluation.changed {
+		d.resolveNames()
+		d.publishView()
+	}
+}
+
+// evaluateLeft has one that left join again where it takes that back, and forgets it after a while.
+func (d *Detector) evaluateLeft(p *peer) {
+	if !p.Leaving {
+		d.setStatus(p, Joining)
+		return
+	}
+	d.evaluation.pending = true
+	if p != d.own && d.ran-p.since >= leftRetention {
+		d.forget(p)
+	}
+}
+
+// evaluateJoining makes a process a member that has taken its name and that enough hear.
+func (d *Detector) evaluateJoining(p *peer) {
+	e := &p.evidence
+	isHeard := e.heardBy > 0 && e.heardBy >= e.missedBy
+	if p.Incarnation > 0 && isHeard && (p == d.own || d.fitsIn(p)) {
+		d.setStatus(p, Alive)
+		return
+	}
+	d.evaluation.pending = true
+	if p != d.own && d.ran-p.since >= d.config.ForgetAfter {
+		d.forget(p)
+	}
+}
+
+// evaluateRemoved has a process return that enough hear again for long enough, and forgets it where nobody does.
+func (d *Detector) evaluateRemoved(p *peer, elapsed time.Duration, returns *batch) {
+	d.evaluation.pending = true
+	e := &p.evidence
+	p.sustained += elapsed
+	if e.heardBy == 0 || e.heardBy < e.missedBy {
+		p.sustained = 0
+	}
+	switch {
+	case p.sustained >= d.config.RejoinDelay:
+		returns.due = append(returns.due, p)
+	case p.sustained > 0:
+		returns.othersSoon = true
+	case p != d.own && d.ran-p.since >= d.config.ForgetAfter:
+		d.forget(p)
+	}
+}
+
+// evaluateMember decides whether a member is to be taken out, as enough processes have missed it for long enough. It
+// reports whether the process came to be suspected, or no longer is: that changes no membership.
+func (d *Detector) evaluateMember(p *peer, elapsed time.Duration, removals *batch) (isNews bool) {
+	if !d.isMissed(p) || d.evaluation.frozen {
+		p.sustained = 0
+		status := Alive
+		if p.evidence.reportedBy > 0 {
+			status = Suspected
+		}
+		if status == p.status {
+			return false
+		}
+		p.status = status
+		return true
+	}
+	d.evaluation.pending = true
+	p.sustained += elapsed
+	switch {
+	case p.sustained >= d.config.RemovalDelay:
+		removals.due = append(removals.due, p)
+	case p.sustained >= d.config.RemovalDelay-gatherWindow:
+		removals.othersSoon = true
+	}
+	return false
+}
+
+// batch gathers processes that are due for the same change of status.
+type batch struct {
+	due        []*peer
+	othersSoon bool // others are about to be due
+}
+
+// ready returns those that are due after a delay, or nobody while others are about to be and none has waited for them for
+// longer than gatherWindow.
+func (b *batch) ready(delay time.Duration) []*peer {
+	waitedLong := func(p *peer) bool { return p.sustained >= delay+gatherWindow }
+	if b.othersSoon && !slices.ContainsFunc(b.due, waitedLong) {
+		return nil
+	}
+	return b.due
+}
+
+// setStatus changes a status that decides who counts as a member, and whose statements count.
+func (d *Detector) setStatus(p *peer, status Status) {
+	p.status = status
+	p.since = d.ran
+	p.sustained = 0
+	d.evaluation.changed = true
+}
--- /dev/null
+++ b/internal/membership/evidence.go
@@ -0,0 +1,149 @@
+package membership
+
+// evidence is what other processes state about one, counted anew whenever a statement or status has changed.
+type evidence struct {
+	heardBy     int // processes that are believed and hear it, those that join included
+	missedBy    int // members that are believed and miss it
+	reportedBy  int // members that miss it, whether their statements may be old or not
+	doubtfulFor int // members whose neighbour it is and that doubt themselves: they can't tell
+}
+
+const (
+	// frozenShare is the share of members above which so many are missing at once that nobody is taken out, where all hear
+	// one another.
+	frozenShare = 0.5
+	// frozenShareRings is the same where rings are used: not all that are missing are missed by two there.
+	frozenShareRings = 0.4
+	// recentRemovals is the time, in removal delays, for which one that was taken out counts as missing at once with others.
+	recentRemovals = 4
+)
+
+// countEvidence counts for each process who hears and who misses it, and makes the digest of all statements of members.
+func (d *Detector) countEvidence() {
+	d.evaluation.digest = 0
+	d.evaluation.memberCount = 0
+	for _, p := range d.peers.sorted() {
+		p.evidence = evidence{}
+		// of members only: one that is out is forgotten here sooner than elsewhere
+		if p.isMember() {
+			d.evaluation.digest ^= p.statementHash()
+			d.evaluation.memberCount++
+		}
+	}
+	d.countReports()
+	for _, observer := range d.peers.sorted() {
+		if d.isCurrent(observer) {
+			d.countObserver(observer)
+		}
+	}
+}
+
+// countReports counts the members that miss each process, current or not: isCurrent goes by that.
+func (d *Detector) countReports() {
+	for _, observer := range d.peers.sorted() {
+		if !observer.testifies() || !observer.isMember() {
+			continue
+		}
+		for _, id := range observer.Misses {
+			if p := d.peers.byID[id]; p != nil {
+				p.evidence.reportedBy++
+			}
+		}
+	}
+}
+
+// countObserver counts what one process states about its neighbours. One that is not a member yet can only speak for
+// others, not against them.
+func (d *Detector) countObserver(observer *peer) {
+	if observer.SelfDoubt && observer.isMember() {
+		// guards against a few that decide where most can't tell
+		d.forEach(observer.Hears, func(e *evidence) { e.doubtfulFor++ })
+		d.forEach(observer.Misses, func(e *evidence) { e.doubtfulFor++ })
+	}
+	if !observer.testifies() {
+		return
+	}
+	d.forEach(observer.Hears, func(e *evidence) { e.heardBy++ })
+	if observer.isMember() {
+		d.forEach(observer.Misses, func(e *evidence) { e.missedBy++ })
+	}
+}
+
+func (d *Detector) forEach(ids []ProcessID, count func(*evidence)) {
+	for _, id := range ids {
+		if p := d.peers.byID[id]; p != nil {
+			count(&p.evidence)
+		}
+	}
+}
+
+// testifies reports whether what a process states about others counts at all.
+func (p *peer) testifies() bool {
+	return !p.SelfDoubt && !p.Leaving && (p.isMember() || p.status == Joining)
+}
+
+// isCurrent reports whether a process's statement can be taken for how things are now: one that several miss may have made
+// it long ago, unless it is heard right here. Guards against the two sides of a partition whose last statements discredit
+// one another for good.
+func (d *Detector) isCurrent(observer *peer) bool {
+	return observer == d.own || observer.evidence.reportedBy < d.rules.minObservers || d.isHeard(observer)
+}
+
+// isMissed reports whether the evidence is enough to take a process out.
+func (d *Detector) isMissed(p *peer) bool {
+	e := &p.evidence
+	if e.missedBy < d.rules.minObservers {
+		return false
+	}
+	return !d.rules.requireMajority || e.missedBy > e.heardBy+e.doubtfulFor
+}
+
+// isSilenced reports whether enough processes miss one to take it for dead where its name is concerned.
+func (d *Detector) isSilenced(p *peer) bool {
+	return p.evidence.missedBy >= d.rules.minObservers && p.evidence.missedBy > p.evidence.heardBy
+}
+
+// mayBeCutOff reports whether this process doubts itself, or so many are missing at once that it may well be the one which
+// is cut off. Guards against the sides of a partition that take out each other, and against a process that takes all others
+// for dead.
+func (d *Detector) mayBeCutOff() bool {
+	if d.own.SelfDoubt || !d.rules.freeze {
+		return d.own.SelfDoubt
+	}
+	recently := recentRemovals * d.config.RemovalDelay
+	members := 0
+	missing := 0
+	for _, p := range d.peers.sorted() {
+		switch {
+		case p.isMember():
+			members++
+			if p.evidence.reportedBy >= d.rules.minObservers {
+				missing++
+			}
+		case p.status == Removed && d.ran-p.since < recently:
+			members++
+			missing++
+		}
+	}
+	share := frozenShare
+	if len(d.peers.byID) > maxNeighbours+1 {
+		share = frozenShareRings
+	}
+	return members > 1 && float64(missing) > share*float64(members)
+}
+
+// fitsIn reports whether a process that joins hears half of those that it should, and half of them hear it. Guards against
+// one that is cut off in one direction from its start: it would be a member until it comes to doubt itself, or the others
+// to miss it.
+func (d *Detector) fitsIn(p *peer) bool {
+	others := d.evaluation.memberCount
+	for _, namesake := range d.peers.ofNode(p.Node) {
+		if namesake.isMember() {
+			others--
+			break
+		}
+	}
+	hears := len(p.Hears)
+	connected := min(hears, p.evidence.heardBy)
+	return hears > 0 && 2*connected >= min(others, maxNeighbours)
+}
--- a/internal/membership/gossip/fleet.go
+++ b/internal/membership/gossip/fleet.go
@@ -103,7 +103,7 @@
 		syncs: make(chan string, 1), raw: map[membership.ProcessID]heldWord{}, held: map[uint64]bool{}}
 	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmit, NumNodes: func() int { return int(p.known.Load()) }}
 	m := &b.FleetConfig.Members
-	p.book = membership.New(membership.NewConfig(m.Pause(), m.Hello(), m.Back(), m.Loop(), m.Forget(), m.MaxMembers), p.process, membership.NodeName(b.Name),
+	p.book = membership.New(membership.NewConfig(membership.Spans{Pause: m.Pause(), Heartbeat: m.Hello(), Rejoin: m.Back(), Loop: m.Loop(), Forget: m.Forget()}, m.MaxMembers), p.process, membership.NodeName(b.Name),
 		at.String(), b.FleetConfig.Fleet.Seeds)
 	p.view.Store(p.book.View())
 	ways := map[string]string{}
@@ -234,14 +234,14 @@
 	if was := p.view.Swap(view); was.Number != view.Number || was.CutOff != view.CutOff {
 		p.changed(was, view)
 	}
-	p.send(do.Hello, do.Hellos)
-	p.send(do.Hello, do.Replies)
-	asks := do.Hello
+	p.send(do.Heartbeat, do.HeartbeatTo)
+	p.send(do.Heartbeat, do.ReplyTo)
+	asks := do.Heartbeat
 	asks.WantsReply = true
-	p.send(asks, do.Asks)
-	if do.Sync != "" {
+	p.send(asks, do.ProbeTo)
+	if do.SyncWith != "" {
 		select {
-		case p.syncs <- do.Sync:
+		case p.syncs <- do.SyncWith:
 		default: // one is under way
 		}
 	}
@@ -315,7 +315,7 @@
 }
 
 func (p *Node) changed(was, is *membership.View) {
-	l := trace.Line{What: trace.View, Number: is.Number, Mark: fmt.Sprintf("%016x", is.Mark), Cut: is.CutOff}
+	l := trace.Line{What: trace.View, Number: is.Number, Mark: fmt.Sprintf("%016x", is.Fingerprint), Cut: is.CutOff}
 	for _, n := range is.Nodes {
 		l.Members = append(l.Members, string(n))
 	}
@@ -471,7 +471,7 @@
 	}
 	d.p.mu.Lock()
 	defer d.p.mu.Unlock()
-	d.p.book.Merged()
+	d.p.book.SyncCompleted()
 }
 
 // NotifyJoin is memberlist's.
--- a/internal/membership/gossip/fleet_test.go
+++ b/internal/membership/gossip/fleet_test.go
@@ -73,7 +73,7 @@
 func all(ps []*Node, n int) func() bool {
 	return func() bool {
 		for _, p := range ps {
-			if v := p.View(); len(v.Nodes) != n || v.Mark != ps[0].View().Mark {
+			if v := p.View(); len(v.Nodes) != n || v.Fingerprint != ps[0].View().Fingerprint {
 				return false
 			}
 		}
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -44,7 +44,7 @@
 // FleetStatus is how this node stands, and whether it takes part.
 func (p *Node) FleetStatus() (any, bool) {
 	v := p.View()
-	s := Status{Node: membership.NodeName(p.Name), Process: hex(p.process), Incarnation: v.Incarnation, View: v.Number, Mark: fmt.Sprintf("%016x", v.Mark), CutOff: v.CutOff,
+	s := Status{Node: membership.NodeName(p.Name), Process: hex(p.process), Incarnation: v.Incarnation, View: v.Number, Mark: fmt.Sprintf("%016x", v.Fingerprint), CutOff: v.CutOff,
 		Members: len(v.Nodes), In: p.t.count.in.Load(), InBytes: p.t.count.inBytes.Load(), Out: p.t.count.out.Load(),
 		OutBytes: p.t.count.outBytes.Load(), Streams: p.t.count.streams.Load(), Foreign: p.t.count.foreign.Load(), Unread: p.bad.Load(),
 		Dropped: p.t.count.dropped.Load(), Flows: p.Traffic()}
--- /dev/null
+++ b/internal/membership/heartbeat.go
@@ -0,0 +1,98 @@
+package membership
+
+import "time"
+
+const (
+	// maxReplies bounds the heartbeats that are sent on request between two ticks.
+	maxReplies = 32
+	// probeInterval is the time between two heartbeats to an address at which nobody is known.
+	probeInterval = 2 * time.Second
+)
+
+// heartbeatSchedule says which heartbeats are due.
+type heartbeatSchedule struct {
+	dueAt         time.Duration // run time of the next heartbeats to neighbours
+	probedAt      time.Duration // run time of the last probe of an address at which nobody is known
+	replyTo       []string      // who asked for a heartbeat since the last tick
+	loopCount     uint64        // as LoopAdvanced last told
+	loopAdvanceAt time.Duration // run time when it last changed
+}
+
+// LoopAdvanced tells how often the loop that serves clients has gone round. While the count stays the same for longer than
+// Config.LoopTimeout this process sends no heartbeats.
+func (d *Detector) LoopAdvanced(count uint64) {
+	if count != d.heartbeats.loopCount {
+		d.heartbeats.loopCount = count
+		d.heartbeats.loopAdvanceAt = d.ran
+	}
+}
+
+// OnHeartbeat takes a heartbeat of another process. One of a process that isn't known leads to an exchange with it.
+func (d *Detector) OnHeartbeat(h Heartbeat) {
+	if h.Process == d.own.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
+		return
+	}
+	if h.WantsReply && len(d.heartbeats.replyTo) < maxReplies {
+		d.heartbeats.replyTo = append(d.heartbeats.replyTo, h.Addr)
+	}
+	p := d.peers.byID[h.Process]
+	if p == nil {
+		if !d.contacts.isOld(h.Process, h.Revision) {
+			d.requestSync(h.Addr)
+		}
+		return
+	}
+	p.heard = true
+	p.lastHeartbeat = d.ran
+	p.setSelfDoubt(h.SelfDoubt, d.ran)
+	d.compareDigest(p, h)
+}
+
+// scheduleHeartbeats adds the heartbeats and probes that are due.
+func (d *Detector) scheduleHeartbeats(actions *Actions) {
+	replyTo := d.heartbeats.replyTo
+	d.heartbeats.replyTo = nil
+	// guards against a process that the others take for alive while its clients get no answer: its neighbours miss it and
+	// take it out
+	loopIsDead := d.rules.stopWithDeadLoop && d.ran-d.heartbeats.loopAdvanceAt > d.config.LoopTimeout
+	if loopIsDead || d.own.Leaving {
+		return
+	}
+	actions.ReplyTo = replyTo
+	if d.ran >= d.heartbeats.dueAt {
+		interval := d.config.HeartbeatInterval
+		d.heartbeats.dueAt = max(d.heartbeats.dueAt+interval, d.ran+interval/2)
+		for _, p := range d.neighbours.peers {
+			actions.HeartbeatTo = append(actions.HeartbeatTo, p.Addr)
+		}
+		if d.own.Incarnation == 0 { // whoever has this one's name may not be a neighbour
+			for _, p := range d.namesakes() {
+				actions.ProbeTo = append(actions.ProbeTo, p.Addr)
+			}
+		}
+	}
+	if d.ran-d.heartbeats.probedAt >= probeInterval {
+		d.heartbeats.probedAt = d.ran
+		if addr := d.unknownContact(); addr != "" {
+			actions.ProbeTo = append(actions.ProbeTo, addr)
+		}
+	}
+}
+
+// unknownContact picks an address at which nobody is known. Guards against a partition that lasts until each side has
+// forgotten the other: nobody would look for the other side any more.
+func (d *Detector) unknownContact() string {
+	addrs := d.contacts.unknown(d.peers.byID)
+	if len(addrs) == 0 {
+		return ""
+	}
+	return addrs[int(d.random.Float64()*float64(len(addrs)))]
+}
+
+// silence is how long a neighbour has sent nothing to this process.
+func (d *Detector) silence(p *peer) time.Duration { return d.ran - p.lastSign() }
+
+// isHeard reports whether a process is a neighbour whose heartbeats arrive here.
+func (d *Detector) isHeard(p *peer) bool {
+	return p.isNeighbour && p.heard && d.silence(p) < d.config.HeartbeatTimeout
+}
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -202,11 +202,21 @@
 		in     string
 		breaks func(*membership.Detector)
 	}{
-		{"one observer's word is enough", "one does not hear another", func(b *membership.Detector) { membership.Break(b, 1, false, true, true, true, true) }},
-		{"doubts nothing, stops at nothing", "halves", func(b *membership.Detector) { membership.Break(b, 2, true, false, false, true, true) }},
-		{"takes all others for dead", "the network down for everyone", func(b *membership.Detector) { membership.Break(b, 1, true, false, false, true, true) }},
-		{"measures by the clock", "stopped for more", func(b *membership.Detector) { membership.Break(b, 1, false, false, false, false, true) }},
-		{"gives signs of life while its loop hangs", "the loop hangs", func(b *membership.Detector) { membership.Break(b, 2, true, true, true, true, false) }},
+		{"one observer's word is enough", "one does not hear another", func(b *membership.Detector) {
+			membership.SetRules(b, membership.Rules{MinObservers: 1, SelfDoubt: true, Freeze: true, MeasureRunTime: true, StopWithDeadLoop: true})
+		}},
+		{"doubts nothing, stops at nothing", "halves", func(b *membership.Detector) {
+			membership.SetRules(b, membership.Rules{MinObservers: 2, RequireMajority: true, MeasureRunTime: true, StopWithDeadLoop: true})
+		}},
+		{"takes all others for dead", "the network down for everyone", func(b *membership.Detector) {
+			membership.SetRules(b, membership.Rules{MinObservers: 1, RequireMajority: true, MeasureRunTime: true, StopWithDeadLoop: true})
+		}},
+		{"measures by the clock", "stopped for more", func(b *membership.Detector) {
+			membership.SetRules(b, membership.Rules{MinObservers: 1, StopWithDeadLoop: true})
+		}},
+		{"gives signs of life while its loop hangs", "the loop hangs", func(b *membership.Detector) {
+			membership.SetRules(b, membership.Rules{MinObservers: 2, RequireMajority: true, SelfDoubt: true, Freeze: true, MeasureRunTime: true})
+		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, k := range troubles {
@@ -327,7 +337,7 @@
 			for _, n := range s.nodes {
 				if n.process != nil {
 					v := n.process.book.View()
-					if marks = append(marks, v.Mark); v.Mark != marks[0] || len(v.Nodes) != 5 {
+					if marks = append(marks, v.Fingerprint); v.Fingerprint != marks[0] || len(v.Nodes) != 5 {
 						t.Errorf("seed %d, %v later: %s has %v", seed, late, n.name, v.Nodes)
 					}
 				}
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -19,15 +19,15 @@
 }
 
 func (r *recorder) ticked(now time.Duration, d *membership.Detector, do membership.Actions) {
-	h := do.Hello
+	h := do.Heartbeat
 	fmt.Fprintln(r.sum, now, h.Process, h.Revision, h.Digest, h.Addr, h.SelfDoubt, h.WantsReply)
-	fmt.Fprintln(r.sum, do.Hellos, do.Replies, do.Asks, do.Sync, d.KnownCount(), d.NameConflict())
+	fmt.Fprintln(r.sum, do.HeartbeatTo, do.ReplyTo, do.ProbeTo, do.SyncWith, d.KnownCount(), d.NameConflict())
 	v := d.View()
 	if r.view[d] == v {
 		return
 	}
 	r.view[d] = v
-	fmt.Fprintln(r.sum, v.Number, v.Mark, v.Nodes, v.CutOff, v.Own, v.Incarnation)
+	fmt.Fprintln(r.sum, v.Number, v.Fingerprint, v.Nodes, v.CutOff, v.Own, v.Incarnation)
 	for _, m := range v.Members {
 		fmt.Fprintln(r.sum, m.Process, m.Node, m.Incarnation, m.Addr, m.Status, m.Since, m.Hears, m.Misses)
 	}
@@ -64,7 +64,7 @@
 		case "30% lost, doubled and late, one killed", "halves", "nearly all killed at once and back", "eight and four":
 			play(c.name, 40, 2, nil, c.play)
 		case "stopped for more":
-			play("unsound: "+c.name, 12, 3, func(d *membership.Detector) { membership.Break(d, 1, false, false, false, false, false) }, c.play)
+			play("unsound: "+c.name, 12, 3, func(d *membership.Detector) { membership.SetRules(d, membership.Rules{MinObservers: 1}) }, c.play)
 		}
 	}
 	for _, late := range []time.Duration{0, 8 * sec} {
--- /dev/null
+++ b/internal/membership/rules_test.go
@@ -0,0 +1,23 @@
+package membership
+
+// Rules are the guards of a detector, for tests that switch single ones off.
+type Rules struct {
+	MinObservers     int
+	RequireMajority  bool
+	SelfDoubt        bool
+	Freeze           bool
+	MeasureRunTime   bool
+	StopWithDeadLoop bool
+}
+
+// SetRules has a detector go by other rules, to show that the invariants then break.
+func SetRules(d *Detector, r Rules) {
+	d.rules = rules{
+		minObservers:     r.MinObservers,
+		requireMajority:  r.RequireMajority,
+		selfDoubt:        r.SelfDoubt,
+		freeze:           r.Freeze,
+		measureRunTime:   r.MeasureRunTime,
+		stopWithDeadLoop: r.StopWithDeadLoop,
+	}
+}
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -23,7 +23,13 @@
 	onTheWay = time.Millisecond
 )
 
-var terms = membership.NewConfig(pause, 300*time.Millisecond, 2*time.Second, time.Second, time.Minute, 4000)
+var terms = membership.NewConfig(membership.Spans{
+	Pause:     pause,
+	Heartbeat: 300 * time.Millisecond,
+	Rejoin:    2 * time.Second,
+	Loop:      time.Second,
+	Forget:    time.Minute,
+}, 4000)
 
 // sim plays books in virtual time: the decisions as in service, on a network of the go-between's faults, with gossip like the library's.
 type sim struct {
@@ -161,8 +167,8 @@
 		for _, id := range slices.Sorted(maps.Keys(to.process.words)) {
 			p.told(to.process.words[id])
 		}
-		p.book.Merged()
-		to.process.book.Merged()
+		p.book.SyncCompleted()
+		to.process.book.SyncCompleted()
 	}
 }
 
@@ -187,13 +193,13 @@
 			p.send(a, func(o *simProcess) { o.book.OnHeartbeat(h) })
 		}
 	}
-	hello(do.Hellos, do.Hello)
-	hello(do.Replies, do.Hello)
-	asks := do.Hello
+	hello(do.HeartbeatTo, do.Heartbeat)
+	hello(do.ReplyTo, do.Heartbeat)
+	asks := do.Heartbeat
 	asks.WantsReply = true
-	hello(do.Asks, asks)
-	if do.Sync != "" {
-		s.at(onTheWay, func() { p.sync(do.Sync) })
+	hello(do.ProbeTo, asks)
+	if do.SyncWith != "" {
+		s.at(onTheWay, func() { p.sync(do.SyncWith) })
 	}
 	if s.ticks%2 == 0 {
 		for _, id := range slices.Sorted(maps.Keys(p.fresh)) { // by order, as each draws chance
--- /dev/null
+++ b/internal/membership/status.go
@@ -0,0 +1,19 @@
+package membership
+
+// Status is what a process is to the fleet.
+type Status int
+
+// The statuses of a process. Only those that are Alive or Suspected are members.
+const (
+	Joining   Status = iota // known; not yet heard by enough, or without its name yet
+	Alive                   // a member
+	Suspected               // a member that some neighbour misses
+	Removed                 // taken out: more neighbours miss it than hear it
+	Left                    // it has shut down in order or is on standby
+	Forgotten               // no longer known, or another process has its name
+)
+
+// String returns the name that operators see.
+func (s Status) String() string {
+	return [...]string{"joining", "present", "suspected", "cut", "left", "gone"}[s]
+}
