--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -28,20 +28,20 @@
 func (g *rig) held(first func(), far func() bool, then func()) {
 	g.t.Helper()
 	stopped, handed, goes := make(chan bool, 1), make(chan bool, 1), make(chan bool)
-	g.ask(func() {
+	g.runInLoop(func() {
 		select {
-		case <-g.eng.Wake():
+		case <-g.engine.Wake():
 		default:
 		}
 		stopped <- true
-		for <-g.eng.Wake(); far != nil && !far(); <-g.eng.Wake() {
-			for _, ev := range g.eng.Take() {
-				g.event(&ev)
+		for <-g.engine.Wake(); far != nil && !far(); <-g.engine.Wake() {
+			for _, ev := range g.engine.Take() {
+				g.handleEvent(&ev)
 			}
 		}
 		handed <- true
 		<-goes
-		<-g.eng.Wake() // what was done then is here, too
+		<-g.engine.Wake() // what was done then is here, too
 	})
 	wait(g.t, stopped)
 	first()
@@ -60,8 +60,8 @@
 		},
 		"for a link that comes up": func(g *rig, c net.Conn, _ chan bool, leave func(net.Conn)) {
 			dials := g.Counters().Dials
-			g.ask(func() { g.caches["c"].idle = nil }) // its end would be an event, too
-			g.held(func() { ask(c, "Ox") }, func() bool { return g.count.Dials > dials }, func() { leave(c) })
+			g.runInLoop(func() { g.endpoints["c"].idleConns = nil }) // its end would be an event, too
+			g.held(func() { ask(c, "Ox") }, func() bool { return g.counters.Dials > dials }, func() { leave(c) })
 		},
 		"after a miss": func(g *rig, c net.Conn, may chan bool, leave func(net.Conn)) {
 			ask(c, "Omiss")
@@ -73,11 +73,11 @@
 			ask(slow, "Oslow")
 			wait(g.t, g.lines)
 			var half []net.Conn // commands that have not come whole keep their connections
-			for n := g.Counters().Clients; !g.eng.Crowded(); n++ {
+			for n := g.Counters().Clients; !g.engine.Crowded(); n++ {
 				c, _ := g.client()
 				fmt.Fprint(c, "mg k")
 				half = append(half, c)
-				g.until("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.eng.Crowded() })
+				g.until("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.engine.Crowded() })
 			}
 			c, _ := g.client()
 			ask(c, "Ox")
@@ -86,7 +86,7 @@
 				for _, c := range half {
 					c.Close()
 				}
-				for g.eng.Crowded() {
+				for g.engine.Crowded() {
 				}
 			})
 		},
@@ -196,8 +196,8 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			g.ask(func() {
-				g.caches["o"].addr = l.Addr().String()
+			g.runInLoop(func() {
+				g.endpoints["o"].addr = l.Addr().String()
 				g.CheckHealth("o")
 			})
 			origin, err := l.Accept() // which reads nothing of what comes later
@@ -208,17 +208,17 @@
 			fmt.Fprint(origin, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			rested := make(chan bool, 1)
 			g.until("its link is idle", func(metrics.Counters) bool {
-				g.ask(func() { rested <- len(g.caches["o"].idle) == 1 })
+				g.runInLoop(func() { rested <- len(g.endpoints["o"].idleConns) == 1 })
 				return <-rested
 			})
 			narrow(t, l.Addr().String())
 			c, _ := g.client()
 			fmt.Fprintf(c, "ms k 60000 Ox Pc=put,d=9000,k=1\r\n%s\r\n", strings.Repeat("v", 60000))
-			g.until("a part is written", func(n metrics.Counters) bool { return n.Attempts == 1 && g.eng.Unsent() > 0 })
+			g.until("a part is written", func(n metrics.Counters) bool { return n.Attempts == 1 && g.engine.Unsent() > 0 })
 			leave(c.(*net.TCPConn))
 			g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
-			if n := g.Counters(); n.Outcomes[policy.NotSent] != 1 || g.eng.Unsent() != 0 {
-				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Outcomes, g.eng.Unsent())
+			if n := g.Counters(); n.Outcomes[policy.NotSent] != 1 || g.engine.Unsent() != 0 {
+				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Outcomes, g.engine.Unsent())
 			}
 		}
 	}
--- a/internal/proxy/httpface_test.go
+++ b/internal/proxy/downstream_http_test.go
@@ -277,27 +277,27 @@
 // A leg that took long would be served as younger than it is: its way here counts, too. Where caches fetch by themselves an answer
 // without Age is the origin's own, unless its Date says that it is too old. Told as a miss, what may not run twice would.
 func TestWhatAnAnswerOfACacheMeans(t *testing.T) {
-	now, web := time.Now(), &webCall{}
+	now, web := time.Now(), &httpRequestDetails{}
 	for _, c := range []struct {
 		aside bool
 		said  string
-		call  call
+		call  clientRequest
 		want  policy.Result
 		means string
 	}{
-		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", call{idempotent: true, sent: now, web: web}, policy.Answered, ""},
-		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", call{idempotent: true, sent: now.Add(-2 * time.Second), web: web}, policy.CacheMiss, ""},
-		{true, "200 OK\r\nAge: 61\r\nCache-Control: max-age=60", call{sent: now, web: web}, policy.Errored, ""},
-		{false, "200 OK\r\nCache-Control: private", call{idempotent: true, sent: now, web: web}, policy.Answered, ""},
-		{false, "200 OK\r\nX: y", call{idempotent: true, sent: now, web: web}, policy.Answered, ""},
-		{false, "200 OK\r\nCache-Control: max-age=60\r\nDate: Tue, 01 Dec 2020 10:00:00 GMT", call{idempotent: true, sent: now, web: web}, policy.CacheMiss, ""},
-		{false, "200 OK\r\nAge: 1", call{idempotent: true, sent: now, web: web}, policy.CacheMiss, ""},
-		{false, "204 No Content", call{write: true, sent: now}, policy.Answered, "204"},
-		{false, "503 Service Unavailable", call{write: true, sent: now}, policy.Errored, ""},
+		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", clientRequest{idempotent: true, attemptSentAt: now, http: web}, policy.Answered, ""},
+		{true, "200 OK\r\nAge: 59\r\nCache-Control: max-age=60", clientRequest{idempotent: true, attemptSentAt: now.Add(-2 * time.Second), http: web}, policy.CacheMiss, ""},
+		{true, "200 OK\r\nAge: 61\r\nCache-Control: max-age=60", clientRequest{attemptSentAt: now, http: web}, policy.Errored, ""},
+		{false, "200 OK\r\nCache-Control: private", clientRequest{idempotent: true, attemptSentAt: now, http: web}, policy.Answered, ""},
+		{false, "200 OK\r\nX: y", clientRequest{idempotent: true, attemptSentAt: now, http: web}, policy.Answered, ""},
+		{false, "200 OK\r\nCache-Control: max-age=60\r\nDate: Tue, 01 Dec 2020 10:00:00 GMT", clientRequest{idempotent: true, attemptSentAt: now, http: web}, policy.CacheMiss, ""},
+		{false, "200 OK\r\nAge: 1", clientRequest{idempotent: true, attemptSentAt: now, http: web}, policy.CacheMiss, ""},
+		{false, "204 No Content", clientRequest{write: true, attemptSentAt: now}, policy.Answered, "204"},
+		{false, "503 Service Unavailable", clientRequest{write: true, attemptSentAt: now}, policy.Errored, ""},
 	} {
-		h := httpCarrier{&listeners.Servers{ClockOffS: 1}, c.aside}
-		if r, _, _ := h.reply([]byte("HTTP/1.1 "+c.said+"\r\nContent-Length: 0\r\n\r\n"), &c.call, false, new(http1.Progress)); r.how != c.want || string(r.said) != c.means {
-			t.Errorf("%q for %+v: %v %q", c.said, c.call, r.how, r.said)
+		h := httpUpstream{&listeners.Servers{ClockOffS: 1}, c.aside}
+		if r, _, _ := h.readResponse([]byte("HTTP/1.1 "+c.said+"\r\nContent-Length: 0\r\n\r\n"), &c.call, false, new(http1.Progress)); r.result != c.want || string(r.body) != c.means {
+			t.Errorf("%q for %+v: %v %q", c.said, c.call, r.result, r.body)
 		}
 	}
 }
--- a/internal/proxy/idle_links_test.go
+++ b/internal/proxy/idle_conns_test.go
@@ -8,12 +8,12 @@
 )
 
 func TestIdleLinksKeepTheirOrder(t *testing.T) {
-	var q idleLinks
-	var plain []*link
+	var q idleConnList
+	var plain []*upstreamConn
 	chance := keyhash.Source{Seed: 7}
-	links := make([]*link, 20)
+	links := make([]*upstreamConn, 20)
 	for i := range links {
-		links[i] = &link{id: linkID(i + 1)}
+		links[i] = &upstreamConn{id: upstreamConnID(i + 1)}
 	}
 	for range 2000 {
 		l := links[int(chance.Float64()*float64(len(links)))]
@@ -27,11 +27,11 @@
 				plain = slices.Delete(plain, at, at+1)
 			}
 		}
-		var is []*link
+		var is []*upstreamConn
 		for l := q.oldest; l != nil; l = l.newer {
 			is = append(is, l)
 		}
-		var back []*link
+		var back []*upstreamConn
 		for l := q.newest; l != nil; l = l.older {
 			back = append(back, l)
 		}
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operator_commands_test.go
@@ -54,7 +54,7 @@
 		g.Counters()
 		g.expect(answers, want...)
 	}
-	g.ask(func() { g.stoodBy = g.stoodBy.Add(-standbyComing - standbyTakes) })
+	g.runInLoop(func() { g.standbyStartedAt = g.standbyStartedAt.Add(-standbyAcceptTime - standbyServeTime) })
 	close(hold)
 	late("d", "VA 5 Oa", "hello", "SERVER_ERROR busy") // who asks without end would be held for ever
 	closed(answers)
@@ -73,7 +73,7 @@
 	}
 	told(g.Standby, nil)
 	told(g.Active, nil)
-	g.ask(func() { g.drain() })
+	g.runInLoop(func() { g.startDrain() })
 	told(g.Standby, admin.ErrEnding)
 	told(g.Active, admin.ErrEnding)
 }
@@ -102,7 +102,7 @@
 	g.until("one has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
 	said := make(chan *metrics.Snapshot, 1)
 	look := func() *metrics.Snapshot {
-		g.ask(func() { g.publish(); said <- g.Metrics() })
+		g.runInLoop(func() { g.publishMetrics(); said <- g.Metrics() })
 		return wait(t, said)
 	}
 	s := look()
@@ -114,23 +114,23 @@
 		s.Attempts != 6 || s.Pending != 1 || s.Members != 1 || s.Unavailable != 0 || !s.Serving {
 		t.Errorf("%+v", s)
 	}
-	g.ask(func() {
-		g.stance.EndpointStateChanged(g.now(), "c", policy.StateUnreachable)
-		g.stance.EndpointStateChanged(g.now(), "long gone", policy.StateUnresponsive)
+	g.runInLoop(func() {
+		g.endpointStats.EndpointStateChanged(g.now(), "c", policy.StateUnreachable)
+		g.endpointStats.EndpointStateChanged(g.now(), "long gone", policy.StateUnresponsive)
 	})
 	if s := look(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
-	g.ask(func() { // silent, and still with its share of legs: not avoided; with a trial now and then: avoided
-		g.stance.EndpointStateChanged(g.now(), "c", policy.StateUnresponsive)
+	g.runInLoop(func() { // silent, and still with its share of legs: not avoided; with a trial now and then: avoided
+		g.endpointStats.EndpointStateChanged(g.now(), "c", policy.StateUnresponsive)
 		for range 2 {
-			g.stance.AttemptSent(g.now(), "c")
+			g.endpointStats.AttemptSent(g.now(), "c")
 		}
 	})
 	if s := look(); s.Unavailable != 0 {
 		t.Errorf("%+v", s)
 	}
-	g.ask(func() { g.stance.sent["c"] = [2]policy.Instant{g.now().Add(-trialsApart), g.now()} })
+	g.runInLoop(func() { g.endpointStats.lastAttempts["c"] = [2]policy.Instant{g.now().Add(-trialInterval), g.now()} })
 	if s := look(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
@@ -145,10 +145,10 @@
 // loop had not heard of was cut off: one in some thousand, while the newcomer of an upgrade is ended under load.
 func TestAProcessThatIsGivenBackEndsOnlyOnceNobodyCanBeOnTheWay(t *testing.T) {
 	g := newRig(t, 200, holdingOa(nil))
-	g.ask(func() { g.replaced = true })
+	g.runInLoop(func() { g.replaced = true })
 	g.Shutdown()
 	g.serve.Wait()
-	if took := g.now().Since(g.ending); took < quietFor {
+	if took := g.now().Since(g.drainStartedAt); took < drainQuietTime {
 		t.Errorf("ended %v after it was told to", took)
 	}
 }
--- a/internal/proxy/relay_test.go
+++ b/internal/proxy/proxy_test.go
@@ -262,7 +262,7 @@
 	long := strings.Repeat("v", 60<<10)
 	g := newRig(t, 200, func(line string) string { return fmt.Sprintf("VA %d %s\r\n%s", len(long), id(line), long) })
 	c, _ := g.client()
-	g.ask(func() { g.Memory = int64(len(long)) }) // two that do not end are too much
+	g.runInLoop(func() { g.Memory = int64(len(long)) }) // two that do not end are too much
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
@@ -270,7 +270,7 @@
 		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.RejectedForRoom >= 2
 	})
 	coming := make(chan int, 1)
-	if g.ask(func() { coming <- g.coming }); <-coming > len(long) {
+	if g.runInLoop(func() { coming <- g.incompleteResponseBytes }); <-coming > len(long) {
 		t.Error("what is dropped is still counted")
 	}
 }
@@ -303,27 +303,27 @@
 	cache := make(chan net.Conn, 9)
 	g := newRig(t, 200, value)
 	other := g.listen(func(c net.Conn) { cache <- c })
-	g.ask(func() {
-		g.caches["c"].addr = other
+	g.runInLoop(func() {
+		g.endpoints["c"].addr = other
 		g.CheckHealth("c")
 	})
 	c := wait(t, cache)
 	io.WriteString(c, "MN\r\n")
 	reused := make(chan bool, 1)
 	g.until("the link is idle", func(metrics.Counters) bool {
-		g.ask(func() { reused <- len(g.caches["c"].idle) == 1 })
+		g.runInLoop(func() { reused <- len(g.endpoints["c"].idleConns) == 1 })
 		return <-reused
 	})
-	g.ask(func() {
-		in := g.caches["c"]
-		old := in.idle[0]
+	g.runInLoop(func() {
+		in := g.endpoints["c"]
+		old := in.idleConns[0]
 		io.WriteString(c, "MN\r\n") // it can't be taken while this runs
-		for w := g.links.Get(old).wire; ; {
+		for w := g.conns.Get(old).wire; ; {
 			if quiet, sure := w.Quiet(); sure && !quiet {
 				break
 			}
 		}
-		l, err := g.linkTo(in, aProbe, false)
+		l, err := g.acquireConn(in, purposeHealthCheck, false)
 		reused <- err != nil || l.id == old
 	})
 	if wait(t, reused) {
@@ -367,10 +367,10 @@
 		if c.server == "o" {
 			r.ReadString('\n')
 		}
-		g.ask(func() { // the time in which a second would come is not over for this test
-			for _, id := range g.caches[policy.EndpointID(c.server)].idle {
-				if l := g.links.Get(id); l.nobody != 0 {
-					l.nobody = g.now().Add(time.Hour)
+		g.runInLoop(func() { // the time in which a second would come is not over for this test
+			for _, id := range g.endpoints[policy.EndpointID(c.server)].idleConns {
+				if l := g.conns.Get(id); l.unattributedAt != 0 {
+					l.unattributedAt = g.now().Add(time.Hour)
 				}
 			}
 		})
@@ -432,7 +432,7 @@
 	g.expect(first, "VA 5 Oa", "hello")
 	g.until("it is forgotten", func(metrics.Counters) bool {
 		left := make(chan int, 1)
-		g.ask(func() { left <- len(g.taken) + g.hand.Len() })
+		g.runInLoop(func() { left <- len(g.inflightIDs) + g.inflight.Len() })
 		return <-left == 0
 	})
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000.5\r\n")
@@ -449,7 +449,7 @@
 	go func() { late <- web("GET /p/k HTTP/1.1\r\nHost: n\r\nX: ", "GET", "GET") }()
 	half, told := g.client()
 	fmt.Fprint(half, "ms k 5 Ob Pc=put,d=9000\r\nhe")
-	g.expect(told, strings.TrimSpace(metaRefusals[tooLate]))
+	g.expect(told, strings.TrimSpace(metaRefusalLines[refusedTooLate]))
 	for _, r := range []*bufio.Reader{told, silent} {
 		if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("not closed: %v", err)
@@ -476,7 +476,7 @@
 		g.expect(r, fmt.Sprintf("VA 5 Ob%d", n), "hello")
 		once = append(once, r)
 	}
-	g.until("few are left", func(n metrics.Counters) bool { return int(n.IdleClosed) >= 31-g.eng.Most()/shareIdle })
+	g.until("few are left", func(n metrics.Counters) bool { return int(n.IdleClosed) >= 31-g.engine.Most()/idleClientShare })
 	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("closed with: %v", err)
 	}
@@ -495,16 +495,16 @@
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	wait(t, g.lines)
-	go fmt.Fprint(c, strings.Repeat("mn\r\n", 2*mostSaid))
+	go fmt.Fprint(c, strings.Repeat("mn\r\n", 2*maxPendingResponses))
 	g.until("it is no more read", func(metrics.Counters) bool {
 		closing := make(chan bool, 1)
-		g.ask(func() { g.clients.Each(func(_ clientID, c *client) { closing <- c.closing }) })
+		g.runInLoop(func() { g.clients.Each(func(_ clientConnID, c *clientConn) { closing <- c.closing }) })
 		return <-closing
 	})
 	close(hold)
 	g.expect(r, "VA 5 Oa", "hello")
 	rest, _ := io.ReadAll(r)
-	if n := strings.Count(string(rest), "MN"); n != mostSaid-1 || !strings.HasSuffix(string(rest), metaRefusals[tooMany]) {
+	if n := strings.Count(string(rest), "MN"); n != maxPendingResponses-1 || !strings.HasSuffix(string(rest), metaRefusalLines[refusedTooMany]) {
 		t.Errorf("%d answers, then %q", n, rest[max(0, len(rest)-50):])
 	}
 }
@@ -517,25 +517,25 @@
 		if _, err := fmt.Fprintf(c, "mg k%[1]d v Oa%[1]d Pc=read,d=9000\r\n", n); err != nil {
 			break
 		}
-		if n%50 == 0 && g.eng.Unsent() > g.Memory/4 {
-			t.Fatalf("%d bytes wait for a slow reader", g.eng.Unsent())
+		if n%50 == 0 && g.engine.Unsent() > g.Memory/4 {
+			t.Fatalf("%d bytes wait for a slow reader", g.engine.Unsent())
 		}
 	}
 }
 
 func TestTheListIsWatchedAndFollowed(t *testing.T) {
 	g := newRig(t, 200, value)
-	if first, second := wait(t, g.asked), wait(t, g.asked); first != listPath || !strings.HasPrefix(second, listPath+"?since=7&") {
+	if first, second := wait(t, g.asked), wait(t, g.asked); first != endpointListPath || !strings.HasPrefix(second, endpointListPath+"?since=7&") {
 		t.Errorf("asked %q, then %q", first, second)
 	}
 	g.list <- breaksOff
-	if again := wait(t, g.asked); !strings.HasPrefix(again, listPath+"?since=7&") {
+	if again := wait(t, g.asked); !strings.HasPrefix(again, endpointListPath+"?since=7&") {
 		t.Errorf("after a call that broke off, asked %q", again)
 	}
 	addr := make(chan string, 1)
-	g.ask(func() { addr <- g.caches["c"].addr })
+	g.runInLoop(func() { addr <- g.endpoints["c"].addr })
 	g.list <- `{"generation":9,"reset":false,"instances":[{"instanceId":"c","lifecycle":"terminated"}]}`
-	if third := wait(t, g.asked); !strings.HasPrefix(third, listPath+"?since=9&") {
+	if third := wait(t, g.asked); !strings.HasPrefix(third, endpointListPath+"?since=9&") {
 		t.Errorf("asked %q", third)
 	}
 	c, r := g.client()
@@ -560,11 +560,11 @@
 	wait(t, g.asked)
 	g.list <- breaksOff
 	const soon = "?since=7&timeout_ms=1"
-	if again := wait(t, g.asked); again != listPath+soon {
+	if again := wait(t, g.asked); again != endpointListPath+soon {
 		t.Errorf("after a watch that broke off, asked %q", again)
 	}
 	silent := time.Now()
-	if again := wait(t, g.asked); again != listPath+soon || time.Since(silent) > 4*time.Second { // a watch's 5.5 s
+	if again := wait(t, g.asked); again != endpointListPath+soon || time.Since(silent) > 4*time.Second { // a watch's 5.5 s
 		t.Errorf("after %v in which nothing came, asked %q", time.Since(silent), again)
 	}
 	entry := `{"generation":%d,"reset":false,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"%s"}]}`
@@ -573,10 +573,10 @@
 	}
 	g.list <- fmt.Sprintf(entry, 6, "in_service")
 	again := wait(t, g.asked)
-	for strings.HasPrefix(again, listPath+"?since=8&timeout_ms=4") {
+	for strings.HasPrefix(again, endpointListPath+"?since=8&timeout_ms=4") {
 		again = wait(t, g.asked)
 	}
-	if again != listPath {
+	if again != endpointListPath {
 		t.Errorf("after an older version, asked %q", again)
 	}
 	c, r := g.client()
@@ -601,7 +601,7 @@
 	g.serve.Add(1)
 	go func() { defer g.serve.Done(); r.Run() }()
 	t.Cleanup(r.Shutdown)
-	if got := wait(t, g.asked); !strings.HasPrefix(got, listPath+"?since=41&") {
+	if got := wait(t, g.asked); !strings.HasPrefix(got, endpointListPath+"?since=41&") {
 		t.Errorf("asked %q", got)
 	}
 	if !wait(t, up) {
@@ -615,11 +615,11 @@
 	wait(t, g.asked)
 	wait(t, g.asked)
 	g.list <- tooBusy
-	if again := wait(t, g.asked); !strings.HasPrefix(again, listPath+"?since=7&") {
+	if again := wait(t, g.asked); !strings.HasPrefix(again, endpointListPath+"?since=7&") {
 		t.Errorf("after a refusal, asked %q", again)
 	}
 	g.list <- confused // else a version that it takes for a fault would be asked for without end
-	if again := wait(t, g.asked); again != listPath {
+	if again := wait(t, g.asked); again != endpointListPath {
 		t.Errorf("after a failure, asked %q", again)
 	}
 }
@@ -630,14 +630,14 @@
 		`{"generation":9,"reset":true,"instances":[{"hostPort":"127.0.0.1:1","lifecycle":"in_service"}]}`} {
 		g, lines := newRig(t, 200, value), make(chan int, 1)
 		var said bytes.Buffer
-		g.ask(func() { g.Log.SetOutput(&said) })
+		g.runInLoop(func() { g.Log.SetOutput(&said) })
 		for i := range 5 {
 			if i > 1 {
 				g.list <- bad
 			}
 			wait(t, g.asked)
 		}
-		g.ask(func() { lines <- 10*len(g.caches) + strings.Count(said.String(), "\n") })
+		g.runInLoop(func() { lines <- 10*len(g.endpoints) + strings.Count(said.String(), "\n") })
 		if got := <-lines; got != 21 {
 			t.Errorf("after three times %s: %d (ten for each cache, one for a line in the log)", bad, got)
 		}
@@ -651,21 +651,21 @@
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	r.ReadString('\n')
-	g.ask(func() {
-		for _, l := range []*link{{cache: &cache{id: "c"}}, {cache: g.caches["o"]}, {cache: g.caches["c"], proven: true}} {
-			g.refused(l)
+	g.runInLoop(func() {
+		for _, l := range []*upstreamConn{{endpoint: &knownEndpoint{id: "c"}}, {endpoint: g.endpoints["o"]}, {endpoint: g.endpoints["c"], proven: true}} {
+			g.onConnectRefused(l)
 		}
-		spans <- g.idleTime()
+		spans <- g.idleTimeout()
 		for range 9 {
-			g.refused(&link{cache: g.caches["c"]})
+			g.onConnectRefused(&upstreamConn{endpoint: g.endpoints["c"]})
 		}
-		spans <- g.idleTime()
+		spans <- g.idleTimeout()
 	})
 	if before, after := <-spans, <-spans; before != 12*time.Second || after != time.Second {
 		t.Errorf("idle links are kept %v, then %v", before, after)
 	}
 	kept, began := make(chan int, 1), time.Now()
-	for g.ask(func() { kept <- len(g.caches["c"].idle) }); <-kept > 0; g.ask(func() { kept <- len(g.caches["c"].idle) }) {
+	for g.runInLoop(func() { kept <- len(g.endpoints["c"].idleConns) }); <-kept > 0; g.runInLoop(func() { kept <- len(g.endpoints["c"].idleConns) }) {
 		if time.Sleep(10 * time.Millisecond); time.Since(began) > patience/2 {
 			t.Fatal("the one that was idle is kept all the same")
 		}
@@ -675,9 +675,9 @@
 // While legs held all of the links' share, a list that had moved was not called for.
 func TestAListThatMovesIsCalledForWhateverLinksAreOut(t *testing.T) {
 	g := newRig(t, 64, value)
-	g.ask(func() {
-		for g.links.Len() <= g.mostLinks() {
-			g.links.Add(&link{does: aLeg})
+	g.runInLoop(func() {
+		for g.conns.Len() <= g.maxUpstreamConns() {
+			g.conns.Add(&upstreamConn{purpose: purposeAttempt})
 		}
 	})
 	asked := make(chan string, 9)
@@ -685,7 +685,7 @@
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		asked <- line
 	}))
-	if got := wait(t, asked); !strings.HasPrefix(got, "GET "+listPath+" HTTP") {
+	if got := wait(t, asked); !strings.HasPrefix(got, "GET "+endpointListPath+" HTTP") {
 		t.Errorf("asked %q there", got)
 	}
 }
@@ -772,15 +772,15 @@
 
 // A node that was held up while it drained ended as it went on: who had come meanwhile stood in the kernel's queue and was cut off.
 func TestANodeHeldUpWhileItDrainsLetsInWhoCameMeanwhile(t *testing.T) {
-	g := newRig(t, 200, value, func(b *Config) { b.Settings.LongestDeadline = mostToStop })
-	g.eng.Accept(false) // as if the whole process stood still
+	g := newRig(t, 200, value, func(b *Config) { b.Settings.LongestDeadline = maxShutdownWait })
+	g.engine.Accept(false) // as if the whole process stood still
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
 	g.Shutdown()
-	g.ask(func() {
-		for g.now().Since(g.ending) < comingFor+quietFor {
+	g.runInLoop(func() {
+		for g.now().Since(g.drainStartedAt) < drainAcceptTime+drainQuietTime {
 		}
-		g.eng.Accept(true)
+		g.engine.Accept(true)
 	})
 	if got, err := r.ReadString('\n'); strings.TrimSpace(got) != "VA 5 Ox" {
 		t.Errorf("got %q (%v), %+v", got, err, g.Counters())
@@ -814,7 +814,7 @@
 					t.Errorf("%q: %v after its answer", command, err)
 				}
 			}
-			if g.serve.Wait(); time.Since(began) > mostToStop+spareToStop+patience/10 {
+			if g.serve.Wait(); time.Since(began) > maxShutdownWait+shutdownMargin+patience/10 {
 				t.Errorf("ended after %v", time.Since(began))
 			}
 		})
@@ -864,12 +864,12 @@
 // A link that is taken up just before its idle time was looked after again at once until its leg ended, and no
 // event was handled meanwhile: eight requests were lost on a rough day.
 func TestLinkInUseAtItsIdleTimeIsLeftForLater(t *testing.T) {
-	r := &Proxy{began: time.Now()}
+	r := &Proxy{startedAt: time.Now()}
 	r.Settings.Policy.IdleTimeout = 10 * time.Second
-	l := &link{does: aLeg, usedAt: policy.Instant(-time.Hour), idleAt: epoch}
-	l.id = r.links.Add(l)
-	r.tend(l.id)
-	if at, ok := r.due.Next(); !ok || at.Since(r.now()) < time.Second || r.links.Get(l.id) == nil {
+	l := &upstreamConn{purpose: purposeAttempt, lastUsedAt: policy.Instant(-time.Hour), idleCheckAt: clockEpoch}
+	l.id = r.conns.Add(l)
+	r.onConnTimer(l.id)
+	if at, ok := r.timers.Next(); !ok || at.Since(r.now()) < time.Second || r.conns.Get(l.id) == nil {
 		t.Errorf("to be looked after %v from now", at.Since(r.now()))
 	}
 }
@@ -897,7 +897,7 @@
 
 // moves has a server be elsewhere, for whatever comes after.
 func (g *rig) moves(id policy.EndpointID, addr string) {
-	g.ask(func() { g.caches[id].addr = addr })
+	g.runInLoop(func() { g.endpoints[id].addr = addr })
 	g.Counters() // else the next command may come before
 }
 
@@ -987,12 +987,12 @@
 
 // Where legs may not be called off, a link that comes up late must not carry a leg of what is answered by then.
 func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
-	r := &Proxy{began: time.Now()}
-	v := &request{answered: true, legs: []leg{{out: true}}}
-	v.id = r.hand.Add(v)
-	l := &link{does: aLeg, leg: legRef{hand: v.id}, cache: &cache{}}
-	l.id = r.links.Add(l)
-	if r.begin(l); r.count.Outcomes[policy.NotSent] != 1 || v.legs[0].out || l.does != nothing {
-		t.Errorf("%v, still out: %v", r.count.Outcomes, v.legs[0].out)
+	r := &Proxy{startedAt: time.Now()}
+	v := &inflightRequest{answered: true, attempts: []attempt{{inFlight: true}}}
+	v.id = r.inflight.Add(v)
+	l := &upstreamConn{purpose: purposeAttempt, attempt: attemptRef{request: v.id}, endpoint: &knownEndpoint{}}
+	l.id = r.conns.Add(l)
+	if r.startPurpose(l); r.counters.Outcomes[policy.NotSent] != 1 || v.attempts[0].inFlight || l.purpose != purposeIdle {
+		t.Errorf("%v, still out: %v", r.counters.Outcomes, v.attempts[0].inFlight)
 	}
 }
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	stallAfter    = 150 * time.Millisecond // an iteration of the loop that takes longer is a stall: deadlines allow for no more
-	stallLogEvery = time.Second            // between two log lines about stalls
-	listLook      = time.Millisecond       // between looks whether the poller has read the list after a stall
-	listLooks     = 20                     // such looks at most: the poller reads it in one or two
+	stallThreshold        = 150 * time.Millisecond // an iteration of the loop that takes longer is a stall: deadlines allow for no more
+	stallLogInterval      = time.Second            // between two log lines about stalls
+	listReadCheckInterval = time.Millisecond       // between looks whether the poller has read the list after a stall
+	maxListReadChecks     = 20                     // such looks at most: the poller reads it in one or two
 )
 
 // stallWatch observes the iterations of the event loop. Whatever the loop owes waits for the end of an iteration, so a long one explains
@@ -32,42 +32,42 @@
 }
 
 // beginIteration starts the observation of an iteration of the loop.
-func (r *Proxy) beginIteration(events int) { r.stalls.begin(r.now(), events) }
+func (p *Proxy) beginIteration(events int) { p.stalls.begin(p.now(), events) }
 
 // endIteration counts an iteration that has ended, and logs it if it was a stall.
-func (r *Proxy) endIteration(now policy.Instant) {
-	took := now.Since(r.stalls.began)
-	r.stalls.stalled = took >= stallAfter
-	r.count.LongestIterationMs = max(r.count.LongestIterationMs, uint64(took/time.Millisecond))
-	if !r.stalls.stalled {
+func (p *Proxy) endIteration(now policy.Instant) {
+	took := now.Since(p.stalls.began)
+	p.stalls.stalled = took >= stallThreshold
+	p.counters.LongestIterationMs = max(p.counters.LongestIterationMs, uint64(took/time.Millisecond))
+	if !p.stalls.stalled {
 		return
 	}
-	r.count.Stalls++
-	if r.stalls.loggedAt != 0 && now.Since(r.stalls.loggedAt) < stallLogEvery {
-		r.stalls.notLogged++
+	p.counters.Stalls++
+	if p.stalls.loggedAt != 0 && now.Since(p.stalls.loggedAt) < stallLogInterval {
+		p.stalls.notLogged++
 		return
 	}
-	r.Log.WithFields(logrus.Fields{"took_ms": int64(took / time.Millisecond), "events": r.stalls.events, "lists": r.stalls.lists,
-		"in_hand": r.hand.Len(), "not_logged": r.stalls.notLogged}).Warn("the event loop stalled")
-	r.stalls.loggedAt, r.stalls.notLogged = now, 0
+	p.Log.WithFields(logrus.Fields{"took_ms": int64(took / time.Millisecond), "events": p.stalls.events, "lists": p.stalls.lists,
+		"in_hand": p.inflight.Len(), "not_logged": p.stalls.notLogged}).Warn("the event loop stalled")
+	p.stalls.loggedAt, p.stalls.notLogged = now, 0
 }
 
-// heldUp tells whether the loop has just stood still: the iteration before took long, or what is due waits for so long that the process
+// wasHeldUp tells whether the loop has just stood still: the iteration before took long, or what is due waits for so long that the process
 // did not run.
-func (r *Proxy) heldUp() bool {
-	at, ok := r.due.Next()
-	return r.stalls.stalled || ok && r.now().Since(at) >= stallAfter
+func (p *Proxy) wasHeldUp() bool {
+	at, ok := p.timers.Next()
+	return p.stalls.stalled || ok && p.now().Since(at) >= stallThreshold
 }
 
-// awaitList waits until the poller has read what discovery has written by now. After a stall it stands in the kernel beside requests that came
+// awaitEndpointList waits until the poller has read what discovery has written by now. After a stall it stands in the kernel beside requests that came
 // before or after it, and the poller brings them in any order. Guards against decisions by a list that was out of date for longer than
 // the grace.
-func (r *Proxy) awaitList() {
-	l := r.links.Get(r.list.link)
-	if l == nil || l.wire == nil {
+func (p *Proxy) awaitEndpointList() {
+	conn := p.conns.Get(p.watch.conn)
+	if conn == nil || conn.wire == nil {
 		return
 	}
-	for look := 0; look < listLooks && l.wire.Unread(); look++ {
-		time.Sleep(listLook)
+	for check := 0; check < maxListReadChecks && conn.wire.Unread(); check++ {
+		time.Sleep(listReadCheckInterval)
 	}
 }
