--- a/policy/admission.go
+++ b/policy/admission.go
@@ -37,7 +37,7 @@
 type admission struct {
 	settings    *Settings
 	chance      *keyhash.Source
-	controllers [scopes]admissionController // homeZone, otherZones
+	controllers [scopeCount]admissionController // homeZone, otherZones
 	// meanPreference is the mean shed preference of requests.
 	meanPreference float64
 }
@@ -47,7 +47,7 @@
 	return admission{
 		settings:       settings,
 		chance:         chance,
-		controllers:    [scopes]admissionController{open, open},
+		controllers:    [scopeCount]admissionController{open, open},
 		meanPreference: 1,
 	}
 }
@@ -62,10 +62,10 @@
 
 // shouldShed decides by chance whether a request that would go to a scope's caches is rejected: the more the offered
 // attempts exceed the useful ones, and the higher its shed preference. A request that is shed counts as offered.
-func (a *admission) shouldShed(s scope, zoneLocal bool, preference float64) bool {
-	controller := &a.controllers[s]
+func (a *admission) shouldShed(scope placementScope, zoneLocal bool, preference float64) bool {
+	controller := &a.controllers[scope]
 	tolerated := maxOfferedPerUseful
-	if zoneLocal && s == homeZone {
+	if zoneLocal && scope == homeZone {
 		// What home can't do is offered to other zones instead, at a price: so no surplus is tolerated here.
 		tolerated = 1 - trialShare
 	}
@@ -82,19 +82,19 @@
 }
 
 // recordRejection counts an attempt that a cache of a scope rejected.
-func (a *admission) recordRejection(s scope) {
-	a.controllers[s].offered += rejectionWeight
+func (a *admission) recordRejection(scope placementScope) {
+	a.controllers[scope].offered += rejectionWeight
 }
 
 // record counts an attempt at a cache of a scope, with a weight of 0 to 1, and how useful its answer was, 0 to 1.
-func (a *admission) record(s scope, weight, useful float64) {
-	a.controllers[s].offered += weight
-	a.controllers[s].useful += useful
+func (a *admission) record(scope placementScope, weight, useful float64) {
+	a.controllers[scope].offered += weight
+	a.controllers[scope].useful += useful
 }
 
 // lostShare returns the share of what was offered to a scope's caches that wasn't useful.
-func (a *admission) lostShare(s scope) float64 {
-	controller := &a.controllers[s]
+func (a *admission) lostShare(scope placementScope) float64 {
+	controller := &a.controllers[scope]
 	return max(0, controller.offered-controller.useful) / max(1, controller.offered)
 }
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -29,8 +29,10 @@
 //     answer that the router gives comes from there, so its callers are the places where a request is rejected.
 //  4. fetch.go: writes and reads that missed go to the origin in cache-aside mode: one read fetches a key while others
 //     wait (coalescing.go), within the concurrency limit (origin.go).
-//  5. selection.go: all else goes to a cache. replicas.go lists the caches that hold the key and can take it;
-//     leastLoaded picks one by load, rank and faults; admission.go may shed the request instead.
+//  5. send.go: all else goes to a cache. replicas.go lists the caches that hold the key and can take it; selection.go
+//     picks one by load, rank and faults; admission.go may shed the request instead.
+//
+// mayattempt.go has the last word on each attempt: what is safe to repeat, and which endpoints take attempts at all.
 //
 // OnAttemptDone has learn (outcome.go) hand the outcome to each part, then decides on a retry and on whom to wake.
 //
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -19,17 +19,20 @@
 	toldState EndpointState
 }
 
-// scope says which caches a placement covers.
-type scope int
+// placementScope says which caches a placement covers.
+type placementScope int
 
 const (
-	homeZone   scope = iota // the caches of this node's zone, or all where the zone has no placement of its own
-	otherZones              // all caches but those of this node's zone
-	allZones                // all caches
+	// homeZone is the caches of this node's zone, or all where the zone has no placement of its own.
+	homeZone placementScope = iota
+	// otherZones is all caches but those of this node's zone.
+	otherZones
+	// allZones is all caches.
+	allZones
 )
 
-// scopes is how many scopes a cache can belong to: homeZone or otherZones.
-const scopes = 2
+// scopeCount is how many scopes a cache can belong to: homeZone or otherZones.
+const scopeCount = 2
 
 // endpointList owns the endpoints: what the list says of them, and the placements that follow from it. A placement
 // depends on the set of caches alone, so nodes with the same list agree on where keys are.
@@ -124,7 +127,7 @@
 }
 
 // scopeOf returns the scope to which an endpoint belongs: homeZone for all if the zone has no placement of its own.
-func (l *endpointList) scopeOf(u *upstream) scope {
+func (l *endpointList) scopeOf(u *upstream) placementScope {
 	if l.zoneLocal && u.Zone != l.settings.Zone {
 		return otherZones
 	}
@@ -133,12 +136,12 @@
 
 // placement returns the placement that serves a scope, and builds it on first use. otherZones has none of its own: its
 // caches are those of allZones that aren't at home.
-func (l *endpointList) placement(s scope) *placement {
-	index := min(s, otherZones)
+func (l *endpointList) placement(scope placementScope) *placement {
+	index := min(scope, otherZones)
 	if l.placements[index] == nil {
 		var members []*upstream
 		for _, u := range l.caches {
-			if s != homeZone || l.scopeOf(u) == homeZone {
+			if scope != homeZone || l.scopeOf(u) == homeZone {
 				members = append(members, u)
 			}
 		}
@@ -149,7 +152,7 @@
 
 // lookup returns the cache at the location of a key in a segment; nil if the segment is empty. Slots of unreachable
 // caches pass their keys on.
-func (l *endpointList) lookup(now Instant, s scope, segment int, key uint64) *upstream {
+func (l *endpointList) lookup(now Instant, scope placementScope, segment int, key uint64) *upstream {
 	unreachable := func(u *upstream) bool { return u.health.unreachable(now) }
-	return l.placement(s)[segment].lookup(keyhash.Salted(key, segmentCount+segment), unreachable)
+	return l.placement(scope)[segment].lookup(keyhash.Salted(key, segmentCount+segment), unreachable)
 }
--- /dev/null
+++ b/policy/endpointstate_test.go
@@ -0,0 +1,50 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// Operators read the states in the event log, by these names. Each change is told once.
+func TestObserversAreToldEachChangeOfStateOnce(t *testing.T) {
+	now := Instant(time.Minute)
+	for _, c := range []struct {
+		state EndpointState
+		name  string
+		cause func(*harness, *upstream)
+	}{
+		{StateWarmingUp, "warming", func(_ *harness, u *upstream) { u.StartedAt = now }},
+		{StateOverloaded, "crowded", func(h *harness, u *upstream) {
+			u.load.inFlight = 5
+			u.health.waitingSince = now
+			for range 40 {
+				h.router.latency.perQueued.Observe(200 * ms)
+			}
+		}},
+		{StateFailing, "erring", func(_ *harness, u *upstream) { u.health.errorScores[readClass] = maxErrorScore }},
+		{StateUnresponsive, "quiet", func(_ *harness, u *upstream) { u.health.ejectedUntil = now + 1 }},
+		{StateUnreachable, "refusing", func(_ *harness, u *upstream) {
+			u.health.connectFailures = failuresToEject
+			u.health.ejectedUntil = now + 1
+		}},
+		{StateDraining, "drains", func(_ *harness, u *upstream) { u.Lifecycle = Draining }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newReadThroughHarness(t)
+			u := h.cache("cache-1")
+			c.cause(h, u)
+			var told []EndpointState
+			observe := func(id EndpointID, state EndpointState) {
+				if id != u.ID {
+					t.Errorf("%s is told to be %v", id, state)
+				}
+				told = append(told, state)
+			}
+			h.router.EndpointStates(now, observe)
+			h.router.EndpointStates(now, observe)
+			if len(told) != 1 || told[0] != c.state || told[0].String() != c.name {
+				t.Errorf("observers were told %v, want %v once", told, c.state)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/mayattempt_test.go
@@ -0,0 +1,110 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+)
+
+// FuzzMayAttempt asks the router and the plain model what is allowed, in states that FuzzRules might never reach.
+func FuzzMayAttempt(f *testing.F) {
+	for seed := range int64(300) {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, seed int64) {
+		chance := rand.New(rand.NewSource(seed))
+		settings := testSettings()
+		settings.HedgingAllowed = chance.Intn(2) == 0
+		settings.MaxAttempts = 1 + chance.Intn(4)
+		settings.Classes[keyedClass].DedupWindow = 400 * ms
+		settings.Classes[keyedInGroupClass].DedupScope = DedupScope(chance.Intn(3))
+		h := newHarness(t, settings, testFleet(6, false))
+		r := drawRequest(chance)
+		h.router.assess(0, r)
+		for range chance.Intn(4) {
+			r.Attempts = append(r.Attempts, drawAttempt(chance))
+		}
+		h.now = Instant(300+chance.Intn(400)) * Instant(ms)
+		endpoint := h.listed["cache-1"]
+		endpoint.Lifecycle = Lifecycle(chance.Intn(2))
+		h.update(DeltaUpdate, endpoint)
+		h.compareWithModel(r, endpoint)
+	})
+}
+
+func drawRequest(chance *rand.Rand) *Request {
+	class := ClassID(chance.Intn(6) - 1)
+	return &Request{Class: class, Deadline: Instant(800 * ms), Finished: chance.Intn(9) == 0}
+}
+
+func drawAttempt(chance *rand.Rand) Attempt {
+	return Attempt{
+		Endpoint: EndpointID(fmt.Sprintf("cache-%d", chance.Intn(6))),
+		SentAt:   Instant(chance.Intn(300)) * Instant(ms),
+		InFlight: chance.Intn(4) == 0,
+		Result:   Result(chance.Intn(9)),
+	}
+}
+
+// compareWithModel checks what the router says of a request and an endpoint. The router may be stricter only by the
+// ticks that it keeps in hand before a limit.
+func (h *harness) compareWithModel(r *Request, endpoint Endpoint) {
+	h.t.Helper()
+	got := h.router.mayAttempt(h.now, r, h.cache(endpoint.ID))
+	want := modelAllowsAttempt(h.settings, h.listed, h.now, r, endpoint.ID)
+	if got && !want {
+		h.t.Errorf("at %v an attempt at %v is not allowed: %+v", h.now, endpoint, r)
+	}
+	later := h.now.Add(2 * h.settings.TickInterval)
+	stillWanted := modelAllowsAttempt(h.settings, h.listed, later, r, endpoint.ID) && later < r.Deadline
+	if want && !got && stillWanted {
+		h.t.Errorf("at %v an attempt at %v is allowed: %+v", h.now, endpoint, r)
+	}
+	answer := h.router.giveUp(r).Answer
+	if !modelAllowsAnswer(h.settings, r, answer) {
+		h.t.Errorf("answer %v is not allowed: %+v", answer, r)
+	}
+	if answer == Fail && modelAllowsAnswer(h.settings, r, Reject) {
+		h.t.Errorf("a failure where a rejection is allowed: %+v", r)
+	}
+}
+
+// A connection may take time to open. Meanwhile the endpoint may start to drain, leave the list, or the deduplication
+// window of an earlier attempt may pass: the attempt must not be sent then.
+func TestMayStartAsksAgain(t *testing.T) {
+	leave := func(h *harness, endpoint Endpoint) {
+		endpoint.Lifecycle = Removed
+		h.update(DeltaUpdate, endpoint)
+	}
+	drain := func(h *harness, endpoint Endpoint) {
+		endpoint.Lifecycle = Draining
+		h.update(DeltaUpdate, endpoint)
+	}
+	for _, c := range []struct {
+		name  string
+		wait  time.Duration // since the first attempt
+		event func(*harness, Endpoint)
+		may   bool
+	}{
+		{"nothing has changed", 100 * ms, func(*harness, Endpoint) {}, true},
+		{"the endpoint drains", 100 * ms, drain, false},
+		{"the endpoint has left", 100 * ms, leave, false},
+		{"the deduplication window is over", 600 * ms, func(*harness, Endpoint) {}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newReadThroughHarness(t)
+			r := &Request{Class: keyedClass, Deadline: Instant(800 * ms)}
+			h.router.assess(0, r)
+			r.Attempts = []Attempt{
+				{Endpoint: "cache-1", Result: ConnectionBroken},
+				{Endpoint: "cache-2", SentAt: Instant(50 * ms), InFlight: true},
+			}
+			h.now = h.now.Add(c.wait)
+			c.event(h, h.listed["cache-2"])
+			if may := h.router.MayStart(h.now, *r, 1); may != c.may {
+				t.Errorf("MayStart says %v, want %v", may, c.may)
+			}
+		})
+	}
+}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -53,12 +53,12 @@
 
 // learnUsefulness counts an attempt at a cache that tells of its load, for admission and for the cache's wasted share.
 func (router *Router) learnUsefulness(u *upstream, ended endedAttempt) {
-	s := router.endpoints.scopeOf(u)
+	scope := router.endpoints.scopeOf(u)
 	weight := 1.0
 	useful := 0.0
 	switch {
 	case ended.Result == Rejected:
-		router.admission.recordRejection(s)
+		router.admission.recordRejection(scope)
 		router.outliers.recordUsefulness(u, 0)
 		return
 	case ended.Result == TimedOut && u.health.lastInTimeSentAt > ended.SentAt:
@@ -72,7 +72,7 @@
 	case ended.Result == Answered:
 		useful = ended.lateShare
 	}
-	router.admission.record(s, weight, useful)
+	router.admission.record(scope, weight, useful)
 	router.outliers.recordUsefulness(u, useful)
 }
 
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -13,7 +13,7 @@
 // replicas returns the caches that hold a request's key and can take it now, in the order of their rank for the key. A
 // cache yields to the next ranked location if it drains, doesn't respond, errs on this class (it fails fast and so
 // looks idle), isn't reachable from this zone, or isn't warm enough for the key.
-func (router *Router) replicas(now Instant, r *Request, s scope) []*upstream {
+func (router *Router) replicas(now Instant, r *Request, scope placementScope) []*upstream {
 	count := replicaCount
 	if !r.Write {
 		caches := len(router.endpoints.caches)
@@ -21,8 +21,8 @@
 	}
 	var replicas []*upstream
 	for _, segment := range rankSegments(r.facts.key) {
-		u := router.endpoints.lookup(now, s, segment, r.facts.key)
-		if u == nil || s == otherZones && u.Zone == router.settings.Zone {
+		u := router.endpoints.lookup(now, scope, segment, r.facts.key)
+		if u == nil || scope == otherZones && u.Zone == router.settings.Zone {
 			continue
 		}
 		if router.canTake(now, r, u) {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -26,9 +26,6 @@
 	idleMargin = time.Second
 	// maxEarlySaturation is how many times sooner a queue counts as full for requests that are readily shed.
 	maxEarlySaturation = 2.0
-	// maxShortageToFanOut is the shortage from which a write goes to one replica only: three attempts would be three
-	// writes at an origin that is short already.
-	maxShortageToFanOut = 0.01
 )
 
 // selection is the result of selectEndpoint.
@@ -41,9 +38,9 @@
 
 // selectEndpoint selects the least loaded replica of a request's key in a scope. Where none at home can take it, it
 // selects one of another zone.
-func (router *Router) selectEndpoint(now Instant, r *Request, s scope) selection {
-	selected := router.leastLoaded(now, r, router.replicas(now, r, s))
-	if selected.endpoint == nil && router.endpoints.zoneLocal && s != otherZones {
+func (router *Router) selectEndpoint(now Instant, r *Request, scope placementScope) selection {
+	selected := router.leastLoaded(now, r, router.replicas(now, r, scope))
+	if selected.endpoint == nil && router.endpoints.zoneLocal && scope != otherZones {
 		elsewhere := router.selectEndpoint(now, r, otherZones)
 		elsewhere.saturated = elsewhere.saturated || selected.saturated
 		return elsewhere
@@ -98,70 +95,3 @@
 	}
 	return tieBreak * cost / u.Weight
 }
-
-// sendToReplica decides on a request that goes to a cache: to which one, or that it is shed, or that it goes to the
-// origin since no cache can take it. Shedding is for first attempts, and full queues don't count as loss for it.
-func (router *Router) sendToReplica(now Instant, r *Request, pressure float64) Decision {
-	s := homeZone
-	// While the origin is short, zones do without replicas of their own, since each of those fetches its keys.
-	if router.endpoints.zoneLocal && router.chance.Float64() < pressure {
-		s = allZones
-	}
-	selected := router.selectEndpoint(now, r, s)
-	shed := router.sheds(r, selected.endpoint)
-	if shed && router.endpoints.zoneLocal && router.endpoints.scopeOf(selected.endpoint) == homeZone {
-		selected = router.selectEndpoint(now, r, otherZones)
-		shed = router.sheds(r, selected.endpoint)
-	}
-	switch {
-	case shed:
-		return router.giveUp(r)
-	case selected.endpoint != nil && router.fansOut(r):
-		replicas := selected.replicas
-		return router.send(now, r, replicas[:min(len(replicas), router.settings.MaxAttempts)]...)
-	case selected.endpoint != nil:
-		return router.send(now, r, selected.endpoint)
-	case !selected.saturated && router.mayBypassCaches(r):
-		return router.fetch(now, r)
-	}
-	return router.giveUp(r)
-}
-
-// sheds tells whether a request is shed instead of its first attempt at an endpoint, which is nil if there is none.
-func (router *Router) sheds(r *Request, u *upstream) bool {
-	if u == nil || len(r.Attempts) > 0 {
-		return false
-	}
-	s := router.endpoints.scopeOf(u)
-	return router.admission.shouldShed(s, router.endpoints.zoneLocal, r.facts.shedPreference)
-}
-
-// fansOut tells whether a request is a write that goes to all its replicas at once: in read-through mode, where every
-// cache drops repeats. In cache-aside mode writes go to the origin.
-func (router *Router) fansOut(r *Request) bool {
-	class := &r.facts.class
-	safe := class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches && router.settings.HedgingAllowed
-	return r.Write && safe && len(r.Attempts) == 0 && router.shortage.share < maxShortageToFanOut
-}
-
-// mayBypassCaches tells whether a request for which there is no cache may go to the origin. If the list has no caches
-// at all, none of them can be at fault, and the origin isn't sized for all of the traffic.
-func (router *Router) mayBypassCaches(r *Request) bool {
-	return len(router.endpoints.caches) > 0 && router.settings.CacheAside &&
-		r.facts.class.Idempotency == Idempotent
-}
-
-// send starts attempts of a request at endpoints.
-func (router *Router) send(now Instant, r *Request, endpoints ...*upstream) Decision {
-	decision := Decision{
-		AttemptDeadline: now.Add(router.timeLeft(now, r)),
-		ReviewAt:        now.Add(router.latency.slow),
-	}
-	for _, u := range endpoints {
-		router.outliers.started(now, u)
-		router.load.started(now, u)
-		router.slowStart.paceNext(now, u, 1)
-		decision.SendTo = append(decision.SendTo, u.ID)
-	}
-	return decision
-}
