--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			asks := s.Asks()
+			asks := s.TrafficPlan()
 			if c.Flags().Changed("rate") {
 				if asks.PerSecond = rate; !(rate > 0 && rate <= 1e5) {
 					return fmt.Errorf("--rate %v is not above 0 and at most 100000", rate)
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -411,7 +411,7 @@
 
 func newJudge(s *scenario.Scenario) *checker.Checker {
 	var gs []policy.ServiceClass
-	for _, g := range s.Terms() {
+	for _, g := range s.WorldClasses() {
 		gs = append(gs, g.ServiceClass)
 	}
 	return checker.New(checker.Rules{Classes: gs})
@@ -433,7 +433,7 @@
 		defer r.mu.Unlock()
 		r.servers[0].shut()
 	}()
-	r.traffic = world.NewTraffic(s.Asks())
+	r.traffic = world.NewTraffic(s.TrafficPlan())
 	r.warm()
 	held := 0
 	say := func(line string) string {
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -129,7 +129,7 @@
 	ear := &runner.WorldObserver{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
-	r.traffic = world.NewTraffic(s.Asks())
+	r.traffic = world.NewTraffic(s.TrafficPlan())
 	defer r.close()
 	for i := range r.world.Servers {
 		if err := r.open(i); err != nil {
@@ -273,7 +273,7 @@
 func (r *Rig) arrivals(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	end, said := start.Add(r.script.Long()), 0
+	end, said := start.Add(r.script.Duration()), 0
 	r.mu.Lock()
 	at := r.traffic.Next(start)
 	r.mu.Unlock()
--- a/internal/emulator/report/outcome.go
+++ b/internal/emulator/report/outcome.go
@@ -206,7 +206,7 @@
 		r.Breaches[i].At -= l.began
 	}
 	asked, got, tries := 0.0, 0.0, uint64(0)
-	for i, g := range s.Terms() {
+	for i, g := range s.WorldClasses() {
 		t := &j.Classes[i]
 		row := Class{Name: g.Name, Asked: t.First, Rejected: t.Rejected, Failed: t.Failed, Cut: t.Cut}
 		if t.First > 0 {
@@ -230,7 +230,7 @@
 	}
 	r.Back = l.recovered(first, last)
 	if l.Views != nil {
-		r.Together = newFleet(l.Views.From(l.began), scenario.Span(s.Together.PauseS), policy.Instant(s.Long()))
+		r.Together = newFleet(l.Views.From(l.began), scenario.Span(s.Together.PauseS), policy.Instant(s.Duration()))
 	}
 	if l.Played > 0 && float64(l.Late) > lateArrivals*float64(l.Played) {
 		r.Busy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.Played, LateBy)
--- /dev/null
+++ b/internal/emulator/scenario/check.go
@@ -0,0 +1,218 @@
+package scenario
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/strictconfig"
+)
+
+// Bounds of what one machine plays in one run.
+const (
+	maxCaches  = 5000
+	maxNodes   = 10_000
+	maxKeys    = 10_000_000
+	maxSeconds = 3600
+	maxRate    = 1_000_000 // requests a second
+	maxEvents  = 1000
+	maxValueKB = 4096
+)
+
+// check finds all that is wrong with a scenario, each with its field. It fills in what is not stated and depends on the rest.
+func (s *Scenario) check(c *strictconfig.Checker) {
+	c.InRange(s.Seconds, 1, maxSeconds, "seconds")
+	s.checkFleet(c)
+	s.checkOrigin(c)
+	s.checkNetwork(c)
+	s.checkDiscovery(c)
+	s.checkAllowed(c)
+	s.checkTraffic(c)
+	s.checkClasses(c)
+	s.checkEvents(c)
+	s.checkExpect(c)
+	s.checkLevels(c)
+	s.checkTogether(c)
+}
+
+func (s *Scenario) checkFleet(c *strictconfig.Checker) {
+	f := &s.Fleet
+	c.InRange(float64(f.Nodes), 1, maxNodes, "fleet.nodes")
+	c.InRange(float64(f.Stated), 0, maxNodes, "fleet.stated")
+	c.InRange(float64(f.Caches), 1, maxCaches, "fleet.caches")
+	c.InRange(float64(f.Cores), 1, 1024, "fleet.cores")
+	c.InRange(float64(f.Queue), 0, 1e6, "fleet.queue")
+	c.InRange(float64(f.Keys), 1, maxKeys, "fleet.keys")
+	c.InRange(float64(f.Group), 1, maxCaches, "fleet.group")
+	c.InRange(float64(f.Connections), 1, 1e6, "fleet.connections")
+	c.InRange(f.Speed[0], 0.001, 1000, "fleet.speed")
+	c.InRange(f.Speed[1], f.Speed[0], 1000, "fleet.speed")
+	c.InRange(f.ColdFrom, 0.01, 1, "fleet.cold_from")
+	c.InRange(f.ColdS, 0, maxSeconds, "fleet.cold_s")
+	c.InRange(f.FallMultiple, 0, 1e6, "fleet.fall_multiple")
+	c.Require(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s",
+		"a multiple that fells a cache needs a time over which it counts")
+	c.InRange(f.FallS, 0, maxSeconds, "fleet.fall_s")
+	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
+	c.InRange(f.IdleS, 0.1, maxSeconds, "fleet.idle_s")
+	checkProtocol(c, f.Protocol, "fleet.protocol")
+	httpClients := s.Traffic.Protocol == listeners.HTTP
+	c.Require(f.Protocol != listeners.HTTP || httpClients && !f.Reports, "fleet.protocol",
+		"caches speak http only where clients do, and tell no load")
+	checkProtocol(c, s.Traffic.Protocol, "traffic.protocol")
+	c.Require(len(f.Zones) > 0, "fleet.zones", "names no zone")
+}
+
+func checkProtocol(c *strictconfig.Checker, protocol, path string) {
+	known := protocol == listeners.Meta || protocol == listeners.HTTP
+	c.Require(known, path, "%q is neither %s nor %s", protocol, listeners.Meta, listeners.HTTP)
+}
+
+func (s *Scenario) checkOrigin(c *strictconfig.Checker) {
+	o := &s.Origin
+	c.InRange(float64(o.Cores), 1, 1024, "origin.cores")
+	c.InRange(float64(o.Queue), 0, 1e6, "origin.queue")
+	c.InRange(o.WorkMs, 0.01, 1e5, "origin.work_ms")
+	c.InRange(float64(o.StallAt), 1, 1e6, "origin.stall_at")
+	c.InRange(o.Stall, 1, 1000, "origin.stall")
+	c.InRange(o.FallMultiple, 0, 1e6, "origin.fall_multiple")
+	c.InRange(o.FallS, 0, maxSeconds, "origin.fall_s")
+}
+
+func (s *Scenario) checkNetwork(c *strictconfig.Checker) {
+	n := &s.Network
+	checkMilliseconds(c, n.OneWayMs, "network.one_way_ms")
+	checkMilliseconds(c, n.CrossZoneMs, "network.cross_zone_ms")
+	checkMilliseconds(c, n.ClientMs, "network.client_ms")
+	checkMilliseconds(c, n.LateMs, "network.late_ms")
+	c.InRange(n.Jitter, 0, 1, "network.jitter")
+	c.InRange(n.LateShare, 0, 1, "network.late_share")
+	c.InRange(n.LostShare, 0, 1, "network.lost_share")
+}
+
+func checkMilliseconds(c *strictconfig.Checker, ms float64, path string) { c.InRange(ms, 0, 1e5, path) }
+
+func (s *Scenario) checkDiscovery(c *strictconfig.Checker) {
+	d := &s.Discovery
+	c.InRange(d.NoticeS[0], 0, maxSeconds, "discovery.notice_s")
+	c.InRange(d.NoticeS[1], d.NoticeS[0], maxSeconds, "discovery.notice_s")
+	checkMilliseconds(c, d.WatchMs, "discovery.watch_ms")
+	checkMilliseconds(c, d.WholeMs, "discovery.whole_ms")
+	checkMilliseconds(c, d.BacklogMs, "discovery.backlog_ms")
+}
+
+func (s *Scenario) checkAllowed(c *strictconfig.Checker) {
+	a := &s.Allowed
+	checkMilliseconds(c, a.RetryAfterMs, "allowed.come_back_ms")
+	checkMilliseconds(c, a.GraceMs, "allowed.grace_ms")
+	checkMilliseconds(c, a.ConnectMs, "allowed.connect_ms")
+	checkMilliseconds(c, a.SlackMs, "allowed.slack_ms")
+	checkMilliseconds(c, a.LateAnswerMs, "allowed.late_answer_ms")
+	c.Require(a.Mode == "aside" || a.Mode == "through", "allowed.mode", "%q is neither aside nor through", a.Mode)
+	c.InRange(float64(a.MaxAttempts), 1, 100, "allowed.most_legs")
+	c.InRange(a.WastePrice, 0, 100, "allowed.waste_price")
+}
+
+func (s *Scenario) checkTraffic(c *strictconfig.Checker) {
+	t := &s.Traffic
+	c.InRange(t.PerSecond, 0, maxRate, "traffic.per_second")
+	c.InRange(t.Swing, 0, 1, "traffic.swing")
+	c.InRange(t.WaveS, 0, maxSeconds, "traffic.wave_s")
+	c.InRange(float64(t.Keys), 1, maxKeys, "traffic.keys")
+	c.InRange(t.Zipf, 0, 5, "traffic.zipf")
+	c.InRange(t.Jitter, 0, 10, "traffic.jitter")
+	c.InRange(t.Skew, 0, 5, "traffic.skew")
+	c.InRange(t.Leaves, 0, 1, "traffic.leaves")
+	checkMilliseconds(c, t.LeaveMs, "traffic.leave_ms")
+	c.Require(t.Leaves == 0 || t.LeaveMs > 0, "traffic.leave_ms", "clients that leave do so after some time")
+	c.InRange(t.Short, 0, 1, "traffic.short")
+	checkMilliseconds(c, t.ShortMs, "traffic.short_ms")
+	c.Require(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "clients that wait less do so for some time")
+	c.InRange(t.LongShare, 0, 1, "traffic.long_share")
+	c.InRange(float64(t.LongKB), 0, maxValueKB, "traffic.long_kb")
+	c.Require(t.LongShare == 0 || t.Protocol == listeners.Meta, "traffic.long_share", "values are long only by %s", listeners.Meta)
+}
+
+func (s *Scenario) checkClasses(c *strictconfig.Checker) {
+	c.Require(len(s.Classes) > 0, "grade", "no grade is stated, so nothing can be asked")
+	names := map[string]bool{}
+	sum := 0.0
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		class.check(c, fmt.Sprintf("grade.%d.", i), names)
+		sum += class.Share
+	}
+	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
+}
+
+// check finds what is wrong with one class; names are those of the classes before it.
+func (g *Class) check(c *strictconfig.Checker, at string, names map[string]bool) {
+	g.Tries = cmp.Or(g.Tries, 1)
+	g.Effect = cmp.Or(g.Effect, "idempotent")
+	g.Scope = cmp.Or(g.Scope, "all")
+	c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name", "%q is no name", g.Name)
+	c.Require(!names[g.Name], at+"name", "%q stands twice", g.Name)
+	names[g.Name] = true
+	_, known := effects[g.Effect]
+	c.Require(known, at+"effect", "%q is none of idempotent, labelled, irreversible", g.Effect)
+	_, known = scopes[g.Scope]
+	c.Require(known, at+"scope", "%q is none of all, zone, group", g.Scope)
+	c.InRange(g.Share, 0, 1e6, at+"share")
+	c.InRange(g.Benefit, 0, 1e6, at+"benefit")
+	c.InRange(g.SoftMs, 1, 1e6, at+"soft_ms")
+	c.InRange(g.HardMs, g.SoftMs, 1e6, at+"hard_ms")
+	c.InRange(g.WorkMs, 0.01, 1e5, at+"work_ms")
+	c.InRange(g.WindowS, 0, maxSeconds, at+"window_s")
+	c.InRange(float64(g.Tries), 1, 20, at+"tries")
+	c.Require(g.Effect == "idempotent" || g.Write, at+"effect", "a read is idempotent")
+	c.Require(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "a labelled grade needs a window")
+}
+
+func (s *Scenario) checkExpect(c *strictconfig.Checker) {
+	known := func(grade string) bool {
+		return slices.ContainsFunc(s.Classes, func(g Class) bool { return g.Name == grade })
+	}
+	for _, name := range sorted(s.Expect.Satisfied) {
+		c.Require(known(name), "expect.satisfied", "there is no grade %q", name)
+		c.InRange(s.Expect.Satisfied[name], 0, 1, "expect.satisfied")
+	}
+	for _, name := range sorted(s.Expect.P99Ms) {
+		c.Require(known(name), "expect.p99_ms", "there is no grade %q", name)
+		c.InRange(s.Expect.P99Ms[name], 0, 1e6, "expect.p99_ms")
+	}
+	for i, a := range s.Expect.Avoided {
+		at := fmt.Sprintf("expect.avoided.%d.", i)
+		c.Require(strings.HasPrefix(a.Server, "c"), at+"server", "there is no server %q", a.Server)
+		c.InRange(a.ByS, 0, s.Seconds, at+"by_s")
+	}
+	c.InRange(s.Expect.OriginMost, 0, 1e6, "expect.origin_most_per_s")
+	c.InRange(s.Expect.RecoveredBy, 0, s.Seconds, "expect.recovered_by_s")
+	for _, name := range sorted(s.Expect.MostPerS) {
+		c.Require(slices.Contains(Counted, name), "expect.most_per_s",
+			"%q is none of %s", name, strings.Join(Counted, ", "))
+	}
+	c.InRange(s.Expect.Excess, 0, 100, "expect.most_legs_per_request")
+	views := s.Expect.Views
+	c.Require(views == nil || s.Together != nil && *views >= 0, "expect.most_view_changes",
+		"is for nodes that know one another, and not under 0")
+}
+
+func sorted(m map[string]float64) []string {
+	names := make([]string, 0, len(m))
+	for n := range m {
+		names = append(names, n)
+	}
+	slices.Sort(names)
+	return names
+}
+
+func (s *Scenario) checkLevels(c *strictconfig.Checker) {
+	if len(s.Levels) == 0 {
+		return
+	}
+	if terms, err := s.TermsAt(""); err == nil { // else the classes are at fault, which is reported
+		listeners.CheckLevels(c, s.Levels, &terms)
+	}
+}
--- /dev/null
+++ b/internal/emulator/scenario/check_events.go
@@ -0,0 +1,117 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/strictconfig"
+)
+
+func (s *Scenario) checkEvents(c *strictconfig.Checker) {
+	c.Require(len(s.Events) <= maxEvents, "event", "more than %d events", maxEvents)
+	added := 0
+	for _, e := range s.Events {
+		if e.Do == "add" {
+			added += max(1, e.Count)
+		}
+	}
+	for i := range s.Events {
+		e := &s.Events[i]
+		at := fmt.Sprintf("event.%d.", i)
+		kind, known := kinds[e.Do]
+		c.Require(known, at+"do", "%q is nothing that can be done", e.Do)
+		if !known {
+			continue
+		}
+		s.checkEventTime(c, e, kind, at)
+		s.checkEventCaches(c, e, kind, at, s.Fleet.Caches+added)
+		s.checkEventNodes(c, e, kind, at)
+		s.checkEventPairs(c, e, kind, at)
+		s.checkEventValues(c, e, kind, at)
+		s.checkEventFault(c, e, at)
+	}
+}
+
+func (s *Scenario) checkEventTime(c *strictconfig.Checker, e *Event, kind needs, at string) {
+	c.InRange(e.AtS, 0, s.Seconds, at+"at_s")
+	c.InRange(e.ForS, 0, maxSeconds, at+"for_s")
+	c.Require(!kind.duration || e.ForS > 0, at+"for_s", "%s needs how long it lasts", e.Do)
+	c.Require(e.Do != freeze || e.ForS <= maxFreezeS, at+"for_s", "%s lasts %g s at most", e.Do, maxFreezeS)
+	c.InRange(e.OverS, 0, maxSeconds, at+"over_s")
+	c.Require(e.OverS == 0 || kind.caches || kind.nodes || e.Do == "add", at+"over_s", "%s happens at once", e.Do)
+	c.InRange(e.TurnS, 0, maxSeconds, at+"turn_s")
+}
+
+// checkEventCaches checks which caches an event concerns; so many are there, those that are added among them.
+func (s *Scenario) checkEventCaches(c *strictconfig.Checker, e *Event, kind needs, at string, caches int) {
+	ways := 0
+	for _, stated := range []bool{len(e.Caches) > 0, e.Part > 0, e.Zone != ""} {
+		if stated {
+			ways++
+		}
+	}
+	c.InRange(e.Part, 0, 1, at+"part")
+	c.Require(!kind.caches || ways == 1, at+"caches", "%s needs either names of caches, a part of them or a zone", e.Do)
+	none := len(e.Caches) == 0 && e.Zone == "" && (kind.nodes || e.Part == 0)
+	c.Require(kind.caches || none, at+"caches", "%s concerns no caches", e.Do)
+	c.Require(e.Zone == "" || slices.Contains(s.Fleet.Zones, e.Zone), at+"zone", "there is no zone %q", e.Zone)
+	for _, name := range e.Caches {
+		digits, named := strings.CutPrefix(name, "c")
+		n, err := strconv.Atoi(digits)
+		c.Require(err == nil && named && n >= 1 && n <= caches, at+"caches", "there is no server %q", name)
+	}
+}
+
+func (s *Scenario) checkEventNodes(c *strictconfig.Checker, e *Event, kind needs, at string) {
+	c.Require(!kind.nodes || (len(e.Nodes) > 0) != (e.Part > 0), at+"nodes",
+		"%s needs either numbers of nodes or a part of them", e.Do)
+	for _, n := range e.Nodes {
+		c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"nodes", "there is no node %d", n)
+	}
+	c.Require(e.Do != twin || s.Together != nil, at+"do", "nodes do not know one another: there is no [together]")
+}
+
+func (s *Scenario) checkEventPairs(c *strictconfig.Checker, e *Event, kind needs, at string) {
+	c.Require(!kind.pairs || s.Together != nil, at+"do", "nodes say nothing to each other: there is no [together]")
+	none := len(e.From)+len(e.To) == 0 && !e.Both && e.TurnS == 0
+	c.Require(kind.pairs || none, at+"from", "%s is not between nodes", e.Do)
+	for _, n := range slices.Concat(e.From, e.To) {
+		c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"from", "there is no node %d", n)
+	}
+}
+
+func (s *Scenario) checkEventValues(c *strictconfig.Checker, e *Event, kind needs, at string) {
+	if kind.factor {
+		c.InRange(e.Factor, 0.01, 1000, at+"factor")
+	} else {
+		c.Require(e.Factor == 0, at+"factor", "%s takes no factor", e.Do)
+	}
+	if kind.share {
+		c.InRange(e.Share, 0.001, 1, at+"share")
+	} else {
+		c.Require(e.Share == 0, at+"share", "%s takes no share", e.Do)
+	}
+	if kind.lateness {
+		c.InRange(e.LateMs, 1, 1e5, at+"late_ms")
+	} else {
+		c.Require(e.LateMs == 0, at+"late_ms", "%s makes nothing late", e.Do)
+	}
+	c.InRange(float64(e.Rank), 0, float64(s.Traffic.Keys-1), at+"rank")
+	c.Require(!kind.count || e.Count > 0, at+"count", "%s needs how many", e.Do)
+	c.InRange(float64(e.Count), 0, maxCaches, at+"count")
+	c.Require(e.Do != "shrink" || e.Count < s.Fleet.Caches, at+"count",
+		"a fleet of %d can't shrink by %d", s.Fleet.Caches, e.Count)
+}
+
+func (s *Scenario) checkEventFault(c *strictconfig.Checker, e *Event, at string) {
+	c.Require(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault",
+		"%q is none of %s", e.Fault, strings.Join(faults, ", "))
+	c.Require(e.Fault != stale || s.Fleet.Protocol == listeners.HTTP, at+"fault",
+		"only caches that speak http keep what is stale")
+	c.Require(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
+	c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
+	c.Require(e.Do != "discovery_slow" || s.Discovery.WatchMs > 0, at+"do", "discovery has no bound, so that it can't be slow")
+}
--- /dev/null
+++ b/internal/emulator/scenario/choose.go
@@ -0,0 +1,69 @@
+package scenario
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"strconv"
+
+	"dahliapin/internal/keyhash"
+	"dahliapin/policy"
+)
+
+// Chosen returns the caches that an event concerns, in the order of their names' hashes where it chooses by a part.
+func (s *Scenario) Chosen(e *Event) (ids []policy.EndpointID) {
+	for _, name := range e.Caches {
+		ids = append(ids, policy.EndpointID(name))
+	}
+	if e.Zone == "" && (e.Part == 0 || kinds[e.Do].nodes) {
+		return ids
+	}
+	for n := range s.Fleet.Caches {
+		if c := s.Cache(n + 1); e.Zone == "" || c.Zone == policy.ZoneID(e.Zone) {
+			ids = append(ids, c.ID)
+		}
+	}
+	if e.Zone == "" {
+		ids = part(ids, e.Part, int(s.Seed), func(id policy.EndpointID) string { return string(id) })
+	}
+	return ids
+}
+
+// Members returns the numbers of the nodes that an event concerns, from 1.
+func (s *Scenario) Members(e *Event) []int {
+	if !kinds[e.Do].nodes || e.Part == 0 {
+		return e.Nodes
+	}
+	numbers := make([]int, s.Fleet.Nodes)
+	for n := range numbers {
+		numbers[n] = n + 1
+	}
+	return part(numbers, e.Part, int(s.Seed), func(n int) string { return "n" + strconv.Itoa(n) })
+}
+
+// part takes a share of some, by the hash of their names.
+func part[T any](all []T, share float64, seed int, name func(T) string) []T {
+	score := func(one T) uint64 { return keyhash.Salted(keyhash.String(name(one)), seed) }
+	slices.SortFunc(all, func(a, b T) int { return cmp.Compare(score(a), score(b)) })
+	return all[:max(1, int(math.Round(share*float64(len(all)))))]
+}
+
+// Repeat lets the events come round again, as often as the script's time has room for them.
+func (s *Scenario) Repeat() {
+	round := 0.0
+	for _, e := range s.Events {
+		round = max(round, e.AtS+e.ForS)
+	}
+	const gap = 6 // seconds without events between two rounds
+	round = math.Ceil(round) + gap
+	once := s.Events
+	s.Events = nil
+	for from := 0.0; from < s.Seconds; from += round {
+		for _, e := range once {
+			e.AtS += from
+			if e.AtS < s.Seconds && len(s.Events) < maxEvents {
+				s.Events = append(s.Events, e)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/emulator/scenario/deployment.go
@@ -0,0 +1,146 @@
+package scenario
+
+import (
+	"fmt"
+	"hash/crc32"
+	"math"
+	"strings"
+	"time"
+
+	"dahliapin/internal/emulator/world"
+	"dahliapin/internal/keyhash"
+	"dahliapin/policy"
+)
+
+// The words of scenarios for what policy has constants for.
+var (
+	effects = map[string]policy.Idempotency{
+		"idempotent":   policy.Idempotent,
+		"labelled":     policy.IdempotentByKey,
+		"irreversible": policy.NotIdempotent,
+	}
+	scopes = map[string]policy.DedupScope{
+		"all":   policy.AllCaches,
+		"zone":  policy.SameZone,
+		"group": policy.SameGroup,
+	}
+)
+
+// Span turns seconds into whole nanoseconds.
+func Span(seconds float64) time.Duration { return time.Duration(math.Round(seconds * 1e9)) }
+
+func ms(x float64) time.Duration { return Span(x / 1000) }
+
+// Duration is how long the scenario plays.
+func (s *Scenario) Duration() time.Duration { return Span(s.Seconds) }
+
+// WorldClasses are the classes as the world has them.
+func (s *Scenario) WorldClasses() []world.Class {
+	var all []world.Class
+	for _, class := range s.Classes {
+		all = append(all, world.Class{
+			Name: class.Name, Write: class.Write, Deadline: ms(class.HardMs), Work: ms(class.WorkMs),
+			Share: class.Share, Tries: class.Tries,
+			ServiceClass: policy.ServiceClass{
+				PriorityWeight:   class.Benefit,
+				LatencyObjective: ms(class.SoftMs),
+				Idempotency:      effects[class.Effect],
+				DedupScope:       scopes[class.Scope],
+				DedupWindow:      Span(class.WindowS),
+			},
+		})
+	}
+	return all
+}
+
+// Cache returns the traits of the n-th cache, from 1; caches that events add are counted on.
+func (s *Scenario) Cache(n int) world.Traits {
+	const oddMultiplier = 2654435761 // spreads neighbouring numbers over all seeds
+	f := &s.Fleet
+	chance := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*oddMultiplier}
+	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
+	return world.Traits{
+		ID:           policy.EndpointID(fmt.Sprintf("c%d", n)),
+		Zone:         policy.ZoneID(f.Zones[(n-1)%len(f.Zones)]),
+		Group:        policy.GroupID((n - 1) / f.Group),
+		Cores:        f.Cores,
+		Queue:        f.Queue,
+		Speed:        speed,
+		Weight:       speed * float64(f.Cores),
+		Keys:         f.Keys,
+		ColdFrom:     f.ColdFrom,
+		ColdFor:      Span(f.ColdS),
+		FallMultiple: f.FallMultiple,
+		FallFor:      Span(f.FallS),
+		Connections:  f.Connections,
+		Handshake:    ms(f.HandshakeMs),
+	}
+}
+
+// World is the plan of the world at its start.
+func (s *Scenario) World(observer world.Observer) world.Plan {
+	plan := world.Plan{
+		Classes: s.WorldClasses(),
+		Seed:    uint32(s.Seed),
+		Hearer:  observer,
+		Origin: world.OriginTraits{
+			Cores:        s.Origin.Cores,
+			Queue:        s.Origin.Queue,
+			Work:         ms(s.Origin.WorkMs),
+			StallAt:      s.Origin.StallAt,
+			Stall:        s.Origin.Stall,
+			FallMultiple: s.Origin.FallMultiple,
+			FallFor:      Span(s.Origin.FallS),
+		},
+	}
+	if s.Allowed.Mode == "through" {
+		plan.Mode = world.Through
+	}
+	for n := range s.Fleet.Caches {
+		plan.Caches = append(plan.Caches, s.Cache(n+1))
+	}
+	return plan
+}
+
+// TrafficPlan is what clients ask.
+func (s *Scenario) TrafficPlan() world.TrafficPlan {
+	const seedMask = 0x5eed // draws of the traffic are others than those of the world
+	t := &s.Traffic
+	return world.TrafficPlan{
+		PerSecond: t.PerSecond,
+		Swing:     t.Swing,
+		Wave:      Span(t.WaveS),
+		Keys:      t.Keys,
+		Zipf:      t.Zipf,
+		Classes:   s.WorldClasses(),
+		Seed:      uint32(s.Seed) ^ seedMask,
+		Jitter:    t.Jitter,
+		Leaves:    t.Leaves,
+		LeaveMost: Span(t.LeaveMs / 1000),
+		Short:     t.Short,
+		ShortMost: Span(t.ShortMs / 1000),
+	}
+}
+
+// ZoneOf is where a node stands, by its number from 0.
+func (s *Scenario) ZoneOf(node int) string {
+	if !s.Fleet.Spread {
+		return s.Fleet.Zones[0]
+	}
+	return s.Fleet.Zones[node%len(s.Fleet.Zones)]
+}
+
+// Registry is what discovery can bear.
+func (s *Scenario) Registry() *world.Registry {
+	d := &s.Discovery
+	return &world.Registry{Whole: max(ms(d.WholeMs), ms(d.WatchMs)), Watch: ms(d.WatchMs), Backlog: ms(d.BacklogMs)}
+}
+
+// Value is a key's value by its usual one: of a share of the keys it is long, and the same wherever it is kept.
+func (s *Scenario) Value(usual string) string {
+	t := &s.Traffic
+	if float64(crc32.ChecksumIEEE([]byte(usual))%1000) >= 1000*t.LongShare {
+		return usual
+	}
+	return usual + strings.Repeat(" "+usual, max(0, t.LongKB<<10/(len(usual)+1)))
+}
--- /dev/null
+++ b/internal/emulator/scenario/events.go
@@ -0,0 +1,105 @@
+package scenario
+
+import (
+	"slices"
+)
+
+// The events that operators cause, or that concern processes or what is between them. They are played on sockets only.
+const (
+	upgrade = "node_upgrade"
+	standby = "node_standby"
+	scrape  = "node_scrape"
+	pause   = "node_pause"
+	hang    = "node_hang"
+	twin    = "node_twin"
+	crowd   = "node_crowd"  // idle clients fill its descriptors
+	stall   = "node_stall"  // clients stop in the middle of a request, and stay
+	reload  = "node_reload" // it is told to read its configuration again, several times in a row
+	freeze  = "node_freeze" // its process stands still for a moment that rules allow for
+)
+
+// The faults between nodes.
+const (
+	cut   = "between_cut"
+	loss  = "between_loss"
+	twice = "between_twice"
+	late  = "between_late"
+)
+
+// maxFreezeS is how long a process may be held up, in seconds, with all rules kept.
+const maxFreezeS = 0.15
+
+// needs says which fields an event takes. A field that it does not take must not be stated.
+type needs struct {
+	caches   bool // names of caches, a part of them or a zone
+	nodes    bool // numbers of nodes or a part of them
+	pairs    bool // nodes from which and to which
+	factor   bool
+	share    bool
+	count    bool
+	lateness bool
+	duration bool
+}
+
+// kinds are the events there are.
+var kinds = map[string]needs{
+	"slow":    {caches: true, factor: true, duration: true},
+	"crowd":   {caches: true, share: true, duration: true},
+	"pause":   {caches: true, duration: true},
+	"kill":    {caches: true},
+	"silent":  {caches: true},
+	"restart": {caches: true},
+	"drain":   {caches: true},
+	"fault":   {caches: true, duration: true},
+	"errors":  {caches: true, share: true, duration: true},
+	"add":     {},
+	"shrink":  {},
+
+	"hot":            {share: true, duration: true},
+	"burst":          {factor: true, duration: true},
+	"origin_slow":    {factor: true, duration: true},
+	"discovery_down": {duration: true},
+	"discovery_slow": {factor: true, duration: true},
+
+	"node_restart": {nodes: true},
+	"node_kill":    {nodes: true},
+	upgrade:        {nodes: true},
+	standby:        {nodes: true, duration: true},
+	scrape:         {nodes: true, duration: true},
+	pause:          {nodes: true, duration: true},
+	hang:           {nodes: true, duration: true},
+	twin:           {nodes: true},
+	crowd:          {nodes: true, count: true, duration: true},
+	stall:          {nodes: true, count: true},
+	reload:         {nodes: true, count: true},
+	freeze:         {nodes: true, duration: true},
+
+	cut:   {pairs: true, duration: true},
+	loss:  {pairs: true, share: true, duration: true},
+	twice: {pairs: true, share: true, duration: true},
+	late:  {pairs: true, lateness: true, duration: true},
+}
+
+// faults are what may go wrong on a server's connections.
+var faults = []string{"refuse", "reset", "silent", "half", "garbage", stale}
+
+// stale is the fault of an HTTP cache that answers with what it may not serve any more.
+const stale = "stale"
+
+// Operated tells whether operators call nodes.
+func (s *Scenario) Operated() bool {
+	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == upgrade || e.Do == standby || e.Do == scrape })
+}
+
+// InVirtualTime tells whether a script has what there is in virtual time only.
+func (s *Scenario) InVirtualTime() bool {
+	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
+}
+
+// OnSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
+// whatever nodes do.
+func (s *Scenario) OnSockets() bool {
+	return s.Operated() || s.Together != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
+		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze
+	})
+}
--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -19,7 +19,7 @@
 
 // Nemesis makes a random schedule of troubles between nodes, the same for the same seed.
 func Nemesis(seed int64, nodes int, seconds float64) *Scenario {
-	s := usual()
+	s := defaults()
 	s.Name, s.Seed, s.Seconds = fmt.Sprintf("nemesis-%d", seed), seed, math.Max(seconds, formsIn+quietLast+5)
 	s.About = "A random schedule of troubles between nodes."
 	s.Fleet.Nodes, s.Fleet.Caches, s.Traffic.PerSecond, s.Traffic.Keys = nodes, 4, 100, 500
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -30,7 +30,7 @@
 
 // Soak draws deployment, traffic and troubles by a seed, the same for the same seed. The troubles are those that rules give no excuse for.
 func Soak(seed int64, seconds float64) *Scenario {
-	d := &soak{chance: keyhash.Source{Seed: uint32(seed) ^ 0x50a4}, script: usual()}
+	d := &soak{chance: keyhash.Source{Seed: uint32(seed) ^ 0x50a4}, script: defaults()}
 	s := &d.script
 	s.Name, s.Seed, s.Seconds = fmt.Sprintf("soak-%d", seed), seed, math.Max(seconds, soakBegins+soakLongest+soakQuiet)
 	s.About = "A random deployment, with random troubles that overlap."
@@ -115,7 +115,7 @@
 	case 0, 1, 2:
 		return d.endsNode(e)
 	case 3:
-		e.Do, e.Nodes, e.ForS = freeze, d.node(), d.upTo(0.02, longestFreeze)
+		e.Do, e.Nodes, e.ForS = freeze, d.node(), d.upTo(0.02, maxFreezeS)
 	case 4:
 		e.Do, e.Nodes, e.Count = reload, d.node(), d.count(2, 5)
 	case 5:
--- a/internal/emulator/simulation/virtual.go
+++ b/internal/emulator/simulation/virtual.go
@@ -84,7 +84,7 @@
 	ear := &runner.WorldObserver{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
-	r.traffic = world.NewTraffic(s.Asks())
+	r.traffic = world.NewTraffic(s.TrafficPlan())
 	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
 	if s.Fleet.Warm {
 		r.warm()
@@ -102,7 +102,7 @@
 	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.course = runner.Play(s, r.world, r.traffic, epoch, r)
 	r.arrive(r.traffic.Next(r.now))
-	end := epoch.Add(s.Long() + terms.LongestDeadline + settle)
+	end := epoch.Add(s.Duration() + terms.LongestDeadline + settle)
 	if err := r.run(end); err != nil {
 		return nil, nil, err
 	}
@@ -322,7 +322,7 @@
 
 // arrive plays the next first try, and hangs in the one after.
 func (r *Simulation) arrive(at policy.Instant) {
-	if at.Since(epoch) >= r.script.Long() {
+	if at.Since(epoch) >= r.script.Duration() {
 		return
 	}
 	r.At(at, func() {
