--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/controlclient"
 	changes "dahliapin/internal/control/replicatedlog"
 	"dahliapin/node"
 )
@@ -29,10 +29,10 @@
 // errLacks says that not every node has all; scripts tell it by the exit code.
 var errLacks = errors.New("not every node has all changes, not all purges are done at every cache, or no leader is heard")
 
-func callerOf(at, label string) (controlserver.Client, error) {
-	c := controlserver.Client{At: strings.Split(at, ","), Label: label}
-	for _, a := range c.At {
-		if _, err := netip.ParseAddrPort(a); err != nil || len(c.At) > mostToAsk {
+func callerOf(at, label string) (controlclient.Client, error) {
+	c := controlclient.Client{Servers: strings.Split(at, ","), Label: label}
+	for _, a := range c.Servers {
+		if _, err := netip.ParseAddrPort(a); err != nil || len(c.Servers) > mostToAsk {
 			return c, fmt.Errorf("--at %q is not one to %d addresses and ports of control machines, with commas", at, mostToAsk)
 		}
 	}
@@ -53,7 +53,7 @@
 			}
 			var all []changes.Proposal
 			for _, key := range append(keys, args...) {
-				all = append(all, controlserver.NewProposal(changes.Purge, []byte(key)))
+				all = append(all, controlclient.NewProposal(changes.Purge, []byte(key)))
 			}
 			if (len(keys) > 0) == (file != "") || len(args) > 0 && len(keys) == 0 {
 				return errors.New("either --purge with keys or --config with a file is needed")
@@ -66,7 +66,7 @@
 				if err != nil {
 					return fmt.Errorf("not published: %w", err)
 				}
-				all = append(all, controlserver.NewProposal(changes.Config, text))
+				all = append(all, controlclient.NewProposal(changes.Config, text))
 			}
 			ctx, done := context.WithTimeout(c.Context(), by)
 			defer done()
@@ -114,7 +114,7 @@
 	return c
 }
 
-func showChanges(to io.Writer, o controlserver.Overview) error {
+func showChanges(to io.Writer, o controlclient.Overview) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "newest entry %d, a leader is heard: %t\n\ncontrol\trole\tlast\tkept after\tconfig\tbytes out\tforeign\tturned away\theard\n", o.Last, o.Led)
 	for _, m := range o.Machines {
@@ -131,7 +131,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", m.Name, role, m.Last, m.Floor, m.Config, m.Out, m.Foreign, m.Away, heard)
 	}
-	var lacking []controlserver.NodeStatus
+	var lacking []controlclient.NodeStatus
 	for _, n := range o.Nodes {
 		if n.Lacks > 0 || n.Silent || n.Begins || n.Refused > 0 {
 			lacking = append(lacking, n)
@@ -160,14 +160,14 @@
 }
 
 // showCaches tells which caches lack purges, where control machines carry them out.
-func showCaches(w io.Writer, o controlserver.Overview) {
+func showCaches(w io.Writer, o controlclient.Overview) {
 	if o.Unlisted {
 		fmt.Fprintln(w, "\npurges are to be carried out at caches, and there is no list of them")
 	}
 	if len(o.Caches) == 0 {
 		return
 	}
-	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlserver.CacheStatus) bool { return c.Lacks == 0 })
+	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlclient.CacheStatus) bool { return c.Lacks == 0 })
 	fmt.Fprintf(w, "\n%d caches, purges are done at %d of them\n", len(o.Caches), len(o.Caches)-len(lacking))
 	if len(lacking) > 0 {
 		fmt.Fprintln(w, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/controlclient"
 	"dahliapin/internal/freeport"
 )
 
@@ -71,10 +71,10 @@
 	}
 	_, said := start(0)
 	expect(t, said, "control machine listening")
-	var o controlserver.Overview
+	var o controlclient.Overview
 	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(50 * time.Millisecond) {
 		out, code := asked(t, "fleet", "changes", "--at", nodes[0], "--label", "l", "--json")
-		if o = (controlserver.Overview{}); json.Unmarshal([]byte(out), &o) == nil && len(o.Machines) == 4 && o.Machines[0].Last == 3 && code == 0 {
+		if o = (controlclient.Overview{}); json.Unmarshal([]byte(out), &o) == nil && len(o.Machines) == 4 && o.Machines[0].Last == 3 && code == 0 {
 			break
 		}
 	}
@@ -102,19 +102,19 @@
 
 // What operators are told of caches: those that lack something, with each machine's reason; nothing where purges are not carried out.
 func TestCachesThatLackPurgesAreShown(t *testing.T) {
-	shown := func(o controlserver.Overview) string {
+	shown := func(o controlclient.Overview) string {
 		var out strings.Builder
 		if err := showChanges(&out, o); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
 	}
-	o := controlserver.Overview{Last: 9, Led: true}
+	o := controlclient.Overview{Last: 9, Led: true}
 	if text := shown(o); strings.Contains(text, "cache") {
 		t.Errorf("%s", text)
 	}
-	o.Caches = []controlserver.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
-		Machines: []controlserver.CacheProgress{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
+	o.Caches = []controlclient.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
+		Machines: []controlclient.CacheProgress{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
 	text := shown(o)
 	for _, want := range []string{"2 caches, purges are done at 1 of them", "ill    4     5      3     6             1: refused, 2.5 s; to be flushed"} {
 		if !strings.Contains(text, want) {
--- /dev/null
+++ b/internal/control/controlclient/collect.go
@@ -0,0 +1,123 @@
+package controlclient
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/purger"
+)
+
+// statusTimeout is for servers to answer: operators are to see the overview within a second, also where a server is down.
+const statusTimeout = 900 * time.Millisecond
+
+// Overview asks all control servers at once and puts their answers together. It returns ErrUnavailable where none answers in time.
+func (c Client) Overview() (Overview, error) {
+	type answer struct {
+		table controlwire.Message
+		err   error
+	}
+	answers := make(chan answer, len(c.Servers))
+	for _, addr := range c.Servers {
+		go func() {
+			request := controlwire.Message{Kind: controlwire.KindStatusRequest}
+			table, err := c.exchange(context.Background(), addr, request, statusTimeout)
+			if err == nil && table.Kind != controlwire.KindStatusTable {
+				err = controlwire.ErrMalformed
+			}
+			answers <- answer{table: table, err: err}
+		}()
+	}
+
+	merged := newMergedTable()
+	deadline := time.After(statusTimeout)
+	answered := false
+	lastErr := ErrUnavailable
+	for waiting := len(c.Servers); waiting > 0; waiting-- {
+		var got answer
+		select {
+		case got = <-answers:
+		case <-deadline:
+			got.err = context.DeadlineExceeded
+			waiting = 1 // the other servers are not waited for
+		}
+		if got.err != nil {
+			lastErr = fmt.Errorf("%w: %w", ErrUnavailable, got.err)
+			continue
+		}
+		answered = true
+		merged.add(got.table)
+	}
+	if !answered {
+		return Overview{}, lastErr
+	}
+	return summarize(merged.table()), nil
+}
+
+// cacheAt names what one control server reports of one cache.
+type cacheAt struct {
+	cache  string
+	server uint64
+}
+
+// mergedTable puts several servers' status tables together: of each node, server and cache the newest report.
+type mergedTable struct {
+	hasLeader bool
+	last      uint64 // newest entry that any server has
+	nodes     map[string]controlwire.NodeReport
+	servers   map[uint64]controlwire.ServerReport
+	caches    map[cacheAt]purger.Progress
+}
+
+func newMergedTable() *mergedTable {
+	return &mergedTable{
+		nodes:   map[string]controlwire.NodeReport{},
+		servers: map[uint64]controlwire.ServerReport{},
+		caches:  map[cacheAt]purger.Progress{},
+	}
+}
+
+func (m *mergedTable) add(table controlwire.Message) {
+	m.hasLeader = m.hasLeader || table.HasLeader
+	m.last = max(m.last, table.Last)
+	for _, report := range table.Nodes {
+		known, is := m.nodes[report.Node]
+		newer := report.AgeMs < known.AgeMs || report.AgeMs == known.AgeMs && report.Applied > known.Applied
+		if !is || newer {
+			m.nodes[report.Node] = report
+		}
+	}
+	for _, report := range table.Caches {
+		at := cacheAt{cache: report.Cache, server: report.Machine}
+		known, is := m.caches[at]
+		if !is || report.AgoMs < known.AgoMs {
+			m.caches[at] = report
+		}
+	}
+	for _, report := range table.Servers {
+		known, is := m.servers[report.ID]
+		newer := !report.NeverHeard && report.AgeMs < known.AgeMs
+		if !is || known.NeverHeard || newer {
+			m.servers[report.ID] = report
+		}
+	}
+}
+
+// table returns what was added as one table, sorted by name and id.
+func (m *mergedTable) table() controlwire.Message {
+	table := controlwire.Message{HasLeader: m.hasLeader, Last: m.last}
+	for _, name := range slices.Sorted(maps.Keys(m.nodes)) {
+		table.Nodes = append(table.Nodes, m.nodes[name])
+	}
+	table.Caches = slices.SortedFunc(maps.Values(m.caches), func(a, b purger.Progress) int {
+		return cmp.Or(cmp.Compare(a.Cache, b.Cache), cmp.Compare(a.Machine, b.Machine))
+	})
+	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
+		table.Servers = append(table.Servers, m.servers[id])
+	}
+	return table
+}
--- /dev/null
+++ b/internal/control/controlclient/summarize.go
@@ -0,0 +1,137 @@
+package controlclient
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
+)
+
+// summarize turns a status table into an Overview.
+func summarize(table controlwire.Message) Overview {
+	overview := Overview{
+		Last:     replicatedlog.Index(table.Last),
+		Led:      table.HasLeader,
+		Nodes:    []NodeStatus{},
+		Machines: []ServerStatus{},
+	}
+	for _, report := range table.Nodes {
+		overview.Nodes = append(overview.Nodes, nodeStatus(report, table.Last))
+	}
+	for _, report := range table.Servers {
+		overview.Machines = append(overview.Machines, serverStatus(report))
+	}
+	heard, unlisted := heardServers(table.Servers)
+	overview.Caches = cacheStatuses(table, heard)
+	overview.Unlisted = unlisted
+	return overview
+}
+
+func seconds(ms uint64) float64 { return float64(ms) / 1000 }
+
+func silent(ageMs uint64) bool { return seconds(ageMs) > float64(controlwire.NodeTimeout/time.Second) }
+
+func nodeStatus(report controlwire.NodeReport, last uint64) NodeStatus {
+	return NodeStatus{
+		Node:     report.Node,
+		Applied:  replicatedlog.Index(report.Applied),
+		Lacks:    last - min(last, report.Applied),
+		Config:   replicatedlog.Index(report.Config),
+		Refused:  replicatedlog.Index(report.Refused),
+		Reason:   report.Reason,
+		Presumed: replicatedlog.Index(report.PresumedPurged),
+		Gaps:     report.Gaps,
+		Machine:  report.Server,
+		HeardS:   seconds(report.AgeMs),
+		Silent:   silent(report.AgeMs),
+		Begins:   report.NotStarted,
+	}
+}
+
+func serverStatus(report controlwire.ServerReport) ServerStatus {
+	return ServerStatus{
+		ID:      report.ID,
+		Name:    report.Name,
+		Learner: report.Learner,
+		Leads:   report.IsLeader,
+		Term:    report.Term,
+		Last:    replicatedlog.Index(report.Last),
+		Floor:   replicatedlog.Index(report.Floor),
+		Config:  replicatedlog.Index(report.Config),
+		HeardS:  seconds(report.AgeMs),
+		Silent:  report.NeverHeard || silent(report.AgeMs),
+		In:      report.BytesIn,
+		Out:     report.BytesOut,
+		Foreign: report.Invalid,
+		Away:    report.Rejected,
+		Purges:  report.RunsPurges,
+		NoList:  report.NoCacheList,
+	}
+}
+
+// heardServers returns the servers that are not silent, and whether purges are to be carried out at caches while none of these has a list.
+func heardServers(servers []controlwire.ServerReport) (heard map[uint64]bool, unlisted bool) {
+	heard = map[uint64]bool{}
+	runsPurges := false
+	hasList := false
+	for _, server := range servers {
+		heard[server.ID] = !server.NeverHeard && !silent(server.AgeMs)
+		runsPurges = runsPurges || server.RunsPurges
+		hasList = hasList || server.RunsPurges && !server.NoCacheList && heard[server.ID]
+	}
+	return heard, runsPurges && !hasList
+}
+
+// cacheStatuses puts together what the servers report of each cache; the reports of one cache stand next to each other. What is done stays
+// done, also when the server that did it is silent now. Which caches there are, and what is late, only servers that are heard can say.
+func cacheStatuses(table controlwire.Message, heard map[uint64]bool) []CacheStatus {
+	newestProcess := map[string]int64{} // of each cache: what was done at the one before it is lost with it
+	for _, report := range table.Caches {
+		newestProcess[report.Cache] = max(newestProcess[report.Cache], report.Started)
+	}
+	var caches []CacheStatus
+	for _, report := range table.Caches {
+		n := len(caches)
+		if n == 0 || caches[n-1].Cache != report.Cache {
+			caches = append(caches, CacheStatus{Cache: report.Cache, Late: math.MaxUint64, Flushing: true})
+			n++
+		}
+		if report.Foreign || report.Started < newestProcess[report.Cache] {
+			report.Done = 0
+			report.First = 0
+		}
+		caches[n-1].merge(report, heard[report.Machine])
+	}
+	caches = slices.DeleteFunc(caches, func(cache CacheStatus) bool {
+		reportedNow := func(at CacheProgress) bool { return !at.Silent }
+		return !slices.ContainsFunc(cache.Machines, reportedNow)
+	})
+	for i := range caches {
+		done := uint64(caches[i].Done)
+		caches[i].Lacks = max(table.Last, done) - done
+	}
+	return caches
+}
+
+// merge adds one server's report.
+func (c *CacheStatus) merge(report purger.Progress, heard bool) {
+	progress := CacheProgress{
+		Machine: report.Machine,
+		Done:    replicatedlog.Index(report.Done),
+		Late:    report.Late,
+		QuietS:  seconds(report.QuietMs),
+		Reason:  report.Reason,
+		HeardS:  seconds(report.AgoMs),
+		Silent:  !heard,
+	}
+	c.Done = max(c.Done, progress.Done)
+	c.First = max(c.First, replicatedlog.Index(report.First))
+	if heard {
+		c.Late = min(c.Late, report.Late)
+		c.Flushing = c.Flushing && report.Flushing
+	}
+	c.Machines = append(c.Machines, progress)
+}
--- a/internal/control/controlserver/accord_test.go
+++ b/internal/control/controlserver/accord_test.go
@@ -11,14 +11,19 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
 	"github.com/sirupsen/logrus"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 
 	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/controlclient"
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/logfollower"
 	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/control/replicatedlog/store"
 	"dahliapin/internal/keyhash"
@@ -183,7 +188,7 @@
 	}
 	ctx, done := context.WithTimeout(context.Background(), 20*time.Second)
 	defer done()
-	got, err := Client{At: at, Label: "l", Dial: f.dial}.Publish(ctx, all)
+	got, err := controlclient.Client{Servers: at, Label: "l", Dial: f.dial}.Publish(ctx, all)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -192,7 +197,8 @@
 
 // follower keeps what it did by the log.
 type follower struct {
-	*Follower
+	*logfollower.Follower
+	recorder *startRecorder
 	mu       sync.Mutex
 	index    []replicatedlog.Index
 	did      []string
@@ -218,9 +224,24 @@
 	return nil
 }
 
+// startRecorder notes that an Applier was told where to start.
+type startRecorder struct {
+	logfollower.Applier
+	started atomic.Bool
+}
+
+func (r *startRecorder) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
+	err := r.Applier.Start(log, at, config)
+	if err == nil {
+		r.started.Store(true)
+	}
+	return err
+}
+
 func (f *fleet) follow(name string, seed uint32) *follower {
 	n := &follower{}
-	n.Follower = StartFollower(FollowerConfig{Name: name, Label: "l", At: f.all(), Seed: seed, Stale: time.Second, Reader: replicatedlog.NewApplier(n), Log: quietly(), Now: boottime,
+	n.recorder = &startRecorder{Applier: replicatedlog.NewApplier(n)}
+	n.Follower = logfollower.Start(logfollower.Config{Name: name, Label: "l", Servers: f.all(), Seed: seed, StaleAfter: time.Second, Applier: n.recorder, Log: quietly(), Now: boottime,
 		Dial: func(addr string, within time.Duration) (net.Conn, error) {
 			n.mu.Lock()
 			cut := n.cut
@@ -267,7 +288,7 @@
 
 func purges(from, n int) (all []replicatedlog.Proposal) {
 	for i := range n {
-		all = append(all, NewProposal(replicatedlog.Purge, fmt.Appendf(nil, "key-%d", from+i)))
+		all = append(all, controlclient.NewProposal(replicatedlog.Purge, fmt.Appendf(nil, "key-%d", from+i)))
 	}
 	return all
 }
@@ -310,7 +331,7 @@
 		nodes = append(nodes, f.follow(fmt.Sprintf("n%02d", i), uint32(i)))
 	}
 	for _, n := range nodes {
-		for by := time.Now().Add(10 * time.Second); !n.now.Load().Started && time.Now().Before(by); {
+		for by := time.Now().Add(10 * time.Second); !n.recorder.started.Load() && time.Now().Before(by); {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -348,8 +369,8 @@
 	if len(used) < 3 {
 		t.Errorf("the nodes are at %v", used)
 	}
-	time.Sleep(2 * toldEach)
-	o, err := Client{At: f.all(), Label: "l", Dial: f.dial}.Overview()
+	time.Sleep(2 * controlwire.ProgressInterval)
+	o, err := controlclient.Client{Servers: f.all(), Label: "l", Dial: f.dial}.Overview()
 	if err != nil || !o.CaughtUp() || len(o.Nodes) != 24 || o.Last != 1012 || len(o.Machines) != 4 {
 		t.Errorf("%v: %+v", err, o)
 	}
@@ -373,14 +394,14 @@
 	gone := f.leader()
 	lone := f.ms[gone]
 	n := &follower{} // a node that had rather be there than anywhere
-	n.Follower = StartFollower(FollowerConfig{Name: "there", Label: "l", At: f.all(), Seed: f.seedFor(gone), Stale: time.Second, Reader: replicatedlog.NewApplier(n), Log: quietly(), Now: boottime, Dial: f.dial})
+	n.Follower = logfollower.Start(logfollower.Config{Name: "there", Label: "l", Servers: f.all(), Seed: f.seedFor(gone), StaleAfter: time.Second, Applier: replicatedlog.NewApplier(n), Log: quietly(), Now: boottime, Dial: f.dial})
 	t.Cleanup(n.Close)
 	f.upTo(n, 1-min(1, n.Status().PresumedPurged))
 	nodes = append(nodes, n)
 	f.sever(gone, true)
 	began := time.Now()
 	f.publish(purges(1, 1), append([]string{nodeAt(gone)}, f.others(gone)...)...)
-	if took := time.Since(began); took > orderBy/2 {
+	if took := time.Since(began); took > controlwire.OrderTimeout/2 {
 		t.Errorf("it took %v, by a machine that can't order first", took)
 	}
 	for _, n := range nodes {
@@ -389,7 +410,7 @@
 	if lone.Last() != 1 {
 		t.Errorf("a machine without a majority has %d", lone.Last())
 	}
-	lone.asks <- &ask{all: purges(9, 1), answer: make(chan *ask, 2)}
+	lone.loop.publishes <- newPublishCall(purges(9, 1))
 	time.Sleep(700 * time.Millisecond)
 	if lone.Last() != 1 || lone.Leads() {
 		t.Errorf("alone it has %d, leads: %t", lone.Last(), lone.Leads())
@@ -407,7 +428,7 @@
 	t.Parallel()
 	f := newFleet(t, func(c *fleetconfig.ControlFile) { c.Bounds.Entries = 1024 }, nil)
 	n := f.follow("n", 1)
-	f.publish([]replicatedlog.Proposal{NewProposal(replicatedlog.Config, []byte("first")), NewProposal(replicatedlog.Config, []byte("bad one"))})
+	f.publish([]replicatedlog.Proposal{controlclient.NewProposal(replicatedlog.Config, []byte("first")), controlclient.NewProposal(replicatedlog.Config, []byte("bad one"))})
 	f.upTo(n, 2)
 	if s := n.Status(); s.Config > 1 || s.PresumedPurged < 2 && (s.Refused != 2 || s.Reason == "") {
 		t.Errorf("%+v", s)
@@ -417,7 +438,7 @@
 	n.mu.Unlock()
 	behind := (f.leader() + 1) % 3
 	f.stop(behind)
-	f.publish([]replicatedlog.Proposal{NewProposal(replicatedlog.Config, []byte("second"))}, f.others(behind)...)
+	f.publish([]replicatedlog.Proposal{controlclient.NewProposal(replicatedlog.Config, []byte("second"))}, f.others(behind)...)
 	late := purges(0, 2000)
 	f.publish(late, f.others(behind)...)
 	if s := n.Status(); s.Stale != (s.HeardS > 1) {
@@ -473,22 +494,21 @@
 	off.mu.Unlock()
 	f.publish(purges(10, 2690))
 	f.upTo(one, 2700)
-	time.Sleep(2*toldEach + 2*tablesEach)
+	time.Sleep(2*controlwire.ProgressInterval + 2*statusInterval)
 	trim := func(runs time.Duration) {
 		m := f.ms[f.leader()]
 		done := make(chan bool)
-		m.call(func() {
-			m.began, m.trimmed = time.Now().Add(-runs), time.Time{}
-			m.trim()
+		m.loop.call(func() {
+			m.loop.startedAt, m.loop.lastTrim = time.Now().Add(-runs), time.Time{}
+			m.loop.trim()
 			close(done)
 		})
 		<-done
 	}
 	floors := func() (all []replicatedlog.Index) {
 		for _, m := range f.ms {
-			m.mu.RLock()
-			all = append(all, m.state.Floor())
-			m.mu.RUnlock()
+			_, floor, _ := m.log.Position()
+			all = append(all, floor)
 		}
 		return all
 	}
@@ -503,12 +523,12 @@
 	kept("although a node lacks it that was heard within the hour")
 	unheard := func() { // again and again below: a table that a machine told before comes to another after it
 		for _, m := range f.ms {
-			m.table.mu.Lock()
-			if was, is := m.table.rows["off"]; is {
-				was.heard -= monotime.Instant(2 * time.Hour)
-				m.table.rows["off"] = was
+			m.status.mu.Lock()
+			if was, is := m.status.nodes["off"]; is {
+				was.heardAt -= monotime.Instant(2 * time.Hour)
+				m.status.nodes["off"] = was
 			}
-			m.table.mu.Unlock()
+			m.status.mu.Unlock()
 		}
 	}
 	unheard()
@@ -548,7 +568,7 @@
 			t.Fatal(err)
 		}
 		disks[i] = &broken{Storage: s}
-		b.Disk = disks[i]
+		b.Storage = disks[i]
 	})
 	f.publish(purges(0, 1))
 	i := f.leader()
@@ -574,9 +594,9 @@
 	f := newFleet(t, nil, nil)
 	f.publish(purges(0, 1))
 	m := f.ms[0]
-	before := m.table.foreign.Load()
-	for _, said := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), preface(kindNode, "another"), preface('x', "l"),
-		append(preface(kindNode, "l"), 0xff, 0xff, 0xff, 0xff), append(preface(kindNode, "l"), 0, 0, 0, 1, 0xff)} {
+	before := m.status.invalid.Load()
+	for _, said := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), controlwire.Preface(controlwire.StreamFollower, "another"), controlwire.Preface('x', "l"),
+		append(controlwire.Preface(controlwire.StreamFollower, "l"), 0xff, 0xff, 0xff, 0xff), append(controlwire.Preface(controlwire.StreamFollower, "l"), 0, 0, 0, 1, 0xff)} {
 		for _, at := range []string{m.Addr(), m.PeersAddr()} {
 			c, err := net.Dial("tcp", at)
 			if err != nil {
@@ -590,10 +610,10 @@
 			_ = c.Close()
 		}
 	}
-	if got := m.table.foreign.Load() - before; got != 10 {
+	if got := m.status.invalid.Load() - before; got != 10 {
 		t.Errorf("%d of 10 were counted", got)
 	}
-	if o, err := (Client{At: []string{m.Addr()}, Label: "l"}).Overview(); err != nil || o.Machines[0].Foreign != before+10 || o.Machines[0].Out == 0 {
+	if o, err := (controlclient.Client{Servers: []string{m.Addr()}, Label: "l"}).Overview(); err != nil || o.Machines[0].Foreign != before+10 || o.Machines[0].Out == 0 {
 		t.Errorf("told: %v, %+v", err, o)
 	}
 }
@@ -632,40 +652,23 @@
 	t.Parallel()
 	f := newFleet(t, nil, nil)
 	f.publish(purges(0, 1))
-	l, err := call(nil, f.ms[f.leader()].Addr(), kindNode, "l", longestFrame)
+	l, err := controlwire.Dial(nil, f.ms[f.leader()].Addr(), controlwire.StreamFollower, "l", controlwire.MaxFrameBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	go func() {
-		w := word{Kind: wordHello, Fresh: true, Rows: []row{{Node: "n"}}}
-		for ; ; time.Sleep(beatEach / 3) {
-			if _, err := l.say(w, writeBy); err != nil {
+		w := controlwire.Message{Kind: controlwire.KindHello, Fresh: true, Nodes: []controlwire.NodeReport{{Node: "n"}}}
+		for ; ; time.Sleep(controlwire.HeartbeatInterval / 3) {
+			if _, err := l.Send(w, controlwire.WriteTimeout); err != nil {
 				return
 			}
-			w.Kind = wordApplied
+			w.Kind = controlwire.KindProgress
 		}
 	}()
 	for range 4 { // the beginning, and three signs of life
-		if _, _, err := l.hear(2 * beatEach); err != nil {
+		if _, _, err := l.Receive(2 * controlwire.HeartbeatInterval); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
-
-func TestWhoLacksSomethingIsToldSo(t *testing.T) {
-	t.Parallel()
-	sound := word{Led: true, Head: 5, Rows: []row{{Node: "n", Applied: 5, Config: 2}}, Machines: []machineRow{{ID: 1, Head: 5}}}
-	if o := overview(sound); !o.CaughtUp() {
-		t.Errorf("%+v", o)
-	}
-	for name, spoil := range map[string]func(w *word, r *row){
-		"lacks one": func(_ *word, r *row) { r.Applied = 4 }, "silent": func(_ *word, r *row) { r.AgoMs = 5100 }, "refused": func(_ *word, r *row) { r.Refused = 3 },
-		"has not begun": func(_ *word, r *row) { r.Begins = true }, "no leader": func(w *word, _ *row) { w.Led = false }} {
-		w := sound
-		w.Rows = slices.Clone(sound.Rows)
-		if spoil(&w, &w.Rows[0]); overview(w).CaughtUp() {
-			t.Errorf("%s: whole", name)
-		}
-	}
-}
--- /dev/null
+++ b/internal/control/controlserver/loop.go
@@ -0,0 +1,245 @@
+package controlserver
+
+import (
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/monotime"
+)
+
+const (
+	tickInterval    = 100 * time.Millisecond // raft's unit of time; the leader sends a heartbeat each
+	inboxMessages   = 1024                   // raft messages that wait for the loop; streams that bring more wait
+	inboxPublishes  = 256                    // calls to publish that wait for the loop; more are rejected
+	maxLoopInputs   = 512                    // messages and calls that are handled together, with one write to disk
+	maxMessageBytes = 256 << 10              // of entries in one raft message
+	maxInflight     = 256                    // raft messages on the way to a server
+	maxInflightSize = 16 << 20               // bytes of them, and of entries that are applied together
+	maxUncommitted  = 64 << 20               // bytes of entries that a leader has and no majority; more proposals are dropped
+	leaderTimeout   = 2 * time.Second        // since the leader was heard, until the server says that it has none
+	snapshotEntries = 8192                   // raft entries between two snapshots
+	snapshotBytes   = 16 << 20               // or bytes of them
+)
+
+// leadership is what the loop last knew of the leader.
+type leadership struct {
+	hasLeader bool // this server leads, or heard the leader within leaderTimeout
+	isLeader  bool
+	term      uint64
+}
+
+// raftLoop runs raft: one goroutine (run) owns the node and everything below it that is not a channel or atomic.
+type raftLoop struct {
+	server     *Server
+	messages   chan *pb.Message  // from other control servers
+	publishes  chan *publishCall // from clients
+	functions  chan func()       // from other goroutines, see call
+	leadership atomic.Pointer[leadership]
+
+	node          *raft.RawNode
+	storage       Storage // raft reads it as well
+	queue         *proposalQueue
+	appliedIndex  uint64    // raft's index of the last entry in the changeLog
+	leaderHeardAt time.Time // when the leader's last message arrived
+	startedAt     time.Time
+	lastTrim      time.Time // when trimming was last looked at
+	lastNaming    time.Time // when an id for a new log was last proposed
+}
+
+// newRaftLoop makes a loop that continues with what the storage has.
+func newRaftLoop(s *Server, storage Storage) (*raftLoop, error) {
+	snapshot, err := storage.Snapshot()
+	if err != nil {
+		return nil, err
+	}
+	l := &raftLoop{
+		server:       s,
+		messages:     make(chan *pb.Message, inboxMessages),
+		publishes:    make(chan *publishCall, inboxPublishes),
+		functions:    make(chan func(), inboxMessages),
+		storage:      storage,
+		queue:        newProposalQueue(s.Now),
+		appliedIndex: snapshot.GetMetadata().GetIndex(),
+		startedAt:    time.Now(),
+	}
+	l.leadership.Store(&leadership{})
+	l.node, err = raft.NewRawNode(&raft.Config{
+		ID:                        s.id,
+		ElectionTick:              max(2, int(s.File.Bounds.Election()/tickInterval)),
+		HeartbeatTick:             1,
+		Storage:                   storage,
+		Applied:                   l.appliedIndex,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxInflightSize,
+		MaxUncommittedEntriesSize: maxUncommitted,
+		MaxInflightMsgs:           maxInflight,
+		MaxInflightBytes:          maxInflightSize,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		Logger:                    raftLogger{s.Log},
+	})
+	return l, err
+}
+
+// run handles what arrives until the server ends. Everything that arrived while the disk was written is handled together, so that one
+// write, with its fsync, does for all of it.
+func (l *raftLoop) run() {
+	defer func() {
+		if r := recover(); r != nil { // raft panics where its input contradicts what it has, as with a disk that lost what was saved
+			l.server.end(fmt.Errorf("raft: %v", r))
+		}
+	}()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for {
+		var proposals []replicatedlog.Proposal
+		select {
+		case <-ticker.C:
+			l.node.Tick()
+			proposals = l.queue.retry()
+			l.trim()
+		case message := <-l.messages:
+			l.step(message)
+		case call := <-l.publishes:
+			proposals = l.queue.add(call)
+		case f := <-l.functions:
+			f()
+		case <-l.server.closed:
+			return
+		}
+		proposals = append(proposals, l.handleWaiting()...)
+		l.propose(proposals)
+		for l.node.HasReady() {
+			if err := l.processReady(); err != nil {
+				l.server.end(err)
+				return
+			}
+		}
+		l.updateLeadership()
+	}
+}
+
+// handleWaiting handles what has arrived already, and returns proposals that are new.
+func (l *raftLoop) handleWaiting() []replicatedlog.Proposal {
+	var proposals []replicatedlog.Proposal
+	for range maxLoopInputs {
+		select {
+		case message := <-l.messages:
+			l.step(message)
+		case call := <-l.publishes:
+			proposals = append(proposals, l.queue.add(call)...)
+		case f := <-l.functions:
+			f()
+		default:
+			return proposals
+		}
+	}
+	return proposals
+}
+
+// call has the loop run a function. Once the server has ended it is not run.
+func (l *raftLoop) call(f func()) {
+	select {
+	case l.functions <- f:
+	case <-l.server.closed:
+	}
+}
+
+// step hands a message of another server to raft.
+func (l *raftLoop) step(message *pb.Message) {
+	status := l.node.BasicStatus()
+	if status.Lead != raft.None && message.GetFrom() == status.Lead {
+		l.leaderHeardAt = time.Now()
+	}
+	_ = l.node.Step(message) // raft drops what it cannot use, as a message of a server that is no member
+}
+
+// updateLeadership publishes what is known of the leader.
+func (l *raftLoop) updateLeadership() {
+	status := l.node.BasicStatus()
+	isLeader := status.RaftState == raft.StateLeader
+	leaderHeard := status.Lead != raft.None && time.Since(l.leaderHeardAt) < leaderTimeout
+	now := leadership{hasLeader: isLeader || leaderHeard, isLeader: isLeader, term: status.GetTerm()}
+	before := *l.leadership.Load()
+	if before == now {
+		return
+	}
+	if before.isLeader != now.isLeader {
+		fields := logrus.Fields{"leads": now.isLeader, "term": now.term}
+		l.server.Log.WithFields(fields).Info("leader changed here")
+	}
+	l.leadership.Store(&now)
+}
+
+// propose hands proposals to raft, which forwards them to the leader. What raft does not take, for want of a leader or because too much is
+// uncommitted, stays in the queue and is proposed again.
+func (l *raftLoop) propose(proposals []replicatedlog.Proposal) {
+	for _, batch := range replicatedlog.Batches(proposals) {
+		if err := l.node.Propose(batch.Encode()); err == nil {
+			l.queue.markProposed(batch)
+		}
+	}
+}
+
+// processReady does what raft wants done. The order is what makes raft safe: first the disk, then messages, then committed entries. A vote
+// or an acknowledgement that went out before it was on disk would be forgotten by kill -9, and a majority could be counted that does not
+// exist: two leaders in one term, or an acknowledged purge that is lost.
+func (l *raftLoop) processReady() error {
+	ready := l.node.Ready()
+	if err := l.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
+		return err
+	}
+	if index := ready.Snapshot.GetMetadata().GetIndex(); index > 0 {
+		if err := l.server.log.restore(ready.Snapshot); err != nil {
+			return err
+		}
+		l.appliedIndex = index
+	}
+	for _, message := range ready.Messages {
+		if peer := l.server.peers[message.GetTo()]; peer != nil {
+			peer.send(message)
+		}
+	}
+	for _, entry := range ready.CommittedEntries {
+		if err := l.apply(entry); err != nil {
+			return err
+		}
+	}
+	l.node.Advance(ready)
+	return l.compactStorage()
+}
+
+// apply puts a committed entry into the changeLog and answers the clients that wait for its proposals.
+func (l *raftLoop) apply(entry *pb.Entry) error {
+	l.appliedIndex = entry.GetIndex()
+	if entry.GetType() != pb.EntryNormal || len(entry.GetData()) == 0 {
+		return nil // raft's own, as a new leader's first
+	}
+	batch, err := replicatedlog.DecodeBatch(entry.GetData())
+	if err != nil {
+		return fmt.Errorf("entry %d of the replicated log: %w", entry.GetIndex(), err)
+	}
+	var requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool)
+	if l.server.purger != nil {
+		requestedAt = l.queue.requestedAt
+	}
+	indexes := l.server.log.apply(batch, requestedAt)
+	l.queue.ordered(batch, indexes)
+	l.server.log.wakeReaders()
+	return nil
+}
+
+// compactStorage saves a snapshot of the changeLog when enough entries have come since the last one.
+func (l *raftLoop) compactStorage() error {
+	entries, bytes := l.storage.SizeSinceSnapshot(l.appliedIndex)
+	if entries < snapshotEntries && (bytes < snapshotBytes || entries == 0) {
+		return nil
+	}
+	return l.storage.Compact(l.appliedIndex, l.server.log.snapshot())
+}
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -1,257 +1,220 @@
 package controlserver
 
 import (
-	"net"
-	"sync"
 	"time"
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
 
 	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/controlwire"
 	"dahliapin/internal/keyhash"
 )
 
 const (
-	mostPeerStreams = 32                     // from other control machines at once: each has one, and some that are about to end
-	mostCallers     = 64                     // who publish or ask at once
-	mostOutbox      = 4096                   // raft's messages that wait for a stream; more are dropped, raft sends them again
-	frameOfRaft     = 1 << 20                // bytes of raft's messages that go together
-	peerSilence     = 5 * time.Second        // a control machine says something each 300 ms: after so long its stream is dead
-	leastAgain      = 50 * time.Millisecond  // before a stream is opened again, at first
-	mostAgain       = 2 * time.Second        // and later: jittered from 0
-	refusedRest     = 200 * time.Millisecond // after a failure to accept, as for want of descriptors
+	outboxMessages      = 4096                   // raft messages that wait for a stream; more are dropped, and raft sends them again
+	maxRaftFrameBytes   = 1 << 20                // bytes of entries and snapshots from which on a frame takes no more messages
+	firstReconnectDelay = 50 * time.Millisecond  // backoff before a stream is opened again
+	statusInterval      = 300 * time.Millisecond // between two status reports to another control server
+	peerTimeout         = 5 * time.Second        // silence of another control server, which reports each statusInterval
 )
 
-// conns are all streams that are open, to be closed at the end.
-type conns struct {
-	mu   sync.Mutex
-	all  map[net.Conn]bool
-	over bool
-}
-
-// hold keeps a stream, or closes it where all has ended.
-func (c *conns) hold(s net.Conn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.over {
-		_ = s.Close()
-		return false
-	}
-	c.all[s] = true
-	return true
-}
-
-func (c *conns) release(s net.Conn) {
-	c.mu.Lock()
-	delete(c.all, s)
-	c.mu.Unlock()
-	_ = s.Close()
-}
-
-func (c *conns) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.over = true
-	for s := range c.all {
-		_ = s.Close()
-	}
-}
-
-// accept takes streams, so many at once.
-func (m *Server) accept(l net.Listener, most int, take func(*line)) {
-	defer m.done.Done()
-	slots := make(chan struct{}, most)
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			select {
-			case <-m.closed:
-				return
-			case <-time.After(refusedRest):
-			}
-			continue
-		}
-		select {
-		case slots <- struct{}{}:
-		default:
-			m.table.turnedAway.Add(1)
-			_ = c.Close()
-			continue
-		}
-		if !m.conns.hold(c) {
-			return
-		}
-		m.done.Add(1)
-		go func() {
-			defer m.done.Done()
-			defer func() { <-slots }()
-			defer m.conns.release(c)
-			take(newLine(c, longestFrame))
-		}()
-	}
-}
-
-// peer sends to another control machine.
+// peer sends to another control server, over a stream that goes one way: the other one opens its own.
 type peer struct {
 	fleetconfig.Machine
-	m      *Server
-	out    chan *pb.Message
-	chance keyhash.Source
+	server *Server
+	outbox chan *pb.Message
+	random keyhash.Source // jitter of the backoff
 }
 
-func newPeer(m *Server, other fleetconfig.Machine) *peer {
-	p := &peer{Machine: other, m: m, out: make(chan *pb.Message, mostOutbox), chance: keyhash.Source{Seed: uint32(keyhash.Salted(m.id, int(other.ID)))}}
-	m.done.Add(1)
-	go p.run()
+func startPeer(s *Server, other fleetconfig.Machine) *peer {
+	p := &peer{
+		Machine: other,
+		server:  s,
+		outbox:  make(chan *pb.Message, outboxMessages),
+		random:  keyhash.Source{Seed: uint32(keyhash.Salted(s.id, int(other.ID)))},
+	}
+	s.goroutines.Go(p.run)
 	return p
 }
 
-// send queues a message, in the loop. What finds no room is lost, as on any network.
-func (p *peer) send(out *pb.Message) {
+// send queues a message. It is called by the loop, and drops what there is no capacity for.
+func (p *peer) send(message *pb.Message) {
 	select {
-	case p.out <- out:
+	case p.outbox <- message:
 	default:
-		p.lost(out)
+		p.reportLost(message)
 	}
 }
 
-// lost tells raft, in the loop, that a message did not go.
-func (p *peer) lost(out *pb.Message) {
-	p.m.raw.ReportUnreachable(p.ID)
-	if out != nil && out.GetType() == pb.MsgSnap {
-		p.m.raw.ReportSnapshot(p.ID, raft.SnapshotFailure)
+// reportLost tells raft that a message did not arrive, so that it probes the other server before it sends more. It is called by the loop.
+func (p *peer) reportLost(message *pb.Message) {
+	p.server.loop.node.ReportUnreachable(p.ID)
+	if message.GetType() == pb.MsgSnap {
+		p.server.loop.node.ReportSnapshot(p.ID, raft.SnapshotFailure)
 	}
 }
 
-// run keeps a stream open and sends what is queued.
+// run keeps a stream open until the server ends.
 func (p *peer) run() {
-	defer p.m.done.Done()
-	for tries := 0; ; tries++ {
-		if began := time.Now(); tries > 0 {
-			wait := time.Duration(p.chance.Float64() * float64(min(mostAgain, leastAgain<<min(tries, 8))))
-			for wait > 0 { // what is queued meanwhile is old by then
-				select {
-				case out := <-p.out:
-					p.m.call(func() { p.lost(out) })
-				case <-time.After(wait):
-				case <-p.m.closed:
-					return
-				}
-				wait -= time.Since(began)
-				began = time.Now()
+	for attempt := 0; ; attempt++ {
+		if attempt > 0 {
+			delay := controlwire.ReconnectDelay(firstReconnectDelay, attempt, p.random.Float64())
+			if !p.dropFor(delay) {
+				return
 			}
 		}
 		select {
-		case <-p.m.closed:
+		case <-p.server.closed:
 			return
 		default:
 		}
-		l, err := call(p.m.Dial, p.Addr, kindPeer, p.m.File.Control.Label, longestByPeer)
+		label := p.server.File.Control.Label
+		stream, err := controlwire.Dial(p.server.Dial, p.Addr, controlwire.StreamPeer, label, controlwire.MaxPeerFrameBytes)
 		if err != nil {
 			continue
 		}
-		if !p.m.conns.hold(l.Conn) {
+		if !p.server.connections.add(stream.Conn) {
 			return
 		}
-		if _, err = l.say(word{Kind: wordHello, Index: p.m.id}, greetBy); err == nil {
-			tries = 0
-			p.over(l)
+		hello := controlwire.Message{Kind: controlwire.KindHello, Index: p.server.id}
+		if _, err := stream.Send(hello, controlwire.HandshakeTimeout); err == nil {
+			attempt = 0
+			p.sendOver(stream)
 		}
-		p.m.conns.release(l.Conn)
+		p.server.connections.remove(stream.Conn)
 	}
 }
 
-// over sends over a stream until it breaks.
-func (p *peer) over(l *line) {
-	tables := time.NewTicker(tablesEach)
-	defer tables.Stop()
-	broke := make(chan struct{})
-	go func() { // nothing comes this way but its end, which a write would find out late
-		_, _ = l.Conn.Read(make([]byte, 1))
-		close(broke)
+// dropFor waits, and drops what is queued meanwhile: raft's messages are out of date by the time that a stream is open. It returns false
+// when the server ends.
+func (p *peer) dropFor(delay time.Duration) bool {
+	for delay > 0 {
+		began := time.Now()
+		select {
+		case message := <-p.outbox:
+			p.server.loop.call(func() { p.reportLost(message) })
+		case <-time.After(delay):
+		case <-p.server.closed:
+			return false
+		}
+		delay -= time.Since(began)
+	}
+	return true
+}
+
+// sendOver sends raft messages and status reports over a stream until it breaks.
+func (p *peer) sendOver(stream *controlwire.Stream) {
+	ticker := time.NewTicker(statusInterval)
+	defer ticker.Stop()
+	broken := make(chan struct{})
+	go func() { // nothing arrives this way but the stream's end, which a write would notice only after a while
+		_, _ = stream.Conn.Read(make([]byte, 1))
+		close(broken)
 	}()
 	for {
-		var all []*pb.Message
-		w := word{Kind: wordRaft}
+		var err error
 		select {
-		case out := <-p.out:
-			all = append(all, out)
-		case <-tables.C:
-			w = p.m.table.own()
-		case <-broke:
+		case first := <-p.outbox:
+			err = p.sendRaft(stream, first)
+		case <-ticker.C:
+			err = p.sendFrame(stream, p.server.status.ownTable(), controlwire.WriteTimeout)
+		case <-broken:
 			return
-		case <-p.m.closed:
+		case <-p.server.closed:
 			return
 		}
-		by, size := writeBy, 0
-		if w.Kind == wordRaft {
-			for size = len(all[0].GetSnapshot().GetData()); size < frameOfRaft && len(p.out) > 0 && len(all) < mostTurn; {
-				out := <-p.out
-				for _, e := range out.GetEntries() {
-					size += len(e.GetData())
-				}
-				size += len(out.GetSnapshot().GetData())
-				all = append(all, out)
-			}
-			for _, out := range all {
-				if b, err := marshal(out); err == nil {
-					w.Raft = append(w.Raft, b)
-				}
-			}
+		if err != nil {
+			return
 		}
-		if size > longestFrame {
-			by = longWriteBy
+	}
+}
+
+// sendRaft sends a message together with those queued behind it, and tells raft of those that were lost and of snapshots that arrived.
+func (p *peer) sendRaft(stream *controlwire.Stream, first *pb.Message) error {
+	messages := []*pb.Message{first}
+	size := len(first.GetSnapshot().GetData())
+	for size < maxRaftFrameBytes && len(p.outbox) > 0 && len(messages) < maxLoopInputs {
+		message := <-p.outbox
+		for _, entry := range message.GetEntries() {
+			size += len(entry.GetData())
 		}
-		n, err := l.say(w, by)
-		p.m.table.outBytes.Add(uint64(n))
-		for _, out := range all {
-			if err != nil {
-				p.m.call(func() { p.lost(out) })
-			} else if out.GetType() == pb.MsgSnap {
-				p.m.call(func() { p.m.raw.ReportSnapshot(p.ID, raft.SnapshotFinish) })
-			}
+		size += len(message.GetSnapshot().GetData())
+		messages = append(messages, message)
+	}
+	frame := controlwire.Message{Kind: controlwire.KindRaft}
+	for _, message := range messages {
+		if encoded, err := proto.Marshal(message); err == nil {
+			frame.RaftMessages = append(frame.RaftMessages, encoded)
 		}
+	}
+	timeout := controlwire.WriteTimeout
+	if size > controlwire.MaxFrameBytes {
+		timeout = controlwire.SnapshotTimeout
+	}
+	err := p.sendFrame(stream, frame, timeout)
+	for _, message := range messages {
 		if err != nil {
-			return
+			p.server.loop.call(func() { p.reportLost(message) })
+		} else if message.GetType() == pb.MsgSnap {
+			p.server.loop.call(func() { p.server.loop.node.ReportSnapshot(p.ID, raft.SnapshotFinish) })
 		}
 	}
+	return err
 }
 
-// hearPeer takes what another control machine sends.
-func (m *Server) hearPeer(l *line) {
-	l.most = longestByPeer
-	if kind, err := greeted(l, m.File.Control.Label); err != nil || kind != kindPeer {
-		m.table.foreign.Add(1)
+func (p *peer) sendFrame(stream *controlwire.Stream, frame controlwire.Message, timeout time.Duration) error {
+	sent, err := stream.Send(frame, timeout)
+	p.server.status.bytesOut.Add(uint64(sent))
+	return err
+}
+
+// servePeer receives what another control server sends, until its stream ends.
+func (s *Server) servePeer(stream *controlwire.Stream) {
+	if kind, err := stream.AcceptPreface(s.File.Control.Label); err != nil || kind != controlwire.StreamPeer {
+		s.status.invalid.Add(1)
 		return
 	}
-	hello, _, err := l.hear(greetBy)
-	if err != nil || hello.Kind != wordHello || m.peers[hello.Index] == nil {
-		m.table.foreign.Add(1)
+	hello, _, err := stream.Receive(controlwire.HandshakeTimeout)
+	if err != nil || hello.Kind != controlwire.KindHello || s.peers[hello.Index] == nil {
+		s.status.invalid.Add(1)
 		return
 	}
+	from := hello.Index
 	for {
-		w, n, err := l.hear(peerSilence)
+		message, size, err := stream.Receive(peerTimeout)
 		if err != nil {
 			return
 		}
-		m.table.inBytes.Add(uint64(n))
-		switch w.Kind {
-		case wordTable:
-			m.table.hear(hello.Index, w)
-		case wordRaft:
-			for _, b := range w.Raft {
-				in, err := unmarshal(b)
-				if err != nil || in.GetTo() != m.id || in.GetFrom() != hello.Index && in.GetType() != pb.MsgProp || raft.IsLocalMsg(in.GetType()) {
-					m.table.foreign.Add(1)
-					continue
-				}
-				select {
-				case m.inbox <- in:
-				case <-m.closed:
-					return
-				}
+		s.status.bytesIn.Add(uint64(size))
+		switch message.Kind {
+		case controlwire.KindStatusTable:
+			s.status.mergePeerTable(from, message)
+		case controlwire.KindRaft:
+			if !s.receiveRaft(from, message.RaftMessages) {
+				return
 			}
 		}
 	}
 }
+
+// receiveRaft hands raft messages to the loop, and returns false when the server ends. A message that is not for this server, or not the
+// sender's own, is counted and dropped; proposals are forwarded with their origin's id.
+func (s *Server) receiveRaft(from uint64, encoded [][]byte) bool {
+	for _, one := range encoded {
+		message := &pb.Message{}
+		err := proto.Unmarshal(one, message)
+		forged := message.GetFrom() != from && message.GetType() != pb.MsgProp
+		if err != nil || message.GetTo() != s.id || forged || raft.IsLocalMsg(message.GetType()) {
+			s.status.invalid.Add(1)
+			continue
+		}
+		select {
+		case s.loop.messages <- message:
+		case <-s.closed:
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/control/controlserver/server.go
@@ -0,0 +1,165 @@
+package controlserver
+
+import (
+	"fmt"
+	"net"
+
+	"github.com/sirupsen/logrus"
+
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/keyhash"
+)
+
+// Server is one control server.
+type Server struct {
+	Config
+	id             uint64
+	log            *changeLog
+	loop           *raftLoop
+	peers          map[uint64]*peer // the other control servers; not changed after Open
+	status         *statusTable
+	purger         *purger.Purger // nil where purges are not carried out at caches
+	catchUpPace    *pacer
+	clientListener net.Listener // for nodes and clients
+	peerListener   net.Listener // for other control servers
+	connections    connections
+	lifecycle
+}
+
+// Open starts a control server. It returns an error where the data folder cannot be used (store.ErrEmpty for a voter whose folder is empty
+// although Config.New is not set), or an address cannot be listened on.
+func Open(config Config) (*Server, error) {
+	s := &Server{
+		Config:      config,
+		id:          config.File.Self().ID,
+		peers:       map[uint64]*peer{},
+		catchUpPace: &pacer{bytesPerSecond: config.File.Bounds.PaceMB * (1 << 20)},
+		connections: newConnections(),
+		lifecycle:   newLifecycle(),
+	}
+	s.status = newStatusTable(s)
+	storage := config.Storage
+	if storage == nil {
+		var err error
+		if storage, err = config.openStorage(); err != nil {
+			return nil, err
+		}
+	}
+	if err := s.open(storage); err != nil {
+		_ = storage.Close()
+		return nil, err
+	}
+	s.start()
+	s.Log.WithFields(logrus.Fields{
+		"name":  s.File.Self().Name,
+		"id":    s.id,
+		"peers": s.peerListener.Addr().String(),
+		"nodes": s.clientListener.Addr().String(),
+		"last":  s.Last(),
+	}).Info("control machine listening")
+	return s, nil
+}
+
+// open reads what the storage has, listens, and opens the purger.
+func (s *Server) open(storage Storage) error {
+	var err error
+	if s.log, err = openChangeLog(storage, s.logBounds()); err != nil {
+		return err
+	}
+	if s.loop, err = newRaftLoop(s, storage); err != nil {
+		return err
+	}
+	if s.peerListener, err = net.Listen("tcp", s.File.Control.Peers); err != nil {
+		return fmt.Errorf("cannot listen for control machines on %s: %w", s.File.Control.Peers, err)
+	}
+	if s.clientListener, err = net.Listen("tcp", s.File.Control.Nodes); err != nil {
+		_ = s.peerListener.Close()
+		return fmt.Errorf("cannot listen for nodes on %s: %w", s.File.Control.Nodes, err)
+	}
+	if err := s.openPurger(); err != nil {
+		_ = s.clientListener.Close()
+		_ = s.peerListener.Close()
+		return err
+	}
+	return nil
+}
+
+// openPurger starts to carry purges out at caches, where the file says so.
+func (s *Server) openPurger() error {
+	if s.File.Purges == nil {
+		return nil
+	}
+	var err error
+	s.purger, err = purger.Open(purger.Config{
+		Terms:      s.File.Purges,
+		Machines:   len(s.File.Machines),
+		Log:        s.log,
+		Dir:        s.File.Control.Data,
+		Logger:     s.Log,
+		Now:        s.Now,
+		OnProgress: s.OnPurgeProgress,
+		Seed:       uint32(keyhash.Salted(keyhash.String(s.File.Control.Label), int(s.id))),
+	})
+	return err
+}
+
+// start starts the goroutines.
+func (s *Server) start() {
+	for _, other := range s.File.Machines {
+		if other.ID != s.id {
+			s.peers[other.ID] = startPeer(s, other)
+		}
+	}
+	s.goroutines.Go(s.loop.run)
+	s.goroutines.Go(func() { s.log.notify(s.closed) })
+	s.goroutines.Go(func() {
+		s.accept(s.clientListener, s.File.Bounds.Followers+maxClients, controlwire.MaxFrameBytes, s.serveClient)
+	})
+	s.goroutines.Go(func() { s.accept(s.peerListener, maxPeerStreams, controlwire.MaxPeerFrameBytes, s.servePeer) })
+}
+
+// Addr is the address at which nodes and clients are accepted.
+func (s *Server) Addr() string { return s.clientListener.Addr().String() }
+
+// Last is the index of the newest entry that the server has.
+func (s *Server) Last() replicatedlog.Index {
+	_, _, last := s.log.Position()
+	return last
+}
+
+// Done is closed once the server has ended; Fault says then why it had to.
+func (s *Server) Done() <-chan struct{} { return s.closed }
+
+// Fault is why the server had to end by itself, as with a disk that takes no more writes; nil where it was closed.
+func (s *Server) Fault() error {
+	if err := s.fault.Load(); err != nil {
+		return *err
+	}
+	return nil
+}
+
+// Close ends the server and waits for its goroutines.
+func (s *Server) Close() {
+	s.end(nil)
+	s.goroutines.Wait()
+	if s.purger != nil {
+		s.purger.Close()
+	}
+	_ = s.loop.storage.Close()
+}
+
+// end closes everything that goroutines wait on. It may be called from any of them; the first call's error becomes the fault.
+func (s *Server) end(err error) {
+	s.endOnce.Do(func() {
+		if err != nil {
+			s.fault.Store(&err)
+			s.Log.WithError(err).Error("this control machine ends")
+		}
+		close(s.closed)
+		_ = s.clientListener.Close()
+		_ = s.peerListener.Close()
+		s.connections.close()
+	})
+}
--- /dev/null
+++ b/internal/control/controlserver/status.go
@@ -0,0 +1,225 @@
+package controlserver
+
+import (
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/monotime"
+)
+
+// maxAgeMs is an age that no clock gives: reports with more are dropped, since it would overflow as nanoseconds.
+const maxAgeMs = 1 << 40
+
+// nodeRecord is a node's report and when it was made.
+type nodeRecord struct {
+	controlwire.NodeReport
+	heardAt monotime.Instant
+}
+
+// serverRecord is what another control server reported of itself and of caches, and when.
+type serverRecord struct {
+	controlwire.ServerReport
+	caches  []purger.Progress
+	heardAt monotime.Instant
+}
+
+// statusTable is how far nodes, servers and caches are: at first hand of the nodes that follow here, and as other servers report. All of it
+// is hints, and lost with the process. Its methods may be called from anywhere.
+type statusTable struct {
+	server          *Server
+	mu              sync.Mutex
+	nodes           map[string]nodeRecord   // by name; at most controlwire.MaxNodes
+	servers         map[uint64]serverRecord // by id, without this one
+	rejectedStreams atomic.Uint64           // closed because too many were open
+	invalid         atomic.Uint64           // streams and messages that could not be decoded or were not for this server
+	bytesIn         atomic.Uint64
+	bytesOut        atomic.Uint64
+}
+
+func newStatusTable(s *Server) *statusTable {
+	return &statusTable{server: s, nodes: map[string]nodeRecord{}, servers: map[uint64]serverRecord{}}
+}
+
+// noteNode takes a node's report. Of two reports of a node, as by two servers that it followed, the later one stays.
+func (t *statusTable) noteNode(report controlwire.NodeReport, heardAt monotime.Instant) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known, is := t.nodes[report.Node]
+	if is && known.heardAt > heardAt {
+		return
+	}
+	if !is && len(t.nodes) >= controlwire.MaxNodes && !t.forgetSilentNodes() {
+		return
+	}
+	t.nodes[report.Node] = nodeRecord{NodeReport: report, heardAt: heardAt}
+}
+
+// forgetSilentNodes removes nodes that were not heard for as long as the file says, and returns whether there is capacity for one more. The
+// lock is held.
+func (t *statusTable) forgetSilentNodes() bool {
+	now := t.server.Now()
+	for name, node := range t.nodes {
+		if time.Duration(now-node.heardAt) > t.server.File.Bounds.Forget() {
+			delete(t.nodes, name)
+		}
+	}
+	return len(t.nodes) < controlwire.MaxNodes
+}
+
+// ageMs is how long ago something was, in milliseconds.
+func ageMs(now, at monotime.Instant) uint64 {
+	return uint64(max(0, time.Duration(now-at)) / time.Millisecond)
+}
+
+// appliedByAll is the index up to which all nodes have applied that were heard within a time; false where there are none.
+func (t *statusTable) appliedByAll(within time.Duration) (least replicatedlog.Index, known bool) {
+	now := t.server.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, node := range t.nodes {
+		if time.Duration(now-node.heardAt) > within {
+			continue
+		}
+		applied := replicatedlog.Index(node.Applied)
+		if !known || applied < least {
+			least = applied
+			known = true
+		}
+	}
+	return least, known
+}
+
+// ownReport is this server's report of itself and of the caches, at which it carries purges out; nil for none.
+func (t *statusTable) ownReport() (controlwire.ServerReport, []purger.Progress) {
+	leadership := t.server.loop.leadership.Load()
+	self := t.server.File.Self()
+	report := controlwire.ServerReport{
+		ID:       t.server.id,
+		Name:     self.Name,
+		Learner:  self.Learner,
+		IsLeader: leadership.isLeader,
+		Term:     leadership.term,
+		BytesIn:  t.bytesIn.Load(),
+		BytesOut: t.bytesOut.Load(),
+		Invalid:  t.invalid.Load(),
+		Rejected: t.rejectedStreams.Load(),
+	}
+	t.server.log.describe(&report)
+	if t.server.purger == nil {
+		return report, nil
+	}
+	caches, listed := t.server.purger.Progress()
+	for i := range caches {
+		caches[i].Machine = t.server.id
+	}
+	report.RunsPurges = true
+	report.NoCacheList = !listed
+	return report, caches
+}
+
+// ownTable is what this server reports to others: itself, the nodes that follow here, and caches.
+func (t *statusTable) ownTable() controlwire.Message {
+	self, caches := t.ownReport()
+	table := controlwire.Message{
+		Kind:    controlwire.KindStatusTable,
+		Servers: []controlwire.ServerReport{self},
+		Caches:  caches,
+	}
+	now := t.server.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, node := range t.nodes {
+		if node.Server == t.server.id {
+			node.AgeMs = ageMs(now, node.heardAt)
+			table.Nodes = append(table.Nodes, node.NodeReport)
+		}
+	}
+	return table
+}
+
+// fullTable is everything that is known, for clients.
+func (t *statusTable) fullTable() controlwire.Message {
+	self, caches := t.ownReport()
+	table := controlwire.Message{
+		Kind:      controlwire.KindStatusTable,
+		HasLeader: t.server.loop.leadership.Load().hasLeader,
+		Last:      self.Last,
+		Servers:   []controlwire.ServerReport{self},
+		Caches:    caches,
+	}
+	now := t.server.Now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.forgetSilentNodes()
+	for _, node := range t.nodes {
+		node.AgeMs = ageMs(now, node.heardAt)
+		table.Nodes = append(table.Nodes, node.NodeReport)
+	}
+	for _, other := range t.server.File.Machines {
+		if other.ID == t.server.id {
+			continue
+		}
+		report := controlwire.ServerReport{NeverHeard: true}
+		if record, is := t.servers[other.ID]; is {
+			report = record.ServerReport
+			report.AgeMs = ageMs(now, record.heardAt)
+			for _, cache := range record.caches {
+				cache.AgoMs = report.AgeMs
+				table.Caches = append(table.Caches, cache)
+			}
+		}
+		report.ID = other.ID
+		report.Name = other.Name
+		report.Learner = other.Learner
+		table.Servers = append(table.Servers, report)
+		table.Last = max(table.Last, report.Last)
+	}
+	return table
+}
+
+// mergePeerTable takes another server's report of itself, its nodes and caches. What is beyond the bounds is dropped.
+func (t *statusTable) mergePeerTable(from uint64, table controlwire.Message) {
+	now := t.server.Now()
+	for _, report := range table.Nodes {
+		if !validNode(report) {
+			continue
+		}
+		report.Server = from
+		age := time.Duration(report.AgeMs) * time.Millisecond
+		t.noteNode(report, now-monotime.Instant(age))
+	}
+	for _, report := range table.Servers {
+		if report.ID != from {
+			continue
+		}
+		caches := validCaches(table.Caches, from)
+		t.mu.Lock()
+		t.servers[from] = serverRecord{ServerReport: report, caches: caches, heardAt: now}
+		t.mu.Unlock()
+		if t.server.purger != nil {
+			t.server.purger.MergeProgress(caches)
+		}
+	}
+}
+
+func validNode(report controlwire.NodeReport) bool {
+	return report.Node != "" && len(report.Node) <= controlwire.MaxNameBytes &&
+		len(report.Reason) <= controlwire.MaxReasonBytes && report.AgeMs < maxAgeMs
+}
+
+// validCaches returns the reports that are within the bounds, as those of a server.
+func validCaches(caches []purger.Progress, from uint64) []purger.Progress {
+	caches = slices.DeleteFunc(caches, func(cache purger.Progress) bool {
+		return cache.Cache == "" || len(cache.Cache) > controlwire.MaxNameBytes || len(cache.Reason) > controlwire.MaxReasonBytes
+	})
+	caches = caches[:min(len(caches), controlwire.MaxCaches)]
+	for i := range caches {
+		caches[i].Machine = from
+	}
+	return caches
+}
--- a/internal/control/controlserver/variants_test.go
+++ b/internal/control/controlserver/variants_test.go
@@ -10,6 +10,9 @@
 	"github.com/fxamacker/cbor/v2"
 	pb "go.etcd.io/raft/v3/raftpb"
 
+	"dahliapin/internal/control/controlclient"
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/logfollower"
 	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/control/replicatedlog/store"
 	"dahliapin/internal/emulator/logtrace"
@@ -190,17 +193,17 @@
 	t.Parallel()
 	for _, v := range []struct {
 		name   string
-		reader func(*sound) Applier
+		reader func(*sound) logfollower.Applier
 		disk   bool // lazy ones
 		again  bool // who publishes gives a change another id when it tries again
 		want   []string
 	}{
 		{name: "sound"},
-		{name: "a gap passed over", reader: func(s *sound) Applier { return &gapped{sound: s} }, want: []string{checker.Missing}},
+		{name: "a gap passed over", reader: func(s *sound) logfollower.Applier { return &gapped{sound: s} }, want: []string{checker.Missing}},
 		{name: "acknowledged before a majority", disk: true, want: []string{checker.EarlyAck, checker.EarlyInForce}},
-		{name: "an old beginning", reader: func(s *sound) Applier { return unheeding{s} }, want: []string{checker.OldBeginning}},
-		{name: "told too early", reader: func(s *sound) Applier { return &hasty{sound: s} }, want: []string{checker.EarlyTold}},
-		{name: "applied again", reader: func(s *sound) Applier { return &late{gapped{sound: s, frames: 100}} }, want: []string{checker.Doubled}},
+		{name: "an old beginning", reader: func(s *sound) logfollower.Applier { return unheeding{s} }, want: []string{checker.OldBeginning}},
+		{name: "told too early", reader: func(s *sound) logfollower.Applier { return &hasty{sound: s} }, want: []string{checker.EarlyTold}},
+		{name: "applied again", reader: func(s *sound) logfollower.Applier { return &late{gapped{sound: s, frames: 100}} }, want: []string{checker.Doubled}},
 		{name: "doubled on retry", again: true, want: []string{checker.Doubled}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
@@ -213,41 +216,44 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					s.OnPersisted = func(all []*pb.Entry) { (&Server{Config: *b}).OnDisk(all) }
-					b.Disk = &lazy{Store: s}
+					s.OnPersisted = decodePersisted(b.OnPersisted)
+					b.Storage = &lazy{Store: s}
 				}
 			})
-			one := NewProposal(replicatedlog.Config, []byte("the first"))
+			one := controlclient.NewProposal(replicatedlog.Config, []byte("the first"))
 			e.publish(f, one)
 			for _, m := range f.ms {
 				for by := time.Now().Add(10 * time.Second); m.Last() < 1 && time.Now().Before(by); {
 					time.Sleep(time.Millisecond)
 				}
 			}
-			var nodes []*Follower
+			var nodes []*logfollower.Follower
+			var starts []*startRecorder
 			for i := range uint32(2) {
 				s := &sound{e: e, number: i}
 				s.Applier = replicatedlog.NewApplier(s)
-				var r Applier = s
+				var r logfollower.Applier = s
 				if v.reader != nil && i == 0 {
 					r = v.reader(s)
 				}
-				n := StartFollower(FollowerConfig{Name: fmt.Sprint("n", i), Label: "l", At: f.all(), Seed: i, Stale: time.Second, Reader: r, Log: quietly(), Now: boottime, Dial: f.dial,
+				started := &startRecorder{Applier: r}
+				starts = append(starts, started)
+				n := logfollower.Start(logfollower.Config{Name: fmt.Sprint("n", i), Label: "l", Servers: f.all(), Seed: i, StaleAfter: time.Second, Applier: started, Log: quietly(), Now: boottime, Dial: f.dial,
 					OnProgressSent: func(at replicatedlog.Index) { e.put(logtrace.Record{Index: uint64(at), Node: i, What: logtrace.Told}) }})
 				t.Cleanup(n.Close)
 				nodes = append(nodes, n)
 			}
-			for by := time.Now().Add(10 * time.Second); !nodes[0].now.Load().Started || !nodes[1].now.Load().Started; time.Sleep(time.Millisecond) {
+			for by := time.Now().Add(10 * time.Second); !starts[0].started.Load() || !starts[1].started.Load(); time.Sleep(time.Millisecond) {
 				if time.Now().After(by) {
 					t.Fatal("they never began")
 				}
 			}
 			for i := range 12 {
-				p := NewProposal(replicatedlog.Purge, fmt.Append(nil, "key-", i))
+				p := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "key-", i))
 				e.publish(f, p)
 				if i == 7 {
 					if v.again {
-						p = NewProposal(p.Kind, p.Body)
+						p = controlclient.NewProposal(p.Kind, p.Body)
 					}
 					f.publish([]replicatedlog.Proposal{p}) // its answer was lost, say
 				}
@@ -260,9 +266,9 @@
 					}
 					f.mu.Unlock()
 				}
-				time.Sleep(2 * gatherFor)
+				time.Sleep(2 * deliveryInterval)
 			}
-			time.Sleep(2*toldEach + 300*time.Millisecond)
+			time.Sleep(2*controlwire.ProgressInterval + 300*time.Millisecond)
 			for _, n := range nodes {
 				n.Close()
 			}
--- /dev/null
+++ b/internal/control/controlwire/message.go
@@ -0,0 +1,128 @@
+package controlwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/replicatedlog"
+)
+
+// MessageKind says which of a Message's fields are set.
+type MessageKind uint8
+
+// The kinds of messages.
+const (
+	KindHello         MessageKind = 1  // node: its NodeReport, LogID and Fresh; control server: its id in Index
+	KindStart         MessageKind = 2  // to a node: the index at which it starts, and the configuration in force there
+	KindEntries       MessageKind = 3  // to a node: entries in order; without entries it is a heartbeat
+	KindProgress      MessageKind = 4  // from a node: its NodeReport
+	KindPublish       MessageKind = 5  // from a client: an encoded batch of proposals
+	KindOrdered       MessageKind = 6  // to a client: the index of each proposal
+	KindRejected      MessageKind = 7  // to a client: why the proposals were not ordered
+	KindStatusRequest MessageKind = 8  // from a client
+	KindStatusTable   MessageKind = 9  // to a client: all that is known; between control servers: the sender's own part
+	KindRaft          MessageKind = 10 // between control servers: raft messages
+)
+
+// messageVersion stands in each message. A message without a version is malformed.
+const messageVersion = 1
+
+// Bounds of what a message may hold, so that a faulty sender cannot fill the receiver's memory.
+const (
+	MaxNameBytes   = 200  // of a node's or cache's name
+	MaxReasonBytes = 300  // of the reason for which something was refused
+	MaxNodes       = 4096 // node reports in a table
+	MaxCaches      = 1024 // cache reports of one control server
+
+	maxServers = 9 // control servers whose cache reports are in one table
+)
+
+// ErrMalformed says that bytes are not a message of this protocol.
+var ErrMalformed = errors.New("not a message of the log of changes")
+
+// Message is what a frame holds: CBOR with numbered fields, of which unknown ones are skipped. Its Kind says which fields are set.
+type Message struct {
+	Version      uint32            `cbor:"0,keyasint"` // set by EncodeFrame
+	Kind         MessageKind       `cbor:"1,keyasint"`
+	Index        uint64            `cbor:"2,keyasint,omitempty"` // Start: where the node starts; a peer's Hello: its id
+	Last         uint64            `cbor:"3,keyasint,omitempty"` // index of the newest entry that the server has
+	HasLeader    bool              `cbor:"4,keyasint,omitempty"` // the server leads, or heard its leader lately
+	Entries      []cbor.RawMessage `cbor:"5,keyasint,omitempty"` // encoded entries in order
+	BaseConfig   cbor.RawMessage   `cbor:"6,keyasint,omitempty"` // Start: the encoded entry of the configuration in force; empty for none
+	Nodes        []NodeReport      `cbor:"7,keyasint,omitempty"`
+	Batch        []byte            `cbor:"8,keyasint,omitempty"` // Publish: an encoded replicatedlog.Batch
+	Indexes      []uint64          `cbor:"9,keyasint,omitempty"` // Ordered: one for each proposal
+	Reason       string            `cbor:"10,keyasint,omitempty"`
+	RaftMessages [][]byte          `cbor:"11,keyasint,omitempty"` // in protobuf
+	Fresh        bool              `cbor:"12,keyasint,omitempty"` // a node's Hello: it has applied nothing yet
+	Servers      []ServerReport    `cbor:"13,keyasint,omitempty"`
+	LogID        uint64            `cbor:"14,keyasint,omitempty"` // Start and a node's Hello: which log the indexes are of
+	Caches       []purger.Progress `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
+}
+
+// NodeReport is how far a node has applied the replicated log, as the node says, with what control servers add when they pass it on.
+type NodeReport struct {
+	Node           string `cbor:"1,keyasint"`
+	Process        uint64 `cbor:"2,keyasint,omitempty"` // a random number for each process of the node
+	Applied        uint64 `cbor:"3,keyasint"`
+	Config         uint64 `cbor:"4,keyasint,omitempty"`  // index of the configuration in force; 0 for the node's own
+	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of the configuration that the node could not take; 0 for none
+	PresumedPurged uint64 `cbor:"6,keyasint,omitempty"`  // everything up to here may have been purged
+	Gaps           uint64 `cbor:"7,keyasint,omitempty"`  // times that entries did not follow what was applied
+	Reason         string `cbor:"8,keyasint,omitempty"`  // why a configuration was refused
+	Server         uint64 `cbor:"9,keyasint,omitempty"`  // set by control servers: the one that the node follows
+	AgeMs          uint64 `cbor:"10,keyasint,omitempty"` // set by control servers: milliseconds since the node said so
+	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
+}
+
+// ServerReport is the state of a control server, as it reports itself or as another one last heard.
+type ServerReport struct {
+	ID          uint64 `cbor:"1,keyasint"`
+	Name        string `cbor:"2,keyasint"`
+	Learner     bool   `cbor:"3,keyasint,omitempty"`
+	IsLeader    bool   `cbor:"4,keyasint,omitempty"`
+	Last        uint64 `cbor:"5,keyasint,omitempty"` // index of the newest entry
+	Floor       uint64 `cbor:"6,keyasint,omitempty"` // index up to which entries are no longer kept
+	Term        uint64 `cbor:"7,keyasint,omitempty"` // raft's
+	AgeMs       uint64 `cbor:"8,keyasint,omitempty"` // milliseconds since it was heard
+	NeverHeard  bool   `cbor:"9,keyasint,omitempty"`
+	Config      uint64 `cbor:"10,keyasint,omitempty"` // index of the newest configuration
+	BytesIn     uint64 `cbor:"11,keyasint,omitempty"` // from nodes and other control servers
+	BytesOut    uint64 `cbor:"12,keyasint,omitempty"`
+	Invalid     uint64 `cbor:"13,keyasint,omitempty"` // streams and messages that could not be decoded or were not for it
+	Rejected    uint64 `cbor:"14,keyasint,omitempty"` // streams closed because too many were open
+	RunsPurges  bool   `cbor:"15,keyasint,omitempty"` // it carries purges out at caches
+	NoCacheList bool   `cbor:"16,keyasint,omitempty"` // and has no list of caches yet
+}
+
+// EncodeFrame returns a message with its length before it. A message of more than maxBytes is refused with ErrMalformed.
+func EncodeFrame(message Message, maxBytes int) ([]byte, error) {
+	message.Version = messageVersion
+	body, err := cbor.Marshal(message)
+	if err != nil {
+		return nil, fmt.Errorf("cannot encode a message of kind %d: %w", message.Kind, err)
+	}
+	if len(body) > maxBytes {
+		return nil, fmt.Errorf("%w: %d bytes to send, %d can be", ErrMalformed, len(body), maxBytes)
+	}
+	frame := make([]byte, 0, lengthBytes+len(body))
+	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
+	return append(frame, body...), nil
+}
+
+// decodeMessage decodes the body of a frame and checks its bounds.
+func decodeMessage(body []byte) (Message, error) {
+	var message Message
+	if err := replicatedlog.DecodeMode.Unmarshal(body, &message); err != nil {
+		return message, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	if message.Version == 0 || len(message.Nodes) > MaxNodes || len(message.Caches) > maxServers*MaxCaches {
+		return message, fmt.Errorf("%w: version %d, %d rows, %d of caches", ErrMalformed,
+			message.Version, len(message.Nodes), len(message.Caches))
+	}
+	return message, nil
+}
--- /dev/null
+++ b/internal/control/logfollower/stream.go
@@ -0,0 +1,132 @@
+package logfollower
+
+import (
+	"sync"
+	"time"
+
+	"dahliapin/internal/control/controlwire"
+	"dahliapin/internal/control/replicatedlog"
+)
+
+const (
+	// maxUnreportedBytes of entries are applied before a report is sent at once: the server stops sending when too much is unreported.
+	maxUnreportedBytes = 64 << 10
+	// idleReportInterval is how often progress is reported although it has not changed, as a sign of life for the server.
+	idleReportInterval = time.Second
+)
+
+// followStream follows over a stream until it breaks, and returns why.
+func (f *Follower) followStream(stream *controlwire.Stream, patience time.Duration) error {
+	hello := f.report(controlwire.KindHello)
+	hello.Fresh = !f.progress.Load().Started
+	hello.LogID = uint64(f.progress.Load().Log)
+	sent, err := stream.Send(hello, controlwire.HandshakeTimeout)
+	f.bytesOut.Add(uint64(sent))
+	if err != nil {
+		return err
+	}
+
+	stop := make(chan struct{})
+	reportNow := make(chan struct{}, 1)
+	var reporter sync.WaitGroup
+	reporter.Go(func() { f.sendReports(stream, stop, reportNow) })
+	defer reporter.Wait()
+	defer close(stop)
+
+	hadLeaderAt := time.Now()
+	unreported := 0
+	for {
+		message, size, err := stream.Receive(serverTimeout)
+		f.bytesIn.Add(uint64(size))
+		if err != nil {
+			return err
+		}
+		if err := f.apply(message); err != nil {
+			return err
+		}
+		unreported += size
+		if unreported >= maxUnreportedBytes {
+			unreported = 0
+			select {
+			case reportNow <- struct{}{}:
+			default:
+			}
+		}
+		if message.HasLeader {
+			hadLeaderAt = time.Now()
+			f.leaderHeard()
+		} else if time.Since(hadLeaderAt) > patience {
+			return errNoLeader
+		}
+	}
+}
+
+// apply hands a message to the Applier and publishes what has become of it, also after an error.
+func (f *Follower) apply(message controlwire.Message) error {
+	var err error
+	switch message.Kind {
+	case controlwire.KindStart:
+		err = f.Applier.Start(replicatedlog.LogID(message.LogID), replicatedlog.Index(message.Index), message.BaseConfig)
+	case controlwire.KindEntries:
+		err = f.Applier.Apply(message.Entries)
+	}
+	f.publishProgress()
+	if message.Kind == controlwire.KindStart { // of another log it may be lower
+		f.lastIndex.Store(message.Last)
+	}
+	f.lastIndex.Store(max(f.lastIndex.Load(), message.Last))
+	return err
+}
+
+// sendReports reports the progress when it has changed, when a lot was applied, and as a sign of life. It ends with stop, and closes the
+// stream when the Follower is closed, by which the reading side ends.
+func (f *Follower) sendReports(stream *controlwire.Stream, stop, reportNow chan struct{}) {
+	ticker := time.NewTicker(controlwire.ProgressInterval)
+	defer ticker.Stop()
+	var last replicatedlog.Progress
+	unchanged := 0 // wake-ups since the last report
+	for {
+		select {
+		case <-ticker.C:
+		case <-reportNow:
+		case <-stop:
+			return
+		case <-f.closed:
+			_ = stream.Close()
+			<-stop
+			return
+		}
+		now := *f.progress.Load()
+		if now == last && time.Duration(unchanged)*controlwire.ProgressInterval < idleReportInterval {
+			unchanged++
+			continue
+		}
+		report := f.report(controlwire.KindProgress)
+		if f.OnProgressSent != nil {
+			f.OnProgressSent(replicatedlog.Index(report.Nodes[0].Applied))
+		}
+		sent, err := stream.Send(report, controlwire.WriteTimeout)
+		f.bytesOut.Add(uint64(sent))
+		if err != nil {
+			_ = stream.Close()
+		}
+		last = now
+		unchanged = 1
+	}
+}
+
+// report is a message of a kind with the progress in it.
+func (f *Follower) report(kind controlwire.MessageKind) controlwire.Message {
+	progress := f.progress.Load()
+	return controlwire.Message{Kind: kind, Nodes: []controlwire.NodeReport{{
+		Node:           f.Name,
+		Process:        f.Process,
+		Applied:        uint64(progress.Applied),
+		Config:         uint64(progress.Config),
+		Refused:        uint64(progress.Refused),
+		PresumedPurged: uint64(progress.PresumedPurged),
+		NotStarted:     !progress.Started,
+		Gaps:           progress.Gaps,
+		Reason:         progress.Reason[:min(len(progress.Reason), controlwire.MaxReasonBytes)],
+	}}}
+}
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	net "dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/logfollower"
 	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/emulator/logtrace"
 	"dahliapin/internal/membership/gossip"
@@ -137,7 +137,7 @@
 	to := &writer{w: bufio.NewWriterSize(traced, traceAhead)}
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
-	var all []*net.Follower
+	var all []*logfollower.Follower
 	ends := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, until)
@@ -146,8 +146,8 @@
 	for i := range s.Nodes {
 		h := &hollow{to: to, number: s.First + uint32(i)}
 		h.reader = replicatedlog.NewApplier(h)
-		all = append(all, net.StartFollower(net.FollowerConfig{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, At: s.At, Seed: s.Seed + h.number, Stale: 30 * time.Second,
-			Reader: h, Log: log, Now: gossip.BootTime, OnProgressSent: h.told}))
+		all = append(all, logfollower.Start(logfollower.Config{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, Servers: s.At, Seed: s.Seed + h.number, StaleAfter: 30 * time.Second,
+			Applier: h, Log: log, Now: gossip.BootTime, OnProgressSent: h.told}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
 	each := time.NewTicker(sampleEach)
@@ -166,7 +166,7 @@
 	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
 }
 
-func sample(all []*net.Follower) Sample {
+func sample(all []*logfollower.Follower) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s := Sample{At: gossip.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	net "dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/controlclient"
 	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/emulator/logtrace"
 	"dahliapin/internal/freeport"
@@ -128,7 +128,7 @@
 	hollows  []*process
 	specs    []Spec
 	real     []*process
-	caller   net.Client
+	caller   controlclient.Client
 	mu       sync.Mutex
 	orders   []logtrace.Ordered
 	report   Report
@@ -274,7 +274,7 @@
 			return err
 		}
 	}
-	r.caller = net.Client{At: r.nodes[:], Label: label}
+	r.caller = controlclient.Client{Servers: r.nodes[:], Label: label}
 	first := uint32(0)
 	for region := range r.Regions {
 		doors, err := r.doors(region)
@@ -359,7 +359,7 @@
 func (r *run) purges(play string, from, n int) (all []replicatedlog.Proposal) {
 	for i := range n {
 		key := fmt.Sprintf("%s/%08d/", play, from+i)
-		all = append(all, net.NewProposal(replicatedlog.Purge, []byte(key+strings.Repeat("k", keyBytes-len(key)))))
+		all = append(all, controlclient.NewProposal(replicatedlog.Purge, []byte(key+strings.Repeat("k", keyBytes-len(key)))))
 	}
 	return all
 }
@@ -407,7 +407,7 @@
 		time.Sleep(time.Until(begin.Add(due)))
 		some := r.purges(play, p, 1)
 		if config {
-			some = []replicatedlog.Proposal{net.NewProposal(replicatedlog.Config, configuration("all-"+play, "127.0.0.1:1", c))}
+			some = []replicatedlog.Proposal{controlclient.NewProposal(replicatedlog.Config, configuration("all-"+play, "127.0.0.1:1", c))}
 			c++
 		} else {
 			p++
@@ -428,7 +428,7 @@
 				fault = err
 				return
 			}
-			at := slices.IndexFunc(o.Machines, func(m net.ServerStatus) bool { return m.Leads })
+			at := slices.IndexFunc(o.Machines, func(m controlclient.ServerStatus) bool { return m.Leads })
 			if at < 0 {
 				fault = errors.New("nobody to kill leads")
 				return
@@ -476,7 +476,7 @@
 		time.Sleep(time.Until(begin.Add(r.CutFor * time.Duration(i) / time.Duration(calls))))
 		some := r.purges("backlog", i*backlogOf, min(backlogOf, r.CutPurges-i*backlogOf))
 		for ; configs < r.CutConfigs*(i+1)/calls; configs++ {
-			some = append(some, net.NewProposal(replicatedlog.Config, configuration("all-cut", "127.0.0.1:1", configs)))
+			some = append(some, controlclient.NewProposal(replicatedlog.Config, configuration("all-cut", "127.0.0.1:1", configs)))
 		}
 		slots <- struct{}{}
 		backlog.Go(func() {
@@ -507,7 +507,7 @@
 // shown measures how soon fleet changes shows an entry at every node.
 func (r *run) shown(ctx context.Context, play string) {
 	for i := range showings {
-		r.publish(ctx, "shown", []replicatedlog.Proposal{net.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))})
+		r.publish(ctx, "shown", []replicatedlog.Proposal{controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))})
 		o := r.orders[len(r.orders)-1]
 		for by := time.Now().Add(showBy); o.Index > 0 && time.Now().Before(by); time.Sleep(showEach) {
 			asked := time.Now()
--- a/node/changes.go
+++ b/node/changes.go
@@ -6,7 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/logfollower"
 	changes "dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/keyhash"
 	"dahliapin/internal/membership/gossip"
@@ -20,8 +20,8 @@
 	}
 	var process [8]byte
 	_, _ = rand.Read(process[:]) // never fails
-	n.follows.Store(controlserver.StartFollower(controlserver.FollowerConfig{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
-		At: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), Stale: c.Stale(), Reader: changes.NewApplier(byLog{n}), Log: n.log, Now: gossip.BootTime}))
+	n.follows.Store(logfollower.Start(logfollower.Config{Name: n.posting.Name, Process: binary.LittleEndian.Uint64(process[:]), Label: n.posting.charter.Fleet.Label,
+		Servers: c.At, Seed: uint32(keyhash.Salted(keyhash.String(n.posting.Name), int(n.posting.Seed))), StaleAfter: c.Stale(), Applier: changes.NewApplier(byLog{n}), Log: n.log, Now: gossip.BootTime}))
 }
 
 // byLog is what the node does by the log of changes.
@@ -57,7 +57,7 @@
 // FleetStatus is how a node stands in its fleet, for operators.
 type FleetStatus struct {
 	gossip.Status
-	Changes *controlserver.FollowerStatus `json:"changes,omitempty"` // nil where it follows no log of changes
+	Changes *logfollower.Status `json:"changes,omitempty"` // nil where it follows no log of changes
 }
 
 // withChanges adds how the node follows.
--- a/node/changes_test.go
+++ b/node/changes_test.go
@@ -12,13 +12,15 @@
 	"github.com/sirupsen/logrus"
 
 	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/controlclient"
 	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/logfollower"
 	changes "dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/membership/gossip"
 )
 
 // control is a control machine on its own.
-func control(t *testing.T) controlserver.Client {
+func control(t *testing.T) controlclient.Client {
 	f := fleetconfig.DefaultControl()
 	f.Control = fleetconfig.Control{ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir()}
 	f.Machines, f.Bounds.ElectMs = []fleetconfig.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}, 200
@@ -29,10 +31,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Close)
-	return controlserver.Client{At: []string{m.Addr()}, Label: "l"}
+	return controlclient.Client{Servers: []string{m.Addr()}, Label: "l"}
 }
 
-func published(t *testing.T, c controlserver.Client, all ...changes.Proposal) {
+func published(t *testing.T, c controlclient.Client, all ...changes.Proposal) {
 	t.Helper()
 	ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 	defer done()
@@ -57,7 +59,7 @@
 // reach the hook. Operators see it; who follows nothing has no word of it.
 func TestANodeFollowsTheLogOfChanges(t *testing.T) {
 	at := control(t)
-	published(t, at, controlserver.NewProposal(changes.Purge, []byte("before it began")))
+	published(t, at, controlclient.NewProposal(changes.Purge, []byte("before it began")))
 	text := strings.Replace(posting, `"sockets":100`, `"sockets":200`, 1)
 	start := func(followed string) (*Node, *strings.Builder, func()) {
 		p, err := ParseConfig([]byte(text))
@@ -86,12 +88,12 @@
 			}
 		}
 	}
-	n, said, end := start(fmt.Sprintf("[changes]\nat=['%s']\n", at.At[0]))
-	status := func() *controlserver.FollowerStatus {
+	n, said, end := start(fmt.Sprintf("[changes]\nat=['%s']\n", at.Servers[0]))
+	status := func() *logfollower.Status {
 		s, _ := known{n}.FleetStatus()
 		return s.(FleetStatus).Changes
 	}
-	until := func(what string, is func(s *controlserver.FollowerStatus) bool) {
+	until := func(what string, is func(s *logfollower.Status) bool) {
 		t.Helper()
 		for by := time.Now().Add(10 * time.Second); !is(status()); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(by) {
@@ -99,11 +101,11 @@
 			}
 		}
 	}
-	until("began", func(s *controlserver.FollowerStatus) bool { return s.PresumedPurged == 1 })
-	published(t, at, controlserver.NewProposal(changes.Purge, []byte("k")), controlserver.NewProposal(changes.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
-	until("took a configuration", func(s *controlserver.FollowerStatus) bool { return s.Config == 3 && s.Applied == 3 })
-	published(t, at, controlserver.NewProposal(changes.Config, []byte("no configuration")), controlserver.NewProposal(changes.Purge, []byte("l")))
-	until("refused one", func(s *controlserver.FollowerStatus) bool {
+	until("began", func(s *logfollower.Status) bool { return s.PresumedPurged == 1 })
+	published(t, at, controlclient.NewProposal(changes.Purge, []byte("k")), controlclient.NewProposal(changes.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
+	until("took a configuration", func(s *logfollower.Status) bool { return s.Config == 3 && s.Applied == 3 })
+	published(t, at, controlclient.NewProposal(changes.Config, []byte("no configuration")), controlclient.NewProposal(changes.Purge, []byte("l")))
+	until("refused one", func(s *logfollower.Status) bool {
 		return s.Refused == 4 && s.Config == 3 && s.Reason != "" && s.Applied == 5
 	})
 	if s := status(); s.Purges != 2 || s.Stale || s.Gaps != 0 {
--- a/node/node.go
+++ b/node/node.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/logfollower"
 	"dahliapin/internal/membership/gossip"
 	"dahliapin/internal/proxy"
 	"dahliapin/internal/proxy/admin"
@@ -66,13 +66,13 @@
 	dropped uint64                // records; the loop's own until it has ended
 	phase   atomic.Int32
 	log     *logrus.Logger
-	posting *Config                                // as it started
-	desk    *admin.Server                          // nil where no operators call
-	post    atomic.Pointer[gossip.Node]            // nil where it knows of no other node, or not yet
-	follows atomic.Pointer[controlserver.Follower] // nil where it follows no log of changes, or not yet
-	hung    chan struct{}                          // closed when the loop is to go on; nil while it does
-	takes   sync.Once                              // its place among the nodes
-	yields  bool                                   // its place in the fleet goes to the process that replaces it; the loop's own
+	posting *Config                              // as it started
+	desk    *admin.Server                        // nil where no operators call
+	post    atomic.Pointer[gossip.Node]          // nil where it knows of no other node, or not yet
+	follows atomic.Pointer[logfollower.Follower] // nil where it follows no log of changes, or not yet
+	hung    chan struct{}                        // closed when the loop is to go on; nil while it does
+	takes   sync.Once                            // its place among the nodes
+	yields  bool                                 // its place in the fleet goes to the process that replaces it; the loop's own
 }
 
 // New listens as the posting says and starts. Serve is to follow.
--- a/node/posting.go
+++ b/node/posting.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/config/fleetconfig"
 	"dahliapin/internal/config/listeners"
 	"dahliapin/internal/config/settings"
-	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/logfollower"
 	"dahliapin/internal/keyhash"
 	"dahliapin/internal/membership/gossip"
 	"dahliapin/internal/wire/jsonstream"
@@ -77,7 +77,7 @@
 	case p.charter == nil:
 		return 0
 	case len(p.charter.Changes.At) > 0:
-		return gossip.Descriptors + controlserver.FollowerDescriptors
+		return gossip.Descriptors + logfollower.Descriptors
 	}
 	return gossip.Descriptors
 }
