--- /dev/null
+++ b/internal/control/replicatedlog/codec.go
@@ -0,0 +1,42 @@
+package replicatedlog
+
+import (
+	"errors"
+	"math"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Entries, batches and snapshots are encoded as CBOR (RFC 8949): maps of numbered fields, of which unknown ones are skipped. Batches and
+// snapshots have the version of the format first.
+const formatVersion = 1
+
+// ErrMalformed says that bytes are not an entry, batch or snapshot.
+var ErrMalformed = errors.New("not a part of the log of changes")
+
+// DecodeMode decodes with bounds, so that a short message cannot make the receiver allocate or recurse without limit.
+var DecodeMode = newDecodeMode()
+
+func newDecodeMode() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		MaxNestedLevels:  8,
+		MaxArrayElements: math.MaxInt32 >> 4,
+		MaxMapPairs:      64,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		IndefLength:      cbor.IndefLengthForbidden,
+		TagsMd:           cbor.TagsForbidden,
+	}.DecMode()
+	if err != nil {
+		panic(err) // the options are constants
+	}
+	return mode
+}
+
+// encode encodes a type of this package. All fields are numbers and bytes, which cannot fail.
+func encode(value any) []byte {
+	encoded, err := cbor.Marshal(value)
+	if err != nil {
+		panic(err)
+	}
+	return encoded
+}
--- /dev/null
+++ b/internal/control/replicatedlog/entry.go
@@ -0,0 +1,62 @@
+package replicatedlog
+
+import (
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// entryOverheadBytes bounds what an encoded proposal has beside its body.
+const entryOverheadBytes = 40
+
+// Entry is a proposal with its place in the log.
+type Entry struct {
+	Index Index
+	Proposal
+}
+
+// encodedProposal is a proposal as it is sent and kept.
+type encodedProposal struct {
+	ID   []byte `cbor:"2,keyasint"`
+	Kind uint8  `cbor:"3,keyasint"`
+	Body []byte `cbor:"4,keyasint"`
+}
+
+// encodedEntry is an entry as it is sent and kept.
+type encodedEntry struct {
+	Index uint64 `cbor:"1,keyasint"`
+	encodedProposal
+}
+
+func (p Proposal) encodable() encodedProposal {
+	return encodedProposal{ID: p.ID[:], Kind: uint8(p.Kind), Body: p.Body}
+}
+
+func (e encodedProposal) proposal() (Proposal, error) {
+	var p Proposal
+	if len(e.ID) != len(p.ID) {
+		return p, fmt.Errorf("%w: an id of %d bytes", ErrMalformed, len(e.ID))
+	}
+	copy(p.ID[:], e.ID)
+	p.Kind = Kind(e.Kind)
+	p.Body = e.Body
+	return p, nil
+}
+
+func encodeEntry(e Entry) cbor.RawMessage {
+	return encode(encodedEntry{Index: uint64(e.Index), encodedProposal: e.encodable()})
+}
+
+// DecodeEntry decodes an entry, or returns an error that wraps ErrMalformed. It accepts kinds that this version does not know, which the
+// caller has to skip.
+func DecodeEntry(encoded []byte) (Entry, error) {
+	var decoded encodedEntry
+	if len(encoded) > MaxConfigBytes+2*entryOverheadBytes {
+		return Entry{}, fmt.Errorf("%w: an entry of %d bytes", ErrMalformed, len(encoded))
+	}
+	if err := DecodeMode.Unmarshal(encoded, &decoded); err != nil {
+		return Entry{}, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	p, err := decoded.proposal()
+	return Entry{Index: Index(decoded.Index), Proposal: p}, err
+}
--- a/internal/control/replicatedlog/golden_test.go
+++ b/internal/control/replicatedlog/golden_test.go
@@ -11,11 +11,17 @@
 func TestBatchesEntriesAndSnapshotsAreAsRecorded(t *testing.T) {
 	var got bytes.Buffer
 	proposals := []Proposal{
-		{ID: ProposalID{1, 2}, Kind: Purge, Body: []byte("key1")}, {ID: ProposalID{3}, Kind: Config, Body: []byte(`{"a":1}`)},
+		{ID: ProposalID{1, 2}, Kind: Purge, Body: []byte("key1")},
+		{ID: ProposalID{3}, Kind: Config, Body: []byte(`{"a":1}`)},
 		{ID: ProposalID{4}, Kind: Purge, Body: []byte("key2")},
 	}
 	s := New(Bounds{Entries: 2, Bytes: 1 << 20, MinEntries: 1})
-	for _, b := range []Batch{{Proposals: proposals, Log: 77}, {Proposals: proposals[:1]}, {Trim: 2}, {Proposals: []Proposal{{ID: ProposalID{9}, Kind: Purge, Body: []byte("key3")}}}} {
+	for _, b := range []Batch{
+		{Proposals: proposals, Log: 77},
+		{Proposals: proposals[:1]},
+		{Trim: 2},
+		{Proposals: []Proposal{{ID: ProposalID{9}, Kind: Purge, Body: []byte("key3")}}},
+	} {
 		encoded := b.Encode()
 		fmt.Fprintf(&got, "batch %x\n", encoded)
 		back, err := DecodeBatch(encoded)
--- /dev/null
+++ b/internal/control/replicatedlog/state_test.go
@@ -0,0 +1,190 @@
+package replicatedlog
+
+import (
+	"bytes"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// modelFollower is a node that follows a State, checked against the bodies that were ordered.
+type modelFollower struct {
+	applier *Applier
+	handler *recordingHandler
+	applied Index // what the test expects
+}
+
+func newModelFollower() *modelFollower {
+	handler := &recordingHandler{}
+	return &modelFollower{applier: NewApplier(handler), handler: handler}
+}
+
+// follow takes the next entries, or a starting point where there are none for it. ordered are the bodies of all entries, from index 1.
+func (f *modelFollower) follow(t *rapid.T, s *State, ordered []string) {
+	encoded, _, kept := s.EntriesAfter(f.applier.Applied, rapid.IntRange(0, 200).Draw(t, "frame"))
+	f.handler.reset()
+	if !f.applier.Started || !kept {
+		f.start(t, s, ordered)
+		return
+	}
+	if err := f.applier.Apply(encoded); err != nil {
+		t.Fatal(err)
+	}
+	for i, at := range f.handler.indexes {
+		f.applied++
+		if at != f.applied || f.handler.bodies[i] != ordered[at-1] {
+			t.Fatalf("applied %d %q, wanted %d %q", at, f.handler.bodies[i], f.applied, ordered[f.applied-1])
+		}
+	}
+}
+
+// start starts anew, and checks that the configuration which is in force at the starting point was taken.
+func (f *modelFollower) start(t *rapid.T, s *State, ordered []string) {
+	at, base := s.StartingPoint(!f.applier.Started)
+	if err := f.applier.Start(0, at, base); err != nil {
+		t.Fatal(err)
+	}
+	f.applied = at
+	inForce := ""
+	for _, body := range ordered[:at] {
+		if body[0] == 'c' {
+			inForce = body
+		}
+	}
+	if f.handler.config != inForce || f.handler.presumed != at {
+		t.Fatalf("starts at %d with %q, presumed %d; in force there: %q", at, f.handler.config, f.handler.presumed, inForce)
+	}
+}
+
+func drawBatch(t *rapid.T) Batch {
+	var batch Batch
+	for _, n := range rapid.SliceOfN(rapid.IntRange(1, 90), 0, 12).Draw(t, "proposals") {
+		p := purge(n)
+		if n%7 == 0 {
+			p = config(n)
+		}
+		batch.Proposals = append(batch.Proposals, p)
+	}
+	if rapid.IntRange(0, 4).Draw(t, "trims") == 0 {
+		batch.Trim = Index(rapid.IntRange(0, 100).Draw(t, "trim"))
+	}
+	return batch
+}
+
+// Two control servers apply the same batches, with proposals that are made again and trims. One of them is restored from its snapshot now and
+// then, and a node follows now and then. Both have the same log, each change is in it once, and the node sees each entry after its start once
+// and in order, and starts with the configuration that is in force there.
+func TestServersAgreeAndNodesSeeEachEntryOnceInOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		bounds := Bounds{
+			Entries:    rapid.IntRange(3, 40).Draw(t, "entries"),
+			Bytes:      rapid.IntRange(100, 4000).Draw(t, "bytes"),
+			MinEntries: rapid.IntRange(0, 3).Draw(t, "least"),
+		}
+		steady, restored := New(bounds), New(bounds)
+		var ordered []string
+		first := map[ProposalID]Index{}
+		follower := newModelFollower()
+		for range rapid.IntRange(1, 60).Draw(t, "turns") {
+			batch, err := DecodeBatch(drawBatch(t).Encode())
+			if err != nil {
+				t.Fatal(err)
+			}
+			indexes := steady.Apply(batch)
+			if other := restored.Apply(batch); !slices.Equal(indexes, other) {
+				t.Fatalf("%v and %v", indexes, other)
+			}
+			for i, p := range batch.Proposals {
+				known, is := first[p.ID]
+				if is && indexes[i] != known {
+					t.Fatalf("proposed again, %d became %d", known, indexes[i])
+				}
+				if is {
+					continue
+				}
+				ordered = append(ordered, string(p.Body))
+				if indexes[i] != Index(len(ordered)) {
+					t.Fatalf("index %d, wanted %d", indexes[i], len(ordered))
+				}
+				first[p.ID] = indexes[i]
+			}
+			checkBounds(t, steady)
+			if rapid.IntRange(0, 5).Draw(t, "restores") == 0 {
+				restored = restoreLike(t, restored, steady)
+			}
+			if rapid.Bool().Draw(t, "follows") {
+				follower.follow(t, steady, ordered)
+			}
+		}
+		for follower.applier.Applied < steady.Last() || !follower.applier.Started {
+			follower.follow(t, steady, ordered)
+		}
+	})
+}
+
+func checkBounds(t *rapid.T, s *State) {
+	bytes := s.Bytes(s.floor, s.last)
+	if len(s.tail) > s.bounds.Entries || bytes > uint64(s.bounds.Bytes) && len(s.tail) > 1 {
+		t.Fatalf("%d entries, %d bytes are kept", len(s.tail), bytes)
+	}
+}
+
+// restoreLike restores a state from its snapshot, which has to be the same as another state's.
+func restoreLike(t *rapid.T, s, other *State) *State {
+	snapshot := s.Snapshot()
+	restored, err := Restore(snapshot, s.bounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(snapshot, restored.Snapshot()) || !bytes.Equal(snapshot, other.Snapshot()) {
+		t.Fatal("a snapshot is not what it was taken of")
+	}
+	return restored
+}
+
+// Two leaders in a row may both have proposed an id for a new log. The first that is committed holds, also through a snapshot.
+func TestStateKeepsFirstLogID(t *testing.T) {
+	s := New(DefaultBounds)
+	for _, id := range []LogID{0, 5, 6, 0} {
+		batch, err := DecodeBatch(Batch{Log: id}.Encode())
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.Apply(batch)
+	}
+	restored, err := Restore(s.Snapshot(), DefaultBounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.ID() != 5 || restored.ID() != 5 {
+		t.Errorf("ids %d and, restored, %d", s.ID(), restored.ID())
+	}
+}
+
+// A client proposes again what it got no answer for. As long as the id is among the last DedupWindow it gets the index that it has; older ids
+// are forgotten, so that the memory for them is bounded.
+func TestDedupWindowHoldsLastIDs(t *testing.T) {
+	s := New(Bounds{Entries: 10, Bytes: 1 << 20})
+	one := purge(1)
+	s.Apply(Batch{Proposals: []Proposal{one}})
+	p := purge(2)
+	for n := range DedupWindow - 1 {
+		p.ID[5], p.ID[6], p.ID[7] = byte(n), byte(n>>8), byte(n>>16)
+		s.Apply(Batch{Proposals: []Proposal{p}})
+	}
+	if indexes := s.Apply(Batch{Proposals: []Proposal{one}}); indexes[0] != 1 || s.repeated != 1 {
+		t.Errorf("among the last %d: %v, %d repeated", DedupWindow, indexes, s.repeated)
+	}
+	s.Apply(Batch{Proposals: []Proposal{purge(3)}})
+	if len(s.indexes) != DedupWindow || len(s.recentIDs) != DedupWindow {
+		t.Errorf("%d ids, %d in a row", len(s.indexes), len(s.recentIDs))
+	}
+	restored, err := Restore(s.Snapshot(), s.bounds)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(restored.indexes) != DedupWindow || restored.indexes[p.ID] != s.last-1 {
+		t.Errorf("restored: %d ids, the last but one at %d", len(restored.indexes), restored.indexes[p.ID])
+	}
+}
--- a/internal/control/replicatedlog/store/golden_test.go
+++ b/internal/control/replicatedlog/store/golden_test.go
@@ -10,12 +10,13 @@
 
 const (
 	recordedFolder = "testdata/folder"
-	recordedTexts  = "fourfive"
+	recordedData   = "fourfive"
 )
 
-var record = flag.Bool("record-folder", false, "write the recorded data folder anew; only for an intended change of its format")
+var record = flag.Bool("record-folder", false,
+	"write the recorded data folder anew; only for an intended change of its format")
 
-// A control machine's folder that an earlier version wrote is taken over as it is: term, vote, snapshot and entries.
+// The folder of a control server that an earlier version wrote is read as it is: term, vote, snapshot and entries.
 func TestAFolderOfAnEarlierVersionIsReadable(t *testing.T) {
 	if *record {
 		recordFolder(t)
@@ -30,11 +31,12 @@
 	}
 	s := opened(t, dir, false)
 	state, conf, err := s.InitialState()
-	if err != nil || state.GetTerm() != 4 || state.GetVote() != 2 || state.GetCommit() != 5 || len(conf.GetVoters()) != 3 || len(conf.GetLearners()) != 1 {
+	sameState := state.GetTerm() == 4 && state.GetVote() == 2 && state.GetCommit() == 5
+	if err != nil || !sameState || len(conf.GetVoters()) != 3 || len(conf.GetLearners()) != 1 {
 		t.Errorf("state %v, configuration %v, %v", state, conf, err)
 	}
-	if got := texts(t, s); got != recordedTexts {
-		t.Errorf("entries %q, recorded were %q", got, recordedTexts)
+	if got := texts(t, s); got != recordedData {
+		t.Errorf("entries %q, recorded were %q", got, recordedData)
 	}
 	snapshot, err := s.Snapshot()
 	if err != nil || string(snapshot.GetData()) != "state" || snapshot.GetMetadata().GetIndex() != 3 {
--- /dev/null
+++ b/internal/control/replicatedlog/store/load.go
@@ -0,0 +1,112 @@
+package store
+
+import (
+	"fmt"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// All servers of a new log begin with the same empty snapshot, at this index and term of raft's. By it they agree on the members without a
+// first entry.
+const (
+	firstIndex = 1
+	firstTerm  = 1
+)
+
+// ownerFormatVersion stands before the owner's id and label.
+const ownerFormatVersion = 1
+
+// contents is what the file has.
+type contents struct {
+	hard     pb.HardState
+	snapshot pb.Snapshot
+	entries  []*pb.Entry // after the snapshot
+}
+
+// load reads the file into memory. An empty file is initialized before.
+func (s *Store) load(owner Owner, members *pb.ConfState) error {
+	var c contents
+	err := s.db.Update(func(tx *bbolt.Tx) error {
+		if err := initialize(tx, owner, members); err != nil {
+			return err
+		}
+		return c.read(tx)
+	})
+	if err != nil {
+		return err
+	}
+	s.snapshotIndex = c.snapshot.GetMetadata().GetIndex()
+	s.prevSnapshotIndex = s.snapshotIndex
+	next := s.snapshotIndex
+	for _, entry := range c.entries {
+		next++
+		if entry.GetIndex() != next {
+			return fmt.Errorf("entry %d is missing", next)
+		}
+		s.bytesSince += len(entry.GetData())
+	}
+	if c.hard.GetCommit() < s.snapshotIndex { // it is not written each time; what is in a snapshot was committed
+		c.hard.Commit = proto.Uint64(s.snapshotIndex)
+	}
+	if err := s.MemoryStorage.ApplySnapshot(&c.snapshot); err != nil {
+		return err
+	}
+	if err := s.MemoryStorage.SetHardState(&c.hard); err != nil {
+		return err
+	}
+	return s.MemoryStorage.Append(c.entries)
+}
+
+// initialize writes what a new log begins with into an empty file, and checks the owner of one that is not.
+func initialize(tx *bbolt.Tx, owner Owner, members *pb.ConfState) error {
+	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
+	if err != nil {
+		return err
+	}
+	if _, err := tx.CreateBucketIfNotExists(bucketEntries); err != nil {
+		return err
+	}
+	own := fmt.Sprintf("%d %d %s", ownerFormatVersion, owner.ID, owner.Label)
+	if found := meta.Get(keyOwner); found != nil {
+		if string(found) != own {
+			return fmt.Errorf("it is of %q, this machine is %q", found, own)
+		}
+		return nil
+	}
+	snapshot := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
+		Index:     proto.Uint64(firstIndex),
+		Term:      proto.Uint64(firstTerm),
+		ConfState: members,
+	}}
+	if err := putMessage(meta, keySnapshot, snapshot); err != nil {
+		return err
+	}
+	hard := &pb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(firstIndex)}
+	if err := putMessage(meta, keyHardState, hard); err != nil {
+		return err
+	}
+	return meta.Put(keyOwner, []byte(own))
+}
+
+// read reads everything that raft needs after a restart.
+func (c *contents) read(tx *bbolt.Tx) error {
+	meta := tx.Bucket(bucketMeta)
+	if err := proto.Unmarshal(meta.Get(keyHardState), &c.hard); err != nil {
+		return err
+	}
+	if err := proto.Unmarshal(meta.Get(keySnapshot), &c.snapshot); err != nil {
+		return err
+	}
+	return tx.Bucket(bucketEntries).ForEach(func(_, encoded []byte) error {
+		entry := &pb.Entry{}
+		if err := proto.Unmarshal(encoded, entry); err != nil {
+			return err
+		}
+		if entry.GetIndex() > c.snapshot.GetMetadata().GetIndex() {
+			c.entries = append(c.entries, entry)
+		}
+		return nil
+	})
+}
