--- /dev/null
+++ b/internal/membership/gossip/delegate.go
@@ -0,0 +1,107 @@
+package gossip
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/memberlist"
+
+	"dahliapin/internal/membership/trace"
+)
+
+// maxStateBytes bounds all that another node knows, in one exchange.
+const maxStateBytes = 20 << 20
+
+// delegate is what the library calls to spread and exchange statements.
+type delegate struct{ node *Node }
+
+// NodeMeta implements memberlist.Delegate.
+func (delegate) NodeMeta(int) []byte { return nil }
+
+// NotifyMsg implements memberlist.Delegate: a statement has arrived.
+func (d delegate) NotifyMsg(message []byte) {
+	d.node.transport.counters.flows[flowStatements].addIn(len(message))
+	d.node.mergeStatement(message)
+}
+
+// GetBroadcasts implements memberlist.Delegate.
+func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
+	messages := d.node.queue.GetBroadcasts(overhead, limit)
+	for _, message := range messages {
+		d.node.transport.counters.flows[flowStatements].addOut(len(message))
+	}
+	return messages
+}
+
+// LocalState implements memberlist.Delegate: all statements that this node has.
+func (d delegate) LocalState(bool) []byte {
+	d.node.state.mu.Lock()
+	defer d.node.state.mu.Unlock()
+	state, err := encodeState(d.node.state.statements.all())
+	if err != nil {
+		return nil
+	}
+	return state
+}
+
+// MergeRemoteState implements memberlist.Delegate: all statements that another node has.
+func (d delegate) MergeRemoteState(state []byte, _ bool) {
+	statements, err := readState(state)
+	if err != nil {
+		d.node.unreadable.Add(1)
+		return
+	}
+	for _, message := range statements {
+		d.node.mergeStatement(message)
+	}
+	d.node.state.mu.Lock()
+	defer d.node.state.mu.Unlock()
+	d.node.state.detector.SyncCompleted()
+}
+
+func readState(state []byte) ([]cbor.RawMessage, error) {
+	if len(state) > maxStateBytes {
+		return nil, errMessage
+	}
+	return decodeState(state)
+}
+
+// events is what the library calls when its members change. They are traced, and nothing else follows from them.
+type events struct{ node *Node }
+
+// NotifyJoin implements memberlist.EventDelegate.
+func (e events) NotifyJoin(member *memberlist.Node) { e.node.traceLibrary(member.Name, true) }
+
+// NotifyLeave implements memberlist.EventDelegate.
+func (e events) NotifyLeave(member *memberlist.Node) { e.node.traceLibrary(member.Name, false) }
+
+// NotifyUpdate implements memberlist.EventDelegate.
+func (events) NotifyUpdate(*memberlist.Node) {}
+
+// traceLibrary traces that the library has a new member, or lost one.
+func (n *Node) traceLibrary(name string, joined bool) {
+	if n.tracer == nil {
+		return
+	}
+	n.state.mu.Lock()
+	defer n.state.mu.Unlock()
+	members := slices.DeleteFunc(n.state.libraryMembers, func(m string) bool { return m == name })
+	if joined {
+		members = append(members, name)
+	}
+	n.state.libraryMembers = members
+	line := trace.Line{What: trace.Library, Seen: nodeOf(name), Here: joined}
+	for _, member := range members {
+		line.Members = append(line.Members, nodeOf(member))
+	}
+	slices.Sort(line.Members)
+	line.Members = slices.Compact(line.Members)
+	n.writeTrace(line)
+}
+
+// nodeOf returns the node's name from a name that the library knows.
+func nodeOf(libraryName string) string {
+	node, _, _ := strings.Cut(libraryName, processSeparator)
+	return node
+}
--- /dev/null
+++ b/internal/membership/gossip/listen_test.go
@@ -0,0 +1,61 @@
+package gossip
+
+import (
+	"net"
+	"testing"
+	"time"
+)
+
+func listen(t *testing.T, addr string) Transport {
+	t.Helper()
+	sockets, err := Listen(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(sockets.close)
+	return sockets
+}
+
+// A stream comes from the address that datagrams come from and that others know: else nobody can tell whose it is. A node
+// that listens on all addresses dials from any.
+func TestStreamsComeFromTheKnownAddress(t *testing.T) {
+	from := listen(t, "127.10.0.1:0")
+	to := listen(t, "127.11.0.1:0")
+	stream, err := from.Dial(to.Streams.Addr().String(), time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer stream.Close()
+	accepted, err := to.Streams.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer accepted.Close()
+	if ip := accepted.RemoteAddr().(*net.TCPAddr).IP.String(); ip != "127.10.0.1" {
+		t.Errorf("it comes from %s", ip)
+	}
+	everywhere := listen(t, "0.0.0.0:0")
+	stream, err = everywhere.Dial(to.Streams.Addr().String(), time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stream.Close()
+}
+
+// Any port that was free for datagrams was taken, whether it was free for streams or not: one start in some hundred failed.
+func TestAnyPortIsFreeForDatagramsAndStreams(t *testing.T) {
+	for range 400 { // of some 28,000 that systems give
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+	}
+	for range 1000 {
+		sockets, err := Listen("127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		sockets.close()
+	}
+}
--- /dev/null
+++ b/internal/membership/gossip/node_test.go
@@ -0,0 +1,186 @@
+package gossip
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+	"github.com/sirupsen/logrus"
+
+	"dahliapin/internal/config/fleetconfig"
+)
+
+func discardLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// startNodes starts nodes on loopback that know one another by the first one's address, with short spans. Each has a loop
+// that advances until the test's end.
+func startNodes(t *testing.T, count int, change func(*fleetconfig.File)) []*Node {
+	t.Helper()
+	var nodes []*Node
+	seed := ""
+	for i := range count {
+		sockets, err := Listen("127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		config := fleetconfig.Default()
+		config.Members.HelloMs = 50
+		config.Members.PauseS = 0.4
+		config.Members.BackS = 0.3
+		config.Fleet.Advertise = sockets.Datagrams.LocalAddr().String()
+		if i == 0 {
+			seed = config.Fleet.Advertise
+		}
+		config.Fleet.Seeds = []string{seed}
+		if change != nil {
+			change(&config)
+		}
+		node, err := Join(Config{
+			Name:        string(rune('a' + i)),
+			FleetConfig: &config,
+			Log:         discardLog(),
+			Now:         BootTime,
+			Trace:       func([]byte) {},
+		}, sockets)
+		if err != nil {
+			t.Fatal(err)
+		}
+		nodes = append(nodes, node)
+		t.Cleanup(func() { node.Close(false) })
+		advanceLoop(t, node)
+	}
+	return nodes
+}
+
+// advanceLoop stands for the loop that serves clients.
+func advanceLoop(t *testing.T, node *Node) {
+	t.Helper()
+	over := make(chan struct{})
+	t.Cleanup(func() { close(over) })
+	go func() {
+		for {
+			select {
+			case <-over:
+				return
+			case <-time.After(20 * time.Millisecond):
+				node.LoopAdvanced()
+			}
+		}
+	}()
+}
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// haveSameView is the condition that nodes all have the same view with so many members.
+func haveSameView(nodes []*Node, members int) func() bool {
+	return func() bool {
+		for _, node := range nodes {
+			view := node.View()
+			if len(view.Nodes) != members || view.Fingerprint != nodes[0].View().Fingerprint {
+				return false
+			}
+		}
+		return true
+	}
+}
+
+// Three nodes on sockets come to one view. One that leaves in order is out of it, and in again once it takes that back.
+// Meanwhile the first gets datagrams and streams of strangers, of other fleets and of no sense: they are dropped and
+// counted, streams are closed, and the fleet stays whole.
+func TestNodesJoinLeaveAndDropForeignMessages(t *testing.T) {
+	nodes := startNodes(t, 3, func(c *fleetconfig.File) { c.Fleet.Key = "MDEyMzQ1Njc4OWFiY2RlZg==" })
+	first, last := nodes[0], nodes[2]
+	eventually(t, "all know all", haveSameView(nodes, 3))
+	addr := first.FleetConfig.Fleet.Advertise
+	ours := func(kind byte) string { return string(first.transport.fleet.preface(kind)) }
+	other := func(kind byte) string { return string(fleetID(1).preface(kind)) }
+
+	conn, err := net.Dial("udp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	for _, datagram := range []string{
+		"",
+		"x",
+		"\xda\x17\x01",
+		"\xda\x17\x02hhhhh",
+		ours('z') + "...",
+		ours('h'),
+		ours('h') + "\xa1\x00\x01",
+		ours('g'),
+		ours('g') + "\xff\xff\xff",
+		ours('h') + "\xbf",
+		other('h'),
+		string(make([]byte, 9000)),
+	} {
+		io.WriteString(conn, datagram)
+	}
+	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", ours('h'), other('g'), "\xda\x17"} {
+		expectClosed(t, addr, text)
+	}
+	eventually(t, "all foreign and unreadable messages are counted", func() bool {
+		status, _ := first.FleetStatus()
+		return status.Foreign >= 9 && status.Unread >= 3
+	})
+
+	last.SetPresence(Leaving)
+	eventually(t, "the one that left is out", haveSameView(nodes[:2], 2))
+	last.SetPresence(Staying)
+	eventually(t, "and back", haveSameView(nodes, 3))
+	if status, takesPart := first.FleetStatus(); !takesPart || status.CutOff {
+		t.Errorf("%+v", status)
+	}
+}
+
+// expectClosed opens a stream that begins with some text, and fails the test unless the other side closes it.
+func expectClosed(t *testing.T, addr, text string) {
+	t.Helper()
+	stream, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer stream.Close()
+	io.WriteString(stream, text)
+	stream.(*net.TCPConn).CloseWrite()
+	stream.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := io.ReadAll(stream); errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("%q: not closed: %v", text, err)
+	}
+}
+
+// A seed that accepts connections and says nothing kept a node from ending for ten seconds a seed; and a library that still
+// had something to report wrote to a trace that was closed.
+func TestCloseDoesNotWaitForSilentSeeds(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	seed := silent.Addr().String()
+	node := startNodes(t, 1, func(c *fleetconfig.File) { c.Fleet.Seeds = []string{seed, seed, seed} })[0]
+	time.Sleep(50 * time.Millisecond) // the call to the first is under way
+	began := time.Now()
+	node.Close(true)
+	node.Close(true)
+	if took := time.Since(began); took > closeTimeout+leaveTimeout+time.Second {
+		t.Errorf("took %v to end", took)
+	}
+	events{node}.NotifyLeave(&memberlist.Node{Name: "x"})
+}
--- /dev/null
+++ b/internal/membership/gossip/presence.go
@@ -0,0 +1,28 @@
+package gossip
+
+// Presence is what a process states about its own part in the fleet.
+type Presence int32
+
+// The presences of a process.
+const (
+	Staying  Presence = iota // it is to be a member
+	Leaving                  // it shuts down, or is on standby
+	Yielding                 // it shuts down, and its name goes to the process that takes its place
+)
+
+// SetPresence has the others be told of a presence, with the next tick.
+func (n *Node) SetPresence(p Presence) { n.presence.Store(int32(p)) }
+
+// statePresence puts the presence into this process's statement; the state is locked.
+func (n *Node) statePresence() {
+	detector := n.state.detector
+	switch Presence(n.presence.Load()) {
+	case Staying:
+		detector.Rejoin()
+	case Leaving:
+		detector.Leave(false)
+	case Yielding:
+		detector.Leave(true)
+	}
+	n.broadcastOwnStatement()
+}
--- /dev/null
+++ b/internal/membership/gossip/streams.go
@@ -0,0 +1,104 @@
+package gossip
+
+import (
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// prefaceTimeout is the time that a stream has to send its preface.
+const prefaceTimeout = 2 * time.Second
+
+// acceptStreams accepts until the socket is closed. Streams over maxStreamsIn are dropped and counted.
+func (t *transport) acceptStreams() {
+	for {
+		conn, err := t.sockets.Streams.Accept()
+		if err != nil {
+			if t.isClosed() || errors.Is(err, net.ErrClosed) {
+				return
+			}
+			time.Sleep(errorBackoff)
+			continue
+		}
+		select {
+		case t.streamSlots <- struct{}{}:
+			go t.onStream(conn)
+		default:
+			t.counters.dropped.Add(1)
+			_ = conn.Close()
+		}
+	}
+}
+
+// onStream reads a stream's preface and hands the stream to the library.
+func (t *transport) onStream(accepted net.Conn) {
+	flow := &t.counters.flows[flowStreams]
+	stream := &slottedConn{Conn: &countedConn{Conn: accepted, flow: flow}, slots: t.streamSlots}
+	if !t.isOurs(stream) {
+		t.counters.foreign.Add(1)
+		_ = stream.Close()
+		return
+	}
+	_ = stream.SetReadDeadline(time.Time{})
+	t.counters.streams.Add(1)
+	flow.in.Add(1)
+	select {
+	case t.streams <- stream:
+	case <-t.closed:
+		_ = stream.Close()
+	}
+}
+
+// isOurs reads a stream's preface and reports whether it is the library's in this fleet.
+func (t *transport) isOurs(stream net.Conn) bool {
+	preface := make([]byte, prefaceBytes)
+	_ = stream.SetReadDeadline(time.Now().Add(prefaceTimeout))
+	if _, err := io.ReadFull(stream, preface); err != nil {
+		return false
+	}
+	kind, ok := t.fleet.readPreface(preface)
+	return ok && kind == kindLibrary
+}
+
+// slottedConn gives its slot back once it is closed.
+type slottedConn struct {
+	net.Conn
+	slots chan struct{}
+	once  sync.Once
+}
+
+// Close closes the stream and gives its slot back.
+func (c *slottedConn) Close() error {
+	c.once.Do(func() { <-c.slots })
+	return c.Conn.Close()
+}
+
+// DialTimeout implements memberlist.Transport: a stream that has sent its preface.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	dialled, err := t.sockets.Dial(t.route(addr), timeout)
+	if err != nil {
+		return nil, err
+	}
+	flow := &t.counters.flows[flowStreams]
+	stream := &countedConn{Conn: dialled, flow: flow}
+	flow.out.Add(1)
+	_ = stream.SetWriteDeadline(time.Now().Add(timeout))
+	if _, err := stream.Write(t.fleet.preface(kindLibrary)); err != nil {
+		_ = stream.Close()
+		return nil, err
+	}
+	_ = stream.SetWriteDeadline(time.Time{})
+	return stream, nil
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(addr.Addr, timeout)
+}
+
+// StreamCh implements memberlist.Transport.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -10,7 +10,9 @@
 	"dahliapin/internal/monotime"
 )
 
-const traceAhead = 4096 // lines that may wait for who keeps them; more are dropped, as nothing is to wait
+// maxQueuedLines bounds the trace lines that wait for their reader; more are dropped and counted, as nothing is to wait for
+// a trace.
+const maxQueuedLines = 4096
 
 // BootTime reads the clock that all processes of a machine share, and that runs on through a suspend.
 func BootTime() monotime.Instant {
@@ -21,56 +23,86 @@
 	return monotime.Instant(t.Nano())
 }
 
-// tracer hands lines over without waiting. Who still has something to say after its end says it to nobody.
+// tracer hands lines to a function on a goroutine of its own. Lines that are written after its end are lost: the library
+// may still report changes then. A nil tracer takes lines and does nothing.
 type tracer struct {
 	lines chan trace.Line
-	end   chan struct{}
-	done  chan struct{}
+	ended chan struct{} // closed by close
+	done  chan struct{} // closed once the last line was handed over
 	lost  atomic.Uint64
+	write func([]byte)
 }
 
-func newTracer(keep func([]byte)) *tracer {
-	if keep == nil {
+func newTracer(write func([]byte)) *tracer {
+	if write == nil {
 		return nil
 	}
-	t := &tracer{lines: make(chan trace.Line, traceAhead), end: make(chan struct{}), done: make(chan struct{})}
-	tell := func(l trace.Line) {
-		l.Lost = t.lost.Load()
-		if text, err := json.Marshal(l); err == nil {
-			keep(append(text, '\n'))
-		}
+	t := &tracer{
+		lines: make(chan trace.Line, maxQueuedLines),
+		ended: make(chan struct{}),
+		done:  make(chan struct{}),
+		write: write,
 	}
-	go func() {
-		defer close(t.done)
-		for {
-			select {
-			case l := <-t.lines:
-				tell(l)
-			case <-t.end:
-				for len(t.lines) > 0 {
-					tell(<-t.lines)
-				}
-				return
+	go t.run()
+	return t
+}
+
+func (t *tracer) run() {
+	defer close(t.done)
+	for {
+		select {
+		case line := <-t.lines:
+			t.handOver(line)
+		case <-t.ended:
+			for len(t.lines) > 0 {
+				t.handOver(<-t.lines)
 			}
+			return
 		}
-	}()
-	return t
+	}
 }
 
-func (t *tracer) say(l trace.Line) {
+func (t *tracer) handOver(line trace.Line) {
+	line.Lost = t.lost.Load()
+	if text, err := json.Marshal(line); err == nil {
+		t.write(append(text, '\n'))
+	}
+}
+
+// add queues a line, or drops and counts it where too many wait.
+func (t *tracer) add(line trace.Line) {
 	if t == nil {
 		return
 	}
 	select {
-	case t.lines <- l:
+	case t.lines <- line:
 	default:
 		t.lost.Add(1)
 	}
 }
 
+// close waits until the lines that were queued are handed over.
 func (t *tracer) close() {
 	if t != nil {
-		close(t.end)
+		close(t.ended)
 		<-t.done
 	}
 }
+
+// writeTrace traces a line of this node.
+func (n *Node) writeTrace(line trace.Line) {
+	line.At = n.Now()
+	line.Node = n.Name
+	line.Process = hexID(n.process)
+	n.tracer.add(line)
+}
+
+// traceTraffic traces how much went and came between nodes until now.
+func (n *Node) traceTraffic() {
+	counters := &n.transport.counters
+	n.writeTrace(trace.Line{
+		What: trace.Traffic,
+		Out:  counters.outBytes.Load(),
+		In:   counters.inBytes.Load(),
+	})
+}
--- /dev/null
+++ b/internal/membership/gossip/view.go
@@ -0,0 +1,52 @@
+package gossip
+
+import (
+	"fmt"
+
+	"github.com/sirupsen/logrus"
+
+	"dahliapin/internal/membership"
+	"dahliapin/internal/membership/trace"
+)
+
+// View returns the membership as it was last known.
+func (n *Node) View() *membership.View { return n.view.Load() }
+
+// publish makes a view the latest, and logs and traces it where it tells of another membership.
+func (n *Node) publish(view *membership.View) {
+	before := n.view.Swap(view)
+	if before.Number == view.Number && before.CutOff == view.CutOff {
+		return
+	}
+	line := trace.Line{
+		What:   trace.View,
+		Number: view.Number,
+		Mark:   fmt.Sprintf("%016x", view.Fingerprint),
+		Cut:    view.CutOff,
+	}
+	for _, node := range view.Nodes {
+		line.Members = append(line.Members, string(node))
+	}
+	n.writeTrace(line)
+	n.Log.WithFields(logrus.Fields{
+		"members": len(view.Nodes),
+		"view":    view.Number,
+		"cut_off": view.CutOff,
+		"in":      difference(view.Nodes, before.Nodes),
+		"out":     difference(before.Nodes, view.Nodes),
+	}).Info("members")
+}
+
+// difference returns the names that are in one list and not in another; both are sorted.
+func difference(names, others []membership.NodeName) []membership.NodeName {
+	var rest []membership.NodeName
+	for _, name := range names {
+		for len(others) > 0 && others[0] < name {
+			others = others[1:]
+		}
+		if len(others) == 0 || others[0] != name {
+			rest = append(rest, name)
+		}
+	}
+	return rest
+}
--- /dev/null
+++ b/internal/membership/gossip/view_test.go
@@ -0,0 +1,28 @@
+package gossip
+
+import (
+	"fmt"
+	"testing"
+
+	"dahliapin/internal/membership"
+)
+
+// The log tells by name who came and who went, whichever list of members ends first.
+func TestDifferenceOfMembers(t *testing.T) {
+	type names = []membership.NodeName
+	for _, c := range []struct {
+		names, others names
+		want          string
+	}{
+		{nil, nil, "[]"},
+		{names{"a"}, nil, "[a]"},
+		{nil, names{"a"}, "[]"},
+		{names{"a", "b", "c"}, names{"b"}, "[a c]"},
+		{names{"b"}, names{"a", "b", "c"}, "[]"},
+		{names{"a", "c", "e"}, names{"b", "c", "d"}, "[a e]"},
+	} {
+		if got := fmt.Sprint(difference(c.names, c.others)); got != c.want {
+			t.Errorf("%v without %v: %s, want %s", c.names, c.others, got, c.want)
+		}
+	}
+}
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -9,132 +9,186 @@
 	"dahliapin/internal/membership"
 )
 
-// What goes between nodes is CBOR (RFC 8949), a map of numbered fields with the version first. Fields that are not known are passed
-// over, and what was received goes on as it came, so that newer nodes understand one another through older ones.
+// Messages between nodes are CBOR (RFC 8949): maps with numbered fields, the version first. Fields that are not known are
+// passed over, and statements go on as they arrived, so that newer nodes understand one another through older ones.
 const (
 	wireVersion = 1
-	mostStates  = 100_000 // statements in one exchange
-	longestWord = 4 << 10 // bytes of one statement
+	// maxStatements bounds the statements in one exchange.
+	maxStatements = 100_000
+	// maxStatementBytes bounds one statement.
+	maxStatementBytes = 4 << 10
 )
 
-type wireHello struct {
-	Version  uint32 `cbor:"0,keyasint"`
-	Process  uint64 `cbor:"1,keyasint"`
-	Revision uint64 `cbor:"2,keyasint"`
-	Sum      uint32 `cbor:"3,keyasint"`
-	Addr     []byte `cbor:"4,keyasint"`
-	Doubts   bool   `cbor:"5,keyasint,omitempty"`
-	Asks     bool   `cbor:"6,keyasint,omitempty"`
+// wireHeartbeat is a membership.Heartbeat on the wire.
+type wireHeartbeat struct {
+	Version    uint32 `cbor:"0,keyasint"`
+	Process    uint64 `cbor:"1,keyasint"`
+	Revision   uint64 `cbor:"2,keyasint"`
+	Digest     uint32 `cbor:"3,keyasint"` // the lower half
+	Addr       []byte `cbor:"4,keyasint"`
+	SelfDoubt  bool   `cbor:"5,keyasint,omitempty"`
+	WantsReply bool   `cbor:"6,keyasint,omitempty"`
 }
 
+// wireStatement is a membership.Statement on the wire.
 type wireStatement struct {
-	Version  uint32   `cbor:"0,keyasint"`
-	Process  uint64   `cbor:"1,keyasint"`
-	Node     string   `cbor:"2,keyasint"`
-	Life     uint32   `cbor:"3,keyasint,omitempty"`
-	Revision uint64   `cbor:"4,keyasint"`
-	Addr     []byte   `cbor:"5,keyasint"`
-	Leaves   bool     `cbor:"6,keyasint,omitempty"`
-	Yields   bool     `cbor:"7,keyasint,omitempty"`
-	Doubts   bool     `cbor:"8,keyasint,omitempty"`
-	Hears    []uint64 `cbor:"9,keyasint,omitempty"`
-	Misses   []uint64 `cbor:"10,keyasint,omitempty"`
+	Version     uint32   `cbor:"0,keyasint"`
+	Process     uint64   `cbor:"1,keyasint"`
+	Node        string   `cbor:"2,keyasint"`
+	Incarnation uint32   `cbor:"3,keyasint,omitempty"`
+	Revision    uint64   `cbor:"4,keyasint"`
+	Addr        []byte   `cbor:"5,keyasint"`
+	Leaving     bool     `cbor:"6,keyasint,omitempty"`
+	YieldsName  bool     `cbor:"7,keyasint,omitempty"`
+	SelfDoubt   bool     `cbor:"8,keyasint,omitempty"`
+	Hears       []uint64 `cbor:"9,keyasint,omitempty"`
+	Misses      []uint64 `cbor:"10,keyasint,omitempty"`
 }
 
+// wireState is all statements that a node has, as the library exchanges them.
 type wireState struct {
 	Version    uint32            `cbor:"0,keyasint"`
 	Statements []cbor.RawMessage `cbor:"1,keyasint"`
 }
 
-var errWire = errors.New("not a message between nodes")
-
-// Guards against messages that would cost more to read than they could be worth.
-var reading = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: mostStates, MaxMapPairs: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF,
-		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
+// errMessage is the error of a message that decodes and yet says nothing valid.
+var errMessage = errors.New("not a message between nodes")
+
+// decoder guards against messages that would cost more to read than they could be worth.
+var decoder = newDecoder()
+
+func newDecoder() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		MaxNestedLevels:  4,
+		MaxArrayElements: maxStatements,
+		MaxMapPairs:      64,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		IndefLength:      cbor.IndefLengthForbidden,
+		TagsMd:           cbor.TagsForbidden,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	return m
-}()
+	return mode
+}
 
-func packAddr(addr string) []byte {
-	at, err := netip.ParseAddrPort(addr)
+// encodeAddr returns an address and port in binary form; nil for one that can't be parsed.
+func encodeAddr(addr string) []byte {
+	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil
 	}
-	b, _ := at.MarshalBinary() // never fails
+	b, _ := parsed.MarshalBinary() // never fails
 	return b
 }
 
-func unpackAddr(b []byte) string {
-	var at netip.AddrPort
-	if at.UnmarshalBinary(b) != nil || !at.IsValid() {
+// decodeAddr returns the text of an address and port; empty for what is none.
+func decodeAddr(b []byte) string {
+	var addr netip.AddrPort
+	if addr.UnmarshalBinary(b) != nil || !addr.IsValid() {
 		return ""
 	}
-	return at.String()
+	return addr.String()
 }
 
-func encodeHello(h membership.Heartbeat) ([]byte, error) {
-	return cbor.Marshal(wireHello{wireVersion, uint64(h.Process), uint64(h.Revision), uint32(h.Digest), packAddr(h.Addr), h.SelfDoubt, h.WantsReply})
+func encodeHeartbeat(h membership.Heartbeat) ([]byte, error) {
+	return cbor.Marshal(wireHeartbeat{
+		Version:    wireVersion,
+		Process:    uint64(h.Process),
+		Revision:   uint64(h.Revision),
+		Digest:     uint32(h.Digest),
+		Addr:       encodeAddr(h.Addr),
+		SelfDoubt:  h.SelfDoubt,
+		WantsReply: h.WantsReply,
+	})
 }
 
-func decodeHello(b []byte) (membership.Heartbeat, error) {
-	var w wireHello
-	if err := reading.Unmarshal(b, &w); err != nil {
+func decodeHeartbeat(message []byte) (membership.Heartbeat, error) {
+	var w wireHeartbeat
+	if err := decoder.Unmarshal(message, &w); err != nil {
 		return membership.Heartbeat{}, err
 	}
-	h := membership.Heartbeat{Process: membership.ProcessID(w.Process), Revision: membership.Revision(w.Revision), Digest: uint64(w.Sum),
-		Addr: unpackAddr(w.Addr), SelfDoubt: w.Doubts, WantsReply: w.Asks}
+	h := membership.Heartbeat{
+		Process:    membership.ProcessID(w.Process),
+		Revision:   membership.Revision(w.Revision),
+		Digest:     uint64(w.Digest),
+		Addr:       decodeAddr(w.Addr),
+		SelfDoubt:  w.SelfDoubt,
+		WantsReply: w.WantsReply,
+	}
 	if w.Version == 0 || h.Process == 0 || h.Addr == "" {
-		return membership.Heartbeat{}, errWire
+		return membership.Heartbeat{}, errMessage
 	}
 	return h, nil
 }
 
-func ids[To, From ~uint64](from []From) (to []To) {
-	for _, id := range from {
-		to = append(to, To(id))
-	}
-	return to
-}
-
 func encodeStatement(s membership.Statement) ([]byte, error) {
-	return cbor.Marshal(wireStatement{wireVersion, uint64(s.Process), string(s.Node), uint32(s.Incarnation), uint64(s.Revision), packAddr(s.Addr),
-		s.Leaving, s.YieldsName, s.SelfDoubt, ids[uint64](s.Hears), ids[uint64](s.Misses)})
+	return cbor.Marshal(wireStatement{
+		Version:     wireVersion,
+		Process:     uint64(s.Process),
+		Node:        string(s.Node),
+		Incarnation: uint32(s.Incarnation),
+		Revision:    uint64(s.Revision),
+		Addr:        encodeAddr(s.Addr),
+		Leaving:     s.Leaving,
+		YieldsName:  s.YieldsName,
+		SelfDoubt:   s.SelfDoubt,
+		Hears:       convertIDs[uint64](s.Hears),
+		Misses:      convertIDs[uint64](s.Misses),
+	})
 }
 
-func decodeStatement(b []byte) (membership.Statement, error) {
-	var w wireStatement
-	if len(b) > longestWord {
-		return membership.Statement{}, errWire
+// decodeStatement decodes a statement. Whether it keeps the detector's bounds is for the detector to see.
+func decodeStatement(message []byte) (membership.Statement, error) {
+	if len(message) > maxStatementBytes {
+		return membership.Statement{}, errMessage
 	}
-	if err := reading.Unmarshal(b, &w); err != nil {
+	var w wireStatement
+	if err := decoder.Unmarshal(message, &w); err != nil {
 		return membership.Statement{}, err
 	}
 	if w.Version == 0 || len(w.Hears) > membership.MaxNeighbours || len(w.Misses) > membership.MaxNeighbours {
-		return membership.Statement{}, errWire
+		return membership.Statement{}, errMessage
+	}
+	return membership.Statement{
+		Process:     membership.ProcessID(w.Process),
+		Node:        membership.NodeName(w.Node),
+		Incarnation: membership.Incarnation(w.Incarnation),
+		Revision:    membership.Revision(w.Revision),
+		Addr:        decodeAddr(w.Addr),
+		Leaving:     w.Leaving,
+		YieldsName:  w.YieldsName,
+		SelfDoubt:   w.SelfDoubt,
+		Hears:       convertIDs[membership.ProcessID](w.Hears),
+		Misses:      convertIDs[membership.ProcessID](w.Misses),
+	}, nil
+}
+
+func convertIDs[To, From ~uint64](from []From) []To {
+	var to []To
+	for _, id := range from {
+		to = append(to, To(id))
 	}
-	return membership.Statement{Process: membership.ProcessID(w.Process), Node: membership.NodeName(w.Node), Incarnation: membership.Incarnation(w.Life),
-		Revision: membership.Revision(w.Revision), Addr: unpackAddr(w.Addr), Leaving: w.Leaves, YieldsName: w.Yields, SelfDoubt: w.Doubts,
-		Hears: ids[membership.ProcessID](w.Hears), Misses: ids[membership.ProcessID](w.Misses)}, nil
+	return to
 }
 
-func encodeState(raw [][]byte) ([]byte, error) {
+// encodeState encodes all statements that a node has, as they arrived.
+func encodeState(statements [][]byte) ([]byte, error) {
 	w := wireState{Version: wireVersion}
-	for _, r := range raw {
-		w.Statements = append(w.Statements, r)
+	for _, statement := range statements {
+		w.Statements = append(w.Statements, statement)
 	}
 	return cbor.Marshal(w)
 }
 
-func decodeState(b []byte) (raw []cbor.RawMessage, err error) {
+// decodeState returns the statements in an exchange, which are yet to be decoded.
+func decodeState(state []byte) ([]cbor.RawMessage, error) {
 	var w wireState
-	if err := reading.Unmarshal(b, &w); err != nil {
+	if err := decoder.Unmarshal(state, &w); err != nil {
 		return nil, err
 	}
 	if w.Version == 0 {
-		return nil, errWire
+		return nil, errMessage
 	}
 	return w.Statements, nil
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -107,8 +107,7 @@
 			if n == nil {
 				continue
 			}
-			told, _ := n.Post.FleetStatus()
-			s := told.(gossip.Status)
+			s, _ := n.Post.FleetStatus()
 			st := status{Name: at.Name, Members: s.Members, Mark: s.Mark, CutOff: s.CutOff}
 			if o.Do == doRead {
 				st.Flows, st.Dropped = s.Flows, s.Dropped
