--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -10,8 +10,8 @@
 	HeartbeatTimeout time.Duration
 	// RemovalDelay is how long enough processes must miss a member before it is taken out.
 	RemovalDelay time.Duration
-	// RejoinDelay is how long enough processes must hear one that was taken out before it is a member again. It has to be
-	// longer than HeartbeatTimeout: one that hears nobody would be a member before it doubts itself.
+	// RejoinDelay is how long enough processes must hear one that was taken out before it is a member again. It has to
+	// be longer than HeartbeatTimeout: one that hears nobody would be a member before it doubts itself.
 	RejoinDelay time.Duration
 	// SelfDoubtTimeout is how long a neighbour may state that it doubts itself before it is missed.
 	SelfDoubtTimeout time.Duration
@@ -39,9 +39,9 @@
 
 // NewConfig derives a configuration from the operator's spans.
 //
-// A process that stands still for the whole pause, from just before a heartbeat was due, has been silent for the pause and
-// one heartbeat interval. It is missed before that, so that whoever is on the wrong side of a partition has long known it,
-// and taken out after it.
+// A process that stands still for the whole pause, from just before a heartbeat was due, has been silent for the pause
+// and one heartbeat interval. It is missed before that, so that whoever is on the wrong side of a partition has long
+// known it, and taken out after it.
 func NewConfig(s Spans, maxMembers int) Config {
 	// a miss is known 1.6 heartbeat intervals before the pause ends, but never after a single lost heartbeat
 	timeout := max(s.Pause-s.Heartbeat*8/5, 2*s.Heartbeat)
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -76,8 +76,8 @@
 	SyncWith    string    // whom to exchange all that is known with; empty for nobody
 }
 
-// Tick does what is due and returns what has to be sent. It is to be called several times in each heartbeat interval; now
-// is of a clock that runs on through a suspend.
+// Tick does what is due and returns what has to be sent. It is to be called several times in each heartbeat interval;
+// now is of a clock that runs on through a suspend.
 func (d *Detector) Tick(now monotime.Instant) Actions {
 	d.advance(now, maxTickIntervals*d.config.HeartbeatInterval, d.rules.measureRunTime)
 	d.updateNeighbours()
@@ -104,8 +104,9 @@
 
 // runClock measures the time that this process has run.
 //
-// Guards against a process that was stopped or starved and takes all others for dead: what it hasn't heard meanwhile is its
-// own doing. A gap between two ticks counts as a short one, and what was heard before it doesn't count as heard now.
+// Guards against a process that was stopped or starved and takes all others for dead: what it hasn't heard meanwhile
+// is its own doing. A gap between two ticks counts as a short one, and what was heard before it doesn't count as heard
+// now.
 type runClock struct {
 	ran       time.Duration // all spans are measured by it
 	resumedAt time.Duration // run time at the end of the last gap
--- a/internal/membership/evaluation.go
+++ b/internal/membership/evaluation.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// gatherWindow is how long processes that are due for a change of status wait for others that are about to be due, so
-	// that one failure of several processes is one change of the view.
+	// gatherWindow is how long processes that are due for a change of status wait for others that are about to be due,
+	// so that one failure of several processes is one change of the view.
 	gatherWindow = 400 * time.Millisecond
 	// leftRetention is how long one that left is shown in views.
 	leftRetention = 5 * time.Second
-	// evaluationInterval is the unit of the time between two evaluations in a large fleet, as each looks at all processes;
-	// there is none in a small one.
+	// evaluationInterval is the unit of the time between two evaluations in a large fleet, as each looks at all
+	// processes; there is none in a small one.
 	evaluationInterval = 50 * time.Millisecond
 )
 
@@ -150,8 +150,8 @@
 	othersSoon bool // others are about to be due
 }
 
-// ready returns those that are due after a delay, or nobody while others are about to be and none has waited for them for
-// longer than gatherWindow.
+// ready returns those that are due after a delay, or nobody while others are about to be and none has waited for them
+// for longer than gatherWindow.
 func (b *batch) ready(delay time.Duration) []*peer {
 	waitedLong := func(p *peer) bool { return p.sustained >= delay+gatherWindow }
 	if b.othersSoon && !slices.ContainsFunc(b.due, waitedLong) {
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -9,12 +9,13 @@
 }
 
 const (
-	// frozenShare is the share of members above which so many are missing at once that nobody is taken out, where all hear
-	// one another.
+	// frozenShare is the share of members above which so many are missing at once that nobody is taken out, where all
+	// hear one another.
 	frozenShare = 0.5
 	// frozenShareRings is the same where rings are used: not all that are missing are missed by two there.
 	frozenShareRings = 0.4
-	// recentRemovals is the time, in removal delays, for which one that was taken out counts as missing at once with others.
+	// recentRemovals is the time, in removal delays, for which one that was taken out counts as missing at once with
+	// others.
 	recentRemovals = 4
 )
 
@@ -82,9 +83,9 @@
 	return !p.SelfDoubt && !p.Leaving && (p.isMember() || p.status == Joining)
 }
 
-// isCurrent reports whether a process's statement can be taken for how things are now: one that several miss may have made
-// it long ago, unless it is heard right here. Guards against the two sides of a partition whose last statements discredit
-// one another for good.
+// isCurrent reports whether a process's statement can be taken for how things are now: one that several miss may have
+// made it long ago, unless it is heard right here. Guards against the two sides of a partition whose last statements
+// discredit one another for good.
 func (d *Detector) isCurrent(observer *peer) bool {
 	return observer == d.own || observer.evidence.reportedBy < d.rules.minObservers || d.isHeard(observer)
 }
@@ -103,9 +104,9 @@
 	return p.evidence.missedBy >= d.rules.minObservers && p.evidence.missedBy > p.evidence.heardBy
 }
 
-// mayBeCutOff reports whether this process doubts itself, or so many are missing at once that it may well be the one which
-// is cut off. Guards against the sides of a partition that take out each other, and against a process that takes all others
-// for dead.
+// mayBeCutOff reports whether this process doubts itself, or so many are missing at once that it may well be the one
+// which is cut off. Guards against the sides of a partition that take out each other, and against a process that takes
+// all others for dead.
 func (d *Detector) mayBeCutOff() bool {
 	if d.own.SelfDoubt || !d.rules.freeze {
 		return d.own.SelfDoubt
@@ -132,9 +133,9 @@
 	return members > 1 && float64(missing) > share*float64(members)
 }
 
-// fitsIn reports whether a process that joins hears half of those that it should, and half of them hear it. Guards against
-// one that is cut off in one direction from its start: it would be a member until it comes to doubt itself, or the others
-// to miss it.
+// fitsIn reports whether a process that joins hears half of those that it should, and half of them hear it. Guards
+// against one that is cut off in one direction from its start: it would be a member until it comes to doubt itself, or
+// the others to miss it.
 func (d *Detector) fitsIn(p *peer) bool {
 	others := d.evaluation.memberCount
 	for _, namesake := range d.peers.ofNode(p.Node) {
--- /dev/null
+++ b/internal/membership/failures_test.go
@@ -0,0 +1,232 @@
+package membership_test
+
+import (
+	"testing"
+	"time"
+
+	"dahliapin/internal/membership"
+)
+
+const sec = time.Second
+
+// nodesFrom returns the numbers of nodes from one to another.
+func nodesFrom(first, last int) []int {
+	var nodes []int
+	for n := first; n <= last; n++ {
+		nodes = append(nodes, n)
+	}
+	return nodes
+}
+
+// seedCount is lower where time is short: under the race detector.
+func seedCount(n uint32) uint32 {
+	if testing.Short() {
+		return 1
+	}
+	return n
+}
+
+// failure is one hard case for twelve nodes.
+type failure struct {
+	name string
+	// maxChanges is how often the view of a node that nothing befell may change by it: nodes that a failure befalls
+	// together go once and return once, each new process comes once.
+	maxChanges int
+	play       func(*simulation)
+}
+
+var failures = []failure{
+	{"30% lost, doubled and late, one killed", 2, playNoise},
+	{"half of all lost", 0, func(s *simulation) {
+		s.setNoise(0.5, 0, 100*time.Millisecond)
+		s.run(60 * sec)
+		s.setNoise(0, 0, 0)
+	}},
+	{"stopped for less than is borne", 0, func(s *simulation) {
+		for n := range 10 {
+			s.stopFor(sec/2, n)
+			s.run(sec)
+			s.stopFor(pause, 11-n)
+			s.run(2 * sec)
+		}
+	}},
+	{"stopped for more", 20, func(s *simulation) {
+		for n := range 5 {
+			s.stopFor(5*sec, n)
+			s.run(5 * sec)
+			s.stopFor(15*sec, 11-n)
+			s.run(5 * sec)
+		}
+	}},
+	{"a third stopped at once", 2, func(s *simulation) { s.stopFor(8*sec, 1, 4, 7, 10) }},
+	{"heard by nobody", 2, func(s *simulation) { s.partitionFor(20*sec, false, []int{2}, nodesFrom(0, 11)) }},
+	{"hears nobody", 2, func(s *simulation) { s.partitionFor(20*sec, false, nodesFrom(0, 11), []int{2}) }},
+	{"two do not hear each other", 0, func(s *simulation) { s.partitionFor(20*sec, true, []int{2}, []int{5}) }},
+	{"one does not hear another", 0, func(s *simulation) { s.partitionFor(20*sec, false, []int{2}, []int{5}) }},
+	{"a ring that does not hear the next", 0, playDeafRing},
+	{"a link that comes and goes", 0, func(s *simulation) {
+		for range 30 {
+			s.partitionFor(sec, true, []int{7}, nodesFrom(0, 11))
+			s.run(sec)
+		}
+	}},
+	{"halves", 0, func(s *simulation) { s.partitionFor(60*sec, true, nodesFrom(0, 5), nodesFrom(6, 11)) }},
+	{"three islands, all seeds on one", 0, playIslands},
+	{"all seeds dead, and another", 5, playDeadSeeds},
+	{"eight and four", 2, func(s *simulation) { s.partitionFor(40*sec, true, nodesFrom(0, 7), nodesFrom(8, 11)) }},
+	{"the network down for everyone", 0, func(s *simulation) {
+		s.partitionFor(10*sec, false, nodesFrom(0, 11), nodesFrom(0, 11))
+	}},
+	{"restarted one after the other", 24, func(s *simulation) {
+		for n := range 12 {
+			s.nodes[n].kill()
+			s.run(2 * sec)
+			s.nodes[n].start()
+		}
+	}},
+	{"nearly all killed at once and back", 0, func(s *simulation) {
+		for n := range 11 {
+			s.nodes[n].kill()
+		}
+		s.run(2 * sec)
+		for n := range 11 {
+			s.nodes[n].start()
+		}
+	}},
+	{"the loop hangs", 2, func(s *simulation) {
+		s.nodes[3].loopHung = true
+		s.views.Truth(s.now, "n4", false, false)
+		s.run(15 * sec)
+		s.nodes[3].loopHung = false
+		s.views.Truth(s.now, "n4", true, false)
+	}},
+}
+
+func playNoise(s *simulation) {
+	s.setNoise(0.3, 0.2, 300*time.Millisecond)
+	s.run(20 * sec)
+	s.nodes[4].kill()
+	s.run(20 * sec)
+	s.setNoise(0, 0, 0)
+	s.nodes[4].start()
+}
+
+func playDeafRing(s *simulation) {
+	for a := range 6 {
+		s.setCut(a, (a+1)%6, true)
+	}
+	s.run(20 * sec)
+	for a := range 6 {
+		s.setCut(a, (a+1)%6, false)
+	}
+}
+
+func playIslands(s *simulation) {
+	setIslands := func(cut bool) {
+		for a := range 12 {
+			for b := range 12 {
+				if a/4 != b/4 {
+					s.setCut(a, b, cut)
+				}
+			}
+		}
+	}
+	setIslands(true)
+	s.run(20 * sec)
+	setIslands(false)
+}
+
+func playDeadSeeds(s *simulation) {
+	dead := []int{0, 1, 2, 8}
+	for _, n := range dead {
+		s.nodes[n].kill()
+	}
+	s.run(12 * sec)
+	for _, n := range dead {
+		s.nodes[n].start()
+	}
+}
+
+// playFailure plays a failure among twelve nodes that know one another, and gives them time to come to rest.
+func playFailure(seed uint32, configure func(*membership.Detector), f failure) *simulation {
+	s := newSimulation(12, seed, configure)
+	s.run(6 * sec)
+	f.play(s)
+	s.run(15 * sec)
+	return s
+}
+
+// Each hard case in virtual time: nobody is taken out whom nothing befell, all come to one view, and it does not change
+// more often than the failure has beginnings and ends.
+func TestFailuresLeadToOneView(t *testing.T) {
+	for _, f := range failures {
+		t.Run(f.name, func(t *testing.T) {
+			for seed := range seedCount(3) {
+				verdict := playFailure(seed, nil, f).verdict()
+				if verdict.Wrong() > 0 || verdict.Formed < 0 || verdict.Changes > f.maxChanges {
+					t.Errorf("seed %d: %+v", seed, verdict)
+				}
+			}
+		})
+	}
+}
+
+// The checker is shown to work: each detector that lacks some guards is caught in a case that the sound one passes.
+func TestDetectorsWithoutGuardsAreCaught(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		failure string
+		rules   membership.Rules
+	}{
+		{"one observer's word is enough", "one does not hear another", membership.Rules{
+			MinObservers:     1,
+			SelfDoubt:        true,
+			Freeze:           true,
+			MeasureRunTime:   true,
+			StopWithDeadLoop: true,
+		}},
+		{"doubts nothing, stops at nothing", "halves", membership.Rules{
+			MinObservers:     2,
+			RequireMajority:  true,
+			MeasureRunTime:   true,
+			StopWithDeadLoop: true,
+		}},
+		{"takes all others for dead", "the network down for everyone", membership.Rules{
+			MinObservers:     1,
+			RequireMajority:  true,
+			MeasureRunTime:   true,
+			StopWithDeadLoop: true,
+		}},
+		{"measures by the clock", "stopped for more", membership.Rules{
+			MinObservers:     1,
+			StopWithDeadLoop: true,
+		}},
+		{"sends heartbeats while its loop hangs", "the loop hangs", membership.Rules{
+			MinObservers:    2,
+			RequireMajority: true,
+			SelfDoubt:       true,
+			Freeze:          true,
+			MeasureRunTime:  true,
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := failureNamed(t, c.failure)
+			configure := func(d *membership.Detector) { membership.SetRules(d, c.rules) }
+			verdict := playFailure(1, configure, f).verdict()
+			if verdict.Wrong() == 0 && verdict.Changes <= f.maxChanges {
+				t.Errorf("not caught: %+v", verdict)
+			}
+		})
+	}
+}
+
+func failureNamed(t *testing.T, name string) failure {
+	t.Helper()
+	for _, f := range failures {
+		if f.name == name {
+			return f
+		}
+	}
+	t.Fatalf("no failure is named %q", name)
+	return failure{}
+}
--- a/internal/membership/gossip/datagrams_test.go
+++ b/internal/membership/gossip/datagrams_test.go
@@ -11,8 +11,9 @@
 	"dahliapin/internal/config/fleetconfig"
 )
 
-// In a large fleet a node that woke up for each datagram spent most of its time for the fleet on that. All that has arrived
-// is read at a tick, in few calls, none is lost, and none waits for a tick that never comes once the fleet is small again.
+// In a large fleet a node that woke up for each datagram spent most of its time for the fleet on that. All that has
+// arrived is read at a tick, in few calls, none is lost, and none waits for a tick that never comes once the fleet is
+// small again.
 func TestDatagramsOfALargeFleetAreReadAtTicks(t *testing.T) {
 	const count = 3 * batchSize
 	payload := strings.Repeat("x", 1000)
--- a/internal/membership/gossip/library.go
+++ b/internal/membership/gossip/library.go
@@ -13,13 +13,15 @@
 const (
 	// processSeparator stands between the node's name and the process in the names that the library knows.
 	processSeparator = "~"
-	// retransmitMult is how often a statement is passed on, times the logarithm of the fleet's size: the library's default.
+	// retransmitMult is how often a statement is passed on, times the logarithm of the fleet's size: the library's
+	// default.
 	retransmitMult = 4
 	// streamTimeout is the time for a stream to be set up, and for each answer on it.
 	streamTimeout = 2 * time.Second
 	// pushPullInterval is the time between two exchanges of all that is known that a node begins, in a small fleet.
 	pushPullInterval = 15 * time.Second
-	// largeFleet is the number of members above which the library makes exchanges rarer, and datagrams are read at ticks.
+	// largeFleet is the number of members above which the library makes exchanges rarer, and datagrams are read at
+	// ticks.
 	largeFleet = 32
 )
 
@@ -39,8 +41,8 @@
 	return c
 }
 
-// tune sets the library up to carry statements: quick to pass them on, slow to take a member for dead, as that is decided
-// by the detector.
+// tune sets the library up to carry statements: quick to pass them on, slow to take a member for dead, as that is
+// decided by the detector.
 func tune(c *memberlist.Config) {
 	// messages are short: compression would cost more than it saves
 	c.EnableCompression = false
@@ -57,8 +59,8 @@
 	c.TCPTimeout = streamTimeout
 }
 
-// PushPullInterval returns the time between two exchanges of all that is known that each node begins in a fleet of so many
-// members: the library's rule, for those who estimate the traffic of a fleet.
+// PushPullInterval returns the time between two exchanges of all that is known that each node begins in a fleet of so
+// many members: the library's rule, for those who estimate the traffic of a fleet.
 func PushPullInterval(members int) time.Duration {
 	interval := pushPullInterval
 	for n := largeFleet; n < members; n *= 2 {
--- a/internal/membership/gossip/listen.go
+++ b/internal/membership/gossip/listen.go
@@ -37,8 +37,8 @@
 	return Transport{Datagrams: udp, Streams: tcp, Dial: dialFrom(local.Addr()), Addr: resolveUDP}, nil
 }
 
-// listenBoth opens both sockets. Where any port will do, one that is free for datagrams may not be for streams: another is
-// tried then.
+// listenBoth opens both sockets. Where any port will do, one that is free for datagrams may not be for streams:
+// another is tried then.
 func listenBoth(local netip.AddrPort) (*net.UDPConn, *net.TCPListener, error) {
 	for attempt := 0; ; attempt++ {
 		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
@@ -57,8 +57,8 @@
 	}
 }
 
-// dialFrom returns a dialer of streams that come from the address which others know, as datagrams do: whoever accepts one
-// tells by its address whose it is.
+// dialFrom returns a dialer of streams that come from the address which others know, as datagrams do: whoever accepts
+// one tells by its address whose it is.
 func dialFrom(local netip.Addr) func(addr string, timeout time.Duration) (net.Conn, error) {
 	base := net.Dialer{}
 	if !local.IsUnspecified() {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -330,8 +330,8 @@
 	_ = n.list.Leave(leaveTimeout)
 }
 
-// awaitGoroutines waits for the node's goroutines, for closeTimeout at most. Guards against a node that can't end since a
-// seed accepts its connection and says nothing.
+// awaitGoroutines waits for the node's goroutines, for closeTimeout at most. Guards against a node that can't end
+// since a seed accepts its connection and says nothing.
 func (n *Node) awaitGoroutines() {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -20,8 +20,8 @@
 	return log
 }
 
-// startNodes starts nodes on loopback that know one another by the first one's address, with short spans. Each has a loop
-// that advances until the test's end.
+// startNodes starts nodes on loopback that know one another by the first one's address, with short spans. Each has a
+// loop that advances until the test's end.
 func startNodes(t *testing.T, count int, change func(*fleetconfig.File)) []*Node {
 	t.Helper()
 	var nodes []*Node
@@ -165,8 +165,8 @@
 	}
 }
 
-// A seed that accepts connections and says nothing kept a node from ending for ten seconds a seed; and a library that still
-// had something to report wrote to a trace that was closed.
+// A seed that accepts connections and says nothing kept a node from ending for ten seconds a seed; and a library that
+// still had something to report wrote to a trace that was closed.
 func TestCloseDoesNotWaitForSilentSeeds(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/membership/gossip/statements.go
+++ b/internal/membership/gossip/statements.go
@@ -9,8 +9,8 @@
 	"dahliapin/internal/membership"
 )
 
-// statementStore keeps the latest statement of each process as it arrived: statements go to others byte for byte, so that
-// fields which this version doesn't know are not lost.
+// statementStore keeps the latest statement of each process as it arrived: statements go to others byte for byte, so
+// that fields which this version doesn't know are not lost.
 type statementStore struct {
 	byProcess map[membership.ProcessID]storedStatement
 	hashes    map[uint64]bool // of all that are stored: each statement arrives many times
@@ -63,7 +63,8 @@
 	return messages
 }
 
-// isStored reports whether exactly this statement is stored. Nothing new follows from it, and it need not be decoded again.
+// isStored reports whether exactly this statement is stored. Nothing new follows from it, and it need not be decoded
+// again.
 func (n *Node) isStored(message []byte) bool {
 	hash := maphash.Bytes(hashSeed, message)
 	n.state.mu.Lock()
@@ -120,8 +121,8 @@
 	return ok && older.process == b.process
 }
 
-// Name implements memberlist.NamedBroadcast: by it the library finds what a statement takes the place of, without asking
-// each that waits.
+// Name implements memberlist.NamedBroadcast: by it the library finds what a statement takes the place of, without
+// asking each that waits.
 func (b broadcast) Name() string { return hexID(b.process) }
 
 // Message implements memberlist.Broadcast.
--- a/internal/membership/gossip/statements_test.go
+++ b/internal/membership/gossip/statements_test.go
@@ -7,8 +7,8 @@
 	"dahliapin/internal/membership"
 )
 
-// A newer statement of a process takes the place of an older one in the queue, and those of others stay; a statement that
-// is stored is not decoded again.
+// A newer statement of a process takes the place of an older one in the queue, and those of others stay; a statement
+// that is stored is not decoded again.
 func TestNewerStatementsReplaceOlderOnes(t *testing.T) {
 	node := startNodes(t, 1, nil)[0]
 	eventually(t, "its name is taken", func() bool { return node.View().Incarnation > 0 })
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/membership"
 )
 
-// Status is a node's state in its fleet, as operators are told it.
+// Status is a node's state in its fleet, as operators are told it: one flat JSON object, hence its many fields.
 type Status struct {
 	Node        membership.NodeName    `json:"node"`
 	Process     string                 `json:"process"`
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -10,8 +10,8 @@
 	"dahliapin/internal/monotime"
 )
 
-// maxQueuedLines bounds the trace lines that wait for their reader; more are dropped and counted, as nothing is to wait for
-// a trace.
+// maxQueuedLines bounds the trace lines that wait for their reader; more are dropped and counted, as nothing is to
+// wait for a trace.
 const maxQueuedLines = 4096
 
 // BootTime reads the clock that all processes of a machine share, and that runs on through a suspend.
@@ -23,8 +23,8 @@
 	return monotime.Instant(t.Nano())
 }
 
-// tracer hands lines to a function on a goroutine of its own. Lines that are written after its end are lost: the library
-// may still report changes then. A nil tracer takes lines and does nothing.
+// tracer hands lines to a function on a goroutine of its own. Lines that are written after its end are lost: the
+// library may still report changes then. A nil tracer takes lines and does nothing.
 type tracer struct {
 	lines chan trace.Line
 	ended chan struct{} // closed by close
--- a/internal/membership/gossip/traffic.go
+++ b/internal/membership/gossip/traffic.go
@@ -43,9 +43,9 @@
 	c.outBytes.Add(uint64(bytes))
 }
 
-// TrafficStats is what one kind of message has taken since the node joined. Of heartbeats and the library's messages the
-// numbers are datagrams, of streams connections; statements are counted each, and the datagrams that carry them are the
-// library's.
+// TrafficStats is what one kind of message has taken since the node joined. Of heartbeats and the library's messages
+// the numbers are datagrams, of streams connections; statements are counted each, and the datagrams that carry them
+// are the library's.
 type TrafficStats struct {
 	Name     string `json:"name"`
 	In       uint64 `json:"in"`
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Each byte is counted in one kind: those of datagrams add up to all that were counted, and statements and exchanges are
-// told apart from the library's own messages.
+// Each byte is counted in one kind: those of datagrams add up to all that were counted, and statements and exchanges
+// are told apart from the library's own messages.
 func TestTrafficIsCountedByKind(t *testing.T) {
 	nodes := startNodes(t, 3, nil)
 	eventually(t, "all know all", haveSameView(nodes, 3))
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -19,15 +19,15 @@
 	maxQueuedPackets = 1024
 	// maxStreamsIn bounds the streams that others have open to this node; each is over in a moment.
 	maxStreamsIn = 32
-	// maxStreamsOut is how many streams this node has open to others: it joins, exchanges, and tries one that doesn't answer
-	// datagrams.
+	// maxStreamsOut is how many streams this node has open to others: it joins, exchanges, and tries one that doesn't
+	// answer datagrams.
 	maxStreamsOut = 4
 	// errorBackoff is the pause after a failure of a socket, such as a lack of descriptors.
 	errorBackoff = 200 * time.Millisecond
 )
 
-// Descriptors is the number of file descriptors that a node may need: its two sockets, its streams, and one stream that is
-// just being refused.
+// Descriptors is the number of file descriptors that a node may need: its two sockets, its streams, and one stream
+// that is just being refused.
 const Descriptors = 2 + maxStreamsIn + maxStreamsOut + 1
 
 // transport carries the library's messages and heartbeats over the same two sockets, for this fleet only. It implements
@@ -53,7 +53,13 @@
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-func newTransport(sockets Transport, advertised netip.AddrPort, c *fleetconfig.File, onHeartbeat func([]byte)) *transport {
+// newTransport starts to read the sockets, and calls onHeartbeat with each heartbeat of this fleet.
+func newTransport(
+	sockets Transport,
+	advertised netip.AddrPort,
+	c *fleetconfig.File,
+	onHeartbeat func(message []byte),
+) *transport {
 	t := &transport{
 		sockets:     sockets,
 		advertised:  advertised,
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -9,8 +9,9 @@
 	"dahliapin/internal/membership"
 )
 
-// Messages between nodes are CBOR (RFC 8949): maps with numbered fields, the version first. Fields that are not known are
-// passed over, and statements go on as they arrived, so that newer nodes understand one another through older ones.
+// Messages between nodes are CBOR (RFC 8949): maps with numbered fields, the version first. Fields that are not known
+// are passed over, and statements go on as they arrived, so that newer nodes understand one another through older
+// ones.
 const (
 	wireVersion = 1
 	// maxStatements bounds the statements in one exchange.
--- a/internal/membership/gossip/wire_test.go
+++ b/internal/membership/gossip/wire_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// During an update newer nodes may state fields that an older one doesn't know. The older one passes them over, and on to
-// others as they arrived.
+// During an update newer nodes may state fields that an older one doesn't know. The older one passes them over, and on
+// to others as they arrived.
 func TestUnknownFieldsArePassedOn(t *testing.T) {
 	statement, err := encodeStatement(membership.Statement{Process: 7, Node: "n1", Revision: 9, Addr: "10.0.0.1:7946"})
 	if err != nil {
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -18,8 +18,8 @@
 	loopAdvanceAt time.Duration // run time when it last changed
 }
 
-// LoopAdvanced tells how often the loop that serves clients has gone round. While the count stays the same for longer than
-// Config.LoopTimeout this process sends no heartbeats.
+// LoopAdvanced tells how often the loop that serves clients has gone round. While the count stays the same for longer
+// than Config.LoopTimeout this process sends no heartbeats.
 func (d *Detector) LoopAdvanced(count uint64) {
 	if count != d.heartbeats.loopCount {
 		d.heartbeats.loopCount = count
@@ -52,8 +52,8 @@
 func (d *Detector) scheduleHeartbeats(actions *Actions) {
 	replyTo := d.heartbeats.replyTo
 	d.heartbeats.replyTo = nil
-	// guards against a process that the others take for alive while its clients get no answer: its neighbours miss it and
-	// take it out
+	// guards against a process that the others take for alive while its clients get no answer: its neighbours miss it
+	// and take it out
 	loopIsDead := d.rules.stopWithDeadLoop && d.ran-d.heartbeats.loopAdvanceAt > d.config.LoopTimeout
 	if loopIsDead || d.own.Leaving {
 		return
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -6,8 +6,8 @@
 // NodeName is the operator's name of a node. It stays the same over restarts of the process.
 type NodeName string
 
-// Incarnation counts the processes of a node: each takes the one after its predecessor's. 0 is that of a process that has
-// not taken its name yet.
+// Incarnation counts the processes of a node: each takes the one after its predecessor's. 0 is that of a process that
+// has not taken its name yet.
 type Incarnation uint32
 
 // Revision counts the statements of one process: of two statements the one with the higher revision holds.
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// joinClaimPeriods is the time, in claim periods, by which a process that joins has taken its name and is heard, or will
-// not be.
+// joinClaimPeriods is the time, in claim periods, by which a process that joins has taken its name and is heard, or
+// will not be.
 const joinClaimPeriods = 4
 
 // NameConflictError says that another process has this one's name, so that this one has to end.
@@ -25,11 +25,12 @@
 	return fmt.Sprintf("another process has the name %s and lives, at %s", e.Node, e.Addr)
 }
 
-// NameConflict returns a *NameConflictError once this process has to end as another one has its name, and nil until then.
+// NameConflict returns a *NameConflictError once this process has to end as another one has its name, and nil until
+// then.
 func (d *Detector) NameConflict() error { return d.conflict }
 
-// hasPrecedence reports whether of two processes with one name this one has it: the one with the later incarnation, and of
-// two with the same the lower id.
+// hasPrecedence reports whether of two processes with one name this one has it: the one with the later incarnation,
+// and of two with the same the lower id.
 func (p *peer) hasPrecedence(o *peer) bool {
 	return cmp.Or(-cmp.Compare(p.Incarnation, o.Incarnation), cmp.Compare(p.Process, o.Process)) < 0
 }
@@ -45,9 +46,9 @@
 	return namesakes
 }
 
-// claimName takes the node's name once no other process that has it lives, or finds that this process has to end. Guards
-// against one name started twice: who has the name and lives keeps it, and of two that start at once the same one gives way
-// at every process.
+// claimName takes the node's name once no other process that has it lives, or finds that this process has to end.
+// Guards against one name started twice: who has the name and lives keeps it, and of two that start at once the same
+// one gives way at every process.
 func (d *Detector) claimName() {
 	if d.conflict != nil {
 		return
@@ -80,9 +81,9 @@
 	return lives && (p.Incarnation > 0 || p.Process < d.own.Process)
 }
 
-// succeedNamesakes takes the incarnation after that of a dead process with this one's name. Guards against a process that
-// took its name before it had heard of its predecessor: with a lower incarnation, or the same and a higher id, it would
-// lose the name to the dead one.
+// succeedNamesakes takes the incarnation after that of a dead process with this one's name. Guards against a process
+// that took its name before it had heard of its predecessor: with a lower incarnation, or the same and a higher id, it
+// would lose the name to the dead one.
 func (d *Detector) succeedNamesakes() {
 	for _, p := range d.namesakes() {
 		if p.hasPrecedence(d.own) && d.isDeadNamesake(p) {
@@ -93,8 +94,8 @@
 	}
 }
 
-// isDeadNamesake reports whether a process with this one's name can't be alive, as this one has its address, or is missed
-// by enough.
+// isDeadNamesake reports whether a process with this one's name can't be alive, as this one has its address, or is
+// missed by enough.
 func (d *Detector) isDeadNamesake(p *peer) bool {
 	return p.Addr == d.own.Addr || d.isSilenced(p)
 }
@@ -104,8 +105,8 @@
 	return slices.ContainsFunc(d.namesakes(), func(p *peer) bool { return p.YieldsName })
 }
 
-// claimDelay returns the run time from which on this process may take its name: each process that may have it has had the
-// time to show that it lives.
+// claimDelay returns the run time from which on this process may take its name: each process that may have it has had
+// the time to show that it lives.
 func (d *Detector) claimDelay() time.Duration {
 	delay := d.config.ClaimPeriod
 	if !d.sync.completed && (d.sync.heardOther || len(d.contacts.seeds) > 0) {
@@ -149,8 +150,8 @@
 	return holders
 }
 
-// forgetReplaced forgets members that nobody hears and that have a successor. Guards against a dead process that stays a
-// member at a process which started late, as its successor is not a member either.
+// forgetReplaced forgets members that nobody hears and that have a successor. Guards against a dead process that stays
+// a member at a process which started late, as its successor is not a member either.
 func (d *Detector) forgetReplaced(holders map[NodeName]*peer) {
 	for _, p := range d.peers.sorted() {
 		if p == d.own || !p.isMember() || p.evidence.heardBy > 0 || d.evaluation.frozen {
@@ -163,8 +164,8 @@
 	}
 }
 
-// replaces reports whether a process succeeds another and won't become a member in its place by itself: one that has just
-// started will, unless it is known to be silent.
+// replaces reports whether a process succeeds another and won't become a member in its place by itself: one that has
+// just started will, unless it is known to be silent.
 func (d *Detector) replaces(successor, p *peer) bool {
 	if !successor.succeeds(p) {
 		return false
@@ -173,7 +174,8 @@
 	return successor.status != Joining || hasHadTime || d.isSilenced(successor)
 }
 
-// forgetDuplicates forgets all processes whose name another member has; where that is this process's name, it has to end.
+// forgetDuplicates forgets all processes whose name another member has; where that is this process's name, it has to
+// end.
 func (d *Detector) forgetDuplicates(holders map[NodeName]*peer) {
 	for _, p := range d.peers.sorted() {
 		holder := holders[p.Node]
--- /dev/null
+++ b/internal/membership/names_test.go
@@ -0,0 +1,87 @@
+package membership_test
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"dahliapin/internal/membership"
+)
+
+// One name is started twice. At once, one of the two gives way, the same one wherever one looks; later, the one that
+// has the name and lives keeps it.
+func TestOneNameStartedTwice(t *testing.T) {
+	for seed := range seedCount(10) {
+		for _, late := range []time.Duration{0, 8 * sec} {
+			s := newSimulation(5, seed, nil)
+			s.run(late)
+			twin := s.startTwin("n2")
+			first := s.nodes[1].process
+			s.run(12 * sec)
+			firstRuns := s.nodes[1].process != nil
+			twinRuns := twin.process != nil
+			if firstRuns == twinRuns || late > 0 && !firstRuns {
+				t.Errorf("seed %d, %v later: the first runs: %v, the second: %v", seed, late, firstRuns, twinRuns)
+			}
+			if late > 0 && s.nodes[1].process != first {
+				t.Errorf("seed %d: the first is another", seed)
+			}
+			expectOneView(t, s, 5)
+		}
+	}
+}
+
+// startTwin starts one more node, at an address of its own, with a name that another has.
+func (s *simulation) startTwin(name string) *simNode {
+	twin := &simNode{sim: s, number: len(s.nodes), name: name}
+	s.nodes = append(s.nodes, twin)
+	twin.start()
+	return twin
+}
+
+// expectOneView fails the test unless all processes that run have the same view with so many members.
+func expectOneView(t *testing.T, s *simulation, members int) {
+	t.Helper()
+	var fingerprints []uint64
+	for _, n := range s.nodes {
+		if n.process == nil {
+			continue
+		}
+		view := n.process.detector.View()
+		fingerprints = append(fingerprints, view.Fingerprint)
+		if view.Fingerprint != fingerprints[0] || len(view.Nodes) != members {
+			t.Errorf("seed %d: %s has %v", s.random.Seed, n.name, view.Nodes)
+		}
+	}
+}
+
+// A process whose name another one has, which lives, is told so by a typed error with that one's address.
+func TestNameConflictTellsWhoHasTheName(t *testing.T) {
+	s := newSimulation(5, 1, nil)
+	s.run(8 * sec)
+	detector := s.startTwin("n2").process.detector
+	s.run(12 * sec)
+	var conflict *membership.NameConflictError
+	if !errors.As(detector.NameConflict(), &conflict) {
+		t.Fatalf("no conflict: %v", detector.NameConflict())
+	}
+	if conflict.Node != "n2" || conflict.Addr != addrOf(1) || conflict.Taken {
+		t.Errorf("%+v", conflict)
+	}
+}
+
+// A process that takes another's place has its name at once, and nobody sees it leave and join.
+func TestAProcessThatIsReplacedStaysAMember(t *testing.T) {
+	for seed := range uint32(5) {
+		s := newSimulation(5, seed, nil)
+		s.run(6 * sec)
+		s.nodes[2].process.detector.Leave(true)
+		s.run(sec / 2)
+		s.nodes[2].process = nil
+		s.nodes[2].start()
+		s.run(8 * sec)
+		if verdict := s.verdict(); verdict.Wrong() > 0 || verdict.Changes > 0 {
+			t.Errorf("seed %d: %+v", seed, verdict)
+		}
+	}
+}
--- a/internal/membership/neighbours.go
+++ b/internal/membership/neighbours.go
@@ -58,8 +58,8 @@
 	return p.Node == o.Node && p.Incarnation > o.Incarnation && o.Incarnation > 0
 }
 
-// chooseNeighbours returns the neighbours of a process: all others where they are few, else those before and after it in
-// each ring.
+// chooseNeighbours returns the neighbours of a process: all others where they are few, else those before and after it
+// in each ring.
 func chooseNeighbours(own ProcessID, ids []ProcessID) map[ProcessID]bool {
 	chosen := map[ProcessID]bool{}
 	if len(ids) <= maxNeighbours+1 {
@@ -91,8 +91,8 @@
 	return cmp.Or(cmp.Compare(p.hash, o.hash), cmp.Compare(p.id, o.id)) < 0
 }
 
-// ringNeighbours returns the processes before and after one in a ring. It goes through all once, as sorting them for each
-// ring would cost far more.
+// ringNeighbours returns the processes before and after one in a ring. It goes through all once, as sorting them for
+// each ring would cost far more.
 func ringNeighbours(own ProcessID, ids []ProcessID, ring int) (before, after ProcessID) {
 	at := positionIn(ring, own)
 	var first, last, predecessor, successor ringPosition
@@ -120,8 +120,8 @@
 	return predecessor.id, successor.id
 }
 
-// setNeighbours makes these processes the neighbours. One that is new has its whole HeartbeatTimeout from now on: what it
-// sent to others before tells nothing of its silence here.
+// setNeighbours makes these processes the neighbours. One that is new has its whole HeartbeatTimeout from now on: what
+// it sent to others before tells nothing of its silence here.
 func (d *Detector) setNeighbours(ids []ProcessID) {
 	was := make(map[ProcessID]bool, len(d.neighbours.peers))
 	for _, p := range d.neighbours.peers {
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// observeNeighbours puts into this process's statement which of its neighbours it hears and misses, and whether it doubts
-// itself.
+// observeNeighbours puts into this process's statement which of its neighbours it hears and misses, and whether it
+// doubts itself.
 func (d *Detector) observeNeighbours() {
 	hears, misses := d.heardAndMissed()
 	doubts := d.rules.selfDoubt && d.hearsTooFew()
@@ -31,11 +31,11 @@
 	d.reviseStatement()
 }
 
-// hearsTooFew reports whether this process hears less than half of the neighbours that it should hear: it may well be the
-// one that is cut off, and is not believed.
+// hearsTooFew reports whether this process hears less than half of the neighbours that it should hear: it may well be
+// the one that is cut off, and is not believed.
 //
-// Guards against a partition in which each side goes by those that are left to it and takes out the other: the neighbours
-// that were taken out count as well as long as they are remembered.
+// Guards against a partition in which each side goes by those that are left to it and takes out the other: the
+// neighbours that were taken out count as well as long as they are remembered.
 func (d *Detector) hearsTooFew() bool {
 	expected := 0
 	heard := 0
@@ -57,17 +57,17 @@
 	return 2*heard < expected
 }
 
-// successorIsHeard reports whether another process of the same node is heard. Guards against a fleet of which many were
-// restarted at once: each process that stayed would doubt itself for the old ones that it misses, and so none of the new
-// ones would be believed to be there.
+// successorIsHeard reports whether another process of the same node is heard. Guards against a fleet of which many
+// were restarted at once: each process that stayed would doubt itself for the old ones that it misses, and so none of
+// the new ones would be believed to be there.
 func (d *Detector) successorIsHeard(p *peer) bool {
 	return slices.ContainsFunc(d.peers.ofNode(p.Node), func(o *peer) bool {
 		return o != p && d.isHeard(o)
 	})
 }
 
-// heardAndMissed returns the neighbours that this process hears, and those that it misses. A new neighbour that has had no
-// time to be heard is neither.
+// heardAndMissed returns the neighbours that this process hears, and those that it misses. A new neighbour that has
+// had no time to be heard is neither.
 func (d *Detector) heardAndMissed() (hears, misses []ProcessID) {
 	hears = make([]ProcessID, 0, maxNeighbours)
 	misses = make([]ProcessID, 0, maxNeighbours)
@@ -82,9 +82,9 @@
 	return hears, misses
 }
 
-// isDiscredited reports whether a neighbour counts as missed though it is heard, as it has stated for long that it doubts
-// itself. Guards against a process that all hear and that hears nobody: it would stay a member for good; and, once it is
-// out, it would be in again before it hears anybody.
+// isDiscredited reports whether a neighbour counts as missed though it is heard, as it has stated for long that it
+// doubts itself. Guards against a process that all hear and that hears nobody: it would stay a member for good; and,
+// once it is out, it would be in again before it hears anybody.
 func (d *Detector) isDiscredited(p *peer) bool {
 	if p.doubtsSince < 0 || d.own.SelfDoubt {
 		return false
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -65,9 +65,9 @@
 
 // peerTable holds all processes that are known, this one included, and keeps them in order.
 //
-// A process that is new is inserted in its place in each order. Guards against a large fleet that starts, in which each
-// process learns of all others one by one: sorting all of them for each is most of what the start would cost. For the same
-// reason processes that are forgotten are taken out of the orders together, when the orders are next used.
+// A process that is new is inserted in its place in each order. Guards against a large fleet that starts, in which
+// each process learns of all others one by one: sorting all of them for each is most of what the start would cost. For
+// the same reason processes that are forgotten are taken out of the orders together, when the orders are next used.
 type peerTable struct {
 	byID    map[ProcessID]*peer
 	byOrder []*peer              // by process; nil while no order was made yet
@@ -85,8 +85,8 @@
 	return compareProcess(x, y)
 }
 
-// sorted returns all processes in the order of their ids, so that the same statements lead to the same statuses at every
-// process. Whoever ranges over the result may remove processes meanwhile.
+// sorted returns all processes in the order of their ids, so that the same statements lead to the same statuses at
+// every process. Whoever ranges over the result may remove processes meanwhile.
 func (t *peerTable) sorted() []*peer {
 	if t.byOrder == nil {
 		t.byOrder = slices.SortedFunc(maps.Values(t.byID), compareProcess)
@@ -123,8 +123,8 @@
 	return slices.Insert(peers, i, p)
 }
 
-// remove takes a process out: out of its node's at once, out of the orders when these are next used, so that a loop over
-// sorted goes on through all as they were.
+// remove takes a process out: out of its node's at once, out of the orders when these are next used, so that a loop
+// over sorted goes on through all as they were.
 func (t *peerTable) remove(p *peer) {
 	delete(t.byID, p.Process)
 	if t.byOrder == nil {
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -9,9 +9,9 @@
 	"dahliapin/internal/keyhash"
 )
 
-// In a large fleet that starts, each process learns of all others one by one; one that sorted all of them anew for each had
-// no core left. A new process takes its place in each order instead, and the orders are those that sorting gives: also
-// where a node has several processes, and after some were forgotten.
+// In a large fleet that starts, each process learns of all others one by one; one that sorted all of them anew for
+// each had no core left. A new process takes its place in each order instead, and the orders are those that sorting
+// gives: also where a node has several processes, and after some were forgotten.
 func TestNewProcessesAreInsertedInOrder(t *testing.T) {
 	d := New(Config{MaxMembers: 1000, ClaimPeriod: time.Second}, 1<<40, "n7", "a", nil)
 	d.peers.sorted()
@@ -56,7 +56,8 @@
 	table.sorted()
 	anew := peerTable{byID: table.byID}
 	anew.sorted()
-	if !slices.Equal(table.byOrder, anew.byOrder) || !slices.Equal(table.byName, anew.byName) || len(table.byNode) != len(anew.byNode) {
+	sameOrder := slices.Equal(table.byOrder, anew.byOrder) && slices.Equal(table.byName, anew.byName)
+	if !sameOrder || len(table.byNode) != len(anew.byNode) {
 		t.Error("the orders differ from those that sorting gives")
 	}
 	for node, peers := range anew.byNode {
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -18,7 +18,11 @@
 	view map[*membership.Detector]*membership.View // the last that was hashed
 }
 
+// ticked hashes what a tick led to; a nil recorder does nothing.
 func (r *recorder) ticked(now time.Duration, d *membership.Detector, do membership.Actions) {
+	if r == nil {
+		return
+	}
 	h := do.Heartbeat
 	fmt.Fprintln(r.sum, now, h.Process, h.Revision, h.Digest, h.Addr, h.SelfDoubt, h.WantsReply)
 	fmt.Fprintln(r.sum, do.HeartbeatTo, do.ReplyTo, do.ProbeTo, do.SyncWith, d.KnownCount(), d.NameConflict())
@@ -33,62 +37,102 @@
 	}
 }
 
+// stated hashes a new statement; a nil recorder does nothing.
 func (r *recorder) stated(s membership.Statement) {
-	fmt.Fprintln(r.sum, s.Process, s.Node, s.Incarnation, s.Revision, s.Addr, s.Leaving, s.YieldsName, s.SelfDoubt, s.Hears, s.Misses)
+	if r == nil {
+		return
+	}
+	fmt.Fprintln(r.sum, s.Process, s.Node, s.Incarnation, s.Revision, s.Addr,
+		s.Leaving, s.YieldsName, s.SelfDoubt, s.Hears, s.Misses)
+}
+
+// recordedHistory is a history whose decisions are recorded.
+type recordedHistory struct {
+	name  string
+	nodes int
+	seed  uint32
+	rules *membership.Rules // nil for the sound ones
+	play  func(*simulation)
 }
 
-// Names and shape of the detector may change, its decisions not: each history has the hash that it had when it was recorded.
+// hash plays the history among nodes that know one another, and returns a hash of all decisions.
+func (h *recordedHistory) hash() []byte {
+	r := &recorder{sum: sha256.New(), view: map[*membership.Detector]*membership.View{}}
+	s := newSimulation(h.nodes, h.seed, func(d *membership.Detector) {
+		if h.rules != nil {
+			membership.SetRules(d, *h.rules)
+		}
+	})
+	s.recorder = r
+	s.run(6 * sec)
+	h.play(s)
+	s.run(10 * sec)
+	return r.sum.Sum(nil)[:12]
+}
+
+// Names and shape of the detector may change, its decisions not: each history has the hash that it had when it was
+// recorded.
 func TestDecisionsAreAsRecorded(t *testing.T) {
-	var got strings.Builder
-	play := func(name string, nodes int, seed uint32, broken func(*membership.Detector), history func(*sim)) {
-		r := &recorder{sum: sha256.New(), view: map[*membership.Detector]*membership.View{}}
-		s := newSim(nodes, seed, broken)
-		s.recorder = r
-		s.run(6 * sec)
-		history(s)
-		s.run(10 * sec)
-		fmt.Fprintf(&got, "%s, %d nodes, seed %d: %x\n", name, nodes, seed, r.sum.Sum(nil)[:12])
-	}
+	histories := recordedHistories(t)
+	file := "decisions.txt"
 	if testing.Short() { // under the race detector all take 40 s
-		for _, c := range troubles[:3] {
-			play(c.name, 12, 1, nil, c.play)
-		}
-		golden.Check(t, "decisions-short.txt", []byte(got.String()))
-		return
+		histories = histories[:3]
+		file = "decisions-short.txt"
 	}
-	for _, c := range troubles {
-		play(c.name, 12, 1, nil, c.play)
+	var got strings.Builder
+	for _, h := range histories {
+		fmt.Fprintf(&got, "%s, %d nodes, seed %d: %x\n", h.name, h.nodes, h.seed, h.hash())
 	}
-	for _, c := range troubles {
-		switch c.name {
-		case "30% lost, doubled and late, one killed", "halves", "nearly all killed at once and back", "eight and four":
-			play(c.name, 40, 2, nil, c.play)
-		case "stopped for more":
-			play("unsound: "+c.name, 12, 3, func(d *membership.Detector) { membership.SetRules(d, membership.Rules{MinObservers: 1}) }, c.play)
-		}
+	golden.Check(t, file, []byte(got.String()))
+}
+
+func recordedHistories(t *testing.T) []recordedHistory {
+	t.Helper()
+	var histories []recordedHistory
+	add := func(h recordedHistory) { histories = append(histories, h) }
+	for _, f := range failures {
+		add(recordedHistory{name: f.name, nodes: 12, seed: 1, play: f.play})
+	}
+	// with rings
+	noise := failureNamed(t, "30% lost, doubled and late, one killed")
+	add(recordedHistory{name: noise.name, nodes: 40, seed: 2, play: noise.play})
+	add(recordedHistory{
+		name:  "unsound: stopped for more",
+		nodes: 12,
+		seed:  3,
+		rules: &membership.Rules{MinObservers: 1},
+		play:  failureNamed(t, "stopped for more").play,
+	})
+	for _, name := range []string{"halves", "eight and four", "nearly all killed at once and back"} {
+		add(recordedHistory{name: name, nodes: 40, seed: 2, play: failureNamed(t, name).play})
 	}
 	for _, late := range []time.Duration{0, 8 * sec} {
-		play(fmt.Sprintf("one name started twice, %v later", late), 5, 4, nil, func(s *sim) {
-			s.run(late)
-			twin := &simNode{s: s, number: 5, name: "n2"}
-			s.nodes = append(s.nodes, twin)
-			twin.start()
-			s.run(8 * sec)
+		add(recordedHistory{
+			name:  fmt.Sprintf("one name started twice, %v later", late),
+			nodes: 5,
+			seed:  4,
+			play: func(s *simulation) {
+				s.run(late)
+				s.startTwin("n2")
+				s.run(8 * sec)
+			},
 		})
 	}
-	play("leaves, returns and is replaced", 5, 5, nil, func(s *sim) {
-		s.nodes[2].process.book.Leave(false)
-		s.run(8 * sec)
-		s.nodes[2].process.book.Rejoin()
-		s.run(2 * sec)
-		s.nodes[2].process.book.Leave(true)
-		s.run(sec / 2)
-		s.nodes[2].process = nil
-		s.nodes[2].start()
-	})
-	play("forgotten after a minute", 16, 6, nil, func(s *sim) {
+	add(recordedHistory{name: "leaves, returns and is replaced", nodes: 5, seed: 5, play: playReplacement})
+	add(recordedHistory{name: "forgotten after a minute", nodes: 16, seed: 6, play: func(s *simulation) {
 		s.nodes[7].kill()
-		s.apart(70*sec, true, []int{3}, seq(0, 15))
-	})
-	golden.Check(t, "decisions.txt", []byte(got.String()))
+		s.partitionFor(70*sec, true, []int{3}, nodesFrom(0, 15))
+	}})
+	return histories
+}
+
+func playReplacement(s *simulation) {
+	s.nodes[2].process.detector.Leave(false)
+	s.run(8 * sec)
+	s.nodes[2].process.detector.Rejoin()
+	s.run(2 * sec)
+	s.nodes[2].process.detector.Leave(true)
+	s.run(sec / 2)
+	s.nodes[2].process = nil
+	s.nodes[2].start()
 }
--- /dev/null
+++ b/internal/membership/simulation_test.go
@@ -0,0 +1,370 @@
+package membership_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/keyhash"
+	"dahliapin/internal/membership"
+	"dahliapin/internal/membership/trace"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/timerqueue"
+)
+
+const (
+	tickInterval   = 50 * time.Millisecond
+	pause          = 2 * time.Second // that a process may stand still
+	gossipFanOut   = 4               // nodes that each statement goes to in a round, as in the library's configuration
+	gossipRounds   = 8               // rounds in which a statement is passed on
+	ticksPerRound  = 2
+	networkLatency = time.Millisecond
+	maxWaiting     = 500 // messages that wait for a process which stands still
+)
+
+var config = membership.NewConfig(membership.Spans{
+	Pause:     pause,
+	Heartbeat: 300 * time.Millisecond,
+	Rejoin:    2 * time.Second,
+	Loop:      time.Second,
+	Forget:    time.Minute,
+}, 4000)
+
+// simulation runs detectors in virtual time: their decisions are those of service, on a network with the emulator's
+// faults, with gossip like the library's.
+type simulation struct {
+	now       monotime.Instant
+	nodes     []*simNode
+	byAddr    map[string]*simNode
+	faults    *netfault.Faults
+	queue     timerqueue.Queue[func()]
+	random    keyhash.Source
+	views     *checker.Views
+	processes uint64 // started until now
+	ticks     int
+	configure func(*membership.Detector) // called with each new detector; nil for none
+	recorder  *recorder                  // nil: nothing is recorded
+}
+
+// simNode is a node, whose processes come and go.
+type simNode struct {
+	sim      *simulation
+	number   int
+	name     string
+	process  *simProcess // nil while none runs
+	stopped  bool        // the process stands still
+	loopHung bool        // the loop that serves clients stands still, and all else goes on
+	waiting  []func(*simProcess)
+}
+
+// simProcess is one process with its detector.
+type simProcess struct {
+	node        *simNode
+	detector    *membership.Detector
+	addr        string
+	statements  map[membership.ProcessID]membership.Statement
+	roundsLeft  map[membership.ProcessID]int // of statements that are still to be passed on
+	loopCount   uint64
+	tracedView  uint64
+	tracedAsCut bool
+}
+
+func newSimulation(nodes int, seed uint32, configure func(*membership.Detector)) *simulation {
+	s := &simulation{
+		now:       1,
+		byAddr:    map[string]*simNode{},
+		faults:    netfault.New(seed),
+		random:    keyhash.Source{Seed: seed},
+		views:     checker.NewViews(nodes),
+		configure: configure,
+	}
+	for n := range nodes {
+		s.nodes = append(s.nodes, &simNode{sim: s, number: n, name: checker.NameOf(n)})
+	}
+	for _, n := range s.nodes {
+		n.start()
+	}
+	return s
+}
+
+func addrOf(node int) string { return fmt.Sprintf("10.0.0.%d:7946", node+1) }
+
+// seedNodes are the nodes that each process asks first.
+var seedNodes = []int{0, 1, 2}
+
+// start starts a process of the node.
+func (n *simNode) start() {
+	s := n.sim
+	s.processes++
+	id := membership.ProcessID(keyhash.Mix(s.processes<<20^uint64(s.random.Seed)) | 1)
+	p := &simProcess{
+		node:       n,
+		addr:       addrOf(n.number),
+		statements: map[membership.ProcessID]membership.Statement{},
+		roundsLeft: map[membership.ProcessID]int{},
+	}
+	var seeds []string
+	for _, seed := range seedNodes {
+		seeds = append(seeds, addrOf(seed))
+	}
+	p.detector = membership.New(config, id, membership.NodeName(n.name), p.addr, seeds)
+	if s.configure != nil {
+		s.configure(p.detector)
+	}
+	n.process = p
+	n.stopped = false
+	n.waiting = nil
+	s.byAddr[p.addr] = n
+	for _, seed := range seeds {
+		s.after(networkLatency, func() { p.sync(seed) })
+	}
+	s.views.Truth(s.now, n.name, true, true)
+}
+
+// kill ends the node's process.
+func (n *simNode) kill() {
+	n.process = nil
+	n.waiting = nil
+	n.sim.views.Truth(n.sim.now, n.name, false, false)
+}
+
+// setStopped has the process stand still or go on. On going on it ticks before it reads what it missed: the worst
+// order.
+func (n *simNode) setStopped(stopped bool) {
+	if n.process == nil || n.stopped == stopped {
+		return
+	}
+	n.stopped = stopped
+	n.sim.views.Truth(n.sim.now, n.name, !stopped, false)
+	if stopped {
+		return
+	}
+	missed := n.waiting
+	n.waiting = nil
+	n.process.tick()
+	if n.process == nil {
+		return
+	}
+	for _, receive := range missed {
+		receive(n.process)
+	}
+}
+
+// setCut cuts one direction between two nodes, or restores it.
+func (s *simulation) setCut(from, to int, cut bool) {
+	s.faults.Change(from, to, func(w *netfault.Way) { w.Cut = cut })
+	s.views.Cut(s.now, from, to, cut)
+}
+
+// partitionFor cuts all ways from some nodes to others for a while; with both set, those back as well.
+func (s *simulation) partitionFor(duration time.Duration, both bool, from, to []int) {
+	s.partition(true, both, from, to)
+	s.run(duration)
+	s.partition(false, both, from, to)
+}
+
+func (s *simulation) partition(cut, both bool, from, to []int) {
+	for _, a := range from {
+		for _, b := range to {
+			if a == b {
+				continue
+			}
+			s.setCut(a, b, cut)
+			if both {
+				s.setCut(b, a, cut)
+			}
+		}
+	}
+}
+
+// stopFor has processes stand still for a while.
+func (s *simulation) stopFor(duration time.Duration, nodes ...int) {
+	for _, n := range nodes {
+		s.nodes[n].setStopped(true)
+	}
+	s.run(duration)
+	for _, n := range nodes {
+		s.nodes[n].setStopped(false)
+	}
+}
+
+// setNoise sets the shares of datagrams that are lost and doubled, and how late they are at most, on all ways.
+func (s *simulation) setNoise(lost, doubled float64, late time.Duration) {
+	for a := range s.nodes {
+		for b := range s.nodes {
+			s.faults.Change(a, b, func(w *netfault.Way) {
+				w.Loss = lost
+				w.Twice = doubled
+				w.Late = late
+			})
+		}
+	}
+}
+
+// after has something happen after a while.
+func (s *simulation) after(delay time.Duration, do func()) { s.queue.Push(s.now.Add(delay), do) }
+
+// send sends a datagram, which reaches whoever has the address when it arrives.
+func (p *simProcess) send(addr string, receive func(*simProcess)) {
+	s := p.node.sim
+	to := s.byAddr[addr]
+	if to == nil || to == p.node {
+		return
+	}
+	for _, late := range s.faults.Fate(p.node.number, to.number) {
+		s.after(networkLatency+late, func() { to.deliver(receive) })
+	}
+}
+
+func (n *simNode) deliver(receive func(*simProcess)) {
+	switch {
+	case n.process == nil:
+	case !n.stopped:
+		receive(n.process)
+	case len(n.waiting) < maxWaiting:
+		n.waiting = append(n.waiting, receive)
+	}
+}
+
+// merge takes a statement, and passes it on where it is news.
+func (p *simProcess) merge(statement membership.Statement) {
+	if p.detector.Merge(statement) {
+		p.statements[statement.Process] = statement
+		p.roundsLeft[statement.Process] = gossipRounds
+	}
+}
+
+// sync exchanges all that two processes know, where streams come through.
+func (p *simProcess) sync(addr string) {
+	s := p.node.sim
+	to := s.byAddr[addr]
+	if to == nil || to.process == nil || to.stopped || to.process == p || p.node.process != p {
+		return
+	}
+	if _, stands := s.faults.Piece(p.node.number, to.number); stands {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(p.statements)) {
+		to.process.merge(p.statements[id])
+	}
+	for _, id := range slices.Sorted(maps.Keys(to.process.statements)) {
+		p.merge(to.process.statements[id])
+	}
+	p.detector.SyncCompleted()
+	to.process.detector.SyncCompleted()
+}
+
+// tick does what a node does at a tick.
+func (p *simProcess) tick() {
+	s := p.node.sim
+	if !p.node.loopHung {
+		p.loopCount++
+	}
+	p.detector.LoopAdvanced(p.loopCount)
+	actions := p.detector.Tick(s.now)
+	s.recorder.ticked(time.Duration(s.now), p.detector, actions)
+	own, isNew := p.detector.OwnStatement()
+	if isNew {
+		s.recorder.stated(own)
+		p.statements[own.Process] = own
+		p.roundsLeft[own.Process] = gossipRounds
+	}
+	p.perform(actions)
+	if s.ticks%ticksPerRound == 0 {
+		p.gossip()
+	}
+	if p.detector.NameConflict() != nil {
+		p.node.kill()
+		return
+	}
+	p.traceView()
+}
+
+func (p *simProcess) perform(actions membership.Actions) {
+	sendAll := func(addrs []string, h membership.Heartbeat) {
+		for _, addr := range addrs {
+			p.send(addr, func(o *simProcess) { o.detector.OnHeartbeat(h) })
+		}
+	}
+	sendAll(actions.HeartbeatTo, actions.Heartbeat)
+	sendAll(actions.ReplyTo, actions.Heartbeat)
+	probe := actions.Heartbeat
+	probe.WantsReply = true
+	sendAll(actions.ProbeTo, probe)
+	if actions.SyncWith != "" {
+		p.node.sim.after(networkLatency, func() { p.sync(actions.SyncWith) })
+	}
+}
+
+// gossip passes on statements for one round.
+func (p *simProcess) gossip() {
+	s := p.node.sim
+	for _, id := range slices.Sorted(maps.Keys(p.roundsLeft)) { // in order, as each draws at random
+		statement := p.statements[id]
+		for range gossipFanOut {
+			to := s.nodes[int(s.random.Float64()*float64(len(s.nodes)))]
+			if to != p.node {
+				p.send(addrOf(to.number), func(o *simProcess) { o.merge(statement) })
+			}
+		}
+		p.roundsLeft[id]--
+		if p.roundsLeft[id] <= 0 {
+			delete(p.roundsLeft, id)
+		}
+	}
+}
+
+// traceView tells the checker of a view that has changed.
+func (p *simProcess) traceView() {
+	view := p.detector.View()
+	if view.Number == p.tracedView && view.CutOff == p.tracedAsCut {
+		return
+	}
+	p.tracedView = view.Number
+	p.tracedAsCut = view.CutOff
+	line := trace.Line{
+		Node:    p.node.name,
+		What:    trace.View,
+		Process: fmt.Sprint(view.Own),
+		Number:  view.Number,
+		Cut:     view.CutOff,
+	}
+	for _, node := range view.Nodes {
+		line.Members = append(line.Members, string(node))
+	}
+	p.node.sim.views.Heard(p.node.sim.now, line)
+}
+
+// run goes on for a while. Within each tick interval the processes tick one after the other.
+func (s *simulation) run(duration time.Duration) {
+	for end := s.now.Add(duration); s.now < end; s.ticks++ {
+		for i, n := range s.nodes {
+			s.after(time.Duration(i)*tickInterval/time.Duration(len(s.nodes)), func() {
+				if n.process != nil && !n.stopped {
+					n.process.tick()
+				}
+			})
+		}
+		s.runUntil(s.now.Add(tickInterval))
+	}
+}
+
+// runUntil does all that happens before an instant.
+func (s *simulation) runUntil(until monotime.Instant) {
+	for {
+		at, any := s.queue.Next()
+		if !any || at >= until {
+			break
+		}
+		do, _ := s.queue.PopDue(at)
+		s.now = max(s.now, at)
+		do()
+	}
+	s.now = until
+}
+
+// verdict is that of the emulator's checker, who knows the views and what befell the nodes.
+func (s *simulation) verdict() *checker.Verdict { return s.views.Judge(trace.View, pause, s.now) }
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -58,8 +58,8 @@
 	sureAt    time.Duration // run time when this process last stopped to doubt itself
 }
 
-// OwnStatement returns this process's statement, and whether it is new since this was last called: the caller gossips it
-// then.
+// OwnStatement returns this process's statement, and whether it is new since this was last called: the caller gossips
+// it then.
 func (d *Detector) OwnStatement() (s Statement, isNew bool) {
 	isNew = d.statement.unsent
 	d.statement.unsent = false
@@ -74,8 +74,8 @@
 	d.evaluation.changed = true
 }
 
-// Merge takes a statement, however it arrived, and reports whether it was news: the caller passes it on then. It keeps no
-// reference to the statement's slices.
+// Merge takes a statement, however it arrived, and reports whether it was news: the caller passes it on then. It keeps
+// no reference to the statement's slices.
 func (d *Detector) Merge(s Statement) bool {
 	if !s.valid() {
 		return false
@@ -129,8 +129,8 @@
 	d.sync.heardOther = true
 }
 
-// Leave states that this process shuts down in order or is on standby. With yieldName another process takes its place: it
-// stays a member, and its name goes to that one.
+// Leave states that this process shuts down in order or is on standby. With yieldName another process takes its place:
+// it stays a member, and its name goes to that one.
 func (d *Detector) Leave(yieldName bool) {
 	if d.own.Leaving || d.own.YieldsName {
 		return
--- /dev/null
+++ b/internal/membership/statement_test.go
@@ -0,0 +1,67 @@
+package membership_test
+
+import (
+	"testing"
+
+	"dahliapin/internal/membership"
+)
+
+// A process that leaves in order is out at once, and its return is that of the same process.
+func TestAProcessThatLeavesIsOutAtOnceAndMayReturn(t *testing.T) {
+	s := newSimulation(5, 1, nil)
+	s.run(6 * sec)
+	detector := s.nodes[2].process.detector
+	leave := func() { detector.Leave(false) }
+	for _, step := range []struct {
+		name    string
+		do      func()
+		members int
+	}{
+		{"leaves", leave, 4},
+		{"returns", detector.Rejoin, 5},
+		{"leaves again", leave, 4},
+	} {
+		step.do()
+		s.run(sec)
+		for _, n := range []int{0, 1, 3, 4} {
+			view := s.nodes[n].process.detector.View()
+			if len(view.Nodes) != step.members {
+				t.Errorf("%s: n%d has %v, want %d", step.name, n+1, view.Nodes, step.members)
+			}
+		}
+		s.run(6 * sec)
+	}
+}
+
+// A statement that no process would make is not taken.
+func TestStatementsOutOfBoundsAreRefused(t *testing.T) {
+	detector := membership.New(config, 7, "n1", "10.0.0.1:1", nil)
+	good := membership.Statement{Process: 9, Node: "n2", Addr: "10.0.0.2:1", Revision: 3}
+	for name, change := range map[string]func(*membership.Statement){
+		"no process": func(s *membership.Statement) { s.Process = 0 },
+		"no name":    func(s *membership.Statement) { s.Node = "" },
+		"no address": func(s *membership.Statement) { s.Addr = "" },
+		"long name": func(s *membership.Statement) {
+			s.Node = membership.NodeName(make([]byte, membership.MaxNameBytes+1))
+		},
+		"many neighbours": func(s *membership.Statement) {
+			s.Hears = make([]membership.ProcessID, membership.MaxNeighbours+1)
+		},
+		"misses itself": func(s *membership.Statement) { s.Misses = []membership.ProcessID{9} },
+	} {
+		bad := good
+		change(&bad)
+		if detector.Merge(bad) {
+			t.Errorf("%s: taken: %+v", name, bad)
+		}
+	}
+	if !detector.Merge(good) || detector.Merge(good) {
+		t.Error("a good one is news once")
+	}
+	renamed := good
+	renamed.Node = "n3"
+	renamed.Revision = 4
+	if detector.Merge(renamed) {
+		t.Error("a process has one name")
+	}
+}
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -1,28 +1,30 @@
-// Package trace says how a process writes down what it did in the fleet, for a judge who sees the lines of all.
+// Package trace has the lines in which processes trace their part in the fleet, for a checker who sees the lines of
+// all.
 package trace
 
 import "dahliapin/internal/monotime"
 
-// What a line may tell.
+// The values of Line.What.
 const (
-	Library = "library" // a change of the gossip library's members
-	View    = "view"    // a change of the view
-	Traffic = "traffic" // what went and came between nodes until now
+	Library = "library" // the gossip library's members have changed
+	View    = "view"    // the view has changed
+	Traffic = "traffic" // how much went and came between nodes until now
 )
 
-// Line is one thing that a process did.
+// Line is one event of a process. Fields that an event doesn't have are zero.
 type Line struct {
-	At      monotime.Instant `json:"at"` // by the clock that all processes of a machine share, and that runs on through a suspend
+	// At is of the clock that all processes of a machine share, and that runs on through a suspend.
+	At      monotime.Instant `json:"at"`
 	Node    string           `json:"node"`
 	Process string           `json:"process"`
 	What    string           `json:"what"`
-	Members []string         `json:"members"`           // names of those that are members to it now
-	Seen    string           `json:"seen,omitempty"`    // of whom, for a change of one
-	Here    bool             `json:"here,omitempty"`    // it came, rather than went
-	Number  uint64           `json:"number,omitempty"`  // of the view
-	Mark    string           `json:"mark,omitempty"`    // the same for the same members
-	Cut     bool             `json:"cut_off,omitempty"` // it says of itself that it is cut off
-	Out     uint64           `json:"out,omitempty"`     // bytes sent to other nodes, in datagrams
-	In      uint64           `json:"in,omitempty"`
-	Lost    uint64           `json:"lost,omitempty"` // lines that were dropped until now
+	Members []string         `json:"members"`           // names of those that are members to the process now
+	Seen    string           `json:"seen,omitempty"`    // Library: the node whose process came or went
+	Here    bool             `json:"here,omitempty"`    // Library: it came
+	Number  uint64           `json:"number,omitempty"`  // View: its number
+	Mark    string           `json:"mark,omitempty"`    // View: its fingerprint
+	Cut     bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
+	Out     uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
+	In      uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
+	Lost    uint64           `json:"lost,omitempty"`    // lines that were dropped until now
 }
