--- /dev/null
+++ b/internal/config/fleetconfig/fleet.go
@@ -0,0 +1,184 @@
+package fleetconfig
+
+import (
+	"encoding/base64"
+	"fmt"
+	"net/netip"
+	"time"
+
+	"dahliapin/internal/config/strictconfig"
+)
+
+const (
+	// maxSeeds bounds the seeds: they are asked one after the other, so that more make a start slow.
+	maxSeeds = 64
+	// maxAddressMappings bounds the other ways to members: one for each that there may be.
+	maxAddressMappings = 4096
+)
+
+// The engines that carry what members state.
+const (
+	Tuned = "tuned" // with bounds that bear loss: for service
+	Plain = "plain" // the gossip library as it comes: a baseline for rehearsals
+)
+
+// File is the file of a node that knows the others of its fleet.
+type File struct {
+	Fleet           Fleet            `toml:"fleet"`
+	Members         Members          `toml:"members"`
+	Changes         Changes          `toml:"changes"`
+	AddressMappings []AddressMapping `toml:"way"`
+}
+
+// Fleet says how a node is reached and reaches others.
+type Fleet struct {
+	Label     string   `toml:"label"`     // of the fleet: messages with another label are dropped
+	Listen    string   `toml:"listen"`    // address and port for datagrams and streams
+	Advertise string   `toml:"advertise"` // Listen as others see it; empty for the same
+	Seeds     []string `toml:"seeds"`     // addresses of nodes to ask first, of which one alive is enough
+	Key       string   `toml:"key"`       // base64 of 16, 24 or 32 bytes for encryption between nodes; empty for none
+	Engine    string   `toml:"engine"`    // Tuned or Plain
+}
+
+// Members says how failures of processes are told.
+type Members struct {
+	PauseS     float64 `toml:"pause_s"`  // seconds for which a process may stand still and stays a member
+	HelloMs    float64 `toml:"hello_ms"` // milliseconds between two heartbeats to a neighbour
+	BackS      float64 `toml:"back_s"`   // seconds that a removed one must be heard before it is a member again
+	LoopS      float64 `toml:"loop_s"`   // seconds without a turn of the event loop until heartbeats stop
+	ForgetS    float64 `toml:"forget_s"` // seconds after which one that was taken out is forgotten
+	MaxMembers int     `toml:"most"`     // processes that are known at most
+}
+
+// Changes says where a node follows the fleet's replicated log. Without control machines it follows none.
+type Changes struct {
+	At     []string `toml:"at"`      // addresses of control machines, where they listen for nodes
+	StaleS float64  `toml:"stale_s"` // seconds without a control machine that has a leader, until the node is stale
+}
+
+// AddressMapping says that a member is reached elsewhere than at the address that it advertises: by a forwarded port,
+// say.
+type AddressMapping struct {
+	To      string `toml:"to"`
+	Through string `toml:"through"`
+}
+
+// Default returns what holds where a node's file says nothing.
+func Default() File {
+	return File{
+		Fleet: Fleet{Engine: Tuned},
+		Members: Members{
+			PauseS:     2,
+			HelloMs:    300,
+			BackS:      2,
+			LoopS:      1,
+			ForgetS:    60,
+			MaxMembers: 4000,
+		},
+		Changes: Changes{StaleS: 30},
+	}
+}
+
+// Read reads a node's file. An error wraps that of the file system, or is a strictconfig.FieldErrors.
+func Read(path string) (*File, error) {
+	return readFile(path, "the fleet's file", Parse)
+}
+
+// Parse reads the text of a node's file; file is its name in errors.
+func Parse(file string, text []byte) (*File, error) {
+	f := Default()
+	c, err := strictconfig.Parse(file, text, &f)
+	if err != nil {
+		return nil, err
+	}
+	f.Fleet.check(c)
+	CheckMembers(c, &f.Members)
+	f.Changes.check(c)
+	c.Require(len(f.AddressMappings) <= maxAddressMappings, "way", "more than %d", maxAddressMappings)
+	for i, mapping := range f.AddressMappings {
+		checkAddress(c, mapping.To, fmt.Sprintf("way.%d.to", i))
+		checkAddress(c, mapping.Through, fmt.Sprintf("way.%d.through", i))
+	}
+	if err := c.Err(); err != nil {
+		return nil, err
+	}
+	return &f, nil
+}
+
+// check checks the values, and sets Advertise where it is empty.
+func (f *Fleet) check(c *strictconfig.Checker) {
+	checkAddress(c, f.Listen, "fleet.listen")
+	f.checkAdvertise(c)
+	checkLabel(c, f.Label, "fleet.label")
+	c.Require(len(f.Seeds) <= maxSeeds, "fleet.seeds", "more than %d", maxSeeds)
+	for _, seed := range f.Seeds {
+		checkAddress(c, seed, "fleet.seeds")
+	}
+	key, err := base64.StdEncoding.DecodeString(f.Key)
+	isKey := err == nil && (len(key) == 0 || len(key) == 16 || len(key) == 24 || len(key) == 32)
+	c.Require(isKey, "fleet.key", "it is not the base64 of 16, 24 or 32 bytes")
+	isEngine := f.Engine == Tuned || f.Engine == Plain
+	c.Require(isEngine, "fleet.engine", "%q is neither %s nor %s", f.Engine, Tuned, Plain)
+}
+
+// checkAdvertise checks that others can reach the advertised address. Where it is Listen's and can't be parsed, that
+// was told before.
+func (f *Fleet) checkAdvertise(c *strictconfig.Checker) {
+	isListen := f.Advertise == ""
+	if isListen {
+		f.Advertise = f.Listen
+	}
+	addr, err := netip.ParseAddrPort(f.Advertise)
+	isReachable := err == nil && !addr.Addr().IsUnspecified() && addr.Port() != 0
+	if err != nil && isListen {
+		return
+	}
+	c.Require(isReachable, "fleet.advertise", "%q is not an address and a port that others can reach", f.Advertise)
+}
+
+// CheckMembers checks how failures are told, in any file that states it under the path "members".
+func CheckMembers(c *strictconfig.Checker, m *Members) {
+	c.InRange(m.PauseS, 0.2, 60, "members.pause_s")
+	c.InRange(m.HelloMs, 50, 5000, "members.hello_ms")
+	fits := m.PauseS <= 0 || m.HelloMs <= m.PauseS*500
+	c.Require(fits, "members.hello_ms", "at least two signs of life have to fit into pause_s")
+	c.InRange(m.BackS, 0, 600, "members.back_s")
+	c.InRange(m.LoopS, 0.2, 60, "members.loop_s")
+	c.InRange(m.ForgetS, m.PauseS+m.BackS, 86400, "members.forget_s")
+	c.InRange(float64(m.MaxMembers), 1, 100_000, "members.most")
+}
+
+func (ch *Changes) check(c *strictconfig.Checker) {
+	c.Require(len(ch.At) <= maxMachines, "changes.at", "more than %d", maxMachines)
+	for _, addr := range ch.At {
+		checkAddress(c, addr, "changes.at")
+	}
+	c.InRange(ch.StaleS, 5, 86_400, "changes.stale_s")
+}
+
+// KeyBytes returns the key for encryption between nodes, nil for none.
+func (f *Fleet) KeyBytes() []byte {
+	key, _ := base64.StdEncoding.DecodeString(f.Key) // was checked when it was read
+	if len(key) == 0 {
+		return nil
+	}
+	return key
+}
+
+// Stale returns StaleS as a duration.
+func (ch *Changes) Stale() time.Duration { return seconds(ch.StaleS) }
+
+// Pause returns PauseS as a duration.
+func (m *Members) Pause() time.Duration { return seconds(m.PauseS) }
+
+// HeartbeatInterval returns HelloMs as a duration.
+func (m *Members) HeartbeatInterval() time.Duration { return seconds(m.HelloMs / 1000) }
+
+// RejoinDelay returns BackS as a duration.
+func (m *Members) RejoinDelay() time.Duration { return seconds(m.BackS) }
+
+// LoopTimeout returns LoopS as a duration.
+func (m *Members) LoopTimeout() time.Duration { return seconds(m.LoopS) }
+
+// ForgetAfter returns ForgetS as a duration.
+func (m *Members) ForgetAfter() time.Duration { return seconds(m.ForgetS) }
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -145,10 +145,10 @@
 	members := &c.FleetConfig.Members
 	spans := membership.Spans{
 		Pause:     members.Pause(),
-		Heartbeat: members.Hello(),
-		Rejoin:    members.Back(),
-		Loop:      members.Loop(),
-		Forget:    members.Forget(),
+		Heartbeat: members.HeartbeatInterval(),
+		Rejoin:    members.RejoinDelay(),
+		Loop:      members.LoopTimeout(),
+		Forget:    members.ForgetAfter(),
 	}
 	n.state.detector = membership.New(
 		membership.NewConfig(spans, members.MaxMembers),
