--- a/cmd/dahliapin/migrate.go
+++ b/cmd/dahliapin/migrate.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("the old configuration cannot be read: %w", err)
 	}
-	text, remarks, err := migration.Turn(old)
+	text, remarks, err := migration.Convert(old)
 	if err != nil {
 		return fmt.Errorf("%s cannot be turned: %w", from, err)
 	}
