--- /dev/null
+++ b/internal/discovery/poller_test.go
@@ -0,0 +1,91 @@
+package discovery
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"dahliapin/internal/keyhash"
+	"dahliapin/policy"
+)
+
+// 80 nodes whose polls were refused polled 1,200 times a second, in step, and discovery never recovered. No node may
+// back off for longer than an update can wait, so the polls grow with the number of nodes, but all of them are spread
+// from the first refusal on.
+func TestRefusedPollsAreFewOverTheFleet(t *testing.T) {
+	for _, test := range []struct{ nodes, mostPerSecond int }{{1, 10}, {80, 45}, {800, 400}} {
+		t.Run(fmt.Sprintf("%d nodes", test.nodes), func(t *testing.T) {
+			perSecond := make([]int, 60)
+			for n := range test.nodes {
+				countRefusedPolls(t, test.nodes, n, perSecond)
+			}
+			first, later := slices.Max(perSecond[:30]), slices.Max(perSecond[30:])
+			if first > test.mostPerSecond || later > test.mostPerSecond {
+				t.Errorf("%d polls in a second at first and %d later", first, later)
+			}
+		})
+	}
+}
+
+// countRefusedPolls adds the polls of one of a fleet's nodes, all of which are refused, to those of each second.
+func countRefusedPolls(t *testing.T, nodes, n int, perSecond []int) {
+	t.Helper()
+	p := New(nodes)
+	random := keyhash.Source{Seed: uint32(n)}
+	end := time.Duration(len(perSecond)) * time.Second
+	for at := time.Duration(0); ; {
+		backoff, _ := p.OnFailure(Refused, 0, random.Float64())
+		if backoff > maxRefusedSpan {
+			t.Fatalf("backs off for %v", backoff)
+		}
+		at += backoff
+		if at >= end {
+			return
+		}
+		perSecond[at/time.Second]++
+	}
+}
+
+func TestBrokenLongPollIsRenewedAtOnce(t *testing.T) {
+	p := New(80)
+	if backoff, _ := p.OnFailure(ConnectionLost, 0, 0.99); backoff > 150*time.Millisecond {
+		t.Errorf("a long poll that broke is renewed after %v: over the 200 ms in which it goes on", backoff)
+	}
+}
+
+// An answer that cannot be read made each poll ask for the same changes again.
+func TestUnreadableAnswerMakesTheNextPollComplete(t *testing.T) {
+	p := New(80)
+	p.SetVersion(7)
+	for i, failure := range []Failure{ConnectionLost, Refused, Unreadable} {
+		_, first := p.OnFailure(failure, 0, 0.5)
+		next := p.NextPoll()
+		if first != (i == 0) || next.Complete != (failure == Unreadable) || !next.Complete && next.SinceVersion != 7 {
+			t.Errorf("after one that was %v, first %v: %+v", failure, first, next)
+		}
+	}
+}
+
+// A discovery that was down for some seconds was polled again only half a minute later, and a failure that had passed
+// still made backoffs longer.
+func TestBackoffIsBoundedAndEndsWithAnUpdate(t *testing.T) {
+	p := New(80)
+	p.SetVersion(7)
+	for _, failure := range []Failure{ConnectionLost, Refused, Unreadable} {
+		p.OnFailure(failure, 0, 0.5)
+	}
+	for range 20 {
+		if backoff, _ := p.OnFailure(ConnectionLost, 0, 1); backoff > maxLostSpan {
+			t.Errorf("after lost connections it backs off for %v", backoff)
+		}
+	}
+	kind, recovered := p.OnUpdate(9, false)
+	if kind != policy.CompleteUpdate || !recovered {
+		t.Errorf("took the complete list as %v (recovered: %v)", kind, recovered)
+	}
+	backoff, first := p.OnFailure(ConnectionLost, 0, 1)
+	if !first || backoff > firstSpan || p.NextPoll().SinceVersion != 9 {
+		t.Errorf("then backs off for %v (first: %v), then %+v", backoff, first, p.NextPoll())
+	}
+}
