--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -1,45 +1,90 @@
-// Package counters counts what a node takes in, sends and answers.
 package metrics
 
 import "dahliapin/policy"
 
-// Counters are counted by one loop; a copy may be read anywhere.
+// Counters count events since the start of a node. They are one flat list, as each is shown to operators by a name of
+// its own. One goroutine writes them; a copy may be read anywhere.
 type Counters struct {
-	Clients, Requests, Malformed                  uint64 // connections taken, requests taken, commands that were none
-	Satisfied, Rejected, Failed                   uint64 // final answers
-	RejectedForRoom, ClientsGone, Overdue         uint64 // rejected for want of room; clients that went before the answer, or said nothing whole in time
-	Attempts, Dials, Reused, HealthChecks         uint64 // sent; connections opened for them, or used again; caches checked
-	EndpointUpdates, Reconnects, DiscoveryChanges uint64 // lists heard; new calls after one that failed; new addresses to call
-	IdleClosed, ClosedForRoom, ProtocolErrors     uint64 // connections closed when idle, to make room, for a wrong answer
-	Level, Shed                                   uint64 // the service level, 0 for normal, and requests that levels turned away
-	ServerFull                                    uint64 // connections that a cache had no room for, though it lives
-	ClientsGoneUnsent                             uint64 // of the clients that went, those of whose request nothing had been sent on
-	Stalls, LongestIterationMs                    uint64 // iterations of the event loop that took too long; the longest one, in milliseconds
-	AnsweredLate                                  uint64 // final answers given after their request's deadline
-	Outcomes                                      [policy.CacheMiss + 1]uint64
+	// Clients and their requests.
+	Clients           uint64 // connections accepted
+	Requests          uint64 // requests received
+	Malformed         uint64 // commands that could not be read
+	ClientsGone       uint64 // clients that closed before their response
+	ClientsGoneUnsent uint64 // of these, those of whose request nothing had been sent to a server
+	Overdue           uint64 // connections that sent no complete request in time
+
+	// Responses.
+	Satisfied       uint64 // requests answered with a result
+	Rejected        uint64 // requests rejected, which have not run
+	Failed          uint64 // requests that failed
+	RejectedForRoom uint64 // of those rejected, the ones for want of memory or connections
+	AnsweredLate    uint64 // responses after the request's deadline
+	Level           uint64 // the degradation level, not a count: 0 is normal operation
+	Shed            uint64 // requests rejected by the degradation level
+
+	// Servers and their connections.
+	Attempts       uint64                       // attempts sent
+	Dials          uint64                       // connections opened for attempts
+	Reused         uint64                       // idle connections used for attempts
+	HealthChecks   uint64                       // health checks made
+	IdleClosed     uint64                       // connections closed as they were idle
+	ClosedForRoom  uint64                       // connections closed to make room for others
+	ProtocolErrors uint64                       // connections closed after an answer that breaks the protocol
+	ServerFull     uint64                       // connections that a live server had no room for
+	Outcomes       [policy.CacheMiss + 1]uint64 // attempts by their result
+
+	// Discovery.
+	EndpointUpdates  uint64 // endpoint lists received
+	Reconnects       uint64 // polls after one that failed
+	DiscoveryChanges uint64 // changes of discovery's address
+
+	// The event loop.
+	Stalls             uint64 // iterations that took too long
+	LongestIterationMs uint64 // the longest iteration, in milliseconds
 }
 
-var endings = [policy.CacheMiss + 1]string{policy.Answered: "answered", policy.Errored: "errored",
-	policy.Rejected: "turned_away", policy.TimedOut: "timed_out", policy.ConnectFailed: "unconnected",
-	policy.ConnectionBroken: "broken", policy.Cancelled: "cancelled", policy.NotSent: "never_sent", policy.CacheMiss: "missed"}
-
-// Each calls f for every counter, always in the same order.
-func (c *Counters) Each(f func(name string, n uint64)) {
-	for _, row := range []struct {
-		name string
-		n    uint64
-	}{
-		{"clients", c.Clients}, {"requests", c.Requests}, {"malformed", c.Malformed},
-		{"satisfied", c.Satisfied}, {"rejected", c.Rejected}, {"failed", c.Failed},
-		{"crowded", c.RejectedForRoom}, {"left", c.ClientsGone}, {"left_waiting", c.ClientsGoneUnsent}, {"overdue", c.Overdue}, {"legs", c.Attempts}, {"dials", c.Dials}, {"reused", c.Reused},
-		{"probes", c.HealthChecks}, {"lists", c.EndpointUpdates}, {"reconnects", c.Reconnects}, {"moves", c.DiscoveryChanges},
-		{"idle_closed", c.IdleClosed}, {"room_closed", c.ClosedForRoom}, {"strange", c.ProtocolErrors},
-		{"full", c.ServerFull}, {"level", c.Level}, {"shed", c.Shed},
-		{"stalls", c.Stalls}, {"longest_iteration_ms", c.LongestIterationMs}, {"answered_late", c.AnsweredLate},
-	} {
-		f(row.name, row.n)
-	}
-	for how, n := range c.Outcomes {
-		f("legs_"+endings[how], n)
+// outcomeNames are the operators' words for the results of attempts.
+var outcomeNames = [policy.CacheMiss + 1]string{
+	policy.Answered:         "answered",
+	policy.Errored:          "errored",
+	policy.Rejected:         "turned_away",
+	policy.TimedOut:         "timed_out",
+	policy.ConnectFailed:    "unconnected",
+	policy.ConnectionBroken: "broken",
+	policy.Cancelled:        "cancelled",
+	policy.NotSent:          "never_sent",
+	policy.CacheMiss:        "missed",
+}
+
+// Each calls f for every counter with the operators' name of it, always in the same order.
+func (c *Counters) Each(f func(name string, count uint64)) {
+	f("clients", c.Clients)
+	f("requests", c.Requests)
+	f("malformed", c.Malformed)
+	f("satisfied", c.Satisfied)
+	f("rejected", c.Rejected)
+	f("failed", c.Failed)
+	f("crowded", c.RejectedForRoom)
+	f("left", c.ClientsGone)
+	f("left_waiting", c.ClientsGoneUnsent)
+	f("overdue", c.Overdue)
+	f("legs", c.Attempts)
+	f("dials", c.Dials)
+	f("reused", c.Reused)
+	f("probes", c.HealthChecks)
+	f("lists", c.EndpointUpdates)
+	f("reconnects", c.Reconnects)
+	f("moves", c.DiscoveryChanges)
+	f("idle_closed", c.IdleClosed)
+	f("room_closed", c.ClosedForRoom)
+	f("strange", c.ProtocolErrors)
+	f("full", c.ServerFull)
+	f("level", c.Level)
+	f("shed", c.Shed)
+	f("stalls", c.Stalls)
+	f("longest_iteration_ms", c.LongestIterationMs)
+	f("answered_late", c.AnsweredLate)
+	for result, count := range c.Outcomes {
+		f("legs_"+outcomeNames[result], count)
 	}
 }
