--- a/internal/proxy/admin/server_test.go
+++ b/internal/proxy/admin/server_test.go
@@ -3,10 +3,12 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -16,40 +18,52 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// standIn is a node whose answers a test sets.
-type standIn struct {
-	sheet metrics.Snapshot
-	err   error
-	calls string
+// fakeNode is a node whose answers a test sets.
+type fakeNode struct {
+	snapshot metrics.Snapshot
+	err      error // of commands
+	commands []string
 }
 
-func (s *standIn) Metrics() *metrics.Snapshot { return &s.sheet }
+func (n *fakeNode) Metrics() *metrics.Snapshot { return &n.snapshot }
 
-func (s *standIn) Standby(context.Context) error { s.calls += "standby "; return s.err }
+func (n *fakeNode) Standby(context.Context) error {
+	n.commands = append(n.commands, "standby")
+	return n.err
+}
 
-func (s *standIn) Active(ctx context.Context) error {
-	if s.calls += "active "; s.err == context.DeadlineExceeded { // the loop hangs
+// Active waits for its context's end if the error is context.DeadlineExceeded, as for a loop that is stuck.
+func (n *fakeNode) Active(ctx context.Context) error {
+	n.commands = append(n.commands, "active")
+	if errors.Is(n.err, context.DeadlineExceeded) {
 		<-ctx.Done()
 	}
-	return s.err
+	return n.err
+}
+
+// servingNode returns a node whose snapshot does not get stale within a test.
+func servingNode() *fakeNode {
+	return &fakeNode{snapshot: metrics.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving"}}
 }
 
-func open(t *testing.T, n Node, f ...Fleet) string {
-	d, err := Open("127.0.0.1:0")
+// serveAdmin serves a node, and a fleet unless it is nil, and returns the address.
+func serveAdmin(t *testing.T, node Node, fleet Fleet) string {
+	t.Helper()
+	server, err := Open("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	var fleet Fleet
-	if len(f) > 0 {
-		fleet = f[0]
-	}
-	d.Serve(n, fleet, quiet)
-	t.Cleanup(d.Close)
-	return d.Addr()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	server.Serve(node, fleet, log)
+	t.Cleanup(server.Close)
+	return server.Addr()
 }
 
+// requestHead returns the first lines of a request. Further headers and an empty line have to follow.
+func requestHead(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: n\r\n" }
+
+// call sends the text of a request and returns the response.
 func call(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -59,65 +73,97 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, text)
-	a, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("%.30q: %v", text, err)
 	}
-	said, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(said)
+	content, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(content)
 }
 
-// Each answer is yes or no for a reason of its own; a loop that hangs is no yes, and no call waits for it.
-func TestCallsAreAnsweredForTheNodeAsItStands(t *testing.T) {
-	n := &standIn{sheet: metrics.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving", Pending: 3, Members: 2,
-		Classes: []metrics.ClassSnapshot{{Name: "a.b:c|d e\n", Satisfied: 812, Rejected: 1, Failed: 2}}}}
-	addr := open(t, n)
-	head := func(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: n\r\n" }
-	for text, want := range map[string]int{head("GET", "/status") + "\r\n": 200, head("GET", "/status/metrics") + "\r\n": 200,
-		head("PUT", "/standby") + "\r\n": 200, head("PUT", "/active") + "\r\n": 200, head("GET", "/standby") + "\r\n": 405,
-		head("GET", "/") + "\r\n": 404, head("PUT", "/standby") + "Content-Length: 9999\r\n\r\n": 413,
-		head("GET", "/status") + "X: " + strings.Repeat("x", 16<<10) + "\r\n\r\n": 431, "nothing of the kind\r\n\r\n": 400} {
-		if got, said := call(t, addr, text); got != want {
-			t.Errorf("%.40q: %d %q, want %d", text, got, said, want)
-		}
+func TestEachCallHasItsStatus(t *testing.T) {
+	node := servingNode()
+	addr := serveAdmin(t, node, nil)
+	for _, test := range []struct {
+		name, text string
+		want       int
+	}{
+		{"status", requestHead("GET", "/status") + "\r\n", 200},
+		{"metrics", requestHead("GET", "/status/metrics") + "\r\n", 200},
+		{"standby", requestHead("PUT", "/standby") + "\r\n", 200},
+		{"active", requestHead("PUT", "/active") + "\r\n", 200},
+		{"another method", requestHead("GET", "/standby") + "\r\n", 405},
+		{"unknown path", requestHead("GET", "/") + "\r\n", 404},
+		{"long body", requestHead("PUT", "/standby") + "Content-Length: 9999\r\n\r\n", 413},
+		{"long header", requestHead("GET", "/status") + "X: " + strings.Repeat("x", 16<<10) + "\r\n\r\n", 431},
+		{"no HTTP", "nothing of the kind\r\n\r\n", 400},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if status, body := call(t, addr, test.text); status != test.want {
+				t.Errorf("%.40q: %d %q, want %d", test.text, status, body, test.want)
+			}
+		})
 	}
-	if n.calls != "standby active " && n.calls != "active standby " {
-		t.Errorf("the node was told %q", n.calls)
+	if !slices.Equal(node.commands, []string{"standby", "active"}) {
+		t.Errorf("the node got the commands %q", node.commands)
 	}
-	_, said := call(t, addr, head("GET", "/status/metrics")+"\r\n")
-	want := "svc.downstream_requests.a_b_c_d_e_.completed:812|c\nsvc.downstream_requests.a_b_c_d_e_.rejected:1|c\n" +
-		"svc.downstream_requests.a_b_c_d_e_.failed:2|c\nsvc.upstream_requests:0|c\nsvc.pending:3|g\nsvc.members:2|g\nsvc.members_unavailable:0|g\n"
-	if said != want {
-		t.Errorf("figures: %q", said)
+}
+
+// A class's name must not end its metric's name or line.
+func TestMetricsAreOneALine(t *testing.T) {
+	node := servingNode()
+	node.snapshot.Pending = 3
+	node.snapshot.Members = 2
+	node.snapshot.Classes = []metrics.ClassSnapshot{{Name: "a.b:c|d e\n", Satisfied: 812, Rejected: 1, Failed: 2}}
+	_, body := call(t, serveAdmin(t, node, nil), requestHead("GET", "/status/metrics")+"\r\n")
+	want := "svc.downstream_requests.a_b_c_d_e_.completed:812|c\n" +
+		"svc.downstream_requests.a_b_c_d_e_.rejected:1|c\n" +
+		"svc.downstream_requests.a_b_c_d_e_.failed:2|c\n" +
+		"svc.upstream_requests:0|c\nsvc.pending:3|g\nsvc.members:2|g\nsvc.members_unavailable:0|g\n"
+	if body != want {
+		t.Errorf("metrics: %q", body)
 	}
-	for _, c := range []struct {
-		change func()
+}
+
+// A node in standby, one whose event loop is stuck and one that ends each say so by a status of their own, and no call
+// waits for a loop that is stuck.
+func TestNodeThatDoesNotServeSaysSo(t *testing.T) {
+	status := requestHead("GET", "/status") + "\r\n"
+	standby := requestHead("PUT", "/standby") + "\r\n"
+	active := requestHead("PUT", "/active") + "\r\n"
+	for _, test := range []struct {
+		name   string
+		change func(*fakeNode)
 		text   string
 		want   int
 	}{
-		{func() { n.sheet.Serving, n.sheet.Phase = false, "standby" }, head("GET", "/status") + "\r\n", 503},
-		{func() { n.sheet.Serving, n.sheet.At = true, time.Now().Add(-staleAfter) }, head("GET", "/status") + "\r\n", 503},
-		{func() { n.err = ErrEnding }, head("PUT", "/standby") + "\r\n", 409},
-		{func() { n.err = context.DeadlineExceeded }, head("PUT", "/active") + "\r\n", 503},
+		{"standby", func(n *fakeNode) { n.snapshot.Serving, n.snapshot.Phase = false, "standby" }, status, 503},
+		{"stale metrics", func(n *fakeNode) { n.snapshot.At = time.Now().Add(-staleAfter) }, status, 503},
+		{"ending", func(n *fakeNode) { n.err = ErrEnding }, standby, 409},
+		{"stuck loop", func(n *fakeNode) { n.err = context.DeadlineExceeded }, active, 503},
 	} {
-		c.change()
-		if got, said := call(t, addr, c.text); got != c.want {
-			t.Errorf("%.20q: %d %q, want %d", c.text, got, said, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			node := servingNode()
+			test.change(node)
+			if status, body := call(t, serveAdmin(t, node, nil), test.text); status != test.want {
+				t.Errorf("%.20q: %d %q, want %d", test.text, status, body, test.want)
+			}
+		})
 	}
 }
 
-// Callers that say nothing, or half a call, stay for seconds: an honest one is answered among a hundred of them, and they do not
-// take more connections than they may.
-func TestAnHonestCallIsAnsweredAmongThoseWhoSayNothing(t *testing.T) {
-	addr := open(t, &standIn{sheet: metrics.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving"}})
-	ended := make(chan bool, 100)
-	for i := range 100 {
+// Callers that send nothing, or half a request, stay for seconds. An honest call is answered among a hundred of them,
+// and they do not take more connections than they may.
+func TestHonestCallIsAnsweredAmongIdleConnections(t *testing.T) {
+	const idle = 100
+	addr := serveAdmin(t, servingNode(), nil)
+	ended := make(chan bool, idle)
+	for i := range idle {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		t.Cleanup(func() { c.Close() })
 		if i%2 == 0 {
 			fmt.Fprint(c, "GET /sta")
 		}
@@ -126,39 +172,45 @@
 			ended <- true
 		}()
 	}
-	if got, _ := call(t, addr, "GET /status HTTP/1.1\r\nHost: n\r\n\r\n"); got != 200 {
-		t.Error(got)
+	if status, _ := call(t, addr, requestHead("GET", "/status")+"\r\n"); status != 200 {
+		t.Error(status)
 	}
-	for range 100 - MaxConnections { // at once, not once their time is up
+	for range idle - MaxConnections { // at once, and not only once their time is up
 		select {
 		case <-ended:
-		case <-time.After(headBy / 2):
-			t.Fatal("more stay than may")
+		case <-time.After(readTimeout / 2):
+			t.Fatal("more connections stay than may")
 		}
 	}
 }
 
-// others is a fleet whose answers a test sets.
-type others struct{ whole bool }
+// fakeFleet is a fleet whose answers a test sets.
+type fakeFleet struct{ connected bool }
 
-func (o others) FleetStatus() (any, bool) { return map[string]int{"members": 5}, o.whole }
-func (o others) FleetMembers() any        { return []string{"n1"} }
+func (f fakeFleet) FleetStatus() (any, bool) { return map[string]int{"members": 5}, f.connected }
+func (f fakeFleet) FleetMembers() any        { return []string{"n1"} }
 
-// A node that is cut off says so by its status, as scripts look at that; one that knows of no others has no such calls.
+// A node that is cut off from the fleet says so by its status, as scripts look at that. One without a fleet has no such
+// calls.
 func TestCallsAboutTheFleet(t *testing.T) {
-	for _, c := range []struct {
-		at     string
+	for _, test := range []struct {
+		name   string
+		fleet  Fleet
 		path   string
 		status int
 		body   string
 	}{
-		{open(t, &standIn{}, others{true}), "/fleet/status", 200, `{"members":5}`},
-		{open(t, &standIn{}, others{false}), "/fleet/status", 503, `{"members":5}`},
-		{open(t, &standIn{}, others{}), "/fleet/members", 200, `["n1"]`},
-		{open(t, &standIn{}), "/fleet/members", 404, "404 page not found"},
+		{"connected", fakeFleet{true}, "/fleet/status", 200, `{"members":5}`},
+		{"cut off", fakeFleet{false}, "/fleet/status", 503, `{"members":5}`},
+		{"members", fakeFleet{}, "/fleet/members", 200, `["n1"]`},
+		{"no fleet", nil, "/fleet/members", 404, "404 page not found"},
 	} {
-		if status, body := call(t, c.at, "GET "+c.path+" HTTP/1.1\r\nHost: n\r\n\r\n"); status != c.status || strings.TrimSpace(body) != c.body {
-			t.Errorf("%s: %d %q, want %d %q", c.path, status, body, c.status, c.body)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			addr := serveAdmin(t, &fakeNode{}, test.fleet)
+			status, body := call(t, addr, requestHead("GET", test.path)+"\r\n")
+			if status != test.status || strings.TrimSpace(body) != test.body {
+				t.Errorf("%s: %d %q, want %d %q", test.path, status, body, test.status, test.body)
+			}
+		})
 	}
 }
