--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -14,8 +14,9 @@
 	"dahliapin/internal/golden"
 )
 
-// A process of an earlier version is replaced by one of this, and the other way round: both sides of the conversation are as recorded.
-func TestTheConversationOfAHandoverIsAsRecorded(t *testing.T) {
+// A process of an earlier version is replaced by one of this version, and the other way round: both sides of the
+// conversation are as recorded.
+func TestConversationIsAsRecorded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,12 +38,28 @@
 	if _, err := c.Write([]byte(hello)); err != nil {
 		t.Fatal(err)
 	}
-	text, rights := make([]byte, 1024), make([]byte, unix.CmsgSpace(16))
-	n, k, _, _, err := c.ReadMsgUnix(text, rights)
+	text, sockets := receiveSockets(t, c)
+	answer := strings.ReplaceAll(text, listener.Addr().String(), "ADDRESS")
+	fmt.Fprintf(&got, "successor %q, answer %q with %d sockets, stage %d\n", hello, answer, sockets, <-stages)
+	if _, err := c.Write([]byte(serving)); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&got, "successor %q, stage %d\n", serving, <-stages)
+	_ = c.Close()
+	fmt.Fprintf(&got, "successor gone, stage %d\n", <-stages)
+	golden.Check(t, "conversation.txt", []byte(got.String()))
+}
+
+// receiveSockets receives the old process's answer, and closes the sockets in it.
+func receiveSockets(t *testing.T, c *net.UnixConn) (text string, sockets int) {
+	t.Helper()
+	buffer := make([]byte, 1024)
+	rights := make([]byte, unix.CmsgSpace(16))
+	textSize, rightsSize, _, _, err := c.ReadMsgUnix(buffer, rights)
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, err := unix.ParseSocketControlMessage(rights[:k])
+	messages, err := unix.ParseSocketControlMessage(rights[:rightsSize])
 	if err != nil || len(messages) != 1 {
 		t.Fatal(messages, err)
 	}
@@ -53,42 +70,32 @@
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
-	said := strings.ReplaceAll(string(text[:n]), listener.Addr().String(), "ADDRESS")
-	fmt.Fprintf(&got, "successor %q, answer %q with %d sockets, stage %d\n", hello, said, len(fds), <-stages)
-	if _, err := c.Write([]byte(serving)); err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprintf(&got, "successor %q, stage %d\n", serving, <-stages)
-	_ = c.Close()
-	fmt.Fprintf(&got, "successor gone, stage %d\n", <-stages)
-	golden.Check(t, "conversation.txt", []byte(got.String()))
-	takenFrom(t, path)
+	return string(buffer[:textSize]), len(fds)
 }
 
-// takenFrom has this version take the place of one that says what is recorded.
-func takenFrom(t *testing.T, path string) {
-	t.Helper()
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path + "2", Net: "unix"})
+// A successor of this version sends the greeting that was recorded, and refuses an answer without sockets.
+func TestSuccessorSendsTheGreeting(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "offer")
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	heard := make(chan string, 2)
+	defer socket.Close()
+	lines := make(chan string, 2)
 	go func() {
-		c, err := l.AcceptUnix()
+		c, err := socket.AcceptUnix()
 		if err != nil {
 			return
 		}
 		defer c.Close()
-		r := bufio.NewReader(c)
-		line, _ := r.ReadString('\n')
-		heard <- line
+		line, _ := bufio.NewReader(c).ReadString('\n')
+		lines <- line
 		_, _, _ = c.WriteMsgUnix([]byte(""), nil, nil)
 	}()
-	if taken, err := Inherit(path + "2"); err == nil {
-		t.Errorf("took %v of a process that hands over nothing", taken)
+	if inherited, err := Inherit(path); err == nil {
+		t.Errorf("inherited %v from a process that hands over nothing", inherited)
 	}
-	if line := <-heard; line != hello {
-		t.Errorf("the successor said %q", line)
+	if line := <-lines; line != hello {
+		t.Errorf("the successor sent %q", line)
 	}
 }
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -3,119 +3,166 @@
 import (
 	"net"
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 )
 
+// patience is how long a test waits for what must happen.
 const patience = 10 * time.Second
 
-func offer(t *testing.T, path string) (net.Listener, chan Stage, *Offer) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// offerListener offers a new listener at a path.
+func offerListener(t *testing.T, path string) (net.Listener, chan Stage, *Offer) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	heard := make(chan Stage, 9)
-	o, err := Open(path, []net.Listener{l}, func(s Stage) { heard <- s })
+	t.Cleanup(func() { listener.Close() })
+	stages := make(chan Stage, 9)
+	offer, err := Open(path, []net.Listener{listener}, func(s Stage) { stages <- s })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(o.Close)
-	return l, heard, o
+	t.Cleanup(offer.Close)
+	return listener, stages, offer
 }
 
-func expect(t *testing.T, heard chan Stage, want Stage) {
+// inherit takes over the one listener that is offered at a path.
+func inherit(t *testing.T, path string) *Inherited {
+	t.Helper()
+	inherited, err := Inherit(path)
+	if err != nil || inherited == nil || len(inherited.Listeners) != 1 {
+		t.Fatal(inherited, err)
+	}
+	return inherited
+}
+
+func expectStage(t *testing.T, stages chan Stage, want Stage) {
 	t.Helper()
 	select {
-	case got := <-heard:
+	case got := <-stages:
 		if got != want {
-			t.Fatalf("heard %v, want %v", got, want)
+			t.Fatalf("stage %v, want %v", got, want)
 		}
 	case <-time.After(patience):
-		t.Fatalf("never heard %v", want)
+		t.Fatalf("stage %v was never reached", want)
 	}
 }
 
-// What waits in the old process's queue when it closes would be reset; by the same socket it is the newcomer's. A newcomer that goes
-// before its time leaves the old one as it was, and only one at a time may come.
-func TestWhatWaitsForTheOldProcessIsTheNewOnes(t *testing.T) {
-	folder := t.TempDir() + "/" + strings.Repeat("long", longestPath/4) // more than the name of a socket may have
+// longFolder makes a folder whose path is longer than the name of a Unix socket may be.
+func longFolder(t *testing.T) string {
+	t.Helper()
+	folder := filepath.Join(t.TempDir(), strings.Repeat("long", maxPathSize/4))
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	path := Path(folder, "127.0.0.1:7")
-	l, heard, o := offer(t, path)
-	for range 2 { // the first goes before it serves
-		n, err := Inherit(path)
-		if err != nil || n == nil || len(n.Listeners) != 1 {
-			t.Fatal(n, err)
-		}
-		expect(t, heard, SocketsSent)
+	return folder
+}
+
+// A successor may go before it serves. The old process goes on as before, and can be replaced again; while there is a
+// successor, a third process gets nothing.
+func TestOneSuccessorAtATimeAndItMayGo(t *testing.T) {
+	path := Path(longFolder(t), "127.0.0.1:7")
+	_, stages, _ := offerListener(t, path)
+	for range 2 {
+		successor := inherit(t, path)
+		expectStage(t, stages, SocketsSent)
 		if third, err := Inherit(path); err == nil {
-			t.Error("a third came while the second had not served", third)
+			t.Error("a third got the sockets while the second had not served", third)
 		}
-		n.Close()
-		expect(t, heard, SuccessorGone)
+		successor.Close()
+		expectStage(t, stages, SuccessorGone)
 	}
-	n, err := Inherit(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer n.Close()
-	expect(t, heard, SocketsSent)
-	n.Serving()
-	expect(t, heard, SuccessorServing)
-	c, err := net.Dial("tcp", l.Addr().String())
+	inherit(t, path).Close()
+	expectStage(t, stages, SocketsSent)
+}
+
+// Connections that wait in the old process's queue when it closes would be reset. As both hold the same socket, they
+// are the successor's.
+func TestConnectionsThatWaitAreTheSuccessors(t *testing.T) {
+	path := Path(longFolder(t), "127.0.0.1:7")
+	listener, stages, offer := offerListener(t, path)
+	successor := inherit(t, path)
+	defer successor.Close()
+	expectStage(t, stages, SocketsSent)
+	successor.Serving()
+	expectStage(t, stages, SuccessorServing)
+
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	gone := make(chan bool)
-	go func() { n.Wait(); close(gone) }()
-	l.Close()
-	o.Close()
+	go func() {
+		successor.Wait()
+		close(gone)
+	}()
+	listener.Close()
+	offer.Close()
 	select {
 	case <-gone:
 	case <-time.After(patience):
-		t.Fatal("the old one's end was not noticed")
+		t.Fatal("the old process's end was not noticed")
 	}
-	in, err := n.Listeners[l.Addr().String()].Accept()
+	accepted, err := successor.Listeners[listener.Addr().String()].Accept()
 	if err != nil {
-		t.Fatal("what waited is lost", err)
+		t.Fatal("the connection that waited is lost", err)
 	}
-	in.Close()
+	accepted.Close()
 }
 
-// A folder that is missing or holds a killed process's rubbish, and an old process that hangs, leave a node to start as any.
-func TestWhereNothingCanBeTakenItIsSaidInTime(t *testing.T) {
+// Where no process can be replaced, a node starts as any: the folder is missing, or holds the socket of a killed
+// process or something else.
+func TestWithoutAnOfferNothingIsInherited(t *testing.T) {
 	folder := t.TempDir()
-	if n, err := Inherit(folder + "/none.sock"); n != nil || err != nil {
-		t.Error(n, err)
-	}
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: folder + "/killed.sock", Net: "unix"})
-	if err != nil {
+	killed := killedSocket(t, folder)
+	rubbish := filepath.Join(folder, "rubbish.sock")
+	if err := os.WriteFile(rubbish, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l.SetUnlinkOnClose(false)
-	l.Close()
-	if n, err := Inherit(folder + "/killed.sock"); n != nil || err != nil {
-		t.Error(n, err)
-	}
-	os.WriteFile(folder+"/rubbish.sock", []byte("x"), 0o600)
-	if n, err := Inherit(folder + "/rubbish.sock"); n != nil || err != nil {
-		t.Error(n, err)
+	missingFolder := filepath.Join(folder, "none", strings.Repeat("long", maxPathSize/4))
+	for _, test := range []struct{ name, path string }{
+		{"no file", filepath.Join(folder, "none.sock")},
+		{"killed process", killed},
+		{"no socket", rubbish},
+		{"no folder", Path(missingFolder, "127.0.0.1:7")},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if inherited, err := Inherit(test.path); inherited != nil || err != nil {
+				t.Error(inherited, err)
+			}
+		})
 	}
-	hangs, err := net.Listen("unix", folder+"/hangs.sock")
+}
+
+func TestOldProcessThatHangsIsGivenUp(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "hangs.sock")
+	silent, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangs.Close()
-	if n, err := Inherit(folder + "/hangs.sock"); n != nil || err == nil {
-		t.Error("took from one that says nothing")
+	defer silent.Close()
+	if inherited, err := Inherit(path); inherited != nil || err == nil {
+		t.Error("inherited from a process that sends nothing")
 	}
-	if n, err := Inherit(Path(folder+"/none/"+strings.Repeat("long", longestPath/4), "127.0.0.1:7")); n != nil || err != nil {
-		t.Error(n, err)
+}
+
+func TestOfferReplacesTheSocketOfAKilledProcess(t *testing.T) {
+	offerListener(t, killedSocket(t, t.TempDir()))
+}
+
+// killedSocket leaves a socket behind as a killed process does.
+func killedSocket(t *testing.T, folder string) string {
+	t.Helper()
+	path := filepath.Join(folder, "killed.sock")
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
 	}
-	offer(t, folder+"/killed.sock") // over the rubbish
+	socket.SetUnlinkOnClose(false)
+	socket.Close()
+	return path
 }
