--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -73,11 +73,11 @@
 			ask(slow, "Oslow")
 			wait(g.t, g.lines)
 			var half []net.Conn // commands that have not come whole keep their connections
-			for n := g.Counters().Clients; !g.engine.Crowded(); n++ {
+			for n := g.Counters().Clients; !g.engine.ClientsWait(); n++ {
 				c, _ := g.client()
 				fmt.Fprint(c, "mg k")
 				half = append(half, c)
-				g.until("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.engine.Crowded() })
+				g.until("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.engine.ClientsWait() })
 			}
 			c, _ := g.client()
 			ask(c, "Ox")
@@ -86,7 +86,7 @@
 				for _, c := range half {
 					c.Close()
 				}
-				for g.engine.Crowded() {
+				for g.engine.ClientsWait() {
 				}
 			})
 		},
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -31,7 +31,7 @@
 // clientConn is a connection that somebody opened to this node.
 type clientConn struct {
 	id              clientConnID
-	wire            *sockets.Wire
+	wire            *sockets.Conn
 	codec           downstreamCodec
 	buf             buffer.Buffer
 	progress        http1.Progress // of the command that is coming
@@ -77,7 +77,7 @@
 }
 
 func (p *Proxy) onClientConnected(ev *sockets.Event) {
-	client := &clientConn{wire: ev.Wire, codec: p.codecs[ev.Wire.At], lastUsedAt: p.instantOf(ev.At), incompleteSince: p.instantOf(ev.At)}
+	client := &clientConn{wire: ev.Conn, codec: p.codecs[ev.Conn.Listener], lastUsedAt: p.instantOf(ev.At), incompleteSince: p.instantOf(ev.At)}
 	client.id = p.clients.Add(client)
 	client.wire.Tag = uint64(client.id)
 	p.counters.Clients++
@@ -89,11 +89,11 @@
 
 // tooManyClients tells whether they take what links need: half, or more while there are few links.
 func (p *Proxy) tooManyClients() bool {
-	most := p.engine.Most()
+	most := p.engine.MaxClients()
 	return p.clients.Len() > max(most-p.maxUpstreamConns(), most-most/spareDescriptorShare-p.conns.Len())
 }
 
-func (p *Proxy) maxUpstreamConns() int { return p.engine.Most() / upstreamShare }
+func (p *Proxy) maxUpstreamConns() int { return p.engine.MaxClients() / upstreamShare }
 
 func (p *Proxy) onClientData(id clientConnID, data []byte, at policy.Instant) {
 	client := p.clients.Get(id)
@@ -156,7 +156,7 @@
 	now := p.now()
 	p.timers.Push(now.Add(sweepInterval), timerEvent{sweep: true})
 	p.publishMetrics()
-	p.engine.Ahead(p.Memory / readAheadShare / int64(1+p.conns.Len()))
+	p.engine.SetReadAhead(p.Memory / readAheadShare / int64(1+p.conns.Len()))
 	var idle []*clientConn
 	p.clients.Each(func(_ clientConnID, client *clientConn) {
 		switch late := client.incompleteSince != 0 && now.Since(client.incompleteSince) >= commandTimeout; {
@@ -175,7 +175,7 @@
 		}
 	})
 	slices.SortFunc(idle, compareByUse(2))
-	excess := len(idle) - p.engine.Most()/idleClientShare
+	excess := len(idle) - p.engine.MaxClients()/idleClientShare
 	for i, client := range idle {
 		if (i < excess || now.Since(client.lastUsedAt) >= clientIdleTimeout) && p.closeIfQuiet(client) {
 			p.counters.IdleClosed++
@@ -333,7 +333,7 @@
 	if p.phase != Draining && p.phase != Standby || client.incompleteBytes > 0 || client.closing {
 		return
 	}
-	if quiet, _ := client.wire.Quiet(); quiet {
+	if quiet, _ := client.wire.Idle(); quiet {
 		slot.response, client.closing = client.codec.announceClose(slot.response)
 	}
 }
@@ -352,7 +352,7 @@
 
 // closeIfQuiet closes a client between commands; one whose next is on its way through the queue stays.
 func (p *Proxy) closeIfQuiet(client *clientConn) bool {
-	if !client.wire.CloseIfQuiet() {
+	if !client.wire.CloseIfIdle() {
 		return false
 	}
 	p.forgetClient(client)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -296,7 +296,7 @@
 		p.beginIteration(len(events))
 		p.handleEvents(events)
 		p.fireTimers()
-		for p.engine.Crowded() && p.freeDescriptor() {
+		for p.engine.ClientsWait() && p.freeDescriptor() {
 			p.runDeferred()
 		}
 		now := p.now()
@@ -326,7 +326,7 @@
 func (p *Proxy) handleEvents(events []sockets.Event) {
 	for i := range events {
 		ev := &events[i]
-		if ev.Wire != nil && ev.Wire.Out && upstreamConnID(ev.Wire.Tag) == p.watch.conn {
+		if ev.Conn != nil && ev.Conn.Dialed && upstreamConnID(ev.Conn.Tag) == p.watch.conn {
 			p.handleEvent(ev)
 			ev.Handled = true
 		}
@@ -353,22 +353,22 @@
 }
 
 func (p *Proxy) handleEvent(ev *sockets.Event) {
-	switch ev.What {
+	switch ev.Kind {
 	case sockets.Opened:
 		p.onClientConnected(ev)
 	case sockets.Connected, sockets.Refused:
 		p.onDialResult(ev)
 	case sockets.Data:
-		if ev.Wire.Out {
-			p.onUpstreamData(upstreamConnID(ev.Wire.Tag), ev.Bytes())
+		if ev.Conn.Dialed {
+			p.onUpstreamData(upstreamConnID(ev.Conn.Tag), ev.Bytes())
 		} else {
-			p.onClientData(clientConnID(ev.Wire.Tag), ev.Bytes(), p.instantOf(ev.At))
+			p.onClientData(clientConnID(ev.Conn.Tag), ev.Bytes(), p.instantOf(ev.At))
 		}
 	case sockets.Closed:
-		if ev.Wire.Out {
-			p.onUpstreamClosed(upstreamConnID(ev.Wire.Tag), ev.Lost > 0, ev.Orderly)
+		if ev.Conn.Dialed {
+			p.onUpstreamClosed(upstreamConnID(ev.Conn.Tag), ev.Lost > 0, ev.Orderly)
 		} else {
-			p.onClientClosed(clientConnID(ev.Wire.Tag))
+			p.onClientClosed(clientConnID(ev.Conn.Tag))
 		}
 	}
 	p.runDeferred()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -319,7 +319,7 @@
 		old := in.idleConns[0]
 		io.WriteString(c, "MN\r\n") // it can't be taken while this runs
 		for w := g.conns.Get(old).wire; ; {
-			if quiet, sure := w.Quiet(); sure && !quiet {
+			if quiet, sure := w.Idle(); sure && !quiet {
 				break
 			}
 		}
@@ -476,7 +476,7 @@
 		g.expect(r, fmt.Sprintf("VA 5 Ob%d", n), "hello")
 		once = append(once, r)
 	}
-	g.until("few are left", func(n metrics.Counters) bool { return int(n.IdleClosed) >= 31-g.engine.Most()/idleClientShare })
+	g.until("few are left", func(n metrics.Counters) bool { return int(n.IdleClosed) >= 31-g.engine.MaxClients()/idleClientShare })
 	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("closed with: %v", err)
 	}
--- a/internal/proxy/sockets/sockets_test.go
+++ b/internal/proxy/sockets/sockets_test.go
@@ -23,15 +23,15 @@
 }
 
 // until takes events until one of this kind has come, and returns that and the bytes that came before.
-func until(t *testing.T, e *Engine, what What) (Event, []byte) {
+func until(t *testing.T, e *Engine, what EventKind) (Event, []byte) {
 	t.Helper()
 	var data []byte
 	for by := time.After(patience); ; {
 		for _, ev := range e.Take() {
-			if ev.What == Data {
+			if ev.Kind == Data {
 				data = append(data, ev.Bytes()...)
 			}
-			if ev.What == what {
+			if ev.Kind == what {
 				return ev, data
 			}
 		}
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	ev, _ := until(t, e, Connected)
-	if ev.Dial != 7 || ev.Wire.Write([]byte("hello")) != nil {
+	if ev.DialID != 7 || ev.Conn.Write([]byte("hello")) != nil {
 		t.Error(ev)
 	}
 	got := make([]byte, 5)
@@ -71,29 +71,29 @@
 	if err := e.Dial(l.Addr().String(), patience, 8); err != nil {
 		t.Fatal(err)
 	}
-	if ev, _ := until(t, e, Refused); ev.Dial != 8 || e.open.Load() != 0 {
-		t.Error(ev, e.open.Load())
+	if ev, _ := until(t, e, Refused); ev.DialID != 8 || e.openDescriptors.Load() != 0 {
+		t.Error(ev, e.openDescriptors.Load())
 	}
 }
 
 // More than the queue holds must neither be lost nor stop both sides, though the loop is late and writes meanwhile.
 func TestAFullQueueLosesNothingAndStopsNobody(t *testing.T) {
 	e := engine(t)
-	e.aheadOf.Store(1 << 30) // one connection is to fill the queue of all
+	e.readAhead.Store(1 << 30) // one connection is to fill the queue of all
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := bytes.Repeat([]byte("0123456789abcdef"), 3*mostHanded/16)
+	sent := bytes.Repeat([]byte("0123456789abcdef"), 3*maxQueuedBytes/16)
 	go func() {
 		c.Write(sent)
 		io.ReadFull(c, make([]byte, len("in between"))) // who closes on unread bytes takes back what is not sent yet
 		c.Close()
 	}()
-	for e.mu.Lock(); len(e.arena) < mostHanded-readAtOnce; e.mu.Lock() {
+	for e.mu.Lock(); len(e.arena) < maxQueuedBytes-readBufferSize; e.mu.Lock() {
 		e.mu.Unlock()
 	}
-	w := e.events[0].Wire
+	w := e.events[0].Conn
 	e.mu.Unlock()
 	if err := w.Write([]byte("in between")); err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	for range e.most.Load() {
+	for range e.descriptorLimit.Load() {
 		if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 		t.Error(err)
 	}
 	ev, _ := until(t, e, Connected)
-	ev.Wire.Close()
+	ev.Conn.Close()
 	if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
 		t.Error("what is closed is not free again:", err)
 	}
@@ -134,15 +134,15 @@
 	}
 	defer c.Close()
 	ev, _ := until(t, e, Opened)
-	w := ev.Wire
+	w := ev.Conn
 	io.WriteString(c, "mg")
 	ev, _ = until(t, e, Data)
-	w.taken.Store(0) // as before it was taken
-	if quiet, _ := w.Quiet(); quiet || w.CloseIfQuiet() {
+	w.takenBytes.Store(0) // as before it was taken
+	if quiet, _ := w.Idle(); quiet || w.CloseIfIdle() {
 		t.Error("closed over bytes that wait")
 	}
-	w.taken.Store(2)
-	for by := time.Now().Add(patience); !w.CloseIfQuiet(); { // the poller may not be through yet
+	w.takenBytes.Store(2)
+	for by := time.Now().Add(patience); !w.CloseIfIdle(); { // the poller may not be through yet
 		if time.Now().After(by) {
 			t.Fatal("not closed though nothing waits")
 		}
@@ -156,14 +156,14 @@
 // The acceptor told once that it waits, and went on waiting unheard when the room made for it was not enough.
 func TestWhoWaitsForADescriptorIsSeenUntilLetIn(t *testing.T) {
 	e := engine(t)
-	e.open.Add(e.most.Load())
+	e.openDescriptors.Add(e.descriptorLimit.Load())
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for range 1 + forDials {
-		for by := time.Now().Add(patience); !e.Crowded(); {
+	for range 1 + dialReserve {
+		for by := time.Now().Add(patience); !e.ClientsWait(); {
 			if time.Now().After(by) {
 				t.Fatal("nobody is seen to wait")
 			}
@@ -171,13 +171,13 @@
 		if len(e.Take()) > 0 {
 			t.Fatal("let in over the budget")
 		}
-		e.freed()
+		e.descriptorFreed()
 	}
 	until(t, e, Opened)
-	if e.Crowded() {
+	if e.ClientsWait() {
 		t.Error("nobody waits any more")
 	}
-	e.open.Add(1 + forDials - e.most.Load())
+	e.openDescriptors.Add(1 + dialReserve - e.descriptorLimit.Load())
 }
 
 // Of two addresses, the one that could be had stayed taken for good, so that no later try could have it.
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	ev, _ := until(t, e, Opened)
-	w, all := ev.Wire, bytes.Repeat([]byte("v"), 1<<20)
+	w, all := ev.Conn, bytes.Repeat([]byte("v"), 1<<20)
 	sent := make(chan error, 1)
 	go func() {
 		_, err := c.Write(all)
@@ -222,11 +222,11 @@
 			t.Fatal("never held up")
 		}
 	}
-	w.mu.Lock()
-	if w.handed > mostAhead+readAtOnce {
-		t.Errorf("%d bytes wait for the loop", w.handed)
+	w.readMu.Lock()
+	if w.queuedBytes > maxReadAhead+readBufferSize {
+		t.Errorf("%d bytes wait for the loop", w.queuedBytes)
 	}
-	w.mu.Unlock()
+	w.readMu.Unlock()
 	w.Hold()
 	w.Resume()
 	if _, got := until(t, e, Closed); !bytes.Equal(got, all) {
@@ -250,7 +250,7 @@
 		t.Fatal(err)
 	}
 	ev, _ := until(t, e, Connected)
-	w := ev.Wire
+	w := ev.Conn
 	for w.Unsent() == 0 { // until the kernel takes no more: nobody reads
 		if err := w.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
@@ -302,8 +302,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if until(t, e, Opened); e.open.Load() != 1 {
-		t.Errorf("%d descriptors are counted with one connection", e.open.Load())
+	if until(t, e, Opened); e.openDescriptors.Load() != 1 {
+		t.Errorf("%d descriptors are counted with one connection", e.openDescriptors.Load())
 	}
 }
 
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -67,7 +67,7 @@
 	if conn == nil || conn.wire == nil {
 		return
 	}
-	for check := 0; check < maxListReadChecks && conn.wire.Unread(); check++ {
+	for check := 0; check < maxListReadChecks && conn.wire.HasUnread(); check++ {
 		time.Sleep(listReadCheckInterval)
 	}
 }
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -32,8 +32,8 @@
 		descriptors, memory = (descriptors+p.OtherDescriptors)/sharedLimitDivisor-p.OtherDescriptors, memory/sharedLimitDivisor
 	}
 	p.Memory = memory
-	p.engine.Limit(descriptors)
-	for p.engine.Over() && p.freeDescriptor() {
+	p.engine.SetDescriptorLimit(descriptors)
+	for p.engine.OverLimit() && p.freeDescriptor() {
 		p.runDeferred()
 	}
 	if p.OnSharedLimits != nil {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -47,7 +47,7 @@
 // link is a connection from this node, for one thing at a time.
 type upstreamConn struct {
 	id                upstreamConnID
-	wire              *sockets.Wire  // nil until it is up
+	wire              *sockets.Conn  // nil until it is up
 	endpoint          *knownEndpoint // nil for the list
 	buf               buffer.Buffer
 	progress          http1.Progress // of the answer that is coming
@@ -129,7 +129,7 @@
 		if strict && conn.unattributedAt != 0 && p.now().Since(conn.unattributedAt) < duplicateResponseWindow {
 			continue
 		}
-		if quiet, sure := conn.wire.Quiet(); !quiet {
+		if quiet, sure := conn.wire.Idle(); !quiet {
 			if sure { // more has come than belongs to the last answer, or its end: that is not the next one's
 				p.counters.ProtocolErrors++
 				p.dropConn(conn)
@@ -167,7 +167,7 @@
 // bytes, or its own, and it may have waited long before anything of it was taken. Guards against legs for nobody.
 func (p *Proxy) clientLeftUnnoticed(req *inflightRequest) bool {
 	client := p.clients.Get(req.client)
-	if req.answered || client == nil || !client.wire.Left() {
+	if req.answered || client == nil || !client.wire.PeerClosed() {
 		return false
 	}
 	p.deferred = append(p.deferred, func() { // before the module hears of the leg, or it would decide on another
@@ -258,9 +258,9 @@
 
 // onDialResult tells of a connection that is up, or never will be.
 func (p *Proxy) onDialResult(ev *sockets.Event) {
-	conn := p.conns.Get(upstreamConnID(ev.Dial))
+	conn := p.conns.Get(upstreamConnID(ev.DialID))
 	switch {
-	case ev.What == sockets.Refused:
+	case ev.Kind == sockets.Refused:
 		switch {
 		case conn == nil:
 		case ev.Local && conn.purpose == purposeAttempt: // the cache is not to blame
@@ -270,9 +270,9 @@
 			p.failConn(conn, policy.ConnectFailed)
 		}
 	case conn == nil:
-		ev.Wire.Close()
+		ev.Conn.Close()
 	default:
-		conn.wire, conn.deadline, conn.lastUsedAt = ev.Wire, 0, p.now()
+		conn.wire, conn.deadline, conn.lastUsedAt = ev.Conn, 0, p.now()
 		p.startPurpose(conn)
 	}
 }
