--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -60,8 +60,8 @@
 		},
 		"for a link that comes up": func(g *rig, c net.Conn, _ chan bool, leave func(net.Conn)) {
 			dials := g.Counters().Dials
-			g.runInLoop(func() { g.endpoints["c"].idleConns = nil }) // its end would be an event, too
-			g.held(func() { ask(c, "Ox") }, func() bool { return g.counters.Dials > dials }, func() { leave(c) })
+			g.runInLoop(func() { g.endpoints.byID["c"].idleConns = nil }) // its end would be an event, too
+			g.held(func() { ask(c, "Ox") }, func() bool { return g.metrics.counters.Dials > dials }, func() { leave(c) })
 		},
 		"after a miss": func(g *rig, c net.Conn, may chan bool, leave func(net.Conn)) {
 			ask(c, "Omiss")
@@ -197,7 +197,7 @@
 			}
 			defer l.Close()
 			g.runInLoop(func() {
-				g.endpoints["o"].addr = l.Addr().String()
+				g.endpoints.byID["o"].addr = l.Addr().String()
 				g.CheckHealth("o")
 			})
 			origin, err := l.Accept() // which reads nothing of what comes later
@@ -208,7 +208,7 @@
 			fmt.Fprint(origin, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			rested := make(chan bool, 1)
 			g.until("its link is idle", func(metrics.Counters) bool {
-				g.runInLoop(func() { rested <- len(g.endpoints["o"].idleConns) == 1 })
+				g.runInLoop(func() { rested <- len(g.endpoints.byID["o"].idleConns) == 1 })
 				return <-rested
 			})
 			narrow(t, l.Addr().String())
--- /dev/null
+++ b/internal/proxy/clock.go
@@ -0,0 +1,24 @@
+package proxy
+
+import (
+	"time"
+
+	"dahliapin/policy"
+)
+
+// clockEpoch is the clock's first reading: no instant is ever 0, which stands for "none".
+const clockEpoch = policy.Instant(time.Second)
+
+// clock turns times of the process into instants of the node, which are monotonic and begin at clockEpoch.
+type clock struct {
+	startedAt time.Time        // has the monotonic clock's reading
+	wall      func() time.Time // the wall clock, used only to read the start times that the endpoint list states
+}
+
+func (c *clock) now() policy.Instant { return c.instantOf(time.Now()) }
+
+func (c *clock) instantOf(t time.Time) policy.Instant { return clockEpoch.Add(t.Sub(c.startedAt)) }
+
+func (c *clock) timeOf(at policy.Instant) time.Time { return c.startedAt.Add(at.Since(clockEpoch)) }
+
+func (p *Proxy) now() policy.Instant { return p.clock.now() }
--- /dev/null
+++ b/internal/proxy/config.go
@@ -0,0 +1,54 @@
+package proxy
+
+import (
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/config/settings"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/internal/proxy/handover"
+)
+
+// Config is what a node runs with. It has many fields because each is a setting or a callback of the process that runs
+// the node; nothing else is kept here. The callbacks are called within the event loop and must not block.
+type Config struct {
+	// Listen is the address of the first listener, which speaks meta commands.
+	Listen string
+	// Discovery is the address that the endpoint list is polled from.
+	Discovery string
+	// Listeners are the further listeners, the degradation levels, and how endpoints are spoken to by HTTP.
+	Listeners listeners.File
+	// Seed is the source of all random draws of the node.
+	Seed int64
+	// Descriptors is how many file descriptors the node's sockets may use.
+	Descriptors int
+	// OtherDescriptors is how many descriptors the process uses for other things.
+	OtherDescriptors int
+	// Memory is how many bytes the process may use in all.
+	Memory int64
+	// Settings are the deployment's settings.
+	Settings settings.Settings
+	// LastEndpoints is the endpoint list as last received by an earlier process, in discovery's format, or nil.
+	LastEndpoints []byte
+	// Log takes the node's log lines.
+	Log *logrus.Logger
+	// OnPhaseChange is called at each change of phase; nil for none.
+	OnPhaseChange func(Phase)
+	// PublishMetrics has the node publish snapshots of its metrics for the admin server.
+	PublishMetrics bool
+	// Inherited is what the process that this one replaces has handed over; nil for none.
+	Inherited *handover.Inherited
+	// HandoverPath is the socket on which another process may take over from this one; empty for none.
+	HandoverPath string
+	// OnLoopIteration is called at each iteration of the event loop; nil for none.
+	OnLoopIteration func()
+	// OnSharedLimits is called when two processes begin (true) and cease (false) to share the node's limits; nil for
+	// none.
+	OnSharedLimits func(shared bool)
+	// Name is the node's name in the event log.
+	Name string
+	// OnEvent is called for each event of the event log; nil for none.
+	OnEvent func(eventlog.Event, time.Time)
+}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -7,96 +7,111 @@
 
 	"dahliapin/internal/buffer"
 	"dahliapin/internal/proxy/sockets"
+	"dahliapin/internal/slotmap"
 	"dahliapin/internal/wire/http1"
 	"dahliapin/policy"
 )
 
 const (
-	maxPipelined           = 256                    // commands in hand on one connection; more are rejected
-	maxPendingResponses    = 4 * maxPipelined       // answers that may wait on one for those before them; more end it
-	maxClientTimeout       = 10 * time.Minute       // that a client may say it waits: no deployment's is near it
-	commandTimeout         = 5 * time.Second / 2    // for a command to come whole, and for the first word: a usual one takes milliseconds
-	clientIdleTimeout      = 2 * time.Second        // that a client may keep a connection without a command open on it
-	sweepInterval          = 100 * time.Millisecond // between looks at clients that say nothing whole or are idle
-	idleClientShare        = 8                      // part of the descriptors that idle clients may keep: under half of the third that clients may hold
-	flushTimeout           = time.Second            // that a connection to be closed may take to be read out
-	flushCheckInterval     = 20 * time.Millisecond
-	bufferedShare          = 8 // part of the memory that requests and answers may take: the rest is for what grows with them
-	incompleteRequestShare = 4 // part of the memory that commands may take which have not come whole
-	readAheadShare         = 8 // part of the memory that what servers send may take before the loop has it
-	spareDescriptorShare   = 8 // part of the descriptors kept for links that are not open yet
-	upstreamShare          = 2 // part of the descriptors that links may have, and clients leave them: a leg or two each
+	// commandTimeout is how long a command may take to come complete, and a new connection to send its first byte:
+	// usually that takes milliseconds.
+	commandTimeout = 5 * time.Second / 2
+	// clientIdleTimeout is how long a client may keep a connection without a command in flight.
+	clientIdleTimeout = 2 * time.Second
+	// firstCommandGrace is how long a new connection may wait for its first command before it counts as idle.
+	firstCommandGrace = 50 * time.Millisecond
+	// sweepInterval is the time between two looks for slow and idle clients.
+	sweepInterval = 100 * time.Millisecond
+	// flushTimeout is how long a connection that closes may take until its client has read the last answer.
+	flushTimeout = time.Second
+	// flushCheckInterval is the time between two looks whether it has.
+	flushCheckInterval = 20 * time.Millisecond
+	// maxPipelined is the number of commands in flight on one connection from which on more are rejected.
+	maxPipelined = 256
+	// maxPendingResponses is the number of commands and of answers that wait for them on one connection, from which on
+	// it is closed: else one slow request would let answers pile up behind it without bound.
+	maxPendingResponses = 4 * maxPipelined
 )
 
-// clientConn is a connection that somebody opened to this node.
+// Parts of the memory and of the descriptors that each use may take: one of so many.
+const (
+	// idleClientShare is the part of the descriptors that idle clients may keep: under half of what clients may hold.
+	idleClientShare = 8
+	// incompleteRequestShare is the part of the memory that commands may take which have not come complete.
+	incompleteRequestShare = 4
+	// readAheadShare is the part of the memory that what endpoints send may take before the loop reads it.
+	readAheadShare = 8
+	// spareDescriptorShare is the part of the descriptors kept for upstream connections that are not open yet.
+	spareDescriptorShare = 8
+	// upstreamShare is the part of the descriptors that upstream connections may have, and clients leave them: a
+	// request needs one or two each.
+	upstreamShare = 2
+)
+
+type clientConnID uint64
+
+// downstream is the table of the clients' connections.
+type downstream struct {
+	conns           slotmap.Table[clientConnID, clientConn]
+	codecs          []downstreamCodec // by listener
+	parsed          parsedRequest     // the command read last; kept to be reused
+	lastConnectedAt policy.Instant    // when a client last connected
+	incompleteBytes int               // of commands that have not come complete, over all connections
+}
+
+// clientConn is a connection that a client has opened to this node.
 type clientConn struct {
 	id              clientConnID
 	wire            *sockets.Wire
 	codec           downstreamCodec
 	buf             buffer.Buffer
-	progress        http1.Progress // of the command that is coming
-	pipeline        []pipelineSlot // one for each command not yet answered, in their order
-	firstSlot       uint64         // the number of the first turn
+	progress        http1.Progress // in reading the command that comes in
+	pipeline        []pipelineSlot // one for each command not yet answered to the client, in their order
+	firstSlot       uint64         // the number of the first of them; the connection's first command is 0
 	lastUsedAt      policy.Instant
-	continueSent    bool           // was told to go on with what has begun
-	closing         bool           // nothing more is read; it closes once all is answered
-	overLimit       bool           // came when there were too many: its requests are rejected, and it is closed when idle
-	incompleteBytes int            // bytes of a command that has not come whole
-	incompleteSince policy.Instant // when that began, or the connection, while nothing has been said on it; 0 for neither
-	flushDeadline   policy.Instant
-}
-
-type pipelineSlot struct {
-	request    inflightID // 0 for what is no request
-	answered   bool
-	response   []byte
-	streamConn upstreamConnID // where a long value comes from that is passed on, or 0
-	value      []byte         // a value that follows it uncopied, with what ends values still to be written
+	continueSent    bool           // "100 Continue" went out for the command that comes in
+	closing         bool           // nothing more is read; the connection closes once all is answered
+	overLimit       bool           // it came when there were too many: its requests are rejected until there are fewer
+	incompleteBytes int            // of a command that has not come complete
+	incompleteSince policy.Instant // when that, or a connection with no command yet, began; 0 for neither
+	// flushDeadline is when a connection that closes is closed although its client has not read all; 0 for not set.
+	flushDeadline policy.Instant
 }
 
-func (t *pipelineSlot) size() int { return len(t.response) + len(t.value) }
-
-func (client *clientConn) idle() bool {
-	return len(client.pipeline) == 0 && len(client.buf.Unread()) == 0 && client.wire.Unsent() == 0
-}
-
-// inflightRequest is one in hand. The host keeps its own part of it.
-type inflightRequest struct {
-	id                  inflightID
-	class               policy.ClassID
-	client              clientConnID
-	slot                uint64
-	codec               downstreamCodec
-	parsed              clientRequest // its parts lie in a copy
-	deadline            policy.Instant
-	answered            bool // or nobody waits any more
-	lastAttemptTimedOut bool // its last leg to end had not answered in time
-	anyWritten          bool // a leg of it was handed to the kernel, if only in part
-	size                int
-	attempts            []attempt
+// isIdle reports whether nothing is in flight on the connection, in either direction.
+func (c *clientConn) isIdle() bool {
+	return len(c.pipeline) == 0 && len(c.buf.Unread()) == 0 && c.wire.Unsent() == 0
 }
 
 func (p *Proxy) onClientConnected(ev *sockets.Event) {
-	client := &clientConn{wire: ev.Wire, codec: p.codecs[ev.Wire.At], lastUsedAt: p.instantOf(ev.At), incompleteSince: p.instantOf(ev.At)}
-	client.id = p.clients.Add(client)
+	connectedAt := p.clock.instantOf(ev.At)
+	client := &clientConn{
+		wire:            ev.Wire,
+		codec:           p.downstream.codecs[ev.Wire.At],
+		lastUsedAt:      connectedAt,
+		incompleteSince: connectedAt,
+	}
+	client.id = p.downstream.conns.Add(client)
 	client.wire.Tag = uint64(client.id)
-	p.counters.Clients++
-	p.lastConnectedAt = client.lastUsedAt
+	p.metrics.counters.Clients++
+	p.downstream.lastConnectedAt = connectedAt
 	if p.tooManyClients() {
 		client.overLimit = !p.closeLongestIdleClient()
 	}
 }
 
-// tooManyClients tells whether they take what links need: half, or more while there are few links.
+// tooManyClients reports whether clients hold descriptors that upstream connections need: half of them, or fewer while
+// few upstream connections are open.
 func (p *Proxy) tooManyClients() bool {
-	most := p.engine.Most()
-	return p.clients.Len() > max(most-p.maxUpstreamConns(), most-most/spareDescriptorShare-p.conns.Len())
+	limit := p.engine.Most()
+	leaveForUpstream := limit - p.maxUpstreamConns()
+	leaveSpare := limit - limit/spareDescriptorShare - p.upstream.conns.Len()
+	return p.downstream.conns.Len() > max(leaveForUpstream, leaveSpare)
 }
 
-func (p *Proxy) maxUpstreamConns() int { return p.engine.Most() / upstreamShare }
-
+// onClientData reads the commands in what a client has sent, and answers or accepts each.
 func (p *Proxy) onClientData(id clientConnID, data []byte, at policy.Instant) {
-	client := p.clients.Get(id)
+	client := p.downstream.conns.Get(id)
 	if client == nil || client.closing {
 		return
 	}
@@ -107,70 +122,86 @@
 		commandStart = client.incompleteSince
 	}
 	for !client.closing {
-		parsed := &p.parsed
+		parsed := &p.downstream.parsed
 		size := client.codec.readRequest(client.buf.Unread(), parsed, &client.progress)
-		if size == 0 && parsed.intent != intentUnserved && (parsed.intent != intentContinue || client.continueSent) {
+		if size == 0 && !parsed.mustAnswerNow(client.continueSent) {
 			break
 		}
 		client.continueSent = parsed.intent == intentContinue
-		switch parsed.intent {
-		case intentContinue:
-			p.respond(client, parsed.response)
-		case intentUnserved:
-			p.counters.Malformed++
-			p.respond(client, parsed.response)
-		case intentReadiness:
-			p.respond(client, client.codec.readiness(&parsed.clientRequest, p.phase))
-		case intentCounters:
-			p.respond(client, client.codec.counters(&parsed.clientRequest, &p.counters))
-		default:
-			p.acceptRequest(client, &parsed.clientRequest, at)
-		}
+		p.handleCommand(client, parsed, at)
 		client.closing = client.closing || parsed.stopReading
-		if client.buf.Consume(size); size > 0 {
+		client.buf.Consume(size)
+		if size > 0 {
 			client.progress = http1.Progress{}
 		}
 		commandStart = at
-		if len(client.pipeline) >= maxPendingResponses { // else one request that takes long would let anything pile up behind it
+		if len(client.pipeline) >= maxPendingResponses {
 			p.respond(client, client.codec.refusal(refusedTooMany, false))
 			client.closing = true
 		}
 	}
-	p.incompleteRequestBytes += len(client.buf.Unread()) - client.incompleteBytes
-	client.incompleteBytes = len(client.buf.Unread())
-	if client.incompleteSince = 0; client.incompleteBytes > 0 {
-		client.incompleteSince = commandStart
+	p.updateIncomplete(client, commandStart)
+	p.flushPipeline(client)
+}
+
+// handleCommand answers a command, or accepts it as a request.
+func (p *Proxy) handleCommand(client *clientConn, parsed *parsedRequest, at policy.Instant) {
+	switch parsed.intent {
+	case intentContinue:
+		p.respond(client, parsed.response)
+	case intentUnserved:
+		p.metrics.counters.Malformed++
+		p.respond(client, parsed.response)
+	case intentReadiness:
+		p.respond(client, client.codec.readiness(&parsed.clientRequest, p.lifecycle.phase))
+	case intentCounters:
+		p.respond(client, client.codec.counters(&parsed.clientRequest, &p.metrics.counters))
+	default:
+		p.acceptRequest(client, &parsed.clientRequest, at)
+	}
+}
+
+// updateIncomplete notes how much of a command has come that is not complete, and refuses it if all such commands
+// together take too much memory.
+func (p *Proxy) updateIncomplete(client *clientConn, commandStart policy.Instant) {
+	unread := len(client.buf.Unread())
+	p.downstream.incompleteBytes += unread - client.incompleteBytes
+	client.incompleteBytes = unread
+	client.incompleteSince = 0
+	if unread == 0 {
+		return
 	}
-	if client.incompleteBytes > 0 && int64(p.incompleteRequestBytes) > p.Memory/incompleteRequestShare {
-		p.counters.RejectedForRoom++
+	client.incompleteSince = commandStart
+	if int64(p.downstream.incompleteBytes) > p.config.Memory/incompleteRequestShare {
+		p.metrics.counters.RejectedForRoom++
 		p.respond(client, client.codec.refusal(refusedForMemory, false))
 		client.closing = true
 	}
-	p.flushPipeline(client)
 }
 
-// sweepClients ends connections on which nothing was said, or a command has not come whole, in time, and those that are idle
-// for long. Clients may hold only so many, and some ask once and keep theirs: of idle ones only so many are kept, those
-// that came back rather than those that did not, then those used last.
+// sweepClients closes connections on which nothing was sent, or a command has not come complete, in time, and those
+// that have been idle for long. Some clients ask once and keep their connection: of the idle ones only so many are
+// kept, those that came back rather than those that did not, then those used last.
 func (p *Proxy) sweepClients() {
 	now := p.now()
-	p.timers.Push(now.Add(sweepInterval), timerEvent{sweep: true})
+	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
 	p.publishMetrics()
-	p.engine.Ahead(p.Memory / readAheadShare / int64(1+p.conns.Len()))
+	p.engine.Ahead(p.config.Memory / readAheadShare / int64(1+p.upstream.conns.Len()))
 	var idle []*clientConn
-	p.clients.Each(func(_ clientConnID, client *clientConn) {
-		switch late := client.incompleteSince != 0 && now.Since(client.incompleteSince) >= commandTimeout; {
+	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
+		overdue := client.incompleteSince != 0 && now.Since(client.incompleteSince) >= commandTimeout
+		switch {
 		case client.closing:
-		case late && client.incompleteBytes > 0:
-			p.counters.Overdue++
+		case overdue && client.incompleteBytes > 0:
+			p.metrics.counters.Overdue++
 			p.respond(client, client.codec.refusal(refusedTooLate, false))
 			client.closing = true
 			p.flushPipeline(client)
-		case late && client.idle():
+		case overdue && client.isIdle():
 			if p.closeIfQuiet(client) {
-				p.counters.Overdue++
+				p.metrics.counters.Overdue++
 			}
-		case client.firstSlot > 0 && client.idle() && now.Since(client.lastUsedAt) >= firstCommandGrace:
+		case client.firstSlot > 0 && client.isIdle() && now.Since(client.lastUsedAt) >= firstCommandGrace:
 			idle = append(idle, client)
 		}
 	})
@@ -178,179 +209,69 @@
 	excess := len(idle) - p.engine.Most()/idleClientShare
 	for i, client := range idle {
 		if (i < excess || now.Since(client.lastUsedAt) >= clientIdleTimeout) && p.closeIfQuiet(client) {
-			p.counters.IdleClosed++
+			p.metrics.counters.IdleClosed++
 		}
 	}
 }
 
-// compareByUse puts first who speaks least for being kept: has asked fewer times, which count up to so many, then was used
-// longest ago.
+// compareByUse sorts first the client whose connection is worth least: it has sent fewer commands, of which maxCount
+// count, or else was used longer ago.
 func compareByUse(maxCount uint64) func(a, b *clientConn) int {
 	return func(a, b *clientConn) int {
-		return cmp.Or(cmp.Compare(min(a.firstSlot, maxCount), min(b.firstSlot, maxCount)), cmp.Compare(a.lastUsedAt, b.lastUsedAt))
-	}
-}
-
-// respond answers a command that is no request in hand, in its turn.
-func (p *Proxy) respond(client *clientConn, out []byte) {
-	p.bufferedBytes += len(out)
-	client.pipeline = append(client.pipeline, pipelineSlot{answered: true, response: out})
-}
-
-// acceptRequest takes a request in hand. One whose deadline or grade can't be told is malformed, and so is one with the id
-// of another in hand: caches could not tell the two apart.
-func (p *Proxy) acceptRequest(client *clientConn, request *clientRequest, at policy.Instant) {
-	class := p.Settings.Names.Class(request.class)
-	if request.timeout <= 0 || class < 0 {
-		p.counters.Malformed++
-		p.respond(client, client.codec.refusal(refusedMalformed, request.headOnly))
-		return
-	}
-	if p.inflightIDs[string(request.id)] {
-		p.counters.Malformed++
-		p.respond(client, client.codec.refusal(refusedDuplicateID, request.headOnly))
-		return
-	}
-	p.counters.Requests++
-	deadline := at.Add(min(request.timeout, maxClientTimeout))
-	outlastsDrain := false
-	if by := p.drainDeadline().Add(-answerMargin); p.phase == Draining && deadline > by {
-		outlastsDrain = p.Settings.Policy.Classes[class].Idempotency != policy.Idempotent || by.Since(at) < p.Settings.Policy.Classes[class].LatencyObjective
-		deadline = by // guards against turning away what is served within its soft limit as a rule, and would have been
-	}
-	if len(client.pipeline) >= maxPipelined || p.phase == Starting || outlastsDrain || p.rejectsInStandby() || client.overLimit && p.tooManyClients() ||
-		int64(p.bufferedBytes)+p.engine.Unsent() > p.Memory/bufferedShare {
-		p.counters.RejectedForRoom++
-		p.counters.Rejected++
-		p.byClass[class].Rejected++
-		p.respond(client, client.codec.rejected(request, 0))
-		return
+		byCommands := cmp.Compare(min(a.firstSlot, maxCount), min(b.firstSlot, maxCount))
+		return cmp.Or(byCommands, cmp.Compare(a.lastUsedAt, b.lastUsedAt))
 	}
-	client.overLimit = false
-	request.idempotent = p.Settings.Policy.Classes[class].Idempotency == policy.Idempotent
-	req := &inflightRequest{class: class, deadline: deadline, client: client.id, slot: client.firstSlot + uint64(len(client.pipeline)), codec: client.codec}
-	req.parsed, req.size = cloneRequest(request)
-	p.bufferedBytes += req.size
-	req.id = p.inflight.Add(req)
-	p.pending++
-	p.inflightIDs[string(req.parsed.id)] = true
-	client.pipeline = append(client.pipeline, pipelineSlot{request: req.id})
-	p.dispatcher.RequestArrived(p.now(), &policy.Request{ID: policyRequestID(req.id), Key: string(request.key),
-		Class: class, Tenant: p.Settings.Names.Tenant(request.tenant),
-		Write: request.write, ArrivedAt: at, Deadline: deadline})
 }
 
-// cloneRequest keeps a call beyond the buffer that it was read from, but for what it is no longer needed for.
-func cloneRequest(request *clientRequest) (clone clientRequest, size int) {
-	size = len(request.key) + len(request.flags) + len(request.id) + len(request.value)
-	buffer := make([]byte, 0, size)
-	keep := func(p []byte) []byte {
-		buffer = append(buffer, p...)
-		return buffer[len(buffer)-len(p):]
-	}
-	clone = *request
-	clone.key, clone.flags, clone.id, clone.value = keep(request.key), keep(request.flags), keep(request.id), keep(request.value)
-	clone.class, clone.tenant = nil, nil
-	return clone, size + len(request.httpDetails().headers)
+// mayCloseClient reports whether a client is idle; a new one has some time for its first command.
+func (p *Proxy) mayCloseClient(client *clientConn) bool {
+	return client.isIdle() && (client.firstSlot > 0 || p.now().Since(client.lastUsedAt) >= firstCommandGrace)
 }
 
-// answer gives a request its one final answer.
-func (p *Proxy) completeRequest(req *inflightRequest, response, value []byte) {
-	req.answered = true
-	if p.now() > req.deadline {
-		p.counters.AnsweredLate++
-	}
-	p.pending--
-	client := p.clients.Get(req.client)
-	if client == nil || req.slot < client.firstSlot {
-		return
-	}
-	slot := &client.pipeline[req.slot-client.firstSlot]
-	slot.answered, slot.response, slot.value, slot.request = true, response, value, 0
-	p.bufferedBytes += slot.size()
-	p.deferred = append(p.deferred, func() {
-		if p.clients.Get(client.id) != nil {
-			p.flushPipeline(client)
+// closeIdleClients closes all connections that are idle.
+func (p *Proxy) closeIdleClients() {
+	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
+		if p.mayCloseClient(client) {
+			p.closeIfQuiet(client)
 		}
 	})
 }
 
-// flushPipeline writes what is answered, in the order of the commands.
-func (p *Proxy) flushPipeline(client *clientConn) {
-	var pieces [][]byte
-	var out []byte
-	answered := 0
-	for ; answered < len(client.pipeline) && client.pipeline[answered].answered; answered++ {
-		slot := &client.pipeline[answered]
-		p.bufferedBytes -= slot.size()
-		if answered == len(client.pipeline)-1 {
-			p.announceClose(client, slot)
-		}
-		if out == nil {
-			out = slot.response
-		} else {
-			out = append(out, slot.response...)
-		}
-		if slot.value != nil {
-			pieces = append(pieces, out, slot.value)
-			out = []byte(client.codec.valueTrailer())
-		}
-	}
-	if answered > 0 {
-		client.firstSlot += uint64(answered)
-		left := copy(client.pipeline, client.pipeline[answered:])
-		clear(client.pipeline[left:]) // their answers are not to be kept
-		client.pipeline = client.pipeline[:left]
-		client.lastUsedAt = p.now()
-		for _, piece := range append(pieces, out) {
-			if len(piece) > 0 && client.wire.Write(piece) != nil {
-				p.onClientClosed(client.id)
-				return
-			}
+// closeLongestIdleClient closes the connection that has been idle longest, first those that have never sent a command.
+// It reports whether there was one.
+func (p *Proxy) closeLongestIdleClient() bool {
+	var idle []*clientConn
+	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
+		if p.mayCloseClient(client) {
+			idle = append(idle, client)
 		}
-	}
-	if answered > 0 && len(client.pipeline) > 0 && client.pipeline[0].streamConn != 0 { // it waited for these
-		if conn := p.conns.Get(client.pipeline[0].streamConn); conn != nil {
-			p.deferred = append(p.deferred, func() {
-				if conn.stream != nil && p.conns.Get(conn.id) == conn {
-					p.forwardStream(conn)
-				}
-			})
+	})
+	slices.SortFunc(idle, compareByUse(1))
+	for _, client := range idle {
+		if p.closeIfQuiet(client) {
+			p.metrics.counters.ClosedForRoom++
+			return true
 		}
 	}
-	if client.overLimit && client.idle() && p.tooManyClients() && p.closeIfQuiet(client) {
-		return
-	}
-	if client.closing && len(client.pipeline) == 0 && client.flushDeadline == 0 {
-		client.flushDeadline = p.now().Add(flushTimeout)
-		p.closeOnceFlushed(client.id)
-	}
+	return false
 }
 
-// announceClose lets a node that drains say with the last answer on a connection that it ends with that, so that nothing more is sent on it
-// to be lost. It is the last only as it leaves: what was answered before may have waited.
-func (p *Proxy) announceClose(client *clientConn, slot *pipelineSlot) {
-	if p.phase != Draining && p.phase != Standby || client.incompleteBytes > 0 || client.closing {
+// closeOnceFlushed closes a connection once the kernel has taken its last answer, or its client has had flushTimeout.
+func (p *Proxy) closeOnceFlushed(id clientConnID) {
+	client := p.downstream.conns.Get(id)
+	if client == nil {
 		return
 	}
-	if quiet, _ := client.wire.Quiet(); quiet {
-		slot.response, client.closing = client.codec.announceClose(slot.response)
-	}
-}
-
-// closeOnceFlushed closes a connection once its last answer is with the kernel, or its reader too slow.
-func (p *Proxy) closeOnceFlushed(id clientConnID) {
-	client := p.clients.Get(id)
-	switch now := p.now(); {
-	case client == nil:
-	case client.wire.Unsent() == 0 || now >= client.flushDeadline:
+	now := p.now()
+	if client.wire.Unsent() == 0 || now >= client.flushDeadline {
 		p.closeClient(client)
-	default:
-		p.timers.Push(now.Add(flushCheckInterval), timerEvent{flush: id})
+		return
 	}
+	p.schedule(now.Add(flushCheckInterval), timerEvent{kind: timerFlush, client: id})
 }
 
-// closeIfQuiet closes a client between commands; one whose next is on its way through the queue stays.
+// closeIfQuiet closes a connection between commands, and reports whether it did. Guards against closing one whose next
+// command has come to the socket but not to the loop: it would be lost.
 func (p *Proxy) closeIfQuiet(client *clientConn) bool {
 	if !client.wire.CloseIfQuiet() {
 		return false
@@ -365,59 +286,25 @@
 }
 
 func (p *Proxy) onClientClosed(id clientConnID) {
-	if client := p.clients.Get(id); client != nil {
+	if client := p.downstream.conns.Get(id); client != nil {
 		p.forgetClient(client)
 	}
 }
 
-// forgetClient forgets a connection. Those whose answers it waited for have left: their legs are called off where
-// that is allowed.
+// forgetClient removes a connection that has ended, and what waits for it.
 func (p *Proxy) forgetClient(client *clientConn) {
-	p.clients.Remove(client.id)
-	p.incompleteRequestBytes -= client.incompleteBytes
-	for _, slot := range client.pipeline {
-		p.bufferedBytes -= slot.size()
-		if conn := p.conns.Get(slot.streamConn); conn != nil { // the rest is nobody's
-			p.pending--
-			p.counters.ClientsGone++
+	p.downstream.conns.Remove(client.id)
+	p.downstream.incompleteBytes -= client.incompleteBytes
+	for i := range client.pipeline {
+		slot := &client.pipeline[i]
+		p.inflight.bufferedBytes -= slot.size()
+		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // nobody is left to read the rest
+			p.inflight.pending--
+			p.metrics.counters.ClientsGone++
 			p.dropConn(conn)
 		}
-		req := p.inflight.Get(slot.request)
-		if req == nil || req.answered {
-			continue
-		}
-		req.answered = true
-		p.pending--
-		p.counters.ClientsGone++
-		if !req.anyWritten {
-			p.counters.ClientsGoneUnsent++
+		if req := p.inflight.requests.Get(slot.request); req != nil && !req.answered {
+			p.abandonRequest(req)
 		}
-		p.dispatcher.ClientGone(p.now(), policyRequestID(req.id))
-		for n := range req.attempts {
-			if p.Settings.Policy.CancelAllowed || p.isPartlyWritten(req, n) {
-				p.Cancel(policyRequestID(req.id), n)
-			}
-		}
-		p.releaseIfDone(req)
-	}
-}
-
-// Reject answers that a retry is harmless.
-func (p *Proxy) Reject(id policy.RequestID, retryAfter time.Duration) {
-	if req := p.inflight.Get(inflightIDOf(id)); req != nil && !req.answered {
-		p.counters.Rejected++
-		p.byClass[req.class].Rejected++
-		p.completeRequest(req, req.codec.rejected(&req.parsed, retryAfter), nil)
-		p.releaseIfDone(req)
-	}
-}
-
-// Fail answers that it failed.
-func (p *Proxy) Fail(id policy.RequestID) {
-	if req := p.inflight.Get(inflightIDOf(id)); req != nil && !req.answered {
-		p.counters.Failed++
-		p.byClass[req.class].Failed++
-		p.completeRequest(req, req.codec.failed(&req.parsed, req.lastAttemptTimedOut), nil)
-		p.releaseIfDone(req)
 	}
 }
--- a/internal/proxy/downstream_codec.go
+++ b/internal/proxy/downstream_codec.go
@@ -1,176 +1,108 @@
 package proxy
 
 import (
-	"strconv"
 	"time"
 
-	"dahliapin/internal/buffer"
 	"dahliapin/internal/freshness"
 	"dahliapin/internal/proxy/metrics"
 	"dahliapin/internal/wire/http1"
-	"dahliapin/internal/wire/meta"
 )
 
-// downstreamCodec turns the bytes of a client into what it asks, and answers into bytes for it. It keeps nothing and knows no
-// client: the same serves all whose protocol it speaks.
+// downstreamCodec turns a client's bytes into commands, and answers into bytes for it. It keeps nothing of a client:
+// one serves all clients of a listener.
 type downstreamCodec interface {
-	// read reads what a client asks first. A size of 0 asks for more bytes, unless it can't be served. What was found before of the same
-	// is kept in the progress.
-	readRequest(b []byte, a *parsedRequest, p *http1.Progress) (size int)
-	// value writes the answer that serves a value. A long one is not copied: it follows, and then what ends values.
-	value(c *clientRequest, r *upstreamResponse) (out, long []byte)
-	// head writes what stands before a value of so many bytes that is passed on as it comes.
-	valueHead(c *clientRequest, r *upstreamResponse, long int) []byte
+	// readRequest reads a client's next command. A size of 0 asks for more bytes, unless the intent says that the
+	// command is to be answered at once. Progress keeps what was found before of the same command.
+	readRequest(b []byte, parsed *parsedRequest, progress *http1.Progress) (size int)
+	// value writes the answer that serves a value. A long value is not copied: it follows the head, and valueTrailer
+	// follows that.
+	value(request *clientRequest, response *upstreamResponse) (head, value []byte)
+	// valueHead writes what stands before a value of so many bytes that is streamed.
+	valueHead(request *clientRequest, response *upstreamResponse, valueSize int) []byte
+	// valueTrailer is what stands behind a value.
 	valueTrailer() string
-	writeReceipt(c *clientRequest, r *upstreamResponse) []byte
-	rejected(c *clientRequest, comeBack time.Duration) []byte
-	// failed also says whether what was asked has not answered, or answered amiss.
-	failed(c *clientRequest, late bool) []byte
-	refusal(why refusalReason, bare bool) []byte
-	readiness(c *clientRequest, p Phase) []byte
-	counters(c *clientRequest, n *metrics.Counters) []byte
-	// parts has an answer say that its connection ends with it, where the protocol can.
-	announceClose(out []byte) (with []byte, can bool)
+	// writeReceipt writes the answer to a write that was carried out.
+	writeReceipt(request *clientRequest, response *upstreamResponse) []byte
+	// rejected writes that a request was not carried out and may be sent again; a retryAfter of 0 is not stated.
+	rejected(request *clientRequest, retryAfter time.Duration) []byte
+	// failed writes that a request may have been carried out; timedOut tells that the last endpoint has not responded,
+	// rather than amiss.
+	failed(request *clientRequest, timedOut bool) []byte
+	// refusal writes why a command was not accepted.
+	refusal(reason refusalReason, headOnly bool) []byte
+	readiness(request *clientRequest, phase Phase) []byte
+	counters(request *clientRequest, counters *metrics.Counters) []byte
+	// announceClose has an answer say that its connection ends with it, if the protocol can say that.
+	announceClose(response []byte) (closing []byte, can bool)
 }
 
-// requestIntent is what a client wants of a node.
+// requestIntent is what a client wants of the node.
 type requestIntent int
 
 const (
-	intentIncomplete requestIntent = iota // it has not said yet
-	intentRequest                         // a request
-	intentReadiness                       // whether requests are served
-	intentCounters                        // the counters
-	intentContinue                        // to be told to go on with what has begun
-	intentUnserved                        // what can't be served, with its answer
+	intentIncomplete requestIntent = iota // the command has not come complete
+	intentRequest                         // a request for an endpoint
+	intentReadiness                       // whether the node serves requests
+	intentCounters                        // the node's counters
+	intentContinue                        // "100 Continue", before it sends a request's body
+	intentUnserved                        // something that can't be served
 )
 
-// parsedRequest is what a client says.
+// parsedRequest is a client's command.
 type parsedRequest struct {
-	intent requestIntent
 	clientRequest
-	response    []byte // to what can't be served, or is to go on
-	stopReading bool   // nothing more is read after it
+	intent      requestIntent
+	response    []byte // of intentContinue and intentUnserved
+	stopReading bool   // nothing more is read on the connection
 }
 
-// clientRequest is a request as its client puts it.
+// mustAnswerNow reports whether a command is answered although it has not come complete.
+func (r *parsedRequest) mustAnswerNow(continueSent bool) bool {
+	return r.intent == intentUnserved || r.intent == intentContinue && !continueSent
+}
+
+// clientRequest is a request as its client has sent it.
 type clientRequest struct {
-	id, key, value []byte
-	flags          []byte // what goes along to the servers, as meta commands write it
-	class, tenant  []byte
-	write          bool
-	headOnly       bool                // the answer is to have no body
-	closesConn     bool                // the connection ends with the answer
-	idempotent     bool                // by its grade
-	timeout        time.Duration       // until its deadline
-	attemptSentAt  time.Time           // when the leg went out that is being answered
-	http           *httpRequestDetails // nil for a client of meta commands, and where no cache speaks HTTP
+	id            []byte
+	key           []byte
+	value         []byte // of a write
+	flags         []byte // passed on to endpoints, in the form of meta commands
+	class         []byte // the name of its service class
+	tenant        []byte // the name of its tenant, or empty
+	write         bool
+	headOnly      bool                // the answer must have no body
+	closesConn    bool                // the connection ends with the answer
+	idempotent    bool                // by its service class
+	timeout       time.Duration       // from its arrival until its deadline
+	attemptSentAt time.Time           // of the attempt whose response is being read
+	http          *httpRequestDetails // nil for a client of meta commands, and where no endpoint speaks HTTP
 }
 
-// httpRequestDetails is what a client of HTTP says beside its call, for caches that speak it.
+// httpRequestDetails is what a client of HTTP has sent beside its request, for endpoints that speak HTTP.
 type httpRequestDetails struct {
-	headers     []byte // whole lines
-	freshness   freshness.Request
-	conditional bool // it asks whether what it has still holds
-	isPost      bool // its write is a POST
+	headers     []byte            // complete lines
+	freshness   freshness.Request // the age of the response that it takes
+	conditional bool              // it asks whether its own copy is still valid
+	isPost      bool              // a write by POST
 }
 
 var noHTTPDetails httpRequestDetails
 
-// httpDetails is what a client says beside its call: nothing by meta commands.
-func (request *clientRequest) httpDetails() *httpRequestDetails {
-	if request.http == nil {
+// httpDetails returns what the client has sent beside its request: nothing by meta commands.
+func (r *clientRequest) httpDetails() *httpRequestDetails {
+	if r.http == nil {
 		return &noHTTPDetails
 	}
-	return request.http
+	return r.http
 }
 
-// refusalReason is why something is answered that was not taken in hand.
+// refusalReason is why a command was not accepted.
 type refusalReason int
 
 const (
-	refusedForMemory refusalReason = iota
-	refusedTooMany
-	refusedTooLate
-	refusedDuplicateID
-	refusedMalformed
+	refusedForMemory   refusalReason = iota // incomplete commands take too much memory
+	refusedTooMany                          // too many commands wait on the connection
+	refusedTooLate                          // the command has not come complete in time
+	refusedDuplicateID                      // another request in flight has its id
+	refusedMalformed                        // no deadline, or an unknown service class
 )
-
-// metaDownstream speaks the meta commands.
-type metaDownstream struct{}
-
-var metaRefusalLines = [...]string{refusedForMemory: "SERVER_ERROR out of memory\r\n", refusedTooMany: "SERVER_ERROR too many commands at once\r\n",
-	refusedTooLate: "CLIENT_ERROR command not whole in time\r\n", refusedDuplicateID: "CLIENT_ERROR id in use\r\n", refusedMalformed: meta.BadLine}
-
-func (metaDownstream) readRequest(b []byte, parsed *parsedRequest, _ *http1.Progress) (size int) {
-	command, size, fault := meta.ReadCommand(b)
-	*parsed = parsedRequest{}
-	switch {
-	case fault != nil:
-		parsed.intent, parsed.response, parsed.stopReading = intentUnserved, []byte(fault.Answer), fault.Close
-		return size
-	case size == 0:
-		return 0
-	case command.Verb == meta.Ready:
-		parsed.intent = intentReadiness
-		return size
-	case command.Verb == meta.Stats:
-		parsed.intent = intentCounters
-		return size
-	}
-	parsed.intent = intentRequest
-	parsed.clientRequest = clientRequest{id: command.ID, key: command.Key, value: command.Value, flags: command.Flags, write: command.Verb == meta.Set}
-	items, _ := meta.Flag(command.Flags, 'P')
-	said, _ := meta.Item(items, "d")
-	if ms, ok := meta.Decimal(said); ok && ms > 0 {
-		parsed.timeout = max(1, time.Duration(min(ms*float64(time.Millisecond), float64(maxClientTimeout))))
-	}
-	parsed.class, _ = meta.Item(items, "c")
-	parsed.tenant, _ = meta.Item(items, "t")
-	return size
-}
-
-func (metaDownstream) value(request *clientRequest, response *upstreamResponse) (out, long []byte) {
-	value := response.body
-	if len(value) <= buffer.Keep {
-		return meta.AppendValue(nil, request.id, value), nil
-	}
-	return meta.AppendHead(nil, request.id, len(value)), value // its buffer's whole use, and its own once it is used
-}
-
-func (metaDownstream) valueHead(request *clientRequest, _ *upstreamResponse, long int) []byte {
-	return meta.AppendHead(nil, request.id, long)
-}
-
-func (metaDownstream) valueTrailer() string { return meta.End }
-
-func (metaDownstream) writeReceipt(request *clientRequest, response *upstreamResponse) []byte {
-	return meta.AppendDone(nil, request.id, response.body)
-}
-
-func (metaDownstream) rejected(_ *clientRequest, retryAfter time.Duration) []byte {
-	return meta.AppendBusy(nil, int64((retryAfter+time.Millisecond-1)/time.Millisecond))
-}
-
-func (metaDownstream) failed(*clientRequest, bool) []byte { return meta.AppendFailed(nil) }
-
-func (metaDownstream) refusal(reason refusalReason, _ bool) []byte {
-	return []byte(metaRefusalLines[reason])
-}
-
-func (metaDownstream) announceClose(out []byte) ([]byte, bool) { return out, false }
-
-func (metaDownstream) readiness(_ *clientRequest, p Phase) []byte {
-	if p == Serving {
-		return []byte("MN\r\n")
-	}
-	return []byte("SERVER_ERROR " + p.String() + "\r\n")
-}
-
-func (metaDownstream) counters(_ *clientRequest, n *metrics.Counters) (out []byte) {
-	n.Each(func(name string, n uint64) {
-		out = strconv.AppendUint(append(append(append(out, "STAT "...), name...), ' '), n, 10)
-		out = append(out, "\r\n"...)
-	})
-	return append(out, "END\r\n"...)
-}
--- /dev/null
+++ b/internal/proxy/downstream_http_route.go
@@ -0,0 +1,221 @@
+package proxy
+
+import (
+	"bytes"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"dahliapin/internal/config/listeners"
+	"dahliapin/internal/freshness"
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
+)
+
+// badRequest is the rejection of a request that can't be understood.
+func badRequest(reason string) *httpRejection { return &httpRejection{status: 400, reason: reason} }
+
+// route finds out what an HTTP request is for, and turns it into a request of the node. It returns a rejection for what
+// can't be served, else nil.
+func (h *httpDownstream) route(request *http1.Request, parsed *parsedRequest) *httpRejection {
+	target, ok := freshness.Key(nil, request.Target)
+	if !ok {
+		return badRequest("a target that can't be read")
+	}
+	path := target[strings.IndexByte(target, '/'):]
+	method := string(request.Method)
+	if method == http.MethodGet && path == h.listener.ReadyPath {
+		parsed.intent = intentReadiness
+		return nil
+	}
+	if method == http.MethodGet && path == h.listener.CountersPath {
+		parsed.intent = intentCounters
+		return nil
+	}
+	route, pathKnown := h.listener.Route(method, path)
+	if route == nil && pathKnown {
+		allow := "Allow: " + strings.Join(h.listener.Allowed(path), ", ")
+		return &httpRejection{status: 405, reason: "this can't be done here", headers: []string{allow}}
+	}
+	if route == nil {
+		return &httpRejection{status: 404, reason: "nothing is here"}
+	}
+	parsed.write = listeners.IsWrite(method)
+	if rejection := h.fillRequest(request, route, path[len(route.Path):], &parsed.clientRequest); rejection != nil {
+		return rejection
+	}
+	parsed.intent = intentRequest
+	return nil
+}
+
+// fillRequest fills in a request of the node by its route and headers.
+func (h *httpDownstream) fillRequest(
+	request *http1.Request, route *listeners.Route, key string, filled *clientRequest,
+) *httpRejection {
+	if h.listener.SortQuery {
+		key = sortQuery(key)
+	}
+	if !meta.IsKey([]byte(key)) {
+		return badRequest("a key that is none")
+	}
+	filled.key = []byte(key)
+	filled.value = request.Body
+	if rejection := h.fillClass(request, route, filled); rejection != nil {
+		return rejection
+	}
+	conditional := isConditional(request)
+	if filled.write && (conditional || request.Header("Content-Range") != nil) {
+		// Guards against a write that is carried out whatever its condition says.
+		return &httpRejection{status: 501, reason: "a write with a condition or of a part"}
+	}
+	if h.forwardsHeaders {
+		filled.http = &httpRequestDetails{
+			headers:     appendForwarded(nil, request.Each, request.Header("Connection")),
+			conditional: conditional,
+			isPost:      string(request.Method) == http.MethodPost,
+		}
+		filled.http.readCacheControl(request)
+	}
+	if rejection := h.fillTimeout(request, route, filled); rejection != nil {
+		return rejection
+	}
+	return h.fillIDs(request, filled)
+}
+
+// sortQuery sorts the parameters of a key's query by name, so that their order makes no other key. The order of those
+// of one name stays, as it may matter.
+func sortQuery(key string) string {
+	at := strings.IndexByte(key, '?')
+	if at < 0 {
+		return key
+	}
+	parameters := strings.Split(key[at+1:], "&")
+	slices.SortStableFunc(parameters, func(a, b string) int {
+		nameOfA, _, _ := strings.Cut(a, "=")
+		nameOfB, _, _ := strings.Cut(b, "=")
+		return strings.Compare(nameOfA, nameOfB)
+	})
+	return key[:at+1] + strings.Join(parameters, "&")
+}
+
+// isConditional reports whether a request asks whether the client's own copy is still valid.
+func isConditional(request *http1.Request) bool {
+	for _, name := range []string{"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since"} {
+		if request.Header(name) != nil {
+			return true
+		}
+	}
+	return false
+}
+
+// headerOr returns the value of a header, or the fallback if the listener names no such header or it is missing.
+func headerOr(request *http1.Request, name, fallback string) string {
+	if name == "" {
+		return fallback
+	}
+	if value := request.Header(name); value != nil {
+		return string(value)
+	}
+	return fallback
+}
+
+// fillClass fills in the service class and tenant. Both must be known: they are passed on in the flags of meta
+// commands, where other text could be read as further flags.
+func (h *httpDownstream) fillClass(
+	request *http1.Request, route *listeners.Route, filled *clientRequest,
+) *httpRejection {
+	class := headerOr(request, h.listener.ClassHeader, route.Class)
+	tenant := headerOr(request, h.listener.TenantHeader, route.Tenant)
+	if h.names.Class([]byte(class)) < 0 || tenant != "" && h.names.Tenant([]byte(tenant)) < 0 {
+		return badRequest("a grade or tenant that is none here")
+	}
+	filled.class = []byte(class)
+	filled.tenant = []byte(tenant)
+	return nil
+}
+
+// fillTimeout fills in the timeout: that of the request's header, else of its route, else of its service class.
+func (h *httpDownstream) fillTimeout(
+	request *http1.Request, route *listeners.Route, filled *clientRequest,
+) *httpRejection {
+	filled.timeout = h.deadlines[string(filled.class)]
+	if route.DeadlineMs > 0 {
+		filled.timeout = time.Duration(route.DeadlineMs * float64(time.Millisecond))
+	}
+	stated := headerOr(request, h.listener.DeadlineHeader, "")
+	if stated == "" {
+		return nil
+	}
+	ms, isNumber := meta.Decimal([]byte(stated))
+	if !isNumber || ms <= 0 {
+		return badRequest("a deadline that is none")
+	}
+	filled.timeout = timeoutOfMs(ms)
+	return nil
+}
+
+// fillIDs fills in the request's id, one of the node's own if it has none, and the flags that are passed on, with its
+// idempotency key.
+func (h *httpDownstream) fillIDs(request *http1.Request, filled *clientRequest) *httpRejection {
+	key := strings.Trim(string(request.Header(idempotencyKeyHeader)), `"`)
+	id := headerOr(request, h.listener.IDHeader, "")
+	if !isValidID(key) || !isValidID(id) {
+		return badRequest("an id that can't be one")
+	}
+	if key == "" && filled.write && h.needsKey[string(filled.class)] {
+		// Guards against a retry that endpoints could not tell from another write.
+		return badRequest("this needs an " + idempotencyKeyHeader)
+	}
+	filled.id = []byte(id)
+	if id == "" {
+		h.idsIssued++
+		filled.id = strconv.AppendUint([]byte(h.idPrefix), h.idsIssued, 10)
+	}
+	filled.flags = flagsOf(filled, key)
+	return nil
+}
+
+// isValidID reports whether an id or idempotency key is empty or can be passed on in the flags of meta commands.
+func isValidID(id string) bool {
+	return id == "" || len(id) <= maxIDBytes && meta.Plain([]byte(id)) && !strings.Contains(id, ",")
+}
+
+// flagsOf writes the flags that are passed on with a request, in the form of meta commands. The upstream codec puts the
+// time that is left in place of the deadline's 0.
+func flagsOf(request *clientRequest, idempotencyKey string) []byte {
+	flags := []byte("v O")
+	if request.write {
+		flags = flags[len("v "):]
+	}
+	flags = append(flags, request.id...)
+	flags = append(flags, " Pc="...)
+	flags = append(flags, request.class...)
+	flags = append(flags, ",d=0"...)
+	if len(request.tenant) > 0 {
+		flags = append(flags, ",t="...)
+		flags = append(flags, request.tenant...)
+	}
+	if idempotencyKey != "" && request.write {
+		flags = append(flags, ",k="...)
+		flags = append(flags, idempotencyKey...)
+	}
+	return flags
+}
+
+// readCacheControl reads which responses a request accepts. Pragma counts only without Cache-Control (RFC 9111, section
+// 5.4).
+func (d *httpRequestDetails) readCacheControl(request *http1.Request) {
+	d.freshness.Authorized = request.Header("Authorization") != nil
+	hasCacheControl := false
+	request.Each(func(name, value []byte) {
+		if bytes.EqualFold(name, []byte("Cache-Control")) {
+			d.freshness.Control.Read(value)
+			hasCacheControl = true
+		}
+	})
+	if !hasCacheControl && freshness.Pragma(request.Header("Pragma")) {
+		d.freshness.Control.NoCache = true
+	}
+}
--- a/internal/proxy/endpoint_start.go
+++ b/internal/proxy/endpoint_start.go
@@ -6,30 +6,37 @@
 	"dahliapin/policy"
 )
 
-// untoldMost is how long before an answer of discovery a cache may have started anew that the answer does not tell of: news is told within 6 s.
+// maxAnnouncementDelay is how long an endpoint may have been started anew before discovery's answers tell of it: they
+// do within 6 s.
 const maxAnnouncementDelay = 10 * time.Second
 
-// processStart is when a cache's process last started: as the list states it, and by the node's clock.
+// processStart is when an endpoint's process last started: as the list states it, and by the node's clock.
 type processStart struct {
-	statedMs float64        // Unix milliseconds; 0 for long ago
+	statedMs float64        // Unix time in milliseconds; 0 for long ago
 	at       policy.Instant // 0 for long ago
 }
 
-// processStartOf reads a cache's stated start. Only the list's times are wall clock, which may be stepped while the node and the caches run: so a stated
-// time is turned into the node's own once, as it is first told, by what the wall clock says then; the same stated time is the same start from then
-// on, and another one is another start, be it earlier or later. What the step itself makes of a start told just then is bounded: none lies in
-// the future, and a cache that was started anew has not been before the last answer that told of its old process, but for what may be untold.
-func (p *Proxy) processStartOf(known *knownEndpoint, stated float64) processStart {
-	if stated == 0 {
+// processStartOf reads an endpoint's stated start. Only the list's times are of the wall clock, which may be stepped
+// while the node and the endpoints run. So a stated time is turned into the node's own once, as it is first stated,
+// by what the wall clock says then. The same stated time is the same start from then on; another one is another
+// start, be it earlier or later. What a step makes of a start that is stated just then is bounded: none lies in the
+// future, and an endpoint that was started anew was not so before the last answer that stated its old start, but for
+// maxAnnouncementDelay. Guards against an endpoint that counts as warmed up, or as warming up, for as long as the
+// step.
+func (p *Proxy) processStartOf(known *knownEndpoint, statedMs float64) processStart {
+	if statedMs == 0 {
 		return processStart{}
 	}
-	if known != nil && known.start.statedMs == stated {
+	if known != nil && known.start.statedMs == statedMs {
 		return known.start
 	}
-	wall, now := p.wallClock(), p.now()
-	at := now.Add(time.Duration(stated*float64(time.Millisecond)) - time.Duration(wall.UnixNano()))
+	wall := p.clock.wall()
+	now := p.now()
+	stated := time.Duration(statedMs * float64(time.Millisecond)) // since the Unix epoch
+	at := now.Add(stated - time.Duration(wall.UnixNano()))
 	if known != nil {
-		at = max(at, p.watch.updatedAt.Add(-maxAnnouncementDelay), known.start.at+1)
+		at = max(at, p.endpoints.watch.updatedAt.Add(-maxAnnouncementDelay), known.start.at+1)
 	}
-	return processStart{statedMs: stated, at: min(at, now) | 1}
+	at = min(at, now)
+	return processStart{statedMs: statedMs, at: at | 1} // never 0
 }
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -28,17 +28,17 @@
 			t.Fatal(err)
 		}
 		stepped := time.Duration(0)
-		r.wallClock = func() time.Time { return time.Now().Add(stepped) }
-		stated := func(ago time.Duration) int64 { return r.wallClock().Add(-ago).UnixMilli() }
+		r.clock.wall = func() time.Time { return time.Now().Add(stepped) }
+		stated := func(ago time.Duration) int64 { return r.clock.wall().Add(-ago).UnixMilli() }
 		hear := func(form policy.UpdateKind, startedAt int64) policy.Instant {
-			news, err := r.watch.reader.Read(fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service",
+			news, err := r.endpoints.watch.reader.Read(fmt.Appendf(nil, `{"generation":1,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service",
 "zone":"z","startedAtMs":%d}]}`, startedAt))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.applyEndpointList(&news, form)
-			r.watch.updatedAt = r.now()
-			return r.endpoints["c"].start.at
+			r.endpoints.watch.updatedAt = r.now()
+			return r.endpoints.byID["c"].start.at
 		}
 		near := func(what string, got policy.Instant, ago time.Duration) {
 			t.Helper()
@@ -50,12 +50,12 @@
 		was := hear(policy.CompleteUpdate, first)
 		near("first start", was, 3*time.Minute)
 		stepped = step
-		old := r.endpoints["c"]
-		if again := hear(policy.CompleteUpdate, first); again != was || r.endpoints["c"] != old {
+		old := r.endpoints.byID["c"]
+		if again := hear(policy.CompleteUpdate, first); again != was || r.endpoints.byID["c"] != old {
 			t.Errorf("%v: the same start became another one", step)
 		}
 		near("a start after the step", hear(policy.DeltaUpdate, stated(500*time.Millisecond)), 500*time.Millisecond)
-		if r.endpoints["c"] == old {
+		if r.endpoints.byID["c"] == old {
 			t.Errorf("%v: a start after the step is taken for none", step)
 		}
 		r.Shutdown()
@@ -68,8 +68,8 @@
 	now := clockEpoch.Add(time.Hour)
 	began := time.Now().Add(-now.Since(clockEpoch))
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		r := &Proxy{startedAt: began, wallClock: func() time.Time { return time.Now().Add(step) }}
-		r.watch.updatedAt = now
+		r := &Proxy{clock: clock{startedAt: began, wall: func() time.Time { return time.Now().Add(step) }}}
+		r.endpoints.watch.updatedAt = now
 		known := &knownEndpoint{start: processStart{statedMs: 5, at: clockEpoch}}
 		got := r.processStartOf(known, float64(time.Now().Add(-time.Second).UnixMilli())).at
 		if late := r.now().Since(got); late < 0 || late > maxAnnouncementDelay+time.Minute {
--- a/internal/proxy/endpoint_watch_test.go
+++ b/internal/proxy/endpoint_watch_test.go
@@ -136,7 +136,7 @@
 				return
 			}
 			for has, by := make(chan bool, 1), time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-				r.runInLoop(func() { has <- r.endpoints[policy.EndpointID("d")] != nil })
+				r.runInLoop(func() { has <- r.endpoints.byID[policy.EndpointID("d")] != nil })
 				if <-has {
 					return
 				}
--- /dev/null
+++ b/internal/proxy/health_checks.go
@@ -0,0 +1,51 @@
+package proxy
+
+import "dahliapin/policy"
+
+// CheckHealth sends an endpoint a health check. It implements dispatch.Actions.
+func (p *Proxy) CheckHealth(id policy.EndpointID) {
+	endpoint := p.endpoints.byID[id]
+	if endpoint == nil {
+		return
+	}
+	p.metrics.counters.HealthChecks++
+	conn, err := p.acquireConn(endpoint, purposeHealthCheck, false)
+	if err != nil {
+		p.reportHealthCheck(id, policy.ConnectFailed)
+		return
+	}
+	if conn.wire != nil {
+		p.writeHealthCheck(conn)
+	}
+}
+
+func (p *Proxy) writeHealthCheck(conn *upstreamConn) {
+	conn.deadline = p.now().Add(p.connectTimeout())
+	p.schedule(conn.deadline, timerEvent{kind: timerUpstreamConn, conn: conn.id})
+	if conn.wire.Write(conn.endpoint.codec.healthCheck(conn.endpoint.addr)) != nil {
+		p.failConn(conn, policy.ConnectFailed)
+	}
+}
+
+func (p *Proxy) readHealthCheck(conn *upstreamConn) {
+	healthy, size, err := conn.endpoint.codec.readHealthCheck(conn.input.buf.Unread(), conn.input.eof)
+	if err != nil {
+		p.failConn(conn, policy.ConnectionBroken)
+		return
+	}
+	if size == 0 {
+		return
+	}
+	result := policy.Errored
+	if healthy {
+		result = policy.Answered
+	}
+	conn.input.consume(size)
+	p.returnToPool(conn)
+	p.reportHealthCheck(conn.endpoint.id, result)
+}
+
+// reportHealthCheck has the dispatcher get a health check's result as soon as it has returned.
+func (p *Proxy) reportHealthCheck(id policy.EndpointID, result policy.Result) {
+	p.deferCall(func() { p.dispatcher.OnHealthCheck(p.now(), id, result) })
+}
--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -1,17 +1,26 @@
 package proxy
 
-// idleConnList are all idle links in the order in which they fell idle, so that the one that has been idle longest is known without looking at
-// each cache: there may be thousands, and each new connection asks for it while all descriptors are in use.
+// idleConnList lists all idle upstream connections in the order in which they fell idle, so that the one that has been
+// idle longest is found without a look at each endpoint: there may be thousands, and while all descriptors are in use
+// each new connection asks for it.
 type idleConnList struct {
-	oldest, newest *upstreamConn
+	oldest *upstreamConn
+	newest *upstreamConn
 }
 
-// push adds a link that has just fallen idle.
+// idleConnEntry is a connection's place in the list.
+type idleConnEntry struct {
+	inIdleList bool
+	older      *upstreamConn
+	newer      *upstreamConn
+}
+
+// push adds a connection that has just fallen idle.
 func (q *idleConnList) push(conn *upstreamConn) {
 	if conn.inIdleList {
 		return
 	}
-	conn.inIdleList, conn.older, conn.newer = true, q.newest, nil
+	conn.idleConnEntry = idleConnEntry{inIdleList: true, older: q.newest}
 	if q.newest != nil {
 		q.newest.newer = conn
 	} else {
@@ -20,7 +29,7 @@
 	q.newest = conn
 }
 
-// remove takes out a link that is not idle any more, or has ended.
+// remove takes out a connection that is not idle any more, or has ended.
 func (q *idleConnList) remove(conn *upstreamConn) {
 	if !conn.inIdleList {
 		return
@@ -35,16 +44,17 @@
 	} else {
 		q.newest = conn.older
 	}
-	conn.inIdleList, conn.older, conn.newer = false, nil, nil
+	conn.idleConnEntry = idleConnEntry{}
 }
 
-// closeLongestIdleConn closes the link that has been idle longest: its loss costs least.
+// closeLongestIdleConn closes the connection that has been idle longest, whose loss costs least. It reports whether
+// there was one.
 func (p *Proxy) closeLongestIdleConn() bool {
-	oldest := p.idleConns.oldest
+	oldest := p.upstream.idle.oldest
 	if oldest == nil {
 		return false
 	}
-	p.counters.ClosedForRoom++
+	p.metrics.counters.ClosedForRoom++
 	p.dropConn(oldest)
 	return true
 }
--- /dev/null
+++ b/internal/proxy/loop.go
@@ -0,0 +1,136 @@
+package proxy
+
+import (
+	"time"
+
+	"dahliapin/internal/proxy/sockets"
+)
+
+// eventsPerTimerCheck is how many socket events are handled between two looks at the timers, so that a burst of events
+// doesn't hold up attempt deadlines.
+const eventsPerTimerCheck = 256
+
+// taskQueue holds what the event loop is to run beside events and timers.
+type taskQueue struct {
+	commands chan func()   // of other goroutines; see Proxy.runInLoop
+	done     chan struct{} // closed once the loop has ended
+	// deferred are calls that must not happen within a call into the dispatcher, which is not reentrant. They run in
+	// their order as soon as the current event, timer or command has been handled.
+	deferred []func()
+}
+
+// runInLoop has the event loop call f. It reports false, and f is never called, if the loop has ended.
+func (p *Proxy) runInLoop(f func()) bool {
+	select {
+	case p.tasks.commands <- f:
+		return true
+	case <-p.tasks.done:
+		return false
+	}
+}
+
+// deferCall has f called once the dispatcher has returned.
+func (p *Proxy) deferCall(f func()) { p.tasks.deferred = append(p.tasks.deferred, f) }
+
+// runDeferred makes the deferred calls, and those that they defer in turn.
+func (p *Proxy) runDeferred() {
+	for len(p.tasks.deferred) > 0 {
+		batch := p.tasks.deferred
+		p.tasks.deferred = nil
+		for _, f := range batch {
+			f()
+		}
+	}
+}
+
+// Run is the event loop. It returns once the node has stopped.
+func (p *Proxy) Run() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for p.lifecycle.phase != Stopped {
+		p.runIteration(timer)
+		if p.lifecycle.phase == Stopped {
+			break
+		}
+		select {
+		case <-p.engine.Wake():
+		case <-timer.C:
+		case command := <-p.tasks.commands:
+			command()
+			p.runDeferred()
+		}
+	}
+	if p.takeover.offer != nil {
+		p.takeover.offer.Close()
+	}
+	p.engine.Stop()
+	close(p.tasks.done)
+}
+
+// runIteration handles all events and timers that are there, and sets the timer to the next one.
+func (p *Proxy) runIteration(timer *time.Timer) {
+	if p.config.OnLoopIteration != nil {
+		p.config.OnLoopIteration()
+	}
+	if p.wasHeldUp() {
+		p.awaitEndpointList()
+	}
+	events := p.engine.Take()
+	p.beginIteration(len(events))
+	p.handleEvents(events)
+	p.fireTimers()
+	for p.engine.Crowded() && p.freeDescriptor() {
+		p.runDeferred()
+	}
+	now := p.now()
+	p.endIteration(now)
+	if at, ok := p.timers.Next(); ok {
+		timer.Reset(at.Since(now))
+	}
+}
+
+// handleEvents handles a batch of socket events, those of the endpoint list's connection first: no request that came in
+// the same batch is decided by an older list.
+func (p *Proxy) handleEvents(events []sockets.Event) {
+	for i := range events {
+		ev := &events[i]
+		if ev.Wire != nil && ev.Wire.Out && upstreamConnID(ev.Wire.Tag) == p.endpoints.watch.conn {
+			p.handleEvent(ev)
+			ev.Handled = true
+		}
+	}
+	for i := range events {
+		if !events[i].Handled {
+			p.handleEvent(&events[i])
+		}
+		if i%eventsPerTimerCheck == eventsPerTimerCheck-1 {
+			p.fireTimers()
+		}
+	}
+}
+
+func (p *Proxy) handleEvent(ev *sockets.Event) {
+	switch ev.What {
+	case sockets.Opened:
+		p.onClientConnected(ev)
+	case sockets.Connected, sockets.Refused:
+		p.onDialResult(ev)
+	case sockets.Data:
+		if ev.Wire.Out {
+			p.onUpstreamData(upstreamConnID(ev.Wire.Tag), ev.Bytes())
+		} else {
+			p.onClientData(clientConnID(ev.Wire.Tag), ev.Bytes(), p.clock.instantOf(ev.At))
+		}
+	case sockets.Closed:
+		if ev.Wire.Out {
+			p.onUpstreamClosed(upstreamConnID(ev.Wire.Tag), ev.Lost > 0, ev.Orderly)
+		} else {
+			p.onClientClosed(clientConnID(ev.Wire.Tag))
+		}
+	}
+	p.runDeferred()
+}
+
+// freeDescriptor closes the connection of least use: an idle one to an endpoint first, then an idle client's. It
+// reports whether there was one.
+func (p *Proxy) freeDescriptor() bool { return p.closeLongestIdleConn() || p.closeLongestIdleClient() }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -262,7 +262,7 @@
 	long := strings.Repeat("v", 60<<10)
 	g := newRig(t, 200, func(line string) string { return fmt.Sprintf("VA %d %s\r\n%s", len(long), id(line), long) })
 	c, _ := g.client()
-	g.runInLoop(func() { g.Memory = int64(len(long)) }) // two that do not end are too much
+	g.runInLoop(func() { g.config.Memory = int64(len(long)) }) // two that do not end are too much
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
@@ -270,7 +270,7 @@
 		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.RejectedForRoom >= 2
 	})
 	coming := make(chan int, 1)
-	if g.runInLoop(func() { coming <- g.incompleteResponseBytes }); <-coming > len(long) {
+	if g.runInLoop(func() { coming <- g.upstream.incompleteBytes }); <-coming > len(long) {
 		t.Error("what is dropped is still counted")
 	}
 }
@@ -304,21 +304,21 @@
 	g := newRig(t, 200, value)
 	other := g.listen(func(c net.Conn) { cache <- c })
 	g.runInLoop(func() {
-		g.endpoints["c"].addr = other
+		g.endpoints.byID["c"].addr = other
 		g.CheckHealth("c")
 	})
 	c := wait(t, cache)
 	io.WriteString(c, "MN\r\n")
 	reused := make(chan bool, 1)
 	g.until("the link is idle", func(metrics.Counters) bool {
-		g.runInLoop(func() { reused <- len(g.endpoints["c"].idleConns) == 1 })
+		g.runInLoop(func() { reused <- len(g.endpoints.byID["c"].idleConns) == 1 })
 		return <-reused
 	})
 	g.runInLoop(func() {
-		in := g.endpoints["c"]
+		in := g.endpoints.byID["c"]
 		old := in.idleConns[0]
 		io.WriteString(c, "MN\r\n") // it can't be taken while this runs
-		for w := g.conns.Get(old).wire; ; {
+		for w := g.upstream.conns.Get(old).wire; ; {
 			if quiet, sure := w.Quiet(); sure && !quiet {
 				break
 			}
@@ -368,8 +368,8 @@
 			r.ReadString('\n')
 		}
 		g.runInLoop(func() { // the time in which a second would come is not over for this test
-			for _, id := range g.endpoints[policy.EndpointID(c.server)].idleConns {
-				if l := g.conns.Get(id); l.unattributedAt != 0 {
+			for _, id := range g.endpoints.byID[policy.EndpointID(c.server)].idleConns {
+				if l := g.upstream.conns.Get(id); l.unattributedAt != 0 {
 					l.unattributedAt = g.now().Add(time.Hour)
 				}
 			}
@@ -432,7 +432,7 @@
 	g.expect(first, "VA 5 Oa", "hello")
 	g.until("it is forgotten", func(metrics.Counters) bool {
 		left := make(chan int, 1)
-		g.runInLoop(func() { left <- len(g.inflightIDs) + g.inflight.Len() })
+		g.runInLoop(func() { left <- len(g.inflight.ids) + g.inflight.requests.Len() })
 		return <-left == 0
 	})
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000.5\r\n")
@@ -498,7 +498,7 @@
 	go fmt.Fprint(c, strings.Repeat("mn\r\n", 2*maxPendingResponses))
 	g.until("it is no more read", func(metrics.Counters) bool {
 		closing := make(chan bool, 1)
-		g.runInLoop(func() { g.clients.Each(func(_ clientConnID, c *clientConn) { closing <- c.closing }) })
+		g.runInLoop(func() { g.downstream.conns.Each(func(_ clientConnID, c *clientConn) { closing <- c.closing }) })
 		return <-closing
 	})
 	close(hold)
@@ -517,7 +517,7 @@
 		if _, err := fmt.Fprintf(c, "mg k%[1]d v Oa%[1]d Pc=read,d=9000\r\n", n); err != nil {
 			break
 		}
-		if n%50 == 0 && g.engine.Unsent() > g.Memory/4 {
+		if n%50 == 0 && g.engine.Unsent() > g.config.Memory/4 {
 			t.Fatalf("%d bytes wait for a slow reader", g.engine.Unsent())
 		}
 	}
@@ -533,7 +533,7 @@
 		t.Errorf("after a call that broke off, asked %q", again)
 	}
 	addr := make(chan string, 1)
-	g.runInLoop(func() { addr <- g.endpoints["c"].addr })
+	g.runInLoop(func() { addr <- g.endpoints.byID["c"].addr })
 	g.list <- `{"generation":9,"reset":false,"instances":[{"instanceId":"c","lifecycle":"terminated"}]}`
 	if third := wait(t, g.asked); !strings.HasPrefix(third, endpointListPath+"?since=9&") {
 		t.Errorf("asked %q", third)
@@ -590,7 +590,7 @@
 	wait(t, g.asked)
 	wait(t, g.asked)
 	up := make(chan bool, 9)
-	again := g.Config
+	again := g.config
 	again.Listen, again.OnPhaseChange = "127.0.0.1:0", func(p Phase) { up <- p == Serving }
 	again.LastEndpoints = []byte(`{"generation":41,"reset":true,"instances":[
 {"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"in_service","zone":"z"}]}`)
@@ -630,14 +630,14 @@
 		`{"generation":9,"reset":true,"instances":[{"hostPort":"127.0.0.1:1","lifecycle":"in_service"}]}`} {
 		g, lines := newRig(t, 200, value), make(chan int, 1)
 		var said bytes.Buffer
-		g.runInLoop(func() { g.Log.SetOutput(&said) })
+		g.runInLoop(func() { g.config.Log.SetOutput(&said) })
 		for i := range 5 {
 			if i > 1 {
 				g.list <- bad
 			}
 			wait(t, g.asked)
 		}
-		g.runInLoop(func() { lines <- 10*len(g.endpoints) + strings.Count(said.String(), "\n") })
+		g.runInLoop(func() { lines <- 10*len(g.endpoints.byID) + strings.Count(said.String(), "\n") })
 		if got := <-lines; got != 21 {
 			t.Errorf("after three times %s: %d (ten for each cache, one for a line in the log)", bad, got)
 		}
@@ -652,12 +652,12 @@
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	r.ReadString('\n')
 	g.runInLoop(func() {
-		for _, l := range []*upstreamConn{{endpoint: &knownEndpoint{id: "c"}}, {endpoint: g.endpoints["o"]}, {endpoint: g.endpoints["c"], proven: true}} {
+		for _, l := range []*upstreamConn{{endpoint: &knownEndpoint{id: "c"}}, {endpoint: g.endpoints.byID["o"]}, {endpoint: g.endpoints.byID["c"], proven: true}} {
 			g.onConnectRefused(l)
 		}
 		spans <- g.idleTimeout()
 		for range 9 {
-			g.onConnectRefused(&upstreamConn{endpoint: g.endpoints["c"]})
+			g.onConnectRefused(&upstreamConn{endpoint: g.endpoints.byID["c"]})
 		}
 		spans <- g.idleTimeout()
 	})
@@ -665,7 +665,7 @@
 		t.Errorf("idle links are kept %v, then %v", before, after)
 	}
 	kept, began := make(chan int, 1), time.Now()
-	for g.runInLoop(func() { kept <- len(g.endpoints["c"].idleConns) }); <-kept > 0; g.runInLoop(func() { kept <- len(g.endpoints["c"].idleConns) }) {
+	for g.runInLoop(func() { kept <- len(g.endpoints.byID["c"].idleConns) }); <-kept > 0; g.runInLoop(func() { kept <- len(g.endpoints.byID["c"].idleConns) }) {
 		if time.Sleep(10 * time.Millisecond); time.Since(began) > patience/2 {
 			t.Fatal("the one that was idle is kept all the same")
 		}
@@ -676,8 +676,8 @@
 func TestAListThatMovesIsCalledForWhateverLinksAreOut(t *testing.T) {
 	g := newRig(t, 64, value)
 	g.runInLoop(func() {
-		for g.conns.Len() <= g.maxUpstreamConns() {
-			g.conns.Add(&upstreamConn{purpose: purposeAttempt})
+		for g.upstream.conns.Len() <= g.maxUpstreamConns() {
+			g.upstream.conns.Add(&upstreamConn{purpose: purposeAttempt})
 		}
 	})
 	asked := make(chan string, 9)
@@ -778,7 +778,7 @@
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
 	g.Shutdown()
 	g.runInLoop(func() {
-		for g.now().Since(g.drainStartedAt) < drainAcceptTime+drainQuietTime {
+		for g.now().Since(g.lifecycle.drainStartedAt) < drainAcceptTime+drainQuietTime {
 		}
 		g.engine.Accept(true)
 	})
@@ -864,12 +864,12 @@
 // A link that is taken up just before its idle time was looked after again at once until its leg ended, and no
 // event was handled meanwhile: eight requests were lost on a rough day.
 func TestLinkInUseAtItsIdleTimeIsLeftForLater(t *testing.T) {
-	r := &Proxy{startedAt: time.Now()}
-	r.Settings.Policy.IdleTimeout = 10 * time.Second
+	r := &Proxy{clock: clock{startedAt: time.Now()}}
+	r.config.Settings.Policy.IdleTimeout = 10 * time.Second
 	l := &upstreamConn{purpose: purposeAttempt, lastUsedAt: policy.Instant(-time.Hour), idleCheckAt: clockEpoch}
-	l.id = r.conns.Add(l)
+	l.id = r.upstream.conns.Add(l)
 	r.onConnTimer(l.id)
-	if at, ok := r.timers.Next(); !ok || at.Since(r.now()) < time.Second || r.conns.Get(l.id) == nil {
+	if at, ok := r.timers.Next(); !ok || at.Since(r.now()) < time.Second || r.upstream.conns.Get(l.id) == nil {
 		t.Errorf("to be looked after %v from now", at.Since(r.now()))
 	}
 }
@@ -897,7 +897,7 @@
 
 // moves has a server be elsewhere, for whatever comes after.
 func (g *rig) moves(id policy.EndpointID, addr string) {
-	g.runInLoop(func() { g.endpoints[id].addr = addr })
+	g.runInLoop(func() { g.endpoints.byID[id].addr = addr })
 	g.Counters() // else the next command may come before
 }
 
@@ -987,12 +987,12 @@
 
 // Where legs may not be called off, a link that comes up late must not carry a leg of what is answered by then.
 func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
-	r := &Proxy{startedAt: time.Now()}
+	r := &Proxy{clock: clock{startedAt: time.Now()}}
 	v := &inflightRequest{answered: true, attempts: []attempt{{inFlight: true}}}
-	v.id = r.inflight.Add(v)
+	v.id = r.inflight.requests.Add(v)
 	l := &upstreamConn{purpose: purposeAttempt, attempt: attemptRef{request: v.id}, endpoint: &knownEndpoint{}}
-	l.id = r.conns.Add(l)
-	if r.startPurpose(l); r.counters.Outcomes[policy.NotSent] != 1 || v.attempts[0].inFlight || l.purpose != purposeIdle {
-		t.Errorf("%v, still out: %v", r.counters.Outcomes, v.attempts[0].inFlight)
+	l.id = r.upstream.conns.Add(l)
+	if r.startPurpose(l); r.metrics.counters.Outcomes[policy.NotSent] != 1 || v.attempts[0].inFlight || l.purpose != purposeIdle {
+		t.Errorf("%v, still out: %v", r.metrics.counters.Outcomes, v.attempts[0].inFlight)
 	}
 }
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -34,7 +34,7 @@
 		r.ReadString('\n')
 	})
 	var usual string
-	g.runInLoop(func() { usual, g.endpoints["c"].addr = g.endpoints["c"].addr, slow })
+	g.runInLoop(func() { usual, g.endpoints.byID["c"].addr = g.endpoints.byID["c"].addr, slow })
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	g.expect(r, fmt.Sprintf("VA %d Oa", len(first)))
@@ -42,13 +42,13 @@
 	if _, err := io.ReadFull(r, got); err != nil || string(got) != first[:half] {
 		t.Fatal("its first half is not there before the second has come", err)
 	}
-	g.runInLoop(func() { g.endpoints["c"].addr = usual })
+	g.runInLoop(func() { g.endpoints.byID["c"].addr = usual })
 	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\nmn\r\n")
 	held := make(chan bool, 1)
 	g.until("the second is held", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			n := 0
-			g.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
+			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
 				if l.stream != nil && l.stream.paused {
 					n++
 				}
@@ -62,8 +62,8 @@
 	g.expect(others, "VA 5 Oshort", "hello")
 	close(rest)
 	g.expect(r, first[half:], fmt.Sprintf("VA %d Ob", len(second)), second, "MN")
-	if n := g.Counters(); n.Satisfied != 3 || n.Attempts != 3 || g.incompleteResponseBytes > 2*streamWindow {
-		t.Errorf("%+v, %d bytes are still counted", n, g.incompleteResponseBytes)
+	if n := g.Counters(); n.Satisfied != 3 || n.Attempts != 3 || g.upstream.incompleteBytes > 2*streamWindow {
+		t.Errorf("%+v, %d bytes are still counted", n, g.upstream.incompleteBytes)
 	}
 }
 
@@ -95,19 +95,19 @@
 	stuck := make(chan bool, 1)
 	g.until("it is left", func(n metrics.Counters) bool {
 		g.runInLoop(func() {
-			g.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
+			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
 				if l.stream != nil && l.stream.paused && l.stream.started { // as after a while
 					l.stream.lastReadAt = l.stream.lastReadAt.Add(-slowReaderTimeout)
 				}
 			})
-			stuck <- g.clients.Len() == 1
+			stuck <- g.downstream.conns.Len() == 1
 		})
 		return !<-stuck && n.Overdue == 1
 	})
 	g.until("and its links", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			busy := false
-			g.conns.Each(func(_ upstreamConnID, l *upstreamConn) { busy = busy || l.stream != nil })
+			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) { busy = busy || l.stream != nil })
 			stuck <- busy
 		})
 		return !<-stuck
@@ -129,7 +129,7 @@
 		io.WriteString(w, page)
 	}))
 	defer origin.Close()
-	g.runInLoop(func() { g.endpoints["o"].addr = strings.TrimPrefix(origin.URL, "http://") })
+	g.runInLoop(func() { g.endpoints.byID["o"].addr = strings.TrimPrefix(origin.URL, "http://") })
 	for key, want := range map[string]string{"k": long, "away": page, "k2": long} {
 		a, err := http.Get("http://" + g.Addr(1) + "/p/" + key)
 		if err != nil {
--- a/internal/proxy/operator_commands_test.go
+++ b/internal/proxy/standby_test.go
@@ -54,7 +54,9 @@
 		g.Counters()
 		g.expect(answers, want...)
 	}
-	g.runInLoop(func() { g.standbyStartedAt = g.standbyStartedAt.Add(-standbyAcceptTime - standbyServeTime) })
+	g.runInLoop(func() {
+		g.lifecycle.standbyStartedAt = g.lifecycle.standbyStartedAt.Add(-standbyAcceptTime - standbyServeTime)
+	})
 	close(hold)
 	late("d", "VA 5 Oa", "hello", "SERVER_ERROR busy") // who asks without end would be held for ever
 	closed(answers)
@@ -115,22 +117,24 @@
 		t.Errorf("%+v", s)
 	}
 	g.runInLoop(func() {
-		g.endpointStats.EndpointStateChanged(g.now(), "c", policy.StateUnreachable)
-		g.endpointStats.EndpointStateChanged(g.now(), "long gone", policy.StateUnresponsive)
+		g.metrics.endpoints.EndpointStateChanged(g.now(), "c", policy.StateUnreachable)
+		g.metrics.endpoints.EndpointStateChanged(g.now(), "long gone", policy.StateUnresponsive)
 	})
 	if s := look(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
 	g.runInLoop(func() { // silent, and still with its share of legs: not avoided; with a trial now and then: avoided
-		g.endpointStats.EndpointStateChanged(g.now(), "c", policy.StateUnresponsive)
+		g.metrics.endpoints.EndpointStateChanged(g.now(), "c", policy.StateUnresponsive)
 		for range 2 {
-			g.endpointStats.AttemptSent(g.now(), "c")
+			g.metrics.endpoints.AttemptSent(g.now(), "c")
 		}
 	})
 	if s := look(); s.Unavailable != 0 {
 		t.Errorf("%+v", s)
 	}
-	g.runInLoop(func() { g.endpointStats.lastAttempts["c"] = [2]policy.Instant{g.now().Add(-trialInterval), g.now()} })
+	g.runInLoop(func() {
+		g.metrics.endpoints.lastAttempts["c"] = [2]policy.Instant{g.now().Add(-trialInterval), g.now()}
+	})
 	if s := look(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
@@ -145,10 +149,10 @@
 // loop had not heard of was cut off: one in some thousand, while the newcomer of an upgrade is ended under load.
 func TestAProcessThatIsGivenBackEndsOnlyOnceNobodyCanBeOnTheWay(t *testing.T) {
 	g := newRig(t, 200, holdingOa(nil))
-	g.runInLoop(func() { g.replaced = true })
+	g.runInLoop(func() { g.takeover.replaced = true })
 	g.Shutdown()
 	g.serve.Wait()
-	if took := g.now().Since(g.drainStartedAt); took < drainQuietTime {
+	if took := g.now().Since(g.lifecycle.drainStartedAt); took < drainQuietTime {
 		t.Errorf("ended %v after it was told to", took)
 	}
 }
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -2,101 +2,113 @@
 
 import "dahliapin/internal/proxy/handover"
 
-// While two processes are one node, each has this part of what the node may use.
+// sharedLimitDivisor divides the node's limits while two processes are one node.
 const sharedLimitDivisor = 2
 
-// joinPredecessor begins as the successor of another process: with its listeners, and with a part of the limits until that has gone.
+// takeover is the state of a process that replaces another one, or is replaced. The loop writes it.
+type takeover struct {
+	totalMemory         int64           // bytes that the node may use in all its processes
+	offer               *handover.Offer // by which a successor may come; nil for none
+	replaced            bool            // another process accepts the connections
+	predecessorGone     bool            // the process before this one has ended
+	predecessorNotified bool            // the process before this one knows that this one serves
+}
+
+// joinPredecessor begins as the successor of another process: with its listeners, and with part of the limits until it
+// has gone. The goroutine ends with the predecessor, as Wait returns then.
 func (p *Proxy) joinPredecessor() {
-	for _, l := range p.Inherited.Listeners { // this one's file states them no more
-		_ = l.Close()
+	for _, listener := range p.config.Inherited.Listeners { // those left over are not configured any more
+		_ = listener.Close()
 	}
 	p.setSharedLimits(true)
 	go func() {
-		p.Inherited.Wait()
-		p.runInLoop(func() {
-			if p.replaced { // it was given back to
-				return
-			}
-			p.Log.Info("the process before this one has gone")
-			p.predecessorGone = true
-			p.setSharedLimits(false)
-			p.offerHandover()
-		})
+		p.config.Inherited.Wait()
+		p.runInLoop(p.onPredecessorGone)
 	}()
 }
 
-// setSharedLimits takes and gives back the other process's part of the limits.
+func (p *Proxy) onPredecessorGone() {
+	if p.takeover.replaced { // the node was returned to it
+		return
+	}
+	p.config.Log.Info("the process before this one has gone")
+	p.takeover.predecessorGone = true
+	p.setSharedLimits(false)
+	p.offerHandover()
+}
+
+// setSharedLimits limits this process to its part of the node's descriptors and memory, or gives it all of them.
 func (p *Proxy) setSharedLimits(shared bool) {
-	descriptors, memory := p.Descriptors, p.totalMemory
+	descriptors := p.config.Descriptors
+	memory := p.takeover.totalMemory
 	if shared {
-		descriptors, memory = (descriptors+p.OtherDescriptors)/sharedLimitDivisor-p.OtherDescriptors, memory/sharedLimitDivisor
+		ofProcess := (descriptors + p.config.OtherDescriptors) / sharedLimitDivisor
+		descriptors = ofProcess - p.config.OtherDescriptors
+		memory /= sharedLimitDivisor
 	}
-	p.Memory = memory
+	p.config.Memory = memory
 	p.engine.Limit(descriptors)
 	for p.engine.Over() && p.freeDescriptor() {
 		p.runDeferred()
 	}
-	if p.OnSharedLimits != nil {
-		p.OnSharedLimits(shared)
+	if p.config.OnSharedLimits != nil {
+		p.config.OnSharedLimits(shared)
 	}
 }
 
-// offerHandover lets another process take this one's place. Without it the node runs as ever; it just can't be replaced without a gap.
+// offerHandover lets another process take over. If that fails the node runs on; it can't be replaced without a gap.
 func (p *Proxy) offerHandover() {
-	if p.HandoverPath == "" || p.phase == Stopped {
+	if p.config.HandoverPath == "" || p.lifecycle.phase == Stopped {
 		return
 	}
+	onStage := func(stage handover.Stage) {
+		p.runInLoop(func() { p.onSuccessorStage(stage) })
+	}
 	var err error
-	p.offer, err = handover.Open(p.HandoverPath, p.engine.Listeners(), func(stage handover.Stage) { p.runInLoop(func() { p.onSuccessorStage(stage) }) })
+	p.takeover.offer, err = handover.Open(p.config.HandoverPath, p.engine.Listeners(), onStage)
 	if err != nil {
-		p.Log.WithError(err).Warn("this process can't be replaced without a gap")
+		p.config.Log.WithError(err).Warn("this process can't be replaced without a gap")
 	}
 }
 
-// onSuccessorStage hears how far the process that replaces this one has come. Guards against one that dies or hangs before it serves: until it
-// does, and once it has gone, this one lets people in.
+// onSuccessorStage follows the process that takes over. Guards against one that ends or hangs before it serves: until
+// it serves, and again once it has gone, this process accepts the connections.
 func (p *Proxy) onSuccessorStage(stage handover.Stage) {
 	switch stage {
 	case handover.SocketsSent:
-		p.Log.Info("another process comes in this one's place")
+		p.config.Log.Info("another process comes in this one's place")
 		p.setSharedLimits(true)
 	case handover.SuccessorServing:
-		p.Log.Info("the other process lets people in")
-		p.replaced = true
+		p.config.Log.Info("the other process lets people in")
+		p.takeover.replaced = true
 		p.engine.Accept(false)
 	case handover.SuccessorGone:
-		p.Log.Warn("the process in this one's place has gone")
-		p.replaced = false
+		p.config.Log.Warn("the process in this one's place has gone")
+		p.takeover.replaced = false
 		p.setSharedLimits(false)
 		p.engine.Accept(true)
 	}
 }
 
-// BlockLoop has the loop do nothing until a channel is closed. It is for rehearsals.
-func (p *Proxy) BlockLoop(until <-chan struct{}) { p.runInLoop(func() { <-until }) }
-
-// Replaced tells whether another process lets people in. It is for the loop, as Moved is called within it.
-func (p *Proxy) Replaced() bool { return p.replaced }
-
-// returnToPredecessor leaves clients to the process that this one was to replace, if that is still there: going back needs no more than to end
-// the newcomer.
+// returnToPredecessor leaves new connections to the process that this one was to replace, if that still runs: to go
+// back to it, operators only have to end the successor.
 func (p *Proxy) returnToPredecessor() {
-	if p.Inherited == nil || p.predecessorGone {
+	if p.config.Inherited == nil || p.takeover.predecessorGone {
 		return
 	}
-	p.replaced = true
+	p.takeover.replaced = true
 	p.engine.Accept(false)
-	p.Inherited.Close()
+	p.config.Inherited.Close()
 }
 
-// startAccepting begins to take clients; a predecessor then leaves them to this process.
+// startAccepting accepts the connections from now on, and has the predecessor cease to.
 func (p *Proxy) startAccepting() {
-	if p.Inherited == nil || p.predecessorNotified {
+	if p.config.Inherited == nil || p.takeover.predecessorNotified {
 		return
 	}
-	p.predecessorNotified = true
+	p.takeover.predecessorNotified = true
 	p.engine.Accept(true)
-	if err := p.Inherited.Serving(); err != nil {
-		p.Log.WithError(err).Info("the process before this one has gone already")
+	if err := p.config.Inherited.Serving(); err != nil {
+		p.config.Log.WithError(err).Info("the process before this one has gone already")
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -1,39 +1,43 @@
 package proxy
 
 import (
-	"math"
 	"slices"
-	"strconv"
 	"time"
 
 	"dahliapin/internal/buffer"
+	"dahliapin/internal/idletimeout"
 	"dahliapin/internal/proxy/sockets"
+	"dahliapin/internal/slotmap"
 	"dahliapin/internal/wire/http1"
-	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
 const (
-	defaultConnectTimeout   = 250 * time.Millisecond // to come up, where no time is stated
-	duplicateResponseWindow = 10 * time.Millisecond  // in which a second answer would have followed a first: ways within a site and their jitter
-
-	incompleteResponseShare = 4       // part of the memory that answers may take which have not come whole
-	minIncompleteBytes      = 4 << 10 // of such an answer that are never too many: with all links they stay under that part
+	// defaultConnectTimeout is how long a connection may take to come up where the settings state no time.
+	defaultConnectTimeout = 250 * time.Millisecond
+	// duplicateResponseWindow is the time in which a second response would have followed a first: paths within a site
+	// and their jitter.
+	duplicateResponseWindow = 10 * time.Millisecond
+	// incompleteResponseShare is the part of the memory, one of so many, that responses may take which have not come
+	// complete.
+	incompleteResponseShare = 4
+	// minIncompleteBytes of one such response are never too many: on all connections together they stay under that
+	// part.
+	minIncompleteBytes = 4 << 10
 )
 
-// cache is what the list says of a cache, and the connections to it.
-type knownEndpoint struct {
-	id        policy.EndpointID
-	addr      string
-	codec     upstreamCodec
-	start     processStart
-	idleConns []upstreamConnID // the latest used last
-}
+type upstreamConnID uint64
 
-// spoilt is the outcome of a leg whose answer can't be read, until it is told as one that the module knows.
-const unreadableResponse policy.Result = -1
+// upstream is the table of connections to endpoints and discovery, with the pool of the idle ones. The loop writes it.
+type upstream struct {
+	conns           slotmap.Table[upstreamConnID, upstreamConn]
+	idle            idleConnList
+	idleTimeout     idletimeout.Timeout // how long an idle connection is kept
+	response        upstreamResponse    // the response read last; kept to be reused
+	incompleteBytes int                 // of responses that have not come complete, over all connections
+}
 
-// connPurpose is what a link is used for.
+// connPurpose is what a connection is used for at a time.
 type connPurpose int
 
 const (
@@ -44,277 +48,179 @@
 	purposeStream // the rest of a long value
 )
 
-// link is a connection from this node, for one thing at a time.
+// upstreamConn is a connection from this node to an endpoint or to discovery. It serves one purpose at a time.
 type upstreamConn struct {
-	id                upstreamConnID
-	wire              *sockets.Wire  // nil until it is up
-	endpoint          *knownEndpoint // nil for the list
-	buf               buffer.Buffer
-	progress          http1.Progress // of the answer that is coming
-	purpose           connPurpose
-	attempt           attemptRef
+	id       upstreamConnID
+	wire     *sockets.Wire  // nil until it is up
+	endpoint *knownEndpoint // nil for discovery
+	purpose  connPurpose
+	attempt  attemptRef      // of purposeAttempt
+	stream   *responseStream // of purposeStream, else nil
+	input    upstreamInput
+	proven   bool // something was answered on it
+	// closesAfterStream is whether the connection ends with the value that it streams.
+	closesAfterStream bool
 	lastUsedAt        policy.Instant
-	deadline          policy.Instant  // when a probe, or the wait for the connection, is over; 0 for no need
-	eof               bool            // all that was sent has come
-	idleCheckAt       policy.Instant  // when to see whether it is idle for long; 0 for not yet
-	incompleteBytes   int             // bytes of an answer that has not come whole
-	proven            bool            // something was answered on it
-	unattributedAt    policy.Instant  // when something came on it that does not say whose answer it is; 0 for never
-	stream            *responseStream // what it passes on, or nil
-	closesAfterStream bool            // it ends with the answer that it passes on
-	inIdleList        bool            // it is among the idle links, between these two
-	older             *upstreamConn
-	newer             *upstreamConn
+	deadline          policy.Instant // of the connect or the health check; 0 for none
+	idleCheckAt       policy.Instant // when the timer for its idle timeout fires; 0 for not set
+	unattributedAt    policy.Instant // when a response came that does not say whose it is; 0 if the last one did
+	idleConnEntry
 }
 
-// consumeResponse passes over an answer that has been read; what follows belongs to the next.
-func (conn *upstreamConn) consumeResponse(size int) {
-	conn.buf.Consume(size)
-	conn.progress = http1.Progress{}
+// upstreamInput is what has come on an upstream connection and is not read yet.
+type upstreamInput struct {
+	buf             buffer.Buffer
+	progress        http1.Progress // in reading the response that comes in
+	eof             bool           // the other side has ended the connection in order: nothing more will come
+	incompleteBytes int            // of a response that has not come complete, as counted in upstream
 }
 
-type attempt struct {
-	inFlight      bool
-	conn          upstreamConnID
-	sentAt        policy.Instant
-	deadline      policy.Instant
-	partlyWritten bool // written, but the kernel had not taken all of it then
+// consume passes over a response that has been read; what follows belongs to the next one.
+func (in *upstreamInput) consume(size int) {
+	in.buf.Consume(size)
+	in.progress = http1.Progress{}
 }
 
 func (p *Proxy) connectTimeout() time.Duration {
-	if p.Settings.ConnectTimeout > 0 {
-		return p.Settings.ConnectTimeout
+	if p.config.Settings.ConnectTimeout > 0 {
+		return p.config.Settings.ConnectTimeout
 	}
 	return defaultConnectTimeout
 }
 
-func (p *Proxy) idleTimeout() time.Duration { return p.idleTimeouts.Current(p.now()) }
+func (p *Proxy) idleTimeout() time.Duration { return p.upstream.idleTimeout.Current(p.now()) }
 
-// Send starts a leg on the connection used last, or on a new one.
-func (p *Proxy) Send(id policy.RequestID, to policy.EndpointID, deadline policy.Instant) {
-	req := p.inflight.Get(inflightIDOf(id))
-	if req == nil {
-		return
-	}
-	now := p.now()
-	ref := attemptRef{req.id, len(req.attempts)}
-	req.attempts = append(req.attempts, attempt{inFlight: true, sentAt: now, deadline: deadline})
-	p.counters.Attempts++
-	endpoint := p.endpoints[to]
-	if endpoint == nil {
-		p.endAttempt(req, ref.index, policy.ConnectFailed, nil)
-		return
-	}
-	if p.clientLeftUnnoticed(req) {
-		p.endAttempt(req, ref.index, policy.NotSent, nil)
-		return
-	}
-	conn, err := p.acquireConn(endpoint, purposeAttempt, !req.parsed.idempotent || !endpoint.codec.identifiesRequest())
-	if err != nil {
-		p.endAttempt(req, ref.index, policy.NotSent, nil) // for want of a descriptor: the cache is not to blame
-		return
-	}
-	conn.attempt, req.attempts[ref.index].conn = ref, conn.id
-	p.timers.Push(deadline, timerEvent{attempt: ref})
-	if conn.wire != nil {
-		p.writeAttempt(conn, req, ref.index)
-	}
-}
+// maxUpstreamConns is the number of upstream connections above which one is opened only in place of an idle one.
+func (p *Proxy) maxUpstreamConns() int { return p.engine.Most() / upstreamShare }
 
-// acquireConn finds the idle link used last or dials a new one. A strict errand takes none on which the last answer did not say whose it was
-// until a second of its kind would have come: that could be taken for this errand's.
+// acquireConn returns the idle connection to an endpoint that was used last, or dials a new one; that has no wire
+// yet. With strict set, it returns none on which an unattributed response came within duplicateResponseWindow. Guards
+// against an endpoint that answers twice: the second answer, which does not say whose it is, would be taken for the
+// next request's.
 func (p *Proxy) acquireConn(endpoint *knownEndpoint, purpose connPurpose, strict bool) (*upstreamConn, error) {
 	for i := len(endpoint.idleConns) - 1; i >= 0; i-- {
-		conn := p.conns.Get(endpoint.idleConns[i])
+		conn := p.upstream.conns.Get(endpoint.idleConns[i])
 		if strict && conn.unattributedAt != 0 && p.now().Since(conn.unattributedAt) < duplicateResponseWindow {
 			continue
 		}
-		if quiet, sure := conn.wire.Quiet(); !quiet {
-			if sure { // more has come than belongs to the last answer, or its end: that is not the next one's
-				p.counters.ProtocolErrors++
-				p.dropConn(conn)
-			}
+		quiet, sure := conn.wire.Quiet()
+		if !quiet && sure { // more than the last response has come, or the end: none of it is the next one's
+			p.metrics.counters.ProtocolErrors++
+			p.dropConn(conn)
+		}
+		if !quiet {
 			continue
 		}
 		endpoint.idleConns = slices.Delete(endpoint.idleConns, i, i+1)
-		p.idleConns.remove(conn)
+		p.upstream.idle.remove(conn)
 		conn.purpose = purpose
-		p.counters.Reused++
+		p.metrics.counters.Reused++
 		return conn, nil
 	}
 	conn := &upstreamConn{endpoint: endpoint, purpose: purpose}
 	if err := p.openConn(conn, endpoint.addr); err != nil {
 		return nil, err
 	}
-	p.counters.Dials++
+	p.metrics.counters.Dials++
 	return conn, nil
 }
 
-// openConn dials for a new link.
+// openConn dials for a new connection. The error is that of a lack of descriptors; all else is an event.
 func (p *Proxy) openConn(conn *upstreamConn, addr string) error {
 	conn.lastUsedAt = p.now()
 	conn.deadline = conn.lastUsedAt.Add(p.connectTimeout())
-	conn.id = p.conns.Add(conn)
+	conn.id = p.upstream.conns.Add(conn)
 	if err := p.dial(addr, conn.id, conn.endpoint == nil); err != nil {
-		p.conns.Remove(conn.id)
+		p.upstream.conns.Remove(conn.id)
 		return err
 	}
-	p.timers.Push(conn.deadline, timerEvent{conn: conn.id})
+	p.schedule(conn.deadline, timerEvent{kind: timerUpstreamConn, conn: conn.id})
 	return nil
 }
 
-// clientLeftUnnoticed tells whether the client of a request has gone, which the loop has not come to yet: its end stands behind others'
-// bytes, or its own, and it may have waited long before anything of it was taken. Guards against legs for nobody.
-func (p *Proxy) clientLeftUnnoticed(req *inflightRequest) bool {
-	client := p.clients.Get(req.client)
-	if req.answered || client == nil || !client.wire.Left() {
-		return false
-	}
-	p.deferred = append(p.deferred, func() { // before the module hears of the leg, or it would decide on another
-		if p.clients.Get(client.id) == client {
-			p.closeClient(client)
-		}
-	})
-	return true
-}
-
-// writeAttempt hands a leg to the kernel. Only if that fails is it sure that its last byte never was.
-func (p *Proxy) writeAttempt(conn *upstreamConn, req *inflightRequest, index int) {
-	timeoutMs := max(1, int64(req.attempts[index].deadline.Since(p.now())/time.Millisecond))
-	req.anyWritten = true
-	if conn.wire.Write(conn.endpoint.codec.encodeRequest(&req.parsed, conn.endpoint.addr, timeoutMs)) != nil {
-		p.failConn(conn, policy.ConnectFailed)
-	} else if leg := &req.attempts[index]; conn.wire.Unsent() == 0 {
-		p.attemptsSent++
-	} else {
-		leg.partlyWritten = true
-	}
-}
-
-// Cancel calls a leg off by closing its connection, which carries no other. One that is still coming up is kept.
-func (p *Proxy) Cancel(id policy.RequestID, index int) {
-	req := p.inflight.Get(inflightIDOf(id))
-	if req == nil || index < 0 || index >= len(req.attempts) || !req.attempts[index].inFlight {
-		return
-	}
-	p.abandonAttempt(req, index, policy.Cancelled)
-}
-
-// isPartlyWritten tells whether the kernel has not taken all of a leg yet. Such a leg has not been sent, and so may be stopped whatever the
-// settings say of calling off. Guards against one that goes out whole long after nobody waits for it any more.
-func (p *Proxy) isPartlyWritten(req *inflightRequest, index int) bool {
-	conn := p.conns.Get(req.attempts[index].conn)
-	return req.attempts[index].inFlight && conn != nil && conn.wire != nil && conn.wire.Unsent() > 0
-}
-
-func (p *Proxy) onAttemptDeadline(ref attemptRef) {
-	if req := p.inflight.Get(ref.request); req != nil && req.attempts[ref.index].inFlight {
-		p.abandonAttempt(req, ref.index, policy.TimedOut)
+// dial opens a connection, and closes an idle one for it if need be. Connections to endpoints never take the clients'
+// share of the descriptors: a client that connects could not be accepted, and what it had sent would be lost. The
+// endpoint list's connection is reserved: it may be opened at any time.
+func (p *Proxy) dial(addr string, id upstreamConnID, reserved bool) error {
+	if !reserved && p.upstream.conns.Len() > p.maxUpstreamConns() && !p.closeLongestIdleConn() {
+		return sockets.ErrNoDescriptor
 	}
-}
-
-// abandonAttempt ends a leg. If its last byte never went to the kernel, it never ran.
-func (p *Proxy) abandonAttempt(req *inflightRequest, index int, result policy.Result) {
-	conn := p.conns.Get(req.attempts[index].conn)
-	if conn != nil && (conn.wire == nil || p.dropConn(conn) > 0) {
-		if conn.purpose = purposeIdle; result == policy.TimedOut {
-			result = policy.ConnectFailed
-		} else {
-			result = policy.NotSent
-		}
+	err := p.engine.Dial(addr, p.connectTimeout(), uint64(id))
+	if err != nil && p.freeDescriptor() {
+		err = p.engine.Dial(addr, p.connectTimeout(), uint64(id))
 	}
-	p.endAttempt(req, index, result, nil)
+	return err
 }
 
-// end closes a leg with its one outcome; the host hears of it once it has carried out what it is at.
-func (p *Proxy) endAttempt(req *inflightRequest, index int, result policy.Result, report []float64) {
-	l := &req.attempts[index]
-	l.inFlight = false
-	if l.partlyWritten && result != policy.ConnectFailed && result != policy.NotSent {
-		p.attemptsSent++
-	}
-	req.lastAttemptTimedOut = result == policy.TimedOut
-	p.counters.Outcomes[result]++
-	o := policy.Outcome{Attempt: index, Latency: p.now().Since(l.sentAt), LoadReport: report}
-	p.deferred = append(p.deferred, func() {
-		p.dispatcher.AttemptDone(p.now(), policyRequestID(req.id), result, req.answered, o)
-		p.releaseIfDone(req)
-	})
-}
-
-// releaseIfDone forgets a request that is answered and has nothing out.
-func (p *Proxy) releaseIfDone(req *inflightRequest) {
-	for _, l := range req.attempts {
-		if l.inFlight {
-			return
+// onDialResult handles a connection that has come up, or failed to.
+func (p *Proxy) onDialResult(ev *sockets.Event) {
+	conn := p.upstream.conns.Get(upstreamConnID(ev.Dial))
+	if ev.What == sockets.Refused {
+		if conn != nil {
+			p.onDialFailed(conn, ev.Local)
 		}
+		return
 	}
-	if req.answered && p.inflight.Get(req.id) != nil {
-		p.inflight.Remove(req.id)
-		delete(p.inflightIDs, string(req.parsed.id))
-		p.bufferedBytes -= req.size
+	if conn == nil {
+		ev.Wire.Close()
+		return
 	}
+	conn.wire = ev.Wire
+	conn.deadline = 0
+	conn.lastUsedAt = p.now()
+	p.startPurpose(conn)
 }
 
-// onDialResult tells of a connection that is up, or never will be.
-func (p *Proxy) onDialResult(ev *sockets.Event) {
-	conn := p.conns.Get(upstreamConnID(ev.Dial))
-	switch {
-	case ev.What == sockets.Refused:
-		switch {
-		case conn == nil:
-		case ev.Local && conn.purpose == purposeAttempt: // the cache is not to blame
-			p.failConn(conn, policy.NotSent)
-		default:
-			p.onConnectRefused(conn)
-			p.failConn(conn, policy.ConnectFailed)
-		}
-	case conn == nil:
-		ev.Wire.Close()
-	default:
-		conn.wire, conn.deadline, conn.lastUsedAt = ev.Wire, 0, p.now()
-		p.startPurpose(conn)
+// onDialFailed handles a connection that could not be opened; local tells that this machine is the reason, for which
+// the endpoint is not to blame.
+func (p *Proxy) onDialFailed(conn *upstreamConn, local bool) {
+	if local && conn.purpose == purposeAttempt {
+		p.failConn(conn, policy.NotSent)
+		return
 	}
+	p.onConnectRefused(conn)
+	p.failConn(conn, policy.ConnectFailed)
 }
 
-// refused looks at a new link that a server did not take. If others to it are up, it lives and is full: idle links are given back
-// sooner then, to all. Guards against nodes that keep a connection for a leg in some seconds while others dial in vain.
+// onConnectRefused looks at a new connection that its endpoint did not take. If others to it are up, it lives and has
+// no room for more: idle connections are closed sooner then, to all endpoints. Guards against nodes that keep
+// connections for later while others' dials to the same endpoint are refused.
 func (p *Proxy) onConnectRefused(conn *upstreamConn) {
-	if conn.proven || conn.endpoint == nil || p.endpoints[conn.endpoint.id] != conn.endpoint { // an old link ends for many reasons
+	isListed := conn.endpoint != nil && p.endpoints.byID[conn.endpoint.id] == conn.endpoint
+	if conn.proven || !isListed { // an old connection ends for many reasons
 		return
 	}
-	up := false
-	p.conns.Each(func(_ upstreamConnID, other *upstreamConn) {
-		up = up || other != conn && other.endpoint == conn.endpoint && other.proven
+	isUp := false
+	p.upstream.conns.Each(func(_ upstreamConnID, other *upstreamConn) {
+		if other != conn && other.endpoint == conn.endpoint && other.proven {
+			isUp = true
+		}
 	})
-	if !up {
+	if !isUp {
 		return
 	}
-	if p.counters.ServerFull++; !p.idleTimeouts.OnServerFull(p.now()) {
+	p.metrics.counters.ServerFull++
+	if changed := p.upstream.idleTimeout.OnServerFull(p.now()); !changed {
 		return
 	}
-	p.conns.Each(func(id upstreamConnID, other *upstreamConn) {
+	p.upstream.conns.Each(func(_ upstreamConnID, other *upstreamConn) {
 		if other.endpoint != nil && other.purpose == purposeIdle && other.wire != nil {
-			other.idleCheckAt = other.lastUsedAt.Add(p.idleTimeout())
-			p.timers.Push(other.idleCheckAt, timerEvent{conn: id})
+			p.scheduleIdleCheck(other, other.lastUsedAt)
 		}
 	})
 }
 
-// begin does what a link was dialled for.
+// scheduleIdleCheck sets the timer that closes a connection if it has been idle since a time.
+func (p *Proxy) scheduleIdleCheck(conn *upstreamConn, since policy.Instant) {
+	conn.idleCheckAt = since.Add(p.idleTimeout())
+	p.schedule(conn.idleCheckAt, timerEvent{kind: timerUpstreamConn, conn: conn.id})
+}
+
+// startPurpose does what a connection was dialled for, now that it is up.
 func (p *Proxy) startPurpose(conn *upstreamConn) {
 	switch conn.purpose {
 	case purposeAttempt:
-		req := p.inflight.Get(conn.attempt.request)
-		// nothing goes out after the final answer, though the leg could not be called off, nor to a cache that drains by now, nor
-		// as a repeat when its window is over: what was lawful as the leg was decided may not be any more
-		if req.answered || p.clientLeftUnnoticed(req) || !p.dispatcher.MayStart(p.now(), policyRequestID(req.id), conn.attempt.index) {
-			ref := conn.attempt
-			p.returnToPool(conn)
-			p.endAttempt(req, ref.index, policy.NotSent, nil)
-			return
-		}
-		p.writeAttempt(conn, req, conn.attempt.index)
+		p.startAttempt(conn)
 	case purposeHealthCheck:
 		p.writeHealthCheck(conn)
 	case purposeEndpointList:
@@ -324,29 +230,33 @@
 	}
 }
 
-// returnToPool keeps a link for the next leg.
+// returnToPool keeps a connection for the next attempt.
 func (p *Proxy) returnToPool(conn *upstreamConn) {
-	conn.proven = conn.proven || conn.purpose == purposeAttempt || conn.purpose == purposeHealthCheck
-	conn.purpose, conn.lastUsedAt, conn.deadline = purposeIdle, p.now(), 0
-	if p.endpoints[conn.endpoint.id] != conn.endpoint { // the list does not name it any more
+	if conn.purpose == purposeAttempt || conn.purpose == purposeHealthCheck {
+		conn.proven = true
+	}
+	conn.purpose = purposeIdle
+	conn.lastUsedAt = p.now()
+	conn.deadline = 0
+	if p.endpoints.byID[conn.endpoint.id] != conn.endpoint { // the list does not name it any more
 		p.dropConn(conn)
 		return
 	}
 	conn.endpoint.idleConns = append(conn.endpoint.idleConns, conn.id)
-	p.idleConns.push(conn)
+	p.upstream.idle.push(conn)
 	if conn.idleCheckAt == 0 {
-		conn.idleCheckAt = conn.lastUsedAt.Add(p.idleTimeout())
-		p.timers.Push(conn.idleCheckAt, timerEvent{conn: conn.id})
+		p.scheduleIdleCheck(conn, conn.lastUsedAt)
 	}
 }
 
-// onConnTimer looks after a link whose time has come: it may not have come up, a probe may have gone unanswered, or it
-// may have been idle for long.
+// onConnTimer handles a connection that has not come up in time, whose health check is unanswered, or that may have
+// been idle for too long.
 func (p *Proxy) onConnTimer(id upstreamConnID) {
-	conn, now := p.conns.Get(id), p.now()
+	conn := p.upstream.conns.Get(id)
 	if conn == nil {
 		return
 	}
+	now := p.now()
 	if conn.deadline != 0 && now >= conn.deadline {
 		result := policy.ConnectFailed
 		if conn.wire != nil {
@@ -358,47 +268,47 @@
 	if conn.idleCheckAt == 0 || now < conn.idleCheckAt {
 		return
 	}
-	if conn.purpose == purposeIdle && now.Since(conn.lastUsedAt) >= p.idleTimeout() {
-		p.counters.IdleClosed++
-		p.dropConn(conn)
+	if conn.purpose != purposeIdle {
+		// Guards against a connection that was taken up just before its idle timeout: counted from its last use the
+		// next check would be due at once, again and again until the attempt ends, and no event would be handled.
+		p.scheduleIdleCheck(conn, now)
 		return
 	}
-	conn.idleCheckAt = conn.lastUsedAt.Add(p.idleTimeout())
-	if conn.purpose != purposeIdle { // taken up just before its time: looked after at once, it would be until its leg ends
-		conn.idleCheckAt = now.Add(p.idleTimeout())
+	if now.Since(conn.lastUsedAt) >= p.idleTimeout() {
+		p.metrics.counters.IdleClosed++
+		p.dropConn(conn)
+		return
 	}
-	p.timers.Push(conn.idleCheckAt, timerEvent{conn: conn.id})
+	p.scheduleIdleCheck(conn, conn.lastUsedAt)
 }
 
-// dropConn closes a link, and returns how much of what was written to it never went to the kernel.
-func (p *Proxy) dropConn(conn *upstreamConn) (lost int64) {
-	p.conns.Remove(conn.id)
-	p.idleConns.remove(conn)
-	p.incompleteResponseBytes -= conn.incompleteBytes
-	conn.incompleteBytes = 0
+// dropConn closes a connection, and returns how many bytes that were written to it the kernel never took.
+func (p *Proxy) dropConn(conn *upstreamConn) (unsent int64) {
+	p.upstream.conns.Remove(conn.id)
+	p.upstream.idle.remove(conn)
+	p.upstream.incompleteBytes -= conn.input.incompleteBytes
+	conn.input.incompleteBytes = 0
 	if conn.wire != nil {
-		lost = conn.wire.Close()
+		unsent = conn.wire.Close()
 	}
 	if conn.endpoint == nil {
-		return lost
+		return unsent
 	}
-	for i, id := range conn.endpoint.idleConns {
-		if id == conn.id {
-			conn.endpoint.idleConns = append(conn.endpoint.idleConns[:i], conn.endpoint.idleConns[i+1:]...)
-			break
-		}
+	if i := slices.Index(conn.endpoint.idleConns, conn.id); i >= 0 {
+		conn.endpoint.idleConns = slices.Delete(conn.endpoint.idleConns, i, i+1)
 	}
-	return lost
+	return unsent
 }
 
-// failConn drops a link, and tells what that means for what it was used for.
+// failConn drops a connection, and ends what it was used for with a result.
 func (p *Proxy) failConn(conn *upstreamConn, result policy.Result) {
 	purpose := conn.purpose
 	conn.purpose = purposeIdle
 	p.dropConn(conn)
 	switch purpose {
 	case purposeAttempt:
-		if req := p.inflight.Get(conn.attempt.request); req != nil && req.attempts[conn.attempt.index].inFlight {
+		req := p.inflight.requests.Get(conn.attempt.request)
+		if req != nil && req.attempts[conn.attempt.index].inFlight {
 			p.endAttempt(req, conn.attempt.index, result, nil)
 		}
 	case purposeHealthCheck:
@@ -410,177 +320,83 @@
 	}
 }
 
+// onUpstreamClosed handles the end of a connection; unsent tells that the kernel never took all that was written.
 func (p *Proxy) onUpstreamClosed(id upstreamConnID, unsent, orderly bool) {
-	conn := p.conns.Get(id)
+	conn := p.upstream.conns.Get(id)
 	if conn == nil {
 		return
 	}
-	if conn.eof = orderly; orderly && len(conn.buf.Unread()) > 0 && conn.purpose != purposeStream { // an answer of the origin or of discovery may end with its connection
-		p.readUpstream(conn)
+	conn.input.eof = orderly
+	if orderly && len(conn.input.buf.Unread()) > 0 && conn.purpose != purposeStream {
+		p.readUpstream(conn) // a response of the origin or of discovery may end with its connection
+	}
+	if p.upstream.conns.Get(id) == nil {
+		return
 	}
-	switch {
-	case p.conns.Get(id) == nil:
-	case unsent:
+	if unsent {
 		p.onConnectRefused(conn)
 		p.failConn(conn, policy.ConnectFailed)
-	case conn.purpose == purposeStream && conn.stream.remaining+conn.stream.trailerSize <= len(conn.buf.Unread()): // all is there; its reader is slow
+		return
+	}
+	if conn.purpose == purposeStream && conn.stream.isComplete(&conn.input) { // its reader is slow
 		conn.closesAfterStream = true
-	default:
-		if !orderly && conn.purpose != purposeIdle && p.now().Since(conn.lastUsedAt) < p.connectTimeout() {
-			p.onConnectRefused(conn) // it came up only to be reset: so a full table shows where the kernel accepts for it
-		}
-		p.failConn(conn, policy.ConnectionBroken)
+		return
+	}
+	// One that came up only to be reset shows a full endpoint, too: the kernel had accepted for it.
+	if !orderly && conn.purpose != purposeIdle && p.now().Since(conn.lastUsedAt) < p.connectTimeout() {
+		p.onConnectRefused(conn)
 	}
+	p.failConn(conn, policy.ConnectionBroken)
 }
 
 func (p *Proxy) onUpstreamData(id upstreamConnID, data []byte) {
-	conn := p.conns.Get(id)
+	conn := p.upstream.conns.Get(id)
 	if conn == nil {
 		return
 	}
 	if conn.purpose == purposeStream {
-		if data = p.forwardDirect(conn, data); p.conns.Get(id) == nil {
+		data = p.forwardDirect(conn, data)
+		if p.upstream.conns.Get(id) == nil {
 			return
 		}
 	}
-	conn.buf.Append(data)
-	if p.readUpstream(conn); p.conns.Get(id) == nil {
+	conn.input.buf.Append(data)
+	p.readUpstream(conn)
+	if p.upstream.conns.Get(id) == nil {
 		return
 	}
-	unused := len(conn.buf.Unread())
-	if conn.purpose == purposeStream { // bounded each, by what may wait for the loop
-		unused = 0
+	p.updateIncompleteResponse(conn)
+}
+
+// updateIncompleteResponse notes how much of a response has come that is not complete, and drops it if all such
+// responses together take too much memory: its endpoint is not to blame.
+func (p *Proxy) updateIncompleteResponse(conn *upstreamConn) {
+	unread := len(conn.input.buf.Unread())
+	if conn.purpose == purposeStream { // each is bounded by what may wait for the loop
+		unread = 0
 	}
-	p.incompleteResponseBytes += unused - conn.incompleteBytes
-	if conn.incompleteBytes = unused; conn.incompleteBytes > minIncompleteBytes && conn.endpoint != nil && int64(p.incompleteResponseBytes) > p.Memory/incompleteResponseShare {
-		p.counters.RejectedForRoom++
-		p.failConn(conn, policy.ConnectionBroken) // for want of memory: the cache is not to blame
+	p.upstream.incompleteBytes += unread - conn.input.incompleteBytes
+	conn.input.incompleteBytes = unread
+	tooMuch := int64(p.upstream.incompleteBytes) > p.config.Memory/incompleteResponseShare
+	if unread > minIncompleteBytes && conn.endpoint != nil && tooMuch {
+		p.metrics.counters.RejectedForRoom++
+		p.failConn(conn, policy.ConnectionBroken)
 	}
 }
 
+// readUpstream reads what has come on a connection, by its purpose.
 func (p *Proxy) readUpstream(conn *upstreamConn) {
-	switch {
-	case conn.purpose == purposeEndpointList:
+	switch conn.purpose {
+	case purposeEndpointList:
 		p.readEndpointList(conn)
-	case conn.purpose == purposeIdle: // nobody asked
-		p.counters.ProtocolErrors++
+	case purposeIdle: // nothing was asked for
+		p.metrics.counters.ProtocolErrors++
 		p.dropConn(conn)
-	case conn.purpose == purposeHealthCheck:
+	case purposeHealthCheck:
 		p.readHealthCheck(conn)
-	case conn.purpose == purposeStream:
+	case purposeStream:
 		p.forwardStream(conn)
-	default:
-		p.readAttemptResponse(conn, p.inflight.Get(conn.attempt.request)) // it is in hand as long as a leg of it is out
-	}
-}
-
-// readAttemptResponse reads a server's answer to a leg.
-func (p *Proxy) readAttemptResponse(conn *upstreamConn, req *inflightRequest) {
-	response, size, wants := &p.response, 0, 0
-	req.parsed.attemptSentAt = p.startedAt.Add(req.attempts[conn.attempt.index].sentAt.Since(clockEpoch))
-	*response, size, wants = conn.endpoint.codec.readResponse(conn.buf.Unread(), &req.parsed, conn.eof, &conn.progress)
-	if size == 0 && response.result != unreadableResponse {
-		if p.startStream(conn, req, response, wants) {
-			return
-		}
-		conn.buf.Reserve(wants)
-		return
-	}
-	p.onAttemptResponse(conn, req, response, size)
-	if response.closesConn && p.conns.Get(conn.id) != nil {
-		p.dropConn(conn)
-	}
-}
-
-// onAttemptResponse ends a leg by what came back. What can't be read or answers another request is served to nobody: the
-// leg has failed and may have run, though the cache lives; whatever else comes on its connection can't be trusted.
-func (p *Proxy) onAttemptResponse(conn *upstreamConn, req *inflightRequest, response *upstreamResponse, size int) {
-	if response.result == unreadableResponse {
-		p.counters.ProtocolErrors++
-		p.failConn(conn, policy.Errored)
-		return
-	}
-	var head, value []byte
-	serves := response.result == policy.Answered && !req.answered
-	switch { // before its bytes are passed over
-	case serves && req.parsed.write:
-		head = req.codec.writeReceipt(&req.parsed, response)
-	case serves:
-		head, value = req.codec.value(&req.parsed, response)
-	}
-	report := p.parseLoadReport(response.loadReport)
-	conn.consumeResponse(size)
-	if conn.unattributedAt = 0; !response.identified {
-		conn.unattributedAt = p.now()
-	}
-	index := conn.attempt.index
-	if len(conn.buf.Unread()) > 0 {
-		p.counters.ProtocolErrors++
-		p.dropConn(conn)
-	} else {
-		p.returnToPool(conn)
+	case purposeAttempt: // its request is in flight as long as the attempt is
+		p.readAttemptResponse(conn, p.inflight.requests.Get(conn.attempt.request))
 	}
-	if serves {
-		p.counters.Satisfied++
-		p.byClass[req.class].Satisfied++
-		p.completeRequest(req, head, value)
-	}
-	p.endAttempt(req, index, response.result, report)
-}
-
-// parseLoadReport reads a load report: names and values, of which only the stated columns count.
-func (p *Proxy) parseLoadReport(report []byte) []float64 {
-	if len(report) == 0 {
-		return nil
-	}
-	return p.Settings.Names.LoadReport(func(column string) (float64, bool) {
-		value, _ := meta.Item(report, column)
-		x, err := strconv.ParseFloat(string(value), 64)
-		return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
-	})
-}
-
-// CheckHealth checks on a cache.
-func (p *Proxy) CheckHealth(id policy.EndpointID) {
-	endpoint := p.endpoints[id]
-	if endpoint == nil {
-		return
-	}
-	p.counters.HealthChecks++
-	conn, err := p.acquireConn(endpoint, purposeHealthCheck, false)
-	if err != nil {
-		p.reportHealthCheck(id, policy.ConnectFailed)
-		return
-	}
-	if conn.wire != nil {
-		p.writeHealthCheck(conn)
-	}
-}
-
-func (p *Proxy) writeHealthCheck(conn *upstreamConn) {
-	conn.deadline = p.now().Add(p.connectTimeout())
-	p.timers.Push(conn.deadline, timerEvent{conn: conn.id})
-	if conn.wire.Write(conn.endpoint.codec.healthCheck(conn.endpoint.addr)) != nil {
-		p.failConn(conn, policy.ConnectFailed)
-	}
-}
-
-func (p *Proxy) readHealthCheck(conn *upstreamConn) {
-	result := policy.Errored
-	up, size, err := conn.endpoint.codec.readHealthCheck(conn.buf.Unread(), conn.eof)
-	if up {
-		result = policy.Answered
-	}
-	switch {
-	case err != nil:
-		p.failConn(conn, policy.ConnectionBroken)
-	case size > 0:
-		conn.consumeResponse(size)
-		p.returnToPool(conn)
-		p.reportHealthCheck(conn.endpoint.id, result)
-	}
-}
-
-func (p *Proxy) reportHealthCheck(id policy.EndpointID, found policy.Result) {
-	p.deferred = append(p.deferred, func() { p.dispatcher.OnHealthCheck(p.now(), id, found) })
 }
--- a/internal/proxy/upstream_codec.go
+++ b/internal/proxy/upstream_codec.go
@@ -1,135 +1,38 @@
 package proxy
 
 import (
-	"bytes"
-
 	"dahliapin/internal/wire/http1"
-	"dahliapin/internal/wire/meta"
 	"dahliapin/policy"
 )
 
-// upstreamCodec turns a leg into bytes for a server, and its bytes into an outcome with the proof of whether it may have run. It
-// keeps nothing and knows no link: the same serves all legs.
+// upstreamCodec turns an attempt into bytes for an endpoint, and the endpoint's bytes into a result, with the proof of
+// whether the request may have been carried out. It keeps nothing of a connection: one serves all attempts.
 type upstreamCodec interface {
-	// ask writes a leg that the node waits for so long.
-	encodeRequest(c *clientRequest, host string, waitMs int64) []byte
-	// names tells whether what serves a request says which one.
+	// encodeRequest writes an attempt whose response the node awaits for so long.
+	encodeRequest(request *clientRequest, host string, timeoutMs int64) []byte
+	// identifiesRequest reports whether a response that serves a request says which request that is.
 	identifiesRequest() bool
-	// reply reads the answer. A size of 0 without a fault asks for more bytes, of which wants says how many in all, where
-	// that is known; ended says that no more will come. What was found before of the same answer is kept in read.
-	readResponse(b []byte, c *clientRequest, ended bool, read *http1.Progress) (r upstreamResponse, size, wants int)
-	// probe asks whether the server is up, and up reads what it says to that.
+	// readResponse reads the response to a request. A size of 0 asks for more bytes, unless the response can't be read;
+	// wants is how many bytes it has in all, if that is known. ended tells that no more will come. Progress keeps what
+	// was found before of the same response.
+	readResponse(
+		b []byte, request *clientRequest, ended bool, progress *http1.Progress,
+	) (response upstreamResponse, size, wants int)
+	// healthCheck writes a health check, and readHealthCheck reads the response to it.
 	healthCheck(host string) []byte
-	readHealthCheck(b []byte, ended bool) (is bool, size int, err error)
+	readHealthCheck(b []byte, ended bool) (healthy bool, size int, err error)
 }
 
-// upstreamResponse is what an answer means for its leg.
+// upstreamResponse is what an endpoint's response means for its attempt.
 type upstreamResponse struct {
-	result     policy.Result // spoilt where it can't be read, or answers something else
+	result     policy.Result // unreadableResponse if it can't be read, or is another request's
 	body       []byte        // the value, or a write's receipt
-	loadReport []byte        // the server's report
-	closesConn bool          // its connection ends with it
-	fromCache  bool          // it is from what a cache keeps
-	identified bool          // it says which request it answers
-	status     int           // of HTTP; 0 for a good one of another protocol
-	headSize   int           // with a size of 0: bytes that stand before a good value of known length which is still coming
-	valueSize  int           // and that length
-	headers    []byte        // whole lines for a client of HTTP
-}
-
-// metaUpstream speaks the meta commands to caches.
-type metaUpstream struct{}
-
-func (metaUpstream) encodeRequest(request *clientRequest, _ string, timeoutMs int64) []byte {
-	verb := meta.Get
-	if request.write {
-		verb = meta.Set
-	}
-	return meta.AppendCommand(nil, &meta.Command{Verb: verb, Key: request.key, Flags: request.flags, Value: request.value}, timeoutMs)
-}
-
-func (metaUpstream) identifiesRequest() bool { return true }
-
-func (metaUpstream) readResponse(b []byte, request *clientRequest, _ bool, _ *http1.Progress) (response upstreamResponse, size, wants int) {
-	answer, size, err := meta.ReadAnswer(b)
-	if err == nil && size == 0 {
-		if answer.Head > 0 && !request.write && bytes.Equal(answer.ID, request.id) {
-			response = upstreamResponse{headSize: answer.Head, valueSize: answer.Long, loadReport: answer.Load, fromCache: true}
-		}
-		return response, 0, answer.Wants
-	}
-	ours := bytes.Equal(answer.ID, request.id)
-	response = upstreamResponse{result: unreadableResponse, body: answer.Value, loadReport: answer.Load, fromCache: true, identified: ours}
-	switch {
-	case err != nil:
-	case ours && (answer.Said == meta.Value && !request.write || answer.Said == meta.Done && request.write):
-		response.result = policy.Answered
-	case answer.Said == meta.Miss && ours:
-		response.result = policy.CacheMiss
-	case answer.Said == meta.Failed:
-		response.result = policy.Errored
-	case answer.Said == meta.Busy:
-		response.result = policy.Rejected
-	}
-	return response, size, 0
-}
-
-func (metaUpstream) healthCheck(string) []byte { return []byte("mn\r\n") }
-
-func (metaUpstream) readHealthCheck(b []byte, _ bool) (is bool, size int, err error) {
-	a, size, err := meta.ReadAnswer(b)
-	return a.Said == meta.Up, size, err
-}
-
-// originUpstream speaks HTTP/1.1 to the origin: a read gets the key's page, a write puts its value there.
-type originUpstream struct{}
-
-const originHealthPath = "/health/live" // the origin's page for probes
-
-func (originUpstream) encodeRequest(request *clientRequest, host string, timeoutMs int64) []byte {
-	headers := append([]byte("X-Call-Id: "), request.id...)
-	headers = append(headers, "\r\nX-Call-Info: "...)
-	items, _ := meta.Flag(request.flags, 'P')
-	headers = append(meta.AppendItems(headers, items, timeoutMs), "\r\n"...)
-	method := "GET"
-	if request.write {
-		method = "PUT"
-	}
-	return http1.AppendRequest(nil, method, http1.AppendPath(nil, request.key), host, headers, request.value)
-}
-
-func (originUpstream) identifiesRequest() bool { return false }
-
-func (originUpstream) readResponse(b []byte, request *clientRequest, ended bool, progress *http1.Progress) (response upstreamResponse, size, wants int) {
-	answer, size, err := progress.ReadAnswer(b, meta.MaxValue, ended)
-	named := answer.Header("X-Call-Id")
-	if err == nil && size == 0 {
-		if answer.Head > 0 && answer.Status == 200 && !request.write && (named == nil || bytes.Equal(named, request.id)) {
-			response = upstreamResponse{headSize: answer.Head, valueSize: answer.Long, loadReport: answer.Header("X-Load-Report"), closesConn: answer.Last}
-		}
-		return response, 0, answer.Wants
-	}
-	response = upstreamResponse{result: policy.Errored, body: answer.Body, loadReport: answer.Header("X-Load-Report"), closesConn: answer.Last, identified: named != nil}
-	switch {
-	case err != nil, named != nil && !bytes.Equal(named, request.id):
-		response.result = unreadableResponse
-	case answer.Status == 200 && !request.write:
-		response.result = policy.Answered
-	case answer.Status == 200:
-		if response.result, response.body = unreadableResponse, bytes.TrimSpace(answer.Body); meta.Plain(response.body) {
-			response.result = policy.Answered
-		}
-	case string(answer.Header("X-Rejected")) == "1":
-		response.result = policy.Rejected
-	}
-	return response, size, 0
-}
-
-func (originUpstream) healthCheck(host string) []byte {
-	return http1.AppendRequest(nil, "GET", []byte(originHealthPath), host, nil, nil)
-}
-
-func (originUpstream) readHealthCheck(b []byte, ended bool) (is bool, size int, err error) {
-	a, size, err := http1.ReadAnswer(b, meta.MaxValue, ended)
-	return a.Status == 200, size, err
+	loadReport []byte
+	closesConn bool   // its connection ends with it
+	fromCache  bool   // an endpoint had it cached
+	identified bool   // it says which request it answers
+	status     int    // of HTTP; 0 for a value of another protocol
+	headSize   int    // if more bytes are needed: those that stand before a value of known size that is still coming in
+	valueSize  int    // that size
+	headers    []byte // complete lines for a client of HTTP
 }
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -12,11 +12,11 @@
 	"dahliapin/policy"
 )
 
-// httpUpstream speaks HTTP/1.1 to caches that keep answers as RFC 9111 has it. The node keeps none: it judges what comes, and
-// what may not be served counts as a miss, so that another holder or the origin is asked.
+// httpUpstream speaks HTTP/1.1 to caches that follow RFC 9111. The node caches nothing itself: it judges each response,
+// and one that may not be served counts as a miss, so that another replica or the origin is asked.
 type httpUpstream struct {
 	servers    *listeners.Servers
-	cacheAside bool // a cache answers from what it keeps, or tells that it keeps nothing
+	cacheAside bool // a cache answers from what it has, or says that it has nothing; it never asks the origin itself
 }
 
 func (h httpUpstream) encodeRequest(request *clientRequest, host string, _ int64) []byte {
@@ -25,11 +25,10 @@
 		headers = append(headers, "Cache-Control: only-if-cached\r\n"...)
 	}
 	items, _ := meta.Flag(request.flags, 'P')
-	if label, ok := meta.Item(items, "k"); ok && request.http == nil {
-		headers = append(append(append(headers, idempotencyKeyHeader+": "...), label...), "\r\n"...)
-	}
-	if h.servers.Host != "" {
-		host = h.servers.Host
+	if key, ok := meta.Item(items, "k"); ok && request.http == nil {
+		headers = append(headers, idempotencyKeyHeader+": "...)
+		headers = append(headers, key...)
+		headers = append(headers, "\r\n"...)
 	}
 	method := "GET"
 	if request.write {
@@ -38,54 +37,105 @@
 			method = "POST"
 		}
 	}
-	return http1.AppendRequest(nil, method, http1.AppendTarget(nil, request.key), host, headers, request.value)
+	target := http1.AppendTarget(nil, request.key)
+	return http1.AppendRequest(nil, method, target, h.host(host), headers, request.value)
 }
 
-// reply reads an answer. Only a 504 to a request for what is kept proves that nothing ran: whatever else says no may have come
-// from further on, so that it is told as a proof only where a second run does no harm.
-// names is as HTTP's clients have it: by their order alone answers are their requests'. The origin's are not relied on so.
+// host is the name that endpoints are addressed by: the configured one, or else an endpoint's address.
+func (h httpUpstream) host(addr string) string {
+	if h.servers.Host != "" {
+		return h.servers.Host
+	}
+	return addr
+}
+
+// identifiesRequest is true as for all clients of HTTP: a response is its request's by the order alone. Only the
+// origin's are not relied on like that.
 func (httpUpstream) identifiesRequest() bool { return true }
 
-func (h httpUpstream) readResponse(b []byte, request *clientRequest, ended bool, progress *http1.Progress) (response upstreamResponse, size, wants int) {
+func (h httpUpstream) readResponse(
+	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
+) (response upstreamResponse, size, wants int) {
 	answer, size, err := progress.ReadAnswer(b, meta.MaxValue, ended)
 	if err == nil && size == 0 {
 		return response, 0, answer.Wants
 	}
-	response = upstreamResponse{result: policy.Errored, body: answer.Body, status: answer.Status, closesConn: answer.Last}
-	ok, only := answer.Status == 200 || answer.Status == 203, request.httpDetails().freshness.Control.OnlyIfCached
-	switch {
-	case err != nil, answer.Status == 206, answer.Status == 304 && !request.httpDetails().conditional: // nobody asked for a part, or whether something still holds
-		response.result = unreadableResponse
-	case answer.Status == 504 && h.cacheAside && !request.write && !only:
-		response.result = policy.CacheMiss
-	case (answer.Status == http1.Unavailable || answer.Status == http1.TooMany) && request.idempotent:
-		response.result = policy.Rejected
-	case request.write && (ok || answer.Status == 201 || answer.Status == 204):
-		if response.result = policy.Answered; request.http == nil && !meta.Plain(answer.Body) { // a receipt is one word: the status, where none came
-			response.body = strconv.AppendInt(nil, int64(answer.Status), 10)
-		}
-	case answer.Status >= 500 && !(answer.Status == 504 && only), request.http == nil && !ok:
-	case request.write || answer.Status == 504:
-		response.result = policy.Answered
-	default:
-		if h.isUsable(&answer, request) {
-			response.result = policy.Answered
-		} else if request.idempotent {
-			response.result = policy.CacheMiss
-		}
+	response = upstreamResponse{
+		result:     unreadableResponse,
+		body:       answer.Body,
+		status:     answer.Status,
+		closesConn: answer.Last,
+		fromCache:  answer.Status != 504 && (h.cacheAside || answer.Header("Age") != nil),
 	}
-	if response.result == policy.Answered && request.http != nil {
+	if err == nil {
+		response.result = h.resultOf(&answer, request)
+	}
+	if response.result != policy.Answered {
+		return response, size, 0
+	}
+	if request.http != nil {
 		response.headers = appendForwarded(nil, answer.Each, answer.Header("Connection"))
 		response.headers = append(response.headers, "Via: 1.1 dahliapin\r\n"...)
+	} else if request.write && !meta.Plain(answer.Body) { // a receipt is one word: the status, where none came
+		response.body = strconv.AppendInt(nil, int64(answer.Status), 10)
 	}
-	response.fromCache = answer.Status != 504 && (h.cacheAside || answer.Header("Age") != nil)
 	return response, size, 0
 }
 
-// isUsable tells whether an answer may be served (RFC 9111, 4). Beside an origin all that a cache has is kept. Else an
-// answer without Age is the origin's own (5.1), and what forbids keeping does not forbid passing it on; if it says how long it is
-// fresh, it must look so by its Date all the same, for a server may leave Age out.
+// resultOf tells what a response means. Only a 504 to a request for what is cached proves that nothing was carried out.
+// Any other refusal may have come from a server behind the cache, and counts as a proof only where carrying the request
+// out twice does no harm.
+func (h httpUpstream) resultOf(answer *http1.Answer, request *clientRequest) policy.Result {
+	details := request.httpDetails()
+	status := answer.Status
+	isOK := status == 200 || status == 203
+	isWritten := isOK || status == 201 || status == 204
+	isOverloaded := status == http1.Unavailable || status == http1.TooMany
+	onlyIfCached := details.freshness.Control.OnlyIfCached
+	switch {
+	case status == 206, status == 304 && !details.conditional: // no part was asked for, nor whether a copy is valid
+		return unreadableResponse
+	case status == 504 && h.cacheAside && !request.write && !onlyIfCached:
+		return policy.CacheMiss
+	case isOverloaded && request.idempotent:
+		return policy.Rejected
+	case request.write && isWritten:
+		return policy.Answered
+	case status >= 500 && !(status == 504 && onlyIfCached):
+		return policy.Errored
+	case request.http == nil && !isOK:
+		return policy.Errored
+	case request.write, status == 504, h.isUsable(answer, request):
+		return policy.Answered
+	case request.idempotent:
+		return policy.CacheMiss
+	}
+	return policy.Errored
+}
+
+// isUsable reports whether a response may be served (RFC 9111, section 4). With cacheAside, all that a cache has is
+// cached. Else a response without Age is the origin's own (section 5.1), and what forbids caching does not forbid to
+// pass it on; if it says how long it is fresh, it must be so by its Date all the same, for a cache may leave Age out.
 func (h httpUpstream) isUsable(answer *http1.Answer, request *clientRequest) bool {
+	hasAge := answer.Header("Age") != nil
+	response := freshnessOf(answer)
+	now := time.Now()
+	rules := freshness.Rules{
+		ClockOff:      h.servers.ClockOff(),
+		Heuristic:     h.servers.Heuristic,
+		MostHeuristic: h.servers.MaxHeuristic(),
+	}
+	accepted := &request.httpDetails().freshness
+	verdict := freshness.Judge(accepted, &response, request.attemptSentAt, now, now, rules, false)
+	if verdict.Use <= freshness.Stale {
+		return true
+	}
+	lifetime, stated := response.Lifetime(now, rules)
+	return !h.cacheAside && !hasAge && (!stated || lifetime == 0 || verdict.Age < lifetime)
+}
+
+// freshnessOf reads what a response says of its age and lifetime.
+func freshnessOf(answer *http1.Answer) freshness.Response {
 	response := freshness.Response{Status: answer.Status}
 	answer.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, []byte("Cache-Control")) {
@@ -100,46 +150,13 @@
 	if expires := answer.Header("Expires"); expires != nil {
 		response.SetExpires(string(expires))
 	}
-	now := time.Now()
-	rules := freshness.Rules{ClockOff: h.servers.ClockOff(), Heuristic: h.servers.Heuristic, MostHeuristic: h.servers.MaxHeuristic()}
-	verdict := freshness.Judge(&request.httpDetails().freshness, &response, request.attemptSentAt, now, now, rules, false)
-	if verdict.Use <= freshness.Stale {
-		return true
-	}
-	lifetime, stated := response.Lifetime(now, rules)
-	return !h.cacheAside && answer.Header("Age") == nil && (!stated || lifetime == 0 || verdict.Age < lifetime)
+	return response
 }
 
 func (h httpUpstream) healthCheck(host string) []byte {
-	if h.servers.Host != "" {
-		host = h.servers.Host
-	}
-	return http1.AppendRequest(nil, "GET", []byte(h.servers.HealthCheckPath), host, nil, nil)
+	return http1.AppendRequest(nil, "GET", []byte(h.servers.HealthCheckPath), h.host(host), nil, nil)
 }
 
-func (httpUpstream) readHealthCheck(b []byte, ended bool) (is bool, size int, err error) {
+func (httpUpstream) readHealthCheck(b []byte, ended bool) (healthy bool, size int, err error) {
 	return originUpstream{}.readHealthCheck(b, ended)
 }
-
-// perHop are the fields that end at the next reader (RFC 9110, 7.6.1), those that each writer states for itself, and those of
-// what no node passes on: a range, and who is to wait for leave.
-var hopByHopHeaders = func() map[string]bool {
-	m := map[string]bool{}
-	for _, name := range []string{"connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer",
-		"transfer-encoding", "upgrade", "host", "content-length", "expect", "range", "if-range"} {
-		m[name] = true
-	}
-	return m
-}()
-
-// appendForwarded adds the lines of a head that go further, without those that its Connection names, and without any in which another
-// reader may see the end of a line: answers could be split by it.
-func appendForwarded(to []byte, each func(func(name, value []byte)), connection []byte) []byte {
-	each(func(name, value []byte) {
-		if hopByHopHeaders[string(bytes.ToLower(name))] || http1.Has(connection, string(name)) || !http1.IsField(name, value) {
-			return
-		}
-		to = append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
-	})
-	return to
-}
--- /dev/null
+++ b/internal/proxy/upstream_meta.go
@@ -0,0 +1,68 @@
+package proxy
+
+import (
+	"bytes"
+
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
+	"dahliapin/policy"
+)
+
+// metaUpstream speaks the meta commands to cache endpoints.
+type metaUpstream struct{}
+
+func (metaUpstream) encodeRequest(request *clientRequest, _ string, timeoutMs int64) []byte {
+	command := meta.Command{Verb: meta.Get, Key: request.key, Flags: request.flags, Value: request.value}
+	if request.write {
+		command.Verb = meta.Set
+	}
+	return meta.AppendCommand(nil, &command, timeoutMs)
+}
+
+func (metaUpstream) identifiesRequest() bool { return true }
+
+func (metaUpstream) readResponse(
+	b []byte, request *clientRequest, _ bool, _ *http1.Progress,
+) (response upstreamResponse, size, wants int) {
+	answer, size, err := meta.ReadAnswer(b)
+	isOurs := bytes.Equal(answer.ID, request.id)
+	if err == nil && size == 0 {
+		if answer.Head > 0 && !request.write && isOurs {
+			response = upstreamResponse{
+				headSize:   answer.Head,
+				valueSize:  answer.Long,
+				loadReport: answer.Load,
+				fromCache:  true,
+			}
+		}
+		return response, 0, answer.Wants
+	}
+	response = upstreamResponse{
+		result:     unreadableResponse,
+		body:       answer.Value,
+		loadReport: answer.Load,
+		fromCache:  true,
+		identified: isOurs,
+	}
+	isValue := answer.Said == meta.Value && !request.write
+	isReceipt := answer.Said == meta.Done && request.write
+	switch {
+	case err != nil:
+	case isOurs && (isValue || isReceipt):
+		response.result = policy.Answered
+	case isOurs && answer.Said == meta.Miss:
+		response.result = policy.CacheMiss
+	case answer.Said == meta.Failed:
+		response.result = policy.Errored
+	case answer.Said == meta.Busy:
+		response.result = policy.Rejected
+	}
+	return response, size, 0
+}
+
+func (metaUpstream) healthCheck(string) []byte { return []byte("mn\r\n") }
+
+func (metaUpstream) readHealthCheck(b []byte, _ bool) (healthy bool, size int, err error) {
+	answer, size, err := meta.ReadAnswer(b)
+	return answer.Said == meta.Up, size, err
+}
--- /dev/null
+++ b/internal/proxy/upstream_origin.go
@@ -0,0 +1,80 @@
+package proxy
+
+import (
+	"bytes"
+
+	"dahliapin/internal/wire/http1"
+	"dahliapin/internal/wire/meta"
+	"dahliapin/policy"
+)
+
+// originHealthPath is the origin's page for health checks.
+const originHealthPath = "/health/live"
+
+// originUpstream speaks HTTP/1.1 to the origin: a read gets the key's page, a write puts its value there.
+type originUpstream struct{}
+
+func (originUpstream) encodeRequest(request *clientRequest, host string, timeoutMs int64) []byte {
+	headers := append([]byte("X-Call-Id: "), request.id...)
+	headers = append(headers, "\r\nX-Call-Info: "...)
+	items, _ := meta.Flag(request.flags, 'P')
+	headers = append(meta.AppendItems(headers, items, timeoutMs), "\r\n"...)
+	method := "GET"
+	if request.write {
+		method = "PUT"
+	}
+	return http1.AppendRequest(nil, method, http1.AppendPath(nil, request.key), host, headers, request.value)
+}
+
+// identifiesRequest is false: the origin may leave the id out of its response.
+func (originUpstream) identifiesRequest() bool { return false }
+
+func (originUpstream) readResponse(
+	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
+) (response upstreamResponse, size, wants int) {
+	answer, size, err := progress.ReadAnswer(b, meta.MaxValue, ended)
+	id := answer.Header("X-Call-Id")
+	isAnothers := id != nil && !bytes.Equal(id, request.id)
+	if err == nil && size == 0 {
+		if answer.Head > 0 && answer.Status == 200 && !request.write && !isAnothers {
+			response = upstreamResponse{
+				headSize:   answer.Head,
+				valueSize:  answer.Long,
+				loadReport: answer.Header("X-Load-Report"),
+				closesConn: answer.Last,
+			}
+		}
+		return response, 0, answer.Wants
+	}
+	response = upstreamResponse{
+		result:     policy.Errored,
+		body:       answer.Body,
+		loadReport: answer.Header("X-Load-Report"),
+		closesConn: answer.Last,
+		identified: id != nil,
+	}
+	switch {
+	case err != nil, isAnothers:
+		response.result = unreadableResponse
+	case answer.Status == 200 && !request.write:
+		response.result = policy.Answered
+	case answer.Status == 200:
+		response.result = unreadableResponse
+		response.body = bytes.TrimSpace(answer.Body)
+		if meta.Plain(response.body) {
+			response.result = policy.Answered
+		}
+	case string(answer.Header("X-Rejected")) == "1":
+		response.result = policy.Rejected
+	}
+	return response, size, 0
+}
+
+func (originUpstream) healthCheck(host string) []byte {
+	return http1.AppendRequest(nil, "GET", []byte(originHealthPath), host, nil, nil)
+}
+
+func (originUpstream) readHealthCheck(b []byte, ended bool) (healthy bool, size int, err error) {
+	answer, size, err := http1.ReadAnswer(b, meta.MaxValue, ended)
+	return answer.Status == 200, size, err
+}
