--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -35,7 +35,7 @@
 	}
 	a := &agent{r: r, node: node, at: l, all: map[policy.EndpointID]policy.Endpoint{}, news: make(chan struct{}), closed: make(chan struct{})}
 	for i := range r.world.Servers {
-		a.hear(runner.EntryOf(r.world, i))
+		a.hear(runner.EndpointOf(r.world, i))
 	}
 	a.web = &http.Server{Handler: a}
 	go a.web.Serve(l)
@@ -130,7 +130,7 @@
 	}
 	a.r.mu.Lock()
 	for _, e := range changed {
-		a.r.judge.Told(a.r.now(), a.node, e.ID, e.Lifecycle)
+		a.r.judge.Notified(a.r.now(), a.node, e.ID, e.Lifecycle)
 	}
 	a.r.mu.Unlock()
 }
--- a/internal/proxy/downstream_http.go
+++ b/internal/proxy/downstream_http.go
@@ -60,7 +60,7 @@
 	}
 	parsed.headOnly = string(request.Method) == http.MethodHead
 	// Before a body that was not asked for yet, it isn't known whether the client will send it.
-	parsed.closesConn = fault != nil || request.Last || size == 0
+	parsed.closesConn = fault != nil || request.Close || size == 0
 	if fault != nil {
 		h.reject(parsed, &httpRejection{status: fault.Status, reason: fault.Reason})
 		return 0
@@ -96,7 +96,7 @@
 		h.dateUnix = now.Unix()
 		h.date = now.UTC().Format(http.TimeFormat)
 	}
-	return http1.AppendHead(nil, status, h.date, size, closesConn, headers...)
+	return http1.AppendResponseHead(nil, status, h.date, size, closesConn, headers...)
 }
 
 // valueHead writes the head of a response that serves an endpoint's, with that one's headers if it was HTTP.
@@ -112,7 +112,7 @@
 		valueSize = http1.NoBody
 	}
 	headers := string(response.headers) + cacheStatus
-	return http1.AppendHead(nil, response.status, "", valueSize, request.closesConn, headers)
+	return http1.AppendResponseHead(nil, response.status, "", valueSize, request.closesConn, headers)
 }
 
 func (h *httpDownstream) value(request *clientRequest, response *upstreamResponse) (head, value []byte) {
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -122,9 +122,9 @@
 func (p *Proxy) readEndpointList(conn *upstreamConn) {
 	watch := &p.endpoints.watch
 	input := &conn.input
-	answer, size, err := input.progress.ReadAnswer(input.buf.Unread(), maxEndpointListBytes, input.eof)
+	answer, size, err := input.progress.ReadResponse(input.buf.Unread(), maxEndpointListBytes, input.eof)
 	if err == nil && size == 0 {
-		input.buf.Reserve(answer.Wants)
+		input.buf.Reserve(answer.TotalSize)
 		return
 	}
 	if err != nil || answer.Status != 200 {
@@ -144,7 +144,7 @@
 	p.applyPolledList(&list)
 	input.consume(size)
 	p.serveIfReady()
-	if answer.Last {
+	if answer.Close {
 		p.dropConn(conn)
 		p.startWatch()
 		return
--- a/internal/proxy/forwarded_headers.go
+++ b/internal/proxy/forwarded_headers.go
@@ -29,7 +29,7 @@
 // against response splitting: a line in which another reader may see the end of a line is left out.
 func appendForwarded(to []byte, each func(func(name, value []byte)), connection []byte) []byte {
 	each(func(name, value []byte) {
-		isHopByHop := hopByHopHeaders[string(bytes.ToLower(name))] || http1.Has(connection, string(name))
+		isHopByHop := hopByHopHeaders[string(bytes.ToLower(name))] || http1.HasToken(connection, string(name))
 		if isHopByHop || !http1.IsField(name, value) {
 			return
 		}
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -56,15 +56,15 @@
 func (h httpUpstream) readResponse(
 	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
 ) (response upstreamResponse, size, wants int) {
-	answer, size, err := progress.ReadAnswer(b, meta.MaxValue, ended)
+	answer, size, err := progress.ReadResponse(b, meta.MaxValue, ended)
 	if err == nil && size == 0 {
-		return response, 0, answer.Wants
+		return response, 0, answer.TotalSize
 	}
 	response = upstreamResponse{
 		result:     unreadableResponse,
 		body:       answer.Body,
 		status:     answer.Status,
-		closesConn: answer.Last,
+		closesConn: answer.Close,
 		fromCache:  answer.Status != 504 && (h.cacheAside || answer.Header("Age") != nil),
 	}
 	if err == nil {
@@ -85,7 +85,7 @@
 // resultOf tells what a response means. Only a 504 to a request for what is cached proves that nothing was carried out.
 // Any other refusal may have come from a server behind the cache, and counts as a proof only where carrying the request
 // out twice does no harm.
-func (h httpUpstream) resultOf(answer *http1.Answer, request *clientRequest) policy.Result {
+func (h httpUpstream) resultOf(answer *http1.Response, request *clientRequest) policy.Result {
 	details := request.httpDetails()
 	status := answer.Status
 	isOK := status == 200 || status == 203
@@ -116,7 +116,7 @@
 // isUsable reports whether a response may be served (RFC 9111, section 4). With cacheAside, all that a cache has is
 // cached. Else a response without Age is the origin's own (section 5.1), and what forbids caching does not forbid to
 // pass it on; if it says how long it is fresh, it must be so by its Date all the same, for a cache may leave Age out.
-func (h httpUpstream) isUsable(answer *http1.Answer, request *clientRequest) bool {
+func (h httpUpstream) isUsable(answer *http1.Response, request *clientRequest) bool {
 	hasAge := answer.Header("Age") != nil
 	response := freshnessOf(answer)
 	now := time.Now()
@@ -135,7 +135,7 @@
 }
 
 // freshnessOf reads what a response says of its age and lifetime.
-func freshnessOf(answer *http1.Answer) freshness.Response {
+func freshnessOf(answer *http1.Response) freshness.Response {
 	response := freshness.Response{Status: answer.Status}
 	answer.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, []byte("Cache-Control")) {
--- a/internal/proxy/upstream_meta.go
+++ b/internal/proxy/upstream_meta.go
@@ -27,34 +27,34 @@
 	answer, size, err := meta.ReadAnswer(b)
 	isOurs := bytes.Equal(answer.ID, request.id)
 	if err == nil && size == 0 {
-		if answer.Head > 0 && !request.write && isOurs {
+		if answer.HeadSize > 0 && !request.write && isOurs {
 			response = upstreamResponse{
-				headSize:   answer.Head,
-				valueSize:  answer.Long,
-				loadReport: answer.Load,
+				headSize:   answer.HeadSize,
+				valueSize:  answer.ValueSize,
+				loadReport: answer.LoadReport,
 				fromCache:  true,
 			}
 		}
-		return response, 0, answer.Wants
+		return response, 0, answer.TotalSize
 	}
 	response = upstreamResponse{
 		result:     unreadableResponse,
 		body:       answer.Value,
-		loadReport: answer.Load,
+		loadReport: answer.LoadReport,
 		fromCache:  true,
 		identified: isOurs,
 	}
-	isValue := answer.Said == meta.Value && !request.write
-	isReceipt := answer.Said == meta.Done && request.write
+	isValue := answer.Kind == meta.Value && !request.write
+	isReceipt := answer.Kind == meta.Done && request.write
 	switch {
 	case err != nil:
 	case isOurs && (isValue || isReceipt):
 		response.result = policy.Answered
-	case isOurs && answer.Said == meta.Miss:
+	case isOurs && answer.Kind == meta.Miss:
 		response.result = policy.CacheMiss
-	case answer.Said == meta.Failed:
+	case answer.Kind == meta.Failed:
 		response.result = policy.Errored
-	case answer.Said == meta.Busy:
+	case answer.Kind == meta.Busy:
 		response.result = policy.Rejected
 	}
 	return response, size, 0
@@ -64,5 +64,5 @@
 
 func (metaUpstream) readHealthCheck(b []byte, _ bool) (healthy bool, size int, err error) {
 	answer, size, err := meta.ReadAnswer(b)
-	return answer.Said == meta.Up, size, err
+	return answer.Kind == meta.Up, size, err
 }
--- a/internal/proxy/upstream_origin.go
+++ b/internal/proxy/upstream_origin.go
@@ -32,25 +32,25 @@
 func (originUpstream) readResponse(
 	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
 ) (response upstreamResponse, size, wants int) {
-	answer, size, err := progress.ReadAnswer(b, meta.MaxValue, ended)
+	answer, size, err := progress.ReadResponse(b, meta.MaxValue, ended)
 	id := answer.Header("X-Call-Id")
 	isAnothers := id != nil && !bytes.Equal(id, request.id)
 	if err == nil && size == 0 {
-		if answer.Head > 0 && answer.Status == 200 && !request.write && !isAnothers {
+		if answer.HeadSize > 0 && answer.Status == 200 && !request.write && !isAnothers {
 			response = upstreamResponse{
-				headSize:   answer.Head,
-				valueSize:  answer.Long,
+				headSize:   answer.HeadSize,
+				valueSize:  answer.BodySize,
 				loadReport: answer.Header("X-Load-Report"),
-				closesConn: answer.Last,
+				closesConn: answer.Close,
 			}
 		}
-		return response, 0, answer.Wants
+		return response, 0, answer.TotalSize
 	}
 	response = upstreamResponse{
 		result:     policy.Errored,
 		body:       answer.Body,
 		loadReport: answer.Header("X-Load-Report"),
-		closesConn: answer.Last,
+		closesConn: answer.Close,
 		identified: id != nil,
 	}
 	switch {
@@ -75,6 +75,6 @@
 }
 
 func (originUpstream) readHealthCheck(b []byte, ended bool) (healthy bool, size int, err error) {
-	answer, size, err := http1.ReadAnswer(b, meta.MaxValue, ended)
+	answer, size, err := http1.ReadResponse(b, meta.MaxValue, ended)
 	return answer.Status == 200, size, err
 }
