--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -10,79 +9,57 @@
 	"syscall"
 	"testing"
 
+	"golang.org/x/sys/unix"
+
 	"dahliapin/internal/proxy/metrics"
 	"dahliapin/policy"
-
-	"golang.org/x/sys/unix"
 )
 
-// leaving are the ways in which a client goes: it ends, breaks off, or ends only what it sends, which can't be told from the first.
-var leaving = map[string]func(c *net.TCPConn){
-	"end":      func(c *net.TCPConn) { c.Close() },
-	"reset":    func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-	"half-end": func(c *net.TCPConn) { c.CloseWrite() },
-}
-
-// held has something done, and the loop go on until it has come so far. It is then stopped once another event waits for it, and hears of
-// what is done meanwhile after that.
-func (g *rig) held(first func(), far func() bool, then func()) {
-	g.t.Helper()
-	stopped, handed, goes := make(chan bool, 1), make(chan bool, 1), make(chan bool)
-	g.runInLoop(func() {
-		select {
-		case <-g.engine.Wake():
-		default:
-		}
-		stopped <- true
-		for <-g.engine.Wake(); far != nil && !far(); <-g.engine.Wake() {
-			for _, ev := range g.engine.Take() {
-				g.handleEvent(&ev)
-			}
-		}
-		handed <- true
-		<-goes
-		<-g.engine.Wake() // what was done then is here, too
+func TestClientGoneCancelsItsAttempts(t *testing.T) {
+	g := newHarness(t, 200, func(line string) string { return "" })
+	c, _ := g.client()
+	fmt.Fprint(c, "mg k1 v Oa Pc=read,d=9000\r\n")
+	receive(t, g.cacheCommands)
+	c.Close()
+	receive(t, g.cacheConnClosed)
+	g.waitUntil("it has left", func(n metrics.Counters) bool {
+		return n.ClientsGone == 1 && n.Outcomes[policy.Cancelled] == 1 && n.Satisfied+n.Rejected+n.Failed == 0
 	})
-	wait(g.t, stopped)
-	first()
-	wait(g.t, handed)
-	then()
-	close(goes)
 }
 
 // A client that had left while its request waited was sent on for all the same: its end stands behind other events. Wherever it waits,
 // here is an idle link, or one that is just coming up, by which a leg would go at once.
-func TestWhoHasLeftWhileWaitingIsNotSentOnFor(t *testing.T) {
+func TestRequestOfGoneClientIsNotForwarded(t *testing.T) {
 	ask := func(c net.Conn, id string) { fmt.Fprintf(c, "mg k v %s Pc=read,d=9000\r\n", id) }
-	places := map[string]func(g *rig, c net.Conn, may chan bool, leave func(net.Conn)){
-		"behind other events": func(g *rig, c net.Conn, _ chan bool, leave func(net.Conn)) {
-			g.held(func() { ask(c, "Ox") }, nil, func() { leave(c) })
+	places := map[string]func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)){
+		"behind other events": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
+			g.pauseLoop(func() { ask(c, "Ox") }, nil, func() { leave(c) })
 		},
-		"for a link that comes up": func(g *rig, c net.Conn, _ chan bool, leave func(net.Conn)) {
+		"for a link that comes up": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
 			dials := g.Counters().Dials
 			g.runInLoop(func() { g.endpoints.byID["c"].idleConns = nil }) // its end would be an event, too
-			g.held(func() { ask(c, "Ox") }, func() bool { return g.metrics.counters.Dials > dials }, func() { leave(c) })
+			g.pauseLoop(func() { ask(c, "Ox") }, func() bool { return g.metrics.counters.Dials > dials }, func() { leave(c) })
 		},
-		"after a miss": func(g *rig, c net.Conn, may chan bool, leave func(net.Conn)) {
+		"after a miss": func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)) {
 			ask(c, "Omiss")
-			wait(g.t, g.lines)
-			g.held(func() { may <- true }, nil, func() { leave(c) })
+			receive(g.t, g.cacheCommands)
+			g.pauseLoop(func() { may <- true }, nil, func() { leave(c) })
 		},
-		"at the gate": func(g *rig, _ net.Conn, may chan bool, leave func(net.Conn)) {
+		"at the gate": func(g *harness, _ net.Conn, may chan bool, leave func(net.Conn)) {
 			slow, _ := g.client()
 			ask(slow, "Oslow")
-			wait(g.t, g.lines)
+			receive(g.t, g.cacheCommands)
 			var half []net.Conn // commands that have not come whole keep their connections
 			for n := g.Counters().Clients; !g.engine.Crowded(); n++ {
 				c, _ := g.client()
 				fmt.Fprint(c, "mg k")
 				half = append(half, c)
-				g.until("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.engine.Crowded() })
+				g.waitUntil("it is let in, or waits", func(now metrics.Counters) bool { return now.Clients > n || g.engine.Crowded() })
 			}
 			c, _ := g.client()
 			ask(c, "Ox")
 			leave(c)
-			g.held(func() { may <- true }, nil, func() {
+			g.pauseLoop(func() { may <- true }, nil, func() {
 				for _, c := range half {
 					c.Close()
 				}
@@ -92,30 +69,30 @@
 		},
 	}
 	for place, waits := range places {
-		for way, leave := range leaving {
+		for way, leave := range waysToLeave {
 			for _, cancel := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, by %s, cancel %v", place, way, cancel), func(t *testing.T) {
 					t.Parallel()
 					may := make(chan bool)
-					g := newRig(t, 64, func(line string) string {
+					g := newHarness(t, 64, func(line string) string {
 						switch {
 						case strings.Contains(line, "Omiss"):
 							<-may
-							return "EN " + id(line) + "\r\n"
+							return "EN " + idFlag(line) + "\r\n"
 						case strings.Contains(line, "Oslow"):
 							<-may
 						}
-						return value(line)
+						return helloValue(line)
 					}, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
 					c, r := g.client()
 					ask(c, "Owarm")
 					g.expect(r, "VA 5 Owarm", "hello")
-					wait(t, g.lines)
+					receive(t, g.cacheCommands)
 					fmt.Fprint(c, "ms k 1 Oput Pc=put,d=9000,k=1\r\nx\r\n")
 					g.expect(r, "HD Oput cfrom-origin")
 					before := g.Counters().Attempts + 1 // a slow one's beside
 					waits(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
-					g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone+n.RejectedForRoom == 1 })
+					g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone+n.RejectedForRoom == 1 })
 					n := g.Counters()
 					if n.RejectedForRoom == 1 && place == "at the gate" && n.Outcomes[policy.NotSent] == 0 && n.Attempts == before {
 						return // it was let in before room for it was heard of, and rejected, which is no leg either
@@ -130,39 +107,39 @@
 }
 
 // By HTTP a client goes in the same ways, and no attempt begins for it either, first or further.
-func TestWhoHasLeftByHTTPIsNotSentOnFor(t *testing.T) {
-	for way, leave := range leaving {
+func TestRequestOfGoneHTTPClientIsNotForwarded(t *testing.T) {
+	for way, leave := range waysToLeave {
 		for _, after := range []string{"", "a miss"} {
 			t.Run(way+" "+after, func(t *testing.T) {
 				t.Parallel()
 				may := make(chan bool)
-				g := newRig(t, 64, func(line string) string {
+				g := newHarness(t, 64, func(line string) string {
 					if after != "" && strings.Contains(line, "Ohttp") {
 						<-may
-						return "EN " + id(line) + "\r\n"
+						return "EN " + idFlag(line) + "\r\n"
 					}
-					return value(line)
-				}, withFront)
+					return helloValue(line)
+				}, withHTTPListeners)
 				warm, r := g.client()
 				fmt.Fprint(warm, "mg k v Owarm Pc=read,d=9000\r\n")
 				g.expect(r, "VA 5 Owarm", "hello")
-				wait(t, g.lines)
+				receive(t, g.cacheCommands)
 				c, err := net.Dial("tcp", g.Addr(1))
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer c.Close()
-				ask := func() { io.WriteString(c, req("GET /p/k", "X-Id: http")) }
+				ask := func() { io.WriteString(c, requestHead("GET /p/k", "X-Id: http")) }
 				if after == "" {
-					g.held(ask, nil, func() { leave(c.(*net.TCPConn)) })
+					g.pauseLoop(ask, nil, func() { leave(c.(*net.TCPConn)) })
 				} else {
 					ask()
-					wait(t, g.lines)
-					g.held(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
+					receive(t, g.cacheCommands)
+					g.pauseLoop(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
 				}
-				g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
-				g.until("nothing is out", func(n metrics.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
-				if n := g.Counters(); len(g.lines) > 0 || len(g.calls) > 0 {
+				g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+				g.waitUntil("nothing is out", func(n metrics.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
+				if n := g.Counters(); len(g.cacheCommands) > 0 || len(g.originRequests) > 0 {
 					t.Errorf("an attempt went out: %v", n.Outcomes)
 				}
 			})
@@ -170,24 +147,11 @@
 	}
 }
 
-// narrow leaves little room in the kernel for what this process sends to an address.
-func narrow(t *testing.T, addr string) {
-	for fd := range 1024 {
-		if to, err := unix.Getpeername(fd); err == nil {
-			if in, ok := to.(*unix.SockaddrInet4); ok && fmt.Sprintf("127.0.0.1:%d", in.Port) == addr {
-				if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 1); err != nil {
-					t.Fatal(err)
-				}
-			}
-		}
-	}
-}
-
 // A leg that the kernel had taken only in part went on where legs may not be called off, and was whole long after its client had left.
-func TestALegWrittenInPartStopsWithItsClient(t *testing.T) {
-	for way, leave := range leaving {
+func TestPartlyWrittenAttemptStopsWithItsClient(t *testing.T) {
+	for way, leave := range waysToLeave {
 		for _, cancel := range []bool{true, false} {
-			g := newRig(t, 200, value, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
+			g := newHarness(t, 200, helloValue, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
 			tight := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 				return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 1) })
 			}}
@@ -207,64 +171,19 @@
 			defer origin.Close()
 			fmt.Fprint(origin, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			rested := make(chan bool, 1)
-			g.until("its link is idle", func(metrics.Counters) bool {
+			g.waitUntil("its link is idle", func(metrics.Counters) bool {
 				g.runInLoop(func() { rested <- len(g.endpoints.byID["o"].idleConns) == 1 })
 				return <-rested
 			})
-			narrow(t, l.Addr().String())
+			shrinkSendBuffer(t, l.Addr().String())
 			c, _ := g.client()
 			fmt.Fprintf(c, "ms k 60000 Ox Pc=put,d=9000,k=1\r\n%s\r\n", strings.Repeat("v", 60000))
-			g.until("a part is written", func(n metrics.Counters) bool { return n.Attempts == 1 && g.engine.Unsent() > 0 })
+			g.waitUntil("a part is written", func(n metrics.Counters) bool { return n.Attempts == 1 && g.engine.Unsent() > 0 })
 			leave(c.(*net.TCPConn))
-			g.until("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+			g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
 			if n := g.Counters(); n.Outcomes[policy.NotSent] != 1 || g.engine.Unsent() != 0 {
 				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent on", way, cancel, n.Outcomes, g.engine.Unsent())
 			}
 		}
 	}
 }
-
-// What its server's end of an idle link means for a leg, by where it comes: before the write, so that the loop has not heard of it yet,
-// it costs a new link and nothing else; after the last byte the leg may have run, and what can't be undone is not sent again.
-func TestAnIdleLinkThatEndsAroundAWrite(t *testing.T) {
-	for _, c := range []struct {
-		end, grade, want string
-		after            bool
-		sent             uint64 // legs in all
-	}{
-		{"end", "pay", "VA 5 Ox", false, 2}, {"reset", "pay", "VA 5 Ox", false, 2},
-		{"end", "pay", "SERVER_ERROR failed", true, 2}, {"reset", "pay", "SERVER_ERROR failed", true, 2},
-	} {
-		g := newRig(t, 200, value)
-		l, addr := scripted(t)
-		g.moves("c", addr)
-		client, r := g.client()
-		fmt.Fprint(client, "mg k v Owarm Pc=read,d=9000\r\n")
-		link, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		lines := bufio.NewReader(link)
-		line, _ := lines.ReadString('\n')
-		io.WriteString(link, value(line))
-		g.expect(r, "VA 5 Owarm", "hello")
-		ask := func() { fmt.Fprintf(client, "mg k v Ox Pc=%s,d=9000\r\n", c.grade) }
-		if c.after {
-			ask()
-			lines.ReadString('\n')
-			leaving[c.end](link.(*net.TCPConn))
-		} else {
-			g.held(ask, nil, func() { leaving[c.end](link.(*net.TCPConn)) })
-			fresh, err := l.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			line, _ := bufio.NewReader(fresh).ReadString('\n')
-			io.WriteString(fresh, value(line))
-		}
-		g.expect(r, c.want)
-		if n := g.Counters(); n.Attempts != c.sent || n.Outcomes[policy.ConnectionBroken] != 0 != c.after {
-			t.Errorf("%s, after the write: %v: %d legs, %v", c.end, c.after, n.Attempts, n.Outcomes)
-		}
-	}
-}
--- /dev/null
+++ b/internal/proxy/downstream_test.go
@@ -0,0 +1,88 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+
+	"dahliapin/internal/proxy/metrics"
+)
+
+func TestUnreadableCommandClosesTheConnection(t *testing.T) {
+	g := newHarness(t, 200, helloValue)
+	for _, bad := range []string{strings.Repeat("x", 5000), "ms k 70000 Oa Pc=put,d=9\r\n", "ms k 2 Oa Pc=put,d=9\r\nabcd\r\n"} {
+		c, r := g.client()
+		fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n", bad)
+		g.expect(r, "VA 5 Ox", "hello")
+		rest, _ := io.ReadAll(r)
+		if !strings.Contains(string(rest), "_ERROR ") {
+			t.Errorf("after %.20q: %q", bad, rest)
+		}
+	}
+	g.waitUntil("all are gone", func(n metrics.Counters) bool { return n.Malformed == 3 && n.Attempts == 3 })
+}
+
+// Connections that never spoke, and half commands, stayed for good.
+func TestIncompleteCommandTimesOut(t *testing.T) {
+	g := newHarness(t, 200, helloValue, withHTTPListeners)
+	_, silent := g.client()
+	web, late := g.httpClient(1), make(chan []string, 1)
+	go func() { late <- web("GET /p/k HTTP/1.1\r\nHost: n\r\nX: ", "GET", "GET") }()
+	half, told := g.client()
+	fmt.Fprint(half, "ms k 5 Ob Pc=put,d=9000\r\nhe")
+	g.expect(told, strings.TrimSpace(metaRefusalLines[refusedTooLate]))
+	for _, r := range []*bufio.Reader{told, silent} {
+		if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("not closed: %v", err)
+		}
+	}
+	g.expectResponses(receive(t, late), "408 not whole in time 18 close", "ended")
+	if n := g.Counters(); n.Overdue != 3 {
+		t.Errorf("%d were overdue", n.Overdue)
+	}
+}
+
+// Clients that ask once and keep their connection left the others none: 128 stood idle, and half of all was refused.
+func TestIdleClientsThatReturnAreKeptLongest(t *testing.T) {
+	g := newHarness(t, 200, helloValue)
+	often, r := g.client()
+	for n := range 3 {
+		fmt.Fprintf(often, "mg k v Oa%d Pc=read,d=9000\r\n", n)
+		g.expect(r, fmt.Sprintf("VA 5 Oa%d", n), "hello")
+	}
+	var once []*bufio.Reader
+	for n := range 30 {
+		c, r := g.client()
+		fmt.Fprintf(c, "mg k v Ob%d Pc=read,d=9000\r\n", n)
+		g.expect(r, fmt.Sprintf("VA 5 Ob%d", n), "hello")
+		once = append(once, r)
+	}
+	g.waitUntil("few are left", func(n metrics.Counters) bool { return int(n.IdleClosed) >= 31-g.engine.Most()/idleClientShare })
+	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("closed with: %v", err)
+	}
+	fmt.Fprint(often, "mn\r\n")
+	if g.expect(r, "MN"); int(g.Counters().IdleClosed) == 31 {
+		t.Error("all are closed")
+	}
+	if _, err := r.ReadByte(); !errors.Is(err, syscall.ECONNRESET) { // after two seconds
+		t.Errorf("closed with: %v", err)
+	}
+}
+
+func TestIdleConnsAreClosedToFreeDescriptors(t *testing.T) {
+	g := newHarness(t, 64, helloValue)
+	for n := range 100 {
+		c, r := g.client()
+		fmt.Fprintf(c, "mg k%d v Oa Pc=read,d=9000\r\n", n)
+		g.expect(r, "VA 5 Oa", "hello")
+	}
+	if n := g.Counters(); n.ClosedForRoom == 0 || n.ClosedForRoom+n.IdleClosed < 50 || n.RejectedForRoom > 0 { // a slow machine's are idle for long, too
+		t.Errorf("%d closed to make room, %d when idle, %d rejected for want of it", n.ClosedForRoom, n.IdleClosed, n.RejectedForRoom)
+	}
+}
--- /dev/null
+++ b/internal/proxy/drain_test.go
@@ -0,0 +1,157 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"dahliapin/internal/proxy/metrics"
+)
+
+func TestDrainServesLateArrivalsThenStops(t *testing.T) {
+	hold := make(chan bool)
+	g := newHarness(t, 200, blockRequestA(hold), withHTTPListeners)
+	before, slow := g.client()
+	fmt.Fprint(before, "mg k v Oa Pc=read,d=900\r\n")
+	web := g.httpClient(1)
+	web(requestHead("GET /p/k", "X-Id: a2", "X-Wait: 900") + requestHead("GET /p/k", "X-Wait: 900"))
+	for range 3 {
+		receive(t, g.cacheCommands)
+	}
+	g.Shutdown()
+	g.Shutdown()
+	g.Counters() // comes after what was asked before: else the next command may, too
+	after, r := g.client()
+	fmt.Fprint(after, "mn\r\nmg k2 v Ob Pc=read,d=900\r\nmg k3 v Oc Pc=pay,d=9000\r\n")
+	g.expect(r, "SERVER_ERROR draining", "VA 5 Ob", "hello", "SERVER_ERROR busy") // the last would outlast the node
+	close(hold)
+	g.expect(slow, "VA 5 Oa", "hello")
+	g.expectResponses(web("", "GET", "GET", "GET"), "200 hello 5", "200 hello 5 close", "ended") // else what is sent on it meanwhile is lost
+	g.loop.Wait()
+	if _, err := slow.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("closed with: %v", err)
+	}
+}
+
+// All that would outlast a draining node was turned away, where its deadline is longer than the node's own end: for the whole drain, at a
+// deployment whose clients wait for long. What may be repeated is taken while its soft limit is left, with the node's end for a deadline.
+func TestDrainAcceptsWhatCanBeServedBeforeTheEnd(t *testing.T) {
+	const endsIn, long = 1400 * time.Millisecond, "d=9000" // longest deadline of the grades 1 s, 0.5 s over it, 0.1 s for last words
+	for _, c := range []struct {
+		name, asks, want string
+		after            time.Duration // of the drain's beginning; the connection has something in hand until then
+		attempts         uint64
+	}{
+		{"a read", "mg k v Oa Pc=read," + long, "VA 5 Oa", 0, 2},
+		{"a read that nobody answers", "mg hangs v Oa Pc=read," + long, "SERVER_ERROR busy", 0, 2},
+		{"a read with less left than its soft limit", "mg k v Oa Pc=read," + long, "SERVER_ERROR busy", endsIn / 3, 1},
+		{"what may not be repeated", "mg k v Oa Pc=pay," + long, "SERVER_ERROR busy", 0, 1},
+		{"what may be for some time", "ms k 1 Oa Pc=put,k=7," + long + "\r\nx", "SERVER_ERROR busy", 0, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			g := newHarness(t, 200, func(line string) string {
+				if strings.HasPrefix(line, "mg hangs") {
+					return ""
+				}
+				return helloValue(line)
+			}, func(b *Config) {
+				if c.after > 0 {
+					b.Settings.Policy.Classes[0].LatencyObjective = endsIn * 9 / 10
+				}
+			})
+			to, r := g.client()
+			fmt.Fprintf(to, "mg hangs v Oz Pc=read,%s\r\n", long)
+			receive(t, g.cacheCommands)
+			g.Shutdown()
+			g.Counters()
+			began := time.Now()
+			time.Sleep(c.after)
+			fmt.Fprint(to, c.asks+"\r\n")
+			g.waitUntil("it is taken", func(n metrics.Counters) bool { return n.Requests == 2 })
+			if c.attempts > 1 {
+				line, left := receive(t, g.cacheCommands), 0
+				_, told, _ := strings.Cut(line, "d=")
+				if fmt.Sscan(told, &left); left <= 0 || left > int(endsIn/time.Millisecond) {
+					t.Errorf("a cache is told %d ms in %q", left, line)
+				}
+			}
+			for _, want := range []string{"SERVER_ERROR busy", c.want} {
+				if got, err := r.ReadString('\n'); !strings.HasPrefix(got, want) || time.Since(began) > endsIn+testTimeout/10 {
+					t.Errorf("%q (%v) after %v, want %q", got, err, time.Since(began), want)
+				}
+			}
+			if n := g.Counters().Attempts; n != c.attempts {
+				t.Errorf("%d attempts, %d wanted", n, c.attempts)
+			}
+		})
+	}
+}
+
+// A node that was held up while it drained ended as it went on: who had come meanwhile stood in the kernel's queue and was cut off.
+func TestDrainAfterAStallAcceptsQueuedConnections(t *testing.T) {
+	g := newHarness(t, 200, helloValue, func(b *Config) { b.Settings.LongestDeadline = maxShutdownWait })
+	g.engine.Accept(false) // as if the whole process stood still
+	c, r := g.client()
+	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
+	g.Shutdown()
+	g.runInLoop(func() {
+		for g.now().Since(g.lifecycle.drainStartedAt) < drainAcceptTime+drainQuietTime {
+		}
+		g.engine.Accept(true)
+	})
+	if got, err := r.ReadString('\n'); strings.TrimSpace(got) != "VA 5 Ox" {
+		t.Errorf("got %q (%v), %+v", got, err, g.Counters())
+	}
+}
+
+// Deadlines that lay beyond the node's own end, or beyond what who ends it waits for, were cut off without a word: on a rough day with a
+// deadline of 5.3 s a node was still at work when it was killed. Each is answered, as its grade and its legs allow.
+func TestDrainAnswersWhatOutlastsTheNode(t *testing.T) {
+	for _, longest := range []time.Duration{0, 500 * time.Millisecond, time.Minute} {
+		t.Run(longest.String(), func(t *testing.T) {
+			t.Parallel()
+			g := newHarness(t, 200, func(string) string { return "" }, func(b *Config) { b.Settings.LongestDeadline = longest })
+			l, addr := listenScripted(t) // an origin that says nothing, and one leg at a time
+			g.moveEndpoint("o", addr)
+			wants := map[string]string{"mg k1 v Oa Pc=read,d=60000": "SERVER_ERROR busy 250", "ms k2 1 Ob Pc=pay,d=60000\r\nx": "SERVER_ERROR failed",
+				"ms k3 1 Oc Pc=put,d=60000,k=7\r\nx": "SERVER_ERROR busy 250", "mg k4 v Od Pc=pay,d=60000": "SERVER_ERROR failed"}
+			told := map[string]*bufio.Reader{}
+			for command := range wants {
+				c, r := g.client()
+				fmt.Fprint(c, command+"\r\n")
+				told[command] = r
+			}
+			g.waitUntil("all are taken", func(n metrics.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
+			defer l.Close()
+			began := time.Now()
+			g.Shutdown()
+			for command, r := range told {
+				g.expect(r, wants[command])
+				if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+					t.Errorf("%q: %v after its answer", command, err)
+				}
+			}
+			if g.loop.Wait(); time.Since(began) > maxShutdownWait+shutdownMargin+testTimeout/10 {
+				t.Errorf("ended after %v", time.Since(began))
+			}
+		})
+	}
+}
+
+// A process given back to its predecessor ended in the turn in which no client was known. Whom the kernel had let in by then and the
+// loop had not heard of was cut off: one in some thousand, while the newcomer of an upgrade is ended under load.
+func TestReturnedProcessStopsOnlyAfterQuietTime(t *testing.T) {
+	g := newHarness(t, 200, blockRequestA(nil))
+	g.runInLoop(func() { g.takeover.replaced = true })
+	g.Shutdown()
+	g.loop.Wait()
+	if took := g.now().Since(g.lifecycle.drainStartedAt); took < drainQuietTime {
+		t.Errorf("ended %v after it was told to", took)
+	}
+}
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -15,9 +15,9 @@
 
 // The list states starts by the wall clock, which may be stepped by an hour while the node runs. A cache that started anew after a step back
 // counted as warm for an hour, so that all nodes together would have pushed it over; after a step forward it counted as cold for an hour.
-func TestStartsAfterAStepOfTheWallClock(t *testing.T) {
+func TestEndpointStartsAfterWallClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		rules, err := settings.Decode(fastjson.MustParse(fmt.Sprintf(terms, false)))
+		rules, err := settings.Decode(fastjson.MustParse(fmt.Sprintf(testSettings, false)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 }
 
 // A start that was stated before a step and is told after it is off by the step; what that makes of it is bounded.
-func TestAStartThatIsToldAcrossAStepIsBounded(t *testing.T) {
+func TestEndpointStartStatedAcrossWallClockStepIsBounded(t *testing.T) {
 	now := clockEpoch.Add(time.Hour)
 	began := time.Now().Add(-now.Since(clockEpoch))
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
--- a/internal/proxy/endpoint_watch_test.go
+++ b/internal/proxy/endpoint_watch_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"bufio"
 	"fmt"
 	"io"
 	"net"
@@ -17,31 +18,125 @@
 	"dahliapin/policy"
 )
 
-const countsAsTold = 6 * time.Second // after discovery had news and could be reached
+func TestEndpointListIsWatchedAndApplied(t *testing.T) {
+	g := newHarness(t, 200, helloValue)
+	if first, second := receive(t, g.listPolls), receive(t, g.listPolls); first != endpointListPath || !strings.HasPrefix(second, endpointListPath+"?since=7&") {
+		t.Errorf("asked %q, then %q", first, second)
+	}
+	g.listAnswers <- thenClose
+	if again := receive(t, g.listPolls); !strings.HasPrefix(again, endpointListPath+"?since=7&") {
+		t.Errorf("after a call that broke off, asked %q", again)
+	}
+	addr := make(chan string, 1)
+	g.runInLoop(func() { addr <- g.endpoints.byID["c"].addr })
+	g.listAnswers <- `{"generation":9,"reset":false,"instances":[{"instanceId":"c","lifecycle":"terminated"}]}`
+	if third := receive(t, g.listPolls); !strings.HasPrefix(third, endpointListPath+"?since=9&") {
+		t.Errorf("asked %q", third)
+	}
+	c, r := g.client()
+	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
+	if got, _ := r.ReadString('\n'); strings.HasPrefix(got, "VA 5") {
+		t.Errorf("a cache that is gone answered %q", got)
+	}
+	g.listAnswers <- fmt.Sprintf(`{"generation":10,"reset":false,"instances":[{"instanceId":"d","hostPort":"%s","machineType":"box","lifecycle":"in_service"}]}`, <-addr)
+	receive(t, g.listPolls)
+	c, r = g.client() // a server under a new id may have taken over its address
+	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\n")
+	if got, _ := r.ReadString('\n'); !strings.HasPrefix(got, "VA 5") {
+		t.Errorf("whoever took over its address answered %q", got)
+	}
+}
+
+// A second watch that fell silent was known as late as the first, and with it the news that both had missed. Changes of an older version
+// put a cache into service again that drains.
+func TestAfterALostWatchUpdatesArePolledAtOnceAndOlderVersionsIgnored(t *testing.T) {
+	g := newHarness(t, 200, helloValue)
+	receive(t, g.listPolls)
+	receive(t, g.listPolls)
+	g.listAnswers <- thenClose
+	const soon = "?since=7&timeout_ms=1"
+	if again := receive(t, g.listPolls); again != endpointListPath+soon {
+		t.Errorf("after a watch that broke off, asked %q", again)
+	}
+	silent := time.Now()
+	if again := receive(t, g.listPolls); again != endpointListPath+soon || time.Since(silent) > 4*time.Second { // a watch's 5.5 s
+		t.Errorf("after %v in which nothing came, asked %q", time.Since(silent), again)
+	}
+	entry := `{"generation":%d,"reset":false,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"%s"}]}`
+	for range 2 { // the call that was given up may take one yet
+		g.listAnswers <- fmt.Sprintf(entry, 8, "terminating")
+	}
+	g.listAnswers <- fmt.Sprintf(entry, 6, "in_service")
+	again := receive(t, g.listPolls)
+	for strings.HasPrefix(again, endpointListPath+"?since=8&timeout_ms=4") {
+		again = receive(t, g.listPolls)
+	}
+	if again != endpointListPath {
+		t.Errorf("after an older version, asked %q", again)
+	}
+	c, r := g.client()
+	fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n")
+	g.expect(r, "VA 11 Ox", "from-origin")
+}
+
+// A discovery with too much to do was asked for the whole list instead of what is new: a hundred lines for none.
+func TestOverloadedDiscoveryIsPolledForUpdatesOnly(t *testing.T) {
+	g := newHarness(t, 200, helloValue)
+	receive(t, g.listPolls)
+	receive(t, g.listPolls)
+	g.listAnswers <- discoveryOverloaded
+	if again := receive(t, g.listPolls); !strings.HasPrefix(again, endpointListPath+"?since=7&") {
+		t.Errorf("after a refusal, asked %q", again)
+	}
+	g.listAnswers <- discoveryFails // else a version that it takes for a fault would be asked for without end
+	if again := receive(t, g.listPolls); again != endpointListPath {
+		t.Errorf("after a failure, asked %q", again)
+	}
+}
+
+// While legs held all of the links' share, a list that had moved was not called for.
+func TestChangedDiscoveryIsPolledThoughConnsAreUsedUp(t *testing.T) {
+	g := newHarness(t, 64, helloValue)
+	g.runInLoop(func() {
+		for g.upstream.conns.Len() <= g.maxUpstreamConns() {
+			g.upstream.conns.Add(&upstreamConn{purpose: purposeAttempt})
+		}
+	})
+	asked := make(chan string, 9)
+	g.SetDiscovery(g.listen(func(c net.Conn) {
+		line, _ := bufio.NewReader(c).ReadString('\n')
+		asked <- line
+	}))
+	if got := receive(t, asked); !strings.HasPrefix(got, "GET "+endpointListPath+" HTTP") {
+		t.Errorf("asked %q there", got)
+	}
+}
+
+const updateTimeLimit = 6 * time.Second // after discovery had news and could be reached
 
 // agent is discovery as one node sees it: it has a list, fails in one manner after another, and then has news.
-type agent struct {
-	mu     sync.Mutex
-	does   string        // "" for answering
-	turned chan struct{} // closed as it begins to do something else
-	news   bool
-	told   chan time.Time // when news was first written to the node
-	heard  bool
-	over   chan bool
+type discoveryStub struct {
+	mu           sync.Mutex
+	behaviour    string        // "" for answering
+	changed      chan struct{} // closed as it begins to do something else
+	hasUpdate    bool
+	updateSentAt chan time.Time // when news was first written to the node
+	updateSent   bool
+	stop         chan bool
 }
 
-func (a *agent) turn(does string, news bool) {
+func (a *discoveryStub) change(does string, news bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.does, a.news = does, news
-	close(a.turned)
-	a.turned = make(chan struct{})
+	a.behaviour, a.hasUpdate = does, news
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	const row = `{"instanceId":%q,"hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"in_service","zone":"z"}`
 	a.mu.Lock()
-	does, turned, news := a.does, a.turned, a.news
+	does, turned, news := a.behaviour, a.changed, a.hasUpdate
 	a.mu.Unlock()
 	since := r.URL.Query().Get("since")
 	if does == "" && since != "" && !(news && since == "7") { // a watch
@@ -50,7 +145,7 @@
 		case <-time.After(wait):
 		case <-turned:
 			a.mu.Lock()
-			does, news = a.does, a.news
+			does, news = a.behaviour, a.hasUpdate
 			a.mu.Unlock()
 		case <-r.Context().Done():
 			return
@@ -66,7 +161,7 @@
 	case "silent":
 		select { // nor once it is well again
 		case <-r.Context().Done():
-		case <-a.over:
+		case <-a.stop:
 		}
 	default:
 		switch {
@@ -82,17 +177,17 @@
 			fmt.Fprintf(w, `{"generation":8,"reset":true,"instances":[`+row+`,`+row+`]}`, "c", "d")
 		}
 		a.mu.Lock()
-		if news && !a.heard {
-			a.heard = true
-			a.told <- time.Now()
+		if news && !a.updateSent {
+			a.updateSent = true
+			a.updateSentAt <- time.Now()
 		}
 		a.mu.Unlock()
 	}
 }
 
 // followers are nodes of a fleet of so many, each with its agent.
-func followers(t *testing.T, nodes, stated int, at func(a *agent)) {
-	rules, err := settings.Decode(fastjson.MustParse(strings.Replace(fmt.Sprintf(terms, false), `"n_instances":1`, fmt.Sprintf(`"n_instances":%d`, stated), 1)))
+func runNodes(t *testing.T, nodes, stated int, at func(a *discoveryStub)) {
+	rules, err := settings.Decode(fastjson.MustParse(strings.Replace(fmt.Sprintf(testSettings, false), `"n_instances":1`, fmt.Sprintf(`"n_instances":%d`, stated), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +195,7 @@
 	quiet.SetOutput(io.Discard)
 	var all sync.WaitGroup
 	for n := range nodes {
-		a := &agent{turned: make(chan struct{}), told: make(chan time.Time, 1), over: make(chan bool)}
+		a := &discoveryStub{changed: make(chan struct{}), updateSentAt: make(chan time.Time, 1), stop: make(chan bool)}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -116,8 +211,8 @@
 		var loop sync.WaitGroup
 		loop.Add(1)
 		go func() { defer loop.Done(); r.Run() }()
-		t.Cleanup(func() { close(a.over); r.Shutdown(); loop.Wait(); web.Close() })
-		if !wait(t, up) {
+		t.Cleanup(func() { close(a.stop); r.Shutdown(); loop.Wait(); web.Close() })
+		if !receive(t, up) {
 			t.Fatal("not serving")
 		}
 		all.Add(1)
@@ -125,17 +220,17 @@
 			defer all.Done()
 			at(a)
 			began := time.Now()
-			a.turn("", true)
+			a.change("", true)
 			select {
-			case when := <-a.told:
-				if took := when.Sub(began); took > countsAsTold {
+			case when := <-a.updateSentAt:
+				if took := when.Sub(began); took > updateTimeLimit {
 					t.Errorf("node %d was told after %v", n, took)
 				}
-			case <-time.After(2 * countsAsTold):
-				t.Errorf("node %d was not told within %v", n, 2*countsAsTold)
+			case <-time.After(2 * updateTimeLimit):
+				t.Errorf("node %d was not told within %v", n, 2*updateTimeLimit)
 				return
 			}
-			for has, by := make(chan bool, 1), time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+			for has, by := make(chan bool, 1), time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 				r.runInLoop(func() { has <- r.endpoints.byID[policy.EndpointID("d")] != nil })
 				if <-has {
 					return
@@ -152,13 +247,13 @@
 
 // Nodes of a large fleet rested up to 30 s after refusals, and made a watch then: of eight, those told latest heard 15.5 and 19.9 s after
 // discovery had the news. An unreadable answer had them rest as long.
-func TestNewsIsToldInTimeAfterDiscoveryFailed(t *testing.T) {
+func TestUpdateArrivesInTimeAfterDiscoveryFailures(t *testing.T) {
 	for _, how := range []string{"refuses", "silent", "breaks", "halves", "refuses silent", "silent refuses", "breaks refuses silent", "halves breaks halves"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			followers(t, 4, 480, func(a *agent) {
+			runNodes(t, 4, 480, func(a *discoveryStub) {
 				for _, does := range strings.Fields(how) {
-					a.turn(does, false)
+					a.change(does, false)
 					time.Sleep(4 * time.Second / time.Duration(len(strings.Fields(how))))
 				}
 			})
--- a/internal/proxy/idle_conns_test.go
+++ b/internal/proxy/idle_conns_test.go
@@ -7,7 +7,7 @@
 	"dahliapin/internal/keyhash"
 )
 
-func TestIdleLinksKeepTheirOrder(t *testing.T) {
+func TestIdleConnListKeepsOrder(t *testing.T) {
 	var q idleConnList
 	var plain []*upstreamConn
 	chance := keyhash.Source{Seed: 7}
--- /dev/null
+++ b/internal/proxy/pipeline_test.go
@@ -0,0 +1,59 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+
+	"dahliapin/internal/proxy/metrics"
+)
+
+func TestPipelinedAnswersKeepTheOrderOfTheirCommands(t *testing.T) {
+	slow := make(chan bool)
+	g := newHarness(t, 200, blockRequestA(slow))
+	c, r := g.client()
+	fmt.Fprint(c, "mg k1 v Oa Pc=read,d=9000\r\nmg k2 v Ob Pc=read,d=9000,size=3\r\nget x\r\nmg k3 v\r\nmn\r\n")
+	g.waitUntil("the second is answered", func(n metrics.Counters) bool { return n.Satisfied == 1 })
+	close(slow)
+	g.expect(r, "VA 5 Oa", "hello", "VA 5 Ob", "hello", "ERROR", "CLIENT_ERROR bad command line", "MN")
+	for range 2 {
+		if line := receive(t, g.cacheCommands); !strings.HasPrefix(line, "mg k") || strings.Contains(line, "d=9000") {
+			t.Errorf("the cache was sent %q", line)
+		}
+	}
+}
+
+func TestAnswersQueuedBehindASlowRequestAreBounded(t *testing.T) {
+	hold := make(chan bool)
+	g := newHarness(t, 200, func(line string) string { <-hold; return helloValue(line) })
+	c, r := g.client()
+	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
+	receive(t, g.cacheCommands)
+	go fmt.Fprint(c, strings.Repeat("mn\r\n", 2*maxPendingResponses))
+	g.waitUntil("it is no more read", func(metrics.Counters) bool {
+		closing := make(chan bool, 1)
+		g.runInLoop(func() { g.downstream.conns.Each(func(_ clientConnID, c *clientConn) { closing <- c.closing }) })
+		return <-closing
+	})
+	close(hold)
+	g.expect(r, "VA 5 Oa", "hello")
+	rest, _ := io.ReadAll(r)
+	if n := strings.Count(string(rest), "MN"); n != maxPendingResponses-1 || !strings.HasSuffix(string(rest), metaRefusalLines[refusedTooMany]) {
+		t.Errorf("%d answers, then %q", n, rest[max(0, len(rest)-50):])
+	}
+}
+
+func TestSlowReaderIsClosedBeforeItsAnswersFillMemory(t *testing.T) {
+	big := strings.Repeat("v", 64<<10)
+	g := newHarness(t, 200, func(line string) string { return "VA 65536 " + idFlag(line) + "\r\n" + big + "\r\n" })
+	c, _ := g.client()
+	for n := 0; ; n++ {
+		if _, err := fmt.Fprintf(c, "mg k%[1]d v Oa%[1]d Pc=read,d=9000\r\n", n); err != nil {
+			break
+		}
+		if n%50 == 0 && g.engine.Unsent() > g.config.Memory/4 {
+			t.Fatalf("%d bytes wait for a slow reader", g.engine.Unsent())
+		}
+	}
+}
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -15,15 +15,15 @@
 
 // Long values were gathered whole: their first byte came with the last, and many at once took the memory. A value's head goes out
 // with its first bytes, a second one on the same connection is not read meanwhile, and nothing of them is lost or out of order.
-func TestALongValueIsPassedOnAsItComesAndInItsTurn(t *testing.T) {
+func TestLongValueIsStreamedInItsTurn(t *testing.T) {
 	const half = 2 << 20
 	first, second := strings.Repeat("v", 2*half), strings.Repeat("w", 2*half)
 	rest := make(chan bool)
-	g := newRig(t, 200, func(line string) string {
+	g := newHarness(t, 200, func(line string) string {
 		if strings.Contains(line, "Oshort") {
-			return value(line)
+			return helloValue(line)
 		}
-		return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(second), id(line), second)
+		return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(second), idFlag(line), second)
 	})
 	slow := g.listen(func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -45,7 +45,7 @@
 	g.runInLoop(func() { g.endpoints.byID["c"].addr = usual })
 	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\nmn\r\n")
 	held := make(chan bool, 1)
-	g.until("the second is held", func(metrics.Counters) bool {
+	g.waitUntil("the second is held", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			n := 0
 			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
@@ -69,9 +69,9 @@
 
 // Once a byte has gone out no other server may answer, and a client can only tell by the end of its connection that the value is
 // not whole. One that has not begun to go out is told as any that failed.
-func TestALongValueThatBreaksOffEndsItsReadersConnection(t *testing.T) {
-	g := newRig(t, 200, func(line string) string {
-		return fmt.Sprintf("VA %d %s\r\n%s%s", 1<<20, id(line), strings.Repeat("v", 100<<10), breaksOff)
+func TestBrokenStreamClosesTheClientConn(t *testing.T) {
+	g := newHarness(t, 200, func(line string) string {
+		return fmt.Sprintf("VA %d %s\r\n%s%s", 1<<20, idFlag(line), strings.Repeat("v", 100<<10), thenClose)
 	})
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
@@ -85,15 +85,15 @@
 }
 
 // A reader that takes nothing more kept its cache's connection for good.
-func TestAReaderThatTakesNothingIsLeftAfterAWhile(t *testing.T) {
+func TestStalledReaderIsClosed(t *testing.T) {
 	long := strings.Repeat("v", 4<<20)
-	g := newRig(t, 200, func(line string) string { return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(long), id(line), long) })
+	g := newHarness(t, 200, func(line string) string { return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(long), idFlag(line), long) })
 	c, _ := g.client()
 	for n := range 6 { // more than the kernel holds
 		fmt.Fprintf(c, "mg k v O%d Pc=read,d=9000\r\n", n)
 	}
 	stuck := make(chan bool, 1)
-	g.until("it is left", func(n metrics.Counters) bool {
+	g.waitUntil("it is left", func(n metrics.Counters) bool {
 		g.runInLoop(func() {
 			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
 				if l.stream != nil && l.stream.paused && l.stream.started { // as after a while
@@ -104,7 +104,7 @@
 		})
 		return !<-stuck && n.Overdue == 1
 	})
-	g.until("and its links", func(metrics.Counters) bool {
+	g.waitUntil("and its links", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			busy := false
 			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) { busy = busy || l.stream != nil })
@@ -115,14 +115,14 @@
 }
 
 // By HTTP a long value has its length in the head, is whole, and leaves the connection for what comes next; the origin's is passed on alike.
-func TestLongValuesReachClientsOfHTTPWhole(t *testing.T) {
+func TestLongValuesReachHTTPClientsComplete(t *testing.T) {
 	long := strings.Repeat("v", 2<<20)
-	g := newRig(t, 200, func(line string) string {
+	g := newHarness(t, 200, func(line string) string {
 		if strings.HasPrefix(line, "mg away ") {
-			return "EN " + id(line) + "\r\n"
+			return "EN " + idFlag(line) + "\r\n"
 		}
-		return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(long), id(line), long)
-	}, withFront)
+		return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(long), idFlag(line), long)
+	}, withHTTPListeners)
 	page := strings.Repeat("o", 1<<20)
 	origin := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(page)))
