--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -44,11 +44,11 @@
 
 // moved starts nodes on what migrate makes of their configuration, with what an operator fills in.
 type moved struct {
-	realtime.Runner
+	realtime.Starter
 	dir string
 }
 
-func (m moved) Start(o realtime.Order) (realtime.Process, error) {
+func (m moved) Start(o realtime.NodeSpec) (realtime.Process, error) {
 	text := o.Configuration
 	if m.dir != "" {
 		os.WriteFile(m.dir+"/old", text, 0o600)
@@ -57,7 +57,7 @@
 		text = []byte(strings.Replace(string(text), `"cross_zone":0`, `"cross_zone":0.2`, 1))
 	}
 	o.Configuration = text
-	return m.Runner.Start(o)
+	return m.Starter.Start(o)
 }
 
 // A node on a migrated file must serve, and ask its own zone's caches; gone back to the old one it asks all.
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -49,7 +49,7 @@
 
 func (p hastyProcess) End() { p.Kill() }
 
-func (h hasty) Start(o realtime.Order) (realtime.Process, error) {
+func (h hasty) Start(o realtime.NodeSpec) (realtime.Process, error) {
 	p, err := h.Processes.Start(o)
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	}
 	for _, ends := range []bool{true, false} {
 		processes := nodes(t)
-		var runner realtime.Runner = processes
+		var runner realtime.Starter = processes
 		if ends {
 			runner = hasty{processes}
 		}
--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -63,7 +63,7 @@
 // ServeHTTP answers a call for the list. While discovery is down it says nothing.
 func (a *agent) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	a.r.mu.Lock()
-	up := a.r.upList
+	up := a.r.listUp
 	a.r.mu.Unlock()
 	select {
 	case <-up:
@@ -130,7 +130,7 @@
 	}
 	a.r.mu.Lock()
 	for _, e := range changed {
-		a.r.judge.Notified(a.r.now(), a.node, e.ID, e.Lifecycle)
+		a.r.checker.Notified(a.r.now(), a.node, e.ID, e.Lifecycle)
 	}
 	a.r.mu.Unlock()
 }
@@ -146,7 +146,7 @@
 		}
 		born := int64(0)
 		if e.StartedAt != 0 {
-			born = r.began.Add(e.StartedAt.Since(epoch)).UnixMilli()
+			born = r.startedAt.Add(e.StartedAt.Since(epoch)).UnixMilli()
 		}
 		rows = append(rows, map[string]any{"instanceId": string(e.ID), "hostPort": r.servers[i].addr, "zone": string(e.Zone),
 			"machineType": [...]string{"cache", "origin"}[e.Kind], "cell": int64(e.Group), "weight": e.Weight, "startedAtMs": born,
--- a/internal/emulator/realtime/disturb.go
+++ b/internal/emulator/realtime/disturb.go
@@ -58,7 +58,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if m.life == life && !m.ending && !r.closing {
-				r.judge.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledEnds+slack))
+				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledEnds+slack))
 			}
 		}()
 	}
@@ -72,19 +72,19 @@
 // ReloadNode tells a node several times in a row to read its configuration again; the lock is held.
 func (r *Rig) ReloadNode(number, times int) {
 	m := r.nodes[number]
-	p, can := m.process.(Reloading)
+	p, can := m.process.(Reloader)
 	if !can || m.ending {
 		return
 	}
 	for n := range times {
-		r.At(r.now().Add(time.Duration(n)*signalsApart), p.Reload)
+		r.At(r.now().Add(time.Duration(n)*signalInterval), p.Reload)
 	}
 }
 
 // FreezeNode has a node's process stand still for a moment. Nothing is excused: the rules allow for that; the lock is held.
 func (r *Rig) FreezeNode(number int, long time.Duration) {
 	m := r.nodes[number]
-	p, can := m.process.(Pausing)
+	p, can := m.process.(Pauser)
 	if !can || m.ending {
 		return
 	}
@@ -94,5 +94,5 @@
 
 // judgeSlack is what the script allows what crosses to take.
 func (r *Rig) judgeSlack() time.Duration {
-	return time.Duration(r.script.Allowed.SlackMs * float64(time.Millisecond))
+	return time.Duration(r.scenario.Allowed.SlackMs * float64(time.Millisecond))
 }
--- a/internal/emulator/realtime/embedded_test.go
+++ b/internal/emulator/realtime/embedded_test.go
@@ -17,19 +17,19 @@
 }
 
 // Start starts one.
-func (Embedded) Start(o Order) (Process, error) {
+func (Embedded) Start(o NodeSpec) (Process, error) {
 	p, err := node.ParseConfig(o.Configuration)
 	if err == nil && o.Operator != nil {
 		err = p.ParseListeners("operator", o.Operator)
 	}
-	if err == nil && o.Charter != nil {
-		p.OnTrace = o.Trace
-		err = p.ParseFleet("charter", o.Charter)
+	if err == nil && o.Fleet != nil {
+		p.OnTrace = o.OnTrace
+		err = p.ParseFleet("charter", o.Fleet)
 	}
 	if err != nil {
 		return nil, err
 	}
-	p.OnEvent = o.Note
+	p.OnEvent = o.OnRecord
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n, err := node.New(p, quiet)
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -30,7 +30,7 @@
 	id := string(q.Header(client.IDHeader))
 	switch {
 	case fault != nil:
-		r.judge.WrongAnswer(now, "", "a server was sent what is no request: "+fault.Error())
+		r.checker.WrongAnswer(now, "", "a server was sent what is no request: "+fault.Error())
 		c.gone(true)
 		return 0
 	case size == 0:
@@ -47,11 +47,11 @@
 		return size
 	}
 	target, err := url.PathUnescape(strings.TrimPrefix(string(q.Target), "/"))
-	if kept := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached"); err != nil || r.script.Allowed.Mode == "aside" && !kept {
-		r.judge.WrongAnswer(now, id, "a cache beside an origin was asked to fetch, or for no key: "+string(q.Target))
+	if kept := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached"); err != nil || r.scenario.Allowed.Mode == "aside" && !kept {
+		r.checker.WrongAnswer(now, id, "a cache beside an origin was asked to fetch, or for no key: "+string(q.Target))
 	}
 	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.GradeHeader), q.Header(client.WaitHeader), q.Header(client.LabelHeader))
-	if !r.take(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &leg{conn: c, tag: string(q.Header("If-None-Match"))}) {
+	if !r.take(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, tag: string(q.Header("If-None-Match"))}) {
 		c.answer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
 	}
 	return size
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -48,9 +48,9 @@
 			return nil, err
 		}
 	}
-	beyond := scenario.Span(r.script.Allowed.LateAnswerMs / 1000)
+	beyond := scenario.Span(r.scenario.Allowed.LateAnswerMs / 1000)
 	pool := &client.Pool{Addr: addrs[0], Beyond: beyond}
-	if r.script.Traffic.Protocol == listeners.HTTP {
+	if r.scenario.Traffic.Protocol == listeners.HTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, Beyond: beyond}
 	}
 	return &member{r: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], http: addrs[1], agent: a, pool: pool, asks: map[string]bool{}, excused: map[string]bool{}}, nil
@@ -58,7 +58,7 @@
 
 // start starts its node, with the list as its agent last had it.
 func (m *member) start(replaces bool) error {
-	if m.r.script.Operated() {
+	if m.r.scenario.Operated() {
 		var err error
 		if m.ops, err = freeport.Free(); err != nil { // new for each process: two may be up at once
 			return err
@@ -69,8 +69,8 @@
 		return err
 	}
 	number := m.number
-	p, err := m.r.runner.Start(Order{Name: m.name, Configuration: configuration, Operator: m.r.script.Operator(m.http), Charter: m.r.charter(number),
-		Note: func(e eventlog.Event, at time.Time) { m.r.note(number, e, at) }, Trace: m.r.traced})
+	p, err := m.r.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.r.scenario.Operator(m.http), Fleet: m.r.charter(number),
+		OnRecord: func(e eventlog.Event, at time.Time) { m.r.note(number, e, at) }, OnTrace: m.r.traced})
 	if err != nil {
 		return fmt.Errorf("node %s does not start: %w", m.name, err)
 	}
@@ -94,7 +94,7 @@
 		defer m.r.mu.Unlock()
 		if m.life == life && !m.ending && !m.r.stopped {
 			m.serving = false
-			m.r.died = append(m.r.died, m.name+": "+p.Ended())
+			m.r.deaths = append(m.r.deaths, m.name+": "+p.Ended())
 		}
 	}()
 	return nil
@@ -111,12 +111,12 @@
 		return
 	}
 	m.process.End()
-	r.At(r.now().Add(goesOnFor), func() {
+	r.At(r.now().Add(clientsLinger), func() {
 		if m.ending {
-			m.serving, m.parting = false, r.script.Traffic.UntilKill
+			m.serving, m.parting = false, r.scenario.Traffic.UntilKill
 		}
 	})
-	if r.script.Traffic.UntilKill {
+	if r.scenario.Traffic.UntilKill {
 		r.killAtTheEarliest(m)
 	}
 }
@@ -125,11 +125,11 @@
 // What its clients have in hand by then is not excused.
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
-	if p, can := process.(Reloading); can {
-		r.At(r.now().Add(signalsApart), p.Reload)
-		r.At(r.now().Add(2*signalsApart), process.End)
+	if p, can := process.(Reloader); can {
+		r.At(r.now().Add(signalInterval), p.Reload)
+		r.At(r.now().Add(2*signalInterval), process.End)
 	}
-	r.At(r.now().Add(min(r.terms.LongestDeadline, mostToEnd)+killedAfter), func() {
+	r.At(r.now().Add(min(r.settings.LongestDeadline, maxDeadlineAtStop)+killDelay), func() {
 		m.parting = false
 		process.Kill()
 	})
@@ -145,7 +145,7 @@
 		}
 		if err := m.start(false); err != nil {
 			r.mu.Lock()
-			r.died = append(r.died, err.Error())
+			r.deaths = append(r.deaths, err.Error())
 			r.mu.Unlock()
 			return
 		}
@@ -153,7 +153,7 @@
 			if r.over() {
 				return
 			}
-			time.Sleep(lookAgain)
+			time.Sleep(pollInterval)
 		}
 		r.mu.Lock()
 		m.serving = true
@@ -180,7 +180,7 @@
 	m.pool.Close() // or it would wait for idle clients
 	select {
 	case <-p.Done():
-	case <-time.After(m.r.terms.LongestDeadline + spareToEnd):
+	case <-time.After(m.r.settings.LongestDeadline + stopSlack):
 		p.Kill()
 		<-p.Done()
 	}
@@ -201,6 +201,6 @@
 	}
 	m.agent.mu.Unlock()
 	return json.Marshal(map[string]any{"ops": ops, "name": m.name, "listen": listen, "discovery": m.agent.at.Addr().String(),
-		"seed": fmt.Sprintf("%x", m.r.script.Seed*7919+int64(m.number)*31+int64(m.life)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
-		"settings": m.r.script.Settings(m.r.script.ZoneOf(m.number)), "known": json.RawMessage(m.r.list(0, true, held))})
+		"seed": fmt.Sprintf("%x", m.r.scenario.Seed*7919+int64(m.number)*31+int64(m.life)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
+		"settings": m.r.scenario.Settings(m.r.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.r.list(0, true, held))})
 }
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -93,7 +93,7 @@
 	end   sync.Once
 }
 
-func (s *stub) Start(o Order) (Process, error) {
+func (s *stub) Start(o NodeSpec) (Process, error) {
 	configuration := o.Configuration
 	var c struct{ Listen, Discovery string }
 	if err := json.Unmarshal(configuration, &c); err != nil {
@@ -424,7 +424,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{script: s, terms: terms, began: time.Now(), world: newWorld(s), judge: newJudge(s), log: report.NewLog(s, epoch), legs: map[uint64]*leg{}, wake: make(chan struct{}, 1)}
+	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newJudge(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
 	if err := r.open(0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/realtime/operators.go
+++ b/internal/emulator/realtime/operators.go
@@ -44,7 +44,7 @@
 	m.r.mu.Lock()
 	defer m.r.mu.Unlock()
 	if !m.r.closing {
-		m.r.died = append(m.r.died, m.name+": "+what)
+		m.r.deaths = append(m.r.deaths, m.name+": "+what)
 	}
 }
 
@@ -64,7 +64,7 @@
 		old.End()
 		select {
 		case <-old.Done():
-		case <-time.After(r.terms.LongestDeadline + spareToEnd):
+		case <-time.After(r.settings.LongestDeadline + stopSlack):
 			m.failed("the old process does not end")
 			old.Kill()
 		}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -1,6 +1,3 @@
-// Package onwire plays a script in real time, on real sockets: caches, origin, discovery and clients stand on loopback
-// round nodes that are processes of their own, or embedded. All of it but the nodes is one model of the world under one
-// lock.
 package realtime
 
 import (
@@ -26,31 +23,32 @@
 )
 
 const (
-	epoch      = policy.Instant(time.Second)
-	slack      = 50 * time.Millisecond  // that sockets and a busy machine may take before it counts as a breach
-	startsFor  = 20 * time.Second       // that nodes may take until they serve
-	goesOnFor  = 250 * time.Millisecond // that clients still come to a node that was told to end
-	spareToEnd = 2 * time.Second        // over the longest deadline, until a node that was told to end is ended
-	lookAgain  = 20 * time.Millisecond
-
-	mostToEnd    = 3 * time.Second        // of the longest deadline, that who ends a process waits for: by the protocol
-	killedAfter  = 700 * time.Millisecond // over that, after which a process that was told to end may be killed
-	signalsApart = 20 * time.Millisecond  // between signals in series
+	epoch         = policy.Instant(time.Second)
+	rigSeedMask   = 0x0f1ee7               // draws of the rig are others than those of the world
+	slack         = 50 * time.Millisecond  // that sockets and a busy machine may take before it counts as a breach
+	startTimeout  = 20 * time.Second       // that nodes may take until they serve
+	clientsLinger = 250 * time.Millisecond // that clients still come to a node that was told to end
+	stopSlack     = 2 * time.Second        // over the longest deadline, until a node that was told to end is ended
+	pollInterval  = 20 * time.Millisecond
+
+	maxDeadlineAtStop = 3 * time.Second        // of the longest deadline, that who ends a process waits for: by the protocol
+	killDelay         = 700 * time.Millisecond // over that, after which a process that was told to end may be killed
+	signalInterval    = 20 * time.Millisecond  // between signals in series
 )
 
-// Runner starts nodes.
-type Runner interface {
-	Start(Order) (Process, error)
+// Starter starts nodes.
+type Starter interface {
+	Start(NodeSpec) (Process, error)
 }
 
-// Order is a node to start.
-type Order struct {
+// NodeSpec is a node to start.
+type NodeSpec struct {
 	Name          string
 	Configuration []byte
 	Operator      []byte                          // nil for none
-	Charter       []byte                          // by which it joins other nodes; nil for none
-	Note          func(eventlog.Event, time.Time) // told its records, in the time of their making
-	Trace         func([]byte)                    // told a line of its trace
+	Fleet         []byte                          // by which it joins other nodes; nil for none
+	OnRecord      func(eventlog.Event, time.Time) // told its records, in the time of their making
+	OnTrace       func([]byte)                    // told a line of its trace
 }
 
 // Process is one node that runs.
@@ -61,134 +59,185 @@
 	Ended() string         // how, once it has; "" for well
 }
 
-// Pausing is a process that can be made to stand still, and to go on.
-type Pausing interface {
+// Pauser is a process that can be made to stand still, and to go on.
+type Pauser interface {
 	Pause(stop bool)
 	Hang(stop bool) // its loop only
 }
 
-// Reloading is a process that can be told to read its configuration again.
-type Reloading interface {
+// Reloader is a process that can be told to read its configuration again.
+type Reloader interface {
 	Reload()
 }
 
 // Rig is one run.
 type Rig struct {
-	script *scenario.Scenario
-	terms  settings.Settings
-	runner Runner
-	began  time.Time
-	tell   func(string) // progress, a line at a time; nil for nobody
-
-	mu       sync.Mutex
-	world    *world.World
-	traffic  *world.Traffic
-	judge    *checker.Checker
-	log      *report.Log
-	course   *runner.Run
-	fleet    *eventlog.Recorder
-	queue    timerqueue.Queue[func()]
-	wake     chan struct{}
-	chance   keyhash.Source
-	registry *world.Registry
-	servers  []*server
-	legs     map[uint64]*leg
-	tags     uint64
-	nodes    []*member
-	avoids   map[policy.EndpointID]map[int]bool
-	upList   chan struct{} // closed while discovery is up
-	pending  []policy.Endpoint
-	died     []string
-	asking   sync.WaitGroup
-	between  *netfault.Sockets   // nil where nodes do not know one another
-	doors    []map[string]string // the way from each node to each address
-	boot     policy.Instant      // the shared clock when the run began
-	hears    []string            // where each node hears the others
-	views    *checker.Views
-	closing  bool // no node is started any more
-	stopped  bool // nor anything else done
+	scenario  *scenario.Scenario
+	settings  settings.Settings
+	starter   Starter
+	startedAt time.Time
+	tell      func(string) // progress, a line at a time; nil for nobody
+
+	mu          sync.Mutex
+	world       *world.World
+	traffic     *world.Traffic
+	checker     *checker.Checker
+	observer    *runner.WorldObserver
+	log         *report.Log
+	run         *runner.Run
+	fleet       *eventlog.Recorder
+	queue       timerqueue.Queue[func()]
+	wake        chan struct{}
+	chance      keyhash.Source
+	registry    *world.Registry
+	servers     []*server
+	attempts    map[uint64]*attempt
+	tags        uint64
+	nodes       []*member
+	avoids      map[policy.EndpointID]map[int]bool
+	listUp      chan struct{} // closed while discovery is up
+	pending     []policy.Endpoint
+	deaths      []string
+	requests    sync.WaitGroup
+	faults      *netfault.Sockets   // nil where nodes do not know one another
+	proxies     []map[string]string // the way from each node to each address
+	bootTime    policy.Instant      // the shared clock when the run began
+	gossipAddrs []string            // where each node hears the others
+	views       *checker.Views
+	closing     bool // no node is started any more
+	stopped     bool // nor anything else done
 }
 
-// Play plays a script on sockets. A cancelled context ends it early, without a report.
-func Play(ctx context.Context, s *scenario.Scenario, starter Runner, tell func(string)) (*report.Report, error) {
-	terms, err := s.TermsAt(s.Fleet.Zones[0])
-	if err == nil && s.InVirtualTime() {
-		err = errors.New("uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
-	}
+// Play plays a scenario on sockets and returns what came of it. A cancelled context ends it early, without a report.
+func Play(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
+	deployment, err := s.TermsAt(s.Fleet.Zones[0])
 	if err != nil {
 		return nil, err
 	}
+	if s.InVirtualTime() {
+		return nil, errVirtualOnly
+	}
+	r := newRig(s, deployment, starter, progress)
+	defer r.close()
+	if err := r.openServers(); err != nil {
+		return nil, err
+	}
+	if err := r.join(); err != nil {
+		return nil, err
+	}
+	go r.clock()
+	if err := r.startNodes(); err != nil {
+		return nil, err
+	}
+	if err := r.ready(ctx); err != nil {
+		return nil, err
+	}
+	start := r.begin()
+	if err := r.arrivals(ctx, start); err != nil {
+		return nil, err
+	}
+	select { // the last requests have their deadlines still to come
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	case <-time.After(deployment.LongestDeadline + 2*slack):
+	}
+	return r.report(), nil
+}
+
+// errVirtualOnly refuses a scenario that needs what only the simulation has.
+var errVirtualOnly = errors.New(
+	"uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
+
+func newRig(s *scenario.Scenario, deployment settings.Settings, starter Starter, progress func(string)) *Rig {
 	up := make(chan struct{})
 	close(up)
-	r := &Rig{registry: s.Registry(), script: s, terms: terms, runner: starter, began: time.Now(), tell: tell, wake: make(chan struct{}, 1), legs: map[uint64]*leg{},
-		avoids: map[policy.EndpointID]map[int]bool{}, upList: up}
-	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
-	r.judge = checker.New(checker.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
-		Grace: scenario.Span(s.Allowed.GraceMs / 1000), Slack: max(slack, scenario.Span(s.Allowed.SlackMs/1000)), AnswerSlack: scenario.Span(s.Allowed.LateAnswerMs / 1000)})
-	r.log = report.NewLog(s, epoch)
-	ear := &runner.WorldObserver{Judge: r.judge, Log: r.log, Rig: r}
-	r.world = world.New(s.World(ear))
-	ear.World = r.world
-	r.traffic = world.NewTraffic(s.TrafficPlan())
-	defer r.close()
+	r := &Rig{
+		registry:  s.Registry(),
+		scenario:  s,
+		settings:  deployment,
+		starter:   starter,
+		startedAt: time.Now(),
+		tell:      progress,
+		wake:      make(chan struct{}, 1),
+		attempts:  map[uint64]*attempt{},
+		avoids:    map[policy.EndpointID]map[int]bool{},
+		listUp:    up,
+		chance:    keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
+		log:       report.NewLog(s, epoch),
+		traffic:   world.NewTraffic(s.TrafficPlan()),
+	}
+	r.checker = checker.New(checker.Rules{
+		Classes:        deployment.Policy.Classes,
+		HedgingAllowed: s.Allowed.Hedging,
+		Grace:          scenario.Span(s.Allowed.GraceMs / 1000),
+		Slack:          max(slack, scenario.Span(s.Allowed.SlackMs/1000)),
+		AnswerSlack:    scenario.Span(s.Allowed.LateAnswerMs / 1000),
+	})
+	r.observer = &runner.WorldObserver{Judge: r.checker, Log: r.log, Rig: r}
+	r.world = world.New(s.World(r.observer))
+	r.observer.World = r.world
+	return r
+}
+
+// openServers opens a listener for each server, and fills the caches where the scenario has them warm.
+func (r *Rig) openServers() error {
 	for i := range r.world.Servers {
 		if err := r.open(i); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	if s.Fleet.Warm {
+	if r.scenario.Fleet.Warm {
 		r.warm()
 	}
-	if err := r.join(); err != nil {
-		return nil, err
-	}
-	go r.clock()
-	for n := range s.Fleet.Nodes {
+	return nil
+}
+
+func (r *Rig) startNodes() error {
+	for n := range r.scenario.Fleet.Nodes {
 		m, err := r.newMember(n)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		r.nodes = append(r.nodes, m)
 		if err := m.start(false); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	if err := r.ready(ctx); err != nil {
-		return nil, err
-	}
+	return nil
+}
+
+// begin starts the scenario's time: from now on its events are played and its log is kept.
+func (r *Rig) begin() policy.Instant {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	start := r.now()
-	r.log = report.NewLog(s, start)
-	ear.Log = r.log
+	r.log = report.NewLog(r.scenario, start)
+	r.observer.Log = r.log
 	r.log.Views = r.views
 	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
 	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
-	r.course = runner.Play(s, r.world, r.traffic, start, r)
-	r.poke()
-	r.mu.Unlock()
-	if err := r.arrivals(ctx, start); err != nil {
-		return nil, err
-	}
-	select { // the last ones have their deadlines still to come
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	case <-time.After(terms.LongestDeadline + 2*slack):
-	}
+	r.run = runner.Play(r.scenario, r.world, r.traffic, start, r)
+	r.wakeClock()
+	return start
+}
+
+// report ends the check of the rules and draws up the report.
+func (r *Rig) report() *report.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.judge.Advance(r.now().Add(time.Hour)) // whoever has no answer by now has none
-	result := report.Draw(s, "sockets", "module", r.world, r.judge, r.log, r.course.First, r.course.Last)
-	for _, how := range r.died {
+	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now gets none
+	result := report.Draw(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
+	for _, how := range r.deaths {
 		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
 	}
-	return result, nil
+	return result
 }
 
 func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
 
 func (r *Rig) now() policy.Instant { return r.at(time.Now()) }
 
-func (r *Rig) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.began)) }
+func (r *Rig) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.startedAt)) }
 
 // clock does what is due, under the lock, and sleeps between.
 func (r *Rig) clock() {
@@ -209,7 +258,7 @@
 			do()
 		}
 		r.world.Advance(now, r.served)
-		r.judge.Advance(now)
+		r.checker.Advance(now)
 		next := now.Add(time.Second)
 		if at, any := r.queue.Next(); any {
 			next = min(next, at)
@@ -227,7 +276,7 @@
 }
 
 // poke lets the clock look again at what is due next.
-func (r *Rig) poke() {
+func (r *Rig) wakeClock() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -237,18 +286,18 @@
 // At hangs something in; it is done under the lock.
 func (r *Rig) At(at policy.Instant, do func()) {
 	r.queue.Push(at, do)
-	r.poke()
+	r.wakeClock()
 }
 
 // warm puts keys where the module would send them.
 func (r *Rig) warm() {
-	p := policy.New(epoch, r.script.Seed, r.terms.Policy)
+	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
-	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
+	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
 func (r *Rig) ready(ctx context.Context) error {
-	by := time.Now().Add(startsFor)
+	by := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
 		for !m.pool.Ready() {
 			select {
@@ -256,10 +305,10 @@
 				return ctx.Err()
 			case <-m.process.Done():
 				return fmt.Errorf("node %s ended before it served: %s", m.name, m.process.Ended())
-			case <-time.After(lookAgain):
+			case <-time.After(pollInterval):
 			}
 			if time.Now().After(by) {
-				return fmt.Errorf("node %s does not serve within %v", m.name, startsFor)
+				return fmt.Errorf("node %s does not serve within %v", m.name, startTimeout)
 			}
 		}
 		r.mu.Lock()
@@ -273,7 +322,8 @@
 func (r *Rig) arrivals(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	end, said := start.Add(r.script.Duration()), 0
+	end := start.Add(r.scenario.Duration())
+	reported := 0
 	r.mu.Lock()
 	at := r.traffic.Next(start)
 	r.mu.Unlock()
@@ -294,20 +344,22 @@
 			at = r.traffic.Next(at)
 		}
 		r.mu.Unlock()
-		if sec := int(r.now().Since(start) / time.Second); sec > said && r.tell != nil {
-			said = sec
-			r.tell(r.progress(sec))
+		second := int(r.now().Since(start) / time.Second)
+		if second > reported && r.tell != nil {
+			reported = second
+			r.tell(r.progress(second))
 		}
 	}
 	return nil
 }
 
-func (r *Rig) progress(sec int) string {
+// progress is a line on the second that has just passed.
+func (r *Rig) progress(second int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last := r.log.Seconds[max(0, sec-1)]
-	return fmt.Sprintf("%3d of %g s: %d asked, %d in time, %d legs (%d at the origin), %d breaches", sec, r.script.Seconds, last.Asked,
-		last.InTime, last.Legs, last.Origin, r.judge.Breached())
+	last := r.log.Seconds[max(0, second-1)]
+	return fmt.Sprintf("%3d of %g s: %d asked, %d in time, %d attempts (%d at the origin), %d breaches",
+		second, r.scenario.Seconds, last.Asked, last.InTime, last.Legs, last.Origin, r.checker.Breached())
 }
 
 // ask sends one try; the lock is held.
@@ -321,7 +373,7 @@
 	}
 	g := &r.traffic.Classes[req.Class]
 	if len(up) == 0 {
-		t := &r.judge.Classes[req.Class]
+		t := &r.checker.Classes[req.Class]
 		if t.Asked, t.Cut = t.Asked+1, t.Cut+1; isFirst {
 			t.First++
 		}
@@ -331,7 +383,7 @@
 	now, life := r.now(), m.lives
 	m.figures.open++
 	m.asks[req.ID] = true
-	r.judge.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
+	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
 	a := &client.Ask{ID: req.ID, Key: req.Key, Label: req.Label, Grade: g.Name, Write: g.Write, Repeat: req.Try > 1, Wait: req.Deadline, Leaves: req.Leaves, OnlyOpen: !m.serving}
 	if g.Write {
 		a.Value = world.ValueOf(req.Key)
@@ -339,9 +391,9 @@
 	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%validates == 0 {
 		a.Holds = world.ValueOf(req.Key)
 	}
-	r.asking.Add(1)
+	r.requests.Add(1)
 	m.pool.Ask(a, func(got client.Answer) {
-		defer r.asking.Done()
+		defer r.requests.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.answered(m, life, req, first, got)
@@ -356,38 +408,38 @@
 	delete(m.asks, req.ID)
 	g, now := &r.traffic.Classes[req.Class], r.at(got.Got)
 	if got.Extra {
-		r.judge.WrongAnswer(now, "", "more came on a connection than one answer for each request")
+		r.checker.WrongAnswer(now, "", "more came on a connection than one answer for each request")
 	}
 	switch {
 	case got.Nowhere: // it was taken by nobody, and asks another node
-		r.judge.Excuse(req.ID)
-		r.judge.Classes[req.Class].Cut++
+		r.checker.Excuse(req.ID)
+		r.checker.Classes[req.Class].Cut++
 		return
 	case m.excused[req.ID]:
 		delete(m.excused, req.ID)
-		r.judge.Classes[req.Class].Cut++
+		r.checker.Classes[req.Class].Cut++
 		return
 	case got.Left:
-		r.judge.ClientGone(now, req.ID)
+		r.checker.ClientGone(now, req.ID)
 		return
 	case got.Silent: // the judge counts it as lost at its deadline
 		return
 	case got.Final == checker.Cut && m.lives != life || got.Final == checker.Cut && m.killed:
-		r.judge.Excuse(req.ID)
-		r.judge.Classes[req.Class].Cut++
+		r.checker.Excuse(req.ID)
+		r.checker.Classes[req.Class].Cut++
 	default:
 		m.figures.ended(g.Name, got.Final)
-		if got.Final == checker.Satisfied && !g.Write && got.Value != r.script.Value(world.ValueOf(req.Key)) {
+		if got.Final == checker.Satisfied && !g.Write && got.Value != r.scenario.Value(world.ValueOf(req.Key)) {
 			got.Wrong = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
 		}
 		if got.Wrong != "" {
-			r.judge.WrongAnswer(now, req.ID, got.Wrong)
+			r.checker.WrongAnswer(now, req.ID, got.Wrong)
 		}
-		r.judge.Answered(now, req.ID, got.Final)
+		r.checker.Answered(now, req.ID, got.Final)
 	}
 	if got.Final == checker.Satisfied {
 		if now.Since(first) <= g.LatencyObjective {
-			r.judge.Served(req.Class)
+			r.checker.Served(req.Class)
 			r.log.InTime(first)
 		}
 		return
@@ -411,10 +463,10 @@
 // Discovery goes down, or comes back and tells what has changed meanwhile.
 func (r *Rig) Discovery(up bool) {
 	if !up {
-		r.upList = make(chan struct{})
+		r.listUp = make(chan struct{})
 		return
 	}
-	close(r.upList)
+	close(r.listUp)
 	for _, e := range r.pending {
 		r.Listed(e)
 	}
@@ -423,7 +475,7 @@
 
 func (r *Rig) listDown() bool {
 	select {
-	case <-r.upList:
+	case <-r.listUp:
 		return false
 	default:
 		return true
@@ -440,12 +492,12 @@
 		return
 	}
 	for _, m := range r.nodes {
-		span := r.script.Discovery.NoticeS
+		span := r.scenario.Discovery.NoticeS
 		late := scenario.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
 		r.At(r.now().Add(late), func() { m.agent.hear(e) })
 	}
 	if r.fleet != nil {
-		r.At(r.now().Add(scenario.Span(r.script.Discovery.NoticeS[0])), func() {
+		r.At(r.now().Add(scenario.Span(r.scenario.Discovery.NoticeS[0])), func() {
 			r.fleet.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
 		})
 	}
@@ -495,17 +547,17 @@
 		s.shut()
 	}
 	if r.listDown() {
-		close(r.upList)
+		close(r.listUp)
 	}
 	nodes := r.nodes
 	r.mu.Unlock()
-	r.poke()
+	r.wakeClock()
 	for _, m := range nodes {
 		m.pool.Close()
 		m.agent.close()
 	}
-	if r.between != nil {
-		r.between.Close()
+	if r.faults != nil {
+		r.faults.Close()
 	}
-	r.asking.Wait()
+	r.requests.Wait()
 }
--- a/internal/emulator/realtime/runner.go
+++ b/internal/emulator/realtime/runner.go
@@ -25,16 +25,18 @@
 	started atomic.Int64
 }
 
+// process is a node that runs as a process of its own.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
-	how  string
+	exit string // how it ended; "" for well. Written before done is closed
 }
 
-// Start starts one.
-func (ps *Processes) Start(o Order) (Process, error) {
+// Start starts a node's process. Its records, and the lines of its trace, are passed on as they come.
+func (ps *Processes) Start(o NodeSpec) (Process, error) {
 	base := filepath.Join(ps.Dir, fmt.Sprintf("%s-%d", o.Name, ps.started.Add(1)))
-	if err := os.WriteFile(base+".json", o.Configuration, 0o600); err != nil {
+	args, err := writeFiles(base, o)
+	if err != nil {
 		return nil, err
 	}
 	log, err := os.Create(base + ".log")
@@ -42,73 +44,118 @@
 		return nil, err
 	}
 	defer log.Close()
-	from, to, err := os.Pipe()
+	var pipes pipes
+	defer pipes.closeWriters()
+	records, err := pipes.add()
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(ps.Program, "serve", "--config", base+".json", "--records", "/dev/fd/3")
-	if o.Operator != nil {
-		if err := os.WriteFile(base+".toml", o.Operator, 0o600); err != nil {
+	var trace *os.File
+	if o.Fleet != nil {
+		if trace, err = pipes.add(); err != nil {
+			pipes.closeReaders()
 			return nil, err
 		}
-		cmd.Args = append(cmd.Args, "--operator", base+".toml")
 	}
-	var traced *os.File
-	passed := []*os.File{to}
-	if o.Charter != nil {
-		if err := os.WriteFile(base+"-fleet.toml", o.Charter, 0o600); err != nil {
-			return nil, err
+	cmd := exec.Command(ps.Program, args...)
+	cmd.Env = append(os.Environ(), "TMPDIR="+ps.Dir, Rehearsed+"=1") // TMPDIR is common to the processes of a node
+	cmd.Stdout = log
+	cmd.Stderr = log
+	cmd.ExtraFiles = pipes.writers
+	cmd.SysProcAttr = &syscall.SysProcAttr{
+		Pdeathsig: syscall.SIGKILL,
+		Setpgid:   true, // Ctrl-C is the rig's to handle
+	}
+	if err := cmd.Start(); err != nil {
+		pipes.closeReaders()
+		return nil, err
+	}
+	if trace != nil {
+		go readLines(trace, o.OnTrace)
+	}
+	go readLines(records, func(line []byte) {
+		var e eventlog.Event
+		if json.Unmarshal(line, &e) == nil {
+			o.OnRecord(e, time.Unix(0, int64(e.At)))
 		}
-		cmd.Args = append(cmd.Args, "--fleet", base+"-fleet.toml", "--trace", "/dev/fd/4")
-		r, w, err := os.Pipe()
-		if err != nil {
+	})
+	p := &process{cmd: cmd, done: make(chan struct{})}
+	go p.wait(base + ".log")
+	return p, nil
+}
+
+// writeFiles writes a node's files and returns the arguments of its program. Records go to descriptor 3, a trace to 4.
+func writeFiles(base string, o NodeSpec) ([]string, error) {
+	args := []string{"serve", "--config", base + ".json", "--records", "/dev/fd/3"}
+	if err := os.WriteFile(base+".json", o.Configuration, 0o600); err != nil {
+		return nil, err
+	}
+	if o.Operator != nil {
+		if err := os.WriteFile(base+".toml", o.Operator, 0o600); err != nil {
 			return nil, err
 		}
-		traced, passed = r, append(passed, w)
+		args = append(args, "--operator", base+".toml")
 	}
-	cmd.Env = append(os.Environ(), "TMPDIR="+ps.Dir, Rehearsed+"=1") // common to the processes of a node, and gone with the run
-	cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = log, log, passed
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // Ctrl-C is the rig's to hear
-	err = cmd.Start()
-	for _, f := range passed {
-		f.Close()
+	if o.Fleet != nil {
+		if err := os.WriteFile(base+"-fleet.toml", o.Fleet, 0o600); err != nil {
+			return nil, err
+		}
+		args = append(args, "--fleet", base+"-fleet.toml", "--trace", "/dev/fd/4")
 	}
+	return args, nil
+}
+
+// pipes are those over which a process hands out lines.
+type pipes struct {
+	readers, writers []*os.File
+}
+
+// add opens a pipe and returns the end to read from.
+func (p *pipes) add() (*os.File, error) {
+	r, w, err := os.Pipe()
 	if err != nil {
-		from.Close()
-		if traced != nil {
-			traced.Close()
-		}
 		return nil, err
 	}
-	if traced != nil {
-		go func() {
-			defer traced.Close()
-			for lines := bufio.NewScanner(traced); lines.Scan(); {
-				o.Trace(lines.Bytes())
-			}
-		}()
+	p.readers = append(p.readers, r)
+	p.writers = append(p.writers, w)
+	return r, nil
+}
+
+func (p *pipes) closeReaders() {
+	for _, f := range p.readers {
+		_ = f.Close()
 	}
-	p := &process{cmd: cmd, done: make(chan struct{})}
-	go func() {
-		defer from.Close()
-		for lines := bufio.NewScanner(from); lines.Scan(); {
-			var e eventlog.Event
-			if json.Unmarshal(lines.Bytes(), &e) == nil {
-				o.Note(e, time.Unix(0, int64(e.At)))
-			}
-		}
-	}()
-	go func() {
-		if err := cmd.Wait(); err != nil {
-			p.how = err.Error()
-			if text, bad := os.ReadFile(base + ".log"); bad == nil {
-				lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-				p.how += ": " + lines[len(lines)-1]
-			}
-		}
-		close(p.done)
-	}()
-	return p, nil
+}
+
+// closeWriters closes this process's ends, so that readers see the end of the process that has the others.
+func (p *pipes) closeWriters() {
+	for _, f := range p.writers {
+		_ = f.Close()
+	}
+}
+
+// readLines passes on lines until the other end is closed.
+func readLines(f *os.File, each func([]byte)) {
+	defer f.Close()
+	for lines := bufio.NewScanner(f); lines.Scan(); {
+		each(lines.Bytes())
+	}
+}
+
+// wait waits for the process's end. How it ended is told with the last line of its log.
+func (p *process) wait(logPath string) {
+	defer close(p.done)
+	err := p.cmd.Wait()
+	if err == nil {
+		return
+	}
+	text, logErr := os.ReadFile(logPath)
+	if logErr != nil {
+		p.exit = err.Error()
+		return
+	}
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	p.exit = err.Error() + ": " + lines[len(lines)-1]
 }
 
 // Hang has its loop stand still, or go on: a switch that only processes of a rehearsal have.
@@ -129,4 +176,4 @@
 func (p *process) End()                  { p.cmd.Process.Signal(syscall.SIGTERM) }
 func (p *process) Kill()                 { p.cmd.Process.Kill() }
 func (p *process) Done() <-chan struct{} { return p.done }
-func (p *process) Ended() string         { return p.how }
+func (p *process) Ended() string         { return p.exit }
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -53,7 +53,7 @@
 }
 
 // leg is one that a server has in hand.
-type leg struct {
+type attempt struct {
 	server int
 	id     string
 	came   policy.Instant
@@ -84,7 +84,7 @@
 func (r *Rig) attend(number int) {
 	if number >= len(r.servers) || r.servers[number] == nil {
 		if err := r.open(number); err != nil {
-			r.died = append(r.died, err.Error())
+			r.deaths = append(r.deaths, err.Error())
 		}
 		return
 	}
@@ -139,7 +139,7 @@
 		c := &serverConn{Conn: plain, s: s, out: make(chan []byte, mostAnswers)}
 		s.conns[c] = true
 		r.world.Servers[s.number].Held++
-		r.poke()
+		r.wakeClock()
 		r.mu.Unlock()
 		go c.write()
 		go c.read()
@@ -285,7 +285,7 @@
 		w.Held--
 	}
 	var on []uint64
-	for tag, l := range r.legs {
+	for tag, l := range r.attempts {
 		if l.conn == c {
 			on = append(on, tag)
 		}
@@ -304,12 +304,12 @@
 }
 
 // left tells the judge that a leg is out no more, and the fleet's book how it ended.
-func (r *Rig) left(tag uint64, how policy.Result) *leg {
-	l := r.legs[tag]
+func (r *Rig) left(tag uint64, how policy.Result) *attempt {
+	l := r.attempts[tag]
 	if l != nil {
-		delete(r.legs, tag)
+		delete(r.attempts, tag)
 		r.log.Ended(r.now(), how)
-		r.judge.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
+		r.checker.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
 		if r.fleet != nil {
 			r.fleet.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.came))
 		}
@@ -356,7 +356,7 @@
 		}
 		for {
 			size := 0
-			if r.script.Fleet.Protocol == listeners.HTTP {
+			if r.scenario.Fleet.Protocol == listeners.HTTP {
 				size = c.nextRequest(held)
 			} else if o, n := cachestub.ReadOrder(held); n > 0 {
 				r.mu.Lock()
@@ -394,7 +394,7 @@
 	}
 	switch {
 	case fault != nil:
-		r.judge.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Answer))
+		r.checker.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Answer))
 		c.answer([]byte(fault.Answer))
 		return
 	case command.Verb == meta.Ready:
@@ -408,7 +408,7 @@
 		return
 	}
 	items, _ := meta.Flag(command.Flags, 'P')
-	if r.take(s, string(command.ID), string(command.Key), items, command.Verb == meta.Set, &leg{conn: c}) {
+	if r.take(s, string(command.ID), string(command.Key), items, command.Verb == meta.Set, &attempt{conn: c}) {
 		return
 	}
 	c.answer([]byte("SERVER_ERROR busy\r\n"))
@@ -435,14 +435,14 @@
 // came tells of a leg that came whole.
 func (r *Rig) came(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.Leg(now, server)
-	r.judge.AttemptArrived(now, now, id, server)
+	r.checker.AttemptArrived(now, now, id, server)
 	if r.fleet != nil {
 		r.fleet.AttemptSent(now, server)
 	}
 }
 
 // take offers a leg to the model; false means that it was turned away.
-func (r *Rig) take(s *server, id, key string, items []byte, write bool, l *leg) bool {
+func (r *Rig) take(s *server, id, key string, items []byte, write bool, l *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
 	r.came(now, id, w.ID)
@@ -450,18 +450,18 @@
 		v, _ := meta.Item(items, name)
 		return string(v)
 	}
-	if write && r.script.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
-		r.judge.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which only stores", w.ID))
+	if write && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
+		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which only stores", w.ID))
 	}
 	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
 	wait, err := strconv.ParseFloat(item("d"), 64)
 	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
-		r.judge.WrongAnswer(now, id, fmt.Sprintf("a server was sent a leg that no client's could become: grade %q, wait %q", item("c"), item("d")))
-		r.judge.AttemptEnded(now, id, w.ID, true)
+		r.checker.WrongAnswer(now, id, fmt.Sprintf("a server was sent a leg that no client's could become: grade %q, wait %q", item("c"), item("d")))
+		r.checker.AttemptEnded(now, id, w.ID, true)
 		return false
 	}
 	if s.fault == "reset" {
-		r.judge.AttemptEnded(now, id, w.ID, true)
+		r.checker.AttemptEnded(now, id, w.ID, true)
 		if l.conn != nil {
 			l.conn.gone(true)
 		}
@@ -469,13 +469,13 @@
 	}
 	r.tags++
 	l.server, l.id, l.came = s.number, id, now
-	r.legs[r.tags] = l
+	r.attempts[r.tags] = l
 	j := world.Job{Request: id, Key: key, Label: item("k"), Class: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.tags}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
 		r.left(r.tags, policy.Rejected)
 		return false
 	}
-	r.poke()
+	r.wakeClock()
 	return true
 }
 
@@ -494,14 +494,14 @@
 		return
 	}
 	s := r.servers[l.server]
-	out := r.answerOf(d, r.script.Fleet.Reports)
-	if r.script.Fleet.Protocol == listeners.HTTP {
+	out := r.answerOf(d, r.scenario.Fleet.Reports)
+	if r.scenario.Fleet.Protocol == listeners.HTTP {
 		out = keptAnswer(d, s.fault == "stale", l.tag)
 	}
 	switch s.fault {
 	case "half":
 		l.conn.answer(out[:len(out)/2])
-		r.At(r.now().Add(lookAgain), func() { l.conn.gone(true) })
+		r.At(r.now().Add(pollInterval), func() { l.conn.gone(true) })
 		return
 	case "garbage":
 		out = []byte(garbage)
@@ -517,7 +517,7 @@
 	}
 	switch id := d.Job.Request; d.Said {
 	case world.Value:
-		text := r.script.Value(d.Text)
+		text := r.scenario.Value(d.Text)
 		return fmt.Appendf(nil, "VA %d O%s h1%s\r\n%s\r\n", len(text), id, load, text)
 	case world.Receipt:
 		return fmt.Appendf(nil, "HD O%s c%s%s\r\n", id, d.Text, load)
@@ -543,7 +543,7 @@
 	}
 	done, id := make(chan world.Done, 1), in.Header.Get("X-Call-Id")
 	r.mu.Lock()
-	taken := r.take(s, id, key, []byte(in.Header.Get("X-Call-Info")), in.Method == http.MethodPut, &leg{done: done})
+	taken := r.take(s, id, key, []byte(in.Header.Get("X-Call-Info")), in.Method == http.MethodPut, &attempt{done: done})
 	tag := r.tags
 	r.mu.Unlock()
 	if !taken {
@@ -560,7 +560,7 @@
 		}
 		text := d.Text
 		if d.Said == world.Value {
-			text = r.script.Value(text)
+			text = r.scenario.Value(text)
 		}
 		out.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		io.WriteString(out, text)
--- a/internal/emulator/realtime/together.go
+++ b/internal/emulator/realtime/together.go
@@ -20,44 +20,46 @@
 
 // join opens what is between the nodes, where they know one another: a door for each ordered pair.
 func (r *Rig) join() error {
-	if r.script.Together == nil {
+	if r.scenario.Together == nil {
 		return nil
 	}
-	r.boot = gossip.BootTime()
-	r.views = checker.NewViews(r.script.Fleet.Nodes)
-	r.between = netfault.Open(netfault.New(uint32(r.script.Seed)))
-	for range r.script.Fleet.Nodes {
+	r.bootTime = gossip.BootTime()
+	r.views = checker.NewViews(r.scenario.Fleet.Nodes)
+	r.faults = netfault.Open(netfault.New(uint32(r.scenario.Seed)))
+	for range r.scenario.Fleet.Nodes {
 		at, err := freeport.Free()
 		if err != nil {
 			return err
 		}
-		r.hears = append(r.hears, at)
+		r.gossipAddrs = append(r.gossipAddrs, at)
 	}
-	r.doors = make([]map[string]string, len(r.hears))
-	for from := range r.hears {
-		r.doors[from] = map[string]string{}
-		for to, at := range r.hears {
+	r.proxies = make([]map[string]string, len(r.gossipAddrs))
+	for from := range r.gossipAddrs {
+		r.proxies[from] = map[string]string{}
+		for to, at := range r.gossipAddrs {
 			if from == to {
 				continue
 			}
-			door, err := r.between.Door(from, to, at)
+			door, err := r.faults.Door(from, to, at)
 			if err != nil {
 				return err
 			}
-			r.doors[from][at] = door
+			r.proxies[from][at] = door
 		}
 	}
 	return nil
 }
 
 // label is the run's own: a port that another run had may still be written to.
-func (r *Rig) label() string { return fmt.Sprintf("%s-%d-%d", r.script.Name, os.Getpid(), r.boot) }
+func (r *Rig) label() string {
+	return fmt.Sprintf("%s-%d-%d", r.scenario.Name, os.Getpid(), r.bootTime)
+}
 
 func (r *Rig) charter(number int) []byte {
-	if r.between == nil {
+	if r.faults == nil {
 		return nil
 	}
-	return r.script.Charter(number, r.label(), r.hears, r.doors[number])
+	return r.scenario.Charter(number, r.label(), r.gossipAddrs, r.proxies[number])
 }
 
 // traced hears a line of a process's trace.
@@ -69,23 +71,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.stopped {
-		r.views.Heard(epoch.Add(l.At.Since(r.boot)), l)
+		r.views.Heard(epoch.Add(l.At.Since(r.bootTime)), l)
 	}
 }
 
 // PauseNode has a node's process stand still, or go on; the lock is held. What it had in hand is excused, and nobody comes to it
 // meanwhile: who would be in front of it finds out within moments, and what a node owes its clients is not what is looked at here.
-func (r *Rig) PauseNode(number int, stop bool) { r.still(number, stop, Pausing.Pause) }
+func (r *Rig) PauseNode(number int, stop bool) { r.still(number, stop, Pauser.Pause) }
 
 // HangNode has a node's loop stand still, or go on, while all else in its process runs; the lock is held.
-func (r *Rig) HangNode(number int, stop bool) { r.still(number, stop, Pausing.Hang) }
+func (r *Rig) HangNode(number int, stop bool) { r.still(number, stop, Pauser.Hang) }
 
-func (r *Rig) still(number int, stop bool, do func(Pausing, bool)) {
+func (r *Rig) still(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
-	p, can := m.process.(Pausing)
+	p, can := m.process.(Pauser)
 	switch {
 	case !can:
-		r.died = append(r.died, m.name+" is no process of its own: it can't be made to stand still")
+		r.deaths = append(r.deaths, m.name+" is no process of its own: it can't be made to stand still")
 		return
 	case m.ending, stop && m.stands != nil, !stop && m.stands != m.process: // another is there by now, which never stood still
 		return
@@ -93,14 +95,14 @@
 	if m.stands = nil; stop {
 		m.stands, m.serving = m.process, false
 		for id := range m.asks {
-			r.judge.Excuse(id)
+			r.checker.Excuse(id)
 			m.excused[id] = true
 		}
 	}
 	do(p, stop)
 	r.views.Truth(r.now(), m.name, !stop, false)
 	if !stop {
-		r.At(r.now().Add(r.terms.LongestDeadline), func() {
+		r.At(r.now().Add(r.settings.LongestDeadline), func() {
 			if !m.ending {
 				m.serving = true
 			}
@@ -145,15 +147,15 @@
 	if err != nil {
 		return nil, err
 	}
-	all := slices.Clone(m.r.hears)
+	all := slices.Clone(m.r.gossipAddrs)
 	all[m.number] = hears
-	return m.r.runner.Start(Order{Name: m.name + "-twin", Configuration: configuration, Charter: m.r.script.Charter(m.number, m.r.label(), all, nil),
-		Note: func(eventlog.Event, time.Time) {}, Trace: func([]byte) {}})
+	return m.r.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.r.scenario.Charter(m.number, m.r.label(), all, nil),
+		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
 }
 
 // Between changes what goes wrong between two nodes, one way.
 func (r *Rig) Between(from, to int, change func(*netfault.Way)) {
-	r.between.Change(from, to, func(w *netfault.Way) {
+	r.faults.Change(from, to, func(w *netfault.Way) {
 		was := w.Cut
 		if change(w); w.Cut != was {
 			r.views.Cut(r.now(), from, to, w.Cut)
