--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -37,7 +37,7 @@
 	b.saved--
 }
 
-// spendRetry charges an attempt that failed after it may have run.
+// spendRetry charges an attempt that failed and whose retry may fail in the same way.
 func (b *hedgeBudget) spendRetry() {
 	b.saved = max(minHedgeBudget, b.saved-1)
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -39,8 +39,10 @@
 	u.load.lastUsedAt = now
 }
 
-// ended records the end of an attempt.
+// ended records the end of an attempt. Misses count as answers: after a join most attempts miss, and the caches bear
+// those as well.
 func (e *loadEstimator) ended(now Instant, u *upstream, result Result) {
+	// An endpoint that restarts is forgotten while attempts are in flight; their ends must not be taken off others.
 	u.load.inFlight = max(0, u.load.inFlight-1)
 	u.load.lastUsedAt = now
 	if result == Answered || result == CacheMiss {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -165,8 +165,8 @@
 	u.health.wastedShare += (1 - useful - u.health.wastedShare) / wastedWindow
 }
 
-// reachesZone tells whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. Health
-// checks and ejections would need to find each endpoint of the zone out one by one.
+// reachesZone tells whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. By
+// ejections alone, each endpoint of the zone would have to fail before it is avoided.
 func (d *outlierDetector) reachesZone(u *upstream) bool {
 	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToCut ||
 		d.chance.Float64()*cutZoneTrialEvery < 1
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -88,6 +88,7 @@
 	return left
 }
 
+// unassigned stands for the place of an item that has none yet.
 const unassigned = -1
 
 // assignment spreads items evenly over places, so that few move when one item comes or goes: each pair of an item and a
--- a/policy/router.go
+++ b/policy/router.go
@@ -91,7 +91,7 @@
 }
 
 // MayStart tells whether an attempt, by its index, may still be sent whose connection took time to open: the endpoint
-// list may have changed meanwhile, or a deduplication window may have passed.
+// list may have changed meanwhile, or a deduplication window may have passed. The request itself stays as it is.
 func (router *Router) MayStart(now Instant, r Request, attempt int) bool {
 	u := router.endpoints.byID[r.Attempts[attempt].Endpoint]
 	r.Attempts = slices.Delete(slices.Clone(r.Attempts), attempt, attempt+1)
@@ -106,8 +106,9 @@
 	if u := router.endpoints.byID[attempt.Endpoint]; u != nil {
 		router.learn(now, u, r, outcome)
 	}
-	mayHaveRun := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
-	if !r.Finished && mayHaveRun {
+	// A broken connection says nothing of the next one, so its retry is free, as after a result without any effect.
+	chargesRetry := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
+	if !r.Finished && chargesRetry {
 		router.hedges.spendRetry()
 	}
 	var decision Decision
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -68,6 +68,7 @@
 	leastCost := math.Inf(1)
 	for rank, u := range replicas {
 		load := router.load.estimate(now, u)
+		// The tie draws by chance for each replica, also for those that are passed over below.
 		cost := load + perRank*float64(rank) + router.tie(now, u, perRankTie*float64(rank))
 		if u.Zone != router.settings.Zone {
 			cost += crossZoneAttempts * router.settings.CrossZoneCost
--- a/policy/types.go
+++ b/policy/types.go
@@ -68,29 +68,29 @@
 // Settings is what a deployment states at the start, as far as decisions read it. It has more than fifteen fields since
 // it mirrors the deployment's settings, which are flat.
 type Settings struct {
-	Classes             []ServiceClass
-	Tenants             []Tenant
-	Zone                ZoneID        // the zone of this node
-	Nodes               int           // nodes that share the traffic; values under 1 count as 1
-	CacheAside          bool          // misses and writes go to the origin through the router; else through the caches
-	OriginKind          int           // Endpoint.Kind of the origin; only read if CacheAside
-	PollEndpoints       bool          // the endpoint list is sent only on request
-	OverQuotaWeight     float64       // factor on the priority weight of requests over their tenant's quota
-	CrossZoneCost       float64       // cost of an attempt that crosses zones, as a share of a request's value
-	WasteCost           float64       // cost of a hedge whose answer isn't used, as a share of a request's value
-	MaxAttempts         int           // attempts per request; values under 1 count as 1
-	IdleTimeout         time.Duration // a connection that is unused for this long is closed
-	HedgingAllowed      bool          // a request may have several attempts in flight
-	CancelAllowed       bool          // an attempt in flight may be cancelled
-	HealthChecksAllowed bool          // the caller can carry out CheckHealth
-	MaxRetryAfter       time.Duration // longest Retry-After; 0 means that clients are told none
-	TickInterval        time.Duration // resolution of the caller's timers; values under 1 ms count as 1 ms
-	PollInterval        time.Duration // time between polls; values under 1 s count as 1 s
-	SlowStartShare      float64       // share of its capacity that an endpoint has right after its start
-	SlowStartDuration   time.Duration // time from its start after which an endpoint has its full capacity
-	OverloadFactor      float64       // multiple of its capacity that makes a cold cache fail; 0 if not stated
-	QueueColumn         int           // index into LoadReport of the requests that wait for a core; -1 for none
-	InFlightColumn      int           // index into LoadReport of all requests in flight; -1 for none
+	Classes             []ServiceClass // indexed by ClassID
+	Tenants             []Tenant       // indexed by TenantID
+	Zone                ZoneID         // the zone of this node
+	Nodes               int            // nodes that share the traffic; values under 1 count as 1
+	CacheAside          bool           // misses and writes go to the origin through the router; else through the caches
+	OriginKind          int            // Endpoint.Kind of the origin; only read if CacheAside
+	PollEndpoints       bool           // the endpoint list is sent only on request
+	OverQuotaWeight     float64        // factor on the priority weight of requests over their tenant's quota
+	CrossZoneCost       float64        // cost of an attempt that crosses zones, as a share of a request's value
+	WasteCost           float64        // cost of a hedge whose answer isn't used, as a share of a request's value
+	MaxAttempts         int            // attempts per request; values under 1 count as 1
+	IdleTimeout         time.Duration  // a connection that is unused for this long is closed
+	HedgingAllowed      bool           // a request may have several attempts in flight
+	CancelAllowed       bool           // an attempt in flight may be cancelled
+	HealthChecksAllowed bool           // the caller can carry out CheckHealth
+	MaxRetryAfter       time.Duration  // longest Retry-After; 0 means that clients are told none
+	TickInterval        time.Duration  // resolution of the caller's timers; values under 1 ms count as 1 ms
+	PollInterval        time.Duration  // time between polls; values under 1 s count as 1 s
+	SlowStartShare      float64        // share of its capacity that an endpoint has right after its start
+	SlowStartDuration   time.Duration  // time from its start after which an endpoint has its full capacity
+	OverloadFactor      float64        // multiple of its capacity that makes a cold cache fail; 0 if not stated
+	QueueColumn         int            // index into LoadReport of the requests that wait for a core; -1 for none
+	InFlightColumn      int            // index into LoadReport of all requests in flight; -1 for none
 }
 
 // UpdateKind says how an update of the endpoint list is to be read.
