--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -68,8 +68,8 @@
 		overtaken     bool
 		atLeast, most int // admitted of the last 400
 	}{
-		{"answers lost on the way", true, 390, 400},
-		{"queues that nobody leaves in time", false, 10, 150},
+		{name: "answers lost on the way", overtaken: true, atLeast: 390, most: 400},
+		{name: "queues that nobody leaves in time", overtaken: false, atLeast: 10, most: 150},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			admitted := admittedWithLostAnswers(t, c.overtaken)
@@ -116,8 +116,8 @@
 		wait          time.Duration
 		atLeast, most int // admitted of the last 400
 	}{
-		{"a third of the objective", 120 * ms, 380, 400},
-		{"more than the objective", 320 * ms, 10, 200},
+		{name: "a third of the objective", wait: 120 * ms, atLeast: 380, most: 400},
+		{name: "more than the objective", wait: 320 * ms, atLeast: 10, most: 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			admitted := admittedWithImpatientClients(t, c.wait)
--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -72,7 +72,7 @@
 // wake returns the waiters to route again: those whose value is cached by now, and as many others as the origin has
 // capacity for, those with the highest demand first and among them the oldest. It runs at each outcome, so it sorts
 // only if somebody can be woken by demand.
-func (c *coalescer) wake(free int, demand *popularity) (woken []RequestID) {
+func (c *coalescer) wake(free int, demand *popularity) []RequestID {
 	c.waiters = slices.DeleteFunc(c.waiters, func(waiter *Request) bool {
 		return waiter.Finished || slices.ContainsFunc(waiter.Attempts, inFlight)
 	})
@@ -81,6 +81,7 @@
 			return cmp.Compare(demand.of(b.facts.key), demand.of(a.facts.key))
 		})
 	}
+	var woken []RequestID
 	highestUnserved := 0.0
 	for _, waiter := range c.waiters {
 		cached := waiter.facts.cachedAt != ""
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -54,9 +54,8 @@
 	setChanged := false
 	for _, entry := range entries {
 		named[entry.ID] = true
-		if l.put(entry) {
-			setChanged = true
-		}
+		changed := l.put(entry)
+		setChanged = setChanged || changed
 	}
 	for id, u := range l.byID {
 		missing := kind != DeltaUpdate && !named[id]
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -66,9 +66,9 @@
 		entry   Endpoint
 		rebuilt bool
 	}{
-		{"drains", Endpoint{ID: id, Zone: "there", Lifecycle: Draining}, false},
-		{"restarted", Endpoint{ID: id, Zone: "there", StartedAt: 7}, false},
-		{"removed", Endpoint{ID: id, Lifecycle: Removed}, true},
+		{name: "drains", entry: Endpoint{ID: id, Zone: "there", Lifecycle: Draining}, rebuilt: false},
+		{name: "restarted", entry: Endpoint{ID: id, Zone: "there", StartedAt: 7}, rebuilt: false},
+		{name: "removed", entry: Endpoint{ID: id, Lifecycle: Removed}, rebuilt: true},
 	} {
 		h.router.UpdateEndpoints(9, DeltaUpdate, []Endpoint{c.entry})
 		if rebuilt := h.router.endpoints.placement(homeZone) != before; rebuilt != c.rebuilt {
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -13,21 +13,25 @@
 		name  string
 		cause func(*harness, *upstream)
 	}{
-		{StateWarmingUp, "warming", func(_ *harness, u *upstream) { u.StartedAt = now }},
-		{StateOverloaded, "crowded", func(h *harness, u *upstream) {
+		{state: StateWarmingUp, name: "warming", cause: func(_ *harness, u *upstream) { u.StartedAt = now }},
+		{state: StateOverloaded, name: "crowded", cause: func(h *harness, u *upstream) {
 			u.load.inFlight = 5
 			u.health.waitingSince = now
 			for range 40 {
 				h.router.latency.perQueued.Observe(200 * ms)
 			}
 		}},
-		{StateFailing, "erring", func(_ *harness, u *upstream) { u.health.errorScores[readClass] = maxErrorScore }},
-		{StateUnresponsive, "quiet", func(_ *harness, u *upstream) { u.health.ejectedUntil = now + 1 }},
-		{StateUnreachable, "refusing", func(_ *harness, u *upstream) {
+		{state: StateFailing, name: "erring", cause: func(_ *harness, u *upstream) {
+			u.health.errorScores[readClass] = maxErrorScore
+		}},
+		{state: StateUnresponsive, name: "quiet", cause: func(_ *harness, u *upstream) {
+			u.health.ejectedUntil = now + 1
+		}},
+		{state: StateUnreachable, name: "refusing", cause: func(_ *harness, u *upstream) {
 			u.health.connectFailures = failuresToEject
 			u.health.ejectedUntil = now + 1
 		}},
-		{StateDraining, "drains", func(_ *harness, u *upstream) { u.Lifecycle = Draining }},
+		{state: StateDraining, name: "drains", cause: func(_ *harness, u *upstream) { u.Lifecycle = Draining }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -92,10 +92,11 @@
 }
 
 // cancelRemaining returns the attempts of a finished request that are still in flight.
-func (router *Router) cancelRemaining(r *Request) (indices []int) {
+func (router *Router) cancelRemaining(r *Request) []int {
 	if !r.Finished || !router.settings.CancelAllowed || !slices.ContainsFunc(r.Attempts, inFlight) {
 		return nil
 	}
+	var indices []int
 	for i, attempt := range r.Attempts {
 		if attempt.InFlight {
 			indices = append(indices, i)
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -30,8 +30,8 @@
 		saved     float64
 		sentAgain bool
 	}{
-		{"budget", 5, true},
-		{"no budget", 0.5, false},
+		{name: "budget", saved: 5, sentAgain: true},
+		{name: "no budget", saved: 0.5, sentAgain: false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newCacheAsideHarness(t)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -59,7 +59,8 @@
 	return endpoints
 }
 
-// harness is the caller of a Router: it carries out decisions, and holds each of them against the plain model.
+// harness is the caller of a Router: it carries out decisions, and holds each of them against the plain model. It calls
+// t.Helper only where it fails, since it does a few million steps.
 type harness struct {
 	t          *testing.T
 	router     *Router
@@ -169,16 +170,17 @@
 
 // apply carries out a decision and checks that it is allowed.
 func (h *harness) apply(r *Request, decision Decision) Decision {
-	h.t.Helper()
 	delete(h.reviews, r)
 	if decision.Answer != NoAnswer {
 		if !modelAllowsAnswer(h.settings, r, decision.Answer) || r.Finished {
+			h.t.Helper()
 			h.t.Fatalf("%v: answer %v after attempts %v is not allowed", h.now, decision.Answer, r.Attempts)
 		}
 		r.Finished = true
 	}
 	for _, id := range decision.SendTo {
 		if !modelAllowsAttempt(h.settings, h.listed, h.now, r, id) {
+			h.t.Helper()
 			h.t.Fatalf("%v: an attempt at %v after attempts %v is not allowed", h.now, id, r.Attempts)
 		}
 		r.Attempts = append(r.Attempts, Attempt{Endpoint: id, SentAt: h.now, InFlight: true})
@@ -203,7 +205,6 @@
 
 // advance lets time pass tick by tick: reviews are due, attempts time out, and no request may be open at its deadline.
 func (h *harness) advance(d time.Duration) {
-	h.t.Helper()
 	for end := h.now.Add(d); h.now < end; {
 		h.now = h.now.Add(h.settings.TickInterval)
 		if h.now%Instant(tickPeriod) == 0 {
@@ -216,7 +217,6 @@
 }
 
 func (h *harness) advanceRequest(r *Request) {
-	h.t.Helper()
 	for i := range r.Attempts {
 		if r.Attempts[i].InFlight && h.now >= h.deadlines[r] {
 			h.end(r, i, TimedOut)
@@ -226,6 +226,7 @@
 		h.apply(r, h.router.Route(h.now, r))
 	}
 	if !r.Finished && h.now >= r.Deadline {
+		h.t.Helper()
 		h.t.Fatalf("%v: %v has no answer at its deadline, attempts %v", h.now, r.ID, r.Attempts)
 	}
 }
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -88,7 +88,6 @@
 
 // playStep plays one generated event.
 func (h *harness) playStep(kind byte, argument int) {
-	h.t.Helper()
 	switch {
 	case kind < 100:
 		h.arrive(fmt.Sprint("key", argument%7), ClassID(argument%6)-1, argument%3 == 0)
@@ -111,7 +110,6 @@
 
 // endSomeAttempt ends the first attempt in flight from a request on, which argument picks along with the result.
 func (h *harness) endSomeAttempt(argument int) {
-	h.t.Helper()
 	for i := range h.requests {
 		r := h.requests[(i+argument)%len(h.requests)]
 		for attempt := range r.Attempts {
--- a/policy/mayattempt_test.go
+++ b/policy/mayattempt_test.go
@@ -87,10 +87,10 @@
 		event func(*harness, Endpoint)
 		may   bool
 	}{
-		{"nothing has changed", 100 * ms, func(*harness, Endpoint) {}, true},
-		{"the endpoint drains", 100 * ms, drain, false},
-		{"the endpoint has left", 100 * ms, leave, false},
-		{"the deduplication window is over", 600 * ms, func(*harness, Endpoint) {}, false},
+		{name: "nothing has changed", wait: 100 * ms, event: func(*harness, Endpoint) {}, may: true},
+		{name: "the endpoint drains", wait: 100 * ms, event: drain, may: false},
+		{name: "the endpoint has left", wait: 100 * ms, event: leave, may: false},
+		{name: "the deduplication window is over", wait: 600 * ms, event: func(*harness, Endpoint) {}, may: false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -185,10 +185,11 @@
 
 // dueHealthChecks returns the health checks that are due: of endpoints whose ejection is over. The next one of the same
 // endpoint follows after patience.
-func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) (actions []Action) {
+func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) []Action {
 	if !d.settings.HealthChecksAllowed {
 		return nil
 	}
+	var actions []Action
 	for _, u := range caches {
 		if u.health.failures >= failuresToEject && now >= u.health.ejectedUntil {
 			actions = append(actions, Action{Kind: CheckHealth, Endpoint: u.ID})
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -102,8 +102,8 @@
 		latency time.Duration
 		ejected bool
 	}{
-		{"after some milliseconds", 6 * ms, false},
-		{"after seconds", 2 * time.Second, true},
+		{name: "after some milliseconds", latency: 6 * ms, ejected: false},
+		{name: "after seconds", latency: 2 * time.Second, ejected: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -36,8 +36,8 @@
 	s.nextAt = math.MaxInt64
 }
 
-// due tells whether to poll now, and if so schedules the next poll.
-func (s *pollSchedule) due(now Instant) bool {
+// takeDue tells whether to poll now, and if so schedules the next poll.
+func (s *pollSchedule) takeDue(now Instant) bool {
 	if !s.settings.PollEndpoints || now < s.nextAt {
 		return false
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -31,9 +31,9 @@
 		hasCapacity bool
 		atOrigin    bool
 	}{
-		{"with capacity", readClass, true, true},
-		{"without capacity", readClass, false, false},
-		{"repeats dropped in its group only", keyedInGroupClass, true, false},
+		{name: "with capacity", class: readClass, hasCapacity: true, atOrigin: true},
+		{name: "without capacity", class: readClass, hasCapacity: false, atOrigin: false},
+		{name: "repeats dropped in its group only", class: keyedInGroupClass, hasCapacity: true, atOrigin: false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
--- a/policy/router.go
+++ b/policy/router.go
@@ -145,7 +145,8 @@
 	router.latency.refresh()
 	router.slowStart.refreshRate(now, router.endpoints.caches)
 	actions = router.outliers.dueHealthChecks(now, router.endpoints.caches)
-	if router.polls.due(now) {
+	poll := router.polls.takeDue(now)
+	if poll {
 		actions = append(actions, Action{Kind: PollEndpoints})
 	}
 	return tickPeriod, actions
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		wastedShare   float64
 		atLeast, most int // of 1000
-	}{{0, 0, 250}, {0.6, 800, 1000}} {
+	}{{wastedShare: 0, atLeast: 0, most: 250}, {wastedShare: 0.6, atLeast: 800, most: 1000}} {
 		connected.health.wastedShare = c.wastedShare
 		opened := 0
 		for range 1000 {
@@ -115,9 +115,9 @@
 		missCost bool
 		want     int
 	}{
-		{"not short", 0, false, replicaCount},
-		{"short", 1, false, 1},
-		{"misses cross zones", 0, true, 1},
+		{name: "not short", shortage: 0, missCost: false, want: replicaCount},
+		{name: "short", shortage: 1, missCost: false, want: 1},
+		{name: "misses cross zones", shortage: 0, missCost: true, want: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newCacheAsideHarness(t)
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -9,10 +9,10 @@
 		shortage float64
 		want     int
 	}{
-		{"idempotent by key", keyedClass, 0, replicaCount},
-		{"not idempotent", notIdempotentClass, 0, 1},
+		{name: "idempotent by key", class: keyedClass, shortage: 0, want: replicaCount},
+		{name: "not idempotent", class: notIdempotentClass, shortage: 0, want: 1},
 		// three attempts are three writes at an origin that is short already
-		{"idempotent by key, attempts are lost", keyedClass, 0.5, 1},
+		{name: "idempotent by key, attempts are lost", class: keyedClass, shortage: 0.5, want: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
@@ -27,33 +27,43 @@
 // Half of all keys crossed zones, each at a cost. Reads must stay at home unless home can't serve them, or the origin
 // is short by each zone's own replicas.
 func TestReadsStayInTheirZoneUnlessItCannotServe(t *testing.T) {
+	type event func(*harness, *upstream)
+	nothing := func(*harness, *upstream) {}
 	full := func(h *harness, u *upstream) {
 		u.load.inFlight = 3
 		h.router.latency.perQueued.Observe(200 * ms)
 	}
 	eject := func(_ *harness, u *upstream) { u.health.ejectedUntil = 1e12 }
-	nothing := func(*harness, *upstream) {}
+	remove := func(h *harness, u *upstream) {
+		h.update(DeltaUpdate, Endpoint{ID: u.ID, Lifecycle: Removed})
+	}
+	shed := func(h *harness, _ *upstream) {
+		h.router.admission.controllers[homeZone] = admissionController{offered: 100, useful: 20}
+	}
+	shortOrigin := func(h *harness, _ *upstream) { h.router.origin.lateShare = 1 }
+	losesAttempt := func(_ *harness, u *upstream) {
+		u.load.inFlight = 1
+		u.health.ejectedUntil = 1e12
+	}
 	for _, c := range []struct {
-		name          string
-		home, others  func(*harness, *upstream) // done to each cache at home, and to each other
-		inFlight      bool                      // each read has an attempt in flight at home
-		atLeast, most int                       // attempts of 60 that cross
+		name     string
+		home     event // for each cache at home
+		others   event // for each other cache
+		inFlight bool  // each read has an attempt in flight at home
+		atLeast  int   // attempts of 60 that cross
+		most     int   // attempts of 60 that cross
 	}{
-		{"all is well", nothing, nothing, false, 0, 0},
-		{"home has left", func(h *harness, u *upstream) {
-			h.update(DeltaUpdate, Endpoint{ID: u.ID, Lifecycle: Removed})
-		}, nothing, false, 60, 60},
-		{"home is ejected", eject, nothing, false, 55, 60},
-		{"home is full", full, nothing, false, 55, 60},
-		{"home is full and others ejected", full, eject, false, 0, 0}, // none goes to the origin for that
-		{"home sheds", func(h *harness, _ *upstream) {
-			h.router.admission.controllers[homeZone] = admissionController{offered: 100, useful: 20}
-		}, nothing, false, 30, 55},
-		{"the origin is short", func(h *harness, _ *upstream) { h.router.origin.lateShare = 1 }, nothing, false, 5, 55},
-		{"a hedge beside a lost attempt", func(_ *harness, u *upstream) {
-			u.load.inFlight = 1
-			u.health.ejectedUntil = 1e12
-		}, nothing, true, 55, 60},
+		{name: "all is well", home: nothing, others: nothing, most: 0},
+		{name: "home has left", home: remove, others: nothing, atLeast: 60, most: 60},
+		{name: "home is ejected", home: eject, others: nothing, atLeast: 55, most: 60},
+		{name: "home is full", home: full, others: nothing, atLeast: 55, most: 60},
+		{name: "home is full and others ejected: none bypasses the caches", home: full, others: eject, most: 0},
+		{name: "home sheds", home: shed, others: nothing, atLeast: 30, most: 55},
+		{name: "the origin is short", home: shortOrigin, others: nothing, atLeast: 5, most: 55},
+		{
+			name: "a hedge beside a lost attempt", home: losesAttempt, others: nothing, inFlight: true,
+			atLeast: 55, most: 60,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h, endpoints := newZonedHarness(t)
