--- a/policy/doc.go
+++ b/policy/doc.go
@@ -25,8 +25,10 @@
 //  1. request.go: what is known of the request: its class, its priority (lower if it is over its tenant's quota,
 //     quota.go) and how readily it is shed.
 //  2. hedge.go: if an attempt is in flight, is a hedge or a cancellation due? hedgeOrCancel decides every hedge.
-//  3. retry.go: else, is another attempt worth it? If not, giveUp decides between a rejection and a failure; every
-//     answer that the router gives comes from there, so its callers are the places where a request is rejected.
+//  3. retry.go: else, is another attempt worth it? If not, giveUp answers with a rejection or a failure. No answer of
+//     the router's own comes from elsewhere. It is called by firstOrRetry (no attempt, time or budget is left), by
+//     sendToReplica (admission sheds the request, or all queues are full) and by sendToOrigin (the origin may not be
+//     asked, or the request isn't worth a wait there).
 //  4. fetch.go: writes and reads that missed go to the origin in cache-aside mode: one read fetches a key while others
 //     wait (coalescing.go), within the concurrency limit (origin.go).
 //  5. send.go: all else goes to a cache. replicas.go lists the caches that hold the key and can take it; selection.go
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -22,3 +22,18 @@
 		t.Errorf("%d of 100 requests were sent though four of five caches are idle", sent)
 	}
 }
+
+// One crowded cache must not raise the mean, and with it the load of all caches without a report, by all that it has.
+func TestOneReportCountsForLittleMoreThanTwiceTheMean(t *testing.T) {
+	settings := testSettings()
+	settings.InFlightColumn = 0
+	estimator := loadEstimator{settings: &settings}
+	crowded := &upstream{}
+	estimator.recordReport(1, crowded, false, 1, []float64{61})
+	if crowded.load.foreign != 60 {
+		t.Errorf("a report of 61 with 1 attempt of this router counts as %v of others", crowded.load.foreign)
+	}
+	if estimator.meanForeign > 1/reportWindow {
+		t.Errorf("one report of 61 raised the mean from 0 to %v", estimator.meanForeign)
+	}
+}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -135,3 +135,26 @@
 		})
 	}
 }
+
+// A crossing has a certain cost, a short queue at home may move: reads of a replica set that spans zones stay at home
+// until the queues there are long.
+func TestCrossZoneCostOutweighsShortQueues(t *testing.T) {
+	settings := testSettings()
+	settings.CrossZoneCost = 0.2
+	h := newHarness(t, settings, testFleet(2, false))
+	home := h.cache("cache-0")
+	away := h.cache("cache-1")
+	away.Zone = "there"
+	r := &Request{Key: "k", Deadline: Instant(time.Second)}
+	h.router.assess(0, r)
+	for _, c := range []struct {
+		inFlight int // at home
+		want     *upstream
+	}{{5, home}, {20, away}} {
+		home.load.inFlight = c.inFlight
+		selected := h.router.leastLoaded(0, r, []*upstream{away, home})
+		if selected.endpoint != c.want {
+			t.Errorf("with %d in flight at home, %v is selected", c.inFlight, selected.endpoint.ID)
+		}
+	}
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -69,3 +69,22 @@
 		t.Error("caches that answer with misses are taken to bear nothing")
 	}
 }
+
+// All nodes see a cache start at once. If each sent its first attempt then, the cache would get as many at one instant
+// as there are nodes.
+func TestFirstAttemptsAtAWarmingCacheAreSpreadByChance(t *testing.T) {
+	const nodes = 200
+	settings := testSettings()
+	settings.OverloadFactor = 1000 // any key
+	atOnce := 0
+	for node := range nodes {
+		h := newHarness(t, settings, []Endpoint{cold})
+		h.router.chance.Seed = uint32(node)
+		if h.router.slowStart.admits(cold.StartedAt.Add(10*ms), h.cache(cold.ID), 1) {
+			atOnce++
+		}
+	}
+	if atOnce > nodes/20 {
+		t.Errorf("%d of %d nodes send their first attempt at once", atOnce, nodes)
+	}
+}
