--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -37,7 +37,7 @@
 	b.saved--
 }
 
-// spendRetry charges an attempt that failed after it may have run.
+// spendRetry charges an attempt that failed and whose retry may fail in the same way.
 func (b *hedgeBudget) spendRetry() {
 	b.saved = max(minHedgeBudget, b.saved-1)
 }
@@ -92,10 +92,11 @@
 }
 
 // cancelRemaining returns the attempts of a finished request that are still in flight.
-func (router *Router) cancelRemaining(r *Request) (indices []int) {
+func (router *Router) cancelRemaining(r *Request) []int {
 	if !r.Finished || !router.settings.CancelAllowed || !slices.ContainsFunc(r.Attempts, inFlight) {
 		return nil
 	}
+	var indices []int
 	for i, attempt := range r.Attempts {
 		if attempt.InFlight {
 			indices = append(indices, i)
