--- /dev/null
+++ b/internal/control/purger/cursorstore.go
@@ -0,0 +1,109 @@
+package purger
+
+import (
+	"encoding/binary"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/control/replicatedlog"
+)
+
+const (
+	fileName      = "purges.bbolt"
+	lockTimeout   = time.Second // another process that uses the folder is reported at once, not waited for
+	cursorVersion = 1           // of the cursors' format
+	cursorBytes   = 33          // a version, then four numbers of eight bytes, big endian: log, process, done, safe after a restart
+)
+
+var bucketCursors = []byte("cursors") // by the cache's name
+
+// cursorStore keeps cursors on disk.
+type cursorStore struct{ db *bbolt.DB }
+
+// openCursorStore opens the file of a folder and returns the cursors in it. One that cannot be read is skipped: the cache is a new one then.
+func openCursorStore(dir string) (*cursorStore, map[purge.CacheID]purge.Cursor, error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, nil, fmt.Errorf("the data folder cannot be made: %w", err)
+	}
+	path := filepath.Join(dir, fileName)
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s cannot be opened (is another process at it?): %w", path, err)
+	}
+	cursors := map[purge.CacheID]purge.Cursor{}
+	err = db.Update(func(tx *bbolt.Tx) error {
+		bucket, err := tx.CreateBucketIfNotExists(bucketCursors)
+		if err != nil {
+			return err
+		}
+		return bucket.ForEach(func(id, encoded []byte) error {
+			cursor, readable := decodeCursor(encoded)
+			if readable && len(cursors) < maxCursors {
+				cursors[purge.CacheID(id)] = cursor
+			}
+			return nil
+		})
+	})
+	if err != nil {
+		_ = db.Close()
+		return nil, nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return &cursorStore{db: db}, cursors, nil
+}
+
+func encodeCursor(c purge.Cursor) []byte {
+	encoded := make([]byte, 0, cursorBytes)
+	encoded = append(encoded, cursorVersion)
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Log))
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Started))
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Done))
+	return binary.BigEndian.AppendUint64(encoded, uint64(c.SafeAfterRestart))
+}
+
+func decodeCursor(encoded []byte) (purge.Cursor, bool) {
+	if len(encoded) != cursorBytes || encoded[0] != cursorVersion {
+		return purge.Cursor{}, false
+	}
+	return purge.Cursor{
+		Log:              replicatedlog.LogID(binary.BigEndian.Uint64(encoded[1:])),
+		Started:          purge.Incarnation(binary.BigEndian.Uint64(encoded[9:])),
+		Done:             replicatedlog.Index(binary.BigEndian.Uint64(encoded[17:])),
+		SafeAfterRestart: replicatedlog.Index(binary.BigEndian.Uint64(encoded[25:])),
+	}, true
+}
+
+// put writes cursors and deletes those of caches that are not among all. They are durable when it returns without an error.
+func (s *cursorStore) put(changed map[purge.CacheID]purge.Cursor, all []purge.CacheID) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(bucketCursors)
+		for id, cursor := range changed {
+			if err := bucket.Put([]byte(id), encodeCursor(cursor)); err != nil {
+				return err
+			}
+		}
+		known := map[string]bool{}
+		for _, id := range all {
+			known[string(id)] = true
+		}
+		var forgotten [][]byte // a bucket must not be changed while it is read
+		_ = bucket.ForEach(func(id, _ []byte) error {
+			if !known[string(id)] {
+				forgotten = append(forgotten, append([]byte(nil), id...))
+			}
+			return nil
+		})
+		for _, id := range forgotten {
+			if err := bucket.Delete(id); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+func (s *cursorStore) close() { _ = s.db.Close() }
--- a/internal/control/purger/golden_test.go
+++ b/internal/control/purger/golden_test.go
@@ -18,13 +18,13 @@
 // Cursors that an earlier version kept are read as they are: a purge that is done is not done again.
 func TestCursorsOfAnEarlierVersionAreReadable(t *testing.T) {
 	want := map[purge.CacheID]purge.Cursor{
-		"c1": {Log: 7, Started: 1_700_000_000_123, Done: 41, Sure: 12}, "c2": {Log: 8, Started: 0, Done: 1, Sure: 0},
+		"c1": {Log: 7, Started: 1_700_000_000_123, Done: 41, SafeAfterRestart: 12}, "c2": {Log: 8, Started: 0, Done: 1, SafeAfterRestart: 0},
 	}
 	if *record {
 		if err := os.RemoveAll(recordedCursors); err != nil {
 			t.Fatal(err)
 		}
-		d, _, err := openDisk(recordedCursors)
+		d, _, err := openCursorStore(recordedCursors)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,7 +41,7 @@
 	if err := os.WriteFile(filepath.Join(dir, fileName), kept, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, got, err := openDisk(dir)
+	d, got, err := openCursorStore(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -1,37 +1,19 @@
 package purger
 
 import (
-	"context"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
-	"net/http"
 	"net/netip"
 	"slices"
-	"time"
 
 	"dahliapin/internal/control/purge"
-	"dahliapin/internal/discovery"
-	"dahliapin/internal/keyhash"
 	"dahliapin/internal/monotime"
 	"dahliapin/policy"
 )
 
-const (
-	listPath = "/registry/instances"
-	maxList  = 8 << 20 // bytes of a list
-	gone     = "terminated"
-)
-
-// news is an answer of discovery's.
-type news struct {
-	Generation *int   `json:"generation"`
-	Reset      bool   `json:"reset"`
-	Instances  *[]row `json:"instances"`
-}
+// lifecycleRemoved is discovery's word for a cache that is removed.
+const lifecycleRemoved = "terminated"
 
-type row struct {
+// listedInstance is an entry of discovery's list, by its own names.
+type listedInstance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
 	Kind      string  `json:"machineType"`
@@ -39,92 +21,27 @@
 	Started   float64 `json:"startedAtMs"`
 }
 
-var (
-	errRefused = errors.New("discovery says that it has too much to do")
-	errNews    = errors.New("discovery's answer is no list")
-)
-
-// askForList follows discovery's list, by the same rules as nodes do.
-func (p *Purger) askForList() {
-	defer p.done.Done()
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	go func() {
-		<-p.closed
-		end()
-	}()
-	web := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}}
-	defer web.CloseIdleConnections()
-	caller, chance := discovery.New(p.Machines), keyhash.Source{Seed: p.Seed}
-	for {
-		call, began, at := caller.NextPoll(), time.Now(), p.Now()
-		n, err := p.ask(ctx, web, call)
-		if err == nil && !caller.Accepts(*n.Generation, n.Reset) {
-			err = errNews
-		}
-		if err == nil {
-			form, again := caller.OnUpdate(*n.Generation, n.Reset)
-			if again {
-				p.Logger.Info("the list of caches is had again")
-			}
-			p.take(*n.Instances, form, at)
-			select {
-			case <-p.closed:
-				return
-			default:
-				continue
-			}
-		}
-		how := discovery.ConnectionLost
-		switch {
-		case errors.Is(err, errRefused):
-			how = discovery.Refused
-		case errors.Is(err, errNews):
-			how = discovery.Unreadable
-		}
-		rest, first := caller.OnFailure(how, time.Since(began), chance.Float64())
-		if first {
-			p.Logger.WithError(err).Warn("the list of caches cannot be had; the last one stays")
-		}
-		select {
-		case <-time.After(rest):
-		case <-p.closed:
-			return
-		}
-	}
+// listedCache is a cache as the list has it.
+type listedCache struct {
+	id      purge.CacheID
+	addr    string
+	started purge.Incarnation
+	removed bool
 }
 
-func (p *Purger) ask(ctx context.Context, web *http.Client, call discovery.Poll) (n news, err error) {
-	ctx, done := context.WithTimeout(ctx, call.Timeout)
-	defer done()
-	url := "http://" + p.Terms.Discovery + listPath
-	if !call.Complete {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", call.SinceVersion, max(1, call.LongPoll.Milliseconds()))
-	}
-	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return n, err
-	}
-	a, err := web.Do(ask)
-	if err != nil {
-		return n, err
-	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxList+1))
-	switch {
-	case err != nil:
-		return n, err
-	case a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusTooManyRequests:
-		return n, errRefused
-	case a.StatusCode != http.StatusOK || len(text) > maxList || json.Unmarshal(text, &n) != nil || n.Generation == nil || n.Instances == nil || len(*n.Instances) > mostCaches:
-		return n, errNews
+// cache returns the entry as a cache; false where it cannot be read. The address of one that is removed does not matter.
+func (i listedInstance) cache() (listedCache, bool) {
+	removed := i.Lifecycle == lifecycleRemoved
+	_, err := netip.ParseAddrPort(i.Addr)
+	if i.ID == "" || len(i.ID) > maxIDBytes || err != nil && !removed {
+		return listedCache{}, false
 	}
-	return n, nil
+	return listedCache{id: purge.CacheID(i.ID), addr: i.Addr, started: purge.Incarnation(i.Started), removed: removed}, true
 }
 
-// take takes a list, or what has changed in it, that was asked for at a time. What can't be read may be any cache that is not named: then all
-// stay.
-func (p *Purger) take(rows []row, form policy.UpdateKind, at monotime.Instant) {
+// takeList takes a list, or what has changed in it, that was asked for at a time. A cache that a complete list does not name has left, unless
+// some entry cannot be read: that one may be any cache, so all stay.
+func (p *Purger) takeList(instances []listedInstance, kind policy.UpdateKind, at monotime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -132,27 +49,65 @@
 		return
 	default:
 	}
-	whole, odd, named := form != policy.DeltaUpdate, false, map[purge.CacheID]bool{}
-	for _, r := range rows {
-		_, bad := netip.ParseAddrPort(r.Addr)
-		switch {
-		case slices.Contains(p.Terms.Origins, r.Kind):
-		case r.ID == "" || len(r.ID) > longestID || bad != nil && r.Lifecycle != gone:
-			odd = true
-		default:
-			id := purge.CacheID(r.ID)
-			named[id] = true
-			p.list(entry{id, r.Addr, purge.Incarnation(r.Started), r.Lifecycle == gone}, at)
+	unreadable := false
+	named := map[purge.CacheID]bool{}
+	for _, instance := range instances {
+		if slices.Contains(p.Terms.Origins, instance.Kind) {
+			continue
+		}
+		listed, readable := instance.cache()
+		if !readable {
+			unreadable = true
+			continue
 		}
+		named[listed.id] = true
+		p.setListed(listed, at)
 	}
+	complete := kind != policy.DeltaUpdate
 	for id, c := range p.caches {
 		switch {
-		case c.stop == nil || named[id] || odd:
-		case whole:
+		case c.stop == nil || named[id] || unreadable:
+		case complete:
 			p.unlist(c)
-		default: // as it was
-			p.list(entry{id, c.addr, c.Cursor().Started, false}, at)
+		default: // it is as it was, and that is news of this time
+			p.setListed(listedCache{id: id, addr: c.addr, started: c.Cursor().Started}, at)
 		}
 	}
 	p.hasList = true
 }
+
+// setListed takes what the list said of a cache at a time, and starts or ends its connection. The lock is held.
+func (p *Purger) setListed(listed listedCache, at monotime.Instant) {
+	c := p.cacheOf(listed.id, purge.Cursor{})
+	if c == nil {
+		return
+	}
+	if listed.removed {
+		p.unlist(c)
+		return
+	}
+	before := c.Cursor().Started
+	c.update(func() { c.OnListed(at, listed.started, &p.arrivals) })
+	moved := c.addr != listed.addr || c.Cursor().Started != before
+	if c.stop != nil && moved {
+		p.unlist(c)
+	}
+	if c.stop != nil {
+		return
+	}
+	stop := make(chan struct{})
+	c.addr = listed.addr
+	c.stop = stop
+	c.reason = ""
+	p.goroutines.Go(func() { c.run(listed.addr, stop) })
+}
+
+// unlist ends the connection to a cache; its cursor stays. The lock is held.
+func (p *Purger) unlist(c *cache) {
+	if c.stop == nil {
+		return
+	}
+	close(c.stop)
+	c.stop = nil
+	c.OnDisconnect(p.Now(), 0)
+}
--- /dev/null
+++ b/internal/control/purger/listpoller.go
@@ -0,0 +1,141 @@
+package purger
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"dahliapin/internal/discovery"
+	"dahliapin/internal/keyhash"
+)
+
+const (
+	listPath     = "/registry/instances"
+	maxListBytes = 8 << 20
+)
+
+var (
+	errBusy    = errors.New("discovery says that it has too much to do")
+	errNotList = errors.New("discovery's answer is no list")
+)
+
+// listAnswer is discovery's answer, by its own names.
+type listAnswer struct {
+	Generation *int              `json:"generation"`
+	Reset      bool              `json:"reset"`
+	Instances  *[]listedInstance `json:"instances"`
+}
+
+// listPoller polls discovery for the list of caches, by the same rules as nodes do.
+type listPoller struct {
+	purger *Purger
+	client *http.Client
+	poller discovery.Poller
+	random keyhash.Source // jitter of the backoff
+}
+
+func newListPoller(p *Purger) *listPoller {
+	transport := &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}
+	return &listPoller{
+		purger: p,
+		client: &http.Client{Transport: transport},
+		poller: discovery.New(p.Machines),
+		random: keyhash.Source{Seed: p.Seed},
+	}
+}
+
+// run polls until the Purger is closed.
+func (l *listPoller) run() {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go func() {
+		<-l.purger.closed
+		cancel()
+	}()
+	defer l.client.CloseIdleConnections()
+	for {
+		delay := l.poll(ctx)
+		select {
+		case <-time.After(delay):
+		case <-l.purger.closed:
+			return
+		}
+	}
+}
+
+// poll polls once, takes the list, and returns the delay until the next poll.
+func (l *listPoller) poll(ctx context.Context) time.Duration {
+	request := l.poller.NextPoll()
+	began := time.Now()
+	at := l.purger.Now()
+	answer, err := l.get(ctx, request)
+	if err == nil && !l.poller.Accepts(*answer.Generation, answer.Reset) {
+		err = errNotList
+	}
+	if err == nil {
+		kind, recovered := l.poller.OnUpdate(*answer.Generation, answer.Reset)
+		if recovered {
+			l.purger.Logger.Info("the list of caches is had again")
+		}
+		l.purger.takeList(*answer.Instances, kind, at)
+		return 0
+	}
+	failure := discovery.ConnectionLost
+	switch {
+	case errors.Is(err, errBusy):
+		failure = discovery.Refused
+	case errors.Is(err, errNotList):
+		failure = discovery.Unreadable
+	}
+	delay, first := l.poller.OnFailure(failure, time.Since(began), l.random.Float64())
+	if first {
+		l.purger.Logger.WithError(err).Warn("the list of caches cannot be had; the last one stays")
+	}
+	return delay
+}
+
+// get asks discovery for the list, or for what has changed in it. It returns errBusy or errNotList, or the network's error.
+func (l *listPoller) get(ctx context.Context, poll discovery.Poll) (listAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, poll.Timeout)
+	defer cancel()
+	url := "http://" + l.purger.Terms.Discovery + listPath
+	if !poll.Complete {
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", poll.SinceVersion, max(1, poll.LongPoll.Milliseconds()))
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return listAnswer{}, err
+	}
+	response, err := l.client.Do(request)
+	if err != nil {
+		return listAnswer{}, err
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
+	if err != nil {
+		return listAnswer{}, err
+	}
+	switch response.StatusCode {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return listAnswer{}, errBusy
+	case http.StatusOK:
+		return decodeList(body)
+	}
+	return listAnswer{}, errNotList
+}
+
+// decodeList decodes an answer and checks that it is complete and within the bounds.
+func decodeList(body []byte) (listAnswer, error) {
+	var answer listAnswer
+	if len(body) > maxListBytes || json.Unmarshal(body, &answer) != nil {
+		return listAnswer{}, errNotList
+	}
+	if answer.Generation == nil || answer.Instances == nil || len(*answer.Instances) > maxListed {
+		return listAnswer{}, errNotList
+	}
+	return answer, nil
+}
--- a/internal/control/purger/purges_test.go
+++ b/internal/control/purger/purger_test.go
@@ -282,7 +282,7 @@
 	f.sound()
 }
 
-const answerTwice = 2*purge.AnswerBy + fills
+const answerTwice = 2*purge.AnswerTimeout + fills
 
 func TestABurstOfAThousand(t *testing.T) {
 	t.Parallel()
@@ -495,7 +495,7 @@
 			time.Sleep(fills / 4)
 			f.stop(0)
 			if v.leads {
-				d, _, err := openDisk(f.dirs[0])
+				d, _, err := openCursorStore(f.dirs[0])
 				if err == nil {
 					err = d.put(map[purge.CacheID]purge.Cursor{"c0": {Log: 7, Done: 3}}, []purge.CacheID{"c0"})
 				}
