--- a/internal/emulator/simulation/virtual.go
+++ b/internal/emulator/simulation/virtual.go
@@ -81,10 +81,10 @@
 	r.chance.Seed = uint32(s.Seed) ^ 0x0f1ee7
 	r.judge = checker.New(checker.Rules{Classes: terms.Policy.Classes, HedgingAllowed: s.Allowed.Hedging,
 		Grace: scenario.Span(s.Allowed.GraceMs / 1000), Slack: slack})
-	ear := &runner.ListWatcher{Judge: r.judge, Log: r.log, Rig: r}
+	ear := &runner.WorldObserver{Judge: r.judge, Log: r.log, Rig: r}
 	r.world = world.New(s.World(ear))
 	ear.World = r.world
-	r.traffic = world.NewTraffic(s.Asks())
+	r.traffic = world.NewTraffic(s.TrafficPlan())
 	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
 	if s.Fleet.Warm {
 		r.warm()
@@ -97,12 +97,12 @@
 			}
 		}
 		r.nodes = append(r.nodes, n)
-		n.start(policy.CompleteUpdate, runner.Entries(r.world))
+		n.start(policy.CompleteUpdate, runner.Endpoints(r.world))
 	}
-	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, runner.Entries(r.world))
+	r.fleet.EndpointsUpdated(r.now, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.course = runner.Play(s, r.world, r.traffic, epoch, r)
 	r.arrive(r.traffic.Next(r.now))
-	end := epoch.Add(s.Long() + terms.LongestDeadline + settle)
+	end := epoch.Add(s.Duration() + terms.LongestDeadline + settle)
 	if err := r.run(end); err != nil {
 		return nil, nil, err
 	}
@@ -174,7 +174,7 @@
 // warm puts keys where the decider's own kind would send them.
 func (r *Simulation) warm() {
 	d := r.make(r.now, r.script.Seed, r.terms.Policy)
-	d.UpdateEndpoints(r.now, policy.CompleteUpdate, runner.Entries(r.world))
+	d.UpdateEndpoints(r.now, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmBy(r.world, d.Route, r.now, r.traffic, r.script.Fleet.Keys*r.script.Fleet.Caches)
 }
 
@@ -312,7 +312,7 @@
 	if r.registry.Bounded() {
 		return // it calls by itself
 	}
-	entries, life := runner.Entries(r.world), n.life
+	entries, life := runner.Endpoints(r.world), n.life
 	r.after(scenario.Span(r.script.Discovery.NoticeS[0]), func() {
 		if n.life == life && r.upList {
 			n.hear(policy.CompleteUpdate, entries)
@@ -322,7 +322,7 @@
 
 // arrive plays the next first try, and hangs in the one after.
 func (r *Simulation) arrive(at policy.Instant) {
-	if at.Since(epoch) >= r.script.Long() {
+	if at.Since(epoch) >= r.script.Duration() {
 		return
 	}
 	r.At(at, func() {
@@ -345,7 +345,7 @@
 	}
 	n := r.choose()
 	req.Sent = r.now
-	r.judge.Sent(r.now, req.ID, n.number, req.Class, req.Label, r.now.Add(req.Deadline), isFirst)
+	r.judge.RequestSent(r.now, req.ID, n.number, req.Class, req.Label, r.now.Add(req.Deadline), isFirst)
 	life := n.life
 	r.after(r.clientWay(), func() {
 		if n.life != life || n.host == nil { // it died while this was on its way: the client sees a reset
@@ -398,7 +398,7 @@
 	if l == nil {
 		return
 	}
-	r.judge.Left(r.now, l.v.req.ID, r.world.Servers[d.Server].ID, d.Said == world.Busy)
+	r.judge.AttemptEnded(r.now, l.v.req.ID, r.world.Servers[d.Server].ID, d.Said == world.Busy)
 	delete(r.legs, d.Job.Tag)
 	how := [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
 		world.Busy: policy.Rejected, world.Failed: policy.Errored}[d.Said]
--- /dev/null
+++ b/internal/membership/recorded_test.go
@@ -0,0 +1,138 @@
+package membership_test
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliapin/internal/golden"
+	"dahliapin/internal/membership"
+)
+
+// recorder hashes all that the detectors of a simulation decide: what each sends, states and shows at each tick.
+type recorder struct {
+	sum  hash.Hash
+	view map[*membership.Detector]*membership.View // the last that was hashed
+}
+
+// ticked hashes what a tick led to; a nil recorder does nothing.
+func (r *recorder) ticked(now time.Duration, d *membership.Detector, do membership.Actions) {
+	if r == nil {
+		return
+	}
+	h := do.Heartbeat
+	fmt.Fprintln(r.sum, now, h.Process, h.Revision, h.Digest, h.Addr, h.SelfDoubt, h.WantsReply)
+	fmt.Fprintln(r.sum, do.HeartbeatTo, do.ReplyTo, do.ProbeTo, do.SyncWith, d.KnownCount(), d.NameConflict())
+	v := d.View()
+	if r.view[d] == v {
+		return
+	}
+	r.view[d] = v
+	fmt.Fprintln(r.sum, v.Number, v.Fingerprint, v.Nodes, v.CutOff, v.Own, v.Incarnation)
+	for _, m := range v.Members {
+		fmt.Fprintln(r.sum, m.Process, m.Node, m.Incarnation, m.Addr, m.Status, m.Since, m.Hears, m.Misses)
+	}
+}
+
+// stated hashes a new statement; a nil recorder does nothing.
+func (r *recorder) stated(s membership.Statement) {
+	if r == nil {
+		return
+	}
+	fmt.Fprintln(r.sum, s.Process, s.Node, s.Incarnation, s.Revision, s.Addr,
+		s.Leaving, s.YieldsName, s.SelfDoubt, s.Hears, s.Misses)
+}
+
+// recordedHistory is a history whose decisions are recorded.
+type recordedHistory struct {
+	name  string
+	nodes int
+	seed  uint32
+	rules *membership.Rules // nil for the sound ones
+	play  func(*simulation)
+}
+
+// hash plays the history among nodes that know one another, and returns a hash of all decisions.
+func (h *recordedHistory) hash() []byte {
+	r := &recorder{sum: sha256.New(), view: map[*membership.Detector]*membership.View{}}
+	s := newSimulation(h.nodes, h.seed, func(d *membership.Detector) {
+		if h.rules != nil {
+			membership.SetRules(d, *h.rules)
+		}
+	})
+	s.recorder = r
+	s.run(6 * sec)
+	h.play(s)
+	s.run(10 * sec)
+	return r.sum.Sum(nil)[:12]
+}
+
+// Names and shape of the detector may change, its decisions not: each history has the hash that it had when it was
+// recorded.
+func TestDecisionsAreAsRecorded(t *testing.T) {
+	histories := recordedHistories(t)
+	file := "decisions.txt"
+	if testing.Short() { // under the race detector all take 40 s
+		histories = histories[:3]
+		file = "decisions-short.txt"
+	}
+	var got strings.Builder
+	for _, h := range histories {
+		fmt.Fprintf(&got, "%s, %d nodes, seed %d: %x\n", h.name, h.nodes, h.seed, h.hash())
+	}
+	golden.Check(t, file, []byte(got.String()))
+}
+
+func recordedHistories(t *testing.T) []recordedHistory {
+	t.Helper()
+	var histories []recordedHistory
+	add := func(h recordedHistory) { histories = append(histories, h) }
+	for _, f := range failures {
+		add(recordedHistory{name: f.name, nodes: 12, seed: 1, play: f.play})
+	}
+	// with rings
+	noise := failureNamed(t, "30% lost, doubled and late, one killed")
+	add(recordedHistory{name: noise.name, nodes: 40, seed: 2, play: noise.play})
+	add(recordedHistory{
+		name:  "unsound: stopped for more",
+		nodes: 12,
+		seed:  3,
+		rules: &membership.Rules{MinObservers: 1},
+		play:  failureNamed(t, "stopped for more").play,
+	})
+	for _, name := range []string{"halves", "eight and four", "nearly all killed at once and back"} {
+		add(recordedHistory{name: name, nodes: 40, seed: 2, play: failureNamed(t, name).play})
+	}
+	for _, late := range []time.Duration{0, 8 * sec} {
+		add(recordedHistory{
+			name:  fmt.Sprintf("one name started twice, %v later", late),
+			nodes: 5,
+			seed:  4,
+			play: func(s *simulation) {
+				s.run(late)
+				s.startTwin("n2")
+				s.run(8 * sec)
+			},
+		})
+	}
+	add(recordedHistory{name: "leaves, returns and is replaced", nodes: 5, seed: 5, play: playReplacement})
+	add(recordedHistory{name: "forgotten after a minute", nodes: 16, seed: 6, play: func(s *simulation) {
+		s.nodes[7].kill()
+		s.partitionFor(70*sec, true, []int{3}, nodesFrom(0, 15))
+	}})
+	return histories
+}
+
+func playReplacement(s *simulation) {
+	s.nodes[2].process.detector.Leave(false)
+	s.run(8 * sec)
+	s.nodes[2].process.detector.Rejoin()
+	s.run(2 * sec)
+	s.nodes[2].process.detector.Leave(true)
+	s.run(sec / 2)
+	s.nodes[2].process = nil
+	s.nodes[2].start()
+}
