--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -116,24 +116,24 @@
 
 func showChanges(to io.Writer, o controlclient.Overview) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "newest entry %d, a leader is heard: %t\n\ncontrol\trole\tlast\tkept after\tconfig\tbytes out\tforeign\tturned away\theard\n", o.Last, o.Led)
-	for _, m := range o.Machines {
+	fmt.Fprintf(w, "newest entry %d, a leader is heard: %t\n\ncontrol\trole\tlast\tkept after\tconfig\tbytes out\tforeign\tturned away\theard\n", o.Last, o.HasLeader)
+	for _, m := range o.Servers {
 		role := "voter"
 		switch {
 		case m.Learner:
 			role = "learner"
-		case m.Leads:
+		case m.IsLeader:
 			role = fmt.Sprintf("leader, term %d", m.Term)
 		}
 		heard := fmt.Sprintf("%.1f s ago", m.HeardS)
 		if m.Silent {
 			heard += ", silent"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", m.Name, role, m.Last, m.Floor, m.Config, m.Out, m.Foreign, m.Away, heard)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", m.Name, role, m.Last, m.Floor, m.Config, m.BytesOut, m.Invalid, m.Rejected, heard)
 	}
 	var lacking []controlclient.NodeStatus
 	for _, n := range o.Nodes {
-		if n.Lacks > 0 || n.Silent || n.Begins || n.Refused > 0 {
+		if n.Missing > 0 || n.Silent || n.NotStarted || n.Refused > 0 {
 			lacking = append(lacking, n)
 		}
 	}
@@ -153,7 +153,7 @@
 		if n.Refused > 0 {
 			heard += fmt.Sprintf(", refused %d: %s", n.Refused, n.Reason)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", n.Node, n.Applied, n.Lacks, n.Config, n.Machine, heard)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", n.Node, n.Applied, n.Missing, n.Config, n.Server, heard)
 	}
 	showCaches(w, o)
 	return w.Flush()
@@ -167,7 +167,7 @@
 	if len(o.Caches) == 0 {
 		return
 	}
-	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlclient.CacheStatus) bool { return c.Lacks == 0 })
+	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlclient.CacheStatus) bool { return c.Missing == 0 })
 	fmt.Fprintf(w, "\n%d caches, purges are done at %d of them\n", len(o.Caches), len(o.Caches)-len(lacking))
 	if len(lacking) > 0 {
 		fmt.Fprintln(w, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
@@ -178,14 +178,14 @@
 			break
 		}
 		var why []string
-		for _, m := range c.Machines {
+		for _, m := range c.Servers {
 			if m.Reason != "" && !m.Silent {
-				why = append(why, fmt.Sprintf("%d: %s, %.1f s", m.Machine, m.Reason, m.QuietS))
+				why = append(why, fmt.Sprintf("%d: %s, %.1f s", m.Server, m.Reason, m.UnansweredS))
 			}
 		}
 		if c.Flushing {
 			why = append(why, "to be flushed: what it lacks is not kept")
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", c.Cache, c.Done, c.Lacks, c.Late, c.First, strings.Join(why, "; "))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", c.Cache, c.Done, c.Missing, c.Overdue, c.FirstDeleted, strings.Join(why, "; "))
 	}
 }
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -74,11 +74,11 @@
 	var o controlclient.Overview
 	for by := time.Now().Add(10 * time.Second); time.Now().Before(by); time.Sleep(50 * time.Millisecond) {
 		out, code := asked(t, "fleet", "changes", "--at", nodes[0], "--label", "l", "--json")
-		if o = (controlclient.Overview{}); json.Unmarshal([]byte(out), &o) == nil && len(o.Machines) == 4 && o.Machines[0].Last == 3 && code == 0 {
+		if o = (controlclient.Overview{}); json.Unmarshal([]byte(out), &o) == nil && len(o.Servers) == 4 && o.Servers[0].Last == 3 && code == 0 {
 			break
 		}
 	}
-	if o.Last != 3 || len(o.Machines) != 4 || o.Machines[0].Last != 3 || !o.Machines[3].Learner {
+	if o.Last != 3 || len(o.Servers) != 4 || o.Servers[0].Last != 3 || !o.Servers[3].Learner {
 		t.Errorf("%+v", o)
 	}
 	for _, bad := range [][]string{{"publish", "--at", at}, {"publish", "--at", at, "--config", dir + "/c1.toml"}, {"publish", "--at", "nowhere", "--purge", "k"},
@@ -109,12 +109,12 @@
 		}
 		return out.String()
 	}
-	o := controlclient.Overview{Last: 9, Led: true}
+	o := controlclient.Overview{Last: 9, HasLeader: true}
 	if text := shown(o); strings.Contains(text, "cache") {
 		t.Errorf("%s", text)
 	}
-	o.Caches = []controlclient.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, First: 6, Lacks: 5, Late: 3, Flushing: true,
-		Machines: []controlclient.CacheProgress{{Machine: 1, Reason: "refused", QuietS: 2.5}, {Machine: 2, Reason: "old word", Silent: true}}}}
+	o.Caches = []controlclient.CacheStatus{{Cache: "well", Done: 9}, {Cache: "ill", Done: 4, FirstDeleted: 6, Missing: 5, Overdue: 3, Flushing: true,
+		Servers: []controlclient.CacheProgress{{Server: 1, Reason: "refused", UnansweredS: 2.5}, {Server: 2, Reason: "old word", Silent: true}}}}
 	text := shown(o)
 	for _, want := range []string{"2 caches, purges are done at 1 of them", "ill    4     5      3     6             1: refused, 2.5 s; to be flushed"} {
 		if !strings.Contains(text, want) {
--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -92,9 +92,9 @@
 		}
 	}
 	for _, report := range table.Caches {
-		at := cacheAt{cache: report.Cache, server: report.Machine}
+		at := cacheAt{cache: report.Cache, server: report.Server}
 		known, is := m.caches[at]
-		if !is || report.AgoMs < known.AgoMs {
+		if !is || report.AgeMs < known.AgeMs {
 			m.caches[at] = report
 		}
 	}
@@ -114,7 +114,7 @@
 		table.Nodes = append(table.Nodes, m.nodes[name])
 	}
 	table.Caches = slices.SortedFunc(maps.Values(m.caches), func(a, b purger.Progress) int {
-		return cmp.Or(cmp.Compare(a.Cache, b.Cache), cmp.Compare(a.Machine, b.Machine))
+		return cmp.Or(cmp.Compare(a.Cache, b.Cache), cmp.Compare(a.Server, b.Server))
 	})
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
 		table.Servers = append(table.Servers, m.servers[id])
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -8,84 +8,84 @@
 
 // Overview is which node, control server and cache has applied what.
 type Overview struct {
-	Last     replicatedlog.Index `json:"last"` // the newest entry that any control server has
-	Led      bool                `json:"led"`  // a server that answered has a leader
-	Nodes    []NodeStatus        `json:"nodes"`
-	Machines []ServerStatus      `json:"machines"`
-	Caches   []CacheStatus       `json:"caches,omitempty"`
-	Unlisted bool                `json:"unlisted,omitempty"` // purges are to be carried out at caches, and no server that does so has a list
+	Last      replicatedlog.Index `json:"last"` // the newest entry that any control server has
+	HasLeader bool                `json:"led"`  // a server that answered has a leader
+	Nodes     []NodeStatus        `json:"nodes"`
+	Servers   []ServerStatus      `json:"machines"`
+	Caches    []CacheStatus       `json:"caches,omitempty"`
+	Unlisted  bool                `json:"unlisted,omitempty"` // purges are to be carried out at caches, and no server that does so has a list
 }
 
 // CaughtUp says whether every node has applied all entries and is heard, and every purge is done at every cache.
 func (o Overview) CaughtUp() bool {
-	lacking := func(cache CacheStatus) bool { return cache.Lacks > 0 }
+	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
 	return !o.Unlisted && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
 }
 
 // NodesCaughtUp says whether every node has applied all entries and is heard.
 func (o Overview) NodesCaughtUp() bool {
 	for _, node := range o.Nodes {
-		if node.Lacks > 0 || node.Silent || node.Begins || node.Refused > 0 {
+		if node.Missing > 0 || node.Silent || node.NotStarted || node.Refused > 0 {
 			return false
 		}
 	}
-	return o.Led
+	return o.HasLeader
 }
 
 // NodeStatus is how far a node has applied the replicated log.
 type NodeStatus struct {
-	Node     string              `json:"node"`
-	Applied  replicatedlog.Index `json:"applied"`
-	Lacks    uint64              `json:"lacks"`              // entries up to the newest
-	Config   replicatedlog.Index `json:"config"`             // of the configuration in force; 0 for the node's own
-	Refused  replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it could not take
-	Reason   string              `json:"reason,omitempty"`   // why not
-	Presumed replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
-	Gaps     uint64              `json:"gaps,omitempty"`     // times that entries did not follow what was applied
-	Machine  uint64              `json:"machine"`            // id of the control server that it follows
-	HeardS   float64             `json:"heard_s"`            // seconds since it reported
-	Silent   bool                `json:"silent,omitempty"`   // that is longer than controlwire.NodeTimeout
-	Begins   bool                `json:"begins,omitempty"`   // it has not been told yet where to start
+	Node           string              `json:"node"`
+	Applied        replicatedlog.Index `json:"applied"`
+	Missing        uint64              `json:"lacks"`              // entries up to the newest
+	Config         replicatedlog.Index `json:"config"`             // of the configuration in force; 0 for the node's own
+	Refused        replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it could not take
+	Reason         string              `json:"reason,omitempty"`   // why not
+	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
+	Gaps           uint64              `json:"gaps,omitempty"`     // times that entries did not follow what was applied
+	Server         uint64              `json:"machine"`            // id of the control server that it follows
+	HeardS         float64             `json:"heard_s"`            // seconds since it reported
+	Silent         bool                `json:"silent,omitempty"`   // that is longer than controlwire.NodeTimeout
+	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
 }
 
 // ServerStatus is the state of a control server.
 type ServerStatus struct {
-	ID      uint64              `json:"id"`
-	Name    string              `json:"name"`
-	Learner bool                `json:"learner,omitempty"` // it has the log and no vote
-	Leads   bool                `json:"leads,omitempty"`
-	Term    uint64              `json:"term"`             // raft's
-	Last    replicatedlog.Index `json:"last"`             // newest entry
-	Floor   replicatedlog.Index `json:"floor"`            // entries up to here are no longer kept
-	Config  replicatedlog.Index `json:"config"`           // newest configuration
-	HeardS  float64             `json:"heard_s"`          // seconds since the server that answered heard it
-	Silent  bool                `json:"silent,omitempty"` // that is longer than controlwire.NodeTimeout
-	In      uint64              `json:"bytes_in"`
-	Out     uint64              `json:"bytes_out"`
-	Foreign uint64              `json:"foreign"`           // streams and messages that could not be decoded or were not for it
-	Away    uint64              `json:"turned_away"`       // streams closed because too many were open
-	Purges  bool                `json:"purges,omitempty"`  // it carries purges out at caches
-	NoList  bool                `json:"no_list,omitempty"` // and has no list of caches yet
+	ID          uint64              `json:"id"`
+	Name        string              `json:"name"`
+	Learner     bool                `json:"learner,omitempty"` // it has the log and no vote
+	IsLeader    bool                `json:"leads,omitempty"`
+	Term        uint64              `json:"term"`             // raft's
+	Last        replicatedlog.Index `json:"last"`             // newest entry
+	Floor       replicatedlog.Index `json:"floor"`            // entries up to here are no longer kept
+	Config      replicatedlog.Index `json:"config"`           // newest configuration
+	HeardS      float64             `json:"heard_s"`          // seconds since the server that answered heard it
+	Silent      bool                `json:"silent,omitempty"` // that is longer than controlwire.NodeTimeout
+	BytesIn     uint64              `json:"bytes_in"`
+	BytesOut    uint64              `json:"bytes_out"`
+	Invalid     uint64              `json:"foreign"`           // streams and messages that could not be decoded or were not for it
+	Rejected    uint64              `json:"turned_away"`       // streams closed because too many were open
+	RunsPurges  bool                `json:"purges,omitempty"`  // it carries purges out at caches
+	NoCacheList bool                `json:"no_list,omitempty"` // and has no list of caches yet
 }
 
 // CacheStatus is up to where purges are done at a cache. What any control server has done there is done.
 type CacheStatus struct {
-	Cache    string              `json:"cache"`
-	Done     replicatedlog.Index `json:"done"`               // purges up to here are done
-	First    replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
-	Lacks    uint64              `json:"lacks"`              // entries up to the newest
-	Late     uint64              `json:"late"`               // those of them that should be done by now
-	Flushing bool                `json:"flushing,omitempty"` // what it lacks is kept nowhere: the cache has to be emptied
-	Machines []CacheProgress     `json:"machines"`           // by control server
+	Cache        string              `json:"cache"`
+	Done         replicatedlog.Index `json:"done"`               // purges up to here are done
+	FirstDeleted replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
+	Missing      uint64              `json:"lacks"`              // entries up to the newest
+	Overdue      uint64              `json:"late"`               // those of them that should be done by now
+	Flushing     bool                `json:"flushing,omitempty"` // what it lacks is kept nowhere: the cache has to be emptied
+	Servers      []CacheProgress     `json:"machines"`           // by control server
 }
 
 // CacheProgress is up to where one control server has carried purges out at a cache.
 type CacheProgress struct {
-	Machine uint64              `json:"machine"` // id of the control server
-	Done    replicatedlog.Index `json:"done"`
-	Late    uint64              `json:"late"`             // entries that should be done by now
-	QuietS  float64             `json:"quiet_s"`          // seconds since the cache answered, where something was due
-	Reason  string              `json:"reason,omitempty"` // why the last connection ended
-	HeardS  float64             `json:"heard_s"`          // seconds since the server reported
-	Silent  bool                `json:"silent,omitempty"` // the server is
+	Server      uint64              `json:"machine"` // id of the control server
+	Done        replicatedlog.Index `json:"done"`
+	Overdue     uint64              `json:"late"`             // entries that should be done by now
+	UnansweredS float64             `json:"quiet_s"`          // seconds since the cache answered, where something was due
+	Reason      string              `json:"reason,omitempty"` // why the last connection ended
+	HeardS      float64             `json:"heard_s"`          // seconds since the server reported
+	Silent      bool                `json:"silent,omitempty"` // the server is
 }
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -13,16 +13,16 @@
 // summarize turns a status table into an Overview.
 func summarize(table controlwire.Message) Overview {
 	overview := Overview{
-		Last:     replicatedlog.Index(table.Last),
-		Led:      table.HasLeader,
-		Nodes:    []NodeStatus{},
-		Machines: []ServerStatus{},
+		Last:      replicatedlog.Index(table.Last),
+		HasLeader: table.HasLeader,
+		Nodes:     []NodeStatus{},
+		Servers:   []ServerStatus{},
 	}
 	for _, report := range table.Nodes {
 		overview.Nodes = append(overview.Nodes, nodeStatus(report, table.Last))
 	}
 	for _, report := range table.Servers {
-		overview.Machines = append(overview.Machines, serverStatus(report))
+		overview.Servers = append(overview.Servers, serverStatus(report))
 	}
 	heard, unlisted := heardServers(table.Servers)
 	overview.Caches = cacheStatuses(table, heard)
@@ -36,39 +36,39 @@
 
 func nodeStatus(report controlwire.NodeReport, last uint64) NodeStatus {
 	return NodeStatus{
-		Node:     report.Node,
-		Applied:  replicatedlog.Index(report.Applied),
-		Lacks:    last - min(last, report.Applied),
-		Config:   replicatedlog.Index(report.Config),
-		Refused:  replicatedlog.Index(report.Refused),
-		Reason:   report.Reason,
-		Presumed: replicatedlog.Index(report.PresumedPurged),
-		Gaps:     report.Gaps,
-		Machine:  report.Server,
-		HeardS:   seconds(report.AgeMs),
-		Silent:   silent(report.AgeMs),
-		Begins:   report.NotStarted,
+		Node:           report.Node,
+		Applied:        replicatedlog.Index(report.Applied),
+		Missing:        last - min(last, report.Applied),
+		Config:         replicatedlog.Index(report.Config),
+		Refused:        replicatedlog.Index(report.Refused),
+		Reason:         report.Reason,
+		PresumedPurged: replicatedlog.Index(report.PresumedPurged),
+		Gaps:           report.Gaps,
+		Server:         report.Server,
+		HeardS:         seconds(report.AgeMs),
+		Silent:         silent(report.AgeMs),
+		NotStarted:     report.NotStarted,
 	}
 }
 
 func serverStatus(report controlwire.ServerReport) ServerStatus {
 	return ServerStatus{
-		ID:      report.ID,
-		Name:    report.Name,
-		Learner: report.Learner,
-		Leads:   report.IsLeader,
-		Term:    report.Term,
-		Last:    replicatedlog.Index(report.Last),
-		Floor:   replicatedlog.Index(report.Floor),
-		Config:  replicatedlog.Index(report.Config),
-		HeardS:  seconds(report.AgeMs),
-		Silent:  report.NeverHeard || silent(report.AgeMs),
-		In:      report.BytesIn,
-		Out:     report.BytesOut,
-		Foreign: report.Invalid,
-		Away:    report.Rejected,
-		Purges:  report.RunsPurges,
-		NoList:  report.NoCacheList,
+		ID:          report.ID,
+		Name:        report.Name,
+		Learner:     report.Learner,
+		IsLeader:    report.IsLeader,
+		Term:        report.Term,
+		Last:        replicatedlog.Index(report.Last),
+		Floor:       replicatedlog.Index(report.Floor),
+		Config:      replicatedlog.Index(report.Config),
+		HeardS:      seconds(report.AgeMs),
+		Silent:      report.NeverHeard || silent(report.AgeMs),
+		BytesIn:     report.BytesIn,
+		BytesOut:    report.BytesOut,
+		Invalid:     report.Invalid,
+		Rejected:    report.Rejected,
+		RunsPurges:  report.RunsPurges,
+		NoCacheList: report.NoCacheList,
 	}
 }
 
@@ -96,22 +96,22 @@
 	for _, report := range table.Caches {
 		n := len(caches)
 		if n == 0 || caches[n-1].Cache != report.Cache {
-			caches = append(caches, CacheStatus{Cache: report.Cache, Late: math.MaxUint64, Flushing: true})
+			caches = append(caches, CacheStatus{Cache: report.Cache, Overdue: math.MaxUint64, Flushing: true})
 			n++
 		}
-		if report.Foreign || report.Started < newestProcess[report.Cache] {
+		if report.OtherLog || report.Started < newestProcess[report.Cache] {
 			report.Done = 0
-			report.First = 0
+			report.FirstDeleted = 0
 		}
-		caches[n-1].merge(report, heard[report.Machine])
+		caches[n-1].merge(report, heard[report.Server])
 	}
 	caches = slices.DeleteFunc(caches, func(cache CacheStatus) bool {
 		reportedNow := func(at CacheProgress) bool { return !at.Silent }
-		return !slices.ContainsFunc(cache.Machines, reportedNow)
+		return !slices.ContainsFunc(cache.Servers, reportedNow)
 	})
 	for i := range caches {
 		done := uint64(caches[i].Done)
-		caches[i].Lacks = max(table.Last, done) - done
+		caches[i].Missing = max(table.Last, done) - done
 	}
 	return caches
 }
@@ -119,19 +119,19 @@
 // merge adds one server's report.
 func (c *CacheStatus) merge(report purger.Progress, heard bool) {
 	progress := CacheProgress{
-		Machine: report.Machine,
-		Done:    replicatedlog.Index(report.Done),
-		Late:    report.Late,
-		QuietS:  seconds(report.QuietMs),
-		Reason:  report.Reason,
-		HeardS:  seconds(report.AgoMs),
-		Silent:  !heard,
+		Server:      report.Server,
+		Done:        replicatedlog.Index(report.Done),
+		Overdue:     report.Overdue,
+		UnansweredS: seconds(report.UnansweredMs),
+		Reason:      report.Reason,
+		HeardS:      seconds(report.AgeMs),
+		Silent:      !heard,
 	}
 	c.Done = max(c.Done, progress.Done)
-	c.First = max(c.First, replicatedlog.Index(report.First))
+	c.FirstDeleted = max(c.FirstDeleted, replicatedlog.Index(report.FirstDeleted))
 	if heard {
-		c.Late = min(c.Late, report.Late)
+		c.Overdue = min(c.Overdue, report.Overdue)
 		c.Flushing = c.Flushing && report.Flushing
 	}
-	c.Machines = append(c.Machines, progress)
+	c.Servers = append(c.Servers, progress)
 }
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -29,7 +29,7 @@
 // What any machine has done is done; who is silent says nothing of what there is now.
 func TestWhichCachesLackWhat(t *testing.T) {
 	row := func(cache string, machine, done uint64, bend ...func(*purger.Progress)) purger.Progress {
-		r := purger.Progress{Cache: cache, Machine: machine, Done: done, First: done, Log: 7}
+		r := purger.Progress{Cache: cache, Server: machine, Done: done, FirstDeleted: done, Log: 7}
 		for _, b := range bend {
 			b(&r)
 		}
@@ -43,7 +43,7 @@
 	}{
 		"one has done all":            {func(*controlwire.Message) {}, true, []uint64{0}},
 		"who did it is silent now":    {func(w *controlwire.Message) { w.Servers[0].AgeMs = 6000 }, true, []uint64{0}},
-		"it is another log's":         {func(w *controlwire.Message) { w.Caches[0].Foreign = true }, false, []uint64{5}},
+		"it is another log's":         {func(w *controlwire.Message) { w.Caches[0].OtherLog = true }, false, []uint64{5}},
 		"it is of the process before": {func(w *controlwire.Message) { w.Caches[1].Started = 5 }, false, []uint64{5}},
 		"none has":                    {func(w *controlwire.Message) { w.Caches[0].Done = 8 }, false, []uint64{1}},
 		"only a silent one lists it":  {func(w *controlwire.Message) { w.Caches, w.Servers[1].AgeMs = append(w.Caches, row("b", 2, 1)), 6000 }, true, []uint64{0}},
@@ -60,7 +60,7 @@
 		o := summarize(w)
 		var lacks []uint64
 		for _, r := range o.Caches {
-			if lacks = append(lacks, r.Lacks); r.Late == math.MaxUint64 {
+			if lacks = append(lacks, r.Missing); r.Overdue == math.MaxUint64 {
 				t.Errorf("%s: nobody says what is late", name)
 			}
 		}
--- a/internal/control/controlserver/accord_test.go
+++ b/internal/control/controlserver/accord_test.go
@@ -364,14 +364,14 @@
 	}
 	used := map[string]int{}
 	for _, n := range nodes {
-		used[n.Status().Via]++
+		used[n.Status().Server]++
 	}
 	if len(used) < 3 {
 		t.Errorf("the nodes are at %v", used)
 	}
 	time.Sleep(2 * controlwire.ProgressInterval)
 	o, err := controlclient.Client{Servers: f.all(), Label: "l", Dial: f.dial}.Overview()
-	if err != nil || !o.CaughtUp() || len(o.Nodes) != 24 || o.Last != 1012 || len(o.Machines) != 4 {
+	if err != nil || !o.CaughtUp() || len(o.Nodes) != 24 || o.Last != 1012 || len(o.Servers) != 4 {
 		t.Errorf("%v: %+v", err, o)
 	}
 	if err := f.ms[was].Fault(); err != nil {
@@ -613,7 +613,7 @@
 	if got := m.status.invalid.Load() - before; got != 10 {
 		t.Errorf("%d of 10 were counted", got)
 	}
-	if o, err := (controlclient.Client{Servers: []string{m.Addr()}, Label: "l"}).Overview(); err != nil || o.Machines[0].Foreign != before+10 || o.Machines[0].Out == 0 {
+	if o, err := (controlclient.Client{Servers: []string{m.Addr()}, Label: "l"}).Overview(); err != nil || o.Servers[0].Invalid != before+10 || o.Servers[0].BytesOut == 0 {
 		t.Errorf("told: %v, %+v", err, o)
 	}
 }
--- a/internal/control/controlserver/caches_test.go
+++ b/internal/control/controlserver/caches_test.go
@@ -52,7 +52,7 @@
 	caches[0].Fill("key-1", 1)
 	f.publish(purges(0, 10))
 	until("all is done", func(o controlclient.Overview) bool {
-		return whole(o) && o.Last == 10 && len(o.Caches[0].Machines) == 4 && o.Caches[0].Machines[3].Done == 10 && o.Caches[0].Machines[3].Reason != ""
+		return whole(o) && o.Last == 10 && len(o.Caches[0].Servers) == 4 && o.Caches[0].Servers[3].Done == 10 && o.Caches[0].Servers[3].Reason != ""
 	})
 	if at, is := f.ms[0].log.RequestedAt(10); !is || at <= 0 || at >= boottime() {
 		t.Errorf("the machine that was asked does not know since when: %v, %t", at, is)
@@ -63,9 +63,9 @@
 	caches[1].Break(cachestub.Refuse, 0)
 	at := f.publish(purges(10, 2500))
 	o := until("two of three", func(o controlclient.Overview) bool {
-		return len(o.Caches) == 3 && o.Caches[0].Lacks == 0 && o.Caches[2].Lacks == 0 && o.Caches[1].Late > 0 && len(o.Caches[1].Machines) == 4
+		return len(o.Caches) == 3 && o.Caches[0].Missing == 0 && o.Caches[2].Missing == 0 && o.Caches[1].Overdue > 0 && len(o.Caches[1].Servers) == 4
 	})
-	if c := o.Caches[1]; o.CaughtUp() || c.Done != 10 || c.Lacks != 2500 || c.Machines[0].Reason == "" || c.Flushing {
+	if c := o.Caches[1]; o.CaughtUp() || c.Done != 10 || c.Missing != 2500 || c.Servers[0].Reason == "" || c.Flushing {
 		t.Errorf("%+v", c)
 	}
 	m := f.ms[f.leader()]
@@ -84,5 +84,5 @@
 	f.stop(3)
 	caches[1].Break(cachestub.None, 0)
 	f.start(3, false)
-	until("all three", func(o controlclient.Overview) bool { return whole(o) && len(o.Caches[1].Machines) == 4 })
+	until("all three", func(o controlclient.Overview) bool { return whole(o) && len(o.Caches[1].Servers) == 4 })
 }
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -94,7 +94,7 @@
 	var err error
 	s.purger, err = purger.Open(purger.Config{
 		Terms:      s.File.Purges,
-		Machines:   len(s.File.Machines),
+		Servers:    len(s.File.Machines),
 		Log:        s.log,
 		Dir:        s.File.Control.Data,
 		Logger:     s.Log,
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -115,7 +115,7 @@
 	}
 	caches, listed := t.server.purger.Progress()
 	for i := range caches {
-		caches[i].Machine = t.server.id
+		caches[i].Server = t.server.id
 	}
 	report.RunsPurges = true
 	report.NoCacheList = !listed
@@ -169,7 +169,7 @@
 			report = record.ServerReport
 			report.AgeMs = ageMs(now, record.heardAt)
 			for _, cache := range record.caches {
-				cache.AgoMs = report.AgeMs
+				cache.AgeMs = report.AgeMs
 				table.Caches = append(table.Caches, cache)
 			}
 		}
@@ -219,7 +219,7 @@
 	})
 	caches = caches[:min(len(caches), controlwire.MaxCaches)]
 	for i := range caches {
-		caches[i].Machine = from
+		caches[i].Server = from
 	}
 	return caches
 }
--- a/internal/control/controlwire/golden_test.go
+++ b/internal/control/controlwire/golden_test.go
@@ -23,7 +23,7 @@
 		{Kind: KindRejected, Reason: "no leader"}, {Kind: KindStatusRequest},
 		{Kind: KindStatusTable, Servers: []ServerReport{{ID: 1, Name: "m1", Learner: true, IsLeader: true, Last: 9, Floor: 2, Term: 3, AgeMs: 4, NeverHeard: true, Config: 5,
 			BytesIn: 6, BytesOut: 7, Invalid: 8, Rejected: 9, RunsPurges: true, NoCacheList: true}},
-			Caches: []purger.Progress{{Cache: "c1", Started: 5, Log: 99, Done: 6, First: 7, Late: 8, Flushing: true, Reason: "r", QuietMs: 9, Machine: 1, AgoMs: 10, Foreign: true}}},
+			Caches: []purger.Progress{{Cache: "c1", Started: 5, Log: 99, Done: 6, FirstDeleted: 7, Overdue: 8, Flushing: true, Reason: "r", UnansweredMs: 9, Server: 1, AgeMs: 10, OtherLog: true}}},
 		{Kind: KindRaft, RaftMessages: [][]byte{{1, 2}, {3}}},
 	}
 	var got bytes.Buffer
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -12,7 +12,7 @@
 // Status is how a node follows the replicated log, for operators.
 type Status struct {
 	Applied        replicatedlog.Index `json:"applied"`
-	Head           replicatedlog.Index `json:"head"`   // the newest entry heard of
+	LastHeard      replicatedlog.Index `json:"head"`   // the newest entry heard of
 	Config         replicatedlog.Index `json:"config"` // of the configuration in force; 0 for the node's own
 	Refused        replicatedlog.Index `json:"refused,omitempty"`
 	Reason         string              `json:"reason,omitempty"`   // why that configuration was refused
@@ -21,11 +21,11 @@
 	Unknown        uint64              `json:"unknown,omitempty"`  // entries of kinds that this version does not know
 	Gaps           uint64              `json:"gaps"`               // times that entries did not follow what was applied
 	Moves          uint64              `json:"moves"`              // streams opened
-	Via            string              `json:"via"`                // the control server's address; empty between two
+	Server         string              `json:"via"`                // the control server's address; empty between two
 	HeardS         float64             `json:"heard_s"`            // seconds since a server that has a leader said something
 	Stale          bool                `json:"stale"`              // HeardS is over Config.StaleAfter
-	InBytes        uint64              `json:"bytes_in"`
-	OutBytes       uint64              `json:"bytes_out"`
+	BytesIn        uint64              `json:"bytes_in"`
+	BytesOut       uint64              `json:"bytes_out"`
 }
 
 // Status returns how the node follows. It may be called from anywhere.
@@ -34,7 +34,7 @@
 	silence := time.Duration(f.Now() - monotime.Instant(f.leaderHeardAt.Load()))
 	return Status{
 		Applied:        progress.Applied,
-		Head:           replicatedlog.Index(f.lastIndex.Load()),
+		LastHeard:      replicatedlog.Index(f.lastIndex.Load()),
 		Config:         progress.Config,
 		Refused:        progress.Refused,
 		Reason:         progress.Reason,
@@ -43,11 +43,11 @@
 		Unknown:        progress.Unknown,
 		Gaps:           progress.Gaps,
 		Moves:          f.moves.Load(),
-		Via:            *f.server.Load(),
+		Server:         *f.server.Load(),
 		HeardS:         silence.Seconds(),
 		Stale:          silence > f.StaleAfter,
-		InBytes:        f.bytesIn.Load(),
-		OutBytes:       f.bytesOut.Load(),
+		BytesIn:        f.bytesIn.Load(),
+		BytesOut:       f.bytesOut.Load(),
 	}
 }
 
--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -43,7 +43,7 @@
 	return &listPoller{
 		purger: p,
 		client: &http.Client{Transport: transport},
-		poller: discovery.New(p.Machines),
+		poller: discovery.New(p.Servers),
 		random: keyhash.Source{Seed: p.Seed},
 	}
 }
--- a/internal/control/purger/progress.go
+++ b/internal/control/purger/progress.go
@@ -16,18 +16,18 @@
 
 // Progress is up to where a control server has carried purges out at a cache, as servers report it to each other and to operators.
 type Progress struct {
-	Cache    string `cbor:"1,keyasint"`
-	Started  int64  `cbor:"2,keyasint,omitempty"`  // the cache's purge.Incarnation
-	Log      uint64 `cbor:"3,keyasint,omitempty"`  // of the cursor
-	Done     uint64 `cbor:"4,keyasint,omitempty"`  // purges up to here are done
-	First    uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
-	Late     uint64 `cbor:"6,keyasint,omitempty"`  // entries that should be done by now
-	Flushing bool   `cbor:"7,keyasint,omitempty"`  // what it lacks is not kept: the cache has to be emptied
-	Reason   string `cbor:"8,keyasint,omitempty"`  // why the last connection ended; empty once something was answered
-	QuietMs  uint64 `cbor:"9,keyasint,omitempty"`  // since something was answered, where something is due
-	Machine  uint64 `cbor:"10,keyasint,omitempty"` // id of the control server that reports; set by package controlserver
-	AgoMs    uint64 `cbor:"11,keyasint,omitempty"` // since it reported; set by package controlserver
-	Foreign  bool   `cbor:"12,keyasint,omitempty"` // the cursor is of another log than the server has
+	Cache        string `cbor:"1,keyasint"`
+	Started      int64  `cbor:"2,keyasint,omitempty"`  // the cache's purge.Incarnation
+	Log          uint64 `cbor:"3,keyasint,omitempty"`  // of the cursor
+	Done         uint64 `cbor:"4,keyasint,omitempty"`  // purges up to here are done
+	FirstDeleted uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
+	Overdue      uint64 `cbor:"6,keyasint,omitempty"`  // entries that should be done by now
+	Flushing     bool   `cbor:"7,keyasint,omitempty"`  // what it lacks is not kept: the cache has to be emptied
+	Reason       string `cbor:"8,keyasint,omitempty"`  // why the last connection ended; empty once something was answered
+	UnansweredMs uint64 `cbor:"9,keyasint,omitempty"`  // since something was answered, where something is due
+	Server       uint64 `cbor:"10,keyasint,omitempty"` // id of the control server that reports; set by package controlserver
+	AgeMs        uint64 `cbor:"11,keyasint,omitempty"` // since it reported; set by package controlserver
+	OtherLog     bool   `cbor:"12,keyasint,omitempty"` // the cursor is of another log than the server has
 }
 
 // Progress returns how far each cache in the list is, by name. listed is false until there is a list.
@@ -49,18 +49,18 @@
 	log, _, _ := p.Log.Position()
 	cursor := c.Cursor()
 	progress := Progress{
-		Cache:    string(c.id),
-		Started:  int64(cursor.Started),
-		Log:      uint64(cursor.Log),
-		Done:     uint64(cursor.Done),
-		First:    uint64(c.FirstDeleted()),
-		Late:     c.Overdue(now, &p.arrivals, overdueTolerance),
-		Flushing: c.Flushing(p.Log),
-		Reason:   c.reason,
-		Foreign:  cursor.Log != log,
+		Cache:        string(c.id),
+		Started:      int64(cursor.Started),
+		Log:          uint64(cursor.Log),
+		Done:         uint64(cursor.Done),
+		FirstDeleted: uint64(c.FirstDeleted()),
+		Overdue:      c.Overdue(now, &p.arrivals, overdueTolerance),
+		Flushing:     c.Flushing(p.Log),
+		Reason:       c.reason,
+		OtherLog:     cursor.Log != log,
 	}
 	if _, awaiting := c.AwaitingAnswer(); awaiting || c.reason != "" {
-		progress.QuietMs = uint64(max(0, now.Since(c.answeredAt)) / time.Millisecond)
+		progress.UnansweredMs = uint64(max(0, now.Since(c.answeredAt)) / time.Millisecond)
 	}
 	return progress
 }
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -34,14 +34,14 @@
 
 // Config is what a Purger is started with.
 type Config struct {
-	Terms    *fleetconfig.Purges // the settings
-	Machines int                 // control servers, which all poll discovery
-	Log      Log
-	Dir      string // for the cursors
-	Seed     uint32 // of the backoffs' jitter
-	Logger   *logrus.Logger
-	Now      func() monotime.Instant                                   // of a clock that runs through suspends
-	Dial     func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
+	Terms   *fleetconfig.Purges // the settings
+	Servers int                 // control servers, which all poll discovery
+	Log     Log
+	Dir     string // for the cursors
+	Seed    uint32 // of the backoffs' jitter
+	Logger  *logrus.Logger
+	Now     func() monotime.Instant                                   // of a clock that runs through suspends
+	Dial    func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// OnProgress is called, with the lock held, when a cursor has changed: by the judge of tests. nil for nobody.
 	OnProgress func(purge.CacheID, purge.Cursor)
 }
--- a/internal/control/purger/purger_test.go
+++ b/internal/control/purger/purger_test.go
@@ -111,7 +111,7 @@
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	terms := f.terms
-	p, err := Open(Config{Terms: &terms, Machines: 4, Log: &f.log, Dir: f.dirs[i], Seed: uint32(i), Logger: l, Now: boottime, Dial: f.dial,
+	p, err := Open(Config{Terms: &terms, Servers: 4, Log: &f.log, Dir: f.dirs[i], Seed: uint32(i), Logger: l, Now: boottime, Dial: f.dial,
 		OnProgress: func(id purge.CacheID, c purge.Cursor) {
 			f.tell(logtrace.Cached{At: boottime(), Cache: string(id), What: logtrace.Counted, Index: uint64(c.Done)})
 		}})
@@ -194,7 +194,7 @@
 	f := newFleet(t, 1, 1)
 	f.caches[0].Fill("a", 1)
 	f.publish(2, "a")
-	f.until("the first deletion", func() bool { return f.row(0, "c0").First == 1 })
+	f.until("the first deletion", func() bool { return f.row(0, "c0").FirstDeleted == 1 })
 	if _, is := f.caches[0].Serve("a"); is {
 		t.Error("the first deletion did nothing")
 	}
@@ -265,7 +265,7 @@
 	f.done(0, fmt.Sprint("c", slow))
 	time.Sleep(answerTwice)
 	for i := 1; i < slow; i++ {
-		if r := f.row(0, fmt.Sprint("c", i)); r.Done != 0 || r.Reason == "" || r.Late == 0 && i == 1 {
+		if r := f.row(0, fmt.Sprint("c", i)); r.Done != 0 || r.Reason == "" || r.Overdue == 0 && i == 1 {
 			t.Errorf("fault %d: %+v", faults[i], r)
 		}
 		f.caches[i].Break(cachestub.None, 0)
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -167,11 +167,11 @@
 	for _, x := range o.Caches {
 		if x.Cache == c.Name() && err == nil {
 			why := []string{}
-			for _, m := range x.Machines {
-				why = append(why, fmt.Sprintf("%d: %s for %.1f s", m.Machine, m.Reason, m.QuietS))
+			for _, m := range x.Servers {
+				why = append(why, fmt.Sprintf("%d: %s for %.1f s", m.Server, m.Reason, m.UnansweredS))
 			}
 			r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of its silence %s lacked %d of %d entries, told by fleet changes: %s",
-				x.Cache, x.Lacks, o.Last, strings.Join(why, "; ")))
+				x.Cache, x.Missing, o.Last, strings.Join(why, "; ")))
 		}
 	}
 	c.Break(cachestub.None, 0)
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -172,7 +172,7 @@
 	s := Sample{At: gossip.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
 	for _, f := range all {
 		now := f.Status()
-		s.In, s.Out = append(s.In, now.InBytes), append(s.Out, now.OutBytes)
+		s.In, s.Out = append(s.In, now.BytesIn), append(s.Out, now.BytesOut)
 		s.Moves, s.Gaps, s.Least = s.Moves+now.Moves, s.Gaps+now.Gaps, min(s.Least, uint64(now.Applied))
 		if now.Stale {
 			s.Stale++
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -301,7 +301,7 @@
 	}
 	for by := time.Now().Add(readyBy); ; time.Sleep(lookEach) {
 		o, err := r.caller.Overview()
-		if err == nil && o.Led && len(o.Nodes) == r.Nodes+r.Real && o.CaughtUp() {
+		if err == nil && o.HasLeader && len(o.Nodes) == r.Nodes+r.Real && o.CaughtUp() {
 			r.say("%d nodes follow", len(o.Nodes))
 			return nil
 		}
@@ -428,7 +428,7 @@
 				fault = err
 				return
 			}
-			at := slices.IndexFunc(o.Machines, func(m controlclient.ServerStatus) bool { return m.Leads })
+			at := slices.IndexFunc(o.Servers, func(m controlclient.ServerStatus) bool { return m.IsLeader })
 			if at < 0 {
 				fault = errors.New("nobody to kill leads")
 				return
@@ -534,11 +534,11 @@
 		if time.Now().After(by) {
 			var behind []string
 			for _, n := range o.Nodes {
-				if n.Lacks > 0 || n.Silent || n.Begins || n.Refused > 0 {
+				if n.Missing > 0 || n.Silent || n.NotStarted || n.Refused > 0 {
 					behind = append(behind, fmt.Sprintf("%+v", n))
 				}
 			}
-			r.report.Notes = append(r.report.Notes, fmt.Sprintf("not all had all: %v, led %t, %d nodes, behind: %.2000s", err, o.Led, len(o.Nodes), strings.Join(behind, "; ")))
+			r.report.Notes = append(r.report.Notes, fmt.Sprintf("not all had all: %v, led %t, %d nodes, behind: %.2000s", err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; ")))
 			return nil // the judge says what is missing
 		}
 	}
@@ -575,7 +575,7 @@
 		return
 	}
 	for _, n := range o.Nodes {
-		if strings.HasPrefix(n.Node, "real-") && n.Lacks == 0 && n.Refused == 0 && n.Config == o.Machines[0].Config {
+		if strings.HasPrefix(n.Node, "real-") && n.Missing == 0 && n.Refused == 0 && n.Config == o.Servers[0].Config {
 			r.report.RealWhole++
 		}
 	}
