--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,19 +1,22 @@
-// Package buffer is the one buffer of a connection: it grows as needed, is compacted in place, and is given back
-// when it is empty: what was read from one that held more than Keep is the reader's own.
+// Package buffer has the read buffer of a connection. It grows as needed, is compacted in place, and gives its memory
+// back once it is empty: what was read from a buffer that held more than Keep bytes remains the reader's own.
 package buffer
 
 const (
-	Keep  = 4 << 10 // bytes that an empty buffer may keep: a few command lines, so that most never grow
-	ahead = 8       // times what is there that room may be made for: a long value grows it once or twice
+	// Keep is how many bytes an empty buffer may keep: a few command lines, so that most buffers never grow.
+	Keep = 4 << 10
+	// maxGrowth is how many times the unread bytes Reserve makes room for: a long value grows its buffer once or twice.
+	maxGrowth = 8
 )
 
-// Buffer holds what was read and not yet used. Bounds are the parsers': none waits for more than it allows.
+// Buffer holds bytes that were received and not consumed yet. It has no bound of its own: parsers don't wait for more
+// than their bounds allow. The zero Buffer is empty and ready for use.
 type Buffer struct {
 	data []byte
-	used int
+	used int // bytes at the front of data that were consumed
 }
 
-// Append puts bytes behind those there, first moving these to the front if that makes room.
+// Append adds bytes, first moving the unread ones to the front where that makes room.
 func (b *Buffer) Append(p []byte) {
 	if b.used > 0 && len(b.data)+len(p) > cap(b.data) {
 		b.data = b.data[:copy(b.data, b.data[b.used:])]
@@ -22,22 +25,27 @@
 	b.data = append(b.data, p...)
 }
 
-// Reserve makes room for n bytes in all, but no more than a few times what is there: who announces much may send little.
+// Reserve makes room for n bytes in all, but no more than a few times what is unread. Guards against a peer that
+// announces a long value on each of many connections and sends little: the memory would be taken at once.
 func (b *Buffer) Reserve(n int) {
-	if n = min(n, ahead*len(b.Unread())); n > cap(b.data)-b.used {
-		b.data, b.used = append(make([]byte, 0, n), b.Unread()...), 0
+	n = min(n, maxGrowth*len(b.Unread()))
+	if n > cap(b.data)-b.used {
+		b.data = append(make([]byte, 0, n), b.Unread()...)
+		b.used = 0
 	}
 }
 
-// Unread is what is there; it stays valid until the next Add.
+// Unread returns the bytes that were not consumed. They stay valid until the next Append or Reserve.
 func (b *Buffer) Unread() []byte { return b.data[b.used:] }
 
-// Consume passes over n bytes.
+// Consume passes over n unread bytes.
 func (b *Buffer) Consume(n int) {
-	if b.used += n; b.used < len(b.data) {
+	b.used += n
+	if b.used < len(b.data) {
 		return
 	}
-	b.used, b.data = 0, b.data[:0]
+	b.used = 0
+	b.data = b.data[:0]
 	if cap(b.data) > Keep {
 		b.data = nil
 	}
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func FuzzLikeAPlainSlice(f *testing.F) {
+// Whatever is appended, reserved and consumed, a buffer holds what a plain slice would, and keeps little once it is
+// empty.
+func FuzzBufferIsLikeASlice(f *testing.F) {
 	f.Add([]byte{10, 4, 200, 206, 7, 7})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		var b Buffer
--- a/internal/timerqueue/deadlines_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -7,7 +7,8 @@
 	"dahliapin/internal/monotime"
 )
 
-func FuzzDueInOrder(f *testing.F) {
+// Events are handed out by time, those of the same time in order of pushing, and none early.
+func FuzzEventsAreInOrder(f *testing.F) {
 	f.Add([]byte{3, 1, 2, 1, 255, 0})
 	f.Fuzz(func(t *testing.T, times []byte) {
 		var q Queue[int]
