--- a/internal/proxy/sockets/sockets_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -11,9 +11,12 @@
 	"time"
 )
 
-const patience = 10 * time.Second // that a test waits for what must come
+// patience is how long a test waits for what must happen.
+const patience = 10 * time.Second
 
-func engine(t *testing.T) *Engine {
+// startEngine starts an engine with one listener.
+func startEngine(t *testing.T) *Engine {
+	t.Helper()
 	e, err := New([]string{"127.0.0.1:0"}, 100, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -22,8 +25,8 @@
 	return e
 }
 
-// until takes events until one of this kind has come, and returns that and the bytes that came before.
-func until(t *testing.T, e *Engine, what EventKind) (Event, []byte) {
+// waitFor takes events until one of this kind has happened, and returns that and the bytes received before.
+func waitFor(t *testing.T, e *Engine, what EventKind) (Event, []byte) {
 	t.Helper()
 	var data []byte
 	for by := time.After(patience); ; {
@@ -44,8 +47,8 @@
 }
 
 // nbio's own connecting calls 0.0.0.0 whatever address it is given, and takes a refusal for a connection.
-func TestDialReachesTheAddressOrTellsThatItCant(t *testing.T) {
-	e := engine(t)
+func TestDialReachesTheAddressOrIsRefused(t *testing.T) {
+	e := startEngine(t)
 	l, err := net.Listen("tcp", "127.7.7.7:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev, _ := until(t, e, Connected)
+	ev, _ := waitFor(t, e, Connected)
 	if ev.DialID != 7 || ev.Conn.Write([]byte("hello")) != nil {
 		t.Error(ev)
 	}
@@ -66,19 +69,20 @@
 		t.Error(got, err)
 	}
 	c.Close()
-	until(t, e, Closed)
+	waitFor(t, e, Closed)
 	l.Close()
 	if err := e.Dial(l.Addr().String(), patience, 8); err != nil {
 		t.Fatal(err)
 	}
-	if ev, _ := until(t, e, Refused); ev.DialID != 8 || e.openDescriptors.Load() != 0 {
+	if ev, _ := waitFor(t, e, Refused); ev.DialID != 8 || e.openDescriptors.Load() != 0 {
 		t.Error(ev, e.openDescriptors.Load())
 	}
 }
 
-// More than the queue holds must neither be lost nor stop both sides, though the loop is late and writes meanwhile.
-func TestAFullQueueLosesNothingAndStopsNobody(t *testing.T) {
-	e := engine(t)
+// More bytes than the queue holds must neither be lost nor stop both sides, though the loop is late and writes
+// meanwhile.
+func TestFullQueueLosesNothingAndDoesNotDeadlock(t *testing.T) {
+	e := startEngine(t)
 	e.readAhead.Store(1 << 30) // one connection is to fill the queue of all
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
@@ -98,13 +102,13 @@
 	if err := w.Write([]byte("in between")); err != nil {
 		t.Fatal(err)
 	}
-	if _, got := until(t, e, Closed); !bytes.Equal(got, sent) {
+	if _, got := waitFor(t, e, Closed); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes came of %d", len(got), len(sent))
 	}
 }
 
-func TestDescriptorsAreNeverOverTheBudget(t *testing.T) {
-	e := engine(t)
+func TestDescriptorsStayWithinTheLimit(t *testing.T) {
+	e := startEngine(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +122,7 @@
 	if err := e.Dial(l.Addr().String(), patience, 1); err != ErrNoDescriptor {
 		t.Error(err)
 	}
-	ev, _ := until(t, e, Connected)
+	ev, _ := waitFor(t, e, Connected)
 	ev.Conn.Close()
 	if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
 		t.Error("what is closed is not free again:", err)
@@ -126,17 +130,17 @@
 }
 
 // A client was closed as idle while its request stood in the queue: read, never answered, and not sent again.
-func TestAConnectionIsNotClosedOverBytesThatWait(t *testing.T) {
-	e := engine(t)
+func TestConnectionWithQueuedBytesIsNotClosedAsIdle(t *testing.T) {
+	e := startEngine(t)
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	ev, _ := until(t, e, Opened)
+	ev, _ := waitFor(t, e, Opened)
 	w := ev.Conn
 	io.WriteString(c, "mg")
-	ev, _ = until(t, e, Data)
+	ev, _ = waitFor(t, e, Data)
 	w.takenBytes.Store(0) // as before it was taken
 	if quiet, _ := w.Idle(); quiet || w.CloseIfIdle() {
 		t.Error("closed over bytes that wait")
@@ -147,15 +151,16 @@
 			t.Fatal("not closed though nothing waits")
 		}
 	}
-	until(t, e, Closed)
+	waitFor(t, e, Closed)
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) { // else the client could not tell
 		t.Errorf("the client sees %v", err)
 	}
 }
 
-// The acceptor told once that it waits, and went on waiting unheard when the room made for it was not enough.
-func TestWhoWaitsForADescriptorIsSeenUntilLetIn(t *testing.T) {
-	e := engine(t)
+// The acceptor woke the loop once as it began to wait, and went on waiting unnoticed when the descriptors freed for it
+// were not enough.
+func TestWaitingClientIsSeenUntilAccepted(t *testing.T) {
+	e := startEngine(t)
 	e.openDescriptors.Add(e.descriptorLimit.Load())
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
@@ -173,21 +178,23 @@
 		}
 		e.descriptorFreed()
 	}
-	until(t, e, Opened)
+	waitFor(t, e, Opened)
 	if e.ClientsWait() {
 		t.Error("nobody waits any more")
 	}
 	e.openDescriptors.Add(1 + dialReserve - e.descriptorLimit.Load())
 }
 
-// Of two addresses, the one that could be had stayed taken for good, so that no later try could have it.
-func TestWhoCannotListenOnAllListensOnNone(t *testing.T) {
+// Of two addresses, the one that was free stayed taken for good after a failure of the other, so that no later attempt
+// could listen on it.
+func TestEngineThatCannotListenOnAllListensOnNone(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	free.Close()
-	taken, err := net.Listen("tcp", "127.0.0.1:0") // no engine: nbio 1.6.8 forgets a stop that comes before its poller runs
+	// Not by an engine: nbio 1.6.8 forgets a stop that comes before its poller runs.
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,15 +208,16 @@
 	free.Close()
 }
 
-// All that a server sent of a long value was read before its reader could be waited for: thirty slow readers took 20 MB, and the
-// collector ran without end. What is held is not lost either when its sender ends meanwhile, which nbio closes it for.
-func TestOnlySoMuchOfAConnectionWaitsForTheLoop(t *testing.T) {
-	e := engine(t)
+// All that a server sent of a long value was read before its reader could be waited for: thirty slow readers took 20
+// MB, and the garbage collector ran without end. What is held is not lost either when its sender ends meanwhile, upon
+// which nbio closes the connection.
+func TestReadAheadOfAConnectionIsBounded(t *testing.T) {
+	e := startEngine(t)
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev, _ := until(t, e, Opened)
+	ev, _ := waitFor(t, e, Opened)
 	w, all := ev.Conn, bytes.Repeat([]byte("v"), 1<<20)
 	sent := make(chan error, 1)
 	go func() {
@@ -229,7 +237,7 @@
 	w.readMu.Unlock()
 	w.Hold()
 	w.Resume()
-	if _, got := until(t, e, Closed); !bytes.Equal(got, all) {
+	if _, got := waitFor(t, e, Closed); !bytes.Equal(got, all) {
 		t.Errorf("%d of %d bytes came", len(got), len(all))
 	}
 	if err := <-sent; err != nil {
@@ -237,10 +245,10 @@
 	}
 }
 
-// What never went to the kernel was told to whichever asked first, the loop or nbio: a leg that had never been sent could count as one
-// that may have run.
-func TestWhatWasNeverSentIsToldTheSameToBoth(t *testing.T) {
-	e := engine(t)
+// The number of bytes that the kernel never took was told to the first of the loop and nbio that asked: an attempt that
+// had never been sent could count as one that may have run.
+func TestUnsentBytesAreReportedAlikeToLoopAndEvent(t *testing.T) {
+	e := startEngine(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -249,7 +257,7 @@
 	if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
 		t.Fatal(err)
 	}
-	ev, _ := until(t, e, Connected)
+	ev, _ := waitFor(t, e, Connected)
 	w := ev.Conn
 	for w.Unsent() == 0 { // until the kernel takes no more: nobody reads
 		if err := w.Write(make([]byte, 1<<20)); err != nil {
@@ -257,33 +265,42 @@
 		}
 	}
 	_ = w.conn.Close() // as the poller does when the other side has broken it
-	ended, _ := until(t, e, Closed)
+	ended, _ := waitFor(t, e, Closed)
 	if lost := w.Close(); ended.Lost == 0 || lost != ended.Lost || e.Unsent() != 0 {
-		t.Errorf("the loop is told that %d bytes never went, the event says %d; %d are counted still", lost, ended.Lost, e.Unsent())
+		t.Errorf("the loop is told that %d bytes were never sent, the event says %d; %d are counted still",
+			lost, ended.Lost, e.Unsent())
 	}
 }
 
-// failing is a listener whose first calls end as the system's may for a moment: without a connection, or with one that can't be duplicated.
-type failing struct {
+// failingListener is a listener whose first calls end as the system's may for a moment: without a connection, or with
+// one that cannot be duplicated.
+type failingListener struct {
 	net.Listener
-	left int
+	failures int // that are left
 }
 
-type notDuplicated struct{ net.Conn } // hides what is needed for it
+// connWithoutDescriptor hides what is needed to duplicate a connection.
+type connWithoutDescriptor struct{ net.Conn }
+
+var acceptErrors = []error{
+	syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EINTR,
+}
 
-func (l *failing) Accept() (net.Conn, error) {
-	if l.left--; l.left < 0 {
+func (l *failingListener) Accept() (net.Conn, error) {
+	l.failures--
+	if l.failures < 0 {
 		return l.Listener.Accept()
 	}
-	if l.left%2 == 0 {
-		return nil, &net.OpError{Op: "accept", Err: []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EINTR}[l.left%5]}
+	if l.failures%2 == 0 {
+		return nil, &net.OpError{Op: "accept", Err: acceptErrors[l.failures%len(acceptErrors)]}
 	}
 	here, there := net.Pipe()
 	there.Close()
-	return notDuplicated{here}, nil
+	return connWithoutDescriptor{here}, nil
 }
 
-// A connection that was let in and couldn't be duplicated stayed counted: after as many as there are descriptors nobody was let in any more.
+// A connection that was accepted and could not be duplicated stayed counted: after as many as there are descriptors, no
+// client was accepted any more.
 func TestFailuresOfAcceptTakeNoDescriptor(t *testing.T) {
 	const descriptors, failures = 60, 200
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -291,7 +308,8 @@
 		t.Fatal(err)
 	}
 	at := l.Addr().String()
-	e, err := New([]string{at}, descriptors, map[string]net.Listener{at: &failing{Listener: l, left: failures}})
+	inherited := map[string]net.Listener{at: &failingListener{Listener: l, failures: failures}}
+	e, err := New([]string{at}, descriptors, inherited)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,17 +320,32 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if until(t, e, Opened); e.openDescriptors.Load() != 1 {
+	waitFor(t, e, Opened)
+	if e.openDescriptors.Load() != 1 {
 		t.Errorf("%d descriptors are counted with one connection", e.openDescriptors.Load())
 	}
 }
 
-// A cache that was never called is not to blame, and not to be left for a while.
-func TestWhatFailsOnThisMachineIsToldApart(t *testing.T) {
-	for err, local := range map[error]bool{syscall.ECONNREFUSED: false, syscall.ETIMEDOUT: false, syscall.EHOSTUNREACH: false, syscall.ENETUNREACH: false,
-		syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true, syscall.EMFILE: true, syscall.ENFILE: true} {
-		if is := isLocal(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}); is != local {
-			t.Errorf("%v: on this machine: %v", err, is)
-		}
+// A server that was never called is not to blame for the failure, and not to be avoided for a while.
+func TestLocalFailuresOfDialingAreToldApart(t *testing.T) {
+	for _, test := range []struct {
+		err   error
+		local bool
+	}{
+		{syscall.ECONNREFUSED, false},
+		{syscall.ETIMEDOUT, false},
+		{syscall.EHOSTUNREACH, false},
+		{syscall.ENETUNREACH, false},
+		{syscall.EADDRNOTAVAIL, true},
+		{syscall.ENOBUFS, true},
+		{syscall.EMFILE, true},
+		{syscall.ENFILE, true},
+	} {
+		t.Run(test.err.Error(), func(t *testing.T) {
+			err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.err)}
+			if local := isLocal(err); local != test.local {
+				t.Errorf("on this machine: %v", local)
+			}
+		})
 	}
 }
