--- a/internal/proxy/eventlog/golden_test.go
+++ b/internal/proxy/eventlog/golden_test.go
@@ -11,20 +11,27 @@
 	"dahliapin/policy"
 )
 
-func TestRecordsAreWrittenAsRecorded(t *testing.T) {
+func TestEventsAreWrittenAsRecorded(t *testing.T) {
+	kinds := []string{
+		EndpointListed, EndpointAvoided, EndpointRestored, EndpointDrained, EndpointRemoved, TrialAttempt, LevelChanged,
+	}
 	var got bytes.Buffer
-	for _, what := range []string{EndpointListed, EndpointAvoided, EndpointRestored, EndpointDrained, EndpointRemoved, TrialAttempt, LevelChanged} {
-		for _, e := range []Event{{At: policy.Instant(1_500_000_000), Node: "n1", Server: "c1", Kind: what},
-			{At: policy.Instant(2_500_000_000), Node: "n1", Server: "c1", Kind: what, Reason: "because", Duration: 1200 * time.Millisecond}} {
-			line, err := json.Marshal(e)
+	for _, kind := range kinds {
+		bare := Event{At: policy.Instant(1_500_000_000), Node: "n1", Server: "c1", Kind: kind}
+		complete := Event{
+			At: policy.Instant(2_500_000_000), Node: "n1", Server: "c1", Kind: kind,
+			Reason: "because", Duration: 1200 * time.Millisecond,
+		}
+		for _, event := range []Event{bare, complete} {
+			line, err := json.Marshal(event)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&got, "%s\n%s\n", line, e)
+			fmt.Fprintf(&got, "%s\n%s\n", line, event)
 		}
 	}
-	for s := policy.StateInUse; s <= policy.StateDraining; s++ {
-		fmt.Fprintln(&got, s)
+	for state := policy.StateInUse; state <= policy.StateDraining; state++ {
+		fmt.Fprintln(&got, state)
 	}
 	golden.Check(t, "records.txt", got.Bytes())
 }
