--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,70 @@
+package policy
+
+import "slices"
+
+const (
+	// attemptTimeDivisor says which part of the slow latency must be left for an attempt to be worth its start: few
+	// attempts are answered within an eighth.
+	attemptTimeDivisor = 8
+	// lastAttemptCaution multiplies the pressure on the origin for reads whose last attempt goes there. At a quarter of
+	// the full pressure none does: a cache that is full is no reason to load an origin that is short.
+	lastAttemptCaution = 4.0
+)
+
+// firstOrRetry decides on a request that has no attempt in flight: the first attempt, a retry, the origin, to wait, or
+// to give up.
+func (router *Router) firstOrRetry(now Instant, r *Request) Decision {
+	if !router.worthAnAttempt(now, r) {
+		return router.giveUp(r)
+	}
+	pressure := router.origin.pressure(router.shortage.share)
+	lastAtOrigin := router.lastAttemptAtOrigin(now, r, pressure)
+	if router.settings.CacheAside && (r.Write || lastAtOrigin || slices.ContainsFunc(r.Attempts, missed)) {
+		return router.fetch(now, r)
+	}
+	return router.sendToReplica(now, r, pressure)
+}
+
+// worthAnAttempt tells whether a request still has an attempt, the time for it and, after one that may have run, a
+// retry in the budget.
+func (router *Router) worthAnAttempt(now Instant, r *Request) bool {
+	if len(r.Attempts) >= router.settings.MaxAttempts {
+		return false
+	}
+	if router.timeLeft(now, r) <= router.latency.slow/attemptTimeDivisor {
+		return false
+	}
+	lastResult, retry := r.lastResult()
+	return !retry || lastResult.NotExecuted() || router.hedges.allowsRetry()
+}
+
+// lastAttemptAtOrigin decides whether a read whose last attempt is left, after one that a full cache rejected, goes to
+// the origin: another replica may be full too, or lack the value. It does so only while the origin has capacity and is
+// next to never late. The draw comes before the cheaper conditions; recorded decisions depend on the order of draws.
+func (router *Router) lastAttemptAtOrigin(now Instant, r *Request, pressure float64) bool {
+	origin := router.endpoints.origin
+	if origin == nil || router.origin.free(now, origin) <= 0 {
+		return false
+	}
+	if router.chance.Float64() < lastAttemptCaution*pressure {
+		return false
+	}
+	lastResult, retry := r.lastResult()
+	return retry && lastResult == Rejected && len(r.Attempts) == router.settings.MaxAttempts-1 &&
+		r.facts.class.Idempotency == Idempotent
+}
+
+// giveUp answers a request without an attempt: with a rejection where a retry by the client is sure to do no harm, else
+// with a failure. Every rejection and failure that the router itself sends is decided by a call of this function.
+func (router *Router) giveUp(r *Request) Decision {
+	class := &r.facts.class
+	repeatable := class.Idempotency == Idempotent ||
+		class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches
+	mayHaveRun := slices.ContainsFunc(r.Attempts, func(attempt Attempt) bool {
+		return attempt.InFlight || !attempt.Result.NotExecuted()
+	})
+	if mayHaveRun && !repeatable {
+		return Decision{Answer: Fail}
+	}
+	return Decision{Answer: Reject, RetryAfter: min(router.settings.MaxRetryAfter, class.LatencyObjective/2)}
+}
