--- a/node/changes_test.go
+++ b/node/changelog_test.go
@@ -15,7 +15,7 @@
 	"dahliapin/internal/control/controlclient"
 	"dahliapin/internal/control/controlserver"
 	"dahliapin/internal/control/logfollower"
-	changes "dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/membership/gossip"
 )
 
@@ -34,7 +34,7 @@
 	return controlclient.Client{Servers: []string{m.Addr()}, Label: "l"}
 }
 
-func published(t *testing.T, c controlclient.Client, all ...changes.Proposal) {
+func published(t *testing.T, c controlclient.Client, all ...replicatedlog.Proposal) {
 	t.Helper()
 	ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 	defer done()
@@ -59,7 +59,7 @@
 // reach the hook. Operators see it; who follows nothing has no word of it.
 func TestANodeFollowsTheLogOfChanges(t *testing.T) {
 	at := control(t)
-	published(t, at, controlclient.NewProposal(changes.Purge, []byte("before it began")))
+	published(t, at, controlclient.NewProposal(replicatedlog.Purge, []byte("before it began")))
 	text := strings.Replace(posting, `"sockets":100`, `"sockets":200`, 1)
 	start := func(followed string) (*Node, *strings.Builder, func()) {
 		p, err := ParseConfig([]byte(text))
@@ -90,7 +90,7 @@
 	}
 	n, said, end := start(fmt.Sprintf("[changes]\nat=['%s']\n", at.Servers[0]))
 	status := func() *logfollower.Status {
-		s, _ := known{n}.FleetStatus()
+		s, _ := fleetView{n}.FleetStatus()
 		return s.(FleetStatus).Changes
 	}
 	until := func(what string, is func(s *logfollower.Status) bool) {
@@ -102,9 +102,9 @@
 		}
 	}
 	until("began", func(s *logfollower.Status) bool { return s.PresumedPurged == 1 })
-	published(t, at, controlclient.NewProposal(changes.Purge, []byte("k")), controlclient.NewProposal(changes.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
+	published(t, at, controlclient.NewProposal(replicatedlog.Purge, []byte("k")), controlclient.NewProposal(replicatedlog.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
 	until("took a configuration", func(s *logfollower.Status) bool { return s.Config == 3 && s.Applied == 3 })
-	published(t, at, controlclient.NewProposal(changes.Config, []byte("no configuration")), controlclient.NewProposal(changes.Purge, []byte("l")))
+	published(t, at, controlclient.NewProposal(replicatedlog.Config, []byte("no configuration")), controlclient.NewProposal(replicatedlog.Purge, []byte("l")))
 	until("refused one", func(s *logfollower.Status) bool {
 		return s.Refused == 4 && s.Config == 3 && s.Reason != "" && s.Applied == 5
 	})
@@ -115,10 +115,10 @@
 		t.Errorf("purges, at the end, and what is each node's own: %s", said)
 	}
 	n, _, end = start("")
-	if s, _ := (known{n}).FleetStatus(); n.follows.Load() != nil {
+	if s, _ := (fleetView{n}).FleetStatus(); n.follower.Load() != nil {
 		t.Errorf("a node without control machines: %+v", s)
 	}
-	s, _ := (known{n}).FleetStatus()
+	s, _ := (fleetView{n}).FleetStatus()
 	if _, alone := s.(gossip.Status); !alone {
 		t.Errorf("its status: %T", s)
 	}
