--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -21,10 +21,11 @@
 	"dahliapin/node"
 )
 
-var long = bytes.Repeat([]byte("v"), 4<<20)
+// longValue is a value of the greatest size.
+var longValue = bytes.Repeat([]byte("v"), 4<<20)
 
-// echo is a cache with a value for every key, which costs next to nothing.
-func echo(b *testing.B) string {
+// startEchoCache starts a cache with a value for every key, which takes next to no work, and returns its address.
+func startEchoCache(b *testing.B) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -36,36 +37,41 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				for r := bufio.NewReader(c); ; {
-					line, err := r.ReadString('\n')
-					if err != nil {
-						return
-					}
-					if _, id, ok := strings.Cut(line, " O"); ok {
-						id, _, _ = strings.Cut(id, " ")
-						if strings.HasPrefix(line, "mg long ") {
-							fmt.Fprintf(c, "VA %d O%s\r\n", len(long), id)
-							c.Write(long)
-							io.WriteString(c, "\r\n")
-							continue
-						}
-						io.WriteString(c, "VA 5 O"+id+"\r\nhello\r\n")
-					} else {
-						io.WriteString(c, "MN\r\n")
-					}
-				}
-			}()
+			go serveEcho(c)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// ask asks over so many connections, each with one request at a time.
-func ask(b *testing.B, addr string, connections int, web bool) {
+// serveEcho answers the commands of a connection until it ends.
+func serveEcho(c net.Conn) {
+	defer c.Close()
+	reader := bufio.NewReader(c)
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		_, id, isGet := strings.Cut(line, " O")
+		id, _, _ = strings.Cut(id, " ")
+		switch {
+		case !isGet:
+			io.WriteString(c, "MN\r\n")
+		case strings.HasPrefix(line, "mg long "):
+			fmt.Fprintf(c, "VA %d O%s\r\n", len(longValue), id)
+			c.Write(longValue)
+			io.WriteString(c, "\r\n")
+		default:
+			io.WriteString(c, "VA 5 O"+id+"\r\nhello\r\n")
+		}
+	}
+}
+
+// benchmarkGets sends b.N requests over so many connections, each with one request in flight.
+func benchmarkGets(b *testing.B, addr string, connections int, get getter) {
+	b.ReportAllocs()
 	var wg sync.WaitGroup
-	var vain atomic.Int64
+	var failed atomic.Int64
 	each := (b.N + connections - 1) / connections
 	for n := range connections {
 		c, err := net.Dial("tcp", addr)
@@ -76,144 +82,202 @@
 		go func() {
 			defer wg.Done()
 			defer c.Close()
-			r := bufio.NewReader(c)
+			reader := bufio.NewReader(c)
 			for i := range each {
-				if web {
-					fmt.Fprintf(c, "GET /p/k%d HTTP/1.1\r\nHost: n\r\n\r\n", i%1000)
-					a, err := http.ReadResponse(r, nil)
-					if err != nil {
-						b.Error(err)
-						return
-					}
-					if io.Copy(io.Discard, a.Body); a.StatusCode != http.StatusOK {
-						vain.Add(1)
-					}
-					continue
-				}
-				fmt.Fprintf(c, "mg k%d v O%d-%d Pc=read,d=900\r\n", i%1000, n, i)
-				head, err := r.ReadString('\n')
+				ok, err := get(c, reader, n, i)
 				if err != nil {
 					b.Error(err)
 					return
 				}
-				if !strings.HasPrefix(head, "VA") { // a pause of this machine is a late leg to the node
-					vain.Add(1)
-					continue
+				if !ok {
+					failed.Add(1)
 				}
-				r.ReadString('\n')
 			}
 		}()
 	}
 	wg.Wait()
-	b.ReportMetric(float64(vain.Load())/float64(b.N), "vain/op")
-	if vain.Load() > int64(b.N/100+10) {
-		b.Errorf("%d of %d were not satisfied", vain.Load(), b.N)
+	b.ReportMetric(float64(failed.Load())/float64(b.N), "vain/op")
+	if failed.Load() > int64(b.N/100+10) {
+		b.Errorf("%d of %d were not satisfied", failed.Load(), b.N)
 	}
 }
 
-// askLong asks for long values, so many at a time, and reads them with a pause between pieces. It tells the most that the heap of all
-// took over what it had at first: mostly the node's, as the cache has one copy and clients throw theirs away.
-func askLong(b *testing.B, addr string, connections int, pause time.Duration) {
-	b.SetBytes(int64(len(long)))
-	var wg sync.WaitGroup
-	var stat runtime.MemStats
+// getter gets a value, and tells whether it did. A pause of this machine makes an attempt late for the node, so that a
+// few may fail.
+type getter func(c net.Conn, reader *bufio.Reader, connection, number int) (ok bool, err error)
+
+func getByHTTP(c net.Conn, reader *bufio.Reader, _, number int) (ok bool, err error) {
+	fmt.Fprintf(c, "GET /p/k%d HTTP/1.1\r\nHost: n\r\n\r\n", number%1000)
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return false, err
+	}
+	io.Copy(io.Discard, response.Body)
+	return response.StatusCode == http.StatusOK, nil
+}
+
+func getByMeta(c net.Conn, reader *bufio.Reader, connection, number int) (ok bool, err error) {
+	fmt.Fprintf(c, "mg k%d v O%d-%d Pc=read,d=900\r\n", number%1000, connection, number)
+	head, err := reader.ReadString('\n')
+	if err != nil || !strings.HasPrefix(head, "VA") {
+		return false, err
+	}
+	_, err = reader.ReadString('\n')
+	return true, err
+}
+
+// benchmarkLongGets gets long values over so many connections, and reads them with a pause between pieces. It reports
+// by how much the heap grew at most: mostly the node's, as the cache has one copy and clients keep nothing.
+func benchmarkLongGets(b *testing.B, addr string, connections int, pause time.Duration) {
+	b.SetBytes(int64(len(longValue)))
 	runtime.GC()
-	runtime.ReadMemStats(&stat)
-	idle, most, over := stat.HeapInuse, uint64(0), make(chan bool)
-	go func() {
-		for {
-			select {
-			case <-over:
-				return
-			case <-time.After(10 * time.Millisecond):
-				var stat runtime.MemStats
-				runtime.ReadMemStats(&stat)
-				most = max(most, stat.HeapInuse)
-			}
-		}
-	}()
+	idle := heapInUse()
+	stop := make(chan struct{})
+	most := make(chan uint64)
+	go func() { most <- maxHeap(stop) }()
 	b.ResetTimer()
+	var wg sync.WaitGroup
 	for n := range connections {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := net.Dial("tcp", addr)
-			if err != nil {
+			if err := getLong(addr, n, (b.N+connections-1)/connections, pause); err != nil {
 				b.Error(err)
-				return
-			}
-			defer c.Close()
-			piece := make([]byte, 64<<10)
-			for i := range (b.N + connections - 1) / connections {
-				fmt.Fprintf(c, "mg long v O%d-%d Pc=read,d=900\r\n", n, i)
-				for left := len(fmt.Sprintf("VA %d O%d-%d\r\n", len(long), n, i)) + len(long) + 2; left > 0; {
-					k, err := c.Read(piece[:min(left, len(piece))])
-					if err != nil {
-						b.Error(err)
-						return
-					}
-					left -= k
-					time.Sleep(pause)
-				}
 			}
 		}()
 	}
 	wg.Wait()
 	b.StopTimer()
-	over <- true
-	b.ReportMetric(float64(max(most, idle)-idle)/(1<<20), "heap-MB")
+	close(stop)
+	b.ReportMetric(float64(max(<-most, idle)-idle)/(1<<20), "heap-MB")
 }
 
-// One request through a node by either protocol, and straight to a cache, in one run: what the node adds. Clients and caches are in the
-// same process, so allocations are of all three; the difference is the node's.
-func BenchmarkRequest(b *testing.B) {
-	var rows []map[string]any
-	for n := range 12 {
-		rows = append(rows, map[string]any{"instanceId": fmt.Sprint("c", n), "hostPort": echo(b), "lifecycle": "in_service", "zone": "z"})
+func heapInUse() uint64 {
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapInuse
+}
+
+// maxHeap returns the largest heap in use until stop is closed.
+func maxHeap(stop chan struct{}) (most uint64) {
+	for {
+		select {
+		case <-stop:
+			return most
+		case <-time.After(10 * time.Millisecond):
+			most = max(most, heapInUse())
+		}
+	}
+}
+
+// getLong gets a long value some times over one connection.
+func getLong(addr string, connection, times int, pause time.Duration) error {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return err
+	}
+	defer c.Close()
+	piece := make([]byte, 64<<10)
+	for i := range times {
+		fmt.Fprintf(c, "mg long v O%d-%d Pc=read,d=900\r\n", connection, i)
+		head := fmt.Sprintf("VA %d O%d-%d\r\n", len(longValue), connection, i)
+		for left := len(head) + len(longValue) + len("\r\n"); left > 0; {
+			n, err := c.Read(piece[:min(left, len(piece))])
+			if err != nil {
+				return err
+			}
+			left -= n
+			time.Sleep(pause)
+		}
 	}
-	over := make(chan bool)
-	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery != "" {
+	return nil
+}
+
+const benchListeners = "[[listener]]\nlisten='127.0.0.1:0'\nprotocol='http'\n" +
+	"[[listener.route]]\npath='/p/'\nmethods=['GET']\ngrade='read'\n"
+
+// benchConfig has one argument, the address of discovery.
+const benchConfig = `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
+"service_grades":[{"name":"read","effect":"idempotent","benefit":1,"soft_limit_s":0.5,"hard_stop_s":1}],
+"zone":"z","n_instances":1,"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15},
+"family_info":{"mode":"through"}}}`
+
+// startDiscovery starts a discovery with one list, which never changes.
+func startDiscovery(b *testing.B, caches []string) string {
+	var entries []map[string]any
+	for n, addr := range caches {
+		entries = append(entries, map[string]any{
+			"instanceId": fmt.Sprint("c", n), "hostPort": addr, "lifecycle": "in_service", "zone": "z",
+		})
+	}
+	stop := make(chan struct{})
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.RawQuery != "" { // a poll for changes
 			select {
-			case <-over:
+			case <-stop:
 			case <-r.Context().Done():
 			}
 			return
 		}
-		json.NewEncoder(w).Encode(map[string]any{"generation": 1, "reset": true, "instances": rows})
+		json.NewEncoder(w).Encode(map[string]any{"generation": 1, "reset": true, "instances": entries})
 	}))
-	b.Cleanup(func() { close(over); list.Close() })
-	p, err := node.ParseConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
-"service_grades":[{"name":"read","effect":"idempotent","benefit":1,"soft_limit_s":0.5,"hard_stop_s":1}],"zone":"z","n_instances":1,
-"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15},"family_info":{"mode":"through"}}}`, list.Listener.Addr()))
+	b.Cleanup(func() {
+		close(stop)
+		server.Close()
+	})
+	return server.Listener.Addr().String()
+}
+
+// startNode starts a node with a listener for HTTP, and waits until it serves.
+func startNode(b *testing.B, discovery string) *node.Node {
+	config, err := node.ParseConfig(fmt.Appendf(nil, benchConfig, discovery))
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := p.ParseListeners("o", []byte("[[listener]]\nlisten='127.0.0.1:0'\nprotocol='http'\n[[listener.route]]\npath='/p/'\nmethods=['GET']\ngrade='read'\n")); err != nil {
+	if err := config.ParseListeners("o", []byte(benchListeners)); err != nil {
 		b.Fatal(err)
 	}
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	n, err := node.New(p, quiet)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	n, err := node.New(config, log)
 	if err != nil {
 		b.Fatal(err)
 	}
-	done := make(chan bool)
-	go func() { n.Serve(); close(done) }()
-	b.Cleanup(func() { n.Shutdown(); <-done })
+	done := make(chan struct{})
+	go func() {
+		n.Serve()
+		close(done)
+	}()
+	b.Cleanup(func() {
+		n.Shutdown()
+		<-done
+	})
 	for n.Phase() != node.Serving {
 		time.Sleep(time.Millisecond)
 	}
-	for name, addr := range map[string]string{"straight": rows[0]["hostPort"].(string), "node": n.Addr()} {
-		b.Run("long-"+name, func(b *testing.B) { askLong(b, addr, 32, 0) })
-		b.Run("long-slow-"+name, func(b *testing.B) { askLong(b, addr, 32, 5*time.Millisecond) })
+	return n
+}
+
+// One request through a node by either protocol, and straight to a cache, in one run: what the node adds. Clients and
+// caches are in the same process, so that allocations are of all three; the difference is the node's.
+func BenchmarkRequest(b *testing.B) {
+	var caches []string
+	for range 12 {
+		caches = append(caches, startEchoCache(b))
+	}
+	n := startNode(b, startDiscovery(b, caches))
+	for name, addr := range map[string]string{"straight": caches[0], "node": n.Addr()} {
+		b.Run("long-"+name, func(b *testing.B) { benchmarkLongGets(b, addr, 32, 0) })
+		b.Run("long-slow-"+name, func(b *testing.B) { benchmarkLongGets(b, addr, 32, 5*time.Millisecond) })
 	}
 	for _, connections := range []int{1, 64} {
-		for name, addr := range map[string]string{"straight": rows[0]["hostPort"].(string), "node": n.Addr(), "http": n.ListenerAddr(0)} {
+		run := func(name, addr string, get getter) {
 			b.Run(fmt.Sprintf("%s-%d", name, connections), func(b *testing.B) {
-				b.ReportAllocs()
-				ask(b, addr, connections, name == "http")
+				benchmarkGets(b, addr, connections, get)
 			})
 		}
+		run("straight", caches[0], getByMeta)
+		run("node", n.Addr(), getByMeta)
+		run("http", n.ListenerAddr(0), getByHTTP)
 	}
 }
--- a/node/changelog_test.go
+++ b/node/changelog_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"io"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -19,108 +19,151 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// control is a control machine on its own.
-func control(t *testing.T) controlclient.Client {
-	f := fleetconfig.DefaultControl()
-	f.Control = fleetconfig.Control{ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir()}
-	f.Machines, f.Bounds.ElectMs = []fleetconfig.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}, 200
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	m, err := controlserver.Open(controlserver.Config{File: &f, New: true, Log: quiet, Now: gossip.BootTime})
+// startControlServer starts a control machine on its own, and returns a client of it.
+func startControlServer(t *testing.T) controlclient.Client {
+	t.Helper()
+	file := fleetconfig.DefaultControl()
+	file.Control = fleetconfig.Control{
+		ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir(),
+	}
+	file.Machines = []fleetconfig.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}
+	file.Bounds.ElectMs = 200
+	server, err := controlserver.Open(controlserver.Config{
+		File: &file, New: true, Log: silentLog(), Now: gossip.BootTime,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(m.Close)
-	return controlclient.Client{Servers: []string{m.Addr()}, Label: "l"}
+	t.Cleanup(server.Close)
+	return controlclient.Client{Servers: []string{server.Addr()}, Label: "l"}
 }
 
-func published(t *testing.T, c controlclient.Client, all ...replicatedlog.Proposal) {
+func publish(t *testing.T, c controlclient.Client, proposals ...replicatedlog.Proposal) {
 	t.Helper()
-	ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
-	defer done()
-	if _, err := c.Publish(ctx, all); err != nil {
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	if _, err := c.Publish(ctx, proposals); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// safe is written to by several.
-type safe struct {
-	mu sync.Mutex
-	to *strings.Builder
+func purgeOf(key string) replicatedlog.Proposal {
+	return controlclient.NewProposal(replicatedlog.Purge, []byte(key))
 }
 
-func (s *safe) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.to.Write(b)
+func configOf(text string) replicatedlog.Proposal {
+	return controlclient.NewProposal(replicatedlog.Config, []byte(text))
 }
 
-// A published configuration is taken as one that is read again, keeps each node's own, and one that can't be used changes nothing; purges
-// reach the hook. Operators see it; who follows nothing has no word of it.
-func TestANodeFollowsTheLogOfChanges(t *testing.T) {
-	at := control(t)
-	published(t, at, controlclient.NewProposal(replicatedlog.Purge, []byte("before it began")))
-	text := strings.Replace(posting, `"sockets":100`, `"sockets":200`, 1)
-	start := func(followed string) (*Node, *strings.Builder, func()) {
-		p, err := ParseConfig([]byte(text))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := p.ParseFleet("f", []byte("[fleet]\nlabel='l'\nlisten='127.0.0.1:0'\nadvertise='127.0.0.1:9'\n"+followed)); err != nil {
-			t.Fatal(err)
-		}
-		purged := make(chan string, 9)
-		p.OnPurge = func(index uint64, key string) { purged <- fmt.Sprint(index, key) }
-		log, said := logrus.New(), &strings.Builder{}
-		log.SetOutput(&safe{to: said})
-		n, err := New(p, log)
-		if err != nil {
-			t.Fatal(err)
-		}
-		done := make(chan bool)
-		go func() { n.Serve(); close(done) }()
-		return n, said, func() {
-			n.Shutdown()
-			<-done
-			close(purged)
-			for k := range purged {
-				said.WriteString(k + ";")
-			}
-		}
+// lockedBuffer may be written to by several goroutines.
+type lockedBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (b *lockedBuffer) Write(text []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(text)
+}
+
+// fleetNode is a node that runs in a fleet of its own.
+type fleetNode struct {
+	*Node
+	log    lockedBuffer
+	purges chan string // index and key of each
+	done   chan struct{}
+}
+
+// startFleetNode starts a node; changes is the section of the fleet's file on the log of changes, or empty.
+func startFleetNode(t *testing.T, configText, changes string) *fleetNode {
+	t.Helper()
+	config, err := ParseConfig([]byte(configText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const fleet = "[fleet]\nlabel='l'\nlisten='127.0.0.1:0'\nadvertise='127.0.0.1:9'\n"
+	if err := config.ParseFleet("f", []byte(fleet+changes)); err != nil {
+		t.Fatal(err)
+	}
+	f := &fleetNode{purges: make(chan string, 9), done: make(chan struct{})}
+	config.OnPurge = func(index uint64, key string) { f.purges <- fmt.Sprint(index, key) }
+	log := logrus.New()
+	log.SetOutput(&f.log)
+	if f.Node, err = New(config, log); err != nil {
+		t.Fatal(err)
 	}
-	n, said, end := start(fmt.Sprintf("[changes]\nat=['%s']\n", at.Servers[0]))
-	status := func() *logfollower.Status {
-		s, _ := fleetView{n}.FleetStatus()
-		return s.(FleetStatus).Changes
+	go func() {
+		f.Serve()
+		close(f.done)
+	}()
+	return f
+}
+
+// stop ends the node, and returns its log and its purges.
+func (f *fleetNode) stop() (log string, purges []string) {
+	f.Shutdown()
+	<-f.done
+	close(f.purges)
+	for purge := range f.purges {
+		purges = append(purges, purge)
 	}
-	until := func(what string, is func(s *logfollower.Status) bool) {
-		t.Helper()
-		for by := time.Now().Add(10 * time.Second); !is(status()); time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(by) {
-				t.Fatalf("never %s: %+v", what, status())
-			}
+	return f.log.text.String(), purges
+}
+
+func (f *fleetNode) followerStatus() *logfollower.Status {
+	status, _ := fleetView{f.Node}.FleetStatus()
+	return status.(FleetStatus).Changes
+}
+
+// waitUntil waits until the follower's status has changed as it must.
+func (f *fleetNode) waitUntil(t *testing.T, what string, holds func(*logfollower.Status) bool) {
+	t.Helper()
+	deadline := time.Now().Add(10 * time.Second)
+	for !holds(f.followerStatus()) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never %s: %+v", what, f.followerStatus())
 		}
+		time.Sleep(5 * time.Millisecond)
 	}
-	until("began", func(s *logfollower.Status) bool { return s.PresumedPurged == 1 })
-	published(t, at, controlclient.NewProposal(replicatedlog.Purge, []byte("k")), controlclient.NewProposal(replicatedlog.Config, []byte(strings.Replace(text, `"n"`, `"all"`, 1))))
-	until("took a configuration", func(s *logfollower.Status) bool { return s.Config == 3 && s.Applied == 3 })
-	published(t, at, controlclient.NewProposal(replicatedlog.Config, []byte("no configuration")), controlclient.NewProposal(replicatedlog.Purge, []byte("l")))
-	until("refused one", func(s *logfollower.Status) bool {
+}
+
+// A published configuration is taken as one that was read again, and keeps what is each node's own; one that cannot be
+// used changes nothing. Purges are reported, and operators see how far the node has come.
+func TestNodeFollowsTheLogOfChanges(t *testing.T) {
+	client := startControlServer(t)
+	publish(t, client, purgeOf("before it began"))
+	text := strings.Replace(testConfig, `"sockets":100`, `"sockets":200`, 1)
+	n := startFleetNode(t, text, fmt.Sprintf("[changes]\nat=['%s']\n", client.Servers[0]))
+	n.waitUntil(t, "began", func(s *logfollower.Status) bool { return s.PresumedPurged == 1 })
+
+	publish(t, client, purgeOf("k"), configOf(strings.Replace(text, `"n"`, `"all"`, 1)))
+	n.waitUntil(t, "took a configuration", func(s *logfollower.Status) bool { return s.Config == 3 && s.Applied == 3 })
+
+	publish(t, client, configOf("no configuration"), purgeOf("l"))
+	n.waitUntil(t, "refused one", func(s *logfollower.Status) bool {
 		return s.Refused == 4 && s.Config == 3 && s.Reason != "" && s.Applied == 5
 	})
-	if s := status(); s.Purges != 2 || s.Stale || s.Gaps != 0 {
+	if s := n.followerStatus(); s.Purges != 2 || s.Stale || s.Gaps != 0 {
 		t.Errorf("%+v", s)
 	}
-	if end(); !strings.HasSuffix(said.String(), "2k;5l;") || strings.Contains(said.String(), "differs") || !strings.Contains(said.String(), "configuration read again") {
-		t.Errorf("purges, at the end, and what is each node's own: %s", said)
+	log, purges := n.stop()
+	if !slices.Equal(purges, []string{"2k", "5l"}) {
+		t.Errorf("purges %q", purges)
+	}
+	if strings.Contains(log, "differs") || !strings.Contains(log, "configuration read again") {
+		t.Errorf("what is each node's own: %s", log)
 	}
-	n, _, end = start("")
-	if s, _ := (fleetView{n}).FleetStatus(); n.follower.Load() != nil {
-		t.Errorf("a node without control machines: %+v", s)
+}
+
+func TestNodeWithoutControlMachinesFollowsNothing(t *testing.T) {
+	n := startFleetNode(t, strings.Replace(testConfig, `"sockets":100`, `"sockets":200`, 1), "")
+	defer n.stop()
+	if n.follower.Load() != nil {
+		t.Error("it follows a log of changes")
 	}
-	s, _ := (fleetView{n}).FleetStatus()
-	if _, alone := s.(gossip.Status); !alone {
-		t.Errorf("its status: %T", s)
+	status, _ := fleetView{n.Node}.FleetStatus()
+	if _, ok := status.(gossip.Status); !ok {
+		t.Errorf("its status is %T", status)
 	}
-	end()
 }
