--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -76,7 +76,9 @@
 			far += report.Servers[i].Legs
 		}
 		if (far == 0) != (m.dir != "") || report.Classes[0].Asked == 0 || !report.Good() {
-			t.Errorf("%+v: %d legs crossed, %+v", m, far, report.Classes)
+			var text strings.Builder
+			report.Print(&text)
+			t.Errorf("migrated: %v, %d attempts crossed zones\n%s", m.dir != "", far, &text)
 		}
 	}
 }
