--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -53,8 +53,9 @@
 //     dispatcher is not reentrant.
 //   - A connection to an endpoint carries one thing at a time. Whatever comes on one that was not asked for closes
 //     it, so that no response is taken for another request's.
-//   - The loop never waits: not for a socket, a file, another goroutine or a callback. The one exception is
-//     awaitEndpointList, which after a stall waits for at most maxListReadChecks looks at the list's connection.
+//   - The loop never waits for a socket, a file or another goroutine. Two things hold it up: awaitEndpointList, which
+//     after a stall looks at most maxListReadChecks times whether the list has been read, and the callbacks of Config,
+//     which must not block.
 //   - What a client or an endpoint sends takes only a part of the memory; the constants that end in Share state
 //     which.
 package proxy
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -181,7 +181,7 @@
 
 // sweepClients closes connections on which nothing was sent, or a command has not come complete, in time, and those
 // that have been idle for long. Some clients ask once and keep their connection: of the idle ones only so many are
-// kept, those that came back rather than those that did not, then those used last.
+// kept, those whose clients sent more than one command, then those used last.
 func (p *Proxy) sweepClients() {
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
@@ -298,7 +298,7 @@
 	for i := range client.pipeline {
 		slot := &client.pipeline[i]
 		p.inflight.bufferedBytes -= slot.size()
-		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // nobody is left to read the rest
+		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // its only reader has gone
 			p.inflight.pending--
 			p.metrics.counters.ClientsGone++
 			p.dropConn(conn)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,10 +20,10 @@
 // they come from operators and from a takeover, a few at a time.
 const maxQueuedCommands = 16
 
-// Proxy is one node. Its parts hold the state, each of one concern; the methods of Proxy are the event loop, which is
-// the only writer of all of them but config's callbacks and what its parts' comments except.
+// Proxy is one node. Each of its parts holds the state of one concern. The methods of Proxy are the event loop, which
+// is the only one that reads and writes that state; what other goroutines may touch says so.
 type Proxy struct {
-	config     Config
+	config     Config // Discovery, Memory and LastEndpoints change while the node runs
 	clock      clock
 	engine     *sockets.Engine
 	dispatcher *dispatch.Dispatcher
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -123,7 +123,7 @@
 	return by, rules.Idempotency != policy.Idempotent || by.Since(at) < rules.LatencyObjective
 }
 
-// cannotAccept reports whether the node has no room for another request of a client, or accepts none.
+// cannotAccept reports whether the node lacks capacity for another request of a client, or accepts none.
 func (p *Proxy) cannotAccept(client *clientConn) bool {
 	buffered := int64(p.inflight.bufferedBytes) + p.engine.Unsent()
 	return p.lifecycle.phase == Starting ||
--- a/internal/proxy/upstream_codec.go
+++ b/internal/proxy/upstream_codec.go
@@ -13,7 +13,7 @@
 	// identifiesRequest reports whether a response that serves a request says which request that is.
 	identifiesRequest() bool
 	// readResponse reads the response to a request. A size of 0 asks for more bytes, unless the response can't be read;
-	// wants is how many bytes it has in all, if that is known. ended tells that no more will come. Progress keeps what
+	// wants is how many bytes it has in all, if that is known. ended says that no more will come. Progress keeps what
 	// was found before of the same response.
 	readResponse(
 		b []byte, request *clientRequest, ended bool, progress *http1.Progress,
