--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -80,7 +80,7 @@
 // that event yet: it stands behind others, and the request may have waited long. Guards against attempts for nobody.
 func (p *Proxy) clientLeftUnnoticed(req *inflightRequest) bool {
 	client := p.downstream.conns.Get(req.client)
-	if req.answered || client == nil || !client.wire.Left() {
+	if req.answered || client == nil || !client.wire.PeerClosed() {
 		return false
 	}
 	p.deferCall(func() { // before the dispatcher gets the attempt's result, on which it would decide on another one
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -100,7 +100,7 @@
 		old := in.idleConns[0]
 		io.WriteString(c, "MN\r\n") // it can't be taken while this runs
 		for w := g.upstream.conns.Get(old).wire; ; {
-			if quiet, sure := w.Quiet(); sure && !quiet {
+			if quiet, sure := w.Idle(); sure && !quiet {
 				break
 			}
 		}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -62,7 +62,7 @@
 // clientConn is a connection that a client has opened to this node.
 type clientConn struct {
 	id              clientConnID
-	wire            *sockets.Wire
+	wire            *sockets.Conn
 	codec           downstreamCodec
 	buf             buffer.Buffer
 	progress        http1.Progress // in reading the command that comes in
@@ -86,8 +86,8 @@
 func (p *Proxy) onClientConnected(ev *sockets.Event) {
 	connectedAt := p.clock.instantOf(ev.At)
 	client := &clientConn{
-		wire:            ev.Wire,
-		codec:           p.downstream.codecs[ev.Wire.At],
+		wire:            ev.Conn,
+		codec:           p.downstream.codecs[ev.Conn.Listener],
 		lastUsedAt:      connectedAt,
 		incompleteSince: connectedAt,
 	}
@@ -103,7 +103,7 @@
 // tooManyClients reports whether clients hold descriptors that upstream connections need: half of them, or fewer while
 // few upstream connections are open.
 func (p *Proxy) tooManyClients() bool {
-	limit := p.engine.Most()
+	limit := p.engine.MaxClients()
 	leaveForUpstream := limit - p.maxUpstreamConns()
 	leaveSpare := limit - limit/spareDescriptorShare - p.upstream.conns.Len()
 	return p.downstream.conns.Len() > max(leaveForUpstream, leaveSpare)
@@ -186,7 +186,7 @@
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
 	p.publishMetrics()
-	p.engine.Ahead(p.config.Memory / readAheadShare / int64(1+p.upstream.conns.Len()))
+	p.engine.SetReadAhead(p.config.Memory / readAheadShare / int64(1+p.upstream.conns.Len()))
 	var idle []*clientConn
 	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
 		overdue := client.incompleteSince != 0 && now.Since(client.incompleteSince) >= commandTimeout
@@ -206,7 +206,7 @@
 		}
 	})
 	slices.SortFunc(idle, compareByUse(2))
-	excess := len(idle) - p.engine.Most()/idleClientShare
+	excess := len(idle) - p.engine.MaxClients()/idleClientShare
 	for i, client := range idle {
 		if (i < excess || now.Since(client.lastUsedAt) >= clientIdleTimeout) && p.closeIfQuiet(client) {
 			p.metrics.counters.IdleClosed++
@@ -273,7 +273,7 @@
 // closeIfQuiet closes a connection between commands, and reports whether it did. Guards against closing one whose next
 // command has come to the socket but not to the loop: it would be lost.
 func (p *Proxy) closeIfQuiet(client *clientConn) bool {
-	if !client.wire.CloseIfQuiet() {
+	if !client.wire.CloseIfIdle() {
 		return false
 	}
 	p.forgetClient(client)
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -72,7 +72,7 @@
 		once = append(once, r)
 	}
 	g.waitUntil("few are left", func(n metrics.Counters) bool {
-		return int(n.IdleClosed) >= 31-g.engine.Most()/idleClientShare
+		return int(n.IdleClosed) >= 31-g.engine.MaxClients()/idleClientShare
 	})
 	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("closed with: %v", err)
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -105,7 +105,7 @@
 	if !leaving || client.incompleteBytes > 0 || client.closing {
 		return
 	}
-	if quiet, _ := client.wire.Quiet(); quiet {
+	if quiet, _ := client.wire.Idle(); quiet {
 		slot.response, client.closing = client.codec.announceClose(slot.response)
 	}
 }
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -47,8 +47,8 @@
 		memory /= sharedLimitDivisor
 	}
 	p.config.Memory = memory
-	p.engine.Limit(descriptors)
-	for p.engine.Over() && p.freeDescriptor() {
+	p.engine.SetDescriptorLimit(descriptors)
+	for p.engine.OverLimit() && p.freeDescriptor() {
 		p.runDeferred()
 	}
 	if p.config.OnSharedLimits != nil {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -51,7 +51,7 @@
 // upstreamConn is a connection from this node to an endpoint or to discovery. It serves one purpose at a time.
 type upstreamConn struct {
 	id       upstreamConnID
-	wire     *sockets.Wire  // nil until it is up
+	wire     *sockets.Conn  // nil until it is up
 	endpoint *knownEndpoint // nil for discovery
 	purpose  connPurpose
 	attempt  attemptRef      // of purposeAttempt
@@ -91,7 +91,7 @@
 func (p *Proxy) idleTimeout() time.Duration { return p.upstream.idleTimeout.Current(p.now()) }
 
 // maxUpstreamConns is the number of upstream connections above which one is opened only in place of an idle one.
-func (p *Proxy) maxUpstreamConns() int { return p.engine.Most() / upstreamShare }
+func (p *Proxy) maxUpstreamConns() int { return p.engine.MaxClients() / upstreamShare }
 
 // acquireConn returns the idle connection to an endpoint that was used last, or dials a new one; that has no wire
 // yet. With strict set, it returns none on which an unattributed response came within duplicateResponseWindow. Guards
@@ -103,7 +103,7 @@
 		if strict && conn.unattributedAt != 0 && p.now().Since(conn.unattributedAt) < duplicateResponseWindow {
 			continue
 		}
-		quiet, sure := conn.wire.Quiet()
+		quiet, sure := conn.wire.Idle()
 		if !quiet && sure { // more than the last response has come, or the end: none of it is the next one's
 			p.metrics.counters.ProtocolErrors++
 			p.dropConn(conn)
@@ -154,18 +154,18 @@
 
 // onDialResult handles a connection that has come up, or failed to.
 func (p *Proxy) onDialResult(ev *sockets.Event) {
-	conn := p.upstream.conns.Get(upstreamConnID(ev.Dial))
-	if ev.What == sockets.Refused {
+	conn := p.upstream.conns.Get(upstreamConnID(ev.DialID))
+	if ev.Kind == sockets.Refused {
 		if conn != nil {
 			p.onDialFailed(conn, ev.Local)
 		}
 		return
 	}
 	if conn == nil {
-		ev.Wire.Close()
+		ev.Conn.Close()
 		return
 	}
-	conn.wire = ev.Wire
+	conn.wire = ev.Conn
 	conn.deadline = 0
 	conn.lastUsedAt = p.now()
 	p.startPurpose(conn)
