--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -55,7 +55,7 @@
 	conn.attempt = ref
 	req.attempts[ref.index].conn = conn.id
 	p.schedule(deadline, timerEvent{kind: timerAttemptDeadline, attempt: ref})
-	if conn.wire != nil {
+	if conn.socket != nil {
 		p.writeAttempt(conn, req, ref.index)
 	}
 }
@@ -80,7 +80,7 @@
 // that event yet: it stands behind others, and the request may have waited long. Guards against attempts for nobody.
 func (p *Proxy) clientLeftUnnoticed(req *inflightRequest) bool {
 	client := p.downstream.conns.Get(req.client)
-	if req.answered || client == nil || !client.wire.PeerClosed() {
+	if req.answered || client == nil || !client.socket.PeerClosed() {
 		return false
 	}
 	p.deferCall(func() { // before the dispatcher gets the attempt's result, on which it would decide on another one
@@ -97,11 +97,11 @@
 	timeoutMs := max(1, int64(attempt.deadline.Since(p.now())/time.Millisecond))
 	req.anyWritten = true
 	message := conn.endpoint.codec.encodeRequest(&req.parsed, conn.endpoint.addr, timeoutMs)
-	if conn.wire.Write(message) != nil {
+	if conn.socket.Write(message) != nil {
 		p.failConn(conn, policy.ConnectFailed)
 		return
 	}
-	if conn.wire.Unsent() > 0 {
+	if conn.socket.Unsent() > 0 {
 		attempt.partlyWritten = true
 		return
 	}
@@ -123,7 +123,7 @@
 // after nobody waits for it any more.
 func (p *Proxy) isPartlyWritten(req *inflightRequest, index int) bool {
 	conn := p.upstream.conns.Get(req.attempts[index].conn)
-	return req.attempts[index].inFlight && conn != nil && conn.wire != nil && conn.wire.Unsent() > 0
+	return req.attempts[index].inFlight && conn != nil && conn.socket != nil && conn.socket.Unsent() > 0
 }
 
 func (p *Proxy) onAttemptDeadline(ref attemptRef) {
@@ -137,7 +137,7 @@
 // out, and the result says so.
 func (p *Proxy) abandonAttempt(req *inflightRequest, index int, result policy.Result) {
 	conn := p.upstream.conns.Get(req.attempts[index].conn)
-	if conn != nil && (conn.wire == nil || p.dropConn(conn) > 0) {
+	if conn != nil && (conn.socket == nil || p.dropConn(conn) > 0) {
 		conn.purpose = purposeIdle
 		if result == policy.TimedOut {
 			result = policy.ConnectFailed
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -99,7 +99,7 @@
 		in := g.endpoints.byID["c"]
 		old := in.idleConns[0]
 		io.WriteString(c, "MN\r\n") // it can't be taken while this runs
-		for w := g.upstream.conns.Get(old).wire; ; {
+		for w := g.upstream.conns.Get(old).socket; ; {
 			if quiet, sure := w.Idle(); sure && !quiet {
 				break
 			}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -12,7 +12,7 @@
 )
 
 // Config is what a node runs with. It has many fields because each is a setting or a callback of the process that runs
-// the node; nothing else is kept here. The callbacks are called within the event loop and must not block.
+// the node; nothing else is kept here. The callbacks are called by New and by the event loop, and must not block.
 type Config struct {
 	// Listen is the address of the first listener, which speaks meta commands.
 	Listen string
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -62,7 +62,7 @@
 // clientConn is a connection that a client has opened to this node.
 type clientConn struct {
 	id              clientConnID
-	wire            *sockets.Conn
+	socket          *sockets.Conn
 	codec           downstreamCodec
 	buf             buffer.Buffer
 	progress        http1.Progress // in reading the command that comes in
@@ -80,19 +80,19 @@
 
 // isIdle reports whether nothing is in flight on the connection, in either direction.
 func (c *clientConn) isIdle() bool {
-	return len(c.pipeline) == 0 && len(c.buf.Unread()) == 0 && c.wire.Unsent() == 0
+	return len(c.pipeline) == 0 && len(c.buf.Unread()) == 0 && c.socket.Unsent() == 0
 }
 
 func (p *Proxy) onClientConnected(ev *sockets.Event) {
 	connectedAt := p.clock.instantOf(ev.At)
 	client := &clientConn{
-		wire:            ev.Conn,
+		socket:          ev.Conn,
 		codec:           p.downstream.codecs[ev.Conn.Listener],
 		lastUsedAt:      connectedAt,
 		incompleteSince: connectedAt,
 	}
 	client.id = p.downstream.conns.Add(client)
-	client.wire.Tag = uint64(client.id)
+	client.socket.Tag = uint64(client.id)
 	p.metrics.counters.Clients++
 	p.downstream.lastConnectedAt = connectedAt
 	if p.tooManyClients() {
@@ -263,7 +263,7 @@
 		return
 	}
 	now := p.now()
-	if client.wire.Unsent() == 0 || now >= client.flushDeadline {
+	if client.socket.Unsent() == 0 || now >= client.flushDeadline {
 		p.closeClient(client)
 		return
 	}
@@ -273,7 +273,7 @@
 // closeIfQuiet closes a connection between commands, and reports whether it did. Guards against closing one whose next
 // command has come to the socket but not to the loop: it would be lost.
 func (p *Proxy) closeIfQuiet(client *clientConn) bool {
-	if !client.wire.CloseIfIdle() {
+	if !client.socket.CloseIfIdle() {
 		return false
 	}
 	p.forgetClient(client)
@@ -281,7 +281,7 @@
 }
 
 func (p *Proxy) closeClient(client *clientConn) {
-	client.wire.Close()
+	client.socket.Close()
 	p.forgetClient(client)
 }
 
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -185,10 +185,12 @@
 // flagsOf writes the flags that are passed on with a request, in the form of meta commands. The upstream codec puts the
 // time that is left in place of the deadline's 0.
 func flagsOf(request *clientRequest, idempotencyKey string) []byte {
-	flags := []byte("v O")
-	if request.write {
-		flags = flags[len("v "):]
+	size := len("v O Pc=,d=0,t=,k=") + len(request.id) + len(request.class) + len(request.tenant) + len(idempotencyKey)
+	flags := make([]byte, 0, size)
+	if !request.write {
+		flags = append(flags, "v "...)
 	}
+	flags = append(flags, 'O')
 	flags = append(flags, request.id...)
 	flags = append(flags, " Pc="...)
 	flags = append(flags, request.class...)
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -68,7 +68,7 @@
 		path = append(path, "&timeout_ms="...)
 		path = strconv.AppendInt(path, holdBackMs, 10)
 	}
-	if conn.wire.Write(http1.AppendRequest(nil, "GET", path, p.config.Discovery, nil, nil)) != nil {
+	if conn.socket.Write(http1.AppendRequest(nil, "GET", path, p.config.Discovery, nil, nil)) != nil {
 		p.failConn(conn, policy.ConnectFailed)
 	}
 }
--- a/internal/proxy/health_checks.go
+++ b/internal/proxy/health_checks.go
@@ -14,7 +14,7 @@
 		p.reportHealthCheck(id, policy.ConnectFailed)
 		return
 	}
-	if conn.wire != nil {
+	if conn.socket != nil {
 		p.writeHealthCheck(conn)
 	}
 }
@@ -22,7 +22,7 @@
 func (p *Proxy) writeHealthCheck(conn *upstreamConn) {
 	conn.deadline = p.now().Add(p.connectTimeout())
 	p.schedule(conn.deadline, timerEvent{kind: timerUpstreamConn, conn: conn.id})
-	if conn.wire.Write(conn.endpoint.codec.healthCheck(conn.endpoint.addr)) != nil {
+	if conn.socket.Write(conn.endpoint.codec.healthCheck(conn.endpoint.addr)) != nil {
 		p.failConn(conn, policy.ConnectFailed)
 	}
 }
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -43,7 +43,7 @@
 		client.advance(count)
 		client.lastUsedAt = p.now()
 		for _, piece := range append(pieces, last) {
-			if len(piece) > 0 && client.wire.Write(piece) != nil {
+			if len(piece) > 0 && client.socket.Write(piece) != nil {
 				p.onClientClosed(client.id)
 				return
 			}
@@ -105,7 +105,7 @@
 	if !leaving || client.incompleteBytes > 0 || client.closing {
 		return
 	}
-	if quiet, _ := client.wire.Idle(); quiet {
+	if quiet, _ := client.socket.Idle(); quiet {
 		slot.response, client.closing = client.codec.announceClose(slot.response)
 	}
 }
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -89,16 +89,16 @@
 		p.dropConn(conn)
 		return
 	}
-	if stream.isFirstOf(client) && client.wire.Unsent() <= streamWindow {
+	if stream.isFirstOf(client) && client.socket.Unsent() <= streamWindow {
 		used, more := p.writeStream(conn, client, conn.input.buf.Unread())
 		if !more {
 			return
 		}
 		conn.input.buf.Consume(used)
 	}
-	mustPause := !stream.isFirstOf(client) || client.wire.Unsent() > streamWindow
+	mustPause := !stream.isFirstOf(client) || client.socket.Unsent() > streamWindow
 	p.setPaused(conn, mustPause)
-	unsent := client.wire.Unsent()
+	unsent := client.socket.Unsent()
 	if !mustPause || !stream.isFirstOf(client) || unsent != stream.unsent {
 		stream.unsent = unsent
 		stream.lastReadAt = p.now()
@@ -115,9 +115,9 @@
 func (p *Proxy) setPaused(conn *upstreamConn, paused bool) {
 	stream := conn.stream
 	if stream.paused && !paused {
-		conn.wire.Resume()
+		conn.socket.Resume()
 	} else if paused && !stream.paused {
-		conn.wire.Hold()
+		conn.socket.Hold()
 	}
 	stream.paused = paused
 	if paused {
@@ -165,14 +165,14 @@
 	if !stream.started && !p.writeStreamHead(stream, client) {
 		return 0, false
 	}
-	for stream.remaining > 0 && len(data) > used && client.wire.Unsent() <= streamWindow {
+	for stream.remaining > 0 && len(data) > used && client.socket.Unsent() <= streamWindow {
 		piece := data[used:]
 		piece = piece[:min(len(piece), stream.remaining, streamWindow)]
 		stream.remaining -= len(piece)
 		used += len(piece)
 		client.lastUsedAt = p.now()
 		stream.lastByteAt = p.now()
-		if client.wire.Write(piece) != nil { // what the kernel does not take is copied
+		if client.socket.Write(piece) != nil { // what the kernel does not take is copied
 			p.onClientClosed(client.id)
 			return 0, false
 		}
@@ -194,7 +194,7 @@
 	head := slot.response
 	slot.response = nil
 	stream.started = true
-	if client.wire.Write(head) != nil {
+	if client.socket.Write(head) != nil {
 		p.onClientClosed(client.id)
 		return false
 	}
@@ -215,7 +215,7 @@
 		conn.unattributedAt = p.now()
 	}
 	if stream.paused {
-		conn.wire.Resume()
+		conn.socket.Resume()
 	}
 	conn.proven = true
 	switch {
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -79,10 +79,10 @@
 // decisions by a list that has been out of date for longer than the operators' grace.
 func (p *Proxy) awaitEndpointList() {
 	conn := p.upstream.conns.Get(p.endpoints.watch.conn)
-	if conn == nil || conn.wire == nil {
+	if conn == nil || conn.socket == nil {
 		return
 	}
-	for check := 0; check < maxListReadChecks && conn.wire.HasUnread(); check++ {
+	for check := 0; check < maxListReadChecks && conn.socket.HasUnread(); check++ {
 		time.Sleep(listReadCheckInterval)
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -51,7 +51,7 @@
 // upstreamConn is a connection from this node to an endpoint or to discovery. It serves one purpose at a time.
 type upstreamConn struct {
 	id       upstreamConnID
-	wire     *sockets.Conn  // nil until it is up
+	socket   *sockets.Conn  // nil until it is up
 	endpoint *knownEndpoint // nil for discovery
 	purpose  connPurpose
 	attempt  attemptRef      // of purposeAttempt
@@ -103,7 +103,7 @@
 		if strict && conn.unattributedAt != 0 && p.now().Since(conn.unattributedAt) < duplicateResponseWindow {
 			continue
 		}
-		quiet, sure := conn.wire.Idle()
+		quiet, sure := conn.socket.Idle()
 		if !quiet && sure { // more than the last response has come, or the end: none of it is the next one's
 			p.metrics.counters.ProtocolErrors++
 			p.dropConn(conn)
@@ -165,7 +165,7 @@
 		ev.Conn.Close()
 		return
 	}
-	conn.wire = ev.Conn
+	conn.socket = ev.Conn
 	conn.deadline = 0
 	conn.lastUsedAt = p.now()
 	p.startPurpose(conn)
@@ -204,7 +204,7 @@
 		return
 	}
 	p.upstream.conns.Each(func(_ upstreamConnID, other *upstreamConn) {
-		if other.endpoint != nil && other.purpose == purposeIdle && other.wire != nil {
+		if other.endpoint != nil && other.purpose == purposeIdle && other.socket != nil {
 			p.scheduleIdleCheck(other, other.lastUsedAt)
 		}
 	})
@@ -259,7 +259,7 @@
 	now := p.now()
 	if conn.deadline != 0 && now >= conn.deadline {
 		result := policy.ConnectFailed
-		if conn.wire != nil {
+		if conn.socket != nil {
 			result = policy.TimedOut
 		}
 		p.failConn(conn, result)
@@ -288,8 +288,8 @@
 	p.upstream.idle.remove(conn)
 	p.upstream.incompleteBytes -= conn.input.incompleteBytes
 	conn.input.incompleteBytes = 0
-	if conn.wire != nil {
-		unsent = conn.wire.Close()
+	if conn.socket != nil {
+		unsent = conn.socket.Close()
 	}
 	if conn.endpoint == nil {
 		return unsent
