--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -19,7 +19,8 @@
 	deferred []func()
 }
 
-// runInLoop has the event loop call f. It reports false, and f is never called, if the loop has ended.
+// runInLoop has the event loop call f. It reports false if the loop has ended. True does not promise that f is called:
+// the loop may end before it comes to it.
 func (p *Proxy) runInLoop(f func()) bool {
 	select {
 	case p.tasks.commands <- f:
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -105,7 +105,7 @@
 	if !leaving || client.incompleteBytes > 0 || client.closing {
 		return
 	}
-	if quiet, _ := client.socket.Idle(); quiet {
+	if idle, _ := client.socket.Idle(); idle {
 		slot.response, client.closing = client.codec.announceClose(slot.response)
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -103,12 +103,12 @@
 		if strict && conn.unattributedAt != 0 && p.now().Since(conn.unattributedAt) < duplicateResponseWindow {
 			continue
 		}
-		quiet, sure := conn.socket.Idle()
-		if !quiet && sure { // more than the last response has come, or the end: none of it is the next one's
+		idle, sure := conn.socket.Idle()
+		if !idle && sure { // more than the last response has come, or the end: none of it is the next one's
 			p.metrics.counters.ProtocolErrors++
 			p.dropConn(conn)
 		}
-		if !quiet {
+		if !idle {
 			continue
 		}
 		endpoint.idleConns = slices.Delete(endpoint.idleConns, i, i+1)
