--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -81,10 +81,12 @@
 			fmt.Fprint(to, c.asks+"\r\n")
 			g.waitUntil("it is taken", func(n metrics.Counters) bool { return n.Requests == 2 })
 			if c.attempts > 1 {
-				line, left := receive(t, g.cacheCommands), 0
-				_, told, _ := strings.Cut(line, "d=")
-				if fmt.Sscan(told, &left); left <= 0 || left > int(endsIn/time.Millisecond) {
-					t.Errorf("a cache is told %d ms in %q", left, line)
+				line := receive(t, g.cacheCommands)
+				_, stated, _ := strings.Cut(line, "d=")
+				timeoutMs := 0
+				fmt.Sscan(stated, &timeoutMs)
+				if timeoutMs <= 0 || timeoutMs > int(endsIn/time.Millisecond) {
+					t.Errorf("a cache is sent a deadline of %d ms in %q", timeoutMs, line)
 				}
 			}
 			for _, want := range []string{"SERVER_ERROR busy", c.want} {
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -23,7 +23,10 @@
 		t.Fatal(err)
 	}
 	g.loop.Add(1)
-	go func() { defer g.loop.Done(); r.Run() }()
+	go func() {
+		defer g.loop.Done()
+		r.Run()
+	}()
 	t.Cleanup(r.Shutdown)
 	if got := receive(t, g.listPolls); !strings.HasPrefix(got, endpointListPath+"?since=41&") {
 		t.Errorf("asked %q", got)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -266,6 +266,14 @@
 // helloValue is a cache's answer that serves the value "hello".
 func helloValue(line string) string { return "VA 5 " + idFlag(line) + " h1\r\nhello\r\n" }
 
+// blockAll answers as helloValue does, but only once the channel lets it.
+func blockAll(may chan bool) func(string) string {
+	return func(line string) string {
+		<-may
+		return helloValue(line)
+	}
+}
+
 // blockRequestA answers as helloValue does, but the request with the id a only once the channel lets it.
 func blockRequestA(may chan bool) func(string) string {
 	return func(line string) string {
--- a/internal/proxy/idle_conns_test.go
+++ b/internal/proxy/idle_conns_test.go
@@ -12,33 +12,35 @@
 	var q idleConnList
 	var plain []*upstreamConn
 	chance := keyhash.Source{Seed: 7}
-	links := make([]*upstreamConn, 20)
-	for i := range links {
-		links[i] = &upstreamConn{id: upstreamConnID(i + 1)}
+	conns := make([]*upstreamConn, 20)
+	for i := range conns {
+		conns[i] = &upstreamConn{id: upstreamConnID(i + 1)}
 	}
 	for range 2000 {
-		l := links[int(chance.Float64()*float64(len(links)))]
-		switch at := slices.Index(plain, l); {
+		conn := conns[int(chance.Float64()*float64(len(conns)))]
+		switch at := slices.Index(plain, conn); {
 		case chance.Float64() < 0.5:
-			if q.push(l); at < 0 {
-				plain = append(plain, l)
+			q.push(conn)
+			if at < 0 {
+				plain = append(plain, conn)
 			}
 		default:
-			if q.remove(l); at >= 0 {
+			q.remove(conn)
+			if at >= 0 {
 				plain = slices.Delete(plain, at, at+1)
 			}
 		}
-		var is []*upstreamConn
-		for l := q.oldest; l != nil; l = l.newer {
-			is = append(is, l)
+		var forward []*upstreamConn
+		for conn := q.oldest; conn != nil; conn = conn.newer {
+			forward = append(forward, conn)
 		}
-		var back []*upstreamConn
-		for l := q.newest; l != nil; l = l.older {
-			back = append(back, l)
+		var backward []*upstreamConn
+		for conn := q.newest; conn != nil; conn = conn.older {
+			backward = append(backward, conn)
 		}
-		slices.Reverse(back)
-		if !slices.Equal(is, plain) || !slices.Equal(back, plain) {
-			t.Fatalf("%d connections, %d backwards, want %d", len(is), len(back), len(plain))
+		slices.Reverse(backward)
+		if !slices.Equal(forward, plain) || !slices.Equal(backward, plain) {
+			t.Fatalf("%d connections, %d backwards, want %d", len(forward), len(backward), len(plain))
 		}
 	}
 }
--- a/internal/proxy/pipeline_test.go
+++ b/internal/proxy/pipeline_test.go
@@ -30,7 +30,7 @@
 // connection must be closed once maxPendingResponses wait, and still answer those.
 func TestAnswersQueuedBehindASlowRequestAreBounded(t *testing.T) {
 	hold := make(chan bool)
-	g := newHarness(t, 200, func(line string) string { <-hold; return helloValue(line) })
+	g := newHarness(t, 200, blockAll(hold))
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	receive(t, g.cacheCommands)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -55,7 +55,7 @@
 // connection.
 func TestRequestsAreRejectedNotDroppedWithoutDescriptors(t *testing.T) {
 	hold := make(chan bool)
-	g := newHarness(t, 64, func(line string) string { <-hold; return helloValue(line) })
+	g := newHarness(t, 64, blockAll(hold))
 	var rs []*bufio.Reader
 	for n := range 38 { // sixteen connections may be clients' before attempts want for theirs
 		c, r := g.client()
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -143,7 +143,8 @@
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(a.Body)
-		if a.Body.Close(); err != nil || string(got) != want || a.ContentLength != int64(len(want)) {
+		a.Body.Close()
+		if err != nil || string(got) != want || a.ContentLength != int64(len(want)) {
 			t.Errorf("%s: %d of %d bytes, %v", key, len(got), len(want), err)
 		}
 	}
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -25,8 +25,9 @@
 	g.waitUntil("they are cut off", func(n metrics.Counters) bool {
 		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.RejectedForRoom >= 2
 	})
-	coming := make(chan int, 1)
-	if g.runInLoop(func() { coming <- g.upstream.incompleteBytes }); <-coming > len(long) {
+	incomplete := make(chan int, 1)
+	g.runInLoop(func() { incomplete <- g.upstream.incompleteBytes })
+	if <-incomplete > len(long) {
 		t.Error("what is dropped is still counted")
 	}
 }
