--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -62,7 +62,7 @@
 // clientConn is a connection that a client has opened to this node.
 type clientConn struct {
 	id              clientConnID
-	wire            *sockets.Conn
+	socket          *sockets.Conn
 	codec           downstreamCodec
 	buf             buffer.Buffer
 	progress        http1.Progress // in reading the command that comes in
@@ -80,19 +80,19 @@
 
 // isIdle reports whether nothing is in flight on the connection, in either direction.
 func (c *clientConn) isIdle() bool {
-	return len(c.pipeline) == 0 && len(c.buf.Unread()) == 0 && c.wire.Unsent() == 0
+	return len(c.pipeline) == 0 && len(c.buf.Unread()) == 0 && c.socket.Unsent() == 0
 }
 
 func (p *Proxy) onClientConnected(ev *sockets.Event) {
 	connectedAt := p.clock.instantOf(ev.At)
 	client := &clientConn{
-		wire:            ev.Conn,
+		socket:          ev.Conn,
 		codec:           p.downstream.codecs[ev.Conn.Listener],
 		lastUsedAt:      connectedAt,
 		incompleteSince: connectedAt,
 	}
 	client.id = p.downstream.conns.Add(client)
-	client.wire.Tag = uint64(client.id)
+	client.socket.Tag = uint64(client.id)
 	p.metrics.counters.Clients++
 	p.downstream.lastConnectedAt = connectedAt
 	if p.tooManyClients() {
@@ -181,7 +181,7 @@
 
 // sweepClients closes connections on which nothing was sent, or a command has not come complete, in time, and those
 // that have been idle for long. Some clients ask once and keep their connection: of the idle ones only so many are
-// kept, those that came back rather than those that did not, then those used last.
+// kept, those whose clients sent more than one command, then those used last.
 func (p *Proxy) sweepClients() {
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
@@ -263,7 +263,7 @@
 		return
 	}
 	now := p.now()
-	if client.wire.Unsent() == 0 || now >= client.flushDeadline {
+	if client.socket.Unsent() == 0 || now >= client.flushDeadline {
 		p.closeClient(client)
 		return
 	}
@@ -273,7 +273,7 @@
 // closeIfQuiet closes a connection between commands, and reports whether it did. Guards against closing one whose next
 // command has come to the socket but not to the loop: it would be lost.
 func (p *Proxy) closeIfQuiet(client *clientConn) bool {
-	if !client.wire.CloseIfIdle() {
+	if !client.socket.CloseIfIdle() {
 		return false
 	}
 	p.forgetClient(client)
@@ -281,7 +281,7 @@
 }
 
 func (p *Proxy) closeClient(client *clientConn) {
-	client.wire.Close()
+	client.socket.Close()
 	p.forgetClient(client)
 }
 
@@ -298,7 +298,7 @@
 	for i := range client.pipeline {
 		slot := &client.pipeline[i]
 		p.inflight.bufferedBytes -= slot.size()
-		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // nobody is left to read the rest
+		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // its only reader has gone
 			p.inflight.pending--
 			p.metrics.counters.ClientsGone++
 			p.dropConn(conn)
