--- a/policy/admission.go
+++ b/policy/admission.go
@@ -26,13 +26,13 @@
 
 // admissionController sets what is offered to a scope's caches against what of it is useful.
 type admissionController struct {
-	offered float64 // requests shed, and attempts that ended in a way that tells of load
+	offered float64 // requests shed, and attempts that whose result depends on load
 	useful  float64 // of those, answered in time; late ones by Settings.LateShare
 }
 
 // admission decides which requests to shed before their first attempt. The failure it guards against is congestion
 // collapse: caches that are offered more than they can do spend their time on requests that miss their deadline.
-// Errors, broken connections and failed connects don't count, since they tell of a faulty endpoint or an old list:
+// Errors, broken connections and failed connects don't count, since they indicate a faulty endpoint or an old list:
 // counted, a few faulty caches would have most of the traffic shed.
 type admission struct {
 	settings    *Settings
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -28,7 +28,7 @@
 }
 
 // The shed preference must not change how much is admitted in all, however low some priorities are, or all requests are
-// shed for good. And all classes keep a chance, or nobody would see the end of a collapse.
+// shed for good. And all classes keep a chance, or the end of a collapse would go unnoticed.
 func TestSheddingAdmitsAsMuchAsTheCachesDo(t *testing.T) {
 	for _, useful := range []float64{36, 5} {
 		want := int(0.9 * 4000 * (maxOfferedPerUseful*useful/100 + trialShare))
@@ -69,7 +69,7 @@
 		atLeast, most int // admitted of the last 400
 	}{
 		{name: "answers lost on the way", overtaken: true, atLeast: 390, most: 400},
-		{name: "queues that nobody leaves in time", overtaken: false, atLeast: 10, most: 150},
+		{name: "queues too long for any answer in time", overtaken: false, atLeast: 10, most: 150},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			admitted := admittedWithLostAnswers(t, c.overtaken)
@@ -109,7 +109,7 @@
 }
 
 // Clients that wait a third of the latency objective, at an idle cache that takes about as long, had all others'
-// requests shed. An attempt that has had its objective, or more, tells as much as ever.
+// requests shed. An attempt that has had its objective, or more, counts in full.
 func TestShortTimeOutsCountForLittle(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -68,7 +68,7 @@
 	return router, r
 }
 
-// Observers are told the states of all endpoints ten times a second.
+// Observers are notified of the states of all endpoints ten times a second.
 func BenchmarkEndpointStates(b *testing.B) {
 	for _, n := range []int{200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -15,11 +15,11 @@
 type coalescer struct {
 	leaders map[uint64]*Request // by key hash
 	waiters []*Request
-	// cutoff is the demand, smoothed, for the most wanted key that waited in vain. It sheds keys that are worth less.
+	// cutoff is the demand, smoothed, for the most wanted key that was not served. It sheds keys that are worth less.
 	cutoff float64
 }
 
-// leads tells whether a request may go to the origin itself, since it has no other's fetch to wait for.
+// leads reports whether a request may go to the origin itself, since it has no other's fetch to wait for.
 func (c *coalescer) leads(r *Request) bool {
 	leader := c.leaders[r.facts.key]
 	return r.Write || leader == nil || leader == r || leader.Finished
@@ -30,12 +30,12 @@
 	c.leaders[r.facts.key] = r
 }
 
-// isLeader tells whether a request is the leader of its key.
+// isLeader reports whether a request is the leader of its key.
 func (c *coalescer) isLeader(r *Request) bool {
 	return c.leaders[r.facts.key] == r
 }
 
-// waits tells whether a request waits.
+// waits reports whether a request waits.
 func (c *coalescer) waits(r *Request) bool {
 	return slices.Contains(c.waiters, r)
 }
@@ -71,7 +71,7 @@
 
 // wake returns the waiters to route again: those whose value is cached by now, and as many others as the origin has
 // capacity for, those with the highest demand first and among them the oldest. It runs at each outcome, so it sorts
-// only if somebody can be woken by demand.
+// only if a waiter can be woken by demand.
 func (c *coalescer) wake(free int, demand *popularity) []RequestID {
 	c.waiters = slices.DeleteFunc(c.waiters, func(waiter *Request) bool {
 		return waiter.Finished || slices.ContainsFunc(waiter.Attempts, inFlight)
--- a/policy/coalescing_test.go
+++ b/policy/coalescing_test.go
@@ -32,18 +32,18 @@
 }
 
 // Waiters were sorted at each outcome of any request, which took 2 ms with 10,000 of them. They must be sorted only
-// when somebody can be woken, and then those with the highest demand come first.
+// when a waiter can be woken, and then those with the highest demand come first.
 func TestWaitersAreNotSortedWhileTheOriginHasNoCapacity(t *testing.T) {
 	router, r := newRouterWithWaiters(50)
 	before := slices.Clone(router.fetches.waiters)
 	decision := router.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms})
 	if len(decision.Wake) > 0 || !slices.Equal(before, router.fetches.waiters) {
-		t.Errorf("%d were woken, or all were sorted, while nobody can be woken", len(decision.Wake))
+		t.Errorf("%d were woken, or all were sorted, while none can be woken", len(decision.Wake))
 	}
 	router.endpoints.origin.load.inFlight = 0
 	decision = router.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms})
 	if len(decision.Wake) == 0 {
-		t.Fatal("nobody was woken though the origin has capacity")
+		t.Fatal("no waiter was woken though the origin has capacity")
 	}
 	waiters := router.fetches.waiters
 	first := slices.IndexFunc(waiters, func(waiter *Request) bool { return waiter.ID == decision.Wake[0] })
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -12,10 +12,10 @@
 //     Decision names it in Wake;
 //   - MayStart before it sends an attempt whose connection took time to open;
 //   - OnAttemptDone when an attempt has ended in any way, after it has closed the Attempt;
-//   - OnHealthCheck when a health check that it was told to make has ended;
+//   - OnHealthCheck when a health check that Tick requested has ended;
 //   - Tick at the intervals that Tick returns; it carries out the Actions.
 //
-// It carries out each Decision as it stands: it starts the attempts of SendTo and appends an Attempt for each, cancels
+// It carries out each Decision unchanged: it starts the attempts of SendTo and appends an Attempt for each, cancels
 // those of Cancel, and sends the Answer. A request is over once Finished is set and no attempt is in flight.
 //
 // # The way of a request
@@ -34,7 +34,7 @@
 //  5. send.go: all else goes to a cache. replicas.go lists the caches that hold the key and can take it; selection.go
 //     picks one by load, rank and faults; admission.go may shed the request instead.
 //
-// mayattempt.go has the last word on each attempt: what is safe to repeat, and which endpoints take attempts at all.
+// mayattempt.go checks each attempt: what is safe to repeat, and which endpoints take attempts at all.
 //
 // OnAttemptDone has learn (outcome.go) hand the outcome to each part, then decides on a retry and on whom to wake.
 //
@@ -74,7 +74,8 @@
 //
 // Tests hold every decision against a plain model of rules 1 to 3 (invariants_test.go).
 //
-// Decisions are reproducible: hashes over all decisions for recorded seeds stand in testdata/decisions.txt. They depend
-// on the order of draws of chance and on the order of operations on floating-point numbers, so a change of either shows
-// there. Some draws come before conditions that would be cheaper to check; they keep their place for that reason.
+// Decisions are reproducible: hashes over all decisions for recorded seeds are in testdata/decisions.txt. They depend
+// on the order of draws of chance and on the order of operations on floating-point numbers, so a change of either
+// changes them. Some draws come before conditions that would be cheaper to check; they keep their place for that
+// reason.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -15,8 +15,8 @@
 	health   observedHealth // written by outlierDetector
 	// pacedUntil is when the next attempt may start in slow start; 0 before the first. Written by slowStart.
 	pacedUntil Instant
-	// toldState is the state that observers were last told. Written by Router.EndpointStates.
-	toldState EndpointState
+	// notifiedState is the state of which observers were last notified. Written by Router.EndpointStates.
+	notifiedState EndpointState
 }
 
 // placementScope says which caches a placement covers.
@@ -41,7 +41,7 @@
 	byID     map[EndpointID]*upstream
 	caches   []*upstream // without the origin, by hash
 	origin   *upstream   // nil in read-through mode, and while the list has none
-	// zoneLocal tells whether the home zone has a placement of its own.
+	// zoneLocal reports whether the home zone has a placement of its own.
 	zoneLocal bool
 	// placements are those of homeZone and of allZones; nil until they are needed.
 	placements [2]*placement
@@ -69,7 +69,7 @@
 	}
 }
 
-// put adds or replaces an entry and tells whether the set of caches has changed.
+// put adds or replaces an entry and reports whether the set of caches has changed.
 func (l *endpointList) put(entry Endpoint) (setChanged bool) {
 	entry.StartedAt = cmp.Or(entry.StartedAt, Never)
 	entry.Weight = cmp.Or(max(entry.Weight, 0), 1)
--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// EndpointState is how a router sees an endpoint. Observers are told of it; no decision reads it.
+// EndpointState is how a router sees an endpoint. Observers are notified of it; no decision reads it.
 type EndpointState int
 
-// The states, of which the first that applies is told: the order of checks is that of Router.endpointState.
+// The states. The first that applies is reported: the order of checks is that of Router.endpointState.
 const (
 	StateInUse        EndpointState = iota
 	StateWarmingUp                  // it is in slow start
@@ -21,14 +21,14 @@
 	return [...]string{"in use", "warming", "crowded", "erring", "quiet", "refusing", "drains"}[s]
 }
 
-// EndpointStates calls observe for each cache whose state has changed since it was last told.
+// EndpointStates calls observe for each cache whose state has changed since observe was last called for it.
 func (router *Router) EndpointStates(now Instant, observe func(EndpointID, EndpointState)) {
 	queueing := router.latency.queueing() // once for all caches: this runs ten times a second over thousands
 	maxQueueing := float64(queueing.timeForQueue(router.settings.longestObjective()))
 	for _, u := range router.endpoints.caches {
 		state := router.endpointState(now, u, queueing, maxQueueing)
-		if u.toldState != state {
-			u.toldState = state
+		if u.notifiedState != state {
+			u.notifiedState = state
 			observe(u.ID, state)
 		}
 	}
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Operators read the states in the event log, by these names. Each change is told once.
-func TestObserversAreToldEachChangeOfStateOnce(t *testing.T) {
+// Operators read the states in the event log, by these names. Each change is reported once.
+func TestObserversAreNotifiedOfEachChangeOnce(t *testing.T) {
 	now := Instant(time.Minute)
 	for _, c := range []struct {
 		state EndpointState
@@ -37,17 +37,17 @@
 			h := newReadThroughHarness(t)
 			u := h.cache("cache-1")
 			c.cause(h, u)
-			var told []EndpointState
+			var notified []EndpointState
 			observe := func(id EndpointID, state EndpointState) {
 				if id != u.ID {
-					t.Errorf("%s is told to be %v", id, state)
+					t.Errorf("%s is reported as %v", id, state)
 				}
-				told = append(told, state)
+				notified = append(notified, state)
 			}
 			h.router.EndpointStates(now, observe)
 			h.router.EndpointStates(now, observe)
-			if len(told) != 1 || told[0] != c.state || told[0].String() != c.name {
-				t.Errorf("observers were told %v, want %v once", told, c.state)
+			if len(notified) != 1 || notified[0] != c.state || notified[0].String() != c.name {
+				t.Errorf("observers were notified of %v, want %v once", notified, c.state)
 			}
 		})
 	}
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -1,8 +1,8 @@
 package policy
 
 // fetch decides on a request bound for the origin: a write, or a read that missed. One read fetches a key while others
-// wait, and what finds no capacity waits too, unless it is worth less than others that wait in vain. A read whose value
-// another's fetch has brought goes to the cache that has it.
+// wait, and what finds no capacity waits too, unless it is worth less than others that are not served. A read whose
+// value another's fetch has brought goes to the cache that has it.
 func (router *Router) fetch(now Instant, r *Request) Decision {
 	cached := router.endpoints.byID[router.fetches.takeCachedAt(r)]
 	if cached != nil && router.mayAttempt(now, r, cached) {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -22,12 +22,12 @@
 	b.saved = min(maxSavedHedges, b.saved+hedgesPerRequest)
 }
 
-// allowsHedge tells whether a whole attempt is saved.
+// allowsHedge reports whether a whole attempt is saved.
 func (b *hedgeBudget) allowsHedge() bool {
 	return b.saved >= 1
 }
 
-// allowsRetry tells whether the budget isn't overdrawn.
+// allowsRetry reports whether the budget isn't overdrawn.
 func (b *hedgeBudget) allowsRetry() bool {
 	return b.saved >= 0
 }
@@ -76,8 +76,8 @@
 	return lost || router.settings.WasteCost <= late
 }
 
-// lost tells whether an attempt in flight is taken to be lost: its endpoint has left the list or is unresponsive. At
-// the origin, where one request's silence says nothing of others, it is by the time it takes; since another attempt
+// lost reports whether an attempt in flight is taken to be lost: its endpoint has left the list or is unresponsive. At
+// the origin, where one slow request says nothing of others, it is by the time it takes; since another attempt
 // there follows, the hedge budget must allow it.
 func (router *Router) lost(now Instant, r *Request, attempt Attempt) bool {
 	u := router.endpoints.byID[attempt.Endpoint]
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -15,7 +15,7 @@
 	// perQueued is the latency beyond an unqueued attempt's, for each request that was there before.
 	perQueued histogram.Histogram
 	slow      time.Duration // the 95th percentile: when an attempt is reviewed
-	patience  time.Duration // twice the 99th percentile: after it, silence is a failure
+	patience  time.Duration // twice the 99th percentile: an attempt without a response for longer is a failure
 }
 
 // observe records an attempt at a cache that was answered. before is the load estimate without the attempt.
@@ -37,7 +37,7 @@
 }
 
 // refresh derives slow and patience. Before anything is observed they follow the strictest latency objective; they are
-// never so short that the caller's timers couldn't tell them apart.
+// never so short that the caller's timers couldn't distinguish them.
 func (t *latencyTracker) refresh() {
 	objective := t.settings.shortestObjective()
 	t.slow = max(t.all.Quantile(0.95, objective/2), 2*t.settings.TickInterval)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Before anything is measured, the times follow the strictest objective. They are never shorter than the caller's
-// timers can tell apart.
+// timers can distinguish.
 func TestSlowAndPatienceBeforeAnythingIsMeasured(t *testing.T) {
 	settings := testSettings()
 	tracker := latencyTracker{settings: &settings}
--- a/policy/mayattempt.go
+++ b/policy/mayattempt.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// mayAttempt tells whether a request may be sent to an endpoint now, whatever else speaks for it. It holds two rules:
+// mayAttempt reports whether a request may be sent to an endpoint now, whatever else speaks for it. It holds two rules:
 // an attempt goes only to an endpoint that the list says is ready, in time for its answer; and nothing that may have
 // run is repeated where a second execution would have a second effect.
 func (router *Router) mayAttempt(now Instant, r *Request, u *upstream) bool {
@@ -18,7 +18,7 @@
 	return true
 }
 
-// mayRepeat tells whether an attempt at an endpoint may follow an earlier one.
+// mayRepeat reports whether an attempt at an endpoint may follow an earlier one.
 func (router *Router) mayRepeat(now Instant, r *Request, earlier Attempt, u *upstream) bool {
 	class := &r.facts.class
 	if earlier.InFlight && (!router.settings.HedgingAllowed || class.Idempotency == NotIdempotent) {
@@ -38,7 +38,7 @@
 	return class.DedupScope.covers(router.endpoints.byID[earlier.Endpoint], u)
 }
 
-// covers tells whether an endpoint drops the repeat of a request that another one has had. The other is nil if it has
+// covers reports whether an endpoint drops the repeat of a request that another one has had. The other is nil if it has
 // left the list.
 func (s DedupScope) covers(earlier, u *upstream) bool {
 	if s == AllCaches {
--- a/policy/mayattempt_test.go
+++ b/policy/mayattempt_test.go
@@ -48,7 +48,7 @@
 }
 
 // compareWithModel checks what the router says of a request and an endpoint. The router may be stricter only by the
-// ticks that it keeps in hand before a limit.
+// ticks that it keeps as a margin before a limit.
 func (h *harness) compareWithModel(r *Request, endpoint Endpoint) {
 	h.t.Helper()
 	got := h.router.mayAttempt(h.now, r, h.cache(endpoint.ID))
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -90,11 +90,11 @@
 	o.nextAt = now.Add(time.Duration(float64(o.usual) / o.limit))
 }
 
-// record takes in the end of an attempt that tells of the origin's load.
+// record takes in the end of an attempt whose result depends on the origin's load.
 func (o *originLimit) record(now Instant, ended endedAttempt) {
 	latency := ended.latency
 	if ended.Result == Rejected {
-		// How soon it rejects doesn't tell how long its work takes.
+		// How soon it rejects doesn't show how long its work takes.
 		latency = max(latency, o.usual)
 		o.backOff(now)
 	} else {
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -14,14 +14,14 @@
 	if inFlight := h.router.endpoints.origin.load.inFlight; inFlight > initialOriginLimit {
 		t.Errorf("%d attempts are in flight at an origin of unknown capacity", inFlight)
 	}
-	h.router.fetches.cutoff = 1e9 // all that waits is wanted more, so waiting would be in vain
+	h.router.fetches.cutoff = 1e9 // all that waits is wanted more, so this one would not be served
 	r, _ := h.arrive("unwanted", readClass, false)
 	if h.end(r, 0, CacheMiss).Answer != Reject {
 		t.Error("a request that is wanted too little to be fetched is kept waiting")
 	}
 }
 
-// The limit grew with every answer in time although nobody used it, so that it bounded nothing once misses came in a
+// The limit grew with every answer in time although it wasn't used, so that it bounded nothing once misses came in a
 // storm. It may grow to twice the attempts in flight at most.
 func TestOriginLimitGrowsOnlyAsItIsUsed(t *testing.T) {
 	for _, c := range []struct {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -41,7 +41,7 @@
 	router.load.recordReport(now, u, atOrigin, ended.inFlight, outcome.LoadReport)
 	router.outliers.recordErrors(u, r.facts.classIndex, ended.Result)
 	router.outliers.recordResponse(now, u, ended)
-	if !ended.Result.tellsOfLoad() {
+	if !ended.Result.dependsOnLoad() {
 		return
 	}
 	if atOrigin {
@@ -51,7 +51,8 @@
 	router.learnUsefulness(u, ended)
 }
 
-// learnUsefulness counts an attempt at a cache that tells of its load, for admission and for the cache's wasted share.
+// learnUsefulness counts an attempt at a cache, if its result depends on load, for admission and for the cache's wasted
+// share.
 func (router *Router) learnUsefulness(u *upstream, ended endedAttempt) {
 	scope := router.endpoints.scopeOf(u)
 	weight := 1.0
@@ -76,8 +77,8 @@
 	router.outliers.recordUsefulness(u, useful)
 }
 
-// tellsOfLoad tells whether a result says anything of the endpoint's load. Errors and failed or broken connections tell
-// of a fault or of an old list; Cancelled and NotSent are the caller's own doing.
-func (r Result) tellsOfLoad() bool {
+// dependsOnLoad reports whether a result depends on the endpoint's load. Errors and failed or broken connections
+// indicate a fault or an old list; Cancelled and NotSent are the caller's own doing.
+func (r Result) dependsOnLoad() bool {
 	return r == Answered || r == CacheMiss || r == Rejected || r == TimedOut
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -37,7 +37,7 @@
 // observedHealth is what is known of the health of one endpoint.
 type observedHealth struct {
 	waitingSince    Instant // start of the first attempt in flight, or the last response if that was later
-	heardAt         Instant // when it last responded
+	respondedAt     Instant // when it last responded
 	failures        int     // attempts and health checks in a row without a response
 	connectFailures int     // failed connects since it last responded
 	ejectedUntil    Instant // it gets no attempts before
@@ -68,13 +68,13 @@
 	}
 }
 
-// unreachable tells whether an endpoint takes no connections.
+// unreachable reports whether an endpoint takes no connections.
 func (h *observedHealth) unreachable(now Instant) bool {
 	return h.connectFailures >= failuresToEject && now < h.ejectedUntil
 }
 
-// unresponsive tells whether an endpoint is ejected, or an attempt there has had no response for longer than patience.
-// After an ejection a single attempt may show that it is back, or a health check if there are any.
+// unresponsive reports whether an endpoint is ejected, or an attempt there has had no response for longer than
+// patience. After an ejection a single attempt may show that it is back, or a health check if there are any.
 func (d *outlierDetector) unresponsive(now Instant, u *upstream) bool {
 	if now < u.health.ejectedUntil {
 		return true
@@ -146,15 +146,15 @@
 	switch ended.Result {
 	case Answered, CacheMiss, Errored, Rejected:
 		u.health.waitingSince = now
-		u.health.heardAt = now
+		u.health.respondedAt = now
 		u.health.failures = 0
 		u.health.connectFailures = 0
 		u.health.ejectedUntil = 0
 		d.zoneConnectFailures[u.Zone] = 0
 	case TimedOut, ConnectFailed, Cancelled:
-		heardMeanwhile := u.health.heardAt >= ended.SentAt
+		respondedMeanwhile := u.health.respondedAt >= ended.SentAt
 		outlastedPatience := now.Since(ended.SentAt) > d.latency.patience
-		if !heardMeanwhile && (ended.Result == ConnectFailed || outlastedPatience) {
+		if !respondedMeanwhile && (ended.Result == ConnectFailed || outlastedPatience) {
 			d.recordFailure(now, u, ended.Result)
 		}
 	}
@@ -165,7 +165,7 @@
 	u.health.wastedShare += (1 - useful - u.health.wastedShare) / wastedWindow
 }
 
-// reachesZone tells whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. By
+// reachesZone reports whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. By
 // ejections alone, each endpoint of the zone would have to fail before it is avoided.
 func (d *outlierDetector) reachesZone(u *upstream) bool {
 	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToCut ||
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -93,7 +93,7 @@
 
 // assignment spreads items evenly over places, so that few move when one item comes or goes: each pair of an item and a
 // place has a score by hash, and pairs are taken from the lowest score up, as far as the item has no place yet and the
-// place has room.
+// place has capacity left.
 type assignment struct {
 	hashes     []uint64 // of the items
 	salts      []uint64 // of the places
@@ -104,11 +104,11 @@
 	extra      int      // places that may still get one more
 	bound      uint64   // the score up to which pairs were taken by now
 	openItems  []int    // without a place
-	openPlaces []int    // with room
+	openPlaces []int    // with capacity left
 }
 
-// assignEvenly returns the place of each item, from 0 up to places. The salt tells different assignments of the same
-// items apart.
+// assignEvenly returns the place of each item, from 0 up to places. The salt distinguishes assignments of the same
+// items.
 func assignEvenly(hashes []uint64, places, salt int) []int {
 	if len(hashes) == 0 {
 		return nil
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -121,7 +121,7 @@
 }
 
 // Incident 60a37a: all pairs of a cache and a slot were sorted at once. Their number grows with the square of the
-// caches; at 3,200 of them they took 12 MB, and the event loop stood still meanwhile.
+// caches; at 3,200 of them they took 12 MB, and the event loop was blocked meanwhile.
 func TestPlacementSortsAFewPairsForEachCache(t *testing.T) {
 	// 8 pairs for the slots and 7 for the segments, with capacity to grow, and what stays
 	const maxBytesPerCache = 600
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -36,7 +36,7 @@
 	s.nextAt = math.MaxInt64
 }
 
-// takeDue tells whether to poll now, and if so schedules the next poll.
+// takeDue reports whether to poll now, and if so schedules the next poll.
 func (s *pollSchedule) takeDue(now Instant) bool {
 	if !s.settings.PollEndpoints || now < s.nextAt {
 		return false
--- a/policy/popularity.go
+++ b/policy/popularity.go
@@ -5,7 +5,7 @@
 const (
 	// hotRequests is the number of requests for a key from which it may have more replicas: two may be chance.
 	hotRequests = 3.0
-	// minTrackedKeys is the number of keys under which demand isn't halved: there is too little to tell which are hot.
+	// minTrackedKeys is the number of keys under which demand isn't halved: too little is known to see which are hot.
 	minTrackedKeys = 50
 	// forgottenRequests is the number of requests under which a key is forgotten.
 	forgottenRequests = 0.5
@@ -30,7 +30,7 @@
 }
 
 // replicas returns how many replicas reads of a key may use. A key that is asked for more than three caches' even share
-// gets as many as its share of the demand stands for, or its caches would be full while others have capacity.
+// gets as many as its share of the demand amounts to, or its caches would be full while others have capacity.
 func (p *popularity) replicas(key uint64, meanPreference float64, caches int) int {
 	demand := p.demand[key]
 	if demand*meanPreference*meanPreference < hotRequests {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -5,7 +5,7 @@
 // quotaBurst is the time for which a tenant may save up unused quota.
 const quotaBurst = time.Second
 
-// tenantQuotas tells which requests are over their tenant's quota. Those aren't rejected for it, but have a lower
+// tenantQuotas determines which requests are over their tenant's quota. Those aren't rejected for it, but have a lower
 // priority. Each node assumes that it gets an even part of the traffic.
 type tenantQuotas struct {
 	settings *Settings
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -35,7 +35,7 @@
 	return replicas
 }
 
-// canTake tells whether a cache at a location of a request's key can take the request. Slow start and the zone's
+// canTake reports whether a cache at a location of a request's key can take the request. Slow start and the zone's
 // reachability draw by chance, in this order.
 func (router *Router) canTake(now Instant, r *Request, u *upstream) bool {
 	return router.mayAttempt(now, r, u) &&
--- a/policy/request.go
+++ b/policy/request.go
@@ -55,7 +55,7 @@
 
 func missed(attempt Attempt) bool { return attempt.Result == CacheMiss }
 
-// tried tells whether the request has an attempt at an endpoint.
+// tried reports whether the request has an attempt at an endpoint.
 func (r *Request) tried(id EndpointID) bool {
 	return slices.ContainsFunc(r.Attempts, func(attempt Attempt) bool { return attempt.Endpoint == id })
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -25,7 +25,7 @@
 	return router.sendToReplica(now, r, pressure)
 }
 
-// worthAnAttempt tells whether a request still has an attempt, the time for it and, after one that may have run, a
+// worthAnAttempt reports whether a request still has an attempt, the time for it and, after one that may have run, a
 // retry in the budget.
 func (router *Router) worthAnAttempt(now Instant, r *Request) bool {
 	if len(r.Attempts) >= router.settings.MaxAttempts {
--- a/policy/router.go
+++ b/policy/router.go
@@ -90,7 +90,7 @@
 	return router.firstOrRetry(now, r)
 }
 
-// MayStart tells whether an attempt, by its index, may still be sent whose connection took time to open: the endpoint
+// MayStart reports whether an attempt, by its index, may still be sent whose connection took time to open: the endpoint
 // list may have changed meanwhile, or a deduplication window may have passed. The request itself stays as it is.
 func (router *Router) MayStart(now Instant, r Request, attempt int) bool {
 	u := router.endpoints.byID[r.Attempts[attempt].Endpoint]
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -32,7 +32,7 @@
 type selection struct {
 	endpoint *upstream   // nil if no replica can take the request
 	replicas []*upstream // among which it was selected
-	// saturated tells that replicas were passed over only since their queues are too long.
+	// saturated means that replicas were passed over only since their queues are too long.
 	saturated bool
 }
 
--- a/policy/send.go
+++ b/policy/send.go
@@ -33,7 +33,7 @@
 	return router.giveUp(r)
 }
 
-// sheds tells whether a request is shed instead of its first attempt at an endpoint, which is nil if there is none.
+// sheds reports whether a request is shed instead of its first attempt at an endpoint, which is nil if there is none.
 func (router *Router) sheds(r *Request, u *upstream) bool {
 	if u == nil || len(r.Attempts) > 0 {
 		return false
@@ -42,7 +42,7 @@
 	return router.admission.shouldShed(scope, router.endpoints.zoneLocal, r.facts.shedPreference)
 }
 
-// fansOut tells whether a request is a write that goes to all its replicas at once: in read-through mode, where every
+// fansOut reports whether a request is a write that goes to all its replicas at once: in read-through mode, where every
 // cache drops repeats. In cache-aside mode writes go to the origin.
 func (router *Router) fansOut(r *Request) bool {
 	class := &r.facts.class
@@ -50,8 +50,8 @@
 	return r.Write && safe && len(r.Attempts) == 0 && router.shortage.share < maxShortageToFanOut
 }
 
-// mayBypassCaches tells whether a request that no cache can take may go to the origin. While the list has no caches at
-// all it may not: an empty list would send all traffic there.
+// mayBypassCaches reports whether a request that no cache can take may go to the origin. While the list has no caches
+// at all it may not: an empty list would send all traffic there.
 func (router *Router) mayBypassCaches(r *Request) bool {
 	return len(router.endpoints.caches) > 0 && router.settings.CacheAside &&
 		r.facts.class.Idempotency == Idempotent
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,7 +12,7 @@
 	// pacedNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. Beyond it
 	// the gap grows with the nodes: at the usual rate each would have to pause for longer than the slow start lasts.
 	pacedNodes = 160.0
-	// rateWindow is the time, in nanoseconds, that the answers counted in observedLoad.answered stand for: halved
+	// rateWindow is the time, in nanoseconds, that the answers counted in observedLoad.answered cover: halved
 	// every decay, they add up to two decay periods.
 	rateWindow = 2 * ticksPerDecay * float64(tickPeriod)
 )
@@ -45,8 +45,8 @@
 	return min(1, s.settings.SlowStartShare+(1-s.settings.SlowStartShare)*age)
 }
 
-// admits tells whether an endpoint may get an attempt for a key now. The first attempt comes after a random part of the
-// gap, or all nodes would send theirs as soon as the endpoint is listed.
+// admits reports whether an endpoint may get an attempt for a key now. The first attempt comes after a random part of
+// the gap, or all nodes would send theirs as soon as the endpoint is listed.
 func (s *slowStart) admits(now Instant, u *upstream, key uint64) bool {
 	progress := s.progress(now, u)
 	if progress >= 1 {
--- a/policy/types.go
+++ b/policy/types.go
@@ -83,7 +83,7 @@
 	HedgingAllowed      bool           // a request may have several attempts in flight
 	CancelAllowed       bool           // an attempt in flight may be cancelled
 	HealthChecksAllowed bool           // the caller can carry out CheckHealth
-	MaxRetryAfter       time.Duration  // longest Retry-After; 0 means that clients are told none
+	MaxRetryAfter       time.Duration  // longest Retry-After; 0 means that no client gets one
 	TickInterval        time.Duration  // resolution of the caller's timers; values under 1 ms count as 1 ms
 	PollInterval        time.Duration  // time between polls; values under 1 s count as 1 s
 	SlowStartShare      float64        // share of its capacity that an endpoint has right after its start
@@ -133,7 +133,7 @@
 	Answered         Result = iota // the endpoint sent the response
 	Errored                        // the endpoint sent an error
 	Rejected                       // the endpoint shed the attempt
-	TimedOut                       // nothing came until the attempt's deadline
+	TimedOut                       // no response until the attempt's deadline
 	ConnectFailed                  // no connection could be opened
 	ConnectionBroken               // the connection closed before a response
 	Cancelled                      // the caller cancelled the attempt
@@ -141,7 +141,7 @@
 	CacheMiss                      // the cache doesn't have the key
 )
 
-// NotExecuted tells whether the result proves that the attempt had no effect.
+// NotExecuted reports whether the result proves that the attempt had no effect.
 func (r Result) NotExecuted() bool {
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == CacheMiss
 }
@@ -155,7 +155,7 @@
 }
 
 // Request is a request in flight. The caller fills in the exported fields, appends an Attempt for each endpoint that
-// it was told to send to, and closes the Attempt before it calls OnAttemptDone.
+// a Decision names in SendTo, and closes the Attempt before it calls OnAttemptDone.
 type Request struct {
 	ID        RequestID
 	Key       string
@@ -170,11 +170,11 @@
 	facts requestFacts // written by the Router on the first Route
 }
 
-// Outcome tells how the attempt with an index ended, beside its Result.
+// Outcome says how the attempt with an index ended, beside its Result.
 type Outcome struct {
 	Attempt    int           // index into Request.Attempts
 	Latency    time.Duration // from sending to the end
-	LoadReport []float64     // the endpoint's load report; nil if none came
+	LoadReport []float64     // the endpoint's load report; nil if there was none
 }
 
 // FinalAnswer is what the router itself answers to the client.
