--- a/policy/doc.go
+++ b/policy/doc.go
@@ -40,8 +40,10 @@
 //
 // # Who owns which state
 //
-// Each part is a type in a file of its own and the only writer of its fields. What a part needs of another it gets as
-// an argument, or reads through a method; the latency tracker's slow and patience are read by several.
+// Each part is a type in a file of its own and the only writer of its fields. What it needs of another part it gets as
+// an argument or reads; the latency tracker's slow and patience are read by several. What is known of one endpoint is
+// an upstream (endpoints.go), each of whose fields names the part that writes it; all of it is reset when the
+// endpoint's process restarts.
 //
 //	endpointList     endpoints.go    the endpoint list; the placements that follow from it (placement.go)
 //	pollSchedule     polling.go      when to poll for the list
