--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -165,8 +165,8 @@
 	u.health.wastedShare += (1 - useful - u.health.wastedShare) / wastedWindow
 }
 
-// reachesZone tells whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. Health
-// checks and ejections would need to find each endpoint of the zone out one by one.
+// reachesZone tells whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. By
+// ejections alone, each endpoint of the zone would have to fail before it is avoided.
 func (d *outlierDetector) reachesZone(u *upstream) bool {
 	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToCut ||
 		d.chance.Float64()*cutZoneTrialEvery < 1
@@ -185,10 +185,11 @@
 
 // dueHealthChecks returns the health checks that are due: of endpoints whose ejection is over. The next one of the same
 // endpoint follows after patience.
-func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) (actions []Action) {
+func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) []Action {
 	if !d.settings.HealthChecksAllowed {
 		return nil
 	}
+	var actions []Action
 	for _, u := range caches {
 		if u.health.failures >= failuresToEject && now >= u.health.ejectedUntil {
 			actions = append(actions, Action{Kind: CheckHealth, Endpoint: u.ID})
