--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -17,13 +17,13 @@
 	smallFleet = 32
 )
 
-// syncState says when and with whom all that is known is exchanged: anti-entropy, beside the gossip of single
+// syncState says when and with which process the full state is exchanged: anti-entropy, beside the gossip of single
 // statements.
 type syncState struct {
 	target      string        // address to exchange with after this tick; empty for none
 	requestedAt time.Duration // run time of the last request; 0 for none
 	heardOther  bool          // a statement of another process has arrived
-	completed   bool          // all that another process knows was taken over
+	completed   bool          // the full state of another process was merged
 }
 
 func (s *syncState) takeTarget() string {
@@ -32,11 +32,11 @@
 	return target
 }
 
-// SyncCompleted tells that all that another process knows was taken over.
+// SyncCompleted reports that the full state of another process was merged.
 func (d *Detector) SyncCompleted() { d.sync.completed = true }
 
 // scaled is how long to wait for statements, or to gather them, where base is enough in a small fleet. Guards against
-// a large fleet in which each change has every process ask for all that is known: gossip takes longer to reach all the
+// a large fleet in which each change has every process ask for the full state: gossip takes longer to reach all the
 // more there are, and a process that is busy with exchanges has more to state that has to reach all.
 func (d *Detector) scaled(base time.Duration) time.Duration {
 	span := base
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -8,18 +8,18 @@
 	HeartbeatInterval time.Duration
 	// HeartbeatTimeout is the time without a heartbeat after which a neighbour is missed.
 	HeartbeatTimeout time.Duration
-	// RemovalDelay is how long enough processes must miss a member before it is taken out.
+	// RemovalDelay is how long enough processes must miss a member before it is removed.
 	RemovalDelay time.Duration
-	// RejoinDelay is how long enough processes must hear one that was taken out before it is a member again. It has to
+	// RejoinDelay is how long enough processes must hear a removed one before it is a member again. It has to
 	// be longer than HeartbeatTimeout: one that hears nobody would be a member before it doubts itself.
 	RejoinDelay time.Duration
 	// SelfDoubtTimeout is how long a neighbour may state that it doubts itself before it is missed.
 	SelfDoubtTimeout time.Duration
 	// LoopTimeout is how long the loop that serves clients may stand still before this process stops its heartbeats.
 	LoopTimeout time.Duration
-	// ForgetAfter is the time after which a process that was taken out, or never came to join, is forgotten.
+	// ForgetAfter is the time after which a process that was removed, or never became a member, is forgotten.
 	ForgetAfter time.Duration
-	// ClaimPeriod is how long a process waits for signs of another one with its name before it takes the name.
+	// ClaimPeriod is how long a process waits for heartbeats of another one with its name before it takes the name.
 	ClaimPeriod time.Duration
 	// MaxMembers bounds the processes that are known.
 	MaxMembers int
@@ -40,8 +40,8 @@
 // NewConfig derives a configuration from the operator's spans.
 //
 // A process that stands still for the whole pause, from just before a heartbeat was due, has been silent for the pause
-// and one heartbeat interval. It is missed before that, so that whoever is on the wrong side of a partition has long
-// known it, and taken out after it.
+// and one heartbeat interval. It is missed before that, so that a process on the wrong side of a partition has
+// long noticed, and removed after it.
 func NewConfig(s Spans, maxMembers int) Config {
 	// a miss is known 1.6 heartbeat intervals before the pause ends, but never after a single lost heartbeat
 	timeout := max(s.Pause-s.Heartbeat*8/5, 2*s.Heartbeat)
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -10,10 +10,10 @@
 // rules are the guards that a detector applies. All are on in service; tests switch single ones off to show that the
 // invariants then break.
 type rules struct {
-	minObservers     int  // that must miss a process before anything follows from it
+	minObservers     int  // that must miss a process before it can be removed
 	requireMajority  bool // more must miss a process than hear it
 	selfDoubt        bool // a process that hears too few doubts itself
-	freeze           bool // nobody is taken out while too many are missing at once
+	freeze           bool // nobody is removed while too many are missing at once
 	measureRunTime   bool // spans are measured in time that the process has run, not by the clock
 	stopWithDeadLoop bool // a process that no longer serves clients sends no heartbeats
 }
@@ -69,11 +69,11 @@
 
 // Actions lists what has to be sent after a tick. Addresses are those of other processes.
 type Actions struct {
-	Heartbeat   Heartbeat // of this process, to be sent to all of the following
-	HeartbeatTo []string  // neighbours whose heartbeat is due
-	ReplyTo     []string  // those that asked for one
-	ProbeTo     []string  // those that are asked for one in return: WantsReply is to be set
-	SyncWith    string    // whom to exchange all that is known with; empty for nobody
+	Heartbeat   Heartbeat // this process's, which goes to all of the following
+	HeartbeatTo []string  // neighbours
+	ReplyTo     []string  // processes that asked for a heartbeat
+	ProbeTo     []string  // processes that are asked for one in return: the sender sets WantsReply
+	SyncWith    string    // process to exchange the full state with; empty for none
 }
 
 // Tick does what is due and returns what has to be sent. It is to be called several times in each heartbeat interval;
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,53 +1,57 @@
-// Package membership decides which processes of a fleet are members: from what each process states about itself and
-// about the neighbours that it hears, each process derives a view, and all that have the same statements derive the
-// same view. The package does no I/O and takes the time as an argument; package gossip carries its messages.
+// Package membership decides which processes of a fleet are members. Each process states what it knows of itself and
+// which of its neighbours it hears; from these statements every process derives its own view, and processes that have
+// the same statements derive the same view. The package does no I/O and takes the time as an argument; package gossip
+// carries its messages.
 //
 // # Use
 //
-// A process has one [Detector], made by [New], and calls all its methods from one goroutine or under one lock. It
-// hands in what arrives with [Detector.Merge] (statements, from gossip or from an exchange of all that is known),
-// [Detector.OnHeartbeat] and [Detector.SyncCompleted], and reports progress of the loop that serves clients with
-// [Detector.LoopAdvanced]. Several times in each heartbeat interval it calls [Detector.Tick] and sends what the
-// returned [Actions] list, gossips [Detector.OwnStatement] where that is new, and reads [Detector.View] and
-// [Detector.NameConflict].
+// A process has one [Detector], made by [New], and calls its methods from one goroutine or under one lock:
+//
+//   - incoming statements go to [Detector.Merge], heartbeats to [Detector.OnHeartbeat]; [Detector.SyncCompleted]
+//     reports that the full state of another process was merged;
+//   - [Detector.LoopAdvanced] reports progress of the event loop that serves clients;
+//   - several times in each heartbeat interval [Detector.Tick] is called, and what the returned [Actions] list is
+//     sent;
+//   - [Detector.OwnStatement] is gossiped whenever it is new;
+//   - [Detector.View] is the result, and [Detector.NameConflict] says whether the process has to exit.
 //
 // # Messages
 //
-// A [Statement] is all that a process says: its name, address and incarnation, whether it leaves, and which of its
-// neighbours it hears and misses. Only the process itself makes it and raises its [Revision], so that the highest
-// revision holds, however often and in whatever order statements arrive. A [Heartbeat] goes to neighbours only, at
-// [Config].HeartbeatInterval, and carries a digest of all statements of members: two processes whose digests stay
-// different exchange all that they know.
+// A [Statement] holds all that a process says: its name, address and incarnation, whether it is leaving, and which of
+// its neighbours it hears and misses. Only the process itself makes it and raises its [Revision]. The highest revision
+// wins, so statements may be lost, duplicated and reordered. A [Heartbeat] goes to neighbours only, once in each
+// [Config].HeartbeatInterval, and carries a digest of the statements of all members. Two processes whose digests stay
+// different exchange their full state (antientropy.go).
 //
-// # Evidence, and who takes whom out
+// # Failure detection, and where a removal is decided
 //
-// Where the fleet has up to 13 processes all are neighbours of one another; in a larger fleet each has the two beside
-// it in each of six rings (neighbours.go). A neighbour without a heartbeat for HeartbeatTimeout is missed; so is one
-// that has declared for SelfDoubtTimeout that it doubts itself (observation.go). Nobody is taken out by such an
-// observation itself: the observer puts it in its statement, and every process counts the statements that it believes
-// (evidence.go).
+// In a fleet of up to 13 processes all are neighbours of one another. In a larger fleet a process has two neighbours,
+// the one before and the one after it, in each of six rings (neighbours.go). A neighbour is missed if no heartbeat of
+// it arrived for HeartbeatTimeout, or if it has doubted itself for SelfDoubtTimeout (observation.go). A missed
+// heartbeat alone removes nobody: the observer puts it into its statement, and every process counts the statements
+// that it believes (evidence.go).
 //
-// A member becomes [Removed] in evaluation.go, in Detector.evaluateMember, and only there: at least two believed
-// members miss it, and more miss it than hear it or are its neighbours and doubt themselves, for RemovalDelay without
-// a break, while this process is not frozen. The counts at that moment are in the view ([Member].Hears and Misses),
-// in the answer to GET /fleet/members and, as a change of the view, in the log line "members" and in the trace. A
-// process also ceases to be a member where it states that it leaves ([Left]), and where another process takes its
-// name (names.go).
+// That a member becomes [Removed] is decided in Detector.evaluateMember (evaluation.go) and nowhere else: at least two
+// believed members miss it, more miss it than hear it or are its neighbours in self-doubt, this has held for
+// RemovalDelay without a break, and the evaluating process isn't frozen. The counts are part of the view
+// ([Member].Hears and Misses) and of the answer to GET /fleet/members; the change itself is in the log line "members"
+// and in the trace. There are two other ways to stop being a member: a process states that it leaves ([Left]), or
+// another process takes its name (names.go).
 //
 // # Invariants
 //
 // In order of precedence:
 //
-//  1. Nobody is taken out on the word of one observer, nor of a process that doubts itself, nor while more than half
-//     of all are missing (two fifths where rings are used).
-//  2. Views depend on statements, however these arrived. What is heard first-hand tells only whose statements may be
-//     old.
-//  3. Whoever is taken out is a member again once as many of its neighbours hear it as miss it, for RejoinDelay.
-//  4. Of two processes with one name at most one is a member, the same one in all views.
+//  1. No process is removed because of one observer, or of observers that doubt themselves, or while more than half
+//     of all members are missing (two fifths where rings are used).
+//  2. Views depend on statements alone, however these arrived. Heartbeats that this process receives only decide
+//     whose statements may be outdated.
+//  3. A removed process is a member again once as many of its neighbours hear it as miss it, for RejoinDelay.
+//  4. Of two processes with the same name at most one is a member, and it is the same one in all views.
 //
 // # State
 //
-// A [Detector] owns all its state; nothing is shared with others but the [View], which nobody changes once it is
-// made. Spans are measured in time that the process has run, not by the clock: a process that was stopped has heard
-// nothing meanwhile, and that is no evidence against the others.
+// A [Detector] owns all its state. Only the [View] is shared, and it is immutable. Spans are measured in time that the
+// process has run rather than by the clock: a process that was stopped has received nothing meanwhile, and that is no
+// evidence against the others.
 package membership
--- a/internal/membership/evaluation.go
+++ b/internal/membership/evaluation.go
@@ -20,8 +20,8 @@
 type evaluation struct {
 	at          time.Duration // run time of the last one
 	changed     bool          // statements, statuses or neighbours have changed since
-	pending     bool          // some status is to change with time
-	frozen      bool          // no member is taken out: see mayBeCutOff
+	pending     bool          // some status may change as time passes
+	frozen      bool          // no member is removed: see mayBeCutOff
 	digest      uint64        // of the statements of all members, when evidence was last counted
 	memberCount int           // when evidence was last counted
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-// evaluateMember decides whether a member is to be taken out, as enough processes have missed it for long enough. It
+// evaluateMember removes a member that enough processes have missed for long enough. It
 // reports whether the process came to be suspected, or no longer is: that changes no membership.
 func (d *Detector) evaluateMember(p *peer, elapsed time.Duration, removals *batch) (isNews bool) {
 	if !d.isMissed(p) || d.evaluation.frozen {
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -9,12 +9,12 @@
 }
 
 const (
-	// frozenShare is the share of members above which so many are missing at once that nobody is taken out, where all
+	// frozenShare is the share of members above which so many are missing at once that nobody is removed, where all
 	// hear one another.
 	frozenShare = 0.5
 	// frozenShareRings is the same where rings are used: not all that are missing are missed by two there.
 	frozenShareRings = 0.4
-	// recentRemovals is the time, in removal delays, for which one that was taken out counts as missing at once with
+	// recentRemovals is the time, in removal delays, for which a removed one counts as missing at once with
 	// others.
 	recentRemovals = 4
 )
@@ -84,13 +84,13 @@
 }
 
 // isCurrent reports whether a process's statement can be taken for how things are now: one that several miss may have
-// made it long ago, unless it is heard right here. Guards against the two sides of a partition whose last statements
-// discredit one another for good.
+// made it long ago, unless this process hears it itself. Guards against the two sides of a partition whose last
+// statements discredit one another for good.
 func (d *Detector) isCurrent(observer *peer) bool {
 	return observer == d.own || observer.evidence.reportedBy < d.rules.minObservers || d.isHeard(observer)
 }
 
-// isMissed reports whether the evidence is enough to take a process out.
+// isMissed reports whether the evidence is enough to remove a process.
 func (d *Detector) isMissed(p *peer) bool {
 	e := &p.evidence
 	if e.missedBy < d.rules.minObservers {
@@ -105,7 +105,7 @@
 }
 
 // mayBeCutOff reports whether this process doubts itself, or so many are missing at once that it may well be the one
-// which is cut off. Guards against the sides of a partition that take out each other, and against a process that takes
+// which is cut off. Guards against the sides of a partition that remove each other, and against a process that takes
 // all others for dead.
 func (d *Detector) mayBeCutOff() bool {
 	if d.own.SelfDoubt || !d.rules.freeze {
@@ -134,8 +134,8 @@
 }
 
 // fitsIn reports whether a process that joins hears half of those that it should, and half of them hear it. Guards
-// against one that is cut off in one direction from its start: it would be a member until it comes to doubt itself, or
-// the others to miss it.
+// against one that is cut off in one direction from its start: it would be a member until it doubts itself, or the
+// others to miss it.
 func (d *Detector) fitsIn(p *peer) bool {
 	others := d.evaluation.memberCount
 	for _, namesake := range d.peers.ofNode(p.Node) {
--- /dev/null
+++ b/internal/membership/evidence_test.go
@@ -0,0 +1,49 @@
+package membership
+
+import "testing"
+
+// One bad link, or one observer that is cut off itself, is no reason to remove anybody: it takes two, and more that
+// miss the process than hear it or can't tell.
+func TestEvidenceForARemoval(t *testing.T) {
+	d := New(Config{}, 1, "n", "a", nil)
+	for _, c := range []struct {
+		name     string
+		evidence evidence
+		want     bool
+	}{
+		{"nobody misses it", evidence{heardBy: 3}, false},
+		{"one observer", evidence{missedBy: 1}, false},
+		{"two observers", evidence{missedBy: 2}, true},
+		{"as many hear it", evidence{missedBy: 2, heardBy: 2}, false},
+		{"more miss it", evidence{missedBy: 3, heardBy: 2}, true},
+		{"neighbours in self-doubt count for it", evidence{missedBy: 3, heardBy: 2, doubtfulFor: 1}, false},
+		{"old statements don't count", evidence{missedBy: 1, reportedBy: 5}, false},
+	} {
+		if got := d.isMissed(&peer{evidence: c.evidence}); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+}
+
+// A statement that several members contradict may be from before a partition: it counts only if its process is heard
+// here.
+func TestStatementsOfMissedObserversAreOutdated(t *testing.T) {
+	d := New(Config{HeartbeatTimeout: 10}, 1, "n", "a", nil)
+	d.ran = 100
+	missed := evidence{reportedBy: 2}
+	for _, c := range []struct {
+		name     string
+		observer *peer
+		want     bool
+	}{
+		{"this process", d.own, true},
+		{"missed by one", &peer{evidence: evidence{reportedBy: 1}}, true},
+		{"missed by two, no neighbour", &peer{evidence: missed}, false},
+		{"missed by two, heard here", &peer{evidence: missed, isNeighbour: true, heard: true, lastHeartbeat: 95}, true},
+		{"missed by two, silent", &peer{evidence: missed, isNeighbour: true, heard: true, lastHeartbeat: 90}, false},
+	} {
+		if got := d.isCurrent(c.observer); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+}
--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -21,8 +21,8 @@
 // onTick tells the reader of datagrams that there was a tick, and whether it is to read at ticks only.
 //
 // Guards against a large fleet whose nodes spend most of their time for it on being woken up for one datagram at a
-// time: twelve neighbours send forty heartbeats a second. Nothing is late by that, as the detector looks at them at
-// ticks.
+// time: twelve neighbours send forty heartbeats a second. The detector evaluates heartbeats at ticks only, so nothing
+// is decided later for it.
 func (t *transport) onTick(batched bool) {
 	t.batched.Store(batched)
 	select {
--- a/internal/membership/gossip/doc.go
+++ b/internal/membership/gossip/doc.go
@@ -11,7 +11,7 @@
 // # What decides, and what only carries
 //
 // All decisions about members are the detector's (package membership). The library joins, spreads statements and
-// exchanges all that is known between two nodes now and then; whom it takes for alive has no effect but with whom it
+// exchanges the full state of two nodes now and then; which members it takes for alive only decides with which it
 // gossips. Its member names are the node's name and the process, so that a restarted node is another member to it.
 //
 // # Messages
@@ -23,7 +23,7 @@
 // # Goroutines and state
 //
 // One goroutine ticks the detector each 50 ms and sends what that asks for, one joins by the seeds while nobody is
-// known, one exchanges all that is known with one node after the other; Close waits for these. Two read the sockets
-// and end when these are closed, as the library's own do. The detector and the statements as they arrived are under
-// one mutex; the view is an atomic pointer.
+// known, one exchanges the full state with one node after the other; Close waits half a second for these. Two read the
+// sockets and end when these are closed, as the library's own do. The detector and the statements as they arrived are
+// under one mutex; the view is an atomic pointer.
 package gossip
--- a/internal/membership/gossip/library.go
+++ b/internal/membership/gossip/library.go
@@ -18,7 +18,7 @@
 	retransmitMult = 4
 	// streamTimeout is the time for a stream to be set up, and for each answer on it.
 	streamTimeout = 2 * time.Second
-	// pushPullInterval is the time between two exchanges of all that is known that a node begins, in a small fleet.
+	// pushPullInterval is the time between two exchanges of the full state that a node begins, in a small fleet.
 	pushPullInterval = 15 * time.Second
 	// largeFleet is the number of members above which the library makes exchanges rarer, and datagrams are read at
 	// ticks.
@@ -48,7 +48,7 @@
 	c.EnableCompression = false
 	c.GossipInterval = 100 * time.Millisecond
 	c.GossipNodes = 4
-	// with whom the library gossips is all that its probes decide, and in a busy fleet its suspicions cost more than
+	// probes only decide with which members the library gossips, and in a busy fleet its suspicions cost more than
 	// statements do
 	c.ProbeInterval = 5 * time.Second
 	c.ProbeTimeout = 3 * time.Second
@@ -59,7 +59,7 @@
 	c.TCPTimeout = streamTimeout
 }
 
-// PushPullInterval returns the time between two exchanges of all that is known that each node begins in a fleet of so
+// PushPullInterval returns the time between two exchanges of the full state that each node begins in a fleet of so
 // many members: the library's rule, for those who estimate the traffic of a fleet.
 func PushPullInterval(members int) time.Duration {
 	interval := pushPullInterval
--- a/internal/membership/gossip/listen.go
+++ b/internal/membership/gossip/listen.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// dialFrom returns a dialer of streams that come from the address which others know, as datagrams do: whoever accepts
-// one tells by its address whose it is.
+// dialFrom returns a dialer of streams that come from the address which others know, as datagrams do: who accepts
+// one identifies the sender by it.
 func dialFrom(local netip.Addr) func(addr string, timeout time.Duration) (net.Conn, error) {
 	base := net.Dialer{}
 	if !local.IsUnspecified() {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -53,10 +53,10 @@
 	tracer    *tracer                          // nil for no trace
 
 	lifecycle   lifecycle
-	syncTargets chan string // addresses to exchange all that is known with
+	syncTargets chan string // addresses to exchange the full state with
 	loopCount   atomic.Uint64
 	knownCount  atomic.Int64  // processes that the detector knows
-	presence    atomic.Int32  // the Presence that the others are to be told of
+	presence    atomic.Int32  // the Presence to be stated
 	unreadable  atomic.Uint64 // messages of this fleet that could not be read
 	view        atomic.Pointer[membership.View]
 	state       state
@@ -73,7 +73,7 @@
 
 // lifecycle ends a node's goroutines.
 type lifecycle struct {
-	closed     chan struct{} // closed once the node is to end
+	closed     chan struct{} // closed by Close
 	goroutines sync.WaitGroup
 	once       sync.Once
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-// syncWithTargets exchanges all that is known with one node after the other.
+// syncWithTargets exchanges the full state with one node after the other.
 func (n *Node) syncWithTargets() {
 	defer n.lifecycle.goroutines.Done()
 	for {
@@ -264,7 +264,7 @@
 	return tickResult{actions: actions, view: view, conflict: conflict}
 }
 
-// send sends the heartbeats that are due, and passes on whom to exchange all that is known with.
+// send sends the heartbeats that are due, and passes on with which node to exchange the full state.
 func (n *Node) send(actions *membership.Actions) {
 	n.sendHeartbeat(actions.Heartbeat, actions.HeartbeatTo)
 	n.sendHeartbeat(actions.Heartbeat, actions.ReplyTo)
@@ -308,8 +308,8 @@
 // LoopAdvanced tells that the loop that serves clients has gone round. Without it this process sends no heartbeats.
 func (n *Node) LoopAdvanced() { n.loopCount.Add(1) }
 
-// Close ends the node, and first tells the others that it leaves where orderly is set. It takes a second at the most,
-// whoever doesn't answer. Further calls do nothing.
+// Close ends the node, and first tells the others that it leaves where orderly is set. It takes a second at most,
+// even if others don't answer. Further calls do nothing.
 func (n *Node) Close(orderly bool) {
 	n.lifecycle.once.Do(func() {
 		close(n.lifecycle.closed)
--- a/internal/membership/gossip/presence.go
+++ b/internal/membership/gossip/presence.go
@@ -5,12 +5,12 @@
 
 // The presences of a process.
 const (
-	Staying  Presence = iota // it is to be a member
+	Staying  Presence = iota // it takes part
 	Leaving                  // it shuts down, or is on standby
 	Yielding                 // it shuts down, and its name goes to the process that takes its place
 )
 
-// SetPresence has the others be told of a presence, with the next tick.
+// SetPresence states a presence to the others, from the next tick on.
 func (n *Node) SetPresence(p Presence) { n.presence.Store(int32(p)) }
 
 // statePresence puts the presence into this process's statement; the state is locked.
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/membership"
 )
 
-// Status is a node's state in its fleet, as operators are told it: one flat JSON object, hence its many fields.
+// Status is a node's state in its fleet, as operators see it: one flat JSON object, hence its many fields.
 type Status struct {
 	Node        membership.NodeName    `json:"node"`
 	Process     string                 `json:"process"`
@@ -27,7 +27,7 @@
 	Flows       []TrafficStats         `json:"flows"`
 }
 
-// MemberStatus is one process that is known, as operators are told it.
+// MemberStatus is one known process, as operators see it.
 type MemberStatus struct {
 	Node        membership.NodeName    `json:"node"`
 	Process     string                 `json:"process"`
--- a/internal/membership/gossip/traffic.go
+++ b/internal/membership/gossip/traffic.go
@@ -23,7 +23,7 @@
 	flowHeartbeats = iota
 	flowStatements // as they travel in the library's datagrams
 	flowLibrary    // all else in these: the library's own messages, and the overhead of each datagram
-	flowStreams    // exchanges of all that is known
+	flowStreams    // exchanges of the full state
 	flowKinds
 )
 
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -14,11 +14,11 @@
 	dueAt         time.Duration // run time of the next heartbeats to neighbours
 	probedAt      time.Duration // run time of the last probe of an address at which nobody is known
 	replyTo       []string      // who asked for a heartbeat since the last tick
-	loopCount     uint64        // as LoopAdvanced last told
+	loopCount     uint64        // as last reported to LoopAdvanced
 	loopAdvanceAt time.Duration // run time when it last changed
 }
 
-// LoopAdvanced tells how often the loop that serves clients has gone round. While the count stays the same for longer
+// LoopAdvanced reports how often the loop that serves clients has gone round. While the count stays the same for longer
 // than Config.LoopTimeout this process sends no heartbeats.
 func (d *Detector) LoopAdvanced(count uint64) {
 	if count != d.heartbeats.loopCount {
@@ -27,7 +27,8 @@
 	}
 }
 
-// OnHeartbeat takes a heartbeat of another process. One of a process that isn't known leads to an exchange with it.
+// OnHeartbeat takes a heartbeat of another process. One of an unknown process leads to an exchange of the full state
+// with it.
 func (d *Detector) OnHeartbeat(h Heartbeat) {
 	if h.Process == d.own.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
 		return
@@ -65,7 +66,7 @@
 		for _, p := range d.neighbours.peers {
 			actions.HeartbeatTo = append(actions.HeartbeatTo, p.Addr)
 		}
-		if d.own.Incarnation == 0 { // whoever has this one's name may not be a neighbour
+		if d.own.Incarnation == 0 { // the process that has this name may not be a neighbour
 			for _, p := range d.namesakes() {
 				actions.ProbeTo = append(actions.ProbeTo, p.Addr)
 			}
@@ -80,7 +81,7 @@
 }
 
 // unknownContact picks an address at which nobody is known. Guards against a partition that lasts until each side has
-// forgotten the other: nobody would look for the other side any more.
+// forgotten the other: neither would try to reach the other again.
 func (d *Detector) unknownContact() string {
 	addrs := d.contacts.unknown(d.peers.byID)
 	if len(addrs) == 0 {
--- a/internal/membership/neighbours.go
+++ b/internal/membership/neighbours.go
@@ -15,7 +15,7 @@
 	ringCount = maxNeighbours / 2
 )
 
-// neighbourSet is whom this process exchanges heartbeats with.
+// neighbourSet holds the processes that this one exchanges heartbeats with.
 type neighbourSet struct {
 	peers []*peer // by process
 	stale bool    // processes came, went or changed since it was made
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -34,8 +34,8 @@
 // hearsTooFew reports whether this process hears less than half of the neighbours that it should hear: it may well be
 // the one that is cut off, and is not believed.
 //
-// Guards against a partition in which each side goes by those that are left to it and takes out the other: the
-// neighbours that were taken out count as well as long as they are remembered.
+// Guards against a partition in which each side goes by those that are left to it and removes the other: the
+// neighbours that were removed count as well as long as they are remembered.
 func (d *Detector) hearsTooFew() bool {
 	expected := 0
 	heard := 0
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -1,6 +1,6 @@
 package membership
 
-// Status is what a process is to the fleet.
+// Status is the state of a process in a view.
 type Status int
 
 // The statuses of a process. Only those that are Alive or Suspected are members.
@@ -8,7 +8,7 @@
 	Joining   Status = iota // known; not yet heard by enough, or without its name yet
 	Alive                   // a member
 	Suspected               // a member that some neighbour misses
-	Removed                 // taken out: more neighbours miss it than hear it
+	Removed                 // more neighbours miss it than hear it, for long enough
 	Left                    // it has shut down in order or is on standby
 	Forgotten               // no longer known, or another process has its name
 )
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -29,8 +29,8 @@
 	Nodes []NodeName
 	// Members are all processes that are known, by node and process.
 	Members []Member
-	// CutOff is whether this process is taken out, doubts itself, or so many are missing that it may be the one which
-	// is cut off: no member is taken out meanwhile.
+	// CutOff is whether this process is removed, doubts itself, or so many are missing that it may be the one which
+	// is cut off: no member is removed meanwhile.
 	CutOff bool
 	// Own is the process whose view it is.
 	Own ProcessID
