--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -40,7 +40,7 @@
 	Engine    string   `toml:"engine"`    // Tuned or Plain
 }
 
-// Members says how failures of processes are told.
+// Members configures the failure detection of processes.
 type Members struct {
 	PauseS     float64 `toml:"pause_s"`  // seconds for which a process may stand still and stays a member
 	HelloMs    float64 `toml:"hello_ms"` // milliseconds between two heartbeats to a neighbour
@@ -121,8 +121,8 @@
 	c.Require(isEngine, "fleet.engine", "%q is neither %s nor %s", f.Engine, Tuned, Plain)
 }
 
-// checkAdvertise checks that others can reach the advertised address. Where it is Listen's and can't be parsed, that
-// was told before.
+// checkAdvertise checks that others can reach the advertised address. A Listen that can't be parsed is reported as such,
+// and not once more as the advertised address.
 func (f *Fleet) checkAdvertise(c *strictconfig.Checker) {
 	isListen := f.Advertise == ""
 	if isListen {
@@ -136,7 +136,7 @@
 	c.Require(isReachable, "fleet.advertise", "%q is not an address and a port that others can reach", f.Advertise)
 }
 
-// CheckMembers checks how failures are told, in any file that states it under the path "members".
+// CheckMembers checks the configuration of failure detection, in any file that states it under the path "members".
 func CheckMembers(c *strictconfig.Checker, m *Members) {
 	c.InRange(m.PauseS, 0.2, 60, "members.pause_s")
 	c.InRange(m.HelloMs, 50, 5000, "members.hello_ms")
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,5 +1,5 @@
-// Package freeport finds free addresses for test rigs whose processes have to be told beforehand where to listen, as
-// others are told it too, or as they come back there. Whoever can listens on port 0 instead.
+// Package freeport finds free addresses for test rigs whose processes have to know beforehand where to listen: other
+// processes get the address as well, or the process comes back there. All others listen on port 0 instead.
 package freeport
 
 import (
--- a/internal/histogram/histogram.go
+++ b/internal/histogram/histogram.go
@@ -11,7 +11,7 @@
 	bins = 14
 	// FirstBin is the upper end of the first bin: below it all caches look alike.
 	FirstBin = time.Millisecond
-	// minSamples is the number of times below which quantiles are not told.
+	// minSamples is the number of times below which there are no quantiles.
 	minSamples = bins
 )
 
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -104,9 +104,9 @@
 
 // runClock measures the time that this process has run.
 //
-// Guards against a process that was stopped or starved and takes all others for dead: what it hasn't heard meanwhile
-// is its own doing. A gap between two ticks counts as a short one, and what was heard before it doesn't count as heard
-// now.
+// Guards against a process that was stopped or starved and then takes all others for dead, as it received nothing
+// meanwhile. A gap between two ticks counts as a short one, so that no timeout has passed; and hearsTooFew counts only
+// neighbours that were heard after the gap.
 type runClock struct {
 	ran       time.Duration // all spans are measured by it
 	resumedAt time.Duration // run time at the end of the last gap
--- a/internal/membership/names_test.go
+++ b/internal/membership/names_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A process whose name another one has, which lives, is told so by a typed error with that one's address.
+// A process whose name another live process has gets a typed error with the address of that one.
 func TestNameConflictTellsWhoHasTheName(t *testing.T) {
 	s := newSimulation(5, 1, nil)
 	s.run(8 * sec)
