--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -121,8 +121,8 @@
 	c.Require(isEngine, "fleet.engine", "%q is neither %s nor %s", f.Engine, Tuned, Plain)
 }
 
-// checkAdvertise checks that others can reach the advertised address. A Listen that can't be parsed is reported as such,
-// and not once more as the advertised address.
+// checkAdvertise checks that others can reach the advertised address. A Listen that can't be parsed is reported as
+// such, and not once more as the advertised address.
 func (f *Fleet) checkAdvertise(c *strictconfig.Checker) {
 	isListen := f.Advertise == ""
 	if isListen {
--- a/internal/membership/evaluation.go
+++ b/internal/membership/evaluation.go
@@ -11,8 +11,8 @@
 	gatherWindow = 400 * time.Millisecond
 	// leftRetention is how long one that left is shown in views.
 	leftRetention = 5 * time.Second
-	// evaluationInterval spaces out evaluations in a large fleet, as each goes through all processes: there is none between
-	// two in a small fleet, and half of it more for each doubling of the size.
+	// evaluationInterval spaces out evaluations in a large fleet, as each goes through all processes: there is none
+	// between two in a small fleet, and half of it more for each doubling of the size.
 	evaluationInterval = 50 * time.Millisecond
 )
 
--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -36,13 +36,13 @@
 }
 
 var failures = []failure{
-	{"30% lost, doubled and late, one killed", 2, playNoise},
-	{"half of all lost", 0, func(s *simulation) {
+	{name: "30% lost, doubled and late, one killed", maxChanges: 2, play: playNoise},
+	{name: "half of all lost", play: func(s *simulation) {
 		s.setNoise(0.5, 0, 100*time.Millisecond)
 		s.run(60 * sec)
 		s.setNoise(0, 0, 0)
 	}},
-	{"stopped for less than is borne", 0, func(s *simulation) {
+	{name: "stopped for less than is borne", play: func(s *simulation) {
 		for n := range 10 {
 			s.stopFor(sec/2, n)
 			s.run(sec)
@@ -50,7 +50,7 @@
 			s.run(2 * sec)
 		}
 	}},
-	{"stopped for more", 20, func(s *simulation) {
+	{name: "stopped for more", maxChanges: 20, play: func(s *simulation) {
 		for n := range 5 {
 			s.stopFor(5*sec, n)
 			s.run(5 * sec)
@@ -58,33 +58,43 @@
 			s.run(5 * sec)
 		}
 	}},
-	{"a third stopped at once", 2, func(s *simulation) { s.stopFor(8*sec, 1, 4, 7, 10) }},
-	{"heard by nobody", 2, func(s *simulation) { s.partitionFor(20*sec, false, []int{2}, nodesFrom(0, 11)) }},
-	{"hears nobody", 2, func(s *simulation) { s.partitionFor(20*sec, false, nodesFrom(0, 11), []int{2}) }},
-	{"two do not hear each other", 0, func(s *simulation) { s.partitionFor(20*sec, true, []int{2}, []int{5}) }},
-	{"one does not hear another", 0, func(s *simulation) { s.partitionFor(20*sec, false, []int{2}, []int{5}) }},
-	{"a ring that does not hear the next", 0, playDeafRing},
-	{"a link that comes and goes", 0, func(s *simulation) {
+	{name: "a third stopped at once", maxChanges: 2, play: func(s *simulation) { s.stopFor(8*sec, 1, 4, 7, 10) }},
+	{name: "heard by nobody", maxChanges: 2, play: func(s *simulation) {
+		s.partitionFor(20*sec, false, []int{2}, nodesFrom(0, 11))
+	}},
+	{name: "hears nobody", maxChanges: 2, play: func(s *simulation) {
+		s.partitionFor(20*sec, false, nodesFrom(0, 11), []int{2})
+	}},
+	{name: "two do not hear each other", play: func(s *simulation) {
+		s.partitionFor(20*sec, true, []int{2}, []int{5})
+	}},
+	{name: "one does not hear another", play: func(s *simulation) {
+		s.partitionFor(20*sec, false, []int{2}, []int{5})
+	}},
+	{name: "a ring that does not hear the next", play: playDeafRing},
+	{name: "a link that comes and goes", play: func(s *simulation) {
 		for range 30 {
 			s.partitionFor(sec, true, []int{7}, nodesFrom(0, 11))
 			s.run(sec)
 		}
 	}},
-	{"halves", 0, func(s *simulation) { s.partitionFor(60*sec, true, nodesFrom(0, 5), nodesFrom(6, 11)) }},
-	{"three islands, all seeds on one", 0, playIslands},
-	{"all seeds dead, and another", 5, playDeadSeeds},
-	{"eight and four", 2, func(s *simulation) { s.partitionFor(40*sec, true, nodesFrom(0, 7), nodesFrom(8, 11)) }},
-	{"the network down for everyone", 0, func(s *simulation) {
+	{name: "halves", play: func(s *simulation) { s.partitionFor(60*sec, true, nodesFrom(0, 5), nodesFrom(6, 11)) }},
+	{name: "three islands, all seeds on one", play: playIslands},
+	{name: "all seeds dead, and another", maxChanges: 5, play: playDeadSeeds},
+	{name: "eight and four", maxChanges: 2, play: func(s *simulation) {
+		s.partitionFor(40*sec, true, nodesFrom(0, 7), nodesFrom(8, 11))
+	}},
+	{name: "the network down for everyone", play: func(s *simulation) {
 		s.partitionFor(10*sec, false, nodesFrom(0, 11), nodesFrom(0, 11))
 	}},
-	{"restarted one after the other", 24, func(s *simulation) {
+	{name: "restarted one after the other", maxChanges: 24, play: func(s *simulation) {
 		for n := range 12 {
 			s.nodes[n].kill()
 			s.run(2 * sec)
 			s.nodes[n].start()
 		}
 	}},
-	{"nearly all killed at once and back", 0, func(s *simulation) {
+	{name: "nearly all killed at once and back", play: func(s *simulation) {
 		for n := range 11 {
 			s.nodes[n].kill()
 		}
@@ -93,7 +103,7 @@
 			s.nodes[n].start()
 		}
 	}},
-	{"the loop hangs", 2, func(s *simulation) {
+	{name: "the loop hangs", maxChanges: 2, play: func(s *simulation) {
 		s.nodes[3].loopHung = true
 		s.views.Truth(s.now, "n4", false, false)
 		s.run(15 * sec)
