--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -174,3 +174,38 @@
 		t.Errorf("ended %v after it was told to", took)
 	}
 }
+
+// A node on standby looks for idle clients at intervals, and goes on with that when it is told to drain. Told so while
+// its next look was still due, it began a second series: looks came twice as often, so that a process which was held up
+// had its seven punctual looks in half the time, and could stop before it accepted what waited in the kernel's queue.
+func TestDrainAfterStandbyHasOneSeriesOfIdleChecks(t *testing.T) {
+	g := newHarness(t, 200, blockRequestA(make(chan bool)))
+	c, _ := g.client()
+	fmt.Fprint(c, "mg k v Oa Pc=read,d=900\r\n")
+	receive(t, g.cacheCommands)
+	series := 0
+	g.runInLoop(func() {
+		if err := g.enterStandby(); err != nil {
+			t.Error(err)
+		}
+		g.startDrain()
+		var pending []timerEvent
+		for {
+			event, ok := g.timers.PopDue(g.now().Add(time.Hour))
+			if !ok {
+				break
+			}
+			pending = append(pending, event)
+		}
+		for _, event := range pending {
+			if event.kind == timerIdleCheck {
+				series++
+			}
+			g.schedule(g.now(), event)
+		}
+	})
+	g.Counters() // comes after it
+	if series != 1 {
+		t.Errorf("%d series of idle checks", series)
+	}
+}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -37,3 +37,18 @@
 		t.Errorf("one report of 61 raised the mean from 0 to %v", estimator.meanForeign)
 	}
 }
+
+// An attempt that ended without a report, at the very instant of its endpoint's last one, counted that report once more:
+// the mean, and with it the load of all caches without a report, followed one cache.
+func TestReportIsCountedIntoTheMeanOnce(t *testing.T) {
+	settings := testSettings()
+	settings.InFlightColumn = 0
+	estimator := loadEstimator{settings: &settings}
+	reporting := &upstream{}
+	estimator.recordReport(1, reporting, false, 1, []float64{61})
+	once := estimator.meanForeign
+	estimator.recordReport(1, reporting, false, 1, nil)
+	if estimator.meanForeign != once {
+		t.Errorf("an attempt without a report moved the mean from %v to %v", once, estimator.meanForeign)
+	}
+}
