--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -159,6 +159,8 @@
 					t.Fatal(err)
 				}
 				defer c.Close()
+				// Else the loop would be paused by the connection's own event, and see the request only with its end.
+				g.waitUntil("it is accepted", func(n metrics.Counters) bool { return n.Clients == 2 })
 				ask := func() { io.WriteString(c, requestHead("GET /p/k", "X-Id: http")) }
 				if after == "" {
 					g.pauseLoop(ask, nil, func() { leave(c.(*net.TCPConn)) })
