--- /dev/null
+++ b/internal/control/purger/connection_test.go
@@ -0,0 +1,100 @@
+package purger
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/emulator/cachestub"
+)
+
+// connectionCounter dials, and counts the connections that are open at once.
+type connectionCounter struct {
+	mu   sync.Mutex
+	open map[string]int // by address
+	most map[string]int
+}
+
+func newConnectionCounter() *connectionCounter {
+	return &connectionCounter{open: map[string]int{}, most: map[string]int{}}
+}
+
+// countedConn tells its counter when it is closed.
+type countedConn struct {
+	net.Conn
+	onClose func()
+}
+
+func (c countedConn) Close() error {
+	c.onClose()
+	return c.Conn.Close()
+}
+
+func (o *connectionCounter) dial(addr string, within time.Duration) (net.Conn, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.open[addr]++
+	o.most[addr] = max(o.most[addr], o.open[addr])
+	conn, err := net.DialTimeout("tcp", addr, within)
+	if err != nil {
+		o.open[addr]--
+		return nil, err
+	}
+	closed := func() {
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		o.open[addr]--
+	}
+	return countedConn{Conn: conn, onClose: sync.OnceFunc(closed)}, nil
+}
+
+// Caches hang, refuse connections, answer garbage, are busy or close connections; one is slow. Two control servers
+// carry purges out: the others are not held up, each cache has one connection of each server at a time, and a cache
+// has everything once it works again.
+func TestFaultyCachesDelayNoOthers(t *testing.T) {
+	t.Parallel()
+	faults := []cachestub.Fault{
+		cachestub.None, cachestub.Silent, cachestub.Refuse, cachestub.Garbage, cachestub.Busy, cachestub.Ends,
+	}
+	slow := len(faults)
+	b := newBench(t, len(faults)+1, 0)
+	counter := newConnectionCounter()
+	b.dial = counter.dial
+	b.addPurger()
+	b.addPurger()
+	for i, fault := range faults {
+		b.caches[i].Break(fault, 0)
+	}
+	b.caches[slow].Break(cachestub.None, 20*time.Millisecond)
+	for i, cache := range b.caches {
+		cache.Fill("key-1", uint64(i))
+	}
+	began := time.Now()
+	b.publish(9, numberedKeys(20)...)
+	b.waitDone(0, "c0")
+	if took := time.Since(began); took > 2*time.Second {
+		t.Errorf("the sound one took %v", took)
+	}
+	b.waitDone(0, fmt.Sprint("c", slow))
+	time.Sleep(2*purge.AnswerTimeout + testLongestFill)
+	for i := 1; i < slow; i++ {
+		progress := b.progress(0, fmt.Sprint("c", i))
+		if progress.Done != 0 || progress.Reason == "" || progress.Overdue == 0 && i == 1 {
+			t.Errorf("fault %d: %+v", faults[i], progress)
+		}
+		b.caches[i].Break(cachestub.None, 0)
+	}
+	for i := range b.caches {
+		b.waitDone(0, fmt.Sprint("c", i))
+		b.waitDone(1, fmt.Sprint("c", i))
+	}
+	for addr, most := range counter.most {
+		if most > len(b.purgers) {
+			t.Errorf("%d connections of two servers to %s", most, addr)
+		}
+	}
+	b.expectNoBreach()
+}
--- /dev/null
+++ b/internal/control/purger/harness_test.go
@@ -0,0 +1,226 @@
+package purger
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sys/unix"
+
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/cachestub"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/monotime"
+	"dahliapin/internal/scale/logscale/checker"
+)
+
+const (
+	testLongestFill = 400 * time.Millisecond
+	testLogID       = 7
+)
+
+func bootTime() monotime.Instant {
+	var t unix.Timespec
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
+	return monotime.Instant(t.Nano())
+}
+
+// testLog is a replicated log that only grows.
+type testLog struct {
+	mu      sync.Mutex
+	entries []replicatedlog.Entry
+	floor   replicatedlog.Index
+	changed chan struct{}
+}
+
+func (l *testLog) Position() (id replicatedlog.LogID, floor, last replicatedlog.Index) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return testLogID, l.floor, replicatedlog.Index(len(l.entries))
+}
+
+func (l *testLog) Entry(index replicatedlog.Index) (replicatedlog.Entry, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if index <= l.floor || int(index) > len(l.entries) {
+		return replicatedlog.Entry{}, false
+	}
+	return l.entries[index-1], true
+}
+
+func (l *testLog) RequestedAt(replicatedlog.Index) (monotime.Instant, bool) { return 0, false }
+
+func (l *testLog) Changed() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.changed
+}
+
+func (l *testLog) setFloor(floor replicatedlog.Index) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.floor = floor
+}
+
+// bench is some caches, control servers' purgers, and what the checker gets.
+type bench struct {
+	t        *testing.T
+	log      testLog
+	settings fleetconfig.Purges
+	caches   []*cachestub.Cache
+	purgers  []*Purger // nil for one that is stopped
+	dirs     []string
+	dial     func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
+
+	mu      sync.Mutex
+	records []logtrace.Cached
+	purged  []logtrace.Purged
+}
+
+// newBench starts caches and purgers.
+func newBench(t *testing.T, caches, purgers int) *bench {
+	t.Helper()
+	b := &bench{t: t, settings: *fleetconfig.DefaultPurges()}
+	b.settings.FillsS = testLongestFill.Seconds()
+	b.settings.FlushS = 0.1
+	b.log.changed = make(chan struct{})
+	for i := range caches {
+		cache, err := cachestub.Open(fmt.Sprint("c", i), bootTime, b.record)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(cache.Close)
+		b.caches = append(b.caches, cache)
+		b.settings.Caches = append(b.settings.Caches, fleetconfig.Cache{ID: cache.Name(), Addr: cache.Addr()})
+	}
+	for range purgers {
+		b.addPurger()
+	}
+	t.Cleanup(func() {
+		for i := range b.purgers {
+			b.stop(i)
+		}
+	})
+	return b
+}
+
+// record notes what a cache did, or that a cursor has changed.
+func (b *bench) record(r logtrace.Cached) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.records = append(b.records, r)
+}
+
+// addPurger starts one more, with an empty folder.
+func (b *bench) addPurger() {
+	b.t.Helper()
+	b.purgers = append(b.purgers, nil)
+	b.dirs = append(b.dirs, b.t.TempDir())
+	b.start(len(b.purgers) - 1)
+}
+
+// start starts a purger with the folder that it has.
+func (b *bench) start(i int) {
+	b.t.Helper()
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	settings := b.settings
+	p, err := Open(Config{
+		Terms:   &settings,
+		Servers: 4,
+		Log:     &b.log,
+		Dir:     b.dirs[i],
+		Seed:    uint32(i),
+		Logger:  logger,
+		Now:     bootTime,
+		Dial:    b.dial,
+		OnProgress: func(id purge.CacheID, cursor purge.Cursor) {
+			done := uint64(cursor.Done)
+			b.record(logtrace.Cached{At: bootTime(), Cache: string(id), What: logtrace.Counted, Index: done})
+		},
+	})
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	b.purgers[i] = p
+}
+
+func (b *bench) stop(i int) {
+	if b.purgers[i] != nil {
+		b.purgers[i].Close()
+		b.purgers[i] = nil
+	}
+}
+
+// publish puts purges into the log. The origin has a newer version of each key by then.
+func (b *bench) publish(version uint64, keys ...string) {
+	b.log.mu.Lock()
+	defer b.log.mu.Unlock()
+	for _, key := range keys {
+		index := replicatedlog.Index(len(b.log.entries) + 1)
+		proposal := replicatedlog.Proposal{Kind: replicatedlog.Purge, Body: []byte(key)}
+		purged := logtrace.Purged{Index: uint64(index), Key: key, Version: version, Sent: bootTime()}
+		b.purged = append(b.purged, purged)
+		b.log.entries = append(b.log.entries, replicatedlog.Entry{Index: index, Proposal: proposal})
+	}
+	close(b.log.changed)
+	b.log.changed = make(chan struct{})
+}
+
+// progress is what a purger reports of a cache.
+func (b *bench) progress(i int, cache string) Progress {
+	all, _ := b.purgers[i].Progress()
+	for _, progress := range all {
+		if progress.Cache == cache {
+			return progress
+		}
+	}
+	return Progress{Cache: "none"}
+}
+
+// eventually waits until something holds.
+func (b *bench) eventually(what string, holds func() bool) {
+	b.t.Helper()
+	for deadline := time.Now().Add(15 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			b.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// waitDone waits until a purger has done everything at a cache.
+func (b *bench) waitDone(i int, cache string) {
+	b.t.Helper()
+	last := uint64(len(b.log.entries))
+	what := fmt.Sprintf("%s has all %d", cache, last)
+	b.eventually(what, func() bool { return b.progress(i, cache).Done >= last })
+}
+
+// report is what the checker makes of it.
+func (b *bench) report() checker.CachesReport {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return checker.Caches(b.purged, b.records, nil)
+}
+
+func (b *bench) expectNoBreach() {
+	b.t.Helper()
+	if report := b.report(); len(report.Breaches) > 0 {
+		b.t.Errorf("%+v", report.Breaches)
+	}
+}
+
+// numberedKeys are as many different keys.
+func numberedKeys(n int) []string {
+	var keys []string
+	for i := range n {
+		keys = append(keys, fmt.Sprint("key-", i))
+	}
+	return keys
+}
--- /dev/null
+++ b/internal/control/purger/judge_test.go
@@ -0,0 +1,136 @@
+package purger
+
+import (
+	"io"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/emulator/cachestub"
+	"dahliapin/internal/scale/logscale/checker"
+)
+
+// lyingConn answers for the cache, which gets nothing.
+type lyingConn struct {
+	net.Conn
+	answers chan []byte
+}
+
+func dialLyingConn(addr string, within time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", addr, within)
+	return &lyingConn{Conn: conn, answers: make(chan []byte, 1000)}, err
+}
+
+func (c *lyingConn) Write(b []byte) (int, error) {
+	var answers []byte
+	for line := range strings.Lines(string(b)) {
+		order, _ := cachestub.ReadOrder([]byte(line))
+		answers = append(answers, order.Answer(true)...)
+	}
+	c.answers <- answers
+	return len(b), nil
+}
+
+func (c *lyingConn) Read(b []byte) (int, error) {
+	answers, is := <-c.answers
+	if !is {
+		return 0, io.EOF
+	}
+	return copy(b, answers), nil
+}
+
+func (c *lyingConn) Close() error {
+	close(c.answers)
+	return c.Conn.Close()
+}
+
+// judgedVariant is how a purger is broken; the zero one is sound.
+type judgedVariant struct {
+	name           string
+	change         func(*bench)
+	cursorLeads    bool // its cursor on disk is ahead of what was answered
+	startsAtNewest bool // it takes a cache that returns for one without old values
+	want           string
+}
+
+// The checker finds no breach where the rules are kept, and each of these where it is broken: by code that runs, not
+// by made-up traces.
+func TestCheckerFindsBrokenVariants(t *testing.T) {
+	t.Parallel()
+	for _, v := range []judgedVariant{
+		{name: "sound"},
+		{
+			name:   "no confirming delete after fills",
+			change: func(b *bench) { b.settings.FillsS = 1e-6 },
+			want:   checker.OldServed,
+		},
+		{
+			name:   "counted without an answer",
+			change: func(b *bench) { b.dial = dialLyingConn },
+			want:   checker.NotDone,
+		},
+		{name: "a cursor that leads", cursorLeads: true, want: checker.NotDone},
+		{name: "one that is back starts at the newest", startsAtNewest: true, want: checker.OldServed},
+	} {
+		t.Run(v.name, func(t *testing.T) {
+			t.Parallel()
+			report := v.run(t)
+			found := slices.ContainsFunc(report.Breaches, func(b checker.Breach) bool { return b.What == v.want })
+			if found != (v.want != "") || v.want == "" && len(report.Breaches) > 0 {
+				t.Errorf("%+v", report)
+			}
+		})
+	}
+}
+
+// run publishes a purge while a fill is under way, then two more while the cache refuses connections, and restarts
+// the purger.
+func (v *judgedVariant) run(t *testing.T) checker.CachesReport {
+	b := newBench(t, 1, 0)
+	if v.change != nil {
+		v.change(b)
+	}
+	b.addPurger()
+	cache := b.caches[0]
+	cache.Fill("a", 1)
+	b.publish(2, "a")
+	time.Sleep(testLongestFill / 4)
+	cache.Fill("a", 1) // the fill that was under way
+	time.Sleep(testLongestFill / 4)
+	_, _ = cache.Serve("a")
+	b.waitDone(0, "c0")
+	_, _ = cache.Serve("a")
+
+	cache.Fill("b", 1)
+	cache.Break(cachestub.Refuse, 0)
+	b.publish(2, "b", "c")
+	time.Sleep(testLongestFill / 4)
+	b.stop(0)
+	if v.cursorLeads {
+		writeCursor(t, b.dirs[0], "c0", purge.Cursor{Log: testLogID, Done: 3})
+	}
+	cache.Break(cachestub.None, 0)
+	b.start(0)
+	if v.startsAtNewest {
+		b.purgers[0].MergeProgress([]Progress{{Cache: "c0", Log: testLogID, Done: 3}})
+	}
+	b.waitDone(0, "c0")
+	_, _ = cache.Serve("b")
+	return b.report()
+}
+
+// writeCursor puts a cursor into a purger's folder.
+func writeCursor(t *testing.T, dir string, id purge.CacheID, cursor purge.Cursor) {
+	t.Helper()
+	store, _, err := openCursorStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.close()
+	if err := store.put(map[purge.CacheID]purge.Cursor{id: cursor}, []purge.CacheID{id}); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/control/purger/list_test.go
@@ -0,0 +1,115 @@
+package purger
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// testDiscovery serves a list, and long polls of it.
+type testDiscovery struct {
+	mu        sync.Mutex
+	version   int
+	instances []map[string]any
+}
+
+func (d *testDiscovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+	since := request.URL.Query().Get("since")
+	for range 40 {
+		d.mu.Lock()
+		list, _ := json.Marshal(map[string]any{"generation": d.version, "reset": true, "instances": d.instances})
+		unchanged := since == fmt.Sprint(d.version)
+		d.mu.Unlock()
+		if !unchanged {
+			_, _ = response.Write(list)
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	_, _ = fmt.Fprintf(response, `{"generation":%s,"reset":false,"instances":[]}`, since)
+}
+
+func (d *testDiscovery) set(instances ...map[string]any) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
+	d.instances = instances
+}
+
+// instance is an entry of discovery's list.
+func instance(id, addr, kind, lifecycle string, started int) map[string]any {
+	return map[string]any{
+		"instanceId":  id,
+		"hostPort":    addr,
+		"machineType": kind,
+		"lifecycle":   lifecycle,
+		"startedAtMs": started,
+	}
+}
+
+// listed counts the caches in a purger's list.
+func (b *bench) listed(i int) int {
+	all, _ := b.purgers[i].Progress()
+	return len(all)
+}
+
+// The purger follows discovery's list. The origin is no cache; an entry that cannot be read takes no cache out; a
+// cache that leaves is left alone, and continues from its cursor when it is back; one that was restarted gets again
+// what fills could have brought back.
+func TestListIsFollowed(t *testing.T) {
+	t.Parallel()
+	b := newBench(t, 2, 0)
+	discovery := &testDiscovery{}
+	web := httptest.NewServer(discovery)
+	t.Cleanup(web.Close)
+	cache := func(i, started int, lifecycle string) map[string]any {
+		return instance(b.caches[i].Name(), b.caches[i].Addr(), "m2", lifecycle, started)
+	}
+	origin := instance("o", "127.0.0.1:1", "origin", "in_service", 0)
+	unreadable := instance("odd", "nowhere", "m2", "in_service", 0)
+	b.settings.Caches = nil
+	b.settings.Discovery = strings.TrimPrefix(web.URL, "http://")
+	b.addPurger()
+	if _, listed := b.purgers[0].Progress(); listed {
+		t.Error("a list before one came")
+	}
+
+	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "terminating"), origin)
+	b.publish(2, "a")
+	b.eventually("both are listed", func() bool { return b.listed(0) == 2 })
+	b.waitDone(0, "c0")
+	b.waitDone(0, "c1")
+	discovery.set(cache(0, 5, "in_service"), origin, unreadable)
+	time.Sleep(100 * time.Millisecond)
+	if b.listed(0) != 2 {
+		t.Error("an entry that can't be read took a cache out")
+	}
+
+	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "terminated"), origin)
+	b.eventually("one has left", func() bool { return b.listed(0) == 1 })
+	b.caches[1].Fill("b", 1)
+	b.publish(2, "b")
+	b.waitDone(0, "c0")
+	if _, is := b.caches[1].Serve("b"); !is {
+		t.Error("purged at a cache that has left")
+	}
+	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "in_service"))
+	b.waitDone(0, "c1")
+
+	b.caches[0].Restart()
+	b.caches[0].Fill("c", 1) // by a fill from before
+	b.publish(2, "c")
+	discovery.set(cache(0, 9, "in_service"), cache(1, 5, "in_service"))
+	b.waitDone(0, "c0")
+	b.waitDone(0, "c1")
+	b.eventually("the new process is known", func() bool { return b.progress(0, "c0").Started == 9 })
+	if _, is := b.caches[0].Serve("c"); is {
+		t.Error("an old value in a cache that was restarted")
+	}
+	b.expectNoBreach()
+}
