--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -48,7 +48,7 @@
 	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
 }
 
-// ServerStatus is the state of a control server.
+// ServerStatus is the state of a control server. It is flat, as operators get it in JSON.
 type ServerStatus struct {
 	ID          uint64              `json:"id"`
 	Name        string              `json:"name"`
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	outboxMessages      = 4096                   // raft messages that wait for a stream; more are dropped and sent again
+	outboxMessages      = 4096                   // raft messages that wait; more are dropped and sent again
 	maxRaftFrameBytes   = 1 << 20                // of entries and snapshots, from which on a frame takes no more
 	firstReconnectDelay = 50 * time.Millisecond  // backoff before a stream is opened again
 	statusInterval      = 300 * time.Millisecond // between two status reports to another control server
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -45,7 +45,7 @@
 var ErrMalformed = errors.New("not a message of the log of changes")
 
 // Message is what a frame holds: CBOR with numbered fields, of which unknown ones are skipped. Its Kind says which
-// fields are set.
+// fields are set. The protocol has one flat record for all kinds, hence the number of fields.
 type Message struct {
 	Version      uint32            `cbor:"0,keyasint"` // set by EncodeFrame
 	Kind         MessageKind       `cbor:"1,keyasint"`
@@ -53,7 +53,7 @@
 	Last         uint64            `cbor:"3,keyasint,omitempty"` // index of the newest entry that the server has
 	HasLeader    bool              `cbor:"4,keyasint,omitempty"` // the server leads, or heard its leader lately
 	Entries      []cbor.RawMessage `cbor:"5,keyasint,omitempty"` // encoded entries in order
-	BaseConfig   cbor.RawMessage   `cbor:"6,keyasint,omitempty"` // Start: the encoded configuration in force; empty for none
+	BaseConfig   cbor.RawMessage   `cbor:"6,keyasint,omitempty"` // Start: the encoded configuration in force
 	Nodes        []NodeReport      `cbor:"7,keyasint,omitempty"`
 	Batch        []byte            `cbor:"8,keyasint,omitempty"` // Publish: an encoded replicatedlog.Batch
 	Indexes      []uint64          `cbor:"9,keyasint,omitempty"` // Ordered: one for each proposal
@@ -61,7 +61,7 @@
 	RaftMessages [][]byte          `cbor:"11,keyasint,omitempty"` // in protobuf
 	Fresh        bool              `cbor:"12,keyasint,omitempty"` // a node's Hello: it has applied nothing yet
 	Servers      []ServerReport    `cbor:"13,keyasint,omitempty"`
-	LogID        uint64            `cbor:"14,keyasint,omitempty"` // Start and a node's Hello: the log that indexes are of
+	LogID        uint64            `cbor:"14,keyasint,omitempty"` // Start, a node's Hello: the log of the indexes
 	Caches       []purger.Progress `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
 }
 
@@ -81,7 +81,8 @@
 	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
 }
 
-// ServerReport is the state of a control server, as it reports itself or as another one last heard.
+// ServerReport is the state of a control server, as it reports itself or as another one last heard. It is flat, as the
+// protocol has it.
 type ServerReport struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/monotime"
 )
 
-// Status is how a node follows the replicated log, for operators.
+// Status is how a node follows the replicated log, for operators. It is flat, as they get it in JSON.
 type Status struct {
 	Applied        replicatedlog.Index `json:"applied"`
 	LastHeard      replicatedlog.Index `json:"head"`   // the newest entry heard of
@@ -22,7 +22,7 @@
 	Gaps           uint64              `json:"gaps"`               // times that entries did not follow what was applied
 	Moves          uint64              `json:"moves"`              // streams opened
 	Server         string              `json:"via"`                // the control server's address; empty between two
-	HeardS         float64             `json:"heard_s"`            // seconds since a message of a server that has a leader
+	HeardS         float64             `json:"heard_s"`            // seconds since a server that has a leader was heard
 	Stale          bool                `json:"stale"`              // HeardS is over Config.StaleAfter
 	BytesIn        uint64              `json:"bytes_in"`
 	BytesOut       uint64              `json:"bytes_out"`
--- a/internal/control/purger/cursorstore.go
+++ b/internal/control/purger/cursorstore.go
@@ -17,7 +17,7 @@
 	fileName      = "purges.bbolt"
 	lockTimeout   = time.Second // another process that uses the folder is reported at once, not waited for
 	cursorVersion = 1           // of the cursors' format
-	cursorBytes   = 33          // a version, then log, process, done and safe after a restart, eight bytes each, big endian
+	cursorBytes   = 33          // a version, then four numbers of eight bytes, see encodeCursor
 )
 
 var bucketCursors = []byte("cursors") // by the cache's name
