--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -111,10 +111,11 @@
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	broken := make(chan struct{})
-	go func() { // nothing arrives this way but the stream's end, which a write would notice only after a while
+	p.server.goroutines.Go(func() {
+		// Nothing arrives this way but the stream's end, which a write would notice only with the second one after it.
 		_, _ = stream.Conn.Read(make([]byte, 1))
 		close(broken)
-	}()
+	}) // it ends when run closes the stream
 	for {
 		var err error
 		select {
--- /dev/null
+++ b/internal/control/controlwire/stream_test.go
@@ -0,0 +1,93 @@
+package controlwire
+
+import (
+	"encoding/binary"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// received is what a stream with a bound of MaxFrameBytes makes of some bytes, after which the sender closes.
+func received(t *testing.T, sent []byte) *Stream {
+	t.Helper()
+	here, there := net.Pipe()
+	t.Cleanup(func() { _ = there.Close() })
+	go func() {
+		_, _ = here.Write(sent)
+		_ = here.Close()
+	}()
+	return NewStream(there, MaxFrameBytes)
+}
+
+func TestPrefaceOfAnotherProtocolOrFleetIsRejected(t *testing.T) {
+	const label = "fleet"
+	changed := func(at int) []byte {
+		preface := Preface(StreamFollower, label)
+		preface[at]++
+		return preface
+	}
+	kind, err := received(t, Preface(StreamFollower, label)).AcceptPreface(label)
+	if err != nil || kind != StreamFollower {
+		t.Errorf("own preface: %c, %v", kind, err)
+	}
+	for name, preface := range map[string][]byte{
+		"another protocol": changed(0),
+		"another version":  changed(2),
+		"another fleet":    Preface(StreamFollower, "another"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := received(t, preface).AcceptPreface(label); !errors.Is(err, ErrMalformed) {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
+
+func TestMalformedFramesAreRejected(t *testing.T) {
+	tooManyNodes, err := EncodeFrame(Message{Kind: KindStatusTable, Nodes: make([]NodeReport, MaxNodes+1)}, MaxFrameBytes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		sent []byte
+		want error
+	}{
+		"a length beyond the bound": {binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1), ErrMalformed},
+		"no CBOR":                   {[]byte{0, 0, 0, 1, 0xff}, ErrMalformed},
+		"no version":                {[]byte{0, 0, 0, 1, 0xa0}, ErrMalformed},
+		"too many nodes":            {tooManyNodes, ErrMalformed},
+		"cut short":                 {[]byte{0, 0, 0, 9, 0xa0}, io.ErrUnexpectedEOF},
+		"a long one cut short":      {append([]byte{0, 1, 0, 0}, 0xa0), io.ErrUnexpectedEOF},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, _, err := received(t, c.sent).Receive(time.Second); !errors.Is(err, c.want) {
+				t.Errorf("%v, wanted %v", err, c.want)
+			}
+		})
+	}
+	if _, err := EncodeFrame(Message{Batch: make([]byte, MaxFrameBytes)}, MaxFrameBytes); !errors.Is(err, ErrMalformed) {
+		t.Errorf("a frame beyond the bound was encoded: %v", err)
+	}
+}
+
+func TestReconnectDelayGrowsToAMaximum(t *testing.T) {
+	const first = 100 * time.Millisecond
+	for _, c := range []struct {
+		attempt int
+		random  float64
+		want    time.Duration
+	}{
+		{0, 1, first},
+		{1, 1, 2 * first},
+		{1, 0.5, first},
+		{3, 0, 0},
+		{5, 1, maxReconnectDelay},
+		{1000, 1, maxReconnectDelay},
+	} {
+		if got := ReconnectDelay(first, c.attempt, c.random); got != c.want {
+			t.Errorf("attempt %d, random %v: %v, wanted %v", c.attempt, c.random, got, c.want)
+		}
+	}
+}
--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -97,7 +97,7 @@
 // serve sends commands over a connection until it breaks, and returns why.
 func (c *cache) serve(conn net.Conn, stop chan struct{}) error {
 	broken := make(chan error, 1)
-	go func() { broken <- c.readAnswers(conn, stop) }()
+	c.purger.goroutines.Go(func() { broken <- c.readAnswers(conn, stop) }) // it ends when run closes the connection
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
--- a/internal/control/purger/doc.go
+++ b/internal/control/purger/doc.go
@@ -11,8 +11,7 @@
 // One lock guards everything in a Purger: the list, the arrival times and each cache's purge.Cache. Open starts one
 // goroutine that notes new entries, one that saves cursors, and one that polls discovery for the list, where the
 // settings name it. Each cache in the list has one that keeps its connection and writes commands, and while it is
-// connected one more that reads answers. Close ends them all and waits, but for reading ones, which end with their
-// connection.
+// connected one more that reads answers. Close ends them and waits.
 //
 // # What survives kill -9
 //
