--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -125,7 +125,7 @@
 		case m.IsLeader:
 			role = fmt.Sprintf("leader, term %d", m.Term)
 		}
-		heard := fmt.Sprintf("%.1f s ago", m.HeardS)
+		heard := fmt.Sprintf("%.1f s ago", m.LastSeenS)
 		if m.Silent {
 			heard += ", silent"
 		}
@@ -146,7 +146,7 @@
 			fmt.Fprintf(w, "and %d more: --json has all\n", len(lacking)-i)
 			break
 		}
-		heard := fmt.Sprintf("%.1f s ago", n.HeardS)
+		heard := fmt.Sprintf("%.1f s ago", n.LastSeenS)
 		if n.Silent {
 			heard += ", silent"
 		}
--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -57,7 +57,7 @@
 		s.Node, s.Process, s.Incarnation, s.View, s.Mark, s.Members, s.Suspected, s.CutOff, s.In, s.InBytes, s.Out, s.OutBytes, s.Streams, s.Foreign, s.Unread, s.Dropped)
 	if c := s.Changes; c != nil && err == nil {
 		_, err = fmt.Fprintf(to, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, all up to %d presumed purged; at %s, heard %.1f s ago, stale: %t, %d gaps\n",
-			c.Applied, c.LastHeard, c.Config, c.Refused, c.Reason, c.Purges, c.PresumedPurged, c.Server, c.HeardS, c.Stale, c.Gaps)
+			c.Applied, c.LastKnown, c.Config, c.Refused, c.Reason, c.Purges, c.PresumedPurged, c.Server, c.SinceLeaderS, c.Stale, c.Gaps)
 	}
 	return err
 }
--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -102,8 +102,8 @@
 	}
 	for _, report := range table.Servers {
 		known, is := m.servers[report.ID]
-		newer := !report.NeverHeard && report.AgeMs < known.AgeMs
-		if !is || known.NeverHeard || newer {
+		newer := !report.NeverSeen && report.AgeMs < known.AgeMs
+		if !is || known.NeverSeen || newer {
 			m.servers[report.ID] = report
 		}
 	}
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -16,13 +16,13 @@
 	Unlisted  bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
 }
 
-// CaughtUp says whether every node has applied all entries and is heard, and every purge is done at every cache.
+// CaughtUp says whether every node has applied all entries and is not silent, and every purge is done at every cache.
 func (o Overview) CaughtUp() bool {
 	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
 	return !o.Unlisted && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
 }
 
-// NodesCaughtUp says whether every node has applied all entries and is heard.
+// NodesCaughtUp says whether every node has applied all entries and is not silent.
 func (o Overview) NodesCaughtUp() bool {
 	for _, node := range o.Nodes {
 		if node.Missing > 0 || node.Silent || node.NotStarted || node.Refused > 0 {
@@ -43,7 +43,7 @@
 	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
 	Gaps           uint64              `json:"gaps,omitempty"`     // times that entries did not follow what was applied
 	Server         uint64              `json:"machine"`            // id of the control server that it follows
-	HeardS         float64             `json:"heard_s"`            // seconds since it reported
+	LastSeenS      float64             `json:"heard_s"`            // seconds since it reported
 	Silent         bool                `json:"silent,omitempty"`   // that is longer than controlwire.NodeTimeout
 	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
 }
@@ -58,7 +58,7 @@
 	Last        replicatedlog.Index `json:"last"`             // newest entry
 	Floor       replicatedlog.Index `json:"floor"`            // entries up to here are no longer kept
 	Config      replicatedlog.Index `json:"config"`           // newest configuration
-	HeardS      float64             `json:"heard_s"`          // seconds since the server that answered heard it
+	LastSeenS   float64             `json:"heard_s"`          // seconds since the server that answered heard it
 	Silent      bool                `json:"silent,omitempty"` // that is longer than controlwire.NodeTimeout
 	BytesIn     uint64              `json:"bytes_in"`
 	BytesOut    uint64              `json:"bytes_out"`
@@ -86,6 +86,6 @@
 	Overdue     uint64              `json:"late"`             // entries that should be done by now
 	UnansweredS float64             `json:"quiet_s"`          // seconds since the cache answered, where it was to
 	Reason      string              `json:"reason,omitempty"` // why the last connection ended
-	HeardS      float64             `json:"heard_s"`          // seconds since the server reported
+	LastSeenS   float64             `json:"heard_s"`          // seconds since the server reported
 	Silent      bool                `json:"silent,omitempty"` // the server is
 }
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -24,8 +24,8 @@
 	for _, report := range table.Servers {
 		overview.Servers = append(overview.Servers, serverStatus(report))
 	}
-	heard, unlisted := heardServers(table.Servers)
-	overview.Caches = cacheStatuses(table, heard)
+	responsive, unlisted := responsiveServers(table.Servers)
+	overview.Caches = cacheStatuses(table, responsive)
 	overview.Unlisted = unlisted
 	return overview
 }
@@ -45,7 +45,7 @@
 		PresumedPurged: replicatedlog.Index(report.PresumedPurged),
 		Gaps:           report.Gaps,
 		Server:         report.Server,
-		HeardS:         seconds(report.AgeMs),
+		LastSeenS:      seconds(report.AgeMs),
 		Silent:         silent(report.AgeMs),
 		NotStarted:     report.NotStarted,
 	}
@@ -61,8 +61,8 @@
 		Last:        replicatedlog.Index(report.Last),
 		Floor:       replicatedlog.Index(report.Floor),
 		Config:      replicatedlog.Index(report.Config),
-		HeardS:      seconds(report.AgeMs),
-		Silent:      report.NeverHeard || silent(report.AgeMs),
+		LastSeenS:   seconds(report.AgeMs),
+		Silent:      report.NeverSeen || silent(report.AgeMs),
 		BytesIn:     report.BytesIn,
 		BytesOut:    report.BytesOut,
 		Invalid:     report.Invalid,
@@ -74,22 +74,22 @@
 
 // heardServers returns the servers that are not silent, and whether purges are to be carried out at caches while none
 // of these has a list.
-func heardServers(servers []controlwire.ServerReport) (heard map[uint64]bool, unlisted bool) {
-	heard = map[uint64]bool{}
+func responsiveServers(servers []controlwire.ServerReport) (responsive map[uint64]bool, unlisted bool) {
+	responsive = map[uint64]bool{}
 	runsPurges := false
 	hasList := false
 	for _, server := range servers {
-		heard[server.ID] = !server.NeverHeard && !silent(server.AgeMs)
+		responsive[server.ID] = !server.NeverSeen && !silent(server.AgeMs)
 		runsPurges = runsPurges || server.RunsPurges
-		hasList = hasList || server.RunsPurges && !server.NoCacheList && heard[server.ID]
+		hasList = hasList || server.RunsPurges && !server.NoCacheList && responsive[server.ID]
 	}
-	return heard, runsPurges && !hasList
+	return responsive, runsPurges && !hasList
 }
 
 // cacheStatuses puts together what the servers report of each cache; the reports of one cache stand next to each
 // other. What is done stays done, also when the server that did it is silent now. Which caches there are, and what is
-// late, only servers that are heard can say.
-func cacheStatuses(table controlwire.Message, heard map[uint64]bool) []CacheStatus {
+// late, only servers that are not silent can say.
+func cacheStatuses(table controlwire.Message, responsive map[uint64]bool) []CacheStatus {
 	newestProcess := map[string]int64{} // of each cache: what was done at the one before it is lost with it
 	for _, report := range table.Caches {
 		newestProcess[report.Cache] = max(newestProcess[report.Cache], report.Started)
@@ -105,7 +105,7 @@
 			report.Done = 0
 			report.FirstDeleted = 0
 		}
-		caches[n-1].merge(report, heard[report.Server])
+		caches[n-1].merge(report, responsive[report.Server])
 	}
 	caches = slices.DeleteFunc(caches, func(cache CacheStatus) bool {
 		reportedNow := func(at CacheProgress) bool { return !at.Silent }
@@ -119,19 +119,19 @@
 }
 
 // merge adds one server's report.
-func (c *CacheStatus) merge(report purger.Progress, heard bool) {
+func (c *CacheStatus) merge(report purger.Progress, responsive bool) {
 	progress := CacheProgress{
 		Server:      report.Server,
 		Done:        replicatedlog.Index(report.Done),
 		Overdue:     report.Overdue,
 		UnansweredS: seconds(report.UnansweredMs),
 		Reason:      report.Reason,
-		HeardS:      seconds(report.AgeMs),
-		Silent:      !heard,
+		LastSeenS:   seconds(report.AgeMs),
+		Silent:      !responsive,
 	}
 	c.Done = max(c.Done, progress.Done)
 	c.FirstDeleted = max(c.FirstDeleted, replicatedlog.Index(report.FirstDeleted))
-	if heard {
+	if responsive {
 		c.Overdue = min(c.Overdue, report.Overdue)
 		c.Flushing = c.Flushing && report.Flushing
 	}
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/control/purger"
 )
 
-// The fleet has caught up only if every node has applied all, is heard and has refused nothing, and there is a
+// The fleet has caught up only if every node has applied all, reports and has refused nothing, and there is a
 // leader: else nobody knows whether there is more.
 func TestNodesThatLackSomethingAreNotCaughtUp(t *testing.T) {
 	t.Parallel()
@@ -43,7 +43,7 @@
 }
 
 // Two control servers report of a cache. What any of them has done at this process and log is done, also if it is
-// silent now; which caches there are, and whether there is a list of them, only servers that are heard can say.
+// silent now; which caches there are, and whether there is a list of them, only servers that are not silent can say.
 func TestCachesThatLackPurges(t *testing.T) {
 	type message = controlwire.Message
 	progress := func(cache string, server, done uint64) purger.Progress {
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -12,7 +12,8 @@
 
 const (
 	deliveryFrameBytes = 64 << 10 // of entries in a frame
-	// catchUpBytes is how much a node has to lack to share the pace of all that catch up: more than a burst of purges.
+	// catchUpBytes is how much a node has to lack to share the pace of all that catch up: more than a burst of
+	// purges.
 	catchUpBytes = 512 << 10
 	// deliveryWriteTimeout is for a node to take a frame: longer than usual, since a window of entries may be on the
 	// way.
@@ -107,7 +108,7 @@
 	d.heartbeatDue = true // the first message says at once whether this server has a leader
 	d.lastSend = time.Now()
 	for {
-		changed := d.server.log.Changed()
+		changed := d.server.changeLog.Changed()
 		message, size, lacking := d.next()
 		if message.Kind == controlwire.KindEntries && size == 0 && !d.heartbeatDue {
 			if !d.wait(changed) {
@@ -132,7 +133,7 @@
 // bytes that it lacks.
 func (d *delivery) next() (message controlwire.Message, size int, lacking uint64) {
 	hasLeader := d.server.loop.leadership.Load().hasLeader
-	log := d.server.log
+	log := d.server.changeLog
 	log.mu.RLock()
 	defer log.mu.RUnlock()
 	last := d.checkLog(log.state)
--- a/internal/control/controlserver/delivery_test.go
+++ b/internal/control/controlserver/delivery_test.go
@@ -75,7 +75,7 @@
 	c.publish([]replicatedlog.Proposal{newConfig("second")}, c.nodeAddrsWithout(behind)...)
 	late := newPurges(0, 2000)
 	c.publish(late, c.nodeAddrsWithout(behind)...)
-	if s := n.Status(); s.Stale != (s.HeardS > 1) {
+	if s := n.Status(); s.Stale != (s.SinceLeaderS > 1) {
 		t.Errorf("%+v", s)
 	}
 	c.start(behind, false)
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -22,14 +22,14 @@
 	maxInflight     = 256                    // raft messages on the way to a server
 	maxInflightSize = 16 << 20               // bytes of them, and of entries that are applied together
 	maxUncommitted  = 64 << 20               // bytes of entries that no majority has yet; more proposals are dropped
-	leaderTimeout   = 2 * time.Second        // since the leader was heard, until the server says that it has none
+	leaderTimeout   = 2 * time.Second        // since the leader's last message, after which there is none
 	snapshotEntries = 8192                   // raft entries between two snapshots
 	snapshotBytes   = 16 << 20               // or bytes of them
 )
 
 // leadership is what the loop last knew of the leader.
 type leadership struct {
-	hasLeader bool // this server leads, or heard the leader within leaderTimeout
+	hasLeader bool // this server leads, or had a message of the leader within leaderTimeout
 	isLeader  bool
 	term      uint64
 }
@@ -42,14 +42,14 @@
 	functions  chan func()       // from other goroutines, see call
 	leadership atomic.Pointer[leadership]
 
-	node          *raft.RawNode
-	storage       Storage // raft reads it as well
-	queue         *proposalQueue
-	appliedIndex  uint64    // raft's index of the last entry in the changeLog
-	leaderHeardAt time.Time // when the leader's last message arrived
-	startedAt     time.Time
-	lastTrim      time.Time // when trimming was last looked at
-	lastNaming    time.Time // when an id for a new log was last proposed
+	node         *raft.RawNode
+	storage      Storage // raft reads it as well
+	queue        *proposalQueue
+	appliedIndex uint64    // raft's index of the last entry in the changeLog
+	leaderSeenAt time.Time // when the leader's last message arrived
+	startedAt    time.Time
+	lastTrim     time.Time // when trimming was last looked at
+	lastNaming   time.Time // when an id for a new log was last proposed
 }
 
 // newRaftLoop makes a loop that continues with what the storage has.
@@ -156,7 +156,7 @@
 func (l *raftLoop) step(message *pb.Message) {
 	status := l.node.BasicStatus()
 	if status.Lead != raft.None && message.GetFrom() == status.Lead {
-		l.leaderHeardAt = time.Now()
+		l.leaderSeenAt = time.Now()
 	}
 	_ = l.node.Step(message) // raft drops what it cannot use, as a message of a server that is no member
 }
@@ -165,8 +165,8 @@
 func (l *raftLoop) updateLeadership() {
 	status := l.node.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
-	leaderHeard := status.Lead != raft.None && time.Since(l.leaderHeardAt) < leaderTimeout
-	now := leadership{hasLeader: isLeader || leaderHeard, isLeader: isLeader, term: status.GetTerm()}
+	leaderSeen := status.Lead != raft.None && time.Since(l.leaderSeenAt) < leaderTimeout
+	now := leadership{hasLeader: isLeader || leaderSeen, isLeader: isLeader, term: status.GetTerm()}
 	before := *l.leadership.Load()
 	if before == now {
 		return
@@ -198,7 +198,7 @@
 		return err
 	}
 	if index := ready.Snapshot.GetMetadata().GetIndex(); index > 0 {
-		if err := l.server.log.restore(ready.Snapshot); err != nil {
+		if err := l.server.changeLog.restore(ready.Snapshot); err != nil {
 			return err
 		}
 		l.appliedIndex = index
@@ -231,9 +231,9 @@
 	if l.server.purger != nil {
 		requestedAt = l.queue.requestedAt
 	}
-	indexes := l.server.log.apply(batch, requestedAt)
+	indexes := l.server.changeLog.apply(batch, requestedAt)
 	l.queue.ordered(batch, indexes)
-	l.server.log.wakeReaders()
+	l.server.changeLog.wakeReaders()
 	return nil
 }
 
@@ -243,5 +243,5 @@
 	if entries < snapshotEntries && (bytes < snapshotBytes || entries == 0) {
 		return nil
 	}
-	return l.storage.Compact(l.appliedIndex, l.server.log.snapshot())
+	return l.storage.Compact(l.appliedIndex, l.server.changeLog.snapshot())
 }
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -112,7 +112,8 @@
 	defer ticker.Stop()
 	broken := make(chan struct{})
 	p.server.goroutines.Go(func() {
-		// Nothing arrives this way but the stream's end, which a write would notice only with the second one after it.
+		// Nothing arrives this way but the stream's end, which a write would notice only with the second one after
+		// it.
 		_, _ = stream.Conn.Read(make([]byte, 1))
 		close(broken)
 	}) // it ends when run closes the stream
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -18,14 +18,14 @@
 // nodeRecord is a node's report and when it was made.
 type nodeRecord struct {
 	controlwire.NodeReport
-	heardAt monotime.Instant
+	seenAt monotime.Instant
 }
 
 // serverRecord is what another control server reported of itself and of caches, and when.
 type serverRecord struct {
 	controlwire.ServerReport
-	caches  []purger.Progress
-	heardAt monotime.Instant
+	caches []purger.Progress
+	seenAt monotime.Instant
 }
 
 // statusTable is how far nodes, servers and caches are: at first hand of the nodes that follow here, and as other
@@ -46,25 +46,25 @@
 }
 
 // noteNode takes a node's report. Of two reports of a node, as by two servers that it followed, the later one stays.
-func (t *statusTable) noteNode(report controlwire.NodeReport, heardAt monotime.Instant) {
+func (t *statusTable) noteNode(report controlwire.NodeReport, seenAt monotime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, is := t.nodes[report.Node]
-	if is && known.heardAt > heardAt {
+	if is && known.seenAt > seenAt {
 		return
 	}
 	if !is && len(t.nodes) >= controlwire.MaxNodes && !t.forgetSilentNodes() {
 		return
 	}
-	t.nodes[report.Node] = nodeRecord{NodeReport: report, heardAt: heardAt}
+	t.nodes[report.Node] = nodeRecord{NodeReport: report, seenAt: seenAt}
 }
 
-// forgetSilentNodes removes nodes that were not heard for as long as the file says, and returns whether there is
+// forgetSilentNodes removes nodes that have not reported for as long as the file says, and returns whether there is
 // capacity for one more. The lock is held.
 func (t *statusTable) forgetSilentNodes() bool {
 	now := t.server.Now()
 	for name, node := range t.nodes {
-		if time.Duration(now-node.heardAt) > t.server.File.Bounds.Forget() {
+		if time.Duration(now-node.seenAt) > t.server.File.Bounds.Forget() {
 			delete(t.nodes, name)
 		}
 	}
@@ -76,14 +76,14 @@
 	return uint64(max(0, time.Duration(now-at)) / time.Millisecond)
 }
 
-// appliedByAll is the index up to which all nodes have applied that were heard within a time; false where there are
-// none.
+// appliedByAll is the index up to which all nodes have applied that have reported within a time; false where there
+// are none.
 func (t *statusTable) appliedByAll(within time.Duration) (least replicatedlog.Index, known bool) {
 	now := t.server.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, node := range t.nodes {
-		if time.Duration(now-node.heardAt) > within {
+		if time.Duration(now-node.seenAt) > within {
 			continue
 		}
 		applied := replicatedlog.Index(node.Applied)
@@ -110,7 +110,7 @@
 		Invalid:  t.invalid.Load(),
 		Rejected: t.rejectedStreams.Load(),
 	}
-	t.server.log.describe(&report)
+	t.server.changeLog.describe(&report)
 	if t.server.purger == nil {
 		return report, nil
 	}
@@ -136,7 +136,7 @@
 	defer t.mu.Unlock()
 	for _, node := range t.nodes {
 		if node.Server == t.server.id {
-			node.AgeMs = ageMs(now, node.heardAt)
+			node.AgeMs = ageMs(now, node.seenAt)
 			table.Nodes = append(table.Nodes, node.NodeReport)
 		}
 	}
@@ -158,17 +158,17 @@
 	defer t.mu.Unlock()
 	t.forgetSilentNodes()
 	for _, node := range t.nodes {
-		node.AgeMs = ageMs(now, node.heardAt)
+		node.AgeMs = ageMs(now, node.seenAt)
 		table.Nodes = append(table.Nodes, node.NodeReport)
 	}
 	for _, other := range t.server.File.Machines {
 		if other.ID == t.server.id {
 			continue
 		}
-		report := controlwire.ServerReport{NeverHeard: true}
+		report := controlwire.ServerReport{NeverSeen: true}
 		if record, is := t.servers[other.ID]; is {
 			report = record.ServerReport
-			report.AgeMs = ageMs(now, record.heardAt)
+			report.AgeMs = ageMs(now, record.seenAt)
 			for _, cache := range record.caches {
 				cache.AgeMs = report.AgeMs
 				table.Caches = append(table.Caches, cache)
@@ -200,7 +200,7 @@
 		}
 		caches := validCaches(table.Caches, from)
 		t.mu.Lock()
-		t.servers[from] = serverRecord{ServerReport: report, caches: caches, heardAt: now}
+		t.servers[from] = serverRecord{ServerReport: report, caches: caches, seenAt: now}
 		t.mu.Unlock()
 		if t.server.purger != nil {
 			t.server.purger.MergeProgress(caches)
--- a/internal/control/controlserver/trim.go
+++ b/internal/control/controlserver/trim.go
@@ -19,7 +19,7 @@
 	if !l.leadership.Load().isLeader {
 		return
 	}
-	id, floor, _ := l.server.log.Position()
+	id, floor, _ := l.server.changeLog.Position()
 	if id == 0 {
 		l.proposeLogID()
 	}
--- a/internal/control/controlserver/trim_test.go
+++ b/internal/control/controlserver/trim_test.go
@@ -26,7 +26,7 @@
 func (c *cluster) floors() []replicatedlog.Index {
 	var floors []replicatedlog.Index
 	for _, server := range c.servers {
-		_, floor, _ := server.log.Position()
+		_, floor, _ := server.changeLog.Position()
 		floors = append(floors, floor)
 	}
 	return floors
@@ -81,7 +81,7 @@
 	for _, server := range c.servers {
 		server.status.mu.Lock()
 		if record, is := server.status.nodes[node]; is {
-			record.heardAt -= monotime.Instant(by)
+			record.seenAt -= monotime.Instant(by)
 			server.status.nodes[node] = record
 		}
 		server.status.mu.Unlock()
--- a/internal/control/controlwire/golden_test.go
+++ b/internal/control/controlwire/golden_test.go
@@ -30,7 +30,7 @@
 			Kind: KindStatusTable,
 			Servers: []ServerReport{{
 				ID: 1, Name: "m1", Learner: true, IsLeader: true, Last: 9, Floor: 2, Term: 3, AgeMs: 4,
-				NeverHeard: true, Config: 5, BytesIn: 6, BytesOut: 7, Invalid: 8, Rejected: 9, RunsPurges: true,
+				NeverSeen: true, Config: 5, BytesIn: 6, BytesOut: 7, Invalid: 8, Rejected: 9, RunsPurges: true,
 				NoCacheList: true,
 			}},
 			Caches: []purger.Progress{{
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -51,7 +51,7 @@
 	Kind         MessageKind       `cbor:"1,keyasint"`
 	Index        uint64            `cbor:"2,keyasint,omitempty"` // Start: where the node starts; a peer's Hello: its id
 	Last         uint64            `cbor:"3,keyasint,omitempty"` // index of the newest entry that the server has
-	HasLeader    bool              `cbor:"4,keyasint,omitempty"` // the server leads, or heard its leader lately
+	HasLeader    bool              `cbor:"4,keyasint,omitempty"` // the server leads, or its leader is alive
 	Entries      []cbor.RawMessage `cbor:"5,keyasint,omitempty"` // encoded entries in order
 	BaseConfig   cbor.RawMessage   `cbor:"6,keyasint,omitempty"` // Start: the encoded configuration in force
 	Nodes        []NodeReport      `cbor:"7,keyasint,omitempty"`
@@ -81,8 +81,8 @@
 	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
 }
 
-// ServerReport is the state of a control server, as it reports itself or as another one last heard. It is flat, as the
-// protocol has it.
+// ServerReport is the state of a control server, as it reports itself or as it last reported to another one. It is
+// flat, as the protocol has it.
 type ServerReport struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -91,8 +91,8 @@
 	Last        uint64 `cbor:"5,keyasint,omitempty"` // index of the newest entry
 	Floor       uint64 `cbor:"6,keyasint,omitempty"` // index up to which entries are no longer kept
 	Term        uint64 `cbor:"7,keyasint,omitempty"` // raft's
-	AgeMs       uint64 `cbor:"8,keyasint,omitempty"` // milliseconds since it was heard
-	NeverHeard  bool   `cbor:"9,keyasint,omitempty"`
+	AgeMs       uint64 `cbor:"8,keyasint,omitempty"` // milliseconds since it reported
+	NeverSeen   bool   `cbor:"9,keyasint,omitempty"`
 	Config      uint64 `cbor:"10,keyasint,omitempty"` // index of the newest configuration
 	BytesIn     uint64 `cbor:"11,keyasint,omitempty"` // from nodes and other control servers
 	BytesOut    uint64 `cbor:"12,keyasint,omitempty"`
--- a/internal/control/controlwire/stream_test.go
+++ b/internal/control/controlwire/stream_test.go
@@ -46,7 +46,8 @@
 }
 
 func TestMalformedFramesAreRejected(t *testing.T) {
-	tooManyNodes, err := EncodeFrame(Message{Kind: KindStatusTable, Nodes: make([]NodeReport, MaxNodes+1)}, MaxFrameBytes)
+	table := Message{Kind: KindStatusTable, Nodes: make([]NodeReport, MaxNodes+1)}
+	tooManyNodes, err := EncodeFrame(table, MaxFrameBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +68,8 @@
 			}
 		})
 	}
-	if _, err := EncodeFrame(Message{Batch: make([]byte, MaxFrameBytes)}, MaxFrameBytes); !errors.Is(err, ErrMalformed) {
+	tooLong := Message{Batch: make([]byte, MaxFrameBytes)}
+	if _, err := EncodeFrame(tooLong, MaxFrameBytes); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a frame beyond the bound was encoded: %v", err)
 	}
 }
--- a/internal/control/logfollower/doc.go
+++ b/internal/control/logfollower/doc.go
@@ -12,7 +12,7 @@
 // # Staleness
 //
 // A server without a leader still sends heartbeats, so a stream that is alive says nothing about how new its entries
-// are. The log counts as heard only when a server that has a leader says something. When that is longer ago than
+// are. What counts is the last message of a server that has a leader. When that is longer ago than
 // Config.StaleAfter the status is stale: the last configuration stays in force, and purges may be missing.
 //
 // # Ownership
--- a/internal/control/logfollower/follower.go
+++ b/internal/control/logfollower/follower.go
@@ -32,19 +32,19 @@
 // Follower follows the replicated log for one node.
 type Follower struct {
 	Config
-	order         []string // of Config.Servers, this node's own
-	random        keyhash.Source
-	progress      atomic.Pointer[replicatedlog.Progress] // a copy of the Applier's, written by run
-	lastIndex     atomic.Uint64                          // newest entry heard of
-	leaderHeardAt atomic.Int64                           // monotime.Instant of a message of a server that has a leader
-	server        atomic.Pointer[string]                 // address of the open stream; empty for none
-	moves         atomic.Uint64                          // streams opened
-	bytesIn       atomic.Uint64
-	bytesOut      atomic.Uint64
-	closed        chan struct{} // closed by Close
-	done          chan struct{} // closed when run has ended
-	closeOnce     sync.Once
-	loggedStale   bool // what logStaleness said last
+	order        []string // of Config.Servers, this node's own
+	random       keyhash.Source
+	progress     atomic.Pointer[replicatedlog.Progress] // a copy of the Applier's, written by run
+	lastIndex    atomic.Uint64                          // newest entry that a server was known to have
+	leaderSeenAt atomic.Int64                           // monotime.Instant of a message of a server that has a leader
+	server       atomic.Pointer[string]                 // address of the open stream; empty for none
+	moves        atomic.Uint64                          // streams opened
+	bytesIn      atomic.Uint64
+	bytesOut     atomic.Uint64
+	closed       chan struct{} // closed by Close
+	done         chan struct{} // closed when run has ended
+	closeOnce    sync.Once
+	loggedStale  bool // what logStaleness said last
 }
 
 // Start starts to follow, and does not wait for a server to answer. Close ends it.
@@ -57,7 +57,7 @@
 		done:   make(chan struct{}),
 	}
 	f.publishProgress()
-	f.leaderHeardAt.Store(int64(config.Now()))
+	f.leaderSeenAt.Store(int64(config.Now()))
 	f.server.Store(new(string))
 	go f.run()
 	return f
@@ -102,9 +102,9 @@
 		addr := f.order[next%len(f.order)]
 		stream, err := controlwire.Dial(f.Dial, addr, controlwire.StreamFollower, f.Label, controlwire.MaxFrameBytes)
 		if err == nil {
-			var heard bool
-			heard, err = f.followAt(addr, stream, patience)
-			if heard {
+			var sawLeader bool
+			sawLeader, err = f.followAt(addr, stream, patience)
+			if sawLeader {
 				failures = 0
 				patience = leaderlessTimeout
 			} else {
@@ -125,19 +125,21 @@
 	}
 }
 
-// followAt follows over a stream until it ends, and says whether a server that has a leader was heard by it.
-func (f *Follower) followAt(addr string, stream *controlwire.Stream, patience time.Duration) (heard bool, err error) {
+// followAt follows over a stream until it ends, and says whether the server had a leader at some time.
+func (f *Follower) followAt(
+	addr string, stream *controlwire.Stream, patience time.Duration,
+) (sawLeader bool, err error) {
 	f.moves.Add(1)
 	f.server.Store(&addr)
-	before := f.leaderHeardAt.Load()
+	before := f.leaderSeenAt.Load()
 	err = f.followStream(stream, patience)
 	_ = stream.Close()
 	f.server.Store(new(string))
-	return f.leaderHeardAt.Load() != before, err
+	return f.leaderSeenAt.Load() != before, err
 }
 
-// leaderHeard notes that a server that has a leader said something.
-func (f *Follower) leaderHeard() {
-	f.leaderHeardAt.Store(int64(f.Now()))
+// noteLeader notes that a message of a server that has a leader arrived.
+func (f *Follower) noteLeader() {
+	f.leaderSeenAt.Store(int64(f.Now()))
 	f.logStaleness()
 }
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -12,7 +12,7 @@
 // Status is how a node follows the replicated log, for operators. It is flat, as they get it in JSON.
 type Status struct {
 	Applied        replicatedlog.Index `json:"applied"`
-	LastHeard      replicatedlog.Index `json:"head"`   // the newest entry heard of
+	LastKnown      replicatedlog.Index `json:"head"`   // the newest entry that a server was known to have
 	Config         replicatedlog.Index `json:"config"` // of the configuration in force; 0 for the node's own
 	Refused        replicatedlog.Index `json:"refused,omitempty"`
 	Reason         string              `json:"reason,omitempty"`   // why that configuration was refused
@@ -22,7 +22,7 @@
 	Gaps           uint64              `json:"gaps"`               // times that entries did not follow what was applied
 	Moves          uint64              `json:"moves"`              // streams opened
 	Server         string              `json:"via"`                // the control server's address; empty between two
-	HeardS         float64             `json:"heard_s"`            // seconds since a server that has a leader was heard
+	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a server that has a leader was heard
 	Stale          bool                `json:"stale"`              // HeardS is over Config.StaleAfter
 	BytesIn        uint64              `json:"bytes_in"`
 	BytesOut       uint64              `json:"bytes_out"`
@@ -31,10 +31,10 @@
 // Status returns how the node follows. It may be called from anywhere.
 func (f *Follower) Status() Status {
 	progress := f.progress.Load()
-	silence := time.Duration(f.Now() - monotime.Instant(f.leaderHeardAt.Load()))
+	silence := time.Duration(f.Now() - monotime.Instant(f.leaderSeenAt.Load()))
 	return Status{
 		Applied:        progress.Applied,
-		LastHeard:      replicatedlog.Index(f.lastIndex.Load()),
+		LastKnown:      replicatedlog.Index(f.lastIndex.Load()),
 		Config:         progress.Config,
 		Refused:        progress.Refused,
 		Reason:         progress.Reason,
@@ -44,7 +44,7 @@
 		Gaps:           progress.Gaps,
 		Moves:          f.moves.Load(),
 		Server:         *f.server.Load(),
-		HeardS:         silence.Seconds(),
+		SinceLeaderS:   silence.Seconds(),
 		Stale:          silence > f.StaleAfter,
 		BytesIn:        f.bytesIn.Load(),
 		BytesOut:       f.bytesOut.Load(),
@@ -60,7 +60,7 @@
 	f.loggedStale = status.Stale
 	f.Log.WithFields(logrus.Fields{
 		"stale":   status.Stale,
-		"heard_s": status.HeardS,
+		"heard_s": status.SinceLeaderS,
 		"applied": status.Applied,
 		"config":  status.Config,
 	}).Warn("the log of changes")
--- a/internal/control/logfollower/stream.go
+++ b/internal/control/logfollower/stream.go
@@ -56,7 +56,7 @@
 		}
 		if message.HasLeader {
 			hadLeaderAt = time.Now()
-			f.leaderHeard()
+			f.noteLeader()
 		} else if time.Since(hadLeaderAt) > patience {
 			return errNoLeader
 		}
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -132,14 +132,14 @@
 	logger.SetOutput(io.Discard)
 	settings := b.settings
 	p, err := Open(Config{
-		Terms:   &settings,
-		Servers: 4,
-		Log:     &b.log,
-		Dir:     b.dirs[i],
-		Seed:    uint32(i),
-		Logger:  logger,
-		Now:     bootTime,
-		Dial:    b.dial,
+		Settings:    &settings,
+		ServerCount: 4,
+		Log:         &b.log,
+		Dir:         b.dirs[i],
+		Seed:        uint32(i),
+		Logger:      logger,
+		Now:         bootTime,
+		Dial:        b.dial,
 		OnProgress: func(id purge.CacheID, cursor purge.Cursor) {
 			done := uint64(cursor.Done)
 			b.record(logtrace.Cached{At: bootTime(), Cache: string(id), What: logtrace.Counted, Index: done})
--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -58,7 +58,7 @@
 	unreadable := false
 	named := map[purge.CacheID]bool{}
 	for _, instance := range instances {
-		if slices.Contains(p.Terms.Origins, instance.Kind) {
+		if slices.Contains(p.Settings.Origins, instance.Kind) {
 			continue
 		}
 		listed, readable := instance.cache()
--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -43,7 +43,7 @@
 	return &listPoller{
 		purger: p,
 		client: &http.Client{Transport: transport},
-		poller: discovery.New(p.Servers),
+		poller: discovery.New(p.ServerCount),
 		random: keyhash.Source{Seed: p.Seed},
 	}
 }
@@ -103,7 +103,7 @@
 func (l *listPoller) get(ctx context.Context, poll discovery.Poll) (listAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, poll.Timeout)
 	defer cancel()
-	url := "http://" + l.purger.Terms.Discovery + listPath
+	url := "http://" + l.purger.Settings.Discovery + listPath
 	if !poll.Complete {
 		url += fmt.Sprintf("?since=%d&timeout_ms=%d", poll.SinceVersion, max(1, poll.LongPoll.Milliseconds()))
 	}
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -34,14 +34,14 @@
 
 // Config is what a Purger is started with.
 type Config struct {
-	Terms   *fleetconfig.Purges // the settings
-	Servers int                 // control servers, which all poll discovery
-	Log     Log
-	Dir     string // for the cursors
-	Seed    uint32 // of the backoffs' jitter
-	Logger  *logrus.Logger
-	Now     func() monotime.Instant                                   // of a clock that runs through suspends
-	Dial    func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
+	Settings    *fleetconfig.Purges // the settings
+	ServerCount int                 // control servers, which all poll discovery
+	Log         Log
+	Dir         string // for the cursors
+	Seed        uint32 // of the backoffs' jitter
+	Logger      *logrus.Logger
+	Now         func() monotime.Instant                                   // of a clock that runs through suspends
+	Dial        func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// OnProgress is called, with the lock held, when a cursor has changed: by the judge of tests. nil for nobody.
 	OnProgress func(purge.CacheID, purge.Cursor)
 }
@@ -76,7 +76,7 @@
 		Config:  config,
 		cursors: cursors,
 		closed:  make(chan struct{}),
-		limiter: purge.FlushLimiter{Interval: config.Terms.FlushEach()},
+		limiter: purge.FlushLimiter{Interval: config.Settings.FlushEach()},
 		caches:  map[purge.CacheID]*cache{},
 		changed: make(chan struct{}),
 	}
@@ -91,13 +91,13 @@
 	p.recordArrivals()
 	p.goroutines.Go(p.followLog)
 	p.goroutines.Go(p.saveCursors)
-	if p.Terms.Discovery != "" {
+	if p.Settings.Discovery != "" {
 		p.goroutines.Go(newListPoller(p).run)
 	}
-	for _, c := range p.Terms.Caches {
+	for _, c := range p.Settings.Caches {
 		p.setListed(listedCache{id: purge.CacheID(c.ID), addr: c.Addr}, p.Now())
 	}
-	p.hasList = len(p.Terms.Caches) > 0
+	p.hasList = len(p.Settings.Caches) > 0
 	return p, nil
 }
 
@@ -122,7 +122,7 @@
 	if len(p.caches) >= maxCursors && !p.forgetOne() {
 		return nil
 	}
-	config := purge.Config{LongestFill: p.Terms.Fills(), CommandInterval: p.Terms.Each()}
+	config := purge.Config{LongestFill: p.Settings.Fills(), CommandInterval: p.Settings.Each()}
 	c := &cache{
 		Cache:      purge.NewCache(config, cursor, p.Now()),
 		purger:     p,
