--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dahliapin/internal/control/controlwire"
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 )
 
 // statusTimeout is for servers to answer: operators are to see the overview within a second, also where a server is
@@ -72,14 +72,14 @@
 	last      uint64 // newest entry that any server has
 	nodes     map[string]controlwire.NodeReport
 	servers   map[uint64]controlwire.ServerReport
-	caches    map[cacheAt]purger.Progress
+	caches    map[cacheAt]purge.Progress
 }
 
 func newMergedTable() *mergedTable {
 	return &mergedTable{
 		nodes:   map[string]controlwire.NodeReport{},
 		servers: map[uint64]controlwire.ServerReport{},
-		caches:  map[cacheAt]purger.Progress{},
+		caches:  map[cacheAt]purge.Progress{},
 	}
 }
 
@@ -115,7 +115,7 @@
 	for _, name := range slices.Sorted(maps.Keys(m.nodes)) {
 		table.Nodes = append(table.Nodes, m.nodes[name])
 	}
-	table.Caches = slices.SortedFunc(maps.Values(m.caches), func(a, b purger.Progress) int {
+	table.Caches = slices.SortedFunc(maps.Values(m.caches), func(a, b purge.Progress) int {
 		return cmp.Or(cmp.Compare(a.Cache, b.Cache), cmp.Compare(a.Server, b.Server))
 	})
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dahliapin/internal/control/controlwire"
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/control/replicatedlog"
 )
 
@@ -119,7 +119,7 @@
 }
 
 // merge adds one server's report.
-func (c *CacheStatus) merge(report purger.Progress, responsive bool) {
+func (c *CacheStatus) merge(report purge.Progress, responsive bool) {
 	progress := CacheProgress{
 		Server:      report.Server,
 		Done:        replicatedlog.Index(report.Done),
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"dahliapin/internal/control/controlwire"
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 )
 
 // The fleet has caught up only if every node has applied all, reports and has refused nothing, and there is a
@@ -46,14 +46,14 @@
 // silent now; which caches there are, and whether there is a list of them, only servers that are not silent can say.
 func TestCachesThatLackPurges(t *testing.T) {
 	type message = controlwire.Message
-	progress := func(cache string, server, done uint64) purger.Progress {
-		return purger.Progress{Cache: cache, Server: server, Done: done, FirstDeleted: done, Log: 7}
+	progress := func(cache string, server, done uint64) purge.Progress {
+		return purge.Progress{Cache: cache, Server: server, Done: done, FirstDeleted: done, Log: 7}
 	}
 	doneByOne := message{
 		HasLeader: true,
 		Last:      9,
 		Servers:   []controlwire.ServerReport{{ID: 1, RunsPurges: true}, {ID: 2, RunsPurges: true}, {ID: 3}},
-		Caches:    []purger.Progress{progress("a", 1, 9), progress("a", 2, 4)},
+		Caches:    []purge.Progress{progress("a", 1, 9), progress("a", 2, 4)},
 	}
 	for _, c := range []struct {
 		name     string
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dahliapin/internal/control/controlwire"
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/monotime"
 )
@@ -24,7 +24,7 @@
 // serverRecord is what another control server reported of itself and of caches, and when.
 type serverRecord struct {
 	controlwire.ServerReport
-	caches []purger.Progress
+	caches []purge.Progress
 	seenAt monotime.Instant
 }
 
@@ -96,7 +96,7 @@
 }
 
 // ownReport is this server's report of itself and of the caches, at which it carries purges out; nil for none.
-func (t *statusTable) ownReport() (controlwire.ServerReport, []purger.Progress) {
+func (t *statusTable) ownReport() (controlwire.ServerReport, []purge.Progress) {
 	leadership := t.server.loop.leadership.Load()
 	self := t.server.File.Self()
 	report := controlwire.ServerReport{
@@ -214,8 +214,8 @@
 }
 
 // validCaches returns the reports that are within the bounds, as those of a server.
-func validCaches(caches []purger.Progress, from uint64) []purger.Progress {
-	caches = slices.DeleteFunc(caches, func(cache purger.Progress) bool {
+func validCaches(caches []purge.Progress, from uint64) []purge.Progress {
+	caches = slices.DeleteFunc(caches, func(cache purge.Progress) bool {
 		validName := cache.Cache != "" && len(cache.Cache) <= controlwire.MaxNameBytes
 		return !validName || len(cache.Reason) > controlwire.MaxReasonBytes
 	})
--- a/internal/control/controlwire/golden_test.go
+++ b/internal/control/controlwire/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/golden"
 )
 
@@ -33,7 +33,7 @@
 				NeverSeen: true, Config: 5, BytesIn: 6, BytesOut: 7, Invalid: 8, Rejected: 9, RunsPurges: true,
 				NoCacheList: true,
 			}},
-			Caches: []purger.Progress{{
+			Caches: []purge.Progress{{
 				Cache: "c1", Started: 5, Log: 99, Done: 6, FirstDeleted: 7, Overdue: 8, Flushing: true, Reason: "r",
 				UnansweredMs: 9, Server: 1, AgeMs: 10, OtherLog: true,
 			}},
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/control/replicatedlog"
 )
 
@@ -62,7 +62,7 @@
 	Fresh        bool              `cbor:"12,keyasint,omitempty"` // a node's Hello: it has applied nothing yet
 	Servers      []ServerReport    `cbor:"13,keyasint,omitempty"`
 	LogID        uint64            `cbor:"14,keyasint,omitempty"` // Start, a node's Hello: the log of the indexes
-	Caches       []purger.Progress `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
+	Caches       []purge.Progress  `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
 }
 
 // NodeReport is how far a node has applied the replicated log, as the node says, with what control servers add when
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -174,14 +174,14 @@
 }
 
 // progress is what a purger reports of a cache.
-func (b *bench) progress(i int, cache string) Progress {
+func (b *bench) progress(i int, cache string) purge.Progress {
 	all, _ := b.purgers[i].Progress()
 	for _, progress := range all {
 		if progress.Cache == cache {
 			return progress
 		}
 	}
-	return Progress{Cache: "none"}
+	return purge.Progress{Cache: "none"}
 }
 
 // eventually waits until something holds.
--- a/internal/control/purger/judge_test.go
+++ b/internal/control/purger/judge_test.go
@@ -115,7 +115,7 @@
 	cache.Break(cachestub.None, 0)
 	b.start(0)
 	if v.startsAtNewest {
-		b.purgers[0].MergeProgress([]Progress{{Cache: "c0", Log: testLogID, Done: 3}})
+		b.purgers[0].MergeProgress([]purge.Progress{{Cache: "c0", Log: testLogID, Done: 3}})
 	}
 	b.waitDone(0, "c0")
 	_, _ = cache.Serve("b")
