--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -266,6 +266,14 @@
 // helloValue is a cache's answer that serves the value "hello".
 func helloValue(line string) string { return "VA 5 " + idFlag(line) + " h1\r\nhello\r\n" }
 
+// blockAll answers as helloValue does, but only once the channel lets it.
+func blockAll(may chan bool) func(string) string {
+	return func(line string) string {
+		<-may
+		return helloValue(line)
+	}
+}
+
 // blockRequestA answers as helloValue does, but the request with the id a only once the channel lets it.
 func blockRequestA(may chan bool) func(string) string {
 	return func(line string) string {
@@ -342,8 +350,8 @@
 	return line + " HTTP/1.1\r\nHost: n\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
-// httpClient connects to the node by HTTP. The function that it returns sends a text, and reads a response to each of the
-// methods: "status body length", with " close" if the connection ends with it, or "ended" for none.
+// httpClient connects to the node by HTTP. The function that it returns sends a text, and reads a response to each of
+// the methods: "status body length", with " close" if the connection ends with it, or "ended" for none.
 func (g *harness) httpClient(listener int) (ask func(text string, methods ...string) (responses []string)) {
 	g.t.Helper()
 	c, err := net.Dial("tcp", g.Addr(listener))
