--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -95,7 +95,8 @@
 		b.log.add(replicatedlog.Purge, fmt.Sprint("k", i))
 	}
 	b.record()
-	if b.sendAll(); len(b.inFlight) != MaxInFlight {
+	b.sendAll()
+	if len(b.inFlight) != MaxInFlight {
 		t.Errorf("%d in flight", len(b.inFlight))
 	}
 	sent := MaxInFlight
@@ -107,12 +108,13 @@
 	if sent != MaxBurst {
 		t.Errorf("%d went at once", sent)
 	}
-	_, is, at := b.NextCommand(b.now, &b.log, &b.arrivals, &b.limiter)
-	if is || at != b.now.Add(pacedTogether*testConfig.CommandInterval) {
-		t.Errorf("%t, %v later", is, at.Since(b.now))
+	_, ready, at := b.NextCommand(b.now, &b.log, &b.arrivals, &b.limiter)
+	if ready || at != b.now.Add(pacedTogether*testConfig.CommandInterval) {
+		t.Errorf("%t, %v later", ready, at.Since(b.now))
 	}
 	b.wait(100 * testConfig.CommandInterval)
-	if b.sendAll(); len(b.inFlight) != 100 {
+	b.sendAll()
+	if len(b.inFlight) != 100 {
 		t.Errorf("%d by the pace", len(b.inFlight))
 	}
 }
