--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -20,8 +20,8 @@
 	deliveryWriteTimeout = 2 * controlwire.WriteTimeout
 )
 
-// delivery sends the log to one follower. acked is written by the stream's reading goroutine (serveFollower), and by run
-// where the node starts anew; run owns the fields from logID on. The others do not change.
+// delivery sends the log to one follower. acked is written by the stream's reading goroutine (serveFollower), and by
+// run where the node starts anew; run owns the fields from logID on. The others do not change.
 type delivery struct {
 	server     *Server
 	stream     *controlwire.Stream
