--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs nodes' decisions on the simulator's wire: batches on standard input, replies on
-// standard output.
+// Command adapter runs the decisions of nodes on the simulator's wire: batches of events on standard input, replies
+// with actions on standard output, and what it ignores on standard error.
 package main
 
 import (
@@ -12,12 +12,13 @@
 )
 
 func main() {
-	err := simwire.Serve(os.Stdin, os.Stdout, os.Stderr,
-		func(now policy.Instant, seed int64, rules policy.Settings, out *simwire.Writer) simwire.Node {
-			return dispatch.New(now, seed, rules, out)
-		})
-	if err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout, os.Stderr, startNode); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
+
+// startNode makes the dispatcher of a node that starts.
+func startNode(now policy.Instant, seed int64, settings policy.Settings, out *simwire.Writer) simwire.Node {
+	return dispatch.New(now, seed, settings, out)
+}
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -104,7 +104,7 @@
 func TestCachesThatLackPurgesAreShown(t *testing.T) {
 	shown := func(o controlclient.Overview) string {
 		var out strings.Builder
-		if err := showChanges(&out, o); err != nil {
+		if err := printChanges(&out, o); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
--- /dev/null
+++ b/cmd/dahliapin/control_server.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/signal"
+	"sync"
+	"syscall"
+
+	"github.com/sirupsen/logrus"
+	"github.com/spf13/cobra"
+
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/control/controlserver"
+	"dahliapin/internal/control/purge"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/membership/gossip"
+)
+
+// cacheTraceSuffix is added to the path of a control machine's trace for that of its caches.
+const cacheTraceSuffix = ".caches"
+
+// controlCommand runs one control machine of the log of changes.
+func controlCommand() *cobra.Command {
+	var isNew bool
+	var trace string
+	c := &cobra.Command{
+		Use:   "control FILE.toml",
+		Short: "Run one control machine of the fleet's log of changes until SIGTERM",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return runControlServer(args[0], isNew, trace) },
+	}
+	c.Flags().BoolVar(&isNew, "new", false, "the first start of a voter: its data folder may be empty")
+	c.Flags().StringVar(&trace, "trace", "",
+		"file to append a line to for each write to this machine's disk, by which a test checks the log")
+	return c
+}
+
+func runControlServer(path string, isNew bool, trace string) error {
+	file, err := fleetconfig.ReadControl(path)
+	if err != nil {
+		return err
+	}
+	config := controlserver.Config{File: file, New: isNew, Log: logrus.StandardLogger(), Now: gossip.BootTime}
+	if trace != "" {
+		traceFile, err := openTrace(trace)
+		if err != nil {
+			return err
+		}
+		defer traceFile.Close()
+		config.OnPersisted = traceWrites(traceFile)
+
+		cacheFile, err := openTrace(trace + cacheTraceSuffix)
+		if err != nil {
+			return err
+		}
+		defer cacheFile.Close()
+		config.OnPurgeProgress = tracePurges(cacheFile)
+	}
+	ends := make(chan os.Signal, 1)
+	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	server, err := controlserver.Open(config)
+	if err != nil {
+		return err
+	}
+	select {
+	case <-ends:
+	case <-server.Done():
+	}
+	server.Close()
+	return server.Fault()
+}
+
+func openTrace(path string) (*os.File, error) {
+	file, err := openAppend(path)
+	if err != nil {
+		return nil, fmt.Errorf("the trace cannot be kept: %w", err)
+	}
+	return file, nil
+}
+
+// tracePurges writes a line for each cache at which purges are done up to a later index.
+func tracePurges(file *os.File) func(purge.CacheID, purge.Cursor) {
+	var mu sync.Mutex
+	encoder := json.NewEncoder(file)
+	return func(id purge.CacheID, cursor purge.Cursor) {
+		mu.Lock()
+		defer mu.Unlock()
+		_ = encoder.Encode(logtrace.Cached{
+			At: gossip.BootTime(), Cache: string(id), What: logtrace.Counted, Index: uint64(cursor.Done),
+		})
+	}
+}
+
+// traceWrites writes a line for each write to disk.
+func traceWrites(file *os.File) func([]replicatedlog.Proposal) {
+	var mu sync.Mutex
+	writer := bufio.NewWriter(file)
+	return func(proposals []replicatedlog.Proposal) {
+		line := logtrace.Kept{At: gossip.BootTime()}
+		for _, p := range proposals {
+			line.Marks = append(line.Marks, p.ContentHash())
+		}
+		text, err := json.Marshal(line)
+		if err != nil {
+			return
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		_, _ = writer.Write(append(text, '\n'))
+		_ = writer.Flush()
+	}
+}
--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -17,60 +17,82 @@
 	"dahliapin/node"
 )
 
-// fleetCommand asks a running node what it knows of the others.
+// fleetCalls are what a node can be asked about its fleet.
+var fleetCalls = []struct {
+	name, short string
+	print       func(out io.Writer, answer []byte) error
+}{
+	{"status", "Show how the node takes part in the fleet", printFleetStatus},
+	{"members", "Show the members that the node knows", printFleetMembers},
+}
+
 func fleetCommand() *cobra.Command {
 	var at string
-	var plain bool
-	c := &cobra.Command{Use: "fleet", Short: "Ask a running node, at its operators' address, what it knows of the others",
-		Long: "Exits with 0 for yes, 2 where the node is cut off or knows of no others, and 1 where it can't be asked.",
+	var asJSON bool
+	c := &cobra.Command{
+		Use:   "fleet",
+		Short: "Show what a running node knows of the other nodes, and publish changes to all of them",
+		Long:  "Exits with 0 for yes, 2 if the node is cut off or on its own, and 1 if it cannot be reached.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return fmt.Errorf("fleet %q: the calls are status, members, publish and changes", strings.Join(args, " "))
-		}}
-	c.PersistentFlags().StringVar(&at, "at", os.Getenv("RELAY_OPS"), "the node's operators' address and port")
-	c.PersistentFlags().BoolVar(&plain, "json", false, "as the node says it")
-	for _, call := range []struct {
-		name, short string
-		show        func(io.Writer, []byte) error
-	}{{"status", "How it stands in the fleet", showStatus}, {"members", "Whom it knows", showMembers}} {
-		c.AddCommand(&cobra.Command{Use: call.name, Short: call.short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			var said bytes.Buffer
-			err := askNode(&said, at, http.MethodGet, "/fleet/"+call.name)
-			if plain || err != nil {
-				_, _ = c.OutOrStdout().Write(said.Bytes())
-				return err
-			}
-			return call.show(c.OutOrStdout(), said.Bytes())
-		}})
+		},
 	}
-	c.AddCommand(publishCommand(), changesCommand(&plain))
+	c.PersistentFlags().StringVar(&at, "at", os.Getenv(envAdmin), adminAtFlagHelp)
+	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print the answer as it is, in JSON")
+	for _, call := range fleetCalls {
+		c.AddCommand(&cobra.Command{
+			Use: call.name, Short: call.short, Args: cobra.NoArgs,
+			RunE: func(c *cobra.Command, _ []string) error {
+				var answer bytes.Buffer
+				err := callNode(&answer, at, http.MethodGet, "/fleet/"+call.name)
+				if asJSON || err != nil {
+					_, _ = c.OutOrStdout().Write(answer.Bytes())
+					return err
+				}
+				return call.print(c.OutOrStdout(), answer.Bytes())
+			},
+		})
+	}
+	c.AddCommand(publishCommand(), changesCommand(&asJSON))
 	return c
 }
 
-var errAnswer = errors.New("the node's answer can't be read")
+var errUnreadableAnswer = errors.New("the node's answer can't be read")
 
-func showStatus(to io.Writer, text []byte) error {
+func printFleetStatus(out io.Writer, answer []byte) error {
 	var s node.FleetStatus
-	if json.Unmarshal(text, &s) != nil {
-		return errAnswer
+	if json.Unmarshal(answer, &s) != nil {
+		return errUnreadableAnswer
 	}
-	_, err := fmt.Fprintf(to, "%s (process %s, life %d): view %d, mark %s, %d members, %d suspected, cut off: %t\n%d datagrams in (%d bytes), %d out (%d bytes), %d streams in; foreign %d, unread %d, dropped %d\n",
-		s.Node, s.Process, s.Incarnation, s.View, s.Mark, s.Members, s.Suspected, s.CutOff, s.In, s.InBytes, s.Out, s.OutBytes, s.Streams, s.Foreign, s.Unread, s.Dropped)
-	if c := s.Changes; c != nil && err == nil {
-		_, err = fmt.Fprintf(to, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, all up to %d presumed purged; at %s, heard %.1f s ago, stale: %t, %d gaps\n",
-			c.Applied, c.Head, c.Config, c.Refused, c.Reason, c.Purges, c.PresumedPurged, c.Via, c.HeardS, c.Stale, c.Gaps)
+	var text bytes.Buffer
+	fmt.Fprintf(&text, "%s (process %s, life %d): view %d, mark %s, %d members, %d suspected, cut off: %t\n",
+		s.Node, s.Process, s.Incarnation, s.View, s.Mark, s.Members, s.Suspected, s.CutOff)
+	fmt.Fprintf(&text, "%d datagrams in (%d bytes), %d out (%d bytes), %d streams in; ",
+		s.In, s.InBytes, s.Out, s.OutBytes, s.Streams)
+	fmt.Fprintf(&text, "foreign %d, unread %d, dropped %d\n", s.Foreign, s.Unread, s.Dropped)
+	if c := s.Changes; c != nil {
+		fmt.Fprintf(&text, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, ",
+			c.Applied, c.Head, c.Config, c.Refused, c.Reason, c.Purges)
+		fmt.Fprintf(&text, "all up to %d presumed purged; at %s, heard %.1f s ago, stale: %t, %d gaps\n",
+			c.PresumedPurged, c.Via, c.HeardS, c.Stale, c.Gaps)
 	}
+	_, err := out.Write(text.Bytes())
 	return err
 }
 
-func showMembers(to io.Writer, text []byte) error {
-	var all []gossip.MemberStatus
-	if json.Unmarshal(text, &all) != nil {
-		return errAnswer
+func printFleetMembers(out io.Writer, answer []byte) error {
+	var members []gossip.MemberStatus
+	if json.Unmarshal(answer, &members) != nil {
+		return errUnreadableAnswer
 	}
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "node\tlife\tstanding\theard by\tmissed by\taddress\tprocess")
-	for _, m := range all {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%s\t%s\n", m.Node, m.Incarnation, m.Status, m.Hears, m.Misses, m.Addr, m.Process)
+	table := newTable(out)
+	fmt.Fprintln(table, "node\tlife\tstanding\theard by\tmissed by\taddress\tprocess")
+	for _, m := range members {
+		fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%d\t%s\t%s\n",
+			m.Node, m.Incarnation, m.Status, m.Hears, m.Misses, m.Addr, m.Process)
 	}
-	return w.Flush()
+	return table.Flush()
 }
+
+// newTable returns a writer that aligns columns, which tabs separate.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
--- a/cmd/dahliapin/migrate.go
+++ b/cmd/dahliapin/migrate.go
@@ -13,19 +13,22 @@
 	"dahliapin/node"
 )
 
-func migrate() *cobra.Command {
-	var dry, replace bool
-	c := &cobra.Command{Use: "migrate OLD NEW", Args: cobra.ExactArgs(2),
-		Short: "Turn a pool node's configuration into one for a node in each client process",
+func migrateCommand() *cobra.Command {
+	var dryRun, replace bool
+	c := &cobra.Command{
+		Use: "migrate OLD NEW", Args: cobra.ExactArgs(2),
+		Short: "Convert the configuration of a node in a shared pool into one for a node in each client process",
 		RunE: func(c *cobra.Command, args []string) error {
-			return migrateFile(c.OutOrStdout(), args[0], args[1], dry, replace)
-		}}
-	c.Flags().BoolVar(&dry, "dry-run", false, "list what would change and write nothing")
-	c.Flags().BoolVar(&replace, "replace", false, "write over a file that is there")
+			return migrateFile(c.OutOrStdout(), args[0], args[1], dryRun, replace)
+		},
+	}
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "list what would change, and write nothing")
+	c.Flags().BoolVar(&replace, "replace", false, "overwrite an existing file")
 	return c
 }
 
-func migrateFile(out io.Writer, from, to string, dry, replace bool) error {
+// migrateFile converts a file into another one, and prints what the operator has to look at.
+func migrateFile(out io.Writer, from, to string, dryRun, replace bool) error {
 	old, err := os.ReadFile(from)
 	if err != nil {
 		return fmt.Errorf("the old configuration cannot be read: %w", err)
@@ -34,43 +37,57 @@
 	if err != nil {
 		return fmt.Errorf("%s cannot be turned: %w", from, err)
 	}
-	was, err := os.Stat(from)
+	oldInfo, err := os.Stat(from)
 	if err != nil {
 		return err
 	}
-	if there, err := os.Stat(to); err == nil {
-		if os.SameFile(was, there) {
-			return errors.New("the new file is the old one: name another")
-		} else if !replace {
-			return fmt.Errorf("%s is there already: name another, or give --replace", to)
-		}
+	if err := checkTarget(to, oldInfo, replace); err != nil {
+		return err
 	}
-	for _, r := range remarks {
-		fmt.Fprintln(out, r)
+	for _, remark := range remarks {
+		fmt.Fprintln(out, remark)
 	}
 	if _, err := node.ParseConfig(text); err != nil {
 		fmt.Fprintln(out, "not usable as it is:", err)
 	}
-	if dry {
+	if dryRun {
 		fmt.Fprintln(out, "nothing written")
 		return nil
 	}
-	return writeWhole(to, text, was.Mode().Perm(), replace)
+	return writeAtomically(to, text, oldInfo.Mode().Perm(), replace)
+}
+
+// checkTarget refuses to write over the old file, or over any other one unless it may be replaced.
+func checkTarget(to string, oldInfo os.FileInfo, replace bool) error {
+	existing, err := os.Stat(to)
+	if err != nil { // there is none, or writing will tell what is wrong
+		return nil
+	}
+	if os.SameFile(oldInfo, existing) {
+		return errors.New("the new file is the old one: name another")
+	}
+	if !replace {
+		return fmt.Errorf("%s is there already: name another, or give --replace", to)
+	}
+	return nil
 }
 
-// writeWhole writes beside and renames, or links where nothing may be written over: never half a file.
-func writeWhole(path string, text []byte, mode os.FileMode, replace bool) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
+// writeAtomically writes a file beside its place and moves it there, so that there is never half a file. It is linked
+// where it may not replace another one: a link fails if there is one by now.
+func writeAtomically(path string, text []byte, mode os.FileMode, replace bool) error {
+	file, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
 		return fmt.Errorf("the new configuration cannot be written: %w", err)
 	}
-	defer os.Remove(f.Name())
-	_, err = f.Write(text)
-	err = errors.Join(err, f.Chmod(mode), f.Sync(), f.Close())
-	if err == nil && replace {
-		err = os.Rename(f.Name(), path)
-	} else if err == nil {
-		err = os.Link(f.Name(), path)
+	defer os.Remove(file.Name())
+	_, err = file.Write(text)
+	err = errors.Join(err, file.Chmod(mode), file.Sync(), file.Close())
+	switch {
+	case err != nil:
+	case replace:
+		err = os.Rename(file.Name(), path)
+	default:
+		err = os.Link(file.Name(), path)
 	}
 	if err != nil {
 		return fmt.Errorf("the new configuration cannot be written: %w", err)
--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -1,11 +1,8 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -14,132 +11,172 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
+// The bounds of nemesis's flags.
 const (
-	fewestNodes, mostNodes = 3, 24 // processes, with a door for each ordered pair
-	shortestPlay           = 30 * time.Second
-	longestPlay            = time.Hour
-	mostSchedules          = 1000
+	minNemesisNodes  = 3
+	maxNemesisNodes  = 24 // processes, with a proxy for each ordered pair
+	minNemesisTime   = 30 * time.Second
+	maxScheduleTime  = time.Hour
+	maxScheduleCount = 1000
 )
 
-// errCall says that a call's words are off; scripts tell it by the exit code.
-var errCall = errors.New("the call can't be taken")
+// nemesisMembers is what nemesis can test: the membership.
+const nemesisMembers = "members"
 
-func nemesis() *cobra.Command {
-	var nodes, schedules, shrink int
-	var seed int64
-	var long time.Duration
-	var what, out string
-	c := &cobra.Command{Use: "nemesis", Short: "Throw random troubles between node processes, and look for a broken rule or view",
-		Long: "Exits with 0 where nothing broke, 1 with the shortened schedule's file in its last line, and 2 for a bad call.",
-		Args: func(_ *cobra.Command, args []string) error {
-			if len(args) > 0 {
-				return fmt.Errorf("%w: nemesis takes no %q", errCall, args[0])
-			}
-			return nil
-		},
+// player runs a schedule and returns the report on it.
+type player func(*scenario.Scenario) (*report.Report, error)
+
+// nemesisOptions are what nemesis was called with.
+type nemesisOptions struct {
+	nodes     int
+	schedules int
+	maxShrink int   // runs to shorten a schedule
+	seed      int64 // of the first schedule
+	duration  time.Duration
+	subject   string
+	out       string // folder
+}
+
+func nemesisCommand() *cobra.Command {
+	var o nemesisOptions
+	c := &cobra.Command{
+		Use:   "nemesis",
+		Short: "Cause random failures between node processes, and check the rules of the fleet and its views",
+		Long: "Exits with 0 if no rule was broken, with 1 and the shortened schedule's file in the last line if\n" +
+			"one was, and with 2 for a bad call.",
+		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
-			switch {
-			case nodes < fewestNodes || nodes > mostNodes:
-				return fmt.Errorf("%w: --nodes %d is not from %d to %d", errCall, nodes, fewestNodes, mostNodes)
-			case long < shortestPlay || long > longestPlay:
-				return fmt.Errorf("%w: --for %v is not from %v to %v", errCall, long, shortestPlay, longestPlay)
-			case schedules < 1 || schedules > mostSchedules:
-				return fmt.Errorf("%w: --schedules %d is not from 1 to %d", errCall, schedules, mostSchedules)
-			case shrink < 0 || shrink > mostSchedules:
-				return fmt.Errorf("%w: --shrink %d is not from 0 to %d", errCall, shrink, mostSchedules)
-			case what != "members":
-				return fmt.Errorf("%w: --what %q is not there: members is", errCall, what)
+			if err := o.check(); err != nil {
+				return err
+			}
+			schedule := func(n int) *scenario.Scenario {
+				return scenario.Nemesis(o.seed+int64(n), o.nodes, o.duration.Seconds())
 			}
-			return hunt(c.OutOrStdout(), schedules, shrink, out, func(k int) *scenario.Scenario { return scenario.Nemesis(seed+int64(k), nodes, long.Seconds()) },
-				func(s *scenario.Scenario) (*report.Report, error) { return played(c, s) })
-		}}
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errCall, err) })
-	c.Flags().IntVar(&nodes, "nodes", 12, "processes")
-	c.Flags().Int64Var(&seed, "seed", 1, "of the first schedule; the next have the next ones")
-	c.Flags().DurationVar(&long, "for", time.Minute, "how long each plays")
-	c.Flags().IntVar(&schedules, "schedules", 1, "how many")
-	c.Flags().IntVar(&shrink, "shrink", 12, "plays at the most to shorten a schedule that shows a breach")
-	c.Flags().StringVar(&what, "what", "members", "what is looked at: members")
-	c.Flags().StringVar(&out, "out", ".", "folder for the script that shows a breach, and its report")
+			return hunt(c.OutOrStdout(), o.schedules, o.maxShrink, o.out, schedule, schedulePlayer(c))
+		},
+	}
+	c.SetFlagErrorFunc(badFlag)
+	c.Flags().IntVar(&o.nodes, "nodes", 12, "number of node processes")
+	c.Flags().Int64Var(&o.seed, "seed", 1, "random seed of the first schedule; the following have the next ones")
+	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
+	c.Flags().IntVar(&o.schedules, "schedules", 1, "number of schedules")
+	c.Flags().IntVar(&o.maxShrink, "shrink", 12, "most runs to shorten a schedule that breaks a rule")
+	c.Flags().StringVar(&o.subject, "what", nemesisMembers, "what is tested: members")
+	c.Flags().StringVar(&o.out, "out", ".", "folder for the schedule that breaks a rule, and its report")
 	return c
 }
 
-// hunt plays schedules until one shows a breach, and shortens that. Those that the machine was too busy for show nothing, and it says so.
-func hunt(to io.Writer, schedules, shrink int, out string, schedule func(k int) *scenario.Scenario, play func(*scenario.Scenario) (*report.Report, error)) error {
+func (o *nemesisOptions) check() error {
+	switch {
+	case o.nodes < minNemesisNodes || o.nodes > maxNemesisNodes:
+		return badCall("--nodes %d is not from %d to %d", o.nodes, minNemesisNodes, maxNemesisNodes)
+	case o.duration < minNemesisTime || o.duration > maxScheduleTime:
+		return badCall("--for %v is not from %v to %v", o.duration, minNemesisTime, maxScheduleTime)
+	case o.schedules < 1 || o.schedules > maxScheduleCount:
+		return badCall("--schedules %d is not from 1 to %d", o.schedules, maxScheduleCount)
+	case o.maxShrink < 0 || o.maxShrink > maxScheduleCount:
+		return badCall("--shrink %d is not from 0 to %d", o.maxShrink, maxScheduleCount)
+	case o.subject != nemesisMembers:
+		return badCall("--what %q is not there: members is", o.subject)
+	}
+	return nil
+}
+
+// hunt runs schedules until one breaks a rule, and shortens that. Runs for which the machine was too busy prove
+// nothing, and are reported as such.
+func hunt(
+	out io.Writer, schedules, maxShrink int, dir string, schedule func(n int) *scenario.Scenario, play player,
+) error {
 	busy := 0
-	for k := range schedules {
-		s := schedule(k)
-		r, err := play(s)
+	for n := range schedules {
+		s := schedule(n)
+		result, err := play(s)
 		if err != nil {
 			return err
 		}
-		tellPlay(to, s, r)
-		if r.Busy != "" {
+		printRun(out, s, result)
+		if result.Busy != "" {
 			busy++
 		}
-		if !broken(r) {
+		if !isBroken(result) {
 			continue
 		}
-		for n, plays := 0, 0; n < len(s.Events) && plays < shrink; plays++ { // an event that the breach does not need goes
-			less := s.Without(n)
-			without, err := play(less)
-			if err != nil {
-				return err
-			}
-			if !broken(without) {
-				n++
-				continue
-			}
-			s, r = less, without
-			tellPlay(to, s, r)
+		s, result, err = shorten(out, s, result, maxShrink, play)
+		if err != nil {
+			return err
 		}
-		return breach(to, s, r, out)
+		return reportBreach(out, s, result, dir)
 	}
-	fmt.Fprintf(to, "%d schedules: nothing broke; %d of them not judged\n", schedules, busy)
+	fmt.Fprintf(out, "%d schedules: nothing broke; %d of them not judged\n", schedules, busy)
 	return nil
 }
 
-func played(c *cobra.Command, s *scenario.Scenario) (*report.Report, error) {
-	text, err := s.Text()
-	if err != nil {
-		return nil, err
+// shorten leaves out each event that the breach does not need, one after the other.
+func shorten(
+	out io.Writer, s *scenario.Scenario, result *report.Report, maxRuns int, play player,
+) (*scenario.Scenario, *report.Report, error) {
+	event := 0
+	for runs := 0; event < len(s.Events) && runs < maxRuns; runs++ {
+		shorter := s.Without(event)
+		shorterResult, err := play(shorter)
+		if err != nil {
+			return nil, nil, err
+		}
+		if !isBroken(shorterResult) {
+			event++
+			continue
+		}
+		s, result = shorter, shorterResult
+		printRun(out, s, result)
 	}
-	again, err := scenario.Parse(s.Name+".toml", text) // what is kept is what was played
-	if err != nil {
-		return nil, err
+	return s, result, nil
+}
+
+// schedulePlayer returns a player that runs a schedule by what is written of it, so that the file that is kept is what
+// was run.
+func schedulePlayer(c *cobra.Command) player {
+	return func(s *scenario.Scenario) (*report.Report, error) {
+		text, err := s.Text()
+		if err != nil {
+			return nil, err
+		}
+		parsed, err := scenario.Parse(s.Name+".toml", text)
+		if err != nil {
+			return nil, err
+		}
+		return runOnSockets(c.Context(), parsed, nil)
 	}
-	return onSockets(c.Context(), again, nil)
 }
 
-// broken tells whether a run shows a breach; one on a machine that was too busy shows nothing.
-func broken(r *report.Report) bool { return r.Busy == "" && !r.Good() }
+// isBroken tells whether a run broke a rule. One for which the machine was too busy proves nothing.
+func isBroken(r *report.Report) bool { return r.Busy == "" && !r.Good() }
 
-func tellPlay(to io.Writer, s *scenario.Scenario, r *report.Report) {
+func printRun(out io.Writer, s *scenario.Scenario, r *report.Report) {
 	if r.Together == nil || r.Together.View == nil {
-		fmt.Fprintf(to, "%s: no node had a view\n", s.Name)
+		fmt.Fprintf(out, "%s: no node had a view\n", s.Name)
 		return
 	}
-	d, worst := r.Together.View, 0.0
-	if len(d.Detect) > 0 {
-		worst = d.Detect[len(d.Detect)-1]
+	view := r.Together.View
+	slowest := 0.0
+	if len(view.Detect) > 0 {
+		slowest = view.Detect[len(view.Detect)-1]
+	}
+	fmt.Fprintf(out, "%s: %d events, %d wrong (false %d, rash %d, missed %d, flaps %d, unlike %d), rules %v; ",
+		s.Name, len(s.Events), view.Wrong(), view.False, view.Rash, view.Missed, view.Flaps, view.Unlike, r.Rules)
+	fmt.Fprintf(out, "changes %d, out after %.2f s at most, alike after %.1f s", view.Changes, slowest, view.Alike)
+	if r.Busy != "" {
+		fmt.Fprint(out, "; not judged, the machine was too busy")
 	}
-	fmt.Fprintf(to, "%s: %d events, %d wrong (false %d, rash %d, missed %d, flaps %d, unlike %d), rules %v; changes %d, out after %.2f s at most, alike after %.1f s%s\n",
-		s.Name, len(s.Events), d.Wrong(), d.False, d.Rash, d.Missed, d.Flaps, d.Unlike, r.Rules, d.Changes, worst, d.Alike, map[bool]string{true: "; not judged, the machine was too busy"}[r.Busy != ""])
+	fmt.Fprintln(out)
 }
 
-func breach(to io.Writer, s *scenario.Scenario, r *report.Report, out string) error {
-	r.Print(to)
-	text, err := s.Text()
-	if err == nil {
-		err = keep(out, r)
-	}
-	path := filepath.Join(out, s.Name+".toml")
-	if err == nil {
-		err = os.WriteFile(path, text, 0o644)
-	}
+// reportBreach prints and writes a schedule that broke a rule, with its file in the last line.
+func reportBreach(out io.Writer, s *scenario.Scenario, r *report.Report, dir string) error {
+	r.Print(out)
+	path, err := writeSchedule(dir, dir, s, r)
 	if err != nil {
-		return fmt.Errorf("the schedule cannot be kept: %w", err)
+		return err
 	}
-	fmt.Fprintln(to, path)
+	fmt.Fprintln(out, path)
 	return errNotMet
 }
--- /dev/null
+++ b/cmd/dahliapin/placement.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+
+	"dahliapin/internal/scale"
+)
+
+// The bounds of placement's flags.
+const (
+	maxPlacedCaches = 10_000
+	maxPlacedKeys   = 10_000_000 // which take a minute or so
+)
+
+// placementOptions are what placement was called with.
+type placementOptions struct {
+	caches        int
+	keys          int
+	nodes         int
+	crossZoneCost float64
+}
+
+// placementCommand computes how replicas are placed in zones and regions.
+func placementCommand() *cobra.Command {
+	var o placementOptions
+	c := &cobra.Command{
+		Use:   "placement [FILE.toml]",
+		Short: "Show how many attempts cross zones, and how many keys lose two replicas with one zone",
+		Args:  cobra.MaximumNArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			file, err := scale.ReadFile(firstOf(args))
+			switch {
+			case err != nil:
+				return badCall("%w", err)
+			case o.caches < 1 || o.caches > maxPlacedCaches:
+				return badCall("--caches %d is not from 1 to %d", o.caches, maxPlacedCaches)
+			case o.keys < 1 || o.keys > maxPlacedKeys:
+				return badCall("--keys %d is not from 1 to %d", o.keys, maxPlacedKeys)
+			}
+			result := scale.PlaceKeys(file.Places, o.caches, o.keys, o.nodes, o.crossZoneCost)
+			result.Print(c.OutOrStdout())
+			return nil
+		},
+	}
+	c.SetFlagErrorFunc(badFlag)
+	c.Flags().IntVar(&o.caches, "caches", 50, "number of caches, zone by zone")
+	c.Flags().IntVar(&o.keys, "keys", 50_000, "number of keys that are requested, evenly from all zones")
+	c.Flags().IntVar(&o.nodes, "nodes", 480, "number of nodes of the fleet")
+	c.Flags().Float64Var(&o.crossZoneCost, "crossing-price", 0.2,
+		"cost of an attempt that crosses zones, as a share of a request; 0 for none")
+	return c
+}
--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -17,155 +17,159 @@
 	"dahliapin/internal/scale"
 )
 
-const (
-	mostCaches = 10_000
-	mostKeys   = 10_000_000 // a minute or so
-)
+// errOverBudget says that a measurement is over its budget; the last line printed has named it.
+var errOverBudget = errors.New("not all is within the budget")
 
-// errOver says that something is over its budget; the last line printed has named it.
-var errOver = errors.New("not all is within the budget")
+// scaleOptions are what scale was called with.
+type scaleOptions struct {
+	plan        scale.Plan
+	budget      scale.Budget // by flags, instead of the file's
+	out         string       // folder
+	keepResults bool         // results that are in the folder already are not measured again
+	maxMB       int          // memory of all processes
+}
 
 // scaleCommand measures what the control part of a fleet costs at its size.
 func scaleCommand() *cobra.Command {
-	p := scale.Plan{}
-	var out string
-	var kept bool
-	var mostMB int
-	var budget scale.Budget
-	c := &cobra.Command{Use: "scale [FILE.toml]", Short: "Measure what knowing one another costs a fleet at its size, by nodes without clients beside real ones",
-		Long: "Exits with 0 where all is within the budget, 1 where something is not (named in the last line), and 2 for a bad call.",
+	var o scaleOptions
+	c := &cobra.Command{
+		Use:   "scale [FILE.toml]",
+		Short: "Measure what membership costs a fleet of a size, with nodes without clients beside real ones",
+		Long: "Exits with 0 if all is within the budget, with 1 if something is not, which the last line names,\n" +
+			"and with 2 for a bad call.",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return fmt.Errorf("%w: scale takes one file, and no %q", errCall, args[1])
+				return badCall("scale takes one file, and no %q", args[1])
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) (err error) {
-			file := ""
-			if len(args) > 0 {
-				file = args[0]
-			}
-			if p.File, err = scale.ReadFile(file); err != nil {
-				return fmt.Errorf("%w: %w", errCall, err)
-			}
-			for flag, set := range map[string]func(){"core": func() { p.File.Budget.CorePercent = budget.CorePercent },
-				"memory": func() { p.File.Budget.MemoryMB = budget.MemoryMB }, "kb": func() { p.File.Budget.KBPerS = budget.KBPerS }} {
-				if c.Flags().Changed(flag) {
-					set()
-				}
-			}
-			if err := p.Check(); err != nil {
-				return fmt.Errorf("%w: %w", errCall, err)
+		RunE: func(c *cobra.Command, args []string) error {
+			if err := o.prepare(c, args); err != nil {
+				return err
 			}
-			if mostMB < 1 || mostMB > scale.MostMB {
-				return fmt.Errorf("%w: --most-mb %d is not from 1 to %d", errCall, mostMB, scale.MostMB)
-			}
-			if out == "" {
-				return fmt.Errorf("%w: scale needs --out", errCall)
-			}
-			return measure(c.Context(), c.OutOrStdout(), &p, out, kept, mostMB)
-		}}
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errCall, err) })
-	c.Flags().IntVar(&p.Nodes, "nodes", 480, "the stated size")
-	c.Flags().IntSliceVar(&p.Sizes, "sizes", nil, "sizes that are measured; an eighth, a quarter, half and the whole of the stated one unless given")
-	c.Flags().IntVar(&p.Real, "real", 8, "of each size, nodes that are processes of their own")
-	c.Flags().DurationVar(&p.Window, "for", time.Minute, "for how long each size is measured while nothing happens, at the least")
-	c.Flags().Int64Var(&p.Seed, "seed", 1, "of all chance between regions")
-	c.Flags().StringVar(&out, "out", "", "folder for report.json, and size-N.json of each size")
-	c.Flags().BoolVar(&kept, "kept", false, "take sizes that stand in the folder already from there")
-	c.Flags().IntVar(&mostMB, "most-mb", scale.MostMB, "that all its processes may take: it ends once they take more")
-	c.Flags().Float64Var(&budget.CorePercent, "core", 0, "budget: percent of a core a node, instead of the file's")
-	c.Flags().Float64Var(&budget.MemoryMB, "memory", 0, "budget: MB a node, resident")
-	c.Flags().Float64Var(&budget.KBPerS, "kb", 0, "budget: thousands of bytes a second a node, sent and received")
-	c.AddCommand(&cobra.Command{Use: "hollow", Hidden: true, Args: cobra.NoArgs, Short: "Run hollow nodes as told on standard input",
-		RunE: func(c *cobra.Command, _ []string) error { return scale.Attend(c.InOrStdin(), c.OutOrStdout()) }})
-	c.AddCommand(placement())
+			return o.measure(c.Context(), c.OutOrStdout())
+		},
+	}
+	c.SetFlagErrorFunc(badFlag)
+	o.addFlags(c)
+	c.AddCommand(hollowNodesCommand(), placementCommand())
 	return c
 }
 
-// placement says what it comes to that caches stand in zones and regions.
-func placement() *cobra.Command {
-	var caches, keys, nodes int
-	var price float64
-	c := &cobra.Command{Use: "placement [FILE.toml]", Short: "Say how many attempts cross zones, and how many keys lose two holders with one zone",
-		Args: cobra.MaximumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			name := ""
-			if len(args) > 0 {
-				name = args[0]
-			}
-			file, err := scale.ReadFile(name)
-			switch {
-			case err != nil:
-				return fmt.Errorf("%w: %w", errCall, err)
-			case caches < 1 || caches > mostCaches:
-				return fmt.Errorf("%w: --caches %d is not from 1 to %d", errCall, caches, mostCaches)
-			case keys < 1 || keys > mostKeys:
-				return fmt.Errorf("%w: --keys %d is not from 1 to %d", errCall, keys, mostKeys)
-			}
-			x := scale.PlaceKeys(file.Places, caches, keys, nodes, price)
-			x.Print(c.OutOrStdout())
-			return nil
-		}}
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errCall, err) })
-	c.Flags().IntVar(&caches, "caches", 50, "caches, zone by zone")
-	c.Flags().IntVar(&keys, "keys", 50_000, "keys that are asked for, evenly from all zones")
-	c.Flags().IntVar(&nodes, "nodes", 480, "nodes of the fleet")
-	c.Flags().Float64Var(&price, "crossing-price", 0.2, "of a leg that crosses zones, as a share of a request; 0 for none")
-	return c
+func (o *scaleOptions) addFlags(c *cobra.Command) {
+	f := c.Flags()
+	f.IntVar(&o.plan.Nodes, "nodes", 480, "size of the fleet")
+	f.IntSliceVar(&o.plan.Sizes, "sizes", nil,
+		"sizes that are measured; by default an eighth, a quarter, half and the whole of the fleet's")
+	f.IntVar(&o.plan.Real, "real", 8, "number of nodes, of each size, that are processes of their own")
+	f.DurationVar(&o.plan.Window, "for", time.Minute, "how long each size is measured at least, while nothing happens")
+	f.Int64Var(&o.plan.Seed, "seed", 1, "random seed of the network between regions")
+	f.StringVar(&o.out, "out", "", "folder for report.json, and size-N.json of each size")
+	f.BoolVar(&o.keepResults, "kept", false, "do not measure sizes again whose results are in the folder")
+	f.IntVar(&o.maxMB, "most-mb", scale.MostMB, "memory limit of all processes, in MB: the measurement ends above it")
+	f.Float64Var(&o.budget.CorePercent, "core", 0, "budget: percent of a core per node, instead of the file's")
+	f.Float64Var(&o.budget.MemoryMB, "memory", 0, "budget: resident memory per node, in MB")
+	f.Float64Var(&o.budget.KBPerS, "kb", 0, "budget: kilobytes per second per node, sent and received")
 }
 
-// measure runs a plan with processes of this very program, and keeps what comes of it.
-func measure(ctx context.Context, to io.Writer, p *scale.Plan, out string, kept bool, mostMB int) error {
+// prepare reads the file, and checks the flags.
+func (o *scaleOptions) prepare(c *cobra.Command, args []string) error {
+	file, err := scale.ReadFile(firstOf(args))
+	if err != nil {
+		return badCall("%w", err)
+	}
+	o.plan.File = file
+	flags := c.Flags()
+	if flags.Changed("core") {
+		o.plan.File.Budget.CorePercent = o.budget.CorePercent
+	}
+	if flags.Changed("memory") {
+		o.plan.File.Budget.MemoryMB = o.budget.MemoryMB
+	}
+	if flags.Changed("kb") {
+		o.plan.File.Budget.KBPerS = o.budget.KBPerS
+	}
+	if err := o.plan.Check(); err != nil {
+		return badCall("%w", err)
+	}
+	if o.maxMB < 1 || o.maxMB > scale.MostMB {
+		return badCall("--most-mb %d is not from 1 to %d", o.maxMB, scale.MostMB)
+	}
+	if o.out == "" {
+		return badCall("scale needs --out")
+	}
+	return nil
+}
+
+// firstOf returns the first argument, or an empty string for none.
+func firstOf(args []string) string {
+	if len(args) == 0 {
+		return ""
+	}
+	return args[0]
+}
+
+// measure measures each size with processes of this program, and writes the results.
+func (o *scaleOptions) measure(ctx context.Context, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return fmt.Errorf("the folder for reports cannot be made: %w", err)
+	if err := makeReportFolder(o.out); err != nil {
+		return err
 	}
 	dir, err := os.MkdirTemp("", "dahliapin-scale-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	of := func(nodes int) string { return filepath.Join(out, fmt.Sprintf("size-%d.json", nodes)) }
-	rig := &scale.Rig{Program: self, Dir: dir, Tell: progress(), MostMB: mostMB}
-	r, err := rig.Run(ctx, p, func(nodes int) *scale.Size {
-		text, err := os.ReadFile(of(nodes))
-		var s scale.Size
-		if !kept || err != nil || json.Unmarshal(text, &s) != nil || s.Nodes != nodes {
-			return nil
-		}
-		return &s
-	}, func(s *scale.Size) error { return keepJSON(of(s.Nodes), s) })
+	rig := &scale.Rig{Program: program, Dir: dir, Tell: progressLine(), MostMB: o.maxMB}
+	result, err := rig.Run(ctx, &o.plan, o.earlierResult, func(size *scale.Size) error {
+		return writeJSON(o.resultPath(size.Nodes), size)
+	})
 	if err != nil {
 		return err
 	}
-	if err := keepJSON(filepath.Join(out, "report.json"), r); err != nil {
+	if err := writeJSON(filepath.Join(o.out, "report.json"), result); err != nil {
 		return err
 	}
-	if err := r.Print(to); err != nil {
+	if err := result.Print(out); err != nil {
 		return err
 	}
-	if !r.Good() {
-		return errOver
+	if !result.Good() {
+		return errOverBudget
 	}
 	return nil
 }
 
-// keepJSON writes a file, which is there whole or not at all.
-func keepJSON(path string, what any) error {
-	text, err := json.MarshalIndent(what, "", " ")
-	if err == nil {
-		err = os.WriteFile(path+".part", append(text, '\n'), 0o644)
-	}
-	if err == nil {
-		err = os.Rename(path+".part", path)
+// resultPath returns the path of the result of one size.
+func (o *scaleOptions) resultPath(nodes int) string {
+	return filepath.Join(o.out, fmt.Sprintf("size-%d.json", nodes))
+}
+
+// earlierResult returns the result of a size that is in the folder already, or nil if it is to be measured.
+func (o *scaleOptions) earlierResult(nodes int) *scale.Size {
+	if !o.keepResults {
+		return nil
 	}
+	text, err := os.ReadFile(o.resultPath(nodes))
 	if err != nil {
-		return fmt.Errorf("the report cannot be kept: %w", err)
+		return nil
+	}
+	var size scale.Size
+	if json.Unmarshal(text, &size) != nil || size.Nodes != nodes {
+		return nil
+	}
+	return &size
+}
+
+// hollowNodesCommand runs the processes of nodes without clients.
+func hollowNodesCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
+		Short: "Run nodes without clients, as told on standard input",
+		RunE:  func(c *cobra.Command, _ []string) error { return scale.Attend(c.InOrStdin(), c.OutOrStdout()) },
 	}
-	return nil
 }
--- /dev/null
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -0,0 +1,128 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+
+	"dahliapin/internal/scale/logscale/checker"
+	"dahliapin/internal/scale/logscale/rig"
+)
+
+// The bounds that the operators' pages state.
+const (
+	purgeBound      = 5.6  // seconds until a purge is done everywhere
+	configBound     = 8.0  // seconds until a configuration is in force everywhere
+	nodeCoreBound   = 1.2  // percent of a core, of a node for all of control
+	nodeMemoryBound = 64.0 // MB, of a node
+	nodeBytesBound  = 19e3 // bytes a second, of a node
+)
+
+// changesPrinter prints a result, and collects what is over its bound.
+type changesPrinter struct {
+	table    io.Writer
+	findings []string
+}
+
+func (p *changesPrinter) find(format string, args ...any) {
+	p.findings = append(p.findings, fmt.Sprintf(format, args...))
+}
+
+// printChangesResult prints a result's tables, and what is over its bound or breaks a rule in the last lines.
+func printChangesResult(out io.Writer, r *rig.Report) error {
+	table := newTable(out)
+	p := changesPrinter{table: table}
+	fmt.Fprintf(table, "%d hollow and %d real nodes, %d regions, loss %.3f, seed %d, load %s\n\n",
+		r.Nodes, r.Real, r.Regions, r.Loss, r.Seed, strings.Join(r.Load, " | "))
+	p.printDelays(r)
+	p.printUsage(r)
+	p.printTotals(r)
+	if r.Caches != nil {
+		p.printCaches(r)
+	}
+	for _, note := range r.Notes {
+		fmt.Fprintln(table, note)
+	}
+	p.findBreaches("broken", r.Judge.Breaches)
+	if r.RealWhole < r.Real {
+		p.find("%d of %d real nodes have all", r.RealWhole, r.Real)
+	}
+	for _, line := range p.findings {
+		fmt.Fprintln(table, line)
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	if len(p.findings) > 0 {
+		return fmt.Errorf("%w: %d lines above", errOverStatedBounds, len(p.findings))
+	}
+	return nil
+}
+
+// printDelays prints how long changes took until every node had applied them.
+func (p *changesPrinter) printDelays(r *rig.Report) {
+	fmt.Fprintln(p.table, "play\tchanges\tcount\tacked median\tp99\tmost\t"+
+		"last node, from sent: median\tp99\tmost\tfrom acked: median\tp99\tmost\tbudget")
+	for _, d := range r.Judge.Plays {
+		kind, bound := "purges", purgeBound
+		if d.Config {
+			kind, bound = "configs", configBound
+		}
+		fmt.Fprintf(p.table, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n",
+			d.Play, kind, d.FromSent.Count, d.Acked.Median, d.Acked.P99, d.Acked.Most,
+			d.FromSent.Median, d.FromSent.P99, d.FromSent.Most,
+			d.FromAcked.Median, d.FromAcked.P99, d.FromAcked.Most, bound)
+		if d.FromSent.Most > bound || d.Unacked > 0 {
+			p.find("%s, %s: %.3f s to the last node, %d never acknowledged", d.Play, kind, d.FromSent.Most, d.Unacked)
+		}
+	}
+}
+
+// printUsage prints what each kind of process took.
+func (p *changesPrinter) printUsage(r *rig.Report) {
+	fmt.Fprintln(p.table, "\nplay\trole\tcount\tbytes/s in\tout\tmost\t% of a core\tmost\tMB")
+	for _, u := range r.Usage {
+		fmt.Fprintf(p.table, "%s\t%s\t%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.1f\n",
+			u.Play, u.Role, u.Count, u.InRate, u.OutRate, u.MostRate, u.Core, u.MostCore, u.MB)
+		isSteady := u.Play != rig.Cut && u.Play != rig.Burst
+		isOver := u.MostRate > nodeBytesBound || u.MostCore > nodeCoreBound || u.MB > nodeMemoryBound
+		if u.Role == "hollow node" && isSteady && isOver {
+			p.find("%s: a node's %.0f bytes/s, %.2f%% of a core, %.1f MB", u.Play, u.MostRate, u.MostCore, u.MB)
+		}
+		if u.Role == "real node" && u.MB > nodeMemoryBound {
+			p.find("%s: a real node's %.1f MB", u.Play, u.MB)
+		}
+	}
+}
+
+func (p *changesPrinter) printTotals(r *rig.Report) {
+	fmt.Fprintf(p.table, "\n%d entries, %d applied by %d nodes, %d of %d real nodes have all; "+
+		"began anew %d, moves %d, gaps %d; back after the cut in %.1f s, stale in it %d\n",
+		r.Judge.Entries, r.Judge.Applied, r.Judge.Nodes, r.RealWhole, r.Real,
+		r.Judge.Presumed, r.Moves, r.Gaps, r.Back, r.StaleInCut)
+	fmt.Fprintf(p.table, "fleet changes showed an entry at every node at most %.3f s after it was acknowledged; "+
+		"one call took at most %.3f s\n", r.Shown, r.Asked)
+}
+
+// printCaches prints how long purges took until they were done at every cache.
+func (p *changesPrinter) printCaches(r *rig.Report) {
+	c := r.Caches
+	fmt.Fprintf(p.table, "\n%d caches, %d purges, %d deletions, emptied %d times, %d reads with a value; "+
+		"back after its silence in %.1f s\n", c.Caches, c.Purges, c.Deletes, c.Emptied, c.Served, r.CacheBack)
+	fmt.Fprintln(p.table, "play\tfirst deletion at the last cache: median\tp99\tmost\t"+
+		"done at the last cache: median\tp99\tmost\tbudget")
+	for _, d := range c.Plays {
+		fmt.Fprintf(p.table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n", d.Play,
+			d.Deleted.Median, d.Deleted.P99, d.Deleted.Most, d.Done.Median, d.Done.P99, d.Done.Most, purgeBound)
+		if d.Done.Most > purgeBound {
+			p.find("%s: %.3f s until a purge was done at the last cache", d.Play, d.Done.Most)
+		}
+	}
+	p.findBreaches("broken at caches", c.Breaches)
+}
+
+func (p *changesPrinter) findBreaches(where string, breaches []checker.Breach) {
+	for _, b := range breaches {
+		p.find("%s: %s, %d times: %s", where, b.What, b.Count, strings.Join(b.Examples, "; "))
+	}
+}
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -17,155 +16,156 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
+// The bounds of soak's flags.
 const (
-	shortestSoak = 8 * time.Second
-	mostAtOnce   = 16
+	minSoakTime     = 8 * time.Second
+	maxSoakParallel = 16
 )
 
-// soakCall is what a soak was asked for.
-type soakCall struct {
-	first, last int64 // seeds
-	long        time.Duration
-	atOnce      int
-	out         string
+// soakOptions are what soak was called with.
+type soakOptions struct {
+	firstSeed int64
+	lastSeed  int64
+	duration  time.Duration // of each schedule
+	parallel  int           // schedules that run at once
+	out       string        // folder
 }
 
-func (s *soakCall) check() error {
+func soakCommand() *cobra.Command {
+	var o soakOptions
+	var seeds string
+	c := &cobra.Command{
+		Use:   "soak",
+		Short: "Run random deployments with random failures against node processes, and check the rules",
+		Long: "Exits with 0 if no rule was broken, with 1 and the names of the schedules that broke one in the last\n" +
+			"line, and with 2 for a bad call.",
+		Args: noArguments,
+		RunE: func(c *cobra.Command, _ []string) error {
+			var err error
+			if o.firstSeed, o.lastSeed, err = parseSeedRange(seeds); err != nil {
+				return err
+			}
+			if err := o.check(); err != nil {
+				return err
+			}
+			return o.run(c.OutOrStdout(), schedulePlayer(c))
+		},
+	}
+	c.SetFlagErrorFunc(badFlag)
+	c.Flags().StringVar(&seeds, "seeds", "1..50", "random seeds of the schedules")
+	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
+	c.Flags().IntVar(&o.parallel, "at-once", 2, "how many schedules run at once")
+	c.Flags().StringVar(&o.out, "out", ".", "folder for schedules that break a rule, and their reports")
+	return c
+}
+
+func (o *soakOptions) check() error {
 	switch {
-	case s.first < 1 || s.last < s.first || s.last-s.first >= mostSchedules:
-		return fmt.Errorf("%w: --seeds %d..%d are not from 1 up, or over %d", errCall, s.first, s.last, mostSchedules)
-	case s.long < shortestSoak || s.long > longestPlay:
-		return fmt.Errorf("%w: --for %v is not from %v to %v", errCall, s.long, shortestSoak, longestPlay)
-	case s.atOnce < 1 || s.atOnce > mostAtOnce:
-		return fmt.Errorf("%w: --at-once %d is not from 1 to %d", errCall, s.atOnce, mostAtOnce)
+	case o.firstSeed < 1 || o.lastSeed < o.firstSeed || o.lastSeed-o.firstSeed >= maxScheduleCount:
+		return badCall("--seeds %d..%d are not from 1 up, or over %d", o.firstSeed, o.lastSeed, maxScheduleCount)
+	case o.duration < minSoakTime || o.duration > maxScheduleTime:
+		return badCall("--for %v is not from %v to %v", o.duration, minSoakTime, maxScheduleTime)
+	case o.parallel < 1 || o.parallel > maxSoakParallel:
+		return badCall("--at-once %d is not from 1 to %d", o.parallel, maxSoakParallel)
 	}
 	return nil
 }
 
-// seedRange reads FIRST..LAST, or one seed.
-func seedRange(text string) (first, last int64, err error) {
+// parseSeedRange parses FIRST..LAST, or one seed.
+func parseSeedRange(text string) (first, last int64, err error) {
 	low, high, isRange := strings.Cut(text, "..")
 	if !isRange {
 		high = low
 	}
-	if first, err = strconv.ParseInt(low, 10, 64); err == nil {
+	first, err = strconv.ParseInt(low, 10, 64)
+	if err == nil {
 		last, err = strconv.ParseInt(high, 10, 64)
 	}
 	if err != nil {
-		return 0, 0, fmt.Errorf("%w: --seeds %q is not like 1..50", errCall, text)
+		return 0, 0, badCall("--seeds %q is not like 1..50", text)
 	}
 	return first, last, nil
 }
 
-func soakCommand() *cobra.Command {
-	call := soakCall{}
-	seeds := ""
-	c := &cobra.Command{Use: "soak", Short: "Play random deployments and troubles against node processes, and look for a broken rule",
-		Long: "Exits with 0 where nothing broke, 1 with the names of the schedules that broke a rule in its last line, and 2 for a bad call.",
-		Args: func(_ *cobra.Command, args []string) error {
-			if len(args) > 0 {
-				return fmt.Errorf("%w: soak takes no %q", errCall, args[0])
-			}
-			return nil
-		},
-		RunE: func(c *cobra.Command, _ []string) (err error) {
-			if call.first, call.last, err = seedRange(seeds); err != nil {
-				return err
-			}
-			if err := call.check(); err != nil {
-				return err
-			}
-			return call.play(c.OutOrStdout(), func(s *scenario.Scenario) (*report.Report, error) { return played(c, s) })
-		}}
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errCall, err) })
-	c.Flags().StringVar(&seeds, "seeds", "1..50", "of the schedules")
-	c.Flags().DurationVar(&call.long, "for", time.Minute, "how long each plays")
-	c.Flags().IntVar(&call.atOnce, "at-once", 2, "how many play side by side")
-	c.Flags().StringVar(&call.out, "out", ".", "folder for schedules that break a rule, and their reports")
-	return c
-}
-
-// soakTally counts what came of a soak's schedules.
-type soakTally struct {
-	mu                sync.Mutex
-	played, notJudged int
-	broken            []string // names of schedules
-	faults            []error
-}
-
-// play plays all schedules, several at once. Those that the machine was too busy for show nothing, and it says so.
-func (s *soakCall) play(to io.Writer, play func(*scenario.Scenario) (*report.Report, error)) error {
+// run runs all schedules, several at once. Runs for which the machine was too busy prove nothing, and are reported as
+// such.
+func (o *soakOptions) run(out io.Writer, play player) error {
 	var tally soakTally
 	var workers sync.WaitGroup
 	seeds := make(chan int64)
-	for range s.atOnce {
+	for range o.parallel {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
 			for seed := range seeds {
-				schedule := scenario.Soak(seed, s.long.Seconds())
-				report, err := play(schedule)
-				if err == nil {
-					err = tally.count(to, schedule, report, s.out)
-				}
-				tally.failed(err)
+				tally.addError(o.runOne(out, seed, &tally, play))
 			}
 		}()
 	}
-	for seed := s.first; seed <= s.last; seed++ {
+	for seed := o.firstSeed; seed <= o.lastSeed; seed++ {
 		seeds <- seed
 	}
 	close(seeds)
 	workers.Wait()
-	if err := errors.Join(tally.faults...); err != nil {
+	if err := errors.Join(tally.errs...); err != nil {
 		return err
 	}
-	fmt.Fprintf(to, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n", tally.played, len(tally.broken), tally.notJudged)
+	fmt.Fprintf(out, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n",
+		tally.played, len(tally.broken), tally.notJudged)
 	if len(tally.broken) == 0 {
 		return nil
 	}
-	fmt.Fprintln(to, strings.Join(tally.broken, " "))
+	fmt.Fprintln(out, strings.Join(tally.broken, " "))
 	return errNotMet
 }
 
-func (t *soakTally) failed(err error) {
+func (o *soakOptions) runOne(out io.Writer, seed int64, tally *soakTally, play player) error {
+	schedule := scenario.Soak(seed, o.duration.Seconds())
+	result, err := play(schedule)
+	if err != nil {
+		return err
+	}
+	return tally.add(out, schedule, result, o.out)
+}
+
+// soakTally counts the results of a soak's schedules.
+type soakTally struct {
+	mu        sync.Mutex // over all fields, and the printing of a result
+	played    int
+	notJudged int
+	broken    []string // names of schedules
+	errs      []error
+}
+
+func (t *soakTally) addError(err error) {
 	if err == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.faults = append(t.faults, err)
+	t.errs = append(t.errs, err)
 }
 
-// count tells what came of one schedule, and keeps it if it broke a rule.
-func (t *soakTally) count(to io.Writer, schedule *scenario.Scenario, r *report.Report, out string) error {
+// add counts and prints the result of one schedule, and writes it to a folder if it broke a rule.
+func (t *soakTally) add(out io.Writer, schedule *scenario.Scenario, r *report.Report, dir string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
-	said := "kept all rules"
+	verdict := "kept all rules"
 	switch {
 	case r.Busy != "":
 		t.notJudged++
-		said = "not judged: " + r.Busy
+		verdict = "not judged: " + r.Busy
 	case !r.Good():
 		t.broken = append(t.broken, schedule.Name)
-		said = "BROKEN"
+		verdict = "BROKEN"
 	}
-	fmt.Fprintf(to, "%s: %d nodes, %d caches, %d events, rules %v, benefit in time %.3f: %s\n",
-		schedule.Name, r.Nodes, r.Caches, len(schedule.Events), r.Rules, r.Gain, said)
-	if !broken(r) {
+	fmt.Fprintf(out, "%s: %d nodes, %d caches, %d events, rules %v, benefit in time %.3f: %s\n",
+		schedule.Name, r.Nodes, r.Caches, len(schedule.Events), r.Rules, r.Gain, verdict)
+	if !isBroken(r) {
 		return nil
 	}
-	r.Print(to)
-	text, err := schedule.Text()
-	if err == nil {
-		err = keep(filepath.Join(out, schedule.Name), r)
-	}
-	if err == nil {
-		err = os.WriteFile(filepath.Join(out, schedule.Name+".toml"), text, 0o644)
-	}
-	if err != nil {
-		return fmt.Errorf("the schedule cannot be kept: %w", err)
-	}
-	return nil
+	r.Print(out)
+	_, err := writeSchedule(dir, filepath.Join(dir, schedule.Name), schedule, r)
+	return err
 }
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -22,12 +22,12 @@
 // A short soak: the same schedules each time. The long one is started by hand: dahliapin soak.
 func TestShortSoak(t *testing.T) {
 	processes := nodes(t)
-	call := soakCall{first: 1, last: soakSeeds, long: soakFor, atOnce: 2, out: t.TempDir()}
+	options := soakOptions{firstSeed: 1, lastSeed: soakSeeds, duration: soakFor, parallel: 2, out: t.TempDir()}
 	if testing.Short() {
-		call.last = 2
+		options.lastSeed = 2
 	}
 	var said bytes.Buffer
-	err := call.play(&said, func(s *scenario.Scenario) (*report.Report, error) {
+	err := options.run(&said, func(s *scenario.Scenario) (*report.Report, error) {
 		return realtime.Play(context.Background(), s, processes, nil)
 	})
 	t.Logf("%s", said.String())
@@ -118,7 +118,7 @@
 		c.SetOut(io.Discard)
 		c.SetErr(io.Discard)
 		c.SilenceUsage, c.SilenceErrors = true, true
-		if err := c.Execute(); !errors.Is(err, errCall) {
+		if err := c.Execute(); !errors.Is(err, errBadCall) {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
--- a/cmd/dahliapin/waiting_clients_test.go
+++ b/cmd/dahliapin/waiting_clients_test.go
@@ -220,7 +220,7 @@
 			look := func(until time.Time) {
 				for time.Now().Before(until) {
 					began := time.Now()
-					ctx, end := context.WithTimeout(context.Background(), opsBy)
+					ctx, end := context.WithTimeout(context.Background(), adminTimeout)
 					q, _ := http.NewRequestWithContext(ctx, "GET", "http://"+ops+"/status", nil)
 					q.Close = true
 					a, err := http.DefaultClient.Do(q)
