--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -56,25 +56,25 @@
 
 func printChanges(out io.Writer, o controlclient.Overview) error {
 	table := newTable(out)
-	fmt.Fprintf(table, "newest entry %d, a leader is heard: %t\n\n", o.Last, o.Led)
-	printMachines(table, o)
+	fmt.Fprintf(table, "newest entry %d, a leader is heard: %t\n\n", o.Last, o.HasLeader)
+	printServers(table, o)
 	printNodes(table, o)
 	printCaches(table, o)
 	return table.Flush()
 }
 
-func printMachines(table io.Writer, o controlclient.Overview) {
+func printServers(table io.Writer, o controlclient.Overview) {
 	fmt.Fprintln(table, "control\trole\tlast\tkept after\tconfig\tbytes out\tforeign\tturned away\theard")
-	for _, m := range o.Machines {
+	for _, m := range o.Servers {
 		role := "voter"
 		switch {
 		case m.Learner:
 			role = "learner"
-		case m.Leads:
+		case m.IsLeader:
 			role = fmt.Sprintf("leader, term %d", m.Term)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n",
-			m.Name, role, m.Last, m.Floor, m.Config, m.Out, m.Foreign, m.Away, heard(m.HeardS, m.Silent))
+			m.Name, role, m.Last, m.Floor, m.Config, m.BytesOut, m.Invalid, m.Rejected, heard(m.HeardS, m.Silent))
 	}
 }
 
@@ -90,7 +90,7 @@
 // printNodes prints the nodes that lack something.
 func printNodes(table io.Writer, o controlclient.Overview) {
 	lacking := slices.DeleteFunc(slices.Clone(o.Nodes), func(n controlclient.NodeStatus) bool {
-		return n.Lacks == 0 && !n.Silent && !n.Begins && n.Refused == 0
+		return n.Missing == 0 && !n.Silent && !n.NotStarted && n.Refused == 0
 	})
 	fmt.Fprintf(table, "\n%d nodes, %d of them have all\n", len(o.Nodes), len(o.Nodes)-len(lacking))
 	if len(lacking) > 0 {
@@ -101,7 +101,7 @@
 		if n.Refused > 0 {
 			state += fmt.Sprintf(", refused %d: %s", n.Refused, n.Reason)
 		}
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n", n.Node, n.Applied, n.Lacks, n.Config, n.Machine, state)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n", n.Node, n.Applied, n.Missing, n.Config, n.Server, state)
 	}
 	printMore(table, len(lacking))
 }
@@ -121,13 +121,13 @@
 	if len(o.Caches) == 0 {
 		return
 	}
-	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlclient.CacheStatus) bool { return c.Lacks == 0 })
+	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlclient.CacheStatus) bool { return c.Missing == 0 })
 	fmt.Fprintf(table, "\n%d caches, purges are done at %d of them\n", len(o.Caches), len(o.Caches)-len(lacking))
 	if len(lacking) > 0 {
 		fmt.Fprintln(table, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
 	}
 	for _, c := range lacking[:min(len(lacking), maxLackingShown)] {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n", c.Cache, c.Done, c.Lacks, c.Late, c.First, whyLacking(&c))
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n", c.Cache, c.Done, c.Missing, c.Overdue, c.FirstDeleted, whyLacking(&c))
 	}
 	printMore(table, len(lacking))
 }
@@ -135,9 +135,9 @@
 // whyLacking says what the control machines report of a cache that lacks purges.
 func whyLacking(c *controlclient.CacheStatus) string {
 	var reasons []string
-	for _, m := range c.Machines {
+	for _, m := range c.Servers {
 		if m.Reason != "" && !m.Silent {
-			reasons = append(reasons, fmt.Sprintf("%d: %s, %.1f s", m.Machine, m.Reason, m.QuietS))
+			reasons = append(reasons, fmt.Sprintf("%d: %s, %.1f s", m.Server, m.Reason, m.UnansweredS))
 		}
 	}
 	if c.Flushing {
--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -72,9 +72,9 @@
 	fmt.Fprintf(&text, "foreign %d, unread %d, dropped %d\n", s.Foreign, s.Unread, s.Dropped)
 	if c := s.Changes; c != nil {
 		fmt.Fprintf(&text, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, ",
-			c.Applied, c.Head, c.Config, c.Refused, c.Reason, c.Purges)
+			c.Applied, c.LastHeard, c.Config, c.Refused, c.Reason, c.Purges)
 		fmt.Fprintf(&text, "all up to %d presumed purged; at %s, heard %.1f s ago, stale: %t, %d gaps\n",
-			c.PresumedPurged, c.Via, c.HeardS, c.Stale, c.Gaps)
+			c.PresumedPurged, c.Server, c.HeardS, c.Stale, c.Gaps)
 	}
 	_, err := out.Write(text.Bytes())
 	return err
