--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -27,8 +27,8 @@
 		Use:   "changes --at ADDR[,ADDR]",
 		Short: "Show up to where each node has applied the log of changes, and each cache its purges",
 		Long: "Exits with 0 if every node has all changes and all purges are done at every cache; with 2 if\n" +
-			"one lacks something, refused a configuration or does not answer; and with 1 if no control machine can be\n" +
-			"reached.",
+			"one lacks something, refused a configuration or does not answer; and with 1 if no control\n" +
+			"machine can be reached.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := control.client()
@@ -121,13 +121,15 @@
 	if len(o.Caches) == 0 {
 		return
 	}
-	lacking := slices.DeleteFunc(slices.Clone(o.Caches), func(c controlclient.CacheStatus) bool { return c.Missing == 0 })
+	hasAll := func(c controlclient.CacheStatus) bool { return c.Missing == 0 }
+	lacking := slices.DeleteFunc(slices.Clone(o.Caches), hasAll)
 	fmt.Fprintf(table, "\n%d caches, purges are done at %d of them\n", len(o.Caches), len(o.Caches)-len(lacking))
 	if len(lacking) > 0 {
 		fmt.Fprintln(table, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
 	}
 	for _, c := range lacking[:min(len(lacking), maxLackingShown)] {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n", c.Cache, c.Done, c.Missing, c.Overdue, c.FirstDeleted, whyLacking(&c))
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n",
+			c.Cache, c.Done, c.Missing, c.Overdue, c.FirstDeleted, whyLacking(&c))
 	}
 	printMore(table, len(lacking))
 }
--- a/cmd/dahliapin/main_test.go
+++ b/cmd/dahliapin/main_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-const asProgram = "DAHLIAPIN_TEST_AS_PROGRAM" // set, the test's own binary is the program
+// asProgram is a variable of the environment that makes the test's binary the program.
+const asProgram = "DAHLIAPIN_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
@@ -25,8 +26,9 @@
 	os.Exit(m.Run())
 }
 
-// started runs the program in a process of its own, and hands on the lines of its log.
+// started starts the program in a process of its own, and returns the lines of its log as they are written.
 func started(t *testing.T, name string, args ...string) (*exec.Cmd, chan string) {
+	t.Helper()
 	program := exec.Command(name, args...)
 	program.Env = append(os.Environ(), asProgram+"=1")
 	out, err := program.StderrPipe()
@@ -47,7 +49,7 @@
 	return program, logged
 }
 
-// expect takes lines until one has what is wanted.
+// expect takes lines until one contains a text, and returns that line.
 func expect(t *testing.T, from chan string, want string) (got string) {
 	t.Helper()
 	for by, more := time.After(20*time.Second), true; !strings.Contains(got, want); {
@@ -63,8 +65,9 @@
 	return got
 }
 
-// A signal between two lines of the start ended the process, SIGHUP too; and while a configuration that was read again did not come,
-// SIGTERM was not heard. A pipe for the file holds the program just there; the platform's way of starting it lets no SIGHUP through.
+// A signal during the start ended the process, SIGHUP too; and while a configuration was read again, SIGTERM was not
+// handled. A pipe in the file's place holds the program just there; it is started as the platform does, which lets no
+// SIGHUP through.
 func TestSignalsWhileAConfigurationIsRead(t *testing.T) {
 	pipe := t.TempDir() + "/config.json"
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
@@ -116,15 +119,18 @@
 	}
 }
 
-// SIGHUP ended the process with 129, and all that it had in hand was lost.
-func TestSIGHUPMovesDiscoveryAndKeepsWhatRunsOverABadFile(t *testing.T) {
-	heard := make(chan string, 99)
+// SIGHUP ended the process with 129, and all requests in flight were lost. It changes discovery's address, and a
+// configuration that cannot be used changes nothing.
+func TestSIGHUPReadsTheConfigurationAgain(t *testing.T) {
+	polls := make(chan string, 99)
 	discovery := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if heard <- name + r.URL.RawQuery; r.URL.RawQuery == "" {
-				io.WriteString(w, `{"generation":7,"reset":true,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1"}]}`)
+			polls <- name + r.URL.RawQuery
+			if r.URL.RawQuery == "" {
+				io.WriteString(w, `{"generation":7,"reset":true,`+
+					`"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1"}]}`)
 			} else {
-				<-r.Context().Done() // a watch without news
+				<-r.Context().Done() // a long poll without an update
 			}
 		}))
 		t.Cleanup(s.CloseClientConnections)
@@ -132,7 +138,8 @@
 	}
 	file := t.TempDir() + "/config.json"
 	write := func(discovery, end string) {
-		text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,"settings":{"service_grades":[{}]}}`, discovery)
+		text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,`+
+			`"settings":{"service_grades":[{}]}}`, discovery)
 		if err := os.WriteFile(file, []byte(strings.TrimSuffix(text, end)), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -143,8 +150,8 @@
 	expect := func(from chan string, want string) string { t.Helper(); return expect(t, from, want) }
 	addr := expect(logged, "listening")
 	addr = strings.FieldsFunc(addr[strings.Index(addr, "127."):], func(c rune) bool { return c == '"' || c == ' ' })[0]
-	expect(heard, "first since=7")
-	for _, step := range []struct{ discovery, end, logs, asks string }{
+	expect(polls, "first since=7")
+	for _, step := range []struct{ discovery, end, logs, polls string }{
 		{second, `]}}`, "the last one stays", ""}, // half written
 		{second, "", "read again", "second since=7"},
 		{second, "", "read again", ""},
@@ -152,8 +159,9 @@
 	} {
 		write(step.discovery, step.end)
 		program.Process.Signal(syscall.SIGHUP)
-		if expect(logged, step.logs); step.asks != "" {
-			expect(heard, step.asks)
+		expect(logged, step.logs)
+		if step.polls != "" {
+			expect(polls, step.polls)
 		}
 		if c, err := net.Dial("tcp", addr); err != nil {
 			t.Errorf("takes nobody after %q: %v", step.logs, err)
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"io"
 	"os"
+	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -12,43 +13,74 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
-// What an operator must fill in, and what was lost, must be said; what stands is left alone, and no half file is left.
-func TestMigrateSaysWhatItCouldNotCarryOverAndLeavesWhatStands(t *testing.T) {
-	const old = `{"name":"n1","listen":"10.1.2.3:11211","discovery":"127.0.0.1:1","seed":"a1","extra":7,"known":{},"settings":{"service_grades":` +
-		`[{"name":"read"}],"bounds":null,"rules":{"colds":1},"zone":"z","n_instances":2}}`
-	const want = `{"name":"n1","listen":"127.0.0.1:11211","discovery":"127.0.0.1:1","seed":"a1","extra":7,"settings":{"service_grades":` +
-		`[{"name":"read"}],"bounds":{"streams_per_conn":1},"rules":{"colds":1},"zone":"z","n_instances":2,"failure_domains":["z"]}}` + "\n"
-	const unknown = "extra: settings.rules.colds:"
-	const says = unknown + " name: seed: listen: known: settings.n_instances: settings.failure_domains: settings.tariffs.cross_zone: settings.rules.overload_factor:"
+const (
+	poolConfig = `{"name":"n1","listen":"10.1.2.3:11211","discovery":"127.0.0.1:1","seed":"a1","extra":7,"known":{},` +
+		`"settings":{"service_grades":[{"name":"read"}],"bounds":null,"rules":{"colds":1},"zone":"z","n_instances":2}}`
+	migratedConfig = `{"name":"n1","listen":"127.0.0.1:11211","discovery":"127.0.0.1:1","seed":"a1","extra":7,` +
+		`"settings":{"service_grades":[{"name":"read"}],"bounds":{"streams_per_conn":1},"rules":{"colds":1},` +
+		`"zone":"z","n_instances":2,"failure_domains":["z"]}}` + "\n"
+	unknownKeys    = "extra: settings.rules.colds:"
+	migrateRemarks = unknownKeys + " name: seed: listen: known: settings.n_instances: settings.failure_domains: " +
+		"settings.tariffs.cross_zone: settings.rules.overload_factor:"
+)
+
+// What an operator has to fill in, and what was lost, is printed. Existing files are left alone, and no half file is
+// left. The calls are made one after the other in one folder.
+func TestMigratePrintsWhatItCannotCarryOver(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"old": old, "bad": "{", "none": `{"settings":{}}`, "five": strings.Replace(old, "null", "5", 1)} {
-		os.WriteFile(dir+"/"+name, []byte(text), 0o640)
+	for name, text := range map[string]string{
+		"old": poolConfig, "bad": "{", "none": `{"settings":{}}`, "five": strings.Replace(poolConfig, "null", "5", 1),
+	} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o640); err != nil {
+			t.Fatal(err)
+		}
 	}
-	for _, c := range []struct{ args, says, file string }{{"old new --dry-run", says + " nothing", ""}, {"bad new", "", ""}, {"none new", "", ""},
-		{"five new", "", ""}, {"gone new", "", ""}, {"old old --replace", "", ""}, {"old new", says, want}, {"old new", "", want},
-		{"old new --replace", says, want}, {"new twice", unknown, want}} {
-		args := strings.Fields(c.args)
-		out, code, _ := program(t, nil, append([]string{"migrate", dir + "/" + args[0], dir + "/" + args[1]}, args[2:]...)...)
-		keys := strings.Join(regexp.MustCompile(`(?m)^[a-z._]+:|^nothing`).FindAllString(out, -1), " ")
-		if text, _ := os.ReadFile(dir + "/" + args[1]); string(text) != c.file && args[1] != "old" || (code == 0) != (c.says != "") ||
-			code == 0 && keys != c.says || code != 0 && strings.Count(out, "\n") != 1 {
-			t.Errorf("%s: ended with %d, said %s, left %s", c.args, code, out, text)
+	remarkKey := regexp.MustCompile(`(?m)^[a-z._]+:|^nothing`)
+	for _, call := range []struct {
+		from, to, flag string
+		keys           string // of the remarks; empty for a call that fails
+		target         string // content of the target then
+	}{
+		{"old", "new", "--dry-run", migrateRemarks + " nothing", ""},
+		{"bad", "new", "", "", ""},
+		{"none", "new", "", "", ""},
+		{"five", "new", "", "", ""},
+		{"gone", "new", "", "", ""},
+		{"old", "old", "--replace", "", poolConfig},
+		{"old", "new", "", migrateRemarks, migratedConfig},
+		{"old", "new", "", "", migratedConfig},
+		{"old", "new", "--replace", migrateRemarks, migratedConfig},
+		{"new", "twice", "", unknownKeys, migratedConfig},
+	} {
+		args := []string{"migrate", filepath.Join(dir, call.from), filepath.Join(dir, call.to)}
+		if call.flag != "" {
+			args = append(args, call.flag)
+		}
+		out, code, _ := program(t, nil, args...)
+		keys := strings.Join(remarkKey.FindAllString(out, -1), " ")
+		fails := call.keys == ""
+		if fails != (code != 0) || !fails && keys != call.keys || fails && strings.Count(out, "\n") != 1 {
+			t.Errorf("%+v: exit %d, printed %s", call, code, out)
+		}
+		if text, _ := os.ReadFile(filepath.Join(dir, call.to)); string(text) != call.target {
+			t.Errorf("%+v: left %s", call, text)
 		}
 	}
 	left, _ := os.ReadDir(dir)
-	info, err := os.Stat(dir + "/new")
-	if kept, _ := os.ReadFile(dir + "/old"); string(kept) != old || len(left) != 6 || err != nil || info.Mode().Perm() != 0o640 {
-		t.Error("the old file was changed, or something was left behind, or the new one has not its rights")
+	info, err := os.Stat(filepath.Join(dir, "new"))
+	old, _ := os.ReadFile(filepath.Join(dir, "old"))
+	if string(old) != poolConfig || len(left) != 6 || err != nil || info.Mode().Perm() != 0o640 {
+		t.Error("the old file was changed, or something was left behind, or the new one has other permissions")
 	}
 }
 
-// moved starts nodes on what migrate makes of their configuration, with what an operator fills in.
-type moved struct {
+// migratedNodes starts nodes with the migrated form of their configuration, and with what an operator fills in.
+type migratedNodes struct {
 	realtime.Starter
-	dir string
+	dir string // for the files; empty to start nodes with the old form
 }
 
-func (m moved) Start(o realtime.NodeSpec) (realtime.Process, error) {
+func (m migratedNodes) Start(o realtime.NodeSpec) (realtime.Process, error) {
 	text := o.Configuration
 	if m.dir != "" {
 		os.WriteFile(m.dir+"/old", text, 0o600)
@@ -60,13 +92,14 @@
 	return m.Starter.Start(o)
 }
 
-// A node on a migrated file must serve, and ask its own zone's caches; gone back to the old one it asks all.
-func TestAMigratedNodeKeepsToItsZoneAndGoesBack(t *testing.T) {
+// A node with a migrated configuration must serve, and send attempts to its own zone's caches. With the old one, it
+// sends them to all.
+func TestMigratedNodeKeepsToItsZone(t *testing.T) {
 	s, err := scenario.Parse("test.toml", []byte(strings.Replace(strings.Split(short, "[[event]]")[0], "caches = 4",
 		"caches = 12\nzones = [\"a\", \"b\"]", 1)))
 	t.Setenv(asProgram, "1")
 	run := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
-	for _, m := range []moved{{run, t.TempDir()}, {run, ""}} {
+	for _, m := range []migratedNodes{{run, t.TempDir()}, {run, ""}} {
 		report, bad := realtime.Play(context.Background(), s, m, nil)
 		if err != nil || bad != nil {
 			t.Fatal(err, bad)
@@ -75,8 +108,9 @@
 		for i := 1; i < 12; i += 2 { // zone b
 			far += report.Servers[i].Legs
 		}
-		if (far == 0) != (m.dir != "") || report.Classes[0].Asked == 0 || !report.Good() {
-			t.Errorf("%+v: %d legs crossed, %+v", m, far, report.Classes)
+		isMigrated := m.dir != ""
+		if (far == 0) != isMigrated || report.Classes[0].Asked == 0 || !report.Good() {
+			t.Errorf("%+v: %d attempts crossed zones, %+v", m, far, report.Classes)
 		}
 	}
 }
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -42,7 +42,8 @@
 caches = ["c2"]
 `
 
-// program runs this program with a temporary folder of its own, and tells its exit code and what it left there.
+// program runs this program with a temporary folder of its own, and returns its output, its exit code and what it left
+// there. after is called once it has started; nil for nothing.
 func program(t *testing.T, after func(*os.Process), args ...string) (out string, code int, left []string) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
@@ -75,13 +76,17 @@
 	return path
 }
 
-// Node processes of this very program, one of them killed: the report says what came, the records of the processes are
-// in it, the exit code tells what was expected, and nothing is left behind, also when it is broken off. How soon the
-// silent cache is avoided is bounded in virtual time alone: here it hangs on the machine, once 1.7 s and mostly 0.2 s.
-func TestARehearsalWithProcessesTellsByItsExitAndLeavesNothing(t *testing.T) {
+// noRuleBroken is in the output of a rehearsal in which no rule was broken.
+const noRuleBroken = "no rule is broken ([0 0 0 0])"
+
+// Node processes of this program run, and one of them is killed. The report says what happened, the processes' records
+// are in it, the exit code tells that all was as expected, and nothing is left behind. How soon the silent cache is
+// avoided is bounded in virtual time alone: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
+func TestRehearsalWithProcessesReportsAndLeavesNothing(t *testing.T) {
 	dir := t.TempDir()
-	out, code, left := program(t, nil, "rehearse", scriptFile(t, short+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n"), "--out", dir)
-	if code != 0 || len(left) > 0 || !strings.Contains(out, "no rule is broken ([0 0 0 0])") {
+	script := scriptFile(t, short+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
+	out, code, left := program(t, nil, "rehearse", script, "--out", dir)
+	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
 	var r report.Report
@@ -93,18 +98,22 @@
 	if !strings.Contains(string(lines), `"node":"n2","server":"c2","what":"`+eventlog.EndpointAvoided) {
 		t.Errorf("no record of a process: %s", lines)
 	}
-	out, code, left = program(t, func(p *os.Process) {
+}
+
+func TestInterruptedRehearsalLeavesNothing(t *testing.T) {
+	interrupt := func(p *os.Process) {
 		time.Sleep(time.Second)
 		p.Signal(syscall.SIGINT)
-	}, "rehearse", scriptFile(t, short))
+	}
+	out, code, left := program(t, interrupt, "rehearse", scriptFile(t, short))
 	if code != 1 || len(left) > 0 || strings.Contains(out, "asked") {
 		t.Errorf("broken off: exit %d, left %v: %s", code, left, out)
 	}
 }
 
-// Operators replace one node's process under load and have the other stand by: a request that is lost, a process that does not say
-// yes or end, and a connection held four seconds after the call each fail it.
-func TestARehearsalPlaysWhatOperatorsDo(t *testing.T) {
+// Operators replace one node's process under load, and set the other to standby. A request that is lost, a process that
+// does not answer yes or does not end, and a connection held four seconds after the call each fail the rehearsal.
+func TestRehearsalRunsWhatOperatorsDo(t *testing.T) {
 	calls := strings.Replace(short[:strings.Index(short, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
 at_s = 0.5
 do = "node_upgrade"
@@ -122,33 +131,74 @@
 [expect]
 satisfied={read=0.5}
 `
-	if out, code, left := program(t, nil, "rehearse", scriptFile(t, calls)); code != 0 || len(left) > 0 || !strings.Contains(out, "no rule is broken ([0 0 0 0])") {
+	out, code, left := program(t, nil, "rehearse", scriptFile(t, calls))
+	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
 }
 
-// What can't be played is told in one line, and nothing is played.
+// A call that cannot be taken is told in one line, and nothing is run.
 func TestBadCallsAreToldInOneLine(t *testing.T) {
-	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"service_grades":[{"name":"read"}]}}`)
-	for _, args := range [][]string{{"check", "--config", config, "--operator", scriptFile(t, "[[listener]]\nport = 1")}, {"rehearse", "nowhere.toml"}, {"rehearse", "upgrade", "--virtual"}, {"rehearse", "members-loss", "--virtual"},
-		{"ops"}, {"ops", "standbye"}, {"ops", "status", "--at", "here"}, {"ops", "status", "--at", "127.0.0.1:1"}, {"rehearse", scriptFile(t, "secs = 1")}, {"rehearse", "moves", "--decider", "ring"},
-		{"rehearse", "moves", "--virtual", "--decider", "best"}, {"load", "example.org:80"}, {"load", "192.0.2.1:80"}, {"load", "127.0.0.1:1", "--rate", "-1"}, {"load", "127.0.0.1:1", "--protocol", "htp"},
-		{"load", "127.0.0.1:1", "--for", "99h"}, {"demo", "--for", "0s"}, {"serve", "--records", "/nowhere/at/all"}, {"serve", "--config", config, "--trace", t.TempDir() + "/trace"}, {"demo", "--nodes", "2"},
-		{"fleet"}, {"fleet", "statuss"}, {"fleet", "status", "--at", "here"}, {"fleet", "members", "--at", "127.0.0.1:1"}, {"check", "--config", config, "--fleet", scriptFile(t, "[fleet]\nport = 1")},
-		{"rehearse", scriptFile(t, short+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}, {"nemesis", "--nodes", "2"}, {"nemesis", "--for", "1s"}, {"nemesis", "--what", "all"}, {"nemesis", "--seeds"},
-		{"nemesis", "now"}} {
-		want := map[bool]int{true: 2, false: 1}[args[0] == "nemesis"]
-		if out, code, _ := program(t, nil, args...); code != want || strings.Count(out, "\n") != 1 || !strings.HasPrefix(out, "dahliapin: ") {
-			t.Errorf("%v: exit %d, %q", args, code, out)
+	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
+		`"settings":{"service_grades":[{"name":"read"}]}}`)
+	const failed, badCall = 1, 2
+	for _, test := range []struct {
+		code int
+		args []string
+	}{
+		{failed, []string{"check", "--config", config, "--operator", scriptFile(t, "[[listener]]\nport = 1")}},
+		{failed, []string{"check", "--config", config, "--fleet", scriptFile(t, "[fleet]\nport = 1")}},
+		{failed, []string{"serve", "--records", "/nowhere/at/all"}},
+		{failed, []string{"serve", "--config", config, "--trace", t.TempDir() + "/trace"}},
+		{failed, []string{"rehearse", "nowhere.toml"}},
+		{failed, []string{"rehearse", "upgrade", "--virtual"}},
+		{failed, []string{"rehearse", "members-loss", "--virtual"}},
+		{failed, []string{"rehearse", scriptFile(t, "secs = 1")}},
+		{failed, []string{"rehearse", "moves", "--decider", "ring"}},
+		{failed, []string{"rehearse", "moves", "--virtual", "--decider", "best"}},
+		{failed, []string{"rehearse", scriptFile(t, short+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}},
+		{failed, []string{"ops"}},
+		{failed, []string{"ops", "standbye"}},
+		{failed, []string{"ops", "status", "--at", "here"}},
+		{failed, []string{"ops", "status", "--at", "127.0.0.1:1"}},
+		{failed, []string{"fleet"}},
+		{failed, []string{"fleet", "statuss"}},
+		{failed, []string{"fleet", "status", "--at", "here"}},
+		{failed, []string{"fleet", "members", "--at", "127.0.0.1:1"}},
+		{failed, []string{"load", "example.org:80"}},
+		{failed, []string{"load", "192.0.2.1:80"}},
+		{failed, []string{"load", "127.0.0.1:1", "--rate", "-1"}},
+		{failed, []string{"load", "127.0.0.1:1", "--protocol", "htp"}},
+		{failed, []string{"load", "127.0.0.1:1", "--for", "99h"}},
+		{failed, []string{"demo", "--for", "0s"}},
+		{failed, []string{"demo", "--nodes", "2"}},
+		{badCall, []string{"nemesis", "--nodes", "2"}},
+		{badCall, []string{"nemesis", "--for", "1s"}},
+		{badCall, []string{"nemesis", "--what", "all"}},
+		{badCall, []string{"nemesis", "--seeds"}},
+		{badCall, []string{"nemesis", "now"}},
+	} {
+		out, code, _ := program(t, nil, test.args...)
+		isOneLine := strings.Count(out, "\n") == 1 && strings.HasPrefix(out, "dahliapin: ")
+		if code != test.code || !isOneLine {
+			t.Errorf("%v: exit %d, %q", test.args, code, out)
 		}
 	}
-	two := scriptFile(t, "[[listener]]\nlisten = 'x'\nprotocol = 'y'\n") // who checks a file and hears of one fault at a time checks it many times
-	if out, _, _ := program(t, nil, "check", "--config", config, "--operator", two); !strings.Contains(out, ":2: ") || !strings.Contains(out, ":3: ") {
+}
+
+// An operator who is told of one fault at a time has to check a file many times.
+func TestCheckTellsAllFaultsOfAFile(t *testing.T) {
+	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
+		`"settings":{"service_grades":[{"name":"read"}]}}`)
+	faulty := scriptFile(t, "[[listener]]\nlisten = 'x'\nprotocol = 'y'\n")
+	out, _, _ := program(t, nil, "check", "--config", config, "--operator", faulty)
+	if !strings.Contains(out, ":2: ") || !strings.Contains(out, ":3: ") {
 		t.Errorf("two faults: %q", out)
 	}
 }
 
-// Five processes, one killed, one heard by nobody while it hears all, one replaced, which nobody sees: what they say of one another is as the judge knows it to be.
+// Of five processes, one is killed, one is heard by none while it hears all, and one is replaced, which none notices.
+// Their views of one another are as the checker knows them to be right.
 func TestProcessesKnowOneAnother(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	if testing.Short() {
@@ -173,21 +223,23 @@
 most_view_changes = 4
 `
 	out, code, left := program(t, nil, "rehearse", scriptFile(t, text))
-	if code != 0 || len(left) > 0 || !strings.Contains(out, "met      views are as what befell nodes has them (0 wrong") {
+	const viewsAreRight = "met      views are as what befell nodes has them (0 wrong"
+	if code != 0 || len(left) > 0 || !strings.Contains(out, viewsAreRight) {
 		t.Errorf("exit %d, left %v:\n%s", code, left, out)
 	}
 }
 
-// A schedule that shows a breach is shortened to the events that it needs, kept as it then is, and named in the last line; one that the
-// machine was too busy for shows nothing.
-func TestTheNemesisShortensWhatBreaks(t *testing.T) {
+// A schedule that breaks a rule is shortened to the events that it needs, written as it then is, and named in the last
+// line. One for which the machine was too busy proves nothing.
+func TestNemesisShortensASchedule(t *testing.T) {
 	dir, plays := t.TempDir(), 0
 	needs := func(s *scenario.Scenario, do string) bool {
 		return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
 	}
 	play := func(s *scenario.Scenario) (*report.Report, error) {
 		plays++
-		return &report.Report{Expected: []report.Expected{{What: "all is well", Met: !needs(s, "node_pause") || !needs(s, "node_kill")}}}, nil
+		isMet := !needs(s, "node_pause") || !needs(s, "node_kill")
+		return &report.Report{Expected: []report.Expected{{What: "all is well", Met: isMet}}}, nil
 	}
 	schedule := func(k int) *scenario.Scenario { return scenario.Nemesis(int64(k), 12, 90) }
 	var said bytes.Buffer
@@ -205,7 +257,8 @@
 	}
 	said.Reset()
 	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{Busy: "late"}, nil }
-	if err := hunt(&said, 3, 100, dir, schedule, busy); err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
+	err = hunt(&said, 3, 100, dir, schedule, busy)
+	if err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
 		t.Errorf("%v: %s", err, &said)
 	}
 }
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -8,15 +8,19 @@
 	"dahliapin/internal/scale/logscale/rig"
 )
 
-// playedSmall plays the log of changes by real processes for some 25 s, beside other tests that wait most of their time as well.
-func playedSmall(t *testing.T, args ...string) (r rig.Report) {
+// playSmall runs the log of changes with real processes for some 25 s, beside other tests that wait most of their time
+// as well.
+func playSmall(t *testing.T, args ...string) (r rig.Report) {
 	t.Helper()
 	t.Parallel()
 	if testing.Short() {
 		t.Skip("real processes for 25 s: without the race detector, which they do not have")
 	}
 	dir := t.TempDir()
-	_, code := asked(t, append([]string{"scale-changes", "--regions", "3", "--for", "6s", "--kill", "--loss", "0.01", "--after", "1s", "--out", dir}, args...)...)
+	all := []string{
+		"scale-changes", "--regions", "3", "--for", "6s", "--kill", "--loss", "0.01", "--after", "1s", "--out", dir,
+	}
+	_, code := runProgram(t, append(all, args...)...)
 	text, err := os.ReadFile(dir + "/report.json")
 	if err == nil {
 		err = json.Unmarshal(text, &r)
@@ -27,26 +31,37 @@
 	return r
 }
 
-// The rig at its smallest, with all that can befall: packets lost, the leader killed outright and back, a region cut off. What was kept is
-// asked of the judge; times are the machine's, and no matter here.
-func TestTheLogOfChangesAtASmallSize(t *testing.T) {
-	r := playedSmall(t, "--nodes", "9", "--real", "1", "--plays", "steady,cut", "--cut-for", "2s", "--cut-purges", "400", "--cut-configs", "3", "--seed", "5")
-	if j := r.Judge; len(j.Breaches) > 0 || j.Entries < 57+6+403+28+20 || j.Applied != j.Entries*9 || j.Presumed > 0 || j.Refused > 0 || r.RealWhole != 1 {
+// The rig runs at its smallest size with all failures: packets are lost, the leader is killed and comes back, a region
+// is cut off. The checker says what was kept; times are the machine's, and do not matter here.
+func TestLogOfChangesAtASmallSize(t *testing.T) {
+	r := playSmall(t, "--nodes", "9", "--real", "1", "--plays", "steady,cut", "--cut-for", "2s", "--cut-purges", "400",
+		"--cut-configs", "3", "--seed", "5")
+	j := r.Judge
+	if len(j.Breaches) > 0 || j.Entries < 57+6+403+28+20 || j.Applied != j.Entries*9 || j.Presumed > 0 ||
+		j.Refused > 0 || r.RealWhole != 1 {
 		t.Errorf("%+v\n%q, real ones with all: %d", j, r.Notes, r.RealWhole)
 	}
-	for _, bad := range [][]string{{"--nodes", "1"}, {"--plays", "all"}, {"--loss", "0.9"}, {"--plays", "cache-cut"}, {"--caches", "2"}, {"--fills", "1ms"}, {"more"}, {"--no-such"}} {
-		if _, code := asked(t, append([]string{"scale-changes", "--out", t.TempDir()}, bad...)...); code != 2 {
+}
+
+func TestScaleChangesCallsAreChecked(t *testing.T) {
+	for _, bad := range [][]string{
+		{"--nodes", "1"}, {"--plays", "all"}, {"--loss", "0.9"}, {"--plays", "cache-cut"}, {"--caches", "2"},
+		{"--fills", "1ms"}, {"more"}, {"--no-such"},
+	} {
+		if _, code := runProgram(t, append([]string{"scale-changes", "--out", t.TempDir()}, bad...)...); code != 2 {
 			t.Errorf("%q: exit %d", bad, code)
 		}
 	}
 }
 
-// Purges at caches, with fills under way, the leader killed outright and back, and a cache that is silent for a while: no value is served that
-// is older than what counts as done, and all is done.
+// Caches are purged while they are filled, the leader is killed and comes back, and a cache does not answer for a
+// while. No value is served that is older than the purges that count as done, and all are done.
 func TestPurgesAtCachesAtASmallSize(t *testing.T) {
-	r := playedSmall(t, "--nodes", "3", "--real", "0", "--plays", "steady,cache-cut", "--cut-for", "3s", "--caches", "6", "--fills", "500ms", "--seed", "6")
+	r := playSmall(t, "--nodes", "3", "--real", "0", "--plays", "steady,cache-cut", "--cut-for", "3s", "--caches", "6",
+		"--fills", "500ms", "--seed", "6")
 	c := r.Caches
-	if len(r.Judge.Breaches) > 0 || c == nil || len(c.Breaches) > 0 || c.Purges < 57+38 || c.Caches != 6 || c.Deletes < 2*6*c.Purges || c.Served == 0 || r.CacheBack <= 0 {
+	if len(r.Judge.Breaches) > 0 || c == nil || len(c.Breaches) > 0 || c.Purges < 57+38 || c.Caches != 6 ||
+		c.Deletes < 2*6*c.Purges || c.Served == 0 || r.CacheBack <= 0 {
 		t.Errorf("%+v\n%+v\n%q", r.Judge, c, r.Notes)
 	}
 }
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -42,14 +42,14 @@
 	return &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 }
 
-// hasty runs nodes that end at once when they are told to, with all that they have in hand.
-type hasty struct{ *realtime.Processes }
+// hastyNodes runs nodes that end at once when they are told to, with all requests that they have in flight.
+type hastyNodes struct{ *realtime.Processes }
 
 type hastyProcess struct{ realtime.Process }
 
 func (p hastyProcess) End() { p.Kill() }
 
-func (h hasty) Start(o realtime.NodeSpec) (realtime.Process, error) {
+func (h hastyNodes) Start(o realtime.NodeSpec) (realtime.Process, error) {
 	p, err := h.Processes.Start(o)
 	if err != nil {
 		return nil, err
@@ -57,8 +57,8 @@
 	return hastyProcess{p}, nil
 }
 
-// A soak is worth something only if it tells a node that ends at once from one that drains.
-func TestSoakTellsANodeThatDoesNotDrain(t *testing.T) {
+// A soak proves something only if it tells a node that ends at once from one that drains.
+func TestSoakFindsANodeThatDoesNotDrain(t *testing.T) {
 	s, err := scenario.Parse("hasty.toml", []byte(`
 seconds = 10
 [fleet]
@@ -92,7 +92,7 @@
 		processes := nodes(t)
 		var runner realtime.Starter = processes
 		if ends {
-			runner = hasty{processes}
+			runner = hastyNodes{processes}
 		}
 		r, err := realtime.Play(context.Background(), s, runner, nil)
 		if err != nil {
@@ -111,13 +111,16 @@
 }
 
 func TestSoakCallsAreChecked(t *testing.T) {
-	for _, args := range [][]string{{"--seeds", "x"}, {"--seeds", "0..3"}, {"--seeds", "5..4"}, {"--seeds", "1..5000"}, {"--for", "1s"}, {"--at-once", "0"},
-		{"--at-once", "99"}, {"more"}, {"--unknown"}} {
+	for _, args := range [][]string{
+		{"--seeds", "x"}, {"--seeds", "0..3"}, {"--seeds", "5..4"}, {"--seeds", "1..5000"}, {"--for", "1s"},
+		{"--at-once", "0"}, {"--at-once", "99"}, {"more"}, {"--unknown"},
+	} {
 		c := soakCommand()
 		c.SetArgs(args)
 		c.SetOut(io.Discard)
 		c.SetErr(io.Discard)
-		c.SilenceUsage, c.SilenceErrors = true, true
+		c.SilenceUsage = true
+		c.SilenceErrors = true
 		if err := c.Execute(); !errors.Is(err, errBadCall) {
 			t.Errorf("%v: %v", args, err)
 		}
