--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -110,7 +110,9 @@
 		}
 		isMigrated := m.dir != ""
 		if (far == 0) != isMigrated || report.Classes[0].Asked == 0 || !report.Good() {
-			t.Errorf("%+v: %d attempts crossed zones, %+v", m, far, report.Classes)
+			var text strings.Builder
+			report.Print(&text)
+			t.Errorf("migrated: %v, %d attempts crossed zones\n%s", isMigrated, far, &text)
 		}
 	}
 }
