--- a/cmd/dahliapin/cpu_share_test.go
+++ b/cmd/dahliapin/cpu_share_test.go
@@ -45,8 +45,8 @@
 	return 0
 }
 
-// holdToShare gives a process no more than a share of a core, as a node has beside others, until the function that it returns is called: it is
-// stopped once it has taken more, and goes on when its share has caught up.
+// holdToShare limits a process to a share of a core, as a node has beside others, until the returned function is
+// called: it is stopped once it has used more, and continued when its share has caught up.
 func holdToShare(t testing.TB, pid int, share float64) (release func()) {
 	t.Helper()
 	over, ended := make(chan bool), make(chan bool)
@@ -74,10 +74,14 @@
 				return
 			}
 			allowed, taken = allowed-(all-taken), all
-			if holds := allowed < 0; holds != stopped {
-				stopped = holds
-				signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[holds])
+			exceeds := allowed < 0
+			switch {
+			case exceeds && !stopped:
+				signal(syscall.SIGSTOP)
+			case !exceeds && stopped:
+				signal(syscall.SIGCONT)
 			}
+			stopped = exceeds
 		}
 	}()
 	return func() {
--- a/cmd/dahliapin/held_up_test.go
+++ b/cmd/dahliapin/held_up_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A process that did not run for longer than the grace finds requests and the list's news together, and may be given them in any order. It sent
-// requests to a cache that drained.
+// A process that did not run for longer than the grace period finds requests and an update of the list together, and
+// may be given them in any order. It sent requests to a cache that was draining.
 func TestAProcessThatWasStoppedDecidesByTheNewestList(t *testing.T) {
 	const stoppedFor, stays, connections, keys = 700 * time.Millisecond, 50 * time.Millisecond, 40, 40
 	var late atomic.Int64
@@ -67,7 +67,8 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("since") {
 		case "":
-			fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[`+row+`,`+row+`]}`, "a", leaving, "in_service", "b", staying, "in_service")
+			fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[`+row+`,`+row+`]}`,
+				"a", leaving, "in_service", "b", staying, "in_service")
 		case "1":
 			select {
 			case <-news:
@@ -81,8 +82,9 @@
 		}
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	node := serving(t, t.TempDir(), s.Listener.Addr().String(), `"seed":"1","settings":{"service_grades":[{"name":"read","effect":"idempotent",
-"group":"all","benefit":1,"soft_limit_s":1,"hard_stop_s":3}],"zone":"z","n_instances":1,"bounds":{"most_legs":3,"conn_idle_s":15},"family_info":{"mode":"through"}}`)
+	node := serving(t, t.TempDir(), s.Listener.Addr().String(), `"seed":"1","settings":{
+"service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":1,"hard_stop_s":3}],
+"zone":"z","n_instances":1,"bounds":{"most_legs":3,"conn_idle_s":15},"family_info":{"mode":"through"}}`)
 	listen := node.at(t)
 	for by := time.Now().Add(20 * time.Second); !ready(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
@@ -128,6 +130,7 @@
 	node.Process.Signal(syscall.SIGCONT)
 	answered()
 	if n := late.Load(); n > 0 {
-		t.Errorf("%d of %d requests went to the cache that drains, %v after the node was told", n, connections, stoppedFor-stays)
+		t.Errorf("%d of %d requests went to the cache that drains, %v after the node was told",
+			n, connections, stoppedFor-stays)
 	}
 }
--- a/cmd/dahliapin/start_test.go
+++ b/cmd/dahliapin/start_test.go
@@ -59,8 +59,9 @@
 
 var listensAt, opsAt = regexp.MustCompile(`msg=listening .*listen="([^"]+)"`), regexp.MustCompile(`ops="([^"]+)"`)
 
-// serving starts a process of a node with a configuration's further parts. The system chooses its ports as it listens: one that was free
-// a moment before may be another's by then, as thousands of connections come and go beside it. It ends with the test.
+// serving starts a node's process with further parts of a configuration. The system chooses its ports as it listens:
+// one that was free a moment before may be used by then, as thousands of connections come and go. It ends with the
+// test.
 func serving(t testing.TB, dir, discovery, more string, env ...string) *served {
 	t.Helper()
 	file := dir + "/config.json"
@@ -116,11 +117,12 @@
 	return strings.TrimSpace(said) == "MN"
 }
 
-// Nine in ten of the nodes that are restarted are to take clients within 10 s, whatever discovery does meanwhile and whether or not they have
-// a last list. A list that took discovery longer than the first call may was given up each time, without end.
+// Nine in ten of restarted nodes are to serve clients within 10 s, whatever discovery does meanwhile and whether or not
+// they have a list from before. A list that took discovery longer than the first poll may take was never received.
 func TestNodesAreReadySoonAfterARestart(t *testing.T) {
 	const readyIn, failsFor, slowBy = 10 * time.Second, 5 * time.Second, 2 * time.Second
-	const list = `{"generation":7,"reset":true,"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service"}]}`
+	const list = `{"generation":7,"reset":true,` +
+		`"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service"}]}`
 	for _, how := range []string{"slow", "refuses", "silent"} {
 		t.Run(how, func(t *testing.T) {
 			if testing.Short() { // few enough to be started beside each other's
@@ -148,7 +150,8 @@
 			t.Cleanup(s.CloseClientConnections)
 			took := make(chan time.Duration, nodes)
 			for n := range nodes {
-				more := fmt.Sprintf(`"seed":"%d","limits":{"memory_mb":64,"sockets":128},"settings":{"n_instances":%d,"service_grades":[{}]}`, n+1, nodes)
+				more := fmt.Sprintf(`"seed":"%d","limits":{"memory_mb":64,"sockets":128},`+
+					`"settings":{"n_instances":%d,"service_grades":[{}]}`, n+1, nodes)
 				if n%2 == 0 {
 					more += `,"known":` + list
 				}
@@ -167,7 +170,9 @@
 			}
 			slices.Sort(all)
 			nine := all[nodes*9/10-1]
-			if t.Logf("of %d nodes the first was ready in %v, half in %v, nine in ten in %v, all in %v", nodes, all[0], all[nodes/2], nine, all[nodes-1]); nine > readyIn {
+			t.Logf("of %d nodes the first was ready in %v, half in %v, nine in ten in %v, all in %v",
+				nodes, all[0], all[nodes/2], nine, all[nodes-1])
+			if nine > readyIn {
 				t.Errorf("nine in ten are ready only in %v", nine)
 			}
 		})
