--- a/internal/control/purger/purger_test.go
+++ b/internal/control/purger/purger_test.go
@@ -73,8 +73,10 @@
 	b.stop(0)
 	b.dirs[0] = t.TempDir()
 	b.start(0)
+	b.eventually("the other has done it", func() bool {
+		return b.progress(1, "c0").Done == 30 && b.progress(1, "c1").Done == 30
+	})
 	reports, _ := b.purgers[1].Progress()
-	b.eventually("the other has done it", func() bool { return b.progress(1, "c0").Done == 30 })
 	b.purgers[0].MergeProgress(reports[1:])
 	if progress := b.progress(0, "c1"); progress.Done != 30 || progress.Flushing {
 		t.Errorf("%+v", progress)
