--- a/internal/config/settings/check_test.go
+++ b/internal/config/settings/check_test.go
@@ -13,7 +13,7 @@
 
 func TestValidSettingsAreDecoded(t *testing.T) {
 	s, err := Decode(fastjson.MustParse(validSettings))
-	if err != nil || s.Policy.Classes[0].LateShare != 0.5 || s.Policy.OverloadFactor != 3 {
+	if err != nil || s.Policy.Classes[0].LateValue != 0.5 || s.Policy.OverloadFactor != 3 {
 		t.Fatal(s.Policy, err)
 	}
 }
--- a/internal/config/settings/decode.go
+++ b/internal/config/settings/decode.go
@@ -54,7 +54,7 @@
 	for _, class := range classes {
 		s.Policy.Classes = append(s.Policy.Classes, policy.ServiceClass{
 			PriorityWeight:   class.GetFloat64(keyPriorityWeight),
-			LateShare:        Number(class.Get(keyLateShare)),
+			LateValue:        Number(class.Get(keyLateShare)),
 			LatencyObjective: Seconds(class.Get(keyLatencyObjective)),
 			Idempotency:      idempotencies[string(class.GetStringBytes(keyIdempotency))],
 			DedupScope:       dedupScopes[string(class.GetStringBytes(keyDedupScope))],
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -52,7 +52,7 @@
 func printSettings(out io.Writer, s *Settings) {
 	p := &s.Policy
 	for _, c := range p.Classes {
-		fmt.Fprintln(out, "class", c.PriorityWeight, c.LatencyObjective, c.LateShare, int(c.Idempotency),
+		fmt.Fprintln(out, "class", c.PriorityWeight, c.LatencyObjective, c.LateValue, int(c.Idempotency),
 			int(c.DedupScope), c.DedupWindow)
 	}
 	for _, tenant := range p.Tenants {
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -7,8 +7,8 @@
 // Instant is a reading of the caller's clock in nanoseconds. Only differences of instants mean anything.
 type Instant int64
 
-// Never is before any reading.
-const Never Instant = -1 << 62
+// LongAgo is before any reading.
+const LongAgo Instant = -1 << 62
 
 // Add returns the instant that is d later.
 func (t Instant) Add(d time.Duration) Instant { return t + Instant(d) }
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -48,7 +48,7 @@
 	for name, all := range of {
 		slices.SortStableFunc(all, func(a, b logtrace.Cached) int { return cmp.Compare(a.At, b.At) })
 		first := map[string][]monotime.Instant{} // deletions of a key
-		emptied, purged, upTo := monotime.Never, map[string]uint64{}, 0
+		emptied, purged, upTo := monotime.LongAgo, map[string]uint64{}, 0
 		for _, x := range all {
 			switch x.What {
 			case logtrace.Deleted:
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -27,7 +27,7 @@
 // admissionController sets what is offered to a scope's caches against what of it is useful.
 type admissionController struct {
 	offered float64 // requests shed, and attempts that whose result depends on load
-	useful  float64 // of those, answered in time; late ones by Settings.LateShare
+	useful  float64 // of those, answered in time; late ones by ServiceClass.LateValue
 }
 
 // admission decides which requests to shed before their first attempt. The failure it guards against is congestion
--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// cutoffWindow is the number of wake-ups over which the priority cutoff is smoothed.
-const cutoffWindow = 50
+// demandCutoffWindow is the number of wake-ups over which the demand cutoff is smoothed.
+const demandCutoffWindow = 50
 
 // coalescer lets one request fetch a key from the origin while others that miss it wait: the leader of the fetch and
 // its waiters. Without it, a popular key that no cache has would be fetched once for each request. Requests that find
@@ -15,8 +15,9 @@
 type coalescer struct {
 	leaders map[uint64]*Request // by key hash
 	waiters []*Request
-	// cutoff is the demand, smoothed, for the most wanted key that was not served. It sheds keys that are worth less.
-	cutoff float64
+	// demandCutoff is the demand, smoothed, for the most wanted key that was not served. It sheds keys that are worth
+	// less.
+	demandCutoff float64
 }
 
 // leads reports whether a request may go to the origin itself, since it has no other's fetch to wait for.
@@ -95,7 +96,7 @@
 			free--
 		}
 	}
-	c.cutoff += (highestUnserved - c.cutoff) / cutoffWindow
+	c.demandCutoff += (highestUnserved - c.demandCutoff) / demandCutoffWindow
 	return woken
 }
 
--- a/policy/coalescing_test.go
+++ b/policy/coalescing_test.go
@@ -35,9 +35,9 @@
 // when a waiter can be woken, and then those with the highest demand come first.
 func TestWaitersAreNotSortedWhileTheOriginHasNoCapacity(t *testing.T) {
 	router, r := newRouterWithWaiters(50)
-	before := slices.Clone(router.fetches.waiters)
+	before := slices.Clone(router.coalescer.waiters)
 	decision := router.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms})
-	if len(decision.Wake) > 0 || !slices.Equal(before, router.fetches.waiters) {
+	if len(decision.Wake) > 0 || !slices.Equal(before, router.coalescer.waiters) {
 		t.Errorf("%d were woken, or all were sorted, while none can be woken", len(decision.Wake))
 	}
 	router.endpoints.origin.load.inFlight = 0
@@ -45,7 +45,7 @@
 	if len(decision.Wake) == 0 {
 		t.Fatal("no waiter was woken though the origin has capacity")
 	}
-	waiters := router.fetches.waiters
+	waiters := router.coalescer.waiters
 	first := slices.IndexFunc(waiters, func(waiter *Request) bool { return waiter.ID == decision.Wake[0] })
 	last := waiters[len(waiters)-1]
 	if router.popularity.of(waiters[first].facts.key) < router.popularity.of(last.facts.key) {
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -122,7 +122,7 @@
 		r.Classes = append(r.Classes, policy.ServiceClass{
 			PriorityWeight:   d.oneOf(0.1, 1, 8),
 			LatencyObjective: d.span(20*time.Millisecond, 400*time.Millisecond),
-			LateShare:        d.oneOf(0, 0.3),
+			LateValue:        d.oneOf(0, 0.3),
 			Idempotency:      idempotency,
 			DedupScope:       policy.DedupScope(d.chance.Intn(3)),
 			DedupWindow:      d.span(50*time.Millisecond, 5*time.Second),
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -25,12 +25,13 @@
 //  1. request.go: what is known of the request: its class, its priority (lower if it is over its tenant's quota,
 //     quota.go) and how readily it is shed.
 //  2. hedge.go: if an attempt is in flight, is a hedge or a cancellation due? hedgeOrCancel decides every hedge.
-//  3. retry.go: else, is another attempt worth it? If not, giveUp answers with a rejection or a failure. No answer of
-//     the router's own comes from elsewhere. It is called by firstOrRetry (no attempt, time or budget is left), by
+//  3. retry.go: else, is another attempt worth it? If not, giveUp answers with a rejection or a failure. No
+//     rejection or failure of this package comes from elsewhere (a node also rejects in degradation.Filter.Admit and
+//     in proxy.acceptRequest). It is called by firstOrRetry (no attempt, time or budget is left), by
 //     sendToReplica (admission sheds the request, or all queues are full) and by sendToOrigin (the origin may not be
 //     asked, or the request isn't worth a wait there).
-//  4. fetch.go: writes and reads that missed go to the origin in cache-aside mode: one read fetches a key while others
-//     wait (coalescing.go), within the concurrency limit (origin.go).
+//  4. fetch.go: in cache-aside mode routeToOrigin sends writes and reads that missed to the origin: one read fetches a
+//     key while others wait (coalescing.go), within the concurrency limit (origin.go).
 //  5. send.go: all else goes to a cache. replicas.go lists the caches that hold the key and can take it; selection.go
 //     picks one by load, rank and faults; admission.go may shed the request instead.
 //
@@ -45,19 +46,28 @@
 // an upstream (endpoints.go), each of whose fields names the part that writes it; all of it is reset when the
 // endpoint's process restarts.
 //
-//	endpointList     endpoints.go    the endpoint list; the placements that follow from it (placement.go)
-//	pollSchedule     polling.go      when to poll for the list
-//	latencyTracker   latency.go      how long attempts take; when one is slow or lost
-//	loadEstimator    load.go         requests in flight at each endpoint, own and others' by load reports
-//	outlierDetector  outlier.go      failures and errors of each endpoint: whom to eject or avoid
-//	slowStart        slowstart.go    what an endpoint may get while it warms up
-//	popularity       popularity.go   demand for keys: which are hot, which fetch goes first
-//	tenantQuotas     quota.go        use of the tenants' quotas
-//	admission        admission.go    attempts offered to caches against useful ones: what to shed
-//	hedgeBudget      hedge.go        attempts that may be spent on hedges and retries
-//	shortage         shortage.go     how far the origin falls short of what is asked of it
-//	originLimit      origin.go       attempts that may be in flight at the origin; backoff from it
-//	coalescer        coalescing.go   who fetches a key, and who waits
+//	endpointList        endpoints.go     the endpoint list; the placements that follow from it (placement.go)
+//	pollSchedule        polling.go       when to poll for the list
+//	latencyTracker      latency.go       how long attempts take; when one is slow or lost
+//	loadEstimator       load.go          requests in flight at each endpoint, own and others' by load reports
+//	outlierDetector     outlier.go       failures and errors of each endpoint: whom to eject or avoid
+//	slowStart           slowstart.go     what an endpoint may get while it warms up
+//	popularity          popularity.go    demand for keys: which are hot, which fetch goes first
+//	tenantQuotas        quota.go         use of the tenants' quotas
+//	admission           admission.go     attempts offered to caches against useful ones: what to shed
+//	extraAttemptBudget  hedge.go         attempts that may be spent on hedges and retries
+//	shortage            shortage.go      how far the origin falls short of what is asked of it
+//	originLimit         origin.go        attempts that may be in flight at the origin; backoff from it
+//	coalescer           coalescing.go    who fetches a key, and who waits
+//
+// Four figures, each 0 for not at all, say how short the origin is of capacity. What reads which:
+//
+//   - shortage.share, the share of requests that found no capacity at the origin (in read-through mode, of attempts
+//     that are lost): shouldHedge and fansOut, and the two figures made from it;
+//   - originLimit.lateShare, the share of late answers of the origin: shortageLevel alone;
+//   - originLimit.shortageLevel, the larger of share and latePressure times lateShare: lastAttemptAtOrigin, and
+//     sendToReplica for the scope of the placement;
+//   - shortage.affinity, the larger of share and the cost of misses: leastLoaded, for the weight of a replica's rank.
 //
 // A change of the endpoint list reaches decisions by UpdateEndpoints and endpointList.update: from then on mayAttempt
 // refuses endpoints that drain or have left, and the next lookup builds the placements anew if the set has changed.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -71,7 +71,7 @@
 
 // put adds or replaces an entry and reports whether the set of caches has changed.
 func (l *endpointList) put(entry Endpoint) (setChanged bool) {
-	entry.StartedAt = cmp.Or(entry.StartedAt, Never)
+	entry.StartedAt = cmp.Or(entry.StartedAt, LongAgo)
 	entry.Weight = cmp.Or(max(entry.Weight, 0), 1)
 	u := l.byID[entry.ID]
 	if u == nil {
@@ -93,7 +93,7 @@
 	*u = upstream{
 		Endpoint: u.Endpoint,
 		hash:     hash,
-		load:     observedLoad{reportedAt: Never, lastUsedAt: Never},
+		load:     observedLoad{reportedAt: LongAgo, lastUsedAt: LongAgo},
 		health:   observedHealth{errorScores: make([]uint8, classes+1)}, // the last one is that of unknown classes
 	}
 }
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -1,27 +1,28 @@
 package policy
 
-// fetch decides on a request bound for the origin: a write, or a read that missed. One read fetches a key while others
-// wait, and what finds no capacity waits too, unless it is worth less than others that are not served. A read whose
-// value another's fetch has brought goes to the cache that has it.
-func (router *Router) fetch(now Instant, r *Request) Decision {
-	cached := router.endpoints.byID[router.fetches.takeCachedAt(r)]
+// routeToOrigin decides on a request bound for the origin: a write, or a read that missed. One read fetches a key while
+// others wait, and what finds no capacity waits too, unless it is worth less than others that are not served. A read
+// whose value another's fetch has brought goes to the cache that has it.
+func (router *Router) routeToOrigin(now Instant, r *Request) Decision {
+	cached := router.endpoints.byID[router.coalescer.takeCachedAt(r)]
 	if cached != nil && router.mayAttempt(now, r, cached) {
 		return router.send(now, r, cached)
 	}
 	return router.sendToOrigin(now, r)
 }
 
+// sendToOrigin sends a request to the origin, has it wait for capacity or for another's fetch, or gives it up.
 func (router *Router) sendToOrigin(now Instant, r *Request) Decision {
 	origin := router.endpoints.origin
-	waits := router.fetches.waits(r)
+	waits := router.coalescer.waits(r)
 	objectiveLeft := r.objectiveLeft(now)
 	if origin == nil || !router.mayAttempt(now, r, origin) || waits && objectiveLeft <= 0 {
 		return router.giveUp(r)
 	}
-	leads := router.fetches.leads(r)
+	leads := router.coalescer.leads(r)
 	hasCapacity := router.origin.free(now, origin) > 0
 	if leads && !r.Write {
-		router.fetches.lead(r)
+		router.coalescer.lead(r)
 	}
 	if leads && !waits {
 		router.shortage.recordFetch(hasCapacity)
@@ -31,10 +32,10 @@
 		return router.send(now, r, origin)
 	}
 	if !waits {
-		if router.chance.Float64()*router.fetches.cutoff > router.popularity.of(r.facts.key) {
+		if router.chance.Float64()*router.coalescer.demandCutoff > router.popularity.of(r.facts.key) {
 			return router.giveUp(r)
 		}
-		router.fetches.wait(r)
+		router.coalescer.wait(r)
 	}
 	waitFor := max(objectiveLeft, 2*router.settings.TickInterval)
 	return Decision{ReviewAt: now.Add(min(waitFor, router.timeLeft(now, r)))}
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -3,47 +3,48 @@
 import "slices"
 
 const (
-	// hedgesPerRequest is what each request adds to the budget: the slowest twentieth of attempts can be hedged.
-	hedgesPerRequest = 0.05
-	// maxSavedHedges bounds the budget; it covers the requests in flight at one cache that stops responding.
-	maxSavedHedges = 10
-	// minHedgeBudget is how far retries may overdraw the budget.
-	minHedgeBudget = -1
+	// tokensPerRequest is what each request adds to the budget: the slowest twentieth of attempts can be hedged.
+	tokensPerRequest = 0.05
+	// maxTokens bounds the budget; it covers the requests in flight at one cache that stops responding.
+	maxTokens = 10
+	// minTokens is how far retries may overdraw the budget.
+	minTokens = -1
 )
 
-// hedgeBudget bounds the attempts beyond the first of each request. The failure it guards against: when most attempts
-// fail or are slow, retries and hedges multiply the load that makes them so.
-type hedgeBudget struct {
-	saved float64 // attempts; under 0 after retries
+// extraAttemptBudget bounds the attempts beyond the first of each request: hedges and retries. The failure it guards
+// against: when most attempts fail or are slow, retries and hedges multiply the load that makes them so.
+type extraAttemptBudget struct {
+	tokens float64 // attempts; under 0 after retries
 }
 
 // recordRequest adds the share of a request.
-func (b *hedgeBudget) recordRequest() {
-	b.saved = min(maxSavedHedges, b.saved+hedgesPerRequest)
+func (b *extraAttemptBudget) recordRequest() {
+	b.tokens = min(maxTokens, b.tokens+tokensPerRequest)
 }
 
-// allowsHedge reports whether a whole attempt is saved.
-func (b *hedgeBudget) allowsHedge() bool {
-	return b.saved >= 1
+// allowsHedge reports whether there is a token for a whole attempt.
+func (b *extraAttemptBudget) allowsHedge() bool {
+	return b.tokens >= 1
 }
 
 // allowsRetry reports whether the budget isn't overdrawn.
-func (b *hedgeBudget) allowsRetry() bool {
-	return b.saved >= 0
+func (b *extraAttemptBudget) allowsRetry() bool {
+	return b.tokens >= 0
 }
 
 // spendHedge charges a hedge.
-func (b *hedgeBudget) spendHedge() {
-	b.saved--
+func (b *extraAttemptBudget) spendHedge() {
+	b.tokens--
 }
 
 // spendRetry charges an attempt that failed and whose retry may fail in the same way.
-func (b *hedgeBudget) spendRetry() {
-	b.saved = max(minHedgeBudget, b.saved-1)
+func (b *extraAttemptBudget) spendRetry() {
+	b.tokens = max(minTokens, b.tokens-1)
 }
 
 // hedgeOrCancel decides on a request with an attempt in flight, by its index: a hedge beside it, or to cancel it if it
-// counts as lost, or to review it later. Only reads that may be repeated get either.
+// counts as lost, or to review it later. Only reads that may be repeated get either. It cancels only where hedging is
+// off or the attempt is at the origin: elsewhere a lost attempt stays in flight, also when no hedge is possible.
 func (router *Router) hedgeOrCancel(now Instant, r *Request, attemptIndex int) Decision {
 	if r.Write || r.facts.class.Idempotency == NotIdempotent {
 		return Decision{}
@@ -52,24 +53,42 @@
 	u := router.endpoints.byID[attempt.Endpoint]
 	atOrigin := u != nil && u == router.endpoints.origin
 	lost := router.lost(now, r, attempt)
-	if !atOrigin && router.settings.HedgingAllowed {
-		if router.shouldHedge(now, r, attempt, lost) {
-			selected := router.selectEndpoint(now, r, homeZone).endpoint
-			if selected != nil && !router.outliers.unresponsive(now, selected) {
-				router.hedges.spendHedge()
-				return router.send(now, r, selected)
-			}
+	review := Decision{ReviewAt: now.Add(router.latency.slow)}
+	if router.settings.HedgingAllowed && !atOrigin {
+		if selected := router.hedgeEndpoint(now, r, attempt, lost); selected != nil {
+			router.extraAttempts.spendHedge()
+			return router.send(now, r, selected)
 		}
-	} else if router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slow {
+		return review
+	}
+	if router.shouldCancel(now, r, lost) {
 		return Decision{Cancel: []int{attemptIndex}}
 	}
-	return Decision{ReviewAt: now.Add(router.latency.slow)}
+	return review
+}
+
+// hedgeEndpoint returns the endpoint for a hedge beside an attempt; nil if none is worth it or possible now.
+func (router *Router) hedgeEndpoint(now Instant, r *Request, attempt Attempt, lost bool) *upstream {
+	if !router.shouldHedge(now, r, attempt, lost) {
+		return nil
+	}
+	selected := router.selectEndpoint(now, r, homeZone).endpoint
+	if selected == nil || router.outliers.unresponsive(now, selected) {
+		return nil
+	}
+	return selected
+}
+
+// shouldCancel decides whether an attempt is cancelled so that a retry can follow: if it counts as lost and there is
+// time for another one.
+func (router *Router) shouldCancel(now Instant, r *Request, lost bool) bool {
+	return router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slow
 }
 
 // shouldHedge decides whether a hedge is worth its cost: the attempt is lost, or the chance that it is late exceeds the
 // cost of a wasted one. It does so less often the shorter the origin is, as a hedge may miss.
 func (router *Router) shouldHedge(now Instant, r *Request, attempt Attempt, lost bool) bool {
-	if !router.hedges.allowsHedge() || router.chance.Float64() < router.shortage.share {
+	if !router.extraAttempts.allowsHedge() || router.chance.Float64() < router.shortage.share {
 		return false
 	}
 	late := router.latency.lateProbability(now.Since(attempt.SentAt), r.facts.class.LatencyObjective)
@@ -88,7 +107,7 @@
 		return router.outliers.unresponsive(now, u)
 	}
 	lostAfter := router.origin.lostAfter(r.facts.class.LatencyObjective)
-	return router.hedges.allowsHedge() && now.Since(attempt.SentAt) > lostAfter
+	return router.extraAttempts.allowsHedge() && now.Since(attempt.SentAt) > lostAfter
 }
 
 // cancelRemaining returns the attempts of a finished request that are still in flight.
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -10,7 +10,7 @@
 		h.router.latency.all.Observe(40 * ms)
 	}
 	h.router.latency.refresh()
-	h.router.hedges.saved = maxSavedHedges
+	h.router.extraAttempts.tokens = maxTokens
 	r, _ := h.arrive("k", readClass, false)
 	h.advance(50 * ms)
 	if len(r.Attempts) != 1 {
@@ -35,7 +35,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newCacheAsideHarness(t)
-			h.router.hedges.saved = c.saved
+			h.router.extraAttempts.tokens = c.saved
 			r, _ := h.arrive("k", readClass, false)
 			h.end(r, 0, CacheMiss)
 			h.advance(300 * ms)
--- a/policy/load.go
+++ b/policy/load.go
@@ -15,7 +15,7 @@
 	inFlight   int     // attempts of this router that are in flight there
 	lastUsedAt Instant // when a connection there was last in use
 	foreign    float64 // requests of others there, by its last report
-	reportedAt Instant // when it last reported; Never if it did not
+	reportedAt Instant // when it last reported; LongAgo if it did not
 	answered   float64 // responses and misses, halved with each decay
 }
 
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// An attempt that ended without a report, at the very instant of its endpoint's last one, counted that report once more:
-// the mean, and with it the load of all caches without a report, followed one cache.
+// An attempt that ended without a report, at the very instant of its endpoint's last one, counted that report once
+// more: the mean, and with it the load of all caches without a report, followed one cache.
 func TestReportIsCountedIntoTheMeanOnce(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -22,8 +22,10 @@
 	originLatencyWindow = 8
 	// originBackoffGrowth multiplies the backoff with each rejection in a row.
 	originBackoffGrowth = 4.0
-	// initialOriginRejections is the number of rejections that count before the origin has answered anything, so
-	// that nodes of a large fleet that all start at once back off at the first.
+	// initialOriginRejections is the number of rejections that count before the origin has answered anything, so that
+	// nodes of a large fleet that all start at once back off at the first. That one is then the fifth in a row, which
+	// makes 4^4-1 = 255 slow attempts with originBackoffGrowth: in practice the bound by the stagger (see backOff). In
+	// a small fleet the stagger is 0, and so is the pause.
 	initialOriginRejections = 4
 	// maxProcessesPerNode is how many processes of each stated node may run: two, in an upgrade. The longest backoff
 	// must hold for all of them.
@@ -136,9 +138,9 @@
 	o.backoffUntil = now.Add(time.Duration(backoff * float64(o.latency.slow)))
 }
 
-// pressure returns how short the origin is, 0 for not at all and 1 or more for fully: by the requests that found no
-// capacity, and by the share of late answers.
-func (o *originLimit) pressure(shortageShare float64) float64 {
+// shortageLevel returns how short the origin is, 0 for not at all and 1 or more for fully: by the requests that found
+// no capacity, and by the share of late answers.
+func (o *originLimit) shortageLevel(shortageShare float64) float64 {
 	return max(shortageShare, latePressure*o.lateShare)
 }
 
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -14,7 +14,7 @@
 	if inFlight := h.router.endpoints.origin.load.inFlight; inFlight > initialOriginLimit {
 		t.Errorf("%d attempts are in flight at an origin of unknown capacity", inFlight)
 	}
-	h.router.fetches.cutoff = 1e9 // all that waits is wanted more, so this one would not be served
+	h.router.coalescer.demandCutoff = 1e9 // all that waits is wanted more, so this one would not be served
 	r, _ := h.arrive("unwanted", readClass, false)
 	if h.end(r, 0, CacheMiss).Answer != Reject {
 		t.Error("a request that is wanted too little to be fetched is kept waiting")
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -8,7 +8,7 @@
 	latency   time.Duration // from sending to the end
 	objective time.Duration // the latency objective of the request's class
 	inTime    bool          // answered within the objective
-	lateShare float64       // share of its value that the class leaves to a late answer
+	lateValue float64       // share of its value that the class leaves to a late answer
 	inFlight  int           // this router's attempts at the endpoint, including this one
 }
 
@@ -21,7 +21,7 @@
 		latency:   outcome.Latency,
 		objective: objective,
 		inTime:    responded && outcome.Latency <= objective,
-		lateShare: r.facts.class.LateShare,
+		lateValue: r.facts.class.LateValue,
 		inFlight:  u.load.inFlight,
 	}
 }
@@ -71,7 +71,7 @@
 	case ended.inTime:
 		useful = 1
 	case ended.Result == Answered:
-		useful = ended.lateShare
+		useful = ended.lateValue
 	}
 	router.admission.record(scope, weight, useful)
 	router.outliers.recordUsefulness(u, useful)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -15,11 +15,11 @@
 	failuresToEject = 2
 	// maxErrorScore is the error score of a class from which its requests avoid an endpoint.
 	maxErrorScore = 4
-	// errorScore makes two errors reach maxErrorScore.
-	errorScore = 2
-	// brokenScore makes four broken connections reach maxErrorScore: a connection broken under its attempt says
+	// scorePerError makes two errors reach maxErrorScore.
+	scorePerError = 2
+	// scorePerBrokenConn makes four broken connections reach maxErrorScore: a connection broken under its attempt says
 	// nothing of the next one, and an endpoint that has gone refuses that anyway.
-	brokenScore = 1
+	scorePerBrokenConn = 1
 	// outlierStep is the part of the remaining way to 1 by which an error raises the outlier score.
 	outlierStep = 0.5
 	// outlierRetention is what a second, or an attempt that doesn't err, leaves of the outlier score; a second does
@@ -128,9 +128,9 @@
 	switch result {
 	case Errored:
 		u.health.outlierScore += (1 - u.health.outlierScore) * outlierStep
-		*score = min(*score+errorScore, 2*maxErrorScore)
+		*score = min(*score+scorePerError, 2*maxErrorScore)
 	case ConnectionBroken:
-		*score = min(*score+brokenScore, 2*maxErrorScore)
+		*score = min(*score+scorePerBrokenConn, 2*maxErrorScore)
 	case Answered:
 		*score /= 2
 	}
@@ -184,7 +184,7 @@
 }
 
 // dueHealthChecks returns the health checks that are due: of endpoints whose ejection is over. The next one of the same
-// endpoint follows after patience.
+// endpoint follows after patience: ejectedUntil is moved on by that, so the endpoint stays ejected meanwhile.
 func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) []Action {
 	if !d.settings.HealthChecksAllowed {
 		return nil
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -8,12 +8,12 @@
 	"dahliapin/internal/keyhash"
 )
 
-// segmentCount is the number of disjoint segments, the design's k: each offers one location for a key.
+// segmentCount is the number of disjoint segments (k in docs/design.md): each offers one location for a key.
 const segmentCount = 7
 
-// placement is the paper's (3.1): the caches are spread evenly over disjoint segments, each segment has one slot for
-// each of its caches, and linear hashing says which slot of a segment holds a key. It depends on the set of caches
-// alone, so nodes with the same list agree.
+// placement is that of Kinesis, section 3.1 (see docs/design.md): the caches are spread evenly over disjoint segments,
+// each segment has one slot for each of its caches, and linear hashing says which slot of a segment holds a key. It
+// depends on the set of caches alone, so nodes with the same list agree.
 type placement [segmentCount]segment
 
 // segment holds its caches by slot.
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -12,6 +12,8 @@
 	maxPollBackoffSteps = 5
 	// minPollInterval keeps a setting that is too low from loading the discovery service.
 	minPollInterval = time.Second
+	// noPollDue is after any instant.
+	noPollDue Instant = math.MaxInt64
 )
 
 // pollSchedule says when to request the endpoint list, where it isn't sent unasked.
@@ -19,7 +21,7 @@
 	settings *Settings
 	chance   *keyhash.Source
 	failures int     // polls without an answer in a row, up to maxPollBackoffSteps
-	nextAt   Instant // when to poll next
+	nextAt   Instant // when to poll next; noPollDue once the list has come
 }
 
 // failed schedules the next poll after one without an answer. The jitter keeps the nodes that a discovery outage
@@ -33,7 +35,7 @@
 // succeeded records an update, which means that the list is watched: no poll is due.
 func (s *pollSchedule) succeeded() {
 	s.failures = 0
-	s.nextAt = math.MaxInt64
+	s.nextAt = noPollDue
 }
 
 // takeDue reports whether to poll now, and if so schedules the next poll.
--- a/policy/request.go
+++ b/policy/request.go
@@ -32,7 +32,7 @@
 		priority:       priority,
 		shedPreference: router.admission.shedPreference(priority),
 	}
-	router.hedges.recordRequest()
+	router.extraAttempts.recordRequest()
 	router.shortage.recordRequest()
 	router.popularity.record(key, priority)
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,8 +6,8 @@
 	// attemptTimeDivisor says which part of the slow latency must be left for an attempt to be worth its start: few
 	// attempts are answered within an eighth.
 	attemptTimeDivisor = 8
-	// lastAttemptCaution multiplies the pressure on the origin for reads whose last attempt goes there. At a quarter of
-	// the full pressure none does: a cache that is full is no reason to load an origin that is short.
+	// lastAttemptCaution multiplies the origin's shortage level for reads whose last attempt goes there. At a quarter
+	// of the full level none does: a cache that is full is no reason to load an origin that is short.
 	lastAttemptCaution = 4.0
 )
 
@@ -17,12 +17,12 @@
 	if !router.worthAnAttempt(now, r) {
 		return router.giveUp(r)
 	}
-	pressure := router.origin.pressure(router.shortage.share)
-	lastAtOrigin := router.lastAttemptAtOrigin(now, r, pressure)
+	shortageLevel := router.origin.shortageLevel(router.shortage.share)
+	lastAtOrigin := router.lastAttemptAtOrigin(now, r, shortageLevel)
 	if router.settings.CacheAside && (r.Write || lastAtOrigin || slices.ContainsFunc(r.Attempts, missed)) {
-		return router.fetch(now, r)
+		return router.routeToOrigin(now, r)
 	}
-	return router.sendToReplica(now, r, pressure)
+	return router.sendToReplica(now, r, shortageLevel)
 }
 
 // worthAnAttempt reports whether a request still has an attempt, the time for it and, after one that may have run, a
@@ -35,18 +35,18 @@
 		return false
 	}
 	lastResult, retry := r.lastResult()
-	return !retry || lastResult.NotExecuted() || router.hedges.allowsRetry()
+	return !retry || lastResult.NotExecuted() || router.extraAttempts.allowsRetry()
 }
 
 // lastAttemptAtOrigin decides whether a read whose last attempt is left, after one that a full cache rejected, goes to
 // the origin: another replica may be full too, or lack the value. It does so only while the origin has capacity and is
 // next to never late. The draw comes before the cheaper conditions; recorded decisions depend on the order of draws.
-func (router *Router) lastAttemptAtOrigin(now Instant, r *Request, pressure float64) bool {
+func (router *Router) lastAttemptAtOrigin(now Instant, r *Request, shortageLevel float64) bool {
 	origin := router.endpoints.origin
 	if origin == nil || router.origin.free(now, origin) <= 0 {
 		return false
 	}
-	if router.chance.Float64() < lastAttemptCaution*pressure {
+	if router.chance.Float64() < lastAttemptCaution*shortageLevel {
 		return false
 	}
 	lastResult, retry := r.lastResult()
@@ -55,7 +55,8 @@
 }
 
 // giveUp answers a request without an attempt: with a rejection where a retry by the client is sure to do no harm, else
-// with a failure. Every rejection and failure that the router itself sends is decided by a call of this function.
+// with a failure. Every rejection and failure of package policy is decided by a call of this function. A node also
+// rejects in degradation.Filter.Admit and proxy.acceptRequest.
 func (router *Router) giveUp(r *Request) Decision {
 	class := &r.facts.class
 	repeatable := class.Idempotency == Idempotent ||
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -17,7 +17,7 @@
 		}
 		attempts += len(r.Attempts)
 	}
-	if attempts > 200+2*maxSavedHedges+10 {
+	if attempts > 200+2*maxTokens+10 {
 		t.Errorf("200 requests that all fail made %d attempts", attempts)
 	}
 }
--- a/policy/router.go
+++ b/policy/router.go
@@ -14,26 +14,26 @@
 	ticksPerDecay = 10
 )
 
-// Router makes the routing decisions of one node. Each field is a part with its own state and rules, in the file of its
-// name; the parts that need another's value get it as an argument. Router itself owns no state but the tick count.
-// There are as many fields as parts. It is not safe for concurrent use.
+// Router makes the routing decisions of one node. Each field is a part with its own state and rules; the parts that
+// need another's value get it as an argument. Router itself owns the tick count, and writes the facts of each Request
+// and the notifiedState of each upstream. It is not safe for concurrent use.
 type Router struct {
-	settings   *Settings // shared by all parts; not written after New
-	chance     *keyhash.Source
-	endpoints  endpointList
-	polls      pollSchedule
-	latency    *latencyTracker
-	load       loadEstimator
-	outliers   outlierDetector
-	slowStart  slowStart
-	popularity popularity
-	quotas     tenantQuotas
-	admission  admission
-	hedges     hedgeBudget
-	shortage   shortage
-	origin     originLimit
-	fetches    coalescer
-	ticks      int
+	settings      *Settings // shared by all parts; not written after New
+	chance        *keyhash.Source
+	endpoints     endpointList
+	pollSchedule  pollSchedule
+	latency       *latencyTracker
+	load          loadEstimator
+	outliers      outlierDetector
+	slowStart     slowStart
+	popularity    popularity
+	quotas        tenantQuotas
+	admission     admission
+	extraAttempts extraAttemptBudget
+	shortage      shortage
+	origin        originLimit
+	coalescer     coalescer
+	ticks         int
 }
 
 // New returns a router without endpoints, for a node that starts now. Routers with the same seed that get the same
@@ -47,31 +47,31 @@
 	latency := &latencyTracker{settings: shared}
 	latency.refresh()
 	return &Router{
-		settings:   shared,
-		chance:     chance,
-		endpoints:  endpointList{settings: shared, byID: map[EndpointID]*upstream{}},
-		polls:      pollSchedule{settings: shared, chance: chance, nextAt: now},
-		latency:    latency,
-		load:       loadEstimator{settings: shared},
-		outliers:   newOutlierDetector(shared, chance, latency),
-		slowStart:  newSlowStart(shared, chance),
-		popularity: popularity{demand: map[uint64]float64{}},
-		quotas:     tenantQuotas{settings: shared, usedTo: make([]Instant, len(settings.Tenants))},
-		admission:  newAdmission(shared, chance),
-		shortage:   shortage{settings: shared},
-		origin:     newOriginLimit(now, shared, chance, latency),
-		fetches:    coalescer{leaders: map[uint64]*Request{}},
+		settings:     shared,
+		chance:       chance,
+		endpoints:    endpointList{settings: shared, byID: map[EndpointID]*upstream{}},
+		pollSchedule: pollSchedule{settings: shared, chance: chance, nextAt: now},
+		latency:      latency,
+		load:         loadEstimator{settings: shared},
+		outliers:     newOutlierDetector(shared, chance, latency),
+		slowStart:    newSlowStart(shared, chance),
+		popularity:   popularity{demand: map[uint64]float64{}},
+		quotas:       tenantQuotas{settings: shared, usedTo: make([]Instant, len(settings.Tenants))},
+		admission:    newAdmission(shared, chance),
+		shortage:     shortage{settings: shared},
+		origin:       newOriginLimit(now, shared, chance, latency),
+		coalescer:    coalescer{leaders: map[uint64]*Request{}},
 	}
 }
 
 // UpdateEndpoints takes in an update of the endpoint list, or that a poll for it failed.
 func (router *Router) UpdateEndpoints(now Instant, kind UpdateKind, entries []Endpoint) {
 	if kind == PollFailed {
-		router.polls.failed(now)
+		router.pollSchedule.failed(now)
 		return
 	}
 	if kind != LastKnownUpdate {
-		router.polls.succeeded()
+		router.pollSchedule.succeeded()
 	}
 	router.endpoints.update(kind, entries)
 }
@@ -102,14 +102,14 @@
 // caller has closed the attempt, and set Finished if its response was the final answer.
 func (router *Router) OnAttemptDone(now Instant, r *Request, outcome Outcome) Decision {
 	attempt := r.Attempts[outcome.Attempt]
-	wasLeader := router.fetches.isLeader(r)
+	wasLeader := router.coalescer.isLeader(r)
 	if u := router.endpoints.byID[attempt.Endpoint]; u != nil {
 		router.learn(now, u, r, outcome)
 	}
 	// A broken connection says nothing of the next one, so its retry is free, as after a result without any effect.
 	chargesRetry := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
 	if !r.Finished && chargesRetry {
-		router.hedges.spendRetry()
+		router.extraAttempts.spendRetry()
 	}
 	var decision Decision
 	if !r.Finished && !slices.ContainsFunc(r.Attempts, inFlight) {
@@ -117,10 +117,10 @@
 	}
 	decision.Cancel = router.cancelRemaining(r)
 	if wasLeader && (r.Finished || decision.Answer != NoAnswer) {
-		router.fetches.complete(r, attempt.Result)
+		router.coalescer.complete(r, attempt.Result)
 	}
-	if origin := router.endpoints.origin; origin != nil && len(router.fetches.waiters) > 0 {
-		decision.Wake = router.fetches.wake(router.origin.free(now, origin), &router.popularity)
+	if origin := router.endpoints.origin; origin != nil && len(router.coalescer.waiters) > 0 {
+		decision.Wake = router.coalescer.wake(router.origin.free(now, origin), &router.popularity)
 	}
 	return decision
 }
@@ -145,7 +145,7 @@
 	router.latency.refresh()
 	router.slowStart.refreshRate(now, router.endpoints.caches)
 	actions = router.outliers.dueHealthChecks(now, router.endpoints.caches)
-	poll := router.polls.takeDue(now)
+	poll := router.pollSchedule.takeDue(now)
 	if poll {
 		actions = append(actions, Action{Kind: PollEndpoints})
 	}
@@ -159,5 +159,5 @@
 	router.outliers.decay(router.endpoints.caches)
 	router.latency.decay()
 	router.popularity.decay(router.admission.meanPreference)
-	router.fetches.forgetFinished()
+	router.coalescer.forgetFinished()
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,7 +14,8 @@
 	crossZoneAttempts = 48
 	// tieBreak scales what decides between equal loads, in attempts: far below a real difference.
 	tieBreak = 1e-3
-	// rankTie is what each rank weighs between equal loads, where chance weighs 1 on the mean.
+	// rankTie is what each rank weighs between equal loads, where chance weighs 1 on the mean. For this and the next
+	// three see docs/design.md, "Load and ties".
 	rankTie = 0.5
 	// wastedTie is what a wasted share of 1 weighs there: more than all ranks.
 	wastedTie = 8.0
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -56,7 +56,7 @@
 func TestOwnWorkIsNotTakenForAQueue(t *testing.T) {
 	settings := testSettings()
 	settings.QueueColumn = 0
-	settings.Classes[readClass].LateShare = 0.5
+	settings.Classes[readClass].LateValue = 0.5
 	h := newHarness(t, settings, testFleet(12, false))
 	h.loadReport = []float64{0}
 	if _, sent := h.drive(60, 180*ms, distinctKey, always(Answered)); sent < 58 {
--- a/policy/send.go
+++ b/policy/send.go
@@ -7,10 +7,10 @@
 // sendToReplica decides on a request that goes to a cache: to which one, or that it is shed, or that it goes to the
 // origin since no cache can take it. If home would shed it, the caches of other zones are asked first. A request that
 // is rejected for full queues doesn't count for admission.
-func (router *Router) sendToReplica(now Instant, r *Request, pressure float64) Decision {
+func (router *Router) sendToReplica(now Instant, r *Request, shortageLevel float64) Decision {
 	scope := homeZone
 	// While the origin is short, zones do without replicas of their own, since each of those fetches its keys.
-	if router.endpoints.zoneLocal && router.chance.Float64() < pressure {
+	if router.endpoints.zoneLocal && router.chance.Float64() < shortageLevel {
 		scope = allZones
 	}
 	selected := router.selectEndpoint(now, r, scope)
@@ -28,7 +28,7 @@
 	case selected.endpoint != nil:
 		return router.send(now, r, selected.endpoint)
 	case !selected.saturated && router.mayBypassCaches(r):
-		return router.fetch(now, r)
+		return router.routeToOrigin(now, r)
 	}
 	return router.giveUp(r)
 }
@@ -43,7 +43,8 @@
 }
 
 // fansOut reports whether a request is a write that goes to all its replicas at once: in read-through mode, where every
-// cache drops repeats. In cache-aside mode writes go to the origin.
+// cache drops repeats. In cache-aside mode writes go to the origin. These attempts need HedgingAllowed, as several are
+// in flight at once, but they aren't hedges: they are not charged to the extra-attempt budget when they start.
 func (router *Router) fansOut(r *Request) bool {
 	class := &r.facts.class
 	safe := class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches && router.settings.HedgingAllowed
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -88,7 +88,7 @@
 	for i := range 60 {
 		r := &Request{Key: distinctKey(i), Deadline: Instant(800 * ms)}
 		h.router.admission.controllers[otherZones] = openAdmission()
-		h.router.hedges.saved = maxSavedHedges
+		h.router.extraAttempts.tokens = maxTokens
 		if inFlight {
 			r.Attempts = []Attempt{{Endpoint: id, InFlight: true}}
 		}
--- a/policy/types.go
+++ b/policy/types.go
@@ -9,8 +9,9 @@
 // Instant is a reading of the caller's monotonic clock, in nanoseconds.
 type Instant = monotime.Instant
 
-// Never is an Instant before any other.
-const Never = monotime.Never
+// LongAgo is an Instant before any reading. It stands for the time of what hasn't happened, or happened at an unknown
+// time.
+const LongAgo = monotime.LongAgo
 
 // EndpointID names an endpoint. Like all ids it is compared and hashed, never parsed.
 type EndpointID string
@@ -54,7 +55,7 @@
 type ServiceClass struct {
 	PriorityWeight   float64       // value of an answer in time, relative to other classes
 	LatencyObjective time.Duration // an answer after this is late
-	LateShare        float64       // share of the priority weight that a late answer still has
+	LateValue        float64       // share of the priority weight that a late answer still has
 	Idempotency      Idempotency   // what a second execution would do
 	DedupScope       DedupScope    // which caches drop repeats; only read for IdempotentByKey
 	DedupWindow      time.Duration // how long repeats are dropped; only read for IdempotentByKey
@@ -137,7 +138,7 @@
 	ConnectFailed                  // no connection could be opened
 	ConnectionBroken               // the connection closed before a response
 	Cancelled                      // the caller cancelled the attempt
-	NotSent                        // the caller didn't send it, as MayStart said no
+	NotSent                        // the caller never sent it, for whatever reason
 	CacheMiss                      // the cache doesn't have the key
 )
 
