--- a/internal/emulator/report/views.go
+++ b/internal/emulator/report/views.go
@@ -61,7 +61,7 @@
 		for n := range v.Nodes {
 			l := lineAt(v, at, checker.NameOf(n), what)
 			cell := letters(v.Nodes, l.Members)
-			if l.Cut {
+			if l.MayBePartitioned {
 				cell += "!"
 			}
 			if !runsAt(v, at, checker.NameOf(n)) {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -34,6 +34,10 @@
 	Forget    time.Duration // Config.ForgetAfter
 }
 
+// missLeadTenths is how long before the end of the pause a neighbour that stands still is missed, in tenths of a
+// heartbeat interval: a process on the wrong side of a partition has noticed well before the others remove it.
+const missLeadTenths = 16
+
 // propagationAllowance is the time that the statement of a process that is back takes to reach all others.
 const propagationAllowance = 400 * time.Millisecond
 
@@ -43,8 +47,8 @@
 // and one heartbeat interval. It is missed before that, so that a process on the wrong side of a partition has
 // long noticed, and removed after it.
 func NewConfig(s Spans, maxMembers int) Config {
-	// a miss is known 1.6 heartbeat intervals before the pause ends, but never after a single lost heartbeat
-	timeout := max(s.Pause-s.Heartbeat*8/5, 2*s.Heartbeat)
+	// a miss is known missLeadTenths before the pause ends, but never after a single lost heartbeat
+	timeout := max(s.Pause-s.Heartbeat*missLeadTenths/10, 2*s.Heartbeat)
 	return Config{
 		HeartbeatInterval: s.Heartbeat,
 		HeartbeatTimeout:  timeout,
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -7,6 +7,11 @@
 	"dahliapin/internal/monotime"
 )
 
+// maxTickIntervals is the time in heartbeat intervals that counts as run between two ticks, at most. There are several
+// ticks in each interval, so only a process that was stopped or starved exceeds it; and NewConfig makes no
+// HeartbeatTimeout shorter than it.
+const maxTickIntervals = 2
+
 // rules are the guards that a detector applies. All are on in service; tests switch single ones off to show that the
 // invariants then break.
 type rules struct {
@@ -99,9 +104,6 @@
 	return actions
 }
 
-// maxTickIntervals is the time in heartbeat intervals that counts as run between two ticks, at most.
-const maxTickIntervals = 2
-
 // runClock measures the time that this process has run.
 //
 // Guards against a process that was stopped or starved and then takes all others for dead, as it received nothing
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -34,9 +34,11 @@
 // That a member becomes [Removed] is decided in Detector.evaluateMember (evaluation.go) and nowhere else: at least two
 // believed members miss it, more miss it than hear it or are its neighbours in self-doubt, this has held for
 // RemovalDelay without a break, and the evaluating process isn't frozen. The counts are part of the view
-// ([Member].Hears and Misses) and of the answer to GET /fleet/members; the change itself is in the log line "members"
-// and in the trace. There are two other ways to stop being a member: a process states that it leaves ([Left]), or
-// another process takes its name (names.go).
+// ([Member].Hears and Misses) and of the answer to GET /fleet/members, which tells them as they are at that moment
+// only. The log line "members" and the trace tell who is a member after a change, but not how many hear or miss it.
+//
+// There are two other ways to stop being a member: a process states that it leaves ([Left]), or another process takes
+// its name (names.go).
 //
 // # Invariants
 //
--- a/internal/membership/evaluation.go
+++ b/internal/membership/evaluation.go
@@ -21,7 +21,7 @@
 	at          time.Duration // run time of the last one
 	changed     bool          // statements, statuses or neighbours have changed since
 	pending     bool          // some status may change as time passes
-	frozen      bool          // no member is removed: see mayBeCutOff
+	frozen      bool          // no member is removed: see mayBePartitioned
 	digest      uint64        // of the statements of all members, when evidence was last counted
 	memberCount int           // when evidence was last counted
 }
@@ -39,7 +39,7 @@
 	if d.evaluation.changed {
 		d.countEvidence()
 	}
-	frozen := d.mayBeCutOff()
+	frozen := d.mayBePartitioned()
 	isNews := d.evaluation.changed || frozen != d.evaluation.frozen
 	d.evaluation.frozen = frozen
 	d.evaluation.changed = false
@@ -89,7 +89,7 @@
 // evaluateJoining makes a process a member that has taken its name and that enough hear.
 func (d *Detector) evaluateJoining(p *peer) {
 	e := &p.evidence
-	isHeard := e.heardBy > 0 && e.heardBy >= e.missedBy
+	isHeard := e.heardBy > 0 && e.heardBy >= e.missedByBelieved
 	if p.Incarnation > 0 && isHeard && (p == d.own || d.fitsIn(p)) {
 		d.setStatus(p, Alive)
 		return
@@ -105,7 +105,7 @@
 	d.evaluation.pending = true
 	e := &p.evidence
 	p.sustained += elapsed
-	if e.heardBy == 0 || e.heardBy < e.missedBy {
+	if e.heardBy == 0 || e.heardBy < e.missedByBelieved {
 		p.sustained = 0
 	}
 	switch {
@@ -124,7 +124,7 @@
 	if !d.isMissed(p) || d.evaluation.frozen {
 		p.sustained = 0
 		status := Alive
-		if p.evidence.reportedBy > 0 {
+		if p.evidence.missedByAny > 0 {
 			status = Suspected
 		}
 		if status == p.status {
@@ -160,10 +160,21 @@
 	return b.due
 }
 
-// setStatus changes a status that decides who counts as a member, and whose statements count.
+// setStatus changes a status that decides who counts as a member, and whose statements count. Three other places set
+// one: claimName has this process join its own view at once, and leaves sustained; evaluateMember changes
+// between Alive and Suspected, which changes neither who is a member nor since when; forget drops the process.
 func (d *Detector) setStatus(p *peer, status Status) {
 	p.status = status
 	p.since = d.ran
 	p.sustained = 0
 	d.evaluation.changed = true
 }
+
+// forget drops a process that is no longer to be known: the only way out of the table of peers.
+func (d *Detector) forget(p *peer) {
+	p.status = Forgotten
+	d.peers.remove(p)
+	d.contacts.add(p, d.ran)
+	d.evaluation.changed = true
+	d.neighbours.stale = true
+}
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -2,10 +2,10 @@
 
 // evidence is what other processes state about one, counted anew whenever a statement or status has changed.
 type evidence struct {
-	heardBy     int // processes that are believed and hear it, those that join included
-	missedBy    int // members that are believed and miss it
-	reportedBy  int // members that miss it, whether their statements may be old or not
-	doubtfulFor int // members whose neighbour it is and that doubt themselves: they can't tell
+	heardBy          int // processes that are believed and hear it, those that join included
+	missedByBelieved int // members that are believed and miss it
+	missedByAny      int // members that miss it, whether their statements may be old or not
+	doubtfulFor      int // members whose neighbour it is and that doubt themselves: they can't tell
 }
 
 const (
@@ -47,7 +47,7 @@
 		}
 		for _, id := range observer.Misses {
 			if p := d.peers.byID[id]; p != nil {
-				p.evidence.reportedBy++
+				p.evidence.missedByAny++
 			}
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	d.forEach(observer.Hears, func(e *evidence) { e.heardBy++ })
 	if observer.isMember() {
-		d.forEach(observer.Misses, func(e *evidence) { e.missedBy++ })
+		d.forEach(observer.Misses, func(e *evidence) { e.missedByBelieved++ })
 	}
 }
 
@@ -87,27 +87,28 @@
 // made it long ago, unless this process hears it itself. Guards against the two sides of a partition whose last
 // statements discredit one another for good.
 func (d *Detector) isCurrent(observer *peer) bool {
-	return observer == d.own || observer.evidence.reportedBy < d.rules.minObservers || d.isHeard(observer)
+	return observer == d.own || observer.evidence.missedByAny < d.rules.minObservers || d.isHeard(observer)
 }
 
 // isMissed reports whether the evidence is enough to remove a process.
 func (d *Detector) isMissed(p *peer) bool {
 	e := &p.evidence
-	if e.missedBy < d.rules.minObservers {
+	if e.missedByBelieved < d.rules.minObservers {
 		return false
 	}
-	return !d.rules.requireMajority || e.missedBy > e.heardBy+e.doubtfulFor
+	return !d.rules.requireMajority || e.missedByBelieved > e.heardBy+e.doubtfulFor
 }
 
-// isSilenced reports whether enough processes miss one to take it for dead where its name is concerned.
-func (d *Detector) isSilenced(p *peer) bool {
-	return p.evidence.missedBy >= d.rules.minObservers && p.evidence.missedBy > p.evidence.heardBy
+// isMissedForName reports whether enough processes miss one to take it for dead where its name is concerned. Unlike
+// isMissed it leaves doubtfulFor out: members in doubt can't keep the name of a process from its successor.
+func (d *Detector) isMissedForName(p *peer) bool {
+	return p.evidence.missedByBelieved >= d.rules.minObservers && p.evidence.missedByBelieved > p.evidence.heardBy
 }
 
-// mayBeCutOff reports whether this process doubts itself, or so many are missing at once that it may well be the one
-// which is cut off. Guards against the sides of a partition that remove each other, and against a process that takes
-// all others for dead.
-func (d *Detector) mayBeCutOff() bool {
+// mayBePartitioned reports whether this process doubts itself, or so many are missing at once that it may well be the
+// one which is cut off. Guards against the sides of a partition that remove each other, and against a process that
+// takes all others for dead.
+func (d *Detector) mayBePartitioned() bool {
 	if d.own.SelfDoubt || !d.rules.freeze {
 		return d.own.SelfDoubt
 	}
@@ -118,7 +119,7 @@
 		switch {
 		case p.isMember():
 			members++
-			if p.evidence.reportedBy >= d.rules.minObservers {
+			if p.evidence.missedByAny >= d.rules.minObservers {
 				missing++
 			}
 		case p.status == Removed && d.ran-p.since < recently:
--- a/internal/membership/evidence_test.go
+++ b/internal/membership/evidence_test.go
@@ -12,12 +12,12 @@
 		want     bool
 	}{
 		{"nobody misses it", evidence{heardBy: 3}, false},
-		{"one observer", evidence{missedBy: 1}, false},
-		{"two observers", evidence{missedBy: 2}, true},
-		{"as many hear it", evidence{missedBy: 2, heardBy: 2}, false},
-		{"more miss it", evidence{missedBy: 3, heardBy: 2}, true},
-		{"neighbours in self-doubt count for it", evidence{missedBy: 3, heardBy: 2, doubtfulFor: 1}, false},
-		{"old statements don't count", evidence{missedBy: 1, reportedBy: 5}, false},
+		{"one observer", evidence{missedByBelieved: 1}, false},
+		{"two observers", evidence{missedByBelieved: 2}, true},
+		{"as many hear it", evidence{missedByBelieved: 2, heardBy: 2}, false},
+		{"more miss it", evidence{missedByBelieved: 3, heardBy: 2}, true},
+		{"neighbours in self-doubt count for it", evidence{missedByBelieved: 3, heardBy: 2, doubtfulFor: 1}, false},
+		{"old statements don't count", evidence{missedByBelieved: 1, missedByAny: 5}, false},
 	} {
 		if got := d.isMissed(&peer{evidence: c.evidence}); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -30,14 +30,14 @@
 func TestStatementsOfMissedObserversAreOutdated(t *testing.T) {
 	d := New(Config{HeartbeatTimeout: 10}, 1, "n", "a", nil)
 	d.ran = 100
-	missed := evidence{reportedBy: 2}
+	missed := evidence{missedByAny: 2}
 	for _, c := range []struct {
 		name     string
 		observer *peer
 		want     bool
 	}{
 		{"this process", d.own, true},
-		{"missed by one", &peer{evidence: evidence{reportedBy: 1}}, true},
+		{"missed by one", &peer{evidence: evidence{missedByAny: 1}}, true},
 		{"missed by two, no neighbour", &peer{evidence: missed}, false},
 		{"missed by two, heard here", &peer{evidence: missed, isNeighbour: true, heard: true, lastHeartbeat: 95}, true},
 		{"missed by two, silent", &peer{evidence: missed, isNeighbour: true, heard: true, lastHeartbeat: 90}, false},
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -144,7 +144,7 @@
 	eventually(t, "the one that left is out", haveSameView(nodes[:2], 2))
 	last.SetPresence(Staying)
 	eventually(t, "and back", haveSameView(nodes, 3))
-	if status, takesPart := first.FleetStatus(); !takesPart || status.CutOff {
+	if status, takesPart := first.FleetStatus(); !takesPart || status.MayBePartitioned {
 		t.Errorf("%+v", status)
 	}
 }
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -8,23 +8,23 @@
 
 // Status is a node's state in its fleet, as operators see it: one flat JSON object, hence its many fields.
 type Status struct {
-	Node        membership.NodeName    `json:"node"`
-	Process     string                 `json:"process"`
-	Incarnation membership.Incarnation `json:"life"` // 0 before it has taken its name
-	View        uint64                 `json:"view"` // number of changes of who is a member, here
-	Mark        string                 `json:"mark"` // the view's fingerprint
-	CutOff      bool                   `json:"cut_off"`
-	Members     int                    `json:"members"`
-	Suspected   int                    `json:"suspected"`
-	In          uint64                 `json:"datagrams_in"`
-	InBytes     uint64                 `json:"bytes_in"`
-	Out         uint64                 `json:"datagrams_out"`
-	OutBytes    uint64                 `json:"bytes_out"`
-	Streams     uint64                 `json:"streams_in"`
-	Foreign     uint64                 `json:"foreign"` // messages of no node of this fleet
-	Unread      uint64                 `json:"unread"`  // messages of this fleet that could not be read
-	Dropped     uint64                 `json:"dropped"` // messages dropped for want of room
-	Flows       []TrafficStats         `json:"flows"`
+	Node             membership.NodeName    `json:"node"`
+	Process          string                 `json:"process"`
+	Incarnation      membership.Incarnation `json:"life"` // 0 before it has taken its name
+	View             uint64                 `json:"view"` // number of changes of who is a member, here
+	Mark             string                 `json:"mark"` // the view's fingerprint
+	MayBePartitioned bool                   `json:"cut_off"`
+	Members          int                    `json:"members"`
+	Suspected        int                    `json:"suspected"`
+	In               uint64                 `json:"datagrams_in"`
+	InBytes          uint64                 `json:"bytes_in"`
+	Out              uint64                 `json:"datagrams_out"`
+	OutBytes         uint64                 `json:"bytes_out"`
+	Streams          uint64                 `json:"streams_in"`
+	Foreign          uint64                 `json:"foreign"` // messages of no node of this fleet
+	Unread           uint64                 `json:"unread"`  // messages of this fleet that could not be read
+	Dropped          uint64                 `json:"dropped"` // messages dropped for want of room
+	Flows            []TrafficStats         `json:"flows"`
 }
 
 // MemberStatus is one known process, as operators see it.
@@ -47,29 +47,29 @@
 	view := n.View()
 	counters := &n.transport.counters
 	s = Status{
-		Node:        membership.NodeName(n.Name),
-		Process:     hexID(n.process),
-		Incarnation: view.Incarnation,
-		View:        view.Number,
-		Mark:        fmt.Sprintf("%016x", view.Fingerprint),
-		CutOff:      view.CutOff,
-		Members:     len(view.Nodes),
-		In:          counters.in.Load(),
-		InBytes:     counters.inBytes.Load(),
-		Out:         counters.out.Load(),
-		OutBytes:    counters.outBytes.Load(),
-		Streams:     counters.streams.Load(),
-		Foreign:     counters.foreign.Load(),
-		Unread:      n.unreadable.Load(),
-		Dropped:     counters.dropped.Load(),
-		Flows:       n.Traffic(),
+		Node:             membership.NodeName(n.Name),
+		Process:          hexID(n.process),
+		Incarnation:      view.Incarnation,
+		View:             view.Number,
+		Mark:             fmt.Sprintf("%016x", view.Fingerprint),
+		MayBePartitioned: view.MayBePartitioned,
+		Members:          len(view.Nodes),
+		In:               counters.in.Load(),
+		InBytes:          counters.inBytes.Load(),
+		Out:              counters.out.Load(),
+		OutBytes:         counters.outBytes.Load(),
+		Streams:          counters.streams.Load(),
+		Foreign:          counters.foreign.Load(),
+		Unread:           n.unreadable.Load(),
+		Dropped:          counters.dropped.Load(),
+		Flows:            n.Traffic(),
 	}
 	for _, m := range view.Members {
 		if m.Status == membership.Suspected {
 			s.Suspected++
 		}
 	}
-	return s, !view.CutOff && view.Incarnation > 0
+	return s, !view.MayBePartitioned && view.Incarnation > 0
 }
 
 // FleetMembers returns the processes that are known, by node and process.
--- a/internal/membership/gossip/view.go
+++ b/internal/membership/gossip/view.go
@@ -15,14 +15,14 @@
 // publish makes a view the latest, and logs and traces it where it tells of another membership.
 func (n *Node) publish(view *membership.View) {
 	before := n.view.Swap(view)
-	if before.Number == view.Number && before.CutOff == view.CutOff {
+	if before.Number == view.Number && before.MayBePartitioned == view.MayBePartitioned {
 		return
 	}
 	line := trace.Line{
-		What:   trace.View,
-		Number: view.Number,
-		Mark:   fmt.Sprintf("%016x", view.Fingerprint),
-		Cut:    view.CutOff,
+		What:             trace.View,
+		Number:           view.Number,
+		Mark:             fmt.Sprintf("%016x", view.Fingerprint),
+		MayBePartitioned: view.MayBePartitioned,
 	}
 	for _, node := range view.Nodes {
 		line.Members = append(line.Members, string(node))
@@ -31,7 +31,7 @@
 	n.Log.WithFields(logrus.Fields{
 		"members": len(view.Nodes),
 		"view":    view.Number,
-		"cut_off": view.CutOff,
+		"cut_off": view.MayBePartitioned,
 		"in":      difference(view.Nodes, before.Nodes),
 		"out":     difference(before.Nodes, view.Nodes),
 	}).Info("members")
--- a/internal/membership/histories_test.go
+++ b/internal/membership/histories_test.go
@@ -106,8 +106,8 @@
 		}
 		for _, n := range s.nodes {
 			view := n.process.detector.View()
-			if len(view.Nodes) != len(s.nodes) || view.CutOff {
-				t.Fatalf("n%d has %v in the end, cut off: %v", n.number+1, view.Nodes, view.CutOff)
+			if len(view.Nodes) != len(s.nodes) || view.MayBePartitioned {
+				t.Fatalf("n%d has %v in the end, cut off: %v", n.number+1, view.Nodes, view.MayBePartitioned)
 			}
 		}
 	})
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -97,7 +97,7 @@
 // isDeadNamesake reports whether a process with this one's name can't be alive, as this one has its address, or is
 // missed by enough.
 func (d *Detector) isDeadNamesake(p *peer) bool {
-	return p.Addr == d.own.Addr || d.isSilenced(p)
+	return p.Addr == d.own.Addr || d.isMissedForName(p)
 }
 
 // nameIsYielded reports whether a process with this one's name gives it up.
@@ -171,7 +171,7 @@
 		return false
 	}
 	hasHadTime := d.ran-successor.firstSeen >= joinClaimPeriods*d.config.ClaimPeriod
-	return successor.status != Joining || hasHadTime || d.isSilenced(successor)
+	return successor.status != Joining || hasHadTime || d.isMissedForName(successor)
 }
 
 // forgetDuplicates forgets all processes whose name another member has; where that is this process's name, it has to
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -207,12 +207,3 @@
 	}
 	return unknown
 }
-
-// forget drops a process that is no longer to be known.
-func (d *Detector) forget(p *peer) {
-	p.status = Forgotten
-	d.peers.remove(p)
-	d.contacts.add(p, d.ran)
-	d.evaluation.changed = true
-	d.neighbours.stale = true
-}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -62,14 +62,14 @@
 
 // simProcess is one process with its detector.
 type simProcess struct {
-	node        *simNode
-	detector    *membership.Detector
-	addr        string
-	statements  map[membership.ProcessID]membership.Statement
-	roundsLeft  map[membership.ProcessID]int // of statements that are still to be passed on
-	loopCount   uint64
-	tracedView  uint64
-	tracedAsCut bool
+	node                *simNode
+	detector            *membership.Detector
+	addr                string
+	statements          map[membership.ProcessID]membership.Statement
+	roundsLeft          map[membership.ProcessID]int // of statements that are still to be passed on
+	loopCount           uint64
+	tracedView          uint64
+	tracedAsPartitioned bool
 }
 
 func newSimulation(nodes int, seed uint32, configure func(*membership.Detector)) *simulation {
@@ -320,17 +320,17 @@
 // traceView tells the checker of a view that has changed.
 func (p *simProcess) traceView() {
 	view := p.detector.View()
-	if view.Number == p.tracedView && view.CutOff == p.tracedAsCut {
+	if view.Number == p.tracedView && view.MayBePartitioned == p.tracedAsPartitioned {
 		return
 	}
 	p.tracedView = view.Number
-	p.tracedAsCut = view.CutOff
+	p.tracedAsPartitioned = view.MayBePartitioned
 	line := trace.Line{
-		Node:    p.node.name,
-		What:    trace.View,
-		Process: fmt.Sprint(view.Own),
-		Number:  view.Number,
-		Cut:     view.CutOff,
+		Node:             p.node.name,
+		What:             trace.View,
+		Process:          fmt.Sprint(view.Own),
+		Number:           view.Number,
+		MayBePartitioned: view.MayBePartitioned,
 	}
 	for _, node := range view.Nodes {
 		line.Members = append(line.Members, string(node))
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -14,17 +14,17 @@
 // Line is one event of a process. Fields that an event doesn't have are zero.
 type Line struct {
 	// At is of the clock that all processes of a machine share, and that runs on through a suspend.
-	At      monotime.Instant `json:"at"`
-	Node    string           `json:"node"`
-	Process string           `json:"process"`
-	What    string           `json:"what"`
-	Members []string         `json:"members"`           // names of those that are members to the process now
-	Seen    string           `json:"seen,omitempty"`    // Library: the node whose process came or went
-	Here    bool             `json:"here,omitempty"`    // Library: it came
-	Number  uint64           `json:"number,omitempty"`  // View: its number
-	Mark    string           `json:"mark,omitempty"`    // View: its fingerprint
-	Cut     bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
-	Out     uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
-	In      uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
-	Lost    uint64           `json:"lost,omitempty"`    // lines that were dropped until now
+	At               monotime.Instant `json:"at"`
+	Node             string           `json:"node"`
+	Process          string           `json:"process"`
+	What             string           `json:"what"`
+	Members          []string         `json:"members"`           // names of those that are members to the process now
+	Seen             string           `json:"seen,omitempty"`    // Library: the node whose process came or went
+	Here             bool             `json:"here,omitempty"`    // Library: it came
+	Number           uint64           `json:"number,omitempty"`  // View: its number
+	Mark             string           `json:"mark,omitempty"`    // View: its fingerprint
+	MayBePartitioned bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
+	Out              uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
+	In               uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
+	Lost             uint64           `json:"lost,omitempty"`    // lines that were dropped until now
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -29,9 +29,9 @@
 	Nodes []NodeName
 	// Members are all processes that are known, by node and process.
 	Members []Member
-	// CutOff is whether this process is removed, doubts itself, or so many are missing that it may be the one which
-	// is cut off: no member is removed meanwhile.
-	CutOff bool
+	// MayBePartitioned is whether this process is removed, doubts itself, or so many are missing that it may be the
+	// one which is cut off: no member is removed meanwhile. Operators see it as "cut_off".
+	MayBePartitioned bool
 	// Own is the process whose view it is.
 	Own ProcessID
 	// Incarnation is Own's; 0 while it has not taken its name.
@@ -45,13 +45,13 @@
 func (d *Detector) publishView() {
 	d.peers.sorted()
 	view := &View{
-		Number:      d.view.Number,
-		Fingerprint: d.view.Fingerprint,
-		Nodes:       make([]NodeName, 0, len(d.peers.byName)),
-		Members:     make([]Member, 0, len(d.peers.byName)),
-		CutOff:      d.evaluation.frozen || d.own.status == Removed,
-		Own:         d.own.Process,
-		Incarnation: d.own.Incarnation,
+		Number:           d.view.Number,
+		Fingerprint:      d.view.Fingerprint,
+		Nodes:            make([]NodeName, 0, len(d.peers.byName)),
+		Members:          make([]Member, 0, len(d.peers.byName)),
+		MayBePartitioned: d.evaluation.frozen || d.own.status == Removed,
+		Own:              d.own.Process,
+		Incarnation:      d.own.Incarnation,
 	}
 	for _, p := range d.peers.byName {
 		view.Members = append(view.Members, p.describe())
@@ -76,7 +76,7 @@
 		Status:      p.status,
 		Since:       p.since,
 		Hears:       p.evidence.heardBy,
-		Misses:      p.evidence.missedBy,
+		Misses:      p.evidence.missedByBelieved,
 	}
 }
 
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -312,7 +312,7 @@
 	if err := json.NewDecoder(io.LimitReader(a.Body, longestSaid)).Decode(&s); err != nil {
 		return st, err
 	}
-	return status{Name: n.Place.Name, Members: s.Members, Mark: s.Mark, CutOff: s.CutOff, Flows: s.Flows, Dropped: s.Dropped}, nil
+	return status{Name: n.Place.Name, Members: s.Members, Mark: s.Mark, CutOff: s.MayBePartitioned, Flows: s.Flows, Dropped: s.Dropped}, nil
 }
 
 // Close ends it.
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -349,12 +349,12 @@
 			}
 		}
 	}
-	whole := func(n *Node) bool { return len(n.Post.View().Nodes) == nodes && !n.Post.View().CutOff }
+	whole := func(n *Node) bool { return len(n.Post.View().Nodes) == nodes && !n.Post.View().MayBePartitioned }
 	within("all know all", whole)
 	cut(r.faults, off, regions, true)
 	within("the region is out, and knows it", func(n *Node) bool {
 		v := n.Post.View()
-		return n.Place.Region == off && v.CutOff || n.Place.Region != off && len(v.Nodes) == nodes-nodes/regions && !v.CutOff
+		return n.Place.Region == off && v.MayBePartitioned || n.Place.Region != off && len(v.Nodes) == nodes-nodes/regions && !v.MayBePartitioned
 	})
 	cut(r.faults, off, regions, false)
 	within("all know all again", whole)
