--- /dev/null
+++ b/internal/scale/print.go
@@ -0,0 +1,211 @@
+package scale
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"text/tabwriter"
+)
+
+// calibrationTolerance is the relative difference up to which hollow and real nodes count as the same.
+const calibrationTolerance = 0.10
+
+// bytesPerKB converts rates in bytes per second, times a duration, to kB.
+const bytesPerKB = 1000
+
+// roles is the order of the roles in the tables.
+var roles = []Role{Hollow, Real}
+
+// table aligns rows of cells in columns.
+type table struct{ writer *tabwriter.Writer }
+
+// row writes one row; floating point cells are rounded to four digits.
+func (t table) row(cells ...any) {
+	for i, cell := range cells {
+		if i > 0 {
+			fmt.Fprint(t.writer, "\t")
+		}
+		switch value := cell.(type) {
+		case float64:
+			fmt.Fprintf(t.writer, "%.4g", value)
+		default:
+			fmt.Fprint(t.writer, value)
+		}
+	}
+	fmt.Fprintln(t.writer)
+}
+
+// Print writes the report as text tables, and its verdict as the last line.
+func (r *Report) Print(to io.Writer) error {
+	t := table{writer: tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)}
+	r.printSteady(t)
+	t.row()
+	r.printPhases(t)
+	t.row()
+	r.printCalibration(t)
+	t.row()
+	r.printSlopes(t)
+	if err := t.writer.Flush(); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintln(to, r.Last())
+	return err
+}
+
+// printSteady writes the spread of each figure over the nodes, in the steady phase.
+func (r *Report) printSteady(t table) {
+	t.row("nodes", "role", "while nothing happens", "mean", "median", "p99", "most")
+	for _, size := range r.Sizes {
+		phase := size.Phases[steady]
+		for _, role := range roles {
+			if phase == nil || phase.Roles[role] == nil {
+				continue
+			}
+			size.printSteadyRole(t, role, phase.Roles[role])
+		}
+	}
+}
+
+func (s *Size) printSteadyRole(t table, role Role, taken *Taken) {
+	spread := func(what string, x Spread) {
+		t.row(s.Nodes, role, what, x.Mean, x.Median, x.P99, x.Most)
+	}
+	for _, flow := range append(slices.Clone(flowNames), allFlows) {
+		for _, m := range measures {
+			what := flow + " " + m.name
+			spread(what, taken.Flows[what])
+		}
+	}
+	spread(bothWays, taken.Flows[bothWays])
+	spread("processor, % of a core", taken.Processor)
+	spread("waited for a core, times as long", taken.Waited)
+	spread("resident, MB", s.Memory[role].Resident)
+	if role == Hollow {
+		spread("heap, MB", s.Memory[role].Heap)
+	}
+}
+
+// printPhases writes the totals of each phase.
+func (r *Report) printPhases(t table) {
+	t.row("nodes", "phase", "long, s", "until views were right, s", "role",
+		"sent, kB in all", "received, kB in all", "p99 both, kB",
+		"of it: hellos", "statements", "gossip", "streams", "list", "% of a core")
+	for _, size := range r.Sizes {
+		for _, name := range phases {
+			phase := size.Phases[name]
+			if phase == nil {
+				continue
+			}
+			for _, role := range roles {
+				if taken := phase.Roles[role]; taken != nil {
+					t.row(size.phaseCells(name, phase, role, taken)...)
+				}
+			}
+		}
+	}
+}
+
+func (s *Size) phaseCells(name string, phase *Phase, role Role, taken *Taken) []any {
+	toKB := phase.LongS / bytesPerKB
+	cells := []any{
+		s.Nodes, name, phase.LongS, phase.TookS, role,
+		taken.Flows[allSent].Mean * toKB,
+		taken.Flows[allReceived].Mean * toKB,
+		taken.Flows[bothWays].P99 * toKB,
+	}
+	for _, flow := range flowNames {
+		sent := taken.Flows[flow+" out B/s"].Mean
+		received := taken.Flows[flow+" in B/s"].Mean
+		cells = append(cells, (sent+received)*toKB)
+	}
+	return append(cells, taken.Processor.Mean)
+}
+
+// printCalibration compares hollow nodes with real ones, at the sizes that have both.
+func (r *Report) printCalibration(t table) {
+	t.row("calibration: nodes", "figure", "hollow", "real", "real is more by")
+	for _, size := range r.Sizes {
+		phase := size.Phases[steady]
+		if phase == nil || phase.Roles[Hollow] == nil || phase.Roles[Real] == nil {
+			continue
+		}
+		size.printCalibration(t, phase)
+	}
+}
+
+func (s *Size) printCalibration(t table, phase *Phase) {
+	hollow := phase.Roles[Hollow]
+	real := phase.Roles[Real]
+	compare := func(what string, hollow, real Spread) {
+		t.row(s.Nodes, what, hollow.Mean, real.Mean, difference(hollow.Mean, real.Mean))
+	}
+	compare("sent, B/s", hollow.Flows[allSent], real.Flows[allSent])
+	compare("received, B/s", hollow.Flows[allReceived], real.Flows[allReceived])
+	compare("sent, messages/s", hollow.Flows[allSentMessages], real.Flows[allSentMessages])
+	compare("received, messages/s", hollow.Flows[allReceivedMessages], real.Flows[allReceivedMessages])
+	compare("processor, % of a core", hollow.Processor, real.Processor)
+	compare("resident, MB", s.Memory[Hollow].Resident, s.Memory[Real].Resident)
+
+	const note = "so knowing them takes a real node %.4g"
+	t.row(s.Nodes, "a node that knows of no other: processor, % of a core", "", phase.Alone,
+		fmt.Sprintf(note, real.Processor.Mean-phase.Alone))
+	t.row(s.Nodes, "a node that knows of no other: resident, MB", "", s.AloneMB,
+		fmt.Sprintf(note, s.Memory[Real].Resident.Mean-s.AloneMB))
+}
+
+// difference describes by how much a real node's figure exceeds a hollow node's.
+func difference(hollow, real float64) string {
+	relative := 0.0
+	if hollow > 0 {
+		relative = real/hollow - 1
+	}
+	text := fmt.Sprintf("%+.1f%%", 100*relative)
+	if relative > calibrationTolerance || relative < -calibrationTolerance {
+		text += fmt.Sprintf(": %+.4g is added", max(0, real-hollow))
+	}
+	return text
+}
+
+// printSlopes writes how each figure grows with the number of nodes, and how it compares with its budget.
+func (r *Report) printSlopes(t table) {
+	t.row("means of hollow nodes", "unit", "a node more", "standard error", "R2",
+		fmt.Sprintf("line at %d", r.Nodes), "measured", "real is more by", "budget", "")
+	for _, s := range r.Slopes {
+		t.row(s.What, s.Unit, s.Line.Slope, s.standardError(), fmt.Sprintf("%.3f", s.Line.R2),
+			s.At, s.measured(), s.Added, s.budget(), s.verdict())
+	}
+}
+
+const noFigure = "-" // in place of a figure that does not exist
+
+func (s *Slope) standardError() string {
+	if s.Line.Points <= 2 { // a line through two points has no residual
+		return noFigure
+	}
+	return fmt.Sprintf("%.3g", s.Line.Error)
+}
+
+func (s *Slope) measured() string {
+	if s.Measured <= 0 {
+		return noFigure
+	}
+	return fmt.Sprintf("%.4g", s.Measured)
+}
+
+func (s *Slope) budget() string {
+	if s.Budget <= 0 {
+		return noFigure
+	}
+	return fmt.Sprintf("%.4g", s.Budget)
+}
+
+func (s *Slope) verdict() string {
+	switch {
+	case s.Budget <= 0:
+		return ""
+	case s.Over:
+		return "over"
+	default:
+		return "within"
+	}
+}
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -630,7 +630,7 @@
 		}
 		report.Sizes = append(report.Sizes, s)
 	}
-	report.judge()
+	report.evaluate()
 	return report, nil
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -169,7 +169,7 @@
 		"memory":          {[]*Size{size(20, 1000, 1500)}, Budget{MemoryMB: 19}, "not within: memory, resident at 20 nodes is 20 MB, and 19 is the budget"},
 	} {
 		r := Report{Nodes: 20, Sizes: c.sizes, File: File{Budget: c.budget}}
-		r.judge()
+		r.evaluate()
 		if r.Last() != c.want || r.Good() != (c.want == "all within") {
 			t.Errorf("%s: %s", name, r.Last())
 		}
@@ -181,7 +181,7 @@
 	short := size(20, 1, 1)
 	short.LostHere = 3
 	r := Report{Nodes: 20, Sizes: []*Size{short}}
-	if r.judge(); r.Good() {
+	if r.evaluate(); r.Good() {
 		t.Error("messages that were lost here went unnamed")
 	}
 }
