--- /dev/null
+++ b/internal/scale/fleetrun.go
@@ -0,0 +1,343 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+
+	"dahliapin/internal/config/fleetconfig"
+)
+
+const (
+	// lookEach is the time between two looks at the views of all nodes.
+	lookEach = 200 * time.Millisecond
+	// settles is the least time that gossip is given to settle once all views agree.
+	settles = 4 * time.Second
+	// quietWithin bounds the wait for gossip to settle: nodes that still send statements then do so all the time.
+	quietWithin = time.Minute
+	// quietEach is the interval over which statements are counted meanwhile.
+	quietEach = time.Second
+	// quietPart is how many statements a node sends in quietEach, on average, when gossip counts as settled: the
+	// troubles of a single node are below that.
+	quietPart = 0.1
+	// seedsOf is how many members a node asks first; they are spread evenly over the fleet.
+	seedsOf = 5
+	// basePort and portRange are below the ports that systems give to sockets without one of their own.
+	basePort  = 12_000
+	portRange = 20_000
+	// alone is the name of the node that knows of no other.
+	alone = "alone"
+)
+
+// fleetRun is a fleet of one size while it runs.
+type fleetRun struct {
+	rig     *Rig
+	plan    *Plan
+	places  []Place // real nodes first
+	list    *listing
+	hollows []*Hollows
+	reals   []*RealNode
+	alone   *RealNode // knows of no other: what a node uses for all else; nil where there are no real ones
+}
+
+// fleetProcess is one process of a fleet.
+type fleetProcess interface {
+	Close()
+	Cost() (Cost, error)
+}
+
+func (f *fleetRun) processes() []fleetProcess {
+	var all []fleetProcess
+	for _, h := range f.hollows {
+		all = append(all, h)
+	}
+	for _, n := range f.reals {
+		all = append(all, n)
+	}
+	if f.alone != nil {
+		all = append(all, f.alone)
+	}
+	return all
+}
+
+// open starts a fleet of a size.
+func (r *Rig) open(ctx context.Context, p *Plan, nodes int) (*fleetRun, error) {
+	// Ports differ between rigs and sizes, so that a socket of an earlier run that still lingers is not met.
+	port := uint16(basePort + (os.Getpid()*397+nodes*7)%portRange)
+	f := &fleetRun{
+		rig:    r,
+		plan:   p,
+		places: Lay(nodes, p.Real, p.File.Places, port),
+		list:   openListing(p.File.List.Caches),
+	}
+	for i := range f.places {
+		at, err := f.list.door(f.places[i].Name)
+		if err != nil {
+			f.close()
+			return nil, err
+		}
+		f.places[i].List = at
+	}
+	if err := f.start(ctx, f.fleetFile()); err != nil {
+		f.close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// fleetFile is the fleet's file that all nodes share, but for their addresses.
+func (f *fleetRun) fleetFile() fleetconfig.File {
+	nodes := len(f.places)
+	file := fleetconfig.Default()
+	file.Members = f.plan.File.Members
+	file.Members.MaxMembers = max(file.Members.MaxMembers, nodes)
+	file.Fleet.Label = fmt.Sprintf("scale-%d-%d-%d", os.Getpid(), nodes, f.plan.Seed)
+	seeds := min(seedsOf, nodes)
+	for i := range seeds {
+		file.Fleet.Seeds = append(file.Fleet.Seeds, f.places[i*nodes/seeds].Addr)
+	}
+	return file
+}
+
+// start starts all processes, and the nodes in them.
+func (f *fleetRun) start(ctx context.Context, file fleetconfig.File) error {
+	if err := f.startReals(&file); err != nil {
+		return err
+	}
+	for from := len(f.reals); from < len(f.places); from += f.plan.Each {
+		until := min(len(f.places), from+f.plan.Each)
+		h, err := f.rig.StartHollows(f.places[from:until], fmt.Sprintf("hollow-%d", from))
+		if err != nil {
+			return fmt.Errorf("a process of hollow nodes does not start: %w", err)
+		}
+		f.hollows = append(f.hollows, h)
+	}
+	_, err := f.each(ctx, order{
+		Do:    doOpen,
+		Fleet: &file,
+		File:  &f.plan.File,
+		Seed:  f.plan.Seed,
+		Nodes: len(f.places),
+		Apart: ms(f.plan.File.Starts.ApartMs) * time.Duration(len(f.hollows)),
+	})
+	return errors.Join(err, ctx.Err())
+}
+
+// startReals starts the real nodes and, if there are any, the one that knows of no other.
+func (f *fleetRun) startReals(file *fleetconfig.File) error {
+	for i, place := range f.places {
+		if place.Role != Real {
+			break
+		}
+		n, err := f.rig.StartReal(place, file, len(f.places), f.plan.Seed+int64(i))
+		if err != nil {
+			return fmt.Errorf("a real node does not start: %w", err)
+		}
+		f.reals = append(f.reals, n)
+	}
+	if len(f.reals) == 0 {
+		return nil
+	}
+	list, err := f.list.door(alone)
+	if err != nil {
+		return err
+	}
+	place := Place{Name: alone, Role: Real, Addr: "127.0.0.1:0", List: list}
+	f.alone, err = f.rig.StartReal(place, nil, len(f.places), f.plan.Seed)
+	if err != nil {
+		return fmt.Errorf("a node that is to know of no other does not start: %w", err)
+	}
+	return nil
+}
+
+// close ends all processes at once, and then the endpoint list.
+func (f *fleetRun) close() {
+	var all sync.WaitGroup
+	for _, p := range f.processes() {
+		all.Go(p.Close)
+	}
+	all.Wait()
+	f.list.close()
+}
+
+// each sends an order to all processes of hollow nodes at once, and waits for their answers.
+func (f *fleetRun) each(ctx context.Context, o order) ([]answer, error) {
+	answers := make([]answer, len(f.hollows))
+	errs := make([]error, len(f.hollows))
+	var all sync.WaitGroup
+	for i, h := range f.hollows {
+		all.Go(func() {
+			own := o
+			if own.Do == doOpen {
+				own.Places = h.places
+			}
+			starts := time.Duration(len(own.Places)) * own.Apart
+			answers[i], errs[i] = h.ask(ctx, own, answerBy+starts)
+		})
+	}
+	all.Wait()
+	return answers, errors.Join(errs...)
+}
+
+// orderFor sends an order about one node to the process that runs it.
+func (f *fleetRun) orderFor(ctx context.Context, name, do string) error {
+	for _, h := range f.hollows {
+		for _, at := range h.places {
+			if at.Name == name {
+				_, err := h.ask(ctx, order{Do: do, Name: name}, answerBy)
+				return err
+			}
+		}
+	}
+	return fmt.Errorf("no hollow node %s", name)
+}
+
+// statuses returns the view of every node, and how many messages the emulated network dropped as its queue was full.
+func (f *fleetRun) statuses(ctx context.Context, do string) (all []status, lost uint64, err error) {
+	answers, err := f.each(ctx, order{Do: do})
+	if err != nil {
+		return nil, 0, err
+	}
+	for _, a := range answers {
+		all = append(all, a.Nodes...)
+		lost += a.Lost
+	}
+	for _, n := range f.reals {
+		if n.Over() {
+			return nil, 0, fmt.Errorf("real node %s has ended: %s", n.Place.Name, n.lastLogLine())
+		}
+		st, err := n.status()
+		if err != nil { // it has only just started, and does not answer yet
+			st = status{Name: n.Place.Name}
+		}
+		all = append(all, st)
+	}
+	return all, lost, nil
+}
+
+// agreement sums up how far the views of some nodes agree.
+type agreement struct {
+	least  int             // members in the smallest view; no more than are expected
+	most   int             // members in the largest view
+	marks  map[string]bool // the different views, by their marks
+	cutOff int             // nodes that take themselves for cut off
+}
+
+// agreementOf looks at the nodes that a filter lets pass; nil lets all pass.
+func agreementOf(all []status, members int, filter func(status) bool) agreement {
+	a := agreement{least: members, marks: map[string]bool{}}
+	for _, st := range all {
+		if filter != nil && !filter(st) {
+			continue
+		}
+		a.least = min(a.least, st.Members)
+		a.most = max(a.most, st.Members)
+		a.marks[st.Mark] = true
+		if st.CutOff {
+			a.cutOff++
+		}
+	}
+	return a
+}
+
+// reached reports whether all views are the same and have so many members.
+func (a agreement) reached(members int) bool {
+	return a.least == members && a.most == members && len(a.marks) == 1 && a.cutOff == 0
+}
+
+// awaitAgreement waits until the views of all nodes that a filter lets pass are the same and have so many members. It
+// returns how long that took.
+func (f *fleetRun) awaitAgreement(ctx context.Context, members int, within time.Duration,
+	filter func(status) bool) (took time.Duration, err error) {
+	began := time.Now()
+	for {
+		all, _, err := f.statuses(ctx, doLook)
+		if err != nil {
+			return 0, err
+		}
+		a := agreementOf(all, members, filter)
+		took = time.Since(began)
+		if a.reached(members) {
+			return took, nil
+		}
+		f.rig.tell("%d nodes: %.0f s, views of %d to %d members, %d different, %d cut off",
+			len(f.places), took.Seconds(), a.least, a.most, len(a.marks), a.cutOff)
+		if took > within {
+			return took, fmt.Errorf("views of %d nodes are not the same %d members within %v: "+
+				"%d to %d, %d different, %d cut off",
+				len(f.places), members, within, a.least, a.most, len(a.marks), a.cutOff)
+		}
+		if err := f.checkMemory(); err != nil {
+			return took, err
+		}
+		if err := sleep(ctx, lookEach); err != nil {
+			return took, err
+		}
+	}
+}
+
+// checkMemory fails once all processes together use more memory than the rig allows.
+func (f *fleetRun) checkMemory() error {
+	processes := f.processes()
+	sum := uint64(0)
+	for _, p := range processes {
+		cost, err := p.Cost()
+		if err != nil {
+			return err
+		}
+		sum += cost.Resident
+	}
+	if sum > uint64(f.rig.MostMB)*mb {
+		return fmt.Errorf("%d processes take %d MB: %d are the most", len(processes), sum/mb, f.rig.MostMB)
+	}
+	return nil
+}
+
+// settle waits until gossip about what has happened has died down.
+func (f *fleetRun) settle(ctx context.Context) error {
+	if err := sleep(ctx, settles); err != nil {
+		return err
+	}
+	before, err := f.statementsSent(ctx)
+	if err != nil {
+		return err
+	}
+	nodes := float64(len(f.places))
+	for by := time.Now().Add(quietWithin); time.Now().Before(by); {
+		if err := sleep(ctx, quietEach); err != nil {
+			return err
+		}
+		now, err := f.statementsSent(ctx)
+		if err != nil {
+			return err
+		}
+		if now-before < quietPart*nodes {
+			return nil
+		}
+		f.rig.tell("%d nodes: %.1f statements a node in %v still", len(f.places), (now-before)/nodes, quietEach)
+		before = now
+	}
+	return nil
+}
+
+// statementsSent counts the statements that all nodes have sent until now.
+func (f *fleetRun) statementsSent(ctx context.Context) (float64, error) {
+	s, err := f.read(ctx)
+	sum := 0.0
+	for _, flows := range s.nodes {
+		sum += flows["statements"].OutMessages
+	}
+	return sum, err
+}
+
+func sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(d):
+		return nil
+	}
+}
--- /dev/null
+++ b/internal/scale/measure.go
@@ -0,0 +1,169 @@
+package scale
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"time"
+)
+
+const (
+	// formsWithin is how long a fleet may take from its last start until all views agree.
+	formsWithin = 3 * time.Minute
+	// wholeWithin is the same after a fault.
+	wholeWithin = time.Minute
+)
+
+// measurement takes one size through its phases.
+type measurement struct {
+	fleet *fleetRun
+	size  *Size
+	last  snapshot // at the end of the phase before
+}
+
+// measure measures one size.
+func (r *Rig) measure(ctx context.Context, p *Plan, nodes int) (*Size, error) {
+	began := time.Now()
+	f, err := r.open(ctx, p, nodes)
+	if err != nil {
+		return nil, err
+	}
+	defer f.close()
+	m := &measurement{
+		fleet: f,
+		size:  &Size{Nodes: nodes, By: p.Terms(), Began: began.UTC(), Processes: len(f.processes())},
+	}
+	if err := m.forming(ctx, began); err != nil {
+		return nil, err
+	}
+	if err := m.steady(ctx); err != nil {
+		return nil, err
+	}
+	if p.File.Lost.ForS > 0 {
+		if err := m.loseNode(ctx); err != nil {
+			return nil, err
+		}
+	}
+	if p.File.Cut.ForS > 0 {
+		if err := m.cutRegion(ctx); err != nil {
+			return nil, err
+		}
+	}
+	m.size.LostHere = m.last.lost
+	m.size.Dropped = m.last.drops
+	return m.size, nil
+}
+
+// forming waits until all nodes know each other.
+func (m *measurement) forming(ctx context.Context, began time.Time) error {
+	if _, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, formsWithin, nil); err != nil {
+		return fmt.Errorf("forming: %w", err)
+	}
+	formed := time.Since(began)
+	if err := m.fleet.settle(ctx); err != nil {
+		return err
+	}
+	now, err := m.fleet.read(ctx)
+	if err != nil {
+		return err
+	}
+	m.size.add(m.fleet, forming, formed, snapshot{at: began}, now)
+	m.last = now
+	return nil
+}
+
+// steady measures while nothing happens, and then the memory.
+func (m *measurement) steady(ctx context.Context) error {
+	err := m.phase(ctx, steady, func() (time.Duration, error) {
+		return 0, sleep(ctx, m.fleet.plan.window(m.size.Nodes))
+	})
+	if err != nil {
+		return err
+	}
+	return m.size.weigh(ctx, m.fleet)
+}
+
+// loseNode crashes the last node, and starts it again after a while.
+func (m *measurement) loseNode(ctx context.Context) error {
+	f := m.fleet
+	lost := f.places[len(f.places)-1].Name
+	err := m.phase(ctx, lostOne, func() (time.Duration, error) {
+		began := time.Now()
+		if err := f.orderFor(ctx, lost, doDrop); err != nil {
+			return 0, err
+		}
+		others := func(st status) bool { return st.Name != lost }
+		return m.awaitFault(ctx, began, seconds(f.plan.File.Lost.ForS), m.size.Nodes-1, others)
+	})
+	if err != nil {
+		return err
+	}
+	return m.phase(ctx, lostBack, func() (time.Duration, error) {
+		if err := f.orderFor(ctx, lost, doRaise); err != nil {
+			return 0, err
+		}
+		return m.awaitRecovery(ctx)
+	})
+}
+
+// cutRegion cuts a region off from all others, and ends that after a while.
+func (m *measurement) cutRegion(ctx context.Context) error {
+	f := m.fleet
+	region := RegionID(f.plan.File.Cut.Region)
+	inside := map[string]bool{}
+	for _, at := range f.places {
+		if at.Region == region {
+			inside[at.Name] = true
+		}
+	}
+	err := m.phase(ctx, cutOff, func() (time.Duration, error) {
+		began := time.Now()
+		if _, err := f.each(ctx, order{Do: doCut, Off: true}); err != nil {
+			return 0, err
+		}
+		outside := func(st status) bool { return !inside[st.Name] }
+		return m.awaitFault(ctx, began, seconds(f.plan.File.Cut.ForS), len(f.places)-len(inside), outside)
+	})
+	if err != nil {
+		return err
+	}
+	return m.phase(ctx, cutBack, func() (time.Duration, error) {
+		if _, err := f.each(ctx, order{Do: doCut, Off: false}); err != nil {
+			return 0, err
+		}
+		return m.awaitRecovery(ctx)
+	})
+}
+
+// phase runs a phase, which returns how long views took to be as expected, and records what nodes used meanwhile.
+func (m *measurement) phase(ctx context.Context, name string, run func() (time.Duration, error)) error {
+	m.fleet.rig.tell("%d nodes: %s", m.size.Nodes, name)
+	took, err := run()
+	if err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	now, err := m.fleet.read(ctx)
+	if err != nil {
+		return err
+	}
+	m.size.add(m.fleet, name, took, m.last, now)
+	m.last = now
+	return nil
+}
+
+// awaitFault waits until the nodes that are left agree on their number, and until the fault has lasted its whole time.
+func (m *measurement) awaitFault(ctx context.Context, began time.Time, lasts time.Duration, left int,
+	filter func(status) bool) (time.Duration, error) {
+	took, agreeErr := m.fleet.awaitAgreement(ctx, left, wholeWithin, filter)
+	sleepErr := sleep(ctx, max(0, lasts-time.Since(began)))
+	return took, cmp.Or(agreeErr, sleepErr)
+}
+
+// awaitRecovery waits until all nodes know each other again, and gossip has settled.
+func (m *measurement) awaitRecovery(ctx context.Context) (time.Duration, error) {
+	took, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, wholeWithin, nil)
+	if err != nil {
+		return took, err
+	}
+	return took, m.fleet.settle(ctx)
+}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -79,7 +79,7 @@
 	p := &process{nodes: map[string]*Node{}, more: more}
 	defer p.close()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 64<<10), longestOrder)
+	lines.Buffer(make([]byte, firstLineBytes), longestOrder)
 	say := json.NewEncoder(out)
 	for lines.Scan() {
 		var o order
--- /dev/null
+++ b/internal/scale/realnode.go
@@ -0,0 +1,155 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/membership/gossip"
+)
+
+const (
+	// callBy is how long a real node's admin server may take to answer.
+	callBy = 5 * time.Second
+	// longestStatus bounds what is read of a node's status, in bytes.
+	longestStatus = 8 << 20
+	// nodeMemoryMB and nodeSockets are the limits in a real node's configuration.
+	nodeMemoryMB = 192
+	nodeSockets  = 1024
+)
+
+// RealNode is a node in a process of its own.
+type RealNode struct {
+	*Child
+	Place Place
+	admin string // address of its admin server
+}
+
+// StartReal starts a node by the program's command serve. Without a fleet's file it knows of no other node.
+func (r *Rig) StartReal(at Place, fleet *fleetconfig.File, nodes int, seed int64) (*RealNode, error) {
+	host, _, err := net.SplitHostPort(at.Addr)
+	if err != nil {
+		return nil, err
+	}
+	clients, err := freeAddress(host)
+	if err != nil {
+		return nil, err
+	}
+	admin, err := freeAddress(host)
+	if err != nil {
+		return nil, err
+	}
+	configuration, err := nodeConfiguration(at, clients, admin, nodes, seed)
+	if err != nil {
+		return nil, err
+	}
+	base := filepath.Join(r.Dir, at.Name)
+	cmd := exec.Command(r.Program, "serve", "--config", base+".json")
+	if fleet != nil {
+		if err := writeFleetFile(base+".toml", *fleet, at.Addr); err != nil {
+			return nil, err
+		}
+		cmd.Args = append(cmd.Args, "--fleet", base+".toml")
+	}
+	if err := os.WriteFile(base+".json", configuration, 0o600); err != nil {
+		return nil, err
+	}
+	cmd.Env = append(os.Environ(), "TMPDIR="+r.Dir)
+	child, err := StartChild(cmd, base+".log")
+	return &RealNode{Child: child, Place: at, admin: admin}, err
+}
+
+// freeAddress returns an address of a host on which nothing listens at the moment.
+func freeAddress(host string) (string, error) {
+	l, err := net.Listen("tcp", host+":0")
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
+// nodeConfiguration is the file that a real node is started with.
+func nodeConfiguration(at Place, clients, admin string, nodes int, seed int64) ([]byte, error) {
+	s, err := scenario.Parse("scale.toml", []byte(leastScenario))
+	if err != nil {
+		return nil, err
+	}
+	s.Fleet.Nodes = nodes
+	return json.Marshal(map[string]any{
+		"ops":       admin,
+		"name":      at.Name,
+		"listen":    clients,
+		"discovery": at.List,
+		"seed":      fmt.Sprintf("%x", seed),
+		"limits":    map[string]int{"memory_mb": nodeMemoryMB, "sockets": nodeSockets},
+		"settings":  s.Settings(s.Fleet.Zones[0]),
+	})
+}
+
+// writeFleetFile writes the fleet's file with the address of one node.
+func writeFleetFile(path string, fleet fleetconfig.File, addr string) error {
+	fleet.Fleet.Listen = addr
+	fleet.Fleet.Advertise = addr
+	text, err := toml.Marshal(fleet)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, 0o600)
+}
+
+// leastScenario is the shortest scenario that settings of a node can be made of. The node has no client.
+const leastScenario = `about = "a node without clients"
+seconds = 1
+[fleet]
+nodes = 1
+caches = 1
+[traffic]
+per_second = 1
+keys = 1
+[[grade]]
+name = "read"
+share = 1
+benefit = 1
+soft_ms = 150
+hard_ms = 500
+work_ms = 2
+tries = 3
+`
+
+var adminClient = http.Client{Timeout: callBy, Transport: &http.Transport{DisableKeepAlives: true}}
+
+// status asks the node's admin server for its view of the fleet.
+func (n *RealNode) status() (status, error) {
+	response, err := adminClient.Get("http://" + n.admin + "/fleet/status")
+	if err != nil {
+		return status{}, err
+	}
+	defer response.Body.Close()
+	var s gossip.Status
+	if err := json.NewDecoder(io.LimitReader(response.Body, longestStatus)).Decode(&s); err != nil {
+		return status{}, err
+	}
+	return status{
+		Name:    n.Place.Name,
+		Members: s.Members,
+		Mark:    s.Mark,
+		CutOff:  s.CutOff,
+		Flows:   s.Flows,
+		Dropped: s.Dropped,
+	}, nil
+}
+
+// Close ends the node in order.
+func (n *RealNode) Close() { n.End(func() { _ = n.cmd.Process.Signal(syscall.SIGTERM) }) }
--- /dev/null
+++ b/internal/scale/snapshot.go
@@ -0,0 +1,85 @@
+package scale
+
+import (
+	"context"
+	"time"
+)
+
+// listFlow is the name of the flow of endpoint lists.
+const listFlow = "list"
+
+// snapshot is what each node has used since its start.
+type snapshot struct {
+	at    time.Time
+	nodes map[string]map[string]Flow // by node and flow
+	costs map[string]Cost            // by node: of hollow ones a share of their process
+	lost  uint64                     // messages that the emulated network dropped as its queue was full
+	drops uint64                     // messages that nodes had no capacity for
+}
+
+// read takes a snapshot. Costs are read before any node is asked, as answering costs processor time.
+func (f *fleetRun) read(ctx context.Context) (snapshot, error) {
+	if err := f.checkMemory(); err != nil {
+		return snapshot{}, err
+	}
+	s := snapshot{at: time.Now(), nodes: map[string]map[string]Flow{}}
+	var err error
+	if s.costs, err = f.costs(); err != nil {
+		return s, err
+	}
+	all, lost, err := f.statuses(ctx, doRead)
+	if err != nil {
+		return s, err
+	}
+	s.lost = lost
+	for _, st := range all {
+		flows := map[string]Flow{}
+		for _, traffic := range st.Flows {
+			flows[traffic.Name] = Flow{
+				Out:         float64(traffic.OutBytes),
+				In:          float64(traffic.InBytes),
+				OutMessages: float64(traffic.Out),
+				InMessages:  float64(traffic.In),
+			}
+		}
+		flows[listFlow] = f.list.flow(st.Name)
+		s.nodes[st.Name] = flows
+		s.drops += st.Dropped
+	}
+	return s, nil
+}
+
+// costs reads the cost of every node: of a hollow one, an equal share of its process's.
+func (f *fleetRun) costs() (map[string]Cost, error) {
+	costs := map[string]Cost{}
+	for _, h := range f.hollows {
+		cost, err := h.Cost()
+		if err != nil {
+			return nil, err
+		}
+		nodes := len(h.places)
+		share := Cost{
+			Processor: cost.Processor / time.Duration(nodes),
+			Waited:    cost.Waited / time.Duration(nodes),
+			Resident:  cost.Resident / uint64(nodes),
+		}
+		for _, at := range h.places {
+			costs[at.Name] = share
+		}
+	}
+	for _, n := range f.reals {
+		cost, err := n.Cost()
+		if err != nil {
+			return nil, err
+		}
+		costs[n.Place.Name] = cost
+	}
+	if f.alone != nil {
+		cost, err := f.alone.Cost()
+		if err != nil {
+			return nil, err
+		}
+		costs[alone] = cost
+	}
+	return costs, nil
+}
