--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -9,138 +9,255 @@
 )
 
 const (
-	apartAsked      = 10 * time.Millisecond // between two requests that placement is asked for: none waits for another
-	answersIn       = 2 * time.Millisecond
-	requestDeadline = time.Second
-	soonEnough      = 300 * time.Millisecond
-	turnedEvery     = 10 // requests, of which one is turned away at its first cache: so few that nobody takes them for full
-	holds           = 3  // caches of a key
+	requestInterval  = 10 * time.Millisecond // between two requests: none waits for another
+	answerLatency    = 2 * time.Millisecond
+	requestDeadline  = time.Second
+	latencyObjective = 300 * time.Millisecond
+	rejectEach       = 10 // one request in so many is rejected by its first cache: too few for a cache to count as full
+	replicasOfKey    = 3  // caches that hold a key
+	mostAttempts     = 2  // attempts of a read that are looked at
 )
 
-// Crossings are shares of attempts.
+// Crossings counts attempts, and the shares of them that leave the place of the node that makes them.
 type Crossings struct {
 	Attempts int
-	Zone     float64 // that leave the zone of the node that makes them
-	Region   float64
+	Zone     float64 // share that leaves the node's zone
+	Region   float64 // share that leaves the node's region
 }
 
-// Placement is what it comes to that caches stand in zones and regions, by the module's own placement, with all caches well and idle.
+// Placement is the effect of zones and regions on where requests go and replicas are, by the policy's own placement, with
+// all caches healthy and idle. All shares are from 0 to 1.
 type Placement struct {
-	Keys          int
-	First, Second Crossings // first attempts, and those after one that was turned away
-	Holders       int       // fewest caches of a key that were found
-	TwoInZone     float64   // share of keys that lose two of their three holders, or all, with some one zone
-	TwoInRegion   float64
-	WorstZone     float64 // share of keys that the zone which takes most of them takes two holders of
-	WorstRegion   float64
-}
-
-// PlaceKeys asks routers of all zones for many keys. A price of crossing is as in a deployment's settings; 0 for none.
-func PlaceKeys(at Places, caches, keys, nodes int, price float64) Placement {
-	region := func(zone int) int { return zone % at.Regions }
-	zoneOf := func(i int) int { // as nodes stand: region by region
-		return turnOf(i/at.Regions, RegionID(i%at.Regions), at.Regions, at.Zones)
-	}
-	zones, list := map[policy.EndpointID]int{}, []policy.Endpoint{}
-	for i := range caches {
-		e := policy.Endpoint{ID: policy.EndpointID(fmt.Sprintf("cache-%d", i+1)), Zone: policy.ZoneID(fmt.Sprintf("zone-%d", zoneOf(i))), Weight: 1}
-		zones[e.ID] = zoneOf(i)
-		list = append(list, e)
-	}
-	router := func(zone int) *policy.Router {
-		p := policy.New(1, int64(zone), policy.Settings{
-			Classes: []policy.ServiceClass{{PriorityWeight: 1, LatencyObjective: soonEnough, Idempotency: policy.Idempotent},
-				{PriorityWeight: 1, LatencyObjective: soonEnough, Idempotency: policy.IdempotentByKey, DedupScope: policy.AllCaches, DedupWindow: soonEnough}},
-			Zone: policy.ZoneID(fmt.Sprintf("zone-%d", zone)), Nodes: nodes, OriginKind: -1, CrossZoneCost: price, MaxAttempts: holds + 1, HedgingAllowed: true, CancelAllowed: true,
-			TickInterval: apartAsked, PollInterval: time.Hour, IdleTimeout: time.Hour, InFlightColumn: -1, QueueColumn: -1})
-		p.UpdateEndpoints(1, policy.CompleteUpdate, list)
-		return p
-	}
-	x := Placement{Keys: keys, Holders: holds}
-	first, second := [2]int{}, [2]int{}
-	worstZone, worstRegion := map[int]int{}, map[int]int{}
-	twoInZone, twoInRegion := 0, 0
+	Keys        int
+	First       Crossings // first attempts
+	Second      Crossings // attempts after one that was rejected
+	Holders     int       // fewest caches that a key was written to
+	TwoInZone   float64   // share of keys with two replicas or more in some one zone
+	TwoInRegion float64   // the same of regions
+	WorstZone   float64   // share of keys with two replicas or more in the zone where that is most frequent
+	WorstRegion float64   // the same of regions
+}
+
+// PlaceKeys asks routers of all zones for many keys, the same number in each zone. The cross-zone cost is as in a
+// deployment's settings, a share of a request; 0 for none.
+func PlaceKeys(at Places, caches, keys, nodes int, crossZoneCost float64) Placement {
+	s := newPlacementSurvey(at, caches)
+	keysOfZone := keys / at.Zones
 	for zone := range at.Zones {
-		p, now := router(zone), policy.Instant(1)
-		crosses := func(to []policy.EndpointID, in *Crossings, n *[2]int) {
-			if len(to) == 0 {
-				return
-			}
-			in.Attempts++
-			if z := zones[to[0]]; z != zone {
-				if n[0]++; region(z) != region(zone) {
-					n[1]++
-				}
-			}
+		router := s.router(zone, nodes, crossZoneCost)
+		now := policy.Instant(1)
+		for k := range keysOfZone {
+			now = now.Add(requestInterval)
+			key := fmt.Sprintf("key-%d-%d", zone, k) // each is requested once: none is hot
+			now = s.read(router, now, zone, key, k%rejectEach == 0)
+			s.write(router, now, key)
 		}
-		for k := range keys / at.Zones {
-			now = now.Add(apartAsked)
-			key := fmt.Sprintf("key-%d-%d", zone, k) // each is asked for once: none is in demand
-			r := &policy.Request{ID: policy.RequestID(key), Key: key, ArrivedAt: now, Deadline: now.Add(requestDeadline)}
-			m := p.Route(now, r)
-			crosses(m.SendTo, &x.First, &first)
-			for leg := 0; len(m.SendTo) > 0 && leg < 2; leg++ {
-				r.Attempts = append(r.Attempts, policy.Attempt{Endpoint: m.SendTo[0], SentAt: now, Result: policy.Answered})
-				if leg == 0 && k%turnedEvery == 0 {
-					r.Attempts[0].Result = policy.Rejected
-				}
-				now = now.Add(answersIn)
-				if m = p.OnAttemptDone(now, r, policy.Outcome{Attempt: leg, Latency: answersIn}); len(m.SendTo) > 0 {
-					crosses(m.SendTo, &x.Second, &second)
-				}
-			}
-			r.Finished = true
-			w := &policy.Request{ID: policy.RequestID(key + "-w"), Key: key, Class: 1, Write: true, ArrivedAt: now, Deadline: now.Add(requestDeadline)}
-			to := p.Route(now, w).SendTo // a write goes to all holders at once
-			x.Holders = min(x.Holders, len(to))
-			inZone, inRegion := map[int]int{}, map[int]int{}
-			for i, c := range to {
-				inZone[zones[c]]++
-				inRegion[region(zones[c])]++
-				w.Attempts = append(w.Attempts, policy.Attempt{Endpoint: c, SentAt: now, Result: policy.Answered})
-				p.OnAttemptDone(now.Add(answersIn), w, policy.Outcome{Attempt: i, Latency: answersIn})
-			}
-			w.Finished = true
-			count := func(in, worst map[int]int) (two bool) {
-				for at, n := range in {
-					if n >= 2 {
-						two = true
-						worst[at]++
-					}
-				}
-				return two
-			}
-			if count(inZone, worstZone) {
-				twoInZone++
-			}
-			if count(inRegion, worstRegion) {
-				twoInRegion++
-			}
+	}
+	return s.result(keysOfZone * at.Zones)
+}
+
+// placementSurvey collects where requests go.
+type placementSurvey struct {
+	places    Places
+	endpoints []policy.Endpoint
+	zoneOf    map[policy.EndpointID]int
+	first     crossingCount
+	second    crossingCount
+	replicas  int // fewest of a key
+	zones     colocation
+	regions   colocation
+}
+
+// crossingCount counts attempts that leave a zone or a region.
+type crossingCount struct {
+	attempts    int
+	leaveZone   int
+	leaveRegion int
+}
+
+func (c crossingCount) shares() Crossings {
+	return Crossings{
+		Attempts: c.attempts,
+		Zone:     share(c.leaveZone, c.attempts),
+		Region:   share(c.leaveRegion, c.attempts),
+	}
+}
+
+// colocation counts keys that have two replicas or more in one place, which is a zone or a region.
+type colocation struct {
+	keys    int         // with such a place
+	byPlace map[int]int // keys, by place
+}
+
+// add counts a key, by how many replicas it has in each place.
+func (c *colocation) add(replicas map[int]int) {
+	found := false
+	for place, n := range replicas {
+		if n >= 2 {
+			found = true
+			c.byPlace[place]++
 		}
 	}
-	x.Keys = keys / at.Zones * at.Zones
-	share := func(n, of int) float64 { return float64(n) / float64(max(1, of)) }
-	x.First.Zone, x.First.Region = share(first[0], x.First.Attempts), share(first[1], x.First.Attempts)
-	x.Second.Zone, x.Second.Region = share(second[0], x.Second.Attempts), share(second[1], x.Second.Attempts)
-	x.TwoInZone, x.TwoInRegion = share(twoInZone, x.Keys), share(twoInRegion, x.Keys)
-	for _, n := range worstZone {
-		x.WorstZone = max(x.WorstZone, share(n, x.Keys))
+	if found {
+		c.keys++
+	}
+}
+
+// worst is the share of keys at the place that has most of them.
+func (c *colocation) worst(keys int) float64 {
+	worst := 0.0
+	for _, n := range c.byPlace {
+		worst = max(worst, share(n, keys))
+	}
+	return worst
+}
+
+// newPlacementSurvey places caches as Lay places nodes: region by region, and evenly over a region's zones.
+func newPlacementSurvey(at Places, caches int) *placementSurvey {
+	s := &placementSurvey{
+		places:    at,
+		endpoints: []policy.Endpoint{},
+		zoneOf:    map[policy.EndpointID]int{},
+		replicas:  replicasOfKey,
+		zones:     colocation{byPlace: map[int]int{}},
+		regions:   colocation{byPlace: map[int]int{}},
 	}
-	for _, n := range worstRegion {
-		x.WorstRegion = max(x.WorstRegion, share(n, x.Keys))
+	for i := range caches {
+		zone := siteOrZone(i/at.Regions, RegionID(i%at.Regions), at.Regions, at.Zones)
+		id := policy.EndpointID(fmt.Sprintf("cache-%d", i+1))
+		s.zoneOf[id] = zone
+		s.endpoints = append(s.endpoints, policy.Endpoint{ID: id, Zone: zoneID(zone), Weight: 1})
 	}
-	return x
+	return s
 }
 
-// Print writes it.
-func (x *Placement) Print(to io.Writer) {
-	fmt.Fprintf(to, "%d keys, %d holders each at the least\n", x.Keys, x.Holders)
-	for _, c := range []struct {
-		what string
-		Crossings
-	}{{"first attempts", x.First}, {"attempts after one that was turned away", x.Second}} {
-		fmt.Fprintf(to, "%s: %d; %.1f%% leave the zone, %.1f%% the region\n", c.what, c.Attempts, 100*c.Zone, 100*c.Region)
+func zoneID(zone int) policy.ZoneID { return policy.ZoneID(fmt.Sprintf("zone-%d", zone)) }
+
+func (s *placementSurvey) region(zone int) int { return zone % s.places.Regions }
+
+// router returns the policy of a node in a zone, which knows all caches. Class 0 is for reads, class 1 for writes.
+func (s *placementSurvey) router(zone, nodes int, crossZoneCost float64) *policy.Router {
+	reads := policy.ServiceClass{
+		PriorityWeight:   1,
+		LatencyObjective: latencyObjective,
+		Idempotency:      policy.Idempotent,
 	}
-	fmt.Fprintf(to, "keys that lose two holders or more with one zone: %.2f%% (with the worst zone: %.2f%%); with one region: %.2f%% (with the worst: %.2f%%)\n",
-		100*x.TwoInZone, 100*x.WorstZone, 100*x.TwoInRegion, 100*x.WorstRegion)
+	writes := policy.ServiceClass{
+		PriorityWeight:   1,
+		LatencyObjective: latencyObjective,
+		Idempotency:      policy.IdempotentByKey,
+		DedupScope:       policy.AllCaches,
+		DedupWindow:      latencyObjective,
+	}
+	p := policy.New(1, int64(zone), policy.Settings{
+		Classes:        []policy.ServiceClass{reads, writes},
+		Zone:           zoneID(zone),
+		Nodes:          nodes,
+		OriginKind:     -1, // no origin
+		CrossZoneCost:  crossZoneCost,
+		MaxAttempts:    replicasOfKey + 1,
+		HedgingAllowed: true,
+		CancelAllowed:  true,
+		TickInterval:   requestInterval,
+		PollInterval:   time.Hour,
+		IdleTimeout:    time.Hour,
+		InFlightColumn: -1, // no load reports
+		QueueColumn:    -1,
+	})
+	p.UpdateEndpoints(1, policy.CompleteUpdate, s.endpoints)
+	return p
+}
+
+// read routes a read, whose first attempt is rejected on request, and returns the time after its last attempt.
+func (s *placementSurvey) read(p *policy.Router, now policy.Instant, zone int, key string, reject bool) policy.Instant {
+	r := &policy.Request{
+		ID:        policy.RequestID(key),
+		Key:       key,
+		ArrivedAt: now,
+		Deadline:  now.Add(requestDeadline),
+	}
+	sendTo := p.Route(now, r).SendTo
+	s.countAttempt(&s.first, zone, sendTo)
+	for attempt := 0; len(sendTo) > 0 && attempt < mostAttempts; attempt++ {
+		result := policy.Answered
+		if attempt == 0 && reject {
+			result = policy.Rejected
+		}
+		r.Attempts = append(r.Attempts, policy.Attempt{Endpoint: sendTo[0], SentAt: now, Result: result})
+		now = now.Add(answerLatency)
+		sendTo = p.OnAttemptDone(now, r, policy.Outcome{Attempt: attempt, Latency: answerLatency}).SendTo
+		s.countAttempt(&s.second, zone, sendTo)
+	}
+	r.Finished = true
+	return now
+}
+
+func (s *placementSurvey) countAttempt(count *crossingCount, zone int, sendTo []policy.EndpointID) {
+	if len(sendTo) == 0 {
+		return
+	}
+	count.attempts++
+	to := s.zoneOf[sendTo[0]]
+	if to != zone {
+		count.leaveZone++
+	}
+	if s.region(to) != s.region(zone) {
+		count.leaveRegion++
+	}
+}
+
+// write routes a write, which is sent to all replicas of its key at once, and counts where they are.
+func (s *placementSurvey) write(p *policy.Router, now policy.Instant, key string) {
+	w := &policy.Request{
+		ID:        policy.RequestID(key + "-w"),
+		Key:       key,
+		Class:     1,
+		Write:     true,
+		ArrivedAt: now,
+		Deadline:  now.Add(requestDeadline),
+	}
+	replicas := p.Route(now, w).SendTo
+	s.replicas = min(s.replicas, len(replicas))
+	inZone := map[int]int{}
+	inRegion := map[int]int{}
+	for i, cache := range replicas {
+		zone := s.zoneOf[cache]
+		inZone[zone]++
+		inRegion[s.region(zone)]++
+		w.Attempts = append(w.Attempts, policy.Attempt{Endpoint: cache, SentAt: now, Result: policy.Answered})
+		p.OnAttemptDone(now.Add(answerLatency), w, policy.Outcome{Attempt: i, Latency: answerLatency})
+	}
+	w.Finished = true
+	s.zones.add(inZone)
+	s.regions.add(inRegion)
+}
+
+func (s *placementSurvey) result(keys int) Placement {
+	return Placement{
+		Keys:        keys,
+		First:       s.first.shares(),
+		Second:      s.second.shares(),
+		Holders:     s.replicas,
+		TwoInZone:   share(s.zones.keys, keys),
+		TwoInRegion: share(s.regions.keys, keys),
+		WorstZone:   s.zones.worst(keys),
+		WorstRegion: s.regions.worst(keys),
+	}
+}
+
+// share is a part of a whole; 0 of nothing.
+func share(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+
+// Print writes the placement as four lines of text.
+func (p *Placement) Print(to io.Writer) {
+	fmt.Fprintf(to, "%d keys, %d holders each at the least\n", p.Keys, p.Holders)
+	p.First.print(to, "first attempts")
+	p.Second.print(to, "attempts after one that was turned away")
+	fmt.Fprintf(to, "keys that lose two holders or more with one zone: %.2f%% (with the worst zone: %.2f%%); "+
+		"with one region: %.2f%% (with the worst: %.2f%%)\n",
+		100*p.TwoInZone, 100*p.WorstZone, 100*p.TwoInRegion, 100*p.WorstRegion)
+}
+
+func (c Crossings) print(to io.Writer, what string) {
+	fmt.Fprintf(to, "%s: %d; %.1f%% leave the zone, %.1f%% the region\n", what, c.Attempts, 100*c.Zone, 100*c.Region)
 }
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -59,15 +59,15 @@
 		}
 		turn := in[p.Region]
 		in[p.Region]++
-		p.Site, p.Zone = turnOf(turn, p.Region, at.Regions, at.Sites), turnOf(turn, p.Region, at.Regions, at.Zones)
+		p.Site, p.Zone = siteOrZone(turn, p.Region, at.Regions, at.Sites), siteOrZone(turn, p.Region, at.Regions, at.Zones)
 		p.Addr = fmt.Sprintf("127.%d.%d.%d:%d", firstRegion+int(p.Region), k/inOctet, k%inOctet+1, port)
 		all = append(all, p)
 	}
 	return all
 }
 
-// turnOf is which of a region's sites or zones has a turn: those whose number leaves the region's.
-func turnOf(turn int, region RegionID, regions, of int) int {
+// siteOrZone is which of a region's sites or zones has a turn: those whose number leaves the region's.
+func siteOrZone(turn int, region RegionID, regions, of int) int {
 	mine := (of - int(region) + regions - 1) / regions
 	return turn%mine*regions + int(region)
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -392,7 +392,7 @@
 				t.Errorf("%s, %s: %.4f is not from %v to %v", name, what, got[0], got[1], got[2])
 			}
 		}
-		if x.Holders < holds-1 || x.Holders > holds || x.First.Attempts != x.Keys || x.Second.Attempts < x.Keys/turnedEvery*9/10 {
+		if x.Holders < replicasOfKey-1 || x.Holders > replicasOfKey || x.First.Attempts != x.Keys || x.Second.Attempts < x.Keys/rejectEach*9/10 {
 			t.Errorf("%s: %+v", name, x)
 		}
 	}
