--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -26,83 +26,148 @@
 // CachesReport is the judgement on caches.
 type CachesReport struct {
 	Breaches []Breach     `json:"breaches"`
-	Caches   int          `json:"caches"`
-	Purges   int          `json:"purges"`
-	Deletes  int          `json:"deletions"`
-	Emptied  int          `json:"emptied"`
-	Served   int          `json:"served"`
+	Caches   int          `json:"caches"`    // that left a record
+	Purges   int          `json:"purges"`    // of the whole log
+	Deletes  int          `json:"deletions"` // of single keys, at all caches
+	Emptied  int          `json:"emptied"`   // times that a cache was emptied as a whole
+	Served   int          `json:"served"`    // values that caches served
 	Plays    []CachesPlay `json:"plays"`
 }
 
-// Caches judges what caches did: purges are those of the whole log, with no index twice, records those of all caches.
+// Caches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all caches.
+// Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
 func Caches(purges []logtrace.Purged, records []logtrace.Cached, looked func(cache string) bool) CachesReport {
-	j := New(0, nil)
-	r := CachesReport{Purges: len(purges), Breaches: []Breach{}}
+	if looked == nil {
+		looked = func(string) bool { return true }
+	}
+	c := &cachesJudge{
+		judge:   New(0, nil),
+		looked:  looked,
+		purges:  purges,
+		deleted: make([]monotime.Instant, len(purges)),
+		done:    make([]monotime.Instant, len(purges)),
+		report:  CachesReport{Purges: len(purges)},
+	}
 	slices.SortFunc(purges, func(a, b logtrace.Purged) int { return cmp.Compare(a.Index, b.Index) })
-	of := map[string][]logtrace.Cached{}
-	for _, x := range records {
-		of[x.Cache] = append(of[x.Cache], x)
+	byCache := map[string][]logtrace.Cached{}
+	for _, record := range records {
+		byCache[record.Cache] = append(byCache[record.Cache], record)
+	}
+	c.report.Caches = len(byCache)
+	for name, all := range byCache {
+		c.cache(name, all)
+	}
+	c.report.Plays = c.plays()
+	c.report.Breaches = c.judge.breaches(OldServed, NotDone, NeverCounted)
+	return c.report
+}
+
+// cachesJudge judges one cache after the other.
+type cachesJudge struct {
+	judge   *Judge // collects the breaches
+	looked  func(cache string) bool
+	purges  []logtrace.Purged  // by index, ascending
+	deleted []monotime.Instant // by purge: its key's first deletion at the last cache; 0 for none
+	done    []monotime.Instant // by purge: when it counted as done at the last cache; 0 for never
+	report  CachesReport
+}
+
+// cacheHistory is what is known of one cache up to a record.
+type cacheHistory struct {
+	name      string
+	deletions map[string][]monotime.Instant // by key, ascending
+	emptied   monotime.Instant              // when it was last emptied as a whole
+	required  map[string]uint64             // by key: the version below which it must not serve any more
+	counted   int                           // purges that count as done here
+}
+
+// cache judges one cache by its records.
+func (c *cachesJudge) cache(name string, records []logtrace.Cached) {
+	slices.SortStableFunc(records, func(a, b logtrace.Cached) int { return cmp.Compare(a.At, b.At) })
+	h := &cacheHistory{
+		name:      name,
+		deletions: map[string][]monotime.Instant{},
+		emptied:   monotime.Never,
+		required:  map[string]uint64{},
+	}
+	for _, record := range records {
+		c.record(h, record)
+	}
+	if h.counted < len(c.purges) {
+		c.judge.broke(NeverCounted, "%s ended with %d purges of %d", name, h.counted, len(c.purges))
+	}
+	if !c.looked(name) {
+		return
 	}
-	r.Caches = len(of)
-	deleted, done := make([]monotime.Instant, len(purges)), make([]monotime.Instant, len(purges))
-	for name, all := range of {
-		slices.SortStableFunc(all, func(a, b logtrace.Cached) int { return cmp.Compare(a.At, b.At) })
-		first := map[string][]monotime.Instant{} // deletions of a key
-		emptied, purged, upTo := monotime.Never, map[string]uint64{}, 0
-		for _, x := range all {
-			switch x.What {
-			case logtrace.Deleted:
-				r.Deletes++
-				first[x.Key] = append(first[x.Key], x.At)
-			case logtrace.Emptied:
-				r.Emptied++
-				emptied = x.At
-			case logtrace.Served:
-				r.Served++
-				if want := purged[x.Key]; x.Version < want {
-					j.broke(OldServed, "%s: %s in version %d, after %d was purged", name, x.Key, x.Version, want)
-				}
-			case logtrace.Counted:
-				for ; upTo < len(purges) && purges[upTo].Index <= x.Index; upTo++ {
-					p := purges[upTo]
-					if d := first[p.Key]; emptied < p.Sent && (len(d) == 0 || d[len(d)-1] < p.Sent) {
-						j.broke(NotDone, "%s: entry %d", name, p.Index)
-					}
-					purged[p.Key] = max(purged[p.Key], p.Version)
-					if looked == nil || looked(name) {
-						done[upTo] = max(done[upTo], x.At)
-					}
-				}
-			}
+	for i, purge := range c.purges {
+		deletions := h.deletions[purge.Key]
+		first, _ := slices.BinarySearch(deletions, purge.Sent)
+		if first < len(deletions) {
+			c.deleted[i] = max(c.deleted[i], deletions[first])
 		}
-		if upTo < len(purges) {
-			j.broke(NeverCounted, "%s ended with %d purges of %d", name, upTo, len(purges))
+	}
+}
+
+// record takes a cache's next record.
+func (c *cachesJudge) record(h *cacheHistory, record logtrace.Cached) {
+	switch record.What {
+	case logtrace.Deleted:
+		c.report.Deletes++
+		h.deletions[record.Key] = append(h.deletions[record.Key], record.At)
+	case logtrace.Emptied:
+		c.report.Emptied++
+		h.emptied = record.At
+	case logtrace.Served:
+		c.report.Served++
+		if required := h.required[record.Key]; record.Version < required {
+			c.judge.broke(OldServed, "%s: %s in version %d, after %d was purged",
+				h.name, record.Key, record.Version, required)
 		}
-		for i, p := range purges {
-			d := first[p.Key]
-			if n, _ := slices.BinarySearch(d, p.Sent); n < len(d) && (looked == nil || looked(name)) {
-				deleted[i] = max(deleted[i], d[n])
-			}
+	case logtrace.Counted:
+		for h.counted < len(c.purges) && c.purges[h.counted].Index <= record.Index {
+			c.count(h, record.At)
 		}
 	}
-	plays, order := map[string]*[2][]time.Duration{}, []string{}
-	for i, p := range purges {
-		if plays[p.Play] == nil {
-			plays[p.Play], order = &[2][]time.Duration{}, append(order, p.Play)
+}
+
+// count takes the next purge as done at a cache.
+func (c *cachesJudge) count(h *cacheHistory, at monotime.Instant) {
+	purge := c.purges[h.counted]
+	deletions := h.deletions[purge.Key]
+	deletedSince := len(deletions) > 0 && deletions[len(deletions)-1] >= purge.Sent
+	if !deletedSince && h.emptied < purge.Sent {
+		c.judge.broke(NotDone, "%s: entry %d", h.name, purge.Index)
+	}
+	h.required[purge.Key] = max(h.required[purge.Key], purge.Version)
+	if c.looked(h.name) {
+		c.done[h.counted] = max(c.done[h.counted], at)
+	}
+	h.counted++
+}
+
+// plays sums up times by play, in the order in which the plays first appear in the log.
+func (c *cachesJudge) plays() []CachesPlay {
+	type times struct{ deleted, done []time.Duration }
+	byPlay := map[string]*times{}
+	var order []string
+	for i, purge := range c.purges {
+		t := byPlay[purge.Play]
+		if t == nil {
+			t = &times{}
+			byPlay[purge.Play] = t
+			order = append(order, purge.Play)
 		}
-		for n, at := range []monotime.Instant{deleted[i], done[i]} {
-			if at > 0 {
-				plays[p.Play][n] = append(plays[p.Play][n], at.Since(p.Sent))
-			}
+		if c.deleted[i] > 0 {
+			t.deleted = append(t.deleted, c.deleted[i].Since(purge.Sent))
+		}
+		if c.done[i] > 0 {
+			t.done = append(t.done, c.done[i].Since(purge.Sent))
 		}
 	}
+	var plays []CachesPlay
 	for _, play := range order {
-		r.Plays = append(r.Plays, CachesPlay{play, spans(plays[play][0]), spans(plays[play][1])})
-	}
-	for _, what := range []string{OldServed, NotDone, NeverCounted} {
-		if b := j.breach[what]; b != nil {
-			r.Breaches = append(r.Breaches, *b)
-		}
+		t := byPlay[play]
+		plays = append(plays, CachesPlay{Play: play, Deleted: spans(t.deleted), Done: spans(t.done)})
 	}
-	return r
+	return plays
 }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -1,6 +1,11 @@
-// Package judge looks at what a run of the log of changes left behind: none missing, none doubled, none out of order, none acknowledged
-// or in force before a majority had it on disk, nothing told too early; and how long the last node took. It takes nobody's own word for
-// any of it but the clocks.
+// Package checker checks the traces that a run of the replicated log left behind, and measures how long changes took.
+//
+// The invariants are: no entry is missing at a node, applied twice or applied out of order; none is acknowledged or in
+// force before a majority of the voters had it on disk; no node reports an entry before it has applied it; and a node
+// begins under the configuration in force. They are checked against the records of voters' disks, of the publisher and
+// of all nodes; of what processes say about each other only the clocks are trusted, which are those of one machine.
+//
+// A Judge takes its evidence in this order: Kept, Order, Saw, and then Report. It is not safe for concurrent use.
 package checker
 
 import (
@@ -13,7 +18,7 @@
 	"dahliapin/internal/monotime"
 )
 
-const mostExamples = 5 // of each breach that are told
+const mostExamples = 5 // of each breach that are reported
 
 // The breaches.
 const (
@@ -33,7 +38,7 @@
 	Examples []string `json:"examples"`
 }
 
-// Spans are times by rank.
+// Spans sum up a number of times, in seconds.
 type Spans struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
@@ -41,8 +46,8 @@
 	Most   float64 `json:"most_s"`
 }
 
-// PlayReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the last node of those
-// that are looked at.
+// PlayReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
+// last node of those that are looked at.
 type PlayReport struct {
 	Play        string `json:"play"`
 	Config      bool   `json:"config"` // of configurations, else of purges
@@ -53,7 +58,7 @@
 	NodesOfLast int    `json:"nodes_looked_at"`
 }
 
-// Report is the judgement.
+// Report is the judgement of a whole run.
 type Report struct {
 	Breaches []Breach     `json:"breaches"`
 	Entries  uint64       `json:"entries"`
@@ -79,11 +84,6 @@
 	index, mark uint64
 }
 
-type timed struct {
-	last  monotime.Instant
-	nodes int
-}
-
 // Judge gathers evidence: first what was kept and ordered, then each node's records in their order.
 type Judge struct {
 	voters  int
@@ -92,7 +92,7 @@
 	orders  []logtrace.Ordered
 	nodes   map[uint32]*nodeSeen
 	begins  []beginning
-	last    map[uint64]*timed // by index
+	applied map[uint64]monotime.Instant // by index: when the last node that is looked at had applied it
 	looked  func(node uint32) bool
 	breach  map[string]*Breach
 	report  Report
@@ -105,8 +105,15 @@
 	if looked == nil {
 		looked = func(uint32) bool { return true }
 	}
-	return &Judge{voters: voters, changes: map[uint64]*change{}, byIndex: map[uint64]uint64{}, nodes: map[uint32]*nodeSeen{}, last: map[uint64]*timed{},
-		looked: looked, breach: map[string]*Breach{}}
+	return &Judge{
+		voters:  voters,
+		changes: map[uint64]*change{},
+		byIndex: map[uint64]uint64{},
+		nodes:   map[uint32]*nodeSeen{},
+		applied: map[uint64]monotime.Instant{},
+		looked:  looked,
+		breach:  map[string]*Breach{},
+	}
 }
 
 func (j *Judge) broke(what, format string, args ...any) {
@@ -115,7 +122,8 @@
 		b = &Breach{What: what}
 		j.breach[what] = b
 	}
-	if b.Count++; len(b.Examples) < mostExamples {
+	b.Count++
+	if len(b.Examples) < mostExamples {
 		b.Examples = append(b.Examples, fmt.Sprintf(format, args...))
 	}
 }
@@ -180,7 +188,8 @@
 	if c.index != 0 && c.index != index {
 		j.broke(Doubled, "the change of entry %d is also entry %d to %s", c.index, index, by)
 	}
-	c.index, j.byIndex[index] = index, mark
+	c.index = index
+	j.byIndex[index] = mark
 }
 
 // Saw takes a node's next record.
@@ -198,32 +207,13 @@
 		if n.begun && r.Index <= n.applied {
 			j.broke(Doubled, "node %d began at %d after it had %d", r.Node, r.Index, n.applied)
 		}
-		j.begins = append(j.begins, beginning{r.Node, r.Index, r.Mark})
-		n.begun, n.applied = true, r.Index
+		j.begins = append(j.begins, beginning{node: r.Node, index: r.Index, mark: r.Mark})
+		n.begun = true
+		n.applied = r.Index
 	case logtrace.Refused:
 		j.report.Refused++
 	case logtrace.Applied:
-		j.report.Applied++
-		switch {
-		case r.Index <= n.applied:
-			j.broke(Doubled, "node %d applied %d after %d", r.Node, r.Index, n.applied)
-		case !n.begun || r.Index > n.applied+1:
-			j.broke(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
-		}
-		n.applied = max(n.applied, r.Index)
-		j.place(r.Mark, r.Index, fmt.Sprintf("node %d", r.Node))
-		if j.majority(r.Mark) > r.At {
-			j.broke(EarlyInForce, "node %d, entry %d", r.Node, r.Index)
-		}
-		if j.looked(r.Node) {
-			t := j.last[r.Index]
-			if t == nil {
-				t = &timed{}
-				j.last[r.Index] = t
-			}
-			t.last = max(t.last, r.At)
-			t.nodes++
-		}
+		j.onApplied(n, r)
 	case logtrace.Told:
 		if r.Index > n.applied {
 			j.broke(EarlyTold, "node %d told of %d with %d", r.Node, r.Index, n.applied)
@@ -231,6 +221,25 @@
 	}
 }
 
+// onApplied takes an entry that a node has applied.
+func (j *Judge) onApplied(n *nodeSeen, r logtrace.Record) {
+	j.report.Applied++
+	switch {
+	case r.Index <= n.applied:
+		j.broke(Doubled, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+	case !n.begun || r.Index > n.applied+1:
+		j.broke(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+	}
+	n.applied = max(n.applied, r.Index)
+	j.place(r.Mark, r.Index, fmt.Sprintf("node %d", r.Node))
+	if j.majority(r.Mark) > r.At {
+		j.broke(EarlyInForce, "node %d, entry %d", r.Node, r.Index)
+	}
+	if j.looked(r.Node) {
+		j.applied[r.Index] = max(j.applied[r.Index], r.At)
+	}
+}
+
 func spans(all []time.Duration) Spans {
 	if len(all) == 0 {
 		return Spans{}
@@ -239,12 +248,22 @@
 	at := func(q float64) float64 {
 		return all[min(len(all)-1, int(math.Ceil(q*float64(len(all))))-1)].Seconds()
 	}
-	return Spans{len(all), at(0.5), at(0.99), all[len(all)-1].Seconds()}
+	return Spans{Count: len(all), Median: at(0.5), P99: at(0.99), Most: all[len(all)-1].Seconds()}
 }
 
-// Report judges, once all evidence is in, so many nodes being expected.
+// Report judges, once all evidence is in. So many nodes are expected to have left a trace.
 func (j *Judge) Report(nodes int) Report {
+	j.checkEnds(nodes)
+	j.checkBeginnings()
 	j.report.Nodes = len(j.nodes)
+	j.report.Entries = uint64(len(j.byIndex))
+	j.report.Plays = append(j.report.Plays, j.plays()...)
+	j.report.Breaches = j.breaches(Missing, Doubled, OutOfOrder, EarlyAck, EarlyInForce, EarlyTold, OldBeginning)
+	return j.report
+}
+
+// checkEnds checks that all nodes left a trace and ended with all entries.
+func (j *Judge) checkEnds(nodes int) {
 	if len(j.nodes) != nodes {
 		j.broke(Missing, "%d nodes of %d left a trace", len(j.nodes), nodes)
 	}
@@ -253,6 +272,10 @@
 			j.broke(Missing, "node %d ended with %d of %d", id, n.applied, j.highest)
 		}
 	}
+}
+
+// checkBeginnings checks that each node began under the newest configuration at its first index.
+func (j *Judge) checkBeginnings() {
 	slices.Sort(j.configs)
 	for _, b := range j.begins {
 		at, _ := slices.BinarySearch(j.configs, b.index+1)
@@ -260,45 +283,74 @@
 			j.broke(OldBeginning, "node %d at %d, where configuration %d was in force", b.node, b.index, j.configs[at-1])
 		}
 	}
-	j.report.Entries = uint64(len(j.byIndex))
-	looked := 0
-	for id := range j.nodes {
-		if j.looked(id) {
-			looked++
-		}
-	}
-	type key struct {
+}
+
+// plays sums up times by play, in the order in which the plays were published.
+func (j *Judge) plays() []PlayReport {
+	type kind struct {
 		play   string
 		config bool
 	}
-	type times struct{ acked, sent, last []time.Duration }
-	all, order := map[key]*times{}, []key{}
-	unacked := map[key]int{}
+	type times struct {
+		acked     []time.Duration // from publishing to acknowledgement
+		fromSent  []time.Duration // from publishing to the last node
+		fromAcked []time.Duration // from acknowledgement to the last node
+		unacked   int
+	}
+	byKind := map[kind]*times{}
+	var order []kind
 	for _, o := range j.orders {
-		k := key{o.Play, o.Config}
-		if all[k] == nil {
-			all[k] = &times{}
+		k := kind{play: o.Play, config: o.Config}
+		t := byKind[k]
+		if t == nil {
+			t = &times{}
+			byKind[k] = t
 			order = append(order, k)
 		}
 		if o.Index == 0 {
-			unacked[k]++
+			t.unacked++
 			continue
 		}
-		all[k].acked = append(all[k].acked, time.Duration(o.Acked-o.Sent))
-		if t := j.last[o.Index]; t != nil {
-			all[k].sent = append(all[k].sent, time.Duration(t.last-o.Sent))
-			all[k].last = append(all[k].last, max(0, time.Duration(t.last-o.Acked)))
+		t.acked = append(t.acked, time.Duration(o.Acked-o.Sent))
+		if applied, ok := j.applied[o.Index]; ok {
+			t.fromSent = append(t.fromSent, time.Duration(applied-o.Sent))
+			t.fromAcked = append(t.fromAcked, max(0, time.Duration(applied-o.Acked)))
 		}
 	}
+	looked := j.nodesLookedAt()
+	var plays []PlayReport
 	for _, k := range order {
-		t := all[k]
-		j.report.Plays = append(j.report.Plays, PlayReport{k.play, k.config, spans(t.acked), spans(t.sent), spans(t.last), unacked[k], looked})
+		t := byKind[k]
+		plays = append(plays, PlayReport{
+			Play:        k.play,
+			Config:      k.config,
+			Acked:       spans(t.acked),
+			FromSent:    spans(t.fromSent),
+			FromAcked:   spans(t.fromAcked),
+			Unacked:     t.unacked,
+			NodesOfLast: looked,
+		})
 	}
-	j.report.Breaches = []Breach{}
-	for _, what := range []string{Missing, Doubled, OutOfOrder, EarlyAck, EarlyInForce, EarlyTold, OldBeginning} {
-		if b := j.breach[what]; b != nil {
-			j.report.Breaches = append(j.report.Breaches, *b)
+	return plays
+}
+
+func (j *Judge) nodesLookedAt() int {
+	looked := 0
+	for id := range j.nodes {
+		if j.looked(id) {
+			looked++
 		}
 	}
-	return j.report
+	return looked
+}
+
+// breaches returns what was broken, in the order given; never nil, as a report shows it as a list.
+func (j *Judge) breaches(kinds ...string) []Breach {
+	broken := []Breach{}
+	for _, kind := range kinds {
+		if b := j.breach[kind]; b != nil {
+			broken = append(broken, *b)
+		}
+	}
+	return broken
 }
