--- /dev/null
+++ b/internal/scale/logscale/rig/judge.go
@@ -0,0 +1,55 @@
+package rig
+
+import (
+	"encoding/json"
+	"os"
+	"time"
+
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/scale/logscale/checker"
+)
+
+// judge hands all that was left to the judge, and adds up what was used.
+func (r *run) judge() error {
+	off := r.specs[r.CutRegion]
+	inCut := func(node uint32) bool {
+		return r.cutFrom > 0 && node >= off.First && node < off.First+uint32(off.Nodes)
+	}
+	j := checker.New(machines-1, func(node uint32) bool { return !inCut(node) })
+	for i := range machines - 1 {
+		if err := logtrace.Lines(r.path("control-%d.trace", i), func(k logtrace.Kept) { j.Kept(i, k) }); err != nil {
+			return err
+		}
+	}
+	out, err := os.Create(r.path("orders.jsonl"))
+	if err != nil {
+		return err
+	}
+	defer out.Close()
+	w := json.NewEncoder(out)
+	for _, o := range r.orders {
+		j.Order(o)
+		_ = w.Encode(o)
+	}
+	target := uint64(0)
+	for _, o := range r.orders {
+		if r.cutUntil > 0 && o.Acked <= r.cutUntil {
+			target = max(target, o.Index)
+		}
+	}
+	for _, s := range r.specs {
+		if err := logtrace.Read(s.Trace, func(rec logtrace.Record) {
+			j.Saw(rec)
+			if inCut(rec.Node) && rec.What == logtrace.Applied && rec.Index == target {
+				r.report.Back = max(r.report.Back, time.Duration(rec.At-r.cutUntil).Seconds())
+			}
+		}); err != nil {
+			return err
+		}
+	}
+	r.report.Judge = j.Report(r.Nodes)
+	if err := r.judgeCaches(); err != nil {
+		return err
+	}
+	return r.usage()
+}
--- /dev/null
+++ b/internal/scale/logscale/rig/plays.go
@@ -0,0 +1,122 @@
+package rig
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"dahliapin/internal/control/controlclient"
+	"dahliapin/internal/membership/gossip"
+)
+
+const (
+	callsAtOnce = 256 // to publish, during a cut's backlog
+	backlogOf   = 190 // purges in one call during a cut: 34,200 in 180 calls
+	killedAt    = 3   // the leader fails after a third of the play
+	backAt      = 3   // and is back after another third
+)
+
+// steady publishes at the plan's rates. Where the plan says so, the leader fails meanwhile and comes back.
+func (r *run) steady(ctx context.Context) error {
+	var failover sync.WaitGroup
+	var failoverErr error
+	if r.Kill || r.Hang {
+		failover.Go(func() { failoverErr = r.failLeader() })
+	}
+	r.pace(ctx, Steady, r.For, r.PurgesASecond, r.ConfigsASecond)
+	failover.Wait()
+	return failoverErr
+}
+
+// failLeader stops or kills the leader a third into the play, and brings it back after another third.
+func (r *run) failLeader() error {
+	time.Sleep(r.For / killedAt)
+	o, err := r.caller.Overview()
+	if err != nil {
+		return err
+	}
+	leader := slices.IndexFunc(o.Servers, func(s controlclient.ServerStatus) bool { return s.IsLeader })
+	if leader < 0 {
+		return errors.New("nobody to kill leads")
+	}
+	if r.Hang {
+		_ = r.control[leader].Process.Signal(syscall.SIGSTOP)
+		r.say("control-%d, the leader, stands still at entry %d", leader, o.Last)
+		time.Sleep(r.For / backAt)
+		_ = r.control[leader].Process.Signal(syscall.SIGCONT)
+		r.say("control-%d goes on", leader)
+		return nil
+	}
+	_ = r.control[leader].Process.Kill()
+	_ = r.control[leader].Wait()
+	r.say("control-%d, the leader, was killed at entry %d", leader, o.Last)
+	time.Sleep(r.For / backAt)
+	if err := r.startControl(leader); err != nil {
+		return err
+	}
+	r.say("control-%d is back with its disk", leader)
+	return nil
+}
+
+// burst publishes many purges in one call.
+func (r *run) burst(ctx context.Context) error {
+	r.publish(ctx, Burst, r.purges(Burst, 0, burstPurges))
+	return nil
+}
+
+// cutOff cuts a region off while an hour's changes are published, and ends that. How soon the region has all entries again
+// is read from its nodes' traces.
+func (r *run) cutOff(ctx context.Context) error {
+	region := r.CutRegion
+	r.cutFrom = gossip.BootTime()
+	r.between.Cut(region, true)
+	r.say("region %d is cut off", region)
+	var steady sync.WaitGroup
+	// What the other regions are measured by, also while this one catches up.
+	steady.Go(func() { r.pace(ctx, Cut, r.CutFor+r.After, r.PurgesASecond, 0) })
+	begin := time.Now()
+	r.publishBacklog(ctx, begin)
+	time.Sleep(time.Until(begin.Add(r.CutFor)))
+	o, err := r.caller.Overview()
+	if err != nil {
+		return err
+	}
+	silent := 0
+	for _, n := range o.Nodes {
+		if n.Silent {
+			silent++
+		}
+	}
+	r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of the cut: newest entry %d, %d nodes silent, "+
+		"told by fleet changes", o.Last, silent))
+	r.between.Cut(region, false)
+	r.cutUntil = gossip.BootTime()
+	r.say("region %d is back; newest entry %d", region, o.Last)
+	steady.Wait()
+	return nil
+}
+
+// publishBacklog publishes the changes of a cut in calls that are spread evenly over it, and waits for all answers.
+func (r *run) publishBacklog(ctx context.Context, begin time.Time) {
+	calls := (r.CutPurges + backlogOf - 1) / backlogOf
+	slots := make(chan struct{}, callsAtOnce)
+	configs := 0
+	var backlog sync.WaitGroup
+	for i := range calls {
+		time.Sleep(time.Until(begin.Add(r.CutFor * time.Duration(i) / time.Duration(calls))))
+		proposals := r.purges("backlog", i*backlogOf, min(backlogOf, r.CutPurges-i*backlogOf))
+		for ; configs < r.CutConfigs*(i+1)/calls; configs++ {
+			proposals = append(proposals, configProposal("all-cut", configs))
+		}
+		slots <- struct{}{}
+		backlog.Go(func() {
+			defer func() { <-slots }()
+			r.publish(ctx, "backlog", proposals)
+		})
+	}
+	backlog.Wait()
+}
--- /dev/null
+++ b/internal/scale/logscale/rig/publish.go
@@ -0,0 +1,108 @@
+package rig
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"time"
+
+	"dahliapin/internal/control/controlclient"
+	"dahliapin/internal/control/replicatedlog"
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/membership/gossip"
+)
+
+const (
+	purgeRate   = 9.5              // purges per second, unless the plan states a rate
+	configRate  = 1                // configurations per second, with that
+	keyBytes    = 60               // of a purged key
+	configBytes = 2048             // of a configuration
+	burstPurges = 1000             // published in one call
+	publishBy   = 30 * time.Second // for a call to be answered
+)
+
+// purges are n purges of keys that are numbered from a number on.
+func (r *run) purges(play string, from, n int) (all []replicatedlog.Proposal) {
+	for i := range n {
+		key := fmt.Sprintf("%s/%08d/", play, from+i)
+		all = append(all, controlclient.NewProposal(replicatedlog.Purge, []byte(key+strings.Repeat("k", keyBytes-len(key)))))
+	}
+	return all
+}
+
+// publish publishes changes in one call, and records for the checker when that was and which indexes they got.
+func (r *run) publish(ctx context.Context, play string, all []replicatedlog.Proposal) {
+	ctx, done := context.WithTimeout(ctx, publishBy)
+	defer done()
+	r.cached(all)
+	sent := gossip.BootTime()
+	r.refill(all, sent)
+	at, err := r.caller.Publish(ctx, all)
+	acked := gossip.BootTime()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for i, p := range all {
+		o := logtrace.Ordered{
+			Mark:   p.ContentHash(),
+			Config: p.Kind == replicatedlog.Config,
+			Sent:   sent,
+			Acked:  acked,
+			Play:   play,
+		}
+		if i < len(at) {
+			o.Index = uint64(at[i])
+		}
+		r.orders = append(r.orders, o)
+		if p.Kind == replicatedlog.Purge && o.Index > 0 && r.Caches > 0 {
+			r.caches.purged = append(r.caches.purged, logtrace.Purged{
+				Index:   o.Index,
+				Key:     string(p.Body),
+				Version: 2,
+				Sent:    sent,
+				Play:    play,
+			})
+		}
+	}
+	if err != nil {
+		r.report.Notes = append(r.report.Notes, fmt.Sprintf("%s: %v", play, err))
+	}
+}
+
+// pace publishes purges and configurations at rates per second until a time has passed: each when it is due, whether or
+// not the earlier ones were answered, so that a slow log shows as late changes and not as fewer of them.
+func (r *run) pace(ctx context.Context, play string, lasts time.Duration, purgeRate, configRate float64) {
+	var all sync.WaitGroup
+	begin := time.Now()
+	purges := 0
+	configs := 0
+	for {
+		due := time.Duration(float64(purges) / purgeRate * float64(time.Second))
+		isConfig := false
+		if configRate > 0 {
+			configDue := time.Duration((float64(configs) + 0.5) / configRate * float64(time.Second))
+			if configDue < due {
+				due = configDue
+				isConfig = true
+			}
+		}
+		if due >= lasts || ctx.Err() != nil {
+			break
+		}
+		time.Sleep(time.Until(begin.Add(due)))
+		proposals := r.purges(play, purges, 1)
+		if isConfig {
+			proposals = []replicatedlog.Proposal{configProposal("all-"+play, configs)}
+			configs++
+		} else {
+			purges++
+		}
+		all.Go(func() { r.publish(ctx, play, proposals) })
+	}
+	all.Wait()
+}
+
+// configProposal is a configuration for all nodes, with a number that makes it differ from the others.
+func configProposal(name string, number int) replicatedlog.Proposal {
+	return controlclient.NewProposal(replicatedlog.Config, configuration(name, "127.0.0.1:1", number))
+}
--- /dev/null
+++ b/internal/scale/logscale/rig/report.go
@@ -0,0 +1,39 @@
+package rig
+
+import (
+	"dahliapin/internal/scale/logscale/checker"
+)
+
+const bytesPerMB = 1 << 20
+
+// Usage is what processes of a kind used during a play.
+type Usage struct {
+	Play     string  `json:"play"`
+	Role     string  `json:"role"`
+	Count    int     `json:"count"`
+	InRate   float64 `json:"bytes_in_s"` // a second for each: median
+	OutRate  float64 `json:"bytes_out_s"`
+	MostRate float64 `json:"most_bytes_s"` // in and out together, of the one with the most
+	Core     float64 `json:"percent_of_core"`
+	MostCore float64 `json:"most_percent_of_core"`
+	MB       float64 `json:"mb"` // resident, the most; for hollow nodes its share of the process's
+}
+
+// Report is a run's.
+type Report struct {
+	Nodes, Real, Regions int
+	Loss                 float64
+	Seed                 uint32
+	Load                 []string       `json:"load"` // of the machine, before and after
+	Judge                checker.Report `json:"judge"`
+	Usage                []Usage        `json:"usage"`
+	Notes                []string       `json:"notes"`
+	Back                 float64        `json:"back_s"` // from the end of the cut until the region had all; 0 for no cut
+	StaleInCut           int            `json:"stale_in_cut"`
+	Moves, Gaps          uint64
+	Caches               *checker.CachesReport `json:"caches,omitempty"`
+	CacheBack            float64               `json:"cache_back_s,omitempty"` // from the end of a cache's silence until all was done there that was published by then
+	RealWhole            int                   `json:"real_with_all"`
+	Shown                float64               `json:"shown_s"` // the most from an entry's acknowledgement until fleet changes showed it at every node
+	Asked                float64               `json:"asked_s"` // the most that one such call took meanwhile
+}
--- /dev/null
+++ b/internal/scale/logscale/rig/usage.go
@@ -0,0 +1,144 @@
+package rig
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"dahliapin/internal/emulator/logtrace"
+	"dahliapin/internal/monotime"
+)
+
+// mark is when a play began and ended, with what real and control processes had used.
+type mark struct {
+	play        string
+	from, until monotime.Instant
+	before      map[int]float64
+	after       map[int]float64
+	rss         map[int]int64
+}
+
+func (r *run) pids() (all []int) {
+	for _, p := range append(append([]*process{}, r.control[:]...), r.real...) {
+		all = append(all, p.Process.Pid)
+	}
+	return all
+}
+
+func (r *run) usedBy() map[int]float64 {
+	all := map[int]float64{}
+	for _, pid := range r.pids() {
+		all[pid] = used(pid)
+	}
+	return all
+}
+
+func (r *run) residentBy() map[int]int64 {
+	all := map[int]int64{}
+	for _, pid := range r.pids() {
+		all[pid] = resident(pid)
+	}
+	return all
+}
+
+// usage adds up what was used during each play.
+func (r *run) usage() error {
+	lastPlay := ""
+	if len(r.marks) > 0 {
+		lastPlay = r.marks[len(r.marks)-1].play
+	}
+	for _, m := range r.marks {
+		hollows, err := r.hollowUsage(m, m.play == lastPlay)
+		if err != nil {
+			return err
+		}
+		r.report.Usage = append(r.report.Usage, hollows)
+		r.addProcessUsage(m, "real node", r.real)
+		r.addProcessUsage(m, "control machine", r.control[:])
+	}
+	return nil
+}
+
+// hollowUsage is what a hollow node used during a play. After the last play, the totals of the run are read as well.
+func (r *run) hollowUsage(m mark, isLast bool) (Usage, error) {
+	u := Usage{Play: m.play, Role: "hollow node", Count: r.Nodes}
+	var in, out, both, core []float64
+	for region, spec := range r.specs {
+		first, last, err := r.samples(region, m)
+		if err != nil {
+			return u, err
+		}
+		if last.At <= first.At {
+			return u, fmt.Errorf("region %d left no figures of %s", region, m.play)
+		}
+		seconds := time.Duration(last.At - first.At).Seconds()
+		for n := range last.In {
+			if n >= len(first.In) {
+				break
+			}
+			inRate := float64(last.In[n]-first.In[n]) / seconds
+			outRate := float64(last.Out[n]-first.Out[n]) / seconds
+			in = append(in, inRate)
+			out = append(out, outRate)
+			both = append(both, inRate+outRate)
+		}
+		nodes := float64(spec.Nodes)
+		core = append(core, (last.CPU-first.CPU)/seconds/nodes*100)
+		u.MB = max(u.MB, float64(last.RSS)/nodes/bytesPerMB)
+		if isLast {
+			r.report.Moves += last.Moves
+			r.report.Gaps += last.Gaps
+		}
+	}
+	u.InRate = median(in)
+	u.OutRate = median(out)
+	u.MostRate = slices.Max(both)
+	u.Core = median(core)
+	u.MostCore = slices.Max(core)
+	return u, nil
+}
+
+// samples returns a region's last samples at the beginning and at the end of a play. Of the region that was cut off, it
+// also notes how many nodes took themselves for stale meanwhile.
+func (r *run) samples(region int, m mark) (first, last Sample, err error) {
+	err = logtrace.Lines(r.specs[region].Stats, func(s Sample) {
+		if s.At <= m.from || first.At == 0 {
+			first = s
+		}
+		if s.At <= m.until {
+			last = s
+		}
+		if r.cutFrom > 0 && region == r.CutRegion && s.At <= r.cutUntil {
+			r.report.StaleInCut = max(r.report.StaleInCut, s.Stale)
+		}
+	})
+	return first, last, err
+}
+
+// addProcessUsage adds what the processes of a role used during a play, if there are any. Of one that was killed and is
+// back, only what it used since then is known.
+func (r *run) addProcessUsage(m mark, role string, all []*process) {
+	if len(all) == 0 {
+		return
+	}
+	u := Usage{Play: m.play, Role: role, Count: len(all)}
+	seconds := time.Duration(m.until - m.from).Seconds()
+	var core []float64
+	for _, p := range all {
+		pid := p.Process.Pid
+		core = append(core, (m.after[pid]-m.before[pid])/seconds*100)
+		u.MB = max(u.MB, float64(m.rss[pid])/bytesPerMB)
+	}
+	u.Core = median(core)
+	u.MostCore = slices.Max(core)
+	r.report.Usage = append(r.report.Usage, u)
+}
+
+// median sorts its argument; 0 of none.
+func median(all []float64) float64 {
+	if len(all) == 0 {
+		return 0
+	}
+	slices.Sort(all)
+	return all[len(all)/2]
+}
