--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -30,7 +30,8 @@
 	}
 	defer f.Close()
 	cmd.Stderr = f
-	// A process group of its own: an interrupt from the terminal reaches the rig only, which then ends its processes in order.
+	// A process group of its own: an interrupt from the terminal reaches the rig only, which then ends its processes
+	// in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -60,7 +61,8 @@
 	return lines[len(lines)-1]
 }
 
-// End ends the process and waits for that: it calls ask, which is to request an orderly end, and kills the process after endsBy.
+// End ends the process and waits for that: it calls ask, which is to request an orderly end, and kills the process
+// after endsBy.
 func (c *Child) End(ask func()) {
 	ask()
 	select {
@@ -93,7 +95,8 @@
 	return cost, err
 }
 
-// processorTime reads the processor clock of a process, whose number is made of the pid as clock_getcpuclockid(3) has it.
+// processorTime reads the processor clock of a process, whose number is made of the pid as clock_getcpuclockid(3) has
+// it.
 func processorTime(pid int) (time.Duration, error) {
 	const schedulerClock = 2 // CPUCLOCK_SCHED
 	var t unix.Timespec
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"io"
 	"net"
+	"net/http"
 	"strconv"
 	"sync"
 	"time"
@@ -51,7 +52,8 @@
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n := &Node{Place: at}
-	if n.Post, err = gossip.Join(gossip.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: gossip.BootTime}, lines); err != nil {
+	config := gossip.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: gossip.BootTime}
+	if n.Post, err = gossip.Join(config, lines); err != nil {
 		return nil, err
 	}
 	n.parts = append(n.parts, turn(n.Post))
@@ -115,7 +117,13 @@
 }
 
 func follow(addr string, nodes int, seed uint32) *caller {
-	c := &caller{addr: addr, calls: discovery.New(nodes), chance: keyhash.Source{Seed: seed}, end: make(chan struct{}), done: make(chan struct{})}
+	c := &caller{
+		addr:   addr,
+		calls:  discovery.New(nodes),
+		chance: keyhash.Source{Seed: seed},
+		end:    make(chan struct{}),
+		done:   make(chan struct{}),
+	}
 	go func() {
 		defer close(c.done)
 		for {
@@ -185,10 +193,15 @@
 		return discovery.Refused
 	}
 	news, err := parser.ParseBytes(bytes.Clone(a.Body))
-	if a.Status != 200 || err != nil || !news.Exists("generation") || !c.calls.Accepts(news.GetInt("generation"), news.GetBool("reset")) {
+	if a.Status != http.StatusOK || err != nil || !news.Exists("generation") {
+		return discovery.Unreadable
+	}
+	generation := news.GetInt("generation")
+	isComplete := news.GetBool("reset")
+	if !c.calls.Accepts(generation, isComplete) {
 		return discovery.Unreadable
 	}
-	c.calls.OnUpdate(news.GetInt("generation"), news.GetBool("reset"))
+	c.calls.OnUpdate(generation, isComplete)
 	return taken
 }
 
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// answerBy is how long a process of hollow nodes may take for an order, beside the time that it is given for starts.
+	// answerBy is how long a process of hollow nodes may take for an order, beside the time that it is given for
+	// starts.
 	answerBy = 30 * time.Second
 	// longestAnswer bounds what is read of one answer, in bytes.
 	longestAnswer = 8 << 20
--- a/internal/scale/lines.go
+++ b/internal/scale/lines.go
@@ -19,18 +19,19 @@
 	lookAtCutBy = 20 * time.Millisecond // between looks of a stream that stands still
 )
 
-// ruler keeps the rules between regions for a process of hollow nodes. Hollow nodes keep them for what they send. Real ones know of no
-// rules: those to whom they send keep them for what comes from there.
+// ruler keeps the rules between regions for a process of hollow nodes. Hollow nodes keep them for what they send. Real
+// ones know of no rules: those to whom they send keep them for what comes from there.
 type ruler struct {
 	faults *netfault.Faults
 	late   atomic.Int64
 	lost   atomic.Uint64 // for want of room here, which no rule asked for
 }
 
-// Lines are sockets that go by the rules.
+// lines wraps a node's sockets so that they go by the rules of its region.
 func (r *ruler) lines(l gossip.Transport, region RegionID) gossip.Transport {
 	dial := l.Dial
-	l.Datagrams, l.Streams = &ruledDatagrams{PacketConn: l.Datagrams, r: r, region: region}, &ruledStreams{l.Streams, r, region}
+	l.Datagrams = &ruledDatagrams{PacketConn: l.Datagrams, r: r, region: region}
+	l.Streams = &ruledStreams{Listener: l.Streams, r: r, region: region}
 	l.Dial = func(addr string, within time.Duration) (net.Conn, error) {
 		by := time.Now().Add(within)
 		to, role, known := ofAddr(addr)
@@ -224,7 +225,8 @@
 }
 
 func setTo(at *atomic.Int64, t time.Time) {
-	if at.Store(0); !t.IsZero() {
+	at.Store(0)
+	if !t.IsZero() {
 		at.Store(t.UnixNano())
 	}
 }
--- a/internal/scale/listing.go
+++ b/internal/scale/listing.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-const longestWatch = time.Minute
+const longestWatch = time.Minute // that a call for changes is held open
 
-// listing stands for discovery: a door for each node, and what goes through it is counted. The list does not change, and all its caches
-// drain: a real node opens nothing to them.
+// listing stands for discovery. It has a listener for each node, so that traffic is counted by node. The list does not
+// change, and all its caches drain, so that a real node opens no connections to them.
 type listing struct {
-	whole, same []byte
-	mu          sync.Mutex
-	doors       map[string]*listDoor // by node
-	closed      chan struct{}
+	whole  []byte // the complete list
+	same   []byte // the update that nothing has changed
+	mu     sync.Mutex
+	doors  map[string]*listDoor // by node
+	closed chan struct{}
 }
 
 type listDoor struct {
@@ -35,8 +36,16 @@
 func openListing(caches int) *listing {
 	rows := []map[string]any{}
 	for i := range caches {
-		rows = append(rows, map[string]any{"instanceId": fmt.Sprintf("c%d", i+1), "hostPort": fmt.Sprintf("127.0.0.2:%d", 1+i), "zone": "z", "machineType": "cache", "cell": 0, "weight": 1,
-			"startedAtMs": 1, "lifecycle": "terminating"})
+		rows = append(rows, map[string]any{
+			"instanceId":  fmt.Sprintf("c%d", i+1),
+			"hostPort":    fmt.Sprintf("127.0.0.2:%d", 1+i),
+			"zone":        "z",
+			"machineType": "cache",
+			"cell":        0,
+			"weight":      1,
+			"startedAtMs": 1,
+			"lifecycle":   "terminating",
+		})
 	}
 	text := func(whole bool, rows []map[string]any) []byte {
 		b, err := json.Marshal(map[string]any{"generation": generation, "reset": whole, "instances": rows})
@@ -45,7 +54,12 @@
 		}
 		return b
 	}
-	return &listing{whole: text(true, rows), same: text(false, rows[:0]), doors: map[string]*listDoor{}, closed: make(chan struct{})}
+	return &listing{
+		whole:  text(true, rows),
+		same:   text(false, rows[:0]),
+		doors:  map[string]*listDoor{},
+		closed: make(chan struct{}),
+	}
 }
 
 // door opens one node's.
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -34,8 +34,8 @@
 	Plays    []CachesPlay `json:"plays"`
 }
 
-// Caches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all caches.
-// Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
+// Caches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
+// caches. Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
 func Caches(purges []logtrace.Purged, records []logtrace.Cached, looked func(cache string) bool) CachesReport {
 	if looked == nil {
 		looked = func(string) bool { return true }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -22,7 +22,7 @@
 
 // The breaches.
 const (
-	Missing      = "missing"                          // a node went on past an entry, or ended without an acknowledged one
+	Missing      = "missing"                          // a node skipped an entry, or ended without an acknowledged one
 	Doubled      = "doubled"                          // an entry applied twice, or a change ordered twice
 	OutOfOrder   = "out of order"                     // nodes, or who published, differ on what an index is
 	EarlyAck     = "acknowledged before a majority"   // fewer voters had it on disk by then
@@ -280,7 +280,8 @@
 	for _, b := range j.begins {
 		at, _ := slices.BinarySearch(j.configs, b.index+1)
 		if at > 0 && j.byIndex[j.configs[at-1]] != b.mark {
-			j.broke(OldBeginning, "node %d at %d, where configuration %d was in force", b.node, b.index, j.configs[at-1])
+			j.broke(OldBeginning, "node %d at %d, where configuration %d was in force",
+				b.node, b.index, j.configs[at-1])
 		}
 	}
 }
--- a/internal/scale/logscale/rig/between.go
+++ b/internal/scale/logscale/rig/between.go
@@ -14,10 +14,10 @@
 const (
 	pieceBytes   = 16 << 10               // of a stream that are carried at a time
 	segment      = 1448                   // bytes that one lost packet takes with it
-	firstAgain   = 200 * time.Millisecond // that a stream stands still for a lost packet: a usual first time-out of TCP, doubled each time
+	firstAgain   = 200 * time.Millisecond // a usual first retransmission time-out of TCP, doubled each time
 	synAgain     = time.Second            // the same for the packet that opens it
 	mostAgain    = 4                      // times that one is lost in a row
-	piecesAhead  = 64                     // on the way in one direction: the rest waits at its sender, as by TCP's window
+	piecesAhead  = 64                     // in flight in one direction; the sender waits then, as by TCP's window
 	lookAtCut    = 10 * time.Millisecond  // between looks of a stream that stands still
 	inRegion     = time.Millisecond       // one way, within a region
 	nextRegion   = 10 * time.Millisecond  // one way, to another, and
@@ -25,9 +25,10 @@
 	acceptPauses = 20 * time.Millisecond  // after a failure to accept
 )
 
-// Between is the network between regions, for streams: a door on loopback for each way. It adds the delay of the way; a lost packet, by
-// chance for each 1,448 bytes, makes the stream stand still by a time-out, as it comes again and what came behind it waits; while a
-// region is cut off all of its streams to others stand still, and what is begun or ended on them is not heard.
+// Between emulates the network between regions, for streams: it listens on loopback for each pair of a region and a
+// server elsewhere, and forwards with the delay between the two. A packet of 1,448 bytes is lost by chance, which
+// delays the stream by a retransmission time-out, as all that was sent after it waits. While a region is cut off, all
+// of its streams to others stall, and connections that are opened or closed meanwhile stay unnoticed at the other end.
 type Between struct {
 	regions int
 	loss    float64
@@ -44,7 +45,14 @@
 
 // NewBetween has nothing cut.
 func NewBetween(regions int, loss float64, seed uint32) *Between {
-	return &Between{regions: regions, loss: loss, seed: seed, cut: make([]atomic.Bool, regions), closed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	return &Between{
+		regions: regions,
+		loss:    loss,
+		seed:    seed,
+		cut:     make([]atomic.Bool, regions),
+		closed:  make(chan struct{}),
+		conns:   map[net.Conn]bool{},
+	}
 }
 
 // Late is how long something takes from one region to another.
@@ -179,7 +187,10 @@
 		for {
 			n, err := in.Read(buf)
 			if n > 0 {
-				p := piece{time.Now().Add(b.Late(from, to) + b.again(&chance, n, firstAgain)), append([]byte(nil), buf[:n]...)}
+				p := piece{
+					due:  time.Now().Add(b.Late(from, to) + b.again(&chance, n, firstAgain)),
+					data: append([]byte(nil), buf[:n]...),
+				}
 				select {
 				case pieces <- p:
 				case <-b.closed:
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	refilled   = 0.2                   // share of keys and caches to which a fill with the old value is under way when the purge is published
-	refillLate = 50 * time.Millisecond // before the longest that a fill may take, after which one is left out: the rig's timers are not exact
+	refilled   = 0.2                   // share of keys and caches with a fill of the old value in flight at a purge
+	refillLate = 50 * time.Millisecond // a fill is left out this long before its time is up, as timers are not exact
 	readEach   = 2 * time.Millisecond  // between two reads at caches
 )
 
-// caches are the rig's cache servers, each in a region, and what befell them. A key's value has the version 1 before its purge is published,
-// and 2 at the origin from then on.
+// caches are the rig's cache servers, each in a region, and what befell them. A key's value has the version 1 before
+// its purge is published, and 2 at the origin from then on.
 type caches struct {
 	all     []*cachestub.Cache
 	mu      sync.Mutex
@@ -95,7 +95,8 @@
 	return r.caches.chance.Float64()
 }
 
-// refill has fills with the old value under way when a purge is published: each ends within the longest that one may take.
+// refill has fills with the old value under way when a purge is published: each ends within the longest that one may
+// take.
 func (r *run) refill(all []replicatedlog.Proposal, sent monotime.Instant) {
 	for _, c := range r.caches.all {
 		for _, p := range all {
@@ -170,8 +171,8 @@
 			for _, m := range x.Servers {
 				why = append(why, fmt.Sprintf("%d: %s for %.1f s", m.Server, m.Reason, m.UnansweredS))
 			}
-			r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of its silence %s lacked %d of %d entries, told by fleet changes: %s",
-				x.Cache, x.Missing, o.Last, strings.Join(why, "; ")))
+			r.note("at the end of its silence %s lacked %d of %d entries, told by fleet changes: %s",
+				x.Cache, x.Missing, o.Last, strings.Join(why, "; "))
 		}
 	}
 	c.Break(cachestub.None, 0)
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -25,9 +25,10 @@
 )
 
 const (
-	sampleEach = time.Second
-	startOver  = 2 * time.Second // over which the hollow nodes of a process start
-	traceAhead = 1 << 20         // bytes of the trace written at once
+	sampleEach = time.Second      // between two samples
+	staleAfter = 30 * time.Second // without the leader, after which a node counts as stale
+	startOver  = 2 * time.Second  // over which the hollow nodes of a process start
+	traceAhead = 1 << 20          // bytes of the trace written at once
 )
 
 // Spec is what a process of hollow nodes is told.
@@ -96,12 +97,20 @@
 	return nil
 }
 
-// Begin and Take are a Reader's.
+// Start begins the node at an index under a configuration, as an Applier does, and records it.
 func (h *hollow) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
-	h.begins, h.mark = true, 0
+	h.begins = true
+	h.mark = 0
 	err := h.reader.Start(log, at, config)
-	if h.begins = false; err == nil {
-		h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: logtrace.Began})
+	h.begins = false
+	if err == nil {
+		h.to.put(logtrace.Record{
+			At:    gossip.BootTime(),
+			Index: uint64(at),
+			Mark:  h.mark,
+			Node:  h.number,
+			What:  logtrace.Began,
+		})
 	}
 	return err
 }
@@ -146,8 +155,18 @@
 	for i := range s.Nodes {
 		h := &hollow{to: to, number: s.First + uint32(i)}
 		h.reader = replicatedlog.NewApplier(h)
-		all = append(all, logfollower.Start(logfollower.Config{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, Servers: s.At, Seed: s.Seed + h.number, StaleAfter: 30 * time.Second,
-			Applier: h, Log: log, Now: gossip.BootTime, OnProgressSent: h.told}))
+		all = append(all, logfollower.Start(logfollower.Config{
+			Name:           Name(h.number),
+			Process:        uint64(h.number) + 1,
+			Label:          s.Label,
+			Servers:        s.At,
+			Seed:           s.Seed + h.number,
+			StaleAfter:     staleAfter,
+			Applier:        h,
+			Log:            log,
+			Now:            gossip.BootTime,
+			OnProgressSent: h.told,
+		}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
 	each := time.NewTicker(sampleEach)
@@ -172,8 +191,11 @@
 	s := Sample{At: gossip.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
 	for _, f := range all {
 		now := f.Status()
-		s.In, s.Out = append(s.In, now.BytesIn), append(s.Out, now.BytesOut)
-		s.Moves, s.Gaps, s.Least = s.Moves+now.Moves, s.Gaps+now.Gaps, min(s.Least, uint64(now.Applied))
+		s.In = append(s.In, now.BytesIn)
+		s.Out = append(s.Out, now.BytesOut)
+		s.Moves += now.Moves
+		s.Gaps += now.Gaps
+		s.Least = min(s.Least, uint64(now.Applied))
 		if now.Stale {
 			s.Stale++
 		}
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"slices"
 	"sync"
 	"syscall"
@@ -68,8 +67,8 @@
 	return nil
 }
 
-// cutOff cuts a region off while an hour's changes are published, and ends that. How soon the region has all entries again
-// is read from its nodes' traces.
+// cutOff cuts a region off while an hour's changes are published, and ends that. How soon the region has all entries
+// again is read from its nodes' traces.
 func (r *run) cutOff(ctx context.Context) error {
 	region := r.CutRegion
 	r.cutFrom = gossip.BootTime()
@@ -91,8 +90,7 @@
 			silent++
 		}
 	}
-	r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of the cut: newest entry %d, %d nodes silent, "+
-		"told by fleet changes", o.Last, silent))
+	r.note("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent)
 	r.between.Cut(region, false)
 	r.cutUntil = gossip.BootTime()
 	r.say("region %d is back; newest entry %d", region, o.Last)
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -26,7 +26,8 @@
 func (r *run) purges(play string, from, n int) (all []replicatedlog.Proposal) {
 	for i := range n {
 		key := fmt.Sprintf("%s/%08d/", play, from+i)
-		all = append(all, controlclient.NewProposal(replicatedlog.Purge, []byte(key+strings.Repeat("k", keyBytes-len(key)))))
+		key += strings.Repeat("k", keyBytes-len(key))
+		all = append(all, controlclient.NewProposal(replicatedlog.Purge, []byte(key)))
 	}
 	return all
 }
@@ -65,7 +66,7 @@
 		}
 	}
 	if err != nil {
-		r.report.Notes = append(r.report.Notes, fmt.Sprintf("%s: %v", play, err))
+		r.note("%s: %v", play, err)
 	}
 }
 
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -28,12 +28,14 @@
 	Judge                checker.Report `json:"judge"`
 	Usage                []Usage        `json:"usage"`
 	Notes                []string       `json:"notes"`
-	Back                 float64        `json:"back_s"` // from the end of the cut until the region had all; 0 for no cut
+	Back                 float64        `json:"back_s"` // from the end of the cut until the region had all; 0: no cut
 	StaleInCut           int            `json:"stale_in_cut"`
 	Moves, Gaps          uint64
 	Caches               *checker.CachesReport `json:"caches,omitempty"`
-	CacheBack            float64               `json:"cache_back_s,omitempty"` // from the end of a cache's silence until all was done there that was published by then
-	RealWhole            int                   `json:"real_with_all"`
-	Shown                float64               `json:"shown_s"` // the most from an entry's acknowledgement until fleet changes showed it at every node
-	Asked                float64               `json:"asked_s"` // the most that one such call took meanwhile
+	// CacheBack is from the end of a cache's silence until all purges published by then were done there.
+	CacheBack float64 `json:"cache_back_s,omitempty"`
+	RealWhole int     `json:"real_with_all"`
+	// Shown is the most from an entry's acknowledgement until the command fleet changes showed it at every node.
+	Shown float64 `json:"shown_s"`
+	Asked float64 `json:"asked_s"` // the most that one such call took meanwhile
 }
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -2,8 +2,9 @@
 // disks, a process of many hollow nodes for each region, some real nodes, and an emulated network between regions with
 // delay, loss and partitions. Package checker then checks the traces that all of them left behind.
 //
-// Play runs a Plan: it starts all processes, runs the plan's plays one after the other, waits after each until every node
-// has every entry, ends the processes and returns the Report. A run owns its processes and the network; they end with it.
+// Play runs a Plan: it starts all processes, runs the plan's plays one after the other, waits after each until every
+// node has every entry, ends the processes and returns the Report. A run owns its processes and the network; they end
+// with it.
 package rig
 
 import (
@@ -56,6 +57,11 @@
 	fmt.Fprintf(r.Log, "%s "+format+"\n", append([]any{time.Now().Format("15:04:05")}, args...)...)
 }
 
+// note adds a remark to the report.
+func (r *run) note(format string, args ...any) {
+	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
+}
+
 // Load is the machine's.
 func Load() string {
 	text, _ := os.ReadFile("/proc/loadavg")
@@ -68,8 +74,19 @@
 		p.PurgesASecond = purgeRate
 		p.ConfigsASecond = configRate
 	}
-	r := &run{Plan: p, between: NewBetween(p.Regions, p.Loss, p.Seed), caches: caches{chance: keyhash.Source{Seed: p.Seed}, closed: make(chan struct{})}}
-	r.report = Report{Nodes: p.Nodes, Real: p.Real, Regions: p.Regions, Loss: p.Loss, Seed: p.Seed, Load: []string{Load()}}
+	r := &run{
+		Plan:    p,
+		between: NewBetween(p.Regions, p.Loss, p.Seed),
+		caches:  caches{chance: keyhash.Source{Seed: p.Seed}, closed: make(chan struct{})},
+		report: Report{
+			Nodes:   p.Nodes,
+			Real:    p.Real,
+			Regions: p.Regions,
+			Loss:    p.Loss,
+			Seed:    p.Seed,
+			Load:    []string{Load()},
+		},
+	}
 	defer r.between.Close()
 	defer r.kill()
 	defer r.closeCaches()
@@ -125,7 +142,8 @@
 // shown measures how soon fleet changes shows an entry at every node.
 func (r *run) shown(ctx context.Context, play string) {
 	for i := range showings {
-		r.publish(ctx, "shown", []replicatedlog.Proposal{controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))})
+		purge := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))
+		r.publish(ctx, "shown", []replicatedlog.Proposal{purge})
 		o := r.orders[len(r.orders)-1]
 		for by := time.Now().Add(showBy); o.Index > 0 && time.Now().Before(by); time.Sleep(showEach) {
 			asked := time.Now()
@@ -156,7 +174,8 @@
 					behind = append(behind, fmt.Sprintf("%+v", n))
 				}
 			}
-			r.report.Notes = append(r.report.Notes, fmt.Sprintf("not all had all: %v, led %t, %d nodes, behind: %.2000s", err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; ")))
+			r.note("not all had all: %v, led %t, %d nodes, behind: %.2000s",
+				err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; "))
 			return nil // the judge says what is missing
 		}
 	}
@@ -166,7 +185,7 @@
 func (r *run) realWhole() {
 	o, err := r.caller.Overview()
 	if err != nil {
-		r.report.Notes = append(r.report.Notes, err.Error())
+		r.note("%v", err)
 		return
 	}
 	for _, n := range o.Nodes {
--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -25,8 +25,8 @@
 	Region   float64 // share that leaves the node's region
 }
 
-// Placement is the effect of zones and regions on where requests go and replicas are, by the policy's own placement, with
-// all caches healthy and idle. All shares are from 0 to 1.
+// Placement is the effect of zones and regions on where requests go and replicas are, by the policy's own placement,
+// with all caches healthy and idle. All shares are from 0 to 1.
 type Placement struct {
 	Keys        int
 	First       Crossings // first attempts
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -39,8 +39,8 @@
 	inOctet     = 250
 )
 
-// Lay puts nodes where they stand. The real ones are all in one region, the first: between two of them no rule would be kept. All others
-// go where the fewest are.
+// Lay gives each node its place. The real ones are all in the first region, as no rule would apply between two of them.
+// Each of the others goes to the region with the fewest nodes.
 func Lay(nodes, real int, at Places, port uint16) (all []Place) {
 	in, hollows := make([]int, at.Regions), make([]int, at.Regions)
 	for i := range nodes {
@@ -57,19 +57,21 @@
 			k = hollows[p.Region]
 			hollows[p.Region]++
 		}
-		turn := in[p.Region]
+		number := in[p.Region]
 		in[p.Region]++
-		p.Site, p.Zone = siteOrZone(turn, p.Region, at.Regions, at.Sites), siteOrZone(turn, p.Region, at.Regions, at.Zones)
+		p.Site = siteOrZone(number, p.Region, at.Regions, at.Sites)
+		p.Zone = siteOrZone(number, p.Region, at.Regions, at.Zones)
 		p.Addr = fmt.Sprintf("127.%d.%d.%d:%d", firstRegion+int(p.Region), k/inOctet, k%inOctet+1, port)
 		all = append(all, p)
 	}
 	return all
 }
 
-// siteOrZone is which of a region's sites or zones has a turn: those whose number leaves the region's.
-func siteOrZone(turn int, region RegionID, regions, of int) int {
+// siteOrZone is the site or zone of a region's node with a number, of so many in all regions. Sites and zones are dealt
+// out to regions in turn, and a region's nodes in turn to its own.
+func siteOrZone(number int, region RegionID, regions, of int) int {
 	mine := (of - int(region) + regions - 1) / regions
-	return turn%mine*regions + int(region)
+	return number%mine*regions + int(region)
 }
 
 // whose tells by an address in which region a node stands, and whether it is a real one.
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,6 +1,3 @@
-// Package scale measures what the control part of a fleet costs at its size, on one machine: nodes without clients and caches, many to a
-// process (hollow nodes, as Kubemark has them), beside real ones, with rules between regions and a region that is cut off. It counts bytes,
-// messages, processor time and memory by size, and says by how much each grows with a node more.
 package scale
 
 import (
@@ -25,6 +22,7 @@
 	ShortestFor   = 2 * time.Second  // a window in which anything can be counted
 	LongestFor    = 10 * time.Minute // each size has one
 	hollowsEach   = 60               // hollow nodes in a process
+	mostBudget    = 1e6              // of any unit
 )
 
 // Plan is what is measured, and how.
@@ -38,7 +36,7 @@
 	Each   int // hollow nodes in a process; 0 for the usual
 }
 
-// File is what an operator states of a fleet to be. Without it there is one region, nothing goes wrong and no budget is stated.
+// File is what an operator states about a planned fleet. Without it there is one region, without faults or a budget.
 type File struct {
 	Places  Places              `toml:"places"`
 	Starts  Starts              `toml:"starts"`
@@ -50,57 +48,63 @@
 	Budget  Budget              `toml:"budget"`
 }
 
-// Places say where nodes stand: in regions, turn and turn about.
+// Places are how many regions, sites and zones there are. Nodes are spread evenly over them.
 type Places struct {
 	Regions int `toml:"regions"`
 	Sites   int `toml:"sites"`
 	Zones   int `toml:"zones"`
 }
 
-// Starts are how nodes are started: one after the other, or all fight for the one machine's cores at once, which nodes of a fleet do not.
+// Starts is how nodes are started: one after the other. All at once they would compete for the cores of one machine,
+// which nodes of a fleet do not.
 type Starts struct {
-	ApartMs float64 `toml:"apart_ms"`
+	ApartMs float64 `toml:"apart_ms"` // between two starts
 }
 
-// Between is what becomes of what crosses from one region to another: one rule for each pair. Within a region nothing goes wrong.
+// Between is the network between regions: one rule for each pair. Within a region there are no faults.
 type Between struct {
-	DelayMs     float64 `toml:"delay_ms"`      // the least of any pair
-	DelayMostMs float64 `toml:"delay_most_ms"` // the most: each pair has one delay from here to there, by chance
-	LateMs      float64 `toml:"late_ms"`       // more for each message, by chance, so that they overtake each other
+	DelayMs     float64 `toml:"delay_ms"`      // the least one-way delay of any pair
+	DelayMostMs float64 `toml:"delay_most_ms"` // the most; each pair has one delay, drawn between the two
+	LateMs      float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
 	Loss        float64 `toml:"loss"`          // share of datagrams
 }
 
-// Cut is one region that neither hears nor is heard for a time. Without a time there is none.
+// Cut is a partition of one region from all others for a time; 0 s for none.
 type Cut struct {
 	Region int     `toml:"region"` // from 0
 	ForS   float64 `toml:"for_s"`
 }
 
-// Lost is one hollow node that ends at once, without a word, and is started anew. Without a time there is none.
+// Lost is a crash of one hollow node, which is started again after a time; 0 s for none.
 type Lost struct {
 	ForS float64 `toml:"for_s"`
 }
 
-// List is what discovery tells.
+// List is the endpoint list that discovery serves.
 type List struct {
-	Caches int `toml:"caches"`
+	Caches int `toml:"caches"` // endpoints in it
 }
 
-// Budget is what a node may take at the stated size; 0 for none stated. It holds for the mean over all nodes while nothing happens.
+// Budget is what a node may use at the stated size, on average over all nodes in the steady phase; 0 for no limit.
 type Budget struct {
 	CorePercent float64 `toml:"core_percent"` // of one core
 	MemoryMB    float64 `toml:"memory_mb"`    // resident
 	KBPerS      float64 `toml:"kb_per_s"`     // thousands of bytes, sent and received together
 }
 
-func usual() File {
-	return File{Places: Places{Regions: 1, Sites: 1, Zones: 1}, Starts: Starts{ApartMs: 25}, Members: fleetconfig.Default().Members}
+// defaultFile is the file of an operator who states nothing.
+func defaultFile() File {
+	return File{
+		Places:  Places{Regions: 1, Sites: 1, Zones: 1},
+		Starts:  Starts{ApartMs: 25},
+		Members: fleetconfig.Default().Members,
+	}
 }
 
-// ReadFile reads such a file; no name is for the usual.
+// ReadFile reads an operator's file; without a path it returns the default.
 func ReadFile(path string) (File, error) {
 	if path == "" {
-		return usual(), nil
+		return defaultFile(), nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -109,9 +113,9 @@
 	return ParseFile(path, text)
 }
 
-// ParseFile reads its text; what is wrong is told with its line.
+// ParseFile parses an operator's file. Its error names all that is wrong, with lines.
 func ParseFile(name string, text []byte) (File, error) {
-	f := usual()
+	f := defaultFile()
 	c, err := strictconfig.Parse(name, text, &f)
 	if err != nil {
 		return f, err
@@ -133,13 +137,13 @@
 	c.InRange(f.Lost.ForS, 0, 600, "lost.for_s")
 	c.InRange(float64(f.List.Caches), 0, 10_000, "list.caches")
 	fleetconfig.CheckMembers(c, &f.Members)
-	for path, x := range map[string]float64{"core_percent": f.Budget.CorePercent, "memory_mb": f.Budget.MemoryMB, "kb_per_s": f.Budget.KBPerS} {
-		c.InRange(x, 0, 1e6, "budget."+path)
-	}
+	c.InRange(f.Budget.CorePercent, 0, mostBudget, "budget.core_percent")
+	c.InRange(f.Budget.MemoryMB, 0, mostBudget, "budget.memory_mb")
+	c.InRange(f.Budget.KBPerS, 0, mostBudget, "budget.kb_per_s")
 	return f, c.Err()
 }
 
-// Check tells in one line what is wrong with a plan, and puts its sizes in order.
+// Check completes a plan with defaults and sorts its sizes. Its error is one line that says what is wrong.
 func (p *Plan) Check() error {
 	if p.Each == 0 {
 		p.Each = hollowsEach
@@ -167,7 +171,8 @@
 	}
 	for _, n := range p.Sizes {
 		if n < FewestNodes || n > MostNodes || n <= p.Real {
-			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones", n, FewestNodes, MostNodes)
+			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones",
+				n, FewestNodes, MostNodes)
 		}
 		if processes := p.Real + (n-p.Real+p.Each-1)/p.Each + 1; processes > MostProcesses {
 			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MostProcesses)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -43,7 +43,8 @@
 	return sizes, means
 }
 
-// fitSlope fits a line to a figure of hollow nodes, adds what real nodes use beyond them, and compares it with the budget.
+// fitSlope fits a line to a figure of hollow nodes, adds what real nodes use beyond them, and compares it with the
+// budget.
 func (r *Report) fitSlope(what, unit string, budget float64, of figure) {
 	sizes, means := r.means(Hollow, of)
 	if len(sizes) == 0 {
@@ -71,7 +72,8 @@
 	r.Slopes = append(r.Slopes, slope)
 }
 
-// value is what is compared with the budget: what a real node uses at the stated size, by measurement or else by the line.
+// value is what is compared with the budget: what a real node uses at the stated size, by measurement or else by the
+// line.
 func (s *Slope) value() float64 { return cmp.Or(s.Measured, s.At) + max(0, s.Added) }
 
 // evaluate fits all figures and compares them with the budget.
@@ -104,7 +106,8 @@
 	return func(s *Size, role Role) (Spread, bool) { return s.flow(phase, role, what) }
 }
 
-// totalIn is what is sent and received in a whole phase, in kB. Only its mean is scaled, which is all that a slope reads.
+// totalIn is what is sent and received in a whole phase, in kB. Only its mean is scaled, which is all that a slope
+// reads.
 func totalIn(phase string) figure {
 	return func(s *Size, role Role) (Spread, bool) {
 		spread, measured := s.flow(phase, role, bothWays)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -304,7 +304,7 @@
 // is back once it may. Their calls for the list are those of a node.
 func TestHollowNodesAndACutRegion(t *testing.T) {
 	const nodes, regions, off = 9, 3, 1
-	f := usual()
+	f := defaultFile()
 	f.Places = Places{regions, regions, regions}
 	f.Between = Between{DelayMs: 2, DelayMostMs: 10, LateMs: 1, Loss: 0.01}
 	r := &ruler{faults: f.Faults(7)}
