--- a/internal/scale/listing.go
+++ b/internal/scale/endpointlists.go
@@ -13,27 +13,29 @@
 
 const longestWatch = time.Minute // that a call for changes is held open
 
-// listing stands for discovery. It has a listener for each node, so that traffic is counted by node. The list does not
-// change, and all its caches drain, so that a real node opens no connections to them.
-type listing struct {
+// endpointLists stands for discovery. It has a listener for each node, so that traffic is counted by node. The list
+// does not change, and all its caches drain, so that a real node opens no connections to them.
+type endpointLists struct {
 	whole  []byte // the complete list
 	same   []byte // the update that nothing has changed
 	mu     sync.Mutex
-	doors  map[string]*listDoor // by node
+	doors  map[string]*listListener // by node
 	closed chan struct{}
 }
 
-type listDoor struct {
+// listListener is where one node calls for the list.
+type listListener struct {
 	at    net.Listener
 	web   *http.Server
 	calls atomic.Uint64
-	// as the node sees it
-	in, out atomic.Uint64
+	in    atomic.Uint64 // bytes that the node received
+	out   atomic.Uint64 // bytes that the node sent
 }
 
-const generation = 1
+const generation = 1 // of the list, which does not change
 
-func openListing(caches int) *listing {
+// openEndpointLists serves a list of so many caches.
+func openEndpointLists(caches int) *endpointLists {
 	rows := []map[string]any{}
 	for i := range caches {
 		rows = append(rows, map[string]any{
@@ -54,33 +56,34 @@
 		}
 		return b
 	}
-	return &listing{
+	return &endpointLists{
 		whole:  text(true, rows),
 		same:   text(false, rows[:0]),
-		doors:  map[string]*listDoor{},
+		doors:  map[string]*listListener{},
 		closed: make(chan struct{}),
 	}
 }
 
-// door opens one node's.
-func (l *listing) door(node string) (string, error) {
+// listen opens a node's own listener, and returns its address.
+func (l *endpointLists) listen(node string) (string, error) {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("discovery cannot listen: %w", err)
 	}
-	d := &listDoor{at: at}
+	d := &listListener{at: at}
 	d.web = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		d.calls.Add(1)
 		l.serve(out, in)
 	})}
-	go d.web.Serve(countedDoor{at, d}) // until it is closed
+	go d.web.Serve(countingListener{Listener: at, d: d}) // until close
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.doors[node] = d
 	return at.Addr().String(), nil
 }
 
-func (l *listing) serve(out http.ResponseWriter, in *http.Request) {
+// serve answers with the complete list, or holds the call open where the caller has it already.
+func (l *endpointLists) serve(out http.ResponseWriter, in *http.Request) {
 	since, err := strconv.Atoi(in.URL.Query().Get("since"))
 	if err != nil || since != generation {
 		_, _ = out.Write(l.whole)
@@ -97,8 +100,8 @@
 	}
 }
 
-// flow is what a node's calls have taken until now.
-func (l *listing) flow(node string) Flow {
+// flow is what a node's calls have sent and received until now.
+func (l *endpointLists) flow(node string) Flow {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.doors[node]
@@ -109,7 +112,7 @@
 	return Flow{Out: float64(d.out.Load()), In: float64(d.in.Load()), OutMessages: calls, InMessages: calls}
 }
 
-func (l *listing) close() {
+func (l *endpointLists) close() {
 	close(l.closed)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,31 +121,32 @@
 	}
 }
 
-type countedDoor struct {
+// countingListener counts the bytes of its connections.
+type countingListener struct {
 	net.Listener
-	d *listDoor
+	d *listListener
 }
 
-func (c countedDoor) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &listConn{conn, c.d}, nil
+	return &countingConn{Conn: conn, d: c.d}, nil
 }
 
-type listConn struct {
+type countingConn struct {
 	net.Conn
-	d *listDoor
+	d *listListener
 }
 
-func (c *listConn) Read(b []byte) (n int, err error) {
+func (c *countingConn) Read(b []byte) (n int, err error) {
 	n, err = c.Conn.Read(b)
 	c.d.out.Add(uint64(n))
 	return n, err
 }
 
-func (c *listConn) Write(b []byte) (n int, err error) {
+func (c *countingConn) Write(b []byte) (n int, err error) {
 	n, err = c.Conn.Write(b)
 	c.d.in.Add(uint64(n))
 	return n, err
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -37,7 +37,7 @@
 	rig     *Rig
 	plan    *Plan
 	places  []Place // real nodes first
-	list    *listing
+	list    *endpointLists
 	hollows []*Hollows
 	reals   []*RealNode
 	alone   *RealNode // knows of no other: what a node uses for all else; nil where there are no real ones
@@ -71,10 +71,10 @@
 		rig:    r,
 		plan:   p,
 		places: Lay(nodes, p.Real, p.File.Places, port),
-		list:   openListing(p.File.List.Caches),
+		list:   openEndpointLists(p.File.List.Caches),
 	}
 	for i := range f.places {
-		at, err := f.list.door(f.places[i].Name)
+		at, err := f.list.listen(f.places[i].Name)
 		if err != nil {
 			f.close()
 			return nil, err
@@ -141,7 +141,7 @@
 	if len(f.reals) == 0 {
 		return nil
 	}
-	list, err := f.list.door(alone)
+	list, err := f.list.listen(alone)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollownode.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	turnsEach   = 100 * time.Millisecond // between turns of the loop that a hollow node does not have
-	listPath    = "/registry/instances"
-	longestList = 8 << 20
-	listDialBy  = 2 * time.Second
+	loopInterval = 100 * time.Millisecond // between iterations of the event loop, which a hollow node does not have
+	listPath     = "/registry/instances"
+	longestList  = 8 << 20
+	listDialBy   = 2 * time.Second
 )
 
-// Part is something more of the control part that a hollow node runs.
+// Part is a further component of the control part that a hollow node runs.
 type Part interface{ Close() }
 
-// PartMaker opens a part of a node that has joined.
+// PartMaker starts a part of a node that has joined the fleet.
 type PartMaker func(*Node) (Part, error)
 
 // Node is one hollow node: the control part of a real one, on sockets.
@@ -40,14 +40,15 @@
 	once  sync.Once
 }
 
-// OpenNode starts one, by the same file as a real one, with more parts than its membership and its calls for the list.
-func OpenNode(at Place, f *fleetconfig.File, nodes int, r *ruler, more ...PartMaker) (*Node, error) {
+// OpenNode starts a hollow node by the same file as a real one. It runs its membership, its calls for the endpoint
+// list, and the given parts. With rules, its sockets go by them.
+func OpenNode(at Place, f *fleetconfig.File, nodes int, r *networkRules, more ...PartMaker) (*Node, error) {
 	lines, err := gossip.Listen(at.Addr)
 	if err != nil {
 		return nil, err
 	}
 	if r != nil {
-		lines = r.lines(lines, at.Region)
+		lines = r.wrap(lines, at.Region)
 	}
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
@@ -56,9 +57,9 @@
 	if n.Post, err = gossip.Join(config, lines); err != nil {
 		return nil, err
 	}
-	n.parts = append(n.parts, turn(n.Post))
+	n.parts = append(n.parts, startLoopSubstitute(n.Post))
 	if at.List != "" {
-		n.parts = append(n.parts, follow(at.List, nodes, uint32(keyhash.String(at.Name))))
+		n.parts = append(n.parts, startListPoller(at.List, nodes, uint32(keyhash.String(at.Name))))
 	}
 	for _, open := range more {
 		p, err := open(n)
@@ -71,7 +72,7 @@
 	return n, nil
 }
 
-// Close ends it; where it is not to end in order, the others are told nothing.
+// Close ends the node. An orderly end is announced to the other nodes; otherwise they see a crash.
 func (n *Node) Close(orderly bool) {
 	n.once.Do(func() {
 		for i := len(n.parts) - 1; i >= 0; i-- {
@@ -81,13 +82,13 @@
 	})
 }
 
-// turning stands for the loop that serves clients.
-type turning struct{ end chan struct{} }
+// loopSubstitute reports to the membership, as the event loop of a real node does, that the process is not stalled.
+type loopSubstitute struct{ end chan struct{} }
 
-func turn(p *gossip.Node) turning {
-	t := turning{make(chan struct{})}
+func startLoopSubstitute(p *gossip.Node) loopSubstitute {
+	t := loopSubstitute{make(chan struct{})}
 	go func() {
-		each := time.NewTicker(turnsEach)
+		each := time.NewTicker(loopInterval)
 		defer each.Stop()
 		for {
 			select {
@@ -101,14 +102,14 @@
 	return t
 }
 
-func (t turning) Close() { close(t.end) }
+func (t loopSubstitute) Close() { close(t.end) }
 
-// caller calls for the list of caches as a node does, and drops what it hears.
-type caller struct {
+// listPoller calls for the endpoint list as a node does, and drops what it receives.
+type listPoller struct {
 	addr   string
 	calls  discovery.Poller
 	chance keyhash.Source
-	began  time.Time // the call that is out; its connection, where it is the first there
+	began  time.Time // of the call in flight; with its connection, if it is the first there
 	end    chan struct{}
 	done   chan struct{}
 	mu     sync.Mutex
@@ -116,8 +117,8 @@
 	closed bool
 }
 
-func follow(addr string, nodes int, seed uint32) *caller {
-	c := &caller{
+func startListPoller(addr string, nodes int, seed uint32) *listPoller {
+	c := &listPoller{
 		addr:   addr,
 		calls:  discovery.New(nodes),
 		chance: keyhash.Source{Seed: seed},
@@ -140,10 +141,10 @@
 	return c
 }
 
-// follow calls on one connection until it fails.
-func (c *caller) follow() discovery.Failure {
+// follow calls on one connection until that fails, and returns why.
+func (c *listPoller) follow() discovery.Failure {
 	conn, err := net.DialTimeout("tcp", c.addr, listDialBy)
-	if err != nil || !c.hold(conn) {
+	if err != nil || !c.track(conn) {
 		return discovery.ConnectionLost
 	}
 	defer conn.Close()
@@ -168,7 +169,7 @@
 				return discovery.Unreadable
 			}
 			if size > 0 {
-				if how := c.heard(&a, &parser); how >= 0 {
+				if how := c.onResponse(&a, &parser); how >= 0 {
 					return how
 				}
 				have = copy(in, in[size:have])
@@ -186,9 +187,11 @@
 	}
 }
 
-const taken discovery.Failure = -1
+// accepted is in place of a failure where a response was accepted.
+const accepted discovery.Failure = -1
 
-func (c *caller) heard(a *http1.Response, parser *fastjson.Parser) discovery.Failure {
+// onResponse takes an update of the list, or returns how the call failed.
+func (c *listPoller) onResponse(a *http1.Response, parser *fastjson.Parser) discovery.Failure {
 	if a.Status == http1.Unavailable || a.Status == http1.TooMany {
 		return discovery.Refused
 	}
@@ -202,10 +205,11 @@
 		return discovery.Unreadable
 	}
 	c.calls.OnUpdate(generation, isComplete)
-	return taken
+	return accepted
 }
 
-func (c *caller) hold(conn net.Conn) bool {
+// track keeps the connection for Close, which may come while a call blocks on it; false if Close has come already.
+func (c *listPoller) track(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -216,8 +220,8 @@
 	return true
 }
 
-// Close ends it.
-func (c *caller) Close() {
+// Close ends the poller and waits for its goroutine.
+func (c *listPoller) Close() {
 	c.mu.Lock()
 	c.closed = true
 	if c.conn != nil {
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -70,8 +70,8 @@
 }
 
 type change struct {
-	index uint64
-	kept  []monotime.Instant // by voter, when it was on its disk first
+	index  uint64
+	onDisk []monotime.Instant // by voter, when it was on its disk first
 }
 
 type nodeSeen struct {
@@ -133,11 +133,11 @@
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
 		if c == nil {
-			c = &change{kept: make([]monotime.Instant, j.voters)}
+			c = &change{onDisk: make([]monotime.Instant, j.voters)}
 			j.changes[mark] = c
 		}
-		if c.kept[voter] == 0 || k.At < c.kept[voter] {
-			c.kept[voter] = k.At
+		if c.onDisk[voter] == 0 || k.At < c.onDisk[voter] {
+			c.onDisk[voter] = k.At
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	if c == nil {
 		return math.MaxInt64
 	}
-	at := slices.Clone(c.kept)
+	at := slices.Clone(c.onDisk)
 	for i := range at {
 		if at[i] == 0 {
 			at[i] = math.MaxInt64
@@ -182,7 +182,7 @@
 	}
 	c := j.changes[mark]
 	if c == nil {
-		c = &change{kept: make([]monotime.Instant, j.voters)}
+		c = &change{onDisk: make([]monotime.Instant, j.voters)}
 		j.changes[mark] = c
 	}
 	if c.index != 0 && c.index != index {
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -50,7 +50,7 @@
 		r.caches.all = append(r.caches.all, c)
 	}
 	if r.Caches > 0 {
-		go r.read()
+		go r.readContinuously()
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 	}
 	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.Fills.Seconds())
 	for i, c := range r.caches.all {
-		door, err := r.between.Door(r.region[machine], i%r.Regions, c.Addr())
+		door, err := r.between.Listen(r.region[machine], i%r.Regions, c.Addr())
 		if err != nil {
 			return "", err
 		}
@@ -78,8 +78,8 @@
 	return text, nil
 }
 
-// cached has all caches keep values that are about to be purged.
-func (r *run) cached(all []replicatedlog.Proposal) {
+// fillCaches fills all caches with values that are about to be purged.
+func (r *run) fillCaches(all []replicatedlog.Proposal) {
 	for _, p := range all {
 		for _, c := range r.caches.all {
 			if p.Kind == replicatedlog.Purge {
@@ -95,9 +95,9 @@
 	return r.caches.chance.Float64()
 }
 
-// refill has fills with the old value under way when a purge is published: each ends within the longest that one may
-// take.
-func (r *run) refill(all []replicatedlog.Proposal, sent monotime.Instant) {
+// scheduleStaleFills starts fills with the old value that are in flight when a purge is published. Each ends within the
+// longest time that a fill may take.
+func (r *run) scheduleStaleFills(all []replicatedlog.Proposal, sent monotime.Instant) {
 	for _, c := range r.caches.all {
 		for _, p := range all {
 			if p.Kind != replicatedlog.Purge || r.chance() > refilled {
@@ -123,8 +123,8 @@
 	}
 }
 
-// read reads keys at caches as it goes, what was purged late more often.
-func (r *run) read() {
+// readContinuously reads keys at caches until the run ends, recently purged ones more often.
+func (r *run) readContinuously() {
 	for {
 		select {
 		case <-r.caches.closed:
@@ -145,7 +145,7 @@
 	}
 }
 
-// readAll reads each key at each cache, once all is done: what has stayed is seen.
+// readAll reads each key at each cache, once all purges are done, so that a value left behind is seen.
 func (r *run) readAll() {
 	r.caches.fills.Wait()
 	for _, c := range r.caches.all {
@@ -155,12 +155,12 @@
 	}
 }
 
-// cutCache has a cache say nothing for a while, its contents staying.
+// cutCache has a cache not answer for a while; it keeps its contents.
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
 	c.Break(cachestub.Silent, 0)
 	r.caches.cut = c.Name()
-	r.say("%s is silent", c.Name())
+	r.log("%s is silent", c.Name())
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheCut, r.CutFor+r.After, r.PurgesASecond, 0) })
 	time.Sleep(r.CutFor)
@@ -181,8 +181,8 @@
 	return err
 }
 
-// judgeCaches hands what befell caches to the judge.
-func (r *run) judgeCaches() error {
+// checkCaches gives the records of all caches to the checker.
+func (r *run) checkCaches() error {
 	if r.Caches == 0 {
 		return nil
 	}
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -31,7 +31,7 @@
 	traceAhead = 1 << 20          // bytes of the trace written at once
 )
 
-// Spec is what a process of hollow nodes is told.
+// Spec is the configuration of a process of hollow nodes.
 type Spec struct {
 	Label string   `json:"label"`
 	At    []string `json:"at"` // control machines' doors
@@ -118,11 +118,11 @@
 func (h *hollow) Apply(raw []cbor.RawMessage) error       { return h.reader.Apply(raw) }
 func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
-func (h *hollow) told(at replicatedlog.Index) {
+func (h *hollow) onProgressSent(at replicatedlog.Index) {
 	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Node: h.number, What: logtrace.Told})
 }
 
-// Name is a hollow node's.
+// Name is the name of a hollow node with a number.
 func Name(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
 // Hollow runs a process of hollow nodes until what it reads from ends.
@@ -165,7 +165,7 @@
 			Applier:        h,
 			Log:            log,
 			Now:            gossip.BootTime,
-			OnProgressSent: h.told,
+			OnProgressSent: h.onProgressSent,
 		}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -9,8 +9,8 @@
 	"dahliapin/internal/scale/logscale/checker"
 )
 
-// judge hands all that was left to the judge, and adds up what was used.
-func (r *run) judge() error {
+// check gives all traces to the checker, and adds up what was used.
+func (r *run) check() error {
 	off := r.specs[r.CutRegion]
 	inCut := func(node uint32) bool {
 		return r.cutFrom > 0 && node >= off.First && node < off.First+uint32(off.Nodes)
@@ -48,7 +48,7 @@
 		}
 	}
 	r.report.Judge = j.Report(r.Nodes)
-	if err := r.judgeCaches(); err != nil {
+	if err := r.checkCaches(); err != nil {
 		return err
 	}
 	return r.usage()
--- a/internal/scale/logscale/rig/between.go
+++ b/internal/scale/logscale/rig/network.go
@@ -30,20 +30,20 @@
 // delays the stream by a retransmission time-out, as all that was sent after it waits. While a region is cut off, all
 // of its streams to others stall, and connections that are opened or closed meanwhile stay unnoticed at the other end.
 type Between struct {
-	regions int
-	loss    float64
-	seed    uint32
-	streams atomic.Uint32
-	lost    atomic.Uint64
-	cut     []atomic.Bool
-	closed  chan struct{}
-	mu      sync.Mutex
-	doors   []net.Listener
-	conns   map[net.Conn]bool
-	done    sync.WaitGroup
+	regions   int
+	loss      float64
+	seed      uint32
+	streams   atomic.Uint32
+	lost      atomic.Uint64
+	cut       []atomic.Bool
+	closed    chan struct{}
+	mu        sync.Mutex
+	listeners []net.Listener
+	conns     map[net.Conn]bool
+	done      sync.WaitGroup
 }
 
-// NewBetween has nothing cut.
+// NewBetween returns a network without partitions. Loss is the share of packets that are lost.
 func NewBetween(regions int, loss float64, seed uint32) *Between {
 	return &Between{
 		regions: regions,
@@ -55,7 +55,7 @@
 	}
 }
 
-// Late is how long something takes from one region to another.
+// Late is the one-way delay from one region to another.
 func (b *Between) Late(from, to int) time.Duration {
 	if from == to {
 		return inRegion
@@ -67,21 +67,21 @@
 	return nextRegion + furtherEach*time.Duration(min(d, b.regions-d))
 }
 
-// Cut cuts a region off from all others, or brings it back.
+// Cut cuts a region off from all others, or ends that.
 func (b *Between) Cut(region int, is bool) { b.cut[region].Store(is) }
 
-func (b *Between) stands(from, to int) bool {
+func (b *Between) isCut(from, to int) bool {
 	return from != to && (b.cut[from].Load() || b.cut[to].Load())
 }
 
-// Door opens an address at which a region reaches another one's.
-func (b *Between) Door(from, to int, hears string) (string, error) {
+// Listen opens an address at which one region reaches a server in another, whose own address is given.
+func (b *Between) Listen(from, to int, server string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	b.mu.Lock()
-	b.doors = append(b.doors, l)
+	b.listeners = append(b.listeners, l)
 	b.mu.Unlock()
 	b.done.Go(func() {
 		for {
@@ -93,15 +93,15 @@
 				time.Sleep(acceptPauses)
 				continue
 			}
-			if b.hold(c) {
-				b.done.Go(func() { b.stream(from, to, c, hears) })
+			if b.track(c) {
+				b.done.Go(func() { b.stream(from, to, c, server) })
 			}
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-func (b *Between) hold(c net.Conn) bool {
+func (b *Between) track(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -121,7 +121,7 @@
 	_ = c.Close()
 }
 
-// wait tells whether it is still wanted after a time.
+// wait waits, and reports whether the network is still open then.
 func (b *Between) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -134,8 +134,8 @@
 	}
 }
 
-// again is how long something of so many bytes stands still for packets that were lost.
-func (b *Between) again(chance *keyhash.Source, bytes int, first time.Duration) (late time.Duration) {
+// retransmissionDelay is how long a piece of so many bytes is delayed by lost packets.
+func (b *Between) retransmissionDelay(chance *keyhash.Source, bytes int, first time.Duration) (late time.Duration) {
 	if b.loss == 0 {
 		return 0
 	}
@@ -149,21 +149,21 @@
 	return late
 }
 
-// stream carries one to its end.
-func (b *Between) stream(from, to int, near net.Conn, hears string) {
+// stream forwards one connection until it ends.
+func (b *Between) stream(from, to int, near net.Conn, server string) {
 	defer b.release(near)
 	number := b.streams.Add(1)
 	chance := keyhash.Source{Seed: uint32(keyhash.Salted(uint64(b.seed), int(number)))}
-	if !b.wait(2*b.Late(from, to) + b.again(&chance, 1, synAgain)) {
+	if !b.wait(2*b.Late(from, to) + b.retransmissionDelay(&chance, 1, synAgain)) {
 		return
 	}
-	for b.stands(from, to) {
+	for b.isCut(from, to) {
 		if !b.wait(lookAtCut) {
 			return
 		}
 	}
-	far, err := net.DialTimeout("tcp", hears, time.Second)
-	if err != nil || !b.hold(far) {
+	far, err := net.DialTimeout("tcp", server, time.Second)
+	if err != nil || !b.track(far) {
 		return
 	}
 	defer b.release(far)
@@ -178,7 +178,7 @@
 	data []byte
 }
 
-// carry carries one direction. Its end is heard as late as all else.
+// carry forwards one direction. Its end is delayed as all data is.
 func (b *Between) carry(from, to int, in, out net.Conn, chance keyhash.Source) {
 	pieces := make(chan piece, piecesAhead)
 	go func() {
@@ -188,7 +188,7 @@
 			n, err := in.Read(buf)
 			if n > 0 {
 				p := piece{
-					due:  time.Now().Add(b.Late(from, to) + b.again(&chance, n, firstAgain)),
+					due:  time.Now().Add(b.Late(from, to) + b.retransmissionDelay(&chance, n, firstAgain)),
 					data: append([]byte(nil), buf[:n]...),
 				}
 				select {
@@ -206,7 +206,7 @@
 		if !b.wait(time.Until(p.due)) {
 			break
 		}
-		for b.stands(from, to) {
+		for b.isCut(from, to) {
 			if !b.wait(lookAtCut) {
 				break
 			}
@@ -216,20 +216,20 @@
 		}
 	}
 	if b.wait(b.Late(from, to)) {
-		for b.stands(from, to) && b.wait(lookAtCut) {
+		for b.isCut(from, to) && b.wait(lookAtCut) {
 		}
 	}
 	_ = out.Close()
 	_ = in.Close()
-	for range pieces { // who reads is to end
+	for range pieces { // lets the reader end, which may wait to send
 	}
 }
 
-// Close ends all.
+// Close ends all listeners and streams, and waits for their goroutines.
 func (b *Between) Close() {
 	close(b.closed)
 	b.mu.Lock()
-	for _, l := range b.doors {
+	for _, l := range b.listeners {
 		_ = l.Close()
 	}
 	for c := range b.conns {
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -44,20 +44,20 @@
 	}
 	if r.Hang {
 		_ = r.control[leader].Process.Signal(syscall.SIGSTOP)
-		r.say("control-%d, the leader, stands still at entry %d", leader, o.Last)
+		r.log("control-%d, the leader, stands still at entry %d", leader, o.Last)
 		time.Sleep(r.For / backAt)
 		_ = r.control[leader].Process.Signal(syscall.SIGCONT)
-		r.say("control-%d goes on", leader)
+		r.log("control-%d goes on", leader)
 		return nil
 	}
 	_ = r.control[leader].Process.Kill()
 	_ = r.control[leader].Wait()
-	r.say("control-%d, the leader, was killed at entry %d", leader, o.Last)
+	r.log("control-%d, the leader, was killed at entry %d", leader, o.Last)
 	time.Sleep(r.For / backAt)
 	if err := r.startControl(leader); err != nil {
 		return err
 	}
-	r.say("control-%d is back with its disk", leader)
+	r.log("control-%d is back with its disk", leader)
 	return nil
 }
 
@@ -73,7 +73,7 @@
 	region := r.CutRegion
 	r.cutFrom = gossip.BootTime()
 	r.between.Cut(region, true)
-	r.say("region %d is cut off", region)
+	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
 	// What the other regions are measured by, also while this one catches up.
 	steady.Go(func() { r.pace(ctx, Cut, r.CutFor+r.After, r.PurgesASecond, 0) })
@@ -93,7 +93,7 @@
 	r.note("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent)
 	r.between.Cut(region, false)
 	r.cutUntil = gossip.BootTime()
-	r.say("region %d is back; newest entry %d", region, o.Last)
+	r.log("region %d is back; newest entry %d", region, o.Last)
 	steady.Wait()
 	return nil
 }
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -36,9 +36,9 @@
 func (r *run) publish(ctx context.Context, play string, all []replicatedlog.Proposal) {
 	ctx, done := context.WithTimeout(ctx, publishBy)
 	defer done()
-	r.cached(all)
+	r.fillCaches(all)
 	sent := gossip.BootTime()
-	r.refill(all, sent)
+	r.scheduleStaleFills(all, sent)
 	at, err := r.caller.Publish(ctx, all)
 	acked := gossip.BootTime()
 	r.mu.Lock()
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -53,7 +53,8 @@
 	caches   caches
 }
 
-func (r *run) say(format string, args ...any) {
+// log writes a line of progress with the time of day.
+func (r *run) log(format string, args ...any) {
 	fmt.Fprintf(r.Log, "%s "+format+"\n", append([]any{time.Now().Format("15:04:05")}, args...)...)
 }
 
@@ -95,7 +96,7 @@
 	}
 	for _, play := range p.Plays {
 		m := mark{play: play, from: gossip.BootTime(), before: r.usedBy()}
-		r.say("%s begins; load %s", play, Load())
+		r.log("%s begins; load %s", play, Load())
 		switch play {
 		case Steady:
 			err = r.steady(ctx)
@@ -112,7 +113,7 @@
 			err = r.settle(ctx)
 		}
 		if err == nil {
-			r.shown(ctx, play)
+			r.measureShown(ctx, play)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", play, err)
@@ -122,7 +123,7 @@
 		r.marks = append(r.marks, m)
 	}
 	r.report.Load = append(r.report.Load, Load())
-	r.realWhole()
+	r.countCompleteRealNodes()
 	if r.Caches > 0 { // the last entries are shown at all nodes before they are done at caches
 		if err := r.settle(ctx); err != nil {
 			return nil, err
@@ -132,15 +133,15 @@
 	if err := r.end(); err != nil {
 		return nil, err
 	}
-	return &r.report, r.judge()
+	return &r.report, r.check()
 }
 
 func (r *run) path(format string, args ...any) string {
 	return filepath.Join(r.Dir, fmt.Sprintf(format, args...))
 }
 
-// shown measures how soon fleet changes shows an entry at every node.
-func (r *run) shown(ctx context.Context, play string) {
+// measureShown measures how soon fleet changes shows an entry at every node.
+func (r *run) measureShown(ctx context.Context, play string) {
 	for i := range showings {
 		purge := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))
 		r.publish(ctx, "shown", []replicatedlog.Proposal{purge})
@@ -181,8 +182,8 @@
 	}
 }
 
-// realWhole counts the real nodes that say they have all.
-func (r *run) realWhole() {
+// countCompleteRealNodes counts the real nodes that report all entries and the newest configuration.
+func (r *run) countCompleteRealNodes() {
 	o, err := r.caller.Overview()
 	if err != nil {
 		r.note("%v", err)
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -70,7 +70,7 @@
 	text := fmt.Sprintf("[control]\nid = %d\nlabel = %q\npeers = %q\nnodes = %q\ndata = %q\n",
 		i+1, label, r.peers[i], r.nodes[i], r.path("data-%d", i))
 	for j := range machines {
-		addr, err := r.between.Door(r.region[i], r.region[j], r.peers[j])
+		addr, err := r.between.Listen(r.region[i], r.region[j], r.peers[j])
 		if err != nil {
 			return err
 		}
@@ -119,7 +119,7 @@
 	for by := time.Now().Add(readyBy); ; time.Sleep(lookEach) {
 		o, err := r.caller.Overview()
 		if err == nil && o.HasLeader && len(o.Nodes) == r.Nodes+r.Real && o.CaughtUp() {
-			r.say("%d nodes follow", len(o.Nodes))
+			r.log("%d nodes follow", len(o.Nodes))
 			return nil
 		}
 		if time.Now().After(by) {
@@ -140,7 +140,7 @@
 func (r *run) controlAddresses(region int) ([]string, error) {
 	var addresses []string
 	for j := range machines {
-		addr, err := r.between.Door(region, r.region[j], r.nodes[j])
+		addr, err := r.between.Listen(region, r.region[j], r.nodes[j])
 		if err != nil {
 			return nil, err
 		}
--- a/internal/scale/lines.go
+++ b/internal/scale/networkrules.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	mostLate    = 20_000                // datagrams of a process that are late at a time; more are lost
-	lateAhead   = 1024                  // of these, that wait to be read by one node; more are lost
-	lookAtCutBy = 20 * time.Millisecond // between looks of a stream that stands still
+	maxDelayed   = 20_000                // datagrams of a process that are delayed at a time; more are lost
+	maxDelivered = 1024                  // of these, that wait to be read by one node; more are lost
+	lookAtCutBy  = 20 * time.Millisecond // between looks of a stream that stalls, whether the cut has ended
 )
 
-// ruler keeps the rules between regions for a process of hollow nodes. Hollow nodes keep them for what they send. Real
-// ones know of no rules: those to whom they send keep them for what comes from there.
-type ruler struct {
+// networkRules applies delay, loss and partitions between regions in a process of hollow nodes. Hollow nodes apply
+// them to what they send. Real ones know of no rules: the hollow nodes that they send to apply them on receipt.
+type networkRules struct {
 	faults *netfault.Faults
 	late   atomic.Int64
-	lost   atomic.Uint64 // for want of room here, which no rule asked for
+	lost   atomic.Uint64 // messages dropped as too many were delayed, which no rule asked for
 }
 
-// lines wraps a node's sockets so that they go by the rules of its region.
-func (r *ruler) lines(l gossip.Transport, region RegionID) gossip.Transport {
+// wrap wraps a node's sockets so that they go by the rules of its region.
+func (r *networkRules) wrap(l gossip.Transport, region RegionID) gossip.Transport {
 	dial := l.Dial
 	l.Datagrams = &ruledDatagrams{PacketConn: l.Datagrams, r: r, region: region}
 	l.Streams = &ruledStreams{Listener: l.Streams, r: r, region: region}
 	l.Dial = func(addr string, within time.Duration) (net.Conn, error) {
 		by := time.Now().Add(within)
-		to, role, known := ofAddr(addr)
+		to, role, known := locateAddr(addr)
 		if !known || to == region {
 			return dial(addr, within)
 		}
-		c := &ruledConn{r: r, from: region, to: to, ruleIn: role == Real}
+		c := &ruledConn{r: r, from: region, to: to, delaysReads: role == Real}
 		until := func() time.Time { return by }
 		if !c.passes(region, to, until) || !c.passes(to, region, until) { // there and back, until it is up
 			return nil, os.ErrDeadlineExceeded
@@ -52,12 +52,12 @@
 	return l
 }
 
-func ofAddr(addr string) (RegionID, Role, bool) {
+func locateAddr(addr string) (RegionID, Role, bool) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return 0, "", false
 	}
-	return whose(at.Addr())
+	return locate(at.Addr())
 }
 
 type datagram struct {
@@ -67,15 +67,15 @@
 
 type ruledDatagrams struct {
 	net.PacketConn
-	r      *ruler
+	r      *networkRules
 	region RegionID
 	mu     sync.Mutex
-	late   []datagram // have come, of real nodes in other regions
+	late   []datagram // of real nodes in other regions, delayed and not read yet
 }
 
-// WriteTo sends by the rule of the pair.
+// WriteTo sends by the rule of the pair of regions.
 func (d *ruledDatagrams) WriteTo(b []byte, to net.Addr) (int, error) {
-	region, _, known := whose(to.(*net.UDPAddr).AddrPort().Addr())
+	region, _, known := locate(to.(*net.UDPAddr).AddrPort().Addr())
 	if !known || region == d.region {
 		return d.PacketConn.WriteTo(b, to)
 	}
@@ -85,14 +85,14 @@
 			continue
 		}
 		body := append([]byte(nil), b...)
-		d.r.after(late, func() { _, _ = d.PacketConn.WriteTo(body, to) })
+		d.r.afterDelay(late, func() { _, _ = d.PacketConn.WriteTo(body, to) })
 	}
 	return len(b), nil
 }
 
-// after does something late, unless too much waits.
-func (r *ruler) after(late time.Duration, do func()) {
-	if r.late.Add(1) > mostLate {
+// afterDelay does something after a delay, unless too much waits: then the message is lost and counted.
+func (r *networkRules) afterDelay(late time.Duration, do func()) {
+	if r.late.Add(1) > maxDelayed {
 		r.late.Add(-1)
 		r.lost.Add(1)
 		return
@@ -103,7 +103,7 @@
 	})
 }
 
-// ReadFrom hands over the next that has come. What real nodes send from other regions waits first.
+// ReadFrom returns the next datagram. What real nodes send from other regions is delayed here.
 func (d *ruledDatagrams) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		d.mu.Lock()
@@ -117,27 +117,27 @@
 		d.mu.Unlock()
 		n, from, err := d.PacketConn.ReadFrom(b)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // something that was late is there
+			continue // deliver has woken it: a delayed datagram is there
 		}
 		if err != nil {
 			return n, from, err
 		}
-		region, role, known := whose(from.(*net.UDPAddr).AddrPort().Addr())
+		region, role, known := locate(from.(*net.UDPAddr).AddrPort().Addr())
 		if !known || role != Real || region == d.region {
 			return n, from, nil
 		}
 		for _, late := range d.r.faults.Fate(int(region), int(d.region)) {
 			got := datagram{append([]byte(nil), b[:n]...), from}
-			d.r.after(late, func() { d.hand(got) })
+			d.r.afterDelay(late, func() { d.deliver(got) })
 		}
 	}
 }
 
-// hand puts one that was late before the reader, and wakes it.
-func (d *ruledDatagrams) hand(got datagram) {
+// deliver gives a delayed datagram to the reader, which it wakes by a deadline in the past.
+func (d *ruledDatagrams) deliver(got datagram) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.late) >= lateAhead {
+	if len(d.late) >= maxDelivered {
 		d.r.lost.Add(1)
 		return
 	}
@@ -147,34 +147,34 @@
 
 type ruledStreams struct {
 	net.Listener
-	r      *ruler
+	r      *networkRules
 	region RegionID
 }
 
-// Accept takes the next stream; its rule is kept as it is read and written.
+// Accept returns the next stream; its rule applies as it is read and written.
 func (s *ruledStreams) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	to, role, known := ofAddr(c.RemoteAddr().String())
+	to, role, known := locateAddr(c.RemoteAddr().String())
 	if !known || to == s.region {
 		return c, nil
 	}
-	return &ruledConn{Conn: c, r: s.r, from: s.region, to: to, ruleIn: role == Real}, nil
+	return &ruledConn{Conn: c, r: s.r, from: s.region, to: to, delaysReads: role == Real}, nil
 }
 
 // ruledConn is a stream between regions.
 type ruledConn struct {
 	net.Conn
-	r              *ruler
+	r              *networkRules
 	from, to       RegionID // from here to the other
-	ruleIn         bool     // also for what comes: the other keeps no rules
+	delaysReads    bool     // for a real peer, which has no rules for what it sends
 	readBy, sendBy atomic.Int64
-	came           bool // something has; its reader's own
+	received       bool // the first data; used by the reader only
 }
 
-// passes waits until a piece has come through, and tells whether it has in time.
+// passes waits as long as data takes to the other region, and reports whether that was in time.
 func (c *ruledConn) passes(from, to RegionID, by func() time.Time) bool {
 	for {
 		late, stands := c.r.faults.Piece(int(from), int(to))
@@ -193,7 +193,7 @@
 	}
 }
 
-// longestStill ends a stream that nobody has given a deadline.
+// longestStill bounds how long a stream without a deadline may stall.
 const longestStill = 30 * time.Second
 
 func deadline(at *atomic.Int64) func() time.Time {
@@ -215,8 +215,8 @@
 
 func (c *ruledConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.ruleIn && !c.came { // what follows at once comes as fast as it was sent
-		c.came = true
+	if n > 0 && c.delaysReads && !c.received { // only the first data is delayed: the rest keeps its distance
+		c.received = true
 		if !c.passes(c.to, c.from, deadline(&c.readBy)) {
 			return 0, os.ErrDeadlineExceeded
 		}
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -74,8 +74,8 @@
 	return number%mine*regions + int(region)
 }
 
-// whose tells by an address in which region a node stands, and whether it is a real one.
-func whose(at netip.Addr) (region RegionID, role Role, ok bool) {
+// locate returns the region and role of the node that has an address; false where no node has it.
+func locate(at netip.Addr) (region RegionID, role Role, ok bool) {
 	at = at.Unmap()
 	if !at.Is4() {
 		return 0, "", false
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -21,7 +21,7 @@
 	collected    = 200      // percent that the heap may grow between collections, as in a node
 )
 
-// order is what the rig asks of a process of hollow nodes, a line of JSON each.
+// order is a request of the rig to a process of hollow nodes, a line of JSON each.
 type order struct {
 	Do     string            `json:"do"`
 	Places []Place           `json:"places,omitempty"`
@@ -34,7 +34,7 @@
 	Off    bool              `json:"off,omitempty"`
 }
 
-// What can be asked.
+// The orders.
 const (
 	doOpen  = "open"
 	doLook  = "look"  // how the views stand
@@ -45,15 +45,15 @@
 	doRaise = "raise" // it is started anew
 )
 
-// answer is what it says, a line of JSON each.
+// answer is the response to an order, a line of JSON each.
 type answer struct {
 	Fault string   `json:"fault,omitempty"`
 	Nodes []status `json:"nodes,omitempty"`
 	Heap  uint64   `json:"heap,omitempty"`
-	Lost  uint64   `json:"lost,omitempty"` // messages, for want of room in the rules' queue
+	Lost  uint64   `json:"lost,omitempty"` // messages that the rules dropped as too many were delayed
 }
 
-// status is how one node stands.
+// status is one node's view of the fleet, and its traffic.
 type status struct {
 	Name    string                `json:"name"`
 	Members int                   `json:"members"`
@@ -63,20 +63,21 @@
 	Dropped uint64                `json:"dropped,omitempty"`
 }
 
-// process is the rig's hand in a process of hollow nodes.
+// process runs hollow nodes by the orders of a rig.
 type process struct {
-	nodes  map[string]*Node
-	places []Place
-	order  order
-	ruler  *ruler
-	faults *netfault.Faults
-	more   []PartMaker
+	nodes      map[string]*Node
+	places     []Place
+	order      order
+	rules      *networkRules
+	faults     *netfault.Faults
+	partMakers []PartMaker
 }
 
-// Attend runs hollow nodes as it is told, until nothing more can be read. Each node has such parts beside its own.
+// Attend reads orders, carries them out and writes an answer to each, until its input ends; then it ends all nodes.
+// Each node runs the given parts beside its own.
 func Attend(in io.Reader, out io.Writer, more ...PartMaker) error {
 	debug.SetGCPercent(collected)
-	p := &process{nodes: map[string]*Node{}, more: more}
+	p := &process{nodes: map[string]*Node{}, partMakers: more}
 	defer p.close()
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, firstLineBytes), longestOrder)
@@ -114,8 +115,8 @@
 			}
 			a.Nodes = append(a.Nodes, st)
 		}
-		if p.ruler != nil {
-			a.Lost = p.ruler.lost.Load()
+		if p.rules != nil {
+			a.Lost = p.rules.lost.Load()
 		}
 	case doWeigh:
 		runtime.GC()
@@ -133,7 +134,7 @@
 	case doRaise:
 		for _, at := range p.places {
 			if at.Name == o.Name {
-				return a, p.raise(at)
+				return a, p.startNode(at)
 			}
 		}
 		return a, fmt.Errorf("no node %s here", o.Name)
@@ -143,26 +144,27 @@
 	return a, nil
 }
 
-// open starts all nodes, some time apart.
+// open starts all nodes, with a pause between two.
 func (p *process) open(o *order) error {
-	p.order, p.places = *o, o.Places
+	p.order = *o
+	p.places = o.Places
 	p.faults = o.File.Faults(o.Seed)
-	p.ruler = &ruler{faults: p.faults}
+	p.rules = &networkRules{faults: p.faults}
 	for i, at := range p.places {
 		if i > 0 {
 			time.Sleep(o.Apart)
 		}
-		if err := p.raise(at); err != nil {
+		if err := p.startNode(at); err != nil {
 			return fmt.Errorf("%s: %w", at.Name, err)
 		}
 	}
 	return nil
 }
 
-func (p *process) raise(at Place) error {
+func (p *process) startNode(at Place) error {
 	f := *p.order.Fleet
 	f.Fleet.Listen, f.Fleet.Advertise = at.Addr, at.Addr
-	n, err := OpenNode(at, &f, p.order.Nodes, p.ruler, p.more...)
+	n, err := OpenNode(at, &f, p.order.Nodes, p.rules, p.partMakers...)
 	if err == nil {
 		p.nodes[at.Name] = n
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -67,7 +67,7 @@
 	} {
 		all, addrs, in, zones := Lay(c.nodes, c.real, Places{c.regions, c.sites, c.zones}, 7946), map[string]bool{}, map[RegionID]int{}, map[int]int{}
 		for i, p := range all {
-			region, role, ok := ofAddr(p.Addr)
+			region, role, ok := locateAddr(p.Addr)
 			if !ok || region != p.Region || role != p.Role || addrs[p.Addr] || (p.Role == Real) != (i < c.real) || p.Role == Real && p.Region != 0 ||
 				p.Site%c.regions != int(p.Region) || p.Zone%c.regions != int(p.Region) || p.Site >= c.sites || p.Zone >= c.zones {
 				t.Fatalf("%+v: %+v, read as %v %v %v", c, p, region, role, ok)
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	if _, _, ok := whose(netip.MustParseAddr("127.0.0.1")); ok {
+	if _, _, ok := locate(netip.MustParseAddr("127.0.0.1")); ok {
 		t.Error("127.0.0.1 is no node")
 	}
 }
@@ -191,7 +191,7 @@
 func TestRulesBetweenRegions(t *testing.T) {
 	const delay, late = 300 * time.Millisecond, 100 * time.Millisecond
 	faults := netfault.New(1)
-	r := &ruler{faults: faults}
+	r := &networkRules{faults: faults}
 	come := map[net.Addr]chan string{}
 	open := func(addr string, region RegionID, ruled bool) gossip.Transport {
 		l, err := gossip.Listen(addr)
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 		if ruled {
-			l = r.lines(l, region)
+			l = r.wrap(l, region)
 		}
 		t.Cleanup(func() { l.Datagrams.Close(); l.Streams.Close() })
 		came := make(chan string, 99)
@@ -307,8 +307,8 @@
 	f := defaultFile()
 	f.Places = Places{regions, regions, regions}
 	f.Between = Between{DelayMs: 2, DelayMostMs: 10, LateMs: 1, Loss: 0.01}
-	r := &ruler{faults: f.Faults(7)}
-	list := openListing(3)
+	r := &networkRules{faults: f.Faults(7)}
+	list := openEndpointLists(3)
 	defer list.close()
 	free, err := gossip.Listen("127.10.0.1:0")
 	if err != nil {
@@ -322,7 +322,7 @@
 	file.Fleet.Label = "hollow"
 	for _, at := range Lay(nodes, 0, f.Places, port) {
 		var err error
-		if at.List, err = list.door(at.Name); err != nil {
+		if at.List, err = list.listen(at.Name); err != nil {
 			t.Fatal(err)
 		}
 		own := file
