--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dahliapin/internal/control/controlwire"
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/control/replicatedlog"
 	"dahliapin/internal/monotime"
 )
@@ -18,25 +18,25 @@
 // nodeRecord is a node's report and when it was made.
 type nodeRecord struct {
 	controlwire.NodeReport
-	heardAt monotime.Instant
+	seenAt monotime.Instant
 }
 
 // serverRecord is what another control server reported of itself and of caches, and when.
 type serverRecord struct {
 	controlwire.ServerReport
-	caches  []purger.Progress
-	heardAt monotime.Instant
+	caches []purge.Progress
+	seenAt monotime.Instant
 }
 
-// statusTable is how far nodes, servers and caches are: at first hand of the nodes that follow here, and as other servers report. All of it
-// is hints, and lost with the process. Its methods may be called from anywhere.
+// statusTable is how far nodes, servers and caches are: at first hand of the nodes that follow here, and as other
+// servers report. All of it is hints, and lost with the process. Its methods may be called from anywhere.
 type statusTable struct {
 	server          *Server
 	mu              sync.Mutex
 	nodes           map[string]nodeRecord   // by name; at most controlwire.MaxNodes
 	servers         map[uint64]serverRecord // by id, without this one
 	rejectedStreams atomic.Uint64           // closed because too many were open
-	invalid         atomic.Uint64           // streams and messages that could not be decoded or were not for this server
+	invalid         atomic.Uint64           // malformed streams and messages, and those not for this server
 	bytesIn         atomic.Uint64
 	bytesOut        atomic.Uint64
 }
@@ -46,25 +46,25 @@
 }
 
 // noteNode takes a node's report. Of two reports of a node, as by two servers that it followed, the later one stays.
-func (t *statusTable) noteNode(report controlwire.NodeReport, heardAt monotime.Instant) {
+func (t *statusTable) noteNode(report controlwire.NodeReport, seenAt monotime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, is := t.nodes[report.Node]
-	if is && known.heardAt > heardAt {
+	if is && known.seenAt > seenAt {
 		return
 	}
 	if !is && len(t.nodes) >= controlwire.MaxNodes && !t.forgetSilentNodes() {
 		return
 	}
-	t.nodes[report.Node] = nodeRecord{NodeReport: report, heardAt: heardAt}
+	t.nodes[report.Node] = nodeRecord{NodeReport: report, seenAt: seenAt}
 }
 
-// forgetSilentNodes removes nodes that were not heard for as long as the file says, and returns whether there is capacity for one more. The
-// lock is held.
+// forgetSilentNodes removes nodes that have not reported for as long as the file says, and returns whether there is
+// capacity for one more. The lock is held.
 func (t *statusTable) forgetSilentNodes() bool {
 	now := t.server.Now()
 	for name, node := range t.nodes {
-		if time.Duration(now-node.heardAt) > t.server.File.Bounds.Forget() {
+		if time.Duration(now-node.seenAt) > t.server.File.Bounds.Forget() {
 			delete(t.nodes, name)
 		}
 	}
@@ -76,13 +76,14 @@
 	return uint64(max(0, time.Duration(now-at)) / time.Millisecond)
 }
 
-// appliedByAll is the index up to which all nodes have applied that were heard within a time; false where there are none.
+// appliedByAll is the index up to which all nodes have applied that have reported within a time; false where there
+// are none.
 func (t *statusTable) appliedByAll(within time.Duration) (least replicatedlog.Index, known bool) {
 	now := t.server.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, node := range t.nodes {
-		if time.Duration(now-node.heardAt) > within {
+		if time.Duration(now-node.seenAt) > within {
 			continue
 		}
 		applied := replicatedlog.Index(node.Applied)
@@ -95,7 +96,7 @@
 }
 
 // ownReport is this server's report of itself and of the caches, at which it carries purges out; nil for none.
-func (t *statusTable) ownReport() (controlwire.ServerReport, []purger.Progress) {
+func (t *statusTable) ownReport() (controlwire.ServerReport, []purge.Progress) {
 	leadership := t.server.loop.leadership.Load()
 	self := t.server.File.Self()
 	report := controlwire.ServerReport{
@@ -109,7 +110,7 @@
 		Invalid:  t.invalid.Load(),
 		Rejected: t.rejectedStreams.Load(),
 	}
-	t.server.log.describe(&report)
+	t.server.changeLog.describe(&report)
 	if t.server.purger == nil {
 		return report, nil
 	}
@@ -135,7 +136,7 @@
 	defer t.mu.Unlock()
 	for _, node := range t.nodes {
 		if node.Server == t.server.id {
-			node.AgeMs = ageMs(now, node.heardAt)
+			node.AgeMs = ageMs(now, node.seenAt)
 			table.Nodes = append(table.Nodes, node.NodeReport)
 		}
 	}
@@ -157,17 +158,17 @@
 	defer t.mu.Unlock()
 	t.forgetSilentNodes()
 	for _, node := range t.nodes {
-		node.AgeMs = ageMs(now, node.heardAt)
+		node.AgeMs = ageMs(now, node.seenAt)
 		table.Nodes = append(table.Nodes, node.NodeReport)
 	}
 	for _, other := range t.server.File.Machines {
 		if other.ID == t.server.id {
 			continue
 		}
-		report := controlwire.ServerReport{NeverHeard: true}
+		report := controlwire.ServerReport{NeverSeen: true}
 		if record, is := t.servers[other.ID]; is {
 			report = record.ServerReport
-			report.AgeMs = ageMs(now, record.heardAt)
+			report.AgeMs = ageMs(now, record.seenAt)
 			for _, cache := range record.caches {
 				cache.AgeMs = report.AgeMs
 				table.Caches = append(table.Caches, cache)
@@ -199,7 +200,7 @@
 		}
 		caches := validCaches(table.Caches, from)
 		t.mu.Lock()
-		t.servers[from] = serverRecord{ServerReport: report, caches: caches, heardAt: now}
+		t.servers[from] = serverRecord{ServerReport: report, caches: caches, seenAt: now}
 		t.mu.Unlock()
 		if t.server.purger != nil {
 			t.server.purger.MergeProgress(caches)
@@ -213,9 +214,10 @@
 }
 
 // validCaches returns the reports that are within the bounds, as those of a server.
-func validCaches(caches []purger.Progress, from uint64) []purger.Progress {
-	caches = slices.DeleteFunc(caches, func(cache purger.Progress) bool {
-		return cache.Cache == "" || len(cache.Cache) > controlwire.MaxNameBytes || len(cache.Reason) > controlwire.MaxReasonBytes
+func validCaches(caches []purge.Progress, from uint64) []purge.Progress {
+	caches = slices.DeleteFunc(caches, func(cache purge.Progress) bool {
+		validName := cache.Cache != "" && len(cache.Cache) <= controlwire.MaxNameBytes
+		return !validName || len(cache.Reason) > controlwire.MaxReasonBytes
 	})
 	caches = caches[:min(len(caches), controlwire.MaxCaches)]
 	for i := range caches {
