--- /dev/null
+++ b/internal/scale/hollownode_test.go
@@ -0,0 +1,110 @@
+package scale
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/membership/gossip"
+)
+
+// freePort returns a port that nothing uses on an address of the first region.
+func freePort(t *testing.T) uint16 {
+	t.Helper()
+	free, err := gossip.Listen("127.10.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	free.Datagrams.Close()
+	free.Streams.Close()
+	return free.Streams.Addr().(*net.TCPAddr).AddrPort().Port()
+}
+
+// openHollowNodes starts hollow nodes that detect a fault within a second, and ends them with the test.
+func openHollowNodes(t *testing.T, nodes int, places Places, rules *networkRules, lists *endpointLists) []*Node {
+	t.Helper()
+	port := freePort(t)
+	file := fleetconfig.Default()
+	file.Members.HelloMs = 100
+	file.Members.PauseS = 0.8
+	file.Members.BackS = 0.6
+	file.Fleet.Label = "hollow"
+	file.Fleet.Seeds = []string{fmt.Sprintf("127.%d.0.1:%d", firstRegion, port)}
+	var all []*Node
+	for _, at := range Lay(nodes, 0, places, port) {
+		var err error
+		if at.List, err = lists.listen(at.Name); err != nil {
+			t.Fatal(err)
+		}
+		own := file
+		own.Fleet.Listen = at.Addr
+		own.Fleet.Advertise = at.Addr
+		n, err := OpenNode(at, &own, nodes, rules)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { n.Close(false) })
+		all = append(all, n)
+	}
+	return all
+}
+
+// awaitAll waits until a condition holds for all nodes at once.
+func awaitAll(t *testing.T, nodes []*Node, what string, holds func(*Node) bool) {
+	t.Helper()
+	for by := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		ok := true
+		for _, n := range nodes {
+			ok = ok && holds(n)
+		}
+		if ok {
+			return
+		}
+		if time.Now().After(by) {
+			t.Fatal("never: " + what)
+		}
+	}
+}
+
+// Nine hollow nodes in three regions know each other. One region is cut off: it leaves the others' views and knows that it
+// is cut off. Once the cut ends, all know each other again. Their calls for the endpoint list are those of a node.
+func TestHollowNodesSeeARegionCutOffAndBack(t *testing.T) {
+	const (
+		nodes   = 9
+		regions = 3
+		off     = 1
+	)
+	file := defaultFile()
+	file.Places = Places{Regions: regions, Sites: regions, Zones: regions}
+	file.Between = Between{DelayMs: 2, DelayMostMs: 10, LateMs: 1, Loss: 0.01}
+	rules := &networkRules{faults: file.Faults(7)}
+	lists := openEndpointLists(3)
+	t.Cleanup(lists.close)
+	all := openHollowNodes(t, nodes, file.Places, rules, lists)
+
+	knowsAll := func(n *Node) bool { return len(n.Post.View().Nodes) == nodes && !n.Post.View().CutOff }
+	awaitAll(t, all, "all know all", knowsAll)
+	cut(rules.faults, off, regions, true)
+	awaitAll(t, all, "the region is out, and knows it", func(n *Node) bool {
+		view := n.Post.View()
+		if n.Place.Region == off {
+			return view.CutOff
+		}
+		return len(view.Nodes) == nodes-nodes/regions && !view.CutOff
+	})
+	cut(rules.faults, off, regions, false)
+	awaitAll(t, all, "all know all again", knowsAll)
+
+	for _, n := range all {
+		flow := lists.flow(n.Place.Name)
+		if flow.OutMessages < 2 || flow.In < float64(len(lists.whole)) || flow.Out == 0 {
+			t.Errorf("%s has called %+v", n.Place.Name, flow)
+		}
+		heartbeats := n.Post.Traffic()[0]
+		if heartbeats.Out == 0 || heartbeats.InBytes == 0 {
+			t.Errorf("%s: %+v", n.Place.Name, heartbeats)
+		}
+	}
+}
