--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Nine hollow nodes in three regions know each other. One region is cut off: it leaves the others' views and knows that it
-// is cut off. Once the cut ends, all know each other again. Their calls for the endpoint list are those of a node.
+// Nine hollow nodes in three regions know each other. One region is cut off: it leaves the others' views and knows that
+// it is cut off. Once the cut ends, all know each other again. Their calls for the endpoint list are those of a node.
 func TestHollowNodesSeeARegionCutOffAndBack(t *testing.T) {
 	const (
 		nodes   = 9
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -9,47 +9,87 @@
 
 // soundCaches are two caches at which three purges are done: a's twice, b's once; one cache is flushed for the last.
 func soundCaches() (purged []logtrace.Purged, records []logtrace.Cached) {
-	purged = []logtrace.Purged{{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"}, {Index: 3, Key: "b", Version: 2, Sent: 110, Play: "p"}, {Index: 5, Key: "a", Version: 3, Sent: 200, Play: "q"}}
-	add := func(cache string, all ...logtrace.Cached) {
-		for _, x := range all {
-			x.Cache = cache
-			records = append(records, x)
-		}
+	purged = []logtrace.Purged{
+		{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"},
+		{Index: 3, Key: "b", Version: 2, Sent: 110, Play: "p"},
+		{Index: 5, Key: "a", Version: 3, Sent: 200, Play: "q"},
+	}
+	records = []logtrace.Cached{
+		0:  {Cache: "one", At: 90, What: logtrace.Served, Key: "a", Version: 1},
+		1:  {Cache: "one", At: 120, What: logtrace.Deleted, Key: "a"},
+		2:  {Cache: "one", At: 121, What: logtrace.Deleted, Key: "b"},
+		3:  {Cache: "one", At: 130, What: logtrace.Served, Key: "a", Version: 1},
+		4:  {Cache: "one", At: 140, What: logtrace.Deleted, Key: "a"},
+		5:  {Cache: "one", At: 150, What: logtrace.Counted, Index: 4},
+		6:  {Cache: "one", At: 160, What: logtrace.Served, Key: "a", Version: 2},
+		7:  {Cache: "one", At: 210, What: logtrace.Deleted, Key: "a"},
+		8:  {Cache: "one", At: 250, What: logtrace.Counted, Index: 5},
+		9:  {Cache: "one", At: 260, What: logtrace.Served, Key: "a", Version: 3},
+		10: {Cache: "two", At: 125, What: logtrace.Deleted, Key: "a"},
+		11: {Cache: "two", At: 125, What: logtrace.Deleted, Key: "b"},
+		12: {Cache: "two", At: 155, What: logtrace.Counted, Index: 3},
+		13: {Cache: "two", At: 240, What: logtrace.Emptied},
+		14: {Cache: "two", At: 300, What: logtrace.Counted, Index: 9},
 	}
-	add("one", logtrace.Cached{At: 90, What: logtrace.Served, Key: "a", Version: 1}, logtrace.Cached{At: 120, What: logtrace.Deleted, Key: "a"}, logtrace.Cached{At: 121, What: logtrace.Deleted, Key: "b"},
-		logtrace.Cached{At: 130, What: logtrace.Served, Key: "a", Version: 1}, logtrace.Cached{At: 140, What: logtrace.Deleted, Key: "a"}, logtrace.Cached{At: 150, What: logtrace.Counted, Index: 4},
-		logtrace.Cached{At: 160, What: logtrace.Served, Key: "a", Version: 2}, logtrace.Cached{At: 210, What: logtrace.Deleted, Key: "a"}, logtrace.Cached{At: 250, What: logtrace.Counted, Index: 5},
-		logtrace.Cached{At: 260, What: logtrace.Served, Key: "a", Version: 3})
-	add("two", logtrace.Cached{At: 125, What: logtrace.Deleted, Key: "a"}, logtrace.Cached{At: 125, What: logtrace.Deleted, Key: "b"}, logtrace.Cached{At: 155, What: logtrace.Counted, Index: 3},
-		logtrace.Cached{At: 240, What: logtrace.Emptied}, logtrace.Cached{At: 300, What: logtrace.Counted, Index: 9})
 	return purged, records
 }
 
-func TestEachBreachAtCachesIsSeenAndNoneWhereThereIsNone(t *testing.T) {
+func TestCachesOfASoundRunHaveNoBreach(t *testing.T) {
 	purged, records := soundCaches()
 	r := Caches(purged, records, nil)
 	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Plays) != 2 {
-		t.Errorf("%+v", r)
+		t.Fatalf("%+v", r)
+	}
+	p := r.Plays[0]
+	if p.Deleted.Most != 25e-9 || p.Done.Most != 55e-9 {
+		t.Errorf("%+v", p)
 	}
-	if p, q := r.Plays[0], r.Plays[1]; p.Deleted.Most != 25e-9 || p.Done.Most != 55e-9 || q.Deleted.Most != 10e-9 || q.Done.Most != 100e-9 {
-		t.Errorf("%+v", r.Plays)
+	q := r.Plays[1]
+	if q.Deleted.Most != 10e-9 || q.Done.Most != 100e-9 {
+		t.Errorf("%+v", q)
 	}
+}
+
+func TestEachBreachAtCachesIsFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		want string
-		bend func(all *[]logtrace.Cached)
+		bend func(records []logtrace.Cached) []logtrace.Cached
 	}{
-		"an old value where it counts":     {OldServed, func(all *[]logtrace.Cached) { (*all)[6].Version = 1 }},
-		"the same after a flush":           {OldServed, func(all *[]logtrace.Cached) { (*all)[9].Version = 2 }},
-		"no deletion":                      {NotDone, func(all *[]logtrace.Cached) { *all = slices.Delete(*all, 2, 3) }},
-		"only one from before it":          {NotDone, func(all *[]logtrace.Cached) { (*all)[7].At = 199 }},
-		"a flush from before it":           {NotDone, func(all *[]logtrace.Cached) { (*all)[13].At = 199 }},
-		"an answer that came after it":     {NotDone, func(all *[]logtrace.Cached) { (*all)[7].At = 251 }},
-		"the last is never counted at one": {NeverCounted, func(all *[]logtrace.Cached) { (*all)[14].Index = 4 }},
+		"an old value after the purge counts as done": {
+			want: OldServed,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { r[6].Version = 1; return r },
+		},
+		"an old value after the second purge": {
+			want: OldServed,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { r[9].Version = 2; return r },
+		},
+		"no deletion": {
+			want: NotDone,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { return slices.Delete(r, 2, 3) },
+		},
+		"only a deletion from before the purge": {
+			want: NotDone,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { r[7].At = 199; return r },
+		},
+		"only a flush from before the purge": {
+			want: NotDone,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { r[13].At = 199; return r },
+		},
+		"a deletion after the purge counted as done": {
+			want: NotDone,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { r[7].At = 251; return r },
+		},
+		"the last purge is never done at one cache": {
+			want: NeverCounted,
+			bend: func(r []logtrace.Cached) []logtrace.Cached { r[14].Index = 4; return r },
+		},
 	} {
-		purged, records := soundCaches()
-		c.bend(&records)
-		if got := Caches(purged, records, nil).Breaches; len(got) != 1 || got[0].What != c.want {
-			t.Errorf("%s: %+v", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			purged, records := soundCaches()
+			got := Caches(purged, c.bend(records), nil).Breaches
+			if len(got) != 1 || got[0].What != c.want {
+				t.Errorf("%+v", got)
+			}
+		})
 	}
 }
--- a/internal/scale/placement_test.go
+++ b/internal/scale/placement_test.go
@@ -1,33 +1,86 @@
 package scale
 
-import (
-	"testing"
-)
+import "testing"
 
-// Where all caches stand in one zone nothing crosses and all is lost with it; where each has a zone of its own no two holders go at once. In
-// between, two of three holders share one of few crowded zones about as often as chance has it: 13 pairs of 1,225, three to a key.
+// within is a range of shares, both ends included.
+type within struct{ least, most float64 }
+
+// Where all caches are in one zone no attempt crosses zones, and all replicas are lost with it; where each cache has a
+// zone of its own no two replicas are lost at once. In between, two of three replicas share one of a few crowded zones
+// about as often as chance has it: 13 pairs of 1,225, three to a key.
 func TestPlacement(t *testing.T) {
 	for name, c := range map[string]struct {
-		places                   Places
-		caches                   int
-		price                    float64
-		zone, region, two, twoIn [2]float64 // least and most: first attempts that leave the zone, the region; keys with two in one
+		places      Places
+		caches      int
+		price       float64
+		zone        within // first attempts that leave the zone
+		region      within // first attempts that leave the region
+		twoInZone   within // keys with two replicas in one zone
+		twoInRegion within // keys with two replicas in one region
 	}{
-		"one zone":         {Places{1, 1, 1}, 20, 0.2, [2]float64{0, 0}, [2]float64{0, 0}, [2]float64{1, 1}, [2]float64{1, 1}},
-		"a zone each":      {Places{1, 1, 14}, 14, 0, [2]float64{0.91, 0.95}, [2]float64{0, 0}, [2]float64{0, 0}, [2]float64{1, 1}},
-		"few in many":      {Places{11, 28, 37}, 50, 0, [2]float64{0.96, 0.985}, [2]float64{0.89, 0.93}, [2]float64{0.025, 0.04}, [2]float64{0.17, 0.23}},
-		"at a price":       {Places{11, 28, 37}, 50, 0.2, [2]float64{0.9, 0.94}, [2]float64{0.82, 0.89}, [2]float64{0.025, 0.04}, [2]float64{0.17, 0.23}},
-		"its own deal too": {Places{3, 3, 3}, 60, 0.2, [2]float64{0, 0.01}, [2]float64{0, 0.01}, [2]float64{0.999, 1}, [2]float64{0.999, 1}},
+		"one zone": {
+			places:      Places{Regions: 1, Sites: 1, Zones: 1},
+			caches:      20,
+			price:       0.2,
+			zone:        within{0, 0},
+			region:      within{0, 0},
+			twoInZone:   within{1, 1},
+			twoInRegion: within{1, 1},
+		},
+		"a zone each": {
+			places:      Places{Regions: 1, Sites: 1, Zones: 14},
+			caches:      14,
+			zone:        within{0.91, 0.95},
+			region:      within{0, 0},
+			twoInZone:   within{0, 0},
+			twoInRegion: within{1, 1},
+		},
+		"few in many": {
+			places:      Places{Regions: 11, Sites: 28, Zones: 37},
+			caches:      50,
+			zone:        within{0.96, 0.985},
+			region:      within{0.89, 0.93},
+			twoInZone:   within{0.025, 0.04},
+			twoInRegion: within{0.17, 0.23},
+		},
+		"at a price": {
+			places:      Places{Regions: 11, Sites: 28, Zones: 37},
+			caches:      50,
+			price:       0.2,
+			zone:        within{0.9, 0.94},
+			region:      within{0.82, 0.89},
+			twoInZone:   within{0.025, 0.04},
+			twoInRegion: within{0.17, 0.23},
+		},
+		"replicas placed by zone": {
+			places:      Places{Regions: 3, Sites: 3, Zones: 3},
+			caches:      60,
+			price:       0.2,
+			zone:        within{0, 0.01},
+			region:      within{0, 0.01},
+			twoInZone:   within{0.999, 1},
+			twoInRegion: within{0.999, 1},
+		},
 	} {
-		x := PlaceKeys(c.places, c.caches, 9000, 480, c.price)
-		for what, got := range map[string][3]float64{"zone": {x.First.Zone, c.zone[0], c.zone[1]}, "region": {x.First.Region, c.region[0], c.region[1]},
-			"two in a zone": {x.TwoInZone, c.two[0], c.two[1]}, "two in a region": {x.TwoInRegion, c.twoIn[0], c.twoIn[1]}} {
-			if got[0] < got[1] || got[0] > got[2] {
-				t.Errorf("%s, %s: %.4f is not from %v to %v", name, what, got[0], got[1], got[2])
+		t.Run(name, func(t *testing.T) {
+			got := PlaceKeys(c.places, c.caches, 9000, 480, c.price)
+			expectWithin(t, "first attempts that leave the zone", got.First.Zone, c.zone)
+			expectWithin(t, "first attempts that leave the region", got.First.Region, c.region)
+			expectWithin(t, "keys with two in a zone", got.TwoInZone, c.twoInZone)
+			expectWithin(t, "keys with two in a region", got.TwoInRegion, c.twoInRegion)
+			if got.Holders < replicasOfKey-1 || got.Holders > replicasOfKey {
+				t.Errorf("holders: %+v", got)
+			}
+			if got.First.Attempts != got.Keys || got.Second.Attempts < got.Keys/rejectEach*9/10 {
+				t.Errorf("attempts: %+v", got)
 			}
-		}
-		if x.Holders < replicasOfKey-1 || x.Holders > replicasOfKey || x.First.Attempts != x.Keys || x.Second.Attempts < x.Keys/rejectEach*9/10 {
-			t.Errorf("%s: %+v", name, x)
-		}
+		})
+	}
+}
+
+func expectWithin(t *testing.T, what string, got float64, want within) {
+	t.Helper()
+	if got < want.least || got > want.most {
+		t.Errorf("%s: %.4f is not from %v to %v", what, got, want.least, want.most)
 	}
 }
--- a/internal/scale/places_test.go
+++ b/internal/scale/places_test.go
@@ -5,29 +5,36 @@
 	"testing"
 )
 
-// An address stands for one node, and tells the region and the role, as rules go by it. Real nodes stand together, and regions, sites and
-// zones are filled evenly.
+// An address stands for one node, and tells the region and the role, as rules go by it. Real nodes are in one region,
+// and regions, sites and zones are filled evenly.
 func TestLay(t *testing.T) {
 	for _, c := range []struct{ nodes, real, regions, sites, zones int }{
-		{480, 8, 11, 28, 37}, {12, 2, 1, 1, 1}, {60, 12, 11, 28, 37}, {2000, 32, 2, 3, 5},
+		{nodes: 480, real: 8, regions: 11, sites: 28, zones: 37},
+		{nodes: 12, real: 2, regions: 1, sites: 1, zones: 1},
+		{nodes: 60, real: 12, regions: 11, sites: 28, zones: 37},
+		{nodes: 2000, real: 32, regions: 2, sites: 3, zones: 5},
 	} {
-		all, addrs, in, zones := Lay(c.nodes, c.real, Places{c.regions, c.sites, c.zones}, 7946), map[string]bool{}, map[RegionID]int{}, map[int]int{}
+		places := Places{Regions: c.regions, Sites: c.sites, Zones: c.zones}
+		all := Lay(c.nodes, c.real, places, 7946)
+		addrs := map[string]bool{}
+		inRegion := map[RegionID]int{}
+		inZone := map[int]int{}
 		for i, p := range all {
-			region, role, ok := locateAddr(p.Addr)
-			if !ok || region != p.Region || role != p.Role || addrs[p.Addr] || (p.Role == Real) != (i < c.real) || p.Role == Real && p.Region != 0 ||
-				p.Site%c.regions != int(p.Region) || p.Zone%c.regions != int(p.Region) || p.Site >= c.sites || p.Zone >= c.zones {
-				t.Fatalf("%+v: %+v, read as %v %v %v", c, p, region, role, ok)
+			checkPlace(t, p, i < c.real, places)
+			if addrs[p.Addr] {
+				t.Fatalf("%+v: %+v has another node's address", c, p)
 			}
 			addrs[p.Addr] = true
-			in[p.Region]++
-			zones[p.Zone]++
+			inRegion[p.Region]++
+			inZone[p.Zone]++
 		}
-		if len(all) != c.nodes || len(in) != c.regions || len(zones) != c.zones {
-			t.Errorf("%+v: %d nodes in %d regions and %d zones", c, len(all), len(in), len(zones))
+		if len(all) != c.nodes || len(inRegion) != c.regions || len(inZone) != c.zones {
+			t.Errorf("%+v: %d nodes in %d regions and %d zones", c, len(all), len(inRegion), len(inZone))
 		}
-		for r, n := range in {
-			if even := c.nodes / c.regions; n < min(even, (c.nodes-c.real)/c.regions) || n > max(even+1, c.real) {
-				t.Errorf("%+v: %d in region %d", c, n, r)
+		even := c.nodes / c.regions
+		for region, n := range inRegion {
+			if n < min(even, (c.nodes-c.real)/c.regions) || n > max(even+1, c.real) {
+				t.Errorf("%+v: %d in region %d", c, n, region)
 			}
 		}
 	}
@@ -35,3 +42,20 @@
 		t.Error("127.0.0.1 is no node")
 	}
 }
+
+// checkPlace checks one node's place and what its address tells.
+func checkPlace(t *testing.T, p Place, isReal bool, places Places) {
+	t.Helper()
+	region, role, ok := locateAddr(p.Addr)
+	if !ok || region != p.Region || role != p.Role {
+		t.Fatalf("%+v: read as %v %v %v", p, region, role, ok)
+	}
+	if (p.Role == Real) != isReal || isReal && p.Region != 0 {
+		t.Fatalf("%+v: the first nodes are the real ones, in the first region", p)
+	}
+	siteIsOfRegion := p.Site%places.Regions == int(p.Region) && p.Site < places.Sites
+	zoneIsOfRegion := p.Zone%places.Regions == int(p.Region) && p.Zone < places.Zones
+	if !siteIsOfRegion || !zoneIsOfRegion {
+		t.Fatalf("%+v: site or zone is not of the region", p)
+	}
+}
