--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -208,7 +208,7 @@
 	return accepted
 }
 
-// track keeps the connection for Close, which may come while a call blocks on it; false if Close has come already.
+// track keeps the connection for Close, which may be called while a call blocks on it; false if it was called before.
 func (c *listPoller) track(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -27,7 +27,7 @@
 	OutOfOrder   = "out of order"                     // nodes, or who published, differ on what an index is
 	EarlyAck     = "acknowledged before a majority"   // fewer voters had it on disk by then
 	EarlyInForce = "in force before it was ordered"   // fewer voters had it on disk by then
-	EarlyTold    = "told too early"                   // a node told of more than it had applied
+	EarlyTold    = "told too early"                   // a node reported more than it had applied
 	OldBeginning = "began under an old configuration" // a later one was in force there
 )
 
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -22,21 +22,22 @@
 	readEach   = 2 * time.Millisecond  // between two reads at caches
 )
 
-// caches are the rig's cache servers, each in a region, and what befell them. A key's value has the version 1 before
-// its purge is published, and 2 at the origin from then on.
+// caches are the rig's cache servers, each in a region, and the records of what happened at them. A key's value has the
+// version 1 before its purge is published, and 2 at the origin from then on.
 type caches struct {
 	all     []*cachestub.Cache
-	mu      sync.Mutex
-	records []logtrace.Cached
-	recent  []string // keys that were purged, to be read
+	mu      sync.Mutex        // guards records, recent and chance
+	records []logtrace.Cached // of all caches
+	recent  []string          // purged keys, in the order of their purges
 	chance  keyhash.Source
-	fills   sync.WaitGroup
-	purged  []logtrace.Purged
-	cut     string
-	back    monotime.Instant
+	fills   sync.WaitGroup    // fills in flight
+	purged  []logtrace.Purged // guarded by the run's mutex
+	cut     string            // the cache that did not answer for a while
+	back    monotime.Instant  // when it answered again
 	closed  chan struct{}
 }
 
+// openCaches starts all caches, and the reads at them.
 func (r *run) openCaches() error {
 	for i := range r.Caches {
 		c, err := cachestub.Open(fmt.Sprintf("cache-%02d", i), gossip.BootTime, func(x logtrace.Cached) {
@@ -69,11 +70,11 @@
 	}
 	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.Fills.Seconds())
 	for i, c := range r.caches.all {
-		door, err := r.between.Listen(r.region[machine], i%r.Regions, c.Addr())
+		addr, err := r.between.Listen(r.region[machine], i%r.Regions, c.Addr())
 		if err != nil {
 			return "", err
 		}
-		text += fmt.Sprintf("[[purges.cache]]\nid = %q\naddr = %q\n", c.Name(), door)
+		text += fmt.Sprintf("[[purges.cache]]\nid = %q\naddr = %q\n", c.Name(), addr)
 	}
 	return text, nil
 }
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -144,14 +144,33 @@
 		return err
 	}
 	to := &writer{w: bufio.NewWriterSize(traced, traceAhead)}
-	log := logrus.New()
-	log.SetLevel(logrus.ErrorLevel)
-	var all []*logfollower.Follower
 	ends := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, until)
 		ends <- err
 	}()
+	all := startFollowers(s, to)
+	each := time.NewTicker(sampleEach)
+	defer each.Stop()
+	for over := false; !over; {
+		select {
+		case <-each.C:
+		case err = <-ends:
+			over = true
+		}
+		err = errors.Join(err, json.NewEncoder(stats).Encode(sample(all)))
+	}
+	for _, f := range all {
+		f.Close()
+	}
+	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
+}
+
+// startFollowers starts all nodes of a process, evenly over startOver.
+func startFollowers(s Spec, to *writer) []*logfollower.Follower {
+	log := logrus.New()
+	log.SetLevel(logrus.ErrorLevel)
+	var all []*logfollower.Follower
 	for i := range s.Nodes {
 		h := &hollow{to: to, number: s.First + uint32(i)}
 		h.reader = replicatedlog.NewApplier(h)
@@ -169,20 +188,7 @@
 		}))
 		time.Sleep(startOver / time.Duration(s.Nodes))
 	}
-	each := time.NewTicker(sampleEach)
-	defer each.Stop()
-	for over := false; !over; {
-		select {
-		case <-each.C:
-		case err = <-ends:
-			over = true
-		}
-		err = errors.Join(err, json.NewEncoder(stats).Encode(sample(all)))
-	}
-	for _, f := range all {
-		f.Close()
-	}
-	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
+	return all
 }
 
 func sample(all []*logfollower.Follower) Sample {
--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -18,7 +18,7 @@
 	synAgain     = time.Second            // the same for the packet that opens it
 	mostAgain    = 4                      // times that one is lost in a row
 	piecesAhead  = 64                     // in flight in one direction; the sender waits then, as by TCP's window
-	lookAtCut    = 10 * time.Millisecond  // between looks of a stream that stands still
+	lookAtCut    = 10 * time.Millisecond  // between looks of a stream that stalls
 	inRegion     = time.Millisecond       // one way, within a region
 	nextRegion   = 10 * time.Millisecond  // one way, to another, and
 	furtherEach  = 12 * time.Millisecond  // more for each region on the shorter way around
--- a/internal/scale/logscale/rig/plan.go
+++ b/internal/scale/logscale/rig/plan.go
@@ -27,7 +27,7 @@
 	CutConfigs     int
 	Loss           float64
 	Kill           bool // the leader outright, a third into steady, and back with its disk after two thirds
-	Hang           bool // the leader stands still (SIGSTOP) in that time instead, its streams open
+	Hang           bool // the leader is stopped (SIGSTOP) in that time instead, its streams open
 	Seed           uint32
 	Dir            string
 	Log            io.Writer
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -69,25 +69,13 @@
 	return strings.TrimSpace(string(text))
 }
 
-// Play plays a plan and judges it.
-func Play(ctx context.Context, p Plan) (rep *Report, err error) {
+// Play runs a plan and checks what it left behind.
+func Play(ctx context.Context, p Plan) (*Report, error) {
 	if p.PurgesASecond == 0 {
 		p.PurgesASecond = purgeRate
 		p.ConfigsASecond = configRate
 	}
-	r := &run{
-		Plan:    p,
-		between: NewBetween(p.Regions, p.Loss, p.Seed),
-		caches:  caches{chance: keyhash.Source{Seed: p.Seed}, closed: make(chan struct{})},
-		report: Report{
-			Nodes:   p.Nodes,
-			Real:    p.Real,
-			Regions: p.Regions,
-			Loss:    p.Loss,
-			Seed:    p.Seed,
-			Load:    []string{Load()},
-		},
-	}
+	r := newRun(p)
 	defer r.between.Close()
 	defer r.kill()
 	defer r.closeCaches()
@@ -95,36 +83,13 @@
 		return nil, err
 	}
 	for _, play := range p.Plays {
-		m := mark{play: play, from: gossip.BootTime(), before: r.usedBy()}
-		r.log("%s begins; load %s", play, Load())
-		switch play {
-		case Steady:
-			err = r.steady(ctx)
-		case Burst:
-			err = r.burst(ctx)
-		case CacheCut:
-			err = r.cutCache(ctx)
-		case Cut:
-			err = r.cutOff(ctx)
-		default:
-			err = fmt.Errorf("no play %q", play)
-		}
-		if err == nil {
-			err = r.settle(ctx)
-		}
-		if err == nil {
-			r.measureShown(ctx, play)
-		}
-		if err != nil {
+		if err := r.measure(ctx, play); err != nil {
 			return nil, fmt.Errorf("%s: %w", play, err)
 		}
-		time.Sleep(2 * sampleEach) // so that no play is in another one's figures
-		m.until, m.after, m.rss = gossip.BootTime(), r.usedBy(), r.residentBy()
-		r.marks = append(r.marks, m)
 	}
 	r.report.Load = append(r.report.Load, Load())
 	r.countCompleteRealNodes()
-	if r.Caches > 0 { // the last entries are shown at all nodes before they are done at caches
+	if r.Caches > 0 { // nodes show the last entries before these are done at caches
 		if err := r.settle(ctx); err != nil {
 			return nil, err
 		}
@@ -136,6 +101,56 @@
 	return &r.report, r.check()
 }
 
+func newRun(p Plan) *run {
+	return &run{
+		Plan:    p,
+		between: NewBetween(p.Regions, p.Loss, p.Seed),
+		caches:  caches{chance: keyhash.Source{Seed: p.Seed}, closed: make(chan struct{})},
+		report: Report{
+			Nodes:   p.Nodes,
+			Real:    p.Real,
+			Regions: p.Regions,
+			Loss:    p.Loss,
+			Seed:    p.Seed,
+			Load:    []string{Load()},
+		},
+	}
+}
+
+// measure runs a play, waits until every node has every entry, and notes what processes used meanwhile.
+func (r *run) measure(ctx context.Context, play string) error {
+	m := mark{play: play, from: gossip.BootTime(), before: r.usedBy()}
+	r.log("%s begins; load %s", play, Load())
+	if err := r.play(ctx, play); err != nil {
+		return err
+	}
+	if err := r.settle(ctx); err != nil {
+		return err
+	}
+	r.measureShown(ctx, play)
+	time.Sleep(2 * sampleEach) // so that no play is in another one's figures
+	m.until = gossip.BootTime()
+	m.after = r.usedBy()
+	m.rss = r.residentBy()
+	r.marks = append(r.marks, m)
+	return nil
+}
+
+func (r *run) play(ctx context.Context, play string) error {
+	switch play {
+	case Steady:
+		return r.steady(ctx)
+	case Burst:
+		return r.burst(ctx)
+	case CacheCut:
+		return r.cutCache(ctx)
+	case Cut:
+		return r.cutOff(ctx)
+	default:
+		return fmt.Errorf("no play %q", play)
+	}
+}
+
 func (r *run) path(format string, args ...any) string {
 	return filepath.Join(r.Dir, fmt.Sprintf(format, args...))
 }
--- a/internal/scale/networkrules.go
+++ b/internal/scale/networkrules.go
@@ -177,9 +177,9 @@
 // passes waits as long as data takes to the other region, and reports whether that was in time.
 func (c *ruledConn) passes(from, to RegionID, by func() time.Time) bool {
 	for {
-		late, stands := c.r.faults.Piece(int(from), int(to))
-		wait := late
-		if stands {
+		delay, isCut := c.r.faults.Piece(int(from), int(to))
+		wait := delay
+		if isCut {
 			wait = lookAtCutBy
 		}
 		if end := by(); !end.IsZero() && time.Until(end) < wait {
@@ -187,7 +187,7 @@
 			return false
 		}
 		time.Sleep(wait)
-		if !stands {
+		if !isCut {
 			return true
 		}
 	}
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -21,7 +21,7 @@
 	Real   Role = "real"   // a process of its own, by the program's own serve
 )
 
-// Place is one node: where it stands and is reached.
+// Place is one node: its location and its addresses.
 type Place struct {
 	Name   string   `json:"name"`
 	Role   Role     `json:"role"`
