--- /dev/null
+++ b/internal/scale/endpointlists.go
@@ -0,0 +1,153 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const longestWatch = time.Minute // that a call for changes is held open
+
+// endpointLists stands for discovery. It has a listener for each node, so that traffic is counted by node. The list
+// does not change, and all its caches drain, so that a real node opens no connections to them.
+type endpointLists struct {
+	whole  []byte // the complete list
+	same   []byte // the update that nothing has changed
+	mu     sync.Mutex
+	doors  map[string]*listListener // by node
+	closed chan struct{}
+}
+
+// listListener is where one node calls for the list.
+type listListener struct {
+	at    net.Listener
+	web   *http.Server
+	calls atomic.Uint64
+	in    atomic.Uint64 // bytes that the node received
+	out   atomic.Uint64 // bytes that the node sent
+}
+
+const generation = 1 // of the list, which does not change
+
+// openEndpointLists serves a list of so many caches.
+func openEndpointLists(caches int) *endpointLists {
+	rows := []map[string]any{}
+	for i := range caches {
+		rows = append(rows, map[string]any{
+			"instanceId":  fmt.Sprintf("c%d", i+1),
+			"hostPort":    fmt.Sprintf("127.0.0.2:%d", 1+i),
+			"zone":        "z",
+			"machineType": "cache",
+			"cell":        0,
+			"weight":      1,
+			"startedAtMs": 1,
+			"lifecycle":   "terminating",
+		})
+	}
+	text := func(whole bool, rows []map[string]any) []byte {
+		b, err := json.Marshal(map[string]any{"generation": generation, "reset": whole, "instances": rows})
+		if err != nil {
+			panic(err) // names and numbers only
+		}
+		return b
+	}
+	return &endpointLists{
+		whole:  text(true, rows),
+		same:   text(false, rows[:0]),
+		doors:  map[string]*listListener{},
+		closed: make(chan struct{}),
+	}
+}
+
+// listen opens a node's own listener, and returns its address.
+func (l *endpointLists) listen(node string) (string, error) {
+	at, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", fmt.Errorf("discovery cannot listen: %w", err)
+	}
+	d := &listListener{at: at}
+	d.web = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
+		d.calls.Add(1)
+		l.serve(out, in)
+	})}
+	go d.web.Serve(countingListener{Listener: at, d: d}) // until close
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.doors[node] = d
+	return at.Addr().String(), nil
+}
+
+// serve answers with the complete list, or holds the call open where the caller has it already.
+func (l *endpointLists) serve(out http.ResponseWriter, in *http.Request) {
+	since, err := strconv.Atoi(in.URL.Query().Get("since"))
+	if err != nil || since != generation {
+		_, _ = out.Write(l.whole)
+		return
+	}
+	wait, _ := strconv.Atoi(in.URL.Query().Get("timeout_ms"))
+	timer := time.NewTimer(min(longestWatch, time.Duration(wait)*time.Millisecond))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		_, _ = out.Write(l.same)
+	case <-in.Context().Done():
+	case <-l.closed:
+	}
+}
+
+// flow is what a node's calls have sent and received until now.
+func (l *endpointLists) flow(node string) Flow {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	d := l.doors[node]
+	if d == nil {
+		return Flow{}
+	}
+	calls := float64(d.calls.Load())
+	return Flow{Out: float64(d.out.Load()), In: float64(d.in.Load()), OutMessages: calls, InMessages: calls}
+}
+
+func (l *endpointLists) close() {
+	close(l.closed)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, d := range l.doors {
+		_ = d.web.Close()
+	}
+}
+
+// countingListener counts the bytes of its connections.
+type countingListener struct {
+	net.Listener
+	d *listListener
+}
+
+func (c countingListener) Accept() (net.Conn, error) {
+	conn, err := c.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &countingConn{Conn: conn, d: c.d}, nil
+}
+
+type countingConn struct {
+	net.Conn
+	d *listListener
+}
+
+func (c *countingConn) Read(b []byte) (n int, err error) {
+	n, err = c.Conn.Read(b)
+	c.d.out.Add(uint64(n))
+	return n, err
+}
+
+func (c *countingConn) Write(b []byte) (n int, err error) {
+	n, err = c.Conn.Write(b)
+	c.d.in.Add(uint64(n))
+	return n, err
+}
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -25,12 +25,13 @@
 )
 
 const (
-	sampleEach = time.Second
-	startOver  = 2 * time.Second // over which the hollow nodes of a process start
-	traceAhead = 1 << 20         // bytes of the trace written at once
+	sampleEach = time.Second      // between two samples
+	staleAfter = 30 * time.Second // without the leader, after which a node counts as stale
+	startOver  = 2 * time.Second  // over which the hollow nodes of a process start
+	traceAhead = 1 << 20          // bytes of the trace written at once
 )
 
-// Spec is what a process of hollow nodes is told.
+// Spec is the configuration of a process of hollow nodes.
 type Spec struct {
 	Label string   `json:"label"`
 	At    []string `json:"at"` // control machines' doors
@@ -96,12 +97,20 @@
 	return nil
 }
 
-// Begin and Take are a Reader's.
+// Start begins the node at an index under a configuration, as an Applier does, and records it.
 func (h *hollow) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
-	h.begins, h.mark = true, 0
+	h.begins = true
+	h.mark = 0
 	err := h.reader.Start(log, at, config)
-	if h.begins = false; err == nil {
-		h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: h.mark, Node: h.number, What: logtrace.Began})
+	h.begins = false
+	if err == nil {
+		h.to.put(logtrace.Record{
+			At:    gossip.BootTime(),
+			Index: uint64(at),
+			Mark:  h.mark,
+			Node:  h.number,
+			What:  logtrace.Began,
+		})
 	}
 	return err
 }
@@ -109,11 +118,11 @@
 func (h *hollow) Apply(raw []cbor.RawMessage) error       { return h.reader.Apply(raw) }
 func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
-func (h *hollow) told(at replicatedlog.Index) {
+func (h *hollow) onProgressSent(at replicatedlog.Index) {
 	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Node: h.number, What: logtrace.Told})
 }
 
-// Name is a hollow node's.
+// Name is the name of a hollow node with a number.
 func Name(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
 // Hollow runs a process of hollow nodes until what it reads from ends.
@@ -135,21 +144,12 @@
 		return err
 	}
 	to := &writer{w: bufio.NewWriterSize(traced, traceAhead)}
-	log := logrus.New()
-	log.SetLevel(logrus.ErrorLevel)
-	var all []*logfollower.Follower
 	ends := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, until)
 		ends <- err
 	}()
-	for i := range s.Nodes {
-		h := &hollow{to: to, number: s.First + uint32(i)}
-		h.reader = replicatedlog.NewApplier(h)
-		all = append(all, logfollower.Start(logfollower.Config{Name: Name(h.number), Process: uint64(h.number) + 1, Label: s.Label, Servers: s.At, Seed: s.Seed + h.number, StaleAfter: 30 * time.Second,
-			Applier: h, Log: log, Now: gossip.BootTime, OnProgressSent: h.told}))
-		time.Sleep(startOver / time.Duration(s.Nodes))
-	}
+	all := startFollowers(s, to)
 	each := time.NewTicker(sampleEach)
 	defer each.Stop()
 	for over := false; !over; {
@@ -166,14 +166,42 @@
 	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
 }
 
+// startFollowers starts all nodes of a process, evenly over startOver.
+func startFollowers(s Spec, to *writer) []*logfollower.Follower {
+	log := logrus.New()
+	log.SetLevel(logrus.ErrorLevel)
+	var all []*logfollower.Follower
+	for i := range s.Nodes {
+		h := &hollow{to: to, number: s.First + uint32(i)}
+		h.reader = replicatedlog.NewApplier(h)
+		all = append(all, logfollower.Start(logfollower.Config{
+			Name:           Name(h.number),
+			Process:        uint64(h.number) + 1,
+			Label:          s.Label,
+			Servers:        s.At,
+			Seed:           s.Seed + h.number,
+			StaleAfter:     staleAfter,
+			Applier:        h,
+			Log:            log,
+			Now:            gossip.BootTime,
+			OnProgressSent: h.onProgressSent,
+		}))
+		time.Sleep(startOver / time.Duration(s.Nodes))
+	}
+	return all
+}
+
 func sample(all []*logfollower.Follower) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s := Sample{At: gossip.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
 	for _, f := range all {
 		now := f.Status()
-		s.In, s.Out = append(s.In, now.BytesIn), append(s.Out, now.BytesOut)
-		s.Moves, s.Gaps, s.Least = s.Moves+now.Moves, s.Gaps+now.Gaps, min(s.Least, uint64(now.Applied))
+		s.In = append(s.In, now.BytesIn)
+		s.Out = append(s.Out, now.BytesOut)
+		s.Moves += now.Moves
+		s.Gaps += now.Gaps
+		s.Least = min(s.Least, uint64(now.Applied))
 		if now.Stale {
 			s.Stale++
 		}
--- /dev/null
+++ b/internal/scale/places_test.go
@@ -0,0 +1,61 @@
+package scale
+
+import (
+	"net/netip"
+	"testing"
+)
+
+// An address stands for one node, and tells the region and the role, as rules go by it. Real nodes are in one region,
+// and regions, sites and zones are filled evenly.
+func TestLay(t *testing.T) {
+	for _, c := range []struct{ nodes, real, regions, sites, zones int }{
+		{nodes: 480, real: 8, regions: 11, sites: 28, zones: 37},
+		{nodes: 12, real: 2, regions: 1, sites: 1, zones: 1},
+		{nodes: 60, real: 12, regions: 11, sites: 28, zones: 37},
+		{nodes: 2000, real: 32, regions: 2, sites: 3, zones: 5},
+	} {
+		places := Places{Regions: c.regions, Sites: c.sites, Zones: c.zones}
+		all := Lay(c.nodes, c.real, places, 7946)
+		addrs := map[string]bool{}
+		inRegion := map[RegionID]int{}
+		inZone := map[int]int{}
+		for i, p := range all {
+			checkPlace(t, p, i < c.real, places)
+			if addrs[p.Addr] {
+				t.Fatalf("%+v: %+v has another node's address", c, p)
+			}
+			addrs[p.Addr] = true
+			inRegion[p.Region]++
+			inZone[p.Zone]++
+		}
+		if len(all) != c.nodes || len(inRegion) != c.regions || len(inZone) != c.zones {
+			t.Errorf("%+v: %d nodes in %d regions and %d zones", c, len(all), len(inRegion), len(inZone))
+		}
+		even := c.nodes / c.regions
+		for region, n := range inRegion {
+			if n < min(even, (c.nodes-c.real)/c.regions) || n > max(even+1, c.real) {
+				t.Errorf("%+v: %d in region %d", c, n, region)
+			}
+		}
+	}
+	if _, _, ok := locate(netip.MustParseAddr("127.0.0.1")); ok {
+		t.Error("127.0.0.1 is no node")
+	}
+}
+
+// checkPlace checks one node's place and what its address tells.
+func checkPlace(t *testing.T, p Place, isReal bool, places Places) {
+	t.Helper()
+	region, role, ok := locateAddr(p.Addr)
+	if !ok || region != p.Region || role != p.Role {
+		t.Fatalf("%+v: read as %v %v %v", p, region, role, ok)
+	}
+	if (p.Role == Real) != isReal || isReal && p.Region != 0 {
+		t.Fatalf("%+v: the first nodes are the real ones, in the first region", p)
+	}
+	siteIsOfRegion := p.Site%places.Regions == int(p.Region) && p.Site < places.Sites
+	zoneIsOfRegion := p.Zone%places.Regions == int(p.Region) && p.Zone < places.Zones
+	if !siteIsOfRegion || !zoneIsOfRegion {
+		t.Fatalf("%+v: site or zone is not of the region", p)
+	}
+}
