--- /dev/null
+++ b/internal/emulator/simulation/jobs.go
@@ -0,0 +1,52 @@
+package simulation
+
+import (
+	"dahliapin/internal/emulator/world"
+	"dahliapin/policy"
+)
+
+// resultOf is what an attempt reports for a server's reply.
+var resultOf = [...]policy.Result{
+	world.Value:   policy.Answered,
+	world.Receipt: policy.Answered,
+	world.Miss:    policy.CacheMiss,
+	world.Busy:    policy.Rejected,
+	world.Failed:  policy.Errored,
+}
+
+// jobDone sends a server's reply to the node whose attempt it answers.
+func (sim *Simulation) jobDone(done world.Done) {
+	a := sim.atServers[done.Job.Tag]
+	if a == nil {
+		return
+	}
+	server := done.Server
+	sim.checker.AttemptEnded(sim.now, a.request.message.ID, sim.world.Servers[server].ID, done.Said == world.Busy)
+	delete(sim.atServers, done.Job.Tag)
+	result := sim.faultyResult(server, done.Said)
+	toOrigin := sim.world.IsOrigin(server)
+	var loadReport []float64
+	if sim.scenario.Fleet.Reports && !toOrigin && result != policy.ConnectionBroken {
+		loadReport = []float64{done.Load}
+	}
+	lostShare := sim.scenario.Network.LostShare
+	if lostShare > 0 && !toOrigin && sim.random.Float64() < lostShare {
+		return // the connection delivers nothing any more: the attempt ends by its deadline
+	}
+	sim.after(sim.serverLatency(a.node, server), func() { a.finish(result, loadReport) })
+}
+
+// faultyResult is the result of a reply after what goes wrong on the server's connections.
+func (sim *Simulation) faultyResult(server int, said world.Said) policy.Result {
+	switch sim.fault(server) {
+	case "half":
+		return policy.ConnectionBroken
+	case "garbage":
+		return policy.Errored
+	case "stale":
+		if said == world.Value {
+			return policy.CacheMiss
+		}
+	}
+	return resultOf[said]
+}
