--- a/internal/emulator/simulation/decisions_test.go
+++ b/internal/emulator/simulation/decisions_test.go
@@ -21,8 +21,10 @@
 )
 
 var (
-	update       = flag.Bool("update", false, "write the recorded hashes anew; only for an intended change of decisions")
-	allDecisions = flag.Bool("all-decisions", false, "play each rehearsal in full with three seeds, not a few seconds with one")
+	update = flag.Bool("update", false,
+		"write the recorded hashes anew; only for an intended change of decisions")
+	allDecisions = flag.Bool("all-decisions", false,
+		"play each rehearsal in full with three seeds, not a few seconds with one")
 )
 
 const (
@@ -31,8 +33,8 @@
 	shortSeconds = 6
 )
 
-// A restructuring must not change any decision of the module: every call into it over the rehearsals, in both modes of caches, and every
-// answer make one hash a run.
+// A restructuring must not change any decision of the module: every call into it over the rehearsals, in both modes of
+// caches, and every answer make one hash a run.
 func TestDecisionsInRehearsalsAreThoseThatWereRecorded(t *testing.T) {
 	if testing.Short() {
 		t.Skip("one goroutine plays each: the race detector has nothing to see")
@@ -45,7 +47,7 @@
 	var got []string
 	t.Run("play", func(t *testing.T) {
 		for _, name := range rehearsals.Names() {
-			if load(t, name).OnSockets() {
+			if loadRehearsal(t, name).OnSockets() {
 				continue
 			}
 			for _, mode := range []string{"aside", "through"} {
@@ -84,73 +86,73 @@
 }
 
 func recordedHash(t *testing.T, name, mode string, seed int64) uint64 {
-	s := load(t, name)
+	s := loadRehearsal(t, name)
 	s.Seed += seed
 	s.Allowed.Mode = mode
 	if !*allDecisions {
 		s.Seconds = min(s.Seconds, shortSeconds)
-		for i := range s.Events { // the first troubles within the short time
+		for i := range s.Events { // the first events within the short time
 			s.Events[i].AtS = 1 + math.Mod(s.Events[i].AtS, shortSeconds-2)
 		}
 		slices.SortStableFunc(s.Events, func(a, b scenario.Event) int { return int(math.Copysign(1, a.AtS-b.AtS)) })
 	}
-	r := &recorder{sum: fnv.New64a()}
+	r := &decisionHash{sum: fnv.New64a()}
 	play(t, s, "module", func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
-		return &recordedDecider{recorder: r, Decider: Module(now, seed, rules)}
+		return &hashingDecider{decisionHash: r, Decider: Module(now, seed, rules)}
 	})
 	return r.sum.Sum64()
 }
 
 // recorder makes one hash of all calls, in their order.
-type recorder struct {
-	sum hash.Hash64
-	b   []byte
+type decisionHash struct {
+	sum    hash.Hash64
+	buffer []byte
 }
 
-func (r *recorder) numbers(values ...uint64) {
-	r.b = r.b[:0]
+func (r *decisionHash) numbers(values ...uint64) {
+	r.buffer = r.buffer[:0]
 	for _, v := range values {
-		r.b = binary.LittleEndian.AppendUint64(r.b, v)
+		r.buffer = binary.LittleEndian.AppendUint64(r.buffer, v)
 	}
-	r.sum.Write(r.b)
+	r.sum.Write(r.buffer)
 }
 
-func (r *recorder) text(s string) {
+func (r *decisionHash) text(s string) {
 	r.numbers(uint64(len(s)))
 	r.sum.Write([]byte(s))
 }
 
 // recordedDecider passes all calls on to the module.
-type recordedDecider struct {
-	*recorder
+type hashingDecider struct {
+	*decisionHash
 	dispatch.Decider
 }
 
-func (d *recordedDecider) Route(now policy.Instant, q *policy.Request) policy.Decision {
+func (d *hashingDecider) Route(now policy.Instant, q *policy.Request) policy.Decision {
 	d.request(now, q)
-	return d.move(d.Decider.Route(now, q))
+	return d.decision(d.Decider.Route(now, q))
 }
 
-func (d *recordedDecider) OnAttemptDone(now policy.Instant, q *policy.Request, o policy.Outcome) policy.Decision {
+func (d *hashingDecider) OnAttemptDone(now policy.Instant, q *policy.Request, o policy.Outcome) policy.Decision {
 	d.request(now, q)
 	d.numbers(uint64(o.Attempt), uint64(o.Latency), uint64(len(o.LoadReport)))
 	for _, x := range o.LoadReport {
 		d.numbers(math.Float64bits(x))
 	}
-	return d.move(d.Decider.OnAttemptDone(now, q, o))
+	return d.decision(d.Decider.OnAttemptDone(now, q, o))
 }
 
-func (d *recordedDecider) Tick(now policy.Instant) (time.Duration, []policy.Action) {
-	wait, chores := d.Decider.Tick(now)
-	d.numbers(uint64(now), uint64(wait), uint64(len(chores)))
-	for _, c := range chores {
+func (d *hashingDecider) Tick(now policy.Instant) (time.Duration, []policy.Action) {
+	wait, actions := d.Decider.Tick(now)
+	d.numbers(uint64(now), uint64(wait), uint64(len(actions)))
+	for _, c := range actions {
 		d.numbers(uint64(c.Kind))
 		d.text(string(c.Endpoint))
 	}
-	return wait, chores
+	return wait, actions
 }
 
-func (d *recordedDecider) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
+func (d *hashingDecider) UpdateEndpoints(now policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
 	d.numbers(uint64(now), uint64(form), uint64(len(entries)))
 	for _, e := range entries {
 		d.text(string(e.ID))
@@ -160,21 +162,21 @@
 	d.Decider.UpdateEndpoints(now, form, entries)
 }
 
-func (d *recordedDecider) OnHealthCheck(now policy.Instant, id policy.EndpointID, found policy.Result) {
+func (d *hashingDecider) OnHealthCheck(now policy.Instant, id policy.EndpointID, found policy.Result) {
 	d.numbers(uint64(now), uint64(found))
 	d.text(string(id))
 	d.Decider.OnHealthCheck(now, id, found)
 }
 
-func (d *recordedDecider) MayStart(now policy.Instant, q policy.Request, leg int) bool {
-	may := d.Decider.MayStart(now, q, leg)
-	d.numbers(uint64(now), uint64(leg))
+func (d *hashingDecider) MayStart(now policy.Instant, q policy.Request, attempt int) bool {
+	may := d.Decider.MayStart(now, q, attempt)
+	d.numbers(uint64(now), uint64(attempt))
 	d.text(fmt.Sprint(may))
 	return may
 }
 
-// EndpointStates passes on what the module tells of its caches: a host looks for it beside the interface.
-func (d *recordedDecider) EndpointStates(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
+// EndpointStates passes on the states of endpoints: the dispatcher looks for this method beside the interface.
+func (d *hashingDecider) EndpointStates(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
 	d.Decider.(*policy.Router).EndpointStates(now, func(id policy.EndpointID, s policy.EndpointState) {
 		d.text(string(id))
 		d.numbers(uint64(s))
@@ -182,25 +184,27 @@
 	})
 }
 
-func (d *recordedDecider) request(now policy.Instant, q *policy.Request) {
-	d.numbers(uint64(now), uint64(q.Class), uint64(q.Tenant), uint64(q.ArrivedAt), uint64(q.Deadline), uint64(len(q.Attempts)))
+func (d *hashingDecider) request(now policy.Instant, q *policy.Request) {
+	d.numbers(uint64(now), uint64(q.Class), uint64(q.Tenant))
+	d.numbers(uint64(q.ArrivedAt), uint64(q.Deadline), uint64(len(q.Attempts)))
 	d.text(string(q.ID))
 	d.text(q.Key)
 	d.text(fmt.Sprint(q.Write, q.Finished))
-	for _, leg := range q.Attempts {
-		d.text(string(leg.Endpoint))
-		d.text(fmt.Sprint(leg.InFlight))
-		d.numbers(uint64(leg.SentAt), uint64(leg.Result))
+	for _, attempt := range q.Attempts {
+		d.text(string(attempt.Endpoint))
+		d.text(fmt.Sprint(attempt.InFlight))
+		d.numbers(uint64(attempt.SentAt), uint64(attempt.Result))
 	}
 }
 
-func (d *recordedDecider) move(m policy.Decision) policy.Decision {
-	d.numbers(uint64(m.AttemptDeadline), uint64(m.Answer), uint64(m.RetryAfter), uint64(m.ReviewAt), uint64(len(m.SendTo)), uint64(len(m.Cancel)))
+func (d *hashingDecider) decision(m policy.Decision) policy.Decision {
+	d.numbers(uint64(m.AttemptDeadline), uint64(m.Answer), uint64(m.RetryAfter), uint64(m.ReviewAt))
+	d.numbers(uint64(len(m.SendTo)), uint64(len(m.Cancel)))
 	for _, to := range m.SendTo {
 		d.text(string(to))
 	}
-	for _, leg := range m.Cancel {
-		d.numbers(uint64(leg))
+	for _, attempt := range m.Cancel {
+		d.numbers(uint64(attempt))
 	}
 	for _, id := range m.Wake {
 		d.text(string(id))
