--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -73,7 +73,7 @@
 		}
 		far := uint64(0)
 		for i := 1; i < 12; i += 2 { // zone b
-			far += report.Servers[i].Legs
+			far += report.Servers[i].Attempts
 		}
 		if (far == 0) != (m.dir != "") || report.Classes[0].Asked == 0 || !report.Good() {
 			var text strings.Builder
--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -74,7 +74,7 @@
 			return err
 		}
 		tellPlay(to, s, r)
-		if r.Busy != "" {
+		if r.MachineTooBusy != "" {
 			busy++
 		}
 		if !broken(r) {
@@ -112,7 +112,7 @@
 }
 
 // broken tells whether a run shows a breach; one on a machine that was too busy shows nothing.
-func broken(r *report.Report) bool { return r.Busy == "" && !r.Good() }
+func broken(r *report.Report) bool { return r.MachineTooBusy == "" && !r.Good() }
 
 func tellPlay(to io.Writer, s *scenario.Scenario, r *report.Report) {
 	if r.Together == nil || r.Together.View == nil {
@@ -124,7 +124,7 @@
 		worst = d.Detect[len(d.Detect)-1]
 	}
 	fmt.Fprintf(to, "%s: %d events, %d wrong (false %d, rash %d, missed %d, flaps %d, unlike %d), rules %v; changes %d, out after %.2f s at most, alike after %.1f s%s\n",
-		s.Name, len(s.Events), d.Wrong(), d.False, d.Rash, d.Missed, d.Flaps, d.Unlike, r.Rules, d.Changes, worst, d.Alike, map[bool]string{true: "; not judged, the machine was too busy"}[r.Busy != ""])
+		s.Name, len(s.Events), d.Wrong(), d.False, d.Rash, d.Missed, d.Flaps, d.Unlike, r.Rules, d.Changes, worst, d.Alike, map[bool]string{true: "; not judged, the machine was too busy"}[r.MachineTooBusy != ""])
 }
 
 func breach(to io.Writer, s *scenario.Scenario, r *report.Report, out string) error {
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -204,7 +204,7 @@
 		t.Error(err)
 	}
 	said.Reset()
-	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{Busy: "late"}, nil }
+	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{MachineTooBusy: "late"}, nil }
 	if err := hunt(&said, 3, 100, dir, schedule, busy); err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
 		t.Errorf("%v: %s", err, &said)
 	}
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -144,9 +144,9 @@
 	t.played++
 	said := "kept all rules"
 	switch {
-	case r.Busy != "":
+	case r.MachineTooBusy != "":
 		t.notJudged++
-		said = "not judged: " + r.Busy
+		said = "not judged: " + r.MachineTooBusy
 	case !r.Good():
 		t.broken = append(t.broken, schedule.Name)
 		said = "BROKEN"
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -98,8 +98,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Busy != "" {
-			t.Logf("not judged: %s", r.Busy)
+		if r.MachineTooBusy != "" {
+			t.Logf("not judged: %s", r.MachineTooBusy)
 			continue
 		}
 		if ends == (r.Rules[0] == 0) {
--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -78,7 +78,7 @@
 	a.r.mu.Lock()
 	now, taken := a.r.now(), true
 	at := now
-	if a.r.log.Now(now).Calls++; a.r.registry.Bounded() {
+	if a.r.log.Second(now).Polls++; a.r.registry.Bounded() {
 		at, taken = a.r.registry.Call(now, whole)
 	}
 	a.r.mu.Unlock()
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -41,7 +41,7 @@
 		}
 		return size
 	case id == "": // a probe
-		if r.log.Now(now).Probes++; !w.Frozen(now) {
+		if r.log.Second(now).Probes++; !w.Frozen(now) {
 			c.answer(httpAnswer(http.StatusOK, "", "ok"))
 		}
 		return size
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -398,11 +398,11 @@
 	s := parse(t, small)
 	l := report.NewLog(s, epoch)
 	l.Played, l.Late = 100, 3
-	if r := report.Draw(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Good() || r.Busy == "" {
+	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Good() || r.MachineTooBusy == "" {
 		t.Error("judged")
 	}
 	l.Late = 2
-	if r := report.Draw(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Good() {
+	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Good() {
 		t.Error("not judged", r.Expected)
 	}
 }
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -214,7 +214,7 @@
 	r.log = report.NewLog(r.scenario, start)
 	r.observer.Log = r.log
 	r.log.Views = r.views
-	r.fleet = eventlog.New(report.FleetsBook, r.log.Note, isOrigin)
+	r.fleet = eventlog.New(report.FleetName, r.log.AddRecord, isOrigin)
 	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.run = runner.Play(r.scenario, r.world, r.traffic, start, r)
 	r.wakeClock()
@@ -226,7 +226,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now gets none
-	result := report.Draw(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
+	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	for _, how := range r.deaths {
 		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
 	}
@@ -338,7 +338,7 @@
 		for now := r.now(); at <= now && at < end; { // the traffic's time is the script's: waves and seconds are its own
 			req := r.traffic.Draw(at)
 			r.ask(req, at, true)
-			if now.Since(at) > report.LateBy {
+			if now.Since(at) > report.LateArrival {
 				r.log.Late++
 			}
 			at = r.traffic.Next(at)
@@ -359,12 +359,12 @@
 	defer r.mu.Unlock()
 	last := r.log.Seconds[max(0, second-1)]
 	return fmt.Sprintf("%3d of %g s: %d asked, %d in time, %d attempts (%d at the origin), %d breaches",
-		second, r.scenario.Seconds, last.Asked, last.InTime, last.Legs, last.Origin, r.checker.Breached())
+		second, r.scenario.Seconds, last.Asked, last.InTime, last.Attempts, last.OriginAttempts, r.checker.Breached())
 }
 
 // ask sends one try; the lock is held.
 func (r *Rig) ask(req world.Request, first policy.Instant, isFirst bool) {
-	r.log.Asked(req.Sent, isFirst)
+	r.log.RequestSent(req.Sent, isFirst)
 	var up []*member
 	for _, m := range r.nodes {
 		if m.serving || m.parting && m.pool.HasOpen() {
@@ -455,7 +455,7 @@
 }
 
 // Said keeps a line of what the script does.
-func (r *Rig) Said(now policy.Instant, what string) { r.log.Say(now, what) }
+func (r *Rig) Said(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
 // Registry is what discovery can bear.
 func (r *Rig) Registry() *world.Registry { return r.registry }
@@ -511,7 +511,7 @@
 		return
 	}
 	e.At = r.at(at)
-	r.log.Note(e)
+	r.log.AddRecord(e)
 	s, known := standings[e.Reason]
 	if !known || e.Kind != eventlog.EndpointAvoided && e.Kind != eventlog.EndpointRestored {
 		return
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -127,10 +127,10 @@
 			continue
 		}
 		r.mu.Lock()
-		r.log.Now(r.now()).Dials++
+		r.log.Second(r.now()).Dials++
 		if s.at != l || !r.world.Connect(r.now(), s.number) {
 			if at := r.world.Servers[s.number]; s.at == l && at.Held >= at.Connections {
-				r.log.Now(r.now()).FullDials++
+				r.log.Second(r.now()).FullDials++
 			}
 			r.mu.Unlock()
 			reset(plain)
@@ -308,7 +308,7 @@
 	l := r.attempts[tag]
 	if l != nil {
 		delete(r.attempts, tag)
-		r.log.Ended(r.now(), how)
+		r.log.AttemptEnded(r.now(), how)
 		r.checker.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
 		if r.fleet != nil {
 			r.fleet.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.came))
@@ -398,7 +398,7 @@
 		c.answer([]byte(fault.Answer))
 		return
 	case command.Verb == meta.Ready:
-		r.log.Now(now).Probes++
+		r.log.Second(now).Probes++
 		if !w.Frozen(now) {
 			c.answer([]byte("MN\r\n"))
 		}
@@ -434,7 +434,7 @@
 
 // came tells of a leg that came whole.
 func (r *Rig) came(now policy.Instant, id string, server policy.EndpointID) {
-	r.log.Leg(now, server)
+	r.log.AttemptArrived(now, server)
 	r.checker.AttemptArrived(now, now, id, server)
 	if r.fleet != nil {
 		r.fleet.AttemptSent(now, server)
--- /dev/null
+++ b/internal/emulator/report/expectations.go
@@ -0,0 +1,98 @@
+package report
+
+import (
+	"fmt"
+
+	"dahliapin/internal/config/fleetconfig"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/proxy/eventlog"
+	"dahliapin/policy"
+)
+
+// expect adds an expectation: whether it is met, what was measured, and what was expected.
+func (r *Report) expect(met bool, got, what string, args ...any) {
+	r.Expected = append(r.Expected, Expected{What: fmt.Sprintf(what, args...), Got: got, Met: met})
+}
+
+// checkExpectations compares the report with what the scenario expects.
+func (r *Report) checkExpectations(s *scenario.Scenario) {
+	broken := uint64(0)
+	for _, n := range r.Rules {
+		broken += n
+	}
+	r.expect(broken == 0, fmt.Sprint(r.Rules), "no rule is broken")
+	r.checkClasses(s)
+	r.checkEndpoints(s)
+	r.checkCounts(s)
+	r.checkViews(s)
+	if by := s.Expect.RecoveredBy; by > 0 {
+		isMet := r.RecoveredAt >= 0 && r.RecoveredAt <= by
+		r.expect(isMet, fmt.Sprintf("%.0f s", r.RecoveredAt), "as good as before from %g s on", by)
+	}
+}
+
+func (r *Report) checkClasses(s *scenario.Scenario) {
+	for _, g := range r.Classes {
+		if least, ok := s.Expect.Satisfied[g.Name]; ok {
+			got := fmt.Sprintf("%.4f", g.InTime)
+			r.expect(g.InTime >= least, got, "%s: at least %g satisfied in time", g.Name, least)
+		}
+		if most, ok := s.Expect.P99Ms[g.Name]; ok {
+			r.expect(g.P99 <= most, fmt.Sprintf("%.1f", g.P99), "%s: p99 at most %g ms", g.Name, most)
+		}
+	}
+}
+
+func (r *Report) checkEndpoints(s *scenario.Scenario) {
+	for _, a := range s.Expect.Avoided {
+		at := r.FirstOf(policy.EndpointID(a.Server), eventlog.EndpointAvoided)
+		r.expect(at >= 0 && at <= a.ByS, fmt.Sprintf("%.1f s", at), "%s is avoided by %g s", a.Server, a.ByS)
+	}
+	for _, id := range s.Expect.Drained {
+		at := r.FirstOf(policy.EndpointID(id), eventlog.EndpointDrained)
+		r.expect(at >= 0, fmt.Sprintf("%.1f s", at), "%s is drained", id)
+	}
+}
+
+func (r *Report) checkCounts(s *scenario.Scenario) {
+	if most := s.Expect.OriginMost; most > 0 {
+		got := r.MaxOriginAttempts
+		r.expect(float64(got) <= most, fmt.Sprint(got), "at most %g legs at the origin in a second", most)
+	}
+	for _, name := range scenario.Counted {
+		if most, ok := s.Expect.MostPerS[name]; ok {
+			got := r.Most(name)
+			isMet := float64(got) <= most
+			r.expect(isMet, fmt.Sprint(got), "at most %g %s in a second over the whole fleet", most, name)
+		}
+	}
+	if most := s.Expect.Excess; most > 0 {
+		got := fmt.Sprintf("%.3f", r.AttemptsPerRequest)
+		r.expect(r.AttemptsPerRequest <= most, got, "at most %g legs for each request", most)
+	}
+}
+
+// checkViews expects the nodes' views of one another to follow what happened to nodes. A run without views, or
+// whose trace has gaps, shows nothing and fails.
+func (r *Report) checkViews(s *scenario.Scenario) {
+	f := r.Together
+	if f == nil || s.Together.Engine == fleetconfig.Plain {
+		return
+	}
+	lost := uint64(f.Views.Dropped)
+	for _, l := range f.Views.Lines {
+		lost = max(lost, l.Lost)
+	}
+	r.expect(lost == 0, fmt.Sprint(lost), "no line of a trace is lost")
+	if f.View == nil {
+		r.expect(false, "none", "nodes have views")
+		return
+	}
+	wrong := f.View.Wrong()
+	isMet := wrong == 0 && f.View.Formed >= 0
+	got := fmt.Sprintf("%d wrong, formed at %.1f s", wrong, f.View.Formed)
+	r.expect(isMet, got, "views are as what befell nodes has them")
+	if most := s.Expect.Views; most != nil {
+		r.expect(f.View.Changes <= *most, fmt.Sprint(f.View.Changes), "at most %d changes of a view", *most)
+	}
+}
--- /dev/null
+++ b/internal/emulator/report/fleet.go
@@ -0,0 +1,172 @@
+package report
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/membership/trace"
+	"dahliapin/policy"
+)
+
+// Fleet is the nodes' views of one another over a run, and the verdicts on them.
+type Fleet struct {
+	Views   *checker.Views   `json:"views"`
+	Library *checker.Verdict `json:"library"` // on the members that the gossip library has
+	View    *checker.Verdict `json:"view"`    // on the views; nil where there were none
+}
+
+// newFleet judges the views of a run that ended at an instant; pause is the longest pause of a process that must not
+// change a view.
+func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Fleet {
+	f := &Fleet{Views: v, Library: v.Judge(trace.Library, pause, end)}
+	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.What == trace.View }) {
+		f.View = v.Judge(trace.View, pause, end)
+	}
+	return f
+}
+
+// letters writes members as a letter each, in the order of their numbers.
+func letters(nodes int, names []string) string {
+	var b strings.Builder
+	for n := range nodes {
+		if slices.Contains(names, checker.NameOf(n)) {
+			b.WriteString(strconv.FormatInt(int64(n+1), 36))
+		} else {
+			b.WriteByte('.')
+		}
+	}
+	return b.String()
+}
+
+// print writes the views, a row for each second in which they changed, and the verdicts on them. Without views it
+// writes nothing.
+func (f *Fleet) print(to io.Writer, duration time.Duration) {
+	if f == nil {
+		return
+	}
+	f.printMembers(to, policy.Instant(duration))
+	if rates := sendRates(f.Views); len(rates) > 0 {
+		fmt.Fprintf(to, "datagrams between nodes: median %.0f, most %.0f bytes a second sent by a node\n",
+			percentile(rates, 0.5), rates[len(rates)-1])
+	}
+	printVerdict(to, "library", f.Library)
+	printVerdict(to, "view", f.View)
+}
+
+func (f *Fleet) printMembers(to io.Writer, end policy.Instant) {
+	kind := trace.Library
+	if f.View != nil {
+		kind = trace.View
+	}
+	fmt.Fprintf(to, "whom nodes have as members by the %s, a letter for each; "+
+		"those apart that do not say what most say; x: does not run, !: says it is cut off\n", kind)
+	last := ""
+	for at := policy.Instant(0); at <= end; at += policy.Instant(time.Second) {
+		row := f.rowAt(at, kind)
+		if row != last {
+			fmt.Fprintf(to, "%8.3f s  %s\n", time.Duration(at).Seconds(), row)
+		}
+		last = row
+	}
+}
+
+// rowAt is what most nodes have as members at an instant, followed by the nodes that have others and what these are.
+func (f *Fleet) rowAt(at policy.Instant, kind string) string {
+	views := f.Views
+	nodesByCell := map[string][]string{}
+	for n := range views.Nodes {
+		name := checker.NameOf(n)
+		line := lineAt(views, at, name, kind)
+		cell := letters(views.Nodes, line.Members)
+		if line.Cut {
+			cell += "!"
+		}
+		if !runsAt(views, at, name) {
+			cell = "x"
+		}
+		nodesByCell[cell] = append(nodesByCell[cell], name)
+	}
+	cells := slices.SortedFunc(maps.Keys(nodesByCell), func(a, b string) int {
+		bySize := -cmp.Compare(len(nodesByCell[a]), len(nodesByCell[b]))
+		return cmp.Or(bySize, cmp.Compare(nodesByCell[a][0], nodesByCell[b][0]))
+	})
+	row := cells[0]
+	for _, cell := range cells[1:] {
+		row += "  " + strings.Join(nodesByCell[cell], ",") + " " + cell
+	}
+	return row
+}
+
+func printVerdict(to io.Writer, name string, v *checker.Verdict) {
+	if v == nil {
+		return
+	}
+	fmt.Fprintf(to, "%-8s formed %.1f s; false removals %d, rash %d, missed %d, flaps %d, seconds unlike %d; "+
+		"changes %d; out after median %.2f s, p99 %.2f s (%d); alike after %.1f s\n",
+		name, v.Formed, v.False, v.Rash, v.Missed, v.Flaps, v.Unlike,
+		v.Changes, percentile(v.Detect, 0.5), percentile(v.Detect, 0.99), len(v.Detect), v.Alike)
+	for _, line := range v.What {
+		fmt.Fprintln(to, "        ", line)
+	}
+}
+
+// sendRates are the bytes a second that each process sent to other nodes, sorted.
+func sendRates(v *checker.Views) []float64 {
+	first := map[string]trace.Line{}
+	last := map[string]trace.Line{}
+	for _, l := range v.Lines {
+		if l.What != trace.Traffic {
+			continue
+		}
+		if _, seen := first[l.Process]; !seen {
+			first[l.Process] = l
+		}
+		last[l.Process] = l
+	}
+	var rates []float64
+	for process, l := range last {
+		if seconds := l.At.Since(first[process].At).Seconds(); seconds > 0 {
+			rates = append(rates, float64(l.Out-first[process].Out)/seconds)
+		}
+	}
+	slices.Sort(rates)
+	return rates
+}
+
+// percentile is a quantile of sorted values, 0 without any.
+func percentile(sorted []float64, q float64) float64 {
+	if len(sorted) == 0 {
+		return 0
+	}
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
+}
+
+// lineAt is the last line of a kind that a node had written by then.
+func lineAt(v *checker.Views, at policy.Instant, node, what string) (last trace.Line) {
+	for _, l := range v.Lines {
+		if l.At > at {
+			break
+		}
+		if l.Node == node && l.What == what {
+			last = l
+		}
+	}
+	return last
+}
+
+// runsAt tells whether a node's process runs at an instant.
+func runsAt(v *checker.Views, at policy.Instant, node string) (runs bool) {
+	for _, t := range v.Truths {
+		if t.At <= at && t.Node == node {
+			runs = t.Runs
+		}
+	}
+	return runs
+}
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -24,7 +24,7 @@
 // Fell reports that a server was overloaded and fell over. A cache's connections break; the origin goes on.
 func (o *WorldObserver) Fell(now policy.Instant, server policy.EndpointID, why string) {
 	o.Judge.Fell(now, server, why)
-	o.Log.Say(now, string(server)+" "+why)
+	o.Log.AddEvent(now, string(server)+" "+why)
 	if i, ok := o.World.Find(server); ok && !o.World.IsOrigin(i) {
 		o.Rig.At(now, func() { o.Rig.Broke(i) })
 	}
--- a/internal/emulator/simulation/attempt.go
+++ b/internal/emulator/simulation/attempt.go
@@ -26,7 +26,7 @@
 func (a *attempt) connect() {
 	sim := a.node.sim
 	server := sim.world.Servers[a.server]
-	sim.log.Now(sim.now).Dials++
+	sim.log.Second(sim.now).Dials++
 	if server.Life == world.Silent { // no answer ever
 		a.failConnectAt(a.connectDeadline())
 		return
@@ -63,7 +63,7 @@
 func (a *attempt) onRefused(server *world.Server) {
 	sim := a.node.sim
 	if server.Life == world.Up && server.Held >= server.Connections {
-		sim.log.Now(sim.now).FullDials++
+		sim.log.Second(sim.now).FullDials++
 		if a.incarnation == a.node.incarnation && a.node.hasConnection(a.server) {
 			a.node.onServerFull()
 		}
@@ -108,7 +108,7 @@
 		sim.after(sim.serverLatency(a.node, a.server), func() { a.connectionLost() })
 		return
 	}
-	sim.log.Leg(sim.now, server.ID)
+	sim.log.AttemptArrived(sim.now, server.ID)
 	sim.checker.AttemptArrived(sim.now, writtenAt, a.request.message.ID, server.ID)
 	switch sim.fault(a.server) {
 	case "reset":
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -21,7 +21,7 @@
 
 // sendRequest sends one try of a client to a node. With no node to connect to, it counts as cut off, and isn't retried.
 func (sim *Simulation) sendRequest(message world.Request, firstSentAt policy.Instant, isFirst bool) {
-	sim.log.Asked(sim.now, isFirst)
+	sim.log.RequestSent(sim.now, isFirst)
 	if len(sim.serving) == 0 {
 		counts := &sim.checker.Classes[message.Class]
 		counts.Asked++
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -34,9 +34,9 @@
 				t.Parallel()
 				r, _ := playFleet(t, "empty-start", nodes, seed+1)
 				summary := fmt.Sprintf("breaches %v, %d requests in the worst second, benefit in time %.3f", r.Rules,
-					r.Origin, r.Gain)
+					r.MaxOriginAttempts, r.Gain)
 				t.Log(summary)
-				if r.Rules != [4]uint64{} || r.Origin > 800 || r.Gain < gain {
+				if r.Rules != [4]uint64{} || r.MaxOriginAttempts > 800 || r.Gain < gain {
 					t.Error(summary)
 				}
 			})
@@ -165,8 +165,8 @@
 			ramped := run.world.Ramped
 			probes := r.Most("probes")
 			t.Logf("breaches %v, %d requests in the origin's worst second, %.2f of the load at which a cold cache "+
-				"falls over, benefit in time %.3f, %d probes in a second", r.Rules, r.Origin, ramped, r.Gain, probes)
-			inBounds := r.Origin <= c.maxOrigin && ramped <= c.maxRamped && r.Gain >= c.minGain
+				"falls over, benefit in time %.3f, %d probes in a second", r.Rules, r.MaxOriginAttempts, ramped, r.Gain, probes)
+			inBounds := r.MaxOriginAttempts <= c.maxOrigin && ramped <= c.maxRamped && r.Gain >= c.minGain
 			if r.Rules != [4]uint64{} || !inBounds || probes == 0 {
 				t.Errorf("out of bounds, see above; breaches %v", r.Breaches)
 			}
--- a/internal/emulator/simulation/io.go
+++ b/internal/emulator/simulation/io.go
@@ -98,7 +98,7 @@
 	if !known {
 		return
 	}
-	sim.log.Now(sim.now).Probes++
+	sim.log.Second(sim.now).Probes++
 	incarnation := n.incarnation
 	result := policy.Answered
 	wait := sim.serverLatency(n, number) + sim.serverLatency(n, number) // there and back
@@ -109,7 +109,7 @@
 	case server.Life == world.Down, fault == "refuse":
 		result = policy.ConnectFailed
 	case isFull && len(n.idleConnections[number]) == 0: // a probe needs a connection, as attempts do
-		sim.log.Now(sim.now).FullDials++
+		sim.log.Second(sim.now).FullDials++
 		result = policy.ConnectFailed
 	case server.Life == world.Silent, server.Frozen(sim.now), fault == "silent":
 		result = policy.TimedOut
--- a/internal/emulator/simulation/node.go
+++ b/internal/emulator/simulation/node.go
@@ -58,7 +58,7 @@
 	n.idleConnections = map[int][]idleConnection{}
 	n.ejected = map[policy.EndpointID]bool{}
 	n.idleTimeout = idletimeout.New(n.settings.Policy.IdleTimeout)
-	n.recorder = eventlog.New("n"+strconv.Itoa(n.number+1), sim.log.Note, isOrigin)
+	n.recorder = eventlog.New("n"+strconv.Itoa(n.number+1), sim.log.AddRecord, isOrigin)
 	n.dispatcher = dispatch.NewWithDecider(sim.now, n.newDecider(), n, n)
 	n.updateEndpoints(kind, entries)
 	if sim.registry.Bounded() {
--- a/internal/emulator/simulation/observer.go
+++ b/internal/emulator/simulation/observer.go
@@ -38,7 +38,7 @@
 
 // AttemptDone records the result of an attempt.
 func (n *node) AttemptDone(now policy.Instant, id policy.EndpointID, result policy.Result, latency time.Duration) {
-	n.sim.log.Ended(now, result)
+	n.sim.log.AttemptEnded(now, result)
 	n.recorder.AttemptDone(now, id, result, latency)
 	n.sim.fleetRecorder.AttemptDone(now, id, result, latency)
 }
--- a/internal/emulator/simulation/polling.go
+++ b/internal/emulator/simulation/polling.go
@@ -43,7 +43,7 @@
 
 // receivePoll is a poll's arrival at the registry.
 func (sim *Simulation) receivePoll(p endpointPoll, request discovery.Poll) {
-	sim.log.Now(sim.now).Calls++
+	sim.log.Second(sim.now).Polls++
 	if !sim.discoveryUp {
 		return
 	}
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -101,7 +101,7 @@
 	}
 	sim.checker.Advance(end)
 	events := sim.events
-	return report.Draw(s, "virtual", name, sim.world, sim.checker, sim.log, events.First, events.Last), sim, nil
+	return report.New(s, "virtual", name, sim.world, sim.checker, sim.log, events.First, events.Last), sim, nil
 }
 
 // newSimulation makes a run without nodes.
@@ -128,7 +128,7 @@
 	sim.world = world.New(s.World(observer))
 	observer.World = sim.world
 	sim.traffic = world.NewTraffic(s.TrafficPlan())
-	sim.fleetRecorder = eventlog.New(report.FleetsBook, sim.log.Note, isOrigin)
+	sim.fleetRecorder = eventlog.New(report.FleetName, sim.log.AddRecord, isOrigin)
 	if s.Fleet.Warm {
 		sim.warmCaches()
 	}
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -133,7 +133,7 @@
 		}
 		for _, e := range r.Records {
 			isSlow := e.Server == "c2" || e.Server == "c5" || e.Server == "c9"
-			if e.Kind == eventlog.EndpointAvoided && e.Node == report.FleetsBook && !isSlow {
+			if e.Kind == eventlog.EndpointAvoided && e.Node == report.FleetName && !isSlow {
 				t.Errorf("seed %d: %v", s.Seed, e)
 			}
 		}
@@ -258,9 +258,9 @@
 		}
 		allWasted := 0
 		for _, second := range r.Course {
-			allWasted += second.Vain
+			allWasted += second.Wasted
 		}
-		toFailed := r.Servers[8].Legs
+		toFailed := r.Servers[8].Attempts
 		if name == "rare" && (allWasted > 90 || toFailed < 100) {
 			t.Errorf("%d attempts in vain in all, %d to the cache that failed", allWasted, toFailed)
 		}
