--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -200,9 +200,9 @@
 		const from, until = 10 * time.Second, 16 * time.Second
 		r := newSimFleet(nodes, nodes, []phase{{healthy, 0}}, until)
 		r.registry = &world.Registry{
-			Whole:   20 * time.Millisecond,
-			Watch:   2 * time.Millisecond,
-			Backlog: 300 * time.Millisecond,
+			CompleteWork: 20 * time.Millisecond,
+			UpdateWork:   2 * time.Millisecond,
+			Backlog:      300 * time.Millisecond,
 		}
 		r.slowPeriod = [2]time.Duration{from, until}
 		r.run(until+20*time.Second, false)
--- a/internal/discovery/simfleet_test.go
+++ b/internal/discovery/simfleet_test.go
@@ -199,7 +199,7 @@
 		factor = slowFactor
 	}
 	f.registry.Slow(factor)
-	doneAt, accepted := f.registry.Call(monotime.Instant(f.now), n.poll.Complete)
+	doneAt, accepted := f.registry.Poll(monotime.Instant(f.now), n.poll.Complete)
 	return doneAt.Since(monotime.Instant(f.now)), accepted
 }
 
--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -79,7 +79,7 @@
 	now, taken := a.r.now(), true
 	at := now
 	if a.r.log.Second(now).Polls++; a.r.registry.Bounded() {
-		at, taken = a.r.registry.Call(now, whole)
+		at, taken = a.r.registry.Poll(now, whole)
 	}
 	a.r.mu.Unlock()
 	if !taken {
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -35,8 +35,8 @@
 		return 0
 	case size == 0:
 		return 0
-	case w.Life == world.Silent || s.fault == "silent":
-		if w.Life == world.Up && id != "" {
+	case w.Liveness == world.Silent || s.fault == "silent":
+		if w.Liveness == world.Up && id != "" {
 			r.came(now, id, w.ID)
 		}
 		return size
@@ -65,17 +65,17 @@
 func keptAnswer(d world.Done, stale bool, tag string) []byte {
 	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", freshFor)
 	switch {
-	case d.Said == world.Value && stale:
+	case d.Reply == world.Value && stale:
 		return httpAnswer(http.StatusOK, kept+fmt.Sprint(freshFor+1, "\r\n"), tooOld)
-	case d.Said == world.Value && tag == client.Tag(d.Text):
+	case d.Reply == world.Value && tag == client.Tag(d.Text):
 		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", kept, tag)
-	case d.Said == world.Value:
+	case d.Reply == world.Value:
 		return httpAnswer(http.StatusOK, kept+"1\r\n", d.Text)
-	case d.Said == world.Receipt:
+	case d.Reply == world.Receipt:
 		return httpAnswer(http.StatusOK, "", d.Text)
-	case d.Said == world.Miss:
+	case d.Reply == world.Miss:
 		return httpAnswer(http.StatusGatewayTimeout, "", "")
-	case d.Said == world.Busy:
+	case d.Reply == world.Busy:
 		return httpAnswer(http.StatusServiceUnavailable, "", "busy")
 	}
 	return httpAnswer(http.StatusInternalServerError, "", "failed")
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -444,7 +444,7 @@
 		}
 		return
 	}
-	if next, at, ok := r.traffic.Again(now, req, got.Final == checker.Rejected, got.ComeBack); ok {
+	if next, at, ok := r.traffic.Retry(now, req, got.Final == checker.Rejected, got.ComeBack); ok {
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -89,7 +89,7 @@
 		return
 	}
 	s := r.servers[number]
-	switch life := r.world.Servers[number].Life; {
+	switch life := r.world.Servers[number].Liveness; {
 	case life == world.Up && s.at == nil && s.fault != "refuse" && !r.stopped:
 		l, err := net.Listen("tcp", s.addr)
 		if err != nil { // somebody else's connection has its port for a moment
@@ -129,7 +129,7 @@
 		r.mu.Lock()
 		r.log.Second(r.now()).Dials++
 		if s.at != l || !r.world.Connect(r.now(), s.number) {
-			if at := r.world.Servers[s.number]; s.at == l && at.Held >= at.Connections {
+			if at := r.world.Servers[s.number]; s.at == l && at.OpenConnections >= at.Connections {
 				r.log.Second(r.now()).FullDials++
 			}
 			r.mu.Unlock()
@@ -138,7 +138,7 @@
 		}
 		c := &serverConn{Conn: plain, s: s, out: make(chan []byte, mostAnswers)}
 		s.conns[c] = true
-		r.world.Servers[s.number].Held++
+		r.world.Servers[s.number].OpenConnections++
 		r.wakeClock()
 		r.mu.Unlock()
 		go c.write()
@@ -188,7 +188,7 @@
 	if s == nil {
 		return
 	}
-	life := r.world.Servers[number].Life
+	life := r.world.Servers[number].Liveness
 	if life == world.Silent {
 		s.vanish()
 		return
@@ -281,8 +281,8 @@
 		return
 	}
 	delete(c.s.conns, c)
-	if w := r.world.Servers[c.s.number]; w.Held > 0 {
-		w.Held--
+	if w := r.world.Servers[c.s.number]; w.OpenConnections > 0 {
+		w.OpenConnections--
 	}
 	var on []uint64
 	for tag, l := range r.attempts {
@@ -386,8 +386,8 @@
 func (c *serverConn) command(command *meta.Command, fault *meta.Fault) {
 	r, s, now := c.s.r, c.s, c.s.r.now()
 	w := r.world.Servers[s.number]
-	if w.Life == world.Silent || s.fault == "silent" && command.Verb != meta.Unknown {
-		if s.fault == "silent" && w.Life == world.Up && (command.Verb == meta.Get || command.Verb == meta.Set) {
+	if w.Liveness == world.Silent || s.fault == "silent" && command.Verb != meta.Unknown {
+		if s.fault == "silent" && w.Liveness == world.Up && (command.Verb == meta.Get || command.Verb == meta.Set) {
 			r.came(now, string(command.ID), w.ID)
 		}
 		return
@@ -419,16 +419,16 @@
 	r, s := c.s.r, c.s
 	w := r.world.Servers[s.number]
 	switch {
-	case w.Life == world.Silent || s.fault == "silent":
+	case w.Liveness == world.Silent || s.fault == "silent":
 	case s.fault == "reset":
 		c.gone(true)
 	case s.fault == "garbage":
 		c.answer([]byte(garbage))
 	case o.Flush:
-		r.world.Empty(s.number)
+		r.world.RemoveAll(s.number)
 		c.answer(o.Answer(true))
 	default:
-		c.answer(o.Answer(r.world.Drop(s.number, o.Key)))
+		c.answer(o.Answer(r.world.RemoveKey(s.number, o.Key)))
 	}
 }
 
@@ -485,7 +485,7 @@
 
 // served is a job's end; the lock is held.
 func (r *Rig) served(d world.Done) {
-	l := r.left(d.Job.Tag, outcomes[d.Said])
+	l := r.left(d.Job.Tag, outcomes[d.Reply])
 	if l == nil {
 		return
 	}
@@ -515,7 +515,7 @@
 	if reports {
 		load = fmt.Sprintf(" Loutstanding=%g", d.Load)
 	}
-	switch id := d.Job.Request; d.Said {
+	switch id := d.Job.Request; d.Reply {
 	case world.Value:
 		text := r.scenario.Value(d.Text)
 		return fmt.Appendf(nil, "VA %d O%s h1%s\r\n%s\r\n", len(text), id, load, text)
@@ -554,12 +554,12 @@
 	select {
 	case d := <-done:
 		out.Header().Set("X-Call-Id", id)
-		if d.Said == world.Failed {
+		if d.Reply == world.Failed {
 			http.Error(out, "failed", http.StatusInternalServerError)
 			return
 		}
 		text := d.Text
-		if d.Said == world.Value {
+		if d.Reply == world.Value {
 			text = r.scenario.Value(text)
 		}
 		out.Header().Set("Content-Length", strconv.Itoa(len(text)))
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -56,8 +56,8 @@
 
 func (r *Run) crowdServers(e *event) {
 	r.eachServer(e, func(now policy.Instant, server int) {
-		r.world.Crowd(now, server, e.Share)
-		r.rig.At(e.end, func() { r.world.Crowd(e.end, server, 0) })
+		r.world.TakeCores(now, server, e.Share)
+		r.rig.At(e.end, func() { r.world.TakeCores(e.end, server, 0) })
 	})
 }
 
@@ -78,7 +78,7 @@
 
 func (r *Run) muteServers(e *event) {
 	r.eachServer(e, func(now policy.Instant, server int) {
-		r.world.Mute(now, server)
+		r.world.Silence(now, server)
 		if e.duration > 0 {
 			r.rig.At(e.end, func() { r.startServer(e.end, server) })
 		}
@@ -123,19 +123,19 @@
 
 func (r *Run) failRequests(e *event) {
 	r.eachServer(e, func(_ policy.Instant, server int) {
-		r.world.Break(server, e.Share)
-		r.rig.At(e.end, func() { r.world.Break(server, 0) })
+		r.world.SetErrorRate(server, e.Share)
+		r.rig.At(e.end, func() { r.world.SetErrorRate(server, 0) })
 	})
 }
 
 func (r *Run) heatKey(e *event) {
-	r.traffic.Heat(world.KeyOf(e.Rank), e.Share)
-	r.rig.At(e.end, func() { r.traffic.Heat("", 0) })
+	r.traffic.SetHotKey(world.KeyOf(e.Rank), e.Share)
+	r.rig.At(e.end, func() { r.traffic.SetHotKey("", 0) })
 }
 
 func (r *Run) burstTraffic(e *event) {
-	r.traffic.Burst(e.Factor)
-	r.rig.At(e.end, func() { r.traffic.Burst(1) })
+	r.traffic.SetBurst(e.Factor)
+	r.rig.At(e.end, func() { r.traffic.SetBurst(1) })
 }
 
 func (r *Run) slowOrigin(e *event) {
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -140,7 +140,7 @@
 		kind = 1
 	}
 	return policy.Endpoint{
-		ID: s.ID, Kind: kind, Lifecycle: s.State, StartedAt: s.Born, Zone: s.Zone, Group: s.Group, Weight: s.Weight,
+		ID: s.ID, Kind: kind, Lifecycle: s.State, StartedAt: s.StartedAt, Zone: s.Zone, Group: s.Group, Weight: s.Weight,
 	}
 }
 
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -54,12 +54,12 @@
 }
 
 // Cache returns the traits of the n-th cache, from 1; caches that events add are counted on.
-func (s *Scenario) Cache(n int) world.Traits {
+func (s *Scenario) Cache(n int) world.CacheTraits {
 	const oddMultiplier = 2654435761 // spreads neighbouring numbers over all seeds
 	f := &s.Fleet
 	chance := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*oddMultiplier}
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
-	return world.Traits{
+	return world.CacheTraits{
 		ID:           policy.EndpointID(fmt.Sprintf("c%d", n)),
 		Zone:         policy.ZoneID(f.Zones[(n-1)%len(f.Zones)]),
 		Group:        policy.GroupID((n - 1) / f.Group),
@@ -80,9 +80,9 @@
 // World is the plan of the world at its start.
 func (s *Scenario) World(observer world.Observer) world.Plan {
 	plan := world.Plan{
-		Classes: s.WorldClasses(),
-		Seed:    uint32(s.Seed),
-		Hearer:  observer,
+		Classes:  s.WorldClasses(),
+		Seed:     uint32(s.Seed),
+		Observer: observer,
 		Origin: world.OriginTraits{
 			Cores:        s.Origin.Cores,
 			Queue:        s.Origin.Queue,
@@ -133,7 +133,7 @@
 // Registry is what discovery can bear.
 func (s *Scenario) Registry() *world.Registry {
 	d := &s.Discovery
-	return &world.Registry{Whole: max(ms(d.WholeMs), ms(d.WatchMs)), Watch: ms(d.WatchMs), Backlog: ms(d.BacklogMs)}
+	return &world.Registry{CompleteWork: max(ms(d.WholeMs), ms(d.WatchMs)), UpdateWork: ms(d.WatchMs), Backlog: ms(d.BacklogMs)}
 }
 
 // Value is a key's value by its usual one: of a share of the keys it is long, and the same wherever it is kept.
--- a/internal/emulator/simulation/attempt.go
+++ b/internal/emulator/simulation/attempt.go
@@ -27,7 +27,7 @@
 	sim := a.node.sim
 	server := sim.world.Servers[a.server]
 	sim.log.Second(sim.now).Dials++
-	if server.Life == world.Silent { // no answer ever
+	if server.Liveness == world.Silent { // no answer ever
 		a.failConnectAt(a.connectDeadline())
 		return
 	}
@@ -35,13 +35,13 @@
 		a.onRefused(server)
 		return
 	}
-	server.Held++
+	server.OpenConnections++
 	resets := sim.resets(a.server)
 	delay := sim.connectDelay(a.server)
 	if delay > sim.connectTimeout() {
 		sim.At(a.connectDeadline(), func() {
 			if resets == sim.resets(a.server) {
-				server.Held--
+				server.OpenConnections--
 			}
 			a.finish(policy.ConnectFailed, nil)
 		})
@@ -62,7 +62,7 @@
 // onRefused notes where a server refused for want of capacity, and fails the attempt.
 func (a *attempt) onRefused(server *world.Server) {
 	sim := a.node.sim
-	if server.Life == world.Up && server.Held >= server.Connections {
+	if server.Liveness == world.Up && server.OpenConnections >= server.Connections {
 		sim.log.Second(sim.now).FullDials++
 		if a.incarnation == a.node.incarnation && a.node.hasConnection(a.server) {
 			a.node.onServerFull()
@@ -101,10 +101,10 @@
 func (a *attempt) arrive(writtenAt policy.Instant) {
 	sim := a.node.sim
 	server := sim.world.Servers[a.server]
-	if server.Life == world.Silent {
+	if server.Liveness == world.Silent {
 		return
 	}
-	if server.Life == world.Down || a.resets != sim.resets(a.server) {
+	if server.Liveness == world.Down || a.resets != sim.resets(a.server) {
 		sim.after(sim.serverLatency(a.node, a.server), func() { a.connectionLost() })
 		return
 	}
@@ -231,7 +231,7 @@
 	}
 	a.hasConnection = false
 	if a.resets == a.node.sim.resets(a.server) {
-		a.node.sim.world.Servers[a.server].Held--
+		a.node.sim.world.Servers[a.server].OpenConnections--
 	}
 }
 
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -82,7 +82,7 @@
 func (sim *Simulation) retry(
 	message world.Request, firstSentAt policy.Instant, rejected bool, retryAfter time.Duration,
 ) {
-	next, at, ok := sim.traffic.Again(sim.now, message, rejected, retryAfter)
+	next, at, ok := sim.traffic.Retry(sim.now, message, rejected, retryAfter)
 	if ok {
 		sim.At(at, func() { sim.sendRequest(next, firstSentAt, false) })
 	}
--- a/internal/emulator/simulation/connections.go
+++ b/internal/emulator/simulation/connections.go
@@ -58,7 +58,7 @@
 		}
 		n.idleConnections[server] = slices.Delete(n.idleConnections[server], i, i+1)
 		if c.resets == n.sim.resets(server) {
-			n.sim.world.Servers[server].Held--
+			n.sim.world.Servers[server].OpenConnections--
 		}
 	})
 }
@@ -68,7 +68,7 @@
 	for server, idle := range n.idleConnections {
 		for _, c := range idle {
 			if c.resets == n.sim.resets(server) {
-				n.sim.world.Servers[server].Held--
+				n.sim.world.Servers[server].OpenConnections--
 			}
 		}
 	}
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -72,7 +72,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ramped := run.world.Ramped
+			ramped := run.world.MaxColdLoad
 			summary := fmt.Sprintf("breaches %v, %.2f of the load that a cold cache withstands, benefit in time %.3f",
 				r.Rules, ramped, r.Gain)
 			t.Log(summary)
@@ -162,7 +162,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ramped := run.world.Ramped
+			ramped := run.world.MaxColdLoad
 			probes := r.Most("probes")
 			t.Logf("breaches %v, %d requests in the origin's worst second, %.2f of the load at which a cold cache "+
 				"falls over, benefit in time %.3f, %d probes in a second", r.Rules, r.MaxOriginAttempts, ramped, r.Gain, probes)
--- a/internal/emulator/simulation/io.go
+++ b/internal/emulator/simulation/io.go
@@ -104,14 +104,14 @@
 	wait := sim.serverLatency(n, number) + sim.serverLatency(n, number) // there and back
 	fault := sim.fault(number)
 	server := sim.world.Servers[number]
-	isFull := server.Life == world.Up && server.Held >= server.Connections
+	isFull := server.Liveness == world.Up && server.OpenConnections >= server.Connections
 	switch {
-	case server.Life == world.Down, fault == "refuse":
+	case server.Liveness == world.Down, fault == "refuse":
 		result = policy.ConnectFailed
 	case isFull && len(n.idleConnections[number]) == 0: // a probe needs a connection, as attempts do
 		sim.log.Second(sim.now).FullDials++
 		result = policy.ConnectFailed
-	case server.Life == world.Silent, server.Frozen(sim.now), fault == "silent":
+	case server.Liveness == world.Silent, server.Frozen(sim.now), fault == "silent":
 		result = policy.TimedOut
 		wait = sim.connectTimeout()
 	case fault != "":
--- a/internal/emulator/simulation/jobs.go
+++ b/internal/emulator/simulation/jobs.go
@@ -21,9 +21,9 @@
 		return
 	}
 	server := done.Server
-	sim.checker.AttemptEnded(sim.now, a.request.message.ID, sim.world.Servers[server].ID, done.Said == world.Busy)
+	sim.checker.AttemptEnded(sim.now, a.request.message.ID, sim.world.Servers[server].ID, done.Reply == world.Busy)
 	delete(sim.atServers, done.Job.Tag)
-	result := sim.faultyResult(server, done.Said)
+	result := sim.faultyResult(server, done.Reply)
 	toOrigin := sim.world.IsOrigin(server)
 	var loadReport []float64
 	if sim.scenario.Fleet.Reports && !toOrigin && result != policy.ConnectionBroken {
@@ -37,7 +37,7 @@
 }
 
 // faultyResult is the result of a reply after what goes wrong on the server's connections.
-func (sim *Simulation) faultyResult(server int, said world.Said) policy.Result {
+func (sim *Simulation) faultyResult(server int, said world.Reply) policy.Result {
 	switch sim.fault(server) {
 	case "half":
 		return policy.ConnectionBroken
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -62,7 +62,7 @@
 		sim.resetCounts = append(sim.resetCounts, 0)
 	}
 	sim.resetCounts[server]++
-	sim.world.Servers[server].Held = 0
+	sim.world.Servers[server].OpenConnections = 0
 }
 
 // resets is how often all connections to a server were reset.
--- a/internal/emulator/simulation/polling.go
+++ b/internal/emulator/simulation/polling.go
@@ -47,7 +47,7 @@
 	if !sim.discoveryUp {
 		return
 	}
-	at, accepted := sim.registry.Call(sim.now, request.Complete)
+	at, accepted := sim.registry.Poll(sim.now, request.Complete)
 	if !accepted {
 		sim.after(sim.clientLatency(), func() { p.fail(discovery.Refused) })
 		return
--- /dev/null
+++ b/internal/emulator/world/overload.go
@@ -0,0 +1,84 @@
+package world
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"dahliapin/policy"
+)
+
+const (
+	// demandWindow is the time over which the work that arrives at the origin is averaged.
+	demandWindow = 500 * time.Millisecond
+	// restartDelay is how long a cache that fell over is down.
+	restartDelay = 3 * time.Second
+)
+
+// arrival is a request that arrived at a cold cache.
+type arrival struct {
+	at   policy.Instant
+	work time.Duration
+}
+
+// checkOverload looks whether far too much work arrives at a server: a cold cache falls over at once; the origin
+// counts as overloaded once that has lasted for a time, and goes on as slowly as it then is.
+func (w *World) checkOverload(now policy.Instant, s *Server, work time.Duration) {
+	switch {
+	case s.FallMultiple <= 0 || s.Liveness != Up:
+	case s.origin == nil:
+		w.checkColdCache(now, s, work)
+	default:
+		w.checkOrigin(now, s, work)
+	}
+}
+
+// checkColdCache counts what arrived at a cold cache within FallFor, from all nodes together, in requests of mean
+// work. Of what exceeds the limit N, twice the root of N and two more count as chance.
+func (w *World) checkColdCache(now policy.Instant, s *Server, work time.Duration) {
+	if s.SpeedShare(now) >= 1 {
+		s.arrivals = nil
+		return
+	}
+	s.arrivals = append(s.arrivals, arrival{at: now, work: work})
+	s.arrivals = slices.DeleteFunc(s.arrivals, func(a arrival) bool { return now.Since(a.at) >= s.FallFor })
+	asked := 0.0
+	for _, a := range s.arrivals {
+		asked += float64(a.work) / float64(w.meanWork)
+	}
+	most := s.FallMultiple * w.speed(s) * float64(s.Cores) * float64(s.FallFor) / float64(w.meanWork)
+	most += 2*math.Sqrt(most) + 2
+	w.MaxColdLoad = max(w.MaxColdLoad, asked/most)
+	if asked <= most {
+		return
+	}
+	s.arrivals = nil
+	why := fmt.Sprintf("%.1f requests of mean work within %v, where %.1f is the most", asked, s.FallFor, most)
+	w.plan.Observer.Fell(now, s.ID, why)
+	number := w.byID[s.ID]
+	w.Kill(now, number)
+	s.restartsAt = now.Add(restartDelay)
+	w.wakes.Push(s.restartsAt, wake{server: number})
+}
+
+// checkOrigin averages the work that arrives at the origin.
+func (w *World) checkOrigin(now policy.Instant, s *Server, work time.Duration) {
+	s.demand *= math.Exp(-float64(now.Since(s.demandAt)) / float64(demandWindow))
+	s.demandAt = now
+	s.demand += float64(work) / float64(demandWindow)
+	capacity := s.Speed * float64(s.Cores)
+	if s.demand <= s.FallMultiple*capacity {
+		s.overloadedSince = 0
+		return
+	}
+	if s.overloadedSince == 0 {
+		s.overloadedSince = now
+	}
+	if now.Since(s.overloadedSince) < s.FallFor {
+		return
+	}
+	s.overloadedSince = 0
+	why := fmt.Sprintf("asked for %.1f times what it can do, for %v", s.demand/capacity, s.FallFor)
+	w.plan.Observer.Fell(now, s.ID, why)
+}
--- /dev/null
+++ b/internal/emulator/world/plan.go
@@ -0,0 +1,100 @@
+package world
+
+import (
+	"time"
+
+	"dahliapin/policy"
+)
+
+// OriginID is the origin's name.
+const OriginID policy.EndpointID = "origin"
+
+// Mode says what caches do on a miss.
+type Mode int
+
+// The modes of a world's caches.
+const (
+	Aside   Mode = iota // caches only store; the origin is asked on a miss
+	Through             // caches are the store themselves; there is no origin
+)
+
+// Plan describes a world to make.
+type Plan struct {
+	Mode     Mode
+	Caches   []CacheTraits
+	Origin   OriginTraits
+	Classes  []Class
+	Seed     uint32
+	Observer Observer
+}
+
+// CacheTraits describe one cache server.
+type CacheTraits struct {
+	ID           policy.EndpointID
+	Zone         policy.ZoneID
+	Group        policy.GroupID
+	Cores        int
+	Queue        int     // jobs that may wait
+	Speed        float64 // work done by each core in a unit of time
+	Weight       float64 // in the endpoint list
+	Keys         int     // number of values that it can hold
+	ColdFrom     float64 // share of its speed right after a start
+	ColdFor      time.Duration
+	FallMultiple float64 // of its present capacity: with more requests than that while cold, it falls over; 0 for never
+	FallFor      time.Duration
+	Connections  int           // that it holds at once
+	Handshake    time.Duration // work of each new connection
+	ErrorRate    float64       // share of jobs that fail
+}
+
+// OriginTraits describe the origin.
+type OriginTraits struct {
+	Cores        int
+	Queue        int // jobs that may wait
+	Work         time.Duration
+	StallAt      int     // jobs, running or waiting, from which it works slower
+	Stall        float64 // times slower then
+	FallMultiple float64 // of its capacity: with more work than that for FallFor, it counts as overloaded
+	FallFor      time.Duration
+}
+
+// Class is a service class as the world and its clients know it.
+type Class struct {
+	policy.ServiceClass
+	Name     string
+	Write    bool
+	Deadline time.Duration
+	Work     time.Duration // at a cache of speed 1; that of a write is done at the origin where caches only store
+	Share    float64       // of first tries
+	Tries    int           // that a client makes at most, the first included
+}
+
+// Observer is told what really happens, whatever nodes believe.
+type Observer interface {
+	// Effect reports that a write had its effect at a server.
+	Effect(now policy.Instant, request, label string, class int, server policy.EndpointID)
+	// Fell reports that a server was overloaded, and why. A cache falls over, the origin goes on.
+	Fell(now policy.Instant, server policy.EndpointID, why string)
+	// Rose reports that a cache that had fallen over has started again.
+	Rose(now policy.Instant, server policy.EndpointID)
+}
+
+// meanWork is the mean work of a request at a cache of speed 1, by the shares of classes; where a plan has no
+// shares, all classes count alike.
+func (p *Plan) meanWork() time.Duration {
+	work := 0.0
+	share := 0.0
+	for _, c := range p.Classes {
+		if !c.Write || p.Mode == Through {
+			work += c.Share * float64(c.Work)
+			share += c.Share
+		}
+	}
+	if share <= 0 {
+		for _, c := range p.Classes {
+			work += float64(c.Work)
+			share++
+		}
+	}
+	return time.Duration(max(1, work/share))
+}
--- /dev/null
+++ b/internal/emulator/world/queue.go
@@ -0,0 +1,116 @@
+package world
+
+import (
+	"time"
+
+	"dahliapin/policy"
+)
+
+// serverQueue is a bounded queue before cores of one speed. Work is given as the time that it takes at speed 1.
+type serverQueue[J any] struct {
+	cores       int
+	queue       int            // those that may wait
+	speed       func() float64 // work that each core does in a unit of time, as of now
+	running     []runningJob[J]
+	waiting     []waitingJob[J]
+	frozenUntil policy.Instant // no job goes on before then
+}
+
+type waitingJob[J any] struct {
+	job  J
+	work time.Duration
+}
+
+type runningJob[J any] struct {
+	job    J
+	endsAt policy.Instant
+}
+
+// offer accepts a job, or returns false where the queue is full.
+func (s *serverQueue[J]) offer(now policy.Instant, job J, work time.Duration) bool {
+	if len(s.running) >= s.cores {
+		if len(s.waiting) >= s.queue {
+			return false
+		}
+		s.waiting = append(s.waiting, waitingJob[J]{job: job, work: work})
+		return true
+	}
+	s.start(now, job, work)
+	return true
+}
+
+func (s *serverQueue[J]) start(now policy.Instant, job J, work time.Duration) {
+	from := max(now, s.frozenUntil)
+	s.running = append(s.running, runningJob[J]{job: job, endsAt: from.Add(time.Duration(float64(work) / s.speed()))})
+}
+
+// next is when the next job ends.
+func (s *serverQueue[J]) next() (at policy.Instant, ok bool) {
+	for i, r := range s.running {
+		if i == 0 || r.endsAt < at {
+			at = r.endsAt
+		}
+	}
+	return at, len(s.running) > 0
+}
+
+// finish takes out one job that has ended by now, and begins the next in its place.
+func (s *serverQueue[J]) finish(now policy.Instant) (job J, ok bool) {
+	first := -1
+	for i, r := range s.running {
+		if r.endsAt <= now && (first < 0 || r.endsAt < s.running[first].endsAt) {
+			first = i
+		}
+	}
+	if first < 0 {
+		return job, false
+	}
+	ended := s.running[first]
+	s.running = append(s.running[:first], s.running[first+1:]...)
+	if len(s.waiting) > 0 {
+		w := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		s.start(ended.endsAt, w.job, w.work)
+	}
+	return ended.job, true
+}
+
+// withdraw takes out a job that waits; a running one goes on to its end.
+func (s *serverQueue[J]) withdraw(is func(J) bool) {
+	for i, w := range s.waiting {
+		if is(w.job) {
+			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
+			return
+		}
+	}
+}
+
+// change calls a function that may change the speed, and stretches or shortens the rest of running jobs accordingly.
+func (s *serverQueue[J]) change(now policy.Instant, do func()) {
+	before := s.speed()
+	do()
+	by := before / s.speed()
+	for i := range s.running {
+		if rest := s.running[i].endsAt.Since(now); rest > 0 {
+			s.running[i].endsAt = now.Add(time.Duration(float64(rest) * by))
+		}
+	}
+}
+
+// freeze stops all work until an instant.
+func (s *serverQueue[J]) freeze(now, until policy.Instant) {
+	for i := range s.running {
+		if s.running[i].endsAt > now {
+			s.running[i].endsAt = s.running[i].endsAt.Add(max(0, until.Since(max(now, s.frozenUntil))))
+		}
+	}
+	s.frozenUntil = max(s.frozenUntil, until)
+}
+
+func (s *serverQueue[J]) clear() {
+	s.running = nil
+	s.waiting = nil
+}
+
+// length is the number of jobs, running and waiting.
+func (s *serverQueue[J]) length() int { return len(s.running) + len(s.waiting) }
--- a/internal/emulator/world/store.go
+++ b/internal/emulator/world/store.go
@@ -2,69 +2,45 @@
 
 import "container/list"
 
-// store is what a cache holds: a bounded set of keys, the one used longest ago giving way.
-type store struct {
-	most  int
-	order *list.List // the latest used in front
-	at    map[string]*list.Element
+// lruStore is what a cache holds: a bounded set of keys that evicts the least recently used.
+type lruStore struct {
+	capacity int
+	order    *list.List // the most recently used in front
+	elements map[string]*list.Element
 }
 
-func newStore(most int) *store {
-	return &store{most: most, order: list.New(), at: map[string]*list.Element{}}
+func newStore(capacity int) *lruStore {
+	return &lruStore{capacity: capacity, order: list.New(), elements: map[string]*list.Element{}}
 }
 
-func (s *store) has(key string) bool {
-	e := s.at[key]
-	if e != nil {
-		s.order.MoveToFront(e)
+// contains tells whether a key is there, without counting as a use.
+func (s *lruStore) contains(key string) bool { return s.elements[key] != nil }
+
+// use tells whether a key is there, and makes it the most recently used.
+func (s *lruStore) use(key string) bool {
+	e := s.elements[key]
+	if e == nil {
+		return false
 	}
-	return e != nil
+	s.order.MoveToFront(e)
+	return true
 }
 
-func (s *store) put(key string) {
-	if s.has(key) {
+func (s *lruStore) put(key string) {
+	if s.use(key) {
 		return
 	}
-	s.at[key] = s.order.PushFront(key)
-	for s.order.Len() > s.most {
+	s.elements[key] = s.order.PushFront(key)
+	for s.order.Len() > s.capacity {
 		last := s.order.Back()
 		s.order.Remove(last)
-		delete(s.at, last.Value.(string))
+		delete(s.elements, last.Value.(string))
 	}
 }
 
-func (s *store) drop(key string) {
-	if e := s.at[key]; e != nil {
+func (s *lruStore) remove(key string) {
+	if e := s.elements[key]; e != nil {
 		s.order.Remove(e)
-		delete(s.at, key)
-	}
-}
-
-// labels remembers labelled writes for a window, so that a repeat has no effect.
-type labels struct {
-	seen  map[string]mark
-	order []string // by time
-}
-
-type mark struct {
-	until   int64
-	receipt string
-}
-
-// repeat returns the receipt of an earlier run of a labelled write within its window.
-func (l *labels) repeat(now int64, label string) (receipt string, ok bool) {
-	for len(l.order) > 0 && l.seen[l.order[0]].until <= now {
-		delete(l.seen, l.order[0])
-		l.order = l.order[1:]
-	}
-	m, ok := l.seen[label]
-	return m.receipt, ok
-}
-
-func (l *labels) keep(label, receipt string, until int64) {
-	if l.seen == nil {
-		l.seen = map[string]mark{}
+		delete(s.elements, key)
 	}
-	l.seen[label] = mark{until, receipt}
-	l.order = append(l.order, label)
 }
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -9,19 +9,21 @@
 
 const ms = policy.Instant(time.Millisecond)
 
-type heard struct{ effects, fell, rose int }
+type countingObserver struct{ effects, fell, rose int }
 
-func (h *heard) Effect(policy.Instant, string, string, int, policy.EndpointID) { h.effects++ }
-func (h *heard) Fell(policy.Instant, policy.EndpointID, string)                { h.fell++ }
-func (h *heard) Rose(policy.Instant, policy.EndpointID)                        { h.rose++ }
+func (h *countingObserver) Effect(policy.Instant, string, string, int, policy.EndpointID) {
+	h.effects++
+}
+func (h *countingObserver) Fell(policy.Instant, policy.EndpointID, string) { h.fell++ }
+func (h *countingObserver) Rose(policy.Instant, policy.EndpointID)         { h.rose++ }
 
-func make1(h Observer, change func(*Traits)) *World {
-	t := Traits{ID: "c1", Cores: 1, Queue: 2, Speed: 1, Keys: 2, Connections: 1, ColdFrom: 0.5, ColdFor: 10 * time.Second,
+func newTestWorld(h Observer, change func(*CacheTraits)) *World {
+	t := CacheTraits{ID: "c1", Cores: 1, Queue: 2, Speed: 1, Keys: 2, Connections: 1, ColdFrom: 0.5, ColdFor: 10 * time.Second,
 		FallMultiple: 2, FallFor: 200 * time.Millisecond}
 	if change != nil {
 		change(&t)
 	}
-	return New(Plan{Caches: []Traits{t}, Seed: 1, Hearer: h, Origin: OriginTraits{Cores: 1, Queue: 99, Work: 4 * time.Millisecond, StallAt: 99, Stall: 1},
+	return New(Plan{Caches: []CacheTraits{t}, Seed: 1, Observer: h, Origin: OriginTraits{Cores: 1, Queue: 99, Work: 4 * time.Millisecond, StallAt: 99, Stall: 1},
 		Classes: []Class{{Name: "read", Work: 10 * time.Millisecond}, {Name: "mark", Write: true, Work: 10 * time.Millisecond,
 			ServiceClass: policy.ServiceClass{Idempotency: policy.IdempotentByKey, DedupWindow: time.Second}}}})
 }
@@ -40,16 +42,16 @@
 
 // A miss is stored at the cache that missed only once the origin has answered that very request, and what was used
 // longest ago gives way.
-func TestACacheKeepsWhatTheOriginBrought(t *testing.T) {
-	w := make1(&heard{}, nil)
-	ask := func(server int, id, key string) Said {
+func TestCacheStoresAMissOnceTheOriginHasAnswered(t *testing.T) {
+	w := newTestWorld(&countingObserver{}, nil)
+	ask := func(server int, id, key string) Reply {
 		w.Offer(w.now, server, job(id, key))
-		return w.all(w.now.Add(time.Second))[0].Said
+		return w.all(w.now.Add(time.Second))[0].Reply
 	}
 	for _, c := range []struct {
 		server  int
 		id, key string
-		want    Said
+		want    Reply
 	}{{0, "a", "k", Miss}, {1, "x", "k", Value}, {0, "b", "k", Miss}, {1, "a", "k", Value}, {0, "c", "k", Value}, {0, "d", "l", Miss},
 		{1, "d", "l", Value}, {0, "e", "m", Miss}, {1, "e", "m", Value}, {0, "f", "k", Miss}, {0, "g", "m", Value}} {
 		if got := ask(c.server, c.id, c.key); got != c.want {
@@ -59,13 +61,13 @@
 }
 
 // Slowing, pausing and crowding stretch what already runs, too: else a long job would hide a trouble.
-func TestTroublesStretchWhatRuns(t *testing.T) {
+func TestFaultsStretchRunningJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		do    func(w *World)
 		times float64
-	}{"nothing": {func(*World) {}, 1}, "slow": {func(w *World) { w.Slow(0, 0, 4) }, 4}, "crowd": {func(w *World) { w.Crowd(0, 0, 0.75) }, 4},
+	}{"nothing": {func(*World) {}, 1}, "slow": {func(w *World) { w.Slow(0, 0, 4) }, 4}, "crowd": {func(w *World) { w.TakeCores(0, 0, 0.75) }, 4},
 		"slow and over": {func(w *World) { w.Slow(0, 0, 4); w.Slow(0, 0, 1) }, 1}, "pause": {func(w *World) { w.Pause(0, 0, time.Hour) }, 1e5}} {
-		plain, troubled := make1(&heard{}, nil), make1(&heard{}, nil)
+		plain, troubled := newTestWorld(&countingObserver{}, nil), newTestWorld(&countingObserver{}, nil)
 		plain.Offer(0, 0, job("a", "k"))
 		troubled.Offer(0, 0, job("a", "k"))
 		c.do(troubled)
@@ -79,13 +81,13 @@
 }
 
 // The queue's bound, a full connection table, and what nobody waits for any more.
-func TestACacheTurnsAwayWhatItCantTake(t *testing.T) {
-	w := make1(&heard{}, nil)
+func TestCacheRejectsBeyondItsCapacity(t *testing.T) {
+	w := newTestWorld(&countingObserver{}, nil)
 	for i, want := range []bool{true, true, true, false} { // one runs, two wait
 		j := job("a", "k")
 		j.Tag = uint64(i)
-		if d, ok := w.Offer(0, 0, j); ok != want || !ok && d.Said != Busy {
-			t.Errorf("job %d: %v %v", i, ok, d.Said)
+		if d, ok := w.Offer(0, 0, j); ok != want || !ok && d.Reply != Busy {
+			t.Errorf("job %d: %v %v", i, ok, d.Reply)
 		}
 	}
 	w.Withdraw(0, 0, 2)
@@ -95,19 +97,19 @@
 	if _, ok := w.Offer(5, 0, Job{Key: "k", Until: 5}); ok {
 		t.Error("took what is over")
 	}
-	if w.Servers[0].Held = 1; w.Connect(0, 0) {
+	if w.Servers[0].OpenConnections = 1; w.Connect(0, 0) {
 		t.Error("took a connection too many")
 	}
 	w.Kill(9, 0)
-	if w.Servers[0].Held = 0; w.Connect(9, 0) {
+	if w.Servers[0].OpenConnections = 0; w.Connect(9, 0) {
 		t.Error("took one while down")
 	}
 }
 
 // A repeat within the window has no effect and the same receipt; beyond it, or under another label, it has.
-func TestLabelledWritesAreRememberedForTheirWindow(t *testing.T) {
-	h := &heard{}
-	w := make1(h, nil)
+func TestIdempotencyKeysHoldForTheirWindow(t *testing.T) {
+	h := &countingObserver{}
+	w := newTestWorld(h, nil)
 	write := func(at policy.Instant, label string) string {
 		w.Offer(at, 1, Job{Request: "r", Key: "k", Label: label, Class: 1, Until: 1 << 60})
 		return w.all(1 << 60)[0].Text
@@ -125,17 +127,17 @@
 }
 
 // Which caches drop the same repeats is the grade's scope: all, those of a zone, or those of a group.
-func TestRepeatsAreDroppedWithinTheirScope(t *testing.T) {
+func TestDeduplicationScopes(t *testing.T) {
 	for scope, effects := range map[policy.DedupScope]int{policy.AllCaches: 1, policy.SameZone: 2, policy.SameGroup: 3} {
-		h := &heard{}
-		var ts []Traits
+		h := &countingObserver{}
+		var ts []CacheTraits
 		for n, at := range []struct {
 			z policy.ZoneID
 			g policy.GroupID
 		}{{"a", 1}, {"a", 1}, {"a", 2}, {"b", 3}} {
-			ts = append(ts, Traits{ID: policy.EndpointID(rune('a' + n)), Zone: at.z, Group: at.g, Cores: 1, Queue: 9, Speed: 1, Keys: 1})
+			ts = append(ts, CacheTraits{ID: policy.EndpointID(rune('a' + n)), Zone: at.z, Group: at.g, Cores: 1, Queue: 9, Speed: 1, Keys: 1})
 		}
-		w := New(Plan{Mode: Through, Caches: ts, Hearer: h, Classes: []Class{{Write: true, Work: time.Millisecond,
+		w := New(Plan{Mode: Through, Caches: ts, Observer: h, Classes: []Class{{Write: true, Work: time.Millisecond,
 			ServiceClass: policy.ServiceClass{Idempotency: policy.IdempotentByKey, DedupScope: scope, DedupWindow: time.Second}}}})
 		for n := range ts {
 			w.Offer(0, n, Job{Request: "r", Label: "l", Until: 1 << 60})
@@ -147,10 +149,10 @@
 }
 
 // Only a cold cache falls, only when asked for a multiple of what it can do for a time, and it comes back.
-func TestOnlyAColdCacheThatIsPushedFallsOver(t *testing.T) {
-	push := func(cold bool, every time.Duration) *heard {
-		h := &heard{}
-		w := make1(h, nil)
+func TestOnlyAnOverloadedColdCacheFallsOver(t *testing.T) {
+	push := func(cold bool, every time.Duration) *countingObserver {
+		h := &countingObserver{}
+		w := newTestWorld(h, nil)
 		if cold {
 			w.Start(1, 0)
 		}
@@ -173,11 +175,11 @@
 }
 
 // Arrivals are open loop at the stated rate, and clients repeat only what is harmless.
-func TestTrafficIsAsStated(t *testing.T) {
+func TestTrafficFollowsItsPlan(t *testing.T) {
 	p := TrafficPlan{PerSecond: 1000, Keys: 100, Zipf: 1, Seed: 3, Classes: []Class{{Name: "read", Share: 3, Tries: 2,
 		ServiceClass: policy.ServiceClass{Idempotency: policy.Idempotent}}, {Name: "pay", Share: 1, Tries: 9, Write: true}}}
 	tr := NewTraffic(p)
-	tr.Heat("hot", 0.5)
+	tr.SetHotKey("hot", 0.5)
 	n, reads, hot := 0, 0, 0
 	for at := tr.Next(0); at < policy.Instant(10*time.Second); at = tr.Next(at) {
 		r := tr.Draw(at)
@@ -187,11 +189,11 @@
 		if r.Key == "hot" {
 			hot++
 		}
-		if _, _, ok := tr.Again(at, r, false, 0); ok != (r.Class == 0) {
+		if _, _, ok := tr.Retry(at, r, false, 0); ok != (r.Class == 0) {
 			t.Fatal("repeats after a failure", r.Class, ok)
 		}
-		again, _, _ := tr.Again(at, r, true, time.Second)
-		if _, _, ok := tr.Again(at, again, true, 0); ok != (r.Class == 1) || again.ID == r.ID || again.Sent < at.Add(time.Second) {
+		again, _, _ := tr.Retry(at, r, true, time.Second)
+		if _, _, ok := tr.Retry(at, again, true, 0); ok != (r.Class == 1) || again.ID == r.ID || again.Sent < at.Add(time.Second) {
 			t.Fatal("repeats after a rejection", r.Class, ok)
 		}
 	}
@@ -200,13 +202,13 @@
 	}
 }
 
-// A discovery that is overbooked must stay so while all go on asking, and come back once they ask seldom; or no rehearsal of
-// a herd would tell a node that spreads its calls from one that does not.
-func TestAnOverbookedRegistryIsKeptDownByWhoAsksOn(t *testing.T) {
+// A discovery that is overbooked must stay so while all go on asking, and come back once they ask seldom; or no
+// rehearsal of a herd would tell a node that spreads its calls from one that does not.
+func TestOverloadedRegistryRecoversOnlyWhenPolledLess(t *testing.T) {
 	for every, most := range map[policy.Instant]int{ms / 2: 0, 20 * ms: 50} {
-		g, taken := Registry{Whole: 20 * time.Millisecond, Watch: 2 * time.Millisecond, Backlog: 100 * time.Millisecond}, 0
+		g, taken := Registry{CompleteWork: 20 * time.Millisecond, UpdateWork: 2 * time.Millisecond, Backlog: 100 * time.Millisecond}, 0
 		for at := policy.Instant(0); at < 2000*ms; at += every {
-			if _, ok := g.Call(at, at < 20*ms); ok && at >= 1000*ms {
+			if _, ok := g.Poll(at, at < 20*ms); ok && at >= 1000*ms {
 				taken++
 			}
 		}
@@ -217,7 +219,7 @@
 }
 
 // Clients that wait less do so by the try's id: all else is drawn as without them.
-func TestSomeClientsWaitLess(t *testing.T) {
+func TestShortClientTimeoutsChangeNothingElse(t *testing.T) {
 	grades := []Class{{Share: 1, Deadline: time.Second, Tries: 2}}
 	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: grades, Seed: 3})
 	hasty := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: grades, Seed: 3, Short: 0.25, ShortMost: 200 * time.Millisecond})
@@ -237,7 +239,7 @@
 		t.Errorf("%d of 2000 wait less, about 500 should", short)
 	}
 	first := hasty.Draw(0)
-	if again, _, ok := hasty.Again(0, first, true, 0); !ok || again.Deadline > time.Second {
+	if again, _, ok := hasty.Retry(0, first, true, 0); !ok || again.Deadline > time.Second {
 		t.Errorf("the second try waits %v", again.Deadline)
 	}
 }
