--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -9,13 +9,15 @@
 	"time"
 
 	"dahliapin/internal/control/controlwire"
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 )
 
-// statusTimeout is for servers to answer: operators are to see the overview within a second, also where a server is down.
+// statusTimeout is for servers to answer: operators are to see the overview within a second, also where a server is
+// down.
 const statusTimeout = 900 * time.Millisecond
 
-// Overview asks all control servers at once and puts their answers together. It returns ErrUnavailable where none answers in time.
+// Overview asks all control servers at once and puts their answers together. It returns ErrUnavailable where none
+// answers in time.
 func (c Client) Overview() (Overview, error) {
 	type answer struct {
 		table controlwire.Message
@@ -70,14 +72,14 @@
 	last      uint64 // newest entry that any server has
 	nodes     map[string]controlwire.NodeReport
 	servers   map[uint64]controlwire.ServerReport
-	caches    map[cacheAt]purger.Progress
+	caches    map[cacheAt]purge.Progress
 }
 
 func newMergedTable() *mergedTable {
 	return &mergedTable{
 		nodes:   map[string]controlwire.NodeReport{},
 		servers: map[uint64]controlwire.ServerReport{},
-		caches:  map[cacheAt]purger.Progress{},
+		caches:  map[cacheAt]purge.Progress{},
 	}
 }
 
@@ -100,8 +102,8 @@
 	}
 	for _, report := range table.Servers {
 		known, is := m.servers[report.ID]
-		newer := !report.NeverHeard && report.AgeMs < known.AgeMs
-		if !is || known.NeverHeard || newer {
+		newer := !report.NeverSeen && report.AgeMs < known.AgeMs
+		if !is || known.NeverSeen || newer {
 			m.servers[report.ID] = report
 		}
 	}
@@ -113,7 +115,7 @@
 	for _, name := range slices.Sorted(maps.Keys(m.nodes)) {
 		table.Nodes = append(table.Nodes, m.nodes[name])
 	}
-	table.Caches = slices.SortedFunc(maps.Values(m.caches), func(a, b purger.Progress) int {
+	table.Caches = slices.SortedFunc(maps.Values(m.caches), func(a, b purge.Progress) int {
 		return cmp.Or(cmp.Compare(a.Cache, b.Cache), cmp.Compare(a.Server, b.Server))
 	})
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dahliapin/internal/control/purger"
+	"dahliapin/internal/control/purge"
 	"dahliapin/internal/control/replicatedlog"
 )
 
@@ -44,15 +44,16 @@
 // ErrMalformed says that bytes are not a message of this protocol.
 var ErrMalformed = errors.New("not a message of the log of changes")
 
-// Message is what a frame holds: CBOR with numbered fields, of which unknown ones are skipped. Its Kind says which fields are set.
+// Message is what a frame holds: CBOR with numbered fields, of which unknown ones are skipped. Its Kind says which
+// fields are set. The protocol has one flat record for all kinds, hence the number of fields.
 type Message struct {
 	Version      uint32            `cbor:"0,keyasint"` // set by EncodeFrame
 	Kind         MessageKind       `cbor:"1,keyasint"`
 	Index        uint64            `cbor:"2,keyasint,omitempty"` // Start: where the node starts; a peer's Hello: its id
 	Last         uint64            `cbor:"3,keyasint,omitempty"` // index of the newest entry that the server has
-	HasLeader    bool              `cbor:"4,keyasint,omitempty"` // the server leads, or heard its leader lately
+	HasLeader    bool              `cbor:"4,keyasint,omitempty"` // the server leads, or its leader is alive
 	Entries      []cbor.RawMessage `cbor:"5,keyasint,omitempty"` // encoded entries in order
-	BaseConfig   cbor.RawMessage   `cbor:"6,keyasint,omitempty"` // Start: the encoded entry of the configuration in force; empty for none
+	BaseConfig   cbor.RawMessage   `cbor:"6,keyasint,omitempty"` // Start: the encoded configuration in force
 	Nodes        []NodeReport      `cbor:"7,keyasint,omitempty"`
 	Batch        []byte            `cbor:"8,keyasint,omitempty"` // Publish: an encoded replicatedlog.Batch
 	Indexes      []uint64          `cbor:"9,keyasint,omitempty"` // Ordered: one for each proposal
@@ -60,17 +61,18 @@
 	RaftMessages [][]byte          `cbor:"11,keyasint,omitempty"` // in protobuf
 	Fresh        bool              `cbor:"12,keyasint,omitempty"` // a node's Hello: it has applied nothing yet
 	Servers      []ServerReport    `cbor:"13,keyasint,omitempty"`
-	LogID        uint64            `cbor:"14,keyasint,omitempty"` // Start and a node's Hello: which log the indexes are of
-	Caches       []purger.Progress `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
+	LogID        uint64            `cbor:"14,keyasint,omitempty"` // Start, a node's Hello: the log of the indexes
+	Caches       []purge.Progress  `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
 }
 
-// NodeReport is how far a node has applied the replicated log, as the node says, with what control servers add when they pass it on.
+// NodeReport is how far a node has applied the replicated log, as the node says, with what control servers add when
+// they pass it on.
 type NodeReport struct {
 	Node           string `cbor:"1,keyasint"`
 	Process        uint64 `cbor:"2,keyasint,omitempty"` // a random number for each process of the node
 	Applied        uint64 `cbor:"3,keyasint"`
 	Config         uint64 `cbor:"4,keyasint,omitempty"`  // index of the configuration in force; 0 for the node's own
-	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of the configuration that the node could not take; 0 for none
+	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of a configuration that it could not take; 0 for none
 	PresumedPurged uint64 `cbor:"6,keyasint,omitempty"`  // everything up to here may have been purged
 	Gaps           uint64 `cbor:"7,keyasint,omitempty"`  // times that entries did not follow what was applied
 	Reason         string `cbor:"8,keyasint,omitempty"`  // why a configuration was refused
@@ -79,7 +81,8 @@
 	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
 }
 
-// ServerReport is the state of a control server, as it reports itself or as another one last heard.
+// ServerReport is the state of a control server, as it reports itself or as it last reported to another one. It is
+// flat, as the protocol has it.
 type ServerReport struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -88,18 +91,19 @@
 	Last        uint64 `cbor:"5,keyasint,omitempty"` // index of the newest entry
 	Floor       uint64 `cbor:"6,keyasint,omitempty"` // index up to which entries are no longer kept
 	Term        uint64 `cbor:"7,keyasint,omitempty"` // raft's
-	AgeMs       uint64 `cbor:"8,keyasint,omitempty"` // milliseconds since it was heard
-	NeverHeard  bool   `cbor:"9,keyasint,omitempty"`
+	AgeMs       uint64 `cbor:"8,keyasint,omitempty"` // milliseconds since it reported
+	NeverSeen   bool   `cbor:"9,keyasint,omitempty"`
 	Config      uint64 `cbor:"10,keyasint,omitempty"` // index of the newest configuration
 	BytesIn     uint64 `cbor:"11,keyasint,omitempty"` // from nodes and other control servers
 	BytesOut    uint64 `cbor:"12,keyasint,omitempty"`
-	Invalid     uint64 `cbor:"13,keyasint,omitempty"` // streams and messages that could not be decoded or were not for it
+	Invalid     uint64 `cbor:"13,keyasint,omitempty"` // malformed streams and messages, and those not for it
 	Rejected    uint64 `cbor:"14,keyasint,omitempty"` // streams closed because too many were open
 	RunsPurges  bool   `cbor:"15,keyasint,omitempty"` // it carries purges out at caches
 	NoCacheList bool   `cbor:"16,keyasint,omitempty"` // and has no list of caches yet
 }
 
-// EncodeFrame returns a message with its length before it. A message of more than maxBytes is refused with ErrMalformed.
+// EncodeFrame returns a message with its length before it. A message of more than maxBytes is refused with
+// ErrMalformed.
 func EncodeFrame(message Message, maxBytes int) ([]byte, error) {
 	message.Version = messageVersion
 	body, err := cbor.Marshal(message)
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -34,14 +34,14 @@
 
 // Config is what a Purger is started with.
 type Config struct {
-	Terms   *fleetconfig.Purges // the settings
-	Servers int                 // control servers, which all poll discovery
-	Log     Log
-	Dir     string // for the cursors
-	Seed    uint32 // of the backoffs' jitter
-	Logger  *logrus.Logger
-	Now     func() monotime.Instant                                   // of a clock that runs through suspends
-	Dial    func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
+	Settings    *fleetconfig.Purges // the settings
+	ServerCount int                 // control servers, which all poll discovery
+	Log         Log
+	Dir         string // for the cursors
+	Seed        uint32 // of the backoffs' jitter
+	Logger      *logrus.Logger
+	Now         func() monotime.Instant                                   // of a clock that runs through suspends
+	Dial        func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 	// OnProgress is called, with the lock held, when a cursor has changed: by the judge of tests. nil for nobody.
 	OnProgress func(purge.CacheID, purge.Cursor)
 }
@@ -68,13 +68,15 @@
 		return nil, err
 	}
 	if config.Dial == nil {
-		config.Dial = func(addr string, within time.Duration) (net.Conn, error) { return net.DialTimeout("tcp", addr, within) }
+		config.Dial = func(addr string, within time.Duration) (net.Conn, error) {
+			return net.DialTimeout("tcp", addr, within)
+		}
 	}
 	p := &Purger{
 		Config:  config,
 		cursors: cursors,
 		closed:  make(chan struct{}),
-		limiter: purge.FlushLimiter{Interval: config.Terms.FlushEach()},
+		limiter: purge.FlushLimiter{Interval: config.Settings.FlushEach()},
 		caches:  map[purge.CacheID]*cache{},
 		changed: make(chan struct{}),
 	}
@@ -89,13 +91,13 @@
 	p.recordArrivals()
 	p.goroutines.Go(p.followLog)
 	p.goroutines.Go(p.saveCursors)
-	if p.Terms.Discovery != "" {
+	if p.Settings.Discovery != "" {
 		p.goroutines.Go(newListPoller(p).run)
 	}
-	for _, c := range p.Terms.Caches {
+	for _, c := range p.Settings.Caches {
 		p.setListed(listedCache{id: purge.CacheID(c.ID), addr: c.Addr}, p.Now())
 	}
-	p.hasList = len(p.Terms.Caches) > 0
+	p.hasList = len(p.Settings.Caches) > 0
 	return p, nil
 }
 
@@ -111,7 +113,8 @@
 	p.cursors.close()
 }
 
-// cacheOf returns a cache, after it was made with a cursor if it was not known; nil where there is no capacity for one more. The lock is held.
+// cacheOf returns a cache, after it was made with a cursor if it was not known; nil where there is no capacity for
+// one more. The lock is held.
 func (p *Purger) cacheOf(id purge.CacheID, cursor purge.Cursor) *cache {
 	if c := p.caches[id]; c != nil {
 		return c
@@ -119,7 +122,7 @@
 	if len(p.caches) >= maxCursors && !p.forgetOne() {
 		return nil
 	}
-	config := purge.Config{LongestFill: p.Terms.Fills(), CommandInterval: p.Terms.Each()}
+	config := purge.Config{LongestFill: p.Settings.Fills(), CommandInterval: p.Settings.Each()}
 	c := &cache{
 		Cache:      purge.NewCache(config, cursor, p.Now()),
 		purger:     p,
@@ -133,14 +136,15 @@
 	return c
 }
 
-// forgetOne removes a cache that is not in the list, the one whose cursor is furthest behind; false where all are listed. The lock is held.
+// forgetOne removes a cache that is not in the list, the one whose cursor is furthest behind; false where all are
+// listed. The lock is held.
 func (p *Purger) forgetOne() bool {
 	var oldest *cache
 	for _, c := range p.caches {
 		if c.stop != nil {
 			continue
 		}
-		if oldest == nil || cmp.Or(cmp.Compare(c.Cursor().Done, oldest.Cursor().Done), cmp.Compare(c.id, oldest.id)) < 0 {
+		if oldest == nil || c.furtherBehind(oldest) {
 			oldest = c
 		}
 	}
@@ -151,6 +155,11 @@
 	return true
 }
 
+// furtherBehind orders caches by their cursors, and by name where these are the same.
+func (c *cache) furtherBehind(other *cache) bool {
+	return cmp.Or(cmp.Compare(c.Cursor().Done, other.Cursor().Done), cmp.Compare(c.id, other.id)) < 0
+}
+
 // followLog notes when there are more entries.
 func (p *Purger) followLog() {
 	for {
@@ -190,7 +199,8 @@
 			continue
 		}
 		err := p.cursors.put(changed, all)
-		if (err != nil) != failed { // once when it begins to fail, and once when it works again; what is not on disk is done once more
+		// Logged once when it begins to fail, and once when it works again. What is not on disk is done once more.
+		if (err != nil) != failed {
 			failed = err != nil
 			p.Logger.WithError(err).Warn("cursors of caches on disk")
 		}
@@ -223,8 +233,8 @@
 	}
 }
 
-// DoneEverywhere is up to where purges are done at all caches in the list: entries after it are still needed. It is false where there are
-// none with a cursor in this log.
+// DoneEverywhere is up to where purges are done at all caches in the list: entries after it are still needed. It is
+// false where there are none with a cursor in this log.
 func (p *Purger) DoneEverywhere() (least replicatedlog.Index, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
