--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -164,8 +164,9 @@
 			}
 			ramped := run.world.MaxColdLoad
 			probes := r.Most("probes")
-			t.Logf("breaches %v, %d requests in the origin's worst second, %.2f of the load at which a cold cache "+
-				"falls over, benefit in time %.3f, %d probes in a second", r.Rules, r.MaxOriginAttempts, ramped, r.Gain, probes)
+			t.Logf("breaches %v, %d requests in the origin's worst second, %.2f of the load that a cold cache "+
+				"withstands, benefit in time %.3f, %d probes in a second",
+				r.Rules, r.MaxOriginAttempts, ramped, r.Gain, probes)
 			inBounds := r.MaxOriginAttempts <= c.maxOrigin && ramped <= c.maxRamped && r.Gain >= c.minGain
 			if r.Rules != [4]uint64{} || !inBounds || probes == 0 {
 				t.Errorf("out of bounds, see above; breaches %v", r.Breaches)
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -172,7 +172,11 @@
 
 // The class's deduplication scope says which caches drop the same repeats: all, those of a zone, or those of a group.
 func TestDeduplicationScopes(t *testing.T) {
-	for scope, effects := range map[policy.DedupScope]int{policy.AllCaches: 1, policy.SameZone: 2, policy.SameGroup: 3} {
+	for scope, effects := range map[policy.DedupScope]int{
+		policy.AllCaches: 1,
+		policy.SameZone:  2,
+		policy.SameGroup: 3,
+	} {
 		h := &countingObserver{}
 		var caches []CacheTraits
 		for n, at := range []struct {
