--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -95,7 +95,7 @@
 			return err
 		}
 		printRun(out, s, result)
-		if result.Busy != "" {
+		if result.MachineTooBusy != "" {
 			busy++
 		}
 		if !isBroken(result) {
@@ -149,7 +149,7 @@
 }
 
 // isBroken tells whether a run broke a rule. One for which the machine was too busy proves nothing.
-func isBroken(r *report.Report) bool { return r.Busy == "" && !r.Good() }
+func isBroken(r *report.Report) bool { return r.MachineTooBusy == "" && !r.Good() }
 
 func printRun(out io.Writer, s *scenario.Scenario, r *report.Report) {
 	if r.Together == nil || r.Together.View == nil {
@@ -164,7 +164,7 @@
 	fmt.Fprintf(out, "%s: %d events, %d wrong (false %d, rash %d, missed %d, flaps %d, unlike %d), rules %v; ",
 		s.Name, len(s.Events), view.Wrong(), view.False, view.Rash, view.Missed, view.Flaps, view.Unlike, r.Rules)
 	fmt.Fprintf(out, "changes %d, out after %.2f s at most, alike after %.1f s", view.Changes, slowest, view.Alike)
-	if r.Busy != "" {
+	if r.MachineTooBusy != "" {
 		fmt.Fprint(out, "; not judged, the machine was too busy")
 	}
 	fmt.Fprintln(out)
