--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// printCaches prints the caches that lack purges, where control machines carry them out.
+// printCaches prints the caches that lack purges, where control servers carry them out.
 func printCaches(table io.Writer, o controlclient.Overview) {
 	if o.Unlisted {
 		fmt.Fprintln(table, "\npurges are to be carried out at caches, and there is no list of them")
@@ -129,12 +129,12 @@
 	}
 	for _, c := range lacking[:min(len(lacking), maxLackingShown)] {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n",
-			c.Cache, c.Done, c.Missing, c.Overdue, c.FirstDeleted, whyLacking(&c))
+			c.Cache, c.Done, c.Missing, c.Overdue, c.QuickDeleted, whyLacking(&c))
 	}
 	printMore(table, len(lacking))
 }
 
-// whyLacking says what the control machines report of a cache that lacks purges.
+// whyLacking says what the control servers report of a cache that lacks purges.
 func whyLacking(c *controlclient.CacheStatus) string {
 	var reasons []string
 	for _, m := range c.Servers {
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -38,10 +38,10 @@
 	return string(text), c.ProcessState.ExitCode()
 }
 
-// controlFleet is the control machines of a fleet, as processes: three voters and a learner.
+// controlFleet is the control servers of a fleet, as processes: three voters and a learner.
 type controlFleet struct {
 	dir   string
-	peers []string // addresses for other control machines
+	peers []string // addresses for other control servers
 	nodes []string // addresses for nodes and clients
 }
 
@@ -50,7 +50,7 @@
 	return &controlFleet{dir: t.TempDir(), peers: freePorts(t, 4), nodes: freePorts(t, 4)}
 }
 
-// file writes the file of a control machine, by its number from 0, and returns its path.
+// file writes the file of a control server, by its number from 0, and returns its path.
 func (f *controlFleet) file(t *testing.T, i int) string {
 	t.Helper()
 	text := fmt.Sprintf("[control]\nid=%d\nlabel='l'\npeers='%s'\nnodes='%s'\ndata='%s/%d'\n"+
@@ -80,7 +80,7 @@
 	}
 }
 
-// waitForOverview returns the overview once the first control machine has all, or the last one before a deadline.
+// waitForOverview returns the overview once the first control server has all, or the last one before a deadline.
 func (f *controlFleet) waitForOverview(t *testing.T) controlclient.Overview {
 	t.Helper()
 	var o controlclient.Overview
@@ -162,12 +162,12 @@
 	}
 }
 
-// Caches that lack purges are shown, each with the reason of every control machine that answers.
+// Caches that lack purges are shown, each with the reason of every control server that answers.
 func TestCachesThatLackPurgesAreShown(t *testing.T) {
 	o := controlclient.Overview{Last: 9, HasLeader: true, Caches: []controlclient.CacheStatus{
 		{Cache: "well", Done: 9},
 		{
-			Cache: "ill", Done: 4, FirstDeleted: 6, Missing: 5, Overdue: 3, Flushing: true,
+			Cache: "ill", Done: 4, QuickDeleted: 6, Missing: 5, Overdue: 3, Flushing: true,
 			Servers: []controlclient.CacheProgress{
 				{Server: 1, Reason: "refused", UnansweredS: 2.5},
 				{Server: 2, Reason: "old word", Silent: true},
--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -20,31 +20,36 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// cacheTraceSuffix is added to the path of a control machine's trace for that of its caches.
+// cacheTraceSuffix is added to the path of a control server's trace for that of its caches.
 const cacheTraceSuffix = ".caches"
 
-// controlCommand runs one control machine of the log of changes.
+// controlCommand runs one control server of the log of changes.
 func controlCommand() *cobra.Command {
-	var isNew bool
+	var firstStart bool
 	var trace string
 	c := &cobra.Command{
 		Use:   "control FILE.toml",
 		Short: "Run one control machine of the fleet's log of changes until SIGTERM",
 		Args:  cobra.ExactArgs(1),
-		RunE:  func(_ *cobra.Command, args []string) error { return runControlServer(args[0], isNew, trace) },
+		RunE:  func(_ *cobra.Command, args []string) error { return runControlServer(args[0], firstStart, trace) },
 	}
-	c.Flags().BoolVar(&isNew, "new", false, "the first start of a voter: its data folder may be empty")
+	c.Flags().BoolVar(&firstStart, "new", false, "the first start of a voter: its data folder may be empty")
 	c.Flags().StringVar(&trace, "trace", "",
 		"file to append a line to for each write to this machine's disk, by which a test checks the log")
 	return c
 }
 
-func runControlServer(path string, isNew bool, trace string) error {
+func runControlServer(path string, firstStart bool, trace string) error {
 	file, err := fleetconfig.ReadControl(path)
 	if err != nil {
 		return err
 	}
-	config := controlserver.Config{File: file, New: isNew, Log: logrus.StandardLogger(), Now: gossip.BootTime}
+	config := controlserver.Config{
+		File:       file,
+		FirstStart: firstStart,
+		Log:        logrus.StandardLogger(),
+		Now:        gossip.BootTime,
+	}
 	if trace != "" {
 		traceFile, err := openTrace(trace)
 		if err != nil {
--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -1,4 +1,4 @@
-// Command dahliapin runs a router for fleets of cache servers: a node (serve), a control machine (control), and the
+// Command dahliapin runs a router for fleets of cache servers: a node (serve), a control server (control), and the
 // tools of their operators and developers. `dahliapin help` lists the commands; each is in a file of its own.
 //
 // A command's exit code is 0 for success, 1 for a failure, and 2 where a script has to tell an answer apart: a node
--- a/cmd/dahliapin/publish.go
+++ b/cmd/dahliapin/publish.go
@@ -21,7 +21,7 @@
 	maxControlServers = 16               // in --at
 )
 
-// controlFlags are the flags for the control machines of a fleet.
+// controlFlags are the flags for the control servers of a fleet.
 type controlFlags struct {
 	at    string
 	label string
--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -39,13 +39,14 @@
 	deadline := time.After(statusTimeout)
 	answered := false
 	lastErr := ErrUnavailable
-	for waiting := len(c.Servers); waiting > 0; waiting-- {
+collect:
+	for range c.Servers {
 		var got answer
 		select {
 		case got = <-answers:
 		case <-deadline:
-			got.err = context.DeadlineExceeded
-			waiting = 1 // the other servers are not waited for
+			lastErr = fmt.Errorf("%w: %w", ErrUnavailable, context.DeadlineExceeded)
+			break collect // the other servers are not waited for
 		}
 		if got.err != nil {
 			lastErr = fmt.Errorf("%w: %w", ErrUnavailable, got.err)
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -72,7 +72,7 @@
 type CacheStatus struct {
 	Cache        string              `json:"cache"`
 	Done         replicatedlog.Index `json:"done"`               // purges up to here are done
-	FirstDeleted replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
+	QuickDeleted replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
 	Missing      uint64              `json:"lacks"`              // entries up to the newest
 	Overdue      uint64              `json:"late"`               // those of them that should be done by now
 	Flushing     bool                `json:"flushing,omitempty"` // what it lacks is kept nowhere: it has to be emptied
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -103,7 +103,7 @@
 		}
 		if report.OtherLog || report.Started < newestProcess[report.Cache] {
 			report.Done = 0
-			report.FirstDeleted = 0
+			report.QuickDeleted = 0
 		}
 		caches[n-1].merge(report, responsive[report.Server])
 	}
@@ -130,7 +130,7 @@
 		Silent:      !responsive,
 	}
 	c.Done = max(c.Done, progress.Done)
-	c.FirstDeleted = max(c.FirstDeleted, replicatedlog.Index(report.FirstDeleted))
+	c.QuickDeleted = max(c.QuickDeleted, replicatedlog.Index(report.QuickDeleted))
 	if responsive {
 		c.Overdue = min(c.Overdue, report.Overdue)
 		c.Flushing = c.Flushing && report.Flushing
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -47,7 +47,7 @@
 func TestCachesThatLackPurges(t *testing.T) {
 	type message = controlwire.Message
 	progress := func(cache string, server, done uint64) purge.Progress {
-		return purge.Progress{Cache: cache, Server: server, Done: done, FirstDeleted: done, Log: 7}
+		return purge.Progress{Cache: cache, Server: server, Done: done, QuickDeleted: done, Log: 7}
 	}
 	doneByOne := message{
 		HasLeader: true,
--- a/internal/control/controlserver/config.go
+++ b/internal/control/controlserver/config.go
@@ -27,16 +27,17 @@
 
 // Config is what a server is started with.
 type Config struct {
-	File *fleetconfig.ControlFile
-	New  bool // an empty data folder is accepted, as on the first start
-	Log  *logrus.Logger
-	Now  func() monotime.Instant // of a clock that runs through suspends
-	// OnPersisted is called by the loop with proposals that are on this server's disk now: by the judge of tests. nil
-	// for nobody.
+	File       *fleetconfig.ControlFile
+	FirstStart bool // an empty data folder is accepted, as on the first start
+	Log        *logrus.Logger
+	Now        func() monotime.Instant // of a clock that runs through suspends
+	// OnPersisted is called by the loop with proposals that are on this server's disk now. The invariant checker of
+	// tests sets it; nil for nobody.
 	OnPersisted func([]replicatedlog.Proposal)
 	Storage     Storage              // nil for a store.Store in the file's folder
 	Dial        controlwire.DialFunc // to other control servers; nil for TCP
-	// OnPurgeProgress is called when purges are done further at a cache: by the judge of tests. nil for nobody.
+	// OnPurgeProgress is called when purges are done further at a cache. The invariant checker of tests sets it; nil
+	// for nobody.
 	OnPurgeProgress func(purge.CacheID, purge.Cursor)
 }
 
@@ -61,7 +62,7 @@
 	}
 	self := c.File.Self()
 	owner := store.Owner{ID: self.ID, Label: c.File.Control.Label}
-	s, err := store.Open(c.File.Control.Data, owner, voters, learners, c.New || self.Learner)
+	s, err := store.Open(c.File.Control.Data, owner, voters, learners, c.FirstStart || self.Learner)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -108,7 +108,7 @@
 	d.heartbeatDue = true // the first message says at once whether this server has a leader
 	d.lastSend = time.Now()
 	for {
-		changed := d.server.changeLog.Changed()
+		changed := d.server.sharedLog.Changed()
 		message, size, lacking := d.next()
 		if message.Kind == controlwire.KindEntries && size == 0 && !d.heartbeatDue {
 			if !d.wait(changed) {
@@ -133,7 +133,7 @@
 // bytes that it lacks.
 func (d *delivery) next() (message controlwire.Message, size int, lacking uint64) {
 	hasLeader := d.server.loop.leadership.Load().hasLeader
-	log := d.server.changeLog
+	log := d.server.sharedLog
 	log.mu.RLock()
 	defer log.mu.RUnlock()
 	last := d.checkLog(log.state)
--- a/internal/control/controlserver/doc.go
+++ b/internal/control/controlserver/doc.go
@@ -5,16 +5,16 @@
 // # The way of a change
 //
 // A client publishes proposals at any server (publish.go). They wait in the proposalQueue (queue.go), are put into
-// batches and given to raft, which forwards them to its leader. What raft has committed is applied to the changeLog
-// (changelog.go), by which each proposal gets its index and the client its answer. Each follower's delivery
-// (delivery.go) then reads the entries from the changeLog.
+// batches and given to raft, which forwards them to its leader. What raft has committed is applied to the sharedLog
+// (sharedlog.go), by which each proposal gets its index and the client its answer. Each follower's delivery
+// (delivery.go) then reads the entries from the sharedLog.
 //
 // # Who owns which state
 //
 //   - raftLoop.run (loop.go) is the only goroutine that touches the raft node, the storage for writing, the
 //     proposalQueue and the trimming of the log. Others reach it through its channels: raft messages, calls to
 //     publish, functions.
-//   - changeLog is written by the loop and read by deliveries, the purger and the status table, under its lock.
+//   - sharedLog is written by the loop and read by deliveries, the purger and the status table, under its lock.
 //   - statusTable (status.go) has a lock of its own. All in it are hints, for operators and for trimming, and lost
 //     with the process.
 //   - Each stream has a goroutine that reads; streams to followers and to peers have one more that writes. lifecycle
@@ -25,7 +25,7 @@
 // An acknowledged proposal does, and the server's vote. Raft's terms, votes, entries and snapshots go to disk, with
 // fsync, in Storage.Save (package store), and raftLoop.processReady calls it before it sends any message of the same
 // Ready: no other server counts an entry or a vote of this one before it is durable here. A client's answer is sent
-// by raftLoop.apply, which only sees entries that a majority has saved. Snapshots of the changeLog are made durable
+// by raftLoop.apply, which only sees entries that a majority has saved. Snapshots of the sharedLog are made durable
 // by Storage.Compact, every snapshotEntries, before the entries that they replace are deleted. The purger's cursors
 // are saved apart (package purger); they lag, so that a purge may be done twice and is never left out.
 //
--- a/internal/control/controlserver/harness_test.go
+++ b/internal/control/controlserver/harness_test.go
@@ -118,7 +118,7 @@
 	if c.changeFile != nil {
 		c.changeFile(&file)
 	}
-	config := Config{File: &file, New: first, Log: silentLogger(), Now: bootTime}
+	config := Config{File: &file, FirstStart: first, Log: silentLogger(), Now: bootTime}
 	config.Dial = func(addr string, within time.Duration) (net.Conn, error) {
 		if c.isCut(peerAddr(i)) { // a server that is cut off reaches nobody
 			return nil, errors.New("cut")
--- a/internal/control/controlserver/judge_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -240,7 +240,7 @@
 }
 
 // judgedVariant is how one of two nodes, the servers or the client are broken; the zero one is sound.
-type judgedVariant struct {
+type checkedVariant struct {
 	name     string
 	applier  func(*soundApplier) logfollower.Applier // of the first node
 	lazyDisk bool                                    // of all servers
@@ -252,7 +252,7 @@
 // by made-up traces.
 func TestCheckerFindsBrokenVariants(t *testing.T) {
 	t.Parallel()
-	for _, v := range []judgedVariant{
+	for _, v := range []checkedVariant{
 		{name: "sound"},
 		{
 			name:    "a gap is passed over",
@@ -301,7 +301,7 @@
 }
 
 // run publishes a configuration and twelve purges, one of them twice, to two nodes whose streams break once.
-func (v *judgedVariant) run(t *testing.T) checker.Report {
+func (v *checkedVariant) run(t *testing.T) checker.Report {
 	e := &evidence{}
 	c := newCluster(t, nil, func(i int, config *Config) {
 		config.OnPersisted = e.onPersisted(i)
@@ -339,7 +339,7 @@
 }
 
 // startNodes starts two nodes, the first one broken.
-func (v *judgedVariant) startNodes(t *testing.T, c *cluster, e *evidence) []*logfollower.Follower {
+func (v *checkedVariant) startNodes(t *testing.T, c *cluster, e *evidence) []*logfollower.Follower {
 	t.Helper()
 	var nodes []*logfollower.Follower
 	var starts []*startRecorder
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	tickInterval    = 100 * time.Millisecond // raft's unit of time; the leader sends a heartbeat each
-	inboxMessages   = 1024                   // raft messages that wait for the loop; streams that bring more wait
-	inboxPublishes  = 256                    // calls to publish that wait for the loop; more are rejected
-	maxLoopInputs   = 512                    // messages and calls that are handled together, with one write to disk
-	maxMessageBytes = 256 << 10              // of entries in one raft message
-	maxInflight     = 256                    // raft messages on the way to a server
-	maxInflightSize = 16 << 20               // bytes of them, and of entries that are applied together
-	maxUncommitted  = 64 << 20               // bytes of entries that no majority has yet; more proposals are dropped
-	leaderTimeout   = 2 * time.Second        // since the leader's last message, after which there is none
-	snapshotEntries = 8192                   // raft entries between two snapshots
-	snapshotBytes   = 16 << 20               // or bytes of them
+	tickInterval     = 100 * time.Millisecond // raft's unit of time; the leader sends a heartbeat each
+	inboxMessages    = 1024                   // raft messages that wait for the loop; streams that bring more wait
+	inboxPublishes   = 256                    // calls to publish that wait for the loop; more are rejected
+	maxLoopInputs    = 512                    // messages and calls that are handled together, with one write to disk
+	maxMessageBytes  = 256 << 10              // of entries in one raft message
+	maxInflight      = 256                    // raft messages on the way to a server
+	maxInflightBytes = 16 << 20               // bytes of them
+	maxApplyBytes    = 16 << 20               // of committed entries that are applied together
+	maxUncommitted   = 64 << 20               // bytes of entries that no majority has yet; more proposals are dropped
+	leaderTimeout    = 2 * time.Second        // since the leader's last message, after which there is none
+	snapshotEntries  = 8192                   // raft entries between two snapshots
+	snapshotBytes    = 16 << 20               // or bytes of them
 )
 
 // leadership is what the loop last knew of the leader.
@@ -45,7 +46,7 @@
 	node         *raft.RawNode
 	storage      Storage // raft reads it as well
 	queue        *proposalQueue
-	appliedIndex uint64    // raft's index of the last entry in the changeLog
+	appliedIndex uint64    // raft's index of the last entry in the sharedLog
 	leaderSeenAt time.Time // when the leader's last message arrived
 	startedAt    time.Time
 	lastTrim     time.Time // when trimming was last looked at
@@ -76,10 +77,10 @@
 		Storage:                   storage,
 		Applied:                   l.appliedIndex,
 		MaxSizePerMsg:             maxMessageBytes,
-		MaxCommittedSizePerReady:  maxInflightSize,
+		MaxCommittedSizePerReady:  maxApplyBytes,
 		MaxUncommittedEntriesSize: maxUncommitted,
 		MaxInflightMsgs:           maxInflight,
-		MaxInflightBytes:          maxInflightSize,
+		MaxInflightBytes:          maxInflightBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
 		Logger:                    raftLogger{s.Log},
@@ -104,7 +105,7 @@
 		case <-ticker.C:
 			l.node.Tick()
 			proposals = l.queue.retry()
-			l.trim()
+			l.leaderDuties()
 		case message := <-l.messages:
 			l.step(message)
 		case call := <-l.publishes:
@@ -198,7 +199,7 @@
 		return err
 	}
 	if index := ready.Snapshot.GetMetadata().GetIndex(); index > 0 {
-		if err := l.server.changeLog.restore(ready.Snapshot); err != nil {
+		if err := l.server.sharedLog.restore(ready.Snapshot); err != nil {
 			return err
 		}
 		l.appliedIndex = index
@@ -217,7 +218,7 @@
 	return l.compactStorage()
 }
 
-// apply puts a committed entry into the changeLog and answers the clients that wait for its proposals.
+// apply puts a committed entry into the sharedLog and answers the clients that wait for its proposals.
 func (l *raftLoop) apply(entry *pb.Entry) error {
 	l.appliedIndex = entry.GetIndex()
 	if entry.GetType() != pb.EntryNormal || len(entry.GetData()) == 0 {
@@ -231,17 +232,17 @@
 	if l.server.purger != nil {
 		requestedAt = l.queue.requestedAt
 	}
-	indexes := l.server.changeLog.apply(batch, requestedAt)
+	indexes := l.server.sharedLog.apply(batch, requestedAt)
 	l.queue.ordered(batch, indexes)
-	l.server.changeLog.wakeReaders()
+	l.server.sharedLog.wakeReaders()
 	return nil
 }
 
-// compactStorage saves a snapshot of the changeLog when enough entries have come since the last one.
+// compactStorage saves a snapshot of the sharedLog when enough entries have come since the last one.
 func (l *raftLoop) compactStorage() error {
 	entries, bytes := l.storage.SizeSinceSnapshot(l.appliedIndex)
 	if entries < snapshotEntries && (bytes < snapshotBytes || entries == 0) {
 		return nil
 	}
-	return l.storage.Compact(l.appliedIndex, l.server.changeLog.snapshot())
+	return l.storage.Compact(l.appliedIndex, l.server.sharedLog.snapshot())
 }
--- a/internal/control/controlserver/purges_test.go
+++ b/internal/control/controlserver/purges_test.go
@@ -81,7 +81,7 @@
 		learner := o.Caches[0].Servers[testServers-1]
 		return learner.Done == 10 && learner.Reason != ""
 	})
-	if at, is := c.servers[0].changeLog.RequestedAt(10); !is || at <= 0 || at >= bootTime() {
+	if at, is := c.servers[0].sharedLog.RequestedAt(10); !is || at <= 0 || at >= bootTime() {
 		t.Errorf("the server that was asked does not know since when: %v, %t", at, is)
 	}
 	if _, is := caches[0].Serve("key-1"); is {
@@ -106,7 +106,7 @@
 	leader.status.noteNode(controlwire.NodeReport{Node: "n", Applied: last}, bootTime()) // all nodes have applied all
 	trim(leader, 24*time.Hour)
 	time.Sleep(200 * time.Millisecond)
-	if _, floor, _ := leader.changeLog.Position(); floor > 10 {
+	if _, floor, _ := leader.sharedLog.Position(); floor > 10 {
 		t.Errorf("kept after %d, although a cache lacks it", floor)
 	}
 
--- a/internal/control/controlserver/queue.go
+++ b/internal/control/controlserver/queue.go
@@ -23,16 +23,22 @@
 	remaining int           // proposals that are not ordered yet
 	deadline  time.Time     // then the client is told that it is not known
 	failure   string        // why it ended without indexes; empty for none
-	done      chan struct{} // closed by the loop once all are ordered, or failure is set
+	finished  bool          // done is closed; the loop's
+	done      chan struct{} // closed by finish
 }
 
 func newPublishCall(proposals []replicatedlog.Proposal) *publishCall {
 	return &publishCall{proposals: proposals, done: make(chan struct{})}
 }
 
-// fail ends the call without indexes.
-func (c *publishCall) fail(reason string) {
-	c.failure = reason
+// finish ends the call: with its indexes, or with a failure, the reason why there are none. Only the first end counts:
+// a call of several proposals may fail while some are not ordered yet, and those may be ordered or expire later.
+func (c *publishCall) finish(failure string) {
+	if c.finished {
+		return
+	}
+	c.finished = true
+	c.failure = failure
 	close(c.done)
 }
 
@@ -71,7 +77,7 @@
 		bytes += len(p.Body)
 	}
 	if len(q.pending)+len(call.proposals) > maxPending || q.bytes+bytes > maxPendingBytes {
-		call.fail("busy: too many changes wait to be ordered")
+		call.finish("busy: too many changes wait to be ordered")
 		return nil
 	}
 	call.indexes = make([]uint64, len(call.proposals))
@@ -101,8 +107,9 @@
 	now := time.Now()
 	var due []*pendingProposal
 	for id, pending := range q.pending {
+		awaited := pending.expireCallers(now)
 		switch {
-		case !pending.expireCallers(now):
+		case !awaited:
 			delete(q.pending, id)
 			q.bytes -= len(pending.Body)
 		case now.Sub(pending.proposedAt) >= proposeInterval:
@@ -123,8 +130,8 @@
 	for _, caller := range p.callers {
 		if now.Before(caller.call.deadline) {
 			awaited = true
-		} else if caller.call.failure == "" {
-			caller.call.fail("not ordered in time, and may be yet: no leader is heard, or no majority of the voters")
+		} else {
+			caller.call.finish("not ordered in time, and may be yet: no leader is heard, or no majority of the voters")
 		}
 	}
 	return awaited
@@ -162,8 +169,8 @@
 			call := caller.call
 			call.indexes[caller.position] = uint64(indexes[i])
 			call.remaining--
-			if call.remaining == 0 && call.failure == "" {
-				close(call.done)
+			if call.remaining == 0 {
+				call.finish("")
 			}
 		}
 	}
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -16,7 +16,7 @@
 type Server struct {
 	Config
 	id             uint64
-	changeLog      *changeLog
+	sharedLog      *sharedLog
 	loop           *raftLoop
 	peers          map[uint64]*peer // the other control servers; not changed after Open
 	status         *statusTable
@@ -65,7 +65,7 @@
 // open reads what the storage has, listens, and opens the purger.
 func (s *Server) open(storage Storage) error {
 	var err error
-	if s.changeLog, err = openChangeLog(storage, s.logBounds()); err != nil {
+	if s.sharedLog, err = openSharedLog(storage, s.logBounds()); err != nil {
 		return err
 	}
 	if s.loop, err = newRaftLoop(s, storage); err != nil {
@@ -95,7 +95,7 @@
 	s.purger, err = purger.Open(purger.Config{
 		Settings:    s.File.Purges,
 		ServerCount: len(s.File.Machines),
-		Log:         s.changeLog,
+		Log:         s.sharedLog,
 		Dir:         s.File.Control.Data,
 		Logger:      s.Log,
 		Now:         s.Now,
@@ -113,7 +113,7 @@
 		}
 	}
 	s.goroutines.Go(s.loop.run)
-	s.goroutines.Go(func() { s.changeLog.notify(s.closed) })
+	s.goroutines.Go(func() { s.sharedLog.notify(s.closed) })
 	s.goroutines.Go(func() {
 		s.accept(s.clientListener, s.File.Bounds.Followers+maxClients, controlwire.MaxFrameBytes, s.serveClient)
 	})
@@ -125,7 +125,7 @@
 
 // Last is the index of the newest entry that the server has.
 func (s *Server) Last() replicatedlog.Index {
-	_, _, last := s.changeLog.Position()
+	_, _, last := s.sharedLog.Position()
 	return last
 }
 
--- a/internal/control/controlserver/changelog.go
+++ b/internal/control/controlserver/sharedlog.go
@@ -23,9 +23,9 @@
 	maxRequestTimes = 16_384
 )
 
-// changeLog is the replicated log as this server has it. The loop writes it; deliveries, the status table and the
+// sharedLog is the replicated log as this server has it. The loop writes it; deliveries, the status table and the
 // purger read it.
-type changeLog struct {
+type sharedLog struct {
 	bounds  replicatedlog.Bounds
 	dirty   chan struct{}                 // holds a value while readers are to be woken
 	changed atomic.Pointer[chan struct{}] // closed when there is something new, and replaced by another
@@ -41,9 +41,9 @@
 	at    monotime.Instant
 }
 
-// openChangeLog is the log that the storage's snapshot has. Raft hands out the entries after it again.
-func openChangeLog(storage Storage, bounds replicatedlog.Bounds) (*changeLog, error) {
-	l := &changeLog{bounds: bounds, dirty: make(chan struct{}, 1)}
+// openSharedLog is the log that the storage's snapshot has. Raft hands out the entries after it again.
+func openSharedLog(storage Storage, bounds replicatedlog.Bounds) (*sharedLog, error) {
+	l := &sharedLog{bounds: bounds, dirty: make(chan struct{}, 1)}
 	changed := make(chan struct{})
 	l.changed.Store(&changed)
 	snapshot, err := storage.Snapshot()
@@ -55,7 +55,7 @@
 }
 
 // restoredState is the state that a snapshot of raft's has; an empty one where no state is in it, as in the first.
-func (l *changeLog) restoredState(snapshot *pb.Snapshot) (*replicatedlog.State, error) {
+func (l *sharedLog) restoredState(snapshot *pb.Snapshot) (*replicatedlog.State, error) {
 	if len(snapshot.GetData()) == 0 {
 		return replicatedlog.New(l.bounds), nil
 	}
@@ -63,7 +63,7 @@
 }
 
 // restore replaces the log by the one in a snapshot that the leader has sent.
-func (l *changeLog) restore(snapshot *pb.Snapshot) error {
+func (l *sharedLog) restore(snapshot *pb.Snapshot) error {
 	state, err := l.restoredState(snapshot)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 // apply puts a batch that raft has committed into the log and returns the index of each proposal, 0 for one that
 // cannot become an entry. requestedAt is when this server was asked to have a proposal ordered, false for not; nil
 // where no request times are needed.
-func (l *changeLog) apply(
+func (l *sharedLog) apply(
 	batch replicatedlog.Batch, requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool),
 ) []replicatedlog.Index {
 	l.mu.Lock()
@@ -91,7 +91,7 @@
 }
 
 // recordRequestTimes remembers when the batch's entries were requested. The lock is held.
-func (l *changeLog) recordRequestTimes(
+func (l *sharedLog) recordRequestTimes(
 	batch replicatedlog.Batch, indexes []replicatedlog.Index,
 	requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool),
 ) {
@@ -108,7 +108,7 @@
 }
 
 // snapshot is the encoded state.
-func (l *changeLog) snapshot() []byte {
+func (l *sharedLog) snapshot() []byte {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.Snapshot()
@@ -116,14 +116,14 @@
 
 // Position returns which log it is (0 for not known yet), the index up to which entries are not kept, and the newest
 // entry's.
-func (l *changeLog) Position() (id replicatedlog.LogID, floor, last replicatedlog.Index) {
+func (l *sharedLog) Position() (id replicatedlog.LogID, floor, last replicatedlog.Index) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.ID(), l.state.Floor(), l.state.Last()
 }
 
 // describe puts the newest entry, the floor and the newest configuration into a report, as of one moment.
-func (l *changeLog) describe(report *controlwire.ServerReport) {
+func (l *sharedLog) describe(report *controlwire.ServerReport) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	report.Last = uint64(l.state.Last())
@@ -132,7 +132,7 @@
 }
 
 // Entry returns an entry; false where it is not kept.
-func (l *changeLog) Entry(index replicatedlog.Index) (replicatedlog.Entry, bool) {
+func (l *sharedLog) Entry(index replicatedlog.Index) (replicatedlog.Entry, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.Entry(index)
@@ -140,7 +140,7 @@
 
 // RequestedAt is when this server was first asked to have an entry ordered; false where it was not, or that is
 // forgotten.
-func (l *changeLog) RequestedAt(index replicatedlog.Index) (monotime.Instant, bool) {
+func (l *sharedLog) RequestedAt(index replicatedlog.Index) (monotime.Instant, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	n, is := slices.BinarySearchFunc(l.requestTimes, index, func(r requestTime, index replicatedlog.Index) int {
@@ -154,9 +154,9 @@
 
 // Changed is closed when there is something new. Who waits for it takes it before it looks at the log, else it could
 // miss a change.
-func (l *changeLog) Changed() <-chan struct{} { return *l.changed.Load() }
+func (l *sharedLog) Changed() <-chan struct{} { return *l.changed.Load() }
 
-func (l *changeLog) wakeReaders() {
+func (l *sharedLog) wakeReaders() {
 	select {
 	case l.dirty <- struct{}{}:
 	default:
@@ -164,14 +164,14 @@
 }
 
 // notify wakes readers, not more often than deliveryInterval.
-func (l *changeLog) notify(closed <-chan struct{}) {
+func (l *sharedLog) notify(closed <-chan struct{}) {
 	for {
 		select {
 		case <-l.dirty:
 		case <-closed:
 			return
 		}
-		time.Sleep(deliveryInterval)
+		time.Sleep(deliveryInterval) // closed is not watched meanwhile: the end is late by that much at most
 		next := make(chan struct{})
 		close(*l.changed.Swap(&next))
 	}
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -110,7 +110,7 @@
 		Invalid:  t.invalid.Load(),
 		Rejected: t.rejectedStreams.Load(),
 	}
-	t.server.changeLog.describe(&report)
+	t.server.sharedLog.describe(&report)
 	if t.server.purger == nil {
 		return report, nil
 	}
--- a/internal/control/controlserver/trim.go
+++ b/internal/control/controlserver/trim.go
@@ -13,13 +13,13 @@
 	minTrimEntries = 1024             // entries that are worth an entry of raft's
 )
 
-// trim is called at each tick. At the leader it proposes the id of a new log, and up to where entries need not be
-// kept any more.
-func (l *raftLoop) trim() {
+// leaderDuties is called at each tick. At the leader it proposes the id of a new log, and up to where entries need
+// not be kept any more.
+func (l *raftLoop) leaderDuties() {
 	if !l.leadership.Load().isLeader {
 		return
 	}
-	id, floor, _ := l.server.changeLog.Position()
+	id, floor, _ := l.server.sharedLog.Position()
 	if id == 0 {
 		l.proposeLogID()
 	}
--- a/internal/control/controlserver/trim_test.go
+++ b/internal/control/controlserver/trim_test.go
@@ -17,7 +17,7 @@
 	server.loop.call(func() {
 		server.loop.startedAt = time.Now().Add(-runningFor)
 		server.loop.lastTrim = time.Time{}
-		server.loop.trim()
+		server.loop.leaderDuties()
 		close(done)
 	})
 	<-done
@@ -26,7 +26,7 @@
 func (c *cluster) floors() []replicatedlog.Index {
 	var floors []replicatedlog.Index
 	for _, server := range c.servers {
-		_, floor, _ := server.changeLog.Position()
+		_, floor, _ := server.sharedLog.Position()
 		floors = append(floors, floor)
 	}
 	return floors
--- a/internal/control/logfollower/config.go
+++ b/internal/control/logfollower/config.go
@@ -38,6 +38,7 @@
 	Log        *logrus.Logger
 	Now        func() monotime.Instant // of a clock that runs through suspends
 	Dial       controlwire.DialFunc    // nil for TCP
-	// OnProgressSent is called before a report with the index in it: by the judge of tests. nil for nobody.
+	// OnProgressSent is called before a report with the index in it. The invariant checker of tests sets it; nil for
+	// nobody.
 	OnProgressSent func(applied replicatedlog.Index)
 }
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -23,7 +23,7 @@
 	Moves          uint64              `json:"moves"`              // streams opened
 	Server         string              `json:"via"`                // the control server's address; empty between two
 	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a server that has a leader was heard
-	Stale          bool                `json:"stale"`              // HeardS is over Config.StaleAfter
+	Stale          bool                `json:"stale"`              // SinceLeaderS is over Config.StaleAfter
 	BytesIn        uint64              `json:"bytes_in"`
 	BytesOut       uint64              `json:"bytes_out"`
 }
--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -44,10 +44,10 @@
 	Config
 	cursor         Cursor
 	logID          replicatedlog.LogID // which log the following indexes are of
-	firstDeleted   replicatedlog.Index // up to here FirstDelete was answered
-	firstSent      replicatedlog.Index // and sent
+	quickDeleted   replicatedlog.Index // up to here QuickDelete was answered
+	quickSent      replicatedlog.Index // and sent
 	confirmingSent replicatedlog.Index // up to here ConfirmingDelete was sent
-	firstSkipped   replicatedlog.Index // up to here FirstDelete was left out, as ConfirmingDelete was due already
+	quickSkipped   replicatedlog.Index // up to here QuickDelete was left out, as ConfirmingDelete was due already
 	inFlight       []inFlightCommand   // in the order in which they were sent, at most MaxInFlight
 	paceTime       monotime.Instant    // theoretical arrival time of the next command, by which commands are paced
 	flush          flushProgress
@@ -68,8 +68,8 @@
 		Config:         config,
 		cursor:         cursor,
 		logID:          cursor.Log,
-		firstDeleted:   cursor.Done,
-		firstSent:      cursor.Done,
+		quickDeleted:   cursor.Done,
+		quickSent:      cursor.Done,
 		confirmingSent: cursor.Done,
 		flush:          flushProgress{allowedAt: now.Add(peerCursorWait)},
 	}
@@ -86,12 +86,12 @@
 	return c.cursor.Done
 }
 
-// FirstDeleted is up to where each key was deleted at least once.
-func (c *Cache) FirstDeleted() replicatedlog.Index {
-	if c.done() < c.firstSkipped {
+// QuickDeleted is up to where each key was deleted at least once.
+func (c *Cache) QuickDeleted() replicatedlog.Index {
+	if c.done() < c.quickSkipped {
 		return c.done()
 	}
-	return max(c.firstDeleted, c.done())
+	return max(c.quickDeleted, c.done())
 }
 
 // Flushing says whether the cache has to be flushed, or is being.
@@ -146,10 +146,10 @@
 	c.cursor.Started = started
 	if c.cursor.Log != 0 {
 		c.cursor.Done = c.cursor.SafeAfterRestart
-		c.firstDeleted = c.done()
-		c.firstSent = c.done()
+		c.quickDeleted = c.done()
+		c.quickSent = c.done()
 		c.confirmingSent = c.done()
-		c.firstSkipped = 0
+		c.quickSkipped = 0
 	}
 	c.OnDisconnect(now, 0) // commands in flight are to the process before
 	c.flush.firstAnswered = false
@@ -176,8 +176,8 @@
 		Done:             done,
 		SafeAfterRestart: c.cursor.safeAfterRestart(log),
 	}
-	c.firstDeleted = max(c.firstDeleted, done)
-	c.firstSent = max(c.firstSent, done)
+	c.quickDeleted = max(c.quickDeleted, done)
+	c.quickSent = max(c.quickSent, done)
 	c.confirmingSent = max(c.confirmingSent, done)
 }
 
@@ -187,10 +187,10 @@
 		return
 	}
 	c.logID = log
-	c.firstDeleted = 0
-	c.firstSent = 0
+	c.quickDeleted = 0
+	c.quickSent = 0
 	c.confirmingSent = 0
-	c.firstSkipped = 0
+	c.quickSkipped = 0
 	c.inFlight = nil
 }
 
@@ -203,7 +203,7 @@
 		}
 	}
 	c.inFlight = nil
-	c.firstSent = max(c.firstDeleted, c.done())
+	c.quickSent = max(c.quickDeleted, c.done())
 	c.confirmingSent = c.done()
 	ceiling := min(maxReconnectDelay, firstReconnectDelay<<min(c.failures, maxDoublings))
 	c.failures++
--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -18,8 +18,8 @@
 	b.publish("a key", "a\r\nflush_all") // of these no command can be made
 	b.expect("at once", "11 12 ", 0)
 	b.answer(2)
-	if b.FirstDeleted() != 5 {
-		t.Errorf("first %d", b.FirstDeleted())
+	if b.QuickDeleted() != 5 {
+		t.Errorf("first %d", b.QuickDeleted())
 	}
 	b.wait(testConfig.LongestFill - 1)
 	b.expect("while a fill may be under way", "", 0)
@@ -129,8 +129,8 @@
 	b.OnDisconnect(b.now, 0)
 	b.expect("old ones once, as their fills are over, and what is new at once", "12 21 ", 0)
 	b.answer(1)
-	if b.FirstDeleted() != 0 {
-		t.Errorf("first %d, though the one before was never deleted", b.FirstDeleted())
+	if b.QuickDeleted() != 0 {
+		t.Errorf("first %d, though the one before was never deleted", b.QuickDeleted())
 	}
 	b.answer(1)
 	b.expect("", "", 1)
--- a/internal/control/purge/command.go
+++ b/internal/control/purge/command.go
@@ -10,7 +10,7 @@
 
 // The kinds of commands. Those from Flush on empty the whole cache.
 const (
-	FirstDelete      CommandKind = iota + 1 // deletes a key at once
+	QuickDelete      CommandKind = iota + 1 // deletes a key at once
 	ConfirmingDelete                        // deletes it once fills from before the purge are over
 	Flush                                   // empties the cache at once: the keys are not known
 	ConfirmingFlush                         // empties it once fills from before the first flush are over
--- a/internal/control/purge/doc.go
+++ b/internal/control/purge/doc.go
@@ -8,7 +8,7 @@
 // origin was written may store it after the delete of the purge has passed, and the old value would be served until
 // it expires. No single delete can prevent that, since the fill is not visible to it. So each key is deleted twice:
 //
-//   - FirstDelete, as soon as the purge is known. It ends the old value's service for almost all readers, and counts
+//   - QuickDelete, as soon as the purge is known. It ends the old value's service for almost all readers, and counts
 //     for nothing else;
 //   - ConfirmingDelete, once Config.LongestFill has passed since the purge was known. Every fill that could have read
 //     the old value has stored it by then, so this delete removes it, and later fills read the new one.
--- a/internal/control/purge/progress.go
+++ b/internal/control/purge/progress.go
@@ -7,7 +7,7 @@
 	Started      int64  `cbor:"2,keyasint,omitempty"`  // the cache's Incarnation
 	Log          uint64 `cbor:"3,keyasint,omitempty"`  // of the cursor
 	Done         uint64 `cbor:"4,keyasint,omitempty"`  // purges up to here are done
-	FirstDeleted uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
+	QuickDeleted uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
 	Overdue      uint64 `cbor:"6,keyasint,omitempty"`  // entries that should be done by now
 	Flushing     bool   `cbor:"7,keyasint,omitempty"`  // what it lacks is not kept: the cache has to be emptied
 	Reason       string `cbor:"8,keyasint,omitempty"`  // why the last connection ended; empty after an answer
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -24,6 +24,9 @@
 
 // NextCommand returns the command to send now. Without one it returns false and when to ask again; a time of 0 is for
 // the next entry or answer.
+//
+// It also takes over the log that there is now (useLog, adoptLog), and passes entries that need no command (skip): both
+// may move the cursor, even where no command is returned.
 func (c *Cache) NextCommand(
 	now monotime.Instant, log Log, arrivals *ArrivalTimes, limiter *FlushLimiter,
 ) (command Command, ready bool, askAgain monotime.Instant) {
@@ -53,11 +56,9 @@
 		}
 	} else {
 		c.flush.firstAnswered = false
-		if c.cursor.Log == 0 {
-			c.advance(id, 0) // everything that the log has ever had is kept
-		}
+		c.adoptLog(id)
 	}
-	if command, ready := c.nextFirstDelete(now, log, arrivals); ready {
+	if command, ready := c.nextQuickDelete(now, log, arrivals); ready {
 		return command, true, 0
 	}
 	if c.flush.firstAnswered { // the second flush covers what would be confirmed
@@ -70,6 +71,14 @@
 	return Command{}, false, sooner(askAgain, at)
 }
 
+// adoptLog begins the cursor of a cache at which nothing was purged yet at the start of the log, of which everything is
+// kept.
+func (c *Cache) adoptLog(id replicatedlog.LogID) {
+	if c.cursor.Log == 0 {
+		c.advance(id, 0)
+	}
+}
+
 // paced says whether a command may go by the pace, else when the next ones may: a leaky bucket of MaxBurst commands,
 // as the theoretical arrival time of the next one.
 func (c *Cache) paced(now monotime.Instant) (allowed bool, at monotime.Instant) {
@@ -106,24 +115,24 @@
 	return c.send(now, Command{Kind: Flush, Index: last}), true, 0
 }
 
-// nextFirstDelete returns the delete of the next purge that is new. Purges for which the confirming delete is due
+// nextQuickDelete returns the delete of the next purge that is new. Purges for which the confirming delete is due
 // already, as after the cache was unreachable for a while, are left to that one.
-func (c *Cache) nextFirstDelete(now monotime.Instant, log Log, arrivals *ArrivalTimes) (Command, bool) {
+func (c *Cache) nextQuickDelete(now monotime.Instant, log Log, arrivals *ArrivalTimes) (Command, bool) {
 	confirmable := arrivals.NewestAt(now.Add(-c.LongestFill)) // fills from before these entries are over
-	sent := max(c.firstSent, c.done())
+	sent := max(c.quickSent, c.done())
 	if confirmable > sent && !c.flush.firstAnswered {
-		c.firstSkipped = confirmable
+		c.quickSkipped = confirmable
 	}
 	for index := max(sent, confirmable) + 1; index <= arrivals.Last(); index++ {
 		entry, kept := log.Entry(index)
 		if !kept {
 			break
 		}
-		c.firstSent = index
+		c.quickSent = index
 		if deletable(entry) {
-			return c.send(now, Command{Kind: FirstDelete, Index: index, Key: entry.Body}), true
+			return c.send(now, Command{Kind: QuickDelete, Index: index, Key: entry.Body}), true
 		}
-		c.skip(FirstDelete, index)
+		c.skip(QuickDelete, index)
 	}
 	return Command{}, false
 }
@@ -190,7 +199,7 @@
 	if kind == ConfirmingDelete {
 		c.cursor.Done = index
 	}
-	c.firstDeleted = max(c.firstDeleted, index)
+	c.quickDeleted = max(c.quickDeleted, index)
 }
 
 // AwaitingAnswer is the command whose answer comes next; false for none.
@@ -215,17 +224,17 @@
 	c.inFlight = c.inFlight[1:]
 	c.failures = 0
 	switch answered.Kind {
-	case FirstDelete:
-		c.firstDeleted = max(c.firstDeleted, answered.upTo)
+	case QuickDelete:
+		c.quickDeleted = max(c.quickDeleted, answered.upTo)
 	case ConfirmingDelete:
 		c.cursor.Done = max(c.cursor.Done, answered.upTo)
-		c.firstDeleted = max(c.firstDeleted, answered.upTo)
+		c.quickDeleted = max(c.quickDeleted, answered.upTo)
 	case Flush:
 		c.flush.firstAnswered = true
 		c.flush.upTo = answered.Index
 		c.flush.firstSentAt = answered.sentAt
-		c.firstDeleted = max(c.firstDeleted, answered.Index)
-		c.firstSent = max(c.firstSent, answered.Index)
+		c.quickDeleted = max(c.quickDeleted, answered.Index)
+		c.quickSent = max(c.quickSent, answered.Index)
 	case ConfirmingFlush:
 		id, floor, _ := log.Position()
 		if id == arrivals.logID && c.mustFlush(id, floor) {
--- a/internal/control/purger/judge_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -48,7 +48,7 @@
 }
 
 // judgedVariant is how a purger is broken; the zero one is sound.
-type judgedVariant struct {
+type checkedVariant struct {
 	name           string
 	change         func(*bench)
 	cursorLeads    bool // its cursor on disk is ahead of what was answered
@@ -60,7 +60,7 @@
 // by made-up traces.
 func TestCheckerFindsBrokenVariants(t *testing.T) {
 	t.Parallel()
-	for _, v := range []judgedVariant{
+	for _, v := range []checkedVariant{
 		{name: "sound"},
 		{
 			name:   "no confirming delete after fills",
@@ -88,7 +88,7 @@
 
 // run publishes a purge while a fill is under way, then two more while the cache refuses connections, and restarts
 // the purger.
-func (v *judgedVariant) run(t *testing.T) checker.CachesReport {
+func (v *checkedVariant) run(t *testing.T) checker.CachesReport {
 	b := newBench(t, 1, 0)
 	if v.change != nil {
 		v.change(b)
--- a/internal/control/purger/progress.go
+++ b/internal/control/purger/progress.go
@@ -37,7 +37,7 @@
 		Started:      int64(cursor.Started),
 		Log:          uint64(cursor.Log),
 		Done:         uint64(cursor.Done),
-		FirstDeleted: uint64(c.FirstDeleted()),
+		QuickDeleted: uint64(c.QuickDeleted()),
 		Overdue:      c.Overdue(now, &p.arrivals, overdueTolerance),
 		Flushing:     c.Flushing(p.Log),
 		Reason:       c.reason,
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -42,7 +42,8 @@
 	Logger      *logrus.Logger
 	Now         func() monotime.Instant                                   // of a clock that runs through suspends
 	Dial        func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
-	// OnProgress is called, with the lock held, when a cursor has changed: by the judge of tests. nil for nobody.
+	// OnProgress is called, with the lock held, when a cursor has changed. The invariant checker of tests sets it; nil
+	// for nobody.
 	OnProgress func(purge.CacheID, purge.Cursor)
 }
 
--- a/internal/control/purger/purger_test.go
+++ b/internal/control/purger/purger_test.go
@@ -14,7 +14,7 @@
 	cache := b.caches[0]
 	cache.Fill("a", 1)
 	b.publish(2, "a")
-	b.eventually("the first delete", func() bool { return b.progress(0, "c0").FirstDeleted == 1 })
+	b.eventually("the first delete", func() bool { return b.progress(0, "c0").QuickDeleted == 1 })
 	if _, is := cache.Serve("a"); is {
 		t.Error("the first delete did nothing")
 	}
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -43,7 +43,8 @@
 type Store struct {
 	*raft.MemoryStorage
 	db *bbolt.DB
-	// OnPersisted is called by Save with entries that are on disk now: by the judge of tests. nil for nobody.
+	// OnPersisted is called by Save with entries that are on disk now. The invariant checker of tests sets it; nil for
+	// nobody.
 	OnPersisted       func([]*pb.Entry)
 	bytesSince        int    // of entries since the last snapshot
 	snapshotIndex     uint64 // raft's index of the last snapshot
@@ -51,14 +52,14 @@
 }
 
 // Open opens the store of a folder, which is made if it is missing. An empty one is initialized with these members if
-// mayBegin is set, else refused with ErrEmpty. It is an error if the folder belongs to another server, is in use, or
+// firstStart is set, else refused with ErrEmpty. It is an error if the folder belongs to another server, is in use, or
 // cannot be read.
-func Open(dir string, owner Owner, voters, learners []uint64, mayBegin bool) (*Store, error) {
+func Open(dir string, owner Owner, voters, learners []uint64, firstStart bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("the data folder cannot be made: %w", err)
 	}
 	path := filepath.Join(dir, fileName)
-	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && !mayBegin {
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && !firstStart {
 		return nil, fmt.Errorf("%s: %w", dir, ErrEmpty)
 	}
 	options := &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType}
--- a/internal/control/replicatedlog/store/store_test.go
+++ b/internal/control/replicatedlog/store/store_test.go
@@ -12,9 +12,9 @@
 
 var me = Owner{ID: 1, Label: "l"}
 
-func opened(t *testing.T, dir string, mayBegin bool) *Store {
+func opened(t *testing.T, dir string, firstStart bool) *Store {
 	t.Helper()
-	s, err := Open(dir, me, []uint64{1, 2, 3}, []uint64{4}, mayBegin)
+	s, err := Open(dir, me, []uint64{1, 2, 3}, []uint64{4}, firstStart)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/changelog.go
+++ b/node/changelog.go
@@ -12,7 +12,7 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// follow starts to follow the fleet's log of changes, if the fleet's file names control machines. The event loop never
+// follow starts to follow the fleet's log of changes, if the fleet's file names control servers. The event loop never
 // waits for it.
 func (n *Node) follow() {
 	changes := &n.config.fleet.Changes
@@ -44,7 +44,7 @@
 	log.Info("the log of changes begins: everything up to there may have been purged")
 }
 
-// Purge reports a purge. Nodes do not carry it out at caches: control machines do.
+// Purge reports a purge. Nodes do not carry it out at caches: control servers do.
 func (t logTarget) Purge(at replicatedlog.Index, key string) {
 	if t.node.config.OnPurge != nil {
 		t.node.config.OnPurge(uint64(at), key)
--- a/node/changelog_test.go
+++ b/node/changelog_test.go
@@ -19,7 +19,7 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// startControlServer starts a control machine on its own, and returns a client of it.
+// startControlServer starts a control server on its own, and returns a client of it.
 func startControlServer(t *testing.T) controlclient.Client {
 	t.Helper()
 	file := fleetconfig.DefaultControl()
@@ -29,7 +29,7 @@
 	file.Machines = []fleetconfig.Machine{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}
 	file.Bounds.ElectMs = 200
 	server, err := controlserver.Open(controlserver.Config{
-		File: &file, New: true, Log: silentLog(), Now: gossip.BootTime,
+		File: &file, FirstStart: true, Log: silentLog(), Now: gossip.BootTime,
 	})
 	if err != nil {
 		t.Fatal(err)
