--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -123,10 +123,10 @@
 	g.expect(r, "HD Oput cfrom-origin")
 	withSlow := g.Counters().Attempts + 1 // that of the request with the id slow
 	wait(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
-	g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone+n.RejectedForRoom == 1 })
+	g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone+n.NotAccepted == 1 })
 	n := g.Counters()
 	notSent := n.Outcomes[policy.NotSent]
-	if n.RejectedForRoom == 1 && place == waitAtGate && notSent == 0 && n.Attempts == withSlow {
+	if n.NotAccepted == 1 && place == waitAtGate && notSent == 0 && n.Attempts == withSlow {
 		return // it was read before the free descriptors were seen, and rejected, which is no attempt either
 	}
 	neverSent := n.ClientsGoneUnsent == 1 || place == waitAfterMiss
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -6,7 +6,8 @@
 	"dahliapin/policy"
 )
 
-// tickToken is the token of the tick's timer. It is shorter than any request's id, so that it can be none.
+// tickToken is the token of the tick's timer. No request may have it as its id: those of package proxy have 8
+// bytes, and the simulator's are longer than it.
 const tickToken = "upkeep"
 
 // Dispatcher carries out the decisions about one node's requests.
@@ -17,7 +18,8 @@
 	inflight map[policy.RequestID]*inflightRequest
 }
 
-// inflightRequest is a request until it is answered and none of its attempts is in flight.
+// inflightRequest is a request until it is answered and none of its attempts is in flight. Its Attempts and those that
+// the caller keeps are matched by index: each Send appends one to both.
 type inflightRequest struct {
 	policy.Request
 	reviewAt policy.Instant // when Route is to be called again; 0 for never
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,5 +1,6 @@
 // Package proxy is a node of the router on real sockets: one event loop that accepts clients' requests and sends them
-// to endpoints, as package policy decides. It decides nothing about requests itself.
+// to endpoints, as package policy decides. Of requests it decides itself only whether it can take one
+// (cannotAccept, capDeadline).
 //
 // # Use
 //
@@ -20,7 +21,8 @@
 //     value, and by Reject and Fail for what the dispatcher gives up; or by startStream (response_stream.go), which
 //     forwards a long value while it comes in. flushPipeline then writes it, as soon as all commands of the
 //     connection before it are answered. So an answer that is late or lost was held up in one of these: AnsweredLate
-//     counts those that were completed after their deadline, LongestIterationMs and Stalls tell whether the loop
+//     counts those that were completed after their deadline (not streams, nor answers that were completed in time and
+//     then waited for the commands before them), LongestIterationMs and Stalls tell whether the loop
 //     stood still.
 //
 // # Who owns which state
@@ -45,6 +47,8 @@
 // deadlines are capped to the node's end. drainStep then serves what still comes. Once no connection has come for a
 // while, it closes those that are idle; the last answer on each says that it closes, where the protocol can. The node
 // stops when there is no connection and no request left, or at drainDeadline.
+// Run then closes what successors are offered and stops the engine, and node.Serve waits until the events are received,
+// leaves the fleet and closes the admin server.
 //
 // # Invariants
 //
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -173,7 +173,7 @@
 	}
 	client.incompleteSince = commandStart
 	if int64(p.downstream.incompleteBytes) > p.config.Memory/incompleteRequestShare {
-		p.metrics.counters.RejectedForRoom++
+		p.metrics.counters.NotAccepted++
 		p.respond(client, client.codec.refusal(refusedForMemory, false))
 		client.closing = true
 	}
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -98,7 +98,7 @@
 	}
 	n := g.Counters()
 	closed := n.ClosedForRoom + n.IdleClosed // on a slow machine some are idle for long, too
-	if n.ClosedForRoom == 0 || closed < 50 || n.RejectedForRoom > 0 {
-		t.Errorf("%d closed for descriptors, %d in all, %d rejected", n.ClosedForRoom, closed, n.RejectedForRoom)
+	if n.ClosedForRoom == 0 || closed < 50 || n.NotAccepted > 0 {
+		t.Errorf("%d closed for descriptors, %d in all, %d rejected", n.ClosedForRoom, closed, n.NotAccepted)
 	}
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -35,6 +35,8 @@
 	}
 	p.lifecycle.drainStartedAt = p.now()
 	p.config.Log.WithField("in_hand", p.inflight.requests.Len()).Info("draining")
+	// The phase comes first: OnPhaseChange reads Replaced, and a process that returns the node to its predecessor
+	// leaves the fleet like any other.
 	p.enterPhase(Draining)
 	p.returnToPredecessor()
 	p.capInflightDeadlines()
@@ -71,7 +73,7 @@
 	p.countIdleCheck(now)
 	sinceConnected := now.Since(p.downstream.lastConnectedAt)
 	noMoreClients := now.Since(p.lifecycle.drainStartedAt) >= drainAcceptTime && sinceConnected >= drainQuietTime
-	if p.takeover.replaced || noMoreClients {
+	if p.takeover.acceptsElsewhere || noMoreClients {
 		p.closeIdleClients()
 		if p.mayStop(now) {
 			p.enterPhase(Stopped)
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -12,7 +12,7 @@
 
 // endpointTable holds the endpoints that the list names, and follows the list. The loop writes it: the list by
 // endpoint_watch.go, the table here. The dispatcher gets each update in the same call, so that decisions and the table
-// are of one list.
+// are of one list. Of the same endpoints, policy.endpointList has what decisions need; here are their connections.
 type endpointTable struct {
 	byID    map[policy.EndpointID]*knownEndpoint
 	members int // how many of them are not the origin
--- a/internal/proxy/handover/doc.go
+++ b/internal/proxy/handover/doc.go
@@ -6,6 +6,6 @@
 // gone.
 //
 // The running process opens an Offer. The successor calls Inherit, which sends the greeting and receives the sockets
-// with their addresses; once it serves clients it calls Inherited.Serving, upon which the old process drains. The
-// conversation is the same between all versions that may replace each other.
+// with their addresses; once it serves clients it calls Inherited.Serving, upon which the old process stops accepting;
+// it drains once it gets SIGTERM. The conversation is the same between all versions that may replace each other.
 package handover
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -14,13 +14,13 @@
 	Overdue           uint64 // connections that sent no complete request in time
 
 	// Responses.
-	Satisfied       uint64 // requests answered with a result
-	Rejected        uint64 // requests rejected, which have not run
-	Failed          uint64 // requests that failed
-	RejectedForRoom uint64 // of those rejected, the ones for want of memory or connections
-	AnsweredLate    uint64 // responses after the request's deadline
-	Level           uint64 // the degradation level, not a count: 0 is normal operation
-	Shed            uint64 // requests rejected by the degradation level
+	Satisfied    uint64 // requests answered with a result
+	Rejected     uint64 // requests rejected, which have not run
+	Failed       uint64 // requests that failed
+	NotAccepted  uint64 // not taken for want of capacity or by phase; commands and responses dropped for memory
+	AnsweredLate uint64 // responses after the request's deadline
+	Level        uint64 // the degradation level, not a count: 0 is normal operation
+	Shed         uint64 // requests rejected by the degradation level
 
 	// Servers and their connections.
 	Attempts       uint64                       // attempts sent
@@ -64,7 +64,7 @@
 	f("satisfied", c.Satisfied)
 	f("rejected", c.Rejected)
 	f("failed", c.Failed)
-	f("crowded", c.RejectedForRoom)
+	f("crowded", c.NotAccepted)
 	f("left", c.ClientsGone)
 	f("left_waiting", c.ClientsGoneUnsent)
 	f("overdue", c.Overdue)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -161,4 +161,4 @@
 
 // Replaced reports whether another process accepts the connections. It may be called only within the event loop, that
 // is, by a callback of Config.
-func (p *Proxy) Replaced() bool { return p.takeover.replaced }
+func (p *Proxy) Replaced() bool { return p.takeover.acceptsElsewhere }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -38,9 +38,9 @@
 	deadline            policy.Instant
 	answered            bool // or its client has gone
 	lastAttemptTimedOut bool
-	anyWritten          bool // an attempt was handed to the kernel, if only in part
-	size                int  // bytes that it takes
-	attempts            []attempt
+	anyWritten          bool      // an attempt was handed to the kernel, if only in part
+	size                int       // bytes that it takes
+	attempts            []attempt // same indexes as the dispatcher's: each Send appends to both
 }
 
 // policyRequestID is a request's id towards the dispatcher: that of its slot, so that no client can name another's.
@@ -77,7 +77,7 @@
 	deadline := at.Add(min(request.timeout, maxClientTimeout))
 	deadline, outlastsDrain := p.capDeadline(class, at, deadline)
 	if outlastsDrain || p.cannotAccept(client) {
-		p.metrics.counters.RejectedForRoom++
+		p.metrics.counters.NotAccepted++
 		p.metrics.countRejected(class)
 		p.respond(client, client.codec.rejected(request, 0))
 		return
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -9,7 +9,7 @@
 type takeover struct {
 	totalMemory         int64           // bytes that the node may use in all its processes
 	offer               *handover.Offer // by which a successor may come; nil for none
-	replaced            bool            // another process accepts the connections
+	acceptsElsewhere    bool            // another process accepts: the successor, or the predecessor again
 	predecessorGone     bool            // the process before this one has ended
 	predecessorNotified bool            // the process before this one knows that this one serves
 }
@@ -28,7 +28,7 @@
 }
 
 func (p *Proxy) onPredecessorGone() {
-	if p.takeover.replaced { // the node was returned to it
+	if p.takeover.acceptsElsewhere { // the node was returned to it
 		return
 	}
 	p.config.Log.Info("the process before this one has gone")
@@ -80,11 +80,11 @@
 		p.setSharedLimits(true)
 	case handover.SuccessorServing:
 		p.config.Log.Info("the other process lets people in")
-		p.takeover.replaced = true
+		p.takeover.acceptsElsewhere = true
 		p.engine.Accept(false)
 	case handover.SuccessorGone:
 		p.config.Log.Warn("the process in this one's place has gone")
-		p.takeover.replaced = false
+		p.takeover.acceptsElsewhere = false
 		p.setSharedLimits(false)
 		p.engine.Accept(true)
 	}
@@ -96,7 +96,7 @@
 	if p.config.Inherited == nil || p.takeover.predecessorGone {
 		return
 	}
-	p.takeover.replaced = true
+	p.takeover.acceptsElsewhere = true
 	p.engine.Accept(false)
 	p.config.Inherited.Close()
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -93,7 +93,7 @@
 // maxUpstreamConns is the number of upstream connections above which one is opened only in place of an idle one.
 func (p *Proxy) maxUpstreamConns() int { return p.engine.MaxClients() / upstreamShare }
 
-// acquireConn returns the idle connection to an endpoint that was used last, or dials a new one; that has no wire
+// acquireConn returns the idle connection to an endpoint that was used last, or dials a new one; that has no socket
 // yet. With strict set, it returns none on which an unattributed response came within duplicateResponseWindow. Guards
 // against an endpoint that answers twice: the second answer, which does not say whose it is, would be taken for the
 // next request's.
@@ -379,7 +379,7 @@
 	conn.input.incompleteBytes = unread
 	tooMuch := int64(p.upstream.incompleteBytes) > p.config.Memory/incompleteResponseShare
 	if unread > minIncompleteBytes && conn.endpoint != nil && tooMuch {
-		p.metrics.counters.RejectedForRoom++
+		p.metrics.counters.NotAccepted++
 		p.failConn(conn, policy.ConnectionBroken)
 	}
 }
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -23,7 +23,7 @@
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
 	g.waitUntil("they are cut off", func(n metrics.Counters) bool {
-		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.RejectedForRoom >= 2
+		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.NotAccepted >= 2
 	})
 	incomplete := make(chan int, 1)
 	g.runInLoop(func() { incomplete <- g.upstream.incompleteBytes })
