--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -59,6 +59,7 @@
 
 var errUnreadableAnswer = errors.New("the node's answer can't be read")
 
+// printFleetStatus prints a node's view of the fleet. The words in it, as life and mark, are the operators', and kept.
 func printFleetStatus(out io.Writer, answer []byte) error {
 	var s node.FleetStatus
 	if json.Unmarshal(answer, &s) != nil {
@@ -80,6 +81,7 @@
 	return err
 }
 
+// printFleetMembers prints a table of the members. The heads, as life and standing, are the operators', and kept.
 func printFleetMembers(out io.Writer, answer []byte) error {
 	var members []gossip.MemberStatus
 	if json.Unmarshal(answer, &members) != nil {
--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -24,7 +24,7 @@
 	exitSaidNo = 2 // the command ran, and its answer is no; or the call cannot be taken
 )
 
-// The environment's variables that stand for flags.
+// The environment's variables that stand for flags. The names are the operators' own, and kept.
 const (
 	envConfig = "RELAY_CONFIG" // --config
 	envAdmin  = "RELAY_OPS"    // --at of a node, and the address for operators in the configuration
--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -42,7 +42,7 @@
 type ControlBounds struct {
 	Entries   int     `toml:"entries"`     // log entries kept for nodes that come back
 	KeptMB    float64 `toml:"kept_mb"`     // MiB of these
-	WindowKB  float64 `toml:"window_kb"`   // KiB in flight to a node that it has not acknowledged
+	WindowKiB float64 `toml:"window_kb"`   // KiB in flight to a node that it has not acknowledged
 	PaceMB    float64 `toml:"pace_mb_s"`   // MiB a second to all nodes that catch up
 	Followers int     `toml:"followers"`   // nodes that follow at once
 	HoldS     float64 `toml:"hold_s"`      // seconds for which entries are kept for a node that is not heard
@@ -55,7 +55,7 @@
 	return ControlFile{Bounds: ControlBounds{
 		Entries:   65_536,
 		KeptMB:    32,
-		WindowKB:  256,
+		WindowKiB: 256,
 		PaceMB:    4,
 		Followers: 600,
 		HoldS:     7200,
@@ -136,7 +136,7 @@
 func (b *ControlBounds) check(c *strictconfig.Checker) {
 	c.InRange(float64(b.Entries), 1024, 1<<20, "bounds.entries")
 	c.InRange(b.KeptMB, 1, 256, "bounds.kept_mb")
-	c.InRange(b.WindowKB, 16, 16_384, "bounds.window_kb")
+	c.InRange(b.WindowKiB, 16, 16_384, "bounds.window_kb")
 	c.InRange(b.PaceMB, 0.1, 1024, "bounds.pace_mb_s")
 	c.InRange(float64(b.Followers), 1, 100_000, "bounds.followers")
 	c.InRange(b.HoldS, 1, 86_400, "bounds.hold_s")
--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -18,8 +18,8 @@
 
 // The engines that carry what members state.
 const (
-	Tuned = "tuned" // with bounds that bear loss: for service
-	Plain = "plain" // the gossip library as it comes: a baseline for rehearsals
+	EngineTuned = "tuned" // with bounds that bear loss: for service
+	EnginePlain = "plain" // the gossip library as it comes: a baseline for rehearsals
 )
 
 // File is the file of a node that knows the others of its fleet.
@@ -37,17 +37,17 @@
 	Advertise string   `toml:"advertise"` // Listen as others see it; empty for the same
 	Seeds     []string `toml:"seeds"`     // addresses of nodes to ask first, of which one alive is enough
 	Key       string   `toml:"key"`       // base64 of 16, 24 or 32 bytes for encryption between nodes; empty for none
-	Engine    string   `toml:"engine"`    // Tuned or Plain
+	Engine    string   `toml:"engine"`    // EngineTuned or EnginePlain
 }
 
 // Members configures the failure detection of processes.
 type Members struct {
-	PauseS     float64 `toml:"pause_s"`  // seconds for which a process may stand still and stays a member
-	HelloMs    float64 `toml:"hello_ms"` // milliseconds between two heartbeats to a neighbour
-	BackS      float64 `toml:"back_s"`   // seconds that a removed one must be heard before it is a member again
-	LoopS      float64 `toml:"loop_s"`   // seconds without a turn of the event loop until heartbeats stop
-	ForgetS    float64 `toml:"forget_s"` // seconds after which one that was taken out is forgotten
-	MaxMembers int     `toml:"most"`     // processes that are known at most
+	PauseS      float64 `toml:"pause_s"`  // seconds for which a process may stand still and stays a member
+	HeartbeatMs float64 `toml:"hello_ms"` // milliseconds between two heartbeats to a neighbour
+	RejoinS     float64 `toml:"back_s"`   // seconds that a removed one must be heard before it is a member again
+	LoopS       float64 `toml:"loop_s"`   // seconds without a turn of the event loop until heartbeats stop
+	ForgetS     float64 `toml:"forget_s"` // seconds after which one that was taken out is forgotten
+	MaxMembers  int     `toml:"most"`     // processes that are known at most
 }
 
 // Changes says where a node follows the fleet's replicated log. Without control machines it follows none.
@@ -66,14 +66,14 @@
 // Default returns what holds where a node's file says nothing.
 func Default() File {
 	return File{
-		Fleet: Fleet{Engine: Tuned},
+		Fleet: Fleet{Engine: EngineTuned},
 		Members: Members{
-			PauseS:     2,
-			HelloMs:    300,
-			BackS:      2,
-			LoopS:      1,
-			ForgetS:    60,
-			MaxMembers: 4000,
+			PauseS:      2,
+			HeartbeatMs: 300,
+			RejoinS:     2,
+			LoopS:       1,
+			ForgetS:     60,
+			MaxMembers:  4000,
 		},
 		Changes: Changes{StaleS: 30},
 	}
@@ -117,8 +117,8 @@
 	key, err := base64.StdEncoding.DecodeString(f.Key)
 	isKey := err == nil && (len(key) == 0 || len(key) == 16 || len(key) == 24 || len(key) == 32)
 	c.Require(isKey, "fleet.key", "it is not the base64 of 16, 24 or 32 bytes")
-	isEngine := f.Engine == Tuned || f.Engine == Plain
-	c.Require(isEngine, "fleet.engine", "%q is neither %s nor %s", f.Engine, Tuned, Plain)
+	isEngine := f.Engine == EngineTuned || f.Engine == EnginePlain
+	c.Require(isEngine, "fleet.engine", "%q is neither %s nor %s", f.Engine, EngineTuned, EnginePlain)
 }
 
 // checkAdvertise checks that others can reach the advertised address. A Listen that can't be parsed is reported as
@@ -139,12 +139,12 @@
 // CheckMembers checks the configuration of failure detection, in any file that states it under the path "members".
 func CheckMembers(c *strictconfig.Checker, m *Members) {
 	c.InRange(m.PauseS, 0.2, 60, "members.pause_s")
-	c.InRange(m.HelloMs, 50, 5000, "members.hello_ms")
-	fits := m.PauseS <= 0 || m.HelloMs <= m.PauseS*500
+	c.InRange(m.HeartbeatMs, 50, 5000, "members.hello_ms")
+	fits := m.PauseS <= 0 || m.HeartbeatMs <= m.PauseS*500
 	c.Require(fits, "members.hello_ms", "at least two signs of life have to fit into pause_s")
-	c.InRange(m.BackS, 0, 600, "members.back_s")
+	c.InRange(m.RejoinS, 0, 600, "members.back_s")
 	c.InRange(m.LoopS, 0.2, 60, "members.loop_s")
-	c.InRange(m.ForgetS, m.PauseS+m.BackS, 86400, "members.forget_s")
+	c.InRange(m.ForgetS, m.PauseS+m.RejoinS, 86400, "members.forget_s")
 	c.InRange(float64(m.MaxMembers), 1, 100_000, "members.most")
 }
 
@@ -171,11 +171,11 @@
 // Pause returns PauseS as a duration.
 func (m *Members) Pause() time.Duration { return seconds(m.PauseS) }
 
-// HeartbeatInterval returns HelloMs as a duration.
-func (m *Members) HeartbeatInterval() time.Duration { return seconds(m.HelloMs / 1000) }
+// HeartbeatInterval returns HeartbeatMs as a duration.
+func (m *Members) HeartbeatInterval() time.Duration { return seconds(m.HeartbeatMs / 1000) }
 
-// RejoinDelay returns BackS as a duration.
-func (m *Members) RejoinDelay() time.Duration { return seconds(m.BackS) }
+// RejoinDelay returns RejoinS as a duration.
+func (m *Members) RejoinDelay() time.Duration { return seconds(m.RejoinS) }
 
 // LoopTimeout returns LoopS as a duration.
 func (m *Members) LoopTimeout() time.Duration { return seconds(m.LoopS) }
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -12,12 +12,12 @@
 
 // Purges says at which caches a control machine carries purges out, and how.
 type Purges struct {
-	Discovery string   `toml:"discovery"`    // address and port of the endpoint list; empty where Caches lists them
-	Origins   []string `toml:"origins"`      // machine types in the endpoint list that are no caches
-	FillsS    float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin until it is cached
-	PaceS     float64  `toml:"commands_s"`   // commands a second to a cache, once a burst of 1,024 has gone
-	FlushS    float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
-	Caches    []Cache  `toml:"cache"`
+	Discovery         string   `toml:"discovery"`    // address of the endpoint list; empty where Caches lists them
+	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are no caches
+	FillsS            float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
+	CommandsPerSecond float64  `toml:"commands_s"`   // commands a second to a cache, once a burst of 1,024 has gone
+	FlushS            float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
+	Caches            []Cache  `toml:"cache"`
 }
 
 // Cache is one of a list that doesn't change while the machine runs.
@@ -30,10 +30,10 @@
 // reserve.
 func DefaultPurges() *Purges {
 	return &Purges{
-		Origins: []string{"origin"},
-		FillsS:  3.5,
-		PaceS:   500,
-		FlushS:  10,
+		Origins:           []string{"origin"},
+		FillsS:            3.5,
+		CommandsPerSecond: 500,
+		FlushS:            10,
 	}
 }
 
@@ -52,15 +52,15 @@
 		checkAddress(c, cache.Addr, path+".addr")
 	}
 	c.InRange(p.FillsS, 0.05, 600, "purges.fills_s")
-	c.InRange(p.PaceS, 10, 10_000, "purges.commands_s")
+	c.InRange(p.CommandsPerSecond, 10, 10_000, "purges.commands_s")
 	c.InRange(p.FlushS, 0.1, 3600, "purges.flush_each_s")
 }
 
 // Fills returns FillsS as a duration.
 func (p *Purges) Fills() time.Duration { return seconds(p.FillsS) }
 
-// Each returns the time between two commands to one cache, from PaceS.
-func (p *Purges) Each() time.Duration { return seconds(1 / p.PaceS) }
+// Each returns the time between two commands to one cache, from CommandsPerSecond.
+func (p *Purges) Each() time.Duration { return seconds(1 / p.CommandsPerSecond) }
 
 // FlushEach returns FlushS as a duration.
 func (p *Purges) FlushEach() time.Duration { return seconds(p.FlushS) }
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -182,7 +182,7 @@
 // takeEntries returns the encoded entries that follow those sent, as long as the window of unacknowledged bytes is
 // open. Where they are not kept any more the node has to start anew. The log is locked.
 func (d *delivery) takeEntries(state *replicatedlog.State) []cbor.RawMessage {
-	window := uint64(d.server.File.Bounds.WindowKB * (1 << 10))
+	window := uint64(d.server.File.Bounds.WindowKiB * (1 << 10))
 	if state.Bytes(replicatedlog.Index(d.acked.Load()), d.sent) >= window {
 		return nil
 	}
--- a/internal/emulator/report/views.go
+++ b/internal/emulator/report/views.go
@@ -152,7 +152,7 @@
 // expectViews wants views to be as what befell nodes has them. Without views, or with a trace that has gaps, nothing is shown.
 func (r *Report) expectViews(s *scenario.Scenario) {
 	f := r.Together
-	if f == nil || s.Together.Engine == fleetconfig.Plain {
+	if f == nil || s.Together.Engine == fleetconfig.EnginePlain {
 		return
 	}
 	lost := uint64(f.Views.Dropped)
--- a/internal/emulator/scenario/together.go
+++ b/internal/emulator/scenario/together.go
@@ -31,12 +31,14 @@
 		t.PauseS = usual.Members.PauseS
 	}
 	if t.BackS == 0 {
-		t.BackS = usual.Members.BackS
+		t.BackS = usual.Members.RejoinS
 	}
 	if t.Seeds == 0 {
 		t.Seeds = min(usualSeeds, s.Fleet.Nodes)
 	}
-	c.Require(t.Engine == fleetconfig.Tuned || t.Engine == fleetconfig.Plain, "together.engine", "%q is neither %s nor %s", t.Engine, fleetconfig.Tuned, fleetconfig.Plain)
+	isEngine := t.Engine == fleetconfig.EngineTuned || t.Engine == fleetconfig.EnginePlain
+	c.Require(isEngine, "together.engine", "%q is neither %s nor %s",
+		t.Engine, fleetconfig.EngineTuned, fleetconfig.EnginePlain)
 	c.InRange(t.PauseS, 0.2, 60, "together.pause_s")
 	c.InRange(t.BackS, 0, 600, "together.back_s")
 	c.InRange(float64(t.Seeds), 1, float64(min(s.Fleet.Nodes, 64)), "together.seeds")
--- a/internal/membership/gossip/library.go
+++ b/internal/membership/gossip/library.go
@@ -35,7 +35,7 @@
 	c.SecretKey = n.FleetConfig.Fleet.KeyBytes()
 	c.UDPBufferSize = maxDatagramBytes - prefaceBytes
 	c.Logger = stdlog.New(io.Discard, "", 0)
-	if n.FleetConfig.Fleet.Engine == fleetconfig.Tuned {
+	if n.FleetConfig.Fleet.Engine == fleetconfig.EngineTuned {
 		tune(c)
 	}
 	return c
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -166,7 +166,7 @@
 	n.lifecycle.goroutines.Add(2)
 	go n.joinSeeds()
 	go n.syncWithTargets()
-	if n.FleetConfig.Fleet.Engine != fleetconfig.Plain {
+	if n.FleetConfig.Fleet.Engine != fleetconfig.EnginePlain {
 		n.lifecycle.goroutines.Add(1)
 		go n.runTicks()
 	}
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -32,9 +32,9 @@
 			t.Fatal(err)
 		}
 		config := fleetconfig.Default()
-		config.Members.HelloMs = 50
+		config.Members.HeartbeatMs = 50
 		config.Members.PauseS = 0.4
-		config.Members.BackS = 0.3
+		config.Members.RejoinS = 0.3
 		config.Fleet.Advertise = sockets.Datagrams.LocalAddr().String()
 		if i == 0 {
 			seed = config.Fleet.Advertise
--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -7,8 +7,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// Conn is one connection. Its methods are the event loop's to call. It has more than fifteen fields, as the state of
-// reading, of writing and of its end are each shared between the loop and the poller, and all concern one socket.
+// Conn is one connection. Its methods are the event loop's to call. Its fields stand together since the state of
+// reading, of writing and of its end is shared between the loop and the poller, and all concern one socket.
 type Conn struct {
 	Tag      uint64 // of a dialed connection, the id that Dial was given; else the loop's to set
 	Listener int    // number of the listener that a client came to
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -24,7 +24,7 @@
 	pollerStartTime = 100 * time.Millisecond
 )
 
-// Engine has all connections of a node. It has more than fifteen fields, as the queue, the descriptors and the
+// Engine has all connections of a node. Its fields stand together since the queue, the descriptors and the
 // listeners share one mutex and one condition.
 type Engine struct {
 	poller *nbio.Engine
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -318,7 +318,7 @@
 	free.Datagrams.Close()
 	free.Streams.Close()
 	file := fleetconfig.Default()
-	file.Members.HelloMs, file.Members.PauseS, file.Members.BackS = 100, 0.8, 0.6
+	file.Members.HeartbeatMs, file.Members.PauseS, file.Members.RejoinS = 100, 0.8, 0.6
 	file.Fleet.Label = "hollow"
 	for _, at := range Lay(nodes, 0, f.Places, port) {
 		var err error
--- a/node/node.go
+++ b/node/node.go
@@ -19,7 +19,8 @@
 // Phase is how far a node has come.
 type Phase = proxy.Phase
 
-// The phases, in their order.
+// The phases. Starting leads to Serving, either to Standby, and Standby back to Starting (leaveStandby); all lead to
+// Draining, and that to Stopped, for good. joinAfterTakeover relies on these two being the last.
 const (
 	Starting = proxy.Starting
 	Serving  = proxy.Serving
