--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -106,7 +106,7 @@
 		}
 		far := uint64(0)
 		for i := 1; i < 12; i += 2 { // zone b
-			far += report.Servers[i].Legs
+			far += report.Servers[i].Attempts
 		}
 		isMigrated := m.dir != ""
 		if (far == 0) != isMigrated || report.Classes[0].Asked == 0 || !report.Good() {
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -153,9 +153,9 @@
 	t.played++
 	verdict := "kept all rules"
 	switch {
-	case r.Busy != "":
+	case r.MachineTooBusy != "":
 		t.notJudged++
-		verdict = "not judged: " + r.Busy
+		verdict = "not judged: " + r.MachineTooBusy
 	case !r.Good():
 		t.broken = append(t.broken, schedule.Name)
 		verdict = "BROKEN"
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	refilled   = 0.2                   // share of keys and caches to which a fill with the old value is under way when the purge is published
-	refillLate = 50 * time.Millisecond // before the longest that a fill may take, after which one is left out: the rig's timers are not exact
+	refilled   = 0.2                   // share of keys and caches with a fill of the old value in flight at a purge
+	refillLate = 50 * time.Millisecond // a fill is left out this long before its time is up, as timers are not exact
 	readEach   = 2 * time.Millisecond  // between two reads at caches
 )
 
-// caches are the rig's cache servers, each in a region, and what befell them. A key's value has the version 1 before its purge is published,
-// and 2 at the origin from then on.
+// caches are the rig's cache servers, each in a region, and the records of what happened at them. A key's value has the
+// version 1 before its purge is published, and 2 at the origin from then on.
 type caches struct {
 	all     []*cachestub.Cache
-	mu      sync.Mutex
-	records []logtrace.Cached
-	recent  []string // keys that were purged, to be read
+	mu      sync.Mutex        // guards records, recent and chance
+	records []logtrace.Cached // of all caches
+	recent  []string          // purged keys, in the order of their purges
 	chance  keyhash.Source
-	fills   sync.WaitGroup
-	purged  []logtrace.Purged
-	cut     string
-	back    monotime.Instant
+	fills   sync.WaitGroup    // fills in flight
+	purged  []logtrace.Purged // guarded by the run's mutex
+	cut     string            // the cache that did not answer for a while
+	back    monotime.Instant  // when it answered again
 	closed  chan struct{}
 }
 
+// openCaches starts all caches, and the reads at them.
 func (r *run) openCaches() error {
 	for i := range r.Caches {
 		c, err := cachestub.Open(fmt.Sprintf("cache-%02d", i), gossip.BootTime, func(x logtrace.Cached) {
@@ -50,7 +51,7 @@
 		r.caches.all = append(r.caches.all, c)
 	}
 	if r.Caches > 0 {
-		go r.read()
+		go r.readContinuously()
 	}
 	return nil
 }
@@ -69,17 +70,17 @@
 	}
 	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.Fills.Seconds())
 	for i, c := range r.caches.all {
-		door, err := r.between.Door(r.region[machine], i%r.Regions, c.Addr())
+		addr, err := r.between.Listen(r.region[machine], i%r.Regions, c.Addr())
 		if err != nil {
 			return "", err
 		}
-		text += fmt.Sprintf("[[purges.cache]]\nid = %q\naddr = %q\n", c.Name(), door)
+		text += fmt.Sprintf("[[purges.cache]]\nid = %q\naddr = %q\n", c.Name(), addr)
 	}
 	return text, nil
 }
 
-// cached has all caches keep values that are about to be purged.
-func (r *run) cached(all []replicatedlog.Proposal) {
+// fillCaches fills all caches with values that are about to be purged.
+func (r *run) fillCaches(all []replicatedlog.Proposal) {
 	for _, p := range all {
 		for _, c := range r.caches.all {
 			if p.Kind == replicatedlog.Purge {
@@ -95,8 +96,9 @@
 	return r.caches.chance.Float64()
 }
 
-// refill has fills with the old value under way when a purge is published: each ends within the longest that one may take.
-func (r *run) refill(all []replicatedlog.Proposal, sent monotime.Instant) {
+// scheduleStaleFills starts fills with the old value that are in flight when a purge is published. Each ends within the
+// longest time that a fill may take.
+func (r *run) scheduleStaleFills(all []replicatedlog.Proposal, sent monotime.Instant) {
 	for _, c := range r.caches.all {
 		for _, p := range all {
 			if p.Kind != replicatedlog.Purge || r.chance() > refilled {
@@ -122,8 +124,8 @@
 	}
 }
 
-// read reads keys at caches as it goes, what was purged late more often.
-func (r *run) read() {
+// readContinuously reads keys at caches until the run ends, recently purged ones more often.
+func (r *run) readContinuously() {
 	for {
 		select {
 		case <-r.caches.closed:
@@ -144,7 +146,7 @@
 	}
 }
 
-// readAll reads each key at each cache, once all is done: what has stayed is seen.
+// readAll reads each key at each cache, once all purges are done, so that a value left behind is seen.
 func (r *run) readAll() {
 	r.caches.fills.Wait()
 	for _, c := range r.caches.all {
@@ -154,12 +156,12 @@
 	}
 }
 
-// cutCache has a cache say nothing for a while, its contents staying.
+// cutCache has a cache not answer for a while; it keeps its contents.
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
 	c.Break(cachestub.Silent, 0)
 	r.caches.cut = c.Name()
-	r.say("%s is silent", c.Name())
+	r.log("%s is silent", c.Name())
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheCut, r.CutFor+r.After, r.PurgesASecond, 0) })
 	time.Sleep(r.CutFor)
@@ -170,8 +172,8 @@
 			for _, m := range x.Servers {
 				why = append(why, fmt.Sprintf("%d: %s for %.1f s", m.Server, m.Reason, m.UnansweredS))
 			}
-			r.report.Notes = append(r.report.Notes, fmt.Sprintf("at the end of its silence %s lacked %d of %d entries, told by fleet changes: %s",
-				x.Cache, x.Missing, o.Last, strings.Join(why, "; ")))
+			r.note("at the end of its silence %s lacked %d of %d entries, told by fleet changes: %s",
+				x.Cache, x.Missing, o.Last, strings.Join(why, "; "))
 		}
 	}
 	c.Break(cachestub.None, 0)
@@ -180,8 +182,8 @@
 	return err
 }
 
-// judgeCaches hands what befell caches to the judge.
-func (r *run) judgeCaches() error {
+// checkCaches gives the records of all caches to the checker.
+func (r *run) checkCaches() error {
 	if r.Caches == 0 {
 		return nil
 	}
--- /dev/null
+++ b/internal/scale/rig_test.go
@@ -0,0 +1,26 @@
+package scale
+
+import (
+	"testing"
+	"time"
+)
+
+// In a window in which some nodes begin one exchange more than others, the figures are not those of a steady fleet.
+func TestWindowsAreWholeExchanges(t *testing.T) {
+	p := Plan{Window: time.Minute}
+	for nodes, want := range map[int]time.Duration{
+		30:  time.Minute,
+		60:  time.Minute,
+		120: 90 * time.Second,
+		480: 75 * time.Second,
+		960: 90 * time.Second,
+	} {
+		if got := p.window(nodes); got != want {
+			t.Errorf("%d nodes: %v", nodes, got)
+		}
+	}
+	p.Window = 2 * time.Second
+	if got := p.window(480); got != p.Window {
+		t.Errorf("a short window is %v", got)
+	}
+}
