--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -1,4 +1,4 @@
-// Command dahliapin runs a router for fleets of cache servers: a node (serve), a control machine (control), and the
+// Command dahliapin runs a router for fleets of cache servers: a node (serve), a control server (control), and the
 // tools of their operators and developers. `dahliapin help` lists the commands; each is in a file of its own.
 //
 // A command's exit code is 0 for success, 1 for a failure, and 2 where a script has to tell an answer apart: a node
@@ -24,7 +24,7 @@
 	exitSaidNo = 2 // the command ran, and its answer is no; or the call cannot be taken
 )
 
-// The environment's variables that stand for flags.
+// The environment's variables that stand for flags. The names are the operators' own, and kept.
 const (
 	envConfig = "RELAY_CONFIG" // --config
 	envAdmin  = "RELAY_OPS"    // --at of a node, and the address for operators in the configuration
--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -27,9 +27,9 @@
 	t.Helper()
 	port := freePort(t)
 	file := fleetconfig.Default()
-	file.Members.HelloMs = 100
+	file.Members.HeartbeatMs = 100
 	file.Members.PauseS = 0.8
-	file.Members.BackS = 0.6
+	file.Members.RejoinS = 0.6
 	file.Fleet.Label = "hollow"
 	file.Fleet.Seeds = []string{fmt.Sprintf("127.%d.0.1:%d", firstRegion, port)}
 	var all []*Node
