--- a/internal/config/fleetconfig/common.go
+++ b/internal/config/fleetconfig/common.go
@@ -12,7 +12,7 @@
 // Bounds that both files have.
 const (
 	maxLabelBytes = 200
-	// maxMachines bounds the control machines: each further voter makes a publication slower, and the fleet no safer.
+	// maxMachines bounds the control servers: each further voter makes a publication slower, and the fleet no safer.
 	maxMachines = 9
 )
 
--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -12,7 +12,7 @@
 	maxPathBytes = 1000
 )
 
-// ControlFile is the file of a control machine.
+// ControlFile is the file of a control server.
 type ControlFile struct {
 	Control  Control       `toml:"control"`
 	Machines []Machine     `toml:"machine"`
@@ -25,12 +25,12 @@
 type Control struct {
 	ID    uint64 `toml:"id"`    // its [[machine]]
 	Label string `toml:"label"` // of the fleet: streams with another label are dropped
-	Peers string `toml:"peers"` // address and port at which it listens for other control machines
+	Peers string `toml:"peers"` // address and port at which it listens for other control servers
 	Nodes string `toml:"nodes"` // address and port at which it listens for nodes and for those who publish
 	Data  string `toml:"data"`  // folder of its replica of the log
 }
 
-// Machine is one of the control machines.
+// Machine is one of the control servers.
 type Machine struct {
 	ID      uint64 `toml:"id"`
 	Name    string `toml:"name"`
@@ -38,7 +38,7 @@
 	Learner bool   `toml:"learner"` // it replicates and delivers the log, and has no vote
 }
 
-// ControlBounds bound what a control machine keeps and sends.
+// ControlBounds bound what a control server keeps and sends.
 type ControlBounds struct {
 	Entries   int     `toml:"entries"`     // log entries kept for nodes that come back
 	KeptMB    float64 `toml:"kept_mb"`     // MiB of these
@@ -50,7 +50,7 @@
 	ElectMs   float64 `toml:"election_ms"` // milliseconds without the leader until an election, up to twice that
 }
 
-// DefaultControl returns what holds where a control machine's file says nothing.
+// DefaultControl returns what holds where a control server's file says nothing.
 func DefaultControl() ControlFile {
 	return ControlFile{Bounds: ControlBounds{
 		Entries:   65_536,
@@ -64,12 +64,12 @@
 	}}
 }
 
-// ReadControl reads a control machine's file. An error wraps that of the file system, or is a strictconfig.FieldErrors.
+// ReadControl reads a control server's file. An error wraps that of the file system, or is a strictconfig.FieldErrors.
 func ReadControl(path string) (*ControlFile, error) {
 	return readFile(path, "the control machine's file", ParseControl)
 }
 
-// ParseControl reads the text of a control machine's file; file is its name in errors.
+// ParseControl reads the text of a control server's file; file is its name in errors.
 func ParseControl(file string, text []byte) (*ControlFile, error) {
 	f := DefaultControl()
 	c, err := strictconfig.Parse(file, text, &f)
--- a/internal/config/fleetconfig/doc.go
+++ b/internal/config/fleetconfig/doc.go
@@ -1,5 +1,5 @@
 // Package fleetconfig reads the two files that operators write about a fleet: that of a node that knows the others
-// (deploy/fleet.toml, [Read]), and that of a control machine (deploy/control.toml, [ReadControl]).
+// (deploy/fleet.toml, [Read]), and that of a control server (deploy/control.toml, [ReadControl]).
 //
 // Fields have the names of the file with their unit; methods give the same values as durations. Reading starts from
 // the defaults ([Default], [DefaultControl], [DefaultPurges]), refuses fields that it doesn't know, and checks all
--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -50,10 +50,10 @@
 	MaxMembers  int     `toml:"most"`     // processes that are known at most
 }
 
-// Changes says where a node follows the fleet's replicated log. Without control machines it follows none.
+// Changes says where a node follows the fleet's replicated log. Without control servers it follows none.
 type Changes struct {
-	At     []string `toml:"at"`      // addresses of control machines, where they listen for nodes
-	StaleS float64  `toml:"stale_s"` // seconds without a control machine that has a leader, until the node is stale
+	At     []string `toml:"at"`      // addresses of control servers, where they listen for nodes
+	StaleS float64  `toml:"stale_s"` // seconds without a control server that has a leader, until the node is stale
 }
 
 // AddressMapping says that a member is reached elsewhere than at the address that it advertises: by a forwarded port,
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -10,7 +10,7 @@
 // maxCaches bounds the caches that a file lists.
 const maxCaches = 1024
 
-// Purges says at which caches a control machine carries purges out, and how.
+// Purges says at which caches a control server carries purges out, and how.
 type Purges struct {
 	Discovery         string   `toml:"discovery"`    // address of the endpoint list; empty where Caches lists them
 	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are no caches
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -35,8 +35,7 @@
 	}
 	p.lifecycle.drainStartedAt = p.now()
 	p.config.Log.WithField("in_hand", p.inflight.requests.Len()).Info("draining")
-	// The phase comes first: OnPhaseChange reads Replaced, and a process that returns the node to its predecessor
-	// leaves the fleet like any other.
+	// The phase comes first: OnPhaseChange reads Replaced, which returnToPredecessor changes.
 	p.enterPhase(Draining)
 	p.returnToPredecessor()
 	p.capInflightDeadlines()
--- a/policy/types.go
+++ b/policy/types.go
@@ -66,8 +66,8 @@
 	QuotaPerSecond float64 // requests per second over all nodes; 0 means no quota
 }
 
-// Settings is what a deployment states at the start, as far as decisions read it. It has more than fifteen fields since
-// it mirrors the deployment's settings, which are flat.
+// Settings is what a deployment states at the start, as far as decisions read it. It is one flat list
+// since it mirrors the deployment's settings, which are flat.
 type Settings struct {
 	Classes             []ServiceClass // indexed by ClassID
 	Tenants             []Tenant       // indexed by TenantID
