--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -14,8 +14,9 @@
 	Listener int    // number of the listener that a client came to
 	Dialed   bool   // dialed from here
 
-	engine *Engine
-	conn   *nbio.Conn
+	engine    *Engine
+	conn      *nbio.Conn
+	announced sync.Once // the loop is told of it
 
 	// Reading.
 	readMu      sync.Mutex   // held from reading bytes until they are queued
@@ -33,6 +34,19 @@
 	descriptorFreed atomic.Bool // its descriptor is counted as free
 }
 
+// announce tells the loop of the connection, once, by Opened or Connected. It is called when nbio has added the
+// connection to its poller, or has closed it. Guards against a loop that closes the connection before it is added: nbio
+// would then add, under the same descriptor, a connection that has got it since, and read neither of them for good.
+func (c *Conn) announce() {
+	c.announced.Do(func() {
+		if c.Dialed {
+			c.engine.enqueue(Event{Kind: Connected, Conn: c, DialID: c.Tag}, nil)
+			return
+		}
+		c.engine.enqueue(Event{Kind: Opened, Conn: c}, nil)
+	})
+}
+
 // Write writes bytes; what the kernel does not take at once follows later. An error says that the last byte was not
 // taken, and never will be.
 func (c *Conn) Write(b []byte) error {
--- a/internal/proxy/sockets/dial.go
+++ b/internal/proxy/sockets/dial.go
@@ -36,8 +36,10 @@
 		_ = nc.Close()
 		return
 	}
-	nc.SetSession(&Conn{engine: e, conn: nc, Dialed: true, Tag: id})
+	c := &Conn{engine: e, conn: nc, Dialed: true, Tag: id}
+	nc.SetSession(c)
 	_, _ = e.poller.AddConn(nc) // one that cannot be added is closed, and Closed follows
+	c.announce()
 }
 
 func dialNBIO(addr string, timeout time.Duration) (*nbio.Conn, error) {
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -132,13 +132,9 @@
 
 func (e *Engine) onOpen(nc *nbio.Conn) {
 	defer e.connsReady.Add(1)
-	if c, ok := nc.Session().(*Conn); ok {
-		e.enqueue(Event{Kind: Connected, Conn: c, DialID: c.Tag}, nil)
-		return
+	if nc.Session() == nil {
+		nc.SetSession(&Conn{engine: e, conn: nc, Listener: e.listenerOf(nc.LocalAddr())})
 	}
-	c := &Conn{engine: e, conn: nc, Listener: e.listenerOf(nc.LocalAddr())}
-	nc.SetSession(c)
-	e.enqueue(Event{Kind: Opened, Conn: c}, nil)
 }
 
 func (e *Engine) onClose(nc *nbio.Conn) {
@@ -148,6 +144,7 @@
 		return
 	}
 	c.freeDescriptor()
+	c.announce()
 	e.enqueue(Event{Kind: Closed, Conn: c, Lost: c.forgetUnsent(), Orderly: c.orderly.Load()}, nil)
 }
 
--- a/internal/proxy/sockets/listener.go
+++ b/internal/proxy/sockets/listener.go
@@ -17,6 +17,7 @@
 type listener struct {
 	net.Listener
 	engine *Engine
+	last   *nbio.Conn    // the connection that Accept returned last; the acceptor's
 	parked chan struct{} // closed once the acceptor does nothing any more
 	closed chan struct{} // closed by nbio, which then does not call Accept any more
 	ended  bool          // the socket was closed; the acceptor's
@@ -24,10 +25,12 @@
 
 // Accept returns the next connection, as one of nbio's. It is called by nbio's acceptor.
 func (l *listener) Accept() (net.Conn, error) {
+	l.announceLast()
 	for !l.ended {
 		l.engine.waitUntilAccepting()
 		conn, err := l.accept()
 		if err == nil {
+			l.last = conn
 			return conn, nil
 		}
 		l.ended = errors.Is(err, net.ErrClosed)
@@ -44,9 +47,21 @@
 	return nil, net.ErrClosed
 }
 
+// announceLast tells the loop of the connection that was accepted before: that Accept is called again tells that nbio
+// has added it.
+func (l *listener) announceLast() {
+	if l.last == nil {
+		return
+	}
+	if c := l.engine.connOf(l.last); c != nil {
+		c.announce()
+	}
+	l.last = nil
+}
+
 // accept accepts a connection and makes it nbio's. That needs another descriptor for a moment: where there is none,
 // nbio would close the connection without a callback, and it would stay counted for good.
-func (l *listener) accept() (net.Conn, error) {
+func (l *listener) accept() (*nbio.Conn, error) {
 	plain, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/proxy/sockets/read.go
+++ b/internal/proxy/sockets/read.go
@@ -31,6 +31,7 @@
 // readAvailable reads and queues all there is to read. As polling is edge-triggered, nothing else would tell of it.
 func (c *Conn) readAvailable(buffer []byte) {
 	c.engine.polled.Store(true)
+	c.announce() // that there is something to read tells that it is added
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	for !c.readEnded {
