--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -83,7 +83,7 @@
 		p.enterPhase(Stopped)
 		return
 	}
-	p.schedule(now.Add(drainCheckInterval), timerEvent{kind: timerIdleCheck})
+	p.scheduleIdleClientCheck()
 }
 
 // countIdleCheck counts the checks that came on time with no new connection since the one before. Guards against a
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -32,8 +32,8 @@
 	standbyStartedAt   policy.Instant
 	lastIdleCheckAt    policy.Instant // of a node that drains
 	punctualIdleChecks int            // idle checks in a row that were on time and saw no new connection
-	// idleCheckScheduled is whether a timer for the idle checks of standby is set. It may be one of a standby that
-	// has ended since.
+	// idleCheckScheduled is whether a timer for the next idle check is set. It may be one of a standby that has ended
+	// since.
 	idleCheckScheduled bool
 }
 
@@ -45,6 +45,27 @@
 	}
 }
 
+// idleClientCheck looks for idle clients, as the phase asks for it.
+func (p *Proxy) idleClientCheck() {
+	p.lifecycle.idleCheckScheduled = false
+	switch p.lifecycle.phase {
+	case Draining:
+		p.drainStep()
+	case Standby:
+		p.standbyStep()
+	}
+}
+
+// scheduleIdleClientCheck sets the timer for the next idle check, unless one is set. Guards against a second series of
+// checks where a node that stands by begins to drain: minPunctualIdleChecks would pass in half their time.
+func (p *Proxy) scheduleIdleClientCheck() {
+	if p.lifecycle.idleCheckScheduled {
+		return
+	}
+	p.lifecycle.idleCheckScheduled = true
+	p.schedule(p.now().Add(drainCheckInterval), timerEvent{kind: timerIdleCheck})
+}
+
 // serveIfReady begins to serve once any endpoint is known.
 func (p *Proxy) serveIfReady() {
 	if p.lifecycle.phase != Starting || len(p.endpoints.byID) == 0 {
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -58,10 +58,7 @@
 	p.lifecycle.standbyStartedAt = p.now()
 	p.config.Log.WithField("in_hand", p.inflight.requests.Len()).Info("standing by")
 	p.enterPhase(Standby)
-	if !p.lifecycle.idleCheckScheduled {
-		p.lifecycle.idleCheckScheduled = true
-		p.schedule(p.now().Add(drainCheckInterval), timerEvent{kind: timerIdleCheck})
-	}
+	p.scheduleIdleClientCheck()
 	return nil
 }
 
@@ -77,16 +74,12 @@
 }
 
 // standbyStep is one idle check of a node that stands by: it closes clients as they fall idle, also those that still
-// connect. The checks end with the standby.
+// connect.
 func (p *Proxy) standbyStep() {
-	p.lifecycle.idleCheckScheduled = p.lifecycle.phase == Standby
-	if !p.lifecycle.idleCheckScheduled {
-		return
-	}
 	if p.now().Since(p.lifecycle.standbyStartedAt) >= standbyAcceptTime {
 		p.closeIdleClients()
 	}
-	p.schedule(p.now().Add(drainCheckInterval), timerEvent{kind: timerIdleCheck})
+	p.scheduleIdleClientCheck()
 }
 
 // rejectsInStandby reports whether the node stands by for so long that what still comes on kept connections is
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -72,10 +72,6 @@
 	case timerLastKnownList:
 		p.serveIfReady()
 	case timerIdleCheck:
-		if p.lifecycle.phase == Draining {
-			p.drainStep()
-		} else {
-			p.standbyStep()
-		}
+		p.idleClientCheck()
 	}
 }
