--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -52,7 +52,7 @@
 	}
 	c.SetFlagErrorFunc(badFlag)
 	o.addFlags(c)
-	c.AddCommand(hollowNodesCommand(), placementCommand())
+	c.AddCommand(hollowNodesCommand(), placementCommand(), scaleCachesCommand())
 	return c
 }
 
--- /dev/null
+++ b/cmd/dahliapin/scale_caches.go
@@ -0,0 +1,120 @@
+package main
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"dahliapin/internal/scale/cachegrowth"
+)
+
+const (
+	leastCaches = 10   // of a size: there have to be some for each zone and step of a release
+	mostCaches  = 3200 // by the operators' table of growth
+	leastDay    = 2 * time.Second
+	mostDay     = 10 * time.Minute
+	mostRate    = 1000
+)
+
+// growthOptions are what scale caches was called with.
+type growthOptions struct {
+	plan  cachegrowth.Plan
+	sizes []int
+	names []string // of the days; empty for all
+	days  []cachegrowth.Day
+	out   string // folder
+}
+
+// scaleCachesCommand measures what a node needs by the number of caches.
+func scaleCachesCommand() *cobra.Command {
+	var o growthOptions
+	c := &cobra.Command{
+		Use:   "caches",
+		Short: "Measure what one node needs where there are many times the caches, and compare it with the limits",
+		Long: "Exits with 0 if all is within the limits, with 1 if a row is over its limit or the machine was too busy to\n" +
+			"judge, and with 2 for a bad call.",
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if err := o.check(); err != nil {
+				return err
+			}
+			return o.measure(c)
+		},
+	}
+	c.SetFlagErrorFunc(badFlag)
+	f := c.Flags()
+	f.IntSliceVar(&o.sizes, "caches", []int{200, 800, 3200}, "numbers of caches; the others are compared with the first")
+	f.StringSliceVar(&o.names, "days", nil, "days that are played; all unless given")
+	f.DurationVar(&o.plan.Length, "for", 12*time.Second, "length of each day")
+	f.Float64Var(&o.plan.Share, "share", 0.2, "share of a core that the node is held to")
+	f.IntVar(&o.plan.Rate, "rate", 120, "requests per second")
+	f.IntVar(&o.plan.Nodes, "nodes", 300, "nodes of the fleet, by the node's settings")
+	f.StringVar(&o.out, "out", "", "folder for report.json")
+	return c
+}
+
+func (o *growthOptions) check() error {
+	switch {
+	case len(o.sizes) == 0 || !slices.IsSorted(o.sizes) || o.sizes[0] < leastCaches:
+		return badCall("--caches wants numbers from %d on, the least first", leastCaches)
+	case o.sizes[len(o.sizes)-1] > mostCaches:
+		return badCall("--caches has more than %d", mostCaches)
+	case o.plan.Length < leastDay || o.plan.Length > mostDay:
+		return badCall("--for %v is not from %v to %v", o.plan.Length, leastDay, mostDay)
+	case o.plan.Share <= 0 || o.plan.Share > 1:
+		return badCall("--share %v is not a share of a core", o.plan.Share)
+	case o.plan.Rate < 1 || o.plan.Rate > mostRate:
+		return badCall("--rate %d is not from 1 to %d", o.plan.Rate, mostRate)
+	case o.plan.Nodes < 1:
+		return badCall("--nodes %d is not a number of nodes", o.plan.Nodes)
+	case o.out == "":
+		return badCall("scale caches needs --out")
+	}
+	var err error
+	if o.days, err = cachegrowth.DaysNamed(o.names); err != nil {
+		return badCall("--days: %w", err)
+	}
+	return nil
+}
+
+func (o *growthOptions) measure(c *cobra.Command) error {
+	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	if err := makeReportFolder(o.out); err != nil {
+		return err
+	}
+	report, err := o.run(ctx)
+	if err != nil {
+		return err
+	}
+	if err := writeJSON(filepath.Join(o.out, "report.json"), report); err != nil {
+		return err
+	}
+	if err := report.Print(c.OutOrStdout()); err != nil {
+		return err
+	}
+	if report.Verdict() != cachegrowth.Within {
+		return errOverBudget
+	}
+	return nil
+}
+
+// run plays all days with node processes of this program.
+func (o *growthOptions) run(ctx context.Context) (*cachegrowth.Report, error) {
+	var err error
+	if o.plan.Program, err = os.Executable(); err != nil {
+		return nil, err
+	}
+	if o.plan.Folder, err = os.MkdirTemp("", "dahliapin-growth-"); err != nil {
+		return nil, err
+	}
+	defer os.RemoveAll(o.plan.Folder)
+	o.plan.Tell = progressLine()
+	return o.plan.Run(ctx, o.days, o.sizes)
+}
--- /dev/null
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"dahliapin/internal/scale/cachegrowth"
+)
+
+// Four times the caches: what is counted stays within the operators' table. Times and memory are not judged here, as
+// other tests use the machine.
+func TestScaleCachesByCounts(t *testing.T) {
+	t.Parallel() // its processes wait most of their time
+	out := t.TempDir()
+	_, errs, code := calledOut(t, "scale", "caches", "--caches", "60,240", "--days", "quiet,release", "--for", "2s",
+		"--share", "1", "--out", out)
+	if code > 1 { // 1 if something that is not judged here is over its limit
+		t.Fatalf("exit %d: %s", code, errs)
+	}
+	text, err := os.ReadFile(filepath.Join(out, "report.json"))
+	var report cachegrowth.Report
+	if err == nil {
+		err = json.Unmarshal(text, &report)
+	}
+	if err != nil || len(report.Days) != 4 {
+		t.Fatalf("%v: %s", err, text)
+	}
+	for i, day := range report.Days {
+		first := report.Days[i/2*2].Figures
+		for _, row := range []cachegrowth.Row{
+			cachegrowth.Descriptors, cachegrowth.Connections, cachegrowth.ListKilobytes,
+		} {
+			value, limit := day.Figures[row], row.Limit(first[row], day.Caches)
+			if value <= 0 || !row.Within(value, limit) {
+				t.Errorf("%s, %d caches: %v %v, at most %v", day.Day, day.Caches, row, value, limit)
+			}
+		}
+	}
+}
+
+func TestScaleCachesRefusesBadCalls(t *testing.T) {
+	for args, want := range map[string]string{
+		"":                                     "--out",
+		"--out x --caches 800,200":             "--caches",
+		"--out x --caches 5":                   "--caches",
+		"--out x --caches 200,6400":            "--caches",
+		"--out x --for 1s":                     "--for",
+		"--out x --share 0":                    "--share",
+		"--out x --rate 0":                     "--rate",
+		"--out x --nodes 0":                    "--nodes",
+		"--out x --days noon":                  "release",
+		"--out x --caches two":                 "--caches",
+		"--out x --days quiet --more sensible": "--more",
+	} {
+		_, errs, code := calledOut(t, append([]string{"scale", "caches"}, strings.Fields(args)...)...)
+		if code != 2 || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
+			t.Errorf("%q: exit %d, %q", args, code, errs)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scale/cachegrowth/caches.go
@@ -0,0 +1,220 @@
+package cachegrowth
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	zoneCount  = 3
+	lostZone   = 1
+	missPrefix = "m" // of keys that no cache has
+	value      = "hello"
+)
+
+// fleet is the emulated caches of a size. The caches of one zone share a listener: what is behind it is told apart by
+// nothing but the endpoint list.
+type fleet struct {
+	connections atomic.Int64 // accepted, of all caches
+	count       int
+	startedAtMs int64
+	zones       [zoneCount]*zoneListener
+}
+
+func newFleet(count int) (*fleet, error) {
+	f := &fleet{count: count}
+	for zone := range f.zones {
+		f.zones[zone] = &zoneListener{fleet: f, address: "127.0.0.1:0"}
+		if err := f.zones[zone].open(); err != nil {
+			f.close()
+			return nil, err
+		}
+	}
+	return f, nil
+}
+
+func (f *fleet) close() {
+	for _, zone := range f.zones {
+		if zone != nil {
+			zone.close()
+		}
+	}
+}
+
+// entry is the list's entry of a cache by its number. Numbers from count on are those that replace others in a release.
+func (f *fleet) entry(number int, lifecycle string, startedAtMs int64) instance {
+	zone := number % zoneCount
+	return instance{
+		ID:          fmt.Sprintf("cache-%d", number),
+		Address:     f.zones[zone].address,
+		MachineType: cacheMachine,
+		Lifecycle:   lifecycle,
+		Zone:        zoneName(zone),
+		StartedAtMs: startedAtMs,
+	}
+}
+
+func zoneName(zone int) string { return fmt.Sprint("zone-", zone) }
+
+// all returns the entries of all caches, which have run for long.
+func (f *fleet) all() []instance {
+	entries := make([]instance, 0, f.count)
+	for number := range f.count {
+		entries = append(entries, f.entry(number, inService, 0))
+	}
+	return entries
+}
+
+// perStep returns how many caches a step of a release replaces.
+func (f *fleet) perStep() int { return max(1, int(releaseShare*float64(f.count))) }
+
+// drain returns the entries of a release step's caches, which drain.
+func (f *fleet) drain(step int) []instance {
+	var entries []instance
+	for i := range f.perStep() {
+		entries = append(entries, f.entry(step*f.perStep()+i, terminating, 0))
+	}
+	return entries
+}
+
+// replace returns the entries of a release step's caches, which are gone, and of those in their place.
+func (f *fleet) replace(step int) []instance {
+	var entries []instance
+	now := time.Now().UnixMilli()
+	for i := range f.perStep() {
+		number := step*f.perStep() + i
+		entries = append(entries, f.entry(number, terminated, 0), f.entry(f.count+number, inService, now))
+	}
+	return entries
+}
+
+// restarted returns the entries of all caches, each started just now.
+func (f *fleet) restarted() []instance {
+	entries := f.all()
+	for i := range entries {
+		entries[i].StartedAtMs = time.Now().UnixMilli()
+	}
+	return entries
+}
+
+func (f *fleet) zoneEntries(zone int, lifecycle string, startedAtMs int64) []instance {
+	var entries []instance
+	for number := zone; number < f.count; number += zoneCount {
+		entries = append(entries, f.entry(number, lifecycle, startedAtMs))
+	}
+	return entries
+}
+
+func (f *fleet) zoneGone(zone int) []instance { return f.zoneEntries(zone, terminated, 0) }
+
+func (f *fleet) zoneBack(zone int) []instance {
+	return f.zoneEntries(zone, inService, time.Now().UnixMilli())
+}
+
+func (f *fleet) loseZone(zone int) error {
+	f.zones[zone].close()
+	return nil
+}
+
+func (f *fleet) restoreZone(zone int) error { return f.zones[zone].open() }
+
+// zoneListener is where all caches of a zone are reached.
+type zoneListener struct {
+	fleet   *fleet
+	address string
+
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
+}
+
+// open listens, at the same address as before.
+func (z *zoneListener) open() error {
+	l, err := net.Listen("tcp", z.address)
+	if err != nil {
+		return err
+	}
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	z.address = l.Addr().String()
+	z.listener = l
+	z.conns = map[net.Conn]bool{}
+	go z.accept(l)
+	return nil
+}
+
+// close ends the listener and all connections.
+func (z *zoneListener) close() {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	if z.listener == nil {
+		return
+	}
+	_ = z.listener.Close()
+	z.listener = nil
+	for c := range z.conns {
+		_ = c.Close()
+	}
+}
+
+func (z *zoneListener) accept(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue
+		}
+		z.fleet.connections.Add(1)
+		z.mu.Lock()
+		open := z.listener == l
+		if open {
+			z.conns[c] = true
+		}
+		z.mu.Unlock()
+		if !open {
+			_ = c.Close()
+			return
+		}
+		go z.serve(c)
+	}
+}
+
+func (z *zoneListener) serve(c net.Conn) {
+	defer func() {
+		_ = c.Close()
+		z.mu.Lock()
+		delete(z.conns, c)
+		z.mu.Unlock()
+	}()
+	commands := bufio.NewReader(c)
+	for {
+		line, err := commands.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if _, err := c.Write(response(line)); err != nil {
+			return
+		}
+	}
+}
+
+// response is a cache's answer to a command: keys with missPrefix are not there.
+func response(command string) []byte {
+	fields := strings.Fields(command)
+	if len(fields) < 4 {
+		return []byte("MN\r\n")
+	}
+	id := fields[3]
+	if strings.HasPrefix(fields[1], missPrefix) {
+		return fmt.Appendf(nil, "EN %s\r\n", id)
+	}
+	return fmt.Appendf(nil, "VA %d %s\r\n%s\r\n", len(value), id, value)
+}
--- /dev/null
+++ b/internal/scale/cachegrowth/days.go
@@ -0,0 +1,94 @@
+package cachegrowth
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// The shape of a day, in parts of its length.
+const (
+	troubleAt     = 0.2 // when what happens on the day begins
+	releaseSteps  = 4   // parts in which a release replaces the caches
+	releaseShare  = 0.2 // part of the caches that a step replaces
+	releaseSpan   = 0.6 // from the first step of a release to the last
+	drainLead     = 0.05
+	outage        = 0.25 // how long a zone or discovery is away
+	zoneToldAfter = 0.1  // after its loss, discovery tells that a zone's caches are gone
+)
+
+// Day is one kind of trouble.
+type Day struct {
+	Name   string
+	events []event
+}
+
+// event is something that happens to the fleet at a part of the day's length.
+type event struct {
+	at float64
+	do func(*play) error
+}
+
+// Days are all days, in the order in which they are played.
+func Days() []Day {
+	return []Day{
+		{Name: "quiet"},
+		{Name: "release", events: releaseEvents()},
+		{Name: "zone-lost", events: []event{
+			{troubleAt, func(p *play) error { return p.caches.loseZone(lostZone) }},
+			{troubleAt + zoneToldAfter, func(p *play) error { return p.discovery.publish(p.caches.zoneGone(lostZone)) }},
+			{troubleAt + outage, func(p *play) error { return p.caches.restoreZone(lostZone) }},
+			{troubleAt + outage + drainLead, func(p *play) error { return p.discovery.publish(p.caches.zoneBack(lostZone)) }},
+		}},
+		{Name: "discovery-down", events: []event{
+			{troubleAt, func(p *play) error { return p.discovery.stop() }},
+			{troubleAt + outage, func(p *play) error { return p.discovery.start() }},
+		}},
+		{Name: "restart", events: []event{
+			{troubleAt, func(p *play) error { return p.discovery.publish(p.caches.restarted()) }},
+			{troubleAt, func(p *play) error { return p.restartNode() }},
+		}},
+	}
+}
+
+// DaysNamed returns the days with these names, all days for none, and an error that lists the names if one is unknown.
+func DaysNamed(names []string) ([]Day, error) {
+	all := Days()
+	if len(names) == 0 {
+		return all, nil
+	}
+	var chosen []Day
+	for _, name := range names {
+		i := slices.IndexFunc(all, func(day Day) bool { return day.Name == name })
+		if i < 0 {
+			return nil, fmt.Errorf("no day is named %q; there are %s", name, strings.Join(dayNames(all), ", "))
+		}
+		chosen = append(chosen, all[i])
+	}
+	return chosen, nil
+}
+
+func dayNames(days []Day) []string {
+	names := make([]string, 0, len(days))
+	for _, day := range days {
+		names = append(names, day.Name)
+	}
+	return names
+}
+
+// releaseEvents replace the caches step by step: a step's caches drain, and are gone with the next version.
+func releaseEvents() []event {
+	var events []event
+	for step := range releaseSteps {
+		at := troubleAt + releaseSpan*float64(step)/releaseSteps
+		events = append(events,
+			event{at, func(p *play) error { return p.discovery.publish(p.caches.drain(step)) }},
+			event{at + drainLead, func(p *play) error { return p.discovery.publish(p.caches.replace(step)) }},
+		)
+	}
+	return events
+}
+
+// time returns when in the day an event happens.
+func (e event) time(day time.Duration) time.Duration { return time.Duration(e.at * float64(day)) }
--- /dev/null
+++ b/internal/scale/cachegrowth/discovery.go
@@ -0,0 +1,150 @@
+package cachegrowth
+
+import (
+	"encoding/json"
+	"errors"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// watchTime is how long a call waits for a change.
+	watchTime = 3 * time.Second
+	// headerTimeout is for the head of a call.
+	headerTimeout = 5 * time.Second
+)
+
+// instance is an entry of the endpoint list, in discovery's form.
+type instance struct {
+	ID          string `json:"instanceId"`
+	Address     string `json:"hostPort"`
+	MachineType string `json:"machineType"`
+	Lifecycle   string `json:"lifecycle"`
+	Zone        string `json:"zone"`
+	StartedAtMs int64  `json:"startedAtMs"`
+}
+
+// The lifecycle states of an instance.
+const (
+	inService   = "in_service"
+	terminating = "terminating"
+	terminated  = "terminated"
+)
+
+// listAnswer is an answer of discovery: the whole list, or what has changed since a version.
+type listAnswer struct {
+	Generation int        `json:"generation"`
+	Reset      bool       `json:"reset"`
+	Instances  []instance `json:"instances"`
+}
+
+// discovery tells the endpoint list: whole at first, then each change. It can be stopped and started again.
+type discovery struct {
+	address string
+	bytes   atomic.Int64 // of answers that were sent
+
+	mu       sync.Mutex
+	current  map[string]instance
+	order    []string // of the ids in current
+	versions [][]instance
+	changed  chan struct{} // closed at the next version
+	server   *http.Server
+}
+
+func newDiscovery() (*discovery, error) {
+	d := &discovery{current: map[string]instance{}, changed: make(chan struct{}), address: "127.0.0.1:0"}
+	return d, d.start()
+}
+
+// start listens, at the same address as before.
+func (d *discovery) start() error {
+	l, err := net.Listen("tcp", d.address)
+	if err != nil {
+		return err
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.address = l.Addr().String()
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headerTimeout}
+	server := d.server
+	go func() { _ = server.Serve(l) }() // returns once it is closed
+	return nil
+}
+
+// stop closes the listener and all connections.
+func (d *discovery) stop() error {
+	d.mu.Lock()
+	server := d.server
+	d.mu.Unlock()
+	return server.Close()
+}
+
+// publish makes a new version of the list.
+func (d *discovery) publish(changes []instance) error {
+	if len(changes) == 0 {
+		return errors.New("a version of the list without a change")
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, change := range changes {
+		if _, known := d.current[change.ID]; !known {
+			d.order = append(d.order, change.ID)
+		}
+		d.current[change.ID] = change
+	}
+	d.versions = append(d.versions, changes)
+	close(d.changed)
+	d.changed = make(chan struct{})
+	return nil
+}
+
+// whole returns the list as it is, without what is gone; under mu.
+func (d *discovery) whole() []instance {
+	var list []instance
+	for _, id := range d.order {
+		if entry := d.current[id]; entry.Lifecycle != terminated {
+			list = append(list, entry)
+		}
+	}
+	return list
+}
+
+// answerSince returns the answer to a call that knows a version, or ok false while there is no news.
+func (d *discovery) answerSince(version int, known bool) (answer listAnswer, changed chan struct{}, ok bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch {
+	case !known:
+		return listAnswer{len(d.versions), true, d.whole()}, nil, true
+	case version < len(d.versions):
+		return listAnswer{version + 1, false, d.versions[version]}, nil, true
+	}
+	return listAnswer{version, false, []instance{}}, d.changed, false
+}
+
+// ServeHTTP answers a call for the list, at once or as soon as it changes.
+func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	version, err := strconv.Atoi(r.URL.Query().Get("since"))
+	answer, changed, ok := d.answerSince(version, err == nil)
+	if !ok {
+		select {
+		case <-changed:
+			answer, _, _ = d.answerSince(version, true)
+		case <-time.After(watchTime):
+		case <-r.Context().Done():
+			return
+		}
+	}
+	body, err := json.Marshal(answer)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	d.bytes.Add(int64(len(body)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	_, _ = w.Write(body)
+}
--- /dev/null
+++ b/internal/scale/cachegrowth/node.go
@@ -0,0 +1,165 @@
+package cachegrowth
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"dahliapin/internal/scale"
+)
+
+const (
+	cacheMachine  = "cache"
+	originMachine = "origin"
+
+	nodeMemoryMB     = 192
+	nodeSockets      = 1024
+	readyTimeout     = 10 * time.Second // after which a node that is not ready has failed
+	readyInterval    = 10 * time.Millisecond
+	observerInterval = 20 * time.Millisecond // between two counts of descriptors
+)
+
+// nodeSettings are a deployment's settings: one class of idempotent reads, caches that start cold, and an origin.
+const nodeSettings = `{"service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,` +
+	`"soft_limit_s":0.4,"hard_stop_s":1.2}],"zone":"zone-0","n_instances":%d,"kinds":["cache","origin"],"round_s":0.005,` +
+	`"bounds":{"most_legs":3,"conn_idle_s":15,"connect_timeout_s":0.25,"cancel":true},` +
+	`"family_info":{"mode":"aside","origin_kind":1},"rules":{"cold_from":0.3,"cold_s":5,"overload_factor":3,` +
+	`"overload_for_s":1}}`
+
+// nodeProcess is the node under measurement. A restart starts another process at the same address; what is measured is
+// the sum over both, or the greater of both.
+type nodeProcess struct {
+	program string
+	folder  string
+	share   float64 // of a core
+	listen  string
+	child   *scale.Child
+	release func() error // ends the limit of processor time
+	stop    chan struct{}
+	stopped chan struct{}
+	figures Figures // of the processes that have ended, and of the observer
+}
+
+// configure writes the node's configuration, with which it can be started.
+func (n *nodeProcess) configure(discovery string, nodes int) error {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	n.listen = l.Addr().String()
+	if err := l.Close(); err != nil {
+		return err
+	}
+	text, err := json.Marshal(map[string]any{
+		"name":      "measured",
+		"listen":    n.listen,
+		"discovery": discovery,
+		"seed":      "1",
+		"limits":    map[string]int{"memory_mb": nodeMemoryMB, "sockets": nodeSockets},
+		"settings":  json.RawMessage(fmt.Sprintf(nodeSettings, nodes)),
+	})
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(n.configPath(), text, 0o600)
+}
+
+func (n *nodeProcess) configPath() string { return filepath.Join(n.folder, "node.json") }
+
+// start starts a process, and returns once it is ready. It is held to its share of a core from its start.
+func (n *nodeProcess) start() error {
+	cmd := exec.Command(n.program, "serve", "--config", n.configPath())
+	cmd.Env = append(os.Environ(), "TMPDIR="+n.folder)
+	child, err := scale.StartChild(cmd, filepath.Join(n.folder, "node.log"))
+	if err != nil {
+		return err
+	}
+	n.child = child
+	n.release = scale.HoldToShare(child.PID(), n.share)
+	n.stop = make(chan struct{})
+	n.stopped = make(chan struct{})
+	go n.observe(child.PID())
+	for deadline := time.Now().Add(readyTimeout); !isReady(n.listen); time.Sleep(readyInterval) {
+		if child.Over() {
+			return fmt.Errorf("the node has ended: %s", child.LastLogLine())
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("the node is not ready after %v: %s", readyTimeout, child.LastLogLine())
+		}
+	}
+	return nil
+}
+
+// isReady reports whether a node accepts clients.
+func isReady(address string) bool {
+	c, err := net.DialTimeout("tcp", address, time.Second)
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	if c.SetDeadline(time.Now().Add(time.Second)) != nil {
+		return false
+	}
+	if _, err := io.WriteString(c, "mn\r\n"); err != nil {
+		return false
+	}
+	answer, _ := bufio.NewReader(c).ReadString('\n')
+	return strings.TrimSpace(answer) == "MN"
+}
+
+// observe takes the greatest number of descriptors, until the process is ended.
+func (n *nodeProcess) observe(pid int) {
+	defer close(n.stopped)
+	for {
+		if count, err := scale.OpenDescriptors(pid); err == nil {
+			n.figures[Descriptors] = max(n.figures[Descriptors], float64(count))
+		}
+		select {
+		case <-n.stop:
+			return
+		case <-time.After(observerInterval):
+		}
+	}
+}
+
+// end adds up what the process has used, and ends it in order.
+func (n *nodeProcess) end() error {
+	if n.child == nil {
+		return nil
+	}
+	child := n.child
+	n.child = nil
+	close(n.stop)
+	<-n.stopped
+	err := n.addUp(child)
+	child.End(func() { _ = syscall.Kill(child.PID(), syscall.SIGTERM) })
+	if releaseErr := n.release(); err == nil {
+		err = releaseErr
+	}
+	return err
+}
+
+func (n *nodeProcess) addUp(child *scale.Child) error {
+	if child.Over() {
+		return fmt.Errorf("the node has ended: %s", child.LastLogLine())
+	}
+	cost, err := child.Cost()
+	if err != nil {
+		return err
+	}
+	peak, err := scale.PeakResident(child.PID())
+	if err != nil {
+		return err
+	}
+	n.figures[ProcessorSeconds] += cost.Processor.Seconds()
+	n.figures[PeakMemory] = max(n.figures[PeakMemory], float64(peak)/1e6)
+	return nil
+}
--- /dev/null
+++ b/internal/scale/cachegrowth/play.go
@@ -0,0 +1,175 @@
+package cachegrowth
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"time"
+)
+
+const (
+	originTime = 20 * time.Millisecond // that the origin takes for a request
+	originID   = "origin"
+
+	// maxClientLateness is by how much clients may send later than they were due: beyond it the machine was too busy
+	// to judge the node.
+	maxClientLateness = 500 * time.Millisecond
+)
+
+// Plan is what is measured.
+type Plan struct {
+	Program string  // the path of the program that has the command serve
+	Folder  string  // for the node's configuration, log and last list
+	Share   float64 // of a core that the node has
+	Rate    int     // requests per second
+	Nodes   int     // in the fleet, by the node's settings
+	Length  time.Duration
+	Tell    func(line string) // progress; may be nil
+}
+
+// DayResult is what a node needed on one day at one size.
+type DayResult struct {
+	Day     string  `json:"day"`
+	Caches  int     `json:"caches"`
+	Figures Figures `json:"figures"` // by Row
+	Sent    int     `json:"sent"`
+	Refused int     `json:"refused"`
+	Lost    int     `json:"lost"`
+	Busy    bool    `json:"busy"` // the machine was too busy to judge
+}
+
+// play is one day at one size, while it runs.
+type play struct {
+	plan      *Plan
+	caches    *fleet
+	discovery *discovery
+	origin    *http.Server
+	node      *nodeProcess
+	clients   *clients
+}
+
+// Play plays one day with a number of caches. It returns an error if the node fails, or the day cannot be played.
+func (plan *Plan) Play(ctx context.Context, day *Day, caches int) (*DayResult, error) {
+	p := &play{plan: plan}
+	defer p.close()
+	if err := p.prepare(caches); err != nil {
+		return nil, err
+	}
+	p.clients = &clients{address: p.node.listen, rate: plan.Rate}
+	clientsDone := make(chan struct{})
+	go func() {
+		defer close(clientsDone)
+		p.clients.run(plan.Length)
+	}()
+	err := p.runEvents(ctx, day)
+	<-clientsDone
+	if err != nil {
+		return nil, fmt.Errorf("%s with %d caches: %w", day.Name, caches, err)
+	}
+	if err := p.node.end(); err != nil {
+		return nil, err
+	}
+	return p.result(day), ctx.Err()
+}
+
+// prepare starts everything but the clients.
+func (p *play) prepare(caches int) error {
+	var err error
+	if p.caches, err = newFleet(caches); err != nil {
+		return err
+	}
+	if p.discovery, err = newDiscovery(); err != nil {
+		return err
+	}
+	origin, err := p.startOrigin()
+	if err != nil {
+		return err
+	}
+	if err := p.discovery.publish(append([]instance{origin}, p.caches.all()...)); err != nil {
+		return err
+	}
+	p.node = &nodeProcess{program: p.plan.Program, folder: p.plan.Folder, share: p.plan.Share}
+	if err := p.node.configure(p.discovery.address, p.plan.Nodes); err != nil {
+		return err
+	}
+	return p.node.start()
+}
+
+// startOrigin starts the origin and returns its entry in the list.
+func (p *play) startOrigin() (instance, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return instance{}, err
+	}
+	p.origin = &http.Server{
+		ReadHeaderTimeout: headerTimeout,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			time.Sleep(originTime)
+			_, _ = w.Write([]byte(value))
+		}),
+	}
+	go func() { _ = p.origin.Serve(l) }() // returns once it is closed
+	return instance{
+		ID:          originID,
+		Address:     l.Addr().String(),
+		MachineType: originMachine,
+		Lifecycle:   inService,
+		Zone:        zoneName(0),
+	}, nil
+}
+
+// runEvents carries out the day's events at their times.
+func (p *play) runEvents(ctx context.Context, day *Day) error {
+	began := time.Now()
+	for _, event := range day.events {
+		select {
+		case <-time.After(event.time(p.plan.Length) - time.Since(began)):
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		if err := event.do(p); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// restartNode ends the node in order, and starts it anew at the same address.
+func (p *play) restartNode() error {
+	if err := p.node.end(); err != nil {
+		return err
+	}
+	return p.node.start()
+}
+
+func (p *play) result(day *Day) *DayResult {
+	figures := p.node.figures
+	figures[Connections] = float64(p.caches.connections.Load())
+	figures[ListKilobytes] = float64(p.discovery.bytes.Load()) / 1e3
+	figures[ShareServed] = float64(p.clients.served) / float64(max(1, p.clients.sent))
+	return &DayResult{
+		Day:     day.Name,
+		Caches:  p.caches.count,
+		Figures: figures,
+		Sent:    p.clients.sent,
+		Refused: p.clients.refused,
+		Lost:    p.clients.lost,
+		Busy:    p.clients.lateness > maxClientLateness,
+	}
+}
+
+func (p *play) close() {
+	if p.node != nil {
+		_ = p.node.end()
+	}
+	if p.origin != nil {
+		_ = p.origin.Close()
+	}
+	if p.discovery != nil {
+		_ = p.discovery.stop()
+	}
+	if p.caches != nil {
+		p.caches.close()
+	}
+}
--- /dev/null
+++ b/internal/scale/cachegrowth/report.go
@@ -0,0 +1,158 @@
+package cachegrowth
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"text/tabwriter"
+)
+
+// maxPlays is how often a day is played that a busy machine could not judge.
+const maxPlays = 2
+
+// Report is what a node needed on each day, by the number of caches.
+type Report struct {
+	Sizes []int       `json:"sizes"`
+	Days  []DayResult `json:"days"` // by day, then by size
+}
+
+// Run plays the days at all sizes; the first size is the one that the others are compared with.
+func (plan *Plan) Run(ctx context.Context, days []Day, sizes []int) (*Report, error) {
+	if len(sizes) == 0 {
+		return nil, errors.New("no number of caches")
+	}
+	report := &Report{Sizes: sizes}
+	for _, day := range days {
+		for _, caches := range sizes {
+			result, err := plan.playJudged(ctx, &day, caches)
+			if err != nil {
+				return nil, err
+			}
+			report.Days = append(report.Days, *result)
+		}
+	}
+	return report, nil
+}
+
+// playJudged plays a day again that the machine was too busy for, maxPlays times in all.
+func (plan *Plan) playJudged(ctx context.Context, day *Day, caches int) (*DayResult, error) {
+	var result *DayResult
+	for range maxPlays {
+		if plan.Tell != nil {
+			plan.Tell(fmt.Sprintf("%s, %d caches", day.Name, caches))
+		}
+		var err error
+		if result, err = plan.Play(ctx, day, caches); err != nil {
+			return nil, err
+		}
+		if !result.Busy {
+			break
+		}
+	}
+	return result, nil
+}
+
+// Verdict is what a report comes to.
+type Verdict int
+
+// The verdicts, from best to worst.
+const (
+	Within    Verdict = iota
+	NotJudged         // the machine was too busy on at least one day
+	Over              // at least one row is over its limit
+)
+
+// String returns the verdict in one line.
+func (v Verdict) String() string {
+	return [...]string{"all is within the limits", "not judged: the machine was too busy", "over a limit"}[v]
+}
+
+// first returns the result of a day at the first size.
+func (r *Report) first(day string) *DayResult {
+	for i := range r.Days {
+		if r.Days[i].Day == day && r.Days[i].Caches == r.Sizes[0] {
+			return &r.Days[i]
+		}
+	}
+	return nil
+}
+
+// dayVerdict judges a day by the same day at the first size.
+func (r *Report) dayVerdict(result *DayResult) Verdict {
+	first := r.first(result.Day)
+	if first == nil || first.Busy || result.Busy {
+		return NotJudged
+	}
+	for row := range rowCount {
+		if !row.Within(result.Figures[row], row.Limit(first.Figures[row], result.Caches)) {
+			return Over
+		}
+	}
+	return Within
+}
+
+// Verdict returns the worst verdict of all days.
+func (r *Report) Verdict() Verdict {
+	worst := Within
+	for i := range r.Days {
+		worst = max(worst, r.dayVerdict(&r.Days[i]))
+	}
+	return worst
+}
+
+// Print writes a table by day and row: the value at each size, the limit beside it, the slope by a thousand caches
+// from the first size to the last, and the verdict.
+func (r *Report) Print(out io.Writer) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprint(table, "day\trow")
+	for _, size := range r.Sizes {
+		fmt.Fprintf(table, "\t%d caches (limit)", size)
+	}
+	fmt.Fprintln(table, "\ta thousand more")
+	for start := 0; start+len(r.Sizes) <= len(r.Days); start += len(r.Sizes) {
+		results := r.Days[start : start+len(r.Sizes)]
+		for row := range rowCount {
+			printRow(table, row, results)
+		}
+		printClients(table, results)
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintln(out, r.Verdict())
+	return err
+}
+
+func printRow(table io.Writer, row Row, results []DayResult) {
+	first := results[0].Figures[row]
+	fmt.Fprintf(table, "%s\t%s", results[0].Day, row)
+	for i := range results {
+		result := &results[i]
+		limit := row.Limit(first, result.Caches)
+		mark := ""
+		if !row.Within(result.Figures[row], limit) {
+			mark = " OVER"
+		}
+		fmt.Fprintf(table, "\t%.2f (%.2f)%s", result.Figures[row], limit, mark)
+	}
+	last := &results[len(results)-1]
+	if more := last.Caches - results[0].Caches; more > 0 {
+		fmt.Fprintf(table, "\t%+.3f", (last.Figures[row]-first)/float64(more)*1000)
+	}
+	fmt.Fprintln(table)
+}
+
+// printClients writes how many requests were sent, refused and lost, and on which size the machine was too busy.
+func printClients(table io.Writer, results []DayResult) {
+	fmt.Fprintf(table, "%s\tsent, refused, lost", results[0].Day)
+	for i := range results {
+		result := &results[i]
+		busy := ""
+		if result.Busy {
+			busy = " BUSY"
+		}
+		fmt.Fprintf(table, "\t%d, %d, %d%s", result.Sent, result.Refused, result.Lost, busy)
+	}
+	fmt.Fprintln(table)
+}
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -44,6 +44,9 @@
 	return c, nil
 }
 
+// PID returns the process's number.
+func (c *Child) PID() int { return c.cmd.Process.Pid }
+
 // Over reports whether the process has ended.
 func (c *Child) Over() bool {
 	select {
@@ -54,8 +57,8 @@
 	}
 }
 
-// lastLogLine returns the last line that the process wrote to its standard error.
-func (c *Child) lastLogLine() string {
+// LastLogLine returns the last line that the process wrote to its standard error.
+func (c *Child) LastLogLine() string {
 	text, _ := os.ReadFile(c.log)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return lines[len(lines)-1]
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -207,7 +207,7 @@
 	}
 	for _, n := range f.reals {
 		if n.Over() {
-			return nil, 0, fmt.Errorf("real node %s has ended: %s", n.Place.Name, n.lastLogLine())
+			return nil, 0, fmt.Errorf("real node %s has ended: %s", n.Place.Name, n.LastLogLine())
 		}
 		st, err := n.status()
 		if err != nil { // it has only just started, and does not answer yet
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -71,12 +71,12 @@
 // ask sends an order and waits for the answer.
 func (h *Hollows) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
 	if err := json.NewEncoder(h.in).Encode(o); err != nil {
-		return answer{}, fmt.Errorf("a process of hollow nodes takes no order: %w: %s", err, h.lastLogLine())
+		return answer{}, fmt.Errorf("a process of hollow nodes takes no order: %w: %s", err, h.LastLogLine())
 	}
 	select {
 	case a, more := <-h.answers:
 		if !more {
-			return a, fmt.Errorf("a process of hollow nodes has ended: %s", h.lastLogLine())
+			return a, fmt.Errorf("a process of hollow nodes has ended: %s", h.LastLogLine())
 		}
 		if a.Fault != "" {
 			return a, fmt.Errorf("a process of hollow nodes: %s", a.Fault)
