--- a/policy/load.go
+++ b/policy/load.go
@@ -63,9 +63,11 @@
 	case queue >= 0 && queue < len(report):
 		u.load.foreign = max(0, report[queue])
 		u.load.reportedAt = now
+	default:
+		// Guards against counting the endpoint's last report into the mean once more.
+		return
 	}
-	// An attempt that ends without a report at the very instant of the endpoint's last one counts that report again.
-	if u.load.reportedAt != now || isOrigin {
+	if isOrigin {
 		return
 	}
 	// One report counts for little more than twice the mean, or a few crowded caches would make all others look full.
