--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -79,6 +79,9 @@
 // noRuleBroken is in the output of a rehearsal in which no rule was broken.
 const noRuleBroken = "no rule is broken ([0 0 0 0])"
 
+// machineTooBusy is in the output of a rehearsal that the machine was too busy to judge.
+const machineTooBusy = "not judged: the machine was too busy"
+
 // Node processes of this program run, and one of them is killed. The report says what happened, the processes' records
 // are in it, the exit code tells that all was as expected, and nothing is left behind. How soon the silent cache is
 // avoided is bounded in virtual time alone: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
@@ -86,6 +89,11 @@
 	dir := t.TempDir()
 	script := scriptFile(t, short+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
 	out, code, left := program(t, nil, "rehearse", script, "--out", dir)
+	for play := 1; play < maxPlays && strings.Contains(out, machineTooBusy); play++ {
+		t.Log(out)
+		_ = os.Remove(dir + "/records.jsonl")
+		out, code, left = program(t, nil, "rehearse", script, "--out", dir)
+	}
 	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
