--- a/internal/proxy/handover/inherit.go
+++ b/internal/proxy/handover/inherit.go
@@ -80,17 +80,22 @@
 }
 
 // addListeners makes listeners of descriptors, each with the address of its position. They are kept even where one is
-// not at its address, so that Close closes them.
+// not at its address, so that Close closes them. Those without an address of their own are closed at once.
 func (i *Inherited) addListeners(fds []int, addresses []string) error {
 	matched := len(fds) == len(addresses)
 	for n, fd := range fds {
 		file := os.NewFile(uintptr(fd), "listener")
 		listener, err := net.FileListener(file)
 		_ = file.Close()
-		if err != nil || n >= len(addresses) {
+		if err != nil {
 			matched = false
 			continue
 		}
+		if n >= len(addresses) || i.Listeners[addresses[n]] != nil {
+			matched = false
+			_ = listener.Close()
+			continue
+		}
 		if listener.Addr().String() != addresses[n] {
 			matched = false
 		}
