--- a/internal/scale/logscale/rig/process.go
+++ b/internal/scale/logscale/rig/process.go
@@ -35,7 +35,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &process{c, in}, c.Start()
+	if err := c.Start(); err != nil {
+		return nil, err
+	}
+	return &process{c, in}, nil
 }
 
 // end has all processes write down what is left.
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"time"
@@ -152,11 +151,14 @@
 }
 
 // awaitFault waits until the nodes that are left agree on their number, and until the fault has lasted its whole time.
+// It returns at once if they don't agree.
 func (m *measurement) awaitFault(ctx context.Context, began time.Time, lasts time.Duration, left int,
 	filter func(status) bool) (time.Duration, error) {
-	took, agreeErr := m.fleet.awaitAgreement(ctx, left, wholeWithin, filter)
-	sleepErr := sleep(ctx, max(0, lasts-time.Since(began)))
-	return took, cmp.Or(agreeErr, sleepErr)
+	took, err := m.fleet.awaitAgreement(ctx, left, wholeWithin, filter)
+	if err != nil {
+		return took, err
+	}
+	return took, sleep(ctx, max(0, lasts-time.Since(began)))
 }
 
 // awaitRecovery waits until all nodes know each other again, and gossip has settled.
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -67,7 +67,10 @@
 	}
 	cmd.Env = append(os.Environ(), "TMPDIR="+r.Dir)
 	child, err := StartChild(cmd, base+".log")
-	return &RealNode{Child: child, Place: at, admin: admin}, err
+	if err != nil {
+		return nil, err
+	}
+	return &RealNode{Child: child, Place: at, admin: admin}, nil
 }
 
 // freeAddress returns an address of a host on which nothing listens at the moment.
--- a/internal/scale/rig_test.go
+++ b/internal/scale/rig_test.go
@@ -1,10 +1,21 @@
 package scale
 
 import (
+	"path/filepath"
 	"testing"
 	"time"
 )
 
+// A node that did not start was returned without a process, and ending it with the others panicked.
+func TestNodeThatDoesNotStartIsNoNode(t *testing.T) {
+	dir := t.TempDir()
+	r := &Rig{Program: filepath.Join(dir, "absent"), Dir: dir}
+	n, err := r.StartReal(Place{Name: "n", Addr: "127.0.0.1:0", List: "127.0.0.1:1"}, nil, 1, 1)
+	if err == nil || n != nil {
+		t.Errorf("%v, %v", n, err)
+	}
+}
+
 // In a window in which some nodes begin one exchange more than others, the figures are not those of a steady fleet.
 func TestWindowsAreWholeExchanges(t *testing.T) {
 	p := Plan{Window: time.Minute}
