--- /dev/null
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -0,0 +1,86 @@
+package netfault
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+const testPatience = 5 * time.Second
+
+// echoServer accepts streams, and passes on what comes.
+func echoServer(t *testing.T) (addr string, received chan string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	received = make(chan string, 9)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				buffer := make([]byte, 99)
+				for {
+					n, err := c.Read(buffer)
+					if err != nil {
+						return
+					}
+					received <- string(buffer[:n])
+				}
+			}()
+		}
+	}()
+	return l.Addr().String(), received
+}
+
+// A segment that was delayed when a cut began arrived while the cut lasted.
+func TestDelayedSegmentDoesNotArriveDuringACut(t *testing.T) {
+	const delay, cut = 100 * time.Millisecond, 400 * time.Millisecond
+	target, received := echoServer(t)
+	f := NewForwarder(New(1))
+	t.Cleanup(f.Close)
+	addr, err := f.Listen(1, 2, target)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := net.DialTimeout("tcp", addr, testPatience)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	send := func(text string) {
+		if _, err := io.WriteString(c, text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	expect := func(text string) {
+		select {
+		case got := <-received:
+			if got != text {
+				t.Errorf("%q, not %q", got, text)
+			}
+		case <-time.After(testPatience):
+			t.Fatalf("%q did not arrive", text)
+		}
+	}
+	send("first")
+	expect("first")
+	f.Change(1, 2, func(link *Link) { link.Delay = delay })
+	send("second")
+	time.Sleep(delay / 2)
+	f.Change(2, 1, func(link *Link) { link.Cut = true })
+	select {
+	case got := <-received:
+		t.Errorf("%q arrived during a cut", got)
+	case <-time.After(cut):
+	}
+	f.Change(2, 1, func(link *Link) { link.Cut = false })
+	expect("second")
+}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -99,7 +99,7 @@
 	pending     []policy.Endpoint
 	deaths      []string
 	requests    sync.WaitGroup
-	faults      *netfault.Sockets   // nil where nodes do not know one another
+	faults      *netfault.Forwarder // nil where nodes do not know one another
 	proxies     []map[string]string // the way from each node to each address
 	bootTime    policy.Instant      // the shared clock when the run began
 	gossipAddrs []string            // where each node hears the others
--- a/internal/emulator/realtime/together.go
+++ b/internal/emulator/realtime/together.go
@@ -25,7 +25,7 @@
 	}
 	r.bootTime = gossip.BootTime()
 	r.views = checker.NewViews(r.scenario.Fleet.Nodes)
-	r.faults = netfault.Open(netfault.New(uint32(r.scenario.Seed)))
+	r.faults = netfault.NewForwarder(netfault.New(uint32(r.scenario.Seed)))
 	for range r.scenario.Fleet.Nodes {
 		at, err := freeport.Free()
 		if err != nil {
@@ -40,11 +40,11 @@
 			if from == to {
 				continue
 			}
-			door, err := r.faults.Door(from, to, at)
+			link, err := r.faults.Listen(from, to, at)
 			if err != nil {
 				return err
 			}
-			r.proxies[from][at] = door
+			r.proxies[from][at] = link
 		}
 	}
 	return nil
@@ -154,11 +154,11 @@
 }
 
 // Between changes what goes wrong between two nodes, one way.
-func (r *Rig) Between(from, to int, change func(*netfault.Way)) {
-	r.faults.Change(from, to, func(w *netfault.Way) {
-		was := w.Cut
-		if change(w); w.Cut != was {
-			r.views.Cut(r.now(), from, to, w.Cut)
+func (r *Rig) Between(from, to int, change func(*netfault.Link)) {
+	r.faults.Change(from, to, func(link *netfault.Link) {
+		was := link.Cut
+		if change(link); link.Cut != was {
+			r.views.Cut(r.now(), from, to, link.Cut)
 		}
 	})
 }
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -218,19 +218,19 @@
 }
 
 func (r *Run) cutBetween(e *event) {
-	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Cut = on })
+	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Cut = on })
 }
 
 func (r *Run) loseBetween(e *event) {
-	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Loss = valueIf(on, e.Share) })
+	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Loss = valueIf(on, e.Share) })
 }
 
 func (r *Run) duplicateBetween(e *event) {
-	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Twice = valueIf(on, e.Share) })
+	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Duplicate = valueIf(on, e.Share) })
 }
 
 func (r *Run) delayBetween(e *event) {
-	r.changeBetween(e, func(way *netfault.Way, on bool) { way.Late = scenario.Span(valueIf(on, e.LateMs) / 1000) })
+	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Jitter = scenario.Span(valueIf(on, e.LateMs) / 1000) })
 }
 
 func valueIf(on bool, value float64) float64 {
@@ -241,10 +241,10 @@
 }
 
 // changeBetween changes what goes wrong between nodes until the event's end; where the event flaps, it goes off and on by turns.
-func (r *Run) changeBetween(e *event, set func(way *netfault.Way, on bool)) {
+func (r *Run) changeBetween(e *event, set func(link *netfault.Link, on bool)) {
 	setAll := func(on bool) {
 		for _, pair := range r.scenario.Pairs(e.Event) {
-			r.rig.Between(pair[0], pair[1], func(way *netfault.Way) { set(way, on) })
+			r.rig.Between(pair[0], pair[1], func(link *netfault.Link) { set(link, on) })
 		}
 	}
 	setAll(true)
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -20,7 +20,7 @@
 	// Listed says that the endpoint list has changed.
 	Listed(e policy.Endpoint)
 	// Between changes what goes wrong between two nodes, in one direction.
-	Between(from, to int, change func(*netfault.Way))
+	Between(from, to int, change func(*netfault.Link))
 	// At calls a function at an instant.
 	At(at policy.Instant, do func())
 	// Said adds a line to the log of the run.
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -155,7 +155,7 @@
 
 // setCut cuts one direction between two nodes, or restores it.
 func (s *simulation) setCut(from, to int, cut bool) {
-	s.faults.Change(from, to, func(w *netfault.Way) { w.Cut = cut })
+	s.faults.Change(from, to, func(link *netfault.Link) { link.Cut = cut })
 	s.views.Cut(s.now, from, to, cut)
 }
 
@@ -195,10 +195,10 @@
 func (s *simulation) setNoise(lost, doubled float64, late time.Duration) {
 	for a := range s.nodes {
 		for b := range s.nodes {
-			s.faults.Change(a, b, func(w *netfault.Way) {
-				w.Loss = lost
-				w.Twice = doubled
-				w.Late = late
+			s.faults.Change(a, b, func(link *netfault.Link) {
+				link.Loss = lost
+				link.Duplicate = doubled
+				link.Jitter = late
 			})
 		}
 	}
@@ -214,7 +214,7 @@
 	if to == nil || to == p.node {
 		return
 	}
-	for _, late := range s.faults.Fate(p.node.number, to.number) {
+	for _, late := range s.faults.Datagram(p.node.number, to.number) {
 		s.after(networkLatency+late, func() { to.deliver(receive) })
 	}
 }
@@ -244,7 +244,7 @@
 	if to == nil || to.process == nil || to.stopped || to.process == p || p.node.process != p {
 		return
 	}
-	if _, stands := s.faults.Piece(p.node.number, to.number); stands {
+	if _, stands := s.faults.Segment(p.node.number, to.number); stands {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.statements)) {
--- a/internal/scale/networkrules.go
+++ b/internal/scale/networkrules.go
@@ -79,7 +79,7 @@
 	if !known || region == d.region {
 		return d.PacketConn.WriteTo(b, to)
 	}
-	for _, late := range d.r.faults.Fate(int(d.region), int(region)) {
+	for _, late := range d.r.faults.Datagram(int(d.region), int(region)) {
 		if late == 0 {
 			_, _ = d.PacketConn.WriteTo(b, to)
 			continue
@@ -126,7 +126,7 @@
 		if !known || role != Real || region == d.region {
 			return n, from, nil
 		}
-		for _, late := range d.r.faults.Fate(int(region), int(d.region)) {
+		for _, late := range d.r.faults.Datagram(int(region), int(d.region)) {
 			got := datagram{append([]byte(nil), b[:n]...), from}
 			d.r.afterDelay(late, func() { d.deliver(got) })
 		}
@@ -177,9 +177,9 @@
 // passes waits as long as data takes to the other region, and reports whether that was in time.
 func (c *ruledConn) passes(from, to RegionID, by func() time.Time) bool {
 	for {
-		delay, isCut := c.r.faults.Piece(int(from), int(to))
+		delay, blocked := c.r.faults.Segment(int(from), int(to))
 		wait := delay
-		if isCut {
+		if blocked {
 			wait = lookAtCutBy
 		}
 		if end := by(); !end.IsZero() && time.Until(end) < wait {
@@ -187,7 +187,7 @@
 			return false
 		}
 		time.Sleep(wait)
-		if !isCut {
+		if !blocked && !c.r.faults.Blocked(int(from), int(to)) { // a cut may have begun meanwhile
 			return true
 		}
 	}
--- a/internal/scale/networkrules_test.go
+++ b/internal/scale/networkrules_test.go
@@ -54,7 +54,7 @@
 }
 
 // change changes both ways between the regions.
-func (n *testNetwork) change(way func(*netfault.Way)) {
+func (n *testNetwork) change(way func(*netfault.Link)) {
 	n.rules.faults.Change(0, 1, way)
 	n.rules.faults.Change(1, 0, way)
 }
@@ -127,9 +127,9 @@
 	near := n.open("127.10.0.2:0", 0, Hollow)
 	far := n.open("127.11.0.1:0", 1, Hollow)
 	real := n.open("127.11.200.1:0", 1, Real)
-	n.change(func(w *netfault.Way) {
-		w.Delay = delay
-		w.Late = jitter
+	n.change(func(link *netfault.Link) {
+		link.Delay = delay
+		link.Jitter = jitter
 	})
 	n.expectDatagram(here, near, 0, delay)
 	n.expectDatagram(here, far, delay, 0)
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -99,8 +99,10 @@
 		for b := range a {
 			d := ms(f.Between.DelayMs + chance.Float64()*(f.Between.DelayMostMs-f.Between.DelayMs))
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
-				faults.Change(pair[0], pair[1], func(w *netfault.Way) {
-					w.Delay, w.Late, w.Loss = d, ms(f.Between.LateMs), f.Between.Loss
+				faults.Change(pair[0], pair[1], func(link *netfault.Link) {
+					link.Delay = d
+					link.Jitter = ms(f.Between.LateMs)
+					link.Loss = f.Between.Loss
 				})
 			}
 		}
@@ -114,8 +116,8 @@
 		if other == int(region) {
 			continue
 		}
-		faults.Change(int(region), other, func(w *netfault.Way) { w.Cut = off })
-		faults.Change(other, int(region), func(w *netfault.Way) { w.Cut = off })
+		faults.Change(int(region), other, func(link *netfault.Link) { link.Cut = off })
+		faults.Change(other, int(region), func(link *netfault.Link) { link.Cut = off })
 	}
 }
 
