--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -1,5 +1,5 @@
-// Package baselines has simple deciders that the module is measured against in rehearsals. They keep the rules and know
-// nothing of what goes wrong. No node imports them.
+// Package baselines has simple routing policies that the module is measured against in rehearsals. They keep the rules
+// on retries, and know nothing of what goes wrong. No node imports them.
 package baselines
 
 import (
@@ -14,182 +14,235 @@
 )
 
 const (
-	points  = 64                     // of each cache on the ring: shares differ by an eighth or so
-	holders = 3                      // of a key, as the module has them
-	upkeep  = time.Second            // they have none; the host wants a time
-	spare   = 2 * time.Millisecond   // before the deadline, for the answer's way
-	waits   = 250 * time.Millisecond // for a rejected client to come back, where it may be told
+	// ringPoints is the number of points of each cache on the ring: their shares differ by an eighth or so.
+	ringPoints = 64
+	// replicaCount is the number of replicas of a key, as the module has them.
+	replicaCount = 3
+	// tickPeriod is what the dispatcher is told; a baseline has nothing to do then.
+	tickPeriod = time.Second
+	// answerMargin is the time before a request's deadline that is left for the answer's way.
+	answerMargin = 2 * time.Millisecond
+	// retryAfter is when a rejected client may come back, where it may be told.
+	retryAfter = 250 * time.Millisecond
+	// windowMargin is the time before the end of a window for repeats from which no write is repeated.
+	windowMargin = time.Second
 )
 
 // Maker makes a decider, as the shells of the emulator want it.
 type Maker = func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider
 
-// Names are the baselines there are.
+// Names are the names of the baselines.
 var Names = []string{"random", "ring"}
 
-// Make finds a baseline by its name.
+// Make returns the baseline of a name, or an error that lists the names.
 func Make(name string) (Maker, error) {
 	switch name {
 	case "random":
-		return maker((*plain).anyone), nil
+		return maker((*router).randomReplica), nil
 	case "ring":
-		return maker((*plain).leastOfThree), nil
+		return maker((*router).leastLoadedReplica), nil
 	}
 	return nil, fmt.Errorf("there is no decider %q: module, %v", name, Names)
 }
 
-func maker(choose func(*plain, *policy.Request) policy.EndpointID) Maker {
+// replicaSelector selects a replica that was not tried, or nil if there is none.
+type replicaSelector func(*router, *policy.Request) *cache
+
+func maker(selectReplica replicaSelector) Maker {
 	return func(_ policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
-		p := &plain{rules: rules, choose: choose, caches: map[policy.EndpointID]*cache{}, chance: keyhash.Source{Seed: uint32(seed)}}
-		p.rules.MaxAttempts = max(1, rules.MaxAttempts)
-		return p
+		rules.MaxAttempts = max(1, rules.MaxAttempts)
+		return &router{
+			rules:         rules,
+			selectReplica: selectReplica,
+			endpoints:     map[policy.EndpointID]*cache{},
+			chance:        keyhash.Source{Seed: uint32(seed)},
+		}
 	}
 }
 
+// cache is an endpoint with the number of this router's attempts there.
 type cache struct {
 	policy.Endpoint
-	out int
+	inFlight int
 }
 
-// plain sends to whom choose says, tries again where the rules allow it, and gives up otherwise.
-type plain struct {
-	rules  policy.Settings
-	choose func(*plain, *policy.Request) policy.EndpointID
-	caches map[policy.EndpointID]*cache
-	ready  []*cache // those that may be sent to, by id; without the origin
-	ring   []point
-	origin *cache
-	chance keyhash.Source
+// router sends to the replica that is selected, retries where the rules allow it, and gives up otherwise.
+type router struct {
+	rules         policy.Settings
+	selectReplica replicaSelector
+	endpoints     map[policy.EndpointID]*cache
+	ring          []ringPoint // of the caches that may be sent to
+	origin        *cache
+	chance        keyhash.Source
 }
 
-type point struct {
-	at uint64
-	c  *cache
+// ringPoint is a point of a cache on the ring.
+type ringPoint struct {
+	hash  uint64
+	cache *cache
 }
 
-// Listed hears the list.
-func (p *plain) UpdateEndpoints(_ policy.Instant, form policy.UpdateKind, entries []policy.Endpoint) {
-	if form == policy.PollFailed {
+// UpdateEndpoints implements dispatch.Decider.
+func (r *router) UpdateEndpoints(_ policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint) {
+	if kind == policy.PollFailed {
 		return
 	}
-	named := map[policy.EndpointID]bool{}
-	for _, e := range entries {
-		if named[e.ID] = true; p.caches[e.ID] == nil {
-			p.caches[e.ID] = &cache{}
+	listed := map[policy.EndpointID]bool{}
+	for _, entry := range entries {
+		listed[entry.ID] = true
+		if r.endpoints[entry.ID] == nil {
+			r.endpoints[entry.ID] = &cache{}
+		}
+		r.endpoints[entry.ID].Endpoint = entry
+	}
+	for id, c := range r.endpoints {
+		if c.Lifecycle == policy.Removed || kind != policy.DeltaUpdate && !listed[id] {
+			delete(r.endpoints, id)
 		}
-		p.caches[e.ID].Endpoint = e
 	}
-	p.ready, p.ring, p.origin = nil, nil, nil
-	for id, c := range p.caches {
+	r.rebuildRing()
+}
+
+// rebuildRing finds the origin and places the caches that may be sent to on the ring.
+func (r *router) rebuildRing() {
+	r.ring = nil
+	r.origin = nil
+	for _, c := range r.endpoints {
 		switch {
-		case c.Lifecycle == policy.Removed || form != policy.DeltaUpdate && !named[id]:
-			delete(p.caches, id)
-		case p.rules.CacheAside && c.Kind == p.rules.OriginKind:
-			p.origin = c
+		case r.rules.CacheAside && c.Kind == r.rules.OriginKind:
+			r.origin = c
 		case c.Lifecycle == policy.Ready:
-			p.ready = append(p.ready, c)
+			for n := range ringPoints {
+				hash := keyhash.Salted(keyhash.String(string(c.ID)), n)
+				r.ring = append(r.ring, ringPoint{hash: hash, cache: c})
+			}
 		}
 	}
-	slices.SortFunc(p.ready, func(a, b *cache) int { return cmp.Compare(a.ID, b.ID) })
-	for _, c := range p.ready {
-		for n := range points {
-			p.ring = append(p.ring, point{keyhash.Salted(keyhash.String(string(c.ID)), n), c})
+	slices.SortFunc(r.ring, func(a, b ringPoint) int {
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.cache.ID, b.cache.ID))
+	})
+}
+
+// OnHealthCheck implements dispatch.Decider; a baseline makes no health checks.
+func (r *router) OnHealthCheck(policy.Instant, policy.EndpointID, policy.Result) {}
+
+// Tick implements dispatch.Decider; a baseline has nothing to do.
+func (r *router) Tick(policy.Instant) (time.Duration, []policy.Action) { return tickPeriod, nil }
+
+// replicas returns the replicas of a key: the next caches on the ring.
+func (r *router) replicas(key string) []*cache {
+	first, _ := slices.BinarySearchFunc(r.ring, keyhash.String(key), func(point ringPoint, hash uint64) int {
+		return cmp.Compare(point.hash, hash)
+	})
+	var replicas []*cache
+	for i := 0; i < len(r.ring) && len(replicas) < replicaCount; i++ {
+		c := r.ring[(first+i)%len(r.ring)].cache
+		if !slices.Contains(replicas, c) {
+			replicas = append(replicas, c)
 		}
 	}
-	slices.SortFunc(p.ring, func(a, b point) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.c.ID, b.c.ID)) })
+	return replicas
 }
 
-// Probed hears nothing: it never probes.
-func (p *plain) OnHealthCheck(policy.Instant, policy.EndpointID, policy.Result) {}
-
-// Wait has no chores.
-func (p *plain) Tick(policy.Instant) (time.Duration, []policy.Action) { return upkeep, nil }
-
-func tried(r *policy.Request, id policy.EndpointID) bool {
-	return slices.ContainsFunc(r.Attempts, func(l policy.Attempt) bool { return l.Endpoint == id })
+// untriedReplicas returns the replicas of a request's key that have had no attempt of it.
+func (r *router) untriedReplicas(request *policy.Request) []*cache {
+	return slices.DeleteFunc(r.replicas(request.Key), func(c *cache) bool {
+		return slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return a.Endpoint == c.ID })
+	})
 }
 
-// on lists a key's holders on the ring: the next three caches to the right.
-func (p *plain) on(key string) (hs []*cache) {
-	h := keyhash.String(key)
-	from, _ := slices.BinarySearchFunc(p.ring, h, func(q point, h uint64) int { return cmp.Compare(q.at, h) })
-	for i := 0; i < len(p.ring) && len(hs) < holders; i++ {
-		if c := p.ring[(from+i)%len(p.ring)].c; !slices.Contains(hs, c) {
-			hs = append(hs, c)
-		}
+func (r *router) randomReplica(request *policy.Request) *cache {
+	untried := r.untriedReplicas(request)
+	if len(untried) == 0 {
+		return nil
 	}
-	return hs
+	return untried[int(r.chance.Float64()*float64(len(untried)))]
 }
 
-// anyone is a random one of the key's holders.
-func (p *plain) anyone(r *policy.Request) policy.EndpointID {
-	hs := slices.DeleteFunc(p.on(r.Key), func(c *cache) bool { return tried(r, c.ID) })
-	if len(hs) == 0 {
-		return ""
+// leastLoadedReplica selects the replica with the fewest own attempts in flight, the first on the ring among equals.
+func (r *router) leastLoadedReplica(request *policy.Request) *cache {
+	untried := r.untriedReplicas(request)
+	if len(untried) == 0 {
+		return nil
 	}
-	return hs[int(p.chance.Float64()*float64(len(hs)))].ID
+	return slices.MinFunc(untried, func(a, b *cache) int { return cmp.Compare(a.inFlight, b.inFlight) })
 }
 
-// leastOfThree is the holder with the fewest own legs out, the first on the ring among equals.
-func (p *plain) leastOfThree(r *policy.Request) policy.EndpointID {
-	var best *cache
-	for _, c := range p.on(r.Key) {
-		if !tried(r, c.ID) && (best == nil || c.out < best.out) {
-			best = c
+// Route implements dispatch.Decider.
+func (r *router) Route(now policy.Instant, request *policy.Request) policy.Decision {
+	if request.Finished || anyInFlight(request) {
+		return policy.Decision{}
+	}
+	class := r.classOf(request)
+	attemptDeadline := request.Deadline.Add(-answerMargin)
+	if attemptDeadline > now && len(request.Attempts) < r.rules.MaxAttempts && mayAttempt(now, request, class) {
+		if target := r.target(request); target != nil {
+			target.inFlight++
+			return policy.Decision{SendTo: []policy.EndpointID{target.ID}, AttemptDeadline: attemptDeadline}
 		}
 	}
-	if best == nil {
-		return ""
+	if mayBeRepeated(request, class) {
+		return policy.Decision{Answer: policy.Reject, RetryAfter: min(r.rules.MaxRetryAfter, retryAfter)}
 	}
-	return best.ID
+	return policy.Decision{Answer: policy.Fail}
 }
 
-// Where sends a request.
-func (p *plain) Route(now policy.Instant, r *policy.Request) policy.Decision {
-	if r.Finished || slices.ContainsFunc(r.Attempts, func(l policy.Attempt) bool { return l.InFlight }) {
-		return policy.Decision{}
+func anyInFlight(request *policy.Request) bool {
+	return slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return a.InFlight })
+}
+
+func (r *router) classOf(request *policy.Request) policy.ServiceClass {
+	if request.Class < 0 || int(request.Class) >= len(r.rules.Classes) {
+		return policy.ServiceClass{}
 	}
-	g := policy.ServiceClass{}
-	if r.Class >= 0 && int(r.Class) < len(p.rules.Classes) {
-		g = p.rules.Classes[r.Class]
+	return r.rules.Classes[request.Class]
+}
+
+// mayBeRepeated reports whether a request may run again, by whoever sends it: it has not run, or its effect is dropped
+// the second time.
+func mayBeRepeated(request *policy.Request, class policy.ServiceClass) bool {
+	mayHaveRun := slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return !a.Result.NotExecuted() })
+	return !mayHaveRun || class.Idempotency == policy.Idempotent ||
+		class.Idempotency == policy.IdempotentByKey && class.DedupScope == policy.AllCaches
+}
+
+// mayAttempt reports whether another attempt may be made here. One that is idempotent by its key is repeated within the
+// window in which caches drop repeats.
+func mayAttempt(now policy.Instant, request *policy.Request, class policy.ServiceClass) bool {
+	if !mayBeRepeated(request, class) {
+		return false
 	}
-	missed, mayHaveRun := false, false
-	for _, l := range r.Attempts {
-		missed = missed || l.Result == policy.CacheMiss
-		mayHaveRun = mayHaveRun || !l.Result.NotExecuted()
+	executed := slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return !a.Result.NotExecuted() })
+	if !executed || class.Idempotency != policy.IdempotentByKey {
+		return true
 	}
-	by := r.Deadline.Add(-spare)
-	again := !mayHaveRun || g.Idempotency == policy.Idempotent ||
-		g.Idempotency == policy.IdempotentByKey && g.DedupScope == policy.AllCaches && now.Since(r.Attempts[0].SentAt) < g.DedupWindow-time.Second
-	if again && by > now && len(r.Attempts) < p.rules.MaxAttempts {
-		to := policy.EndpointID("")
-		switch {
-		case p.rules.CacheAside && (r.Write || missed) && p.origin != nil && p.origin.Lifecycle == policy.Ready:
-			to = p.origin.ID
-		case !p.rules.CacheAside || !r.Write && !missed:
-			to = p.choose(p, r)
-		}
-		if c := p.caches[to]; c != nil {
-			c.out++
-			return policy.Decision{SendTo: []policy.EndpointID{to}, AttemptDeadline: by}
-		}
+	return now.Since(request.Attempts[0].SentAt) < class.DedupWindow-windowMargin
+}
+
+// target returns where an attempt goes: to the origin after a miss and with writes that it takes, else to a replica. It
+// is nil if there is none.
+func (r *router) target(request *policy.Request) *cache {
+	missed := slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return a.Result == policy.CacheMiss })
+	if !r.rules.CacheAside || !request.Write && !missed {
+		return r.selectReplica(r, request)
 	}
-	if !mayHaveRun || g.Idempotency == policy.Idempotent || g.Idempotency == policy.IdempotentByKey && g.DedupScope == policy.AllCaches {
-		return policy.Decision{Answer: policy.Reject, RetryAfter: min(p.rules.MaxRetryAfter, waits)}
+	if r.origin == nil || r.origin.Lifecycle != policy.Ready {
+		return nil
 	}
-	return policy.Decision{Answer: policy.Fail}
+	return r.origin
 }
 
-// Still tells whether a leg may go out that has waited for its connection.
-func (p *plain) MayStart(_ policy.Instant, r policy.Request, leg int) bool {
-	c := p.caches[r.Attempts[leg].Endpoint]
+// MayStart implements dispatch.Decider: an attempt that has waited for its connection may start if its cache does not
+// drain by now.
+func (r *router) MayStart(_ policy.Instant, request policy.Request, attempt int) bool {
+	c := r.endpoints[request.Attempts[attempt].Endpoint]
 	return c != nil && c.Lifecycle == policy.Ready
 }
 
-// After hears a leg's outcome, and tries again.
-func (p *plain) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
-	if c := p.caches[r.Attempts[o.Attempt].Endpoint]; c != nil {
-		c.out = max(0, c.out-1)
+// OnAttemptDone implements dispatch.Decider, and retries.
+func (r *router) OnAttemptDone(now policy.Instant, request *policy.Request, outcome policy.Outcome) policy.Decision {
+	if c := r.endpoints[request.Attempts[outcome.Attempt].Endpoint]; c != nil {
+		c.inFlight = max(0, c.inFlight-1)
 	}
-	return p.Route(now, r)
+	return r.Route(now, request)
 }
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -132,4 +132,4 @@
 func (sim *Simulation) TwinNode(int) {}
 
 // Between does nothing.
-func (sim *Simulation) Between(int, int, func(*netfault.Way)) {}
+func (sim *Simulation) Between(int, int, func(*netfault.Link)) {}
