--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -1,12 +1,11 @@
-// Package load asks a node, or anything that speaks its protocol, at a stated rate, and tells what came. It is open loop:
-// a try goes out at its time whether or not earlier ones have been answered, and its time counts from when it was due, not
-// from when it could be sent, so that a stall is felt by all that fell due in it (corrected for coordinated omission).
+// Package loadgen sends requests to a node, or to anything that speaks its protocol, at a stated rate, and reports what
+// came of them. It is an open loop: a request is sent at its time whether or not earlier ones have been answered, and
+// its latency counts from when it was due, not from when it could be sent. So a stall is seen in all requests that fell
+// due in it (corrected for coordinated omission).
 package loadgen
 
 import (
 	"context"
-	"fmt"
-	"io"
 	"runtime"
 	"sync"
 	"time"
@@ -20,73 +19,124 @@
 )
 
 const (
-	shortest, longest, digits = int64(time.Microsecond), int64(time.Minute), 3 // what histograms tell apart
-	lateBy                    = 10 * time.Millisecond                          // that a try may go out after its time
-	lateShare                 = 0.01                                           // of them that may, before the machine was too busy
-	yieldsUnder               = 300 * time.Microsecond                         // timers wake up to a millisecond late: the rest is waited for awake
+	// minLatency and maxLatency bound what the histograms tell apart, in nanoseconds.
+	minLatency = int64(time.Microsecond)
+	maxLatency = int64(time.Minute)
+	// latencyDigits is the precision of the histograms, in decimal digits.
+	latencyDigits = 3
+	// lateAfter is how long after its time a request may be sent.
+	lateAfter = 10 * time.Millisecond
+	// maxLateShare is the share of requests that may be sent later, before the machine was too busy.
+	maxLateShare = 0.01
+	// spinBefore is the time before a request is due that is waited for by spinning, as timers wake up to a millisecond
+	// late.
+	spinBefore = 300 * time.Microsecond
 )
 
-// Class is what one grade got.
-type Class struct {
-	Name                          string
-	Asked, Satisfied, InTime      int64
-	Rejected, Failed, Cut, Silent int64
-	Wrong                         int64
-	Took                          *hdrhistogram.Histogram // of those satisfied, from when they were due
-	Bare                          *hdrhistogram.Histogram // the same from when they were sent
+// ClassResult is what became of the requests of one service class.
+type ClassResult struct {
+	Name      string
+	Sent      int64
+	Satisfied int64 // answered with a result
+	InTime    int64 // of these, within the class's latency objective
+	Rejected  int64
+	Failed    int64
+	Cut       int64 // the connection ended without an answer
+	Silent    int64 // nothing came
+	Wrong     int64 // answers that are not as they should be
+	// Latency is the time from when satisfied requests were due to their answers, ServiceTime from when they were sent.
+	Latency     *hdrhistogram.Histogram
+	ServiceTime *hdrhistogram.Histogram
 }
 
-// Result is what a run got.
+// Result is what became of the requests of a run.
 type Result struct {
-	Grades []Class
-	Long   time.Duration
-	Late   int64
-	Asked  int64
+	Classes  []ClassResult
+	Duration time.Duration
+	Sent     int64
+	SentLate int64 // over lateAfter after their time
 }
 
-// Run asks until its time is over or the context is, by HTTP as internal/emulator/client puts it, or by meta commands.
-func Run(ctx context.Context, addr string, http bool, traffic *world.Traffic, long time.Duration) *Result {
-	r := &Result{}
-	for _, g := range traffic.Classes {
-		r.Grades = append(r.Grades, Class{Name: g.Name, Took: hdrhistogram.New(shortest, longest, digits),
-			Bare: hdrhistogram.New(shortest, longest, digits)})
+// run is a run of the generator. mu guards the classes' results, which answers come to from several goroutines.
+type run struct {
+	result  *Result
+	traffic *world.Traffic
+	pool    *client.Pool
+	began   time.Time
+	mu      sync.Mutex
+	pending sync.WaitGroup
+}
+
+// Run sends traffic to an address for a duration, or until the context is done: by HTTP in the form of package client,
+// or by meta commands. It returns once all requests have ended.
+func Run(ctx context.Context, addr string, http bool, traffic *world.Traffic, duration time.Duration) *Result {
+	r := &run{
+		result:  newResult(traffic.Classes),
+		traffic: traffic,
+		pool:    &client.Pool{Addr: addr, HTTP: http},
+		began:   time.Now(),
 	}
-	pool := &client.Pool{Addr: addr, HTTP: http}
-	var mu sync.Mutex
-	var asking sync.WaitGroup
-	began := time.Now()
-	now := func() policy.Instant { return policy.Instant(time.Since(began)) }
-	for at := traffic.Next(0); time.Duration(at) < long && wait(ctx, began.Add(time.Duration(at))); at = traffic.Next(at) {
-		req := traffic.Draw(at)
-		due, g, t := began.Add(time.Duration(at)), &r.Grades[req.Class], &traffic.Classes[req.Class]
-		if r.Asked++; time.Since(due) > lateBy {
-			r.Late++
-		}
-		a := &client.Ask{ID: req.ID, Key: req.Key, Label: req.Label, Grade: t.Name, Write: t.Write, Wait: req.Deadline}
-		if t.Write {
-			a.Value = world.ValueOf(req.Key)
+	for at := traffic.Next(0); time.Duration(at) < duration; at = traffic.Next(at) {
+		if !waitUntil(ctx, r.began.Add(time.Duration(at))) {
+			break
 		}
-		asking.Add(1)
-		pool.Ask(a, func(got client.Answer) {
-			defer asking.Done()
-			mu.Lock()
-			defer mu.Unlock()
-			g.count(got, due, t.LatencyObjective)
+		r.send(at)
+	}
+	r.pending.Wait()
+	r.result.Duration = time.Since(r.began)
+	r.pool.Close()
+	return r.result
+}
+
+func newResult(classes []world.Class) *Result {
+	result := &Result{}
+	for _, class := range classes {
+		result.Classes = append(result.Classes, ClassResult{
+			Name:        class.Name,
+			Latency:     hdrhistogram.New(minLatency, maxLatency, latencyDigits),
+			ServiceTime: hdrhistogram.New(minLatency, maxLatency, latencyDigits),
 		})
 	}
-	asking.Wait()
-	r.Long = time.Duration(now())
-	pool.Close()
-	return r
+	return result
 }
 
-// wait returns at a time, or false once the context is over.
-func wait(ctx context.Context, until time.Time) bool {
-	if rest := time.Until(until); rest > yieldsUnder {
+// send sends the request that is due at a time since the run's beginning.
+func (r *run) send(at policy.Instant) {
+	drawn := r.traffic.Draw(at)
+	due := r.began.Add(time.Duration(at))
+	class := &r.traffic.Classes[drawn.Class]
+	result := &r.result.Classes[drawn.Class]
+	r.result.Sent++
+	if time.Since(due) > lateAfter {
+		r.result.SentLate++
+	}
+	request := &client.Ask{
+		ID:    drawn.ID,
+		Key:   drawn.Key,
+		Label: drawn.Label,
+		Grade: class.Name,
+		Write: class.Write,
+		Wait:  drawn.Deadline,
+	}
+	if class.Write {
+		request.Value = world.ValueOf(drawn.Key)
+	}
+	r.pending.Add(1)
+	r.pool.Ask(request, func(answer client.Answer) {
+		defer r.pending.Done()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		result.count(answer, due, class.LatencyObjective)
+	})
+}
+
+// waitUntil returns true at a time, or false once the context is done.
+func waitUntil(ctx context.Context, until time.Time) bool {
+	if rest := time.Until(until); rest > spinBefore {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(rest - yieldsUnder):
+		case <-time.After(rest - spinBefore):
 		}
 	}
 	for time.Until(until) > 0 {
@@ -95,46 +145,39 @@
 	return ctx.Err() == nil
 }
 
-func (g *Class) count(got client.Answer, due time.Time, soft time.Duration) {
-	g.Asked++
-	if got.Wrong != "" || got.Extra {
-		g.Wrong++
+func (c *ClassResult) count(answer client.Answer, due time.Time, objective time.Duration) {
+	c.Sent++
+	if answer.Wrong != "" || answer.Extra {
+		c.Wrong++
 	}
 	switch {
-	case got.Silent:
-		g.Silent++
-	case got.Final == checker.Satisfied:
-		g.Satisfied++
-		took := got.Got.Sub(due)
-		if took <= soft {
-			g.InTime++
-		}
-		_ = g.Took.RecordValue(min(max(int64(took), shortest), longest)) // within its bounds it can't fail
-		_ = g.Bare.RecordValue(min(max(int64(got.Got.Sub(got.Sent)), shortest), longest))
-	case got.Final == checker.Rejected:
-		g.Rejected++
-	case got.Final == checker.Cut:
-		g.Cut++
+	case answer.Silent:
+		c.Silent++
+	case answer.Final == checker.Satisfied:
+		c.countSatisfied(answer, due, objective)
+	case answer.Final == checker.Rejected:
+		c.Rejected++
+	case answer.Final == checker.Cut:
+		c.Cut++
 	default:
-		g.Failed++
+		c.Failed++
 	}
 }
 
-// TooBusy tells whether tries went out too late for the figures to say anything of the node.
-func (r *Result) TooBusy() bool { return float64(r.Late) > lateShare*float64(r.Asked) }
-
-// Print writes a table.
-func (r *Result) Print(to io.Writer) {
-	fmt.Fprintf(to, "%d asked in %.1f s, %.0f a second; times in ms from when each was due\n", r.Asked, r.Long.Seconds(),
-		float64(r.Asked)/r.Long.Seconds())
-	fmt.Fprintf(to, "%-10s %8s %9s %8s %9s %8s %5s %6s %5s %8s %8s %8s %8s %8s\n", "grade", "asked", "satisfied", "in time", "rejected", "failed",
-		"cut", "silent", "wrong", "p50", "p90", "p99", "p99.9", "most")
-	for _, g := range r.Grades {
-		at := func(q float64) float64 { return float64(g.Took.ValueAtQuantile(q)) / 1e6 }
-		fmt.Fprintf(to, "%-10s %8d %9d %8d %9d %8d %5d %6d %5d %8.2f %8.2f %8.2f %8.2f %8.2f\n", g.Name, g.Asked, g.Satisfied, g.InTime, g.Rejected,
-			g.Failed, g.Cut, g.Silent, g.Wrong, at(50), at(90), at(99), at(99.9), float64(g.Took.Max())/1e6)
-	}
-	if r.TooBusy() {
-		fmt.Fprintf(to, "this machine was too busy: %d of %d went out over %v late\n", r.Late, r.Asked, lateBy)
+func (c *ClassResult) countSatisfied(answer client.Answer, due time.Time, objective time.Duration) {
+	c.Satisfied++
+	latency := answer.Got.Sub(due)
+	if latency <= objective {
+		c.InTime++
 	}
+	record(c.Latency, latency)
+	record(c.ServiceTime, answer.Got.Sub(answer.Sent))
+}
+
+// record takes a duration into a histogram, whose only error is for one out of its bounds.
+func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
+	_ = histogram.RecordValue(min(max(int64(duration), minLatency), maxLatency))
 }
+
+// TooBusy reports whether requests were sent too late for the figures to say anything of the node.
+func (r *Result) TooBusy() bool { return float64(r.SentLate) > maxLateShare*float64(r.Sent) }
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -56,8 +56,13 @@
 }
 
 func reads(rate float64) *world.Traffic {
-	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Classes: []world.Class{{Name: "read", Share: 1,
-		Deadline: 2 * time.Second, ServiceClass: policy.ServiceClass{LatencyObjective: 100 * time.Millisecond}}}})
+	class := world.Class{
+		Name:         "read",
+		Share:        1,
+		Deadline:     2 * time.Second,
+		ServiceClass: policy.ServiceClass{LatencyObjective: 100 * time.Millisecond},
+	}
+	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Classes: []world.Class{class}})
 }
 
 // A server that stops for 400 ms is to be seen in all that fell due meanwhile, and must not hold later arrivals back: a
@@ -68,21 +73,21 @@
 		return time.After(min(time.Until(began.Add(200*time.Millisecond+stalled)), stalled))
 	})
 	r := Run(context.Background(), addr, false, reads(200), time.Second)
-	g := r.Grades[0]
-	if r.Asked < 150 || g.Asked != r.Asked || g.Silent+g.Cut+g.Failed > 0 {
+	g := r.Classes[0]
+	if r.Sent < 150 || g.Sent != r.Sent || g.Silent+g.Cut+g.Failed > 0 {
 		t.Fatalf("%+v", r)
 	}
-	if g.Satisfied+g.Rejected != g.Asked || g.Rejected < 1 || g.Wrong < 1 {
-		t.Errorf("%d satisfied, %d rejected, %d wrong of %d", g.Satisfied, g.Rejected, g.Wrong, g.Asked)
+	if g.Satisfied+g.Rejected != g.Sent || g.Rejected < 1 || g.Wrong < 1 {
+		t.Errorf("%d satisfied, %d rejected, %d wrong of %d", g.Satisfied, g.Rejected, g.Wrong, g.Sent)
 	}
 	slow := 0
-	for _, b := range g.Took.Distribution() {
+	for _, b := range g.Latency.Distribution() {
 		if b.From > int64(100*time.Millisecond) {
 			slow += int(b.Count)
 		}
 	}
-	if slow < 50 || time.Duration(g.Took.Max()) < 300*time.Millisecond {
-		t.Errorf("%d of %d over 100 ms, at most %v", slow, g.Asked, time.Duration(g.Took.Max()))
+	if slow < 50 || time.Duration(g.Latency.Max()) < 300*time.Millisecond {
+		t.Errorf("%d of %d over 100 ms, at most %v", slow, g.Sent, time.Duration(g.Latency.Max()))
 	}
 }
 
@@ -93,7 +98,7 @@
 	now := make(chan time.Time)
 	close(now)
 	r := Run(ctx, server(t, func() <-chan time.Time { return now }), false, reads(300), time.Minute)
-	if r.Asked < 10 || r.Long > 10*time.Second || r.Grades[0].Asked != r.Asked {
+	if r.Sent < 10 || r.Duration > 10*time.Second || r.Classes[0].Sent != r.Sent {
 		t.Errorf("%+v", r)
 	}
 }
@@ -109,8 +114,10 @@
 		w.WriteHeader([]int{503, 502, 404, 200}[min(n, 3)])
 	}))
 	t.Cleanup(s.Close)
-	g := Run(context.Background(), strings.TrimPrefix(s.URL, "http://"), true, reads(200), time.Second).Grades[0]
-	if tenth := g.Asked / 10; g.Asked < 150 || g.Cut+g.Silent > 0 || g.Rejected < tenth || g.Failed < 2*tenth || g.Wrong < tenth || g.Satisfied < 6*tenth {
+	g := Run(context.Background(), strings.TrimPrefix(s.URL, "http://"), true, reads(200), time.Second).Classes[0]
+	tenth := g.Sent / 10
+	if g.Sent < 150 || g.Cut+g.Silent > 0 || g.Rejected < tenth || g.Failed < 2*tenth || g.Wrong < tenth ||
+		g.Satisfied < 6*tenth {
 		t.Errorf("%+v", g)
 	}
 }
