--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -12,6 +12,7 @@
 
 	"github.com/spf13/cobra"
 
+	"dahliapin/internal/emulator/coverage"
 	"dahliapin/internal/emulator/report"
 	"dahliapin/internal/emulator/scenario"
 )
@@ -87,43 +88,64 @@
 	return first, last, nil
 }
 
-// run runs all schedules, several at once. Runs for which the machine was too busy prove nothing, and are reported as
-// such.
+// coverageFile is the file in the output folder that has what the schedules' faults met.
+const coverageFile = "coverage.json"
+
+// run runs all schedules, several at once, and writes what their faults met. Runs for which the machine was too busy
+// prove nothing, and are reported as such.
 func (o *soakOptions) run(out io.Writer, play player) error {
-	var tally soakTally
+	tally := soakTally{met: coverage.NewTable(scenario.SoakFaults())}
+	o.playAll(out, &tally, play)
+	if err := errors.Join(tally.errs...); err != nil {
+		return err
+	}
+	if err := o.reportCoverage(out, tally.met); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n",
+		tally.played, len(tally.broken), tally.notJudged)
+	if len(tally.broken) == 0 {
+		return nil
+	}
+	fmt.Fprintln(out, strings.Join(tally.broken, " "))
+	return errNotMet
+}
+
+// playAll plays the schedules of all seeds, in the order of seeds.
+func (o *soakOptions) playAll(out io.Writer, tally *soakTally, play player) {
 	var workers sync.WaitGroup
-	seeds := make(chan int64)
+	schedules := make(chan *scenario.Scenario)
 	for range o.parallel {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for seed := range seeds {
-				tally.addError(o.runOne(out, seed, &tally, play))
+			for schedule := range schedules {
+				tally.addError(o.runOne(out, schedule, tally, play))
 			}
 		}()
 	}
-	for seed := o.firstSeed; seed <= o.lastSeed; seed++ {
-		seeds <- seed
+	for _, schedule := range scenario.Soaks(o.firstSeed, o.lastSeed, o.duration.Seconds()) {
+		schedules <- schedule
 	}
-	close(seeds)
+	close(schedules)
 	workers.Wait()
-	if err := errors.Join(tally.errs...); err != nil {
+}
+
+// reportCoverage prints what the faults of all judged schedules met, and writes it as JSON.
+func (o *soakOptions) reportCoverage(out io.Writer, met *coverage.Table) error {
+	met.Print(out)
+	never := met.NeverMet()
+	fmt.Fprintf(out, "%d pairs never met: %s\n", len(never), strings.Join(never, ", "))
+	if err := makeReportFolder(o.out); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n",
-		tally.played, len(tally.broken), tally.notJudged)
-	if len(tally.broken) == 0 {
-		return nil
-	}
-	fmt.Fprintln(out, strings.Join(tally.broken, " "))
-	return errNotMet
+	return writeJSON(filepath.Join(o.out, coverageFile), met)
 }
 
-func (o *soakOptions) runOne(out io.Writer, seed int64, tally *soakTally, play player) error {
-	schedule := scenario.Soak(seed, o.duration.Seconds())
+func (o *soakOptions) runOne(out io.Writer, schedule *scenario.Scenario, tally *soakTally, play player) error {
 	result, err := play(schedule)
 	if err != nil {
-		return err
+		return fmt.Errorf("%s: %w", schedule.Name, err)
 	}
 	return tally.add(out, schedule, result, o.out)
 }
@@ -133,7 +155,8 @@
 	mu        sync.Mutex // over all fields, and the printing of a result
 	played    int
 	notJudged int
-	broken    []string // names of schedules
+	broken    []string        // names of schedules
+	met       *coverage.Table // by the faults of those that were judged
 	errs      []error
 }
 
@@ -151,6 +174,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
+	if r.Coverage != nil && r.MachineTooBusy == "" {
+		t.met.Add(r.Coverage)
+	}
 	verdict := "kept all rules"
 	switch {
 	case r.MachineTooBusy != "":
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -128,17 +128,18 @@
 }
 
 func TestSoakDrawsTheSameBySeedAndAScriptThatPlays(t *testing.T) {
-	for seed := range int64(300) {
-		s := scenario.Soak(seed+1, soakFor.Seconds())
+	const seeds = 300
+	again := scenario.Soaks(1, seeds, soakFor.Seconds())
+	for i, s := range scenario.Soaks(1, seeds, soakFor.Seconds()) {
 		text, err := s.Text()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := scenario.Parse(s.Name, text); err != nil {
-			t.Errorf("seed %d: %v", seed+1, err)
+			t.Errorf("seed %d: %v", s.Seed, err)
 		}
-		if again, _ := scenario.Soak(seed+1, soakFor.Seconds()).Text(); !bytes.Equal(text, again) {
-			t.Errorf("seed %d draws otherwise the second time", seed+1)
+		if second, _ := again[i].Text(); !bytes.Equal(text, second) {
+			t.Errorf("seed %d draws otherwise the second time", s.Seed)
 		}
 	}
 }
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -7,6 +7,7 @@
 
 	"dahliapin/internal/config/listeners"
 	"dahliapin/internal/emulator/client"
+	"dahliapin/internal/emulator/coverage"
 	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/freeport"
 	"dahliapin/internal/proxy/eventlog"
@@ -34,6 +35,8 @@
 	parting bool // clients use the connections that they have, and make no new ones
 	killed  bool // by the script: what it had in hand is excused
 	ending  bool // by the script, or since the run is over
+
+	termNextStart time.Duration // after which its next process is told to end; 0 for not
 }
 
 func (r *Rig) newMember(number int) (*member, error) {
@@ -83,15 +86,21 @@
 	}
 	m.process, m.killed, m.ending, m.parting = p, false, false, false
 	m.r.views.Truth(m.r.now(), m.name, true, true)
+	phase := coverage.Handover
 	if m.life++; !replaces {
 		m.lives++
+		phase = coverage.Starting
 	}
+	m.r.coverage.PhaseChanged(m.number, phase)
 	life := m.life
 	m.r.mu.Unlock()
 	go func() {
 		<-p.Done()
 		m.r.mu.Lock()
 		defer m.r.mu.Unlock()
+		if m.life == life {
+			m.r.coverage.PhaseChanged(m.number, coverage.Down)
+		}
 		if m.life == life && !m.ending && !m.r.stopped {
 			m.serving = false
 			m.r.deaths = append(m.r.deaths, m.name+": "+p.Ended())
@@ -107,9 +116,11 @@
 	r.views.Truth(r.now(), m.name, false, false)
 	if !orderly {
 		m.killed, m.serving = true, false
+		r.coverage.PhaseChanged(number, coverage.Down)
 		m.process.Kill()
 		return
 	}
+	r.coverage.PhaseChanged(number, coverage.Draining)
 	m.process.End()
 	r.At(r.now().Add(clientsLinger), func() {
 		if m.ending {
@@ -126,27 +137,34 @@
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
 	if p, can := process.(Reloader); can {
-		r.At(r.now().Add(signalInterval), p.Reload)
-		r.At(r.now().Add(2*signalInterval), process.End)
+		r.signalDraining(m, signalInterval, "node_reload", p.Reload)
+		r.signalDraining(m, 2*signalInterval, "node_restart", process.End)
 	}
-	r.At(r.now().Add(min(r.settings.LongestDeadline, maxDeadlineAtStop)+killDelay), func() {
+	r.At(r.now().Add(r.timeToKill()), func() {
 		m.parting = false
 		process.Kill()
 	})
 }
 
+// signalDraining sends a further signal to a node that was told to end, and counts what it meets; the lock is held.
+func (r *Rig) signalDraining(m *member, after time.Duration, fault coverage.Fault, send func()) {
+	r.At(r.now().Add(after), func() {
+		r.coverage.FaultBegan(fault, []int{m.number})()
+		send()
+	})
+}
+
+// TerminateNextStart has the node's next process told to end so long after it was started; the lock is held.
+func (r *Rig) TerminateNextStart(number int, after time.Duration) {
+	r.nodes[number].termNextStart = after
+}
+
 // StartNode starts it anew once the old one has ended; the lock is held.
 func (r *Rig) StartNode(number int) {
 	m := r.nodes[number]
 	go func() {
 		<-m.process.Done()
-		if r.over() {
-			return
-		}
-		if err := m.start(false); err != nil {
-			r.mu.Lock()
-			r.deaths = append(r.deaths, err.Error())
-			r.mu.Unlock()
+		if r.over() || !m.startAnew() {
 			return
 		}
 		for !m.pool.Ready() {
@@ -157,10 +175,56 @@
 		}
 		r.mu.Lock()
 		m.serving = true
+		r.coverage.PhaseChanged(number, coverage.Serving)
 		r.mu.Unlock()
 	}()
 }
 
+// startAnew starts the node's next process, and yet another one where that is to be told to end while it starts. It
+// tells whether a process runs.
+func (m *member) startAnew() bool {
+	m.r.mu.Lock()
+	termAfter := m.termNextStart
+	m.termNextStart = 0
+	m.r.mu.Unlock()
+	err := m.start(false)
+	if err == nil && termAfter > 0 && !m.r.over() {
+		m.terminateStart(termAfter)
+		err = m.start(false)
+	}
+	if err != nil {
+		m.r.mu.Lock()
+		m.r.deaths = append(m.r.deaths, err.Error())
+		m.r.mu.Unlock()
+	}
+	return err == nil
+}
+
+// terminateStart tells a process that starts to end, and waits until it has. One that does not end within the time of
+// the protocol is killed.
+func (m *member) terminateStart(after time.Duration) {
+	time.Sleep(after)
+	m.r.mu.Lock()
+	process := m.process
+	m.r.coverage.FaultBegan("node_term_start", []int{m.number})()
+	m.ending = true
+	m.r.coverage.PhaseChanged(m.number, coverage.Draining)
+	process.End()
+	m.r.mu.Unlock()
+	select {
+	case <-process.Done():
+	case <-time.After(m.r.timeToKill()):
+		process.Kill()
+		<-process.Done()
+		m.failed("told to end while it started, it did not end in time")
+	}
+}
+
+// timeToKill is after how long a process that was told to end may be killed.
+func (r *Rig) timeToKill() time.Duration {
+	return min(r.settings.LongestDeadline, maxDeadlineAtStop) + killDelay
+}
+
 func (r *Rig) over() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/coverage"
 	"dahliapin/internal/emulator/report"
 	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
@@ -362,6 +363,13 @@
 			if at := r.FirstOf("c3", eventlog.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
 			}
+			met := r.Coverage
+			if met.Met("node_restart", coverage.Serving) != 1 || met.Met("silent", coverage.Draining) != 1 {
+				t.Errorf("what faults met is not counted: %v", met.NeverMet())
+			}
+			if met.InFlight("silent", policy.Idempotent) == 0 || met.Met("kill", coverage.Standby) != 0 {
+				t.Errorf("what faults met is not counted: %v", met.NeverMet())
+			}
 		})
 	}
 }
--- a/internal/emulator/realtime/operators.go
+++ b/internal/emulator/realtime/operators.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 	"time"
+
+	"dahliapin/internal/emulator/coverage"
 )
 
 const (
@@ -68,13 +70,28 @@
 			m.failed("the old process does not end")
 			old.Kill()
 		}
+		r.handedOver(m)
 	}()
 }
 
+// handedOver notes that a node's new process is alone.
+func (r *Rig) handedOver(m *member) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !m.ending {
+		r.coverage.PhaseChanged(m.number, coverage.Serving)
+	}
+}
+
 // StandbyNode has a node stand by, or take clients again, as operators and the front see it; the lock is held.
 func (r *Rig) StandbyNode(number int, by bool) {
 	m := r.nodes[number]
 	r.views.Truth(r.now(), m.name, !by, false) // who stands by is no member
+	if by {
+		r.coverage.PhaseChanged(number, coverage.Standby)
+	} else {
+		r.coverage.PhaseChanged(number, coverage.Serving)
+	}
 	go func() {
 		path, begun := "/active", time.Now()
 		if by {
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -11,6 +11,7 @@
 	"dahliapin/internal/config/settings"
 	"dahliapin/internal/emulator/checker"
 	"dahliapin/internal/emulator/client"
+	"dahliapin/internal/emulator/coverage"
 	"dahliapin/internal/emulator/netfault"
 	"dahliapin/internal/emulator/report"
 	"dahliapin/internal/emulator/runner"
@@ -84,6 +85,7 @@
 	checker     *checker.Checker
 	observer    *runner.WorldObserver
 	log         *report.Log
+	coverage    *coverage.Tracker
 	run         *runner.Run
 	fleet       *eventlog.Recorder
 	queue       timerqueue.Queue[func()]
@@ -164,6 +166,7 @@
 		listUp:    up,
 		chance:    keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
 		log:       report.NewLog(s, epoch),
+		coverage:  coverage.NewTracker(s.Fleet.Nodes),
 		traffic:   world.NewTraffic(s.TrafficPlan()),
 	}
 	r.checker = checker.New(checker.Rules{
@@ -227,6 +230,7 @@
 	defer r.mu.Unlock()
 	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now gets none
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
+	result.Coverage = r.coverage.Table
 	for _, how := range r.deaths {
 		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
 	}
@@ -313,6 +317,7 @@
 		}
 		r.mu.Lock()
 		m.serving = true
+		r.coverage.PhaseChanged(m.number, coverage.Serving)
 		r.mu.Unlock()
 	}
 	return nil
@@ -383,6 +388,7 @@
 	now, life := r.now(), m.lives
 	m.figures.open++
 	m.asks[req.ID] = true
+	r.coverage.RequestSent(m.number, req.ID, g.Idempotency)
 	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
 	a := &client.Ask{ID: req.ID, Key: req.Key, Label: req.Label, Grade: g.Name, Write: g.Write, Repeat: req.Try > 1, Wait: req.Deadline, Leaves: req.Leaves, OnlyOpen: !m.serving}
 	if g.Write {
@@ -406,6 +412,7 @@
 		return
 	}
 	delete(m.asks, req.ID)
+	r.coverage.RequestEnded(m.number, req.ID)
 	g, now := &r.traffic.Classes[req.Class], r.at(got.Got)
 	if got.Extra {
 		r.checker.WrongAnswer(now, "", "more came on a connection than one answer for each request")
@@ -454,6 +461,11 @@
 	}
 }
 
+// EventBegan counts what an event meets, until its end; the lock is held, there too.
+func (r *Rig) EventBegan(e *scenario.Event) (ended func()) {
+	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
+}
+
 // Said keeps a line of what the script does.
 func (r *Rig) Said(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/coverage"
 	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
 	"dahliapin/internal/proxy/eventlog"
@@ -68,6 +69,7 @@
 	Records            []eventlog.Event `json:"-"`
 	Dropped            int              `json:"records_dropped,omitempty"`
 	Together           *Fleet           `json:"together,omitempty"`
+	Coverage           *coverage.Table  `json:"coverage,omitempty"` // what each fault met; nil in virtual time
 }
 
 // New makes the report of a run that has ended. first is when the first event began and last when the last ended,
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -35,11 +35,14 @@
 	"node_standby": (*Run).standbyNodes,
 	"node_twin":    (*Run).twinNodes,
 	"node_crowd":   (*Run).crowdNodes,
-	"node_stall":   (*Run).stallClients,
-	"node_reload":  (*Run).reloadNodes,
-	"node_freeze":  (*Run).freezeNodes,
-	"node_pause":   (*Run).pauseNodes,
-	"node_hang":    (*Run).hangNodes,
+
+	"node_term_start": (*Run).terminateStarts,
+
+	"node_stall":  (*Run).stallClients,
+	"node_reload": (*Run).reloadNodes,
+	"node_freeze": (*Run).freezeNodes,
+	"node_pause":  (*Run).pauseNodes,
+	"node_hang":   (*Run).hangNodes,
 
 	"between_cut":   (*Run).cutBetween,
 	"between_loss":  (*Run).loseBetween,
@@ -164,6 +167,19 @@
 	})
 }
 
+// terminateStarts restarts nodes, each of whose next process is told to end while it starts.
+func (r *Run) terminateStarts(e *event) {
+	terminator, ok := r.rig.(StartTerminator)
+	if !ok {
+		return
+	}
+	r.eachNode(e, func(at policy.Instant, node int) {
+		terminator.TerminateNextStart(node, scenario.Span(e.LateMs/1000))
+		r.rig.EndNode(node, true)
+		r.rig.At(at.Add(max(minDowntime, e.duration)), func() { r.rig.StartNode(node) })
+	})
+}
+
 // scrapeNodes reads the metrics of all nodes at once, whatever time the event is spread over.
 func (r *Run) scrapeNodes(e *event) {
 	for _, number := range r.scenario.Members(e.Event) {
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"dahliapin/internal/emulator/netfault"
+	"dahliapin/internal/emulator/scenario"
 	"dahliapin/internal/emulator/world"
 	"dahliapin/policy"
 )
@@ -27,6 +28,18 @@
 	Said(now policy.Instant, what string)
 }
 
+// FaultObserver is a rig that follows which events are under way.
+type FaultObserver interface {
+	// EventBegan is told of an event before anything is done for it; what it returns is called at the event's end.
+	EventBegan(e *scenario.Event) (ended func())
+}
+
+// StartTerminator is a rig that can tell a node to end while it starts.
+type StartTerminator interface {
+	// TerminateNextStart has the node's next process told to end so long after it was started; another one follows.
+	TerminateNextStart(node int, after time.Duration)
+}
+
 // ServerRig acts on connections to servers.
 type ServerRig interface {
 	// Broke resets all connections to a server.
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -55,12 +55,16 @@
 		return
 	}
 	duration := scenario.Span(e.ForS)
-	handle(r, &event{
+	begun := &event{
 		Event:    e,
 		start:    now,
 		duration: duration,
 		end:      now.Add(duration + scenario.Span(e.OverS)),
-	})
+	}
+	if observer, ok := r.rig.(FaultObserver); ok {
+		r.rig.At(begun.end, observer.EventBegan(e))
+	}
+	handle(r, begun)
 }
 
 // event is a scenario's event at its time. What is spread over a time begins one after the other and ends together.
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -2,6 +2,8 @@
 
 import (
 	"slices"
+
+	"dahliapin/internal/emulator/coverage"
 )
 
 // The events that operators cause, or that concern processes or what is between them. They are played on sockets only.
@@ -16,6 +18,8 @@
 	stall   = "node_stall"  // clients stop in the middle of a request, and stay
 	reload  = "node_reload" // it is told to read its configuration again, several times in a row
 	freeze  = "node_freeze" // its process stands still for a moment that rules allow for
+
+	termStart = "node_term_start" // it is restarted, and its next process is told to end while it starts
 )
 
 // The faults between nodes.
@@ -73,6 +77,7 @@
 	stall:          {nodes: true, count: true},
 	reload:         {nodes: true, count: true},
 	freeze:         {nodes: true, duration: true},
+	termStart:      {nodes: true, lateness: true},
 
 	cut:   {pairs: true, duration: true},
 	loss:  {pairs: true, share: true, duration: true},
@@ -100,6 +105,26 @@
 // whatever nodes do.
 func (s *Scenario) OnSockets() bool {
 	return s.Operated() || s.Together != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
-		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze
+		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
 	})
 }
+
+// FaultName is what an event is counted as in the coverage of schedules.
+func (e *Event) FaultName() coverage.Fault {
+	if e.Fault != "" {
+		return coverage.Fault(e.Do + ":" + e.Fault)
+	}
+	return coverage.Fault(e.Do)
+}
+
+// ConcernedNodes are the numbers of the nodes that an event concerns, from 0; nil for all of them.
+func (s *Scenario) ConcernedNodes(e *Event) []int {
+	if !kinds[e.Do].nodes {
+		return nil
+	}
+	var nodes []int
+	for _, number := range s.Members(e) {
+		nodes = append(nodes, number-1)
+	}
+	return nodes
+}
--- /dev/null
+++ b/internal/emulator/scenario/soak_plan.go
@@ -0,0 +1,147 @@
+package scenario
+
+import (
+	"math"
+	"slices"
+
+	"dahliapin/internal/emulator/coverage"
+)
+
+// What a soak assumes of how long phases last, in seconds. It only steers the draw: what was met is counted in runs.
+const (
+	planMaxDrain  = 3.0 // of the longest deadline, as long as a node that was told to end may live
+	planDrainMore = 0.7 // over that
+	planDowntime  = 0.4 // until a killed process is started anew
+	planStart     = 0.3
+	planHandover  = 1.0
+	planRest      = 3.0 // after which a node's phase may be changed again
+)
+
+// phaseSpan is a time that a node is expected to be in a phase other than serving.
+type phaseSpan struct {
+	phase    coverage.Phase
+	from, to float64
+}
+
+// soakPlan expects which phases nodes will be in, and counts what troubles will meet.
+type soakPlan struct {
+	script *Scenario
+	met    *coverage.Table
+	drain  float64       // how long a node drains
+	spans  [][]phaseSpan // by node, in order of time
+	events []Event
+}
+
+func newSoakPlan(s *Scenario, met *coverage.Table) *soakPlan {
+	longest := 0.0
+	for i := range s.Classes {
+		longest = math.Max(longest, s.Classes[i].HardMs/1000)
+	}
+	return &soakPlan{
+		script: s,
+		met:    met,
+		drain:  math.Min(longest, planMaxDrain) + planDrainMore,
+		spans:  make([][]phaseSpan, s.Fleet.Nodes),
+	}
+}
+
+// phaseAt is the phase that a node is expected to be in.
+func (p *soakPlan) phaseAt(node int, at float64) coverage.Phase {
+	for _, span := range p.spans[node] {
+		if span.from <= at && at < span.to {
+			return span.phase
+		}
+	}
+	return coverage.Serving
+}
+
+// isFree tells whether a node's phase may be changed at a time.
+func (p *soakPlan) isFree(node int, at float64) bool {
+	spans := p.spans[node]
+	return len(spans) == 0 || at >= spans[len(spans)-1].to+planRest
+}
+
+// weight is 0 for a fault that is not possible at a time, and the larger the less often it met the rarest of the phases
+// that it would meet.
+func (p *soakPlan) weight(f *soakFault, at float64) float64 {
+	if f.possible != nil && !f.possible(p.script) {
+		return 0
+	}
+	most := 0.0
+	for node := range p.spans {
+		most = math.Max(most, p.nodeWeight(f, node, at))
+	}
+	return most
+}
+
+// nodeWeight is the weight of a fault at one node.
+func (p *soakPlan) nodeWeight(f *soakFault, node int, at float64) float64 {
+	phase := p.phaseAt(node, at)
+	if f.ofNode && phase == coverage.Down || f.moveNode && !p.isFree(node, at) {
+		return 0
+	}
+	if phase == coverage.Down { // what concerns all nodes goes on, and meets this one later
+		phase = coverage.Serving
+	}
+	return 1 / (1 + float64(p.met.Met(f.name, phase)))
+}
+
+// add counts what an event will meet. Events are added in order of time.
+func (p *soakPlan) add(e *Event) {
+	nodes := p.script.ConcernedNodes(e)
+	for node := range p.spans {
+		if !concerns(nodes, node) {
+			continue
+		}
+		p.met.MeetPhase(e.FaultName(), p.phaseAt(node, e.AtS))
+		for _, span := range p.spans[node] {
+			if e.AtS < span.from && span.from < e.AtS+e.ForS {
+				p.met.MeetPhase(e.FaultName(), span.phase)
+			}
+		}
+	}
+	p.events = append(p.events, *e)
+	if len(nodes) > 0 {
+		p.changePhases(e, nodes[0])
+	}
+}
+
+// changePhases expects the phases that an event brings about.
+func (p *soakPlan) changePhases(e *Event, node int) {
+	at := e.AtS
+	switch e.Do {
+	case "node_restart":
+		back := at + p.drain
+		p.expect(node, phaseSpan{coverage.Draining, at, back}, phaseSpan{coverage.Starting, back, back + planStart})
+	case "node_kill":
+		back := at + planDowntime
+		p.expect(node, phaseSpan{coverage.Down, at, back}, phaseSpan{coverage.Starting, back, back + planStart})
+	case termStart:
+		first := at + p.drain
+		second := first + e.LateMs/1000
+		p.expect(node, phaseSpan{coverage.Draining, at, first}, phaseSpan{coverage.Starting, first, second},
+			phaseSpan{coverage.Starting, second, second + planStart})
+	case upgrade:
+		p.expect(node, phaseSpan{coverage.Handover, at, at + planHandover})
+	case standby:
+		p.expect(node, phaseSpan{coverage.Standby, at, at + e.ForS})
+	}
+}
+
+// expect adds spans to come, and counts what events that last until then will meet.
+func (p *soakPlan) expect(node int, spans ...phaseSpan) {
+	for _, span := range spans {
+		p.spans[node] = append(p.spans[node], span)
+		for i := range p.events {
+			e := &p.events[i]
+			if e.AtS < span.from && span.from < e.AtS+e.ForS && concerns(p.script.ConcernedNodes(e), node) {
+				p.met.MeetPhase(e.FaultName(), span.phase)
+			}
+		}
+	}
+}
+
+// concerns tells whether a node is among some; nil for all.
+func concerns(nodes []int, node int) bool {
+	return nodes == nil || slices.Contains(nodes, node)
+}
--- /dev/null
+++ b/internal/emulator/scenario/soak_test.go
@@ -0,0 +1,92 @@
+package scenario
+
+import (
+	"math"
+	"testing"
+
+	"dahliapin/internal/emulator/coverage"
+)
+
+// Schedules that are drawn each by itself leave rare phases to chance: of ten schedules of a minute, none had some of the
+// faults while another process took a node's place. Drawn one after the other, each trouble that leaves a node's phase
+// as it is has to meet each phase in that many.
+func TestSoaksMeetEachPhaseWithEachFault(t *testing.T) {
+	const seeds = 10
+	met := coverage.NewTable(SoakFaults())
+	for seed := int64(1); seed <= seeds; seed++ {
+		drawSoak(seed, 60, met)
+	}
+	for i := range soakFaults {
+		f := &soakFaults[i]
+		for _, phase := range coverage.Phases {
+			if f.moveNode && phase != coverage.Serving {
+				continue // it needs a node that serves
+			}
+			if met.Met(f.name, phase) == 0 {
+				t.Errorf("%s is never to meet a node that is %s", f.name, phase)
+			}
+		}
+	}
+}
+
+// What met a phase the least has the most chance; what is not possible has none.
+func TestSoakFavoursWhatMetTheLeast(t *testing.T) {
+	s := defaults()
+	s.Fleet.Nodes = 2
+	s.Classes = []Class{{Name: "read", HardMs: 1000}}
+	met := coverage.NewTable(SoakFaults())
+	plan := newSoakPlan(&s, met)
+	find := func(name coverage.Fault) *soakFault {
+		for i := range soakFaults {
+			if soakFaults[i].name == name {
+				return &soakFaults[i]
+			}
+		}
+		t.Fatalf("there is no %s", name)
+		return nil
+	}
+	restart, freezes, slowList := find("node_restart"), find(freeze), find("discovery_slow")
+	for range 9 {
+		met.MeetPhase(freezes.name, coverage.Serving)
+	}
+	want := func(what string, got, want float64) {
+		t.Helper()
+		if math.Abs(got-want) > 1e-9 {
+			t.Errorf("%s: weight %v, want %v", what, got, want)
+		}
+	}
+	want("a freeze that met serving nodes nine times", plan.weight(freezes, 3), 0.1)
+	want("a restart that never came", plan.weight(restart, 3), 1)
+	want("what this deployment does not have", plan.weight(slowList, 3), 0)
+	plan.add(&Event{AtS: 3, Do: "node_restart", Nodes: []int{2}})
+	want("a freeze of the node that drains", plan.nodeWeight(freezes, 1, 4), 1)
+	want("a freeze of the other", plan.nodeWeight(freezes, 0, 4), 0.1)
+	want("a freeze anywhere", plan.weight(freezes, 4), 1)
+	want("another restart of the node that drains", plan.nodeWeight(restart, 1, 4), 0)
+	want("a restart of the other", plan.nodeWeight(restart, 0, 4), 0.5)
+}
+
+// A trouble that lasts meets the phases that nodes come to meanwhile, whichever of the two was drawn first.
+func TestSoakPlanCountsPhasesThatBeginDuringATrouble(t *testing.T) {
+	s := defaults()
+	s.Fleet.Nodes = 1
+	s.Classes = []Class{{Name: "read", HardMs: 1000}} // so that a node drains for 1.7 s
+	met := coverage.NewTable(nil)
+	plan := newSoakPlan(&s, met)
+	plan.add(&Event{AtS: 2, Do: "silent", Part: 0.1, ForS: 2})
+	plan.add(&Event{AtS: 3, Do: "node_restart", Nodes: []int{1}})
+	plan.add(&Event{AtS: 4, Do: "pause", Part: 0.1, ForS: 1})
+	for _, want := range []struct {
+		fault coverage.Fault
+		phase coverage.Phase
+		times uint64
+	}{
+		{"silent", coverage.Serving, 1}, {"silent", coverage.Draining, 1}, {"silent", coverage.Starting, 0},
+		{"node_restart", coverage.Serving, 1}, {"node_restart", coverage.Draining, 0},
+		{"pause", coverage.Serving, 0}, {"pause", coverage.Draining, 1}, {"pause", coverage.Starting, 1},
+	} {
+		if got := met.Met(want.fault, want.phase); got != want.times {
+			t.Errorf("%s met %s %d times, want %d", want.fault, want.phase, got, want.times)
+		}
+	}
+}
