--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -21,6 +22,7 @@
 const (
 	minSoakTime     = 8 * time.Second
 	maxSoakParallel = 16
+	maxShrinkTime   = 24 * time.Hour
 )
 
 // soakOptions are what soak was called with.
@@ -29,6 +31,7 @@
 	lastSeed  int64
 	duration  time.Duration // of each schedule
 	parallel  int           // schedules that run at once
+	shrink    shrinkLimits  // of a schedule that breaks a rule
 	out       string        // folder
 }
 
@@ -56,6 +59,8 @@
 	c.Flags().StringVar(&seeds, "seeds", "1..50", "random seeds of the schedules")
 	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
 	c.Flags().IntVar(&o.parallel, "at-once", 2, "how many schedules run at once")
+	c.Flags().IntVar(&o.shrink.plays, "shrink", 40, "most plays to shrink a schedule that breaks a rule; 0 for none")
+	c.Flags().DurationVar(&o.shrink.duration, "shrink-for", 20*time.Minute, "longest time to shrink one")
 	c.Flags().StringVar(&o.out, "out", ".", "folder for schedules that break a rule, and their reports")
 	return c
 }
@@ -68,6 +73,10 @@
 		return badCall("--for %v is not from %v to %v", o.duration, minSoakTime, maxScheduleTime)
 	case o.parallel < 1 || o.parallel > maxSoakParallel:
 		return badCall("--at-once %d is not from 1 to %d", o.parallel, maxSoakParallel)
+	case o.shrink.plays < 0 || o.shrink.plays > maxScheduleCount:
+		return badCall("--shrink %d is not from 0 to %d", o.shrink.plays, maxScheduleCount)
+	case o.shrink.duration < 0 || o.shrink.duration > maxShrinkTime:
+		return badCall("--shrink-for %v is not from 0 to %v", o.shrink.duration, maxShrinkTime)
 	}
 	return nil
 }
@@ -147,7 +156,13 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", schedule.Name, err)
 	}
-	return tally.add(out, schedule, result, o.out)
+	if err := tally.add(out, schedule, result, o.out); err != nil || !isBroken(result) {
+		return err
+	}
+	var said bytes.Buffer // printed whole, as others run meanwhile
+	err = shrinkBroken(&said, schedule, result, o.shrink, o.out, play)
+	tally.print(out, said.String())
+	return err
 }
 
 // soakTally counts the results of a soak's schedules.
@@ -160,6 +175,12 @@
 	errs      []error
 }
 
+func (t *soakTally) print(out io.Writer, text string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	fmt.Fprint(out, text)
+}
+
 func (t *soakTally) addError(err error) {
 	if err == nil {
 		return
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -6,6 +6,9 @@
 	"errors"
 	"io"
 	"os"
+	"path/filepath"
+	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -110,10 +113,66 @@
 	}
 }
 
+// A failing schedule of a soak has to be kept as one that plays the failure alone, without anybody at it: whole, and
+// shrunk to the two events that the failure needs. Other failures, and plays that a busy machine could not judge, are
+// not the one that is looked for.
+func TestSoakShrinksAFailingSchedule(t *testing.T) {
+	dir, plays := t.TempDir(), 0
+	const rule = 2
+	play := func(s *scenario.Scenario) (*report.Report, error) {
+		plays++
+		r := &report.Report{Expected: []report.Expected{{What: "no rule is broken", Met: true}}}
+		failsOtherwise := plays%3 == 0
+		switch {
+		case hasEvent(s, "errors") && hasEvent(s, "node_restart"):
+			r.Rules[rule-1] = 1
+			r.Expected[0].Met = false
+		case failsOtherwise:
+			r.Rules[0] = 1
+			r.Expected[0].Met = false
+		case plays%2 == 0:
+			r.MachineTooBusy = "late"
+			r.Rules[rule-1] = 1
+		}
+		return r, nil
+	}
+	options := soakOptions{
+		firstSeed: 1, lastSeed: 1, duration: time.Minute, parallel: 1,
+		shrink: shrinkLimits{plays: 1000, duration: time.Hour}, out: dir,
+	}
+	var said bytes.Buffer
+	if err := options.run(&said, play); !errors.Is(err, errNotMet) || !strings.HasSuffix(said.String(), "\nsoak-1\n") {
+		t.Fatalf("%v\n%s", err, &said)
+	}
+	whole, err := scenario.Read(filepath.Join(dir, "soak-1.toml"))
+	if err != nil || len(whole.Events) < 20 {
+		t.Errorf("whole: %v, %+v", err, whole)
+	}
+	path := filepath.Join(dir, "soak-1-shrunk.toml")
+	shrunk, err := scenario.Read(path)
+	if err != nil || !strings.Contains(said.String(), path) {
+		t.Fatalf("%v\n%s", err, &said)
+	}
+	isNeeded := hasEvent(shrunk, "errors") && hasEvent(shrunk, "node_restart")
+	if len(shrunk.Events) != 2 || !isNeeded || shrunk.Fleet.Nodes != 1 {
+		t.Errorf("shrunk to %d nodes, %+v", shrunk.Fleet.Nodes, shrunk.Events)
+	}
+	for _, name := range []string{"soak-1/report.json", "soak-1-shrunk/report.json", coverageFile} {
+		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+func hasEvent(s *scenario.Scenario, do string) bool {
+	return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
+}
+
 func TestSoakCallsAreChecked(t *testing.T) {
 	for _, args := range [][]string{
 		{"--seeds", "x"}, {"--seeds", "0..3"}, {"--seeds", "5..4"}, {"--seeds", "1..5000"}, {"--for", "1s"},
 		{"--at-once", "0"}, {"--at-once", "99"}, {"more"}, {"--unknown"},
+		{"--shrink", "-1"}, {"--shrink", "1001"}, {"--shrink-for", "-1s"}, {"--shrink-for", "25h"},
 	} {
 		c := soakCommand()
 		c.SetArgs(args)
--- /dev/null
+++ b/internal/emulator/shrink/shrink_test.go
@@ -0,0 +1,117 @@
+package shrink
+
+import (
+	"slices"
+	"testing"
+
+	"dahliapin/internal/emulator/scenario"
+)
+
+const plentyOfPlays = 10_000
+
+// schedule is one of a soak, with many events and nodes.
+func schedule(t *testing.T) *scenario.Scenario {
+	t.Helper()
+	for _, s := range scenario.Soaks(1, 40, 60) {
+		if s.Fleet.Nodes == 4 && len(s.Events) > 60 && has(s, "node_restart") && has(s, "errors") {
+			return s
+		}
+	}
+	t.Fatal("no such schedule")
+	return nil
+}
+
+func has(s *scenario.Scenario, do string) bool {
+	return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
+}
+
+// A schedule of a hundred events explains nothing. One that fails by two of them has to come down to these, by itself.
+func TestShrinksToWhatTheFailureNeeds(t *testing.T) {
+	failing := schedule(t)
+	before := len(failing.Events)
+	result := Shrink(failing, Budget{Plays: plentyOfPlays}, func(s *scenario.Scenario) bool {
+		return has(s, "node_restart") && has(s, "errors") && s.Fleet.Caches >= 3
+	})
+	s := result.Scenario
+	if !result.Complete || len(s.Events) != 2 || !has(s, "node_restart") || !has(s, "errors") {
+		t.Errorf("left %+v, complete %v", s.Events, result.Complete)
+	}
+	if s.Fleet.Nodes != 1 || s.Fleet.Caches >= 6 || s.Fleet.Caches < 3 {
+		t.Errorf("%d nodes and %d caches are left", s.Fleet.Nodes, s.Fleet.Caches)
+	}
+	isLong := func(e scenario.Event) bool { return e.ForS > 2*minDuration }
+	if s.Seconds >= failing.Seconds || slices.ContainsFunc(s.Events, isLong) {
+		t.Errorf("it lasts %v s, with %+v", s.Seconds, s.Events)
+	}
+	if len(failing.Events) != before {
+		t.Error("the schedule that was given has changed")
+	}
+	if !isValid(s) {
+		t.Error("it is no scenario that could be read back")
+	}
+}
+
+// A failure by events that overlap needs their order and their distance; neither may be lost.
+func TestShrinkKeepsOverlappingEvents(t *testing.T) {
+	overlap := func(s *scenario.Scenario) bool {
+		for _, e := range s.Events {
+			for _, f := range s.Events {
+				if e.Do == "node_restart" && f.Do == "errors" && f.AtS <= e.AtS && e.AtS < f.AtS+f.ForS {
+					return true
+				}
+			}
+		}
+		return false
+	}
+	failing := schedule(t)
+	isRestart := func(e scenario.Event) bool { return e.Do == "node_restart" }
+	restart := failing.Events[slices.IndexFunc(failing.Events, isRestart)]
+	failing.Events = append(failing.Events,
+		scenario.Event{AtS: restart.AtS - 0.3, Do: "errors", Part: 0.5, Share: 0.5, ForS: 2})
+	result := Shrink(failing, Budget{Plays: plentyOfPlays}, overlap)
+	if len(result.Scenario.Events) != 2 || !overlap(result.Scenario) {
+		t.Errorf("left %+v", result.Scenario.Events)
+	}
+}
+
+// A node's number stands in events: when a node before it goes, they have to follow the node that the failure needs.
+func TestShrinkFollowsTheNodeThatFails(t *testing.T) {
+	failing := schedule(t)
+	failing.Events = []scenario.Event{
+		{AtS: 2, Do: "node_restart", Nodes: []int{1}},
+		{AtS: 3, Do: "node_freeze", Nodes: []int{3}, ForS: 0.1},
+	}
+	result := Shrink(failing, Budget{Plays: plentyOfPlays}, func(s *scenario.Scenario) bool {
+		return has(s, "node_freeze")
+	})
+	s := result.Scenario
+	if s.Fleet.Nodes != 1 || len(s.Events) != 1 || !slices.Equal(s.Events[0].Nodes, []int{1}) {
+		t.Errorf("%d nodes, %+v", s.Fleet.Nodes, s.Events)
+	}
+}
+
+// Plays cost time on real processes: a shrink ends at its budget, with the smallest failure so far.
+func TestShrinkEndsAtItsBudget(t *testing.T) {
+	failing := schedule(t)
+	always := func(*scenario.Scenario) bool { return true }
+	const plays = 3
+	result := Shrink(failing, Budget{Plays: plays}, always)
+	if result.Plays != plays || result.Complete || len(result.Scenario.Events) >= len(failing.Events) {
+		t.Errorf("%d plays, complete %v, %d events left", result.Plays, result.Complete, len(result.Scenario.Events))
+	}
+	asked := 0
+	expired := func() bool { asked++; return asked > plays }
+	result = Shrink(failing, Budget{Plays: plentyOfPlays, Expired: expired}, always)
+	if result.Plays != plays || result.Complete {
+		t.Errorf("after its time %d plays, complete %v", result.Plays, result.Complete)
+	}
+}
+
+// What does not fail again is kept whole: nothing smaller is known to fail.
+func TestShrinkKeepsWhatDoesNotFailAgain(t *testing.T) {
+	failing := schedule(t)
+	result := Shrink(failing, Budget{Plays: plentyOfPlays}, func(*scenario.Scenario) bool { return false })
+	if result.Scenario != failing || !result.Complete {
+		t.Errorf("kept %+v", result.Scenario)
+	}
+}
