--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -12,6 +13,7 @@
 
 	"github.com/spf13/cobra"
 
+	"dahliapin/internal/emulator/coverage"
 	"dahliapin/internal/emulator/report"
 	"dahliapin/internal/emulator/scenario"
 )
@@ -20,6 +22,7 @@
 const (
 	minSoakTime     = 8 * time.Second
 	maxSoakParallel = 16
+	maxShrinkTime   = 24 * time.Hour
 )
 
 // soakOptions are what soak was called with.
@@ -28,6 +31,7 @@
 	lastSeed  int64
 	duration  time.Duration // of each schedule
 	parallel  int           // schedules that run at once
+	shrink    shrinkLimits  // of a schedule that breaks a rule
 	out       string        // folder
 }
 
@@ -55,6 +59,8 @@
 	c.Flags().StringVar(&seeds, "seeds", "1..50", "random seeds of the schedules")
 	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
 	c.Flags().IntVar(&o.parallel, "at-once", 2, "how many schedules run at once")
+	c.Flags().IntVar(&o.shrink.plays, "shrink", 40, "most plays to shrink a schedule that breaks a rule; 0 for none")
+	c.Flags().DurationVar(&o.shrink.duration, "shrink-for", 20*time.Minute, "longest time to shrink one")
 	c.Flags().StringVar(&o.out, "out", ".", "folder for schedules that break a rule, and their reports")
 	return c
 }
@@ -67,6 +73,10 @@
 		return badCall("--for %v is not from %v to %v", o.duration, minSoakTime, maxScheduleTime)
 	case o.parallel < 1 || o.parallel > maxSoakParallel:
 		return badCall("--at-once %d is not from 1 to %d", o.parallel, maxSoakParallel)
+	case o.shrink.plays < 0 || o.shrink.plays > maxScheduleCount:
+		return badCall("--shrink %d is not from 0 to %d", o.shrink.plays, maxScheduleCount)
+	case o.shrink.duration < 0 || o.shrink.duration > maxShrinkTime:
+		return badCall("--shrink-for %v is not from 0 to %v", o.shrink.duration, maxShrinkTime)
 	}
 	return nil
 }
@@ -87,45 +97,72 @@
 	return first, last, nil
 }
 
-// run runs all schedules, several at once. Runs for which the machine was too busy prove nothing, and are reported as
-// such.
+// coverageFile is the file in the output folder that has what the schedules' faults met.
+const coverageFile = "coverage.json"
+
+// run runs all schedules, several at once, and writes what their faults met. Runs for which the machine was too busy
+// prove nothing, and are reported as such.
 func (o *soakOptions) run(out io.Writer, play player) error {
-	var tally soakTally
+	tally := soakTally{met: coverage.NewTable(scenario.SoakFaults())}
+	o.playAll(out, &tally, play)
+	if err := errors.Join(tally.errs...); err != nil {
+		return err
+	}
+	if err := o.reportCoverage(out, tally.met); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n",
+		tally.played, len(tally.broken), tally.notJudged)
+	if len(tally.broken) == 0 {
+		return nil
+	}
+	fmt.Fprintln(out, strings.Join(tally.broken, " "))
+	return errNotMet
+}
+
+// playAll plays the schedules of all seeds, in the order of seeds.
+func (o *soakOptions) playAll(out io.Writer, tally *soakTally, play player) {
 	var workers sync.WaitGroup
-	seeds := make(chan int64)
+	schedules := make(chan *scenario.Scenario)
 	for range o.parallel {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			for seed := range seeds {
-				tally.addError(o.runOne(out, seed, &tally, play))
+			for schedule := range schedules {
+				tally.addError(o.runOne(out, schedule, tally, play))
 			}
 		}()
 	}
-	for seed := o.firstSeed; seed <= o.lastSeed; seed++ {
-		seeds <- seed
+	for _, schedule := range scenario.Soaks(o.firstSeed, o.lastSeed, o.duration.Seconds()) {
+		schedules <- schedule
 	}
-	close(seeds)
+	close(schedules)
 	workers.Wait()
-	if err := errors.Join(tally.errs...); err != nil {
+}
+
+// reportCoverage prints what the faults of all judged schedules met, and writes it as JSON.
+func (o *soakOptions) reportCoverage(out io.Writer, met *coverage.Table) error {
+	met.Print(out)
+	never := met.NeverMet()
+	fmt.Fprintf(out, "%d pairs never met: %s\n", len(never), strings.Join(never, ", "))
+	if err := makeReportFolder(o.out); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n",
-		tally.played, len(tally.broken), tally.notJudged)
-	if len(tally.broken) == 0 {
-		return nil
-	}
-	fmt.Fprintln(out, strings.Join(tally.broken, " "))
-	return errNotMet
+	return writeJSON(filepath.Join(o.out, coverageFile), met)
 }
 
-func (o *soakOptions) runOne(out io.Writer, seed int64, tally *soakTally, play player) error {
-	schedule := scenario.Soak(seed, o.duration.Seconds())
+func (o *soakOptions) runOne(out io.Writer, schedule *scenario.Scenario, tally *soakTally, play player) error {
 	result, err := play(schedule)
 	if err != nil {
+		return fmt.Errorf("%s: %w", schedule.Name, err)
+	}
+	if err := tally.add(out, schedule, result, o.out); err != nil || !isBroken(result) {
 		return err
 	}
-	return tally.add(out, schedule, result, o.out)
+	var said bytes.Buffer // printed whole, as others run meanwhile
+	err = shrinkBroken(&said, schedule, result, o.shrink, o.out, play)
+	tally.print(out, said.String())
+	return err
 }
 
 // soakTally counts the results of a soak's schedules.
@@ -133,10 +170,17 @@
 	mu        sync.Mutex // over all fields, and the printing of a result
 	played    int
 	notJudged int
-	broken    []string // names of schedules
+	broken    []string        // names of schedules
+	met       *coverage.Table // by the faults of those that were judged
 	errs      []error
 }
 
+func (t *soakTally) print(out io.Writer, text string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	fmt.Fprint(out, text)
+}
+
 func (t *soakTally) addError(err error) {
 	if err == nil {
 		return
@@ -151,6 +195,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
+	if r.Coverage != nil && r.MachineTooBusy == "" {
+		t.met.Add(r.Coverage)
+	}
 	verdict := "kept all rules"
 	switch {
 	case r.MachineTooBusy != "":
