--- a/internal/emulator/client/http.go
+++ b/internal/emulator/client/http.go
@@ -12,64 +12,75 @@
 	"dahliapin/internal/emulator/checker"
 )
 
-// How clients of HTTP say what a try is. The node is told so by its operator's file.
+// How clients of HTTP state a request; the node is told so by its operator's file.
 const (
-	Path        = "/k/"
-	ReadyPath   = "/ready"
-	IDHeader    = "X-Id"
-	GradeHeader = "X-Grade"
-	WaitHeader  = "X-Wait-Ms"
-	LabelHeader = "Idempotency-Key"
+	PathPrefix           = "/k/" // before the key
+	ReadyPath            = "/ready"
+	IDHeader             = "X-Id"
+	ClassHeader          = "X-Grade"
+	TimeoutHeader        = "X-Wait-Ms"
+	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
-// Tag names a value, as a cache does.
-func Tag(value string) string { return strconv.Quote(value) }
+// ETag returns the entity tag of a value, as a cache has it.
+func ETag(value string) string { return strconv.Quote(value) }
 
-// request is a try as it is sent.
-func (a *Ask) request() string {
-	method, more := "GET", ""
-	if a.Write {
-		method, more = "POST", fmt.Sprintf("Content-Length: %d\r\n", len(a.Value))
+// httpRequest returns a request as it is sent by HTTP.
+func httpRequest(r *Request) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s%s HTTP/1.1\r\nHost: n\r\n", methodOf(r), PathPrefix, r.Key)
+	header := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\r\n", name, value) }
+	header(IDHeader, r.ID)
+	header(ClassHeader, r.Class)
+	header(TimeoutHeader, max(1, r.Timeout.Milliseconds()))
+	if r.Write {
+		header("Content-Length", len(r.Value))
 	}
-	if a.Label != "" {
-		more += LabelHeader + ": " + a.Label + "\r\n"
+	if r.IdempotencyKey != "" {
+		header(IdempotencyKeyHeader, r.IdempotencyKey)
 	}
-	if a.Holds != "" {
-		more += "If-None-Match: " + Tag(a.Holds) + "\r\n"
+	if r.CachedValue != "" {
+		header("If-None-Match", ETag(r.CachedValue))
 	}
-	return fmt.Sprintf("%s %s%s HTTP/1.1\r\nHost: n\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n%s\r\n%s", method, Path, a.Key, IDHeader, a.ID,
-		GradeHeader, a.Grade, WaitHeader, max(1, a.Wait.Milliseconds()), more, a.Value)
+	text.WriteString("\r\n" + r.Value)
+	return text.String()
 }
 
-// readHTTP reads the answer to a try.
-func readHTTP(r *bufio.Reader, a *Ask) (answer Answer, err error) {
-	method := "GET"
-	if a.Write {
-		method = "POST"
+func methodOf(r *Request) string {
+	if r.Write {
+		return http.MethodPost
 	}
-	said, err := http.ReadResponse(r, &http.Request{Method: method})
+	return http.MethodGet
+}
+
+// readHTTP reads the response to a request by HTTP.
+func readHTTP(in *bufio.Reader, r *Request) (Response, error) {
+	answer, err := http.ReadResponse(in, &http.Request{Method: methodOf(r)})
 	if err != nil {
-		return answer, err
+		return Response{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(said.Body, mostValue))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxValueSize))
 	if err != nil {
-		return answer, err
+		return Response{}, err
 	}
-	answer.last, answer.Final = said.Close, checker.Failed
-	switch said.StatusCode {
+	response := Response{Final: checker.Failed, closes: answer.Close}
+	switch answer.StatusCode {
 	case http.StatusOK:
-		answer.Final, answer.Value = checker.Satisfied, string(body)
+		response.Final = checker.Satisfied
+		response.Value = string(body)
 	case http.StatusNotModified:
-		if answer.Final, answer.Value = checker.Satisfied, a.Holds; a.Holds == "" {
-			answer.Wrong = "a 304 that was not asked for"
+		response.Final = checker.Satisfied
+		response.Value = r.CachedValue
+		if r.CachedValue == "" {
+			response.Wrong = "a 304 that was not asked for"
 		}
 	case http.StatusServiceUnavailable:
-		answer.Final = checker.Rejected
-		back, _ := strconv.Atoi(said.Header.Get("Retry-After"))
-		answer.ComeBack = time.Duration(back) * time.Second
+		response.Final = checker.Rejected
+		seconds, _ := strconv.Atoi(answer.Header.Get("Retry-After"))
+		response.RetryAfter = time.Duration(seconds) * time.Second
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		answer.Wrong = "the answer is " + strings.TrimSpace(said.Status)
+		response.Wrong = "the answer is " + strings.TrimSpace(answer.Status)
 	}
-	return answer, nil
+	return response, nil
 }
--- /dev/null
+++ b/internal/emulator/client/meta.go
@@ -0,0 +1,132 @@
+package client
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"dahliapin/internal/emulator/checker"
+)
+
+const (
+	// streamedValueSize is the size of a value, in bytes, from which a node may forward it as it comes.
+	streamedValueSize = 64 << 10
+	// maxValueSize bounds what is read of a value, in bytes.
+	maxValueSize = 4<<20 + 1<<10
+
+	idFlag      = 'O' // of a request and of its response
+	receiptFlag = 'c' // of a write's response
+	lineEnd     = "\r\n"
+)
+
+// metaCommand returns a request as a meta command.
+func metaCommand(r *Request) string {
+	items := fmt.Sprintf("Pc=%s,d=%d", r.Class, max(1, r.Timeout.Milliseconds()))
+	if r.IdempotencyKey != "" {
+		items += ",k=" + r.IdempotencyKey
+	}
+	if r.Retry {
+		items += ",r=1"
+	}
+	if r.Write {
+		return fmt.Sprintf("ms %s %d O%s %s\r\n%s\r\n", r.Key, len(r.Value), r.ID, items, r.Value)
+	}
+	return fmt.Sprintf("mg %s v O%s %s\r\n", r.Key, r.ID, items)
+}
+
+// readMeta reads the response to a meta command.
+func readMeta(in *bufio.Reader, r *Request) (Response, error) {
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return Response{}, err
+	}
+	words := strings.Fields(line)
+	status, flags := "", []string(nil)
+	if len(words) >= 2 {
+		status, flags = words[0], words[1:]
+	}
+	switch {
+	case status == "VA" && !r.Write:
+		response, err := readValue(in, flags[0])
+		if err == nil && response.Final == checker.Satisfied {
+			response.checkID(r, flags)
+		}
+		return response, err
+	case status == "HD" && r.Write:
+		response := Response{Final: checker.Satisfied, Value: flagValue(flags, receiptFlag)}
+		response.checkID(r, flags)
+		return response, nil
+	case status == "SERVER_ERROR" && flags[0] == "busy":
+		return Response{Final: checker.Rejected, RetryAfter: retryAfterOf(flags[1:])}, nil
+	}
+	return Response{Final: checker.Failed}, nil
+}
+
+// readValue reads a value of a stated size. One that a node forwards as it comes may end before it is complete, which
+// its reader can tell.
+func readValue(in *bufio.Reader, size string) (Response, error) {
+	length, err := strconv.Atoi(size)
+	if err != nil || length < 0 || length > maxValueSize {
+		return Response{}, errors.New("a value's length can't be read")
+	}
+	value := make([]byte, length+len(lineEnd))
+	if _, err := io.ReadFull(in, value); err != nil {
+		if length > streamedValueSize && !isTimeout(err) {
+			return Response{Final: checker.Failed, closes: true}, nil
+		}
+		return Response{}, err
+	}
+	response := Response{Final: checker.Satisfied, Value: string(value[:length])}
+	if !bytes.HasSuffix(value, []byte(lineEnd)) {
+		response.Wrong = "a value does not end where it should"
+	}
+	return response, nil
+}
+
+// checkID notes a response that names another request.
+func (response *Response) checkID(r *Request, flags []string) {
+	if id := firstFlagValue(flags, idFlag); id != r.ID {
+		response.Wrong = "the answer names request " + strconv.Quote(id)
+	}
+}
+
+// firstFlagValue returns the value of the first flag of a kind, or an empty string.
+func firstFlagValue(flags []string, kind byte) string {
+	for _, flag := range flags {
+		if flag[0] == kind {
+			return flag[1:]
+		}
+	}
+	return ""
+}
+
+// flagValue returns the value of the last flag of a kind, or an empty string.
+func flagValue(flags []string, kind byte) string {
+	value := ""
+	for _, flag := range flags {
+		if flag[0] == kind {
+			value = flag[1:]
+		}
+	}
+	return value
+}
+
+// retryAfterOf reads when a rejected client may come back, in milliseconds.
+func retryAfterOf(words []string) time.Duration {
+	if len(words) == 0 {
+		return 0
+	}
+	milliseconds, _ := strconv.Atoi(words[0])
+	return time.Duration(milliseconds) * time.Millisecond
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -50,7 +50,7 @@
 	if kept := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached"); err != nil || r.scenario.Allowed.Mode == "aside" && !kept {
 		r.checker.WrongAnswer(now, id, "a cache beside an origin was asked to fetch, or for no key: "+string(q.Target))
 	}
-	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.GradeHeader), q.Header(client.WaitHeader), q.Header(client.LabelHeader))
+	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
 	if !r.take(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, tag: string(q.Header("If-None-Match"))}) {
 		c.answer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
 	}
@@ -67,7 +67,7 @@
 	switch {
 	case d.Reply == world.Value && stale:
 		return httpAnswer(http.StatusOK, kept+fmt.Sprint(freshFor+1, "\r\n"), tooOld)
-	case d.Reply == world.Value && tag == client.Tag(d.Text):
+	case d.Reply == world.Value && tag == client.ETag(d.Text):
 		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", kept, tag)
 	case d.Reply == world.Value:
 		return httpAnswer(http.StatusOK, kept+"1\r\n", d.Text)
--- a/internal/emulator/realtime/operators.go
+++ b/internal/emulator/realtime/operators.go
@@ -110,7 +110,7 @@
 		r.mu.Lock()
 		m.serving = !by
 		r.mu.Unlock()
-		if by && !m.within(leftBy-time.Since(begun), func() bool { return m.pool.Kept() == 0 }) {
+		if by && !m.within(leftBy-time.Since(begun), func() bool { return m.pool.OpenConns() == 0 }) {
 			m.failed("holds clients' connections on standby")
 		}
 	}()
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -372,7 +372,7 @@
 	r.log.RequestSent(req.Sent, isFirst)
 	var up []*member
 	for _, m := range r.nodes {
-		if m.serving || m.parting && m.pool.HasOpen() {
+		if m.serving || m.parting && m.pool.HasIdle() {
 			up = append(up, m)
 		}
 	}
@@ -390,15 +390,25 @@
 	m.asks[req.ID] = true
 	r.coverage.RequestSent(m.number, req.ID, g.Idempotency)
 	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
-	a := &client.Ask{ID: req.ID, Key: req.Key, Label: req.Label, Grade: g.Name, Write: g.Write, Repeat: req.Try > 1, Wait: req.Deadline, Leaves: req.Leaves, OnlyOpen: !m.serving}
+	sent := &client.Request{
+		ID:             req.ID,
+		Key:            req.Key,
+		IdempotencyKey: req.Label,
+		Class:          g.Name,
+		Write:          g.Write,
+		Retry:          req.Try > 1,
+		Timeout:        req.Deadline,
+		AbandonAfter:   req.Leaves,
+		ReuseOnly:      !m.serving,
+	}
 	if g.Write {
-		a.Value = world.ValueOf(req.Key)
+		sent.Value = world.ValueOf(req.Key)
 	}
 	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%validates == 0 {
-		a.Holds = world.ValueOf(req.Key)
+		sent.CachedValue = world.ValueOf(req.Key)
 	}
 	r.requests.Add(1)
-	m.pool.Ask(a, func(got client.Answer) {
+	m.pool.Send(sent, func(got client.Response) {
 		defer r.requests.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -407,18 +417,18 @@
 }
 
 // answered hears what came of a try.
-func (r *Rig) answered(m *member, life int, req world.Request, first policy.Instant, got client.Answer) {
+func (r *Rig) answered(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
 	if r.stopped {
 		return
 	}
 	delete(m.asks, req.ID)
 	r.coverage.RequestEnded(m.number, req.ID)
-	g, now := &r.traffic.Classes[req.Class], r.at(got.Got)
-	if got.Extra {
+	g, now := &r.traffic.Classes[req.Class], r.at(got.ReceivedAt)
+	if got.Unsolicited {
 		r.checker.WrongAnswer(now, "", "more came on a connection than one answer for each request")
 	}
 	switch {
-	case got.Nowhere: // it was taken by nobody, and asks another node
+	case got.NotSent: // it was taken by nobody, and asks another node
 		r.checker.Excuse(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
@@ -426,7 +436,7 @@
 		delete(m.excused, req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
-	case got.Left:
+	case got.Abandoned:
 		r.checker.ClientGone(now, req.ID)
 		return
 	case got.Silent: // the judge counts it as lost at its deadline
@@ -451,7 +461,7 @@
 		}
 		return
 	}
-	if next, at, ok := r.traffic.Retry(now, req, got.Final == checker.Rejected, got.ComeBack); ok {
+	if next, at, ok := r.traffic.Retry(now, req, got.Final == checker.Rejected, got.RetryAfter); ok {
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -72,7 +72,7 @@
 path = %q
 methods = ["GET", "HEAD", "PUT", "POST"]
 grade = %q
-`, listen, client.ReadyPath, client.IDHeader, client.GradeHeader, client.WaitHeader, client.Path, s.Classes[0].Name)
+`, listen, client.ReadyPath, client.IDHeader, client.ClassHeader, client.TimeoutHeader, client.PathPrefix, s.Classes[0].Name)
 	}
 	if s.Fleet.Protocol == listeners.HTTP {
 		text += "[servers]\nhttp_kinds = [\"cache\"]\n"
--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -110,23 +110,23 @@
 	if time.Since(due) > lateAfter {
 		r.result.SentLate++
 	}
-	request := &client.Ask{
-		ID:    drawn.ID,
-		Key:   drawn.Key,
-		Label: drawn.Label,
-		Grade: class.Name,
-		Write: class.Write,
-		Wait:  drawn.Deadline,
+	request := &client.Request{
+		ID:             drawn.ID,
+		Key:            drawn.Key,
+		IdempotencyKey: drawn.Label,
+		Class:          class.Name,
+		Write:          class.Write,
+		Timeout:        drawn.Deadline,
 	}
 	if class.Write {
 		request.Value = world.ValueOf(drawn.Key)
 	}
 	r.pending.Add(1)
-	r.pool.Ask(request, func(answer client.Answer) {
+	r.pool.Send(request, func(response client.Response) {
 		defer r.pending.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		result.count(answer, due, class.LatencyObjective)
+		result.count(response, due, class.LatencyObjective)
 	})
 }
 
@@ -145,33 +145,33 @@
 	return ctx.Err() == nil
 }
 
-func (c *ClassResult) count(answer client.Answer, due time.Time, objective time.Duration) {
+func (c *ClassResult) count(response client.Response, due time.Time, objective time.Duration) {
 	c.Sent++
-	if answer.Wrong != "" || answer.Extra {
+	if response.Wrong != "" || response.Unsolicited {
 		c.Wrong++
 	}
 	switch {
-	case answer.Silent:
+	case response.Silent:
 		c.Silent++
-	case answer.Final == checker.Satisfied:
-		c.countSatisfied(answer, due, objective)
-	case answer.Final == checker.Rejected:
+	case response.Final == checker.Satisfied:
+		c.countSatisfied(response, due, objective)
+	case response.Final == checker.Rejected:
 		c.Rejected++
-	case answer.Final == checker.Cut:
+	case response.Final == checker.Cut:
 		c.Cut++
 	default:
 		c.Failed++
 	}
 }
 
-func (c *ClassResult) countSatisfied(answer client.Answer, due time.Time, objective time.Duration) {
+func (c *ClassResult) countSatisfied(response client.Response, due time.Time, objective time.Duration) {
 	c.Satisfied++
-	latency := answer.Got.Sub(due)
+	latency := response.ReceivedAt.Sub(due)
 	if latency <= objective {
 		c.InTime++
 	}
 	record(c.Latency, latency)
-	record(c.ServiceTime, answer.Got.Sub(answer.Sent))
+	record(c.ServiceTime, response.ReceivedAt.Sub(response.SentAt))
 }
 
 // record takes a duration into a histogram, whose only error is for one out of its bounds.
