--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -117,6 +117,19 @@
 	b.records = append(b.records, r)
 }
 
+// flushes counts how often a cache was emptied.
+func (b *bench) flushes(cache string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	count := 0
+	for _, r := range b.records {
+		if r.Cache == cache && r.What == logtrace.Emptied {
+			count++
+		}
+	}
+	return count
+}
+
 // addPurger starts one more, with an empty folder.
 func (b *bench) addPurger() {
 	b.t.Helper()
