--- a/cmd/dahliapin/start_test.go
+++ b/cmd/dahliapin/start_test.go
@@ -71,7 +71,7 @@
 	}
 	p := &served{Cmd: exec.Command(os.Args[0], "serve", "--config", file), up: make(chan bool)}
 	p.Env = append(append(os.Environ(), asProgram+"=1", "TMPDIR="+dir), env...)
-	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
 	out, err := p.StderrPipe()
 	if err == nil {
 		err = p.Start()
--- /dev/null
+++ b/cmd/dahliapin/syscall_fault_handover_test.go
@@ -0,0 +1,36 @@
+//go:build linux && amd64
+
+package main
+
+import (
+	"errors"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"dahliapin/internal/syscallfault"
+)
+
+// A process whose accept failed once, for its successor's connection, could not be replaced any more.
+func TestAProcessIsReplacedAfterItsAcceptHasFailed(t *testing.T) {
+	s := newStation(t)
+	old := s.start()
+	s.expect(old, "msg=serving")
+	tracer, err := syscallfault.Attach(old.Process.Pid)
+	if errors.Is(err, syscallfault.ErrNotPermitted) {
+		t.Skip("cannot trace here: ", err)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	injection := tracer.Inject(syscallfault.Rule{
+		Call: syscallfault.Accept, Errno: unix.EMFILE, Schedule: syscallfault.Schedule{Limit: 3},
+		Match: func(socket syscallfault.Socket) bool { return socket.Listening && socket.LocalPort == 0 },
+	})
+	successor := s.start()
+	s.expect(successor, "taking another process's place")
+	s.expect(successor, "msg=serving")
+	if injection.Injected() == 0 {
+		t.Error("no accept has failed")
+	}
+}
--- /dev/null
+++ b/cmd/dahliapin/syscall_fault_node_test.go
@@ -0,0 +1,439 @@
+//go:build linux && amd64
+
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dahliapin/internal/syscallfault"
+)
+
+const (
+	faultWait       = 400 * time.Millisecond // of a client, for an answer
+	faultLate       = 2 * time.Second        // after that, by which a final answer is there on any machine
+	faultLoad       = 100 * time.Millisecond // for which clients ask beside a fault
+	mostLoad        = time.Second            // until the call has been made that is to fail
+	thinkTime       = 2 * time.Millisecond   // of a client
+	recoverWithin   = 8 * time.Second        // after a fault
+	longValueBytes  = 300 << 10
+	discoveryPeriod = 30 * time.Millisecond // between two answers of discovery
+	answersPerConn  = 3                     // of a server, on average
+)
+
+// faultTerms are a node's settings.
+const faultTerms = `"seed":"1","ops":"127.0.0.1:0","limits":{"memory_mb":192,"sockets":256},"settings":{
+"service_grades":[
+{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":0.4,"hard_stop_s":1.2},
+{"name":"pay","benefit":8,"effect":"irreversible","group":"all","soft_limit_s":0.5,"hard_stop_s":1},
+{"name":"put","benefit":8,"effect":"deduplicated","group":"all","soft_limit_s":0.5,"hard_stop_s":1,"key_ttl_s":5}],
+"zone":"z","n_instances":1,"kinds":["box","origin"],"round_s":0.005,
+"bounds":{"most_legs":3,"conn_idle_s":0.1,"connect_timeout_s":0.2,"cancel":true,"probes":true},
+"family_info":{"mode":"aside","origin_kind":1}}`
+
+// faultNode is a traced node with two caches, an origin and discovery.
+type faultNode struct {
+	*served
+	tracer      *syscallfault.Tracer
+	ports       map[site]int
+	descriptors int // that it has with nothing to do
+	requests    atomic.Int64
+	polls       atomic.Int64 // answers of discovery
+	answers     atomic.Int64 // of all servers
+
+	mu   sync.Mutex
+	runs map[string]int // how often a cache, or the origin, got a key
+}
+
+func portOf(t testing.TB, addr string) int {
+	t.Helper()
+	_, text, err := net.SplitHostPort(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	port, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return port
+}
+
+// startFaultNode starts a node and has it traced. It skips the test only where the kernel lets nobody trace.
+func startFaultNode(t testing.TB) *faultNode {
+	n := &faultNode{ports: map[site]int{}, runs: map[string]int{}}
+	cache := cacheOf(t, n.cacheAnswer)
+	origin := httptest.NewServer(http.HandlerFunc(n.serveOrigin))
+	discovery := httptest.NewServer(n.discoveryOf(cache, origin.Listener.Addr().String()))
+	t.Cleanup(origin.CloseClientConnections)
+	t.Cleanup(discovery.CloseClientConnections)
+	n.served = serving(t, t.TempDir(), discovery.Listener.Addr().String(), faultTerms)
+	for s, addr := range map[site]string{
+		client: n.at(t), opsConn: n.ops, cacheConn: cache, originConn: origin.Listener.Addr().String(),
+		discoveryConn: discovery.Listener.Addr().String(),
+	} {
+		n.ports[s] = portOf(t, addr)
+	}
+	if !within(recoverWithin, func() bool { return ready(n.listen) }) {
+		t.Fatalf("not ready; it said:\n%s", n.said())
+	}
+	var err error
+	n.tracer, err = syscallfault.Attach(n.Process.Pid)
+	if errors.Is(err, syscallfault.ErrNotPermitted) {
+		t.Skip("cannot trace here: ", err)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.load(faultLoad, 0, nil)
+	time.Sleep(time.Second) // until idle connections are closed
+	if n.descriptors, err = n.openDescriptors(); err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+func (n *faultNode) end() { _ = n.Process.Kill() }
+
+// within waits for something for so long.
+func within(d time.Duration, happens func() bool) bool {
+	for by := time.Now().Add(d); time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
+		if happens() {
+			return true
+		}
+	}
+	return false
+}
+
+func contains(text, part string) bool { return strings.Contains(text, part) }
+
+func (n *faultNode) ran(key string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.runs[key]++
+}
+
+// cacheAnswer is what a cache does with a line of the node's.
+func (n *faultNode) cacheAnswer(to net.Conn, line string) error {
+	f := strings.Fields(line)
+	if len(f) == 1 && f[0] == "mn" {
+		_, err := io.WriteString(to, "MN\r\n")
+		return err
+	}
+	if len(f) < 4 { // the value of a write
+		return nil
+	}
+	var err error
+	switch {
+	case f[0] == "ms":
+		n.ran(f[1])
+		_, err = fmt.Fprintf(to, "HD %s cdone\r\n", idOf(f))
+	case f[1][0] == 'm':
+		_, err = fmt.Fprintf(to, "EN %s\r\n", idOf(f))
+	case f[1][0] == 'l':
+		_, err = fmt.Fprintf(to, "VA %d %s\r\n%s\r\n", longValueBytes, idOf(f), strings.Repeat("x", longValueBytes))
+	default:
+		_, err = fmt.Fprintf(to, "VA 5 %s\r\nhello\r\n", idOf(f))
+	}
+	if err == nil && n.ends() {
+		err = io.EOF
+	}
+	return err
+}
+
+// ends tells of some answers that a server ends the connection after them, so that the node has to connect again.
+func (n *faultNode) ends() bool { return n.answers.Add(1)%answersPerConn == 0 }
+
+// idOf is the flag of a command's id.
+func idOf(fields []string) string {
+	for _, f := range fields[2:] {
+		if f[0] == 'O' {
+			return f
+		}
+	}
+	return "O"
+}
+
+func (n *faultNode) serveOrigin(w http.ResponseWriter, r *http.Request) {
+	if r.Method != http.MethodGet {
+		n.ran(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:])
+	}
+	_, _ = io.Copy(io.Discard, r.Body)
+	n.closeSome(w)
+	_, _ = io.WriteString(w, "hello")
+}
+
+func (n *faultNode) closeSome(w http.ResponseWriter) {
+	if n.ends() {
+		w.Header().Set("Connection", "close")
+	}
+}
+
+// discoveryOf answers with the list, and with no news again and again.
+func (n *faultNode) discoveryOf(cache, origin string) http.Handler {
+	const row = `{"instanceId":%q,"hostPort":%q,"machineType":%q,"lifecycle":"in_service","zone":"z","weight":1}`
+	list := fmt.Sprintf(`{"generation":7,"reset":true,"instances":[`+row+","+row+","+row+`]}`,
+		"c", cache, "box", "d", cache, "box", "o", origin, "origin")
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n.polls.Add(1)
+		n.closeSome(w)
+		if r.URL.Query().Get("since") == "" {
+			_, _ = io.WriteString(w, list)
+			return
+		}
+		time.Sleep(discoveryPeriod)
+		_, _ = io.WriteString(w, `{"generation":7,"reset":false,"instances":[]}`)
+	})
+}
+
+func (n *faultNode) openDescriptors() (int, error) {
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.Process.Pid))
+	return len(entries), err
+}
+
+// faultLog is what became of the requests beside a fault.
+type faultLog struct {
+	mu       sync.Mutex
+	ended    []string // whose connection ended without an answer
+	wrong    []string // what breaks a rule
+	rejected []string // the keys of writes that may be carried out once, and were told to have been rejected
+	cut      int      // long values that ended early
+	pays     []string // the keys of writes that may be carried out once
+}
+
+// load has clients ask for some time, or longer until a call has failed. Their patience is longer by a span in which
+// nobody is accepted.
+func (n *faultNode) load(length, span time.Duration, injection *syscallfault.Injection) *faultLog {
+	var all sync.WaitGroup
+	log, began := &faultLog{}, time.Now()
+	goesOn := func() bool {
+		unmet := injection != nil && injection.Injected() == 0
+		return time.Since(began) < length || unmet && time.Since(began) < mostLoad
+	}
+	for i := range 4 {
+		all.Go(func() {
+			c := faultClient{node: n, log: log, patience: faultWait + faultLate + span, stays: i > 0}
+			defer c.close()
+			for turn := i; goesOn(); turn++ {
+				c.ask(turn)
+				time.Sleep(thinkTime)
+			}
+		})
+	}
+	all.Go(func() {
+		for goesOn() {
+			n.callOps()
+			time.Sleep(4 * thinkTime)
+		}
+	})
+	all.Wait()
+	return log
+}
+
+// callOps tells whether the operators' port answers.
+func (n *faultNode) callOps() bool {
+	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	a, err := c.Get("http://" + n.ops + "/status")
+	if err != nil {
+		return false
+	}
+	defer a.Body.Close()
+	_, err = io.Copy(io.Discard, a.Body)
+	return err == nil && a.StatusCode == http.StatusOK
+}
+
+// faultClient sends one request after the other, on one connection if it stays.
+type faultClient struct {
+	node     *faultNode
+	log      *faultLog
+	patience time.Duration
+	stays    bool
+	conn     net.Conn
+	reader   *bufio.Reader
+}
+
+func (c *faultClient) close() {
+	if c.conn == nil {
+		return
+	}
+	_ = c.conn.SetReadDeadline(time.Now().Add(thinkTime))
+	if next, err := c.reader.ReadByte(); err == nil {
+		c.log.fail("something follows a final answer: %q", next)
+	}
+	_ = c.conn.Close()
+	c.conn = nil
+}
+
+func (l *faultLog) fail(format string, about ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.wrong = append(l.wrong, fmt.Sprintf(format, about...))
+}
+
+// ask sends a request, by turns of each kind, and waits for its answer.
+func (c *faultClient) ask(turn int) {
+	if c.conn == nil {
+		conn, err := net.DialTimeout("tcp", c.node.listen, c.patience)
+		if err != nil {
+			c.log.fail("cannot connect: %v", err)
+			return
+		}
+		c.conn, c.reader = conn, bufio.NewReader(conn)
+	}
+	number := c.node.requests.Add(1)
+	kind := [...]string{"v", "m", "pay", "l", "put", "m"}[turn%6]
+	key := fmt.Sprint(kind, number)
+	_ = c.conn.SetDeadline(time.Now().Add(c.patience))
+	line := fmt.Sprintf("mg %s v O%d Pc=read,d=%d\r\n", key, number, faultWait.Milliseconds())
+	if kind[0] == 'p' {
+		line = fmt.Sprintf("ms %s 5 O%d Pc=%s,d=%d,k=%016x\r\nhello\r\n", key, number, kind, faultWait.Milliseconds(), number)
+	}
+	answer, err := "", error(nil)
+	if _, err = io.WriteString(c.conn, line); err == nil {
+		answer, err = c.reader.ReadString('\n')
+	}
+	if err == nil {
+		err = c.check(answer, number)
+	}
+	c.log.add(kind, key, answer, err)
+	if err != nil {
+		_ = c.conn.Close()
+		c.conn = nil
+	} else if !c.stays {
+		c.close()
+	}
+}
+
+// check reads the rest of an answer, and whether it is the request's.
+func (c *faultClient) check(answer string, number int64) error {
+	f := strings.Fields(answer)
+	if len(f) == 0 || f[0] == "SERVER_ERROR" {
+		return nil
+	}
+	if !contains(answer, fmt.Sprintf(" O%d", number)) {
+		c.log.fail("request %d is answered by %q", number, answer)
+	}
+	if f[0] != "VA" {
+		return nil
+	}
+	size, err := strconv.Atoi(f[1])
+	if err != nil {
+		return err
+	}
+	_, err = io.CopyN(io.Discard, c.reader, int64(size)+2)
+	return err
+}
+
+// add notes an answer, or that none came.
+func (l *faultLog) add(kind, key, answer string, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if kind == "pay" {
+		l.pays = append(l.pays, key)
+	}
+	var late net.Error
+	switch {
+	case errors.As(err, &late) && late.Timeout():
+		l.wrong = append(l.wrong, key+" has no answer in time")
+	case err != nil && kind == "l" && strings.HasPrefix(answer, "VA"): // all that can be done once a value has begun
+		l.cut++
+	case err != nil:
+		l.ended = append(l.ended, fmt.Sprintf("%s: %v", key, err))
+	case kind == "pay" && strings.HasPrefix(answer, "SERVER_ERROR busy"):
+		l.rejected = append(l.rejected, key)
+	}
+}
+
+// play plays a fault beside clients, and returns how many calls failed and what broke.
+func (n *faultNode) play(f *fault) (injected int, failures []string) {
+	length := faultLoad
+	if f.when == aSpan {
+		length += span()
+	}
+	injection, asked := n.tracer.Inject(f.rule(n)), n.requests.Load()
+	log := n.load(length, span(), injection)
+	n.tracer.Clear()
+	injected = injection.Injected()
+	failures = log.wrong
+	if log.cut > 0 && f.site != cacheConn && f.site != client {
+		failures = append(failures, fmt.Sprintf("%d values were cut short", log.cut))
+	}
+	if len(log.ended) > 0 && !f.mayEndClients() {
+		failures = append(failures, fmt.Sprintf("connections ended without an answer: %q", log.ended))
+	}
+	asked = n.requests.Load() - asked
+	if f.errno != 0 && float64(injected) > faultsPerSec*length.Seconds()+float64(callsPerRequest*asked) {
+		failures = append(failures, fmt.Sprintf("the call was made again %d times in %v", injected, length))
+	}
+	failures = append(failures, n.recovers()...)
+	return injected, append(failures, n.checkEffects(log)...)
+}
+
+// recovers tells what is not as before the fault.
+func (n *faultNode) recovers() (failures []string) {
+	expect := func(what string, happens func() bool) {
+		if !within(recoverWithin, happens) {
+			failures = append(failures, what)
+		}
+	}
+	expect("clients are not served any more", n.serves)
+	expect("operators get no answer any more", n.callOps)
+	polls := n.polls.Load()
+	expect("discovery is not asked any more", func() bool { return n.polls.Load() > polls })
+	last := 0
+	expect("descriptors are lost", func() bool {
+		last, _ = n.openDescriptors()
+		return last <= n.descriptors
+	})
+	if last > n.descriptors {
+		failures = append(failures, fmt.Sprintf("%d descriptors, %d before", last, n.descriptors))
+		n.descriptors = last
+	}
+	calls := n.tracer.Calls()
+	time.Sleep(idleCallsIn)
+	if calls = n.tracer.Calls() - calls; calls > mostIdleCalls {
+		failures = append(failures, fmt.Sprintf("%d system calls in %v with nothing to do", calls, idleCallsIn))
+	}
+	return failures
+}
+
+// serves tells whether a read is answered with its value.
+func (n *faultNode) serves() bool {
+	conn, err := net.DialTimeout("tcp", n.listen, time.Second)
+	if err != nil {
+		return false
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(time.Second))
+	_, _ = fmt.Fprintf(conn, "mg v v O1 Pc=read,d=%d\r\n", faultWait.Milliseconds())
+	answer, _ := bufio.NewReader(conn).ReadString('\n')
+	return strings.HasPrefix(answer, "VA")
+}
+
+// checkEffects tells which writes were told to have been rejected and were carried out, or were carried out twice.
+func (n *faultNode) checkEffects(log *faultLog) (failures []string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, key := range log.rejected {
+		if n.runs[key] > 0 {
+			failures = append(failures, key+" was told to have been rejected, and was carried out")
+		}
+	}
+	for _, key := range log.pays {
+		if n.runs[key] > 1 {
+			failures = append(failures, key+" was carried out twice")
+		}
+	}
+	return failures
+}
--- /dev/null
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -0,0 +1,235 @@
+//go:build linux && amd64
+
+package main
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dahliapin/internal/syscallfault"
+)
+
+var (
+	allFaults = flag.Bool("all-syscall-faults", false, "play each fault of a system call by each schedule, spans of 2 s")
+	faultLike = flag.String("syscall-fault", "", "play only the faults whose names have this in them")
+)
+
+const (
+	faultNodes      = 4                      // that are traced at the same time
+	shortSpan       = 150 * time.Millisecond // in which each call fails
+	longSpan        = 2 * time.Second
+	interruptGap    = time.Millisecond // between two interrupted calls of a span: signals do not come without end
+	faultsPerSec    = 500              // that a call which fails is made again at most
+	callsPerRequest = 3                // of one kind, on one site
+	idleCallsIn     = 100 * time.Millisecond
+	shortShare      = 7    // of the points, one in so many is played under the race detector
+	mostIdleCalls   = 1000 // that a node makes in that time with nothing to do
+)
+
+// site is what a descriptor is about.
+type site string
+
+const (
+	anySite        site = "any"
+	clientListener site = "listener"
+	client         site = "client"
+	cacheConn      site = "cache"
+	originConn     site = "origin"
+	discoveryConn  site = "discovery"
+	opsListener    site = "operators' listener"
+	opsConn        site = "operator"
+)
+
+// isOf tells whether a socket of a node's is about the site.
+func (n *faultNode) isOf(s site, socket syscallfault.Socket) bool {
+	switch s {
+	case clientListener:
+		return socket.Listening && socket.LocalPort == n.ports[client]
+	case opsListener:
+		return socket.Listening && socket.LocalPort == n.ports[opsConn]
+	case client, opsConn:
+		return !socket.Listening && socket.LocalPort == n.ports[s]
+	default:
+		return socket.PeerPort == n.ports[s]
+	}
+}
+
+// schedule is when a call fails.
+type schedule string
+
+const (
+	once      schedule = "once"
+	eachTenth schedule = "each tenth"
+	aSpan     schedule = "for a span"
+)
+
+// fault is one point: an error at a call, by a schedule.
+type fault struct {
+	call  syscallfault.Call
+	site  site
+	errno unix.Errno // 0 is a buffer of one byte
+	when  schedule
+}
+
+func (f *fault) String() string {
+	said := unix.ErrnoName(f.errno)
+	if f.errno == 0 {
+		said = "short"
+	}
+	return fmt.Sprintf("%s %s %s %s", f.call.Name, f.site, said, f.when)
+}
+
+// rule is the fault's for a node.
+func (f *fault) rule(n *faultNode) syscallfault.Rule {
+	rule := syscallfault.Rule{Call: f.call, Errno: f.errno}
+	if f.site != anySite {
+		rule.Match = func(socket syscallfault.Socket) bool { return n.isOf(f.site, socket) }
+	}
+	switch f.when {
+	case once:
+		rule.Schedule.Limit = 1
+	case eachTenth:
+		rule.Schedule.Every = 10
+	case aSpan:
+		rule.Schedule.Length = span()
+	}
+	// Both are retried at once, and rightly: each stands for a signal, or for a connection that is gone.
+	if f.errno == unix.EINTR || f.errno == unix.ECONNABORTED {
+		rule.Schedule.Pause = interruptGap
+	}
+	return rule
+}
+
+func span() time.Duration {
+	if *allFaults {
+		return longSpan
+	}
+	return shortSpan
+}
+
+// mayEndClients tells whether the fault ends a client's connection, so that there is none to answer on.
+func (f *fault) mayEndClients() bool {
+	if f.site != client || f.errno == 0 || f.errno == unix.EINTR {
+		return false
+	}
+	return f.call.Name != syscallfault.Duplicate.Name && f.call.Name != syscallfault.SetOption.Name
+}
+
+// faultsOf are the errors that a call may end with, as Linux documents them. EAGAIN of a read or a write is left out:
+// it tells that the kernel will say when there is more, which it does not if the error is made up.
+var faultsOf = []struct {
+	call   syscallfault.Call
+	sites  []site
+	errnos []unix.Errno
+}{
+	{syscallfault.Accept, []site{clientListener, opsListener}, []unix.Errno{
+		unix.EINTR, unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
+		unix.ENETDOWN, unix.EHOSTUNREACH, unix.ETIMEDOUT,
+	}},
+	{syscallfault.NewSocket, []site{anySite}, []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}},
+	{syscallfault.Connect, servers, []unix.Errno{
+		unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN, unix.ENOBUFS, unix.ENETUNREACH, unix.EHOSTUNREACH,
+		unix.ETIMEDOUT, unix.ECONNREFUSED,
+	}},
+	{syscallfault.Duplicate, []site{client, cacheConn, originConn, discoveryConn}, []unix.Errno{unix.EMFILE}},
+	{syscallfault.EpollWait, []site{anySite}, []unix.Errno{unix.EINTR}},
+	{syscallfault.EpollAdd, connections, []unix.Errno{unix.ENOMEM, unix.ENOSPC}},
+	{syscallfault.Read, connections, []unix.Errno{
+		0, unix.EINTR, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENOMEM,
+	}},
+	{syscallfault.Write, connections, []unix.Errno{
+		0, unix.EINTR, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENOBUFS, unix.ENOMEM,
+	}},
+	{syscallfault.Receive, []site{client, cacheConn, originConn}, []unix.Errno{
+		unix.EINTR, unix.ECONNRESET, unix.ETIMEDOUT, unix.ENOMEM,
+	}},
+	{syscallfault.SetOption, connections, []unix.Errno{unix.ENOBUFS, unix.ENOMEM}},
+	{syscallfault.GetOption, servers, []unix.Errno{unix.ENOBUFS}},
+	{syscallfault.LocalName, servers, []unix.Errno{unix.ENOBUFS}},
+	{syscallfault.RemoteName, servers, []unix.Errno{unix.ENOTCONN, unix.ENOBUFS}},
+}
+
+var (
+	connections = []site{client, cacheConn, originConn, discoveryConn, opsConn}
+	servers     = []site{cacheConn, originConn, discoveryConn}
+)
+
+// faults enumerates the points. The form for each day plays each error at each call and site by one of the schedules,
+// by turns, and the short one, for the race detector, some of these.
+func faults() (all []fault) {
+	schedules, number := []schedule{once, eachTenth, aSpan}, 0
+	for _, f := range faultsOf {
+		for _, at := range f.sites {
+			for _, errno := range f.errnos {
+				number++
+				for i, when := range schedules {
+					today := number%len(schedules) == i && (!testing.Short() || number%shortShare == 0)
+					if *allFaults || today || *faultLike != "" {
+						all = append(all, fault{f.call, at, errno, when})
+					}
+				}
+			}
+		}
+	}
+	return slices.DeleteFunc(all, func(f fault) bool { return !contains(f.String(), *faultLike) })
+}
+
+// faultCount is what became of the points.
+type faultCount struct {
+	mu                    sync.Mutex
+	played, unmet, broken int
+}
+
+// add counts a point, of which so many calls failed.
+func (c *faultCount) add(t *testing.T, f *fault, injected int, failures []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.played++
+	if injected == 0 {
+		c.unmet++
+		t.Logf("%s: the call was not made", f)
+	}
+	if len(failures) > 0 {
+		c.broken++
+		t.Errorf("%s (%d failed): %q", f, injected, failures)
+	}
+}
+
+// Each error that Linux documents, at each of a node's calls: all requests have one answer, no request that was sent to
+// a server is told to have been rejected, nothing spins, no descriptor is lost, and the node serves as before.
+func TestFaultsOfSystemCalls(t *testing.T) {
+	all := faults()
+	points := make(chan fault, len(all))
+	for _, f := range all {
+		points <- f
+	}
+	close(points)
+	var count faultCount
+	t.Run("nodes", func(t *testing.T) {
+		for i := range faultNodes {
+			t.Run(fmt.Sprint(i), func(t *testing.T) {
+				t.Parallel()
+				n := startFaultNode(t)
+				for f := range points {
+					injected, failures := n.play(&f)
+					count.add(t, &f, injected, failures)
+					if len(failures) > 0 { // what is broken for good would break the next points, too
+						n.end()
+						n = startFaultNode(t)
+					}
+				}
+			})
+		}
+	})
+	t.Logf("%d of %d points, of which %d met no call; %d broke something",
+		count.played, len(all), count.unmet, count.broken)
+	if count.played == 0 && !t.Failed() {
+		t.Skip("cannot trace here")
+	}
+}
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -34,7 +34,8 @@
 	"policy": decisions, "internal/config": config, "internal/wire": wire, "internal/discovery": discovery,
 	"internal/membership": membership, "internal/control": control,
 	"internal/proxy": proxy, "node": node, "internal/emulator": tools, "internal/scale": tools, "internal/loadgen": tools,
-	"cmd": commands, "internal/layout": commands,
+	"internal/syscallfault": tools,
+	"cmd":                   commands, "internal/layout": commands,
 }
 
 // mayImport says what a layer imports beside itself and the small libraries. Nothing of the product imports the tools.
--- /dev/null
+++ b/internal/syscallfault/calls_linux_amd64.go
@@ -0,0 +1,47 @@
+package syscallfault
+
+import "golang.org/x/sys/unix"
+
+// Call is a system call that can be made to fail.
+type Call struct {
+	Name       string
+	numbers    []uint64
+	descriptor int // position of the descriptor among its arguments; noDescriptor if it has none
+	size       int // position of the size of its buffer
+}
+
+const noDescriptor = -1
+
+var epollWaits = []uint64{unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_PWAIT2}
+
+// The calls that can be made to fail.
+var (
+	Accept     = Call{Name: "accept", numbers: []uint64{unix.SYS_ACCEPT, unix.SYS_ACCEPT4}}
+	NewSocket  = Call{Name: "socket", numbers: []uint64{unix.SYS_SOCKET}, descriptor: noDescriptor}
+	Connect    = Call{Name: "connect", numbers: []uint64{unix.SYS_CONNECT}}
+	Duplicate  = Call{Name: "dup", numbers: []uint64{unix.SYS_DUP, unix.SYS_DUP3}}
+	EpollWait  = Call{Name: "epoll_wait", numbers: epollWaits, descriptor: noDescriptor}
+	EpollAdd   = Call{Name: "epoll_ctl", numbers: []uint64{unix.SYS_EPOLL_CTL}, descriptor: 2}
+	Read       = Call{Name: "read", numbers: []uint64{unix.SYS_READ}, size: 2}
+	Write      = Call{Name: "write", numbers: []uint64{unix.SYS_WRITE}, size: 2}
+	Receive    = Call{Name: "recvfrom", numbers: []uint64{unix.SYS_RECVFROM}, size: 2}
+	SetOption  = Call{Name: "setsockopt", numbers: []uint64{unix.SYS_SETSOCKOPT}}
+	GetOption  = Call{Name: "getsockopt", numbers: []uint64{unix.SYS_GETSOCKOPT}}
+	LocalName  = Call{Name: "getsockname", numbers: []uint64{unix.SYS_GETSOCKNAME}}
+	RemoteName = Call{Name: "getpeername", numbers: []uint64{unix.SYS_GETPEERNAME}}
+)
+
+// isNumber tells whether a system call with a number is the call.
+func (c *Call) isNumber(number uint64) bool {
+	for _, n := range c.numbers {
+		if n == number {
+			return true
+		}
+	}
+	return false
+}
+
+// applies tells whether the call is what it is named after: epoll_ctl is, where it adds a descriptor.
+func (c *Call) applies(arguments [6]uint64) bool {
+	return c.numbers[0] != unix.SYS_EPOLL_CTL || arguments[1] == unix.EPOLL_CTL_ADD
+}
--- /dev/null
+++ b/internal/syscallfault/rule_test.go
@@ -0,0 +1,41 @@
+package syscallfault
+
+import (
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// The calls come every millisecond.
+func TestSchedules(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		schedule Schedule
+		fail     string // 1 for each call that fails
+	}{
+		{"each", Schedule{}, "111111111111"},
+		{"once", Schedule{Limit: 1}, "100000000000"},
+		{"each third", Schedule{Every: 3}, "001001001001"},
+		{"each third, twice", Schedule{Every: 3, Limit: 2}, "001001000000"},
+		{"for a span", Schedule{Length: 4 * time.Millisecond}, "111110000000"},
+		{"with pauses", Schedule{Pause: 2 * time.Millisecond}, "101010101010"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			now := time.Unix(0, 0)
+			i := &Injection{rule: Rule{Errno: unix.EIO, Schedule: test.schedule}, now: func() time.Time { return now }}
+			got := ""
+			for range test.fail {
+				if i.due() {
+					got += "1"
+				} else {
+					got += "0"
+				}
+				now = now.Add(time.Millisecond)
+			}
+			if got != test.fail {
+				t.Errorf("%s fail, not %s", got, test.fail)
+			}
+		})
+	}
+}
