--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 
 	"github.com/lesismal/nbio"
+	"golang.org/x/sys/unix"
 )
 
 // Conn is one connection. Its methods are the event loop's to call. Its fields stand together since the state of
@@ -55,10 +56,26 @@
 	_, err := c.conn.Write(b)
 	if err != nil {
 		c.forgetUnsent()
+	} else if c.unsent.Load() > 0 {
+		c.promptFlush()
 	}
 	return err
 }
 
+// promptFlush has the poller write what is left of the last write, if the kernel has room for it now. Guards against a
+// write that was interrupted, or cut short though there was room: nbio, polling by edges, leaves the rest until the
+// kernel tells of room, which the kernel does only where it had said that there was none. Setting the socket's limit of
+// unsent bytes, here to the system's as it is already, makes the kernel tell of the room that there is.
+func (c *Conn) promptFlush() {
+	raw, err := c.conn.SyscallConn()
+	if err != nil || c.descriptorFreed.Load() {
+		return
+	}
+	_ = raw.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, 0)
+	})
+}
+
 // Unsent returns the number of written bytes that the kernel has not taken yet.
 func (c *Conn) Unsent() int64 { return c.unsent.Load() }
 
