--- a/internal/proxy/admin/server.go
+++ b/internal/proxy/admin/server.go
@@ -59,7 +59,7 @@
 		ErrorLog:       stdlog.New(io.Discard, "", 0),
 	}
 	s.http.SetKeepAlivesEnabled(false)
-	go func() { _ = s.http.Serve(s.listener) }()
+	go func() { _ = s.http.Serve(retryingListener{s.listener}) }()
 }
 
 // Close stops listening and ends all calls.
