--- a/internal/proxy/handover/conversation.go
+++ b/internal/proxy/handover/conversation.go
@@ -24,6 +24,9 @@
 	// conversationTimeout is for the other process to answer, which it does beside its event loop.
 	conversationTimeout = 500 * time.Millisecond
 
+	// acceptRetryPause is the pause after an accept that failed.
+	acceptRetryPause = 5 * time.Millisecond
+
 	maxPathSize    = 107     // bytes of the name that a Unix socket may have
 	maxSockets     = 64      // that are passed: the node's and those of the operator's file
 	maxAddressSize = 8 << 10 // bytes of their addresses
--- a/internal/proxy/handover/offer.go
+++ b/internal/proxy/handover/offer.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"net"
 	"os"
 	"strings"
@@ -52,13 +53,18 @@
 	return o, nil
 }
 
-// acceptSuccessors runs until the socket is closed.
+// acceptSuccessors runs until the socket is closed. Guards against a failure of the system, for a moment, after which no
+// process could take this one's place any more.
 func (o *Offer) acceptSuccessors() {
 	for {
 		c, err := o.socket.AcceptUnix()
-		if err != nil {
+		if errors.Is(err, net.ErrClosed) {
 			return
 		}
+		if err != nil {
+			time.Sleep(acceptRetryPause)
+			continue
+		}
 		if o.admit(c) {
 			go o.serveSuccessor(c)
 		} else {
