--- a/internal/proxy/sockets/dial.go
+++ b/internal/proxy/sockets/dial.go
@@ -27,9 +27,14 @@
 	nc, err := dialNBIO(addr, timeout)
 	if err != nil {
 		e.descriptorFreed()
-		e.enqueue(Event{Kind: Refused, DialID: id, Local: isLocal(err)}, nil)
+		local := isLocal(err)
+		if local {
+			time.Sleep(e.localFailures.pause(addr, time.Now()))
+		}
+		e.enqueue(Event{Kind: Refused, DialID: id, Local: local}, nil)
 		return
 	}
+	e.localFailures.forget(addr)
 	e.dialing.RLock()
 	defer e.dialing.RUnlock()
 	if e.stopped {
@@ -59,7 +64,8 @@
 
 // localErrors are the errors of connecting for want of something on this machine, mostly for a moment.
 var localErrors = []error{
-	unix.EADDRNOTAVAIL, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ENFILE, unix.EAGAIN,
+	unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ENFILE, unix.EAGAIN,
+	unix.ENOSPC, // of watches of epoll
 }
 
 // isLocal tells whether connecting failed on this machine, so that the server, which was never called, is not to be
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -45,6 +45,8 @@
 	listeners []*listener
 	wake      chan struct{} // has a place for one signal
 
+	localFailures localFailures
+
 	// dialing is held for reading while a dialed connection is added to nbio, and for writing to stop.
 	dialing sync.RWMutex
 
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -337,6 +337,8 @@
 		{syscall.EHOSTUNREACH, false},
 		{syscall.ENETUNREACH, false},
 		{syscall.EADDRNOTAVAIL, true},
+		{syscall.EADDRINUSE, true},
+		{syscall.ENOSPC, true},
 		{syscall.ENOBUFS, true},
 		{syscall.EMFILE, true},
 		{syscall.ENFILE, true},
