--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -159,6 +159,12 @@
 	return c
 }
 
+func (e *Engine) isStopped() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.stopped
+}
+
 // Unsent returns the number of bytes that wait for slow readers.
 func (e *Engine) Unsent() int64 { return e.unsent.Load() }
 
--- a/internal/proxy/sockets/listener.go
+++ b/internal/proxy/sockets/listener.go
@@ -60,13 +60,18 @@
 }
 
 // accept accepts a connection and makes it nbio's. That needs another descriptor for a moment: where there is none,
-// nbio would close the connection without a callback, and it would stay counted for good.
+// nbio would close the connection without a callback, and it would stay counted for good. So it is tried again until
+// there is one. Guards against a client that has sent a request, and whose connection ends without an answer.
 func (l *listener) accept() (*nbio.Conn, error) {
 	plain, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	conn, err := nbio.NBConn(plain)
+	for isLocal(err) && !l.engine.isStopped() {
+		time.Sleep(acceptRetryPause)
+		conn, err = nbio.NBConn(plain)
+	}
 	if err != nil {
 		_ = plain.Close()
 		return nil, err
