--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -75,3 +75,46 @@
 		}
 	}
 }
+
+// steppedProxy is a proxy of which only the clock and the list matter; its wall clock is off by what is pointed to.
+func steppedProxy(off *time.Duration) *Proxy {
+	wall := func() time.Time { return time.Now().Add(*off) }
+	return &Proxy{clock: clock{startedAt: time.Now().Add(-3 * time.Hour), wall: wall}}
+}
+
+var wallClockSteps = []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
+
+// A step while an endpoint warms up leaves its start where it is, whoever is told of it again.
+func TestEndpointStartStaysAfterWallClockStepInSlowStart(t *testing.T) {
+	for _, step := range wallClockSteps {
+		off := time.Duration(0)
+		p := steppedProxy(&off)
+		stated := float64(time.Now().Add(-time.Second).UnixMilli())
+		known := &knownEndpoint{start: p.processStartOf(nil, stated)}
+		off = step
+		if again := p.processStartOf(known, stated); again != known.start {
+			t.Errorf("%v: the start has moved by %v", step, again.at.Since(known.start.at))
+		}
+	}
+}
+
+// A node whose clock is off when it has its first list takes endpoints for older or younger by as much, and never for
+// started later than now: so one that warms up for long enough does so from then on.
+func TestEndpointStartInTheFirstListIsOffByNoMoreThanTheClock(t *testing.T) {
+	for _, step := range wallClockSteps {
+		for _, age := range []time.Duration{time.Second, time.Minute, 2 * time.Hour} {
+			off := step
+			p := steppedProxy(&off)
+			got := p.now().Since(p.processStartOf(nil, float64(time.Now().Add(-age).UnixMilli())).at)
+			want := max(0, age+step)
+			if got < want-time.Second || got > want+time.Second {
+				t.Errorf("%v: one that started %v ago did so %v ago, want %v", step, age, got, want)
+			}
+			off = 0 // the clock is set right
+			known := &knownEndpoint{start: processStart{statedMs: 1, at: p.now().Add(-got)}}
+			if again := p.processStartOf(known, 1); again != known.start {
+				t.Errorf("%v: setting the clock right has moved the start", step)
+			}
+		}
+	}
+}
