--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -45,6 +45,8 @@
 	listeners []*listener
 	wake      chan struct{} // has a place for one signal
 
+	localFailures localFailures
+
 	// dialing is held for reading while a dialed connection is added to nbio, and for writing to stop.
 	dialing sync.RWMutex
 
@@ -157,6 +159,12 @@
 	return c
 }
 
+func (e *Engine) isStopped() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.stopped
+}
+
 // Unsent returns the number of bytes that wait for slow readers.
 func (e *Engine) Unsent() int64 { return e.unsent.Load() }
 
