--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -12,20 +12,22 @@
 	"dahliapin/policy"
 )
 
-const longestWatch = time.Minute
+// maxWatchTime is how long a watch waits for a change at most.
+const maxWatchTime = time.Minute
 
-// agent is discovery as one node sees it: it has heard so much, and tells that.
+// agent is discovery as one node sees it: it has heard of so many changes, and tells these.
 type agent struct {
-	r      *Rig
+	rig    *Rig
 	node   int
-	at     net.Listener
-	web    *http.Server
-	mu     sync.Mutex
-	log    []policy.Endpoint // changes; a version is how many there were
-	all    map[policy.EndpointID]policy.Endpoint
-	order  []policy.EndpointID
-	news   chan struct{} // closed at the next change
+	server *http.Server
+	addr   string
 	closed chan struct{}
+
+	mu      sync.Mutex
+	changes []policy.Endpoint // a version is how many there were
+	latest  map[policy.EndpointID]policy.Endpoint
+	order   []policy.EndpointID // of the endpoints, as they were heard of
+	changed chan struct{}       // closed at the next change
 }
 
 func (r *Rig) newAgent(node int) (*agent, error) {
@@ -33,12 +35,19 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{r: r, node: node, at: l, all: map[policy.EndpointID]policy.Endpoint{}, news: make(chan struct{}), closed: make(chan struct{})}
+	a := &agent{
+		rig:     r,
+		node:    node,
+		addr:    l.Addr().String(),
+		closed:  make(chan struct{}),
+		latest:  map[policy.EndpointID]policy.Endpoint{},
+		changed: make(chan struct{}),
+	}
 	for i := range r.world.Servers {
 		a.hear(runner.EndpointOf(r.world, i))
 	}
-	a.web = &http.Server{Handler: a}
-	go a.web.Serve(l)
+	a.server = &http.Server{Handler: a}
+	go a.server.Serve(l)
 	return a, nil
 }
 
@@ -46,116 +55,207 @@
 func (a *agent) hear(e policy.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if _, known := a.all[e.ID]; !known {
+	if _, known := a.latest[e.ID]; !known {
 		a.order = append(a.order, e.ID)
 	}
-	a.all[e.ID] = e
-	a.log = append(a.log, e)
-	close(a.news)
-	a.news = make(chan struct{})
+	a.latest[e.ID] = e
+	a.changes = append(a.changes, e)
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
 func (a *agent) close() {
 	close(a.closed)
-	a.web.Close()
+	a.server.Close()
+}
+
+// listPoll is a call for the list.
+type listPoll struct {
+	since    int // the version that the node has
+	complete bool
+	timeout  time.Duration
+}
+
+func parseListPoll(in *http.Request) listPoll {
+	query := in.URL.Query()
+	since, err := strconv.Atoi(query.Get("since"))
+	milliseconds, _ := strconv.Atoi(query.Get("timeout_ms"))
+	return listPoll{
+		since:    since,
+		complete: err != nil,
+		timeout:  min(maxWatchTime, time.Duration(milliseconds)*time.Millisecond),
+	}
+}
+
+// listAnswer is what a call for the list is answered.
+type listAnswer struct {
+	version  int
+	complete bool // all endpoints, else what has changed
+	entries  []policy.Endpoint
 }
 
 // ServeHTTP answers a call for the list. While discovery is down it says nothing.
 func (a *agent) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	a.r.mu.Lock()
-	up := a.r.listUp
-	a.r.mu.Unlock()
-	select {
-	case <-up:
-	case <-in.Context().Done():
-		return
-	case <-a.closed:
+	if !await(a, in, a.rig.discoveryUp()) {
 		return
 	}
-	since, err := strconv.Atoi(in.URL.Query().Get("since"))
-	wait, _ := strconv.Atoi(in.URL.Query().Get("timeout_ms"))
-	whole := err != nil
-	a.r.mu.Lock()
-	now, taken := a.r.now(), true
-	at := now
-	if a.r.log.Second(now).Polls++; a.r.registry.Bounded() {
-		at, taken = a.r.registry.Poll(now, whole)
-	}
-	a.r.mu.Unlock()
-	if !taken {
+	poll := parseListPoll(in)
+	delay, accepted := a.rig.admitPoll(poll.complete)
+	if !accepted {
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
+	if !await(a, in, time.After(delay)) || !a.awaitChange(in, poll) {
+		return
+	}
+	answer := a.answerTo(poll)
+	if _, err := out.Write(a.rig.list(answer.version, answer.complete, answer.entries)); err != nil {
+		return
+	}
+	a.rig.noteNotified(a.node, answer.entries)
+}
+
+// await waits until a channel is ready. It returns false if the node or the agent has gone before.
+func await[T any](a *agent, in *http.Request, ready <-chan T) bool {
 	select {
-	case <-time.After(at.Since(now)):
+	case <-ready:
+		return true
 	case <-in.Context().Done():
-		return
+		return false
 	case <-a.closed:
-		return
+		return false
 	}
-	timer := time.NewTimer(min(longestWatch, time.Duration(wait)*time.Millisecond))
+}
+
+// awaitChange waits until the list is newer than what a poll knows, or the poll's time is over. It returns false if the
+// node or the agent has gone before.
+func (a *agent) awaitChange(in *http.Request, poll listPoll) bool {
+	timer := time.NewTimer(poll.timeout)
 	defer timer.Stop()
-	a.mu.Lock()
-	if since > len(a.log) || since < 0 {
-		whole = true
-	}
-	for waits := true; !whole && waits && since == len(a.log); {
-		news := a.news
+	for {
+		a.mu.Lock()
+		isNews := poll.complete || poll.since != len(a.changes)
+		changed := a.changed
 		a.mu.Unlock()
+		if isNews {
+			return true
+		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
-			waits = false
+			return true
 		case <-in.Context().Done():
-			return
+			return false
 		case <-a.closed:
-			return
+			return false
 		}
-		a.mu.Lock()
 	}
-	changed := a.log[min(max(0, since), len(a.log)):]
-	if whole {
-		changed = nil
-		for _, id := range a.order {
-			if e := a.all[id]; e.Lifecycle != policy.Removed {
-				changed = append(changed, e)
-			}
+}
+
+// answerTo returns what a poll is told now. One from a version that is not known gets the complete list.
+func (a *agent) answerTo(poll listPoll) listAnswer {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	answer := listAnswer{version: len(a.changes), complete: poll.complete}
+	if poll.since < 0 || poll.since > len(a.changes) {
+		answer.complete = true
+	}
+	if !answer.complete {
+		answer.entries = a.changes[poll.since:]
+		return answer
+	}
+	for _, id := range a.order {
+		if e := a.latest[id]; e.Lifecycle != policy.Removed {
+			answer.entries = append(answer.entries, e)
 		}
 	}
-	version := len(a.log)
-	a.mu.Unlock()
-	text := a.r.list(version, whole, changed)
-	if _, err := out.Write(text); err != nil {
-		return
+	return answer
+}
+
+// discoveryUp returns a channel that is closed while discovery is up.
+func (r *Rig) discoveryUp() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.listUp
+}
+
+// admitPoll counts a poll, and returns after which delay discovery answers it; it refuses some if it is bounded.
+func (r *Rig) admitPoll(complete bool) (delay time.Duration, accepted bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	r.log.Second(now).Polls++
+	if !r.registry.Bounded() {
+		return 0, true
 	}
-	a.r.mu.Lock()
-	for _, e := range changed {
-		a.r.checker.Notified(a.r.now(), a.node, e.ID, e.Lifecycle)
+	at, accepted := r.registry.Poll(now, complete)
+	return at.Since(now), accepted
+}
+
+// noteNotified tells the checker what a node was told.
+func (r *Rig) noteNotified(node int, entries []policy.Endpoint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, e := range entries {
+		r.checker.Notified(r.now(), node, e.ID, e.Lifecycle)
 	}
-	a.r.mu.Unlock()
 }
 
-// list writes entries as the list has them.
-func (r *Rig) list(version int, whole bool, entries []policy.Endpoint) []byte {
-	rows := []map[string]any{}
+// instance is an entry of the endpoint list, in discovery's form.
+type instance struct {
+	ID          string  `json:"instanceId"`
+	Address     string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int64   `json:"cell"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs int64   `json:"startedAtMs"`
+	Lifecycle   string  `json:"lifecycle"`
+}
+
+var (
+	machineTypes   = [...]string{"cache", "origin"}
+	lifecycleNames = [...]string{
+		policy.Ready:    "in_service",
+		policy.Draining: "terminating",
+		policy.Removed:  "terminated",
+	}
+)
+
+// list encodes entries as discovery does. Servers that are not there any more are left out.
+func (r *Rig) list(version int, complete bool, entries []policy.Endpoint) []byte {
+	instances := []instance{}
 	r.mu.Lock()
 	for _, e := range entries {
-		i, ok := r.world.Find(e.ID)
-		if !ok || i >= len(r.servers) || r.servers[i] == nil {
-			continue
-		}
-		born := int64(0)
-		if e.StartedAt != 0 {
-			born = r.startedAt.Add(e.StartedAt.Since(epoch)).UnixMilli()
+		if i, ok := r.world.Find(e.ID); ok && i < len(r.servers) && r.servers[i] != nil {
+			instances = append(instances, r.instanceOf(e, r.servers[i].addr))
 		}
-		rows = append(rows, map[string]any{"instanceId": string(e.ID), "hostPort": r.servers[i].addr, "zone": string(e.Zone),
-			"machineType": [...]string{"cache", "origin"}[e.Kind], "cell": int64(e.Group), "weight": e.Weight, "startedAtMs": born,
-			"lifecycle": [...]string{policy.Ready: "in_service", policy.Draining: "terminating", policy.Removed: "terminated"}[e.Lifecycle]})
 	}
 	r.mu.Unlock()
-	text, err := json.Marshal(map[string]any{"generation": version, "reset": whole, "instances": rows})
+	text, err := json.Marshal(struct {
+		Generation int        `json:"generation"`
+		Reset      bool       `json:"reset"`
+		Instances  []instance `json:"instances"`
+	}{version, complete, instances})
 	if err != nil {
 		panic(err) // names and numbers only
 	}
 	return text
 }
+
+func (r *Rig) instanceOf(e policy.Endpoint, addr string) instance {
+	startedAtMs := int64(0)
+	if e.StartedAt != 0 {
+		startedAtMs = r.startedAt.Add(e.StartedAt.Since(epoch)).UnixMilli()
+	}
+	return instance{
+		ID:          string(e.ID),
+		Address:     addr,
+		Zone:        string(e.Zone),
+		MachineType: machineTypes[e.Kind],
+		Cell:        int64(e.Group),
+		Weight:      e.Weight,
+		StartedAtMs: startedAtMs,
+		Lifecycle:   lifecycleNames[e.Lifecycle],
+	}
+}
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -259,12 +259,12 @@
 	var held []policy.Endpoint
 	m.agent.mu.Lock()
 	for _, id := range m.agent.order {
-		if e := m.agent.all[id]; e.Lifecycle != policy.Removed {
+		if e := m.agent.latest[id]; e.Lifecycle != policy.Removed {
 			held = append(held, e)
 		}
 	}
 	m.agent.mu.Unlock()
-	return json.Marshal(map[string]any{"ops": ops, "name": m.name, "listen": listen, "discovery": m.agent.at.Addr().String(),
+	return json.Marshal(map[string]any{"ops": ops, "name": m.name, "listen": listen, "discovery": m.agent.addr,
 		"seed": fmt.Sprintf("%x", m.r.scenario.Seed*7919+int64(m.number)*31+int64(m.life)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
 		"settings": m.r.scenario.Settings(m.r.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.r.list(0, true, held))})
 }
--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -10,76 +10,163 @@
 )
 
 const (
-	formsIn   = 5.0  // seconds until all know all
-	quietLast = 14.0 // seconds without trouble at the end, in which all have to come to one view
-	mostWorst = 15.0 // seconds that a process is stopped at most
-	roughness = 0.3  // share of messages lost, at most
-	troubled  = 3    // one in so many nodes is in trouble at a time, at most: a fleet of which more are decides nothing
+	formingTime       = 5.0  // seconds until all nodes know each other
+	quietTime         = 14.0 // seconds without faults at the end, in which all views have to become the same
+	minFaultTime      = 5.0  // seconds with faults, at least
+	recoveryTime      = 6.0  // seconds after a node's fault until it is back and counts again
+	minDuration       = 0.5  // seconds of a fault
+	maxExtraDuration  = 15.0 // seconds of a fault beyond that
+	maxPause          = 5.0  // seconds between the beginnings of two faults, beyond minPause
+	minPause          = 1.0
+	minLoss           = 0.05 // share of messages lost
+	maxLoss           = 0.3
+	duplicateShare    = 0.3
+	minLateMs         = 20
+	maxExtraLateMs    = 280
+	flapInterval      = 1.0 // seconds between the turns of a link that flaps
+	bothWaysShare     = 0.5 // of cuts between two nodes
+	maxFaultyFraction = 3   // one in so many nodes has a fault at a time: a fleet of which more have decides nothing
+	nemesisSeedSalt   = 0x0e5e
 )
 
-// Nemesis makes a random schedule of troubles between nodes, the same for the same seed.
+// The kinds of faults, which are drawn alike. Those from nodeCut on are of one node.
+const (
+	messageLoss = iota
+	messageDuplicates
+	messageDelays
+	pairCut // a pair of nodes that don't hear each other is no node's end
+	sendCut
+	receiveCut
+	flappingCut
+	nodeKill
+	nodeHang
+	nodePause
+	faultKinds
+)
+
+// nemesis draws a schedule of faults.
+type nemesis struct {
+	chance keyhash.Source
+	nodes  int
+	freeAt []float64 // from when each node may have a fault again, in seconds
+}
+
+// Nemesis returns a random schedule of faults between nodes, the same for the same seed.
 func Nemesis(seed int64, nodes int, seconds float64) *Scenario {
-	s := defaults()
-	s.Name, s.Seed, s.Seconds = fmt.Sprintf("nemesis-%d", seed), seed, math.Max(seconds, formsIn+quietLast+5)
-	s.About = "A random schedule of troubles between nodes."
-	s.Fleet.Nodes, s.Fleet.Caches, s.Traffic.PerSecond, s.Traffic.Keys = nodes, 4, 100, 500
-	s.Classes = []Class{{Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all"}}
-	s.Together = &Together{}
-	chance := keyhash.Source{Seed: uint32(seed) ^ 0x0e5e}
-	upTo := func(most float64) float64 { return math.Round(chance.Float64()*most*10) / 10 }
-	free := make([]float64, nodes) // from when a node may be in trouble again
-	end := s.Seconds - quietLast
-	for at := formsIn; ; at += 1 + upTo(5) {
-		at = math.Round(at*10) / 10
-		long := 0.5 + upTo(mostWorst)
-		if at+long >= end {
-			if long = end - at; long < 0.5 {
+	s := nemesisScenario(seed, nodes, seconds)
+	n := &nemesis{
+		chance: keyhash.Source{Seed: uint32(seed) ^ nemesisSeedSalt},
+		nodes:  nodes,
+		freeAt: make([]float64, nodes),
+	}
+	end := s.Seconds - quietTime
+	for at := formingTime; ; at += minPause + n.upTo(maxPause) {
+		at = tenths(at)
+		duration := minDuration + n.upTo(maxExtraDuration)
+		if at+duration >= end {
+			if duration = end - at; duration < minDuration {
 				break
 			}
 		}
-		e := Event{AtS: at, ForS: math.Round(long*10) / 10}
-		n := int(chance.Float64() * float64(nodes))
-		busy := 0
-		for _, f := range free {
-			if f > at {
-				busy++
-			}
+		event := Event{AtS: at, ForS: tenths(duration)}
+		if n.draw(&event) {
+			s.Events = append(s.Events, event)
 		}
-		one := free[n] <= at && (busy+1)*troubled <= nodes
-		switch kind := int(chance.Float64() * 10); {
-		case kind == 0:
-			e.Do, e.Share = loss, 0.05+upTo(roughness-0.05)
-		case kind == 1:
-			e.Do, e.Share = twice, 0.3
-		case kind == 2:
-			e.Do, e.LateMs = late, 20+math.Round(chance.Float64()*280)
-		case kind == 3: // a pair that does not hear each other is nobody's end
-			m := int(chance.Float64() * float64(nodes))
-			if m == n || !one {
-				continue
-			}
-			e.Do, e.From, e.To, e.Both = cut, []int{n + 1}, []int{m + 1}, chance.Float64() < 0.5
-		case !one:
-			continue
-		case kind == 4:
-			e.Do, e.From = cut, []int{n + 1}
-		case kind == 5:
-			e.Do, e.To = cut, []int{n + 1}
-		case kind == 6:
-			e.Do, e.From, e.Both, e.TurnS = cut, []int{n + 1}, true, 1
-		case kind == 7:
-			e.Do, e.Nodes = "node_kill", []int{n + 1}
-		case kind == 8:
-			e.Do, e.Nodes = hang, []int{n + 1}
-		default:
-			e.Do, e.Nodes = pause, []int{n + 1}
+	}
+	return s
+}
+
+// nemesisScenario returns the scenario of a schedule without its faults: a small deployment with little traffic.
+func nemesisScenario(seed int64, nodes int, seconds float64) *Scenario {
+	s := defaults()
+	s.Name = fmt.Sprintf("nemesis-%d", seed)
+	s.Seed = seed
+	s.Seconds = math.Max(seconds, formingTime+quietTime+minFaultTime)
+	s.About = "A random schedule of troubles between nodes."
+	s.Fleet.Nodes = nodes
+	s.Fleet.Caches = 4
+	s.Traffic.PerSecond = 100
+	s.Traffic.Keys = 500
+	s.Classes = []Class{{
+		Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all",
+	}}
+	s.Together = &Together{}
+	return &s
+}
+
+// tenths rounds to tenths, so that a schedule reads well.
+func tenths(x float64) float64 { return math.Round(x*10) / 10 }
+
+// upTo draws a number of tenths from 0 to a greatest one.
+func (n *nemesis) upTo(most float64) float64 { return tenths(n.chance.Float64() * most) }
+
+// drawNode draws a node, from 0.
+func (n *nemesis) drawNode() int { return int(n.chance.Float64() * float64(n.nodes)) }
+
+// mayHaveFault reports whether a node may have a fault at a time, beside those that others have.
+func (n *nemesis) mayHaveFault(node int, at float64) bool {
+	faulty := 0
+	for _, freeAt := range n.freeAt {
+		if freeAt > at {
+			faulty++
 		}
-		if len(e.Nodes)+len(e.From)+len(e.To) > 0 {
-			free[n] = at + e.ForS + 6 // until it is back and counts again
+	}
+	return n.freeAt[node] <= at && (faulty+1)*maxFaultyFraction <= n.nodes
+}
+
+// draw draws what happens at an event's time. It returns false for a fault of a node that may have none then.
+func (n *nemesis) draw(e *Event) bool {
+	node := n.drawNode()
+	mayHaveFault := n.mayHaveFault(node, e.AtS)
+	kind := int(n.chance.Float64() * faultKinds)
+	if kind < pairCut {
+		n.drawMessageFault(e, kind)
+		return true
+	}
+	if kind == pairCut {
+		other := n.drawNode()
+		if other == node || !mayHaveFault {
+			return false
 		}
-		s.Events = append(s.Events, e)
+		e.Do, e.From, e.To, e.Both = cut, []int{node + 1}, []int{other + 1}, n.chance.Float64() < bothWaysShare
+	} else {
+		if !mayHaveFault {
+			return false
+		}
+		setNodeFault(e, kind, []int{node + 1})
+	}
+	n.freeAt[node] = e.AtS + e.ForS + recoveryTime
+	return true
+}
+
+// drawMessageFault draws how much of all messages a fault meets.
+func (n *nemesis) drawMessageFault(e *Event, kind int) {
+	switch kind {
+	case messageLoss:
+		e.Do, e.Share = loss, minLoss+n.upTo(maxLoss-minLoss)
+	case messageDuplicates:
+		e.Do, e.Share = twice, duplicateShare
+	case messageDelays:
+		e.Do, e.LateMs = late, minLateMs+math.Round(n.chance.Float64()*maxExtraLateMs)
+	}
+}
+
+// setNodeFault sets the fault of one node.
+func setNodeFault(e *Event, kind int, node []int) {
+	switch kind {
+	case sendCut:
+		e.Do, e.From = cut, node
+	case receiveCut:
+		e.Do, e.To = cut, node
+	case flappingCut:
+		e.Do, e.From, e.Both, e.TurnS = cut, node, true, flapInterval
+	case nodeKill:
+		e.Do, e.Nodes = "node_kill", node
+	case nodeHang:
+		e.Do, e.Nodes = hang, node
+	case nodePause:
+		e.Do, e.Nodes = pause, node
 	}
-	return &s
 }
 
 // Without is the script less one event.
--- a/internal/emulator/scenario/nemesis_test.go
+++ b/internal/emulator/scenario/nemesis_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("seed %d: one event less is %d of %d", seed, len(less.Events), len(back.Events))
 		}
 		for _, e := range s.Events {
-			if e.AtS < formsIn || e.AtS+e.ForS > s.Seconds-quietLast+1e-6 {
+			if e.AtS < formingTime || e.AtS+e.ForS > s.Seconds-quietTime+1e-6 {
 				t.Errorf("seed %d: %+v is not within its time", seed, e)
 			}
 		}
--- a/internal/scale/cachegrowth/caches.go
+++ b/internal/scale/cachegrowth/caches.go
@@ -23,7 +23,6 @@
 type fleet struct {
 	connections atomic.Int64 // accepted, of all caches
 	count       int
-	startedAtMs int64
 	zones       [zoneCount]*zoneListener
 }
 
