--- a/cmd/dahliapin/capacity_test.go
+++ b/cmd/dahliapin/capacity_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// BenchmarkNodeProcess is what docs/CAPACITY.md takes its slopes of the data path from: processor time of a node's process alone, by the
-// size of a value, and resident memory by the clients that are connected and idle.
+// BenchmarkNodeProcess is what docs/CAPACITY.md takes its slopes of the data path from: processor time of a node's
+// process alone, by the size of a value, and resident memory by the clients that are connected and idle.
 func BenchmarkNodeProcess(b *testing.B) {
 	for _, size := range []int{500, 64 << 10, 673_000, 4_000_000} {
 		b.Run(fmt.Sprint(size, "-bytes"), func(b *testing.B) {
--- a/cmd/dahliapin/many_caches_test.go
+++ b/cmd/dahliapin/many_caches_test.go
@@ -34,8 +34,8 @@
 // waits are what clients wait for an answer, by turns.
 var waits = [...]time.Duration{464 * time.Millisecond, 1200 * time.Millisecond}
 
-// release is discovery, and caches that are replaced in steps. All caches of one step share a listener, so that it is known of each
-// request to which step's caches it went.
+// release is discovery, and caches that are replaced in steps. All caches of one step share a listener, so that it is
+// known of each request to which step's caches it went.
 type release struct {
 	caches int
 	origin string
@@ -213,7 +213,8 @@
 	a.ended(key, line, err, time.Since(began)-wait)
 }
 
-// keyOf is the key of the i-th request: some are asked for so often that connections to their caches stay open, and some are nowhere.
+// keyOf is the key of the i-th request: some are asked for so often that connections to their caches stay open, and
+// some are nowhere.
 func keyOf(i int) string {
 	switch i % 8 {
 	case 0, 1, 2, 3:
@@ -294,8 +295,8 @@
 	return nil
 }
 
-// Report 60a37a: while a release replaced servers among thousands, requests got no answer, and some went to servers that drained. The
-// placement was computed anew within the loop, for longer than a request waits.
+// Report 60a37a: while a release replaced servers among thousands, requests got no answer, and some went to servers
+// that drained. The placement was computed anew within the loop, for longer than a request waits.
 func TestAReleaseAmongThousandsOfCaches(t *testing.T) {
 	caches := 3200
 	if testing.Short() { // under the race detector, which is some ten times slower
--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -31,8 +31,9 @@
 	return lines[len(lines)-1]
 }
 
-// A small fleet, hollow nodes beside real ones in processes of their own, over regions with a delay: both roles are measured at each size,
-// and send the same within what chance makes of two seconds. The same sizes are held against other budgets without being measured again.
+// A small fleet, hollow nodes beside real ones in processes of their own, over regions with a delay: both roles are
+// measured at each size, and send the same within what chance makes of two seconds. The same sizes are held against
+// other budgets without being measured again.
 func TestScaleMeasuresSmallFleets(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	dir := t.TempDir()
--- a/cmd/dahliapin/upgrade_test.go
+++ b/cmd/dahliapin/upgrade_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// station is where processes of one node come and go under load: a cache, discovery, and clients that keep connections or open new
-// ones for each request.
+// station is where processes of one node come and go under load: a cache, discovery, and clients that keep connections
+// or open new ones for each request.
 type station struct {
 	t            *testing.T
 	dir, listen  string
@@ -121,7 +121,8 @@
 	}
 }
 
-// ask has clients ask without end. One that finds its kept connection reset sends once more on a new one, as the protocol has it.
+// ask has clients ask without end. One that finds its kept connection reset sends once more on a new one, as the
+// protocol has it.
 func (s *station) ask(clients int) {
 	for n := range clients {
 		s.clients.Add(1)
@@ -176,8 +177,8 @@
 	return nil
 }
 
-// The second process ended with 1, as the address was in use; and by SO_REUSEPORT what waits in the old one's queue is reset.
-// Whoever is killed and when, the other goes on; only what a killed process had in hand goes with it.
+// The second process ended with 1, as the address was in use; and by SO_REUSEPORT what waits in the old one's queue is
+// reset. Whoever is killed and when, the other goes on; only what a killed process had in hand goes with it.
 func TestProcessesReplaceEachOtherUnderLoad(t *testing.T) {
 	s := newStation(t)
 	now := s.start()
--- a/cmd/dahliapin/waiting_clients_test.go
+++ b/cmd/dahliapin/waiting_clients_test.go
@@ -63,8 +63,8 @@
 	})
 }
 
-// flood has clients connect without end, and keep what they have: half of them ask once, the others say nothing at all. One that is
-// closed comes again.
+// flood has clients connect without end, and keep what they have: half of them ask once, the others say nothing at all.
+// One that is closed comes again.
 func flood(listen string, clients int, over chan bool) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for n := range clients {
@@ -101,9 +101,9 @@
 	return &all
 }
 
-// While idle clients hold all descriptors that they may have and discovery is down, the node must find discovery again, reach a cache
-// that is new, answer its operators, and lose nothing.
-// It stands last in its package, as its clients take what cores there are: by then other packages have done most of their work.
+// While idle clients hold all descriptors that they may have and discovery is down, the node must find discovery again,
+// reach a cache that is new, answer its operators, and lose nothing. It stands last in its package, as its clients take
+// what cores there are: by then other packages have done most of their work.
 func TestIdleClientsInAllDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets, idlers, restAfterShut, answeredIn, downFor, countsAsTold = 256, 400, 10 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second
 	for _, how := range []string{"resets", "silent"} {
@@ -169,8 +169,9 @@
 						default:
 						}
 						id, said, err := fmt.Sprintf("Oq%dx%d", n, i), "", io.EOF
-						// one that finds its connection closed sends once more on a new one, as the protocol has it; a new one may be shut
-						// unread while idle clients fill the descriptors, and is tried again. In all it has to be answered in time
+						// one that finds its connection closed sends once more on a new one, as the protocol has it; a
+						// new one may be shut unread while idle clients fill the descriptors, and is tried again. In
+						// all it has to be answered in time
 						by := time.Now().Add(answeredIn) // 3 s, and what the machine is busy for
 						for err != nil && time.Now().Before(by) {
 							fresh := c == nil
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -6,8 +6,8 @@
 	"dahliapin/policy"
 )
 
-// tickToken is the token of the tick's timer. No request may have it as its id: those of package proxy have 8 bytes, and
-// the simulator's are expected to be others.
+// tickToken is the token of the tick's timer. No request may have it as its id: those of package proxy have 8 bytes,
+// and the simulator's are expected to be others.
 const tickToken = "upkeep"
 
 // Dispatcher carries out the decisions about one node's requests.
--- a/internal/proxy/handover/offer.go
+++ b/internal/proxy/handover/offer.go
@@ -53,8 +53,8 @@
 	return o, nil
 }
 
-// acceptSuccessors runs until the socket is closed. Guards against a failure of the system, for a moment, after which no
-// process could take this one's place any more.
+// acceptSuccessors runs until the socket is closed. Guards against a failure of the system, for a moment, after which
+// no process could take this one's place any more.
 func (o *Offer) acceptSuccessors() {
 	for {
 		c, err := o.socket.AcceptUnix()
--- a/internal/scale/cachegrowth/limits_test.go
+++ b/internal/scale/cachegrowth/limits_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// The operators' table: at most 1.4 times the processor time, plus 0.02 s and 0.03 s for each thousand caches; 1.5 times
-// the memory, plus 8 MB and 4 MB; twice the descriptors, plus 40; 2.5 times the connections, plus 40; twice the lists'
-// bytes, plus 64 kB and 500 kB; of the share served not under 0.85.
+// The operators' table: at most 1.4 times the processor time, plus 0.02 s and 0.03 s for each thousand caches; 1.5
+// times the memory, plus 8 MB and 4 MB; twice the descriptors, plus 40; 2.5 times the connections, plus 40; twice the
+// lists' bytes, plus 64 kB and 500 kB; of the share served not under 0.85.
 func TestLimitsAreThoseOfTheTable(t *testing.T) {
 	const caches = 3200
 	for row, want := range map[Row]float64{
