--- a/internal/control/purger/cursorstore.go
+++ b/internal/control/purger/cursorstore.go
@@ -2,22 +2,19 @@
 
 import (
 	"encoding/binary"
-	"fmt"
-	"os"
 	"path/filepath"
-	"time"
 
 	"go.etcd.io/bbolt"
 
+	"dahliapin/internal/boltfile"
 	"dahliapin/internal/control/purge"
 	"dahliapin/internal/control/replicatedlog"
 )
 
 const (
 	fileName      = "purges.bbolt"
-	lockTimeout   = time.Second // another process that uses the folder is reported at once, not waited for
-	cursorVersion = 1           // of the cursors' format
-	cursorBytes   = 33          // a version, then four numbers of eight bytes, see encodeCursor
+	cursorVersion = 1  // of the cursors' format
+	cursorBytes   = 33 // a version, then four numbers of eight bytes, see encodeCursor
 )
 
 var bucketCursors = []byte("cursors") // by the cache's name
@@ -28,16 +25,8 @@
 // openCursorStore opens the file of a folder and returns the cursors in it. One that cannot be read is skipped: the
 // cache is a new one then.
 func openCursorStore(dir string) (*cursorStore, map[purge.CacheID]purge.Cursor, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, nil, fmt.Errorf("the data folder cannot be made: %w", err)
-	}
-	path := filepath.Join(dir, fileName)
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
-	if err != nil {
-		return nil, nil, fmt.Errorf("%s cannot be opened (is another process at it?): %w", path, err)
-	}
 	cursors := map[purge.CacheID]purge.Cursor{}
-	err = db.Update(func(tx *bbolt.Tx) error {
+	load := func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists(bucketCursors)
 		if err != nil {
 			return err
@@ -49,10 +38,10 @@
 			}
 			return nil
 		})
-	})
+	}
+	db, err := boltfile.Open(filepath.Join(dir, fileName), boltfile.Settings{Create: true, Load: load})
 	if err != nil {
-		_ = db.Close()
-		return nil, nil, fmt.Errorf("%s: %w", path, err)
+		return nil, nil, err
 	}
 	return &cursorStore{db: db}, cursors, nil
 }
--- a/internal/control/replicatedlog/store/load.go
+++ b/internal/control/replicatedlog/store/load.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"bytes"
 	"fmt"
 
 	"go.etcd.io/bbolt"
@@ -25,18 +26,8 @@
 	entries  []*pb.Entry // after the snapshot
 }
 
-// load reads the file into memory. An empty file is initialized before.
-func (s *Store) load(owner Owner, members *pb.ConfState) error {
-	var c contents
-	err := s.db.Update(func(tx *bbolt.Tx) error {
-		if err := initialize(tx, owner, members); err != nil {
-			return err
-		}
-		return c.read(tx)
-	})
-	if err != nil {
-		return err
-	}
+// load takes what the file has into memory.
+func (s *Store) load(c *contents) error {
 	s.snapshotIndex = c.snapshot.GetMetadata().GetIndex()
 	s.prevSnapshotIndex = s.snapshotIndex
 	next := s.snapshotIndex
@@ -59,7 +50,27 @@
 	return s.MemoryStorage.Append(c.entries)
 }
 
-// initialize writes what a new log begins with into an empty file, and checks the owner of one that is not.
+// ownerText is how an owner stands in the file.
+func ownerText(owner Owner) []byte {
+	return fmt.Appendf(nil, "%d %d %s", ownerFormatVersion, owner.ID, owner.Label)
+}
+
+// isInitialized says whether the file has an owner, which initialize writes with all else.
+func isInitialized(tx *bbolt.Tx) bool {
+	meta := tx.Bucket(bucketMeta)
+	return meta != nil && meta.Get(keyOwner) != nil
+}
+
+// checkOwner checks the owner of a file that is initialized.
+func checkOwner(tx *bbolt.Tx, owner Owner) error {
+	own := ownerText(owner)
+	if found := tx.Bucket(bucketMeta).Get(keyOwner); !bytes.Equal(found, own) {
+		return fmt.Errorf("it is of %q, this machine is %q", found, own)
+	}
+	return nil
+}
+
+// initialize writes what a new log begins with into a file without an owner.
 func initialize(tx *bbolt.Tx, owner Owner, members *pb.ConfState) error {
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
@@ -68,13 +79,6 @@
 	if _, err := tx.CreateBucketIfNotExists(bucketEntries); err != nil {
 		return err
 	}
-	own := fmt.Sprintf("%d %d %s", ownerFormatVersion, owner.ID, owner.Label)
-	if found := meta.Get(keyOwner); found != nil {
-		if string(found) != own {
-			return fmt.Errorf("it is of %q, this machine is %q", found, own)
-		}
-		return nil
-	}
 	snapshot := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
 		Index:     proto.Uint64(firstIndex),
 		Term:      proto.Uint64(firstTerm),
@@ -87,7 +91,7 @@
 	if err := putMessage(meta, keyHardState, hard); err != nil {
 		return err
 	}
-	return meta.Put(keyOwner, []byte(own))
+	return meta.Put(keyOwner, ownerText(owner))
 }
 
 // read reads everything that raft needs after a restart.
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -4,21 +4,18 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
-	"time"
 
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-)
 
-const (
-	fileName    = "log.bbolt"
-	lockTimeout = time.Second // another process that uses the folder is reported at once, not waited for
+	"dahliapin/internal/boltfile"
 )
 
+const fileName = "log.bbolt"
+
 // The file's buckets and keys.
 var (
 	bucketMeta    = []byte("meta")
@@ -55,20 +52,36 @@
 // firstStart is set, else refused with ErrEmpty. It is an error if the folder belongs to another server, is in use, or
 // cannot be read.
 func Open(dir string, owner Owner, voters, learners []uint64, firstStart bool) (*Store, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("the data folder cannot be made: %w", err)
+	s := &Store{MemoryStorage: raft.NewMemoryStorage()}
+	first := func(tx *bbolt.Tx) error {
+		return initialize(tx, owner, &pb.ConfState{Voters: voters, Learners: learners})
+	}
+	var kept contents
+	load := func(tx *bbolt.Tx) error {
+		if !isInitialized(tx) { // a crash cut its making short, by a version that did not make it as a whole
+			if !firstStart {
+				return ErrEmpty
+			}
+			if err := first(tx); err != nil {
+				return err
+			}
+		}
+		if err := checkOwner(tx, owner); err != nil {
+			return err
+		}
+		return kept.read(tx)
 	}
 	path := filepath.Join(dir, fileName)
-	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && !firstStart {
+	settings := boltfile.Settings{Create: firstStart, Initialize: first, Load: load, NoFreelistSync: true}
+	db, err := boltfile.Open(path, settings)
+	if errors.Is(err, boltfile.ErrMissing) {
 		return nil, fmt.Errorf("%s: %w", dir, ErrEmpty)
 	}
-	options := &bbolt.Options{Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType}
-	db, err := bbolt.Open(path, 0o600, options)
 	if err != nil {
-		return nil, fmt.Errorf("%s cannot be opened (is another process at it?): %w", path, err)
+		return nil, err
 	}
-	s := &Store{MemoryStorage: raft.NewMemoryStorage(), db: db}
-	if err := s.load(owner, &pb.ConfState{Voters: voters, Learners: learners}); err != nil {
+	s.db = db
+	if err := s.load(&kept); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- /dev/null
+++ b/internal/emulator/diskfault/filter.go
@@ -0,0 +1,306 @@
+package diskfault
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"unsafe"
+
+	"golang.org/x/sys/unix"
+)
+
+// Operation is what a system call does to a file.
+type Operation int
+
+// The operations.
+const (
+	Create Operation = iota // open, and make the file if there is none
+	Write
+	Sync // of a file, or of the folder's names
+	Truncate
+	Link
+	Rename
+	Remove
+)
+
+// Call is a system call that is about to change a file, or to make changes durable.
+type Call struct {
+	Operation Operation
+	Path      string
+	NewPath   string // of Link and Rename
+	Offset    int64  // of Write
+	Data      []byte // of Write
+	Size      int64  // of Truncate
+}
+
+// Action is what becomes of a call. The zero value carries it out.
+type Action struct {
+	Errno   unix.Errno // the call fails with this error, 0 for not
+	Written int        // bytes that a failing Write writes before: if any, it returns their number in place of the error
+	Skip    bool       // the call returns success, and nothing is done: for a Sync, whose effect only a crash shows
+}
+
+// The layout of struct seccomp_data, as a filter reads it: offsets of the system call's number and of the lower half
+// of its third argument.
+const (
+	numberOffset        = 0
+	thirdArgumentOffset = 16 + 2*8
+)
+
+// pollerWakeBytes is the size of a write by which the Go runtime wakes its poller. It must not be held up: the thread
+// cannot be stopped meanwhile.
+const pollerWakeBytes = 8
+
+// notification is struct seccomp_notif.
+type notification struct {
+	id              uint64
+	process         uint32
+	flags           uint32
+	number          int32
+	architecture    uint32
+	instructionAddr uint64
+	arguments       [6]uint64
+}
+
+// response is struct seccomp_notif_resp.
+type response struct {
+	id    uint64
+	value int64
+	error int32
+	flags uint32
+}
+
+// Run runs a function on a thread of its own, and asks decide about each of its calls that changes something in a
+// folder. The error says that the kernel offers no such filter.
+func Run(dir string, decide func(Call) Action, body func()) error {
+	listening := make(chan int)
+	failed := make(chan error, 1)
+	ended := make(chan struct{})
+	go onOwnThread(func() {
+		defer close(ended)
+		listener, err := installFilter()
+		if err != nil {
+			failed <- err
+			return
+		}
+		listening <- listener
+		body()
+	})
+	select {
+	case err := <-failed:
+		return err
+	case listener := <-listening:
+		return supervise(listener, ended, dir, decide)
+	}
+}
+
+// onOwnThread runs a function on a thread that ends with it, and is not the process's first one: that never ends, and
+// would keep the filter.
+func onOwnThread(f func()) {
+	runtime.LockOSThread() // and not unlocked, by which the thread ends
+	if unix.Gettid() != unix.Getpid() {
+		f()
+		return
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		onOwnThread(f)
+	}()
+	<-done // this thread runs nothing else meanwhile
+	runtime.UnlockOSThread()
+}
+
+// statement and jump are instructions of a filter.
+func statement(code uint16, operand uint32) unix.SockFilter {
+	return unix.SockFilter{Code: code, K: operand}
+}
+
+func jump(code uint16, operand uint32, ifTrue, ifFalse uint8) unix.SockFilter {
+	return unix.SockFilter{Code: code, Jt: ifTrue, Jf: ifFalse, K: operand}
+}
+
+// filterProgram notifies of the calls that change files, and allows all others.
+func filterProgram() []unix.SockFilter {
+	const (
+		load    = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
+		equal   = unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K
+		anyBit  = unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K
+		verdict = unix.BPF_RET | unix.BPF_K
+	)
+	notify := statement(verdict, unix.SECCOMP_RET_USER_NOTIF)
+	allow := statement(verdict, unix.SECCOMP_RET_ALLOW)
+	program := []unix.SockFilter{statement(load, numberOffset)}
+	for _, number := range []uint32{
+		unix.SYS_PWRITE64, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_FTRUNCATE,
+		unix.SYS_RENAMEAT, unix.SYS_LINKAT, unix.SYS_UNLINKAT,
+	} {
+		program = append(program, jump(equal, number, 0, 1), notify)
+	}
+	return append(program,
+		jump(equal, unix.SYS_WRITE, 0, 4),
+		statement(load, thirdArgumentOffset),
+		jump(equal, pollerWakeBytes, 0, 1),
+		allow,
+		notify,
+		jump(equal, unix.SYS_OPENAT, 0, 3),
+		statement(load, thirdArgumentOffset),
+		jump(anyBit, unix.O_CREAT, 0, 1),
+		notify,
+		allow,
+	)
+}
+
+// installFilter puts the filter on this thread, and returns the descriptor by which it notifies.
+func installFilter() (listener int, err error) {
+	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
+		return 0, fmt.Errorf("no new privileges: %w", err)
+	}
+	instructions := filterProgram()
+	program := unix.SockFprog{Len: uint16(len(instructions)), Filter: &instructions[0]}
+	// Signals must not interrupt a call that is being decided on: it would be restarted, and counted twice.
+	flags := uintptr(unix.SECCOMP_FILTER_FLAG_NEW_LISTENER | unix.SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV)
+	address := uintptr(unsafe.Pointer(&program))
+	descriptor, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, flags, address)
+	runtime.KeepAlive(&program)
+	if errno != 0 {
+		return 0, fmt.Errorf("seccomp filter: %w", errno)
+	}
+	return int(descriptor), nil
+}
+
+// supervise answers notifications until the filtered function has ended.
+func supervise(listener int, ended <-chan struct{}, dir string, decide func(Call) Action) error {
+	defer unix.Close(listener)
+	wakeRead, wakeWrite, err := os.Pipe()
+	if err != nil {
+		return err
+	}
+	defer wakeRead.Close()
+	go func() {
+		<-ended
+		_ = wakeWrite.Close()
+	}()
+	memory, err := os.Open("/proc/self/mem")
+	if err != nil {
+		return err
+	}
+	defer memory.Close()
+	s := supervisor{listener: uintptr(listener), dir: dir, decide: decide, memory: memory}
+	descriptors := []unix.PollFd{
+		{Fd: int32(listener), Events: unix.POLLIN},
+		{Fd: int32(wakeRead.Fd()), Events: unix.POLLIN},
+	}
+	for {
+		_, err := unix.Poll(descriptors, -1)
+		if errors.Is(err, unix.EINTR) { // what it returned before still stands there
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		if descriptors[0].Revents&unix.POLLIN != 0 {
+			s.answerOne()
+			continue
+		}
+		if descriptors[1].Revents != 0 {
+			return nil
+		}
+	}
+}
+
+// supervisor answers the notifications of one filter.
+type supervisor struct {
+	listener uintptr
+	dir      string
+	decide   func(Call) Action
+	memory   *os.File // of this process
+}
+
+// answerOne receives a notification and answers it.
+func (s *supervisor) answerOne() {
+	var n notification
+	_, _, errno := unix.Syscall(unix.SYS_IOCTL, s.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, uintptr(unsafe.Pointer(&n)))
+	if errno != 0 {
+		return
+	}
+	r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
+	if call, watched := s.decode(&n); watched {
+		action := s.decide(call)
+		written := min(action.Written, len(call.Data))
+		switch {
+		case action.Skip:
+			r = response{id: n.id}
+		case action.Errno == 0:
+		case written > 0:
+			_, _ = unix.Pwrite(int(n.arguments[0]), call.Data[:written], call.Offset)
+			r = response{id: n.id, value: int64(written)}
+		default:
+			r = response{id: n.id, error: -int32(action.Errno)}
+		}
+	}
+	for errno = unix.EINTR; errno == unix.EINTR; { // an answer that is lost holds its call up for good
+		_, _, errno = unix.Syscall(
+			unix.SYS_IOCTL, s.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&r)))
+	}
+}
+
+// decode makes a Call of a notification; watched is false for one of another folder.
+func (s *supervisor) decode(n *notification) (call Call, watched bool) {
+	arguments := n.arguments
+	switch n.number {
+	case unix.SYS_OPENAT:
+		call = Call{Operation: Create, Path: s.text(arguments[1])}
+	case unix.SYS_UNLINKAT:
+		call = Call{Operation: Remove, Path: s.text(arguments[1])}
+	case unix.SYS_RENAMEAT:
+		call = Call{Operation: Rename, Path: s.text(arguments[1]), NewPath: s.text(arguments[3])}
+	case unix.SYS_LINKAT:
+		call = Call{Operation: Link, Path: s.text(arguments[1]), NewPath: s.text(arguments[3])}
+	default:
+		call = s.decodeDescriptorCall(n)
+	}
+	return call, call.Path == s.dir || strings.HasPrefix(call.Path, s.dir+"/")
+}
+
+// decodeDescriptorCall makes a Call of a notification whose first argument is an open file.
+func (s *supervisor) decodeDescriptorCall(n *notification) Call {
+	path, _ := os.Readlink(fmt.Sprintf("/proc/self/fd/%d", n.arguments[0]))
+	call := Call{Path: filepath.Clean(path)}
+	switch n.number {
+	case unix.SYS_FSYNC, unix.SYS_FDATASYNC:
+		call.Operation = Sync
+	case unix.SYS_FTRUNCATE:
+		call.Operation = Truncate
+		call.Size = int64(n.arguments[1])
+	case unix.SYS_PWRITE64:
+		call.Operation = Write
+		call.Offset = int64(n.arguments[3])
+		call.Data = s.bytes(n.arguments[1], n.arguments[2])
+	case unix.SYS_WRITE: // of a file that is opened to append
+		call.Operation = Write
+		if info, err := os.Stat(path); err == nil {
+			call.Offset = info.Size()
+		}
+		call.Data = s.bytes(n.arguments[1], n.arguments[2])
+	}
+	return call
+}
+
+// bytes copies a part of this process's memory.
+func (s *supervisor) bytes(address, size uint64) []byte {
+	data := make([]byte, size)
+	n, _ := s.memory.ReadAt(data, int64(address))
+	return data[:n]
+}
+
+// text copies a string that ends with a zero byte.
+func (s *supervisor) text(address uint64) string {
+	data := make([]byte, unix.PathMax)
+	n, _ := s.memory.ReadAt(data, int64(address))
+	text, _, _ := strings.Cut(string(data[:n]), "\x00")
+	return text
+}
