--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -11,6 +11,7 @@
 
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
+	"golang.org/x/sys/unix"
 )
 
 const (
@@ -58,6 +59,7 @@
 	spareArena   []byte     // its bytes
 	stopped      bool       // written under dialing as well, so that either lock suffices to read it
 	acceptPaused bool       // no client is accepted here: another process does
+	mark         *batchMark // nil until the poller polls it
 }
 
 // New listens on all addresses and starts. It holds at most so many descriptors. Listeners that were inherited from
@@ -94,6 +96,10 @@
 		}
 		return nil, fmt.Errorf("cannot listen on %s: %w", strings.Join(addrs, ", "), err)
 	}
+	if err := e.startBatchMark(); err != nil {
+		e.Stop()
+		return nil, err
+	}
 	return e, nil
 }
 
@@ -119,6 +125,10 @@
 func (e *Engine) setCallbacks() {
 	e.poller.OnOpen(e.onOpen)
 	e.poller.OnRead(func(nc *nbio.Conn) {
+		if mark := e.batchMarkOf(nc); mark != nil {
+			e.onBatchMark(mark, e.poller.PollerBuffer(nc))
+			return
+		}
 		if c := e.connOf(nc); c != nil {
 			c.readAvailable(e.poller.PollerBuffer(nc))
 		}
@@ -140,6 +150,10 @@
 }
 
 func (e *Engine) onClose(nc *nbio.Conn) {
+	if mark := e.batchMarkOf(nc); mark != nil {
+		_ = unix.Close(mark.writer)
+		return
+	}
 	c := e.connOf(nc)
 	if c == nil {
 		e.descriptorFreed()
