--- a/internal/control/purger/diskfault_test.go
+++ b/internal/control/purger/diskfault_test.go
@@ -88,7 +88,7 @@
 	var recording diskfault.Recording
 	var acknowledged []int // calls by then, of each step
 	run := cursorRun{dir: diskfault.TempDir(t), acknowledged: func(int) {
-		acknowledged = append(acknowledged, len(recording.Calls))
+		acknowledged = append(acknowledged, recording.Count())
 	}}
 	if err := diskfault.Record(run.dir, &recording, run.run); err != nil {
 		t.Fatal(err)
@@ -123,8 +123,8 @@
 	t.Logf("cursors: %d calls; %d images after a kill, %d after a loss of power", calls, killed, powerLost)
 }
 
-// Each call that changes the cursors' file fails: once, a few times, or from then on. The store is used on, since cursors
-// are written again each second; all are there once the disk is well.
+// Each call that changes the cursors' file fails: once, a few times, or from then on. The store is used on, since
+// cursors are written again each second; all are there once the disk is well.
 func TestCursorsSurviveAFaultAtEachCall(t *testing.T) {
 	const forGood = 1 << 30
 	var recording diskfault.Recording
--- a/internal/control/replicatedlog/store/diskfault_test.go
+++ b/internal/control/replicatedlog/store/diskfault_test.go
@@ -84,7 +84,7 @@
 	var recording diskfault.Recording
 	var acknowledged []acknowledgement
 	run := storeRun{dir: diskfault.TempDir(t), acknowledged: func(state string) {
-		acknowledged = append(acknowledged, acknowledgement{calls: len(recording.Calls), state: state})
+		acknowledged = append(acknowledged, acknowledgement{calls: recording.Count(), state: state})
 	}}
 	var runErr error
 	err := diskfault.Record(run.dir, &recording, func() { runErr = run.run() })
--- a/internal/control/replicatedlog/store/doc.go
+++ b/internal/control/replicatedlog/store/doc.go
@@ -20,8 +20,8 @@
 // # Missing data
 //
 // An empty folder is refused with ErrEmpty, unless the caller says that it is the first start; so is one with an empty
-// file, or with one that was never initialized. A file that has lost its end is an error, see boltfile. A gap between the
-// snapshot and the entries, a foreign owner, or a file that cannot be read is an error as well: a server that lost
+// file, or with one that was never initialized. A file that has lost its end is an error, see boltfile. A gap between
+// the snapshot and the entries, a foreign owner, or a file that cannot be read is an error as well: a server that lost
 // part of its disk must not take part.
 //
 // # Ownership
--- a/internal/emulator/diskfault/filter.go
+++ b/internal/emulator/diskfault/filter.go
@@ -92,7 +92,9 @@
 	case err := <-failed:
 		return err
 	case listener := <-listening:
-		return supervise(listener, ended, dir, decide)
+		err := supervise(listener, ended, dir, decide)
+		<-ended
+		return err
 	}
 }
 
--- a/internal/emulator/diskfault/recording.go
+++ b/internal/emulator/diskfault/recording.go
@@ -4,6 +4,7 @@
 	"maps"
 	"os"
 	"path/filepath"
+	"sync/atomic"
 )
 
 // Image is a folder's contents, by the files' names.
@@ -20,12 +21,20 @@
 }
 
 // Recording is the calls of one run, which began with an empty folder.
-type Recording struct{ Calls []Call }
+type Recording struct {
+	Calls []Call // complete once the run has ended
 
-// Record runs a function and records its calls. The function may read the calls so far.
+	count atomic.Int64 // of Calls
+}
+
+// Count is how many calls there are so far. The function that is recorded may ask.
+func (r *Recording) Count() int { return int(r.count.Load()) }
+
+// Record runs a function and records its calls.
 func Record(dir string, r *Recording, body func()) error {
 	return Run(dir, func(call Call) Action {
 		r.Calls = append(r.Calls, call)
+		r.count.Add(1)
 		return Action{Skip: call.Operation == Sync}
 	}, body)
 }
