--- a/cmd/dahliapin/serve.go
+++ b/cmd/dahliapin/serve.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"dahliapin/internal/emulator/realtime"
+	"dahliapin/internal/linefile"
 	"dahliapin/node"
 	"dahliapin/policy"
 )
@@ -92,23 +93,19 @@
 	return os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, outputFileMode)
 }
 
-// writeRecords appends the node's events to a file, a JSON line each, with their time as Unix nanoseconds. A failure to
-// write is logged once.
+// writeRecords appends the node's events to a file, a JSON line each, with their time as Unix nanoseconds. That they
+// cannot be written any more is logged once, and once that they can again.
 func writeRecords(config *node.Config, path string) error {
-	file, err := openAppend(path)
+	file, err := linefile.Open(path)
 	if err != nil {
 		return fmt.Errorf("records cannot be kept: %w", err)
 	}
-	failed := false
+	file.OnFailing = func(err error) { logrus.WithError(err).Error("records are not kept any more") }
+	file.OnRecovered = func(lost uint64) { logrus.WithField("lost", lost).Info("records are kept again") }
 	config.OnEvent = func(event node.Event, at time.Time) {
 		event.At = policy.Instant(at.UnixNano())
-		line, err := json.Marshal(event)
-		if err == nil {
-			_, err = file.Write(append(line, '\n'))
-		}
-		if err != nil && !failed {
-			failed = true
-			logrus.WithError(err).Error("records are not kept any more")
+		if line, err := json.Marshal(event); err == nil { // always: all of its fields are plain
+			file.Append(line)
 		}
 	}
 	return nil
