--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -129,6 +129,9 @@
 		go func() {
 			defer workers.Done()
 			for schedule := range schedules {
+				if tally.hasFailed() { // Guards against going on after an interrupt: it ends the plays under way only
+					continue
+				}
 				tally.addError(o.runOne(out, schedule, tally, play))
 			}
 		}()
@@ -175,6 +178,13 @@
 	errs      []error
 }
 
+// hasFailed tells whether a schedule could not be played.
+func (t *soakTally) hasFailed() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.errs) > 0
+}
+
 func (t *soakTally) print(out io.Writer, text string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -164,6 +164,19 @@
 	}
 }
 
+// An interrupt ends the plays under way. A soak that went on with the next seeds could not be stopped.
+func TestSoakEndsAtAPlayThatCouldNotBe(t *testing.T) {
+	plays := 0
+	interrupted := func(*scenario.Scenario) (*report.Report, error) {
+		plays++
+		return nil, context.Canceled
+	}
+	options := soakOptions{firstSeed: 1, lastSeed: 9, duration: soakFor, parallel: 1, out: t.TempDir()}
+	if err := options.run(io.Discard, interrupted); !errors.Is(err, context.Canceled) || plays != 1 {
+		t.Errorf("%v after %d plays", err, plays)
+	}
+}
+
 func hasEvent(s *scenario.Scenario, do string) bool {
 	return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
 }
