--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -18,6 +18,7 @@
 	soakNodes   = 4   // at most
 	soakManyOf  = 8   // one in so many schedules has many caches
 	soakMany    = 600 // caches then
+	soakFragile = 0.4 // share of schedules whose caches are cold for long, and fall over soon then
 )
 
 // soak draws one schedule.
@@ -76,6 +77,9 @@
 	f.Zones = [][]string{{"a"}, {"a", "b"}, {"a", "b", "c"}}[d.count(0, 2)]
 	f.Spread, f.Speed, f.IdleS = d.yes(0.5), [2]float64{0.8, 1.4}, oneOf(d, 1.0, 5, 15)
 	f.Connections = oneOf(d, 20, 100, 600)
+	if d.yes(soakFragile) {
+		f.ColdFrom, f.ColdS, f.FallMultiple, f.FallS = 0.1, 20, 2, 0.3
+	}
 	a.Mode = oneOf(d, "aside", "aside", "through")
 	a.MaxAttempts, a.Hedging, a.Cancel, a.Probes = d.count(1, 4), d.yes(0.5), d.yes(0.7), d.yes(0.5)
 	a.RetryAfterMs, a.ConnectMs = oneOf(d, 0.0, 200, 600), oneOf(d, 50.0, 100, 250)
@@ -104,7 +108,11 @@
 	if d.yes(0.5) {
 		add(Class{Name: "quick", Share: 0.2, Effect: "idempotent", Scope: "all", HardMs: d.upTo(60, 200)})
 	}
-	add(Class{Name: "mark", Share: 0.15, Effect: "labelled", Write: true, Scope: oneOf(d, "all", "zone", "group"),
-		HardMs: d.upTo(300, 2500), WindowS: d.upTo(0.2, 5)})
+	mark := Class{Name: "mark", Share: 0.15, Effect: "labelled", Write: true, Scope: oneOf(d, "all", "zone", "group"),
+		HardMs: d.upTo(300, 2500), WindowS: d.upTo(0.2, 5)}
+	if d.yes(0.5) { // a window that ends before the deadline, so that a late retry would have its effect again
+		mark.WindowS = d.upTo(0.1, 0.5) * mark.HardMs / 1000
+	}
+	add(mark)
 	add(Class{Name: "pay", Share: 0.1, Effect: "irreversible", Write: true, Scope: "all", HardMs: d.upTo(300, 2500)})
 }
--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -55,6 +55,9 @@
 	{name: "errors", draw: func(d *soak, e *Event, long float64) {
 		e.Part, e.ForS, e.Share = d.upTo(0.05, 0.4), long, d.upTo(0.1, 1)
 	}},
+	{name: "hot", draw: func(d *soak, e *Event, long float64) {
+		e.Rank, e.Share, e.ForS = d.count(0, 20), d.upTo(0.2, 0.8), long
+	}},
 	{name: "burst", draw: func(d *soak, e *Event, long float64) { e.ForS, e.Factor = long, d.upTo(1.2, 3) }},
 	{name: "origin_slow", draw: func(d *soak, e *Event, long float64) { e.ForS, e.Factor = long, d.upTo(2, 20) },
 		possible: func(s *Scenario) bool { return s.Allowed.Mode == "aside" }},
