--- /dev/null
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -0,0 +1,439 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/http/httputil"
+	"net/url"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dahliapin/internal/emulator/realtime"
+	"dahliapin/internal/emulator/report"
+	"dahliapin/internal/emulator/scenario"
+	"dahliapin/internal/freeport"
+)
+
+var (
+	variantSeeds = flag.Int64("variant-seeds", 0,
+		"seeds of 20 s within which each broken variant is to be caught; 0 for CI's short form, of one variant")
+	variantShrink = flag.Int("variant-shrink", 0, "plays to shrink a schedule that caught a variant")
+	variantNames  = flag.String("variants", "", "part of the names of the broken variants to run; empty for all")
+)
+
+// nodeConfiguration is the configuration of a node as far as variants change it.
+type nodeConfiguration struct {
+	fields   map[string]any
+	settings map[string]any
+}
+
+// eachClass calls a function with each service class of the settings.
+func (c *nodeConfiguration) eachClass(do func(class map[string]any)) {
+	for _, class := range c.settings["service_grades"].([]any) {
+		do(class.(map[string]any))
+	}
+}
+
+// setIn sets a value in a part of the settings.
+func (c *nodeConfiguration) setIn(part, key string, value any) {
+	c.settings[part].(map[string]any)[key] = value
+}
+
+// brokenNode is a variant of a node that breaks a rule.
+type brokenNode struct {
+	name string
+	// configure changes what the node is told, so that it acts as if the deployment's terms were others; nil for not.
+	configure func(*nodeConfiguration)
+	// wrap changes how the process takes what is done to it; nil for not.
+	wrap func(realtime.Process) realtime.Process
+	// rewriteList changes the endpoint list that the node gets; nil for not.
+	rewriteList *strings.Replacer
+	// answers changes the bytes that clients get; nil for not.
+	answers func(answer []byte, count int) []byte
+}
+
+// variants are broken in one thing each. The last two break only where two faults overlap.
+var variants = []brokenNode{
+	{name: "ends at once when told to end", wrap: func(p realtime.Process) realtime.Process {
+		return hastyProcess{p}
+	}},
+	{name: "does not end when told to", wrap: func(p realtime.Process) realtime.Process {
+		return &signalled{Process: p, ignoresTerm: true}
+	}},
+	{name: "dies at a reload", wrap: func(p realtime.Process) realtime.Process {
+		return &signalled{Process: p, diesAtReload: true}
+	}},
+	{name: "is stuck after a freeze", wrap: func(p realtime.Process) realtime.Process {
+		return &signalled{Process: p, stuckAfterFreeze: true}
+	}},
+	{name: "repeats what is irreversible", configure: func(c *nodeConfiguration) {
+		c.eachClass(func(class map[string]any) { class["effect"] = "idempotent" })
+	}},
+	{name: "repeats after the window", configure: func(c *nodeConfiguration) {
+		c.eachClass(func(class map[string]any) { class["key_ttl_s"] = 100 })
+	}},
+	{name: "repeats outside the scope", configure: func(c *nodeConfiguration) {
+		c.eachClass(func(class map[string]any) { class["group"] = "all" })
+	}},
+	{name: "gives one answer in 500 long after its deadline", answers: func(answer []byte, count int) []byte {
+		if count%500 == 0 {
+			time.Sleep(longAfter)
+		}
+		return answer
+	}},
+	{name: "hedges where it is forbidden", configure: func(c *nodeConfiguration) {
+		c.setIn("bounds", "second_copies", true)
+	}},
+	{name: "takes cold caches for warm", configure: func(c *nodeConfiguration) {
+		c.setIn("rules", "cold_from", 1)
+		c.setIn("rules", "overload_factor", 1000)
+	}},
+	{name: "does not hear that caches drain", rewriteList: strings.NewReplacer("terminating", "in_service")},
+	{name: "loses one answer in 500", answers: func(answer []byte, count int) []byte {
+		if count%500 == 0 {
+			return nil
+		}
+		return answer
+	}},
+	{name: "gives one wrong byte in 500 answers", answers: func(answer []byte, count int) []byte {
+		if count%500 == 0 {
+			answer[len(answer)-3] ^= 1
+		}
+		return answer
+	}},
+	{name: "ends at once when told to end soon after a freeze", wrap: func(p realtime.Process) realtime.Process {
+		return &signalled{Process: p, hastyAfterFreeze: true}
+	}},
+	{name: "is stuck after a freeze soon after a reload", wrap: func(p realtime.Process) realtime.Process {
+		return &signalled{Process: p, stuckAfterReload: true}
+	}},
+}
+
+// longAfter is later than any deadline that a soak draws, and what it allows over that.
+const longAfter = 4 * time.Second
+
+// soonAfter is within which two faults overlap for the variants that need two.
+const soonAfter = 4 * time.Second
+
+// stuckTime is how long a process is stuck that does not go on after a freeze.
+const stuckTime = 3 * time.Second
+
+// signalled is a process that takes signals wrongly.
+type signalled struct {
+	realtime.Process
+	ignoresTerm, diesAtReload, stuckAfterFreeze bool
+	hastyAfterFreeze, stuckAfterReload          bool
+
+	mu                   sync.Mutex
+	reloadedAt, frozenAt time.Time
+}
+
+// isSoonAfter tells whether a fault came lately.
+func (s *signalled) isSoonAfter(at *time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Since(*at) < soonAfter
+}
+
+// came notes the time of a fault.
+func (s *signalled) came(at *time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	*at = time.Now()
+}
+
+// End tells it to end.
+func (s *signalled) End() {
+	switch {
+	case s.ignoresTerm:
+	case s.hastyAfterFreeze && s.isSoonAfter(&s.frozenAt):
+		s.Kill()
+	default:
+		s.Process.End()
+	}
+}
+
+// Reload has it read its configuration again.
+func (s *signalled) Reload() {
+	if s.diesAtReload {
+		s.Kill()
+		return
+	}
+	s.came(&s.reloadedAt)
+	s.Process.(realtime.Reloader).Reload()
+}
+
+// Pause stops it, or has it go on, which takes a while where it is stuck.
+func (s *signalled) Pause(stop bool) {
+	process := s.Process.(realtime.Pauser)
+	s.came(&s.frozenAt)
+	if !stop && (s.stuckAfterFreeze || s.stuckAfterReload && s.isSoonAfter(&s.reloadedAt)) {
+		time.AfterFunc(stuckTime, func() { process.Pause(false) })
+		return
+	}
+	process.Pause(stop)
+}
+
+// Hang has its loop stand still.
+func (s *signalled) Hang(stop bool) { s.Process.(realtime.Pauser).Hang(stop) }
+
+// brokenNodes starts nodes of a broken variant.
+type brokenNodes struct {
+	realtime.Starter
+	t       *testing.T
+	variant *brokenNode
+
+	mu       sync.Mutex
+	backends map[string]string // where a node listens, by the address that clients know
+}
+
+// Start starts a node of the variant.
+func (b *brokenNodes) Start(o realtime.NodeSpec) (realtime.Process, error) {
+	var c nodeConfiguration
+	if err := json.Unmarshal(o.Configuration, &c.fields); err != nil {
+		return nil, err
+	}
+	c.settings = c.fields["settings"].(map[string]any)
+	if b.variant.configure != nil {
+		b.variant.configure(&c)
+	}
+	if b.variant.rewriteList != nil {
+		c.fields["discovery"] = b.listProxy(c.fields["discovery"].(string))
+	}
+	if b.variant.answers != nil {
+		c.fields["listen"] = b.answerProxy(c.fields["listen"].(string))
+	}
+	var err error
+	if o.Configuration, err = json.Marshal(c.fields); err != nil {
+		return nil, err
+	}
+	process, err := b.Starter.Start(o)
+	if err != nil || b.variant.wrap == nil {
+		return process, err
+	}
+	return b.variant.wrap(process), nil
+}
+
+// listProxy passes on discovery's answers, rewritten, and returns its address.
+func (b *brokenNodes) listProxy(discovery string) string {
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: discovery})
+	proxy.ErrorLog = nil
+	proxy.ModifyResponse = func(r *http.Response) error {
+		text, err := io.ReadAll(r.Body)
+		if err != nil {
+			return err
+		}
+		text = []byte(b.variant.rewriteList.Replace(string(text)))
+		r.Body = io.NopCloser(bytes.NewReader(text))
+		r.ContentLength = int64(len(text))
+		r.Header.Set("Content-Length", fmt.Sprint(len(text)))
+		return nil
+	}
+	server := httptest.NewServer(proxy)
+	b.t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return server.Listener.Addr().String()
+}
+
+// answerProxy listens where clients come to, passes bytes on to where the node listens, and its answers back, changed.
+// It returns where the node is to listen, which is the same for each of its processes.
+func (b *brokenNodes) answerProxy(address string) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if backend := b.backends[address]; backend != "" {
+		return backend
+	}
+	backend, err := freeport.Free()
+	if err != nil {
+		b.t.Error(err)
+		return address
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		b.t.Error(err)
+		return address
+	}
+	b.t.Cleanup(func() { listener.Close() })
+	b.backends[address] = backend
+	go b.passOn(listener, backend)
+	return backend
+}
+
+func (b *brokenNodes) passOn(listener net.Listener, backend string) {
+	var count atomic.Int64
+	change := func(answer []byte) []byte {
+		if !bytes.HasPrefix(answer, []byte("VA ")) && !bytes.HasPrefix(answer, []byte("HD")) {
+			return answer
+		}
+		return b.variant.answers(answer, int(count.Add(1)))
+	}
+	for {
+		client, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go passConnection(client, backend, change)
+	}
+}
+
+// passConnection passes on one connection, and changes what comes back, a read at a time.
+func passConnection(client net.Conn, backend string, change func([]byte) []byte) {
+	defer client.Close()
+	node, err := net.Dial("tcp", backend)
+	if err != nil {
+		return
+	}
+	defer node.Close()
+	go func() {
+		_, _ = io.Copy(node, client) // its end is the connection's
+		node.Close()
+	}()
+	buffer := make([]byte, 64<<10)
+	for {
+		n, err := node.Read(buffer)
+		if err != nil {
+			return
+		}
+		if _, err := client.Write(change(buffer[:n])); err != nil {
+			return
+		}
+	}
+}
+
+// variantPlayer plays schedules against nodes of a variant.
+func variantPlayer(t *testing.T, v *brokenNode) player {
+	return func(s *scenario.Scenario) (*report.Report, error) {
+		processes := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
+		starter := &brokenNodes{Starter: processes, t: t, variant: v, backends: map[string]string{}}
+		return realtime.Play(context.Background(), s, starter, nil)
+	}
+}
+
+// breachSearch is what schedules came to.
+type breachSearch struct {
+	schedule  *scenario.Scenario // the first that broke a rule
+	report    *report.Report     // on it; nil if none did
+	notJudged int                // schedules until then for which the machine was too busy
+}
+
+// findBreach plays schedules until one breaks a rule.
+func findBreach(t *testing.T, schedules []*scenario.Scenario, play player) breachSearch {
+	t.Helper()
+	var found breachSearch
+	for _, s := range schedules {
+		r, err := play(s)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if r.MachineTooBusy != "" {
+			found.notJudged++
+			t.Logf("%s: not judged: %s", s.Name, r.MachineTooBusy)
+		}
+		if isBroken(r) {
+			found.schedule, found.report = s, r
+			break
+		}
+	}
+	return found
+}
+
+// whatBroke says which rules were broken and which expectations were not met.
+func whatBroke(r *report.Report) string {
+	text := fmt.Sprint("rules ", r.Rules)
+	for _, e := range r.Expected {
+		if !e.Met {
+			text += "; not met: " + e.What + ": " + e.Got
+		}
+	}
+	if len(r.Breaches) > 0 {
+		text += "; first " + r.Breaches[0].String()
+	}
+	return text
+}
+
+// A soak proves something only if it finds broken nodes. Each variant has to be caught within so many seeds, and what
+// caught it can be shrunk to what the variant needs. CI plays one, for a short time.
+func TestSoakCatchesBrokenNodes(t *testing.T) {
+	t.Setenv(asProgram, "1")
+	if *variantSeeds == 0 {
+		if testing.Short() {
+			t.Skip("plays for 10 s")
+		}
+		schedules := scenario.Soaks(1, ciVariantSeeds, ciVariantTime.Seconds())
+		first := slices.IndexFunc(schedules, func(s *scenario.Scenario) bool { return hasEvent(s, ciVariantEvent) })
+		if first < 0 {
+			t.Fatalf("%d schedules have no %s", ciVariantSeeds, ciVariantEvent)
+		}
+		catchVariant(t, findVariant(t, ciVariant), schedules[first:first+1])
+		return
+	}
+	schedules := scenario.Soaks(1, *variantSeeds, soakFor.Seconds())
+	for i := range variants {
+		v := &variants[i]
+		if !strings.Contains(v.name, *variantNames) {
+			continue
+		}
+		t.Run(v.name, func(t *testing.T) { catchVariant(t, v, schedules) })
+	}
+}
+
+// What CI plays of the variants: one that shows at each reload, and the first schedule that has one.
+const (
+	ciVariant      = "dies at a reload"
+	ciVariantEvent = "node_reload"
+	ciVariantSeeds = 20
+	ciVariantTime  = 10 * time.Second
+)
+
+func findVariant(t *testing.T, name string) *brokenNode {
+	t.Helper()
+	for i := range variants {
+		if variants[i].name == name {
+			return &variants[i]
+		}
+	}
+	t.Fatalf("there is no variant %q", name)
+	return nil
+}
+
+// catchVariant plays schedules against a variant until one breaks a rule, and shrinks that where it was asked for.
+// Where no schedule broke a rule and some were not judged, the test is skipped: they prove nothing.
+func catchVariant(t *testing.T, v *brokenNode, schedules []*scenario.Scenario) {
+	t.Helper()
+	play := variantPlayer(t, v)
+	found := findBreach(t, schedules, play)
+	if found.report == nil && found.notJudged > 0 {
+		t.Skipf("not caught within %d schedules, %d of them not judged", len(schedules), found.notJudged)
+	}
+	if found.report == nil {
+		t.Fatalf("not caught within %d schedules", len(schedules))
+	}
+	t.Logf("caught by %s: %s", found.schedule.Name, whatBroke(found.report))
+	if *variantShrink == 0 {
+		return
+	}
+	var said bytes.Buffer
+	limits := shrinkLimits{plays: *variantShrink, duration: time.Hour}
+	dir := t.TempDir()
+	if err := shrinkBroken(&said, found.schedule, found.report, limits, dir, play); err != nil {
+		t.Error(err)
+	}
+	path := filepath.Join(dir, found.schedule.Name+shrunkSuffix+".toml")
+	shrunk, _ := os.ReadFile(path) // nothing if nothing smaller broke the same
+	t.Logf("%s%s", &said, shrunk)
+}
