--- a/policy/origin.go
+++ b/policy/origin.go
@@ -113,10 +113,17 @@
 }
 
 // raise lets the limit grow towards twice the attempts in flight at the most. A limit that isn't used would otherwise
-// grow with every answer, and bound nothing once misses come in a storm.
+// grow with every answer, and bound nothing once misses come in a storm. From one attempt on it grows by less the more
+// of the last answers were late. Guards against a standing queue at the origin: near 1 an answer raises the limit by as
+// much as a late one cuts it, so the limits of many nodes would settle where half of the answers are late. Under one
+// attempt answers are so rare that the late share tells of the past.
 func (o *originLimit) raise(inFlight float64) {
 	unused := max(0, 2*inFlight-o.limit)
-	o.limit += min(1/o.limit, originLimitGrowth*o.limit, unused)
+	growth := min(1/o.limit, originLimitGrowth*o.limit, unused)
+	if o.limit >= 1 {
+		growth *= 1 - o.lateShare
+	}
+	o.limit += growth
 }
 
 // cut lowers the limit, at most once in the time of a slow attempt: what is late together has one cause.
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 func TestAttemptsAtTheOriginAreBounded(t *testing.T) {
@@ -73,3 +74,28 @@
 		t.Errorf("60 requests made %d attempts at an origin whose queue takes all the time there is", attempts)
 	}
 }
+
+// Near a limit of 1, where those of a large fleet are, an answer in time raised the limit by as much as a late one cut
+// it: it stayed up while half of all answers were late, and the queue at the origin never went.
+func TestOriginLimitFallsToOneAttemptWhileHalfOfTheAnswersAreLate(t *testing.T) {
+	origin := &newCacheAsideHarness(t).router.origin
+	origin.settings.Nodes = 80
+	origin.limit = 4
+	objective := 200 * ms
+	now := Instant(0)
+	for range 40 {
+		for _, latency := range []time.Duration{objective / 4, objective * 3 / 4} {
+			now = now.Add(time.Second)
+			origin.record(now, endedAttempt{
+				Attempt:   Attempt{Result: Answered},
+				latency:   latency,
+				objective: objective,
+				inTime:    true,
+				inFlight:  4,
+			})
+		}
+	}
+	if origin.limit > 1 {
+		t.Errorf("a limit of %.2f after 80 answers of which half were late", origin.limit)
+	}
+}
