--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -44,9 +44,6 @@
 		t.Skip("one goroutine plays it: the race detector has nothing to see, and takes a minute")
 	}
 	for _, name := range rehearsals.Names() {
-		if name == knownRedRehearsal {
-			continue
-		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if loadRehearsal(t, name).OnSockets() {
@@ -57,16 +54,6 @@
 	}
 }
 
-// knownRedRehearsal has a test of its own, so that KNOWN-RED.txt can name it without the others.
-const knownRedRehearsal = "join-short"
-
-func TestTheModuleMeetsJoinShort(t *testing.T) {
-	if testing.Short() {
-		t.Skip("as above")
-	}
-	checkExpectations(t, knownRedRehearsal)
-}
-
 func checkExpectations(t *testing.T, name string) {
 	t.Helper()
 	if r := play(t, loadRehearsal(t, name), "module", Module); !r.Good() {
