--- a/internal/control/purger/diskfault_test.go
+++ b/internal/control/purger/diskfault_test.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 	"strings"
+	"sync"
 	"testing"
 
 	"golang.org/x/sys/unix"
@@ -15,11 +16,11 @@
 )
 
 // cursorsToGrow are so many that the file has to grow.
-const cursorsToGrow = 500
+const cursorsToGrow = 250
 
 // cursorSteps are the cursors of a run, as they are after each write: some change, one is forgotten, and then there are
 // so many that the file has to grow.
-func cursorSteps() []map[purge.CacheID]purge.Cursor {
+var cursorSteps = sync.OnceValue(func() []map[purge.CacheID]purge.Cursor {
 	first := map[purge.CacheID]purge.Cursor{"a": {Log: 7, Done: 1}, "b": {Log: 7, Done: 1}}
 	changed := map[purge.CacheID]purge.Cursor{"a": {Log: 7, Done: 2}, "b": {Log: 7, Done: 3, SafeAfterRestart: 2}}
 	forgotten := map[purge.CacheID]purge.Cursor{"b": {Log: 7, Done: 4}}
@@ -30,7 +31,7 @@
 	last := maps.Clone(many)
 	last["b"] = purge.Cursor{Log: 7, Done: 9}
 	return []map[purge.CacheID]purge.Cursor{first, changed, forgotten, many, last}
-}
+})
 
 // cursorRun writes the steps' cursors; a write that fails is done again, up to a number of times in all.
 type cursorRun struct {
@@ -50,8 +51,12 @@
 		}
 	}
 	defer store.close()
+	written := map[purge.CacheID]purge.Cursor{}
 	for step, cursors := range cursorSteps() {
-		for store.put(cursors, slices.Collect(maps.Keys(cursors))) != nil {
+		changed := maps.Clone(cursors)
+		maps.DeleteFunc(changed, func(id purge.CacheID, cursor purge.Cursor) bool { return written[id] == cursor })
+		written = cursors
+		for store.put(changed, slices.Collect(maps.Keys(cursors))) != nil {
 			if !r.retry() {
 				return
 			}
@@ -135,7 +140,7 @@
 	tried := 0
 	for call := range recording.Calls {
 		for _, failing := range []int{1, 3, forGood} {
-			for _, written := range []int{0, len(recording.Calls[call].Data) / 2} {
+			for _, written := range recording.Calls[call].FailingSizes() {
 				errno := []unix.Errno{unix.EIO, unix.ENOSPC}[tried%2]
 				what := fmt.Sprintf("%v at call %d, %d times, after %d bytes", errno, call, failing, written)
 				last := -1
--- a/internal/control/replicatedlog/store/diskfault_test.go
+++ b/internal/control/replicatedlog/store/diskfault_test.go
@@ -156,7 +156,7 @@
 	tried := 0
 	for call := range recording.Calls {
 		for _, failing := range []int{1, 3, forGood} {
-			for _, written := range []int{0, len(recording.Calls[call].Data) / 2} {
+			for _, written := range recording.Calls[call].FailingSizes() {
 				errno := []unix.Errno{unix.EIO, unix.ENOSPC}[tried%2]
 				what := fmt.Sprintf("%v at call %d, %d times, after %d bytes", errno, call, failing, written)
 				failStoreRun(t, what, acknowledged, func(n int) diskfault.Action {
--- a/internal/emulator/diskfault/filter.go
+++ b/internal/emulator/diskfault/filter.go
@@ -35,6 +35,14 @@
 	Size      int64  // of Truncate
 }
 
+// FailingSizes are how many bytes a call may have written when it fails: none, and of a Write the first half.
+func (c *Call) FailingSizes() []int {
+	if len(c.Data) < 2 {
+		return []int{0}
+	}
+	return []int{0, len(c.Data) / 2}
+}
+
 // Action is what becomes of a call. The zero value carries it out.
 type Action struct {
 	Errno   unix.Errno // the call fails with this error, 0 for not
