--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -1,6 +1,9 @@
 package policy
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 const (
 	// tokensPerRequest is what each request adds to the budget: the slowest twentieth of attempts can be hedged.
@@ -91,8 +94,13 @@
 	if !router.extraAttempts.allowsHedge() || router.chance.Float64() < router.shortage.share {
 		return false
 	}
-	late := router.latency.lateProbability(now.Since(attempt.SentAt), r.facts.class.LatencyObjective)
-	return lost || router.settings.WasteCost <= late
+	return lost || router.copyPaysOff(now.Since(attempt.SentAt), r.facts.class.LatencyObjective)
+}
+
+// copyPaysOff reports whether the chance that an attempt which has been in flight for elapsed is late exceeds the cost
+// of a wasted copy of it.
+func (router *Router) copyPaysOff(elapsed, objective time.Duration) bool {
+	return router.settings.WasteCost <= router.latency.lateProbability(elapsed, objective)
 }
 
 // lost reports whether an attempt in flight is taken to be lost: its endpoint has left the list or is unresponsive. At
--- a/policy/send.go
+++ b/policy/send.go
@@ -44,12 +44,15 @@
 }
 
 // fansOut reports whether a request is a write that goes to all its replicas at once: in read-through mode, where every
-// cache drops repeats. In cache-aside mode writes go to the origin. These attempts need HedgingAllowed, as several are
-// in flight at once, but they aren't hedges: they are not charged to the extra-attempt budget when they start.
+// cache drops repeats, and while one attempt is late more often than a wasted one costs. Guards against paying for
+// three executions of each write where one is all but always in time. In cache-aside mode writes go to the origin. These
+// attempts need HedgingAllowed, as several are in flight at once, but they aren't hedges: they are not charged to the
+// extra-attempt budget when they start.
 func (router *Router) fansOut(r *Request) bool {
 	class := &r.facts.class
 	safe := class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches && router.settings.HedgingAllowed
-	return r.Write && safe && len(r.Attempts) == 0 && router.shortage.share < maxShortageToFanOut
+	return r.Write && safe && len(r.Attempts) == 0 && router.shortage.share < maxShortageToFanOut &&
+		router.copyPaysOff(0, class.LatencyObjective)
 }
 
 // mayBypassCaches reports whether a request that no cache can take may go to the origin. While the list has no caches
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -24,6 +24,39 @@
 	}
 }
 
+// Two of three executions of each write were wasted, and each was cancelled by closing its connection, although hardly
+// any attempt was late. The copies must be sent only while they save more late answers than they cost.
+func TestWritesGoToAllReplicasOnlyWhileTheCopiesPayOff(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		wasteCost float64
+		answered  int
+		late      int // of those
+		want      int
+	}{
+		{name: "a wasted copy costs nothing", wasteCost: 0, answered: 20, want: replicaCount},
+		{name: "hardly any attempt is late", wasteCost: 0.2, answered: 20, late: 1, want: 1},
+		{name: "many attempts are late", wasteCost: 0.2, answered: 20, late: 8, want: replicaCount},
+		{name: "nothing was answered yet", wasteCost: 0.2, want: 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.WasteCost = c.wasteCost
+			h := newHarness(t, settings, testFleet(9, false))
+			for i := range c.answered {
+				latency := 50 * ms
+				if i < c.late {
+					latency = 400 * ms
+				}
+				h.router.latency.observe(latency, 0)
+			}
+			if _, decision := h.arrive("k", keyedClass, true); len(decision.SendTo) != c.want {
+				t.Errorf("the write went to %v, want %d replicas", decision.SendTo, c.want)
+			}
+		})
+	}
+}
+
 // Half of all keys crossed zones, each at a cost. Reads must stay at home unless home can't serve them, or the origin
 // is short by each zone's own replicas.
 func TestReadsStayInTheirZoneUnlessItCannotServe(t *testing.T) {
