--- a/policy/origin.go
+++ b/policy/origin.go
@@ -8,11 +8,13 @@
 )
 
 const (
-	// initialOriginLimit is the concurrency limit over all nodes before the origin has answered; each node has 1.
+	// initialOriginLimit is the concurrency limit over all nodes before the origin has answered. Each node has its
+	// part of it, at least 1.
 	initialOriginLimit = 16.0
 	// minOriginLimit is the least limit over all nodes: a few for each core of the origin.
 	minOriginLimit = 8.0
-	// originLimitGrowth is the part by which an answer in time raises a limit under 1, where 1/limit is more.
+	// originLimitGrowth is the part by which an answer in time raises a limit under the root of 10: beyond it 1/limit is
+	// less.
 	originLimitGrowth = 0.1
 	// originLimitCut is the part of the limit that a late or lost answer leaves: one is chance, ten are a sign.
 	originLimitCut = 0.9
@@ -52,7 +54,7 @@
 	// nextAt is when the next attempt may start while the limit is under 1.
 	nextAt    Instant
 	usual     time.Duration // smoothed latency of attempts
-	lateShare float64       // share of the last answers that came after half the latency objective, or not
+	lateShare float64       // share of the last answers that came after half the latency objective or never
 	// rejections counts those in a row.
 	rejections   float64
 	backoffUntil Instant // no attempts before
@@ -118,8 +120,8 @@
 // much as a late one cuts it, so the limits of many nodes would settle where half of the answers are late. Under one
 // attempt answers are so rare that the late share tells of the past.
 func (o *originLimit) raise(inFlight float64) {
-	unused := max(0, 2*inFlight-o.limit)
-	growth := min(1/o.limit, originLimitGrowth*o.limit, unused)
+	headroom := max(0, 2*inFlight-o.limit)
+	growth := min(1/o.limit, originLimitGrowth*o.limit, headroom)
 	if o.limit >= 1 {
 		growth *= 1 - o.lateShare
 	}
@@ -151,7 +153,7 @@
 	return max(shortageShare, latePressure*o.lateShare)
 }
 
-// lostAfter returns when an attempt at the origin counts as lost.
+// lostAfter returns how long after it was sent an attempt at the origin counts as lost.
 func (o *originLimit) lostAfter(objective time.Duration) time.Duration {
 	return max(lostOriginAttempt*o.usual, objective/2)
 }
--- a/policy/send.go
+++ b/policy/send.go
@@ -16,8 +16,11 @@
 	selected := router.selectEndpoint(now, r, scope)
 	shed := router.sheds(r, selected.endpoint)
 	if shed && router.endpoints.zoneLocal && router.endpoints.scopeOf(selected.endpoint) == homeZone {
-		selected = router.selectEndpoint(now, r, otherZones)
-		shed = router.sheds(r, selected.endpoint)
+		// Guards against a request that home sheds and no other zone can take: it would go to the origin.
+		if elsewhere := router.selectEndpoint(now, r, otherZones); elsewhere.endpoint != nil {
+			selected = elsewhere
+			shed = router.sheds(r, elsewhere.endpoint)
+		}
 	}
 	switch {
 	case shed:
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -92,6 +92,7 @@
 		{name: "home is full", home: full, others: nothing, atLeast: 55, most: 60},
 		{name: "home is full and others ejected: none bypasses the caches", home: full, others: eject, most: 0},
 		{name: "home sheds", home: shed, others: nothing, atLeast: 30, most: 55},
+		{name: "home sheds and others ejected: none bypasses the caches", home: shed, others: eject, most: 0},
 		{name: "the origin is short", home: shortOrigin, others: nothing, atLeast: 5, most: 55},
 		{
 			name: "a hedge beside a lost attempt", home: losesAttempt, others: nothing, inFlight: true,
