--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	"golang.org/x/sys/unix"
 )
 
 const (
@@ -120,15 +121,31 @@
 	if err != nil {
 		return err
 	}
-	if _, err := os.Stat(path); err == nil { // an empty one, see isMissing
+	return publish(temporary.Name(), path)
+}
+
+// publish gives a file its name, unless another process has made one meanwhile. The folder is locked from the look at
+// what is there to the new name. Guards against two processes that both find no file: the slower one would remove the
+// file of the other, which goes on writing to it.
+func publish(temporary, path string) error {
+	folder, err := os.Open(filepath.Dir(path))
+	if err != nil {
+		return err
+	}
+	defer folder.Close() // which ends the lock
+	if err := unix.Flock(int(folder.Fd()), unix.LOCK_EX); err != nil {
+		return fmt.Errorf("the folder cannot be locked: %w", err)
+	}
+	info, err := os.Stat(path)
+	if err == nil && info.Size() > 0 {
+		return nil
+	}
+	if err == nil { // an empty one, see isMissing
 		if err := os.Remove(path); err != nil {
 			return err
 		}
 	}
-	if err := os.Link(temporary.Name(), path); err != nil && !errors.Is(err, fs.ErrExist) {
-		return err
-	}
-	return nil
+	return os.Link(temporary, path)
 }
 
 func (s *Settings) options() *bbolt.Options {
--- a/internal/boltfile/verify.go
+++ b/internal/boltfile/verify.go
@@ -10,6 +10,9 @@
 	"go.etcd.io/bbolt"
 )
 
+// errTruncated says that a file is shorter than its last transaction had it.
+var errTruncated = errors.New("it has lost its end")
+
 // errPartOfPage says that a file ends within a page: the system shows zeros for the rest of it.
 var errPartOfPage = errors.New("it ends within a page")
 
@@ -41,6 +44,9 @@
 		return fmt.Errorf("%s is damaged: %w", path, errPartOfPage)
 	}
 	return db.View(func(tx *bbolt.Tx) error {
+		if tx.Size() > info.Size() {
+			return fmt.Errorf("%s is damaged: %w", path, errTruncated)
+		}
 		return tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error { return readBucket(bucket) })
 	})
 }
--- a/internal/emulator/diskfault/recording.go
+++ b/internal/emulator/diskfault/recording.go
@@ -24,6 +24,7 @@
 type Recording struct {
 	Calls []Call // complete once the run has ended
 
+	dir   string
 	count atomic.Int64 // of Calls
 }
 
@@ -32,6 +33,7 @@
 
 // Record runs a function and records its calls.
 func Record(dir string, r *Recording, body func()) error {
+	r.dir = dir
 	return Run(dir, func(call Call) Action {
 		r.Calls = append(r.Calls, call)
 		r.count.Add(1)
@@ -41,7 +43,7 @@
 
 // KilledAt is what the folder may have after kill -9 at a call: nothing of it, and of a write the first half as well.
 func (r *Recording) KilledAt(call int) []Image {
-	d := newDisk()
+	d := newDisk(r.dir)
 	for _, c := range r.Calls[:call] {
 		d.apply(c)
 	}
@@ -58,7 +60,7 @@
 // or the present ones; and of what was written to each file since its last sync nothing, everything, one change alone,
 // or all but one.
 func (r *Recording) PowerLostAt(call int) []Image {
-	d := newDisk()
+	d := newDisk(r.dir)
 	for _, c := range r.Calls[:call] {
 		d.apply(c)
 	}
@@ -89,11 +91,14 @@
 
 // disk is a folder in which names and contents become durable each by their own sync.
 type disk struct {
+	dir          string
 	names        map[string]*file
 	durableNames map[string]*file
 }
 
-func newDisk() *disk { return &disk{names: map[string]*file{}, durableNames: map[string]*file{}} }
+func newDisk(dir string) *disk {
+	return &disk{dir: dir, names: map[string]*file{}, durableNames: map[string]*file{}}
+}
 
 // apply carries out a call.
 func (d *disk) apply(c Call) {
@@ -107,14 +112,19 @@
 	case Write, Truncate:
 		f.unsynced = append(f.unsynced, c)
 	case Sync:
-		if f == nil { // the folder
+		if c.Path == d.dir {
 			d.durableNames = maps.Clone(d.names)
 			return
 		}
+		if f == nil { // a file that was removed while it is open
+			return
+		}
 		f.durable = f.content(everything)
 		f.unsynced = nil
 	case Link:
-		d.names[filepath.Base(c.NewPath)] = f
+		if newName := filepath.Base(c.NewPath); d.names[newName] == nil { // it fails if there is one
+			d.names[newName] = f
+		}
 	case Rename:
 		delete(d.names, name)
 		d.names[filepath.Base(c.NewPath)] = f
--- a/internal/emulator/netfault/faults.go
+++ b/internal/emulator/netfault/faults.go
@@ -24,7 +24,7 @@
 // Link is what goes wrong from one process to another. The zero value is a perfect network.
 type Link struct {
 	Cut       bool
-	Loss      float64       // share of datagrams that get lost
+	Loss      float64       // share of datagrams and segments that get lost
 	Duplicate float64       // share of datagrams that come doubled
 	Delay     time.Duration // that each takes
 	Jitter    time.Duration // the most that one takes beyond Delay, by chance, so that they overtake each other
@@ -45,7 +45,7 @@
 	return &Faults{links: map[direction]Link{}, chance: keyhash.Source{Seed: seed ^ seedSalt}}
 }
 
-// Change changes what goes wrong on the link from one process to another.
+// Change changes what goes wrong on the link from one process to another. change must not call the methods of Faults.
 func (f *Faults) Change(from, to int, change func(*Link)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -11,6 +11,8 @@
 	// maxDelayedDatagrams bounds the datagrams that are delayed at a time; further ones are lost.
 	maxDelayedDatagrams = 20_000
 	dialTimeout         = 2 * time.Second
+	// acceptRetryPause is the pause after an accept that failed.
+	acceptRetryPause = 5 * time.Millisecond
 	// blockedCheckInterval is the time between two looks of a stream that stands still.
 	blockedCheckInterval = 20 * time.Millisecond
 	// segmentSize is how many bytes of a stream are forwarded at a time.
@@ -116,7 +118,14 @@
 func (f *Forwarder) acceptStreams(l *net.TCPListener, from, to int, target string) {
 	for {
 		conn, err := l.AcceptTCP()
-		if err != nil || !f.hold(conn) {
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(acceptRetryPause)
+			continue
+		}
+		if !f.hold(conn) {
 			return
 		}
 		go f.forwardStream(conn, from, to, target)
--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -144,18 +144,20 @@
 	candidate.Fleet.Nodes--
 	candidate.Events = nil
 	for _, e := range s.Events {
-		concerned := len(e.Nodes)+len(e.From)+len(e.To) > 0
+		if isOnly(e.Nodes, node) || isOnly(e.From, node) || isOnly(e.To, node) {
+			continue // an empty list would mean all nodes
+		}
 		e.Nodes = renumbered(e.Nodes, node)
 		e.From = renumbered(e.From, node)
 		e.To = renumbered(e.To, node)
-		if concerned && len(e.Nodes)+len(e.From)+len(e.To) == 0 {
-			continue
-		}
 		candidate.Events = append(candidate.Events, e)
 	}
 	return &candidate
 }
 
+// isOnly reports whether a list names one node and no other.
+func isOnly(numbers []int, node int) bool { return len(numbers) == 1 && numbers[0] == node }
+
 // renumbered are numbers of nodes less one, with those after it moved up.
 func renumbered(numbers []int, removed int) []int {
 	var left []int
--- a/internal/proxy/sockets/descriptors.go
+++ b/internal/proxy/sockets/descriptors.go
@@ -17,8 +17,12 @@
 var ErrNoDescriptor = errors.New("all descriptors are in use")
 
 // SetDescriptorLimit sets how many descriptors the process may have from now on, its own among them.
+// At least minDescriptors are for connections.
 func (e *Engine) SetDescriptorLimit(descriptors int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.descriptorLimit.Store(int64(max(minDescriptors, descriptors-e.reservedDescriptors)))
+	e.changed.Broadcast() // the acceptor may wait for a descriptor that there is now
 }
 
 // OverLimit tells whether more connections are open than clients may have: the limit was lowered.
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -11,7 +11,6 @@
 
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -151,7 +150,7 @@
 
 func (e *Engine) onClose(nc *nbio.Conn) {
 	if mark := e.batchMarkOf(nc); mark != nil {
-		_ = unix.Close(mark.writer)
+		mark.close()
 		return
 	}
 	c := e.connOf(nc)
--- a/internal/proxy/sockets/poller_batch.go
+++ b/internal/proxy/sockets/poller_batch.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"os"
+	"sync"
 
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
@@ -23,9 +24,12 @@
 // batchMark is a pair of sockets of which the poller polls one and what is written to the other makes an event.
 type batchMark struct {
 	polled *nbio.Conn
-	writer int // descriptor
-	seen   int64
-	wanted int64
+	seen   int64 // how often the poller has come to it
+	wanted int64 // how often it has to come for all that wait
+
+	writerMu sync.Mutex // so that the descriptor is closed once, and never written to after that
+	writer   int
+	closed   bool
 }
 
 func newBatchMark() (*batchMark, error) {
@@ -48,15 +52,28 @@
 	return nil, fmt.Errorf("cannot poll a pair of sockets: %w", err)
 }
 
-// prompt makes an event of the mark.
+// prompt makes an event of the mark. Where the socket has no room for another byte there is an event already.
 func (m *batchMark) prompt() {
-	for {
+	m.writerMu.Lock()
+	defer m.writerMu.Unlock()
+	for !m.closed {
 		if _, err := unix.Write(m.writer, []byte{0}); !errors.Is(err, unix.EINTR) {
 			return
 		}
 	}
 }
 
+// close ends the prompts.
+func (m *batchMark) close() {
+	m.writerMu.Lock()
+	defer m.writerMu.Unlock()
+	if m.closed {
+		return
+	}
+	m.closed = true
+	_ = unix.Close(m.writer)
+}
+
 // drain reads what was written, so that what is written next makes an event.
 func (m *batchMark) drain(buffer []byte) {
 	for {
@@ -73,7 +90,7 @@
 		return err
 	}
 	if _, err := e.poller.AddConn(mark.polled); err != nil {
-		_ = unix.Close(mark.writer)
+		mark.close()
 		return err
 	}
 	e.mu.Lock()
--- a/internal/proxy/sockets/probe.go
+++ b/internal/proxy/sockets/probe.go
@@ -85,7 +85,7 @@
 	}
 	defer c.readMu.Unlock()
 	raw, taken := c.allTaken()
-	if !taken {
+	if !taken || c.unsent.Load() > 0 {
 		return false
 	}
 	outgoing := 0
@@ -103,7 +103,8 @@
 // allTaken tells, under readMu, whether the connection is open and the loop has taken all that was read from it.
 func (c *Conn) allTaken() (syscall.RawConn, bool) {
 	raw, err := c.conn.SyscallConn()
-	return raw, err == nil && !c.readEnded && c.queuedBytes == c.takenBytes.Load()
+	open := err == nil && !c.readEnded && !c.descriptorFreed.Load()
+	return raw, open && c.queuedBytes == c.takenBytes.Load()
 }
 
 // peek looks for the next byte in the kernel, without waiting. It returns 0 at the connection's end.
--- a/internal/scale/cachegrowth/caches.go
+++ b/internal/scale/cachegrowth/caches.go
@@ -16,6 +16,9 @@
 	lostZone   = 1
 	missPrefix = "m" // of keys that no cache has
 	value      = "hello"
+
+	// acceptRetryPause is the pause after an accept that failed.
+	acceptRetryPause = 5 * time.Millisecond
 )
 
 // fleet is the emulated caches of a size. The caches of one zone share a listener: what is behind it is told apart by
@@ -169,6 +172,7 @@
 			return
 		}
 		if err != nil {
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		z.fleet.connections.Add(1)
--- a/internal/scale/cachegrowth/days.go
+++ b/internal/scale/cachegrowth/days.go
@@ -12,7 +12,7 @@
 	troubleAt     = 0.2 // when what happens on the day begins
 	releaseSteps  = 4   // parts in which a release replaces the caches
 	releaseShare  = 0.2 // part of the caches that a step replaces
-	releaseSpan   = 0.6 // from the first step of a release to the last
+	releaseSpan   = 0.6 // of all steps of a release
 	drainLead     = 0.05
 	outage        = 0.25 // how long a zone or discovery is away
 	zoneToldAfter = 0.1  // after its loss, discovery tells that a zone's caches are gone
--- a/internal/scale/cachegrowth/discovery.go
+++ b/internal/scale/cachegrowth/discovery.go
@@ -57,7 +57,10 @@
 
 func newDiscovery() (*discovery, error) {
 	d := &discovery{current: map[string]instance{}, changed: make(chan struct{}), address: "127.0.0.1:0"}
-	return d, d.start()
+	if err := d.start(); err != nil {
+		return nil, err
+	}
+	return d, nil
 }
 
 // start listens, at the same address as before.
