--- a/internal/proxy/sockets/dial.go
+++ b/internal/proxy/sockets/dial.go
@@ -35,7 +35,6 @@
 		return
 	}
 	e.localFailures.forget(addr)
-	e.waitForNextBatch()
 	e.dialing.RLock()
 	defer e.dialing.RUnlock()
 	if e.stopped {
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -115,19 +115,22 @@
 }
 
 // raise lets the limit grow towards twice the attempts in flight at the most. A limit that isn't used would otherwise
-// grow with every answer, and bound nothing once misses come in a storm. From one attempt on it grows by less the more
-// of the last answers were late. Guards against a standing queue at the origin: near 1 an answer raises the limit by as
-// much as a late one cuts it, so the limits of many nodes would settle where half of the answers are late. Under one
-// attempt answers are so rare that the late share tells of the past.
+// grow with every answer, and bound nothing once misses come in a storm. In a large fleet, from one attempt on, it grows
+// by less the more of the last answers were late. Guards against a standing queue at the origin: near 1, where limits
+// of a large fleet are, an answer raises the limit by as much as a late one cuts it, so that all of them would settle
+// where half of the answers are late. Under one attempt answers are so rare that the late share tells of the past.
 func (o *originLimit) raise(inFlight float64) {
 	headroom := max(0, 2*inFlight-o.limit)
 	growth := min(1/o.limit, originLimitGrowth*o.limit, headroom)
-	if o.limit >= 1 {
+	if o.isLargeFleet() && o.limit >= 1 {
 		growth *= 1 - o.lateShare
 	}
 	o.limit += growth
 }
 
+// isLargeFleet reports whether the nodes are over twice initialOriginLimit.
+func (o *originLimit) isLargeFleet() bool { return float64(o.settings.Nodes) > 2*initialOriginLimit }
+
 // cut lowers the limit, at most once in the time of a slow attempt: what is late together has one cause.
 func (o *originLimit) cut(now Instant) {
 	if now.Since(o.cutAt) <= o.latency.slow {
