--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -58,7 +58,6 @@
 	spareArena   []byte     // its bytes
 	stopped      bool       // written under dialing as well, so that either lock suffices to read it
 	acceptPaused bool       // no client is accepted here: another process does
-	mark         *batchMark // nil until the poller polls it
 }
 
 // New listens on all addresses and starts. It holds at most so many descriptors. Listeners that were inherited from
@@ -95,10 +94,6 @@
 		}
 		return nil, fmt.Errorf("cannot listen on %s: %w", strings.Join(addrs, ", "), err)
 	}
-	if err := e.startBatchMark(); err != nil {
-		e.Stop()
-		return nil, err
-	}
 	return e, nil
 }
 
@@ -124,10 +119,6 @@
 func (e *Engine) setCallbacks() {
 	e.poller.OnOpen(e.onOpen)
 	e.poller.OnRead(func(nc *nbio.Conn) {
-		if mark := e.batchMarkOf(nc); mark != nil {
-			e.onBatchMark(mark, e.poller.PollerBuffer(nc))
-			return
-		}
 		if c := e.connOf(nc); c != nil {
 			c.readAvailable(e.poller.PollerBuffer(nc))
 		}
@@ -149,10 +140,6 @@
 }
 
 func (e *Engine) onClose(nc *nbio.Conn) {
-	if mark := e.batchMarkOf(nc); mark != nil {
-		mark.close()
-		return
-	}
 	c := e.connOf(nc)
 	if c == nil {
 		e.descriptorFreed()
--- a/internal/proxy/sockets/listener.go
+++ b/internal/proxy/sockets/listener.go
@@ -78,7 +78,6 @@
 	}
 	l.engine.openDescriptors.Add(1)
 	l.engine.waitForDescriptor()
-	l.engine.waitForNextBatch()
 	return conn, nil
 }
 
