--- a/internal/emulator/client/pool.go
+++ b/internal/emulator/client/pool.go
@@ -75,7 +75,8 @@
 	sentAt := time.Now()
 	response, err := p.attempt(idle, r)
 	unsolicited := response.Unsolicited
-	crossedEnd := idle != nil && idle.used && isConnEnd(err)
+	// Asked in this order: without an error another request may use the connection already.
+	crossedEnd := isConnEnd(err) && idle != nil && idle.used
 	if crossedEnd && !r.ReuseOnly {
 		response, err = p.attempt(nil, r)
 	}
