--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -26,8 +26,8 @@
 	Descriptors int
 	// OtherDescriptors is how many descriptors the process uses for other things.
 	OtherDescriptors int
-	// Memory is how many bytes the process may use in all.
-	Memory int64
+	// MemoryLimit is how many bytes the process may use in all.
+	MemoryLimit int64
 	// Settings are the deployment's settings.
 	Settings settings.Settings
 	// LastEndpoints is the endpoint list as last received by an earlier process, in discovery's format, or nil.
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -172,7 +172,7 @@
 		return
 	}
 	client.incompleteSince = commandStart
-	if int64(p.downstream.incompleteBytes) > p.config.Memory/incompleteRequestShare {
+	if int64(p.downstream.incompleteBytes) > p.config.MemoryLimit/incompleteRequestShare {
 		p.metrics.counters.NotAccepted++
 		p.respond(client, client.codec.refusal(refusedForMemory, false))
 		client.closing = true
@@ -186,7 +186,7 @@
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
 	p.publishMetrics()
-	p.engine.SetReadAhead(p.config.Memory / readAheadShare / int64(1+p.upstream.conns.Len()))
+	p.engine.SetReadAhead(p.config.MemoryLimit / readAheadShare / int64(1+p.upstream.conns.Len()))
 	var idle []*clientConn
 	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
 		overdue := client.incompleteSince != 0 && now.Since(client.incompleteSince) >= commandTimeout
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -17,7 +17,7 @@
 			Listen:      "127.0.0.1:0",
 			Discovery:   "127.0.0.1:1",
 			Descriptors: 64,
-			Memory:      16 << 20,
+			MemoryLimit: 16 << 20,
 			Settings:    decodeTestSettings(t),
 			Log:         discardLog(),
 		})
--- a/internal/proxy/endpoint_watch_test.go
+++ b/internal/proxy/endpoint_watch_test.go
@@ -255,7 +255,7 @@
 		Listen:        "127.0.0.1:0",
 		Discovery:     l.Addr().String(),
 		Descriptors:   64,
-		Memory:        16 << 20,
+		MemoryLimit:   16 << 20,
 		Seed:          seed,
 		Settings:      decoded,
 		Log:           discardLog(),
--- a/internal/proxy/pipeline_test.go
+++ b/internal/proxy/pipeline_test.go
@@ -59,7 +59,7 @@
 		if _, err := fmt.Fprintf(c, "mg k%[1]d v Oa%[1]d Pc=read,d=9000\r\n", n); err != nil {
 			break
 		}
-		if n%50 == 0 && g.engine.Unsent() > g.config.Memory/4 {
+		if n%50 == 0 && g.engine.Unsent() > g.config.MemoryLimit/4 {
 			t.Fatalf("%d bytes wait for a slow reader", g.engine.Unsent())
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -58,7 +58,7 @@
 		clock:     clock{startedAt: time.Now(), wall: time.Now},
 		engine:    engine,
 		tasks:     taskQueue{commands: make(chan func(), maxQueuedCommands), done: make(chan struct{})},
-		takeover:  takeover{totalMemory: config.Memory},
+		takeover:  takeover{totalMemory: config.MemoryLimit},
 		inflight:  inflightTable{ids: map[string]bool{}},
 		endpoints: endpointTable{byID: map[policy.EndpointID]*knownEndpoint{}},
 	}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -130,7 +130,7 @@
 		p.rejectsInStandby() ||
 		len(client.pipeline) >= maxPipelined ||
 		client.overLimit && p.tooManyClients() ||
-		buffered > p.config.Memory/bufferedShare
+		buffered > p.config.MemoryLimit/bufferedShare
 }
 
 // cloneRequest copies what is still needed of a request out of the buffer that it was read from, in one allocation. It
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -46,7 +46,7 @@
 		descriptors = ofProcess - p.config.OtherDescriptors
 		memory /= sharedLimitDivisor
 	}
-	p.config.Memory = memory
+	p.config.MemoryLimit = memory
 	p.engine.SetDescriptorLimit(descriptors)
 	for p.engine.OverLimit() && p.freeDescriptor() {
 		p.runDeferred()
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -377,7 +377,7 @@
 	}
 	p.upstream.incompleteBytes += unread - conn.input.incompleteBytes
 	conn.input.incompleteBytes = unread
-	tooMuch := int64(p.upstream.incompleteBytes) > p.config.Memory/incompleteResponseShare
+	tooMuch := int64(p.upstream.incompleteBytes) > p.config.MemoryLimit/incompleteResponseShare
 	if unread > minIncompleteBytes && conn.endpoint != nil && tooMuch {
 		p.metrics.counters.NotAccepted++
 		p.failConn(conn, policy.ConnectionBroken)
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -18,7 +18,7 @@
 		return fmt.Sprintf("VA %d %s\r\n%s", len(long), idFlag(line), long)
 	})
 	c, _ := g.client()
-	g.runInLoop(func() { g.config.Memory = int64(len(long)) }) // two that do not end are too much
+	g.runInLoop(func() { g.config.MemoryLimit = int64(len(long)) }) // two that do not end are too much
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
