--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -22,8 +22,8 @@
 	Listeners listeners.File
 	// Seed is the source of all random draws of the node.
 	Seed int64
-	// Descriptors is how many file descriptors the node's sockets may use.
-	Descriptors int
+	// DescriptorLimit is how many file descriptors the node's sockets may use.
+	DescriptorLimit int
 	// OtherDescriptors is how many descriptors the process uses for other things.
 	OtherDescriptors int
 	// MemoryLimit is how many bytes the process may use in all.
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -14,12 +14,12 @@
 func TestEndpointStartsAfterWallClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		r, err := New(Config{
-			Listen:      "127.0.0.1:0",
-			Discovery:   "127.0.0.1:1",
-			Descriptors: 64,
-			MemoryLimit: 16 << 20,
-			Settings:    decodeTestSettings(t),
-			Log:         discardLog(),
+			Listen:          "127.0.0.1:0",
+			Discovery:       "127.0.0.1:1",
+			DescriptorLimit: 64,
+			MemoryLimit:     16 << 20,
+			Settings:        decodeTestSettings(t),
+			Log:             discardLog(),
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/endpoint_watch_test.go
+++ b/internal/proxy/endpoint_watch_test.go
@@ -252,14 +252,14 @@
 	go server.Serve(l)
 	serving := make(chan bool, 9)
 	p, err := New(Config{
-		Listen:        "127.0.0.1:0",
-		Discovery:     l.Addr().String(),
-		Descriptors:   64,
-		MemoryLimit:   16 << 20,
-		Seed:          seed,
-		Settings:      decoded,
-		Log:           discardLog(),
-		OnPhaseChange: func(p Phase) { serving <- p == Serving },
+		Listen:          "127.0.0.1:0",
+		Discovery:       l.Addr().String(),
+		DescriptorLimit: 64,
+		MemoryLimit:     16 << 20,
+		Seed:            seed,
+		Settings:        decoded,
+		Log:             discardLog(),
+		OnPhaseChange:   func(p Phase) { serving <- p == Serving },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -74,13 +74,13 @@
 {"instanceId":"o","hostPort":"%s","machineType":"origin","lifecycle":"in_service","zone":"z"}]}`, cache, origin)
 	serving := make(chan bool, 9)
 	config := Config{
-		Listen:        "127.0.0.1:0",
-		Discovery:     g.listenHTTP(g.serveList),
-		Descriptors:   descriptors,
-		MemoryLimit:   64 << 20,
-		Settings:      decodeTestSettings(t),
-		Log:           discardLog(),
-		OnPhaseChange: func(p Phase) { serving <- p == Serving },
+		Listen:          "127.0.0.1:0",
+		Discovery:       g.listenHTTP(g.serveList),
+		DescriptorLimit: descriptors,
+		MemoryLimit:     64 << 20,
+		Settings:        decodeTestSettings(t),
+		Log:             discardLog(),
+		OnPhaseChange:   func(p Phase) { serving <- p == Serving },
 	}
 	for _, change := range configure {
 		change(&config)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -49,7 +49,7 @@
 	if config.Inherited != nil {
 		inherited = config.Inherited.Listeners
 	}
-	engine, err := sockets.New(addrs, config.Descriptors, inherited)
+	engine, err := sockets.New(addrs, config.DescriptorLimit, inherited)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -39,7 +39,7 @@
 
 // setSharedLimits limits this process to its part of the node's descriptors and memory, or gives it all of them.
 func (p *Proxy) setSharedLimits(shared bool) {
-	descriptors := p.config.Descriptors
+	descriptors := p.config.DescriptorLimit
 	memory := p.takeover.totalMemory
 	if shared {
 		ofProcess := (descriptors + p.config.OtherDescriptors) / sharedLimitDivisor
