--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -24,8 +24,8 @@
 	Seed int64
 	// DescriptorLimit is how many file descriptors the node's sockets may use.
 	DescriptorLimit int
-	// OtherDescriptors is how many descriptors the process uses for other things.
-	OtherDescriptors int
+	// ReservedDescriptors is how many descriptors the process uses for other things.
+	ReservedDescriptors int
 	// MemoryLimit is how many bytes the process may use in all.
 	MemoryLimit int64
 	// Settings are the deployment's settings.
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -42,8 +42,8 @@
 	descriptors := p.config.DescriptorLimit
 	memory := p.takeover.totalMemory
 	if shared {
-		ofProcess := (descriptors + p.config.OtherDescriptors) / sharedLimitDivisor
-		descriptors = ofProcess - p.config.OtherDescriptors
+		ofProcess := (descriptors + p.config.ReservedDescriptors) / sharedLimitDivisor
+		descriptors = ofProcess - p.config.ReservedDescriptors
 		memory /= sharedLimitDivisor
 	}
 	p.config.MemoryLimit = memory
