--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -30,8 +30,8 @@
 	MemoryLimit int64
 	// Settings are the deployment's settings.
 	Settings settings.Settings
-	// LastEndpoints is the endpoint list as last received by an earlier process, in discovery's format, or nil.
-	LastEndpoints []byte
+	// LastKnownEndpoints is the endpoint list as last received by an earlier process, in discovery's format, or nil.
+	LastKnownEndpoints []byte
 	// Log takes the node's log lines.
 	Log *logrus.Logger
 	// OnPhaseChange is called at each change of phase; nil for none.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -42,8 +42,8 @@
 // applyLastKnownEndpoints applies the list as an earlier process last received it, if that can be read. The next poll
 // then asks only for what is newer.
 func (p *Proxy) applyLastKnownEndpoints() {
-	list, err := p.endpoints.watch.reader.Read(p.config.LastEndpoints)
-	p.config.LastEndpoints = nil
+	list, err := p.endpoints.watch.reader.Read(p.config.LastKnownEndpoints)
+	p.config.LastKnownEndpoints = nil
 	if err != nil {
 		return
 	}
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -16,7 +16,7 @@
 	again := g.config
 	again.Listen = "127.0.0.1:0"
 	again.OnPhaseChange = func(p Phase) { up <- p == Serving }
-	again.LastEndpoints = []byte(`{"generation":41,"reset":true,"instances":[
+	again.LastKnownEndpoints = []byte(`{"generation":41,"reset":true,"instances":[
 {"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"in_service","zone":"z"}]}`)
 	r, err := New(again)
 	if err != nil {
