--- a/cmd/dahliapin/upgrade_test.go
+++ b/cmd/dahliapin/upgrade_test.go
@@ -191,29 +191,29 @@
 		case "newcomer killed": // with the sockets in its hands
 			s.expect(next, "taking another process's place")
 			next.Process.Kill()
-			s.expect(now, "in this one's place has gone")
+			s.expect(now, "successor process has exited")
 			next = now
 		case "newcomer ended": // going back
 			s.expect(next, "msg=serving")
-			s.expect(now, "lets people in")
+			s.expect(now, "successor process is serving")
 			next.Process.Signal(syscall.SIGTERM)
 			s.expect(next, "counters, stopped")
-			s.expect(now, "in this one's place has gone")
+			s.expect(now, "successor process has exited")
 			next = now
 		case "ended before its yes":
 			s.expect(next, "taking another process's place")
 			now.Process.Signal(syscall.SIGTERM)
 			s.expect(now, "counters, stopped")
-			s.expect(next, "before this one has gone")
+			s.expect(next, "predecessor process has exited")
 		case "old killed":
 			s.expect(next, "msg=serving")
 			now.Process.Kill()
-			s.expect(next, "before this one has gone")
+			s.expect(next, "predecessor process has exited")
 		default:
 			s.expect(next, "msg=serving")
 			now.Process.Signal(syscall.SIGTERM)
 			s.expect(now, "counters, stopped")
-			s.expect(next, "before this one has gone")
+			s.expect(next, "predecessor process has exited")
 		}
 		now = next
 		if how == "old killed" {
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -31,7 +31,7 @@
 	if p.takeover.acceptsElsewhere { // the node was returned to it
 		return
 	}
-	p.config.Log.Info("the process before this one has gone")
+	p.config.Log.Info("predecessor process has exited; using the full limits")
 	p.takeover.predecessorGone = true
 	p.setSharedLimits(false)
 	p.offerHandover()
@@ -76,14 +76,14 @@
 func (p *Proxy) onSuccessorStage(stage handover.Stage) {
 	switch stage {
 	case handover.SocketsSent:
-		p.config.Log.Info("another process comes in this one's place")
+		p.config.Log.Info("successor process received the listeners; sharing the limits with it")
 		p.setSharedLimits(true)
 	case handover.SuccessorServing:
-		p.config.Log.Info("the other process lets people in")
+		p.config.Log.Info("successor process is serving; no longer accepting connections")
 		p.takeover.acceptsElsewhere = true
 		p.engine.Accept(false)
 	case handover.SuccessorGone:
-		p.config.Log.Warn("the process in this one's place has gone")
+		p.config.Log.Warn("successor process has exited; accepting connections again")
 		p.takeover.acceptsElsewhere = false
 		p.setSharedLimits(false)
 		p.engine.Accept(true)
@@ -109,6 +109,6 @@
 	p.takeover.predecessorNotified = true
 	p.engine.Accept(true)
 	if err := p.config.Inherited.Serving(); err != nil {
-		p.config.Log.WithError(err).Info("the process before this one has gone already")
+		p.config.Log.WithError(err).Info("predecessor process has exited before the handover completed; continuing")
 	}
 }
