--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -117,7 +117,7 @@
 	if stream.paused && !paused {
 		conn.socket.Resume()
 	} else if paused && !stream.paused {
-		conn.socket.Hold()
+		conn.socket.PauseReading()
 	}
 	stream.paused = paused
 	if paused {
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -235,7 +235,7 @@
 		t.Errorf("%d bytes wait for the loop", w.queuedBytes)
 	}
 	w.readMu.Unlock()
-	w.Hold()
+	w.PauseReading()
 	w.Resume()
 	if _, got := waitFor(t, e, Closed); !bytes.Equal(got, all) {
 		t.Errorf("%d of %d bytes came", len(got), len(all))
--- a/internal/proxy/sockets/read.go
+++ b/internal/proxy/sockets/read.go
@@ -19,8 +19,8 @@
 // stateEstablished is the state of an open connection in the kernel's TCP_INFO (RFC 9293).
 const stateEstablished = 1
 
-// Hold stops reading until Resume, so that the sender has to wait. Bytes that are queued already still come.
-func (c *Conn) Hold() { c.held.Store(true) }
+// PauseReading stops reading until Resume, so that the sender has to wait. Bytes that are queued already still come.
+func (c *Conn) PauseReading() { c.held.Store(true) }
 
 // Resume goes on reading.
 func (c *Conn) Resume() {
