--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -115,7 +115,7 @@
 func (p *Proxy) setPaused(conn *upstreamConn, paused bool) {
 	stream := conn.stream
 	if stream.paused && !paused {
-		conn.socket.Resume()
+		conn.socket.ResumeReading()
 	} else if paused && !stream.paused {
 		conn.socket.PauseReading()
 	}
@@ -215,7 +215,7 @@
 		conn.unattributedAt = p.now()
 	}
 	if stream.paused {
-		conn.socket.Resume()
+		conn.socket.ResumeReading()
 	}
 	conn.proven = true
 	switch {
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -236,7 +236,7 @@
 	}
 	w.readMu.Unlock()
 	w.PauseReading()
-	w.Resume()
+	w.ResumeReading()
 	if _, got := waitFor(t, e, Closed); !bytes.Equal(got, all) {
 		t.Errorf("%d of %d bytes came", len(got), len(all))
 	}
--- a/internal/proxy/sockets/read.go
+++ b/internal/proxy/sockets/read.go
@@ -22,8 +22,8 @@
 // PauseReading stops reading until Resume, so that the sender has to wait. Bytes that are queued already still come.
 func (c *Conn) PauseReading() { c.held.Store(true) }
 
-// Resume goes on reading.
-func (c *Conn) Resume() {
+// ResumeReading goes on reading.
+func (c *Conn) ResumeReading() {
 	c.held.Store(false)
 	c.resumeReading()
 }
