--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -405,7 +405,7 @@
 		}
 		stopped <- true
 		for <-g.engine.Wake(); reached != nil && !reached(); <-g.engine.Wake() {
-			for _, ev := range g.engine.Take() {
+			for _, ev := range g.engine.TakeEvents() {
 				g.handleEvent(&ev)
 			}
 		}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -76,7 +76,7 @@
 	if p.wasHeldUp() {
 		p.awaitEndpointList()
 	}
-	events := p.engine.Take()
+	events := p.engine.TakeEvents()
 	p.beginIteration(len(events))
 	p.handleEvents(events)
 	p.fireTimers()
--- a/internal/proxy/sockets/descriptor_reuse_test.go
+++ b/internal/proxy/sockets/descriptor_reuse_test.go
@@ -29,7 +29,7 @@
 // run is the loop. It returns once it is ended.
 func (c *churn) run() {
 	for !c.ended.Load() {
-		for _, ev := range c.engine.Take() {
+		for _, ev := range c.engine.TakeEvents() {
 			switch ev.Kind {
 			case Connected:
 				ev.Conn.Close()
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	var data []byte
 	for by := time.After(patience); ; {
-		for _, ev := range e.Take() {
+		for _, ev := range e.TakeEvents() {
 			if ev.Kind == Data {
 				data = append(data, ev.Bytes()...)
 			}
@@ -173,7 +173,7 @@
 				t.Fatal("nobody is seen to wait")
 			}
 		}
-		if len(e.Take()) > 0 {
+		if len(e.TakeEvents()) > 0 {
 			t.Fatal("let in over the budget")
 		}
 		e.descriptorFreed()
--- a/internal/proxy/sockets/event.go
+++ b/internal/proxy/sockets/event.go
@@ -74,8 +74,8 @@
 	e.wakeLoop()
 }
 
-// Take returns what has happened since the last call, in order.
-func (e *Engine) Take() []Event {
+// TakeEvents returns what has happened since the last call, in order.
+func (e *Engine) TakeEvents() []Event {
 	e.mu.Lock()
 	events, arena := e.events, e.arena
 	if cap(e.spareArena) > maxSpareArena {
--- a/internal/proxy/sockets/stale_event_test.go
+++ b/internal/proxy/sockets/stale_event_test.go
@@ -70,7 +70,7 @@
 	time.Sleep(pollerWaits)
 	opened := map[*Conn]bool{}
 	for by := time.Now().Add(patience); len(opened) < endingConns && time.Now().Before(by); time.Sleep(time.Millisecond) {
-		for _, ev := range e.Take() {
+		for _, ev := range e.TakeEvents() {
 			if ev.Kind == Opened {
 				opened[ev.Conn] = true
 			}
