--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -107,14 +107,14 @@
 // waited in the kernel's queue, and were reset.
 func TestDrainAfterAStallAcceptsQueuedConnections(t *testing.T) {
 	g := newHarness(t, 200, helloValue, func(b *Config) { b.Settings.LongestDeadline = maxShutdownWait })
-	g.engine.Accept(false) // as if the whole process stood still
+	g.engine.SetAccepting(false) // as if the whole process stood still
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
 	g.Shutdown()
 	g.runInLoop(func() {
 		for g.now().Since(g.lifecycle.drainStartedAt) < drainAcceptTime+drainQuietTime {
 		}
-		g.engine.Accept(true)
+		g.engine.SetAccepting(true)
 	})
 	if got, err := r.ReadString('\n'); strings.TrimSpace(got) != "VA 5 Ox" {
 		t.Errorf("got %q (%v), %+v", got, err, g.Counters())
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Stop)
-	e.Accept(true)
+	e.SetAccepting(true)
 	c, err := net.Dial("tcp", at)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/sockets/listener.go
+++ b/internal/proxy/sockets/listener.go
@@ -99,8 +99,8 @@
 	return sockets
 }
 
-// Accept lets clients in from now on, or leaves them to another process that holds the same listeners.
-func (e *Engine) Accept(accept bool) {
+// SetAccepting lets clients in from now on, or leaves them to another process that holds the same listeners.
+func (e *Engine) SetAccepting(accept bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.acceptPaused = !accept
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -81,12 +81,12 @@
 	case handover.SuccessorServing:
 		p.config.Log.Info("successor process is serving; no longer accepting connections")
 		p.takeover.acceptsElsewhere = true
-		p.engine.Accept(false)
+		p.engine.SetAccepting(false)
 	case handover.SuccessorGone:
 		p.config.Log.Warn("successor process has exited; accepting connections again")
 		p.takeover.acceptsElsewhere = false
 		p.setSharedLimits(false)
-		p.engine.Accept(true)
+		p.engine.SetAccepting(true)
 	}
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	p.takeover.acceptsElsewhere = true
-	p.engine.Accept(false)
+	p.engine.SetAccepting(false)
 	p.config.Inherited.Close()
 }
 
@@ -107,7 +107,7 @@
 		return
 	}
 	p.takeover.predecessorNotified = true
-	p.engine.Accept(true)
+	p.engine.SetAccepting(true)
 	if err := p.config.Inherited.Serving(); err != nil {
 		p.config.Log.WithError(err).Info("predecessor process has exited before the handover completed; continuing")
 	}
