--- a/internal/proxy/sockets/descriptors.go
+++ b/internal/proxy/sockets/descriptors.go
@@ -25,8 +25,8 @@
 	e.changed.Broadcast() // the acceptor may wait for a descriptor that there is now
 }
 
-// OverLimit tells whether more connections are open than clients may have: the limit was lowered.
-func (e *Engine) OverLimit() bool { return e.openDescriptors.Load() > e.clientLimit() }
+// OverClientLimit tells whether more connections are open than clients may have: the limit was lowered.
+func (e *Engine) OverClientLimit() bool { return e.openDescriptors.Load() > e.clientLimit() }
 
 // MaxClients returns how many connections there may be before clients have to wait.
 func (e *Engine) MaxClients() int { return int(e.clientLimit()) }
@@ -34,7 +34,7 @@
 func (e *Engine) clientLimit() int64 { return e.descriptorLimit.Load() - dialReserve }
 
 // ClientsWait tells whether a client waits for a descriptor, and still has to.
-func (e *Engine) ClientsWait() bool { return e.clientWaits.Load() && e.OverLimit() }
+func (e *Engine) ClientsWait() bool { return e.clientWaits.Load() && e.OverClientLimit() }
 
 // descriptorFreed counts a descriptor as free.
 func (e *Engine) descriptorFreed() {
@@ -48,7 +48,7 @@
 func (e *Engine) waitForDescriptor() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for e.OverLimit() && !e.stopped {
+	for e.OverClientLimit() && !e.stopped {
 		e.clientWaits.Store(true)
 		e.wakeLoop()
 		e.changed.Wait()
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -48,7 +48,7 @@
 	}
 	p.config.MemoryLimit = memory
 	p.engine.SetDescriptorLimit(descriptors)
-	for p.engine.OverLimit() && p.freeDescriptor() {
+	for p.engine.OverClientLimit() && p.freeDescriptor() {
 		p.runDeferred()
 	}
 	if p.config.OnSharedLimits != nil {
