--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -61,12 +61,12 @@
 		sendRead(slow, "Oslow")
 		receive(g.t, g.cacheCommands)
 		var half []net.Conn // commands that are not complete keep their connections
-		for n := g.Counters().Clients; !g.engine.ClientsWait(); n++ {
+		for n := g.Counters().Clients; !g.engine.ClientWaiting(); n++ {
 			c, _ := g.client()
 			fmt.Fprint(c, "mg k")
 			half = append(half, c)
 			g.waitUntil("it is accepted, or waits", func(now metrics.Counters) bool {
-				return now.Clients > n || g.engine.ClientsWait()
+				return now.Clients > n || g.engine.ClientWaiting()
 			})
 		}
 		c, _ := g.client()
@@ -76,7 +76,7 @@
 			for _, c := range half {
 				c.Close()
 			}
-			for g.engine.ClientsWait() {
+			for g.engine.ClientWaiting() {
 			}
 		})
 	},
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -80,7 +80,7 @@
 	p.beginIteration(len(events))
 	p.handleEvents(events)
 	p.fireTimers()
-	for p.engine.ClientsWait() && p.freeDescriptor() {
+	for p.engine.ClientWaiting() && p.freeDescriptor() {
 		p.runDeferred()
 	}
 	now := p.now()
--- a/internal/proxy/sockets/descriptors.go
+++ b/internal/proxy/sockets/descriptors.go
@@ -33,8 +33,8 @@
 
 func (e *Engine) clientLimit() int64 { return e.descriptorLimit.Load() - dialReserve }
 
-// ClientsWait tells whether a client waits for a descriptor, and still has to.
-func (e *Engine) ClientsWait() bool { return e.clientWaits.Load() && e.OverClientLimit() }
+// ClientWaiting tells whether a client waits for a descriptor, and still has to.
+func (e *Engine) ClientWaiting() bool { return e.clientWaits.Load() && e.OverClientLimit() }
 
 // descriptorFreed counts a descriptor as free.
 func (e *Engine) descriptorFreed() {
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -168,7 +168,7 @@
 	}
 	defer c.Close()
 	for range 1 + dialReserve {
-		for by := time.Now().Add(patience); !e.ClientsWait(); {
+		for by := time.Now().Add(patience); !e.ClientWaiting(); {
 			if time.Now().After(by) {
 				t.Fatal("nobody is seen to wait")
 			}
@@ -179,7 +179,7 @@
 		e.descriptorFreed()
 	}
 	waitFor(t, e, Opened)
-	if e.ClientsWait() {
+	if e.ClientWaiting() {
 		t.Error("nobody waits any more")
 	}
 	e.openDescriptors.Add(1 + dialReserve - e.descriptorLimit.Load())
