--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -114,7 +114,7 @@
 	switch ev.Kind {
 	case sockets.Opened:
 		p.onClientConnected(ev)
-	case sockets.Connected, sockets.Refused:
+	case sockets.Connected, sockets.DialFailed:
 		p.onDialResult(ev)
 	case sockets.Data:
 		if ev.Conn.Dialed {
--- a/internal/proxy/sockets/descriptor_reuse_test.go
+++ b/internal/proxy/sockets/descriptor_reuse_test.go
@@ -34,7 +34,7 @@
 			case Connected:
 				ev.Conn.Close()
 				c.dial()
-			case Refused:
+			case DialFailed:
 				c.dial()
 			case Data:
 				_ = ev.Conn.Write(ev.Bytes())
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -74,7 +74,7 @@
 	if err := e.Dial(l.Addr().String(), patience, 8); err != nil {
 		t.Fatal(err)
 	}
-	if ev, _ := waitFor(t, e, Refused); ev.DialID != 8 || e.openDescriptors.Load() != 0 {
+	if ev, _ := waitFor(t, e, DialFailed); ev.DialID != 8 || e.openDescriptors.Load() != 0 {
 		t.Error(ev, e.openDescriptors.Load())
 	}
 }
--- a/internal/proxy/sockets/event.go
+++ b/internal/proxy/sockets/event.go
@@ -17,11 +17,11 @@
 
 // The kinds of events.
 const (
-	Opened    EventKind = iota // a client has connected to one of the listeners
-	Connected                  // a dialed connection is established
-	Refused                    // a dialed connection could not be established
-	Data                       // bytes were received
-	Closed                     // a connection has ended
+	Opened     EventKind = iota // a client has connected to one of the listeners
+	Connected                   // a dialed connection is established
+	DialFailed                  // a dialed connection could not be established
+	Data                        // bytes were received
+	Closed                      // a connection has ended
 )
 
 // Event is one thing that happened. Its bytes are valid until the next Take.
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -155,7 +155,7 @@
 // onDialResult handles a connection that has come up, or failed to.
 func (p *Proxy) onDialResult(ev *sockets.Event) {
 	conn := p.upstream.conns.Get(upstreamConnID(ev.DialID))
-	if ev.Kind == sockets.Refused {
+	if ev.Kind == sockets.DialFailed {
 		if conn != nil {
 			p.onDialFailed(conn, ev.Local)
 		}
