--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -112,7 +112,7 @@
 
 func (p *Proxy) handleEvent(ev *sockets.Event) {
 	switch ev.Kind {
-	case sockets.Opened:
+	case sockets.Accepted:
 		p.onClientConnected(ev)
 	case sockets.Connected, sockets.DialFailed:
 		p.onDialResult(ev)
--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -44,7 +44,7 @@
 			c.engine.enqueue(Event{Kind: Connected, Conn: c, DialID: c.Tag}, nil)
 			return
 		}
-		c.engine.enqueue(Event{Kind: Opened, Conn: c}, nil)
+		c.engine.enqueue(Event{Kind: Accepted, Conn: c}, nil)
 	})
 }
 
--- a/internal/proxy/sockets/descriptors_test.go
+++ b/internal/proxy/sockets/descriptors_test.go
@@ -12,7 +12,7 @@
 	defer e.mu.Unlock()
 	count := 0
 	for i := range e.events {
-		if e.events[i].Kind == Opened {
+		if e.events[i].Kind == Accepted {
 			count++
 		}
 	}
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	ev, _ := waitFor(t, e, Opened)
+	ev, _ := waitFor(t, e, Accepted)
 	w := ev.Conn
 	io.WriteString(c, "mg")
 	ev, _ = waitFor(t, e, Data)
@@ -178,7 +178,7 @@
 		}
 		e.descriptorFreed()
 	}
-	waitFor(t, e, Opened)
+	waitFor(t, e, Accepted)
 	if e.ClientWaiting() {
 		t.Error("nobody waits any more")
 	}
@@ -217,7 +217,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev, _ := waitFor(t, e, Opened)
+	ev, _ := waitFor(t, e, Accepted)
 	w, all := ev.Conn, bytes.Repeat([]byte("v"), 1<<20)
 	sent := make(chan error, 1)
 	go func() {
@@ -320,7 +320,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	waitFor(t, e, Opened)
+	waitFor(t, e, Accepted)
 	if e.openDescriptors.Load() != 1 {
 		t.Errorf("%d descriptors are counted with one connection", e.openDescriptors.Load())
 	}
--- a/internal/proxy/sockets/event.go
+++ b/internal/proxy/sockets/event.go
@@ -17,7 +17,7 @@
 
 // The kinds of events.
 const (
-	Opened     EventKind = iota // a client has connected to one of the listeners
+	Accepted   EventKind = iota // a client has connected to one of the listeners
 	Connected                   // a dialed connection is established
 	DialFailed                  // a dialed connection could not be established
 	Data                        // bytes were received
--- a/internal/proxy/sockets/stale_event_test.go
+++ b/internal/proxy/sockets/stale_event_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	ev, _ := waitFor(t, e, Opened)
+	ev, _ := waitFor(t, e, Accepted)
 	return c, ev.Conn
 }
 
@@ -71,7 +71,7 @@
 	opened := map[*Conn]bool{}
 	for by := time.Now().Add(patience); len(opened) < endingConns && time.Now().Before(by); time.Sleep(time.Millisecond) {
 		for _, ev := range e.TakeEvents() {
-			if ev.Kind == Opened {
+			if ev.Kind == Accepted {
 				opened[ev.Conn] = true
 			}
 			if ev.Kind == Closed && opened[ev.Conn] {
