--- a/internal/proxy/sockets/dial.go
+++ b/internal/proxy/sockets/dial.go
@@ -31,7 +31,7 @@
 		if local {
 			time.Sleep(e.localFailures.pause(addr, time.Now()))
 		}
-		e.enqueue(Event{Kind: DialFailed, DialID: id, Local: local}, nil)
+		e.enqueue(Event{Kind: DialFailed, DialID: id, LocalFailure: local}, nil)
 		return
 	}
 	e.localFailures.forget(addr)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -157,7 +157,7 @@
 	conn := p.upstream.conns.Get(upstreamConnID(ev.DialID))
 	if ev.Kind == sockets.DialFailed {
 		if conn != nil {
-			p.onDialFailed(conn, ev.Local)
+			p.onDialFailed(conn, ev.LocalFailure)
 		}
 		return
 	}
