--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -124,7 +124,7 @@
 		}
 	case sockets.Closed:
 		if ev.Conn.Dialed {
-			p.onUpstreamClosed(upstreamConnID(ev.Conn.Tag), ev.Lost > 0, ev.Orderly)
+			p.onUpstreamClosed(upstreamConnID(ev.Conn.Tag), ev.UnsentBytes > 0, ev.Orderly)
 		} else {
 			p.onClientClosed(clientConnID(ev.Conn.Tag))
 		}
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -147,7 +147,7 @@
 	}
 	c.freeDescriptor()
 	c.announce()
-	e.enqueue(Event{Kind: Closed, Conn: c, Lost: c.forgetUnsent(), Orderly: c.orderly.Load()}, nil)
+	e.enqueue(Event{Kind: Closed, Conn: c, UnsentBytes: c.forgetUnsent(), Orderly: c.orderly.Load()}, nil)
 }
 
 // connOf returns the Conn of a connection of nbio's. It is complete: nbio adds a connection to its poller only after
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -266,9 +266,9 @@
 	}
 	_ = w.conn.Close() // as the poller does when the other side has broken it
 	ended, _ := waitFor(t, e, Closed)
-	if lost := w.Close(); ended.Lost == 0 || lost != ended.Lost || e.Unsent() != 0 {
+	if lost := w.Close(); ended.UnsentBytes == 0 || lost != ended.UnsentBytes || e.Unsent() != 0 {
 		t.Errorf("the loop is told that %d bytes were never sent, the event says %d; %d are counted still",
-			lost, ended.Lost, e.Unsent())
+			lost, ended.UnsentBytes, e.Unsent())
 	}
 }
 
--- a/internal/proxy/sockets/event.go
+++ b/internal/proxy/sockets/event.go
@@ -31,7 +31,7 @@
 	At           time.Time
 	DialID       uint64 // with Connected and Refused, the id that Dial was given
 	LocalFailure bool   // with Refused: for want of something on this machine, and not because of the server
-	Lost         int64  // with Closed: bytes that were written and never taken by the kernel
+	UnsentBytes  int64  // with Closed: bytes that were written and never taken by the kernel
 	Orderly      bool   // with Closed: the other side has ended the connection, and all that it sent was read
 	Handled      bool   // the loop's to set, where it takes events out of their order
 	data         []byte // with Data; set by Take
