--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -87,7 +87,7 @@
 	successor := inherit(t, path)
 	defer successor.Close()
 	expectStage(t, stages, SocketsSent)
-	successor.Serving()
+	successor.NotifyServing()
 	expectStage(t, stages, SuccessorServing)
 
 	c, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/proxy/handover/inherit.go
+++ b/internal/proxy/handover/inherit.go
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Serving tells the old process that this one serves clients from now on.
-func (i *Inherited) Serving() error {
+// NotifyServing tells the old process that this one serves clients from now on.
+func (i *Inherited) NotifyServing() error {
 	_, err := i.conn.Write([]byte(serving))
 	return err
 }
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -108,7 +108,7 @@
 	}
 	p.takeover.predecessorNotified = true
 	p.engine.SetAccepting(true)
-	if err := p.config.Inherited.Serving(); err != nil {
+	if err := p.config.Inherited.NotifyServing(); err != nil {
 		p.config.Log.WithError(err).Info("predecessor process has exited before the handover completed; continuing")
 	}
 }
