--- a/internal/proxy/admin/golden_test.go
+++ b/internal/proxy/admin/golden_test.go
@@ -20,7 +20,7 @@
 	var got strings.Builder
 	for _, node := range []*fakeNode{
 		{snapshot: serving},
-		{snapshot: metrics.Snapshot{At: later, Phase: "draining"}, err: ErrEnding},
+		{snapshot: metrics.Snapshot{At: later, Phase: "draining"}, err: ErrShuttingDown},
 		{snapshot: metrics.Snapshot{Phase: "serving", Serving: true}, err: errors.New("no answer")},
 	} {
 		addr := serveAdmin(t, node, nil)
--- a/internal/proxy/admin/handler.go
+++ b/internal/proxy/admin/handler.go
@@ -24,8 +24,8 @@
 // stuck answers that the event loop does nothing.
 const stuck = "stuck: the loop takes nothing"
 
-// ErrEnding says that a node which is shutting down neither goes to standby nor becomes active again.
-var ErrEnding = errors.New("the node is ending")
+// ErrShuttingDown says that a node which is shutting down neither goes to standby nor becomes active again.
+var ErrShuttingDown = errors.New("the node is ending")
 
 // Node is the node that operators call. Its methods may be called from any goroutine.
 type Node interface {
@@ -98,7 +98,7 @@
 		err := run(ctx)
 		log.WithFields(logrus.Fields{"call": name, "from": r.RemoteAddr}).WithError(err).Info("operators' call")
 		switch {
-		case errors.Is(err, ErrEnding):
+		case errors.Is(err, ErrShuttingDown):
 			http.Error(w, err.Error(), http.StatusConflict)
 		case err != nil:
 			http.Error(w, stuck, http.StatusServiceUnavailable)
--- a/internal/proxy/admin/server_test.go
+++ b/internal/proxy/admin/server_test.go
@@ -139,7 +139,7 @@
 	}{
 		{"standby", func(n *fakeNode) { n.snapshot.Serving, n.snapshot.Phase = false, "standby" }, status, 503},
 		{"stale metrics", func(n *fakeNode) { n.snapshot.At = time.Now().Add(-staleAfter) }, status, 503},
-		{"ending", func(n *fakeNode) { n.err = ErrEnding }, standby, 409},
+		{"ending", func(n *fakeNode) { n.err = ErrShuttingDown }, standby, 409},
 		{"stuck loop", func(n *fakeNode) { n.err = context.DeadlineExceeded }, active, 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -34,7 +34,7 @@
 	select {
 	case p.tasks.commands <- run:
 	case <-p.tasks.done:
-		return admin.ErrEnding
+		return admin.ErrShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -42,7 +42,7 @@
 	case err := <-answer:
 		return err
 	case <-p.tasks.done:
-		return admin.ErrEnding
+		return admin.ErrShuttingDown
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -51,7 +51,7 @@
 func (p *Proxy) enterStandby() error {
 	switch p.lifecycle.phase {
 	case Draining, Stopped:
-		return admin.ErrEnding
+		return admin.ErrShuttingDown
 	case Standby:
 		return nil
 	}
@@ -65,7 +65,7 @@
 func (p *Proxy) leaveStandby() error {
 	switch p.lifecycle.phase {
 	case Draining, Stopped:
-		return admin.ErrEnding
+		return admin.ErrShuttingDown
 	case Standby:
 		p.enterPhase(Starting) // it serves at once if there is a list, else with the first
 		p.serveIfReady()
--- a/internal/proxy/standby_test.go
+++ b/internal/proxy/standby_test.go
@@ -56,8 +56,8 @@
 	expectCommand(t, g.Standby, nil)
 	expectCommand(t, g.Active, nil)
 	g.runInLoop(func() { g.startDrain() })
-	expectCommand(t, g.Standby, admin.ErrEnding)
-	expectCommand(t, g.Active, admin.ErrEnding)
+	expectCommand(t, g.Standby, admin.ErrShuttingDown)
+	expectCommand(t, g.Active, admin.ErrShuttingDown)
 }
 
 // expectCommand gives the node an operator's command, and compares its result.
