--- a/internal/proxy/admin/server.go
+++ b/internal/proxy/admin/server.go
@@ -33,8 +33,8 @@
 	connections []net.Conn // that are open, the oldest first
 }
 
-// Open listens on an address. Serve is to follow.
-func Open(addr string) (*Server, error) {
+// Listen listens on an address. Serve is to follow.
+func Listen(addr string) (*Server, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	config.SetMultipathTCP(false)
 	listener, err := config.Listen(context.Background(), "tcp", addr)
--- a/internal/proxy/admin/server_test.go
+++ b/internal/proxy/admin/server_test.go
@@ -49,7 +49,7 @@
 // serveAdmin serves a node, and a fleet unless it is nil, and returns the address.
 func serveAdmin(t *testing.T, node Node, fleet Fleet) string {
 	t.Helper()
-	server, err := Open("127.0.0.1:0")
+	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -54,7 +54,7 @@
 		n.events = newEventQueue()
 	}
 	if c.Admin != "" {
-		server, err := admin.Open(c.Admin)
+		server, err := admin.Listen(c.Admin)
 		if err != nil {
 			return nil, err
 		}
