--- a/internal/emulator/simulation/node.go
+++ b/internal/emulator/simulation/node.go
@@ -79,7 +79,7 @@
 	if len(levels) == 0 {
 		return decider
 	}
-	onChange := func(now policy.Instant, _ int, name string) { n.recorder.Level(now, name) }
+	onChange := func(now policy.Instant, _ int, name string) { n.recorder.LevelChanged(now, name) }
 	return degradation.NewFilter(decider, sim.now, uint32(seed), levels, &n.settings, onChange, new(uint64))
 }
 
--- a/internal/proxy/eventlog/recorder.go
+++ b/internal/proxy/eventlog/recorder.go
@@ -177,8 +177,10 @@
 	r.emit(Event{At: now, Node: r.node, Server: id, Kind: EndpointRestored, Reason: reason, Duration: duration})
 }
 
-// Level records that the node's degradation level has changed to the one of a name.
-func (r *Recorder) Level(now policy.Instant, name string) { r.record(now, "", LevelChanged, name) }
+// LevelChanged records that the node's degradation level has changed to the one of a name.
+func (r *Recorder) LevelChanged(now policy.Instant, name string) {
+	r.record(now, "", LevelChanged, name)
+}
 
 // AttemptSent counts an attempt. The first one to an endpoint since it is avoided for not answering is a trial.
 func (r *Recorder) AttemptSent(now policy.Instant, id policy.EndpointID) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -122,7 +122,7 @@
 		p.metrics.counters.Level = uint64(level)
 		p.config.Log.WithField("level", name).Warn("service level changed")
 		if recorder, ok := observer.(*eventlog.Recorder); ok {
-			recorder.Level(now, name)
+			recorder.LevelChanged(now, name)
 		}
 	}
 	seed := uint32(p.config.Seed)
