--- a/internal/proxy/degradation/controller.go
+++ b/internal/proxy/degradation/controller.go
@@ -46,8 +46,8 @@
 	reachedFor  []int          // by level: evaluations in a row that reached the bounds at which it is entered
 }
 
-// New returns a Controller in normal operation for levels from the mildest to the hardest.
-func New(now policy.Instant, levels []listeners.Level) *Controller {
+// NewController returns a Controller in normal operation for levels from the mildest to the hardest.
+func NewController(now policy.Instant, levels []listeners.Level) *Controller {
 	return &Controller{
 		levels:      levels,
 		evaluatedAt: now,
--- a/internal/proxy/degradation/controller_test.go
+++ b/internal/proxy/degradation/controller_test.go
@@ -45,7 +45,7 @@
 // without a fault operation is normal.
 func TestLevelsNeitherFlapNorStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := New(1, testLevels)
+		c := NewController(1, testLevels)
 		enteredAt, before := policy.Instant(0), 0
 		now := policy.Instant(1)
 		faulty := 0 // evaluations in a row
@@ -96,7 +96,7 @@
 		{"few requests, always late", 60, 3, 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := New(1, testLevels)
+			c := NewController(1, testLevels)
 			now := policy.Instant(1)
 			entered := false
 			for n := range test.seconds {
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -32,7 +32,7 @@
 	deployment *settings.Settings, levelChanged LevelChanged, shedCount *uint64) *Filter {
 	f := &Filter{
 		Decider:      decider,
-		controller:   New(now, levels),
+		controller:   NewController(now, levels),
 		settings:     &deployment.Policy,
 		random:       keyhash.Source{Seed: seed},
 		levelChanged: levelChanged,
