--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -193,13 +193,13 @@
 		switch {
 		case client.closing:
 		case overdue && client.incompleteBytes > 0:
-			p.metrics.counters.Overdue++
+			p.metrics.counters.ClientTimeouts++
 			p.respond(client, client.codec.refusal(refusedTooLate, false))
 			client.closing = true
 			p.flushPipeline(client)
 		case overdue && client.isIdle():
 			if p.closeIfQuiet(client) {
-				p.metrics.counters.Overdue++
+				p.metrics.counters.ClientTimeouts++
 			}
 		case client.firstSlot > 0 && client.isIdle() && now.Since(client.lastUsedAt) >= firstCommandGrace:
 			idle = append(idle, client)
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -49,8 +49,8 @@
 		}
 	}
 	g.expectResponses(receive(t, late), "408 not whole in time 18 close", "ended")
-	if n := g.Counters(); n.Overdue != 3 {
-		t.Errorf("%d were overdue", n.Overdue)
+	if n := g.Counters(); n.ClientTimeouts != 3 {
+		t.Errorf("%d were overdue", n.ClientTimeouts)
 	}
 }
 
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -11,7 +11,7 @@
 	Malformed         uint64 // commands that could not be read
 	ClientsGone       uint64 // clients that closed before their response
 	ClientsGoneUnsent uint64 // of these, those of whose request nothing had been sent to a server
-	Overdue           uint64 // connections that sent no complete request in time
+	ClientTimeouts    uint64 // connections that sent no complete request in time
 
 	// Responses.
 	Satisfied    uint64 // requests answered with a result
@@ -67,7 +67,7 @@
 	f("crowded", c.NotAccepted)
 	f("left", c.ClientsGone)
 	f("left_waiting", c.ClientsGoneUnsent)
-	f("overdue", c.Overdue)
+	f("overdue", c.ClientTimeouts)
 	f("legs", c.Attempts)
 	f("dials", c.Dials)
 	f("reused", c.Reused)
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -104,7 +104,7 @@
 		stream.lastReadAt = p.now()
 	} else if p.now().Since(stream.lastReadAt) >= slowReaderTimeout {
 		// Guards against a reader that takes nothing more: it would hold its endpoint's connection for good.
-		p.metrics.counters.Overdue++
+		p.metrics.counters.ClientTimeouts++
 		p.closeClient(client)
 		return
 	}
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -108,7 +108,7 @@
 			})
 			stuck <- g.downstream.conns.Len() == 1
 		})
-		return !<-stuck && n.Overdue == 1
+		return !<-stuck && n.ClientTimeouts == 1
 	})
 	g.waitUntil("and its connections", func(metrics.Counters) bool {
 		g.runInLoop(func() {
