--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -249,7 +249,7 @@
 	slices.SortFunc(idle, compareByUse(1))
 	for _, client := range idle {
 		if p.closeIfQuiet(client) {
-			p.metrics.counters.ClosedForRoom++
+			p.metrics.counters.EvictedConns++
 			return true
 		}
 	}
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -97,8 +97,8 @@
 		g.expect(r, "VA 5 Oa", "hello")
 	}
 	n := g.Counters()
-	closed := n.ClosedForRoom + n.IdleClosed // on a slow machine some are idle for long, too
-	if n.ClosedForRoom == 0 || closed < 50 || n.NotAccepted > 0 {
-		t.Errorf("%d closed for descriptors, %d in all, %d rejected", n.ClosedForRoom, closed, n.NotAccepted)
+	closed := n.EvictedConns + n.IdleClosed // on a slow machine some are idle for long, too
+	if n.EvictedConns == 0 || closed < 50 || n.NotAccepted > 0 {
+		t.Errorf("%d closed for descriptors, %d in all, %d rejected", n.EvictedConns, closed, n.NotAccepted)
 	}
 }
--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -54,7 +54,7 @@
 	if oldest == nil {
 		return false
 	}
-	p.metrics.counters.ClosedForRoom++
+	p.metrics.counters.EvictedConns++
 	p.dropConn(oldest)
 	return true
 }
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -28,7 +28,7 @@
 	Reused         uint64                       // idle connections used for attempts
 	HealthChecks   uint64                       // health checks made
 	IdleClosed     uint64                       // connections closed as they were idle
-	ClosedForRoom  uint64                       // connections closed to make room for others
+	EvictedConns   uint64                       // connections closed to make room for others
 	ProtocolErrors uint64                       // connections closed after an answer that breaks the protocol
 	ServerFull     uint64                       // connections that a live server had no room for
 	Outcomes       [policy.CacheMiss + 1]uint64 // attempts by their result
@@ -76,7 +76,7 @@
 	f("reconnects", c.Reconnects)
 	f("moves", c.DiscoveryChanges)
 	f("idle_closed", c.IdleClosed)
-	f("room_closed", c.ClosedForRoom)
+	f("room_closed", c.EvictedConns)
 	f("strange", c.ProtocolErrors)
 	f("full", c.ServerFull)
 	f("level", c.Level)
