--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -25,8 +25,8 @@
 	MaxMembers int
 }
 
-// Spans are the spans that an operator states; NewConfig derives the others from them.
-type Spans struct {
+// Timings are the spans that an operator states; NewConfig derives the others from them.
+type Timings struct {
 	Pause     time.Duration // for which a process may stand still and stays a member
 	Heartbeat time.Duration // between two heartbeats to a neighbour
 	Rejoin    time.Duration // Config.RejoinDelay
@@ -46,7 +46,7 @@
 // A process that stands still for the whole pause, from just before a heartbeat was due, has been silent for the pause
 // and one heartbeat interval. It is missed before that, so that a process on the wrong side of a partition has
 // long noticed, and removed after it.
-func NewConfig(s Spans, maxMembers int) Config {
+func NewConfig(s Timings, maxMembers int) Config {
 	// a miss is known missLeadTenths before the pause ends, but never after a single lost heartbeat
 	timeout := max(s.Pause-s.Heartbeat*missLeadTenths/10, 2*s.Heartbeat)
 	return Config{
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -143,7 +143,7 @@
 	}
 	n.state.statements = newStatementStore()
 	members := &c.FleetConfig.Members
-	spans := membership.Spans{
+	spans := membership.Timings{
 		Pause:     members.Pause(),
 		Heartbeat: members.HeartbeatInterval(),
 		Rejoin:    members.RejoinDelay(),
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -25,7 +25,7 @@
 	maxWaiting     = 500 // messages that wait for a process which stands still
 )
 
-var config = membership.NewConfig(membership.Spans{
+var config = membership.NewConfig(membership.Timings{
 	Pause:     pause,
 	Heartbeat: 300 * time.Millisecond,
 	Rejoin:    2 * time.Second,
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -8,7 +8,7 @@
 
 // Views list processes by node and process, whichever came first.
 func TestViewsAreInOrder(t *testing.T) {
-	config := NewConfig(Spans{
+	config := NewConfig(Timings{
 		Pause:     2 * time.Second,
 		Heartbeat: 300 * time.Millisecond,
 		Rejoin:    2 * time.Second,
