--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -27,7 +27,7 @@
 
 // Timings are the spans that an operator states; NewConfig derives the others from them.
 type Timings struct {
-	Pause     time.Duration // for which a process may stand still and stays a member
+	MaxPause  time.Duration // for which a process may stand still and stays a member
 	Heartbeat time.Duration // between two heartbeats to a neighbour
 	Rejoin    time.Duration // Config.RejoinDelay
 	Loop      time.Duration // Config.LoopTimeout
@@ -48,11 +48,11 @@
 // long noticed, and removed after it.
 func NewConfig(s Timings, maxMembers int) Config {
 	// a miss is known missLeadTenths before the pause ends, but never after a single lost heartbeat
-	timeout := max(s.Pause-s.Heartbeat*missLeadTenths/10, 2*s.Heartbeat)
+	timeout := max(s.MaxPause-s.Heartbeat*missLeadTenths/10, 2*s.Heartbeat)
 	return Config{
 		HeartbeatInterval: s.Heartbeat,
 		HeartbeatTimeout:  timeout,
-		RemovalDelay:      s.Pause + s.Heartbeat - timeout + propagationAllowance,
+		RemovalDelay:      s.MaxPause + s.Heartbeat - timeout + propagationAllowance,
 		RejoinDelay:       s.Rejoin,
 		SelfDoubtTimeout:  timeout,
 		LoopTimeout:       s.Loop,
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -144,7 +144,7 @@
 	n.state.statements = newStatementStore()
 	members := &c.FleetConfig.Members
 	spans := membership.Timings{
-		Pause:     members.Pause(),
+		MaxPause:  members.Pause(),
 		Heartbeat: members.HeartbeatInterval(),
 		Rejoin:    members.RejoinDelay(),
 		Loop:      members.LoopTimeout(),
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -26,7 +26,7 @@
 )
 
 var config = membership.NewConfig(membership.Timings{
-	Pause:     pause,
+	MaxPause:  pause,
 	Heartbeat: 300 * time.Millisecond,
 	Rejoin:    2 * time.Second,
 	Loop:      time.Second,
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -9,7 +9,7 @@
 // Views list processes by node and process, whichever came first.
 func TestViewsAreInOrder(t *testing.T) {
 	config := NewConfig(Timings{
-		Pause:     2 * time.Second,
+		MaxPause:  2 * time.Second,
 		Heartbeat: 300 * time.Millisecond,
 		Rejoin:    2 * time.Second,
 		Loop:      time.Second,
