--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -27,11 +27,11 @@
 
 // Timings are the spans that an operator states; NewConfig derives the others from them.
 type Timings struct {
-	MaxPause  time.Duration // for which a process may stand still and stays a member
-	Heartbeat time.Duration // between two heartbeats to a neighbour
-	Rejoin    time.Duration // Config.RejoinDelay
-	Loop      time.Duration // Config.LoopTimeout
-	Forget    time.Duration // Config.ForgetAfter
+	MaxPause          time.Duration // for which a process may stand still and stays a member
+	HeartbeatInterval time.Duration // between two heartbeats to a neighbour
+	Rejoin            time.Duration // Config.RejoinDelay
+	Loop              time.Duration // Config.LoopTimeout
+	Forget            time.Duration // Config.ForgetAfter
 }
 
 // missLeadTenths is how long before the end of the pause a neighbour that stands still is missed, in tenths of a
@@ -48,16 +48,16 @@
 // long noticed, and removed after it.
 func NewConfig(s Timings, maxMembers int) Config {
 	// a miss is known missLeadTenths before the pause ends, but never after a single lost heartbeat
-	timeout := max(s.MaxPause-s.Heartbeat*missLeadTenths/10, 2*s.Heartbeat)
+	timeout := max(s.MaxPause-s.HeartbeatInterval*missLeadTenths/10, 2*s.HeartbeatInterval)
 	return Config{
-		HeartbeatInterval: s.Heartbeat,
+		HeartbeatInterval: s.HeartbeatInterval,
 		HeartbeatTimeout:  timeout,
-		RemovalDelay:      s.MaxPause + s.Heartbeat - timeout + propagationAllowance,
+		RemovalDelay:      s.MaxPause + s.HeartbeatInterval - timeout + propagationAllowance,
 		RejoinDelay:       s.Rejoin,
 		SelfDoubtTimeout:  timeout,
 		LoopTimeout:       s.Loop,
 		ForgetAfter:       s.Forget,
-		ClaimPeriod:       timeout + 2*s.Heartbeat,
+		ClaimPeriod:       timeout + 2*s.HeartbeatInterval,
 		MaxMembers:        maxMembers,
 	}
 }
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -144,11 +144,11 @@
 	n.state.statements = newStatementStore()
 	members := &c.FleetConfig.Members
 	spans := membership.Timings{
-		MaxPause:  members.Pause(),
-		Heartbeat: members.HeartbeatInterval(),
-		Rejoin:    members.RejoinDelay(),
-		Loop:      members.LoopTimeout(),
-		Forget:    members.ForgetAfter(),
+		MaxPause:          members.Pause(),
+		HeartbeatInterval: members.HeartbeatInterval(),
+		Rejoin:            members.RejoinDelay(),
+		Loop:              members.LoopTimeout(),
+		Forget:            members.ForgetAfter(),
 	}
 	n.state.detector = membership.New(
 		membership.NewConfig(spans, members.MaxMembers),
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -26,11 +26,11 @@
 )
 
 var config = membership.NewConfig(membership.Timings{
-	MaxPause:  pause,
-	Heartbeat: 300 * time.Millisecond,
-	Rejoin:    2 * time.Second,
-	Loop:      time.Second,
-	Forget:    time.Minute,
+	MaxPause:          pause,
+	HeartbeatInterval: 300 * time.Millisecond,
+	Rejoin:            2 * time.Second,
+	Loop:              time.Second,
+	Forget:            time.Minute,
 }, 4000)
 
 // simulation runs detectors in virtual time: their decisions are those of service, on a network with the emulator's
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -9,11 +9,11 @@
 // Views list processes by node and process, whichever came first.
 func TestViewsAreInOrder(t *testing.T) {
 	config := NewConfig(Timings{
-		MaxPause:  2 * time.Second,
-		Heartbeat: 300 * time.Millisecond,
-		Rejoin:    2 * time.Second,
-		Loop:      time.Second,
-		Forget:    time.Minute,
+		MaxPause:          2 * time.Second,
+		HeartbeatInterval: 300 * time.Millisecond,
+		Rejoin:            2 * time.Second,
+		Loop:              time.Second,
+		Forget:            time.Minute,
 	}, 100)
 	d := New(config, 50, "m", "127.0.0.1:1", nil)
 	for i, node := range []NodeName{"z", "a", "q", "a"} {
