--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -29,7 +29,7 @@
 type Timings struct {
 	MaxPause          time.Duration // for which a process may stand still and stays a member
 	HeartbeatInterval time.Duration // between two heartbeats to a neighbour
-	Rejoin            time.Duration // Config.RejoinDelay
+	RejoinDelay       time.Duration // Config.RejoinDelay
 	Loop              time.Duration // Config.LoopTimeout
 	Forget            time.Duration // Config.ForgetAfter
 }
@@ -53,7 +53,7 @@
 		HeartbeatInterval: s.HeartbeatInterval,
 		HeartbeatTimeout:  timeout,
 		RemovalDelay:      s.MaxPause + s.HeartbeatInterval - timeout + propagationAllowance,
-		RejoinDelay:       s.Rejoin,
+		RejoinDelay:       s.RejoinDelay,
 		SelfDoubtTimeout:  timeout,
 		LoopTimeout:       s.Loop,
 		ForgetAfter:       s.Forget,
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -146,7 +146,7 @@
 	spans := membership.Timings{
 		MaxPause:          members.Pause(),
 		HeartbeatInterval: members.HeartbeatInterval(),
-		Rejoin:            members.RejoinDelay(),
+		RejoinDelay:       members.RejoinDelay(),
 		Loop:              members.LoopTimeout(),
 		Forget:            members.ForgetAfter(),
 	}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -28,7 +28,7 @@
 var config = membership.NewConfig(membership.Timings{
 	MaxPause:          pause,
 	HeartbeatInterval: 300 * time.Millisecond,
-	Rejoin:            2 * time.Second,
+	RejoinDelay:       2 * time.Second,
 	Loop:              time.Second,
 	Forget:            time.Minute,
 }, 4000)
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -11,7 +11,7 @@
 	config := NewConfig(Timings{
 		MaxPause:          2 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
-		Rejoin:            2 * time.Second,
+		RejoinDelay:       2 * time.Second,
 		Loop:              time.Second,
 		Forget:            time.Minute,
 	}, 100)
