--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -30,7 +30,7 @@
 	MaxPause          time.Duration // for which a process may stand still and stays a member
 	HeartbeatInterval time.Duration // between two heartbeats to a neighbour
 	RejoinDelay       time.Duration // Config.RejoinDelay
-	Loop              time.Duration // Config.LoopTimeout
+	LoopTimeout       time.Duration // Config.LoopTimeout
 	Forget            time.Duration // Config.ForgetAfter
 }
 
@@ -55,7 +55,7 @@
 		RemovalDelay:      s.MaxPause + s.HeartbeatInterval - timeout + propagationAllowance,
 		RejoinDelay:       s.RejoinDelay,
 		SelfDoubtTimeout:  timeout,
-		LoopTimeout:       s.Loop,
+		LoopTimeout:       s.LoopTimeout,
 		ForgetAfter:       s.Forget,
 		ClaimPeriod:       timeout + 2*s.HeartbeatInterval,
 		MaxMembers:        maxMembers,
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -147,7 +147,7 @@
 		MaxPause:          members.Pause(),
 		HeartbeatInterval: members.HeartbeatInterval(),
 		RejoinDelay:       members.RejoinDelay(),
-		Loop:              members.LoopTimeout(),
+		LoopTimeout:       members.LoopTimeout(),
 		Forget:            members.ForgetAfter(),
 	}
 	n.state.detector = membership.New(
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -29,7 +29,7 @@
 	MaxPause:          pause,
 	HeartbeatInterval: 300 * time.Millisecond,
 	RejoinDelay:       2 * time.Second,
-	Loop:              time.Second,
+	LoopTimeout:       time.Second,
 	Forget:            time.Minute,
 }, 4000)
 
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -12,7 +12,7 @@
 		MaxPause:          2 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
 		RejoinDelay:       2 * time.Second,
-		Loop:              time.Second,
+		LoopTimeout:       time.Second,
 		Forget:            time.Minute,
 	}, 100)
 	d := New(config, 50, "m", "127.0.0.1:1", nil)
