--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -31,7 +31,7 @@
 	HeartbeatInterval time.Duration // between two heartbeats to a neighbour
 	RejoinDelay       time.Duration // Config.RejoinDelay
 	LoopTimeout       time.Duration // Config.LoopTimeout
-	Forget            time.Duration // Config.ForgetAfter
+	ForgetAfter       time.Duration // Config.ForgetAfter
 }
 
 // missLeadTenths is how long before the end of the pause a neighbour that stands still is missed, in tenths of a
@@ -56,7 +56,7 @@
 		RejoinDelay:       s.RejoinDelay,
 		SelfDoubtTimeout:  timeout,
 		LoopTimeout:       s.LoopTimeout,
-		ForgetAfter:       s.Forget,
+		ForgetAfter:       s.ForgetAfter,
 		ClaimPeriod:       timeout + 2*s.HeartbeatInterval,
 		MaxMembers:        maxMembers,
 	}
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -148,7 +148,7 @@
 		HeartbeatInterval: members.HeartbeatInterval(),
 		RejoinDelay:       members.RejoinDelay(),
 		LoopTimeout:       members.LoopTimeout(),
-		Forget:            members.ForgetAfter(),
+		ForgetAfter:       members.ForgetAfter(),
 	}
 	n.state.detector = membership.New(
 		membership.NewConfig(spans, members.MaxMembers),
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -30,7 +30,7 @@
 	HeartbeatInterval: 300 * time.Millisecond,
 	RejoinDelay:       2 * time.Second,
 	LoopTimeout:       time.Second,
-	Forget:            time.Minute,
+	ForgetAfter:       time.Minute,
 }, 4000)
 
 // simulation runs detectors in virtual time: their decisions are those of service, on a network with the emulator's
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -13,7 +13,7 @@
 		HeartbeatInterval: 300 * time.Millisecond,
 		RejoinDelay:       2 * time.Second,
 		LoopTimeout:       time.Second,
-		Forget:            time.Minute,
+		ForgetAfter:       time.Minute,
 	}, 100)
 	d := New(config, 50, "m", "127.0.0.1:1", nil)
 	for i, node := range []NodeName{"z", "a", "q", "a"} {
