--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -13,8 +13,8 @@
 	// RejoinDelay is how long enough processes must hear a removed one before it is a member again. It has to
 	// be longer than HeartbeatTimeout: one that hears nobody would be a member before it doubts itself.
 	RejoinDelay time.Duration
-	// SelfDoubtTimeout is how long a neighbour may state that it doubts itself before it is missed.
-	SelfDoubtTimeout time.Duration
+	// IsolationTimeout is how long a neighbour may state that it doubts itself before it is missed.
+	IsolationTimeout time.Duration
 	// LoopTimeout is how long the loop that serves clients may stand still before this process stops its heartbeats.
 	LoopTimeout time.Duration
 	// ForgetAfter is the time after which a process that was removed, or never became a member, is forgotten.
@@ -54,7 +54,7 @@
 		HeartbeatTimeout:  timeout,
 		RemovalDelay:      s.MaxPause + s.HeartbeatInterval - timeout + propagationAllowance,
 		RejoinDelay:       s.RejoinDelay,
-		SelfDoubtTimeout:  timeout,
+		IsolationTimeout:  timeout,
 		LoopTimeout:       s.LoopTimeout,
 		ForgetAfter:       s.ForgetAfter,
 		ClaimPeriod:       timeout + 2*s.HeartbeatInterval,
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -94,5 +94,5 @@
 	}
 	// those that were cut off along with this process may say for a while yet that they doubt themselves
 	since := max(p.doubtsSince, p.neighbourSince, d.statement.sureAt)
-	return d.ran-since >= d.config.SelfDoubtTimeout
+	return d.ran-since >= d.config.IsolationTimeout
 }
