--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -96,7 +96,7 @@
 			Revision:  d.own.Revision,
 			Digest:    d.evaluation.digest,
 			Addr:      d.own.Addr,
-			SelfDoubt: d.own.SelfDoubt,
+			SelfDoubt: d.own.Isolated,
 		},
 		SyncWith: d.sync.takeTarget(),
 	}
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -56,7 +56,7 @@
 // countObserver counts what one process states about its neighbours. One that is not a member yet can only speak for
 // others, not against them.
 func (d *Detector) countObserver(observer *peer) {
-	if observer.SelfDoubt && observer.isMember() {
+	if observer.Isolated && observer.isMember() {
 		// guards against a few that decide where most can't tell
 		d.forEach(observer.Hears, func(e *evidence) { e.doubtfulFor++ })
 		d.forEach(observer.Misses, func(e *evidence) { e.doubtfulFor++ })
@@ -80,7 +80,7 @@
 
 // testifies reports whether what a process states about others counts at all.
 func (p *peer) testifies() bool {
-	return !p.SelfDoubt && !p.Leaving && (p.isMember() || p.status == Joining)
+	return !p.Isolated && !p.Leaving && (p.isMember() || p.status == Joining)
 }
 
 // isCurrent reports whether a process's statement can be taken for how things are now: one that several miss may have
@@ -109,8 +109,8 @@
 // one which is cut off. Guards against the sides of a partition that remove each other, and against a process that
 // takes all others for dead.
 func (d *Detector) mayBePartitioned() bool {
-	if d.own.SelfDoubt || !d.rules.freeze {
-		return d.own.SelfDoubt
+	if d.own.Isolated || !d.rules.freeze {
+		return d.own.Isolated
 	}
 	recently := recentRemovals * d.config.RemovalDelay
 	members := 0
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -133,7 +133,7 @@
 		Addr:        encodeAddr(s.Addr),
 		Leaving:     s.Leaving,
 		YieldsName:  s.YieldsName,
-		SelfDoubt:   s.SelfDoubt,
+		SelfDoubt:   s.Isolated,
 		Hears:       convertIDs[uint64](s.Hears),
 		Misses:      convertIDs[uint64](s.Misses),
 	})
@@ -159,7 +159,7 @@
 		Addr:        decodeAddr(w.Addr),
 		Leaving:     w.Leaving,
 		YieldsName:  w.YieldsName,
-		SelfDoubt:   w.SelfDoubt,
+		Isolated:    w.SelfDoubt,
 		Hears:       convertIDs[membership.ProcessID](w.Hears),
 		Misses:      convertIDs[membership.ProcessID](w.Misses),
 	}, nil
--- a/internal/membership/gossip/wire_test.go
+++ b/internal/membership/gossip/wire_test.go
@@ -37,7 +37,7 @@
 		Addr:        "[::1]:7002",
 		Leaving:     true,
 		YieldsName:  true,
-		SelfDoubt:   true,
+		Isolated:    true,
 		Hears:       []membership.ProcessID{1, 2},
 		Misses:      []membership.ProcessID{3},
 	})
@@ -66,7 +66,7 @@
 		Incarnation: 2,
 		Revision:    9,
 		Addr:        "10.0.0.1:7946",
-		SelfDoubt:   true,
+		Isolated:    true,
 		Hears:       []membership.ProcessID{8},
 		Misses:      []membership.ProcessID{9},
 	})
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -12,7 +12,7 @@
 		hears = d.own.Hears
 		misses = d.own.Misses
 	}
-	if doubts == d.own.SelfDoubt {
+	if doubts == d.own.Isolated {
 		if slices.Equal(hears, d.own.Hears) && slices.Equal(misses, d.own.Misses) {
 			return
 		}
@@ -22,12 +22,12 @@
 			return
 		}
 	}
-	if d.own.SelfDoubt && !doubts {
+	if d.own.Isolated && !doubts {
 		d.statement.sureAt = d.ran
 	}
 	d.own.Hears = hears
 	d.own.Misses = misses
-	d.own.SelfDoubt = doubts
+	d.own.Isolated = doubts
 	d.reviseStatement()
 }
 
@@ -86,7 +86,7 @@
 // doubts itself. Guards against a process that all hear and that hears nobody: it would stay a member for good; and,
 // once it is out, it would be in again before it hears anybody.
 func (d *Detector) isDiscredited(p *peer) bool {
-	if p.doubtsSince < 0 || d.own.SelfDoubt {
+	if p.doubtsSince < 0 || d.own.Isolated {
 		return false
 	}
 	if p.status == Removed {
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -43,7 +43,7 @@
 		return
 	}
 	fmt.Fprintln(r.sum, s.Process, s.Node, s.Incarnation, s.Revision, s.Addr,
-		s.Leaving, s.YieldsName, s.SelfDoubt, s.Hears, s.Misses)
+		s.Leaving, s.YieldsName, s.Isolated, s.Hears, s.Misses)
 }
 
 // recordedHistory is a history whose decisions are recorded.
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -21,7 +21,7 @@
 	Addr        string      // where other nodes reach it: address and port
 	Leaving     bool        // it shuts down in order, or is on standby
 	YieldsName  bool        // its name goes to the next process, which may take it at once
-	SelfDoubt   bool        // it hears too few of its neighbours to be believed
+	Isolated    bool        // it hears too few of its neighbours to be believed
 	Hears       []ProcessID // neighbours that it hears
 	Misses      []ProcessID // neighbours that it doesn't hear
 }
@@ -124,7 +124,7 @@
 	s.Hears = slices.Clone(s.Hears)
 	s.Misses = slices.Clone(s.Misses)
 	p.Statement = s
-	p.setSelfDoubt(s.SelfDoubt, d.ran)
+	p.setSelfDoubt(s.Isolated, d.ran)
 	d.evaluation.changed = true
 	d.sync.heardOther = true
 }
