--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -92,11 +92,11 @@
 
 	actions := Actions{
 		Heartbeat: Heartbeat{
-			Process:   d.own.Process,
-			Revision:  d.own.Revision,
-			Digest:    d.evaluation.digest,
-			Addr:      d.own.Addr,
-			SelfDoubt: d.own.Isolated,
+			Process:  d.own.Process,
+			Revision: d.own.Revision,
+			Digest:   d.evaluation.digest,
+			Addr:     d.own.Addr,
+			Isolated: d.own.Isolated,
 		},
 		SyncWith: d.sync.takeTarget(),
 	}
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -99,7 +99,7 @@
 		Revision:   uint64(h.Revision),
 		Digest:     uint32(h.Digest),
 		Addr:       encodeAddr(h.Addr),
-		SelfDoubt:  h.SelfDoubt,
+		SelfDoubt:  h.Isolated,
 		WantsReply: h.WantsReply,
 	})
 }
@@ -114,7 +114,7 @@
 		Revision:   membership.Revision(w.Revision),
 		Digest:     uint64(w.Digest),
 		Addr:       decodeAddr(w.Addr),
-		SelfDoubt:  w.SelfDoubt,
+		Isolated:   w.SelfDoubt,
 		WantsReply: w.WantsReply,
 	}
 	if w.Version == 0 || h.Process == 0 || h.Addr == "" {
--- a/internal/membership/gossip/wire_test.go
+++ b/internal/membership/gossip/wire_test.go
@@ -25,7 +25,7 @@
 		Revision:   5,
 		Digest:     0x1_0000_0003,
 		Addr:       "127.0.0.1:7001",
-		SelfDoubt:  true,
+		Isolated:   true,
 		WantsReply: true,
 	})
 	write("heartbeat", heartbeat, err)
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -45,7 +45,7 @@
 	}
 	p.heard = true
 	p.lastHeartbeat = d.ran
-	p.setSelfDoubt(h.SelfDoubt, d.ran)
+	p.setSelfDoubt(h.Isolated, d.ran)
 	d.compareDigest(p, h)
 }
 
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -24,7 +24,7 @@
 		return
 	}
 	h := do.Heartbeat
-	fmt.Fprintln(r.sum, now, h.Process, h.Revision, h.Digest, h.Addr, h.SelfDoubt, h.WantsReply)
+	fmt.Fprintln(r.sum, now, h.Process, h.Revision, h.Digest, h.Addr, h.Isolated, h.WantsReply)
 	fmt.Fprintln(r.sum, do.HeartbeatTo, do.ReplyTo, do.ProbeTo, do.SyncWith, d.KnownCount(), d.NameConflict())
 	v := d.View()
 	if r.view[d] == v {
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -47,7 +47,7 @@
 	Revision   Revision // of the sender's statement
 	Digest     uint64   // of the statements of all members; only the lower 32 bits are sent and compared
 	Addr       string   // the sender's
-	SelfDoubt  bool     // as in the sender's statement
+	Isolated   bool     // as in the sender's statement
 	WantsReply bool     // the sender asks for a heartbeat in return
 }
 
