--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -83,7 +83,7 @@
 			Addr:        m.Addr,
 			Status:      m.Status.String(),
 			Since:       m.Since.Seconds(),
-			Hears:       m.Hears,
+			Hears:       m.HeardBy,
 			Misses:      m.Misses,
 		})
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -15,7 +15,7 @@
 	Addr        string
 	Status      Status
 	Since       time.Duration // run time of the process whose view it is when the status began
-	Hears       int           // how many processes that are believed hear it
+	HeardBy     int           // how many processes that are believed hear it
 	Misses      int           // how many members that are believed miss it
 }
 
@@ -75,7 +75,7 @@
 		Addr:        p.Addr,
 		Status:      p.status,
 		Since:       p.since,
-		Hears:       p.evidence.heardBy,
+		HeardBy:     p.evidence.heardBy,
 		Misses:      p.evidence.missedByBelieved,
 	}
 }
