--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -84,7 +84,7 @@
 			Status:      m.Status.String(),
 			Since:       m.Since.Seconds(),
 			Hears:       m.HeardBy,
-			Misses:      m.Misses,
+			Misses:      m.MissedBy,
 		})
 	}
 	return all
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -16,7 +16,7 @@
 	Status      Status
 	Since       time.Duration // run time of the process whose view it is when the status began
 	HeardBy     int           // how many processes that are believed hear it
-	Misses      int           // how many members that are believed miss it
+	MissedBy    int           // how many members that are believed miss it
 }
 
 // View is the membership as one process knows it. Nobody changes it once it is made.
@@ -76,7 +76,7 @@
 		Status:      p.status,
 		Since:       p.since,
 		HeardBy:     p.evidence.heardBy,
-		Misses:      p.evidence.missedByBelieved,
+		MissedBy:    p.evidence.missedByBelieved,
 	}
 }
 
