--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -65,7 +65,7 @@
 		contacts:   contacts{seeds: seeds, forgotten: map[ProcessID]forgottenPeer{}},
 		neighbours: neighbourSet{stale: true},
 		statement:  ownStatement{unsent: true},
-		view:       &View{Own: process},
+		view:       &View{Self: process},
 	}
 }
 
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -31,7 +31,7 @@
 		return
 	}
 	r.view[d] = v
-	fmt.Fprintln(r.sum, v.Number, v.Fingerprint, v.Nodes, v.MayBePartitioned, v.Own, v.Incarnation)
+	fmt.Fprintln(r.sum, v.Number, v.Fingerprint, v.Nodes, v.MayBePartitioned, v.Self, v.Incarnation)
 	for _, m := range v.Members {
 		fmt.Fprintln(r.sum, m.Process, m.Node, m.Incarnation, m.Addr, m.Status, m.Since, m.HeardBy, m.MissedBy)
 	}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -328,7 +328,7 @@
 	line := trace.Line{
 		Node:             p.node.name,
 		What:             trace.View,
-		Process:          fmt.Sprint(view.Own),
+		Process:          fmt.Sprint(view.Self),
 		Number:           view.Number,
 		MayBePartitioned: view.MayBePartitioned,
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -32,8 +32,8 @@
 	// MayBePartitioned is whether this process is removed, doubts itself, or so many are missing that it may be the
 	// one which is cut off: no member is removed meanwhile. Operators see it as "cut_off".
 	MayBePartitioned bool
-	// Own is the process whose view it is.
-	Own ProcessID
+	// Self is the process whose view it is.
+	Self ProcessID
 	// Incarnation is Own's; 0 while it has not taken its name.
 	Incarnation Incarnation
 }
@@ -50,7 +50,7 @@
 		Nodes:            make([]NodeName, 0, len(d.peers.byName)),
 		Members:          make([]Member, 0, len(d.peers.byName)),
 		MayBePartitioned: d.evaluation.frozen || d.own.status == Removed,
-		Own:              d.own.Process,
+		Self:             d.own.Process,
 		Incarnation:      d.own.Incarnation,
 	}
 	for _, p := range d.peers.byName {
