--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -148,7 +148,7 @@
 	if err := decoder.Unmarshal(message, &w); err != nil {
 		return membership.Statement{}, err
 	}
-	if w.Version == 0 || len(w.Hears) > membership.MaxNeighbours || len(w.Misses) > membership.MaxNeighbours {
+	if w.Version == 0 || len(w.Hears) > membership.MaxStatementNeighbours || len(w.Misses) > membership.MaxStatementNeighbours {
 		return membership.Statement{}, errMessage
 	}
 	return membership.Statement{
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -7,9 +7,9 @@
 
 // Bounds of what other processes may state.
 const (
-	MaxNameBytes  = 64 // bytes of a node's name
-	MaxAddrBytes  = 64 // bytes of an address
-	MaxNeighbours = 64 // neighbours in one statement
+	MaxNameBytes           = 64 // bytes of a node's name
+	MaxAddrBytes           = 64 // bytes of an address
+	MaxStatementNeighbours = 64 // neighbours in one statement
 )
 
 // Statement is all that a process says of itself and of its neighbours. Only the process itself makes it.
@@ -35,7 +35,7 @@
 		return false
 	case s.Addr == "" || len(s.Addr) > MaxAddrBytes:
 		return false
-	case len(s.Hears) > MaxNeighbours || len(s.Misses) > MaxNeighbours:
+	case len(s.Hears) > MaxStatementNeighbours || len(s.Misses) > MaxStatementNeighbours:
 		return false
 	}
 	return !slices.Contains(s.Hears, s.Process) && !slices.Contains(s.Misses, s.Process)
--- a/internal/membership/statement_test.go
+++ b/internal/membership/statement_test.go
@@ -45,7 +45,7 @@
 			s.Node = membership.NodeName(make([]byte, membership.MaxNameBytes+1))
 		},
 		"many neighbours": func(s *membership.Statement) {
-			s.Hears = make([]membership.ProcessID, membership.MaxNeighbours+1)
+			s.Hears = make([]membership.ProcessID, membership.MaxStatementNeighbours+1)
 		},
 		"misses itself": func(s *membership.Statement) { s.Misses = []membership.ProcessID{9} },
 	} {
