--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -191,7 +191,7 @@
 		// Lacks two observers and the majority: each alone would keep the member that one other doesn't hear.
 		{"one observer's word is enough", "one does not hear another", membership.Rules{
 			MinObservers:     1,
-			SelfDoubt:        true,
+			DetectIsolation:  true,
 			Freeze:           true,
 			MeasureRunTime:   true,
 			StopWithDeadLoop: true,
@@ -221,7 +221,7 @@
 		{"sends heartbeats while its loop hangs", "the loop hangs", membership.Rules{
 			MinObservers:    2,
 			RequireMajority: true,
-			SelfDoubt:       true,
+			DetectIsolation: true,
 			Freeze:          true,
 			MeasureRunTime:  true,
 		}},
--- a/internal/membership/rules_test.go
+++ b/internal/membership/rules_test.go
@@ -4,7 +4,7 @@
 type Rules struct {
 	MinObservers     int
 	RequireMajority  bool
-	SelfDoubt        bool
+	DetectIsolation  bool
 	Freeze           bool
 	MeasureRunTime   bool
 	StopWithDeadLoop bool
@@ -15,7 +15,7 @@
 	d.rules = rules{
 		minObservers:     r.MinObservers,
 		requireMajority:  r.RequireMajority,
-		selfDoubt:        r.SelfDoubt,
+		selfDoubt:        r.DetectIsolation,
 		freeze:           r.Freeze,
 		measureRunTime:   r.MeasureRunTime,
 		stopWithDeadLoop: r.StopWithDeadLoop,
