--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -192,7 +192,7 @@
 		{"one observer's word is enough", "one does not hear another", membership.Rules{
 			MinObservers:     1,
 			DetectIsolation:  true,
-			Freeze:           true,
+			FreezeRemovals:   true,
 			MeasureRunTime:   true,
 			StopWithDeadLoop: true,
 		}},
@@ -222,7 +222,7 @@
 			MinObservers:    2,
 			RequireMajority: true,
 			DetectIsolation: true,
-			Freeze:          true,
+			FreezeRemovals:  true,
 			MeasureRunTime:  true,
 		}},
 	} {
--- a/internal/membership/rules_test.go
+++ b/internal/membership/rules_test.go
@@ -5,7 +5,7 @@
 	MinObservers     int
 	RequireMajority  bool
 	DetectIsolation  bool
-	Freeze           bool
+	FreezeRemovals   bool
 	MeasureRunTime   bool
 	StopWithDeadLoop bool
 }
@@ -16,7 +16,7 @@
 		minObservers:     r.MinObservers,
 		requireMajority:  r.RequireMajority,
 		selfDoubt:        r.DetectIsolation,
-		freeze:           r.Freeze,
+		freeze:           r.FreezeRemovals,
 		measureRunTime:   r.MeasureRunTime,
 		stopWithDeadLoop: r.StopWithDeadLoop,
 	}
