--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -190,32 +190,32 @@
 	}{
 		// Lacks two observers and the majority: each alone would keep the member that one other doesn't hear.
 		{"one observer's word is enough", "one does not hear another", membership.Rules{
-			MinObservers:     1,
-			DetectIsolation:  true,
-			FreezeRemovals:   true,
-			MeasureRunTime:   true,
-			StopWithDeadLoop: true,
+			MinObservers:      1,
+			DetectIsolation:   true,
+			FreezeRemovals:    true,
+			MeasureRunTime:    true,
+			StopOnStalledLoop: true,
 		}},
 		// Lacks self-doubt and the freeze; of the two, self-doubt would be enough in this failure.
 		{"doubts nothing, stops at nothing", "halves", membership.Rules{
-			MinObservers:     2,
-			RequireMajority:  true,
-			MeasureRunTime:   true,
-			StopWithDeadLoop: true,
+			MinObservers:      2,
+			RequireMajority:   true,
+			MeasureRunTime:    true,
+			StopOnStalledLoop: true,
 		}},
 		// Lacks self-doubt and the freeze. MinObservers is 1 as well: while no statement arrives, a process has its own
 		// alone, so that two observers would already prevent each removal.
 		{"takes all others for dead", "the network down for everyone", membership.Rules{
-			MinObservers:     1,
-			RequireMajority:  true,
-			MeasureRunTime:   true,
-			StopWithDeadLoop: true,
+			MinObservers:      1,
+			RequireMajority:   true,
+			MeasureRunTime:    true,
+			StopOnStalledLoop: true,
 		}},
 		// Lacks the run time, and all other guards but that of the loop: two observers alone would hide the fault, as
 		// only the one process that was stopped misses the others.
 		{"measures by the clock", "stopped for more", membership.Rules{
-			MinObservers:     1,
-			StopWithDeadLoop: true,
+			MinObservers:      1,
+			StopOnStalledLoop: true,
 		}},
 		// Lacks only the stop of heartbeats.
 		{"sends heartbeats while its loop hangs", "the loop hangs", membership.Rules{
--- a/internal/membership/rules_test.go
+++ b/internal/membership/rules_test.go
@@ -2,12 +2,12 @@
 
 // Rules are the guards of a detector, for tests that switch single ones off.
 type Rules struct {
-	MinObservers     int
-	RequireMajority  bool
-	DetectIsolation  bool
-	FreezeRemovals   bool
-	MeasureRunTime   bool
-	StopWithDeadLoop bool
+	MinObservers      int
+	RequireMajority   bool
+	DetectIsolation   bool
+	FreezeRemovals    bool
+	MeasureRunTime    bool
+	StopOnStalledLoop bool
 }
 
 // SetRules has a detector go by other rules, to show that the invariants then break.
@@ -18,6 +18,6 @@
 		selfDoubt:        r.DetectIsolation,
 		freeze:           r.FreezeRemovals,
 		measureRunTime:   r.MeasureRunTime,
-		stopWithDeadLoop: r.StopWithDeadLoop,
+		stopWithDeadLoop: r.StopOnStalledLoop,
 	}
 }
