--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -142,7 +142,7 @@
 
 	last.SetPresence(Leaving)
 	eventually(t, "the one that left is out", haveSameView(nodes[:2], 2))
-	last.SetPresence(Staying)
+	last.SetPresence(Participating)
 	eventually(t, "and back", haveSameView(nodes, 3))
 	if status, takesPart := first.FleetStatus(); !takesPart || status.MayBePartitioned {
 		t.Errorf("%+v", status)
--- a/internal/membership/gossip/presence.go
+++ b/internal/membership/gossip/presence.go
@@ -5,9 +5,9 @@
 
 // The presences of a process.
 const (
-	Staying  Presence = iota // it takes part
-	Leaving                  // it shuts down, or is on standby
-	Yielding                 // it shuts down, and its name goes to the process that takes its place
+	Participating Presence = iota // it takes part
+	Leaving                       // it shuts down, or is on standby
+	Yielding                      // it shuts down, and its name goes to the process that takes its place
 )
 
 // SetPresence states a presence to the others, from the next tick on.
@@ -17,7 +17,7 @@
 func (n *Node) statePresence() {
 	detector := n.state.detector
 	switch Presence(n.presence.Load()) {
-	case Staying:
+	case Participating:
 		detector.Rejoin()
 	case Leaving:
 		detector.Leave(false)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -65,7 +65,7 @@
 	case phase == Standby:
 		member.SetPresence(gossip.Leaving)
 	case before == Standby:
-		member.SetPresence(gossip.Staying)
+		member.SetPresence(gossip.Participating)
 	}
 }
 
