--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -12,7 +12,7 @@
 	Process          string                 `json:"process"`
 	Incarnation      membership.Incarnation `json:"life"` // 0 before it has taken its name
 	View             uint64                 `json:"view"` // number of changes of who is a member, here
-	Mark             string                 `json:"mark"` // the view's fingerprint
+	Fingerprint      string                 `json:"mark"` // the view's fingerprint
 	MayBePartitioned bool                   `json:"cut_off"`
 	Members          int                    `json:"members"`
 	Suspected        int                    `json:"suspected"`
@@ -51,7 +51,7 @@
 		Process:          hexID(n.process),
 		Incarnation:      view.Incarnation,
 		View:             view.Number,
-		Mark:             fmt.Sprintf("%016x", view.Fingerprint),
+		Fingerprint:      fmt.Sprintf("%016x", view.Fingerprint),
 		MayBePartitioned: view.MayBePartitioned,
 		Members:          len(view.Nodes),
 		In:               counters.in.Load(),
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -109,7 +109,7 @@
 				continue
 			}
 			s, _ := n.Post.FleetStatus()
-			st := status{Name: at.Name, Members: s.Members, Mark: s.Mark, CutOff: s.MayBePartitioned}
+			st := status{Name: at.Name, Members: s.Members, Mark: s.Fingerprint, CutOff: s.MayBePartitioned}
 			if o.Do == doRead {
 				st.Flows, st.Dropped = s.Flows, s.Dropped
 			}
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -147,7 +147,7 @@
 	return status{
 		Name:    n.Place.Name,
 		Members: s.Members,
-		Mark:    s.Mark,
+		Mark:    s.Fingerprint,
 		CutOff:  s.MayBePartitioned,
 		Flows:   s.Flows,
 		Dropped: s.Dropped,
