--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -16,7 +16,7 @@
 	MayBePartitioned bool                   `json:"cut_off"`
 	Members          int                    `json:"members"`
 	Suspected        int                    `json:"suspected"`
-	In               uint64                 `json:"datagrams_in"`
+	DatagramsIn      uint64                 `json:"datagrams_in"`
 	InBytes          uint64                 `json:"bytes_in"`
 	Out              uint64                 `json:"datagrams_out"`
 	OutBytes         uint64                 `json:"bytes_out"`
@@ -54,7 +54,7 @@
 		Fingerprint:      fmt.Sprintf("%016x", view.Fingerprint),
 		MayBePartitioned: view.MayBePartitioned,
 		Members:          len(view.Nodes),
-		In:               counters.in.Load(),
+		DatagramsIn:      counters.in.Load(),
 		InBytes:          counters.inBytes.Load(),
 		Out:              counters.out.Load(),
 		OutBytes:         counters.outBytes.Load(),
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -31,7 +31,7 @@
 	streams := status.Flows[flowStreams]
 	return inBytes == status.InBytes &&
 		outBytes == status.OutBytes &&
-		heartbeats.In+library.In == status.In &&
+		heartbeats.In+library.In == status.DatagramsIn &&
 		heartbeats.Out+library.Out == status.Out &&
 		heartbeats.OutBytes > 2*heartbeats.Out*prefaceBytes &&
 		streams.In == status.Streams &&
