--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -17,7 +17,7 @@
 	Members          int                    `json:"members"`
 	Suspected        int                    `json:"suspected"`
 	DatagramsIn      uint64                 `json:"datagrams_in"`
-	InBytes          uint64                 `json:"bytes_in"`
+	BytesIn          uint64                 `json:"bytes_in"`
 	Out              uint64                 `json:"datagrams_out"`
 	OutBytes         uint64                 `json:"bytes_out"`
 	Streams          uint64                 `json:"streams_in"`
@@ -55,7 +55,7 @@
 		MayBePartitioned: view.MayBePartitioned,
 		Members:          len(view.Nodes),
 		DatagramsIn:      counters.in.Load(),
-		InBytes:          counters.inBytes.Load(),
+		BytesIn:          counters.inBytes.Load(),
 		Out:              counters.out.Load(),
 		OutBytes:         counters.outBytes.Load(),
 		Streams:          counters.streams.Load(),
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -29,7 +29,7 @@
 	heartbeats := status.Flows[flowHeartbeats]
 	library := status.Flows[flowLibrary]
 	streams := status.Flows[flowStreams]
-	return inBytes == status.InBytes &&
+	return inBytes == status.BytesIn &&
 		outBytes == status.OutBytes &&
 		heartbeats.In+library.In == status.DatagramsIn &&
 		heartbeats.Out+library.Out == status.Out &&
