--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -18,7 +18,7 @@
 	Suspected        int                    `json:"suspected"`
 	DatagramsIn      uint64                 `json:"datagrams_in"`
 	BytesIn          uint64                 `json:"bytes_in"`
-	Out              uint64                 `json:"datagrams_out"`
+	DatagramsOut     uint64                 `json:"datagrams_out"`
 	OutBytes         uint64                 `json:"bytes_out"`
 	Streams          uint64                 `json:"streams_in"`
 	Foreign          uint64                 `json:"foreign"` // messages of no node of this fleet
@@ -56,7 +56,7 @@
 		Members:          len(view.Nodes),
 		DatagramsIn:      counters.in.Load(),
 		BytesIn:          counters.inBytes.Load(),
-		Out:              counters.out.Load(),
+		DatagramsOut:     counters.out.Load(),
 		OutBytes:         counters.outBytes.Load(),
 		Streams:          counters.streams.Load(),
 		Foreign:          counters.foreign.Load(),
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -32,7 +32,7 @@
 	return inBytes == status.BytesIn &&
 		outBytes == status.OutBytes &&
 		heartbeats.In+library.In == status.DatagramsIn &&
-		heartbeats.Out+library.Out == status.Out &&
+		heartbeats.Out+library.Out == status.DatagramsOut &&
 		heartbeats.OutBytes > 2*heartbeats.Out*prefaceBytes &&
 		streams.In == status.Streams &&
 		streams.In+streams.Out > 0 &&
