--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -19,7 +19,7 @@
 	DatagramsIn      uint64                 `json:"datagrams_in"`
 	BytesIn          uint64                 `json:"bytes_in"`
 	DatagramsOut     uint64                 `json:"datagrams_out"`
-	OutBytes         uint64                 `json:"bytes_out"`
+	BytesOut         uint64                 `json:"bytes_out"`
 	Streams          uint64                 `json:"streams_in"`
 	Foreign          uint64                 `json:"foreign"` // messages of no node of this fleet
 	Unread           uint64                 `json:"unread"`  // messages of this fleet that could not be read
@@ -57,7 +57,7 @@
 		DatagramsIn:      counters.in.Load(),
 		BytesIn:          counters.inBytes.Load(),
 		DatagramsOut:     counters.out.Load(),
-		OutBytes:         counters.outBytes.Load(),
+		BytesOut:         counters.outBytes.Load(),
 		Streams:          counters.streams.Load(),
 		Foreign:          counters.foreign.Load(),
 		Unread:           n.unreadable.Load(),
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -30,7 +30,7 @@
 	library := status.Flows[flowLibrary]
 	streams := status.Flows[flowStreams]
 	return inBytes == status.BytesIn &&
-		outBytes == status.OutBytes &&
+		outBytes == status.BytesOut &&
 		heartbeats.In+library.In == status.DatagramsIn &&
 		heartbeats.Out+library.Out == status.DatagramsOut &&
 		heartbeats.OutBytes > 2*heartbeats.Out*prefaceBytes &&
