--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -69,7 +69,7 @@
 	fmt.Fprintf(&text, "%s (process %s, life %d): view %d, mark %s, %d members, %d suspected, cut off: %t\n",
 		s.Node, s.Process, s.Incarnation, s.View, s.Fingerprint, s.Members, s.Suspected, s.MayBePartitioned)
 	fmt.Fprintf(&text, "%d datagrams in (%d bytes), %d out (%d bytes), %d streams in; ",
-		s.DatagramsIn, s.BytesIn, s.DatagramsOut, s.BytesOut, s.Streams)
+		s.DatagramsIn, s.BytesIn, s.DatagramsOut, s.BytesOut, s.StreamsIn)
 	fmt.Fprintf(&text, "foreign %d, unread %d, dropped %d\n", s.Foreign, s.Unread, s.Dropped)
 	if c := s.Changes; c != nil {
 		fmt.Fprintf(&text, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, ",
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -20,7 +20,7 @@
 	BytesIn          uint64                 `json:"bytes_in"`
 	DatagramsOut     uint64                 `json:"datagrams_out"`
 	BytesOut         uint64                 `json:"bytes_out"`
-	Streams          uint64                 `json:"streams_in"`
+	StreamsIn        uint64                 `json:"streams_in"`
 	Foreign          uint64                 `json:"foreign"` // messages of no node of this fleet
 	Unread           uint64                 `json:"unread"`  // messages of this fleet that could not be read
 	Dropped          uint64                 `json:"dropped"` // messages dropped for want of room
@@ -58,7 +58,7 @@
 		BytesIn:          counters.inBytes.Load(),
 		DatagramsOut:     counters.out.Load(),
 		BytesOut:         counters.outBytes.Load(),
-		Streams:          counters.streams.Load(),
+		StreamsIn:        counters.streams.Load(),
 		Foreign:          counters.foreign.Load(),
 		Unread:           n.unreadable.Load(),
 		Dropped:          counters.dropped.Load(),
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -34,7 +34,7 @@
 		heartbeats.In+library.In == status.DatagramsIn &&
 		heartbeats.Out+library.Out == status.DatagramsOut &&
 		heartbeats.OutBytes > 2*heartbeats.Out*prefaceBytes &&
-		streams.In == status.Streams &&
+		streams.In == status.StreamsIn &&
 		streams.In+streams.Out > 0 &&
 		streams.InBytes > 0 &&
 		streams.OutBytes > 0
