--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -70,7 +70,7 @@
 		s.Node, s.Process, s.Incarnation, s.View, s.Fingerprint, s.Members, s.Suspected, s.MayBePartitioned)
 	fmt.Fprintf(&text, "%d datagrams in (%d bytes), %d out (%d bytes), %d streams in; ",
 		s.DatagramsIn, s.BytesIn, s.DatagramsOut, s.BytesOut, s.StreamsIn)
-	fmt.Fprintf(&text, "foreign %d, unread %d, dropped %d\n", s.Foreign, s.Unread, s.Dropped)
+	fmt.Fprintf(&text, "foreign %d, unread %d, dropped %d\n", s.Foreign, s.Unreadable, s.Dropped)
 	if c := s.Changes; c != nil {
 		fmt.Fprintf(&text, "changes: applied up to %d of %d, configuration %d, refused %d %s, %d purges, ",
 			c.Applied, c.LastKnown, c.Config, c.Refused, c.Reason, c.Purges)
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -137,7 +137,7 @@
 	}
 	eventually(t, "all foreign and unreadable messages are counted", func() bool {
 		status, _ := first.FleetStatus()
-		return status.Foreign >= 9 && status.Unread >= 3
+		return status.Foreign >= 9 && status.Unreadable >= 3
 	})
 
 	last.SetPresence(Leaving)
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -22,7 +22,7 @@
 	BytesOut         uint64                 `json:"bytes_out"`
 	StreamsIn        uint64                 `json:"streams_in"`
 	Foreign          uint64                 `json:"foreign"` // messages of no node of this fleet
-	Unread           uint64                 `json:"unread"`  // messages of this fleet that could not be read
+	Unreadable       uint64                 `json:"unread"`  // messages of this fleet that could not be read
 	Dropped          uint64                 `json:"dropped"` // messages dropped for want of room
 	Flows            []TrafficStats         `json:"flows"`
 }
@@ -60,7 +60,7 @@
 		BytesOut:         counters.outBytes.Load(),
 		StreamsIn:        counters.streams.Load(),
 		Foreign:          counters.foreign.Load(),
-		Unread:           n.unreadable.Load(),
+		Unreadable:       n.unreadable.Load(),
 		Dropped:          counters.dropped.Load(),
 		Flows:            n.Traffic(),
 	}
