--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -35,7 +35,7 @@
 	Addr        string                 `json:"addr"`
 	Status      string                 `json:"standing"`
 	Since       float64                `json:"since_s"` // in time that the answering process has run
-	Hears       int                    `json:"heard_by"`
+	HeardBy     int                    `json:"heard_by"`
 	Misses      int                    `json:"missed_by"`
 }
 
@@ -83,7 +83,7 @@
 			Addr:        m.Addr,
 			Status:      m.Status.String(),
 			Since:       m.Since.Seconds(),
-			Hears:       m.HeardBy,
+			HeardBy:     m.HeardBy,
 			Misses:      m.MissedBy,
 		})
 	}
