--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -91,7 +91,7 @@
 	fmt.Fprintln(table, "node\tlife\tstanding\theard by\tmissed by\taddress\tprocess")
 	for _, m := range members {
 		fmt.Fprintf(table, "%s\t%d\t%s\t%d\t%d\t%s\t%s\n",
-			m.Node, m.Incarnation, m.Status, m.HeardBy, m.Misses, m.Addr, m.Process)
+			m.Node, m.Incarnation, m.Status, m.HeardBy, m.MissedBy, m.Addr, m.Process)
 	}
 	return table.Flush()
 }
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -36,7 +36,7 @@
 	Status      string                 `json:"standing"`
 	Since       float64                `json:"since_s"` // in time that the answering process has run
 	HeardBy     int                    `json:"heard_by"`
-	Misses      int                    `json:"missed_by"`
+	MissedBy    int                    `json:"missed_by"`
 }
 
 // hexID is a process as operators and the library see it.
@@ -84,7 +84,7 @@
 			Status:      m.Status.String(),
 			Since:       m.Since.Seconds(),
 			HeardBy:     m.HeardBy,
-			Misses:      m.MissedBy,
+			MissedBy:    m.MissedBy,
 		})
 	}
 	return all
