--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -67,7 +67,7 @@
 		apart:    -1,
 	}
 	for i := range v.Lines {
-		if l := &v.Lines[i]; l.What == kind && l.At <= end {
+		if l := &v.Lines[i]; l.Kind == kind && l.At <= end {
 			c.line(l)
 		}
 	}
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -26,7 +26,7 @@
 // change a view.
 func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Fleet {
 	f := &Fleet{Views: v, Library: v.Judge(trace.Library, pause, end)}
-	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.What == trace.View }) {
+	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.Kind == trace.View }) {
 		f.View = v.Judge(trace.View, pause, end)
 	}
 	return f
@@ -122,7 +122,7 @@
 	first := map[string]trace.Line{}
 	last := map[string]trace.Line{}
 	for _, l := range v.Lines {
-		if l.What != trace.Traffic {
+		if l.Kind != trace.Traffic {
 			continue
 		}
 		if _, seen := first[l.Process]; !seen {
@@ -154,7 +154,7 @@
 		if l.At > at {
 			break
 		}
-		if l.Node == node && l.What == what {
+		if l.Node == node && l.Kind == what {
 			last = l
 		}
 	}
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -101,7 +101,7 @@
 func (n *Node) traceTraffic() {
 	counters := &n.transport.counters
 	n.writeTrace(trace.Line{
-		What: trace.Traffic,
+		Kind: trace.Traffic,
 		Out:  counters.outBytes.Load(),
 		In:   counters.inBytes.Load(),
 	})
--- a/internal/membership/gossip/view.go
+++ b/internal/membership/gossip/view.go
@@ -19,7 +19,7 @@
 		return
 	}
 	line := trace.Line{
-		What:             trace.View,
+		Kind:             trace.View,
 		Number:           view.Number,
 		Mark:             fmt.Sprintf("%016x", view.Fingerprint),
 		MayBePartitioned: view.MayBePartitioned,
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -327,7 +327,7 @@
 	p.tracedAsPartitioned = view.MayBePartitioned
 	line := trace.Line{
 		Node:             p.node.name,
-		What:             trace.View,
+		Kind:             trace.View,
 		Process:          fmt.Sprint(view.Self),
 		Number:           view.Number,
 		MayBePartitioned: view.MayBePartitioned,
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -17,7 +17,7 @@
 	At               monotime.Instant `json:"at"`
 	Node             string           `json:"node"`
 	Process          string           `json:"process"`
-	What             string           `json:"what"`
+	Kind             string           `json:"what"`
 	Members          []string         `json:"members"`           // names of those that are members to the process now
 	Seen             string           `json:"seen,omitempty"`    // Library: the node whose process came or went
 	Here             bool             `json:"here,omitempty"`    // Library: it came
