--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -19,7 +19,7 @@
 	Process          string           `json:"process"`
 	Kind             string           `json:"what"`
 	Members          []string         `json:"members"`           // names of those that are members to the process now
-	Seen             string           `json:"seen,omitempty"`    // Library: the node whose process came or went
+	ChangedNode      string           `json:"seen,omitempty"`    // Library: the node whose process came or went
 	Here             bool             `json:"here,omitempty"`    // Library: it came
 	Number           uint64           `json:"number,omitempty"`  // View: its number
 	Mark             string           `json:"mark,omitempty"`    // View: its fingerprint
