--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -91,7 +91,7 @@
 		members = append(members, name)
 	}
 	n.state.libraryMembers = members
-	line := trace.Line{Kind: trace.Library, ChangedNode: nodeOf(name), Here: joined}
+	line := trace.Line{Kind: trace.Library, ChangedNode: nodeOf(name), Joined: joined}
 	for _, member := range members {
 		line.Members = append(line.Members, nodeOf(member))
 	}
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -20,7 +20,7 @@
 	Kind             string           `json:"what"`
 	Members          []string         `json:"members"`           // names of those that are members to the process now
 	ChangedNode      string           `json:"seen,omitempty"`    // Library: the node whose process came or went
-	Here             bool             `json:"here,omitempty"`    // Library: it came
+	Joined           bool             `json:"here,omitempty"`    // Library: it came
 	Number           uint64           `json:"number,omitempty"`  // View: its number
 	Mark             string           `json:"mark,omitempty"`    // View: its fingerprint
 	MayBePartitioned bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
