--- a/internal/membership/gossip/view.go
+++ b/internal/membership/gossip/view.go
@@ -21,7 +21,7 @@
 	line := trace.Line{
 		Kind:             trace.View,
 		Number:           view.Number,
-		Mark:             fmt.Sprintf("%016x", view.Fingerprint),
+		Fingerprint:      fmt.Sprintf("%016x", view.Fingerprint),
 		MayBePartitioned: view.MayBePartitioned,
 	}
 	for _, node := range view.Nodes {
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -22,7 +22,7 @@
 	ChangedNode      string           `json:"seen,omitempty"`    // Library: the node whose process came or went
 	Joined           bool             `json:"here,omitempty"`    // Library: it came
 	Number           uint64           `json:"number,omitempty"`  // View: its number
-	Mark             string           `json:"mark,omitempty"`    // View: its fingerprint
+	Fingerprint      string           `json:"mark,omitempty"`    // View: its fingerprint
 	MayBePartitioned bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
 	Out              uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
 	In               uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
