--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -133,7 +133,7 @@
 	var rates []float64
 	for process, l := range last {
 		if seconds := l.At.Since(first[process].At).Seconds(); seconds > 0 {
-			rates = append(rates, float64(l.Out-first[process].Out)/seconds)
+			rates = append(rates, float64(l.BytesOut-first[process].BytesOut)/seconds)
 		}
 	}
 	slices.Sort(rates)
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -101,8 +101,8 @@
 func (n *Node) traceTraffic() {
 	counters := &n.transport.counters
 	n.writeTrace(trace.Line{
-		Kind: trace.Traffic,
-		Out:  counters.outBytes.Load(),
-		In:   counters.inBytes.Load(),
+		Kind:     trace.Traffic,
+		BytesOut: counters.outBytes.Load(),
+		In:       counters.inBytes.Load(),
 	})
 }
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -24,7 +24,7 @@
 	Number           uint64           `json:"number,omitempty"`  // View: its number
 	Fingerprint      string           `json:"mark,omitempty"`    // View: its fingerprint
 	MayBePartitioned bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
-	Out              uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
+	BytesOut         uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
 	In               uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
 	Lost             uint64           `json:"lost,omitempty"`    // lines that were dropped until now
 }
