--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -103,6 +103,6 @@
 	n.writeTrace(trace.Line{
 		Kind:     trace.Traffic,
 		BytesOut: counters.outBytes.Load(),
-		In:       counters.inBytes.Load(),
+		BytesIn:  counters.inBytes.Load(),
 	})
 }
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -25,6 +25,6 @@
 	Fingerprint      string           `json:"mark,omitempty"`    // View: its fingerprint
 	MayBePartitioned bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
 	BytesOut         uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
-	In               uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
+	BytesIn          uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
 	Lost             uint64           `json:"lost,omitempty"`    // lines that were dropped until now
 }
