--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -81,7 +81,7 @@
 	}
 	lost := uint64(f.Views.Dropped)
 	for _, l := range f.Views.Lines {
-		lost = max(lost, l.Lost)
+		lost = max(lost, l.Dropped)
 	}
 	r.expect(lost == 0, fmt.Sprint(lost), "no line of a trace is lost")
 	if f.View == nil {
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -63,7 +63,7 @@
 }
 
 func (t *tracer) handOver(line trace.Line) {
-	line.Lost = t.lost.Load()
+	line.Dropped = t.lost.Load()
 	if text, err := json.Marshal(line); err == nil {
 		t.write(append(text, '\n'))
 	}
--- a/internal/membership/trace/trace.go
+++ b/internal/membership/trace/trace.go
@@ -26,5 +26,5 @@
 	MayBePartitioned bool             `json:"cut_off,omitempty"` // View: the process takes itself for cut off
 	BytesOut         uint64           `json:"out,omitempty"`     // Traffic: bytes sent to other nodes in datagrams
 	BytesIn          uint64           `json:"in,omitempty"`      // Traffic: bytes received in datagrams
-	Lost             uint64           `json:"lost,omitempty"`    // lines that were dropped until now
+	Dropped          uint64           `json:"lost,omitempty"`    // lines that were dropped until now
 }
