--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -105,7 +105,7 @@
 	defer cancel()
 	url := "http://" + l.purger.Settings.Discovery + listPath
 	if !poll.Complete {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", poll.SinceVersion, max(1, poll.LongPoll.Milliseconds()))
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", poll.SinceVersion, max(1, poll.LongPollTime.Milliseconds()))
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -49,7 +49,7 @@
 type Poll struct {
 	Complete     bool          // the complete list; else the changes since a version
 	SinceVersion int           // the version that is held
-	LongPoll     time.Duration // for how long discovery may hold the answer while there are no changes
+	LongPollTime time.Duration // for how long discovery may hold the answer while there are no changes
 	Timeout      time.Duration // after which the poll has failed
 }
 
@@ -98,11 +98,11 @@
 	case p.needsComplete():
 		return Poll{Complete: true, Timeout: timeout}
 	case p.lost:
-		return Poll{SinceVersion: p.version, LongPoll: immediately, Timeout: timeout}
+		return Poll{SinceVersion: p.version, LongPollTime: immediately, Timeout: timeout}
 	case p.failures > 0:
-		return Poll{SinceVersion: p.version, LongPoll: promptTimeout - longPollSlack, Timeout: promptTimeout}
+		return Poll{SinceVersion: p.version, LongPollTime: promptTimeout - longPollSlack, Timeout: promptTimeout}
 	}
-	return Poll{SinceVersion: p.version, LongPoll: longPollTime, Timeout: longPollTime + longPollSlack}
+	return Poll{SinceVersion: p.version, LongPollTime: longPollTime, Timeout: longPollTime + longPollSlack}
 }
 
 // Accepts tells whether an answer may be used. Changes up to an older version than the one held are of the past: with
--- a/internal/discovery/simfleet_test.go
+++ b/internal/discovery/simfleet_test.go
@@ -211,7 +211,7 @@
 	}
 	n.isHeld = !n.poll.Complete && n.poll.SinceVersion == f.version()
 	if n.isHeld {
-		f.schedule(n.poll.LongPoll, n.ifCurrent(func() { f.answer(n) }))
+		f.schedule(n.poll.LongPollTime, n.ifCurrent(func() { f.answer(n) }))
 		return
 	}
 	f.answer(n)
--- a/internal/emulator/simulation/polling.go
+++ b/internal/emulator/simulation/polling.go
@@ -57,7 +57,7 @@
 
 // servePoll answers a poll whose turn at the registry has come, or has it wait for a change.
 func (sim *Simulation) servePoll(p endpointPoll, request discovery.Poll) {
-	p.expiresAt = sim.now.Add(request.LongPoll)
+	p.expiresAt = sim.now.Add(request.LongPollTime)
 	switch {
 	case !sim.discoveryUp: // it went down meanwhile
 	case request.Complete:
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -61,7 +61,7 @@
 	watch := &p.endpoints.watch
 	path := []byte(endpointListPath)
 	if !watch.poll.Complete {
-		holdBack := max(time.Millisecond, watch.poll.LongPoll-p.now().Since(watch.pollStartedAt))
+		holdBack := max(time.Millisecond, watch.poll.LongPollTime-p.now().Since(watch.pollStartedAt))
 		holdBackMs := int64((holdBack + time.Millisecond - 1) / time.Millisecond)
 		path = append(path, "?since="...)
 		path = strconv.AppendInt(path, int64(watch.poll.SinceVersion), 10)
--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -157,7 +157,7 @@
 		path, call := []byte(listPath), c.calls.NextPoll()
 		if !call.Complete {
 			path = strconv.AppendInt(append(path, "?since="...), int64(call.SinceVersion), 10)
-			path = strconv.AppendInt(append(path, "&timeout_ms="...), int64(call.LongPoll/time.Millisecond), 10)
+			path = strconv.AppendInt(append(path, "&timeout_ms="...), int64(call.LongPollTime/time.Millisecond), 10)
 		}
 		_ = conn.SetDeadline(time.Now().Add(call.Timeout))
 		if _, err := conn.Write(http1.AppendRequest(nil, "GET", path, c.addr, nil, nil)); err != nil {
