--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -20,7 +20,7 @@
 	Purges         uint64              `json:"purges"`             // applied
 	Unknown        uint64              `json:"unknown,omitempty"`  // entries of kinds that this version does not know
 	Gaps           uint64              `json:"gaps"`               // times that entries did not follow what was applied
-	Moves          uint64              `json:"moves"`              // streams opened
+	StreamsOpened  uint64              `json:"moves"`              // streams opened
 	Server         string              `json:"via"`                // the control server's address; empty between two
 	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a server that has a leader was heard
 	Stale          bool                `json:"stale"`              // SinceLeaderS is over Config.StaleAfter
@@ -42,7 +42,7 @@
 		Purges:         progress.Purges,
 		Unknown:        progress.Unknown,
 		Gaps:           progress.Gaps,
-		Moves:          f.moves.Load(),
+		StreamsOpened:  f.moves.Load(),
 		Server:         *f.server.Load(),
 		SinceLeaderS:   silence.Seconds(),
 		Stale:          silence > f.StaleAfter,
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -199,7 +199,7 @@
 		now := f.Status()
 		s.In = append(s.In, now.BytesIn)
 		s.Out = append(s.Out, now.BytesOut)
-		s.Moves += now.Moves
+		s.Moves += now.StreamsOpened
 		s.Gaps += now.Gaps
 		s.Least = min(s.Least, uint64(now.Applied))
 		if now.Stale {
