--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -115,7 +115,7 @@
 
 // printCaches prints the caches that lack purges, where control servers carry them out.
 func printCaches(table io.Writer, o controlclient.Overview) {
-	if o.Unlisted {
+	if o.NoCacheList {
 		fmt.Fprintln(table, "\npurges are to be carried out at caches, and there is no list of them")
 	}
 	if len(o.Caches) == 0 {
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -186,7 +186,7 @@
 	if strings.Contains(text, "well") || strings.Contains(text, "old word") {
 		t.Error(text)
 	}
-	o.Unlisted = true
+	o.NoCacheList = true
 	if text := shownChanges(t, o); !strings.Contains(text, "there is no list of them") {
 		t.Error(text)
 	}
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -8,18 +8,18 @@
 
 // Overview is which node, control server and cache has applied what.
 type Overview struct {
-	Last      replicatedlog.Index `json:"last"` // the newest entry that any control server has
-	HasLeader bool                `json:"led"`  // a server that answered has a leader
-	Nodes     []NodeStatus        `json:"nodes"`
-	Servers   []ServerStatus      `json:"machines"`
-	Caches    []CacheStatus       `json:"caches,omitempty"`
-	Unlisted  bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
+	Last        replicatedlog.Index `json:"last"` // the newest entry that any control server has
+	HasLeader   bool                `json:"led"`  // a server that answered has a leader
+	Nodes       []NodeStatus        `json:"nodes"`
+	Servers     []ServerStatus      `json:"machines"`
+	Caches      []CacheStatus       `json:"caches,omitempty"`
+	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
 }
 
 // CaughtUp says whether every node has applied all entries and is not silent, and every purge is done at every cache.
 func (o Overview) CaughtUp() bool {
 	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
-	return !o.Unlisted && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
+	return !o.NoCacheList && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
 }
 
 // NodesCaughtUp says whether every node has applied all entries and is not silent.
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -26,7 +26,7 @@
 	}
 	responsive, unlisted := responsiveServers(table.Servers)
 	overview.Caches = cacheStatuses(table, responsive)
-	overview.Unlisted = unlisted
+	overview.NoCacheList = unlisted
 	return overview
 }
 
