--- a/internal/control/controlserver/delivery_test.go
+++ b/internal/control/controlserver/delivery_test.go
@@ -43,8 +43,8 @@
 	}
 	server.loop.publishes <- newPublishCall(newPurges(9, 1))
 	time.Sleep(700 * time.Millisecond)
-	if server.Last() != 1 || server.Leads() {
-		t.Errorf("alone it has %d, leads: %t", server.Last(), server.Leads())
+	if server.Last() != 1 || server.IsLeader() {
+		t.Errorf("alone it has %d, leads: %t", server.Last(), server.IsLeader())
 	}
 
 	c.reconnect(isolated)
--- a/internal/control/controlserver/harness_test.go
+++ b/internal/control/controlserver/harness_test.go
@@ -221,7 +221,7 @@
 	c.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for i, server := range c.servers {
-			if server != nil && server.Leads() && !c.isCut(peerAddr(i)) {
+			if server != nil && server.IsLeader() && !c.isCut(peerAddr(i)) {
 				return i
 			}
 		}
--- a/internal/control/controlserver/server_test.go
+++ b/internal/control/controlserver/server_test.go
@@ -21,8 +21,8 @@
 // PeersAddr is the address at which other control servers are accepted.
 func (s *Server) PeersAddr() string { return s.peerListener.Addr().String() }
 
-// Leads says whether the server is the leader, as far as it knows.
-func (s *Server) Leads() bool { return s.loop.leadership.Load().isLeader }
+// IsLeader says whether the server is the leader, as far as it knows.
+func (s *Server) IsLeader() bool { return s.loop.leadership.Load().isLeader }
 
 // Changes are published one by one, each once more at another server, as by a client that got no answer. Then the
 // leader ends, a node is cut off, a thousand purges are published, the leader comes back with its disk and the node
