--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -109,14 +109,14 @@
 	var machines []*exec.Cmd
 	for i := range f.peers {
 		machine, log := f.start(t, i, "--new")
-		expect(t, log, "control machine listening")
+		expect(t, log, "control server listening")
 		machines = append(machines, machine)
 	}
 	f.publish(t, "1\n2\n", "a", "b")
 	kill(machines[0])
 	f.publish(t, "3\n", "c")
 	_, log := f.start(t, 0)
-	expect(t, log, "control machine listening")
+	expect(t, log, "control server listening")
 	o := f.waitForOverview(t)
 	if o.Last != 3 || len(o.Servers) != 4 || o.Servers[0].Last != 3 || !o.Servers[3].Learner {
 		t.Errorf("%+v", o)
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -58,7 +58,7 @@
 		"peers": s.peerListener.Addr().String(),
 		"nodes": s.clientListener.Addr().String(),
 		"last":  s.Last(),
-	}).Info("control machine listening")
+	}).Info("control server listening")
 	return s, nil
 }
 
