--- a/policy/admission.go
+++ b/policy/admission.go
@@ -36,17 +36,17 @@
 // counted, a few faulty caches would have most of the traffic shed.
 type admission struct {
 	settings    *Settings
-	chance      *keyhash.Source
+	rng         *keyhash.Source
 	controllers [scopeCount]admissionController // homeZone, otherZones
 	// meanPreference is the mean shed preference of requests.
 	meanPreference float64
 }
 
-func newAdmission(settings *Settings, chance *keyhash.Source) admission {
+func newAdmission(settings *Settings, rng *keyhash.Source) admission {
 	open := admissionController{offered: admissionWindow, useful: admissionWindow}
 	return admission{
 		settings:       settings,
-		chance:         chance,
+		rng:            rng,
 		controllers:    [scopeCount]admissionController{open, open},
 		meanPreference: 1,
 	}
@@ -74,7 +74,7 @@
 		return false
 	}
 	admitted := math.Pow(1-excess/controller.offered, preference)
-	if a.chance.Float64() < admitted {
+	if a.rng.Float64() < admitted {
 		return false
 	}
 	controller.offered++
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -52,7 +52,7 @@
 			ArrivedAt: now,
 			Deadline:  now.Add(time.Second),
 		}
-		router.assess(now, waiter)
+		router.initState(now, waiter)
 		waiter.Attempts = []Attempt{{Endpoint: "cache-1", SentAt: now, Result: CacheMiss}}
 		router.sendToOrigin(now, waiter)
 	}
@@ -64,7 +64,7 @@
 		Finished:  true,
 		Attempts:  []Attempt{{Endpoint: "cache-1", SentAt: now, Result: Answered}},
 	}
-	router.assess(now, r)
+	router.initState(now, r)
 	return router, r
 }
 
--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -22,18 +22,18 @@
 
 // leads reports whether a request may go to the origin itself, since it has no other's fetch to wait for.
 func (c *coalescer) leads(r *Request) bool {
-	leader := c.leaders[r.facts.key]
+	leader := c.leaders[r.state.key]
 	return r.Write || leader == nil || leader == r || leader.Finished
 }
 
 // lead makes a read the leader of its key.
 func (c *coalescer) lead(r *Request) {
-	c.leaders[r.facts.key] = r
+	c.leaders[r.state.key] = r
 }
 
 // isLeader reports whether a request is the leader of its key.
 func (c *coalescer) isLeader(r *Request) bool {
-	return c.leaders[r.facts.key] == r
+	return c.leaders[r.state.key] == r
 }
 
 // waits reports whether a request waits.
@@ -50,14 +50,14 @@
 // don't: a write that followed them to a cache would take effect there, and again at the origin with a retry of the
 // client's.
 func (c *coalescer) complete(leader *Request, result Result) {
-	delete(c.leaders, leader.facts.key)
-	missedAt := slices.IndexFunc(leader.Attempts, missed)
+	delete(c.leaders, leader.state.key)
+	missedAt := slices.IndexFunc(leader.Attempts, isCacheMiss)
 	if result != Answered || missedAt < 0 {
 		return
 	}
 	for _, waiter := range c.waiters {
-		if waiter.facts.key == leader.facts.key && !waiter.Write {
-			waiter.facts.cachedAt = leader.Attempts[missedAt].Endpoint
+		if waiter.state.key == leader.state.key && !waiter.Write {
+			waiter.state.cachedAt = leader.Attempts[missedAt].Endpoint
 		}
 	}
 }
@@ -65,8 +65,8 @@
 // takeCachedAt returns the cache where another's fetch has put the value that a request waits for, and forgets it: if
 // that cache can't take the request, it goes to the origin as before.
 func (c *coalescer) takeCachedAt(r *Request) EndpointID {
-	cachedAt := r.facts.cachedAt
-	r.facts.cachedAt = ""
+	cachedAt := r.state.cachedAt
+	r.state.cachedAt = ""
 	return cachedAt
 }
 
@@ -75,22 +75,22 @@
 // only if a waiter can be woken by demand.
 func (c *coalescer) wake(free int, demand *popularity) []RequestID {
 	c.waiters = slices.DeleteFunc(c.waiters, func(waiter *Request) bool {
-		return waiter.Finished || slices.ContainsFunc(waiter.Attempts, inFlight)
+		return waiter.Finished || slices.ContainsFunc(waiter.Attempts, isInFlight)
 	})
 	if free > 0 {
 		slices.SortStableFunc(c.waiters, func(a, b *Request) int {
-			return cmp.Compare(demand.of(b.facts.key), demand.of(a.facts.key))
+			return cmp.Compare(demand.of(b.state.key), demand.of(a.state.key))
 		})
 	}
 	var woken []RequestID
 	highestUnserved := 0.0
 	for _, waiter := range c.waiters {
-		cached := waiter.facts.cachedAt != ""
+		cached := waiter.state.cachedAt != ""
 		leads := c.leads(waiter)
 		if cached || leads && free > 0 {
 			woken = append(woken, waiter.ID)
 		} else if leads {
-			highestUnserved = max(highestUnserved, demand.of(waiter.facts.key))
+			highestUnserved = max(highestUnserved, demand.of(waiter.state.key))
 		}
 		if leads && !cached {
 			free--
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -15,9 +15,9 @@
 func (router *Router) sendToOrigin(now Instant, r *Request) Decision {
 	origin := router.endpoints.origin
 	waits := router.coalescer.waits(r)
-	objectiveLeft := r.objectiveLeft(now)
+	objectiveLeft := r.timeToObjective(now)
 	if origin == nil || !router.mayAttempt(now, r, origin) || waits && objectiveLeft <= 0 {
-		return router.giveUp(r)
+		return router.rejectOrFail(r)
 	}
 	leads := router.coalescer.leads(r)
 	hasCapacity := router.origin.free(now, origin) > 0
@@ -32,8 +32,8 @@
 		return router.send(now, r, origin)
 	}
 	if !waits {
-		if router.chance.Float64()*router.coalescer.demandCutoff > router.popularity.of(r.facts.key) {
-			return router.giveUp(r)
+		if router.rng.Float64()*router.coalescer.demandCutoff > router.popularity.of(r.state.key) {
+			return router.rejectOrFail(r)
 		}
 		router.coalescer.wait(r)
 	}
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -49,13 +49,13 @@
 // counts as lost, or to review it later. Only reads that may be repeated get either. It cancels only where hedging is
 // off or the attempt is at the origin: elsewhere a lost attempt stays in flight, also when no hedge is possible.
 func (router *Router) hedgeOrCancel(now Instant, r *Request, attemptIndex int) Decision {
-	if r.Write || r.facts.class.Idempotency == NotIdempotent {
+	if r.Write || r.state.class.Idempotency == NotIdempotent {
 		return Decision{}
 	}
 	attempt := r.Attempts[attemptIndex]
 	u := router.endpoints.byID[attempt.Endpoint]
 	atOrigin := u != nil && u == router.endpoints.origin
-	lost := router.lost(now, r, attempt)
+	lost := router.isLost(now, r, attempt)
 	review := Decision{ReviewAt: now.Add(router.latency.slow)}
 	if router.settings.HedgingAllowed && !atOrigin {
 		if selected := router.hedgeEndpoint(now, r, attempt, lost); selected != nil {
@@ -91,22 +91,22 @@
 // shouldHedge decides whether a hedge is worth its cost: the attempt is lost, or the chance that it is late exceeds the
 // cost of a wasted one. It does so less often the shorter the origin is, as a hedge may miss.
 func (router *Router) shouldHedge(now Instant, r *Request, attempt Attempt, lost bool) bool {
-	if !router.extraAttempts.allowsHedge() || router.chance.Float64() < router.shortage.share {
+	if !router.extraAttempts.allowsHedge() || router.rng.Float64() < router.shortage.share {
 		return false
 	}
-	return lost || router.copyPaysOff(now.Since(attempt.SentAt), r.facts.class.LatencyObjective)
+	return lost || router.duplicatePaysOff(now.Since(attempt.SentAt), r.state.class.LatencyObjective)
 }
 
 // copyPaysOff reports whether the chance that an attempt which has been in flight for elapsed is late exceeds the cost
 // of a wasted copy of it.
-func (router *Router) copyPaysOff(elapsed, objective time.Duration) bool {
+func (router *Router) duplicatePaysOff(elapsed, objective time.Duration) bool {
 	return router.settings.WasteCost <= router.latency.lateProbability(elapsed, objective)
 }
 
 // lost reports whether an attempt in flight is taken to be lost: its endpoint has left the list or is unresponsive. At
 // the origin, where one slow request says nothing of others, it is by the time it takes; since another attempt
 // there follows, the hedge budget must allow it.
-func (router *Router) lost(now Instant, r *Request, attempt Attempt) bool {
+func (router *Router) isLost(now Instant, r *Request, attempt Attempt) bool {
 	u := router.endpoints.byID[attempt.Endpoint]
 	if u == nil {
 		return true
@@ -114,13 +114,13 @@
 	if u != router.endpoints.origin {
 		return router.outliers.unresponsive(now, u)
 	}
-	lostAfter := router.origin.lostAfter(r.facts.class.LatencyObjective)
+	lostAfter := router.origin.lostAfter(r.state.class.LatencyObjective)
 	return router.extraAttempts.allowsHedge() && now.Since(attempt.SentAt) > lostAfter
 }
 
 // cancelRemaining returns the attempts of a finished request that are still in flight.
 func (router *Router) cancelRemaining(r *Request) []int {
-	if !r.Finished || !router.settings.CancelAllowed || !slices.ContainsFunc(r.Attempts, inFlight) {
+	if !r.Finished || !router.settings.CancelAllowed || !slices.ContainsFunc(r.Attempts, isInFlight) {
 		return nil
 	}
 	var indices []int
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -234,7 +234,7 @@
 // replicasOf returns the replicas of a key for a read that arrives now.
 func replicasOf(router *Router, key string) (ids []EndpointID) {
 	r := &Request{Key: key, Deadline: 1e12}
-	router.assess(0, r)
+	router.initState(0, r)
 	for _, u := range router.replicas(0, r, homeZone) {
 		ids = append(ids, u.ID)
 	}
--- a/policy/mayattempt.go
+++ b/policy/mayattempt.go
@@ -20,7 +20,7 @@
 
 // mayRepeat reports whether an attempt at an endpoint may follow an earlier one.
 func (router *Router) mayRepeat(now Instant, r *Request, earlier Attempt, u *upstream) bool {
-	class := &r.facts.class
+	class := &r.state.class
 	if earlier.InFlight && (!router.settings.HedgingAllowed || class.Idempotency == NotIdempotent) {
 		return false
 	}
--- a/policy/mayattempt_test.go
+++ b/policy/mayattempt_test.go
@@ -13,37 +13,37 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		chance := rand.New(rand.NewSource(seed))
+		rng := rand.New(rand.NewSource(seed))
 		settings := testSettings()
-		settings.HedgingAllowed = chance.Intn(2) == 0
-		settings.MaxAttempts = 1 + chance.Intn(4)
+		settings.HedgingAllowed = rng.Intn(2) == 0
+		settings.MaxAttempts = 1 + rng.Intn(4)
 		settings.Classes[keyedClass].DedupWindow = 400 * ms
-		settings.Classes[keyedInGroupClass].DedupScope = DedupScope(chance.Intn(3))
+		settings.Classes[keyedInGroupClass].DedupScope = DedupScope(rng.Intn(3))
 		h := newHarness(t, settings, testFleet(6, false))
-		r := drawRequest(chance)
-		h.router.assess(0, r)
-		for range chance.Intn(4) {
-			r.Attempts = append(r.Attempts, drawAttempt(chance))
+		r := drawRequest(rng)
+		h.router.initState(0, r)
+		for range rng.Intn(4) {
+			r.Attempts = append(r.Attempts, drawAttempt(rng))
 		}
-		h.now = Instant(300+chance.Intn(400)) * Instant(ms)
+		h.now = Instant(300+rng.Intn(400)) * Instant(ms)
 		endpoint := h.listed["cache-1"]
-		endpoint.Lifecycle = Lifecycle(chance.Intn(2))
+		endpoint.Lifecycle = Lifecycle(rng.Intn(2))
 		h.update(DeltaUpdate, endpoint)
 		h.compareWithModel(r, endpoint)
 	})
 }
 
-func drawRequest(chance *rand.Rand) *Request {
-	class := ClassID(chance.Intn(6) - 1)
-	return &Request{Class: class, Deadline: Instant(800 * ms), Finished: chance.Intn(9) == 0}
+func drawRequest(rng *rand.Rand) *Request {
+	class := ClassID(rng.Intn(6) - 1)
+	return &Request{Class: class, Deadline: Instant(800 * ms), Finished: rng.Intn(9) == 0}
 }
 
-func drawAttempt(chance *rand.Rand) Attempt {
+func drawAttempt(rng *rand.Rand) Attempt {
 	return Attempt{
-		Endpoint: EndpointID(fmt.Sprintf("cache-%d", chance.Intn(6))),
-		SentAt:   Instant(chance.Intn(300)) * Instant(ms),
-		InFlight: chance.Intn(4) == 0,
-		Result:   Result(chance.Intn(9)),
+		Endpoint: EndpointID(fmt.Sprintf("cache-%d", rng.Intn(6))),
+		SentAt:   Instant(rng.Intn(300)) * Instant(ms),
+		InFlight: rng.Intn(4) == 0,
+		Result:   Result(rng.Intn(9)),
 	}
 }
 
@@ -61,7 +61,7 @@
 	if want && !got && stillWanted {
 		h.t.Errorf("at %v an attempt at %v is allowed: %+v", h.now, endpoint, r)
 	}
-	answer := h.router.giveUp(r).Answer
+	answer := h.router.rejectOrFail(r).Answer
 	if !modelAllowsAnswer(h.settings, r, answer) {
 		h.t.Errorf("answer %v is not allowed: %+v", answer, r)
 	}
@@ -95,7 +95,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
 			r := &Request{Class: keyedClass, Deadline: Instant(800 * ms)}
-			h.router.assess(0, r)
+			h.router.initState(0, r)
 			r.Attempts = []Attempt{
 				{Endpoint: "cache-1", Result: ConnectionBroken},
 				{Endpoint: "cache-2", SentAt: Instant(50 * ms), InFlight: true},
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -47,7 +47,7 @@
 // decrease); under 1 it becomes a distance in time. Rejections in a row lead to a backoff.
 type originLimit struct {
 	settings *Settings
-	chance   *keyhash.Source
+	rng      *keyhash.Source
 	latency  *latencyTracker // read for slow
 	limit    float64         // attempts that may be in flight; may be under 1
 	cutAt    Instant         // when the limit was last cut
@@ -65,17 +65,17 @@
 
 // newOriginLimit makes the limit of a node that starts now. It draws the start-up stagger, for which latency must have
 // been refreshed.
-func newOriginLimit(now Instant, settings *Settings, chance *keyhash.Source, latency *latencyTracker) originLimit {
+func newOriginLimit(now Instant, settings *Settings, rng *keyhash.Source, latency *latencyTracker) originLimit {
 	nodes := float64(settings.Nodes)
 	o := originLimit{
 		settings:   settings,
-		chance:     chance,
+		rng:        rng,
 		latency:    latency,
 		limit:      max(1, initialOriginLimit/nodes),
 		rejections: initialOriginRejections,
 		stagger:    max(0, nodes/initialOriginLimit-2),
 	}
-	o.backoffUntil = now.Add(time.Duration(chance.Float64() * o.stagger * float64(latency.slow) / startupSpread))
+	o.backoffUntil = now.Add(time.Duration(rng.Float64() * o.stagger * float64(latency.slow) / startupSpread))
 	return o
 }
 
@@ -144,7 +144,7 @@
 // all nodes may be rejected, and must not come back together.
 func (o *originLimit) backOff(now Instant) {
 	o.rejections++
-	jitter := 0.5 + o.chance.Float64()
+	jitter := 0.5 + o.rng.Float64()
 	slowAttempts := min(maxProcessesPerNode*o.stagger, math.Pow(originBackoffGrowth, o.rejections-1)-1)
 	backoff := jitter * slowAttempts
 	o.backoffUntil = now.Add(time.Duration(backoff * float64(o.latency.slow)))
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -14,20 +14,20 @@
 
 func newEndedAttempt(u *upstream, r *Request, outcome Outcome) endedAttempt {
 	attempt := r.Attempts[outcome.Attempt]
-	objective := r.facts.class.LatencyObjective
+	objective := r.state.class.LatencyObjective
 	responded := attempt.Result == Answered || attempt.Result == CacheMiss
 	return endedAttempt{
 		Attempt:   attempt,
 		latency:   outcome.Latency,
 		objective: objective,
 		inTime:    responded && outcome.Latency <= objective,
-		lateValue: r.facts.class.LateValue,
+		lateValue: r.state.class.LateValue,
 		inFlight:  u.load.inFlight,
 	}
 }
 
 // learn takes in the end of an attempt at an endpoint, part by part.
-func (router *Router) learn(now Instant, u *upstream, r *Request, outcome Outcome) {
+func (router *Router) recordOutcome(now Instant, u *upstream, r *Request, outcome Outcome) {
 	ended := newEndedAttempt(u, r, outcome)
 	atOrigin := u == router.endpoints.origin
 	if ended.Result == Answered && !atOrigin {
@@ -39,7 +39,7 @@
 	}
 	router.load.ended(now, u, ended.Result)
 	router.load.recordReport(now, u, atOrigin, ended.inFlight, outcome.LoadReport)
-	router.outliers.recordErrors(u, r.facts.classIndex, ended.Result)
+	router.outliers.recordErrors(u, r.state.classIndex, ended.Result)
 	router.outliers.recordResponse(now, u, ended)
 	if !ended.Result.dependsOnLoad() {
 		return
@@ -48,12 +48,12 @@
 		router.origin.record(now, ended)
 		return
 	}
-	router.learnUsefulness(u, ended)
+	router.recordUsefulness(u, ended)
 }
 
 // learnUsefulness counts an attempt at a cache, if its result depends on load, for admission and for the cache's wasted
 // share.
-func (router *Router) learnUsefulness(u *upstream, ended endedAttempt) {
+func (router *Router) recordUsefulness(u *upstream, ended endedAttempt) {
 	scope := router.endpoints.scopeOf(u)
 	weight := 1.0
 	useful := 0.0
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -52,17 +52,17 @@
 // connection), by errors of a class, and zone by zone where no connection can be opened.
 type outlierDetector struct {
 	settings *Settings
-	chance   *keyhash.Source
+	rng      *keyhash.Source
 	latency  *latencyTracker // read for patience
 	// zoneConnectFailures counts the failed connects to each zone since one of its endpoints last responded. A cut
 	// between zones shows at hundreds of endpoints that each are met seldom, so what one shows counts for all.
 	zoneConnectFailures map[ZoneID]int
 }
 
-func newOutlierDetector(settings *Settings, chance *keyhash.Source, latency *latencyTracker) outlierDetector {
+func newOutlierDetector(settings *Settings, rng *keyhash.Source, latency *latencyTracker) outlierDetector {
 	return outlierDetector{
 		settings:            settings,
-		chance:              chance,
+		rng:                 rng,
 		latency:             latency,
 		zoneConnectFailures: map[ZoneID]int{},
 	}
@@ -169,7 +169,7 @@
 // ejections alone, each endpoint of the zone would have to fail before it is avoided.
 func (d *outlierDetector) reachesZone(u *upstream) bool {
 	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToCut ||
-		d.chance.Float64()*cutZoneTrialEvery < 1
+		d.rng.Float64()*cutZoneTrialEvery < 1
 }
 
 // decay fades what was learned of caches, once a second.
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -19,7 +19,7 @@
 // pollSchedule says when to request the endpoint list, where it isn't sent unasked.
 type pollSchedule struct {
 	settings *Settings
-	chance   *keyhash.Source
+	rng      *keyhash.Source
 	failures int     // polls without an answer in a row, up to maxPollBackoffSteps
 	nextAt   Instant // when to poll next; noPollDue once the list has come
 }
@@ -28,7 +28,7 @@
 // has put in step from polling together when it ends.
 func (s *pollSchedule) failed(now Instant) {
 	s.failures = min(s.failures+1, maxPollBackoffSteps)
-	backoff := (0.5 + s.chance.Float64()) * float64(tickPeriod<<s.failures)
+	backoff := (0.5 + s.rng.Float64()) * float64(tickPeriod<<s.failures)
 	s.nextAt = now.Add(time.Duration(backoff))
 }
 
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -14,8 +14,8 @@
 	withinQuota := 0
 	for range 50 {
 		r := &Request{Tenant: 0, Deadline: h.now.Add(time.Second)}
-		h.router.assess(h.now, r)
-		if r.facts.priority == 1 {
+		h.router.initState(h.now, r)
+		if r.state.priority == 1 {
 			withinQuota++
 		}
 	}
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -17,11 +17,11 @@
 	count := replicaCount
 	if !r.Write {
 		caches := len(router.endpoints.caches)
-		count = router.popularity.replicas(r.facts.key, router.admission.meanPreference, caches)
+		count = router.popularity.replicas(r.state.key, router.admission.meanPreference, caches)
 	}
 	var replicas []*upstream
-	for _, segment := range rankSegments(r.facts.key) {
-		u := router.endpoints.lookup(now, scope, segment, r.facts.key)
+	for _, segment := range rankSegments(r.state.key) {
+		u := router.endpoints.lookup(now, scope, segment, r.state.key)
 		if u == nil || scope == otherZones && u.Zone == router.settings.Zone {
 			continue
 		}
@@ -39,10 +39,10 @@
 // reachability draw by chance, in this order.
 func (router *Router) canTake(now Instant, r *Request, u *upstream) bool {
 	return router.mayAttempt(now, r, u) &&
-		router.slowStart.admits(now, u, r.facts.key) &&
+		router.slowStart.admits(now, u, r.state.key) &&
 		router.outliers.reachesZone(u) &&
 		!router.outliers.unresponsive(now, u) &&
-		u.health.errorScores[r.facts.classIndex] < maxErrorScore
+		u.health.errorScores[r.state.classIndex] < maxErrorScore
 }
 
 // rankSegments returns the segments in the order in which they hold a key.
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,8 +8,8 @@
 )
 
 // requestFacts is what the first Route works out of a request. Only Router.assess and the coalescer write it.
-type requestFacts struct {
-	known          bool
+type requestState struct {
+	initialized    bool
 	class          ServiceClass
 	classIndex     int     // of the class, for errors by class; that of unknown classes is the last one
 	key            uint64  // hash of the key
@@ -20,12 +20,12 @@
 }
 
 // assess works out the facts of a request that is routed for the first time, and counts it.
-func (router *Router) assess(now Instant, r *Request) {
+func (router *Router) initState(now Instant, r *Request) {
 	class, classIndex := router.settings.classOf(r)
 	priority := class.PriorityWeight * router.quotas.priorityFactor(now, r.Tenant)
 	key := keyhash.String(r.Key)
-	r.facts = requestFacts{
-		known:          true,
+	r.state = requestState{
+		initialized:    true,
 		class:          class,
 		classIndex:     classIndex,
 		key:            key,
@@ -47,13 +47,13 @@
 }
 
 // objectiveLeft returns the time until the latency objective is missed; under 0 once it is.
-func (r *Request) objectiveLeft(now Instant) time.Duration {
-	return r.facts.class.LatencyObjective - now.Since(r.ArrivedAt)
+func (r *Request) timeToObjective(now Instant) time.Duration {
+	return r.state.class.LatencyObjective - now.Since(r.ArrivedAt)
 }
 
-func inFlight(attempt Attempt) bool { return attempt.InFlight }
+func isInFlight(attempt Attempt) bool { return attempt.InFlight }
 
-func missed(attempt Attempt) bool { return attempt.Result == CacheMiss }
+func isCacheMiss(attempt Attempt) bool { return attempt.Result == CacheMiss }
 
 // tried reports whether the request has an attempt at an endpoint.
 func (r *Request) tried(id EndpointID) bool {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -14,12 +14,12 @@
 // firstOrRetry decides on a request that has no attempt in flight: the first attempt, a retry, the origin, to wait, or
 // to give up.
 func (router *Router) firstOrRetry(now Instant, r *Request) Decision {
-	if !router.worthAnAttempt(now, r) {
-		return router.giveUp(r)
+	if !router.hasAttemptBudget(now, r) {
+		return router.rejectOrFail(r)
 	}
 	shortageLevel := router.origin.shortageLevel(router.shortage.share)
 	lastAtOrigin := router.lastAttemptAtOrigin(now, r, shortageLevel)
-	if router.settings.CacheAside && (r.Write || lastAtOrigin || slices.ContainsFunc(r.Attempts, missed)) {
+	if router.settings.CacheAside && (r.Write || lastAtOrigin || slices.ContainsFunc(r.Attempts, isCacheMiss)) {
 		return router.routeToOrigin(now, r)
 	}
 	return router.sendToReplica(now, r, shortageLevel)
@@ -27,7 +27,7 @@
 
 // worthAnAttempt reports whether a request still has an attempt, the time for it and, after one that may have run, a
 // retry in the budget.
-func (router *Router) worthAnAttempt(now Instant, r *Request) bool {
+func (router *Router) hasAttemptBudget(now Instant, r *Request) bool {
 	if len(r.Attempts) >= router.settings.MaxAttempts {
 		return false
 	}
@@ -46,19 +46,19 @@
 	if origin == nil || router.origin.free(now, origin) <= 0 {
 		return false
 	}
-	if router.chance.Float64() < lastAttemptCaution*shortageLevel {
+	if router.rng.Float64() < lastAttemptCaution*shortageLevel {
 		return false
 	}
 	lastResult, retry := r.lastResult()
 	return retry && lastResult == Rejected && len(r.Attempts) == router.settings.MaxAttempts-1 &&
-		r.facts.class.Idempotency == Idempotent
+		r.state.class.Idempotency == Idempotent
 }
 
 // giveUp answers a request without an attempt: with a rejection where a retry by the client is sure to do no harm, else
 // with a failure. Every rejection and failure of package policy is decided by a call of this function. A node also
 // rejects in degradation.Filter.Admit and proxy.acceptRequest.
-func (router *Router) giveUp(r *Request) Decision {
-	class := &r.facts.class
+func (router *Router) rejectOrFail(r *Request) Decision {
+	class := &r.state.class
 	repeatable := class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches
 	mayHaveRun := slices.ContainsFunc(r.Attempts, func(attempt Attempt) bool {
--- a/policy/router.go
+++ b/policy/router.go
@@ -19,7 +19,7 @@
 // and the notifiedState of each upstream. It is not safe for concurrent use.
 type Router struct {
 	settings      *Settings // shared by all parts; not written after New
-	chance        *keyhash.Source
+	rng           *keyhash.Source
 	endpoints     endpointList
 	pollSchedule  pollSchedule
 	latency       *latencyTracker
@@ -43,23 +43,23 @@
 	settings.MaxAttempts = max(1, settings.MaxAttempts)
 	settings.TickInterval = max(time.Millisecond, settings.TickInterval)
 	shared := &settings
-	chance := &keyhash.Source{Seed: uint32(seed ^ seed>>32)}
+	rng := &keyhash.Source{Seed: uint32(seed ^ seed>>32)}
 	latency := &latencyTracker{settings: shared}
 	latency.refresh()
 	return &Router{
 		settings:     shared,
-		chance:       chance,
+		rng:          rng,
 		endpoints:    endpointList{settings: shared, byID: map[EndpointID]*upstream{}},
-		pollSchedule: pollSchedule{settings: shared, chance: chance, nextAt: now},
+		pollSchedule: pollSchedule{settings: shared, rng: rng, nextAt: now},
 		latency:      latency,
 		load:         loadEstimator{settings: shared},
-		outliers:     newOutlierDetector(shared, chance, latency),
-		slowStart:    newSlowStart(shared, chance),
+		outliers:     newOutlierDetector(shared, rng, latency),
+		slowStart:    newSlowStart(shared, rng),
 		popularity:   popularity{demand: map[uint64]float64{}},
 		quotas:       tenantQuotas{settings: shared, usedTo: make([]Instant, len(settings.Tenants))},
-		admission:    newAdmission(shared, chance),
+		admission:    newAdmission(shared, rng),
 		shortage:     shortage{settings: shared},
-		origin:       newOriginLimit(now, shared, chance, latency),
+		origin:       newOriginLimit(now, shared, rng, latency),
 		coalescer:    coalescer{leaders: map[uint64]*Request{}},
 	}
 }
@@ -81,10 +81,10 @@
 	if r.Finished {
 		return Decision{}
 	}
-	if !r.facts.known {
-		router.assess(now, r)
+	if !r.state.initialized {
+		router.initState(now, r)
 	}
-	if attempt := slices.IndexFunc(r.Attempts, inFlight); attempt >= 0 {
+	if attempt := slices.IndexFunc(r.Attempts, isInFlight); attempt >= 0 {
 		return router.hedgeOrCancel(now, r, attempt)
 	}
 	return router.firstOrRetry(now, r)
@@ -104,7 +104,7 @@
 	attempt := r.Attempts[outcome.Attempt]
 	wasLeader := router.coalescer.isLeader(r)
 	if u := router.endpoints.byID[attempt.Endpoint]; u != nil {
-		router.learn(now, u, r, outcome)
+		router.recordOutcome(now, u, r, outcome)
 	}
 	// A broken connection says nothing of the next one, so its retry is free, as after a result without any effect.
 	chargesRetry := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
@@ -112,7 +112,7 @@
 		router.extraAttempts.spendRetry()
 	}
 	var decision Decision
-	if !r.Finished && !slices.ContainsFunc(r.Attempts, inFlight) {
+	if !r.Finished && !slices.ContainsFunc(r.Attempts, isInFlight) {
 		decision = router.firstOrRetry(now, r)
 	}
 	decision.Cancel = router.cancelRemaining(r)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -53,15 +53,15 @@
 // origin is short, earlier replicas may have some attempts more: by chance, since a fixed preference would decide
 // between all equal loads.
 func (router *Router) leastLoaded(now Instant, r *Request, replicas []*upstream) selection {
-	perRank := max(0, affinityAttempts*router.shortage.affinity()-router.chance.Float64())
+	perRank := max(0, affinityAttempts*router.shortage.affinity()-router.rng.Float64())
 	perRankTie := rankTie
 	if len(replicas) > replicaCount { // a hot key is meant to spread over all of them
 		perRank = 0
 		perRankTie = 0
 	}
-	objective := r.facts.class.LatencyObjective
-	timeLeft := max(r.objectiveLeft(now), objective/2)
-	earlySaturation := min(maxEarlySaturation, max(1, r.facts.shedPreference))
+	objective := r.state.class.LatencyObjective
+	timeLeft := max(r.timeToObjective(now), objective/2)
+	earlySaturation := min(maxEarlySaturation, max(1, r.state.shedPreference))
 	queueing := router.latency.queueing()
 	maxQueueing := float64(queueing.timeForQueue(timeLeft))
 
@@ -91,7 +91,7 @@
 // requests: by chance, rank, faults and open connections, in proportion to the endpoint's weight.
 func (router *Router) tie(now Instant, u *upstream, rank float64) float64 {
 	faults := wastedTie * (u.health.wastedShare + outlierTie*u.health.outlierScore)
-	cost := rank + faults - math.Log(1-router.chance.Float64())
+	cost := rank + faults - math.Log(1-router.rng.Float64())
 	if u.load.inFlight == 0 && now.Since(u.load.lastUsedAt) > router.settings.IdleTimeout-idleMargin {
 		cost += connectTie
 	}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -146,7 +146,7 @@
 	away := h.cache("cache-1")
 	away.Zone = "there"
 	r := &Request{Key: "k", Deadline: Instant(time.Second)}
-	h.router.assess(0, r)
+	h.router.initState(0, r)
 	for _, c := range []struct {
 		inFlight int // at home
 		want     *upstream
--- a/policy/send.go
+++ b/policy/send.go
@@ -10,22 +10,22 @@
 func (router *Router) sendToReplica(now Instant, r *Request, shortageLevel float64) Decision {
 	scope := homeZone
 	// While the origin is short, zones do without replicas of their own, since each of those fetches its keys.
-	if router.endpoints.zoneLocal && router.chance.Float64() < shortageLevel {
+	if router.endpoints.zoneLocal && router.rng.Float64() < shortageLevel {
 		scope = allZones
 	}
 	selected := router.selectEndpoint(now, r, scope)
-	shed := router.sheds(r, selected.endpoint)
+	shed := router.shouldShed(r, selected.endpoint)
 	if shed && router.endpoints.zoneLocal && router.endpoints.scopeOf(selected.endpoint) == homeZone {
 		// Guards against a request that home sheds and no other zone can take: it would go to the origin.
 		if elsewhere := router.selectEndpoint(now, r, otherZones); elsewhere.endpoint != nil {
 			selected = elsewhere
-			shed = router.sheds(r, elsewhere.endpoint)
+			shed = router.shouldShed(r, elsewhere.endpoint)
 		}
 	}
 	switch {
 	case shed:
-		return router.giveUp(r)
-	case selected.endpoint != nil && router.fansOut(r):
+		return router.rejectOrFail(r)
+	case selected.endpoint != nil && router.shouldFanOut(r):
 		replicas := selected.replicas
 		return router.send(now, r, replicas[:min(len(replicas), router.settings.MaxAttempts)]...)
 	case selected.endpoint != nil:
@@ -34,16 +34,16 @@
 		// Not by routeToOrigin: a cache that another's fetch has filled is one that could not take the request just now.
 		return router.sendToOrigin(now, r)
 	}
-	return router.giveUp(r)
+	return router.rejectOrFail(r)
 }
 
 // sheds reports whether a request is shed instead of its first attempt at an endpoint, which is nil if there is none.
-func (router *Router) sheds(r *Request, u *upstream) bool {
+func (router *Router) shouldShed(r *Request, u *upstream) bool {
 	if u == nil || len(r.Attempts) > 0 {
 		return false
 	}
 	scope := router.endpoints.scopeOf(u)
-	return router.admission.shouldShed(scope, router.endpoints.zoneLocal, r.facts.shedPreference)
+	return router.admission.shouldShed(scope, router.endpoints.zoneLocal, r.state.shedPreference)
 }
 
 // fansOut reports whether a request is a write that goes to all its replicas at once: in read-through mode, where every
@@ -51,18 +51,18 @@
 // three executions of each write where one is all but always in time. In cache-aside mode writes go to the origin. These
 // attempts need HedgingAllowed, as several are in flight at once, but they aren't hedges: they are not charged to the
 // extra-attempt budget when they start.
-func (router *Router) fansOut(r *Request) bool {
-	class := &r.facts.class
+func (router *Router) shouldFanOut(r *Request) bool {
+	class := &r.state.class
 	safe := class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches && router.settings.HedgingAllowed
 	return r.Write && safe && len(r.Attempts) == 0 && router.shortage.share < maxShortageToFanOut &&
-		router.copyPaysOff(0, class.LatencyObjective)
+		router.duplicatePaysOff(0, class.LatencyObjective)
 }
 
 // mayBypassCaches reports whether a request that no cache can take may go to the origin. While the list has no caches
 // at all it may not: an empty list would send all traffic there.
 func (router *Router) mayBypassCaches(r *Request) bool {
 	return len(router.endpoints.caches) > 0 && router.settings.CacheAside &&
-		r.facts.class.Idempotency == Idempotent
+		r.state.class.Idempotency == Idempotent
 }
 
 // send starts attempts of a request at endpoints.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -23,17 +23,17 @@
 // popular key or a storm of retries can't push it over.
 type slowStart struct {
 	settings *Settings
-	chance   *keyhash.Source
+	rng      *keyhash.Source
 	keyShare float64 // share of the keys for each unit of progress; may exceed 1
 	maxGap   float64 // longest gap between attempts, in nanoseconds
 	// steadyRate is how many attempts a warm cache of weight 1 answered over rateWindow.
 	steadyRate float64
 }
 
-func newSlowStart(settings *Settings, chance *keyhash.Source) slowStart {
+func newSlowStart(settings *Settings, rng *keyhash.Source) slowStart {
 	return slowStart{
 		settings: settings,
-		chance:   chance,
+		rng:      rng,
 		keyShare: max(1, overloadShare*settings.OverloadFactor),
 		maxGap:   float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/pacedNodes),
 	}
@@ -53,7 +53,7 @@
 		return true
 	}
 	if u.pacedUntil == 0 {
-		s.paceNext(now, u, s.chance.Float64())
+		s.paceNext(now, u, s.rng.Float64())
 	}
 	keyAdmitted := float64(keyhash.Mix(key^u.hash)) <= s.keyShare*progress*(1<<64)
 	return keyAdmitted && now >= u.pacedUntil
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -16,7 +16,7 @@
 	attempts := 0
 	for node := range 200 {
 		h := newHarness(t, testSettings(), testFleet(11, false))
-		h.router.chance.Seed = uint32(node)
+		h.router.rng.Seed = uint32(node)
 		h.drive(40, 50*ms, distinctKey, always(Answered))
 		h.update(DeltaUpdate, cold)
 		byEndpoint, _ := h.drive(200, 5*ms, distinctKey, func(i int, _ EndpointID) Result {
@@ -79,7 +79,7 @@
 	atOnce := 0
 	for node := range nodes {
 		h := newHarness(t, settings, []Endpoint{cold})
-		h.router.chance.Seed = uint32(node)
+		h.router.rng.Seed = uint32(node)
 		if h.router.slowStart.admits(cold.StartedAt.Add(10*ms), h.cache(cold.ID), 1) {
 			atOnce++
 		}
--- a/policy/types.go
+++ b/policy/types.go
@@ -168,7 +168,7 @@
 	Attempts  []Attempt
 	Finished  bool // the client has its final answer, or is gone
 
-	facts requestFacts // written by the Router on the first Route
+	state requestState // written by the Router on the first Route
 }
 
 // Outcome says how the attempt with an index ended, beside its Result.
