--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,11 +17,11 @@
 	// rejectionWeight is what a rejection counts for among the attempts offered: it is useless, but costs little.
 	rejectionWeight = 0.1
 	// trialShare is the share of the requests offered that is always admitted, to see a recovery.
-	trialShare = 0.03
+	minAdmittedShare = 0.03
 	// minPriority bounds the shed preference of requests that are worth next to nothing.
 	minPriority = 0.01
 	// preferenceWindow is the number of requests over which the mean shed preference is taken.
-	preferenceWindow = 50
+	shedPreferenceWindow = 50
 )
 
 // admissionController sets what is offered to a scope's caches against what of it is useful.
@@ -39,16 +39,16 @@
 	rng         *keyhash.Source
 	controllers [scopeCount]admissionController // homeZone, otherZones
 	// meanPreference is the mean shed preference of requests.
-	meanPreference float64
+	meanShedPreference float64
 }
 
 func newAdmission(settings *Settings, rng *keyhash.Source) admission {
 	open := admissionController{offered: admissionWindow, useful: admissionWindow}
 	return admission{
-		settings:       settings,
-		rng:            rng,
-		controllers:    [scopeCount]admissionController{open, open},
-		meanPreference: 1,
+		settings:           settings,
+		rng:                rng,
+		controllers:        [scopeCount]admissionController{open, open},
+		meanShedPreference: 1,
 	}
 }
 
@@ -56,8 +56,8 @@
 // relative to the mean, or a lot of requests of low priority would have all of them shed for good.
 func (a *admission) shedPreference(priority float64) float64 {
 	preference := 1 / math.Sqrt(max(priority, minPriority))
-	a.meanPreference += (preference - a.meanPreference) / preferenceWindow
-	return preference / a.meanPreference
+	a.meanShedPreference += (preference - a.meanShedPreference) / shedPreferenceWindow
+	return preference / a.meanShedPreference
 }
 
 // shouldShed decides by chance whether a request that would go to a scope's caches is rejected: the more the offered
@@ -67,9 +67,9 @@
 	tolerated := maxOfferedPerUseful
 	if zoneLocal && scope == homeZone {
 		// What home can't do is offered to other zones instead, at a price: so no surplus is tolerated here.
-		tolerated = 1 - trialShare
+		tolerated = 1 - minAdmittedShare
 	}
-	excess := (1-trialShare)*controller.offered - tolerated*controller.useful
+	excess := (1-minAdmittedShare)*controller.offered - tolerated*controller.useful
 	if excess <= 0 {
 		return false
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -31,7 +31,7 @@
 // shed for good. And all classes keep a chance, or the end of a collapse would go unnoticed.
 func TestSheddingAdmitsAsMuchAsTheCachesDo(t *testing.T) {
 	for _, useful := range []float64{36, 5} {
-		want := int(0.9 * 4000 * (maxOfferedPerUseful*useful/100 + trialShare))
+		want := int(0.9 * 4000 * (maxOfferedPerUseful*useful/100 + minAdmittedShare))
 		h := newReadThroughHarness(t)
 		h.router.settings.Classes[keyedClass].PriorityWeight = 0.05
 		admitted := [2]int{}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -14,7 +14,7 @@
 	load     observedLoad   // written by loadEstimator
 	health   observedHealth // written by outlierDetector
 	// pacedUntil is when the next attempt may start in slow start; 0 before the first. Written by slowStart.
-	pacedUntil Instant
+	nextAttemptAt Instant
 	// notifiedState is the state of which observers were last notified. Written by Router.EndpointStates.
 	notifiedState EndpointState
 }
@@ -50,15 +50,15 @@
 // update applies an update of the list. It rebuilds the placements only when the set of caches has changed, not for a
 // state or a restart, since that is most of what an update costs.
 func (l *endpointList) update(kind UpdateKind, entries []Endpoint) {
-	named := map[EndpointID]bool{}
+	listed := map[EndpointID]bool{}
 	setChanged := false
 	for _, entry := range entries {
-		named[entry.ID] = true
+		listed[entry.ID] = true
 		changed := l.put(entry)
 		setChanged = setChanged || changed
 	}
 	for id, u := range l.byID {
-		missing := kind != DeltaUpdate && !named[id]
+		missing := kind != DeltaUpdate && !listed[id]
 		if u.Lifecycle == Removed || missing {
 			delete(l.byID, id)
 			setChanged = true
@@ -81,7 +81,7 @@
 	isNew := u.ID == ""
 	if isNew || entry.StartedAt > u.StartedAt {
 		// A restarted process shares nothing with the one before it: what was learned of that must not count.
-		u.forget(keyhash.String(string(entry.ID)), len(l.settings.Classes))
+		u.reset(keyhash.String(string(entry.ID)), len(l.settings.Classes))
 	}
 	setChanged = isNew || u.Zone != entry.Zone || u.Kind != entry.Kind
 	u.Endpoint = entry
@@ -89,7 +89,7 @@
 }
 
 // forget resets all that was learned of an endpoint.
-func (u *upstream) forget(hash uint64, classes int) {
+func (u *upstream) reset(hash uint64, classes int) {
 	*u = upstream{
 		Endpoint: u.Endpoint,
 		hash:     hash,
--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -23,10 +23,10 @@
 
 // EndpointStates calls observe for each cache whose state has changed since observe was last called for it.
 func (router *Router) EndpointStates(now Instant, observe func(EndpointID, EndpointState)) {
-	queueing := router.latency.queueing() // once for all caches: this runs ten times a second over thousands
-	maxQueueing := float64(queueing.timeForQueue(router.settings.longestObjective()))
+	queueCost := router.latency.queueCost() // once for all caches: this runs ten times a second over thousands
+	maxQueueing := float64(queueCost.maxQueueingTime(router.settings.longestObjective()))
 	for _, u := range router.endpoints.caches {
-		state := router.endpointState(now, u, queueing, maxQueueing)
+		state := router.endpointState(now, u, queueCost, maxQueueing)
 		if u.notifiedState != state {
 			u.notifiedState = state
 			observe(u.ID, state)
@@ -34,7 +34,7 @@
 	}
 }
 
-func (router *Router) endpointState(now Instant, u *upstream, queueing queueing, maxQueueing float64) EndpointState {
+func (router *Router) endpointState(now Instant, u *upstream, queueCost queueCost, maxQueueing float64) EndpointState {
 	switch {
 	case u.Lifecycle != Ready:
 		return StateDraining
@@ -44,7 +44,7 @@
 		return StateUnresponsive
 	case slices.Max(u.health.errorScores) >= maxErrorScore:
 		return StateFailing
-	case router.load.estimate(now, u)*queueing.perAttempt > maxQueueing:
+	case router.load.estimate(now, u)*queueCost.perRequest > maxQueueing:
 		return StateOverloaded
 	case router.slowStart.progress(now, u) < 1:
 		return StateWarmingUp
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -16,9 +16,9 @@
 		{state: StateWarmingUp, name: "warming", cause: func(_ *harness, u *upstream) { u.StartedAt = now }},
 		{state: StateOverloaded, name: "crowded", cause: func(h *harness, u *upstream) {
 			u.load.inFlight = 5
-			u.health.waitingSince = now
+			u.health.awaitingSince = now
 			for range 40 {
-				h.router.latency.perQueued.Observe(200 * ms)
+				h.router.latency.perQueuedRequest.Observe(200 * ms)
 			}
 		}},
 		{state: StateFailing, name: "erring", cause: func(_ *harness, u *upstream) {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -56,7 +56,7 @@
 	u := router.endpoints.byID[attempt.Endpoint]
 	atOrigin := u != nil && u == router.endpoints.origin
 	lost := router.isLost(now, r, attempt)
-	review := Decision{ReviewAt: now.Add(router.latency.slow)}
+	review := Decision{ReviewAt: now.Add(router.latency.slowThreshold)}
 	if router.settings.HedgingAllowed && !atOrigin {
 		if selected := router.hedgeEndpoint(now, r, attempt, lost); selected != nil {
 			router.extraAttempts.spendHedge()
@@ -85,7 +85,7 @@
 // shouldCancel decides whether an attempt is cancelled so that a retry can follow: if it counts as lost and there is
 // time for another one.
 func (router *Router) shouldCancel(now Instant, r *Request, lost bool) bool {
-	return router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slow
+	return router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slowThreshold
 }
 
 // shouldHedge decides whether a hedge is worth its cost: the attempt is lost, or the chance that it is late exceeds the
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -13,9 +13,9 @@
 	all      histogram.Histogram // latency of attempts that were answered
 	unqueued histogram.Histogram // the same, of those with less than one request before them
 	// perQueued is the latency beyond an unqueued attempt's, for each request that was there before.
-	perQueued histogram.Histogram
-	slow      time.Duration // the 95th percentile: when an attempt is reviewed
-	patience  time.Duration // twice the 99th percentile: an attempt without a response for longer is a failure
+	perQueuedRequest histogram.Histogram
+	slowThreshold    time.Duration // the 95th percentile: when an attempt is reviewed
+	responseTimeout  time.Duration // twice the 99th percentile: an attempt without a response for longer is a failure
 }
 
 // observe records an attempt at a cache that was answered. before is the load estimate without the attempt.
@@ -26,22 +26,22 @@
 		return
 	}
 	queued := float64(latency - t.unqueued.Quantile(0.5, 0))
-	t.perQueued.Observe(time.Duration(queued / before))
+	t.perQueuedRequest.Observe(time.Duration(queued / before))
 }
 
 // decay lets older observations count for less.
 func (t *latencyTracker) decay() {
 	t.all.Decay()
 	t.unqueued.Decay()
-	t.perQueued.Decay()
+	t.perQueuedRequest.Decay()
 }
 
 // refresh derives slow and patience. Before anything is observed they follow the strictest latency objective; they are
 // never so short that the caller's timers couldn't distinguish them.
 func (t *latencyTracker) refresh() {
 	objective := t.settings.shortestObjective()
-	t.slow = max(t.all.Quantile(0.95, objective/2), 2*t.settings.TickInterval)
-	t.patience = max(2*t.all.Quantile(0.99, objective), 4*t.settings.TickInterval)
+	t.slowThreshold = max(t.all.Quantile(0.95, objective/2), 2*t.settings.TickInterval)
+	t.responseTimeout = max(2*t.all.Quantile(0.99, objective), 4*t.settings.TickInterval)
 }
 
 // lateProbability returns the chance that an attempt that has been in flight for elapsed misses its objective.
@@ -50,22 +50,22 @@
 }
 
 // queueing says what a queue costs, at the median.
-type queueing struct {
-	perAttempt float64       // nanoseconds for each request in front
-	ownWork    time.Duration // of an attempt with none in front
+type queueCost struct {
+	perRequest  float64       // nanoseconds for each request in front
+	serviceTime time.Duration // of an attempt with none in front
 }
 
-func (t *latencyTracker) queueing() queueing {
-	return queueing{
-		perAttempt: float64(t.perQueued.Quantile(0.5, 0)),
-		ownWork:    t.unqueued.Quantile(0.5, 0),
+func (t *latencyTracker) queueCost() queueCost {
+	return queueCost{
+		perRequest:  float64(t.perQueuedRequest.Quantile(0.5, 0)),
+		serviceTime: t.unqueued.Quantile(0.5, 0),
 	}
 }
 
 // timeForQueue returns how much of the time left may go by in a queue: all but the attempt's own work, yet a quarter
 // at least. Without that quarter, idle caches whose own work takes most of the objective looked full.
-func (q queueing) timeForQueue(left time.Duration) time.Duration {
-	return max(left-q.ownWork, left/4)
+func (q queueCost) maxQueueingTime(left time.Duration) time.Duration {
+	return max(left-q.serviceTime, left/4)
 }
 
 // longestObjective returns the longest latency objective of all classes.
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -30,11 +30,11 @@
 	estimator := loadEstimator{settings: &settings}
 	crowded := &upstream{}
 	estimator.recordReport(1, crowded, false, 1, []float64{61})
-	if crowded.load.foreign != 60 {
-		t.Errorf("a report of 61 with 1 attempt of this router counts as %v of others", crowded.load.foreign)
+	if crowded.load.externalLoad != 60 {
+		t.Errorf("a report of 61 with 1 attempt of this router counts as %v of others", crowded.load.externalLoad)
 	}
-	if estimator.meanForeign > 1/reportWindow {
-		t.Errorf("one report of 61 raised the mean from 0 to %v", estimator.meanForeign)
+	if estimator.meanExternalLoad > 1/reportWindow {
+		t.Errorf("one report of 61 raised the mean from 0 to %v", estimator.meanExternalLoad)
 	}
 }
 
@@ -46,9 +46,9 @@
 	estimator := loadEstimator{settings: &settings}
 	reporting := &upstream{}
 	estimator.recordReport(1, reporting, false, 1, []float64{61})
-	once := estimator.meanForeign
+	once := estimator.meanExternalLoad
 	estimator.recordReport(1, reporting, false, 1, nil)
-	if estimator.meanForeign != once {
-		t.Errorf("an attempt without a report moved the mean from %v to %v", once, estimator.meanForeign)
+	if estimator.meanExternalLoad != once {
+		t.Errorf("an attempt without a report moved the mean from %v to %v", once, estimator.meanExternalLoad)
 	}
 }
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -75,7 +75,7 @@
 		rejections: initialOriginRejections,
 		stagger:    max(0, nodes/initialOriginLimit-2),
 	}
-	o.backoffUntil = now.Add(time.Duration(rng.Float64() * o.stagger * float64(latency.slow) / startupSpread))
+	o.backoffUntil = now.Add(time.Duration(rng.Float64() * o.stagger * float64(latency.slowThreshold) / startupSpread))
 	return o
 }
 
@@ -133,7 +133,7 @@
 
 // cut lowers the limit, at most once in the time of a slow attempt: what is late together has one cause.
 func (o *originLimit) cut(now Instant) {
-	if now.Since(o.cutAt) <= o.latency.slow {
+	if now.Since(o.cutAt) <= o.latency.slowThreshold {
 		return
 	}
 	o.limit = max(minOriginLimit/float64(o.settings.Nodes), o.limit*originLimitCut)
@@ -147,7 +147,7 @@
 	jitter := 0.5 + o.rng.Float64()
 	slowAttempts := min(maxProcessesPerNode*o.stagger, math.Pow(originBackoffGrowth, o.rejections-1)-1)
 	backoff := jitter * slowAttempts
-	o.backoffUntil = now.Add(time.Duration(backoff * float64(o.latency.slow)))
+	o.backoffUntil = now.Add(time.Duration(backoff * float64(o.latency.slowThreshold)))
 }
 
 // shortageLevel returns how short the origin is, 0 for not at all and 1 or more for fully: by the requests that found
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -37,7 +37,7 @@
 	if ended.Result == CacheMiss && !atOrigin {
 		router.shortage.recordMiss()
 	}
-	router.load.ended(now, u, ended.Result)
+	router.load.recordEnd(now, u, ended.Result)
 	router.load.recordReport(now, u, atOrigin, ended.inFlight, outcome.LoadReport)
 	router.outliers.recordErrors(u, r.state.classIndex, ended.Result)
 	router.outliers.recordResponse(now, u, ended)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -29,14 +29,14 @@
 	// endpoints too seldom for more.
 	wastedWindow = 4.0
 	// zoneFailuresToCut is the number of failed connects in a row to a zone after which it counts as cut off.
-	zoneFailuresToCut = 3
+	zoneFailuresToUnreachable = 3
 	// cutZoneTrialEvery makes one in so many attempts go to a zone that is cut off, to see whether it is back.
-	cutZoneTrialEvery = 10.0
+	unreachableZoneProbeInterval = 10.0
 )
 
 // observedHealth is what is known of the health of one endpoint.
 type observedHealth struct {
-	waitingSince    Instant // start of the first attempt in flight, or the last response if that was later
+	awaitingSince   Instant // start of the first attempt in flight, or the last response if that was later
 	respondedAt     Instant // when it last responded
 	failures        int     // attempts and health checks in a row without a response
 	connectFailures int     // failed connects since it last responded
@@ -83,7 +83,7 @@
 	if u.health.failures >= failuresToEject && (hasInFlight || d.settings.HealthChecksAllowed) {
 		return true
 	}
-	return hasInFlight && now.Since(u.health.waitingSince) > d.latency.patience
+	return hasInFlight && now.Since(u.health.awaitingSince) > d.latency.responseTimeout
 }
 
 // recordFailure counts an attempt or health check without a response, and ejects the endpoint after the second. Each
@@ -98,7 +98,7 @@
 		return
 	}
 	doublings := min(u.health.failures-failuresToEject, maxEjectionDoublings)
-	ejection := max(tickPeriod, d.latency.patience) << doublings
+	ejection := max(tickPeriod, d.latency.responseTimeout) << doublings
 	u.health.ejectedUntil = now.Add(min(maxEjection, ejection))
 }
 
@@ -115,9 +115,9 @@
 }
 
 // started records the start of an attempt; called before it counts as in flight.
-func (d *outlierDetector) started(now Instant, u *upstream) {
+func (d *outlierDetector) recordStart(now Instant, u *upstream) {
 	if u.load.inFlight == 0 {
-		u.health.waitingSince = now
+		u.health.awaitingSince = now
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	switch ended.Result {
 	case Answered, CacheMiss, Errored, Rejected:
-		u.health.waitingSince = now
+		u.health.awaitingSince = now
 		u.health.respondedAt = now
 		u.health.failures = 0
 		u.health.connectFailures = 0
@@ -153,7 +153,7 @@
 		d.zoneConnectFailures[u.Zone] = 0
 	case TimedOut, ConnectFailed, Cancelled:
 		respondedMeanwhile := u.health.respondedAt >= ended.SentAt
-		outlastedPatience := now.Since(ended.SentAt) > d.latency.patience
+		outlastedPatience := now.Since(ended.SentAt) > d.latency.responseTimeout
 		if !respondedMeanwhile && (ended.Result == ConnectFailed || outlastedPatience) {
 			d.recordFailure(now, u, ended.Result)
 		}
@@ -167,9 +167,9 @@
 
 // reachesZone reports whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. By
 // ejections alone, each endpoint of the zone would have to fail before it is avoided.
-func (d *outlierDetector) reachesZone(u *upstream) bool {
-	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToCut ||
-		d.rng.Float64()*cutZoneTrialEvery < 1
+func (d *outlierDetector) allowsZone(u *upstream) bool {
+	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToUnreachable ||
+		d.rng.Float64()*unreachableZoneProbeInterval < 1
 }
 
 // decay fades what was learned of caches, once a second.
@@ -193,7 +193,7 @@
 	for _, u := range caches {
 		if u.health.failures >= failuresToEject && now >= u.health.ejectedUntil {
 			actions = append(actions, Action{Kind: CheckHealth, Endpoint: u.ID})
-			u.health.ejectedUntil = now.Add(d.latency.patience)
+			u.health.ejectedUntil = now.Add(d.latency.responseTimeout)
 		}
 	}
 	return actions
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -17,7 +17,7 @@
 	count := replicaCount
 	if !r.Write {
 		caches := len(router.endpoints.caches)
-		count = router.popularity.replicas(r.state.key, router.admission.meanPreference, caches)
+		count = router.popularity.replicas(r.state.key, router.admission.meanShedPreference, caches)
 	}
 	var replicas []*upstream
 	for _, segment := range rankSegments(r.state.key) {
@@ -40,7 +40,7 @@
 func (router *Router) canTake(now Instant, r *Request, u *upstream) bool {
 	return router.mayAttempt(now, r, u) &&
 		router.slowStart.admits(now, u, r.state.key) &&
-		router.outliers.reachesZone(u) &&
+		router.outliers.allowsZone(u) &&
 		!router.outliers.unresponsive(now, u) &&
 		u.health.errorScores[r.state.classIndex] < maxErrorScore
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -31,7 +31,7 @@
 	if len(r.Attempts) >= router.settings.MaxAttempts {
 		return false
 	}
-	if router.timeLeft(now, r) <= router.latency.slow/attemptTimeDivisor {
+	if router.timeLeft(now, r) <= router.latency.slowThreshold/attemptTimeDivisor {
 		return false
 	}
 	lastResult, retry := r.lastResult()
--- a/policy/router.go
+++ b/policy/router.go
@@ -158,6 +158,6 @@
 	router.load.decay(now, router.endpoints.caches)
 	router.outliers.decay(router.endpoints.caches)
 	router.latency.decay()
-	router.popularity.decay(router.admission.meanPreference)
+	router.popularity.decay(router.admission.meanShedPreference)
 	router.coalescer.forgetFinished()
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -13,16 +13,16 @@
 	// queue may move.
 	crossZoneAttempts = 48
 	// tieBreak scales what decides between equal loads, in attempts: far below a real difference.
-	tieBreak = 1e-3
+	tieBreakScale = 1e-3
 	// rankTie is what each rank weighs between equal loads, where chance weighs 1 on the mean. For this and the next
 	// three see docs/design.md, "Load and ties".
-	rankTie = 0.5
+	rankTieCost = 0.5
 	// wastedTie is what a wasted share of 1 weighs there: more than all ranks.
-	wastedTie = 8.0
+	wastedTieCost = 8.0
 	// outlierTie is what an outlier score of 1 weighs, times wastedTie.
-	outlierTie = 2
+	outlierTieFactor = 2
 	// connectTie is what a new connection weighs there: less than half of the attempts wasted.
-	connectTie = 2.0
+	connectTieCost = 2.0
 	// idleMargin is the time before the idle timeout from which a connection counts as closed.
 	idleMargin = time.Second
 	// maxEarlySaturation is how many times sooner a queue counts as full for requests that are readily shed.
@@ -54,7 +54,7 @@
 // between all equal loads.
 func (router *Router) leastLoaded(now Instant, r *Request, replicas []*upstream) selection {
 	perRank := max(0, affinityAttempts*router.shortage.affinity()-router.rng.Float64())
-	perRankTie := rankTie
+	perRankTie := rankTieCost
 	if len(replicas) > replicaCount { // a hot key is meant to spread over all of them
 		perRank = 0
 		perRankTie = 0
@@ -62,21 +62,21 @@
 	objective := r.state.class.LatencyObjective
 	timeLeft := max(r.timeToObjective(now), objective/2)
 	earlySaturation := min(maxEarlySaturation, max(1, r.state.shedPreference))
-	queueing := router.latency.queueing()
-	maxQueueing := float64(queueing.timeForQueue(timeLeft))
+	queueCost := router.latency.queueCost()
+	maxQueueing := float64(queueCost.maxQueueingTime(timeLeft))
 
 	selected := selection{replicas: replicas}
 	leastCost := math.Inf(1)
 	for rank, u := range replicas {
 		load := router.load.estimate(now, u)
 		// The tie draws by chance for each replica, also for those that are passed over below.
-		cost := load + perRank*float64(rank) + router.tie(now, u, perRankTie*float64(rank))
+		cost := load + perRank*float64(rank) + router.tieBreakCost(now, u, perRankTie*float64(rank))
 		if u.Zone != router.settings.Zone {
 			cost += crossZoneAttempts * router.settings.CrossZoneCost
 		}
 		switch {
 		case r.tried(u.ID):
-		case load*queueing.perAttempt*earlySaturation > maxQueueing:
+		case load*queueCost.perRequest*earlySaturation > maxQueueing:
 			selected.saturated = true
 		case cost < leastCost:
 			selected.endpoint = u
@@ -89,11 +89,11 @@
 
 // tie returns a small cost that decides between equal loads, as most loads are 0 at a node that sees few of a fleet's
 // requests: by chance, rank, faults and open connections, in proportion to the endpoint's weight.
-func (router *Router) tie(now Instant, u *upstream, rank float64) float64 {
-	faults := wastedTie * (u.health.wastedShare + outlierTie*u.health.outlierScore)
+func (router *Router) tieBreakCost(now Instant, u *upstream, rank float64) float64 {
+	faults := wastedTieCost * (u.health.wastedShare + outlierTieFactor*u.health.outlierScore)
 	cost := rank + faults - math.Log(1-router.rng.Float64())
 	if u.load.inFlight == 0 && now.Since(u.load.lastUsedAt) > router.settings.IdleTimeout-idleMargin {
-		cost += connectTie
+		cost += connectTieCost
 	}
-	return tieBreak * cost / u.Weight
+	return tieBreakScale * cost / u.Weight
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -22,7 +22,7 @@
 		connected.health.wastedShare = c.wastedShare
 		opened := 0
 		for range 1000 {
-			if h.router.tie(h.now, unconnected, 0) < h.router.tie(h.now, connected, 0) {
+			if h.router.tieBreakCost(h.now, unconnected, 0) < h.router.tieBreakCost(h.now, connected, 0) {
 				opened++
 			}
 		}
@@ -38,7 +38,7 @@
 	h := newReadThroughHarness(t)
 	for _, u := range h.router.endpoints.caches {
 		for range 40 {
-			h.router.latency.perQueued.Observe(200 * ms)
+			h.router.latency.perQueuedRequest.Observe(200 * ms)
 		}
 		u.load.inFlight = 3
 	}
@@ -73,7 +73,7 @@
 	if late := h.router.admission.controllers[homeZone].useful - usefulBefore; late != 0.5 {
 		t.Errorf("a late answer counts %v, want its late share of 0.5", late)
 	}
-	if foreign := h.cache(decision.SendTo[0]).load.foreign; foreign != 2 {
+	if foreign := h.cache(decision.SendTo[0]).load.externalLoad; foreign != 2 {
 		t.Errorf("a reported queue of 2 counts as %v", foreign)
 	}
 	h.loadReport[0] = 5
--- a/policy/send.go
+++ b/policy/send.go
@@ -69,12 +69,12 @@
 func (router *Router) send(now Instant, r *Request, endpoints ...*upstream) Decision {
 	decision := Decision{
 		AttemptDeadline: now.Add(router.timeLeft(now, r)),
-		ReviewAt:        now.Add(router.latency.slow),
+		ReviewAt:        now.Add(router.latency.slowThreshold),
 	}
 	for _, u := range endpoints {
-		router.outliers.started(now, u)
-		router.load.started(now, u)
-		router.slowStart.paceNext(now, u, 1)
+		router.outliers.recordStart(now, u)
+		router.load.recordStart(now, u)
+		router.slowStart.scheduleNext(now, u, 1)
 		decision.SendTo = append(decision.SendTo, u.ID)
 	}
 	return decision
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -64,7 +64,7 @@
 	nothing := func(*harness, *upstream) {}
 	full := func(h *harness, u *upstream) {
 		u.load.inFlight = 3
-		h.router.latency.perQueued.Observe(200 * ms)
+		h.router.latency.perQueuedRequest.Observe(200 * ms)
 	}
 	eject := func(_ *harness, u *upstream) { u.health.ejectedUntil = 1e12 }
 	remove := func(h *harness, u *upstream) {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,10 +8,10 @@
 
 const (
 	// overloadShare is the part of Settings.OverloadFactor that is used; chance needs the rest.
-	overloadShare = 0.67
+	usableOverloadShare = 0.67
 	// pacedNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. Beyond it
 	// the gap grows with the nodes: at the usual rate each would have to pause for longer than the slow start lasts.
-	pacedNodes = 160.0
+	gapScalingNodes = 160.0
 	// rateWindow is the time, in nanoseconds, that the answers counted in observedLoad.answered cover: halved
 	// every decay, they add up to two decay periods.
 	rateWindow = 2 * ticksPerDecay * float64(tickPeriod)
@@ -34,8 +34,8 @@
 	return slowStart{
 		settings: settings,
 		rng:      rng,
-		keyShare: max(1, overloadShare*settings.OverloadFactor),
-		maxGap:   float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/pacedNodes),
+		keyShare: max(1, usableOverloadShare*settings.OverloadFactor),
+		maxGap:   float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/gapScalingNodes),
 	}
 }
 
@@ -52,17 +52,17 @@
 	if progress >= 1 {
 		return true
 	}
-	if u.pacedUntil == 0 {
-		s.paceNext(now, u, s.rng.Float64())
+	if u.nextAttemptAt == 0 {
+		s.scheduleNext(now, u, s.rng.Float64())
 	}
 	keyAdmitted := float64(keyhash.Mix(key^u.hash)) <= s.keyShare*progress*(1<<64)
-	return keyAdmitted && now >= u.pacedUntil
+	return keyAdmitted && now >= u.nextAttemptAt
 }
 
 // paceNext sets when the next attempt may start: after a part of the gap, where 1 is the whole gap.
-func (s *slowStart) paceNext(now Instant, u *upstream, part float64) {
+func (s *slowStart) scheduleNext(now Instant, u *upstream, part float64) {
 	gap := rateWindow / (s.keyShare * s.progress(now, u) * s.steadyRate * u.Weight)
-	u.pacedUntil = now.Add(time.Duration(part * min(s.maxGap, gap)))
+	u.nextAttemptAt = now.Add(time.Duration(part * min(s.maxGap, gap)))
 }
 
 // refreshRate measures the steady rate over all caches.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -50,7 +50,7 @@
 	u := h.cache(cold.ID)
 	admitted := 0
 	for i := range uint64(1000) {
-		u.pacedUntil = -1
+		u.nextAttemptAt = -1
 		if h.router.slowStart.admits(cold.StartedAt, u, keyhash.Mix(i)) {
 			admitted++
 		}
