--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -21,13 +21,13 @@
 }
 
 // leads reports whether a request may go to the origin itself, since it has no other's fetch to wait for.
-func (c *coalescer) leads(r *Request) bool {
+func (c *coalescer) mayFetch(r *Request) bool {
 	leader := c.leaders[r.state.key]
 	return r.Write || leader == nil || leader == r || leader.Finished
 }
 
 // lead makes a read the leader of its key.
-func (c *coalescer) lead(r *Request) {
+func (c *coalescer) setLeader(r *Request) {
 	c.leaders[r.state.key] = r
 }
 
@@ -37,12 +37,12 @@
 }
 
 // waits reports whether a request waits.
-func (c *coalescer) waits(r *Request) bool {
+func (c *coalescer) isWaiting(r *Request) bool {
 	return slices.Contains(c.waiters, r)
 }
 
 // wait adds a request to the waiters.
-func (c *coalescer) wait(r *Request) {
+func (c *coalescer) addWaiter(r *Request) {
 	c.waiters = append(c.waiters, r)
 }
 
@@ -79,18 +79,18 @@
 	})
 	if free > 0 {
 		slices.SortStableFunc(c.waiters, func(a, b *Request) int {
-			return cmp.Compare(demand.of(b.state.key), demand.of(a.state.key))
+			return cmp.Compare(demand.demandFor(b.state.key), demand.demandFor(a.state.key))
 		})
 	}
 	var woken []RequestID
 	highestUnserved := 0.0
 	for _, waiter := range c.waiters {
 		cached := waiter.state.cachedAt != ""
-		leads := c.leads(waiter)
+		leads := c.mayFetch(waiter)
 		if cached || leads && free > 0 {
 			woken = append(woken, waiter.ID)
 		} else if leads {
-			highestUnserved = max(highestUnserved, demand.of(waiter.state.key))
+			highestUnserved = max(highestUnserved, demand.demandFor(waiter.state.key))
 		}
 		if leads && !cached {
 			free--
--- a/policy/coalescing_test.go
+++ b/policy/coalescing_test.go
@@ -48,7 +48,7 @@
 	waiters := router.coalescer.waiters
 	first := slices.IndexFunc(waiters, func(waiter *Request) bool { return waiter.ID == decision.Wake[0] })
 	last := waiters[len(waiters)-1]
-	if router.popularity.of(waiters[first].state.key) < router.popularity.of(last.state.key) {
+	if router.popularity.demandFor(waiters[first].state.key) < router.popularity.demandFor(last.state.key) {
 		t.Errorf("woken, though others are wanted more: %v", decision.Wake)
 	}
 }
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -14,28 +14,28 @@
 // sendToOrigin sends a request to the origin, has it wait for capacity or for another's fetch, or gives it up.
 func (router *Router) sendToOrigin(now Instant, r *Request) Decision {
 	origin := router.endpoints.origin
-	waits := router.coalescer.waits(r)
+	waits := router.coalescer.isWaiting(r)
 	objectiveLeft := r.timeToObjective(now)
 	if origin == nil || !router.mayAttempt(now, r, origin) || waits && objectiveLeft <= 0 {
 		return router.rejectOrFail(r)
 	}
-	leads := router.coalescer.leads(r)
-	hasCapacity := router.origin.free(now, origin) > 0
+	leads := router.coalescer.mayFetch(r)
+	hasCapacity := router.origin.available(now, origin) > 0
 	if leads && !r.Write {
-		router.coalescer.lead(r)
+		router.coalescer.setLeader(r)
 	}
 	if leads && !waits {
 		router.shortage.recordFetch(hasCapacity)
 	}
 	if leads && hasCapacity {
-		router.origin.started(now)
+		router.origin.recordStart(now)
 		return router.send(now, r, origin)
 	}
 	if !waits {
-		if router.rng.Float64()*router.coalescer.demandCutoff > router.popularity.of(r.state.key) {
+		if router.rng.Float64()*router.coalescer.demandCutoff > router.popularity.demandFor(r.state.key) {
 			return router.rejectOrFail(r)
 		}
-		router.coalescer.wait(r)
+		router.coalescer.addWaiter(r)
 	}
 	waitFor := max(objectiveLeft, 2*router.settings.TickInterval)
 	return Decision{ReviewAt: now.Add(min(waitFor, router.timeLeft(now, r)))}
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -17,7 +17,7 @@
 	// less.
 	originLimitGrowth = 0.1
 	// originLimitCut is the part of the limit that a late or lost answer leaves: one is chance, ten are a sign.
-	originLimitCut = 0.9
+	originLimitDecrease = 0.9
 	// lateShareWindow is the number of answers over which the late share is taken.
 	lateShareWindow = 10.0
 	// originLatencyWindow is the number of answers over which the latency is smoothed.
@@ -33,12 +33,12 @@
 	// must hold for all of them.
 	maxProcessesPerNode = 2.0
 	// startupSpread is the part of the stagger over which nodes spread their first attempt.
-	startupSpread = 3
+	staggerDivisor = 3
 	// latePressure is the multiple of the late share at which the origin counts as short: a quarter is full.
-	latePressure = 4.0
+	lateShareWeight = 4.0
 	// lostOriginAttempt is the multiple of the usual latency after which an attempt at the origin counts as lost,
 	// if half the latency objective is over too.
-	lostOriginAttempt = 3
+	lostLatencyFactor = 3
 )
 
 // originLimit bounds what this node asks of the origin. The failure it guards against: all nodes together, after many
@@ -46,15 +46,15 @@
 // concurrency limit grows with answers in time and is cut by late or lost ones (additive increase, multiplicative
 // decrease); under 1 it becomes a distance in time. Rejections in a row lead to a backoff.
 type originLimit struct {
-	settings *Settings
-	rng      *keyhash.Source
-	latency  *latencyTracker // read for slow
-	limit    float64         // attempts that may be in flight; may be under 1
-	cutAt    Instant         // when the limit was last cut
+	settings    *Settings
+	rng         *keyhash.Source
+	latency     *latencyTracker // read for slow
+	limit       float64         // attempts that may be in flight; may be under 1
+	decreasedAt Instant         // when the limit was last cut
 	// nextAt is when the next attempt may start while the limit is under 1.
-	nextAt    Instant
-	usual     time.Duration // smoothed latency of attempts
-	lateShare float64       // share of the last answers that came after half the latency objective or never
+	nextAt          Instant
+	smoothedLatency time.Duration // smoothed latency of attempts
+	lateShare       float64       // share of the last answers that came after half the latency objective or never
 	// rejections counts those in a row.
 	rejections   float64
 	backoffUntil Instant // no attempts before
@@ -75,12 +75,12 @@
 		rejections: initialOriginRejections,
 		stagger:    max(0, nodes/initialOriginLimit-2),
 	}
-	o.backoffUntil = now.Add(time.Duration(rng.Float64() * o.stagger * float64(latency.slowThreshold) / startupSpread))
+	o.backoffUntil = now.Add(time.Duration(rng.Float64() * o.stagger * float64(latency.slowThreshold) / staggerDivisor))
 	return o
 }
 
 // free returns how many more attempts may start at the origin; 0 or less for none.
-func (o *originLimit) free(now Instant, origin *upstream) int {
+func (o *originLimit) available(now Instant, origin *upstream) int {
 	backingOff := now < origin.health.ejectedUntil || now < o.backoffUntil
 	spacing := o.limit < 1 && now < o.nextAt
 	if backingOff || spacing {
@@ -90,8 +90,8 @@
 }
 
 // started records the start of an attempt.
-func (o *originLimit) started(now Instant) {
-	o.nextAt = now.Add(time.Duration(float64(o.usual) / o.limit))
+func (o *originLimit) recordStart(now Instant) {
+	o.nextAt = now.Add(time.Duration(float64(o.smoothedLatency) / o.limit))
 }
 
 // record takes in the end of an attempt whose result depends on the origin's load.
@@ -99,19 +99,19 @@
 	latency := ended.latency
 	if ended.Result == Rejected {
 		// How soon it rejects doesn't show how long its work takes.
-		latency = max(latency, o.usual)
+		latency = max(latency, o.smoothedLatency)
 		o.backOff(now)
 	} else {
 		o.rejections = 0
 	}
-	o.usual += (latency - o.usual) / originLatencyWindow
+	o.smoothedLatency += (latency - o.smoothedLatency) / originLatencyWindow
 	if ended.inTime && latency <= ended.objective/2 {
 		o.lateShare -= o.lateShare / lateShareWindow
-		o.raise(float64(ended.inFlight))
+		o.increase(float64(ended.inFlight))
 		return
 	}
 	o.lateShare += (1 - o.lateShare) / lateShareWindow
-	o.cut(now)
+	o.decrease(now)
 }
 
 // raise lets the limit grow towards twice the attempts in flight at the most. A limit that isn't used would otherwise
@@ -119,7 +119,7 @@
 // by less the more of the last answers were late. Guards against a standing queue at the origin: near 1, where limits
 // of a large fleet are, an answer raises the limit by as much as a late one cuts it, so that all of them would settle
 // where half of the answers are late. Under one attempt answers are so rare that the late share tells of the past.
-func (o *originLimit) raise(inFlight float64) {
+func (o *originLimit) increase(inFlight float64) {
 	headroom := max(0, 2*inFlight-o.limit)
 	growth := min(1/o.limit, originLimitGrowth*o.limit, headroom)
 	if o.isLargeFleet() && o.limit >= 1 {
@@ -132,12 +132,12 @@
 func (o *originLimit) isLargeFleet() bool { return float64(o.settings.Nodes) > 2*initialOriginLimit }
 
 // cut lowers the limit, at most once in the time of a slow attempt: what is late together has one cause.
-func (o *originLimit) cut(now Instant) {
-	if now.Since(o.cutAt) <= o.latency.slowThreshold {
+func (o *originLimit) decrease(now Instant) {
+	if now.Since(o.decreasedAt) <= o.latency.slowThreshold {
 		return
 	}
-	o.limit = max(minOriginLimit/float64(o.settings.Nodes), o.limit*originLimitCut)
-	o.cutAt = now
+	o.limit = max(minOriginLimit/float64(o.settings.Nodes), o.limit*originLimitDecrease)
+	o.decreasedAt = now
 }
 
 // backOff pauses attempts after a rejection. The first one in a row says little and pauses nothing; after more of them
@@ -153,10 +153,10 @@
 // shortageLevel returns how short the origin is, 0 for not at all and 1 or more for fully: by the requests that found
 // no capacity, and by the share of late answers.
 func (o *originLimit) shortageLevel(shortageShare float64) float64 {
-	return max(shortageShare, latePressure*o.lateShare)
+	return max(shortageShare, lateShareWeight*o.lateShare)
 }
 
 // lostAfter returns how long after it was sent an attempt at the origin counts as lost.
 func (o *originLimit) lostAfter(objective time.Duration) time.Duration {
-	return max(lostOriginAttempt*o.usual, objective/2)
+	return max(lostLatencyFactor*o.smoothedLatency, objective/2)
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -49,12 +49,12 @@
 
 // lookup returns the cache whose slot holds a key, by the key's hash for this segment; nil in an empty segment. A dead
 // slot passes its keys to the next one to the left (3.1.1, Fig. 2); if all are dead, the first slot keeps them.
-func (s *segment) lookup(hash uint64, dead func(*upstream) bool) *upstream {
+func (s *segment) lookup(hash uint64, unreachable func(*upstream) bool) *upstream {
 	if len(s.slots) == 0 {
 		return nil
 	}
-	slot := linear(hash, len(s.slots))
-	for i := 0; i < len(s.slots) && dead(s.slots[slot]); i++ {
+	slot := linearSlot(hash, len(s.slots))
+	for i := 0; i < len(s.slots) && unreachable(s.slots[slot]); i++ {
 		if s.left == nil {
 			s.left = leftNeighbours(len(s.slots))
 		}
@@ -64,7 +64,7 @@
 }
 
 // linear is linear hashing (3.1.1): the slot of n that holds a hash.
-func linear(hash uint64, n int) int {
+func linearSlot(hash uint64, n int) int {
 	level := bits.Len(uint(n)) - 1
 	if slot := int(hash & (1<<(level+1) - 1)); slot < n {
 		return slot
@@ -95,16 +95,16 @@
 // place has a score by hash, and pairs are taken from the lowest score up, as far as the item has no place yet and the
 // place has capacity left.
 type assignment struct {
-	hashes     []uint64 // of the items
-	salts      []uint64 // of the places
-	numberMask uint64   // the low bits of a score, which hold its pair's number: scores are distinct
-	placeOf    []int    // of each item; unassigned for none yet
-	held       []int    // items at each place
-	least      int      // items that every place gets
-	extra      int      // places that may still get one more
-	bound      uint64   // the score up to which pairs were taken by now
-	openItems  []int    // without a place
-	openPlaces []int    // with capacity left
+	hashes      []uint64 // of the items
+	salts       []uint64 // of the places
+	pairMask    uint64   // the low bits of a score, which hold its pair's number: scores are distinct
+	placeOf     []int    // of each item; unassigned for none yet
+	assigned    []int    // items at each place
+	minPerPlace int      // items that every place gets
+	remainder   int      // places that may still get one more
+	scoreLimit  uint64   // the score up to which pairs were taken by now
+	openItems   []int    // without a place
+	openPlaces  []int    // with capacity left
 }
 
 // assignEvenly returns the place of each item, from 0 up to places. The salt distinguishes assignments of the same
@@ -115,23 +115,23 @@
 	}
 	a := newAssignment(hashes, places, salt)
 	for len(a.openItems) > 0 {
-		a.takeBelow(a.nextBound())
-		a.dropClosed()
+		a.assignUpTo(a.raiseScoreLimit())
+		a.removeClosed()
 	}
 	return a.placeOf
 }
 
 func newAssignment(hashes []uint64, places, salt int) *assignment {
 	a := &assignment{
-		hashes:     hashes,
-		salts:      make([]uint64, places),
-		numberMask: 1<<bits.Len(uint(len(hashes)*places)) - 1,
-		placeOf:    make([]int, len(hashes)),
-		held:       make([]int, places),
-		least:      len(hashes) / places,
-		extra:      len(hashes) % places,
-		openItems:  make([]int, len(hashes)),
-		openPlaces: make([]int, places),
+		hashes:      hashes,
+		salts:       make([]uint64, places),
+		pairMask:    1<<bits.Len(uint(len(hashes)*places)) - 1,
+		placeOf:     make([]int, len(hashes)),
+		assigned:    make([]int, places),
+		minPerPlace: len(hashes) / places,
+		remainder:   len(hashes) % places,
+		openItems:   make([]int, len(hashes)),
+		openPlaces:  make([]int, places),
 	}
 	for place := range places {
 		a.salts[place] = keyhash.Salt(salt + place)
@@ -151,22 +151,22 @@
 
 // nextBound returns the score up to which the next round takes pairs: the highest one once few places are open. It at
 // least doubles, so that an end comes whatever the hashes are.
-func (a *assignment) nextBound() uint64 {
+func (a *assignment) raiseScoreLimit() uint64 {
 	const highest = ^uint64(0)
 	open := uint64(len(a.openPlaces))
-	if open <= candidatesPerItem || a.bound > highest/2 {
-		a.bound = highest
+	if open <= candidatesPerItem || a.scoreLimit > highest/2 {
+		a.scoreLimit = highest
 	} else {
-		a.bound = max(2*a.bound, highest/open*candidatesPerItem)
+		a.scoreLimit = max(2*a.scoreLimit, highest/open*candidatesPerItem)
 	}
-	return a.bound
+	return a.scoreLimit
 }
 
 // takeBelow takes the open pairs up to a score, in their order. What was left open by earlier rounds had no open pair
 // up to their bounds.
-func (a *assignment) takeBelow(bound uint64) {
+func (a *assignment) assignUpTo(limit uint64) {
 	places := uint64(len(a.salts))
-	highest := bound | a.numberMask
+	highest := limit | a.pairMask
 	salts := make([]uint64, len(a.openPlaces))
 	for i, place := range a.openPlaces {
 		salts[i] = a.salts[place]
@@ -174,41 +174,41 @@
 	scores := make([]uint64, 0, len(a.openItems)*(min(candidatesPerItem, len(salts))+1))
 	for _, item := range a.openItems {
 		hash := a.hashes[item]
-		first := uint64(item) * places
+		firstPair := uint64(item) * places
 		for i, salt := range salts {
 			mixed := keyhash.Mix(hash ^ salt)
 			if mixed > highest { // most are, and need no more than this
 				continue
 			}
-			if score := mixed&^a.numberMask | (first + uint64(a.openPlaces[i])); score <= bound {
+			if score := mixed&^a.pairMask | (firstPair + uint64(a.openPlaces[i])); score <= limit {
 				scores = append(scores, score)
 			}
 		}
 	}
 	slices.Sort(scores)
 	for _, score := range scores {
-		number := score & a.numberMask
-		a.take(int(number/places), int(number%places))
+		pair := score & a.pairMask
+		a.assign(int(pair/places), int(pair%places))
 	}
 }
 
 // take assigns an item to a place, if both are open.
-func (a *assignment) take(item, place int) {
+func (a *assignment) assign(item, place int) {
 	if a.placeOf[item] != unassigned || !a.hasRoom(place) {
 		return
 	}
 	a.placeOf[item] = place
-	a.held[place]++
-	if a.held[place] > a.least {
-		a.extra--
+	a.assigned[place]++
+	if a.assigned[place] > a.minPerPlace {
+		a.remainder--
 	}
 }
 
 func (a *assignment) hasRoom(place int) bool {
-	return a.held[place] < a.least || a.held[place] == a.least && a.extra > 0
+	return a.assigned[place] < a.minPerPlace || a.assigned[place] == a.minPerPlace && a.remainder > 0
 }
 
-func (a *assignment) dropClosed() {
+func (a *assignment) removeClosed() {
 	a.openItems = slices.DeleteFunc(a.openItems, func(item int) bool { return a.placeOf[item] != unassigned })
 	a.openPlaces = slices.DeleteFunc(a.openPlaces, func(place int) bool { return !a.hasRoom(place) })
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -73,7 +73,7 @@
 
 func TestLinearHashingAsInFigure2(t *testing.T) {
 	for hash, want := range []int{0, 1, 2, 3, 4, 5, 2, 3} { // six slots: 2 and 3 are not yet split
-		if got := linear(uint64(hash), 6); got != want {
+		if got := linearSlot(uint64(hash), 6); got != want {
 			t.Errorf("key %d lies on slot %d, want %d", hash, got, want)
 		}
 	}
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -17,7 +17,7 @@
 	count := replicaCount
 	if !r.Write {
 		caches := len(router.endpoints.caches)
-		count = router.popularity.replicas(r.state.key, router.admission.meanShedPreference, caches)
+		count = router.popularity.replicaLimit(r.state.key, router.admission.meanShedPreference, caches)
 	}
 	var replicas []*upstream
 	for _, segment := range rankSegments(r.state.key) {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,10 +5,10 @@
 const (
 	// attemptTimeDivisor says which part of the slow latency must be left for an attempt to be worth its start: few
 	// attempts are answered within an eighth.
-	attemptTimeDivisor = 8
+	minAttemptTimeDivisor = 8
 	// lastAttemptCaution multiplies the origin's shortage level for reads whose last attempt goes there. At a quarter
 	// of the full level none does: a cache that is full is no reason to load an origin that is short.
-	lastAttemptCaution = 4.0
+	lastAttemptShortageFactor = 4.0
 )
 
 // firstOrRetry decides on a request that has no attempt in flight: the first attempt, a retry, the origin, to wait, or
@@ -31,7 +31,7 @@
 	if len(r.Attempts) >= router.settings.MaxAttempts {
 		return false
 	}
-	if router.timeLeft(now, r) <= router.latency.slowThreshold/attemptTimeDivisor {
+	if router.timeLeft(now, r) <= router.latency.slowThreshold/minAttemptTimeDivisor {
 		return false
 	}
 	lastResult, retry := r.lastResult()
@@ -43,10 +43,10 @@
 // next to never late. The draw comes before the cheaper conditions; recorded decisions depend on the order of draws.
 func (router *Router) lastAttemptAtOrigin(now Instant, r *Request, shortageLevel float64) bool {
 	origin := router.endpoints.origin
-	if origin == nil || router.origin.free(now, origin) <= 0 {
+	if origin == nil || router.origin.available(now, origin) <= 0 {
 		return false
 	}
-	if router.rng.Float64() < lastAttemptCaution*shortageLevel {
+	if router.rng.Float64() < lastAttemptShortageFactor*shortageLevel {
 		return false
 	}
 	lastResult, retry := r.lastResult()
--- a/policy/router.go
+++ b/policy/router.go
@@ -120,7 +120,7 @@
 		router.coalescer.complete(r, attempt.Result)
 	}
 	if origin := router.endpoints.origin; origin != nil && len(router.coalescer.waiters) > 0 {
-		decision.Wake = router.coalescer.wake(router.origin.free(now, origin), &router.popularity)
+		decision.Wake = router.coalescer.wake(router.origin.available(now, origin), &router.popularity)
 	}
 	return decision
 }
