--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -29,7 +29,7 @@
 
 // The shed preference must not change how much is admitted in all, however low some priorities are, or all requests are
 // shed for good. And all classes keep a chance, or the end of a collapse would go unnoticed.
-func TestSheddingAdmitsAsMuchAsTheCachesDo(t *testing.T) {
+func TestSheddingAdmitsTheUsefulLoad(t *testing.T) {
 	for _, useful := range []float64{36, 5} {
 		want := int(0.9 * 4000 * (maxOfferedPerUseful*useful/100 + minAdmittedShare))
 		h := newReadThroughHarness(t)
@@ -51,7 +51,7 @@
 }
 
 // A node that sees a request now and then must notice a collapse as soon as one that sees hundreds.
-func TestFewLossesAreEnoughToShedAtANodeThatSeesFew(t *testing.T) {
+func TestSheddingStartsAtLowRequestRates(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet(45, false))
 	h.drive(60, 250*ms, distinctKey, always(TimedOut))
 	if _, admitted := h.drive(60, 250*ms, distinctKey, always(TimedOut)); admitted == 0 || admitted > 20 {
@@ -62,7 +62,7 @@
 // A time-out that a later attempt at the same cache has overtaken has nothing to do with its queue. A fleet that was
 // next to idle shed half of its requests, as one answer in five got lost. A time-out behind which nothing is answered
 // must count as ever.
-func TestOvertakenTimeOutsDoNotShedRequests(t *testing.T) {
+func TestOvertakenTimeoutsDoNotShedRequests(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		overtaken     bool
@@ -110,7 +110,7 @@
 
 // Clients that wait a third of the latency objective, at an idle cache that takes about as long, had all others'
 // requests shed. An attempt that has had its objective, or more, counts in full.
-func TestShortTimeOutsCountForLittle(t *testing.T) {
+func TestShortTimeoutsHaveLowAdmissionWeight(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		wait          time.Duration
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -85,7 +85,7 @@
 func BenchmarkNewPlacement(b *testing.B) {
 	for _, n := range []int{12, 200, 800, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			caches := cachesNamed(n)
+			caches := namedCaches(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				newPlacement(caches)
--- a/policy/coalescing_test.go
+++ b/policy/coalescing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestOneFetchServesAllThatMissed(t *testing.T) {
+func TestConcurrentMissesAreServedByOneFetch(t *testing.T) {
 	h := newCacheAsideHarness(t)
 	var requests []*Request
 	for range 5 {
@@ -55,7 +55,7 @@
 
 // A write that waited for capacity at the origin was sent to the cache where another's fetch had put its key. The
 // effect happened there, and again at the origin with the client's retry (soak, seed 101).
-func TestAWriteThatWaitsGoesToTheOriginOnly(t *testing.T) {
+func TestWaitingWriteGoesToTheOriginOnly(t *testing.T) {
 	h := newCacheAsideHarness(t)
 	h.router.origin.limit = 1
 	read, _ := h.arrive("k", readClass, false)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -21,7 +21,7 @@
 
 // When a cache leaves, the keys that it held must move and few others; what was learned of the other caches stays. When
 // it comes back, all is as at a node that never saw it leave, whatever order the list has.
-func TestPlacementMovesLittleAndNodesAgree(t *testing.T) {
+func TestPlacementIsStableAndOrderIndependent(t *testing.T) {
 	const keys = 500
 	for n := 7; n <= 200; n += 1 + n/15 {
 		endpoints := testFleet(n, false)
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -6,7 +6,7 @@
 )
 
 // Operators read the states in the event log, by these names. Each change is reported once.
-func TestObserversAreNotifiedOfEachChangeOnce(t *testing.T) {
+func TestEndpointStatesReportsEachChangeOnce(t *testing.T) {
 	now := Instant(time.Minute)
 	for _, c := range []struct {
 		state EndpointState
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestHedgeOnlyWhereLatenessOutweighsWaste(t *testing.T) {
+func TestHedgeOnlyWhenLateProbabilityExceedsWasteCost(t *testing.T) {
 	settings := testSettings()
 	settings.WasteCost = 0.25
 	h := newHarness(t, settings, testFleet(12, false))
@@ -24,7 +24,7 @@
 
 // Attempts on connections that had stopped responding held a third of the origin's capacity until their deadline. Such
 // a read is cancelled and sent again if the hedge budget allows it; a write is not.
-func TestLostReadAtTheOriginIsCancelledAndSentAgain(t *testing.T) {
+func TestLostOriginReadIsCancelledAndRetriedWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		saved     float64
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -62,7 +62,7 @@
 }
 
 // FuzzRules plays generated events and holds every decision against the plain model.
-func FuzzRules(f *testing.F) {
+func FuzzInvariants(f *testing.F) {
 	for seed := range int64(40) {
 		steps := make([]byte, 400)
 		rand.New(rand.NewSource(seed)).Read(steps)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -4,7 +4,7 @@
 
 // Before anything is measured, the times follow the strictest objective. They are never shorter than the caller's
 // timers can distinguish.
-func TestSlowAndPatienceBeforeAnythingIsMeasured(t *testing.T) {
+func TestLatencyThresholdDefaultsAndLowerBounds(t *testing.T) {
 	settings := testSettings()
 	tracker := latencyTracker{settings: &settings}
 	tracker.refresh()
@@ -21,7 +21,7 @@
 }
 
 // An attempt's own work is no queue, but if it takes most of the time left, a quarter of that may still go by in one.
-func TestTimeForQueueLeavesOutOwnWork(t *testing.T) {
+func TestMaxQueueingTimeExcludesServiceTime(t *testing.T) {
 	q := queueCost{serviceTime: 60 * ms}
 	if got := q.maxQueueingTime(100 * ms); got != 40*ms {
 		t.Errorf("%v of 100 ms may go by in a queue, want 40 ms", got)
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -4,7 +4,7 @@
 
 // After a burst a few caches are crowded, and the mean of the reports is high. All caches without a recent report then
 // looked full, so nothing was sent to them, and no report ever corrected the mean.
-func TestFewCrowdedCachesDoNotMakeTheOthersLookFull(t *testing.T) {
+func TestFewOverloadedCachesDoNotSaturateTheLoadEstimate(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
 	h := newHarness(t, settings, testFleet(45, false))
@@ -24,7 +24,7 @@
 }
 
 // One crowded cache must not raise the mean, and with it the load of all caches without a report, by all that it has.
-func TestOneReportCountsForLittleMoreThanTwiceTheMean(t *testing.T) {
+func TestSingleLoadReportIsClampedInTheMean(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
 	estimator := loadEstimator{settings: &settings}
@@ -40,7 +40,7 @@
 
 // An attempt that ended without a report, at the very instant of its endpoint's last one, counted that report once
 // more: the mean, and with it the load of all caches without a report, followed one cache.
-func TestReportIsCountedIntoTheMeanOnce(t *testing.T) {
+func TestLoadReportEntersTheMeanOnce(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
 	estimator := loadEstimator{settings: &settings}
--- a/policy/mayattempt_test.go
+++ b/policy/mayattempt_test.go
@@ -72,7 +72,7 @@
 
 // A connection may take time to open. Meanwhile the endpoint may start to drain, leave the list, or the deduplication
 // window of an earlier attempt may pass: the attempt must not be sent then.
-func TestMayStartAsksAgain(t *testing.T) {
+func TestMayStartRechecksEndpointAndDedupWindow(t *testing.T) {
 	leave := func(h *harness, endpoint Endpoint) {
 		endpoint.Lifecycle = Removed
 		h.update(DeltaUpdate, endpoint)
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestAttemptsAtTheOriginAreBounded(t *testing.T) {
+func TestOriginLimitBoundsAttemptsInFlight(t *testing.T) {
 	h := newCacheAsideHarness(t)
 	for i := range 200 {
 		r, _ := h.arrive(distinctKey(i), readClass, false)
@@ -24,7 +24,7 @@
 
 // The limit grew with every answer in time although it wasn't used, so that it bounded nothing once misses came in a
 // storm. It may grow to twice the attempts in flight at most.
-func TestOriginLimitGrowsOnlyAsItIsUsed(t *testing.T) {
+func TestOriginLimitGrowsOnlyWithUse(t *testing.T) {
 	for _, c := range []struct {
 		together int // attempts in flight at once
 		want     float64
@@ -52,7 +52,7 @@
 
 // The least that a node may have in flight at the origin is multiplied by hundreds of nodes. Late answers must bring
 // its limit under one attempt.
-func TestManyNodesTogetherSpareASlowOrigin(t *testing.T) {
+func TestOriginLimitFallsBelowOneInLargeFleet(t *testing.T) {
 	settings := testSettings()
 	settings.CacheAside = true
 	settings.Nodes = 400
@@ -77,7 +77,7 @@
 
 // Near a limit of 1, where those of a large fleet are, an answer in time raised the limit by as much as a late one cut
 // it: it stayed up while half of all answers were late, and the queue at the origin never went.
-func TestOriginLimitFallsToOneAttemptWhileHalfOfTheAnswersAreLate(t *testing.T) {
+func TestOriginLimitFallsToOneWhenHalfOfTheAnswersAreLate(t *testing.T) {
 	origin := &newCacheAsideHarness(t).router.origin
 	origin.settings.Nodes = 80
 	origin.limit = 4
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -28,12 +28,12 @@
 			t.Errorf("%s is ejected", u.ID)
 		}
 	}
-	h.checkAvoidsBreakingCache()
+	h.checkAvoidsCacheWithBrokenConnections()
 }
 
 // checkAvoidsBreakingCache lets the first replica of a key break all connections. It looks idle, so that it would get
 // all attempts.
-func (h *harness) checkAvoidsBreakingCache() {
+func (h *harness) checkAvoidsCacheWithBrokenConnections() {
 	h.t.Helper()
 	first := replicasOf(h.router, "k")[0]
 	byEndpoint, total := h.drive(60, 5*ms, sameKey, func(_ int, id EndpointID) Result {
@@ -49,7 +49,7 @@
 
 // A cache that erred was avoided class by class, and for a second or less. 80 nodes sent it a hundred attempts a second
 // by that. Once it is well it must be taken back.
-func TestErringCacheIsAvoidedByAllClasses(t *testing.T) {
+func TestFailingCacheIsAvoidedByAllClassesUntilItRecovers(t *testing.T) {
 	h := newReadThroughHarness(t)
 	faulty := replicasOf(h.router, "k")[0]
 	attempts := 0
@@ -85,7 +85,7 @@
 }
 
 // What wasted attempts had taught stayed until the cache got another attempt, which it then seldom did.
-func TestWastedShareFadesWithoutAttempts(t *testing.T) {
+func TestWastedShareDecaysWithoutAttempts(t *testing.T) {
 	h := newReadThroughHarness(t)
 	u := h.cache("cache-0")
 	u.health.wastedShare = 0.8
@@ -96,7 +96,7 @@
 }
 
 // Two attempts that timed out after some milliseconds, since their requests had no more time, ejected a cache.
-func TestShortTimeOutsDoNotEjectACache(t *testing.T) {
+func TestShortTimeoutsDoNotEjectACache(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		latency time.Duration
@@ -127,7 +127,7 @@
 
 // A cut between zones shows at hundreds of caches, each met seldom: by failures in a row at each of them it would take
 // hundreds of attempts to notice. The failed connects of a zone count together.
-func TestZoneThatIsCutOffGetsFewAttempts(t *testing.T) {
+func TestUnreachableZoneGetsFewAttempts(t *testing.T) {
 	endpoints := testFleet(60, false)
 	for i := range endpoints[:40] {
 		endpoints[i].Zone = "there"
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -11,7 +11,7 @@
 )
 
 // plainAssign is the plain form of assignEvenly: it sorts all pairs.
-func plainAssign(hashes []uint64, places, salt int) []int {
+func referenceAssign(hashes []uint64, places, salt int) []int {
 	pairs := make([]uint64, len(hashes)*places)
 	placeOf := make([]int, len(hashes))
 	mask := uint64(1)<<bits.Len(uint(len(pairs))) - 1
@@ -42,7 +42,7 @@
 
 // Nodes of different versions run side by side, and must agree on where keys are. So the assignment by rounds must be
 // the same as the one by sorting all pairs, which earlier versions made.
-func TestAssignmentEqualsThatBySortingAllPairs(t *testing.T) {
+func TestAssignEvenlyMatchesReference(t *testing.T) {
 	for _, items := range []int{0, 1, 2, 6, 7, 8, 9, 17, 64, 65, 199, 458} {
 		hashes := make([]uint64, items)
 		for i := range hashes {
@@ -53,7 +53,7 @@
 				continue
 			}
 			got := assignEvenly(hashes, places, places)
-			want := plainAssign(hashes, places, places)
+			want := referenceAssign(hashes, places, places)
 			if !slices.Equal(got, want) {
 				t.Errorf("%d items over %d places: %v, want %v", items, places, got, want)
 			}
@@ -62,16 +62,16 @@
 }
 
 // Two caches may have the same hash; both must get a slot.
-func TestAssignmentOfEqualHashes(t *testing.T) {
+func TestAssignEvenlyWithEqualHashes(t *testing.T) {
 	hashes := slices.Repeat([]uint64{7}, 40)
 	got := assignEvenly(hashes, 40, 1)
-	want := plainAssign(hashes, 40, 1)
+	want := referenceAssign(hashes, 40, 1)
 	if !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
 
-func TestLinearHashingAsInFigure2(t *testing.T) {
+func TestLinearHashingMatchesKinesisFigure2(t *testing.T) {
 	for hash, want := range []int{0, 1, 2, 3, 4, 5, 2, 3} { // six slots: 2 and 3 are not yet split
 		if got := linearSlot(uint64(hash), 6); got != want {
 			t.Errorf("key %d lies on slot %d, want %d", hash, got, want)
@@ -102,7 +102,7 @@
 }
 
 // cachesNamed returns n caches with the names that a list might have.
-func cachesNamed(n int) (caches []*upstream) {
+func namedCaches(n int) (caches []*upstream) {
 	for i := range n {
 		id := EndpointID(fmt.Sprint("cache-", i))
 		endpoint := Endpoint{ID: id, Weight: 1}
@@ -112,7 +112,7 @@
 }
 
 // allocated returns how many bytes a function allocates.
-func allocated(f func()) uint64 {
+func allocatedBytes(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	f()
@@ -122,12 +122,12 @@
 
 // Incident 60a37a: all pairs of a cache and a slot were sorted at once. Their number grows with the square of the
 // caches; at 3,200 of them they took 12 MB, and the event loop was blocked meanwhile.
-func TestPlacementSortsAFewPairsForEachCache(t *testing.T) {
+func TestNewPlacementMemoryGrowsLinearly(t *testing.T) {
 	// 8 pairs for the slots and 7 for the segments, with capacity to grow, and what stays
 	const maxBytesPerCache = 600
 	for _, n := range []int{200, 800, 3200} {
-		caches := cachesNamed(n)
-		if bytes := allocated(func() { newPlacement(caches) }); bytes > uint64(n*maxBytesPerCache) {
+		caches := namedCaches(n)
+		if bytes := allocatedBytes(func() { newPlacement(caches) }); bytes > uint64(n*maxBytesPerCache) {
 			t.Errorf("%d caches: %d bytes, %d each", n, bytes, int(bytes)/n)
 		}
 	}
@@ -135,9 +135,9 @@
 
 // Where all caches of a segment are unreachable, a lookup passes from slot to slot. It looked for the left neighbour
 // among all slots each time, so that a single decision took 52 ms at 3,200 caches. Each slot must be looked at once.
-func TestLookupPassesEachUnreachableSlotOnce(t *testing.T) {
+func TestLookupVisitsEachUnreachableSlotOnce(t *testing.T) {
 	const caches = 3200
-	p := newPlacement(cachesNamed(caches))
+	p := newPlacement(namedCaches(caches))
 	visited := 0
 	unreachable := func(*upstream) bool {
 		visited++
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // While discovery is down, a node must poll again soon but not all the time.
-func TestPollsBackOffWhileTheyFail(t *testing.T) {
+func TestFailedPollsBackOff(t *testing.T) {
 	settings := testSettings()
 	settings.PollEndpoints = true
 	router := New(0, 1, settings)
--- a/policy/popularity_test.go
+++ b/policy/popularity_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A key hotter than three caches has nowhere to go unless more take it; others must not be scattered.
-func TestOnlyAKeyHotterThanThreeCachesHasMoreReplicas(t *testing.T) {
+func TestOnlyHotKeyGetsMoreReplicas(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet(90, false))
 	h.drive(900, 20*ms, func(i int) string {
 		if i%5 == 0 {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRequestsOverTheirTenantsQuotaHaveALowerPriority(t *testing.T) {
+func TestRequestsOverQuotaHaveLowerPriority(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{QuotaPerSecond: 10}}
 	settings.OverQuotaWeight = 0.05
--- a/policy/replicas_test.go
+++ b/policy/replicas_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestEjectedDrainingAndErringReplicasYieldToSpares(t *testing.T) {
+func TestReplicasSkipEjectedDrainingAndFailingCaches(t *testing.T) {
 	h := newReadThroughHarness(t)
 	before := replicasOf(h.router, "k")
 	h.cache(before[0]).health.ejectedUntil = 1e9
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // When all attempts fail, retries must not multiply the load.
-func TestRetriesAreFewWhenAllAttemptsFail(t *testing.T) {
+func TestRetryBudgetBoundsRetriesWhenAllAttemptsFail(t *testing.T) {
 	h := newReadThroughHarness(t)
 	attempts := 0
 	for range 200 {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -8,7 +8,7 @@
 
 // A fleet of which most was new stayed on its few old caches, full as they were, since a connection had to be opened to
 // each of the others. A connection must weigh less than half of the attempts wasted.
-func TestAFullCacheIsLeftForOneWithoutAConnection(t *testing.T) {
+func TestNewConnectionIsPreferredToWastedAttempts(t *testing.T) {
 	settings := testSettings()
 	settings.IdleTimeout = time.Minute
 	h := newHarness(t, settings, testFleet(12, false))
@@ -34,7 +34,7 @@
 
 // A request whose replicas all have queues longer than its objective is rejected at once. That is no loss: admission
 // must not shed others for it.
-func TestRequestBehindFullQueuesIsRejected(t *testing.T) {
+func TestRequestIsRejectedWhenAllQueuesAreFull(t *testing.T) {
 	h := newReadThroughHarness(t)
 	for _, u := range h.router.endpoints.caches {
 		for range 40 {
@@ -53,7 +53,7 @@
 
 // Idle caches whose own work takes over half of the objective looked full; and the router's own attempts were taken off
 // reports of a queue that doesn't include them. Late answers count as useful by their late share.
-func TestOwnWorkIsNotTakenForAQueue(t *testing.T) {
+func TestServiceTimeIsNotCountedAsQueueing(t *testing.T) {
 	settings := testSettings()
 	settings.QueueColumn = 0
 	settings.Classes[readClass].LateValue = 0.5
@@ -84,7 +84,7 @@
 
 // Many nodes have nothing in flight, so equal loads are the rule. Where attempts were lost or rejected must come last
 // among them, though it looks as idle as the others.
-func TestWastedAttemptsDecideBetweenEqualLoads(t *testing.T) {
+func TestWastedShareBreaksTiesBetweenEqualLoads(t *testing.T) {
 	for name, result := range map[string]Result{"time-outs": TimedOut, "rejections": Rejected} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
@@ -108,7 +108,7 @@
 
 // Each replica that takes a key fetches it once from the origin. While the origin is short, or reads miss where that
 // crosses zones, reads of a key must stay with its first replica.
-func TestShortOriginKeepsAKeyAtItsFirstReplica(t *testing.T) {
+func TestOriginShortageKeepsReadsAtTheFirstReplica(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		shortage float64
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWritesGoToAllReplicasInReadThroughMode(t *testing.T) {
+func TestWriteFansOutInReadThroughMode(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		class    ClassID
@@ -26,7 +26,7 @@
 
 // Two of three executions of each write were wasted, and each was cancelled by closing its connection, although hardly
 // any attempt was late. The copies must be sent only while they save more late answers than they cost.
-func TestWritesGoToAllReplicasOnlyWhileTheCopiesPayOff(t *testing.T) {
+func TestWriteFansOutOnlyWhileDuplicatesPayOff(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		wasteCost float64
@@ -59,7 +59,7 @@
 
 // Half of all keys crossed zones, each at a cost. Reads must stay at home unless home can't serve them, or the origin
 // is short by each zone's own replicas.
-func TestReadsStayInTheirZoneUnlessItCannotServe(t *testing.T) {
+func TestReadsStayInHomeZoneUnlessItCannotServe(t *testing.T) {
 	type event func(*harness, *upstream)
 	nothing := func(*harness, *upstream) {}
 	full := func(h *harness, u *upstream) {
--- a/policy/shortage_test.go
+++ b/policy/shortage_test.go
@@ -4,7 +4,7 @@
 
 // Reads stay with the first replicas of their key as far as fetches find no capacity, or as far as misses cost a
 // crossing, and let go of them once neither is so any more.
-func TestAffinityFollowsFetchesAndMisses(t *testing.T) {
+func TestAffinityFollowsShortageAndMissCost(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.5
 	s := shortage{settings: &settings}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,24 +8,24 @@
 )
 
 // cold is a cache that starts two seconds after the others were listed.
-var cold = Endpoint{ID: "cold", StartedAt: Instant(2 * time.Second), Zone: "here", Weight: 1}
+var coldCache = Endpoint{ID: "cold", StartedAt: Instant(2 * time.Second), Zone: "here", Weight: 1}
 
 // A cold cache is measured by what warm ones answer: misses and rejections cost those little. What is little from one
 // node must be little from hundreds that all see the cache start, in a storm of rejections too.
-func TestWarmingCacheGetsNoMoreThanItCanBear(t *testing.T) {
+func TestSlowStartBoundsAttemptsFromAllNodes(t *testing.T) {
 	attempts := 0
 	for node := range 200 {
 		h := newHarness(t, testSettings(), testFleet(11, false))
 		h.router.rng.Seed = uint32(node)
 		h.drive(40, 50*ms, distinctKey, always(Answered))
-		h.update(DeltaUpdate, cold)
+		h.update(DeltaUpdate, coldCache)
 		byEndpoint, _ := h.drive(200, 5*ms, distinctKey, func(i int, _ EndpointID) Result {
 			if i%20 == 0 {
 				return Answered
 			}
 			return Rejected
 		})
-		attempts += byEndpoint[cold.ID]
+		attempts += byEndpoint[coldCache.ID]
 	}
 	if attempts > 200 {
 		t.Errorf("a cold cache got %d attempts in its first second, a warm one answered about 180", attempts)
@@ -33,25 +33,25 @@
 }
 
 // Where no warm cache answers anything, nothing is known of what a cold one bears.
-func TestWarmingCacheGetsNextToNothingWhileNoneAnswers(t *testing.T) {
+func TestSlowStartSendsAlmostNothingWhileNoCacheAnswers(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet(11, false))
-	h.update(DeltaUpdate, cold)
-	if byEndpoint, _ := h.drive(4000, 0, distinctKey, always(Rejected)); byEndpoint[cold.ID] > 2 {
-		t.Errorf("a cold cache got %v attempts while no warm one answered any", byEndpoint[cold.ID])
+	h.update(DeltaUpdate, coldCache)
+	if byEndpoint, _ := h.drive(4000, 0, distinctKey, always(Rejected)); byEndpoint[coldCache.ID] > 2 {
+		t.Errorf("a cold cache got %v attempts while no warm one answered any", byEndpoint[coldCache.ID])
 	}
 }
 
 // After a deployment most caches were new, and the few warm ones were left with all the traffic. Where the settings
 // state which multiple of its capacity a cold cache fails at, two thirds of that may be used.
-func TestWarmingCacheTakesMoreKeysWhereItsOverloadFactorIsKnown(t *testing.T) {
+func TestSlowStartUsesTheOverloadFactor(t *testing.T) {
 	settings := testSettings()
 	settings.OverloadFactor = 3
-	h := newHarness(t, settings, []Endpoint{cold})
-	u := h.cache(cold.ID)
+	h := newHarness(t, settings, []Endpoint{coldCache})
+	u := h.cache(coldCache.ID)
 	admitted := 0
 	for i := range uint64(1000) {
 		u.nextAttemptAt = -1
-		if h.router.slowStart.admits(cold.StartedAt, u, keyhash.Mix(i)) {
+		if h.router.slowStart.admits(coldCache.StartedAt, u, keyhash.Mix(i)) {
 			admitted++
 		}
 	}
@@ -72,15 +72,15 @@
 
 // All nodes see a cache start at once. If each sent its first attempt then, the cache would get as many at one instant
 // as there are nodes.
-func TestFirstAttemptsAtAWarmingCacheAreSpreadByChance(t *testing.T) {
+func TestSlowStartStaggersFirstAttempts(t *testing.T) {
 	const nodes = 200
 	settings := testSettings()
 	settings.OverloadFactor = 1000 // any key
 	atOnce := 0
 	for node := range nodes {
-		h := newHarness(t, settings, []Endpoint{cold})
+		h := newHarness(t, settings, []Endpoint{coldCache})
 		h.router.rng.Seed = uint32(node)
-		if h.router.slowStart.admits(cold.StartedAt.Add(10*ms), h.cache(cold.ID), 1) {
+		if h.router.slowStart.admits(coldCache.StartedAt.Add(10*ms), h.cache(coldCache.ID), 1) {
 			atOnce++
 		}
 	}
