--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,48 +7,49 @@
 	"dahliapin/internal/keyhash"
 )
 
-// upstream is an endpoint of the list with what this router has learned of it. Each group of fields has one writer.
+// upstream is an endpoint of the list with everything that this router has learned about it. Each group of fields is
+// written by one component.
 type upstream struct {
-	Endpoint                // the entry of the list; written by endpointList
-	hash     uint64         // of the id; written by endpointList
+	Endpoint                // entry of the list; written by endpointList
+	hash     uint64         // hash of the id; written by endpointList
 	load     observedLoad   // written by loadEstimator
 	health   observedHealth // written by outlierDetector
-	// pacedUntil is when the next attempt may start in slow start; 0 before the first. Written by slowStart.
+	// nextAttemptAt is when the next attempt may start in slow start; 0 before the first. Written by slowStart.
 	nextAttemptAt Instant
-	// notifiedState is the state of which observers were last notified. Written by Router.EndpointStates.
+	// notifiedState is the state that observers were last notified of. Written by Router.EndpointStates.
 	notifiedState EndpointState
 }
 
-// placementScope says which caches a placement covers.
+// placementScope selects the caches that a placement covers.
 type placementScope int
 
 const (
-	// homeZone is the caches of this node's zone, or all where the zone has no placement of its own.
+	// homeZone is the caches in this node's zone, or all caches if the zone has no placement of its own.
 	homeZone placementScope = iota
-	// otherZones is all caches but those of this node's zone.
+	// otherZones is all caches outside this node's zone.
 	otherZones
 	// allZones is all caches.
 	allZones
 )
 
-// scopeCount is how many scopes a cache can belong to: homeZone or otherZones.
+// scopeCount is the number of scopes that a cache can belong to: homeZone and otherZones.
 const scopeCount = 2
 
-// endpointList owns the endpoints: what the list says of them, and the placements that follow from it. A placement
-// depends on the set of caches alone, so nodes with the same list agree on where keys are.
+// endpointList owns the endpoints: their entries in the list, and the placements derived from the list. A placement
+// depends only on the set of caches, so nodes with the same list agree on where keys are.
 type endpointList struct {
 	settings *Settings
 	byID     map[EndpointID]*upstream
-	caches   []*upstream // without the origin, by hash
+	caches   []*upstream // without the origin, sorted by hash
 	origin   *upstream   // nil in read-through mode, and while the list has none
 	// zoneLocal reports whether the home zone has a placement of its own.
 	zoneLocal bool
-	// placements are those of homeZone and of allZones; nil until they are needed.
+	// placements holds the placements of homeZone and allZones; nil until first needed.
 	placements [2]*placement
 }
 
-// update applies an update of the list. It rebuilds the placements only when the set of caches has changed, not for a
-// state or a restart, since that is most of what an update costs.
+// update applies an update of the list. It discards the placements only when the set of caches changes, not for a
+// change of lifecycle or a restart, since building placements is most of the cost of an update.
 func (l *endpointList) update(kind UpdateKind, entries []Endpoint) {
 	listed := map[EndpointID]bool{}
 	setChanged := false
@@ -69,7 +70,7 @@
 	}
 }
 
-// put adds or replaces an entry and reports whether the set of caches has changed.
+// put adds or replaces an entry and reports whether the set of caches changed.
 func (l *endpointList) put(entry Endpoint) (setChanged bool) {
 	entry.StartedAt = cmp.Or(entry.StartedAt, LongAgo)
 	entry.Weight = cmp.Or(max(entry.Weight, 0), 1)
@@ -80,7 +81,7 @@
 	}
 	isNew := u.ID == ""
 	if isNew || entry.StartedAt > u.StartedAt {
-		// A restarted process shares nothing with the one before it: what was learned of that must not count.
+		// A restarted process shares no state with its predecessor, so nothing learned about the latter applies to it.
 		u.reset(keyhash.String(string(entry.ID)), len(l.settings.Classes))
 	}
 	setChanged = isNew || u.Zone != entry.Zone || u.Kind != entry.Kind
@@ -88,17 +89,17 @@
 	return setChanged
 }
 
-// forget resets all that was learned of an endpoint.
+// reset discards everything learned about an endpoint.
 func (u *upstream) reset(hash uint64, classes int) {
 	*u = upstream{
 		Endpoint: u.Endpoint,
 		hash:     hash,
 		load:     observedLoad{reportedAt: LongAgo, lastUsedAt: LongAgo},
-		health:   observedHealth{errorScores: make([]uint8, classes+1)}, // the last one is that of unknown classes
+		health:   observedHealth{errorScores: make([]uint8, classes+1)}, // the last one is for unknown classes
 	}
 }
 
-// rebuild derives the caches and the origin from the entries, and drops the placements.
+// rebuild derives the caches and the origin from the entries, and discards the placements.
 func (l *endpointList) rebuild() {
 	l.caches = nil
 	l.origin = nil
@@ -125,7 +126,8 @@
 	l.zoneLocal = l.settings.CrossZoneCost > 0 && cachesAtHome >= replicaCount && cachesAtHome < len(l.caches)
 }
 
-// scopeOf returns the scope to which an endpoint belongs: homeZone for all if the zone has no placement of its own.
+// scopeOf returns the scope that an endpoint belongs to: homeZone for all endpoints if the zone has no placement of its
+// own.
 func (l *endpointList) scopeOf(u *upstream) placementScope {
 	if l.zoneLocal && u.Zone != l.settings.Zone {
 		return otherZones
@@ -134,7 +136,7 @@
 }
 
 // placement returns the placement that serves a scope, and builds it on first use. otherZones has none of its own: its
-// caches are those of allZones that aren't at home.
+// caches are those of the allZones placement that are outside the home zone.
 func (l *endpointList) placement(scope placementScope) *placement {
 	index := min(scope, otherZones)
 	if l.placements[index] == nil {
@@ -150,7 +152,7 @@
 }
 
 // lookup returns the cache at the location of a key in a segment; nil if the segment is empty. Slots of unreachable
-// caches pass their keys on.
+// caches pass their keys to their left neighbours.
 func (l *endpointList) lookup(now Instant, scope placementScope, segment int, key uint64) *upstream {
 	unreachable := func(u *upstream) bool { return u.health.unreachable(now) }
 	return l.placement(scope)[segment].lookup(keyhash.Salted(key, segmentCount+segment), unreachable)
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -1,8 +1,9 @@
 package policy
 
-// routeToOrigin decides on a request bound for the origin: a write, or a read that missed. One read fetches a key while
-// others wait, and what finds no capacity waits too, unless it is worth less than others that are not served. A read
-// whose value another's fetch has brought goes to the cache that has it.
+// routeToOrigin decides on a request bound for the origin: a write, a read that missed, or a read whose last attempt
+// goes there. One read fetches a key while others wait. A request that finds no capacity waits too, unless the demand
+// for its key is low compared with other keys that are waiting. A read whose value has been fetched by another request
+// goes to the cache that now holds it.
 func (router *Router) routeToOrigin(now Instant, r *Request) Decision {
 	cached := router.endpoints.byID[router.coalescer.takeCachedAt(r)]
 	if cached != nil && router.mayAttempt(now, r, cached) {
@@ -11,7 +12,8 @@
 	return router.sendToOrigin(now, r)
 }
 
-// sendToOrigin sends a request to the origin, has it wait for capacity or for another's fetch, or gives it up.
+// sendToOrigin sends a request to the origin, makes it wait for capacity or for another request's fetch, or rejects or
+// fails it.
 func (router *Router) sendToOrigin(now Instant, r *Request) Decision {
 	origin := router.endpoints.origin
 	waits := router.coalescer.isWaiting(r)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,19 +6,19 @@
 	"dahliapin/internal/histogram"
 )
 
-// latencyTracker measures how long attempts at caches take, and derives the times after which an attempt is slow or
-// lost. The histograms decay with Router.Tick.
+// latencyTracker measures the latency of attempts at caches, and derives the thresholds after which an attempt counts
+// as slow or lost. Its histograms decay with Router.Tick.
 type latencyTracker struct {
 	settings *Settings
-	all      histogram.Histogram // latency of attempts that were answered
-	unqueued histogram.Histogram // the same, of those with less than one request before them
-	// perQueued is the latency beyond an unqueued attempt's, for each request that was there before.
+	all      histogram.Histogram // latency of answered attempts
+	unqueued histogram.Histogram // latency of answered attempts with less than one request ahead of them
+	// perQueuedRequest is the latency in excess of an unqueued attempt's, per request that was ahead of the attempt.
 	perQueuedRequest histogram.Histogram
-	slowThreshold    time.Duration // the 95th percentile: when an attempt is reviewed
-	responseTimeout  time.Duration // twice the 99th percentile: an attempt without a response for longer is a failure
+	slowThreshold    time.Duration // 95th percentile, after which an attempt is reviewed
+	responseTimeout  time.Duration // twice the 99th percentile, after which an attempt without a response is a failure
 }
 
-// observe records an attempt at a cache that was answered. before is the load estimate without the attempt.
+// observe records an answered attempt at a cache. before is the load estimate without the attempt.
 func (t *latencyTracker) observe(latency time.Duration, before float64) {
 	t.all.Observe(latency)
 	if before < 1 {
@@ -29,30 +29,30 @@
 	t.perQueuedRequest.Observe(time.Duration(queued / before))
 }
 
-// decay lets older observations count for less.
+// decay reduces the weight of older observations.
 func (t *latencyTracker) decay() {
 	t.all.Decay()
 	t.unqueued.Decay()
 	t.perQueuedRequest.Decay()
 }
 
-// refresh derives slow and patience. Before anything is observed they follow the strictest latency objective; they are
-// never so short that the caller's timers couldn't distinguish them.
+// refresh recomputes slowThreshold and responseTimeout. Until there are enough observations they follow the strictest
+// latency objective. They are never too short for the caller's timers to tell apart.
 func (t *latencyTracker) refresh() {
 	objective := t.settings.shortestObjective()
 	t.slowThreshold = max(t.all.Quantile(0.95, objective/2), 2*t.settings.TickInterval)
 	t.responseTimeout = max(2*t.all.Quantile(0.99, objective), 4*t.settings.TickInterval)
 }
 
-// lateProbability returns the chance that an attempt that has been in flight for elapsed misses its objective.
+// lateProbability returns the probability that an attempt that has been in flight for elapsed misses its objective.
 func (t *latencyTracker) lateProbability(elapsed, objective time.Duration) float64 {
 	return t.all.CountAbove(objective) / max(1, t.all.CountAbove(elapsed))
 }
 
-// queueing says what a queue costs, at the median.
+// queueCost is the cost of a queue, at the median.
 type queueCost struct {
-	perRequest  float64       // nanoseconds for each request in front
-	serviceTime time.Duration // of an attempt with none in front
+	perRequest  float64       // nanoseconds per request ahead in the queue
+	serviceTime time.Duration // latency of an attempt with no request ahead of it
 }
 
 func (t *latencyTracker) queueCost() queueCost {
@@ -62,13 +62,14 @@
 	}
 }
 
-// timeForQueue returns how much of the time left may go by in a queue: all but the attempt's own work, yet a quarter
-// at least. Without that quarter, idle caches whose own work takes most of the objective looked full.
+// maxQueueingTime returns how much of the time left an attempt may spend in a queue: the time left minus the attempt's
+// own service time, but at least a quarter of the time left. Without that minimum, idle caches whose service time takes
+// up most of the objective would look full.
 func (q queueCost) maxQueueingTime(left time.Duration) time.Duration {
 	return max(left-q.serviceTime, left/4)
 }
 
-// longestObjective returns the longest latency objective of all classes.
+// longestObjective returns the longest latency objective over all classes.
 func (s *Settings) longestObjective() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.Classes {
@@ -77,7 +78,7 @@
 	return longest
 }
 
-// shortestObjective returns the shortest latency objective of all classes, a second at most.
+// shortestObjective returns the shortest latency objective over all classes, at most a second.
 func (s *Settings) shortestObjective() time.Duration {
 	shortest := time.Second
 	for _, class := range s.Classes {
--- a/policy/load.go
+++ b/policy/load.go
@@ -1,30 +1,33 @@
 package policy
 
-// Constants of the load estimate.
+// Parameters of the load estimate.
 const (
-	// reportLifetime is the time in which a load report fades to the mean of all endpoints.
+	// reportLifetime is the time over which the estimate moves from an endpoint's load report to the mean over all
+	// caches.
 	reportLifetime = 5 * maxEjection
-	// reportWindow is the number of reports over which the mean is taken: fewer would make it a matter of chance.
+	// reportWindow is the number of reports over which the mean is smoothed. Fewer would leave it dominated by random
+	// variation.
 	reportWindow = 10.0
-	// reportsSilent is the time without any report after which the mean is halved.
+	// reportTimeout is the time without any report after which the mean is halved on each decay.
 	reportTimeout = ticksPerDecay * tickPeriod
 )
 
-// observedLoad is what is known of the load of one endpoint.
+// observedLoad is what the router knows about the load of one endpoint.
 type observedLoad struct {
-	inFlight     int     // attempts of this router that are in flight there
-	lastUsedAt   Instant // when a connection there was last in use
-	externalLoad float64 // requests of others there, by its last report
-	reportedAt   Instant // when it last reported; LongAgo if it did not
-	answered     float64 // responses and misses, halved with each decay
+	inFlight     int     // attempts of this router in flight at the endpoint
+	lastUsedAt   Instant // when a connection to the endpoint was last used
+	externalLoad float64 // requests from others, by the endpoint's last report
+	reportedAt   Instant // time of the last report; LongAgo if there was none
+	answered     float64 // answers and misses, halved with each decay
 }
 
-// loadEstimator estimates how many requests an endpoint has in flight: this router's own, and those of others by its
-// last report. Reports age towards the mean, as an endpoint that isn't sent to doesn't report either.
+// loadEstimator estimates how many requests an endpoint has in flight: this router's own, and those of others by the
+// endpoint's last report. An aging report is gradually replaced by the mean, because an endpoint that gets no attempts
+// sends no reports either.
 type loadEstimator struct {
 	settings         *Settings
-	meanExternalLoad float64 // mean of the foreign load over reports of caches
-	lastReportAt     Instant // of any cache
+	meanExternalLoad float64 // mean external load over reports of caches
+	lastReportAt     Instant // time of the last report of any cache
 }
 
 // estimate returns the number of requests in flight at an endpoint.
@@ -33,16 +36,16 @@
 	return float64(u.load.inFlight) + e.meanExternalLoad + (u.load.externalLoad-e.meanExternalLoad)*freshness
 }
 
-// started records the start of an attempt.
 func (e *loadEstimator) recordStart(now Instant, u *upstream) {
 	u.load.inFlight++
 	u.load.lastUsedAt = now
 }
 
-// ended records the end of an attempt. Misses count as answers: after a join most attempts miss, and the caches bear
-// those as well.
+// recordEnd records the end of an attempt. Misses count as answers: after a cache joins most attempts miss, and the
+// caches handle that load too.
 func (e *loadEstimator) recordEnd(now Instant, u *upstream, result Result) {
-	// An endpoint that restarts is forgotten while attempts are in flight; their ends must not be taken off others.
+	// The state of an endpoint that restarts is reset while attempts are in flight, so the end of such an attempt must
+	// not make the count negative.
 	u.load.inFlight = max(0, u.load.inFlight-1)
 	u.load.lastUsedAt = now
 	if result == Answered || result == CacheMiss {
@@ -50,9 +53,9 @@
 	}
 }
 
-// recordReport takes in the load report of an attempt. ownInFlight counts this router's attempts at that endpoint
-// including the one that ended. A report of all requests in flight includes them, so they are subtracted; a report of
-// the queue leaves out most of them, since most are being worked on.
+// recordReport records the load report of an attempt. ownInFlight counts this router's attempts at the endpoint,
+// including the one that ended. A report of all requests in flight includes them, so they are subtracted. A report of
+// the queue does not include most of them, since most are being processed.
 func (e *loadEstimator) recordReport(now Instant, u *upstream, isOrigin bool, ownInFlight int, report []float64) {
 	inFlight := e.settings.InFlightColumn
 	queue := e.settings.QueueColumn
@@ -64,19 +67,20 @@
 		u.load.externalLoad = max(0, report[queue])
 		u.load.reportedAt = now
 	default:
-		// Guards against counting the endpoint's last report into the mean once more.
+		// No report: return, or the endpoint's last report would be counted into the mean again.
 		return
 	}
 	if isOrigin {
 		return
 	}
-	// One report counts for little more than twice the mean, or a few crowded caches would make all others look full.
+	// A single report is limited to little more than twice the mean; otherwise a few overloaded caches would make all
+	// others look full.
 	e.meanExternalLoad += (min(u.load.externalLoad, 2*e.meanExternalLoad+1) - e.meanExternalLoad) / reportWindow
 	e.lastReportAt = now
 }
 
-// decay halves the count of answers, and the mean while no cache reports. The latter guards against a deadlock: if all
-// caches look full, nothing is sent to them, so that no report would ever correct the mean.
+// decay halves the count of answers, and also the mean while no cache reports. Halving the mean prevents a deadlock: if
+// all caches look full, none of them gets an attempt, so no report would ever correct the mean.
 func (e *loadEstimator) decay(now Instant, caches []*upstream) {
 	if now.Since(e.lastReportAt) > reportTimeout {
 		e.meanExternalLoad /= 2
--- a/policy/mayattempt.go
+++ b/policy/mayattempt.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// mayAttempt reports whether a request may be sent to an endpoint now, whatever else speaks for it. It holds two rules:
-// an attempt goes only to an endpoint that the list says is ready, in time for its answer; and nothing that may have
-// run is repeated where a second execution would have a second effect.
+// mayAttempt reports whether a request may be sent to an endpoint now. It enforces two rules regardless of any other
+// consideration: an attempt goes only to an endpoint that is ready according to the list, with time left for its
+// answer; and a request that may have run is not repeated where a second execution would have a second effect.
 func (router *Router) mayAttempt(now Instant, r *Request, u *upstream) bool {
 	attemptsUsedUp := len(r.Attempts) >= router.settings.MaxAttempts
 	if r.Finished || u.Lifecycle != Ready || attemptsUsedUp || router.timeLeft(now, r) <= 0 {
@@ -18,7 +18,7 @@
 	return true
 }
 
-// mayRepeat reports whether an attempt at an endpoint may follow an earlier one.
+// mayRepeat reports whether an attempt at an endpoint may follow an earlier attempt.
 func (router *Router) mayRepeat(now Instant, r *Request, earlier Attempt, u *upstream) bool {
 	class := &r.state.class
 	if earlier.InFlight && (!router.settings.HedgingAllowed || class.Idempotency == NotIdempotent) {
@@ -31,15 +31,15 @@
 	if class.Idempotency == NotIdempotent {
 		return false
 	}
-	// The repeat arrives after its decision: a tick before the window's end, it might not be dropped any more.
+	// The repeat arrives after this decision. Within a tick of the window's end, the endpoint might no longer drop it.
 	if now.Since(earlier.SentAt) >= class.DedupWindow-router.settings.TickInterval {
 		return false
 	}
 	return class.DedupScope.covers(router.endpoints.byID[earlier.Endpoint], u)
 }
 
-// covers reports whether an endpoint drops the repeat of a request that another one has had. The other is nil if it has
-// left the list.
+// covers reports whether an endpoint drops the repeat of a request that an earlier endpoint received. earlier is nil if
+// that endpoint has left the list.
 func (s DedupScope) covers(earlier, u *upstream) bool {
 	if s == AllCaches {
 		return true
@@ -56,8 +56,8 @@
 	return true
 }
 
-// timeLeft is the time in which an attempt can still be answered before the deadline: the answer has to be noticed and
-// sent on, each by a tick.
+// timeLeft returns the time in which an attempt can still be answered before the deadline. It reserves two ticks: one
+// to notice the answer and one to send it on.
 func (router *Router) timeLeft(now Instant, r *Request) time.Duration {
 	return r.Deadline.Since(now) - 2*router.settings.TickInterval
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// endedAttempt is what learn works out of an attempt that has ended, for the parts that need more than its result.
+// endedAttempt is a completed attempt with the derived values that several components need in addition to its result.
 type endedAttempt struct {
 	Attempt
-	latency   time.Duration // from sending to the end
+	latency   time.Duration // time from sending to completion
 	objective time.Duration // the latency objective of the request's class
-	inTime    bool          // answered within the objective
-	lateValue float64       // share of its value that the class leaves to a late answer
-	inFlight  int           // this router's attempts at the endpoint, including this one
+	inTime    bool          // got a response within the objective
+	lateValue float64       // ServiceClass.LateValue of the request
+	inFlight  int           // this router's attempts in flight at the endpoint, including this one
 }
 
 func newEndedAttempt(u *upstream, r *Request, outcome Outcome) endedAttempt {
@@ -26,12 +26,12 @@
 	}
 }
 
-// learn takes in the end of an attempt at an endpoint, part by part.
+// recordOutcome passes the outcome of an attempt at an endpoint to every component that learns from it.
 func (router *Router) recordOutcome(now Instant, u *upstream, r *Request, outcome Outcome) {
 	ended := newEndedAttempt(u, r, outcome)
 	atOrigin := u == router.endpoints.origin
 	if ended.Result == Answered && !atOrigin {
-		// First, since the attempt's end and its report both change the estimate.
+		// Must run before the attempt and its load report are recorded, since both change the estimate.
 		router.latency.observe(ended.latency, router.load.estimate(now, u)-1)
 	}
 	if ended.Result == CacheMiss && !atOrigin {
@@ -51,7 +51,7 @@
 	router.recordUsefulness(u, ended)
 }
 
-// learnUsefulness counts an attempt at a cache, if its result depends on load, for admission and for the cache's wasted
+// recordUsefulness counts an attempt at a cache whose result depends on load, for admission and for the cache's wasted
 // share.
 func (router *Router) recordUsefulness(u *upstream, ended endedAttempt) {
 	scope := router.endpoints.scopeOf(u)
@@ -63,10 +63,10 @@
 		router.outliers.recordUsefulness(u, 0)
 		return
 	case ended.Result == TimedOut && u.health.lastInTimeSentAt > ended.SentAt:
-		// A later attempt has overtaken it. A queue would have held both up, so this one was lost on the way.
+		// A later attempt was answered in time. A queue would have delayed both, so this attempt was lost in transit.
 		return
 	case ended.Result == TimedOut:
-		// The less time it had, the less is the cache to blame.
+		// An attempt with little time to respond says little about the cache, so it has a lower weight.
 		weight = min(1, float64(ended.latency)/max(1, float64(ended.objective)))
 	case ended.inTime:
 		useful = 1
@@ -78,7 +78,7 @@
 }
 
 // dependsOnLoad reports whether a result depends on the endpoint's load. Errors and failed or broken connections
-// indicate a fault or an old list; Cancelled and NotSent are the caller's own doing.
+// indicate a fault or an outdated endpoint list. Cancelled and NotSent are decided by the caller.
 func (r Result) dependsOnLoad() bool {
 	return r == Answered || r == CacheMiss || r == Rejected || r == TimedOut
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -8,22 +8,24 @@
 	"dahliapin/internal/keyhash"
 )
 
-// segmentCount is the number of disjoint segments (k in docs/design.md): each offers one location for a key.
+// segmentCount is the number of disjoint segments (k in docs/design.md). Each segment has one possible location for a
+// key.
 const segmentCount = 7
 
-// placement is that of Kinesis, section 3.1 (see docs/design.md): the caches are spread evenly over disjoint segments,
-// each segment has one slot for each of its caches, and linear hashing says which slot of a segment holds a key. It
-// depends on the set of caches alone, so nodes with the same list agree.
+// placement assigns keys to caches as in Kinesis, section 3.1 (see docs/design.md): the caches are spread evenly over
+// disjoint segments, each segment has one slot for each of its caches, and linear hashing selects the slot of a segment
+// that holds a key. A placement depends only on the set of caches, so nodes with the same list agree.
 type placement [segmentCount]segment
 
-// segment holds its caches by slot.
+// segment holds the caches of one segment by slot.
 type segment struct {
 	slots []*upstream
-	left  []int // of each slot the next one to the left in the key space; nil until a dead slot was passed
+	left  []int // for each slot, its left neighbour in the key space; nil until first needed
 }
 
-// newPlacement places caches. Its work grows with their number times its logarithm, but for one hash of each pair of a
-// cache and a slot of its segment: the event loop waits for it at each change of the set.
+// newPlacement returns the placement of caches. Except for one hash per pair of a cache and a slot of its segment, its
+// cost is O(n log n) in the number of caches. It has to be fast because the event loop is blocked during each change of
+// the set of caches.
 func newPlacement(caches []*upstream) *placement {
 	var p placement
 	for i, s := range assignEvenly(hashesOf(caches), segmentCount, 0) {
@@ -47,8 +49,9 @@
 	return hashes
 }
 
-// lookup returns the cache whose slot holds a key, by the key's hash for this segment; nil in an empty segment. A dead
-// slot passes its keys to the next one to the left (3.1.1, Fig. 2); if all are dead, the first slot keeps them.
+// lookup returns the cache whose slot holds a key, given the key's hash for this segment; nil in an empty segment. An
+// unreachable slot passes its keys to its left neighbour (section 3.1.1, Fig. 2). If all slots are unreachable, the
+// first one keeps the key.
 func (s *segment) lookup(hash uint64, unreachable func(*upstream) bool) *upstream {
 	if len(s.slots) == 0 {
 		return nil
@@ -63,7 +66,7 @@
 	return s.slots[slot]
 }
 
-// linear is linear hashing (3.1.1): the slot of n that holds a hash.
+// linearSlot returns the slot, of n, that holds a hash, by linear hashing (section 3.1.1).
 func linearSlot(hash uint64, n int) int {
 	level := bits.Len(uint(n)) - 1
 	if slot := int(hash & (1<<(level+1) - 1)); slot < n {
@@ -72,8 +75,8 @@
 	return int(hash & (1<<level - 1))
 }
 
-// leftNeighbours returns, for each of n slots, the slot next to the left in the key space (Fig. 2), which wraps round.
-// There, slots lie in the order of their reversed bits.
+// leftNeighbours returns, for each of n slots, its left neighbour in the key space (Fig. 2). The key space wraps
+// around, and its slots are ordered by their reversed bits.
 func leftNeighbours(n int) []int {
 	order := make([]int, n)
 	for slot := range order {
@@ -88,27 +91,27 @@
 	return left
 }
 
-// unassigned stands for the place of an item that has none yet.
+// unassigned marks an item without a place.
 const unassigned = -1
 
-// assignment spreads items evenly over places, so that few move when one item comes or goes: each pair of an item and a
-// place has a score by hash, and pairs are taken from the lowest score up, as far as the item has no place yet and the
-// place has capacity left.
+// assignment spreads items evenly over places such that few items move when one is added or removed: each pair of an
+// item and a place has a hash score, and pairs are accepted in ascending order of score if the item has no place yet
+// and the place has room.
 type assignment struct {
 	hashes      []uint64 // of the items
 	salts       []uint64 // of the places
-	pairMask    uint64   // the low bits of a score, which hold its pair's number: scores are distinct
-	placeOf     []int    // of each item; unassigned for none yet
-	assigned    []int    // items at each place
-	minPerPlace int      // items that every place gets
-	remainder   int      // places that may still get one more
-	scoreLimit  uint64   // the score up to which pairs were taken by now
-	openItems   []int    // without a place
-	openPlaces  []int    // with capacity left
+	pairMask    uint64   // low bits of a score that hold the pair's index, which makes scores distinct
+	placeOf     []int    // by item; unassigned if it has none yet
+	assigned    []int    // number of items by place
+	minPerPlace int      // number of items that every place gets
+	remainder   int      // number of places that may still get one item more
+	scoreLimit  uint64   // score up to which pairs have been processed
+	openItems   []int    // items without a place
+	openPlaces  []int    // places with room
 }
 
-// assignEvenly returns the place of each item, from 0 up to places. The salt distinguishes assignments of the same
-// items.
+// assignEvenly returns the place of each item, from 0 to places-1. Assignments of the same items with different salts
+// are independent.
 func assignEvenly(hashes []uint64, places, salt int) []int {
 	if len(hashes) == 0 {
 		return nil
@@ -144,13 +147,13 @@
 	return a
 }
 
-// candidatesPerItem is how many pairs of each open item a round looks at, on the mean: by it all but a ninth of the
-// items find a place. Sorting all pairs would grow with the square of the items; each round has a few for each, and the
-// next one a ninth of the items.
+// candidatesPerItem is the mean number of pairs that a round considers for each open item; with it, all but about a
+// ninth of the items find a place. Sorting all pairs would take time quadratic in the number of items, whereas each
+// round sorts a few pairs per item and leaves about a ninth of the items for the next one.
 const candidatesPerItem = 8
 
-// nextBound returns the score up to which the next round takes pairs: the highest one once few places are open. It at
-// least doubles, so that an end comes whatever the hashes are.
+// raiseScoreLimit raises and returns the score up to which the next round accepts pairs: the highest score once few
+// places are open. The limit at least doubles, so that the loop ends for any set of hashes.
 func (a *assignment) raiseScoreLimit() uint64 {
 	const highest = ^uint64(0)
 	open := uint64(len(a.openPlaces))
@@ -162,8 +165,8 @@
 	return a.scoreLimit
 }
 
-// takeBelow takes the open pairs up to a score, in their order. What was left open by earlier rounds had no open pair
-// up to their bounds.
+// assignUpTo processes the open pairs up to a score, in ascending order. Pairs up to the limits of earlier rounds are
+// not open any more.
 func (a *assignment) assignUpTo(limit uint64) {
 	places := uint64(len(a.salts))
 	highest := limit | a.pairMask
@@ -177,7 +180,7 @@
 		firstPair := uint64(item) * places
 		for i, salt := range salts {
 			mixed := keyhash.Mix(hash ^ salt)
-			if mixed > highest { // most are, and need no more than this
+			if mixed > highest { // true of most pairs, so this check comes first
 				continue
 			}
 			if score := mixed&^a.pairMask | (firstPair + uint64(a.openPlaces[i])); score <= limit {
@@ -192,7 +195,7 @@
 	}
 }
 
-// take assigns an item to a place, if both are open.
+// assign assigns an item to a place if both are open.
 func (a *assignment) assign(item, place int) {
 	if a.placeOf[item] != unassigned || !a.hasRoom(place) {
 		return
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,19 +7,20 @@
 	"dahliapin/internal/keyhash"
 )
 
-// requestFacts is what the first Route works out of a request. Only Router.assess and the coalescer write it.
+// requestState is what the router derives from a request on its first Route. Only Router.initState and the coalescer
+// write it.
 type requestState struct {
 	initialized    bool
 	class          ServiceClass
-	classIndex     int     // of the class, for errors by class; that of unknown classes is the last one
+	classIndex     int     // index for per-class error scores; unknown classes have the last one
 	key            uint64  // hash of the key
-	priority       float64 // weight of the class, lowered for requests over their tenant's quota
-	shedPreference float64 // how readily it is shed; 1 is the mean
-	// cachedAt is the cache where another request's fetch has put the value; empty if none. Written by coalescer.
+	priority       float64 // priority weight of the class, reduced for requests over their tenant's quota
+	shedPreference float64 // how likely it is to be shed under overload; 1 is the mean
+	// cachedAt is the cache into which another request's fetch has put the value; empty if none. Written by coalescer.
 	cachedAt EndpointID
 }
 
-// assess works out the facts of a request that is routed for the first time, and counts it.
+// initState derives the state of a request on its first Route, and counts the request.
 func (router *Router) initState(now Instant, r *Request) {
 	class, classIndex := router.settings.classOf(r)
 	priority := class.PriorityWeight * router.quotas.priorityFactor(now, r.Tenant)
@@ -37,8 +38,8 @@
 	router.popularity.record(key, priority)
 }
 
-// classOf returns the class of a request and its index. A request of an unknown class counts as of the strictest there
-// is: not idempotent, of no priority, and in time until its deadline.
+// classOf returns the class of a request and its index. An unknown class gets the strictest treatment: it is not
+// idempotent, has no priority, and its latency objective is the deadline.
 func (s *Settings) classOf(r *Request) (ServiceClass, int) {
 	if r.Class >= 0 && int(r.Class) < len(s.Classes) {
 		return s.Classes[r.Class], int(r.Class)
@@ -46,7 +47,7 @@
 	return ServiceClass{LatencyObjective: r.Deadline.Since(r.ArrivedAt)}, len(s.Classes)
 }
 
-// objectiveLeft returns the time until the latency objective is missed; under 0 once it is.
+// timeToObjective returns the time left until the request misses its latency objective; negative once it has.
 func (r *Request) timeToObjective(now Instant) time.Duration {
 	return r.state.class.LatencyObjective - now.Since(r.ArrivedAt)
 }
@@ -55,7 +56,7 @@
 
 func isCacheMiss(attempt Attempt) bool { return attempt.Result == CacheMiss }
 
-// tried reports whether the request has an attempt at an endpoint.
+// tried reports whether the request has already had an attempt at an endpoint.
 func (r *Request) tried(id EndpointID) bool {
 	return slices.ContainsFunc(r.Attempts, func(attempt Attempt) bool { return attempt.Endpoint == id })
 }
--- a/policy/router.go
+++ b/policy/router.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// tickPeriod is the time between ticks: a few service times, so that a change is seen soon.
+	// tickPeriod is the time between ticks. It spans only a few service times, so that changes are noticed early.
 	tickPeriod = 100 * time.Millisecond
-	// ticksPerDecay is the number of ticks after which what is measured is halved: once a second.
+	// ticksPerDecay is the number of ticks between decays, which halve most measurements: one decay per second.
 	ticksPerDecay = 10
 )
 
-// Router makes the routing decisions of one node. Each field is a part with its own state and rules; the parts that
-// need another's value get it as an argument. Router itself owns the tick count, and writes the facts of each Request
-// and the notifiedState of each upstream. It is not safe for concurrent use.
+// Router makes the routing decisions of one node. Each component has its own state and rules; a component that needs
+// another's value gets it as an argument or reads it. Router itself owns the tick count, and writes the state of each
+// Request and the notifiedState of each upstream. It is not safe for concurrent use.
 type Router struct {
-	settings      *Settings // shared by all parts; not written after New
+	settings      *Settings // shared by all components; not written after New
 	rng           *keyhash.Source
 	endpoints     endpointList
 	pollSchedule  pollSchedule
@@ -36,8 +36,8 @@
 	ticks         int
 }
 
-// New returns a router without endpoints, for a node that starts now. Routers with the same seed that get the same
-// calls make the same decisions.
+// New returns a router without endpoints, for a node that starts now. Routers with the same seed and the same calls
+// make the same decisions.
 func New(now Instant, seed int64, settings Settings) *Router {
 	settings.Nodes = max(1, settings.Nodes)
 	settings.MaxAttempts = max(1, settings.MaxAttempts)
@@ -64,7 +64,7 @@
 	}
 }
 
-// UpdateEndpoints takes in an update of the endpoint list, or that a poll for it failed.
+// UpdateEndpoints applies an update of the endpoint list, or records that a poll for it failed.
 func (router *Router) UpdateEndpoints(now Instant, kind UpdateKind, entries []Endpoint) {
 	if kind == PollFailed {
 		router.pollSchedule.failed(now)
@@ -76,7 +76,8 @@
 	router.endpoints.update(kind, entries)
 }
 
-// Route decides what to do with a request: when it arrives, at Decision.ReviewAt, and when Decision.Wake names it.
+// Route decides what to do with a request. Call it when the request arrives, at Decision.ReviewAt, and when a
+// Decision.Wake names the request.
 func (router *Router) Route(now Instant, r *Request) Decision {
 	if r.Finished {
 		return Decision{}
@@ -90,23 +91,25 @@
 	return router.firstOrRetry(now, r)
 }
 
-// MayStart reports whether an attempt, by its index, may still be sent whose connection took time to open: the endpoint
-// list may have changed meanwhile, or a deduplication window may have passed. The request itself stays as it is.
+// MayStart reports whether an attempt, given by its index, may still be sent after its connection took time to open:
+// meanwhile the endpoint may have left the list or a deduplication window may have expired. It does not change the
+// request.
 func (router *Router) MayStart(now Instant, r Request, attempt int) bool {
 	u := router.endpoints.byID[r.Attempts[attempt].Endpoint]
 	r.Attempts = slices.Delete(slices.Clone(r.Attempts), attempt, attempt+1)
 	return u != nil && router.mayAttempt(now, &r, u)
 }
 
-// OnAttemptDone takes in the end of an attempt, and decides what to do with its request and with those that wait. The
-// caller has closed the attempt, and set Finished if its response was the final answer.
+// OnAttemptDone records the outcome of an attempt, and decides what to do with its request and with waiting requests.
+// Before the call, the caller closes the attempt and, if its response was the final answer, sets Finished.
 func (router *Router) OnAttemptDone(now Instant, r *Request, outcome Outcome) Decision {
 	attempt := r.Attempts[outcome.Attempt]
 	wasLeader := router.coalescer.isLeader(r)
 	if u := router.endpoints.byID[attempt.Endpoint]; u != nil {
 		router.recordOutcome(now, u, r, outcome)
 	}
-	// A broken connection says nothing of the next one, so its retry is free, as after a result without any effect.
+	// A broken connection does not predict the result of the next one, so its retry is not charged, as after a result
+	// without any effect.
 	chargesRetry := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
 	if !r.Finished && chargesRetry {
 		router.extraAttempts.spendRetry()
@@ -125,21 +128,22 @@
 	return decision
 }
 
-// OnHealthCheck takes in the result of a health check, Answered if the endpoint is well.
+// OnHealthCheck records the result of a health check: Answered if the endpoint is healthy.
 func (router *Router) OnHealthCheck(now Instant, id EndpointID, result Result) {
 	if u := router.endpoints.byID[id]; u != nil {
 		router.outliers.recordHealthCheck(now, u, result)
 	}
 }
 
-// Tick does what is due at intervals. It returns when to call it next, and work for the caller to carry out.
+// Tick does the periodic work. It returns the time until the next call, and actions for the caller to carry out.
 func (router *Router) Tick(now Instant) (wait time.Duration, actions []Action) {
 	router.ticks++
 	if router.ticks%ticksPerDecay == 0 {
 		router.decay(now)
 	}
 	if !router.settings.CacheAside {
-		// The origin can't be seen behind the caches: what they lose is taken for its shortage.
+		// In read-through mode the origin is hidden behind the caches, so lost attempts are attributed to an origin
+		// shortage.
 		router.shortage.setLostShare(router.admission.lostShare(homeZone))
 	}
 	router.latency.refresh()
@@ -152,7 +156,7 @@
 	return tickPeriod, actions
 }
 
-// decay lets what each part has measured count for less.
+// decay reduces the weight of older measurements in every component.
 func (router *Router) decay(now Instant) {
 	router.admission.decay()
 	router.load.decay(now, router.endpoints.caches)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// overloadShare is the part of Settings.OverloadFactor that is used; chance needs the rest.
+	// usableOverloadShare is the fraction of Settings.OverloadFactor that slow start uses. The rest is a margin for
+	// random variation.
 	usableOverloadShare = 0.67
-	// pacedNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. Beyond it
-	// the gap grows with the nodes: at the usual rate each would have to pause for longer than the slow start lasts.
+	// gapScalingNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. Beyond
+	// it the gap grows with the number of nodes, because at the steady rate each node would have to pause for longer
+	// than slow start lasts.
 	gapScalingNodes = 160.0
-	// rateWindow is the time, in nanoseconds, that the answers counted in observedLoad.answered cover: halved
-	// every decay, they add up to two decay periods.
+	// rateWindow is the time, in nanoseconds, that the answers in observedLoad.answered cover: halved on each decay,
+	// they add up to two decay periods.
 	rateWindow = 2 * ticksPerDecay * float64(tickPeriod)
 )
 
-// slowStart limits what an endpoint gets while it warms up. The failure it guards against: a cache that has just
-// started fails under a load that it bears when warm, restarts, and fails again. Two limits hold at once: a share of
-// the keys that grows with its progress, so that all nodes send it the same keys; and a gap between attempts, so that a
-// popular key or a storm of retries can't push it over.
+// slowStart limits the load on an endpoint that is warming up. It prevents a crash loop: a cache that has just started
+// fails under a load that it handles when warm, restarts, and fails again. Two limits apply at once: a share of the
+// keys that grows with the endpoint's progress, so that all nodes send it the same keys; and a gap between attempts, so
+// that a popular key or a retry storm cannot overload it.
 type slowStart struct {
 	settings *Settings
 	rng      *keyhash.Source
-	keyShare float64 // share of the keys for each unit of progress; may exceed 1
+	keyShare float64 // share of the keys per unit of progress; may exceed 1
 	maxGap   float64 // longest gap between attempts, in nanoseconds
-	// steadyRate is how many attempts a warm cache of weight 1 answered over rateWindow.
+	// steadyRate is the number of attempts that a warm cache of weight 1 answered during rateWindow.
 	steadyRate float64
 }
 
@@ -39,14 +41,14 @@
 	}
 }
 
-// progress returns the share of its capacity that an endpoint is sure to have by now; 1 once it is warm.
+// progress returns the fraction of its capacity that an endpoint is assumed to have now; 1 once it is warm.
 func (s *slowStart) progress(now Instant, u *upstream) float64 {
 	age := max(0, float64(now.Since(u.StartedAt))) / max(1, float64(s.settings.SlowStartDuration))
 	return min(1, s.settings.SlowStartShare+(1-s.settings.SlowStartShare)*age)
 }
 
-// admits reports whether an endpoint may get an attempt for a key now. The first attempt comes after a random part of
-// the gap, or all nodes would send theirs as soon as the endpoint is listed.
+// admits reports whether an endpoint may get an attempt for a key now. The first attempt is delayed by a random part of
+// the gap; otherwise all nodes would send theirs as soon as the endpoint is listed.
 func (s *slowStart) admits(now Instant, u *upstream, key uint64) bool {
 	progress := s.progress(now, u)
 	if progress >= 1 {
@@ -59,13 +61,13 @@
 	return keyAdmitted && now >= u.nextAttemptAt
 }
 
-// paceNext sets when the next attempt may start: after a part of the gap, where 1 is the whole gap.
+// scheduleNext sets when the next attempt may start: after a fraction of the gap, where 1 is the whole gap.
 func (s *slowStart) scheduleNext(now Instant, u *upstream, part float64) {
 	gap := rateWindow / (s.keyShare * s.progress(now, u) * s.steadyRate * u.Weight)
 	u.nextAttemptAt = now.Add(time.Duration(part * min(s.maxGap, gap)))
 }
 
-// refreshRate measures the steady rate over all caches.
+// refreshRate recomputes the steady rate over all caches.
 func (s *slowStart) refreshRate(now Instant, caches []*upstream) {
 	answered := 0.0
 	capacity := 0.0
