--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -2,28 +2,29 @@
 
 import "slices"
 
-// EndpointState is how a router sees an endpoint. Observers are notified of it; no decision reads it.
+// EndpointState is the state of an endpoint as a router sees it. It is only reported to observers; no decision reads
+// it.
 type EndpointState int
 
-// The states. The first that applies is reported: the order of checks is that of Router.endpointState.
+// The endpoint states. Router.endpointState decides which one is reported if several apply.
 const (
 	StateInUse        EndpointState = iota
-	StateWarmingUp                  // it is in slow start
-	StateOverloaded                 // its queue would take half of every latency objective
-	StateFailing                    // requests of some class avoid it
-	StateUnresponsive               // it doesn't respond, or is ejected after that
-	StateUnreachable                // it takes no connection, and its slots pass their keys on
-	StateDraining                   // the endpoint list says so
+	StateWarmingUp                  // in slow start
+	StateOverloaded                 // its queue exceeds the queueing time that the longest latency objective allows
+	StateFailing                    // requests of at least one class avoid it because of errors
+	StateUnresponsive               // it does not respond, or is ejected for that
+	StateUnreachable                // it accepts no connections; its slots pass their keys to their neighbours
+	StateDraining                   // it is draining according to the endpoint list
 )
 
-// String returns the name of the state in the event log, which operators read.
+// String returns the name of the state in the event log. Operators read these names, so they must not change.
 func (s EndpointState) String() string {
 	return [...]string{"in use", "warming", "crowded", "erring", "quiet", "refusing", "drains"}[s]
 }
 
-// EndpointStates calls observe for each cache whose state has changed since observe was last called for it.
+// EndpointStates calls observe for each cache whose state has changed since the last call of observe for it.
 func (router *Router) EndpointStates(now Instant, observe func(EndpointID, EndpointState)) {
-	queueCost := router.latency.queueCost() // once for all caches: this runs ten times a second over thousands
+	queueCost := router.latency.queueCost() // once for all caches: this runs ten times a second over thousands of them
 	maxQueueing := float64(queueCost.maxQueueingTime(router.settings.longestObjective()))
 	for _, u := range router.endpoints.caches {
 		state := router.endpointState(now, u, queueCost, maxQueueing)
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// tokensPerRequest is what each request adds to the budget: the slowest twentieth of attempts can be hedged.
+	// tokensPerRequest is what each request adds to the budget. It is enough to hedge the slowest 5% of attempts.
 	tokensPerRequest = 0.05
-	// maxTokens bounds the budget; it covers the requests in flight at one cache that stops responding.
+	// maxTokens is the maximum of the budget. It covers the requests in flight at one cache that stops responding.
 	maxTokens = 10
-	// minTokens is how far retries may overdraw the budget.
+	// minTokens is the lowest balance to which retries may overdraw the budget.
 	minTokens = -1
 )
 
-// extraAttemptBudget bounds the attempts beyond the first of each request: hedges and retries. The failure it guards
-// against: when most attempts fail or are slow, retries and hedges multiply the load that makes them so.
+// extraAttemptBudget limits hedges and retries, the attempts beyond the first of each request. Without it, retries and
+// hedges would multiply the load when most attempts fail or are slow because of load.
 type extraAttemptBudget struct {
-	tokens float64 // attempts; under 0 after retries
+	tokens float64 // number of attempts; negative if retries overdrew the budget
 }
 
-// recordRequest adds the share of a request.
+// recordRequest adds the tokens of one request.
 func (b *extraAttemptBudget) recordRequest() {
 	b.tokens = min(maxTokens, b.tokens+tokensPerRequest)
 }
 
-// allowsHedge reports whether there is a token for a whole attempt.
+// allowsHedge reports whether the budget covers a whole attempt.
 func (b *extraAttemptBudget) allowsHedge() bool {
 	return b.tokens >= 1
 }
 
-// allowsRetry reports whether the budget isn't overdrawn.
+// allowsRetry reports whether the budget is not overdrawn.
 func (b *extraAttemptBudget) allowsRetry() bool {
 	return b.tokens >= 0
 }
 
-// spendHedge charges a hedge.
 func (b *extraAttemptBudget) spendHedge() {
 	b.tokens--
 }
 
-// spendRetry charges an attempt that failed and whose retry may fail in the same way.
+// spendRetry charges a failed attempt whose retry may fail in the same way.
 func (b *extraAttemptBudget) spendRetry() {
 	b.tokens = max(minTokens, b.tokens-1)
 }
 
-// hedgeOrCancel decides on a request with an attempt in flight, by its index: a hedge beside it, or to cancel it if it
-// counts as lost, or to review it later. Only reads that may be repeated get either. It cancels only where hedging is
-// off or the attempt is at the origin: elsewhere a lost attempt stays in flight, also when no hedge is possible.
+// hedgeOrCancel decides on a request with an attempt in flight, given by its index: to hedge it, to cancel it if it
+// counts as lost, or to review it later. Only reads that may be repeated are hedged or cancelled. It cancels only where
+// hedging is off or the attempt is at the origin: elsewhere a lost attempt stays in flight even if no hedge is
+// possible.
 func (router *Router) hedgeOrCancel(now Instant, r *Request, attemptIndex int) Decision {
 	if r.Write || r.state.class.Idempotency == NotIdempotent {
 		return Decision{}
@@ -70,7 +70,8 @@
 	return review
 }
 
-// hedgeEndpoint returns the endpoint for a hedge beside an attempt; nil if none is worth it or possible now.
+// hedgeEndpoint returns the endpoint for a hedge of an attempt; nil if a hedge is not worth its cost or not possible
+// now.
 func (router *Router) hedgeEndpoint(now Instant, r *Request, attempt Attempt, lost bool) *upstream {
 	if !router.shouldHedge(now, r, attempt, lost) {
 		return nil
@@ -82,14 +83,15 @@
 	return selected
 }
 
-// shouldCancel decides whether an attempt is cancelled so that a retry can follow: if it counts as lost and there is
-// time for another one.
+// shouldCancel reports whether to cancel an attempt so that a retry can follow: it counts as lost and there is time for
+// another attempt.
 func (router *Router) shouldCancel(now Instant, r *Request, lost bool) bool {
 	return router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slowThreshold
 }
 
-// shouldHedge decides whether a hedge is worth its cost: the attempt is lost, or the chance that it is late exceeds the
-// cost of a wasted one. It does so less often the shorter the origin is, as a hedge may miss.
+// shouldHedge reports whether a hedge is worth its cost: the attempt is lost, or the probability that it is late
+// exceeds the cost of a wasted one. Since a hedge may miss and load the origin, it is less likely the larger the
+// shortage is.
 func (router *Router) shouldHedge(now Instant, r *Request, attempt Attempt, lost bool) bool {
 	if !router.extraAttempts.allowsHedge() || router.rng.Float64() < router.shortage.share {
 		return false
@@ -97,15 +99,15 @@
 	return lost || router.duplicatePaysOff(now.Since(attempt.SentAt), r.state.class.LatencyObjective)
 }
 
-// copyPaysOff reports whether the chance that an attempt which has been in flight for elapsed is late exceeds the cost
-// of a wasted copy of it.
+// duplicatePaysOff reports whether the probability that an attempt in flight for elapsed is late is at least the cost
+// of a wasted duplicate.
 func (router *Router) duplicatePaysOff(elapsed, objective time.Duration) bool {
 	return router.settings.WasteCost <= router.latency.lateProbability(elapsed, objective)
 }
 
-// lost reports whether an attempt in flight is taken to be lost: its endpoint has left the list or is unresponsive. At
-// the origin, where one slow request says nothing of others, it is by the time it takes; since another attempt
-// there follows, the hedge budget must allow it.
+// isLost reports whether an attempt in flight counts as lost: its endpoint has left the list or is unresponsive. At the
+// origin one slow request does not predict the others, so there an attempt is lost if it takes too long. Since another
+// attempt follows there, the hedge budget must allow it.
 func (router *Router) isLost(now Instant, r *Request, attempt Attempt) bool {
 	u := router.endpoints.byID[attempt.Endpoint]
 	if u == nil {
@@ -118,7 +120,7 @@
 	return router.extraAttempts.allowsHedge() && now.Since(attempt.SentAt) > lostAfter
 }
 
-// cancelRemaining returns the attempts of a finished request that are still in flight.
+// cancelRemaining returns the indices of the attempts in flight of a finished request.
 func (router *Router) cancelRemaining(r *Request) []int {
 	if !r.Finished || !router.settings.CancelAllowed || !slices.ContainsFunc(r.Attempts, isInFlight) {
 		return nil
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,55 +7,59 @@
 )
 
 const (
-	// maxEjection is the longest ejection of an unresponsive endpoint: it bounds how late a recovery is noticed.
+	// maxEjection is the longest ejection of an unresponsive endpoint. It bounds the delay until a recovery is noticed.
 	maxEjection = 4 * time.Second
-	// maxEjectionDoublings keeps the shift below from overflowing; maxEjection is reached before.
+	// maxEjectionDoublings prevents an overflow of the shift in recordFailure; maxEjection is reached before.
 	maxEjectionDoublings = 6
-	// failuresToEject is the number of failures in a row that eject an endpoint: a single one is often chance.
+	// failuresToEject is the number of consecutive failures that eject an endpoint: a single one is often coincidence.
 	failuresToEject = 2
-	// maxErrorScore is the error score of a class from which its requests avoid an endpoint.
+	// maxErrorScore is the error score of a class from which requests of the class avoid an endpoint.
 	maxErrorScore = 4
-	// scorePerError makes two errors reach maxErrorScore.
+	// scorePerError is the score of an error: two errors reach maxErrorScore.
 	scorePerError = 2
-	// scorePerBrokenConn makes four broken connections reach maxErrorScore: a connection broken under its attempt says
-	// nothing of the next one, and an endpoint that has gone refuses that anyway.
+	// scorePerBrokenConn is the score of a broken connection: four reach maxErrorScore. A connection that breaks during
+	// an attempt does not predict the next one, and an endpoint that is gone refuses connections anyway.
 	scorePerBrokenConn = 1
-	// outlierStep is the part of the remaining way to 1 by which an error raises the outlier score.
+	// outlierStep is the fraction of the distance to 1 by which an error raises the outlier score.
 	outlierStep = 0.5
-	// outlierRetention is what a second, or an attempt that doesn't err, leaves of the outlier score; a second does
-	// the same to the wasted share. Neither may stay: an endpoint that is avoided has no attempts to disprove them.
+	// outlierRetention is the fraction of the outlier score that remains after a second or after an attempt. The wasted
+	// share is also multiplied by it each second. Both must decay over time: an endpoint that is avoided gets no
+	// attempts that could correct them.
 	outlierRetention = 0.9
-	// wastedWindow is the number of attempts over which the wasted share is taken: a node meets one of many
-	// endpoints too seldom for more.
+	// wastedWindow is the number of attempts over which the wasted share is smoothed. A larger window would not fill: a
+	// node rarely sends to any one of many endpoints.
 	wastedWindow = 4.0
-	// zoneFailuresToCut is the number of failed connects in a row to a zone after which it counts as cut off.
+	// zoneFailuresToUnreachable is the number of consecutive failed connects to a zone after which it counts as
+	// unreachable.
 	zoneFailuresToUnreachable = 3
-	// cutZoneTrialEvery makes one in so many attempts go to a zone that is cut off, to see whether it is back.
+	// unreachableZoneProbeInterval is the mean number of candidate attempts per attempt that is let through to an
+	// unreachable zone, to detect a recovery.
 	unreachableZoneProbeInterval = 10.0
 )
 
-// observedHealth is what is known of the health of one endpoint.
+// observedHealth is what the router knows about the health of one endpoint.
 type observedHealth struct {
-	awaitingSince   Instant // start of the first attempt in flight, or the last response if that was later
-	respondedAt     Instant // when it last responded
-	failures        int     // attempts and health checks in a row without a response
-	connectFailures int     // failed connects since it last responded
-	ejectedUntil    Instant // it gets no attempts before
-	errorScores     []uint8 // by class, the last one for unknown classes; halved by answers and by each second
-	outlierScore    float64 // 0 to 1: how far it is believed to err, by requests of any class
-	wastedShare     float64 // 0 to 1: share of the last few attempts that it rejected, answered late or lost
-	// lastInTimeSentAt is when the latest attempt started that was answered in time.
+	awaitingSince   Instant // start of the first attempt in flight, or the last response if later
+	respondedAt     Instant // time of the last response
+	failures        int     // consecutive attempts and health checks without a response
+	connectFailures int     // failed connects since the last response
+	ejectedUntil    Instant // no attempts are sent before this time
+	errorScores     []uint8 // by class, the last one for unknown classes; halved by each answer and each second
+	outlierScore    float64 // 0 to 1; raised by errors on requests of any class
+	wastedShare     float64 // 0 to 1; fraction of recent attempts that were rejected, answered late or lost
+	// lastInTimeSentAt is the latest start of an attempt that was answered in time.
 	lastInTimeSentAt Instant
 }
 
-// outlierDetector decides which endpoints to avoid for their faults: by failures in a row (no response, or no
-// connection), by errors of a class, and zone by zone where no connection can be opened.
+// outlierDetector decides which endpoints to avoid because of faults: by consecutive failures (no response, or no
+// connection), by errors per class, and per zone where no connection can be opened.
 type outlierDetector struct {
 	settings *Settings
 	rng      *keyhash.Source
-	latency  *latencyTracker // read for patience
-	// zoneConnectFailures counts the failed connects to each zone since one of its endpoints last responded. A cut
-	// between zones shows at hundreds of endpoints that each are met seldom, so what one shows counts for all.
+	latency  *latencyTracker // read for responseTimeout
+	// zoneConnectFailures counts the failed connects to each zone since one of its endpoints last responded. A
+	// partition between zones affects hundreds of endpoints that each get few attempts, so a failure at one counts for
+	// the whole zone.
 	zoneConnectFailures map[ZoneID]int
 }
 
@@ -68,13 +72,14 @@
 	}
 }
 
-// unreachable reports whether an endpoint takes no connections.
+// unreachable reports whether an endpoint accepts no connections.
 func (h *observedHealth) unreachable(now Instant) bool {
 	return h.connectFailures >= failuresToEject && now < h.ejectedUntil
 }
 
-// unresponsive reports whether an endpoint is ejected, or an attempt there has had no response for longer than
-// patience. After an ejection a single attempt may show that it is back, or a health check if there are any.
+// unresponsive reports whether an endpoint is ejected, or has not responded to an attempt for longer than
+// responseTimeout. After an ejection, a single attempt, or a health check where those are allowed, tests whether the
+// endpoint has recovered.
 func (d *outlierDetector) unresponsive(now Instant, u *upstream) bool {
 	if now < u.health.ejectedUntil {
 		return true
@@ -86,8 +91,8 @@
 	return hasInFlight && now.Since(u.health.awaitingSince) > d.latency.responseTimeout
 }
 
-// recordFailure counts an attempt or health check without a response, and ejects the endpoint after the second. Each
-// further failure doubles the ejection.
+// recordFailure counts an attempt or health check without a response, and ejects the endpoint from the second
+// consecutive one. Each further failure doubles the ejection time.
 func (d *outlierDetector) recordFailure(now Instant, u *upstream, result Result) {
 	u.health.failures++
 	if result == ConnectFailed {
@@ -102,8 +107,8 @@
 	u.health.ejectedUntil = now.Add(min(maxEjection, ejection))
 }
 
-// recordHealthCheck takes in the result of a health check. A good one ends the ejection, but one more failure renews
-// it.
+// recordHealthCheck records the result of a health check. A successful one ends the ejection, but a single further
+// failure renews it.
 func (d *outlierDetector) recordHealthCheck(now Instant, u *upstream, result Result) {
 	if result != Answered {
 		d.recordFailure(now, u, result)
@@ -114,14 +119,14 @@
 	u.health.ejectedUntil = 0
 }
 
-// started records the start of an attempt; called before it counts as in flight.
+// recordStart records the start of an attempt. Call it before the attempt counts as in flight.
 func (d *outlierDetector) recordStart(now Instant, u *upstream) {
 	if u.load.inFlight == 0 {
 		u.health.awaitingSince = now
 	}
 }
 
-// recordErrors updates the scores of errors by the result of an attempt.
+// recordErrors updates the error scores and the outlier score from the result of an attempt.
 func (d *outlierDetector) recordErrors(u *upstream, classIndex int, result Result) {
 	u.health.outlierScore *= outlierRetention
 	score := &u.health.errorScores[classIndex]
@@ -136,9 +141,9 @@
 	}
 }
 
-// recordResponse updates the failures in a row by the result of an attempt. Silence is a failure only if it outlasted
-// patience, and if the endpoint hasn't responded to anything else meanwhile: attempts that end after a few milliseconds
-// since their requests have no more time left say nothing of the endpoint.
+// recordResponse updates the consecutive failures from the result of an attempt. A missing response is a failure only
+// if it lasted longer than responseTimeout and the endpoint has not responded to anything else meanwhile: attempts that
+// end after a few milliseconds because their requests have no time left are no evidence against the endpoint.
 func (d *outlierDetector) recordResponse(now Instant, u *upstream, ended endedAttempt) {
 	if ended.inTime {
 		u.health.lastInTimeSentAt = max(u.health.lastInTimeSentAt, ended.SentAt)
@@ -160,19 +165,19 @@
 	}
 }
 
-// recordUsefulness moves the wasted share towards that of one more attempt, which was useful by a share of 0 to 1.
+// recordUsefulness updates the wasted share with an attempt whose usefulness is given from 0 to 1.
 func (d *outlierDetector) recordUsefulness(u *upstream, useful float64) {
 	u.health.wastedShare += (1 - useful - u.health.wastedShare) / wastedWindow
 }
 
-// reachesZone reports whether an attempt may go to an endpoint's zone: while that is cut off, by chance only. By
-// ejections alone, each endpoint of the zone would have to fail before it is avoided.
+// allowsZone reports whether an attempt may go to an endpoint's zone. While the zone is unreachable, this is decided at
+// random. With ejections alone, each endpoint of the zone would have to fail before it is avoided.
 func (d *outlierDetector) allowsZone(u *upstream) bool {
 	return u.Zone == d.settings.Zone || d.zoneConnectFailures[u.Zone] < zoneFailuresToUnreachable ||
 		d.rng.Float64()*unreachableZoneProbeInterval < 1
 }
 
-// decay fades what was learned of caches, once a second.
+// decay reduces the weight of what was learned about caches, once a second.
 func (d *outlierDetector) decay(caches []*upstream) {
 	for _, u := range caches {
 		u.health.outlierScore *= outlierRetention
@@ -183,8 +188,8 @@
 	}
 }
 
-// dueHealthChecks returns the health checks that are due: of endpoints whose ejection is over. The next one of the same
-// endpoint follows after patience: ejectedUntil is moved on by that, so the endpoint stays ejected meanwhile.
+// dueHealthChecks returns the health checks that are due, for endpoints whose ejection is over. It extends the ejection
+// by responseTimeout, so that the endpoint stays ejected until the next check.
 func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) []Action {
 	if !d.settings.HealthChecksAllowed {
 		return nil
--- a/policy/popularity.go
+++ b/policy/popularity.go
@@ -3,16 +3,18 @@
 import "maps"
 
 const (
-	// hotRequests is the number of requests for a key from which it may have more replicas: two may be chance.
+	// hotKeyRequests is the number of requests for a key from which it may have more replicas: two may be coincidence.
 	hotKeyRequests = 3.0
-	// minTrackedKeys is the number of keys under which demand isn't halved: too little is known to see which are hot.
+	// minKeysToDecay is the number of keys up to which demand does not decay: there is too little data to tell which
+	// keys are hot.
 	minKeysToDecay = 50
-	// forgottenRequests is the number of requests under which a key is forgotten.
+	// minTrackedRequests is the number of requests below which a key is dropped.
 	minTrackedRequests = 0.5
 )
 
-// popularity measures the demand for keys: the priority weights of the requests for them, halved each second. Demand
-// times the square of the mean shed preference, which is one by the root of the priority, is a number of requests.
+// popularity measures the demand for keys: the sum of the priority weights of the requests for a key, halved each
+// second. The shed preference is the inverse square root of the priority, so demand times the square of the mean shed
+// preference approximates a number of requests.
 type popularity struct {
 	demand map[uint64]float64 // by key hash
 	total  float64            // over all keys
@@ -24,13 +26,14 @@
 	p.total += priority
 }
 
-// of returns the demand for a key.
+// demandFor returns the demand for a key.
 func (p *popularity) demandFor(key uint64) float64 {
 	return p.demand[key]
 }
 
-// replicas returns how many replicas reads of a key may use. A key that is asked for more than three caches' even share
-// gets as many as its share of the demand amounts to, or its caches would be full while others have capacity.
+// replicaLimit returns how many replicas the reads of a key may use. A key with more demand than the even share of
+// three caches gets as many replicas as its share of the demand amounts to; otherwise its caches would be full while
+// others have capacity.
 func (p *popularity) replicaLimit(key uint64, meanPreference float64, caches int) int {
 	demand := p.demand[key]
 	if demand*meanPreference*meanPreference < hotKeyRequests {
@@ -40,7 +43,7 @@
 	return max(replicaCount, min(segmentCount, evenShares))
 }
 
-// decay halves the demand and forgets keys that are hardly asked for.
+// decay halves the demand and drops keys that are rarely requested.
 func (p *popularity) decay(meanPreference float64) {
 	if len(p.demand) <= minKeysToDecay {
 		return
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// quotaBurst is the time for which a tenant may save up unused quota.
+// quotaBurst is the time over which a tenant may accumulate unused quota.
 const quotaBurst = time.Second
 
-// tenantQuotas determines which requests are over their tenant's quota. Those aren't rejected for it, but have a lower
-// priority. Each node assumes that it gets an even part of the traffic.
+// tenantQuotas determines which requests are over their tenant's quota. Such requests are not rejected, but have a
+// lower priority. Each node assumes that it receives an even share of the traffic.
 type tenantQuotas struct {
 	settings *Settings
-	usedTo   []Instant // by tenant: up to when its quota is used
+	usedTo   []Instant // by tenant: time up to which its quota is used
 }
 
-// priorityFactor counts a request and returns the factor on its priority weight: 1 within its tenant's quota.
+// priorityFactor counts a request and returns the factor to apply to its priority weight: 1 within its tenant's quota.
 func (q *tenantQuotas) priorityFactor(now Instant, tenant TenantID) float64 {
 	if tenant < 0 || int(tenant) >= len(q.usedTo) || q.settings.Tenants[tenant].QuotaPerSecond <= 0 {
 		return 1
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -7,12 +7,12 @@
 	"dahliapin/internal/keyhash"
 )
 
-// replicaCount is how many replicas a key has unless it is hot: the design's r.
+// replicaCount is the number of replicas of a key unless it is hot (r in docs/design.md).
 const replicaCount = 3
 
-// replicas returns the caches that hold a request's key and can take it now, in the order of their rank for the key. A
-// cache yields to the next ranked location if it drains, doesn't respond, errs on this class (it fails fast and so
-// looks idle), isn't reachable from this zone, or isn't warm enough for the key.
+// replicas returns the caches that hold a request's key and can take it now, by their rank for the key. The next ranked
+// location replaces a cache that drains, does not respond, returns errors for this class (it fails fast and so looks
+// idle), is not reachable from this zone, or is not warm enough for the key.
 func (router *Router) replicas(now Instant, r *Request, scope placementScope) []*upstream {
 	count := replicaCount
 	if !r.Write {
@@ -35,8 +35,8 @@
 	return replicas
 }
 
-// canTake reports whether a cache at a location of a request's key can take the request. Slow start and the zone's
-// reachability draw by chance, in this order.
+// canTake reports whether a cache at a location of a request's key can take the request. Slow start and the check of
+// the zone draw random numbers, in this order.
 func (router *Router) canTake(now Instant, r *Request, u *upstream) bool {
 	return router.mayAttempt(now, r, u) &&
 		router.slowStart.admits(now, u, r.state.key) &&
@@ -45,7 +45,7 @@
 		u.health.errorScores[r.state.classIndex] < maxErrorScore
 }
 
-// rankSegments returns the segments in the order in which they hold a key.
+// rankSegments returns the segments by their rank for a key.
 func rankSegments(key uint64) [segmentCount]int {
 	var order [segmentCount]int
 	for segment := range order {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	// attemptTimeDivisor says which part of the slow latency must be left for an attempt to be worth its start: few
-	// attempts are answered within an eighth.
+	// minAttemptTimeDivisor defines the least time for an attempt, as a fraction of the slow threshold: few attempts
+	// are answered within an eighth of it.
 	minAttemptTimeDivisor = 8
-	// lastAttemptCaution multiplies the origin's shortage level for reads whose last attempt goes there. At a quarter
-	// of the full level none does: a cache that is full is no reason to load an origin that is short.
+	// lastAttemptShortageFactor multiplies the origin's shortage level for reads whose last attempt would go there, so
+	// that none does from a quarter of the full level: a full cache does not justify loading an origin that is short of
+	// capacity.
 	lastAttemptShortageFactor = 4.0
 )
 
-// firstOrRetry decides on a request that has no attempt in flight: the first attempt, a retry, the origin, to wait, or
-// to give up.
+// firstOrRetry decides on a request that has no attempt in flight: to send its first attempt or a retry to a cache or
+// to the origin, to let it wait, or to reject or fail it.
 func (router *Router) firstOrRetry(now Instant, r *Request) Decision {
 	if !router.hasAttemptBudget(now, r) {
 		return router.rejectOrFail(r)
@@ -25,8 +26,8 @@
 	return router.sendToReplica(now, r, shortageLevel)
 }
 
-// worthAnAttempt reports whether a request still has an attempt, the time for it and, after one that may have run, a
-// retry in the budget.
+// hasAttemptBudget reports whether a request has an attempt left, enough time for it and, if it is a retry of an
+// attempt that may have run, a budget that allows it.
 func (router *Router) hasAttemptBudget(now Instant, r *Request) bool {
 	if len(r.Attempts) >= router.settings.MaxAttempts {
 		return false
@@ -38,9 +39,9 @@
 	return !retry || lastResult.NotExecuted() || router.extraAttempts.allowsRetry()
 }
 
-// lastAttemptAtOrigin decides whether a read whose last attempt is left, after one that a full cache rejected, goes to
-// the origin: another replica may be full too, or lack the value. It does so only while the origin has capacity and is
-// next to never late. The draw comes before the cheaper conditions; recorded decisions depend on the order of draws.
+// lastAttemptAtOrigin reports whether a read that has one attempt left after a full cache rejected it goes to the
+// origin: another replica may be full too, or lack the value. This requires that the origin has capacity and is almost
+// never late. The random draw precedes the cheaper conditions because recorded decisions depend on the order of draws.
 func (router *Router) lastAttemptAtOrigin(now Instant, r *Request, shortageLevel float64) bool {
 	origin := router.endpoints.origin
 	if origin == nil || router.origin.available(now, origin) <= 0 {
@@ -54,9 +55,9 @@
 		r.state.class.Idempotency == Idempotent
 }
 
-// giveUp answers a request without an attempt: with a rejection where a retry by the client is sure to do no harm, else
-// with a failure. Every rejection and failure of package policy is decided by a call of this function. A node also
-// rejects in degradation.Filter.Admit and proxy.acceptRequest.
+// rejectOrFail answers a request without an attempt: with a rejection if the client can safely retry it, otherwise with
+// a failure. Every rejection and failure of package policy is decided by a call of this function. A node also rejects
+// in degradation.Filter.Admit and proxy.acceptRequest.
 func (router *Router) rejectOrFail(r *Request) Decision {
 	class := &r.state.class
 	repeatable := class.Idempotency == Idempotent ||
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	// affinityAttempts is how many attempts more an earlier replica may have in flight than the next one while the
+	// affinityAttempts is how many more attempts an earlier replica may have in flight than the next one while the
 	// origin is short: a fetch costs more than a short queue.
 	affinityAttempts = 4.0
-	// crossZoneAttempts is how many attempts in flight a full cross-zone cost weighs: a crossing is certain, and a
-	// queue may move.
+	// crossZoneAttempts is the number of attempts in flight that a cross-zone cost of 1 is worth. It is high because
+	// the cost of crossing is certain, whereas a queue may shrink.
 	crossZoneAttempts = 48
-	// tieBreak scales what decides between equal loads, in attempts: far below a real difference.
+	// tieBreakScale scales the tie-break costs, in attempts: far below any real difference of load.
 	tieBreakScale = 1e-3
-	// rankTie is what each rank weighs between equal loads, where chance weighs 1 on the mean. For this and the next
-	// three see docs/design.md, "Load and ties".
+	// rankTieCost is the tie-break cost of each rank, where the random part has a mean of 1. For this and the next
+	// three constants see docs/design.md, "Load and ties".
 	rankTieCost = 0.5
-	// wastedTie is what a wasted share of 1 weighs there: more than all ranks.
+	// wastedTieCost is the tie-break cost of a wasted share of 1: more than that of all ranks.
 	wastedTieCost = 8.0
-	// outlierTie is what an outlier score of 1 weighs, times wastedTie.
+	// outlierTieFactor is the tie-break cost of an outlier score of 1, as a multiple of wastedTieCost.
 	outlierTieFactor = 2
-	// connectTie is what a new connection weighs there: less than half of the attempts wasted.
+	// connectTieCost is the tie-break cost of a new connection: less than that of half of the attempts wasted.
 	connectTieCost = 2.0
-	// idleMargin is the time before the idle timeout from which a connection counts as closed.
+	// idleMargin is the time before the idle timeout from which a connection is assumed to be closed.
 	idleMargin = time.Second
-	// maxEarlySaturation is how many times sooner a queue counts as full for requests that are readily shed.
+	// maxEarlySaturation is the largest factor by which a queue counts as full sooner for requests with a high shed
+	// preference.
 	maxEarlySaturation = 2.0
 )
 
 // selection is the result of selectEndpoint.
 type selection struct {
 	endpoint *upstream   // nil if no replica can take the request
-	replicas []*upstream // among which it was selected
-	// saturated means that replicas were passed over only since their queues are too long.
+	replicas []*upstream // candidates for the selection
+	// saturated is set if no replica was selected and at least one was passed over because of its queue.
 	saturated bool
 }
 
-// selectEndpoint selects the least loaded replica of a request's key in a scope. Where none at home can take it, it
-// selects one of another zone.
+// selectEndpoint selects the least loaded replica of a request's key in a scope. If none in the home zone can take the
+// request, it selects one in another zone.
 func (router *Router) selectEndpoint(now Instant, r *Request, scope placementScope) selection {
 	selected := router.leastLoaded(now, r, router.replicas(now, r, scope))
 	if selected.endpoint == nil && router.endpoints.zoneLocal && scope != otherZones {
@@ -49,13 +50,13 @@
 	return selected
 }
 
-// leastLoaded selects the least loaded of the replicas that weren't tried and whose queue leaves time enough. While the
-// origin is short, earlier replicas may have some attempts more: by chance, since a fixed preference would decide
-// between all equal loads.
+// leastLoaded selects the least loaded replica that was not tried yet and whose queue leaves enough time. While the
+// origin is short, earlier replicas may have a few more attempts in flight. The margin is random, since a fixed one
+// would always decide between equal loads.
 func (router *Router) leastLoaded(now Instant, r *Request, replicas []*upstream) selection {
 	perRank := max(0, affinityAttempts*router.shortage.affinity()-router.rng.Float64())
 	perRankTie := rankTieCost
-	if len(replicas) > replicaCount { // a hot key is meant to spread over all of them
+	if len(replicas) > replicaCount { // the reads of a hot key are spread over all of its replicas
 		perRank = 0
 		perRankTie = 0
 	}
@@ -69,7 +70,7 @@
 	leastCost := math.Inf(1)
 	for rank, u := range replicas {
 		load := router.load.estimate(now, u)
-		// The tie draws by chance for each replica, also for those that are passed over below.
+		// tieBreakCost draws a random number for each replica, including those that are passed over below.
 		cost := load + perRank*float64(rank) + router.tieBreakCost(now, u, perRankTie*float64(rank))
 		if u.Zone != router.settings.Zone {
 			cost += crossZoneAttempts * router.settings.CrossZoneCost
@@ -87,8 +88,9 @@
 	return selected
 }
 
-// tie returns a small cost that decides between equal loads, as most loads are 0 at a node that sees few of a fleet's
-// requests: by chance, rank, faults and open connections, in proportion to the endpoint's weight.
+// tieBreakCost returns a small cost that decides between equal loads, which are common because most loads are 0 at a
+// node that sees few of a fleet's requests. It depends on rank, faults, a random draw and whether a connection is open,
+// and is divided by the endpoint's weight.
 func (router *Router) tieBreakCost(now Instant, u *upstream, rank float64) float64 {
 	faults := wastedTieCost * (u.health.wastedShare + outlierTieFactor*u.health.outlierScore)
 	cost := rank + faults - math.Log(1-router.rng.Float64())
--- a/policy/shortage.go
+++ b/policy/shortage.go
@@ -1,22 +1,23 @@
 package policy
 
 const (
-	// shortageWindow is the number of fetches over which the shortage is taken.
+	// shortageWindow is the number of fetches over which the shortage is smoothed.
 	shortageWindow = 50
-	// missWindow is the number of requests over which the cost of misses is taken.
+	// missWindow is the number of requests over which the cost of misses is smoothed.
 	missWindow = 50
-	// missCostWeight is what a miss counts for, times the cost of a crossing.
+	// missCostWeight is the weight of a miss, as a multiple of the cross-zone cost.
 	missCostWeight = 20.0
 )
 
-// shortage measures how far the origin falls short of what is asked of it. It decides nothing: replica selection,
-// hedging and zones give up some freedom in proportion to it, so that fewer requests reach the origin.
+// shortage measures how far the origin's capacity falls short of demand. It makes no decision itself: replica
+// selection, hedging and zone-local placement are restricted in proportion to it, so that fewer requests reach the
+// origin.
 type shortage struct {
 	settings *Settings
-	// share is the share of requests bound for the origin that found no capacity there. In read-through mode, where
-	// the origin isn't seen, it is the share of attempts that are lost.
+	// share is the fraction of requests bound for the origin that found no capacity there. In read-through mode, where
+	// the origin is hidden behind the caches, it is the fraction of attempts that are lost.
 	share float64
-	// missCost is the share of requests that miss, times what a miss costs where it crosses zones.
+	// missCost is the fraction of requests that miss, times the weighted cross-zone cost of a miss.
 	missCost float64
 }
 
@@ -28,12 +29,12 @@
 	}
 }
 
-// setLostShare sets the share in read-through mode.
+// setLostShare sets the share, in read-through mode.
 func (s *shortage) setLostShare(lost float64) {
 	s.share = lost
 }
 
-// recordRequest counts a request.
+// recordRequest counts a request for the cost of misses.
 func (s *shortage) recordRequest() {
 	s.missCost -= s.missCost / missWindow
 }
@@ -43,8 +44,8 @@
 	s.missCost += missCostWeight * s.settings.CrossZoneCost / missWindow
 }
 
-// affinity returns how far reads should stay with the earlier replicas of their key, 0 to 1: each replica that takes a
-// key fetches it once from the origin.
+// affinity returns how strongly reads should prefer the earlier replicas of their key, 0 to 1: each additional replica
+// of a key fetches it once from the origin.
 func (s *shortage) affinity() float64 {
 	return max(s.share, min(1, s.missCost))
 }
