--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A few caches that err, or have gone, made each node shed most of its requests, long after they were well.
+// Guards against shedding because of faulty caches: a few caches that returned errors, or were gone, made each node
+// shed most of its requests, long after those caches had recovered.
 func TestErrorsAndFailedConnectsDoNotShedRequests(t *testing.T) {
 	for name, result := range map[string]Result{"errors": Errored, "failed connects": ConnectFailed} {
 		t.Run(name, func(t *testing.T) {
@@ -13,7 +14,7 @@
 			for i := range 400 {
 				r, decision := h.arrive(distinctKey(i), readClass, false)
 				if len(decision.SendTo) == 0 {
-					t.Fatalf("request %d is rejected, as one in eight before it ended so", i)
+					t.Fatalf("request %d was rejected although only one in eight attempts failed", i)
 				}
 				if i%8 == 0 {
 					h.end(r, 0, result)
@@ -27,8 +28,9 @@
 	}
 }
 
-// The shed preference must not change how much is admitted in all, however low some priorities are, or all requests are
-// shed for good. And all classes keep a chance, or the end of a collapse would go unnoticed.
+// The shed preference must not change the total that is admitted, however low some priorities are, or all requests
+// would be shed permanently. Each class must still be admitted at times, or the end of a congestion collapse would go
+// unnoticed.
 func TestSheddingAdmitsTheUsefulLoad(t *testing.T) {
 	for _, useful := range []float64{36, 5} {
 		want := int(0.9 * 4000 * (maxOfferedPerUseful*useful/100 + minAdmittedShare))
@@ -45,43 +47,43 @@
 		}
 		total := admitted[0] + admitted[1]
 		if total < want || total > 3*want || admitted[0] == 0 || admitted[1] == 0 {
-			t.Errorf("%v of 4000 were admitted where %v of 100 are useful", admitted, useful)
+			t.Errorf("%v of 4000 requests were admitted while %v of 100 attempts are useful", admitted, useful)
 		}
 	}
 }
 
-// A node that sees a request now and then must notice a collapse as soon as one that sees hundreds.
+// A node with a low request rate must detect a congestion collapse after as few requests as a node with hundreds.
 func TestSheddingStartsAtLowRequestRates(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet(45, false))
 	h.drive(60, 250*ms, distinctKey, always(TimedOut))
 	if _, admitted := h.drive(60, 250*ms, distinctKey, always(TimedOut)); admitted == 0 || admitted > 20 {
-		t.Errorf("%d of 60 were admitted while all was lost", admitted)
+		t.Errorf("%d of 60 requests were admitted while all attempts were lost, want 1 to 20", admitted)
 	}
 }
 
-// A time-out that a later attempt at the same cache has overtaken has nothing to do with its queue. A fleet that was
-// next to idle shed half of its requests, as one answer in five got lost. A time-out behind which nothing is answered
-// must count as ever.
+// A time-out does not depend on the cache's queue if a later attempt at the same cache was answered. Counting such
+// time-outs made an almost idle fleet shed half of its requests when one answer in five was lost. A time-out must still
+// count in full if no later attempt is answered.
 func TestOvertakenTimeoutsDoNotShedRequests(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		overtaken     bool
 		atLeast, most int // admitted of the last 400
 	}{
-		{name: "answers lost on the way", overtaken: true, atLeast: 390, most: 400},
-		{name: "queues too long for any answer in time", overtaken: false, atLeast: 10, most: 150},
+		{name: "answers lost in transit", overtaken: true, atLeast: 390, most: 400},
+		{name: "no answers until the deadline of the lost one", overtaken: false, atLeast: 10, most: 150},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			admitted := admittedWithLostAnswers(t, c.overtaken)
 			if admitted < c.atLeast || admitted > c.most {
-				t.Errorf("%d of 400 were admitted, want %d to %d", admitted, c.atLeast, c.most)
+				t.Errorf("%d of 400 requests were admitted, want %d to %d", admitted, c.atLeast, c.most)
 			}
 		})
 	}
 }
 
-// admittedWithLostAnswers loses one answer in five. If later attempts don't overtake, the cache answers nothing until
-// the lost one's deadline. It returns how many of the last 400 requests were admitted.
+// admittedWithLostAnswers loses one answer in five. If overtaken is false, the cache answers nothing until the deadline
+// of the lost one. It returns how many of the last 400 requests were admitted.
 func admittedWithLostAnswers(t *testing.T, overtaken bool) (admitted int) {
 	t.Helper()
 	settings := testSettings()
@@ -108,8 +110,9 @@
 	return admitted
 }
 
-// Clients that wait a third of the latency objective, at an idle cache that takes about as long, had all others'
-// requests shed. An attempt that has had its objective, or more, counts in full.
+// Guards against shedding because of short deadlines: clients that waited only a third of the latency objective, at an
+// idle cache that needs about as long, caused the requests of all others to be shed. An attempt that timed out after at
+// least its objective counts in full.
 func TestShortTimeoutsHaveLowAdmissionWeight(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -122,13 +125,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			admitted := admittedWithImpatientClients(t, c.wait)
 			if admitted < c.atLeast || admitted > c.most {
-				t.Errorf("%d of 400 were admitted, want %d to %d", admitted, c.atLeast, c.most)
+				t.Errorf("%d of 400 requests were admitted, want %d to %d", admitted, c.atLeast, c.most)
 			}
 		})
 	}
 }
 
-// admittedWithImpatientClients lets one client in five wait for a time only, within which no answer comes. It returns
+// admittedWithImpatientClients gives one request in five a short deadline, before which no answer arrives. It returns
 // how many of the last 400 requests were admitted.
 func admittedWithImpatientClients(t *testing.T, wait time.Duration) (admitted int) {
 	t.Helper()
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// An update of the endpoint list, at the sizes that fleets grow to: each node pays it for each change.
+// BenchmarkUpdateEndpoints measures an update of the endpoint list at realistic fleet sizes. Each node pays this cost
+// for each change.
 func BenchmarkUpdateEndpoints(b *testing.B) {
 	for _, n := range []int{12, 190, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -22,8 +23,8 @@
 	}
 }
 
-// An outcome while many requests wait for an origin without capacity: there are as many outcomes as requests, so what
-// each costs must not grow much with those that wait.
+// BenchmarkOutcomeWhileManyWait measures an outcome while many requests wait for an origin without capacity. There are
+// as many outcomes as requests, so the cost of one must not grow much with the number of waiters.
 func BenchmarkOutcomeWhileManyWait(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -68,7 +69,7 @@
 	return router, r
 }
 
-// Observers are notified of the states of all endpoints ten times a second.
+// BenchmarkEndpointStates measures the notification of observers, which runs over all endpoints ten times a second.
 func BenchmarkEndpointStates(b *testing.B) {
 	for _, n := range []int{200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -81,7 +82,8 @@
 	}
 }
 
-// BenchmarkNewPlacement is what the event loop waits for when the set of caches changes.
+// BenchmarkNewPlacement measures building a placement, during which the event loop is blocked when the set of caches
+// changes.
 func BenchmarkNewPlacement(b *testing.B) {
 	for _, n := range []int{12, 200, 800, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/policy/coalescing_test.go
+++ b/policy/coalescing_test.go
@@ -26,47 +26,48 @@
 	cachedAt := leader.Attempts[0].Endpoint
 	for _, waiter := range requests[1:] {
 		if len(waiter.Attempts) != 2 || waiter.Attempts[1].Endpoint != cachedAt {
-			t.Errorf("attempts of a waiter are %v, the value is cached at %v", waiter.Attempts, cachedAt)
+			t.Errorf("attempts of a waiter are %v, want one at %v, which holds the value", waiter.Attempts, cachedAt)
 		}
 	}
 }
 
-// Waiters were sorted at each outcome of any request, which took 2 ms with 10,000 of them. They must be sorted only
-// when a waiter can be woken, and then those with the highest demand come first.
+// Guards against sorting the waiters on each outcome of any request, which took 2 ms with 10,000 of them. They must be
+// sorted only when the origin has capacity; those with the highest demand are woken first.
 func TestWaitersAreNotSortedWhileTheOriginHasNoCapacity(t *testing.T) {
 	router, r := newRouterWithWaiters(50)
 	before := slices.Clone(router.coalescer.waiters)
 	decision := router.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms})
 	if len(decision.Wake) > 0 || !slices.Equal(before, router.coalescer.waiters) {
-		t.Errorf("%d were woken, or all were sorted, while none can be woken", len(decision.Wake))
+		t.Errorf("%d waiters woken, or waiters sorted, while the origin has no capacity", len(decision.Wake))
 	}
 	router.endpoints.origin.load.inFlight = 0
 	decision = router.OnAttemptDone(Instant(time.Second), r, Outcome{Latency: ms})
 	if len(decision.Wake) == 0 {
-		t.Fatal("no waiter was woken though the origin has capacity")
+		t.Fatal("no waiter was woken although the origin has capacity")
 	}
 	waiters := router.coalescer.waiters
 	first := slices.IndexFunc(waiters, func(waiter *Request) bool { return waiter.ID == decision.Wake[0] })
 	last := waiters[len(waiters)-1]
 	if router.popularity.demandFor(waiters[first].state.key) < router.popularity.demandFor(last.state.key) {
-		t.Errorf("woken, though others are wanted more: %v", decision.Wake)
+		t.Errorf("woken before waiters with higher demand: %v", decision.Wake)
 	}
 }
 
-// A write that waited for capacity at the origin was sent to the cache where another's fetch had put its key. The
-// effect happened there, and again at the origin with the client's retry (soak, seed 101).
+// Guards against executing a write twice: a write that waited for capacity at the origin was sent to the cache where
+// another request's fetch had put its key. It took effect there, and again at the origin with the client's retry (soak,
+// seed 101).
 func TestWaitingWriteGoesToTheOriginOnly(t *testing.T) {
 	h := newCacheAsideHarness(t)
 	h.router.origin.limit = 1
 	read, _ := h.arrive("k", readClass, false)
-	h.end(read, 0, CacheMiss) // it fetches, and takes the capacity
+	h.end(read, 0, CacheMiss) // the read fetches the key and uses the capacity
 	write, decision := h.arrive("k", keyedClass, true)
 	if len(decision.SendTo) > 0 || decision.Answer != NoAnswer {
-		t.Fatalf("the write does not wait: %v", decision)
+		t.Fatalf("the write is not waiting: %v", decision)
 	}
 	h.now = h.now.Add(20 * ms)
 	h.end(read, 1, Answered)
 	if len(write.Attempts) != 1 || write.Attempts[0].Endpoint != "origin" {
-		t.Errorf("attempts of the write are %v", write.Attempts)
+		t.Errorf("attempts of the write are %v, want one at the origin", write.Attempts)
 	}
 }
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -16,7 +16,7 @@
 	"dahliapin/policy"
 )
 
-var update = flag.Bool("update", false, "write the recorded hashes anew; only for an intended change of decisions")
+var update = flag.Bool("update", false, "rewrite the recorded hashes; only for an intended change of decisions")
 
 const (
 	recordedSeeds = 48
@@ -25,15 +25,15 @@
 	rejectingFile = "testdata/decisions-rejecting.txt"
 )
 
-// A restructuring of the package must not change any decision, nor the order of its draws of chance. Each seed draws a
-// deployment with all options of the settings, and a stream of events; the hash covers every argument and every answer.
-func TestDecisionsAreThoseThatWereRecorded(t *testing.T) {
+// A refactoring of the package must not change any decision, nor the order of its random draws. Each seed generates a
+// deployment, with all options of the settings, and a stream of events; the hash covers all arguments and results.
+func TestDecisionsMatchRecordedHashes(t *testing.T) {
 	compareHashes(t, hashesFile, newDriver)
 }
 
-// A release left a rare path changed that the streams above do not take: a read that waits at the origin after its last
-// replicas were full, while another's fetch of its key ends. Here most attempts are rejected, and keys are few.
-func TestDecisionsOfCrowdedFleetsAreThoseThatWereRecorded(t *testing.T) {
+// Covers a path that the streams above do not reach and that a release once changed: a read that waits at the origin
+// after its last replicas were full, while another request's fetch of its key ends. Here most attempts are rejected.
+func TestDecisionsUnderRejectionsMatchRecordedHashes(t *testing.T) {
 	compareHashes(t, rejectingFile, func(seed int64) *driver {
 		d := newDriver(seed)
 		d.rejecting = true
@@ -63,14 +63,14 @@
 	wanted := strings.Split(string(want), "\n")
 	for i, line := range strings.Split(got.String(), "\n") {
 		if i >= len(wanted) || line != wanted[i] {
-			t.Errorf("seed and hash %q, recorded was %q", line, wanted[min(i, len(wanted)-1)])
+			t.Errorf("seed and hash are %q, want %q", line, wanted[min(i, len(wanted)-1)])
 		}
 	}
 }
 
-// driver plays a stream of events against one router.
+// driver runs a stream of generated events against one router.
 type driver struct {
-	chance    *rand.Rand
+	rng       *rand.Rand
 	settings  policy.Settings
 	router    *policy.Router
 	now       policy.Instant
@@ -79,47 +79,47 @@
 	reviews   map[policy.RequestID]policy.Instant // when to call Route again
 	arrived   int
 	sum       hash.Hash64
-	rejecting bool // most attempts are rejected, and half of the keys are few
+	rejecting bool // most attempts are rejected
 }
 
 func newDriver(seed int64) *driver {
 	d := &driver{
-		chance:  rand.New(rand.NewSource(seed)),
+		rng:     rand.New(rand.NewSource(seed)),
 		now:     policy.Instant(time.Hour),
 		reviews: map[policy.RequestID]policy.Instant{},
 		sum:     fnv.New64a(),
 	}
 	d.settings = d.drawSettings()
 	d.router = policy.New(d.now, seed, d.settings)
-	for i := range 4 + d.chance.Intn(60) {
+	for i := range 4 + d.rng.Intn(60) {
 		d.endpoints = append(d.endpoints, d.drawEndpoint(i))
 	}
 	d.update(policy.CompleteUpdate, d.endpoints)
 	return d
 }
 
-func (d *driver) oneOf(values ...float64) float64 { return values[d.chance.Intn(len(values))] }
+func (d *driver) oneOf(values ...float64) float64 { return values[d.rng.Intn(len(values))] }
 
 func (d *driver) span(low, high time.Duration) time.Duration {
-	return low + time.Duration(d.chance.Int63n(int64(high-low)))
+	return low + time.Duration(d.rng.Int63n(int64(high-low)))
 }
 
 func (d *driver) drawSettings() policy.Settings {
-	// The draws are in the order of the fields: another order would be another deployment.
+	// The random draws follow the order of the fields. Another order would generate another deployment.
 	r := policy.Settings{
 		Zone:                "a",
-		Nodes:               1 + d.chance.Intn(40),
-		CacheAside:          d.chance.Intn(3) > 0,
+		Nodes:               1 + d.rng.Intn(40),
+		CacheAside:          d.rng.Intn(3) > 0,
 		OriginKind:          1,
-		PollEndpoints:       d.chance.Intn(2) == 0,
+		PollEndpoints:       d.rng.Intn(2) == 0,
 		OverQuotaWeight:     d.oneOf(0, 0.1, 1),
 		CrossZoneCost:       d.oneOf(0, 0, 0.02, 0.2),
 		WasteCost:           d.oneOf(0, 0.04, 0.5),
-		MaxAttempts:         1 + d.chance.Intn(5),
+		MaxAttempts:         1 + d.rng.Intn(5),
 		IdleTimeout:         d.span(time.Second, 20*time.Second),
-		HedgingAllowed:      d.chance.Intn(2) == 0,
-		CancelAllowed:       d.chance.Intn(2) == 0,
-		HealthChecksAllowed: d.chance.Intn(2) == 0,
+		HedgingAllowed:      d.rng.Intn(2) == 0,
+		CancelAllowed:       d.rng.Intn(2) == 0,
+		HealthChecksAllowed: d.rng.Intn(2) == 0,
 		MaxRetryAfter:       time.Duration(d.oneOf(0, 6e8)),
 		TickInterval:        2 * time.Millisecond,
 		PollInterval:        2 * time.Second,
@@ -129,7 +129,7 @@
 		QueueColumn:         -1,
 		InFlightColumn:      -1,
 	}
-	switch d.chance.Intn(3) {
+	switch d.rng.Intn(3) {
 	case 0:
 		r.QueueColumn = 1
 	case 1:
@@ -143,11 +143,11 @@
 			LatencyObjective: d.span(20*time.Millisecond, 400*time.Millisecond),
 			LateValue:        d.oneOf(0, 0.3),
 			Idempotency:      idempotency,
-			DedupScope:       policy.DedupScope(d.chance.Intn(3)),
+			DedupScope:       policy.DedupScope(d.rng.Intn(3)),
 			DedupWindow:      d.span(50*time.Millisecond, 5*time.Second),
 		})
 	}
-	for range d.chance.Intn(4) {
+	for range d.rng.Intn(4) {
 		r.Tenants = append(r.Tenants, policy.Tenant{QuotaPerSecond: d.oneOf(0, 20, 500)})
 	}
 	return r
@@ -157,8 +157,8 @@
 	zones := []policy.ZoneID{"a", "a", "b", "c"}
 	e := policy.Endpoint{
 		ID:     policy.EndpointID(fmt.Sprintf("c%d", i)),
-		Zone:   zones[d.chance.Intn(4)],
-		Group:  policy.GroupID(d.chance.Intn(4)),
+		Zone:   zones[d.rng.Intn(4)],
+		Group:  policy.GroupID(d.rng.Intn(4)),
 		Weight: d.oneOf(0, 0.5, 1, 2),
 	}
 	if i == 0 {
@@ -180,7 +180,7 @@
 			nextTick = d.now.Add(d.tick())
 		}
 		d.review()
-		switch n := d.chance.Intn(100); {
+		switch n := d.rng.Intn(100); {
 		case n < 40:
 			d.arrive()
 		case n < 94:
@@ -222,18 +222,18 @@
 }
 
 func (d *driver) arrive() {
-	// half of the requests are for a few popular keys, so that fetches of one key meet
-	key := fmt.Sprint(d.chance.Intn(8))
-	if d.chance.Intn(2) == 0 {
-		key = fmt.Sprint(d.chance.Intn(5000))
+	// half of the requests are for a few popular keys, so that several requests fetch the same key
+	key := fmt.Sprint(d.rng.Intn(8))
+	if d.rng.Intn(2) == 0 {
+		key = fmt.Sprint(d.rng.Intn(5000))
 	}
 	d.arrived++
 	r := &policy.Request{
 		ID:        policy.RequestID(fmt.Sprint("r", d.arrived)),
 		Key:       key,
-		Class:     policy.ClassID(d.chance.Intn(len(d.settings.Classes)+2) - 1),
-		Tenant:    policy.TenantID(d.chance.Intn(4) - 1),
-		Write:     d.chance.Intn(5) == 0,
+		Class:     policy.ClassID(d.rng.Intn(len(d.settings.Classes)+2) - 1),
+		Tenant:    policy.TenantID(d.rng.Intn(4) - 1),
+		Write:     d.rng.Intn(5) == 0,
 		ArrivedAt: d.now,
 		Deadline:  d.now.Add(d.span(10*time.Millisecond, 800*time.Millisecond)),
 	}
@@ -283,7 +283,7 @@
 	return nil
 }
 
-// forget drops a request that is answered and has no attempt in flight.
+// forget removes a request that is finished and has no attempt in flight.
 func (d *driver) forget(r *policy.Request) {
 	if !r.Finished || inFlight(r) >= 0 {
 		return
@@ -310,20 +310,20 @@
 	if len(d.requests) == 0 {
 		return
 	}
-	r := d.requests[d.chance.Intn(len(d.requests))]
+	r := d.requests[d.rng.Intn(len(d.requests))]
 	if attempt := inFlight(r); attempt >= 0 {
 		d.end(r, attempt, d.drawResult())
 	}
 }
 
 func (d *driver) drawResult() policy.Result {
-	if d.rejecting && d.chance.Intn(5) < 3 {
+	if d.rejecting && d.rng.Intn(5) < 3 {
 		return policy.Rejected
 	}
-	if d.chance.Intn(3) > 0 {
+	if d.rng.Intn(3) > 0 {
 		return policy.Answered
 	}
-	return policy.Result(d.chance.Intn(int(policy.CacheMiss) + 1))
+	return policy.Result(d.rng.Intn(int(policy.CacheMiss) + 1))
 }
 
 func (d *driver) end(r *policy.Request, attempt int, result policy.Result) {
@@ -331,8 +331,8 @@
 	r.Attempts[attempt].Result = result
 	r.Finished = r.Finished || result == policy.Answered
 	o := policy.Outcome{Attempt: attempt, Latency: d.now.Since(r.Attempts[attempt].SentAt)}
-	if d.chance.Intn(2) == 0 {
-		o.LoadReport = []float64{d.chance.Float64() * 10, d.chance.Float64() * 5}
+	if d.rng.Intn(2) == 0 {
+		o.LoadReport = []float64{d.rng.Float64() * 10, d.rng.Float64() * 5}
 	}
 	d.carryOut(r, d.router.OnAttemptDone(d.now, r, o))
 }
@@ -341,7 +341,7 @@
 	if len(d.requests) == 0 {
 		return
 	}
-	r := d.requests[d.chance.Intn(len(d.requests))]
+	r := d.requests[d.rng.Intn(len(d.requests))]
 	if attempt := inFlight(r); attempt >= 0 {
 		may := uint64(0)
 		if d.router.MayStart(d.now, *r, attempt) {
@@ -352,21 +352,21 @@
 }
 
 func (d *driver) checkHealth() {
-	id := d.endpoints[d.chance.Intn(len(d.endpoints))].ID
+	id := d.endpoints[d.rng.Intn(len(d.endpoints))].ID
 	d.router.OnHealthCheck(d.now, id, d.drawResult())
 }
 
-// abandon lets a client go before it has its answer.
+// abandon disconnects a client before it has its answer.
 func (d *driver) abandon() {
 	if len(d.requests) > 0 {
-		r := d.requests[d.chance.Intn(len(d.requests))]
+		r := d.requests[d.rng.Intn(len(d.requests))]
 		r.Finished = true
 		d.forget(r)
 	}
 }
 
 func (d *driver) changeEndpoints() {
-	switch d.chance.Intn(8) {
+	switch d.rng.Intn(8) {
 	case 0:
 		d.update(policy.PollFailed, nil)
 	case 1:
@@ -379,12 +379,12 @@
 		d.endpoints = append(d.endpoints, e)
 		d.update(policy.DeltaUpdate, []policy.Endpoint{e})
 	default:
-		e := &d.endpoints[d.chance.Intn(len(d.endpoints))]
-		e.Lifecycle = policy.Lifecycle(d.chance.Intn(5) / 2)
-		if e.Lifecycle != policy.Ready && d.chance.Intn(2) == 0 {
+		e := &d.endpoints[d.rng.Intn(len(d.endpoints))]
+		e.Lifecycle = policy.Lifecycle(d.rng.Intn(5) / 2)
+		if e.Lifecycle != policy.Ready && d.rng.Intn(2) == 0 {
 			e.Lifecycle = policy.Ready
 		}
-		if d.chance.Intn(2) == 0 {
+		if d.rng.Intn(2) == 0 {
 			e.StartedAt = d.now
 		}
 		d.update(policy.DeltaUpdate, []policy.Endpoint{*e})
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -13,14 +13,14 @@
 		for _, s := range router.endpoints.placement(homeZone) {
 			inSegment := len(s.slots)
 			if inSegment < n/segmentCount || inSegment > (n+segmentCount-1)/segmentCount {
-				t.Fatalf("%d caches: a segment holds %d", n, inSegment)
+				t.Fatalf("%d caches: a segment has %d slots", n, inSegment)
 			}
 		}
 	}
 }
 
-// When a cache leaves, the keys that it held must move and few others; what was learned of the other caches stays. When
-// it comes back, all is as at a node that never saw it leave, whatever order the list has.
+// When a cache leaves, few keys besides its own may move, and what was learned about the other caches must remain. When
+// it comes back, placement must be the same as at a node that never saw it leave, for any order of the list.
 func TestPlacementIsStableAndOrderIndependent(t *testing.T) {
 	const keys = 500
 	for n := 7; n <= 200; n += 1 + n/15 {
@@ -40,22 +40,22 @@
 				}
 			}
 		}
-		if moved > 450 { // 30%; the one that left held 3% to 14% of a small fleet
-			t.Errorf("%d caches: one departure moved %d of %d replicas", n, moved, replicaCount*keys)
+		if moved > 450 { // 30%; the removed cache held 3% to 14% of a small fleet
+			t.Errorf("%d caches: removing one moved %d of %d replicas", n, moved, replicaCount*keys)
 		}
 		changed.UpdateEndpoints(0, DeltaUpdate, endpoints[:1])
 		if !slices.Equal(replicasOf(steady, "k"), replicasOf(changed, "k")) {
 			t.Errorf("%d caches: nodes with the same list disagree", n)
 		}
 		if changed.endpoints.byID[endpoints[1].ID] != known {
-			t.Errorf("%d caches: what was learned of a cache is lost by another's departure", n)
+			t.Errorf("%d caches: removing a cache discarded what was learned about another", n)
 		}
 	}
 }
 
-// A placement is most of what an update of the list costs a large fleet. So it is built only when the set of caches has
-// changed, and only once it is needed. Nodes of a zone must agree on it, and a fleet in a single zone has one placement
-// whatever crossings cost.
+// Building placements is most of the cost of an update in a large fleet, so they are built only when the set of caches
+// has changed and only once needed. Nodes of a zone must agree on them, and a fleet in a single zone has one placement
+// regardless of the cross-zone cost.
 func TestPlacementsAreRebuiltOnlyWhenTheSetOfCachesChanges(t *testing.T) {
 	h, endpoints := newZonedHarness(t)
 	replicas := replicasOf(h.router, "k")
@@ -72,34 +72,34 @@
 	} {
 		h.router.UpdateEndpoints(9, DeltaUpdate, []Endpoint{c.entry})
 		if rebuilt := h.router.endpoints.placement(homeZone) != before; rebuilt != c.rebuilt {
-			t.Errorf("%s: placement rebuilt %v, want %v", c.name, rebuilt, c.rebuilt)
+			t.Errorf("%s: placement rebuilt: %v, want %v", c.name, rebuilt, c.rebuilt)
 		}
 		if h.router.endpoints.placements[otherZones] != nil {
-			t.Errorf("%s: the placement of all zones was built though nothing needs it", c.name)
+			t.Errorf("%s: the placement of all zones was built although it is not needed", c.name)
 		}
 	}
 	slices.Reverse(endpoints)
 	other := newHarness(t, h.settings, endpoints).router
 	if !slices.Equal(replicas, replicasOf(h.router, "k")) {
-		t.Error("keys moved at home as a cache left another zone")
+		t.Error("keys moved in the home zone when a cache left another zone")
 	}
 	if !slices.Equal(replicas, replicasOf(other, "k")) {
 		t.Error("nodes with the same list disagree")
 	}
 	if newHarness(t, h.settings, testFleet(30, true)).router.endpoints.zoneLocal {
-		t.Error("a fleet in a single zone has a placement of the zone's own")
+		t.Error("a fleet in a single zone has a separate placement for the home zone")
 	}
 }
 
 func TestUnreachableSlotPassesItsKeysToTheLeft(t *testing.T) {
-	h := newHarness(t, testSettings(), testFleet(14, false)) // two slots a segment
+	h := newHarness(t, testSettings(), testFleet(14, false)) // two slots per segment
 	slots := h.router.endpoints.placement(homeZone)[0].slots
 	for range failuresToEject {
 		h.router.outliers.recordFailure(0, slots[1], ConnectFailed)
 	}
 	for key := range uint64(100) {
 		if h.router.endpoints.lookup(1, homeZone, 0, keyhash.Mix(key)) != slots[0] {
-			t.Fatal("a key of the unreachable cache's slot did not pass to the left")
+			t.Fatal("a key of the unreachable cache's slot was not passed to its left neighbour")
 		}
 	}
 }
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Operators read the states in the event log, by these names. Each change is reported once.
+// Operators read these names in the event log. Each change must be reported once.
 func TestEndpointStatesReportsEachChangeOnce(t *testing.T) {
 	now := Instant(time.Minute)
 	for _, c := range []struct {
@@ -40,7 +40,7 @@
 			var notified []EndpointState
 			observe := func(id EndpointID, state EndpointState) {
 				if id != u.ID {
-					t.Errorf("%s is reported as %v", id, state)
+					t.Errorf("%s was reported as %v", id, state)
 				}
 				notified = append(notified, state)
 			}
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -14,16 +14,17 @@
 	r, _ := h.arrive("k", readClass, false)
 	h.advance(50 * ms)
 	if len(r.Attempts) != 1 {
-		t.Error("a hedge was sent though hardly any attempt is late")
+		t.Error("a hedge was sent although hardly any attempt is late")
 	}
 	h.advance(250 * ms)
 	if len(r.Attempts) < 2 {
-		t.Error("no hedge was sent though the cache is unresponsive")
+		t.Error("no hedge was sent although the cache is unresponsive")
 	}
 }
 
-// Attempts on connections that had stopped responding held a third of the origin's capacity until their deadline. Such
-// a read is cancelled and sent again if the hedge budget allows it; a write is not.
+// Guards against lost attempts that occupy the origin limit: attempts on connections that had stopped responding held a
+// third of the origin's capacity until their deadline. A lost read must be cancelled and retried if the hedge budget
+// allows it; a write must not.
 func TestLostOriginReadIsCancelledAndRetriedWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -41,15 +42,15 @@
 			h.advance(300 * ms)
 			cancelled := len(r.Attempts) == 3 && r.Attempts[1].Result == Cancelled
 			if sentAgain := cancelled && r.Attempts[2].Endpoint == "origin"; sentAgain != c.sentAgain {
-				t.Errorf("with %v saved: %v", c.saved, r.Attempts)
+				t.Errorf("with %v tokens the attempts are %v", c.saved, r.Attempts)
 			}
 			if inFlight := h.router.endpoints.origin.load.inFlight; inFlight != 1 {
-				t.Errorf("%d attempts count as in flight there", inFlight)
+				t.Errorf("%d attempts count as in flight at the origin, want 1", inFlight)
 			}
 			write, _ := h.arrive("k2", keyedClass, true)
 			h.advance(300 * ms)
 			if len(write.Attempts) != 1 || !write.Attempts[0].InFlight {
-				t.Errorf("attempts of a write there: %v", write.Attempts)
+				t.Errorf("attempts of the write are %v, want one in flight at the origin", write.Attempts)
 			}
 		})
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -47,7 +47,7 @@
 	keyedInGroupClass                 // idempotent by key in the first attempt's group
 )
 
-// testFleet returns n caches of this zone, and an origin if cacheAside.
+// testFleet returns n caches in the home zone, and an origin if cacheAside is set.
 func testFleet(n int, cacheAside bool) (endpoints []Endpoint) {
 	for i := range n {
 		id := EndpointID(fmt.Sprintf("cache-%d", i))
@@ -59,8 +59,8 @@
 	return endpoints
 }
 
-// harness is the caller of a Router: it carries out decisions, and holds each of them against the plain model. It calls
-// t.Helper only where it fails, since it does a few million steps.
+// harness acts as the caller of a Router: it carries out decisions and compares each of them with the reference model.
+// It calls t.Helper only before a failure, since it runs a few million steps.
 type harness struct {
 	t          *testing.T
 	router     *Router
@@ -69,8 +69,8 @@
 	listed     map[EndpointID]Endpoint
 	requests   []*Request
 	reviews    map[*Request]Instant // when to call Route again
-	deadlines  map[*Request]Instant // when its attempts time out
-	loadReport []float64            // of every endpoint
+	deadlines  map[*Request]Instant // when the attempts of the last decision time out
+	loadReport []float64            // load report of every endpoint
 }
 
 func newHarness(t *testing.T, settings Settings, endpoints []Endpoint) *harness {
@@ -86,12 +86,12 @@
 	return h
 }
 
-// newReadThroughHarness has twelve caches and no origin.
+// newReadThroughHarness returns a harness with twelve caches and no origin.
 func newReadThroughHarness(t *testing.T) *harness {
 	return newHarness(t, testSettings(), testFleet(12, false))
 }
 
-// newCacheAsideHarness has twelve caches and an origin, and allows no hedges.
+// newCacheAsideHarness returns a harness with twelve caches and an origin, without hedging.
 func newCacheAsideHarness(t *testing.T) *harness {
 	settings := testSettings()
 	settings.CacheAside = true
@@ -106,12 +106,12 @@
 	h.router.UpdateEndpoints(h.now, kind, endpoints)
 }
 
-// cache returns what the router knows of an endpoint.
+// cache returns the router's state of an endpoint.
 func (h *harness) cache(id EndpointID) *upstream {
 	return h.router.endpoints.byID[id]
 }
 
-// arrive lets a request arrive and carries out the decision on it.
+// arrive routes a new request and carries out the decision.
 func (h *harness) arrive(key string, class ClassID, write bool) (*Request, Decision) {
 	r := &Request{
 		ID:        RequestID(fmt.Sprint("r", len(h.requests))),
@@ -125,7 +125,7 @@
 	return r, h.apply(r, h.router.Route(h.now, r))
 }
 
-// end ends an attempt and carries out the decision that follows.
+// end completes an attempt and carries out the resulting decision.
 func (h *harness) end(r *Request, attempt int, result Result) Decision {
 	r.Attempts[attempt].InFlight = false
 	r.Attempts[attempt].Result = result
@@ -135,13 +135,13 @@
 	return h.apply(r, h.router.OnAttemptDone(h.now, r, outcome))
 }
 
-// endLast ends the latest attempt of a request.
+// endLast completes the latest attempt of a request.
 func (h *harness) endLast(r *Request, result Result) Decision {
 	return h.end(r, len(r.Attempts)-1, result)
 }
 
-// drive lets n reads arrive at intervals. result says how the first attempt of each ends; there is no other. It returns
-// the number of attempts by endpoint and in all.
+// drive routes n reads at intervals. Each gets a single attempt, whose result the function result returns. drive
+// returns the number of attempts by endpoint and in total.
 func (h *harness) drive(
 	n int, interval time.Duration, key func(int) string, result func(int, EndpointID) Result,
 ) (byEndpoint map[EndpointID]int, total int) {
@@ -168,20 +168,20 @@
 	return func(int, EndpointID) Result { return result }
 }
 
-// apply carries out a decision and checks that it is allowed.
+// apply carries out a decision and checks it against the reference model.
 func (h *harness) apply(r *Request, decision Decision) Decision {
 	delete(h.reviews, r)
 	if decision.Answer != NoAnswer {
 		if !modelAllowsAnswer(h.settings, r, decision.Answer) || r.Finished {
 			h.t.Helper()
-			h.t.Fatalf("%v: answer %v after attempts %v is not allowed", h.now, decision.Answer, r.Attempts)
+			h.t.Fatalf("%v: the model forbids answer %v after attempts %v", h.now, decision.Answer, r.Attempts)
 		}
 		r.Finished = true
 	}
 	for _, id := range decision.SendTo {
 		if !modelAllowsAttempt(h.settings, h.listed, h.now, r, id) {
 			h.t.Helper()
-			h.t.Fatalf("%v: an attempt at %v after attempts %v is not allowed", h.now, id, r.Attempts)
+			h.t.Fatalf("%v: the model forbids an attempt at %v after attempts %v", h.now, id, r.Attempts)
 		}
 		r.Attempts = append(r.Attempts, Attempt{Endpoint: id, SentAt: h.now, InFlight: true})
 		h.deadlines[r] = decision.AttemptDeadline
@@ -203,7 +203,8 @@
 	return decision
 }
 
-// advance lets time pass tick by tick: reviews are due, attempts time out, and no request may be open at its deadline.
+// advance moves time forward by ticks. It reviews requests and times out attempts when due, and fails the test if a
+// request has no answer at its deadline.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now.Add(d); h.now < end; {
 		h.now = h.now.Add(h.settings.TickInterval)
@@ -227,11 +228,11 @@
 	}
 	if !r.Finished && h.now >= r.Deadline {
 		h.t.Helper()
-		h.t.Fatalf("%v: %v has no answer at its deadline, attempts %v", h.now, r.ID, r.Attempts)
+		h.t.Fatalf("%v: request %v has no answer at its deadline, attempts %v", h.now, r.ID, r.Attempts)
 	}
 }
 
-// replicasOf returns the replicas of a key for a read that arrives now.
+// replicasOf returns the replicas of a key for a new read.
 func replicasOf(router *Router, key string) (ids []EndpointID) {
 	r := &Request{Key: key, Deadline: 1e12}
 	router.initState(0, r)
@@ -241,7 +242,8 @@
 	return ids
 }
 
-// newZonedHarness has three zones of twenty caches, this node's first, and crossings have a cost.
+// newZonedHarness returns a harness with three zones of twenty caches, the first of which is the home zone, and a cost
+// for crossing zones, along with its endpoints.
 func newZonedHarness(t *testing.T) (*harness, []Endpoint) {
 	settings := testSettings()
 	settings.CacheAside = true
@@ -254,7 +256,7 @@
 	return newHarness(t, settings, endpoints), endpoints
 }
 
-// openAdmission is an admission controller that sheds nothing.
+// openAdmission returns an admission controller that sheds nothing.
 func openAdmission() admissionController {
 	return admissionController{offered: admissionWindow, useful: admissionWindow}
 }
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// modelAllowsAttempt is a plain model of what may be sent. It uses nothing of the package but its types.
+// modelAllowsAttempt is the reference model of which attempts are allowed. It uses nothing of the package but its
+// types.
 func modelAllowsAttempt(
 	settings Settings, listed map[EndpointID]Endpoint, now Instant, r *Request, id EndpointID,
 ) bool {
@@ -19,7 +20,7 @@
 	if r.Finished || len(r.Attempts) >= settings.MaxAttempts || now >= r.Deadline {
 		return false
 	}
-	if settings.CacheAside && r.Write && endpoint.Kind != settings.OriginKind { // caches only store
+	if settings.CacheAside && r.Write && endpoint.Kind != settings.OriginKind { // caches do not execute writes
 		return false
 	}
 	class := modelClass(settings, r)
@@ -42,7 +43,8 @@
 	return true
 }
 
-// modelAllowsAnswer is a plain model of rejections: only where a retry by the client is sure to do no harm.
+// modelAllowsAnswer is the reference model of which answers are allowed: a rejection only if the client can safely
+// retry the request.
 func modelAllowsAnswer(settings Settings, r *Request, answer FinalAnswer) bool {
 	class := modelClass(settings, r)
 	return answer == Fail || class.Idempotency == Idempotent ||
@@ -61,7 +63,7 @@
 	return ServiceClass{}
 }
 
-// FuzzRules plays generated events and holds every decision against the plain model.
+// FuzzInvariants runs generated events and compares every decision with the reference model.
 func FuzzInvariants(f *testing.F) {
 	for seed := range int64(40) {
 		steps := make([]byte, 400)
@@ -80,13 +82,13 @@
 		h.advance(time.Second)
 		for _, r := range h.requests {
 			if !r.Finished {
-				t.Fatalf("%v was lost", r.ID)
+				t.Fatalf("request %v has no final answer", r.ID)
 			}
 		}
 	})
 }
 
-// playStep plays one generated event.
+// playStep runs one generated event.
 func (h *harness) playStep(kind byte, argument int) {
 	switch {
 	case kind < 100:
@@ -108,7 +110,8 @@
 	}
 }
 
-// endSomeAttempt ends the first attempt in flight from a request on, which argument picks along with the result.
+// endSomeAttempt completes an attempt in flight: the first one found from the request that argument selects on.
+// argument also selects the result.
 func (h *harness) endSomeAttempt(argument int) {
 	for i := range h.requests {
 		r := h.requests[(i+argument)%len(h.requests)]
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// After a burst a few caches are crowded, and the mean of the reports is high. All caches without a recent report then
-// looked full, so nothing was sent to them, and no report ever corrected the mean.
+// Guards against a deadlock of the load estimate: after a burst, a few overloaded caches raised the mean of the
+// reports, so that all caches without a recent report looked full, got no attempts, and sent no report that would have
+// corrected the mean.
 func TestFewOverloadedCachesDoNotSaturateTheLoadEstimate(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
@@ -19,11 +20,12 @@
 	}
 	h.drive(400, 60*ms, distinctKey, oneInFiveCrowded)
 	if _, sent := h.drive(100, 60*ms, distinctKey, oneInFiveCrowded); sent < 40 {
-		t.Errorf("%d of 100 requests were sent though four of five caches are idle", sent)
+		t.Errorf("%d of 100 requests were sent while four of five caches are idle", sent)
 	}
 }
 
-// One crowded cache must not raise the mean, and with it the load of all caches without a report, by all that it has.
+// One overloaded cache must not raise the mean, and with it the load estimate of all caches without a report, by its
+// full load.
 func TestSingleLoadReportIsClampedInTheMean(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
@@ -31,15 +33,16 @@
 	crowded := &upstream{}
 	estimator.recordReport(1, crowded, false, 1, []float64{61})
 	if crowded.load.externalLoad != 60 {
-		t.Errorf("a report of 61 with 1 attempt of this router counts as %v of others", crowded.load.externalLoad)
+		t.Errorf("external load is %v after a report of 61 with 1 own attempt, want 60", crowded.load.externalLoad)
 	}
 	if estimator.meanExternalLoad > 1/reportWindow {
-		t.Errorf("one report of 61 raised the mean from 0 to %v", estimator.meanExternalLoad)
+		t.Errorf("a single report of 61 raised the mean from 0 to %v", estimator.meanExternalLoad)
 	}
 }
 
-// An attempt that ended without a report, at the very instant of its endpoint's last one, counted that report once
-// more: the mean, and with it the load of all caches without a report, followed one cache.
+// Guards against counting a report twice: an attempt that ended without a report, at the same instant as its endpoint's
+// last report, counted that report into the mean again, so that the load estimate of all caches without a report
+// followed one cache.
 func TestLoadReportEntersTheMeanOnce(t *testing.T) {
 	settings := testSettings()
 	settings.InFlightColumn = 0
@@ -49,6 +52,6 @@
 	once := estimator.meanExternalLoad
 	estimator.recordReport(1, reporting, false, 1, nil)
 	if estimator.meanExternalLoad != once {
-		t.Errorf("an attempt without a report moved the mean from %v to %v", once, estimator.meanExternalLoad)
+		t.Errorf("an attempt without a report changed the mean from %v to %v", once, estimator.meanExternalLoad)
 	}
 }
--- a/policy/mayattempt_test.go
+++ b/policy/mayattempt_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// FuzzMayAttempt asks the router and the plain model what is allowed, in states that FuzzRules might never reach.
+// FuzzMayAttempt compares mayAttempt and rejectOrFail with the reference model, in states that FuzzInvariants might not
+// reach.
 func FuzzMayAttempt(f *testing.F) {
 	for seed := range int64(300) {
 		f.Add(seed)
@@ -47,31 +48,31 @@
 	}
 }
 
-// compareWithModel checks what the router says of a request and an endpoint. The router may be stricter only by the
-// ticks that it keeps as a margin before a limit.
+// compareWithModel compares the router's decisions on a request and an endpoint with the reference model. The router
+// may be stricter only by the ticks that it reserves before a limit.
 func (h *harness) compareWithModel(r *Request, endpoint Endpoint) {
 	h.t.Helper()
 	got := h.router.mayAttempt(h.now, r, h.cache(endpoint.ID))
 	want := modelAllowsAttempt(h.settings, h.listed, h.now, r, endpoint.ID)
 	if got && !want {
-		h.t.Errorf("at %v an attempt at %v is not allowed: %+v", h.now, endpoint, r)
+		h.t.Errorf("at %v the router allows an attempt at %v that the model forbids: %+v", h.now, endpoint, r)
 	}
 	later := h.now.Add(2 * h.settings.TickInterval)
 	stillWanted := modelAllowsAttempt(h.settings, h.listed, later, r, endpoint.ID) && later < r.Deadline
 	if want && !got && stillWanted {
-		h.t.Errorf("at %v an attempt at %v is allowed: %+v", h.now, endpoint, r)
+		h.t.Errorf("at %v the router refuses an attempt at %v that the model allows: %+v", h.now, endpoint, r)
 	}
 	answer := h.router.rejectOrFail(r).Answer
 	if !modelAllowsAnswer(h.settings, r, answer) {
-		h.t.Errorf("answer %v is not allowed: %+v", answer, r)
+		h.t.Errorf("the model forbids answer %v: %+v", answer, r)
 	}
 	if answer == Fail && modelAllowsAnswer(h.settings, r, Reject) {
-		h.t.Errorf("a failure where a rejection is allowed: %+v", r)
+		h.t.Errorf("the request failed although the model allows a rejection: %+v", r)
 	}
 }
 
-// A connection may take time to open. Meanwhile the endpoint may start to drain, leave the list, or the deduplication
-// window of an earlier attempt may pass: the attempt must not be sent then.
+// While a connection opens, the endpoint may start to drain or leave the list, or the deduplication window of an
+// earlier attempt may expire. The attempt must not be sent then.
 func TestMayStartRechecksEndpointAndDedupWindow(t *testing.T) {
 	leave := func(h *harness, endpoint Endpoint) {
 		endpoint.Lifecycle = Removed
@@ -87,10 +88,10 @@
 		event func(*harness, Endpoint)
 		may   bool
 	}{
-		{name: "nothing has changed", wait: 100 * ms, event: func(*harness, Endpoint) {}, may: true},
+		{name: "no change", wait: 100 * ms, event: func(*harness, Endpoint) {}, may: true},
 		{name: "the endpoint drains", wait: 100 * ms, event: drain, may: false},
 		{name: "the endpoint has left", wait: 100 * ms, event: leave, may: false},
-		{name: "the deduplication window is over", wait: 600 * ms, event: func(*harness, Endpoint) {}, may: false},
+		{name: "the deduplication window has expired", wait: 600 * ms, event: func(*harness, Endpoint) {}, may: false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
@@ -103,7 +104,7 @@
 			h.now = h.now.Add(c.wait)
 			c.event(h, h.listed["cache-2"])
 			if may := h.router.MayStart(h.now, *r, 1); may != c.may {
-				t.Errorf("MayStart says %v, want %v", may, c.may)
+				t.Errorf("MayStart returned %v, want %v", may, c.may)
 			}
 		})
 	}
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -13,17 +13,17 @@
 		h.end(r, 0, CacheMiss)
 	}
 	if inFlight := h.router.endpoints.origin.load.inFlight; inFlight > initialOriginLimit {
-		t.Errorf("%d attempts are in flight at an origin of unknown capacity", inFlight)
+		t.Errorf("%d attempts are in flight at an origin of unknown capacity, over the initial limit", inFlight)
 	}
-	h.router.coalescer.demandCutoff = 1e9 // all that waits is wanted more, so this one would not be served
+	h.router.coalescer.demandCutoff = 1e9 // far above the demand for the key below
 	r, _ := h.arrive("unwanted", readClass, false)
 	if h.end(r, 0, CacheMiss).Answer != Reject {
-		t.Error("a request that is wanted too little to be fetched is kept waiting")
+		t.Error("a request for a key below the demand cutoff was not rejected")
 	}
 }
 
-// The limit grew with every answer in time although it wasn't used, so that it bounded nothing once misses came in a
-// storm. It may grow to twice the attempts in flight at most.
+// Guards against a limit that is too high when a burst of misses arrives: the limit grew with every answer in time
+// although it was not used. It may grow to at most twice the attempts in flight.
 func TestOriginLimitGrowsOnlyWithUse(t *testing.T) {
 	for _, c := range []struct {
 		together int // attempts in flight at once
@@ -44,14 +44,14 @@
 				}
 			}
 			if h.router.origin.limit != c.want {
-				t.Errorf("a limit of %.1f, want %.1f", h.router.origin.limit, c.want)
+				t.Errorf("the limit is %.1f, want %.1f", h.router.origin.limit, c.want)
 			}
 		})
 	}
 }
 
-// The least that a node may have in flight at the origin is multiplied by hundreds of nodes. Late answers must bring
-// its limit under one attempt.
+// With hundreds of nodes, even one attempt in flight per node overloads the origin. Late answers must reduce a node's
+// limit below one attempt.
 func TestOriginLimitFallsBelowOneInLargeFleet(t *testing.T) {
 	settings := testSettings()
 	settings.CacheAside = true
@@ -61,7 +61,7 @@
 	for i := range 120 {
 		r, _ := h.arrive(distinctKey(i), readClass, false)
 		h.end(r, 0, CacheMiss)
-		h.advance(200 * ms) // in time, but so late that queues there are long
+		h.advance(200 * ms) // in time, but after half of the objective, which indicates a long queue
 		if len(r.Attempts) < 2 {
 			continue
 		}
@@ -71,12 +71,13 @@
 		}
 	}
 	if attempts > 10 {
-		t.Errorf("60 requests made %d attempts at an origin whose queue takes all the time there is", attempts)
+		t.Errorf("60 requests made %d attempts at an origin with a long queue, want at most 10", attempts)
 	}
 }
 
-// Near a limit of 1, where those of a large fleet are, an answer in time raised the limit by as much as a late one cut
-// it: it stayed up while half of all answers were late, and the queue at the origin never went.
+// Guards against a standing queue at the origin: near a limit of 1, where the limits of a large fleet are, an answer in
+// time raised the limit by as much as a late one lowered it. The limit stayed up while half of all answers were late,
+// and the queue never drained.
 func TestOriginLimitFallsToOneWhenHalfOfTheAnswersAreLate(t *testing.T) {
 	origin := &newCacheAsideHarness(t).router.origin
 	origin.settings.Nodes = 80
@@ -96,6 +97,6 @@
 		}
 	}
 	if origin.limit > 1 {
-		t.Errorf("a limit of %.2f after 80 answers of which half were late", origin.limit)
+		t.Errorf("the limit is %.2f after 80 answers of which half were late, want at most 1", origin.limit)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// With one connection in twelve broken under its attempt, caches were ejected for half a second each, the retries were
-// used up and requests shed, though all caches were well.
+// Guards against ejecting healthy caches: with one connection in twelve broken during its attempt, caches were ejected
+// for half a second each, the retry budget was exhausted, and requests were shed.
 func TestBrokenConnectionsDoNotEjectACache(t *testing.T) {
 	h := newReadThroughHarness(t)
 	for i := range 600 {
 		r, decision := h.arrive(distinctKey(i), readClass, false)
 		if len(decision.SendTo) == 0 {
-			t.Fatalf("request %d is rejected", i)
+			t.Fatalf("request %d was rejected", i)
 		}
-		if i%12 < 2 { // two in a row, at times on one cache
+		if i%12 < 2 { // two consecutive requests, at times on the same cache
 			h.end(r, 0, ConnectionBroken)
 			if len(r.Attempts) < 2 {
-				t.Fatalf("request %d has no retry", i)
+				t.Fatalf("request %d was not retried", i)
 			}
 		}
 		h.endLast(r, Answered)
@@ -25,14 +25,14 @@
 	}
 	for _, u := range h.router.endpoints.caches {
 		if u.health.failures > 0 || u.health.ejectedUntil > 0 {
-			t.Errorf("%s is ejected", u.ID)
+			t.Errorf("%s is ejected or has failures", u.ID)
 		}
 	}
 	h.checkAvoidsCacheWithBrokenConnections()
 }
 
-// checkAvoidsBreakingCache lets the first replica of a key break all connections. It looks idle, so that it would get
-// all attempts.
+// checkAvoidsCacheWithBrokenConnections breaks all connections to the first replica of a key. That cache looks idle, so
+// it would get all attempts if faults were ignored.
 func (h *harness) checkAvoidsCacheWithBrokenConnections() {
 	h.t.Helper()
 	first := replicasOf(h.router, "k")[0]
@@ -43,12 +43,12 @@
 		return Answered
 	})
 	if byEndpoint[first] > total/4 {
-		h.t.Errorf("%d of %d attempts went where all connections break", byEndpoint[first], total)
+		h.t.Errorf("%d of %d attempts went to the cache that breaks all connections", byEndpoint[first], total)
 	}
 }
 
-// A cache that erred was avoided class by class, and for a second or less. 80 nodes sent it a hundred attempts a second
-// by that. Once it is well it must be taken back.
+// Guards against sending too many attempts to a failing cache: when it was avoided only per class, and for at most a
+// second, 80 nodes together sent it 100 attempts a second. Once it has recovered, it must get attempts again.
 func TestFailingCacheIsAvoidedByAllClassesUntilItRecovers(t *testing.T) {
 	h := newReadThroughHarness(t)
 	faulty := replicasOf(h.router, "k")[0]
@@ -66,12 +66,12 @@
 		if !r.Finished && len(r.Attempts) > 0 {
 			h.endLast(r, Answered)
 		}
-		h.advance(50 * ms) // 20 seconds in all
+		h.advance(50 * ms) // 20 s in total
 	}
 	if errors == 0 || attempts > 16 {
-		t.Errorf("%d attempts, of which %d erred, at a cache that errs on two in three", attempts, errors)
+		t.Errorf("%d attempts, %d with errors, at a cache that fails two requests in three", attempts, errors)
 	}
-	for i := range 200 { // well again
+	for i := range 200 { // the cache has recovered
 		r, decision := h.arrive("k", readClass, false)
 		if len(decision.SendTo) > 0 {
 			if i >= 100 && decision.SendTo[0] == faulty {
@@ -81,28 +81,30 @@
 		}
 		h.advance(250 * ms)
 	}
-	t.Error("a cache that is well again is not taken back")
+	t.Error("a recovered cache got no attempts")
 }
 
-// What wasted attempts had taught stayed until the cache got another attempt, which it then seldom did.
+// Guards against avoiding a cache indefinitely: the wasted share changed only with further attempts, and a cache with a
+// high share seldom got one.
 func TestWastedShareDecaysWithoutAttempts(t *testing.T) {
 	h := newReadThroughHarness(t)
 	u := h.cache("cache-0")
 	u.health.wastedShare = 0.8
 	h.advance(20 * time.Second)
 	if u.health.wastedShare > 0.2 {
-		t.Errorf("after 20 s without an attempt the wasted share is %.2f", u.health.wastedShare)
+		t.Errorf("the wasted share is %.2f after 20 s without an attempt, want at most 0.2", u.health.wastedShare)
 	}
 }
 
-// Two attempts that timed out after some milliseconds, since their requests had no more time, ejected a cache.
+// Guards against ejecting a cache for short time-outs: two attempts that timed out after a few milliseconds, since
+// their requests had no time left, ejected it.
 func TestShortTimeoutsDoNotEjectACache(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		latency time.Duration
 		ejected bool
 	}{
-		{name: "after some milliseconds", latency: 6 * ms, ejected: false},
+		{name: "after a few milliseconds", latency: 6 * ms, ejected: false},
 		{name: "after seconds", latency: 2 * time.Second, ejected: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -125,8 +127,8 @@
 	}
 }
 
-// A cut between zones shows at hundreds of caches, each met seldom: by failures in a row at each of them it would take
-// hundreds of attempts to notice. The failed connects of a zone count together.
+// A partition between zones affects hundreds of caches that each get few attempts, so with consecutive failures counted
+// per cache it would take hundreds of attempts to detect. Failed connects must be counted per zone.
 func TestUnreachableZoneGetsFewAttempts(t *testing.T) {
 	endpoints := testFleet(60, false)
 	for i := range endpoints[:40] {
@@ -147,6 +149,6 @@
 		}
 	}
 	if attempts > 45 || len(byEndpoint) < 20 {
-		t.Errorf("%d of 200 attempts went to a zone that is cut off", attempts)
+		t.Errorf("%d of 200 attempts went to an unreachable zone", attempts)
 	}
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/keyhash"
 )
 
-// plainAssign is the plain form of assignEvenly: it sorts all pairs.
+// referenceAssign is a simple implementation of assignEvenly that sorts all pairs.
 func referenceAssign(hashes []uint64, places, salt int) []int {
 	pairs := make([]uint64, len(hashes)*places)
 	placeOf := make([]int, len(hashes))
@@ -40,8 +40,8 @@
 	return placeOf
 }
 
-// Nodes of different versions run side by side, and must agree on where keys are. So the assignment by rounds must be
-// the same as the one by sorting all pairs, which earlier versions made.
+// Nodes of different versions run side by side and must agree on where keys are, so the assignment in rounds must equal
+// that of earlier versions, which sorted all pairs.
 func TestAssignEvenlyMatchesReference(t *testing.T) {
 	for _, items := range []int{0, 1, 2, 6, 7, 8, 9, 17, 64, 65, 199, 458} {
 		hashes := make([]uint64, items)
@@ -55,31 +55,31 @@
 			got := assignEvenly(hashes, places, places)
 			want := referenceAssign(hashes, places, places)
 			if !slices.Equal(got, want) {
-				t.Errorf("%d items over %d places: %v, want %v", items, places, got, want)
+				t.Errorf("%d items over %d places: got %v, want %v", items, places, got, want)
 			}
 		}
 	}
 }
 
-// Two caches may have the same hash; both must get a slot.
+// Caches with equal hashes must each get a slot.
 func TestAssignEvenlyWithEqualHashes(t *testing.T) {
 	hashes := slices.Repeat([]uint64{7}, 40)
 	got := assignEvenly(hashes, 40, 1)
 	want := referenceAssign(hashes, 40, 1)
 	if !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("assigned %v, want %v", got, want)
 	}
 }
 
 func TestLinearHashingMatchesKinesisFigure2(t *testing.T) {
-	for hash, want := range []int{0, 1, 2, 3, 4, 5, 2, 3} { // six slots: 2 and 3 are not yet split
+	for hash, want := range []int{0, 1, 2, 3, 4, 5, 2, 3} { // six slots; 2 and 3 are not split yet
 		if got := linearSlot(uint64(hash), 6); got != want {
-			t.Errorf("key %d lies on slot %d, want %d", hash, got, want)
+			t.Errorf("key %d is in slot %d, want %d", hash, got, want)
 		}
 	}
-	for slot, want := range map[int]int{2: 4, 4: 0, 1: 2, 5: 1, 3: 5, 0: 3} { // the key space runs 0 4 2 1 5 3
+	for slot, want := range map[int]int{2: 4, 4: 0, 1: 2, 5: 1, 3: 5, 0: 3} { // slots in key-space order: 0 4 2 1 5 3
 		if got := leftNeighbours(6)[slot]; got != want {
-			t.Errorf("left of %d is %d, want %d", slot, got, want)
+			t.Errorf("left neighbour of %d is %d, want %d", slot, got, want)
 		}
 	}
 }
@@ -89,19 +89,19 @@
 		at := func(slot int) uint64 { return bits.Reverse64(uint64(slot)) }
 		for slot, got := range leftNeighbours(n) {
 			want := slot
-			for s := range n { // distances wrap round
+			for s := range n { // distances wrap around
 				if s != slot && (want == slot || at(slot)-at(s) < at(slot)-at(want)) {
 					want = s
 				}
 			}
 			if got != want {
-				t.Errorf("left of %d of %d is %d, want %d", slot, n, got, want)
+				t.Errorf("left neighbour of %d of %d is %d, want %d", slot, n, got, want)
 			}
 		}
 	}
 }
 
-// cachesNamed returns n caches with the names that a list might have.
+// namedCaches returns n caches with ids as in an endpoint list.
 func namedCaches(n int) (caches []*upstream) {
 	for i := range n {
 		id := EndpointID(fmt.Sprint("cache-", i))
@@ -111,7 +111,7 @@
 	return caches
 }
 
-// allocated returns how many bytes a function allocates.
+// allocatedBytes returns how many bytes a function allocates.
 func allocatedBytes(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -120,21 +120,22 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Incident 60a37a: all pairs of a cache and a slot were sorted at once. Their number grows with the square of the
-// caches; at 3,200 of them they took 12 MB, and the event loop was blocked meanwhile.
+// Guards against incident 60a37a: all pairs of a cache and a slot were sorted at once. The number of pairs grows with
+// the square of the number of caches; 3,200 caches took 12 MB and blocked the event loop meanwhile.
 func TestNewPlacementMemoryGrowsLinearly(t *testing.T) {
-	// 8 pairs for the slots and 7 for the segments, with capacity to grow, and what stays
+	// 8 pairs for the slots and 7 for the segments, spare capacity of slices, and the placement itself
 	const maxBytesPerCache = 600
 	for _, n := range []int{200, 800, 3200} {
 		caches := namedCaches(n)
 		if bytes := allocatedBytes(func() { newPlacement(caches) }); bytes > uint64(n*maxBytesPerCache) {
-			t.Errorf("%d caches: %d bytes, %d each", n, bytes, int(bytes)/n)
+			t.Errorf("%d caches: allocated %d bytes, %d per cache", n, bytes, int(bytes)/n)
 		}
 	}
 }
 
-// Where all caches of a segment are unreachable, a lookup passes from slot to slot. It looked for the left neighbour
-// among all slots each time, so that a single decision took 52 ms at 3,200 caches. Each slot must be looked at once.
+// Guards against slow lookups when all caches of a segment are unreachable: the lookup moves from slot to slot, and
+// each step searched all slots for the left neighbour, so that one decision took 52 ms with 3,200 caches. Each slot
+// must be visited at most once.
 func TestLookupVisitsEachUnreachableSlotOnce(t *testing.T) {
 	const caches = 3200
 	p := newPlacement(namedCaches(caches))
@@ -147,6 +148,6 @@
 		p[i].lookup(keyhash.Mix(uint64(i)), unreachable)
 	}
 	if visited > caches {
-		t.Errorf("%d slots were looked at for %d caches", visited, caches)
+		t.Errorf("lookups visited %d slots for %d caches", visited, caches)
 	}
 }
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// While discovery is down, a node must poll again soon but not all the time.
+// During a discovery outage a node must retry the poll soon, but must not overload the discovery service.
 func TestFailedPollsBackOff(t *testing.T) {
 	settings := testSettings()
 	settings.PollEndpoints = true
@@ -18,6 +18,6 @@
 		now = now.Add(wait)
 	}
 	if polls < 4 || polls > 20 {
-		t.Errorf("the list was polled %d times in ten seconds of failures", polls)
+		t.Errorf("%d polls in 10 s of failures, want 4 to 20", polls)
 	}
 }
--- a/policy/popularity_test.go
+++ b/policy/popularity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A key hotter than three caches has nowhere to go unless more take it; others must not be scattered.
+// A key with more demand than three caches can serve needs more replicas. Other keys must not be spread out.
 func TestOnlyHotKeyGetsMoreReplicas(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet(90, false))
 	h.drive(900, 20*ms, func(i int) string {
@@ -14,6 +14,6 @@
 	hot := replicasOf(h.router, "hot")
 	warm := replicasOf(h.router, distinctKey(7))
 	if len(hot) != segmentCount || len(warm) != replicaCount {
-		t.Errorf("the hot key has %d replicas, the other %d", len(hot), len(warm))
+		t.Errorf("the hot key has %d replicas, the other key %d", len(hot), len(warm))
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -20,6 +20,6 @@
 		}
 	}
 	if withinQuota < 8 || withinQuota > 12 {
-		t.Errorf("%d of 50 at once counted as within a quota of 10 a second", withinQuota)
+		t.Errorf("%d of 50 simultaneous requests counted as within a quota of 10 per second, want 8 to 12", withinQuota)
 	}
 }
--- a/policy/replicas_test.go
+++ b/policy/replicas_test.go
@@ -13,6 +13,6 @@
 	h.cache(before[2]).health.errorScores[0] = maxErrorScore
 	after := replicasOf(h.router, "k")
 	if slices.ContainsFunc(after, func(id EndpointID) bool { return slices.Contains(before, id) }) {
-		t.Errorf("replicas %v became %v", before, after)
+		t.Errorf("replicas were %v and are %v, want no cache in both", before, after)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// When all attempts fail, retries must not multiply the load.
+// Retries must not multiply the load when all attempts fail.
 func TestRetryBudgetBoundsRetriesWhenAllAttemptsFail(t *testing.T) {
 	h := newReadThroughHarness(t)
 	attempts := 0
 	for range 200 {
-		h.router.admission.controllers[homeZone].offered = 0 // nothing is shed, and no cache is avoided
+		h.router.admission.controllers[homeZone].offered = 0 // shed no request and avoid no cache
 		for _, u := range h.router.endpoints.caches {
 			clear(u.health.errorScores)
 		}
@@ -18,12 +18,12 @@
 		attempts += len(r.Attempts)
 	}
 	if attempts > 200+2*maxTokens+10 {
-		t.Errorf("200 requests that all fail made %d attempts", attempts)
+		t.Errorf("200 failing requests made %d attempts", attempts)
 	}
 }
 
-// After two rejections a third cache was full too, or lacked the key, four times in five, and no attempt was left for
-// the origin.
+// Guards against a useless last attempt: after two rejections, a third cache was full too or lacked the key in four of
+// five cases, and no attempt was left for the origin.
 func TestLastAttemptAfterRejectionsGoesToAnOriginWithCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -33,7 +33,7 @@
 	}{
 		{name: "with capacity", class: readClass, hasCapacity: true, atOrigin: true},
 		{name: "without capacity", class: readClass, hasCapacity: false, atOrigin: false},
-		{name: "repeats dropped in its group only", class: keyedInGroupClass, hasCapacity: true, atOrigin: false},
+		{name: "idempotent by key in its group only", class: keyedInGroupClass, hasCapacity: true, atOrigin: false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
@@ -47,10 +47,10 @@
 			h.end(r, 0, Rejected)
 			h.end(r, 1, Rejected)
 			if len(r.Attempts) != 3 || r.Attempts[1].Endpoint == "origin" {
-				t.Fatalf("attempts are %v", r.Attempts)
+				t.Fatalf("attempts are %v, want three of which the second is not at the origin", r.Attempts)
 			}
 			if atOrigin := r.Attempts[2].Endpoint == "origin"; atOrigin != c.atOrigin {
-				t.Errorf("the last attempt goes to the origin: %v, want %v", atOrigin, c.atOrigin)
+				t.Errorf("last attempt at the origin: %v, want %v", atOrigin, c.atOrigin)
 			}
 		})
 	}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A fleet of which most was new stayed on its few old caches, full as they were, since a connection had to be opened to
-// each of the others. A connection must weigh less than half of the attempts wasted.
+// Guards against staying with overloaded caches: a fleet of mostly new caches kept using the few old ones, full as they
+// were, because each new one needed a new connection. A new connection must cost less than half of the attempts wasted.
 func TestNewConnectionIsPreferredToWastedAttempts(t *testing.T) {
 	settings := testSettings()
 	settings.IdleTimeout = time.Minute
@@ -27,13 +27,13 @@
 			}
 		}
 		if opened < c.atLeast || opened > c.most {
-			t.Errorf("with a wasted share of %.1f, %d of 1000 open a connection", c.wastedShare, opened)
+			t.Errorf("with a wasted share of %.1f, %d of 1000 selections open a connection", c.wastedShare, opened)
 		}
 	}
 }
 
-// A request whose replicas all have queues longer than its objective is rejected at once. That is no loss: admission
-// must not shed others for it.
+// A request whose replicas all have queues longer than its objective is rejected immediately. The rejection must not
+// count as lost, or admission would shed other requests for it.
 func TestRequestIsRejectedWhenAllQueuesAreFull(t *testing.T) {
 	h := newReadThroughHarness(t)
 	for _, u := range h.router.endpoints.caches {
@@ -44,15 +44,16 @@
 	}
 	r, decision := h.arrive("k", readClass, false)
 	if len(decision.SendTo) > 0 || decision.Answer != Reject {
-		t.Errorf("sent behind a queue longer than the objective: %v %v", r, decision)
+		t.Errorf("request %v was not rejected although all queues are longer than its objective: %v", r, decision)
 	}
 	if offered := h.router.admission.controllers[homeZone].offered; offered > admissionWindow {
-		t.Errorf("admission counts %v as offered", offered)
+		t.Errorf("admission counts %v attempts as offered", offered)
 	}
 }
 
-// Idle caches whose own work takes over half of the objective looked full; and the router's own attempts were taken off
-// reports of a queue that doesn't include them. Late answers count as useful by their late share.
+// Guards against idle caches that look full: caches whose service time exceeds half of the objective did, and the
+// router's own attempts were subtracted from reports of a queue that does not include them. Also checks that a late
+// answer counts with the class's LateValue.
 func TestServiceTimeIsNotCountedAsQueueing(t *testing.T) {
 	settings := testSettings()
 	settings.QueueColumn = 0
@@ -60,30 +61,30 @@
 	h := newHarness(t, settings, testFleet(12, false))
 	h.loadReport = []float64{0}
 	if _, sent := h.drive(60, 180*ms, distinctKey, always(Answered)); sent < 58 {
-		t.Errorf("%d of 60 were sent to idle caches", sent)
+		t.Errorf("%d of 60 requests were sent to idle caches, want at least 58", sent)
 	}
 	h.loadReport[0] = 2
 	if _, sent := h.drive(60, 220*ms, distinctKey, always(Answered)); sent < 50 {
-		t.Errorf("%d of 60 were sent behind 2 others", sent)
+		t.Errorf("%d of 60 requests were sent behind 2 others, want at least 50", sent)
 	}
 	usefulBefore := h.router.admission.controllers[homeZone].useful
 	r, decision := h.arrive("late", readClass, false)
 	h.advance(400 * ms)
 	h.end(r, 0, Answered)
 	if late := h.router.admission.controllers[homeZone].useful - usefulBefore; late != 0.5 {
-		t.Errorf("a late answer counts %v, want its late share of 0.5", late)
+		t.Errorf("a late answer counts as %v, want the LateValue of 0.5", late)
 	}
 	if foreign := h.cache(decision.SendTo[0]).load.externalLoad; foreign != 2 {
-		t.Errorf("a reported queue of 2 counts as %v", foreign)
+		t.Errorf("a reported queue of 2 counts as an external load of %v", foreign)
 	}
 	h.loadReport[0] = 5
 	if _, sent := h.drive(60, 280*ms, distinctKey, always(Answered)); sent > 40 {
-		t.Errorf("%d of 60 were sent behind 5 others", sent)
+		t.Errorf("%d of 60 requests were sent behind 5 others, want at most 40", sent)
 	}
 }
 
-// Many nodes have nothing in flight, so equal loads are the rule. Where attempts were lost or rejected must come last
-// among them, though it looks as idle as the others.
+// Equal loads are common, since many nodes have nothing in flight. Among them, a cache that lost or rejected attempts
+// must be selected last although it looks as idle as the others.
 func TestWastedShareBreaksTiesBetweenEqualLoads(t *testing.T) {
 	for name, result := range map[string]Result{"time-outs": TimedOut, "rejections": Rejected} {
 		t.Run(name, func(t *testing.T) {
@@ -100,14 +101,14 @@
 			}
 			h.drive(30, 20*ms, sameKey, results)
 			if byEndpoint, _ := h.drive(40, 20*ms, sameKey, results); byEndpoint[first] > 8 {
-				t.Errorf("%d of 40 attempts went where the first did", byEndpoint[first])
+				t.Errorf("%d of 40 attempts went to the cache that wastes attempts, want at most 8", byEndpoint[first])
 			}
 		})
 	}
 }
 
-// Each replica that takes a key fetches it once from the origin. While the origin is short, or reads miss where that
-// crosses zones, reads of a key must stay with its first replica.
+// Each additional replica of a key fetches it once from the origin. While the origin is short, or misses cross zones at
+// a cost, reads of a key must stay with its first replica.
 func TestOriginShortageKeepsReadsAtTheFirstReplica(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -130,14 +131,14 @@
 				h.drive(100, 0, distinctKey, always(result))
 			}
 			if byEndpoint, _ := h.drive(400, 0, sameKey, always(result)); len(byEndpoint) != c.want {
-				t.Errorf("the key was spread over %d caches, want %d", len(byEndpoint), c.want)
+				t.Errorf("reads of the key went to %d caches, want %d", len(byEndpoint), c.want)
 			}
 		})
 	}
 }
 
-// A crossing has a certain cost, a short queue at home may move: reads of a replica set that spans zones stay at home
-// until the queues there are long.
+// The cost of crossing zones is certain, whereas a short queue in the home zone may shrink. Reads with replicas in
+// several zones must stay in the home zone until its queues are long.
 func TestCrossZoneCostOutweighsShortQueues(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.2
@@ -148,13 +149,13 @@
 	r := &Request{Key: "k", Deadline: Instant(time.Second)}
 	h.router.initState(0, r)
 	for _, c := range []struct {
-		inFlight int // at home
+		inFlight int // in the home zone
 		want     *upstream
 	}{{5, home}, {20, away}} {
 		home.load.inFlight = c.inFlight
 		selected := h.router.leastLoaded(0, r, []*upstream{away, home})
 		if selected.endpoint != c.want {
-			t.Errorf("with %d in flight at home, %v is selected", c.inFlight, selected.endpoint.ID)
+			t.Errorf("with %d in flight in the home zone, %v is selected", c.inFlight, selected.endpoint.ID)
 		}
 	}
 }
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -11,27 +11,28 @@
 	}{
 		{name: "idempotent by key", class: keyedClass, shortage: 0, want: replicaCount},
 		{name: "not idempotent", class: notIdempotentClass, shortage: 0, want: 1},
-		// three attempts are three writes at an origin that is short already
+		// three attempts would cause three writes at an origin that is already short
 		{name: "idempotent by key, attempts are lost", class: keyedClass, shortage: 0.5, want: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newReadThroughHarness(t)
 			h.router.shortage.share = c.shortage
 			if _, decision := h.arrive("k", c.class, true); len(decision.SendTo) != c.want {
-				t.Errorf("the write went to %v, want %d replicas", decision.SendTo, c.want)
+				t.Errorf("the write was sent to %v, want %d replicas", decision.SendTo, c.want)
 			}
 		})
 	}
 }
 
-// Two of three executions of each write were wasted, and each was cancelled by closing its connection, although hardly
-// any attempt was late. The copies must be sent only while they save more late answers than they cost.
+// Guards against sending duplicates of each write although hardly any attempt is late: two of three executions were
+// wasted, and each was cancelled by closing its connection. Duplicates must only be sent while they avoid more late
+// answers than they cost.
 func TestWriteFansOutOnlyWhileDuplicatesPayOff(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		wasteCost float64
 		answered  int
-		late      int // of those
+		late      int // of the answered attempts
 		want      int
 	}{
 		{name: "a wasted copy costs nothing", wasteCost: 0, answered: 20, want: replicaCount},
@@ -51,14 +52,15 @@
 				h.router.latency.observe(latency, 0)
 			}
 			if _, decision := h.arrive("k", keyedClass, true); len(decision.SendTo) != c.want {
-				t.Errorf("the write went to %v, want %d replicas", decision.SendTo, c.want)
+				t.Errorf("the write was sent to %v, want %d replicas", decision.SendTo, c.want)
 			}
 		})
 	}
 }
 
-// Half of all keys crossed zones, each at a cost. Reads must stay at home unless home can't serve them, or the origin
-// is short by each zone's own replicas.
+// Guards against unnecessary zone crossings: half of all keys once crossed zones, each at a cost. Reads must stay in
+// the home zone unless it cannot serve them, or the origin is too short of capacity for each zone to have its own
+// replicas.
 func TestReadsStayInHomeZoneUnlessItCannotServe(t *testing.T) {
 	type event func(*harness, *upstream)
 	nothing := func(*harness, *upstream) {}
@@ -80,22 +82,22 @@
 	}
 	for _, c := range []struct {
 		name     string
-		home     event // for each cache at home
-		others   event // for each other cache
-		inFlight bool  // each read has an attempt in flight at home
+		home     event // applied to each cache in the home zone
+		others   event // applied to each other cache
+		inFlight bool  // each read has an attempt in flight in the home zone
 		atLeast  int   // attempts of 60 that cross
 		most     int   // attempts of 60 that cross
 	}{
-		{name: "all is well", home: nothing, others: nothing, most: 0},
-		{name: "home has left", home: remove, others: nothing, atLeast: 60, most: 60},
+		{name: "no fault", home: nothing, others: nothing, most: 0},
+		{name: "home has left the list", home: remove, others: nothing, atLeast: 60, most: 60},
 		{name: "home is ejected", home: eject, others: nothing, atLeast: 55, most: 60},
 		{name: "home is full", home: full, others: nothing, atLeast: 55, most: 60},
-		{name: "home is full and others ejected: none bypasses the caches", home: full, others: eject, most: 0},
+		{name: "home is full, others are ejected: no read bypasses the caches", home: full, others: eject, most: 0},
 		{name: "home sheds", home: shed, others: nothing, atLeast: 30, most: 55},
-		{name: "home sheds and others ejected: none bypasses the caches", home: shed, others: eject, most: 0},
+		{name: "home sheds, others are ejected: no read bypasses the caches", home: shed, others: eject, most: 0},
 		{name: "the origin is short", home: shortOrigin, others: nothing, atLeast: 5, most: 55},
 		{
-			name: "a hedge beside a lost attempt", home: losesAttempt, others: nothing, inFlight: true,
+			name: "hedge of a lost attempt", home: losesAttempt, others: nothing, inFlight: true,
 			atLeast: 55, most: 60,
 		},
 	} {
@@ -110,14 +112,14 @@
 			}
 			crossed := h.countCrossings(endpoints[0].ID, c.inFlight)
 			if crossed < c.atLeast || crossed > c.most {
-				t.Errorf("%d of 60 attempts crossed, want %d to %d", crossed, c.atLeast, c.most)
+				t.Errorf("%d of 60 attempts crossed zones, want %d to %d", crossed, c.atLeast, c.most)
 			}
 		})
 	}
 }
 
-// countCrossings routes 60 reads, each with an attempt in flight at an endpoint or none, and returns how many of their
-// attempts go to other zones or to the origin.
+// countCrossings routes 60 reads, each with an attempt in flight at the given endpoint if inFlight is set, and returns
+// how many of their attempts go to other zones or to the origin.
 func (h *harness) countCrossings(id EndpointID, inFlight bool) (crossed int) {
 	for i := range 60 {
 		r := &Request{Key: distinctKey(i), Deadline: Instant(800 * ms)}
@@ -133,7 +135,7 @@
 		to := decision.SendTo[0]
 		if h.listed[to].Zone != "here" || to == "origin" {
 			crossed++
-			h.cache(to).load.inFlight-- // it ends at once
+			h.cache(to).load.inFlight-- // the attempt ends immediately
 		}
 	}
 	return crossed
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,11 +7,11 @@
 	"dahliapin/internal/keyhash"
 )
 
-// cold is a cache that starts two seconds after the others were listed.
+// coldCache is a cache that starts two seconds after the others were listed.
 var coldCache = Endpoint{ID: "cold", StartedAt: Instant(2 * time.Second), Zone: "here", Weight: 1}
 
-// A cold cache is measured by what warm ones answer: misses and rejections cost those little. What is little from one
-// node must be little from hundreds that all see the cache start, in a storm of rejections too.
+// A cold cache is limited by the answers of warm ones, since misses and rejections cost those little. The limit has to
+// hold for hundreds of nodes that see the cache start at the same time, also during a storm of rejections.
 func TestSlowStartBoundsAttemptsFromAllNodes(t *testing.T) {
 	attempts := 0
 	for node := range 200 {
@@ -28,21 +28,22 @@
 		attempts += byEndpoint[coldCache.ID]
 	}
 	if attempts > 200 {
-		t.Errorf("a cold cache got %d attempts in its first second, a warm one answered about 180", attempts)
+		t.Errorf("a cold cache got %d attempts in its first second; a warm one answered about 180", attempts)
 	}
 }
 
-// Where no warm cache answers anything, nothing is known of what a cold one bears.
+// While no warm cache answers, the load that a cold cache can handle is unknown.
 func TestSlowStartSendsAlmostNothingWhileNoCacheAnswers(t *testing.T) {
 	h := newHarness(t, testSettings(), testFleet(11, false))
 	h.update(DeltaUpdate, coldCache)
 	if byEndpoint, _ := h.drive(4000, 0, distinctKey, always(Rejected)); byEndpoint[coldCache.ID] > 2 {
-		t.Errorf("a cold cache got %v attempts while no warm one answered any", byEndpoint[coldCache.ID])
+		t.Errorf("a cold cache got %v attempts while no warm cache answered, want at most 2", byEndpoint[coldCache.ID])
 	}
 }
 
-// After a deployment most caches were new, and the few warm ones were left with all the traffic. Where the settings
-// state which multiple of its capacity a cold cache fails at, two thirds of that may be used.
+// Guards against overloading the warm caches after a deployment: most caches were new, and the few warm ones got all
+// the traffic. If the settings state at which multiple of its capacity a cold cache fails, slow start may use two
+// thirds of that.
 func TestSlowStartUsesTheOverloadFactor(t *testing.T) {
 	settings := testSettings()
 	settings.OverloadFactor = 3
@@ -56,26 +57,26 @@
 		}
 	}
 	if admitted < 540 || admitted > 660 {
-		t.Errorf("a cache with three tenths of its capacity takes %d keys of 1000", admitted)
+		t.Errorf("a cache at three tenths of its capacity takes %d keys of 1000, want 540 to 660", admitted)
 	}
 }
 
-// After a join most attempts miss. Misses did not count as what a warm cache bears, so that new caches got next to
-// nothing until the others were full again.
+// Guards against starving new caches: after a cache joins most attempts miss. When misses did not count towards the
+// steady rate, new caches got almost nothing until the others had refilled.
 func TestMissesCountForTheSteadyRate(t *testing.T) {
 	h := newReadThroughHarness(t)
 	h.drive(100, 50*ms, distinctKey, always(CacheMiss))
 	if h.router.slowStart.steadyRate == 0 {
-		t.Error("caches that answer with misses are taken to bear nothing")
+		t.Error("the steady rate is 0 although caches answer with misses")
 	}
 }
 
-// All nodes see a cache start at once. If each sent its first attempt then, the cache would get as many at one instant
-// as there are nodes.
+// All nodes see a cache start at the same time. Unless their first attempts are spread at random, the cache gets one
+// attempt per node at the same instant.
 func TestSlowStartStaggersFirstAttempts(t *testing.T) {
 	const nodes = 200
 	settings := testSettings()
-	settings.OverloadFactor = 1000 // any key
+	settings.OverloadFactor = 1000 // admits every key
 	atOnce := 0
 	for node := range nodes {
 		h := newHarness(t, settings, []Endpoint{coldCache})
@@ -85,6 +86,6 @@
 		}
 	}
 	if atOnce > nodes/20 {
-		t.Errorf("%d of %d nodes send their first attempt at once", atOnce, nodes)
+		t.Errorf("%d of %d nodes send their first attempt within 10 ms", atOnce, nodes)
 	}
 }
