--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// A time-out does not depend on the cache's queue if a later attempt at the same cache was answered. Counting such
-// time-outs made an almost idle fleet shed half of its requests when one answer in five was lost. A time-out must still
+// A timeout does not depend on the cache's queue if a later attempt at the same cache was answered. Counting such
+// timeouts made an almost idle fleet shed half of its requests when one answer in five was lost. A timeout must still
 // count in full if no later attempt is answered.
 func TestOvertakenTimeoutsDoNotShedRequests(t *testing.T) {
 	for _, c := range []struct {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -140,7 +140,7 @@
 	return h.end(r, len(r.Attempts)-1, result)
 }
 
-// drive routes n reads at intervals. Each gets a single attempt, whose result the function result returns. drive
+// drive routes n reads at intervals. Each gets a single attempt, which ends with what result returns for it. drive
 // returns the number of attempts by endpoint and in total.
 func (h *harness) drive(
 	n int, interval time.Duration, key func(int) string, result func(int, EndpointID) Result,
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Guards against ejecting a cache for short time-outs: two attempts that timed out after a few milliseconds, since
+// Guards against ejecting a cache for short timeouts: two attempts that timed out after a few milliseconds, since
 // their requests had no time left, ejected it.
 func TestShortTimeoutsDoNotEjectACache(t *testing.T) {
 	for _, c := range []struct {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -34,7 +34,7 @@
 type selection struct {
 	endpoint *upstream   // nil if no replica can take the request
 	replicas []*upstream // candidates for the selection
-	// saturated is set if no replica was selected and at least one was passed over because of its queue.
+	// saturated is set if replicas were passed over only because their queues are too long.
 	saturated bool
 }
 
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// Guards against idle caches that look full: caches whose service time exceeds half of the objective did, and the
-// router's own attempts were subtracted from reports of a queue that does not include them. Also checks that a late
-// answer counts with the class's LateValue.
+// Guards against taking idle caches for full ones: caches whose service time exceeds half of the objective looked full,
+// and the router's own attempts were subtracted from reports of a queue that does not include them. Also checks that a
+// late answer counts with the class's LateValue.
 func TestServiceTimeIsNotCountedAsQueueing(t *testing.T) {
 	settings := testSettings()
 	settings.QueueColumn = 0
@@ -86,7 +86,7 @@
 // Equal loads are common, since many nodes have nothing in flight. Among them, a cache that lost or rejected attempts
 // must be selected last although it looks as idle as the others.
 func TestWastedShareBreaksTiesBetweenEqualLoads(t *testing.T) {
-	for name, result := range map[string]Result{"time-outs": TimedOut, "rejections": Rejected} {
+	for name, result := range map[string]Result{"timeouts": TimedOut, "rejections": Rejected} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
 			settings.IdleTimeout = 15 * time.Second
