--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -4,39 +4,39 @@
 
 // A backoff is drawn from a span that begins at 0.
 const (
-	// firstSpan is the span after the first lost connection: a long poll is to be renewed well within 200 ms.
-	firstSpan = 50 * time.Millisecond
+	// initialLimit is the span after the first lost connection: a long poll is to be renewed well within 200 ms.
+	initialLimit = 50 * time.Millisecond
 
-	// lostSpanPerNode is the least span for each node of the fleet once two polls in a row have failed: the whole
+	// lostLimitPerNode is the least span for each node of the fleet once two polls in a row have failed: the whole
 	// fleet then makes 200 polls a second at most.
-	lostSpanPerNode = 10 * time.Millisecond
+	lostLimitPerNode = 10 * time.Millisecond
 
-	// refusedSpanPerNode is the least span for each node after a refusal, as far as updates can wait.
-	refusedSpanPerNode = 200 * time.Millisecond
+	// refusedLimitPerNode is the least span for each node after a refusal, as far as updates can wait.
+	refusedLimitPerNode = 200 * time.Millisecond
 
-	// maxDoublings is how often the span after a refusal doubles.
-	maxDoublings = 2
+	// maxRefusedDoublings is how often the span after a refusal doubles.
+	maxRefusedDoublings = 2
 
-	// maxLostDoublings is how often firstSpan doubles, which is beyond all the limits below.
-	maxLostDoublings = 10
+	// maxInitialDoublings is how often firstSpan doubles, which is beyond all the limits below.
+	maxInitialDoublings = 10
 
-	// maxRefusedSpan is the longest span. With a poll that then times out, and the backoff after it, an update waits
+	// maxRefusedLimit is the longest span. With a poll that then times out, and the backoff after it, an update waits
 	// 4.75 s.
-	maxRefusedSpan = 3 * time.Second
+	maxRefusedLimit = 3 * time.Second
 
-	// maxLostSpan is the longest span after lost connections, which cost discovery least.
-	maxLostSpan = 2 * time.Second
+	// maxLostLimit is the longest span after lost connections, which cost discovery least.
+	maxLostLimit = 2 * time.Second
 
-	// maxDoubtSpan is the longest span before the complete list is asked for, as the version held may not be known.
-	maxDoubtSpan = 1500 * time.Millisecond
+	// maxCompleteLimit is the longest span before the complete list is asked for, as the version held may not be known.
+	maxCompleteLimit = 1500 * time.Millisecond
 
-	// maxSlowSpan is the longest span after a poll that took until its timeout: that has spread the polls already.
-	maxSlowSpan = 250 * time.Millisecond
+	// maxTimedOutLimit is the longest span after a poll that took until its timeout: that has spread the polls already.
+	maxTimedOutLimit = 250 * time.Millisecond
 
-	// spreadSpan is a span that spreads the polls of the fleet. After one, a backoff takes minSpreadShare of its span
+	// spreadLimit is a span that spreads the polls of the fleet. After one, a backoff takes minSpreadShare of its span
 	// at least.
-	spreadSpan     = time.Second
-	minSpreadShare = 0.75
+	spreadLimit       = time.Second
+	minSpreadFraction = 0.75
 )
 
 // OnFailure records that a poll failed, and how long it took from its start, or from that of its connection where it
@@ -47,43 +47,43 @@
 // at first, so that the long poll goes on; after a refusal the number of nodes decides. Once a span is long, its
 // backoffs have spread the nodes over it, and each node takes most of its span from then on. This guards against a
 // discovery that is overloaded and kept so by all nodes, each of which polls as often as if it were alone.
-func (p *Poller) OnFailure(failure Failure, took time.Duration, chance float64) (backoff time.Duration, first bool) {
+func (p *Poller) OnFailure(failure Failure, took time.Duration, jitter float64) (backoff time.Duration, first bool) {
 	p.timedOut = failure == ConnectionLost && took >= p.NextPoll().Timeout
 	p.failures++
-	p.lost = failure == ConnectionLost
-	if !p.lost { // a lost connection says nothing of the version
+	p.connectionLost = failure == ConnectionLost
+	if !p.connectionLost { // a lost connection says nothing of the version
 		p.versionInDoubt = failure == Unreadable && !p.needsComplete()
 	}
-	span := p.span(failure, took)
-	if p.spread {
-		chance = minSpreadShare + (1-minSpreadShare)*chance
+	limit := p.backoffLimit(failure, took)
+	if p.pollsSpread {
+		jitter = minSpreadFraction + (1-minSpreadFraction)*jitter
 	}
-	p.spread = span >= spreadSpan
-	return time.Duration(chance * float64(span)), p.failures == 1
+	p.pollsSpread = limit >= spreadLimit
+	return time.Duration(jitter * float64(limit)), p.failures == 1
 }
 
-// span returns the span from which the backoff is drawn.
-func (p *Poller) span(failure Failure, took time.Duration) time.Duration {
-	span := firstSpan << min(p.failures-1, maxLostDoublings)
-	refusedSpan := max(firstSpan, time.Duration(p.nodes)*refusedSpanPerNode)
+// backoffLimit returns the backoffLimit from which the backoff is drawn.
+func (p *Poller) backoffLimit(failure Failure, took time.Duration) time.Duration {
+	limit := initialLimit << min(p.failures-1, maxInitialDoublings)
+	refusedLimit := max(initialLimit, time.Duration(p.nodes)*refusedLimitPerNode)
 	switch {
 	case failure == Refused:
-		span = max(span, refusedSpan<<min(p.failures-1, maxDoublings))
+		limit = max(limit, refusedLimit<<min(p.failures-1, maxRefusedDoublings))
 	case p.failures > 1 || failure == Unreadable:
-		span = max(span, time.Duration(p.nodes)*lostSpanPerNode)
+		limit = max(limit, time.Duration(p.nodes)*lostLimitPerNode)
 	}
-	return min(span, refusedSpan<<maxDoublings, p.maxSpan(failure, took))
+	return min(limit, refusedLimit<<maxRefusedDoublings, p.maxBackoffLimit(failure, took))
 }
 
-// maxSpan returns the longest span that an update can wait for: the longer the poll took, the less is left.
-func (p *Poller) maxSpan(failure Failure, took time.Duration) time.Duration {
-	longest := maxRefusedSpan
+// maxBackoffLimit returns the longest span that an update can wait for: the longer the poll took, the less is left.
+func (p *Poller) maxBackoffLimit(failure Failure, took time.Duration) time.Duration {
+	limit := maxRefusedLimit
 	switch {
 	case failure == ConnectionLost:
-		longest = maxLostSpan
+		limit = maxLostLimit
 	case p.versionInDoubt:
-		longest = maxDoubtSpan
+		limit = maxCompleteLimit
 	}
-	taken := time.Duration(float64(took) * float64(longest) / float64(promptTimeout))
-	return max(maxSlowSpan, longest-taken)
+	reduction := time.Duration(float64(took) * float64(limit) / float64(promptTimeout))
+	return max(maxTimedOutLimit, limit-reduction)
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -56,12 +56,12 @@
 	notifiedPercent int           // least share of nodes that are notified within the window
 }
 
-// play runs a sequence of failures with so many nodes. It returns how long after the update the last node was
+// simulate runs a sequence of failures with so many nodes. It returns how long after the update the last node was
 // notified, and how many nodes were within the window.
-func (o *outage) play(order []behaviour, nodes, seed int) (last time.Duration, inMoment int) {
-	draw, at := keyhash.Source{Seed: uint32(seed)}, time.Duration(0)
+func (o *outage) simulate(order []behaviour, nodes, seed int) (last time.Duration, inWindow int) {
+	random, at := keyhash.Source{Seed: uint32(seed)}, time.Duration(0)
 	if !o.fromStart {
-		at = longPollTime + time.Duration(draw.Float64()*float64(longPollTime))
+		at = longPollTime + time.Duration(random.Float64()*float64(longPollTime))
 	}
 	phases := []phase{{healthy, 0}}
 	for _, m := range order {
@@ -69,54 +69,54 @@
 			m = silent
 		}
 		phases = append(phases, phase{m, at})
-		at += 20*time.Millisecond + time.Duration(draw.Float64()*draw.Float64()*float64(12*time.Second))
+		at += 20*time.Millisecond + time.Duration(random.Float64()*random.Float64()*float64(12*time.Second))
 	}
 	phases = append(phases, phase{o.finally, at})
-	forGood := at
+	recoveredAt := at
 	if o.window > 0 {
-		forGood += o.window + time.Duration((1+4*draw.Float64())*float64(time.Second))
-		phases = append(phases, phase{order[len(order)-1], at + o.window}, phase{o.finally, forGood})
+		recoveredAt += o.window + time.Duration((1+4*random.Float64())*float64(time.Second))
+		phases = append(phases, phase{order[len(order)-1], at + o.window}, phase{o.finally, recoveredAt})
 	}
-	r := newSimFleet(nodes, seed, phases, at)
+	fleet := newSimFleet(nodes, seed, phases, at)
 	if o.isSlow {
-		r.lateAnswer = slowAnswer
+		fleet.lateAnswer = slowAnswer
 	}
 	if o.versionsRestart {
-		r.newVersion = 3
+		fleet.newVersion = 3
 	}
-	for _, a := range r.nodes {
+	for _, a := range fleet.nodes {
 		if !o.hasList {
 			a.Poller = New(nodes)
 		}
 		if o.losesPoll {
-			r.schedule(at, func() { a.losesNextPoll = a.backsOff })
+			fleet.schedule(at, func() { a.losesNextPoll = a.backsOff })
 		}
 		if o.changesAddress {
-			r.schedule(time.Duration(draw.Float64()*float64(at)), func() { r.changeAddress(a) })
+			fleet.schedule(time.Duration(random.Float64()*float64(at)), func() { fleet.changeAddress(a) })
 		}
 	}
-	r.run(forGood+2*slowBound, o.fromStart)
-	for _, a := range r.nodes {
+	fleet.run(recoveredAt+2*slowBound, o.fromStart)
+	for _, a := range fleet.nodes {
 		switch {
 		case a.notifiedAt == 0:
 			last = time.Hour
 		case a.notifiedAt < at+o.window+2*networkDelay:
-			inMoment++
+			inWindow++
 		default: // the time begins again
-			last = max(last, a.notifiedAt-forGood)
+			last = max(last, a.notifiedAt-recoveredAt)
 		}
 		if o.window == 0 {
 			last = max(last, a.notifiedAt-at)
 		}
 	}
-	return last, inMoment
+	return last, inWindow
 }
 
 // After refusals a node backed off for up to 30 s, and the long poll that it made then took 5.5 s to be known as
 // silent: updates came 15.5 and 19.9 s after discovery had them, where they count as late after 6 s. Whatever failed
 // before, in whatever order and for how long, the sum of what is under way and of the next poll is to be less than
 // that.
-func TestUpdatesArriveInTimeWhateverFailedBefore(t *testing.T) {
+func TestUpdatesArriveInTimeAfterAnyFailures(t *testing.T) {
 	for _, o := range []outage{
 		{name: "healthy again", hasList: true, bound: updateBound},
 		{name: "late with the update", finally: late, hasList: true, bound: lateBound},
@@ -130,7 +130,7 @@
 	} {
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
-			most, all, heard := 3, 0, 0
+			most, all, notified := 3, 0, 0
 			if testing.Short() {
 				most = 2
 			}
@@ -143,8 +143,8 @@
 				worst := time.Duration(0)
 				for seed := n; seed < n+seeds; seed++ {
 					nodes := fleetSizes[seed%len(fleetSizes)]
-					last, inMoment := o.play(order, nodes, seed)
-					worst, all, heard = max(worst, last), all+nodes, heard+inMoment
+					last, inWindow := o.simulate(order, nodes, seed)
+					worst, all, notified = max(worst, last), all+nodes, notified+inWindow
 				}
 				if worst > o.bound {
 					t.Errorf("after %v, notified %v after discovery had it: over %v", order, worst, o.bound)
@@ -154,9 +154,9 @@
 				}
 			}
 			if o.window > 0 {
-				fmt.Fprintf(&table, "\n%d of %d nodes notified within %v", heard, all, o.window)
-				if heard*100 < all*o.notifiedPercent {
-					t.Errorf("%d of %d nodes notified within %v", heard, all, o.window)
+				fmt.Fprintf(&table, "\n%d of %d nodes notified within %v", notified, all, o.window)
+				if notified*100 < all*o.notifiedPercent {
+					t.Errorf("%d of %d nodes notified within %v", notified, all, o.window)
 				}
 			}
 			t.Log("notified at the latest, by what failed before" + table.String())
@@ -166,15 +166,15 @@
 
 // Backoffs that are short for the sake of updates must not become a storm. While long polls broke, 480 nodes polled
 // 2,368 times in a second.
-func TestPollsAreFewWhileDiscoveryFails(t *testing.T) {
+func TestPollRateIsBoundedWhileDiscoveryFails(t *testing.T) {
 	const from, spread, until = 10, 12, 40 // seconds: when it begins to fail, when the nodes are spread, and the end
 	var table strings.Builder
 	for _, m := range []behaviour{late, silent, refusing, resetting, truncating} {
 		for _, nodes := range fleetSizes {
-			r := newSimFleet(nodes, nodes, []phase{{healthy, 0}, {m, from * time.Second}}, time.Hour)
-			r.run(until*time.Second, false)
-			first, later, all := slices.Max(r.perSecond[from:spread]), slices.Max(r.perSecond[spread:until]), 0
-			for _, n := range r.perSecond[spread:until] {
+			fleet := newSimFleet(nodes, nodes, []phase{{healthy, 0}, {m, from * time.Second}}, time.Hour)
+			fleet.run(until*time.Second, false)
+			first, later, all := slices.Max(fleet.perSecond[from:spread]), slices.Max(fleet.perSecond[spread:until]), 0
+			for _, n := range fleet.perSecond[spread:until] {
 				all += n
 			}
 			fmt.Fprintf(&table, "\n%-8v %3d nodes: %4d polls a second at first, then %3d at most and %3d on average",
@@ -189,7 +189,7 @@
 
 // Polls cost discovery work, and refusals too. One that was 20 times slower for some seconds must recover under the
 // polls of all nodes, and give all of them the update; 300 nodes and 480 did not get it within 20 s.
-func TestSlowDiscoveryRecoversUnderThePollsOfAll(t *testing.T) {
+func TestSlowDiscoveryRecoversUnderFleetLoad(t *testing.T) {
 	longest := map[int]time.Duration{
 		12:  time.Second,
 		80:  time.Second,
@@ -198,25 +198,25 @@
 	}
 	for nodes, most := range longest {
 		const from, until = 10 * time.Second, 16 * time.Second
-		r := newSimFleet(nodes, nodes, []phase{{healthy, 0}}, until)
-		r.registry = &world.Registry{
+		fleet := newSimFleet(nodes, nodes, []phase{{healthy, 0}}, until)
+		fleet.registry = &world.Registry{
 			CompleteWork: 20 * time.Millisecond,
 			UpdateWork:   2 * time.Millisecond,
 			Backlog:      300 * time.Millisecond,
 		}
-		r.slowPeriod = [2]time.Duration{from, until}
-		r.run(until+20*time.Second, false)
+		fleet.slowPeriod = [2]time.Duration{from, until}
+		fleet.run(until+20*time.Second, false)
 		last, after := time.Duration(0), time.Duration(0)
-		for _, a := range r.nodes {
+		for _, a := range fleet.nodes {
 			last = max(last, a.notifiedAt-until)
 			if a.notifiedAt == 0 {
 				last = time.Hour
 			}
 		}
-		after = last - max(0, r.refusedAt-until)
+		after = last - max(0, fleet.refusedAt-until)
 		t.Logf("%d nodes: all notified %v after it is as quick as ever, %v after the last refusal; "+
 			"%d refused, %d polls a second at most",
-			nodes, last, after, r.refused, slices.Max(r.perSecond))
+			nodes, last, after, fleet.refused, slices.Max(fleet.perSecond))
 		if last > most || after > updateBound {
 			t.Errorf("%d nodes: notified %v after it is as quick as ever, %v after the last refusal",
 				nodes, last, after)
--- a/internal/discovery/poller.go
+++ b/internal/discovery/poller.go
@@ -25,8 +25,8 @@
 	// slowTimeout is the same after a poll that timed out, as discovery may be slow.
 	slowTimeout = 3 * time.Second
 
-	// immediately is the long-poll time of a poll that only asks whether there is an update.
-	immediately = time.Millisecond
+	// minLongPollTime is the long-poll time of a poll that only asks whether there is an update.
+	minLongPollTime = time.Millisecond
 )
 
 // noVersion is the version of a Poller that holds no list.
@@ -62,10 +62,10 @@
 	nodes          int  // that poll as this one does
 	version        int  // of the list that is held, or noVersion
 	failures       int  // in a row
-	lost           bool // the last poll lost its connection
+	connectionLost bool // the last poll lost its connection
 	timedOut       bool // and did so by its timeout
 	versionInDoubt bool // discovery may not know the version, so the complete list is asked for once
-	spread         bool // the last backoff was drawn from a span so long that the fleet's polls are spread by now
+	pollsSpread    bool // the last backoff was drawn from a span so long that the fleet's polls are spread by now
 }
 
 // New returns the Poller of one of so many nodes. It holds no list.
@@ -93,12 +93,12 @@
 	}
 	switch {
 	case p.needsComplete() && p.failures == 0:
-		atFirst := completeTimeout + time.Duration(p.nodes)*completeTimeoutPerNode
-		return Poll{Complete: true, Timeout: min(timeout, atFirst)}
+		firstTimeout := completeTimeout + time.Duration(p.nodes)*completeTimeoutPerNode
+		return Poll{Complete: true, Timeout: min(timeout, firstTimeout)}
 	case p.needsComplete():
 		return Poll{Complete: true, Timeout: timeout}
-	case p.lost:
-		return Poll{SinceVersion: p.version, LongPollTime: immediately, Timeout: timeout}
+	case p.connectionLost:
+		return Poll{SinceVersion: p.version, LongPollTime: minLongPollTime, Timeout: timeout}
 	case p.failures > 0:
 		return Poll{SinceVersion: p.version, LongPollTime: promptTimeout - longPollSlack, Timeout: promptTimeout}
 	}
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -13,7 +13,7 @@
 // 80 nodes whose polls were refused polled 1,200 times a second, in step, and discovery never recovered. No node may
 // back off for longer than an update can wait, so the polls grow with the number of nodes, but all of them are spread
 // from the first refusal on.
-func TestRefusedPollsAreFewOverTheFleet(t *testing.T) {
+func TestRefusedPollRateIsBounded(t *testing.T) {
 	for _, test := range []struct{ nodes, mostPerSecond int }{{1, 10}, {80, 45}, {800, 400}} {
 		t.Run(fmt.Sprintf("%d nodes", test.nodes), func(t *testing.T) {
 			perSecond := make([]int, 60)
@@ -36,7 +36,7 @@
 	end := time.Duration(len(perSecond)) * time.Second
 	for at := time.Duration(0); ; {
 		backoff, _ := p.OnFailure(Refused, 0, random.Float64())
-		if backoff > maxRefusedSpan {
+		if backoff > maxRefusedLimit {
 			t.Fatalf("backs off for %v", backoff)
 		}
 		at += backoff
@@ -69,14 +69,14 @@
 
 // A discovery that was down for some seconds was polled again only half a minute later, and a failure that had passed
 // still made backoffs longer.
-func TestBackoffIsBoundedAndEndsWithAnUpdate(t *testing.T) {
+func TestBackoffIsBoundedAndResetByUpdate(t *testing.T) {
 	p := New(80)
 	p.SetVersion(7)
 	for _, failure := range []Failure{ConnectionLost, Refused, Unreadable} {
 		p.OnFailure(failure, 0, 0.5)
 	}
 	for range 20 {
-		if backoff, _ := p.OnFailure(ConnectionLost, 0, 1); backoff > maxLostSpan {
+		if backoff, _ := p.OnFailure(ConnectionLost, 0, 1); backoff > maxLostLimit {
 			t.Errorf("after lost connections it backs off for %v", backoff)
 		}
 	}
@@ -85,7 +85,7 @@
 		t.Errorf("took the complete list as %v (recovered: %v)", kind, recovered)
 	}
 	backoff, first := p.OnFailure(ConnectionLost, 0, 1)
-	if !first || backoff > firstSpan || p.NextPoll().SinceVersion != 9 {
+	if !first || backoff > initialLimit || p.NextPoll().SinceVersion != 9 {
 		t.Errorf("then backs off for %v (first: %v), then %+v", backoff, first, p.NextPoll())
 	}
 }
