--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -24,7 +24,7 @@
 // time: twelve neighbours send forty heartbeats a second. The detector evaluates heartbeats at ticks only, so nothing
 // is decided later for it.
 func (t *transport) onTick(batched bool) {
-	t.batched.Store(batched)
+	t.batchReads.Store(batched)
 	select {
 	case t.ticked <- struct{}{}:
 	default:
@@ -38,7 +38,7 @@
 	for {
 		var err error
 		udp, isUDP := t.sockets.Datagrams.(*net.UDPConn)
-		if isUDP && t.batched.Load() {
+		if isUDP && t.batchReads.Load() {
 			if batch == nil {
 				batch = newBatch()
 			}
--- a/internal/membership/gossip/datagrams_test.go
+++ b/internal/membership/gossip/datagrams_test.go
@@ -63,7 +63,7 @@
 // In a large fleet a node that woke up for each datagram spent most of its time for the fleet on that. All that has
 // arrived is read at a tick, in few calls, none is lost, and none waits for a tick that never comes once the fleet is
 // small again.
-func TestDatagramsOfALargeFleetAreReadAtTicks(t *testing.T) {
+func TestLargeFleetReadsDatagramsInBatches(t *testing.T) {
 	const count = 3 * batchSize
 	r := newLargeFleetReceiver(t)
 	r.onTick(true)
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -47,7 +47,7 @@
 
 // MergeRemoteState implements memberlist.Delegate: all statements that another node has.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
-	statements, err := readState(state)
+	statements, err := decodeRemoteState(state)
 	if err != nil {
 		d.node.unreadable.Add(1)
 		return
@@ -60,9 +60,9 @@
 	d.node.state.detector.SyncCompleted()
 }
 
-func readState(state []byte) ([]cbor.RawMessage, error) {
+func decodeRemoteState(state []byte) ([]cbor.RawMessage, error) {
 	if len(state) > maxStateBytes {
-		return nil, errMessage
+		return nil, errInvalidMessage
 	}
 	return decodeState(state)
 }
@@ -91,17 +91,17 @@
 		members = append(members, name)
 	}
 	n.state.libraryMembers = members
-	line := trace.Line{Kind: trace.Library, ChangedNode: nodeOf(name), Joined: joined}
+	line := trace.Line{Kind: trace.Library, ChangedNode: nodeNameOf(name), Joined: joined}
 	for _, member := range members {
-		line.Members = append(line.Members, nodeOf(member))
+		line.Members = append(line.Members, nodeNameOf(member))
 	}
 	slices.Sort(line.Members)
 	line.Members = slices.Compact(line.Members)
 	n.writeTrace(line)
 }
 
-// nodeOf returns the node's name from a name that the library knows.
-func nodeOf(libraryName string) string {
+// nodeNameOf returns the node's name from a name that the library knows.
+func nodeNameOf(libraryName string) string {
 	node, _, _ := strings.Cut(libraryName, processSeparator)
 	return node
 }
--- a/internal/membership/gossip/listen_test.go
+++ b/internal/membership/gossip/listen_test.go
@@ -18,7 +18,7 @@
 
 // A stream comes from the address that datagrams come from and that others know: else nobody can tell whose it is. A
 // node that listens on all addresses dials from any.
-func TestStreamsComeFromTheKnownAddress(t *testing.T) {
+func TestDialUsesListenAddressAsSource(t *testing.T) {
 	from := listen(t, "127.10.0.1:0")
 	to := listen(t, "127.11.0.1:0")
 	stream, err := from.Dial(to.Streams.Addr().String(), time.Second)
@@ -44,7 +44,7 @@
 
 // Any port that was free for datagrams was taken, whether it was free for streams or not: one start in some hundred
 // failed.
-func TestAnyPortIsFreeForDatagramsAndStreams(t *testing.T) {
+func TestListenFindsPortFreeForBothProtocols(t *testing.T) {
 	for range 400 { // of some 28,000 that systems give
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -97,19 +97,19 @@
 }
 
 // Join joins over a transport, which it closes in the end, also where it fails.
-func Join(c Config, over Transport) (*Node, error) {
+func Join(c Config, sockets Transport) (*Node, error) {
 	advertised, err := netip.ParseAddrPort(c.FleetConfig.Fleet.Advertise)
 	if err != nil {
-		over.close()
+		sockets.close()
 		return nil, err
 	}
-	process, err := drawProcessID()
+	process, err := newProcessID()
 	if err != nil {
-		over.close()
+		sockets.close()
 		return nil, err
 	}
 	n := newNode(c, process, advertised)
-	n.transport = newTransport(over, advertised, c.FleetConfig, n.onHeartbeat)
+	n.transport = newTransport(sockets, advertised, c.FleetConfig, n.onHeartbeat)
 	n.list, err = memberlist.Create(n.libraryConfig())
 	if err != nil {
 		_ = n.transport.Shutdown()
@@ -120,8 +120,8 @@
 	return n, nil
 }
 
-// drawProcessID draws an id that isn't 0.
-func drawProcessID() (membership.ProcessID, error) {
+// newProcessID draws an id that isn't 0.
+func newProcessID() (membership.ProcessID, error) {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
 		return 0, err
@@ -246,7 +246,7 @@
 	defer n.state.mu.Unlock()
 	detector := n.state.detector
 	detector.LoopAdvanced(n.loopCount.Load())
-	n.statePresence()
+	n.applyPresence()
 	actions := detector.Tick(n.Now())
 	view := detector.View()
 	conflict := detector.NameConflict()
@@ -325,7 +325,7 @@
 func (n *Node) leave() {
 	n.state.mu.Lock()
 	n.SetPresence(Leaving)
-	n.statePresence()
+	n.applyPresence()
 	n.state.mu.Unlock()
 	_ = n.list.Leave(leaveTimeout)
 }
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -63,12 +63,12 @@
 // advanceLoop stands for the loop that serves clients.
 func advanceLoop(t *testing.T, node *Node) {
 	t.Helper()
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
+	done := make(chan struct{})
+	t.Cleanup(func() { close(done) })
 	go func() {
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(20 * time.Millisecond):
 				node.LoopAdvanced()
@@ -108,8 +108,8 @@
 	first, last := nodes[0], nodes[2]
 	eventually(t, "all know all", haveSameView(nodes, 3))
 	addr := first.FleetConfig.Fleet.Advertise
-	ours := func(kind byte) string { return string(first.transport.fleet.preface(kind)) }
-	other := func(kind byte) string { return string(fleetID(1).preface(kind)) }
+	ownPreface := func(kind byte) string { return string(first.transport.fleet.preface(kind)) }
+	foreignPreface := func(kind byte) string { return string(fleetID(1).preface(kind)) }
 
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
@@ -121,18 +121,18 @@
 		"x",
 		"\xda\x17\x01",
 		"\xda\x17\x02hhhhh",
-		ours('z') + "...",
-		ours('h'),
-		ours('h') + "\xa1\x00\x01",
-		ours('g'),
-		ours('g') + "\xff\xff\xff",
-		ours('h') + "\xbf",
-		other('h'),
+		ownPreface('z') + "...",
+		ownPreface('h'),
+		ownPreface('h') + "\xa1\x00\x01",
+		ownPreface('g'),
+		ownPreface('g') + "\xff\xff\xff",
+		ownPreface('h') + "\xbf",
+		foreignPreface('h'),
 		string(make([]byte, 9000)),
 	} {
 		io.WriteString(conn, datagram)
 	}
-	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", ours('h'), other('g'), "\xda\x17"} {
+	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", ownPreface('h'), foreignPreface('g'), "\xda\x17"} {
 		expectClosed(t, addr, text)
 	}
 	eventually(t, "all foreign and unreadable messages are counted", func() bool {
--- a/internal/membership/gossip/presence.go
+++ b/internal/membership/gossip/presence.go
@@ -13,8 +13,8 @@
 // SetPresence states a presence to the others, from the next tick on.
 func (n *Node) SetPresence(p Presence) { n.presence.Store(int32(p)) }
 
-// statePresence puts the presence into this process's statement; the state is locked.
-func (n *Node) statePresence() {
+// applyPresence puts the presence into this process's statement; the state is locked.
+func (n *Node) applyPresence() {
 	detector := n.state.detector
 	switch Presence(n.presence.Load()) {
 	case Participating:
--- a/internal/membership/gossip/streams.go
+++ b/internal/membership/gossip/streams.go
@@ -37,8 +37,8 @@
 // onStream reads a stream's preface and hands the stream to the library.
 func (t *transport) onStream(accepted net.Conn) {
 	flow := &t.counters.flows[flowStreams]
-	stream := &slottedConn{Conn: &countedConn{Conn: accepted, flow: flow}, slots: t.streamSlots}
-	if !t.isOurs(stream) {
+	stream := &limitedConn{Conn: &countingConn{Conn: accepted, flow: flow}, slots: t.streamSlots}
+	if !t.hasLibraryPreface(stream) {
 		t.counters.foreign.Add(1)
 		_ = stream.Close()
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// isOurs reads a stream's preface and reports whether it is the library's in this fleet.
-func (t *transport) isOurs(stream net.Conn) bool {
+// hasLibraryPreface reads a stream's preface and reports whether it is the library's in this fleet.
+func (t *transport) hasLibraryPreface(stream net.Conn) bool {
 	preface := make([]byte, prefaceBytes)
 	_ = stream.SetReadDeadline(time.Now().Add(prefaceTimeout))
 	if _, err := io.ReadFull(stream, preface); err != nil {
@@ -64,15 +64,15 @@
 	return ok && kind == kindLibrary
 }
 
-// slottedConn gives its slot back once it is closed.
-type slottedConn struct {
+// limitedConn gives its slot back once it is closed.
+type limitedConn struct {
 	net.Conn
 	slots chan struct{}
 	once  sync.Once
 }
 
 // Close closes the stream and gives its slot back.
-func (c *slottedConn) Close() error {
+func (c *limitedConn) Close() error {
 	c.once.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	flow := &t.counters.flows[flowStreams]
-	stream := &countedConn{Conn: dialled, flow: flow}
+	stream := &countingConn{Conn: dialled, flow: flow}
 	flow.out.Add(1)
 	_ = stream.SetWriteDeadline(time.Now().Add(timeout))
 	if _, err := stream.Write(t.fleet.preface(kindLibrary)); err != nil {
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -26,11 +26,11 @@
 // tracer hands lines to a function on a goroutine of its own. Lines that are written after its end are lost: the
 // library may still report changes then. A nil tracer takes lines and does nothing.
 type tracer struct {
-	lines chan trace.Line
-	ended chan struct{} // closed by close
-	done  chan struct{} // closed once the last line was handed over
-	lost  atomic.Uint64
-	write func([]byte)
+	lines   chan trace.Line
+	ended   chan struct{} // closed by close
+	done    chan struct{} // closed once the last line was handed over
+	dropped atomic.Uint64
+	write   func([]byte)
 }
 
 func newTracer(write func([]byte)) *tracer {
@@ -52,18 +52,18 @@
 	for {
 		select {
 		case line := <-t.lines:
-			t.handOver(line)
+			t.emit(line)
 		case <-t.ended:
 			for len(t.lines) > 0 {
-				t.handOver(<-t.lines)
+				t.emit(<-t.lines)
 			}
 			return
 		}
 	}
 }
 
-func (t *tracer) handOver(line trace.Line) {
-	line.Dropped = t.lost.Load()
+func (t *tracer) emit(line trace.Line) {
+	line.Dropped = t.dropped.Load()
 	if text, err := json.Marshal(line); err == nil {
 		t.write(append(text, '\n'))
 	}
@@ -77,7 +77,7 @@
 	select {
 	case t.lines <- line:
 	default:
-		t.lost.Add(1)
+		t.dropped.Add(1)
 	}
 }
 
--- a/internal/membership/gossip/traffic.go
+++ b/internal/membership/gossip/traffic.go
@@ -74,21 +74,21 @@
 	return all
 }
 
-// countedConn counts the bytes of a stream.
-type countedConn struct {
+// countingConn counts the bytes of a stream.
+type countingConn struct {
 	net.Conn
 	flow *flowCounters
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.flow.inBytes.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.flow.outBytes.Add(uint64(n))
 	return n, err
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -44,8 +44,8 @@
 	streams     chan net.Conn
 	streamSlots chan struct{} // one for each stream that others have open
 
-	batched atomic.Bool   // datagrams are read in batches, one batch a tick
-	ticked  chan struct{} // has one element once there was a tick
+	batchReads atomic.Bool   // datagrams are read in batches, one batch a tick
+	ticked     chan struct{} // has one element once there was a tick
 
 	closed    chan struct{}
 	closeOnce sync.Once
--- a/internal/membership/gossip/view_test.go
+++ b/internal/membership/gossip/view_test.go
@@ -8,7 +8,7 @@
 )
 
 // The log tells by name who came and who went, whichever list of members ends first.
-func TestDifferenceOfMembers(t *testing.T) {
+func TestDifference(t *testing.T) {
 	type names = []membership.NodeName
 	for _, c := range []struct {
 		names, others names
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -27,7 +27,7 @@
 	Revision   uint64 `cbor:"2,keyasint"`
 	Digest     uint32 `cbor:"3,keyasint"` // the lower half
 	Addr       []byte `cbor:"4,keyasint"`
-	SelfDoubt  bool   `cbor:"5,keyasint,omitempty"`
+	Isolated   bool   `cbor:"5,keyasint,omitempty"`
 	WantsReply bool   `cbor:"6,keyasint,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	Addr        []byte   `cbor:"5,keyasint"`
 	Leaving     bool     `cbor:"6,keyasint,omitempty"`
 	YieldsName  bool     `cbor:"7,keyasint,omitempty"`
-	SelfDoubt   bool     `cbor:"8,keyasint,omitempty"`
+	Isolated    bool     `cbor:"8,keyasint,omitempty"`
 	Hears       []uint64 `cbor:"9,keyasint,omitempty"`
 	Misses      []uint64 `cbor:"10,keyasint,omitempty"`
 }
@@ -52,8 +52,8 @@
 	Statements []cbor.RawMessage `cbor:"1,keyasint"`
 }
 
-// errMessage is the error of a message that decodes and yet says nothing valid.
-var errMessage = errors.New("not a message between nodes")
+// errInvalidMessage is the error of a message that decodes and yet says nothing valid.
+var errInvalidMessage = errors.New("not a message between nodes")
 
 // decoder guards against messages that would cost more to read than they could be worth.
 var decoder = newDecoder()
@@ -99,7 +99,7 @@
 		Revision:   uint64(h.Revision),
 		Digest:     uint32(h.Digest),
 		Addr:       encodeAddr(h.Addr),
-		SelfDoubt:  h.Isolated,
+		Isolated:   h.Isolated,
 		WantsReply: h.WantsReply,
 	})
 }
@@ -114,11 +114,11 @@
 		Revision:   membership.Revision(w.Revision),
 		Digest:     uint64(w.Digest),
 		Addr:       decodeAddr(w.Addr),
-		Isolated:   w.SelfDoubt,
+		Isolated:   w.Isolated,
 		WantsReply: w.WantsReply,
 	}
 	if w.Version == 0 || h.Process == 0 || h.Addr == "" {
-		return membership.Heartbeat{}, errMessage
+		return membership.Heartbeat{}, errInvalidMessage
 	}
 	return h, nil
 }
@@ -133,7 +133,7 @@
 		Addr:        encodeAddr(s.Addr),
 		Leaving:     s.Leaving,
 		YieldsName:  s.YieldsName,
-		SelfDoubt:   s.Isolated,
+		Isolated:    s.Isolated,
 		Hears:       convertIDs[uint64](s.Hears),
 		Misses:      convertIDs[uint64](s.Misses),
 	})
@@ -142,14 +142,14 @@
 // decodeStatement decodes a statement. Whether it keeps the detector's bounds is for the detector to see.
 func decodeStatement(message []byte) (membership.Statement, error) {
 	if len(message) > maxStatementBytes {
-		return membership.Statement{}, errMessage
+		return membership.Statement{}, errInvalidMessage
 	}
 	var w wireStatement
 	if err := decoder.Unmarshal(message, &w); err != nil {
 		return membership.Statement{}, err
 	}
 	if w.Version == 0 || len(w.Hears) > membership.MaxStatementNeighbours || len(w.Misses) > membership.MaxStatementNeighbours {
-		return membership.Statement{}, errMessage
+		return membership.Statement{}, errInvalidMessage
 	}
 	return membership.Statement{
 		Process:     membership.ProcessID(w.Process),
@@ -159,7 +159,7 @@
 		Addr:        decodeAddr(w.Addr),
 		Leaving:     w.Leaving,
 		YieldsName:  w.YieldsName,
-		Isolated:    w.SelfDoubt,
+		Isolated:    w.Isolated,
 		Hears:       convertIDs[membership.ProcessID](w.Hears),
 		Misses:      convertIDs[membership.ProcessID](w.Misses),
 	}, nil
@@ -189,7 +189,7 @@
 		return nil, err
 	}
 	if w.Version == 0 {
-		return nil, errMessage
+		return nil, errInvalidMessage
 	}
 	return w.Statements, nil
 }
--- a/internal/membership/gossip/wire_test.go
+++ b/internal/membership/gossip/wire_test.go
@@ -11,7 +11,7 @@
 
 // Nodes of different versions run side by side during an update: messages keep the bytes that they had when these were
 // recorded.
-func TestMessagesBetweenNodesAreAsRecorded(t *testing.T) {
+func TestMessageEncodingMatchesRecording(t *testing.T) {
 	var got strings.Builder
 	write := func(what string, b []byte, err error) {
 		t.Helper()
@@ -108,7 +108,7 @@
 
 // During an update newer nodes may state fields that an older one doesn't know. The older one passes them over, and on
 // to others as they arrived.
-func TestUnknownFieldsArePassedOn(t *testing.T) {
+func TestUnknownStatementFieldsAreForwarded(t *testing.T) {
 	statement, err := encodeStatement(membership.Statement{Process: 7, Node: "n1", Revision: 9, Addr: "10.0.0.1:7946"})
 	if err != nil {
 		t.Fatal(err)
