--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -12,18 +12,18 @@
 	syncInterval = 500 * time.Millisecond
 	// syncIntervalPerProcess is added to it for each process known: an exchange is that much longer.
 	syncIntervalPerProcess = 5 * time.Millisecond
-	// smallFleet is the number of processes that gossip reaches within these spans; each time as many take half as long
+	// smallFleetSize is the number of processes that gossip reaches within these spans; each time as many take half as long
 	// again.
-	smallFleet = 32
+	smallFleetSize = 32
 )
 
 // syncState says when and with which process the full state is exchanged: anti-entropy, beside the gossip of single
 // statements.
 type syncState struct {
-	target      string        // address to exchange with after this tick; empty for none
-	requestedAt time.Duration // run time of the last request; 0 for none
-	heardOther  bool          // a statement of another process has arrived
-	completed   bool          // the full state of another process was merged
+	target            string        // address to exchange with after this tick; empty for none
+	requestedAt       time.Duration // run time of the last request; 0 for none
+	statementReceived bool          // a statement of another process has arrived
+	completed         bool          // the full state of another process was merged
 }
 
 func (s *syncState) takeTarget() string {
@@ -35,15 +35,15 @@
 // SyncCompleted reports that the full state of another process was merged.
 func (d *Detector) SyncCompleted() { d.sync.completed = true }
 
-// scaled is how long to wait for statements, or to gather them, where base is enough in a small fleet. Guards against
+// scaledDelay is how long to wait for statements, or to gather them, where base is enough in a small fleet. Guards against
 // a large fleet in which each change has every process ask for the full state: gossip takes longer to reach all the
 // more there are, and a process that is busy with exchanges has more to state that has to reach all.
-func (d *Detector) scaled(base time.Duration) time.Duration {
-	span := base
-	for n := smallFleet; n < len(d.peers.byID); n *= 2 {
-		span += base / 2
+func (d *Detector) scaledDelay(base time.Duration) time.Duration {
+	delay := base
+	for n := smallFleetSize; n < len(d.peers.byID); n *= 2 {
+		delay += base / 2
 	}
-	return span
+	return delay
 }
 
 // requestSync asks for an exchange with a process, not too often.
@@ -51,28 +51,28 @@
 	if d.sync.target != "" {
 		return
 	}
-	interval := syncInterval + d.scaled(time.Duration(len(d.peers.byID))*syncIntervalPerProcess)
-	if d.sync.requestedAt != 0 && d.ran-d.sync.requestedAt < interval {
+	interval := syncInterval + d.scaledDelay(time.Duration(len(d.peers.byID))*syncIntervalPerProcess)
+	if d.sync.requestedAt != 0 && d.runTime-d.sync.requestedAt < interval {
 		return
 	}
 	d.sync.target = addr
-	d.sync.requestedAt = d.ran
+	d.sync.requestedAt = d.runTime
 }
 
 // compareDigest asks for an exchange with a process whose digest has been another than this one's for long enough.
 func (d *Detector) compareDigest(p *peer, h Heartbeat) {
 	if uint32(h.Digest) == uint32(d.evaluation.digest) {
-		p.differentDigest = never
+		p.digestDiffersSince = never
 		return
 	}
-	if p.differentDigest < 0 {
-		p.differentDigest = d.ran
+	if p.digestDiffersSince < 0 {
+		p.digestDiffersSince = d.runTime
 		return
 	}
-	differs := d.ran - p.differentDigest
-	missesStatement := h.Revision > p.Revision && differs >= d.scaled(statementGrace)
-	if missesStatement || differs >= d.scaled(digestGrace) {
-		p.differentDigest = never
+	differs := d.runTime - p.digestDiffersSince
+	missesStatement := h.Revision > p.Revision && differs >= d.scaledDelay(statementGrace)
+	if missesStatement || differs >= d.scaledDelay(digestGrace) {
+		p.digestDiffersSince = never
 		d.requestSync(p.Addr)
 	}
 }
--- a/internal/membership/antientropy_test.go
+++ b/internal/membership/antientropy_test.go
@@ -17,9 +17,9 @@
 // In a large fleet gossip takes longer to reach all. A fleet of 480 processes that waited no longer for statements
 // than a small one had all ask for all that is known at each change, and did not come to rest. Small fleets wait as
 // they did.
-func TestWaitsForStatementsGrowWithTheFleet(t *testing.T) {
+func TestStatementGraceGrowsWithFleetSize(t *testing.T) {
 	for n, ms := range map[int]time.Duration{1: 300, 32: 300, 33: 450, 64: 450, 65: 600, 480: 900, 960: 1050} {
-		if got := detectorKnowing(n).scaled(statementGrace); got != ms*time.Millisecond {
+		if got := detectorKnowing(n).scaledDelay(statementGrace); got != ms*time.Millisecond {
 			t.Errorf("%d processes: %v, want %d ms", n, got, int64(ms))
 		}
 	}
@@ -27,17 +27,17 @@
 
 // An exchange of all that is known is the longer the more there is. It is asked for the more rarely, so that the cost
 // of exchanges does not grow with the fleet.
-func TestExchangesAreRarerInALargeFleet(t *testing.T) {
+func TestSyncIntervalGrowsWithFleetSize(t *testing.T) {
 	for n, ms := range map[int]time.Duration{12: 560, 32: 660, 120: 1700, 480: 7700} {
 		d := detectorKnowing(n)
-		d.ran = time.Hour
+		d.runTime = time.Hour
 		d.requestSync("x")
 		d.sync.takeTarget()
-		d.ran += ms*time.Millisecond - 1
+		d.runTime += ms*time.Millisecond - 1
 		if d.requestSync("x"); d.sync.target != "" {
 			t.Errorf("%d processes: asked again before %v ms", n, int64(ms))
 		}
-		d.ran++
+		d.runTime++
 		if d.requestSync("x"); d.sync.target != "x" {
 			t.Errorf("%d processes: not asked again after %v ms", n, int64(ms))
 		}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -15,22 +15,22 @@
 // rules are the guards that a detector applies. All are on in service; tests switch single ones off to show that the
 // invariants then break.
 type rules struct {
-	minObservers     int  // that must miss a process before it can be removed
-	requireMajority  bool // more must miss a process than hear it
-	selfDoubt        bool // a process that hears too few doubts itself
-	freeze           bool // nobody is removed while too many are missing at once
-	measureRunTime   bool // spans are measured in time that the process has run, not by the clock
-	stopWithDeadLoop bool // a process that no longer serves clients sends no heartbeats
+	minObservers      int  // that must miss a process before it can be removed
+	requireMajority   bool // more must miss a process than hear it
+	detectIsolation   bool // a process that hears too few doubts itself
+	freezeRemovals    bool // nobody is removed while too many are missing at once
+	measureRunTime    bool // spans are measured in time that the process has run, not by the clock
+	stopOnStalledLoop bool // a process that no longer serves clients sends no heartbeats
 }
 
-func soundRules() rules {
+func defaultRules() rules {
 	return rules{
-		minObservers:     2,
-		requireMajority:  true,
-		selfDoubt:        true,
-		freeze:           true,
-		measureRunTime:   true,
-		stopWithDeadLoop: true,
+		minObservers:      2,
+		requireMajority:   true,
+		detectIsolation:   true,
+		freezeRemovals:    true,
+		measureRunTime:    true,
+		stopOnStalledLoop: true,
 	}
 }
 
@@ -40,7 +40,7 @@
 	rules      rules
 	config     Config
 	random     keyhash.Source
-	own        *peer // also in peers
+	self       *peer // also in peers
 	peers      peerTable
 	contacts   contacts
 	neighbours neighbourSet
@@ -57,10 +57,10 @@
 	own := newPeer(0)
 	own.Statement = Statement{Process: process, Node: node, Addr: addr, Revision: 1}
 	return &Detector{
-		rules:      soundRules(),
+		rules:      defaultRules(),
 		config:     config,
 		random:     keyhash.Source{Seed: uint32(process)},
-		own:        own,
+		self:       own,
 		peers:      peerTable{byID: map[ProcessID]*peer{process: own}},
 		contacts:   contacts{seeds: seeds, forgotten: map[ProcessID]forgottenPeer{}},
 		neighbours: neighbourSet{stale: true},
@@ -92,11 +92,11 @@
 
 	actions := Actions{
 		Heartbeat: Heartbeat{
-			Process:  d.own.Process,
-			Revision: d.own.Revision,
+			Process:  d.self.Process,
+			Revision: d.self.Revision,
 			Digest:   d.evaluation.digest,
-			Addr:     d.own.Addr,
-			Isolated: d.own.Isolated,
+			Addr:     d.self.Addr,
+			Isolated: d.self.Isolated,
 		},
 		SyncWith: d.sync.takeTarget(),
 	}
@@ -110,7 +110,7 @@
 // meanwhile. A gap between two ticks counts as a short one, so that no timeout has passed; and hearsTooFew counts only
 // neighbours that were heard after the gap.
 type runClock struct {
-	ran       time.Duration // all spans are measured by it
+	runTime   time.Duration // all spans are measured by it
 	resumedAt time.Duration // run time at the end of the last gap
 	last      monotime.Instant
 	started   bool
@@ -125,8 +125,8 @@
 	step := now.Since(c.last)
 	if capGaps && step > maxStep {
 		step = maxStep
-		c.resumedAt = c.ran + maxStep
+		c.resumedAt = c.runTime + maxStep
 	}
-	c.ran += step
+	c.runTime += step
 	c.last = now
 }
--- a/internal/membership/evaluation.go
+++ b/internal/membership/evaluation.go
@@ -28,11 +28,11 @@
 
 // evaluate looks at the status of each process, and makes a new view where something has changed.
 func (d *Detector) evaluate() {
-	elapsed := d.ran - d.evaluation.at
-	if elapsed < d.scaled(evaluationInterval)-evaluationInterval {
+	elapsed := d.runTime - d.evaluation.at
+	if elapsed < d.scaledDelay(evaluationInterval)-evaluationInterval {
 		return
 	}
-	d.evaluation.at = d.ran
+	d.evaluation.at = d.runTime
 	if !d.evaluation.changed && !d.evaluation.pending {
 		return
 	}
@@ -40,12 +40,12 @@
 		d.countEvidence()
 	}
 	frozen := d.mayBePartitioned()
-	isNews := d.evaluation.changed || frozen != d.evaluation.frozen
+	viewChanged := d.evaluation.changed || frozen != d.evaluation.frozen
 	d.evaluation.frozen = frozen
 	d.evaluation.changed = false
 	d.evaluation.pending = frozen
 
-	var removals, returns batch
+	var removals, rejoins batch
 	for _, p := range d.peers.sorted() {
 		switch {
 		case p.Leaving && p.status != Left:
@@ -55,20 +55,20 @@
 		case p.status == Joining:
 			d.evaluateJoining(p)
 		case p.status == Removed:
-			d.evaluateRemoved(p, elapsed, &returns)
+			d.evaluateRemoved(p, elapsed, &rejoins)
 		default:
 			if d.evaluateMember(p, elapsed, &removals) {
-				isNews = true
+				viewChanged = true
 			}
 		}
 	}
-	for _, p := range returns.ready(d.config.RejoinDelay) {
+	for _, p := range rejoins.ready(d.config.RejoinDelay) {
 		d.setStatus(p, Alive)
 	}
 	for _, p := range removals.ready(d.config.RemovalDelay) {
 		d.setStatus(p, Removed)
 	}
-	if isNews || d.evaluation.changed {
+	if viewChanged || d.evaluation.changed {
 		d.resolveNames()
 		d.publishView()
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	d.evaluation.pending = true
-	if p != d.own && d.ran-p.since >= leftRetention {
+	if p != d.self && d.runTime-p.since >= leftRetention {
 		d.forget(p)
 	}
 }
@@ -89,40 +89,40 @@
 // evaluateJoining makes a process a member that has taken its name and that enough hear.
 func (d *Detector) evaluateJoining(p *peer) {
 	e := &p.evidence
-	isHeard := e.heardBy > 0 && e.heardBy >= e.missedByBelieved
-	if p.Incarnation > 0 && isHeard && (p == d.own || d.fitsIn(p)) {
+	isHeard := e.heardBy > 0 && e.heardBy >= e.missedByTrusted
+	if p.Incarnation > 0 && isHeard && (p == d.self || d.isWellConnected(p)) {
 		d.setStatus(p, Alive)
 		return
 	}
 	d.evaluation.pending = true
-	if p != d.own && d.ran-p.since >= d.config.ForgetAfter {
+	if p != d.self && d.runTime-p.since >= d.config.ForgetAfter {
 		d.forget(p)
 	}
 }
 
 // evaluateRemoved has a process return that enough hear again for long enough, and forgets it where nobody does.
-func (d *Detector) evaluateRemoved(p *peer, elapsed time.Duration, returns *batch) {
+func (d *Detector) evaluateRemoved(p *peer, elapsed time.Duration, rejoins *batch) {
 	d.evaluation.pending = true
 	e := &p.evidence
-	p.sustained += elapsed
-	if e.heardBy == 0 || e.heardBy < e.missedByBelieved {
-		p.sustained = 0
+	p.sustainedFor += elapsed
+	if e.heardBy == 0 || e.heardBy < e.missedByTrusted {
+		p.sustainedFor = 0
 	}
 	switch {
-	case p.sustained >= d.config.RejoinDelay:
-		returns.due = append(returns.due, p)
-	case p.sustained > 0:
-		returns.othersSoon = true
-	case p != d.own && d.ran-p.since >= d.config.ForgetAfter:
+	case p.sustainedFor >= d.config.RejoinDelay:
+		rejoins.due = append(rejoins.due, p)
+	case p.sustainedFor > 0:
+		rejoins.othersNearlyDue = true
+	case p != d.self && d.runTime-p.since >= d.config.ForgetAfter:
 		d.forget(p)
 	}
 }
 
 // evaluateMember removes a member that enough processes have missed for long enough. It
 // reports whether the process came to be suspected, or no longer is: that changes no membership.
-func (d *Detector) evaluateMember(p *peer, elapsed time.Duration, removals *batch) (isNews bool) {
+func (d *Detector) evaluateMember(p *peer, elapsed time.Duration, removals *batch) (viewChanged bool) {
 	if !d.isMissed(p) || d.evaluation.frozen {
-		p.sustained = 0
+		p.sustainedFor = 0
 		status := Alive
 		if p.evidence.missedByAny > 0 {
 			status = Suspected
@@ -134,27 +134,27 @@
 		return true
 	}
 	d.evaluation.pending = true
-	p.sustained += elapsed
+	p.sustainedFor += elapsed
 	switch {
-	case p.sustained >= d.config.RemovalDelay:
+	case p.sustainedFor >= d.config.RemovalDelay:
 		removals.due = append(removals.due, p)
-	case p.sustained >= d.config.RemovalDelay-gatherWindow:
-		removals.othersSoon = true
+	case p.sustainedFor >= d.config.RemovalDelay-gatherWindow:
+		removals.othersNearlyDue = true
 	}
 	return false
 }
 
 // batch gathers processes that are due for the same change of status.
 type batch struct {
-	due        []*peer
-	othersSoon bool // others are about to be due
+	due             []*peer
+	othersNearlyDue bool // others are about to be due
 }
 
 // ready returns those that are due after a delay, or nobody while others are about to be and none has waited for them
 // for longer than gatherWindow.
 func (b *batch) ready(delay time.Duration) []*peer {
-	waitedLong := func(p *peer) bool { return p.sustained >= delay+gatherWindow }
-	if b.othersSoon && !slices.ContainsFunc(b.due, waitedLong) {
+	waitedLong := func(p *peer) bool { return p.sustainedFor >= delay+gatherWindow }
+	if b.othersNearlyDue && !slices.ContainsFunc(b.due, waitedLong) {
 		return nil
 	}
 	return b.due
@@ -165,8 +165,8 @@
 // between Alive and Suspected, which changes neither who is a member nor since when; forget drops the process.
 func (d *Detector) setStatus(p *peer, status Status) {
 	p.status = status
-	p.since = d.ran
-	p.sustained = 0
+	p.since = d.runTime
+	p.sustainedFor = 0
 	d.evaluation.changed = true
 }
 
@@ -174,7 +174,7 @@
 func (d *Detector) forget(p *peer) {
 	p.status = Forgotten
 	d.peers.remove(p)
-	d.contacts.add(p, d.ran)
+	d.contacts.add(p, d.runTime)
 	d.evaluation.changed = true
 	d.neighbours.stale = true
 }
--- a/internal/membership/evidence_test.go
+++ b/internal/membership/evidence_test.go
@@ -4,7 +4,7 @@
 
 // One bad link, or one observer that is cut off itself, is no reason to remove anybody: it takes two, and more that
 // miss the process than hear it or can't tell.
-func TestEvidenceForARemoval(t *testing.T) {
+func TestRemovalRequiresMajorityOfObservers(t *testing.T) {
 	d := New(Config{}, 1, "n", "a", nil)
 	for _, c := range []struct {
 		name     string
@@ -12,12 +12,12 @@
 		want     bool
 	}{
 		{"nobody misses it", evidence{heardBy: 3}, false},
-		{"one observer", evidence{missedByBelieved: 1}, false},
-		{"two observers", evidence{missedByBelieved: 2}, true},
-		{"as many hear it", evidence{missedByBelieved: 2, heardBy: 2}, false},
-		{"more miss it", evidence{missedByBelieved: 3, heardBy: 2}, true},
-		{"neighbours in self-doubt count for it", evidence{missedByBelieved: 3, heardBy: 2, doubtfulFor: 1}, false},
-		{"old statements don't count", evidence{missedByBelieved: 1, missedByAny: 5}, false},
+		{"one observer", evidence{missedByTrusted: 1}, false},
+		{"two observers", evidence{missedByTrusted: 2}, true},
+		{"as many hear it", evidence{missedByTrusted: 2, heardBy: 2}, false},
+		{"more miss it", evidence{missedByTrusted: 3, heardBy: 2}, true},
+		{"neighbours in self-doubt count for it", evidence{missedByTrusted: 3, heardBy: 2, isolatedNeighbours: 1}, false},
+		{"old statements don't count", evidence{missedByTrusted: 1, missedByAny: 5}, false},
 	} {
 		if got := d.isMissed(&peer{evidence: c.evidence}); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -27,16 +27,16 @@
 
 // A statement that several members contradict may be from before a partition: it counts only if its process is heard
 // here.
-func TestStatementsOfMissedObserversAreOutdated(t *testing.T) {
+func TestStatementsOfMissedObserversAreNotCurrent(t *testing.T) {
 	d := New(Config{HeartbeatTimeout: 10}, 1, "n", "a", nil)
-	d.ran = 100
+	d.runTime = 100
 	missed := evidence{missedByAny: 2}
 	for _, c := range []struct {
 		name     string
 		observer *peer
 		want     bool
 	}{
-		{"this process", d.own, true},
+		{"this process", d.self, true},
 		{"missed by one", &peer{evidence: evidence{missedByAny: 1}}, true},
 		{"missed by two, no neighbour", &peer{evidence: missed}, false},
 		{"missed by two, heard here", &peer{evidence: missed, isNeighbour: true, heard: true, lastHeartbeat: 95}, true},
--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -32,69 +32,69 @@
 	// maxChanges is how often the view of a node that nothing befell may change by it: nodes that a failure befalls
 	// together go once and return once, each new process comes once.
 	maxChanges int
-	play       func(*simulation)
+	inject     func(*simulation)
 }
 
 var failures = []failure{
-	{name: "30% lost, doubled and late, one killed", maxChanges: 2, play: playNoise},
-	{name: "half of all lost", play: func(s *simulation) {
+	{name: "30% lost, doubled and late, one killed", maxChanges: 2, inject: injectNoise},
+	{name: "half of all lost", inject: func(s *simulation) {
 		s.setNoise(0.5, 0, 100*time.Millisecond)
 		s.run(60 * sec)
 		s.setNoise(0, 0, 0)
 	}},
-	{name: "stopped for less than is borne", play: func(s *simulation) {
+	{name: "stopped for less than is borne", inject: func(s *simulation) {
 		for n := range 10 {
-			s.stopFor(sec/2, n)
+			s.pauseFor(sec/2, n)
 			s.run(sec)
-			s.stopFor(pause, 11-n)
+			s.pauseFor(maxPause, 11-n)
 			s.run(2 * sec)
 		}
 	}},
-	{name: "stopped for more", maxChanges: 20, play: func(s *simulation) {
+	{name: "stopped for more", maxChanges: 20, inject: func(s *simulation) {
 		for n := range 5 {
-			s.stopFor(5*sec, n)
+			s.pauseFor(5*sec, n)
 			s.run(5 * sec)
-			s.stopFor(15*sec, 11-n)
+			s.pauseFor(15*sec, 11-n)
 			s.run(5 * sec)
 		}
 	}},
-	{name: "a third stopped at once", maxChanges: 2, play: func(s *simulation) { s.stopFor(8*sec, 1, 4, 7, 10) }},
-	{name: "heard by nobody", maxChanges: 2, play: func(s *simulation) {
+	{name: "a third stopped at once", maxChanges: 2, inject: func(s *simulation) { s.pauseFor(8*sec, 1, 4, 7, 10) }},
+	{name: "heard by nobody", maxChanges: 2, inject: func(s *simulation) {
 		s.partitionFor(20*sec, false, []int{2}, nodesFrom(0, 11))
 	}},
-	{name: "hears nobody", maxChanges: 2, play: func(s *simulation) {
+	{name: "hears nobody", maxChanges: 2, inject: func(s *simulation) {
 		s.partitionFor(20*sec, false, nodesFrom(0, 11), []int{2})
 	}},
-	{name: "two do not hear each other", play: func(s *simulation) {
+	{name: "two do not hear each other", inject: func(s *simulation) {
 		s.partitionFor(20*sec, true, []int{2}, []int{5})
 	}},
-	{name: "one does not hear another", play: func(s *simulation) {
+	{name: "one does not hear another", inject: func(s *simulation) {
 		s.partitionFor(20*sec, false, []int{2}, []int{5})
 	}},
-	{name: "a ring that does not hear the next", play: playDeafRing},
-	{name: "a link that comes and goes", play: func(s *simulation) {
+	{name: "a ring that does not hear the next", inject: injectOneWayRing},
+	{name: "a link that comes and goes", inject: func(s *simulation) {
 		for range 30 {
 			s.partitionFor(sec, true, []int{7}, nodesFrom(0, 11))
 			s.run(sec)
 		}
 	}},
-	{name: "halves", play: func(s *simulation) { s.partitionFor(60*sec, true, nodesFrom(0, 5), nodesFrom(6, 11)) }},
-	{name: "three islands, all seeds on one", play: playIslands},
-	{name: "all seeds dead, and another", maxChanges: 5, play: playDeadSeeds},
-	{name: "eight and four", maxChanges: 2, play: func(s *simulation) {
+	{name: "halves", inject: func(s *simulation) { s.partitionFor(60*sec, true, nodesFrom(0, 5), nodesFrom(6, 11)) }},
+	{name: "three islands, all seeds on one", inject: injectThreeWayPartition},
+	{name: "all seeds dead, and another", maxChanges: 5, inject: injectDeadSeeds},
+	{name: "eight and four", maxChanges: 2, inject: func(s *simulation) {
 		s.partitionFor(40*sec, true, nodesFrom(0, 7), nodesFrom(8, 11))
 	}},
-	{name: "the network down for everyone", play: func(s *simulation) {
+	{name: "the network down for everyone", inject: func(s *simulation) {
 		s.partitionFor(10*sec, false, nodesFrom(0, 11), nodesFrom(0, 11))
 	}},
-	{name: "restarted one after the other", maxChanges: 24, play: func(s *simulation) {
+	{name: "restarted one after the other", maxChanges: 24, inject: func(s *simulation) {
 		for n := range 12 {
 			s.nodes[n].kill()
 			s.run(2 * sec)
 			s.nodes[n].start()
 		}
 	}},
-	{name: "nearly all killed at once and back", play: func(s *simulation) {
+	{name: "nearly all killed at once and back", inject: func(s *simulation) {
 		for n := range 11 {
 			s.nodes[n].kill()
 		}
@@ -103,16 +103,16 @@
 			s.nodes[n].start()
 		}
 	}},
-	{name: "the loop hangs", maxChanges: 2, play: func(s *simulation) {
-		s.nodes[3].loopHung = true
+	{name: "the loop hangs", maxChanges: 2, inject: func(s *simulation) {
+		s.nodes[3].loopStalled = true
 		s.views.Truth(s.now, "n4", false, false)
 		s.run(15 * sec)
-		s.nodes[3].loopHung = false
+		s.nodes[3].loopStalled = false
 		s.views.Truth(s.now, "n4", true, false)
 	}},
 }
 
-func playNoise(s *simulation) {
+func injectNoise(s *simulation) {
 	s.setNoise(0.3, 0.2, 300*time.Millisecond)
 	s.run(20 * sec)
 	s.nodes[4].kill()
@@ -121,7 +121,7 @@
 	s.nodes[4].start()
 }
 
-func playDeafRing(s *simulation) {
+func injectOneWayRing(s *simulation) {
 	for a := range 6 {
 		s.setCut(a, (a+1)%6, true)
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-func playIslands(s *simulation) {
-	setIslands := func(cut bool) {
+func injectThreeWayPartition(s *simulation) {
+	setPartitions := func(cut bool) {
 		for a := range 12 {
 			for b := range 12 {
 				if a/4 != b/4 {
@@ -141,12 +141,12 @@
 			}
 		}
 	}
-	setIslands(true)
+	setPartitions(true)
 	s.run(20 * sec)
-	setIslands(false)
+	setPartitions(false)
 }
 
-func playDeadSeeds(s *simulation) {
+func injectDeadSeeds(s *simulation) {
 	dead := []int{0, 1, 2, 8}
 	for _, n := range dead {
 		s.nodes[n].kill()
@@ -157,22 +157,22 @@
 	}
 }
 
-// playFailure plays a failure among twelve nodes that know one another, and gives them time to come to rest.
-func playFailure(seed uint32, configure func(*membership.Detector), f failure) *simulation {
+// simulateFailure plays a failure among twelve nodes that know one another, and gives them time to come to rest.
+func simulateFailure(seed uint32, configure func(*membership.Detector), f failure) *simulation {
 	s := newSimulation(12, seed, configure)
 	s.run(6 * sec)
-	f.play(s)
+	f.inject(s)
 	s.run(15 * sec)
 	return s
 }
 
 // Each hard case in virtual time: nobody is taken out whom nothing befell, all come to one view, and it does not change
 // more often than the failure has beginnings and ends.
-func TestFailuresLeadToOneView(t *testing.T) {
+func TestFailuresConvergeToOneView(t *testing.T) {
 	for _, f := range failures {
 		t.Run(f.name, func(t *testing.T) {
 			for seed := range seedCount(3) {
-				verdict := playFailure(seed, nil, f).verdict()
+				verdict := simulateFailure(seed, nil, f).verdict()
 				if verdict.Wrong() > 0 || verdict.Formed < 0 || verdict.Changes > f.maxChanges {
 					t.Errorf("seed %d: %+v", seed, verdict)
 				}
@@ -182,7 +182,7 @@
 }
 
 // The checker is shown to work: each detector that lacks some guards is caught in a case that the sound one passes.
-func TestDetectorsWithoutGuardsAreCaught(t *testing.T) {
+func TestCheckerDetectsDisabledRules(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		failure string
@@ -229,7 +229,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := failureNamed(t, c.failure)
 			configure := func(d *membership.Detector) { membership.SetRules(d, c.rules) }
-			verdict := playFailure(1, configure, f).verdict()
+			verdict := simulateFailure(1, configure, f).verdict()
 			if verdict.Wrong() == 0 && verdict.Changes <= f.maxChanges {
 				t.Errorf("not caught: %+v", verdict)
 			}
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -11,11 +11,11 @@
 
 // heartbeatSchedule says which heartbeats are due.
 type heartbeatSchedule struct {
-	dueAt         time.Duration // run time of the next heartbeats to neighbours
-	probedAt      time.Duration // run time of the last probe of an address at which nobody is known
-	replyTo       []string      // who asked for a heartbeat since the last tick
-	loopCount     uint64        // as last reported to LoopAdvanced
-	loopAdvanceAt time.Duration // run time when it last changed
+	dueAt          time.Duration // run time of the next heartbeats to neighbours
+	probedAt       time.Duration // run time of the last probe of an address at which nobody is known
+	replyTo        []string      // who asked for a heartbeat since the last tick
+	loopCount      uint64        // as last reported to LoopAdvanced
+	loopAdvancedAt time.Duration // run time when it last changed
 }
 
 // LoopAdvanced reports how often the loop that serves clients has gone round. While the count stays the same for longer
@@ -23,14 +23,14 @@
 func (d *Detector) LoopAdvanced(count uint64) {
 	if count != d.heartbeats.loopCount {
 		d.heartbeats.loopCount = count
-		d.heartbeats.loopAdvanceAt = d.ran
+		d.heartbeats.loopAdvancedAt = d.runTime
 	}
 }
 
 // OnHeartbeat takes a heartbeat of another process. One of an unknown process leads to an exchange of the full state
 // with it.
 func (d *Detector) OnHeartbeat(h Heartbeat) {
-	if h.Process == d.own.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
+	if h.Process == d.self.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
 		return
 	}
 	if h.WantsReply && len(d.heartbeats.replyTo) < maxReplies {
@@ -44,8 +44,8 @@
 		return
 	}
 	p.heard = true
-	p.lastHeartbeat = d.ran
-	p.setSelfDoubt(h.Isolated, d.ran)
+	p.lastHeartbeat = d.runTime
+	p.setIsolated(h.Isolated, d.runTime)
 	d.compareDigest(p, h)
 }
 
@@ -55,25 +55,25 @@
 	d.heartbeats.replyTo = nil
 	// guards against a process that the others take for alive while its clients get no answer: its neighbours miss it
 	// and take it out
-	loopIsDead := d.rules.stopWithDeadLoop && d.ran-d.heartbeats.loopAdvanceAt > d.config.LoopTimeout
-	if loopIsDead || d.own.Leaving {
+	loopStalled := d.rules.stopOnStalledLoop && d.runTime-d.heartbeats.loopAdvancedAt > d.config.LoopTimeout
+	if loopStalled || d.self.Leaving {
 		return
 	}
 	actions.ReplyTo = replyTo
-	if d.ran >= d.heartbeats.dueAt {
+	if d.runTime >= d.heartbeats.dueAt {
 		interval := d.config.HeartbeatInterval
-		d.heartbeats.dueAt = max(d.heartbeats.dueAt+interval, d.ran+interval/2)
+		d.heartbeats.dueAt = max(d.heartbeats.dueAt+interval, d.runTime+interval/2)
 		for _, p := range d.neighbours.peers {
 			actions.HeartbeatTo = append(actions.HeartbeatTo, p.Addr)
 		}
-		if d.own.Incarnation == 0 { // the process that has this name may not be a neighbour
+		if d.self.Incarnation == 0 { // the process that has this name may not be a neighbour
 			for _, p := range d.namesakes() {
 				actions.ProbeTo = append(actions.ProbeTo, p.Addr)
 			}
 		}
 	}
-	if d.ran-d.heartbeats.probedAt >= probeInterval {
-		d.heartbeats.probedAt = d.ran
+	if d.runTime-d.heartbeats.probedAt >= probeInterval {
+		d.heartbeats.probedAt = d.runTime
 		if addr := d.unknownContact(); addr != "" {
 			actions.ProbeTo = append(actions.ProbeTo, addr)
 		}
@@ -91,7 +91,7 @@
 }
 
 // silence is how long a neighbour has sent nothing to this process.
-func (d *Detector) silence(p *peer) time.Duration { return d.ran - p.lastSign() }
+func (d *Detector) silence(p *peer) time.Duration { return d.runTime - p.silentSince() }
 
 // isHeard reports whether a process is a neighbour whose heartbeats arrive here.
 func (d *Detector) isHeard(p *peer) bool {
--- a/internal/membership/histories_test.go
+++ b/internal/membership/histories_test.go
@@ -8,61 +8,61 @@
 	"pgregory.net/rapid"
 )
 
-// playHistory draws failures one after the other, some of them at the same time, ends them all, and gives the nodes
+// runHistory draws failures one after the other, some of them at the same time, ends them all, and gives the nodes
 // time to come to rest.
-func playHistory(t *rapid.T) *simulation {
+func runHistory(t *rapid.T) *simulation {
 	n := rapid.IntRange(3, 7).Draw(t, "nodes")
 	s := newSimulation(n, rapid.Uint32().Draw(t, "seed"), nil)
 	s.run(5 * sec)
 	for range rapid.IntRange(1, 5).Draw(t, "troubles") {
-		playDrawnFailure(t, s)
-		s.run(drawTenths(t, 60, "then"))
+		injectRandomFailure(t, s)
+		s.run(drawDuration(t, 60, "then"))
 	}
 	endFailures(s)
 	s.run(16 * sec)
 	return s
 }
 
-// drawTenths draws a time in tenths of a second.
-func drawTenths(t *rapid.T, most int, name string) time.Duration {
+// drawDuration draws a time in tenths of a second.
+func drawDuration(t *rapid.T, most int, name string) time.Duration {
 	return time.Duration(rapid.IntRange(1, most).Draw(t, name)) * sec / 10
 }
 
-// playDrawnFailure begins one failure; most end by themselves later.
-func playDrawnFailure(t *rapid.T, s *simulation) {
+// injectRandomFailure begins one failure; most end by themselves later.
+func injectRandomFailure(t *rapid.T, s *simulation) {
 	n := len(s.nodes)
 	node := rapid.IntRange(0, n-1)
 	a, b := node.Draw(t, "a"), node.Draw(t, "b")
 	switch rapid.IntRange(0, 6).Draw(t, "what") {
 	case 0:
 		s.nodes[a].kill()
-		s.after(drawTenths(t, 150, "for"), func() {
+		s.after(drawDuration(t, 150, "for"), func() {
 			if s.nodes[a].process == nil {
 				s.nodes[a].start()
 			}
 		})
 	case 1:
-		s.nodes[a].setStopped(true)
-		s.after(drawTenths(t, 150, "for"), func() { s.nodes[a].setStopped(false) })
+		s.nodes[a].setPaused(true)
+		s.after(drawDuration(t, 150, "for"), func() { s.nodes[a].setPaused(false) })
 	case 2:
 		if a != b {
 			s.setCut(a, b, true)
-			s.after(drawTenths(t, 200, "for"), func() { s.setCut(a, b, false) })
+			s.after(drawDuration(t, 200, "for"), func() { s.setCut(a, b, false) })
 		}
 	case 3, 4:
-		playOneWayCut(t, s, a)
+		cutOneWay(t, s, a)
 	case 5:
-		s.setNoise(float64(rapid.IntRange(0, 30).Draw(t, "lost"))/100, 0.1, drawTenths(t, 3, "late"))
+		s.setNoise(float64(rapid.IntRange(0, 30).Draw(t, "lost"))/100, 0.1, drawDuration(t, 3, "late"))
 	case 6:
 		at := rapid.IntRange(1, n-1).Draw(t, "side")
-		s.partitionFor(drawTenths(t, 200, "for"), true, nodesFrom(0, at-1), nodesFrom(at, n-1))
+		s.partitionFor(drawDuration(t, 200, "for"), true, nodesFrom(0, at-1), nodesFrom(at, n-1))
 	}
 }
 
-// playOneWayCut has a node be heard by nobody, or hear nobody.
-func playOneWayCut(t *rapid.T, s *simulation, node int) {
+// cutOneWay has a node be heard by nobody, or hear nobody.
+func cutOneWay(t *rapid.T, s *simulation, node int) {
 	out := rapid.Bool().Draw(t, "out")
-	duration := drawTenths(t, 200, "for")
+	duration := drawDuration(t, 200, "for")
 	for other := range s.nodes {
 		from, to := node, other
 		if !out {
@@ -87,12 +87,12 @@
 		if node.process == nil {
 			node.start()
 		}
-		node.setStopped(false)
+		node.setPaused(false)
 	}
 }
 
 // Whatever befalls whom in whatever order: nobody is taken out whom nothing befell, and in the end all have all.
-func TestGeneratedHistoriesEndInOneView(t *testing.T) {
+func TestRandomFailuresEndInOneView(t *testing.T) {
 	if flag.Lookup("rapid.seed").Value.String() == "0" { // the same verdict each time, unless others are asked for
 		_ = flag.Set("rapid.seed", "20261201")
 	}
@@ -100,7 +100,7 @@
 		_ = flag.Set("rapid.checks", "20")
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		s := playHistory(t)
+		s := runHistory(t)
 		if verdict := s.verdict(); verdict.Wrong() > 0 {
 			t.Fatalf("%+v", verdict)
 		}
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -38,8 +38,8 @@
 // namesakes returns the other processes that have this one's name, but for those that leave.
 func (d *Detector) namesakes() []*peer {
 	var namesakes []*peer
-	for _, p := range d.peers.ofNode(d.own.Node) {
-		if p != d.own && !p.Leaving {
+	for _, p := range d.peers.ofNode(d.self.Node) {
+		if p != d.self && !p.Leaving {
 			namesakes = append(namesakes, p)
 		}
 	}
@@ -53,11 +53,11 @@
 	if d.conflict != nil {
 		return
 	}
-	if d.own.Incarnation > 0 {
-		d.succeedNamesakes()
+	if d.self.Incarnation > 0 {
+		d.supersedeDeadNamesakes()
 		return
 	}
-	if !d.nameIsYielded() && d.ran < d.claimDelay() {
+	if !d.nameIsYielded() && d.runTime < d.claimDelay() {
 		return
 	}
 	latest := Incarnation(0)
@@ -68,26 +68,26 @@
 		}
 		latest = max(latest, p.Incarnation)
 	}
-	d.own.Incarnation = latest + 1
-	d.own.status = Alive
-	d.own.since = d.ran
+	d.self.Incarnation = latest + 1
+	d.self.status = Alive
+	d.self.since = d.runTime
 	d.neighbours.stale = true
 	d.reviseStatement()
 }
 
 // keepsName reports whether a process with this one's name lives and had the name first.
 func (d *Detector) keepsName(p *peer) bool {
-	lives := p.Addr != d.own.Addr && p.heard && d.ran-p.lastHeartbeat < d.config.HeartbeatTimeout && !p.YieldsName
-	return lives && (p.Incarnation > 0 || p.Process < d.own.Process)
+	lives := p.Addr != d.self.Addr && p.heard && d.runTime-p.lastHeartbeat < d.config.HeartbeatTimeout && !p.YieldsName
+	return lives && (p.Incarnation > 0 || p.Process < d.self.Process)
 }
 
-// succeedNamesakes takes the incarnation after that of a dead process with this one's name. Guards against a process
+// supersedeDeadNamesakes takes the incarnation after that of a dead process with this one's name. Guards against a process
 // that took its name before it had heard of its predecessor: with a lower incarnation, or the same and a higher id, it
 // would lose the name to the dead one.
-func (d *Detector) succeedNamesakes() {
+func (d *Detector) supersedeDeadNamesakes() {
 	for _, p := range d.namesakes() {
-		if p.hasPrecedence(d.own) && d.isDeadNamesake(p) {
-			d.own.Incarnation = p.Incarnation + 1
+		if p.hasPrecedence(d.self) && d.isDeadNamesake(p) {
+			d.self.Incarnation = p.Incarnation + 1
 			d.neighbours.stale = true
 			d.reviseStatement()
 		}
@@ -97,7 +97,7 @@
 // isDeadNamesake reports whether a process with this one's name can't be alive, as this one has its address, or is
 // missed by enough.
 func (d *Detector) isDeadNamesake(p *peer) bool {
-	return p.Addr == d.own.Addr || d.isMissedForName(p)
+	return p.Addr == d.self.Addr || d.isMissedForName(p)
 }
 
 // nameIsYielded reports whether a process with this one's name gives it up.
@@ -109,10 +109,10 @@
 // the time to show that it lives.
 func (d *Detector) claimDelay() time.Duration {
 	delay := d.config.ClaimPeriod
-	if !d.sync.completed && (d.sync.heardOther || len(d.contacts.seeds) > 0) {
+	if !d.sync.completed && (d.sync.statementReceived || len(d.contacts.seeds) > 0) {
 		// somebody may yet tell who has the name
 		delay += d.config.ClaimPeriod
-		if neighbours := d.neighbours.peers; d.sync.heardOther && len(neighbours) > 0 {
+		if neighbours := d.neighbours.peers; d.sync.statementReceived && len(neighbours) > 0 {
 			d.requestSync(neighbours[int(d.random.Float64()*float64(len(neighbours)))].Addr)
 		}
 	}
@@ -154,7 +154,7 @@
 // a member at a process which started late, as its successor is not a member either.
 func (d *Detector) forgetReplaced(holders map[NodeName]*peer) {
 	for _, p := range d.peers.sorted() {
-		if p == d.own || !p.isMember() || p.evidence.heardBy > 0 || d.evaluation.frozen {
+		if p == d.self || !p.isMember() || p.evidence.heardBy > 0 || d.evaluation.frozen {
 			continue
 		}
 		if slices.ContainsFunc(d.peers.ofNode(p.Node), func(o *peer) bool { return d.replaces(o, p) }) {
@@ -170,7 +170,7 @@
 	if !successor.succeeds(p) {
 		return false
 	}
-	hasHadTime := d.ran-successor.firstSeen >= joinClaimPeriods*d.config.ClaimPeriod
+	hasHadTime := d.runTime-successor.firstSeen >= joinClaimPeriods*d.config.ClaimPeriod
 	return successor.status != Joining || hasHadTime || d.isMissedForName(successor)
 }
 
@@ -182,7 +182,7 @@
 		if holder == nil || holder == p || p.Incarnation == 0 || p.status == Left || !holder.hasPrecedence(p) {
 			continue
 		}
-		if p != d.own {
+		if p != d.self {
 			d.forget(p)
 			continue
 		}
--- a/internal/membership/names_test.go
+++ b/internal/membership/names_test.go
@@ -10,18 +10,18 @@
 
 // One name is started twice. At once, one of the two gives way, the same one wherever one looks; later, the one that
 // has the name and lives keeps it.
-func TestOneNameStartedTwice(t *testing.T) {
+func TestDuplicateNameLeavesOneProcess(t *testing.T) {
 	for seed := range seedCount(10) {
 		for _, late := range []time.Duration{0, 8 * sec} {
 			s := newSimulation(5, seed, nil)
 			s.run(late)
-			twin := s.startTwin("n2")
+			duplicate := s.startDuplicate("n2")
 			first := s.nodes[1].process
 			s.run(12 * sec)
 			firstRuns := s.nodes[1].process != nil
-			twinRuns := twin.process != nil
-			if firstRuns == twinRuns || late > 0 && !firstRuns {
-				t.Errorf("seed %d, %v later: the first runs: %v, the second: %v", seed, late, firstRuns, twinRuns)
+			duplicateRuns := duplicate.process != nil
+			if firstRuns == duplicateRuns || late > 0 && !firstRuns {
+				t.Errorf("seed %d, %v later: the first runs: %v, the second: %v", seed, late, firstRuns, duplicateRuns)
 			}
 			if late > 0 && s.nodes[1].process != first {
 				t.Errorf("seed %d: the first is another", seed)
@@ -31,12 +31,12 @@
 	}
 }
 
-// startTwin starts one more node, at an address of its own, with a name that another has.
-func (s *simulation) startTwin(name string) *simNode {
-	twin := &simNode{sim: s, number: len(s.nodes), name: name}
-	s.nodes = append(s.nodes, twin)
-	twin.start()
-	return twin
+// startDuplicate starts one more node, at an address of its own, with a name that another has.
+func (s *simulation) startDuplicate(name string) *simNode {
+	duplicate := &simNode{sim: s, number: len(s.nodes), name: name}
+	s.nodes = append(s.nodes, duplicate)
+	duplicate.start()
+	return duplicate
 }
 
 // expectOneView fails the test unless all processes that run have the same view with so many members.
@@ -56,10 +56,10 @@
 }
 
 // A process whose name another live process has gets a typed error with the address of that one.
-func TestNameConflictTellsWhoHasTheName(t *testing.T) {
+func TestNameConflictErrorNamesTheHolder(t *testing.T) {
 	s := newSimulation(5, 1, nil)
 	s.run(8 * sec)
-	detector := s.startTwin("n2").process.detector
+	detector := s.startDuplicate("n2").process.detector
 	s.run(12 * sec)
 	var conflict *membership.NameConflictError
 	if !errors.As(detector.NameConflict(), &conflict) {
@@ -71,7 +71,7 @@
 }
 
 // A process that takes another's place has its name at once, and nobody sees it leave and join.
-func TestAProcessThatIsReplacedStaysAMember(t *testing.T) {
+func TestReplacedProcessStaysMember(t *testing.T) {
 	for seed := range uint32(5) {
 		s := newSimulation(5, seed, nil)
 		s.run(6 * sec)
--- a/internal/membership/neighbours.go
+++ b/internal/membership/neighbours.go
@@ -28,7 +28,7 @@
 	}
 	d.neighbours.stale = false
 	d.evaluation.changed = true
-	chosen := chooseNeighbours(d.own.Process, d.ringMembers())
+	chosen := chooseNeighbours(d.self.Process, d.ringMembers())
 	d.setNeighbours(slices.Sorted(maps.Keys(chosen)))
 }
 
@@ -136,8 +136,8 @@
 		if was[id] {
 			continue
 		}
-		p.neighbourSince = d.ran
-		if p.lastHeartbeat < d.ran-d.config.HeartbeatTimeout {
+		p.neighbourSince = d.runTime
+		if p.lastHeartbeat < d.runTime-d.config.HeartbeatTimeout {
 			p.heard = false
 		}
 	}
--- a/internal/membership/neighbours_test.go
+++ b/internal/membership/neighbours_test.go
@@ -10,7 +10,7 @@
 
 // A process's neighbours in a ring are those before and after it in the ring's order, whatever the size of the fleet
 // and wherever the process stands.
-func TestRingNeighboursAreThoseBeforeAndAfter(t *testing.T) {
+func TestRingNeighboursArePredecessorAndSuccessor(t *testing.T) {
 	for _, n := range []int{14, 15, 40, 200} {
 		ids := make([]ProcessID, n)
 		for own := range n {
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -6,51 +6,51 @@
 // doubts itself.
 func (d *Detector) observeNeighbours() {
 	hears, misses := d.heardAndMissed()
-	doubts := d.rules.selfDoubt && d.hearsTooFew()
-	if doubts {
+	isolated := d.rules.detectIsolation && d.isIsolated()
+	if isolated {
 		// what it says of others counts for nothing; it stays as it was, so that there is nothing new to gossip
-		hears = d.own.Hears
-		misses = d.own.Misses
+		hears = d.self.Hears
+		misses = d.self.Misses
 	}
-	if doubts == d.own.Isolated {
-		if slices.Equal(hears, d.own.Hears) && slices.Equal(misses, d.own.Misses) {
+	if isolated == d.self.Isolated {
+		if slices.Equal(hears, d.self.Hears) && slices.Equal(misses, d.self.Misses) {
 			return
 		}
 		// several changes go into one statement
-		since := d.ran - d.statement.changedAt
-		if d.statement.changedAt > 0 && since < d.scaled(d.config.HeartbeatInterval/2) {
+		since := d.runTime - d.statement.changedAt
+		if d.statement.changedAt > 0 && since < d.scaledDelay(d.config.HeartbeatInterval/2) {
 			return
 		}
 	}
-	if d.own.Isolated && !doubts {
-		d.statement.sureAt = d.ran
+	if d.self.Isolated && !isolated {
+		d.statement.isolationEndedAt = d.runTime
 	}
-	d.own.Hears = hears
-	d.own.Misses = misses
-	d.own.Isolated = doubts
+	d.self.Hears = hears
+	d.self.Misses = misses
+	d.self.Isolated = isolated
 	d.reviseStatement()
 }
 
-// hearsTooFew reports whether this process hears less than half of the neighbours that it should hear: it may well be
+// isIsolated reports whether this process hears less than half of the neighbours that it should hear: it may well be
 // the one that is cut off, and is not believed.
 //
 // Guards against a partition in which each side goes by those that are left to it and removes the other: the
 // neighbours that were removed count as well as long as they are remembered.
-func (d *Detector) hearsTooFew() bool {
+func (d *Detector) isIsolated() bool {
 	expected := 0
 	heard := 0
 	for _, p := range d.neighbours.peers {
-		inTime := d.silence(p) < d.config.HeartbeatTimeout
-		if inTime && !p.heard {
+		withinTimeout := d.silence(p) < d.config.HeartbeatTimeout
+		if withinTimeout && !p.heard {
 			continue // it has had no time to be heard
 		}
-		heardSinceGap := inTime && p.lastSign() >= d.resumedAt
-		if heardSinceGap && (p.isMember() || p.doubtsSince < 0) {
+		heardSinceGap := withinTimeout && p.silentSince() >= d.resumedAt
+		if heardSinceGap && (p.isMember() || p.isolatedSince < 0) {
 			expected++
 			heard++
 			continue
 		}
-		if (p.isMember() || p.status == Removed) && p.Node != d.own.Node && !d.successorIsHeard(p) {
+		if (p.isMember() || p.status == Removed) && p.Node != d.self.Node && !d.successorIsHeard(p) {
 			expected++
 		}
 	}
@@ -73,7 +73,7 @@
 	misses = make([]ProcessID, 0, maxNeighbours)
 	for _, p := range d.neighbours.peers {
 		switch {
-		case d.silence(p) >= d.config.HeartbeatTimeout || d.isDiscredited(p):
+		case d.silence(p) >= d.config.HeartbeatTimeout || d.countsAsMissed(p):
 			misses = append(misses, p.Process)
 		case p.heard:
 			hears = append(hears, p.Process)
@@ -82,17 +82,17 @@
 	return hears, misses
 }
 
-// isDiscredited reports whether a neighbour counts as missed though it is heard, as it has stated for long that it
+// countsAsMissed reports whether a neighbour counts as missed though it is heard, as it has stated for long that it
 // doubts itself. Guards against a process that all hear and that hears nobody: it would stay a member for good; and,
 // once it is out, it would be in again before it hears anybody.
-func (d *Detector) isDiscredited(p *peer) bool {
-	if p.doubtsSince < 0 || d.own.Isolated {
+func (d *Detector) countsAsMissed(p *peer) bool {
+	if p.isolatedSince < 0 || d.self.Isolated {
 		return false
 	}
 	if p.status == Removed {
 		return true
 	}
 	// those that were cut off along with this process may say for a while yet that they doubt themselves
-	since := max(p.doubtsSince, p.neighbourSince, d.statement.sureAt)
-	return d.ran-since >= d.config.IsolationTimeout
+	since := max(p.isolatedSince, p.neighbourSince, d.statement.isolationEndedAt)
+	return d.runTime-since >= d.config.IsolationTimeout
 }
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -16,29 +16,29 @@
 type peer struct {
 	Statement // its latest
 
-	status    Status
-	since     time.Duration // run time when the status began
-	firstSeen time.Duration // run time when its first statement arrived
-	sustained time.Duration // for how long the evidence has asked for another status without a break
-	evidence  evidence
+	status       Status
+	since        time.Duration // run time when the status began
+	firstSeen    time.Duration // run time when its first statement arrived
+	sustainedFor time.Duration // for how long the evidence has asked for another status without a break
+	evidence     evidence
 
-	isNeighbour     bool
-	neighbourSince  time.Duration // run time
-	heard           bool          // a heartbeat of it has arrived
-	lastHeartbeat   time.Duration // run time
-	doubtsSince     time.Duration // run time since when it states that it doubts itself; never
-	differentDigest time.Duration // run time since when its heartbeats carry another digest; never
+	isNeighbour        bool
+	neighbourSince     time.Duration // run time
+	heard              bool          // a heartbeat of it has arrived
+	lastHeartbeat      time.Duration // run time
+	isolatedSince      time.Duration // run time since when it states that it doubts itself; never
+	digestDiffersSince time.Duration // run time since when its heartbeats carry another digest; never
 }
 
 // newPeer makes one whose statement the caller sets.
-func newPeer(ran time.Duration) *peer {
+func newPeer(now time.Duration) *peer {
 	return &peer{
-		status:          Joining,
-		since:           ran,
-		firstSeen:       ran,
-		neighbourSince:  ran,
-		doubtsSince:     never,
-		differentDigest: never,
+		status:             Joining,
+		since:              now,
+		firstSeen:          now,
+		neighbourSince:     now,
+		isolatedSince:      never,
+		digestDiffersSince: never,
 	}
 }
 
@@ -50,18 +50,18 @@
 	return keyhash.Mix(uint64(p.Process) ^ keyhash.Mix(uint64(p.Revision)))
 }
 
-// setSelfDoubt notes whether the process says now that it doubts itself.
-func (p *peer) setSelfDoubt(doubts bool, ran time.Duration) {
+// setIsolated notes whether the process says now that it doubts itself.
+func (p *peer) setIsolated(isolated bool, now time.Duration) {
 	switch {
-	case !doubts:
-		p.doubtsSince = never
-	case p.doubtsSince < 0:
-		p.doubtsSince = ran
+	case !isolated:
+		p.isolatedSince = never
+	case p.isolatedSince < 0:
+		p.isolatedSince = now
 	}
 }
 
-// lastSign is the run time of the last heartbeat, or when the process became a neighbour where that is later.
-func (p *peer) lastSign() time.Duration { return max(p.lastHeartbeat, p.neighbourSince) }
+// silentSince is the run time of the last heartbeat, or when the process became a neighbour where that is later.
+func (p *peer) silentSince() time.Duration { return max(p.lastHeartbeat, p.neighbourSince) }
 
 // peerTable holds all processes that are known, this one included, and keeps them in order.
 //
@@ -177,14 +177,14 @@
 
 // add keeps what is needed of a process that is forgotten, in place of the one that was forgotten first where there are
 // many.
-func (c *contacts) add(p *peer, ran time.Duration) {
+func (c *contacts) add(p *peer, now time.Duration) {
 	if len(c.forgotten) >= maxForgotten {
 		oldest := slices.MinFunc(slices.Collect(maps.Keys(c.forgotten)), func(x, y ProcessID) int {
 			return cmp.Or(cmp.Compare(c.forgotten[x].at, c.forgotten[y].at), cmp.Compare(x, y))
 		})
 		delete(c.forgotten, oldest)
 	}
-	c.forgotten[p.Process] = forgottenPeer{revision: p.Revision, addr: p.Addr, at: ran}
+	c.forgotten[p.Process] = forgottenPeer{revision: p.Revision, addr: p.Addr, at: now}
 }
 
 // unknown returns the addresses of seeds and forgotten processes at which no known process is, in a fixed order.
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -12,7 +12,7 @@
 // In a large fleet that starts, each process learns of all others one by one; one that sorted all of them anew for
 // each had no core left. A new process takes its place in each order instead, and the orders are those that sorting
 // gives: also where a node has several processes, and after some were forgotten.
-func TestNewProcessesAreInsertedInOrder(t *testing.T) {
+func TestInsertKeepsPeerTableSorted(t *testing.T) {
 	d := New(Config{MaxMembers: 1000, ClaimPeriod: time.Second}, 1<<40, "n7", "a", nil)
 	d.peers.sorted()
 	random := keyhash.Source{Seed: 5}
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -18,8 +18,8 @@
 	view map[*membership.Detector]*membership.View // the last that was hashed
 }
 
-// ticked hashes what a tick led to; a nil recorder does nothing.
-func (r *recorder) ticked(now time.Duration, d *membership.Detector, do membership.Actions) {
+// recordTick hashes what a tick led to; a nil recorder does nothing.
+func (r *recorder) recordTick(now time.Duration, d *membership.Detector, do membership.Actions) {
 	if r == nil {
 		return
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-// stated hashes a new statement; a nil recorder does nothing.
-func (r *recorder) stated(s membership.Statement) {
+// recordStatement hashes a new statement; a nil recorder does nothing.
+func (r *recorder) recordStatement(s membership.Statement) {
 	if r == nil {
 		return
 	}
@@ -48,11 +48,11 @@
 
 // recordedHistory is a history whose decisions are recorded.
 type recordedHistory struct {
-	name  string
-	nodes int
-	seed  uint32
-	rules *membership.Rules // nil for the sound ones
-	play  func(*simulation)
+	name   string
+	nodes  int
+	seed   uint32
+	rules  *membership.Rules // nil for the sound ones
+	inject func(*simulation)
 }
 
 // hash plays the history among nodes that know one another, and returns a hash of all decisions.
@@ -65,14 +65,14 @@
 	})
 	s.recorder = r
 	s.run(6 * sec)
-	h.play(s)
+	h.inject(s)
 	s.run(10 * sec)
 	return r.sum.Sum(nil)[:12]
 }
 
 // Names and shape of the detector may change, its decisions not: each history has the hash that it had when it was
 // recorded.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecording(t *testing.T) {
 	histories := recordedHistories(t)
 	file := "decisions.txt"
 	if testing.Short() { // under the race detector all take 40 s
@@ -91,42 +91,42 @@
 	var histories []recordedHistory
 	add := func(h recordedHistory) { histories = append(histories, h) }
 	for _, f := range failures {
-		add(recordedHistory{name: f.name, nodes: 12, seed: 1, play: f.play})
+		add(recordedHistory{name: f.name, nodes: 12, seed: 1, inject: f.inject})
 	}
 	// with rings
 	noise := failureNamed(t, "30% lost, doubled and late, one killed")
-	add(recordedHistory{name: noise.name, nodes: 40, seed: 2, play: noise.play})
+	add(recordedHistory{name: noise.name, nodes: 40, seed: 2, inject: noise.inject})
 	add(recordedHistory{
-		name:  "unsound: stopped for more",
-		nodes: 12,
-		seed:  3,
-		rules: &membership.Rules{MinObservers: 1},
-		play:  failureNamed(t, "stopped for more").play,
+		name:   "unsound: stopped for more",
+		nodes:  12,
+		seed:   3,
+		rules:  &membership.Rules{MinObservers: 1},
+		inject: failureNamed(t, "stopped for more").inject,
 	})
 	for _, name := range []string{"halves", "eight and four", "nearly all killed at once and back"} {
-		add(recordedHistory{name: name, nodes: 40, seed: 2, play: failureNamed(t, name).play})
+		add(recordedHistory{name: name, nodes: 40, seed: 2, inject: failureNamed(t, name).inject})
 	}
 	for _, late := range []time.Duration{0, 8 * sec} {
 		add(recordedHistory{
 			name:  fmt.Sprintf("one name started twice, %v later", late),
 			nodes: 5,
 			seed:  4,
-			play: func(s *simulation) {
+			inject: func(s *simulation) {
 				s.run(late)
-				s.startTwin("n2")
+				s.startDuplicate("n2")
 				s.run(8 * sec)
 			},
 		})
 	}
-	add(recordedHistory{name: "leaves, returns and is replaced", nodes: 5, seed: 5, play: playReplacement})
-	add(recordedHistory{name: "forgotten after a minute", nodes: 16, seed: 6, play: func(s *simulation) {
+	add(recordedHistory{name: "leaves, returns and is replaced", nodes: 5, seed: 5, inject: injectReplacement})
+	add(recordedHistory{name: "forgotten after a minute", nodes: 16, seed: 6, inject: func(s *simulation) {
 		s.nodes[7].kill()
 		s.partitionFor(70*sec, true, []int{3}, nodesFrom(0, 15))
 	}})
 	return histories
 }
 
-func playReplacement(s *simulation) {
+func injectReplacement(s *simulation) {
 	s.nodes[2].process.detector.Leave(false)
 	s.run(8 * sec)
 	s.nodes[2].process.detector.Rejoin()
--- a/internal/membership/rules_test.go
+++ b/internal/membership/rules_test.go
@@ -13,11 +13,11 @@
 // SetRules has a detector go by other rules, to show that the invariants then break.
 func SetRules(d *Detector, r Rules) {
 	d.rules = rules{
-		minObservers:     r.MinObservers,
-		requireMajority:  r.RequireMajority,
-		selfDoubt:        r.DetectIsolation,
-		freeze:           r.FreezeRemovals,
-		measureRunTime:   r.MeasureRunTime,
-		stopWithDeadLoop: r.StopOnStalledLoop,
+		minObservers:      r.MinObservers,
+		requireMajority:   r.RequireMajority,
+		detectIsolation:   r.DetectIsolation,
+		freezeRemovals:    r.FreezeRemovals,
+		measureRunTime:    r.MeasureRunTime,
+		stopOnStalledLoop: r.StopOnStalledLoop,
 	}
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -17,16 +17,16 @@
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	pause          = 2 * time.Second // that a process may stand still
+	maxPause       = 2 * time.Second // that a process may stand still
 	gossipFanOut   = 4               // nodes that each statement goes to in a round, as in the library's configuration
 	gossipRounds   = 8               // rounds in which a statement is passed on
 	ticksPerRound  = 2
 	networkLatency = time.Millisecond
-	maxWaiting     = 500 // messages that wait for a process which stands still
+	maxPending     = 500 // messages that wait for a process which stands still
 )
 
 var config = membership.NewConfig(membership.Timings{
-	MaxPause:          pause,
+	MaxPause:          maxPause,
 	HeartbeatInterval: 300 * time.Millisecond,
 	RejoinDelay:       2 * time.Second,
 	LoopTimeout:       time.Second,
@@ -51,13 +51,13 @@
 
 // simNode is a node, whose processes come and go.
 type simNode struct {
-	sim      *simulation
-	number   int
-	name     string
-	process  *simProcess // nil while none runs
-	stopped  bool        // the process stands still
-	loopHung bool        // the loop that serves clients stands still, and all else goes on
-	waiting  []func(*simProcess)
+	sim         *simulation
+	number      int
+	name        string
+	process     *simProcess // nil while none runs
+	paused      bool        // the process stands still
+	loopStalled bool        // the loop that serves clients stands still, and all else goes on
+	pending     []func(*simProcess)
 }
 
 // simProcess is one process with its detector.
@@ -115,8 +115,8 @@
 		s.configure(p.detector)
 	}
 	n.process = p
-	n.stopped = false
-	n.waiting = nil
+	n.paused = false
+	n.pending = nil
 	s.byAddr[p.addr] = n
 	for _, seed := range seeds {
 		s.after(networkLatency, func() { p.sync(seed) })
@@ -127,23 +127,23 @@
 // kill ends the node's process.
 func (n *simNode) kill() {
 	n.process = nil
-	n.waiting = nil
+	n.pending = nil
 	n.sim.views.Truth(n.sim.now, n.name, false, false)
 }
 
-// setStopped has the process stand still or go on. On going on it ticks before it reads what it missed: the worst
+// setPaused has the process stand still or go on. On going on it ticks before it reads what it missed: the worst
 // order.
-func (n *simNode) setStopped(stopped bool) {
-	if n.process == nil || n.stopped == stopped {
+func (n *simNode) setPaused(paused bool) {
+	if n.process == nil || n.paused == paused {
 		return
 	}
-	n.stopped = stopped
-	n.sim.views.Truth(n.sim.now, n.name, !stopped, false)
-	if stopped {
+	n.paused = paused
+	n.sim.views.Truth(n.sim.now, n.name, !paused, false)
+	if paused {
 		return
 	}
-	missed := n.waiting
-	n.waiting = nil
+	missed := n.pending
+	n.pending = nil
 	n.process.tick()
 	if n.process == nil {
 		return
@@ -180,14 +180,14 @@
 	}
 }
 
-// stopFor has processes stand still for a while.
-func (s *simulation) stopFor(duration time.Duration, nodes ...int) {
+// pauseFor has processes stand still for a while.
+func (s *simulation) pauseFor(duration time.Duration, nodes ...int) {
 	for _, n := range nodes {
-		s.nodes[n].setStopped(true)
+		s.nodes[n].setPaused(true)
 	}
 	s.run(duration)
 	for _, n := range nodes {
-		s.nodes[n].setStopped(false)
+		s.nodes[n].setPaused(false)
 	}
 }
 
@@ -222,10 +222,10 @@
 func (n *simNode) deliver(receive func(*simProcess)) {
 	switch {
 	case n.process == nil:
-	case !n.stopped:
+	case !n.paused:
 		receive(n.process)
-	case len(n.waiting) < maxWaiting:
-		n.waiting = append(n.waiting, receive)
+	case len(n.pending) < maxPending:
+		n.pending = append(n.pending, receive)
 	}
 }
 
@@ -241,7 +241,7 @@
 func (p *simProcess) sync(addr string) {
 	s := p.node.sim
 	to := s.byAddr[addr]
-	if to == nil || to.process == nil || to.stopped || to.process == p || p.node.process != p {
+	if to == nil || to.process == nil || to.paused || to.process == p || p.node.process != p {
 		return
 	}
 	if _, stands := s.faults.Segment(p.node.number, to.number); stands {
@@ -260,15 +260,15 @@
 // tick does what a node does at a tick.
 func (p *simProcess) tick() {
 	s := p.node.sim
-	if !p.node.loopHung {
+	if !p.node.loopStalled {
 		p.loopCount++
 	}
 	p.detector.LoopAdvanced(p.loopCount)
 	actions := p.detector.Tick(s.now)
-	s.recorder.ticked(time.Duration(s.now), p.detector, actions)
+	s.recorder.recordTick(time.Duration(s.now), p.detector, actions)
 	own, isNew := p.detector.OwnStatement()
 	if isNew {
-		s.recorder.stated(own)
+		s.recorder.recordStatement(own)
 		p.statements[own.Process] = own
 		p.roundsLeft[own.Process] = gossipRounds
 	}
@@ -280,7 +280,7 @@
 		p.node.kill()
 		return
 	}
-	p.traceView()
+	p.reportView()
 }
 
 func (p *simProcess) perform(actions membership.Actions) {
@@ -317,8 +317,8 @@
 	}
 }
 
-// traceView tells the checker of a view that has changed.
-func (p *simProcess) traceView() {
+// reportView tells the checker of a view that has changed.
+func (p *simProcess) reportView() {
 	view := p.detector.View()
 	if view.Number == p.tracedView && view.MayBePartitioned == p.tracedAsPartitioned {
 		return
@@ -343,7 +343,7 @@
 	for end := s.now.Add(duration); s.now < end; s.ticks++ {
 		for i, n := range s.nodes {
 			s.after(time.Duration(i)*tickInterval/time.Duration(len(s.nodes)), func() {
-				if n.process != nil && !n.stopped {
+				if n.process != nil && !n.paused {
 					n.process.tick()
 				}
 			})
@@ -367,4 +367,4 @@
 }
 
 // verdict is that of the emulator's checker, who knows the views and what befell the nodes.
-func (s *simulation) verdict() *checker.Verdict { return s.views.Judge(trace.View, pause, s.now) }
+func (s *simulation) verdict() *checker.Verdict { return s.views.Judge(trace.View, maxPause, s.now) }
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -53,9 +53,9 @@
 
 // ownStatement is what a detector knows of the statement of its own process, beside the statement itself.
 type ownStatement struct {
-	unsent    bool          // the statement has changed since it was last handed out
-	changedAt time.Duration // run time of the last change; 0 for none
-	sureAt    time.Duration // run time when this process last stopped to doubt itself
+	unsent           bool          // the statement has changed since it was last handed out
+	changedAt        time.Duration // run time of the last change; 0 for none
+	isolationEndedAt time.Duration // run time when this process last stopped to doubt itself
 }
 
 // OwnStatement returns this process's statement, and whether it is new since this was last called: the caller gossips
@@ -63,13 +63,13 @@
 func (d *Detector) OwnStatement() (s Statement, isNew bool) {
 	isNew = d.statement.unsent
 	d.statement.unsent = false
-	return d.own.Statement, isNew
+	return d.self.Statement, isNew
 }
 
 // reviseStatement marks this process's statement as changed.
 func (d *Detector) reviseStatement() {
-	d.own.Revision++
-	d.statement.changedAt = d.ran
+	d.self.Revision++
+	d.statement.changedAt = d.runTime
 	d.statement.unsent = true
 	d.evaluation.changed = true
 }
@@ -80,7 +80,7 @@
 	if !s.valid() {
 		return false
 	}
-	if s.Process == d.own.Process {
+	if s.Process == d.self.Process {
 		d.mergeOwn(s)
 		return false
 	}
@@ -101,8 +101,8 @@
 // mergeOwn takes a statement about this very process. One with a higher revision was made before this process lost its
 // count; the process continues above it, as its statements would count for old otherwise.
 func (d *Detector) mergeOwn(s Statement) {
-	if s.Revision > d.own.Revision {
-		d.own.Revision = s.Revision
+	if s.Revision > d.self.Revision {
+		d.self.Revision = s.Revision
 		d.reviseStatement()
 	}
 }
@@ -112,7 +112,7 @@
 	if s.Leaving || len(d.peers.byID) >= d.config.MaxMembers || d.contacts.isOld(s.Process, s.Revision) {
 		return false
 	}
-	p := newPeer(d.ran)
+	p := newPeer(d.runTime)
 	delete(d.contacts.forgotten, s.Process)
 	d.neighbours.stale = true
 	d.setStatement(p, s)
@@ -124,30 +124,30 @@
 	s.Hears = slices.Clone(s.Hears)
 	s.Misses = slices.Clone(s.Misses)
 	p.Statement = s
-	p.setSelfDoubt(s.Isolated, d.ran)
+	p.setIsolated(s.Isolated, d.runTime)
 	d.evaluation.changed = true
-	d.sync.heardOther = true
+	d.sync.statementReceived = true
 }
 
 // Leave states that this process shuts down in order or is on standby. With yieldName another process takes its place:
 // it stays a member, and its name goes to that one.
 func (d *Detector) Leave(yieldName bool) {
-	if d.own.Leaving || d.own.YieldsName {
+	if d.self.Leaving || d.self.YieldsName {
 		return
 	}
-	d.own.Leaving = !yieldName
-	d.own.YieldsName = yieldName
+	d.self.Leaving = !yieldName
+	d.self.YieldsName = yieldName
 	d.neighbours.stale = true
 	d.reviseStatement()
 }
 
 // Rejoin takes back what Leave stated.
 func (d *Detector) Rejoin() {
-	if !d.own.Leaving && !d.own.YieldsName {
+	if !d.self.Leaving && !d.self.YieldsName {
 		return
 	}
-	d.own.Leaving = false
-	d.own.YieldsName = false
+	d.self.Leaving = false
+	d.self.YieldsName = false
 	d.neighbours.stale = true
 	d.reviseStatement()
 }
--- a/internal/membership/statement_test.go
+++ b/internal/membership/statement_test.go
@@ -7,7 +7,7 @@
 )
 
 // A process that leaves in order is out at once, and its return is that of the same process.
-func TestAProcessThatLeavesIsOutAtOnceAndMayReturn(t *testing.T) {
+func TestLeavingProcessIsRemovedAtOnceAndCanRejoin(t *testing.T) {
 	s := newSimulation(5, 1, nil)
 	s.run(6 * sec)
 	detector := s.nodes[2].process.detector
@@ -34,7 +34,7 @@
 }
 
 // A statement that no process would make is not taken.
-func TestStatementsOutOfBoundsAreRefused(t *testing.T) {
+func TestMergeRejectsInvalidStatements(t *testing.T) {
 	detector := membership.New(config, 7, "n1", "10.0.0.1:1", nil)
 	good := membership.Statement{Process: 9, Node: "n2", Addr: "10.0.0.2:1", Revision: 3}
 	for name, change := range map[string]func(*membership.Statement){
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -49,9 +49,9 @@
 		Fingerprint:      d.view.Fingerprint,
 		Nodes:            make([]NodeName, 0, len(d.peers.byName)),
 		Members:          make([]Member, 0, len(d.peers.byName)),
-		MayBePartitioned: d.evaluation.frozen || d.own.status == Removed,
-		Self:             d.own.Process,
-		Incarnation:      d.own.Incarnation,
+		MayBePartitioned: d.evaluation.frozen || d.self.status == Removed,
+		Self:             d.self.Process,
+		Incarnation:      d.self.Incarnation,
 	}
 	for _, p := range d.peers.byName {
 		view.Members = append(view.Members, p.describe())
@@ -76,7 +76,7 @@
 		Status:      p.status,
 		Since:       p.since,
 		HeardBy:     p.evidence.heardBy,
-		MissedBy:    p.evidence.missedByBelieved,
+		MissedBy:    p.evidence.missedByTrusted,
 	}
 }
 
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -7,7 +7,7 @@
 )
 
 // Views list processes by node and process, whichever came first.
-func TestViewsAreInOrder(t *testing.T) {
+func TestViewListsMembersInOrder(t *testing.T) {
 	config := NewConfig(Timings{
 		MaxPause:          2 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
