--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// A backoff is drawn from a span that begins at 0.
+// A backoff is drawn at random between 0 and a limit, which depends on the kind and number of failures.
 const (
-	// initialLimit is the span after the first lost connection: a long poll is to be renewed well within 200 ms.
+	// initialLimit is the limit after the first lost connection: a long poll is to be renewed well within 200 ms.
 	initialLimit = 50 * time.Millisecond
 
-	// lostLimitPerNode is the least span for each node of the fleet once two polls in a row have failed: the whole
-	// fleet then makes 200 polls a second at most.
+	// lostLimitPerNode is the minimum limit for each node of the fleet once two polls in a row have failed. It bounds
+	// the rate of the whole fleet to 200 polls a second.
 	lostLimitPerNode = 10 * time.Millisecond
 
-	// refusedLimitPerNode is the least span for each node after a refusal, as far as updates can wait.
+	// refusedLimitPerNode is the minimum limit for each node after a refusal, as far as updates can wait.
 	refusedLimitPerNode = 200 * time.Millisecond
 
-	// maxRefusedDoublings is how often the span after a refusal doubles.
+	// maxRefusedDoublings is how often the limit after a refusal doubles.
 	maxRefusedDoublings = 2
 
-	// maxInitialDoublings is how often firstSpan doubles, which is beyond all the limits below.
+	// maxInitialDoublings is how often initialLimit doubles; the result exceeds all maximum limits below.
 	maxInitialDoublings = 10
 
-	// maxRefusedLimit is the longest span. With a poll that then times out, and the backoff after it, an update waits
-	// 4.75 s.
+	// maxRefusedLimit is the maximum of all limits. Together with a poll that then times out and the backoff after it,
+	// an update waits 4.75 s.
 	maxRefusedLimit = 3 * time.Second
 
-	// maxLostLimit is the longest span after lost connections, which cost discovery least.
+	// maxLostLimit is the maximum limit after lost connections, which cost discovery least.
 	maxLostLimit = 2 * time.Second
 
-	// maxCompleteLimit is the longest span before the complete list is asked for, as the version held may not be known.
+	// maxCompleteLimit is the maximum limit before the complete list is requested because discovery may not know the
+	// version that the node holds.
 	maxCompleteLimit = 1500 * time.Millisecond
 
-	// maxTimedOutLimit is the longest span after a poll that took until its timeout: that has spread the polls already.
+	// maxTimedOutLimit is the maximum limit after a poll that took until its timeout, which has already spread the
+	// polls.
 	maxTimedOutLimit = 250 * time.Millisecond
 
-	// spreadLimit is a span that spreads the polls of the fleet. After one, a backoff takes minSpreadShare of its span
-	// at least.
+	// spreadLimit is a limit that spreads the polls of the fleet. After a backoff with such a limit, the next ones take
+	// at least minSpreadFraction of their limits.
 	spreadLimit       = time.Second
 	minSpreadFraction = 0.75
 )
 
-// OnFailure records that a poll failed, and how long it took from its start, or from that of its connection where it
-// needed one. It returns for how long to back off, 3 s at most, and whether this is the first failure in a row. The
-// caller draws chance, from 0 up to 1.
+// OnFailure records that a poll failed after took, the time since its start, or since the start of its connection if it
+// needed a new one. It returns the backoff, at most 3 s, and whether this is the first failure in a row. The caller
+// draws jitter uniformly from [0, 1).
 //
-// The backoff is a share by chance of a span that doubles with each failure. After a lost connection the span is short
-// at first, so that the long poll goes on; after a refusal the number of nodes decides. Once a span is long, its
-// backoffs have spread the nodes over it, and each node takes most of its span from then on. This guards against a
-// discovery that is overloaded and kept so by all nodes, each of which polls as often as if it were alone.
+// The backoff is a random fraction of a limit that doubles with each failure. After a lost connection the limit is
+// small at first, so that the long poll continues; after a refusal it depends on the number of nodes. A backoff with a
+// large limit spreads the nodes over that time, and from then on each node takes most of its limit. This keeps nodes
+// that each poll as often as if they were alone from holding an overloaded discovery in overload.
 func (p *Poller) OnFailure(failure Failure, took time.Duration, jitter float64) (backoff time.Duration, first bool) {
 	p.timedOut = failure == ConnectionLost && took >= p.NextPoll().Timeout
 	p.failures++
 	p.connectionLost = failure == ConnectionLost
-	if !p.connectionLost { // a lost connection says nothing of the version
+	if !p.connectionLost { // a lost connection tells nothing about the version
 		p.versionInDoubt = failure == Unreadable && !p.needsComplete()
 	}
 	limit := p.backoffLimit(failure, took)
@@ -62,7 +64,7 @@
 	return time.Duration(jitter * float64(limit)), p.failures == 1
 }
 
-// backoffLimit returns the backoffLimit from which the backoff is drawn.
+// backoffLimit returns the limit of the backoff.
 func (p *Poller) backoffLimit(failure Failure, took time.Duration) time.Duration {
 	limit := initialLimit << min(p.failures-1, maxInitialDoublings)
 	refusedLimit := max(initialLimit, time.Duration(p.nodes)*refusedLimitPerNode)
@@ -75,7 +77,8 @@
 	return min(limit, refusedLimit<<maxRefusedDoublings, p.maxBackoffLimit(failure, took))
 }
 
-// maxBackoffLimit returns the longest span that an update can wait for: the longer the poll took, the less is left.
+// maxBackoffLimit returns the maximum limit for which an update can wait. It decreases with the time that the poll
+// took.
 func (p *Poller) maxBackoffLimit(failure Failure, took time.Duration) time.Duration {
 	limit := maxRefusedLimit
 	switch {
