--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Bounds of what other processes may state.
+// Limits on what other processes may state.
 const (
 	MaxNameBytes           = 64 // bytes of a node's name
 	MaxAddrBytes           = 64 // bytes of an address
 	MaxStatementNeighbours = 64 // neighbours in one statement
 )
 
-// Statement is all that a process says of itself and of its neighbours. Only the process itself makes it.
+// Statement is what a process states about itself and its neighbours. Only the process itself makes it.
 type Statement struct {
 	Process     ProcessID
 	Node        NodeName
 	Incarnation Incarnation
 	Revision    Revision
-	Addr        string      // where other nodes reach it: address and port
-	Leaving     bool        // it shuts down in order, or is on standby
-	YieldsName  bool        // its name goes to the next process, which may take it at once
-	Isolated    bool        // it hears too few of its neighbours to be believed
+	Addr        string      // address and port at which other nodes reach it
+	Leaving     bool        // it is shutting down in order, or is on standby
+	YieldsName  bool        // its name goes to the next process, which may claim it at once
+	Isolated    bool        // it hears too few of its neighbours for its reports to be trusted
 	Hears       []ProcessID // neighbours that it hears
-	Misses      []ProcessID // neighbours that it doesn't hear
+	Misses      []ProcessID // neighbours that it does not hear
 }
 
-// valid reports whether a statement keeps the bounds.
+// valid reports whether a statement is well formed and within the limits.
 func (s *Statement) valid() bool {
 	switch {
 	case s.Process == 0:
@@ -41,32 +41,32 @@
 	return !slices.Contains(s.Hears, s.Process) && !slices.Contains(s.Misses, s.Process)
 }
 
-// Heartbeat is a sign of life between neighbours.
+// Heartbeat tells a neighbour that its sender is alive.
 type Heartbeat struct {
 	Process    ProcessID
 	Revision   Revision // of the sender's statement
 	Digest     uint64   // of the statements of all members; only the lower 32 bits are sent and compared
-	Addr       string   // the sender's
+	Addr       string   // of the sender
 	Isolated   bool     // as in the sender's statement
-	WantsReply bool     // the sender asks for a heartbeat in return
+	WantsReply bool     // the sender requests a heartbeat in return
 }
 
-// ownStatement is what a detector knows of the statement of its own process, beside the statement itself.
+// ownStatement is the state that a detector keeps about the statement of its own process.
 type ownStatement struct {
-	unsent           bool          // the statement has changed since it was last handed out
+	unsent           bool          // the statement has changed since it was last returned by OwnStatement
 	changedAt        time.Duration // run time of the last change; 0 for none
-	isolationEndedAt time.Duration // run time when this process last stopped to doubt itself
+	isolationEndedAt time.Duration // run time when this process last stopped being isolated
 }
 
-// OwnStatement returns this process's statement, and whether it is new since this was last called: the caller gossips
-// it then.
+// OwnStatement returns this process's statement, and whether it has changed since the last call. The caller gossips a
+// statement that has changed.
 func (d *Detector) OwnStatement() (s Statement, isNew bool) {
 	isNew = d.statement.unsent
 	d.statement.unsent = false
 	return d.self.Statement, isNew
 }
 
-// reviseStatement marks this process's statement as changed.
+// reviseStatement increments the revision of this process's statement and marks it as unsent.
 func (d *Detector) reviseStatement() {
 	d.self.Revision++
 	d.statement.changedAt = d.runTime
@@ -74,8 +74,8 @@
 	d.evaluation.changed = true
 }
 
-// Merge takes a statement, however it arrived, and reports whether it was news: the caller passes it on then. It keeps
-// no reference to the statement's slices.
+// Merge handles a statement that arrived in any way, and reports whether it was new. The caller forwards a new
+// statement. Merge keeps no reference to the statement's slices.
 func (d *Detector) Merge(s Statement) bool {
 	if !s.valid() {
 		return false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// mergeOwn takes a statement about this very process. One with a higher revision was made before this process lost its
-// count; the process continues above it, as its statements would count for old otherwise.
+// mergeOwn handles a statement about this process itself. If it has a higher revision, this process has lost its count;
+// it continues above that revision, as its statements would be ignored as old otherwise.
 func (d *Detector) mergeOwn(s Statement) {
 	if s.Revision > d.self.Revision {
 		d.self.Revision = s.Revision
@@ -107,7 +107,7 @@
 	}
 }
 
-// mergeNew takes the first statement of a process, unless it is an old one of a process that was forgotten.
+// mergeNew handles the first statement of a process. It ignores one from before the process was forgotten.
 func (d *Detector) mergeNew(s Statement) bool {
 	if s.Leaving || len(d.peers.byID) >= d.config.MaxMembers || d.contacts.isOld(s.Process, s.Revision) {
 		return false
@@ -129,8 +129,8 @@
 	d.sync.statementReceived = true
 }
 
-// Leave states that this process shuts down in order or is on standby. With yieldName another process takes its place:
-// it stays a member, and its name goes to that one.
+// Leave states that this process shuts down in order or is on standby. With yieldName, another process takes its place:
+// this process stays a member, and its name goes to the other one.
 func (d *Detector) Leave(yieldName bool) {
 	if d.self.Leaving || d.self.YieldsName {
 		return
@@ -141,7 +141,7 @@
 	d.reviseStatement()
 }
 
-// Rejoin takes back what Leave stated.
+// Rejoin takes back the effect of Leave.
 func (d *Detector) Rejoin() {
 	if !d.self.Leaving && !d.self.YieldsName {
 		return
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,41 +7,41 @@
 	"dahliapin/internal/keyhash"
 )
 
-// Member is what a view tells of one process, whether it is a member or not.
+// Member describes one known process in a [View], whether it is a member or not.
 type Member struct {
 	Process     ProcessID
 	Node        NodeName
 	Incarnation Incarnation
 	Addr        string
 	Status      Status
-	Since       time.Duration // run time of the process whose view it is when the status began
-	HeardBy     int           // how many processes that are believed hear it
-	MissedBy    int           // how many members that are believed miss it
+	Since       time.Duration // when the status began, in run time of the process that made the view
+	HeardBy     int           // number of trusted processes that hear it
+	MissedBy    int           // number of trusted members that miss it
 }
 
-// View is the membership as one process knows it. Nobody changes it once it is made.
+// View is the membership as one process sees it. It is immutable.
 type View struct {
 	// Number counts the changes of Nodes at this process.
 	Number uint64
-	// Fingerprint is a hash of Nodes: the same at all processes that have the same members.
+	// Fingerprint is a hash of Nodes: it is equal at all processes that have the same members.
 	Fingerprint uint64
-	// Nodes are the names of the members, sorted.
+	// Nodes are the names of the members in ascending order.
 	Nodes []NodeName
-	// Members are all processes that are known, by node and process.
+	// Members are all known processes, ordered by node and process.
 	Members []Member
-	// MayBePartitioned is whether this process is removed, doubts itself, or so many are missing that it may be the
-	// one which is cut off: no member is removed meanwhile. Operators see it as "cut_off".
+	// MayBePartitioned is true while this process is removed or isolated, or while so many members are missing that
+	// this process may itself be cut off from the fleet. No member is removed meanwhile. Operators see it as "cut_off".
 	MayBePartitioned bool
-	// Self is the process whose view it is.
+	// Self is the process that made the view.
 	Self ProcessID
-	// Incarnation is Own's; 0 while it has not taken its name.
+	// Incarnation is the incarnation of Self; 0 until it has claimed its name.
 	Incarnation Incarnation
 }
 
 // View returns the latest view.
 func (d *Detector) View() *View { return d.view }
 
-// publishView makes a new view. Its number goes up where another set of nodes are members.
+// publishView replaces the view, and increments its number if the set of member nodes has changed.
 func (d *Detector) publishView() {
 	d.peers.sorted()
 	view := &View{
@@ -80,7 +80,7 @@
 	}
 }
 
-// fingerprint hashes a set of names, whatever their order.
+// fingerprint returns a hash of a set of names that does not depend on their order.
 func fingerprint(names []NodeName) uint64 {
 	var sum uint64
 	for _, name := range names {
