--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -7,19 +7,19 @@
 	"dahliapin/internal/monotime"
 )
 
-// maxTickIntervals is the time in heartbeat intervals that counts as run between two ticks, at most. There are several
-// ticks in each interval, so only a process that was stopped or starved exceeds it; and NewConfig makes no
+// maxTickIntervals is the maximum time, in heartbeat intervals, that counts as run time between two ticks. There are
+// several ticks in each interval, so only a process that was suspended or starved exceeds it. NewConfig makes no
 // HeartbeatTimeout shorter than it.
 const maxTickIntervals = 2
 
-// rules are the guards that a detector applies. All are on in service; tests switch single ones off to show that the
-// invariants then break.
+// rules are the safety rules that a detector applies. All are on in production; tests disable some of them to show that
+// the invariants then break.
 type rules struct {
-	minObservers      int  // that must miss a process before it can be removed
-	requireMajority   bool // more must miss a process than hear it
-	detectIsolation   bool // a process that hears too few doubts itself
-	freezeRemovals    bool // nobody is removed while too many are missing at once
-	measureRunTime    bool // spans are measured in time that the process has run, not by the clock
+	minObservers      int  // number of observers that must miss a process before it can be removed
+	requireMajority   bool // more observers must miss a process than hear it
+	detectIsolation   bool // a process that hears too few neighbours reports itself as isolated
+	freezeRemovals    bool // no member is removed while too many are missing at once
+	measureRunTime    bool // times are measured in run time of the process instead of clock time
 	stopOnStalledLoop bool // a process that no longer serves clients sends no heartbeats
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// Detector is one process's knowledge of its fleet. It is not safe for concurrent use.
+// Detector is the membership state of one process. It is not safe for concurrent use.
 type Detector struct {
 	runClock
 	rules      rules
@@ -48,11 +48,12 @@
 	heartbeats heartbeatSchedule
 	sync       syncState
 	evaluation evaluation
-	conflict   error // why this process has to end; nil for no reason
+	conflict   error // why this process has to exit; nil for no reason
 	view       *View
 }
 
-// New makes the detector of a process that has not taken its name yet. Seeds are addresses of nodes to ask first.
+// New returns the detector of a process that has not claimed its name yet. Seeds are addresses of nodes to contact
+// first.
 func New(config Config, process ProcessID, node NodeName, addr string, seeds []string) *Detector {
 	own := newPeer(0)
 	own.Statement = Statement{Process: process, Node: node, Addr: addr, Revision: 1}
@@ -69,20 +70,20 @@
 	}
 }
 
-// KnownCount returns the number of processes that are known, this one included.
+// KnownCount returns the number of known processes, including this one.
 func (d *Detector) KnownCount() int { return len(d.peers.byID) }
 
-// Actions lists what has to be sent after a tick. Addresses are those of other processes.
+// Actions lists the messages to send after a tick. Addresses are those of other processes.
 type Actions struct {
-	Heartbeat   Heartbeat // this process's, which goes to all of the following
+	Heartbeat   Heartbeat // of this process; sent to all addresses below
 	HeartbeatTo []string  // neighbours
-	ReplyTo     []string  // processes that asked for a heartbeat
-	ProbeTo     []string  // processes that are asked for one in return: the sender sets WantsReply
+	ReplyTo     []string  // processes that requested a heartbeat
+	ProbeTo     []string  // processes to request a heartbeat from: the sender sets WantsReply
 	SyncWith    string    // process to exchange the full state with; empty for none
 }
 
-// Tick does what is due and returns what has to be sent. It is to be called several times in each heartbeat interval;
-// now is of a clock that runs on through a suspend.
+// Tick does what is due and returns the messages to send. It must be called several times in each heartbeat interval.
+// The clock of now must continue through a system suspend.
 func (d *Detector) Tick(now monotime.Instant) Actions {
 	d.advance(now, maxTickIntervals*d.config.HeartbeatInterval, d.rules.measureRunTime)
 	d.updateNeighbours()
@@ -106,17 +107,17 @@
 
 // runClock measures the time that this process has run.
 //
-// Guards against a process that was stopped or starved and then takes all others for dead, as it received nothing
-// meanwhile. A gap between two ticks counts as a short one, so that no timeout has passed; and hearsTooFew counts only
-// neighbours that were heard after the gap.
+// A process that was suspended or starved has received nothing meanwhile, and must not conclude that all others are
+// dead. A gap between two ticks therefore counts as a short one, so that no timeout expires by it, and isIsolated
+// counts only neighbours that were heard after the gap.
 type runClock struct {
-	runTime   time.Duration // all spans are measured by it
+	runTime   time.Duration // all timeouts are measured by it
 	resumedAt time.Duration // run time at the end of the last gap
 	last      monotime.Instant
 	started   bool
 }
 
-// advance adds the time since the last tick; of a longer gap only maxStep where capGaps is set.
+// advance adds the time since the last tick. If capGaps is set, it adds at most maxStep.
 func (c *runClock) advance(now monotime.Instant, maxStep time.Duration, capGaps bool) {
 	if !c.started {
 		c.started = true
--- a/internal/membership/evaluation.go
+++ b/internal/membership/evaluation.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// gatherWindow is how long processes that are due for a change of status wait for others that are about to be due,
-	// so that one failure of several processes is one change of the view.
+	// gatherWindow is how long processes that are due for a change of status wait for others that are nearly due, so
+	// that one failure of several processes leads to one change of the view.
 	gatherWindow = 400 * time.Millisecond
-	// leftRetention is how long one that left is shown in views.
+	// leftRetention is how long a process that left is shown in views.
 	leftRetention = 5 * time.Second
-	// evaluationInterval spaces out evaluations in a large fleet, as each goes through all processes: there is none
-	// between two in a small fleet, and half of it more for each doubling of the size.
+	// evaluationInterval spaces out evaluations in a large fleet, as each visits all processes. The minimum time
+	// between two evaluations is 0 in a small fleet, and each doubling of the size adds half of evaluationInterval.
 	evaluationInterval = 50 * time.Millisecond
 )
 
-// evaluation is the state of the evaluation of all statuses.
+// evaluation is the state of the periodic evaluation of all statuses.
 type evaluation struct {
-	at          time.Duration // run time of the last one
+	at          time.Duration // run time of the last evaluation
 	changed     bool          // statements, statuses or neighbours have changed since
-	pending     bool          // some status may change as time passes
+	pending     bool          // a status may change as time passes
 	frozen      bool          // no member is removed: see mayBePartitioned
-	digest      uint64        // of the statements of all members, when evidence was last counted
+	digest      uint64        // of the statements of all members when evidence was last counted
 	memberCount int           // when evidence was last counted
 }
 
-// evaluate looks at the status of each process, and makes a new view where something has changed.
+// evaluate updates the status of each process, and publishes a new view if anything has changed.
 func (d *Detector) evaluate() {
 	elapsed := d.runTime - d.evaluation.at
 	if elapsed < d.scaledDelay(evaluationInterval)-evaluationInterval {
@@ -74,7 +74,7 @@
 	}
 }
 
-// evaluateLeft has one that left join again where it takes that back, and forgets it after a while.
+// evaluateLeft makes a process that takes back its leave join again, and forgets one that left after leftRetention.
 func (d *Detector) evaluateLeft(p *peer) {
 	if !p.Leaving {
 		d.setStatus(p, Joining)
@@ -86,7 +86,7 @@
 	}
 }
 
-// evaluateJoining makes a process a member that has taken its name and that enough hear.
+// evaluateJoining makes a process a member once it has claimed its name and enough processes hear it.
 func (d *Detector) evaluateJoining(p *peer) {
 	e := &p.evidence
 	isHeard := e.heardBy > 0 && e.heardBy >= e.missedByTrusted
@@ -100,7 +100,8 @@
 	}
 }
 
-// evaluateRemoved has a process return that enough hear again for long enough, and forgets it where nobody does.
+// evaluateRemoved lets a process rejoin once enough others have heard it for RejoinDelay. If they do not hear it, it is
+// forgotten ForgetAfter after its removal.
 func (d *Detector) evaluateRemoved(p *peer, elapsed time.Duration, rejoins *batch) {
 	d.evaluation.pending = true
 	e := &p.evidence
@@ -118,8 +119,8 @@
 	}
 }
 
-// evaluateMember removes a member that enough processes have missed for long enough. It
-// reports whether the process came to be suspected, or no longer is: that changes no membership.
+// evaluateMember removes a member that enough processes have missed for RemovalDelay. It reports whether the process
+// became suspected or is no longer suspected, which does not change the set of members.
 func (d *Detector) evaluateMember(p *peer, elapsed time.Duration, removals *batch) (viewChanged bool) {
 	if !d.isMissed(p) || d.evaluation.frozen {
 		p.sustainedFor = 0
@@ -144,14 +145,14 @@
 	return false
 }
 
-// batch gathers processes that are due for the same change of status.
+// batch collects processes that are due for the same change of status.
 type batch struct {
 	due             []*peer
 	othersNearlyDue bool // others are about to be due
 }
 
-// ready returns those that are due after a delay, or nobody while others are about to be and none has waited for them
-// for longer than gatherWindow.
+// ready returns the processes that are due after a delay. It returns none while others are nearly due, unless one has
+// waited for them for longer than gatherWindow.
 func (b *batch) ready(delay time.Duration) []*peer {
 	waitedLong := func(p *peer) bool { return p.sustainedFor >= delay+gatherWindow }
 	if b.othersNearlyDue && !slices.ContainsFunc(b.due, waitedLong) {
@@ -160,9 +161,9 @@
 	return b.due
 }
 
-// setStatus changes a status that decides who counts as a member, and whose statements count. Three other places set
-// one: claimName has this process join its own view at once, and leaves sustained; evaluateMember changes
-// between Alive and Suspected, which changes neither who is a member nor since when; forget drops the process.
+// setStatus makes a change of status that affects who is a member or whose statements count. Three other places set a
+// status: claimName makes this process a member of its own view at once and keeps sustainedFor; evaluateMember switches
+// between Alive and Suspected, which changes neither the membership nor Since; forget drops the process.
 func (d *Detector) setStatus(p *peer, status Status) {
 	p.status = status
 	p.since = d.runTime
@@ -170,7 +171,7 @@
 	d.evaluation.changed = true
 }
 
-// forget drops a process that is no longer to be known: the only way out of the table of peers.
+// forget removes a process from the table of peers. No other code does so.
 func (d *Detector) forget(p *peer) {
 	p.status = Forgotten
 	d.peers.remove(p)
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -1,31 +1,35 @@
 package membership
 
-// evidence is what other processes state about one, counted anew whenever a statement or status has changed.
+// evidence is what other processes report about one process. It is counted again whenever a statement or status has
+// changed. An observer is trusted if it is eligible and its statement is current.
 type evidence struct {
-	heardBy            int // processes that are believed and hear it, those that join included
-	missedByTrusted    int // members that are believed and miss it
-	missedByAny        int // members that miss it, whether their statements may be old or not
-	isolatedNeighbours int // members whose neighbour it is and that doubt themselves: they can't tell
+	heardBy            int // trusted processes that hear it, including those that are joining
+	missedByTrusted    int // trusted members that miss it
+	missedByAny        int // members that miss it, including those whose statements may be outdated
+	isolatedNeighbours int // isolated members that have it as a neighbour: they cannot tell
 }
 
 const (
-	// freezeFraction is the share of members above which so many are missing at once that nobody is removed, where all
-	// hear one another.
+	// freezeFraction is the fraction of missing members above which no member is removed, in a fleet in which all
+	// processes are neighbours.
 	freezeFraction = 0.5
-	// freezeFractionRings is the same where rings are used: not all that are missing are missed by two there.
+	// freezeFractionRings is the same in a fleet with rings. It is lower because not every missing process is missed by
+	// two observers there.
 	freezeFractionRings = 0.4
-	// recentRemovalDelays is the time, in removal delays, for which a removed one counts as missing at once with
-	// others.
+	// recentRemovalDelays is the time, in removal delays, for which a removed process counts as missing at the same
+	// time as others.
 	recentRemovalDelays = 4
 )
 
-// countEvidence counts for each process who hears and who misses it, and makes the digest of all statements of members.
+// countEvidence counts for each process who hears it and who misses it, and computes the digest of the statements of
+// all members.
 func (d *Detector) countEvidence() {
 	d.evaluation.digest = 0
 	d.evaluation.memberCount = 0
 	for _, p := range d.peers.sorted() {
 		p.evidence = evidence{}
-		// of members only: one that is out is forgotten here sooner than elsewhere
+		// Only members count: this process may forget a removed process sooner than others do, so digests over all
+		// known processes would differ.
 		if p.isMember() {
 			d.evaluation.digest ^= p.statementHash()
 			d.evaluation.memberCount++
@@ -39,7 +43,8 @@
 	}
 }
 
-// countMissedByAny counts the members that miss each process, current or not: isCurrent goes by that.
+// countMissedByAny counts the members that miss each process, whether their statements are current or not: isCurrent
+// depends on these counts.
 func (d *Detector) countMissedByAny() {
 	for _, observer := range d.peers.sorted() {
 		if !observer.isEligibleObserver() || !observer.isMember() {
@@ -53,11 +58,11 @@
 	}
 }
 
-// countObserver counts what one process states about its neighbours. One that is not a member yet can only speak for
-// others, not against them.
+// countObserver counts what one process reports about its neighbours. A process that is not a member yet can report
+// that it hears others, but not that it misses them.
 func (d *Detector) countObserver(observer *peer) {
 	if observer.Isolated && observer.isMember() {
-		// guards against a few that decide where most can't tell
+		// Isolated members count against a removal; otherwise a few observers would decide where most cannot tell.
 		d.forEach(observer.Hears, func(e *evidence) { e.isolatedNeighbours++ })
 		d.forEach(observer.Misses, func(e *evidence) { e.isolatedNeighbours++ })
 	}
@@ -78,19 +83,19 @@
 	}
 }
 
-// isEligibleObserver reports whether what a process states about others counts at all.
+// isEligibleObserver reports whether the reports of a process about others count at all.
 func (p *peer) isEligibleObserver() bool {
 	return !p.Isolated && !p.Leaving && (p.isMember() || p.status == Joining)
 }
 
-// isCurrent reports whether a process's statement can be taken for how things are now: one that several miss may have
-// made it long ago, unless this process hears it itself. Guards against the two sides of a partition whose last
-// statements discredit one another for good.
+// isCurrent reports whether the statement of a process can be taken as up to date. One that several members miss may
+// have made it long ago, unless this process hears it. Without this rule, the last statements of the two sides of a
+// partition would discredit each other for good.
 func (d *Detector) isCurrent(observer *peer) bool {
 	return observer == d.self || observer.evidence.missedByAny < d.rules.minObservers || d.isHeard(observer)
 }
 
-// isMissed reports whether the evidence is enough to remove a process.
+// isMissed reports whether the evidence is sufficient to remove a process.
 func (d *Detector) isMissed(p *peer) bool {
 	e := &p.evidence
 	if e.missedByTrusted < d.rules.minObservers {
@@ -99,15 +104,15 @@
 	return !d.rules.requireMajority || e.missedByTrusted > e.heardBy+e.isolatedNeighbours
 }
 
-// isMissedForName reports whether enough processes miss one to take it for dead where its name is concerned. Unlike
-// isMissed it leaves doubtfulFor out: members in doubt can't keep the name of a process from its successor.
+// isMissedForName reports whether enough members miss a process to consider it dead for the resolution of names. Unlike
+// isMissed it ignores isolatedNeighbours: isolated members cannot keep the name of a process from its successor.
 func (d *Detector) isMissedForName(p *peer) bool {
 	return p.evidence.missedByTrusted >= d.rules.minObservers && p.evidence.missedByTrusted > p.evidence.heardBy
 }
 
-// mayBePartitioned reports whether this process doubts itself, or so many are missing at once that it may well be the
-// one which is cut off. Guards against the sides of a partition that remove each other, and against a process that
-// takes all others for dead.
+// mayBePartitioned reports whether this process is isolated, or so many members are missing at once that it may itself
+// be cut off. This keeps the sides of a partition from removing each other, and a process from considering all others
+// dead.
 func (d *Detector) mayBePartitioned() bool {
 	if d.self.Isolated || !d.rules.freezeRemovals {
 		return d.self.Isolated
@@ -134,9 +139,9 @@
 	return members > 1 && float64(missing) > fraction*float64(members)
 }
 
-// isWellConnected reports whether a process that joins hears half of those that it should, and half of them hear it. Guards
-// against one that is cut off in one direction from its start: it would be a member until it doubts itself, or the
-// others to miss it.
+// isWellConnected reports whether a joining process hears half of its expected neighbours and is heard by half of them.
+// A process that is cut off in one direction from its start would otherwise be a member until it detects its isolation
+// or the others miss it.
 func (d *Detector) isWellConnected(p *peer) bool {
 	others := d.evaluation.memberCount
 	for _, namesake := range d.peers.ofNode(p.Node) {
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// observeNeighbours puts into this process's statement which of its neighbours it hears and misses, and whether it
-// doubts itself.
+// observeNeighbours updates this process's statement with the neighbours that it hears and misses, and whether it is
+// isolated.
 func (d *Detector) observeNeighbours() {
 	hears, misses := d.heardAndMissed()
 	isolated := d.rules.detectIsolation && d.isIsolated()
 	if isolated {
-		// what it says of others counts for nothing; it stays as it was, so that there is nothing new to gossip
+		// Reports of an isolated process do not count. Keeping them unchanged avoids gossip that has no effect.
 		hears = d.self.Hears
 		misses = d.self.Misses
 	}
@@ -16,7 +16,7 @@
 		if slices.Equal(hears, d.self.Hears) && slices.Equal(misses, d.self.Misses) {
 			return
 		}
-		// several changes go into one statement
+		// Several changes are combined into one statement.
 		since := d.runTime - d.statement.changedAt
 		if d.statement.changedAt > 0 && since < d.scaledDelay(d.config.HeartbeatInterval/2) {
 			return
@@ -31,18 +31,18 @@
 	d.reviseStatement()
 }
 
-// isIsolated reports whether this process hears less than half of the neighbours that it should hear: it may well be
-// the one that is cut off, and is not believed.
+// isIsolated reports whether this process hears less than half of its expected neighbours. It may well be cut off
+// itself, so its reports are not trusted.
 //
-// Guards against a partition in which each side goes by those that are left to it and removes the other: the
-// neighbours that were removed count as well as long as they are remembered.
+// Neighbours that were removed count as expected as long as they are remembered. Otherwise each side of a partition
+// would go by the neighbours that are left to it and remove the other side.
 func (d *Detector) isIsolated() bool {
 	expected := 0
 	heard := 0
 	for _, p := range d.neighbours.peers {
 		withinTimeout := d.silence(p) < d.config.HeartbeatTimeout
 		if withinTimeout && !p.heard {
-			continue // it has had no time to be heard
+			continue // it has not had time to be heard
 		}
 		heardSinceGap := withinTimeout && p.silentSince() >= d.resumedAt
 		if heardSinceGap && (p.isMember() || p.isolatedSince < 0) {
@@ -57,17 +57,17 @@
 	return 2*heard < expected
 }
 
-// successorIsHeard reports whether another process of the same node is heard. Guards against a fleet of which many
-// were restarted at once: each process that stayed would doubt itself for the old ones that it misses, and so none of
-// the new ones would be believed to be there.
+// successorIsHeard reports whether another process of the same node is heard. Otherwise, after a restart of many
+// processes at once, each remaining process would consider itself isolated as it misses the old ones, and its reports
+// about the new ones would not be trusted.
 func (d *Detector) successorIsHeard(p *peer) bool {
 	return slices.ContainsFunc(d.peers.ofNode(p.Node), func(o *peer) bool {
 		return o != p && d.isHeard(o)
 	})
 }
 
-// heardAndMissed returns the neighbours that this process hears, and those that it misses. A new neighbour that has
-// had no time to be heard is neither.
+// heardAndMissed returns the neighbours that this process hears and those that it misses. A new neighbour that has not
+// had time to be heard is in neither list.
 func (d *Detector) heardAndMissed() (hears, misses []ProcessID) {
 	hears = make([]ProcessID, 0, maxNeighbours)
 	misses = make([]ProcessID, 0, maxNeighbours)
@@ -82,9 +82,9 @@
 	return hears, misses
 }
 
-// countsAsMissed reports whether a neighbour counts as missed though it is heard, as it has stated for long that it
-// doubts itself. Guards against a process that all hear and that hears nobody: it would stay a member for good; and,
-// once it is out, it would be in again before it hears anybody.
+// countsAsMissed reports whether a neighbour is reported as missed although it is heard, because it has reported itself
+// as isolated for IsolationTimeout. Otherwise a process that all hear and that hears nobody would stay a member for
+// good; and, once removed, it would rejoin before it hears anybody.
 func (d *Detector) countsAsMissed(p *peer) bool {
 	if p.isolatedSince < 0 || d.self.Isolated {
 		return false
@@ -92,7 +92,8 @@
 	if p.status == Removed {
 		return true
 	}
-	// those that were cut off along with this process may say for a while yet that they doubt themselves
+	// Processes that were cut off along with this one may report themselves as isolated for some time after it
+	// recovers.
 	since := max(p.isolatedSince, p.neighbourSince, d.statement.isolationEndedAt)
 	return d.runTime-since >= d.config.IsolationTimeout
 }
