--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// statementGrace is the time that a newer statement, announced by a heartbeat, has to arrive by gossip before it is
-	// asked for.
+	// statementGrace is how long a newer statement that a heartbeat announced may take to arrive by gossip before it is
+	// requested.
 	statementGrace = 300 * time.Millisecond
-	// digestGrace is the same for digests that differ without a newer statement of the sender.
+	// digestGrace is how long digests may differ without a newer statement of the sender before the full state is
+	// exchanged.
 	digestGrace = time.Second
-	// syncInterval is the shortest time between two exchanges that this process asks for, in a fleet of no size.
+	// syncInterval is the constant part of the minimum time between two exchanges that this process requests.
 	syncInterval = 500 * time.Millisecond
-	// syncIntervalPerProcess is added to it for each process known: an exchange is that much longer.
+	// syncIntervalPerProcess is added for each known process, as an exchange takes longer the more there are.
 	syncIntervalPerProcess = 5 * time.Millisecond
-	// smallFleetSize is the number of processes that gossip reaches within these spans; each time as many take half as long
-	// again.
+	// smallFleetSize is the number of processes that gossip reaches within these delays. Each doubling of the size adds
+	// half of the delay.
 	smallFleetSize = 32
 )
 
-// syncState says when and with which process the full state is exchanged: anti-entropy, beside the gossip of single
-// statements.
+// syncState controls when and with which process the full state is exchanged. This anti-entropy complements the gossip
+// of single statements.
 type syncState struct {
 	target            string        // address to exchange with after this tick; empty for none
 	requestedAt       time.Duration // run time of the last request; 0 for none
@@ -32,12 +33,12 @@
 	return target
 }
 
-// SyncCompleted reports that the full state of another process was merged.
+// SyncCompleted records that the full state of another process was merged.
 func (d *Detector) SyncCompleted() { d.sync.completed = true }
 
-// scaledDelay is how long to wait for statements, or to gather them, where base is enough in a small fleet. Guards against
-// a large fleet in which each change has every process ask for the full state: gossip takes longer to reach all the
-// more there are, and a process that is busy with exchanges has more to state that has to reach all.
+// scaledDelay returns how long to wait for statements, or to collect them, given the delay that suffices in a small
+// fleet. Gossip takes longer to reach a large fleet; with a fixed delay each change would make every process request
+// the full state, and processes that are busy with exchanges have more changes to state in turn.
 func (d *Detector) scaledDelay(base time.Duration) time.Duration {
 	delay := base
 	for n := smallFleetSize; n < len(d.peers.byID); n *= 2 {
@@ -46,7 +47,7 @@
 	return delay
 }
 
-// requestSync asks for an exchange with a process, not too often.
+// requestSync schedules an exchange with a process, subject to a minimum interval.
 func (d *Detector) requestSync(addr string) {
 	if d.sync.target != "" {
 		return
@@ -59,7 +60,7 @@
 	d.sync.requestedAt = d.runTime
 }
 
-// compareDigest asks for an exchange with a process whose digest has been another than this one's for long enough.
+// compareDigest requests an exchange with a process whose digest has differed from this one's for too long.
 func (d *Detector) compareDigest(p *peer, h Heartbeat) {
 	if uint32(h.Digest) == uint32(d.evaluation.digest) {
 		p.digestDiffersSince = never
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// maxReplies bounds the heartbeats that are sent on request between two ticks.
+	// maxReplies limits the heartbeats that are sent on request between two ticks.
 	maxReplies = 32
-	// probeInterval is the time between two heartbeats to an address at which nobody is known.
+	// probeInterval is the time between two probes of addresses at which no process is known.
 	probeInterval = 2 * time.Second
 )
 
-// heartbeatSchedule says which heartbeats are due.
+// heartbeatSchedule tracks when heartbeats are due and who requested one.
 type heartbeatSchedule struct {
 	dueAt          time.Duration // run time of the next heartbeats to neighbours
-	probedAt       time.Duration // run time of the last probe of an address at which nobody is known
-	replyTo        []string      // who asked for a heartbeat since the last tick
-	loopCount      uint64        // as last reported to LoopAdvanced
-	loopAdvancedAt time.Duration // run time when it last changed
+	probedAt       time.Duration // run time of the last probe of an address at which no process is known
+	replyTo        []string      // addresses that requested a heartbeat since the last tick
+	loopCount      uint64        // latest value passed to LoopAdvanced
+	loopAdvancedAt time.Duration // run time when loopCount last changed
 }
 
-// LoopAdvanced reports how often the loop that serves clients has gone round. While the count stays the same for longer
-// than Config.LoopTimeout this process sends no heartbeats.
+// LoopAdvanced reports the number of iterations of the event loop that serves clients. While the count stays the same
+// for longer than [Config].LoopTimeout, this process sends no heartbeats.
 func (d *Detector) LoopAdvanced(count uint64) {
 	if count != d.heartbeats.loopCount {
 		d.heartbeats.loopCount = count
@@ -27,8 +27,7 @@
 	}
 }
 
-// OnHeartbeat takes a heartbeat of another process. One of an unknown process leads to an exchange of the full state
-// with it.
+// OnHeartbeat handles a heartbeat from another process. If the process is unknown, the full state is exchanged with it.
 func (d *Detector) OnHeartbeat(h Heartbeat) {
 	if h.Process == d.self.Process || h.Process == 0 || len(h.Addr) > MaxAddrBytes || h.Addr == "" {
 		return
@@ -53,8 +52,8 @@
 func (d *Detector) scheduleHeartbeats(actions *Actions) {
 	replyTo := d.heartbeats.replyTo
 	d.heartbeats.replyTo = nil
-	// guards against a process that the others take for alive while its clients get no answer: its neighbours miss it
-	// and take it out
+	// A process that still gossips while its clients get no answer would otherwise stay a member. Without its
+	// heartbeats the neighbours miss it and it is removed.
 	loopStalled := d.rules.stopOnStalledLoop && d.runTime-d.heartbeats.loopAdvancedAt > d.config.LoopTimeout
 	if loopStalled || d.self.Leaving {
 		return
@@ -80,8 +79,8 @@
 	}
 }
 
-// unknownContact picks an address at which nobody is known. Guards against a partition that lasts until each side has
-// forgotten the other: neither would try to reach the other again.
+// unknownContact picks an address at which no process is known. After a partition that lasted until each side had
+// forgotten the other, neither side would otherwise try to reach the other again.
 func (d *Detector) unknownContact() string {
 	addrs := d.contacts.unknown(d.peers.byID)
 	if len(addrs) == 0 {
@@ -90,7 +89,7 @@
 	return addrs[int(d.random.Float64()*float64(len(addrs)))]
 }
 
-// silence is how long a neighbour has sent nothing to this process.
+// silence returns how long a neighbour has sent nothing to this process.
 func (d *Detector) silence(p *peer) time.Duration { return d.runTime - p.silentSince() }
 
 // isHeard reports whether a process is a neighbour whose heartbeats arrive here.
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// joinClaimPeriods is the time, in claim periods, by which a process that joins has taken its name and is heard, or
-// will not be.
+// joinClaimPeriods is the time, in claim periods, after which a joining process that has not claimed its name and been
+// heard is not expected to do so any more.
 const joinClaimPeriods = 4
 
-// NameConflictError says that another process has this one's name, so that this one has to end.
+// NameConflictError reports that another process has the name of this one, so that this one has to exit.
 type NameConflictError struct {
 	Node  NodeName
-	Addr  string // of the other process
-	Taken bool   // the other took the name although this one had it; else it had it before and lives
+	Addr  string // address of the other process
+	Taken bool   // whether the other took the name from this process; else it had the name first and is alive
 }
 
 func (e *NameConflictError) Error() string {
@@ -25,17 +25,17 @@
 	return fmt.Sprintf("another process has the name %s and lives, at %s", e.Node, e.Addr)
 }
 
-// NameConflict returns a *NameConflictError once this process has to end as another one has its name, and nil until
-// then.
+// NameConflict returns a [*NameConflictError] once this process has to exit because another process has its name, and
+// nil until then.
 func (d *Detector) NameConflict() error { return d.conflict }
 
-// hasPrecedence reports whether of two processes with one name this one has it: the one with the later incarnation,
-// and of two with the same the lower id.
+// hasPrecedence reports whether p, rather than o, keeps the name that both have: the later incarnation wins, and of
+// equal incarnations the lower process ID.
 func (p *peer) hasPrecedence(o *peer) bool {
 	return cmp.Or(-cmp.Compare(p.Incarnation, o.Incarnation), cmp.Compare(p.Process, o.Process)) < 0
 }
 
-// namesakes returns the other processes that have this one's name, but for those that leave.
+// namesakes returns the other processes that have this one's name, except those that are leaving.
 func (d *Detector) namesakes() []*peer {
 	var namesakes []*peer
 	for _, p := range d.peers.ofNode(d.self.Node) {
@@ -46,9 +46,9 @@
 	return namesakes
 }
 
-// claimName takes the node's name once no other process that has it lives, or finds that this process has to end.
-// Guards against one name started twice: who has the name and lives keeps it, and of two that start at once the same
-// one gives way at every process.
+// claimName claims the node's name once no other live process has it, or detects that this process has to exit. If a
+// name is started twice, the live process that has it already keeps it; of two processes that start at the same time,
+// every process sees the same one give way.
 func (d *Detector) claimName() {
 	if d.conflict != nil {
 		return
@@ -75,15 +75,15 @@
 	d.reviseStatement()
 }
 
-// keepsName reports whether a process with this one's name lives and had the name first.
+// keepsName reports whether a process with this one's name is alive and had the name first.
 func (d *Detector) keepsName(p *peer) bool {
 	lives := p.Addr != d.self.Addr && p.heard && d.runTime-p.lastHeartbeat < d.config.HeartbeatTimeout && !p.YieldsName
 	return lives && (p.Incarnation > 0 || p.Process < d.self.Process)
 }
 
-// supersedeDeadNamesakes takes the incarnation after that of a dead process with this one's name. Guards against a process
-// that took its name before it had heard of its predecessor: with a lower incarnation, or the same and a higher id, it
-// would lose the name to the dead one.
+// supersedeDeadNamesakes takes the incarnation after that of a dead process with this one's name. This process may have
+// claimed the name before it heard of its predecessor; with a lower incarnation, or an equal one and a higher ID, it
+// would lose the name to the dead process.
 func (d *Detector) supersedeDeadNamesakes() {
 	for _, p := range d.namesakes() {
 		if p.hasPrecedence(d.self) && d.isDeadNamesake(p) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// isDeadNamesake reports whether a process with this one's name can't be alive, as this one has its address, or is
-// missed by enough.
+// isDeadNamesake reports whether a process with this one's name cannot be alive: this process has its address, or
+// enough members miss it.
 func (d *Detector) isDeadNamesake(p *peer) bool {
 	return p.Addr == d.self.Addr || d.isMissedForName(p)
 }
@@ -105,12 +105,12 @@
 	return slices.ContainsFunc(d.namesakes(), func(p *peer) bool { return p.YieldsName })
 }
 
-// claimDelay returns the run time from which on this process may take its name: each process that may have it has had
-// the time to show that it lives.
+// claimDelay returns the run time from which this process may claim its name. By then each process that may have the
+// name has had time to prove that it is alive.
 func (d *Detector) claimDelay() time.Duration {
 	delay := d.config.ClaimPeriod
 	if !d.sync.completed && (d.sync.statementReceived || len(d.contacts.seeds) > 0) {
-		// somebody may yet tell who has the name
+		// Another process may still report who has the name.
 		delay += d.config.ClaimPeriod
 		if neighbours := d.neighbours.peers; d.sync.statementReceived && len(neighbours) > 0 {
 			d.requestSync(neighbours[int(d.random.Float64()*float64(len(neighbours)))].Addr)
@@ -125,7 +125,7 @@
 	return delay
 }
 
-// resolveNames leaves one process to each name.
+// resolveNames leaves one process for each name.
 func (d *Detector) resolveNames() {
 	if !d.peers.hasSharedNames() {
 		return
@@ -135,7 +135,7 @@
 	d.forgetDuplicates(holders)
 }
 
-// nameHolders returns for each name the member that has it.
+// nameHolders returns the member that keeps each name.
 func (d *Detector) nameHolders() map[NodeName]*peer {
 	holders := map[NodeName]*peer{}
 	for _, p := range d.peers.sorted() {
@@ -150,8 +150,8 @@
 	return holders
 }
 
-// forgetReplaced forgets members that nobody hears and that have a successor. Guards against a dead process that stays
-// a member at a process which started late, as its successor is not a member either.
+// forgetReplaced forgets members that nobody hears and that have a successor. Otherwise a process that started late
+// could keep a dead member for good: the successor is not a member at that process either, and so cannot displace it.
 func (d *Detector) forgetReplaced(holders map[NodeName]*peer) {
 	for _, p := range d.peers.sorted() {
 		if p == d.self || !p.isMember() || p.evidence.heardBy > 0 || d.evaluation.frozen {
@@ -164,8 +164,8 @@
 	}
 }
 
-// replaces reports whether a process succeeds another and won't become a member in its place by itself: one that has
-// just started will, unless it is known to be silent.
+// replaces reports whether a process succeeds another and will not become a member in its place by itself. A process
+// that has just started will, unless it is known to be silent.
 func (d *Detector) replaces(successor, p *peer) bool {
 	if !successor.succeeds(p) {
 		return false
@@ -174,8 +174,8 @@
 	return successor.status != Joining || hasHadTime || d.isMissedForName(successor)
 }
 
-// forgetDuplicates forgets all processes whose name another member has; where that is this process's name, it has to
-// end.
+// forgetDuplicates forgets all processes whose name another member keeps. If that is the name of this process, the
+// process has to exit.
 func (d *Detector) forgetDuplicates(holders map[NodeName]*peer) {
 	for _, p := range d.peers.sorted() {
 		holder := holders[p.Node]
--- a/internal/membership/neighbours.go
+++ b/internal/membership/neighbours.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// maxNeighbours is how many neighbours a process has at most: up to 13 processes are all neighbours of one another.
+	// maxNeighbours is the maximum number of neighbours of a process: up to 13 processes are all neighbours of one
+	// another.
 	maxNeighbours = 12
 	// ringCount is the number of rings; a process has two neighbours in each.
 	ringCount = maxNeighbours / 2
 )
 
-// neighbourSet holds the processes that this one exchanges heartbeats with.
+// neighbourSet holds the processes with which this one exchanges heartbeats.
 type neighbourSet struct {
 	peers []*peer // by process
-	stale bool    // processes came, went or changed since it was made
+	stale bool    // processes joined, left or changed since the set was chosen
 }
 
-// updateNeighbours chooses the neighbours anew where processes came or went.
+// updateNeighbours chooses the neighbours again if the set is stale.
 func (d *Detector) updateNeighbours() {
 	if !d.neighbours.stale {
 		return
@@ -32,8 +33,9 @@
 	d.setNeighbours(slices.Sorted(maps.Keys(chosen)))
 }
 
-// ringMembers returns the processes that have a place in the rings. Left out are those that leave, and those at whose
-// address a successor runs: after a restart of many processes the rings would be half full of dead ones.
+// ringMembers returns the processes that have a place in the rings. It leaves out those that are leaving and those at
+// whose address a successor runs; otherwise, after a restart of many processes, half of the places would belong to dead
+// ones.
 func (d *Detector) ringMembers() []ProcessID {
 	ids := make([]ProcessID, 0, len(d.peers.byID))
 	sharedNames := d.peers.hasSharedNames()
@@ -53,12 +55,12 @@
 	})
 }
 
-// succeeds reports whether a process is a later one of the same node.
+// succeeds reports whether p is a later process of the same node than o.
 func (p *peer) succeeds(o *peer) bool {
 	return p.Node == o.Node && p.Incarnation > o.Incarnation && o.Incarnation > 0
 }
 
-// chooseNeighbours returns the neighbours of a process: all others where they are few, else those before and after it
+// chooseNeighbours returns the neighbours of a process: all others in a small fleet, else its predecessor and successor
 // in each ring.
 func chooseNeighbours(own ProcessID, ids []ProcessID) map[ProcessID]bool {
 	chosen := map[ProcessID]bool{}
@@ -77,7 +79,7 @@
 	return chosen
 }
 
-// ringPosition is a process's place in a ring: an order by hash, the same at every process.
+// ringPosition is the place of a process in a ring, which is ordered by hash and is the same at every process.
 type ringPosition struct {
 	hash uint64
 	id   ProcessID // breaks ties of the hash
@@ -91,8 +93,8 @@
 	return cmp.Or(cmp.Compare(p.hash, o.hash), cmp.Compare(p.id, o.id)) < 0
 }
 
-// ringNeighbours returns the processes before and after one in a ring. It goes through all once, as sorting them for
-// each ring would cost far more.
+// ringNeighbours returns the predecessor and successor of a process in a ring. It scans all processes once, which is
+// much cheaper than sorting them for each ring.
 func ringNeighbours(own ProcessID, ids []ProcessID, ring int) (before, after ProcessID) {
 	at := positionIn(ring, own)
 	var first, last, predecessor, successor ringPosition
@@ -120,8 +122,8 @@
 	return predecessor.id, successor.id
 }
 
-// setNeighbours makes these processes the neighbours. One that is new has its whole HeartbeatTimeout from now on: what
-// it sent to others before tells nothing of its silence here.
+// setNeighbours replaces the neighbours. A new neighbour has the whole HeartbeatTimeout from now on, as heartbeats that
+// it sent to others before say nothing about its silence here.
 func (d *Detector) setNeighbours(ids []ProcessID) {
 	was := make(map[ProcessID]bool, len(d.neighbours.peers))
 	for _, p := range d.neighbours.peers {
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -9,28 +9,28 @@
 	"dahliapin/internal/keyhash"
 )
 
-// never is a run time for what is not so at present.
+// never is the run time of a condition that does not hold at present.
 const never time.Duration = -1
 
-// peer is what a detector knows of one process: of another one or of its own.
+// peer is the state that a detector keeps of one process, which may be its own.
 type peer struct {
-	Statement // its latest
+	Statement // latest one
 
 	status       Status
 	since        time.Duration // run time when the status began
 	firstSeen    time.Duration // run time when its first statement arrived
-	sustainedFor time.Duration // for how long the evidence has asked for another status without a break
+	sustainedFor time.Duration // how long the evidence for another status has held without a break
 	evidence     evidence
 
 	isNeighbour        bool
 	neighbourSince     time.Duration // run time
-	heard              bool          // a heartbeat of it has arrived
+	heard              bool          // a heartbeat has arrived
 	lastHeartbeat      time.Duration // run time
-	isolatedSince      time.Duration // run time since when it states that it doubts itself; never
-	digestDiffersSince time.Duration // run time since when its heartbeats carry another digest; never
+	isolatedSince      time.Duration // run time since when it reports itself as isolated; or never
+	digestDiffersSince time.Duration // run time since when its heartbeats carry a different digest; or never
 }
 
-// newPeer makes one whose statement the caller sets.
+// newPeer returns a peer whose statement the caller sets.
 func newPeer(now time.Duration) *peer {
 	return &peer{
 		status:             Joining,
@@ -45,12 +45,12 @@
 // isMember reports whether the process counts as a member.
 func (p *peer) isMember() bool { return p.status == Alive || p.status == Suspected }
 
-// statementHash is a process's part of the digest of all statements.
+// statementHash returns the contribution of a process to the digest of all statements.
 func (p *peer) statementHash() uint64 {
 	return keyhash.Mix(uint64(p.Process) ^ keyhash.Mix(uint64(p.Revision)))
 }
 
-// setIsolated notes whether the process says now that it doubts itself.
+// setIsolated records whether the process now reports itself as isolated.
 func (p *peer) setIsolated(isolated bool, now time.Duration) {
 	switch {
 	case !isolated:
@@ -60,20 +60,20 @@
 	}
 }
 
-// silentSince is the run time of the last heartbeat, or when the process became a neighbour where that is later.
+// silentSince returns the run time of the last heartbeat, or when the process became a neighbour if that is later.
 func (p *peer) silentSince() time.Duration { return max(p.lastHeartbeat, p.neighbourSince) }
 
-// peerTable holds all processes that are known, this one included, and keeps them in order.
+// peerTable holds all known processes, this one included, and keeps them sorted.
 //
-// A process that is new is inserted in its place in each order. Guards against a large fleet that starts, in which
-// each process learns of all others one by one: sorting all of them for each is most of what the start would cost. For
-// the same reason processes that are forgotten are taken out of the orders together, when the orders are next used.
+// New processes are inserted into each sorted list. When a large fleet starts, each process learns of all others one by
+// one, and sorting all of them each time would take most of the cost of the start. For the same reason forgotten
+// processes are removed from the lists together, when the lists are next used.
 type peerTable struct {
 	byID    map[ProcessID]*peer
-	byOrder []*peer              // by process; nil while no order was made yet
-	byName  []*peer              // by node and process, as views list them; made with byOrder
-	byNode  map[NodeName][]*peer // the processes of each node, by process; made with byOrder
-	removed bool                 // byOrder and byName still hold some that byID doesn't
+	byOrder []*peer              // by process; nil until the first use
+	byName  []*peer              // by node and process, as in views; made with byOrder
+	byNode  map[NodeName][]*peer // processes of each node, by process; made with byOrder
+	removed bool                 // byOrder and byName may still hold processes that byID does not
 }
 
 func compareProcess(x, y *peer) int { return cmp.Compare(x.Process, y.Process) }
@@ -85,8 +85,8 @@
 	return compareProcess(x, y)
 }
 
-// sorted returns all processes in the order of their ids, so that the same statements lead to the same statuses at
-// every process. Whoever ranges over the result may remove processes meanwhile.
+// sorted returns all processes in the order of their IDs, so that equal statements lead to equal statuses at every
+// process. The caller may remove processes while it ranges over the result.
 func (t *peerTable) sorted() []*peer {
 	if t.byOrder == nil {
 		t.byOrder = slices.SortedFunc(maps.Values(t.byID), compareProcess)
@@ -105,7 +105,7 @@
 	return t.byOrder
 }
 
-// insert adds a process that has its statement.
+// insert adds a process whose statement is set.
 func (t *peerTable) insert(p *peer) {
 	if t.byOrder == nil {
 		t.byID[p.Process] = p
@@ -123,8 +123,8 @@
 	return slices.Insert(peers, i, p)
 }
 
-// remove takes a process out: out of its node's at once, out of the orders when these are next used, so that a loop
-// over sorted goes on through all as they were.
+// remove deletes a process from byID and byNode at once, and from the sorted lists when these are next used, so that a
+// loop over the result of sorted still visits all processes.
 func (t *peerTable) remove(p *peer) {
 	delete(t.byID, p.Process)
 	if t.byOrder == nil {
@@ -139,13 +139,13 @@
 	t.byNode[p.Node] = rest
 }
 
-// hasSharedNames reports whether any node has several processes.
+// hasSharedNames reports whether any node has more than one process.
 func (t *peerTable) hasSharedNames() bool {
 	t.sorted()
 	return len(t.byNode) < len(t.byOrder)
 }
 
-// ofNode returns the processes of a node, nearly always one, in the order of their ids.
+// ofNode returns the processes of a node in the order of their IDs; nearly always there is one.
 func (t *peerTable) ofNode(node NodeName) []*peer {
 	if t.byOrder == nil {
 		t.sorted()
@@ -153,18 +153,19 @@
 	return t.byNode[node]
 }
 
-// maxForgotten bounds the forgotten processes whose last revision is kept.
+// maxForgotten limits the number of forgotten processes whose last revision is kept.
 const maxForgotten = 1024
 
-// contacts are the addresses where other processes may be found that are not known at present.
+// contacts holds the addresses of seeds and forgotten processes, where processes that are not known at present may be
+// reached.
 type contacts struct {
 	seeds     []string
 	forgotten map[ProcessID]forgottenPeer
 }
 
-// forgottenPeer is what is kept of a process that was forgotten.
+// forgottenPeer is what is kept of a forgotten process.
 type forgottenPeer struct {
-	revision Revision // of its last statement: that one and older ones are no news
+	revision Revision // of its last statement; statements up to it are ignored
 	addr     string
 	at       time.Duration // run time
 }
@@ -175,8 +176,7 @@
 	return ok && revision <= was.revision
 }
 
-// add keeps what is needed of a process that is forgotten, in place of the one that was forgotten first where there are
-// many.
+// add records a process that is forgotten. At maxForgotten it replaces the process that was forgotten first.
 func (c *contacts) add(p *peer, now time.Duration) {
 	if len(c.forgotten) >= maxForgotten {
 		oldest := slices.MinFunc(slices.Collect(maps.Keys(c.forgotten)), func(x, y ProcessID) int {
@@ -187,7 +187,7 @@
 	c.forgotten[p.Process] = forgottenPeer{revision: p.Revision, addr: p.Addr, at: now}
 }
 
-// unknown returns the addresses of seeds and forgotten processes at which no known process is, in a fixed order.
+// unknown returns the addresses of seeds and forgotten processes at which there is no known process, in a fixed order.
 func (c *contacts) unknown(known map[ProcessID]*peer) []string {
 	addrs := make(map[string]bool, len(known))
 	for _, p := range known {
