--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -18,60 +18,60 @@
 )
 
 const (
-	// tickInterval is the time between two ticks of the detector: several in each heartbeat interval.
+	// tickInterval is the time between two ticks of the detector; there are several in each heartbeat interval.
 	tickInterval = 50 * time.Millisecond
-	// joinInterval is the time between two attempts to reach a seed while nobody is known.
+	// joinInterval is the time between two attempts to reach a seed while no other node is known.
 	joinInterval = 500 * time.Millisecond
-	// leaveTimeout is how long the library may take to say that this node leaves.
+	// leaveTimeout is how long the library may take to announce that this node leaves.
 	leaveTimeout = 300 * time.Millisecond
-	// closeTimeout is how long Close waits for calls under way; a call to one that doesn't answer is left to itself.
+	// closeTimeout is how long Close waits for calls in progress. A call to a node that does not answer is abandoned.
 	closeTimeout = 500 * time.Millisecond
 	// trafficTraceTicks is the number of ticks between two trace lines about traffic.
 	trafficTraceTicks = 40
 )
 
-// Config says where and how a node joins.
+// Config configures how a node joins its fleet.
 type Config struct {
 	Name        string // of the node
 	FleetConfig *fleetconfig.File
 	Log         *logrus.Logger
-	// Now reads a clock that runs on through a suspend, such as BootTime.
+	// Now reads a clock that continues through a system suspend, such as [BootTime].
 	Now func() monotime.Instant
-	// Trace is called with each line of the trace, on a goroutine of its own; nil for no trace.
+	// Trace is called with each line of the trace, on a separate goroutine; nil disables the trace.
 	Trace func([]byte)
-	// OnNameConflict is called once this process has to end as another one has its name; nil for nobody.
+	// OnNameConflict is called once this process has to exit because another process has its name. It may be nil.
 	OnNameConflict func(error)
 }
 
-// Node is a node's part in the gossip of its fleet. Its methods may be called from any goroutine.
+// Node takes part in the gossip of its fleet. Its methods may be called from any goroutine.
 type Node struct {
 	Config
 	process   membership.ProcessID
 	transport *transport
 	list      *memberlist.Memberlist
-	queue     *memberlist.TransmitLimitedQueue // statements that are to be passed on
-	tracer    *tracer                          // nil for no trace
+	queue     *memberlist.TransmitLimitedQueue // statements to be gossiped
+	tracer    *tracer                          // nil if the trace is disabled
 
 	lifecycle   lifecycle
 	syncTargets chan string // addresses to exchange the full state with
 	loopCount   atomic.Uint64
-	knownCount  atomic.Int64  // processes that the detector knows
-	presence    atomic.Int32  // the Presence to be stated
-	unreadable  atomic.Uint64 // messages of this fleet that could not be read
+	knownCount  atomic.Int64  // number of processes that the detector knows
+	presence    atomic.Int32  // the Presence to state
+	unreadable  atomic.Uint64 // messages of this fleet that could not be decoded
 	view        atomic.Pointer[membership.View]
 	state       state
 }
 
-// state is what a node's goroutines and the library's calls share.
+// state is shared by a node's goroutines and the library's callbacks.
 type state struct {
-	mu               sync.Mutex // for all of it
+	mu               sync.Mutex // guards all fields
 	detector         *membership.Detector
 	statements       statementStore
 	conflictReported bool
-	libraryMembers   []string // as the library has them, for the trace
+	libraryMembers   []string // members of the library, for the trace
 }
 
-// lifecycle ends a node's goroutines.
+// lifecycle ends the goroutines of a node.
 type lifecycle struct {
 	closed     chan struct{} // closed by Close
 	goroutines sync.WaitGroup
@@ -87,7 +87,7 @@
 	}
 }
 
-// Open joins over sockets of its own. The error tells which address can't be listened on.
+// Open joins over sockets that it opens. If it cannot listen, the error names the address.
 func Open(c Config) (*Node, error) {
 	sockets, err := Listen(c.FleetConfig.Fleet.Listen)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return Join(c, sockets)
 }
 
-// Join joins over a transport, which it closes in the end, also where it fails.
+// Join joins over a transport. The node closes the transport when it is closed; Join closes it if it fails.
 func Join(c Config, sockets Transport) (*Node, error) {
 	advertised, err := netip.ParseAddrPort(c.FleetConfig.Fleet.Advertise)
 	if err != nil {
@@ -114,13 +114,13 @@
 	if err != nil {
 		_ = n.transport.Shutdown()
 		n.tracer.close()
-		return nil, fmt.Errorf("the gossip between nodes does not start: %w", err)
+		return nil, fmt.Errorf("cannot start the gossip between nodes: %w", err)
 	}
 	n.start()
 	return n, nil
 }
 
-// newProcessID draws an id that isn't 0.
+// newProcessID draws a random ID that is not 0.
 func newProcessID() (membership.ProcessID, error) {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
@@ -143,7 +143,7 @@
 	}
 	n.state.statements = newStatementStore()
 	members := &c.FleetConfig.Members
-	spans := membership.Timings{
+	timings := membership.Timings{
 		MaxPause:          members.Pause(),
 		HeartbeatInterval: members.HeartbeatInterval(),
 		RejoinDelay:       members.RejoinDelay(),
@@ -151,7 +151,7 @@
 		ForgetAfter:       members.ForgetAfter(),
 	}
 	n.state.detector = membership.New(
-		membership.NewConfig(spans, members.MaxMembers),
+		membership.NewConfig(timings, members.MaxMembers),
 		process,
 		membership.NodeName(c.Name),
 		advertised.String(),
@@ -161,7 +161,8 @@
 	return n
 }
 
-// start starts the node's goroutines. With the engine "plain" the library is alone, as a baseline for rehearsals.
+// start starts the node's goroutines. The engine "plain" runs the library without the detector, as a baseline for
+// rehearsals.
 func (n *Node) start() {
 	n.lifecycle.goroutines.Add(2)
 	go n.joinSeeds()
@@ -172,7 +173,7 @@
 	}
 }
 
-// joinSeeds asks the seeds until somebody is known.
+// joinSeeds contacts the seeds until another node is known.
 func (n *Node) joinSeeds() {
 	defer n.lifecycle.goroutines.Done()
 	for {
@@ -181,7 +182,7 @@
 				break
 			}
 			if seed != n.FleetConfig.Fleet.Advertise {
-				_, _ = n.list.Join([]string{seed}) // one that doesn't answer is asked again
+				_, _ = n.list.Join([]string{seed}) // a seed that does not answer is tried again
 			}
 		}
 		select {
@@ -192,7 +193,7 @@
 	}
 }
 
-// syncWithTargets exchanges the full state with one node after the other.
+// syncWithTargets exchanges the full state with one node at a time.
 func (n *Node) syncWithTargets() {
 	defer n.lifecycle.goroutines.Done()
 	for {
@@ -200,7 +201,7 @@
 		case <-n.lifecycle.closed:
 			return
 		case addr := <-n.syncTargets:
-			_, _ = n.list.Join([]string{addr}) // the detector asks again where it is needed
+			_, _ = n.list.Join([]string{addr}) // the detector requests the exchange again if needed
 		}
 	}
 }
@@ -223,7 +224,7 @@
 	}
 }
 
-// tick has the detector do what is due, and sends and publishes what follows from that.
+// tick ticks the detector, and sends and publishes the result.
 func (n *Node) tick() {
 	result := n.tickDetector()
 	n.publish(result.view)
@@ -234,11 +235,11 @@
 	}
 }
 
-// tickResult is what one tick of the detector leads to.
+// tickResult is the result of one tick of the detector.
 type tickResult struct {
 	actions  membership.Actions
 	view     *membership.View
-	conflict error // to be reported; nil for none, or where it was reported before
+	conflict error // to be reported; nil for none, or if it has been reported
 }
 
 func (n *Node) tickDetector() tickResult {
@@ -264,7 +265,7 @@
 	return tickResult{actions: actions, view: view, conflict: conflict}
 }
 
-// send sends the heartbeats that are due, and passes on with which node to exchange the full state.
+// send sends the heartbeats that are due, and requests the exchange of the full state if there is a target.
 func (n *Node) send(actions *membership.Actions) {
 	n.sendHeartbeat(actions.Heartbeat, actions.HeartbeatTo)
 	n.sendHeartbeat(actions.Heartbeat, actions.ReplyTo)
@@ -276,7 +277,7 @@
 	}
 	select {
 	case n.syncTargets <- actions.SyncWith:
-	default: // an exchange is under way
+	default: // an exchange is in progress
 	}
 }
 
@@ -289,11 +290,11 @@
 		return
 	}
 	for _, addr := range to {
-		_ = n.transport.send(kindHeartbeat, message, addr) // one that fails is like one that is lost
+		_ = n.transport.send(kindHeartbeat, message, addr) // a failure is equivalent to a lost datagram
 	}
 }
 
-// onHeartbeat takes a heartbeat that has arrived.
+// onHeartbeat handles a heartbeat that has arrived.
 func (n *Node) onHeartbeat(message []byte) {
 	h, err := decodeHeartbeat(message)
 	if err != nil {
@@ -305,11 +306,11 @@
 	n.state.detector.OnHeartbeat(h)
 }
 
-// LoopAdvanced tells that the loop that serves clients has gone round. Without it this process sends no heartbeats.
+// LoopAdvanced reports an iteration of the event loop that serves clients. Without it this process sends no heartbeats.
 func (n *Node) LoopAdvanced() { n.loopCount.Add(1) }
 
-// Close ends the node, and first tells the others that it leaves where orderly is set. It takes a second at most,
-// even if others don't answer. Further calls do nothing.
+// Close ends the node. If orderly is set, it first tells the others that the node leaves. It takes a second at most,
+// even if others do not answer. Further calls have no effect.
 func (n *Node) Close(orderly bool) {
 	n.lifecycle.once.Do(func() {
 		close(n.lifecycle.closed)
@@ -330,8 +331,8 @@
 	_ = n.list.Leave(leaveTimeout)
 }
 
-// awaitGoroutines waits for the node's goroutines, for closeTimeout at most. Guards against a node that can't end
-// since a seed accepts its connection and says nothing.
+// awaitGoroutines waits at most closeTimeout for the node's goroutines. A seed that accepts a connection and does not
+// answer would otherwise keep the node from ending.
 func (n *Node) awaitGoroutines() {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/membership/gossip/status.go
+++ b/internal/membership/gossip/status.go
@@ -6,13 +6,13 @@
 	"dahliapin/internal/membership"
 )
 
-// Status is a node's state in its fleet, as operators see it: one flat JSON object, hence its many fields.
+// Status is the state of a node in its fleet, as operators see it: one flat JSON object.
 type Status struct {
 	Node             membership.NodeName    `json:"node"`
 	Process          string                 `json:"process"`
-	Incarnation      membership.Incarnation `json:"life"` // 0 before it has taken its name
-	View             uint64                 `json:"view"` // number of changes of who is a member, here
-	Fingerprint      string                 `json:"mark"` // the view's fingerprint
+	Incarnation      membership.Incarnation `json:"life"` // 0 until it has claimed its name
+	View             uint64                 `json:"view"` // number of changes of the set of members at this node
+	Fingerprint      string                 `json:"mark"` // fingerprint of the view
 	MayBePartitioned bool                   `json:"cut_off"`
 	Members          int                    `json:"members"`
 	Suspected        int                    `json:"suspected"`
@@ -21,28 +21,29 @@
 	DatagramsOut     uint64                 `json:"datagrams_out"`
 	BytesOut         uint64                 `json:"bytes_out"`
 	StreamsIn        uint64                 `json:"streams_in"`
-	Foreign          uint64                 `json:"foreign"` // messages of no node of this fleet
-	Unreadable       uint64                 `json:"unread"`  // messages of this fleet that could not be read
-	Dropped          uint64                 `json:"dropped"` // messages dropped for want of room
+	Foreign          uint64                 `json:"foreign"` // messages without this fleet's preface
+	Unreadable       uint64                 `json:"unread"`  // messages of this fleet that could not be decoded
+	Dropped          uint64                 `json:"dropped"` // messages dropped because a queue or limit was full
 	Flows            []TrafficStats         `json:"flows"`
 }
 
-// MemberStatus is one known process, as operators see it.
+// MemberStatus describes one known process, as operators see it.
 type MemberStatus struct {
 	Node        membership.NodeName    `json:"node"`
 	Process     string                 `json:"process"`
 	Incarnation membership.Incarnation `json:"life"`
 	Addr        string                 `json:"addr"`
 	Status      string                 `json:"standing"`
-	Since       float64                `json:"since_s"` // in time that the answering process has run
+	Since       float64                `json:"since_s"` // in run time of the answering process
 	HeardBy     int                    `json:"heard_by"`
 	MissedBy    int                    `json:"missed_by"`
 }
 
-// hexID is a process as operators and the library see it.
+// hexID returns the ID of a process as operators and the library see it.
 func hexID(p membership.ProcessID) string { return fmt.Sprintf("%016x", uint64(p)) }
 
-// FleetStatus returns this node's state in its fleet, and whether it takes part: it has its name and is not cut off.
+// FleetStatus returns the state of this node in its fleet, and whether it takes part: it has claimed its name and is
+// not cut off.
 func (n *Node) FleetStatus() (s Status, takesPart bool) {
 	view := n.View()
 	counters := &n.transport.counters
@@ -72,7 +73,7 @@
 	return s, !view.MayBePartitioned && view.Incarnation > 0
 }
 
-// FleetMembers returns the processes that are known, by node and process.
+// FleetMembers returns the known processes, ordered by node and process.
 func (n *Node) FleetMembers() []MemberStatus {
 	all := []MemberStatus{}
 	for _, m := range n.View().Members {
--- a/internal/membership/gossip/trace.go
+++ b/internal/membership/gossip/trace.go
@@ -10,11 +10,11 @@
 	"dahliapin/internal/monotime"
 )
 
-// maxQueuedLines bounds the trace lines that wait for their reader; more are dropped and counted, as nothing is to
-// wait for a trace.
+// maxQueuedLines limits the trace lines that are queued; further lines are dropped and counted, so that the trace
+// blocks nothing.
 const maxQueuedLines = 4096
 
-// BootTime reads the clock that all processes of a machine share, and that runs on through a suspend.
+// BootTime reads the clock that all processes of a machine share and that continues through a system suspend.
 func BootTime() monotime.Instant {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -23,12 +23,12 @@
 	return monotime.Instant(t.Nano())
 }
 
-// tracer hands lines to a function on a goroutine of its own. Lines that are written after its end are lost: the
-// library may still report changes then. A nil tracer takes lines and does nothing.
+// tracer passes lines to a function on a separate goroutine. Lines that are added after close are lost, as the library
+// may still report changes then. A nil tracer discards all lines.
 type tracer struct {
 	lines   chan trace.Line
 	ended   chan struct{} // closed by close
-	done    chan struct{} // closed once the last line was handed over
+	done    chan struct{} // closed once the last line has been written
 	dropped atomic.Uint64
 	write   func([]byte)
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-// add queues a line, or drops and counts it where too many wait.
+// add queues a line, or drops and counts it if the queue is full.
 func (t *tracer) add(line trace.Line) {
 	if t == nil {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// close waits until the lines that were queued are handed over.
+// close waits until the queued lines are written.
 func (t *tracer) close() {
 	if t != nil {
 		close(t.ended)
@@ -89,7 +89,7 @@
 	}
 }
 
-// writeTrace traces a line of this node.
+// writeTrace adds a line of this node to the trace.
 func (n *Node) writeTrace(line trace.Line) {
 	line.At = n.Now()
 	line.Node = n.Name
@@ -97,7 +97,7 @@
 	n.tracer.add(line)
 }
 
-// traceTraffic traces how much went and came between nodes until now.
+// traceTraffic traces the bytes of all datagrams sent and received so far.
 func (n *Node) traceTraffic() {
 	counters := &n.transport.counters
 	n.writeTrace(trace.Line{
--- a/internal/membership/gossip/view.go
+++ b/internal/membership/gossip/view.go
@@ -9,10 +9,10 @@
 	"dahliapin/internal/membership/trace"
 )
 
-// View returns the membership as it was last known.
+// View returns the latest view of the membership.
 func (n *Node) View() *membership.View { return n.view.Load() }
 
-// publish makes a view the latest, and logs and traces it where it tells of another membership.
+// publish stores a view as the latest, and logs and traces it if its members or MayBePartitioned have changed.
 func (n *Node) publish(view *membership.View) {
 	before := n.view.Swap(view)
 	if before.Number == view.Number && before.MayBePartitioned == view.MayBePartitioned {
@@ -34,10 +34,10 @@
 		"cut_off": view.MayBePartitioned,
 		"in":      difference(view.Nodes, before.Nodes),
 		"out":     difference(before.Nodes, view.Nodes),
-	}).Info("members")
+	}).Info("fleet membership changed")
 }
 
-// difference returns the names that are in one list and not in another; both are sorted.
+// difference returns the names that are in names but not in others. Both lists must be sorted.
 func difference(names, others []membership.NodeName) []membership.NodeName {
 	var rest []membership.NodeName
 	for _, name := range names {
--- a/internal/membership/gossip/wire.go
+++ b/internal/membership/gossip/wire.go
@@ -9,29 +9,28 @@
 	"dahliapin/internal/membership"
 )
 
-// Messages between nodes are CBOR (RFC 8949): maps with numbered fields, the version first. Fields that are not known
-// are passed over, and statements go on as they arrived, so that newer nodes understand one another through older
-// ones.
+// Messages between nodes are CBOR (RFC 8949): maps with integer keys, of which key 0 is the version. Unknown fields are
+// ignored, and statements are forwarded byte for byte, so that newer nodes can exchange new fields through older ones.
 const (
 	wireVersion = 1
-	// maxStatements bounds the statements in one exchange.
+	// maxStatements limits the statements in one exchange.
 	maxStatements = 100_000
-	// maxStatementBytes bounds one statement.
+	// maxStatementBytes limits the size of one statement.
 	maxStatementBytes = 4 << 10
 )
 
-// wireHeartbeat is a membership.Heartbeat on the wire.
+// wireHeartbeat is the wire format of a membership.Heartbeat.
 type wireHeartbeat struct {
 	Version    uint32 `cbor:"0,keyasint"`
 	Process    uint64 `cbor:"1,keyasint"`
 	Revision   uint64 `cbor:"2,keyasint"`
-	Digest     uint32 `cbor:"3,keyasint"` // the lower half
+	Digest     uint32 `cbor:"3,keyasint"` // lower 32 bits
 	Addr       []byte `cbor:"4,keyasint"`
 	Isolated   bool   `cbor:"5,keyasint,omitempty"`
 	WantsReply bool   `cbor:"6,keyasint,omitempty"`
 }
 
-// wireStatement is a membership.Statement on the wire.
+// wireStatement is the wire format of a membership.Statement.
 type wireStatement struct {
 	Version     uint32   `cbor:"0,keyasint"`
 	Process     uint64   `cbor:"1,keyasint"`
@@ -46,16 +45,16 @@
 	Misses      []uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// wireState is all statements that a node has, as the library exchanges them.
+// wireState is the wire format of the full state: all statements that a node has.
 type wireState struct {
 	Version    uint32            `cbor:"0,keyasint"`
 	Statements []cbor.RawMessage `cbor:"1,keyasint"`
 }
 
-// errInvalidMessage is the error of a message that decodes and yet says nothing valid.
-var errInvalidMessage = errors.New("not a message between nodes")
+// errInvalidMessage reports a message that decodes but is not valid.
+var errInvalidMessage = errors.New("invalid message between nodes")
 
-// decoder guards against messages that would cost more to read than they could be worth.
+// decoder limits the resources that a malicious or damaged message can take.
 var decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
@@ -73,7 +72,7 @@
 	return mode
 }
 
-// encodeAddr returns an address and port in binary form; nil for one that can't be parsed.
+// encodeAddr returns the binary form of an address and port, or nil if addr cannot be parsed.
 func encodeAddr(addr string) []byte {
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -83,7 +82,7 @@
 	return b
 }
 
-// decodeAddr returns the text of an address and port; empty for what is none.
+// decodeAddr returns the text form of an address and port, or "" if b is not valid.
 func decodeAddr(b []byte) string {
 	var addr netip.AddrPort
 	if addr.UnmarshalBinary(b) != nil || !addr.IsValid() {
@@ -139,7 +138,7 @@
 	})
 }
 
-// decodeStatement decodes a statement. Whether it keeps the detector's bounds is for the detector to see.
+// decodeStatement decodes a statement. The detector checks whether it is within the detector's limits.
 func decodeStatement(message []byte) (membership.Statement, error) {
 	if len(message) > maxStatementBytes {
 		return membership.Statement{}, errInvalidMessage
@@ -148,7 +147,9 @@
 	if err := decoder.Unmarshal(message, &w); err != nil {
 		return membership.Statement{}, err
 	}
-	if w.Version == 0 || len(w.Hears) > membership.MaxStatementNeighbours || len(w.Misses) > membership.MaxStatementNeighbours {
+	if w.Version == 0 ||
+		len(w.Hears) > membership.MaxStatementNeighbours ||
+		len(w.Misses) > membership.MaxStatementNeighbours {
 		return membership.Statement{}, errInvalidMessage
 	}
 	return membership.Statement{
@@ -173,7 +174,7 @@
 	return to
 }
 
-// encodeState encodes all statements that a node has, as they arrived.
+// encodeState encodes statements in their wire format as the full state.
 func encodeState(statements [][]byte) ([]byte, error) {
 	w := wireState{Version: wireVersion}
 	for _, statement := range statements {
@@ -182,7 +183,7 @@
 	return cbor.Marshal(w)
 }
 
-// decodeState returns the statements in an exchange, which are yet to be decoded.
+// decodeState returns the statements of an exchange, still encoded.
 func decodeState(state []byte) ([]cbor.RawMessage, error) {
 	var w wireState
 	if err := decoder.Unmarshal(state, &w); err != nil {
