--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxReadBytes is over any datagram that there may be.
+	// maxReadBytes is larger than any datagram.
 	maxReadBytes = 1 << 16
-	// batchSize is the number of datagrams that are read in one call in a large fleet.
+	// batchSize is the number of datagrams read in one call in a large fleet.
 	batchSize = 16
-	// maxBatchedBytes is over any datagram that members send; of a longer one the rest is lost in a batch.
+	// maxBatchedBytes is larger than any datagram that members send. Longer datagrams are truncated when they are read
+	// in a batch.
 	maxBatchedBytes = 4 << 10
 )
 
-// onTick tells the reader of datagrams that there was a tick, and whether it is to read at ticks only.
+// onTick tells the reader of datagrams that a tick has occurred, and whether to read datagrams only once a tick.
 //
-// Guards against a large fleet whose nodes spend most of their time for it on being woken up for one datagram at a
-// time: twelve neighbours send forty heartbeats a second. The detector evaluates heartbeats at ticks only, so nothing
-// is decided later for it.
+// In a large fleet, waking up for one datagram at a time would take most of the node's time for the fleet: twelve
+// neighbours send forty heartbeats a second. The detector evaluates heartbeats only at ticks, so batching delays no
+// decision.
 func (t *transport) onTick(batched bool) {
 	t.batchReads.Store(batched)
 	select {
@@ -31,10 +32,10 @@
 	}
 }
 
-// readDatagrams reads until the socket is closed.
+// readDatagrams reads datagrams until the socket is closed.
 func (t *transport) readDatagrams() {
 	buffer := make([]byte, maxReadBytes)
-	var batch []ipv4.Message // made once it is needed
+	var batch []ipv4.Message // allocated on first use
 	for {
 		var err error
 		udp, isUDP := t.sockets.Datagrams.(*net.UDPConn)
@@ -73,7 +74,7 @@
 	return batch
 }
 
-// readBatch reads what has arrived, and waits for the next tick where that was all.
+// readBatch reads the datagrams that have arrived. If that was all of them, it waits for the next tick.
 func (t *transport) readBatch(from *ipv4.PacketConn, batch []ipv4.Message) error {
 	n, err := from.ReadBatch(batch, 0)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// onDatagram takes a datagram. The bytes remain the caller's.
+// onDatagram handles a datagram. It does not retain the slice.
 func (t *transport) onDatagram(datagram []byte, from net.Addr) {
 	t.counters.in.Add(1)
 	t.counters.inBytes.Add(uint64(len(datagram)))
--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -10,16 +10,16 @@
 	"dahliapin/internal/membership/trace"
 )
 
-// maxStateBytes bounds all that another node knows, in one exchange.
+// maxStateBytes limits the size of the full state received in one exchange.
 const maxStateBytes = 20 << 20
 
-// delegate is what the library calls to spread and exchange statements.
+// delegate implements the library's callbacks that spread and exchange statements.
 type delegate struct{ node *Node }
 
 // NodeMeta implements memberlist.Delegate.
 func (delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg implements memberlist.Delegate: a statement has arrived.
+// NotifyMsg implements memberlist.Delegate: it handles a statement that has arrived.
 func (d delegate) NotifyMsg(message []byte) {
 	d.node.transport.counters.flows[flowStatements].addIn(len(message))
 	d.node.mergeStatement(message)
@@ -34,7 +34,7 @@
 	return messages
 }
 
-// LocalState implements memberlist.Delegate: all statements that this node has.
+// LocalState implements memberlist.Delegate: it returns all statements that this node has.
 func (d delegate) LocalState(bool) []byte {
 	d.node.state.mu.Lock()
 	defer d.node.state.mu.Unlock()
@@ -45,7 +45,7 @@
 	return state
 }
 
-// MergeRemoteState implements memberlist.Delegate: all statements that another node has.
+// MergeRemoteState implements memberlist.Delegate: it handles all statements that another node has.
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	statements, err := decodeRemoteState(state)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return decodeState(state)
 }
 
-// events is what the library calls when its members change. They are traced, and nothing else follows from them.
+// events receives changes of the library's members, which are only traced.
 type events struct{ node *Node }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -79,7 +79,7 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (events) NotifyUpdate(*memberlist.Node) {}
 
-// traceLibrary traces that the library has a new member, or lost one.
+// traceLibrary traces that a member joined or left the library's list.
 func (n *Node) traceLibrary(name string, joined bool) {
 	if n.tracer == nil {
 		return
@@ -100,7 +100,7 @@
 	n.writeTrace(line)
 }
 
-// nodeNameOf returns the node's name from a name that the library knows.
+// nodeNameOf returns the node's name within the name of a library member.
 func nodeNameOf(libraryName string) string {
 	node, _, _ := strings.Cut(libraryName, processSeparator)
 	return node
--- a/internal/membership/gossip/library.go
+++ b/internal/membership/gossip/library.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// processSeparator stands between the node's name and the process in the names that the library knows.
+	// processSeparator separates the node's name and the process in the names of library members.
 	processSeparator = "~"
-	// retransmitMult is how often a statement is passed on, times the logarithm of the fleet's size: the library's
-	// default.
+	// retransmitMult is how often a statement is gossiped, as a multiple of the logarithm of the fleet's size. It is
+	// the library's default.
 	retransmitMult = 4
-	// streamTimeout is the time for a stream to be set up, and for each answer on it.
+	// streamTimeout is the timeout for opening a stream, and for each answer on it.
 	streamTimeout = 2 * time.Second
-	// pushPullInterval is the time between two exchanges of the full state that a node begins, in a small fleet.
+	// pushPullInterval is the time between two exchanges of the full state that a node starts in a small fleet.
 	pushPullInterval = 15 * time.Second
-	// largeFleet is the number of members above which the library makes exchanges rarer, and datagrams are read at
-	// ticks.
+	// largeFleet is the number of members above which the library exchanges the full state less often, and datagrams
+	// are read once a tick.
 	largeFleet = 32
 )
 
-// libraryConfig returns the library's configuration.
+// libraryConfig returns the configuration of the library.
 func (n *Node) libraryConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = n.Name + processSeparator + hexID(n.process)
@@ -41,15 +41,15 @@
 	return c
 }
 
-// tune sets the library up to carry statements: quick to pass them on, slow to take a member for dead, as that is
-// decided by the detector.
+// tune configures the library to carry statements: it gossips quickly, but is slow to consider a member dead, as the
+// detector decides on that.
 func tune(c *memberlist.Config) {
-	// messages are short: compression would cost more than it saves
+	// Messages are short, so compression costs more than it saves.
 	c.EnableCompression = false
 	c.GossipInterval = 100 * time.Millisecond
 	c.GossipNodes = 4
-	// probes only decide with which members the library gossips, and in a busy fleet its suspicions cost more than
-	// statements do
+	// Probes only decide with which members the library gossips, and in a busy fleet its suspicions cause more traffic
+	// than statements do.
 	c.ProbeInterval = 5 * time.Second
 	c.ProbeTimeout = 3 * time.Second
 	c.SuspicionMult = 8
@@ -59,8 +59,8 @@
 	c.TCPTimeout = streamTimeout
 }
 
-// PushPullInterval returns the time between two exchanges of the full state that each node begins in a fleet of so
-// many members: the library's rule, for those who estimate the traffic of a fleet.
+// PushPullInterval returns the time between two exchanges of the full state that each node starts in a fleet of this
+// size. It follows the library's rule, and serves to estimate the traffic of a fleet.
 func PushPullInterval(members int) time.Duration {
 	interval := pushPullInterval
 	for n := largeFleet; n < members; n *= 2 {
--- a/internal/membership/gossip/listen.go
+++ b/internal/membership/gossip/listen.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Transport is what datagrams and streams go over: sockets, or what tests and simulations have in their place.
+// Transport is the network that carries datagrams and streams: sockets, or a substitute in tests and simulations.
 type Transport struct {
 	Datagrams net.PacketConn
 	Streams   net.Listener
 	// Dial opens a stream to an address.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
-	// Addr returns an address in the form that Datagrams writes to.
+	// Addr converts an address to the type that Datagrams writes to.
 	Addr func(addr string) (net.Addr, error)
 }
 
@@ -21,7 +21,7 @@
 	_ = t.Streams.Close()
 }
 
-// anyPortAttempts is how often another port is tried where any will do.
+// anyPortAttempts is how often Listen retries with another port if the port is 0.
 const anyPortAttempts = 20
 
 // Listen opens sockets for datagrams and streams at the same address and port.
@@ -37,8 +37,8 @@
 	return Transport{Datagrams: udp, Streams: tcp, Dial: dialFrom(local.Addr()), Addr: resolveUDP}, nil
 }
 
-// listenBoth opens both sockets. Where any port will do, one that is free for datagrams may not be for streams:
-// another is tried then.
+// listenBoth opens both sockets. If the port is 0, a port that is free for datagrams may be in use for streams;
+// listenBoth then tries another one.
 func listenBoth(local netip.AddrPort) (*net.UDPConn, *net.TCPListener, error) {
 	for attempt := 0; ; attempt++ {
 		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
@@ -57,8 +57,8 @@
 	}
 }
 
-// dialFrom returns a dialer of streams that come from the address which others know, as datagrams do: who accepts
-// one identifies the sender by it.
+// dialFrom returns a function that dials streams from the local address, as datagrams are sent from it: the receiver
+// identifies the sender by this address.
 func dialFrom(local netip.Addr) func(addr string, timeout time.Duration) (net.Conn, error) {
 	base := net.Dialer{}
 	if !local.IsUnspecified() {
--- a/internal/membership/gossip/preface.go
+++ b/internal/membership/gossip/preface.go
@@ -5,9 +5,10 @@
 	"hash/crc32"
 )
 
-// A preface stands before each datagram and stream: two magic bytes, the version, the kind of message, and a checksum
-// of the fleet's label. Guards against an address that was handed over to another fleet: its nodes may well have the
-// same names, and would end ours by them. What has another preface is counted as foreign and read by nobody.
+// A preface starts each datagram and stream: two magic bytes, the protocol version, the kind of message, and a checksum
+// of the fleet's label. It protects a fleet from nodes of another fleet that took over one of its addresses: they may
+// have the same names, and would force the nodes of this fleet to exit. Messages with another preface are counted as
+// foreign and ignored.
 const (
 	magic0          = 0xda
 	magic1          = 0x17
--- a/internal/membership/gossip/presence.go
+++ b/internal/membership/gossip/presence.go
@@ -1,19 +1,19 @@
 package gossip
 
-// Presence is what a process states about its own part in the fleet.
+// Presence is the part that a process takes in its fleet.
 type Presence int32
 
 // The presences of a process.
 const (
 	Participating Presence = iota // it takes part
 	Leaving                       // it shuts down, or is on standby
-	Yielding                      // it shuts down, and its name goes to the process that takes its place
+	Yielding                      // it shuts down, and its name goes to the process that replaces it
 )
 
-// SetPresence states a presence to the others, from the next tick on.
+// SetPresence sets the presence that this process states to others from the next tick on.
 func (n *Node) SetPresence(p Presence) { n.presence.Store(int32(p)) }
 
-// applyPresence puts the presence into this process's statement; the state is locked.
+// applyPresence updates this process's statement with its presence. The caller must hold the lock of the state.
 func (n *Node) applyPresence() {
 	detector := n.state.detector
 	switch Presence(n.presence.Load()) {
--- a/internal/membership/gossip/statements.go
+++ b/internal/membership/gossip/statements.go
@@ -9,11 +9,11 @@
 	"dahliapin/internal/membership"
 )
 
-// statementStore keeps the latest statement of each process as it arrived: statements go to others byte for byte, so
-// that fields which this version doesn't know are not lost.
+// statementStore keeps the latest statement of each process as it was received. Statements are forwarded byte for byte,
+// so that fields unknown to this version are not lost.
 type statementStore struct {
 	byProcess map[membership.ProcessID]storedStatement
-	hashes    map[uint64]bool // of all that are stored: each statement arrives many times
+	hashes    map[uint64]bool // of all stored statements, to recognise the many duplicates that arrive
 }
 
 type storedStatement struct {
@@ -32,7 +32,7 @@
 
 func (s *statementStore) len() int { return len(s.byProcess) }
 
-// put stores a process's statement in place of an older one.
+// put stores a statement of a process in place of the previous one.
 func (s *statementStore) put(process membership.ProcessID, message []byte) {
 	delete(s.hashes, s.byProcess[process].hash)
 	hash := maphash.Bytes(hashSeed, message)
@@ -40,7 +40,7 @@
 	s.hashes[hash] = true
 }
 
-// keepOnly drops the statements of processes that are not known any more.
+// keepOnly removes the statements of processes that are no longer known.
 func (s *statementStore) keepOnly(own membership.ProcessID, members []membership.Member) {
 	known := map[membership.ProcessID]bool{own: true}
 	for _, m := range members {
@@ -54,7 +54,7 @@
 	}
 }
 
-// all returns the stored statements in no order.
+// all returns the stored statements in no particular order.
 func (s *statementStore) all() [][]byte {
 	messages := make([][]byte, 0, len(s.byProcess))
 	for _, stored := range s.byProcess {
@@ -63,7 +63,7 @@
 	return messages
 }
 
-// isStored reports whether exactly this statement is stored. Nothing new follows from it, and it need not be decoded
+// isStored reports whether exactly this statement is stored. Such a statement has no effect and need not be decoded
 // again.
 func (n *Node) isStored(message []byte) bool {
 	hash := maphash.Bytes(hashSeed, message)
@@ -72,7 +72,7 @@
 	return n.state.statements.hashes[hash]
 }
 
-// mergeStatement takes a statement that has arrived, and passes it on where it is news. The bytes remain the caller's.
+// mergeStatement handles a statement that has arrived, and forwards it if it is new. It does not retain the slice.
 func (n *Node) mergeStatement(message []byte) {
 	if n.isStored(message) {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-// broadcastOwnStatement has this process's statement passed on where it is new; the state is locked.
+// broadcastOwnStatement gossips this process's statement if it has changed. The caller must hold the lock of the state.
 func (n *Node) broadcastOwnStatement() {
 	own, isNew := n.state.detector.OwnStatement()
 	if !isNew {
@@ -103,7 +103,7 @@
 	n.storeAndBroadcast(own.Process, message)
 }
 
-// storeAndBroadcast stores a statement and queues it to be passed on; the state is locked.
+// storeAndBroadcast stores a statement and queues it for gossip. The caller must hold the lock of the state.
 func (n *Node) storeAndBroadcast(process membership.ProcessID, message []byte) {
 	n.state.statements.put(process, message)
 	n.queue.QueueBroadcast(broadcast{process: process, message: message})
@@ -115,14 +115,14 @@
 	message []byte
 }
 
-// Invalidates implements memberlist.Broadcast: a newer statement of the same process takes an older one's place.
+// Invalidates implements memberlist.Broadcast: a newer statement of a process replaces the older one in the queue.
 func (b broadcast) Invalidates(other memberlist.Broadcast) bool {
 	older, ok := other.(broadcast)
 	return ok && older.process == b.process
 }
 
-// Name implements memberlist.NamedBroadcast: by it the library finds what a statement takes the place of, without
-// asking each that waits.
+// Name implements memberlist.NamedBroadcast: the library looks up the statement to be replaced by this name instead of
+// comparing all that are queued.
 func (b broadcast) Name() string { return hexID(b.process) }
 
 // Message implements memberlist.Broadcast.
--- a/internal/membership/gossip/streams.go
+++ b/internal/membership/gossip/streams.go
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// prefaceTimeout is the time that a stream has to send its preface.
+// prefaceTimeout is how long a stream may take to send its preface.
 const prefaceTimeout = 2 * time.Second
 
-// acceptStreams accepts until the socket is closed. Streams over maxStreamsIn are dropped and counted.
+// acceptStreams accepts streams until the socket is closed. Streams beyond maxStreamsIn are dropped and counted.
 func (t *transport) acceptStreams() {
 	for {
 		conn, err := t.sockets.Streams.Accept()
@@ -34,7 +34,7 @@
 	}
 }
 
-// onStream reads a stream's preface and hands the stream to the library.
+// onStream reads the preface of a stream and passes the stream to the library.
 func (t *transport) onStream(accepted net.Conn) {
 	flow := &t.counters.flows[flowStreams]
 	stream := &limitedConn{Conn: &countingConn{Conn: accepted, flow: flow}, slots: t.streamSlots}
@@ -53,7 +53,7 @@
 	}
 }
 
-// hasLibraryPreface reads a stream's preface and reports whether it is the library's in this fleet.
+// hasLibraryPreface reads the preface of a stream, and reports whether it is that of the library in this fleet.
 func (t *transport) hasLibraryPreface(stream net.Conn) bool {
 	preface := make([]byte, prefaceBytes)
 	_ = stream.SetReadDeadline(time.Now().Add(prefaceTimeout))
@@ -64,20 +64,20 @@
 	return ok && kind == kindLibrary
 }
 
-// limitedConn gives its slot back once it is closed.
+// limitedConn releases its slot when it is closed.
 type limitedConn struct {
 	net.Conn
 	slots chan struct{}
 	once  sync.Once
 }
 
-// Close closes the stream and gives its slot back.
+// Close closes the stream and releases its slot.
 func (c *limitedConn) Close() error {
 	c.once.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
 
-// DialTimeout implements memberlist.Transport: a stream that has sent its preface.
+// DialTimeout implements memberlist.Transport. It sends the preface before it returns the stream.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	dialled, err := t.sockets.Dial(t.route(addr), timeout)
 	if err != nil {
--- a/internal/membership/gossip/traffic.go
+++ b/internal/membership/gossip/traffic.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// counters count what went over the sockets since the node joined. Datagrams are counted whole, with their preface.
+// counters count the traffic of the sockets since the node joined. Sizes of datagrams include the preface.
 type counters struct {
 	in       atomic.Uint64 // datagrams received
 	inBytes  atomic.Uint64
@@ -13,7 +13,7 @@
 	out      atomic.Uint64 // datagrams sent
 	outBytes atomic.Uint64
 	foreign  atomic.Uint64 // datagrams and streams without this fleet's preface
-	dropped  atomic.Uint64 // datagrams and streams for want of room
+	dropped  atomic.Uint64 // datagrams and streams dropped because a queue or limit was full
 	streams  atomic.Uint64 // streams accepted
 	flows    [flowKinds]flowCounters
 }
@@ -21,8 +21,8 @@
 // The kinds of messages by which traffic is counted.
 const (
 	flowHeartbeats = iota
-	flowStatements // as they travel in the library's datagrams
-	flowLibrary    // all else in these: the library's own messages, and the overhead of each datagram
+	flowStatements // statements in the library's datagrams
+	flowLibrary    // the rest of these datagrams: the library's own messages and the overhead
 	flowStreams    // exchanges of the full state
 	flowKinds
 )
@@ -43,9 +43,9 @@
 	c.outBytes.Add(uint64(bytes))
 }
 
-// TrafficStats is what one kind of message has taken since the node joined. Of heartbeats and the library's messages
-// the numbers are datagrams, of streams connections; statements are counted each, and the datagrams that carry them
-// are the library's.
+// TrafficStats is the traffic of one kind of message since the node joined. In and Out count datagrams for heartbeats
+// and library messages, connections for streams, and single statements for statements; the datagrams that carry
+// statements are counted as the library's.
 type TrafficStats struct {
 	Name     string `json:"name"`
 	In       uint64 `json:"in"`
@@ -54,10 +54,10 @@
 	OutBytes uint64 `json:"out_bytes"`
 }
 
-// Traffic returns the traffic of each kind. The bytes of all but streams add up to those of all datagrams.
+// Traffic returns the traffic of each kind. The bytes of all kinds except streams add up to the bytes of all datagrams.
 func (n *Node) Traffic() []TrafficStats {
 	all := make([]TrafficStats, flowKinds)
-	for kind := range all { // statements before the library's datagrams: they are never more than these then
+	for kind := range all { // statements are read before the library's datagrams, so they never exceed these
 		flow := &n.transport.counters.flows[kind]
 		all[kind] = TrafficStats{
 			Name:     flowNames[kind],
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// maxDatagramBytes is the size of a datagram, preface included, that is not fragmented in any network.
+	// maxDatagramBytes is the maximum size of a datagram, including the preface. No network fragments datagrams of this
+	// size.
 	maxDatagramBytes = 1400
-	// maxQueuedPackets bounds the datagrams that wait for the library; more are dropped and counted.
+	// maxQueuedPackets limits the datagrams queued for the library; further ones are dropped and counted.
 	maxQueuedPackets = 1024
-	// maxStreamsIn bounds the streams that others have open to this node; each is over in a moment.
+	// maxStreamsIn limits the streams that others have open to this node; each is short-lived.
 	maxStreamsIn = 32
-	// maxStreamsOut is how many streams this node has open to others: it joins, exchanges, and tries one that doesn't
-	// answer datagrams.
+	// maxStreamsOut is the maximum number of streams that this node has open to others: to join, to exchange the full
+	// state, and to probe a member that does not answer datagrams.
 	maxStreamsOut = 4
-	// errorBackoff is the pause after a failure of a socket, such as a lack of descriptors.
+	// errorBackoff is the delay after a socket error, such as a lack of file descriptors.
 	errorBackoff = 200 * time.Millisecond
 )
 
-// Descriptors is the number of file descriptors that a node may need: its two sockets, its streams, and one stream
-// that is just being refused.
+// Descriptors is the number of file descriptors that a node may need: two sockets, the streams, and one stream that is
+// being rejected.
 const Descriptors = 2 + maxStreamsIn + maxStreamsOut + 1
 
-// transport carries the library's messages and heartbeats over the same two sockets, for this fleet only. It implements
+// transport carries heartbeats and the library's messages over the same two sockets, for one fleet only. It implements
 // memberlist.NodeAwareTransport.
 type transport struct {
 	sockets    Transport
-	advertised netip.AddrPort // this node's address as others know it
+	advertised netip.AddrPort // address at which others reach this node
 	fleet      fleetID
-	mappings   map[string]string // addresses that are reached by another one
+	mappings   map[string]string // replacements of advertised addresses
 	counters   counters
 
 	onHeartbeat func(message []byte)
 	packets     chan *memberlist.Packet
 	streams     chan net.Conn
-	streamSlots chan struct{} // one for each stream that others have open
+	streamSlots chan struct{} // holds an element for each stream that others have open
 
-	batchReads atomic.Bool   // datagrams are read in batches, one batch a tick
-	ticked     chan struct{} // has one element once there was a tick
+	batchReads atomic.Bool   // datagrams are read in batches, once a tick
+	ticked     chan struct{} // holds an element once a tick has occurred
 
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -80,7 +81,7 @@
 	return t
 }
 
-// route returns the address at which a member is reached that advertises an address.
+// route returns the address to use for a member that advertises addr.
 func (t *transport) route(addr string) string {
 	if through, ok := t.mappings[addr]; ok {
 		return through
