--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -11,21 +11,21 @@
 	"dahliapin/internal/keyhash"
 )
 
-// updateBound is the time by which an update is to reach a node after discovery had it and could be reached. It counts
-// as late a second after that. Where discovery is late or slow with the update itself, the node may take longer.
+// updateBound is the time by which an update must reach a node after discovery has it and can be reached. Updates count
+// as late one second after that. If discovery is late or slow with the update itself, the node may take longer.
 const (
 	updateBound = 5 * time.Second
 	lateBound   = 6 * time.Second
 	slowBound   = 9 * time.Second
 )
 
-// slowAnswer is how long a discovery takes that is slower than polls may take at first.
+// slowAnswer is how long discovery takes to answer while it is slower than the first timeout of a poll.
 const slowAnswer = 2500 * time.Millisecond
 
-// fleetSizes are the numbers of nodes that are tried.
+// fleetSizes are the numbers of nodes under test.
 var fleetSizes = []int{12, 80, 300, 480}
 
-// failureSequences returns all sequences of so many behaviours that fail, at most.
+// failureSequences returns all sequences of failing behaviours up to a length.
 func failureSequences(most int) (all [][]behaviour) {
 	last := [][]behaviour{{}}
 	for range most {
@@ -41,23 +41,23 @@
 	return all
 }
 
-// outage is what a fleet meets beside a sequence of failures.
+// outage describes what happens to a fleet besides a sequence of failures.
 type outage struct {
 	name            string
-	finally         behaviour     // how discovery behaves once it has the update
+	finally         behaviour     // behaviour of discovery once it has the update
 	changesAddress  bool          // each node is given another address in between
-	losesPoll       bool          // a poll is lost though discovery is healthy, for nodes that still backed off
-	fromStart       bool          // discovery fails from the nodes' start
+	losesPoll       bool          // a poll is lost although discovery is healthy, for nodes that are still backing off
+	fromStart       bool          // discovery fails from the start of the nodes
 	hasList         bool          // nodes hold a list from before
-	versionsRestart bool          // discovery counts its versions anew
-	window          time.Duration // for how long discovery is back, with the update; then it fails again for seconds
-	isSlow          bool          // discovery takes longer than polls may at first
-	bound           time.Duration // time within which all nodes are to be notified
-	notifiedPercent int           // least share of nodes that are notified within the window
+	versionsRestart bool          // discovery restarts its versions
+	window          time.Duration // how long discovery is back with the update before it fails again for seconds
+	isSlow          bool          // answers take longer than the first timeout of a poll
+	bound           time.Duration // time within which all nodes must be notified
+	notifiedPercent int           // minimum percentage of nodes that are notified within the window
 }
 
-// simulate runs a sequence of failures with so many nodes. It returns how long after the update the last node was
-// notified, and how many nodes were within the window.
+// simulate runs a sequence of failures. It returns how long after the update the last node was notified, and how many
+// nodes were notified within the window.
 func (o *outage) simulate(order []behaviour, nodes, seed int) (last time.Duration, inWindow int) {
 	random, at := keyhash.Source{Seed: uint32(seed)}, time.Duration(0)
 	if !o.fromStart {
@@ -65,7 +65,7 @@
 	}
 	phases := []phase{{healthy, 0}}
 	for _, m := range order {
-		if o.fromStart && len(phases) == 1 && m == late { // or the list would be had before all else
+		if o.fromStart && len(phases) == 1 && m == late { // or nodes would get the list before the failures
 			m = silent
 		}
 		phases = append(phases, phase{m, at})
@@ -102,7 +102,7 @@
 			last = time.Hour
 		case a.notifiedAt < at+o.window+2*networkDelay:
 			inWindow++
-		default: // the time begins again
+		default: // the bound applies from the final recovery on
 			last = max(last, a.notifiedAt-recoveredAt)
 		}
 		if o.window == 0 {
@@ -112,10 +112,10 @@
 	return last, inWindow
 }
 
-// After refusals a node backed off for up to 30 s, and the long poll that it made then took 5.5 s to be known as
-// silent: updates came 15.5 and 19.9 s after discovery had them, where they count as late after 6 s. Whatever failed
-// before, in whatever order and for how long, the sum of what is under way and of the next poll is to be less than
-// that.
+// Guards against updates that wait for a backoff and then for a silent long poll. With backoffs of up to 30 s after
+// refusals and long polls that took 5.5 s to be known as silent, updates arrived 15.5 s and 19.9 s after discovery had
+// them; they count as late after 6 s. After any failures, in any order and for any time, the poll or backoff in
+// progress and the next poll must take less than that together.
 func TestUpdatesArriveInTimeAfterAnyFailures(t *testing.T) {
 	for _, o := range []outage{
 		{name: "healthy again", hasList: true, bound: updateBound},
@@ -123,10 +123,10 @@
 		{name: "slow with the update", finally: late, isSlow: true, hasList: true, bound: slowBound},
 		{name: "another address in between", changesAddress: true, hasList: true, bound: updateBound},
 		{name: "a poll lost once it is healthy", losesPoll: true, hasList: true, bound: updateBound},
-		{name: "from the start, with a last list", fromStart: true, hasList: true, bound: updateBound},
-		{name: "from the start, without", fromStart: true, bound: updateBound},
-		{name: "versions begin anew", versionsRestart: true, hasList: true, bound: updateBound},
-		{name: "back for a second", window: time.Second, hasList: true, bound: updateBound, notifiedPercent: 50},
+		{name: "failing from the start, with an old list", fromStart: true, hasList: true, bound: updateBound},
+		{name: "failing from the start, without a list", fromStart: true, bound: updateBound},
+		{name: "versions restart", versionsRestart: true, hasList: true, bound: updateBound},
+		{name: "recovered for a second", window: time.Second, hasList: true, bound: updateBound, notifiedPercent: 50},
 	} {
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
@@ -147,7 +147,7 @@
 					worst, all, notified = max(worst, last), all+nodes, notified+inWindow
 				}
 				if worst > o.bound {
-					t.Errorf("after %v, notified %v after discovery had it: over %v", order, worst, o.bound)
+					t.Errorf("after %v: notified %v after the update, limit %v", order, worst, o.bound)
 				}
 				if len(order) < 3 {
 					fmt.Fprintf(&table, "\n%-17v %.2f s", order, worst.Seconds())
@@ -159,15 +159,15 @@
 					t.Errorf("%d of %d nodes notified within %v", notified, all, o.window)
 				}
 			}
-			t.Log("notified at the latest, by what failed before" + table.String())
+			t.Log("maximum time to notification, by preceding failures" + table.String())
 		})
 	}
 }
 
-// Backoffs that are short for the sake of updates must not become a storm. While long polls broke, 480 nodes polled
-// 2,368 times in a second.
+// Guards against backoffs that are short for the sake of updates and cause a storm of polls: while long polls broke,
+// 480 nodes polled 2,368 times in a second.
 func TestPollRateIsBoundedWhileDiscoveryFails(t *testing.T) {
-	const from, spread, until = 10, 12, 40 // seconds: when it begins to fail, when the nodes are spread, and the end
+	const from, spread, until = 10, 12, 40 // in seconds: failure starts, polls are spread, end
 	var table strings.Builder
 	for _, m := range []behaviour{late, silent, refusing, resetting, truncating} {
 		for _, nodes := range fleetSizes {
@@ -187,8 +187,8 @@
 	t.Log(table.String())
 }
 
-// Polls cost discovery work, and refusals too. One that was 20 times slower for some seconds must recover under the
-// polls of all nodes, and give all of them the update; 300 nodes and 480 did not get it within 20 s.
+// Guards against a discovery that does not recover because polls, including those that it refuses, cost it work. After
+// it was 20 times slower for some seconds, 300 and 480 nodes did not get an update within 20 s.
 func TestSlowDiscoveryRecoversUnderFleetLoad(t *testing.T) {
 	longest := map[int]time.Duration{
 		12:  time.Second,
@@ -214,11 +214,11 @@
 			}
 		}
 		after = last - max(0, fleet.refusedAt-until)
-		t.Logf("%d nodes: all notified %v after it is as quick as ever, %v after the last refusal; "+
+		t.Logf("%d nodes: all notified %v after discovery is no longer slow, %v after the last refusal; "+
 			"%d refused, %d polls a second at most",
 			nodes, last, after, fleet.refused, slices.Max(fleet.perSecond))
 		if last > most || after > updateBound {
-			t.Errorf("%d nodes: notified %v after it is as quick as ever, %v after the last refusal",
+			t.Errorf("%d nodes: notified %v after discovery is no longer slow, %v after the last refusal",
 				nodes, last, after)
 		}
 	}
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -10,9 +10,9 @@
 	"dahliapin/policy"
 )
 
-// 80 nodes whose polls were refused polled 1,200 times a second, in step, and discovery never recovered. No node may
-// back off for longer than an update can wait, so the polls grow with the number of nodes, but all of them are spread
-// from the first refusal on.
+// Guards against refused polls that keep discovery overloaded: 80 nodes polled 1,200 times a second, in step, and
+// discovery never recovered. No node may back off for longer than an update can wait, so the rate grows with the number
+// of nodes, but the polls are spread from the first refusal on.
 func TestRefusedPollRateIsBounded(t *testing.T) {
 	for _, test := range []struct{ nodes, mostPerSecond int }{{1, 10}, {80, 45}, {800, 400}} {
 		t.Run(fmt.Sprintf("%d nodes", test.nodes), func(t *testing.T) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// countRefusedPolls adds the polls of one of a fleet's nodes, all of which are refused, to those of each second.
+// countRefusedPolls adds to perSecond the polls of one node of a fleet, all of which are refused.
 func countRefusedPolls(t *testing.T, nodes, n int, perSecond []int) {
 	t.Helper()
 	p := New(nodes)
@@ -50,11 +50,11 @@
 func TestBrokenLongPollIsRenewedAtOnce(t *testing.T) {
 	p := New(80)
 	if backoff, _ := p.OnFailure(ConnectionLost, 0, 0.99); backoff > 150*time.Millisecond {
-		t.Errorf("a long poll that broke is renewed after %v: over the 200 ms in which it goes on", backoff)
+		t.Errorf("broken long poll is renewed after %v, more than 200 ms", backoff)
 	}
 }
 
-// An answer that cannot be read made each poll ask for the same changes again.
+// Guards against a node that keeps requesting the same changes after an answer that cannot be read.
 func TestUnreadableAnswerMakesTheNextPollComplete(t *testing.T) {
 	p := New(80)
 	p.SetVersion(7)
@@ -62,13 +62,13 @@
 		_, first := p.OnFailure(failure, 0, 0.5)
 		next := p.NextPoll()
 		if first != (i == 0) || next.Complete != (failure == Unreadable) || !next.Complete && next.SinceVersion != 7 {
-			t.Errorf("after one that was %v, first %v: %+v", failure, first, next)
+			t.Errorf("after failure %v, first %v: %+v", failure, first, next)
 		}
 	}
 }
 
-// A discovery that was down for some seconds was polled again only half a minute later, and a failure that had passed
-// still made backoffs longer.
+// Guards against a node that polls a discovery again only half a minute after it was down for some seconds, and against
+// a past failure that still makes backoffs longer.
 func TestBackoffIsBoundedAndResetByUpdate(t *testing.T) {
 	p := New(80)
 	p.SetVersion(7)
--- a/internal/discovery/simfleet_test.go
+++ b/internal/discovery/simfleet_test.go
@@ -10,29 +10,29 @@
 	"dahliapin/policy"
 )
 
-// networkDelay is the time from a node to discovery, or back.
+// networkDelay is the one-way delay between a node and discovery.
 const networkDelay = time.Millisecond
 
-// lateAnswer is how long a late discovery takes for an answer.
+// lateAnswer is how long discovery takes to answer while it is late.
 const lateAnswer = 1400 * time.Millisecond
 
-// behaviour is how discovery treats polls.
+// behaviour is the way in which discovery handles polls.
 type behaviour int
 
 const (
 	healthy    behaviour = iota
-	late                 // answers after some time
-	silent               // polls are never answered, not even once it is healthy again
+	late                 // answers with a delay
+	silent               // never answers polls, not even once it is healthy again
 	refusing             // answers that it is overloaded
 	resetting            // breaks connections
-	truncating           // answers that cannot be read
+	truncating           // sends answers that cannot be read
 )
 
 func (m behaviour) String() string {
-	return [...]string{"well", "late", "silent", "refuses", "resets", "halves"}[m]
+	return [...]string{"healthy", "late", "silent", "refuses", "resets", "truncates"}[m]
 }
 
-// phase is a behaviour from a time on.
+// phase sets the behaviour from a time on.
 type phase struct {
 	behaviour behaviour
 	from      time.Duration
@@ -62,16 +62,16 @@
 type simNode struct {
 	Poller
 	random        keyhash.Source
-	pollNumber    int // counts polls and backoffs, so that what arrives late is known to
+	pollNumber    int // counts polls and backoffs, to recognise events of earlier ones
 	pollStarted   time.Duration
 	poll          Poll
-	isHeld        bool          // a watch of it is held
-	backsOff      bool          // no poll is under way
-	notifiedAt    time.Duration // when the news came; 0 for not yet
+	isHeld        bool          // discovery holds its long poll
+	backsOff      bool          // no poll is in progress
+	notifiedAt    time.Duration // when it received the update; 0 for not yet
 	losesNextPoll bool          // its first poll once discovery is healthy is lost
 }
 
-// simFleet is a fleet in virtual time, and a discovery that fails by a script.
+// simFleet simulates a fleet in virtual time, with a discovery that fails as scheduled.
 type simFleet struct {
 	queue                  events
 	scheduled              int
@@ -81,11 +81,11 @@
 	oldVersion, newVersion int           // the versions before and after
 	nodes                  []*simNode
 	perSecond              []int
-	registry               *world.Registry  // what polls cost discovery; nil for nothing
-	lateAnswer             time.Duration    // time for an answer while it is late
-	slowPeriod             [2]time.Duration // from when until when it is slow
-	refused                int              // polls that it refused as it was overloaded
-	refusedAt              time.Duration    // the last of them
+	registry               *world.Registry  // cost of polls at discovery; nil for none
+	lateAnswer             time.Duration    // delay of answers while discovery is late
+	slowPeriod             [2]time.Duration // start and end of the time in which discovery is slow
+	refused                int              // polls refused because of overload
+	refusedAt              time.Duration    // time of the last such refusal
 }
 
 func newSimFleet(nodes, seed int, phases []phase, updateAt time.Duration) *simFleet {
@@ -107,7 +107,7 @@
 	heap.Push(&f.queue, event{f.now + d, f.scheduled, do})
 }
 
-// run runs until a time. Nodes start at once, or spread over the time of a long poll.
+// run runs the simulation until a time. Nodes start at once, or spread over the time of a long poll.
 func (f *simFleet) run(until time.Duration, started bool) {
 	for _, n := range f.nodes {
 		at := time.Duration(0)
@@ -139,7 +139,7 @@
 	return f.oldVersion
 }
 
-// ifCurrent returns a function that does something unless the node's poll, or backoff, has ended by then.
+// ifCurrent returns a function that calls do unless the node's poll or backoff has ended by then.
 func (n *simNode) ifCurrent(do func()) func() {
 	number := n.pollNumber
 	return func() {
@@ -163,7 +163,7 @@
 	f.schedule(networkDelay, n.ifCurrent(func() { f.receivePoll(n) }))
 }
 
-// receivePoll lets discovery take a poll.
+// receivePoll handles a poll that arrives at discovery.
 func (f *simFleet) receivePoll(n *simNode) {
 	m := f.behaviour()
 	if m > late {
@@ -191,7 +191,7 @@
 	f.schedule(delay, n.ifCurrent(func() { f.processPoll(n) }))
 }
 
-// work returns how long a poll takes in a discovery with limited capacity, or that it is refused.
+// work returns how long a poll takes at a discovery with limited capacity, and whether it is accepted.
 func (f *simFleet) work(n *simNode) (work time.Duration, accepted bool) {
 	const slowFactor = 20
 	factor := 1.0
@@ -217,7 +217,7 @@
 	f.answer(n)
 }
 
-// endPoll ends a poll as a discovery that is not healthy does.
+// endPoll ends a poll as an unhealthy discovery does.
 func (f *simFleet) endPoll(n *simNode, m behaviour) {
 	n.isHeld = false
 	failures := map[behaviour]Failure{refusing: Refused, resetting: ConnectionLost, truncating: Unreadable}
@@ -226,7 +226,7 @@
 	}
 }
 
-// setBehaviour changes discovery's behaviour, or gives it an update: the long polls that it holds are ended by it.
+// setBehaviour changes the behaviour of discovery, or applies an update: both end the long polls that it holds.
 func (f *simFleet) setBehaviour(m behaviour) {
 	for _, n := range f.nodes {
 		if !n.isHeld {
@@ -234,7 +234,7 @@
 		}
 		switch {
 		case m > late:
-			// The poll is not answered at the end of its long-poll time, and times out all the same.
+			// The poll is not answered when its long-poll time ends, and still times out.
 			n.pollNumber++
 			untilTimeout := n.pollStarted + n.poll.Timeout - f.now
 			f.schedule(untilTimeout, n.ifCurrent(func() { f.fail(n, ConnectionLost) }))
@@ -252,7 +252,7 @@
 	f.schedule(networkDelay, n.ifCurrent(func() { f.receiveAnswer(n, version, complete) }))
 }
 
-// receiveAnswer lets a node take an answer of discovery.
+// receiveAnswer handles an answer that arrives at a node.
 func (f *simFleet) receiveAnswer(n *simNode, version int, complete bool) {
 	if !n.Accepts(version, false) {
 		f.fail(n, Unreadable)
@@ -260,7 +260,7 @@
 	}
 	kind, _ := n.OnUpdate(version, false)
 	if complete != (kind == policy.CompleteUpdate) {
-		panic("a complete list is taken as changes, or the other way round")
+		panic("a complete list is handled as changes, or vice versa")
 	}
 	if version == f.newVersion && n.notifiedAt == 0 {
 		n.notifiedAt = f.now
@@ -275,7 +275,7 @@
 	f.schedule(backoff, n.ifCurrent(func() { f.startPoll(n) }))
 }
 
-// changeAddress lets a node poll another address, as a reload of its configuration does.
+// changeAddress makes a node poll another address, as a reload of its configuration does.
 func (f *simFleet) changeAddress(n *simNode) {
 	n.OnAddressChange()
 	f.startPoll(n)
