--- a/internal/membership/gossip/datagrams_test.go
+++ b/internal/membership/gossip/datagrams_test.go
@@ -12,12 +12,12 @@
 
 const testPayload = "heartbeat"
 
-// largeFleetReceiver has a transport that reads datagrams, and counts the heartbeats that arrive.
+// largeFleetReceiver reads datagrams with a transport, and counts the heartbeats that arrive.
 type largeFleetReceiver struct {
 	*transport
 	heard   atomic.Int64
 	damaged atomic.Int64
-	conn    net.Conn // to it
+	conn    net.Conn // connected to the transport
 }
 
 func newLargeFleetReceiver(t *testing.T) *largeFleetReceiver {
@@ -37,7 +37,7 @@
 		}
 	})
 	t.Cleanup(func() { r.Shutdown() })
-	go func() { // stands for the library, which reads its packets
+	go func() { // reads the packets in place of the library
 		for range r.packets {
 		}
 	}()
@@ -60,15 +60,16 @@
 	}
 }
 
-// In a large fleet a node that woke up for each datagram spent most of its time for the fleet on that. All that has
-// arrived is read at a tick, in few calls, none is lost, and none waits for a tick that never comes once the fleet is
-// small again.
+// Guards against a node that wakes up for each datagram, which took most of its time for a large fleet. All datagrams
+// that have arrived must be read at a tick, in few calls, and none lost; and none may wait for a tick that never comes
+// once the fleet is small again.
 func TestLargeFleetReadsDatagramsInBatches(t *testing.T) {
 	const count = 3 * batchSize
 	r := newLargeFleetReceiver(t)
 	r.onTick(true)
 	sent := int64(0)
-	// the first may wake a reader that waits as in a small fleet, one takes the tick's place, the next has to wait
+	// The first datagram may wake a reader that waits as in a small fleet, another one consumes the tick, and the next
+	// one has to wait.
 	for r.heard.Load() == sent && sent < 5 {
 		sent++
 		r.send(t, 1)
@@ -79,10 +80,10 @@
 	r.send(t, count-1)
 	time.Sleep(50 * time.Millisecond)
 	if got := r.heard.Load(); got != before || got >= sent {
-		t.Errorf("%d are heard before a tick, %d were before", got, before)
+		t.Errorf("%d heartbeats received before a tick, %d previously", got, before)
 	}
 	r.onTick(true)
-	eventually(t, "all are heard", func() bool { return r.heard.Load() == sent+count-1 })
+	eventually(t, "all heartbeats are received", func() bool { return r.heard.Load() == sent+count-1 })
 	if reads := r.counters.reads.Load() - readsBefore; reads > count/batchSize+1 {
 		t.Errorf("%d reads for %d datagrams", reads, count)
 	}
@@ -90,8 +91,8 @@
 	r.onTick(false)
 	r.send(t, count)
 	total := sent + 2*count - 1
-	eventually(t, "a small fleet's are heard at once", func() bool { return r.heard.Load() == total })
+	eventually(t, "heartbeats of a small fleet are received at once", func() bool { return r.heard.Load() == total })
 	if in := r.counters.in.Load(); int64(in) != total || r.damaged.Load() > 0 || r.counters.foreign.Load() > 0 {
-		t.Errorf("%d came, %d damaged, %d foreign", in, r.damaged.Load(), r.counters.foreign.Load())
+		t.Errorf("%d datagrams received, %d damaged, %d foreign", in, r.damaged.Load(), r.counters.foreign.Load())
 	}
 }
--- a/internal/membership/gossip/listen_test.go
+++ b/internal/membership/gossip/listen_test.go
@@ -16,8 +16,8 @@
 	return sockets
 }
 
-// A stream comes from the address that datagrams come from and that others know: else nobody can tell whose it is. A
-// node that listens on all addresses dials from any.
+// Guards against streams whose sender cannot be identified: they must come from the address that others know and that
+// datagrams come from. A node that listens on all addresses may dial from any.
 func TestDialUsesListenAddressAsSource(t *testing.T) {
 	from := listen(t, "127.10.0.1:0")
 	to := listen(t, "127.11.0.1:0")
@@ -32,7 +32,7 @@
 	}
 	defer accepted.Close()
 	if ip := accepted.RemoteAddr().(*net.TCPAddr).IP.String(); ip != "127.10.0.1" {
-		t.Errorf("it comes from %s", ip)
+		t.Errorf("stream comes from %s", ip)
 	}
 	everywhere := listen(t, "0.0.0.0:0")
 	stream, err = everywhere.Dial(to.Streams.Addr().String(), time.Second)
@@ -42,10 +42,10 @@
 	stream.Close()
 }
 
-// Any port that was free for datagrams was taken, whether it was free for streams or not: one start in some hundred
-// failed.
+// Guards against a failed start if the port that is free for datagrams is in use for streams, which happened once in
+// some hundred starts.
 func TestListenFindsPortFreeForBothProtocols(t *testing.T) {
-	for range 400 { // of some 28,000 that systems give
+	for range 400 { // of some 28,000 ephemeral ports
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -20,8 +20,8 @@
 	return log
 }
 
-// startNodes starts nodes on loopback that know one another by the first one's address, with short spans. Each has a
-// loop that advances until the test's end.
+// startNodes starts nodes on loopback with short timeouts. The first one is the seed of all. Each has an event loop
+// that advances until the test ends.
 func startNodes(t *testing.T, count int, change func(*fleetconfig.File)) []*Node {
 	t.Helper()
 	var nodes []*Node
@@ -60,7 +60,7 @@
 	return nodes
 }
 
-// advanceLoop stands for the loop that serves clients.
+// advanceLoop takes the place of the event loop that serves clients.
 func advanceLoop(t *testing.T, node *Node) {
 	t.Helper()
 	done := make(chan struct{})
@@ -82,12 +82,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not reached: %s", what)
 		}
 	}
 }
 
-// haveSameView is the condition that nodes all have the same view with so many members.
+// haveSameView returns the condition that all nodes have the same view with the given number of members.
 func haveSameView(nodes []*Node, members int) func() bool {
 	return func() bool {
 		for _, node := range nodes {
@@ -100,9 +100,9 @@
 	}
 }
 
-// Three nodes on sockets come to one view. One that leaves in order is out of it, and in again once it takes that back.
-// Meanwhile the first gets datagrams and streams of strangers, of other fleets and of no sense: they are dropped and
-// counted, streams are closed, and the fleet stays whole.
+// Three nodes on sockets must come to one view. One that leaves in order must be removed, and be a member again once it
+// takes that back. Meanwhile the first node gets datagrams and streams that are damaged or from other fleets: it must
+// drop and count them, close the streams, and stay in the fleet.
 func TestNodesJoinLeaveAndDropForeignMessages(t *testing.T) {
 	nodes := startNodes(t, 3, func(c *fleetconfig.File) { c.Fleet.Key = "MDEyMzQ1Njc4OWFiY2RlZg==" })
 	first, last := nodes[0], nodes[2]
@@ -141,15 +141,15 @@
 	})
 
 	last.SetPresence(Leaving)
-	eventually(t, "the one that left is out", haveSameView(nodes[:2], 2))
+	eventually(t, "the node that left is not a member", haveSameView(nodes[:2], 2))
 	last.SetPresence(Participating)
-	eventually(t, "and back", haveSameView(nodes, 3))
+	eventually(t, "the node is a member again", haveSameView(nodes, 3))
 	if status, takesPart := first.FleetStatus(); !takesPart || status.MayBePartitioned {
 		t.Errorf("%+v", status)
 	}
 }
 
-// expectClosed opens a stream that begins with some text, and fails the test unless the other side closes it.
+// expectClosed opens a stream that begins with text, and fails the test unless the other side closes it.
 func expectClosed(t *testing.T, addr, text string) {
 	t.Helper()
 	stream, err := net.Dial("tcp", addr)
@@ -165,8 +165,8 @@
 	}
 }
 
-// A seed that accepts connections and says nothing kept a node from ending for ten seconds a seed; and a library that
-// still had something to report wrote to a trace that was closed.
+// Guards against a node that takes ten seconds per seed to end because a seed accepts connections and does not answer,
+// and against a library that still reports events to a closed trace.
 func TestCloseDoesNotWaitForSilentSeeds(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -175,12 +175,12 @@
 	defer silent.Close()
 	seed := silent.Addr().String()
 	node := startNodes(t, 1, func(c *fleetconfig.File) { c.Fleet.Seeds = []string{seed, seed, seed} })[0]
-	time.Sleep(50 * time.Millisecond) // the call to the first is under way
+	time.Sleep(50 * time.Millisecond) // the connection to the first seed is in progress
 	began := time.Now()
 	node.Close(true)
 	node.Close(true)
 	if took := time.Since(began); took > closeTimeout+leaveTimeout+time.Second {
-		t.Errorf("took %v to end", took)
+		t.Errorf("Close took %v", took)
 	}
 	events{node}.NotifyLeave(&memberlist.Node{Name: "x"})
 }
--- a/internal/membership/gossip/statements_test.go
+++ b/internal/membership/gossip/statements_test.go
@@ -7,11 +7,11 @@
 	"dahliapin/internal/membership"
 )
 
-// A newer statement of a process takes the place of an older one in the queue, and those of others stay; a statement
-// that is stored is not decoded again.
+// A newer statement of a process must replace the older one in the queue, and leave those of others. A stored statement
+// must not be decoded again.
 func TestNewerStatementsReplaceOlderOnes(t *testing.T) {
 	node := startNodes(t, 1, nil)[0]
-	eventually(t, "its name is taken", func() bool { return node.View().Incarnation > 0 })
+	eventually(t, "the name is claimed", func() bool { return node.View().Incarnation > 0 })
 	statement := func(process membership.ProcessID, revision membership.Revision) []byte {
 		t.Helper()
 		message, err := encodeStatement(membership.Statement{
@@ -31,10 +31,10 @@
 		delegate{node}.NotifyMsg(statement(9, revision+1))
 	}
 	if got := node.queue.NumQueued(); got > queued+2 || got < 2 {
-		t.Errorf("%d statements are queued, after %d", got, queued)
+		t.Errorf("%d statements queued, %d before", got, queued)
 	}
 	if !node.isStored(statement(7, 5)) || node.isStored(statement(7, 4)) || node.isStored(statement(8, 1)) {
-		t.Error("statements that are stored are not told from others")
+		t.Error("isStored does not distinguish stored statements from others")
 	}
 	node.state.mu.Lock()
 	defer node.state.mu.Unlock()
--- a/internal/membership/gossip/traffic_test.go
+++ b/internal/membership/gossip/traffic_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// Each byte is counted in one kind: those of datagrams add up to all that were counted, and statements and exchanges
-// are told apart from the library's own messages.
+// Each byte must be counted as one kind of message: the bytes of datagrams add up to the total, and statements and
+// exchanges are distinguished from the library's own messages.
 func TestTrafficIsCountedByKind(t *testing.T) {
 	nodes := startNodes(t, 3, nil)
 	eventually(t, "all know all", haveSameView(nodes, 3))
-	nodes[2].SetPresence(Leaving) // there are statements then
-	eventually(t, "the one that left is out", haveSameView(nodes[:2], 2))
+	nodes[2].SetPresence(Leaving) // causes statements
+	eventually(t, "the node that left is not a member", haveSameView(nodes[:2], 2))
 	for _, node := range nodes {
-		eventually(t, "what is counted adds up", func() bool { // it goes on meanwhile
+		eventually(t, "the counters add up", func() bool { // traffic continues meanwhile
 			status, _ := node.FleetStatus()
 			return addsUp(status)
 		})
--- a/internal/membership/gossip/view_test.go
+++ b/internal/membership/gossip/view_test.go
@@ -7,7 +7,7 @@
 	"dahliapin/internal/membership"
 )
 
-// The log tells by name who came and who went, whichever list of members ends first.
+// The log must name the nodes that joined and left, whichever list of members ends first.
 func TestDifference(t *testing.T) {
 	type names = []membership.NodeName
 	for _, c := range []struct {
--- a/internal/membership/gossip/wire_test.go
+++ b/internal/membership/gossip/wire_test.go
@@ -9,8 +9,8 @@
 	"dahliapin/internal/membership"
 )
 
-// Nodes of different versions run side by side during an update: messages keep the bytes that they had when these were
-// recorded.
+// Guards against a changed encoding: nodes of different versions run side by side during an update, so messages must
+// keep the bytes that were recorded.
 func TestMessageEncodingMatchesRecording(t *testing.T) {
 	var got strings.Builder
 	write := func(what string, b []byte, err error) {
@@ -58,7 +58,7 @@
 	golden.Check(t, "messages.txt", []byte(got.String()))
 }
 
-// Whatever arrives is decoded or refused, and what is decoded is encoded to the same again.
+// FuzzMessages checks that any input is decoded or rejected, and that a decoded message survives another round trip.
 func FuzzMessages(f *testing.F) {
 	statement, err := encodeStatement(membership.Statement{
 		Process:     7,
@@ -87,7 +87,7 @@
 			expectRoundTrip(t, s)
 		}
 		if h, err := decodeHeartbeat(message); err == nil && (h.Process == 0 || h.Addr == "") {
-			t.Errorf("taken: %+v", h)
+			t.Errorf("invalid heartbeat accepted: %+v", h)
 		}
 		_, _ = decodeState(message)
 	})
@@ -106,8 +106,8 @@
 	}
 }
 
-// During an update newer nodes may state fields that an older one doesn't know. The older one passes them over, and on
-// to others as they arrived.
+// Guards against the loss of fields during an update: newer nodes may state fields that an older one does not know. The
+// older one must ignore them and forward them unchanged.
 func TestUnknownStatementFieldsAreForwarded(t *testing.T) {
 	statement, err := encodeStatement(membership.Statement{Process: 7, Node: "n1", Revision: 9, Addr: "10.0.0.1:7946"})
 	if err != nil {
