--- a/internal/membership/antientropy_test.go
+++ b/internal/membership/antientropy_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// detectorKnowing makes a detector that knows so many processes, itself included.
+// detectorKnowing returns a detector that knows n processes, including itself.
 func detectorKnowing(n int) *Detector {
 	d := New(Config{MaxMembers: 1000}, 1, "n", "a", nil)
 	for i := len(d.peers.byID); i < n; i++ {
@@ -14,9 +14,9 @@
 	return d
 }
 
-// In a large fleet gossip takes longer to reach all. A fleet of 480 processes that waited no longer for statements
-// than a small one had all ask for all that is known at each change, and did not come to rest. Small fleets wait as
-// they did.
+// Guards against a large fleet that does not settle because gossip takes longer to reach all processes than they wait
+// for it. In a fleet of 480 that waited no longer than a small one, all processes requested the full state after each
+// change. Small fleets must wait no longer than before.
 func TestStatementGraceGrowsWithFleetSize(t *testing.T) {
 	for n, ms := range map[int]time.Duration{1: 300, 32: 300, 33: 450, 64: 450, 65: 600, 480: 900, 960: 1050} {
 		if got := detectorKnowing(n).scaledDelay(statementGrace); got != ms*time.Millisecond {
@@ -25,8 +25,8 @@
 	}
 }
 
-// An exchange of all that is known is the longer the more there is. It is asked for the more rarely, so that the cost
-// of exchanges does not grow with the fleet.
+// Guards against a cost of exchanges that grows with the fleet: the more processes are known, the longer an exchange
+// takes, so they must be requested less often.
 func TestSyncIntervalGrowsWithFleetSize(t *testing.T) {
 	for n, ms := range map[int]time.Duration{12: 560, 32: 660, 120: 1700, 480: 7700} {
 		d := detectorKnowing(n)
@@ -35,11 +35,11 @@
 		d.sync.takeTarget()
 		d.runTime += ms*time.Millisecond - 1
 		if d.requestSync("x"); d.sync.target != "" {
-			t.Errorf("%d processes: asked again before %v ms", n, int64(ms))
+			t.Errorf("%d processes: requested again before %v ms", n, int64(ms))
 		}
 		d.runTime++
 		if d.requestSync("x"); d.sync.target != "x" {
-			t.Errorf("%d processes: not asked again after %v ms", n, int64(ms))
+			t.Errorf("%d processes: not requested again after %v ms", n, int64(ms))
 		}
 	}
 }
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -7,8 +7,8 @@
 	"dahliapin/internal/monotime"
 )
 
-// A process is stopped for a minute, as by a suspended machine. The minute counts as a short tick: all that it
-// measures in time that it has run would be over else, and it would miss everybody.
+// Guards against a process that misses everybody after it was stopped for a minute, as on a suspended machine: the gap
+// must count as a short tick, or all timeouts measured in run time would expire.
 func TestTickGapIsCapped(t *testing.T) {
 	const maxStep = time.Second
 	var clock runClock
--- a/internal/membership/evaluation_test.go
+++ b/internal/membership/evaluation_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A rack goes down, and its processes are missed within some tenths of a second of one another. They are removed
-// together, so that clients see one change of the view; one that is due waits for others that are about to be, but not
-// for ever.
+// Guards against several view changes for one failure: when a rack fails, its processes are missed within some tenths
+// of a second of one another, and must be removed together. A process that is due waits for others that are nearly due,
+// but not indefinitely.
 func TestNearlyDueTransitionsAreBatched(t *testing.T) {
 	const delay = time.Second
 	sustained := func(d time.Duration) *peer { return &peer{sustainedFor: d} }
@@ -18,7 +18,7 @@
 	}{
 		{"nobody is due", batch{}, 0},
 		{"one is due", batch{due: []*peer{sustained(delay)}}, 1},
-		{"another is about to be", batch{due: []*peer{sustained(delay)}, othersNearlyDue: true}, 0},
+		{"another is nearly due", batch{due: []*peer{sustained(delay)}, othersNearlyDue: true}, 0},
 		{"one has waited long", batch{
 			due:             []*peer{sustained(delay), sustained(delay + gatherWindow)},
 			othersNearlyDue: true,
--- a/internal/membership/evidence_test.go
+++ b/internal/membership/evidence_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// One bad link, or one observer that is cut off itself, is no reason to remove anybody: it takes two, and more that
-// miss the process than hear it or can't tell.
+// Guards against the removal of a process because of one bad link, or one observer that is cut off itself: at least two
+// must miss it, and more than those that hear it or cannot tell.
 func TestRemovalRequiresMajorityOfObservers(t *testing.T) {
 	d := New(Config{}, 1, "n", "a", nil)
 	for _, c := range []struct {
@@ -16,8 +16,8 @@
 		{"two observers", evidence{missedByTrusted: 2}, true},
 		{"as many hear it", evidence{missedByTrusted: 2, heardBy: 2}, false},
 		{"more miss it", evidence{missedByTrusted: 3, heardBy: 2}, true},
-		{"neighbours in self-doubt count for it", evidence{missedByTrusted: 3, heardBy: 2, isolatedNeighbours: 1}, false},
-		{"old statements don't count", evidence{missedByTrusted: 1, missedByAny: 5}, false},
+		{"isolated neighbours count for it", evidence{missedByTrusted: 3, heardBy: 2, isolatedNeighbours: 1}, false},
+		{"outdated statements do not count", evidence{missedByTrusted: 1, missedByAny: 5}, false},
 	} {
 		if got := d.isMissed(&peer{evidence: c.evidence}); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -25,8 +25,8 @@
 	}
 }
 
-// A statement that several members contradict may be from before a partition: it counts only if its process is heard
-// here.
+// Guards against statements from before a partition: one whose process several members miss counts only if that process
+// is heard here.
 func TestStatementsOfMissedObserversAreNotCurrent(t *testing.T) {
 	d := New(Config{HeartbeatTimeout: 10}, 1, "n", "a", nil)
 	d.runTime = 100
--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -9,7 +9,7 @@
 
 const sec = time.Second
 
-// nodesFrom returns the numbers of nodes from one to another.
+// nodesFrom returns the numbers of nodes from first to last.
 func nodesFrom(first, last int) []int {
 	var nodes []int
 	for n := first; n <= last; n++ {
@@ -18,7 +18,7 @@
 	return nodes
 }
 
-// seedCount is lower where time is short: under the race detector.
+// seedCount returns n, or 1 in short mode, which is used under the race detector.
 func seedCount(n uint32) uint32 {
 	if testing.Short() {
 		return 1
@@ -26,11 +26,11 @@
 	return n
 }
 
-// failure is one hard case for twelve nodes.
+// failure is a failure scenario for twelve nodes.
 type failure struct {
 	name string
-	// maxChanges is how often the view of a node that nothing befell may change by it: nodes that a failure befalls
-	// together go once and return once, each new process comes once.
+	// maxChanges is how often the view of an unaffected node may change. Nodes that fail together are removed once and
+	// return once; each new process joins once.
 	maxChanges int
 	inject     func(*simulation)
 }
@@ -157,7 +157,7 @@
 	}
 }
 
-// simulateFailure plays a failure among twelve nodes that know one another, and gives them time to come to rest.
+// simulateFailure injects a failure among twelve nodes that know one another, and gives them time to settle.
 func simulateFailure(seed uint32, configure func(*membership.Detector), f failure) *simulation {
 	s := newSimulation(12, seed, configure)
 	s.run(6 * sec)
@@ -166,8 +166,8 @@
 	return s
 }
 
-// Each hard case in virtual time: nobody is taken out whom nothing befell, all come to one view, and it does not change
-// more often than the failure has beginnings and ends.
+// Checks in virtual time that no unaffected node is removed, that all nodes converge to one view, and that it does not
+// change more often than the failure starts and ends.
 func TestFailuresConvergeToOneView(t *testing.T) {
 	for _, f := range failures {
 		t.Run(f.name, func(t *testing.T) {
@@ -181,44 +181,46 @@
 	}
 }
 
-// The checker is shown to work: each detector that lacks some guards is caught in a case that the sound one passes.
+// Guards against a checker that detects nothing: each detector with some rules disabled must break the verdict in a
+// failure that the production rules pass.
 func TestCheckerDetectsDisabledRules(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		failure string
 		rules   membership.Rules
 	}{
-		// Lacks two observers and the majority: each alone would keep the member that one other doesn't hear.
-		{"one observer's word is enough", "one does not hear another", membership.Rules{
+		// Without two observers and the majority. Each alone would keep the member that one other process does not
+		// hear.
+		{"one observer is enough", "one does not hear another", membership.Rules{
 			MinObservers:      1,
 			DetectIsolation:   true,
 			FreezeRemovals:    true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// Lacks self-doubt and the freeze; of the two, self-doubt would be enough in this failure.
-		{"doubts nothing, stops at nothing", "halves", membership.Rules{
+		// Without isolation and the freeze. In this failure, isolation alone would be enough.
+		{"neither isolation nor freeze", "halves", membership.Rules{
 			MinObservers:      2,
 			RequireMajority:   true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// Lacks self-doubt and the freeze. MinObservers is 1 as well: while no statement arrives, a process has its own
-		// alone, so that two observers would already prevent each removal.
-		{"takes all others for dead", "the network down for everyone", membership.Rules{
+		// Without isolation and the freeze. MinObservers is 1 as well: while no statement arrives, a process has only
+		// its own, so that two observers would already prevent each removal.
+		{"considers all others dead", "the network down for everyone", membership.Rules{
 			MinObservers:      1,
 			RequireMajority:   true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// Lacks the run time, and all other guards but that of the loop: two observers alone would hide the fault, as
-		// only the one process that was stopped misses the others.
+		// Without the run time, and without all other rules but that of the loop. Two observers alone would hide the
+		// fault, as only the one process that was stopped misses the others.
 		{"measures by the clock", "stopped for more", membership.Rules{
 			MinObservers:      1,
 			StopOnStalledLoop: true,
 		}},
-		// Lacks only the stop of heartbeats.
-		{"sends heartbeats while its loop hangs", "the loop hangs", membership.Rules{
+		// Without the stop of heartbeats only.
+		{"sends heartbeats while its loop is stalled", "the loop hangs", membership.Rules{
 			MinObservers:    2,
 			RequireMajority: true,
 			DetectIsolation: true,
@@ -231,7 +233,7 @@
 			configure := func(d *membership.Detector) { membership.SetRules(d, c.rules) }
 			verdict := simulateFailure(1, configure, f).verdict()
 			if verdict.Wrong() == 0 && verdict.Changes <= f.maxChanges {
-				t.Errorf("not caught: %+v", verdict)
+				t.Errorf("fault not detected: %+v", verdict)
 			}
 		})
 	}
--- a/internal/membership/histories_test.go
+++ b/internal/membership/histories_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// runHistory draws failures one after the other, some of them at the same time, ends them all, and gives the nodes
-// time to come to rest.
+// runHistory injects random failures one after the other, some of which overlap, ends them all, and gives the nodes
+// time to settle.
 func runHistory(t *rapid.T) *simulation {
 	n := rapid.IntRange(3, 7).Draw(t, "nodes")
 	s := newSimulation(n, rapid.Uint32().Draw(t, "seed"), nil)
 	s.run(5 * sec)
-	for range rapid.IntRange(1, 5).Draw(t, "troubles") {
+	for range rapid.IntRange(1, 5).Draw(t, "failures") {
 		injectRandomFailure(t, s)
 		s.run(drawDuration(t, 60, "then"))
 	}
@@ -23,17 +23,17 @@
 	return s
 }
 
-// drawDuration draws a time in tenths of a second.
+// drawDuration draws a duration in tenths of a second.
 func drawDuration(t *rapid.T, most int, name string) time.Duration {
 	return time.Duration(rapid.IntRange(1, most).Draw(t, name)) * sec / 10
 }
 
-// injectRandomFailure begins one failure; most end by themselves later.
+// injectRandomFailure starts one failure; most end by themselves later.
 func injectRandomFailure(t *rapid.T, s *simulation) {
 	n := len(s.nodes)
 	node := rapid.IntRange(0, n-1)
 	a, b := node.Draw(t, "a"), node.Draw(t, "b")
-	switch rapid.IntRange(0, 6).Draw(t, "what") {
+	switch rapid.IntRange(0, 6).Draw(t, "failure") {
 	case 0:
 		s.nodes[a].kill()
 		s.after(drawDuration(t, 150, "for"), func() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// cutOneWay has a node be heard by nobody, or hear nobody.
+// cutOneWay cuts all links from a node or all links to it.
 func cutOneWay(t *rapid.T, s *simulation, node int) {
 	out := rapid.Bool().Draw(t, "out")
 	duration := drawDuration(t, 200, "for")
@@ -75,7 +75,7 @@
 	}
 }
 
-// endFailures ends all that is still under way.
+// endFailures ends all failures that are still in progress.
 func endFailures(s *simulation) {
 	s.setNoise(0, 0, 0)
 	for a, node := range s.nodes {
@@ -91,9 +91,10 @@
 	}
 }
 
-// Whatever befalls whom in whatever order: nobody is taken out whom nothing befell, and in the end all have all.
+// Checks that after any failures in any order no unaffected node was removed, and that finally all nodes have all
+// members.
 func TestRandomFailuresEndInOneView(t *testing.T) {
-	if flag.Lookup("rapid.seed").Value.String() == "0" { // the same verdict each time, unless others are asked for
+	if flag.Lookup("rapid.seed").Value.String() == "0" { // a fixed seed makes the verdict reproducible
 		_ = flag.Set("rapid.seed", "20261201")
 	}
 	if testing.Short() {
@@ -107,7 +108,7 @@
 		for _, n := range s.nodes {
 			view := n.process.detector.View()
 			if len(view.Nodes) != len(s.nodes) || view.MayBePartitioned {
-				t.Fatalf("n%d has %v in the end, cut off: %v", n.number+1, view.Nodes, view.MayBePartitioned)
+				t.Fatalf("n%d has %v at the end, may be partitioned: %v", n.number+1, view.Nodes, view.MayBePartitioned)
 			}
 		}
 	})
--- a/internal/membership/names_test.go
+++ b/internal/membership/names_test.go
@@ -8,8 +8,8 @@
 	"dahliapin/internal/membership"
 )
 
-// One name is started twice. At once, one of the two gives way, the same one wherever one looks; later, the one that
-// has the name and lives keeps it.
+// Guards against two processes with one name. If both start at the same time, every process must see the same one give
+// way; if one starts later, the live process that has the name must keep it.
 func TestDuplicateNameLeavesOneProcess(t *testing.T) {
 	for seed := range seedCount(10) {
 		for _, late := range []time.Duration{0, 8 * sec} {
@@ -24,14 +24,14 @@
 				t.Errorf("seed %d, %v later: the first runs: %v, the second: %v", seed, late, firstRuns, duplicateRuns)
 			}
 			if late > 0 && s.nodes[1].process != first {
-				t.Errorf("seed %d: the first is another", seed)
+				t.Errorf("seed %d: the first process was replaced", seed)
 			}
 			expectOneView(t, s, 5)
 		}
 	}
 }
 
-// startDuplicate starts one more node, at an address of its own, with a name that another has.
+// startDuplicate starts another node, at an address of its own, with the name of an existing one.
 func (s *simulation) startDuplicate(name string) *simNode {
 	duplicate := &simNode{sim: s, number: len(s.nodes), name: name}
 	s.nodes = append(s.nodes, duplicate)
@@ -39,7 +39,7 @@
 	return duplicate
 }
 
-// expectOneView fails the test unless all processes that run have the same view with so many members.
+// expectOneView fails the test unless all running processes have the same view with the given number of members.
 func expectOneView(t *testing.T, s *simulation, members int) {
 	t.Helper()
 	var fingerprints []uint64
@@ -55,7 +55,7 @@
 	}
 }
 
-// A process whose name another live process has gets a typed error with the address of that one.
+// A process whose name another live process has must get a typed error with the address of that process.
 func TestNameConflictErrorNamesTheHolder(t *testing.T) {
 	s := newSimulation(5, 1, nil)
 	s.run(8 * sec)
@@ -70,7 +70,8 @@
 	}
 }
 
-// A process that takes another's place has its name at once, and nobody sees it leave and join.
+// Guards against view changes during a replacement: a process that takes another's place must get its name at once, and
+// no process may see it leave and join.
 func TestReplacedProcessStaysMember(t *testing.T) {
 	for seed := range uint32(5) {
 		s := newSimulation(5, seed, nil)
--- a/internal/membership/neighbours_test.go
+++ b/internal/membership/neighbours_test.go
@@ -8,8 +8,8 @@
 	"dahliapin/internal/keyhash"
 )
 
-// A process's neighbours in a ring are those before and after it in the ring's order, whatever the size of the fleet
-// and wherever the process stands.
+// The neighbours of a process in a ring must be its predecessor and successor in the ring's order, for any size of the
+// fleet and any position of the process.
 func TestRingNeighboursArePredecessorAndSuccessor(t *testing.T) {
 	for _, n := range []int{14, 15, 40, 200} {
 		ids := make([]ProcessID, n)
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -9,9 +9,9 @@
 	"dahliapin/internal/keyhash"
 )
 
-// In a large fleet that starts, each process learns of all others one by one; one that sorted all of them anew for
-// each had no core left. A new process takes its place in each order instead, and the orders are those that sorting
-// gives: also where a node has several processes, and after some were forgotten.
+// Guards against a process that sorts all others again for each one that it learns of: when a large fleet started, this
+// took a whole core. New processes must be inserted into the sorted lists, which must equal those that sorting gives,
+// also if a node has several processes and after some were forgotten.
 func TestInsertKeepsPeerTableSorted(t *testing.T) {
 	d := New(Config{MaxMembers: 1000, ClaimPeriod: time.Second}, 1<<40, "n7", "a", nil)
 	d.peers.sorted()
@@ -20,10 +20,10 @@
 		id := ProcessID(keyhash.Mix(uint64(i + 1)))
 		node := NodeName(fmt.Sprint("n", int(random.Float64()*200)))
 		if !d.Merge(Statement{Process: id, Node: node, Revision: 1, Addr: fmt.Sprint("a", i)}) {
-			t.Fatalf("%d is no news", i)
+			t.Fatalf("statement of %d is not merged", i)
 		}
 		if d.peers.byOrder == nil {
-			t.Fatalf("all are to be sorted again for the %d. process", i+1)
+			t.Fatalf("sorted lists are discarded at process %d", i+1)
 		}
 		if i%50 == 49 {
 			forgetDuringLoop(t, d, id)
@@ -35,22 +35,22 @@
 	compareWithSorted(t, &d.peers)
 }
 
-// forgetDuringLoop forgets a process as a loop over all would see it: the loop's slice stays as it was.
+// forgetDuringLoop forgets a process and checks that the slice of a loop over all processes is unchanged.
 func forgetDuringLoop(t *testing.T, d *Detector, id ProcessID) {
 	t.Helper()
 	before := d.peers.byOrder
 	want := slices.Clone(before)
 	d.forget(d.peers.byID[id])
 	if d.peers.byOrder == nil {
-		t.Fatalf("all are to be sorted again once %d is forgotten", id)
+		t.Fatalf("sorted lists are discarded once %d is forgotten", id)
 	}
 	after := d.peers.sorted()
 	if !slices.Equal(before, want) || len(after) != len(want)-1 {
-		t.Fatal("a loop over all in which one is forgotten misses another")
+		t.Fatal("forgetting a process changes the slice of a loop")
 	}
 }
 
-// compareWithSorted compares the orders with those of a table that sorts all anew.
+// compareWithSorted compares the sorted lists with those of a table that sorts all processes again.
 func compareWithSorted(t *testing.T, table *peerTable) {
 	t.Helper()
 	table.sorted()
@@ -58,11 +58,11 @@
 	anew.sorted()
 	sameOrder := slices.Equal(table.byOrder, anew.byOrder) && slices.Equal(table.byName, anew.byName)
 	if !sameOrder || len(table.byNode) != len(anew.byNode) {
-		t.Error("the orders differ from those that sorting gives")
+		t.Error("the sorted lists differ from those that sorting gives")
 	}
 	for node, peers := range anew.byNode {
 		if !slices.Equal(peers, table.byNode[node]) {
-			t.Errorf("%s: %d processes, and %d by sorting", node, len(table.byNode[node]), len(peers))
+			t.Errorf("%s: %d processes, %d by sorting", node, len(table.byNode[node]), len(peers))
 		}
 	}
 }
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/recorded_test.go
@@ -12,13 +12,13 @@
 	"dahliapin/internal/membership"
 )
 
-// recorder hashes all that the detectors of a simulation decide: what each sends, states and shows at each tick.
+// recorder hashes all decisions of the detectors in a simulation: what each sends, states and shows at each tick.
 type recorder struct {
 	sum  hash.Hash
-	view map[*membership.Detector]*membership.View // the last that was hashed
+	view map[*membership.Detector]*membership.View // the last one that was hashed
 }
 
-// recordTick hashes what a tick led to; a nil recorder does nothing.
+// recordTick hashes the result of a tick. A nil recorder does nothing.
 func (r *recorder) recordTick(now time.Duration, d *membership.Detector, do membership.Actions) {
 	if r == nil {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// recordStatement hashes a new statement; a nil recorder does nothing.
+// recordStatement hashes a new statement. A nil recorder does nothing.
 func (r *recorder) recordStatement(s membership.Statement) {
 	if r == nil {
 		return
@@ -46,16 +46,16 @@
 		s.Leaving, s.YieldsName, s.Isolated, s.Hears, s.Misses)
 }
 
-// recordedHistory is a history whose decisions are recorded.
+// recordedHistory is a sequence of events for which the decisions are recorded.
 type recordedHistory struct {
 	name   string
 	nodes  int
 	seed   uint32
-	rules  *membership.Rules // nil for the sound ones
+	rules  *membership.Rules // nil for the production rules
 	inject func(*simulation)
 }
 
-// hash plays the history among nodes that know one another, and returns a hash of all decisions.
+// hash runs the history among nodes that know one another, and returns a hash of all decisions.
 func (h *recordedHistory) hash() []byte {
 	r := &recorder{sum: sha256.New(), view: map[*membership.Detector]*membership.View{}}
 	s := newSimulation(h.nodes, h.seed, func(d *membership.Detector) {
@@ -70,12 +70,11 @@
 	return r.sum.Sum(nil)[:12]
 }
 
-// Names and shape of the detector may change, its decisions not: each history has the hash that it had when it was
-// recorded.
+// Guards against changes of the detector's decisions: each history must have the hash that was recorded.
 func TestDecisionsMatchRecording(t *testing.T) {
 	histories := recordedHistories(t)
 	file := "decisions.txt"
-	if testing.Short() { // under the race detector all take 40 s
+	if testing.Short() { // all histories take 40 s under the race detector
 		histories = histories[:3]
 		file = "decisions-short.txt"
 	}
@@ -93,7 +92,7 @@
 	for _, f := range failures {
 		add(recordedHistory{name: f.name, nodes: 12, seed: 1, inject: f.inject})
 	}
-	// with rings
+	// The fleet is large enough for rings.
 	noise := failureNamed(t, "30% lost, doubled and late, one killed")
 	add(recordedHistory{name: noise.name, nodes: 40, seed: 2, inject: noise.inject})
 	add(recordedHistory{
--- a/internal/membership/removal_bench_test.go
+++ b/internal/membership/removal_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// How long it takes until all know of one that was killed, by the number of nodes: decisions as in service, gossip as
-// the library has it.
+// BenchmarkKilledProcessIsRemoved measures, by number of nodes, how long it takes until all know that a process was
+// killed. Decisions are those of production, and gossip is modelled on the library's.
 func BenchmarkKilledProcessIsRemoved(b *testing.B) {
 	for _, nodes := range []int{12, 100, 400} {
 		b.Run(strconv.Itoa(nodes), func(b *testing.B) {
@@ -17,7 +17,7 @@
 				s.run(12 * sec)
 				verdict := s.verdict()
 				if verdict.Wrong() > 0 || len(verdict.Detect) != nodes-1 {
-					b.Fatalf("%d heard of it: %+v", len(verdict.Detect), verdict.What)
+					b.Fatalf("%d nodes detected it: %+v", len(verdict.Detect), verdict.What)
 				}
 				b.ReportMetric(verdict.Detect[len(verdict.Detect)/2], "median-s")
 				b.ReportMetric(verdict.Detect[len(verdict.Detect)*99/100], "p99-s")
--- a/internal/membership/rules_test.go
+++ b/internal/membership/rules_test.go
@@ -1,6 +1,6 @@
 package membership
 
-// Rules are the guards of a detector, for tests that switch single ones off.
+// Rules are the safety rules of a detector, for tests that disable some of them.
 type Rules struct {
 	MinObservers      int
 	RequireMajority   bool
@@ -10,7 +10,7 @@
 	StopOnStalledLoop bool
 }
 
-// SetRules has a detector go by other rules, to show that the invariants then break.
+// SetRules replaces the rules of a detector, to show that the invariants then break.
 func SetRules(d *Detector, r Rules) {
 	d.rules = rules{
 		minObservers:      r.MinObservers,
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -17,12 +17,12 @@
 
 const (
 	tickInterval   = 50 * time.Millisecond
-	maxPause       = 2 * time.Second // that a process may stand still
-	gossipFanOut   = 4               // nodes that each statement goes to in a round, as in the library's configuration
-	gossipRounds   = 8               // rounds in which a statement is passed on
+	maxPause       = 2 * time.Second // longest pause of a process that does not lead to its removal
+	gossipFanOut   = 4               // nodes that each statement is sent to per round, as configured for the library
+	gossipRounds   = 8               // rounds in which a statement is forwarded
 	ticksPerRound  = 2
 	networkLatency = time.Millisecond
-	maxPending     = 500 // messages that wait for a process which stands still
+	maxPending     = 500 // messages queued for a paused process
 )
 
 var config = membership.NewConfig(membership.Timings{
@@ -33,8 +33,8 @@
 	ForgetAfter:       time.Minute,
 }, 4000)
 
-// simulation runs detectors in virtual time: their decisions are those of service, on a network with the emulator's
-// faults, with gossip like the library's.
+// simulation runs detectors in virtual time. Their decisions are those of production, the network has the emulator's
+// faults, and gossip is modelled on the library's.
 type simulation struct {
 	now       monotime.Instant
 	nodes     []*simNode
@@ -43,20 +43,20 @@
 	queue     timerqueue.Queue[func()]
 	random    keyhash.Source
 	views     *checker.Views
-	processes uint64 // started until now
+	processes uint64 // number started so far
 	ticks     int
-	configure func(*membership.Detector) // called with each new detector; nil for none
-	recorder  *recorder                  // nil: nothing is recorded
+	configure func(*membership.Detector) // called with each new detector; may be nil
+	recorder  *recorder                  // nil to record nothing
 }
 
-// simNode is a node, whose processes come and go.
+// simNode is a node that runs at most one process at a time.
 type simNode struct {
 	sim         *simulation
 	number      int
 	name        string
 	process     *simProcess // nil while none runs
-	paused      bool        // the process stands still
-	loopStalled bool        // the loop that serves clients stands still, and all else goes on
+	paused      bool        // the process is paused
+	loopStalled bool        // the event loop that serves clients is stalled, and all else goes on
 	pending     []func(*simProcess)
 }
 
@@ -66,7 +66,7 @@
 	detector            *membership.Detector
 	addr                string
 	statements          map[membership.ProcessID]membership.Statement
-	roundsLeft          map[membership.ProcessID]int // of statements that are still to be passed on
+	roundsLeft          map[membership.ProcessID]int // of the statements that are still to be forwarded
 	loopCount           uint64
 	tracedView          uint64
 	tracedAsPartitioned bool
@@ -92,7 +92,7 @@
 
 func addrOf(node int) string { return fmt.Sprintf("10.0.0.%d:7946", node+1) }
 
-// seedNodes are the nodes that each process asks first.
+// seedNodes are the nodes that each process contacts first.
 var seedNodes = []int{0, 1, 2}
 
 // start starts a process of the node.
@@ -131,8 +131,8 @@
 	n.sim.views.Truth(n.sim.now, n.name, false, false)
 }
 
-// setPaused has the process stand still or go on. On going on it ticks before it reads what it missed: the worst
-// order.
+// setPaused pauses or resumes the process. A resumed process ticks before it reads the messages that arrived meanwhile,
+// which is the worst order.
 func (n *simNode) setPaused(paused bool) {
 	if n.process == nil || n.paused == paused {
 		return
@@ -153,13 +153,14 @@
 	}
 }
 
-// setCut cuts one direction between two nodes, or restores it.
+// setCut cuts or restores one direction between two nodes.
 func (s *simulation) setCut(from, to int, cut bool) {
 	s.faults.Change(from, to, func(link *netfault.Link) { link.Cut = cut })
 	s.views.Cut(s.now, from, to, cut)
 }
 
-// partitionFor cuts all ways from some nodes to others for a while; with both set, those back as well.
+// partitionFor cuts all links from one group of nodes to another for a while, and with both set those in the other
+// direction too.
 func (s *simulation) partitionFor(duration time.Duration, both bool, from, to []int) {
 	s.partition(true, both, from, to)
 	s.run(duration)
@@ -180,7 +181,7 @@
 	}
 }
 
-// pauseFor has processes stand still for a while.
+// pauseFor pauses processes for a while.
 func (s *simulation) pauseFor(duration time.Duration, nodes ...int) {
 	for _, n := range nodes {
 		s.nodes[n].setPaused(true)
@@ -191,7 +192,7 @@
 	}
 }
 
-// setNoise sets the shares of datagrams that are lost and doubled, and how late they are at most, on all ways.
+// setNoise sets the fractions of datagrams that are lost and duplicated, and their maximum delay, on all links.
 func (s *simulation) setNoise(lost, doubled float64, late time.Duration) {
 	for a := range s.nodes {
 		for b := range s.nodes {
@@ -204,10 +205,10 @@
 	}
 }
 
-// after has something happen after a while.
+// after schedules a function call.
 func (s *simulation) after(delay time.Duration, do func()) { s.queue.Push(s.now.Add(delay), do) }
 
-// send sends a datagram, which reaches whoever has the address when it arrives.
+// send sends a datagram to the node that has the address now.
 func (p *simProcess) send(addr string, receive func(*simProcess)) {
 	s := p.node.sim
 	to := s.byAddr[addr]
@@ -229,7 +230,7 @@
 	}
 }
 
-// merge takes a statement, and passes it on where it is news.
+// merge handles a statement, and forwards it if it is new.
 func (p *simProcess) merge(statement membership.Statement) {
 	if p.detector.Merge(statement) {
 		p.statements[statement.Process] = statement
@@ -237,7 +238,7 @@
 	}
 }
 
-// sync exchanges all that two processes know, where streams come through.
+// sync exchanges the full state with another process unless streams between them fail.
 func (p *simProcess) sync(addr string) {
 	s := p.node.sim
 	to := s.byAddr[addr]
@@ -299,10 +300,10 @@
 	}
 }
 
-// gossip passes on statements for one round.
+// gossip forwards statements for one round.
 func (p *simProcess) gossip() {
 	s := p.node.sim
-	for _, id := range slices.Sorted(maps.Keys(p.roundsLeft)) { // in order, as each draws at random
+	for _, id := range slices.Sorted(maps.Keys(p.roundsLeft)) { // in a fixed order, as each draws random numbers
 		statement := p.statements[id]
 		for range gossipFanOut {
 			to := s.nodes[int(s.random.Float64()*float64(len(s.nodes)))]
@@ -317,7 +318,7 @@
 	}
 }
 
-// reportView tells the checker of a view that has changed.
+// reportView reports a view that has changed to the checker.
 func (p *simProcess) reportView() {
 	view := p.detector.View()
 	if view.Number == p.tracedView && view.MayBePartitioned == p.tracedAsPartitioned {
@@ -338,7 +339,7 @@
 	p.node.sim.views.Heard(p.node.sim.now, line)
 }
 
-// run goes on for a while. Within each tick interval the processes tick one after the other.
+// run continues the simulation for a while. Within each tick interval the processes tick one after the other.
 func (s *simulation) run(duration time.Duration) {
 	for end := s.now.Add(duration); s.now < end; s.ticks++ {
 		for i, n := range s.nodes {
@@ -352,7 +353,7 @@
 	}
 }
 
-// runUntil does all that happens before an instant.
+// runUntil processes all events before an instant.
 func (s *simulation) runUntil(until monotime.Instant) {
 	for {
 		at, any := s.queue.Next()
@@ -366,5 +367,5 @@
 	s.now = until
 }
 
-// verdict is that of the emulator's checker, who knows the views and what befell the nodes.
+// verdict returns the verdict of the emulator's checker, which knows the views and the failures of the nodes.
 func (s *simulation) verdict() *checker.Verdict { return s.views.Judge(trace.View, maxPause, s.now) }
--- a/internal/membership/statement_test.go
+++ b/internal/membership/statement_test.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/membership"
 )
 
-// A process that leaves in order is out at once, and its return is that of the same process.
+// A process that leaves in order must be removed at once, and its return must be that of the same process.
 func TestLeavingProcessIsRemovedAtOnceAndCanRejoin(t *testing.T) {
 	s := newSimulation(5, 1, nil)
 	s.run(6 * sec)
@@ -33,7 +33,7 @@
 	}
 }
 
-// A statement that no process would make is not taken.
+// Guards against statements that no correct process makes.
 func TestMergeRejectsInvalidStatements(t *testing.T) {
 	detector := membership.New(config, 7, "n1", "10.0.0.1:1", nil)
 	good := membership.Statement{Process: 9, Node: "n2", Addr: "10.0.0.2:1", Revision: 3}
@@ -52,16 +52,16 @@
 		bad := good
 		change(&bad)
 		if detector.Merge(bad) {
-			t.Errorf("%s: taken: %+v", name, bad)
+			t.Errorf("%s: merged: %+v", name, bad)
 		}
 	}
 	if !detector.Merge(good) || detector.Merge(good) {
-		t.Error("a good one is news once")
+		t.Error("a valid statement is not merged exactly once")
 	}
 	renamed := good
 	renamed.Node = "n3"
 	renamed.Revision = 4
 	if detector.Merge(renamed) {
-		t.Error("a process has one name")
+		t.Error("a statement with another name is merged")
 	}
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Views list processes by node and process, whichever came first.
+// Views must list processes by node and process, whatever the order in which these became known.
 func TestViewListsMembersInOrder(t *testing.T) {
 	config := NewConfig(Timings{
 		MaxPause:          2 * time.Second,
