--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -24,7 +24,7 @@
 // In a large fleet, waking up for one datagram at a time would take most of the node's time for the fleet: twelve
 // neighbours send forty heartbeats a second. The detector evaluates heartbeats only at ticks, so batching delays no
 // decision.
-func (t *transport) onTick(batched bool) {
+func (t *memberlistTransport) onTick(batched bool) {
 	t.batchReads.Store(batched)
 	select {
 	case t.ticked <- struct{}{}:
@@ -33,7 +33,7 @@
 }
 
 // readDatagrams reads datagrams until the socket is closed.
-func (t *transport) readDatagrams() {
+func (t *memberlistTransport) readDatagrams() {
 	buffer := make([]byte, maxReadBytes)
 	var batch []ipv4.Message // allocated on first use
 	for {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (t *transport) readOne(buffer []byte) error {
+func (t *memberlistTransport) readOne(buffer []byte) error {
 	n, from, err := t.sockets.Datagrams.ReadFrom(buffer)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 }
 
 // readBatch reads the datagrams that have arrived. If that was all of them, it waits for the next tick.
-func (t *transport) readBatch(from *ipv4.PacketConn, batch []ipv4.Message) error {
+func (t *memberlistTransport) readBatch(from *ipv4.PacketConn, batch []ipv4.Message) error {
 	n, err := from.ReadBatch(batch, 0)
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 }
 
 // onDatagram handles a datagram. It does not retain the slice.
-func (t *transport) onDatagram(datagram []byte, from net.Addr) {
+func (t *memberlistTransport) onDatagram(datagram []byte, from net.Addr) {
 	t.counters.in.Add(1)
 	t.counters.inBytes.Add(uint64(len(datagram)))
 	kind, ok := t.fleet.readPreface(datagram)
@@ -118,7 +118,7 @@
 }
 
 // send sends a message in one datagram.
-func (t *transport) send(kind byte, message []byte, addr string) error {
+func (t *memberlistTransport) send(kind byte, message []byte, addr string) error {
 	to, err := t.sockets.Addr(t.route(addr))
 	if err != nil {
 		return err
@@ -136,14 +136,14 @@
 }
 
 // WriteTo implements memberlist.Transport.
-func (t *transport) WriteTo(message []byte, addr string) (time.Time, error) {
+func (t *memberlistTransport) WriteTo(message []byte, addr string) (time.Time, error) {
 	return time.Now(), t.send(kindLibrary, message, addr)
 }
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
-func (t *transport) WriteToAddress(message []byte, addr memberlist.Address) (time.Time, error) {
+func (t *memberlistTransport) WriteToAddress(message []byte, addr memberlist.Address) (time.Time, error) {
 	return t.WriteTo(message, addr.Addr)
 }
 
 // PacketCh implements memberlist.Transport.
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *memberlistTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
--- a/internal/membership/gossip/datagrams_test.go
+++ b/internal/membership/gossip/datagrams_test.go
@@ -14,7 +14,7 @@
 
 // largeFleetReceiver reads datagrams with a transport, and counts the heartbeats that arrive.
 type largeFleetReceiver struct {
-	*transport
+	*memberlistTransport
 	heard   atomic.Int64
 	damaged atomic.Int64
 	conn    net.Conn // connected to the transport
@@ -30,7 +30,7 @@
 	payload := strings.Repeat(testPayload, 112) // about 1,000 bytes
 	r := &largeFleetReceiver{}
 	config := &fleetconfig.File{Fleet: fleetconfig.Fleet{Label: "f"}}
-	r.transport = newTransport(sockets, addr, config, func(message []byte) {
+	r.memberlistTransport = newTransport(sockets, addr, config, func(message []byte) {
 		r.heard.Add(1)
 		if string(message) != payload {
 			r.damaged.Add(1)
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -47,7 +47,7 @@
 type Node struct {
 	Config
 	process   membership.ProcessID
-	transport *transport
+	transport *memberlistTransport
 	list      *memberlist.Memberlist
 	queue     *memberlist.TransmitLimitedQueue // statements to be gossiped
 	tracer    *tracer                          // nil if the trace is disabled
--- a/internal/membership/gossip/streams.go
+++ b/internal/membership/gossip/streams.go
@@ -14,7 +14,7 @@
 const prefaceTimeout = 2 * time.Second
 
 // acceptStreams accepts streams until the socket is closed. Streams beyond maxStreamsIn are dropped and counted.
-func (t *transport) acceptStreams() {
+func (t *memberlistTransport) acceptStreams() {
 	for {
 		conn, err := t.sockets.Streams.Accept()
 		if err != nil {
@@ -35,7 +35,7 @@
 }
 
 // onStream reads the preface of a stream and passes the stream to the library.
-func (t *transport) onStream(accepted net.Conn) {
+func (t *memberlistTransport) onStream(accepted net.Conn) {
 	flow := &t.counters.flows[flowStreams]
 	stream := &limitedConn{Conn: &countingConn{Conn: accepted, flow: flow}, slots: t.streamSlots}
 	if !t.hasLibraryPreface(stream) {
@@ -54,7 +54,7 @@
 }
 
 // hasLibraryPreface reads the preface of a stream, and reports whether it is that of the library in this fleet.
-func (t *transport) hasLibraryPreface(stream net.Conn) bool {
+func (t *memberlistTransport) hasLibraryPreface(stream net.Conn) bool {
 	preface := make([]byte, prefaceBytes)
 	_ = stream.SetReadDeadline(time.Now().Add(prefaceTimeout))
 	if _, err := io.ReadFull(stream, preface); err != nil {
@@ -78,7 +78,7 @@
 }
 
 // DialTimeout implements memberlist.Transport. It sends the preface before it returns the stream.
-func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (t *memberlistTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	dialled, err := t.sockets.Dial(t.route(addr), timeout)
 	if err != nil {
 		return nil, err
@@ -96,9 +96,9 @@
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (t *memberlistTransport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(addr.Addr, timeout)
 }
 
 // StreamCh implements memberlist.Transport.
-func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+func (t *memberlistTransport) StreamCh() <-chan net.Conn { return t.streams }
--- a/internal/membership/gossip/transport.go
+++ b/internal/membership/gossip/transport.go
@@ -31,9 +31,9 @@
 // being rejected.
 const Descriptors = 2 + maxStreamsIn + maxStreamsOut + 1
 
-// transport carries heartbeats and the library's messages over the same two sockets, for one fleet only. It implements
-// memberlist.NodeAwareTransport.
-type transport struct {
+// memberlistTransport carries heartbeats and the library's messages over the same two sockets, for one fleet only. It
+// implements memberlist.NodeAwareTransport.
+type memberlistTransport struct {
 	sockets    Transport
 	advertised netip.AddrPort // address at which others reach this node
 	fleet      fleetID
@@ -52,7 +52,7 @@
 	closeOnce sync.Once
 }
 
-var _ memberlist.NodeAwareTransport = (*transport)(nil)
+var _ memberlist.NodeAwareTransport = (*memberlistTransport)(nil)
 
 // newTransport starts to read the sockets, and calls onHeartbeat with each heartbeat of this fleet.
 func newTransport(
@@ -60,8 +60,8 @@
 	advertised netip.AddrPort,
 	c *fleetconfig.File,
 	onHeartbeat func(message []byte),
-) *transport {
-	t := &transport{
+) *memberlistTransport {
+	t := &memberlistTransport{
 		sockets:     sockets,
 		advertised:  advertised,
 		fleet:       fleetIDOf(c.Fleet.Label),
@@ -82,14 +82,14 @@
 }
 
 // route returns the address to use for a member that advertises addr.
-func (t *transport) route(addr string) string {
+func (t *memberlistTransport) route(addr string) string {
 	if through, ok := t.mappings[addr]; ok {
 		return through
 	}
 	return addr
 }
 
-func (t *transport) isClosed() bool {
+func (t *memberlistTransport) isClosed() bool {
 	select {
 	case <-t.closed:
 		return true
@@ -99,12 +99,12 @@
 }
 
 // FinalAdvertiseAddr implements memberlist.Transport.
-func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (t *memberlistTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertised.Addr().AsSlice(), int(t.advertised.Port()), nil
 }
 
 // Shutdown implements memberlist.Transport. It ends the goroutines that read the sockets.
-func (t *transport) Shutdown() error {
+func (t *memberlistTransport) Shutdown() error {
 	t.closeOnce.Do(func() {
 		close(t.closed)
 		t.sockets.close()
