--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -26,9 +26,9 @@
 var fleetSizes = []int{12, 80, 300, 480}
 
 // failureSequences returns all sequences of failing behaviours up to a length.
-func failureSequences(most int) (all [][]behaviour) {
+func failureSequences(maxLength int) (all [][]behaviour) {
 	last := [][]behaviour{{}}
-	for range most {
+	for range maxLength {
 		var next [][]behaviour
 		for _, o := range last {
 			for _, m := range []behaviour{late, silent, refusing, resetting, truncating} {
@@ -84,29 +84,29 @@
 	if o.versionsRestart {
 		fleet.newVersion = 3
 	}
-	for _, a := range fleet.nodes {
+	for _, node := range fleet.nodes {
 		if !o.hasList {
-			a.Poller = New(nodes)
+			node.Poller = New(nodes)
 		}
 		if o.losesPoll {
-			fleet.schedule(at, func() { a.losesNextPoll = a.backsOff })
+			fleet.schedule(at, func() { node.losesNextPoll = node.backsOff })
 		}
 		if o.changesAddress {
-			fleet.schedule(time.Duration(random.Float64()*float64(at)), func() { fleet.changeAddress(a) })
+			fleet.schedule(time.Duration(random.Float64()*float64(at)), func() { fleet.changeAddress(node) })
 		}
 	}
 	fleet.run(recoveredAt+2*slowBound, o.fromStart)
-	for _, a := range fleet.nodes {
+	for _, node := range fleet.nodes {
 		switch {
-		case a.notifiedAt == 0:
+		case node.notifiedAt == 0:
 			last = time.Hour
-		case a.notifiedAt < at+o.window+2*networkDelay:
+		case node.notifiedAt < at+o.window+2*networkDelay:
 			inWindow++
 		default: // the bound applies from the final recovery on
-			last = max(last, a.notifiedAt-recoveredAt)
+			last = max(last, node.notifiedAt-recoveredAt)
 		}
 		if o.window == 0 {
-			last = max(last, a.notifiedAt-at)
+			last = max(last, node.notifiedAt-at)
 		}
 	}
 	return last, inWindow
@@ -207,9 +207,9 @@
 		fleet.slowPeriod = [2]time.Duration{from, until}
 		fleet.run(until+20*time.Second, false)
 		last, after := time.Duration(0), time.Duration(0)
-		for _, a := range fleet.nodes {
-			last = max(last, a.notifiedAt-until)
-			if a.notifiedAt == 0 {
+		for _, node := range fleet.nodes {
+			last = max(last, node.notifiedAt-until)
+			if node.notifiedAt == 0 {
 				last = time.Hour
 			}
 		}
--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -189,8 +189,8 @@
 		failure string
 		rules   membership.Rules
 	}{
-		// Without two observers and the majority. Each alone would keep the member that one other process does not
-		// hear.
+		// The detector lacks two observers and the majority. Either of them alone would keep the member that one other
+		// process does not hear.
 		{"one observer is enough", "one does not hear another", membership.Rules{
 			MinObservers:      1,
 			DetectIsolation:   true,
@@ -198,28 +198,28 @@
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// Without isolation and the freeze. In this failure, isolation alone would be enough.
+		// The detector lacks isolation and the freeze. In this failure, isolation alone would be enough.
 		{"neither isolation nor freeze", "halves", membership.Rules{
 			MinObservers:      2,
 			RequireMajority:   true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// Without isolation and the freeze. MinObservers is 1 as well: while no statement arrives, a process has only
-		// its own, so that two observers would already prevent each removal.
+		// The detector lacks isolation and the freeze. MinObservers is 1 as well: while no statement arrives, a process
+		// has only its own, so that two observers would already prevent each removal.
 		{"considers all others dead", "the network down for everyone", membership.Rules{
 			MinObservers:      1,
 			RequireMajority:   true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// Without the run time, and without all other rules but that of the loop. Two observers alone would hide the
+		// The detector lacks the run time and all other rules but that of the loop. Two observers alone would hide the
 		// fault, as only the one process that was stopped misses the others.
 		{"measures by the clock", "stopped for more", membership.Rules{
 			MinObservers:      1,
 			StopOnStalledLoop: true,
 		}},
-		// Without the stop of heartbeats only.
+		// The detector lacks only the rule that stops heartbeats.
 		{"sends heartbeats while its loop is stalled", "the loop hangs", membership.Rules{
 			MinObservers:    2,
 			RequireMajority: true,
--- a/internal/membership/histories_test.go
+++ b/internal/membership/histories_test.go
@@ -24,8 +24,8 @@
 }
 
 // drawDuration draws a duration in tenths of a second.
-func drawDuration(t *rapid.T, most int, name string) time.Duration {
-	return time.Duration(rapid.IntRange(1, most).Draw(t, name)) * sec / 10
+func drawDuration(t *rapid.T, maxTenths int, name string) time.Duration {
+	return time.Duration(rapid.IntRange(1, maxTenths).Draw(t, name)) * sec / 10
 }
 
 // injectRandomFailure starts one failure; most end by themselves later.
--- a/internal/membership/names_test.go
+++ b/internal/membership/names_test.go
@@ -12,18 +12,18 @@
 // way; if one starts later, the live process that has the name must keep it.
 func TestDuplicateNameLeavesOneProcess(t *testing.T) {
 	for seed := range seedCount(10) {
-		for _, late := range []time.Duration{0, 8 * sec} {
+		for _, delay := range []time.Duration{0, 8 * sec} {
 			s := newSimulation(5, seed, nil)
-			s.run(late)
+			s.run(delay)
 			duplicate := s.startDuplicate("n2")
 			first := s.nodes[1].process
 			s.run(12 * sec)
 			firstRuns := s.nodes[1].process != nil
 			duplicateRuns := duplicate.process != nil
-			if firstRuns == duplicateRuns || late > 0 && !firstRuns {
-				t.Errorf("seed %d, %v later: the first runs: %v, the second: %v", seed, late, firstRuns, duplicateRuns)
+			if firstRuns == duplicateRuns || delay > 0 && !firstRuns {
+				t.Errorf("seed %d, %v later: the first runs: %v, the second: %v", seed, delay, firstRuns, duplicateRuns)
 			}
-			if late > 0 && s.nodes[1].process != first {
+			if delay > 0 && s.nodes[1].process != first {
 				t.Errorf("seed %d: the first process was replaced", seed)
 			}
 			expectOneView(t, s, 5)
--- a/internal/membership/peers_test.go
+++ b/internal/membership/peers_test.go
@@ -54,13 +54,13 @@
 func compareWithSorted(t *testing.T, table *peerTable) {
 	t.Helper()
 	table.sorted()
-	anew := peerTable{byID: table.byID}
-	anew.sorted()
-	sameOrder := slices.Equal(table.byOrder, anew.byOrder) && slices.Equal(table.byName, anew.byName)
-	if !sameOrder || len(table.byNode) != len(anew.byNode) {
+	resorted := peerTable{byID: table.byID}
+	resorted.sorted()
+	sameOrder := slices.Equal(table.byOrder, resorted.byOrder) && slices.Equal(table.byName, resorted.byName)
+	if !sameOrder || len(table.byNode) != len(resorted.byNode) {
 		t.Error("the sorted lists differ from those that sorting gives")
 	}
-	for node, peers := range anew.byNode {
+	for node, peers := range resorted.byNode {
 		if !slices.Equal(peers, table.byNode[node]) {
 			t.Errorf("%s: %d processes, %d by sorting", node, len(table.byNode[node]), len(peers))
 		}
