--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -11,7 +11,7 @@
 	"dahliapin/internal/control/replicatedlog"
 )
 
-// MessageKind says which of a Message's fields are set.
+// MessageKind is the type of a Message; it determines which fields are set.
 type MessageKind uint8
 
 // The kinds of messages.
@@ -24,14 +24,14 @@
 	KindOrdered       MessageKind = 6  // to a client: the index of each proposal
 	KindRejected      MessageKind = 7  // to a client: why the proposals were not ordered
 	KindStatusRequest MessageKind = 8  // from a client
-	KindStatusTable   MessageKind = 9  // to a client: all that is known; between control servers: the sender's own part
+	KindStatusTable   MessageKind = 9  // to a client: all reports; between control servers: the sender's own reports
 	KindRaft          MessageKind = 10 // between control servers: raft messages
 )
 
-// messageVersion stands in each message. A message without a version is malformed.
+// messageVersion is part of every message. A message without a version is malformed.
 const messageVersion = 1
 
-// Bounds of what a message may hold, so that a faulty sender cannot fill the receiver's memory.
+// Limits on the contents of a message, so that a faulty sender cannot exhaust the receiver's memory.
 const (
 	MaxNameBytes   = 200  // of a node's or cache's name
 	MaxReasonBytes = 300  // of the reason for which something was refused
@@ -41,11 +41,11 @@
 	maxServers = 9 // control servers whose cache reports are in one table
 )
 
-// ErrMalformed says that bytes are not a message of this protocol.
-var ErrMalformed = errors.New("not a message of the log of changes")
+// ErrMalformed reports bytes that are not a valid preface, frame or message of this protocol.
+var ErrMalformed = errors.New("malformed control protocol data")
 
-// Message is what a frame holds: CBOR with numbered fields, of which unknown ones are skipped. Its Kind says which
-// fields are set. The protocol has one flat record for all kinds, hence the number of fields.
+// Message is the content of a frame, encoded as CBOR with numbered fields; unknown fields are skipped. All kinds share
+// this one flat struct, and Kind determines which fields are set.
 type Message struct {
 	Version      uint32            `cbor:"0,keyasint"` // set by EncodeFrame
 	Kind         MessageKind       `cbor:"1,keyasint"`
@@ -65,24 +65,23 @@
 	Caches       []purge.Progress  `cbor:"15,keyasint,omitempty"` // purges at caches, by control server
 }
 
-// NodeReport is how far a node has applied the replicated log, as the node says, with what control servers add when
-// they pass it on.
+// NodeReport is a node's own report of how far it has applied the replicated log. Control servers fill in Server and
+// AgeMs when they pass it on.
 type NodeReport struct {
 	Node           string `cbor:"1,keyasint"`
 	Process        uint64 `cbor:"2,keyasint,omitempty"` // a random number for each process of the node
 	Applied        uint64 `cbor:"3,keyasint"`
 	Config         uint64 `cbor:"4,keyasint,omitempty"`  // index of the configuration in force; 0 for the node's own
-	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of a configuration that it could not take; 0 for none
+	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of a configuration that it rejected; 0 for none
 	PresumedPurged uint64 `cbor:"6,keyasint,omitempty"`  // everything up to here may have been purged
-	Gaps           uint64 `cbor:"7,keyasint,omitempty"`  // times that entries did not follow what was applied
+	Gaps           uint64 `cbor:"7,keyasint,omitempty"`  // times that entries did not follow the applied ones
 	Reason         string `cbor:"8,keyasint,omitempty"`  // why a configuration was refused
 	Server         uint64 `cbor:"9,keyasint,omitempty"`  // set by control servers: the one that the node follows
-	AgeMs          uint64 `cbor:"10,keyasint,omitempty"` // set by control servers: milliseconds since the node said so
+	AgeMs          uint64 `cbor:"10,keyasint,omitempty"` // set by control servers: milliseconds since the report
 	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
 }
 
-// ServerReport is the state of a control server, as it reports itself or as it last reported to another one. It is
-// flat, as the protocol has it.
+// ServerReport is the state of a control server: its own, or what it last reported to another one.
 type ServerReport struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -96,14 +95,13 @@
 	Config      uint64 `cbor:"10,keyasint,omitempty"` // index of the newest configuration
 	BytesIn     uint64 `cbor:"11,keyasint,omitempty"` // from nodes and other control servers
 	BytesOut    uint64 `cbor:"12,keyasint,omitempty"`
-	Invalid     uint64 `cbor:"13,keyasint,omitempty"` // malformed streams and messages, and those not for it
+	Invalid     uint64 `cbor:"13,keyasint,omitempty"` // malformed streams and messages, and messages for others
 	Rejected    uint64 `cbor:"14,keyasint,omitempty"` // streams closed because too many were open
 	RunsPurges  bool   `cbor:"15,keyasint,omitempty"` // it carries purges out at caches
 	NoCacheList bool   `cbor:"16,keyasint,omitempty"` // and has no list of caches yet
 }
 
-// EncodeFrame returns a message with its length before it. A message of more than maxBytes is refused with
-// ErrMalformed.
+// EncodeFrame encodes a message with its length prefix. It returns ErrMalformed for a message of more than maxBytes.
 func EncodeFrame(message Message, maxBytes int) ([]byte, error) {
 	message.Version = messageVersion
 	body, err := cbor.Marshal(message)
@@ -111,21 +109,21 @@
 		return nil, fmt.Errorf("cannot encode a message of kind %d: %w", message.Kind, err)
 	}
 	if len(body) > maxBytes {
-		return nil, fmt.Errorf("%w: %d bytes to send, %d can be", ErrMalformed, len(body), maxBytes)
+		return nil, fmt.Errorf("%w: cannot send a message of %d bytes, limit %d", ErrMalformed, len(body), maxBytes)
 	}
 	frame := make([]byte, 0, lengthBytes+len(body))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
 	return append(frame, body...), nil
 }
 
-// decodeMessage decodes the body of a frame and checks its bounds.
+// decodeMessage decodes the body of a frame and checks the limits on its contents.
 func decodeMessage(body []byte) (Message, error) {
 	var message Message
 	if err := replicatedlog.DecodeMode.Unmarshal(body, &message); err != nil {
 		return message, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if message.Version == 0 || len(message.Nodes) > MaxNodes || len(message.Caches) > maxServers*MaxCaches {
-		return message, fmt.Errorf("%w: version %d, %d rows, %d of caches", ErrMalformed,
+		return message, fmt.Errorf("%w: version %d, %d node reports, %d cache reports", ErrMalformed,
 			message.Version, len(message.Nodes), len(message.Caches))
 	}
 	return message, nil
--- a/internal/control/controlwire/stream.go
+++ b/internal/control/controlwire/stream.go
@@ -12,15 +12,15 @@
 const (
 	// MaxFrameBytes bounds a frame between a control server and a node or client.
 	MaxFrameBytes = 4 << 20
-	// MaxPeerFrameBytes bounds a frame between control servers: a snapshot holds all entries that are kept.
+	// MaxPeerFrameBytes bounds a frame between control servers: a snapshot holds all retained entries.
 	MaxPeerFrameBytes = 128 << 20
 
 	lengthBytes       = 4        // of a frame's length
-	preallocatedBytes = 16 << 10 // frames up to here are read in one piece; longer ones grow as their bytes arrive
+	preallocatedBytes = 16 << 10 // shorter frames are read in one piece; longer ones grow as bytes arrive
 	readBufferBytes   = 4 << 10  // longer reads bypass the buffer
 )
 
-// DialFunc opens a connection to an address within a time. nil stands for TCP.
+// DialFunc opens a connection to an address within a timeout. A nil DialFunc stands for TCP.
 type DialFunc func(addr string, within time.Duration) (net.Conn, error)
 
 // Stream is a connection that carries frames.
@@ -30,12 +30,12 @@
 	maxFrameBytes int // of frames in both directions
 }
 
-// NewStream makes a stream of a connection. Frames of more than maxFrameBytes are refused in both directions.
+// NewStream wraps a connection. Frames of more than maxFrameBytes are rejected in both directions.
 func NewStream(conn net.Conn, maxFrameBytes int) *Stream {
 	return &Stream{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), maxFrameBytes: maxFrameBytes}
 }
 
-// Dial opens a stream to an address and writes its preface. Errors are the network's.
+// Dial opens a stream to an address and writes the preface. It returns the network's errors unchanged.
 func Dial(dial DialFunc, addr string, kind StreamKind, label string, maxFrameBytes int) (*Stream, error) {
 	if dial == nil {
 		dial = func(addr string, within time.Duration) (net.Conn, error) { return net.DialTimeout("tcp", addr, within) }
@@ -52,8 +52,8 @@
 	return NewStream(conn, maxFrameBytes), nil
 }
 
-// Send writes a message within a time and returns the number of bytes written. After an error the stream is of no
-// more use.
+// Send writes a message within a timeout and returns the number of bytes written. After an error the stream cannot be
+// used any more.
 func (s *Stream) Send(message Message, timeout time.Duration) (int, error) {
 	frame, err := EncodeFrame(message, s.maxFrameBytes)
 	if err != nil {
@@ -63,9 +63,10 @@
 	return s.Write(frame)
 }
 
-// Receive reads a message, and returns it with the number of bytes that it took. It returns ErrMalformed for what is
-// no message, and the network's error where the message did not arrive whole within the time; one of more than
-// MaxFrameBytes has SnapshotTimeout from its length on. After an error the stream is of no more use.
+// Receive reads a message and returns it with its size in bytes, including the length prefix. It returns ErrMalformed
+// for anything that is not a message, and the network's error if the message is not complete within the timeout. A
+// message of more than MaxFrameBytes has SnapshotTimeout from the arrival of its length. After an error the stream
+// cannot be used any more.
 func (s *Stream) Receive(timeout time.Duration) (Message, int, error) {
 	_ = s.SetReadDeadline(time.Now().Add(timeout))
 	var length [lengthBytes]byte
@@ -74,7 +75,7 @@
 	}
 	size := int(binary.BigEndian.Uint32(length[:]))
 	if size > s.maxFrameBytes {
-		return Message{}, 0, fmt.Errorf("%w: %d bytes, %d can be", ErrMalformed, size, s.maxFrameBytes)
+		return Message{}, 0, fmt.Errorf("%w: frame of %d bytes, limit %d", ErrMalformed, size, s.maxFrameBytes)
 	}
 	body, err := s.readBody(size)
 	if err != nil {
@@ -87,9 +88,8 @@
 	return message, lengthBytes + size, nil
 }
 
-// readBody reads the rest of a frame. Memory for a long one is not allocated on the word of its length: a sender that
-// announces 128 MiB and then sends nothing would otherwise hold that much for as long as the stream is open, on each
-// of its streams.
+// readBody reads the body of a frame. It does not allocate the announced length of a long frame in advance: a sender
+// that announces 128 MiB and then sends nothing would otherwise hold that much memory on each of its open streams.
 func (s *Stream) readBody(size int) ([]byte, error) {
 	if size <= preallocatedBytes {
 		body := make([]byte, size)
