--- a/internal/control/logfollower/config.go
+++ b/internal/control/logfollower/config.go
@@ -15,30 +15,30 @@
 // another server.
 const Descriptors = 2
 
-// Applier applies the log at a node. replicatedlog.Applier is the one of the product; tests have others.
+// Applier applies the log at a node. Production code uses replicatedlog.Applier; tests have others.
 type Applier interface {
-	// Start starts at an index of a log, with the encoded configuration that is in force there; empty for none.
+	// Start begins at an index of a log, with the encoded configuration in force at that index; empty for none.
 	Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error
-	// Apply applies encoded entries in order. An error that wraps replicatedlog.ErrGap has the same server asked
-	// again.
+	// Apply applies encoded entries in order. After an error that wraps replicatedlog.ErrGap the Follower reconnects
+	// to the same server.
 	Apply([]cbor.RawMessage) error
-	// CurrentProgress says how far it has come.
+	// CurrentProgress returns how far the log has been applied.
 	CurrentProgress() replicatedlog.Progress
 }
 
-// Config is what a Follower is started with.
+// Config configures a Follower.
 type Config struct {
 	Name       string        // of the node, unique in the fleet
 	Process    uint64        // a random number for this process of the node
-	Label      string        // of the fleet; servers of another one reject the stream
+	Label      string        // of the fleet; servers of another fleet reject the stream
 	Servers    []string      // addresses of control servers, at least one
 	Seed       uint32        // for the order of servers and the jitter
-	StaleAfter time.Duration // without a message from a server that has a leader
+	StaleAfter time.Duration // time without a message from a server that has a leader
 	Applier    Applier       // called by one goroutine
 	Log        *logrus.Logger
-	Now        func() monotime.Instant // of a clock that runs through suspends
+	Now        func() monotime.Instant // of a clock that also runs while the machine is suspended
 	Dial       controlwire.DialFunc    // nil for TCP
-	// OnProgressSent is called before a report with the index in it. The invariant checker of tests sets it; nil for
-	// nobody.
+	// OnProgressSent, if not nil, is called with the reported index before each progress report is sent. Tests set it
+	// for their invariant checker.
 	OnProgressSent func(applied replicatedlog.Index)
 }
--- a/internal/control/logfollower/follower.go
+++ b/internal/control/logfollower/follower.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// serverTimeout is the silence after which a node leaves its server: four heartbeats.
+	// serverTimeout is the time without a message, four heartbeats, after which a node leaves its server.
 	serverTimeout = 4 * controlwire.HeartbeatInterval
-	// leaderlessTimeout is how long a server may say that it has no leader before the node leaves it: longer than an
-	// election takes.
+	// leaderlessTimeout is how long a server may report that it has no leader before the node leaves it. It is longer
+	// than an election takes.
 	leaderlessTimeout = 2 * time.Second
-	// maxLeaderlessTimeout bounds the same where no server has a leader. It is doubled at each server, so that a
-	// fleet without a quorum does not have all of its nodes move on all the time.
+	// maxLeaderlessTimeout bounds that time while no server has a leader. The time doubles with each such server, so
+	// that the nodes of a fleet without a quorum do not reconnect all the time.
 	maxLeaderlessTimeout = 30 * time.Second
 	// firstReconnectDelay is the backoff before the second server is tried.
 	firstReconnectDelay = 100 * time.Millisecond
 )
 
-// errNoLeader ends the stream to a server that said for too long that it has no leader.
-var errNoLeader = errors.New("the control machine hears no leader")
+// errNoLeader ends the stream to a server that has reported for too long that it has no leader.
+var errNoLeader = errors.New("the control server has no leader")
 
 // Follower follows the replicated log for one node.
 type Follower struct {
 	Config
-	order        []string // of Config.Servers, this node's own
-	random       keyhash.Source
-	progress     atomic.Pointer[replicatedlog.Progress] // a copy of the Applier's, written by run
-	lastIndex    atomic.Uint64                          // newest entry that a server was known to have
-	leaderSeenAt atomic.Int64                           // monotime.Instant of a message of a server that has a leader
-	server       atomic.Pointer[string]                 // address of the open stream; empty for none
-	moves        atomic.Uint64                          // streams opened
-	bytesIn      atomic.Uint64
-	bytesOut     atomic.Uint64
-	closed       chan struct{} // closed by Close
-	done         chan struct{} // closed when run has ended
-	closeOnce    sync.Once
-	loggedStale  bool // what logStaleness said last
+	order         []string // of Config.Servers, this node's own
+	random        keyhash.Source
+	progress      atomic.Pointer[replicatedlog.Progress] // a copy of the Applier's, written by run
+	lastIndex     atomic.Uint64                          // index of the newest entry that a server reported
+	leaderSeenAt  atomic.Int64                           // monotime.Instant: last message of a server with a leader
+	server        atomic.Pointer[string]                 // address of the open stream; empty for none
+	streamsOpened atomic.Uint64                          // streams opened
+	bytesIn       atomic.Uint64
+	bytesOut      atomic.Uint64
+	closed        chan struct{} // closed by Close
+	done          chan struct{} // closed when run has ended
+	closeOnce     sync.Once
+	loggedStale   bool // the staleness that logStaleness logged last
 }
 
-// Start starts to follow, and does not wait for a server to answer. Close ends it.
+// Start starts a Follower without waiting for a server to answer. Close stops it.
 func Start(config Config) *Follower {
 	f := &Follower{
 		Config: config,
@@ -63,8 +63,8 @@
 	return f
 }
 
-// serverOrder sorts the servers by a hash of address and seed, so that the nodes of a server that goes away spread
-// over all others.
+// serverOrder sorts the servers by a hash of address and seed, so that the nodes of a failed server spread over all
+// others.
 func serverOrder(servers []string, seed uint32) []string {
 	order := slices.Clone(servers)
 	rank := func(addr string) uint64 { return keyhash.Salted(keyhash.String(addr), int(seed)) }
@@ -72,24 +72,24 @@
 	return order
 }
 
-// Close ends the Follower and waits until the Applier is no longer called.
+// Close stops the Follower and waits until the Applier is no longer called.
 func (f *Follower) Close() {
 	f.closeOnce.Do(func() { close(f.closed) })
 	<-f.done
 }
 
-// publishProgress copies the Applier's progress to where other goroutines read it.
+// publishProgress makes a copy of the Applier's progress visible to other goroutines.
 func (f *Follower) publishProgress() {
 	progress := f.Applier.CurrentProgress()
 	f.progress.Store(&progress)
 }
 
-// run goes from server to server until Close.
+// run follows one server after another until Close.
 func (f *Follower) run() {
 	defer close(f.done)
-	patience := leaderlessTimeout
+	leaderlessLimit := leaderlessTimeout
 	next := 0     // position in order
-	failures := 0 // streams in a row that brought nothing of a server with a leader, and the one that just ended
+	failures := 0 // consecutive streams without a leader; the stream that just ended always counts
 	for {
 		if failures > 0 {
 			delay := controlwire.ReconnectDelay(firstReconnectDelay, failures, f.random.Float64())
@@ -103,15 +103,15 @@
 		stream, err := controlwire.Dial(f.Dial, addr, controlwire.StreamFollower, f.Label, controlwire.MaxFrameBytes)
 		if err == nil {
 			var sawLeader bool
-			sawLeader, err = f.followAt(addr, stream, patience)
+			sawLeader, err = f.followAt(addr, stream, leaderlessLimit)
 			if sawLeader {
 				failures = 0
-				patience = leaderlessTimeout
+				leaderlessLimit = leaderlessTimeout
 			} else {
-				patience = min(2*patience, maxLeaderlessTimeout)
+				leaderlessLimit = min(2*leaderlessLimit, maxLeaderlessTimeout)
 			}
 		}
-		if !errors.Is(err, replicatedlog.ErrGap) { // after a gap the same server sends again what was not applied
+		if !errors.Is(err, replicatedlog.ErrGap) { // after a gap the same server resends what was not applied
 			next++
 		}
 		failures++
@@ -120,26 +120,26 @@
 		case <-f.closed:
 			return
 		default:
-			f.Log.WithError(err).WithField("machine", addr).Debug("the log of changes is followed elsewhere")
+			f.Log.WithError(err).WithField("machine", addr).Debug("the stream to the control server ended; reconnecting")
 		}
 	}
 }
 
-// followAt follows over a stream until it ends, and says whether the server had a leader at some time.
+// followAt follows over a stream until it ends, and reports whether the server had a leader at any time.
 func (f *Follower) followAt(
-	addr string, stream *controlwire.Stream, patience time.Duration,
+	addr string, stream *controlwire.Stream, leaderlessLimit time.Duration,
 ) (sawLeader bool, err error) {
-	f.moves.Add(1)
+	f.streamsOpened.Add(1)
 	f.server.Store(&addr)
 	before := f.leaderSeenAt.Load()
-	err = f.followStream(stream, patience)
+	err = f.followStream(stream, leaderlessLimit)
 	_ = stream.Close()
 	f.server.Store(new(string))
 	return f.leaderSeenAt.Load() != before, err
 }
 
-// noteLeader notes that a message of a server that has a leader arrived.
-func (f *Follower) noteLeader() {
+// recordLeaderSeen notes that a message of a server that has a leader arrived.
+func (f *Follower) recordLeaderSeen() {
 	f.leaderSeenAt.Store(int64(f.Now()))
 	f.logStaleness()
 }
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -9,26 +9,26 @@
 	"dahliapin/internal/monotime"
 )
 
-// Status is how a node follows the replicated log, for operators. It is flat, as they get it in JSON.
+// Status is the state of a Follower, as operators get it in JSON.
 type Status struct {
 	Applied        replicatedlog.Index `json:"applied"`
-	LastKnown      replicatedlog.Index `json:"head"`   // the newest entry that a server was known to have
+	LastKnown      replicatedlog.Index `json:"head"`   // index of the newest entry that a server reported
 	Config         replicatedlog.Index `json:"config"` // of the configuration in force; 0 for the node's own
 	Refused        replicatedlog.Index `json:"refused,omitempty"`
 	Reason         string              `json:"reason,omitempty"`   // why that configuration was refused
 	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
 	Purges         uint64              `json:"purges"`             // applied
 	Unknown        uint64              `json:"unknown,omitempty"`  // entries of kinds that this version does not know
-	Gaps           uint64              `json:"gaps"`               // times that entries did not follow what was applied
+	Gaps           uint64              `json:"gaps"`               // times that entries did not follow the applied ones
 	StreamsOpened  uint64              `json:"moves"`              // streams opened
-	Server         string              `json:"via"`                // the control server's address; empty between two
-	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a server that has a leader was heard
+	Server         string              `json:"via"`                // the control server's address; empty if not connected
+	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a message of a server that has a leader
 	Stale          bool                `json:"stale"`              // SinceLeaderS is over Config.StaleAfter
 	BytesIn        uint64              `json:"bytes_in"`
 	BytesOut       uint64              `json:"bytes_out"`
 }
 
-// Status returns how the node follows. It may be called from anywhere.
+// Status returns the current state. It may be called from any goroutine.
 func (f *Follower) Status() Status {
 	progress := f.progress.Load()
 	silence := time.Duration(f.Now() - monotime.Instant(f.leaderSeenAt.Load()))
@@ -42,7 +42,7 @@
 		Purges:         progress.Purges,
 		Unknown:        progress.Unknown,
 		Gaps:           progress.Gaps,
-		StreamsOpened:  f.moves.Load(),
+		StreamsOpened:  f.streamsOpened.Load(),
 		Server:         *f.server.Load(),
 		SinceLeaderS:   silence.Seconds(),
 		Stale:          silence > f.StaleAfter,
@@ -51,7 +51,7 @@
 	}
 }
 
-// logStaleness logs once that the log has become stale, and once that it is no longer. It is run's.
+// logStaleness logs when the log becomes stale, and when it is current again. Only run and its callees may call it.
 func (f *Follower) logStaleness() {
 	status := f.Status()
 	if status.Stale == f.loggedStale {
@@ -63,5 +63,5 @@
 		"heard_s": status.SinceLeaderS,
 		"applied": status.Applied,
 		"config":  status.Config,
-	}).Warn("the log of changes")
+	}).Warn("staleness of the replicated log changed; the last configuration stays in force")
 }
--- a/internal/control/logfollower/stream.go
+++ b/internal/control/logfollower/stream.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxUnreportedBytes of entries are applied before a report is sent at once: the server stops sending when too
-	// much is unreported.
+	// maxUnreportedBytes is how many bytes may be received before a report is sent at once. The server stops sending
+	// when too much is unreported.
 	maxUnreportedBytes = 64 << 10
-	// idleReportInterval is how often progress is reported although it has not changed, as a sign of life for the
-	// server.
+	// idleReportInterval is how often unchanged progress is reported, so that the server knows that the node is
+	// alive.
 	idleReportInterval = time.Second
 )
 
-// followStream follows over a stream until it breaks, and returns why.
-func (f *Follower) followStream(stream *controlwire.Stream, patience time.Duration) error {
+// followStream follows over a stream until it fails, and returns the error.
+func (f *Follower) followStream(stream *controlwire.Stream, leaderlessLimit time.Duration) error {
 	hello := f.report(controlwire.KindHello)
 	hello.Fresh = !f.progress.Load().Started
 	hello.LogID = uint64(f.progress.Load().Log)
@@ -56,14 +56,14 @@
 		}
 		if message.HasLeader {
 			hadLeaderAt = time.Now()
-			f.noteLeader()
-		} else if time.Since(hadLeaderAt) > patience {
+			f.recordLeaderSeen()
+		} else if time.Since(hadLeaderAt) > leaderlessLimit {
 			return errNoLeader
 		}
 	}
 }
 
-// apply hands a message to the Applier and publishes what has become of it, also after an error.
+// apply passes a message to the Applier and publishes the resulting progress, also after an error.
 func (f *Follower) apply(message controlwire.Message) error {
 	var err error
 	switch message.Kind {
@@ -74,15 +74,15 @@
 		err = f.Applier.Apply(message.Entries)
 	}
 	f.publishProgress()
-	if message.Kind == controlwire.KindStart { // of another log it may be lower
+	if message.Kind == controlwire.KindStart { // in another log the index may be lower
 		f.lastIndex.Store(message.Last)
 	}
 	f.lastIndex.Store(max(f.lastIndex.Load(), message.Last))
 	return err
 }
 
-// sendReports reports the progress when it has changed, when a lot was applied, and as a sign of life. It ends with
-// stop, and closes the stream when the Follower is closed, by which the reading side ends.
+// sendReports reports progress when it has changed, on reportNow, and after idleReportInterval. It returns once stop is
+// closed. When the Follower is closed it closes the stream, which unblocks the reading goroutine.
 func (f *Follower) sendReports(stream *controlwire.Stream, stop, reportNow chan struct{}) {
 	ticker := time.NewTicker(controlwire.ProgressInterval)
 	defer ticker.Stop()
@@ -118,7 +118,7 @@
 	}
 }
 
-// report is a message of a kind with the progress in it.
+// report returns a message of the given kind that holds the current progress.
 func (f *Follower) report(kind controlwire.MessageKind) controlwire.Message {
 	progress := f.progress.Load()
 	return controlwire.Message{Kind: kind, Nodes: []controlwire.NodeReport{{
