--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -8,18 +8,18 @@
 	"dahliapin/internal/control/controlwire"
 )
 
-// ErrUnavailable says that no control server did what was asked.
-var ErrUnavailable = errors.New("no control machine answers")
+// ErrUnavailable reports that no control server could be reached or answered.
+var ErrUnavailable = errors.New("no control server answers")
 
-// Client asks control servers.
+// Client sends requests to control servers.
 type Client struct {
 	Servers []string             // addresses, at least one
 	Label   string               // of the fleet
 	Dial    controlwire.DialFunc // nil for TCP
 }
 
-// exchange opens a stream to a server, sends a request and returns the answer, for which it waits so long. It ends
-// early with the context.
+// exchange opens a stream to a server, sends a request and returns the answer. timeout bounds the wait for the answer;
+// the end of the context interrupts the exchange once the stream is open.
 func (c Client) exchange(
 	ctx context.Context, addr string, request controlwire.Message, timeout time.Duration,
 ) (controlwire.Message, error) {
--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -12,12 +12,12 @@
 	"dahliapin/internal/control/purge"
 )
 
-// statusTimeout is for servers to answer: operators are to see the overview within a second, also where a server is
-// down.
+// statusTimeout bounds the wait for status tables, so that operators get the overview within a second even if a server
+// is down.
 const statusTimeout = 900 * time.Millisecond
 
-// Overview asks all control servers at once and puts their answers together. It returns ErrUnavailable where none
-// answers in time.
+// Overview requests the status tables of all control servers in parallel and merges them. It returns ErrUnavailable if
+// none answers in time.
 func (c Client) Overview() (Overview, error) {
 	type answer struct {
 		table controlwire.Message
@@ -46,7 +46,7 @@
 		case got = <-answers:
 		case <-deadline:
 			lastErr = fmt.Errorf("%w: %w", ErrUnavailable, context.DeadlineExceeded)
-			break collect // the other servers are not waited for
+			break collect // the remaining servers are left out
 		}
 		if got.err != nil {
 			lastErr = fmt.Errorf("%w: %w", ErrUnavailable, got.err)
@@ -61,26 +61,26 @@
 	return summarize(merged.table()), nil
 }
 
-// cacheAt names what one control server reports of one cache.
-type cacheAt struct {
+// cacheReportKey identifies one control server's report on one cache.
+type cacheReportKey struct {
 	cache  string
 	server uint64
 }
 
-// mergedTable puts several servers' status tables together: of each node, server and cache the newest report.
+// mergedTable merges the status tables of several servers: it keeps the newest report on each node, server and cache.
 type mergedTable struct {
 	hasLeader bool
 	last      uint64 // newest entry that any server has
 	nodes     map[string]controlwire.NodeReport
 	servers   map[uint64]controlwire.ServerReport
-	caches    map[cacheAt]purge.Progress
+	caches    map[cacheReportKey]purge.Progress
 }
 
 func newMergedTable() *mergedTable {
 	return &mergedTable{
 		nodes:   map[string]controlwire.NodeReport{},
 		servers: map[uint64]controlwire.ServerReport{},
-		caches:  map[cacheAt]purge.Progress{},
+		caches:  map[cacheReportKey]purge.Progress{},
 	}
 }
 
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, report := range table.Caches {
-		at := cacheAt{cache: report.Cache, server: report.Server}
+		at := cacheReportKey{cache: report.Cache, server: report.Server}
 		known, is := m.caches[at]
 		if !is || report.AgeMs < known.AgeMs {
 			m.caches[at] = report
@@ -110,7 +110,7 @@
 	}
 }
 
-// table returns what was added as one table, sorted by name and id.
+// table returns the merged reports as one table, sorted by name and id.
 func (m *mergedTable) table() controlwire.Message {
 	table := controlwire.Message{HasLeader: m.hasLeader, Last: m.last}
 	for _, name := range slices.Sorted(maps.Keys(m.nodes)) {
--- a/internal/control/controlclient/doc.go
+++ b/internal/control/controlclient/doc.go
@@ -1,20 +1,22 @@
-// Package controlclient is what operators' tools use to speak with control servers: Client.Publish has purges and
-// configurations ordered in the replicated log, Client.Overview says which node, control server and cache has applied
-// what.
+// Package controlclient is the client of control servers for operators' tools: Client.Publish has purges and
+// configurations ordered in the replicated log, and Client.Overview returns the progress of each node, control server
+// and cache.
 //
 // # Publishing
 //
-// A Proposal gets its random id once (NewProposal) and keeps it through all retries. Control servers give an id one
-// index, however often and at whichever of them it is proposed, so that a client may ask a second server while the
-// first one is silent: nothing is ordered twice. Publish returns indexes only once the entries are on disk at a
-// majority of the voting control servers. An error does not say that the changes were not ordered, and publishing the
-// same proposals again is safe.
+// A Proposal gets its random id once (NewProposal) and keeps it through all retries. Control servers assign one index
+// to an id, however often and at whichever server it is proposed, so a client may ask a second server while the first
+// one does not answer: no proposal is ordered twice. Publish returns indexes only once the entries are on disk at a
+// majority of the voters. An error does not mean that the proposals were not ordered; publishing the same proposals
+// again is safe.
 //
 // # Overview
 //
-// All servers are asked at once, since each knows at first hand only of the nodes that follow it and hears of the
-// others with delay. Of each node, server and cache the newest report counts. A server that does not answer in time
+// All servers are asked in parallel, because each has current reports only of its own followers and gets those of other
+// servers with a delay. The newest report on each node, server and cache is used. A server that does not answer in time
 // is left out.
 //
-// A Client has no state: it opens a stream for each question, and may be used from several goroutines.
+// # Concurrency
+//
+// A Client has no state: it opens a stream for each request, and may be used by several goroutines.
 package controlclient
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/control/replicatedlog"
 )
 
-// Overview is which node, control server and cache has applied what.
+// Overview is the progress of all nodes, control servers and caches.
 type Overview struct {
 	Last        replicatedlog.Index `json:"last"` // the newest entry that any control server has
 	HasLeader   bool                `json:"led"`  // a server that answered has a leader
@@ -16,13 +16,13 @@
 	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
 }
 
-// CaughtUp says whether every node has applied all entries and is not silent, and every purge is done at every cache.
+// CaughtUp reports whether NodesCaughtUp holds and every purge is done at every cache.
 func (o Overview) CaughtUp() bool {
 	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
 	return !o.NoCacheList && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
 }
 
-// NodesCaughtUp says whether every node has applied all entries and is not silent.
+// NodesCaughtUp reports whether every node has applied all entries and is not silent, and there is a leader.
 func (o Overview) NodesCaughtUp() bool {
 	for _, node := range o.Nodes {
 		if node.Missing > 0 || node.Silent || node.NotStarted || node.Refused > 0 {
@@ -38,48 +38,48 @@
 	Applied        replicatedlog.Index `json:"applied"`
 	Missing        uint64              `json:"lacks"`              // entries up to the newest
 	Config         replicatedlog.Index `json:"config"`             // the configuration in force; 0 for the node's own
-	Refused        replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it could not take
-	Reason         string              `json:"reason,omitempty"`   // why not
+	Refused        replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it rejected
+	Reason         string              `json:"reason,omitempty"`   // why it was rejected
 	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
-	Gaps           uint64              `json:"gaps,omitempty"`     // times that entries did not follow what was applied
+	Gaps           uint64              `json:"gaps,omitempty"`     // times that entries did not follow the applied ones
 	Server         uint64              `json:"machine"`            // id of the control server that it follows
 	LastSeenS      float64             `json:"heard_s"`            // seconds since it reported
 	Silent         bool                `json:"silent,omitempty"`   // that is longer than controlwire.NodeTimeout
 	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
 }
 
-// ServerStatus is the state of a control server. It is flat, as operators get it in JSON.
+// ServerStatus is the state of a control server, as operators get it in JSON.
 type ServerStatus struct {
 	ID          uint64              `json:"id"`
 	Name        string              `json:"name"`
-	Learner     bool                `json:"learner,omitempty"` // it has the log and no vote
+	Learner     bool                `json:"learner,omitempty"` // it replicates the log without a vote
 	IsLeader    bool                `json:"leads,omitempty"`
 	Term        uint64              `json:"term"`             // raft's
 	Last        replicatedlog.Index `json:"last"`             // newest entry
 	Floor       replicatedlog.Index `json:"floor"`            // entries up to here are no longer kept
 	Config      replicatedlog.Index `json:"config"`           // newest configuration
-	LastSeenS   float64             `json:"heard_s"`          // seconds since the server that answered heard it
+	LastSeenS   float64             `json:"heard_s"`          // seconds since its report reached the server that answered
 	Silent      bool                `json:"silent,omitempty"` // that is longer than controlwire.NodeTimeout
 	BytesIn     uint64              `json:"bytes_in"`
 	BytesOut    uint64              `json:"bytes_out"`
-	Invalid     uint64              `json:"foreign"`           // malformed streams and messages, and those not for it
+	Invalid     uint64              `json:"foreign"`           // malformed streams and messages, and messages for others
 	Rejected    uint64              `json:"turned_away"`       // streams closed because too many were open
 	RunsPurges  bool                `json:"purges,omitempty"`  // it carries purges out at caches
 	NoCacheList bool                `json:"no_list,omitempty"` // and has no list of caches yet
 }
 
-// CacheStatus is up to where purges are done at a cache. What any control server has done there is done.
+// CacheStatus is the progress of purges at a cache. A purge is done once any control server has done it.
 type CacheStatus struct {
 	Cache        string              `json:"cache"`
 	Done         replicatedlog.Index `json:"done"`               // purges up to here are done
 	QuickDeleted replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
 	Missing      uint64              `json:"lacks"`              // entries up to the newest
 	Overdue      uint64              `json:"late"`               // those of them that should be done by now
-	Flushing     bool                `json:"flushing,omitempty"` // what it lacks is kept nowhere: it has to be emptied
+	Flushing     bool                `json:"flushing,omitempty"` // missing entries are no longer kept: it must be flushed
 	Servers      []CacheProgress     `json:"machines"`           // by control server
 }
 
-// CacheProgress is up to where one control server has carried purges out at a cache.
+// CacheProgress is the progress of one control server's purges at a cache.
 type CacheProgress struct {
 	Server      uint64              `json:"machine"` // id of the control server
 	Done        replicatedlog.Index `json:"done"`
@@ -87,5 +87,5 @@
 	UnansweredS float64             `json:"quiet_s"`          // seconds since the cache answered, where it was to
 	Reason      string              `json:"reason,omitempty"` // why the last connection ended
 	LastSeenS   float64             `json:"heard_s"`          // seconds since the server reported
-	Silent      bool                `json:"silent,omitempty"` // the server is
+	Silent      bool                `json:"silent,omitempty"` // the server is silent
 }
--- a/internal/control/controlclient/publish.go
+++ b/internal/control/controlclient/publish.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// nextServerDelay is how long a server may be silent before the next one is asked as well.
+	// nextServerDelay is how long to wait for an answer before the next server is asked as well.
 	nextServerDelay = time.Second
-	// retryDelay is the pause after all servers were asked and the last answer was an error, as while no leader is
-	// elected.
+	// retryDelay is the delay before the servers are tried again after each has been asked and the last answer was an
+	// error, for example during an election.
 	retryDelay = 200 * time.Millisecond
-	// maxParallelRequests bounds how many servers are asked at a time.
+	// maxParallelRequests bounds the requests that are in flight for one batch.
 	maxParallelRequests = 4
-	// publishTimeout is longer than a server waits for proposals to be ordered, so that its answer arrives.
+	// publishTimeout is longer than a server waits for proposals to be ordered, so that its answer can arrive.
 	publishTimeout = controlwire.OrderTimeout + controlwire.WriteTimeout
 )
 
-// NewProposal gives a change its random id, by which it becomes one entry however often it is proposed.
+// NewProposal returns a proposal with a random id. However often it is proposed, it becomes one entry.
 func NewProposal(kind replicatedlog.Kind, body []byte) replicatedlog.Proposal {
 	p := replicatedlog.Proposal{Kind: kind, Body: body}
 	_, _ = rand.Read(p.ID[:]) // never fails
 	return p
 }
 
-// Publish has changes ordered and returns the index of each: they are on disk at a majority of the voting control
-// servers then. It tries until the context ends. It returns replicatedlog.ErrProposal for a change that cannot become
-// an entry, before anything is sent, and otherwise the last server's error, with the indexes of the batches that were
-// ordered before: whether the rest is ordered is not known.
+// Publish has proposals ordered and returns their indexes once they are on disk at a majority of the voters. It retries
+// until the context ends. It returns replicatedlog.ErrProposal, before anything is sent, for a proposal that cannot
+// become an entry. Otherwise an error is the last server's, returned with the indexes of the batches ordered so far;
+// whether the other proposals are ordered is unknown.
 func (c Client) Publish(ctx context.Context, proposals []replicatedlog.Proposal) ([]replicatedlog.Index, error) {
 	for i, p := range proposals {
 		if err := p.Check(); err != nil {
-			return nil, fmt.Errorf("number %d: %w", i+1, err)
+			return nil, fmt.Errorf("proposal %d: %w", i+1, err)
 		}
 	}
 	var indexes []replicatedlog.Index
@@ -50,15 +50,15 @@
 	return indexes, nil
 }
 
-// publishAnswer is what one server answered.
+// publishAnswer is the result of one server's attempt to order a batch.
 type publishAnswer struct {
 	indexes []uint64
 	err     error
 }
 
-// publishBatch asks one server after the other until one has ordered the batch. It does not wait for the answer of
-// one before the next is asked: a server that is cut off from the others does not know it yet, accepts the proposals
-// and stays silent for OrderTimeout.
+// publishBatch asks one server after another until one has ordered the batch. It asks the next server after
+// nextServerDelay even without an answer: a server that has just been partitioned from the others does not know it yet,
+// accepts the proposals and does not answer for OrderTimeout.
 func (c Client) publishBatch(ctx context.Context, batch replicatedlog.Batch) ([]replicatedlog.Index, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -81,11 +81,11 @@
 			}
 			lastErr = answer.err
 			if asked%len(c.Servers) == 0 {
-				pause(ctx, retryDelay)
+				sleepContext(ctx, retryDelay)
 			}
 		case <-time.After(nextServerDelay):
 		case <-ctx.Done():
-			return nil, fmt.Errorf("it is not known whether it is ordered: %w", lastErr)
+			return nil, fmt.Errorf("unknown whether the batch is ordered: %w", lastErr)
 		}
 	}
 }
@@ -113,8 +113,8 @@
 	return indexes
 }
 
-// pause waits, or until the context ends.
-func pause(ctx context.Context, delay time.Duration) {
+// sleepContext waits, or until the context ends.
+func sleepContext(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(delay):
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/control/replicatedlog"
 )
 
-// summarize turns a status table into an Overview.
+// summarize converts a merged status table to an Overview.
 func summarize(table controlwire.Message) Overview {
 	overview := Overview{
 		Last:      replicatedlog.Index(table.Last),
@@ -32,7 +32,9 @@
 
 func seconds(ms uint64) float64 { return float64(ms) / 1000 }
 
-func silent(ageMs uint64) bool { return seconds(ageMs) > float64(controlwire.NodeTimeout/time.Second) }
+func isSilent(ageMs uint64) bool {
+	return seconds(ageMs) > float64(controlwire.NodeTimeout/time.Second)
+}
 
 func nodeStatus(report controlwire.NodeReport, last uint64) NodeStatus {
 	return NodeStatus{
@@ -46,7 +48,7 @@
 		Gaps:           report.Gaps,
 		Server:         report.Server,
 		LastSeenS:      seconds(report.AgeMs),
-		Silent:         silent(report.AgeMs),
+		Silent:         isSilent(report.AgeMs),
 		NotStarted:     report.NotStarted,
 	}
 }
@@ -62,7 +64,7 @@
 		Floor:       replicatedlog.Index(report.Floor),
 		Config:      replicatedlog.Index(report.Config),
 		LastSeenS:   seconds(report.AgeMs),
-		Silent:      report.NeverSeen || silent(report.AgeMs),
+		Silent:      report.NeverSeen || isSilent(report.AgeMs),
 		BytesIn:     report.BytesIn,
 		BytesOut:    report.BytesOut,
 		Invalid:     report.Invalid,
@@ -72,25 +74,25 @@
 	}
 }
 
-// heardServers returns the servers that are not silent, and whether purges are to be carried out at caches while none
-// of these has a list.
+// responsiveServers returns which servers are not silent, and whether servers run purges at caches while none of the
+// responsive ones has a list of caches.
 func responsiveServers(servers []controlwire.ServerReport) (responsive map[uint64]bool, unlisted bool) {
 	responsive = map[uint64]bool{}
 	runsPurges := false
 	hasList := false
 	for _, server := range servers {
-		responsive[server.ID] = !server.NeverSeen && !silent(server.AgeMs)
+		responsive[server.ID] = !server.NeverSeen && !isSilent(server.AgeMs)
 		runsPurges = runsPurges || server.RunsPurges
 		hasList = hasList || server.RunsPurges && !server.NoCacheList && responsive[server.ID]
 	}
 	return responsive, runsPurges && !hasList
 }
 
-// cacheStatuses puts together what the servers report of each cache; the reports of one cache stand next to each
-// other. What is done stays done, also when the server that did it is silent now. Which caches there are, and what is
-// late, only servers that are not silent can say.
+// cacheStatuses merges the servers' reports on each cache; the reports on one cache must be adjacent. A completed purge
+// stays done even if the server that did it is silent now. The set of caches and the overdue entries are taken only
+// from servers that are not silent.
 func cacheStatuses(table controlwire.Message, responsive map[uint64]bool) []CacheStatus {
-	newestProcess := map[string]int64{} // of each cache: what was done at the one before it is lost with it
+	newestProcess := map[string]int64{} // by cache; purges done at an earlier process do not count
 	for _, report := range table.Caches {
 		newestProcess[report.Cache] = max(newestProcess[report.Cache], report.Started)
 	}
@@ -118,7 +120,7 @@
 	return caches
 }
 
-// merge adds one server's report.
+// merge adds one server's report. Overdue and Flushing count only if the server is responsive.
 func (c *CacheStatus) merge(report purge.Progress, responsive bool) {
 	progress := CacheProgress{
 		Server:      report.Server,
