--- a/internal/control/controlserver/config.go
+++ b/internal/control/controlserver/config.go
@@ -13,35 +13,36 @@
 	"dahliapin/internal/monotime"
 )
 
-// Storage is where a server keeps raft's part of the log. store.Store is the one of the product; tests have others.
+// Storage keeps raft's state and log. Production code uses store.Store; tests have others.
 type Storage interface {
 	raft.Storage
-	// Save returns without an error once everything that it was given is on disk.
+	// Save makes everything that it is given durable before it returns without an error.
 	Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error
-	// SizeSinceSnapshot is the number of raft entries up to an index, and of their bytes, since the last snapshot.
+	// SizeSinceSnapshot returns the number and total bytes of the raft entries from the last snapshot up to an index.
 	SizeSinceSnapshot(applied uint64) (entries uint64, bytes int)
-	// Compact returns without an error once a snapshot is on disk. Entries that it replaces are deleted with it.
+	// Compact saves a snapshot and deletes the entries that it replaces. It returns without an error once the
+	// snapshot is on disk.
 	Compact(applied uint64, state []byte) error
 	Close() error
 }
 
-// Config is what a server is started with.
+// Config configures a Server.
 type Config struct {
 	File       *fleetconfig.ControlFile
-	FirstStart bool // an empty data folder is accepted, as on the first start
+	FirstStart bool // accepts an empty data directory, for the first start
 	Log        *logrus.Logger
-	Now        func() monotime.Instant // of a clock that runs through suspends
-	// OnPersisted is called by the loop with proposals that are on this server's disk now. The invariant checker of
-	// tests sets it; nil for nobody.
+	Now        func() monotime.Instant // of a clock that also runs while the machine is suspended
+	// OnPersisted, if not nil, is called by the loop with proposals that are on this server's disk. Tests set it for
+	// their invariant checker.
 	OnPersisted func([]replicatedlog.Proposal)
-	Storage     Storage              // nil for a store.Store in the file's folder
+	Storage     Storage              // nil for a store.Store in the file's data directory
 	Dial        controlwire.DialFunc // to other control servers; nil for TCP
-	// OnPurgeProgress is called when purges are done further at a cache. The invariant checker of tests sets it; nil
-	// for nobody.
+	// OnPurgeProgress, if not nil, is called when the cursor of purges at a cache advances. Tests set it for their
+	// invariant checker.
 	OnPurgeProgress func(purge.CacheID, purge.Cursor)
 }
 
-// logBounds are how much of the log the file says is kept.
+// logBounds returns the limits on the retained log that the file configures.
 func (c *Config) logBounds() replicatedlog.Bounds {
 	bounds := replicatedlog.DefaultBounds
 	bounds.Entries = c.File.Bounds.Entries
@@ -50,7 +51,7 @@
 	return bounds
 }
 
-// openStorage opens the data folder's store.
+// openStorage opens the store in the data directory.
 func (c *Config) openStorage() (Storage, error) {
 	var voters, learners []uint64
 	for _, server := range c.File.Machines {
@@ -72,7 +73,7 @@
 	return s, nil
 }
 
-// decodePersisted turns a callback for proposals into one for raft's entries.
+// decodePersisted converts a callback for proposals to one for raft entries.
 func decodePersisted(onPersisted func([]replicatedlog.Proposal)) func([]*pb.Entry) {
 	return func(entries []*pb.Entry) {
 		for _, entry := range entries {
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	deliveryFrameBytes = 64 << 10 // of entries in a frame
-	// catchUpBytes is how much a node has to lack to share the pace of all that catch up: more than a burst of
-	// purges.
+	deliveryFrameBytes = 64 << 10 // entries in one frame
+	// catchUpBytes is how many bytes a node has to lack before its delivery is paced together with all others that
+	// catch up. It is more than a burst of purges.
 	catchUpBytes = 512 << 10
-	// deliveryWriteTimeout is for a node to take a frame: longer than usual, since a window of entries may be on the
-	// way.
+	// deliveryWriteTimeout bounds the write of a frame to a node. It is longer than WriteTimeout, because a whole
+	// window of entries may be in flight.
 	deliveryWriteTimeout = 2 * controlwire.WriteTimeout
 )
 
-// delivery sends the log to one follower. acked is written by the stream's reading goroutine (serveFollower), and by
-// run where the node starts anew; run owns the fields from logID on. The others do not change.
+// delivery sends the log to one follower. The stream's reading goroutine (serveFollower) writes acked, and so does run
+// when the node has to restart; run owns the fields from logID on. The other fields do not change.
 type delivery struct {
 	server     *Server
 	stream     *controlwire.Stream
-	node       string        // its name
-	acked      atomic.Uint64 // index up to which the node has reported that it applied
+	node       string        // the node's name
+	acked      atomic.Uint64 // last index that the node has reported as applied
 	progressed chan struct{} // holds a value when acked has changed
 	ended      chan struct{} // closed when the reading goroutine ends
 
-	logID        replicatedlog.LogID // which log sent is of
-	sent         replicatedlog.Index // entries up to here were sent
-	fresh        bool                // the node has nothing of this log: it starts at the newest entry
-	mustStart    bool                // the node has to be told to start anew
+	logID        replicatedlog.LogID // the log that sent refers to
+	sent         replicatedlog.Index // index of the last entry that was sent
+	fresh        bool                // the node has nothing of this log and starts at the newest entry
+	mustStart    bool                // the node has to be sent a KindStart message
 	heartbeatDue bool
 	lastSend     time.Time
 	timer        *time.Timer
 }
 
-// serveFollower delivers to a node, and notes its reports until the stream ends.
+// serveFollower starts the delivery to a node, and records the node's reports until the stream ends.
 func (s *Server) serveFollower(stream *controlwire.Stream) {
 	hello, _, err := stream.Receive(controlwire.HandshakeTimeout)
 	if err != nil || !validHello(hello) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// validHello says whether a follower's first message names its node.
+// validHello reports whether a follower's first message is a KindHello that names its node.
 func validHello(hello controlwire.Message) bool {
 	if hello.Kind != controlwire.KindHello || len(hello.Nodes) != 1 {
 		return false
@@ -89,7 +89,7 @@
 	return name != "" && len(name) <= controlwire.MaxNameBytes
 }
 
-// noteReport takes the node's report; false for one that cannot be its own.
+// noteReport records the node's report. It returns false for a report of another node, or an invalid one.
 func (d *delivery) noteReport(report controlwire.NodeReport) bool {
 	if report.Node != d.node || len(report.Reason) > controlwire.MaxReasonBytes {
 		return false
@@ -101,17 +101,17 @@
 	return true
 }
 
-// run sends entries in order, with a bounded number of bytes unacknowledged, and heartbeats.
+// run sends entries in order, with a bounded number of unacknowledged bytes, and heartbeats.
 func (d *delivery) run() {
 	d.timer = time.NewTimer(0)
 	defer d.timer.Stop()
-	d.heartbeatDue = true // the first message says at once whether this server has a leader
+	d.heartbeatDue = true // the first message tells the node at once whether this server has a leader
 	d.lastSend = time.Now()
 	for {
 		changed := d.server.sharedLog.Changed()
-		message, size, lacking := d.next()
+		message, size, lacking := d.nextMessage()
 		if message.Kind == controlwire.KindEntries && size == 0 && !d.heartbeatDue {
-			if !d.wait(changed) {
+			if !d.waitForWork(changed) {
 				return
 			}
 			continue
@@ -129,9 +129,9 @@
 	}
 }
 
-// next is the message that the node gets next: a start, or entries with their bytes, none for a heartbeat; and the
-// bytes that it lacks.
-func (d *delivery) next() (message controlwire.Message, size int, lacking uint64) {
+// nextMessage returns the next message for the node, a start or entries, with the size of the entries, 0 for a
+// heartbeat, and how many bytes the node lacks.
+func (d *delivery) nextMessage() (message controlwire.Message, size int, lacking uint64) {
 	hasLeader := d.server.loop.leadership.Load().hasLeader
 	log := d.server.sharedLog
 	log.mu.RLock()
@@ -155,19 +155,19 @@
 		message.LogID = uint64(d.logID)
 		message.BaseConfig = config
 		d.sent = at
-		d.acked.Store(uint64(at)) // what it reported of another log says nothing of this one
+		d.acked.Store(uint64(at)) // the index that it reported may be of another log
 	}
 	d.mustStart = false
 	d.fresh = false
 	return message, size, lacking
 }
 
-// checkLog returns the index of the newest entry. A node that is fresh, or of a log that was lost with all disks, has
-// to start anew: otherwise it would skip the first entries of the new log, whose indexes it has seen. The log is
-// locked.
+// checkLog returns the index of the newest entry. A node that is fresh, or that followed an earlier log which was lost
+// with all disks, has to start again: otherwise it would skip the first entries of the new log, whose indexes it has
+// already passed. The caller holds the log's lock.
 func (d *delivery) checkLog(state *replicatedlog.State) (last replicatedlog.Index) {
 	id := state.ID()
-	if id == 0 { // not named yet: it is not known whether the node's entries are of it
+	if id == 0 { // the log has no id yet: the node's entries may be of another log
 		d.mustStart = false
 		return 0
 	}
@@ -179,8 +179,8 @@
 	return state.Last()
 }
 
-// takeEntries returns the encoded entries that follow those sent, as long as the window of unacknowledged bytes is
-// open. Where they are not kept any more the node has to start anew. The log is locked.
+// takeEntries returns the encoded entries after those already sent, unless the window of unacknowledged bytes is full.
+// If these entries are no longer kept, the node has to start again. The caller holds the log's lock.
 func (d *delivery) takeEntries(state *replicatedlog.State) []cbor.RawMessage {
 	window := uint64(d.server.File.Bounds.WindowKiB * (1 << 10))
 	if state.Bytes(replicatedlog.Index(d.acked.Load()), d.sent) >= window {
@@ -195,9 +195,9 @@
 	return entries
 }
 
-// wait waits for something to send, and returns false when the stream or the server ends. The heartbeat is counted
-// from the last message: a node that reports all the time must not put it off.
-func (d *delivery) wait(changed <-chan struct{}) bool {
+// waitForWork waits until there may be something to send, and returns false when the stream or the server ends. The
+// heartbeat interval starts at the last message sent, so frequent reports from the node cannot delay heartbeats.
+func (d *delivery) waitForWork(changed <-chan struct{}) bool {
 	d.timer.Reset(time.Until(d.lastSend.Add(controlwire.HeartbeatInterval)))
 	select {
 	case <-d.timer.C:
@@ -212,10 +212,10 @@
 	return true
 }
 
-// waitForPace waits until so many bytes may go to a node that catches up, and returns false when the stream or the
-// server ends.
+// waitForPace waits until the pacer allows that many bytes to a node that catches up. It returns false when the stream
+// or the server ends.
 func (d *delivery) waitForPace(bytes int) bool {
-	delay := d.server.catchUpPace.reserve(bytes)
+	delay := d.server.catchUpPacer.reserve(bytes)
 	if delay <= 0 {
 		return true
 	}
--- a/internal/control/controlserver/leaderduties.go
+++ b/internal/control/controlserver/leaderduties.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	trimInterval   = 10 * time.Second // between two looks at what all nodes have applied
-	minTrimEntries = 1024             // entries that are worth an entry of raft's
+	trimInterval   = 10 * time.Second // between two checks of what all nodes have applied
+	minTrimEntries = 1024             // trimming fewer entries is not worth a raft entry
 )
 
-// leaderDuties is called at each tick. At the leader it proposes the id of a new log, and up to where entries need
-// not be kept any more.
+// leaderDuties is called at each tick. At the leader it proposes an id for a new log, and the index up to which entries
+// need not be kept any more.
 func (l *raftLoop) leaderDuties() {
 	if !l.leadership.Load().isLeader {
 		return
@@ -28,30 +28,31 @@
 		return
 	}
 	if time.Since(l.startedAt) < hold {
-		// A node may be cut off since before this process began, and not be known here: its entries would be trimmed.
+		// A node that has been unreachable since before this process started is not known here; its entries must not
+		// be trimmed.
 		return
 	}
 	l.lastTrim = time.Now()
 	upTo, known := l.server.status.appliedByAll(hold)
-	if l.server.purger != nil { // what a cache lacks is kept for it, within the log's bounds
+	if l.server.purger != nil { // entries that a cache lacks are kept, within the log's bounds
 		if done, is := l.server.purger.DoneEverywhere(); is {
 			upTo = min(upTo, done)
 		}
 	}
 	if known && upTo > floor+minTrimEntries {
-		_ = l.node.Propose(replicatedlog.Batch{Trim: upTo}.Encode()) // the next look tries again
+		_ = l.node.Propose(replicatedlog.Batch{Trim: upTo}.Encode()) // retried at the next check
 	}
 }
 
-// proposeLogID gives a new log its random id, by which followers tell it from one that was lost with all disks. The
-// first that is committed holds.
+// proposeLogID proposes a random id for a new log, by which followers distinguish it from a log that was lost with all
+// disks. The first id that is committed is final.
 func (l *raftLoop) proposeLogID() {
-	if time.Since(l.lastNaming) <= proposeInterval {
+	if time.Since(l.lastLogIDProposal) <= proposeInterval {
 		return
 	}
-	l.lastNaming = time.Now()
+	l.lastLogIDProposal = time.Now()
 	var random [8]byte
 	_, _ = rand.Read(random[:])                     // never fails
-	id := binary.LittleEndian.Uint64(random[:]) | 1 // 0 is for not known
+	id := binary.LittleEndian.Uint64(random[:]) | 1 // 0 stands for unknown
 	_ = l.node.Propose(replicatedlog.Batch{Log: replicatedlog.LogID(id)}.Encode())
 }
--- a/internal/control/controlserver/lifecycle.go
+++ b/internal/control/controlserver/lifecycle.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	maxPeerStreams   = 32                     // from other control servers: one each, and some that are about to end
-	maxClients       = 64                     // clients that publish or ask at once
-	acceptRetryDelay = 200 * time.Millisecond // after a failure to accept, as for want of descriptors
+	maxPeerStreams   = 32                     // from other control servers: one each, and old ones that are closing
+	maxClients       = 64                     // concurrent client streams, beside those of followers
+	acceptRetryDelay = 200 * time.Millisecond // after a failure to accept, such as too many open files
 )
 
-// lifecycle is how the goroutines of a server end.
+// lifecycle stops the goroutines of a server.
 type lifecycle struct {
-	closed     chan struct{}  // closed when the server ends
+	closed     chan struct{}  // closed when the server stops
 	goroutines sync.WaitGroup // all of them
 	endOnce    sync.Once
-	fault      atomic.Pointer[error] // why the server had to end; nil for none
+	fault      atomic.Pointer[error] // why the server had to stop; nil for none
 }
 
 func newLifecycle() lifecycle { return lifecycle{closed: make(chan struct{})} }
 
-// connections are all streams that are open, so that the end of the server closes them.
+// connections tracks the open connections, so that they can be closed when the server stops.
 type connections struct {
 	mu     sync.Mutex
 	open   map[net.Conn]bool
@@ -34,7 +34,7 @@
 
 func newConnections() connections { return connections{open: map[net.Conn]bool{}} }
 
-// add keeps a connection until remove. Where the server has ended it closes it and returns false.
+// add tracks a connection until remove. After close it closes the connection and returns false.
 func (c *connections) add(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,7 @@
 	return true
 }
 
-// remove closes a connection.
+// remove closes a connection and stops tracking it.
 func (c *connections) remove(conn net.Conn) {
 	c.mu.Lock()
 	delete(c.open, conn)
@@ -54,7 +54,7 @@
 	_ = conn.Close()
 }
 
-// close closes all connections, also those that are added later.
+// close closes all connections, and makes add close later ones.
 func (c *connections) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// accept serves streams, at most so many at once, until the server ends. Streams beyond that are closed at once.
+// accept serves at most maxStreams streams at a time until the server stops, and closes streams beyond that limit.
 func (s *Server) accept(listener net.Listener, maxStreams, maxFrameBytes int, serve func(*controlwire.Stream)) {
 	slots := make(chan struct{}, maxStreams)
 	for {
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	tickInterval     = 100 * time.Millisecond // raft's unit of time; the leader sends a heartbeat each
-	inboxMessages    = 1024                   // raft messages that wait for the loop; streams that bring more wait
+	tickInterval     = 100 * time.Millisecond // raft's tick; the leader sends a heartbeat at each
+	inboxMessages    = 1024                   // raft messages that wait for the loop; receiving streams block beyond it
 	inboxPublishes   = 256                    // calls to publish that wait for the loop; more are rejected
-	maxLoopInputs    = 512                    // messages and calls that are handled together, with one write to disk
-	maxMessageBytes  = 256 << 10              // of entries in one raft message
-	maxInflight      = 256                    // raft messages on the way to a server
+	maxLoopInputs    = 512                    // inputs that are handled together, with one write to disk
+	maxMessageBytes  = 256 << 10              // entries in one raft message
+	maxInflight      = 256                    // raft messages in flight to a server
 	maxInflightBytes = 16 << 20               // bytes of them
-	maxApplyBytes    = 16 << 20               // of committed entries that are applied together
-	maxUncommitted   = 64 << 20               // bytes of entries that no majority has yet; more proposals are dropped
-	leaderTimeout    = 2 * time.Second        // since the leader's last message, after which there is none
-	snapshotEntries  = 8192                   // raft entries between two snapshots
-	snapshotBytes    = 16 << 20               // or bytes of them
+	maxApplyBytes    = 16 << 20               // committed entries that are applied together
+	maxUncommitted   = 64 << 20               // bytes of uncommitted entries; further proposals are dropped
+	leaderTimeout    = 2 * time.Second        // time since the leader's last message after which there is no leader
+	snapshotEntries  = 8192                   // a snapshot is saved after this many raft entries
+	snapshotBytes    = 16 << 20               // or after this many bytes of them
 )
 
-// leadership is what the loop last knew of the leader.
+// leadership is the loop's latest knowledge of the leader.
 type leadership struct {
-	hasLeader bool // this server leads, or had a message of the leader within leaderTimeout
+	hasLeader bool // this server leads, or got a message of the leader within leaderTimeout
 	isLeader  bool
 	term      uint64
 }
 
-// raftLoop runs raft: one goroutine (run) owns the node and everything below it that is not a channel or atomic.
+// raftLoop runs raft. Its goroutine (run) owns node and the fields after it.
 type raftLoop struct {
 	server     *Server
 	messages   chan *pb.Message  // from other control servers
@@ -43,17 +43,17 @@
 	functions  chan func()       // from other goroutines, see call
 	leadership atomic.Pointer[leadership]
 
-	node         *raft.RawNode
-	storage      Storage // raft reads it as well
-	queue        *proposalQueue
-	appliedIndex uint64    // raft's index of the last entry in the sharedLog
-	leaderSeenAt time.Time // when the leader's last message arrived
-	startedAt    time.Time
-	lastTrim     time.Time // when trimming was last looked at
-	lastNaming   time.Time // when an id for a new log was last proposed
+	node              *raft.RawNode
+	storage           Storage // also read by raft
+	queue             *proposalQueue
+	appliedIndex      uint64    // raft's index of the last entry in the sharedLog
+	leaderSeenAt      time.Time // when the leader's last message arrived
+	startedAt         time.Time
+	lastTrim          time.Time // when trimming was last considered
+	lastLogIDProposal time.Time // when an id for a new log was last proposed
 }
 
-// newRaftLoop makes a loop that continues with what the storage has.
+// newRaftLoop returns a loop that continues from the storage's state.
 func newRaftLoop(s *Server, storage Storage) (*raftLoop, error) {
 	snapshot, err := storage.Snapshot()
 	if err != nil {
@@ -88,11 +88,11 @@
 	return l, err
 }
 
-// run handles what arrives until the server ends. Everything that arrived while the disk was written is handled
-// together, so that one write, with its fsync, does for all of it.
+// run handles inputs until the server stops. Inputs that arrived during a write to disk are handled together, so that
+// they share one write and its fsync.
 func (l *raftLoop) run() {
 	defer func() {
-		// Raft panics where its input contradicts what it has, as with a disk that lost what was saved.
+		// Raft panics if its input contradicts its state, for example when the disk has lost saved data.
 		if r := recover(); r != nil {
 			l.server.end(fmt.Errorf("raft: %v", r))
 		}
@@ -127,7 +127,7 @@
 	}
 }
 
-// handleWaiting handles what has arrived already, and returns proposals that are new.
+// handleWaiting handles inputs that have already arrived, at most maxLoopInputs, and returns their new proposals.
 func (l *raftLoop) handleWaiting() []replicatedlog.Proposal {
 	var proposals []replicatedlog.Proposal
 	for range maxLoopInputs {
@@ -145,7 +145,7 @@
 	return proposals
 }
 
-// call has the loop run a function. Once the server has ended it is not run.
+// call queues a function for the loop to run. It may not run once the server has stopped.
 func (l *raftLoop) call(f func()) {
 	select {
 	case l.functions <- f:
@@ -153,16 +153,16 @@
 	}
 }
 
-// step hands a message of another server to raft.
+// step passes a message of another server to raft.
 func (l *raftLoop) step(message *pb.Message) {
 	status := l.node.BasicStatus()
 	if status.Lead != raft.None && message.GetFrom() == status.Lead {
 		l.leaderSeenAt = time.Now()
 	}
-	_ = l.node.Step(message) // raft drops what it cannot use, as a message of a server that is no member
+	_ = l.node.Step(message) // raft rejects unusable messages, for example from a server that is not a member
 }
 
-// updateLeadership publishes what is known of the leader.
+// updateLeadership makes the current state of the leadership visible to other goroutines.
 func (l *raftLoop) updateLeadership() {
 	status := l.node.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
@@ -179,8 +179,8 @@
 	l.leadership.Store(&now)
 }
 
-// propose hands proposals to raft, which forwards them to the leader. What raft does not take, for want of a leader
-// or because too much is uncommitted, stays in the queue and is proposed again.
+// propose passes proposals to raft, which forwards them to the leader. Those that raft rejects, because there is no
+// leader or too much is uncommitted, stay in the queue and are proposed again.
 func (l *raftLoop) propose(proposals []replicatedlog.Proposal) {
 	for _, batch := range replicatedlog.Batches(proposals) {
 		if err := l.node.Propose(batch.Encode()); err == nil {
@@ -189,10 +189,10 @@
 	}
 }
 
-// processReady does what raft wants done. The order is what makes raft safe: first the disk, then messages, then
-// committed entries. A vote or an acknowledgement that went out before it was on disk would be forgotten by kill -9,
-// and a majority could be counted that does not exist: two leaders in one term, or an acknowledged purge that is
-// lost.
+// processReady handles raft's next Ready. The order is essential for safety: first the write to disk, then messages,
+// then committed entries. If a vote or an acknowledgement were sent before it is on disk, kill -9 could lose it after
+// other servers have counted it towards a majority: the result would be two leaders in one term, or the loss of an
+// acknowledged purge.
 func (l *raftLoop) processReady() error {
 	ready := l.node.Ready()
 	if err := l.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
@@ -218,11 +218,11 @@
 	return l.compactStorage()
 }
 
-// apply puts a committed entry into the sharedLog and answers the clients that wait for its proposals.
+// apply applies a committed entry to the sharedLog and answers the clients that wait for its proposals.
 func (l *raftLoop) apply(entry *pb.Entry) error {
 	l.appliedIndex = entry.GetIndex()
 	if entry.GetType() != pb.EntryNormal || len(entry.GetData()) == 0 {
-		return nil // raft's own, as a new leader's first
+		return nil // raft's own entry, such as the first one of a new leader
 	}
 	batch, err := replicatedlog.DecodeBatch(entry.GetData())
 	if err != nil {
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// compactStorage saves a snapshot of the sharedLog when enough entries have come since the last one.
+// compactStorage saves a snapshot of the sharedLog when enough raft entries have been applied since the last one.
 func (l *raftLoop) compactStorage() error {
 	entries, bytes := l.storage.SizeSinceSnapshot(l.appliedIndex)
 	if entries < snapshotEntries && (bytes < snapshotBytes || entries == 0) {
--- a/internal/control/controlserver/pacer.go
+++ b/internal/control/controlserver/pacer.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxPacerBurst is how much unused time a pacer saves up.
+// maxPacerBurst is how much unused time a pacer accumulates.
 const maxPacerBurst = 100 * time.Millisecond
 
-// pacer bounds the bytes a second that go to all followers that catch up, so that a server which many nodes have just
-// chosen does not fill its link and delay raft's heartbeats.
+// pacer limits the combined send rate to all followers that catch up, so that a server to which many nodes have just
+// connected does not saturate its link and delay raft's heartbeats.
 type pacer struct {
 	bytesPerSecond float64
 
 	mu     sync.Mutex
-	freeAt time.Time // when what was reserved before has gone
+	freeAt time.Time // when all bytes reserved so far will have been sent
 }
 
-// reserve returns how long to wait before so many bytes may go; zero or less for not at all.
+// reserve reserves capacity for some bytes and returns how long to wait before sending them; zero or less for no wait.
 func (p *pacer) reserve(bytes int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	outboxMessages      = 4096                   // raft messages that wait; more are dropped and sent again
-	maxRaftFrameBytes   = 1 << 20                // of entries and snapshots, from which on a frame takes no more
-	firstReconnectDelay = 50 * time.Millisecond  // backoff before a stream is opened again
+	outboxMessages      = 4096                   // queued raft messages; more are dropped, and raft sends them again
+	maxRaftFrameBytes   = 1 << 20                // no further messages are added to a frame beyond it
+	firstReconnectDelay = 50 * time.Millisecond  // initial backoff before a stream is opened again
 	statusInterval      = 300 * time.Millisecond // between two status reports to another control server
-	peerTimeout         = 5 * time.Second        // silence of another control server, which reports each statusInterval
+	peerTimeout         = 5 * time.Second        // without a message of a server, which reports each statusInterval
 )
 
-// peer sends to another control server, over a stream that goes one way: the other one opens its own.
+// peer sends to another control server over a one-way stream. The other server opens a stream for its own messages.
 type peer struct {
 	fleetconfig.Machine
 	server *Server
@@ -39,7 +39,7 @@
 	return p
 }
 
-// send queues a message. It is called by the loop, and drops what there is no capacity for.
+// send queues a message, or drops it if the queue is full. Only the loop may call it.
 func (p *peer) send(message *pb.Message) {
 	select {
 	case p.outbox <- message:
@@ -48,8 +48,8 @@
 	}
 }
 
-// reportLost tells raft that a message did not arrive, so that it probes the other server before it sends more. It is
-// called by the loop.
+// reportLost tells raft that a message was lost, so that raft probes the other server before it sends more. Only the
+// loop may call it.
 func (p *peer) reportLost(message *pb.Message) {
 	p.server.loop.node.ReportUnreachable(p.ID)
 	if message.GetType() == pb.MsgSnap {
@@ -57,12 +57,12 @@
 	}
 }
 
-// run keeps a stream open until the server ends.
+// run keeps a stream open until the server stops.
 func (p *peer) run() {
 	for attempt := 0; ; attempt++ {
 		if attempt > 0 {
 			delay := controlwire.ReconnectDelay(firstReconnectDelay, attempt, p.random.Float64())
-			if !p.dropFor(delay) {
+			if !p.dropMessagesFor(delay) {
 				return
 			}
 		}
@@ -83,15 +83,15 @@
 		hello := controlwire.Message{Kind: controlwire.KindHello, Index: p.server.id}
 		if _, err := stream.Send(hello, controlwire.HandshakeTimeout); err == nil {
 			attempt = 0
-			p.sendOver(stream)
+			p.sendUntilBroken(stream)
 		}
 		p.server.connections.remove(stream.Conn)
 	}
 }
 
-// dropFor waits, and drops what is queued meanwhile: raft's messages are out of date by the time that a stream is
-// open. It returns false when the server ends.
-func (p *peer) dropFor(delay time.Duration) bool {
+// dropMessagesFor waits, and drops messages that are queued meanwhile: they would be out of date by the time a
+// stream is open. It returns false when the server stops.
+func (p *peer) dropMessagesFor(delay time.Duration) bool {
 	for delay > 0 {
 		began := time.Now()
 		select {
@@ -106,17 +106,17 @@
 	return true
 }
 
-// sendOver sends raft messages and status reports over a stream until it breaks.
-func (p *peer) sendOver(stream *controlwire.Stream) {
+// sendUntilBroken sends raft messages and status reports over a stream until it fails.
+func (p *peer) sendUntilBroken(stream *controlwire.Stream) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	broken := make(chan struct{})
 	p.server.goroutines.Go(func() {
-		// Nothing arrives this way but the stream's end, which a write would notice only with the second one after
-		// it.
+		// The other server sends nothing; the read detects the end of the stream, which otherwise only the second
+		// write after it would detect.
 		_, _ = stream.Conn.Read(make([]byte, 1))
 		close(broken)
-	}) // it ends when run closes the stream
+	}) // ends when run closes the stream
 	for {
 		var err error
 		select {
@@ -135,8 +135,8 @@
 	}
 }
 
-// sendRaft sends a message together with those queued behind it, and tells raft of those that were lost and of
-// snapshots that arrived.
+// sendRaft sends a message together with those queued behind it. It reports to raft the messages that were lost, and
+// the snapshots that were sent.
 func (p *peer) sendRaft(stream *controlwire.Stream, first *pb.Message) error {
 	messages := []*pb.Message{first}
 	size := len(first.GetSnapshot().GetData())
@@ -175,7 +175,7 @@
 	return err
 }
 
-// servePeer receives what another control server sends, until its stream ends.
+// servePeer handles another control server's messages until its stream ends.
 func (s *Server) servePeer(stream *controlwire.Stream) {
 	if kind, err := stream.AcceptPreface(s.File.Control.Label); err != nil || kind != controlwire.StreamPeer {
 		s.status.invalid.Add(1)
@@ -204,8 +204,9 @@
 	}
 }
 
-// receiveRaft hands raft messages to the loop, and returns false when the server ends. A message that is not for this
-// server, or not the sender's own, is counted and dropped; proposals are forwarded with their origin's id.
+// receiveRaft passes raft messages to the loop, and returns false when the server stops. A message that is not for this
+// server, or not from the stream's sender, is counted and dropped. Proposals are exempt from the check of the sender,
+// because they are forwarded with the id of the server that made them.
 func (s *Server) receiveRaft(from uint64, encoded [][]byte) bool {
 	for _, one := range encoded {
 		message := &pb.Message{}
--- a/internal/control/controlserver/publish.go
+++ b/internal/control/controlserver/publish.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/control/replicatedlog"
 )
 
-// clientTimeout is how long a client may be silent on a stream.
+// clientTimeout is how long a client's stream may be idle.
 const clientTimeout = 30 * time.Second
 
 var (
@@ -32,7 +32,7 @@
 	}
 }
 
-// answerClient answers a client's requests until it closes the stream or sends something else.
+// answerClient answers a client's requests until the client closes the stream or sends a message of another kind.
 func (s *Server) answerClient(stream *controlwire.Stream) {
 	for {
 		request, _, err := stream.Receive(clientTimeout)
@@ -54,7 +54,7 @@
 	}
 }
 
-// answerPublish has the request's proposals ordered.
+// answerPublish has the request's proposals ordered and returns the answer.
 func (s *Server) answerPublish(request controlwire.Message) controlwire.Message {
 	indexes, err := s.publish(request.Batch)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return controlwire.Message{Kind: controlwire.KindOrdered, Indexes: indexes}
 }
 
-// publish waits until an encoded batch of proposals is ordered, and returns their indexes.
+// publish has an encoded batch of proposals ordered, waits for that, and returns their indexes.
 func (s *Server) publish(encoded []byte) ([]uint64, error) {
 	batch, err := replicatedlog.DecodeBatch(encoded)
 	if err != nil {
--- a/internal/control/controlserver/queue.go
+++ b/internal/control/controlserver/queue.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	maxPending      = 16_384      // proposals that wait to be ordered; calls that bring more are rejected
-	maxPendingBytes = 16 << 20    // of their bodies
-	proposeInterval = time.Second // after which a proposal is handed to raft again: the leader that got it may be gone
+	maxPending      = 16_384      // waiting proposals; calls that exceed it are rejected
+	maxPendingBytes = 16 << 20    // total size of their bodies
+	proposeInterval = time.Second // until a proposal is passed to raft again: the leader that got it may be gone
 )
 
-// publishCall is a client's call to publish. Its goroutine reads it once done is closed.
+// publishCall is a client's call to publish. The client's goroutine reads the result once done is closed.
 type publishCall struct {
 	proposals []replicatedlog.Proposal
 	indexes   []uint64      // of each proposal; 0 for one that cannot become an entry
 	remaining int           // proposals that are not ordered yet
-	deadline  time.Time     // then the client is told that it is not known
+	deadline  time.Time     // then the client is told that the outcome is unknown
 	failure   string        // why it ended without indexes; empty for none
-	finished  bool          // done is closed; the loop's
+	finished  bool          // done is closed; used only by the loop
 	done      chan struct{} // closed by finish
 }
 
@@ -31,8 +31,9 @@
 	return &publishCall{proposals: proposals, done: make(chan struct{})}
 }
 
-// finish ends the call: with its indexes, or with a failure, the reason why there are none. Only the first end counts:
-// a call of several proposals may fail while some are not ordered yet, and those may be ordered or expire later.
+// finish completes the call, with its indexes or with a failure that says why there are none. Only the first call of
+// finish counts: a publishCall may fail while some of its proposals are not ordered yet, and these may still be ordered
+// or expire later.
 func (c *publishCall) finish(failure string) {
 	if c.finished {
 		return
@@ -47,30 +48,29 @@
 	replicatedlog.Proposal
 	sequence    uint64           // in the order of arrival
 	requestedAt monotime.Instant // when it arrived
-	proposedAt  time.Time        // when raft last took it; zero for not yet
-	callers     []caller         // calls that wait for it; several where a client has tried again
+	proposedAt  time.Time        // when raft last accepted it; zero for not yet
+	callers     []caller         // calls that wait for it; more than one after a client's retry
 }
 
-// caller is a call that waits for a proposal, and the proposal's position in it.
+// caller is a call that waits for a proposal, with the proposal's position in that call.
 type caller struct {
 	call     *publishCall
 	position int
 }
 
-// proposalQueue holds proposals from their arrival until they are ordered or given up. It is the loop's.
+// proposalQueue holds proposals from their arrival until they are ordered or expire. Only the loop uses it.
 type proposalQueue struct {
 	now      func() monotime.Instant
 	pending  map[replicatedlog.ProposalID]*pendingProposal
 	bytes    int    // of their bodies
-	sequence uint64 // of the last one that arrived
+	sequence uint64 // of the proposal that arrived last
 }
 
 func newProposalQueue(now func() monotime.Instant) *proposalQueue {
 	return &proposalQueue{now: now, pending: map[replicatedlog.ProposalID]*pendingProposal{}}
 }
 
-// add queues a call's proposals and returns those that are new here. A call for which there is no capacity is
-// rejected.
+// add queues a call's proposals and returns those that are not queued yet. It rejects the call if there is no capacity.
 func (q *proposalQueue) add(call *publishCall) []replicatedlog.Proposal {
 	bytes := 0
 	for _, p := range call.proposals {
@@ -98,8 +98,8 @@
 	return added
 }
 
-// retry fails calls that are past their deadline, drops proposals for which no call waits any more, and returns those
-// that raft should get again, in the order of their arrival.
+// retry fails calls that are past their deadline, drops proposals for which no call waits any more, and returns the
+// proposals that are due to be proposed again, in the order of their arrival.
 func (q *proposalQueue) retry() []replicatedlog.Proposal {
 	if len(q.pending) == 0 {
 		return nil
@@ -124,7 +124,7 @@
 	return proposals
 }
 
-// expireCallers fails the calls that are past their deadline and says whether another one waits.
+// expireCallers fails the calls that are past their deadline, and reports whether any other call waits.
 func (p *pendingProposal) expireCallers(now time.Time) bool {
 	awaited := false
 	for _, caller := range p.callers {
@@ -137,7 +137,7 @@
 	return awaited
 }
 
-// markProposed notes that raft has taken a batch.
+// markProposed records that raft has accepted a batch.
 func (q *proposalQueue) markProposed(batch replicatedlog.Batch) {
 	now := time.Now()
 	for _, p := range batch.Proposals {
@@ -147,7 +147,7 @@
 	}
 }
 
-// requestedAt is when a proposal that is not ordered yet arrived here; false for one that did not.
+// requestedAt returns when a queued proposal arrived at this server; false if it is not queued here.
 func (q *proposalQueue) requestedAt(id replicatedlog.ProposalID) (monotime.Instant, bool) {
 	pending := q.pending[id]
 	if pending == nil {
@@ -156,7 +156,7 @@
 	return pending.requestedAt, true
 }
 
-// ordered takes a batch's proposals out, and ends the calls for which they were the last.
+// ordered removes a batch's proposals, and completes the calls that have no others left.
 func (q *proposalQueue) ordered(batch replicatedlog.Batch, indexes []replicatedlog.Index) {
 	for i, p := range batch.Proposals {
 		pending := q.pending[p.ID]
--- a/internal/control/controlserver/raftlogger.go
+++ b/internal/control/controlserver/raftlogger.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger passes raft's errors on to the log and its warnings as debug messages, and drops the rest. Where raft
-// wants the process to end it panics, and raftLoop.run ends the server.
+// raftLogger logs raft's errors as errors and its unformatted warnings at debug level, and drops all other messages.
+// It panics on Fatal and Panic; raftLoop.run recovers and stops the server.
 type raftLogger struct{ *logrus.Logger }
 
 func (raftLogger) Debug(...any)                      {}
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -20,24 +20,25 @@
 	loop           *raftLoop
 	peers          map[uint64]*peer // the other control servers; not changed after Open
 	status         *statusTable
-	purger         *purger.Purger // nil where purges are not carried out at caches
-	catchUpPace    *pacer
+	purger         *purger.Purger // nil if this server does not run purges at caches
+	catchUpPacer   *pacer
 	clientListener net.Listener // for nodes and clients
 	peerListener   net.Listener // for other control servers
 	connections    connections
 	lifecycle
 }
 
-// Open starts a control server. It returns an error where the data folder cannot be used (store.ErrEmpty for a voter
-// whose folder is empty although Config.New is not set), or an address cannot be listened on.
+// Open starts a control server. It returns an error if the data directory cannot be used, or an address cannot be
+// listened on. The error is store.ErrEmpty for a voter whose data directory is empty although Config.FirstStart is not
+// set.
 func Open(config Config) (*Server, error) {
 	s := &Server{
-		Config:      config,
-		id:          config.File.Self().ID,
-		peers:       map[uint64]*peer{},
-		catchUpPace: &pacer{bytesPerSecond: config.File.Bounds.PaceMB * (1 << 20)},
-		connections: newConnections(),
-		lifecycle:   newLifecycle(),
+		Config:       config,
+		id:           config.File.Self().ID,
+		peers:        map[uint64]*peer{},
+		catchUpPacer: &pacer{bytesPerSecond: config.File.Bounds.PaceMB * (1 << 20)},
+		connections:  newConnections(),
+		lifecycle:    newLifecycle(),
 	}
 	s.status = newStatusTable(s)
 	storage := config.Storage
@@ -62,7 +63,7 @@
 	return s, nil
 }
 
-// open reads what the storage has, listens, and opens the purger.
+// open loads the state from the storage, listens, and opens the purger.
 func (s *Server) open(storage Storage) error {
 	var err error
 	if s.sharedLog, err = openSharedLog(storage, s.logBounds()); err != nil {
@@ -72,7 +73,7 @@
 		return err
 	}
 	if s.peerListener, err = net.Listen("tcp", s.File.Control.Peers); err != nil {
-		return fmt.Errorf("cannot listen for control machines on %s: %w", s.File.Control.Peers, err)
+		return fmt.Errorf("cannot listen for control servers on %s: %w", s.File.Control.Peers, err)
 	}
 	if s.clientListener, err = net.Listen("tcp", s.File.Control.Nodes); err != nil {
 		_ = s.peerListener.Close()
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// openPurger starts to carry purges out at caches, where the file says so.
+// openPurger starts the purger if the file configures purges at caches.
 func (s *Server) openPurger() error {
 	if s.File.Purges == nil {
 		return nil
@@ -120,19 +121,19 @@
 	s.goroutines.Go(func() { s.accept(s.peerListener, maxPeerStreams, controlwire.MaxPeerFrameBytes, s.servePeer) })
 }
 
-// Addr is the address at which nodes and clients are accepted.
+// Addr returns the address at which nodes and clients are accepted.
 func (s *Server) Addr() string { return s.clientListener.Addr().String() }
 
-// Last is the index of the newest entry that the server has.
+// Last returns the index of the newest entry that the server has.
 func (s *Server) Last() replicatedlog.Index {
 	_, _, last := s.sharedLog.Position()
 	return last
 }
 
-// Done is closed once the server has ended; Fault says then why it had to.
+// Done returns a channel that is closed when the server stops. Fault then returns the reason.
 func (s *Server) Done() <-chan struct{} { return s.closed }
 
-// Fault is why the server had to end by itself, as with a disk that takes no more writes; nil where it was closed.
+// Fault returns why the server stopped by itself, such as a failed write to disk; nil if it was closed or still runs.
 func (s *Server) Fault() error {
 	if err := s.fault.Load(); err != nil {
 		return *err
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// Close ends the server and waits for its goroutines.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.end(nil)
 	s.goroutines.Wait()
@@ -150,8 +151,8 @@
 	_ = s.loop.storage.Close()
 }
 
-// end closes everything that goroutines wait on. It may be called from any of them; the first call's error becomes
-// the fault.
+// end unblocks all goroutines so that they return. It may be called from any goroutine; the error of the first call
+// becomes the fault.
 func (s *Server) end(err error) {
 	s.endOnce.Do(func() {
 		if err != nil {
--- a/internal/control/controlserver/sharedlog.go
+++ b/internal/control/controlserver/sharedlog.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// deliveryInterval is the least time between two wake-ups of the deliveries: entries that arrive meanwhile go
-	// together.
+	// deliveryInterval is the minimum time between two wake-ups of the deliveries. Entries that arrive meanwhile are
+	// sent together.
 	deliveryInterval = 20 * time.Millisecond
-	// maxRequestTimes is how many entries' request times are remembered: as many as may wait to be ordered, and far
-	// more than are published during the longest fill, for which they are needed.
+	// maxRequestTimes is how many entries' request times are kept: as many as may wait to be ordered. The times are
+	// needed during the longest cache fill, in which far fewer entries are published.
 	maxRequestTimes = 16_384
 )
 
-// sharedLog is the replicated log as this server has it. The loop writes it; deliveries, the status table and the
+// sharedLog is this server's copy of the replicated log. The loop writes it; deliveries, the status table and the
 // purger read it.
 type sharedLog struct {
 	bounds  replicatedlog.Bounds
-	dirty   chan struct{}                 // holds a value while readers are to be woken
-	changed atomic.Pointer[chan struct{}] // closed when there is something new, and replaced by another
+	dirty   chan struct{}                 // holds a value while a wake-up of the readers is due
+	changed atomic.Pointer[chan struct{}] // closed and replaced when the log has changed
 
 	mu           sync.RWMutex
 	state        *replicatedlog.State
-	requestTimes []requestTime // by index, at most maxRequestTimes
+	requestTimes []requestTime // sorted by index; at most maxRequestTimes
 }
 
 // requestTime is when this server was first asked to have an entry ordered.
@@ -41,7 +41,7 @@
 	at    monotime.Instant
 }
 
-// openSharedLog is the log that the storage's snapshot has. Raft hands out the entries after it again.
+// openSharedLog returns the log of the storage's snapshot. Raft delivers the entries after it again.
 func openSharedLog(storage Storage, bounds replicatedlog.Bounds) (*sharedLog, error) {
 	l := &sharedLog{bounds: bounds, dirty: make(chan struct{}, 1)}
 	changed := make(chan struct{})
@@ -54,7 +54,7 @@
 	return l, err
 }
 
-// restoredState is the state that a snapshot of raft's has; an empty one where no state is in it, as in the first.
+// restoredState returns the state in a raft snapshot; an empty one for a snapshot without data, such as the first.
 func (l *sharedLog) restoredState(snapshot *pb.Snapshot) (*replicatedlog.State, error) {
 	if len(snapshot.GetData()) == 0 {
 		return replicatedlog.New(l.bounds), nil
@@ -62,7 +62,7 @@
 	return replicatedlog.Restore(snapshot.GetData(), l.bounds)
 }
 
-// restore replaces the log by the one in a snapshot that the leader has sent.
+// restore replaces the log with the one in a snapshot that the leader has sent.
 func (l *sharedLog) restore(snapshot *pb.Snapshot) error {
 	state, err := l.restoredState(snapshot)
 	if err != nil {
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// apply puts a batch that raft has committed into the log and returns the index of each proposal, 0 for one that
-// cannot become an entry. requestedAt is when this server was asked to have a proposal ordered, false for not; nil
-// where no request times are needed.
+// apply applies a committed batch to the log and returns the index of each proposal, 0 for one that cannot become an
+// entry. requestedAt returns when this server was asked to have a proposal ordered, false if it was not; it is nil if
+// request times are not needed.
 func (l *sharedLog) apply(
 	batch replicatedlog.Batch, requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool),
 ) []replicatedlog.Index {
@@ -90,7 +90,7 @@
 	return indexes
 }
 
-// recordRequestTimes remembers when the batch's entries were requested. The lock is held.
+// recordRequestTimes records when the batch's entries were requested. The caller holds the lock.
 func (l *sharedLog) recordRequestTimes(
 	batch replicatedlog.Batch, indexes []replicatedlog.Index,
 	requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool),
@@ -98,7 +98,7 @@
 	for i, p := range batch.Proposals {
 		at, is := requestedAt(p.ID)
 		n := len(l.requestTimes)
-		if is && (n == 0 || l.requestTimes[n-1].index < indexes[i]) { // not of one that has its index already
+		if is && (n == 0 || l.requestTimes[n-1].index < indexes[i]) { // not for a proposal that already had its index
 			l.requestTimes = append(l.requestTimes, requestTime{index: indexes[i], at: at})
 		}
 	}
@@ -107,22 +107,22 @@
 	}
 }
 
-// snapshot is the encoded state.
+// snapshot returns the encoded state.
 func (l *sharedLog) snapshot() []byte {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.Snapshot()
 }
 
-// Position returns which log it is (0 for not known yet), the index up to which entries are not kept, and the newest
-// entry's.
+// Position returns the log's id (0 for not known yet), the index up to which entries are no longer kept, and the index
+// of the newest entry.
 func (l *sharedLog) Position() (id replicatedlog.LogID, floor, last replicatedlog.Index) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.ID(), l.state.Floor(), l.state.Last()
 }
 
-// describe puts the newest entry, the floor and the newest configuration into a report, as of one moment.
+// describe fills in the report's indexes of the newest entry, the floor and the newest configuration, consistently.
 func (l *sharedLog) describe(report *controlwire.ServerReport) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -131,15 +131,15 @@
 	report.Config = uint64(l.state.Config())
 }
 
-// Entry returns an entry; false where it is not kept.
+// Entry returns the entry at an index; false if it is not kept.
 func (l *sharedLog) Entry(index replicatedlog.Index) (replicatedlog.Entry, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.Entry(index)
 }
 
-// RequestedAt is when this server was first asked to have an entry ordered; false where it was not, or that is
-// forgotten.
+// RequestedAt returns when this server was first asked to have an entry ordered; false if it was not asked, or the time
+// is no longer kept.
 func (l *sharedLog) RequestedAt(index replicatedlog.Index) (monotime.Instant, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -152,8 +152,8 @@
 	return l.requestTimes[n].at, true
 }
 
-// Changed is closed when there is something new. Who waits for it takes it before it looks at the log, else it could
-// miss a change.
+// Changed returns a channel that is closed at the next change. Callers must get the channel before they read the log;
+// otherwise they could miss a change.
 func (l *sharedLog) Changed() <-chan struct{} { return *l.changed.Load() }
 
 func (l *sharedLog) wakeReaders() {
@@ -163,7 +163,7 @@
 	}
 }
 
-// notify wakes readers, not more often than deliveryInterval.
+// notify wakes readers, at most once per deliveryInterval.
 func (l *sharedLog) notify(closed <-chan struct{}) {
 	for {
 		select {
@@ -171,7 +171,7 @@
 		case <-closed:
 			return
 		}
-		time.Sleep(deliveryInterval) // closed is not watched meanwhile: the end is late by that much at most
+		time.Sleep(deliveryInterval) // delays the stop by at most as much, because closed is not watched meanwhile
 		next := make(chan struct{})
 		close(*l.changed.Swap(&next))
 	}
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -12,31 +12,32 @@
 	"dahliapin/internal/monotime"
 )
 
-// maxAgeMs is an age that no clock gives: reports with more are dropped, since it would overflow as nanoseconds.
+// maxAgeMs bounds the age in reports. Reports with a higher one are dropped, because it cannot be valid and could
+// overflow when converted to nanoseconds.
 const maxAgeMs = 1 << 40
 
-// nodeRecord is a node's report and when it was made.
+// nodeRecord is a node's report with the time at which it was made.
 type nodeRecord struct {
 	controlwire.NodeReport
 	seenAt monotime.Instant
 }
 
-// serverRecord is what another control server reported of itself and of caches, and when.
+// serverRecord is another control server's report on itself and on caches, with the time of its arrival.
 type serverRecord struct {
 	controlwire.ServerReport
 	caches []purge.Progress
 	seenAt monotime.Instant
 }
 
-// statusTable is how far nodes, servers and caches are: at first hand of the nodes that follow here, and as other
-// servers report. All of it is hints, and lost with the process. Its methods may be called from anywhere.
+// statusTable holds the latest reports on nodes, servers and caches: directly from the nodes that follow this server,
+// and from other servers. It is only a hint, and lost with the process. Its methods may be called from any goroutine.
 type statusTable struct {
 	server          *Server
 	mu              sync.Mutex
 	nodes           map[string]nodeRecord   // by name; at most controlwire.MaxNodes
 	servers         map[uint64]serverRecord // by id, without this one
 	rejectedStreams atomic.Uint64           // closed because too many were open
-	invalid         atomic.Uint64           // malformed streams and messages, and those not for this server
+	invalid         atomic.Uint64           // malformed streams and messages, and messages for others
 	bytesIn         atomic.Uint64
 	bytesOut        atomic.Uint64
 }
@@ -45,7 +46,7 @@
 	return &statusTable{server: s, nodes: map[string]nodeRecord{}, servers: map[uint64]serverRecord{}}
 }
 
-// noteNode takes a node's report. Of two reports of a node, as by two servers that it followed, the later one stays.
+// noteNode records a node's report, unless a newer one is known, for example from another server that it followed.
 func (t *statusTable) noteNode(report controlwire.NodeReport, seenAt monotime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,8 +60,8 @@
 	t.nodes[report.Node] = nodeRecord{NodeReport: report, seenAt: seenAt}
 }
 
-// forgetSilentNodes removes nodes that have not reported for as long as the file says, and returns whether there is
-// capacity for one more. The lock is held.
+// forgetSilentNodes removes nodes that have not reported for the configured time, and reports whether there is capacity
+// for one more. The caller holds the lock.
 func (t *statusTable) forgetSilentNodes() bool {
 	now := t.server.Now()
 	for name, node := range t.nodes {
@@ -71,13 +72,13 @@
 	return len(t.nodes) < controlwire.MaxNodes
 }
 
-// ageMs is how long ago something was, in milliseconds.
+// ageMs returns the time since at in milliseconds.
 func ageMs(now, at monotime.Instant) uint64 {
 	return uint64(max(0, time.Duration(now-at)) / time.Millisecond)
 }
 
-// appliedByAll is the index up to which all nodes have applied that have reported within a time; false where there
-// are none.
+// appliedByAll returns the index up to which every node that has reported within the given time has applied; false if
+// there are no such nodes.
 func (t *statusTable) appliedByAll(within time.Duration) (least replicatedlog.Index, known bool) {
 	now := t.server.Now()
 	t.mu.Lock()
@@ -95,7 +96,7 @@
 	return least, known
 }
 
-// ownReport is this server's report of itself and of the caches, at which it carries purges out; nil for none.
+// ownReport returns this server's report on itself and on the caches at which it runs purges; nil for no caches.
 func (t *statusTable) ownReport() (controlwire.ServerReport, []purge.Progress) {
 	leadership := t.server.loop.leadership.Load()
 	self := t.server.File.Self()
@@ -123,7 +124,7 @@
 	return report, caches
 }
 
-// ownTable is what this server reports to others: itself, the nodes that follow here, and caches.
+// ownTable returns the reports for other servers: on this server, the nodes that follow it, and its caches.
 func (t *statusTable) ownTable() controlwire.Message {
 	self, caches := t.ownReport()
 	table := controlwire.Message{
@@ -143,7 +144,7 @@
 	return table
 }
 
-// fullTable is everything that is known, for clients.
+// fullTable returns all known reports, for clients.
 func (t *statusTable) fullTable() controlwire.Message {
 	self, caches := t.ownReport()
 	table := controlwire.Message{
@@ -183,7 +184,8 @@
 	return table
 }
 
-// mergePeerTable takes another server's report of itself, its nodes and caches. What is beyond the bounds is dropped.
+// mergePeerTable records another server's reports on itself, its nodes and its caches. Reports beyond the limits are
+// dropped.
 func (t *statusTable) mergePeerTable(from uint64, table controlwire.Message) {
 	now := t.server.Now()
 	for _, report := range table.Nodes {
@@ -213,7 +215,7 @@
 		len(report.Reason) <= controlwire.MaxReasonBytes && report.AgeMs < maxAgeMs
 }
 
-// validCaches returns the reports that are within the bounds, as those of a server.
+// validCaches returns the reports that are within the limits, attributed to the server that sent them.
 func validCaches(caches []purge.Progress, from uint64) []purge.Progress {
 	caches = slices.DeleteFunc(caches, func(cache purge.Progress) bool {
 		validName := cache.Cache != "" && len(cache.Cache) <= controlwire.MaxNameBytes
