--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -9,9 +9,9 @@
 	"dahliapin/internal/control/purge"
 )
 
-// The fleet has caught up only if every node has applied all, reports and has refused nothing, and there is a
-// leader: else nobody knows whether there is more.
-func TestNodesThatLackSomethingAreNotCaughtUp(t *testing.T) {
+// The fleet has caught up only if every node has applied all entries, reports in time and has rejected no
+// configuration, and if there is a leader: without one, newer entries may exist.
+func TestCaughtUpRequiresALeaderAndUpToDateNodes(t *testing.T) {
 	t.Parallel()
 	type message = controlwire.Message
 	type nodeReport = controlwire.NodeReport
@@ -42,9 +42,10 @@
 	}
 }
 
-// Two control servers report of a cache. What any of them has done at this process and log is done, also if it is
-// silent now; which caches there are, and whether there is a list of them, only servers that are not silent can say.
-func TestCachesThatLackPurges(t *testing.T) {
+// Two control servers report on a cache. A purge that either of them has done, at the cache's current process and in
+// this log, counts even if that server is silent now. Which caches exist, and whether there is a list of them, is taken
+// only from servers that are not silent.
+func TestCaughtUpRequiresAllPurgesAtCaches(t *testing.T) {
 	type message = controlwire.Message
 	progress := func(cache string, server, done uint64) purge.Progress {
 		return purge.Progress{Cache: cache, Server: server, Done: done, QuickDeleted: done, Log: 7}
@@ -95,7 +96,7 @@
 			for _, cache := range overview.Caches {
 				missing = append(missing, cache.Missing)
 				if cache.Overdue == math.MaxUint64 {
-					t.Error("nobody says what is overdue")
+					t.Error("overdue entries were not set")
 				}
 			}
 			if overview.CaughtUp() != c.caughtUp || !slices.Equal(missing, c.missing) {
--- a/internal/control/controlserver/delivery_test.go
+++ b/internal/control/controlserver/delivery_test.go
@@ -10,8 +10,9 @@
 	"dahliapin/internal/control/replicatedlog"
 )
 
-// The leader is cut off from the other servers, and not from nodes. It orders nothing, its nodes leave it for the
-// others, and a client that asked it first does not wait for it. What was proposed to it is ordered once it is back.
+// The leader is partitioned from the other servers, but not from nodes. It must order nothing, its nodes must move to
+// other servers, and a client that asks it first must not wait for it. A proposal that it received is ordered once it
+// is reconnected.
 func TestNodesLeaveAServerWithoutALeader(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, nil, nil)
@@ -33,18 +34,18 @@
 	began := time.Now()
 	c.publish(newPurges(1, 1), append([]string{nodeAddr(isolated)}, c.nodeAddrsWithout(isolated)...)...)
 	if took := time.Since(began); took > controlwire.OrderTimeout/2 {
-		t.Errorf("it took %v, by a server that can't order first", took)
+		t.Errorf("publishing took %v with the partitioned server first", took)
 	}
 	for _, n := range nodes {
 		c.waitApplied(n, 2)
 	}
 	if server.Last() != 1 {
-		t.Errorf("a server without a majority has %d", server.Last())
+		t.Errorf("partitioned server: last entry %d, want 1", server.Last())
 	}
 	server.loop.publishes <- newPublishCall(newPurges(9, 1))
 	time.Sleep(700 * time.Millisecond)
 	if server.Last() != 1 || server.IsLeader() {
-		t.Errorf("alone it has %d, leads: %t", server.Last(), server.IsLeader())
+		t.Errorf("partitioned server after a proposal: last entry %d, leader %t", server.Last(), server.IsLeader())
 	}
 
 	c.reconnect(isolated)
@@ -52,16 +53,16 @@
 	for _, n := range nodes {
 		c.waitApplied(n, indexes[0])
 	}
-	c.waitApplied(nodes[0], 4) // with what waited at the server that was cut off
+	c.waitApplied(nodes[0], 4) // including the proposal that waited at the partitioned server
 }
 
-// A node and a server are away while more is published than is kept. Both start anew when they are back: the server
-// from a snapshot, the node from the floor, with the latest configuration, and under the rule that everything before
-// may have been purged.
+// A node and a server are disconnected while more entries are published than are kept. When they are back, the server
+// must restart from a snapshot, and the node from the floor, with the latest configuration, presuming all earlier keys
+// purged.
 //
-// A server that catches up has floors of its own on the way, as 3 after the first batch of 1024. The first node, which
-// is back together with the server, may start at one of these, at any server; the second one is back once all servers
-// have everything, and starts at the last floor.
+// While a server catches up it has intermediate floors, such as 3 after the first batch of 1024. The first node, which
+// returns together with the server, may start at such a floor, at any server. The second one returns once all servers
+// have all entries, and starts at the final floor.
 func TestNodeAndServerBehindTheFloorStartAnew(t *testing.T) {
 	t.Parallel()
 	const (
@@ -105,20 +106,20 @@
 	second.setCut(false)
 	c.waitApplied(second, last)
 	floor := second.Status().PresumedPurged
-	if floor < last-keptEntries || floor > min(last-1, c.highestFloor()) { // later: entries that are kept are left out
-		t.Fatalf("it started at %d", floor)
+	if floor < last-keptEntries || floor > min(last-1, c.highestFloor()) { // a later start skips retained entries
+		t.Fatalf("node started at %d", floor)
 	}
 	if second.Status().Config != 3 {
 		t.Errorf("%+v", second.Status())
 	}
 	second.mu.Lock()
-	second.indexes[0] = floor // the configuration, which is as of there
+	second.indexes[0] = floor // the configuration in force at the floor
 	second.mu.Unlock()
 	second.expectApplied(t, floor, append([]string{"second"}, bodiesOf(late)[floor-3:]...)...)
 }
 
-// All disks are lost and a new log begins. A node that had more of the old one starts anew; otherwise it would skip
-// the first entries of the new one, whose indexes it has passed.
+// All disks are lost and a new log begins. A node that has applied more of the old log must start again; otherwise it
+// would skip the first entries of the new log, whose indexes it has already passed.
 func TestNodesStartAnewWithAnotherLog(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, nil, nil)
@@ -141,9 +142,9 @@
 	n.expectApplied(t, started+1, bodiesOf(late)[started:]...)
 }
 
-// A node reports all the time, and nothing is published. Reports wake the delivery, but must not put its heartbeat
-// off: the node would leave the server.
-func TestHeartbeatsComeWhateverIsReported(t *testing.T) {
+// A node reports frequently while nothing is published. Reports wake the delivery, but must not delay its heartbeats:
+// the node would leave the server.
+func TestFrequentReportsDoNotDelayHeartbeats(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, nil, nil)
 	c.publish(newPurges(0, 1))
@@ -163,7 +164,7 @@
 			message.Kind = controlwire.KindProgress
 		}
 	}()
-	for range 4 { // the start, and three heartbeats
+	for range 4 { // a start and three heartbeats
 		if _, _, err := stream.Receive(2 * controlwire.HeartbeatInterval); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/controlserver/harness_test.go
+++ b/internal/control/controlserver/harness_test.go
@@ -43,28 +43,28 @@
 	return monotime.Instant(t.Nano())
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, within time.Duration, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(within); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("condition not met within %v: %s", within, what)
 		}
 	}
 }
 
-// cluster is some control servers in this process, whose streams can be cut. They know each other by made-up
-// addresses.
+// cluster runs control servers in this process. Their streams can be cut, and they use made-up addresses for each
+// other.
 type cluster struct {
 	t          *testing.T
 	dirs       []string
 	changeFile func(*fleetconfig.ControlFile)
-	configure  func(i int, config *Config) // as for a broken variant
+	configure  func(i int, config *Config) // for example for a broken variant
 
 	mu      sync.Mutex
-	servers []*Server             // nil for one that is stopped
-	cut     map[string]bool       // addresses that are not reached
-	open    map[string][]net.Conn // by the address that was dialled
+	servers []*Server             // nil for a stopped server
+	cut     map[string]bool       // unreachable addresses
+	open    map[string][]net.Conn // by dialled address
 }
 
 func peerAddr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
@@ -95,7 +95,7 @@
 	return c
 }
 
-// start starts a server with the folder that it has.
+// start starts a server with its existing data directory.
 func (c *cluster) start(i int, first bool) {
 	c.t.Helper()
 	file := fleetconfig.DefaultControl()
@@ -120,7 +120,7 @@
 	}
 	config := Config{File: &file, FirstStart: first, Log: silentLogger(), Now: bootTime}
 	config.Dial = func(addr string, within time.Duration) (net.Conn, error) {
-		if c.isCut(peerAddr(i)) { // a server that is cut off reaches nobody
+		if c.isCut(peerAddr(i)) { // a partitioned server reaches no other server
 			return nil, errors.New("cut")
 		}
 		return c.dial(addr, within)
@@ -153,7 +153,7 @@
 	return c.cut[addr]
 }
 
-// dial reaches a server by its made-up address.
+// dial connects to a server by its made-up address.
 func (c *cluster) dial(addr string, within time.Duration) (net.Conn, error) {
 	c.mu.Lock()
 	to := ""
@@ -169,7 +169,7 @@
 	cut := c.cut[addr]
 	c.mu.Unlock()
 	if to == "" || cut {
-		return nil, errors.New("nobody there")
+		return nil, errors.New("unreachable")
 	}
 	conn, err := net.DialTimeout("tcp", to, within)
 	if err == nil {
@@ -180,7 +180,7 @@
 	return conn, err
 }
 
-// cutOff cuts a server off from the others, not from nodes.
+// cutOff partitions a server from the other servers, but not from nodes.
 func (c *cluster) cutOff(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,26 +188,26 @@
 	c.closeStreams(peerAddr(i))
 	if server := c.servers[i]; server != nil {
 		for _, peer := range server.peers {
-			c.closeStreams(peer.Addr) // those of third servers to it are opened again
+			c.closeStreams(peer.Addr) // streams between the other servers are opened again
 		}
 	}
 }
 
-// reconnect brings a server back that was cut off.
+// reconnect ends the partition of a server.
 func (c *cluster) reconnect(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut[peerAddr(i)] = false
 }
 
-// closeStreams closes all streams to an address. The lock is held.
+// closeStreams closes all streams to an address. The caller holds the lock.
 func (c *cluster) closeStreams(addr string) {
 	for _, conn := range c.open[addr] {
 		_ = conn.Close()
 	}
 }
 
-// breakNodeStreams breaks the streams of all nodes, which may open others.
+// breakNodeStreams closes the streams of all nodes, which may reconnect.
 func (c *cluster) breakNodeStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +216,7 @@
 	}
 }
 
-// leader waits for a leader that is not cut off.
+// leader waits for a leader that is not partitioned, and returns it.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -230,7 +230,7 @@
 	return 0
 }
 
-// nodeAddrs are the addresses of all servers, for nodes and clients.
+// nodeAddrs returns the addresses of all servers for nodes and clients.
 func (c *cluster) nodeAddrs() []string {
 	var addrs []string
 	for i := range c.servers {
@@ -239,10 +239,10 @@
 	return addrs
 }
 
-// nodeAddrsWithout are those of all servers but one.
+// nodeAddrsWithout returns nodeAddrs without that of one server.
 func (c *cluster) nodeAddrsWithout(i int) []string { return slices.Delete(c.nodeAddrs(), i, i+1) }
 
-// highestFloor is the highest index up to which a server no longer keeps entries.
+// highestFloor returns the highest index up to which any server no longer keeps entries.
 func (c *cluster) highestFloor() replicatedlog.Index {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,7 +263,7 @@
 	return controlclient.Client{Servers: addrs, Label: testLabel, Dial: c.dial}
 }
 
-// publish has proposals ordered by the servers at some addresses, by default any.
+// publish has proposals ordered by the servers at the given addresses; by default at any.
 func (c *cluster) publish(proposals []replicatedlog.Proposal, addrs ...string) []replicatedlog.Index {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -275,7 +275,7 @@
 	return indexes
 }
 
-// seedFor is the seed of a node that follows at a server first.
+// seedFor returns a seed with which a node tries the given server first.
 func (c *cluster) seedFor(i int) uint32 {
 	for seed := uint32(0); ; seed++ {
 		rank := func(addr string) uint64 { return keyhash.Salted(keyhash.String(addr), int(seed)) }
@@ -286,22 +286,22 @@
 	}
 }
 
-// testNode is a node that follows, and records what it did.
+// testNode is a following node that records what it applies.
 type testNode struct {
 	*logfollower.Follower
 	started *startRecorder
 
 	mu      sync.Mutex
-	indexes []replicatedlog.Index // of entries that it applied
+	indexes []replicatedlog.Index // of applied entries
 	bodies  []string              // of them
 	starts  []nodeStart
-	cut     bool // it reaches nobody
+	cut     bool // it reaches no server
 }
 
-// nodeStart is that a node was told to start anew.
+// nodeStart records that a node was told to start.
 type nodeStart struct {
 	at      replicatedlog.Index // everything up to here may have been purged
-	applied int                 // entries that it had recorded by then
+	applied int                 // number of entries recorded before
 }
 
 func (n *testNode) PresumePurged(upTo replicatedlog.Index) {
@@ -318,12 +318,12 @@
 	n.indexes = append(n.indexes, at)
 	n.bodies = append(n.bodies, string(text))
 	if strings.HasPrefix(string(text), "bad") {
-		return errors.New("it can't be used")
+		return errors.New("unusable configuration")
 	}
 	return nil
 }
 
-// forget forgets what was recorded.
+// forget clears the records.
 func (n *testNode) forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -344,7 +344,7 @@
 	return n.cut
 }
 
-// startRecorder records that an Applier was told where to start.
+// startRecorder records whether an Applier was told where to start.
 type startRecorder struct {
 	logfollower.Applier
 	started atomic.Bool
@@ -386,7 +386,7 @@
 	return n
 }
 
-// cuttableConn is a connection that breaks once its node is cut off.
+// cuttableConn is a connection that fails once its node is cut off.
 type cuttableConn struct {
 	net.Conn
 	node *testNode
@@ -419,7 +419,7 @@
 	})
 }
 
-// expectApplied compares what a node has applied with the bodies of all entries from an index on.
+// expectApplied checks that a node has applied exactly the entries with these bodies, from an index on.
 func (n *testNode) expectApplied(t *testing.T, from replicatedlog.Index, want ...string) {
 	t.Helper()
 	n.mu.Lock()
@@ -430,7 +430,7 @@
 			same++
 		}
 		next := n.bodies[same:min(same+3, len(n.bodies))]
-		t.Errorf("%s applied %d, wanted %d; the same up to %d, then %q", n.Name, len(n.bodies), len(want), same, next)
+		t.Errorf("%s: applied %d entries, want %d; equal up to %d, then %q", n.Name, len(n.bodies), len(want), same, next)
 	}
 	for i, at := range n.indexes {
 		if at != from+replicatedlog.Index(i) {
@@ -440,9 +440,9 @@
 	}
 }
 
-// expectNoGap checks what a node recorded that had everything up to an index, and may have started anew since, at any
-// later index and more than once: each entry has its body, follows the one before it or the last start, and the last one
-// is there. bodies are those of all entries after that index.
+// expectNoGap checks the records of a node that had all entries up to an index and may have started again since, at any
+// later index and more than once: each entry has its body and follows the previous one or the last start, and the last
+// entry is present. bodies are those of all entries after that index.
 func (n *testNode) expectNoGap(t *testing.T, after, last replicatedlog.Index, bodies []string) {
 	t.Helper()
 	n.mu.Lock()
@@ -457,7 +457,7 @@
 			had = starts[0].at
 			starts = starts[1:]
 		}
-		// The configuration of a start is taken before the start is told, with its own index.
+		// The configuration of a start is applied, with its own index, before the start itself is recorded.
 		configOfStart := len(starts) > 0 && starts[0].applied == i+1 && at <= starts[0].at
 		if at != had+1 && !configOfStart {
 			t.Errorf("%s: entry %d after %d", n.Name, at, had)
@@ -471,11 +471,11 @@
 		}
 	}
 	if had != last {
-		t.Errorf("%s: it ends with %d", n.Name, had)
+		t.Errorf("%s: last entry %d", n.Name, had)
 	}
 }
 
-// newPurges are proposals of purges, with keys numbered from a first one on.
+// newPurges returns proposals of purges, with consecutively numbered keys.
 func newPurges(first, count int) []replicatedlog.Proposal {
 	var proposals []replicatedlog.Proposal
 	for i := range count {
@@ -489,7 +489,7 @@
 	return controlclient.NewProposal(replicatedlog.Config, []byte(text))
 }
 
-// bodiesOf are the bodies of proposals, one after the other.
+// bodiesOf returns the bodies of proposals in order.
 func bodiesOf(lists ...[]replicatedlog.Proposal) []string {
 	var bodies []string
 	for _, proposals := range lists {
--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -19,26 +19,26 @@
 	"dahliapin/internal/scale/logscale/checker"
 )
 
-// voters of the test cluster, whose disks the checker looks at.
+// testVoters is the number of voters, whose disks the checker inspects.
 const testVoters = 3
 
-// evidence is what a cluster leaves for the checker.
-type evidence struct {
+// traceRecorder records what a cluster does, for the checker.
+type traceRecorder struct {
 	mu        sync.Mutex
 	persisted [testServers][]logtrace.Kept // by server
 	ordered   []logtrace.Ordered
 	records   []logtrace.Record // of the nodes
 }
 
-func (e *evidence) add(r logtrace.Record) {
+func (e *traceRecorder) add(r logtrace.Record) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.At = bootTime()
 	e.records = append(e.records, r)
 }
 
-// onPersisted notes what is on a server's disk.
-func (e *evidence) onPersisted(server int) func([]replicatedlog.Proposal) {
+// onPersisted records the proposals that are on a server's disk.
+func (e *traceRecorder) onPersisted(server int) func([]replicatedlog.Proposal) {
 	return func(proposals []replicatedlog.Proposal) {
 		kept := logtrace.Kept{At: bootTime()}
 		for _, p := range proposals {
@@ -50,8 +50,8 @@
 	}
 }
 
-// publish has a proposal ordered, and notes when it was sent and acknowledged.
-func (e *evidence) publish(c *cluster, p replicatedlog.Proposal) {
+// publish has a proposal ordered, and records when it was sent and acknowledged.
+func (e *traceRecorder) publish(c *cluster, p replicatedlog.Proposal) {
 	o := logtrace.Ordered{Mark: p.ContentHash(), Config: p.Kind == replicatedlog.Config, Sent: bootTime()}
 	o.Index = uint64(c.publish([]replicatedlog.Proposal{p})[0])
 	o.Acked = bootTime()
@@ -60,84 +60,84 @@
 	e.ordered = append(e.ordered, o)
 }
 
-// report is what the checker makes of the evidence of two nodes.
-func (e *evidence) report() checker.Report {
-	judge := checker.New(testVoters, nil)
+// report runs the checker over the trace of two nodes.
+func (e *traceRecorder) report() checker.Report {
+	traceChecker := checker.New(testVoters, nil)
 	for server := range testVoters {
 		for _, kept := range e.persisted[server] {
-			judge.Kept(server, kept)
+			traceChecker.Kept(server, kept)
 		}
 	}
 	for _, o := range e.ordered {
-		judge.Order(o)
+		traceChecker.Order(o)
 	}
 	for _, r := range e.records {
-		judge.Saw(r)
+		traceChecker.Saw(r)
 	}
-	return judge.Report(2)
+	return traceChecker.Report(2)
 }
 
-// soundApplier keeps the rules and notes what it does. The broken ones are made of it.
-type soundApplier struct {
+// correctApplier keeps the invariants and records what it does. The broken appliers wrap it.
+type correctApplier struct {
 	*replicatedlog.Applier
-	evidence *evidence
+	recorder *traceRecorder
 	node     uint32
 	starting bool
 	started  uint64 // content hash of the configuration that it started with
 }
 
-func newSoundApplier(e *evidence, node uint32) *soundApplier {
-	a := &soundApplier{evidence: e, node: node}
+func newCorrectApplier(e *traceRecorder, node uint32) *correctApplier {
+	a := &correctApplier{recorder: e, node: node}
 	a.Applier = replicatedlog.NewApplier(a)
 	return a
 }
 
-func (a *soundApplier) note(at replicatedlog.Index, p replicatedlog.Proposal) {
+func (a *correctApplier) note(at replicatedlog.Index, p replicatedlog.Proposal) {
 	if a.starting {
 		a.started = p.ContentHash()
 		return
 	}
-	a.evidence.add(logtrace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: a.node, What: logtrace.Applied})
+	a.recorder.add(logtrace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: a.node, What: logtrace.Applied})
 }
 
-func (a *soundApplier) PresumePurged(replicatedlog.Index) {}
+func (a *correctApplier) PresumePurged(replicatedlog.Index) {}
 
-func (a *soundApplier) Purge(at replicatedlog.Index, key string) {
+func (a *correctApplier) Purge(at replicatedlog.Index, key string) {
 	a.note(at, replicatedlog.Proposal{Kind: replicatedlog.Purge, Body: []byte(key)})
 }
 
-func (a *soundApplier) Configure(at replicatedlog.Index, text []byte) error {
+func (a *correctApplier) Configure(at replicatedlog.Index, text []byte) error {
 	a.note(at, replicatedlog.Proposal{Kind: replicatedlog.Config, Body: text})
 	return nil
 }
 
-func (a *soundApplier) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
+func (a *correctApplier) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
 	a.starting = true
 	err := a.Applier.Start(log, at, config)
 	a.starting = false
 	if err == nil {
-		a.evidence.add(logtrace.Record{Index: uint64(at), Mark: a.started, Node: a.node, What: logtrace.Began})
+		a.recorder.add(logtrace.Record{Index: uint64(at), Mark: a.started, Node: a.node, What: logtrace.Began})
 	}
 	return err
 }
 
-// ignoresStartConfig goes on with the configuration that it has, or none, where it is told which one is in force.
-type ignoresStartConfig struct{ *soundApplier }
+// ignoresStartConfig ignores the configuration in force that a start message brings, and keeps its own or none.
+type ignoresStartConfig struct{ *correctApplier }
 
 func (a ignoresStartConfig) Start(log replicatedlog.LogID, at replicatedlog.Index, _ cbor.RawMessage) error {
-	return a.soundApplier.Start(log, at, nil)
+	return a.correctApplier.Start(log, at, nil)
 }
 
-// losesFrame loses its third frame and goes on with the next as if nothing were missing.
+// losesFrame drops its third frame and continues with the next one without reporting a gap.
 type losesFrame struct {
-	*soundApplier
+	*correctApplier
 	frames  int // so far, without heartbeats
 	applied replicatedlog.Index
 }
 
 func (a *losesFrame) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
 	a.applied = at
-	return a.soundApplier.Start(log, at, config)
+	return a.correctApplier.Start(log, at, config)
 }
 
 func (a *losesFrame) Apply(encoded []cbor.RawMessage) error {
@@ -157,14 +157,14 @@
 }
 
 func (a *losesFrame) CurrentProgress() replicatedlog.Progress {
-	progress := a.soundApplier.CurrentProgress()
+	progress := a.correctApplier.CurrentProgress()
 	progress.Applied = a.applied
 	return progress
 }
 
-// reportsEarly reports entries when they have arrived, and applies the newest only with the next frame.
+// reportsEarly reports entries on arrival, but applies the newest one only with the next frame.
 type reportsEarly struct {
-	*soundApplier
+	*correctApplier
 	arrived replicatedlog.Index
 	pending []cbor.RawMessage
 }
@@ -181,21 +181,21 @@
 			a.arrived = e.Index
 		}
 	}
-	return a.soundApplier.Apply(now)
+	return a.correctApplier.Apply(now)
 }
 
 func (a *reportsEarly) CurrentProgress() replicatedlog.Progress {
-	progress := a.soundApplier.CurrentProgress()
+	progress := a.correctApplier.CurrentProgress()
 	progress.Applied = max(progress.Applied, a.arrived)
 	return progress
 }
 
-// appliesAgain reports one entry less than it has applied, so that its next stream brings that one again, and does
-// not notice.
+// appliesAgain reports one entry less than it has applied, so that its next stream delivers that entry again, and
+// applies it twice.
 type appliesAgain struct{ losesFrame }
 
-func newAppliesAgain(sound *soundApplier) *appliesAgain {
-	return &appliesAgain{losesFrame{soundApplier: sound, frames: 100}} // it loses none
+func newAppliesAgain(sound *correctApplier) *appliesAgain {
+	return &appliesAgain{losesFrame{correctApplier: sound, frames: 100}} // it drops none
 }
 
 func (a *appliesAgain) CurrentProgress() replicatedlog.Progress {
@@ -204,16 +204,16 @@
 	return progress
 }
 
-// lazyDisk says that everything is on disk, and has it there a while later.
-type lazyDisk struct {
+// asyncStore reports entries to OnPersisted only some time after Save has returned, as if they reached the disk late.
+type asyncStore struct {
 	*store.Store
 	writes sync.WaitGroup
 }
 
-func (d *lazyDisk) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
+func (d *asyncStore) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	report := d.Store.OnPersisted
 	d.Store.OnPersisted = nil
-	err := d.Store.Save(hard, entries, snapshot) // for the checker only what is reported is on disk
+	err := d.Store.Save(hard, entries, snapshot) // for the checker only reported entries are on disk
 	d.Store.OnPersisted = report
 	d.writes.Go(func() {
 		time.Sleep(200 * time.Millisecond)
@@ -222,13 +222,13 @@
 	return err
 }
 
-func (d *lazyDisk) Close() error {
+func (d *asyncStore) Close() error {
 	d.writes.Wait()
 	return d.Store.Close()
 }
 
-// openLazyDisk opens a server's folder as a lazyDisk.
-func openLazyDisk(t *testing.T, i int, config *Config) *lazyDisk {
+// openAsyncStore opens a server's data directory as an lazyDisk.
+func openAsyncStore(t *testing.T, i int, config *Config) *asyncStore {
 	t.Helper()
 	owner := store.Owner{ID: uint64(i + 1), Label: testLabel}
 	s, err := store.Open(config.File.Control.Data, owner, []uint64{1, 2, 3}, []uint64{4}, true)
@@ -236,47 +236,47 @@
 		t.Fatal(err)
 	}
 	s.OnPersisted = decodePersisted(config.OnPersisted)
-	return &lazyDisk{Store: s}
+	return &asyncStore{Store: s}
 }
 
-// judgedVariant is how one of two nodes, the servers or the client are broken; the zero one is sound.
+// checkedVariant describes how one of two nodes, the servers or the client are broken; the zero value is correct.
 type checkedVariant struct {
-	name     string
-	applier  func(*soundApplier) logfollower.Applier // of the first node
-	lazyDisk bool                                    // of all servers
-	newID    bool                                    // a client that tries again gives the change another id
-	want     []string                                // breaches that are to be found
+	name       string
+	applier    func(*correctApplier) logfollower.Applier // of the first node
+	asyncStore bool                                      // of all servers
+	newID      bool                                      // the client gives a retried proposal a new id
+	want       []string                                  // breaches that the checker has to find
 }
 
-// The checker finds no breach where the rules are kept, and each of these where it is broken: by code that runs, not
-// by made-up traces.
+// The checker must find no breach in a correct run, and the expected ones in each broken variant. The traces come from
+// running code, not from made-up records.
 func TestCheckerFindsBrokenVariants(t *testing.T) {
 	t.Parallel()
 	for _, v := range []checkedVariant{
-		{name: "sound"},
+		{name: "correct"},
 		{
-			name:    "a gap is passed over",
-			applier: func(a *soundApplier) logfollower.Applier { return &losesFrame{soundApplier: a} },
+			name:    "a gap is not reported",
+			applier: func(a *correctApplier) logfollower.Applier { return &losesFrame{correctApplier: a} },
 			want:    []string{checker.Missing},
 		},
 		{
-			name:     "acknowledged before a majority has it",
-			lazyDisk: true,
-			want:     []string{checker.EarlyAck, checker.EarlyInForce},
+			name:       "acknowledged before a majority has persisted it",
+			asyncStore: true,
+			want:       []string{checker.EarlyAck, checker.EarlyInForce},
 		},
 		{
-			name:    "an old configuration at the start",
-			applier: func(a *soundApplier) logfollower.Applier { return ignoresStartConfig{a} },
+			name:    "start with an old configuration",
+			applier: func(a *correctApplier) logfollower.Applier { return ignoresStartConfig{a} },
 			want:    []string{checker.OldBeginning},
 		},
 		{
 			name:    "reported too early",
-			applier: func(a *soundApplier) logfollower.Applier { return &reportsEarly{soundApplier: a} },
+			applier: func(a *correctApplier) logfollower.Applier { return &reportsEarly{correctApplier: a} },
 			want:    []string{checker.EarlyTold},
 		},
 		{
 			name:    "applied again",
-			applier: func(a *soundApplier) logfollower.Applier { return newAppliesAgain(a) },
+			applier: func(a *correctApplier) logfollower.Applier { return newAppliesAgain(a) },
 			want:    []string{checker.Doubled},
 		},
 		{name: "ordered twice on a retry", newID: true, want: []string{checker.Doubled}},
@@ -293,20 +293,20 @@
 			}
 			for _, want := range v.want {
 				if !slices.Contains(found, want) {
-					t.Errorf("not found: %s, but %q", want, found)
+					t.Errorf("breach not found: %s; found %q", want, found)
 				}
 			}
 		})
 	}
 }
 
-// run publishes a configuration and twelve purges, one of them twice, to two nodes whose streams break once.
+// run publishes a configuration and twelve purges, one of them twice, to two nodes whose streams are closed once.
 func (v *checkedVariant) run(t *testing.T) checker.Report {
-	e := &evidence{}
+	e := &traceRecorder{}
 	c := newCluster(t, nil, func(i int, config *Config) {
 		config.OnPersisted = e.onPersisted(i)
-		if v.lazyDisk {
-			config.Storage = openLazyDisk(t, i, config)
+		if v.asyncStore {
+			config.Storage = openAsyncStore(t, i, config)
 		}
 	})
 	e.publish(c, newConfig("the first"))
@@ -317,7 +317,7 @@
 	for i := range 12 {
 		p := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "key-", i))
 		e.publish(c, p)
-		if i == 7 { // as if its answer was lost
+		if i == 7 { // as after a lost answer
 			if v.newID {
 				p = controlclient.NewProposal(p.Kind, p.Body)
 			}
@@ -339,15 +339,15 @@
 }
 
 // startNodes starts two nodes, the first one broken.
-func (v *checkedVariant) startNodes(t *testing.T, c *cluster, e *evidence) []*logfollower.Follower {
+func (v *checkedVariant) startNodes(t *testing.T, c *cluster, e *traceRecorder) []*logfollower.Follower {
 	t.Helper()
 	var nodes []*logfollower.Follower
 	var starts []*startRecorder
 	for i := range uint32(2) {
-		sound := newSoundApplier(e, i)
-		var applier logfollower.Applier = sound
+		correct := newCorrectApplier(e, i)
+		var applier logfollower.Applier = correct
 		if v.applier != nil && i == 0 {
-			applier = v.applier(sound)
+			applier = v.applier(correct)
 		}
 		started := &startRecorder{Applier: applier}
 		n := logfollower.Start(logfollower.Config{
--- a/internal/control/controlserver/leaderduties_test.go
+++ b/internal/control/controlserver/leaderduties_test.go
@@ -11,7 +11,7 @@
 	"dahliapin/internal/monotime"
 )
 
-// trim has a server look at what to trim now, as if it had run for so long.
+// trim makes a server check at once what to trim, as if it had been running for runningFor.
 func trim(server *Server, runningFor time.Duration) {
 	done := make(chan struct{})
 	server.loop.call(func() {
@@ -32,7 +32,7 @@
 	return floors
 }
 
-// expectNothingTrimmed looks after some time whether any server has trimmed its log.
+// expectNothingTrimmed checks after some time that no server has trimmed its log.
 func (c *cluster) expectNothingTrimmed(why string) {
 	c.t.Helper()
 	time.Sleep(300 * time.Millisecond)
@@ -41,8 +41,9 @@
 	}
 }
 
-// Entries that all nodes have applied are trimmed, but for the last ones. A node that is off holds them for as long
-// as the file says, and so does a leader that runs for less than that, since it may not know all nodes.
+// Entries that all nodes have applied are trimmed, except for the newest ones. A node that is off prevents that for the
+// configured hold time, and so does a leader that has run for less than the hold time, because it may not know all
+// nodes.
 func TestEntriesThatAllNodesAppliedAreTrimmed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, func(file *fleetconfig.ControlFile) {
@@ -59,16 +60,16 @@
 	time.Sleep(2*controlwire.ProgressInterval + 2*statusInterval)
 
 	trim(c.servers[c.leader()], 2*time.Hour)
-	c.expectNothingTrimmed("although a node lacks it that was heard within the hour")
+	c.expectNothingTrimmed("although a node that reported within the hold time lacks entries")
 
 	c.age("off", 2*time.Hour)
 	trim(c.servers[c.leader()], 0)
-	c.expectNothingTrimmed("by a leader that has just begun, and may not know of all")
+	c.expectNothingTrimmed("by a leader that has just started and may not know all nodes")
 
 	kept := []replicatedlog.Index{1200, 1200, 1200, 1200}
 	deadline := time.Now().Add(10 * time.Second)
 	for ; !slices.Equal(c.floors(), kept); time.Sleep(100 * time.Millisecond) {
-		c.age("off", 2*time.Hour) // again, since a table that a server sent before may arrive after it
+		c.age("off", 2*time.Hour) // repeated, because a table sent earlier may still arrive
 		trim(c.servers[c.leader()], 2*time.Hour)
 		if time.Now().After(deadline) {
 			t.Fatalf("kept after %v", c.floors())
--- a/internal/control/controlserver/purges_test.go
+++ b/internal/control/controlserver/purges_test.go
@@ -12,7 +12,7 @@
 	"dahliapin/internal/emulator/cachestub"
 )
 
-// openCaches starts caches and returns the settings by which they are known.
+// openCaches starts stub caches and returns settings that list them.
 func openCaches(t *testing.T, count int) ([]*cachestub.Cache, *fleetconfig.Purges) {
 	t.Helper()
 	settings := fleetconfig.DefaultPurges()
@@ -30,7 +30,7 @@
 	return caches, settings
 }
 
-// unreachable are the same settings, with caches that cannot be reached.
+// unreachable returns a copy of the settings with unreachable caches.
 func unreachable(settings *fleetconfig.Purges) *fleetconfig.Purges {
 	changed := *settings
 	changed.Caches = slices.Clone(settings.Caches)
@@ -40,7 +40,7 @@
 	return &changed
 }
 
-// overviewWhen waits for an overview in which something holds.
+// overviewWhen waits for an overview that meets a condition, and returns it.
 func (c *cluster) overviewWhen(what string, holds func(controlclient.Overview) bool) controlclient.Overview {
 	c.t.Helper()
 	var overview controlclient.Overview
@@ -51,15 +51,15 @@
 			return overview
 		}
 	}
-	c.t.Fatalf("never: %s: %+v", what, overview)
+	c.t.Fatalf("condition not met: %s: %+v", what, overview)
 	return overview
 }
 
-// Four control servers carry purges out at three caches; one of the servers, the learner, reaches no cache and takes
-// over what the others have done. One cache refuses all connections for a while: the overview says which cache lacks
-// what, the log keeps what it lacks, and once it accepts again it gets all. A server that was stopped meanwhile has
-// what the others have done.
-func TestPurgesAreDoneAtCaches(t *testing.T) {
+// Four control servers run purges at three caches. The learner reaches no cache, and must adopt the progress of the
+// others. One cache refuses all connections for a while: the overview must show what it lacks, the log must keep those
+// entries, and the cache must get them once it accepts connections again. A server that was stopped meanwhile must
+// adopt the others' progress.
+func TestPurgesReachAllCaches(t *testing.T) {
 	t.Parallel()
 	caches, settings := openCaches(t, 3)
 	withoutCaches := unreachable(settings)
@@ -82,7 +82,7 @@
 		return learner.Done == 10 && learner.Reason != ""
 	})
 	if at, is := c.servers[0].sharedLog.RequestedAt(10); !is || at <= 0 || at >= bootTime() {
-		t.Errorf("the server that was asked does not know since when: %v, %t", at, is)
+		t.Errorf("the server that was asked has no request time: %v, %t", at, is)
 	}
 	if _, is := caches[0].Serve("key-1"); is {
 		t.Error("a purged value is served")
@@ -103,11 +103,11 @@
 	}
 	leader := c.servers[c.leader()]
 	last := uint64(indexes[len(indexes)-1])
-	leader.status.noteNode(controlwire.NodeReport{Node: "n", Applied: last}, bootTime()) // all nodes have applied all
+	leader.status.noteNode(controlwire.NodeReport{Node: "n", Applied: last}, bootTime()) // no node lacks entries
 	trim(leader, 24*time.Hour)
 	time.Sleep(200 * time.Millisecond)
 	if _, floor, _ := leader.sharedLog.Position(); floor > 10 {
-		t.Errorf("kept after %d, although a cache lacks it", floor)
+		t.Errorf("trimmed up to %d, although a cache lacks entries", floor)
 	}
 
 	c.stop(testServers - 1)
--- a/internal/control/controlserver/queue_test.go
+++ b/internal/control/controlserver/queue_test.go
@@ -21,21 +21,21 @@
 	}
 }
 
-// A client that got no answer publishes the same proposals again, while the first call still waits. They are proposed
-// once, and both calls get the indexes.
+// A client that got no answer publishes the same proposals again while its first call still waits. They must be
+// proposed only once, and both calls must get the indexes.
 func TestQueueProposesARepeatedProposalOnce(t *testing.T) {
 	q := newTestQueue()
 	proposals := newPurges(0, 2)
 	first, second := newPublishCall(proposals), newPublishCall(proposals)
 	if added := q.add(first); len(added) != 2 {
-		t.Errorf("%d new at first", len(added))
+		t.Errorf("first call: %d proposals added, want 2", len(added))
 	}
 	if added := q.add(second); len(added) != 0 {
-		t.Errorf("%d new again", len(added))
+		t.Errorf("repeated call: %d proposals added, want 0", len(added))
 	}
 	q.ordered(replicatedlog.Batch{Proposals: proposals[:1]}, []replicatedlog.Index{5})
 	if isDone(first) || isDone(second) {
-		t.Error("done before all are ordered")
+		t.Error("call done before all its proposals are ordered")
 	}
 	q.ordered(replicatedlog.Batch{Proposals: proposals[1:]}, []replicatedlog.Index{6})
 	for _, call := range []*publishCall{first, second} {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Without a leader nothing is ordered. What raft took too long ago is proposed again in the order of arrival; calls
-// past their deadline are answered, and their proposals dropped.
+// Without a leader nothing is ordered. Proposals that are due must be proposed again in the order of arrival. Calls
+// past their deadline must be answered, and their proposals dropped.
 func TestQueueRetriesInOrderUntilTheDeadline(t *testing.T) {
 	q := newTestQueue()
 	proposals := newPurges(0, 100)
@@ -58,7 +58,7 @@
 	q.markProposed(replicatedlog.Batch{Proposals: proposals[:10]})
 	again := q.retry()
 	if len(again) != 90 {
-		t.Fatalf("%d are proposed again", len(again))
+		t.Fatalf("%d proposals are retried, want 90", len(again))
 	}
 	for i, p := range again {
 		if p.ID != proposals[10+i].ID {
--- a/internal/control/controlserver/server_test.go
+++ b/internal/control/controlserver/server_test.go
@@ -18,15 +18,15 @@
 	"dahliapin/internal/control/replicatedlog/store"
 )
 
-// PeersAddr is the address at which other control servers are accepted.
+// PeersAddr returns the address at which other control servers are accepted.
 func (s *Server) PeersAddr() string { return s.peerListener.Addr().String() }
 
-// IsLeader says whether the server is the leader, as far as it knows.
+// IsLeader reports whether the server considers itself the leader.
 func (s *Server) IsLeader() bool { return s.loop.leadership.Load().isLeader }
 
-// Changes are published one by one, each once more at another server, as by a client that got no answer. Then the
-// leader ends, a node is cut off, a thousand purges are published, the leader comes back with its disk and the node
-// as well. Each change becomes one entry, and every node applies each once and in order.
+// Proposals are published one by one, each a second time at another server, as by a client that got no answer. Then the
+// leader is stopped, a node is cut off, a thousand purges are published, and the leader, with its data, and the node
+// come back. Each proposal must become one entry, which every node applies once and in order.
 func TestChangesReachAllNodesOnceWhileTheLeaderRestarts(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, nil, nil)
@@ -67,7 +67,7 @@
 		servers[n.Status().Server] = true
 	}
 	if len(servers) < 3 {
-		t.Errorf("the nodes follow at %v", servers)
+		t.Errorf("nodes are not spread over the servers: %v", servers)
 	}
 	time.Sleep(2 * controlwire.ProgressInterval)
 	o, err := c.client().Overview()
@@ -79,7 +79,7 @@
 	}
 }
 
-// fullDisk is a storage that takes no more writes from some time on.
+// fullDisk is a storage whose writes fail once fill was called.
 type fullDisk struct {
 	Storage
 	mu   sync.Mutex
@@ -101,9 +101,9 @@
 	return d.Storage.Save(hard, entries, snapshot)
 }
 
-// The leader's disk is full. It acknowledges nothing more and ends with that fault; the others elect another leader
-// and go on.
-func TestServerWithAFullDiskEnds(t *testing.T) {
+// The leader's disk is full. The leader must acknowledge nothing more and stop with that fault; the other servers must
+// elect a new leader and continue.
+func TestServerStopsWhenItsDiskIsFull(t *testing.T) {
 	t.Parallel()
 	var disks [testServers]*fullDisk
 	c := newCluster(t, nil, func(i int, config *Config) {
@@ -124,14 +124,14 @@
 	select {
 	case <-c.servers[leader].Done():
 	case <-time.After(5 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("the server still runs")
 	}
 	if err := c.servers[leader].Fault(); err == nil || !strings.Contains(err.Error(), "no space left") {
-		t.Errorf("it ended for %v", err)
+		t.Errorf("the server stopped with %v", err)
 	}
 }
 
-// Streams of other protocols, of another fleet and of malformed frames are closed without an answer, and counted.
+// Streams of other protocols, of another fleet and with malformed frames must be closed without an answer, and counted.
 func TestInvalidStreamsAreClosedAndCounted(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, nil, nil)
@@ -150,15 +150,15 @@
 		expectClosed(t, server.PeersAddr(), sent)
 	}
 	if got := server.status.invalid.Load() - before; got != 10 {
-		t.Errorf("%d of 10 were counted", got)
+		t.Errorf("%d invalid streams counted, want 10", got)
 	}
 	o, err := (controlclient.Client{Servers: []string{server.Addr()}, Label: testLabel}).Overview()
 	if err != nil || o.Servers[0].Invalid != before+10 || o.Servers[0].BytesOut == 0 {
-		t.Errorf("reported: %v, %+v", err, o)
+		t.Errorf("overview: %v, %+v", err, o)
 	}
 }
 
-// expectClosed sends bytes to an address, and expects that the connection is closed without an answer.
+// expectClosed sends bytes to an address and checks that the connection is closed without an answer.
 func expectClosed(t *testing.T, addr string, sent []byte) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
--- a/internal/control/controlwire/golden_test.go
+++ b/internal/control/controlwire/golden_test.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/golden"
 )
 
-func TestStreamsOfTheLogAreAsRecorded(t *testing.T) {
+func TestFramesMatchTheGoldenFile(t *testing.T) {
 	messages := []Message{
 		{Kind: KindHello, Index: 12, LogID: 99, Fresh: true, Nodes: []NodeReport{{
 			Node: "n1", Process: 7, Applied: 12, Config: 3, Refused: 4, PresumedPurged: 5, Gaps: 6, Reason: "why",
@@ -57,7 +57,7 @@
 		back, n, err := NewStream(there, MaxFrameBytes).Receive(5 * time.Second)
 		again, _ := EncodeFrame(back, MaxFrameBytes)
 		if err != nil || n != len(b) || !bytes.Equal(again, b) {
-			t.Errorf("read as another message: %v", err)
+			t.Errorf("decoded message differs: %v", err)
 		}
 	}
 	golden.Check(t, "frames.txt", got.Bytes())
--- a/internal/control/controlwire/stream_test.go
+++ b/internal/control/controlwire/stream_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// received is what a stream with a bound of MaxFrameBytes makes of some bytes, after which the sender closes.
-func received(t *testing.T, sent []byte) *Stream {
+// streamReceiving returns a stream, limited to MaxFrameBytes, on which the given bytes and then the end arrive.
+func streamReceiving(t *testing.T, sent []byte) *Stream {
 	t.Helper()
 	here, there := net.Pipe()
 	t.Cleanup(func() { _ = there.Close() })
@@ -28,7 +28,7 @@
 		preface[at]++
 		return preface
 	}
-	kind, err := received(t, Preface(StreamFollower, label)).AcceptPreface(label)
+	kind, err := streamReceiving(t, Preface(StreamFollower, label)).AcceptPreface(label)
 	if err != nil || kind != StreamFollower {
 		t.Errorf("own preface: %c, %v", kind, err)
 	}
@@ -38,7 +38,7 @@
 		"another fleet":    Preface(StreamFollower, "another"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := received(t, preface).AcceptPreface(label); !errors.Is(err, ErrMalformed) {
+			if _, err := streamReceiving(t, preface).AcceptPreface(label); !errors.Is(err, ErrMalformed) {
 				t.Errorf("%v", err)
 			}
 		})
@@ -55,22 +55,22 @@
 		sent []byte
 		want error
 	}{
-		"a length beyond the bound": {binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1), ErrMalformed},
-		"no CBOR":                   {[]byte{0, 0, 0, 1, 0xff}, ErrMalformed},
-		"no version":                {[]byte{0, 0, 0, 1, 0xa0}, ErrMalformed},
-		"too many nodes":            {tooManyNodes, ErrMalformed},
-		"cut short":                 {[]byte{0, 0, 0, 9, 0xa0}, io.ErrUnexpectedEOF},
-		"a long one cut short":      {append([]byte{0, 1, 0, 0}, 0xa0), io.ErrUnexpectedEOF},
+		"length above the limit": {binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1), ErrMalformed},
+		"not CBOR":               {[]byte{0, 0, 0, 1, 0xff}, ErrMalformed},
+		"no version":             {[]byte{0, 0, 0, 1, 0xa0}, ErrMalformed},
+		"too many nodes":         {tooManyNodes, ErrMalformed},
+		"truncated":              {[]byte{0, 0, 0, 9, 0xa0}, io.ErrUnexpectedEOF},
+		"truncated long frame":   {append([]byte{0, 1, 0, 0}, 0xa0), io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, _, err := received(t, c.sent).Receive(time.Second); !errors.Is(err, c.want) {
+			if _, _, err := streamReceiving(t, c.sent).Receive(time.Second); !errors.Is(err, c.want) {
 				t.Errorf("%v, wanted %v", err, c.want)
 			}
 		})
 	}
 	tooLong := Message{Batch: make([]byte, MaxFrameBytes)}
 	if _, err := EncodeFrame(tooLong, MaxFrameBytes); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a frame beyond the bound was encoded: %v", err)
+		t.Errorf("encoding a frame above the limit: %v", err)
 	}
 }
 
--- a/internal/control/logfollower/follower_test.go
+++ b/internal/control/logfollower/follower_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A server goes away, and its nodes move to the next ones in their orders. These have to spread over all others, and
-// each node has to keep its order, so that it does not depend on the order in the configuration.
+// When a server fails, its nodes move to the next server in their orders. These must spread over all other servers, and
+// a node's order must not depend on the order of servers in the configuration.
 func TestServerOrderSpreadsNodes(t *testing.T) {
 	servers := []string{"10.0.0.1:2", "10.0.0.2:2", "10.0.0.3:2", "10.0.0.4:2"}
 	reversed := slices.Clone(servers)
@@ -16,7 +16,7 @@
 	for seed := range uint32(nodes) {
 		order := serverOrder(servers, seed)
 		if !slices.Equal(order, serverOrder(reversed, seed)) {
-			t.Fatalf("seed %d: the order depends on the configuration's", seed)
+			t.Fatalf("seed %d: the order depends on that in the configuration", seed)
 		}
 		if secondAfter[order[0]] == nil {
 			secondAfter[order[0]] = map[string]int{}
