--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -8,7 +8,7 @@
 	"dahliapin/internal/control/controlwire"
 )
 
-// ErrUnavailable reports that no control server could be reached or answered.
+// ErrUnavailable reports that no control server could be reached, or that none answered in time.
 var ErrUnavailable = errors.New("no control server answers")
 
 // Client sends requests to control servers.
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -16,7 +16,7 @@
 	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
 }
 
-// CaughtUp reports whether NodesCaughtUp holds and every purge is done at every cache.
+// CaughtUp reports whether NodesCaughtUp holds and every purge is done at every cache, of which a list is known.
 func (o Overview) CaughtUp() bool {
 	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
 	return !o.NoCacheList && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
--- a/internal/control/controlclient/publish.go
+++ b/internal/control/controlclient/publish.go
@@ -113,7 +113,7 @@
 	return indexes
 }
 
-// sleepContext waits, or until the context ends.
+// sleepContext waits for a delay, or until the context ends.
 func sleepContext(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -22,7 +22,7 @@
 		Servers:   []controlwire.ServerReport{{ID: 1, Last: 5}},
 	}
 	if o := summarize(caughtUp); !o.CaughtUp() {
-		t.Errorf("%+v", o)
+		t.Errorf("not caught up: %+v", o)
 	}
 	for name, change := range map[string]func(table *message, node *nodeReport){
 		"lacks an entry":  func(_ *message, node *nodeReport) { node.Applied = 4 },
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -21,7 +21,7 @@
 )
 
 // delivery sends the log to one follower. The stream's reading goroutine (serveFollower) writes acked, and so does run
-// when the node has to restart; run owns the fields from logID on. The other fields do not change.
+// when the node has to start again; run owns the fields from logID on. The other fields do not change.
 type delivery struct {
 	server     *Server
 	stream     *controlwire.Stream
--- a/internal/control/controlserver/delivery_test.go
+++ b/internal/control/controlserver/delivery_test.go
@@ -77,7 +77,7 @@
 	for _, n := range nodes {
 		c.waitApplied(n, 2)
 		if s := n.Status(); s.Config > 1 || s.PresumedPurged < 2 && (s.Refused != 2 || s.Reason == "") {
-			t.Errorf("%s: %+v", n.Name, s)
+			t.Errorf("%s: unexpected configuration status: %+v", n.Name, s)
 		}
 		n.setCut(true)
 		n.forget()
@@ -88,7 +88,7 @@
 	late := newPurges(0, 2000)
 	c.publish(late, c.nodeAddrsWithout(behind)...)
 	if s := first.Status(); s.Stale != (s.SinceLeaderS > 1) {
-		t.Errorf("%+v", s)
+		t.Errorf("Stale does not match SinceLeaderS: %+v", s)
 	}
 
 	c.start(behind, false)
@@ -96,7 +96,7 @@
 	c.waitApplied(first, last)
 	first.expectNoGap(t, 2, last, append([]string{"second"}, bodiesOf(late)...))
 	if s := first.Status(); s.Config != 3 {
-		t.Errorf("%+v", s)
+		t.Errorf("first node lacks the latest configuration: %+v", s)
 	}
 
 	for i, server := range c.servers {
@@ -110,7 +110,7 @@
 		t.Fatalf("node started at %d", floor)
 	}
 	if second.Status().Config != 3 {
-		t.Errorf("%+v", second.Status())
+		t.Errorf("second node lacks the latest configuration: %+v", second.Status())
 	}
 	second.mu.Lock()
 	second.indexes[0] = floor // the configuration in force at the floor
@@ -134,7 +134,7 @@
 	for i := range c.servers {
 		c.start(i, true)
 	}
-	eventually(t, 10*time.Second, "the node starts anew", func() bool { return n.Status().Applied <= 5 })
+	eventually(t, 10*time.Second, "the node starts again", func() bool { return n.Status().Applied <= 5 })
 	started := n.Status().PresumedPurged
 	late := newPurges(100, 5)
 	c.publish(late)
--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -194,8 +194,8 @@
 // applies it twice.
 type appliesAgain struct{ losesFrame }
 
-func newAppliesAgain(sound *correctApplier) *appliesAgain {
-	return &appliesAgain{losesFrame{correctApplier: sound, frames: 100}} // it drops none
+func newAppliesAgain(correct *correctApplier) *appliesAgain {
+	return &appliesAgain{losesFrame{correctApplier: correct, frames: 100}} // it drops none
 }
 
 func (a *appliesAgain) CurrentProgress() replicatedlog.Progress {
@@ -227,7 +227,7 @@
 	return d.Store.Close()
 }
 
-// openAsyncStore opens a server's data directory as an lazyDisk.
+// openAsyncStore opens a server's data directory as an asyncStore.
 func openAsyncStore(t *testing.T, i int, config *Config) *asyncStore {
 	t.Helper()
 	owner := store.Owner{ID: uint64(i + 1), Label: testLabel}
@@ -289,7 +289,7 @@
 				found = append(found, breach.What)
 			}
 			if v.want == nil && found != nil {
-				t.Errorf("%+v", report)
+				t.Errorf("breaches in a correct run: %+v", report)
 			}
 			for _, want := range v.want {
 				if !slices.Contains(found, want) {
--- a/internal/control/controlserver/purges_test.go
+++ b/internal/control/controlserver/purges_test.go
@@ -96,10 +96,10 @@
 	})
 	refusing := o.Caches[1]
 	if o.CaughtUp() || refusing.Done != 10 || refusing.Missing != 2500 {
-		t.Errorf("%+v", refusing)
+		t.Errorf("progress of the refusing cache: %+v", refusing)
 	}
 	if refusing.Servers[0].Reason == "" || refusing.Flushing {
-		t.Errorf("%+v", refusing)
+		t.Errorf("state of the refusing cache: %+v", refusing)
 	}
 	leader := c.servers[c.leader()]
 	last := uint64(indexes[len(indexes)-1])
--- a/internal/control/controlserver/server_test.go
+++ b/internal/control/controlserver/server_test.go
@@ -42,7 +42,7 @@
 		indexes := c.publish(single[i:i+1], nodeAddr(i%4))
 		again := c.publish(single[i:i+1], nodeAddr((i+1)%4))
 		if indexes[0] != replicatedlog.Index(i+1) || again[0] != indexes[0] {
-			t.Errorf("ordered at %v, again at %v", indexes, again)
+			t.Errorf("first indexes %v, indexes of the repeated call %v", indexes, again)
 		}
 	}
 	leader := c.leader()
@@ -60,7 +60,7 @@
 		n.expectApplied(t, 1, bodiesOf(single, burst, last)...)
 		status := n.Status()
 		if status.Gaps != 0 || status.Purges != 1012 {
-			t.Errorf("%+v", status)
+			t.Errorf("unexpected gaps or purges: %+v", status)
 		}
 	}
 	for _, n := range nodes {
--- a/internal/control/controlwire/stream_test.go
+++ b/internal/control/controlwire/stream_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := streamReceiving(t, preface).AcceptPreface(label); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want ErrMalformed", err)
 			}
 		})
 	}
