--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -48,7 +48,8 @@
 	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
 }
 
-// ServerStatus is the state of a control server, as operators get it in JSON.
+// ServerStatus is the state of a control server. The struct is flat because it is one flat object in the JSON that
+// operators get.
 type ServerStatus struct {
 	ID          uint64              `json:"id"`
 	Name        string              `json:"name"`
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -81,7 +81,8 @@
 	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
 }
 
-// ServerReport is the state of a control server: its own, or what it last reported to another one.
+// ServerReport is the state of a control server: its own, or what it last reported to another one. The struct is flat
+// because it is one flat map on the wire.
 type ServerReport struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/monotime"
 )
 
-// Status is the state of a Follower, as operators get it in JSON.
+// Status is the state of a Follower. The struct is flat because it is one flat object in the JSON that operators get.
 type Status struct {
 	Applied        replicatedlog.Index `json:"applied"`
 	LastKnown      replicatedlog.Index `json:"head"`   // index of the newest entry that a server reported
