--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -6,31 +6,31 @@
 	"dahliapin/policy"
 )
 
-// tickToken is the token of the tick's timer. No request may have it as its id: those of package proxy have 8 bytes,
-// and the simulator's are expected to be others.
+// tickToken is the token of the tick's timer. It must differ from every request id: the ids of package proxy have
+// 8 bytes, and the simulator's are expected to differ.
 const tickToken = "upkeep"
 
-// Dispatcher carries out the decisions about one node's requests.
+// Dispatcher tracks one node's requests in flight and executes the Decider's decisions about them.
 type Dispatcher struct {
 	decider  Decider
 	actions  Actions
-	observer Observer // nil for none
+	observer Observer // may be nil
 	inflight map[policy.RequestID]*inflightRequest
 }
 
-// inflightRequest is a request until it is answered and none of its attempts is in flight. Its Attempts and those that
-// the caller keeps are matched by index: each Send appends one to both.
+// inflightRequest is a request that is unanswered or has an attempt in flight. Its Attempts correspond by index to
+// those that the caller keeps: each Send appends one to both.
 type inflightRequest struct {
 	policy.Request
-	reviewAt policy.Instant // when Route is to be called again; 0 for never
+	reviewAt policy.Instant // time of the next call of Route; 0 if none is scheduled
 }
 
-// New starts a node that is decided by a new router of package policy.
+// New returns a Dispatcher that asks a new router of package policy, and starts its tick.
 func New(now policy.Instant, seed int64, settings policy.Settings, actions Actions) *Dispatcher {
 	return NewWithDecider(now, policy.New(now, seed, settings), actions, nil)
 }
 
-// NewWithDecider starts a node with another decider, or with an observer; that may be nil.
+// NewWithDecider returns a Dispatcher that asks decider and notifies observer, which may be nil, and starts its tick.
 func NewWithDecider(now policy.Instant, decider Decider, actions Actions, observer Observer) *Dispatcher {
 	d := &Dispatcher{
 		decider:  decider,
@@ -42,6 +42,7 @@
 	return d
 }
 
+// tick runs the decider's periodic work, reports changed endpoint states, and sets the timer of the next tick.
 func (d *Dispatcher) tick(now policy.Instant) {
 	wait, actions := d.decider.Tick(now)
 	for _, action := range actions {
@@ -60,7 +61,7 @@
 	d.actions.SetTimer(wait, tickToken)
 }
 
-// UpdateEndpoints passes on an update of the endpoint list.
+// UpdateEndpoints passes an update of the endpoint list to the decider and the observer.
 func (d *Dispatcher) UpdateEndpoints(now policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint) {
 	d.decider.UpdateEndpoints(now, kind, entries)
 	if d.observer != nil {
@@ -68,12 +69,12 @@
 	}
 }
 
-// OnHealthCheck passes on a health check's result.
+// OnHealthCheck passes the result of a health check to the decider.
 func (d *Dispatcher) OnHealthCheck(now policy.Instant, id policy.EndpointID, result policy.Result) {
 	d.decider.OnHealthCheck(now, id, result)
 }
 
-// RequestArrived takes a request in flight and has it decided; one that is in flight already is left as it is.
+// RequestArrived adds a request and executes the decision about it. A request that is already in flight is ignored.
 func (d *Dispatcher) RequestArrived(now policy.Instant, r *policy.Request) {
 	if d.inflight[r.ID] != nil {
 		return
@@ -98,8 +99,8 @@
 	return d.decider.MayStart(now, req.Request, attempt)
 }
 
-// AttemptDone takes an attempt's result; that of one that is not in flight any more is ignored. answered tells that the
-// request has its final answer, by this attempt or otherwise.
+// AttemptDone handles the result of an attempt, unless the attempt is no longer in flight. answered reports whether the
+// request has its final answer, from this attempt or another source.
 func (d *Dispatcher) AttemptDone(
 	now policy.Instant, id policy.RequestID, result policy.Result, answered bool, outcome policy.Outcome,
 ) {
@@ -120,14 +121,14 @@
 	d.execute(now, req, d.decider.OnAttemptDone(now, &req.Request, outcome))
 }
 
-// ResponseStarted tells that an answer has begun to be streamed: the request is not reviewed any more.
+// ResponseStarted cancels the pending review of a request whose response is now being streamed to the client.
 func (d *Dispatcher) ResponseStarted(id policy.RequestID) {
 	if req := d.inflight[id]; req != nil {
 		req.reviewAt = 0
 	}
 }
 
-// CapDeadlines sets the deadline of each request in flight to a time, unless it is earlier.
+// CapDeadlines moves the deadlines of all requests in flight to by where they are later, and their reviews with them.
 func (d *Dispatcher) CapDeadlines(now, by policy.Instant) {
 	for id, req := range d.inflight {
 		if req.Deadline <= by {
@@ -141,15 +142,16 @@
 	}
 }
 
-// ClientGone tells that a request's client has gone: it needs no answer.
+// ClientGone marks a request as finished because its client has disconnected and needs no answer.
 func (d *Dispatcher) ClientGone(now policy.Instant, id policy.RequestID) {
 	if req := d.inflight[id]; req != nil {
 		req.Finished = true
-		d.forgetIfDone(req)
+		d.removeIfDone(req)
 	}
 }
 
-// OnTimer handles a timer of SetTimer. One that was set for a review which is not due any more is ignored.
+// OnTimer handles the expiry of a timer set with Actions.SetTimer. Timers are never cancelled, so one whose review has
+// been dropped or postponed is ignored.
 func (d *Dispatcher) OnTimer(now policy.Instant, token string) {
 	if token == tickToken {
 		d.tick(now)
@@ -161,14 +163,14 @@
 	}
 }
 
-// review has a request decided again.
+// review asks the decider about a request again and executes the decision.
 func (d *Dispatcher) review(now policy.Instant, req *inflightRequest) {
 	req.reviewAt = 0
 	d.execute(now, req, d.decider.Route(now, &req.Request))
 }
 
-// execute carries out a decision: it cancels before it answers, and answers before it sends. Last it reviews the
-// requests that the decision wakes up, which wait for the same value.
+// execute carries out a decision: first cancellations, then the answer, then new attempts. Finally it reviews the
+// requests that the decision wakes, which wait for the same value.
 func (d *Dispatcher) execute(now policy.Instant, req *inflightRequest, decision policy.Decision) {
 	for _, attempt := range decision.Cancel {
 		d.actions.Cancel(req.ID, attempt)
@@ -192,7 +194,7 @@
 		req.reviewAt = decision.ReviewAt
 		d.actions.SetTimer(decision.ReviewAt.Since(now), string(req.ID))
 	}
-	d.forgetIfDone(req)
+	d.removeIfDone(req)
 	for _, id := range decision.Wake {
 		if waiter := d.inflight[id]; waiter != nil && !waiter.Finished {
 			d.review(now, waiter)
@@ -200,8 +202,8 @@
 	}
 }
 
-// forgetIfDone forgets a request that is answered and has no attempt in flight.
-func (d *Dispatcher) forgetIfDone(req *inflightRequest) {
+// removeIfDone removes a request that is finished and has no attempt in flight.
+func (d *Dispatcher) removeIfDone(req *inflightRequest) {
 	isInFlight := func(attempt policy.Attempt) bool { return attempt.InFlight }
 	if req.Finished && !slices.ContainsFunc(req.Attempts, isInFlight) {
 		delete(d.inflight, req.ID)
--- a/internal/proxy/dispatch/dispatcher_test.go
+++ b/internal/proxy/dispatch/dispatcher_test.go
@@ -9,14 +9,14 @@
 	"dahliapin/policy"
 )
 
-// scriptedDecider gives the decisions of a test, each once and in their order, and notes what it was asked.
+// scriptedDecider returns the decisions of a test one after the other, and records the calls.
 type scriptedDecider struct {
 	decisions []policy.Decision
-	asked     []string
+	calls     []string
 }
 
 func (s *scriptedDecider) next(asked string) policy.Decision {
-	s.asked = append(s.asked, asked)
+	s.calls = append(s.calls, asked)
 	if len(s.decisions) == 0 {
 		return policy.Decision{}
 	}
@@ -43,46 +43,46 @@
 
 func (s *scriptedDecider) MayStart(policy.Instant, policy.Request, int) bool { return true }
 
-// recordedActions notes what a Dispatcher does.
-type recordedActions struct{ done []string }
+// actionRecorder records the actions of a Dispatcher.
+type actionRecorder struct{ done []string }
 
-func (a *recordedActions) note(format string, args ...any) {
+func (a *actionRecorder) record(format string, args ...any) {
 	a.done = append(a.done, fmt.Sprintf(format, args...))
 }
 
-func (a *recordedActions) Send(id policy.RequestID, to policy.EndpointID, _ policy.Instant) {
-	a.note("send %s to %s", id, to)
+func (a *actionRecorder) Send(id policy.RequestID, to policy.EndpointID, _ policy.Instant) {
+	a.record("send %s to %s", id, to)
 }
-func (a *recordedActions) Cancel(id policy.RequestID, attempt int) {
-	a.note("cancel %s/%d", id, attempt)
+func (a *actionRecorder) Cancel(id policy.RequestID, attempt int) {
+	a.record("cancel %s/%d", id, attempt)
 }
-func (a *recordedActions) Reject(id policy.RequestID, _ time.Duration) { a.note("reject %s", id) }
-func (a *recordedActions) Fail(id policy.RequestID)                    { a.note("fail %s", id) }
-func (a *recordedActions) SetTimer(in time.Duration, token string) {
-	a.note("timer %s in %v", token, in)
+func (a *actionRecorder) Reject(id policy.RequestID, _ time.Duration) { a.record("reject %s", id) }
+func (a *actionRecorder) Fail(id policy.RequestID)                    { a.record("fail %s", id) }
+func (a *actionRecorder) SetTimer(in time.Duration, token string) {
+	a.record("timer %s in %v", token, in)
 }
-func (a *recordedActions) CheckHealth(id policy.EndpointID) { a.note("check %s", id) }
-func (a *recordedActions) PollEndpoints()                   { a.note("poll") }
+func (a *actionRecorder) CheckHealth(id policy.EndpointID) { a.record("check %s", id) }
+func (a *actionRecorder) PollEndpoints()                   { a.record("poll") }
 
 const testNow = policy.Instant(time.Hour)
 
-func newScripted(t *testing.T, decisions ...policy.Decision) (*Dispatcher, *scriptedDecider, *recordedActions) {
+func newScripted(t *testing.T, decisions ...policy.Decision) (*Dispatcher, *scriptedDecider, *actionRecorder) {
 	t.Helper()
 	decider := &scriptedDecider{decisions: decisions}
-	actions := &recordedActions{}
+	actions := &actionRecorder{}
 	return NewWithDecider(testNow, decider, actions, nil), decider, actions
 }
 
-func expectNotes(t *testing.T, what string, got []string, want ...string) {
+func expectRecorded(t *testing.T, what string, got []string, want ...string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
 		t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
-// A request is sent, and the decider asks for a review of it. The attempt fails first, and brings a second attempt
-// and a later review: the timer of the first review, which is not cancelled, must not have the request decided again.
-func TestTimerOfAnEarlierReviewIsIgnored(t *testing.T) {
+// The decider schedules a review of a request. Before it is due the attempt fails, and the next decision sends a second
+// attempt and schedules a later review. The first timer is never cancelled, and must not trigger a review.
+func TestTimerOfSupersededReviewIsIgnored(t *testing.T) {
 	d, decider, actions := newScripted(t,
 		policy.Decision{SendTo: []policy.EndpointID{"a"}, ReviewAt: testNow.Add(time.Second)},
 		policy.Decision{SendTo: []policy.EndpointID{"b"}, ReviewAt: testNow.Add(3 * time.Second)},
@@ -91,39 +91,39 @@
 	d.AttemptDone(testNow, "request1", policy.Errored, false, policy.Outcome{Attempt: 0})
 	d.OnTimer(testNow.Add(time.Second), "request1")
 	d.OnTimer(testNow.Add(3*time.Second), "request1")
-	expectNotes(t, "asked", decider.asked, "route request1", "done request1/0", "route request1")
-	expectNotes(t, "done", actions.done, "timer upkeep in 1s", "send request1 to a", "timer request1 in 1s",
+	expectRecorded(t, "asked", decider.calls, "route request1", "done request1/0", "route request1")
+	expectRecorded(t, "done", actions.done, "timer upkeep in 1s", "send request1 to a", "timer request1 in 1s",
 		"send request1 to b", "timer request1 in 3s")
 }
 
-// A decision cancels an attempt, rejects the request and wakes another one. The actions must come in that order, and
-// the result of the cancelled attempt must be taken before the request is forgotten; after that nothing of it is.
-func TestRequestIsForgottenOnlyAfterItsAttempts(t *testing.T) {
+// A decision cancels an attempt, rejects the request and wakes another one, in that order. The request must be kept
+// until the result of the cancelled attempt has been handled; results that follow are ignored.
+func TestRequestIsRemovedOnlyAfterItsAttemptsEnd(t *testing.T) {
 	d, decider, actions := newScripted(t,
 		policy.Decision{SendTo: []policy.EndpointID{"a"}},
-		policy.Decision{}, // the waiter's
+		policy.Decision{}, // for the waiter
 		policy.Decision{Cancel: []int{0}, Answer: policy.Reject, Wake: []policy.RequestID{"waiter01", "unknown1"}},
 	)
 	d.RequestArrived(testNow, &policy.Request{ID: "request1"})
 	d.RequestArrived(testNow, &policy.Request{ID: "waiter01"})
-	d.RequestArrived(testNow, &policy.Request{ID: "waiter01"}) // is in flight already
+	d.RequestArrived(testNow, &policy.Request{ID: "waiter01"}) // already in flight
 	d.execute(testNow, d.inflight["request1"], decider.next("decided"))
 	if d.inflight["request1"] == nil {
-		t.Fatal("forgotten with an attempt in flight")
+		t.Fatal("the request was removed with an attempt in flight")
 	}
 	d.AttemptDone(testNow, "request1", policy.Cancelled, false, policy.Outcome{Attempt: 0})
 	if d.inflight["request1"] != nil {
-		t.Error("kept without an attempt in flight")
+		t.Error("the request was kept without an attempt in flight")
 	}
 	d.AttemptDone(testNow, "request1", policy.Answered, true, policy.Outcome{Attempt: 0})
-	expectNotes(t, "asked", decider.asked, "route request1", "route waiter01", "decided", "route waiter01",
+	expectRecorded(t, "asked", decider.calls, "route request1", "route waiter01", "decided", "route waiter01",
 		"done request1/0")
-	expectNotes(t, "done", actions.done, "timer upkeep in 1s", "send request1 to a", "cancel request1/0",
+	expectRecorded(t, "done", actions.done, "timer upkeep in 1s", "send request1 to a", "cancel request1/0",
 		"reject request1")
 }
 
-// A node that drains caps the deadlines of what is in flight. A review that was due later must come at the new
-// deadline, or the request would be answered after the node has stopped; one that is due earlier stays.
+// A draining node caps the deadlines of its requests in flight. A review due after the new deadline must move to it,
+// otherwise the request would be answered after the node has stopped. An earlier review stays as scheduled.
 func TestCapDeadlinesBringsReviewsForward(t *testing.T) {
 	by := testNow.Add(2 * time.Second)
 	for _, c := range []struct {
@@ -139,9 +139,9 @@
 			d, _, actions := newScripted(t, policy.Decision{ReviewAt: testNow.Add(c.reviewAt)})
 			d.RequestArrived(testNow, &policy.Request{ID: "request1", Deadline: testNow.Add(c.deadline)})
 			d.CapDeadlines(testNow, by)
-			expectNotes(t, "done", actions.done, append([]string{"timer upkeep in 1s"}, c.wantTimers...)...)
+			expectRecorded(t, "done", actions.done, append([]string{"timer upkeep in 1s"}, c.wantTimers...)...)
 			if deadline := d.inflight["request1"].Deadline; deadline > by {
-				t.Errorf("its deadline is %v after the cap", deadline.Since(by))
+				t.Errorf("the deadline is %v after the cap", deadline.Since(by))
 			}
 		})
 	}
--- a/internal/proxy/dispatch/interfaces.go
+++ b/internal/proxy/dispatch/interfaces.go
@@ -6,61 +6,61 @@
 	"dahliapin/policy"
 )
 
-// Actions is what a Dispatcher can make happen. None of its methods may call back into the Dispatcher.
+// Actions carries out what a Dispatcher's decisions ask for. None of its methods may call back into the Dispatcher.
 type Actions interface {
-	// Send starts an attempt of a request at an endpoint, which is to end by deadline. The caller reports its result by
-	// AttemptDone; a request's attempts count from 0, in the order in which they were sent.
+	// Send starts an attempt of a request at an endpoint, which is to end by deadline. Its result is reported through
+	// Dispatcher.AttemptDone. The attempts of a request are numbered from 0 in the order in which they were sent.
 	Send(id policy.RequestID, to policy.EndpointID, deadline policy.Instant)
-	// Cancel stops an attempt, and leaves it to the result whether it has been carried out.
+	// Cancel stops an attempt. The attempt's result, which still follows, says whether it may have been executed.
 	Cancel(id policy.RequestID, attempt int)
-	// Reject answers that the request was not carried out and may be sent again, after retryAfter if that is not 0.
+	// Reject answers that the request was not executed and may be retried, after retryAfter if that is not 0.
 	Reject(id policy.RequestID, retryAfter time.Duration)
-	// Fail answers that the request has failed and may have been carried out.
+	// Fail answers that the request has failed and may have been executed.
 	Fail(id policy.RequestID)
-	// SetTimer has OnTimer called with a token after a time. Timers are not cancelled.
+	// SetTimer schedules a call of Dispatcher.OnTimer with token after a duration. Timers are never cancelled.
 	SetTimer(in time.Duration, token string)
-	// CheckHealth checks on an endpoint; its result goes to OnHealthCheck.
+	// CheckHealth starts a health check of an endpoint. Its result is reported through Dispatcher.OnHealthCheck.
 	CheckHealth(id policy.EndpointID)
-	// PollEndpoints has the endpoint list polled, where it isn't always followed.
+	// PollEndpoints polls the endpoint list, unless updates of the list are received continuously.
 	PollEndpoints()
 }
 
-// Decider decides about requests: package policy's router, or a baseline that it is measured against.
+// Decider makes the decisions about requests. It is the router of package policy, or a baseline for comparison.
 type Decider interface {
-	// Route decides about a request that has arrived, or whose review is due.
+	// Route decides what to do with a request that has arrived or whose review is due.
 	Route(now policy.Instant, r *policy.Request) policy.Decision
-	// OnAttemptDone decides what follows an attempt's result.
+	// OnAttemptDone decides what to do after an attempt has ended.
 	OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision
-	// Tick is called regularly, and returns when to be called next and what to do meanwhile.
+	// Tick is called periodically. It returns the time until the next call and the actions to take now.
 	Tick(now policy.Instant) (time.Duration, []policy.Action)
-	// UpdateEndpoints takes an update of the endpoint list.
+	// UpdateEndpoints applies an update of the endpoint list.
 	UpdateEndpoints(now policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint)
-	// OnHealthCheck takes a health check's result.
+	// OnHealthCheck handles the result of a health check.
 	OnHealthCheck(now policy.Instant, id policy.EndpointID, result policy.Result)
-	// MayStart reports whether an attempt that has waited for its connection is still allowed.
+	// MayStart reports whether an attempt that has waited for its connection may still be sent.
 	MayStart(now policy.Instant, r policy.Request, attempt int) bool
 }
 
-// AdmissionFilter is a Decider that may reject a request as it arrives, before Route is asked.
+// AdmissionFilter is an optional interface of a Decider that may reject a request on arrival, before Route is called.
 type AdmissionFilter interface {
-	// Admit reports whether a request is admitted, and what to do with one that is not.
+	// Admit reports whether a request is admitted. If it is not, decision says how to answer it.
 	Admit(now policy.Instant, r *policy.Request) (decision policy.Decision, admitted bool)
 }
 
-// Observer is told what a node does with its endpoints. It is called within the event loop and must not block.
+// Observer is notified of what a node does with its endpoints. It is called from the event loop and must not block.
 type Observer interface {
-	// EndpointStateChanged is called at a tick for each endpoint that has another state than at the tick before; at
-	// first all are in use.
+	// EndpointStateChanged is called at a tick for each endpoint whose state has changed since the previous tick.
+	// Initially every endpoint is in use.
 	EndpointStateChanged(now policy.Instant, id policy.EndpointID, state policy.EndpointState)
 	// AttemptSent is called for each attempt that is sent to an endpoint.
 	AttemptSent(now policy.Instant, id policy.EndpointID)
-	// AttemptDone is called for each attempt that has ended, with the time since it was sent.
+	// AttemptDone is called for each attempt that has ended, with its latency.
 	AttemptDone(now policy.Instant, id policy.EndpointID, result policy.Result, took time.Duration)
 	// EndpointsUpdated is called for each update of the endpoint list.
 	EndpointsUpdated(now policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint)
 }
 
-// endpointStates is a Decider that states what it makes of its endpoints.
+// endpointStates is an optional interface of a Decider that reports the states of its endpoints.
 type endpointStates interface {
 	// EndpointStates calls f for each endpoint whose state has changed since the last call.
 	EndpointStates(now policy.Instant, f func(policy.EndpointID, policy.EndpointState))
