--- a/internal/proxy/degradation/controller_test.go
+++ b/internal/proxy/degradation/controller_test.go
@@ -11,7 +11,7 @@
 	"dahliapin/policy"
 )
 
-// The same signals are drawn each time, unless a seed is asked for.
+// The seed is fixed for reproducible runs, unless another one is given as a flag.
 func init() { flag.Set("rapid.seed", "1") }
 
 const testObjective = 100 * time.Millisecond
@@ -27,7 +27,8 @@
 	},
 }
 
-// evaluateInterval records one interval's attempts, some of them late, and evaluates them.
+// evaluateInterval records the attempts of one interval, of which the first late ones exceed the latency objective,
+// and evaluates them.
 func evaluateInterval(c *Controller, now policy.Instant, attempts, late int) (changed bool) {
 	for n := range attempts {
 		c.RecordAdmitted()
@@ -40,15 +41,15 @@
 	return c.Evaluate(now)
 }
 
-// A level that flaps would shed and readmit load in waves, and one that does not end would shed for nothing. Whatever
-// the shares are: no level is entered by one evaluation, none is left within its least stay, and after ninety seconds
-// without a fault operation is normal.
-func TestLevelsNeitherFlapNorStay(t *testing.T) {
+// A level that flaps would shed and readmit load in waves, and one that never ends would shed load without need. For
+// any sequence of shares, no level is entered after a single evaluation, none is left within its minimum stay, and
+// operation is normal after ninety seconds without a fault.
+func TestLevelsNeitherFlapNorOutlastFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewController(1, testLevels)
 		enteredAt, before := policy.Instant(0), 0
 		now := policy.Instant(1)
-		faulty := 0 // evaluations in a row
+		faulty := 0 // consecutive evaluations with a fault
 		for range 120 {
 			now = now.Add(evaluationInterval)
 			attempts := rapid.IntRange(minRequests, 300).Draw(t, "attempts")
@@ -62,11 +63,11 @@
 			level, share := c.Current()
 			switch {
 			case changed != (level != before) || share < 0 || share > 1 || level == 0 && share != 0:
-				t.Fatalf("at %d with %v from %d, changed is %v", level, share, before, changed)
-			case level > before && faulty < enterAfter:
-				t.Fatalf("entered after %d evaluations", faulty)
+				t.Fatalf("level %d with shed share %v after level %d: changed is %v", level, share, before, changed)
+			case level > before && faulty < evaluationsToEnter:
+				t.Fatalf("level entered after %d evaluations", faulty)
 			case level < before && now.Since(enteredAt) < testLevels[before-1].MinStay():
-				t.Fatalf("left after %v", now.Since(enteredAt))
+				t.Fatalf("level left after %v", now.Since(enteredAt))
 			}
 			if level != before {
 				enteredAt, before = now, level
@@ -77,18 +78,19 @@
 			evaluateInterval(c, now, 100, 0)
 		}
 		if level, _ := c.Current(); level != 0 {
-			t.Fatalf("still at %d", level)
+			t.Fatalf("the level is still %d", level)
 		}
 	})
 }
 
-// A node with three requests a second would enter and leave levels by single late answers, or never see a fault; one
-// that has just started knows no cache yet, and its policy rejects all requests.
-func TestFewRequestsAndAStartChangeNothing(t *testing.T) {
+// A node with three requests per second must not enter a level because of single late answers, but must still detect a
+// lasting fault. A node that has just started must not enter a level because its policy knows no cache yet and rejects
+// all requests.
+func TestLevelWithFewRequestsAndAtStartUp(t *testing.T) {
 	for _, test := range []struct {
 		name              string
 		seconds, attempts int
-		every             int // of so many seconds, all attempts of the first two are late
+		every             int // period in seconds; all attempts in its first two seconds are late
 		entered           bool
 	}{
 		{"start", int(startUpGrace/evaluationInterval) - 1, 200, 1, false},
@@ -101,7 +103,7 @@
 			entered := false
 			for n := range test.seconds {
 				late := 0
-				if n%test.every < enterAfter {
+				if n%test.every < evaluationsToEnter {
 					late = test.attempts
 				}
 				now = now.Add(evaluationInterval)
@@ -110,7 +112,7 @@
 				}
 			}
 			if entered != test.entered {
-				t.Errorf("entered a level: %v", entered)
+				t.Errorf("level entered: %v", entered)
 			}
 		})
 	}
--- a/internal/proxy/degradation/doc.go
+++ b/internal/proxy/degradation/doc.go
@@ -1,13 +1,14 @@
-// Package degradation sheds load by service class while a node sees faults.
+// Package degradation sheds load by service class while a node observes faults.
 //
-// The operator's file states degradation levels (listeners.Level), from the mildest to the hardest, each with the
+// The operator's file defines degradation levels (listeners.Level) from the mildest to the most severe. Each has the
 // shares of late, lost and rejected work at which it is entered and left, and the service classes that it sheds. A
-// Controller counts the attempts and requests of an interval, evaluates their shares, and moves between the levels.
-// A Filter stands before the policy: it rejects new requests by the level, and passes on all others. Once a request
-// is admitted, only the policy decides on it.
+// Controller counts attempts and requests, evaluates their shares once per interval, and moves between the levels. A
+// Filter wraps the policy: it rejects new requests according to the level and passes on all others. Once a request is
+// admitted, the policy alone decides about it.
 //
-// Invariants: a level is entered only after enterAfter evaluations in a row that reach its bounds; it is left only
-// after its least stay; what it sheds is readmitted in steps, so that shed load does not come back as one wave.
+// Invariants: a level is entered only after evaluationsToEnter consecutive evaluations that reach its bounds. It is
+// left only after its minimum stay. Shed requests are readmitted in steps, so that the load does not return all at
+// once.
 //
-// Neither does any I/O or reads a clock, and both belong to the goroutine of the node's event loop.
+// Neither type does any I/O or reads a clock. Both are used only by the goroutine of the node's event loop.
 package degradation
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -10,24 +10,25 @@
 	"dahliapin/policy"
 )
 
-// LevelChanged is called with each new level: its number, 0 for normal operation, and the operator's name of it.
+// LevelChanged is called after each change of the level, with its number, 0 for normal operation, and its configured
+// name.
 type LevelChanged func(now policy.Instant, level int, name string)
 
-// Filter is a Decider that stands before another one and sheds new requests by the degradation level. Admitted
-// requests are decided on by the other one alone.
+// Filter is a Decider that wraps another one and sheds new requests according to the degradation level. Decisions about
+// admitted requests are those of the wrapped Decider.
 type Filter struct {
 	dispatch.Decider
 	controller   *Controller
 	settings     *policy.Settings
-	shedClasses  []map[policy.ClassID]bool // by level, from that of number 1
-	origin       policy.EndpointID         // empty while unknown, or where there is none
+	shedClasses  []map[policy.ClassID]bool // by level; index 0 is level 1
+	origin       policy.EndpointID         // empty if there is none, or it is not known yet
 	random       keyhash.Source
 	levelChanged LevelChanged
-	shedCount    *uint64 // the owner's counter of shed requests
+	shedCount    *uint64 // counter of shed requests; owned by the caller of NewFilter
 }
 
-// NewFilter returns a filter before a decider. It calls levelChanged with each change of the level, from within its
-// own methods, and counts the requests that it sheds in shedCount.
+// NewFilter returns a Filter that wraps decider. The Filter calls levelChanged from within its own methods, and counts
+// the requests that it sheds in shedCount.
 func NewFilter(decider dispatch.Decider, now policy.Instant, seed uint32, levels []listeners.Level,
 	deployment *settings.Settings, levelChanged LevelChanged, shedCount *uint64) *Filter {
 	f := &Filter{
@@ -48,8 +49,8 @@
 	return f
 }
 
-// Admit tells whether a new request is admitted; if not, the decision says how it is answered. The time to come back
-// is drawn by chance, as clients that are all told the same time would come back as one wave.
+// Admit reports whether a new request is admitted; if not, decision says how to answer it. The retry delay is random:
+// clients that were all given the same delay would retry at the same time.
 func (f *Filter) Admit(now policy.Instant, r *policy.Request) (decision policy.Decision, admitted bool) {
 	f.evaluate(now)
 	level, share := f.controller.Current()
@@ -64,26 +65,26 @@
 	return decision, false
 }
 
-// OnAttemptDone counts the end of an attempt, and passes it on.
+// OnAttemptDone counts an attempt that has ended, and passes it on.
 func (f *Filter) OnAttemptDone(now policy.Instant, r *policy.Request, o policy.Outcome) policy.Decision {
 	attempt := &r.Attempts[o.Attempt]
 	objective := f.settings.Classes[r.Class].LatencyObjective
 	f.controller.RecordAttempt(attempt.Result, o.Latency, objective, attempt.Endpoint == f.origin)
-	return f.recorded(f.Decider.OnAttemptDone(now, r, o))
+	return f.countRejection(f.Decider.OnAttemptDone(now, r, o))
 }
 
 // Route passes an admitted request on.
 func (f *Filter) Route(now policy.Instant, r *policy.Request) policy.Decision {
-	return f.recorded(f.Decider.Route(now, r))
+	return f.countRejection(f.Decider.Route(now, r))
 }
 
-// Tick also evaluates the level, which so ends while no requests come.
+// Tick also evaluates the level, so that a level ends even if no requests arrive.
 func (f *Filter) Tick(now policy.Instant) (time.Duration, []policy.Action) {
 	f.evaluate(now)
 	return f.Decider.Tick(now)
 }
 
-// UpdateEndpoints finds the origin among the endpoints, and passes them on.
+// UpdateEndpoints looks for the origin among the endpoints, and passes them on.
 func (f *Filter) UpdateEndpoints(now policy.Instant, kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	for _, e := range endpoints {
 		if f.settings.CacheAside && e.Kind == f.settings.OriginKind {
@@ -93,26 +94,27 @@
 	f.Decider.UpdateEndpoints(now, kind, endpoints)
 }
 
-// EndpointStates passes on the decider's states of endpoints, if it tells them.
+// EndpointStates passes on the endpoint states of the wrapped Decider, if it reports any.
 func (f *Filter) EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState)) {
 	if d, ok := f.Decider.(endpointReporter); ok {
 		d.EndpointStates(now, report)
 	}
 }
 
-// endpointReporter is what a decider may offer beyond dispatch.Decider.
+// endpointReporter is an optional interface of a Decider that reports the states of its endpoints.
 type endpointReporter interface {
 	EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState))
 }
 
+// evaluate evaluates the level if that is due, and calls levelChanged after a change.
 func (f *Filter) evaluate(now policy.Instant) {
 	if f.controller.Evaluate(now) {
 		f.levelChanged(now, f.controller.level, f.controller.name())
 	}
 }
 
-// recorded counts a decision that rejects.
-func (f *Filter) recorded(d policy.Decision) policy.Decision {
+// countRejection counts d if it rejects the request, and returns d.
+func (f *Filter) countRejection(d policy.Decision) policy.Decision {
 	if d.Answer == policy.Reject {
 		f.controller.RecordRejected()
 	}
--- a/internal/proxy/degradation/window.go
+++ b/internal/proxy/degradation/window.go
@@ -7,16 +7,16 @@
 	"dahliapin/policy"
 )
 
-// window counts the attempts and requests between two evaluations.
+// window holds the counts of attempts and requests between two evaluations.
 type window struct {
-	attempts       int // that say something of the endpoint: cancelled and unsent ones are not counted
+	attempts       int // ended attempts, except cancelled and unsent ones, which say nothing about the endpoint
 	late           int // answered after the latency objective
 	lost           int // errors, broken connections, timeouts
 	cacheRejected  int // rejected by a cache at capacity
-	originAttempts int // of the attempts, those at the origin
-	originLate     int // late or lost, of those
-	admitted       int // requests that the level let through
-	policyRejected int // requests that the policy rejected, of those
+	originAttempts int // attempts sent to the origin
+	originLate     int // attempts at the origin that were late or lost
+	admitted       int // requests that the level admitted
+	policyRejected int // admitted requests that the policy rejected
 }
 
 func (w *window) recordAttempt(result policy.Result, latency, objective time.Duration, atOrigin bool) {
@@ -67,7 +67,7 @@
 	return float64(part) / float64(whole)
 }
 
-// anyReached tells whether one of the shares has reached its bound. A bound of 0 is none.
+// anyReached reports whether any of the shares has reached its bound. A bound of 0 is never reached.
 func anyReached(bounds, seen listeners.Shares) bool {
 	return reached(bounds.Late, seen.Late) ||
 		reached(bounds.Lost, seen.Lost) ||
