--- a/internal/proxy/eventlog/event.go
+++ b/internal/proxy/eventlog/event.go
@@ -7,28 +7,28 @@
 	"dahliapin/policy"
 )
 
-// The kinds of events.
+// The event kinds. Their values are part of the event log's format.
 const (
-	EndpointListed   = "listed"    // the endpoint list names it for the first time
-	EndpointAvoided  = "avoided"   // it is sent less than its share, or nothing
-	EndpointRestored = "back"      // it is not avoided any more
-	EndpointDrained  = "drained"   // it leaves, and is sent nothing new
-	EndpointRemoved  = "gone"      // the endpoint list does not name it any more
-	TrialAttempt     = "trial leg" // one that is avoided was sent an attempt, the first since
+	EndpointListed   = "listed"    // the endpoint has been added to the endpoint list
+	EndpointAvoided  = "avoided"   // the endpoint is sent less than its usual share of attempts, or none
+	EndpointRestored = "back"      // the endpoint is no longer avoided
+	EndpointDrained  = "drained"   // the endpoint is draining and is sent no new attempts
+	EndpointRemoved  = "gone"      // the endpoint has been removed from the endpoint list
+	TrialAttempt     = "trial leg" // the first attempt was sent to an endpoint that is avoided
 	LevelChanged     = "level"     // the node's degradation level has changed
 )
 
-// Event is one thing that a node did.
+// Event is one entry of a node's event log.
 type Event struct {
 	At       policy.Instant    `json:"at_ns"`
 	Node     string            `json:"node"`
-	Server   policy.EndpointID `json:"server"` // empty with LevelChanged
+	Server   policy.EndpointID `json:"server"` // the endpoint; empty for LevelChanged
 	Kind     string            `json:"what"`
 	Reason   string            `json:"why,omitempty"`
-	Duration time.Duration     `json:"for_ns,omitempty"` // with EndpointRestored: how long it was avoided
+	Duration time.Duration     `json:"for_ns,omitempty"` // EndpointRestored only: how long the endpoint was avoided
 }
 
-// String returns the event as a line for operators, without a line end.
+// String returns the event as a line of text for operators, without a newline.
 func (e Event) String() string {
 	text := fmt.Sprintf("%8.3f s  %-6s %-10s %s", time.Duration(e.At).Seconds(), e.Node, e.Server, e.Kind)
 	if e.Reason != "" {
--- a/internal/proxy/eventlog/golden_test.go
+++ b/internal/proxy/eventlog/golden_test.go
@@ -11,7 +11,7 @@
 	"dahliapin/policy"
 )
 
-func TestEventsAreWrittenAsRecorded(t *testing.T) {
+func TestEventFormatMatchesGoldenFile(t *testing.T) {
 	kinds := []string{
 		EndpointListed, EndpointAvoided, EndpointRestored, EndpointDrained, EndpointRemoved, TrialAttempt, LevelChanged,
 	}
--- a/internal/proxy/eventlog/recorder.go
+++ b/internal/proxy/eventlog/recorder.go
@@ -8,38 +8,38 @@
 	"dahliapin/policy"
 )
 
-// reasonListed is the reason of events that follow from what the endpoint list says of an endpoint.
+// reasonListed is the reason of events that follow from an endpoint's entry in the endpoint list.
 const reasonListed = "the list says so"
 
-// Recorder makes the events of one node; it observes its dispatcher. All nodes of a fleet may feed the same one, which
-// then takes the fleet for one node.
+// Recorder observes a node's dispatcher and emits the node's events. All nodes of a fleet may share one Recorder, which
+// then treats the fleet as a single node.
 type Recorder struct {
 	node     string
 	emit     func(Event)
-	excluded func(policy.Endpoint) bool // endpoints whose share of attempts says nothing: the origin
+	excluded func(policy.Endpoint) bool // reports whether an endpoint has no events, as the origin
 
 	endpoints map[policy.EndpointID]*endpoint
-	order     []policy.EndpointID // sorted, so that events of one moment have one order
-	ready     int                 // endpoints that may be sent attempts
+	order     []policy.EndpointID // the keys of endpoints, sorted to make the order of events deterministic
+	ready     int                 // number of endpoints that may be sent attempts
 
-	attempts    float64        // sent since the last evaluation of shares
+	attempts    float64        // sent since the last evaluation of the shares
 	evaluatedAt policy.Instant // 0 before the first attempt
 	evaluations int
 }
 
-// endpoint is what the Recorder knows of one endpoint.
+// endpoint is the recorded state of one endpoint.
 type endpoint struct {
 	lifecycle    policy.Lifecycle
-	startedAt    policy.Instant // of the process whose state this is
+	startedAt    policy.Instant // start of the endpoint's process, which the state describes
 	state        policy.EndpointState
 	avoidedSince policy.Instant // 0 while it is not avoided
-	reason       string         // why it is or was avoided last
-	trials       int            // attempts since it is avoided
+	reason       string         // why it is, or was last, avoided
+	trials       int            // attempts sent to it while it does not answer
 	load         loadShare
 }
 
-// New returns a Recorder for a node. Events go to emit, in order. Endpoints for which excluded holds have no events;
-// nil excludes none.
+// New returns a Recorder for a node. It calls emit with each event, in order. Endpoints for which excluded returns true
+// have no events; a nil excluded excludes none.
 func New(node string, emit func(Event), excluded func(policy.Endpoint) bool) *Recorder {
 	if excluded == nil {
 		excluded = func(policy.Endpoint) bool { return false }
@@ -56,16 +56,16 @@
 	if kind == policy.PollFailed {
 		return
 	}
-	named := map[policy.EndpointID]bool{}
+	listed := map[policy.EndpointID]bool{}
 	for _, e := range endpoints {
 		if r.excluded(e) {
 			continue
 		}
-		named[e.ID] = true
+		listed[e.ID] = true
 		r.updateEndpoint(now, e)
 	}
 	if kind != policy.DeltaUpdate {
-		r.removeUnnamed(now, named)
+		r.removeUnlisted(now, listed)
 	}
 	r.ready = 0
 	for _, known := range r.endpoints {
@@ -75,7 +75,7 @@
 	}
 }
 
-// updateEndpoint records what a list says of one endpoint.
+// updateEndpoint records the changes in one endpoint's entry of the endpoint list.
 func (r *Recorder) updateEndpoint(now policy.Instant, e policy.Endpoint) {
 	known := r.endpoints[e.ID]
 	isRemoved := e.Lifecycle == policy.Removed
@@ -93,13 +93,13 @@
 		known.lifecycle = e.Lifecycle
 	}
 	if e.StartedAt > known.startedAt {
-		r.restarted(now, e, known)
+		r.onRestart(now, e, known)
 	}
 }
 
-// restarted records that an endpoint runs as a new process. The state of the old one says nothing of it, and the
-// policy does not report its end.
-func (r *Recorder) restarted(now policy.Instant, e policy.Endpoint, known *endpoint) {
+// onRestart handles an endpoint that runs as a new process. The state of the old process no longer applies, and the
+// policy does not report that it has ended.
+func (r *Recorder) onRestart(now policy.Instant, e policy.Endpoint, known *endpoint) {
 	known.startedAt = e.StartedAt
 	known.state = policy.StateInUse
 	if e.Lifecycle == policy.Ready && !known.load.avoided {
@@ -119,8 +119,8 @@
 	return added
 }
 
-// removeUnnamed removes the endpoints that a complete list does not name.
-func (r *Recorder) removeUnnamed(now policy.Instant, named map[policy.EndpointID]bool) {
+// removeUnlisted removes the endpoints that are missing in a complete list.
+func (r *Recorder) removeUnlisted(now policy.Instant, named map[policy.EndpointID]bool) {
 	for _, id := range slices.Clone(r.order) {
 		if !named[id] {
 			r.remove(now, id, "the whole list does not name it")
@@ -134,7 +134,7 @@
 	r.record(now, id, EndpointRemoved, reason)
 }
 
-// EndpointStateChanged records an endpoint's state, where it differs from the last.
+// EndpointStateChanged records a change of an endpoint's state. A state equal to the last one is ignored.
 func (r *Recorder) EndpointStateChanged(now policy.Instant, id policy.EndpointID, state policy.EndpointState) {
 	e := r.endpoints[id]
 	if e == nil || e.state == state {
@@ -149,11 +149,11 @@
 	}
 }
 
-// isFaulty tells whether an endpoint is avoided for its state.
-func (e *endpoint) isFaulty() bool { return e.isUnanswering() || e.state == policy.StateFailing }
+// isFaulty reports whether an endpoint is avoided because of its state.
+func (e *endpoint) isFaulty() bool { return e.isUnavailable() || e.state == policy.StateFailing }
 
-// isUnanswering tells whether an endpoint does not answer at all.
-func (e *endpoint) isUnanswering() bool {
+// isUnavailable reports whether an endpoint does not answer at all.
+func (e *endpoint) isUnavailable() bool {
 	return e.state == policy.StateUnresponsive || e.state == policy.StateUnreachable
 }
 
@@ -173,16 +173,17 @@
 	duration := now.Since(e.avoidedSince)
 	e.avoidedSince = 0
 	e.trials = 0
-	reason, _, _ := strings.Cut(e.reason, ":") // without the figures behind it
+	reason, _, _ := strings.Cut(e.reason, ":") // without the measured values after the colon
 	r.emit(Event{At: now, Node: r.node, Server: id, Kind: EndpointRestored, Reason: reason, Duration: duration})
 }
 
-// LevelChanged records that the node's degradation level has changed to the one of a name.
+// LevelChanged records that the node's degradation level has changed to the one called name.
 func (r *Recorder) LevelChanged(now policy.Instant, name string) {
 	r.record(now, "", LevelChanged, name)
 }
 
-// AttemptSent counts an attempt. The first one to an endpoint since it is avoided for not answering is a trial.
+// AttemptSent counts an attempt. The first attempt sent to an endpoint that is avoided for not answering is recorded as
+// a trial.
 func (r *Recorder) AttemptSent(now policy.Instant, id policy.EndpointID) {
 	e := r.endpoints[id]
 	if e == nil {
@@ -190,7 +191,7 @@
 	}
 	e.load.attempts++
 	r.attempts++
-	if e.avoidedSince != 0 && !e.load.avoided && e.isUnanswering() {
+	if e.avoidedSince != 0 && !e.load.avoided && e.isUnavailable() {
 		e.trials++
 		if e.trials == 1 {
 			r.record(now, id, TrialAttempt, e.reason)
@@ -199,7 +200,7 @@
 	r.evaluateShares(now)
 }
 
-// AttemptDone counts the end of an attempt.
+// AttemptDone counts an attempt that the endpoint has answered, with its latency. Other results are ignored.
 func (r *Recorder) AttemptDone(_ policy.Instant, id policy.EndpointID, result policy.Result, latency time.Duration) {
 	e := r.endpoints[id]
 	if e == nil || result != policy.Answered && result != policy.CacheMiss {
--- a/internal/proxy/eventlog/recorder_test.go
+++ b/internal/proxy/eventlog/recorder_test.go
@@ -8,23 +8,23 @@
 	"dahliapin/policy"
 )
 
-// simulation sends attempts to five endpoints, a hundred to each in a second, and keeps the events.
-type simulation struct {
+// recorderHarness sends attempts to five endpoints, a hundred per second to each, and collects the events.
+type recorderHarness struct {
 	*Recorder
 	now      policy.Instant
 	events   []string
-	latencyB time.Duration // of attempts to the endpoint b; those to others take usualLatency
+	latencyB time.Duration // latency of endpoint b; all others have usualLatency
 }
 
 const (
-	usualLatency  = 4 * time.Millisecond
-	attemptsEvery = 10 * time.Millisecond
+	usualLatency    = 4 * time.Millisecond
+	attemptInterval = 10 * time.Millisecond
 )
 
 var testEndpoints = []policy.EndpointID{"a", "b", "c", "d", "e"}
 
-func newSimulation() *simulation {
-	s := &simulation{now: policy.Instant(time.Second), latencyB: usualLatency}
+func newRecorderHarness() *recorderHarness {
+	s := &recorderHarness{now: policy.Instant(time.Second), latencyB: usualLatency}
 	emit := func(e Event) {
 		if e.Kind != EndpointListed {
 			s.events = append(s.events, fmt.Sprintf("%s %s", e.Server, e.Kind))
@@ -43,11 +43,12 @@
 	return list
 }
 
-// run sends attempts for some seconds. An endpoint gets its share of the usual number, which is 1 unless it is given.
-func (s *simulation) run(seconds int, shares map[policy.EndpointID]float64) {
+// run sends attempts for a number of seconds. shares are factors of the usual number of attempts to an endpoint; the
+// default is 1.
+func (s *recorderHarness) run(seconds int, shares map[policy.EndpointID]float64) {
 	for range seconds * 100 {
-		s.now = s.now.Add(attemptsEvery)
-		tick := int(s.now.Since(0) / attemptsEvery)
+		s.now = s.now.Add(attemptInterval)
+		tick := int(s.now.Since(0) / attemptInterval)
 		for i, id := range testEndpoints {
 			s.EndpointStateChanged(s.now, id, s.endpoints[id].state)
 			share := 1.0
@@ -62,7 +63,7 @@
 	}
 }
 
-func (s *simulation) attempt(id policy.EndpointID, count int) {
+func (s *recorderHarness) attempt(id policy.EndpointID, count int) {
 	latency := usualLatency
 	if id == "b" {
 		latency = s.latencyB
@@ -73,8 +74,8 @@
 	}
 }
 
-// expect compares the events since the last call.
-func (s *simulation) expect(t *testing.T, want ...string) {
+// expect compares the events since the last call with want.
+func (s *recorderHarness) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if fmt.Sprint(s.events) != fmt.Sprint(want) {
 		t.Errorf("events %q, want %q", s.events, want)
@@ -82,18 +83,20 @@
 	s.events = nil
 }
 
-// An endpoint that is as quick as ever is only asked for less, and is not avoided for its load.
-func TestQuickEndpointWithASmallShareIsNotAvoided(t *testing.T) {
-	s := newSimulation()
+// An endpoint whose share falls while its latency stays as usual gets less demand, and must not count as avoided for
+// its load.
+func TestFastEndpointWithSmallShareIsNotAvoided(t *testing.T) {
+	s := newRecorderHarness()
 	s.run(40, nil)
 	s.run(5, map[policy.EndpointID]float64{"b": 0.3})
 	s.expect(t)
 }
 
-// An endpoint that loses its share is avoided once and restored once. One that hovers between is not recorded again and
-// again, and none is when all lose or gain alike, or a popular key of one endpoint takes shares from all others.
+// An endpoint that loses its share is recorded as avoided once and as restored once. A share between the two thresholds
+// must not cause further events. No event follows if all shares change alike, or if one endpoint has a popular key that
+// lowers the shares of all others.
 func TestLostShareIsRecordedOnce(t *testing.T) {
-	s := newSimulation()
+	s := newRecorderHarness()
 	s.run(40, nil)
 	s.latencyB = 9 * time.Millisecond
 	s.run(5, map[policy.EndpointID]float64{"b": 0.3})
@@ -108,11 +111,11 @@
 	s.expect(t)
 }
 
-// A trial is recorded once in each time that an endpoint is avoided.
-func TestStatesOfEndpointsAreRecorded(t *testing.T) {
-	s := newSimulation()
+// Changes of the state are recorded, and one trial each time that an endpoint is avoided.
+func TestEndpointStateChangesAreRecorded(t *testing.T) {
+	s := newRecorderHarness()
 	s.EndpointStateChanged(s.now, "c", policy.StateUnresponsive)
-	s.EndpointStateChanged(s.now, "c", policy.StateUnreachable) // it is avoided already
+	s.EndpointStateChanged(s.now, "c", policy.StateUnreachable) // already avoided
 	s.AttemptSent(s.now, "c")
 	s.AttemptSent(s.now, "c")
 	s.EndpointStateChanged(s.now, "c", policy.StateInUse)
@@ -122,9 +125,10 @@
 	s.expect(t, "c avoided", "c trial leg", "c back")
 }
 
-// The policy forgets an endpoint's old process without reporting that, so that the list has to restore it.
-func TestEndpointThatWasRestartedIsRestored(t *testing.T) {
-	s := newSimulation()
+// The policy drops the state of an endpoint's old process without reporting that, so the Recorder must restore the
+// endpoint when the list shows the restart.
+func TestRestartedEndpointIsRestored(t *testing.T) {
+	s := newRecorderHarness()
 	s.EndpointStateChanged(s.now, "e", policy.StateUnreachable)
 	s.EndpointsUpdated(s.now, policy.DeltaUpdate, listOf("e"))
 	s.expect(t, "e avoided")
@@ -132,9 +136,9 @@
 	s.expect(t, "e back")
 }
 
-// An endpoint that was drained is not restored, and a failed poll says nothing. The origin is excluded.
-func TestChangesOfTheListAreRecorded(t *testing.T) {
-	s := newSimulation()
+// A draining endpoint is not recorded as restored, a failed poll causes no events, and the origin is excluded.
+func TestEndpointListChangesAreRecorded(t *testing.T) {
+	s := newRecorderHarness()
 	s.EndpointStateChanged(s.now, "d", policy.StateInUse)
 	s.EndpointsUpdated(s.now, policy.DeltaUpdate, []policy.Endpoint{
 		{ID: "d", Lifecycle: policy.Draining}, {ID: "f", Lifecycle: policy.Removed},
--- a/internal/proxy/eventlog/shares.go
+++ b/internal/proxy/eventlog/shares.go
@@ -9,54 +9,58 @@
 )
 
 const (
-	// minAttempts is how many attempts an endpoint is expected to get in an evaluation, before its share says anything:
-	// chance is a sixth of that.
+	// minAttempts is the average number of attempts per endpoint that an evaluation needs. With 40 attempts, the random
+	// variation of an endpoint's count is about a sixth.
 	minAttempts = 40.0
 
-	// avoidedBelow is the part of its usual share, relative to that of the median endpoint, below which an endpoint is
-	// avoided for its load, and restoredFrom the one from which it is restored: one that hovers between stays as it is.
-	avoidedBelow = 0.6
-	restoredFrom = 0.8
+	// avoidThreshold is the ratio of an endpoint's share to its usual one, relative to the median endpoint's ratio,
+	// below which it is avoided for its load. restoreThreshold is the ratio from which it is restored. The gap between
+	// the two keeps an endpoint near a threshold from flapping.
+	avoidThreshold   = 0.6
+	restoreThreshold = 0.8
 
-	// slowerFactor is how much longer than usual the attempts of an endpoint take that is avoided for its load. One
-	// that only lost a popular key takes as long as ever.
+	// slowerFactor is the minimum ratio of an endpoint's latency to its usual one for it to be avoided for its load. An
+	// endpoint that has only lost a popular key keeps its usual latency.
 	slowerFactor = 1.3
 
-	// agreeingEvaluations is how many evaluations in a row must agree: one in a hundred is chance.
+	// agreeingEvaluations is the number of consecutive evaluations that must agree on a change: one evaluation in a
+	// hundred is wrong by chance.
 	agreeingEvaluations = 2
 
-	// learningEvaluations is how many evaluations are made before a usual share is known.
+	// learningEvaluations is the number of evaluations after which an endpoint's usual share is considered known.
 	learningEvaluations = 10
 
-	// shareWeight is the weight of an evaluation in the usual share, and 1/latencyMean that in the usual latency.
-	shareWeight = 0.05
-	latencyMean = 8
+	// shareWeight is the weight of a new evaluation in the moving average of the usual share, and 1/latencySamples its
+	// weight in that of the usual latency.
+	shareWeight    = 0.05
+	latencySamples = 8
 
-	// maxInterval is the longest interval of an evaluation: attempts from a longer one are not of one time.
+	// maxInterval is the longest interval of an evaluation. Attempts from a longer one are too far apart in time to be
+	// compared.
 	maxInterval = 10 * time.Second
 
-	// minEndpoints is how many endpoints a median needs.
+	// minEndpoints is the number of endpoints needed for a meaningful median.
 	minEndpoints = 3
 
-	// minMedian bounds the median ratio from below, and minShare the usual share, as both are divided by.
+	// minMedian and minShare are lower bounds of the median ratio and of the usual share, which are used as divisors.
 	minMedian = 0.1
 	minShare  = 1e-9
 )
 
-// loadShare is how an endpoint's share of the attempts compares with its usual one.
+// loadShare compares an endpoint's share of the attempts with its usual one.
 type loadShare struct {
 	avoided      bool          // the endpoint is avoided for its load
-	agreeing     int           // evaluations in a row that ask for a change of avoided
+	agreeing     int           // consecutive evaluations that suggest changing avoided
 	usual        float64       // usual share of the attempts, from 0 to 1
-	usualLatency time.Duration // of answered attempts, before it was avoided
+	usualLatency time.Duration // usual latency of answered attempts; not updated while avoided
 
-	// Since the last evaluation.
+	// Counts since the last evaluation.
 	attempts float64
 	answered int
-	latency  time.Duration // of those answered, in all
+	latency  time.Duration // sum over the answered attempts
 }
 
-// meanLatency returns the mean since the last evaluation, or 0 without an answered attempt.
+// meanLatency returns the mean latency since the last evaluation, or 0 if no attempt was answered.
 func (l *loadShare) meanLatency() time.Duration {
 	if l.answered == 0 {
 		return 0
@@ -64,13 +68,14 @@
 	return l.latency / time.Duration(l.answered)
 }
 
-// isSlow tells whether answers take longer than usual, or there are none.
+// isSlow reports whether the latency is above the usual one, or no attempt was answered.
 func (l *loadShare) isSlow() bool {
 	return l.answered == 0 || float64(l.meanLatency()) > slowerFactor*float64(l.usualLatency)
 }
 
-// evaluateShares compares the shares once enough attempts were sent. An endpoint whose share falls while the median's
-// does not is avoided for its load. No state tells of that: nothing decides it but that others are selected.
+// evaluateShares compares the shares with the usual ones once enough attempts have been sent. An endpoint whose share
+// falls relative to the median is avoided for its load. No endpoint state shows this: it results only from the
+// selection of other endpoints.
 func (r *Recorder) evaluateShares(now policy.Instant) {
 	if r.evaluatedAt == 0 {
 		r.evaluatedAt = now
@@ -89,7 +94,7 @@
 	r.resetShares(now)
 }
 
-// medianRatio returns the median, over the endpoints, of the share to the usual one.
+// medianRatio returns the median over the endpoints of the ratio between share and usual share.
 func (r *Recorder) medianRatio() float64 {
 	var ratios []float64
 	for _, id := range r.order {
@@ -114,8 +119,8 @@
 	}
 	ratio := share / max(load.usual, minShare) / median
 	isKnown := r.evaluations > learningEvaluations && load.usual*r.attempts >= minAttempts/4
-	isLow := ratio < avoidedBelow && load.isSlow()
-	isHigh := ratio >= restoredFrom
+	isLow := ratio < avoidThreshold && load.isSlow()
+	isHigh := ratio >= restoreThreshold
 	if isKnown && e.lifecycle == policy.Ready && (!load.avoided && isLow || load.avoided && isHigh) {
 		load.agreeing++
 	} else {
@@ -125,10 +130,11 @@
 		r.toggleAvoided(now, id, e, ratio)
 	}
 	if !load.avoided && !(isKnown && isLow) {
-		load.learn(share/median, r.evaluations)
+		load.updateUsual(share/median, r.evaluations)
 	}
 }
 
+// toggleAvoided starts or ends the avoidance of an endpoint for its load, and records it.
 func (r *Recorder) toggleAvoided(now policy.Instant, id policy.EndpointID, e *endpoint, ratio float64) {
 	e.load.agreeing = 0
 	e.load.avoided = !e.load.avoided
@@ -145,8 +151,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// learn adds an evaluation to the usual share and latency: at first they are the mean of all, then of the latest.
-func (l *loadShare) learn(share float64, evaluations int) {
+// updateUsual updates the moving averages of the usual share and latency with an evaluation. The usual share is the
+// mean of all evaluations at first, and gives more weight to recent ones later.
+func (l *loadShare) updateUsual(share float64, evaluations int) {
 	l.usual += (share - l.usual) * max(shareWeight, 1/float64(evaluations))
 	mean := l.meanLatency()
 	if mean <= 0 {
@@ -155,9 +162,10 @@
 	if l.usualLatency == 0 {
 		l.usualLatency = mean
 	}
-	l.usualLatency += (mean - l.usualLatency) / latencyMean
+	l.usualLatency += (mean - l.usualLatency) / latencySamples
 }
 
+// resetShares starts the interval of the next evaluation.
 func (r *Recorder) resetShares(now policy.Instant) {
 	r.attempts = 0
 	r.evaluatedAt = now
