--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -2,48 +2,48 @@
 
 import "dahliapin/policy"
 
-// Counters count events since the start of a node. They are one flat list, as each is shown to operators by a name of
-// its own. One goroutine writes them; a copy may be read anywhere.
+// Counters holds the counts of events since the start of a node. The struct is flat because each counter is shown to
+// operators under its own name. One goroutine writes it; other goroutines may read copies.
 type Counters struct {
 	// Clients and their requests.
 	Clients           uint64 // connections accepted
 	Requests          uint64 // requests received
-	Malformed         uint64 // commands that could not be read
-	ClientsGone       uint64 // clients that closed before their response
-	ClientsGoneUnsent uint64 // of these, those of whose request nothing had been sent to a server
-	ClientTimeouts    uint64 // connections that sent no complete request in time
+	Malformed         uint64 // commands that could not be parsed
+	ClientsGone       uint64 // requests whose client disconnected before the response
+	ClientsGoneUnsent uint64 // requests of ClientsGone of which nothing had been sent to a server
+	ClientTimeouts    uint64 // connections closed because a command or the reading of a response took too long
 
 	// Responses.
 	Satisfied    uint64 // requests answered with a result
-	Rejected     uint64 // requests rejected, which have not run
+	Rejected     uint64 // requests rejected without being executed
 	Failed       uint64 // requests that failed
-	NotAccepted  uint64 // not taken for want of capacity or by phase; commands and responses dropped for memory
-	AnsweredLate uint64 // responses after the request's deadline
-	Level        uint64 // the degradation level, not a count: 0 is normal operation
-	Shed         uint64 // requests rejected by the degradation level
+	NotAccepted  uint64 // requests refused for lack of capacity or by phase; incomplete messages dropped for memory
+	AnsweredLate uint64 // responses sent after the request's deadline
+	Level        uint64 // current degradation level, not a count; 0 is normal operation
+	Shed         uint64 // requests shed by the degradation level
 
 	// Servers and their connections.
 	Attempts       uint64                       // attempts sent
 	Dials          uint64                       // connections opened for attempts
 	Reused         uint64                       // idle connections used for attempts
 	HealthChecks   uint64                       // health checks made
-	IdleClosed     uint64                       // connections closed as they were idle
-	EvictedConns   uint64                       // connections closed to make room for others
-	ProtocolErrors uint64                       // connections closed after an answer that breaks the protocol
-	ServerFull     uint64                       // connections that a live server had no room for
+	IdleClosed     uint64                       // connections closed because they were idle
+	EvictedConns   uint64                       // idle connections closed to free a descriptor
+	ProtocolErrors uint64                       // connections closed after a response that violates the protocol
+	ServerFull     uint64                       // connections closed by a running server that had no capacity for them
 	Outcomes       [policy.CacheMiss + 1]uint64 // attempts by their result
 
 	// Discovery.
 	EndpointUpdates  uint64 // endpoint lists received
 	Reconnects       uint64 // polls after one that failed
-	DiscoveryChanges uint64 // changes of discovery's address
+	DiscoveryChanges uint64 // changes of the discovery server's address
 
 	// The event loop.
-	Stalls             uint64 // iterations that took too long
-	LongestIterationMs uint64 // the longest iteration, in milliseconds
+	Stalls             uint64 // iterations that exceeded the stall threshold
+	LongestIterationMs uint64 // duration of the longest iteration
 }
 
-// outcomeNames are the operators' words for the results of attempts.
+// outcomeNames are the outer names of the results of attempts.
 var outcomeNames = [policy.CacheMiss + 1]string{
 	policy.Answered:         "answered",
 	policy.Errored:          "errored",
@@ -56,7 +56,7 @@
 	policy.CacheMiss:        "missed",
 }
 
-// Each calls f for every counter with the operators' name of it, always in the same order.
+// Each calls f for every counter with its outer name, always in the same order.
 func (c *Counters) Each(f func(name string, count uint64)) {
 	f("clients", c.Clients)
 	f("requests", c.Requests)
--- a/internal/proxy/metrics/doc.go
+++ b/internal/proxy/metrics/doc.go
@@ -1,8 +1,7 @@
-// Package metrics has what a node counts and how operators see it.
+// Package metrics defines a node's counters and metrics, and the names under which operators see them.
 //
-// The event loop of the proxy owns the Counters and writes them; others read copies. It also hands out a Snapshot
-// several times a second, which nobody changes and which the admin server shows.
+// The proxy's event loop owns the Counters and is the only writer; other goroutines read copies. The loop also
+// publishes an immutable Snapshot several times a second, which the admin server shows.
 //
-// The names that operators see end here: Counters.Each has the name of each counter, Snapshot.Text that of each
-// metric.
+// All outer names are defined here: those of the counters in Counters.Each, those of the metrics in Snapshot.Text.
 package metrics
--- a/internal/proxy/metrics/snapshot.go
+++ b/internal/proxy/metrics/snapshot.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// The kinds of metrics in the text form.
+// The metric types of the statsd text format.
 const (
-	kindCounter = "c" // counts since the start
-	kindGauge   = "g" // a value at the moment
+	kindCounter = "c" // count since the start
+	kindGauge   = "g" // current value
 )
 
-// metricPrefix begins the name of each metric.
+// metricPrefix is the first part of each metric's name.
 const metricPrefix = "svc"
 
-// Snapshot is a copy of a node's metrics at one moment. The event loop makes a new one each time; nobody changes it.
+// Snapshot is an immutable copy of a node's metrics at one moment.
 type Snapshot struct {
-	At          time.Time // when it was made, by the monotonic clock
-	Serving     bool      // clients are accepted and their requests served
+	At          time.Time // creation time, with the reading of the monotonic clock
+	Serving     bool      // whether clients are accepted and their requests served
 	Phase       string    // name of the node's phase
 	Classes     []ClassSnapshot
 	Attempts    uint64 // attempts written to servers
-	Pending     int    // requests received and not answered yet
+	Pending     int    // requests in flight
 	Members     int    // endpoints in the list
 	Unavailable int    // endpoints of the list that the node avoids
 }
 
-// ClassSnapshot counts the responses of one service class.
+// ClassSnapshot holds the response counts of one service class.
 type ClassSnapshot struct {
-	Name      string // the deployment's name of the class
+	Name      string // configured name of the class
 	Satisfied uint64
 	Rejected  uint64
 	Failed    uint64
 }
 
-// escapeName replaces what would end a class's name within its metric, or the line.
+// escapeName replaces the characters that would end a part of a metric's name, or the line.
 var escapeName = strings.NewReplacer(".", "_", ":", "_", "|", "_", " ", "_", "\t", "_", "\r", "_", "\n", "_")
 
-// Text returns the metrics as lines of name, value and kind, in the form of statsd.
+// Text returns the metrics in the statsd text format: one line per metric, with its name, value and type.
 func (s *Snapshot) Text() []byte {
 	var text []byte
 	for _, class := range s.Classes {
@@ -52,6 +52,7 @@
 	return appendMetric(text, uint64(s.Unavailable), kindGauge, "members_unavailable")
 }
 
+// appendMetric appends the line of one metric to text. The name is given by its parts.
 func appendMetric(text []byte, value uint64, kind string, name ...string) []byte {
 	text = append(text, metricPrefix...)
 	for _, part := range name {
