--- a/internal/proxy/admin/doc.go
+++ b/internal/proxy/admin/doc.go
@@ -1,7 +1,8 @@
-// Package admin is the server that operators call: HTTP/1.1 with one request to a connection, on goroutines of its
-// own.
+// Package admin provides the HTTP server for operators. It serves HTTP/1.1 with one request per connection, on its own
+// goroutines.
 //
-// Open listens, Serve starts to answer, and Close ends all calls. The metrics that it shows are the Snapshot that the
-// proxy's event loop handed out last, so that no request waits for the loop; a command waits for the loop for a bounded
-// time. The paths and their words are those of the operators' pages and stand in handler.go.
+// Listen opens the listener, Server.Serve starts to answer requests, and Server.Close ends all of them. Metrics are
+// read from the latest Snapshot that the proxy's event loop has published, so these requests never wait for the loop. A
+// command waits for the loop for a bounded time. The paths and response texts are documented for operators and are
+// defined in handler.go.
 package admin
--- a/internal/proxy/admin/golden_test.go
+++ b/internal/proxy/admin/golden_test.go
@@ -11,8 +11,8 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-func TestResponsesAreAsRecorded(t *testing.T) {
-	later := time.Now().Add(time.Hour) // so that the snapshots do not get stale
+func TestResponsesMatchGoldenFile(t *testing.T) {
+	later := time.Now().Add(time.Hour) // so that the snapshots do not become stale
 	serving := metrics.Snapshot{
 		At: later, Serving: true, Phase: "serving", Attempts: 9, Pending: 2, Members: 5, Unavailable: 1,
 		Classes: []metrics.ClassSnapshot{{Name: "look it.up", Satisfied: 3, Rejected: 4, Failed: 5}, {Name: "put"}},
--- a/internal/proxy/admin/handler.go
+++ b/internal/proxy/admin/handler.go
@@ -14,37 +14,40 @@
 )
 
 const (
-	// commandTimeout is for the event loop to carry a command out: responses are due within a second.
+	// commandTimeout bounds the wait for the event loop to execute a command: operators expect a response within one
+	// second.
 	commandTimeout = 700 * time.Millisecond
 
-	// staleAfter is the age of a snapshot after which the event loop is taken for stuck: it makes ten a second.
+	// staleAfter is the age of the latest snapshot above which the event loop is considered stuck. The loop publishes
+	// ten snapshots per second.
 	staleAfter = 2 * time.Second
 )
 
-// stuck answers that the event loop does nothing.
-const stuck = "stuck: the loop takes nothing"
+// loopStuckText is the response text while the event loop does not respond.
+const loopStuckText = "stuck: the loop takes nothing"
 
-// ErrShuttingDown says that a node which is shutting down neither goes to standby nor becomes active again.
+// ErrShuttingDown is returned by Node.Standby and Node.Active once the node is shutting down.
 var ErrShuttingDown = errors.New("the node is ending")
 
-// Node is the node that operators call. Its methods may be called from any goroutine.
+// Node is the node that the server reports on and controls. Its methods may be called from any goroutine.
 type Node interface {
 	// Metrics returns the latest snapshot.
 	Metrics() *metrics.Snapshot
-	// Standby stops serving clients, Active serves them again. Both return once that is done, or ErrEnding.
+	// Standby stops serving clients, and Active resumes it. Both return once that is done; they return ErrShuttingDown
+	// if the node is shutting down.
 	Standby(context.Context) error
 	Active(context.Context) error
 }
 
-// Fleet is what a node knows of the other nodes. Its methods may be called from any goroutine.
+// Fleet is a node's view of the fleet. Its methods may be called from any goroutine.
 type Fleet interface {
-	// FleetStatus returns the status as it is shown in JSON, and whether the node takes part in the fleet.
+	// FleetStatus returns the status to encode as JSON, and whether the node is connected to the fleet.
 	FleetStatus() (status any, connected bool)
-	// FleetMembers returns the members as they are shown in JSON.
+	// FleetMembers returns the members to encode as JSON.
 	FleetMembers() any
 }
 
-// newHandler returns the handler of all calls. An unknown path is answered with 404, another method with 405.
+// newHandler returns the handler of all requests. An unknown path is answered with 404, a wrong method with 405.
 func newHandler(node Node, fleet Fleet, log *logrus.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeStatus(w, node.Metrics()) })
@@ -66,7 +69,7 @@
 	return limitBody(mux)
 }
 
-// limitBody refuses requests with a long body before they are handled.
+// limitBody rejects requests whose body is too long before next handles them.
 func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > maxBodyBytes {
@@ -77,11 +80,11 @@
 	})
 }
 
-// writeStatus answers 200 while the node serves requests.
+// writeStatus answers with status 200 while the node serves requests, and 503 otherwise.
 func writeStatus(w http.ResponseWriter, s *metrics.Snapshot) {
 	switch {
 	case time.Since(s.At) > staleAfter:
-		http.Error(w, stuck, http.StatusServiceUnavailable)
+		http.Error(w, loopStuckText, http.StatusServiceUnavailable)
 	case !s.Serving:
 		http.Error(w, s.Phase, http.StatusServiceUnavailable)
 	default:
@@ -89,26 +92,27 @@
 	}
 }
 
-// commandHandler answers once the node has carried a command out, and writes it to the log.
+// commandHandler returns a handler that runs a command of the node, logs it, and answers with its result.
 func commandHandler(name string, run func(context.Context) error, log *logrus.Logger) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// The caller's context is left aside: a command goes on if the caller hangs up.
+		// The request's context is not used, so that a command continues if the caller disconnects.
 		ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 		defer cancel()
 		err := run(ctx)
-		log.WithFields(logrus.Fields{"call": name, "from": r.RemoteAddr}).WithError(err).Info("operators' call")
+		log.WithFields(logrus.Fields{"call": name, "from": r.RemoteAddr}).WithError(err).
+			Info("admin command finished; answering the caller")
 		switch {
 		case errors.Is(err, ErrShuttingDown):
 			http.Error(w, err.Error(), http.StatusConflict)
 		case err != nil:
-			http.Error(w, stuck, http.StatusServiceUnavailable)
+			http.Error(w, loopStuckText, http.StatusServiceUnavailable)
 		default:
 			fmt.Fprintln(w, name)
 		}
 	}
 }
 
-// writeJSON answers with a value as JSON, and with 503 unless ok.
+// writeJSON answers with value encoded as JSON, with status 200 if ok and 503 otherwise.
 func writeJSON(w http.ResponseWriter, value any, ok bool) {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/proxy/admin/listener.go
+++ b/internal/proxy/admin/listener.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// acceptRetryPause is the pause after an accept that failed, so that the server does not spin.
+// acceptRetryPause is the pause after a failed accept. It prevents a busy loop.
 const acceptRetryPause = 5 * time.Millisecond
 
-// retryingListener accepts until it is closed, whatever fails meanwhile. Guards against net/http, which stops serving
-// for good at any error that it does not know to be temporary, such as ENOBUFS.
+// retryingListener retries failed accepts until it is closed. Without it net/http would stop serving for good after any
+// error that it does not consider temporary, such as ENOBUFS.
 type retryingListener struct{ net.Listener }
 
-// Accept returns the next connection. Its error is always net.ErrClosed.
+// Accept returns the next connection. Its only error is net.ErrClosed.
 func (l retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
--- a/internal/proxy/admin/server.go
+++ b/internal/proxy/admin/server.go
@@ -14,64 +14,65 @@
 	"github.com/sirupsen/logrus"
 )
 
-// MaxConnections is the number of connections at a time: some callers stay for seconds and send nothing.
+// MaxConnections is the maximum number of open connections. It leaves room for callers that stay connected for seconds
+// without sending anything.
 const MaxConnections = 24
 
 const (
-	readTimeout     = 3 * time.Second // for a request to be received
-	responseTimeout = 2 * time.Second // for its response to be read
-	maxHeadBytes    = 4 << 10         // of a request
-	maxBodyBytes    = 1 << 10         // of a request: none needs a body
+	readTimeout     = 3 * time.Second // time for the client to send its request
+	responseTimeout = 2 * time.Second // time for the client to read the response
+	maxHeaderBytes  = 4 << 10         // maximum size of a request's header
+	maxBodyBytes    = 1 << 10         // maximum size of a request's body; no request needs one
 )
 
-// Server serves the operators' calls.
+// Server answers the requests of operators.
 type Server struct {
 	listener net.Listener
 	http     http.Server
 
 	mu          sync.Mutex
-	connections []net.Conn // that are open, the oldest first
+	connections []net.Conn // open connections, oldest first
 }
 
-// Listen listens on an address. Serve is to follow.
+// Listen returns a Server that listens on addr. Serve must be called to answer requests.
 func Listen(addr string) (*Server, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	config.SetMultipathTCP(false)
 	listener, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("cannot listen for operators on %s: %w", addr, err)
+		return nil, fmt.Errorf("cannot listen for admin requests on %s: %w", addr, err)
 	}
 	return &Server{listener: listener}, nil
 }
 
-// Addr returns the address and port that it listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve starts to answer for a node and, unless fleet is nil, for what it knows of the fleet. It returns at once; the
-// goroutine that it starts ends with Close.
+// Serve starts to answer requests about node and, unless fleet is nil, about the fleet. It returns immediately. The
+// goroutine that it starts runs until Close.
 func (s *Server) Serve(node Node, fleet Fleet, log *logrus.Logger) {
 	s.http = http.Server{
 		Handler:        newHandler(node, fleet, log),
 		ReadTimeout:    readTimeout,
 		WriteTimeout:   readTimeout + responseTimeout,
-		MaxHeaderBytes: maxHeadBytes,
-		ConnState:      s.connectionChanged,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnState:      s.trackConnection,
 		ErrorLog:       stdlog.New(io.Discard, "", 0),
 	}
 	s.http.SetKeepAlivesEnabled(false)
 	go func() { _ = s.http.Serve(retryingListener{s.listener}) }()
 }
 
-// Close stops listening and ends all calls.
+// Close stops listening and closes all connections.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	_ = s.http.Close()
 }
 
-// connectionChanged bounds the number of connections. It guards against callers that send nothing and stay, which
-// would use up the node's descriptors: the oldest connection is closed for a new one, so that an honest call, which
-// takes no time, is still served.
-func (s *Server) connectionChanged(c net.Conn, state http.ConnState) {
+// trackConnection limits the number of connections by closing the oldest one when a new one exceeds MaxConnections.
+// Otherwise clients that connect and send nothing could use up the node's descriptors. Regular requests are still
+// served, as they end quickly.
+func (s *Server) trackConnection(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
--- a/internal/proxy/admin/server_test.go
+++ b/internal/proxy/admin/server_test.go
@@ -18,10 +18,10 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// fakeNode is a node whose answers a test sets.
+// fakeNode is a Node with fixed responses.
 type fakeNode struct {
 	snapshot metrics.Snapshot
-	err      error // of commands
+	err      error // result of commands
 	commands []string
 }
 
@@ -32,7 +32,7 @@
 	return n.err
 }
 
-// Active waits for its context's end if the error is context.DeadlineExceeded, as for a loop that is stuck.
+// Active blocks until ctx ends if n.err is context.DeadlineExceeded, as it does while the event loop is stuck.
 func (n *fakeNode) Active(ctx context.Context) error {
 	n.commands = append(n.commands, "active")
 	if errors.Is(n.err, context.DeadlineExceeded) {
@@ -41,12 +41,12 @@
 	return n.err
 }
 
-// servingNode returns a node whose snapshot does not get stale within a test.
+// servingNode returns a node whose snapshot does not become stale during a test.
 func servingNode() *fakeNode {
 	return &fakeNode{snapshot: metrics.Snapshot{At: time.Now().Add(time.Hour), Serving: true, Phase: "serving"}}
 }
 
-// serveAdmin serves a node, and a fleet unless it is nil, and returns the address.
+// serveAdmin starts a server for node, and for fleet unless it is nil, and returns its address.
 func serveAdmin(t *testing.T, node Node, fleet Fleet) string {
 	t.Helper()
 	server, err := Listen("127.0.0.1:0")
@@ -60,10 +60,10 @@
 	return server.Addr()
 }
 
-// requestHead returns the first lines of a request. Further headers and an empty line have to follow.
+// requestHead returns the request line and the Host header. Further headers and an empty line must follow.
 func requestHead(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: n\r\n" }
 
-// call sends the text of a request and returns the response.
+// call sends the text of a request on a new connection and returns the response.
 func call(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -81,7 +81,7 @@
 	return response.StatusCode, string(content)
 }
 
-func TestEachCallHasItsStatus(t *testing.T) {
+func TestStatusCodes(t *testing.T) {
 	node := servingNode()
 	addr := serveAdmin(t, node, nil)
 	for _, test := range []struct {
@@ -96,7 +96,7 @@
 		{"unknown path", requestHead("GET", "/") + "\r\n", 404},
 		{"long body", requestHead("PUT", "/standby") + "Content-Length: 9999\r\n\r\n", 413},
 		{"long header", requestHead("GET", "/status") + "X: " + strings.Repeat("x", 16<<10) + "\r\n\r\n", 431},
-		{"no HTTP", "nothing of the kind\r\n\r\n", 400},
+		{"not HTTP", "nothing of the kind\r\n\r\n", 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if status, body := call(t, addr, test.text); status != test.want {
@@ -105,12 +105,12 @@
 		})
 	}
 	if !slices.Equal(node.commands, []string{"standby", "active"}) {
-		t.Errorf("the node got the commands %q", node.commands)
+		t.Errorf("the node received the commands %q", node.commands)
 	}
 }
 
-// A class's name must not end its metric's name or line.
-func TestMetricsAreOneALine(t *testing.T) {
+// Special characters in the name of a service class must not end the metric's name or line.
+func TestMetricsAreWrittenOnePerLine(t *testing.T) {
 	node := servingNode()
 	node.snapshot.Pending = 3
 	node.snapshot.Members = 2
@@ -125,9 +125,9 @@
 	}
 }
 
-// A node in standby, one whose event loop is stuck and one that ends each say so by a status of their own, and no call
-// waits for a loop that is stuck.
-func TestNodeThatDoesNotServeSaysSo(t *testing.T) {
+// Nodes that do not serve requests, because of standby, a stuck event loop or a shutdown, answer with the matching
+// status code, and no request waits for a stuck loop.
+func TestStatusCodesOfNodeThatDoesNotServe(t *testing.T) {
 	status := requestHead("GET", "/status") + "\r\n"
 	standby := requestHead("PUT", "/standby") + "\r\n"
 	active := requestHead("PUT", "/active") + "\r\n"
@@ -139,7 +139,7 @@
 	}{
 		{"standby", func(n *fakeNode) { n.snapshot.Serving, n.snapshot.Phase = false, "standby" }, status, 503},
 		{"stale metrics", func(n *fakeNode) { n.snapshot.At = time.Now().Add(-staleAfter) }, status, 503},
-		{"ending", func(n *fakeNode) { n.err = ErrShuttingDown }, standby, 409},
+		{"shutting down", func(n *fakeNode) { n.err = ErrShuttingDown }, standby, 409},
 		{"stuck loop", func(n *fakeNode) { n.err = context.DeadlineExceeded }, active, 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -152,9 +152,9 @@
 	}
 }
 
-// Callers that send nothing, or half a request, stay for seconds. An honest call is answered among a hundred of them,
-// and they do not take more connections than they may.
-func TestHonestCallIsAnsweredAmongIdleConnections(t *testing.T) {
+// Clients that send nothing, or half a request, stay connected for seconds. A complete request must be answered among
+// a hundred of them, and the number of open connections must stay within MaxConnections.
+func TestRequestIsAnsweredAmongIdleConnections(t *testing.T) {
 	const idle = 100
 	addr := serveAdmin(t, servingNode(), nil)
 	ended := make(chan bool, idle)
@@ -175,24 +175,24 @@
 	if status, _ := call(t, addr, requestHead("GET", "/status")+"\r\n"); status != 200 {
 		t.Error(status)
 	}
-	for range idle - MaxConnections { // at once, and not only once their time is up
+	for range idle - MaxConnections { // immediately, and not after the read timeout
 		select {
 		case <-ended:
 		case <-time.After(readTimeout / 2):
-			t.Fatal("more connections stay than may")
+			t.Fatal("more than MaxConnections stay open")
 		}
 	}
 }
 
-// fakeFleet is a fleet whose answers a test sets.
+// fakeFleet is a Fleet with fixed responses.
 type fakeFleet struct{ connected bool }
 
 func (f fakeFleet) FleetStatus() (any, bool) { return map[string]int{"members": 5}, f.connected }
 func (f fakeFleet) FleetMembers() any        { return []string{"n1"} }
 
-// A node that is cut off from the fleet says so by its status, as scripts look at that. One without a fleet has no such
-// calls.
-func TestCallsAboutTheFleet(t *testing.T) {
+// A node that is disconnected from the fleet answers with status 503, which scripts check. A node without a fleet does
+// not have the paths.
+func TestFleetRequests(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		fleet  Fleet
@@ -201,7 +201,7 @@
 		body   string
 	}{
 		{"connected", fakeFleet{true}, "/fleet/status", 200, `{"members":5}`},
-		{"cut off", fakeFleet{false}, "/fleet/status", 503, `{"members":5}`},
+		{"disconnected", fakeFleet{false}, "/fleet/status", 503, `{"members":5}`},
 		{"members", fakeFleet{}, "/fleet/members", 200, `["n1"]`},
 		{"no fleet", nil, "/fleet/members", 404, "404 page not found"},
 	} {
