--- a/internal/proxy/handover/conversation.go
+++ b/internal/proxy/handover/conversation.go
@@ -14,53 +14,53 @@
 	"dahliapin/internal/keyhash"
 )
 
-// The lines that a successor sends.
+// The messages that the successor sends.
 const (
-	hello   = "dahliapin handover 1\n" // asks for the sockets; the number is the version of the conversation
-	serving = "serving\n"              // says that it serves clients
+	socketRequest = "dahliapin handover 1\n" // requests the sockets; the number is the version of the protocol
+	servingNotice = "serving\n"              // announces that the successor serves clients
 )
 
 const (
-	// conversationTimeout is for the other process to answer, which it does beside its event loop.
-	conversationTimeout = 500 * time.Millisecond
+	// responseTimeout bounds the wait for the other process, which answers outside of its event loop.
+	responseTimeout = 500 * time.Millisecond
 
-	// acceptRetryPause is the pause after an accept that failed.
+	// acceptRetryPause is the pause after a failed accept. It prevents a busy loop.
 	acceptRetryPause = 5 * time.Millisecond
 
-	maxPathSize    = 107     // bytes of the name that a Unix socket may have
-	maxSockets     = 64      // that are passed: the node's and those of the operator's file
-	maxAddressSize = 8 << 10 // bytes of their addresses
+	maxPathSize    = 107     // maximum length of a Unix socket's path, in bytes
+	maxSockets     = 64      // maximum number of sockets passed: the node's and those of the operator's file
+	maxAddressSize = 8 << 10 // maximum size of the list of their addresses, in bytes
 	socketMode     = 0o600
 )
 
-// Path returns the path of the socket by which a node that listens on an address is replaced.
-func Path(folder, listen string) string {
-	return filepath.Join(folder, fmt.Sprintf("dahliapin-%016x.sock", keyhash.String(listen)))
+// Path returns the path of the handover socket, in dir, of the node that listens on the address listen.
+func Path(dir, listen string) string {
+	return filepath.Join(dir, fmt.Sprintf("dahliapin-%016x.sock", keyhash.String(listen)))
 }
 
-// withSocketName calls f with a name for a path that a Unix socket may have. A long path is named by the descriptor of
-// its folder, which is open until f returns.
+// withSocketName calls f with a name for path that is short enough for a Unix socket. A path that is too long is named
+// through a descriptor of its directory, which stays open until f returns.
 func withSocketName(path string, f func(name string) error) error {
 	if len(path) <= maxPathSize {
 		return f(path)
 	}
-	folder, err := os.Open(filepath.Dir(path))
+	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return f(fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path)))
+	defer dir.Close()
+	return f(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// withDescriptors calls f with the descriptors of all listeners, added to fds. It does without their File methods, as
-// the Fd of such a file would make the shared socket blocking.
+// withDescriptors calls f with fds and the descriptors of all listeners appended to it. It avoids their File methods,
+// because the Fd method of such a file would put the shared socket into blocking mode.
 func withDescriptors(listeners []net.Listener, fds []int, f func(fds []int) error) error {
 	if len(listeners) == 0 {
 		return f(fds)
 	}
 	conn, ok := listeners[0].(syscall.Conn)
 	if !ok {
-		return errors.New("a listener without a descriptor")
+		return errors.New("listener exposes no file descriptor")
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -74,7 +74,7 @@
 	return inner
 }
 
-// isSameUser tells whether the other side of a connection belongs to this process's user.
+// isSameUser reports whether the process at the other end of a connection runs as the same user as this one.
 func isSameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/proxy/handover/doc.go
+++ b/internal/proxy/handover/doc.go
@@ -1,11 +1,11 @@
-// Package handover passes a node's listening sockets from a process to the one that replaces it, its successor, over a
-// Unix socket in a folder that both know.
+// Package handover passes a node's listening sockets from a running process to its successor, the process that replaces
+// it, over a Unix socket in a directory that both know.
 //
-// Both processes then hold the same listening sockets, so that no connection that waits in one of them is lost,
-// whichever process ends. The connection between the two stays open: its end is how each knows that the other has
-// gone.
+// Afterwards both processes hold the same listening sockets, so that no connection queued in one of them is lost,
+// whichever process ends first. The connection between the processes stays open: each detects by its end that the other
+// has ended.
 //
-// The running process opens an Offer. The successor calls Inherit, which sends the greeting and receives the sockets
-// with their addresses; once it serves clients it calls Inherited.Serving, upon which the old process stops accepting;
-// it drains once it gets SIGTERM. The conversation is the same between all versions that may replace each other.
+// The running process opens an Offer. The successor calls Inherit, which requests and receives the sockets with their
+// addresses. Once the successor serves clients, it calls Inherited.NotifyServing, and the old process stops accepting
+// clients; it drains when it receives SIGTERM. The protocol is the same in all versions that may replace each other.
 package handover
--- a/internal/proxy/handover/golden_test.go
+++ b/internal/proxy/handover/golden_test.go
@@ -14,9 +14,9 @@
 	"dahliapin/internal/golden"
 )
 
-// A process of an earlier version is replaced by one of this version, and the other way round: both sides of the
-// conversation are as recorded.
-func TestConversationIsAsRecorded(t *testing.T) {
+// A process of this version must be able to replace one of an earlier version, and the other way round, so the messages
+// of both sides must match the recorded ones.
+func TestProtocolMatchesGoldenFile(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,22 +35,22 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	var got strings.Builder
-	if _, err := c.Write([]byte(hello)); err != nil {
+	if _, err := c.Write([]byte(socketRequest)); err != nil {
 		t.Fatal(err)
 	}
 	text, sockets := receiveSockets(t, c)
 	answer := strings.ReplaceAll(text, listener.Addr().String(), "ADDRESS")
-	fmt.Fprintf(&got, "successor %q, answer %q with %d sockets, stage %d\n", hello, answer, sockets, <-stages)
-	if _, err := c.Write([]byte(serving)); err != nil {
+	fmt.Fprintf(&got, "successor %q, answer %q with %d sockets, stage %d\n", socketRequest, answer, sockets, <-stages)
+	if _, err := c.Write([]byte(servingNotice)); err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&got, "successor %q, stage %d\n", serving, <-stages)
+	fmt.Fprintf(&got, "successor %q, stage %d\n", servingNotice, <-stages)
 	_ = c.Close()
 	fmt.Fprintf(&got, "successor gone, stage %d\n", <-stages)
 	golden.Check(t, "conversation.txt", []byte(got.String()))
 }
 
-// receiveSockets receives the old process's answer, and closes the sockets in it.
+// receiveSockets receives the old process's response, and closes the sockets that it contains.
 func receiveSockets(t *testing.T, c *net.UnixConn) (text string, sockets int) {
 	t.Helper()
 	buffer := make([]byte, 1024)
@@ -73,8 +73,8 @@
 	return string(buffer[:textSize]), len(fds)
 }
 
-// A successor of this version sends the greeting that was recorded, and refuses an answer without sockets.
-func TestSuccessorSendsTheGreeting(t *testing.T) {
+// The successor sends the recorded request, and returns an error if the response contains no sockets.
+func TestInheritSendsRequestAndRequiresSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "offer")
 	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -93,9 +93,9 @@
 		_, _, _ = c.WriteMsgUnix([]byte(""), nil, nil)
 	}()
 	if inherited, err := Inherit(path); err == nil {
-		t.Errorf("inherited %v from a process that hands over nothing", inherited)
+		t.Errorf("inherited %v from a process that sent no sockets", inherited)
 	}
-	if line := <-lines; line != hello {
+	if line := <-lines; line != socketRequest {
 		t.Errorf("the successor sent %q", line)
 	}
 }
--- a/internal/proxy/handover/handover_test.go
+++ b/internal/proxy/handover/handover_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// patience is how long a test waits for what must happen.
-const patience = 10 * time.Second
+// waitTimeout is the time within which an expected event must happen.
+const waitTimeout = 10 * time.Second
 
-// offerListener offers a new listener at a path.
+// offerListener opens an Offer of a new listener at path.
 func offerListener(t *testing.T, path string) (net.Listener, chan Stage, *Offer) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	return listener, stages, offer
 }
 
-// inherit takes over the one listener that is offered at a path.
+// inherit inherits the only listener that is offered at path.
 func inherit(t *testing.T, path string) *Inherited {
 	t.Helper()
 	inherited, err := Inherit(path)
@@ -46,31 +46,31 @@
 		if got != want {
 			t.Fatalf("stage %v, want %v", got, want)
 		}
-	case <-time.After(patience):
-		t.Fatalf("stage %v was never reached", want)
+	case <-time.After(waitTimeout):
+		t.Fatalf("stage %v was not reached", want)
 	}
 }
 
-// longFolder makes a folder whose path is longer than the name of a Unix socket may be.
-func longFolder(t *testing.T) string {
+// makeLongDir creates a directory whose path is too long for a Unix socket.
+func makeLongDir(t *testing.T) string {
 	t.Helper()
-	folder := filepath.Join(t.TempDir(), strings.Repeat("long", maxPathSize/4))
-	if err := os.Mkdir(folder, 0o700); err != nil {
+	dir := filepath.Join(t.TempDir(), strings.Repeat("long", maxPathSize/4))
+	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	return folder
+	return dir
 }
 
-// A successor may go before it serves. The old process goes on as before, and can be replaced again; while there is a
-// successor, a third process gets nothing.
-func TestOneSuccessorAtATimeAndItMayGo(t *testing.T) {
-	path := Path(longFolder(t), "127.0.0.1:7")
+// A successor may end before it serves clients. The old process then continues to serve and can be replaced again.
+// While there is a successor, a third process receives no sockets.
+func TestOneSuccessorAtATimeAndOfferOutlivesIt(t *testing.T) {
+	path := Path(makeLongDir(t), "127.0.0.1:7")
 	_, stages, _ := offerListener(t, path)
 	for range 2 {
 		successor := inherit(t, path)
 		expectStage(t, stages, SocketsSent)
 		if third, err := Inherit(path); err == nil {
-			t.Error("a third got the sockets while the second had not served", third)
+			t.Error("a third process received the sockets while there was a successor", third)
 		}
 		successor.Close()
 		expectStage(t, stages, SuccessorGone)
@@ -79,10 +79,10 @@
 	expectStage(t, stages, SocketsSent)
 }
 
-// Connections that wait in the old process's queue when it closes would be reset. As both hold the same socket, they
-// are the successor's.
-func TestConnectionsThatWaitAreTheSuccessors(t *testing.T) {
-	path := Path(longFolder(t), "127.0.0.1:7")
+// Connections that are queued when the old process closes its listener must not be reset. As both processes hold the
+// same socket, the successor accepts them.
+func TestQueuedConnectionsPassToSuccessor(t *testing.T) {
+	path := Path(makeLongDir(t), "127.0.0.1:7")
 	listener, stages, offer := offerListener(t, path)
 	successor := inherit(t, path)
 	defer successor.Close()
@@ -104,31 +104,31 @@
 	offer.Close()
 	select {
 	case <-gone:
-	case <-time.After(patience):
-		t.Fatal("the old process's end was not noticed")
+	case <-time.After(waitTimeout):
+		t.Fatal("the successor did not detect that the old process has ended")
 	}
 	accepted, err := successor.Listeners[listener.Addr().String()].Accept()
 	if err != nil {
-		t.Fatal("the connection that waited is lost", err)
+		t.Fatal("the queued connection was lost", err)
 	}
 	accepted.Close()
 }
 
-// Where no process can be replaced, a node starts as any: the folder is missing, or holds the socket of a killed
-// process or something else.
-func TestWithoutAnOfferNothingIsInherited(t *testing.T) {
-	folder := t.TempDir()
-	killed := killedSocket(t, folder)
-	rubbish := filepath.Join(folder, "rubbish.sock")
-	if err := os.WriteFile(rubbish, []byte("x"), 0o600); err != nil {
+// A node must start normally if there is no process to replace: the directory or the socket is missing, the socket was
+// left behind by a killed process, or the file is no socket.
+func TestInheritWithoutOfferReturnsNil(t *testing.T) {
+	dir := t.TempDir()
+	killed := killedSocket(t, dir)
+	regularFile := filepath.Join(dir, "rubbish.sock")
+	if err := os.WriteFile(regularFile, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	missingFolder := filepath.Join(folder, "none", strings.Repeat("long", maxPathSize/4))
+	missingDir := filepath.Join(dir, "none", strings.Repeat("long", maxPathSize/4))
 	for _, test := range []struct{ name, path string }{
-		{"no file", filepath.Join(folder, "none.sock")},
+		{"no file", filepath.Join(dir, "none.sock")},
 		{"killed process", killed},
-		{"no socket", rubbish},
-		{"no folder", Path(missingFolder, "127.0.0.1:7")},
+		{"no socket", regularFile},
+		{"no directory", Path(missingDir, "127.0.0.1:7")},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if inherited, err := Inherit(test.path); inherited != nil || err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestOldProcessThatHangsIsGivenUp(t *testing.T) {
+func TestInheritFailsIfOldProcessHangs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "hangs.sock")
 	silent, err := net.Listen("unix", path)
 	if err != nil {
@@ -150,14 +150,14 @@
 	}
 }
 
-func TestOfferReplacesTheSocketOfAKilledProcess(t *testing.T) {
+func TestOpenReplacesSocketOfKilledProcess(t *testing.T) {
 	offerListener(t, killedSocket(t, t.TempDir()))
 }
 
-// killedSocket leaves a socket behind as a killed process does.
-func killedSocket(t *testing.T, folder string) string {
+// killedSocket creates a socket file without a listening process, as a killed process leaves it behind.
+func killedSocket(t *testing.T, dir string) string {
 	t.Helper()
-	path := filepath.Join(folder, "killed.sock")
+	path := filepath.Join(dir, "killed.sock")
 	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/handover/inherit.go
+++ b/internal/proxy/handover/inherit.go
@@ -13,32 +13,32 @@
 	"golang.org/x/sys/unix"
 )
 
-const descriptorSize = 4 // bytes of a descriptor in a message
+const descriptorSize = 4 // size of a descriptor in a control message, in bytes
 
-// The errors of a conversation that ends without the sockets.
+// The errors of a handover that fails.
 var (
-	errOtherUser  = errors.New("who offers its sockets is not of this user")
-	errNoSockets  = errors.New("no sockets were handed over")
-	errMismatched = errors.New("what was handed over is not what was said")
+	errOtherUser  = errors.New("the process that offers its sockets belongs to another user")
+	errNoSockets  = errors.New("the old process sent no sockets")
+	errMismatched = errors.New("the sockets do not match the addresses that the old process sent with them")
 )
 
-// Inherited is what a process has got from the one that it replaces.
+// Inherited holds the listeners received from the process that this one replaces, and the connection to it.
 type Inherited struct {
-	Listeners map[string]net.Listener // by address, as the old process listens on it; those used are taken out
+	Listeners map[string]net.Listener // by the old process's listening address; the user removes those that it uses
 	conn      *net.UnixConn
 }
 
-// Inherit asks the process that offers its sockets at a path for them. Without one it returns nil and no error. It
-// waits for a bounded time.
+// Inherit receives the sockets that a process offers at path. It returns nil without an error if there is no such
+// process. It waits for a bounded time.
 func Inherit(path string) (*Inherited, error) {
 	var c net.Conn
 	err := withSocketName(path, func(name string) error {
 		var err error
-		c, err = net.DialTimeout("unix", name, conversationTimeout)
+		c, err = net.DialTimeout("unix", name, responseTimeout)
 		return err
 	})
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, nil // there is none, or the socket is that of a process that was killed
+		return nil, nil // no socket, or that of a process that was killed
 	}
 	if err != nil {
 		return nil, err
@@ -51,20 +51,20 @@
 	return i, nil
 }
 
-// receive asks for the sockets and receives them.
+// receive requests and receives the sockets.
 func (i *Inherited) receive() error {
-	_ = i.conn.SetDeadline(time.Now().Add(conversationTimeout))
+	_ = i.conn.SetDeadline(time.Now().Add(responseTimeout))
 	if !isSameUser(i.conn) {
 		return errOtherUser
 	}
-	if _, err := i.conn.Write([]byte(hello)); err != nil {
+	if _, err := i.conn.Write([]byte(socketRequest)); err != nil {
 		return err
 	}
 	text := make([]byte, maxAddressSize)
 	rights := make([]byte, unix.CmsgSpace(descriptorSize*maxSockets))
 	textSize, rightsSize, _, _, err := i.conn.ReadMsgUnix(text, rights)
 	if err != nil {
-		return fmt.Errorf("nothing was handed over: %w", err)
+		return fmt.Errorf("cannot receive sockets from the old process: %w", err)
 	}
 	messages, err := unix.ParseSocketControlMessage(rights[:rightsSize])
 	if err != nil || len(messages) != 1 {
@@ -79,8 +79,9 @@
 	return err
 }
 
-// addListeners makes listeners of descriptors, each with the address of its position. They are kept even where one is
-// not at its address, so that Close closes them. Those without an address of their own are closed at once.
+// addListeners turns descriptors into listeners and stores each under the address at the same position. If one listens
+// on another address, all are still stored, so that Close closes them. Those without an address, or with one that
+// another listener has already, are closed immediately.
 func (i *Inherited) addListeners(fds []int, addresses []string) error {
 	matched := len(fds) == len(addresses)
 	for n, fd := range fds {
@@ -107,15 +108,15 @@
 	return nil
 }
 
-// NotifyServing tells the old process that this one serves clients from now on.
+// NotifyServing tells the old process that this one now serves clients.
 func (i *Inherited) NotifyServing() error {
-	_, err := i.conn.Write([]byte(serving))
+	_, err := i.conn.Write([]byte(servingNotice))
 	return err
 }
 
-// Wait returns once the old process has gone.
+// Wait returns once the old process has ended or closed the connection.
 func (i *Inherited) Wait() {
-	buffer := make([]byte, len(hello))
+	buffer := make([]byte, len(socketRequest))
 	for {
 		if _, err := i.conn.Read(buffer); err != nil {
 			return
@@ -123,7 +124,7 @@
 	}
 }
 
-// Close closes the listeners that were not used, and ends the conversation.
+// Close closes the listeners that were not used, and the connection to the old process.
 func (i *Inherited) Close() {
 	for _, listener := range i.Listeners {
 		_ = listener.Close()
--- a/internal/proxy/handover/inherit_test.go
+++ b/internal/proxy/handover/inherit_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// openDescriptors returns how many descriptors this process has open.
+// openDescriptors returns the number of open descriptors of this process.
 func openDescriptors(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
@@ -18,8 +18,9 @@
 	return len(entries)
 }
 
-// duplicates returns descriptors of one listener, as they come from an old process, and its address.
-func duplicates(t *testing.T, count int) (fds []int, address string) {
+// duplicateListener returns count duplicates of a listener's descriptor, as an old process would send them, and its
+// address.
+func duplicateListener(t *testing.T, count int) (fds []int, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,16 +44,16 @@
 	return fds, l.Addr().String()
 }
 
-// Sockets that come without an address of their own, or with one that another has already, were closed by nobody: the
-// successor, which then opens its own listeners, let clients wait at them for good.
-func TestSocketsWithoutAnAddressOfTheirOwnAreClosed(t *testing.T) {
+// A received socket without an address, or with the address of another one, must be closed. Otherwise it stays open
+// when the successor opens its own listeners, and clients queued in it are never accepted.
+func TestSocketsWithoutUniqueAddressAreClosed(t *testing.T) {
 	for name, addresses := range map[string]func(string) []string{
 		"more sockets than addresses": func(address string) []string { return []string{address} },
 		"one address for all":         func(address string) []string { return []string{address, address, address} },
 		"no address":                  func(string) []string { return nil },
 	} {
 		before := openDescriptors(t)
-		fds, address := duplicates(t, 3)
+		fds, address := duplicateListener(t, 3)
 		i := &Inherited{Listeners: map[string]net.Listener{}}
 		if err := i.addListeners(fds, addresses(address)); !errors.Is(err, errMismatched) {
 			t.Errorf("%s: %v", name, err)
--- a/internal/proxy/handover/offer.go
+++ b/internal/proxy/handover/offer.go
@@ -12,17 +12,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stage is how far the process that replaces this one has come.
+// Stage is the progress of the process that replaces this one.
 type Stage int
 
 // The stages, in their order.
 const (
-	SocketsSent      Stage = iota // the successor has the sockets
-	SuccessorServing              // it serves clients
-	SuccessorGone                 // it has gone, and this process goes on as before
+	SocketsSent      Stage = iota // the successor has received the sockets
+	SuccessorServing              // the successor serves clients
+	SuccessorGone                 // the successor has ended; this process continues to serve
 )
 
-// Offer is a process's readiness to be replaced, by one other at a time.
+// Offer offers this process's listeners to a successor, one at a time.
 type Offer struct {
 	path      string
 	socket    *net.UnixListener
@@ -30,13 +30,14 @@
 	onStage   func(Stage)
 
 	mu        sync.Mutex
-	successor *net.UnixConn // nil while there is none
+	successor *net.UnixConn // nil if there is none
 	closed    bool
 }
 
-// Open offers listeners at a path until Close. onStage is called with each stage, from a goroutine of the offer's own.
+// Open offers listeners on a Unix socket at path until Close. onStage is called with each stage that a successor
+// reaches, from a goroutine of the Offer.
 func Open(path string, listeners []net.Listener, onStage func(Stage)) (*Offer, error) {
-	_ = os.Remove(path) // that of a process that was killed, or has gone
+	_ = os.Remove(path) // a socket left behind by a process that has ended
 	var socket *net.UnixListener
 	err := withSocketName(path, func(name string) error {
 		var err error
@@ -46,15 +47,15 @@
 	if err != nil {
 		return nil, err
 	}
-	socket.SetUnlinkOnClose(false) // the path may be the successor's by then
+	socket.SetUnlinkOnClose(false) // by then the path may belong to the successor
 	_ = os.Chmod(path, socketMode)
 	o := &Offer{path: path, socket: socket, listeners: listeners, onStage: onStage}
 	go o.acceptSuccessors()
 	return o, nil
 }
 
-// acceptSuccessors runs until the socket is closed. Guards against a failure of the system, for a moment, after which
-// no process could take this one's place any more.
+// acceptSuccessors accepts connections until the socket is closed. It retries after other errors: otherwise a transient
+// system error would prevent any later handover.
 func (o *Offer) acceptSuccessors() {
 	for {
 		c, err := o.socket.AcceptUnix()
@@ -73,7 +74,8 @@
 	}
 }
 
-// admit makes a process the successor. While there is one, a third process gets nothing.
+// admit makes the process at the other end of c the successor, unless there is one already, the Offer is closed or the
+// process belongs to another user. It reports whether it did.
 func (o *Offer) admit(c *net.UnixConn) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -84,26 +86,26 @@
 	return true
 }
 
-// serveSuccessor converses with a successor until it has gone.
+// serveSuccessor handles the connection of a successor until it ends.
 func (o *Offer) serveSuccessor(c *net.UnixConn) {
-	hadSockets := o.converse(c)
+	sent := o.runProtocol(c)
 	_ = c.Close()
 	o.mu.Lock()
 	o.successor = nil
-	notify := hadSockets && !o.closed
+	notify := sent && !o.closed
 	o.mu.Unlock()
 	if notify {
 		o.onStage(SuccessorGone)
 	}
 }
 
-// converse returns once the successor has gone, and tells whether it has had the sockets.
-func (o *Offer) converse(c *net.UnixConn) (hadSockets bool) {
-	// A process that sends nothing must not keep others out for long.
-	_ = c.SetDeadline(time.Now().Add(conversationTimeout))
-	reader := bufio.NewReaderSize(c, len(hello))
+// runProtocol runs the protocol with a successor until the connection ends, and reports whether the sockets were sent.
+func (o *Offer) runProtocol(c *net.UnixConn) (sent bool) {
+	// A process that connects and sends nothing must not block other successors for long.
+	_ = c.SetDeadline(time.Now().Add(responseTimeout))
+	reader := bufio.NewReaderSize(c, len(socketRequest))
 	line, err := reader.ReadString('\n')
-	if err != nil || line != hello {
+	if err != nil || line != socketRequest {
 		return false
 	}
 	if err := o.sendSockets(c); err != nil {
@@ -116,13 +118,13 @@
 		if err != nil {
 			return true
 		}
-		if line == serving {
+		if line == servingNotice {
 			o.onStage(SuccessorServing)
 		}
 	}
 }
 
-// sendSockets sends the listeners' descriptors, and their addresses a line each.
+// sendSockets sends the listeners' descriptors together with their addresses, one per line.
 func (o *Offer) sendSockets(c *net.UnixConn) error {
 	var addresses []string
 	for _, listener := range o.listeners {
@@ -135,7 +137,8 @@
 	})
 }
 
-// Close ends the offer. The socket is removed, unless a successor has taken over and offers at the same path.
+// Close ends the offer. It removes the socket unless there is a successor, which may offer its sockets at the same
+// path.
 func (o *Offer) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
