--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -8,36 +8,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is one connection. Its methods are the event loop's to call. Its fields stand together since the state of
-// reading, of writing and of its end is shared between the loop and the poller, and all concern one socket.
+// Conn is one TCP connection. Its exported methods must be called from the event loop only. The states of reading,
+// writing and closing are kept in one struct because the loop and the poller share them, and all concern the same
+// socket.
 type Conn struct {
-	Tag      uint64 // of a dialed connection, the id that Dial was given; else the loop's to set
-	Listener int    // number of the listener that a client came to
-	Dialed   bool   // dialed from here
+	Tag      uint64 // id of the connection: the one passed to Dial, or set by the loop if it was accepted
+	Listener int    // index of the listener that accepted the connection
+	Dialed   bool   // whether it was opened by Dial, and not accepted
 
 	engine    *Engine
 	conn      *nbio.Conn
-	announced sync.Once // the loop is told of it
+	announced sync.Once // for the event Accepted or Connected
 
 	// Reading.
 	readMu      sync.Mutex   // held from reading bytes until they are queued
-	queuedBytes int64        // bytes queued for the loop; under readMu
-	takenBytes  atomic.Int64 // of them, those that the loop has taken
-	readEnded   bool         // nothing more is read; under readMu
-	stalled     atomic.Bool  // nothing more is read until the loop has taken what is queued
-	held        atomic.Bool  // nothing is read for now; not under readMu, whose holder may wait for the loop that holds
-	orderly     atomic.Bool  // the other side has ended the connection, and all that it sent was read
+	queuedBytes int64        // bytes queued for the loop so far; guarded by readMu
+	takenBytes  atomic.Int64 // queued bytes that the loop has taken
+	readEnded   bool         // nothing more is read; guarded by readMu
+	readStalled atomic.Bool  // reading waits for the loop to take the queued bytes
+	readPaused  atomic.Bool  // reading is paused; not guarded by readMu, whose holder may wait for the loop
+	orderly     atomic.Bool  // the peer has closed the connection, and everything that it sent has been read
 
-	// Writing and the end.
-	unsent          atomic.Int64 // bytes written that the kernel has not taken yet
-	lostMu          sync.Mutex
-	lost            int64       // bytes that the kernel never took; under lostMu
-	descriptorFreed atomic.Bool // its descriptor is counted as free
+	// Writing and closing.
+	unsent          atomic.Int64 // written bytes that the kernel has not accepted yet
+	discardMu       sync.Mutex
+	discardedBytes  int64       // bytes that the kernel never accepted; guarded by lostMu
+	descriptorFreed atomic.Bool // the descriptor is no longer counted as open
 }
 
-// announce tells the loop of the connection, once, by Opened or Connected. It is called when nbio has added the
-// connection to its poller, or has closed it. Guards against a loop that closes the connection before it is added: nbio
-// would then add, under the same descriptor, a connection that has got it since, and read neither of them for good.
+// announce queues the event Accepted or Connected, once. It is called only after nbio has added the connection to its
+// poller, or has closed it. If the loop knew the connection earlier, it could close it before it is added. A new
+// connection could then get the same descriptor, nbio would add that one instead, and would never read either of them.
 func (c *Conn) announce() {
 	c.announced.Do(func() {
 		if c.Dialed {
@@ -48,24 +49,24 @@
 	})
 }
 
-// Write writes bytes; what the kernel does not take at once follows later. An error says that the last byte was not
-// taken, and never will be.
+// Write writes b. Bytes that the kernel does not accept immediately are buffered and written later. An error means that
+// at least the last byte was not accepted and never will be.
 func (c *Conn) Write(b []byte) error {
 	c.unsent.Add(int64(len(b)))
 	c.engine.unsent.Add(int64(len(b)))
 	_, err := c.conn.Write(b)
 	if err != nil {
-		c.forgetUnsent()
+		c.discardUnsent()
 	} else if c.unsent.Load() > 0 {
 		c.promptFlush()
 	}
 	return err
 }
 
-// promptFlush has the poller write what is left of the last write, if the kernel has room for it now. Guards against a
-// write that was interrupted, or cut short though there was room: nbio, polling by edges, leaves the rest until the
-// kernel tells of room, which the kernel does only where it had said that there was none. Setting the socket's limit of
-// unsent bytes, here to the system's as it is already, makes the kernel tell of the room that there is.
+// promptFlush has the poller write the rest of the last write if the kernel has space for it now. A write may have been
+// interrupted, or cut short although there was space. As polling is edge-triggered, nbio writes the rest only when the
+// kernel reports space, and the kernel does that only after it had reported that there is none. Setting the socket's
+// limit of unsent bytes makes the kernel report the space; the value, the system's default, stays the same.
 func (c *Conn) promptFlush() {
 	raw, err := c.conn.SyscallConn()
 	if err != nil || c.descriptorFreed.Load() {
@@ -76,29 +77,30 @@
 	})
 }
 
-// Unsent returns the number of written bytes that the kernel has not taken yet.
+// Unsent returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) Unsent() int64 { return c.unsent.Load() }
 
-// Close ends the connection; Closed follows. It returns how many written bytes the kernel will surely never take.
-func (c *Conn) Close() (lost int64) {
+// Close closes the connection; the event Closed follows. It returns the number of written bytes that the kernel never
+// accepted and never will.
+func (c *Conn) Close() (unsentBytes int64) {
 	_ = c.conn.Close()
 	c.freeDescriptor()
-	return c.forgetUnsent()
+	return c.discardUnsent()
 }
 
-// forgetUnsent takes what was never sent out of the engine's count, once, and returns how much that was. Both the loop
-// and a goroutine of nbio's call it, in either order, and must get the same result: an attempt that was never sent
-// would else count as one that may have run.
-func (c *Conn) forgetUnsent() int64 {
-	c.lostMu.Lock()
-	defer c.lostMu.Unlock()
+// discardUnsent removes the unsent bytes from the engine's count, once, and returns their number. The loop and a
+// goroutine of nbio call it in any order, and both must get the same result: otherwise an attempt that was never sent
+// could count as one that may have been executed.
+func (c *Conn) discardUnsent() int64 {
+	c.discardMu.Lock()
+	defer c.discardMu.Unlock()
 	unsent := c.unsent.Swap(0)
 	c.engine.unsent.Add(-unsent)
-	c.lost += unsent
-	return c.lost
+	c.discardedBytes += unsent
+	return c.discardedBytes
 }
 
-// freeDescriptor counts the connection's descriptor as free, once.
+// freeDescriptor removes the connection's descriptor from the count of open ones, once.
 func (c *Conn) freeDescriptor() {
 	if c.descriptorFreed.CompareAndSwap(false, true) {
 		c.engine.descriptorFreed()
--- a/internal/proxy/sockets/descriptor_reuse_test.go
+++ b/internal/proxy/sockets/descriptor_reuse_test.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	churnTime     = 2 * time.Second
-	churnDialers  = 16 // connections that are being dialed at any time
-	churnClients  = 8  // clients that send requests one after the other, on a connection each
-	churnDialWait = time.Second
-	answerWait    = 2 * time.Second
+	churnTime            = 2 * time.Second
+	churnDialers         = 16 // number of concurrent dials
+	churnClients         = 8  // number of concurrent clients, which open a new connection for each request
+	churnDialTimeout     = time.Second
+	churnResponseTimeout = 2 * time.Second
 )
 
-// churn is an engine whose loop closes each connection it has dialed as soon as it is established, and answers each
-// line of a client.
+// churn runs an engine whose loop closes each dialed connection as soon as it is established, and echoes what clients
+// send.
 type churn struct {
 	engine *Engine
-	target net.Listener // what it dials
+	target net.Listener // listener that is dialed
 	ended  atomic.Bool
 }
 
-// run is the loop. It returns once it is ended.
+// run is the event loop. It returns once ended is set.
 func (c *churn) run() {
 	for !c.ended.Load() {
 		for _, ev := range c.engine.TakeEvents() {
@@ -48,17 +48,17 @@
 }
 
 func (c *churn) dial() {
-	_ = c.engine.Dial(c.target.Addr().String(), churnDialWait, 1) // refused for want of a descriptor now and then
+	_ = c.engine.Dial(c.target.Addr().String(), churnDialTimeout, 1) // fails if no descriptor is free
 }
 
-// request has one line answered on a connection of its own.
+// request sends one line on a new connection and checks that the same line is returned.
 func (c *churn) request(line string) error {
 	conn, err := net.Dial("tcp", c.engine.Addr(0).String())
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(answerWait)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(churnResponseTimeout)); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprint(conn, line); err != nil {
@@ -66,13 +66,13 @@
 	}
 	answer, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && answer != line {
-		err = fmt.Errorf("the answer is %q", answer)
+		err = fmt.Errorf("unexpected response %q", answer)
 	}
 	return err
 }
 
-// A dialed connection that was closed as soon as it was established took the place of a client's that had got its
-// descriptor meanwhile: the client's requests were never read, nor its end noticed.
+// A dialed connection that the loop closes as soon as it is established must not replace, in nbio's poller, a client's
+// connection that has been given the same descriptor. That client's requests would never be read, nor its end detected.
 func TestClientsAreReadWhileNewConnectionsAreClosed(t *testing.T) {
 	e, err := New([]string{"127.0.0.1:0"}, 200, nil)
 	if err != nil {
@@ -90,7 +90,7 @@
 			if err != nil {
 				return
 			}
-			go func() { // until the other side closes it
+			go func() { // waits until the peer closes the connection
 				_, _ = conn.Read(make([]byte, 1))
 				conn.Close()
 			}()
--- a/internal/proxy/sockets/descriptors.go
+++ b/internal/proxy/sockets/descriptors.go
@@ -3,55 +3,59 @@
 import "errors"
 
 const (
-	// ownDescriptors is how many descriptors are not for connections: poller, listener, log, runtime.
+	// ownDescriptors is the number of descriptors used by the process itself: the poller, a listener, the log and the
+	// runtime.
 	ownDescriptors = 24
 
-	// dialReserve is how many descriptors are kept from clients, so that attempts can be sent.
+	// dialReserve is the number of descriptors reserved for dialing, so that clients cannot keep attempts from being
+	// sent.
 	dialReserve = 8
 
-	// minDescriptors is the least limit of descriptors for connections.
+	// minDescriptors is the lower bound of the limit of descriptors for connections.
 	minDescriptors = 16
 )
 
-// ErrNoDescriptor says that the limit of descriptors is reached.
-var ErrNoDescriptor = errors.New("all descriptors are in use")
+// ErrNoDescriptor is returned by Dial while the limit of descriptors is reached.
+var ErrNoDescriptor = errors.New("limit of file descriptors reached")
 
-// SetDescriptorLimit sets how many descriptors the process may have from now on, its own among them.
-// At least minDescriptors are for connections.
+// SetDescriptorLimit sets the number of descriptors that the process may use, including those that are not for
+// connections. At least minDescriptors remain for connections.
 func (e *Engine) SetDescriptorLimit(descriptors int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.descriptorLimit.Store(int64(max(minDescriptors, descriptors-e.reservedDescriptors)))
-	e.changed.Broadcast() // the acceptor may wait for a descriptor that there is now
+	e.stateChanged.Broadcast() // an acceptor may be waiting for a descriptor
 }
 
-// OverClientLimit tells whether more connections are open than clients may have: the limit was lowered.
+// OverClientLimit reports whether more connections are open than the clients' limit allows, as after the limit was
+// lowered.
 func (e *Engine) OverClientLimit() bool { return e.openDescriptors.Load() > e.clientLimit() }
 
-// MaxClients returns how many connections there may be before clients have to wait.
+// MaxClients returns the number of open connections above which new clients have to wait.
 func (e *Engine) MaxClients() int { return int(e.clientLimit()) }
 
 func (e *Engine) clientLimit() int64 { return e.descriptorLimit.Load() - dialReserve }
 
-// ClientWaiting tells whether a client waits for a descriptor, and still has to.
-func (e *Engine) ClientWaiting() bool { return e.clientWaits.Load() && e.OverClientLimit() }
+// ClientWaiting reports whether a client waits for a descriptor and none is free for it yet.
+func (e *Engine) ClientWaiting() bool { return e.clientWaiting.Load() && e.OverClientLimit() }
 
-// descriptorFreed counts a descriptor as free.
+// descriptorFreed counts one open descriptor less, and wakes the acceptors.
 func (e *Engine) descriptorFreed() {
 	e.openDescriptors.Add(-1)
 	e.mu.Lock()
-	e.changed.Broadcast()
+	e.stateChanged.Broadcast()
 	e.mu.Unlock()
 }
 
-// waitForDescriptor holds the acceptor while the limit is reached, and wakes the loop to close idle connections.
+// waitForDescriptor blocks an acceptor while the clients' limit is exceeded, and wakes the loop, which closes idle
+// connections.
 func (e *Engine) waitForDescriptor() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for e.OverClientLimit() && !e.stopped {
-		e.clientWaits.Store(true)
+		e.clientWaiting.Store(true)
 		e.wakeLoop()
-		e.changed.Wait()
+		e.stateChanged.Wait()
 	}
-	e.clientWaits.Store(false)
+	e.clientWaiting.Store(false)
 }
--- a/internal/proxy/sockets/descriptors_test.go
+++ b/internal/proxy/sockets/descriptors_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// openedCount returns how many connections of clients the loop is still to be told of.
-func openedCount(e *Engine) int {
+// acceptedCount returns the number of queued events that announce a client's connection.
+func acceptedCount(e *Engine) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	count := 0
@@ -19,9 +19,9 @@
 	return count
 }
 
-// A client that waited for a descriptor went on waiting when the limit was raised, as at the end of a takeover, until
-// something else happened.
-func TestRaisingTheLimitLetsAWaitingClientIn(t *testing.T) {
+// A client that waits for a descriptor must be accepted when the limit is raised, as at the end of a takeover, and not
+// only after another event.
+func TestRaisingTheLimitAcceptsAWaitingClient(t *testing.T) {
 	e := startEngine(t)
 	e.SetDescriptorLimit(0)
 	clients := e.MaxClients() + 2
@@ -32,19 +32,19 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	for by := time.Now().Add(patience); openedCount(e) < clients-2; time.Sleep(time.Millisecond) {
+	for by := time.Now().Add(waitTimeout); acceptedCount(e) < clients-2; time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("%d clients are in", openedCount(e))
+			t.Fatalf("%d clients were accepted", acceptedCount(e))
 		}
 	}
-	time.Sleep(pollerWaits) // in which no other may come in
-	if opened := openedCount(e); opened >= clients {
-		t.Fatalf("all of %d clients are in", opened)
+	time.Sleep(pollerSettleTime) // no other client may be accepted in this time
+	if opened := acceptedCount(e); opened >= clients {
+		t.Fatalf("all of %d clients were accepted", opened)
 	}
 	e.SetDescriptorLimit(100)
-	for by := time.Now().Add(patience); openedCount(e) < clients; time.Sleep(time.Millisecond) {
+	for by := time.Now().Add(waitTimeout); acceptedCount(e) < clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("%d of %d clients are in", openedCount(e), clients)
+			t.Fatalf("%d of %d clients were accepted", acceptedCount(e), clients)
 		}
 	}
 }
--- a/internal/proxy/sockets/doc.go
+++ b/internal/proxy/sockets/doc.go
@@ -1,14 +1,14 @@
-// Package sockets connects the proxy's event loop with its TCP connections, which nbio polls.
+// Package sockets connects the proxy's event loop to its TCP connections, which the library nbio polls.
 //
-// An Engine listens, dials, reads and writes. nbio's callbacks, on the goroutine of its poller, only put bytes and
-// events into a queue; the event loop waits for Wake and takes all of them with Take, in their order. Nothing is lost,
-// and neither side can wait for the other for good: the loop never waits, and only the reading of more bytes waits for
-// the loop.
+// An Engine listens, dials, reads and writes. nbio's callbacks run on the goroutine of its poller and only append bytes
+// and events to a queue. The event loop waits on Engine.Wake and takes the whole queue, in order, with
+// Engine.TakeEvents. No event is lost, and the two sides cannot deadlock: the loop never waits for the poller, and only
+// reading more bytes waits for the loop.
 //
-// Who owns what: the queue is the engine's, under its mutex. A Conn's read state is under its readMu, which the poller
-// holds while it queues bytes, so the loop only ever tries to lock it. Counters of bytes and descriptors are atomic.
-// The exported fields of Event and Conn that say so are the loop's to write.
+// Locking: the queue is guarded by the engine's mutex. A Conn's read state is guarded by its readMu, which the poller
+// holds while it queues bytes, so the loop must only use TryLock on it. Counters of bytes and descriptors are atomic.
+// Exported fields of Event and Conn are written by the loop only where their comments say so.
 //
-// Invariants: the open descriptors never exceed the limit, of which a few are reserved for dialing; the unread bytes
-// of one connection, and of all together, that wait for the loop are bounded.
+// Invariants: the number of open descriptors never exceeds the limit, of which a few are reserved for dialing. The
+// number of bytes that wait for the loop is bounded for each connection and for all connections together.
 package sockets
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -14,61 +14,63 @@
 )
 
 const (
-	// readBufferSize is how many bytes are read at once: most values as a whole.
+	// readBufferSize is the size of one read, in bytes. Most values fit into one.
 	readBufferSize = 64 << 10
 
-	// maxUnsentBytes is how many bytes a connection may have waiting for a slow reader: a few of the longest values.
+	// maxUnsentBytes is the number of bytes that a connection may buffer for a slow reader: a few of the longest
+	// values.
 	maxUnsentBytes = 4 << 20
 
-	// pollerStartTime is how long nbio's poller may take to begin, on a machine with little capacity left.
+	// pollerStartTime is the time that nbio's poller may take to start on a heavily loaded machine.
 	pollerStartTime = 100 * time.Millisecond
 )
 
-// Engine has all connections of a node. Its fields stand together since the queue, the descriptors and the
-// listeners share one mutex and one condition.
+// Engine manages all TCP connections of a node. It is one struct because the queue, the descriptors and the listeners
+// share one mutex and one condition variable.
 type Engine struct {
-	poller *nbio.Engine
-	polled atomic.Bool  // something was read, so nbio's poller runs
-	unsent atomic.Int64 // bytes that wait for slow readers
+	poller        *nbio.Engine
+	pollerRunning atomic.Bool  // something has been read, so nbio's poller is running
+	unsent        atomic.Int64 // bytes buffered for slow readers
 
-	// connsReady counts the Conns that are complete; see connOf.
+	// connsReady counts the Conns that are initialized; see connOf.
 	connsReady atomic.Int64
 
-	// readAhead is how many bytes of one connection may wait for the loop.
+	// readAhead is the number of bytes of one connection that may wait for the loop.
 	readAhead atomic.Int64
 
-	descriptorLimit     atomic.Int64 // of connections
-	openDescriptors     atomic.Int64
-	reservedDescriptors int         // of the process, not for connections
-	clientWaits         atomic.Bool // a client waits for a descriptor
+	descriptorLimit     atomic.Int64 // for connections
+	openDescriptors     atomic.Int64 // of connections
+	reservedDescriptors int          // not available for connections
+	clientWaiting       atomic.Bool  // a client waits for a descriptor
 
 	listeners []*listener
-	wake      chan struct{} // has a place for one signal
+	wake      chan struct{} // wakes the loop; has a buffer of one
 
 	localFailures localFailures
 
-	// dialing is held for reading while a dialed connection is added to nbio, and for writing to stop.
-	dialing sync.RWMutex
+	// dialMu is locked for reading while a dialed connection is added to nbio, and for writing by Stop.
+	dialMu sync.RWMutex
 
 	mu           sync.Mutex
-	changed      *sync.Cond // reading waits here for the loop, accepting for a descriptor or its turn
+	stateChanged *sync.Cond // the poller waits here for the loop, acceptors for a descriptor or for SetAccepting
 	events       []Event    // the queue
-	arena        []byte     // the bytes of the queue's events
-	spare        []Event    // what the loop has taken last, for the next queue
-	spareArena   []byte     // its bytes
-	stopped      bool       // written under dialing as well, so that either lock suffices to read it
-	acceptPaused bool       // no client is accepted here: another process does
+	arena        []byte     // the bytes of the queued events
+	spareEvents  []Event    // the events that the loop took last; reused for the next queue
+	spareArena   []byte     // the bytes of spareEvents
+	stopped      bool       // written with both mu and dialMu locked, so that either lock suffices to read it
+	acceptPaused bool       // no clients are accepted, because another process accepts them
 }
 
-// New listens on all addresses and starts. It holds at most so many descriptors. Listeners that were inherited from
-// another process are taken out of the map and used as they are, and no client is accepted by any until Accept.
+// New returns an Engine that listens on all addresses and uses at most the given number of descriptors. Listeners that
+// were inherited from another process are used as they are and removed from the map. If there are any, no listener
+// accepts clients until SetAccepting.
 func New(addrs []string, descriptors int, inherited map[string]net.Listener) (*Engine, error) {
 	e := &Engine{
 		wake:                make(chan struct{}, 1),
 		acceptPaused:        len(inherited) > 0,
 		reservedDescriptors: ownDescriptors + len(addrs) - 1,
 	}
-	e.changed = sync.NewCond(&e.mu)
+	e.stateChanged = sync.NewCond(&e.mu)
 	e.SetDescriptorLimit(descriptors)
 	e.SetReadAhead(maxReadAhead)
 	logging.SetLevel(logging.LevelError)
@@ -78,8 +80,8 @@
 		NPoller:            1,
 		ReadBufferSize:     readBufferSize,
 		MaxWriteBufferSize: maxUnsentBytes,
-		// Edge-triggered: with level triggering nbio forgets to wait for space on a connection that is written to as it
-		// is established.
+		// Edge-triggered: with level triggering nbio does not wait for space on a connection that is written to while
+		// it is being established.
 		EpollMod: nbio.EPOLLET,
 		Listen: func(network, addr string) (net.Listener, error) {
 			return e.listen(network, addr, inherited)
@@ -87,8 +89,8 @@
 	})
 	e.setCallbacks()
 	if err := e.poller.Start(); err != nil {
-		// nbio closes only the listeners that it had opened before the one that failed, and those by listener.Close,
-		// which leaves the sockets open.
+		// nbio closes only the listeners that it opened before the one that failed, and it calls listener.Close, which
+		// leaves the sockets open.
 		for _, l := range e.listeners {
 			_ = l.Listener.Close()
 		}
@@ -97,7 +99,7 @@
 	return e, nil
 }
 
-// listen opens a listener, or takes the inherited one.
+// listen opens a listener, or uses the inherited one of the same address.
 func (e *Engine) listen(network, addr string, inherited map[string]net.Listener) (net.Listener, error) {
 	socket := inherited[addr]
 	delete(inherited, addr)
@@ -110,12 +112,12 @@
 		}
 		socket = opened
 	}
-	l := &listener{Listener: socket, engine: e, parked: make(chan struct{}), closed: make(chan struct{})}
+	l := &listener{Listener: socket, engine: e, acceptorDone: make(chan struct{}), closed: make(chan struct{})}
 	e.listeners = append(e.listeners, l)
 	return l, nil
 }
 
-// setCallbacks sets what nbio calls, on the goroutine of its poller for the most part.
+// setCallbacks sets the callbacks of nbio, which calls most of them on the goroutine of its poller.
 func (e *Engine) setCallbacks() {
 	e.poller.OnOpen(e.onOpen)
 	e.poller.OnRead(func(nc *nbio.Conn) {
@@ -132,6 +134,7 @@
 	e.poller.OnClose(func(nc *nbio.Conn, _ error) { e.onClose(nc) })
 }
 
+// onOpen creates the Conn of an accepted connection. A dialed connection has one already.
 func (e *Engine) onOpen(nc *nbio.Conn) {
 	defer e.connsReady.Add(1)
 	if nc.Session() == nil {
@@ -139,6 +142,7 @@
 	}
 }
 
+// onClose queues the event Closed of a connection, after the one that announces it.
 func (e *Engine) onClose(nc *nbio.Conn) {
 	c := e.connOf(nc)
 	if c == nil {
@@ -147,12 +151,13 @@
 	}
 	c.freeDescriptor()
 	c.announce()
-	e.enqueue(Event{Kind: Closed, Conn: c, UnsentBytes: c.forgetUnsent(), Orderly: c.orderly.Load()}, nil)
+	e.enqueue(Event{Kind: Closed, Conn: c, UnsentBytes: c.discardUnsent(), Orderly: c.orderly.Load()}, nil)
 }
 
-// connOf returns the Conn of a connection of nbio's. It is complete: nbio adds a connection to its poller only after
-// onOpen has returned. That order goes through the kernel, though, where neither the memory model nor the race
-// detector sees it. The counter, written after each Conn and read before each use, makes it visible to both.
+// connOf returns the Conn of a connection of nbio. The Conn is initialized, because nbio adds a connection to its
+// poller only after onOpen has returned. That ordering passes through the kernel, where neither the memory model nor
+// the race detector can see it. The counter connsReady, written after each Conn and read before each use, makes it
+// visible.
 func (e *Engine) connOf(nc *nbio.Conn) *Conn {
 	e.connsReady.Load()
 	c, _ := nc.Session().(*Conn)
@@ -165,29 +170,31 @@
 	return e.stopped
 }
 
-// Unsent returns the number of bytes that wait for slow readers.
+// Unsent returns the number of bytes buffered for slow readers.
 func (e *Engine) Unsent() int64 { return e.unsent.Load() }
 
-// SetReadAhead sets how many bytes of one connection may wait for the loop, within fixed bounds.
+// SetReadAhead sets the number of bytes of one connection that may wait for the loop, within minReadAhead and
+// maxReadAhead.
 func (e *Engine) SetReadAhead(bytes int64) {
 	e.readAhead.Store(min(max(bytes, minReadAhead), maxReadAhead))
 }
 
-// Stop closes everything, and returns once no callback is called any more. No connection is accepted or dialed from
-// then on before nbio stops: it counts its connections with a wait group, which one established meanwhile would upset.
+// Stop closes all connections and listeners, and returns once no more callbacks are called. It ends accepting and
+// dialing before it stops nbio: nbio counts its connections with a wait group, and must not add one while it stops.
 func (e *Engine) Stop() {
-	e.dialing.Lock()
+	e.dialMu.Lock()
 	e.mu.Lock()
 	e.stopped = true
-	e.changed.Broadcast()
+	e.stateChanged.Broadcast()
 	e.mu.Unlock()
-	e.dialing.Unlock()
+	e.dialMu.Unlock()
 	for _, l := range e.listeners {
 		_ = l.Listener.Close()
-		<-l.parked
+		<-l.acceptorDone
 	}
-	// nbio 1.6.8 forgets a stop that comes before its poller has begun, and waits for the poller without end.
-	if !e.polled.Load() {
+	// nbio 1.6.8 ignores a stop request that comes before its poller has started, and then waits for the poller
+	// forever.
+	if !e.pollerRunning.Load() {
 		time.Sleep(pollerStartTime)
 	}
 	e.poller.Stop()
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// patience is how long a test waits for what must happen.
-const patience = 10 * time.Second
+// waitTimeout is the time within which an expected event must happen.
+const waitTimeout = 10 * time.Second
 
 // startEngine starts an engine with one listener.
 func startEngine(t *testing.T) *Engine {
@@ -25,11 +25,11 @@
 	return e
 }
 
-// waitFor takes events until one of this kind has happened, and returns that and the bytes received before.
+// waitFor takes events until one of kind what, and returns it with the bytes received before.
 func waitFor(t *testing.T, e *Engine, what EventKind) (Event, []byte) {
 	t.Helper()
 	var data []byte
-	for by := time.After(patience); ; {
+	for by := time.After(waitTimeout); ; {
 		for _, ev := range e.TakeEvents() {
 			if ev.Kind == Data {
 				data = append(data, ev.Bytes()...)
@@ -41,19 +41,19 @@
 		select {
 		case <-e.Wake():
 		case <-by:
-			t.Fatal("it never happened")
+			t.Fatal("the expected event was not queued")
 		}
 	}
 }
 
-// nbio's own connecting calls 0.0.0.0 whatever address it is given, and takes a refusal for a connection.
-func TestDialReachesTheAddressOrIsRefused(t *testing.T) {
+// nbio's own dialer always dials 0.0.0.0, and reports a refused connection as established.
+func TestDialReachesTheAddressOrFails(t *testing.T) {
 	e := startEngine(t)
 	l, err := net.Listen("tcp", "127.7.7.7:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := e.Dial(l.Addr().String(), patience, 7); err != nil {
+	if err := e.Dial(l.Addr().String(), waitTimeout, 7); err != nil {
 		t.Fatal(err)
 	}
 	c, err := l.Accept()
@@ -71,7 +71,7 @@
 	c.Close()
 	waitFor(t, e, Closed)
 	l.Close()
-	if err := e.Dial(l.Addr().String(), patience, 8); err != nil {
+	if err := e.Dial(l.Addr().String(), waitTimeout, 8); err != nil {
 		t.Fatal(err)
 	}
 	if ev, _ := waitFor(t, e, DialFailed); ev.DialID != 8 || e.openDescriptors.Load() != 0 {
@@ -79,11 +79,11 @@
 	}
 }
 
-// More bytes than the queue holds must neither be lost nor stop both sides, though the loop is late and writes
-// meanwhile.
+// If more bytes are received than the queue holds, while the loop is late and writes, none may be lost and the two
+// sides must not deadlock.
 func TestFullQueueLosesNothingAndDoesNotDeadlock(t *testing.T) {
 	e := startEngine(t)
-	e.readAhead.Store(1 << 30) // one connection is to fill the queue of all
+	e.readAhead.Store(1 << 30) // lets one connection fill the queue shared by all
 	c, err := net.Dial("tcp", e.Addr(0).String())
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 3*maxQueuedBytes/16)
 	go func() {
 		c.Write(sent)
-		io.ReadFull(c, make([]byte, len("in between"))) // who closes on unread bytes takes back what is not sent yet
+		io.ReadFull(c, make([]byte, len("in between"))) // closing with unread bytes would discard unsent ones
 		c.Close()
 	}()
 	for e.mu.Lock(); len(e.arena) < maxQueuedBytes-readBufferSize; e.mu.Lock() {
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if _, got := waitFor(t, e, Closed); !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes came of %d", len(got), len(sent))
+		t.Errorf("received %d of %d bytes", len(got), len(sent))
 	}
 }
 
@@ -115,21 +115,22 @@
 	}
 	defer l.Close()
 	for range e.descriptorLimit.Load() {
-		if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
+		if err := e.Dial(l.Addr().String(), waitTimeout, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := e.Dial(l.Addr().String(), patience, 1); err != ErrNoDescriptor {
+	if err := e.Dial(l.Addr().String(), waitTimeout, 1); err != ErrNoDescriptor {
 		t.Error(err)
 	}
 	ev, _ := waitFor(t, e, Connected)
 	ev.Conn.Close()
-	if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
-		t.Error("what is closed is not free again:", err)
+	if err := e.Dial(l.Addr().String(), waitTimeout, 1); err != nil {
+		t.Error("the descriptor of a closed connection was not freed:", err)
 	}
 }
 
-// A client was closed as idle while its request stood in the queue: read, never answered, and not sent again.
+// A client must not be closed as idle while its request is in the queue: the request has been read, so the client would
+// get no answer and would not retry.
 func TestConnectionWithQueuedBytesIsNotClosedAsIdle(t *testing.T) {
 	e := startEngine(t)
 	c, err := net.Dial("tcp", e.Addr(0).String())
@@ -141,25 +142,25 @@
 	w := ev.Conn
 	io.WriteString(c, "mg")
 	ev, _ = waitFor(t, e, Data)
-	w.takenBytes.Store(0) // as before it was taken
+	w.takenBytes.Store(0) // as if the loop had not taken the bytes
 	if quiet, _ := w.Idle(); quiet || w.CloseIfIdle() {
-		t.Error("closed over bytes that wait")
+		t.Error("the connection counts as idle although bytes wait for the loop")
 	}
 	w.takenBytes.Store(2)
-	for by := time.Now().Add(patience); !w.CloseIfIdle(); { // the poller may not be through yet
+	for by := time.Now().Add(waitTimeout); !w.CloseIfIdle(); { // the poller may still hold the lock
 		if time.Now().After(by) {
-			t.Fatal("not closed though nothing waits")
+			t.Fatal("the connection was not closed although no bytes wait")
 		}
 	}
 	waitFor(t, e, Closed)
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) { // else the client could not tell
-		t.Errorf("the client sees %v", err)
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) { // only a reset shows what was not read
+		t.Errorf("the client got error %v, want a reset", err)
 	}
 }
 
-// The acceptor woke the loop once as it began to wait, and went on waiting unnoticed when the descriptors freed for it
-// were not enough.
-func TestWaitingClientIsSeenUntilAccepted(t *testing.T) {
+// A waiting client must be reported as waiting until it is accepted, even if the first descriptors freed for it are not
+// enough. If the acceptor wakes the loop only when it starts to wait, the loop stops freeing descriptors too early.
+func TestWaitingClientIsReportedUntilAccepted(t *testing.T) {
 	e := startEngine(t)
 	e.openDescriptors.Add(e.descriptorLimit.Load())
 	c, err := net.Dial("tcp", e.Addr(0).String())
@@ -168,39 +169,39 @@
 	}
 	defer c.Close()
 	for range 1 + dialReserve {
-		for by := time.Now().Add(patience); !e.ClientWaiting(); {
+		for by := time.Now().Add(waitTimeout); !e.ClientWaiting(); {
 			if time.Now().After(by) {
-				t.Fatal("nobody is seen to wait")
+				t.Fatal("the waiting client is not reported")
 			}
 		}
 		if len(e.TakeEvents()) > 0 {
-			t.Fatal("let in over the budget")
+			t.Fatal("the client was accepted above the limit")
 		}
 		e.descriptorFreed()
 	}
 	waitFor(t, e, Accepted)
 	if e.ClientWaiting() {
-		t.Error("nobody waits any more")
+		t.Error("a client is reported as waiting after it was accepted")
 	}
 	e.openDescriptors.Add(1 + dialReserve - e.descriptorLimit.Load())
 }
 
-// Of two addresses, the one that was free stayed taken for good after a failure of the other, so that no later attempt
-// could listen on it.
+// If the engine cannot listen on one of two addresses, it must close the listener of the other one. Otherwise no later
+// attempt could listen on that address.
 func TestEngineThatCannotListenOnAllListensOnNone(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	free.Close()
-	// Not by an engine: nbio 1.6.8 forgets a stop that comes before its poller runs.
+	// Not taken by an Engine: nbio 1.6.8 ignores a stop request that comes before its poller has started.
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	if _, err := New([]string{free.Addr().String(), taken.Addr().String()}, 100, nil); err == nil {
-		t.Fatal("listens where another does")
+		t.Fatal("the engine listens on an address that is in use")
 	}
 	if free, err = net.Listen("tcp", free.Addr().String()); err != nil {
 		t.Fatal(err)
@@ -208,9 +209,9 @@
 	free.Close()
 }
 
-// All that a server sent of a long value was read before its reader could be waited for: thirty slow readers took 20
-// MB, and the garbage collector ran without end. What is held is not lost either when its sender ends meanwhile, upon
-// which nbio closes the connection.
+// Without a limit, all bytes that a server has sent of a long value are read before reading can be paused for a slow
+// reader: thirty slow readers took 20 MB and kept the garbage collector running. Unread bytes must not be lost when the
+// sender closes the connection while reading is paused, upon which nbio closes it as well.
 func TestReadAheadOfAConnectionIsBounded(t *testing.T) {
 	e := startEngine(t)
 	c, err := net.Dial("tcp", e.Addr(0).String())
@@ -225,9 +226,9 @@
 		c.Close()
 		sent <- err
 	}()
-	for by := time.Now().Add(patience); !w.stalled.Load(); time.Sleep(time.Millisecond) {
+	for by := time.Now().Add(waitTimeout); !w.readStalled.Load(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatal("never held up")
+			t.Fatal("reading was not stalled")
 		}
 	}
 	w.readMu.Lock()
@@ -238,48 +239,48 @@
 	w.PauseReading()
 	w.ResumeReading()
 	if _, got := waitFor(t, e, Closed); !bytes.Equal(got, all) {
-		t.Errorf("%d of %d bytes came", len(got), len(all))
+		t.Errorf("received %d of %d bytes", len(got), len(all))
 	}
 	if err := <-sent; err != nil {
 		t.Error(err)
 	}
 }
 
-// The number of bytes that the kernel never took was told to the first of the loop and nbio that asked: an attempt that
-// had never been sent could count as one that may have run.
-func TestUnsentBytesAreReportedAlikeToLoopAndEvent(t *testing.T) {
+// Close and the event Closed must report the same number of bytes that the kernel never accepted. If only the first of
+// them reported it, an attempt that was never sent could count as one that may have been executed.
+func TestCloseAndClosedEventReportTheSameUnsentBytes(t *testing.T) {
 	e := startEngine(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := e.Dial(l.Addr().String(), patience, 1); err != nil {
+	if err := e.Dial(l.Addr().String(), waitTimeout, 1); err != nil {
 		t.Fatal(err)
 	}
 	ev, _ := waitFor(t, e, Connected)
 	w := ev.Conn
-	for w.Unsent() == 0 { // until the kernel takes no more: nobody reads
+	for w.Unsent() == 0 { // until the kernel accepts no more, as the peer does not read
 		if err := w.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	_ = w.conn.Close() // as the poller does when the other side has broken it
+	_ = w.conn.Close() // as the poller does after a reset by the peer
 	ended, _ := waitFor(t, e, Closed)
 	if lost := w.Close(); ended.UnsentBytes == 0 || lost != ended.UnsentBytes || e.Unsent() != 0 {
-		t.Errorf("the loop is told that %d bytes were never sent, the event says %d; %d are counted still",
+		t.Errorf("Close returned %d unsent bytes, the event has %d; the engine still counts %d",
 			lost, ended.UnsentBytes, e.Unsent())
 	}
 }
 
-// failingListener is a listener whose first calls end as the system's may for a moment: without a connection, or with
-// one that cannot be duplicated.
+// failingListener is a listener whose first accepts fail as they may during a transient system error: with an error, or
+// with a connection whose descriptor cannot be duplicated.
 type failingListener struct {
 	net.Listener
-	failures int // that are left
+	failures int // remaining number of failures
 }
 
-// connWithoutDescriptor hides what is needed to duplicate a connection.
+// connWithoutDescriptor hides the methods that are needed to duplicate a connection's descriptor.
 type connWithoutDescriptor struct{ net.Conn }
 
 var acceptErrors = []error{
@@ -299,9 +300,9 @@
 	return connWithoutDescriptor{here}, nil
 }
 
-// A connection that was accepted and could not be duplicated stayed counted: after as many as there are descriptors, no
-// client was accepted any more.
-func TestFailuresOfAcceptTakeNoDescriptor(t *testing.T) {
+// An accepted connection that cannot be duplicated must not stay counted as open. After as many failures as there are
+// descriptors, no client would be accepted any more.
+func TestFailedAcceptsLeaveNoDescriptorCounted(t *testing.T) {
 	const descriptors, failures = 60, 200
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -322,12 +323,12 @@
 	defer c.Close()
 	waitFor(t, e, Accepted)
 	if e.openDescriptors.Load() != 1 {
-		t.Errorf("%d descriptors are counted with one connection", e.openDescriptors.Load())
+		t.Errorf("%d descriptors are counted as open with one connection", e.openDescriptors.Load())
 	}
 }
 
-// A server that was never called is not to blame for the failure, and not to be avoided for a while.
-func TestLocalFailuresOfDialingAreToldApart(t *testing.T) {
+// A dial that fails because of this machine never reached the server, which must not be avoided for it.
+func TestLocalDialErrorsAreDistinguished(t *testing.T) {
 	for _, test := range []struct {
 		err   error
 		local bool
@@ -345,8 +346,8 @@
 	} {
 		t.Run(test.err.Error(), func(t *testing.T) {
 			err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.err)}
-			if local := isLocal(err); local != test.local {
-				t.Errorf("on this machine: %v", local)
+			if local := isLocalError(err); local != test.local {
+				t.Errorf("local failure: %v", local)
 			}
 		})
 	}
--- a/internal/proxy/sockets/event.go
+++ b/internal/proxy/sockets/event.go
@@ -3,53 +3,53 @@
 import "time"
 
 const (
-	// maxQueuedBytes is the size of the bytes queued for the loop from which reading waits. An iteration of the loop
+	// maxQueuedBytes is the number of bytes queued for the loop above which reading waits. An iteration of the loop
 	// receives few more.
 	maxQueuedBytes = 1 << 20
 
-	// maxSpareArena is the capacity, in bytes, that an emptied arena may keep for the next iteration: what it grows to
-	// by maxQueuedBytes.
+	// maxSpareArena is the capacity, in bytes, that an arena may keep for reuse. It is the capacity to which an arena
+	// grows for maxQueuedBytes.
 	maxSpareArena = 5 << 18
 )
 
-// EventKind is what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The kinds of events.
+// The event kinds.
 const (
-	Accepted   EventKind = iota // a client has connected to one of the listeners
+	Accepted   EventKind = iota // a listener has accepted a client's connection
 	Connected                   // a dialed connection is established
 	DialFailed                  // a dialed connection could not be established
 	Data                        // bytes were received
 	Closed                      // a connection has ended
 )
 
-// Event is one thing that happened. Its bytes are valid until the next Take.
+// Event is one event of a connection or a dial. Its bytes are valid until the next call of Engine.TakeEvents.
 type Event struct {
 	Kind         EventKind
-	Conn         *Conn // nil with Refused
+	Conn         *Conn // nil for DialFailed
 	At           time.Time
-	DialID       uint64 // with Connected and Refused, the id that Dial was given
-	LocalFailure bool   // with Refused: for want of something on this machine, and not because of the server
-	UnsentBytes  int64  // with Closed: bytes that were written and never taken by the kernel
-	Orderly      bool   // with Closed: the other side has ended the connection, and all that it sent was read
-	Handled      bool   // the loop's to set, where it takes events out of their order
-	data         []byte // with Data; set by Take
+	DialID       uint64 // Connected and DialFailed only: the id that was passed to Dial
+	LocalFailure bool   // DialFailed only: the cause is a lack of resources on this machine, and not the server
+	UnsentBytes  int64  // Closed only: written bytes that the kernel never accepted
+	Orderly      bool   // Closed only: the peer has closed the connection, and everything that it sent has been read
+	Handled      bool   // set by the loop when it handles events out of order
+	data         []byte // Data only; set by TakeEvents
 	dataAt       int    // position of the data in the arena
 	dataSize     int
 }
 
-// Bytes counts what a Data event brought as taken by the loop, and returns it.
+// Bytes returns the received bytes of a Data event, and counts them as taken by the loop.
 func (e *Event) Bytes() []byte {
 	c := e.Conn
 	c.takenBytes.Add(int64(len(e.data)))
-	if c.stalled.CompareAndSwap(true, false) {
-		c.resumeReading()
+	if c.readStalled.CompareAndSwap(true, false) {
+		c.readInBackground()
 	}
 	return e.data
 }
 
-// Wake returns the channel that tells that there may be events to take.
+// Wake returns a channel that receives a signal when there may be events to take.
 func (e *Engine) Wake() <-chan struct{} { return e.wake }
 
 func (e *Engine) wakeLoop() {
@@ -59,12 +59,13 @@
 	}
 }
 
-// enqueue puts an event into the queue. Only bytes wait for the queue to be taken, and only the poller brings them.
+// enqueue appends an event to the queue and wakes the loop. An event with data waits while the queue holds too many
+// bytes; other events never wait.
 func (e *Engine) enqueue(event Event, data []byte) {
 	event.At = time.Now()
 	e.mu.Lock()
 	for len(data) > 0 && len(e.arena) > 0 && len(e.arena)+len(data) > maxQueuedBytes && !e.stopped {
-		e.changed.Wait()
+		e.stateChanged.Wait()
 	}
 	event.dataAt = len(e.arena)
 	event.dataSize = len(data)
@@ -74,16 +75,16 @@
 	e.wakeLoop()
 }
 
-// TakeEvents returns what has happened since the last call, in order.
+// TakeEvents returns the events since the last call, in order.
 func (e *Engine) TakeEvents() []Event {
 	e.mu.Lock()
 	events, arena := e.events, e.arena
 	if cap(e.spareArena) > maxSpareArena {
 		e.spareArena = nil
 	}
-	e.events, e.arena = e.spare[:0], e.spareArena[:0]
-	e.spare, e.spareArena = events, arena
-	e.changed.Broadcast()
+	e.events, e.arena = e.spareEvents[:0], e.spareArena[:0]
+	e.spareEvents, e.spareArena = events, arena
+	e.stateChanged.Broadcast()
 	e.mu.Unlock()
 	for i := range events {
 		event := &events[i]
--- a/internal/proxy/sockets/local_failures.go
+++ b/internal/proxy/sockets/local_failures.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// minLocalPause and maxLocalPause are the bounds of the time from a failure on this machine to its event.
-	minLocalPause = 5 * time.Millisecond
-	maxLocalPause = 40 * time.Millisecond
+	// minFailureDelay and maxFailureDelay are the bounds of the delay between a local failure and its event.
+	minFailureDelay = 5 * time.Millisecond
+	maxFailureDelay = 40 * time.Millisecond
 
-	// maxFailingAddresses is how many addresses are remembered.
+	// maxFailingAddresses is the maximum number of addresses in localFailures.
 	maxFailingAddresses = 1024
 )
 
-// localFailures remembers since when dialing an address has failed for want of something on this machine. Guards
-// against a spin: such a failure says nothing of the server, so that each request that waits may well dial again at
-// once. The longer it has lasted, the later the loop is told.
+// localFailures records since when dialing an address has failed for lack of resources on this machine. Such a failure
+// says nothing about the server, so every waiting request might dial again immediately, in a busy loop. To prevent
+// that, the event is delayed, the longer the failures have lasted.
 type localFailures struct {
 	mu    sync.Mutex
-	since map[string]time.Time
+	since map[string]time.Time // by address: time of the first failure
 }
 
-// pause counts a failure, and returns how long to wait before the loop is told of it: as long as there have been
-// failures, within the bounds.
-func (f *localFailures) pause(addr string, now time.Time) time.Duration {
+// delay records a failure, and returns the delay of its event: the time since the address's first failure, within the
+// bounds.
+func (f *localFailures) delay(addr string, now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first, failing := f.since[addr]
@@ -35,10 +35,10 @@
 		first = now
 		f.since[addr] = now
 	}
-	return min(max(now.Sub(first), minLocalPause), maxLocalPause)
+	return min(max(now.Sub(first), minFailureDelay), maxFailureDelay)
 }
 
-// forget ends an address's failures.
+// forget removes an address after a successful dial.
 func (f *localFailures) forget(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/sockets/local_failures_test.go
+++ b/internal/proxy/sockets/local_failures_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-func TestPausesAfterLocalFailuresGrow(t *testing.T) {
+func TestDelaysAfterLocalFailuresGrow(t *testing.T) {
 	var f localFailures
 	start := time.Now()
 	for _, test := range []struct{ after, want time.Duration }{
-		{0, minLocalPause},
-		{minLocalPause, minLocalPause},
-		{2 * minLocalPause, 2 * minLocalPause},
-		{4 * minLocalPause, 4 * minLocalPause},
-		{time.Hour, maxLocalPause},
+		{0, minFailureDelay},
+		{minFailureDelay, minFailureDelay},
+		{2 * minFailureDelay, 2 * minFailureDelay},
+		{4 * minFailureDelay, 4 * minFailureDelay},
+		{time.Hour, maxFailureDelay},
 	} {
-		if got := f.pause("a", start.Add(test.after)); got != test.want {
-			t.Errorf("%v after the first failure: %v, not %v", test.after, got, test.want)
+		if got := f.delay("a", start.Add(test.after)); got != test.want {
+			t.Errorf("%v after the first failure: delay %v, want %v", test.after, got, test.want)
 		}
 	}
-	if got := f.pause("b", start.Add(time.Hour)); got != minLocalPause {
-		t.Errorf("another address: %v", got)
+	if got := f.delay("b", start.Add(time.Hour)); got != minFailureDelay {
+		t.Errorf("first failure of another address: delay %v", got)
 	}
 	f.forget("a")
-	if got := f.pause("a", start.Add(time.Hour)); got != minLocalPause {
-		t.Errorf("once it has been dialed: %v", got)
+	if got := f.delay("a", start.Add(time.Hour)); got != minFailureDelay {
+		t.Errorf("first failure after a successful dial: delay %v", got)
 	}
 }
--- a/internal/proxy/sockets/probe.go
+++ b/internal/proxy/sockets/probe.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// What follows looks at a connection's state here and in the kernel, without reading from it.
+// The functions in this file examine a connection's state here and in the kernel without reading from it.
 
-// Idle tells whether nothing has been received on the connection that the loop has not taken, and no end of it. It is
-// not sure where that cannot be told without waiting for a goroutine that may wait for the loop.
+// Idle reports whether the connection is open and the loop has taken everything that was received on it. sure is false
+// if that cannot be determined without waiting for a goroutine that may itself wait for the loop.
 func (c *Conn) Idle() (idle, sure bool) {
 	if !c.readMu.TryLock() {
 		return false, false
@@ -25,9 +25,9 @@
 	return errors.Is(err, unix.EAGAIN), true
 }
 
-// HasUnread tells whether there are bytes of the connection, or its end, that have not been queued yet.
+// HasUnread reports whether the kernel holds bytes of the connection, or its end, that have not been queued yet.
 func (c *Conn) HasUnread() bool {
-	if !c.readMu.TryLock() { // they are being queued
+	if !c.readMu.TryLock() { // bytes are being queued
 		return true
 	}
 	defer c.readMu.Unlock()
@@ -43,11 +43,11 @@
 	return unread
 }
 
-// PeerClosed tells whether the other side has ended the connection, by whatever means, though the loop may not know
-// yet: the end stands behind all that was sent before it, here or in the kernel. An end of sending counts as an end,
-// as it cannot be told from one of the whole connection.
+// PeerClosed reports whether the peer has closed or reset the connection, even if the loop has not received the event
+// yet, because bytes sent earlier are still queued here or in the kernel. A peer that has only shut down its sending
+// side counts as well, as this cannot be distinguished from a full close.
 func (c *Conn) PeerClosed() bool {
-	if c.readMu.TryLock() { // else bytes are being queued, so that it is open here, and the kernel knows
+	if c.readMu.TryLock() { // otherwise bytes are being queued: it is open here, and the kernel knows more
 		ended := c.readEnded
 		c.readMu.Unlock()
 		if ended {
@@ -63,6 +63,7 @@
 	return closed
 }
 
+// peerClosedInKernel reports whether the kernel knows that the peer has closed or reset the connection.
 func peerClosedInKernel(fd uintptr) bool {
 	n, err := peek(fd)
 	if err != nil {
@@ -71,16 +72,17 @@
 	if n == 0 {
 		return true
 	}
-	// The end may stand behind what can be read.
+	// The peer's FIN may follow the bytes that are still unread.
 	established, err := isEstablished(fd)
 	return err == nil && !established
 }
 
-// CloseIfIdle closes the connection with a reset, unless bytes were received that the loop has not taken, or what was
-// written has not arrived. It tells whether it has closed it. A reset tells the other side that whatever it has just
-// sent was not read; after an orderly end it could not tell that from a request that was received and not answered.
+// CloseIfIdle closes the connection with a reset, unless the loop has not taken all received bytes or the peer has not
+// acknowledged all written ones. It reports whether it has closed the connection. A reset tells the peer that anything
+// it has just sent was not read; after an orderly close the peer could not distinguish that from a request that was
+// received and not answered.
 func (c *Conn) CloseIfIdle() bool {
-	if !c.readMu.TryLock() { // bytes are being queued, and may wait for the loop that calls this
+	if !c.readMu.TryLock() { // bytes are being queued, which may wait for the loop, the caller of this method
 		return false
 	}
 	defer c.readMu.Unlock()
@@ -95,19 +97,20 @@
 		return false
 	}
 	c.readEnded = true
-	_ = c.conn.SetLinger(1, 0) // so that closing resets
+	_ = c.conn.SetLinger(1, 0) // makes Close send a reset
 	c.Close()
 	return true
 }
 
-// allTaken tells, under readMu, whether the connection is open and the loop has taken all that was read from it.
+// allTaken reports whether the connection is open and the loop has taken everything that was read from it. The caller
+// holds readMu.
 func (c *Conn) allTaken() (syscall.RawConn, bool) {
 	raw, err := c.conn.SyscallConn()
 	open := err == nil && !c.readEnded && !c.descriptorFreed.Load()
 	return raw, open && c.queuedBytes == c.takenBytes.Load()
 }
 
-// peek looks for the next byte in the kernel, without waiting. It returns 0 at the connection's end.
+// peek looks at the next unread byte in the kernel without blocking. It returns 0 at the end of the stream.
 func peek(fd uintptr) (n int, err error) {
 	var next [1]byte
 	n, _, err = unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/proxy/sockets/read.go
+++ b/internal/proxy/sockets/read.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// minReadAhead is how many bytes of one connection may always wait for the loop.
+	// minReadAhead is the number of bytes of one connection that may always wait for the loop.
 	minReadAhead = 16 << 10
 
-	// maxReadAhead is how many bytes suffice for any connection: two reads.
+	// maxReadAhead is the largest useful read-ahead of a connection: two reads.
 	maxReadAhead = 128 << 10
 )
 
-// stateEstablished is the state of an open connection in the kernel's TCP_INFO (RFC 9293).
+// stateEstablished is TCP_ESTABLISHED, the state of an open connection (RFC 9293), in the kernel's TCP_INFO.
 const stateEstablished = 1
 
-// PauseReading stops reading until Resume, so that the sender has to wait. Bytes that are queued already still come.
-func (c *Conn) PauseReading() { c.held.Store(true) }
+// PauseReading stops reading until ResumeReading, so that TCP flow control blocks the sender. Bytes that are already
+// queued are still delivered.
+func (c *Conn) PauseReading() { c.readPaused.Store(true) }
 
-// ResumeReading goes on reading.
+// ResumeReading continues reading after PauseReading.
 func (c *Conn) ResumeReading() {
-	c.held.Store(false)
-	c.resumeReading()
+	c.readPaused.Store(false)
+	c.readInBackground()
 }
 
-// readAvailable reads and queues all there is to read. As polling is edge-triggered, nothing else would tell of it.
+// readAvailable reads and queues everything that can be read. It must not leave anything: as polling is edge-triggered,
+// the poller does not report the same bytes again.
 func (c *Conn) readAvailable(buffer []byte) {
-	c.engine.polled.Store(true)
-	c.announce() // that there is something to read tells that it is added
+	c.engine.pollerRunning.Store(true)
+	c.announce() // a read event shows that nbio has added the connection
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	for !c.readEnded {
-		if (c.held.Load() || c.isAhead()) && !c.peerEndedWhileHeld() {
+		if (c.readPaused.Load() || c.stallIfAhead()) && !c.peerClosedWhilePaused() {
 			return
 		}
 		_, n, err := c.conn.ReadAndGetConn(&buffer)
@@ -54,26 +56,28 @@
 	}
 }
 
-// isAhead tells whether so many bytes of the connection wait for the loop that it is read no further until they are
-// taken; it is under readMu. It guards against a long value that is received faster than it is sent on: all that the
-// kernel has of it would be in memory here before its server can be held. Event.Bytes resumes the reading.
-func (c *Conn) isAhead() bool {
+// stallIfAhead reports whether reading must wait because too many bytes of the connection wait for the loop, and marks
+// the connection as stalled in that case; Event.Bytes then resumes reading. The caller holds readMu. Without this
+// limit, a long value that is received faster than it is forwarded would be buffered here, as much of it as the kernel
+// holds, before reading from its server can be paused.
+func (c *Conn) stallIfAhead() bool {
 	if !c.queueIsFull() {
 		return false
 	}
-	c.stalled.Store(true)
-	// The loop may have taken the bytes since, without seeing that it is waited for. Where it has seen that, it has
-	// taken the mark back, and resumes the reading itself.
-	return c.queueIsFull() || !c.stalled.CompareAndSwap(true, false)
+	c.readStalled.Store(true)
+	// The loop may have taken the bytes in the meantime. If it saw the mark, it has cleared it and resumes reading
+	// itself; if not, reading continues here.
+	return c.queueIsFull() || !c.readStalled.CompareAndSwap(true, false)
 }
 
+// queueIsFull reports whether the bytes that wait for the loop have reached the read-ahead limit.
 func (c *Conn) queueIsFull() bool {
 	return c.queuedBytes-c.takenBytes.Load() >= c.engine.readAhead.Load()
 }
 
-// peerEndedWhileHeld tells whether the other side has ended a connection that is not read. nbio closes it then, and
-// what is still in the kernel would be lost if it were not read now.
-func (c *Conn) peerEndedWhileHeld() bool {
+// peerClosedWhilePaused reports whether the peer has closed a connection on which reading is paused. nbio then closes
+// the connection, and bytes that are still in the kernel would be lost if they were not read now.
+func (c *Conn) peerClosedWhilePaused() bool {
 	raw, err := c.conn.SyscallConn()
 	if err != nil {
 		return true
@@ -86,6 +90,7 @@
 	return closed
 }
 
+// isEstablished reports whether the kernel considers the connection established: neither side has closed it.
 func isEstablished(fd uintptr) (bool, error) {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
@@ -94,9 +99,9 @@
 	return info.State == stateEstablished, nil
 }
 
-// resumeReading reads what has been received while nothing was read, of which the poller does not tell again. It does
-// so on a goroutine of its own, as reading may wait for the loop, which calls this.
-func (c *Conn) resumeReading() {
+// readInBackground reads what was received while reading was paused or stalled, which the poller does not report again.
+// It uses a separate goroutine because reading may wait for the loop, which is the caller.
+func (c *Conn) readInBackground() {
 	go func() {
 		buffer := readBuffers.Get().(*[]byte)
 		c.readAvailable(*buffer)
@@ -104,6 +109,7 @@
 	}()
 }
 
+// readBuffers holds the buffers of readInBackground.
 var readBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, readBufferSize)
 	return &buffer
