--- a/internal/proxy/eventlog/recorder.go
+++ b/internal/proxy/eventlog/recorder.go
@@ -120,9 +120,9 @@
 }
 
 // removeUnlisted removes the endpoints that are missing in a complete list.
-func (r *Recorder) removeUnlisted(now policy.Instant, named map[policy.EndpointID]bool) {
+func (r *Recorder) removeUnlisted(now policy.Instant, listed map[policy.EndpointID]bool) {
 	for _, id := range slices.Clone(r.order) {
-		if !named[id] {
+		if !listed[id] {
 			r.remove(now, id, "the whole list does not name it")
 		}
 	}
--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -32,7 +32,7 @@
 	// Writing and closing.
 	unsent          atomic.Int64 // written bytes that the kernel has not accepted yet
 	discardMu       sync.Mutex
-	discardedBytes  int64       // bytes that the kernel never accepted; guarded by lostMu
+	discardedBytes  int64       // bytes that the kernel never accepted; guarded by discardMu
 	descriptorFreed atomic.Bool // the descriptor is no longer counted as open
 }
 
--- a/internal/proxy/sockets/listener.go
+++ b/internal/proxy/sockets/listener.go
@@ -13,8 +13,7 @@
 const acceptRetryPause = 5 * time.Millisecond
 
 // listener delays accepting while no descriptor is free or another process accepts the clients, which meanwhile wait in
-// the kernel's queue. Only nbio's acceptor goroutine uses lastAccepted and
-// socketClosed.
+// the kernel's queue. Only nbio's acceptor goroutine uses lastAccepted and socketClosed.
 type listener struct {
 	net.Listener
 	engine       *Engine
