--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -109,7 +109,7 @@
 		t.Errorf("%d went at once", sent)
 	}
 	_, ready, at := b.NextCommand(b.now, &b.log, &b.arrivals, &b.limiter)
-	if ready || at != b.now.Add(pacedTogether*testConfig.CommandInterval) {
+	if ready || at != b.now.Add(pacedBatchSize*testConfig.CommandInterval) {
 		t.Errorf("%t, %v later", ready, at.Since(b.now))
 	}
 	b.wait(100 * testConfig.CommandInterval)
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -13,8 +13,8 @@
 	MaxInFlight = 256
 	// MaxBurst is how many commands may go at once before they are paced: a burst of a thousand purges.
 	MaxBurst = 1024
-	// pacedTogether is how many commands go together once they are paced: one at a time would be a wake-up each.
-	pacedTogether = 16
+	// pacedBatchSize is how many commands go together once they are paced: one at a time would be a wake-up each.
+	pacedBatchSize = 16
 	// peerCursorWait is for other control servers to say what they have done at a cache, before it is flushed.
 	peerCursorWait = 5 * time.Second
 	// flushRetryDelay is the pause after a flush without an answer, so that a cache that hangs does not take the
@@ -42,7 +42,7 @@
 		return Command{}, false, askAgain
 	}
 	if allowed, at := c.paced(now); !allowed {
-		return Command{}, false, sooner(askAgain, at)
+		return Command{}, false, earlierOf(askAgain, at)
 	}
 	last := arrivals.Last()
 	if c.mustFlush(id, floor) {
@@ -50,7 +50,7 @@
 		if ready {
 			return command, true, 0
 		}
-		askAgain = sooner(askAgain, at)
+		askAgain = earlierOf(askAgain, at)
 		if !c.flush.firstAnswered {
 			return Command{}, false, askAgain
 		}
@@ -68,7 +68,7 @@
 	if ready {
 		return command, true, 0
 	}
-	return Command{}, false, sooner(askAgain, at)
+	return Command{}, false, earlierOf(askAgain, at)
 }
 
 // adoptLog begins the cursor of a cache at which nothing was purged yet at the start of the log, of which everything is
@@ -86,7 +86,7 @@
 	if c.paceTime <= now.Add((MaxBurst-1)*c.CommandInterval) {
 		return true, 0
 	}
-	return false, c.paceTime.Add((pacedTogether - MaxBurst) * c.CommandInterval)
+	return false, c.paceTime.Add((pacedBatchSize - MaxBurst) * c.CommandInterval)
 }
 
 // nextFlush returns the first flush, once other servers had the time to say what they have done and the limiter
@@ -172,8 +172,8 @@
 	return at
 }
 
-// sooner is the earlier of two times, of which 0 is none.
-func sooner(a, b monotime.Instant) monotime.Instant {
+// earlierOf is the earlier of two times, of which 0 is none.
+func earlierOf(a, b monotime.Instant) monotime.Instant {
 	if a == 0 || b != 0 && b < a {
 		return b
 	}
--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -21,9 +21,9 @@
 )
 
 var (
-	errSilent    = errors.New("no answer in time")
-	errUnlisted  = errors.New("it left the list")
-	errBadAnswer = errors.New("an answer that is none to what was sent")
+	errAnswerTimeout = errors.New("no answer in time")
+	errUnlisted      = errors.New("it left the list")
+	errBadAnswer     = errors.New("an answer that is none to what was sent")
 )
 
 // cache is a cache and its connection. All fields are under the Purger's lock, but for what is set once.
@@ -90,7 +90,7 @@
 	if c.stop != stop {
 		return 0, false
 	}
-	c.reason = reasonOf(err)
+	c.reason = truncatedReason(err)
 	return c.OnDisconnect(c.purger.Now(), c.random.Float64()), true
 }
 
@@ -101,7 +101,7 @@
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
-		due, err := c.takeDue(stop)
+		due, err := c.collectDue(stop)
 		if err != nil {
 			return err
 		}
@@ -132,9 +132,9 @@
 	changed  <-chan struct{}
 }
 
-// takeDue returns the commands that are due. It is an error if an answer is overdue, or the cache is no longer
+// collectDue returns the commands that are due. It is an error if an answer is overdue, or the cache is no longer
 // listed.
-func (c *cache) takeDue(stop chan struct{}) (dueCommands, error) {
+func (c *cache) collectDue(stop chan struct{}) (dueCommands, error) {
 	p := c.purger
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +143,7 @@
 	}
 	now := p.Now()
 	if c.AnswerOverdue(now) {
-		return dueCommands{}, errSilent
+		return dueCommands{}, errAnswerTimeout
 	}
 	due := dueCommands{wait: idleInterval, changed: p.changed}
 	for len(due.commands) < maxWriteBytes {
@@ -189,7 +189,7 @@
 				break
 			}
 			unread = unread[size:]
-			if !c.takeAnswer(stop, id, flushed) {
+			if !c.handleAnswer(stop, id, flushed) {
 				return errBadAnswer
 			}
 		}
@@ -200,8 +200,8 @@
 	}
 }
 
-// takeAnswer takes the answer to a flush, or to the delete with an id; false where another one is due.
-func (c *cache) takeAnswer(stop chan struct{}, id uint64, flushed bool) bool {
+// handleAnswer takes the answer to a flush, or to the delete with an id; false where another one is due.
+func (c *cache) handleAnswer(stop chan struct{}, id uint64, flushed bool) bool {
 	p := c.purger
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -13,18 +13,18 @@
 	"dahliapin/internal/scale/logscale/checker"
 )
 
-// lyingConn answers for the cache, which gets nothing.
-type lyingConn struct {
+// fabricatedAnswersConn answers commands itself and sends nothing to the cache.
+type fabricatedAnswersConn struct {
 	net.Conn
 	answers chan []byte
 }
 
-func dialLyingConn(addr string, within time.Duration) (net.Conn, error) {
+func dialFabricatedAnswersConn(addr string, within time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", addr, within)
-	return &lyingConn{Conn: conn, answers: make(chan []byte, 1000)}, err
+	return &fabricatedAnswersConn{Conn: conn, answers: make(chan []byte, 1000)}, err
 }
 
-func (c *lyingConn) Write(b []byte) (int, error) {
+func (c *fabricatedAnswersConn) Write(b []byte) (int, error) {
 	var answers []byte
 	for line := range strings.Lines(string(b)) {
 		order, _ := cachestub.ReadOrder([]byte(line))
@@ -34,7 +34,7 @@
 	return len(b), nil
 }
 
-func (c *lyingConn) Read(b []byte) (int, error) {
+func (c *fabricatedAnswersConn) Read(b []byte) (int, error) {
 	answers, is := <-c.answers
 	if !is {
 		return 0, io.EOF
@@ -42,13 +42,13 @@
 	return copy(b, answers), nil
 }
 
-func (c *lyingConn) Close() error {
+func (c *fabricatedAnswersConn) Close() error {
 	close(c.answers)
 	return c.Conn.Close()
 }
 
-// judgedVariant is how a purger is broken; the zero one is sound.
-type checkedVariant struct {
+// faultyVariant describes how a purger is broken; the zero value is a correct one.
+type faultyVariant struct {
 	name           string
 	change         func(*bench)
 	cursorLeads    bool // its cursor on disk is ahead of what was answered
@@ -60,7 +60,7 @@
 // by made-up traces.
 func TestCheckerFindsBrokenVariants(t *testing.T) {
 	t.Parallel()
-	for _, v := range []checkedVariant{
+	for _, v := range []faultyVariant{
 		{name: "sound"},
 		{
 			name:   "no confirming delete after fills",
@@ -69,7 +69,7 @@
 		},
 		{
 			name:   "counted without an answer",
-			change: func(b *bench) { b.dial = dialLyingConn },
+			change: func(b *bench) { b.dial = dialFabricatedAnswersConn },
 			want:   checker.NotDone,
 		},
 		{name: "a cursor that leads", cursorLeads: true, want: checker.NotDone},
@@ -88,7 +88,7 @@
 
 // run publishes a purge while a fill is under way, then two more while the cache refuses connections, and restarts
 // the purger.
-func (v *checkedVariant) run(t *testing.T) checker.CachesReport {
+func (v *faultyVariant) run(t *testing.T) checker.CachesReport {
 	b := newBench(t, 1, 0)
 	if v.change != nil {
 		v.change(b)
--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -45,9 +45,9 @@
 	}, true
 }
 
-// takeList takes a list, or what has changed in it, that was asked for at a time. A cache that a complete list does
+// applyList takes a list, or what has changed in it, that was asked for at a time. A cache that a complete list does
 // not name has left, unless some entry cannot be read: that one may be any cache, so all stay.
-func (p *Purger) takeList(instances []listedInstance, kind policy.UpdateKind, at monotime.Instant) {
+func (p *Purger) applyList(instances []listedInstance, kind policy.UpdateKind, at monotime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -19,8 +19,8 @@
 )
 
 var (
-	errBusy    = errors.New("discovery says that it has too much to do")
-	errNotList = errors.New("discovery's answer is no list")
+	errBusy        = errors.New("discovery says that it has too much to do")
+	errInvalidList = errors.New("discovery's answer is no list")
 )
 
 // listAnswer is discovery's answer, by its own names.
@@ -74,21 +74,21 @@
 	at := l.purger.Now()
 	answer, err := l.get(ctx, request)
 	if err == nil && !l.poller.Accepts(*answer.Generation, answer.Reset) {
-		err = errNotList
+		err = errInvalidList
 	}
 	if err == nil {
 		kind, recovered := l.poller.OnUpdate(*answer.Generation, answer.Reset)
 		if recovered {
 			l.purger.Logger.Info("the list of caches is had again")
 		}
-		l.purger.takeList(*answer.Instances, kind, at)
+		l.purger.applyList(*answer.Instances, kind, at)
 		return 0
 	}
 	failure := discovery.ConnectionLost
 	switch {
 	case errors.Is(err, errBusy):
 		failure = discovery.Refused
-	case errors.Is(err, errNotList):
+	case errors.Is(err, errInvalidList):
 		failure = discovery.Unreadable
 	}
 	delay, first := l.poller.OnFailure(failure, time.Since(began), l.random.Float64())
@@ -126,17 +126,17 @@
 	case http.StatusOK:
 		return decodeList(body)
 	}
-	return listAnswer{}, errNotList
+	return listAnswer{}, errInvalidList
 }
 
 // decodeList decodes an answer and checks that it is complete and within the bounds.
 func decodeList(body []byte) (listAnswer, error) {
 	var answer listAnswer
 	if len(body) > maxListBytes || json.Unmarshal(body, &answer) != nil {
-		return listAnswer{}, errNotList
+		return listAnswer{}, errInvalidList
 	}
 	if answer.Generation == nil || answer.Instances == nil || len(*answer.Instances) > maxListed {
-		return listAnswer{}, errNotList
+		return listAnswer{}, errInvalidList
 	}
 	return answer, nil
 }
--- a/internal/control/purger/progress.go
+++ b/internal/control/purger/progress.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// reasonOf is an error's text within the bounds of a report.
-func reasonOf(err error) string {
+// truncatedReason returns the text of an error, cut to the bound of a report.
+func truncatedReason(err error) string {
 	text := fmt.Sprint(err)
 	return text[:min(len(text), maxReasonBytes)]
 }
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -120,7 +120,7 @@
 	if c := p.caches[id]; c != nil {
 		return c
 	}
-	if len(p.caches) >= maxCursors && !p.forgetOne() {
+	if len(p.caches) >= maxCursors && !p.evictUnlisted() {
 		return nil
 	}
 	config := purge.Config{LongestFill: p.Settings.Fills(), CommandInterval: p.Settings.Each()}
@@ -137,9 +137,9 @@
 	return c
 }
 
-// forgetOne removes a cache that is not in the list, the one whose cursor is furthest behind; false where all are
+// evictUnlisted removes a cache that is not in the list, the one whose cursor is furthest behind; false where all are
 // listed. The lock is held.
-func (p *Purger) forgetOne() bool {
+func (p *Purger) evictUnlisted() bool {
 	var oldest *cache
 	for _, c := range p.caches {
 		if c.stop != nil {
--- a/internal/control/replicatedlog/store/diskfault_test.go
+++ b/internal/control/replicatedlog/store/diskfault_test.go
@@ -42,7 +42,7 @@
 }
 
 func (r *storeRun) run() error {
-	s, err := Open(r.dir, me, []uint64{1, 2, 3}, []uint64{4}, true)
+	s, err := Open(r.dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, true)
 	if err != nil {
 		return err
 	}
@@ -98,12 +98,12 @@
 // to be as a whole. Before the first acknowledgement it may also refuse to be started in any way but as new.
 func expectRecovered(t *testing.T, what, dir string, last int, states []acknowledgement) {
 	t.Helper()
-	s, err := Open(dir, me, []uint64{1, 2, 3}, []uint64{4}, false)
+	s, err := Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, false)
 	if err != nil && last < 0 {
 		if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: more than a line: %v", what, err)
 		}
-		s, err = Open(dir, me, []uint64{1, 2, 3}, []uint64{4}, true)
+		s, err = Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, true)
 	}
 	if err != nil {
 		t.Errorf("%s: %v", what, err)
@@ -132,7 +132,7 @@
 		}
 		check := func(what string, image diskfault.Image) {
 			dir := diskfault.TempDir(t)
-			saved(t, image.WriteTo(dir))
+			mustSucceed(t, image.WriteTo(dir))
 			expectRecovered(t, fmt.Sprintf("%s at call %d", what, call), dir, last, acknowledged)
 		}
 		for _, image := range recording.KilledAt(call) {
@@ -201,21 +201,21 @@
 	run := storeRun{dir: diskfault.TempDir(t)}
 	want := ""
 	run.acknowledged = func(state string) { want = state }
-	saved(t, run.run())
+	mustSucceed(t, run.run())
 	whole, err := os.ReadFile(filepath.Join(run.dir, fileName))
-	saved(t, err)
+	mustSucceed(t, err)
 	const step = 1024
 	refused := 0
 	for size := 0; size < len(whole); size += step {
 		dir := diskfault.TempDir(t)
-		saved(t, diskfault.Image{fileName: whole[:size]}.WriteTo(dir))
-		s, err := Open(dir, me, []uint64{1, 2, 3}, []uint64{4}, false)
+		mustSucceed(t, diskfault.Image{fileName: whole[:size]}.WriteTo(dir))
+		s, err := Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, false)
 		switch {
 		case err == nil: // only free pages are missing
 			if got := describe(s); got != want {
 				t.Errorf("of %d bytes: %s", size, got)
 			}
-			saved(t, s.Close())
+			mustSucceed(t, s.Close())
 		case strings.Contains(err.Error(), "\n"):
 			t.Errorf("of %d bytes: %v", size, err)
 		case size == 0 && !errors.Is(err, ErrEmpty):
--- a/internal/control/replicatedlog/store/golden_test.go
+++ b/internal/control/replicatedlog/store/golden_test.go
@@ -29,20 +29,20 @@
 	if err := os.WriteFile(dir+"/"+fileName, kept, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := opened(t, dir, false)
+	s := openStore(t, dir, false)
 	state, conf, err := s.InitialState()
 	sameState := state.GetTerm() == 4 && state.GetVote() == 2 && state.GetCommit() == 5
 	if err != nil || !sameState || len(conf.GetVoters()) != 3 || len(conf.GetLearners()) != 1 {
 		t.Errorf("state %v, configuration %v, %v", state, conf, err)
 	}
-	if got := texts(t, s); got != recordedData {
+	if got := entryData(t, s); got != recordedData {
 		t.Errorf("entries %q, recorded were %q", got, recordedData)
 	}
 	snapshot, err := s.Snapshot()
 	if err != nil || string(snapshot.GetData()) != "state" || snapshot.GetMetadata().GetIndex() != 3 {
 		t.Errorf("snapshot %v, %v", snapshot, err)
 	}
-	saved(t, s.Save(hard(5, 1, 6), nil, nil))
+	mustSucceed(t, s.Save(hard(5, 1, 6), nil, nil))
 }
 
 func recordFolder(t *testing.T) {
@@ -50,14 +50,14 @@
 	if err := os.RemoveAll(recordedFolder); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(recordedFolder, me, []uint64{1, 2, 3}, []uint64{4}, true)
+	s, err := Open(recordedFolder, testOwner, []uint64{1, 2, 3}, []uint64{4}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	saved(t, s.Save(hard(4, 2, 5), nil, nil))
+	mustSucceed(t, s.Save(hard(4, 2, 5), nil, nil))
 	for i, text := range []string{"two", "three", "four", "five"} {
-		saved(t, s.Save(nil, []*pb.Entry{entry(uint64(i+2), 4, text)}, nil))
+		mustSucceed(t, s.Save(nil, []*pb.Entry{entry(uint64(i+2), 4, text)}, nil))
 	}
-	saved(t, s.Compact(3, []byte("state")))
-	saved(t, s.Close())
+	mustSucceed(t, s.Compact(3, []byte("state")))
+	mustSucceed(t, s.Close())
 }
--- a/internal/control/replicatedlog/store/load.go
+++ b/internal/control/replicatedlog/store/load.go
@@ -36,7 +36,7 @@
 		if entry.GetIndex() != next {
 			return fmt.Errorf("entry %d is missing", next)
 		}
-		s.bytesSince += len(entry.GetData())
+		s.bytesSinceSnapshot += len(entry.GetData())
 	}
 	if c.hard.GetCommit() < s.snapshotIndex { // it is not written each time; what is in a snapshot was committed
 		c.hard.Commit = proto.Uint64(s.snapshotIndex)
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -42,10 +42,10 @@
 	db *bbolt.DB
 	// OnPersisted is called by Save with entries that are on disk now. The invariant checker of tests sets it; nil for
 	// nobody.
-	OnPersisted       func([]*pb.Entry)
-	bytesSince        int    // of entries since the last snapshot
-	snapshotIndex     uint64 // raft's index of the last snapshot
-	prevSnapshotIndex uint64 // and of the one before it: memory keeps the entries from there on
+	OnPersisted        func([]*pb.Entry)
+	bytesSinceSnapshot int    // of entries since the last snapshot
+	snapshotIndex      uint64 // raft's index of the last snapshot
+	prevSnapshotIndex  uint64 // and of the one before it: memory keeps the entries from there on
 }
 
 // Open opens the store of a folder, which is made if it is missing. An empty one is initialized with these members if
@@ -153,7 +153,7 @@
 		}
 		s.snapshotIndex = snapshot.GetMetadata().GetIndex()
 		s.prevSnapshotIndex = s.snapshotIndex
-		s.bytesSince = 0
+		s.bytesSinceSnapshot = 0
 	}
 	if hard != nil {
 		if err := s.MemoryStorage.SetHardState(hard); err != nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	for _, entry := range entries {
-		s.bytesSince += len(entry.GetData())
+		s.bytesSinceSnapshot += len(entry.GetData())
 	}
 	return s.MemoryStorage.Append(entries)
 }
@@ -169,7 +169,7 @@
 // SizeSinceSnapshot is how many entries up to an index of raft's, and bytes of all entries, came after the last
 // snapshot.
 func (s *Store) SizeSinceSnapshot(applied uint64) (entries uint64, bytes int) {
-	return applied - min(applied, s.snapshotIndex), s.bytesSince
+	return applied - min(applied, s.snapshotIndex), s.bytesSinceSnapshot
 }
 
 // Compact makes a snapshot of the state at an index of raft's durable and deletes the entries up to there from the
@@ -201,7 +201,7 @@
 	unneeded := s.prevSnapshotIndex
 	s.prevSnapshotIndex = s.snapshotIndex
 	s.snapshotIndex = applied
-	s.bytesSince = 0
+	s.bytesSinceSnapshot = 0
 	if first, _ := s.FirstIndex(); unneeded >= first {
 		return s.MemoryStorage.Compact(unneeded)
 	}
--- a/internal/control/replicatedlog/store/store_test.go
+++ b/internal/control/replicatedlog/store/store_test.go
@@ -10,11 +10,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var me = Owner{ID: 1, Label: "l"}
+var testOwner = Owner{ID: 1, Label: "l"}
 
-func opened(t *testing.T, dir string, firstStart bool) *Store {
+func openStore(t *testing.T, dir string, firstStart bool) *Store {
 	t.Helper()
-	s, err := Open(dir, me, []uint64{1, 2, 3}, []uint64{4}, firstStart)
+	s, err := Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, firstStart)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(vote), Commit: proto.Uint64(commit)}
 }
 
-// texts are the data of the entries in memory, one after the other.
-func texts(t *testing.T, s *Store) string {
+// entryData are the data of the entries in memory, one after the other.
+func entryData(t *testing.T, s *Store) string {
 	t.Helper()
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
@@ -49,8 +49,8 @@
 	return all.String()
 }
 
-// saved fails the test if something could not be saved.
-func saved(t *testing.T, err error) {
+// mustSucceed fails the test if err is not nil.
+func mustSucceed(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -62,32 +62,32 @@
 // nothing that was replaced.
 func TestSavedStateSurvivesReopening(t *testing.T) {
 	dir := t.TempDir()
-	s := opened(t, dir, true)
+	s := openStore(t, dir, true)
 	reported := 0
 	s.OnPersisted = func(entries []*pb.Entry) { reported += len(entries) }
-	saved(t, s.Save(hard(2, 3, 1), []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil))
-	saved(t, s.Save(hard(3, 1, 1), []*pb.Entry{entry(3, 3, "B")}, nil)) // replaces b and c
-	if got := texts(t, s); got != "aB" || reported != 4 {
+	mustSucceed(t, s.Save(hard(2, 3, 1), []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil))
+	mustSucceed(t, s.Save(hard(3, 1, 1), []*pb.Entry{entry(3, 3, "B")}, nil)) // replaces b and c
+	if got := entryData(t, s); got != "aB" || reported != 4 {
 		t.Errorf("in memory %q, %d reported", got, reported)
 	}
-	saved(t, s.Close())
+	mustSucceed(t, s.Close())
 
-	s = opened(t, dir, false)
+	s = openStore(t, dir, false)
 	state, members, _ := s.InitialState()
-	if got := texts(t, s); got != "aB" || state.GetTerm() != 3 || state.GetVote() != 1 {
+	if got := entryData(t, s); got != "aB" || state.GetTerm() != 3 || state.GetVote() != 1 {
 		t.Errorf("%q, %v", got, state)
 	}
 	if len(members.GetVoters()) != 3 || len(members.GetLearners()) != 1 {
 		t.Errorf("members %v", members)
 	}
-	saved(t, s.Compact(3, []byte("state")))
-	saved(t, s.Save(nil, []*pb.Entry{entry(4, 3, "d")}, nil))
-	saved(t, s.Close())
+	mustSucceed(t, s.Compact(3, []byte("state")))
+	mustSucceed(t, s.Save(nil, []*pb.Entry{entry(4, 3, "d")}, nil))
+	mustSucceed(t, s.Close())
 
-	s = opened(t, dir, false)
+	s = openStore(t, dir, false)
 	snapshot, _ := s.Snapshot()
 	state, members, _ = s.InitialState()
-	if got := texts(t, s); got != "d" {
+	if got := entryData(t, s); got != "d" {
 		t.Errorf("entries %q", got)
 	}
 	if string(snapshot.GetData()) != "state" || snapshot.GetMetadata().GetTerm() != 3 {
@@ -103,35 +103,35 @@
 		Data:     []byte("later"),
 		Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(50), Term: proto.Uint64(9), ConfState: members},
 	}
-	saved(t, s.Save(hard(9, 0, 50), nil, received))
-	saved(t, s.Close())
+	mustSucceed(t, s.Save(hard(9, 0, 50), nil, received))
+	mustSucceed(t, s.Close())
 
-	s = opened(t, dir, false)
-	if snapshot, _ := s.Snapshot(); texts(t, s) != "" || string(snapshot.GetData()) != "later" {
-		t.Errorf("%q, %v", texts(t, s), snapshot)
+	s = openStore(t, dir, false)
+	if snapshot, _ := s.Snapshot(); entryData(t, s) != "" || string(snapshot.GetData()) != "later" {
+		t.Errorf("%q, %v", entryData(t, s), snapshot)
 	}
 }
 
 // A server must not take part with a folder that is empty, in use, another server's, or broken.
 func TestForeignEmptyOrBrokenFolderIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := Open(dir, me, []uint64{1}, nil, false); !errors.Is(err, ErrEmpty) {
+	if _, err := Open(dir, testOwner, []uint64{1}, nil, false); !errors.Is(err, ErrEmpty) {
 		t.Errorf("a voter without its disk: %v", err)
 	}
-	s := opened(t, dir, true)
-	_, err := Open(dir, me, []uint64{1}, nil, false)
+	s := openStore(t, dir, true)
+	_, err := Open(dir, testOwner, []uint64{1}, nil, false)
 	if err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("two at one folder: %v", err)
 	}
-	saved(t, s.Close())
+	mustSucceed(t, s.Close())
 	for _, other := range []Owner{{ID: 2, Label: "l"}, {ID: 1, Label: "m"}} {
 		_, err := Open(dir, other, []uint64{1}, nil, true)
 		if err == nil || !strings.Contains(err.Error(), "this machine is") {
 			t.Errorf("%v: %v", other, err)
 		}
 	}
-	saved(t, os.WriteFile(dir+"/"+fileName, []byte("no"), 0o600))
-	_, err = Open(dir, me, []uint64{1}, nil, true)
+	mustSucceed(t, os.WriteFile(dir+"/"+fileName, []byte("no"), 0o600))
+	_, err = Open(dir, testOwner, []uint64{1}, nil, true)
 	if err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("a torn file: %v", err)
 	}
