--- a/internal/control/purge/arrivals.go
+++ b/internal/control/purge/arrivals.go
@@ -7,22 +7,23 @@
 	"dahliapin/internal/monotime"
 )
 
-// maxArrivals is how many arrivals are remembered: as many as entries are kept.
+// maxArrivals is the number of arrivals that are remembered: as many as the log keeps entries.
 const maxArrivals = 65_536
 
-// ArrivalTimes remembers when this server had which entries. Each was published before that time.
+// ArrivalTimes records when entries arrived at this server. Each entry was published before its arrival.
 type ArrivalTimes struct {
 	logID    replicatedlog.LogID
-	arrivals []arrival // by time and index, both rising
+	arrivals []arrival // ordered by time and by index
 }
 
-// arrival is when entries up to an index were there.
+// arrival is the time by which all entries up to an index had arrived.
 type arrival struct {
 	at   monotime.Instant
 	last replicatedlog.Index
 }
 
-// Record notes the newest entry of a log. With another log than before everything is forgotten.
+// Record records the arrival of the newest entry of a log. If the log differs from the previous one, the earlier
+// arrivals are discarded.
 func (t *ArrivalTimes) Record(now monotime.Instant, log replicatedlog.LogID, last replicatedlog.Index) {
 	if log != t.logID {
 		t.logID = log
@@ -37,7 +38,7 @@
 	}
 }
 
-// Last is the newest entry that was recorded; 0 for none.
+// Last returns the newest recorded entry; 0 for none.
 func (t *ArrivalTimes) Last() replicatedlog.Index {
 	if len(t.arrivals) == 0 {
 		return 0
@@ -45,7 +46,7 @@
 	return t.arrivals[len(t.arrivals)-1].last
 }
 
-// KnownAt is when an entry was there at the latest; false for not yet.
+// KnownAt returns the time by which an entry had arrived; false if it has not arrived yet.
 func (t *ArrivalTimes) KnownAt(index replicatedlog.Index) (monotime.Instant, bool) {
 	n := sort.Search(len(t.arrivals), func(n int) bool { return t.arrivals[n].last >= index })
 	if n == len(t.arrivals) {
@@ -54,7 +55,7 @@
 	return t.arrivals[n].at, true
 }
 
-// NewestAt is the newest entry that was there at a time; 0 where that is not known.
+// NewestAt returns the newest entry that had arrived at a time; 0 if that is not known.
 func (t *ArrivalTimes) NewestAt(at monotime.Instant) replicatedlog.Index {
 	n := sort.Search(len(t.arrivals), func(n int) bool { return t.arrivals[n].at > at })
 	if n == 0 {
--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -8,61 +8,61 @@
 )
 
 const (
-	// AnswerTimeout is for a command to be answered; the connection counts as dead then.
+	// AnswerTimeout is how long a command may go unanswered before the connection is considered dead.
 	AnswerTimeout = 2 * time.Second
 
-	firstReconnectDelay = 100 * time.Millisecond // backoff after a connection that broke, jittered from half of it
-	maxReconnectDelay   = 3 * time.Second        // a cache that is back is found within it
-	maxDoublings        = 8                      // of the first delay: the maximum is reached before
+	firstReconnectDelay = 100 * time.Millisecond // backoff after the first broken connection, with jitter
+	maxReconnectDelay   = 3 * time.Second        // a cache that is reachable again is contacted within this time
+	maxDoublings        = 8                      // of the first delay; the maximum is reached before
 
-	// maxListLag is how far the list of caches may be behind although discovery answers: five times what discovery
-	// states.
+	// maxListLag is how far the list of caches may lag while discovery answers: five times the lag that discovery
+	// documents.
 	maxListLag = 30 * time.Second
 )
 
-// Config is how purges are carried out.
+// Config configures how purges are carried out.
 type Config struct {
-	LongestFill     time.Duration // the longest that a fill may take, from reading the origin until the value is stored
-	CommandInterval time.Duration // between two commands to a cache, once a burst has gone
+	LongestFill     time.Duration // the longest time from a fill's read at the origin until the value is stored
+	CommandInterval time.Duration // between two commands to a cache, after an initial burst
 }
 
-// Log is the replicated log as this control server has it.
+// Log is this control server's copy of the replicated log.
 type Log interface {
-	// Position returns which log it is (0 for not known yet), the index up to which entries are not kept, and the
-	// newest entry's.
+	// Position returns the id of the log (0 if not known yet), the index up to which entries are no longer kept, and
+	// the index of the newest entry.
 	Position() (id replicatedlog.LogID, floor, last replicatedlog.Index)
-	// Entry returns an entry; false where it is not kept.
+	// Entry returns an entry; false if it is not kept.
 	Entry(replicatedlog.Index) (replicatedlog.Entry, bool)
-	// RequestedAt is when this server was first asked to have an entry ordered; false where it was not, or that is
-	// forgotten.
+	// RequestedAt returns when this server was first asked to order an entry; false if it was not asked, or no longer
+	// knows the time.
 	RequestedAt(replicatedlog.Index) (monotime.Instant, bool)
 }
 
-// Cache is one cache, as one control server knows it. It is used by one goroutine at a time. schedule.go has what is
-// sent when.
+// Cache is the state of one cache at one control server. It is not safe for concurrent use. The choice of the next
+// command is in schedule.go.
 type Cache struct {
 	Config
 	cursor         Cursor
-	logID          replicatedlog.LogID // which log the following indexes are of
-	quickDeleted   replicatedlog.Index // up to here QuickDelete was answered
-	quickSent      replicatedlog.Index // and sent
-	confirmingSent replicatedlog.Index // up to here ConfirmingDelete was sent
-	quickSkipped   replicatedlog.Index // up to here QuickDelete was left out, as ConfirmingDelete was due already
-	inFlight       []inFlightCommand   // in the order in which they were sent, at most MaxInFlight
-	paceTime       monotime.Instant    // theoretical arrival time of the next command, by which commands are paced
+	logID          replicatedlog.LogID // the log that the following indexes belong to
+	quickDeleted   replicatedlog.Index // QuickDelete was answered up to here
+	quickSent      replicatedlog.Index // QuickDelete was sent up to here
+	confirmingSent replicatedlog.Index // ConfirmingDelete was sent up to here
+	quickSkipped   replicatedlog.Index // QuickDelete was omitted up to here, since ConfirmingDelete was already due
+	inFlight       []inFlightCommand   // in the order of sending, at most MaxInFlight
+	paceTime       monotime.Instant    // theoretical arrival time of the next command, used for pacing
 	flush          flushProgress
-	failures       int // connections in a row that ended without an answer
+	failures       int // consecutive connections that ended without an answer
 }
 
-// flushProgress is how far the two flushes are.
+// flushProgress is the progress of the two flushes.
 type flushProgress struct {
-	allowedAt     monotime.Instant    // from then on it is presumed that no other server has done what is lacking
-	firstAnswered bool                // the first one is done, and the second one is not
-	firstSentAt   monotime.Instant    // when the first one was sent
-	upTo          replicatedlog.Index // the newest entry that the first one covers
+	allowedAt     monotime.Instant    // no first flush before this time, see peerCursorWait and flushRetryDelay
+	firstAnswered bool                // the first flush was answered, the second was not
+	firstSentAt   monotime.Instant    // when the first flush was sent
+	upTo          replicatedlog.Index // the newest entry that the first flush covers
 }
 
-// NewCache returns a Cache whose purges are done up to a cursor: the one on disk, or the zero Cursor.
+// NewCache returns a Cache whose purges are done up to the cursor loaded from disk, or the zero Cursor.
 func NewCache(config Config, cursor Cursor, now monotime.Instant) *Cache {
 	return &Cache{
 		Config:         config,
@@ -75,10 +75,10 @@
 	}
 }
 
-// Cursor is up to where purges are done.
+// Cursor returns the position up to which purges are done.
 func (c *Cache) Cursor() Cursor { return c.cursor }
 
-// done is the cursor's index in the log that there is.
+// done returns the cursor's index in the current log; 0 if the cursor is of another log.
 func (c *Cache) done() replicatedlog.Index {
 	if c.cursor.Log != c.logID {
 		return 0
@@ -86,7 +86,7 @@
 	return c.cursor.Done
 }
 
-// QuickDeleted is up to where each key was deleted at least once.
+// QuickDeleted returns the index up to which each key was deleted at least once.
 func (c *Cache) QuickDeleted() replicatedlog.Index {
 	if c.done() < c.quickSkipped {
 		return c.done()
@@ -94,13 +94,13 @@
 	return max(c.quickDeleted, c.done())
 }
 
-// Flushing says whether the cache has to be flushed, or is being.
+// Flushing reports whether the cache is being flushed or has to be.
 func (c *Cache) Flushing(log Log) bool {
 	id, floor, _ := log.Position()
 	return c.mustFlush(id, floor)
 }
 
-// mustFlush says whether entries that the cache lacks are not kept, so that the keys are not known.
+// mustFlush reports whether the cache lacks entries that are no longer kept, so that their keys are not known.
 func (c *Cache) mustFlush(log replicatedlog.LogID, floor replicatedlog.Index) bool {
 	if c.cursor.Log != log {
 		return c.cursor.Log != 0 || floor > 0
@@ -108,13 +108,13 @@
 	return c.cursor.Done < floor
 }
 
-// Idle says whether there is nothing to do, now or later, until there is more in the log.
+// Idle reports whether there is nothing to do, now or later, until new entries arrive.
 func (c *Cache) Idle(log Log, arrivals *ArrivalTimes) bool {
 	id, floor, _ := log.Position()
 	return id == 0 || c.cursor.Log == id && c.cursor.Done >= max(floor, arrivals.Last())
 }
 
-// Overdue counts entries that should be done by now, if a purge may take so long beyond LongestFill.
+// Overdue returns the number of entries that should be done by now, if a purge may take LongestFill plus tolerance.
 func (c *Cache) Overdue(now monotime.Instant, arrivals *ArrivalTimes, tolerance time.Duration) uint64 {
 	due := arrivals.NewestAt(now.Add(-c.LongestFill - tolerance))
 	if c.cursor.Log != arrivals.logID {
@@ -123,13 +123,14 @@
 	return uint64(max(due, c.cursor.Done) - c.cursor.Done)
 }
 
-// OnListed says which process of the cache the list had at a time.
+// OnListed handles a list of caches, obtained at a given time, that names a process of the cache by its start time.
 //
-// What was done since a later process was started was done at the one before it, and fills of old values may reach
-// the later one: the cursor falls back to what is safe for it. What is safe rises while the list still has a process:
-// purges known so long before that all fills of older values were over, with the time by which the list may lag.
+// If the process is a later one, purges may have been carried out at the previous process after the later one was
+// started, and fills of old values may still reach the later one. The cursor therefore falls back to
+// Cursor.SafeAfterRestart. That index rises while the list names the same process: it covers purges that arrived so
+// early that all fills of older values are over, even if the list lags.
 func (c *Cache) OnListed(now monotime.Instant, started Incarnation, arrivals *ArrivalTimes) {
-	if started < c.cursor.Started { // an older list, or a clock set back: what is done is done at the later process
+	if started < c.cursor.Started { // an older list, or a clock set back: purges were done at the later process
 		return
 	}
 	if started > c.cursor.Started {
@@ -141,7 +142,7 @@
 	}
 }
 
-// restarted begins with a later process of the cache.
+// restarted resets the state for a later process of the cache.
 func (c *Cache) restarted(now monotime.Instant, started Incarnation) {
 	c.cursor.Started = started
 	if c.cursor.Log != 0 {
@@ -151,12 +152,12 @@
 		c.confirmingSent = c.done()
 		c.quickSkipped = 0
 	}
-	c.OnDisconnect(now, 0) // commands in flight are to the process before
+	c.OnDisconnect(now, 0) // commands in flight went to the previous process
 	c.flush.firstAnswered = false
 	c.failures = 0
 }
 
-// MergeCursor takes what another control server has done at the same process of the cache: that stays done.
+// MergeCursor adopts the cursor of another control server for the same process of the cache, if it is ahead.
 func (c *Cache) MergeCursor(other Cursor) {
 	if other.Log == 0 || other.Started != c.cursor.Started {
 		return
@@ -167,7 +168,7 @@
 	}
 }
 
-// advance moves the cursor on, and to another log.
+// advance moves the cursor forward, or to another log.
 func (c *Cache) advance(log replicatedlog.LogID, done replicatedlog.Index) {
 	c.useLog(log)
 	c.cursor = Cursor{
@@ -181,7 +182,7 @@
 	c.confirmingSent = max(c.confirmingSent, done)
 }
 
-// useLog says which log there is. In another one nothing was sent or answered yet.
+// useLog switches to a log. If it differs from the previous one, nothing was sent or answered in it yet.
 func (c *Cache) useLog(log replicatedlog.LogID) {
 	if log == c.logID {
 		return
@@ -194,8 +195,8 @@
 	c.inFlight = nil
 }
 
-// OnDisconnect says that a connection ended, or could not be made, and returns the delay until the next attempt:
-// exponential backoff with jitter; random is from 0 up to 1. Commands that were not answered are sent again.
+// OnDisconnect handles a connection that ended or could not be established, and returns the delay until the next
+// attempt: exponential backoff with jitter, where random is in [0, 1). Unanswered commands will be sent again.
 func (c *Cache) OnDisconnect(now monotime.Instant, random float64) time.Duration {
 	for _, command := range c.inFlight {
 		if command.Kind == Flush {
--- a/internal/control/purge/flushlimiter.go
+++ b/internal/control/purge/flushlimiter.go
@@ -6,13 +6,13 @@
 	"dahliapin/internal/monotime"
 )
 
-// FlushLimiter spaces the first flushes of all caches, since each empties a cache whose load goes to the origin then.
+// FlushLimiter spaces the first flushes of all caches, since the load of an emptied cache goes to the origin.
 type FlushLimiter struct {
 	Interval time.Duration // between two flushes
 	next     monotime.Instant
 }
 
-// allow takes the next slot and returns true, or returns when there is one.
+// allow takes the current slot and returns true, or returns false and the time of the next slot.
 func (l *FlushLimiter) allow(now monotime.Instant) (allowed bool, at monotime.Instant) {
 	if now < l.next {
 		return false, l.next
--- a/internal/control/purge/progress.go
+++ b/internal/control/purge/progress.go
@@ -1,18 +1,18 @@
 package purge
 
-// Progress is up to where a control server has carried purges out at a cache, as servers report it to each other and
-// to operators.
+// Progress describes how far a control server has carried out purges at a cache. Servers report it to each other and to
+// operators.
 type Progress struct {
 	Cache        string `cbor:"1,keyasint"`
 	Started      int64  `cbor:"2,keyasint,omitempty"`  // the cache's Incarnation
-	Log          uint64 `cbor:"3,keyasint,omitempty"`  // of the cursor
+	Log          uint64 `cbor:"3,keyasint,omitempty"`  // the cursor's log
 	Done         uint64 `cbor:"4,keyasint,omitempty"`  // purges up to here are done
 	QuickDeleted uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
 	Overdue      uint64 `cbor:"6,keyasint,omitempty"`  // entries that should be done by now
-	Flushing     bool   `cbor:"7,keyasint,omitempty"`  // what it lacks is not kept: the cache has to be emptied
+	Flushing     bool   `cbor:"7,keyasint,omitempty"`  // missing entries are no longer kept: the cache has to be emptied
 	Reason       string `cbor:"8,keyasint,omitempty"`  // why the last connection ended; empty after an answer
-	UnansweredMs uint64 `cbor:"9,keyasint,omitempty"`  // since something was answered, where something is due
+	UnansweredMs uint64 `cbor:"9,keyasint,omitempty"`  // since the last answer, if one is due or the connection ended
 	Server       uint64 `cbor:"10,keyasint,omitempty"` // the control server that reports; set by package controlserver
-	AgeMs        uint64 `cbor:"11,keyasint,omitempty"` // since it reported; set by package controlserver
-	OtherLog     bool   `cbor:"12,keyasint,omitempty"` // the cursor is of another log than the server has
+	AgeMs        uint64 `cbor:"11,keyasint,omitempty"` // age of the report; set by package controlserver
+	OtherLog     bool   `cbor:"12,keyasint,omitempty"` // the cursor belongs to another log than the server's
 }
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// MaxInFlight bounds the commands that a cache has not answered: 1,800 a second over a link with a round trip of
-	// 140 ms.
+	// MaxInFlight bounds the unanswered commands of a cache. It allows 1,800 commands per second over a link with a
+	// round-trip time of 140 ms.
 	MaxInFlight = 256
-	// MaxBurst is how many commands may go at once before they are paced: a burst of a thousand purges.
+	// MaxBurst is how many commands may be sent at once before pacing starts: a burst of a thousand purges.
 	MaxBurst = 1024
-	// pacedBatchSize is how many commands go together once they are paced: one at a time would be a wake-up each.
+	// pacedBatchSize is how many commands are sent together while pacing, to avoid one wake-up per command.
 	pacedBatchSize = 16
-	// peerCursorWait is for other control servers to say what they have done at a cache, before it is flushed.
+	// peerCursorWait is how long other control servers get to report their cursors of a cache before it is flushed.
 	peerCursorWait = 5 * time.Second
-	// flushRetryDelay is the pause after a flush without an answer, so that a cache that hangs does not take the
-	// slots of others.
+	// flushRetryDelay is the delay after an unanswered flush, so that a cache that hangs does not use up the flush
+	// slots of other caches.
 	flushRetryDelay = 30 * time.Second
 )
 
-// NextCommand returns the command to send now. Without one it returns false and when to ask again; a time of 0 is for
-// the next entry or answer.
+// NextCommand returns the next command to send. If none is due, it returns false and the time to ask again; a time of 0
+// means after the next entry or answer.
 //
-// It also takes over the log that there is now (useLog, adoptLog), and passes entries that need no command (skip): both
-// may move the cursor, even where no command is returned.
+// It also switches to the current log (useLog, adoptLog) and skips entries that need no command (skip). Both may move
+// the cursor, even if no command is returned.
 func (c *Cache) NextCommand(
 	now monotime.Instant, log Log, arrivals *ArrivalTimes, limiter *FlushLimiter,
 ) (command Command, ready bool, askAgain monotime.Instant) {
@@ -61,7 +61,7 @@
 	if command, ready := c.nextQuickDelete(now, log, arrivals); ready {
 		return command, true, 0
 	}
-	if c.flush.firstAnswered { // the second flush covers what would be confirmed
+	if c.flush.firstAnswered { // the second flush replaces the confirming deletes
 		return Command{}, false, askAgain
 	}
 	command, ready, at := c.nextConfirmingDelete(now, log, arrivals)
@@ -71,16 +71,15 @@
 	return Command{}, false, earlierOf(askAgain, at)
 }
 
-// adoptLog begins the cursor of a cache at which nothing was purged yet at the start of the log, of which everything is
-// kept.
+// adoptLog sets the cursor of a cache without one to the start of the log, all of whose entries are still kept.
 func (c *Cache) adoptLog(id replicatedlog.LogID) {
 	if c.cursor.Log == 0 {
 		c.advance(id, 0)
 	}
 }
 
-// paced says whether a command may go by the pace, else when the next ones may: a leaky bucket of MaxBurst commands,
-// as the theoretical arrival time of the next one.
+// paced reports whether pacing allows a command now, or else when it allows the next ones. It is a leaky bucket of
+// MaxBurst commands, implemented by the theoretical arrival time of the next command.
 func (c *Cache) paced(now monotime.Instant) (allowed bool, at monotime.Instant) {
 	c.paceTime = max(c.paceTime, now)
 	if c.paceTime <= now.Add((MaxBurst-1)*c.CommandInterval) {
@@ -89,8 +88,8 @@
 	return false, c.paceTime.Add((pacedBatchSize - MaxBurst) * c.CommandInterval)
 }
 
-// nextFlush returns the first flush, once other servers had the time to say what they have done and the limiter
-// allows it; and the second one, once no fill from before the first can be under way. at is 0 while one is in flight.
+// nextFlush returns the first flush, once other servers have had time to report their cursors and the limiter allows
+// it, or the second one, once no fill from before the first can be under way. at is 0 while a flush is in flight.
 func (c *Cache) nextFlush(
 	now monotime.Instant, last replicatedlog.Index, limiter *FlushLimiter,
 ) (command Command, ready bool, at monotime.Instant) {
@@ -115,8 +114,8 @@
 	return c.send(now, Command{Kind: Flush, Index: last}), true, 0
 }
 
-// nextQuickDelete returns the delete of the next purge that is new. Purges for which the confirming delete is due
-// already, as after the cache was unreachable for a while, are left to that one.
+// nextQuickDelete returns the first delete of the next new purge. It leaves out purges whose confirming delete is
+// already due, as happens after the cache was unreachable for a while.
 func (c *Cache) nextQuickDelete(now monotime.Instant, log Log, arrivals *ArrivalTimes) (Command, bool) {
 	confirmable := arrivals.NewestAt(now.Add(-c.LongestFill)) // fills from before these entries are over
 	sent := max(c.quickSent, c.done())
@@ -137,8 +136,8 @@
 	return Command{}, false
 }
 
-// nextConfirmingDelete returns the second delete of the next purge, once fills from before it are over, or when that
-// will be; 0 for not before the next entry.
+// nextConfirmingDelete returns the second delete of the next purge if fills from before it are over, or else the time
+// when they will be; 0 if no purge is waiting.
 func (c *Cache) nextConfirmingDelete(
 	now monotime.Instant, log Log, arrivals *ArrivalTimes,
 ) (command Command, ready bool, at monotime.Instant) {
@@ -162,17 +161,17 @@
 	return Command{}, false, 0
 }
 
-// publishedBefore is a time at which an entry was published already: when this server was asked to have it ordered,
-// by which the time that ordering took is saved, or else when it arrived.
+// publishedBefore returns a time by which an entry had been published: when this server was asked to order it, which
+// saves the time that ordering took, or else when the entry arrived.
 func publishedBefore(index replicatedlog.Index, log Log, arrivals *ArrivalTimes) monotime.Instant {
 	at, _ := arrivals.KnownAt(index)
-	if requestedAt, is := log.RequestedAt(index); is {
+	if requestedAt, ok := log.RequestedAt(index); ok {
 		at = min(at, requestedAt)
 	}
 	return at
 }
 
-// earlierOf is the earlier of two times, of which 0 is none.
+// earlierOf returns the earlier of two times, where 0 means none.
 func earlierOf(a, b monotime.Instant) monotime.Instant {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -180,15 +179,15 @@
 	return a
 }
 
-// send notes a command as sent.
+// send records a command as sent.
 func (c *Cache) send(now monotime.Instant, command Command) Command {
 	c.inFlight = append(c.inFlight, inFlightCommand{Command: command, upTo: command.Index, sentAt: now})
 	c.paceTime = c.paceTime.Add(c.CommandInterval)
 	return command
 }
 
-// skip passes an entry that needs no command. It counts as answered with the last command of the kind before it, or
-// at once.
+// skip skips an entry that needs no command. The entry counts as answered together with the last command of this kind
+// in flight, or at once if there is none.
 func (c *Cache) skip(kind CommandKind, index replicatedlog.Index) {
 	for i := len(c.inFlight) - 1; i >= 0; i-- {
 		if c.inFlight[i].Kind == kind {
@@ -202,7 +201,7 @@
 	c.quickDeleted = max(c.quickDeleted, index)
 }
 
-// AwaitingAnswer is the command whose answer comes next; false for none.
+// AwaitingAnswer returns the command whose answer comes next; false if there is none.
 func (c *Cache) AwaitingAnswer() (Command, bool) {
 	if len(c.inFlight) == 0 {
 		return Command{}, false
@@ -210,12 +209,12 @@
 	return c.inFlight[0].Command, true
 }
 
-// AnswerOverdue says whether the next answer takes longer than AnswerTimeout.
+// AnswerOverdue reports whether the next answer has taken longer than AnswerTimeout.
 func (c *Cache) AnswerOverdue(now monotime.Instant) bool {
 	return len(c.inFlight) > 0 && now >= c.inFlight[0].sentAt.Add(AnswerTimeout)
 }
 
-// OnAnswer says that the cache has answered the command of AwaitingAnswer.
+// OnAnswer handles the cache's answer to the command of AwaitingAnswer.
 func (c *Cache) OnAnswer(log Log, arrivals *ArrivalTimes) {
 	if len(c.inFlight) == 0 {
 		return
@@ -238,8 +237,8 @@
 	case ConfirmingFlush:
 		id, floor, _ := log.Position()
 		if id == arrivals.logID && c.mustFlush(id, floor) {
-			// Done is what the first flush covered, and what else was known so long before the second that fills are
-			// over.
+			// The purges covered by the first flush are done, and so are those that arrived at least LongestFill before
+			// the second flush was sent.
 			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.LongestFill))
 			c.advance(id, max(c.flush.upTo, fillsOver))
 		}
--- a/internal/control/replicatedlog/applier.go
+++ b/internal/control/replicatedlog/applier.go
@@ -7,54 +7,55 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrGap says that an entry or starting point does not follow what was applied.
-var ErrGap = errors.New("a gap in the log of changes")
+// ErrGap reports that an entry or a starting point does not follow the last applied entry.
+var ErrGap = errors.New("gap in the replicated log")
 
-// Handler is what a node does with the log. Calls come one at a time, in the log's order.
+// Handler receives the entries of the log at a node. Its methods are called one at a time, in log order.
 type Handler interface {
-	// PresumePurged says that everything up to an index may have been purged, and that the keys are not known.
+	// PresumePurged reports that any key may have been purged up to an index, because the purged keys are not known.
 	PresumePurged(upTo Index)
-	// Purge says that caches are no longer to serve a key.
+	// Purge reports that caches must no longer serve a key.
 	Purge(at Index, key string)
-	// Configure takes a configuration. With an error the one before it stays in force, and the refusal is reported.
+	// Configure applies a configuration. If it returns an error, the previous configuration stays in force and the
+	// error is reported.
 	Configure(at Index, text []byte) error
 }
 
-// Progress is how far a node has applied a log.
+// Progress describes how far a node has applied a log.
 type Progress struct {
 	Started        bool
-	Log            LogID // the log that it started with
+	Log            LogID // the log that the node started with
 	Applied        Index
-	Config         Index  // the configuration in force; 0 for the node's own
-	Refused        Index  // the latest configuration that could not be taken; 0 for none since the one in force
-	Reason         string // why not
-	PresumedPurged Index  // everything up to here may have been purged
-	Purges         uint64 // applied
-	Unknown        uint64 // entries of kinds that this version does not know
-	Gaps           uint64 // times that entries did not follow what was applied
+	Config         Index  // the configuration in force; 0 for the node's own file
+	Refused        Index  // the latest rejected configuration; 0 if none was rejected since the one in force
+	Reason         string // why it was rejected
+	PresumedPurged Index  // any key may have been purged up to this index
+	Purges         uint64 // purges applied
+	Unknown        uint64 // entries skipped because this version does not know their kind
+	Gaps           uint64 // how often entries did not follow the last applied one
 }
 
-// Applier applies entries in order and each once. It belongs to one goroutine.
+// Applier applies entries in order, each exactly once. It must be used by a single goroutine.
 type Applier struct {
 	handler Handler
 	Progress
 }
 
-// NewApplier returns an Applier that has applied nothing. Start has to be called before Apply.
+// NewApplier returns an Applier that has applied nothing. Start must be called before Apply.
 func NewApplier(handler Handler) *Applier { return &Applier{handler: handler} }
 
-// CurrentProgress returns how far it has come.
+// CurrentProgress returns a copy of the applier's progress.
 func (a *Applier) CurrentProgress() Progress { return a.Progress }
 
-// Start starts at an index of a log, with the encoded configuration that is in force there; empty for none. A
-// starting point of the same log that is no further than what was applied is refused with ErrGap: the node would take
-// an older configuration for a newer one.
+// Start starts after an index of a log, with the encoded configuration in force at that index; empty for none. A
+// starting point in the same log that is not beyond the last applied entry is rejected with ErrGap, because the node
+// would take an older configuration for a newer one.
 func (a *Applier) Start(log LogID, at Index, config cbor.RawMessage) error {
 	otherLog := a.Started && log != a.Log
 	if a.Started && !otherLog && at <= a.Applied {
-		return fmt.Errorf("%w: to begin at %d, after %d was applied", ErrGap, at, a.Applied)
+		return fmt.Errorf("%w: starting point %d is not beyond applied entry %d", ErrGap, at, a.Applied)
 	}
-	if otherLog { // the configuration stays in force, but its index means nothing in this log
+	if otherLog { // the configuration stays in force, but its index has no meaning in the new log
 		a.Config = 0
 		a.Refused = 0
 		a.Reason = ""
@@ -72,14 +73,14 @@
 	return nil
 }
 
-// startConfig takes the configuration of a starting point, unless it was applied or refused before.
+// startConfig applies the configuration of a starting point, unless it was already applied or rejected.
 func (a *Applier) startConfig(at Index, config cbor.RawMessage) error {
 	e, err := DecodeEntry(config)
 	if err != nil {
 		return err
 	}
 	if e.Kind != Config || e.Index > at {
-		return fmt.Errorf("%w: to begin at %d with a %v of %d", ErrMalformed, at, e.Kind, e.Index)
+		return fmt.Errorf("%w: starting point %d comes with a %v entry of index %d", ErrMalformed, at, e.Kind, e.Index)
 	}
 	if e.Index > max(a.Config, a.Refused) {
 		a.configure(e)
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// Apply applies encoded entries. Those that were applied before are skipped, as after a change of the control server.
-// At a gap it stops with ErrGap, and what was applied up to there stays.
+// Apply applies encoded entries. Entries that were already applied are skipped; they occur after the node switches to
+// another control server. At a gap it returns ErrGap, and the entries before the gap stay applied.
 func (a *Applier) Apply(encoded []cbor.RawMessage) error {
 	for _, one := range encoded {
 		e, err := DecodeEntry(one)
@@ -100,7 +101,7 @@
 		}
 		if !a.Started || e.Index != a.Applied+1 {
 			a.Gaps++
-			return fmt.Errorf("%w: %d after %d", ErrGap, e.Index, a.Applied)
+			return fmt.Errorf("%w: entry %d after entry %d", ErrGap, e.Index, a.Applied)
 		}
 		switch e.Kind {
 		case Purge:
--- a/internal/control/replicatedlog/batch.go
+++ b/internal/control/replicatedlog/batch.go
@@ -3,18 +3,18 @@
 import "fmt"
 
 const (
-	// MaxBatchProposals bounds the proposals of a batch: a burst of a thousand purges is one batch.
+	// MaxBatchProposals bounds the proposals of a batch, so that a burst of a thousand purges fits into one batch.
 	MaxBatchProposals = 1024
-	// maxBatchBytes bounds the bodies of a batch: a burst of purges, or some configurations.
+	// maxBatchBytes bounds the size of a batch: it has room for a burst of purges, or for several configurations.
 	maxBatchBytes = 2 << 20
 )
 
-// Batch is what one entry of raft's log holds: proposals that arrived together, or a decision of the leader on the
-// log itself.
+// Batch is the content of one entry of Raft's log: proposals that arrived together, or a decision of the leader about
+// the log itself.
 type Batch struct {
 	Proposals []Proposal
-	Trim      Index // entries up to here need not be kept; 0 for none
-	Log       LogID // the id of a log that has none yet; 0 for none
+	Trim      Index // entries up to this index may be dropped; 0 for none
+	Log       LogID // the id to give to a log without one; 0 for none
 }
 
 type encodedBatch struct {
@@ -24,7 +24,7 @@
 	Log       uint64            `cbor:"3,keyasint,omitempty"`
 }
 
-// Encode returns the batch's bytes.
+// Encode returns the encoded batch.
 func (b Batch) Encode() []byte {
 	encodable := encodedBatch{Version: formatVersion, Trim: uint64(b.Trim), Log: uint64(b.Log)}
 	for _, p := range b.Proposals {
@@ -37,13 +37,13 @@
 func DecodeBatch(encoded []byte) (Batch, error) {
 	var decoded encodedBatch
 	if len(encoded) > 2*maxBatchBytes {
-		return Batch{}, fmt.Errorf("%w: a batch of %d bytes", ErrMalformed, len(encoded))
+		return Batch{}, fmt.Errorf("%w: batch of %d bytes is too long", ErrMalformed, len(encoded))
 	}
 	if err := DecodeMode.Unmarshal(encoded, &decoded); err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if decoded.Version == 0 || len(decoded.Proposals) > MaxBatchProposals {
-		return Batch{}, fmt.Errorf("%w: version %d, %d proposals", ErrMalformed,
+		return Batch{}, fmt.Errorf("%w: batch of version %d with %d proposals", ErrMalformed,
 			decoded.Version, len(decoded.Proposals))
 	}
 	batch := Batch{Trim: Index(decoded.Trim), Log: LogID(decoded.Log)}
@@ -57,10 +57,10 @@
 	return batch, nil
 }
 
-// Batches puts proposals, in their order, into as few batches as the bounds allow.
+// Batches splits proposals, in order, into as few batches as the bounds allow.
 func Batches(proposals []Proposal) []Batch {
 	var batches []Batch
-	bytes := 0 // of the last batch
+	bytes := 0 // size of the last batch
 	for _, p := range proposals {
 		size := len(p.Body) + entryOverheadBytes
 		n := len(batches)
--- a/internal/control/replicatedlog/codec.go
+++ b/internal/control/replicatedlog/codec.go
@@ -7,14 +7,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Entries, batches and snapshots are encoded as CBOR (RFC 8949): maps of numbered fields, of which unknown ones are
-// skipped. Batches and snapshots have the version of the format first.
+// Entries, batches and snapshots are encoded as CBOR (RFC 8949) maps with numbered fields; unknown fields are skipped.
+// The first field of batches and snapshots is the version of the format.
 const formatVersion = 1
 
-// ErrMalformed says that bytes are not an entry, batch or snapshot.
-var ErrMalformed = errors.New("not a part of the log of changes")
+// ErrMalformed reports that bytes are not a valid entry, batch or snapshot.
+var ErrMalformed = errors.New("malformed replicated log data")
 
-// DecodeMode decodes with bounds, so that a short message cannot make the receiver allocate or recurse without limit.
+// DecodeMode decodes CBOR within bounds, so that a short message cannot make the receiver allocate or recurse without
+// limit.
 var DecodeMode = newDecodeMode()
 
 func newDecodeMode() cbor.DecMode {
@@ -32,7 +33,7 @@
 	return mode
 }
 
-// encode encodes a type of this package. All fields are numbers and bytes, which cannot fail.
+// encode encodes a type of this package. All fields are numbers and bytes, whose encoding cannot fail.
 func encode(value any) []byte {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
--- a/internal/control/replicatedlog/doc.go
+++ b/internal/control/replicatedlog/doc.go
@@ -1,41 +1,41 @@
-// Package replicatedlog is the state machine of the fleet's replicated log: the purges and configurations that every
-// node needs, in one order. It does no I/O. Raft feeds each control server's State the same batches in the same
-// order, and what a State makes of them depends on nothing else: no clock, no random numbers, no settings that differ
-// between servers. An Applier is the node's side of it.
+// Package replicatedlog is the state machine of the fleet's replicated log, which puts the purges and configurations
+// that every node needs into one order. It does no I/O. Raft delivers the same batches in the same order to the State
+// of each control server, and a State is a deterministic function of them: it uses no clock, no random numbers and no
+// settings that differ between servers. An Applier applies the log at a node.
 //
-// # What is ordered
+// # Proposals and entries
 //
-// A client makes a Proposal of a purged key or of a configuration and gives it a random id. Proposals travel in a
-// Batch, which is one entry of raft's log. State.Apply gives each proposal an Index. Indexes are dense from 1, unlike
-// raft's own, which also count raft's internal entries: so a node can see a gap by itself, and a node that has
-// applied n entries has all up to n.
+// A client creates a Proposal from a purged key or a configuration and gives it a random id. Proposals are sent in a
+// Batch, which is one entry of Raft's log. State.Apply assigns an Index to each proposal. Indexes are dense from 1,
+// unlike Raft's indexes, which also count Raft's internal entries. A node can therefore detect a gap by itself, and a
+// node that has applied entry n has applied all entries before it.
 //
 // # Deduplication
 //
-// A client that gets no answer proposes again, at another server, and raft may commit both. The ids of the last
-// DedupWindow entries are kept, also in snapshots, and a proposal whose id is among them gets the index that it has.
-// Without it a purge would be done twice, which is harmless, and an old configuration could come into force again
-// after a newer one, which is not.
+// A client that gets no answer retries the proposal at another server, and Raft may commit both. The ids of the last
+// DedupWindow entries are kept, also in snapshots, and a proposal with one of these ids keeps its existing index.
+// Without deduplication a purge would be carried out twice, which is harmless, but an old configuration could come into
+// force again after a newer one, which is not.
 //
-// # What is kept
+// # Retention
 //
-// Entries up to the floor are no longer kept. The floor rises with a batch's Trim, up to where all nodes have
+// Entries up to the floor are no longer kept. The floor rises with a batch's Trim, up to the index that all nodes have
 // applied, and when the log exceeds its Bounds. The latest configuration up to the floor is kept as the base. A node
-// that asks for entries below the floor gets a StartingPoint: the floor, the base, and by that the rule that
-// everything up to there may have been purged (Handler.PresumePurged). A node that has nothing starts at the newest
-// entry, since its caches can hold nothing that was purged before.
+// that asks for entries below the floor gets a StartingPoint with the floor and the base, and must presume that any key
+// may have been purged up to there (Handler.PresumePurged). A node that has applied nothing starts at the newest entry,
+// since its caches cannot hold anything that was purged before.
 //
 // # Snapshots and restarts
 //
-// State.Snapshot is the whole state in bytes, Restore reads it. A control server that was killed restores the last
-// snapshot on its disk, and raft applies the entries after it once more: package store says what is on disk when.
+// State.Snapshot encodes the whole state and Restore decodes it. A control server that was killed restores the last
+// snapshot on its disk, and Raft applies the later entries again. Package store describes what is on disk and when.
 //
 // # Invariants
 //
 //   - Indexes are dense from 1, and an index never changes its proposal.
-//   - An id among those of the last DedupWindow entries gets no second index.
-//   - Floor never falls; entries above it are kept, and of those below it the latest configuration.
+//   - A proposal id among those of the last DedupWindow entries never gets a second index.
+//   - The floor never falls. Entries above it are kept, and of the others only the latest configuration.
 //   - An Applier applies each entry once and in order, or stops with ErrGap.
 //
-// A State has no lock: its owner has one. An Applier belongs to one goroutine.
+// A State has no lock; its owner must serialize access to it. An Applier must be used by a single goroutine.
 package replicatedlog
--- a/internal/control/replicatedlog/entry.go
+++ b/internal/control/replicatedlog/entry.go
@@ -6,23 +6,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// entryOverheadBytes bounds what an encoded proposal has beside its body.
+// entryOverheadBytes bounds the size of an encoded proposal without its body.
 const entryOverheadBytes = 40
 
-// Entry is a proposal with its place in the log.
+// Entry is a proposal with its index in the log.
 type Entry struct {
 	Index Index
 	Proposal
 }
 
-// encodedProposal is a proposal as it is sent and kept.
+// encodedProposal is the encoded form of a proposal, sent and stored.
 type encodedProposal struct {
 	ID   []byte `cbor:"2,keyasint"`
 	Kind uint8  `cbor:"3,keyasint"`
 	Body []byte `cbor:"4,keyasint"`
 }
 
-// encodedEntry is an entry as it is sent and kept.
+// encodedEntry is the encoded form of an entry, sent and stored.
 type encodedEntry struct {
 	Index uint64 `cbor:"1,keyasint"`
 	encodedProposal
@@ -35,7 +35,7 @@
 func (e encodedProposal) proposal() (Proposal, error) {
 	var p Proposal
 	if len(e.ID) != len(p.ID) {
-		return p, fmt.Errorf("%w: an id of %d bytes", ErrMalformed, len(e.ID))
+		return p, fmt.Errorf("%w: proposal id of %d bytes", ErrMalformed, len(e.ID))
 	}
 	copy(p.ID[:], e.ID)
 	p.Kind = Kind(e.Kind)
@@ -48,11 +48,11 @@
 }
 
 // DecodeEntry decodes an entry, or returns an error that wraps ErrMalformed. It accepts kinds that this version does
-// not know, which the caller has to skip.
+// not know; the caller must skip them.
 func DecodeEntry(encoded []byte) (Entry, error) {
 	var decoded encodedEntry
 	if len(encoded) > MaxConfigBytes+2*entryOverheadBytes {
-		return Entry{}, fmt.Errorf("%w: an entry of %d bytes", ErrMalformed, len(encoded))
+		return Entry{}, fmt.Errorf("%w: entry of %d bytes is too long", ErrMalformed, len(encoded))
 	}
 	if err := DecodeMode.Unmarshal(encoded, &decoded); err != nil {
 		return Entry{}, fmt.Errorf("%w: %w", ErrMalformed, err)
--- a/internal/control/replicatedlog/proposal.go
+++ b/internal/control/replicatedlog/proposal.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// MaxKeyBytes bounds a purged key: it is the cache protocol's own limit.
+	// MaxKeyBytes bounds a purged key; it is the limit of the cache protocol.
 	MaxKeyBytes = 250
-	// MaxConfigBytes bounds a configuration.
+	// MaxConfigBytes bounds the size of a configuration.
 	MaxConfigBytes = 256 << 10
 )
 
-// ErrProposal says that a proposal cannot become an entry.
+// ErrProposal reports that a proposal is invalid and cannot become an entry.
 var ErrProposal = errors.New("not a change that can be published")
 
-// Index numbers the entries of the log, from 1 without gaps. It is not raft's index, which also counts raft's
-// internal entries.
+// Index numbers the entries of the log, from 1 without gaps. It differs from Raft's index, which also counts
+// Raft's internal entries.
 type Index uint64
 
-// ProposalID tells a proposal that is made again from another one: 128 random bits.
+// ProposalID identifies a proposal, so that a retried one is recognized: 128 random bits.
 type ProposalID [16]byte
 
-// LogID tells one log from another that was begun after all disks were lost: 64 random bits, 0 for not known yet.
+// LogID distinguishes a log from one created later, after all disks were lost: 64 random bits; 0 if not known yet.
 type LogID uint64
 
-// Kind says what an entry's body is.
+// Kind is the type of an entry's body.
 type Kind uint8
 
 // The kinds of entries.
 const (
-	Purge  Kind = 1 // a key that caches are no longer to serve
+	Purge  Kind = 1 // a key that caches must no longer serve
 	Config Kind = 2 // a node's configuration
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Purge:
@@ -47,20 +47,20 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Proposal is a change that is to become an entry of the log.
+// Proposal is a change proposed as an entry of the log.
 type Proposal struct {
-	ID   ProposalID // not zero; the same each time that the change is proposed
+	ID   ProposalID // not zero; the same for each retry of the proposal
 	Kind Kind
 	Body []byte // a key or a configuration
 }
 
-// ContentHash is the same for proposals with the same kind and body, whatever their ids: by it tests see that one
-// change was ordered twice.
+// ContentHash returns a hash of the kind and body, regardless of the id. Tests use it to detect a change that was
+// ordered twice.
 func (p Proposal) ContentHash() uint64 {
 	return keyhash.Salted(keyhash.String(string(p.Body)), int(p.Kind))
 }
 
-// Check returns an error that wraps ErrProposal where a proposal cannot become an entry.
+// Check returns an error that wraps ErrProposal if the proposal cannot become an entry.
 func (p Proposal) Check() error {
 	switch {
 	case p.ID == ProposalID{}:
--- a/internal/control/replicatedlog/snapshot.go
+++ b/internal/control/replicatedlog/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// idBytes is the size of an id in a snapshot.
+// idBytes is the size of a proposal id in a snapshot.
 const idBytes = len(ProposalID{})
 
 type encodedState struct {
@@ -15,11 +15,11 @@
 	Floor   uint64            `cbor:"2,keyasint"`
 	Base    cbor.RawMessage   `cbor:"3,keyasint,omitempty"` // the latest configuration up to the floor
 	Tail    []cbor.RawMessage `cbor:"4,keyasint"`           // the entries after the floor
-	IDs     []byte            `cbor:"5,keyasint"`           // of the last entries, idBytes each
+	IDs     []byte            `cbor:"5,keyasint"`           // proposal ids of the last entries, idBytes each
 	Log     uint64            `cbor:"6,keyasint,omitempty"`
 }
 
-// Snapshot returns the whole state, but its bounds, as bytes that Restore takes.
+// Snapshot returns the encoded state, without its bounds. Restore decodes it.
 func (s *State) Snapshot() []byte {
 	encodable := encodedState{
 		Version: formatVersion,
@@ -41,14 +41,14 @@
 	return encode(encodable)
 }
 
-// Restore returns the state that a snapshot has, or an error that wraps ErrMalformed.
+// Restore returns the state encoded in a snapshot, or an error that wraps ErrMalformed.
 func Restore(snapshot []byte, bounds Bounds) (*State, error) {
 	var decoded encodedState
 	if err := DecodeMode.Unmarshal(snapshot, &decoded); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if !decoded.consistent() {
-		return nil, fmt.Errorf("%w: a snapshot of version %d, %d entries from %d to %d, %d bytes of ids", ErrMalformed,
+		return nil, fmt.Errorf("%w: snapshot of version %d, %d entries from %d to %d, %d bytes of ids", ErrMalformed,
 			decoded.Version, len(decoded.Tail), decoded.Floor, decoded.Last, len(decoded.IDs))
 	}
 	s := New(bounds)
@@ -64,7 +64,7 @@
 			return nil, err
 		}
 		if e.Index != s.last+1 {
-			return nil, fmt.Errorf("%w: a snapshot with entry %d after %d", ErrMalformed, e.Index, s.last)
+			return nil, fmt.Errorf("%w: snapshot has entry %d after entry %d", ErrMalformed, e.Index, s.last)
 		}
 		s.keep(e)
 		s.last++
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// consistent says whether the numbers fit together.
+// consistent reports whether the version, the indexes and the number of ids agree.
 func (e *encodedState) consistent() bool {
 	ids := len(e.IDs) / idBytes
 	return e.Version != 0 &&
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// restoreIDs takes the ids of the last entries, of which the last one's index is s.last.
+// restoreIDs restores the proposal ids of the last entries; the last id belongs to entry s.last.
 func (s *State) restoreIDs(ids []byte) {
 	count := len(ids) / idBytes
 	for i := range count {
--- a/internal/control/replicatedlog/state.go
+++ b/internal/control/replicatedlog/state.go
@@ -6,57 +6,57 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// DedupWindow is how many of the last entries' ids are kept, by which a proposal that is made again is known: almost
-// two hours of purges at the fleet's rate, while clients try for half a minute.
+// DedupWindow is the number of recent entries whose proposal ids are kept to recognize retried proposals. It covers
+// almost two hours of purges at the fleet's rate, while clients retry for half a minute.
 const DedupWindow = 65_536
 
-// Bounds are how much of the log is kept for nodes that are behind.
+// Bounds limits how much of the log is kept for nodes that lag behind.
 type Bounds struct {
-	Entries    int // at most
-	Bytes      int // of encoded entries, at most; one entry is kept in any case
-	MinEntries int // kept although all nodes have applied them, for a node that is not known just now
+	Entries    int // maximum number of entries
+	Bytes      int // maximum size of the encoded entries; one entry is always kept
+	MinEntries int // kept even if all nodes have applied them, for a node that is currently not known
 }
 
-// DefaultBounds keep more than an hour of purges at the fleet's rate.
+// DefaultBounds keeps more than an hour of purges at the fleet's rate.
 var DefaultBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, MinEntries: 4096}
 
-// keptEntry is an entry that is kept, encoded once for all nodes that get it.
+// keptEntry is an entry in the log, encoded once for all nodes that receive it.
 type keptEntry struct {
 	Entry
 	encoded cbor.RawMessage
-	endByte uint64 // bytes of all entries up to and with this one, since the state was made
+	endByte uint64 // encoded size of all entries up to and including this one, since the state was created
 }
 
-// State is the log as a control server has it. It has no lock. Only Apply changes it.
+// State is a control server's copy of the log. It is not safe for concurrent use. Only Apply changes it.
 type State struct {
 	bounds       Bounds
 	id           LogID
-	last         Index                // the newest entry; 0 for none
-	floor        Index                // entries up to here are not kept
+	last         Index                // index of the newest entry; 0 for none
+	floor        Index                // entries up to this index are no longer kept
 	floorEndByte uint64               // endByte of the entry at the floor
 	tail         []keptEntry          // the entries after the floor
 	base         *keptEntry           // the latest configuration up to the floor; nil for none
 	config       *keptEntry           // the latest configuration; nil for none
-	recentIDs    []ProposalID         // of the last entries, at most DedupWindow, the newest last
-	indexes      map[ProposalID]Index // of recentIDs
-	repeated     uint64               // proposals that had their index already
+	recentIDs    []ProposalID         // proposal ids of the last entries, at most DedupWindow, newest last
+	indexes      map[ProposalID]Index // index of each id in recentIDs
+	repeated     uint64               // number of proposals that already had an index
 }
 
-// New returns a log without entries.
+// New returns an empty log.
 func New(bounds Bounds) *State {
 	return &State{bounds: bounds, indexes: map[ProposalID]Index{}}
 }
 
-// ID is which log it is; 0 until its first leader has named it.
+// ID returns the id of the log; 0 until the first leader has chosen one.
 func (s *State) ID() LogID { return s.id }
 
-// Last is the index of the newest entry; 0 for none.
+// Last returns the index of the newest entry; 0 for none.
 func (s *State) Last() Index { return s.last }
 
-// Floor is the index up to which entries are no longer kept.
+// Floor returns the index up to which entries are no longer kept.
 func (s *State) Floor() Index { return s.floor }
 
-// Config is the index of the latest configuration; 0 for none.
+// Config returns the index of the latest configuration; 0 for none.
 func (s *State) Config() Index {
 	if s.config == nil {
 		return 0
@@ -64,10 +64,10 @@
 	return s.config.Index
 }
 
-// Apply puts a batch's proposals into the log and returns the index of each, for a proposal that is in it already the
-// one that it has. One that cannot become an entry gets 0, on all servers alike.
+// Apply appends a batch's proposals to the log and returns the index of each. A proposal that is already in the log
+// keeps its index. An invalid proposal gets 0, on every server.
 func (s *State) Apply(batch Batch) []Index {
-	if s.id == 0 { // two leaders may have named it: the first that is committed holds
+	if s.id == 0 { // two leaders may have proposed an id: the one committed first wins
 		s.id = batch.Log
 	}
 	indexes := make([]Index, len(batch.Proposals))
@@ -79,12 +79,12 @@
 	return indexes
 }
 
-// add returns a proposal's index, after it was given one; 0 where it cannot become an entry.
+// add appends a proposal unless it is in the log already, and returns its index; 0 if the proposal is invalid.
 func (s *State) add(p Proposal) Index {
 	if p.Check() != nil {
 		return 0
 	}
-	if index, is := s.indexes[p.ID]; is {
+	if index, ok := s.indexes[p.ID]; ok {
 		s.repeated++
 		return index
 	}
@@ -99,7 +99,7 @@
 	return s.last
 }
 
-// keep puts the next entry at the end of the tail.
+// keep appends the next entry to the tail.
 func (s *State) keep(e Entry) {
 	encoded := encodeEntry(e)
 	kept := keptEntry{Entry: e, encoded: encoded, endByte: s.endByte() + uint64(len(encoded))}
@@ -109,7 +109,7 @@
 	}
 }
 
-// trimTo drops entries that all nodes have applied, but the last MinEntries.
+// trimTo drops entries that all nodes have applied, except for the last MinEntries.
 func (s *State) trimTo(applied Index) {
 	applied = min(applied, s.last)
 	if applied <= s.floor {
@@ -118,7 +118,7 @@
 	s.drop(min(int(applied-s.floor), max(0, len(s.tail)-s.bounds.MinEntries)))
 }
 
-// trimToBounds drops the oldest entries beyond the bounds.
+// trimToBounds drops the oldest entries until the log is within its bounds.
 func (s *State) trimToBounds() {
 	over := max(0, len(s.tail)-s.bounds.Entries)
 	for over < len(s.tail)-1 && s.tailBytes(over) > uint64(s.bounds.Bytes) {
@@ -127,13 +127,13 @@
 	s.drop(over)
 }
 
-// tailBytes is the size of the tail without its first entries.
+// tailBytes returns the encoded size of the tail without its first entries.
 func (s *State) tailBytes(without int) uint64 {
 	first := s.tail[without]
 	return s.endByte() - first.endByte + uint64(len(first.encoded))
 }
 
-// drop removes the oldest entries.
+// drop removes the n oldest entries, and keeps the latest configuration among them as the base.
 func (s *State) drop(n int) {
 	if n == 0 {
 		return
@@ -146,11 +146,11 @@
 	}
 	s.floor = s.tail[n-1].Index
 	s.floorEndByte = s.tail[n-1].endByte
-	clear(s.tail[:n]) // else their bodies stay reachable until the slice is copied
+	clear(s.tail[:n]) // otherwise their bodies stay reachable until the slice is reallocated
 	s.tail = s.tail[n:]
 }
 
-// endByte is how many bytes all entries have.
+// endByte returns the encoded size of all entries since the state was created.
 func (s *State) endByte() uint64 {
 	if len(s.tail) == 0 {
 		return s.floorEndByte
@@ -158,7 +158,7 @@
 	return s.tail[len(s.tail)-1].endByte
 }
 
-// endByteAt is how many bytes the entries up to an index have.
+// endByteAt returns the encoded size of the entries up to an index.
 func (s *State) endByteAt(index Index) uint64 {
 	if index <= s.floor || len(s.tail) == 0 {
 		return s.floorEndByte
@@ -166,15 +166,15 @@
 	return s.tail[min(int(index-s.floor), len(s.tail))-1].endByte
 }
 
-// Bytes is how many bytes the kept entries after one index and up to another have, encoded.
+// Bytes returns the encoded size of the kept entries after one index and up to another.
 func (s *State) Bytes(after, upTo Index) uint64 {
 	start := s.endByteAt(after)
 	end := s.endByteAt(upTo)
 	return end - min(start, end)
 }
 
-// EntriesAfter returns encoded entries that follow an index, one at least and more up to a number of bytes, and the
-// index of the last; none where there are none yet. kept is false where the entries are no longer kept.
+// EntriesAfter returns the encoded entries that follow an index, at least one and up to maxBytes, and the index of the
+// last one returned. It returns none if there are no newer entries. kept is false if the entries are no longer kept.
 func (s *State) EntriesAfter(after Index, maxBytes int) (encoded []cbor.RawMessage, upTo Index, kept bool) {
 	if after < s.floor {
 		return nil, 0, false
@@ -194,7 +194,7 @@
 	return encoded, upTo, true
 }
 
-// Entry returns an entry; false where it is not kept, or not there yet.
+// Entry returns an entry; false if it is no longer kept or does not exist yet.
 func (s *State) Entry(index Index) (Entry, bool) {
 	if index <= s.floor || index > s.last {
 		return Entry{}, false
@@ -202,9 +202,9 @@
 	return s.tail[index-s.floor-1].Entry, true
 }
 
-// StartingPoint is where a node starts that cannot follow from where it is: an index, and the configuration in force
-// there, encoded; nil for none. A fresh node, which has applied nothing, starts at the newest entry. One that is
-// behind starts at the floor, so that it gets every purge that is kept.
+// StartingPoint returns where a node starts if it cannot continue from its last applied entry: an index, and the
+// encoded configuration in force there; nil for none. A fresh node, which has applied nothing, starts at the newest
+// entry. A node that is behind starts at the floor, so that it gets every purge that is kept.
 func (s *State) StartingPoint(fresh bool) (Index, cbor.RawMessage) {
 	at := s.floor
 	config := s.base
--- a/internal/control/replicatedlog/store/doc.go
+++ b/internal/control/replicatedlog/store/doc.go
@@ -1,31 +1,30 @@
-// Package store keeps a control server's part of raft's log on disk, in one bbolt file, and the same in memory for
-// raft to read.
+// Package store keeps a control server's Raft log on disk, in one bbolt file, with a copy in memory for Raft to read.
 //
 // # What survives kill -9
 //
-// Everything that Save and Compact were given survives once they have returned without an error: each is one bbolt
-// transaction, which ends with fsync, and of a transaction that was cut short nothing is seen after a restart. Kept
-// are
+// Everything passed to Save and Compact survives once they have returned without an error. Each call is one bbolt
+// transaction, which ends with fsync; a transaction that was cut short leaves no trace after a restart. The file holds
 //
-//   - the hard state: raft's term and vote. A server that forgot its vote could vote twice in a term, and two leaders
+//   - the hard state: Raft's term and vote. A server that lost its vote could vote twice in a term, and two leaders
 //     could be elected;
-//   - raft's entries after the last snapshot. A server that forgot one which it has acknowledged could elect a leader
-//     without it;
+//   - Raft's entries after the last snapshot. A server that lost an acknowledged entry could elect a leader without
+//     it;
 //   - the last snapshot: the encoded replicatedlog.State, and the members;
-//   - the owner: id and label of the server, so that a folder is not used by another one by mistake.
+//   - the owner: the id of the server and the label of the fleet, so that another server does not use the folder by
+//     mistake.
 //
-// The commit index is written with the others, and not by itself: it is not needed for safety, since the leader says
-// it again, and it would cost an fsync for each batch.
+// The commit index is written together with other changes, but never alone: safety does not need it, since the leader
+// sends it again, and it would cost an fsync for each batch.
 //
 // # Missing data
 //
-// An empty folder is refused with ErrEmpty, unless the caller says that it is the first start; so is one with an empty
-// file, or with one that was never initialized. A file that has lost its end is an error, see boltfile. A gap between
-// the snapshot and the entries, a foreign owner, or a file that cannot be read is an error as well: a server that lost
-// part of its disk must not take part.
+// An empty folder, or one whose file is empty or was never initialized, is rejected with ErrEmpty unless the caller
+// states that this is the first start. A truncated file is an error, see package boltfile. A gap between the snapshot
+// and the entries, another owner, or an unreadable file is an error as well: a server that lost part of its disk must
+// not take part in Raft.
 //
 // # Ownership
 //
-// A Store is its owner's, one goroutine, except for the methods of raft.Storage, which lock. The file is locked
-// against other processes.
+// A Store must be used by a single goroutine, except for the methods of raft.Storage, which are safe for concurrent
+// use. The file is locked against other processes.
 package store
--- a/internal/control/replicatedlog/store/load.go
+++ b/internal/control/replicatedlog/store/load.go
@@ -9,24 +9,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// All servers of a new log begin with the same empty snapshot, at this index and term of raft's. By it they agree on
-// the members without a first entry.
+// All servers of a new log start with the same empty snapshot, at this Raft index and term. It lets them agree on the
+// members without a first entry.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// ownerFormatVersion stands before the owner's id and label.
+// ownerFormatVersion is written before the owner's id and label.
 const ownerFormatVersion = 1
 
-// contents is what the file has.
+// contents is the Raft data read from the file.
 type contents struct {
 	hard     pb.HardState
 	snapshot pb.Snapshot
-	entries  []*pb.Entry // after the snapshot
+	entries  []*pb.Entry // entries after the snapshot
 }
 
-// load takes what the file has into memory.
+// load copies the contents of the file into memory.
 func (s *Store) load(c *contents) error {
 	s.snapshotIndex = c.snapshot.GetMetadata().GetIndex()
 	s.prevSnapshotIndex = s.snapshotIndex
@@ -38,7 +38,7 @@
 		}
 		s.bytesSinceSnapshot += len(entry.GetData())
 	}
-	if c.hard.GetCommit() < s.snapshotIndex { // it is not written each time; what is in a snapshot was committed
+	if c.hard.GetCommit() < s.snapshotIndex { // not written each time; a snapshot holds only committed entries
 		c.hard.Commit = proto.Uint64(s.snapshotIndex)
 	}
 	if err := s.MemoryStorage.ApplySnapshot(&c.snapshot); err != nil {
@@ -50,27 +50,27 @@
 	return s.MemoryStorage.Append(c.entries)
 }
 
-// ownerText is how an owner stands in the file.
+// ownerText returns the form of an owner in the file.
 func ownerText(owner Owner) []byte {
 	return fmt.Appendf(nil, "%d %d %s", ownerFormatVersion, owner.ID, owner.Label)
 }
 
-// isInitialized says whether the file has an owner, which initialize writes with all else.
+// isInitialized reports whether the file has an owner, which initialize writes in the same transaction as the rest.
 func isInitialized(tx *bbolt.Tx) bool {
 	meta := tx.Bucket(bucketMeta)
 	return meta != nil && meta.Get(keyOwner) != nil
 }
 
-// checkOwner checks the owner of a file that is initialized.
+// checkOwner returns an error if an initialized file belongs to another owner.
 func checkOwner(tx *bbolt.Tx, owner Owner) error {
 	own := ownerText(owner)
 	if found := tx.Bucket(bucketMeta).Get(keyOwner); !bytes.Equal(found, own) {
-		return fmt.Errorf("it is of %q, this machine is %q", found, own)
+		return fmt.Errorf("file belongs to %q, this machine is %q", found, own)
 	}
 	return nil
 }
 
-// initialize writes what a new log begins with into a file without an owner.
+// initialize writes the initial state of a new log into a file without an owner.
 func initialize(tx *bbolt.Tx, owner Owner, members *pb.ConfState) error {
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return meta.Put(keyOwner, ownerText(owner))
 }
 
-// read reads everything that raft needs after a restart.
+// read reads the data that Raft needs after a restart.
 func (c *contents) read(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	if err := proto.Unmarshal(meta.Get(keyHardState), &c.hard); err != nil {
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -19,38 +19,38 @@
 // The file's buckets and keys.
 var (
 	bucketMeta    = []byte("meta")
-	bucketEntries = []byte("entries") // raft's entries, by index in eight bytes, big endian
+	bucketEntries = []byte("entries") // Raft entries; the key is the index as eight bytes, big endian
 	keyOwner      = []byte("owner")
 	keyHardState  = []byte("hard")
 	keySnapshot   = []byte("snapshot")
 )
 
-// ErrEmpty says that a voter's folder is empty and was not said to be new. A voter that forgot its vote could elect a
-// second leader.
-var ErrEmpty = errors.New("the data folder is empty: a voter that lost its disk is not started by itself; " +
-	"--new says that it is the first start")
+// ErrEmpty reports that the data folder is empty although this is not the first start. A voter that lost its vote could
+// elect a second leader.
+var ErrEmpty = errors.New("data folder is empty: a voter that lost its disk is not started by itself; " +
+	"use --new on the first start")
 
-// Owner is the control server that a folder belongs to.
+// Owner identifies the control server that a data folder belongs to.
 type Owner struct {
 	ID    uint64
-	Label string // of the fleet
+	Label string // label of the fleet
 }
 
-// Store is one control server's log on disk and in memory.
+// Store is the Raft log of one control server, on disk and in memory.
 type Store struct {
 	*raft.MemoryStorage
 	db *bbolt.DB
-	// OnPersisted is called by Save with entries that are on disk now. The invariant checker of tests sets it; nil for
-	// nobody.
+	// OnPersisted, if not nil, is called by Save with the entries that are now on disk. The invariant checker of
+	// tests sets it.
 	OnPersisted        func([]*pb.Entry)
-	bytesSinceSnapshot int    // of entries since the last snapshot
-	snapshotIndex      uint64 // raft's index of the last snapshot
-	prevSnapshotIndex  uint64 // and of the one before it: memory keeps the entries from there on
+	bytesSinceSnapshot int    // size of the entries since the last snapshot
+	snapshotIndex      uint64 // Raft index of the last snapshot
+	prevSnapshotIndex  uint64 // Raft index of the snapshot before it; memory keeps the entries after this one
 }
 
-// Open opens the store of a folder, which is made if it is missing. An empty one is initialized with these members if
-// firstStart is set, else refused with ErrEmpty. It is an error if the folder belongs to another server, is in use, or
-// cannot be read.
+// Open opens the store of a folder and creates the folder if it is missing. An empty folder is initialized with the
+// given members if firstStart is set, and is otherwise rejected with ErrEmpty. Open returns an error if the folder
+// belongs to another server, is in use, or cannot be read.
 func Open(dir string, owner Owner, voters, learners []uint64, firstStart bool) (*Store, error) {
 	s := &Store{MemoryStorage: raft.NewMemoryStorage()}
 	first := func(tx *bbolt.Tx) error {
@@ -58,7 +58,7 @@
 	}
 	var kept contents
 	load := func(tx *bbolt.Tx) error {
-		if !isInitialized(tx) { // a crash cut its making short, by a version that did not make it as a whole
+		if !isInitialized(tx) { // left by a crash of an older version, which did not create it atomically
 			if !firstStart {
 				return ErrEmpty
 			}
@@ -88,11 +88,11 @@
 	return s, nil
 }
 
-// Save makes what raft wants kept durable, in one transaction with one fsync; any of the three may be nil or empty. A
-// change of the commit index alone is kept in memory only, see the package comment. After an error the store must not
-// be used on.
+// Save writes a hard state, entries and a snapshot of Raft to disk, in one transaction with one fsync; each may be nil
+// or empty. A change of the commit index alone is kept in memory only, see the package comment. After an error the
+// store must not be used any more.
 func (s *Store) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
-	before, _, _ := s.InitialState() // of memory, never fails
+	before, _, _ := s.InitialState() // reads memory and never fails
 	voted := hard != nil && (hard.GetTerm() != before.GetTerm() || hard.GetVote() != before.GetVote())
 	received := snapshot != nil && snapshot.GetMetadata().GetIndex() > 0
 	if !received {
@@ -105,7 +105,7 @@
 		}
 		err := s.db.Update(func(tx *bbolt.Tx) error { return writeReady(tx, durable, entries, snapshot) })
 		if err != nil {
-			return fmt.Errorf("the log cannot be kept: %w", err)
+			return fmt.Errorf("write raft log: %w", err)
 		}
 	}
 	if err := s.saveInMemory(hard, entries, snapshot); err != nil {
@@ -128,7 +128,7 @@
 		if err := putMessage(meta, keySnapshot, snapshot); err != nil {
 			return err
 		}
-		if err := deleteEntries(kept, 0, 0); err != nil { // they are in the snapshot, or were never committed
+		if err := deleteEntries(kept, 0, 0); err != nil { // the snapshot covers them, or they were never committed
 			return err
 		}
 	}
@@ -138,14 +138,14 @@
 		}
 	}
 	if n := len(entries); n > 0 {
-		// A new leader's entries replace those of an earlier one that were never committed. Entries of the earlier
-		// one behind them would come back after a restart, as if the new leader had sent them.
+		// A new leader's entries replace uncommitted entries of an earlier leader. Later entries of the earlier leader
+		// would otherwise reappear after a restart, as if the new leader had sent them.
 		return deleteEntries(kept, entries[n-1].GetIndex()+1, 0)
 	}
 	return nil
 }
 
-// saveInMemory does the same for what raft reads.
+// saveInMemory applies the same changes to the copy in memory, which Raft reads.
 func (s *Store) saveInMemory(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if snapshot != nil {
 		if err := s.MemoryStorage.ApplySnapshot(snapshot); err != nil {
@@ -166,15 +166,15 @@
 	return s.MemoryStorage.Append(entries)
 }
 
-// SizeSinceSnapshot is how many entries up to an index of raft's, and bytes of all entries, came after the last
+// SizeSinceSnapshot returns the number of entries up to a Raft index, and the size of all entries, since the last
 // snapshot.
 func (s *Store) SizeSinceSnapshot(applied uint64) (entries uint64, bytes int) {
 	return applied - min(applied, s.snapshotIndex), s.bytesSinceSnapshot
 }
 
-// Compact makes a snapshot of the state at an index of raft's durable and deletes the entries up to there from the
-// disk. Memory keeps those since the snapshot before it, so that a server which is a little behind gets entries
-// rather than the whole snapshot.
+// Compact writes a snapshot of the state at a Raft index to disk, and deletes the entries up to that index from the
+// disk. Memory keeps the entries since the previous snapshot, so that a server which is slightly behind gets entries
+// instead of the whole snapshot.
 func (s *Store) Compact(applied uint64, state []byte) error {
 	snapshot, err := s.MemoryStorage.CreateSnapshot(applied, nil, state)
 	if err != nil {
@@ -196,7 +196,7 @@
 		return deleteEntries(tx.Bucket(bucketEntries), 0, applied)
 	})
 	if err != nil {
-		return fmt.Errorf("the log cannot be shortened: %w", err)
+		return fmt.Errorf("compact raft log: %w", err)
 	}
 	unneeded := s.prevSnapshotIndex
 	s.prevSnapshotIndex = s.snapshotIndex
@@ -221,9 +221,9 @@
 	return bucket.Put(key, encoded)
 }
 
-// deleteEntries deletes the entries from one index up to another; 0 for all that follow.
+// deleteEntries deletes the entries from one index through another; an upTo of 0 deletes all that follow.
 func deleteEntries(bucket *bbolt.Bucket, from, upTo uint64) error {
-	var keys [][]byte // a cursor must not be used on after a delete
+	var keys [][]byte // a cursor must not be used after a delete
 	cursor := bucket.Cursor()
 	for key, _ := cursor.Seek(entryKey(from)); key != nil; key, _ = cursor.Next() {
 		if upTo != 0 && binary.BigEndian.Uint64(key) > upTo {
