--- a/internal/control/purge/doc.go
+++ b/internal/control/purge/doc.go
@@ -9,10 +9,10 @@
 // until it expires. A single delete cannot prevent that, since it has no effect on a fill under way. Each key is
 // therefore deleted twice:
 //
-//   - QuickDelete is sent as soon as the purge is known. It stops the old value from being served to almost all readers,
+//   - QuickDelete is sent as soon as the purge is known. It stops almost all readers from being served the old value,
 //     but does not make the purge done;
 //   - ConfirmingDelete is sent once Config.LongestFill has passed since the purge was known. Every fill that could have
-//     read the old value has stored it by then, so this delete removes it, and later fills read the new value.
+//     read the old value has stored it by then, so this delete removes it; later fills read the new value.
 //
 // A purge is done at a cache when the cache has answered the ConfirmingDelete. The Cursor is the index up
 // to which all purges are done.
--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -13,11 +13,11 @@
 
 const (
 	dialTimeout    = 1500 * time.Millisecond
-	writeTimeout   = 2 * time.Second // for commands to be taken
-	maxWriteBytes  = 16 << 10        // of commands at once
-	readBytes      = 4 << 10         // of answers at once
-	maxAnswerBytes = 8 << 10         // of an answer that has not arrived whole: none is that long
-	idleInterval   = time.Minute     // between two looks at what is due, where nothing says when
+	writeTimeout   = 2 * time.Second // for a write of commands
+	maxWriteBytes  = 16 << 10        // of commands in one write
+	readBytes      = 4 << 10         // of answers in one read
+	maxAnswerBytes = 8 << 10         // of an incomplete answer; no valid answer is as long
+	idleInterval   = time.Minute     // between checks for due commands, if no time is known
 )
 
 var (
@@ -26,21 +26,21 @@
 	errBadAnswer     = errors.New("an answer that is none to what was sent")
 )
 
-// cache is a cache and its connection. All fields are under the Purger's lock, but for what is set once.
+// cache is a cache and its connection. The Purger's lock guards all fields that change.
 type cache struct {
 	*purge.Cache
 	purger     *Purger
 	id         purge.CacheID
 	addr       string
-	stop       chan struct{} // nil while it is not in the list; closed when it leaves the list, or moves
+	stop       chan struct{} // nil while not in the list; closed when the cache leaves the list, moves or restarts
 	random     keyhash.Source
-	answered   chan struct{} // holds a value when an answer has arrived
+	answered   chan struct{} // signaled when answers have arrived
 	answeredAt monotime.Instant
-	reason     string       // why the last connection ended; empty once something was answered
-	saved      purge.Cursor // as on disk
+	reason     string       // why the last connection ended; empty after an answer
+	saved      purge.Cursor // the cursor on disk
 }
 
-// update does something by which the cursor may change, and reports it. The lock is held.
+// update calls change, and reports the cursor if it changed. The caller must hold the lock.
 func (c *cache) update(change func()) {
 	before := c.Cursor()
 	change()
@@ -49,7 +49,7 @@
 	}
 }
 
-// run keeps a connection to an address while there is something to do, until stop is closed.
+// run keeps a connection to addr open while there is something to do, until stop is closed.
 func (c *cache) run(addr string, stop chan struct{}) {
 	p := c.purger
 	for {
@@ -57,7 +57,7 @@
 		changed := p.changed
 		idle := c.Idle(p.Log, &p.arrivals)
 		p.mu.Unlock()
-		if idle { // the cache may close its side meanwhile
+		if idle { // without a connection, since the cache may close an idle one
 			select {
 			case <-changed:
 				continue
@@ -82,8 +82,8 @@
 	}
 }
 
-// disconnected notes that a connection ended, and returns the delay until the next one. It is not current any more
-// where another run has taken the place of the one with this stop.
+// disconnected records that a connection ended, and returns the delay until the next one. current is false if the run
+// with this stop channel has ended or was replaced by another one.
 func (c *cache) disconnected(stop chan struct{}, err error) (delay time.Duration, current bool) {
 	c.purger.mu.Lock()
 	defer c.purger.mu.Unlock()
@@ -94,10 +94,10 @@
 	return c.OnDisconnect(c.purger.Now(), c.random.Float64()), true
 }
 
-// serve sends commands over a connection until it breaks, and returns why.
+// serve sends commands over a connection until it fails, and returns the reason.
 func (c *cache) serve(conn net.Conn, stop chan struct{}) error {
 	broken := make(chan error, 1)
-	c.purger.goroutines.Go(func() { broken <- c.readAnswers(conn, stop) }) // it ends when run closes the connection
+	c.purger.goroutines.Go(func() { broken <- c.readAnswers(conn, stop) }) // ends when run closes the connection
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	for {
@@ -125,15 +125,15 @@
 	}
 }
 
-// dueCommands are encoded commands that are due; where there are none, how long to wait for one, or for more entries.
+// dueCommands holds the encoded commands that are due, or else how long to wait for one and what signals new entries.
 type dueCommands struct {
 	commands []byte
 	wait     time.Duration
 	changed  <-chan struct{}
 }
 
-// collectDue returns the commands that are due. It is an error if an answer is overdue, or the cache is no longer
-// listed.
+// collectDue returns the commands that are due. It returns an error if an answer is overdue, or if the cache is no
+// longer listed.
 func (c *cache) collectDue(stop chan struct{}) (dueCommands, error) {
 	p := c.purger
 	p.mu.Lock()
@@ -166,8 +166,8 @@
 	return due, nil
 }
 
-// readAnswers reads answers until the connection breaks, and returns why. Each has to be the one to the command that
-// is due: anything else could make a purge count as done that is not.
+// readAnswers reads answers until the connection fails, and returns the reason. Each answer must match the command that
+// is next in order; accepting any other could count a purge as done that is not.
 func (c *cache) readAnswers(conn net.Conn, stop chan struct{}) error {
 	buffer := make([]byte, readBytes)
 	var unread []byte
@@ -200,7 +200,7 @@
 	}
 }
 
-// handleAnswer takes the answer to a flush, or to the delete with an id; false where another one is due.
+// handleAnswer handles the answer to a flush, or to the delete with an id. It returns false if another answer is due.
 func (c *cache) handleAnswer(stop chan struct{}, id uint64, flushed bool) bool {
 	p := c.purger
 	p.mu.Lock()
--- a/internal/control/purger/cursorstore.go
+++ b/internal/control/purger/cursorstore.go
@@ -13,17 +13,17 @@
 
 const (
 	fileName      = "purges.bbolt"
-	cursorVersion = 1  // of the cursors' format
-	cursorBytes   = 33 // a version, then four numbers of eight bytes, see encodeCursor
+	cursorVersion = 1  // version of the cursor format
+	cursorBytes   = 33 // a version byte and four numbers of eight bytes, see encodeCursor
 )
 
-var bucketCursors = []byte("cursors") // by the cache's name
+var bucketCursors = []byte("cursors") // keyed by the cache's name
 
-// cursorStore keeps cursors on disk.
+// cursorStore stores cursors on disk.
 type cursorStore struct{ db *bbolt.DB }
 
-// openCursorStore opens the file of a folder and returns the cursors in it. One that cannot be read is skipped: the
-// cache is a new one then.
+// openCursorStore opens the file in a folder and returns its cursors. Unreadable cursors are skipped, and their caches
+// are treated as new ones.
 func openCursorStore(dir string) (*cursorStore, map[purge.CacheID]purge.Cursor, error) {
 	cursors := map[purge.CacheID]purge.Cursor{}
 	load := func(tx *bbolt.Tx) error {
@@ -67,8 +67,8 @@
 	}, true
 }
 
-// put writes cursors and deletes those of caches that are not among all. They are durable when it returns without an
-// error.
+// put writes the changed cursors and deletes those of caches that are not in all. The changes are durable when it
+// returns without an error.
 func (s *cursorStore) put(changed map[purge.CacheID]purge.Cursor, all []purge.CacheID) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(bucketCursors)
@@ -81,7 +81,7 @@
 		for _, id := range all {
 			known[string(id)] = true
 		}
-		var forgotten [][]byte // a bucket must not be changed while it is read
+		var forgotten [][]byte // a bucket must not be changed during ForEach
 		_ = bucket.ForEach(func(id, _ []byte) error {
 			if !known[string(id)] {
 				forgotten = append(forgotten, append([]byte(nil), id...))
--- a/internal/control/purger/doc.go
+++ b/internal/control/purger/doc.go
@@ -1,21 +1,20 @@
-// Package purger carries the purges of the replicated log out at all caches, from one control server: it has a
-// connection to each cache, the list of caches, and its cursors on disk. Which command is due, and what counts as
-// done, package purge decides.
+// Package purger carries out the purges of the replicated log at all caches, from one control server. It keeps a
+// connection to each cache, the list of caches, and the cursors on disk. Package purge decides which command is due and
+// what counts as done.
 //
-// Every control server does this by itself, at every cache. They tell each other how far they are (Progress,
-// MergeProgress), so that one which was away does not repeat what others have done; that is all that they need of
-// each other.
+// Every control server purges every cache independently of the others. Servers only exchange their progress (Progress,
+// MergeProgress), so that a server which was down does not repeat what others have done.
 //
 // # Goroutines and state
 //
-// One lock guards everything in a Purger: the list, the arrival times and each cache's purge.Cache. Open starts one
-// goroutine that notes new entries, one that saves cursors, and one that polls discovery for the list, where the
-// settings name it. Each cache in the list has one that keeps its connection and writes commands, and while it is
-// connected one more that reads answers. Close ends them and waits.
+// One lock guards the state of a Purger: the list, the arrival times and each cache's purge.Cache. Open starts one
+// goroutine that records new entries, one that saves cursors, and one that polls discovery for the list, if the
+// settings name a discovery address. Each cache in the list has a goroutine that keeps its connection and writes
+// commands and, while connected, another one that reads answers. Close stops all of them and waits.
 //
 // # What survives kill -9
 //
-// Cursors are written to disk, with fsync, each second in which they moved. They lag and never lead: what was done
-// after the last write is done once more after a restart, which is harmless. A cursor that cannot be read counts as
-// none, and the cache is treated as a new one.
+// Changed cursors are written to disk, with fsync, once a second. A cursor on disk may be behind but is never ahead:
+// purges done after the last write are repeated after a restart, which is harmless. An unreadable cursor is ignored,
+// and its cache is treated as a new one.
 package purger
--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -9,10 +9,10 @@
 	"dahliapin/policy"
 )
 
-// lifecycleRemoved is discovery's word for a cache that is removed.
+// lifecycleRemoved is the lifecycle value with which discovery marks a removed cache.
 const lifecycleRemoved = "terminated"
 
-// listedInstance is an entry of discovery's list, by its own names.
+// listedInstance is an entry of discovery's list, with discovery's field names.
 type listedInstance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -21,7 +21,7 @@
 	Started   float64 `json:"startedAtMs"`
 }
 
-// listedCache is a cache as the list has it.
+// listedCache is a cache as described by the list.
 type listedCache struct {
 	id      purge.CacheID
 	addr    string
@@ -29,8 +29,7 @@
 	removed bool
 }
 
-// cache returns the entry as a cache; false where it cannot be read. The address of one that is removed does not
-// matter.
+// cache converts the entry to a cache; false if the entry is invalid. The address of a removed cache is not checked.
 func (i listedInstance) cache() (listedCache, bool) {
 	removed := i.Lifecycle == lifecycleRemoved
 	_, err := netip.ParseAddrPort(i.Addr)
@@ -45,8 +44,8 @@
 	}, true
 }
 
-// applyList takes a list, or what has changed in it, that was asked for at a time. A cache that a complete list does
-// not name has left, unless some entry cannot be read: that one may be any cache, so all stay.
+// applyList applies a list, or the changes to it, requested at a given time. A cache that is missing from a complete
+// list has left, unless some entry is invalid: that entry may be any cache, so all caches stay.
 func (p *Purger) applyList(instances []listedInstance, kind policy.UpdateKind, at monotime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,14 +74,15 @@
 		case c.stop == nil || named[id] || unreadable:
 		case complete:
 			p.unlist(c)
-		default: // it is as it was, and that is news of this time
+		default: // unchanged, and confirmed as of this time
 			p.setListed(listedCache{id: id, addr: c.addr, started: c.Cursor().Started}, at)
 		}
 	}
 	p.hasList = true
 }
 
-// setListed takes what the list said of a cache at a time, and starts or ends its connection. The lock is held.
+// setListed applies what the list says about a cache as of a time, and starts or ends its connection. The caller must
+// hold the lock.
 func (p *Purger) setListed(listed listedCache, at monotime.Instant) {
 	c := p.cacheOf(listed.id, purge.Cursor{})
 	if c == nil {
@@ -108,7 +108,7 @@
 	p.goroutines.Go(func() { c.run(listed.addr, stop) })
 }
 
-// unlist ends the connection to a cache; its cursor stays. The lock is held.
+// unlist ends the connection to a cache and keeps its cursor. The caller must hold the lock.
 func (p *Purger) unlist(c *cache) {
 	if c.stop == nil {
 		return
--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -19,18 +19,18 @@
 )
 
 var (
-	errBusy        = errors.New("discovery says that it has too much to do")
-	errInvalidList = errors.New("discovery's answer is no list")
+	errBusy        = errors.New("discovery refused the request: it is overloaded")
+	errInvalidList = errors.New("discovery returned an invalid list of caches")
 )
 
-// listAnswer is discovery's answer, by its own names.
+// listAnswer is discovery's answer, with discovery's field names.
 type listAnswer struct {
 	Generation *int              `json:"generation"`
 	Reset      bool              `json:"reset"`
 	Instances  *[]listedInstance `json:"instances"`
 }
 
-// listPoller polls discovery for the list of caches, by the same rules as nodes do.
+// listPoller polls discovery for the list of caches, by the same rules as nodes.
 type listPoller struct {
 	purger *Purger
 	client *http.Client
@@ -67,7 +67,7 @@
 	}
 }
 
-// poll polls once, takes the list, and returns the delay until the next poll.
+// poll polls once, applies the list, and returns the delay until the next poll.
 func (l *listPoller) poll(ctx context.Context) time.Duration {
 	request := l.poller.NextPoll()
 	began := time.Now()
@@ -79,7 +79,7 @@
 	if err == nil {
 		kind, recovered := l.poller.OnUpdate(*answer.Generation, answer.Reset)
 		if recovered {
-			l.purger.Logger.Info("the list of caches is had again")
+			l.purger.Logger.Info("discovery: the list of caches is available again")
 		}
 		l.purger.applyList(*answer.Instances, kind, at)
 		return 0
@@ -93,13 +93,12 @@
 	}
 	delay, first := l.poller.OnFailure(failure, time.Since(began), l.random.Float64())
 	if first {
-		l.purger.Logger.WithError(err).Warn("the list of caches cannot be had; the last one stays")
+		l.purger.Logger.WithError(err).Warn("discovery: polling the list of caches failed; keeping the last list and retrying")
 	}
 	return delay
 }
 
-// get asks discovery for the list, or for what has changed in it. It returns errBusy or errNotList, or the network's
-// error.
+// get requests the list, or the changes to it, from discovery. It returns errBusy, errInvalidList or a network error.
 func (l *listPoller) get(ctx context.Context, poll discovery.Poll) (listAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, poll.Timeout)
 	defer cancel()
@@ -129,7 +128,7 @@
 	return listAnswer{}, errInvalidList
 }
 
-// decodeList decodes an answer and checks that it is complete and within the bounds.
+// decodeList decodes an answer and checks that it has all fields and is within the bounds.
 func decodeList(body []byte) (listAnswer, error) {
 	var answer listAnswer
 	if len(body) > maxListBytes || json.Unmarshal(body, &answer) != nil {
--- a/internal/control/purger/progress.go
+++ b/internal/control/purger/progress.go
@@ -14,7 +14,7 @@
 // overdueTolerance is how long a purge may take beyond the longest fill before it is reported as overdue.
 const overdueTolerance = 2 * time.Second
 
-// Progress returns how far each cache in the list is, by name. listed is false until there is a list.
+// Progress returns the progress of each cache in the list, sorted by name. listed is false until there is a list.
 func (p *Purger) Progress() (all []purge.Progress, listed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +49,7 @@
 	return progress
 }
 
-// MergeProgress takes what another control server has done.
+// MergeProgress adopts the cursors reported by another control server where they are ahead.
 func (p *Purger) MergeProgress(reports []purge.Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -18,51 +18,52 @@
 )
 
 const (
-	maxListed      = 1024          // caches in a list: their reports fit into one frame between control servers
-	maxCursors     = 2 * maxListed // with those of caches that have left the list
+	maxListed      = 1024          // caches in a list; their reports fit into one frame between control servers
+	maxCursors     = 2 * maxListed // including those of caches that have left the list
 	maxIDBytes     = 100           // of a cache's name
-	maxReasonBytes = 200           // of why a cache cannot be reached
-	saveInterval   = time.Second   // between two writes of cursors to disk: so far they may lag
+	maxReasonBytes = 200           // of the reason why a connection ended
+	saveInterval   = time.Second   // between writes of cursors to disk, which may lag by as much
 )
 
-// Log is the replicated log as this control server has it.
+// Log is this control server's copy of the replicated log.
 type Log interface {
 	purge.Log
-	// Changed is closed when there is more. Who waits for it takes it before it looks at the log.
+	// Changed returns a channel that is closed when there are new entries. To miss none, a caller must get the channel
+	// before it reads the log.
 	Changed() <-chan struct{}
 }
 
-// Config is what a Purger is started with.
+// Config configures a Purger.
 type Config struct {
-	Settings    *fleetconfig.Purges // the settings
-	ServerCount int                 // control servers, which all poll discovery
+	Settings    *fleetconfig.Purges // settings of the fleet's file
+	ServerCount int                 // number of control servers, all of which poll discovery
 	Log         Log
-	Dir         string // for the cursors
-	Seed        uint32 // of the backoffs' jitter
+	Dir         string // folder of the cursor file
+	Seed        uint32 // seed of the backoff jitter
 	Logger      *logrus.Logger
-	Now         func() monotime.Instant                                   // of a clock that runs through suspends
+	Now         func() monotime.Instant                                   // clock that also advances during suspend
 	Dial        func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
-	// OnProgress is called, with the lock held, when a cursor has changed. The invariant checker of tests sets it; nil
-	// for nobody.
+	// OnProgress, if not nil, is called when a cursor has changed, with the lock held. The invariant checker of tests
+	// sets it.
 	OnProgress func(purge.CacheID, purge.Cursor)
 }
 
-// Purger carries purges out at all caches.
+// Purger carries out purges at all caches.
 type Purger struct {
 	Config
 	cursors    *cursorStore
 	closed     chan struct{} // closed by Close, under the lock
 	goroutines sync.WaitGroup
 
-	mu       sync.Mutex // of all that follows, and of what it refers to
+	mu       sync.Mutex // guards the fields below and what they refer to
 	arrivals purge.ArrivalTimes
 	limiter  purge.FlushLimiter
-	caches   map[purge.CacheID]*cache // listed ones, and those that have left the list; at most maxCursors
-	changed  chan struct{}            // closed when there are more entries, and replaced by another
+	caches   map[purge.CacheID]*cache // caches in the list and those that have left it; at most maxCursors
+	changed  chan struct{}            // closed and replaced when there are new entries
 	hasList  bool
 }
 
-// Open starts to carry purges out, from the cursors on disk on. It returns an error where these cannot be opened.
+// Open starts a Purger, which continues from the cursors on disk. It returns an error if their file cannot be opened.
 func Open(config Config) (*Purger, error) {
 	cursors, known, err := openCursorStore(config.Dir)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return p, nil
 }
 
-// Close ends it, after the cursors were saved.
+// Close saves the cursors and stops the Purger.
 func (p *Purger) Close() {
 	p.mu.Lock()
 	close(p.closed)
@@ -114,8 +115,8 @@
 	p.cursors.close()
 }
 
-// cacheOf returns a cache, after it was made with a cursor if it was not known; nil where there is no capacity for
-// one more. The lock is held.
+// cacheOf returns a cache, and creates it with the given cursor if it is not known. It returns nil if there is no
+// capacity for another one. The caller must hold the lock.
 func (p *Purger) cacheOf(id purge.CacheID, cursor purge.Cursor) *cache {
 	if c := p.caches[id]; c != nil {
 		return c
@@ -137,8 +138,8 @@
 	return c
 }
 
-// evictUnlisted removes a cache that is not in the list, the one whose cursor is furthest behind; false where all are
-// listed. The lock is held.
+// evictUnlisted removes the cache whose cursor is furthest behind among those that are not in the list. It returns
+// false if all are listed. The caller must hold the lock.
 func (p *Purger) evictUnlisted() bool {
 	var oldest *cache
 	for _, c := range p.caches {
@@ -156,12 +157,12 @@
 	return true
 }
 
-// furtherBehind orders caches by their cursors, and by name where these are the same.
+// furtherBehind reports whether c's cursor is behind that of other; ties are resolved by name.
 func (c *cache) furtherBehind(other *cache) bool {
 	return cmp.Or(cmp.Compare(c.Cursor().Done, other.Cursor().Done), cmp.Compare(c.id, other.id)) < 0
 }
 
-// followLog notes when there are more entries.
+// followLog records the arrival of new entries, and signals them, until the Purger is closed.
 func (p *Purger) followLog() {
 	for {
 		logChanged := p.Log.Changed()
@@ -178,13 +179,13 @@
 	}
 }
 
-// recordArrivals notes which entries there are. The lock is held.
+// recordArrivals records the arrival of the newest entry. The caller must hold the lock.
 func (p *Purger) recordArrivals() {
 	id, _, last := p.Log.Position()
 	p.arrivals.Record(p.Now(), id, last)
 }
 
-// saveCursors writes cursors that have changed to disk, now and then and at the end.
+// saveCursors writes changed cursors to disk every saveInterval, and once more when the Purger is closed.
 func (p *Purger) saveCursors() {
 	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
@@ -200,10 +201,11 @@
 			continue
 		}
 		err := p.cursors.put(changed, all)
-		// Logged once when it begins to fail, and once when it works again. What is not on disk is done once more.
+		// Logged once when saving begins to fail, and once, without an error, when it works again. Purges after the
+		// cursor on disk are repeated after a restart.
 		if (err != nil) != failed {
 			failed = err != nil
-			p.Logger.WithError(err).Warn("cursors of caches on disk")
+			p.Logger.WithError(err).Warn("purger: saving cache cursors began to fail or recovered; saving continues")
 		}
 		if err == nil {
 			p.markSaved(changed)
@@ -211,7 +213,7 @@
 	}
 }
 
-// unsavedCursors returns the cursors that are not on disk, and the names of all caches.
+// unsavedCursors returns the cursors that differ from those on disk, and the names of all caches.
 func (p *Purger) unsavedCursors() (changed map[purge.CacheID]purge.Cursor, all []purge.CacheID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,8 +236,8 @@
 	}
 }
 
-// DoneEverywhere is up to where purges are done at all caches in the list: entries after it are still needed. It is
-// false where there are none with a cursor in this log.
+// DoneEverywhere returns the index up to which purges are done at all caches in the list that have a cursor in this
+// log; entries after it are still needed. known is false if there is no such cache.
 func (p *Purger) DoneEverywhere() (least replicatedlog.Index, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
