--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -93,7 +93,7 @@
 	}
 	delay, first := l.poller.OnFailure(failure, time.Since(began), l.random.Float64())
 	if first {
-		l.purger.Logger.WithError(err).Warn("discovery: polling the list of caches failed; keeping the last list and retrying")
+		l.purger.Logger.WithError(err).Warn("discovery: polling the list of caches failed; keeping the last list")
 	}
 	return delay
 }
--- a/internal/control/replicatedlog/codec_test.go
+++ b/internal/control/replicatedlog/codec_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := New(DefaultBounds)
 			if err := p.Check(); !errors.Is(err, ErrProposal) {
-				t.Errorf("checked: %v", err)
+				t.Errorf("Check returned %v", err)
 			}
 			if indexes := s.Apply(Batch{Proposals: []Proposal{p}}); indexes[0] != 0 || s.Last() != 0 {
 				t.Errorf("indexes %v, last %d", indexes, s.Last())
@@ -65,7 +65,7 @@
 	}
 }
 
-// During an upgrade a later version may send fields that this one does not know.
+// During an upgrade, servers of a later version may send fields that this version does not know.
 func TestBatchesOfALaterVersionAreRead(t *testing.T) {
 	later, err := cbor.Marshal(map[int]any{0: 2, 1: []any{}, 2: 5, 77: "later"})
 	if err != nil {
@@ -88,7 +88,7 @@
 	big.Body = make([]byte, MaxConfigBytes)
 	for _, batch := range Batches(slices.Repeat([]Proposal{big}, 20)) {
 		if n := len(batch.Encode()); n > maxBatchBytes+1000 {
-			t.Errorf("a batch of %d bytes", n)
+			t.Errorf("batch of %d bytes", n)
 		}
 	}
 }
--- a/internal/control/replicatedlog/golden_test.go
+++ b/internal/control/replicatedlog/golden_test.go
@@ -8,6 +8,7 @@
 	"dahliapin/internal/golden"
 )
 
+// The encoding must not change, since other versions read the stored and sent bytes.
 func TestBatchesEntriesAndSnapshotsAreAsRecorded(t *testing.T) {
 	var got bytes.Buffer
 	proposals := []Proposal{
@@ -26,7 +27,7 @@
 		fmt.Fprintf(&got, "batch %x\n", encoded)
 		back, err := DecodeBatch(encoded)
 		if err != nil || !bytes.Equal(back.Encode(), encoded) {
-			t.Fatalf("read as another batch: %v", err)
+			t.Fatalf("batch changed by decoding and encoding: %v", err)
 		}
 		fmt.Fprintln(&got, "applied", s.Apply(b), s.Last(), s.Floor(), s.Config(), uint64(s.ID()))
 	}
@@ -37,7 +38,7 @@
 	fmt.Fprintf(&got, "snapshot %x\n", snapshot)
 	restored, err := Restore(snapshot, DefaultBounds)
 	if err != nil || !bytes.Equal(restored.Snapshot(), snapshot) {
-		t.Fatalf("restored as another state: %v", err)
+		t.Fatalf("state changed by a snapshot and restore: %v", err)
 	}
 	golden.Check(t, "log.txt", got.Bytes())
 }
--- a/internal/control/replicatedlog/helpers_test.go
+++ b/internal/control/replicatedlog/helpers_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// purge is a proposal of a purge, with an id of its number.
+// purge returns a proposal of a purge, with an id derived from its number.
 func purge(n int) Proposal {
 	p := Proposal{Kind: Purge, Body: fmt.Appendf(nil, "key-%d", n)}
 	p.ID[0] = 1
@@ -17,7 +17,7 @@
 	return p
 }
 
-// config is a proposal of a configuration, with an id of its number.
+// config returns a proposal of a configuration, with an id derived from its number.
 func config(n int) Proposal {
 	p := purge(n)
 	p.Kind = Config
@@ -25,7 +25,7 @@
 	return p
 }
 
-// encodedPurges are entries of purges with these indexes.
+// encodedPurges returns encoded purge entries with these indexes.
 func encodedPurges(t *testing.T, from, upTo Index) []cbor.RawMessage {
 	t.Helper()
 	var encoded []cbor.RawMessage
@@ -35,13 +35,13 @@
 	return encoded
 }
 
-// recordingHandler records what an Applier calls.
+// recordingHandler records the calls of an Applier.
 type recordingHandler struct {
 	bodies   []string // of purges and configurations, in order
-	indexes  []Index  // of them
+	indexes  []Index  // of the bodies
 	config   string   // in force
 	presumed Index
-	refuse   string // a configuration that it refuses
+	refuse   string // the configuration to reject; empty for none
 }
 
 func (h *recordingHandler) PresumePurged(upTo Index) { h.presumed = upTo }
@@ -51,7 +51,7 @@
 func (h *recordingHandler) Configure(at Index, text []byte) error {
 	h.record(at, string(text))
 	if h.refuse != "" && string(text) == h.refuse {
-		return errors.New("it can't be used")
+		return errors.New("unusable configuration")
 	}
 	h.config = string(text)
 	return nil
--- a/internal/control/replicatedlog/state_test.go
+++ b/internal/control/replicatedlog/state_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// modelFollower is a node that follows a State, checked against the bodies that were ordered.
+// modelFollower is a node that applies the entries of a State and checks them against the ordered bodies.
 type modelFollower struct {
 	applier *Applier
 	handler *recordingHandler
-	applied Index // what the test expects
+	applied Index // expected index
 }
 
 func newModelFollower() *modelFollower {
@@ -20,7 +20,7 @@
 	return &modelFollower{applier: NewApplier(handler), handler: handler}
 }
 
-// follow takes the next entries, or a starting point where there are none for it. ordered are the bodies of all
+// follow applies the next entries, or a starting point if they are no longer kept. ordered has the bodies of all
 // entries, from index 1.
 func (f *modelFollower) follow(t *rapid.T, s *State, ordered []string) {
 	encoded, _, kept := s.EntriesAfter(f.applier.Applied, rapid.IntRange(0, 200).Draw(t, "frame"))
@@ -35,12 +35,12 @@
 	for i, at := range f.handler.indexes {
 		f.applied++
 		if at != f.applied || f.handler.bodies[i] != ordered[at-1] {
-			t.Fatalf("applied %d %q, wanted %d %q", at, f.handler.bodies[i], f.applied, ordered[f.applied-1])
+			t.Fatalf("applied entry %d %q, want %d %q", at, f.handler.bodies[i], f.applied, ordered[f.applied-1])
 		}
 	}
 }
 
-// start starts anew, and checks that the configuration which is in force at the starting point was taken.
+// start applies a starting point, and checks that the configuration in force there was applied.
 func (f *modelFollower) start(t *rapid.T, s *State, ordered []string) {
 	at, base := s.StartingPoint(!f.applier.Started)
 	if err := f.applier.Start(0, at, base); err != nil {
@@ -54,7 +54,7 @@
 		}
 	}
 	if f.handler.config != inForce || f.handler.presumed != at {
-		t.Fatalf("starts at %d with %q, presumed %d; in force there: %q",
+		t.Fatalf("started at %d with config %q, presumed %d; want config %q",
 			at, f.handler.config, f.handler.presumed, inForce)
 	}
 }
@@ -74,10 +74,9 @@
 	return batch
 }
 
-// Two control servers apply the same batches, with proposals that are made again and trims. One of them is restored
-// from its snapshot now and then, and a node follows now and then. Both have the same log, each change is in it once,
-// and the node sees each entry after its start once and in order, and starts with the configuration that is in force
-// there.
+// Two control servers apply the same batches, with retried proposals and trims. One is sometimes restored from its
+// snapshot, and a node sometimes applies entries. Both servers must have the same log with each change once. The node
+// must start with the configuration in force there and see each later entry once and in order.
 func TestServersAgreeAndNodesSeeEachEntryOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{
@@ -96,19 +95,19 @@
 			}
 			indexes := steady.Apply(batch)
 			if other := restored.Apply(batch); !slices.Equal(indexes, other) {
-				t.Fatalf("%v and %v", indexes, other)
+				t.Fatalf("servers returned indexes %v and %v", indexes, other)
 			}
 			for i, p := range batch.Proposals {
-				known, is := first[p.ID]
-				if is && indexes[i] != known {
-					t.Fatalf("proposed again, %d became %d", known, indexes[i])
+				known, ok := first[p.ID]
+				if ok && indexes[i] != known {
+					t.Fatalf("index %d of a retried proposal became %d", known, indexes[i])
 				}
-				if is {
+				if ok {
 					continue
 				}
 				ordered = append(ordered, string(p.Body))
 				if indexes[i] != Index(len(ordered)) {
-					t.Fatalf("index %d, wanted %d", indexes[i], len(ordered))
+					t.Fatalf("index %d, want %d", indexes[i], len(ordered))
 				}
 				first[p.ID] = indexes[i]
 			}
@@ -129,11 +128,11 @@
 func checkBounds(t *rapid.T, s *State) {
 	bytes := s.Bytes(s.floor, s.last)
 	if len(s.tail) > s.bounds.Entries || bytes > uint64(s.bounds.Bytes) && len(s.tail) > 1 {
-		t.Fatalf("%d entries, %d bytes are kept", len(s.tail), bytes)
+		t.Fatalf("%d entries and %d bytes are kept, beyond the bounds", len(s.tail), bytes)
 	}
 }
 
-// restoreLike restores a state from its snapshot, which has to be the same as another state's.
+// restoreLike restores a state from its snapshot, which must equal the snapshot of another state.
 func restoreLike(t *rapid.T, s, other *State) *State {
 	snapshot := s.Snapshot()
 	restored, err := Restore(snapshot, s.bounds)
@@ -141,13 +140,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(snapshot, restored.Snapshot()) || !bytes.Equal(snapshot, other.Snapshot()) {
-		t.Fatal("a snapshot is not what it was taken of")
+		t.Fatal("snapshots of equal states differ")
 	}
 	return restored
 }
 
-// Two leaders in a row may both have proposed an id for a new log. The first that is committed holds, also through a
-// snapshot.
+// Two successive leaders may both propose an id for a new log. The id committed first must win and survive a snapshot.
 func TestStateKeepsFirstLogID(t *testing.T) {
 	s := New(DefaultBounds)
 	for _, id := range []LogID{0, 5, 6, 0} {
@@ -162,12 +160,12 @@
 		t.Fatal(err)
 	}
 	if s.ID() != 5 || restored.ID() != 5 {
-		t.Errorf("ids %d and, restored, %d", s.ID(), restored.ID())
+		t.Errorf("log id %d, restored %d; want 5", s.ID(), restored.ID())
 	}
 }
 
-// A client proposes again what it got no answer for. As long as the id is among the last DedupWindow it gets the
-// index that it has; older ids are forgotten, so that the memory for them is bounded.
+// A client retries a proposal that got no answer. It keeps its index while its id is among the last DedupWindow ids.
+// Older ids are dropped to bound memory.
 func TestDedupWindowHoldsLastIDs(t *testing.T) {
 	s := New(Bounds{Entries: 10, Bytes: 1 << 20})
 	one := purge(1)
@@ -178,17 +176,17 @@
 		s.Apply(Batch{Proposals: []Proposal{p}})
 	}
 	if indexes := s.Apply(Batch{Proposals: []Proposal{one}}); indexes[0] != 1 || s.repeated != 1 {
-		t.Errorf("among the last %d: %v, %d repeated", DedupWindow, indexes, s.repeated)
+		t.Errorf("within the window of %d: indexes %v, %d repeated", DedupWindow, indexes, s.repeated)
 	}
 	s.Apply(Batch{Proposals: []Proposal{purge(3)}})
 	if len(s.indexes) != DedupWindow || len(s.recentIDs) != DedupWindow {
-		t.Errorf("%d ids, %d in a row", len(s.indexes), len(s.recentIDs))
+		t.Errorf("%d ids are indexed, %d recent ids are kept", len(s.indexes), len(s.recentIDs))
 	}
 	restored, err := Restore(s.Snapshot(), s.bounds)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(restored.indexes) != DedupWindow || restored.indexes[p.ID] != s.last-1 {
-		t.Errorf("restored: %d ids, the last but one at %d", len(restored.indexes), restored.indexes[p.ID])
+		t.Errorf("restored: %d ids, the last but one has index %d", len(restored.indexes), restored.indexes[p.ID])
 	}
 }
--- a/internal/control/replicatedlog/store/diskfault_test.go
+++ b/internal/control/replicatedlog/store/diskfault_test.go
@@ -16,7 +16,7 @@
 	"dahliapin/internal/emulator/diskfault"
 )
 
-// describe is everything of a store that a restart has to preserve.
+// describe returns a text of everything in a store that must survive a restart.
 func describe(s *Store) string {
 	hard, members, _ := s.InitialState()
 	snapshot, _ := s.Snapshot()
@@ -35,10 +35,10 @@
 	return text.String()
 }
 
-// storeRun writes to a store all that a control server may write, and ends with the first error.
+// storeRun performs every kind of write of a control server on a store, and stops at the first error.
 type storeRun struct {
 	dir          string
-	acknowledged func(state string) // called with the state after each call that returned without an error
+	acknowledged func(state string) // called with the state after each successful call
 }
 
 func (r *storeRun) run() error {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// acknowledgement is a state that was acknowledged after a number of calls.
+// acknowledgement is a state that was acknowledged after a number of disk calls.
 type acknowledgement struct {
 	calls int
 	state string
@@ -94,14 +94,14 @@
 	return &recording, acknowledged
 }
 
-// expectRecovered opens the store of a folder after a crash. It must have what was acknowledged last, or what was about
-// to be as a whole. Before the first acknowledgement it may also refuse to be started in any way but as new.
+// expectRecovered opens the store of a folder after a crash. It must have the last acknowledged state, or the complete
+// next one. Before the first acknowledgement it may also accept only a first start.
 func expectRecovered(t *testing.T, what, dir string, last int, states []acknowledgement) {
 	t.Helper()
 	s, err := Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, false)
 	if err != nil && last < 0 {
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than a line: %v", what, err)
+			t.Errorf("%s: error of several lines: %v", what, err)
 		}
 		s, err = Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, true)
 	}
@@ -117,12 +117,12 @@
 	if last+1 < len(states) && got == states[last+1].state {
 		return
 	}
-	t.Errorf("%s: after %d acknowledgements it has %s", what, last+1, got)
+	t.Errorf("%s: after %d acknowledgements the state is %s", what, last+1, got)
 }
 
-// A control server is killed, or its machine loses power, at each call that changes its disk. Raft's safety rests on
-// what was acknowledged being there again: a vote that is forgotten is given twice.
-func TestStoreSurvivesACrashAtEachCall(t *testing.T) {
+// Kills a control server, or cuts its power, at each call that changes the disk. Raft is safe only if acknowledged data
+// survives: a server that lost its vote could vote twice.
+func TestStoreSurvivesCrashAtEachCall(t *testing.T) {
 	recording, acknowledged := recordRun(t)
 	killed, powerLost := 0, 0
 	for call := range recording.Calls {
@@ -145,17 +145,17 @@
 		}
 	}
 	calls := len(recording.Calls)
-	t.Logf("log of changes: %d calls; %d images after a kill, %d after a loss of power", calls, killed, powerLost)
+	t.Logf("replicated log: %d calls; %d images after a kill, %d after a power loss", calls, killed, powerLost)
 }
 
-// Each call that changes the disk fails: once, a few times, or from then on; a write after its first half or at once.
-// A store that returned an error is not used on, and opened again once the disk is well.
-func TestStoreSurvivesAFaultAtEachCall(t *testing.T) {
+// Makes each call that changes the disk fail once, a few times or permanently; writes fail at once or halfway. A store
+// that returned an error is not used any more, and is reopened when the disk works again.
+func TestStoreSurvivesFaultAtEachCall(t *testing.T) {
 	recording, acknowledged := recordRun(t)
-	const forGood = 1 << 30
+	const permanently = 1 << 30
 	tried := 0
 	for call := range recording.Calls {
-		for _, failing := range []int{1, 3, forGood} {
+		for _, failing := range []int{1, 3, permanently} {
 			for _, written := range recording.Calls[call].FailingSizes() {
 				errno := []unix.Errno{unix.EIO, unix.ENOSPC}[tried%2]
 				what := fmt.Sprintf("%v at call %d, %d times, after %d bytes", errno, call, failing, written)
@@ -169,10 +169,10 @@
 			}
 		}
 	}
-	t.Logf("log of changes: %d calls, %d faults", len(recording.Calls), tried)
+	t.Logf("replicated log: %d calls, %d faults", len(recording.Calls), tried)
 }
 
-// failStoreRun runs with faults, by the calls' numbers, until the first error, and opens the store again without.
+// failStoreRun runs with faults chosen by call number until the first error, and reopens the store without faults.
 func failStoreRun(t *testing.T, what string, states []acknowledgement, action func(call int) diskfault.Action) {
 	t.Helper()
 	last := -1
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	if runErr != nil && strings.Contains(runErr.Error(), "\n") {
-		t.Errorf("%s: more than a line: %v", what, runErr)
+		t.Errorf("%s: error of several lines: %v", what, runErr)
 	}
 	if runErr == nil && last != len(states)-1 {
 		t.Errorf("%s: no error after %d steps", what, last)
@@ -195,9 +195,9 @@
 	expectRecovered(t, what, run.dir, last, states)
 }
 
-// A file lost its end, as after a crash of a file system that made its size or its content durable too late. A voter
-// that took the rest for its log could have forgotten its vote, and one whose file is empty is not a new one.
-func TestAFileThatLostItsEndIsRefusedInOneLine(t *testing.T) {
+// Truncates the file, as a crash does if the file system made its size or content durable too late. A voter that used
+// the rest as its log could have lost its vote, and a voter with an empty file is not a new one.
+func TestTruncatedFileIsRejectedWithAOneLineError(t *testing.T) {
 	run := storeRun{dir: diskfault.TempDir(t)}
 	want := ""
 	run.acknowledged = func(state string) { want = state }
@@ -213,19 +213,19 @@
 		switch {
 		case err == nil: // only free pages are missing
 			if got := describe(s); got != want {
-				t.Errorf("of %d bytes: %s", size, got)
+				t.Errorf("file cut to %d bytes has state %s", size, got)
 			}
 			mustSucceed(t, s.Close())
 		case strings.Contains(err.Error(), "\n"):
-			t.Errorf("of %d bytes: %v", size, err)
+			t.Errorf("file cut to %d bytes: error of several lines: %v", size, err)
 		case size == 0 && !errors.Is(err, ErrEmpty):
-			t.Errorf("empty: %v", err)
+			t.Errorf("empty file: %v", err)
 		default:
 			refused++
 		}
 	}
 	if refused == 0 {
-		t.Error("all were taken")
+		t.Error("all truncated files were accepted")
 	}
-	t.Logf("log of changes: %d shorter files, %d refused", (len(whole)+step-1)/step, refused)
+	t.Logf("replicated log: %d truncated files, %d rejected", (len(whole)+step-1)/step, refused)
 }
--- a/internal/control/replicatedlog/store/golden_test.go
+++ b/internal/control/replicatedlog/store/golden_test.go
@@ -14,10 +14,10 @@
 )
 
 var record = flag.Bool("record-folder", false,
-	"write the recorded data folder anew; only for an intended change of its format")
+	"rewrite the recorded data folder; use only for an intended change of its format")
 
-// The folder of a control server that an earlier version wrote is read as it is: term, vote, snapshot and entries.
-func TestAFolderOfAnEarlierVersionIsReadable(t *testing.T) {
+// A data folder written by an earlier version must stay readable: term, vote, snapshot and entries.
+func TestFolderOfEarlierVersionIsReadable(t *testing.T) {
 	if *record {
 		recordFolder(t)
 	}
@@ -36,7 +36,7 @@
 		t.Errorf("state %v, configuration %v, %v", state, conf, err)
 	}
 	if got := entryData(t, s); got != recordedData {
-		t.Errorf("entries %q, recorded were %q", got, recordedData)
+		t.Errorf("entries %q, want %q", got, recordedData)
 	}
 	snapshot, err := s.Snapshot()
 	if err != nil || string(snapshot.GetData()) != "state" || snapshot.GetMetadata().GetIndex() != 3 {
--- a/internal/control/replicatedlog/store/store_test.go
+++ b/internal/control/replicatedlog/store/store_test.go
@@ -30,7 +30,7 @@
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(vote), Commit: proto.Uint64(commit)}
 }
 
-// entryData are the data of the entries in memory, one after the other.
+// entryData returns the concatenated data of the entries in memory.
 func entryData(t *testing.T, s *Store) string {
 	t.Helper()
 	first, _ := s.FirstIndex()
@@ -57,9 +57,8 @@
 	}
 }
 
-// A server is ended and started again: after entries that a later leader's replaced, after a snapshot of its own, and
-// after one that the leader has sent in place of everything. Each time it has what Save and Compact were given, and
-// nothing that was replaced.
+// Reopens the store after entries were replaced by a later leader's, after a snapshot of its own, and after a snapshot
+// from the leader. It must have what was passed to Save and Compact, and nothing that was replaced.
 func TestSavedStateSurvivesReopening(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir, true)
@@ -68,7 +67,7 @@
 	mustSucceed(t, s.Save(hard(2, 3, 1), []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, nil))
 	mustSucceed(t, s.Save(hard(3, 1, 1), []*pb.Entry{entry(3, 3, "B")}, nil)) // replaces b and c
 	if got := entryData(t, s); got != "aB" || reported != 4 {
-		t.Errorf("in memory %q, %d reported", got, reported)
+		t.Errorf("entries in memory %q, %d reported", got, reported)
 	}
 	mustSucceed(t, s.Close())
 
@@ -97,7 +96,7 @@
 		t.Errorf("%v, members %v", state, members)
 	}
 	if n, bytes := s.SizeSinceSnapshot(4); n != 1 || bytes != 1 {
-		t.Errorf("since the snapshot: %d, %d bytes", n, bytes)
+		t.Errorf("since the snapshot: %d entries, %d bytes", n, bytes)
 	}
 	received := &pb.Snapshot{
 		Data:     []byte("later"),
@@ -112,27 +111,27 @@
 	}
 }
 
-// A server must not take part with a folder that is empty, in use, another server's, or broken.
-func TestForeignEmptyOrBrokenFolderIsRefused(t *testing.T) {
+// A server must not start with a folder that is empty, in use, corrupt, or of another server.
+func TestForeignEmptyOrCorruptFolderIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Open(dir, testOwner, []uint64{1}, nil, false); !errors.Is(err, ErrEmpty) {
-		t.Errorf("a voter without its disk: %v", err)
+		t.Errorf("voter with an empty folder: %v", err)
 	}
 	s := openStore(t, dir, true)
 	_, err := Open(dir, testOwner, []uint64{1}, nil, false)
 	if err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("two at one folder: %v", err)
+		t.Errorf("second store in the same folder: %v", err)
 	}
 	mustSucceed(t, s.Close())
 	for _, other := range []Owner{{ID: 2, Label: "l"}, {ID: 1, Label: "m"}} {
 		_, err := Open(dir, other, []uint64{1}, nil, true)
 		if err == nil || !strings.Contains(err.Error(), "this machine is") {
-			t.Errorf("%v: %v", other, err)
+			t.Errorf("owner %v: %v", other, err)
 		}
 	}
 	mustSucceed(t, os.WriteFile(dir+"/"+fileName, []byte("no"), 0o600))
 	_, err = Open(dir, testOwner, []uint64{1}, nil, true)
 	if err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a torn file: %v", err)
+		t.Errorf("corrupt file: %v", err)
 	}
 }
