--- a/internal/control/purge/helpers_test.go
+++ b/internal/control/purge/helpers_test.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/monotime"
 )
 
-// testLog is a log of which the entries after the floor are kept.
+// testLog is a replicated log that keeps the entries after its floor.
 type testLog struct {
 	id          replicatedlog.LogID
 	entries     []replicatedlog.Entry
@@ -32,8 +32,8 @@
 }
 
 func (l *testLog) RequestedAt(index replicatedlog.Index) (monotime.Instant, bool) {
-	at, is := l.requestedAt[index]
-	return at, is
+	at, ok := l.requestedAt[index]
+	return at, ok
 }
 
 func (l *testLog) add(kind replicatedlog.Kind, body string) {
@@ -43,7 +43,7 @@
 
 var testConfig = Config{LongestFill: 3 * time.Second, CommandInterval: 2 * time.Millisecond}
 
-// bench is one cache, as one control server has it, with the log and a clock.
+// bench is the state of one cache at one control server, with a log and a clock.
 type bench struct {
 	t        *testing.T
 	now      monotime.Instant
@@ -75,8 +75,8 @@
 
 func (b *bench) wait(d time.Duration) { b.now = b.now.Add(d) }
 
-// sendAll takes all commands that go now and returns them as text: 1 for a first delete, 2 for a confirming one, F
-// and L for the first and last flush, each with its index.
+// sendAll takes all commands that are due and returns them as text: 1 for a quick delete, 2 for a confirming one, F and
+// L for the first and the last flush, each with its index.
 func (b *bench) sendAll() string {
 	var sent strings.Builder
 	for {
@@ -94,15 +94,15 @@
 	}
 }
 
-// expect compares what is sent now, and where the cursor stands then.
+// expect checks the commands that are due and the cursor after they were sent.
 func (b *bench) expect(what, sent string, done replicatedlog.Index) {
 	b.t.Helper()
 	if got := b.sendAll(); got != sent || b.Cursor().Done != done {
-		b.t.Errorf("%s: sent %q, done %d; wanted %q, %d", what, got, b.Cursor().Done, sent, done)
+		b.t.Errorf("%s: sent %q, done %d; want %q, %d", what, got, b.Cursor().Done, sent, done)
 	}
 }
 
-// forceCursor sets a cursor that was not earned, for the broken variants.
+// forceCursor sets a cursor without answers for it, for the broken variants.
 func (b *bench) forceCursor(to Cursor) {
 	b.advance(to.Log, to.Done)
 	b.cursor = to
--- a/internal/control/purge/model_test.go
+++ b/internal/control/purge/model_test.go
@@ -14,29 +14,29 @@
 	modelStep     = 50 * time.Millisecond
 	modelDuration = 10 * time.Minute
 	modelKeys     = 6
-	modelKept     = 150 // entries of the log
+	modelKept     = 150 // entries that the log keeps
 )
 
-// variant is how a control server is broken; the zero one but for fills is sound.
+// variant describes how a control server is broken; with only fills set it is correct.
 type variant struct {
 	name           string
-	fills          time.Duration // the longest fill that it counts on
-	cursorLeads    bool          // its cursor on disk is ahead of what was answered
-	startsAtNewest bool          // it takes a cache that returns for one without old values
-	keepsCursor    bool          // its cursor holds for another process of the cache
-	breaks         bool          // whether an old value is to be found
+	fills          time.Duration // the longest fill that it assumes
+	cursorLeads    bool          // the cursor on disk is ahead of the answers
+	startsAtNewest bool          // it assumes that a reconnected cache has no old values
+	keepsCursor    bool          // it keeps the cursor for another process of the cache
+	breaks         bool          // whether old values are expected
 }
 
-// A cache and a control server live through ten minutes of purges, fills of random length, cut connections, restarts
-// of the cache and kills of the server. The cache never holds a value that is older than what the cursor says is
-// purged. The broken variants show that the check sees it.
+// Simulates ten minutes of purges, fills of random length, cut connections, cache restarts and server kills. The cache
+// must never hold a value older than the purges that the cursor counts as done. The broken variants show that the test
+// detects such values.
 func TestNoValueIsOlderThanTheCursor(t *testing.T) {
 	for _, v := range []variant{
-		{name: "sound", fills: testConfig.LongestFill},
+		{name: "correct", fills: testConfig.LongestFill},
 		{name: "no confirming delete", breaks: true},
-		{name: "a cursor that leads", fills: testConfig.LongestFill, cursorLeads: true, breaks: true},
-		{name: "a cache that returns is current", fills: testConfig.LongestFill, startsAtNewest: true, breaks: true},
-		{name: "a cursor of the process before", fills: testConfig.LongestFill, keepsCursor: true, breaks: true},
+		{name: "cursor ahead of the answers", fills: testConfig.LongestFill, cursorLeads: true, breaks: true},
+		{name: "reconnected cache assumed current", fills: testConfig.LongestFill, startsAtNewest: true, breaks: true},
+		{name: "cursor of the previous process kept", fills: testConfig.LongestFill, keepsCursor: true, breaks: true},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			oldValues := 0
@@ -45,7 +45,7 @@
 				oldValues += m.run()
 			}
 			if (oldValues > 0) != v.breaks {
-				t.Errorf("%d old values", oldValues)
+				t.Errorf("found %d old values", oldValues)
 			}
 		})
 	}
@@ -54,17 +54,17 @@
 // modelFill is a fill under way.
 type modelFill struct {
 	key     int
-	value   int // 1 more than the origin's version, so that 0 is for none
+	value   int // the origin's version plus 1; 0 means none
 	storeAt monotime.Instant
 }
 
-// modelWrite is a write at the origin whose purge is not ordered yet.
+// modelWrite is a write at the origin whose purge is not in the log yet.
 type modelWrite struct {
 	key, version           int
 	requestedAt, orderedAt monotime.Instant
 }
 
-// model is a cache and its surroundings; the bench has the control server.
+// model simulates a cache, its origin and its network; the bench has the control server.
 type model struct {
 	*bench
 	variant
@@ -75,18 +75,18 @@
 	cached    map[int]int                 // by key, as modelFill.value
 	fills     []modelFill                 // under way
 	writes    []modelWrite                // not ordered yet
-	versions  map[replicatedlog.Index]int // that purges are of
-	orderedAt monotime.Instant            // of the last write
+	versions  map[replicatedlog.Index]int // origin version of each purge
+	orderedAt monotime.Instant            // when the last write's purge is ordered
 
-	started   Incarnation // the cache's process
-	listed    Incarnation // and as the list has it
+	started   Incarnation // process of the cache
+	listed    Incarnation // process named by the list
 	listedAt  monotime.Instant
 	cutSteps  int // steps for which the connection is cut
 	downSteps int // steps for which the cache is down
 
-	disk     Cursor // the control server's
+	disk     Cursor // cursor on the control server's disk
 	checked  replicatedlog.Index
-	purged   [modelKeys]int // versions that are purged, up to checked
+	purged   [modelKeys]int // purged versions, up to checked
 	mostDone replicatedlog.Index
 }
 
@@ -118,7 +118,7 @@
 
 func (m *model) randomKey() int { return int(m.random.Float64() * modelKeys) }
 
-// run returns how often a value was older than the cursor said.
+// run runs the simulation and returns how often a value was older than the cursor allows.
 func (m *model) run() int {
 	oldValues := 0
 	for step := range int(modelDuration / modelStep) {
@@ -136,12 +136,12 @@
 		}
 	}
 	if m.mostDone < 1000 {
-		m.t.Errorf("seed %d: only %d of %d done, %+v", m.seed, m.mostDone, m.log.last(), m.Cursor())
+		m.t.Errorf("seed %d: only %d of %d purges done, cursor %+v", m.seed, m.mostDone, m.log.last(), m.Cursor())
 	}
 	return oldValues
 }
 
-// write writes a key at the origin now and then, and requests its purge.
+// write sometimes writes a key at the origin and requests its purge.
 func (m *model) write() {
 	if !m.chance(0.2) {
 		return
@@ -153,7 +153,7 @@
 	m.writes = append(m.writes, write)
 }
 
-// orderWrites puts purges into the log whose time has come.
+// orderWrites appends the purges that are due to the log.
 func (m *model) orderWrites() {
 	for len(m.writes) > 0 && m.writes[0].orderedAt <= m.now {
 		write := m.writes[0]
@@ -167,7 +167,7 @@
 	m.log.floor = replicatedlog.Index(max(0, len(m.log.entries)-modelKept))
 }
 
-// fill begins a fill of a key that is not cached, and stores the values of those that are over.
+// fill starts a fill of a key that is not cached, and stores the values of finished fills.
 func (m *model) fill() {
 	key := m.randomKey()
 	if m.downSteps == 0 && m.cached[key] == 0 {
@@ -185,7 +185,7 @@
 	m.fills = underWay
 }
 
-// fail cuts the connection, restarts the cache or kills the control server now and then.
+// fail sometimes cuts the connection, restarts the cache or kills the control server.
 func (m *model) fail() {
 	switch {
 	case m.chance(0.0015):
@@ -208,7 +208,7 @@
 	m.downSteps = max(0, m.downSteps-1)
 }
 
-// list tells the control server which process of the cache the list has.
+// list passes the process named by the list to the control server.
 func (m *model) list() {
 	if m.downSteps == 0 && m.now >= m.listedAt {
 		m.listed = m.started
@@ -220,7 +220,7 @@
 	}
 }
 
-// exchange sends commands and takes answers, as far as there is a connection.
+// exchange sends commands and handles answers while there is a connection.
 func (m *model) exchange() {
 	if m.cutSteps > 0 || m.downSteps > 0 {
 		if m.AnswerOverdue(m.now) || m.chance(0.01) {
@@ -242,7 +242,7 @@
 	}
 }
 
-// execute has the cache do a command. While the list has the process before it, that one answers, elsewhere.
+// execute executes a command at the cache. While the list names the previous process, that one gets the command.
 func (m *model) execute(command Command) {
 	switch {
 	case m.listed != m.started:
@@ -253,8 +253,8 @@
 	}
 }
 
-// countOldValues counts cached values that are older than what is done. While the list has the process before, nobody
-// can know.
+// countOldValues counts cached values that are older than purges done. It counts none while the list names the previous
+// process, since the control server cannot know of the new one.
 func (m *model) countOldValues() int {
 	done := m.Cursor().Done
 	if done < m.checked {
--- a/internal/control/purger/connection_test.go
+++ b/internal/control/purger/connection_test.go
@@ -11,7 +11,7 @@
 	"dahliapin/internal/emulator/cachestub"
 )
 
-// connectionCounter dials, and counts the connections that are open at once.
+// connectionCounter dials connections and counts those open at the same time.
 type connectionCounter struct {
 	mu   sync.Mutex
 	open map[string]int // by address
@@ -22,7 +22,7 @@
 	return &connectionCounter{open: map[string]int{}, most: map[string]int{}}
 }
 
-// countedConn tells its counter when it is closed.
+// countedConn calls onClose when it is closed.
 type countedConn struct {
 	net.Conn
 	onClose func()
@@ -51,9 +51,9 @@
 	return countedConn{Conn: conn, onClose: sync.OnceFunc(closed)}, nil
 }
 
-// Caches hang, refuse connections, answer garbage, are busy or close connections; one is slow. Two control servers
-// carry purges out: the others are not held up, each cache has one connection of each server at a time, and a cache
-// has everything once it works again.
+// Faulty caches must not delay the others: they hang, refuse connections, answer garbage, are busy or close
+// connections; one is slow. Each of two control servers has at most one connection to a cache, and a cache gets every
+// purge once it works again.
 func TestFaultyCachesDelayNoOthers(t *testing.T) {
 	t.Parallel()
 	faults := []cachestub.Fault{
@@ -76,14 +76,14 @@
 	b.publish(9, numberedKeys(20)...)
 	b.waitDone(0, "c0")
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the sound one took %v", took)
+		t.Errorf("purges at the working cache took %v", took)
 	}
 	b.waitDone(0, fmt.Sprint("c", slow))
 	time.Sleep(2*purge.AnswerTimeout + testLongestFill)
 	for i := 1; i < slow; i++ {
 		progress := b.progress(0, fmt.Sprint("c", i))
 		if progress.Done != 0 || progress.Reason == "" || progress.Overdue == 0 && i == 1 {
-			t.Errorf("fault %d: %+v", faults[i], progress)
+			t.Errorf("fault %d: progress %+v", faults[i], progress)
 		}
 		b.caches[i].Break(cachestub.None, 0)
 	}
@@ -93,7 +93,7 @@
 	}
 	for addr, most := range counter.most {
 		if most > len(b.purgers) {
-			t.Errorf("%d connections of two servers to %s", most, addr)
+			t.Errorf("%d simultaneous connections of two servers to %s", most, addr)
 		}
 	}
 	b.expectNoBreach()
--- a/internal/control/purger/diskfault_test.go
+++ b/internal/control/purger/diskfault_test.go
@@ -15,11 +15,11 @@
 	"dahliapin/internal/emulator/diskfault"
 )
 
-// cursorsToGrow are so many that the file has to grow.
+// cursorsToGrow is a number of cursors for which the file has to grow.
 const cursorsToGrow = 250
 
-// cursorSteps are the cursors of a run, as they are after each write: some change, one is forgotten, and then there are
-// so many that the file has to grow.
+// cursorSteps returns the cursors of a run after each write: some change, one is deleted, and then there are so many
+// that the file has to grow.
 var cursorSteps = sync.OnceValue(func() []map[purge.CacheID]purge.Cursor {
 	first := map[purge.CacheID]purge.Cursor{"a": {Log: 7, Done: 1}, "b": {Log: 7, Done: 1}}
 	changed := map[purge.CacheID]purge.Cursor{"a": {Log: 7, Done: 2}, "b": {Log: 7, Done: 3, SafeAfterRestart: 2}}
@@ -33,7 +33,7 @@
 	return []map[purge.CacheID]purge.Cursor{first, changed, forgotten, many, last}
 })
 
-// cursorRun writes the steps' cursors; a write that fails is done again, up to a number of times in all.
+// cursorRun writes the cursors of all steps. Failed calls are retried, up to a total number of retries.
 type cursorRun struct {
 	dir          string
 	retries      int
@@ -70,8 +70,8 @@
 	return r.retries >= 0
 }
 
-// expectCursors opens the store of a folder. It must have the cursors that were acknowledged last, or those that were
-// about to be, as a whole; before the first none.
+// expectCursors opens the store of a folder. It must have the cursors acknowledged last, or the complete next ones;
+// before the first acknowledgement it may have none.
 func expectCursors(t *testing.T, what, dir string, last int) {
 	t.Helper()
 	store, got, err := openCursorStore(dir)
@@ -83,13 +83,13 @@
 	steps := cursorSteps()
 	is := func(step int) bool { return step >= 0 && step < len(steps) && maps.Equal(got, steps[step]) }
 	if !is(last) && !is(last+1) && (last >= 0 || len(got) > 0) {
-		t.Errorf("%s: after %d steps it has %d cursors", what, last+1, len(got))
+		t.Errorf("%s: after %d steps the store has %d cursors", what, last+1, len(got))
 	}
 }
 
-// A control server is killed, or its machine loses power, at each call that changes the cursors' file. A cursor that is
-// lost has everything done again at its cache; one that is ahead of what was done leaves a stale value for good.
-func TestCursorsSurviveACrashAtEachCall(t *testing.T) {
+// Kills a control server, or cuts its power, at each call that changes the cursor file. A lost cursor makes a cache
+// repeat all purges; a cursor that is ahead leaves a stale value in the cache permanently.
+func TestCursorsSurviveCrashAtEachCall(t *testing.T) {
 	var recording diskfault.Recording
 	var acknowledged []int // calls by then, of each step
 	run := cursorRun{dir: diskfault.TempDir(t), acknowledged: func(int) {
@@ -125,13 +125,13 @@
 		t.Error("the file did not grow")
 	}
 	calls := len(recording.Calls)
-	t.Logf("cursors: %d calls; %d images after a kill, %d after a loss of power", calls, killed, powerLost)
+	t.Logf("cursors: %d calls; %d images after a kill, %d after a power loss", calls, killed, powerLost)
 }
 
-// Each call that changes the cursors' file fails: once, a few times, or from then on. The store is used on, since
-// cursors are written again each second; all are there once the disk is well.
-func TestCursorsSurviveAFaultAtEachCall(t *testing.T) {
-	const forGood = 1 << 30
+// Makes each call that changes the cursor file fail once, a few times or permanently. The store stays in use, since
+// cursors are written again each second; all must be there once the disk works again.
+func TestCursorsSurviveFaultAtEachCall(t *testing.T) {
+	const permanently = 1 << 30
 	var recording diskfault.Recording
 	run := cursorRun{dir: diskfault.TempDir(t), acknowledged: func(int) {}}
 	if err := diskfault.Record(run.dir, &recording, run.run); err != nil {
@@ -139,7 +139,7 @@
 	}
 	tried := 0
 	for call := range recording.Calls {
-		for _, failing := range []int{1, 3, forGood} {
+		for _, failing := range []int{1, 3, permanently} {
 			for _, written := range recording.Calls[call].FailingSizes() {
 				errno := []unix.Errno{unix.EIO, unix.ENOSPC}[tried%2]
 				what := fmt.Sprintf("%v at call %d, %d times, after %d bytes", errno, call, failing, written)
@@ -156,11 +156,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if failing != forGood && last != len(cursorSteps())-1 {
+				if failing != permanently && last != len(cursorSteps())-1 {
 					t.Errorf("%s: ended after %d steps, %v", what, last+1, run.refused)
 				}
 				if run.refused != nil && strings.Contains(run.refused.Error(), "\n") {
-					t.Errorf("%s: more than a line: %v", what, run.refused)
+					t.Errorf("%s: error of several lines: %v", what, run.refused)
 				}
 				expectCursors(t, what, run.dir, last)
 				tried++
--- a/internal/control/purger/golden_test.go
+++ b/internal/control/purger/golden_test.go
@@ -14,10 +14,10 @@
 const recordedCursors = "testdata/cursors"
 
 var record = flag.Bool("record-cursors", false,
-	"write the recorded cursors anew; only for an intended change of their format")
+	"rewrite the recorded cursors; use only for an intended change of their format")
 
-// Cursors that an earlier version kept are read as they are: a purge that is done is not done again.
-func TestCursorsOfAnEarlierVersionAreReadable(t *testing.T) {
+// Cursors written by an earlier version must stay readable, so that done purges are not repeated.
+func TestCursorsOfEarlierVersionAreReadable(t *testing.T) {
 	want := map[purge.CacheID]purge.Cursor{
 		"c1": {Log: 7, Started: 1_700_000_000_123, Done: 41, SafeAfterRestart: 12},
 		"c2": {Log: 8, Started: 0, Done: 1, SafeAfterRestart: 0},
@@ -49,6 +49,6 @@
 	}
 	defer d.close()
 	if !maps.Equal(got, want) {
-		t.Errorf("read %v, recorded were %v", got, want)
+		t.Errorf("read %v, want %v", got, want)
 	}
 }
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -31,7 +31,7 @@
 	return monotime.Instant(t.Nano())
 }
 
-// testLog is a replicated log that only grows.
+// testLog is a replicated log in memory.
 type testLog struct {
 	mu      sync.Mutex
 	entries []replicatedlog.Entry
@@ -68,13 +68,13 @@
 	l.floor = floor
 }
 
-// bench is some caches, control servers' purgers, and what the checker gets.
+// bench has caches, the purgers of control servers, and the records for the checker.
 type bench struct {
 	t        *testing.T
 	log      testLog
 	settings fleetconfig.Purges
 	caches   []*cachestub.Cache
-	purgers  []*Purger // nil for one that is stopped
+	purgers  []*Purger // nil for a stopped purger
 	dirs     []string
 	dial     func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 
@@ -110,14 +110,14 @@
 	return b
 }
 
-// record notes what a cache did, or that a cursor has changed.
+// record records an action of a cache or a change of a cursor.
 func (b *bench) record(r logtrace.Cached) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.records = append(b.records, r)
 }
 
-// flushes counts how often a cache was emptied.
+// flushes returns how often a cache was emptied.
 func (b *bench) flushes(cache string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,7 +130,7 @@
 	return count
 }
 
-// addPurger starts one more, with an empty folder.
+// addPurger starts another purger, with an empty folder.
 func (b *bench) addPurger() {
 	b.t.Helper()
 	b.purgers = append(b.purgers, nil)
@@ -138,7 +138,7 @@
 	b.start(len(b.purgers) - 1)
 }
 
-// start starts a purger with the folder that it has.
+// start starts a purger with its existing folder.
 func (b *bench) start(i int) {
 	b.t.Helper()
 	logger := logrus.New()
@@ -171,7 +171,7 @@
 	}
 }
 
-// publish puts purges into the log. The origin has a newer version of each key by then.
+// publish appends purges to the log. The origin already has the given version of each key.
 func (b *bench) publish(version uint64, keys ...string) {
 	b.log.mu.Lock()
 	defer b.log.mu.Unlock()
@@ -186,7 +186,7 @@
 	b.log.changed = make(chan struct{})
 }
 
-// progress is what a purger reports of a cache.
+// progress returns a purger's progress at a cache.
 func (b *bench) progress(i int, cache string) purge.Progress {
 	all, _ := b.purgers[i].Progress()
 	for _, progress := range all {
@@ -197,25 +197,25 @@
 	return purge.Progress{Cache: "none"}
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test after a timeout.
 func (b *bench) eventually(what string, holds func() bool) {
 	b.t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("never: %s", what)
+			b.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// waitDone waits until a purger has done everything at a cache.
+// waitDone waits until a purger has carried out all purges at a cache.
 func (b *bench) waitDone(i int, cache string) {
 	b.t.Helper()
 	last := uint64(len(b.log.entries))
-	what := fmt.Sprintf("%s has all %d", cache, last)
+	what := fmt.Sprintf("%s to have all %d purges", cache, last)
 	b.eventually(what, func() bool { return b.progress(i, cache).Done >= last })
 }
 
-// report is what the checker makes of it.
+// report returns the checker's report on the records.
 func (b *bench) report() checker.CachesReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,7 +229,7 @@
 	}
 }
 
-// numberedKeys are as many different keys.
+// numberedKeys returns n different keys.
 func numberedKeys(n int) []string {
 	var keys []string
 	for i := range n {
--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -35,8 +35,8 @@
 }
 
 func (c *fabricatedAnswersConn) Read(b []byte) (int, error) {
-	answers, is := <-c.answers
-	if !is {
+	answers, ok := <-c.answers
+	if !ok {
 		return 0, io.EOF
 	}
 	return copy(b, answers), nil
@@ -51,29 +51,29 @@
 type faultyVariant struct {
 	name           string
 	change         func(*bench)
-	cursorLeads    bool // its cursor on disk is ahead of what was answered
-	startsAtNewest bool // it takes a cache that returns for one without old values
+	cursorLeads    bool // the cursor on disk is ahead of the answers
+	startsAtNewest bool // it assumes that a reconnected cache has no old values
 	want           string
 }
 
-// The checker finds no breach where the rules are kept, and each of these where it is broken: by code that runs, not
-// by made-up traces.
+// The checker must find no breach for a correct purger, and the expected breach for each broken one. The traces come
+// from running code and are not synthetic.
 func TestCheckerFindsBrokenVariants(t *testing.T) {
 	t.Parallel()
 	for _, v := range []faultyVariant{
-		{name: "sound"},
+		{name: "correct"},
 		{
 			name:   "no confirming delete after fills",
 			change: func(b *bench) { b.settings.FillsS = 1e-6 },
 			want:   checker.OldServed,
 		},
 		{
-			name:   "counted without an answer",
+			name:   "purge counted without an answer",
 			change: func(b *bench) { b.dial = dialFabricatedAnswersConn },
 			want:   checker.NotDone,
 		},
-		{name: "a cursor that leads", cursorLeads: true, want: checker.NotDone},
-		{name: "one that is back starts at the newest", startsAtNewest: true, want: checker.OldServed},
+		{name: "cursor ahead of the answers", cursorLeads: true, want: checker.NotDone},
+		{name: "reconnected cache starts at the newest entry", startsAtNewest: true, want: checker.OldServed},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
@@ -122,7 +122,7 @@
 	return b.report()
 }
 
-// writeCursor puts a cursor into a purger's folder.
+// writeCursor writes a cursor into a purger's folder.
 func writeCursor(t *testing.T, dir string, id purge.CacheID, cursor purge.Cursor) {
 	t.Helper()
 	store, _, err := openCursorStore(dir)
--- a/internal/control/purger/list_test.go
+++ b/internal/control/purger/list_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// testDiscovery serves a list, and long polls of it.
+// testDiscovery serves a list of instances, with long polling.
 type testDiscovery struct {
 	mu        sync.Mutex
 	version   int
@@ -41,7 +41,7 @@
 	d.instances = instances
 }
 
-// instance is an entry of discovery's list.
+// instance returns an entry of discovery's list.
 func instance(id, addr, kind, lifecycle string, started int) map[string]any {
 	return map[string]any{
 		"instanceId":  id,
@@ -52,15 +52,15 @@
 	}
 }
 
-// listed counts the caches in a purger's list.
+// listed returns the number of caches in a purger's list.
 func (b *bench) listed(i int) int {
 	all, _ := b.purgers[i].Progress()
 	return len(all)
 }
 
-// The purger follows discovery's list. The origin is no cache; an entry that cannot be read takes no cache out; a
-// cache that leaves is left alone, and continues from its cursor when it is back; one that was restarted gets again
-// what fills could have brought back.
+// The purger follows discovery's list. It ignores origins. An invalid entry must not remove a cache. A cache that left
+// gets no purges, and continues from its cursor when it returns. A restarted cache gets the purges again whose old
+// values fills could have stored.
 func TestListIsFollowed(t *testing.T) {
 	t.Parallel()
 	b := newBench(t, 2, 0)
@@ -76,7 +76,7 @@
 	b.settings.Discovery = strings.TrimPrefix(web.URL, "http://")
 	b.addPurger()
 	if _, listed := b.purgers[0].Progress(); listed {
-		t.Error("a list before one came")
+		t.Error("listed before discovery sent a list")
 	}
 
 	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "terminating"), origin)
@@ -87,7 +87,7 @@
 	discovery.set(cache(0, 5, "in_service"), origin, unreadable)
 	time.Sleep(100 * time.Millisecond)
 	if b.listed(0) != 2 {
-		t.Error("an entry that can't be read took a cache out")
+		t.Error("invalid entry removed a cache")
 	}
 
 	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "terminated"), origin)
@@ -95,21 +95,21 @@
 	b.caches[1].Fill("b", 1)
 	b.publish(2, "b")
 	b.waitDone(0, "c0")
-	if _, is := b.caches[1].Serve("b"); !is {
-		t.Error("purged at a cache that has left")
+	if _, ok := b.caches[1].Serve("b"); !ok {
+		t.Error("purge sent to a cache that has left")
 	}
 	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "in_service"))
 	b.waitDone(0, "c1")
 
 	b.caches[0].Restart()
-	b.caches[0].Fill("c", 1) // by a fill from before
+	b.caches[0].Fill("c", 1) // by a fill that began before the restart
 	b.publish(2, "c")
 	discovery.set(cache(0, 9, "in_service"), cache(1, 5, "in_service"))
 	b.waitDone(0, "c0")
 	b.waitDone(0, "c1")
 	b.eventually("the new process is known", func() bool { return b.progress(0, "c0").Started == 9 })
-	if _, is := b.caches[0].Serve("c"); is {
-		t.Error("an old value in a cache that was restarted")
+	if _, ok := b.caches[0].Serve("c"); ok {
+		t.Error("old value in a restarted cache")
 	}
 	b.expectNoBreach()
 }
--- a/internal/control/purger/purger_test.go
+++ b/internal/control/purger/purger_test.go
@@ -7,31 +7,31 @@
 	"dahliapin/internal/emulator/cachestub"
 )
 
-// A fill that was under way when the purge passed puts the old value back. The purge is not done before the
-// confirming delete, which removes it.
-func TestConfirmingDeleteRemovesWhatAFillPutBack(t *testing.T) {
+// A fill that was under way during the first delete stores the old value again. The purge must not be done before the
+// confirming delete, which removes that value.
+func TestConfirmingDeleteRemovesOldValueStoredByFill(t *testing.T) {
 	t.Parallel()
 	b := newBench(t, 1, 1)
 	cache := b.caches[0]
 	cache.Fill("a", 1)
 	b.publish(2, "a")
 	b.eventually("the first delete", func() bool { return b.progress(0, "c0").QuickDeleted == 1 })
-	if _, is := cache.Serve("a"); is {
-		t.Error("the first delete did nothing")
+	if _, ok := cache.Serve("a"); ok {
+		t.Error("the first delete did not remove the value")
 	}
 	cache.Fill("a", 1)
 	if b.progress(0, "c0").Done != 0 {
-		t.Error("done while a fill may be under way")
+		t.Error("purge done while a fill may be under way")
 	}
 	b.waitDone(0, "c0")
-	if _, is := cache.Serve("a"); is {
+	if _, ok := cache.Serve("a"); ok {
 		t.Error("the old value is still there")
 	}
 	b.expectNoBreach()
 }
 
-// Four control servers carry a thousand purges out at ten caches at once.
-func TestBurstOfAThousandPurges(t *testing.T) {
+// Four control servers carry out a thousand purges at ten caches at once.
+func TestBurstOfThousandPurges(t *testing.T) {
 	t.Parallel()
 	b := newBench(t, 10, 4)
 	b.publish(2, numberedKeys(1000)...)
@@ -44,13 +44,13 @@
 	b.expectNoBreach()
 }
 
-// reportedWithin is how soon after its start a server without its disk is told what another has done, so that it does
-// not flush for that: well within the time that it leaves the others.
+// reportedWithin is how soon after its start a server without its disk must get another server's progress for the test
+// to require that it does not flush. It is well below the time that the server waits for such reports.
 const reportedWithin = 500 * time.Millisecond
 
-// A control server is killed and restarted with its disk: no purge is lost, and some are done once more. Then it is
-// restarted without its disk, when the log has trimmed what it would need: what another server has done it need not
-// do, and what nobody reported to it it flushes.
+// A control server restarted with its disk must not lose a purge, but may repeat some. Restarted without its disk after
+// the log was trimmed, it must not repeat purges that another server reports as done, and must flush caches for which
+// it gets no report.
 func TestRestartedServerContinuesFromItsDisk(t *testing.T) {
 	t.Parallel()
 	b := newBench(t, 2, 2)
@@ -77,7 +77,7 @@
 	b.log.setFloor(15)
 	b.stop(0)
 	b.dirs[0] = t.TempDir()
-	b.eventually("the other has done it", func() bool {
+	b.eventually("all purges done by the other server", func() bool {
 		return b.progress(1, "c0").Done == 30 && b.progress(1, "c1").Done == 30
 	})
 	b.start(0)
@@ -90,14 +90,14 @@
 	}
 	b.caches[0].Fill("key-1", 1)
 	if !b.progress(0, "c0").Flushing {
-		t.Error("it is not known what it lacks, and it is not flushed")
+		t.Error("a cache with unknown missing purges is not flushed")
 	}
 	b.waitDone(0, "c0")
-	if _, is := b.caches[0].Serve("key-1"); is || b.flushes("c0") != 2 {
-		t.Errorf("not flushed twice: %d", b.flushes("c0"))
+	if _, ok := b.caches[0].Serve("key-1"); ok || b.flushes("c0") != 2 {
+		t.Errorf("flushed %d times, want 2, or the old value is still there", b.flushes("c0"))
 	}
 	if flushes := b.flushes("c1"); inTime && flushes != 0 {
-		t.Errorf("flushed %d times, though another server has done it", flushes)
+		t.Errorf("flushed %d times, though another server has done the purges", flushes)
 	}
 	b.expectNoBreach()
 }
