--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -11,12 +11,12 @@
 	// AnswerTimeout is how long a command may go unanswered before the connection is considered dead.
 	AnswerTimeout = 2 * time.Second
 
-	firstReconnectDelay = 100 * time.Millisecond // backoff after the first broken connection, with jitter
+	firstReconnectDelay = 100 * time.Millisecond // backoff after the first broken connection, jittered from half of it
 	maxReconnectDelay   = 3 * time.Second        // a cache that is reachable again is contacted within this time
 	maxDoublings        = 8                      // of the first delay; the maximum is reached before
 
 	// maxListLag is how far the list of caches may lag while discovery answers: five times the lag that discovery
-	// documents.
+	// states.
 	maxListLag = 30 * time.Second
 )
 
@@ -157,7 +157,8 @@
 	c.failures = 0
 }
 
-// MergeCursor adopts the cursor of another control server for the same process of the cache, if it is ahead.
+// MergeCursor adopts the cursor of another control server for the same process of the cache, if it is ahead or
+// there is no cursor yet.
 func (c *Cache) MergeCursor(other Cursor) {
 	if other.Log == 0 || other.Started != c.cursor.Started {
 		return
@@ -196,7 +197,8 @@
 }
 
 // OnDisconnect handles a connection that ended or could not be established, and returns the delay until the next
-// attempt: exponential backoff with jitter, where random is in [0, 1). Unanswered commands will be sent again.
+// attempt: between half and all of an exponential backoff, chosen by random, which is in [0, 1). Unanswered commands
+// will be sent again.
 func (c *Cache) OnDisconnect(now monotime.Instant, random float64) time.Duration {
 	for _, command := range c.inFlight {
 		if command.Kind == Flush {
--- a/internal/control/purger/progress.go
+++ b/internal/control/purger/progress.go
@@ -49,7 +49,7 @@
 	return progress
 }
 
-// MergeProgress adopts the cursors reported by another control server where they are ahead.
+// MergeProgress adopts the cursors reported by another control server, see purge.Cache.MergeCursor.
 func (p *Purger) MergeProgress(reports []purge.Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -35,7 +35,7 @@
 
 // Config configures a Purger.
 type Config struct {
-	Settings    *fleetconfig.Purges // settings of the fleet's file
+	Settings    *fleetconfig.Purges // settings of purges
 	ServerCount int                 // number of control servers, all of which poll discovery
 	Log         Log
 	Dir         string // folder of the cursor file
--- a/internal/control/replicatedlog/applier.go
+++ b/internal/control/replicatedlog/applier.go
@@ -26,7 +26,7 @@
 	Started        bool
 	Log            LogID // the log that the node started with
 	Applied        Index
-	Config         Index  // the configuration in force; 0 for the node's own file
+	Config         Index  // the configuration in force; 0 for the node's own
 	Refused        Index  // the latest rejected configuration; 0 if none was rejected since the one in force
 	Reason         string // why it was rejected
 	PresumedPurged Index  // any key may have been purged up to this index
