--- a/internal/control/replicatedlog/entry.go
+++ b/internal/control/replicatedlog/entry.go
@@ -35,7 +35,7 @@
 func (e encodedProposal) proposal() (Proposal, error) {
 	var p Proposal
 	if len(e.ID) != len(p.ID) {
-		return p, fmt.Errorf("%w: proposal id of %d bytes", ErrMalformed, len(e.ID))
+		return p, fmt.Errorf("%w: an id of %d bytes", ErrMalformed, len(e.ID))
 	}
 	copy(p.ID[:], e.ID)
 	p.Kind = Kind(e.Kind)
