--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -6,13 +6,13 @@
 	"dahliapin/policy"
 )
 
-// clockEpoch is the clock's first reading: no instant is ever 0, which stands for "none".
+// clockEpoch is the clock's first reading, so that no instant is ever 0, which stands for none.
 const clockEpoch = policy.Instant(time.Second)
 
-// clock turns times of the process into instants of the node, which are monotonic and begin at clockEpoch.
+// clock converts times of the process to instants of the node, which are monotonic and begin at clockEpoch.
 type clock struct {
-	startedAt time.Time        // has the monotonic clock's reading
-	wall      func() time.Time // the wall clock, used only to read the start times that the endpoint list states
+	startedAt time.Time        // includes a reading of the monotonic clock
+	wall      func() time.Time // the wall clock, used only for the start times that the endpoint list states
 }
 
 func (c *clock) now() policy.Instant { return c.instantOf(time.Now()) }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -11,16 +11,16 @@
 	"dahliapin/internal/proxy/handover"
 )
 
-// Config is what a node runs with. It has many fields because each is a setting or a callback of the process that runs
-// the node; nothing else is kept here. The callbacks are called by New and by the event loop, and must not block.
+// Config is the configuration of a node. It has many fields because each is a setting or a callback of the process that
+// runs the node. The callbacks are called by New and by the event loop, and must not block.
 type Config struct {
 	// Listen is the address of the first listener, which speaks meta commands.
 	Listen string
 	// Discovery is the address that the endpoint list is polled from.
 	Discovery string
-	// Listeners are the further listeners, the degradation levels, and how endpoints are spoken to by HTTP.
+	// Listeners are the further listeners, the degradation levels, and how endpoints are addressed by HTTP.
 	Listeners listeners.File
-	// Seed is the source of all random draws of the node.
+	// Seed is the seed of all random decisions of the node.
 	Seed int64
 	// DescriptorLimit is how many file descriptors the node's sockets may use.
 	DescriptorLimit int
@@ -34,21 +34,21 @@
 	LastKnownEndpoints []byte
 	// Log takes the node's log lines.
 	Log *logrus.Logger
-	// OnPhaseChange is called at each change of phase; nil for none.
+	// OnPhaseChange is called at each change of phase; nil if not needed.
 	OnPhaseChange func(Phase)
-	// PublishMetrics has the node publish snapshots of its metrics for the admin server.
+	// PublishMetrics makes the node publish snapshots of its metrics for the admin server.
 	PublishMetrics bool
-	// Inherited is what the process that this one replaces has handed over; nil for none.
+	// Inherited is what the process that this one replaces has handed over; nil if none.
 	Inherited *handover.Inherited
-	// HandoverPath is the socket on which another process may take over from this one; empty for none.
+	// HandoverPath is the socket through which another process may take over from this one; empty if none.
 	HandoverPath string
-	// OnLoopIteration is called at each iteration of the event loop; nil for none.
+	// OnLoopIteration is called at each iteration of the event loop; nil if not needed.
 	OnLoopIteration func()
-	// OnSharedLimits is called when two processes begin (true) and cease (false) to share the node's limits; nil for
-	// none.
+	// OnSharedLimits is called when two processes begin (true) or cease (false) to share the node's limits; nil if not
+	// needed.
 	OnSharedLimits func(shared bool)
 	// Name is the node's name in the event log.
 	Name string
-	// OnEvent is called for each event of the event log; nil for none.
+	// OnEvent is called for each event of the event log; nil if not needed.
 	OnEvent func(eventlog.Event, time.Time)
 }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -6,17 +6,17 @@
 	"dahliapin/policy"
 )
 
-// lastKnownListDelay is how long a node that starts waits for a list before it serves by the last known one.
+// lastKnownListDelay is how long a starting node waits for a list before it serves by the last known one.
 const lastKnownListDelay = 250 * time.Millisecond
 
-// Phase is a node's phase of life.
+// Phase is a phase of a node's lifecycle.
 type Phase int32
 
 const (
 	Starting Phase = iota // no endpoint list yet: requests are rejected
 	Serving
-	Standby  // operators have taken the node out of service; it does not end
-	Draining // the node ends once its clients are served
+	Standby  // out of service by an operator's command; the node does not stop
+	Draining // the node stops once its clients are served
 	Stopped
 )
 
@@ -25,15 +25,15 @@
 // String returns the phase's name, as readiness answers state it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// lifecycle is the node's phase and what the steps of drain and standby have seen. drain.go and standby.go write it.
+// lifecycle is the node's phase, and the state of drain and standby. drain.go and standby.go write it.
 type lifecycle struct {
 	phase              Phase
 	drainStartedAt     policy.Instant
 	standbyStartedAt   policy.Instant
-	lastIdleCheckAt    policy.Instant // of a node that drains
-	punctualIdleChecks int            // idle checks in a row that were on time and saw no new connection
-	// idleCheckScheduled is whether a timer for the next idle check is set. It may be one of a standby that has ended
-	// since.
+	lastIdleCheckAt    policy.Instant // of a draining node
+	punctualIdleChecks int            // consecutive idle checks that were on time and saw no new connection
+	// idleCheckScheduled is whether the timer for the next idle check is set. It may be left over from a standby that
+	// has ended.
 	idleCheckScheduled bool
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// idleClientCheck looks for idle clients, as the phase asks for it.
+// idleClientCheck runs the idle check of the current phase.
 func (p *Proxy) idleClientCheck() {
 	p.lifecycle.idleCheckScheduled = false
 	switch p.lifecycle.phase {
@@ -56,8 +56,8 @@
 	}
 }
 
-// scheduleIdleClientCheck sets the timer for the next idle check, unless one is set. Guards against a second series of
-// checks where a node that stands by begins to drain: minPunctualIdleChecks would pass in half their time.
+// scheduleIdleClientCheck sets the timer for the next idle check, unless it is set already. Guards against a second
+// series of checks when a node in standby begins to drain: minOnTimeIdleChecks would be reached in half the time.
 func (p *Proxy) scheduleIdleClientCheck() {
 	if p.lifecycle.idleCheckScheduled {
 		return
@@ -66,7 +66,7 @@
 	p.schedule(p.now().Add(drainCheckInterval), timerEvent{kind: timerIdleCheck})
 }
 
-// serveIfReady begins to serve once any endpoint is known.
+// serveIfReady starts serving once any endpoint is known.
 func (p *Proxy) serveIfReady() {
 	if p.lifecycle.phase != Starting || len(p.endpoints.byID) == 0 {
 		return
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -6,21 +6,21 @@
 	"dahliapin/internal/proxy/sockets"
 )
 
-// eventsPerTimerCheck is how many socket events are handled between two looks at the timers, so that a burst of events
-// doesn't hold up attempt deadlines.
+// eventsPerTimerCheck is how many socket events are handled between two checks of the timers, so that a burst of events
+// does not delay attempt deadlines.
 const eventsPerTimerCheck = 256
 
-// taskQueue holds what the event loop is to run beside events and timers.
+// taskQueue holds the work of the event loop other than socket events and timers.
 type taskQueue struct {
-	commands chan func()   // of other goroutines; see Proxy.runInLoop
+	commands chan func()   // from other goroutines; see Proxy.runInLoop
 	done     chan struct{} // closed once the loop has ended
 	// deferred are calls that must not happen within a call into the dispatcher, which is not reentrant. They run in
-	// their order as soon as the current event, timer or command has been handled.
+	// order as soon as the current event, timer or command has been handled.
 	deferred []func()
 }
 
-// runInLoop has the event loop call f. It reports false if the loop has ended. True does not promise that f is called:
-// the loop may end before it comes to it.
+// runInLoop makes the event loop call f. It returns false if the loop has ended. True does not guarantee that f is
+// called: the loop may end first.
 func (p *Proxy) runInLoop(f func()) bool {
 	select {
 	case p.tasks.commands <- f:
@@ -30,10 +30,10 @@
 	}
 }
 
-// deferCall has f called once the dispatcher has returned.
+// deferCall makes the event loop call f once the dispatcher has returned.
 func (p *Proxy) deferCall(f func()) { p.tasks.deferred = append(p.tasks.deferred, f) }
 
-// runDeferred makes the deferred calls, and those that they defer in turn.
+// runDeferred runs the deferred calls, and those that they defer in turn.
 func (p *Proxy) runDeferred() {
 	for len(p.tasks.deferred) > 0 {
 		batch := p.tasks.deferred
@@ -68,7 +68,7 @@
 	close(p.tasks.done)
 }
 
-// runIteration handles all events and timers that are there, and sets the timer to the next one.
+// runIteration handles all pending events and due timers, and sets the timer to the next one.
 func (p *Proxy) runIteration(timer *time.Timer) {
 	if p.config.OnLoopIteration != nil {
 		p.config.OnLoopIteration()
@@ -90,8 +90,8 @@
 	}
 }
 
-// handleEvents handles a batch of socket events, those of the endpoint list's connection first: no request that came in
-// the same batch is decided by an older list.
+// handleEvents handles a batch of socket events, those of the endpoint list's connection first, so that no request of
+// the same batch is routed by an older list.
 func (p *Proxy) handleEvents(events []sockets.Event) {
 	for i := range events {
 		ev := &events[i]
@@ -132,6 +132,6 @@
 	p.runDeferred()
 }
 
-// freeDescriptor closes the connection of least use: an idle one to an endpoint first, then an idle client's. It
-// reports whether there was one.
+// freeDescriptor closes the least useful connection: an idle one to an endpoint, or else an idle client's. It reports
+// whether there was one.
 func (p *Proxy) freeDescriptor() bool { return p.closeLongestIdleConn() || p.closeLongestIdleClient() }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,14 +16,14 @@
 	"dahliapin/policy"
 )
 
-// maxQueuedCommands is how many commands of other goroutines may wait for the event loop before their callers block:
-// they come from operators and from a takeover, a few at a time.
+// maxQueuedCommands is how many commands from other goroutines may be queued for the event loop before their callers
+// block. They come from operators and from a takeover, a few at a time.
 const maxQueuedCommands = 16
 
-// Proxy is one node. Each of its parts holds the state of one concern. The methods of Proxy are the event loop, which
-// is the only one that reads and writes that state; what other goroutines may touch says so.
+// Proxy is one node. Each of its parts holds the state of one concern. The event loop consists of methods of Proxy, and
+// only it reads and writes that state; what other goroutines may access is documented as such.
 type Proxy struct {
-	config     Config // Discovery, Memory and LastEndpoints change while the node runs
+	config     Config // Discovery, MemoryLimit and LastKnownEndpoints change while the node runs
 	clock      clock
 	engine     *sockets.Engine
 	dispatcher *dispatch.Dispatcher
@@ -39,7 +39,7 @@
 	stalls     stallWatch
 }
 
-// New opens the listeners and starts a node; Run must follow. The error is that of a listener.
+// New opens the listeners and starts a node. Run must be called next. The error is that of a listener.
 func New(config Config) (*Proxy, error) {
 	addrs := []string{config.Listen}
 	for _, listener := range config.Listeners.Listeners {
@@ -80,7 +80,7 @@
 	return p, nil
 }
 
-// newDownstreamCodecs returns the codec of each listener, in their order.
+// newDownstreamCodecs returns the codecs of the listeners, in the order of the listeners.
 func (p *Proxy) newDownstreamCodecs() []downstreamCodec {
 	codecs := []downstreamCodec{metaDownstream{}}
 	for i := range p.config.Listeners.Listeners {
@@ -94,8 +94,8 @@
 	return codecs
 }
 
-// startDispatcher starts the dispatcher with the decisions of package policy. Its observers are the event log's
-// recorder and, before that, the endpoint stats, each only if it is configured.
+// startDispatcher starts the dispatcher with the decisions of package policy. Its observers are the endpoint stats,
+// followed by the event log's recorder, each only if it is configured.
 func (p *Proxy) startDispatcher() {
 	var observer dispatch.Observer
 	if p.config.OnEvent != nil {
@@ -111,7 +111,8 @@
 	p.dispatcher = dispatch.NewWithDecider(p.now(), decider, p, observer)
 }
 
-// newDecider returns the decisions of package policy, behind the operators' degradation levels if there are any.
+// newDecider returns the decider of package policy, wrapped in the filter for the operators' degradation levels if
+// there are any.
 func (p *Proxy) newDecider(observer dispatch.Observer) dispatch.Decider {
 	router := policy.New(p.now(), p.config.Seed, p.config.Settings.Policy)
 	levels := p.config.Listeners.Levels
@@ -120,7 +121,7 @@
 	}
 	onChange := func(now policy.Instant, level int, name string) {
 		p.metrics.counters.Level = uint64(level)
-		p.config.Log.WithField("level", name).Warn("service level changed")
+		p.config.Log.WithField("level", name).Warn("degradation level changed")
 		if recorder, ok := observer.(*eventlog.Recorder); ok {
 			recorder.LevelChanged(now, name)
 		}
@@ -132,14 +133,14 @@
 // Addr returns the address of a listener: 0 is Config.Listen, the further ones count from 1.
 func (p *Proxy) Addr(listener int) string { return p.engine.Addr(listener).String() }
 
-// Shutdown has the node drain and stop. It may be called from any goroutine, and more than once.
+// Shutdown makes the node drain and stop. It may be called from any goroutine, and more than once.
 func (p *Proxy) Shutdown() { p.runInLoop(p.startDrain) }
 
-// SetDiscovery polls the endpoint list at another address from now on. The list last received stays in use until a
-// complete one has come from there. It may be called from any goroutine, and more than once.
+// SetDiscovery makes the node poll the endpoint list at another address from now on. The last list received stays in
+// use until a complete one arrives from there. It may be called from any goroutine, and more than once.
 func (p *Proxy) SetDiscovery(addr string) { p.runInLoop(func() { p.changeDiscovery(addr) }) }
 
-// Counters returns the counters as they stand. It may be called from any goroutine, also after the node has stopped.
+// Counters returns the current counters. It may be called from any goroutine, also after the node has stopped.
 func (p *Proxy) Counters() metrics.Counters {
 	answer := make(chan metrics.Counters, 1)
 	if !p.runInLoop(func() { answer <- p.metrics.counters }) {
@@ -153,10 +154,10 @@
 	}
 }
 
-// Metrics returns the snapshot published last, or nil if none is published. It may be called from any goroutine.
+// Metrics returns the last snapshot published, or nil if none is published. It may be called from any goroutine.
 func (p *Proxy) Metrics() *metrics.Snapshot { return p.metrics.snapshot.Load() }
 
-// BlockLoop has the event loop do nothing until a channel is closed. Rehearsals of a process that hangs use it.
+// BlockLoop blocks the event loop until a channel is closed. Rehearsals use it to simulate a process that hangs.
 func (p *Proxy) BlockLoop(until <-chan struct{}) { p.runInLoop(func() { <-until }) }
 
 // Replaced reports whether another process accepts the connections. It may be called only within the event loop, that
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -6,23 +6,23 @@
 	"dahliapin/policy"
 )
 
-// timerKind is what a timer event is for, and so which fields of it are set.
+// timerKind is the purpose of a timer event, which determines the fields that are set.
 type timerKind uint8
 
 const (
-	timerDispatcher      timerKind = iota // the dispatcher's, with its token
+	timerDispatcher      timerKind = iota // the dispatcher's timer, with its token
 	timerAttemptDeadline                  // an attempt has had no response by its deadline
 	timerUpstreamConn                     // a connect or health check has timed out, or an idle connection has
-	timerPoll                             // a poll of the endpoint list has timed out, or its backoff is over
+	timerPoll                             // a poll of the endpoint list has timed out, or its backoff has ended
 	timerStream                           // a streamed response may have stalled
-	timerFlush                            // a connection that is closing may have been read out by its client
-	timerSweep                            // slow and idle clients are due to be looked for
-	timerIdleCheck                        // a node that drains or stands by looks for idle clients
-	timerLastKnownList                    // no list has come yet: the last known one is good enough
+	timerFlush                            // the client of a closing connection may have read everything
+	timerSweep                            // the check for slow and idle clients is due
+	timerIdleCheck                        // the idle check of a draining node or one in standby is due
+	timerLastKnownList                    // no list has arrived yet: the last known one is used
 )
 
-// timerEvent is what happens when a timer fires. It is a small value, so that hanging one in allocates nothing. Timers
-// are not cancelled: each handler checks whether what it was set for is still the case.
+// timerEvent is what happens when a timer fires. It is a small value, so that scheduling one allocates nothing. Timers
+// are not cancelled: each handler checks whether its reason still applies.
 type timerEvent struct {
 	kind       timerKind
 	token      string         // timerDispatcher
@@ -34,13 +34,14 @@
 
 func (p *Proxy) schedule(at policy.Instant, event timerEvent) { p.timers.Push(at, event) }
 
-// SetTimer has the dispatcher's OnTimer called with a token after a time. It implements dispatch.Actions.
+// SetTimer makes the event loop call the dispatcher's OnTimer with a token after a delay. It implements
+// dispatch.Actions.
 func (p *Proxy) SetTimer(in time.Duration, token string) {
 	p.schedule(p.now().Add(in), timerEvent{kind: timerDispatcher, token: token})
 }
 
 // fireTimers handles the timers that are due. One that is set meanwhile waits until further events have been handled,
-// however soon it is due: timers that set each other anew can't keep the loop from its sockets.
+// however soon it is due, so that timers that set each other anew cannot starve the sockets.
 func (p *Proxy) fireTimers() {
 	now := p.now()
 	for {
