--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,26 +9,27 @@
 	"dahliapin/policy"
 )
 
-// attempt is one try of a request at an endpoint. The first is 0.
+// attempt is one attempt to serve a request at an endpoint. The attempts of a request are numbered from 0.
 type attempt struct {
 	inFlight      bool
 	conn          upstreamConnID
-	sentAt        policy.Instant // when the dispatcher decided on it
+	sentAt        policy.Instant // when the dispatcher requested it
 	deadline      policy.Instant
-	partlyWritten bool // it was written, but the kernel had not taken all of it then
+	partlyWritten bool // the kernel accepted only part of it when it was written
 }
 
-// attemptRef names an attempt.
+// attemptRef identifies an attempt.
 type attemptRef struct {
 	request inflightID
 	index   int
 }
 
-// unreadableResponse is the result of an attempt whose response can't be read, until it is reported as one that package
-// policy knows.
+// unreadableResponse is the result of an attempt whose response cannot be used, because it cannot be parsed or answers
+// another request. It is internal to this package, and reported as a result that package policy knows.
 const unreadableResponse policy.Result = -1
 
-// Send starts an attempt on the connection used last, or on a new one. It implements dispatch.Actions.
+// Send starts an attempt on the most recently used idle connection to the endpoint, or on a new one. It implements
+// dispatch.Actions.
 func (p *Proxy) Send(id policy.RequestID, to policy.EndpointID, deadline policy.Instant) {
 	req := p.inflight.requests.Get(inflightIDOf(id))
 	if req == nil {
@@ -49,7 +50,7 @@
 	strict := !req.parsed.idempotent || !endpoint.codec.identifiesRequest()
 	conn, err := p.acquireConn(endpoint, purposeAttempt, strict)
 	if err != nil {
-		p.endAttempt(req, ref.index, policy.NotSent, nil) // for lack of a descriptor: the endpoint is not to blame
+		p.endAttempt(req, ref.index, policy.NotSent, nil) // out of descriptors, which is not the endpoint's fault
 		return
 	}
 	conn.attempt = ref
@@ -60,9 +61,10 @@
 	}
 }
 
-// startAttempt writes an attempt whose connection has come up. Guards against one that was allowed when it was decided
-// on and is not any more: after the final answer although it could not be cancelled, to an endpoint that drains by now,
-// or as a retry after the deduplication window. Each could carry a request out twice, or for nobody.
+// startAttempt writes an attempt whose connection has been established, if the attempt is still allowed. While it
+// waited for the connection, the request may have been answered (if the attempt could not be cancelled), the endpoint
+// may have started to drain, or the deduplication window of a retry may have passed. Sent then, the attempt could
+// execute a request twice, or for a client that has gone.
 func (p *Proxy) startAttempt(conn *upstreamConn) {
 	ref := conn.attempt
 	req := p.inflight.requests.Get(ref.request)
@@ -76,14 +78,15 @@
 	p.writeAttempt(conn, req, ref.index)
 }
 
-// clientLeftUnnoticed reports whether the client of a request has closed its connection and the loop has not come to
-// that event yet: it stands behind others, and the request may have waited long. Guards against attempts for nobody.
+// clientDisconnected reports whether the client of a request has closed its connection although the event loop has not
+// handled that event yet, because it is queued behind others and the request may have waited long. It prevents attempts
+// whose answer nobody would receive. The connection is closed in a deferred call.
 func (p *Proxy) clientLeftUnnoticed(req *inflightRequest) bool {
 	client := p.downstream.conns.Get(req.client)
 	if req.answered || client == nil || !client.socket.PeerClosed() {
 		return false
 	}
-	p.deferCall(func() { // before the dispatcher gets the attempt's result, on which it would decide on another one
+	p.deferCall(func() { // runs before the dispatcher gets the attempt's result and could start another attempt
 		if p.downstream.conns.Get(client.id) == client {
 			p.closeClient(client)
 		}
@@ -91,7 +94,8 @@
 	return true
 }
 
-// writeAttempt hands an attempt to the kernel. Only if that fails is it sure that its last byte never was.
+// writeAttempt writes an attempt to its connection. Only a write error proves that its last byte never reached the
+// kernel.
 func (p *Proxy) writeAttempt(conn *upstreamConn, req *inflightRequest, index int) {
 	attempt := &req.attempts[index]
 	timeoutMs := max(1, int64(attempt.deadline.Since(p.now())/time.Millisecond))
@@ -108,8 +112,8 @@
 	p.metrics.attemptsSent++
 }
 
-// Cancel cancels an attempt by closing its connection, which carries no other; one that is still coming up is kept. It
-// implements dispatch.Actions.
+// Cancel cancels an attempt by closing its connection, which carries no other attempt. A connection that is still being
+// established is kept. It implements dispatch.Actions.
 func (p *Proxy) Cancel(id policy.RequestID, index int) {
 	req := p.inflight.requests.Get(inflightIDOf(id))
 	if req == nil || index < 0 || index >= len(req.attempts) || !req.attempts[index].inFlight {
@@ -118,9 +122,9 @@
 	p.abandonAttempt(req, index, policy.Cancelled)
 }
 
-// isPartlyWritten reports whether the kernel has not taken all of an attempt yet. Such an attempt has not been sent,
-// and so may be stopped whatever the settings say of cancelling. Guards against one that is sent completely long
-// after nobody waits for it any more.
+// isPartlyWritten reports whether the kernel has not accepted all bytes of an attempt yet. Such an attempt has not been
+// sent, so it may be stopped even if the settings do not allow cancelling. Otherwise the rest of it would be sent long
+// after the client has gone.
 func (p *Proxy) isPartlyWritten(req *inflightRequest, index int) bool {
 	conn := p.upstream.conns.Get(req.attempts[index].conn)
 	return req.attempts[index].inFlight && conn != nil && conn.socket != nil && conn.socket.Unsent() > 0
@@ -133,8 +137,8 @@
 	}
 }
 
-// abandonAttempt ends an attempt that has had no response. If the kernel never took its last byte, it was never carried
-// out, and the result says so.
+// abandonAttempt ends an attempt that has had no response. If the kernel never accepted its last byte, the endpoint
+// cannot have executed it, and the result says so.
 func (p *Proxy) abandonAttempt(req *inflightRequest, index int, result policy.Result) {
 	conn := p.upstream.conns.Get(req.attempts[index].conn)
 	if conn != nil && (conn.socket == nil || p.dropConn(conn) > 0) {
@@ -148,7 +152,7 @@
 	p.endAttempt(req, index, result, nil)
 }
 
-// endAttempt ends an attempt with its one result, which the dispatcher gets as soon as it has returned.
+// endAttempt ends an attempt with its only result. The dispatcher gets the result in a deferred call.
 func (p *Proxy) endAttempt(req *inflightRequest, index int, result policy.Result, report []float64) {
 	attempt := &req.attempts[index]
 	attempt.inFlight = false
@@ -164,7 +168,7 @@
 	})
 }
 
-// readAttemptResponse reads an endpoint's response to an attempt, as far as it has come.
+// readAttemptResponse parses what has been received of an endpoint's response to an attempt.
 func (p *Proxy) readAttemptResponse(conn *upstreamConn, req *inflightRequest) {
 	response := &p.upstream.response
 	input := &conn.input
@@ -184,9 +188,9 @@
 	}
 }
 
-// onAttemptResponse ends an attempt by its response. One that can't be read or answers another request is served to
-// nobody: the attempt has failed and may have been carried out, though the endpoint lives, and nothing else that comes
-// on its connection can be trusted.
+// onAttemptResponse ends an attempt with its response. A response that cannot be parsed, or that answers another
+// request, is served to no client: the attempt has failed but may have been executed, the endpoint is alive, and
+// nothing else received on its connection can be trusted.
 func (p *Proxy) onAttemptResponse(conn *upstreamConn, req *inflightRequest, response *upstreamResponse, size int) {
 	if response.result == unreadableResponse {
 		p.metrics.counters.ProtocolErrors++
@@ -195,7 +199,7 @@
 	}
 	var head, value []byte
 	isAnswer := response.result == policy.Answered && !req.answered
-	switch { // before the response's bytes are passed over
+	switch { // runs before the response's bytes are consumed
 	case isAnswer && req.parsed.write:
 		head = req.codec.writeReceipt(&req.parsed, response)
 	case isAnswer:
@@ -221,7 +225,7 @@
 	p.endAttempt(req, index, response.result, report)
 }
 
-// parseLoadReport reads a load report: names and values, of which only the settings' columns count.
+// parseLoadReport parses a load report, a list of names and values. Only the columns in the settings are used.
 func (p *Proxy) parseLoadReport(report []byte) []float64 {
 	if len(report) == 0 {
 		return nil
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -6,37 +6,37 @@
 	"dahliapin/policy"
 )
 
-// pipelineSlot is the place of one command's answer among those of its connection: answers go out in the order of the
-// commands, whichever is ready first.
+// pipelineSlot holds the answer to one command of a connection. Answers are written in the order of the commands,
+// whichever is ready first.
 type pipelineSlot struct {
-	request    inflightID // 0 for a command that is no request in flight
+	request    inflightID // 0 for a command that is not a request in flight
 	answered   bool
 	response   []byte
-	streamConn upstreamConnID // where a value comes from that is streamed, or 0
-	value      []byte         // a long value that follows the response uncopied, before the trailer
+	streamConn upstreamConnID // the connection that the value is streamed from, or 0
+	value      []byte         // a long value, written uncopied after the response and before the trailer
 }
 
-// size is how many bytes of the answer wait.
+// size returns the number of bytes of the answer that are queued.
 func (s *pipelineSlot) size() int { return len(s.response) + len(s.value) }
 
-// respond answers a command that is no request in flight, in its turn.
+// respond queues the answer to a command that is not a request in flight.
 func (p *Proxy) respond(client *clientConn, response []byte) {
 	p.inflight.bufferedBytes += len(response)
 	client.pipeline = append(client.pipeline, pipelineSlot{answered: true, response: response})
 }
 
-// slotOf returns the slot of a command by its number, which must be one that is not answered to the client yet.
+// slotOf returns the slot with the given number. Its command must not have been answered to the client yet.
 func (c *clientConn) slotOf(number uint64) *pipelineSlot { return &c.pipeline[number-c.firstSlot] }
 
-// advance removes the first slots.
+// advance removes the first count slots.
 func (c *clientConn) advance(count int) {
 	c.firstSlot += uint64(count)
 	left := copy(c.pipeline, c.pipeline[count:])
-	clear(c.pipeline[left:]) // else the answers in them would stay in memory
+	clear(c.pipeline[left:]) // releases the memory of the answers
 	c.pipeline = c.pipeline[:left]
 }
 
-// flushPipeline writes the answers that are ready, up to the first command that is not answered.
+// flushPipeline writes the answers that are ready, up to the first unanswered command.
 func (p *Proxy) flushPipeline(client *clientConn) {
 	pieces, last, count := p.readyAnswers(client)
 	if count > 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// readyAnswers returns the bytes of the answers that are ready, and how many those are. Short ones are joined into one
-// piece; long values are not copied.
+// readyAnswers returns the bytes of the answers that are ready, and the number of these answers. Short answers are
+// joined into one piece; long values are not copied.
 func (p *Proxy) readyAnswers(client *clientConn) (pieces [][]byte, last []byte, count int) {
 	for ; count < len(client.pipeline) && client.pipeline[count].answered; count++ {
 		slot := &client.pipeline[count]
@@ -81,7 +81,7 @@
 	return pieces, last, count
 }
 
-// resumeFirstStream goes on with a streamed value that has waited for the answers before it.
+// resumeFirstStream resumes a streamed value that has waited for earlier answers.
 func (p *Proxy) resumeFirstStream(client *clientConn) {
 	if len(client.pipeline) == 0 || client.pipeline[0].streamConn == 0 {
 		return
@@ -97,9 +97,10 @@
 	})
 }
 
-// announceClose lets a node that drains or stands by say with the last answer on a connection that it ends with that,
-// where the protocol can. Guards against a command that the client sends while the connection is being closed: it would
-// be lost. Whether an answer is the last is known only as it leaves, since it may have waited for others.
+// announceClose makes the last answer on a connection announce that the connection closes, if the node is draining or
+// in standby and the protocol supports it. Otherwise a command that the client sends while the connection is being
+// closed would be lost. Whether an answer is the last one is known only when it is written, since it may have waited
+// for others.
 func (p *Proxy) announceClose(client *clientConn, slot *pipelineSlot) {
 	leaving := p.lifecycle.phase == Draining || p.lifecycle.phase == Standby
 	if !leaving || client.incompleteBytes > 0 || client.closing {
@@ -110,7 +111,8 @@
 	}
 }
 
-// completeRequest gives a request its one final answer. A long value follows the response uncopied.
+// completeRequest gives a request its only final answer. A long value is written after the response without being
+// copied.
 func (p *Proxy) completeRequest(req *inflightRequest, response, value []byte) {
 	req.answered = true
 	if p.now() > req.deadline {
@@ -134,8 +136,8 @@
 	})
 }
 
-// Reject answers that a request was not carried out and may be sent again, after retryAfter if that is not 0. It
-// implements dispatch.Actions.
+// Reject answers that a request was not executed and may be retried, after retryAfter unless that is 0. It implements
+// dispatch.Actions.
 func (p *Proxy) Reject(id policy.RequestID, retryAfter time.Duration) {
 	req := p.inflight.requests.Get(inflightIDOf(id))
 	if req == nil || req.answered {
@@ -146,7 +148,7 @@
 	p.releaseIfDone(req)
 }
 
-// Fail answers that a request has failed and may have been carried out. It implements dispatch.Actions.
+// Fail answers that a request has failed and may have been executed. It implements dispatch.Actions.
 func (p *Proxy) Fail(id policy.RequestID) {
 	req := p.inflight.requests.Get(inflightIDOf(id))
 	if req == nil || req.answered {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -9,48 +9,49 @@
 )
 
 const (
-	// maxClientTimeout is the longest time until its deadline that a client may state: no deployment's comes near it.
+	// maxClientTimeout is the longest timeout that a client may state. No deployment uses timeouts close to it.
 	maxClientTimeout = 10 * time.Minute
-	// bufferedShare is the part of the memory that requests and answers may take, one of so many: the rest is for what
-	// grows with them.
+	// bufferedShare limits buffered requests and answers to one part in bufferedShare of the memory limit. The rest is
+	// left for the other state that grows with them.
 	bufferedShare = 8
 )
 
 type inflightID uint64
 
-// inflightTable is the table of the requests in flight. The loop writes it.
+// inflightTable holds the requests in flight. Only the event loop writes it.
 type inflightTable struct {
 	requests      slotmap.Table[inflightID, inflightRequest]
-	ids           map[string]bool // the ids that the clients gave them
-	pending       int             // requests accepted whose final answer is not complete, streamed ones included
-	bufferedBytes int             // of requests, and of answers that wait for those before them
+	ids           map[string]bool // the ids that clients gave them
+	pending       int             // accepted requests without a complete final answer, including streamed ones
+	bufferedBytes int             // of requests, and of answers queued behind earlier ones
 }
 
-// inflightRequest is a request that was accepted. It stays until it is answered and none of its attempts is in flight.
-// The dispatcher keeps what the decisions need of it.
+// inflightRequest is an accepted request. It is kept until it has been answered and none of its attempts is in flight.
+// The dispatcher keeps what routing decisions need to know about it.
 type inflightRequest struct {
 	id                  inflightID
 	class               policy.ClassID
 	client              clientConnID
 	slot                uint64 // the number of its pipeline slot
 	codec               downstreamCodec
-	parsed              clientRequest // of its own memory
+	parsed              clientRequest // a copy that does not refer to the read buffer
 	deadline            policy.Instant
-	answered            bool // or its client has gone
+	answered            bool // or its client has disconnected
 	lastAttemptTimedOut bool
-	anyWritten          bool      // an attempt was handed to the kernel, if only in part
-	size                int       // bytes that it takes
-	attempts            []attempt // same indexes as the dispatcher's: each Send appends to both
+	anyWritten          bool      // at least one attempt was written to a socket, if only partly
+	size                int       // in bytes
+	attempts            []attempt // indexed like the dispatcher's: each Send appends to both
 }
 
-// policyRequestID is a request's id towards the dispatcher: that of its slot, so that no client can name another's.
+// policyRequestID returns the id by which the dispatcher knows a request. It is derived from the request's place in the
+// table, so that no client can refer to another client's request.
 func policyRequestID(id inflightID) policy.RequestID {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(id))
 	return policy.RequestID(b[:])
 }
 
-// inflightIDOf is the inverse of policyRequestID; 0, which is no request's, for what is not such an id.
+// inflightIDOf is the inverse of policyRequestID. It returns 0, which no request has, if id is not such an id.
 func inflightIDOf(id policy.RequestID) inflightID {
 	if len(id) != 8 {
 		return 0
@@ -58,9 +59,9 @@
 	return inflightID(binary.BigEndian.Uint64([]byte(id)))
 }
 
-// acceptRequest takes a request in flight and passes it to the dispatcher, or answers at once that it can't. A request
-// without a deadline or a known class is malformed. So is one with the id of another in flight: an endpoint could not
-// tell the two apart, and would answer one of them with the other's value.
+// acceptRequest registers a request as in flight and passes it to the dispatcher, or refuses it at once. A request
+// without a deadline or with an unknown service class is malformed. So is one whose id is already in flight: an
+// endpoint could not tell the two apart, and would answer one of them with the value of the other.
 func (p *Proxy) acceptRequest(client *clientConn, request *clientRequest, at policy.Instant) {
 	class := p.config.Settings.Names.Class(request.class)
 	if request.timeout <= 0 || class < 0 {
@@ -108,10 +109,11 @@
 	})
 }
 
-// capDeadline returns the deadline of a request that came at a time: none is later than the end of a node that
-// drains. outlastsDrain reports that the request must not be begun so late: it is not idempotent, or has less time
-// left than its latency objective. Guards against rejecting, for the whole drain, whatever has a long deadline,
-// although the node would have served it well within its latency objective.
+// capDeadline returns the deadline of a request that arrived at the given time. While the node drains, no deadline is
+// later than the node's end. outlastsDrain reports that the request must not be started so late: it is not idempotent,
+// or the time left is shorter than its latency objective. Requests with long deadlines are otherwise accepted, because
+// the node can still serve them within their latency objective; rejecting them would reject whole service classes for
+// the length of a drain.
 func (p *Proxy) capDeadline(
 	class policy.ClassID, at, deadline policy.Instant,
 ) (capped policy.Instant, outlastsDrain bool) {
@@ -123,7 +125,8 @@
 	return by, rules.Idempotency != policy.Idempotent || by.Since(at) < rules.LatencyObjective
 }
 
-// cannotAccept reports whether the node lacks capacity for another request of a client, or accepts none.
+// cannotAccept reports whether the node lacks the capacity for another request of a client, or accepts none in its
+// current phase.
 func (p *Proxy) cannotAccept(client *clientConn) bool {
 	buffered := int64(p.inflight.bufferedBytes) + p.engine.Unsent()
 	return p.lifecycle.phase == Starting ||
@@ -133,7 +136,7 @@
 		buffered > p.config.MemoryLimit/bufferedShare
 }
 
-// cloneRequest copies what is still needed of a request out of the buffer that it was read from, in one allocation. It
+// cloneRequest copies the parts of a request that are still needed out of the read buffer, in one allocation. It also
 // returns how many bytes the copy takes.
 func cloneRequest(request *clientRequest) (clone clientRequest, size int) {
 	size = len(request.key) + len(request.flags) + len(request.id) + len(request.value)
@@ -152,8 +155,8 @@
 	return clone, size + len(request.httpDetails().headers)
 }
 
-// abandonRequest ends a request whose client has gone. Its attempts are cancelled where the settings allow that, or
-// while the kernel has not taken all of them.
+// abandonRequest ends a request whose client has disconnected. Its attempts are cancelled if the settings allow it, or
+// if the kernel has not accepted all their bytes.
 func (p *Proxy) abandonRequest(req *inflightRequest) {
 	req.answered = true
 	p.inflight.pending--
@@ -171,7 +174,7 @@
 	p.releaseIfDone(req)
 }
 
-// releaseIfDone forgets a request that is answered and has no attempt in flight.
+// releaseIfDone removes a request that has been answered and has no attempt in flight.
 func (p *Proxy) releaseIfDone(req *inflightRequest) {
 	for i := range req.attempts {
 		if req.attempts[i].inFlight {
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	// streamThreshold is the size in bytes above which a value is streamed: what clients may write is gathered.
+	// streamThreshold is the size in bytes above which a value is streamed. It is the maximum size of the values that
+	// clients write, so those are buffered.
 	streamThreshold = 64 << 10
-	// streamWindow is how many bytes may wait for a slow reader before its endpoint is not read any more.
+	// streamWindow is how many bytes may be queued for a slow client before the node stops reading from the endpoint.
 	streamWindow = 64 << 10
-	// streamCheckInterval is the time between two looks whether such a reader has caught up.
+	// streamCheckInterval is the interval at which the node checks whether such a client has caught up.
 	streamCheckInterval = 5 * time.Millisecond
-	// slowReaderTimeout is how long a reader may take no byte while it holds an endpoint's connection.
+	// slowReaderTimeout is how long a client may read nothing while it occupies an endpoint's connection.
 	slowReaderTimeout = 10 * time.Second
-	// streamIdleTimeout is how long an endpoint may send no byte while its reader is ready.
+	// streamIdleTimeout is how long an endpoint may send nothing while the client is ready to read.
 	streamIdleTimeout = 5 * time.Second
 )
 
-// responseStream is a long value that is forwarded while it comes in. For the dispatcher its attempt has ended with the
-// first byte: from then on there is no other attempt, and if anything goes wrong the client's connection ends, by which
-// the client can tell that the value is not complete.
+// responseStream is a long value that is forwarded while it is being received. For the dispatcher, its attempt ended
+// with the first byte: no other attempt follows, and on any failure the client's connection is closed, by which the
+// client can tell that the value is incomplete.
 type responseStream struct {
 	client      clientConnID
 	slot        uint64 // the number of its pipeline slot
 	class       policy.ClassID
 	codec       downstreamCodec
 	parsed      clientRequest
-	remaining   int            // bytes of the value that are still to be forwarded
-	trailerSize int            // bytes that the endpoint ends the value with
-	started     bool           // the head went out to the client
-	paused      bool           // its endpoint is not read: the reader is slow, or waits for answers before it
-	checkAt     policy.Instant // when its timer fires; 0 for not set
-	lastByteAt  policy.Instant // when a byte was last forwarded, or could not be because of the reader
-	unsent      int64          // bytes that waited for the reader at the last look
-	lastReadAt  policy.Instant // when the reader last took a byte, or nothing waited for it
+	remaining   int            // bytes of the value still to be forwarded
+	trailerSize int            // bytes that the endpoint sends after the value
+	started     bool           // the head has been written to the client
+	paused      bool           // the endpoint is not read: the client is slow, or earlier answers are pending
+	checkAt     policy.Instant // when its timer fires; 0 if not set
+	lastByteAt  policy.Instant // when a byte was last forwarded, or was held back because of the client
+	unsent      int64          // bytes queued for the client at the last check
+	lastReadAt  policy.Instant // when the client last read a byte, or nothing was queued for it
 }
 
-// isComplete reports whether all of the value has come in.
+// isComplete reports whether all of the value has been received.
 func (s *responseStream) isComplete(input *upstreamInput) bool {
 	return s.remaining+s.trailerSize <= len(input.buf.Unread())
 }
 
-// isFirstOf reports whether all commands of the client before the stream's have been answered to it.
+// isFirstOf reports whether all commands of the client before the stream's have been answered.
 func (s *responseStream) isFirstOf(client *clientConn) bool { return client.firstSlot == s.slot }
 
-// startStream begins to stream a long value of which the head has come, and reports whether it did.
+// startStream starts to stream a long value whose head has been received, and reports whether it did.
 func (p *Proxy) startStream(conn *upstreamConn, req *inflightRequest, response *upstreamResponse, wants int) bool {
 	client := p.downstream.conns.Get(req.client)
 	isLong := response.headSize > 0 && response.valueSize > streamThreshold
@@ -81,7 +82,7 @@
 	return true
 }
 
-// forwardStream forwards what has come of a value, as far as its reader takes it.
+// forwardStream forwards what has been received of a value, as far as the client can take it.
 func (p *Proxy) forwardStream(conn *upstreamConn) {
 	stream := conn.stream
 	client := p.downstream.conns.Get(stream.client)
@@ -103,7 +104,7 @@
 		stream.unsent = unsent
 		stream.lastReadAt = p.now()
 	} else if p.now().Since(stream.lastReadAt) >= slowReaderTimeout {
-		// Guards against a reader that takes nothing more: it would hold its endpoint's connection for good.
+		// A client that no longer reads would otherwise occupy its endpoint's connection forever.
 		p.metrics.counters.ClientTimeouts++
 		p.closeClient(client)
 		return
@@ -111,7 +112,7 @@
 	p.scheduleStreamCheck(conn)
 }
 
-// setPaused stops and resumes reading from a stream's endpoint.
+// setPaused pauses or resumes reading from a stream's endpoint.
 func (p *Proxy) setPaused(conn *upstreamConn, paused bool) {
 	stream := conn.stream
 	if stream.paused && !paused {
@@ -125,8 +126,8 @@
 	}
 }
 
-// scheduleStreamCheck sets a stream's timer, unless it fires sooner anyway. A paused stream is checked often: no bytes
-// are read for it that would wake it.
+// scheduleStreamCheck sets a stream's timer, unless it fires sooner anyway. A paused stream is checked often, since no
+// received data triggers a check.
 func (p *Proxy) scheduleStreamCheck(conn *upstreamConn) {
 	stream := conn.stream
 	wait := streamIdleTimeout
@@ -140,8 +141,8 @@
 	}
 }
 
-// forwardDirect forwards what has just come in without a copy, as far as its reader takes it, and returns the rest. The
-// value's end is left to forwardStream, as something may follow it.
+// forwardDirect forwards data that has just been received without copying it, as far as the client can take it, and
+// returns the rest. The end of the value is left to forwardStream, since other data may follow it.
 func (p *Proxy) forwardDirect(conn *upstreamConn, data []byte) (rest []byte) {
 	stream := conn.stream
 	client := p.downstream.conns.Get(stream.client)
@@ -158,8 +159,8 @@
 	return data[used:]
 }
 
-// writeStream writes bytes of a value to its reader. It returns how many, and whether there is more to come; if not,
-// the stream has ended.
+// writeStream writes bytes of a value to the client. It returns how many, and whether more are to come; if not, the
+// stream has ended.
 func (p *Proxy) writeStream(conn *upstreamConn, client *clientConn, data []byte) (used int, more bool) {
 	stream := conn.stream
 	if !stream.started && !p.writeStreamHead(stream, client) {
@@ -172,7 +173,7 @@
 		used += len(piece)
 		client.lastUsedAt = p.now()
 		stream.lastByteAt = p.now()
-		if client.socket.Write(piece) != nil { // what the kernel does not take is copied
+		if client.socket.Write(piece) != nil { // what the kernel does not accept is copied
 			p.onClientClosed(client.id)
 			return 0, false
 		}
@@ -187,7 +188,7 @@
 	return used, true
 }
 
-// writeStreamHead writes what stands before a value, and reports whether its client is still there.
+// writeStreamHead writes what precedes a value, and reports whether the client is still connected.
 func (p *Proxy) writeStreamHead(stream *responseStream, client *clientConn) bool {
 	slot := &client.pipeline[0]
 	p.inflight.bufferedBytes -= slot.size()
@@ -201,7 +202,8 @@
 	return true
 }
 
-// completeStream ends a value that is complete, or, where its trailer is not that of a value, its reader's connection.
+// completeStream ends a stream whose value has been received completely. If the trailer is invalid, it fails the stream
+// instead.
 func (p *Proxy) completeStream(conn *upstreamConn, client *clientConn, badTrailer bool) {
 	stream := conn.stream
 	if badTrailer {
@@ -232,8 +234,8 @@
 	p.answerSlot(client, &client.pipeline[0], []byte(stream.codec.valueTrailer()))
 }
 
-// failStream ends a value that will not be complete. If it has begun to go out, its client can tell by the end of the
-// connection; before that, the request is answered as any other that has failed.
+// failStream ends a stream whose value will not be complete. If part of it has been written, the client can tell by the
+// end of the connection; otherwise the request is answered like any other failed one.
 func (p *Proxy) failStream(stream *responseStream) {
 	p.inflight.pending--
 	p.metrics.countFailed(stream.class)
@@ -250,7 +252,7 @@
 	p.answerSlot(client, slot, stream.codec.failed(&stream.parsed, false))
 }
 
-// answerSlot puts the end of a streamed answer into its slot, and writes what is ready.
+// answerSlot stores the end of a streamed answer in its slot, and writes the answers that are ready.
 func (p *Proxy) answerSlot(client *clientConn, slot *pipelineSlot, response []byte) {
 	slot.answered = true
 	slot.response = response
@@ -259,7 +261,7 @@
 	p.flushPipeline(client)
 }
 
-// onStreamTimer goes on with a value whose reader was slow, and ends one whose endpoint has stopped sending.
+// onStreamTimer resumes a stream whose client was slow, and fails one whose endpoint has stopped sending.
 func (p *Proxy) onStreamTimer(id upstreamConnID) {
 	conn := p.upstream.conns.Get(id)
 	if conn == nil || conn.stream == nil || p.now() < conn.stream.checkAt {
