--- a/internal/proxy/health_checks.go
+++ b/internal/proxy/health_checks.go
@@ -2,7 +2,7 @@
 
 import "dahliapin/policy"
 
-// CheckHealth sends an endpoint a health check. It implements dispatch.Actions.
+// CheckHealth sends a health check to an endpoint. It implements dispatch.Actions.
 func (p *Proxy) CheckHealth(id policy.EndpointID) {
 	endpoint := p.endpoints.byID[id]
 	if endpoint == nil {
@@ -45,7 +45,7 @@
 	p.reportHealthCheck(conn.endpoint.id, result)
 }
 
-// reportHealthCheck has the dispatcher get a health check's result as soon as it has returned.
+// reportHealthCheck passes a health check's result to the dispatcher in a deferred call.
 func (p *Proxy) reportHealthCheck(id policy.EndpointID, result policy.Result) {
 	p.deferCall(func() { p.dispatcher.OnHealthCheck(p.now(), id, result) })
 }
--- a/internal/proxy/idle_conns.go
+++ b/internal/proxy/idle_conns.go
@@ -1,21 +1,21 @@
 package proxy
 
-// idleConnList lists all idle upstream connections in the order in which they fell idle, so that the one that has been
-// idle longest is found without a look at each endpoint: there may be thousands, and while all descriptors are in use
-// each new connection asks for it.
+// idleConnList lists all idle upstream connections in the order in which they became idle. The one that has been idle
+// longest is found without a scan of all endpoints: there may be thousands, and while all descriptors are in use each
+// new connection asks for it.
 type idleConnList struct {
 	oldest *upstreamConn
 	newest *upstreamConn
 }
 
-// idleConnEntry is a connection's place in the list.
+// idleConnEntry links a connection into the list.
 type idleConnEntry struct {
 	inIdleList bool
 	older      *upstreamConn
 	newer      *upstreamConn
 }
 
-// push adds a connection that has just fallen idle.
+// push adds a connection that has just become idle.
 func (q *idleConnList) push(conn *upstreamConn) {
 	if conn.inIdleList {
 		return
@@ -29,7 +29,7 @@
 	q.newest = conn
 }
 
-// remove takes out a connection that is not idle any more, or has ended.
+// remove removes a connection that is no longer idle, or has ended.
 func (q *idleConnList) remove(conn *upstreamConn) {
 	if !conn.inIdleList {
 		return
@@ -47,8 +47,8 @@
 	conn.idleConnEntry = idleConnEntry{}
 }
 
-// closeLongestIdleConn closes the connection that has been idle longest, whose loss costs least. It reports whether
-// there was one.
+// closeLongestIdleConn closes the upstream connection that has been idle longest, since losing it costs least. It
+// reports whether there was one.
 func (p *Proxy) closeLongestIdleConn() bool {
 	oldest := p.upstream.idle.oldest
 	if oldest == nil {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// defaultConnectTimeout is how long a connection may take to come up where the settings state no time.
+	// defaultConnectTimeout is how long connecting may take if the settings state no timeout.
 	defaultConnectTimeout = 250 * time.Millisecond
-	// duplicateResponseWindow is the time in which a second response would have followed a first: paths within a site
-	// and their jitter.
+	// duplicateResponseWindow is the time within which a duplicate response would follow the first one: the network
+	// delay within a site and its jitter.
 	duplicateResponseWindow = 10 * time.Millisecond
-	// incompleteResponseShare is the part of the memory, one of so many, that responses may take which have not come
-	// complete.
+	// incompleteResponseShare limits incomplete responses to one part in incompleteResponseShare of the memory limit.
 	incompleteResponseShare = 4
-	// minIncompleteBytes of one such response are never too many: on all connections together they stay under that
-	// part.
+	// minIncompleteBytes is the size up to which an incomplete response is not dropped: responses of that size on all
+	// connections together stay below the limit.
 	minIncompleteBytes = 4 << 10
 )
 
 type upstreamConnID uint64
 
-// upstream is the table of connections to endpoints and discovery, with the pool of the idle ones. The loop writes it.
+// upstream holds the connections to endpoints and discovery, and the pool of the idle ones. Only the event loop writes
+// it.
 type upstream struct {
 	conns           slotmap.Table[upstreamConnID, upstreamConn]
 	idle            idleConnList
 	idleTimeout     idletimeout.Timeout // how long an idle connection is kept
-	response        upstreamResponse    // the response read last; kept to be reused
-	incompleteBytes int                 // of responses that have not come complete, over all connections
+	response        upstreamResponse    // the last response read; its memory is reused
+	incompleteBytes int                 // of incomplete responses, over all connections
 }
 
-// connPurpose is what a connection is used for at a time.
+// connPurpose is what a connection is currently used for.
 type connPurpose int
 
 const (
@@ -48,34 +48,34 @@
 	purposeStream // the rest of a long value
 )
 
-// upstreamConn is a connection from this node to an endpoint or to discovery. It serves one purpose at a time.
+// upstreamConn is a connection to an endpoint or to discovery. It serves one purpose at a time.
 type upstreamConn struct {
 	id       upstreamConnID
-	socket   *sockets.Conn  // nil until it is up
+	socket   *sockets.Conn  // nil until connected
 	endpoint *knownEndpoint // nil for discovery
 	purpose  connPurpose
-	attempt  attemptRef      // of purposeAttempt
-	stream   *responseStream // of purposeStream, else nil
+	attempt  attemptRef      // for purposeAttempt
+	stream   *responseStream // for purposeStream, otherwise nil
 	input    upstreamInput
-	proven   bool // something was answered on it
-	// closesAfterStream is whether the connection ends with the value that it streams.
+	proven   bool // it has been used without failing
+	// closesAfterStream is whether the connection closes after the value that it streams.
 	closesAfterStream bool
 	lastUsedAt        policy.Instant
-	deadline          policy.Instant // of the connect or the health check; 0 for none
-	idleCheckAt       policy.Instant // when the timer for its idle timeout fires; 0 for not set
-	unattributedAt    policy.Instant // when a response came that does not say whose it is; 0 if the last one did
+	deadline          policy.Instant // of the connect or the health check; 0 if none
+	idleCheckAt       policy.Instant // when the timer for its idle timeout fires; 0 if not set
+	unattributedAt    policy.Instant // when a response without a request id was received; 0 if the last one had an id
 	idleConnEntry
 }
 
-// upstreamInput is what has come on an upstream connection and is not read yet.
+// upstreamInput is the data received on an upstream connection and not consumed yet.
 type upstreamInput struct {
 	buf             buffer.Buffer
-	progress        http1.Progress // in reading the response that comes in
-	eof             bool           // the other side has ended the connection in order: nothing more will come
-	incompleteBytes int            // of a response that has not come complete, as counted in upstream
+	progress        http1.Progress // in parsing the current response
+	eof             bool           // the other side has closed the connection in order: no more data follows
+	incompleteBytes int            // of the current incomplete response, as counted in upstream
 }
 
-// consume passes over a response that has been read; what follows belongs to the next one.
+// consume removes a response that has been read. What follows belongs to the next one.
 func (in *upstreamInput) consume(size int) {
 	in.buf.Consume(size)
 	in.progress = http1.Progress{}
@@ -90,13 +90,14 @@
 
 func (p *Proxy) idleTimeout() time.Duration { return p.upstream.idleTimeout.Current(p.now()) }
 
-// maxUpstreamConns is the number of upstream connections above which one is opened only in place of an idle one.
+// maxUpstreamConns returns the number of upstream connections above which a new one is opened only in place of an idle
+// one.
 func (p *Proxy) maxUpstreamConns() int { return p.engine.MaxClients() / upstreamShare }
 
-// acquireConn returns the idle connection to an endpoint that was used last, or dials a new one; that has no socket
-// yet. With strict set, it returns none on which an unattributed response came within duplicateResponseWindow. Guards
-// against an endpoint that answers twice: the second answer, which does not say whose it is, would be taken for the
-// next request's.
+// acquireConn returns the most recently used idle connection to an endpoint, or dials a new one, which has no socket
+// yet. If strict is set, it skips connections on which a response without a request id was received within
+// duplicateResponseWindow: if the endpoint sends a second response, which does not say whose it is, it would be taken
+// for the response to the next request.
 func (p *Proxy) acquireConn(endpoint *knownEndpoint, purpose connPurpose, strict bool) (*upstreamConn, error) {
 	for i := len(endpoint.idleConns) - 1; i >= 0; i-- {
 		conn := p.upstream.conns.Get(endpoint.idleConns[i])
@@ -104,7 +105,7 @@
 			continue
 		}
 		idle, sure := conn.socket.Idle()
-		if !idle && sure { // more than the last response has come, or the end: none of it is the next one's
+		if !idle && sure { // unrequested data or the end of the connection: neither belongs to the next request
 			p.metrics.counters.ProtocolErrors++
 			p.dropConn(conn)
 		}
@@ -125,7 +126,8 @@
 	return conn, nil
 }
 
-// openConn dials for a new connection. The error is that of a lack of descriptors; all else is an event.
+// openConn dials a new connection. It returns an error only if there is no free descriptor; all other failures are
+// reported as events.
 func (p *Proxy) openConn(conn *upstreamConn, addr string) error {
 	conn.lastUsedAt = p.now()
 	conn.deadline = conn.lastUsedAt.Add(p.connectTimeout())
@@ -138,9 +140,9 @@
 	return nil
 }
 
-// dial opens a connection, and closes an idle one for it if need be. Connections to endpoints never take the clients'
-// share of the descriptors: a client that connects could not be accepted, and what it had sent would be lost. The
-// endpoint list's connection is reserved: it may be opened at any time.
+// dial opens a connection, and closes an idle one for it if necessary. Connections to endpoints never use the clients'
+// share of the descriptors: new clients could not be accepted then, and the requests that they had already sent would
+// be lost. The endpoint list's connection is reserved: it may be opened at any time.
 func (p *Proxy) dial(addr string, id upstreamConnID, reserved bool) error {
 	if !reserved && p.upstream.conns.Len() > p.maxUpstreamConns() && !p.closeLongestIdleConn() {
 		return sockets.ErrNoDescriptor
@@ -152,7 +154,7 @@
 	return err
 }
 
-// onDialResult handles a connection that has come up, or failed to.
+// onDialResult handles a connection that has been established, or has failed to.
 func (p *Proxy) onDialResult(ev *sockets.Event) {
 	conn := p.upstream.conns.Get(upstreamConnID(ev.DialID))
 	if ev.Kind == sockets.DialFailed {
@@ -171,8 +173,8 @@
 	p.startPurpose(conn)
 }
 
-// onDialFailed handles a connection that could not be opened; local tells that this machine is the reason, for which
-// the endpoint is not to blame.
+// onDialFailed handles a connection that could not be opened. If local is set, the reason lies with this machine and
+// not with the endpoint.
 func (p *Proxy) onDialFailed(conn *upstreamConn, local bool) {
 	if local && conn.purpose == purposeAttempt {
 		p.failConn(conn, policy.NotSent)
@@ -182,12 +184,12 @@
 	p.failConn(conn, policy.ConnectFailed)
 }
 
-// onConnectRefused looks at a new connection that its endpoint did not take. If others to it are up, it lives and has
-// no room for more: idle connections are closed sooner then, to all endpoints. Guards against nodes that keep
-// connections for later while others' dials to the same endpoint are refused.
+// onConnectRefused handles a new connection that its endpoint did not accept. If other connections to it are up, the
+// endpoint is alive but has reached its connection limit, and idle connections to all endpoints are closed sooner from
+// now on. Otherwise nodes would keep idle connections while other nodes' dials to the same endpoint are refused.
 func (p *Proxy) onConnectRefused(conn *upstreamConn) {
 	isListed := conn.endpoint != nil && p.endpoints.byID[conn.endpoint.id] == conn.endpoint
-	if conn.proven || !isListed { // an old connection ends for many reasons
+	if conn.proven || !isListed { // an established connection may end for many reasons
 		return
 	}
 	isUp := false
@@ -210,13 +212,13 @@
 	})
 }
 
-// scheduleIdleCheck sets the timer that closes a connection if it has been idle since a time.
+// scheduleIdleCheck sets the timer that closes a connection if it has been idle since the given time.
 func (p *Proxy) scheduleIdleCheck(conn *upstreamConn, since policy.Instant) {
 	conn.idleCheckAt = since.Add(p.idleTimeout())
 	p.schedule(conn.idleCheckAt, timerEvent{kind: timerUpstreamConn, conn: conn.id})
 }
 
-// startPurpose does what a connection was dialled for, now that it is up.
+// startPurpose starts what a connection was dialed for, once it is established.
 func (p *Proxy) startPurpose(conn *upstreamConn) {
 	switch conn.purpose {
 	case purposeAttempt:
@@ -230,7 +232,7 @@
 	}
 }
 
-// returnToPool keeps a connection for the next attempt.
+// returnToPool keeps a connection for the next attempt, unless its endpoint is no longer listed.
 func (p *Proxy) returnToPool(conn *upstreamConn) {
 	if conn.purpose == purposeAttempt || conn.purpose == purposeHealthCheck {
 		conn.proven = true
@@ -238,7 +240,7 @@
 	conn.purpose = purposeIdle
 	conn.lastUsedAt = p.now()
 	conn.deadline = 0
-	if p.endpoints.byID[conn.endpoint.id] != conn.endpoint { // the list does not name it any more
+	if p.endpoints.byID[conn.endpoint.id] != conn.endpoint { // no longer listed
 		p.dropConn(conn)
 		return
 	}
@@ -249,8 +251,8 @@
 	}
 }
 
-// onConnTimer handles a connection that has not come up in time, whose health check is unanswered, or that may have
-// been idle for too long.
+// onConnTimer handles a connection that has not been established in time, whose health check is unanswered, or that may
+// have been idle for too long.
 func (p *Proxy) onConnTimer(id upstreamConnID) {
 	conn := p.upstream.conns.Get(id)
 	if conn == nil {
@@ -269,8 +271,9 @@
 		return
 	}
 	if conn.purpose != purposeIdle {
-		// Guards against a connection that was taken up just before its idle timeout: counted from its last use the
-		// next check would be due at once, again and again until the attempt ends, and no event would be handled.
+		// Guards against a connection that is taken from the pool just before its idle timeout: counted from its last
+		// use, the next check would be due at once, again and again until the attempt ends, and no event would be
+		// handled.
 		p.scheduleIdleCheck(conn, now)
 		return
 	}
@@ -282,7 +285,7 @@
 	p.scheduleIdleCheck(conn, conn.lastUsedAt)
 }
 
-// dropConn closes a connection, and returns how many bytes that were written to it the kernel never took.
+// dropConn closes a connection, and returns how many bytes written to it the kernel never accepted.
 func (p *Proxy) dropConn(conn *upstreamConn) (unsent int64) {
 	p.upstream.conns.Remove(conn.id)
 	p.upstream.idle.remove(conn)
@@ -300,7 +303,7 @@
 	return unsent
 }
 
-// failConn drops a connection, and ends what it was used for with a result.
+// failConn drops a connection, and ends its current use with a result.
 func (p *Proxy) failConn(conn *upstreamConn, result policy.Result) {
 	purpose := conn.purpose
 	conn.purpose = purposeIdle
@@ -320,7 +323,8 @@
 	}
 }
 
-// onUpstreamClosed handles the end of a connection; unsent tells that the kernel never took all that was written.
+// onUpstreamClosed handles the end of a connection. unsent reports that the kernel never accepted all bytes written to
+// it.
 func (p *Proxy) onUpstreamClosed(id upstreamConnID, unsent, orderly bool) {
 	conn := p.upstream.conns.Get(id)
 	if conn == nil {
@@ -328,7 +332,7 @@
 	}
 	conn.input.eof = orderly
 	if orderly && len(conn.input.buf.Unread()) > 0 && conn.purpose != purposeStream {
-		p.readUpstream(conn) // a response of the origin or of discovery may end with its connection
+		p.readUpstream(conn) // the end of the connection may delimit a response of the origin or of discovery
 	}
 	if p.upstream.conns.Get(id) == nil {
 		return
@@ -338,11 +342,12 @@
 		p.failConn(conn, policy.ConnectFailed)
 		return
 	}
-	if conn.purpose == purposeStream && conn.stream.isComplete(&conn.input) { // its reader is slow
+	if conn.purpose == purposeStream && conn.stream.isComplete(&conn.input) { // the client is slow
 		conn.closesAfterStream = true
 		return
 	}
-	// One that came up only to be reset shows a full endpoint, too: the kernel had accepted for it.
+	// A connection that is reset right after it was established also indicates a full endpoint: its kernel accepted the
+	// connection, but its process did not.
 	if !orderly && conn.purpose != purposeIdle && p.now().Since(conn.lastUsedAt) < p.connectTimeout() {
 		p.onConnectRefused(conn)
 	}
@@ -368,11 +373,11 @@
 	p.updateIncompleteResponse(conn)
 }
 
-// updateIncompleteResponse notes how much of a response has come that is not complete, and drops it if all such
-// responses together take too much memory: its endpoint is not to blame.
+// updateIncompleteResponse updates the count of incomplete response bytes. It drops the response if all incomplete ones
+// together exceed their share of the memory limit, which is not the endpoint's fault.
 func (p *Proxy) updateIncompleteResponse(conn *upstreamConn) {
 	unread := len(conn.input.buf.Unread())
-	if conn.purpose == purposeStream { // each is bounded by what may wait for the loop
+	if conn.purpose == purposeStream { // each is bounded by the data that may wait for the event loop
 		unread = 0
 	}
 	p.upstream.incompleteBytes += unread - conn.input.incompleteBytes
@@ -384,12 +389,12 @@
 	}
 }
 
-// readUpstream reads what has come on a connection, by its purpose.
+// readUpstream handles the data received on a connection according to its purpose.
 func (p *Proxy) readUpstream(conn *upstreamConn) {
 	switch conn.purpose {
 	case purposeEndpointList:
 		p.readEndpointList(conn)
-	case purposeIdle: // nothing was asked for
+	case purposeIdle: // unrequested data
 		p.metrics.counters.ProtocolErrors++
 		p.dropConn(conn)
 	case purposeHealthCheck:
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -12,11 +12,11 @@
 	"dahliapin/policy"
 )
 
-// httpUpstream speaks HTTP/1.1 to caches that follow RFC 9111. The node caches nothing itself: it judges each response,
-// and one that may not be served counts as a miss, so that another replica or the origin is asked.
+// httpUpstream speaks HTTP/1.1 to caches that follow RFC 9111. The node itself caches nothing. It evaluates each
+// response, and one that must not be served counts as a cache miss, so that another replica or the origin is asked.
 type httpUpstream struct {
 	servers    *listeners.Servers
-	cacheAside bool // a cache answers from what it has, or says that it has nothing; it never asks the origin itself
+	cacheAside bool // caches answer only from what they have stored and never ask the origin themselves
 }
 
 func (h httpUpstream) encodeRequest(request *clientRequest, host string, _ int64) []byte {
@@ -41,7 +41,7 @@
 	return http1.AppendRequest(nil, method, target, h.host(host), headers, request.value)
 }
 
-// host is the name that endpoints are addressed by: the configured one, or else an endpoint's address.
+// host returns the host name sent to endpoints: the configured one, or else the endpoint's address.
 func (h httpUpstream) host(addr string) string {
 	if h.servers.Host != "" {
 		return h.servers.Host
@@ -49,8 +49,8 @@
 	return addr
 }
 
-// identifiesRequest is true as for all clients of HTTP: a response is its request's by the order alone. Only the
-// origin's are not relied on like that.
+// identifiesRequest returns true: like all HTTP clients, the node matches a response to its request by order alone.
+// Only the origin's responses are not trusted that far.
 func (httpUpstream) identifiesRequest() bool { return true }
 
 func (h httpUpstream) readResponse(
@@ -76,15 +76,15 @@
 	if request.http != nil {
 		response.headers = appendForwarded(nil, answer.Each, answer.Header("Connection"))
 		response.headers = append(response.headers, "Via: 1.1 dahliapin\r\n"...)
-	} else if request.write && !meta.Plain(answer.Body) { // a receipt is one word: the status, where none came
+	} else if request.write && !meta.Plain(answer.Body) { // a receipt is one word: the status, if the body is none
 		response.body = strconv.AppendInt(nil, int64(answer.Status), 10)
 	}
 	return response, size, 0
 }
 
-// resultOf tells what a response means. Only a 504 to a request for what is cached proves that nothing was carried out.
-// Any other refusal may have come from a server behind the cache, and counts as a proof only where carrying the request
-// out twice does no harm.
+// resultOf returns the result that a response stands for. Only a 504 to a request for cached responses proves that
+// nothing was executed. Any other rejection may come from a server behind the cache, and counts as proof only if
+// executing the request twice does no harm.
 func (h httpUpstream) resultOf(answer *http1.Response, request *clientRequest) policy.Result {
 	details := request.httpDetails()
 	status := answer.Status
@@ -93,7 +93,7 @@
 	isOverloaded := status == http1.Unavailable || status == http1.TooMany
 	onlyIfCached := details.freshness.Control.OnlyIfCached
 	switch {
-	case status == 206, status == 304 && !details.conditional: // no part was asked for, nor whether a copy is valid
+	case status == 206, status == 304 && !details.conditional: // neither a range nor a validation was requested
 		return unreadableResponse
 	case status == 504 && h.cacheAside && !request.write && !onlyIfCached:
 		return policy.CacheMiss
@@ -113,9 +113,10 @@
 	return policy.Errored
 }
 
-// isUsable reports whether a response may be served (RFC 9111, section 4). With cacheAside, all that a cache has is
-// cached. Else a response without Age is the origin's own (section 5.1), and what forbids caching does not forbid to
-// pass it on; if it says how long it is fresh, it must be so by its Date all the same, for a cache may leave Age out.
+// isUsable reports whether a response may be served (RFC 9111, section 4). With cacheAside, every response of a cache
+// is a stored one. Otherwise a response without Age is the origin's own (section 5.1), and what forbids caching does
+// not forbid forwarding it. If such a response states how long it is fresh, it must still be fresh by its Date, because
+// a cache may omit Age.
 func (h httpUpstream) isUsable(answer *http1.Response, request *clientRequest) bool {
 	hasAge := answer.Header("Age") != nil
 	response := freshnessOf(answer)
@@ -134,7 +135,7 @@
 	return !h.cacheAside && !hasAge && (!stated || lifetime == 0 || verdict.Age < lifetime)
 }
 
-// freshnessOf reads what a response says of its age and lifetime.
+// freshnessOf returns what a response states about its age and lifetime.
 func freshnessOf(answer *http1.Response) freshness.Response {
 	response := freshness.Response{Status: answer.Status}
 	answer.Each(func(name, value []byte) {
--- a/internal/proxy/upstream_meta.go
+++ b/internal/proxy/upstream_meta.go
@@ -8,7 +8,7 @@
 	"dahliapin/policy"
 )
 
-// metaUpstream speaks the meta commands to cache endpoints.
+// metaUpstream speaks meta commands to cache endpoints.
 type metaUpstream struct{}
 
 func (metaUpstream) encodeRequest(request *clientRequest, _ string, timeoutMs int64) []byte {
--- a/internal/proxy/upstream_origin.go
+++ b/internal/proxy/upstream_origin.go
@@ -8,10 +8,10 @@
 	"dahliapin/policy"
 )
 
-// originHealthPath is the origin's page for health checks.
+// originHealthPath is the path of the origin's health check.
 const originHealthPath = "/health/live"
 
-// originUpstream speaks HTTP/1.1 to the origin: a read gets the key's page, a write puts its value there.
+// originUpstream speaks HTTP/1.1 to the origin: a read is a GET of the key's path, a write a PUT of the value to it.
 type originUpstream struct{}
 
 func (originUpstream) encodeRequest(request *clientRequest, host string, timeoutMs int64) []byte {
@@ -26,7 +26,7 @@
 	return http1.AppendRequest(nil, method, http1.AppendPath(nil, request.key), host, headers, request.value)
 }
 
-// identifiesRequest is false: the origin may leave the id out of its response.
+// identifiesRequest returns false: the origin may omit the request id from its response.
 func (originUpstream) identifiesRequest() bool { return false }
 
 func (originUpstream) readResponse(
