--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -13,72 +13,73 @@
 )
 
 const (
-	// commandTimeout is how long a command may take to come complete, and a new connection to send its first byte:
-	// usually that takes milliseconds.
+	// commandTimeout is how long a client may take to send a complete command, and a new connection to send its first
+	// byte. Normally that takes milliseconds.
 	commandTimeout = 5 * time.Second / 2
-	// clientIdleTimeout is how long a client may keep a connection without a command in flight.
+	// clientIdleTimeout is how long a client may keep a connection open without a command in flight.
 	clientIdleTimeout = 2 * time.Second
 	// firstCommandGrace is how long a new connection may wait for its first command before it counts as idle.
 	firstCommandGrace = 50 * time.Millisecond
-	// sweepInterval is the time between two looks for slow and idle clients.
+	// sweepInterval is the interval at which slow and idle clients are looked for.
 	sweepInterval = 100 * time.Millisecond
-	// flushTimeout is how long a connection that closes may take until its client has read the last answer.
+	// flushTimeout is how long a closing connection may take until its client has read the last answer.
 	flushTimeout = time.Second
-	// flushCheckInterval is the time between two looks whether it has.
+	// flushCheckInterval is the interval at which the node checks whether it has.
 	flushCheckInterval = 20 * time.Millisecond
-	// maxPipelined is the number of commands in flight on one connection from which on more are rejected.
+	// maxPipelined is the number of commands in flight on one connection from which on further ones are rejected.
 	maxPipelined = 256
-	// maxPendingResponses is the number of commands and of answers that wait for them on one connection, from which on
-	// it is closed: else one slow request would let answers pile up behind it without bound.
+	// maxPendingResponses is the number of pending commands and queued answers on one connection from which on it is
+	// closed. Otherwise answers could queue up behind one slow request without bound.
 	maxPendingResponses = 4 * maxPipelined
 )
 
-// Parts of the memory and of the descriptors that each use may take: one of so many.
+// Shares of the memory limit and of the descriptors: a constant n stands for one part in n.
 const (
-	// idleClientShare is the part of the descriptors that idle clients may keep: under half of what clients may hold.
+	// idleClientShare is the share of the descriptors that idle clients may keep, less than half of what clients may
+	// use.
 	idleClientShare = 8
-	// incompleteRequestShare is the part of the memory that commands may take which have not come complete.
+	// incompleteRequestShare is the share of the memory that incomplete commands may take.
 	incompleteRequestShare = 4
-	// readAheadShare is the part of the memory that what endpoints send may take before the loop reads it.
+	// readAheadShare is the share of the memory for data received from endpoints that the event loop has not read yet.
 	readAheadShare = 8
-	// spareDescriptorShare is the part of the descriptors kept for upstream connections that are not open yet.
+	// spareDescriptorShare is the share of the descriptors kept free for upstream connections that are not open yet.
 	spareDescriptorShare = 8
-	// upstreamShare is the part of the descriptors that upstream connections may have, and clients leave them: a
-	// request needs one or two each.
+	// upstreamShare is the share of the descriptors that upstream connections may use and that clients leave to them: a
+	// request needs one or two of them.
 	upstreamShare = 2
 )
 
 type clientConnID uint64
 
-// downstream is the table of the clients' connections.
+// downstream holds the client connections.
 type downstream struct {
 	conns           slotmap.Table[clientConnID, clientConn]
 	codecs          []downstreamCodec // by listener
-	parsed          parsedRequest     // the command read last; kept to be reused
+	parsed          parsedRequest     // the last command read; its memory is reused
 	lastConnectedAt policy.Instant    // when a client last connected
-	incompleteBytes int               // of commands that have not come complete, over all connections
+	incompleteBytes int               // of incomplete commands, over all connections
 }
 
-// clientConn is a connection that a client has opened to this node.
+// clientConn is a client's connection to this node.
 type clientConn struct {
 	id              clientConnID
 	socket          *sockets.Conn
 	codec           downstreamCodec
 	buf             buffer.Buffer
-	progress        http1.Progress // in reading the command that comes in
-	pipeline        []pipelineSlot // one for each command not yet answered to the client, in their order
-	firstSlot       uint64         // the number of the first of them; the connection's first command is 0
+	progress        http1.Progress // in parsing the current command
+	pipeline        []pipelineSlot // one per command not yet answered to the client, in order
+	firstSlot       uint64         // the number of the first slot; the connection's first command is 0
 	lastUsedAt      policy.Instant
-	continueSent    bool           // "100 Continue" went out for the command that comes in
-	closing         bool           // nothing more is read; the connection closes once all is answered
-	overLimit       bool           // it came when there were too many: its requests are rejected until there are fewer
-	incompleteBytes int            // of a command that has not come complete
-	incompleteSince policy.Instant // when that, or a connection with no command yet, began; 0 for neither
-	// flushDeadline is when a connection that closes is closed although its client has not read all; 0 for not set.
+	continueSent    bool           // "100 Continue" has been sent for the current command
+	closing         bool           // nothing more is read; the connection closes once all commands are answered
+	overLimit       bool           // it connected above the client limit: its requests are rejected until below it
+	incompleteBytes int            // of the current incomplete command
+	incompleteSince policy.Instant // when that command, or a connection without one, began; 0 if neither
+	// flushDeadline is when a closing connection is closed even if its client has not read everything; 0 if not set.
 	flushDeadline policy.Instant
 }
 
-// isIdle reports whether nothing is in flight on the connection, in either direction.
+// isIdle reports whether nothing is in flight on the connection in either direction.
 func (c *clientConn) isIdle() bool {
 	return len(c.pipeline) == 0 && len(c.buf.Unread()) == 0 && c.socket.Unsent() == 0
 }
@@ -100,8 +101,8 @@
 	}
 }
 
-// tooManyClients reports whether clients hold descriptors that upstream connections need: half of them, or fewer while
-// few upstream connections are open.
+// tooManyClients reports whether clients use descriptors that upstream connections need. Those need half of all
+// descriptors, or fewer while few upstream connections are open.
 func (p *Proxy) tooManyClients() bool {
 	limit := p.engine.MaxClients()
 	leaveForUpstream := limit - p.maxUpstreamConns()
@@ -109,7 +110,7 @@
 	return p.downstream.conns.Len() > max(leaveForUpstream, leaveSpare)
 }
 
-// onClientData reads the commands in what a client has sent, and answers or accepts each.
+// onClientData parses the commands that a client has sent, and answers or accepts each.
 func (p *Proxy) onClientData(id clientConnID, data []byte, at policy.Instant) {
 	client := p.downstream.conns.Get(id)
 	if client == nil || client.closing {
@@ -161,8 +162,8 @@
 	}
 }
 
-// updateIncomplete notes how much of a command has come that is not complete, and refuses it if all such commands
-// together take too much memory.
+// updateIncomplete updates the count of incomplete command bytes, and refuses the command if all incomplete ones
+// together exceed their share of the memory limit.
 func (p *Proxy) updateIncomplete(client *clientConn, commandStart policy.Instant) {
 	unread := len(client.buf.Unread())
 	p.downstream.incompleteBytes += unread - client.incompleteBytes
@@ -179,9 +180,10 @@
 	}
 }
 
-// sweepClients closes connections on which nothing was sent, or a command has not come complete, in time, and those
-// that have been idle for long. Some clients ask once and keep their connection: of the idle ones only so many are
-// kept, those whose clients sent more than one command, then those used last.
+// sweepClients closes connections on which nothing or no complete command was sent in time, and those that have been
+// idle for too long. Some clients send one request and then keep their connection open, so the number of idle
+// connections is limited. Connections whose clients sent more than one command are kept first, then the most recently
+// used ones.
 func (p *Proxy) sweepClients() {
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
@@ -214,8 +216,8 @@
 	}
 }
 
-// compareByUse sorts first the client whose connection is worth least: it has sent fewer commands, of which maxCount
-// count, or else was used longer ago.
+// compareByUse sorts first the client whose connection is worth least: the one that has sent fewer commands, counted up
+// to maxCount, or else the one that has been idle longer.
 func compareByUse(maxCount uint64) func(a, b *clientConn) int {
 	return func(a, b *clientConn) int {
 		byCommands := cmp.Compare(min(a.firstSlot, maxCount), min(b.firstSlot, maxCount))
@@ -223,12 +225,12 @@
 	}
 }
 
-// mayCloseClient reports whether a client is idle; a new one has some time for its first command.
+// mayCloseClient reports whether a client is idle. A new client gets some time to send its first command.
 func (p *Proxy) mayCloseClient(client *clientConn) bool {
 	return client.isIdle() && (client.firstSlot > 0 || p.now().Since(client.lastUsedAt) >= firstCommandGrace)
 }
 
-// closeIdleClients closes all connections that are idle.
+// closeIdleClients closes all idle client connections.
 func (p *Proxy) closeIdleClients() {
 	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
 		if p.mayCloseClient(client) {
@@ -237,8 +239,8 @@
 	})
 }
 
-// closeLongestIdleClient closes the connection that has been idle longest, first those that have never sent a command.
-// It reports whether there was one.
+// closeLongestIdleClient closes the client connection that has been idle longest, starting with those that have never
+// sent a command. It reports whether there was one.
 func (p *Proxy) closeLongestIdleClient() bool {
 	var idle []*clientConn
 	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
@@ -256,7 +258,7 @@
 	return false
 }
 
-// closeOnceFlushed closes a connection once the kernel has taken its last answer, or its client has had flushTimeout.
+// closeOnceFlushed closes a connection once the kernel has accepted its last answer, or at its flushDeadline.
 func (p *Proxy) closeOnceFlushed(id clientConnID) {
 	client := p.downstream.conns.Get(id)
 	if client == nil {
@@ -270,8 +272,8 @@
 	p.schedule(now.Add(flushCheckInterval), timerEvent{kind: timerFlush, client: id})
 }
 
-// closeIfQuiet closes a connection between commands, and reports whether it did. Guards against closing one whose next
-// command has come to the socket but not to the loop: it would be lost.
+// closeIfIdle closes a connection between commands, and reports whether it did. It keeps one whose next command has
+// reached the socket but not the event loop: the command would be lost.
 func (p *Proxy) closeIfQuiet(client *clientConn) bool {
 	if !client.socket.CloseIfIdle() {
 		return false
@@ -291,14 +293,14 @@
 	}
 }
 
-// forgetClient removes a connection that has ended, and what waits for it.
+// removeClient removes a connection that has ended, along with its pending answers and requests.
 func (p *Proxy) forgetClient(client *clientConn) {
 	p.downstream.conns.Remove(client.id)
 	p.downstream.incompleteBytes -= client.incompleteBytes
 	for i := range client.pipeline {
 		slot := &client.pipeline[i]
 		p.inflight.bufferedBytes -= slot.size()
-		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // its only reader has gone
+		if conn := p.upstream.conns.Get(slot.streamConn); conn != nil { // the stream's only client
 			p.inflight.pending--
 			p.metrics.counters.ClientsGone++
 			p.dropConn(conn)
--- a/internal/proxy/downstream_codec.go
+++ b/internal/proxy/downstream_codec.go
@@ -8,55 +8,55 @@
 	"dahliapin/internal/wire/http1"
 )
 
-// downstreamCodec turns a client's bytes into commands, and answers into bytes for it. It keeps nothing of a client:
-// one serves all clients of a listener.
+// downstreamCodec decodes a client's data to commands, and encodes the answers. It keeps no state of a client: one
+// codec serves all clients of a listener.
 type downstreamCodec interface {
-	// readRequest reads a client's next command. A size of 0 asks for more bytes, unless the intent says that the
-	// command is to be answered at once. Progress keeps what was found before of the same command.
+	// readRequest parses a client's next command. A size of 0 asks for more bytes, unless the intent requires that the
+	// command is answered at once. progress keeps what has been parsed of the same command.
 	readRequest(b []byte, parsed *parsedRequest, progress *http1.Progress) (size int)
-	// value writes the answer that serves a value. A long value is not copied: it follows the head, and valueTrailer
-	// follows that.
+	// value encodes the answer that carries a value. A long value is not copied: it is written after the head, and
+	// valueTrailer after it.
 	value(request *clientRequest, response *upstreamResponse) (head, value []byte)
-	// valueHead writes what stands before a value of so many bytes that is streamed.
+	// valueHead encodes what precedes a streamed value of valueSize bytes.
 	valueHead(request *clientRequest, response *upstreamResponse, valueSize int) []byte
-	// valueTrailer is what stands behind a value.
+	// valueTrailer returns what follows a value.
 	valueTrailer() string
-	// writeReceipt writes the answer to a write that was carried out.
+	// writeReceipt encodes the answer to a write that was executed.
 	writeReceipt(request *clientRequest, response *upstreamResponse) []byte
-	// rejected writes that a request was not carried out and may be sent again; a retryAfter of 0 is not stated.
+	// rejected encodes that a request was not executed and may be retried. A retryAfter of 0 is not stated.
 	rejected(request *clientRequest, retryAfter time.Duration) []byte
-	// failed writes that a request may have been carried out; timedOut tells that the last endpoint has not responded,
-	// rather than amiss.
+	// failed encodes that a request may have been executed. timedOut reports that the last endpoint did not respond in
+	// time, rather than with an error.
 	failed(request *clientRequest, timedOut bool) []byte
-	// refusal writes why a command was not accepted.
+	// refusal encodes why a command was not accepted.
 	refusal(reason refusalReason, headOnly bool) []byte
 	readiness(request *clientRequest, phase Phase) []byte
 	counters(request *clientRequest, counters *metrics.Counters) []byte
-	// announceClose has an answer say that its connection ends with it, if the protocol can say that.
+	// announceClose makes an answer announce that its connection closes after it, if the protocol supports that.
 	announceClose(response []byte) (closing []byte, can bool)
 }
 
-// requestIntent is what a client wants of the node.
+// requestIntent is what a client asks of the node.
 type requestIntent int
 
 const (
-	intentIncomplete requestIntent = iota // the command has not come complete
+	intentIncomplete requestIntent = iota // the command is incomplete
 	intentRequest                         // a request for an endpoint
 	intentReadiness                       // whether the node serves requests
 	intentCounters                        // the node's counters
-	intentContinue                        // "100 Continue", before it sends a request's body
-	intentUnserved                        // something that can't be served
+	intentContinue                        // "100 Continue", before the client sends the body
+	intentUnserved                        // nothing that the node can serve
 )
 
-// parsedRequest is a client's command.
+// parsedRequest is a client's parsed command.
 type parsedRequest struct {
 	clientRequest
 	intent      requestIntent
-	response    []byte // of intentContinue and intentUnserved
+	response    []byte // for intentContinue and intentInvalid
 	stopReading bool   // nothing more is read on the connection
 }
 
-// mustAnswerNow reports whether a command is answered although it has not come complete.
+// mustAnswerNow reports whether a command is answered before it is complete.
 func (r *parsedRequest) mustAnswerNow(continueSent bool) bool {
 	return r.intent == intentUnserved || r.intent == intentContinue && !continueSent
 }
@@ -66,29 +66,29 @@
 	id            []byte
 	key           []byte
 	value         []byte // of a write
-	flags         []byte // passed on to endpoints, in the form of meta commands
+	flags         []byte // passed on to endpoints, in meta command syntax
 	class         []byte // the name of its service class
 	tenant        []byte // the name of its tenant, or empty
 	write         bool
 	headOnly      bool                // the answer must have no body
-	closesConn    bool                // the connection ends with the answer
-	idempotent    bool                // by its service class
+	closesConn    bool                // the connection closes after the answer
+	idempotent    bool                // according to its service class
 	timeout       time.Duration       // from its arrival until its deadline
 	attemptSentAt time.Time           // of the attempt whose response is being read
-	http          *httpRequestDetails // nil for a client of meta commands, and where no endpoint speaks HTTP
+	http          *httpRequestDetails // nil for meta commands, and if no endpoint speaks HTTP
 }
 
-// httpRequestDetails is what a client of HTTP has sent beside its request, for endpoints that speak HTTP.
+// httpRequestDetails are the parts of an HTTP request that matter only to endpoints that speak HTTP.
 type httpRequestDetails struct {
-	headers     []byte            // complete lines
-	freshness   freshness.Request // the age of the response that it takes
-	conditional bool              // it asks whether its own copy is still valid
+	headers     []byte            // complete header lines
+	freshness   freshness.Request // how old a response it accepts
+	conditional bool              // it asks to validate the client's own copy
 	isPost      bool              // a write by POST
 }
 
 var noHTTPDetails httpRequestDetails
 
-// httpDetails returns what the client has sent beside its request: nothing by meta commands.
+// httpDetails returns the HTTP details of a request, which are empty for meta commands.
 func (r *clientRequest) httpDetails() *httpRequestDetails {
 	if r.http == nil {
 		return &noHTTPDetails
@@ -96,13 +96,13 @@
 	return r.http
 }
 
-// refusalReason is why a command was not accepted.
+// refusalReason is the reason why a command was not accepted.
 type refusalReason int
 
 const (
 	refusedForMemory   refusalReason = iota // incomplete commands take too much memory
-	refusedTooMany                          // too many commands wait on the connection
-	refusedTooLate                          // the command has not come complete in time
+	refusedTooMany                          // too many commands are pending on the connection
+	refusedTooLate                          // the command was not completed in time
 	refusedDuplicateID                      // another request in flight has its id
 	refusedMalformed                        // no deadline, or an unknown service class
 )
--- a/internal/proxy/downstream_http.go
+++ b/internal/proxy/downstream_http.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	maxBodyBytes         = 64 << 10 // of a value that a client writes, as with meta commands
-	maxIDBytes           = 128      // of an id or an Idempotency-Key: a UUID fits several times
+	maxBodyBytes         = 64 << 10 // of a value that a client writes, same as for meta commands
+	maxIDBytes           = 128      // of an id or an Idempotency-Key, several times the size of a UUID
 	idempotencyKeyHeader = "Idempotency-Key"
 )
 
-// httpDownstream speaks HTTP/1.1 to clients. What a URL has behind its route's path is the key; a read is answered with
-// its value, a write with its receipt. downstream_http_route.go turns HTTP requests into requests of the node.
+// httpDownstream speaks HTTP/1.1 to clients. The key is the part of the URL after the route's path. A read is answered
+// with its value, a write with its receipt. downstream_http_route.go converts HTTP requests to requests of the node.
 type httpDownstream struct {
 	listener        *listeners.Listener
 	names           *settings.NameTable
 	needsKey        map[string]bool          // service classes that are idempotent by key
-	deadlines       map[string]time.Duration // by service class, from a request's arrival
-	forwardsHeaders bool                     // some endpoints speak HTTP, and get the client's headers
-	idPrefix        string                   // of the ids that the node gives: of this listener, in this start of it
+	deadlines       map[string]time.Duration // time from arrival to deadline, by service class
+	forwardsHeaders bool                     // some endpoints speak HTTP and get the client's headers
+	idPrefix        string                   // of generated ids, unique to this listener and this start of the node
 	idsIssued       uint64
-	date            string // the Date of responses
-	dateUnix        int64  // when that was written, in Unix seconds
+	date            string // Date header of responses
+	dateUnix        int64  // when date was formatted, in Unix seconds
 }
 
 func newHTTPDownstream(listener *listeners.Listener, number int, p *Proxy) *httpDownstream {
@@ -59,7 +59,7 @@
 		return 0
 	}
 	parsed.headOnly = string(request.Method) == http.MethodHead
-	// Before a body that was not asked for yet, it isn't known whether the client will send it.
+	// A client that waits for "100 Continue" may or may not send the body of a request that is rejected.
 	parsed.closesConn = fault != nil || request.Close || size == 0
 	if fault != nil {
 		h.reject(parsed, &httpRejection{status: fault.Status, reason: fault.Reason})
@@ -76,7 +76,7 @@
 	return size
 }
 
-// httpRejection is why a request can't be served.
+// httpRejection is the reason why a request can't be served, as stated in its response.
 type httpRejection struct {
 	status  int
 	reason  string
@@ -90,7 +90,7 @@
 	parsed.response = h.textResponse(&parsed.clientRequest, rejection.status, rejection.reason, rejection.headers...)
 }
 
-// beginResponse writes the beginning of a response, up to its length.
+// beginResponse encodes the head of a response with a body of size bytes.
 func (h *httpDownstream) beginResponse(status int, size int, closesConn bool, headers ...string) []byte {
 	if now := time.Now(); now.Unix() != h.dateUnix {
 		h.dateUnix = now.Unix()
@@ -99,7 +99,8 @@
 	return http1.AppendResponseHead(nil, status, h.date, size, closesConn, headers...)
 }
 
-// valueHead writes the head of a response that serves an endpoint's, with that one's headers if it was HTTP.
+// valueHead encodes the head of a response that carries an endpoint's value, with the endpoint's headers if it speaks
+// HTTP.
 func (h *httpDownstream) valueHead(request *clientRequest, response *upstreamResponse, valueSize int) []byte {
 	cacheStatus := "Cache-Status: dahliapin; fwd=miss"
 	if response.fromCache {
@@ -132,7 +133,7 @@
 	return append(h.valueHead(request, response, len(response.body)), response.body...)
 }
 
-// textResponse writes a response with a line of text, but the text only where a body is to come.
+// textResponse encodes a response with a line of text. The text is omitted if the response must have no body.
 func (h *httpDownstream) textResponse(request *clientRequest, status int, text string, headers ...string) []byte {
 	headers = append(headers, "Content-Type: text/plain; charset=utf-8")
 	response := h.beginResponse(status, len(text)+1, request.closesConn, headers...)
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -14,11 +14,11 @@
 	"dahliapin/internal/wire/meta"
 )
 
-// badRequest is the rejection of a request that can't be understood.
+// badRequest returns the rejection of a request that can't be understood.
 func badRequest(reason string) *httpRejection { return &httpRejection{status: 400, reason: reason} }
 
-// route finds out what an HTTP request is for, and turns it into a request of the node. It returns a rejection for what
-// can't be served, else nil.
+// route determines what an HTTP request is for, and converts it to a request of the node. It returns a rejection if the
+// request can't be served, otherwise nil.
 func (h *httpDownstream) route(request *http1.Request, parsed *parsedRequest) *httpRejection {
 	target, ok := freshness.Key(nil, request.Target)
 	if !ok {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// fillRequest fills in a request of the node by its route and headers.
+// fillRequest fills in a request of the node from its route and headers.
 func (h *httpDownstream) fillRequest(
 	request *http1.Request, route *listeners.Route, key string, filled *clientRequest,
 ) *httpRejection {
@@ -67,7 +67,7 @@
 	}
 	conditional := isConditional(request)
 	if filled.write && (conditional || request.Header("Content-Range") != nil) {
-		// Guards against a write that is carried out whatever its condition says.
+		// Guards against a write that is executed regardless of its condition.
 		return &httpRejection{status: 501, reason: "a write with a condition or of a part"}
 	}
 	if h.forwardsHeaders {
@@ -84,8 +84,8 @@
 	return h.fillIDs(request, filled)
 }
 
-// sortQuery sorts the parameters of a key's query by name, so that their order makes no other key. The order of those
-// of one name stays, as it may matter.
+// sortQuery sorts the parameters of a key's query by name, so that their order does not make a different key.
+// Parameters of the same name keep their order, which may matter.
 func sortQuery(key string) string {
 	at := strings.IndexByte(key, '?')
 	if at < 0 {
@@ -100,7 +100,7 @@
 	return key[:at+1] + strings.Join(parameters, "&")
 }
 
-// isConditional reports whether a request asks whether the client's own copy is still valid.
+// isConditional reports whether a request asks to validate the client's own copy.
 func isConditional(request *http1.Request) bool {
 	for _, name := range []string{"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since"} {
 		if request.Header(name) != nil {
@@ -110,7 +110,7 @@
 	return false
 }
 
-// headerOr returns the value of a header, or the fallback if the listener names no such header or it is missing.
+// headerOr returns the value of a header, or the fallback if the listener names no such header or the request lacks it.
 func headerOr(request *http1.Request, name, fallback string) string {
 	if name == "" {
 		return fallback
@@ -122,7 +122,7 @@
 }
 
 // fillClass fills in the service class and tenant. Both must be known: they are passed on in the flags of meta
-// commands, where other text could be read as further flags.
+// commands, where arbitrary text could be parsed as further flags.
 func (h *httpDownstream) fillClass(
 	request *http1.Request, route *listeners.Route, filled *clientRequest,
 ) *httpRejection {
@@ -136,7 +136,8 @@
 	return nil
 }
 
-// fillTimeout fills in the timeout: that of the request's header, else of its route, else of its service class.
+// fillTimeout fills in the timeout, taken from the request's header, or else from its route, or else from its service
+// class.
 func (h *httpDownstream) fillTimeout(
 	request *http1.Request, route *listeners.Route, filled *clientRequest,
 ) *httpRejection {
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// fillIDs fills in the request's id, one of the node's own if it has none, and the flags that are passed on, with its
-// idempotency key.
+// fillIDs fills in the request's id, a generated one if the client sent none, and the flags that are passed on,
+// including its idempotency key.
 func (h *httpDownstream) fillIDs(request *http1.Request, filled *clientRequest) *httpRejection {
 	key := strings.Trim(string(request.Header(idempotencyKeyHeader)), `"`)
 	id := headerOr(request, h.listener.IDHeader, "")
@@ -165,7 +166,7 @@
 		return badRequest("an id that can't be one")
 	}
 	if key == "" && filled.write && h.needsKey[string(filled.class)] {
-		// Guards against a retry that endpoints could not tell from another write.
+		// Guards against a retry that endpoints could not tell from a new write.
 		return badRequest("this needs an " + idempotencyKeyHeader)
 	}
 	filled.id = []byte(id)
@@ -182,8 +183,8 @@
 	return id == "" || len(id) <= maxIDBytes && meta.Plain([]byte(id)) && !strings.Contains(id, ",")
 }
 
-// flagsOf writes the flags that are passed on with a request, in the form of meta commands. The upstream codec puts the
-// time that is left in place of the deadline's 0.
+// flagsOf encodes the flags that are passed on with a request, in meta command syntax. The upstream codec replaces the
+// deadline of 0 by the time left.
 func flagsOf(request *clientRequest, idempotencyKey string) []byte {
 	size := len("v O Pc=,d=0,t=,k=") + len(request.id) + len(request.class) + len(request.tenant) + len(idempotencyKey)
 	flags := make([]byte, 0, size)
@@ -206,8 +207,8 @@
 	return flags
 }
 
-// readCacheControl reads which responses a request accepts. Pragma counts only without Cache-Control (RFC 9111, section
-// 5.4).
+// readCacheControl determines which responses a request accepts. Pragma counts only without Cache-Control (RFC 9111,
+// section 5.4).
 func (d *httpRequestDetails) readCacheControl(request *http1.Request) {
 	d.freshness.Authorized = request.Header("Authorization") != nil
 	hasCacheControl := false
--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/wire/meta"
 )
 
-// metaDownstream speaks the meta commands to clients.
+// metaDownstream speaks meta commands to clients.
 type metaDownstream struct{}
 
 var metaRefusalLines = [...]string{
@@ -57,7 +57,7 @@
 	return size
 }
 
-// timeoutOfMs turns a positive number of milliseconds, as a client states it, into a timeout that is not 0.
+// timeoutOfMs converts a positive number of milliseconds, as stated by a client, to a timeout that is not 0.
 func timeoutOfMs(ms float64) time.Duration {
 	return max(1, time.Duration(min(ms*float64(time.Millisecond), float64(maxClientTimeout))))
 }
@@ -67,7 +67,8 @@
 	if len(value) <= buffer.Keep {
 		return meta.AppendValue(nil, request.id, value), nil
 	}
-	// A longer value is all that its buffer holds: the buffer leaves it its memory once it has been passed over.
+	// A longer value is everything its buffer holds. The buffer gives up that memory once the value has been consumed,
+	// so the value need not be copied.
 	return meta.AppendHead(nil, request.id, len(value)), value
 }
 
--- a/internal/proxy/forwarded_headers.go
+++ b/internal/proxy/forwarded_headers.go
@@ -6,8 +6,8 @@
 	"dahliapin/internal/wire/http1"
 )
 
-// hopByHopHeaders are the fields that are not forwarded: those that end at the next reader (RFC 9110, section 7.6.1),
-// those that each sender states for itself, and those of what no node forwards, which are ranges and Expect.
+// hopByHopHeaders are the fields that are not forwarded: hop-by-hop fields (RFC 9110, section 7.6.1), those that each
+// sender states for itself, and those of features that no node forwards, which are ranges and Expect.
 var hopByHopHeaders = map[string]bool{
 	"connection":          true,
 	"content-length":      true,
@@ -25,8 +25,8 @@
 	"upgrade":             true,
 }
 
-// appendForwarded appends the lines of a head that are forwarded, without those that its Connection field names. Guards
-// against response splitting: a line in which another reader may see the end of a line is left out.
+// appendForwarded appends the header lines that are forwarded, without those that the Connection field names. To
+// prevent response splitting, it omits a line in which another parser may see the end of a line.
 func appendForwarded(to []byte, each func(func(name, value []byte)), connection []byte) []byte {
 	each(func(name, value []byte) {
 		isHopByHop := hopByHopHeaders[string(bytes.ToLower(name))] || http1.HasToken(connection, string(name))
