--- a/internal/proxy/endpoint_start.go
+++ b/internal/proxy/endpoint_start.go
@@ -6,23 +6,24 @@
 	"dahliapin/policy"
 )
 
-// maxAnnouncementDelay is how long an endpoint may have been started anew before discovery's answers tell of it: they
-// do within 6 s.
+// maxAnnouncementDelay is how long ago an endpoint may have restarted before discovery's answers announce it, which
+// they do within 6 s.
 const maxAnnouncementDelay = 10 * time.Second
 
-// processStart is when an endpoint's process last started: as the list states it, and by the node's clock.
+// processStart is when an endpoint's process last started, as stated by the list and by the node's own clock.
 type processStart struct {
 	statedMs float64        // Unix time in milliseconds; 0 for long ago
 	at       policy.Instant // 0 for long ago
 }
 
-// processStartOf reads an endpoint's stated start. Only the list's times are of the wall clock, which may be stepped
-// while the node and the endpoints run. So a stated time is turned into the node's own once, as it is first stated,
-// by what the wall clock says then. The same stated time is the same start from then on; another one is another
-// start, be it earlier or later. What a step makes of a start that is stated just then is bounded: none lies in the
-// future, and an endpoint that was started anew was not so before the last answer that stated its old start, but for
-// maxAnnouncementDelay. Guards against an endpoint that counts as warmed up, or as warming up, for as long as the
-// step.
+// processStartOf returns the start of an endpoint from the time that the list states. Stated times are the only ones of
+// the wall clock, which may be stepped while the node and the endpoints run. A stated time is therefore converted to
+// the node's clock once, when it is first stated, using the wall clock at that moment. From then on the same stated
+// time is the same start; a different one, earlier or later, is another start.
+//
+// The effect of a step on a start that is stated at that moment is bounded: no start lies in the future, and an
+// endpoint that has restarted did so no more than maxAnnouncementDelay before the last answer that stated its old
+// start. Otherwise an endpoint could count as warmed up, or as warming up, for the duration of the step.
 func (p *Proxy) processStartOf(known *knownEndpoint, statedMs float64) processStart {
 	if statedMs == 0 {
 		return processStart{}
--- a/internal/proxy/endpoint_stats.go
+++ b/internal/proxy/endpoint_stats.go
@@ -8,15 +8,15 @@
 	"dahliapin/policy"
 )
 
-// trialInterval is the least time between attempts to an endpoint that is only tried now and then: two that follow
-// sooner are its share of the load.
+// trialInterval is the minimum interval between attempts to an endpoint that gets only occasional trials. More frequent
+// attempts are its share of the load.
 const trialInterval = time.Second
 
-// endpointStats observes the state that package policy gives each endpoint, and how often it is tried, for the
-// snapshots. It passes everything on to the next observer, if there is one.
+// endpointStats records the state that package policy gives each endpoint, and how often the endpoint is tried, for the
+// metrics snapshots. It passes everything on to the next observer, if there is one.
 type endpointStats struct {
 	dispatch.Observer                                            // the next one, or nil
-	states            map[policy.EndpointID]policy.EndpointState // of those that are not in use as usual
+	states            map[policy.EndpointID]policy.EndpointState // of endpoints that are not in StateInUse
 	lastAttempts      map[policy.EndpointID][2]policy.Instant    // when the last two were sent, the latest last
 }
 
@@ -28,9 +28,9 @@
 	}
 }
 
-// isAvoided reports whether an endpoint gets no request that another one could take. One with errors may still take
-// those of some classes. An unresponsive one keeps that state until it answers, but counts as avoided only once it gets
-// no more than an attempt now and then, as a trial.
+// isAvoided reports whether an endpoint gets no request that another one could take. An endpoint with errors may still
+// take requests of some classes. An unresponsive one keeps that state until it answers, but counts as avoided only once
+// it gets no more than an occasional trial attempt.
 func (s *endpointStats) isAvoided(now policy.Instant, id policy.EndpointID) bool {
 	state := s.states[id]
 	if state == policy.StateUnresponsive {
@@ -39,7 +39,7 @@
 	return state > policy.StateUnresponsive
 }
 
-// EndpointStateChanged notes an endpoint's state.
+// EndpointStateChanged records an endpoint's state.
 func (s *endpointStats) EndpointStateChanged(now policy.Instant, id policy.EndpointID, state policy.EndpointState) {
 	if state == policy.StateInUse {
 		delete(s.states, id)
@@ -51,7 +51,7 @@
 	}
 }
 
-// AttemptSent notes when an attempt was sent to an endpoint.
+// AttemptSent records when an attempt was sent to an endpoint.
 func (s *endpointStats) AttemptSent(now policy.Instant, id policy.EndpointID) {
 	s.lastAttempts[id] = [2]policy.Instant{s.lastAttempts[id][1], now}
 	if s.Observer != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// AttemptDone passes an attempt's result on.
+// AttemptDone passes on an attempt's result.
 func (s *endpointStats) AttemptDone(
 	now policy.Instant, id policy.EndpointID, result policy.Result, took time.Duration,
 ) {
@@ -68,14 +68,14 @@
 	}
 }
 
-// EndpointsUpdated passes an update of the endpoint list on.
+// EndpointsUpdated passes on an update of the endpoint list.
 func (s *endpointStats) EndpointsUpdated(now policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint) {
 	if s.Observer != nil {
 		s.Observer.EndpointsUpdated(now, kind, entries)
 	}
 }
 
-// retain forgets the endpoints that are not listed any more.
+// retain removes the endpoints that are no longer listed.
 func (s *endpointStats) retain(listed func(policy.EndpointID) bool) {
 	maps.DeleteFunc(s.states, func(id policy.EndpointID, _ policy.EndpointState) bool { return !listed(id) })
 	maps.DeleteFunc(s.lastAttempts, func(id policy.EndpointID, _ [2]policy.Instant) bool { return !listed(id) })
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -13,22 +13,22 @@
 
 const (
 	endpointListPath     = "/registry/instances"
-	maxEndpointListBytes = 8 << 20 // tens of thousands of endpoints
+	maxEndpointListBytes = 8 << 20 // enough for tens of thousands of endpoints
 )
 
-// endpointWatch follows the endpoint list: there is always one poll, of which discovery holds back the answer until the
-// list has changed. Package discovery decides what to ask for, and how long to back off.
+// endpointWatch follows the endpoint list by long polls: one is always under way, and discovery holds back its answer
+// until the list has changed. Package discovery decides what to ask for, and how long to back off.
 type endpointWatch struct {
-	conn          upstreamConnID // of the poll; 0 while backing off
-	pollNumber    uint64         // counts polls and failures, so that a timer knows whether it is its own
+	conn          upstreamConnID // of the poll; 0 during a backoff
+	pollNumber    uint64         // counts polls and failures, so that an outdated timer can be told
 	poll          discovery.Poll
-	pollStartedAt policy.Instant // with its connection
+	pollStartedAt policy.Instant // including the time to connect
 	poller        discovery.Poller
-	failure       discovery.Failure // how the poll that is about to fail has failed
+	failure       discovery.Failure // the reason for the failure that onPollFailed is about to handle
 	updatedAt     policy.Instant    // when the last answer was applied
-	hasUnreadable bool              // the last list had entries that can't be read
+	hasUnreadable bool              // the last list had unreadable entries
 	reader        endpointlist.Reader
-	jitter        keyhash.Source // of the backoff
+	jitter        keyhash.Source // for the backoff
 }
 
 // startWatch polls the list on a new connection.
@@ -42,7 +42,7 @@
 	p.endpoints.watch.conn = conn.id
 }
 
-// beginPoll decides what to ask for, and by when the answer must have come: connecting takes of that time.
+// beginPoll decides what to ask for, and by when the answer must have arrived. That time includes connecting.
 func (p *Proxy) beginPoll() {
 	watch := &p.endpoints.watch
 	watch.pollNumber++
@@ -55,8 +55,8 @@
 	p.schedule(at, timerEvent{kind: timerPoll, pollNumber: p.endpoints.watch.pollNumber})
 }
 
-// writePoll writes the poll on a connection that is up. Discovery is asked to hold its answer back for no longer than
-// the poll has left, so that an unchanged list is not taken for a failure.
+// writePoll writes the poll on an established connection. Discovery is asked to hold back its answer no longer than the
+// time the poll has left, so that an unchanged list is not taken for a failure.
 func (p *Proxy) writePoll(conn *upstreamConn) {
 	watch := &p.endpoints.watch
 	path := []byte(endpointListPath)
@@ -73,8 +73,8 @@
 	}
 }
 
-// changeDiscovery polls another address. Versions are the old one's, so the complete list is asked for there. The old
-// poll is closed first: it could bring an older list than the new address has given.
+// changeDiscovery polls another address from now on. Versions belong to the old address, so the complete list is
+// requested from the new one. The old poll is closed first: it could deliver an older list than the new address has.
 func (p *Proxy) changeDiscovery(addr string) {
 	if addr == p.config.Discovery {
 		return
@@ -88,7 +88,7 @@
 	p.startWatch()
 }
 
-// onPollTimer polls again after a backoff, or ends a poll that is unanswered; the list last received stays in use.
+// onPollTimer polls again after a backoff, or fails a poll that is unanswered. The last list received stays in use.
 func (p *Proxy) onPollTimer(pollNumber uint64) {
 	watch := &p.endpoints.watch
 	if pollNumber != watch.pollNumber {
@@ -102,8 +102,8 @@
 	p.failConn(conn, policy.TimedOut)
 }
 
-// onPollFailed sets the timer for the next poll. Only the first failure in a row is logged: with thousands of nodes
-// nobody could read a line for each.
+// onPollFailed sets the timer for the next poll. Only the first of consecutive failures is logged: with thousands of
+// nodes, nobody could read a line for each.
 func (p *Proxy) onPollFailed() {
 	watch := &p.endpoints.watch
 	p.metrics.counters.Reconnects++
@@ -113,12 +113,13 @@
 	watch.failure = discovery.ConnectionLost
 	backoff, isFirst := watch.poller.OnFailure(failure, p.now().Since(watch.pollStartedAt), watch.jitter.Float64())
 	if isFirst {
-		p.config.Log.WithField("how", failure).Warn("the list cannot be had; the last one stays")
+		p.config.Log.WithField("how", failure).Warn("endpoint list poll failed; keeping the last list and retrying")
 	}
 	p.schedulePollTimer(p.now().Add(backoff))
 }
 
-// readEndpointList reads the answer to a poll, as far as it has come, applies it, and polls again.
+// readEndpointList parses what has been received of the answer to a poll. Once it is complete, the list is applied and
+// polled again.
 func (p *Proxy) readEndpointList(conn *upstreamConn) {
 	watch := &p.endpoints.watch
 	input := &conn.input
@@ -135,7 +136,7 @@
 		p.failConn(conn, policy.ConnectionBroken)
 		return
 	}
-	list, err := watch.reader.Read(answer.Body) // refuses half a list, which would read as one without endpoints
+	list, err := watch.reader.Read(answer.Body) // rejects a truncated list, which would read as one without endpoints
 	if err != nil || !list.HasVersion || !watch.poller.Accepts(list.Version, list.Complete) {
 		watch.failure = discovery.Unreadable
 		p.failConn(conn, policy.ConnectionBroken)
@@ -159,11 +160,11 @@
 	p.stalls.lists++
 	kind, recovered := watch.poller.OnUpdate(list.Version, list.Complete)
 	if recovered {
-		p.config.Log.Info("the list is had again")
+		p.config.Log.Info("endpoint list received again after failed polls; applying it")
 	}
 	p.applyEndpointList(list, kind)
 	watch.updatedAt = p.now()
 }
 
-// PollEndpoints does nothing: the list is always followed. It implements dispatch.Actions.
+// PollEndpoints does nothing, since the list is always followed. It implements dispatch.Actions.
 func (p *Proxy) PollEndpoints() {}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -10,25 +10,26 @@
 	"dahliapin/policy"
 )
 
-// endpointTable holds the endpoints that the list names, and follows the list. The loop writes it: the list by
-// endpoint_watch.go, the table here. The dispatcher gets each update in the same call, so that decisions and the table
-// are of one list. Of the same endpoints, policy.endpointList has what decisions need; here are their connections.
+// endpointTable holds the listed endpoints and the connections to them. Only the event loop writes it:
+// endpoint_watch.go receives the list, and this file applies it to the table. The dispatcher gets each update in the
+// same call, so that decisions and the table are based on the same list. What decisions need to know about an endpoint
+// is kept by package policy.
 type endpointTable struct {
 	byID    map[policy.EndpointID]*knownEndpoint
-	members int // how many of them are not the origin
+	members int // how many of byID are not the origin
 	watch   endpointWatch
 }
 
-// knownEndpoint is what the list says of an endpoint, and the idle connections to it.
+// knownEndpoint is what the list states about an endpoint, and the idle connections to it.
 type knownEndpoint struct {
 	id        policy.EndpointID
 	addr      string
 	codec     upstreamCodec
 	start     processStart
-	idleConns []upstreamConnID // the one used last at the end
+	idleConns []upstreamConnID // the most recently used last
 }
 
-// lifecycleNames are the list's words for an endpoint's lifecycle.
+// lifecycleNames maps the list's names of an endpoint's lifecycle.
 var lifecycleNames = map[string]policy.Lifecycle{
 	"in_service":  policy.Ready,
 	"terminating": policy.Draining,
@@ -39,8 +40,8 @@
 	return p.config.Settings.Policy.CacheAside && kind == p.config.Settings.Policy.OriginKind
 }
 
-// applyLastKnownEndpoints applies the list as an earlier process last received it, if that can be read. The next poll
-// then asks only for what is newer.
+// applyLastKnownEndpoints applies the list last received by an earlier process, if it can be read. The next poll then
+// asks only for changes since.
 func (p *Proxy) applyLastKnownEndpoints() {
 	list, err := p.endpoints.watch.reader.Read(p.config.LastKnownEndpoints)
 	p.config.LastKnownEndpoints = nil
@@ -53,8 +54,8 @@
 	}
 }
 
-// applyEndpointList applies an update of the list to the table and passes it on to the dispatcher. Idle connections to
-// endpoints that are gone or were started anew are closed; attempts in flight to them go on.
+// applyEndpointList applies an update of the list to the table, and passes it on to the dispatcher. Idle connections to
+// endpoints that were removed or restarted are closed; attempts in flight to them continue.
 func (p *Proxy) applyEndpointList(list *endpointlist.List, kind policy.UpdateKind) {
 	entries := make([]policy.Endpoint, 0, list.Len())
 	named := map[policy.EndpointID]bool{}
@@ -73,7 +74,7 @@
 	})
 	p.noteUnreadable(unreadable)
 	if unreadable > 0 && kind == policy.CompleteUpdate {
-		// Guards against the loss of an endpoint whose entry can't be read: it may be any that is not named.
+		// Any endpoint that the list does not name may be the one whose entry can't be read, so none is removed.
 		kind = policy.DeltaUpdate
 	}
 	if kind != policy.DeltaUpdate {
@@ -85,7 +86,7 @@
 	}
 }
 
-// readEntry maps a row of the list to the terms of package policy. An endpoint of an unknown lifecycle counts as
+// readEntry converts a row of the list to the terms of package policy. An endpoint of an unknown lifecycle counts as
 // draining: it gets nothing new.
 func (p *Proxy) readEntry(row *fastjson.Value, id policy.EndpointID, start processStart) policy.Endpoint {
 	lifecycle, known := lifecycleNames[string(row.GetStringBytes("lifecycle"))]
@@ -103,8 +104,8 @@
 	}
 }
 
-// applyEntry applies an entry to the table. One with another address or start is another process: nothing of the old
-// one's connections is of use.
+// applyEntry applies an entry to the table. One with another address or start is another process, for which the old
+// connections are of no use.
 func (p *Proxy) applyEntry(row *fastjson.Value, entry *policy.Endpoint, start processStart) {
 	addr := string(row.GetStringBytes("hostPort"))
 	isRemoved := entry.Lifecycle == policy.Removed
@@ -123,7 +124,7 @@
 	endpoint.codec = p.codecFor(entry.Kind, string(row.GetStringBytes("machineType")))
 }
 
-// codecFor returns the codec of endpoints of a kind.
+// codecFor returns the codec for endpoints of a kind.
 func (p *Proxy) codecFor(kind int, kindName string) upstreamCodec {
 	switch {
 	case p.isOrigin(kind):
@@ -134,12 +135,12 @@
 	return metaUpstream{}
 }
 
-// noteUnreadable logs that a list has entries that can't be read, once for the lists in a row that have some: a line
-// for each list would bury the log.
+// logUnreadableEntries logs that a list has unreadable entries, once for consecutive lists that have some: a line for
+// each list would flood the log.
 func (p *Proxy) noteUnreadable(entries int) {
 	if entries > 0 && !p.endpoints.watch.hasUnreadable {
 		p.config.Log.WithField("entries", entries).
-			Warn("the list has entries that cannot be read; caches that it does not name stay")
+			Warn("endpoint list has unreadable entries; keeping the endpoints that it does not name")
 	}
 	p.endpoints.watch.hasUnreadable = entries > 0
 }
@@ -152,7 +153,7 @@
 	}
 }
 
-// countMembers counts the endpoints without the origin, as the list has changed.
+// countMembers recounts the endpoints other than the origin after a change of the list.
 func (p *Proxy) countMembers() {
 	p.endpoints.members = 0
 	for _, endpoint := range p.endpoints.byID {
@@ -165,7 +166,7 @@
 	}
 }
 
-// forgetEndpoint removes an endpoint and closes its idle connections; attempts in flight go on.
+// removeEndpoint removes an endpoint and closes its idle connections; attempts in flight continue.
 func (p *Proxy) forgetEndpoint(endpoint *knownEndpoint) {
 	delete(p.endpoints.byID, endpoint.id)
 	for len(endpoint.idleConns) > 0 {
