--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	// drainAcceptTime is how long new connections may still come after the call to drain: the front stops sending them
-	// 0.2 to 0.4 s later.
+	// drainAcceptTime is how long new connections may still arrive after a drain has begun: the load balancer in front
+	// of the nodes stops sending them 0.2 to 0.4 s later.
 	drainAcceptTime = 500 * time.Millisecond
-	// drainQuietTime is how long no new connection must have come before idle clients are closed.
+	// drainQuietTime is how long no new connection must have arrived before idle clients are closed.
 	drainQuietTime = 150 * time.Millisecond
-	// drainCheckInterval is the time between two checks for idle clients.
+	// drainCheckInterval is the interval between checks for idle clients.
 	drainCheckInterval = 10 * time.Millisecond
-	// minPunctualIdleChecks is how many checks in a row must have been on time before the node stops: half of those
-	// that fit into drainQuietTime, as a busy machine makes some late.
+	// minOnTimeIdleChecks is how many consecutive checks must have been on time before the node stops: half of those
+	// that fit into drainQuietTime, since a busy machine delays some.
 	minPunctualIdleChecks = int(drainQuietTime/drainCheckInterval) / 2
-	// maxShutdownWait is the longest deadline that whoever ends the process waits for, by the operators' protocol.
+	// maxShutdownWait is the longest deadline that whoever ends the process waits for, as agreed with the operators.
 	maxShutdownWait = 3 * time.Second
-	// shutdownMargin is the time over the longest deadline by which the node must have ended.
+	// shutdownMargin is the time after the longest deadline by which the node must have stopped.
 	shutdownMargin = 500 * time.Millisecond
-	// answerMargin is how long before its end the node answers all that is still in flight: ten idle checks, to close
-	// the connections.
+	// answerMargin is how long before its end the node answers all requests still in flight: ten idle checks, in which
+	// to close the connections.
 	answerMargin = 100 * time.Millisecond
 )
 
-// startDrain begins a graceful shutdown. New connections and requests are served until the front has stopped sending
-// them; then connections are closed as they fall idle, and the node stops once there is none, or at drainDeadline.
+// startDrain begins a graceful shutdown. New connections and requests are served until the load balancer has stopped
+// sending them. Then connections are closed as they become idle, and the node stops once none is left, or at
+// drainDeadline.
 func (p *Proxy) startDrain() {
 	if p.lifecycle.phase == Draining || p.lifecycle.phase == Stopped {
 		return
 	}
 	p.lifecycle.drainStartedAt = p.now()
 	p.config.Log.WithField("in_hand", p.inflight.requests.Len()).Info("draining")
-	// The phase comes first: OnPhaseChange reads Replaced, which returnToPredecessor changes.
+	// The phase changes first: OnPhaseChange reads Replaced, which returnToPredecessor changes.
 	p.enterPhase(Draining)
 	p.returnToPredecessor()
 	p.capInflightDeadlines()
 	p.drainStep()
 }
 
-// drainDeadline is when a node that drains stops at the latest: before whoever told it to stop kills it.
+// drainDeadline returns when a draining node stops at the latest, which is before whoever told it to stop kills it.
 func (p *Proxy) drainDeadline() policy.Instant {
 	longest := cmp.Or(p.config.Settings.LongestDeadline, maxShutdownWait)
 	return p.lifecycle.drainStartedAt.Add(min(longest, maxShutdownWait) + shutdownMargin)
 }
 
-// lastAnswerAt is when a node that drains answers what is in flight, at the latest.
+// drainAnswerDeadline returns when a draining node answers the requests in flight at the latest.
 func (p *Proxy) lastAnswerAt() policy.Instant { return p.drainDeadline().Add(-answerMargin) }
 
-// capInflightDeadlines has each request in flight answered before the node stops. Guards against deadlines later than
-// that: their clients would see the connection end without an answer.
+// capInflightDeadlines makes sure that each request in flight is answered before the node stops. With later deadlines,
+// clients would see the connection close without an answer.
 func (p *Proxy) capInflightDeadlines() {
 	by := p.lastAnswerAt()
 	p.dispatcher.CapDeadlines(p.now(), by)
@@ -66,7 +67,7 @@
 	})
 }
 
-// drainStep is one idle check of a node that drains.
+// drainStep is one idle check of a draining node.
 func (p *Proxy) drainStep() {
 	now := p.now()
 	p.countIdleCheck(now)
@@ -79,16 +80,16 @@
 			return
 		}
 	}
-	if now >= p.drainDeadline() { // no client waits any longer, whether connections still come or not
+	if now >= p.drainDeadline() { // no client waits any longer, even if connections still arrive
 		p.enterPhase(Stopped)
 		return
 	}
 	p.scheduleIdleClientCheck()
 }
 
-// countIdleCheck counts the checks that came on time with no new connection since the one before. Guards against a
-// process that was held up: nothing was accepted meanwhile, so that connections wait in the kernel's queue although
-// none was seen for drainQuietTime.
+// countIdleCheck counts the checks that were on time and saw no new connection since the one before. Guards against a
+// process that was stalled: it accepted nothing meanwhile, so connections may wait in the kernel's queue although none
+// was seen for drainQuietTime.
 func (p *Proxy) countIdleCheck(now policy.Instant) {
 	last := p.lifecycle.lastIdleCheckAt
 	p.lifecycle.punctualIdleChecks++
@@ -98,8 +99,9 @@
 	p.lifecycle.lastIdleCheckAt = now
 }
 
-// mayStop reports whether a node that drains has nothing left to do. The quiet time counts from the beginning of the
-// drain, too: a connection that the kernel accepted just before may not have reached the loop yet, and would be reset.
+// canStop reports whether a draining node has nothing left to do. The quiet time counts from the beginning of the
+// drain, too: a connection that the kernel accepted just before may not have reached the event loop yet, and would be
+// reset.
 func (p *Proxy) mayStop(now policy.Instant) bool {
 	quietSince := max(p.lifecycle.drainStartedAt, p.downstream.lastConnectedAt)
 	return p.downstream.conns.Len() == 0 && p.inflight.requests.Len() == 0 &&
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -10,11 +10,12 @@
 	"dahliapin/policy"
 )
 
-// metricsPublisher holds the node's counters, and the snapshot that operators see. All but the snapshot is the loop's.
+// metricsPublisher holds the node's counters, and the snapshot for operators. Only the event loop accesses anything but
+// the snapshot.
 type metricsPublisher struct {
 	counters     metrics.Counters
 	byClass      []metrics.ClassSnapshot          // by service class
-	attemptsSent uint64                           // attempts whose last byte the kernel has taken
+	attemptsSent uint64                           // attempts whose last byte the kernel has accepted
 	endpoints    *endpointStats                   // nil if no snapshots are published
 	snapshot     atomic.Pointer[metrics.Snapshot] // written by the loop, read by any goroutine
 }
@@ -42,8 +43,8 @@
 	m.byClass[class].Failed++
 }
 
-// publishMetrics publishes a new snapshot. It is called ten times a second, so it looks only at the endpoints that are
-// not in use as usual: there may be thousands.
+// publishMetrics publishes a new snapshot. It is called ten times a second, so it visits only the endpoints that are
+// not in StateInUse: there may be thousands of endpoints.
 func (p *Proxy) publishMetrics() {
 	stats := p.metrics.endpoints
 	if stats == nil {
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// stallThreshold is how long an iteration of the loop may take: longer ones are stalls, for which deadlines have no
-	// allowance.
+	// stallThreshold is how long an iteration of the event loop may take. Longer ones are stalls, for which deadlines
+	// leave no allowance.
 	stallThreshold = 150 * time.Millisecond
-	// stallLogInterval is the least time between two log lines about stalls.
+	// stallLogInterval is the minimum interval between log lines about stalls.
 	stallLogInterval = time.Second
-	// listReadCheckInterval is the time between two looks whether the poller has read the endpoint list after a stall.
+	// listReadCheckInterval is the interval between checks whether the poller has read the endpoint list after a stall.
 	listReadCheckInterval = time.Millisecond
-	// maxListReadChecks is the number of such looks: the poller reads the list within one or two.
+	// maxListReadChecks is the maximum number of such checks: the poller reads the list within one or two.
 	maxListReadChecks = 20
 )
 
-// stallWatch observes the iterations of the event loop. Whatever the loop has to do waits for the end of an iteration,
-// so a long one explains late answers, and decisions by a list that was out of date. The loop writes it.
+// stallDetector times the iterations of the event loop. All other work waits for the end of an iteration, so a long one
+// explains late answers, and decisions by an outdated list. Only the event loop writes it.
 type stallWatch struct {
 	began     policy.Instant // when the current iteration began
-	events    int            // taken from the sockets in it
+	events    int            // socket events handled in it
 	lists     int            // endpoint lists applied in it
-	stalled   bool           // the iteration before was a stall
-	loggedAt  policy.Instant // when a stall was last logged; 0 for never
-	notLogged int            // stalls since then
+	stalled   bool           // the previous iteration was a stall
+	loggedAt  policy.Instant // when a stall was last logged; 0 if never
+	notLogged int            // stalls since then, which were not logged
 }
 
-// begin starts an iteration with so many events.
+// begin starts an iteration with the given number of socket events.
 func (s *stallWatch) begin(now policy.Instant, events int) {
 	s.began = now
 	s.events = events
 	s.lists = 0
 }
 
-// beginIteration starts the observation of an iteration of the loop.
+// beginIteration starts timing an iteration of the event loop.
 func (p *Proxy) beginIteration(events int) { p.stalls.begin(p.now(), events) }
 
-// endIteration counts an iteration that has ended, and logs it if it was a stall.
+// endIteration records an iteration that has ended, and logs it if it was a stall.
 func (p *Proxy) endIteration(now policy.Instant) {
 	watch := &p.stalls
 	counters := &p.metrics.counters
@@ -62,21 +62,21 @@
 		"lists":      watch.lists,
 		"in_hand":    p.inflight.requests.Len(),
 		"not_logged": watch.notLogged,
-	}).Warn("the event loop stalled")
+	}).Warn("event loop stalled; continuing with the events that waited")
 	watch.loggedAt = now
 	watch.notLogged = 0
 }
 
-// wasHeldUp reports whether the loop has just stood still: the iteration before was a stall, or a timer is overdue for
-// so long that the process did not run.
+// wasStalled reports whether the event loop has just stalled: the previous iteration was a stall, or a timer is so long
+// overdue that the process did not run.
 func (p *Proxy) wasHeldUp() bool {
 	at, ok := p.timers.Next()
 	return p.stalls.stalled || ok && p.now().Since(at) >= stallThreshold
 }
 
-// awaitEndpointList waits until the poller has read what discovery has written by now. After a stall the list stands in
-// the kernel beside requests that came before or after it, and the poller brings them in any order. Guards against
-// decisions by a list that has been out of date for longer than the operators' grace.
+// awaitEndpointList waits until the poller has read what discovery has written by now. After a stall, the list waits in
+// the kernel along with requests that arrived before or after it, and the poller returns them in any order. Without the
+// wait, decisions could use a list that has been outdated for longer than the operators' grace period.
 func (p *Proxy) awaitEndpointList() {
 	conn := p.upstream.conns.Get(p.endpoints.watch.conn)
 	if conn == nil || conn.socket == nil {
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// standbyAcceptTime is how long the front still sends new clients after the call to stand by: 0.2 s after its next
-	// readiness check.
+	// standbyAcceptTime is how long the load balancer in front of the nodes still sends new clients after the command
+	// to stand by: until 0.2 s after its next readiness check.
 	standbyAcceptTime = 350 * time.Millisecond
-	// standbyServeTime is how long after that a busy connection is served. Then its requests are rejected, so that it
-	// falls idle and can be closed.
+	// standbyServeTime is how long after that busy connections are served. Then their requests are rejected, so that
+	// they become idle and can be closed.
 	standbyServeTime = 2 * time.Second
 )
 
-// Standby drains the node without ending it; Active ends that. Both may be called from any goroutine, and more than
-// once. They return admin.ErrEnding if the node drains or has stopped, and ctx's error if that ends first: the order
-// may be carried out all the same then.
+// Standby takes the node out of service: it drains without stopping. Active ends that. Both may be called from any
+// goroutine, and more than once. They return admin.ErrEnding if the node is draining or has stopped, and ctx's error if
+// ctx ends first; the command may be executed all the same then.
 func (p *Proxy) Standby(ctx context.Context) error { return p.runCommand(ctx, p.enterStandby) }
 
-// Active takes the node back into service after Standby.
+// Active returns the node to service after Standby.
 func (p *Proxy) Active(ctx context.Context) error { return p.runCommand(ctx, p.leaveStandby) }
 
-// runCommand runs an operator's command in the event loop, and waits for its result no longer than ctx allows.
+// runCommand runs an operator's command in the event loop, and waits for its result until ctx ends.
 func (p *Proxy) runCommand(ctx context.Context, command func() error) error {
 	answer := make(chan error, 1)
 	run := func() {
@@ -56,7 +56,7 @@
 		return nil
 	}
 	p.lifecycle.standbyStartedAt = p.now()
-	p.config.Log.WithField("in_hand", p.inflight.requests.Len()).Info("standing by")
+	p.config.Log.WithField("in_hand", p.inflight.requests.Len()).Info("entering standby; closing idle clients")
 	p.enterPhase(Standby)
 	p.scheduleIdleClientCheck()
 	return nil
@@ -67,13 +67,13 @@
 	case Draining, Stopped:
 		return admin.ErrShuttingDown
 	case Standby:
-		p.enterPhase(Starting) // it serves at once if there is a list, else with the first
+		p.enterPhase(Starting) // it serves at once if there is a list, otherwise with the first one
 		p.serveIfReady()
 	}
 	return nil
 }
 
-// standbyStep is one idle check of a node that stands by: it closes clients as they fall idle, also those that still
+// standbyStep is one idle check of a node in standby: it closes clients as they become idle, including those that still
 // connect.
 func (p *Proxy) standbyStep() {
 	if p.now().Since(p.lifecycle.standbyStartedAt) >= standbyAcceptTime {
@@ -82,8 +82,8 @@
 	p.scheduleIdleClientCheck()
 }
 
-// rejectsInStandby reports whether the node stands by for so long that what still comes on kept connections is
-// rejected.
+// rejectsInStandby reports whether the node has been in standby for so long that requests on the remaining connections
+// are rejected.
 func (p *Proxy) rejectsInStandby() bool {
 	return p.lifecycle.phase == Standby &&
 		p.now().Since(p.lifecycle.standbyStartedAt) >= standbyAcceptTime+standbyServeTime
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -2,22 +2,22 @@
 
 import "dahliapin/internal/proxy/handover"
 
-// sharedLimitDivisor divides the node's limits while two processes are one node.
+// sharedLimitDivisor divides the node's limits while two of its processes run.
 const sharedLimitDivisor = 2
 
-// takeover is the state of a process that replaces another one, or is replaced. The loop writes it.
+// takeover is the state of a process that replaces another one, or is replaced. Only the event loop writes it.
 type takeover struct {
-	totalMemory         int64           // bytes that the node may use in all its processes
-	offer               *handover.Offer // by which a successor may come; nil for none
-	acceptsElsewhere    bool            // another process accepts: the successor, or the predecessor again
-	predecessorGone     bool            // the process before this one has ended
-	predecessorNotified bool            // the process before this one knows that this one serves
+	totalMemory         int64           // memory limit in bytes of all processes of the node
+	offer               *handover.Offer // by which a successor may take over; nil if none
+	acceptsElsewhere    bool            // another process accepts connections: the successor, or the predecessor again
+	predecessorGone     bool            // the predecessor has exited
+	predecessorNotified bool            // the predecessor was told that this process serves
 }
 
-// joinPredecessor begins as the successor of another process: with its listeners, and with part of the limits until it
-// has gone. The goroutine ends with the predecessor, as Wait returns then.
+// startAsSuccessor starts as the successor of another process, with its listeners, and with part of the limits until it
+// has exited. The goroutine ends with the predecessor, as Wait returns then.
 func (p *Proxy) joinPredecessor() {
-	for _, listener := range p.config.Inherited.Listeners { // those left over are not configured any more
+	for _, listener := range p.config.Inherited.Listeners { // those that New left over are no longer configured
 		_ = listener.Close()
 	}
 	p.setSharedLimits(true)
@@ -28,7 +28,7 @@
 }
 
 func (p *Proxy) onPredecessorGone() {
-	if p.takeover.acceptsElsewhere { // the node was returned to it
+	if p.takeover.acceptsElsewhere { // the predecessor took over again
 		return
 	}
 	p.config.Log.Info("predecessor process has exited; using the full limits")
@@ -56,7 +56,8 @@
 	}
 }
 
-// offerHandover lets another process take over. If that fails the node runs on; it can't be replaced without a gap.
+// offerHandover lets another process take over. If that fails, the node keeps running, but it cannot be replaced
+// without an interruption.
 func (p *Proxy) offerHandover() {
 	if p.config.HandoverPath == "" || p.lifecycle.phase == Stopped {
 		return
@@ -67,12 +68,12 @@
 	var err error
 	p.takeover.offer, err = handover.Open(p.config.HandoverPath, p.engine.Listeners(), onStage)
 	if err != nil {
-		p.config.Log.WithError(err).Warn("this process can't be replaced without a gap")
+		p.config.Log.WithError(err).Warn("handover socket failed to open; a restart will interrupt service")
 	}
 }
 
-// onSuccessorStage follows the process that takes over. Guards against one that ends or hangs before it serves: until
-// it serves, and again once it has gone, this process accepts the connections.
+// onSuccessorStage follows the progress of a successor. Until the successor serves, and again once it has exited, this
+// process accepts the connections. That guards against a successor that exits or hangs before it serves.
 func (p *Proxy) onSuccessorStage(stage handover.Stage) {
 	switch stage {
 	case handover.SocketsSent:
@@ -90,8 +91,8 @@
 	}
 }
 
-// returnToPredecessor leaves new connections to the process that this one was to replace, if that still runs: to go
-// back to it, operators only have to end the successor.
+// returnToPredecessor leaves new connections to the predecessor if that still runs: to go back to it, operators only
+// have to stop the successor.
 func (p *Proxy) returnToPredecessor() {
 	if p.config.Inherited == nil || p.takeover.predecessorGone {
 		return
@@ -101,7 +102,7 @@
 	p.config.Inherited.Close()
 }
 
-// startAccepting accepts the connections from now on, and has the predecessor cease to.
+// startAccepting accepts connections from now on, and makes the predecessor stop accepting them.
 func (p *Proxy) startAccepting() {
 	if p.config.Inherited == nil || p.takeover.predecessorNotified {
 		return
