--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -14,9 +14,9 @@
 	"dahliapin/policy"
 )
 
-// A read that the cache misses is fetched from the origin, with the client's id and flags, also where the end of the
-// response is that of the connection; a response that is cut off is not served. A write goes to the origin with its
-// value and idempotency key.
+// A read that misses in the cache is fetched from the origin with the client's id and flags, also if the end of the
+// connection delimits the response. A truncated response is not served. A write goes to the origin with its value and
+// idempotency key.
 func TestMissIsFetchedFromOriginAndWriteGoesToOrigin(t *testing.T) {
 	g := newHarness(t, 200, func(line string) string { return "EN " + idFlag(line) + "\r\n" })
 	c, r := g.client()
@@ -26,7 +26,7 @@
 	g.expect(r, "VA 4 Oc", "bare")
 	fmt.Fprint(c, "mg cut v Od Pc=read,d=9000\r\n")
 	if got, _ := r.ReadString('\n'); strings.HasPrefix(got, "VA") {
-		t.Errorf("a value cut off is served as whole: %q", got)
+		t.Errorf("a truncated value was served as complete: %q", got)
 	}
 	fmt.Fprint(c, "ms k2 3 Ob Pc=put,d=9000,k=77\r\nabc\r\n")
 	g.expect(r, "HD Ob cfrom-origin")
@@ -42,8 +42,8 @@
 	}
 }
 
-// Each response of a cache has one meaning for its attempt. What is malformed, of another request or cut off must be
-// served to nobody, and its connection must not be used again.
+// Each response of a cache maps to one result of its attempt. A response that is malformed, truncated or for another
+// request must be served to no client, and its connection must not be reused.
 func TestAttemptResultByMetaResponse(t *testing.T) {
 	results := map[string]policy.Result{
 		"EN Oa\r\n":                         policy.CacheMiss,
@@ -72,14 +72,14 @@
 			t.Errorf("after %q: %v of %d attempts", said, n.Outcomes, n.Attempts)
 		}
 		if proper := strings.HasPrefix(said, "EN Oa\r") || strings.HasPrefix(said, "SERVER_"); !proper {
-			receive(t, g.cacheConnClosed) // its connection is of no further use
+			receive(t, g.cacheConnClosed) // its connection must not be reused
 		}
 	}
 }
 
-// An endpoint answered twice, and the second answer came behind the first one while the connection was idle. It was
-// taken for that of the next request on the connection, as what the origin sends does not say whose it is. Such a
-// connection must not be used again.
+// Guards against a second answer of an endpoint that arrives while the connection is idle and is taken for the response
+// to the next request. The origin's responses do not say which request they answer. Such a connection must not be
+// reused.
 func TestConnWithUnaskedBytesIsNotReused(t *testing.T) {
 	cache := make(chan net.Conn, 9)
 	g := newHarness(t, 200, helloValue)
@@ -98,7 +98,7 @@
 	g.runInLoop(func() {
 		in := g.endpoints.byID["c"]
 		old := in.idleConns[0]
-		io.WriteString(c, "MN\r\n") // it can't be taken while this runs
+		io.WriteString(c, "MN\r\n") // the loop can't read it while this runs
 		for w := g.upstream.conns.Get(old).socket; ; {
 			if quiet, sure := w.Idle(); sure && !quiet {
 				break
@@ -108,13 +108,13 @@
 		reused <- err != nil || l.id == old
 	})
 	if receive(t, reused) {
-		t.Error("the connection is used again")
+		t.Error("the connection is reused")
 	}
 }
 
-// An endpoint answered twice, and the second answer came so late that the connection carried another attempt by then.
-// Where it did not say whose it was, it was taken for that attempt's: the origin's value was served for another key,
-// and a "busy" told that a request had not been carried out which had.
+// Guards against a second answer of an endpoint that arrives only after the connection has been reused for another
+// attempt. If it did not name its request, it was taken for that attempt's response: the origin's value was served for
+// another key, and a "busy" stated that an executed request had not been executed.
 func TestDuplicateResponseIsNotTakenForAnotherRequests(t *testing.T) {
 	page := func(s string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s), s)
@@ -136,7 +136,7 @@
 				if err != nil {
 					return
 				}
-				io.WriteString(s, before) // again, as late as can be
+				io.WriteString(s, before) // the duplicate, as late as possible
 				if before = c.first; strings.Contains(line, "k2") {
 					before = c.second
 				}
@@ -151,21 +151,21 @@
 		if c.server == "o" {
 			r.ReadString('\n')
 		}
-		g.runInLoop(func() { // the time in which a second would come is not over for this test
+		g.runInLoop(func() { // the window for duplicates does not end during this test
 			for _, id := range g.endpoints.byID[policy.EndpointID(c.server)].idleConns {
 				if l := g.upstream.conns.Get(id); l.unattributedAt != 0 {
 					l.unattributedAt = g.now().Add(time.Hour)
 				}
 			}
 		})
-		g.Counters() // comes after that
+		g.Counters() // waits until the loop has done that
 		ask(2)
 		g.expect(r, c.want)
 	}
 }
 
-// An attempt waited for its connection while a list update told that its endpoint drains. It was sent there all the
-// same. It must end as not sent.
+// An attempt waits for its connection while a list update makes its endpoint drain. The attempt must not be sent, and
+// must end as NotSent.
 func TestAttemptIsNotSentToEndpointThatDrainsByNow(t *testing.T) {
 	for _, state := range []string{"terminating", "terminated"} {
 		g := newHarness(t, 200, helloValue, func(config *Config) {
@@ -177,16 +177,16 @@
 		g.moveEndpoint("c", addr)
 		c, r := g.client()
 		fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n")
-		g.waitUntil("it waits for its connection", func(n metrics.Counters) bool { return n.Dials == 1 })
+		g.waitUntil("the attempt waits for its connection", func(n metrics.Counters) bool { return n.Dials == 1 })
 		g.listAnswers <- fmt.Sprintf(`{"generation":8,"reset":false,"instances":[
 {"instanceId":"c","hostPort":"%s","machineType":"box","lifecycle":"%s"}]}`, addr, state)
-		g.waitUntil("the news is heard", func(n metrics.Counters) bool { return n.EndpointUpdates == 2 })
+		g.waitUntil("the update is applied", func(n metrics.Counters) bool { return n.EndpointUpdates == 2 })
 		let()
 		up, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { // so that a attempt that does come is served, and seen at the client
+		go func() { // serves an attempt sent by mistake, so that the client shows it
 			if line, err := bufio.NewReader(up).ReadString('\n'); err == nil {
 				io.WriteString(up, helloValue(line))
 			}
@@ -194,13 +194,13 @@
 		got, _ := r.ReadString('\n')
 		outcomes := g.Counters().Outcomes
 		if strings.TrimSpace(got) == "VA 5 Ox" || outcomes[policy.NotSent] != 1 {
-			t.Errorf("%s: served %q by it, %v", state, got, outcomes)
+			t.Errorf("%s: client got %q, outcomes %v", state, got, outcomes)
 		}
 	}
 }
 
-// The retry of a write with an idempotency key waited for its connection until the deduplication window was over, and
-// was sent then: the write could be carried out twice.
+// Guards against a retry of a write with an idempotency key that waits for its connection until the deduplication
+// window has passed and is sent then, so that the write could be executed twice.
 func TestRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	g := newHarness(t, 200, helloValue, func(config *Config) {
@@ -212,7 +212,7 @@
 	l, addr := listenScripted(t)
 	g.moveEndpoint("o", addr)
 	c, r := g.client()
-	for n := range 30 { // each saves up some part of a repeat
+	for n := range 30 { // each adds to the retry budget
 		fmt.Fprintf(c, "mg k v Oa%d Pc=read,d=9000\r\n", n)
 		g.expect(r, fmt.Sprintf("VA 5 Oa%d", n), "hello")
 	}
@@ -225,7 +225,7 @@
 	asked, _ := bufio.NewReader(first).ReadString('\n')
 	sent, let := time.Now(), fillBacklog(t, l)
 	io.WriteString(first, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-	g.waitUntil("the repeat waits for its connection", func(n metrics.Counters) bool { return n.Dials >= dials+2 })
+	g.waitUntil("the retry waits for its connection", func(n metrics.Counters) bool { return n.Dials >= dials+2 })
 	for time.Since(sent) < window {
 	}
 	let()
@@ -242,13 +242,13 @@
 	got, _ := r.ReadString('\n')
 	select {
 	case line := <-again:
-		t.Errorf("after %q, %q went out when its window was over; answered %q", asked, line, got)
+		t.Errorf("after %q, %q was sent after the deduplication window; client got %q", asked, line, got)
 	default:
 	}
 }
 
-// Attempts may not be cancelled, and the connection of one comes up after its request has been answered. The attempt
-// must not be sent.
+// If attempts may not be cancelled, the connection of one may be established after its request has been answered. The
+// attempt must not be sent.
 func TestAttemptIsNotSentAfterFinalAnswer(t *testing.T) {
 	p := &Proxy{clock: clock{startedAt: time.Now()}}
 	req := &inflightRequest{answered: true, attempts: []attempt{{inFlight: true}}}
@@ -267,13 +267,13 @@
 }
 
 // An endpoint closes or resets an idle connection while the node sends an attempt on it. If it does so before the
-// write, the loop has not seen the event yet: it must cost a new connection and nothing else. After the last byte the
-// request may have been carried out: what is not idempotent must fail and not be sent again.
+// write, and the event loop has not handled the event yet, the only cost must be a new connection. After the last byte
+// has been written, the request may have been executed: one that is not idempotent must fail and must not be retried.
 func TestIdleConnClosedAroundAWrite(t *testing.T) {
 	for _, c := range []struct {
 		end, class, want string
-		after            bool   // after the write
-		sent             uint64 // attempts in all
+		after            bool   // closed after the write
+		sent             uint64 // total attempts
 	}{
 		{"end", "pay", "VA 5 Ox", false, 2}, {"reset", "pay", "VA 5 Ox", false, 2},
 		{"end", "pay", "SERVER_ERROR failed", true, 2}, {"reset", "pay", "SERVER_ERROR failed", true, 2},
@@ -307,7 +307,7 @@
 		}
 		g.expect(r, c.want)
 		if n := g.Counters(); n.Attempts != c.sent || n.Outcomes[policy.ConnectionBroken] != 0 != c.after {
-			t.Errorf("%s, after the write: %v: %d attempts, %v", c.end, c.after, n.Attempts, n.Outcomes)
+			t.Errorf("%s, after the write: %v: %d attempts, outcomes %v", c.end, c.after, n.Attempts, n.Outcomes)
 		}
 	}
 }
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -16,7 +16,7 @@
 )
 
 // A client closes its connection while its request is in flight. The attempt must be cancelled by closing its
-// connection, and the request counts as neither answered, rejected nor failed.
+// connection, and the request must not count as answered, rejected or failed.
 func TestClientGoneCancelsItsAttempts(t *testing.T) {
 	g := newHarness(t, 200, func(line string) string { return "" })
 	c, _ := g.client()
@@ -24,30 +24,31 @@
 	receive(t, g.cacheCommands)
 	c.Close()
 	receive(t, g.cacheConnClosed)
-	g.waitUntil("it has left", func(n metrics.Counters) bool {
+	g.waitUntil("the client is gone", func(n metrics.Counters) bool {
 		return n.ClientsGone == 1 && n.Outcomes[policy.Cancelled] == 1 && n.Satisfied+n.Rejected+n.Failed == 0
 	})
 }
 
-// sendRead sends a read by meta commands.
+// sendRead sends a read as a meta command.
 func sendRead(c net.Conn, idFlag string) { fmt.Fprintf(c, "mg k v %s Pc=read,d=9000\r\n", idFlag) }
 
-// waitAtGate is the place of a request in TestRequestOfGoneClientIsNotForwarded that is not even read: all descriptors
-// are in use, by connections with half a command.
-const waitAtGate = "at the gate"
+// waitBeforeAccept is the stage in TestRequestOfGoneClientIsNotForwarded at which a request is not even read: all
+// descriptors are used by connections with incomplete commands.
+const waitAtGate = "before accept"
 
-// waitAfterMiss is the place of a request whose first attempt has missed.
+// waitAfterMiss is the stage at which the first attempt of a request has missed.
 const waitAfterMiss = "after a miss"
 
-// waitingPlaces are where a request waits as its client leaves: each sends a request on the connection, and has the
-// client leave when it is there. The channel lets the cache answer the requests with the ids miss and slow.
+// waitingStages are the stages at which a request waits while its client leaves. Each function sends a request on the
+// connection, and calls leave once the request has reached the stage. The channel lets the cache answer the requests
+// with the ids miss and slow.
 var waitingPlaces = map[string]func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)){
 	"behind other events": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
 		g.pauseLoop(func() { sendRead(c, "Ox") }, nil, func() { leave(c) })
 	},
-	"for a connection that comes up": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
+	"for a connection being established": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
 		dials := g.Counters().Dials
-		g.runInLoop(func() { g.endpoints.byID["c"].idleConns = nil }) // its end would be an event, too
+		g.runInLoop(func() { g.endpoints.byID["c"].idleConns = nil }) // closing it would cause another event
 		isDialled := func() bool { return g.metrics.counters.Dials > dials }
 		g.pauseLoop(func() { sendRead(c, "Ox") }, isDialled, func() { leave(c) })
 	},
@@ -60,12 +61,12 @@
 		slow, _ := g.client()
 		sendRead(slow, "Oslow")
 		receive(g.t, g.cacheCommands)
-		var half []net.Conn // commands that are not complete keep their connections
+		var half []net.Conn // incomplete commands, which keep their connections
 		for n := g.Counters().Clients; !g.engine.ClientWaiting(); n++ {
 			c, _ := g.client()
 			fmt.Fprint(c, "mg k")
 			half = append(half, c)
-			g.waitUntil("it is accepted, or waits", func(now metrics.Counters) bool {
+			g.waitUntil("the client is accepted or waits", func(now metrics.Counters) bool {
 				return now.Clients > n || g.engine.ClientWaiting()
 			})
 		}
@@ -82,9 +83,9 @@
 	},
 }
 
-// A client closed its connection while its request waited in the node, and the request was forwarded all the same:
-// the event of the close stands behind others. Wherever the request waits, an idle connection to the endpoint, or one
-// that is just coming up, would take it at once. It must end as not sent.
+// Guards against forwarding a request whose client closed its connection while the request waited in the node: the
+// event of the close is queued behind others. Wherever the request waits, an idle connection to the endpoint, or one
+// that is just being established, would take it at once. The attempt must end as NotSent.
 func TestRequestOfGoneClientIsNotForwarded(t *testing.T) {
 	for place, wait := range waitingPlaces {
 		for way, leave := range waysToLeave {
@@ -121,13 +122,13 @@
 	receive(t, g.cacheCommands)
 	fmt.Fprint(c, "ms k 1 Oput Pc=put,d=9000,k=1\r\nx\r\n")
 	g.expect(r, "HD Oput cfrom-origin")
-	withSlow := g.Counters().Attempts + 1 // that of the request with the id slow
+	withSlow := g.Counters().Attempts + 1 // including that of the request with the id slow
 	wait(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
-	g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone+n.NotAccepted == 1 })
+	g.waitUntil("the client is gone", func(n metrics.Counters) bool { return n.ClientsGone+n.NotAccepted == 1 })
 	n := g.Counters()
 	notSent := n.Outcomes[policy.NotSent]
 	if n.NotAccepted == 1 && place == waitAtGate && notSent == 0 && n.Attempts == withSlow {
-		return // it was read before the free descriptors were seen, and rejected, which is no attempt either
+		return // it was read before descriptors were freed, and rejected without an attempt
 	}
 	neverSent := n.ClientsGoneUnsent == 1 || place == waitAfterMiss
 	if notSent != 1 || !neverSent {
@@ -135,8 +136,8 @@
 	}
 }
 
-// A client of HTTP closes its connection while its request waits. No attempt may begin for it either, neither the
-// first nor another one after a miss.
+// An HTTP client closes its connection while its request waits. No attempt may be sent for it, neither the first one
+// nor another one after a miss.
 func TestRequestOfGoneHTTPClientIsNotForwarded(t *testing.T) {
 	for way, leave := range waysToLeave {
 		for _, after := range []string{"", "a miss"} {
@@ -159,8 +160,9 @@
 					t.Fatal(err)
 				}
 				defer c.Close()
-				// Else the loop would be paused by the connection's own event, and see the request only with its end.
-				g.waitUntil("it is accepted", func(n metrics.Counters) bool { return n.Clients == 2 })
+				// Otherwise the event of the new connection would pause the loop, which would then see the request only
+				// together with the close.
+				g.waitUntil("the client is accepted", func(n metrics.Counters) bool { return n.Clients == 2 })
 				ask := func() { io.WriteString(c, requestHead("GET /p/k", "X-Id: http")) }
 				if after == "" {
 					g.pauseLoop(ask, nil, func() { leave(c.(*net.TCPConn)) })
@@ -169,18 +171,19 @@
 					receive(t, g.cacheCommands)
 					g.pauseLoop(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
 				}
-				g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
-				g.waitUntil("nothing is out", func(n metrics.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
+				g.waitUntil("the client is gone", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+				g.waitUntil("it is not sent", func(n metrics.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
 				if n := g.Counters(); len(g.cacheCommands) > 0 || len(g.originRequests) > 0 {
-					t.Errorf("an attempt went out: %v", n.Outcomes)
+					t.Errorf("an attempt was sent: %v", n.Outcomes)
 				}
 			})
 		}
 	}
 }
 
-// The kernel had taken only part of an attempt as its client left. Where attempts may not be cancelled, the rest was
-// sent long after, and the write was carried out for nobody. It must stop, as it has not been sent yet.
+// Guards against completing an attempt of which the kernel has accepted only a part when the client leaves. If attempts
+// may not be cancelled, the rest was sent long after, and the write was executed although nobody waited for it. The
+// attempt must stop, as it has not been sent yet.
 func TestPartlyWrittenAttemptStopsWithItsClient(t *testing.T) {
 	for way, leave := range waysToLeave {
 		for _, cancel := range []bool{true, false} {
@@ -197,29 +200,29 @@
 				g.endpoints.byID["o"].addr = l.Addr().String()
 				g.CheckHealth("o")
 			})
-			origin, err := l.Accept() // which reads nothing of what comes later
+			origin, err := l.Accept() // reads nothing from now on
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer origin.Close()
 			fmt.Fprint(origin, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			rested := make(chan bool, 1)
-			g.waitUntil("its connection is idle", func(metrics.Counters) bool {
+			g.waitUntil("the connection is idle", func(metrics.Counters) bool {
 				g.runInLoop(func() { rested <- len(g.endpoints.byID["o"].idleConns) == 1 })
 				return <-rested
 			})
 			shrinkSendBuffer(t, l.Addr().String())
 			c, _ := g.client()
 			fmt.Fprintf(c, "ms k 60000 Ox Pc=put,d=9000,k=1\r\n%s\r\n", strings.Repeat("v", 60000))
-			g.waitUntil("a part is written", func(n metrics.Counters) bool {
+			g.waitUntil("part of the attempt is written", func(n metrics.Counters) bool {
 				return n.Attempts == 1 && g.engine.Unsent() > 0
 			})
 			leave(c.(*net.TCPConn))
-			g.waitUntil("it has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+			g.waitUntil("the client is gone", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
 			outcomes := g.Counters().Outcomes
 			unsent := g.engine.Unsent()
 			if outcomes[policy.NotSent] != 1 || unsent != 0 {
-				t.Errorf("by %s, may cancel: %v: %v, %d bytes wait to be sent", way, cancel, outcomes, unsent)
+				t.Errorf("by %s, may cancel: %v: outcomes %v, %d bytes unsent", way, cancel, outcomes, unsent)
 			}
 		}
 	}
--- a/internal/proxy/downstream_http_test.go
+++ b/internal/proxy/downstream_http_test.go
@@ -10,8 +10,9 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// Answers in the wrong order, a body after HEAD, ids that two listeners both give, or the text of a header that
-// reaches an endpoint as flags would each be taken for something else than was sent.
+// Checks that pipelined answers keep their order, that HEAD gets no body, that the ids which two listeners generate do
+// not collide, and that no header text reaches an endpoint as flags. Each of these would be taken for something else
+// than was sent.
 func TestHTTPRequestsAreAnsweredInOrder(t *testing.T) {
 	slow := make(chan bool)
 	g := newHarness(t, 200, func(line string) string {
@@ -25,7 +26,7 @@
 	other(requestHead("GET /p/slow"))
 	receive(t, g.cacheCommands)
 	go func() {
-		g.waitUntil("the second is answered", func(n metrics.Counters) bool { return n.Satisfied > 0 })
+		g.waitUntil("the second request is answered", func(n metrics.Counters) bool { return n.Satisfied > 0 })
 		close(slow)
 	}()
 	pipelined := requestHead("GET /p/slow") + requestHead("GET http://h/p/%6b?b=2&a=1&a=0") +
@@ -38,7 +39,7 @@
 	commands := receive(t, g.cacheCommands) + receive(t, g.cacheCommands) + receive(t, g.cacheCommands)
 	for _, want := range []string{"mg slow v Oh", "mg k?a=1&a=0&b=2 v Oh", " Pc=read,d="} {
 		if !strings.Contains(commands, want) {
-			t.Errorf("the cache was sent %q, without %q", commands, want)
+			t.Errorf("the cache received %q, want it to contain %q", commands, want)
 		}
 	}
 	for _, c := range []struct{ request, wantStatus string }{
@@ -70,8 +71,8 @@
 	g.expectResponses(other(last, "GET", "GET"), "200 serving 8 close", "ended")
 }
 
-// A body that was not asked for, or was asked for and then refused, would be read as the next request. And a POST
-// whose connection broke after its last byte may have been carried out: it must not be sent again.
+// Guards against a body that is read as the next request, because the client sent it without waiting or its request was
+// rejected. A POST whose connection broke after its last byte may have been executed and must not be retried.
 func TestBodyIsReadOnceAndPOSTIsNeverRetried(t *testing.T) {
 	g := newHarness(t, 200, helloValue, withHTTPListeners)
 	ask := g.httpClient(1)
@@ -89,7 +90,7 @@
 		}
 	}
 	if n := g.Counters(); len(g.originRequests) > 0 || n.Attempts != 3 {
-		t.Errorf("%d attempts, %d calls more", n.Attempts, len(g.originRequests))
+		t.Errorf("%d attempts, %d unexpected requests to the origin", n.Attempts, len(g.originRequests))
 	}
 	for _, refused := range []string{
 		post("/q/k", 6),
@@ -105,7 +106,7 @@
 	}
 }
 
-// answerByKey is a cache that fails in a manner that the second letter of a key states, if the first one is f.
+// answerByKey answers as a cache whose failure is selected by the second character of a key that begins with f.
 func answerByKey(line string) string {
 	key := strings.Fields(line)[1]
 	if !strings.HasPrefix(key, "f") {
@@ -121,7 +122,7 @@
 	return faults[key[1]-'0']
 }
 
-// readMetaAsHTTP reads the answer to a meta command, and returns the status and body that HTTP has for it.
+// readMetaAsHTTP reads the answer to a meta command, and returns the equivalent HTTP status and body.
 func readMetaAsHTTP(r *bufio.Reader) string {
 	line, _ := r.ReadString('\n')
 	answer := strings.TrimSpace(line)
@@ -137,8 +138,8 @@
 	return toHTTP.Replace(answer)
 }
 
-// The same seeded traffic, with faults, comes by meta commands and by HTTP. Request by request both must get the same
-// answer, and no write that is not idempotent may reach the origin twice.
+// The same seeded traffic with faults is sent by meta commands and by HTTP. Each request must get the same answer by
+// both, and no write that is not idempotent may reach the origin twice.
 func TestMetaAndHTTPClientsGetTheSameAnswers(t *testing.T) {
 	g := newHarness(t, 200, answerByKey)
 	h := newHarness(t, 200, answerByKey, withHTTPListeners)
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -13,8 +13,8 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// After a command that can't be read, the beginning of the next one is unknown. What came before must be answered,
-// then the fault, and the connection must end.
+// After a command that cannot be parsed, the start of the next one is unknown. Earlier commands must be answered, then
+// the error, and then the connection must close.
 func TestUnreadableCommandClosesTheConnection(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	for _, bad := range []string{
@@ -30,11 +30,11 @@
 			t.Errorf("after %.20q: %q", bad, rest)
 		}
 	}
-	g.waitUntil("all are gone", func(n metrics.Counters) bool { return n.Malformed == 3 && n.Attempts == 3 })
+	g.waitUntil("all are counted", func(n metrics.Counters) bool { return n.Malformed == 3 && n.Attempts == 3 })
 }
 
-// Connections on which nothing was sent, and those with half a command, stayed open for good. Both must be closed in
-// time, and half a command must be answered.
+// Guards against connections that stay open forever because the client sends nothing or only part of a command. Both
+// must be closed in time, and an incomplete command must be answered.
 func TestIncompleteCommandTimesOut(t *testing.T) {
 	g := newHarness(t, 200, helloValue, withHTTPListeners)
 	_, silent := g.client()
@@ -50,13 +50,13 @@
 	}
 	g.expectResponses(receive(t, late), "408 not whole in time 18 close", "ended")
 	if n := g.Counters(); n.ClientTimeouts != 3 {
-		t.Errorf("%d were overdue", n.ClientTimeouts)
+		t.Errorf("%d connections counted as overdue, want 3", n.ClientTimeouts)
 	}
 }
 
-// Clients that sent one request and kept their connection left no descriptors for others: 128 were idle, and half of
-// all new ones were refused. Of idle connections only some may stay, those first whose clients came back, and none
-// for long.
+// Guards against clients that send one request and keep their connection, leaving no descriptors for others: with 128
+// idle connections, half of all new ones were refused. Only some idle connections may stay open, those of returning
+// clients first, and none for long.
 func TestIdleClientsThatReturnAreKeptLongest(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	often, r := g.client()
@@ -71,7 +71,7 @@
 		g.expect(r, fmt.Sprintf("VA 5 Ob%d", n), "hello")
 		once = append(once, r)
 	}
-	g.waitUntil("few are left", func(n metrics.Counters) bool {
+	g.waitUntil("enough idle clients are closed", func(n metrics.Counters) bool {
 		return int(n.IdleClosed) >= 31-g.engine.MaxClients()/idleClientShare
 	})
 	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
@@ -80,15 +80,15 @@
 	fmt.Fprint(often, "mn\r\n")
 	g.expect(r, "MN")
 	if int(g.Counters().IdleClosed) == 31 {
-		t.Error("all are closed")
+		t.Error("all idle clients are closed")
 	}
-	if _, err := r.ReadByte(); !errors.Is(err, syscall.ECONNRESET) { // after two seconds
+	if _, err := r.ReadByte(); !errors.Is(err, syscall.ECONNRESET) { // after clientIdleTimeout
 		t.Errorf("closed with: %v", err)
 	}
 }
 
-// More clients come, one after the other, than there are descriptors for, and each leaves its connection idle. Idle
-// connections must be closed, so that no request is rejected.
+// More clients connect, one after the other, than there are descriptors, and each leaves its connection idle. Idle
+// connections must be closed so that no request is rejected.
 func TestIdleConnsAreClosedToFreeDescriptors(t *testing.T) {
 	g := newHarness(t, 64, helloValue)
 	for n := range 100 {
@@ -97,8 +97,8 @@
 		g.expect(r, "VA 5 Oa", "hello")
 	}
 	n := g.Counters()
-	closed := n.EvictedConns + n.IdleClosed // on a slow machine some are idle for long, too
+	closed := n.EvictedConns + n.IdleClosed // on a slow machine some reach the idle timeout
 	if n.EvictedConns == 0 || closed < 50 || n.NotAccepted > 0 {
-		t.Errorf("%d closed for descriptors, %d in all, %d rejected", n.EvictedConns, closed, n.NotAccepted)
+		t.Errorf("%d closed for descriptors, %d closed in total, %d rejected", n.EvictedConns, closed, n.NotAccepted)
 	}
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -13,9 +13,9 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// The node is told to shut down twice while requests are in flight. It must serve those and the ones that still come,
-// reject what would outlast it, fail readiness checks, say "close" with the last HTTP answer, as what is sent behind
-// it would be lost, and then reset idle connections and stop.
+// The node is told to shut down twice while requests are in flight. It must serve those and the ones that still arrive,
+// reject those that would outlast it, fail readiness checks, announce the close with the last HTTP answer (a request
+// sent after it would be lost), and then reset idle connections and stop.
 func TestDrainServesLateArrivalsThenStops(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, blockRequestA(hold), withHTTPListeners)
@@ -28,10 +28,10 @@
 	}
 	g.Shutdown()
 	g.Shutdown()
-	g.Counters() // comes after what was asked before: else the next command may, too
+	g.Counters() // waits until the loop has handled the shutdown
 	after, r := g.client()
 	fmt.Fprint(after, "mn\r\nmg k2 v Ob Pc=read,d=900\r\nmg k3 v Oc Pc=pay,d=9000\r\n")
-	g.expect(r, "SERVER_ERROR draining", "VA 5 Ob", "hello", "SERVER_ERROR busy") // the last would outlast the node
+	g.expect(r, "SERVER_ERROR draining", "VA 5 Ob", "hello", "SERVER_ERROR busy") // the last outlasts the node
 	close(hold)
 	g.expect(slow, "VA 5 Oa", "hello")
 	g.expectResponses(web("", "GET", "GET", "GET"), "200 hello 5", "200 hello 5 close", "ended")
@@ -41,16 +41,16 @@
 	}
 }
 
-// Where clients state long deadlines, a node that drained rejected all requests, as their deadlines were later than
-// its end. An idempotent one must be accepted while its latency objective is left, with the node's end as its
+// Guards against a draining node that rejects all requests with long deadlines because those are later than its end. An
+// idempotent request must be accepted while its latency objective can still be met, with the end of the node as its
 // deadline.
 func TestDrainAcceptsWhatCanBeServedBeforeTheEnd(t *testing.T) {
 	const long = "d=9000"
-	// The classes' longest deadline is 1 s.
+	// The longest deadline of the classes is 1 s.
 	const endsIn = time.Second + shutdownMargin - answerMargin
 	for _, c := range []struct {
 		name, asks, want string
-		after            time.Duration // the drain began; the connection has a request in flight until then
+		after            time.Duration // after the drain began; until then the connection has a request in flight
 		attempts         uint64
 	}{
 		{"a read", "mg k v Oa Pc=read," + long, "VA 5 Oa", 0, 2},
@@ -79,14 +79,14 @@
 			began := time.Now()
 			time.Sleep(c.after)
 			fmt.Fprint(to, c.asks+"\r\n")
-			g.waitUntil("it is taken", func(n metrics.Counters) bool { return n.Requests == 2 })
+			g.waitUntil("the request is accepted or rejected", func(n metrics.Counters) bool { return n.Requests == 2 })
 			if c.attempts > 1 {
 				line := receive(t, g.cacheCommands)
 				_, stated, _ := strings.Cut(line, "d=")
 				timeoutMs := 0
 				fmt.Sscan(stated, &timeoutMs)
 				if timeoutMs <= 0 || timeoutMs > int(endsIn/time.Millisecond) {
-					t.Errorf("a cache is sent a deadline of %d ms in %q", timeoutMs, line)
+					t.Errorf("the cache received a deadline of %d ms in %q", timeoutMs, line)
 				}
 			}
 			for _, want := range []string{"SERVER_ERROR busy", c.want} {
@@ -97,17 +97,17 @@
 				}
 			}
 			if n := g.Counters().Attempts; n != c.attempts {
-				t.Errorf("%d attempts, %d wanted", n, c.attempts)
+				t.Errorf("%d attempts, want %d", n, c.attempts)
 			}
 		})
 	}
 }
 
-// The process was held up while it drained, and stopped as soon as it went on: connections that had come meanwhile
-// waited in the kernel's queue, and were reset.
+// Guards against a process that stalls during a drain and stops as soon as it continues: connections that arrived
+// meanwhile would still wait in the kernel's queue, and be reset.
 func TestDrainAfterAStallAcceptsQueuedConnections(t *testing.T) {
 	g := newHarness(t, 200, helloValue, func(b *Config) { b.Settings.LongestDeadline = maxShutdownWait })
-	g.engine.SetAccepting(false) // as if the whole process stood still
+	g.engine.SetAccepting(false) // as if the whole process were stalled
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=2000\r\n")
 	g.Shutdown()
@@ -121,16 +121,16 @@
 	}
 }
 
-// Requests had deadlines later than the end of a node that drained, or than the time that whoever ends the process
-// waits: their connections ended without an answer. With a deadline of 5.3 s, a node was still at work when it was
-// killed. Each must be answered before the end, as its class and its attempts allow.
+// Guards against requests with deadlines later than the end of a draining node, or than whoever ends the process waits:
+// their connections would end without an answer. With a deadline of 5.3 s, a node was still working when it was killed.
+// Each request must be answered before the end, as its class and its attempts allow.
 func TestDrainAnswersWhatOutlastsTheNode(t *testing.T) {
 	for _, longest := range []time.Duration{0, 500 * time.Millisecond, time.Minute} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
 			neverAnswer := func(string) string { return "" }
 			g := newHarness(t, 200, neverAnswer, func(config *Config) { config.Settings.LongestDeadline = longest })
-			l, addr := listenScripted(t) // an origin that says nothing, and one attempt at a time
+			l, addr := listenScripted(t) // an origin that never answers
 			g.moveEndpoint("o", addr)
 			wants := map[string]string{
 				"mg k1 v Oa Pc=read,d=60000":         "SERVER_ERROR busy 250",
@@ -144,40 +144,40 @@
 				fmt.Fprint(c, command+"\r\n")
 				told[command] = r
 			}
-			g.waitUntil("all are taken", func(n metrics.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
+			g.waitUntil("all are sent", func(n metrics.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
 			defer l.Close()
 			began := time.Now()
 			g.Shutdown()
 			for command, r := range told {
 				g.expect(r, wants[command])
 				if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("%q: %v after its answer", command, err)
+					t.Errorf("%q: got %v after the answer, want the connection closed", command, err)
 				}
 			}
 			g.loop.Wait()
 			if time.Since(began) > maxShutdownWait+shutdownMargin+testTimeout/10 {
-				t.Errorf("ended after %v", time.Since(began))
+				t.Errorf("stopped after %v", time.Since(began))
 			}
 		})
 	}
 }
 
-// A process whose clients were returned to its predecessor stopped in the iteration in which no client was known.
-// Connections that the kernel had accepted by then and the loop had not seen were reset: one in some thousand, when
-// operators end the successor of an upgrade under load.
+// Guards against a process that returned its listeners to its predecessor and stops in the first iteration without a
+// known client: connections that the kernel had already accepted but the loop had not seen were reset. That hit about
+// one connection in some thousand when operators ended the successor of an upgrade under load.
 func TestReturnedProcessStopsOnlyAfterQuietTime(t *testing.T) {
 	g := newHarness(t, 200, blockRequestA(nil))
 	g.runInLoop(func() { g.takeover.acceptsElsewhere = true })
 	g.Shutdown()
 	g.loop.Wait()
 	if took := g.now().Since(g.lifecycle.drainStartedAt); took < drainQuietTime {
-		t.Errorf("ended %v after it was told to", took)
+		t.Errorf("stopped %v after the shutdown began", took)
 	}
 }
 
-// A node on standby looks for idle clients at intervals, and goes on with that when it is told to drain. Told so while
-// its next look was still due, it began a second series: looks came twice as often, so that a process which was held up
-// had its seven punctual looks in half the time, and could stop before it accepted what waited in the kernel's queue.
+// Guards against a second series of idle checks when a node in standby begins to drain while its next check is still
+// due. Checks would run twice as often, so a process that was stalled would pass its seven on-time checks in half the
+// time, and could stop before it accepts the connections in the kernel's queue.
 func TestDrainAfterStandbyHasOneSeriesOfIdleChecks(t *testing.T) {
 	g := newHarness(t, 200, blockRequestA(make(chan bool)))
 	c, _ := g.client()
@@ -204,7 +204,7 @@
 			g.schedule(g.now(), event)
 		}
 	})
-	g.Counters() // comes after it
+	g.Counters() // waits until the loop has done that
 	if series != 1 {
 		t.Errorf("%d series of idle checks", series)
 	}
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -8,9 +8,9 @@
 	"dahliapin/policy"
 )
 
-// The list states starts of endpoints by the wall clock, which may be stepped by an hour while the node runs. After a
-// step back, an endpoint that was started anew counted as warmed up for an hour, and all nodes together would have
-// overloaded it; after a step forward it counted as warming up for an hour.
+// The list states start times by the wall clock, which may be stepped by an hour while the node runs. After a step
+// back, a restarted endpoint counted as warmed up for an hour, and all nodes together would have overloaded it. After a
+// step forward, it counted as warming up for an hour.
 func TestEndpointStartsAfterWallClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		r, err := New(Config{
@@ -40,7 +40,7 @@
 		near := func(what string, got policy.Instant, ago time.Duration) {
 			t.Helper()
 			if off := r.now().Since(got) - ago; off < -time.Millisecond || off > time.Second {
-				t.Errorf("%v: %s %v ago, want %v", step, what, r.now().Since(got), ago)
+				t.Errorf("step %v: %s %v ago, want %v", step, what, r.now().Since(got), ago)
 			}
 		}
 		first := stated(3 * time.Minute)
@@ -49,18 +49,18 @@
 		stepped = step
 		old := r.endpoints.byID["c"]
 		if again := hear(policy.CompleteUpdate, first); again != was || r.endpoints.byID["c"] != old {
-			t.Errorf("%v: the same start became another one", step)
+			t.Errorf("step %v: an unchanged start time was treated as a restart", step)
 		}
 		near("a start after the step", hear(policy.DeltaUpdate, stated(500*time.Millisecond)), 500*time.Millisecond)
 		if r.endpoints.byID["c"] == old {
-			t.Errorf("%v: a start after the step is taken for none", step)
+			t.Errorf("step %v: a restart after the step was not detected", step)
 		}
 		r.Shutdown()
 		r.Run()
 	}
 }
 
-// A start that is stated before a step of the wall clock and read after it is off by the step. What that makes of the
+// A start time that is stated before a step of the wall clock and read after it is off by the step. The effect on the
 // start must be bounded.
 func TestEndpointStartStatedAcrossWallClockStepIsBounded(t *testing.T) {
 	now := clockEpoch.Add(time.Hour)
@@ -71,12 +71,12 @@
 		known := &knownEndpoint{start: processStart{statedMs: 5, at: clockEpoch}}
 		got := r.processStartOf(known, float64(time.Now().Add(-time.Second).UnixMilli())).at
 		if late := r.now().Since(got); late < 0 || late > maxAnnouncementDelay+time.Minute {
-			t.Errorf("%v: it started %v ago", step, late)
+			t.Errorf("step %v: start is %v ago", step, late)
 		}
 	}
 }
 
-// steppedProxy is a proxy of which only the clock and the list matter; its wall clock is off by what is pointed to.
+// steppedProxy returns a proxy with only a clock and a list, whose wall clock is off by *off.
 func steppedProxy(off *time.Duration) *Proxy {
 	wall := func() time.Time { return time.Now().Add(*off) }
 	return &Proxy{clock: clock{startedAt: time.Now().Add(-3 * time.Hour), wall: wall}}
@@ -84,7 +84,7 @@
 
 var wallClockSteps = []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
-// A step while an endpoint warms up leaves its start where it is, whoever is told of it again.
+// A step of the wall clock while an endpoint warms up must not move its start when the same start time is stated again.
 func TestEndpointStartStaysAfterWallClockStepInSlowStart(t *testing.T) {
 	for _, step := range wallClockSteps {
 		off := time.Duration(0)
@@ -93,13 +93,13 @@
 		known := &knownEndpoint{start: p.processStartOf(nil, stated)}
 		off = step
 		if again := p.processStartOf(known, stated); again != known.start {
-			t.Errorf("%v: the start has moved by %v", step, again.at.Since(known.start.at))
+			t.Errorf("step %v: the start moved by %v", step, again.at.Since(known.start.at))
 		}
 	}
 }
 
-// A node whose clock is off when it has its first list takes endpoints for older or younger by as much, and never for
-// started later than now: so one that warms up for long enough does so from then on.
+// A node whose clock is off when it receives its first list takes endpoints for older or younger by as much, but never
+// for started in the future. So an endpoint that warms up for a long time does so from then on.
 func TestEndpointStartInTheFirstListIsOffByNoMoreThanTheClock(t *testing.T) {
 	for _, step := range wallClockSteps {
 		for _, age := range []time.Duration{time.Second, time.Minute, 2 * time.Hour} {
@@ -108,12 +108,12 @@
 			got := p.now().Since(p.processStartOf(nil, float64(time.Now().Add(-age).UnixMilli())).at)
 			want := max(0, age+step)
 			if got < want-time.Second || got > want+time.Second {
-				t.Errorf("%v: one that started %v ago did so %v ago, want %v", step, age, got, want)
+				t.Errorf("step %v: an endpoint started %v ago has a start %v ago, want %v", step, age, got, want)
 			}
-			off = 0 // the clock is set right
+			off = 0 // the clock is corrected
 			known := &knownEndpoint{start: processStart{statedMs: 1, at: p.now().Add(-got)}}
 			if again := p.processStartOf(known, 1); again != known.start {
-				t.Errorf("%v: setting the clock right has moved the start", step)
+				t.Errorf("step %v: correcting the clock moved the start", step)
 			}
 		}
 	}
--- a/internal/proxy/endpoint_watch_test.go
+++ b/internal/proxy/endpoint_watch_test.go
@@ -16,41 +16,42 @@
 	"dahliapin/internal/config/settings"
 )
 
-// The node polls the complete list first, then updates from the version that it has, also after a connection that
-// broke. An endpoint that is removed must get nothing more; one with a new id at the same address must.
+// The node polls the complete list first, then updates since the version that it has, also after a connection broke. An
+// endpoint that is removed must get no more requests, and one with a new id at the same address must.
 func TestEndpointListIsWatchedAndApplied(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	first, second := receive(t, g.listPolls), receive(t, g.listPolls)
 	if first != endpointListPath || !strings.HasPrefix(second, endpointListPath+"?since=7&") {
-		t.Errorf("asked %q, then %q", first, second)
+		t.Errorf("polled %q, then %q", first, second)
 	}
 	g.listAnswers <- thenClose
 	if again := receive(t, g.listPolls); !strings.HasPrefix(again, endpointListPath+"?since=7&") {
-		t.Errorf("after a call that broke off, asked %q", again)
+		t.Errorf("after a broken poll, polled %q", again)
 	}
 	addr := make(chan string, 1)
 	g.runInLoop(func() { addr <- g.endpoints.byID["c"].addr })
 	g.listAnswers <- `{"generation":9,"reset":false,"instances":[{"instanceId":"c","lifecycle":"terminated"}]}`
 	if third := receive(t, g.listPolls); !strings.HasPrefix(third, endpointListPath+"?since=9&") {
-		t.Errorf("asked %q", third)
+		t.Errorf("polled %q", third)
 	}
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	if got, _ := r.ReadString('\n'); strings.HasPrefix(got, "VA 5") {
-		t.Errorf("a cache that is gone answered %q", got)
+		t.Errorf("a removed cache answered %q", got)
 	}
 	g.listAnswers <- fmt.Sprintf(`{"generation":10,"reset":false,"instances":[
 {"instanceId":"d","hostPort":"%s","machineType":"box","lifecycle":"in_service"}]}`, <-addr)
 	receive(t, g.listPolls)
-	c, r = g.client() // a server under a new id may have taken over its address
+	c, r = g.client() // another endpoint may have taken over the address
 	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\n")
 	if got, _ := r.ReadString('\n'); !strings.HasPrefix(got, "VA 5") {
-		t.Errorf("whoever took over its address answered %q", got)
+		t.Errorf("the endpoint at the reused address answered %q", got)
 	}
 }
 
-// A poll broke off, and the next one was not answered: its failure was noticed as late as the first one's, and so was
-// the update that both had missed. And an update of an older version put an endpoint that drains back into service.
+// Guards against two faults. When a poll broke and the next one was not answered, that failure was noticed only after
+// the timeout of a long poll, and so was the update that both had missed. An update of an older version put a draining
+// endpoint back into service.
 func TestAfterALostWatchUpdatesArePolledAtOnceAndOlderVersionsIgnored(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	receive(t, g.listPolls)
@@ -58,16 +59,16 @@
 	g.listAnswers <- thenClose
 	const soon = "?since=7&timeout_ms=1"
 	if again := receive(t, g.listPolls); again != endpointListPath+soon {
-		t.Errorf("after a watch that broke off, asked %q", again)
+		t.Errorf("after a broken poll, polled %q", again)
 	}
 	silent := time.Now()
 	polled := receive(t, g.listPolls)
-	if took := time.Since(silent); polled != endpointListPath+soon || took > 4*time.Second { // a watch has 5.5 s
-		t.Errorf("after %v in which nothing came, asked %q", took, polled)
+	if took := time.Since(silent); polled != endpointListPath+soon || took > 4*time.Second { // a long poll has 5.5 s
+		t.Errorf("after %v without an answer, polled %q", took, polled)
 	}
 	entry := `{"generation":%d,"reset":false,"instances":[
 {"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"%s"}]}`
-	for range 2 { // the call that was given up may take one yet
+	for range 2 { // the poll that timed out may still consume one
 		g.listAnswers <- fmt.Sprintf(entry, 8, "terminating")
 	}
 	g.listAnswers <- fmt.Sprintf(entry, 6, "in_service")
@@ -76,31 +77,31 @@
 		again = receive(t, g.listPolls)
 	}
 	if again != endpointListPath {
-		t.Errorf("after an older version, asked %q", again)
+		t.Errorf("after an older version, polled %q", again)
 	}
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n")
 	g.expect(r, "VA 11 Ox", "from-origin")
 }
 
-// Discovery was overloaded and refused a poll, upon which it was asked for the complete list instead of an update: a
-// hundred times as many rows.
+// Guards against polling the complete list, with a hundred times as many rows, after an overloaded discovery refused a
+// poll for updates.
 func TestOverloadedDiscoveryIsPolledForUpdatesOnly(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	receive(t, g.listPolls)
 	receive(t, g.listPolls)
 	g.listAnswers <- discoveryOverloaded
 	if again := receive(t, g.listPolls); !strings.HasPrefix(again, endpointListPath+"?since=7&") {
-		t.Errorf("after a refusal, asked %q", again)
+		t.Errorf("after a refusal, polled %q", again)
 	}
-	g.listAnswers <- discoveryFails // else a version that it takes for a fault would be asked for without end
+	g.listAnswers <- discoveryFails // otherwise a version that discovery rejects would be polled forever
 	if again := receive(t, g.listPolls); again != endpointListPath {
-		t.Errorf("after a failure, asked %q", again)
+		t.Errorf("after a failure, polled %q", again)
 	}
 }
 
-// Attempts held all descriptors that upstream connections may have, and a discovery that had changed its address was
-// not polled. Its connection is reserved.
+// Guards against a discovery with a changed address that is not polled because attempts use all descriptors of upstream
+// connections. The connection to discovery is reserved.
 func TestChangedDiscoveryIsPolledThoughConnsAreUsedUp(t *testing.T) {
 	g := newHarness(t, 64, helloValue)
 	g.runInLoop(func() {
@@ -114,26 +115,25 @@
 		asked <- line
 	}))
 	if got := receive(t, asked); !strings.HasPrefix(got, "GET "+endpointListPath+" HTTP") {
-		t.Errorf("asked %q there", got)
+		t.Errorf("polled %q at the new address", got)
 	}
 }
 
-// updateTimeLimit is how long a node may take to get an update that discovery has and could be polled for.
+// updateTimeLimit is how long a node may take to get an update once discovery has it and can be polled.
 const updateTimeLimit = 6 * time.Second
 
-// discoveryStub is discovery as one node sees it: it has a list, fails in one manner after another, and then has an
-// update.
+// discoveryStub is the discovery of one node. It has a list, fails in a sequence of ways, and then has an update.
 type discoveryStub struct {
 	mu           sync.Mutex
-	behaviour    string        // "" for answering
-	changed      chan struct{} // closed as the behaviour changes
+	behaviour    string        // "" if it answers
+	changed      chan struct{} // closed when the behaviour changes
 	hasUpdate    bool
 	updateSentAt chan time.Time // when the update was first written to the node
 	updateSent   bool
 	stop         chan bool
 }
 
-// change changes the behaviour.
+// change sets the behaviour.
 func (d *discoveryStub) change(behaviour string, hasUpdate bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,8 +143,8 @@
 	d.changed = make(chan struct{})
 }
 
-// holdBack holds a poll for updates back until the behaviour changes or the poll's time is over, unless there is an
-// update for it now. It returns the behaviour then, and false if the node has closed the connection.
+// holdBack delays a poll for updates until the behaviour changes or the time of the poll is over, unless an update for
+// it is available. It returns the behaviour at that time, and false if the node has closed the connection.
 func (d *discoveryStub) holdBack(r *http.Request) (behaviour string, hasUpdate, ok bool) {
 	d.mu.Lock()
 	behaviour, hasUpdate = d.behaviour, d.hasUpdate
@@ -180,7 +180,7 @@
 	case "halves":
 		io.WriteString(w, `{"generation":8,"reset":true`)
 	case "silent":
-		select { // nor once it is well again
+		select { // stays unanswered even after the failure has ended
 		case <-r.Context().Done():
 		case <-d.stop:
 		}
@@ -189,7 +189,7 @@
 	}
 }
 
-// answer answers a poll from a version on: 7 is the list with c, 8 that with c and d.
+// answer answers a poll for updates since a version: version 7 is the list with c, and 8 the one with c and d.
 func (d *discoveryStub) answer(w http.ResponseWriter, since string, hasUpdate bool) {
 	const row = `{"instanceId":%q,"hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"in_service","zone":"z"}`
 	switch {
@@ -212,8 +212,8 @@
 	}
 }
 
-// runNodes runs nodes of a fleet of a stated size, each with its discovery. On each it calls fail, then has discovery
-// answer with an update, and checks that the node gets it in time and applies it.
+// runNodes runs nodes of a fleet of the stated size, each with its own discovery. For each it calls fail, then lets
+// discovery answer with an update, and checks that the node gets the update in time and applies it.
 func runNodes(t *testing.T, nodes, fleetSize int, fail func(*discoveryStub)) {
 	t.Helper()
 	stated := fmt.Sprintf(`"n_instances":%d`, fleetSize)
@@ -282,7 +282,7 @@
 	return discovery, p
 }
 
-// checkUpdateArrives checks that discovery can send a node its update in time, and that the node applies it.
+// checkUpdateArrives checks that the node gets its update in time and applies it.
 func checkUpdateArrives(t *testing.T, n int, discovery *discoveryStub, p *Proxy) {
 	t.Helper()
 	began := time.Now()
@@ -308,9 +308,9 @@
 	}
 }
 
-// Nodes of a large fleet backed off for up to 30 s after refusals, and then asked discovery to hold back its answer:
-// of eight nodes, the last ones got an update 15.5 and 19.9 s after discovery had it. An unreadable answer had the
-// same effect. Whatever the failure, an update must arrive within updateTimeLimit after it has ended.
+// Guards against nodes of a large fleet that back off for up to 30 s after refusals and then send a long poll: of eight
+// nodes, the last ones got an update 15.5 s and 19.9 s after discovery had it. An unreadable answer had the same
+// effect. After any failure has ended, an update must arrive within updateTimeLimit.
 func TestUpdateArrivesInTimeAfterDiscoveryFailures(t *testing.T) {
 	for _, how := range []string{
 		"refuses", "silent", "breaks", "halves",
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// After a release that restarted most nodes at once, each of them asked discovery for the complete list, although it
-// had the last one on disk. It must ask for updates, and serve by the last known list while there is none.
+// Guards against nodes that poll the complete list after a restart although they have the last one on disk, which
+// burdens discovery when a release restarts most nodes at once. A node must poll for updates, and serve with the last
+// known list until there is one.
 func TestLastKnownListIsPolledForUpdatesOnly(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	receive(t, g.listPolls)
@@ -29,15 +30,16 @@
 	}()
 	t.Cleanup(r.Shutdown)
 	if got := receive(t, g.listPolls); !strings.HasPrefix(got, endpointListPath+"?since=41&") {
-		t.Errorf("asked %q", got)
+		t.Errorf("polled %q", got)
 	}
 	if !receive(t, up) {
-		t.Error("it does not serve by its last list while nothing is new")
+		t.Error("it does not serve with the last known list")
 	}
 }
 
-// Half a list was read as one without endpoints, and an entry without an id as if its endpoint had gone: either left
-// the node with no endpoint. A list that can't be read completely must remove none, and must be logged once.
+// Guards against a truncated list that is read as one without endpoints, and an entry without an id that is read as the
+// removal of its endpoint: either left the node without endpoints. A list that cannot be read completely must remove no
+// endpoint, and must be logged once.
 func TestUnreadableEndpointListDropsNoEndpoint(t *testing.T) {
 	for _, bad := range []string{
 		`{"generation":9,"reset":true}`,
@@ -60,7 +62,7 @@
 			states <- state{endpoints: len(g.endpoints.byID), logLines: strings.Count(log.String(), "\n")}
 		})
 		if got := <-states; got != (state{endpoints: 2, logLines: 1}) {
-			t.Errorf("after three times %s: %+v; it had said before:\n%s", bad, got, before.String())
+			t.Errorf("after three times %s: %+v; logged before:\n%s", bad, got, before.String())
 		}
 	}
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -21,10 +21,11 @@
 	"dahliapin/policy"
 )
 
-// testTimeout is how long a test waits for what must come: a slow machine's time, never a measure.
+// testTimeout is how long a test waits for an expected event. It allows for a slow machine and is not a performance
+// bound.
 const testTimeout = 10 * time.Second
 
-// testSettings is a deployment with a class of each kind of idempotency. Its parameter is second_copies.
+// testSettings is a deployment with a service class of each kind of idempotency. Its parameter is second_copies.
 const testSettings = `{"service_grades":[
 {"name":"read","benefit":1,"effect":"idempotent","group":"all","soft_limit_s":0.5,"hard_stop_s":1},
 {"name":"pay","benefit":8,"effect":"irreversible","group":"all","soft_limit_s":0.5,"hard_stop_s":1},
@@ -33,7 +34,7 @@
 "max_retry_after_s":0.6,"second_copies":%v},"family_info":{"mode":"aside","origin_kind":1},"kinds":["box","origin"],
 "n_instances":1,"round_s":0.005,"rules":{"cold_from":0.3,"cold_s":1},"zone":"z"}`
 
-// thenClose, at the end of a stub's answer, has it close the connection.
+// thenClose at the end of a stub's answer makes the stub close the connection.
 const thenClose = "(and closes)"
 
 const (
@@ -46,16 +47,17 @@
 	*Proxy
 	t               *testing.T
 	addr            string
-	cacheCommands   chan string // what the cache was sent, line by line
-	cacheConnClosed chan bool   // a connection to the cache has ended
-	originRequests  chan string // what the origin was sent
-	listAnswers     chan string // what discovery answers next
-	listPolls       chan string // the URLs that discovery was asked for
+	cacheCommands   chan string // the lines that the cache received
+	cacheConnClosed chan bool   // a connection to the cache was closed
+	originRequests  chan string // the requests that the origin received
+	listAnswers     chan string // the next answers of discovery
+	listPolls       chan string // the URLs that discovery received
 	stop            chan bool
 	loop            sync.WaitGroup
 }
 
-// newHarness starts a node that serves. The cache answers each line by the function; "" leaves it unanswered.
+// newHarness starts a node and waits until it serves. The cache answers each line with the result of the function; ""
+// leaves it unanswered.
 func newHarness(t *testing.T, descriptors int, answer func(line string) string, configure ...func(*Config)) *harness {
 	t.Helper()
 	g := &harness{
@@ -122,7 +124,7 @@
 	return log
 }
 
-// serveCache is the cache on one connection.
+// serveCache serves one connection to the cache.
 func (g *harness) serveCache(c net.Conn, answer func(line string) string) {
 	lines := bufio.NewReader(c)
 	for {
@@ -141,7 +143,7 @@
 	}
 }
 
-// serveOrigin is the origin: /bare ends with its connection, and /cut ends with a reset.
+// serveOrigin serves the origin. The response to /bare ends with its connection, that to /cut with a reset.
 func (g *harness) serveOrigin(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id, info := r.Header.Get("X-Call-Id"), r.Header.Get("X-Call-Info")
@@ -158,7 +160,7 @@
 	c.Close()
 }
 
-// serveList is discovery: it answers each poll by the next of listAnswers, once there is one.
+// serveList serves discovery: it answers each poll with the next of listAnswers, once there is one.
 func (g *harness) serveList(w http.ResponseWriter, r *http.Request) {
 	g.listPolls <- r.URL.String()
 	select {
@@ -190,7 +192,7 @@
 	return l.Addr().String()
 }
 
-// listen serves each connection to an address, which it returns.
+// listen serves each connection to a new address, which it returns.
 func (g *harness) listen(serve func(net.Conn)) string {
 	g.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -210,18 +212,18 @@
 	return l.Addr().String()
 }
 
-// receive returns what comes from a channel, and fails the test if nothing does.
+// receive returns the next value of a channel, and fails the test if none arrives.
 func receive[T any](t *testing.T, from chan T) (got T) {
 	t.Helper()
 	select {
 	case got = <-from:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received")
 	}
 	return got
 }
 
-// client connects to the node, to speak meta commands.
+// client connects to the node to send meta commands.
 func (g *harness) client() (net.Conn, *bufio.Reader) {
 	g.t.Helper()
 	c, err := net.Dial("tcp", g.addr)
@@ -243,17 +245,17 @@
 	}
 }
 
-// waitUntil waits until the counters, or what the function looks at beside them, are as they should be.
+// waitUntil waits until a condition on the counters, or on other state, holds.
 func (g *harness) waitUntil(what string, ok func(metrics.Counters) bool) {
 	g.t.Helper()
 	for by := time.Now().Add(testTimeout); !ok(g.Counters()); {
 		if time.Now().After(by) {
-			g.t.Fatalf("never: %s", what)
+			g.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// idFlag returns the id of a meta command, with its O.
+// idFlag returns the id flag of a meta command, including the O.
 func idFlag(line string) string {
 	for _, f := range strings.Fields(line) {
 		if f[0] == 'O' {
@@ -263,10 +265,10 @@
 	return ""
 }
 
-// helloValue is a cache's answer that serves the value "hello".
+// helloValue returns a cache's answer with the value hello.
 func helloValue(line string) string { return "VA 5 " + idFlag(line) + " h1\r\nhello\r\n" }
 
-// blockAll answers as helloValue does, but only once the channel lets it.
+// blockAll answers like helloValue, but only once a value can be received from the channel.
 func blockAll(may chan bool) func(string) string {
 	return func(line string) string {
 		<-may
@@ -274,7 +276,8 @@
 	}
 }
 
-// blockRequestA answers as helloValue does, but the request with the id a only once the channel lets it.
+// blockRequestA answers like helloValue, but requests whose id begins with a only once a value can be received from the
+// channel.
 func blockRequestA(may chan bool) func(string) string {
 	return func(line string) string {
 		if strings.Contains(line, "Oa") {
@@ -284,7 +287,8 @@
 	}
 }
 
-// fillBacklog has no connection to a listener come up until acceptOne is called: the kernel lets only one wait.
+// fillBacklog keeps connections to a listener from being established until acceptOne is called: the kernel's queue
+// holds only one.
 func fillBacklog(t *testing.T, l net.Listener) (acceptOne func()) {
 	t.Helper()
 	raw, err := l.(*net.TCPListener).SyscallConn()
@@ -306,10 +310,10 @@
 	}
 }
 
-// moveEndpoint gives an endpoint another address, for whatever is sent to it from now on.
+// moveEndpoint changes the address of an endpoint for everything sent to it from now on.
 func (g *harness) moveEndpoint(id policy.EndpointID, addr string) {
 	g.runInLoop(func() { g.endpoints.byID[id].addr = addr })
-	g.Counters() // else the next command may come before
+	g.Counters() // waits until the loop has done that
 }
 
 // listenScripted listens for connections that the test serves step by step.
@@ -340,18 +344,19 @@
 	},
 }
 
-// withHTTPListeners gives the node two listeners for HTTP, 1 and 2.
+// withHTTPListeners gives the node two HTTP listeners, 1 and 2.
 func withHTTPListeners(config *Config) {
 	config.Listeners.Listeners = []listeners.Listener{testListener, testListener}
 }
 
-// requestHead is the head of an HTTP request.
+// requestHead returns the head of an HTTP request.
 func requestHead(line string, headers ...string) string {
 	return line + " HTTP/1.1\r\nHost: n\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
-// httpClient connects to the node by HTTP. The function that it returns sends a text, and reads a response to each of
-// the methods: "status body length", with " close" if the connection ends with it, or "ended" for none.
+// httpClient connects to the node by HTTP. The function that it returns sends a text and reads one response for each of
+// the methods. It returns each response as "status body length", followed by " close" if the connection ends with it,
+// or "ended" if there is none.
 func (g *harness) httpClient(listener int) (ask func(text string, methods ...string) (responses []string)) {
 	g.t.Helper()
 	c, err := net.Dial("tcp", g.Addr(listener))
@@ -383,7 +388,7 @@
 	}
 }
 
-// expectResponses compares what a client of httpClient has read.
+// expectResponses compares the responses read by a client of httpClient.
 func (g *harness) expectResponses(got []string, want ...string) {
 	g.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -391,8 +396,8 @@
 	}
 }
 
-// pauseLoop calls do, lets the event loop run until reached reports true (at once if it is nil), and pauses it as soon
-// as another event waits. Then it calls meanwhile, of which the loop learns only once it goes on.
+// pauseLoop calls do, lets the event loop run until reached returns true (not at all if it is nil), and pauses the loop
+// as soon as another event is pending. It then calls meanwhile, whose effects the loop sees only when it resumes.
 func (g *harness) pauseLoop(do func(), reached func() bool, meanwhile func()) {
 	g.t.Helper()
 	stopped := make(chan bool, 1)
@@ -411,7 +416,7 @@
 		}
 		handled <- true
 		<-resume
-		<-g.engine.Wake() // what meanwhile has done is here, too
+		<-g.engine.Wake() // the events of meanwhile have arrived
 	})
 	receive(g.t, stopped)
 	do()
@@ -420,7 +425,7 @@
 	close(resume)
 }
 
-// shrinkSendBuffer leaves little space in the kernel for what this process sends to an address.
+// shrinkSendBuffer minimizes the send buffers of the connections from this process to an address.
 func shrinkSendBuffer(t *testing.T, addr string) {
 	t.Helper()
 	for fd := range 1024 {
@@ -436,8 +441,8 @@
 
 func withMetrics(config *Config) { config.PublishMetrics = true }
 
-// waysToLeave are the ways in which the other side goes: it closes, resets, or ends only what it sends, which can't be
-// told from a close.
+// waysToLeave are the ways in which a peer ends a connection: it closes it, resets it, or closes only its sending side,
+// which looks like a close.
 var waysToLeave = map[string]func(c *net.TCPConn){
 	"end": func(c *net.TCPConn) { c.Close() },
 	"reset": func(c *net.TCPConn) {
--- a/internal/proxy/idle_conns_test.go
+++ b/internal/proxy/idle_conns_test.go
@@ -7,7 +7,7 @@
 	"dahliapin/internal/keyhash"
 )
 
-// The list is compared, over seeded operations, with a plain slice that does the same.
+// Compares the list with a plain slice over a seeded sequence of operations.
 func TestIdleConnListKeepsOrder(t *testing.T) {
 	var q idleConnList
 	var plain []*upstreamConn
@@ -40,7 +40,7 @@
 		}
 		slices.Reverse(backward)
 		if !slices.Equal(forward, plain) || !slices.Equal(backward, plain) {
-			t.Fatalf("%d connections, %d backwards, want %d", len(forward), len(backward), len(plain))
+			t.Fatalf("%d connections forwards, %d backwards, want %d", len(forward), len(backward), len(plain))
 		}
 	}
 }
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -10,9 +10,8 @@
 	"dahliapin/policy"
 )
 
-// Operators compare the figures of snapshots: they are of no use if they are off by more than a few. Each request
-// must count once, by its end and class, and an endpoint that is unresponsive or unreachable must count as
-// unavailable.
+// Operators compare the figures of snapshots, so these must be exact. Each request must count once, by its outcome and
+// class, and an unresponsive or unreachable endpoint must count as unavailable.
 func TestMetricsCountEachRequestOnce(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, func(line string) string {
@@ -30,10 +29,10 @@
 	g.expect(r, "VA 5 Oa", "hello", "VA 11 Omiss", "from-origin", "SERVER_ERROR failed")
 	gone, _ := g.client()
 	fmt.Fprint(gone, "mg k v Oheld2 Pc=read,d=9000\r\n")
-	g.waitUntil("both are held", func(n metrics.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
+	g.waitUntil("both requests are held", func(n metrics.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
 	gone.(*net.TCPConn).SetLinger(0)
 	gone.Close()
-	g.waitUntil("one has left", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
+	g.waitUntil("one client is gone", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
 	said := make(chan *metrics.Snapshot, 1)
 	look := func() *metrics.Snapshot {
 		g.runInLoop(func() {
@@ -63,8 +62,8 @@
 	}
 }
 
-// testUnavailable checks which states of the cache c count as unavailable. An unresponsive one does not while it still
-// gets its share of attempts, and does once it is only tried now and then.
+// testUnavailable checks which states of the cache c count as unavailable. An unresponsive cache does not while it
+// still gets its share of attempts, and does once it gets only occasional trials.
 func testUnavailable(t *testing.T, g *harness, look func() *metrics.Snapshot) {
 	t.Helper()
 	g.runInLoop(func() {
--- a/internal/proxy/pipeline_test.go
+++ b/internal/proxy/pipeline_test.go
@@ -9,25 +9,25 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// A client sends five commands at once, and the endpoint answers the first one last. The client must get the answers
-// in the order of its commands, those that need no endpoint included.
+// A client sends five commands at once, and the endpoint answers the first one last. The client must get the answers in
+// the order of its commands, including those that need no endpoint.
 func TestPipelinedAnswersKeepTheOrderOfTheirCommands(t *testing.T) {
 	slow := make(chan bool)
 	g := newHarness(t, 200, blockRequestA(slow))
 	c, r := g.client()
 	fmt.Fprint(c, "mg k1 v Oa Pc=read,d=9000\r\nmg k2 v Ob Pc=read,d=9000,size=3\r\nget x\r\nmg k3 v\r\nmn\r\n")
-	g.waitUntil("the second is answered", func(n metrics.Counters) bool { return n.Satisfied == 1 })
+	g.waitUntil("the second request is answered", func(n metrics.Counters) bool { return n.Satisfied == 1 })
 	close(slow)
 	g.expect(r, "VA 5 Oa", "hello", "VA 5 Ob", "hello", "ERROR", "CLIENT_ERROR bad command line", "MN")
 	for range 2 {
 		if line := receive(t, g.cacheCommands); !strings.HasPrefix(line, "mg k") || strings.Contains(line, "d=9000") {
-			t.Errorf("the cache was sent %q", line)
+			t.Errorf("the cache received %q", line)
 		}
 	}
 }
 
-// A client sends commands without end behind a request that is not answered. Their answers wait in memory, so the
-// connection must be closed once maxPendingResponses wait, and still answer those.
+// A client keeps sending commands behind a request that is not answered. Their answers are queued in memory, so the
+// connection must be closed once maxPendingResponses are queued, and those must still be answered.
 func TestAnswersQueuedBehindASlowRequestAreBounded(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, blockAll(hold))
@@ -35,7 +35,7 @@
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	receive(t, g.cacheCommands)
 	go fmt.Fprint(c, strings.Repeat("mn\r\n", 2*maxPendingResponses))
-	g.waitUntil("it is no more read", func(metrics.Counters) bool {
+	g.waitUntil("the connection is no longer read", func(metrics.Counters) bool {
 		closing := make(chan bool, 1)
 		g.runInLoop(func() { g.downstream.conns.Each(func(_ clientConnID, c *clientConn) { closing <- c.closing }) })
 		return <-closing
@@ -49,7 +49,7 @@
 	}
 }
 
-// A client sends requests and reads no answer. What waits for it must stay a small part of the memory, and the
+// A client sends requests and reads no answers. The answers queued for it must stay a small part of the memory, and the
 // connection must be closed.
 func TestSlowReaderIsClosedBeforeItsAnswersFillMemory(t *testing.T) {
 	big := strings.Repeat("v", 64<<10)
@@ -60,7 +60,7 @@
 			break
 		}
 		if n%50 == 0 && g.engine.Unsent() > g.config.MemoryLimit/4 {
-			t.Fatalf("%d bytes wait for a slow reader", g.engine.Unsent())
+			t.Fatalf("%d bytes are queued for a slow reader", g.engine.Unsent())
 		}
 	}
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// The endpoint never answers. The client must get an answer by its deadline all the same.
+// The endpoint never answers. The client must still get an answer by its deadline.
 func TestRequestIsAnsweredByItsDeadline(t *testing.T) {
 	g := newHarness(t, 200, func(line string) string { return "" })
 	c, r := g.client()
@@ -17,9 +17,9 @@
 	g.expect(r, "SERVER_ERROR busy 250", "SERVER_ERROR busy 250")
 }
 
-// Requests with an unknown class or no usable deadline were forwarded to endpoints, which could not use them; one
-// with the id of another in flight was taken for that one there. The client must be told, and no attempt must be
-// made.
+// Guards against forwarding requests with an unknown class or no usable deadline, which endpoints cannot use, and a
+// request with the id of another one in flight, which the endpoint takes for that one. Each must be refused without an
+// attempt.
 func TestMalformedRequestIsRefusedAndNotForwarded(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, blockRequestA(hold))
@@ -28,7 +28,7 @@
 	receive(t, g.cacheCommands)
 	c, r := g.client()
 	for _, bad := range []string{
-		"Oa Pc=read,d=9000", // an id in use
+		"Oa Pc=read,d=9000", // an id that is in flight
 		"Ob Pc=nobody,d=9000", "Ob d=9000", "Ob Pc=read", "Ob Pc=read,d=0", "Ob Pc=read,d=-9", "Ob Pc=read,d=NaN",
 		"Ob Pc=read,d=+Inf", "Ob Pc=read,d=0x9", "Ob Pc=read,d=9e3", "Ob Pc=read,d=1.2.3",
 	} {
@@ -39,7 +39,7 @@
 	}
 	close(hold)
 	g.expect(first, "VA 5 Oa", "hello")
-	g.waitUntil("it is forgotten", func(metrics.Counters) bool {
+	g.waitUntil("the request is released", func(metrics.Counters) bool {
 		left := make(chan int, 1)
 		g.runInLoop(func() { left <- len(g.inflight.ids) + g.inflight.requests.Len() })
 		return <-left == 0
@@ -51,17 +51,17 @@
 	}
 }
 
-// More requests come than there are descriptors for. Each must be served or rejected; none may be lost with its
+// More requests arrive than there are descriptors. Each must be served or rejected; none may be lost with its
 // connection.
 func TestRequestsAreRejectedNotDroppedWithoutDescriptors(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 64, blockAll(hold))
 	var rs []*bufio.Reader
-	for n := range 38 { // sixteen connections may be clients' before attempts want for theirs
+	for n := range 38 { // clients may use sixteen connections before attempts lack descriptors
 		c, r := g.client()
 		fmt.Fprintf(c, "mg k%[1]d v Oa%[1]d Pc=read,d=9000\r\n", n)
 		rs = append(rs, r)
-		g.waitUntil("it is taken", func(c metrics.Counters) bool { return c.Requests == uint64(n+1) })
+		g.waitUntil("the request is received", func(c metrics.Counters) bool { return c.Requests == uint64(n+1) })
 	}
 	close(hold)
 	served, busy := 0, 0
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -13,9 +13,9 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// Long values were gathered completely: their first byte reached the client with their last, and many at once filled
-// the memory. A value's head must go out with its first bytes; a second one on the same connection must wait without
-// being read, and nothing may be lost or out of order.
+// Guards against buffering long values completely: their first byte would reach the client with their last, and many at
+// once would fill the memory. The head of a value must be written with its first bytes. A second value on the same
+// connection must wait without being read, and nothing may be lost or out of order.
 func TestLongValueIsStreamedInItsTurn(t *testing.T) {
 	const half = 2 << 20
 	first, second := strings.Repeat("v", 2*half), strings.Repeat("w", 2*half)
@@ -44,12 +44,12 @@
 	g.expect(r, fmt.Sprintf("VA %d Oa", len(first)))
 	got := make([]byte, half)
 	if _, err := io.ReadFull(r, got); err != nil || string(got) != first[:half] {
-		t.Fatal("its first half is not there before the second has come", err)
+		t.Fatal("the first half was not forwarded before the second was received", err)
 	}
 	g.runInLoop(func() { g.endpoints.byID["c"].addr = usual })
 	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\nmn\r\n")
 	held := make(chan bool, 1)
-	g.waitUntil("the second is held", func(metrics.Counters) bool {
+	g.waitUntil("the second value is paused", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			n := 0
 			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
@@ -61,18 +61,18 @@
 		})
 		return <-held
 	})
-	other, others := g.client() // who is served meanwhile
+	other, others := g.client() // is served meanwhile
 	fmt.Fprint(other, "mg k v Oshort Pc=read,d=9000\r\n")
 	g.expect(others, "VA 5 Oshort", "hello")
 	close(rest)
 	g.expect(r, first[half:], fmt.Sprintf("VA %d Ob", len(second)), second, "MN")
 	if n := g.Counters(); n.Satisfied != 3 || n.Attempts != 3 || g.upstream.incompleteBytes > 2*streamWindow {
-		t.Errorf("%+v, %d bytes are still counted", n, g.upstream.incompleteBytes)
+		t.Errorf("%+v, %d incomplete bytes still counted", n, g.upstream.incompleteBytes)
 	}
 }
 
-// An endpoint breaks off within a value of which part has reached the client. No other endpoint can answer any more,
-// so the client's connection must end: only by that it can tell.
+// An endpoint breaks off a value of which a part has reached the client. No other endpoint can answer any more, so the
+// client's connection must be closed: only by that can the client tell.
 func TestBrokenStreamClosesTheClientConn(t *testing.T) {
 	g := newHarness(t, 200, func(line string) string {
 		return fmt.Sprintf("VA %d %s\r\n%s%s", 1<<20, idFlag(line), strings.Repeat("v", 100<<10), thenClose)
@@ -88,21 +88,21 @@
 	}
 }
 
-// A client that read nothing of a long value held its endpoint's connection for good.
+// Guards against a client that reads nothing of a long value and so occupies its endpoint's connection forever.
 func TestStalledReaderIsClosed(t *testing.T) {
 	long := strings.Repeat("v", 4<<20)
 	g := newHarness(t, 200, func(line string) string {
 		return fmt.Sprintf("VA %d %s\r\n%s\r\n", len(long), idFlag(line), long)
 	})
 	c, _ := g.client()
-	for n := range 6 { // more than the kernel holds
+	for n := range 6 { // more than the kernel buffers
 		fmt.Fprintf(c, "mg k v O%d Pc=read,d=9000\r\n", n)
 	}
 	stuck := make(chan bool, 1)
-	g.waitUntil("it is left", func(n metrics.Counters) bool {
+	g.waitUntil("the client is closed", func(n metrics.Counters) bool {
 		g.runInLoop(func() {
 			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) {
-				if l.stream != nil && l.stream.paused && l.stream.started { // as after a while
+				if l.stream != nil && l.stream.paused && l.stream.started { // as if slowReaderTimeout had passed
 					l.stream.lastReadAt = l.stream.lastReadAt.Add(-slowReaderTimeout)
 				}
 			})
@@ -110,7 +110,7 @@
 		})
 		return !<-stuck && n.ClientTimeouts == 1
 	})
-	g.waitUntil("and its connections", func(metrics.Counters) bool {
+	g.waitUntil("the streams of the client have ended", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			busy := false
 			g.upstream.conns.Each(func(_ upstreamConnID, l *upstreamConn) { busy = busy || l.stream != nil })
@@ -120,8 +120,8 @@
 	})
 }
 
-// By HTTP, a long value must have its length in the head, be complete, and leave the connection for the next request;
-// the origin's must be streamed alike.
+// By HTTP, a long value must have its length in the head, be complete, and leave the connection usable for the next
+// request. Values of the origin must be streamed in the same way.
 func TestLongValuesReachHTTPClientsComplete(t *testing.T) {
 	long := strings.Repeat("v", 2<<20)
 	g := newHarness(t, 200, func(line string) string {
--- a/internal/proxy/standby_test.go
+++ b/internal/proxy/standby_test.go
@@ -11,9 +11,9 @@
 	"dahliapin/internal/proxy/admin"
 )
 
-// The front went on sending clients to a node that operators wanted out of service, for as long as it ran. In standby
-// the node must fail readiness checks at once, serve what it has and what still comes, close clients as they fall
-// idle, keep its connections to endpoints, and serve again after Active.
+// Guards against a load balancer that keeps sending clients to a node which operators took out of service, for as long
+// as it runs. In standby, the node must fail readiness checks at once, serve the requests it has and those that still
+// arrive, close clients as they become idle, and keep its connections to endpoints. After Active it must serve again.
 func TestStandbyAndActiveLoseNothing(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, blockRequestA(hold), withMetrics)
@@ -35,7 +35,7 @@
 		g.lifecycle.standbyStartedAt = g.lifecycle.standbyStartedAt.Add(-standbyAcceptTime - standbyServeTime)
 	})
 	close(hold)
-	fmt.Fprint(busy, "mg k v Od Pc=read,d=9000\r\n") // rejected: a client that is never idle would be served for ever
+	fmt.Fprint(busy, "mg k v Od Pc=read,d=9000\r\n") // rejected, or a busy client would be served forever
 	g.Counters()
 	g.expect(busyAnswers, "VA 5 Oa", "hello", "SERVER_ERROR busy")
 	expectReset(t, busyAnswers)
@@ -60,7 +60,7 @@
 	expectCommand(t, g.Active, admin.ErrShuttingDown)
 }
 
-// expectCommand gives the node an operator's command, and compares its result.
+// expectCommand runs an operator's command and compares its result.
 func expectCommand(t *testing.T, command func(context.Context) error, want error) {
 	t.Helper()
 	if err := command(context.Background()); !errors.Is(err, want) {
@@ -68,10 +68,10 @@
 	}
 }
 
-// expectReset expects a connection to end by a reset, after which clients send again what was on its way.
+// expectReset expects a connection to end by a reset, after which clients resend what they had sent.
 func expectReset(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	if _, err := r.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("ended by %v", err)
+		t.Errorf("connection ended with %v, want a reset", err)
 	}
 }
--- a/internal/proxy/upstream_http_test.go
+++ b/internal/proxy/upstream_http_test.go
@@ -14,7 +14,7 @@
 	"dahliapin/policy"
 )
 
-// cacheStub is an HTTP cache that gives one response to all requests. A line "" ends a request's head.
+// cacheStub is an HTTP cache that sends the same response to all requests. An empty line ends the head of a request.
 type cacheStub struct {
 	sync.Mutex
 	response    string // "|" ends a line; NOW, AGO and AHEAD are dates
@@ -41,11 +41,11 @@
 	return fill.Replace("HTTP/1.1 " + k.response)
 }
 
-// helloBody ends a response with the value "hello".
+// helloBody ends a response with the value hello.
 const helloBody = "|Content-Length: 5||hello"
 
-// cachedResponses are responses of a cache by key, with a header that the client sends, and what the client gets: the
-// status, the body, and " kept" if it is the cache's.
+// cachedResponses are responses of a cache by key, with a header that the client sends and the result that it gets: the
+// status, the body, and " kept" if the response is the cache's.
 var cachedResponses = map[string]struct{ response, header, want string }{
 	"fresh": {
 		response: "200 OK|Date: NOW|Age: 5|Cache-Control: max-age=60" +
@@ -136,9 +136,9 @@
 	},
 }
 
-// A cached response past its allowed age would be served for good: with a clock that is off by 30 s, or with an Age
-// that is missing, wrong or out of all bounds. So would one that nobody asked for, or half of one. Each such response
-// must count as a miss, and all others be served with the headers that may be forwarded.
+// Guards against serving a cached response that is older than allowed, because a clock is off by 30 s or because Age is
+// missing, invalid or out of range. Unrequested and truncated responses must not be served either. Each such response
+// must count as a miss. All others must be served with the headers that may be forwarded.
 func TestWhatAnHTTPCacheKeepsIsServedOnlyWhileItMayBe(t *testing.T) {
 	for key, c := range cachedResponses {
 		t.Run(key, func(t *testing.T) {
@@ -182,28 +182,28 @@
 	}
 }
 
-// checkRequest checks what the cache was sent.
+// checkRequest checks the request that the cache received.
 func (k *cacheStub) checkRequest(t *testing.T, key string) {
 	t.Helper()
 	k.Lock()
 	defer k.Unlock()
 	if !strings.HasPrefix(k.lastRequest, "GET /"+key+"%2Fx?b=1 HTTP/1.1\n") {
-		t.Errorf("%s: the cache was sent %q", key, k.lastRequest)
+		t.Errorf("%s: the cache received %q", key, k.lastRequest)
 	}
 	for _, want := range []string{"only-if-cached", "Accept-Language: bn", "Via: 1.1 dahliapin"} {
 		if !strings.Contains(k.lastRequest, want) {
-			t.Errorf("%s: the cache was sent %q, without %q", key, k.lastRequest, want)
+			t.Errorf("%s: the cache received %q, without %q", key, k.lastRequest, want)
 		}
 	}
 	for _, hopByHop := range []string{"X-Hop", "Connection"} {
 		if strings.Contains(k.lastRequest, hopByHop) {
-			t.Errorf("%s: the cache was sent %q, with %q", key, k.lastRequest, hopByHop)
+			t.Errorf("%s: the cache received %q, with %q", key, k.lastRequest, hopByHop)
 		}
 	}
 }
 
-// checkFreshResponse checks which headers of the cache's were forwarded, and that clients of meta commands are served
-// from it, too.
+// checkFreshResponse checks which headers of the cache's response were forwarded, and that clients of meta commands are
+// also served from it.
 func checkFreshResponse(t *testing.T, g *harness, header http.Header) {
 	t.Helper()
 	hopByHop := header.Get("Z") + header.Get("Split")
@@ -215,9 +215,9 @@
 	g.expect(r, "VA 5 Oa", "hello")
 }
 
-// An attempt that takes long must not be served as younger than it is: its way back counts, too. Where caches ask the
-// origin by themselves, a response without Age is the origin's own, unless its Date says that it is too old. For what
-// may not be carried out twice, a refusal must not count as a miss.
+// The time that an attempt takes counts towards the age of its response. If caches ask the origin themselves, a
+// response without Age is the origin's own, unless its Date shows that it is too old. For a request that must not be
+// executed twice, a rejection must not count as a miss.
 func TestHTTPCacheResponseResults(t *testing.T) {
 	now := time.Now()
 	details := &httpRequestDetails{}
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -10,32 +10,32 @@
 	"dahliapin/policy"
 )
 
-// Endpoints send responses that never end. All that has come of them together must stay a part of the memory; those
-// that exceed it are dropped, and are not counted any more.
+// Endpoints send responses that never end. Together, the data received of them must stay a part of the memory.
+// Responses above that are dropped and no longer counted.
 func TestIncompleteResponsesTakeOnlyPartOfMemory(t *testing.T) {
 	long := strings.Repeat("v", 60<<10)
 	g := newHarness(t, 200, func(line string) string {
 		return fmt.Sprintf("VA %d %s\r\n%s", len(long), idFlag(line), long)
 	})
 	c, _ := g.client()
-	g.runInLoop(func() { g.config.MemoryLimit = int64(len(long)) }) // two that do not end are too much
+	g.runInLoop(func() { g.config.MemoryLimit = int64(len(long)) }) // two incomplete responses exceed the limit
 	for n := range 2 {
 		fmt.Fprintf(c, "mg k2 v Ob%d Pc=read,d=9000\r\n", n)
 	}
-	g.waitUntil("they are cut off", func(n metrics.Counters) bool {
+	g.waitUntil("the responses are dropped", func(n metrics.Counters) bool {
 		return n.Outcomes[policy.ConnectionBroken] >= 2 && n.NotAccepted >= 2
 	})
 	incomplete := make(chan int, 1)
 	g.runInLoop(func() { incomplete <- g.upstream.incompleteBytes })
 	if <-incomplete > len(long) {
-		t.Error("what is dropped is still counted")
+		t.Error("dropped responses are still counted")
 	}
 }
 
-// A node kept its idle connections for as long as it may while an endpoint that was alive had no room for more: other
-// nodes' dials were refused for seconds. The idle timeout must fall to its least. The end of an old connection, or a
-// refusal by an endpoint to which no other connection is up, is no sign of a full endpoint, and a refusal that
-// changes nothing must not look at all connections.
+// Guards against a node that keeps its idle connections while a live endpoint has reached its connection limit: dials
+// of other nodes were refused for seconds. The idle timeout must fall to its minimum. The end of an old connection, or
+// a refusal by an endpoint without any other connection, does not indicate a full endpoint, and a refusal that changes
+// nothing must not scan all connections.
 func TestFullEndpointShortensIdleTimeout(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	timeouts := make(chan time.Duration, 2)
@@ -57,7 +57,7 @@
 		timeouts <- g.idleTimeout()
 	})
 	if before, after := <-timeouts, <-timeouts; before != 12*time.Second || after != time.Second {
-		t.Errorf("idle connections are kept %v, then %v", before, after)
+		t.Errorf("idle timeout is %v, then %v", before, after)
 	}
 	countIdle := func() int {
 		count := make(chan int, 1)
@@ -66,13 +66,13 @@
 	}
 	for began := time.Now(); countIdle() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > testTimeout/2 {
-			t.Fatal("the one that was idle is kept all the same")
+			t.Fatal("the idle connection is not closed")
 		}
 	}
 }
 
-// A connection that was taken up just before its idle check was checked again at once until its attempt ended, and no
-// event was handled meanwhile: eight requests were lost. The next check must be a whole idle timeout away.
+// Guards against an idle check of a connection in use that is repeated at once until the attempt ends, so that no event
+// is handled meanwhile: eight requests were lost. The next check must be a whole idle timeout away.
 func TestConnInUseAtItsIdleCheckIsCheckedLater(t *testing.T) {
 	p := &Proxy{clock: clock{startedAt: time.Now()}}
 	p.config.Settings.Policy.IdleTimeout = 10 * time.Second
@@ -85,6 +85,6 @@
 	p.onConnTimer(conn.id)
 	at, ok := p.timers.Next()
 	if !ok || at.Since(p.now()) < time.Second || p.upstream.conns.Get(conn.id) == nil {
-		t.Errorf("checked again %v from now", at.Since(p.now()))
+		t.Errorf("next idle check in %v", at.Since(p.now()))
 	}
 }
