--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -43,7 +43,7 @@
 		p.endAttempt(req, ref.index, policy.ConnectFailed, nil)
 		return
 	}
-	if p.clientLeftUnnoticed(req) {
+	if p.clientDisconnected(req) {
 		p.endAttempt(req, ref.index, policy.NotSent, nil)
 		return
 	}
@@ -68,7 +68,7 @@
 func (p *Proxy) startAttempt(conn *upstreamConn) {
 	ref := conn.attempt
 	req := p.inflight.requests.Get(ref.request)
-	mayStart := !req.answered && !p.clientLeftUnnoticed(req) &&
+	mayStart := !req.answered && !p.clientDisconnected(req) &&
 		p.dispatcher.MayStart(p.now(), policyRequestID(req.id), ref.index)
 	if !mayStart {
 		p.returnToPool(conn)
@@ -81,7 +81,7 @@
 // clientDisconnected reports whether the client of a request has closed its connection although the event loop has not
 // handled that event yet, because it is queued behind others and the request may have waited long. It prevents attempts
 // whose answer nobody would receive. The connection is closed in a deferred call.
-func (p *Proxy) clientLeftUnnoticed(req *inflightRequest) bool {
+func (p *Proxy) clientDisconnected(req *inflightRequest) bool {
 	client := p.downstream.conns.Get(req.client)
 	if req.answered || client == nil || !client.socket.PeerClosed() {
 		return false
@@ -174,11 +174,11 @@
 	input := &conn.input
 	codec := conn.endpoint.codec
 	req.parsed.attemptSentAt = p.clock.timeOf(req.attempts[conn.attempt.index].sentAt)
-	var size, wants int
-	*response, size, wants = codec.readResponse(input.buf.Unread(), &req.parsed, input.eof, &input.progress)
+	var size, totalSize int
+	*response, size, totalSize = codec.readResponse(input.buf.Unread(), &req.parsed, input.eof, &input.progress)
 	if size == 0 && response.result != unreadableResponse {
-		if !p.startStream(conn, req, response, wants) {
-			input.buf.Reserve(wants)
+		if !p.startStream(conn, req, response, totalSize) {
+			input.buf.Reserve(totalSize)
 		}
 		return
 	}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -137,7 +137,7 @@
 		}
 		commandStart = at
 		if len(client.pipeline) >= maxPendingResponses {
-			p.respond(client, client.codec.refusal(refusedTooMany, false))
+			p.respond(client, client.codec.refusal(refusedTooManyPending, false))
 			client.closing = true
 		}
 	}
@@ -150,7 +150,7 @@
 	switch parsed.intent {
 	case intentContinue:
 		p.respond(client, parsed.response)
-	case intentUnserved:
+	case intentInvalid:
 		p.metrics.counters.Malformed++
 		p.respond(client, parsed.response)
 	case intentReadiness:
@@ -175,7 +175,7 @@
 	client.incompleteSince = commandStart
 	if int64(p.downstream.incompleteBytes) > p.config.MemoryLimit/incompleteRequestShare {
 		p.metrics.counters.NotAccepted++
-		p.respond(client, client.codec.refusal(refusedForMemory, false))
+		p.respond(client, client.codec.refusal(refusedMemoryLimit, false))
 		client.closing = true
 	}
 }
@@ -196,11 +196,11 @@
 		case client.closing:
 		case overdue && client.incompleteBytes > 0:
 			p.metrics.counters.ClientTimeouts++
-			p.respond(client, client.codec.refusal(refusedTooLate, false))
+			p.respond(client, client.codec.refusal(refusedTimeout, false))
 			client.closing = true
 			p.flushPipeline(client)
 		case overdue && client.isIdle():
-			if p.closeIfQuiet(client) {
+			if p.closeIfIdle(client) {
 				p.metrics.counters.ClientTimeouts++
 			}
 		case client.firstSlot > 0 && client.isIdle() && now.Since(client.lastUsedAt) >= firstCommandGrace:
@@ -210,7 +210,7 @@
 	slices.SortFunc(idle, compareByUse(2))
 	excess := len(idle) - p.engine.MaxClients()/idleClientShare
 	for i, client := range idle {
-		if (i < excess || now.Since(client.lastUsedAt) >= clientIdleTimeout) && p.closeIfQuiet(client) {
+		if (i < excess || now.Since(client.lastUsedAt) >= clientIdleTimeout) && p.closeIfIdle(client) {
 			p.metrics.counters.IdleClosed++
 		}
 	}
@@ -234,7 +234,7 @@
 func (p *Proxy) closeIdleClients() {
 	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
 		if p.mayCloseClient(client) {
-			p.closeIfQuiet(client)
+			p.closeIfIdle(client)
 		}
 	})
 }
@@ -250,7 +250,7 @@
 	})
 	slices.SortFunc(idle, compareByUse(1))
 	for _, client := range idle {
-		if p.closeIfQuiet(client) {
+		if p.closeIfIdle(client) {
 			p.metrics.counters.EvictedConns++
 			return true
 		}
@@ -274,27 +274,27 @@
 
 // closeIfIdle closes a connection between commands, and reports whether it did. It keeps one whose next command has
 // reached the socket but not the event loop: the command would be lost.
-func (p *Proxy) closeIfQuiet(client *clientConn) bool {
+func (p *Proxy) closeIfIdle(client *clientConn) bool {
 	if !client.socket.CloseIfIdle() {
 		return false
 	}
-	p.forgetClient(client)
+	p.removeClient(client)
 	return true
 }
 
 func (p *Proxy) closeClient(client *clientConn) {
 	client.socket.Close()
-	p.forgetClient(client)
+	p.removeClient(client)
 }
 
 func (p *Proxy) onClientClosed(id clientConnID) {
 	if client := p.downstream.conns.Get(id); client != nil {
-		p.forgetClient(client)
+		p.removeClient(client)
 	}
 }
 
 // removeClient removes a connection that has ended, along with its pending answers and requests.
-func (p *Proxy) forgetClient(client *clientConn) {
+func (p *Proxy) removeClient(client *clientConn) {
 	p.downstream.conns.Remove(client.id)
 	p.downstream.incompleteBytes -= client.incompleteBytes
 	for i := range client.pipeline {
--- a/internal/proxy/downstream_codec.go
+++ b/internal/proxy/downstream_codec.go
@@ -45,7 +45,7 @@
 	intentReadiness                       // whether the node serves requests
 	intentCounters                        // the node's counters
 	intentContinue                        // "100 Continue", before the client sends the body
-	intentUnserved                        // nothing that the node can serve
+	intentInvalid                         // nothing that the node can serve
 )
 
 // parsedRequest is a client's parsed command.
@@ -58,7 +58,7 @@
 
 // mustAnswerNow reports whether a command is answered before it is complete.
 func (r *parsedRequest) mustAnswerNow(continueSent bool) bool {
-	return r.intent == intentUnserved || r.intent == intentContinue && !continueSent
+	return r.intent == intentInvalid || r.intent == intentContinue && !continueSent
 }
 
 // clientRequest is a request as its client has sent it.
@@ -100,9 +100,9 @@
 type refusalReason int
 
 const (
-	refusedForMemory   refusalReason = iota // incomplete commands take too much memory
-	refusedTooMany                          // too many commands are pending on the connection
-	refusedTooLate                          // the command was not completed in time
-	refusedDuplicateID                      // another request in flight has its id
-	refusedMalformed                        // no deadline, or an unknown service class
+	refusedMemoryLimit    refusalReason = iota // incomplete commands take too much memory
+	refusedTooManyPending                      // too many commands are pending on the connection
+	refusedTimeout                             // the command was not completed in time
+	refusedDuplicateID                         // another request in flight has its id
+	refusedMalformed                           // no deadline, or an unknown service class
 )
--- a/internal/proxy/downstream_http.go
+++ b/internal/proxy/downstream_http.go
@@ -85,7 +85,7 @@
 
 // reject answers a request that can't be served.
 func (h *httpDownstream) reject(parsed *parsedRequest, rejection *httpRejection) {
-	parsed.intent = intentUnserved
+	parsed.intent = intentInvalid
 	parsed.stopReading = parsed.closesConn
 	parsed.response = h.textResponse(&parsed.clientRequest, rejection.status, rejection.reason, rejection.headers...)
 }
@@ -161,7 +161,7 @@
 
 func (h *httpDownstream) refusal(reason refusalReason, headOnly bool) []byte {
 	switch reason {
-	case refusedTooLate:
+	case refusedTimeout:
 		return h.textResponse(&clientRequest{closesConn: true}, 408, "not whole in time")
 	case refusedDuplicateID:
 		return h.textResponse(&clientRequest{headOnly: headOnly}, 409, "the same is in hand")
--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -14,11 +14,11 @@
 type metaDownstream struct{}
 
 var metaRefusalLines = [...]string{
-	refusedForMemory:   "SERVER_ERROR out of memory\r\n",
-	refusedTooMany:     "SERVER_ERROR too many commands at once\r\n",
-	refusedTooLate:     "CLIENT_ERROR command not whole in time\r\n",
-	refusedDuplicateID: "CLIENT_ERROR id in use\r\n",
-	refusedMalformed:   meta.BadLine,
+	refusedMemoryLimit:    "SERVER_ERROR out of memory\r\n",
+	refusedTooManyPending: "SERVER_ERROR too many commands at once\r\n",
+	refusedTimeout:        "CLIENT_ERROR command not whole in time\r\n",
+	refusedDuplicateID:    "CLIENT_ERROR id in use\r\n",
+	refusedMalformed:      meta.BadLine,
 }
 
 func (metaDownstream) readRequest(b []byte, parsed *parsedRequest, _ *http1.Progress) (size int) {
@@ -26,7 +26,7 @@
 	*parsed = parsedRequest{}
 	switch {
 	case fault != nil:
-		parsed.intent = intentUnserved
+		parsed.intent = intentInvalid
 		parsed.response = []byte(fault.Answer)
 		parsed.stopReading = fault.Close
 		return size
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -42,7 +42,7 @@
 	go func() { late <- web("GET /p/k HTTP/1.1\r\nHost: n\r\nX: ", "GET", "GET") }()
 	half, told := g.client()
 	fmt.Fprint(half, "ms k 5 Ob Pc=put,d=9000\r\nhe")
-	g.expect(told, strings.TrimSpace(metaRefusalLines[refusedTooLate]))
+	g.expect(told, strings.TrimSpace(metaRefusalLines[refusedTimeout]))
 	for _, r := range []*bufio.Reader{told, silent} {
 		if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("not closed: %v", err)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -17,7 +17,7 @@
 	drainCheckInterval = 10 * time.Millisecond
 	// minOnTimeIdleChecks is how many consecutive checks must have been on time before the node stops: half of those
 	// that fit into drainQuietTime, since a busy machine delays some.
-	minPunctualIdleChecks = int(drainQuietTime/drainCheckInterval) / 2
+	minOnTimeIdleChecks = int(drainQuietTime/drainCheckInterval) / 2
 	// maxShutdownWait is the longest deadline that whoever ends the process waits for, as agreed with the operators.
 	maxShutdownWait = 3 * time.Second
 	// shutdownMargin is the time after the longest deadline by which the node must have stopped.
@@ -50,18 +50,18 @@
 }
 
 // drainAnswerDeadline returns when a draining node answers the requests in flight at the latest.
-func (p *Proxy) lastAnswerAt() policy.Instant { return p.drainDeadline().Add(-answerMargin) }
+func (p *Proxy) drainAnswerDeadline() policy.Instant { return p.drainDeadline().Add(-answerMargin) }
 
 // capInflightDeadlines makes sure that each request in flight is answered before the node stops. With later deadlines,
 // clients would see the connection close without an answer.
 func (p *Proxy) capInflightDeadlines() {
-	by := p.lastAnswerAt()
-	p.dispatcher.CapDeadlines(p.now(), by)
+	answerBy := p.drainAnswerDeadline()
+	p.dispatcher.CapDeadlines(p.now(), answerBy)
 	p.inflight.requests.Each(func(id inflightID, req *inflightRequest) {
 		for i := range req.attempts {
-			if attempt := &req.attempts[i]; attempt.inFlight && attempt.deadline > by {
+			if attempt := &req.attempts[i]; attempt.inFlight && attempt.deadline > answerBy {
 				ref := attemptRef{request: id, index: i}
-				p.schedule(by, timerEvent{kind: timerAttemptDeadline, attempt: ref})
+				p.schedule(answerBy, timerEvent{kind: timerAttemptDeadline, attempt: ref})
 			}
 		}
 	})
@@ -73,9 +73,9 @@
 	p.countIdleCheck(now)
 	sinceConnected := now.Since(p.downstream.lastConnectedAt)
 	noMoreClients := now.Since(p.lifecycle.drainStartedAt) >= drainAcceptTime && sinceConnected >= drainQuietTime
-	if p.takeover.acceptsElsewhere || noMoreClients {
+	if p.takeover.otherProcessAccepts || noMoreClients {
 		p.closeIdleClients()
-		if p.mayStop(now) {
+		if p.canStop(now) {
 			p.enterPhase(Stopped)
 			return
 		}
@@ -92,9 +92,9 @@
 // was seen for drainQuietTime.
 func (p *Proxy) countIdleCheck(now policy.Instant) {
 	last := p.lifecycle.lastIdleCheckAt
-	p.lifecycle.punctualIdleChecks++
+	p.lifecycle.onTimeIdleChecks++
 	if p.downstream.lastConnectedAt >= last || now.Since(last) > drainQuietTime/2 {
-		p.lifecycle.punctualIdleChecks = 0
+		p.lifecycle.onTimeIdleChecks = 0
 	}
 	p.lifecycle.lastIdleCheckAt = now
 }
@@ -102,8 +102,8 @@
 // canStop reports whether a draining node has nothing left to do. The quiet time counts from the beginning of the
 // drain, too: a connection that the kernel accepted just before may not have reached the event loop yet, and would be
 // reset.
-func (p *Proxy) mayStop(now policy.Instant) bool {
+func (p *Proxy) canStop(now policy.Instant) bool {
 	quietSince := max(p.lifecycle.drainStartedAt, p.downstream.lastConnectedAt)
 	return p.downstream.conns.Len() == 0 && p.inflight.requests.Len() == 0 &&
-		now.Since(quietSince) >= drainQuietTime && p.lifecycle.punctualIdleChecks >= minPunctualIdleChecks
+		now.Since(quietSince) >= drainQuietTime && p.lifecycle.onTimeIdleChecks >= minOnTimeIdleChecks
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -167,7 +167,7 @@
 // one connection in some thousand when operators ended the successor of an upgrade under load.
 func TestReturnedProcessStopsOnlyAfterQuietTime(t *testing.T) {
 	g := newHarness(t, 200, blockRequestA(nil))
-	g.runInLoop(func() { g.takeover.acceptsElsewhere = true })
+	g.runInLoop(func() { g.takeover.otherProcessAccepts = true })
 	g.Shutdown()
 	g.loop.Wait()
 	if took := g.now().Since(g.lifecycle.drainStartedAt); took < drainQuietTime {
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -19,16 +19,16 @@
 // endpointWatch follows the endpoint list by long polls: one is always under way, and discovery holds back its answer
 // until the list has changed. Package discovery decides what to ask for, and how long to back off.
 type endpointWatch struct {
-	conn          upstreamConnID // of the poll; 0 during a backoff
-	pollNumber    uint64         // counts polls and failures, so that an outdated timer can be told
-	poll          discovery.Poll
-	pollStartedAt policy.Instant // including the time to connect
-	poller        discovery.Poller
-	failure       discovery.Failure // the reason for the failure that onPollFailed is about to handle
-	updatedAt     policy.Instant    // when the last answer was applied
-	hasUnreadable bool              // the last list had unreadable entries
-	reader        endpointlist.Reader
-	jitter        keyhash.Source // for the backoff
+	conn                 upstreamConnID // of the poll; 0 during a backoff
+	pollNumber           uint64         // counts polls and failures, so that an outdated timer can be told
+	poll                 discovery.Poll
+	pollStartedAt        policy.Instant // including the time to connect
+	poller               discovery.Poller
+	failure              discovery.Failure // the reason for the failure that onPollFailed is about to handle
+	updatedAt            policy.Instant    // when the last answer was applied
+	hadUnreadableEntries bool              // the last list had unreadable entries
+	reader               endpointlist.Reader
+	jitter               keyhash.Source // for the backoff
 }
 
 // startWatch polls the list on a new connection.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -58,7 +58,7 @@
 // endpoints that were removed or restarted are closed; attempts in flight to them continue.
 func (p *Proxy) applyEndpointList(list *endpointlist.List, kind policy.UpdateKind) {
 	entries := make([]policy.Endpoint, 0, list.Len())
-	named := map[policy.EndpointID]bool{}
+	listed := map[policy.EndpointID]bool{}
 	unreadable := 0
 	list.Each(func(row *fastjson.Value) {
 		id := policy.EndpointID(row.GetStringBytes("instanceId"))
@@ -69,16 +69,16 @@
 		}
 		entry := p.readEntry(row, id, start)
 		entries = append(entries, entry)
-		named[id] = true
+		listed[id] = true
 		p.applyEntry(row, &entry, start)
 	})
-	p.noteUnreadable(unreadable)
+	p.logUnreadableEntries(unreadable)
 	if unreadable > 0 && kind == policy.CompleteUpdate {
 		// Any endpoint that the list does not name may be the one whose entry can't be read, so none is removed.
 		kind = policy.DeltaUpdate
 	}
 	if kind != policy.DeltaUpdate {
-		p.forgetUnnamed(named)
+		p.removeUnlisted(listed)
 	}
 	p.countMembers()
 	if len(entries) > 0 || kind != policy.DeltaUpdate {
@@ -111,7 +111,7 @@
 	isRemoved := entry.Lifecycle == policy.Removed
 	endpoint := p.endpoints.byID[entry.ID]
 	if endpoint != nil && (isRemoved || endpoint.addr != addr || entry.StartedAt > endpoint.start.at) {
-		p.forgetEndpoint(endpoint)
+		p.removeEndpoint(endpoint)
 		endpoint = nil
 	}
 	if isRemoved {
@@ -137,18 +137,18 @@
 
 // logUnreadableEntries logs that a list has unreadable entries, once for consecutive lists that have some: a line for
 // each list would flood the log.
-func (p *Proxy) noteUnreadable(entries int) {
-	if entries > 0 && !p.endpoints.watch.hasUnreadable {
+func (p *Proxy) logUnreadableEntries(entries int) {
+	if entries > 0 && !p.endpoints.watch.hadUnreadableEntries {
 		p.config.Log.WithField("entries", entries).
 			Warn("endpoint list has unreadable entries; keeping the endpoints that it does not name")
 	}
-	p.endpoints.watch.hasUnreadable = entries > 0
+	p.endpoints.watch.hadUnreadableEntries = entries > 0
 }
 
-func (p *Proxy) forgetUnnamed(named map[policy.EndpointID]bool) {
+func (p *Proxy) removeUnlisted(listed map[policy.EndpointID]bool) {
 	for id, endpoint := range p.endpoints.byID {
-		if !named[id] {
-			p.forgetEndpoint(endpoint)
+		if !listed[id] {
+			p.removeEndpoint(endpoint)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 }
 
 // removeEndpoint removes an endpoint and closes its idle connections; attempts in flight continue.
-func (p *Proxy) forgetEndpoint(endpoint *knownEndpoint) {
+func (p *Proxy) removeEndpoint(endpoint *knownEndpoint) {
 	delete(p.endpoints.byID, endpoint.id)
 	for len(endpoint.idleConns) > 0 {
 		newest := endpoint.idleConns[len(endpoint.idleConns)-1]
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -27,11 +27,11 @@
 
 // lifecycle is the node's phase, and the state of drain and standby. drain.go and standby.go write it.
 type lifecycle struct {
-	phase              Phase
-	drainStartedAt     policy.Instant
-	standbyStartedAt   policy.Instant
-	lastIdleCheckAt    policy.Instant // of a draining node
-	punctualIdleChecks int            // consecutive idle checks that were on time and saw no new connection
+	phase            Phase
+	drainStartedAt   policy.Instant
+	standbyStartedAt policy.Instant
+	lastIdleCheckAt  policy.Instant // of a draining node
+	onTimeIdleChecks int            // consecutive idle checks that were on time and saw no new connection
 	// idleCheckScheduled is whether the timer for the next idle check is set. It may be left over from a standby that
 	// has ended.
 	idleCheckScheduled bool
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -73,7 +73,7 @@
 	if p.config.OnLoopIteration != nil {
 		p.config.OnLoopIteration()
 	}
-	if p.wasHeldUp() {
+	if p.wasStalled() {
 		p.awaitEndpointList()
 	}
 	events := p.engine.TakeEvents()
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -50,7 +50,7 @@
 		}
 		p.resumeFirstStream(client)
 	}
-	if client.overLimit && client.isIdle() && p.tooManyClients() && p.closeIfQuiet(client) {
+	if client.overLimit && client.isIdle() && p.tooManyClients() && p.closeIfIdle(client) {
 		return
 	}
 	if client.closing && len(client.pipeline) == 0 && client.flushDeadline == 0 {
--- a/internal/proxy/pipeline_test.go
+++ b/internal/proxy/pipeline_test.go
@@ -44,7 +44,7 @@
 	g.expect(r, "VA 5 Oa", "hello")
 	rest, _ := io.ReadAll(r)
 	answers := strings.Count(string(rest), "MN")
-	if answers != maxPendingResponses-1 || !strings.HasSuffix(string(rest), metaRefusalLines[refusedTooMany]) {
+	if answers != maxPendingResponses-1 || !strings.HasSuffix(string(rest), metaRefusalLines[refusedTooManyPending]) {
 		t.Errorf("%d answers, then %q", answers, rest[max(0, len(rest)-50):])
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,7 +36,7 @@
 	upstream   upstream
 	endpoints  endpointTable
 	metrics    metricsPublisher
-	stalls     stallWatch
+	stalls     stallDetector
 }
 
 // New opens the listeners and starts a node. Run must be called next. The error is that of a listener.
@@ -71,7 +71,7 @@
 	p.applyLastKnownEndpoints()
 	p.schedule(p.now().Add(lastKnownListDelay), timerEvent{kind: timerLastKnownList})
 	if config.Inherited != nil {
-		p.joinPredecessor()
+		p.startAsSuccessor()
 	} else {
 		p.offerHandover()
 	}
@@ -162,4 +162,4 @@
 
 // Replaced reports whether another process accepts the connections. It may be called only within the event loop, that
 // is, by a callback of Config.
-func (p *Proxy) Replaced() bool { return p.takeover.acceptsElsewhere }
+func (p *Proxy) Replaced() bool { return p.takeover.otherProcessAccepts }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -117,12 +117,12 @@
 func (p *Proxy) capDeadline(
 	class policy.ClassID, at, deadline policy.Instant,
 ) (capped policy.Instant, outlastsDrain bool) {
-	by := p.lastAnswerAt()
-	if p.lifecycle.phase != Draining || deadline <= by {
+	answerBy := p.drainAnswerDeadline()
+	if p.lifecycle.phase != Draining || deadline <= answerBy {
 		return deadline, false
 	}
 	rules := &p.config.Settings.Policy.Classes[class]
-	return by, rules.Idempotency != policy.Idempotent || by.Since(at) < rules.LatencyObjective
+	return answerBy, rules.Idempotency != policy.Idempotent || answerBy.Since(at) < rules.LatencyObjective
 }
 
 // cannotAccept reports whether the node lacks the capacity for another request of a client, or accepts none in its
@@ -141,15 +141,15 @@
 func cloneRequest(request *clientRequest) (clone clientRequest, size int) {
 	size = len(request.key) + len(request.flags) + len(request.id) + len(request.value)
 	buffer := make([]byte, 0, size)
-	keep := func(b []byte) []byte {
+	copyBytes := func(b []byte) []byte {
 		buffer = append(buffer, b...)
 		return buffer[len(buffer)-len(b):]
 	}
 	clone = *request
-	clone.key = keep(request.key)
-	clone.flags = keep(request.flags)
-	clone.id = keep(request.id)
-	clone.value = keep(request.value)
+	clone.key = copyBytes(request.key)
+	clone.flags = copyBytes(request.flags)
+	clone.id = copyBytes(request.id)
+	clone.value = copyBytes(request.value)
 	clone.class = nil
 	clone.tenant = nil
 	return clone, size + len(request.httpDetails().headers)
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -49,7 +49,7 @@
 func (s *responseStream) isFirstOf(client *clientConn) bool { return client.firstSlot == s.slot }
 
 // startStream starts to stream a long value whose head has been received, and reports whether it did.
-func (p *Proxy) startStream(conn *upstreamConn, req *inflightRequest, response *upstreamResponse, wants int) bool {
+func (p *Proxy) startStream(conn *upstreamConn, req *inflightRequest, response *upstreamResponse, totalSize int) bool {
 	client := p.downstream.conns.Get(req.client)
 	isLong := response.headSize > 0 && response.valueSize > streamThreshold
 	if !isLong || req.answered || req.parsed.headOnly || client == nil {
@@ -64,7 +64,7 @@
 		codec:       req.codec,
 		parsed:      req.parsed,
 		remaining:   response.valueSize,
-		trailerSize: wants - response.headSize - response.valueSize,
+		trailerSize: totalSize - response.headSize - response.valueSize,
 		lastByteAt:  p.now(),
 	}
 	conn.input.buf.Consume(response.headSize)
@@ -219,7 +219,7 @@
 	if stream.paused {
 		conn.socket.ResumeReading()
 	}
-	conn.proven = true
+	conn.hasServed = true
 	switch {
 	case conn.closesAfterStream:
 		p.dropConn(conn)
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -22,8 +22,8 @@
 
 // stallDetector times the iterations of the event loop. All other work waits for the end of an iteration, so a long one
 // explains late answers, and decisions by an outdated list. Only the event loop writes it.
-type stallWatch struct {
-	began     policy.Instant // when the current iteration began
+type stallDetector struct {
+	startedAt policy.Instant // when the current iteration began
 	events    int            // socket events handled in it
 	lists     int            // endpoint lists applied in it
 	stalled   bool           // the previous iteration was a stall
@@ -32,8 +32,8 @@
 }
 
 // begin starts an iteration with the given number of socket events.
-func (s *stallWatch) begin(now policy.Instant, events int) {
-	s.began = now
+func (s *stallDetector) begin(now policy.Instant, events int) {
+	s.startedAt = now
 	s.events = events
 	s.lists = 0
 }
@@ -43,33 +43,33 @@
 
 // endIteration records an iteration that has ended, and logs it if it was a stall.
 func (p *Proxy) endIteration(now policy.Instant) {
-	watch := &p.stalls
+	detector := &p.stalls
 	counters := &p.metrics.counters
-	took := now.Since(watch.began)
-	watch.stalled = took >= stallThreshold
+	took := now.Since(detector.startedAt)
+	detector.stalled = took >= stallThreshold
 	counters.LongestIterationMs = max(counters.LongestIterationMs, uint64(took/time.Millisecond))
-	if !watch.stalled {
+	if !detector.stalled {
 		return
 	}
 	counters.Stalls++
-	if watch.loggedAt != 0 && now.Since(watch.loggedAt) < stallLogInterval {
-		watch.notLogged++
+	if detector.loggedAt != 0 && now.Since(detector.loggedAt) < stallLogInterval {
+		detector.notLogged++
 		return
 	}
 	p.config.Log.WithFields(logrus.Fields{
 		"took_ms":    int64(took / time.Millisecond),
-		"events":     watch.events,
-		"lists":      watch.lists,
+		"events":     detector.events,
+		"lists":      detector.lists,
 		"in_hand":    p.inflight.requests.Len(),
-		"not_logged": watch.notLogged,
+		"not_logged": detector.notLogged,
 	}).Warn("event loop stalled; continuing with the events that waited")
-	watch.loggedAt = now
-	watch.notLogged = 0
+	detector.loggedAt = now
+	detector.notLogged = 0
 }
 
 // wasStalled reports whether the event loop has just stalled: the previous iteration was a stall, or a timer is so long
 // overdue that the process did not run.
-func (p *Proxy) wasHeldUp() bool {
+func (p *Proxy) wasStalled() bool {
 	at, ok := p.timers.Next()
 	return p.stalls.stalled || ok && p.now().Since(at) >= stallThreshold
 }
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -9,30 +9,30 @@
 type takeover struct {
 	totalMemory         int64           // memory limit in bytes of all processes of the node
 	offer               *handover.Offer // by which a successor may take over; nil if none
-	acceptsElsewhere    bool            // another process accepts connections: the successor, or the predecessor again
-	predecessorGone     bool            // the predecessor has exited
+	otherProcessAccepts bool            // another process accepts connections: the successor, or the predecessor again
+	predecessorExited   bool            // the predecessor has exited
 	predecessorNotified bool            // the predecessor was told that this process serves
 }
 
 // startAsSuccessor starts as the successor of another process, with its listeners, and with part of the limits until it
 // has exited. The goroutine ends with the predecessor, as Wait returns then.
-func (p *Proxy) joinPredecessor() {
+func (p *Proxy) startAsSuccessor() {
 	for _, listener := range p.config.Inherited.Listeners { // those that New left over are no longer configured
 		_ = listener.Close()
 	}
 	p.setSharedLimits(true)
 	go func() {
 		p.config.Inherited.Wait()
-		p.runInLoop(p.onPredecessorGone)
+		p.runInLoop(p.onPredecessorExit)
 	}()
 }
 
-func (p *Proxy) onPredecessorGone() {
-	if p.takeover.acceptsElsewhere { // the predecessor took over again
+func (p *Proxy) onPredecessorExit() {
+	if p.takeover.otherProcessAccepts { // the predecessor took over again
 		return
 	}
 	p.config.Log.Info("predecessor process has exited; using the full limits")
-	p.takeover.predecessorGone = true
+	p.takeover.predecessorExited = true
 	p.setSharedLimits(false)
 	p.offerHandover()
 }
@@ -81,11 +81,11 @@
 		p.setSharedLimits(true)
 	case handover.SuccessorServing:
 		p.config.Log.Info("successor process is serving; no longer accepting connections")
-		p.takeover.acceptsElsewhere = true
+		p.takeover.otherProcessAccepts = true
 		p.engine.SetAccepting(false)
 	case handover.SuccessorGone:
 		p.config.Log.Warn("successor process has exited; accepting connections again")
-		p.takeover.acceptsElsewhere = false
+		p.takeover.otherProcessAccepts = false
 		p.setSharedLimits(false)
 		p.engine.SetAccepting(true)
 	}
@@ -94,10 +94,10 @@
 // returnToPredecessor leaves new connections to the predecessor if that still runs: to go back to it, operators only
 // have to stop the successor.
 func (p *Proxy) returnToPredecessor() {
-	if p.config.Inherited == nil || p.takeover.predecessorGone {
+	if p.config.Inherited == nil || p.takeover.predecessorExited {
 		return
 	}
-	p.takeover.acceptsElsewhere = true
+	p.takeover.otherProcessAccepts = true
 	p.engine.SetAccepting(false)
 	p.config.Inherited.Close()
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -50,14 +50,14 @@
 
 // upstreamConn is a connection to an endpoint or to discovery. It serves one purpose at a time.
 type upstreamConn struct {
-	id       upstreamConnID
-	socket   *sockets.Conn  // nil until connected
-	endpoint *knownEndpoint // nil for discovery
-	purpose  connPurpose
-	attempt  attemptRef      // for purposeAttempt
-	stream   *responseStream // for purposeStream, otherwise nil
-	input    upstreamInput
-	proven   bool // it has been used without failing
+	id        upstreamConnID
+	socket    *sockets.Conn  // nil until connected
+	endpoint  *knownEndpoint // nil for discovery
+	purpose   connPurpose
+	attempt   attemptRef      // for purposeAttempt
+	stream    *responseStream // for purposeStream, otherwise nil
+	input     upstreamInput
+	hasServed bool // it has been used without failing
 	// closesAfterStream is whether the connection closes after the value that it streams.
 	closesAfterStream bool
 	lastUsedAt        policy.Instant
@@ -189,12 +189,12 @@
 // now on. Otherwise nodes would keep idle connections while other nodes' dials to the same endpoint are refused.
 func (p *Proxy) onConnectRefused(conn *upstreamConn) {
 	isListed := conn.endpoint != nil && p.endpoints.byID[conn.endpoint.id] == conn.endpoint
-	if conn.proven || !isListed { // an established connection may end for many reasons
+	if conn.hasServed || !isListed { // an established connection may end for many reasons
 		return
 	}
 	isUp := false
 	p.upstream.conns.Each(func(_ upstreamConnID, other *upstreamConn) {
-		if other != conn && other.endpoint == conn.endpoint && other.proven {
+		if other != conn && other.endpoint == conn.endpoint && other.hasServed {
 			isUp = true
 		}
 	})
@@ -235,7 +235,7 @@
 // returnToPool keeps a connection for the next attempt, unless its endpoint is no longer listed.
 func (p *Proxy) returnToPool(conn *upstreamConn) {
 	if conn.purpose == purposeAttempt || conn.purpose == purposeHealthCheck {
-		conn.proven = true
+		conn.hasServed = true
 	}
 	conn.purpose = purposeIdle
 	conn.lastUsedAt = p.now()
--- a/internal/proxy/upstream_codec.go
+++ b/internal/proxy/upstream_codec.go
@@ -17,7 +17,7 @@
 	// bytes follow. progress keeps what has been parsed of the same response.
 	readResponse(
 		b []byte, request *clientRequest, ended bool, progress *http1.Progress,
-	) (response upstreamResponse, size, wants int)
+	) (response upstreamResponse, size, totalSize int)
 	// healthCheck encodes a health check, and readHealthCheck parses the response to it.
 	healthCheck(host string) []byte
 	readHealthCheck(b []byte, ended bool) (healthy bool, size int, err error)
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -55,7 +55,7 @@
 
 func (h httpUpstream) readResponse(
 	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
-) (response upstreamResponse, size, wants int) {
+) (response upstreamResponse, size, totalSize int) {
 	answer, size, err := progress.ReadResponse(b, meta.MaxValue, ended)
 	if err == nil && size == 0 {
 		return response, 0, answer.TotalSize
--- a/internal/proxy/upstream_meta.go
+++ b/internal/proxy/upstream_meta.go
@@ -23,11 +23,11 @@
 
 func (metaUpstream) readResponse(
 	b []byte, request *clientRequest, _ bool, _ *http1.Progress,
-) (response upstreamResponse, size, wants int) {
+) (response upstreamResponse, size, totalSize int) {
 	answer, size, err := meta.ReadAnswer(b)
-	isOurs := bytes.Equal(answer.ID, request.id)
+	idMatches := bytes.Equal(answer.ID, request.id)
 	if err == nil && size == 0 {
-		if answer.HeadSize > 0 && !request.write && isOurs {
+		if answer.HeadSize > 0 && !request.write && idMatches {
 			response = upstreamResponse{
 				headSize:   answer.HeadSize,
 				valueSize:  answer.ValueSize,
@@ -42,15 +42,15 @@
 		body:       answer.Value,
 		loadReport: answer.LoadReport,
 		fromCache:  true,
-		identified: isOurs,
+		identified: idMatches,
 	}
 	isValue := answer.Kind == meta.Value && !request.write
 	isReceipt := answer.Kind == meta.Done && request.write
 	switch {
 	case err != nil:
-	case isOurs && (isValue || isReceipt):
+	case idMatches && (isValue || isReceipt):
 		response.result = policy.Answered
-	case isOurs && answer.Kind == meta.Miss:
+	case idMatches && answer.Kind == meta.Miss:
 		response.result = policy.CacheMiss
 	case answer.Kind == meta.Failed:
 		response.result = policy.Errored
--- a/internal/proxy/upstream_origin.go
+++ b/internal/proxy/upstream_origin.go
@@ -31,12 +31,12 @@
 
 func (originUpstream) readResponse(
 	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
-) (response upstreamResponse, size, wants int) {
+) (response upstreamResponse, size, totalSize int) {
 	answer, size, err := progress.ReadResponse(b, meta.MaxValue, ended)
 	id := answer.Header("X-Call-Id")
-	isAnothers := id != nil && !bytes.Equal(id, request.id)
+	isOtherRequest := id != nil && !bytes.Equal(id, request.id)
 	if err == nil && size == 0 {
-		if answer.HeadSize > 0 && answer.Status == 200 && !request.write && !isAnothers {
+		if answer.HeadSize > 0 && answer.Status == 200 && !request.write && !isOtherRequest {
 			response = upstreamResponse{
 				headSize:   answer.HeadSize,
 				valueSize:  answer.BodySize,
@@ -54,7 +54,7 @@
 		identified: id != nil,
 	}
 	switch {
-	case err != nil, isAnothers:
+	case err != nil, isOtherRequest:
 		response.result = unreadableResponse
 	case answer.Status == 200 && !request.write:
 		response.result = policy.Answered
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -46,7 +46,7 @@
 		for _, noSign := range []*upstreamConn{
 			{endpoint: &knownEndpoint{id: "c"}},
 			{endpoint: g.endpoints.byID["o"]},
-			{endpoint: g.endpoints.byID["c"], proven: true},
+			{endpoint: g.endpoints.byID["c"], hasServed: true},
 		} {
 			g.onConnectRefused(noSign)
 		}
