--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -61,17 +61,17 @@
 		"EN Oa" + strings.Repeat("x", 5000): policy.Errored,
 		"VA 5 Oa Lx=\x01\xff,=\r\nhello\r\n\r\nnoise behind": policy.Answered,
 	}
-	for said, how := range results {
-		g := newHarness(t, 200, func(string) string { return said })
+	for response, want := range results {
+		g := newHarness(t, 200, func(string) string { return response })
 		c, r := g.client()
 		fmt.Fprint(c, "mg k1 v Oa Pc=read,d=9000\r\n")
-		if got, err := r.ReadString('\n'); err != nil || strings.HasPrefix(got, "VA 5") != (how == policy.Answered) {
-			t.Errorf("after %q: %q %v", said, got, err)
+		if got, err := r.ReadString('\n'); err != nil || strings.HasPrefix(got, "VA 5") != (want == policy.Answered) {
+			t.Errorf("after %q: %q %v", response, got, err)
 		}
-		if n := g.Counters(); n.Outcomes[how] == 0 || n.Attempts > 3 || n.Outcomes[policy.TimedOut] > 0 {
-			t.Errorf("after %q: %v of %d attempts", said, n.Outcomes, n.Attempts)
+		if n := g.Counters(); n.Outcomes[want] == 0 || n.Attempts > 3 || n.Outcomes[policy.TimedOut] > 0 {
+			t.Errorf("after %q: %v of %d attempts", response, n.Outcomes, n.Attempts)
 		}
-		if proper := strings.HasPrefix(said, "EN Oa\r") || strings.HasPrefix(said, "SERVER_"); !proper {
+		if proper := strings.HasPrefix(response, "EN Oa\r") || strings.HasPrefix(response, "SERVER_"); !proper {
 			receive(t, g.cacheConnClosed) // its connection must not be reused
 		}
 	}
@@ -80,7 +80,7 @@
 // Guards against a second answer of an endpoint that arrives while the connection is idle and is taken for the response
 // to the next request. The origin's responses do not say which request they answer. Such a connection must not be
 // reused.
-func TestConnWithUnaskedBytesIsNotReused(t *testing.T) {
+func TestConnWithUnrequestedDataIsNotReused(t *testing.T) {
 	cache := make(chan net.Conn, 9)
 	g := newHarness(t, 200, helloValue)
 	other := g.listen(func(c net.Conn) { cache <- c })
@@ -115,7 +115,7 @@
 // Guards against a second answer of an endpoint that arrives only after the connection has been reused for another
 // attempt. If it did not name its request, it was taken for that attempt's response: the origin's value was served for
 // another key, and a "busy" stated that an executed request had not been executed.
-func TestDuplicateResponseIsNotTakenForAnotherRequests(t *testing.T) {
+func TestDuplicateResponseIsNotServedForNextRequest(t *testing.T) {
 	page := func(s string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s), s)
 	}
@@ -166,14 +166,14 @@
 
 // An attempt waits for its connection while a list update makes its endpoint drain. The attempt must not be sent, and
 // must end as NotSent.
-func TestAttemptIsNotSentToEndpointThatDrainsByNow(t *testing.T) {
+func TestAttemptIsNotSentToEndpointThatStartedToDrain(t *testing.T) {
 	for _, state := range []string{"terminating", "terminated"} {
 		g := newHarness(t, 200, helloValue, func(config *Config) {
 			config.Settings.ConnectTimeout = testTimeout
 			config.Settings.Policy.CancelAllowed = false
 		})
 		l, addr := listenScripted(t)
-		let := fillBacklog(t, l)
+		acceptOne := fillBacklog(t, l)
 		g.moveEndpoint("c", addr)
 		c, r := g.client()
 		fmt.Fprint(c, "mg k v Ox Pc=read,d=9000\r\n")
@@ -181,7 +181,7 @@
 		g.listAnswers <- fmt.Sprintf(`{"generation":8,"reset":false,"instances":[
 {"instanceId":"c","hostPort":"%s","machineType":"box","lifecycle":"%s"}]}`, addr, state)
 		g.waitUntil("the update is applied", func(n metrics.Counters) bool { return n.EndpointUpdates == 2 })
-		let()
+		acceptOne()
 		up, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -222,27 +222,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked, _ := bufio.NewReader(first).ReadString('\n')
-	sent, let := time.Now(), fillBacklog(t, l)
+	firstAttempt, _ := bufio.NewReader(first).ReadString('\n')
+	sent, acceptOne := time.Now(), fillBacklog(t, l)
 	io.WriteString(first, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 	g.waitUntil("the retry waits for its connection", func(n metrics.Counters) bool { return n.Dials >= dials+2 })
 	for time.Since(sent) < window {
 	}
-	let()
+	acceptOne()
 	second, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := make(chan string, 1)
+	retries := make(chan string, 1)
 	go func() {
 		line, _ := bufio.NewReader(second).ReadString('\n')
-		again <- line
+		retries <- line
 		io.WriteString(second, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1")
 	}()
 	got, _ := r.ReadString('\n')
 	select {
-	case line := <-again:
-		t.Errorf("after %q, %q was sent after the deduplication window; client got %q", asked, line, got)
+	case line := <-retries:
+		t.Errorf("after %q, %q was sent after the deduplication window; client got %q", firstAttempt, line, got)
 	default:
 	}
 }
@@ -269,7 +269,7 @@
 // An endpoint closes or resets an idle connection while the node sends an attempt on it. If it does so before the
 // write, and the event loop has not handled the event yet, the only cost must be a new connection. After the last byte
 // has been written, the request may have been executed: one that is not idempotent must fail and must not be retried.
-func TestIdleConnClosedAroundAWrite(t *testing.T) {
+func TestConnClosedBeforeWriteIsReplacedAndAfterWriteFails(t *testing.T) {
 	for _, c := range []struct {
 		end, class, want string
 		after            bool   // closed after the write
@@ -283,21 +283,21 @@
 		g.moveEndpoint("c", addr)
 		client, r := g.client()
 		fmt.Fprint(client, "mg k v Owarm Pc=read,d=9000\r\n")
-		link, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines := bufio.NewReader(link)
+		lines := bufio.NewReader(conn)
 		line, _ := lines.ReadString('\n')
-		io.WriteString(link, helloValue(line))
+		io.WriteString(conn, helloValue(line))
 		g.expect(r, "VA 5 Owarm", "hello")
 		ask := func() { fmt.Fprintf(client, "mg k v Ox Pc=%s,d=9000\r\n", c.class) }
 		if c.after {
 			ask()
 			lines.ReadString('\n')
-			waysToLeave[c.end](link.(*net.TCPConn))
+			waysToLeave[c.end](conn.(*net.TCPConn))
 		} else {
-			g.pauseLoop(ask, nil, func() { waysToLeave[c.end](link.(*net.TCPConn)) })
+			g.pauseLoop(ask, nil, func() { waysToLeave[c.end](conn.(*net.TCPConn)) })
 			fresh, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -34,7 +34,7 @@
 
 // waitBeforeAccept is the stage in TestRequestOfGoneClientIsNotForwarded at which a request is not even read: all
 // descriptors are used by connections with incomplete commands.
-const waitAtGate = "before accept"
+const waitBeforeAccept = "before accept"
 
 // waitAfterMiss is the stage at which the first attempt of a request has missed.
 const waitAfterMiss = "after a miss"
@@ -42,7 +42,7 @@
 // waitingStages are the stages at which a request waits while its client leaves. Each function sends a request on the
 // connection, and calls leave once the request has reached the stage. The channel lets the cache answer the requests
 // with the ids miss and slow.
-var waitingPlaces = map[string]func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)){
+var waitingStages = map[string]func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)){
 	"behind other events": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
 		g.pauseLoop(func() { sendRead(c, "Ox") }, nil, func() { leave(c) })
 	},
@@ -52,12 +52,12 @@
 		isDialled := func() bool { return g.metrics.counters.Dials > dials }
 		g.pauseLoop(func() { sendRead(c, "Ox") }, isDialled, func() { leave(c) })
 	},
-	waitAfterMiss: func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)) {
+	waitAfterMiss: func(g *harness, c net.Conn, proceed chan bool, leave func(net.Conn)) {
 		sendRead(c, "Omiss")
 		receive(g.t, g.cacheCommands)
-		g.pauseLoop(func() { may <- true }, nil, func() { leave(c) })
+		g.pauseLoop(func() { proceed <- true }, nil, func() { leave(c) })
 	},
-	waitAtGate: func(g *harness, _ net.Conn, may chan bool, leave func(net.Conn)) {
+	waitBeforeAccept: func(g *harness, _ net.Conn, proceed chan bool, leave func(net.Conn)) {
 		slow, _ := g.client()
 		sendRead(slow, "Oslow")
 		receive(g.t, g.cacheCommands)
@@ -73,7 +73,7 @@
 		c, _ := g.client()
 		sendRead(c, "Ox")
 		leave(c)
-		g.pauseLoop(func() { may <- true }, nil, func() {
+		g.pauseLoop(func() { proceed <- true }, nil, func() {
 			for _, c := range half {
 				c.Close()
 			}
@@ -87,12 +87,12 @@
 // event of the close is queued behind others. Wherever the request waits, an idle connection to the endpoint, or one
 // that is just being established, would take it at once. The attempt must end as NotSent.
 func TestRequestOfGoneClientIsNotForwarded(t *testing.T) {
-	for place, wait := range waitingPlaces {
+	for stage, wait := range waitingStages {
 		for way, leave := range waysToLeave {
 			for _, cancel := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, by %s, cancel %v", place, way, cancel), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, by %s, cancel %v", stage, way, cancel), func(t *testing.T) {
 					t.Parallel()
-					testClientLeaves(t, place, wait, leave, cancel)
+					testClientLeaves(t, stage, wait, leave, cancel)
 				})
 			}
 		}
@@ -100,18 +100,18 @@
 }
 
 func testClientLeaves(
-	t *testing.T, place string, wait func(*harness, net.Conn, chan bool, func(net.Conn)),
+	t *testing.T, stage string, wait func(*harness, net.Conn, chan bool, func(net.Conn)),
 	leave func(*net.TCPConn), cancel bool,
 ) {
 	t.Helper()
-	may := make(chan bool)
+	proceed := make(chan bool)
 	answer := func(line string) string {
 		switch {
 		case strings.Contains(line, "Omiss"):
-			<-may
+			<-proceed
 			return "EN " + idFlag(line) + "\r\n"
 		case strings.Contains(line, "Oslow"):
-			<-may
+			<-proceed
 		}
 		return helloValue(line)
 	}
@@ -123,14 +123,14 @@
 	fmt.Fprint(c, "ms k 1 Oput Pc=put,d=9000,k=1\r\nx\r\n")
 	g.expect(r, "HD Oput cfrom-origin")
 	withSlow := g.Counters().Attempts + 1 // including that of the request with the id slow
-	wait(g, c, may, func(c net.Conn) { leave(c.(*net.TCPConn)) })
+	wait(g, c, proceed, func(c net.Conn) { leave(c.(*net.TCPConn)) })
 	g.waitUntil("the client is gone", func(n metrics.Counters) bool { return n.ClientsGone+n.NotAccepted == 1 })
 	n := g.Counters()
 	notSent := n.Outcomes[policy.NotSent]
-	if n.NotAccepted == 1 && place == waitAtGate && notSent == 0 && n.Attempts == withSlow {
+	if n.NotAccepted == 1 && stage == waitBeforeAccept && notSent == 0 && n.Attempts == withSlow {
 		return // it was read before descriptors were freed, and rejected without an attempt
 	}
-	neverSent := n.ClientsGoneUnsent == 1 || place == waitAfterMiss
+	neverSent := n.ClientsGoneUnsent == 1 || stage == waitAfterMiss
 	if notSent != 1 || !neverSent {
 		t.Errorf("%d attempts not sent, %d clients gone unsent: %v", notSent, n.ClientsGoneUnsent, n.Outcomes)
 	}
@@ -143,10 +143,10 @@
 		for _, after := range []string{"", "a miss"} {
 			t.Run(way+" "+after, func(t *testing.T) {
 				t.Parallel()
-				may := make(chan bool)
+				proceed := make(chan bool)
 				g := newHarness(t, 64, func(line string) string {
 					if after != "" && strings.Contains(line, "Ohttp") {
-						<-may
+						<-proceed
 						return "EN " + idFlag(line) + "\r\n"
 					}
 					return helloValue(line)
@@ -169,7 +169,7 @@
 				} else {
 					ask()
 					receive(t, g.cacheCommands)
-					g.pauseLoop(func() { may <- true }, nil, func() { leave(c.(*net.TCPConn)) })
+					g.pauseLoop(func() { proceed <- true }, nil, func() { leave(c.(*net.TCPConn)) })
 				}
 				g.waitUntil("the client is gone", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
 				g.waitUntil("it is not sent", func(n metrics.Counters) bool { return n.Outcomes[policy.NotSent] == 1 })
@@ -184,7 +184,7 @@
 // Guards against completing an attempt of which the kernel has accepted only a part when the client leaves. If attempts
 // may not be cancelled, the rest was sent long after, and the write was executed although nobody waited for it. The
 // attempt must stop, as it has not been sent yet.
-func TestPartlyWrittenAttemptStopsWithItsClient(t *testing.T) {
+func TestPartlyWrittenAttemptStopsWhenClientLeaves(t *testing.T) {
 	for way, leave := range waysToLeave {
 		for _, cancel := range []bool{true, false} {
 			g := newHarness(t, 200, helloValue, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
@@ -206,10 +206,10 @@
 			}
 			defer origin.Close()
 			fmt.Fprint(origin, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-			rested := make(chan bool, 1)
+			isIdle := make(chan bool, 1)
 			g.waitUntil("the connection is idle", func(metrics.Counters) bool {
-				g.runInLoop(func() { rested <- len(g.endpoints.byID["o"].idleConns) == 1 })
-				return <-rested
+				g.runInLoop(func() { isIdle <- len(g.endpoints.byID["o"].idleConns) == 1 })
+				return <-isIdle
 			})
 			shrinkSendBuffer(t, l.Addr().String())
 			c, _ := g.client()
--- a/internal/proxy/downstream_http_test.go
+++ b/internal/proxy/downstream_http_test.go
@@ -76,8 +76,8 @@
 func TestBodyIsReadOnceAndPOSTIsNeverRetried(t *testing.T) {
 	g := newHarness(t, 200, helloValue, withHTTPListeners)
 	ask := g.httpClient(1)
-	post := func(path string, long int) string {
-		return requestHead("POST "+path, "Expect: 100-continue", fmt.Sprint("Content-Length: ", long))
+	post := func(path string, size int) string {
+		return requestHead("POST "+path, "Expect: 100-continue", fmt.Sprint("Content-Length: ", size))
 	}
 	g.expectResponses(ask(post("/pay/k", 6), "POST"), "100  0")
 	g.expectResponses(append(ask("GET "), ask("/p", "POST")...), "200 from-origin 11")
@@ -153,24 +153,24 @@
 		if isFaulty {
 			key = fmt.Sprintf("f%d-%d", draw>>20%5, n)
 		}
-		var web string
+		var httpAnswer string
 		switch {
 		case kind > 1:
 			fmt.Fprintf(c, "mg %s v Oa%d Pc=read,d=9000\r\n", key, n)
-			web = ask(requestHead("GET /p/"+key), "GET")[0]
+			httpAnswer = ask(requestHead("GET /p/"+key), "GET")[0]
 		case kind == 1 && isFaulty:
 			fmt.Fprintf(c, "ms cut 1 Oa%d Pc=pay,d=9000\r\nx\r\n", n)
-			web = ask(requestHead("POST /pay/cut", "X-Wait: 9000", "Content-Length: 1")+"x", "POST")[0]
+			httpAnswer = ask(requestHead("POST /pay/cut", "X-Wait: 9000", "Content-Length: 1")+"x", "POST")[0]
 		default:
 			fmt.Fprintf(c, "ms %s 1 Oa%d Pc=put,d=9000\r\nx\r\n", key, n)
 			idempotencyKey := fmt.Sprint("Idempotency-Key: a", n)
 			head := requestHead("PUT /p/"+key, idempotencyKey, "X-Wait: 9000", "Content-Length: 1")
-			web = ask(head+"x", "PUT")[0]
+			httpAnswer = ask(head+"x", "PUT")[0]
 		}
-		meta := readMetaAsHTTP(r)
-		web = web[:strings.LastIndexByte(web, ' ')] // without the length
-		if web != meta {
-			t.Fatalf("request %d, %s, kind %d: %q by meta commands, %q by HTTP", n, key, kind, meta, web)
+		metaAnswer := readMetaAsHTTP(r)
+		httpAnswer = httpAnswer[:strings.LastIndexByte(httpAnswer, ' ')] // without the length
+		if httpAnswer != metaAnswer {
+			t.Fatalf("request %d, %s, kind %d: %q by meta commands, %q by HTTP", n, key, kind, metaAnswer, httpAnswer)
 		}
 		for _, calls := range []chan string{g.originRequests, h.originRequests} {
 			if seen := len(calls); kind < 2 && seen != 1 {
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -38,12 +38,12 @@
 func TestIncompleteCommandTimesOut(t *testing.T) {
 	g := newHarness(t, 200, helloValue, withHTTPListeners)
 	_, silent := g.client()
-	web, late := g.httpClient(1), make(chan []string, 1)
-	go func() { late <- web("GET /p/k HTTP/1.1\r\nHost: n\r\nX: ", "GET", "GET") }()
-	half, told := g.client()
+	askHTTP, late := g.httpClient(1), make(chan []string, 1)
+	go func() { late <- askHTTP("GET /p/k HTTP/1.1\r\nHost: n\r\nX: ", "GET", "GET") }()
+	half, halfAnswers := g.client()
 	fmt.Fprint(half, "ms k 5 Ob Pc=put,d=9000\r\nhe")
-	g.expect(told, strings.TrimSpace(metaRefusalLines[refusedTimeout]))
-	for _, r := range []*bufio.Reader{told, silent} {
+	g.expect(halfAnswers, strings.TrimSpace(metaRefusalLines[refusedTimeout]))
+	for _, r := range []*bufio.Reader{halfAnswers, silent} {
 		if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("not closed: %v", err)
 		}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -44,14 +44,14 @@
 // Guards against a draining node that rejects all requests with long deadlines because those are later than its end. An
 // idempotent request must be accepted while its latency objective can still be met, with the end of the node as its
 // deadline.
-func TestDrainAcceptsWhatCanBeServedBeforeTheEnd(t *testing.T) {
+func TestDrainAcceptsRequestsThatCanBeServedBeforeShutdown(t *testing.T) {
 	const long = "d=9000"
 	// The longest deadline of the classes is 1 s.
 	const endsIn = time.Second + shutdownMargin - answerMargin
 	for _, c := range []struct {
-		name, asks, want string
-		after            time.Duration // after the drain began; until then the connection has a request in flight
-		attempts         uint64
+		name, command, want string
+		after               time.Duration // after the drain began; until then the connection has a request in flight
+		attempts            uint64
 	}{
 		{"a read", "mg k v Oa Pc=read," + long, "VA 5 Oa", 0, 2},
 		{"a read that nobody answers", "mg hangs v Oa Pc=read," + long, "SERVER_ERROR busy", 0, 2},
@@ -71,14 +71,14 @@
 					b.Settings.Policy.Classes[0].LatencyObjective = endsIn * 9 / 10
 				}
 			})
-			to, r := g.client()
-			fmt.Fprintf(to, "mg hangs v Oz Pc=read,%s\r\n", long)
+			conn, r := g.client()
+			fmt.Fprintf(conn, "mg hangs v Oz Pc=read,%s\r\n", long)
 			receive(t, g.cacheCommands)
 			g.Shutdown()
 			g.Counters()
 			began := time.Now()
 			time.Sleep(c.after)
-			fmt.Fprint(to, c.asks+"\r\n")
+			fmt.Fprint(conn, c.command+"\r\n")
 			g.waitUntil("the request is accepted or rejected", func(n metrics.Counters) bool { return n.Requests == 2 })
 			if c.attempts > 1 {
 				line := receive(t, g.cacheCommands)
@@ -124,7 +124,7 @@
 // Guards against requests with deadlines later than the end of a draining node, or than whoever ends the process waits:
 // their connections would end without an answer. With a deadline of 5.3 s, a node was still working when it was killed.
 // Each request must be answered before the end, as its class and its attempts allow.
-func TestDrainAnswersWhatOutlastsTheNode(t *testing.T) {
+func TestDrainAnswersRequestsThatOutlastTheNode(t *testing.T) {
 	for _, longest := range []time.Duration{0, 500 * time.Millisecond, time.Minute} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
@@ -138,17 +138,17 @@
 				"ms k3 1 Oc Pc=put,d=60000,k=7\r\nx": "SERVER_ERROR busy 250",
 				"mg k4 v Od Pc=pay,d=60000":          "SERVER_ERROR failed",
 			}
-			told := map[string]*bufio.Reader{}
+			answers := map[string]*bufio.Reader{}
 			for command := range wants {
 				c, r := g.client()
 				fmt.Fprint(c, command+"\r\n")
-				told[command] = r
+				answers[command] = r
 			}
 			g.waitUntil("all are sent", func(n metrics.Counters) bool { return n.Requests == 4 && n.Attempts >= 4 })
 			defer l.Close()
 			began := time.Now()
 			g.Shutdown()
-			for command, r := range told {
+			for command, r := range answers {
 				g.expect(r, wants[command])
 				if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("%q: got %v after the answer, want the connection closed", command, err)
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -13,7 +13,7 @@
 // step forward, it counted as warming up for an hour.
 func TestEndpointStartsAfterWallClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		r, err := New(Config{
+		p, err := New(Config{
 			Listen:          "127.0.0.1:0",
 			Discovery:       "127.0.0.1:1",
 			DescriptorLimit: 64,
@@ -24,39 +24,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stepped := time.Duration(0)
-		r.clock.wall = func() time.Time { return time.Now().Add(stepped) }
-		stated := func(ago time.Duration) int64 { return r.clock.wall().Add(-ago).UnixMilli() }
-		hear := func(form policy.UpdateKind, startedAt int64) policy.Instant {
-			news, err := r.endpoints.watch.reader.Read(fmt.Appendf(nil, `{"generation":1,"instances":[
+		offset := time.Duration(0)
+		p.clock.wall = func() time.Time { return time.Now().Add(offset) }
+		stated := func(ago time.Duration) int64 { return p.clock.wall().Add(-ago).UnixMilli() }
+		apply := func(kind policy.UpdateKind, startedAt int64) policy.Instant {
+			list, err := p.endpoints.watch.reader.Read(fmt.Appendf(nil, `{"generation":1,"instances":[
 {"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service","zone":"z","startedAtMs":%d}]}`, startedAt))
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.applyEndpointList(&news, form)
-			r.endpoints.watch.updatedAt = r.now()
-			return r.endpoints.byID["c"].start.at
+			p.applyEndpointList(&list, kind)
+			p.endpoints.watch.updatedAt = p.now()
+			return p.endpoints.byID["c"].start.at
 		}
-		near := func(what string, got policy.Instant, ago time.Duration) {
+		checkAge := func(what string, got policy.Instant, ago time.Duration) {
 			t.Helper()
-			if off := r.now().Since(got) - ago; off < -time.Millisecond || off > time.Second {
-				t.Errorf("step %v: %s %v ago, want %v", step, what, r.now().Since(got), ago)
+			if off := p.now().Since(got) - ago; off < -time.Millisecond || off > time.Second {
+				t.Errorf("step %v: %s %v ago, want %v", step, what, p.now().Since(got), ago)
 			}
 		}
 		first := stated(3 * time.Minute)
-		was := hear(policy.CompleteUpdate, first)
-		near("first start", was, 3*time.Minute)
-		stepped = step
-		old := r.endpoints.byID["c"]
-		if again := hear(policy.CompleteUpdate, first); again != was || r.endpoints.byID["c"] != old {
+		firstStart := apply(policy.CompleteUpdate, first)
+		checkAge("first start", firstStart, 3*time.Minute)
+		offset = step
+		old := p.endpoints.byID["c"]
+		if again := apply(policy.CompleteUpdate, first); again != firstStart || p.endpoints.byID["c"] != old {
 			t.Errorf("step %v: an unchanged start time was treated as a restart", step)
 		}
-		near("a start after the step", hear(policy.DeltaUpdate, stated(500*time.Millisecond)), 500*time.Millisecond)
-		if r.endpoints.byID["c"] == old {
+		checkAge("start after the step", apply(policy.DeltaUpdate, stated(500*time.Millisecond)), 500*time.Millisecond)
+		if p.endpoints.byID["c"] == old {
 			t.Errorf("step %v: a restart after the step was not detected", step)
 		}
-		r.Shutdown()
-		r.Run()
+		p.Shutdown()
+		p.Run()
 	}
 }
 
--- a/internal/proxy/endpoint_watch_test.go
+++ b/internal/proxy/endpoint_watch_test.go
@@ -52,7 +52,7 @@
 // Guards against two faults. When a poll broke and the next one was not answered, that failure was noticed only after
 // the timeout of a long poll, and so was the update that both had missed. An update of an older version put a draining
 // endpoint back into service.
-func TestAfterALostWatchUpdatesArePolledAtOnceAndOlderVersionsIgnored(t *testing.T) {
+func TestLostPollIsRetriedAtOnceAndOlderVersionsAreIgnored(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
 	receive(t, g.listPolls)
 	receive(t, g.listPolls)
@@ -61,9 +61,9 @@
 	if again := receive(t, g.listPolls); again != endpointListPath+soon {
 		t.Errorf("after a broken poll, polled %q", again)
 	}
-	silent := time.Now()
+	silentSince := time.Now()
 	polled := receive(t, g.listPolls)
-	if took := time.Since(silent); polled != endpointListPath+soon || took > 4*time.Second { // a long poll has 5.5 s
+	if took := time.Since(silentSince); polled != endpointListPath+soon || took > 4*time.Second { // a long poll: 5.5 s
 		t.Errorf("after %v without an answer, polled %q", took, polled)
 	}
 	entry := `{"generation":%d,"reset":false,"instances":[
@@ -102,7 +102,7 @@
 
 // Guards against a discovery with a changed address that is not polled because attempts use all descriptors of upstream
 // connections. The connection to discovery is reserved.
-func TestChangedDiscoveryIsPolledThoughConnsAreUsedUp(t *testing.T) {
+func TestChangedDiscoveryIsPolledWithoutFreeUpstreamConns(t *testing.T) {
 	g := newHarness(t, 64, helloValue)
 	g.runInLoop(func() {
 		for g.upstream.conns.Len() <= g.maxUpstreamConns() {
@@ -312,16 +312,16 @@
 // nodes, the last ones got an update 15.5 s and 19.9 s after discovery had it. An unreadable answer had the same
 // effect. After any failure has ended, an update must arrive within updateTimeLimit.
 func TestUpdateArrivesInTimeAfterDiscoveryFailures(t *testing.T) {
-	for _, how := range []string{
+	for _, failures := range []string{
 		"refuses", "silent", "breaks", "halves",
 		"refuses silent", "silent refuses", "breaks refuses silent", "halves breaks halves",
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(failures, func(t *testing.T) {
 			t.Parallel()
-			runNodes(t, 4, 480, func(a *discoveryStub) {
-				for _, does := range strings.Fields(how) {
-					a.change(does, false)
-					time.Sleep(4 * time.Second / time.Duration(len(strings.Fields(how))))
+			runNodes(t, 4, 480, func(d *discoveryStub) {
+				for _, behaviour := range strings.Fields(failures) {
+					d.change(behaviour, false)
+					time.Sleep(4 * time.Second / time.Duration(len(strings.Fields(failures))))
 				}
 			})
 		})
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -13,13 +13,13 @@
 	g := newHarness(t, 200, helloValue)
 	receive(t, g.listPolls)
 	receive(t, g.listPolls)
-	up := make(chan bool, 9)
-	again := g.config
-	again.Listen = "127.0.0.1:0"
-	again.OnPhaseChange = func(p Phase) { up <- p == Serving }
-	again.LastKnownEndpoints = []byte(`{"generation":41,"reset":true,"instances":[
+	serving := make(chan bool, 9)
+	config := g.config
+	config.Listen = "127.0.0.1:0"
+	config.OnPhaseChange = func(p Phase) { serving <- p == Serving }
+	config.LastKnownEndpoints = []byte(`{"generation":41,"reset":true,"instances":[
 {"instanceId":"c","hostPort":"127.0.0.1:1","machineType":"box","lifecycle":"in_service","zone":"z"}]}`)
-	r, err := New(again)
+	r, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	if got := receive(t, g.listPolls); !strings.HasPrefix(got, endpointListPath+"?since=41&") {
 		t.Errorf("polled %q", got)
 	}
-	if !receive(t, up) {
+	if !receive(t, serving) {
 		t.Error("it does not serve with the last known list")
 	}
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -269,19 +269,19 @@
 func helloValue(line string) string { return "VA 5 " + idFlag(line) + " h1\r\nhello\r\n" }
 
 // blockAll answers like helloValue, but only once a value can be received from the channel.
-func blockAll(may chan bool) func(string) string {
+func blockAll(proceed chan bool) func(string) string {
 	return func(line string) string {
-		<-may
+		<-proceed
 		return helloValue(line)
 	}
 }
 
 // blockRequestA answers like helloValue, but requests whose id begins with a only once a value can be received from the
 // channel.
-func blockRequestA(may chan bool) func(string) string {
+func blockRequestA(proceed chan bool) func(string) string {
 	return func(line string) string {
 		if strings.Contains(line, "Oa") {
-			<-may
+			<-proceed
 		}
 		return helloValue(line)
 	}
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -33,15 +33,15 @@
 	gone.(*net.TCPConn).SetLinger(0)
 	gone.Close()
 	g.waitUntil("one client is gone", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
-	said := make(chan *metrics.Snapshot, 1)
-	look := func() *metrics.Snapshot {
+	snapshots := make(chan *metrics.Snapshot, 1)
+	publish := func() *metrics.Snapshot {
 		g.runInLoop(func() {
 			g.publishMetrics()
-			said <- g.Metrics()
+			snapshots <- g.Metrics()
 		})
-		return receive(t, said)
+		return receive(t, snapshots)
 	}
-	s := look()
+	s := publish()
 	byName := map[string]metrics.ClassSnapshot{}
 	for _, class := range s.Classes {
 		byName[class.Name] = class
@@ -54,23 +54,23 @@
 	if s.Attempts != 6 || s.Pending != 1 || s.Members != 1 || s.Unavailable != 0 || !s.Serving {
 		t.Errorf("%+v", s)
 	}
-	testUnavailable(t, g, look)
+	testUnavailable(t, g, publish)
 	close(hold)
 	g.expect(r, "VA 5 Oheld", "hello")
-	if s := look(); s.Pending != 0 {
+	if s := publish(); s.Pending != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
 // testUnavailable checks which states of the cache c count as unavailable. An unresponsive cache does not while it
 // still gets its share of attempts, and does once it gets only occasional trials.
-func testUnavailable(t *testing.T, g *harness, look func() *metrics.Snapshot) {
+func testUnavailable(t *testing.T, g *harness, publish func() *metrics.Snapshot) {
 	t.Helper()
 	g.runInLoop(func() {
 		g.metrics.endpoints.EndpointStateChanged(g.now(), "c", policy.StateUnreachable)
 		g.metrics.endpoints.EndpointStateChanged(g.now(), "long gone", policy.StateUnresponsive)
 	})
-	if s := look(); s.Unavailable != 1 {
+	if s := publish(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
 	g.runInLoop(func() {
@@ -79,13 +79,13 @@
 			g.metrics.endpoints.AttemptSent(g.now(), "c")
 		}
 	})
-	if s := look(); s.Unavailable != 0 {
+	if s := publish(); s.Unavailable != 0 {
 		t.Errorf("%+v", s)
 	}
 	g.runInLoop(func() {
 		g.metrics.endpoints.lastAttempts["c"] = [2]policy.Instant{g.now().Add(-trialInterval), g.now()}
 	})
-	if s := look(); s.Unavailable != 1 {
+	if s := publish(); s.Unavailable != 1 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/proxy/standby_test.go
+++ b/internal/proxy/standby_test.go
@@ -14,7 +14,7 @@
 // Guards against a load balancer that keeps sending clients to a node which operators took out of service, for as long
 // as it runs. In standby, the node must fail readiness checks at once, serve the requests it has and those that still
 // arrive, close clients as they become idle, and keep its connections to endpoints. After Active it must serve again.
-func TestStandbyAndActiveLoseNothing(t *testing.T) {
+func TestStandbyAndActiveLoseNoRequests(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, blockRequestA(hold), withMetrics)
 	busy, busyAnswers := g.client()
--- a/internal/proxy/upstream_http_test.go
+++ b/internal/proxy/upstream_http_test.go
@@ -139,7 +139,7 @@
 // Guards against serving a cached response that is older than allowed, because a clock is off by 30 s or because Age is
 // missing, invalid or out of range. Unrequested and truncated responses must not be served either. Each such response
 // must count as a miss. All others must be served with the headers that may be forwarded.
-func TestWhatAnHTTPCacheKeepsIsServedOnlyWhileItMayBe(t *testing.T) {
+func TestHTTPCacheResponseIsServedOnlyWhileUsable(t *testing.T) {
 	for key, c := range cachedResponses {
 		t.Run(key, func(t *testing.T) {
 			t.Parallel()
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -43,12 +43,12 @@
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	r.ReadString('\n')
 	g.runInLoop(func() {
-		for _, noSign := range []*upstreamConn{
+		for _, conn := range []*upstreamConn{
 			{endpoint: &knownEndpoint{id: "c"}},
 			{endpoint: g.endpoints.byID["o"]},
 			{endpoint: g.endpoints.byID["c"], hasServed: true},
 		} {
-			g.onConnectRefused(noSign)
+			g.onConnectRefused(conn)
 		}
 		timeouts <- g.idleTimeout()
 		for range 9 {
