--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -15,7 +15,7 @@
 // ControlFile is the file of a control server.
 type ControlFile struct {
 	Control  Control       `toml:"control"`
-	Machines []Machine     `toml:"machine"`
+	Machines []ControlServer     `toml:"machine"`
 	Bounds   ControlBounds `toml:"bounds"`
 	// Purges is nil where purges are published and delivered, and not carried out at caches by this machine.
 	Purges *Purges `toml:"purges"`
@@ -30,8 +30,8 @@
 	Data  string `toml:"data"`  // folder of its replica of the log
 }
 
-// Machine is one of the control servers.
-type Machine struct {
+// ControlServer is one of the control servers.
+type ControlServer struct {
 	ID      uint64 `toml:"id"`
 	Name    string `toml:"name"`
 	Addr    string `toml:"addr"`    // where this machine reaches its listener for peers
@@ -145,8 +145,8 @@
 }
 
 // Self returns the machine whose file it is.
-func (f *ControlFile) Self() Machine {
-	var m Machine
+func (f *ControlFile) Self() ControlServer {
+	var m ControlServer
 	for _, m = range f.Machines {
 		if m.ID == f.Control.ID {
 			return m
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -22,15 +22,15 @@
 
 // peer sends to another control server over a one-way stream. The other server opens a stream for its own messages.
 type peer struct {
-	fleetconfig.Machine
+	fleetconfig.ControlServer
 	server *Server
 	outbox chan *pb.Message
 	random keyhash.Source // jitter of the backoff
 }
 
-func startPeer(s *Server, other fleetconfig.Machine) *peer {
+func startPeer(s *Server, other fleetconfig.ControlServer) *peer {
 	p := &peer{
-		Machine: other,
+		ControlServer: other,
 		server:  s,
 		outbox:  make(chan *pb.Message, outboxMessages),
 		random:  keyhash.Source{Seed: uint32(keyhash.Salted(s.id, int(other.ID)))},
