--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -15,7 +15,7 @@
 // ControlFile is the file of a control server.
 type ControlFile struct {
 	Control  Control       `toml:"control"`
-	Machines []ControlServer     `toml:"machine"`
+	Servers []ControlServer     `toml:"machine"`
 	Bounds   ControlBounds `toml:"bounds"`
 	// Purges is nil where purges are published and delivered, and not carried out at caches by this machine.
 	Purges *Purges `toml:"purges"`
@@ -105,13 +105,13 @@
 }
 
 func (f *ControlFile) checkMachines(c *strictconfig.Checker) {
-	count := len(f.Machines)
+	count := len(f.Servers)
 	isInBounds := count > 0 && count <= maxMachines
 	c.Require(isInBounds, "machine", "%d control machines, from 1 to %d can be", count, maxMachines)
 	ids := map[uint64]bool{}
 	names := map[string]bool{}
 	voters := 0
-	for i, m := range f.Machines {
+	for i, m := range f.Servers {
 		path := fmt.Sprintf("machine.%d", i)
 		checkAddress(c, m.Addr, path+".addr")
 		c.Require(m.ID > 0 && !ids[m.ID], path+".id", "%d is 0 or another's", m.ID)
@@ -147,7 +147,7 @@
 // Self returns the machine whose file it is.
 func (f *ControlFile) Self() ControlServer {
 	var m ControlServer
-	for _, m = range f.Machines {
+	for _, m = range f.Servers {
 		if m.ID == f.Control.ID {
 			return m
 		}
--- a/internal/control/controlserver/config.go
+++ b/internal/control/controlserver/config.go
@@ -54,7 +54,7 @@
 // openStorage opens the store in the data directory.
 func (c *Config) openStorage() (Storage, error) {
 	var voters, learners []uint64
-	for _, server := range c.File.Machines {
+	for _, server := range c.File.Servers {
 		if server.Learner {
 			learners = append(learners, server.ID)
 		} else {
--- a/internal/control/controlserver/harness_test.go
+++ b/internal/control/controlserver/harness_test.go
@@ -108,7 +108,7 @@
 	}
 	file.Bounds.ElectMs = 500
 	for j := range c.servers {
-		file.Machines = append(file.Machines, fleetconfig.ControlServer{
+		file.Servers = append(file.Servers, fleetconfig.ControlServer{
 			ID:      uint64(j + 1),
 			Name:    fmt.Sprintf("c%d", j+1),
 			Addr:    peerAddr(j),
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -95,7 +95,7 @@
 	var err error
 	s.purger, err = purger.Open(purger.Config{
 		Settings:    s.File.Purges,
-		ServerCount: len(s.File.Machines),
+		ServerCount: len(s.File.Servers),
 		Log:         s.sharedLog,
 		Dir:         s.File.Control.Data,
 		Logger:      s.Log,
@@ -108,7 +108,7 @@
 
 // start starts the goroutines.
 func (s *Server) start() {
-	for _, other := range s.File.Machines {
+	for _, other := range s.File.Servers {
 		if other.ID != s.id {
 			s.peers[other.ID] = startPeer(s, other)
 		}
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -162,7 +162,7 @@
 		node.AgeMs = ageMs(now, node.seenAt)
 		table.Nodes = append(table.Nodes, node.NodeReport)
 	}
-	for _, other := range t.server.File.Machines {
+	for _, other := range t.server.File.Servers {
 		if other.ID == t.server.id {
 			continue
 		}
