--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -47,7 +47,7 @@
 	Followers int     `toml:"followers"`   // nodes that follow at once
 	HoldS     float64 `toml:"hold_s"`      // seconds for which entries are kept for a node that is not heard
 	ForgetS   float64 `toml:"forget_s"`    // seconds after which a node that is not heard is no longer reported
-	ElectMs   float64 `toml:"election_ms"` // milliseconds without the leader until an election, up to twice that
+	ElectionMs   float64 `toml:"election_ms"` // milliseconds without the leader until an election, up to twice that
 }
 
 // DefaultControl returns what holds where a control server's file says nothing.
@@ -60,7 +60,7 @@
 		Followers: 600,
 		HoldS:     7200,
 		ForgetS:   86_400,
-		ElectMs:   1200,
+		ElectionMs:   1200,
 	}}
 }
 
@@ -141,7 +141,7 @@
 	c.InRange(float64(b.Followers), 1, 100_000, "bounds.followers")
 	c.InRange(b.HoldS, 1, 86_400, "bounds.hold_s")
 	c.InRange(b.ForgetS, 10, 30*86_400, "bounds.forget_s")
-	c.InRange(b.ElectMs, 200, 60_000, "bounds.election_ms")
+	c.InRange(b.ElectionMs, 200, 60_000, "bounds.election_ms")
 }
 
 // Self returns the machine whose file it is.
@@ -162,4 +162,4 @@
 func (b *ControlBounds) Forget() time.Duration { return seconds(b.ForgetS) }
 
 // Election returns ElectMs as a duration.
-func (b *ControlBounds) Election() time.Duration { return seconds(b.ElectMs / 1000) }
+func (b *ControlBounds) Election() time.Duration { return seconds(b.ElectionMs / 1000) }
--- a/internal/control/controlserver/harness_test.go
+++ b/internal/control/controlserver/harness_test.go
@@ -106,7 +106,7 @@
 		Nodes: "127.0.0.1:0",
 		Data:  c.dirs[i],
 	}
-	file.Bounds.ElectMs = 500
+	file.Bounds.ElectionMs = 500
 	for j := range c.servers {
 		file.Servers = append(file.Servers, fleetconfig.ControlServer{
 			ID:      uint64(j + 1),
--- a/node/changelog_test.go
+++ b/node/changelog_test.go
@@ -27,7 +27,7 @@
 		ID: 1, Label: "l", Peers: "127.0.0.1:0", Nodes: "127.0.0.1:0", Data: t.TempDir(),
 	}
 	file.Servers = []fleetconfig.ControlServer{{ID: 1, Name: "c", Addr: "127.0.0.1:1"}}
-	file.Bounds.ElectMs = 200
+	file.Bounds.ElectionMs = 200
 	server, err := controlserver.Open(controlserver.Config{
 		File: &file, FirstStart: true, Log: silentLog(), Now: gossip.BootTime,
 	})
