--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -161,5 +161,5 @@
 // Forget returns ForgetS as a duration.
 func (b *ControlBounds) Forget() time.Duration { return seconds(b.ForgetS) }
 
-// Election returns ElectMs as a duration.
-func (b *ControlBounds) Election() time.Duration { return seconds(b.ElectionMs / 1000) }
+// ElectionTimeout returns ElectMs as a duration.
+func (b *ControlBounds) ElectionTimeout() time.Duration { return seconds(b.ElectionMs / 1000) }
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -72,7 +72,7 @@
 	l.leadership.Store(&leadership{})
 	l.node, err = raft.NewRawNode(&raft.Config{
 		ID:                        s.id,
-		ElectionTick:              max(2, int(s.File.Bounds.Election()/tickInterval)),
+		ElectionTick:              max(2, int(s.File.Bounds.ElectionTimeout()/tickInterval)),
 		HeartbeatTick:             1,
 		Storage:                   storage,
 		Applied:                   l.appliedIndex,
