--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -158,8 +158,8 @@
 // Hold returns HoldS as a duration.
 func (b *ControlBounds) Hold() time.Duration { return seconds(b.HoldS) }
 
-// Forget returns ForgetS as a duration.
-func (b *ControlBounds) Forget() time.Duration { return seconds(b.ForgetS) }
+// ForgetAfter returns ForgetS as a duration.
+func (b *ControlBounds) ForgetAfter() time.Duration { return seconds(b.ForgetS) }
 
 // ElectionTimeout returns ElectMs as a duration.
 func (b *ControlBounds) ElectionTimeout() time.Duration { return seconds(b.ElectionMs / 1000) }
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -65,7 +65,7 @@
 func (t *statusTable) forgetSilentNodes() bool {
 	now := t.server.Now()
 	for name, node := range t.nodes {
-		if time.Duration(now-node.seenAt) > t.server.File.Bounds.Forget() {
+		if time.Duration(now-node.seenAt) > t.server.File.Bounds.ForgetAfter() {
 			delete(t.nodes, name)
 		}
 	}
