--- a/internal/config/fleetconfig/control_test.go
+++ b/internal/config/fleetconfig/control_test.go
@@ -43,7 +43,7 @@
 	if f.Self().Name != "control-1" || f.Bounds != DefaultControl().Bounds {
 		t.Errorf("%+v", f)
 	}
-	if f.Purges.Fills() != 3500*time.Millisecond || f.Purges.Each() != 2*time.Millisecond {
+	if f.Purges.Fills() != 3500*time.Millisecond || f.Purges.CommandInterval() != 2*time.Millisecond {
 		t.Errorf("%+v", f.Purges)
 	}
 }
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Purges.FillsS != 3.5 || f.Purges.Each() != 10*time.Millisecond || len(f.Purges.Caches) != 1 {
+	if f.Purges.FillsS != 3.5 || f.Purges.CommandInterval() != 10*time.Millisecond || len(f.Purges.Caches) != 1 {
 		t.Errorf("%+v", f.Purges)
 	}
 }
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -59,8 +59,8 @@
 // Fills returns FillsS as a duration.
 func (p *Purges) Fills() time.Duration { return seconds(p.FillsS) }
 
-// Each returns the time between two commands to one cache, from CommandsPerSecond.
-func (p *Purges) Each() time.Duration { return seconds(1 / p.CommandsPerSecond) }
+// CommandInterval returns the time between two commands to one cache, from CommandsPerSecond.
+func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
 
 // FlushEach returns FlushS as a duration.
 func (p *Purges) FlushEach() time.Duration { return seconds(p.FlushS) }
