--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -62,5 +62,5 @@
 // CommandInterval returns the time between two commands to one cache, from CommandsPerSecond.
 func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
 
-// FlushEach returns FlushS as a duration.
-func (p *Purges) FlushEach() time.Duration { return seconds(p.FlushS) }
+// FlushInterval returns FlushS as a duration.
+func (p *Purges) FlushInterval() time.Duration { return seconds(p.FlushS) }
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -78,7 +78,7 @@
 		Config:  config,
 		cursors: cursors,
 		closed:  make(chan struct{}),
-		limiter: purge.FlushLimiter{Interval: config.Settings.FlushEach()},
+		limiter: purge.FlushLimiter{Interval: config.Settings.FlushInterval()},
 		caches:  map[purge.CacheID]*cache{},
 		changed: make(chan struct{}),
 	}
