--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -16,7 +16,7 @@
 	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are no caches
 	FillsS            float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
 	CommandsPerSecond float64  `toml:"commands_s"`   // commands a second to a cache, once a burst of 1,024 has gone
-	FlushS            float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
+	FlushIntervalS            float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
 	Caches            []Cache  `toml:"cache"`
 }
 
@@ -33,7 +33,7 @@
 		Origins:           []string{"origin"},
 		FillsS:            3.5,
 		CommandsPerSecond: 500,
-		FlushS:            10,
+		FlushIntervalS:            10,
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	c.InRange(p.FillsS, 0.05, 600, "purges.fills_s")
 	c.InRange(p.CommandsPerSecond, 10, 10_000, "purges.commands_s")
-	c.InRange(p.FlushS, 0.1, 3600, "purges.flush_each_s")
+	c.InRange(p.FlushIntervalS, 0.1, 3600, "purges.flush_each_s")
 }
 
 // Fills returns FillsS as a duration.
@@ -63,4 +63,4 @@
 func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
 
 // FlushInterval returns FlushS as a duration.
-func (p *Purges) FlushInterval() time.Duration { return seconds(p.FlushS) }
+func (p *Purges) FlushInterval() time.Duration { return seconds(p.FlushIntervalS) }
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	b := &bench{t: t, settings: *fleetconfig.DefaultPurges()}
 	b.settings.FillsS = testLongestFill.Seconds()
-	b.settings.FlushS = 0.1
+	b.settings.FlushIntervalS = 0.1
 	b.log.changed = make(chan struct{})
 	for i := range caches {
 		cache, err := cachestub.Open(fmt.Sprint("c", i), bootTime, b.record)
