--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -56,8 +56,8 @@
 	c.InRange(p.FlushIntervalS, 0.1, 3600, "purges.flush_each_s")
 }
 
-// Fills returns FillsS as a duration.
-func (p *Purges) Fills() time.Duration { return seconds(p.FillsS) }
+// MaxFill returns FillsS as a duration.
+func (p *Purges) MaxFill() time.Duration { return seconds(p.FillsS) }
 
 // CommandInterval returns the time between two commands to one cache, from CommandsPerSecond.
 func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
