--- a/internal/config/fleetconfig/control_test.go
+++ b/internal/config/fleetconfig/control_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Purges.FillsS != 3.5 || f.Purges.CommandInterval() != 10*time.Millisecond || len(f.Purges.Caches) != 1 {
+	if f.Purges.MaxFillS != 3.5 || f.Purges.CommandInterval() != 10*time.Millisecond || len(f.Purges.Caches) != 1 {
 		t.Errorf("%+v", f.Purges)
 	}
 }
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -14,7 +14,7 @@
 type Purges struct {
 	Discovery         string   `toml:"discovery"`    // address of the endpoint list; empty where Caches lists them
 	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are no caches
-	FillsS            float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
+	MaxFillS            float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
 	CommandsPerSecond float64  `toml:"commands_s"`   // commands a second to a cache, once a burst of 1,024 has gone
 	FlushIntervalS            float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
 	Caches            []Cache  `toml:"cache"`
@@ -31,7 +31,7 @@
 func DefaultPurges() *Purges {
 	return &Purges{
 		Origins:           []string{"origin"},
-		FillsS:            3.5,
+		MaxFillS:            3.5,
 		CommandsPerSecond: 500,
 		FlushIntervalS:            10,
 	}
@@ -51,13 +51,13 @@
 		checkName(c, cache.ID, ids, path+".id")
 		checkAddress(c, cache.Addr, path+".addr")
 	}
-	c.InRange(p.FillsS, 0.05, 600, "purges.fills_s")
+	c.InRange(p.MaxFillS, 0.05, 600, "purges.fills_s")
 	c.InRange(p.CommandsPerSecond, 10, 10_000, "purges.commands_s")
 	c.InRange(p.FlushIntervalS, 0.1, 3600, "purges.flush_each_s")
 }
 
 // MaxFill returns FillsS as a duration.
-func (p *Purges) MaxFill() time.Duration { return seconds(p.FillsS) }
+func (p *Purges) MaxFill() time.Duration { return seconds(p.MaxFillS) }
 
 // CommandInterval returns the time between two commands to one cache, from CommandsPerSecond.
 func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
--- a/internal/control/controlserver/purges_test.go
+++ b/internal/control/controlserver/purges_test.go
@@ -16,7 +16,7 @@
 func openCaches(t *testing.T, count int) ([]*cachestub.Cache, *fleetconfig.Purges) {
 	t.Helper()
 	settings := fleetconfig.DefaultPurges()
-	settings.FillsS = 0.3
+	settings.MaxFillS = 0.3
 	var caches []*cachestub.Cache
 	for i := range count {
 		cache, err := cachestub.Open(fmt.Sprint("cache-", i), bootTime, nil)
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -87,7 +87,7 @@
 func newBench(t *testing.T, caches, purgers int) *bench {
 	t.Helper()
 	b := &bench{t: t, settings: *fleetconfig.DefaultPurges()}
-	b.settings.FillsS = testLongestFill.Seconds()
+	b.settings.MaxFillS = testLongestFill.Seconds()
 	b.settings.FlushIntervalS = 0.1
 	b.log.changed = make(chan struct{})
 	for i := range caches {
--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -64,7 +64,7 @@
 		{name: "correct"},
 		{
 			name:   "no confirming delete after fills",
-			change: func(b *bench) { b.settings.FillsS = 1e-6 },
+			change: func(b *bench) { b.settings.MaxFillS = 1e-6 },
 			want:   checker.OldServed,
 		},
 		{
