--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -52,7 +52,7 @@
 
 // Changes says where a node follows the fleet's replicated log. Without control servers it follows none.
 type Changes struct {
-	At     []string `toml:"at"`      // addresses of control servers, where they listen for nodes
+	Servers     []string `toml:"at"`      // addresses of control servers, where they listen for nodes
 	StaleS float64  `toml:"stale_s"` // seconds without a control server that has a leader, until the node is stale
 }
 
@@ -149,8 +149,8 @@
 }
 
 func (ch *Changes) check(c *strictconfig.Checker) {
-	c.Require(len(ch.At) <= maxMachines, "changes.at", "more than %d", maxMachines)
-	for _, addr := range ch.At {
+	c.Require(len(ch.Servers) <= maxMachines, "changes.at", "more than %d", maxMachines)
+	for _, addr := range ch.Servers {
 		checkAddress(c, addr, "changes.at")
 	}
 	c.InRange(ch.StaleS, 5, 86_400, "changes.stale_s")
--- a/node/changelog.go
+++ b/node/changelog.go
@@ -16,7 +16,7 @@
 // waits for it.
 func (n *Node) follow() {
 	changes := &n.config.fleet.Changes
-	if len(changes.At) == 0 {
+	if len(changes.Servers) == 0 {
 		return
 	}
 	var process [8]byte
@@ -26,7 +26,7 @@
 		Name:       n.config.Name,
 		Process:    binary.LittleEndian.Uint64(process[:]),
 		Label:      n.config.fleet.Fleet.Label,
-		Servers:    changes.At,
+		Servers:    changes.Servers,
 		Seed:       uint32(seed),
 		StaleAfter: changes.Stale(),
 		Applier:    replicatedlog.NewApplier(logTarget{n}),
--- a/node/limits.go
+++ b/node/limits.go
@@ -72,7 +72,7 @@
 	switch {
 	case c.fleet == nil:
 		return 0
-	case len(c.fleet.Changes.At) > 0:
+	case len(c.fleet.Changes.Servers) > 0:
 		return gossip.Descriptors + logfollower.Descriptors
 	}
 	return gossip.Descriptors
