--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -165,8 +165,8 @@
 	return key
 }
 
-// Stale returns StaleS as a duration.
-func (ch *Changes) Stale() time.Duration { return seconds(ch.StaleS) }
+// StaleAfter returns StaleS as a duration.
+func (ch *Changes) StaleAfter() time.Duration { return seconds(ch.StaleS) }
 
 // Pause returns PauseS as a duration.
 func (m *Members) Pause() time.Duration { return seconds(m.PauseS) }
--- a/node/changelog.go
+++ b/node/changelog.go
@@ -28,7 +28,7 @@
 		Label:      n.config.fleet.Fleet.Label,
 		Servers:    changes.Servers,
 		Seed:       uint32(seed),
-		StaleAfter: changes.Stale(),
+		StaleAfter: changes.StaleAfter(),
 		Applier:    replicatedlog.NewApplier(logTarget{n}),
 		Log:        n.log,
 		Now:        gossip.BootTime,
