--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -15,12 +15,12 @@
 	reasonBusy = "busy" // behind wordError
 )
 
-// AnswerKind is what an answer says.
-type AnswerKind int
+// ResponseKind is what an answer says.
+type ResponseKind int
 
 // The kinds of answers. Those up to Miss repeat the id of their command.
 const (
-	Value  AnswerKind = iota // the value that was read
+	Value  ResponseKind = iota // the value that was read
 	Done                     // the receipt of a write
 	Miss                     // the cache has no value for the key
 	Failed                   // the command failed, and may have run
@@ -30,7 +30,7 @@
 
 // Answer is an answer of a cache. Its parts lie in the buffer that it was read from.
 type Answer struct {
-	Kind       AnswerKind
+	Kind       ResponseKind
 	ID         []byte // id of the command
 	Value      []byte // the value or the receipt
 	LoadReport []byte // the load report, as items, or nil
@@ -47,7 +47,7 @@
 	errUnknownAnswer = errors.New("an answer says nothing that the protocol knows")
 )
 
-var answerKinds = map[string]AnswerKind{
+var answerKinds = map[string]ResponseKind{
 	wordValue: Value,
 	wordDone:  Done,
 	wordMiss:  Miss,
