--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -28,8 +28,8 @@
 	Up                       // the cache serves requests: the answer to a health check
 )
 
-// Answer is an answer of a cache. Its parts lie in the buffer that it was read from.
-type Answer struct {
+// Response is an answer of a cache. Its parts lie in the buffer that it was read from.
+type Response struct {
 	Kind       ResponseKind
 	ID         []byte // id of the command
 	Value      []byte // the value or the receipt
@@ -69,7 +69,7 @@
 
 // ReadAnswer reads the first answer in b. A size of 0 without an error asks for more bytes. An error is final, as it
 // cannot be known where the next answer begins. Flags that are not used here may hold anything.
-func ReadAnswer(b []byte) (a Answer, size int, err error) {
+func ReadAnswer(b []byte) (a Response, size int, err error) {
 	text, size, tooLong := cutLine(b)
 	if tooLong {
 		return a, 0, errTooLong
@@ -116,7 +116,7 @@
 
 // readValue reads the rest of a value's line, and the value behind the line, which ends at lineSize in b. It returns
 // the size of the value with its end, or 0 while that has not been received.
-func (a *Answer) readValue(rest, b []byte, lineSize int) (size int, flags []byte, err error) {
+func (a *Response) readValue(rest, b []byte, lineSize int) (size int, flags []byte, err error) {
 	digits, flags := cutWord(rest)
 	length, ok := parseLength(digits)
 	if !ok || length > MaxValue {
