--- a/internal/proxy/upstream_meta.go
+++ b/internal/proxy/upstream_meta.go
@@ -24,7 +24,7 @@
 func (metaUpstream) readResponse(
 	b []byte, request *clientRequest, _ bool, _ *http1.Progress,
 ) (response upstreamResponse, size, totalSize int) {
-	answer, size, err := meta.ReadAnswer(b)
+	answer, size, err := meta.ReadResponse(b)
 	idMatches := bytes.Equal(answer.ID, request.id)
 	if err == nil && size == 0 {
 		if answer.HeadSize > 0 && !request.write && idMatches {
@@ -63,6 +63,6 @@
 func (metaUpstream) healthCheck(string) []byte { return []byte("mn\r\n") }
 
 func (metaUpstream) readHealthCheck(b []byte, _ bool) (healthy bool, size int, err error) {
-	answer, size, err := meta.ReadAnswer(b)
+	answer, size, err := meta.ReadResponse(b)
 	return answer.Kind == meta.Up, size, err
 }
--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -21,11 +21,11 @@
 // The kinds of answers. Those up to Miss repeat the id of their command.
 const (
 	Value  ResponseKind = iota // the value that was read
-	Done                     // the receipt of a write
-	Miss                     // the cache has no value for the key
-	Failed                   // the command failed, and may have run
-	Busy                     // the command was rejected, and has not run
-	Up                       // the cache serves requests: the answer to a health check
+	Done                       // the receipt of a write
+	Miss                       // the cache has no value for the key
+	Failed                     // the command failed, and may have run
+	Busy                       // the command was rejected, and has not run
+	Up                         // the cache serves requests: the answer to a health check
 )
 
 // Response is an answer of a cache. Its parts lie in the buffer that it was read from.
@@ -67,9 +67,9 @@
 	return false
 }
 
-// ReadAnswer reads the first answer in b. A size of 0 without an error asks for more bytes. An error is final, as it
+// ReadResponse reads the first answer in b. A size of 0 without an error asks for more bytes. An error is final, as it
 // cannot be known where the next answer begins. Flags that are not used here may hold anything.
-func ReadAnswer(b []byte) (a Response, size int, err error) {
+func ReadResponse(b []byte) (a Response, size int, err error) {
 	text, size, tooLong := cutLine(b)
 	if tooLong {
 		return a, 0, errTooLong
--- a/internal/wire/meta/answer_test.go
+++ b/internal/wire/meta/answer_test.go
@@ -22,9 +22,9 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		want, wantSize, wantErr := ReadAnswer(b)
+		want, wantSize, wantErr := ReadResponse(b)
 		for at := range b {
-			got, size, err := ReadAnswer(b[:at])
+			got, size, err := ReadResponse(b[:at])
 			if size != 0 && (size != wantSize || !reflect.DeepEqual(got, want)) || err != nil && wantErr == nil {
 				t.Fatalf("%d of %q: %v %d %v, whole: %v %d %v", at, b, got, size, err, want, wantSize, wantErr)
 			}
@@ -43,7 +43,7 @@
 		"SERVER_ERROR busy Lx=0.4,y=2\r\n",
 	} {
 		t.Run(text[:2], func(t *testing.T) {
-			a, _, err := ReadAnswer([]byte(text))
+			a, _, err := ReadResponse([]byte(text))
 			if y, ok := Item(a.LoadReport, "y"); err != nil || !ok || string(y) != "2" {
 				t.Errorf("%q: %q %v", text, a.LoadReport, err)
 			}
--- a/internal/wire/meta/golden_test.go
+++ b/internal/wire/meta/golden_test.go
@@ -69,7 +69,7 @@
 		"VA 99999999\r\n",
 		"HD O9 Pr1,outstanding,3\r\n",
 	} {
-		a, size, err := ReadAnswer([]byte(text))
+		a, size, err := ReadResponse([]byte(text))
 		fmt.Fprintf(out, "answer %.40q: %v size %d %v\n", text, a, size, err)
 	}
 	for _, text := range []string{
