--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -181,7 +181,7 @@
 			return errBadAnswer
 		}
 		for len(unread) > 0 {
-			id, flushed, size, err := meta.ReadDeleted(unread)
+			id, flushed, size, err := meta.ReadDeleteResponse(unread)
 			if err != nil {
 				return err
 			}
--- a/internal/wire/meta/delete.go
+++ b/internal/wire/meta/delete.go
@@ -23,9 +23,9 @@
 	return append(to, End...)
 }
 
-// ReadDeleted reads the answer to a deletion, or the one to FlushAll, which has no id. A size of 0 without an error
+// ReadDeleteResponse reads the answer to a deletion, or the one to FlushAll, which has no id. A size of 0 without an error
 // asks for more bytes. An error is final, as it cannot be known where the next answer begins.
-func ReadDeleted(b []byte) (id uint64, flushed bool, size int, err error) {
+func ReadDeleteResponse(b []byte) (id uint64, flushed bool, size int, err error) {
 	text, size, tooLong := cutLine(b)
 	if tooLong {
 		return 0, false, 0, errTooLong
--- a/internal/wire/meta/delete_test.go
+++ b/internal/wire/meta/delete_test.go
@@ -31,7 +31,7 @@
 		{name: "error", text: "ERROR\r\n", invalid: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			id, flushed, size, err := ReadDeleted([]byte(test.text))
+			id, flushed, size, err := ReadDeleteResponse([]byte(test.text))
 			if id != test.id || flushed != test.flushed || size != test.size || (err != nil) != test.invalid {
 				t.Errorf("%q: %d, %t, %d, %v", test.text, id, flushed, size, err)
 			}
--- a/internal/wire/meta/golden_test.go
+++ b/internal/wire/meta/golden_test.go
@@ -75,7 +75,7 @@
 	for _, text := range []string{
 		"HD O12\r\n", "NF O13\r\n", "OK\r\n", "HD\r\n", "SERVER_ERROR busy\r\n", "H", "what\r\n",
 	} {
-		id, flushed, size, err := ReadDeleted([]byte(text))
+		id, flushed, size, err := ReadDeleteResponse([]byte(text))
 		fmt.Fprintf(out, "deleted %q: %d %v %d %v\n", text, id, flushed, size, err)
 	}
 }
