--- a/internal/wire/meta/delete.go
+++ b/internal/wire/meta/delete.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// FlushAll removes all values of a cache. Flushed begins its answer.
+// FlushAll removes all values of a cache. FlushDone begins its answer.
 const (
 	FlushAll = "flush_all" + End
-	Flushed  = "OK"
+	FlushDone  = "OK"
 )
 
 // wordNotFound answers a deletion of a key that the cache does not have.
@@ -38,7 +38,7 @@
 	}
 	word, flags := cutWord(text)
 	switch string(word) {
-	case Flushed:
+	case FlushDone:
 		return 0, true, size, nil
 	case wordDone, wordNotFound:
 		digits, _ := Flag(flags, flagID)
@@ -53,7 +53,7 @@
 // mayBeDeleted tells whether the bytes received so far may be the beginning of the answer to a deletion, as
 // mayBeAnswer does.
 func mayBeDeleted(b []byte) bool {
-	for _, word := range []string{wordDone, wordNotFound, Flushed} {
+	for _, word := range []string{wordDone, wordNotFound, FlushDone} {
 		n := min(len(b), len(word))
 		if string(b[:n]) == word[:n] {
 			return true
