--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -394,8 +394,8 @@
 	}
 	switch {
 	case fault != nil:
-		r.checker.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Answer))
-		c.answer([]byte(fault.Answer))
+		r.checker.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Response))
+		c.answer([]byte(fault.Response))
 		return
 	case command.Verb == meta.Ready:
 		r.log.Second(now).Probes++
--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -27,7 +27,7 @@
 	switch {
 	case fault != nil:
 		parsed.intent = intentInvalid
-		parsed.response = []byte(fault.Answer)
+		parsed.response = []byte(fault.Response)
 		parsed.stopReading = fault.Close
 		return size
 	case size == 0:
--- a/internal/wire/meta/command.go
+++ b/internal/wire/meta/command.go
@@ -43,8 +43,8 @@
 
 // Fault says why a command cannot be carried out.
 type Fault struct {
-	Answer string // the line to answer
-	Close  bool   // the connection has to end, as it cannot be known where the next command begins
+	Response string // the line to answer
+	Close    bool   // the connection has to end, as it cannot be known where the next command begins
 }
 
 // ReadCommand reads the first command in b. A size of 0 without a fault asks for more bytes. With a fault, the size
