--- a/internal/wire/meta/command.go
+++ b/internal/wire/meta/command.go
@@ -38,7 +38,7 @@
 	BadValue  = "CLIENT_ERROR bad data chunk\r\n"
 	LongLine  = "CLIENT_ERROR line too long\r\n"
 	LongValue = "SERVER_ERROR object too large for cache\r\n"
-	NoSuch    = "ERROR\r\n"
+	UnknownCommand    = "ERROR\r\n"
 )
 
 // Fault says why a command cannot be carried out.
@@ -79,7 +79,7 @@
 		}
 		size += valueSize
 	default:
-		return c, size, &Fault{NoSuch, false}
+		return c, size, &Fault{UnknownCommand, false}
 	}
 	c.ID, _ = Flag(c.Flags, flagID)
 	if !IsKey(c.Key) || !Plain(c.ID) || hasControlByte(c.Flags) {
--- a/internal/wire/meta/command_test.go
+++ b/internal/wire/meta/command_test.go
@@ -84,7 +84,7 @@
 		name, text string
 		want       Fault
 	}{
-		{"unknown verb", "get a\r\n", Fault{NoSuch, false}},
+		{"unknown verb", "get a\r\n", Fault{UnknownCommand, false}},
 		{"no id", "mg k v\r\n", Fault{BadLine, false}},
 		{"long key", "mg " + strings.Repeat("k", maxKeySize+1) + " O1\r\n", Fault{BadLine, false}},
 		{"value longer than stated", "ms k 3 Oa\r\nabcd\r\n", Fault{BadValue, true}},
