--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -149,7 +149,7 @@
 	if stated == "" {
 		return nil
 	}
-	ms, isNumber := meta.Decimal([]byte(stated))
+	ms, isNumber := meta.ParseDecimal([]byte(stated))
 	if !isNumber || ms <= 0 {
 		return badRequest("a deadline that is none")
 	}
--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -49,7 +49,7 @@
 	}
 	items, _ := meta.Flag(command.Flags, 'P')
 	deadline, _ := meta.Item(items, "d")
-	if ms, ok := meta.Decimal(deadline); ok && ms > 0 {
+	if ms, ok := meta.ParseDecimal(deadline); ok && ms > 0 {
 		parsed.timeout = timeoutOfMs(ms)
 	}
 	parsed.class, _ = meta.Item(items, "c")
--- a/internal/wire/meta/line.go
+++ b/internal/wire/meta/line.go
@@ -67,8 +67,8 @@
 	return b[:length], true, true
 }
 
-// Decimal parses a number written with digits and perhaps a point.
-func Decimal(b []byte) (float64, bool) {
+// ParseDecimal parses a number written with digits and perhaps a point.
+func ParseDecimal(b []byte) (float64, bool) {
 	for _, c := range b {
 		if (c < '0' || c > '9') && c != '.' {
 			return 0, false
