--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -180,7 +180,7 @@
 
 // isValidID reports whether an id or idempotency key is empty or can be passed on in the flags of meta commands.
 func isValidID(id string) bool {
-	return id == "" || len(id) <= maxIDBytes && meta.Plain([]byte(id)) && !strings.Contains(id, ",")
+	return id == "" || len(id) <= maxIDBytes && meta.IsWord([]byte(id)) && !strings.Contains(id, ",")
 }
 
 // flagsOf encodes the flags that are passed on with a request, in meta command syntax. The upstream codec replaces the
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -76,7 +76,7 @@
 	if request.http != nil {
 		response.headers = appendForwarded(nil, answer.Each, answer.Header("Connection"))
 		response.headers = append(response.headers, "Via: 1.1 dahliapin\r\n"...)
-	} else if request.write && !meta.Plain(answer.Body) { // a receipt is one word: the status, if the body is none
+	} else if request.write && !meta.IsWord(answer.Body) { // a receipt is one word: the status, if the body is none
 		response.body = strconv.AppendInt(nil, int64(answer.Status), 10)
 	}
 	return response, size, 0
--- a/internal/proxy/upstream_origin.go
+++ b/internal/proxy/upstream_origin.go
@@ -61,7 +61,7 @@
 	case answer.Status == 200:
 		response.result = unreadableResponse
 		response.body = bytes.TrimSpace(answer.Body)
-		if meta.Plain(response.body) {
+		if meta.IsWord(response.body) {
 			response.result = policy.Answered
 		}
 	case string(answer.Header("X-Rejected")) == "1":
--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -96,7 +96,7 @@
 		size += valueSize
 	case Done:
 		a.Value, _ = Flag(rest, flagReceipt)
-		if !Plain(a.Value) {
+		if !IsWord(a.Value) {
 			return a, 0, errUnknownAnswer
 		}
 	case Failed:
--- a/internal/wire/meta/command.go
+++ b/internal/wire/meta/command.go
@@ -34,11 +34,11 @@
 
 // The answers to faults.
 const (
-	BadLine   = "CLIENT_ERROR bad command line\r\n"
-	BadValue  = "CLIENT_ERROR bad data chunk\r\n"
-	LongLine  = "CLIENT_ERROR line too long\r\n"
-	LongValue = "SERVER_ERROR object too large for cache\r\n"
-	UnknownCommand    = "ERROR\r\n"
+	BadLine        = "CLIENT_ERROR bad command line\r\n"
+	BadValue       = "CLIENT_ERROR bad data chunk\r\n"
+	LongLine       = "CLIENT_ERROR line too long\r\n"
+	LongValue      = "SERVER_ERROR object too large for cache\r\n"
+	UnknownCommand = "ERROR\r\n"
 )
 
 // Fault says why a command cannot be carried out.
@@ -82,7 +82,7 @@
 		return c, size, &Fault{UnknownCommand, false}
 	}
 	c.ID, _ = Flag(c.Flags, flagID)
-	if !IsKey(c.Key) || !Plain(c.ID) || hasControlByte(c.Flags) {
+	if !IsKey(c.Key) || !IsWord(c.ID) || hasControlByte(c.Flags) {
 		return c, size, &Fault{BadLine, false}
 	}
 	return c, size, nil
--- a/internal/wire/meta/line.go
+++ b/internal/wire/meta/line.go
@@ -78,8 +78,8 @@
 	return x, err == nil
 }
 
-// Plain tells whether a text can stand as one word of a line: it is not empty, and has no space or control byte.
-func Plain(b []byte) bool {
+// IsWord tells whether a text can stand as one word of a line: it is not empty, and has no space or control byte.
+func IsWord(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == deleteByte {
 			return false
@@ -89,4 +89,4 @@
 }
 
 // IsKey tells whether a text can be a key.
-func IsKey(b []byte) bool { return Plain(b) && len(b) <= maxKeySize }
+func IsKey(b []byte) bool { return IsWord(b) && len(b) <= maxKeySize }
