--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -76,7 +76,7 @@
 	return meta.AppendHead(nil, request.id, valueSize)
 }
 
-func (metaDownstream) valueTrailer() string { return meta.End }
+func (metaDownstream) valueTrailer() string { return meta.LineEnd }
 
 func (metaDownstream) writeReceipt(request *clientRequest, response *upstreamResponse) []byte {
 	return meta.AppendDone(nil, request.id, response.body)
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -181,7 +181,7 @@
 	rest := data[used:]
 	if stream.remaining == 0 && len(rest) >= stream.trailerSize {
 		conn.input.buf.Consume(used)
-		badTrailer := stream.trailerSize > 0 && string(rest[:stream.trailerSize]) != meta.End
+		badTrailer := stream.trailerSize > 0 && string(rest[:stream.trailerSize]) != meta.LineEnd
 		p.completeStream(conn, client, badTrailer)
 		return 0, false
 	}
--- a/internal/wire/meta/answer.go
+++ b/internal/wire/meta/answer.go
@@ -128,21 +128,21 @@
 		a.LoadReport, _ = Flag(flags, flagLoadReport)
 		a.HeadSize = lineSize
 		a.ValueSize = length
-		a.TotalSize = lineSize + length + len(End)
+		a.TotalSize = lineSize + length + len(LineEnd)
 		return 0, nil, nil
 	}
 	if !ok {
 		return 0, nil, errValueEnd
 	}
 	a.Value = value
-	return length + len(End), flags, nil
+	return length + len(LineEnd), flags, nil
 }
 
 // AppendValue writes a value as the answer to a command with an id.
 func AppendValue(to, id, value []byte) []byte {
 	to = AppendHead(to, id, len(value))
 	to = append(to, value...)
-	return append(to, End...)
+	return append(to, LineEnd...)
 }
 
 // AppendHead writes the line before a value of a size in bytes. End has to follow the value.
@@ -151,7 +151,7 @@
 	to = strconv.AppendInt(to, int64(size), 10)
 	to = append(to, ' ', flagID)
 	to = append(to, id...)
-	return append(to, End...)
+	return append(to, LineEnd...)
 }
 
 // AppendDone writes the receipt of a write.
@@ -161,7 +161,7 @@
 	to = append(to, id...)
 	to = append(to, ' ', flagReceipt)
 	to = append(to, receipt...)
-	return append(to, End...)
+	return append(to, LineEnd...)
 }
 
 // AppendBusy writes a rejection, with the time after which to retry, in milliseconds, unless that is 0.
@@ -171,8 +171,8 @@
 		to = append(to, ' ')
 		to = strconv.AppendInt(to, retryAfterMs, 10)
 	}
-	return append(to, End...)
+	return append(to, LineEnd...)
 }
 
 // AppendFailed writes that a command failed.
-func AppendFailed(to []byte) []byte { return append(to, wordError+" failed"+End...) }
+func AppendFailed(to []byte) []byte { return append(to, wordError+" failed"+LineEnd...) }
--- a/internal/wire/meta/command.go
+++ b/internal/wire/meta/command.go
@@ -110,7 +110,7 @@
 		return 0, &Fault{BadValue, true}
 	}
 	c.Value = value
-	return length + len(End), nil
+	return length + len(LineEnd), nil
 }
 
 // AppendCommand writes a command for a cache: as it was received, but for the time that the client waits, which is
@@ -128,10 +128,10 @@
 		to = strconv.AppendInt(to, int64(len(c.Value)), 10)
 	}
 	to = appendFlags(to, c.Flags, deadlineMs)
-	to = append(to, End...)
+	to = append(to, LineEnd...)
 	if c.Verb == Set {
 		to = append(to, c.Value...)
-		to = append(to, End...)
+		to = append(to, LineEnd...)
 	}
 	return to
 }
--- a/internal/wire/meta/delete.go
+++ b/internal/wire/meta/delete.go
@@ -4,7 +4,7 @@
 
 // FlushAll removes all values of a cache. FlushDone begins its answer.
 const (
-	FlushAll = "flush_all" + End
+	FlushAll = "flush_all" + LineEnd
 	FlushDone  = "OK"
 )
 
@@ -20,7 +20,7 @@
 	to = append(to, key...)
 	to = append(to, ' ', flagID)
 	to = strconv.AppendUint(to, id, deleteIDBase)
-	return append(to, End...)
+	return append(to, LineEnd...)
 }
 
 // ReadDeleteResponse reads the answer to a deletion, or the one to FlushAll, which has no id. A size of 0 without an error
--- a/internal/wire/meta/golden_test.go
+++ b/internal/wire/meta/golden_test.go
@@ -96,7 +96,7 @@
 		AppendItems(nil, nil, 9),
 		[]byte(FlushAll),
 		[]byte(BadLine),
-		[]byte(End),
+		[]byte(LineEnd),
 	} {
 		fmt.Fprintf(out, "written %q\n", b)
 	}
--- a/internal/wire/meta/line.go
+++ b/internal/wire/meta/line.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// End is what each line, and each value, ends with.
-const End = "\r\n"
+// LineEnd is what each line, and each value, ends with.
+const LineEnd = "\r\n"
 
 const (
 	maxLineSize  = 2048     // bytes of a line: a key, an id and a dozen items fit several times
@@ -58,10 +58,10 @@
 // cutValue cuts a value of a stated length off the bytes behind its line. It needs more bytes while complete is
 // false; ok says that the value ends where it should.
 func cutValue(b []byte, length int) (value []byte, complete, ok bool) {
-	if len(b) < length+len(End) {
+	if len(b) < length+len(LineEnd) {
 		return nil, false, false
 	}
-	if string(b[length:length+len(End)]) != End {
+	if string(b[length:length+len(LineEnd)]) != LineEnd {
 		return nil, true, false
 	}
 	return b[:length], true, true
