--- a/internal/wire/http1/response.go
+++ b/internal/wire/http1/response.go
@@ -9,7 +9,7 @@
 
 // The statuses of rejections: the server was at capacity, and the request has not run.
 const (
-	TooMany     = http.StatusTooManyRequests
+	TooManyRequests     = http.StatusTooManyRequests
 	Unavailable = http.StatusServiceUnavailable
 )
 
