--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -130,7 +130,7 @@
 	}
 	if err != nil || answer.Status != 200 {
 		watch.failure = discovery.Unreadable
-		if err == nil && (answer.Status == http1.Unavailable || answer.Status == http1.TooManyRequests) {
+		if err == nil && (answer.Status == http1.ServiceUnavailable || answer.Status == http1.TooManyRequests) {
 			watch.failure = discovery.Refused
 		}
 		p.failConn(conn, policy.ConnectionBroken)
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -90,7 +90,7 @@
 	status := answer.Status
 	isOK := status == 200 || status == 203
 	isWritten := isOK || status == 201 || status == 204
-	isOverloaded := status == http1.Unavailable || status == http1.TooManyRequests
+	isOverloaded := status == http1.ServiceUnavailable || status == http1.TooManyRequests
 	onlyIfCached := details.freshness.Control.OnlyIfCached
 	switch {
 	case status == 206, status == 304 && !details.conditional: // neither a range nor a validation was requested
--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -192,7 +192,7 @@
 
 // onResponse takes an update of the list, or returns how the call failed.
 func (c *listPoller) onResponse(a *http1.Response, parser *fastjson.Parser) discovery.Failure {
-	if a.Status == http1.Unavailable || a.Status == http1.TooManyRequests {
+	if a.Status == http1.ServiceUnavailable || a.Status == http1.TooManyRequests {
 		return discovery.Refused
 	}
 	news, err := parser.ParseBytes(bytes.Clone(a.Body))
--- a/internal/wire/http1/response.go
+++ b/internal/wire/http1/response.go
@@ -10,7 +10,7 @@
 // The statuses of rejections: the server was at capacity, and the request has not run.
 const (
 	TooManyRequests     = http.StatusTooManyRequests
-	Unavailable = http.StatusServiceUnavailable
+	ServiceUnavailable = http.StatusServiceUnavailable
 )
 
 // maxHeadSize is the limit, in bytes, of the heads of a message, those of interim responses among them. It is far
