--- a/internal/wire/jsonstream/jsonstream.go
+++ b/internal/wire/jsonstream/jsonstream.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Member cuts a member out of an object. It returns the object's text with null in the value's place, and the
+// CutMember cuts a member out of an object. It returns the object's text with null in the value's place, and the
 // value's text. It returns false if there is no such member, more than one, or a shape that it does not know.
-func Member(object []byte, name string) (rest, value []byte, ok bool) {
+func CutMember(object []byte, name string) (rest, value []byte, ok bool) {
 	from, to, ok := findMember(object, name)
 	if !ok {
 		return nil, nil, false
--- a/internal/wire/jsonstream/jsonstream_test.go
+++ b/internal/wire/jsonstream/jsonstream_test.go
@@ -93,11 +93,11 @@
 }
 
 func TestMember(t *testing.T) {
-	rest, value, ok := Member([]byte(`{"a":{"known":1}, "known" : {"x":"}"} ,"b":2}`), "known")
+	rest, value, ok := CutMember([]byte(`{"a":{"known":1}, "known" : {"x":"}"} ,"b":2}`), "known")
 	if !ok || string(rest) != `{"a":{"known":1}, "known" : null ,"b":2}` || string(value) != `{"x":"}"}` {
 		t.Errorf("%v %q %q", ok, rest, value)
 	}
-	if _, _, ok := Member([]byte(`{"a":1}`), "known"); ok {
+	if _, _, ok := CutMember([]byte(`{"a":1}`), "known"); ok {
 		t.Error("found where it is not")
 	}
 }
--- a/node/config.go
+++ b/node/config.go
@@ -118,7 +118,7 @@
 // cutLastList cuts the endpoint list out of a configuration: it may be by far the longest part, and is read as lists
 // are. It returns the text as it is where the list is absent, or is to be found by parsing the whole.
 func cutLastList(text []byte) (rest, lastList []byte, err error) {
-	rest, value, ok := jsonstream.Member(text, keyLastList)
+	rest, value, ok := jsonstream.CutMember(text, keyLastList)
 	if !ok {
 		return text, nil, nil
 	}
