--- a/internal/wire/endpointlist/reader.go
+++ b/internal/wire/endpointlist/reader.go
@@ -63,7 +63,7 @@
 	if len(text) < streamedSize {
 		return r.object.ParseBytes(text)
 	}
-	rest, texts, ok := jsonstream.Array(text, keyEntries)
+	rest, texts, ok := jsonstream.CutArray(text, keyEntries)
 	if !ok {
 		// A parser keeps the memory of the largest text that it has parsed, so that this one is given up.
 		defer func() { r.object = fastjson.Parser{} }()
--- a/internal/wire/jsonstream/jsonstream.go
+++ b/internal/wire/jsonstream/jsonstream.go
@@ -15,9 +15,9 @@
 	return replace(object, from, to, "null"), object[from:to], true
 }
 
-// Array cuts an array of objects out of an object. It returns the object's text with an empty array in its place, and
+// CutArray cuts an array of objects out of an object. It returns the object's text with an empty array in its place, and
 // the texts of the elements. It returns false as Member does.
-func Array(object []byte, name string) (rest []byte, elements [][]byte, ok bool) {
+func CutArray(object []byte, name string) (rest []byte, elements [][]byte, ok bool) {
 	from, to, ok := findMember(object, name)
 	if !ok {
 		return nil, nil, false
--- a/internal/wire/jsonstream/jsonstream_test.go
+++ b/internal/wire/jsonstream/jsonstream_test.go
@@ -29,7 +29,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		rest, elements, ok := Array([]byte(text), "instances")
+		rest, elements, ok := CutArray([]byte(text), "instances")
 		if !ok {
 			return
 		}
@@ -69,7 +69,7 @@
 }
 
 func TestArray(t *testing.T) {
-	rest, elements, ok := Array([]byte(`{"generation":4, "instances": [ {"a":"],"}, {} ] }`), "instances")
+	rest, elements, ok := CutArray([]byte(`{"generation":4, "instances": [ {"a":"],"}, {} ] }`), "instances")
 	wantRest := `{"generation":4, "instances": [] }`
 	if !ok || string(rest) != wantRest || len(elements) != 2 || string(elements[0]) != `{"a":"],"}` {
 		t.Errorf("%v %q %q", ok, rest, elements)
@@ -86,7 +86,7 @@
 		`{"instances":[1]} x`,
 		`[]`,
 	} {
-		if _, _, ok := Array([]byte(text), "instances"); ok {
+		if _, _, ok := CutArray([]byte(text), "instances"); ok {
 			t.Errorf("%q is cut, and is to be parsed as a whole", text)
 		}
 	}
