--- a/internal/wire/endpointlist/reader.go
+++ b/internal/wire/endpointlist/reader.go
@@ -18,8 +18,8 @@
 // streamedSize is the size, in bytes, from which a list is parsed entry by entry.
 const streamedSize = 32 << 10
 
-// ErrNoList says that a text is a JSON object without a list of entries.
-var ErrNoList = errors.New("it has no entries")
+// ErrNoEntries says that a text is a JSON object without a list of entries.
+var ErrNoEntries = errors.New("it has no entries")
 
 // List is a list of all endpoints, or the changes of one.
 type List struct {
@@ -47,7 +47,7 @@
 	}
 	entries := object.Get(keyEntries)
 	if entries == nil || entries.Type() != fastjson.TypeArray {
-		return List{}, ErrNoList
+		return List{}, ErrNoEntries
 	}
 	list.Version = object.GetInt(keyVersion)
 	list.HasVersion = object.Exists(keyVersion)
