--- a/internal/config/migration/convert.go
+++ b/internal/config/migration/convert.go
@@ -16,7 +16,7 @@
 
 // The errors of Convert about a text that is no configuration of a node.
 var (
-	ErrNoObject   = errors.New("it is not a JSON object")
+	ErrNotObject   = errors.New("it is not a JSON object")
 	ErrNoSettings = errors.New("it has no settings with service grades: not a node's configuration")
 	ErrBounds     = errors.New("settings.bounds is not an object")
 )
@@ -35,7 +35,7 @@
 func Convert(old []byte) (text []byte, remarks []Remark, err error) {
 	object, err := fastjson.ParseBytes(old)
 	if err != nil || object.Type() != fastjson.TypeObject {
-		return nil, nil, ErrNoObject
+		return nil, nil, ErrNotObject
 	}
 	settings := object.Get("settings")
 	if settings == nil || settings.Type() != fastjson.TypeObject || len(settings.GetArray("service_grades")) == 0 {
--- a/internal/config/migration/convert_test.go
+++ b/internal/config/migration/convert_test.go
@@ -46,8 +46,8 @@
 		name, text string
 		want       error
 	}{
-		{"no JSON", "{", ErrNoObject},
-		{"no object", "[]", ErrNoObject},
+		{"no JSON", "{", ErrNotObject},
+		{"no object", "[]", ErrNotObject},
 		{"no service classes", `{"settings":{}}`, ErrNoSettings},
 		{"bounds that are no object", `{"settings":{"service_grades":[{}],"bounds":5}}`, ErrBounds},
 	} {
