--- a/internal/wire/simwire/server.go
+++ b/internal/wire/simwire/server.go
@@ -17,8 +17,8 @@
 // readBufferSize is the size, in bytes, of the buffer for the input. Longer lines are put together of pieces.
 const readBufferSize = 1 << 20
 
-// ErrNoObject says that a line of the input is not a JSON object.
-var ErrNoObject = errors.New("the input holds a line that is not a JSON object")
+// ErrNotObject says that a line of the input is not a JSON object.
+var ErrNotObject = errors.New("the input holds a line that is not a JSON object")
 
 // Node is one node of the simulator, from its start until it is killed.
 type Node interface {
@@ -101,7 +101,7 @@
 func (s *server) batch(line []byte) ([]byte, error) {
 	v, err := s.parser.ParseBytes(line)
 	if err != nil || v.Type() != fastjson.TypeObject {
-		return nil, ErrNoObject
+		return nil, ErrNotObject
 	}
 	s.out.reset()
 	now := instant(v.Get(keyTime))
