--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -72,8 +72,8 @@
 	if protocol == "" {
 		protocol = s.Traffic.Protocol
 	}
-	if protocol != listeners.Meta && protocol != listeners.HTTP {
-		return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, listeners.Meta, listeners.HTTP)
+	if protocol != listeners.ProtocolMeta && protocol != listeners.HTTP {
+		return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.HTTP)
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/config/listeners/file.go
+++ b/internal/config/listeners/file.go
@@ -11,7 +11,7 @@
 
 // The protocols that a listener may speak, as Listener.Protocol states them.
 const (
-	Meta = "meta" // the meta commands of the memcache text protocol
+	ProtocolMeta = "meta" // the meta commands of the memcache text protocol
 	HTTP = "http" // HTTP/1.1
 )
 
--- a/internal/config/listeners/listener.go
+++ b/internal/config/listeners/listener.go
@@ -96,12 +96,12 @@
 func (l *Listener) checkProtocol(c *strictconfig.Checker, prefix string) {
 	path := prefix + "protocol"
 	switch l.Protocol {
-	case Meta:
+	case ProtocolMeta:
 		c.Require(!l.hasHTTPFields(), path, "meta commands need no routes, pages and headers")
 	case HTTP:
 		c.Require(len(l.Routes) > 0, path, "names no route, so nothing could be asked")
 	default:
-		c.Require(false, path, "%q is neither %s nor %s", l.Protocol, Meta, HTTP)
+		c.Require(false, path, "%q is neither %s nor %s", l.Protocol, ProtocolMeta, HTTP)
 	}
 }
 
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -66,8 +66,8 @@
 }
 
 func checkProtocol(c *strictconfig.Checker, protocol, path string) {
-	known := protocol == listeners.Meta || protocol == listeners.HTTP
-	c.Require(known, path, "%q is neither %s nor %s", protocol, listeners.Meta, listeners.HTTP)
+	known := protocol == listeners.ProtocolMeta || protocol == listeners.HTTP
+	c.Require(known, path, "%q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.HTTP)
 }
 
 func (s *Scenario) checkOrigin(c *strictconfig.Checker) {
@@ -132,7 +132,7 @@
 	c.Require(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "clients that wait less do so for some time")
 	c.InRange(t.LongShare, 0, 1, "traffic.long_share")
 	c.InRange(float64(t.LongKB), 0, maxValueKB, "traffic.long_kb")
-	c.Require(t.LongShare == 0 || t.Protocol == listeners.Meta, "traffic.long_share", "values are long only by %s", listeners.Meta)
+	c.Require(t.LongShare == 0 || t.Protocol == listeners.ProtocolMeta, "traffic.long_share", "values are long only by %s", listeners.ProtocolMeta)
 }
 
 func (s *Scenario) checkClasses(c *strictconfig.Checker) {
