--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -72,12 +72,12 @@
 	if protocol == "" {
 		protocol = s.Traffic.Protocol
 	}
-	if protocol != listeners.ProtocolMeta && protocol != listeners.HTTP {
-		return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.HTTP)
+	if protocol != listeners.ProtocolMeta && protocol != listeners.ProtocolHTTP {
+		return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.ProtocolHTTP)
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	result := loadgen.Run(ctx, addr, protocol == listeners.HTTP, world.NewTraffic(traffic), o.duration)
+	result := loadgen.Run(ctx, addr, protocol == listeners.ProtocolHTTP, world.NewTraffic(traffic), o.duration)
 	result.Print(c.OutOrStdout())
 	if result.TooBusy() {
 		return errors.New("not judged")
--- a/internal/config/listeners/file.go
+++ b/internal/config/listeners/file.go
@@ -12,7 +12,7 @@
 // The protocols that a listener may speak, as Listener.Protocol states them.
 const (
 	ProtocolMeta = "meta" // the meta commands of the memcache text protocol
-	HTTP = "http" // HTTP/1.1
+	ProtocolHTTP = "http" // HTTP/1.1
 )
 
 // The values of fields that are left out.
--- a/internal/config/listeners/listener.go
+++ b/internal/config/listeners/listener.go
@@ -98,10 +98,10 @@
 	switch l.Protocol {
 	case ProtocolMeta:
 		c.Require(!l.hasHTTPFields(), path, "meta commands need no routes, pages and headers")
-	case HTTP:
+	case ProtocolHTTP:
 		c.Require(len(l.Routes) > 0, path, "names no route, so nothing could be asked")
 	default:
-		c.Require(false, path, "%q is neither %s nor %s", l.Protocol, ProtocolMeta, HTTP)
+		c.Require(false, path, "%q is neither %s nor %s", l.Protocol, ProtocolMeta, ProtocolHTTP)
 	}
 }
 
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -53,7 +53,7 @@
 	}
 	beyond := scenario.Span(r.scenario.Allowed.LateAnswerMs / 1000)
 	pool := &client.Pool{Addr: addrs[0], LateTolerance: beyond}
-	if r.scenario.Traffic.Protocol == listeners.HTTP {
+	if r.scenario.Traffic.Protocol == listeners.ProtocolHTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: beyond}
 	}
 	return &member{r: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], http: addrs[1], agent: a, pool: pool, asks: map[string]bool{}, excused: map[string]bool{}}, nil
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -356,7 +356,7 @@
 		}
 		for {
 			size := 0
-			if r.scenario.Fleet.Protocol == listeners.HTTP {
+			if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
 				size = c.nextRequest(held)
 			} else if o, n := cachestub.ReadOrder(held); n > 0 {
 				r.mu.Lock()
@@ -495,7 +495,7 @@
 	}
 	s := r.servers[l.server]
 	out := r.answerOf(d, r.scenario.Fleet.Reports)
-	if r.scenario.Fleet.Protocol == listeners.HTTP {
+	if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
 		out = keptAnswer(d, s.fault == "stale", l.tag)
 	}
 	switch s.fault {
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -58,16 +58,16 @@
 	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
 	c.InRange(f.IdleS, 0.1, maxSeconds, "fleet.idle_s")
 	checkProtocol(c, f.Protocol, "fleet.protocol")
-	httpClients := s.Traffic.Protocol == listeners.HTTP
-	c.Require(f.Protocol != listeners.HTTP || httpClients && !f.Reports, "fleet.protocol",
+	httpClients := s.Traffic.Protocol == listeners.ProtocolHTTP
+	c.Require(f.Protocol != listeners.ProtocolHTTP || httpClients && !f.Reports, "fleet.protocol",
 		"caches speak http only where clients do, and tell no load")
 	checkProtocol(c, s.Traffic.Protocol, "traffic.protocol")
 	c.Require(len(f.Zones) > 0, "fleet.zones", "names no zone")
 }
 
 func checkProtocol(c *strictconfig.Checker, protocol, path string) {
-	known := protocol == listeners.ProtocolMeta || protocol == listeners.HTTP
-	c.Require(known, path, "%q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.HTTP)
+	known := protocol == listeners.ProtocolMeta || protocol == listeners.ProtocolHTTP
+	c.Require(known, path, "%q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.ProtocolHTTP)
 }
 
 func (s *Scenario) checkOrigin(c *strictconfig.Checker) {
--- a/internal/emulator/scenario/check_events.go
+++ b/internal/emulator/scenario/check_events.go
@@ -109,7 +109,7 @@
 func (s *Scenario) checkEventFault(c *strictconfig.Checker, e *Event, at string) {
 	c.Require(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault",
 		"%q is none of %s", e.Fault, strings.Join(faults, ", "))
-	c.Require(e.Fault != stale || s.Fleet.Protocol == listeners.HTTP, at+"fault",
+	c.Require(e.Fault != stale || s.Fleet.Protocol == listeners.ProtocolHTTP, at+"fault",
 		"only caches that speak http keep what is stale")
 	c.Require(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
 	c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -60,7 +60,7 @@
 // nil where there are neither.
 func (s *Scenario) Operator(listen string) []byte {
 	var text string
-	if s.Traffic.Protocol == listeners.HTTP {
+	if s.Traffic.Protocol == listeners.ProtocolHTTP {
 		text = fmt.Sprintf(`[[listener]]
 listen = %q
 protocol = "http"
@@ -74,7 +74,7 @@
 grade = %q
 `, listen, client.ReadyPath, client.IDHeader, client.ClassHeader, client.TimeoutHeader, client.PathPrefix, s.Classes[0].Name)
 	}
-	if s.Fleet.Protocol == listeners.HTTP {
+	if s.Fleet.Protocol == listeners.ProtocolHTTP {
 		text += "[servers]\nhttp_kinds = [\"cache\"]\n"
 	}
 	if len(s.Levels) > 0 {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -330,7 +330,7 @@
 
 var testListener = listeners.Listener{
 	Listen:         "127.0.0.1:0",
-	Protocol:       listeners.HTTP,
+	Protocol:       listeners.ProtocolHTTP,
 	ReadyPath:      "/up",
 	SortQuery:      true,
 	ClassHeader:    "X-Grade",
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -85,7 +85,7 @@
 	codecs := []downstreamCodec{metaDownstream{}}
 	for i := range p.config.Listeners.Listeners {
 		listener := &p.config.Listeners.Listeners[i]
-		if listener.Protocol == listeners.HTTP {
+		if listener.Protocol == listeners.ProtocolHTTP {
 			codecs = append(codecs, newHTTPDownstream(listener, i, p))
 		} else {
 			codecs = append(codecs, metaDownstream{})
