--- a/internal/config/listeners/listener.go
+++ b/internal/config/listeners/listener.go
@@ -57,8 +57,8 @@
 	return found, known
 }
 
-// Allowed returns the methods that have a route for a path.
-func (l *Listener) Allowed(path string) []string {
+// AllowedMethods returns the methods that have a route for a path.
+func (l *Listener) AllowedMethods(path string) []string {
 	var methods []string
 	for _, r := range l.Routes {
 		if !strings.HasPrefix(path, r.Path) {
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -36,7 +36,7 @@
 	}
 	route, pathKnown := h.listener.Route(method, path)
 	if route == nil && pathKnown {
-		allow := "Allow: " + strings.Join(h.listener.Allowed(path), ", ")
+		allow := "Allow: " + strings.Join(h.listener.AllowedMethods(path), ", ")
 		return &httpRejection{status: 405, reason: "this can't be done here", headers: []string{allow}}
 	}
 	if route == nil {
