--- a/internal/wire/simwire/server.go
+++ b/internal/wire/simwire/server.go
@@ -31,12 +31,12 @@
 	OnTimer(now monotime.Instant, token string)
 }
 
-// Start makes the Node of a node that starts. Its actions go to out, within the calls on it and within Start itself.
-type Start func(now monotime.Instant, seed int64, settings policy.Settings, out *Writer) Node
+// NewNodeFunc makes the Node of a node that starts. Its actions go to out, within the calls on it and within NewNodeFunc itself.
+type NewNodeFunc func(now monotime.Instant, seed int64, settings policy.Settings, out *Writer) Node
 
 // server holds the state between batches.
 type server struct {
-	start       Start
+	start       NewNodeFunc
 	parser      fastjson.Parser
 	out         Writer
 	nodes       map[int]*instance
@@ -54,7 +54,7 @@
 
 // Serve answers batches from in on out until in ends. An event that cannot be understood is ignored, with a line on
 // log. An error is a line that is no JSON object (ErrNoObject), settings that cannot be used, or one of in and out.
-func Serve(in io.Reader, out, log io.Writer, start Start) error {
+func Serve(in io.Reader, out, log io.Writer, start NewNodeFunc) error {
 	s := &server{
 		start:       start,
 		nodes:       map[int]*instance{},
