--- a/cmd/dahliapin/main_test.go
+++ b/cmd/dahliapin/main_test.go
@@ -153,9 +153,9 @@
 	expect(polls, "first since=7")
 	for _, step := range []struct{ discovery, end, logs, polls string }{
 		{second, `]}}`, "the last one stays", ""}, // half written
-		{second, "", "read again", "second since=7"},
-		{second, "", "read again", ""},
-		{first, "", "read again", "first since=7"},
+		{second, "", "configuration reloaded", "second since=7"},
+		{second, "", "configuration reloaded", ""},
+		{first, "", "configuration reloaded", "first since=7"},
 	} {
 		write(step.discovery, step.end)
 		program.Process.Signal(syscall.SIGHUP)
--- a/node/changelog_test.go
+++ b/node/changelog_test.go
@@ -151,7 +151,7 @@
 	if !slices.Equal(purges, []string{"2k", "5l"}) {
 		t.Errorf("purges %q", purges)
 	}
-	if strings.Contains(log, "differs") || !strings.Contains(log, "configuration read again") {
+	if strings.Contains(log, "differs") || !strings.Contains(log, "configuration reloaded") {
 		t.Errorf("what is each node's own: %s", log)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -150,7 +150,7 @@
 			log = log.WithField(field, "differs; a restart takes it")
 		}
 	}
-	log.Info("configuration read again")
+	log.Info("configuration reloaded")
 	n.proxy.SetDiscovery(c.Discovery)
 }
 
