--- a/cmd/dahliapin/syscall_fault_handover_test.go
+++ b/cmd/dahliapin/syscall_fault_handover_test.go
@@ -28,7 +28,7 @@
 		Match: func(socket syscallfault.Socket) bool { return socket.Listening && socket.LocalPort == 0 },
 	})
 	successor := s.start()
-	s.expect(successor, "taking another process's place")
+	s.expect(successor, "taking over from the running process")
 	s.expect(successor, "msg=serving")
 	if injection.Injected() == 0 {
 		t.Error("no accept has failed")
--- a/cmd/dahliapin/upgrade_test.go
+++ b/cmd/dahliapin/upgrade_test.go
@@ -189,7 +189,7 @@
 		next := s.start()
 		switch how {
 		case "newcomer killed": // with the sockets in its hands
-			s.expect(next, "taking another process's place")
+			s.expect(next, "taking over from the running process")
 			next.Process.Kill()
 			s.expect(now, "successor process has exited")
 			next = now
@@ -201,7 +201,7 @@
 			s.expect(now, "successor process has exited")
 			next = now
 		case "ended before its yes":
-			s.expect(next, "taking another process's place")
+			s.expect(next, "taking over from the running process")
 			now.Process.Signal(syscall.SIGTERM)
 			s.expect(now, "counters, stopped")
 			s.expect(next, "predecessor process has exited")
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -30,7 +30,7 @@
 		n.log.WithError(err).Warn("no process can be replaced")
 	}
 	if inherited != nil {
-		n.log.WithField("listeners", len(inherited.Listeners)).Info("taking another process's place")
+		n.log.WithField("listeners", len(inherited.Listeners)).Info("taking over from the running process")
 	}
 	return inherited, path
 }
