--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -14,9 +14,9 @@
 
 // ControlFile is the file of a control server.
 type ControlFile struct {
-	Control  Control       `toml:"control"`
-	Servers []ControlServer     `toml:"machine"`
-	Bounds   ControlBounds `toml:"bounds"`
+	Control Control         `toml:"control"`
+	Servers []ControlServer `toml:"machine"`
+	Bounds  ControlBounds   `toml:"bounds"`
 	// Purges is nil where purges are published and delivered, and not carried out at caches by this machine.
 	Purges *Purges `toml:"purges"`
 }
@@ -40,27 +40,27 @@
 
 // ControlBounds bound what a control server keeps and sends.
 type ControlBounds struct {
-	Entries   int     `toml:"entries"`     // log entries kept for nodes that come back
-	KeptMB    float64 `toml:"kept_mb"`     // MiB of these
-	WindowKiB float64 `toml:"window_kb"`   // KiB in flight to a node that it has not acknowledged
-	PaceMB    float64 `toml:"pace_mb_s"`   // MiB a second to all nodes that catch up
-	Followers int     `toml:"followers"`   // nodes that follow at once
-	HoldS     float64 `toml:"hold_s"`      // seconds for which entries are kept for a node that is not heard
-	ForgetS   float64 `toml:"forget_s"`    // seconds after which a node that is not heard is no longer reported
-	ElectionMs   float64 `toml:"election_ms"` // milliseconds without the leader until an election, up to twice that
+	Entries    int     `toml:"entries"`     // log entries kept for nodes that come back
+	KeptMB     float64 `toml:"kept_mb"`     // MiB of these
+	WindowKiB  float64 `toml:"window_kb"`   // KiB in flight to a node that it has not acknowledged
+	PaceMB     float64 `toml:"pace_mb_s"`   // MiB a second to all nodes that catch up
+	Followers  int     `toml:"followers"`   // nodes that follow at once
+	HoldS      float64 `toml:"hold_s"`      // seconds for which entries are kept for a node that is not heard
+	ForgetS    float64 `toml:"forget_s"`    // seconds after which a node that is not heard is no longer reported
+	ElectionMs float64 `toml:"election_ms"` // milliseconds without the leader until an election, up to twice that
 }
 
 // DefaultControl returns what holds where a control server's file says nothing.
 func DefaultControl() ControlFile {
 	return ControlFile{Bounds: ControlBounds{
-		Entries:   65_536,
-		KeptMB:    32,
-		WindowKiB: 256,
-		PaceMB:    4,
-		Followers: 600,
-		HoldS:     7200,
-		ForgetS:   86_400,
-		ElectionMs:   1200,
+		Entries:    65_536,
+		KeptMB:     32,
+		WindowKiB:  256,
+		PaceMB:     4,
+		Followers:  600,
+		HoldS:      7200,
+		ForgetS:    86_400,
+		ElectionMs: 1200,
 	}}
 }
 
--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -52,8 +52,8 @@
 
 // Changes says where a node follows the fleet's replicated log. Without control servers it follows none.
 type Changes struct {
-	Servers     []string `toml:"at"`      // addresses of control servers, where they listen for nodes
-	StaleS float64  `toml:"stale_s"` // seconds without a control server that has a leader, until the node is stale
+	Servers []string `toml:"at"`      // addresses of control servers, where they listen for nodes
+	StaleS  float64  `toml:"stale_s"` // seconds without a control server that has a leader, until the node is stale
 }
 
 // AddressMapping says that a member is reached elsewhere than at the address that it advertises: by a forwarded port,
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -14,9 +14,9 @@
 type Purges struct {
 	Discovery         string   `toml:"discovery"`    // address of the endpoint list; empty where Caches lists them
 	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are no caches
-	MaxFillS            float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
+	MaxFillS          float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
 	CommandsPerSecond float64  `toml:"commands_s"`   // commands a second to a cache, once a burst of 1,024 has gone
-	FlushIntervalS            float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
+	FlushIntervalS    float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
 	Caches            []Cache  `toml:"cache"`
 }
 
@@ -31,9 +31,9 @@
 func DefaultPurges() *Purges {
 	return &Purges{
 		Origins:           []string{"origin"},
-		MaxFillS:            3.5,
+		MaxFillS:          3.5,
 		CommandsPerSecond: 500,
-		FlushIntervalS:            10,
+		FlushIntervalS:    10,
 	}
 }
 
--- a/internal/config/migration/convert.go
+++ b/internal/config/migration/convert.go
@@ -16,7 +16,7 @@
 
 // The errors of Convert about a text that is no configuration of a node.
 var (
-	ErrNotObject   = errors.New("it is not a JSON object")
+	ErrNotObject  = errors.New("it is not a JSON object")
 	ErrNoSettings = errors.New("it has no settings with service grades: not a node's configuration")
 	ErrBounds     = errors.New("settings.bounds is not an object")
 )
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -31,9 +31,9 @@
 func startPeer(s *Server, other fleetconfig.ControlServer) *peer {
 	p := &peer{
 		ControlServer: other,
-		server:  s,
-		outbox:  make(chan *pb.Message, outboxMessages),
-		random:  keyhash.Source{Seed: uint32(keyhash.Salted(s.id, int(other.ID)))},
+		server:        s,
+		outbox:        make(chan *pb.Message, outboxMessages),
+		random:        keyhash.Source{Seed: uint32(keyhash.Salted(s.id, int(other.ID)))},
 	}
 	s.goroutines.Go(p.run)
 	return p
--- a/internal/wire/http1/response.go
+++ b/internal/wire/http1/response.go
@@ -9,7 +9,7 @@
 
 // The statuses of rejections: the server was at capacity, and the request has not run.
 const (
-	TooManyRequests     = http.StatusTooManyRequests
+	TooManyRequests    = http.StatusTooManyRequests
 	ServiceUnavailable = http.StatusServiceUnavailable
 )
 
--- a/internal/wire/meta/delete.go
+++ b/internal/wire/meta/delete.go
@@ -4,8 +4,8 @@
 
 // FlushAll removes all values of a cache. FlushDone begins its answer.
 const (
-	FlushAll = "flush_all" + LineEnd
-	FlushDone  = "OK"
+	FlushAll  = "flush_all" + LineEnd
+	FlushDone = "OK"
 )
 
 // wordNotFound answers a deletion of a key that the cache does not have.
