--- a/internal/config/settings/check.go
+++ b/internal/config/settings/check.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// The keys that are checked, by what their values have to be. Numbers are finite and not negative.
+// The keys to check, by the type that their values must have. Numbers must be finite and not negative.
 var (
 	objectKeys = []string{keyCosts, keyRules, keyBounds, keyFamily, keyTelemetry}
 	listKeys   = []string{
@@ -39,9 +39,9 @@
 	stringKeys = []string{keyZone, keyDiscovery, keyFamily + "." + keyMode}
 )
 
-// check returns a *KeyError for the first key whose value cannot be used. Without it, a value of a wrong type would
-// silently be taken for the default. Objects come first: nothing is found in a value that is no object, so that all
-// keys within it would pass as left out.
+// check returns a *KeyError for the first key with an invalid value. Without it, a value of the wrong type would
+// silently be replaced by the default. Objects are checked first: lookups within a value that is not an object find
+// nothing, so all its keys would pass as missing.
 func check(object *fastjson.Value) error {
 	checks := []func(*fastjson.Value) error{
 		checkObjects, checkLists, checkNumbers, checkIntegers, checkClasses, checkTenants, checkBooleans, checkStrings,
@@ -60,7 +60,7 @@
 }
 
 func checkLists(object *fastjson.Value) error {
-	return checkType(object, listKeys, "is not a list", fastjson.TypeArray)
+	return checkType(object, listKeys, "is not an array", fastjson.TypeArray)
 }
 
 func checkBooleans(object *fastjson.Value) error {
@@ -68,7 +68,7 @@
 }
 
 func checkStrings(object *fastjson.Value) error {
-	return checkType(object, stringKeys, "is not a text", fastjson.TypeString)
+	return checkType(object, stringKeys, "is not a string", fastjson.TypeString)
 }
 
 func checkType(object *fastjson.Value, keys []string, problem string, types ...fastjson.Type) error {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// checkZone finds a node's zone among the deployment's, if both are stated.
+// checkZone checks that a node's zone is one of the deployment's zones, if both are given.
 func checkZone(object *fastjson.Value) error {
 	zone := string(object.GetStringBytes(keyZone))
 	zones := object.GetArray(keyZones)
@@ -129,7 +129,7 @@
 	if slices.ContainsFunc(zones, isZone) {
 		return nil
 	}
-	return &KeyError{Key: keyZone, Problem: fmt.Sprintf("is %q, which %s does not name", zone, keyZones)}
+	return &KeyError{Key: keyZone, Problem: fmt.Sprintf("is %q, which %s does not list", zone, keyZones)}
 }
 
 func checkNumber(key string, v *fastjson.Value) error {
--- a/internal/config/settings/check_test.go
+++ b/internal/config/settings/check_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// An endpoint of a kind that the settings do not name used to be taken for the origin, and so was one of the first
-// kind where the origin's was null. Its values would have been treated as the authoritative ones.
+// Guards against treating an endpoint as the origin, whose values are authoritative, when its kind is undefined or when
+// the origin's kind is null and the endpoint has the first kind.
 func TestUnknownKindIsNotTheOrigin(t *testing.T) {
 	for _, family := range []string{`{}`, `{"origin_kind":null}`} {
 		text := `{"service_grades":[{}],"kinds":["box"],"family_info":` + family + `}`
@@ -32,11 +32,11 @@
 	}
 }
 
-// A setting of a wrong type used to be taken for its default without a word to the operator.
-func TestInvalidSettingIsNamedInOneLine(t *testing.T) {
+// Guards against replacing a setting of the wrong type by its default without an error.
+func TestInvalidSettingIsReportedInOneLine(t *testing.T) {
 	for _, test := range []struct {
 		want      string // within the error
-		old, with string // what is replaced in the valid settings
+		old, with string // replacement in the valid settings
 		key       string
 	}{
 		{"service_grades[0].late_benefit", "0.5", `"half"`, "service_grades[0].late_benefit"},
@@ -45,9 +45,9 @@
 		{"tariffs.cross_zone", "0.2", "1e999", "tariffs.cross_zone"},
 		{"bounds.cancel", "true", "1", "bounds.cancel"},
 		{`zone is "c"`, `"zone":"a"`, `"zone":"c"`, "zone"},
-		{"zone is not a text", `"zone":"a"`, `"zone":1`, "zone"},
+		{"zone is not a string", `"zone":"a"`, `"zone":1`, "zone"},
 		{"rules is not an object", `{"overload_factor":3}`, "[]", "rules"},
-		{"failure_domains is not a list", `["a","b"]`, `"a"`, "failure_domains"},
+		{"failure_domains is not an array", `["a","b"]`, `"a"`, "failure_domains"},
 		{"n_instances is not a whole", `"zone":"a"`, `"n_instances":1.5`, "n_instances"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestSettingsWithoutClassesAreRefused(t *testing.T) {
+func TestSettingsWithoutClassesAreRejected(t *testing.T) {
 	if _, err := Decode(fastjson.MustParse(`{}`)); !errors.Is(err, ErrNoClasses) {
 		t.Fatal(err)
 	}
--- a/internal/config/settings/decode.go
+++ b/internal/config/settings/decode.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	noOriginKind = -2 // kind of no endpoint: an endpoint whose kind the settings do not name has the kind -1
-	noColumn     = -1 // position of a load report's column that the settings do not name
+	noOriginKind = -2 // matches no endpoint: an endpoint of an undefined kind has the kind -1, so -1 cannot be used
+	noColumn     = -1 // index of a load report column that is not configured
 )
 
-// The protocol's words for repeat safety and for where repeats are recognized. A class with another word, or none,
-// is not idempotent, or has repeats recognized by the same endpoint only.
+// The protocol's values for idempotency and for the scope of deduplication. A class with any other value, or none, is
+// not idempotent, or its repeated requests are recognized by the same endpoint only.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"idempotent":   policy.Idempotent,
@@ -24,8 +24,8 @@
 	}
 )
 
-// Decode checks the settings object and decodes it. It returns ErrNoClasses where the object has no service class,
-// and a *KeyError for the first key whose value cannot be used. A key that is left out or null has its default.
+// Decode validates and decodes the settings object. It returns ErrNoClasses if the object has no service class, and a
+// *KeyError for the first key with an invalid value. A key that is missing or null has its default.
 func Decode(object *fastjson.Value) (Settings, error) {
 	if len(object.GetArray(keyClasses)) == 0 {
 		return Settings{}, ErrNoClasses
@@ -66,7 +66,7 @@
 	}
 }
 
-// decodeTopology decodes what stands around the node: zone, other nodes, endpoint list, origin.
+// decodeTopology decodes the node's environment: its zone, the number of nodes, discovery and the origin.
 func (s *Settings) decodeTopology(object *fastjson.Value) {
 	s.Policy.Zone = policy.ZoneID(object.GetStringBytes(keyZone))
 	s.Policy.Nodes = object.GetInt(keyNodes)
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -11,7 +11,7 @@
 	"dahliapin/internal/golden"
 )
 
-// allSettings has every key of the settings that is read, each with a value of its own.
+// allSettings has every settings key that is read, each with a distinct value.
 const allSettings = `{"service_grades":[
 {"name":"look","benefit":1.5,"effect":"idempotent","group":"all","soft_limit_s":0.31,"hard_stop_s":1.21,
 "key_ttl_s":4.5,"late_benefit":0.25},
@@ -26,7 +26,7 @@
 "rules":{"ask_within_s":2.25,"cold_from":0.35,"cold_s":9,"overload_factor":2.5},
 "telemetry":{"columns":["busy","backlog","outstanding"]}}`
 
-func TestSettingsAreDecodedAsRecorded(t *testing.T) {
+func TestDecodedSettingsMatchGoldenFile(t *testing.T) {
 	var got strings.Builder
 	for _, text := range []string{allSettings, `{"service_grades":[{"name":"only","soft_limit_s":0.1}]}`} {
 		s, err := Decode(fastjson.MustParse(text))
--- a/internal/config/settings/keys.go
+++ b/internal/config/settings/keys.go
@@ -1,16 +1,16 @@
 package settings
 
-// The keys of the settings object, in the protocol's words. A dot separates an object from its member.
+// The keys of the settings object, as the protocol names them.
 const (
 	keyZone            = "zone"            // zone of this node
 	keyZones           = "failure_domains" // names of all zones
-	keyDiscovery       = "discovery"       // whether the endpoint list is polled
+	keyDiscovery       = "discovery"       // how endpoints are discovered: see discoveryByPoll
 	keyTickInterval    = "round_s"         // tick interval
 	keyNodes           = "n_instances"     // number of nodes
 	keyOverQuotaWeight = "excess_benefit"  // weight of a request over its tenant's quota
-	keyKinds           = "kinds"           // names of the kinds of endpoints
+	keyKinds           = "kinds"           // names of the endpoint kinds
 
-	keyClasses          = "service_grades" // service classes, objects with the next keys
+	keyClasses          = "service_grades" // service classes: objects with the keys below
 	keyClassName        = "name"
 	keyPriorityWeight   = "benefit"
 	keyIdempotency      = "effect"
@@ -20,7 +20,7 @@
 	keyLateShare        = "late_benefit"
 	keyDeadline         = "hard_stop_s"
 
-	keyTenants    = "tenants" // tenants, objects with the next keys
+	keyTenants    = "tenants" // tenants: objects with the keys below
 	keyTenantName = "name"
 	keyQuota      = "quota_rps"
 
@@ -50,10 +50,10 @@
 	keyTelemetryColumn = "columns"
 )
 
-// The values that are words of the protocol.
+// The string values that the protocol defines.
 const (
 	modeCacheAside  = "aside"       // of keyMode: misses are fetched from the origin by the node
 	discoveryByPoll = "ask"         // of keyDiscovery: the node polls the endpoint list
 	columnInFlight  = "outstanding" // of keyTelemetryColumn: requests in flight at an endpoint
-	columnQueue     = "backlog"     // of keyTelemetryColumn: requests that wait at an endpoint
+	columnQueue     = "backlog"     // of keyTelemetryColumn: requests queued at an endpoint
 )
--- a/internal/config/settings/names.go
+++ b/internal/config/settings/names.go
@@ -9,11 +9,11 @@
 	"dahliapin/policy"
 )
 
-// unknownName is the number of a name that the deployment does not state.
+// unknownName is the number of a name that the deployment does not define.
 const unknownName = -1
 
-// NameTable translates the names that a deployment states into numbers: those of its service classes, tenants and
-// kinds of endpoints, each counted from 0 in the order of the settings. A name that it does not state is -1.
+// NameTable maps the names that a deployment defines to numbers: those of its service classes, tenants and endpoint
+// kinds, each numbered from 0 in the order of the settings. An undefined name is mapped to -1.
 type NameTable struct {
 	classes map[string]int
 	tenants map[string]int
@@ -22,22 +22,22 @@
 	report  []float64 // buffer of LoadReport
 }
 
-// Class returns a service class's number.
+// Class returns the number of a service class.
 func (n *NameTable) Class(name []byte) policy.ClassID { return policy.ClassID(lookup(n.classes, name)) }
 
-// Classes returns the number of each service class by its name, in no order.
+// Classes returns the name and number of each service class, in no particular order.
 func (n *NameTable) Classes() iter.Seq2[string, int] { return maps.All(n.classes) }
 
-// Tenant returns a tenant's number.
+// Tenant returns the number of a tenant.
 func (n *NameTable) Tenant(name []byte) policy.TenantID {
 	return policy.TenantID(lookup(n.tenants, name))
 }
 
-// Kind returns the number of a kind of endpoint.
+// Kind returns the number of an endpoint kind.
 func (n *NameTable) Kind(name []byte) int { return lookup(n.kinds, name) }
 
-// LoadReport returns a load report's values in the order of the stated columns, as value returns them, or nil if
-// value lacks one of them. The result is valid until the next call.
+// LoadReport returns the values of a load report, obtained from value, in the order of the configured columns. It
+// returns nil if a column has no value. The result is valid until the next call.
 func (n *NameTable) LoadReport(value func(column string) (float64, bool)) []float64 {
 	n.report = n.report[:0]
 	for _, column := range n.columns {
@@ -57,8 +57,8 @@
 	return unknownName
 }
 
-// numberByName returns each value's position by its name, which is the value itself or its member nameKey. Of two
-// with one name, the later position counts.
+// numberByName maps each value's name to its index. The name is the value itself or its member nameKey. If a name
+// occurs twice, the later index is used.
 func numberByName(list []*fastjson.Value, nameKey ...string) map[string]int {
 	numbers := make(map[string]int, len(list))
 	for i, v := range list {
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -6,11 +6,11 @@
 	"dahliapin/policy"
 )
 
-// Settings are the settings of a deployment, as far as the product reads them.
+// Settings holds the settings of a deployment that dahliapin reads.
 type Settings struct {
-	Policy          policy.Settings // what the decisions depend on
-	Names           NameTable       // the deployment's names
-	ConnectTimeout  time.Duration   // how long a connection to an endpoint may take to come up
+	Policy          policy.Settings // settings of the policy
+	Names           NameTable       // names that the deployment defines
+	ConnectTimeout  time.Duration   // timeout for connecting to an endpoint
 	Deadlines       []time.Duration // default deadline of a request, by service class
 	LongestDeadline time.Duration   // the longest of Deadlines
 }
--- a/internal/config/settings/values.go
+++ b/internal/config/settings/values.go
@@ -7,10 +7,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxSeconds bounds a duration in either direction, in seconds, so that its microseconds fit a time.Duration.
+// maxSeconds bounds the magnitude of a duration, in seconds, so that it fits a time.Duration.
 const maxSeconds = 1e9
 
-// Number returns a JSON number if it is finite. Everything else, a missing value included, is 0.
+// Number returns the value of a finite JSON number, and 0 for anything else, including a missing value.
 func Number(v *fastjson.Value) float64 {
 	if v == nil {
 		return 0
@@ -22,11 +22,12 @@
 	return x
 }
 
-// Seconds returns a JSON number of seconds as a duration, rounded to the microsecond. What is no finite number is 0.
+// Seconds converts a JSON number of seconds to a duration, rounded to the microsecond. Anything but a finite number
+// gives 0.
 func Seconds(v *fastjson.Value) time.Duration {
 	bounded := min(max(Number(v), -maxSeconds), maxSeconds)
 	return time.Duration(math.Round(bounded*1e6)) * time.Microsecond
 }
 
-// isSet tells whether a key is present with a value other than null, which stands for the default.
+// isSet reports whether a key is present and not null; null stands for the default.
 func isSet(v *fastjson.Value) bool { return v != nil && v.Type() != fastjson.TypeNull }
--- a/internal/config/strictconfig/checker.go
+++ b/internal/config/strictconfig/checker.go
@@ -10,15 +10,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Checker collects what is wrong with a file that has been decoded.
+// Checker collects the errors of a decoded file.
 type Checker struct {
 	file  string
-	lines map[string]int // line of each field and table by its path
-	wrong FieldErrors
+	lines map[string]int // line of each field and table, by path
+	errs  FieldErrors
 }
 
-// Parse decodes the text of a file into a struct, and returns a Checker for the caller's further requirements. An
-// error is a FieldErrors.
+// Parse decodes the text of a file into a struct and returns a Checker for the caller's own requirements. Its errors
+// are of the type FieldErrors.
 func Parse(file string, text []byte, into any) (*Checker, error) {
 	err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(into)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return &Checker{file: file, lines: lineNumbers(text)}, nil
 }
 
-// fieldErrors turns an error of the TOML library into one with the file and its line.
+// fieldErrors converts an error of the TOML library to FieldErrors with the file and the line.
 func fieldErrors(file string, err error) FieldErrors {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -49,35 +49,35 @@
 }
 
 // Require records an error for the field at a path unless the requirement holds. The reason is formatted as by
-// fmt.Sprintf. A field that the file leaves out has the line of the table that it belongs to.
+// fmt.Sprintf. A field that is missing from the file is reported at the line of its table.
 func (c *Checker) Require(holds bool, path, reason string, args ...any) {
 	if holds {
 		return
 	}
-	c.wrong = append(c.wrong, FieldError{
+	c.errs = append(c.errs, FieldError{
 		File:   c.file,
 		Line:   c.lineOf(path),
 		Reason: path + ": " + fmt.Sprintf(reason, args...),
 	})
 }
 
-// InRange requires the number at a path to be between two bounds, both included.
+// InRange requires the number at a path to be between two bounds, inclusive.
 func (c *Checker) InRange(x, least, most float64, path string) {
 	c.Require(x >= least && x <= most, path, "%v is not from %v to %v", x, least, most)
 }
 
-// Err returns what has been recorded as FieldErrors, or nil.
+// Err returns the recorded errors as FieldErrors, or nil if there are none.
 func (c *Checker) Err() error {
-	if len(c.wrong) == 0 {
+	if len(c.errs) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(c.wrong, func(a, b FieldError) int {
+	slices.SortStableFunc(c.errs, func(a, b FieldError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Reason, b.Reason))
 	})
-	return c.wrong
+	return c.errs
 }
 
-// lineOf returns the line of the field or, failing that, of the nearest table around it; 0 for none.
+// lineOf returns the line of a field or, if the file lacks it, of the nearest enclosing table; 0 if there is neither.
 func (c *Checker) lineOf(path string) int {
 	for path != "" {
 		if line := c.lines[path]; line != 0 {
--- a/internal/config/strictconfig/fielderror.go
+++ b/internal/config/strictconfig/fielderror.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FieldError says what is wrong with a file, and where.
+// FieldError is an error in a file, with its position.
 type FieldError struct {
 	File   string
 	Line   int // from 1; 0 where the file as a whole is wrong
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason)
 }
 
-// FieldErrors are all that is wrong with a file, in the order of its lines. There is at least one.
+// FieldErrors lists all errors in a file, in the order of its lines. It is never empty.
 type FieldErrors []FieldError
 
-// Error returns the first error only, so that it is one line.
+// Error returns the text of the first error only, which keeps it to one line.
 func (e FieldErrors) Error() string { return e[0].Error() }
--- a/internal/config/strictconfig/lines.go
+++ b/internal/config/strictconfig/lines.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineNumbers returns the line of each field and table of a TOML text by its path.
+// lineNumbers returns the line of each field and table of a TOML text, by path.
 func lineNumbers(text []byte) map[string]int {
 	index := lineIndex{lines: map[string]int{}, tables: map[string]int{}}
 	var parser unstable.Parser
@@ -25,7 +25,7 @@
 	return index.lines
 }
 
-// keyOf returns the names of an expression's key, and the line of the first.
+// keyOf returns the parts of an expression's key and the line of the first part.
 func keyOf(parser *unstable.Parser, expression *unstable.Node) (names []string, line int) {
 	for key := expression.Key(); key.Next(); {
 		names = append(names, string(key.Node().Data))
@@ -36,11 +36,11 @@
 	return names, line
 }
 
-// lineIndex follows the expressions of a text in their order.
+// lineIndex records the lines of expressions, which are added in the order of the text.
 type lineIndex struct {
 	lines  map[string]int // line by path
 	tables map[string]int // number of an array's tables so far, by the array's path
-	prefix string         // path of the table that fields belong to now, with a dot behind it; empty at first
+	prefix string         // path of the current table, with a trailing dot; empty for the top level
 }
 
 func (x *lineIndex) addField(names []string, line int) {
@@ -64,8 +64,8 @@
 	x.lines[strings.TrimSuffix(path, ".")] = line
 }
 
-// latestTable adds the number of its latest table to the path of an array, as that is the one which fields and
-// further tables belong to. The path of anything else stays as it is.
+// latestTable appends the index of the latest table to the path of an array, as the fields and subtables that follow
+// belong to that table. Any other path is returned unchanged.
 func (x *lineIndex) latestTable(path string) string {
 	if count := x.tables[path]; count > 0 {
 		return path + "." + strconv.Itoa(count-1)
