--- a/internal/config/fleetconfig/common.go
+++ b/internal/config/fleetconfig/common.go
@@ -9,25 +9,25 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Bounds that both files have.
+// The limits that apply to both files.
 const (
 	maxLabelBytes = 200
-	// maxMachines bounds the control servers: each further voter makes a publication slower, and the fleet no safer.
-	maxMachines = 9
+	// maxControlServers bounds the control servers: more voters make publishing slower without making the fleet safer.
+	maxControlServers = 9
 )
 
-// readFile reads a file and parses its text; what names the file in the error where it can't be read.
+// readFile reads and parses a file; what describes the file in the error for one that cannot be read.
 func readFile[F any](path, what string, parse func(file string, text []byte) (*F, error)) (*F, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s cannot be read: %w", what, err)
+		return nil, fmt.Errorf("cannot read %s: %w", what, err)
 	}
 	return parse(path, text)
 }
 
 func checkAddress(c *strictconfig.Checker, addr, path string) {
 	_, err := netip.ParseAddrPort(addr)
-	c.Require(err == nil, path, "%q is not an address and a port", addr)
+	c.Require(err == nil, path, "%q is not an address and port", addr)
 }
 
 func checkLabel(c *strictconfig.Checker, label, path string) {
--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -12,45 +12,45 @@
 	maxPathBytes = 1000
 )
 
-// ControlFile is the file of a control server.
+// ControlFile is the configuration of a control server.
 type ControlFile struct {
 	Control Control         `toml:"control"`
 	Servers []ControlServer `toml:"machine"`
 	Bounds  ControlBounds   `toml:"bounds"`
-	// Purges is nil where purges are published and delivered, and not carried out at caches by this machine.
+	// Purges is nil if this server publishes and delivers purges but does not carry them out at caches.
 	Purges *Purges `toml:"purges"`
 }
 
-// Control says who a machine is and where it is reached.
+// Control configures the identity and the addresses of a control server.
 type Control struct {
 	ID    uint64 `toml:"id"`    // its [[machine]]
-	Label string `toml:"label"` // of the fleet: streams with another label are dropped
+	Label string `toml:"label"` // of the fleet: streams with a different label are dropped
 	Peers string `toml:"peers"` // address and port at which it listens for other control servers
-	Nodes string `toml:"nodes"` // address and port at which it listens for nodes and for those who publish
-	Data  string `toml:"data"`  // folder of its replica of the log
+	Nodes string `toml:"nodes"` // address and port at which it listens for nodes and publishers
+	Data  string `toml:"data"`  // directory of its replica of the log
 }
 
-// ControlServer is one of the control servers.
+// ControlServer is an entry of the list of control servers.
 type ControlServer struct {
 	ID      uint64 `toml:"id"`
 	Name    string `toml:"name"`
-	Addr    string `toml:"addr"`    // where this machine reaches its listener for peers
-	Learner bool   `toml:"learner"` // it replicates and delivers the log, and has no vote
+	Addr    string `toml:"addr"`    // address at which this server reaches its listener for peers
+	Learner bool   `toml:"learner"` // it replicates and delivers the log but has no vote
 }
 
-// ControlBounds bound what a control server keeps and sends.
+// ControlBounds limits what a control server keeps and sends.
 type ControlBounds struct {
-	Entries    int     `toml:"entries"`     // log entries kept for nodes that come back
-	KeptMB     float64 `toml:"kept_mb"`     // MiB of these
-	WindowKiB  float64 `toml:"window_kb"`   // KiB in flight to a node that it has not acknowledged
-	PaceMB     float64 `toml:"pace_mb_s"`   // MiB a second to all nodes that catch up
-	Followers  int     `toml:"followers"`   // nodes that follow at once
-	HoldS      float64 `toml:"hold_s"`      // seconds for which entries are kept for a node that is not heard
-	ForgetS    float64 `toml:"forget_s"`    // seconds after which a node that is not heard is no longer reported
-	ElectionMs float64 `toml:"election_ms"` // milliseconds without the leader until an election, up to twice that
+	Entries    int     `toml:"entries"`     // log entries kept for nodes that reconnect
+	KeptMB     float64 `toml:"kept_mb"`     // MiB of log entries kept
+	WindowKiB  float64 `toml:"window_kb"`   // KiB sent to a node and not yet acknowledged
+	PaceMB     float64 `toml:"pace_mb_s"`   // MiB per second to all nodes that are catching up
+	Followers  int     `toml:"followers"`   // concurrent followers
+	HoldS      float64 `toml:"hold_s"`      // seconds for which entries are kept for a silent node
+	ForgetS    float64 `toml:"forget_s"`    // seconds after which a silent node is no longer reported
+	ElectionMs float64 `toml:"election_ms"` // milliseconds without a leader until an election, up to twice that
 }
 
-// DefaultControl returns what holds where a control server's file says nothing.
+// DefaultControl returns the defaults of a control server's configuration.
 func DefaultControl() ControlFile {
 	return ControlFile{Bounds: ControlBounds{
 		Entries:    65_536,
@@ -64,19 +64,20 @@
 	}}
 }
 
-// ReadControl reads a control server's file. An error wraps that of the file system, or is a strictconfig.FieldErrors.
+// ReadControl reads a control server's configuration. An error wraps that of the file system, or is a
+// strictconfig.FieldErrors.
 func ReadControl(path string) (*ControlFile, error) {
-	return readFile(path, "the control machine's file", ParseControl)
+	return readFile(path, "control server configuration", ParseControl)
 }
 
-// ParseControl reads the text of a control server's file; file is its name in errors.
+// ParseControl parses the text of a control server's configuration; file is its name in errors.
 func ParseControl(file string, text []byte) (*ControlFile, error) {
 	f := DefaultControl()
 	c, err := strictconfig.Parse(file, text, &f)
 	if err != nil {
 		return nil, err
 	}
-	if f.Purges != nil { // there is the section: it is read again, over its defaults
+	if f.Purges != nil { // parse again so that fields missing from [purges] get their defaults
 		f = DefaultControl()
 		f.Purges = DefaultPurges()
 		c, err = strictconfig.Parse(file, text, &f)
@@ -85,7 +86,7 @@
 		}
 	}
 	f.Control.check(c)
-	f.checkMachines(c)
+	f.checkServers(c)
 	f.Bounds.check(c)
 	if f.Purges != nil {
 		f.Purges.check(c)
@@ -101,20 +102,20 @@
 	checkAddress(c, control.Nodes, "control.nodes")
 	checkLabel(c, control.Label, "control.label")
 	isPath := control.Data != "" && len(control.Data) <= maxPathBytes
-	c.Require(isPath, "control.data", "no folder for the log is named")
+	c.Require(isPath, "control.data", "empty or too long for the path of a directory")
 }
 
-func (f *ControlFile) checkMachines(c *strictconfig.Checker) {
+func (f *ControlFile) checkServers(c *strictconfig.Checker) {
 	count := len(f.Servers)
-	isInBounds := count > 0 && count <= maxMachines
-	c.Require(isInBounds, "machine", "%d control machines, from 1 to %d can be", count, maxMachines)
+	isInBounds := count > 0 && count <= maxControlServers
+	c.Require(isInBounds, "machine", "%d control servers, but there must be 1 to %d", count, maxControlServers)
 	ids := map[uint64]bool{}
 	names := map[string]bool{}
 	voters := 0
 	for i, m := range f.Servers {
 		path := fmt.Sprintf("machine.%d", i)
 		checkAddress(c, m.Addr, path+".addr")
-		c.Require(m.ID > 0 && !ids[m.ID], path+".id", "%d is 0 or another's", m.ID)
+		c.Require(m.ID > 0 && !ids[m.ID], path+".id", "%d is 0 or a duplicate", m.ID)
 		checkName(c, m.Name, names, path+".name")
 		ids[m.ID] = true
 		if !m.Learner {
@@ -123,13 +124,13 @@
 	}
 	c.Require(ids[f.Control.ID], "control.id", "no [[machine]] has the id %d", f.Control.ID)
 	c.Require(voters%2 == 1, "machine",
-		"%d voters: an odd number is needed, as one more to an odd number bears no more failures", voters)
+		"%d voters: an odd number is needed, as adding one to an odd number tolerates no more failures", voters)
 }
 
-// checkName checks that a name is not empty, not too long and none of those seen before, and adds it to these.
+// checkName checks that a name is not empty, not too long and not a duplicate, and records it in seen.
 func checkName(c *strictconfig.Checker, name string, seen map[string]bool, path string) {
 	isName := name != "" && len(name) <= maxNameBytes && !seen[name]
-	c.Require(isName, path, "%q is empty, too long or another's", name)
+	c.Require(isName, path, "%q is empty, too long or a duplicate", name)
 	seen[name] = true
 }
 
@@ -144,7 +145,7 @@
 	c.InRange(b.ElectionMs, 200, 60_000, "bounds.election_ms")
 }
 
-// Self returns the machine whose file it is.
+// Self returns the entry of the server that this configuration is for.
 func (f *ControlFile) Self() ControlServer {
 	var m ControlServer
 	for _, m = range f.Servers {
@@ -161,5 +162,5 @@
 // ForgetAfter returns ForgetS as a duration.
 func (b *ControlBounds) ForgetAfter() time.Duration { return seconds(b.ForgetS) }
 
-// ElectionTimeout returns ElectMs as a duration.
+// ElectionTimeout returns ElectionMs as a duration.
 func (b *ControlBounds) ElectionTimeout() time.Duration { return seconds(b.ElectionMs / 1000) }
--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// maxSeeds bounds the seeds: they are asked one after the other, so that more make a start slow.
+	// maxSeeds bounds the seeds. They are contacted one after the other, so more seeds slow down the start.
 	maxSeeds = 64
-	// maxAddressMappings bounds the other ways to members: one for each that there may be.
+	// maxAddressMappings bounds the address mappings: one for each possible member.
 	maxAddressMappings = 4096
 )
 
-// The engines that carry what members state.
+// The gossip engines that distribute the statements of members.
 const (
-	EngineTuned = "tuned" // with bounds that bear loss: for service
-	EnginePlain = "plain" // the gossip library as it comes: a baseline for rehearsals
+	EngineTuned = "tuned" // with limits that tolerate packet loss: for production
+	EnginePlain = "plain" // the gossip library with its defaults: a baseline for rehearsals
 )
 
-// File is the file of a node that knows the others of its fleet.
+// File is the fleet configuration of a node.
 type File struct {
 	Fleet           Fleet            `toml:"fleet"`
 	Members         Members          `toml:"members"`
@@ -30,40 +30,40 @@
 	AddressMappings []AddressMapping `toml:"way"`
 }
 
-// Fleet says how a node is reached and reaches others.
+// Fleet configures how a node is reached and how it reaches other nodes.
 type Fleet struct {
-	Label     string   `toml:"label"`     // of the fleet: messages with another label are dropped
+	Label     string   `toml:"label"`     // of the fleet: messages with a different label are dropped
 	Listen    string   `toml:"listen"`    // address and port for datagrams and streams
-	Advertise string   `toml:"advertise"` // Listen as others see it; empty for the same
-	Seeds     []string `toml:"seeds"`     // addresses of nodes to ask first, of which one alive is enough
-	Key       string   `toml:"key"`       // base64 of 16, 24 or 32 bytes for encryption between nodes; empty for none
+	Advertise string   `toml:"advertise"` // address under which others reach Listen; empty for Listen itself
+	Seeds     []string `toml:"seeds"`     // addresses of nodes to join through; one live node is enough
+	Key       string   `toml:"key"`       // encryption key for gossip: base64 of 16, 24 or 32 bytes; empty for none
 	Engine    string   `toml:"engine"`    // EngineTuned or EnginePlain
 }
 
 // Members configures the failure detection of processes.
 type Members struct {
-	PauseS      float64 `toml:"pause_s"`  // seconds for which a process may stand still and stays a member
-	HeartbeatMs float64 `toml:"hello_ms"` // milliseconds between two heartbeats to a neighbour
-	RejoinS     float64 `toml:"back_s"`   // seconds that a removed one must be heard before it is a member again
-	LoopS       float64 `toml:"loop_s"`   // seconds without a turn of the event loop until heartbeats stop
-	ForgetS     float64 `toml:"forget_s"` // seconds after which one that was taken out is forgotten
-	MaxMembers  int     `toml:"most"`     // processes that are known at most
+	PauseS      float64 `toml:"pause_s"`  // seconds for which a process may pause and remain a member
+	HeartbeatMs float64 `toml:"hello_ms"` // milliseconds between heartbeats to a neighbour
+	RejoinS     float64 `toml:"back_s"`   // seconds that a removed member must be heard before it is readmitted
+	LoopS       float64 `toml:"loop_s"`   // seconds without an event loop iteration after which heartbeats stop
+	ForgetS     float64 `toml:"forget_s"` // seconds after which a removed member is forgotten
+	MaxMembers  int     `toml:"most"`     // maximum number of known processes
 }
 
-// Changes says where a node follows the fleet's replicated log. Without control servers it follows none.
+// Changes configures how a node follows the fleet's replicated log. Without control servers it follows none.
 type Changes struct {
-	Servers []string `toml:"at"`      // addresses of control servers, where they listen for nodes
-	StaleS  float64  `toml:"stale_s"` // seconds without a control server that has a leader, until the node is stale
+	Servers []string `toml:"at"`      // addresses at which control servers listen for nodes
+	StaleS  float64  `toml:"stale_s"` // seconds without a control server with a leader until the node is stale
 }
 
-// AddressMapping says that a member is reached elsewhere than at the address that it advertises: by a forwarded port,
-// say.
+// AddressMapping maps a member's advertised address to the address at which this node reaches it, such as a forwarded
+// port.
 type AddressMapping struct {
 	To      string `toml:"to"`
 	Through string `toml:"through"`
 }
 
-// Default returns what holds where a node's file says nothing.
+// Default returns the defaults of a node's fleet configuration.
 func Default() File {
 	return File{
 		Fleet: Fleet{Engine: EngineTuned},
@@ -79,12 +79,12 @@
 	}
 }
 
-// Read reads a node's file. An error wraps that of the file system, or is a strictconfig.FieldErrors.
+// Read reads a node's fleet configuration. An error wraps that of the file system, or is a strictconfig.FieldErrors.
 func Read(path string) (*File, error) {
-	return readFile(path, "the fleet's file", Parse)
+	return readFile(path, "fleet configuration", Parse)
 }
 
-// Parse reads the text of a node's file; file is its name in errors.
+// Parse parses the text of a node's fleet configuration; file is its name in errors.
 func Parse(file string, text []byte) (*File, error) {
 	f := Default()
 	c, err := strictconfig.Parse(file, text, &f)
@@ -105,7 +105,7 @@
 	return &f, nil
 }
 
-// check checks the values, and sets Advertise where it is empty.
+// check validates the values and sets Advertise if it is empty.
 func (f *Fleet) check(c *strictconfig.Checker) {
 	checkAddress(c, f.Listen, "fleet.listen")
 	f.checkAdvertise(c)
@@ -116,13 +116,13 @@
 	}
 	key, err := base64.StdEncoding.DecodeString(f.Key)
 	isKey := err == nil && (len(key) == 0 || len(key) == 16 || len(key) == 24 || len(key) == 32)
-	c.Require(isKey, "fleet.key", "it is not the base64 of 16, 24 or 32 bytes")
+	c.Require(isKey, "fleet.key", "not the base64 encoding of 16, 24 or 32 bytes")
 	isEngine := f.Engine == EngineTuned || f.Engine == EnginePlain
 	c.Require(isEngine, "fleet.engine", "%q is neither %s nor %s", f.Engine, EngineTuned, EnginePlain)
 }
 
-// checkAdvertise checks that others can reach the advertised address. A Listen that can't be parsed is reported as
-// such, and not once more as the advertised address.
+// checkAdvertise checks that others can reach the advertised address. If that is Listen and cannot be parsed, the error
+// is reported for Listen only.
 func (f *Fleet) checkAdvertise(c *strictconfig.Checker) {
 	isListen := f.Advertise == ""
 	if isListen {
@@ -133,15 +133,15 @@
 	if err != nil && isListen {
 		return
 	}
-	c.Require(isReachable, "fleet.advertise", "%q is not an address and a port that others can reach", f.Advertise)
+	c.Require(isReachable, "fleet.advertise", "%q is not an address and port that others can reach", f.Advertise)
 }
 
-// CheckMembers checks the configuration of failure detection, in any file that states it under the path "members".
+// CheckMembers checks the configuration of failure detection in any file that has it under the path "members".
 func CheckMembers(c *strictconfig.Checker, m *Members) {
 	c.InRange(m.PauseS, 0.2, 60, "members.pause_s")
 	c.InRange(m.HeartbeatMs, 50, 5000, "members.hello_ms")
 	fits := m.PauseS <= 0 || m.HeartbeatMs <= m.PauseS*500
-	c.Require(fits, "members.hello_ms", "at least two signs of life have to fit into pause_s")
+	c.Require(fits, "members.hello_ms", "at least two heartbeats must fit into pause_s")
 	c.InRange(m.RejoinS, 0, 600, "members.back_s")
 	c.InRange(m.LoopS, 0.2, 60, "members.loop_s")
 	c.InRange(m.ForgetS, m.PauseS+m.RejoinS, 86400, "members.forget_s")
@@ -149,16 +149,16 @@
 }
 
 func (ch *Changes) check(c *strictconfig.Checker) {
-	c.Require(len(ch.Servers) <= maxMachines, "changes.at", "more than %d", maxMachines)
+	c.Require(len(ch.Servers) <= maxControlServers, "changes.at", "more than %d", maxControlServers)
 	for _, addr := range ch.Servers {
 		checkAddress(c, addr, "changes.at")
 	}
 	c.InRange(ch.StaleS, 5, 86_400, "changes.stale_s")
 }
 
-// KeyBytes returns the key for encryption between nodes, nil for none.
+// KeyBytes returns the encryption key for gossip, or nil for none.
 func (f *Fleet) KeyBytes() []byte {
-	key, _ := base64.StdEncoding.DecodeString(f.Key) // was checked when it was read
+	key, _ := base64.StdEncoding.DecodeString(f.Key) // Parse has checked it
 	if len(key) == 0 {
 		return nil
 	}
--- a/internal/config/fleetconfig/fleet_test.go
+++ b/internal/config/fleetconfig/fleet_test.go
@@ -11,7 +11,7 @@
 
 const goodFleet = "[fleet]\nlisten = \"10.0.0.1:7946\"\nseeds = [\"10.0.0.2:7946\"]\n"
 
-// expectFault fails the test unless an error is a list of faults in a file's fields, and its text has the wanted one.
+// expectFault fails the test unless err is a strictconfig.FieldErrors whose text contains the wanted one.
 func expectFault(t *testing.T, err error, want string) {
 	t.Helper()
 	var faults strictconfig.FieldErrors
@@ -20,8 +20,8 @@
 	}
 }
 
-// A file that states only what it has to is taken with the defaults.
-func TestFleetFileDefaults(t *testing.T) {
+// A file with only the required fields is accepted, and the others have their defaults.
+func TestFleetConfigDefaults(t *testing.T) {
 	f, err := Parse("f", []byte(goodFleet))
 	if err != nil {
 		t.Fatal(err)
@@ -31,18 +31,17 @@
 	}
 }
 
-// Each fault is told with its field and line.
-func TestFleetFileFaults(t *testing.T) {
+func TestInvalidFleetConfigIsReportedWithFieldAndLine(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"negative pause", goodFleet + "[members]\npause_s = -1\n", "f:5: members.pause_s"},
-		{"rare heartbeats", goodFleet + "[members]\nhello_ms = 1500\n", "f:5: members.hello_ms"},
-		{"forgets too soon", goodFleet + "[members]\nforget_s = 1\n", "f:5: members.forget_s"},
-		{"key that is none", goodFleet + "key = \"abc\"\n", "f:4: fleet.key"},
+		{"heartbeat interval too long", goodFleet + "[members]\nhello_ms = 1500\n", "f:5: members.hello_ms"},
+		{"forget time too short", goodFleet + "[members]\nforget_s = 1\n", "f:5: members.forget_s"},
+		{"invalid key", goodFleet + "key = \"abc\"\n", "f:4: fleet.key"},
 		{"unknown engine", goodFleet + "engine = \"own\"\n", "f:4: fleet.engine"},
 		{"unknown field", goodFleet + "silent = 3\n", "f:4: no such field: fleet.silent"},
 		{"mapping without address", goodFleet + "[[way]]\nto = \"x\"\nthrough = \"1.2.3.4:5\"\n", "f:5: way.0.to"},
 		{"unreachable", "[fleet]\nlisten = \"0.0.0.0:7946\"\n", "f:1: fleet.advertise"},
-		{"name for an address", "[fleet]\nlisten = \"n1:7946\"\n", "f:2: fleet.listen"},
+		{"host name as an address", "[fleet]\nlisten = \"n1:7946\"\n", "f:2: fleet.listen"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse("f", []byte(c.text))
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -7,27 +7,27 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// maxCaches bounds the caches that a file lists.
+// maxCaches bounds the caches listed in a configuration.
 const maxCaches = 1024
 
-// Purges says at which caches a control server carries purges out, and how.
+// Purges configures at which caches a control server carries out purges, and how.
 type Purges struct {
-	Discovery         string   `toml:"discovery"`    // address of the endpoint list; empty where Caches lists them
-	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are no caches
-	MaxFillS          float64  `toml:"fills_s"`      // seconds of the longest fill, from reading the origin to caching
-	CommandsPerSecond float64  `toml:"commands_s"`   // commands a second to a cache, once a burst of 1,024 has gone
-	FlushIntervalS    float64  `toml:"flush_each_s"` // seconds between two caches that have to be flushed
+	Discovery         string   `toml:"discovery"`    // address of discovery; empty if Caches lists the caches
+	Origins           []string `toml:"origins"`      // machine types in the endpoint list that are not caches
+	MaxFillS          float64  `toml:"fills_s"`      // longest fill in seconds, from reading at the origin to caching
+	CommandsPerSecond float64  `toml:"commands_s"`   // commands per second to a cache after a burst of 1,024
+	FlushIntervalS    float64  `toml:"flush_each_s"` // seconds between flushes of two caches
 	Caches            []Cache  `toml:"cache"`
 }
 
-// Cache is one of a list that doesn't change while the machine runs.
+// Cache is an entry of a fixed list of caches.
 type Cache struct {
 	ID   string `toml:"id"`
 	Addr string `toml:"addr"`
 }
 
-// DefaultPurges returns what holds in [purges] where it says nothing else: FillsS is a longest deadline of 3 s and a
-// reserve.
+// DefaultPurges returns the defaults of the section [purges]. MaxFillS allows for a longest deadline of 3 s and a
+// margin.
 func DefaultPurges() *Purges {
 	return &Purges{
 		Origins:           []string{"origin"},
@@ -40,7 +40,7 @@
 func (p *Purges) check(c *strictconfig.Checker) {
 	hasDiscovery := p.Discovery != ""
 	hasCaches := len(p.Caches) > 0
-	c.Require(hasDiscovery != hasCaches, "purges", "either discovery or [[purges.cache]]s say which caches there are")
+	c.Require(hasDiscovery != hasCaches, "purges", "either discovery or [[purges.cache]] must be set, but not both")
 	if hasDiscovery {
 		checkAddress(c, p.Discovery, "purges.discovery")
 	}
@@ -56,11 +56,11 @@
 	c.InRange(p.FlushIntervalS, 0.1, 3600, "purges.flush_each_s")
 }
 
-// MaxFill returns FillsS as a duration.
+// MaxFill returns MaxFillS as a duration.
 func (p *Purges) MaxFill() time.Duration { return seconds(p.MaxFillS) }
 
-// CommandInterval returns the time between two commands to one cache, from CommandsPerSecond.
+// CommandInterval returns the time between commands to one cache, derived from CommandsPerSecond.
 func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
 
-// FlushInterval returns FlushS as a duration.
+// FlushInterval returns FlushIntervalS as a duration.
 func (p *Purges) FlushInterval() time.Duration { return seconds(p.FlushIntervalS) }
