--- a/internal/config/listeners/file.go
+++ b/internal/config/listeners/file.go
@@ -9,45 +9,45 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// The protocols that a listener may speak, as Listener.Protocol states them.
+// The values of Listener.Protocol.
 const (
 	ProtocolMeta = "meta" // the meta commands of the memcache text protocol
 	ProtocolHTTP = "http" // HTTP/1.1
 )
 
-// The values of fields that are left out.
+// The defaults of optional fields.
 const (
 	defaultHealthCheckPath     = "/"
 	defaultMaxHeuristicSeconds = 3600
 )
 
-// The bounds of what a file may state.
+// The limits for the values in a file.
 const (
-	maxListeners          = 16    // a protocol or two, on a few addresses
-	maxRoutes             = 256   // of one listener: each request looks at all of them
-	maxDeadlineMs         = 6e5   // ten minutes, which no deployment's deadline comes near
+	maxListeners          = 16    // one or two protocols on a few addresses
+	maxRoutes             = 256   // per listener: each request is matched against all of them
+	maxDeadlineMs         = 6e5   // ten minutes, far above the deadlines of any deployment
 	maxClockOffsetSeconds = 86400 // a day
 	maxHeuristicSeconds   = 86400 // a day
 )
 
-// File is an operator's file.
+// File is the operator's listeners file.
 type File struct {
 	Listeners []Listener `toml:"listener"`
 	Servers   Servers    `toml:"servers"`
 	Levels    []Level    `toml:"level"` // degradation levels, from the mildest to the hardest
 }
 
-// Read reads an operator's file. The service classes, tenants and kinds that it names must be those of the
-// deployment. An error about the content is a strictconfig.FieldErrors.
+// Read reads a listeners file. The service classes, tenants and endpoint kinds that it names must be defined by the
+// deployment's settings. An error about the content is a strictconfig.FieldErrors.
 func Read(path string, deployment *settings.Settings) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, fmt.Errorf("the file cannot be read: %w", err)
+		return File{}, fmt.Errorf("cannot read the listeners file: %w", err)
 	}
 	return Parse(path, text, deployment)
 }
 
-// Parse decodes the text of such a file; path is for error messages.
+// Parse decodes the text of a listeners file; path is its name in errors.
 func Parse(path string, text []byte, deployment *settings.Settings) (File, error) {
 	file := File{Servers: Servers{
 		HealthCheckPath: defaultHealthCheckPath,
--- a/internal/config/listeners/golden_test.go
+++ b/internal/config/listeners/golden_test.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/golden"
 )
 
-// allFields is an operator's file that states every field there is.
+// allFields is a listeners file with every field.
 const allFields = `[[listener]]
 listen = "127.0.0.1:8081"
 protocol = "http"
@@ -48,8 +48,8 @@
 shed = ["read"]
 `
 
-// The operator's file in deploy, and one with every field, are decoded as the recorded ones were.
-func TestOperatorsFilesAreDecodedAsRecorded(t *testing.T) {
+// The listeners file in deploy and one with every field are decoded as recorded in the golden file.
+func TestDecodedFilesMatchGoldenFile(t *testing.T) {
 	deployed, err := os.ReadFile("../../../deploy/listeners.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/listeners/listener.go
+++ b/internal/config/listeners/listener.go
@@ -12,37 +12,37 @@
 
 const headerNameBytes = "-abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
 
-// Listener is one further listener. The headers, pages and routes are those of HTTP.
+// Listener is an additional listener of a node. Headers, paths and routes apply to HTTP only.
 type Listener struct {
 	Listen   string `toml:"listen"`   // address and port
 	Protocol string `toml:"protocol"` // Meta or HTTP
 
-	// Names of the headers by which a client may state a request's properties. With an empty one it cannot.
+	// Names of the headers in which a client may give the properties of a request. An empty name disables the header.
 	ClassHeader    string `toml:"grade_header"`    // service class
 	TenantHeader   string `toml:"tenant_header"`   // tenant
 	IDHeader       string `toml:"id_header"`       // request id, unique among the requests in flight
-	DeadlineHeader string `toml:"deadline_header"` // for how many milliseconds the client waits
+	DeadlineHeader string `toml:"deadline_header"` // milliseconds for which the client waits
 
-	ReadyPath    string  `toml:"ready_path"`    // page that tells whether requests are served; empty for none
+	ReadyPath    string  `toml:"ready_path"`    // readiness page; empty for none
 	CountersPath string  `toml:"counters_path"` // page with the counters; empty for none
-	SortQuery    bool    `toml:"sort_query"`    // a URL's key does not depend on the order of its query's parts
+	SortQuery    bool    `toml:"sort_query"`    // the order of query parameters does not change the key
 	Routes       []Route `toml:"route"`
 }
 
-// Route says what the requests under a path are.
+// Route configures the requests under a path.
 type Route struct {
-	Path       string   `toml:"path"`        // whole segments, with a slash at both ends; what follows is the key
+	Path       string   `toml:"path"`        // begins and ends with a slash; the rest of the URL is the key
 	Methods    []string `toml:"methods"`     // of GET, HEAD, PUT and POST
-	Class      string   `toml:"grade"`       // service class, unless the client states one
-	Tenant     string   `toml:"tenant"`      // tenant, unless the client states one; empty for none
-	DeadlineMs float64  `toml:"deadline_ms"` // unless the client states one; 0 for the class's deadline
+	Class      string   `toml:"grade"`       // service class, unless the client gives one
+	Tenant     string   `toml:"tenant"`      // tenant, unless the client gives one; empty for none
+	DeadlineMs float64  `toml:"deadline_ms"` // deadline, unless the client gives one; 0 for that of the class
 }
 
-// IsWrite tells whether a method of a route writes a value. The others read.
+// IsWrite reports whether a method of a route writes a value. The other methods read.
 func IsWrite(method string) bool { return method == "PUT" || method == "POST" }
 
-// Route returns the route with the longest path that a request is under, or nil. In that case known tells whether
-// the path has a route with another method.
+// Route returns the route with the longest matching path for a request, or nil. If it returns nil, known reports
+// whether the path has a route for another method.
 func (l *Listener) Route(method, path string) (found *Route, known bool) {
 	for i := range l.Routes {
 		r := &l.Routes[i]
@@ -73,7 +73,7 @@
 	return methods
 }
 
-// check looks at a listener whose fields stand at the path prefix; earlier are those before it in the file.
+// check validates a listener whose fields have the given path prefix; earlier are the listeners before it in the file.
 func (l *Listener) check(c *strictconfig.Checker, prefix string, earlier []Listener, deployment *settings.Settings) {
 	l.checkAddress(c, prefix, earlier)
 	l.checkProtocol(c, prefix)
@@ -87,25 +87,25 @@
 
 func (l *Listener) checkAddress(c *strictconfig.Checker, prefix string, earlier []Listener) {
 	_, err := netip.ParseAddrPort(l.Listen)
-	c.Require(err == nil, prefix+"listen", "%q is not an address and a port", l.Listen)
+	c.Require(err == nil, prefix+"listen", "%q is not an address and port", l.Listen)
 	isSame := func(other Listener) bool { return other.Listen == l.Listen }
-	anyPort := strings.HasSuffix(l.Listen, ":0") // another port each time, so that the address may stand again
-	c.Require(anyPort || !slices.ContainsFunc(earlier, isSame), prefix+"listen", "%s stands twice", l.Listen)
+	anyPort := strings.HasSuffix(l.Listen, ":0") // the system chooses a free port, so the address may be repeated
+	c.Require(anyPort || !slices.ContainsFunc(earlier, isSame), prefix+"listen", "%s is used more than once", l.Listen)
 }
 
 func (l *Listener) checkProtocol(c *strictconfig.Checker, prefix string) {
 	path := prefix + "protocol"
 	switch l.Protocol {
 	case ProtocolMeta:
-		c.Require(!l.hasHTTPFields(), path, "meta commands need no routes, pages and headers")
+		c.Require(!l.hasHTTPFields(), path, "a meta listener takes no routes, pages or headers")
 	case ProtocolHTTP:
-		c.Require(len(l.Routes) > 0, path, "names no route, so nothing could be asked")
+		c.Require(len(l.Routes) > 0, path, "an HTTP listener needs a route")
 	default:
 		c.Require(false, path, "%q is neither %s nor %s", l.Protocol, ProtocolMeta, ProtocolHTTP)
 	}
 }
 
-// hasHTTPFields tells whether a field is stated that has a meaning for HTTP only.
+// hasHTTPFields reports whether a field that applies to HTTP only is set.
 func (l *Listener) hasHTTPFields() bool {
 	texts := l.ReadyPath + l.CountersPath + l.ClassHeader + l.TenantHeader + l.IDHeader + l.DeadlineHeader
 	return len(l.Routes) > 0 || l.SortQuery || texts != ""
@@ -113,7 +113,7 @@
 
 func (l *Listener) checkHeaders(c *strictconfig.Checker, prefix string) {
 	check := func(field, name string) {
-		c.Require(strings.Trim(name, headerNameBytes) == "", prefix+field, "%q can't be a header's name", name)
+		c.Require(strings.Trim(name, headerNameBytes) == "", prefix+field, "%q is not a valid header name", name)
 	}
 	check("grade_header", l.ClassHeader)
 	check("tenant_header", l.TenantHeader)
@@ -131,19 +131,19 @@
 
 func (r *Route) check(c *strictconfig.Checker, prefix string, earlier []Route, deployment *settings.Settings) {
 	isPath := strings.HasPrefix(r.Path, "/") && strings.HasSuffix(r.Path, "/") && !strings.ContainsAny(r.Path, "?#% ")
-	c.Require(isPath, prefix+"path", "%q does not begin and end with a slash, or has what no plain path has", r.Path)
-	c.Require(len(r.Methods) > 0, prefix+"methods", "names no method")
+	c.Require(isPath, prefix+"path", "%q does not begin and end with a slash, or is not a plain path", r.Path)
+	c.Require(len(r.Methods) > 0, prefix+"methods", "no methods are given")
 	for _, method := range r.Methods {
 		isKnown := method == "GET" || method == "HEAD" || IsWrite(method)
 		c.Require(isKnown, prefix+"methods", "%q is none of GET, HEAD, PUT, POST", method)
 		for _, other := range earlier {
 			isSame := other.Path == r.Path && slices.Contains(other.Methods, method)
-			c.Require(!isSame, prefix+"methods", "%s %s stands twice", method, r.Path)
+			c.Require(!isSame, prefix+"methods", "%s %s has a route already", method, r.Path)
 		}
 	}
 	names := &deployment.Names
-	c.Require(names.Class([]byte(r.Class)) >= 0, prefix+"grade", "the deployment states no grade %q", r.Class)
+	c.Require(names.Class([]byte(r.Class)) >= 0, prefix+"grade", "the settings define no grade %q", r.Class)
 	isTenant := r.Tenant == "" || names.Tenant([]byte(r.Tenant)) >= 0
-	c.Require(isTenant, prefix+"tenant", "the deployment states no tenant %q", r.Tenant)
+	c.Require(isTenant, prefix+"tenant", "the settings define no tenant %q", r.Tenant)
 	c.InRange(r.DeadlineMs, 0, maxDeadlineMs, prefix+"deadline_ms")
 }
--- a/internal/config/listeners/servers.go
+++ b/internal/config/listeners/servers.go
@@ -8,20 +8,20 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Servers says which caches speak HTTP, and how responses of theirs are kept.
+// Servers configures the caches that speak HTTP and how long their responses are fresh.
 type Servers struct {
-	HTTPKinds       []string `toml:"http_kinds"`       // the kinds of cache that speak HTTP
-	Host            string   `toml:"host"`             // Host header of their requests; empty for their addresses
-	HealthCheckPath string   `toml:"probe_path"`       // answers 200 while the cache is up
-	ClockOffS       float64  `toml:"clock_off_s"`      // how far their clocks may be off, in seconds
-	Heuristic       float64  `toml:"heuristic"`        // fresh share of the time since Last-Modified (RFC 9111, 4.2.2)
-	MaxHeuristicS   float64  `toml:"most_heuristic_s"` // the longest heuristic freshness, in seconds
+	HTTPKinds       []string `toml:"http_kinds"`       // endpoint kinds of the caches that speak HTTP
+	Host            string   `toml:"host"`             // Host header of requests to them; empty for their addresses
+	HealthCheckPath string   `toml:"probe_path"`       // health check path: status 200 while the cache is up
+	ClockOffS       float64  `toml:"clock_off_s"`      // maximum offset of their clocks, in seconds
+	Heuristic       float64  `toml:"heuristic"`        // fraction of the time since Last-Modified (RFC 9111, 4.2.2)
+	MaxHeuristicS   float64  `toml:"most_heuristic_s"` // maximum heuristic freshness, in seconds
 }
 
-// ClockOff returns how far the clocks of HTTP caches may be off.
+// ClockOff returns the maximum offset of the clocks of HTTP caches.
 func (s *Servers) ClockOff() time.Duration { return fromSeconds(s.ClockOffS) }
 
-// MaxHeuristic returns the longest time for which a response without stated freshness is fresh.
+// MaxHeuristic returns the maximum freshness of a response without an explicit freshness lifetime.
 func (s *Servers) MaxHeuristic() time.Duration { return fromSeconds(s.MaxHeuristicS) }
 
 func fromSeconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
@@ -30,15 +30,15 @@
 	for _, name := range s.HTTPKinds {
 		kind := deployment.Names.Kind([]byte(name))
 		if kind < 0 {
-			c.Require(false, "servers.http_kinds", "the deployment states no kind %q", name)
+			c.Require(false, "servers.http_kinds", "the settings define no endpoint kind %q", name)
 			continue
 		}
 		isOrigin := kind == deployment.Policy.OriginKind
-		c.Require(!isOrigin, "servers.http_kinds", "%q is the origin, which is spoken to as ever", name)
+		c.Require(!isOrigin, "servers.http_kinds", "%q is the origin, whose protocol cannot be changed", name)
 	}
 	isPath := strings.HasPrefix(s.HealthCheckPath, "/") && !strings.ContainsAny(s.HealthCheckPath, " \r\n")
-	c.Require(isPath, "servers.probe_path", "%q is no path", s.HealthCheckPath)
-	c.Require(!strings.ContainsAny(s.Host, " /\r\n\t"), "servers.host", "%q is no host", s.Host)
+	c.Require(isPath, "servers.probe_path", "%q is not a valid path", s.HealthCheckPath)
+	c.Require(!strings.ContainsAny(s.Host, " /\r\n\t"), "servers.host", "%q is not a valid host", s.Host)
 	c.InRange(s.ClockOffS, 0, maxClockOffsetSeconds, "servers.clock_off_s")
 	c.InRange(s.Heuristic, 0, 1, "servers.heuristic")
 	c.InRange(s.MaxHeuristicS, 0, maxHeuristicSeconds, "servers.most_heuristic_s")
--- a/internal/config/migration/convert.go
+++ b/internal/config/migration/convert.go
@@ -8,20 +8,20 @@
 	"github.com/valyala/fastjson"
 )
 
-// usualZones is how many zones a fleet with caches in several zones has at least, in a usual deployment.
+// usualZones is the usual minimum number of zones of a fleet with caches in several zones.
 const usualZones = 3
 
-// loopback is where a node in a client process listens.
+// loopback is the address on which a node in a client process listens.
 const loopback = "127.0.0.1"
 
-// The errors of Convert about a text that is no configuration of a node.
+// The errors of Convert for a text that is not a node configuration.
 var (
-	ErrNotObject  = errors.New("it is not a JSON object")
-	ErrNoSettings = errors.New("it has no settings with service grades: not a node's configuration")
+	ErrNotObject  = errors.New("not a JSON object")
+	ErrNoSettings = errors.New("not a node configuration: it has no settings with service grades")
 	ErrBounds     = errors.New("settings.bounds is not an object")
 )
 
-// Remark is about a key that could not be carried over, or that an operator has to fill in or look at.
+// Remark is a note on a key that was not carried over or that the operator has to set or review.
 type Remark struct {
 	Key    string // path of the key
 	Reason string
@@ -30,8 +30,8 @@
 // String returns the key and the reason in one line.
 func (r Remark) String() string { return r.Key + ": " + r.Reason }
 
-// Convert returns the counterpart of a configuration, and remarks on it. A configuration that has the new shape
-// already is returned as it is.
+// Convert returns the converted configuration and remarks on it. A configuration that is already in the new form is
+// returned unchanged.
 func Convert(old []byte) (text []byte, remarks []Remark, err error) {
 	object, err := fastjson.ParseBytes(old)
 	if err != nil || object.Type() != fastjson.TypeObject {
@@ -54,7 +54,7 @@
 	return append(object.MarshalTo(nil), '\n'), c.remarks, nil
 }
 
-// ensureBounds adds an empty object of bounds where there is none.
+// ensureBounds adds an empty bounds object if there is none.
 func ensureBounds(settings *fastjson.Value) error {
 	bounds := settings.Get("bounds")
 	if bounds == nil || bounds.Type() == fastjson.TypeNull {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// converter collects remarks, and holds the memory of new values.
+// converter collects remarks and allocates new values.
 type converter struct {
 	arena   fastjson.Arena
 	remarks []Remark
@@ -77,23 +77,23 @@
 	c.remarks = append(c.remarks, Remark{Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// convertNode converts what is the node's own: name, seed, address and last list.
+// convertNode converts the values of the node itself: name, seed, listen address and last known endpoint list.
 func (c *converter) convertNode(object *fastjson.Value) {
-	c.remark("name", "each node needs its own")
+	c.remark("name", "must be unique to each node")
 	if object.Exists("seed") {
-		c.remark("seed", "each node needs its own; nodes with the same draw the same chance")
+		c.remark("seed", "must be unique to each node; nodes with the same seed make the same random choices")
 	}
 	c.convertListen(object)
 	if object.Exists("known") {
 		object.Del("known")
-		c.remark("known", "left out: the last list is of the old fleet")
+		c.remark("known", "removed: the last known endpoint list is that of the old fleet")
 	}
 }
 
 func (c *converter) convertListen(object *fastjson.Value) {
 	old, err := netip.ParseAddrPort(string(object.GetStringBytes("listen")))
 	if err != nil {
-		c.remark("listen", "is not an address and a port")
+		c.remark("listen", "is not an address and port")
 		return
 	}
 	if old.Addr().IsLoopback() {
@@ -101,33 +101,33 @@
 	}
 	own := netip.AddrPortFrom(netip.MustParseAddr(loopback), old.Port())
 	object.Set("listen", c.arena.NewString(own.String()))
-	c.remark("listen", "was %s for the pool's clients, is %s for the node's own client process", old, own)
+	c.remark("listen", "changed from %s, for the pool's clients, to %s, for the node's own client process", old, own)
 }
 
-// convertSettings remarks on the settings that depend on the shape of the deployment.
+// convertSettings adds remarks on the settings that depend on the kind of deployment.
 func (c *converter) convertSettings(settings *fastjson.Value) {
 	nodes := settings.GetInt("n_instances")
 	c.remark("settings.n_instances",
-		"fill in how many client processes there are at full size; it is %d, the pool's", nodes)
+		"set to the number of client processes at full size; it is still the number of the pool, %d", nodes)
 	if settings.Exists("me") {
-		c.remark("settings.me", "each node needs its own")
+		c.remark("settings.me", "must be unique to each node")
 	}
 	c.convertZones(settings)
 	if settings.GetFloat64("tariffs", "cross_zone") <= 0 {
 		c.remark("settings.tariffs.cross_zone",
-			"fill in what a crossing costs; without it a node uses all zones alike")
+			"set the cost of a request to another zone; without it a node uses all zones alike")
 	}
 	if settings.GetFloat64("rules", "overload_factor") <= 0 {
 		c.remark("settings.rules.overload_factor",
-			"fill in; without it cold caches are sent no more than they surely bear")
+			"set it; without it a node sends cold caches only the load that they are sure to sustain")
 	}
 }
 
-// convertZones adds the node's zone to a deployment that names no zones.
+// convertZones adds the node's zone to settings that list no zones.
 func (c *converter) convertZones(settings *fastjson.Value) {
 	zone := string(settings.GetStringBytes("zone"))
 	if zone == "" {
-		c.remark("settings.zone", "fill in where the client process stands")
+		c.remark("settings.zone", "set to the zone of the client process")
 		return
 	}
 	zones := len(settings.GetArray("failure_domains"))
@@ -138,6 +138,6 @@
 	}
 	if zones < usualZones {
 		c.remark("settings.failure_domains",
-			"fill in all zones of the new fleet; the old file names %d", zones)
+			"list all zones of the new fleet; the old file lists %d", zones)
 	}
 }
--- a/internal/config/migration/convert_test.go
+++ b/internal/config/migration/convert_test.go
@@ -25,12 +25,12 @@
 	}
 	for i, key := range wantKeys {
 		if remarks[i].Key != key {
-			t.Errorf("remark %d is on %s, want %s", i, remarks[i].Key, key)
+			t.Errorf("remark %d is for %s, want %s", i, remarks[i].Key, key)
 		}
 	}
 }
 
-func TestConvertedConfigurationStaysAsItIs(t *testing.T) {
+func TestConvertedConfigurationIsReturnedUnchanged(t *testing.T) {
 	once, _, err := Convert([]byte(poolConfig))
 	if err != nil {
 		t.Fatal(err)
@@ -41,15 +41,15 @@
 	}
 }
 
-func TestTextThatIsNoConfigurationIsRefused(t *testing.T) {
+func TestTextThatIsNotAConfigurationIsRejected(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		want       error
 	}{
-		{"no JSON", "{", ErrNotObject},
-		{"no object", "[]", ErrNotObject},
+		{"not JSON", "{", ErrNotObject},
+		{"not an object", "[]", ErrNotObject},
 		{"no service classes", `{"settings":{}}`, ErrNoSettings},
-		{"bounds that are no object", `{"settings":{"service_grades":[{}],"bounds":5}}`, ErrBounds},
+		{"bounds that are not an object", `{"settings":{"service_grades":[{}],"bounds":5}}`, ErrBounds},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := Convert([]byte(test.text)); !errors.Is(err, test.want) {
--- a/internal/config/migration/doc.go
+++ b/internal/config/migration/doc.go
@@ -1,6 +1,7 @@
-// Package migration converts a node's configuration for a pool of nodes that clients share into its counterpart for a
-// node in each client process, with one request in flight a connection and caches in several zones.
+// Package migration converts the configuration of a node in a shared pool to that of a node within a client process.
+// In the new deployment, a connection has one request in flight and caches are in several zones.
 //
-// Convert changes what follows from the new shape, and returns remarks on what the operator has to fill in or look
-// at. It reads and writes the configuration as JSON in the protocol's own words, and decides nothing by them.
+// Convert changes the values that the new deployment determines and returns remarks on those that the operator has to
+// set or review. It handles the configuration as JSON with the protocol's own keys and does not interpret the settings
+// beyond that.
 package migration
--- a/internal/config/migration/keys.go
+++ b/internal/config/migration/keys.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// knownKeys are the keys of each object of a configuration, by the object's path.
+// knownKeys holds the known keys of each object in a configuration, by the object's path.
 var knownKeys = map[string][]string{
 	"": {"name", "listen", "discovery", "seed", "limits", "settings", "known"},
 	"limits": {
@@ -32,13 +32,13 @@
 	},
 }
 
-// unknownKeys returns a remark on each key within an object that is not in knownKeys. Such keys are kept as they are.
+// unknownKeys returns a remark for each key within an object that is not in knownKeys. Such keys are kept unchanged.
 func unknownKeys(path string, object *fastjson.Value) []Remark {
 	var remarks []Remark
 	object.GetObject().Visit(func(key []byte, value *fastjson.Value) {
 		valuePath := strings.TrimPrefix(path+"."+string(key), ".")
 		if !slices.Contains(knownKeys[path], string(key)) {
-			remarks = append(remarks, Remark{Key: valuePath, Reason: "kept, but not known here"})
+			remarks = append(remarks, Remark{Key: valuePath, Reason: "unknown key, kept unchanged"})
 			return
 		}
 		if knownKeys[valuePath] != nil && value.Type() == fastjson.TypeObject {
