--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -21,10 +21,10 @@
 	"dahliapin/node"
 )
 
-// longValue is a value of the greatest size.
+// longValue is a value of the maximum size.
 var longValue = bytes.Repeat([]byte("v"), 4<<20)
 
-// startEchoCache starts a cache with a value for every key, which takes next to no work, and returns its address.
+// startEchoCache starts a cache that has a value for every key, at almost no cost, and returns its address.
 func startEchoCache(b *testing.B) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 	return l.Addr().String()
 }
 
-// serveEcho answers the commands of a connection until it ends.
+// serveEcho answers the commands on a connection until it is closed.
 func serveEcho(c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
@@ -67,7 +67,7 @@
 	}
 }
 
-// benchmarkGets sends b.N requests over so many connections, each with one request in flight.
+// benchmarkGets sends b.N requests over a number of connections, each with one request in flight.
 func benchmarkGets(b *testing.B, addr string, connections int, get getter) {
 	b.ReportAllocs()
 	var wg sync.WaitGroup
@@ -102,8 +102,8 @@
 	}
 }
 
-// getter gets a value, and tells whether it did. A pause of this machine makes an attempt late for the node, so that a
-// few may fail.
+// getter gets a value and reports whether it succeeded. A few requests may fail, as a pause of the machine makes
+// attempts late.
 type getter func(c net.Conn, reader *bufio.Reader, connection, number int) (ok bool, err error)
 
 func getByHTTP(c net.Conn, reader *bufio.Reader, _, number int) (ok bool, err error) {
@@ -126,8 +126,9 @@
 	return true, err
 }
 
-// benchmarkLongGets gets long values over so many connections, and reads them with a pause between pieces. It reports
-// by how much the heap grew at most: mostly the node's, as the cache has one copy and clients keep nothing.
+// benchmarkLongGets gets long values over a number of connections and reads them with a pause between pieces. It
+// reports the maximum growth of the heap, most of which is the node's: the cache has one copy, and clients keep
+// nothing.
 func benchmarkLongGets(b *testing.B, addr string, connections int, pause time.Duration) {
 	b.SetBytes(int64(len(longValue)))
 	runtime.GC()
@@ -170,7 +171,7 @@
 	}
 }
 
-// getLong gets a long value some times over one connection.
+// getLong gets a long value a number of times over one connection.
 func getLong(addr string, connection, times int, pause time.Duration) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -202,7 +203,7 @@
 "zone":"z","n_instances":1,"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15},
 "family_info":{"mode":"through"}}}`
 
-// startDiscovery starts a discovery with one list, which never changes.
+// startDiscovery starts a discovery service with a list that never changes.
 func startDiscovery(b *testing.B, caches []string) string {
 	var entries []map[string]any
 	for n, addr := range caches {
@@ -228,7 +229,7 @@
 	return server.Listener.Addr().String()
 }
 
-// startNode starts a node with a listener for HTTP, and waits until it serves.
+// startNode starts a node with an HTTP listener and waits until it serves.
 func startNode(b *testing.B, discovery string) *node.Node {
 	config, err := node.ParseConfig(fmt.Appendf(nil, benchConfig, discovery))
 	if err != nil {
@@ -258,8 +259,9 @@
 	return n
 }
 
-// One request through a node by either protocol, and straight to a cache, in one run: what the node adds. Clients and
-// caches are in the same process, so that allocations are of all three; the difference is the node's.
+// BenchmarkRequest compares requests through a node, by either protocol, with requests sent directly to a cache.
+// Clients and caches run in the same process, so allocations are the sum of all three; the difference is due to the
+// node.
 func BenchmarkRequest(b *testing.B) {
 	var caches []string
 	for range 12 {
--- a/node/changelog.go
+++ b/node/changelog.go
@@ -12,15 +12,15 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// follow starts to follow the fleet's log of changes, if the fleet's file names control servers. The event loop never
-// waits for it.
-func (n *Node) follow() {
+// startFollower starts to follow the fleet's replicated log if the fleet configuration lists control servers. It never
+// blocks the event loop.
+func (n *Node) startFollower() {
 	changes := &n.config.fleet.Changes
 	if len(changes.Servers) == 0 {
 		return
 	}
 	var process [8]byte
-	_, _ = rand.Read(process[:]) // never fails
+	_, _ = rand.Read(process[:]) // rand.Read never fails
 	seed := keyhash.Salted(keyhash.String(n.config.Name), int(n.config.Seed))
 	n.follower.Store(logfollower.Start(logfollower.Config{
 		Name:       n.config.Name,
@@ -35,28 +35,29 @@
 	}))
 }
 
-// logTarget carries out the entries of the log of changes at a node.
+// logTarget applies entries of the replicated log to a node.
 type logTarget struct{ node *Node }
 
-// PresumePurged says that the log begins behind an index, and everything up to there may have been purged.
+// PresumePurged reports that the log begins after an index, and that any key may have been purged up to there.
 func (t logTarget) PresumePurged(upTo replicatedlog.Index) {
 	log := t.node.log.WithField("up_to", upTo)
-	log.Info("the log of changes begins: everything up to there may have been purged")
+	log.Info("replicated log begins after this index; any key may have been purged up to it")
 }
 
-// Purge reports a purge. Nodes do not carry it out at caches: control servers do.
+// Purge reports a purge to Config.OnPurge. Control servers carry it out at the caches, nodes do not.
 func (t logTarget) Purge(at replicatedlog.Index, key string) {
 	if t.node.config.OnPurge != nil {
 		t.node.config.OnPurge(uint64(at), key)
 	}
 }
 
-// Configure takes a published configuration as one that was read again. What is each node's own stays so.
+// Configure applies a published configuration as Reload does. The values that are specific to each node are kept from
+// its own configuration.
 func (t logTarget) Configure(at replicatedlog.Index, text []byte) error {
 	log := t.node.log.WithFields(logrus.Fields{"index": at})
 	published, err := ParseConfig(text)
 	if err != nil {
-		log.WithError(err).Error("published configuration not taken, the last one stays")
+		log.WithError(err).Error("published configuration is invalid; keeping the current one")
 		return err
 	}
 	own := t.node.config
@@ -65,19 +66,19 @@
 	published.Admin = own.Admin
 	published.MemoryMB = own.MemoryMB
 	published.Sockets = own.Sockets
-	log.Info("published configuration taken")
+	log.Info("published configuration received; reloading")
 	t.node.Reload(published)
 	return nil
 }
 
-// FleetStatus is how a node takes part in its fleet, as operators see it.
+// FleetStatus is the state of a node within its fleet, as shown to operators.
 type FleetStatus struct {
 	gossip.Status
-	Changes *logfollower.Status `json:"changes,omitempty"` // nil without a log of changes
+	Changes *logfollower.Status `json:"changes,omitempty"` // nil if no replicated log is followed
 }
 
-// withChanges adds to a status how the node follows the log of changes.
-func (n *Node) withChanges(status any, connected bool) (any, bool) {
+// withFollowerStatus adds the state of the log follower to a status.
+func (n *Node) withFollowerStatus(status any, connected bool) (any, bool) {
 	follower := n.follower.Load()
 	member, ok := status.(gossip.Status)
 	if follower == nil || !ok {
--- a/node/changelog_test.go
+++ b/node/changelog_test.go
@@ -19,7 +19,7 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// startControlServer starts a control server on its own, and returns a client of it.
+// startControlServer starts a single control server and returns a client of it.
 func startControlServer(t *testing.T) controlclient.Client {
 	t.Helper()
 	file := fleetconfig.DefaultControl()
@@ -55,7 +55,7 @@
 	return controlclient.NewProposal(replicatedlog.Config, []byte(text))
 }
 
-// lockedBuffer may be written to by several goroutines.
+// lockedBuffer is a buffer that several goroutines may write to.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -67,7 +67,7 @@
 	return b.text.Write(text)
 }
 
-// fleetNode is a node that runs in a fleet of its own.
+// fleetNode is a node that is the only member of its fleet.
 type fleetNode struct {
 	*Node
 	log    lockedBuffer
@@ -75,7 +75,7 @@
 	done   chan struct{}
 }
 
-// startFleetNode starts a node; changes is the section of the fleet's file on the log of changes, or empty.
+// startFleetNode starts a node; changes is the section [changes] of its fleet configuration, or empty.
 func startFleetNode(t *testing.T, configText, changes string) *fleetNode {
 	t.Helper()
 	config, err := ParseConfig([]byte(configText))
@@ -100,7 +100,7 @@
 	return f
 }
 
-// stop ends the node, and returns its log and its purges.
+// stop shuts the node down and returns its log and its purges.
 func (f *fleetNode) stop() (log string, purges []string) {
 	f.Shutdown()
 	<-f.done
@@ -116,7 +116,7 @@
 	return status.(FleetStatus).Changes
 }
 
-// waitUntil waits until the follower's status has changed as it must.
+// waitUntil waits until a condition holds for the follower's status.
 func (f *fleetNode) waitUntil(t *testing.T, what string, holds func(*logfollower.Status) bool) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -128,9 +128,9 @@
 	}
 }
 
-// A published configuration is taken as one that was read again, and keeps what is each node's own; one that cannot be
-// used changes nothing. Purges are reported, and operators see how far the node has come.
-func TestNodeFollowsTheLogOfChanges(t *testing.T) {
+// A published configuration is reloaded with the values of the node itself kept; an invalid one changes nothing. Purges
+// are reported, and the status shows which entries have been applied.
+func TestNodeFollowsTheReplicatedLog(t *testing.T) {
 	client := startControlServer(t)
 	publish(t, client, purgeOf("before it began"))
 	text := strings.Replace(testConfig, `"sockets":100`, `"sockets":200`, 1)
@@ -152,15 +152,15 @@
 		t.Errorf("purges %q", purges)
 	}
 	if strings.Contains(log, "differs") || !strings.Contains(log, "configuration reloaded") {
-		t.Errorf("what is each node's own: %s", log)
+		t.Errorf("values of the node itself were not kept: %s", log)
 	}
 }
 
-func TestNodeWithoutControlMachinesFollowsNothing(t *testing.T) {
+func TestNodeWithoutControlServersFollowsNoLog(t *testing.T) {
 	n := startFleetNode(t, strings.Replace(testConfig, `"sockets":100`, `"sockets":200`, 1), "")
 	defer n.stop()
 	if n.follower.Load() != nil {
-		t.Error("it follows a log of changes")
+		t.Error("the node follows a replicated log")
 	}
 	status, _ := fleetView{n.Node}.FleetStatus()
 	if _, ok := status.(gossip.Status); !ok {
--- a/node/config.go
+++ b/node/config.go
@@ -17,57 +17,57 @@
 	"dahliapin/internal/wire/jsonstream"
 )
 
-// The keys of a configuration. Those of its settings are in package settings.
+// The keys of a node configuration. Those of its settings are in package settings.
 const (
 	keyName      = "name"
 	keyListen    = "listen"    // address and port for clients
 	keyDiscovery = "discovery" // address and port of discovery
-	keyAdmin     = "ops"       // address and port for operators
-	keySeed      = "seed"      // hexadecimal, or any text
+	keyAdmin     = "ops"       // address and port of the admin server
+	keySeed      = "seed"      // hexadecimal number or any text
 	keyLimits    = "limits"
 	keyMemory    = "memory_mb"
 	keySockets   = "sockets"
 	keySettings  = "settings"
-	keyLastList  = "known" // the endpoint list as it was last received
+	keyLastList  = "known" // last known endpoint list
 )
 
-var errNoObject = errors.New("the configuration is not a JSON object")
+var errNoObject = errors.New("configuration is not a JSON object")
 
-// Config is what a node is given at its start. Its functions are called on a goroutine of their own each, and may be
-// nil. New takes a Config for itself.
+// Config is the configuration of a node. Each callback is called on a goroutine of its own and may be nil. A Config
+// must not be used further after it has been passed to New.
 type Config struct {
 	Name      string // unique in the fleet
 	Listen    string // address and port for clients
 	Discovery string // address and port of discovery
-	Admin     string // address and port for operators; empty for none
-	Seed      int64  // of random draws
-	MemoryMB  int    // memory limit in MB; 0 for the usual
-	Sockets   int    // limit of descriptors; 0 for the usual
+	Admin     string // address and port of the admin server; empty for none
+	Seed      int64  // of the random number generator
+	MemoryMB  int    // memory limit in MB; 0 for the default
+	Sockets   int    // limit of file descriptors; 0 for the default
 
-	OnEvent func(Event, time.Time)         // called with what the node does to endpoints
-	OnTrace func(line []byte)              // called with each line of the membership's trace
-	OnPurge func(index uint64, key string) // called with each purge of the log of changes
+	OnEvent func(Event, time.Time)         // called with each event
+	OnTrace func(line []byte)              // called with each line of the gossip trace
+	OnPurge func(index uint64, key string) // called with each purge in the replicated log
 
 	settings      settings.Settings
-	lastList      []byte            // the endpoint list as it was last received, in discovery's form; until New
-	listeners     listeners.File    // the operator's file
-	fleet         *fleetconfig.File // nil for a node on its own
-	limitsApplied bool              // by ApplyLimits
+	lastList      []byte            // last known endpoint list in discovery's format; cleared by New
+	listeners     listeners.File    // the listeners file
+	fleet         *fleetconfig.File // nil for a node without a fleet
+	limitsApplied bool              // ApplyLimits has been called
 }
 
-// ReadConfig reads a configuration from a file.
+// ReadConfig reads a node configuration from a file.
 func ReadConfig(path string) (*Config, error) {
 	if path == "" {
-		return nil, errors.New("no configuration is named: set RELAY_CONFIG or give --config")
+		return nil, errors.New("no configuration file is given: set RELAY_CONFIG or use --config")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("the configuration cannot be read: %w", err)
+		return nil, fmt.Errorf("cannot read the configuration: %w", err)
 	}
 	return ParseConfig(text)
 }
 
-// ParseConfig decodes a configuration. An error names what is wrong or missing in one line.
+// ParseConfig decodes a node configuration. Errors are one line of text.
 func ParseConfig(text []byte) (*Config, error) {
 	text, lastList, err := cutLastList(text)
 	if err != nil {
@@ -92,22 +92,22 @@
 	}
 	for _, addr := range []string{c.Listen, c.Discovery} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return nil, fmt.Errorf("the configuration's listen or discovery is not an address and a port: %q", addr)
+			return nil, fmt.Errorf("listen or discovery in the configuration is not an address and port: %q", addr)
 		}
 	}
 	if err := c.checkAdmin(); err != nil {
 		return nil, err
 	}
 	if c.settings, err = settings.Decode(object.Get(keySettings)); err != nil {
-		return nil, fmt.Errorf("the configuration cannot be used: %w", err)
+		return nil, fmt.Errorf("invalid configuration: %w", err)
 	}
 	if c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets {
-		return nil, fmt.Errorf("the configuration's limits are too low: %d MB, %d sockets", c.MemoryMB, c.Sockets)
+		return nil, fmt.Errorf("limits in the configuration are too low: %d MB, %d sockets", c.MemoryMB, c.Sockets)
 	}
 	return c, nil
 }
 
-// parseSeed takes a hexadecimal number as it is, and hashes any other text.
+// parseSeed returns the value of a hexadecimal number, or the hash of any other text.
 func parseSeed(text string) int64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return int64(n)
@@ -115,8 +115,9 @@
 	return int64(keyhash.String(text))
 }
 
-// cutLastList cuts the endpoint list out of a configuration: it may be by far the longest part, and is read as lists
-// are. It returns the text as it is where the list is absent, or is to be found by parsing the whole.
+// cutLastList cuts the last known endpoint list out of a configuration. The list may be by far the longest part and is
+// read later, by the reader of endpoint lists. It returns the text unchanged if the list is absent or can be found only
+// by parsing the whole text.
 func cutLastList(text []byte) (rest, lastList []byte, err error) {
 	rest, value, ok := jsonstream.CutMember(text, keyLastList)
 	if !ok {
@@ -128,7 +129,7 @@
 	return rest, value, nil
 }
 
-// SetAdminAddr sets another address for operators than the configuration's. Two processes may be started with one
+// SetAdminAddr overrides the address of the admin server, so that two processes may be started with one
 // configuration.
 func (c *Config) SetAdminAddr(addr string) error {
 	c.Admin = addr
@@ -140,34 +141,34 @@
 		return nil
 	}
 	if c.Sockets > 0 && c.Sockets < minSocketsWithAdmin {
-		return fmt.Errorf("the configuration's limits are too low for operators' calls: %d sockets, %d are needed",
+		return fmt.Errorf("limits in the configuration are too low for the admin server: %d sockets, %d are needed",
 			c.Sockets, minSocketsWithAdmin)
 	}
 	addr, err := netip.ParseAddrPort(c.Admin)
 	if err != nil {
-		return fmt.Errorf("the address for operators, ops, is not an address and a port: %q", c.Admin)
+		return fmt.Errorf("ops, the address of the admin server, is not an address and port: %q", c.Admin)
 	}
-	if c.Admin == c.Listen && addr.Port() != 0 { // port 0 is any that is free, another one each time
-		return fmt.Errorf("the address for operators, ops, is that of clients: %q", c.Admin)
+	if c.Admin == c.Listen && addr.Port() != 0 { // with port 0 the system chooses a free port each time
+		return fmt.Errorf("ops, the address of the admin server, is the address for clients: %q", c.Admin)
 	}
 	return nil
 }
 
-// LoadListenersFile adds the operator's file: further listeners, caches that speak HTTP, degradation levels.
+// LoadListenersFile reads a listeners file: additional listeners, caches that speak HTTP and degradation levels.
 func (c *Config) LoadListenersFile(path string) error {
 	var err error
 	c.listeners, err = listeners.Read(path, &c.settings)
 	return err
 }
 
-// ParseListeners adds the text of such a file; name is for error messages.
+// ParseListeners parses the text of a listeners file; name is its name in errors.
 func (c *Config) ParseListeners(name string, text []byte) error {
 	var err error
 	c.listeners, err = listeners.Parse(name, text, &c.settings)
 	return err
 }
 
-// LoadFleetFile adds the file by which the node joins its fleet.
+// LoadFleetFile reads the fleet configuration, with which the node joins its fleet.
 func (c *Config) LoadFleetFile(path string) error {
 	var err error
 	if c.fleet, err = fleetconfig.Read(path); err != nil {
@@ -176,7 +177,7 @@
 	return c.checkFleetDescriptors()
 }
 
-// ParseFleet adds the text of such a file; name is for error messages.
+// ParseFleet parses the text of a fleet configuration; name is its name in errors.
 func (c *Config) ParseFleet(name string, text []byte) error {
 	var err error
 	if c.fleet, err = fleetconfig.Parse(name, text); err != nil {
@@ -185,16 +186,16 @@
 	return c.checkFleetDescriptors()
 }
 
-// checkFleetDescriptors checks that the limit of descriptors is enough for the fleet as well. Where the node can be
-// replaced, two processes need them.
+// checkFleetDescriptors checks that the descriptor limit also suffices for gossip and the log follower, in two
+// processes for a node that allows takeover.
 func (c *Config) checkFleetDescriptors() error {
-	least := minSockets + c.fleetDescriptors()
+	minimum := minSockets + c.fleetDescriptors()
 	if c.Admin != "" {
-		least = minSocketsWithAdmin + 2*c.fleetDescriptors()
+		minimum = minSocketsWithAdmin + 2*c.fleetDescriptors()
 	}
-	if c.Sockets > 0 && c.Sockets < least {
-		return fmt.Errorf("the configuration's limits are too low for other nodes: %d sockets, %d are needed",
-			c.Sockets, least)
+	if c.Sockets > 0 && c.Sockets < minimum {
+		return fmt.Errorf("limits in the configuration are too low for the fleet: %d sockets, %d are needed",
+			c.Sockets, minimum)
 	}
 	return nil
 }
--- a/node/events.go
+++ b/node/events.go
@@ -6,11 +6,11 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-// eventQueueSize is how many events may wait for Config.OnEvent. More are dropped and counted, as no request is to
-// wait for it.
+// eventQueueSize is the number of events that may wait for Config.OnEvent. Further events are dropped and counted, so
+// that no request waits for it.
 const eventQueueSize = 4096
 
-// Event is what a node did to an endpoint.
+// Event records what a node did to an endpoint.
 type Event = eventlog.Event
 
 // timedEvent is an event that waits for Config.OnEvent.
@@ -19,18 +19,18 @@
 	at    time.Time
 }
 
-// eventQueue passes events from the event loop to a goroutine of its own.
+// eventQueue passes events from the event loop to a separate goroutine.
 type eventQueue struct {
 	events  chan timedEvent
-	done    chan struct{} // closed once all have been passed on
-	dropped uint64        // the event loop's until it has ended
+	done    chan struct{} // closed once all events have been passed on
+	dropped uint64        // owned by the event loop until that has ended
 }
 
 func newEventQueue() *eventQueue {
 	return &eventQueue{events: make(chan timedEvent, eventQueueSize), done: make(chan struct{})}
 }
 
-// add passes an event on, or drops it where the receiver is slow. It is the event loop's to call.
+// add queues an event, or drops it if the queue is full. It is called by the event loop only.
 func (q *eventQueue) add(event Event, at time.Time) {
 	select {
 	case q.events <- timedEvent{event, at}:
@@ -39,7 +39,7 @@
 	}
 }
 
-// start calls receive for each event, on a goroutine that ends with close.
+// start calls receive for each event on a new goroutine, which ends with close.
 func (q *eventQueue) start(receive func(Event, time.Time)) {
 	go func() {
 		defer close(q.done)
@@ -49,7 +49,7 @@
 	}()
 }
 
-// close returns once all events have been received, with the number of those that were dropped.
+// close waits until all queued events have been received, and returns the number of dropped events.
 func (q *eventQueue) close() (dropped uint64) {
 	close(q.events)
 	<-q.done
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -5,7 +5,7 @@
 	"dahliapin/internal/proxy/admin"
 )
 
-// join joins the fleet, and starts to follow its log of changes. A node with another's name ends.
+// join joins the fleet and starts to follow its replicated log. A node whose name is in use by another process stops.
 func (n *Node) join() error {
 	member, err := gossip.Open(gossip.Config{
 		Name:        n.config.Name,
@@ -14,7 +14,7 @@
 		Now:         gossip.BootTime,
 		Trace:       n.config.OnTrace,
 		OnNameConflict: func(err error) {
-			n.log.WithError(err).Error("this process ends")
+			n.log.WithError(err).Error("node name is in use by another process; shutting down")
 			n.fatal.Store(&err)
 			n.Shutdown()
 		},
@@ -23,14 +23,14 @@
 		return err
 	}
 	n.gossip.Store(member)
-	n.follow()
+	n.startFollower()
 	return nil
 }
 
-// leaveFleet leaves the fleet as the node ends. A node that is replaced does not say that it leaves.
+// leaveFleet ends the membership when the node stops. A node that has been taken over does not announce its leave.
 func (n *Node) leaveFleet() { n.closeFleet(!n.replaced) }
 
-// closeFleet ends the membership, and the following of the log, if they have begun.
+// closeFleet closes the fleet member and the log follower, if they have been started.
 func (n *Node) closeFleet(leave bool) {
 	if member := n.gossip.Load(); member != nil {
 		member.Close(leave)
@@ -40,14 +40,14 @@
 	}
 }
 
-// onLoopIteration tells the membership that the event loop advances. It is called within the loop.
+// onLoopIteration tells the fleet member that the event loop advances. It is called within the loop.
 func (n *Node) onLoopIteration() {
 	if member := n.gossip.Load(); member != nil {
 		member.LoopAdvanced()
 	}
 }
 
-// onPhaseChange tells the membership how a phase concerns the fleet. It is called within the event loop.
+// onPhaseChange announces a change of phase to the fleet where it matters there. It is called within the event loop.
 func (n *Node) onPhaseChange(phase Phase) {
 	before := Phase(n.phase.Swap(int32(phase)))
 	member := n.gossip.Load()
@@ -69,7 +69,7 @@
 	}
 }
 
-// adminFleet returns what operators may ask about the fleet; nil without one.
+// adminFleet returns the view of the fleet for the admin server, or nil without a fleet.
 func (n *Node) adminFleet() admin.Fleet {
 	if n.config.fleet == nil {
 		return nil
@@ -77,13 +77,13 @@
 	return fleetView{n}
 }
 
-// fleetView is the fleet as operators see it.
+// fleetView is the view of the fleet for the admin server.
 type fleetView struct{ node *Node }
 
-// FleetStatus returns how the node takes part in the fleet, and whether it does.
+// FleetStatus returns the state of the node within the fleet and whether it is connected to it.
 func (v fleetView) FleetStatus() (status any, connected bool) {
 	if member := v.node.gossip.Load(); member != nil {
-		return v.node.withChanges(member.FleetStatus())
+		return v.node.withFollowerStatus(member.FleetStatus())
 	}
 	waiting := struct {
 		Waits string `json:"waits"`
--- a/node/limits.go
+++ b/node/limits.go
@@ -10,31 +10,31 @@
 	"dahliapin/internal/proxy/admin"
 )
 
-// The limits of descriptors, which the configuration calls sockets.
+// The limits of file descriptors, which the configuration calls sockets.
 const (
-	minSockets          = 64   // with which a node can do anything
-	minSocketsWithAdmin = 136  // where a node can be replaced: two processes, each with operators' connections
-	defaultSockets      = 1024 // what most systems allow
-	adminExtraSockets   = 2    // of the admin server beside its connections: the listener, and one just accepted
+	minSockets          = 64   // least with which a node can work
+	minSocketsWithAdmin = 136  // for a node that allows takeover: two processes, each with admin connections
+	defaultSockets      = 1024 // default limit of most systems
+	adminExtraSockets   = 2    // of the admin server besides its connections: its listener and a new connection
 )
 
 const (
-	defaultMemoryMB = 192 // where no limit is stated
+	defaultMemoryMB = 192 // if no limit is configured
 
-	// heapShare is the part of the memory limit at which the garbage collector works harder: stacks and sockets need
-	// memory too.
+	// heapShare is the fraction of the memory limit that is set as the limit of the Go runtime, beyond which the
+	// garbage collector works harder. The rest is for stacks and sockets.
 	heapShare = 0.6
 
-	// gcPercent is how much the heap may grow between collections. It is small, and one long value is a fair part of
-	// it.
+	// gcPercent is the growth of the heap between collections, in percent. It is this high because the heap is small,
+	// so that a single long value is a considerable part of it.
 	gcPercent = 200
 
-	// minThreads is how many threads run Go code, so that the event loop does not have to wait for the poller's.
+	// minThreads is the least GOMAXPROCS, so that the event loop does not have to wait for the goroutine of the poller.
 	minThreads = 2
 )
 
-// ApplyLimits makes the process keep within a configuration's limits. It is for a program that runs one node and
-// nothing else.
+// ApplyLimits applies the limits of a configuration to the process. It is for a program that runs one node and nothing
+// else.
 func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(max(minThreads, runtime.GOMAXPROCS(0)))
 	debug.SetGCPercent(gcPercent)
@@ -42,7 +42,7 @@
 	c.limitMemory(false)
 }
 
-// limitMemory sets the memory limit of the process, half of it while two processes share the node's.
+// limitMemory sets the memory limit of the process, which is halved while two processes share the node's limits.
 func (c *Config) limitMemory(shared bool) {
 	limit := heapShare * float64(c.memory())
 	if shared {
@@ -54,12 +54,12 @@
 // memory returns the memory limit in bytes.
 func (c *Config) memory() int64 { return int64(cmp.Or(c.MemoryMB, defaultMemoryMB)) << 20 }
 
-// proxyDescriptors returns the descriptors for the proxy: those that otherDescriptors leaves.
+// proxyDescriptors returns the number of descriptors for the proxy: all but otherDescriptors.
 func (c *Config) proxyDescriptors() int {
 	return cmp.Or(c.Sockets, defaultSockets) - c.otherDescriptors()
 }
 
-// otherDescriptors returns the descriptors for the node's parts beside the proxy.
+// otherDescriptors returns the number of descriptors for the node's parts other than the proxy.
 func (c *Config) otherDescriptors() int {
 	if c.Admin == "" {
 		return c.fleetDescriptors()
@@ -67,7 +67,7 @@
 	return c.fleetDescriptors() + admin.MaxConnections + adminExtraSockets
 }
 
-// fleetDescriptors returns the descriptors for the membership and the log of changes; 0 without a fleet.
+// fleetDescriptors returns the number of descriptors for gossip and the log follower; 0 without a fleet.
 func (c *Config) fleetDescriptors() int {
 	switch {
 	case c.fleet == nil:
--- a/node/node.go
+++ b/node/node.go
@@ -16,11 +16,12 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// Phase is how far a node has come.
+// Phase is a phase in the lifecycle of a node.
 type Phase = proxy.Phase
 
-// The phases. Starting leads to Serving, either to Standby, and Standby back to Starting (leaveStandby); all lead to
-// Draining, and that to Stopped, for good. joinAfterTakeover relies on these two being the last.
+// The phases. Starting is followed by Serving; both may change to Standby, and Standby changes back to Starting
+// (leaveStandby). All may change to Draining, which is followed by Stopped, the final phase. joinAfterTakeover relies
+// on these two being the last.
 const (
 	Starting = proxy.Starting
 	Serving  = proxy.Serving
@@ -29,25 +30,25 @@
 	Stopped  = proxy.Stopped
 )
 
-// Node is one node.
+// Node is a running node.
 type Node struct {
-	config *Config // as it was started
+	config *Config // at the start of the node
 	log    *logrus.Logger
 	phase  atomic.Int32
-	fatal  atomic.Pointer[error] // why the node ended by itself
+	fatal  atomic.Pointer[error] // why the node stopped by itself
 
 	proxy    *proxy.Proxy
-	admin    *admin.Server                        // nil without operators
+	admin    *admin.Server                        // nil without an admin address
 	gossip   atomic.Pointer[gossip.Node]          // nil without a fleet, or until it is joined
-	follower atomic.Pointer[logfollower.Follower] // nil without a log of changes, or until the fleet is joined
-	events   *eventQueue                          // nil where nobody receives them
+	follower atomic.Pointer[logfollower.Follower] // nil without a replicated log, or until the fleet is joined
+	events   *eventQueue                          // nil without Config.OnEvent
 
-	joinOnce  sync.Once     // of joining after a takeover
-	replaced  bool          // another process takes this one's place in the fleet; the event loop's
+	joinOnce  sync.Once     // guards the join after a takeover
+	replaced  bool          // another process has taken over this node in the fleet; owned by the event loop
 	loopBlock chan struct{} // closed to end BlockLoop; nil while the loop runs
 }
 
-// New listens as the configuration says and starts. Serve is to follow.
+// New opens the configured listeners and starts the node. Call Serve next.
 func New(c *Config, log *logrus.Logger) (*Node, error) {
 	n := &Node{log: log, config: c}
 	if c.OnEvent != nil {
@@ -73,7 +74,7 @@
 	if n.admin != nil {
 		n.admin.Serve(n.proxy, n.adminFleet(), log)
 	}
-	// A process that replaces another one joins the fleet once that has gone; see onSharedLimits.
+	// A process that takes over from another one joins the fleet once that has stopped; see onSharedLimits.
 	if c.fleet != nil && inherited == nil {
 		if err := n.join(); err != nil {
 			n.proxy.Shutdown()
@@ -110,7 +111,7 @@
 	return err
 }
 
-// Serve runs until the node has stopped, and its events have been received.
+// Serve runs until the node has stopped and all its events have been received.
 func (n *Node) Serve() {
 	defer n.closeAdmin()
 	defer n.leaveFleet()
@@ -121,7 +122,7 @@
 	n.events.start(n.config.OnEvent)
 	n.proxy.Run()
 	if dropped := n.events.close(); dropped > 0 {
-		n.log.WithField("records", dropped).Warn("records dropped: whoever keeps them was slow")
+		n.log.WithField("records", dropped).Warn("events dropped: their receiver was too slow")
 	}
 }
 
@@ -134,8 +135,8 @@
 // Shutdown asks the node to drain and stop. It may be called from any goroutine.
 func (n *Node) Shutdown() { n.proxy.Shutdown() }
 
-// Reload takes a changed configuration: the address of discovery, and nothing else. What else differs is named in the
-// log, as it takes a restart. It may be called from any goroutine.
+// Reload applies the discovery address of a changed configuration and nothing else. Other differences are logged, as
+// they require a restart. It may be called from any goroutine.
 func (n *Node) Reload(c *Config) {
 	running := n.config
 	log := n.log.WithField("discovery", c.Discovery)
@@ -147,14 +148,14 @@
 		"settings": reflect.DeepEqual(c.settings, running.settings),
 	} {
 		if !same {
-			log = log.WithField(field, "differs; a restart takes it")
+			log = log.WithField(field, "differs; takes effect after a restart")
 		}
 	}
 	log.Info("configuration reloaded")
 	n.proxy.SetDiscovery(c.Discovery)
 }
 
-// Err returns why the node ended by itself, or nil. It is to be called once Serve has returned.
+// Err returns why the node stopped by itself, or nil. Call it after Serve has returned.
 func (n *Node) Err() error {
 	if err := n.fatal.Load(); err != nil {
 		return *err
@@ -162,13 +163,13 @@
 	return nil
 }
 
-// Phase returns how far the node has come. It may be called from any goroutine.
+// Phase returns the current phase. It may be called from any goroutine.
 func (n *Node) Phase() Phase { return Phase(n.phase.Load()) }
 
-// Addr returns the address and port that the node listens on.
+// Addr returns the address and port on which the node listens for clients.
 func (n *Node) Addr() string { return n.proxy.Addr(0) }
 
-// AdminAddr returns the address and port that operators call, or an empty string for none.
+// AdminAddr returns the address and port of the admin server, or an empty string for none.
 func (n *Node) AdminAddr() string {
 	if n.admin == nil {
 		return ""
@@ -176,7 +177,7 @@
 	return n.admin.Addr()
 }
 
-// ListenerAddr returns the address and port of a listener of the operator's file, by its number there from 0.
+// ListenerAddr returns the address and port of a listener in the listeners file, by its index there.
 func (n *Node) ListenerAddr(i int) string { return n.proxy.Addr(i + 1) }
 
 // Counters returns a copy of the node's counters.
@@ -190,8 +191,9 @@
 	n.log.WithFields(fields).Info(fmt.Sprintf("counters, %s", n.Phase()))
 }
 
-// BlockLoop blocks the event loop, or lets it go on, while all else in the process runs: the node is alive for its
-// peers and dead for its clients. It is for tests of the fleet, and to be called from one goroutine.
+// BlockLoop blocks the event loop or, at the next call, unblocks it. The rest of the process keeps running, so that the
+// node is alive for its peers but does not serve its clients. It is for fleet tests and must be called from one
+// goroutine.
 func (n *Node) BlockLoop() {
 	if n.loopBlock != nil {
 		close(n.loopBlock)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -15,29 +15,29 @@
 const testConfig = `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"memory_mb":64,"sockets":100},"settings":{"service_grades":[{"name":"read","hard_stop_s":0.1}]}}`
 
-// silentLog returns a log that goes nowhere.
+// silentLog returns a logger that discards its output.
 func silentLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// with returns testConfig with texts replaced.
+// with returns testConfig with replacements, in pairs of old and new text.
 func with(oldnew ...string) string { return strings.NewReplacer(oldnew...).Replace(testConfig) }
 
-func TestUnusableConfigurationIsToldInOneLine(t *testing.T) {
+func TestInvalidConfigurationIsReportedInOneLine(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{"empty", ""},
-		{"no JSON", "no"},
-		{"no object", "[1]"},
-		{"nothing in it", "{}"},
+		{"not JSON", "no"},
+		{"not an object", "[1]"},
+		{"empty object", "{}"},
 		{"listen without a port", with("127.0.0.1:0", "nowhere")},
 		{"discovery by name", with("127.0.0.1:1", "host.name:1")},
 		{"too few sockets", with("100", "3")},
 		{"no service classes", with("service_grades", "x")},
-		{"too few sockets for operators", with(`"seed"`, `"ops":"127.0.0.1:0","seed"`)},
-		{"operators without a port", with("100", "200", `"seed"`, `"ops":"nowhere","seed"`)},
-		{"operators at the clients' address",
+		{"too few sockets for the admin server", with(`"seed"`, `"ops":"127.0.0.1:0","seed"`)},
+		{"admin address without a port", with("100", "200", `"seed"`, `"ops":"nowhere","seed"`)},
+		{"admin address is the client address",
 			with("100", "200", "127.0.0.1:0", "127.0.0.1:7", `"seed"`, `"ops":"127.0.0.1:7","seed"`)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestPortsThatTheSystemChoosesAreNotTheSame(t *testing.T) {
+func TestAdminAddressMayRepeatPortZero(t *testing.T) {
 	if _, err := ParseConfig([]byte(with("100", "200", `"seed"`, `"ops":"127.0.0.1:0","seed"`))); err != nil {
 		t.Error(err)
 	}
@@ -56,7 +56,7 @@
 
 func TestMissingConfigurationFileIsAnError(t *testing.T) {
 	if _, err := ReadConfig("/nowhere/at/all"); err == nil {
-		t.Error("read what is not there")
+		t.Error("no error for a missing file")
 	}
 }
 
@@ -64,8 +64,8 @@
 	"[[listener]]\nlisten='127.0.0.1:0'\nprotocol='http'\nready_path='/up'\n" +
 	"[[listener.route]]\npath='/'\nmethods=['GET']\ngrade='read'\n"
 
-// Without discovery a node stays in its first phase, in which it answers that it starts, by each listener in its own
-// protocol. Then it goes through the others to its end.
+// Without discovery a node stays in its first phase and answers on each listener, in its protocol, that it is starting.
+// After Shutdown it goes through the remaining phases and stops.
 func TestNodeGoesThroughItsPhases(t *testing.T) {
 	config, err := ParseConfig([]byte(testConfig))
 	if err != nil {
@@ -102,7 +102,7 @@
 		}
 	}
 	if _, err := New(&Config{Listen: n.Addr()}, silentLog()); err == nil {
-		t.Error("listens where another does")
+		t.Error("a second node listens on the same address")
 	}
 	n.Shutdown()
 	<-done
@@ -112,7 +112,7 @@
 	}
 }
 
-// ask sends a request and returns what is answered, at least so many bytes.
+// ask sends a request and returns the response, of which it waits for at least least bytes.
 func ask(t *testing.T, addr, request string, least int) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -128,8 +128,8 @@
 	return string(answer[:n])
 }
 
-// The other nodes' connections were not counted: a node at its limit of descriptors could have exceeded it.
-func TestFleetNeedsDescriptors(t *testing.T) {
+// Guards against not counting the descriptors for gossip, which let a node exceed its limit of descriptors.
+func TestFleetConfigRequiresEnoughDescriptors(t *testing.T) {
 	const text = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"sockets":%d},` +
 		`"settings":{"service_grades":[{"name":"read"}]}}`
 	for _, test := range []struct {
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// joinTimeout is for the process that this one replaces to give up its address in the fleet.
+	// joinTimeout bounds the time that the replaced process may take to release its fleet address.
 	joinTimeout = 10 * time.Second
 
-	// joinRetryInterval is the time between two attempts to join meanwhile.
+	// joinRetryInterval is the time between attempts to join until then.
 	joinRetryInterval = 50 * time.Millisecond
 )
 
-// inherit returns the sockets of the process that this one replaces, if there is one, and the path at which this one
-// may be replaced. Only nodes with an admin server and a port of their own are replaced. Whatever is wrong with the
-// folder for it, a node starts as without one.
+// inherit returns the sockets of the process that this one takes over from, if there is one, and the path of the
+// handover socket for the next takeover. Only nodes with an admin server and a fixed port allow a takeover. If the
+// directory of the handover socket is unusable, the node starts without a takeover.
 func (n *Node) inherit() (inherited *handover.Inherited, path string) {
 	addr, err := netip.ParseAddrPort(n.config.Listen)
 	if n.admin == nil || err != nil || addr.Port() == 0 {
@@ -27,7 +27,7 @@
 	path = handover.Path(os.TempDir(), n.config.Listen)
 	inherited, err = handover.Inherit(path)
 	if err != nil {
-		n.log.WithError(err).Warn("no process can be replaced")
+		n.log.WithError(err).Warn("takeover is not possible; starting without one")
 	}
 	if inherited != nil {
 		n.log.WithField("listeners", len(inherited.Listeners)).Info("taking over from the running process")
@@ -35,8 +35,8 @@
 	return inherited, path
 }
 
-// onSharedLimits is called as two processes of the node begin or cease to share its limits. Once this one is alone, it
-// joins the fleet, if it has not.
+// onSharedLimits is called when two processes of the node begin or cease to share its limits. Once this process is
+// alone, it joins the fleet if it has not done so.
 func (n *Node) onSharedLimits(shared bool) {
 	if n.config.limitsApplied {
 		n.config.limitMemory(shared)
@@ -46,12 +46,12 @@
 	}
 }
 
-// joinAfterTakeover joins the fleet once the replaced process has given up its address.
+// joinAfterTakeover joins the fleet once the replaced process has released its address.
 func (n *Node) joinAfterTakeover() {
 	deadline := time.Now().Add(joinTimeout)
 	for {
 		err := n.join()
-		if n.Phase() >= Draining { // Serve may have looked for what to close already
+		if n.Phase() >= Draining { // Serve may already have closed what was open
 			if err == nil {
 				n.closeFleet(true)
 			}
@@ -61,7 +61,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			n.log.WithError(err).Error("this node does not know the others")
+			n.log.WithError(err).Error("joining the fleet after the takeover failed; running without it")
 			return
 		}
 		time.Sleep(joinRetryInterval)
