--- a/internal/wire/http1/chunks.go
+++ b/internal/wire/http1/chunks.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// Progress is how far a body in chunks has been read. It guards against a body that is received in many pieces and
-// would be read anew with each: a response of 1 MB took seconds of processor time. The zero Progress is that of a
-// message of which nothing has been received. Positions count from the beginning of the body, in bytes.
+// Progress is the state of reading a chunked body. It avoids parsing the body again for each of the pieces in which it
+// is received, which took seconds of CPU time for a response of 1 MB. The zero Progress is for a new message. Positions
+// are byte offsets from the beginning of the body.
 type Progress struct {
-	next      int  // where the next chunk's line, or line of the trailer, begins
-	length    int  // size of the data in the chunks before
+	next      int  // where the line of the next chunk or trailer field begins
+	length    int  // size of the data in the chunks read so far
 	inTrailer bool // the last chunk has been read
 	trailerAt int  // where the trailer begins
 }
 
-// chunks reads a response's body in chunks and joins it. The size is 0 until it has been received as a whole.
+// chunks reads the chunked body of a response and joins its chunks. The size is 0 while the body is incomplete.
 func (p *Progress) chunks(b []byte, maxBody int) (body []byte, size int, err error) {
 	for !p.inTrailer {
 		complete, err := p.chunk(b, maxBody)
@@ -35,7 +35,7 @@
 	}
 }
 
-// chunk reads one chunk if it has been received as a whole.
+// chunk reads one chunk if it is complete.
 func (p *Progress) chunk(b []byte, maxBody int) (complete bool, err error) {
 	line, begin, err := cutLine(b, p.next)
 	if begin == 0 {
@@ -63,14 +63,14 @@
 	return true, nil
 }
 
-// parseChunkSize parses a chunk's line: its size in hexadecimal digits, and extensions that have no meaning here.
+// parseChunkSize parses the line of a chunk: its hexadecimal size and extensions, which are ignored.
 func parseChunkSize(line []byte) (int, error) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 32)
 	return int(size), err
 }
 
-// joinChunks joins the data, of length bytes in all, of chunks that have been read before and are well formed.
+// joinChunks joins the data, of length bytes in total, of chunks that have already been validated.
 func joinChunks(b []byte, length int) []byte {
 	if length == 0 {
 		return nil
@@ -86,7 +86,8 @@
 	return body
 }
 
-// cutLine cuts off the line that begins at a position. The position of the next line is 0 until the line has ended.
+// cutLine cuts off the line that begins at a position. The position of the next line is 0 while the line is
+// incomplete.
 func cutLine(b []byte, at int) (line []byte, next int, err error) {
 	size := bytes.Index(b[at:], crlf)
 	if size >= 0 {
--- a/internal/wire/http1/framing.go
+++ b/internal/wire/http1/framing.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// maxLengthDigits is the limit of the digits of a Content-Length, which so fits an int64.
+// maxLengthDigits limits the digits of a Content-Length, so that it fits an int64.
 const maxLengthDigits = 18
 
-// framing returns how long the body is, in bytes, or that it is in chunks. Every shape that two readers may take
-// differently is refused: both headers, two lengths even if alike, a list, a sign, another coding than chunked.
+// framing returns the length of the body in bytes, or that the body is chunked. It rejects all framing that two parsers
+// may interpret differently: both headers, two lengths even if equal, a list, a sign, a coding other than chunked.
 func (q *Request) framing() (length int64, chunked bool, fault *Fault) {
 	var lengthValue, codingValue []byte
 	lengths := 0
--- a/internal/wire/http1/golden_test.go
+++ b/internal/wire/http1/golden_test.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/golden"
 )
 
-func TestMessagesAreReadAndWrittenAsRecorded(t *testing.T) {
+func TestMessagesMatchGoldenFile(t *testing.T) {
 	var got strings.Builder
 	printRequests(&got)
 	printResponses(&got)
--- a/internal/wire/http1/headers.go
+++ b/internal/wire/http1/headers.go
@@ -8,7 +8,7 @@
 
 const deleteByte = 0x7f
 
-// tokenBytes are the bytes of a token, such as a method or a header's name (RFC 9110, 5.6.2).
+// tokenBytes are the bytes allowed in a token, such as a method or a header name (RFC 9110, 5.6.2).
 const tokenBytes = "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
 var isTokenByte = makeByteSet(tokenBytes)
@@ -30,7 +30,7 @@
 	return len(b) > 0
 }
 
-// isValue tells whether a header's value has no byte that another reader may take for the end of its line.
+// isValue reports whether a header value is free of bytes that another parser may take for the end of its line.
 func isValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == deleteByte {
@@ -40,10 +40,10 @@
 	return true
 }
 
-// IsField tells whether a name and a value can stand as a header's line for every reader.
+// IsField reports whether a name and a value form a header line that every parser accepts.
 func IsField(name, value []byte) bool { return isToken(name) && isValue(value) }
 
-// HasToken tells whether a list separated by commas has a token, whatever its case.
+// HasToken reports whether a comma-separated list has a token, ignoring case.
 func HasToken(list []byte, token string) bool {
 	for len(list) > 0 {
 		var item []byte
@@ -55,7 +55,7 @@
 	return false
 }
 
-// findHeader returns the first value of a header, nil where it is absent, and whether all its values are the same.
+// findHeader returns the first value of a header, or nil if it is absent, and whether all its values are the same.
 func findHeader(headers []byte, name string) (value []byte, agree bool) {
 	agree = true
 	for rest := headers; len(rest) > 0; {
@@ -67,7 +67,7 @@
 		}
 		lineValue = bytes.TrimSpace(lineValue)
 		if lineValue == nil {
-			lineValue = line[:0] // it is present, and empty
+			lineValue = line[:0] // present but empty: not nil
 		}
 		if value == nil {
 			value = lineValue
--- a/internal/wire/http1/request.go
+++ b/internal/wire/http1/request.go
@@ -6,29 +6,30 @@
 	"net/http"
 )
 
-// The limits of what a request may have.
+// The limits of a request.
 const (
 	maxTargetSize      = 4 << 10 // bytes of the target
-	maxRequestLineRest = 64      // bytes of the request line beside the target
+	maxRequestLineRest = 64      // bytes of the request line other than the target
 	maxHeaderLines     = 100     // a usual client sends a dozen
-	maxTrailerSize     = 4 << 10 // bytes of a trailer, of each chunk's line, and of empty lines before a request
+	maxTrailerSize     = 4 << 10 // bytes of a trailer, of the line of a chunk, and of empty lines before a request
 )
 
-// Request is a request. Its parts lie in the buffer that it was read from, but for a body in chunks.
+// Request is a request. It refers to the buffer that it was read from, except for a chunked body.
 type Request struct {
 	Method  []byte
 	Target  []byte
 	Body    []byte
-	Close   bool // the connection ends with its response
+	Close   bool // the connection ends after the response
 	headers []byte
 
-	// Of a request that has not been received as a whole.
-	Continue  bool // the client waits for the status 100 before it sends the body
-	TotalSize int  // size of the whole request, in bytes, where that is known
+	// These are set for an incomplete request.
+	Continue  bool // the client waits for status 100 before it sends the body
+	TotalSize int  // size of the complete request in bytes, if known
 }
 
-// Fault says why a request cannot be served. The connection ends with the response that tells so: it cannot be known
-// where the next request begins, and a server that guesses may take part of one for another (request smuggling).
+// Fault is the reason why a request cannot be served. The connection must be closed after the response to it: where the
+// next request begins is unknown, and a server that guesses may take part of one request for another (request
+// smuggling).
 type Fault struct {
 	Status int
 	Reason string
@@ -41,25 +42,25 @@
 
 func bodyTooLong() *Fault { return &Fault{http.StatusRequestEntityTooLarge, "a body that is too long"} }
 
-// Header returns a header's value, or nil where it is absent. One that is empty is not nil.
+// Header returns the value of a header, or nil if it is absent. An empty value is not nil.
 func (q *Request) Header(name string) []byte {
 	value, _ := findHeader(q.headers, name)
 	return value
 }
 
-// Each calls f for every header line, in order.
+// Each calls f for each header line, in order.
 func (q *Request) Each(f func(name, value []byte)) { eachHeader(q.headers, f) }
 
-// ReadRequest reads the first request in b, with a body of at most maxBody bytes. A size of 0 without a fault asks for
-// more bytes. Lines end with CR and LF only; empty ones before a request are skipped (RFC 9112, 2.2). A request that
-// is received in pieces is read with a Progress instead.
+// ReadRequest reads the first request in b, with a body of at most maxBody bytes. A size of 0 without a fault means
+// that more bytes are needed. Lines must end with CR LF; empty lines before a request are skipped (RFC 9112, 2.2). To
+// read a request that is received in pieces, use Progress.ReadRequest.
 func ReadRequest(b []byte, maxBody int) (q Request, size int, fault *Fault) {
 	var p Progress
 	return p.ReadRequest(b, maxBody)
 }
 
-// ReadRequest does as the function of its name for a request that is received in pieces: b begins with the same bytes
-// at each call, until a size or a fault is returned. After that the Progress is to be reset for the next one.
+// ReadRequest is like the function ReadRequest, for a request that is received in pieces: b begins with the same bytes
+// at each call until a size or a fault is returned. The Progress must then be reset for the next request.
 func (p *Progress) ReadRequest(b []byte, maxBody int) (q Request, size int, fault *Fault) {
 	skipped, fault := skipEmptyLines(b)
 	if fault != nil {
--- a/internal/wire/http1/request_chunks.go
+++ b/internal/wire/http1/request_chunks.go
@@ -5,11 +5,11 @@
 const (
 	hexDigits          = "0123456789abcdef"
 	maxChunkSizeDigits = 8
-	lowerCaseBit       = 0x20 // which turns a letter to lower case, and leaves a digit as it is
+	lowerCaseBit       = 0x20 // setting it lower-cases a letter and leaves a digit unchanged
 )
 
-// requestChunks reads a request's body in chunks and joins it. The size is 0 until it has been received as a whole,
-// with its trailer. It is stricter than the reader of responses.
+// requestChunks reads the chunked body of a request and joins its chunks. The size is 0 while the body or its trailer
+// is incomplete. It is stricter than the reader of responses.
 func (p *Progress) requestChunks(b []byte, maxBody int) (body []byte, size int, fault *Fault) {
 	for !p.inTrailer {
 		complete, fault := p.requestChunk(b, maxBody)
@@ -28,7 +28,7 @@
 	return body, end, nil
 }
 
-// requestChunk reads one chunk if it has been received as a whole.
+// requestChunk reads one chunk if it is complete.
 func (p *Progress) requestChunk(b []byte, maxBody int) (complete bool, fault *Fault) {
 	tooLong := badRequest("a chunk's line that is too long")
 	line, begin, fault := cutRequestLine(b, p.next, maxTrailerSize, tooLong)
@@ -61,7 +61,7 @@
 	return true, nil
 }
 
-// parseRequestChunkSize parses a chunk's line. Spaces, a sign and 0x are refused, as others read them differently.
+// parseRequestChunkSize parses the line of a chunk. It rejects spaces, a sign and 0x, on which parsers differ.
 func parseRequestChunkSize(line []byte) (size int, ok bool) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	if len(digits) == 0 || len(digits) > maxChunkSizeDigits {
@@ -69,7 +69,7 @@
 	}
 	for _, c := range digits {
 		digit := bytes.IndexByte([]byte(hexDigits), c|lowerCaseBit)
-		if digit < 0 || c < '0' { // the bit turns some control bytes into digits
+		if digit < 0 || c < '0' { // setting the bit turns some control bytes into digits
 			return 0, false
 		}
 		size = size*len(hexDigits) + digit
@@ -77,8 +77,8 @@
 	return size, true
 }
 
-// requestTrailer reads a trailer and the empty line behind it. It returns where that ends, or 0 until it has been
-// received.
+// requestTrailer reads a trailer and the empty line after it. It returns the end of that line, or 0 while it is
+// incomplete.
 func (p *Progress) requestTrailer(b []byte) (end int, fault *Fault) {
 	for {
 		tooLong := badRequest("a trailer that is too long")
--- a/internal/wire/http1/request_head.go
+++ b/internal/wire/http1/request_head.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// The positions in a request's version: "HTTP/1.1".
+// The positions in the version of a request: "HTTP/1.1".
 const (
 	requestVersionSize = 8
 	majorVersionAt     = 5
@@ -13,7 +13,7 @@
 	minorDigitAt       = 7
 )
 
-// readHead reads the request line and the headers. A size of 0 without a fault asks for more bytes.
+// readHead reads the request line and the headers. A size of 0 without a fault means that more bytes are needed.
 func (q *Request) readHead(b []byte) (size int, fault *Fault) {
 	tooLong := &Fault{http.StatusRequestURITooLong, "a target that is too long"}
 	line, headersAt, fault := cutRequestLine(b, 0, maxTargetSize+maxRequestLineRest, tooLong)
@@ -28,19 +28,19 @@
 	if size == 0 || fault != nil {
 		return 0, fault
 	}
-	isOld := minorVersion == '0'
+	isHTTP10 := minorVersion == '0'
 	connection := q.Header("Connection")
-	q.Close = HasToken(connection, "close") || isOld && !HasToken(connection, "keep-alive")
-	if hostLines != 1 && !isOld || hostLines > 1 {
+	q.Close = HasToken(connection, "close") || isHTTP10 && !HasToken(connection, "keep-alive")
+	if hostLines != 1 && !isHTTP10 || hostLines > 1 {
 		return 0, badRequest("no host, or several")
 	}
-	if isOld && q.Header("Transfer-Encoding") != nil { // its framing is faulty (RFC 9112, 6.1)
+	if isHTTP10 && q.Header("Transfer-Encoding") != nil { // invalid framing (RFC 9112, 6.1)
 		return 0, badRequest("a transfer coding in HTTP/1.0")
 	}
 	return size, nil
 }
 
-// readRequestLine reads the first line: method, target and version, with one space between them.
+// readRequestLine parses the request line: method, target and version, separated by single spaces.
 func (q *Request) readRequestLine(line []byte) (minorVersion byte, fault *Fault) {
 	method, rest, hasTarget := bytes.Cut(line, []byte(" "))
 	target, version, hasVersion := bytes.Cut(rest, []byte(" "))
@@ -60,13 +60,13 @@
 	return version[minorDigitAt], nil
 }
 
-// isTarget tells whether a text can be a target for every reader.
+// isTarget reports whether b is a target that every parser accepts.
 func isTarget(b []byte) bool {
 	return len(b) > 0 && isValue(b) && bytes.IndexByte(b, ' ') < 0 && bytes.IndexByte(b, '\t') < 0
 }
 
-// readHeaders reads the header lines, which begin at a position, up to the empty line behind them. It returns how
-// many of them are Host lines, and where the head ends, or 0 to ask for more bytes.
+// readHeaders reads the header lines from a position to the empty line after them. It returns the number of Host lines
+// and the end of the head, which is 0 if more bytes are needed.
 func (q *Request) readHeaders(b []byte, begin int) (hostLines, end int, fault *Fault) {
 	at := begin
 	for count := 0; ; count++ {
@@ -85,7 +85,7 @@
 			q.headers = b[begin:at]
 			return hostLines, next, nil
 		}
-		// A folded line, and one with space before its colon, have no token for a name, and are refused here.
+		// The name of a folded line or of one with a space before the colon is not a token, so these are rejected here.
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !IsField(name, value) {
 			return 0, 0, badRequest("a header that can't be read")
@@ -98,8 +98,8 @@
 }
 
 // cutRequestLine cuts off the line that begins at a position, of at most limit bytes. The position of the next line is
-// 0 until the line has ended. A line feed without its carriage return, or the other way round, is refused: some
-// readers take it for the end of a line, others for part of its text.
+// 0 while the line is incomplete. A bare line feed or carriage return is rejected: some parsers take it for the end of
+// the line, others for part of its text.
 func cutRequestLine(b []byte, at, limit int, tooLong *Fault) (line []byte, next int, fault *Fault) {
 	size := bytes.IndexAny(b[at:], "\r\n")
 	if size > limit || size < 0 && len(b)-at > limit {
--- a/internal/wire/http1/request_test.go
+++ b/internal/wire/http1/request_test.go
@@ -10,9 +10,9 @@
 
 const testMaxBody = 64
 
-// Each shape is one that two readers on the way may take differently, or that takes memory without end. If it were
-// served, part of one client's request would be read as another's.
-func TestShapesThatCouldSmuggleARequestAreRefused(t *testing.T) {
+// Guards against serving requests that two parsers on the path may interpret differently, so that part of one client's
+// request is taken for another's (request smuggling), and requests that use unbounded memory.
+func TestAmbiguousOrUnboundedRequestsAreRejected(t *testing.T) {
 	get := "GET /k HTTP/1.1\r\nHost: n\r\n"
 	put := "PUT /k HTTP/1.1\r\nHost: n\r\n"
 	chunked := put + "Transfer-Encoding: chunked\r\n\r\n"
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestRequestsAreReadOneAfterAnother(t *testing.T) {
+func TestPipelinedRequestsAreReadInOrder(t *testing.T) {
 	text := "\r\nPUT /a?x=1 HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabc" +
 		"POST /b HTTP/1.1\r\nhost: n\r\ntransfer-encoding: Chunked\r\n\r\n2;x=y\r\nde\r\n1\r\nf\r\n0\r\nT: v\r\n\r\n" +
 		"GET /c HTTP/1.0\r\n\r\nHEAD /d HTTP/1.1\r\nHost: n\r\nConnection: x, Close\r\n\r\n"
@@ -83,19 +83,20 @@
 	}
 }
 
-// A client that waits for the status 100 is told so until its body begins.
-func TestClientThatWaitsToSendItsBodyIsKnown(t *testing.T) {
+// Continue is set while a client waits for status 100, until its body begins.
+func TestContinueIsSetUntilTheBodyBegins(t *testing.T) {
 	head := []byte("PUT /a HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
 	if q, size, _ := ReadRequest(head, testMaxBody); size != 0 || !q.Continue || q.TotalSize != len(head)+3 {
 		t.Errorf("%+v", q)
 	}
 	if q, _, _ := ReadRequest(append(head, 'a'), testMaxBody); q.Continue {
-		t.Error("it sends already")
+		t.Error("Continue is set although the body has begun")
 	}
 }
 
-// Cut anywhere, a request reads as the whole does: more bytes are asked for until it has been received, and it is
-// refused at last where the whole is refused. Written again from its parts it reads alike.
+// A request that is split at any position must be read like the whole: it is incomplete until all of it has been
+// received, and is rejected if the whole is rejected. Written again from its parts, it must be read as the same
+// request.
 func FuzzRequestsSplitAnywhereReadAlike(f *testing.F) {
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: n\r\nContent-Length: 3\r\n\r\nabcGET /"))
 	f.Add([]byte("POST /b HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n"))
@@ -117,7 +118,7 @@
 			part, size, fault := ReadRequest(b[:n], testMaxBody)
 			switch {
 			case fault != nil && wholeFault == nil:
-				t.Fatalf("%q is refused (%v), with more it is not", b[:n], fault)
+				t.Fatalf("%q is rejected (%v), but is accepted with more bytes", b[:n], fault)
 			case size > 0 && (size != wholeSize || !bytes.Equal(part.Body, whole.Body)):
 				t.Fatalf("%q reads as %d bytes, the whole as %d", b[:n], size, wholeSize)
 			}
@@ -134,7 +135,7 @@
 	})
 }
 
-// rewriteRequest writes a request from its parts, with a stated length and at least one host.
+// rewriteRequest writes a request from its parts, with a Content-Length and at least one Host header.
 func rewriteRequest(q *Request) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\n", q.Method, q.Target)
@@ -155,8 +156,8 @@
 	return text.Bytes()
 }
 
-// A client that sent 16,000 chunks of one byte, each by itself, took 14 s of the node's core within the time that a
-// request may take to be received.
+// Guards against parsing a chunked body again for each piece: a client that sent 16,000 chunks of one byte separately
+// used 14 s of CPU time of the node within the time limit for receiving a request.
 func TestRequestChunksAreReadOnce(t *testing.T) {
 	const chunks, chunk = 16000, "1\r\nx\r\n"
 	head := "POST /a HTTP/1.1\r\nHost: n\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/wire/http1/response.go
+++ b/internal/wire/http1/response.go
@@ -7,19 +7,19 @@
 	"strconv"
 )
 
-// The statuses of rejections: the server was at capacity, and the request has not run.
+// The statuses of rejections: the server was at capacity and did not run the request.
 const (
 	TooManyRequests    = http.StatusTooManyRequests
 	ServiceUnavailable = http.StatusServiceUnavailable
 )
 
-// maxHeadSize is the limit, in bytes, of the heads of a message, those of interim responses among them. It is far
-// above any that a usual peer sends.
+// maxHeadSize limits the total size, in bytes, of the heads of a message, including those of interim responses. It is
+// far above what usual peers send.
 const maxHeadSize = 16 << 10
 
 const (
-	firstFinalStatus = 200 // statuses below are those of interim responses
-	leastStatus      = 100
+	firstFinalStatus = 200 // statuses below are interim responses
+	minStatus        = 100
 )
 
 var (
@@ -27,38 +27,38 @@
 	errLength = errors.New("the length of an answer is malformed or too great")
 )
 
-// Response is a response. Its parts lie in the buffer that it was read from, but for a body in chunks.
+// Response is a response. It refers to the buffer that it was read from, except for a chunked body.
 type Response struct {
 	Status  int
 	Body    []byte
-	Close   bool // the connection ends with it
+	Close   bool // the connection ends after the response
 	headers []byte
 
-	// Of a response of stated length that has not been received as a whole, in bytes. They are 0 with any other.
+	// Sizes in bytes of an incomplete response with a Content-Length. They are 0 for any other response.
 	TotalSize int // size of the whole response
-	HeadSize  int // size of what stands before its body
+	HeadSize  int // size of everything before the body
 	BodySize  int // size of the body
 }
 
-// Header returns a header's value, or nil where it is absent. One that is empty is not nil.
+// Header returns the value of a header, or nil if it is absent. An empty value is not nil.
 func (r *Response) Header(name string) []byte {
 	value, _ := findHeader(r.headers, name)
 	return value
 }
 
-// Each calls f for every header line, in order.
+// Each calls f for each header line, in order.
 func (r *Response) Each(f func(name, value []byte)) { eachHeader(r.headers, f) }
 
-// ReadResponse reads the first response in b, with a body of at most maxBody bytes. A size of 0 without an error asks
-// for more bytes; ended says that no more will be received. A response that is received in pieces is read with a
-// Progress instead.
+// ReadResponse reads the first response in b, with a body of at most maxBody bytes. A size of 0 without an error means
+// that more bytes are needed; ended means that no more will be received. To read a response that is received in pieces,
+// use Progress.ReadResponse.
 func ReadResponse(b []byte, maxBody int, ended bool) (r Response, size int, err error) {
 	var p Progress
 	return p.ReadResponse(b, maxBody, ended)
 }
 
-// ReadResponse does as the function of its name for a response that is received in pieces: b begins with the same
-// bytes at each call, until a size or an error is returned. After that the Progress is to be reset for the next one.
+// ReadResponse is like the function ReadResponse, for a response that is received in pieces: b begins with the same
+// bytes at each call until a size or an error is returned. The Progress must then be reset for the next response.
 func (p *Progress) ReadResponse(b []byte, maxBody int, ended bool) (r Response, size int, err error) {
 	for r.Status < firstFinalStatus {
 		headSize := 0
@@ -85,24 +85,24 @@
 	return r, size, err
 }
 
-// readChunkedBody reads a body in chunks behind a head, and returns the size of the response.
+// readChunkedBody reads a chunked body after the head and returns the size of the response.
 func (p *Progress) readChunkedBody(r *Response, b []byte, headSize, maxBody int) (size int, err error) {
 	body, bodySize, err := p.chunks(b[headSize:], maxBody)
 	r.Body = body
 	if bodySize > 0 {
 		return headSize + bodySize, nil
 	}
-	// Guards against a trailer without end, and a body in chunks of single bytes: either would take memory without
-	// end while the body is still short.
+	// Guards against an endless trailer and a body in chunks of single bytes: either would use unbounded memory while
+	// the body itself is within its limit.
 	if err == nil && len(b) > headSize+2*maxBody+maxHeadSize {
 		err = errLength
 	}
 	return 0, err
 }
 
-// readBody reads a body of stated length behind a head, and returns the size of the response.
+// readBody reads a body with a Content-Length after the head and returns the size of the response.
 func (r *Response) readBody(b []byte, headSize int, length []byte, maxBody int) (size int, err error) {
-	bodySize, err := strconv.ParseUint(string(length), 10, 32) // unsigned, as a sign is malformed
+	bodySize, err := strconv.ParseUint(string(length), 10, 32) // unsigned, as a sign is invalid
 	if err != nil || bodySize > uint64(maxBody) {
 		return 0, errLength
 	}
@@ -117,7 +117,7 @@
 	return size, nil
 }
 
-// readBodyToEnd reads a body that ends with its connection, and returns the size of the response.
+// readBodyToEnd reads a body that ends with the connection and returns the size of the response.
 func (r *Response) readBodyToEnd(b []byte, headSize, maxBody int, ended bool) (size int, err error) {
 	if len(b)-headSize > maxBody {
 		return 0, errLength
--- a/internal/wire/http1/response_head.go
+++ b/internal/wire/http1/response_head.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// responseVersion begins each status line.
+// responseVersion is the prefix of each status line.
 const responseVersion = "HTTP/1."
 
 // The positions in a status line: "HTTP/1.1 200 OK".
@@ -16,9 +16,9 @@
 	statusEnd      = statusAt + 3
 )
 
-// readResponseHead reads a status line and headers of at most limit bytes. A size of 0 without an error asks for more
-// bytes. The beginning of a status line is checked before its end has been received: a server that sends noise may
-// never send the end, and its attempt would wait until it times out.
+// readResponseHead reads a status line and headers of at most limit bytes. A size of 0 without an error means that more
+// bytes are needed. The prefix of an incomplete status line is checked at once: a server that sends garbage may never
+// end the line, and its attempt would otherwise wait until it times out.
 func readResponseHead(b []byte, limit int) (r Response, size int, err error) {
 	n := min(len(b), len(responseVersion))
 	if string(b[:n]) != responseVersion[:n] {
@@ -53,12 +53,12 @@
 	if !r.hasOneLength() {
 		return r, 0, errLength
 	}
-	isOld := statusLine[minorVersionAt] == '0'
-	r.Close = isOld || bytes.EqualFold(r.Header("Connection"), []byte("close"))
+	isHTTP10 := statusLine[minorVersionAt] == '0'
+	r.Close = isHTTP10 || bytes.EqualFold(r.Header("Connection"), []byte("close"))
 	return r, size, nil
 }
 
-// incompleteHead returns an error if a head that has no end yet is longer than allowed.
+// incompleteHead returns an error if an incomplete head is already too long.
 func incompleteHead(b []byte, limit int) error {
 	if len(b) >= limit {
 		return errHead
@@ -74,11 +74,11 @@
 		return 0, false
 	}
 	code, err := strconv.ParseUint(string(statusLine[statusAt:statusEnd]), 10, 16)
-	return int(code), err == nil && code >= leastStatus
+	return int(code), err == nil && code >= minStatus
 }
 
-// hasOneLength tells whether each header that states the length states one only. It guards against a response with
-// two lengths, which would be cut at the first of them and served as a whole value.
+// hasOneLength reports whether the headers for the length have a single value each. It guards against a response with
+// two lengths, which would be truncated at the first and served as a complete value.
 func (r *Response) hasOneLength() bool {
 	_, lengthsAgree := findHeader(r.headers, "Content-Length")
 	_, codingsAgree := findHeader(r.headers, "Transfer-Encoding")
--- a/internal/wire/http1/response_test.go
+++ b/internal/wire/http1/response_test.go
@@ -29,7 +29,7 @@
 		var pieces Progress
 		for at := range b {
 			got, size, err := ReadResponse(b[:at], maxBody, false)
-			if size == 0 && err == nil { // received in pieces it reads the same
+			if size == 0 && err == nil { // a Progress must agree
 				inPieces, n, err := pieces.ReadResponse(b[:at], maxBody, false)
 				if n != 0 || err != nil || inPieces.Status != got.Status {
 					t.Fatalf("%d of %q in pieces: %d %v", at, b, n, err)
@@ -47,8 +47,8 @@
 	})
 }
 
-// A list of 1 MB that was received in chunks, and in pieces of 1,000 bytes, was copied anew with each piece: 2.4 s of
-// a core.
+// Guards against copying a chunked body again for each piece, which took 2.4 s of CPU time for a list of 1 MB received
+// in pieces of 1,000 bytes.
 func TestResponseChunksAreReadOnce(t *testing.T) {
 	const chunkSize, chunks = 1000, 1000
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -79,7 +79,7 @@
 	for _, test := range []struct {
 		name, text string
 		ended      bool
-		status     int // 0 where more bytes are asked for
+		status     int // 0 if more bytes are needed
 		body       string
 		isLast     bool
 	}{
@@ -101,12 +101,12 @@
 	}
 }
 
-// A response with two lengths was read by the first of them: 49 values were cut to three bytes on one day. What cannot
-// be read for sure is refused, and as soon as it is known.
-func TestMalformedResponseIsRefusedAtOnce(t *testing.T) {
+// Guards against reading a response with two lengths by the first of them, which truncated 49 values to three bytes on
+// one day. Malformed responses must be rejected as soon as the error can be detected.
+func TestMalformedResponseIsRejectedAtOnce(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for _, test := range []struct{ name, text string }{
-		{"noise", "\x8c"},
+		{"garbage", "\x8c"},
 		{"another version", "HTTP/2"},
 		{"status with a letter", "HTTP/1.1 20x OK\r\n"},
 		{"long status", "HTTP/1.1 2000\r\n"},
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestLengthStatedTwiceAlikeAndInterimResponsesAreRead(t *testing.T) {
+func TestRepeatedEqualLengthAndInterimResponsesAreAccepted(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\nContent-Length: 5\r\nX-Load-Report: \x01\xff=,\r\n\r\nhello"
 	interim := strings.Repeat("HTTP/1.1 103 Hint\r\nA: b\r\n\r\n", 3)
 	if r, _, err := ReadResponse([]byte(interim+text), 100, false); err != nil || string(r.Body) != "hello" {
--- a/internal/wire/http1/write.go
+++ b/internal/wire/http1/write.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// NoBody is the size that AppendResponseHead takes for a response that never has a body, and states no length.
+// NoBody is the size to pass to AppendResponseHead for a response without a body and without a Content-Length.
 const NoBody = -1
 
 const (
-	unsafeInTarget = "\"#<>[\\]^{|}`"      // bytes that no URL has as they are, beside space and control bytes
-	unsafeInPath   = unsafeInTarget + "%?" // and those that have a meaning of their own in a URL's path
+	unsafeInTarget = "\"#<>[\\]^{|}`"      // bytes to escape in a URL, besides space and control bytes
+	unsafeInPath   = unsafeInTarget + "%?" // and those with a special meaning in the path of a URL
 	upperHexDigits = "0123456789ABCDEF"
 )
 
-// AppendRequest writes a request. The headers are whole lines with their ends.
+// AppendRequest appends a request. The headers are complete lines with their line ends.
 func AppendRequest(to []byte, method string, path []byte, host string, headers, body []byte) []byte {
 	to = append(to, method...)
 	to = append(to, ' ')
@@ -31,11 +31,11 @@
 	return append(to, body...)
 }
 
-// AppendPath writes a key as one segment of a path.
+// AppendPath appends a key as a single path segment.
 func AppendPath(to, key []byte) []byte { return appendEscaped(to, key, unsafeInPath) }
 
-// AppendTarget writes a key that is what a URL has behind its first slash: its query stays a query, and what is
-// escaped in it stays so.
+// AppendTarget appends a key that is the part of a URL after its first slash: its query and its escape sequences are
+// preserved.
 func AppendTarget(to, key []byte) []byte { return appendEscaped(to, key, unsafeInTarget) }
 
 func appendEscaped(to, key []byte, unsafe string) []byte {
@@ -50,8 +50,8 @@
 	return to
 }
 
-// AppendResponseHead writes the head of a response with a body of a size in bytes, or NoBody. The date is left out
-// where it is empty; isLast says that the connection ends with the response. The headers are lines without their ends.
+// AppendResponseHead appends the head of a response whose body has the given size in bytes, or NoBody. An empty date is
+// omitted; isLast means that the connection ends after the response. The headers are lines without their line ends.
 func AppendResponseHead(to []byte, status int, date string, size int, isLast bool, headers ...string) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(status), 10)
