--- a/internal/wire/endpointlist/doc.go
+++ b/internal/wire/endpointlist/doc.go
@@ -1,9 +1,8 @@
-// Package endpointlist reads lists of endpoints in discovery's form: a JSON object with the entries and the version.
+// Package endpointlist reads endpoint lists in discovery's format: a JSON object with the entries and the version.
 //
-// A Reader reads one list after the other; the List that it returns is valid as long as the text is, and until the
-// Reader reads another. A long list is parsed entry by entry, as the tree of a whole list of thousands of entries
-// takes twenty times its text, and the parser would keep that memory. List.Each parses each entry again for its
-// caller; what an entry means is the caller's to decode.
+// A Reader reads one list after the other. A List is valid until its text changes or the Reader reads another list. A
+// long list is parsed entry by entry: the tree of a list of thousands of entries takes twenty times the memory of its
+// text, which the parser would retain. List.Each parses each entry again; the caller decodes its content.
 //
-// The protocol's names of the list's own members end here: they stand in the constants of reader.go.
+// The protocol's names for the members of the list object are used in this package only, as constants in reader.go.
 package endpointlist
--- a/internal/wire/endpointlist/golden_test.go
+++ b/internal/wire/endpointlist/golden_test.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/golden"
 )
 
-func TestListsAreReadAsRecorded(t *testing.T) {
+func TestListsMatchGoldenFile(t *testing.T) {
 	entries := strings.Repeat(`{"id":"c1","state":"active"},`, 2000)
 	long := `{"generation":9,"reset":true,"instances":[` + entries + `{"id":"c2"}]}`
 	var got strings.Builder
--- a/internal/wire/endpointlist/reader.go
+++ b/internal/wire/endpointlist/reader.go
@@ -8,37 +8,37 @@
 	"dahliapin/internal/wire/jsonstream"
 )
 
-// The members of a list's object.
+// The members of the JSON object of a list.
 const (
 	keyEntries  = "instances"
 	keyVersion  = "generation"
-	keyComplete = "reset" // the list is complete, and not a change of one
+	keyComplete = "reset" // the list is complete, not a change to one
 )
 
-// streamedSize is the size, in bytes, from which a list is parsed entry by entry.
+// streamedSize is the minimum size, in bytes, of a list that is parsed entry by entry.
 const streamedSize = 32 << 10
 
-// ErrNoEntries says that a text is a JSON object without a list of entries.
+// ErrNoEntries is returned for a JSON object without a list of entries.
 var ErrNoEntries = errors.New("it has no entries")
 
-// List is a list of all endpoints, or the changes of one.
+// List is a complete list of endpoints, or a list of changes.
 type List struct {
 	Version    int
 	HasVersion bool
-	Complete   bool // the text says that the list names all endpoints
+	Complete   bool // the list has all endpoints
 
 	reader *Reader
 	tree   []*fastjson.Value // the entries of a short list
-	texts  [][]byte          // the entries of a long one
+	texts  [][]byte          // the entries of a long list
 }
 
-// Reader reads one list after the other. The zero Reader is ready for use.
+// Reader reads lists, one after the other. The zero Reader is ready to use.
 type Reader struct {
 	object fastjson.Parser
 	entry  fastjson.Parser
 }
 
-// Read reads a list. An error says that the text is malformed somewhere, and that nothing in it can be relied on.
+// Read reads a list. It returns an error if any part of the text is malformed; none of it should be used then.
 func (r *Reader) Read(text []byte) (List, error) {
 	list := List{reader: r}
 	object, err := r.parse(&list, text)
@@ -58,14 +58,15 @@
 	return list, nil
 }
 
-// parse parses a list's object. That of a long list comes without its entries, whose texts are checked and set.
+// parse parses the object of a list. For a long list it returns the object without its entries, and stores their texts
+// in the list after validating them.
 func (r *Reader) parse(list *List, text []byte) (*fastjson.Value, error) {
 	if len(text) < streamedSize {
 		return r.object.ParseBytes(text)
 	}
 	rest, texts, ok := jsonstream.CutArray(text, keyEntries)
 	if !ok {
-		// A parser keeps the memory of the largest text that it has parsed, so that this one is given up.
+		// A parser keeps the memory for the largest text that it has parsed, so discard this one.
 		defer func() { r.object = fastjson.Parser{} }()
 		return r.object.ParseBytes(text)
 	}
@@ -81,14 +82,14 @@
 // Len returns the number of entries.
 func (l *List) Len() int { return len(l.tree) + len(l.texts) }
 
-// Each calls f for each entry in its order. The entry is valid until f returns.
+// Each calls f for each entry, in order. The entry is valid until f returns.
 func (l *List) Each(f func(*fastjson.Value)) {
 	for _, entry := range l.tree {
 		f(entry)
 	}
 	for _, text := range l.texts {
 		entry, err := l.reader.entry.ParseBytes(text)
-		if err != nil { // Read has parsed it before
+		if err != nil { // cannot happen: Read has parsed the text
 			continue
 		}
 		f(entry)
--- a/internal/wire/endpointlist/reader_test.go
+++ b/internal/wire/endpointlist/reader_test.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// listOf returns the text of a complete list with so many entries.
+// listOf returns the text of a complete list with a number of entries.
 func listOf(count int) string {
 	var entries []string
 	for i := range count {
@@ -21,7 +21,7 @@
 
 func TestShortAndLongListsReadAlike(t *testing.T) {
 	var r Reader
-	for _, count := range []int{0, 1, 3, 2000, 2} { // in an order in which one list could leave something to the next
+	for _, count := range []int{0, 1, 3, 2000, 2} { // ordered so that leftover state of a list would show in the next
 		list, err := r.Read([]byte(listOf(count)))
 		if err != nil || list.Version != 41 || !list.Complete || list.Len() != count {
 			t.Fatalf("%d entries: %v, version %d, complete %v, %d entries", count, err, list.Version, list.Complete,
@@ -35,18 +35,18 @@
 			i++
 		})
 		if i != count {
-			t.Errorf("%d entries came of %d", i, count)
+			t.Errorf("got %d entries of %d", i, count)
 		}
 	}
 }
 
-func TestTextThatIsNoListIsRefused(t *testing.T) {
+func TestTextThatIsNotAListIsRejected(t *testing.T) {
 	long := listOf(2000)
 	for _, test := range []struct{ name, text string }{
 		{"empty", ""},
 		{"array", "[]"},
 		{"no entries", `{"generation":1}`},
-		{"entries that are no array", `{"generation":1,"instances":{}}`},
+		{"entries that are not an array", `{"generation":1,"instances":{}}`},
 		{"half of a long list", long[:len(long)/2]},
 		{"long list without its last byte", long[:len(long)-1]},
 		{"long list with a malformed entry", strings.Replace(long, `"cell":3`, `"cell":?`, 1)},
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestListWithoutAVersionSaysSo(t *testing.T) {
+func TestListWithoutVersionHasNoVersion(t *testing.T) {
 	var r Reader
 	for _, count := range []int{1, 2000} {
 		list, err := r.Read([]byte(strings.Replace(listOf(count), "generation", "version", 1)))
@@ -71,8 +71,8 @@
 	}
 }
 
-// The tree of 3,200 entries took 14 MB, which the parser kept for good.
-func TestLongListTakesLittleMoreThanItsText(t *testing.T) {
+// Guards against parsing a long list as a whole: the tree of 3,200 entries took 14 MB, which the parser retained.
+func TestReadingALongListAllocatesLessThanItsText(t *testing.T) {
 	text := []byte(listOf(3200))
 	var r Reader
 	var before, after runtime.MemStats
--- a/internal/wire/jsonstream/doc.go
+++ b/internal/wire/jsonstream/doc.go
@@ -1,7 +1,8 @@
-// Package jsonstream cuts one long member out of a JSON object without building a tree of it, so that its elements
-// can be parsed one by one: parsed as a whole, a list of thousands of entries takes twenty times its own size.
+// Package jsonstream cuts one long member out of a JSON object without parsing the object into a tree, so that the
+// elements of the member can be parsed one by one. The tree of a list of thousands of entries takes twenty times the
+// memory of its text.
 //
-// It reads no more of the text than it has to. What it returns is to be parsed, which finds what is malformed within.
-// Where it cannot tell for sure that a parser of the whole would find the same member, it says so, and the caller
-// parses the whole.
+// The package does not fully validate the text: the caller parses the results, which detects malformed parts. If it is
+// not certain that a parser of the whole text would find the same member, the functions return false, and the caller
+// has to parse the whole text.
 package jsonstream
--- a/internal/wire/jsonstream/jsonstream.go
+++ b/internal/wire/jsonstream/jsonstream.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// CutMember cuts a member out of an object. It returns the object's text with null in the value's place, and the
-// value's text. It returns false if there is no such member, more than one, or a shape that it does not know.
+// CutMember cuts a member out of an object. It returns the text of the object with the value replaced by null, and the
+// text of the value. It returns false if the member is absent or occurs twice, or if the text has an unsupported form.
 func CutMember(object []byte, name string) (rest, value []byte, ok bool) {
 	from, to, ok := findMember(object, name)
 	if !ok {
@@ -15,8 +15,8 @@
 	return replace(object, from, to, "null"), object[from:to], true
 }
 
-// CutArray cuts an array of objects out of an object. It returns the object's text with an empty array in its place, and
-// the texts of the elements. It returns false as Member does.
+// CutArray cuts an array of objects out of an object. It returns the object's text with an empty array in its place,
+// and the texts of the elements. It returns false in the same cases as CutMember.
 func CutArray(object []byte, name string) (rest []byte, elements [][]byte, ok bool) {
 	from, to, ok := findMember(object, name)
 	if !ok {
@@ -30,12 +30,12 @@
 	return replace(object, from, to, "[]"), elements, true
 }
 
-// replace returns a copy of a text with something else between two positions.
+// replace returns a copy of a text with the part between two positions replaced.
 func replace(text []byte, from, to int, with string) []byte {
 	return slices.Concat(text[:from], []byte(with), text[to:])
 }
 
-// findMember returns where the value of an object's member begins and ends.
+// findMember returns the start and end of the value of an object's member.
 func findMember(object []byte, name string) (from, to int, ok bool) {
 	s := scanner{text: object}
 	if !s.skip('{') {
@@ -44,7 +44,7 @@
 	found := false
 	for {
 		key, ok := s.stringText()
-		isEscaped := bytes.IndexByte(key, '\\') >= 0 // it may be the name in another form
+		isEscaped := bytes.IndexByte(key, '\\') >= 0 // it may be the same name with escapes
 		if !ok || !s.skip(':') || isEscaped {
 			return 0, 0, false
 		}
@@ -68,5 +68,5 @@
 	return from, to, found && s.skip('}') && s.atEnd()
 }
 
-// trimSpace cuts off the space behind a value.
+// trimSpace removes the whitespace after a value.
 func trimSpace(value []byte) []byte { return bytes.TrimRight(value, " \t\r\n") }
--- a/internal/wire/jsonstream/jsonstream_test.go
+++ b/internal/wire/jsonstream/jsonstream_test.go
@@ -6,8 +6,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// A list that is cut into its entries reads as the whole does: each element, and the rest.
-func FuzzPartsReadAsTheWhole(f *testing.F) {
+// Parsing the elements and the rest separately must give the same result as parsing the whole text.
+func FuzzPartsParseLikeTheWhole(f *testing.F) {
 	for _, text := range []string{
 		`{"generation":4,"reset":true,"instances":[{"a":"]\"},{"},{"c":[3,{"b":[]}]},{}]}`,
 		"{\n \"instances\" : [ ] ,\"generation\":1 }",
@@ -53,7 +53,7 @@
 	})
 }
 
-// parseParts parses the rest of an object and its elements, and returns the elements as they are printed.
+// parseParts parses the rest of an object and its elements, and returns the elements as JSON text.
 func parseParts(rest []byte, elements [][]byte) (printed []string, err error) {
 	if _, err := fastjson.ParseBytes(rest); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	return printed, nil
 }
 
-func TestArray(t *testing.T) {
+func TestCutArray(t *testing.T) {
 	rest, elements, ok := CutArray([]byte(`{"generation":4, "instances": [ {"a":"],"}, {} ] }`), "instances")
 	wantRest := `{"generation":4, "instances": [] }`
 	if !ok || string(rest) != wantRest || len(elements) != 2 || string(elements[0]) != `{"a":"],"}` {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestArrayLeavesUnknownShapesToTheCaller(t *testing.T) {
+func TestCutArrayReturnsFalseForUnsupportedForms(t *testing.T) {
 	for _, text := range []string{
 		`{"instances":[1],"instances":[2]}`,
 		`{"inst\u0061nces":[1]}`,
@@ -87,17 +87,17 @@
 		`[]`,
 	} {
 		if _, _, ok := CutArray([]byte(text), "instances"); ok {
-			t.Errorf("%q is cut, and is to be parsed as a whole", text)
+			t.Errorf("%q was cut, but must be parsed as a whole", text)
 		}
 	}
 }
 
-func TestMember(t *testing.T) {
+func TestCutMember(t *testing.T) {
 	rest, value, ok := CutMember([]byte(`{"a":{"known":1}, "known" : {"x":"}"} ,"b":2}`), "known")
 	if !ok || string(rest) != `{"a":{"known":1}, "known" : null ,"b":2}` || string(value) != `{"x":"}"}` {
 		t.Errorf("%v %q %q", ok, rest, value)
 	}
 	if _, _, ok := CutMember([]byte(`{"a":1}`), "known"); ok {
-		t.Error("found where it is not")
+		t.Error("found a member that is absent")
 	}
 }
--- a/internal/wire/jsonstream/scanner.go
+++ b/internal/wire/jsonstream/scanner.go
@@ -1,12 +1,12 @@
 package jsonstream
 
-// scanner goes over a JSON text.
+// scanner scans a JSON text.
 type scanner struct {
 	text []byte
 	at   int // position of the next byte
 }
 
-// peek skips space and returns the next byte, or 0 at the end.
+// peek skips whitespace and returns the next byte, or 0 at the end.
 func (s *scanner) peek() byte {
 	for ; s.at < len(s.text); s.at++ {
 		switch b := s.text[s.at]; b {
@@ -18,13 +18,13 @@
 	return 0
 }
 
-// atEnd skips space and tells whether nothing is left.
+// atEnd skips whitespace and reports whether the text has ended.
 func (s *scanner) atEnd() bool {
 	s.peek()
 	return s.at == len(s.text)
 }
 
-// skip skips a byte if it is the next one after space, and tells whether it was.
+// skip skips whitespace and then b if it is the next byte, and reports whether it was.
 func (s *scanner) skip(b byte) bool {
 	if s.peek() != b {
 		return false
@@ -33,8 +33,8 @@
 	return true
 }
 
-// stringText skips a string and returns what stands between its quotes. It returns false if there is none, or only
-// its beginning.
+// stringText skips a string and returns the text between its quotes. It returns false if there is no string or if it is
+// incomplete.
 func (s *scanner) stringText() (text []byte, ok bool) {
 	if !s.skip('"') {
 		return nil, false
@@ -52,7 +52,7 @@
 	return nil, false
 }
 
-// skipValue skips a value of any kind, up to the comma or bracket that ends it, and tells whether it found one.
+// skipValue skips a value of any type, up to the comma or bracket that ends it, and reports whether it found one.
 func (s *scanner) skipValue() bool {
 	s.peek()
 	begin := s.at
@@ -81,7 +81,7 @@
 	return false
 }
 
-// objects skips an array of objects and returns their texts.
+// objects skips an array of objects and returns the texts of its elements.
 func (s *scanner) objects() (texts [][]byte, ok bool) {
 	if !s.skip('[') {
 		return nil, false
