--- a/internal/wire/meta/command.go
+++ b/internal/wire/meta/command.go
@@ -11,7 +11,7 @@
 	verbStats  = "stats"
 )
 
-// Verb is what a command asks for.
+// Verb is the verb of a command.
 type Verb int
 
 // The verbs that clients may send.
@@ -19,20 +19,20 @@
 	Unknown Verb = iota
 	Get          // read a value
 	Set          // write a value
-	Ready        // tell that requests are served
-	Stats        // tell the counters
+	Ready        // ask whether the server serves requests
+	Stats        // get the counters
 )
 
-// Command is a command of a client. Its parts lie in the buffer that it was read from.
+// Command is a command of a client. It refers to the buffer that it was read from.
 type Command struct {
 	Verb  Verb
-	Key   []byte // of Get and Set, as are the following
-	Flags []byte // all behind the key and the length, as it was received
+	Key   []byte // of Get and Set, as are the following fields
+	Flags []byte // everything after the key and the length, as received
 	ID    []byte
 	Value []byte // of Set
 }
 
-// The answers to faults.
+// The responses to faults.
 const (
 	BadLine        = "CLIENT_ERROR bad command line\r\n"
 	BadValue       = "CLIENT_ERROR bad data chunk\r\n"
@@ -41,14 +41,14 @@
 	UnknownCommand = "ERROR\r\n"
 )
 
-// Fault says why a command cannot be carried out.
+// Fault is the reason why a command cannot be carried out.
 type Fault struct {
-	Response string // the line to answer
-	Close    bool   // the connection has to end, as it cannot be known where the next command begins
+	Response string // the line to respond with
+	Close    bool   // the connection must be closed, as the beginning of the next command is unknown
 }
 
-// ReadCommand reads the first command in b. A size of 0 without a fault asks for more bytes. With a fault, the size
-// is the number of bytes to skip.
+// ReadCommand reads the first command in b. A size of 0 without a fault means that more bytes are needed. With a fault,
+// the size is the number of bytes to skip.
 func ReadCommand(b []byte) (c Command, size int, fault *Fault) {
 	text, size, tooLong := cutLine(b)
 	if tooLong {
@@ -88,9 +88,9 @@
 	return c, size, nil
 }
 
-// readSet reads the rest of a write's line, and the value in the bytes behind the line. It returns the size of the
-// value with its end, or 0 while that has not been received. A fault ends the connection: without a length it cannot
-// be known where the value ends.
+// readSet reads the rest of the line of a write and the value in the bytes after the line. It returns the size of the
+// value with its line end, or 0 while that is incomplete. A fault closes the connection: without a valid length the end
+// of the value is unknown.
 func (c *Command) readSet(rest, behind []byte) (size int, fault *Fault) {
 	c.Key, rest = cutWord(rest)
 	digits, flags := cutWord(rest)
@@ -113,8 +113,8 @@
 	return length + len(LineEnd), nil
 }
 
-// AppendCommand writes a command for a cache: as it was received, but for the time that the client waits, which is
-// replaced by deadlineMs, in milliseconds.
+// AppendCommand appends a command for a cache: the received command with its deadline replaced by deadlineMs, in
+// milliseconds.
 func AppendCommand(to []byte, c *Command, deadlineMs int64) []byte {
 	if c.Verb == Set {
 		to = append(to, verbSet...)
--- a/internal/wire/meta/command_test.go
+++ b/internal/wire/meta/command_test.go
@@ -11,7 +11,7 @@
 const testCommands = "mg 7f3a9c21e0b4d655 v O9b1f03aa5c7e2d41 Pc=read,d=480\r\n" +
 	"ms 7f3a 5 O9b1f Pc=put,d=480,k=5c0f6e1a2b3d4c59\r\nhello\r\nmn\r\nstats\r\n"
 
-// readCommands reads every command in bytes that are received in pieces, and prints each.
+// readCommands reads all commands in bytes that are received in pieces and formats each.
 func readCommands(pieces ...[]byte) (printed []string) {
 	var b []byte
 	for _, piece := range pieces {
@@ -55,7 +55,7 @@
 	})
 }
 
-func FuzzForwardedCommandIsTheOneReceived(f *testing.F) {
+func FuzzForwardedCommandEqualsTheReceivedOne(f *testing.F) {
 	f.Add([]byte(testCommands))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		received, size, fault := ReadCommand(b)
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestOnlyTheDeadlineIsReplaced(t *testing.T) {
+func TestAppendCommandReplacesOnlyTheDeadline(t *testing.T) {
 	c, _, _ := ReadCommand([]byte("ms key 2 Oid Pc=put,d=480,k=5c,size=9 v\r\nab\r\n"))
 	want := "ms key 2 Oid Pc=put,d=61,k=5c,size=9 v\r\nab\r\n"
 	if got := string(AppendCommand(nil, &c, 61)); got != want {
--- a/internal/wire/meta/delete.go
+++ b/internal/wire/meta/delete.go
@@ -2,19 +2,19 @@
 
 import "strconv"
 
-// FlushAll removes all values of a cache. FlushDone begins its answer.
+// FlushAll is the command that removes all values of a cache. FlushDone is the first word of the response.
 const (
 	FlushAll  = "flush_all" + LineEnd
 	FlushDone = "OK"
 )
 
-// wordNotFound answers a deletion of a key that the cache does not have.
+// wordNotFound is the response to a deletion of a key that the cache does not have.
 const wordNotFound = "NF"
 
-// deleteIDBase is the base in which the id of a deletion is written.
+// deleteIDBase is the number base of the id of a deletion.
 const deleteIDBase = 16
 
-// AppendDelete writes a deletion with a number for its id, which the answer repeats.
+// AppendDelete appends a deletion with a number as its id, which the response repeats.
 func AppendDelete(to, key []byte, id uint64) []byte {
 	to = append(to, verbDelete+" "...)
 	to = append(to, key...)
@@ -23,16 +23,16 @@
 	return append(to, LineEnd...)
 }
 
-// ReadDeleteResponse reads the answer to a deletion, or the one to FlushAll, which has no id. A size of 0 without an error
-// asks for more bytes. An error is final, as it cannot be known where the next answer begins.
+// ReadDeleteResponse reads the response to a deletion, or that to FlushAll, which has no id. A size of 0 without an
+// error means that more bytes are needed. An error is final, as the beginning of the next response is unknown.
 func ReadDeleteResponse(b []byte) (id uint64, flushed bool, size int, err error) {
 	text, size, tooLong := cutLine(b)
 	if tooLong {
 		return 0, false, 0, errTooLong
 	}
 	if size == 0 {
-		if !mayBeDeleted(b) {
-			return 0, false, 0, errUnknownAnswer
+		if !isDeleteResponsePrefix(b) {
+			return 0, false, 0, errUnknownResponse
 		}
 		return 0, false, 0, nil
 	}
@@ -47,12 +47,12 @@
 			return id, false, size, nil
 		}
 	}
-	return 0, false, 0, errUnknownAnswer
+	return 0, false, 0, errUnknownResponse
 }
 
-// mayBeDeleted tells whether the bytes received so far may be the beginning of the answer to a deletion, as
-// mayBeAnswer does.
-func mayBeDeleted(b []byte) bool {
+// isDeleteResponsePrefix reports whether the bytes received so far may be the beginning of the response to a deletion,
+// for the same reason as isResponsePrefix.
+func isDeleteResponsePrefix(b []byte) bool {
 	for _, word := range []string{wordDone, wordNotFound, FlushDone} {
 		n := min(len(b), len(word))
 		if string(b[:n]) == word[:n] {
--- a/internal/wire/meta/delete_test.go
+++ b/internal/wire/meta/delete_test.go
@@ -8,7 +8,7 @@
 	}
 }
 
-func TestReadDeleted(t *testing.T) {
+func TestReadDeleteResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		id         uint64
@@ -24,9 +24,9 @@
 		{name: "first byte", text: "H"},
 		{name: "no line end yet", text: "NF O"},
 		{name: "no id", text: "HD\r\n", invalid: true},
-		{name: "id that is no number", text: "HD Oxyz\r\n", invalid: true},
-		{name: "answer to another command", text: "EN O1\r\n", invalid: true},
-		{name: "noise", text: "\x8c\xa1", invalid: true},
+		{name: "id that is not a number", text: "HD Oxyz\r\n", invalid: true},
+		{name: "response to another command", text: "EN O1\r\n", invalid: true},
+		{name: "garbage", text: "\x8c\xa1", invalid: true},
 		{name: "rejected", text: "SERVER_ERROR busy\r\n", invalid: true},
 		{name: "error", text: "ERROR\r\n", invalid: true},
 	} {
--- a/internal/wire/meta/doc.go
+++ b/internal/wire/meta/doc.go
@@ -1,8 +1,9 @@
-// Package meta reads and writes the meta commands of the memcache text protocol, as clients and caches speak them. It
-// knows the form of commands and answers, and decides nothing.
+// Package meta reads and writes the meta commands of the memcache text protocol, which clients and caches use. It
+// handles the syntax of commands and responses only.
 //
-// Readers take the bytes received so far and return how many of them the first command or answer has; 0 asks for more
-// bytes. What they return lies in the bytes that were given. Writers append to a buffer and return it.
+// Readers take the bytes received so far and return the size of the first command or response in them; 0 means that
+// more bytes are needed. Results refer to the given bytes. Writers append to a buffer and return it.
 //
-// The protocol's own words end here: verbs, flags and items stand once, as constants beside the terms of the code.
+// The protocol's verbs, flags and items are used in this package only, as constants named with the terms used in the
+// rest of the code.
 package meta
--- a/internal/wire/meta/flags.go
+++ b/internal/wire/meta/flags.go
@@ -7,16 +7,16 @@
 
 // The letters of the flags that are read or written here.
 const (
-	flagID         = 'O' // of a command: its id, which the answer repeats
-	flagItems      = 'P' // of a command: items, separated by commas, among them the class, the tenant and the deadline
-	flagLoadReport = 'L' // of an answer: the cache's load report, as items
-	flagReceipt    = 'c' // of the answer to a write: its receipt
+	flagID         = 'O' // of a command: its id, which the response repeats
+	flagItems      = 'P' // of a command: comma-separated items, including the class, the tenant and the deadline
+	flagLoadReport = 'L' // of a response: the load report of the cache, as items
+	flagReceipt    = 'c' // of the response to a write: its receipt
 )
 
-// deadlineItem begins the item of a command with the time that the client waits, in milliseconds.
+// deadlineItem is the prefix of the item with the time for which the client waits, in milliseconds.
 const deadlineItem = "d="
 
-// Flag returns what stands behind a flag's letter, and whether the flag is there.
+// Flag returns the value after the letter of a flag, and whether the flag is present.
 func Flag(flags []byte, letter byte) (value []byte, ok bool) {
 	for len(flags) > 0 {
 		var flag []byte
@@ -28,7 +28,7 @@
 	return nil, false
 }
 
-// Item returns the value of a name in a list of items, such as "c=read,d=480".
+// Item returns the value of the item with a name in a list of items such as "c=read,d=480".
 func Item(items []byte, name string) (value []byte, ok bool) {
 	for len(items) > 0 {
 		var item []byte
@@ -41,7 +41,7 @@
 	return nil, false
 }
 
-// AppendItems writes a list of items with the deadline in it replaced, in milliseconds.
+// AppendItems appends a list of items with its deadline replaced by deadlineMs, in milliseconds.
 func AppendItems(to, items []byte, deadlineMs int64) []byte {
 	for first := true; len(items) > 0; first = false {
 		var item []byte
@@ -59,7 +59,7 @@
 	return to
 }
 
-// appendFlags writes a command's flags with the deadline among their items replaced.
+// appendFlags appends the flags of a command with the deadline in their items replaced.
 func appendFlags(to, flags []byte, deadlineMs int64) []byte {
 	for len(flags) > 0 {
 		var flag []byte
@@ -78,7 +78,7 @@
 	return to
 }
 
-// hasControlByte tells whether flags hold a byte that a further reader may take for the end of the line.
+// hasControlByte reports whether flags contain a byte that another parser may take for the end of the line.
 func hasControlByte(flags []byte) bool {
 	for _, c := range flags {
 		if c < ' ' || c == deleteByte {
--- a/internal/wire/meta/golden_test.go
+++ b/internal/wire/meta/golden_test.go
@@ -9,10 +9,10 @@
 	"dahliapin/internal/golden"
 )
 
-func TestMessagesAreReadAndWrittenAsRecorded(t *testing.T) {
+func TestMessagesMatchGoldenFile(t *testing.T) {
 	var got strings.Builder
 	printCommands(&got)
-	printAnswers(&got)
+	printResponses(&got)
 	printWritten(&got)
 	golden.Check(t, "messages.txt", []byte(got.String()))
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-func printAnswers(out io.Writer) {
+func printResponses(out io.Writer) {
 	for _, text := range []string{
 		"VA 5 O17 t30 Pload,2.5\r\nhello\r\n",
 		"VA 5\r\nhel",
--- a/internal/wire/meta/line.go
+++ b/internal/wire/meta/line.go
@@ -5,24 +5,25 @@
 	"strconv"
 )
 
-// LineEnd is what each line, and each value, ends with.
+// LineEnd terminates each line and each value.
 const LineEnd = "\r\n"
 
 const (
-	maxLineSize  = 2048     // bytes of a line: a key, an id and a dozen items fit several times
-	maxKeySize   = 250      // bytes of a key: the protocol's own limit
-	maxWriteSize = 64 << 10 // bytes of a value that a client writes: the protocol's limit here
+	maxLineSize  = 2048     // bytes of a line: several times the size of a key, an id and a dozen items
+	maxKeySize   = 250      // bytes of a key: the limit of the protocol
+	maxWriteSize = 64 << 10 // bytes of a value that a client writes: the limit of this protocol variant
 )
 
-// MaxValue is the limit, in bytes, of a value in an answer. Some caches keep far larger ones than clients write.
+// MaxValue limits the size of a value in a response, in bytes. Some caches hold far larger values than clients write.
 const MaxValue = 4 << 20
 
 const (
-	maxLengthDigits = 9 // of a value's stated length, which so fits an int
+	maxLengthDigits = 9 // of the length of a value, so that it fits an int
 	deleteByte      = 0x7f
 )
 
-// cutLine cuts the first line off b. The size is 0 while the line has not ended; tooLong says that it is not to end.
+// cutLine cuts the first line off b. The size is 0 while the line is incomplete; tooLong means that it exceeds the
+// limit.
 func cutLine(b []byte) (text []byte, size int, tooLong bool) {
 	end := bytes.IndexByte(b[:min(len(b), maxLineSize)], '\n')
 	if end < 0 {
@@ -31,7 +32,7 @@
 	return bytes.TrimSuffix(b[:end], []byte("\r")), end + 1, false
 }
 
-// cutWord cuts off the first word of a line, which spaces separate.
+// cutWord cuts off the first space-separated word of a line.
 func cutWord(line []byte) (word, rest []byte) {
 	line = bytes.TrimLeft(line, " ")
 	if i := bytes.IndexByte(line, ' '); i >= 0 {
@@ -40,7 +41,7 @@
 	return line, nil
 }
 
-// parseLength parses the stated length of a value, in bytes: digits only.
+// parseLength parses the length of a value in bytes, which may contain digits only.
 func parseLength(digits []byte) (int, bool) {
 	if len(digits) == 0 || len(digits) > maxLengthDigits {
 		return 0, false
@@ -55,8 +56,8 @@
 	return length, true
 }
 
-// cutValue cuts a value of a stated length off the bytes behind its line. It needs more bytes while complete is
-// false; ok says that the value ends where it should.
+// cutValue cuts a value of a given length off the bytes after its line. While complete is false, more bytes are needed;
+// ok reports whether the value is followed by a line end.
 func cutValue(b []byte, length int) (value []byte, complete, ok bool) {
 	if len(b) < length+len(LineEnd) {
 		return nil, false, false
@@ -67,7 +68,7 @@
 	return b[:length], true, true
 }
 
-// ParseDecimal parses a number written with digits and perhaps a point.
+// ParseDecimal parses a number that consists of digits and an optional decimal point.
 func ParseDecimal(b []byte) (float64, bool) {
 	for _, c := range b {
 		if (c < '0' || c > '9') && c != '.' {
@@ -78,7 +79,7 @@
 	return x, err == nil
 }
 
-// IsWord tells whether a text can stand as one word of a line: it is not empty, and has no space or control byte.
+// IsWord reports whether b can be a word of a line: it is not empty and has no space or control byte.
 func IsWord(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == deleteByte {
@@ -88,5 +89,5 @@
 	return len(b) > 0
 }
 
-// IsKey tells whether a text can be a key.
+// IsKey reports whether b is a valid key.
 func IsKey(b []byte) bool { return IsWord(b) && len(b) <= maxKeySize }
--- a/internal/wire/meta/response.go
+++ b/internal/wire/meta/response.go
@@ -5,49 +5,49 @@
 	"strconv"
 )
 
-// The first words of answers.
+// The first words of responses.
 const (
 	wordValue  = "VA"
 	wordDone   = "HD"
 	wordMiss   = "EN"
 	wordError  = "SERVER_ERROR"
 	wordReady  = "MN"
-	reasonBusy = "busy" // behind wordError
+	reasonBusy = "busy" // follows wordError
 )
 
-// ResponseKind is what an answer says.
+// ResponseKind is the kind of a response.
 type ResponseKind int
 
-// The kinds of answers. Those up to Miss repeat the id of their command.
+// The kinds of responses. Those up to Miss repeat the id of their command.
 const (
-	Value  ResponseKind = iota // the value that was read
+	Value  ResponseKind = iota // a value was read
 	Done                       // the receipt of a write
 	Miss                       // the cache has no value for the key
-	Failed                     // the command failed, and may have run
-	Busy                       // the command was rejected, and has not run
-	Up                         // the cache serves requests: the answer to a health check
+	Failed                     // the command failed and may have run
+	Busy                       // the command was rejected and has not run
+	Up                         // the cache serves requests: the response to a health check
 )
 
-// Response is an answer of a cache. Its parts lie in the buffer that it was read from.
+// Response is a response of a cache. It refers to the buffer that it was read from.
 type Response struct {
 	Kind       ResponseKind
 	ID         []byte // id of the command
-	Value      []byte // the value or the receipt
-	LoadReport []byte // the load report, as items, or nil
+	Value      []byte // the value, or the receipt of a write
+	LoadReport []byte // the load report as a list of items, or nil
 
-	// Of a value that has not been received as a whole, in bytes. They are 0 with any other answer.
+	// Sizes in bytes for a value that is incomplete. They are 0 for any other response.
 	HeadSize  int // size of the line before the value
 	ValueSize int // size of the value
-	TotalSize int // size of the whole answer
+	TotalSize int // size of the whole response
 }
 
 var (
-	errTooLong       = errors.New("an answer is longer than the protocol allows")
-	errValueEnd      = errors.New("a value does not end where it should")
-	errUnknownAnswer = errors.New("an answer says nothing that the protocol knows")
+	errTooLong         = errors.New("an answer is longer than the protocol allows")
+	errValueEnd        = errors.New("a value does not end where it should")
+	errUnknownResponse = errors.New("an answer says nothing that the protocol knows")
 )
 
-var answerKinds = map[string]ResponseKind{
+var responseKinds = map[string]ResponseKind{
 	wordValue: Value,
 	wordDone:  Done,
 	wordMiss:  Miss,
@@ -55,10 +55,10 @@
 	wordReady: Up,
 }
 
-// mayBeAnswer tells whether the bytes received so far may be the beginning of an answer. It guards against a server
-// that sends noise without a line end: its attempt would otherwise wait until it times out.
-func mayBeAnswer(b []byte) bool {
-	for word := range answerKinds {
+// isResponsePrefix reports whether the bytes received so far may be the beginning of a response. It guards against a
+// server that sends garbage without a line end: its attempt would otherwise wait until it times out.
+func isResponsePrefix(b []byte) bool {
+	for word := range responseKinds {
 		n := min(len(b), len(word))
 		if string(b[:n]) == word[:n] {
 			return true
@@ -67,23 +67,23 @@
 	return false
 }
 
-// ReadResponse reads the first answer in b. A size of 0 without an error asks for more bytes. An error is final, as it
-// cannot be known where the next answer begins. Flags that are not used here may hold anything.
+// ReadResponse reads the first response in b. A size of 0 without an error means that more bytes are needed. An error
+// is final, as the beginning of the next response is unknown. Flags that are not used here may have any value.
 func ReadResponse(b []byte) (a Response, size int, err error) {
 	text, size, tooLong := cutLine(b)
 	if tooLong {
 		return a, 0, errTooLong
 	}
-	if !mayBeAnswer(b) {
-		return a, 0, errUnknownAnswer
+	if !isResponsePrefix(b) {
+		return a, 0, errUnknownResponse
 	}
 	if size == 0 {
 		return a, 0, nil
 	}
 	word, rest := cutWord(text)
-	kind, known := answerKinds[string(word)]
+	kind, known := responseKinds[string(word)]
 	if !known {
-		return a, 0, errUnknownAnswer
+		return a, 0, errUnknownResponse
 	}
 	a.Kind = kind
 	switch kind {
@@ -97,7 +97,7 @@
 	case Done:
 		a.Value, _ = Flag(rest, flagReceipt)
 		if !IsWord(a.Value) {
-			return a, 0, errUnknownAnswer
+			return a, 0, errUnknownResponse
 		}
 	case Failed:
 		reason, flags := cutWord(rest)
@@ -108,14 +108,14 @@
 	}
 	a.ID, _ = Flag(rest, flagID)
 	if a.Kind <= Miss && len(a.ID) == 0 {
-		return a, 0, errUnknownAnswer
+		return a, 0, errUnknownResponse
 	}
 	a.LoadReport, _ = Flag(rest, flagLoadReport)
 	return a, size, nil
 }
 
-// readValue reads the rest of a value's line, and the value behind the line, which ends at lineSize in b. It returns
-// the size of the value with its end, or 0 while that has not been received.
+// readValue reads the rest of the line of a value and the value after the line, which ends at lineSize in b. It returns
+// the size of the value with its line end, or 0 while that is incomplete.
 func (a *Response) readValue(rest, b []byte, lineSize int) (size int, flags []byte, err error) {
 	digits, flags := cutWord(rest)
 	length, ok := parseLength(digits)
@@ -138,14 +138,14 @@
 	return length + len(LineEnd), flags, nil
 }
 
-// AppendValue writes a value as the answer to a command with an id.
+// AppendValue appends a value as the response to the command with the given id.
 func AppendValue(to, id, value []byte) []byte {
 	to = AppendHead(to, id, len(value))
 	to = append(to, value...)
 	return append(to, LineEnd...)
 }
 
-// AppendHead writes the line before a value of a size in bytes. End has to follow the value.
+// AppendHead appends the line before a value of the given size in bytes. LineEnd has to follow the value.
 func AppendHead(to, id []byte, size int) []byte {
 	to = append(to, wordValue+" "...)
 	to = strconv.AppendInt(to, int64(size), 10)
@@ -154,7 +154,7 @@
 	return append(to, LineEnd...)
 }
 
-// AppendDone writes the receipt of a write.
+// AppendDone appends the receipt of a write.
 func AppendDone(to, id, receipt []byte) []byte {
 	to = append(to, wordDone+" "...)
 	to = append(to, flagID)
@@ -164,7 +164,7 @@
 	return append(to, LineEnd...)
 }
 
-// AppendBusy writes a rejection, with the time after which to retry, in milliseconds, unless that is 0.
+// AppendBusy appends a rejection with the time after which to retry, in milliseconds, unless that is 0.
 func AppendBusy(to []byte, retryAfterMs int64) []byte {
 	to = append(to, wordError+" "+reasonBusy...)
 	if retryAfterMs > 0 {
@@ -174,5 +174,5 @@
 	return append(to, LineEnd...)
 }
 
-// AppendFailed writes that a command failed.
+// AppendFailed appends the response to a command that failed.
 func AppendFailed(to []byte) []byte { return append(to, wordError+" failed"+LineEnd...) }
--- a/internal/wire/meta/response_test.go
+++ b/internal/wire/meta/response_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func FuzzAnswersSplitAnywhereReadAlike(f *testing.F) {
+func FuzzResponsesSplitAnywhereReadAlike(f *testing.F) {
 	for _, text := range []string{
 		"VA 5 Oab h1\r\nhello\r\n",
 		"HD Oab c77\r\n",
@@ -32,9 +32,9 @@
 	})
 }
 
-// Load reports used to be read from some kinds of answers only, so that the load of two deployments of three was
-// guessed.
-func TestEveryAnswerMayHaveALoadReport(t *testing.T) {
+// Guards against reading load reports from some kinds of responses only, which left two of three deployments with
+// estimated instead of reported load.
+func TestEveryResponseMayHaveALoadReport(t *testing.T) {
 	for _, text := range []string{
 		"VA 2 Oab h1 Lx=0.4,y=2\r\nab\r\n",
 		"HD Oab c77 Lx=0.4,y=2\r\n",
