--- a/internal/wire/simwire/endpoints.go
+++ b/internal/wire/simwire/endpoints.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxLists           = 16 // endpoint lists that are numbered, from 0: the protocol's limit
-	endpointValueCount = 7  // values of an endpoint in a list
+	maxLists           = 16 // numbered endpoint lists: the limit of the protocol
+	endpointValueCount = 7  // number of values of an endpoint in a list
 	indexWeight        = 0
 	indexKind          = 1
 	indexLifecycle     = 2
@@ -32,7 +32,7 @@
 	kind, ok := updateKinds[string(e.at(1).GetStringBytes())]
 	n := int(settings.Number(e.at(3)))
 	if !ok || n < 0 || n >= maxLists {
-		s.ignore("a list of an unknown form or number")
+		s.ignore("an endpoint update of an unknown kind or list number")
 		return
 	}
 	in.endpoints = in.endpoints[:0]
@@ -46,11 +46,11 @@
 	in.node.UpdateEndpoints(now, kind, in.endpoints)
 }
 
-// endpoint decodes an endpoint of a list. One in an unknown state is taken as draining: it may have left, and is sent
-// nothing new.
+// endpoint decodes an endpoint of a list. An endpoint in an unknown state is treated as draining: it may have left, so
+// it gets no new requests.
 func (s *server) endpoint(in *instance, values []*fastjson.Value) (policy.Endpoint, bool) {
 	if len(values) < endpointValueCount || len(values[indexID].GetStringBytes()) == 0 {
-		s.ignore("a list entry that is too short")
+		s.ignore("an endpoint list entry without an id or with too few values")
 		return policy.Endpoint{}, false
 	}
 	lifecycle, ok := lifecycles[string(values[indexLifecycle].GetStringBytes())]
@@ -68,7 +68,7 @@
 	}, true
 }
 
-// cloneList copies a list: the parser reuses the memory of a batch for the next one.
+// cloneList copies a list, as the parser reuses the memory of a batch for the next one.
 func cloneList(v *fastjson.Value) []*fastjson.Value {
 	if v == nil {
 		return nil
@@ -80,7 +80,7 @@
 	return clone.GetArray()
 }
 
-// endpointID returns an endpoint's id. The same string is returned each time, so that it is allocated once.
+// endpointID returns the id of an endpoint. It interns ids, so that each is allocated once.
 func (s *server) endpointID(v *fastjson.Value) policy.EndpointID {
 	text := v.GetStringBytes()
 	id, ok := s.endpointIDs[string(text)]
--- a/internal/wire/simwire/events.go
+++ b/internal/wire/simwire/events.go
@@ -8,10 +8,10 @@
 	"dahliapin/policy"
 )
 
-// event is one event: its name, and values whose meaning depends on it.
+// event is an event: its name, followed by values whose meaning depends on the name.
 type event []*fastjson.Value
 
-// at returns a value, or nil beyond the last.
+// at returns the value at an index, or nil if there is none.
 func (e event) at(i int) *fastjson.Value {
 	if i < len(e) {
 		return e[i]
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// handle carries out an event of a node.
+// handle processes an event of a node.
 func (s *server) handle(now monotime.Instant, node int, e event) error {
 	if len(e) == 0 {
 		s.ignore("an event without a name")
@@ -35,7 +35,7 @@
 	}
 	in := s.nodes[node]
 	if in == nil {
-		s.ignore("%q for a node that is not up", name)
+		s.ignore("event %q for a node that is not running", name)
 		return nil
 	}
 	switch name {
@@ -59,7 +59,7 @@
 		in.node.ResponseStarted(policy.RequestID(e.at(1).GetStringBytes()))
 	case eventMessage:
 	default:
-		s.ignore("an unknown event %q", name)
+		s.ignore("unknown event %q", name)
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 	result, ok := resultOf(e.at(2))
 	attempt := e.at(5)
 	if !ok || attempt == nil || attempt.Type() != fastjson.TypeNumber {
-		s.ignore("an outcome of an unknown kind")
+		s.ignore("an attempt outcome with an unknown result or without an attempt number")
 		return
 	}
 	id := policy.RequestID(e.at(1).GetStringBytes())
@@ -123,7 +123,7 @@
 	return results[n], true
 }
 
-// loadReport returns the values of a load report, or nil for none. They are valid until the next one.
+// loadReport returns the values of a load report, or nil if there is none. They are valid until the next call.
 func loadReport(names *settings.NameTable, v *fastjson.Value) []float64 {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil
--- a/internal/wire/simwire/golden_test.go
+++ b/internal/wire/simwire/golden_test.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/golden"
 )
 
-// goldenBegin starts a node with settings of every kind and gives it an endpoint list.
+// goldenBegin holds the events that start a node with settings of every kind and give it an endpoint list.
 const goldenBegin = `["begin",7,{"service_grades":[{"name":"read","benefit":1,"effect":"idempotent","soft_limit_s":0.3,
 "hard_stop_s":0.8},
 {"name":"put","benefit":2,"effect":"deduplicated","group":"all","soft_limit_s":0.3,"key_ttl_s":4}],
@@ -22,8 +22,8 @@
 [1,"base","active",null,"z","o:1",0]]],
 ["fleet","cached",1,0]`
 
-// One node from its start to its end, with each kind of event that there is.
-func TestRepliesAreAsRecorded(t *testing.T) {
+// The replies to a node, from its start to its end, with every kind of event.
+func TestRepliesMatchGoldenFile(t *testing.T) {
 	got, err := serve(t, batch("10", goldenBegin),
 		batch("10.1", `["job_in","id1",null,"read",null,10.6,"key1",null,0],
 ["job_in","id2",null,"put",null,10.9,"key2",null,4],
--- a/internal/wire/simwire/server.go
+++ b/internal/wire/simwire/server.go
@@ -14,13 +14,13 @@
 	"dahliapin/policy"
 )
 
-// readBufferSize is the size, in bytes, of the buffer for the input. Longer lines are put together of pieces.
+// readBufferSize is the size, in bytes, of the input buffer. Longer lines are assembled from several reads.
 const readBufferSize = 1 << 20
 
-// ErrNotObject says that a line of the input is not a JSON object.
-var ErrNotObject = errors.New("the input holds a line that is not a JSON object")
+// ErrNotObject is returned for an input line that is not a JSON object.
+var ErrNotObject = errors.New("input line is not a JSON object")
 
-// Node is one node of the simulator, from its start until it is killed.
+// Node is a node of the simulator, from its start until it is killed.
 type Node interface {
 	UpdateEndpoints(now monotime.Instant, kind policy.UpdateKind, endpoints []policy.Endpoint)
 	RequestArrived(now monotime.Instant, r *policy.Request)
@@ -31,7 +31,8 @@
 	OnTimer(now monotime.Instant, token string)
 }
 
-// NewNodeFunc makes the Node of a node that starts. Its actions go to out, within the calls on it and within NewNodeFunc itself.
+// NewNodeFunc creates the Node for a node that starts. The Node may write actions to out during the calls on it, and
+// NewNodeFunc may do so as well.
 type NewNodeFunc func(now monotime.Instant, seed int64, settings policy.Settings, out *Writer) Node
 
 // server holds the state between batches.
@@ -40,20 +41,21 @@
 	parser      fastjson.Parser
 	out         Writer
 	nodes       map[int]*instance
-	lists       [maxLists][]*fastjson.Value  // endpoint lists by their numbers
-	endpointIDs map[string]policy.EndpointID // so that an id is allocated once
-	log         io.Writer                    // what was ignored, a line each
+	lists       [maxLists][]*fastjson.Value  // endpoint lists by number
+	endpointIDs map[string]policy.EndpointID // interned ids, so that each is allocated once
+	log         io.Writer                    // receives a line for each ignored input
 }
 
-// instance is a node that is up.
+// instance is a running node.
 type instance struct {
 	node      Node
 	names     settings.NameTable
-	endpoints []policy.Endpoint // buffer of the latest update
+	endpoints []policy.Endpoint // reused buffer for updates
 }
 
-// Serve answers batches from in on out until in ends. An event that cannot be understood is ignored, with a line on
-// log. An error is a line that is no JSON object (ErrNoObject), settings that cannot be used, or one of in and out.
+// Serve reads batches from in and writes replies to out until in ends. An event that cannot be interpreted is ignored
+// and reported in a line on log. Serve returns an error for a line that is not a JSON object (ErrNotObject), for
+// invalid settings, and if reading or writing fails.
 func Serve(in io.Reader, out, log io.Writer, start NewNodeFunc) error {
 	s := &server{
 		start:       start,
@@ -77,12 +79,12 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("the input could not be read: %w", err)
+			return fmt.Errorf("cannot read the input: %w", err)
 		}
 	}
 }
 
-// reply answers a line, unless it is empty.
+// reply writes the reply to a line, unless the line is empty.
 func (s *server) reply(line []byte, out io.Writer) error {
 	if len(bytes.TrimSpace(line)) == 0 {
 		return nil
@@ -92,12 +94,12 @@
 		return err
 	}
 	if _, err := out.Write(reply); err != nil {
-		return fmt.Errorf("the reply could not be written: %w", err)
+		return fmt.Errorf("cannot write the reply: %w", err)
 	}
 	return nil
 }
 
-// batch carries out a batch and returns the reply, which is valid until the next call.
+// batch processes a batch and returns the reply, which is valid until the next call.
 func (s *server) batch(line []byte) ([]byte, error) {
 	v, err := s.parser.ParseBytes(line)
 	if err != nil || v.Type() != fastjson.TypeObject {
@@ -108,7 +110,7 @@
 	for _, part := range v.GetArray(keyParts) {
 		node := part.Get(keyNode)
 		if node == nil || node.Type() != fastjson.TypeNumber {
-			s.ignore("a part without a node")
+			s.ignore("a part without a node number")
 			continue
 		}
 		s.out.setNode(node.GetInt())
@@ -121,9 +123,9 @@
 	return s.out.finish(), nil
 }
 
-// ignore notes what was not understood.
+// ignore logs an input that is ignored.
 func (s *server) ignore(format string, args ...any) {
-	fmt.Fprintf(s.log, "passed over "+format+"\n", args...)
+	fmt.Fprintf(s.log, "ignored "+format+"\n", args...)
 }
 
 func instant(v *fastjson.Value) monotime.Instant { return monotime.Instant(settings.Seconds(v)) }
--- a/internal/wire/simwire/server_test.go
+++ b/internal/wire/simwire/server_test.go
@@ -11,13 +11,13 @@
 	"dahliapin/policy"
 )
 
-// begin starts a node with one cache.
+// begin holds the events that start a node with one cache.
 const begin = `["begin",7,{"service_grades":[{"name":"read","benefit":1,"effect":"idempotent","soft_limit_s":0.3}],
 "unheard_of":{"x":1},"bounds":{"most_legs":3,"second_copies":null},"telemetry":{"columns":["outstanding"]},
 "family_info":{"mode":"through"},"round_s":0.005,"zone":"z"}],["ledger",0,[[1,"k","active",null,"z","a:1",0]]],
 ["fleet","cached",1,0]`
 
-// serve answers lines of input, with a dispatcher for each node. Newlines within a line are left out.
+// serve returns the replies to lines of input, with a dispatcher for each node. It removes newlines within a line.
 func serve(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out, log bytes.Buffer
@@ -31,12 +31,12 @@
 	return out.String(), err
 }
 
-// batch returns a batch of events of the node 3 at a time in seconds.
+// batch returns a batch of events of node 3 at a time in seconds.
 func batch(at, events string) string {
 	return `{"t_s":` + at + `,"parts":[{"node_id":3,"news":[` + events + `]}]}`
 }
 
-func TestRequestFromArrivalToAnswer(t *testing.T) {
+func TestRequestFromArrivalToResponse(t *testing.T) {
 	got, err := serve(t, batch("10", begin),
 		batch("10.1", `["job_in","id1",null,"read",null,10.6,"key1",null,0]`),
 		batch("10.12", `["attempt_end","id1",0,true,"a:1",0,0.02,null,{"outstanding":2}]`),
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestEventsThatCannotBeUnderstoodAreIgnored(t *testing.T) {
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	got, err := serve(t, batch("10", begin), batch("10.1", `[],["what"],["fleet","odd",1,0],["fleet","delta",2,99],
 ["job_in",null],["attempt_end","nobody",0,true,"a:1",0,0.1,null,null],["attempt_end","x",77,true,"b",null,1],
 ["sampled","nowhere",0,0.1,null],["timed_out_client","nobody"],["wake","nobody"],["fleet","failed",null,null]`),
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestUnusableInputEndsWithOneLine(t *testing.T) {
+func TestInvalidInputReturnsOneLineError(t *testing.T) {
 	for _, line := range []string{"no json", `[1]`, batch("1", `["begin",1,{}]`), batch("1", `["begin",1,null]`)} {
 		if _, err := serve(t, line); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", line, err)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestTextIsQuoted(t *testing.T) {
+func TestSpecialCharactersAreEscaped(t *testing.T) {
 	got, _ := serve(t, batch("10", begin), batch("10.1", `["job_in","a\"\\\u00e9",null,"read",null,10.6,null,null,0]`))
 	if !strings.Contains(got, `["place","a\"\\é","a:1",`) {
 		t.Error(got)
--- a/internal/wire/simwire/writer.go
+++ b/internal/wire/simwire/writer.go
@@ -9,16 +9,16 @@
 	"dahliapin/policy"
 )
 
-// Writer builds the reply to a batch: actions grouped by node, in the order of the calls. Its methods are called only
-// while a batch is carried out.
+// Writer builds the reply to a batch: actions grouped by node, in the order of the calls. Its methods must be called
+// only while a batch is being processed.
 type Writer struct {
 	buf         []byte
-	node        int  // whose events are being carried out
-	inPart      bool // the node's part has been begun, which its first action does
+	node        int  // the node whose events are being processed
+	inPart      bool // the part of the node has begun, with its first action
 	firstAction bool // the part has no action yet
 }
 
-// Send starts an attempt at an endpoint, which ends at timeoutAt by the clock of the batches at the latest.
+// Send starts an attempt at an endpoint. The attempt times out at timeoutAt, by the clock of the batches.
 func (w *Writer) Send(id policy.RequestID, to policy.EndpointID, timeoutAt monotime.Instant) {
 	w.beginAction(actionSend)
 	w.text(string(id))
@@ -27,7 +27,7 @@
 	w.endAction()
 }
 
-// Cancel cancels an attempt, by its number in the request from 0.
+// Cancel cancels an attempt, given by its index within the request.
 func (w *Writer) Cancel(id policy.RequestID, attempt int) {
 	w.beginAction(actionCancel)
 	w.text(string(id))
@@ -35,7 +35,7 @@
 	w.endAction()
 }
 
-// Reject answers that the request never ran and may be repeated, after retryAfter.
+// Reject responds that the request never ran and may be retried after retryAfter.
 func (w *Writer) Reject(id policy.RequestID, retryAfter time.Duration) {
 	w.beginAction(actionReject)
 	w.text(string(id))
@@ -43,14 +43,14 @@
 	w.endAction()
 }
 
-// Fail answers that the request failed and may have run.
+// Fail responds that the request failed and may have run.
 func (w *Writer) Fail(id policy.RequestID) {
 	w.beginAction(actionFail)
 	w.text(string(id))
 	w.endAction()
 }
 
-// SetTimer asks for the timer event with this token after a time.
+// SetTimer requests a timer event with the given token after a delay.
 func (w *Writer) SetTimer(after time.Duration, token string) {
 	w.beginAction(actionSetTimer)
 	w.seconds(after)
@@ -72,13 +72,13 @@
 	w.endAction()
 }
 
-// reset begins a reply.
+// reset begins a new reply.
 func (w *Writer) reset() {
 	w.buf = append(w.buf[:0], `{"parts":[`...)
 	w.inPart = false
 }
 
-// setNode says whose actions follow.
+// setNode sets the node to which the following actions belong.
 func (w *Writer) setNode(node int) {
 	w.endPart()
 	w.node = node
@@ -137,7 +137,7 @@
 	w.buf = append(w.buf, '"')
 }
 
-// isPlain tells whether a JSON string holds a text as it is. Almost all texts are ids, which do.
+// isPlain reports whether a JSON string can contain s without escapes. That holds for almost all texts, which are ids.
 func isPlain(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] >= 0x7f || s[i] == '"' || s[i] == '\\' {
@@ -152,7 +152,7 @@
 	w.buf = strconv.AppendInt(w.buf, x, 10)
 }
 
-// seconds writes a duration in seconds, cut to whole microseconds, the finest that the wire carries.
+// seconds writes a duration in seconds, truncated to microseconds, the resolution of the protocol.
 func (w *Writer) seconds(d time.Duration) {
 	const microsecondsPerSecond = 1_000_000
 	microseconds := d.Microseconds()
