--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Most is what any number of seconds that is too great counts as (1.2.2).
-const Most = (1 << 31) * time.Second
+// MaxDeltaSeconds is what any number of seconds that is too great counts as (1.2.2).
+const MaxDeltaSeconds = (1 << 31) * time.Second
 
 // Span is a number of seconds that a directive or field gives.
 type Span struct {
@@ -29,7 +29,7 @@
 
 // Seconds reads delta-seconds: digits only; a number that is too great counts as Most.
 func Seconds(digits []byte) (time.Duration, bool) {
-	const most = int64(Most / time.Second)
+	const most = int64(MaxDeltaSeconds / time.Second)
 	if len(digits) == 0 {
 		return 0, false
 	}
@@ -44,4 +44,4 @@
 }
 
 // bounded returns a time that is neither negative nor over Most.
-func bounded(d time.Duration) time.Duration { return min(max(0, d), Most) }
+func bounded(d time.Duration) time.Duration { return min(max(0, d), MaxDeltaSeconds) }
