--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -28,7 +28,7 @@
 		flag, span := d.field(item.name)
 		switch {
 		case span == &d.MaxStale && !item.hasValue: // any age
-			span.Given = true
+			span.Present = true
 			span.For = MaxDeltaSeconds
 		case span != nil:
 			span.set(item.value, item.hasValue)
--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -39,7 +39,7 @@
 func (r *Response) SetAge(line []byte) {
 	first, _, _ := bytes.Cut(line, []byte(","))
 	if d, ok := Seconds(bytes.TrimSpace(first)); ok {
-		r.Age = Span{Given: true, For: d}
+		r.Age = Span{Present: true, For: d}
 	}
 }
 
@@ -62,11 +62,11 @@
 	age := time.Duration(0)
 	if !r.Date.IsZero() {
 		age = bounded(received.Sub(r.Date))
-		if !r.Age.Given {
+		if !r.Age.Present {
 			age = bounded(received.Sub(r.Date) + rules.ClockOff)
 		}
 	}
-	if r.Age.Given {
+	if r.Age.Present {
 		delay := max(0, received.Sub(requested))
 		age = max(age, bounded(r.Age.For+delay))
 	}
@@ -80,7 +80,7 @@
 		switch {
 		case span.Bad: // what can't be trusted is stale
 			return 0, true
-		case span.Given:
+		case span.Present:
 			return span.For, true
 		}
 	}
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -7,7 +7,7 @@
 
 // Span is a number of seconds that a directive or field gives.
 type Span struct {
-	Given bool
+	Present bool
 	Bad   bool // what is given is no number, or two values differ
 	For   time.Duration
 }
@@ -15,17 +15,17 @@
 // set takes a value. A second one that differs, or one that is no number, makes the whole untrustworthy.
 func (s *Span) set(value []byte, hasValue bool) {
 	d, ok := Seconds(value)
-	if !hasValue || !ok || s.Given && d != s.For {
+	if !hasValue || !ok || s.Present && d != s.For {
 		s.Bad = true
-		s.Given = true
+		s.Present = true
 		return
 	}
-	s.Given = true
+	s.Present = true
 	s.For = d
 }
 
 // allows reports whether a time is within the span.
-func (s Span) allows(d time.Duration) bool { return s.Given && !s.Bad && d <= s.For }
+func (s Span) allows(d time.Duration) bool { return s.Present && !s.Bad && d <= s.For }
 
 // Seconds reads delta-seconds: digits only; a number that is too great counts as Most.
 func Seconds(digits []byte) (time.Duration, bool) {
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -38,7 +38,7 @@
 // forbidden returns the use and the reason where directives forbid to serve a response at any age; an empty reason
 // where none does.
 func forbidden(q *Request, r *Response) (Use, string) {
-	isShared := r.Control.Public || r.Control.MustRevalidate || r.Control.SharedMaxAge.Given
+	isShared := r.Control.Public || r.Control.MustRevalidate || r.Control.SharedMaxAge.Present
 	switch {
 	case r.Control.NoStore:
 		return Never, "no-store"
@@ -61,12 +61,12 @@
 	request := &q.Control
 	response := &r.Control
 	// 4.2.4, 5.2.2.10
-	mustRevalidate := response.MustRevalidate || response.ProxyRevalidate || response.SharedMaxAge.Given
+	mustRevalidate := response.MustRevalidate || response.ProxyRevalidate || response.SharedMaxAge.Present
 	staleness := v.Age - v.Lifetime
 	switch {
-	case request.MaxAge.Given && v.Age > request.MaxAge.For+maxStale(q): // both: 5.2.1.1
+	case request.MaxAge.Present && v.Age > request.MaxAge.For+maxStale(q): // both: 5.2.1.1
 		return Validate, "request max-age"
-	case request.MinFresh.Given && v.Lifetime-v.Age < request.MinFresh.For:
+	case request.MinFresh.Present && v.Lifetime-v.Age < request.MinFresh.For:
 		return Validate, "request min-fresh"
 	case v.Age < v.Lifetime:
 		return Fresh, "fresh"
@@ -84,7 +84,7 @@
 
 // maxStale is how much older than its max-age a request accepts a response.
 func maxStale(q *Request) time.Duration {
-	if s := q.Control.MaxStale; s.Given && !s.Bad {
+	if s := q.Control.MaxStale; s.Present && !s.Bad {
 		return s.For
 	}
 	return 0
