--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -78,7 +78,7 @@
 func (r *Response) Lifetime(received time.Time, rules Rules) (lifetime time.Duration, stated bool) {
 	for _, span := range []Span{r.Control.SharedMaxAge, r.Control.MaxAge} {
 		switch {
-		case span.Bad: // what can't be trusted is stale
+		case span.Invalid: // what can't be trusted is stale
 			return 0, true
 		case span.Present:
 			return span.For, true
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -8,7 +8,7 @@
 // Span is a number of seconds that a directive or field gives.
 type Span struct {
 	Present bool
-	Bad   bool // what is given is no number, or two values differ
+	Invalid   bool // what is given is no number, or two values differ
 	For   time.Duration
 }
 
@@ -16,7 +16,7 @@
 func (s *Span) set(value []byte, hasValue bool) {
 	d, ok := Seconds(value)
 	if !hasValue || !ok || s.Present && d != s.For {
-		s.Bad = true
+		s.Invalid = true
 		s.Present = true
 		return
 	}
@@ -25,7 +25,7 @@
 }
 
 // allows reports whether a time is within the span.
-func (s Span) allows(d time.Duration) bool { return s.Present && !s.Bad && d <= s.For }
+func (s Span) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.For }
 
 // Seconds reads delta-seconds: digits only; a number that is too great counts as Most.
 func Seconds(digits []byte) (time.Duration, bool) {
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -50,7 +50,7 @@
 		return Validate, "no-cache"
 	case q.Control.NoCache:
 		return Validate, "request no-cache"
-	case q.Control.MaxAge.Bad || q.Control.MinFresh.Bad:
+	case q.Control.MaxAge.Invalid || q.Control.MinFresh.Invalid:
 		return Validate, "request directive"
 	}
 	return Fresh, ""
@@ -84,7 +84,7 @@
 
 // maxStale is how much older than its max-age a request accepts a response.
 func maxStale(q *Request) time.Duration {
-	if s := q.Control.MaxStale; s.Present && !s.Bad {
+	if s := q.Control.MaxStale; s.Present && !s.Invalid {
 		return s.For
 	}
 	return 0
