--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -29,7 +29,7 @@
 		switch {
 		case span == &d.MaxStale && !item.hasValue: // any age
 			span.Present = true
-			span.For = MaxDeltaSeconds
+			span.Duration = MaxDeltaSeconds
 		case span != nil:
 			span.set(item.value, item.hasValue)
 		case flag != nil:
--- a/internal/freshness/directives_test.go
+++ b/internal/freshness/directives_test.go
@@ -13,7 +13,7 @@
 		if d != twice {
 			t.Fatal("read differently")
 		}
-		if d.MaxAge.Present && !d.MaxAge.Invalid && (d.MaxAge.For < 0 || d.MaxAge.For > MaxDeltaSeconds) {
+		if d.MaxAge.Present && !d.MaxAge.Invalid && (d.MaxAge.Duration < 0 || d.MaxAge.Duration > MaxDeltaSeconds) {
 			t.Fatal(d.MaxAge)
 		}
 	})
--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -39,7 +39,7 @@
 func (r *Response) SetAge(line []byte) {
 	first, _, _ := bytes.Cut(line, []byte(","))
 	if d, ok := Seconds(bytes.TrimSpace(first)); ok {
-		r.Age = Span{Present: true, For: d}
+		r.Age = Span{Present: true, Duration: d}
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	if r.Age.Present {
 		delay := max(0, received.Sub(requested))
-		age = max(age, bounded(r.Age.For+delay))
+		age = max(age, bounded(r.Age.Duration+delay))
 	}
 	resident := max(0, now.Sub(received))
 	return bounded(age + resident)
@@ -81,7 +81,7 @@
 		case span.Invalid: // what can't be trusted is stale
 			return 0, true
 		case span.Present:
-			return span.For, true
+			return span.Duration, true
 		}
 	}
 	date := r.Date
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -9,23 +9,23 @@
 type Span struct {
 	Present bool
 	Invalid   bool // what is given is no number, or two values differ
-	For   time.Duration
+	Duration   time.Duration
 }
 
 // set takes a value. A second one that differs, or one that is no number, makes the whole untrustworthy.
 func (s *Span) set(value []byte, hasValue bool) {
 	d, ok := Seconds(value)
-	if !hasValue || !ok || s.Present && d != s.For {
+	if !hasValue || !ok || s.Present && d != s.Duration {
 		s.Invalid = true
 		s.Present = true
 		return
 	}
 	s.Present = true
-	s.For = d
+	s.Duration = d
 }
 
 // allows reports whether a time is within the span.
-func (s Span) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.For }
+func (s Span) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
 
 // Seconds reads delta-seconds: digits only; a number that is too great counts as Most.
 func Seconds(digits []byte) (time.Duration, bool) {
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -64,9 +64,9 @@
 	mustRevalidate := response.MustRevalidate || response.ProxyRevalidate || response.SharedMaxAge.Present
 	staleness := v.Age - v.Lifetime
 	switch {
-	case request.MaxAge.Present && v.Age > request.MaxAge.For+maxStale(q): // both: 5.2.1.1
+	case request.MaxAge.Present && v.Age > request.MaxAge.Duration+maxStale(q): // both: 5.2.1.1
 		return Validate, "request max-age"
-	case request.MinFresh.Present && v.Lifetime-v.Age < request.MinFresh.For:
+	case request.MinFresh.Present && v.Lifetime-v.Age < request.MinFresh.Duration:
 		return Validate, "request min-fresh"
 	case v.Age < v.Lifetime:
 		return Fresh, "fresh"
@@ -85,7 +85,7 @@
 // maxStale is how much older than its max-age a request accepts a response.
 func maxStale(q *Request) time.Duration {
 	if s := q.Control.MaxStale; s.Present && !s.Invalid {
-		return s.For
+		return s.Duration
 	}
 	return 0
 }
