--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -4,12 +4,12 @@
 
 // Directives are what Cache-Control says, in a request or a response.
 type Directives struct {
-	MaxAge               Span
-	SharedMaxAge         Span // s-maxage
-	MinFresh             Span
-	MaxStale             Span // without a value: Most
-	StaleWhileRevalidate Span // RFC 5861
-	StaleIfError         Span // RFC 5861
+	MaxAge               DeltaSeconds
+	SharedMaxAge         DeltaSeconds // s-maxage
+	MinFresh             DeltaSeconds
+	MaxStale             DeltaSeconds // without a value: Most
+	StaleWhileRevalidate DeltaSeconds // RFC 5861
+	StaleIfError         DeltaSeconds // RFC 5861
 	NoStore              bool
 	NoCache              bool
 	Private              bool
@@ -39,7 +39,7 @@
 }
 
 // field returns where a directive is kept: a flag, a span or, for an unknown one, neither.
-func (d *Directives) field(name []byte) (*bool, *Span) {
+func (d *Directives) field(name []byte) (*bool, *DeltaSeconds) {
 	switch string(bytes.ToLower(name)) {
 	case "max-age":
 		return nil, &d.MaxAge
--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -28,7 +28,7 @@
 type Response struct {
 	Status     int
 	Control    Directives
-	Age        Span      // the field's first value; not given where it is missing or no number (5.1)
+	Age        DeltaSeconds      // the field's first value; not given where it is missing or no number (5.1)
 	Date       time.Time // zero where it is missing or no date
 	Expires    time.Time // zero where it is missing
 	BadExpires bool      // Expires is there and no date, which means long ago (5.3)
@@ -39,7 +39,7 @@
 func (r *Response) SetAge(line []byte) {
 	first, _, _ := bytes.Cut(line, []byte(","))
 	if d, ok := Seconds(bytes.TrimSpace(first)); ok {
-		r.Age = Span{Present: true, Duration: d}
+		r.Age = DeltaSeconds{Present: true, Duration: d}
 	}
 }
 
@@ -76,7 +76,7 @@
 
 // Lifetime returns for how long the response is fresh (4.2.1), and whether it says so itself.
 func (r *Response) Lifetime(received time.Time, rules Rules) (lifetime time.Duration, stated bool) {
-	for _, span := range []Span{r.Control.SharedMaxAge, r.Control.MaxAge} {
+	for _, span := range []DeltaSeconds{r.Control.SharedMaxAge, r.Control.MaxAge} {
 		switch {
 		case span.Invalid: // what can't be trusted is stale
 			return 0, true
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -5,15 +5,15 @@
 // MaxDeltaSeconds is what any number of seconds that is too great counts as (1.2.2).
 const MaxDeltaSeconds = (1 << 31) * time.Second
 
-// Span is a number of seconds that a directive or field gives.
-type Span struct {
+// DeltaSeconds is a number of seconds that a directive or field gives.
+type DeltaSeconds struct {
 	Present bool
 	Invalid   bool // what is given is no number, or two values differ
 	Duration   time.Duration
 }
 
 // set takes a value. A second one that differs, or one that is no number, makes the whole untrustworthy.
-func (s *Span) set(value []byte, hasValue bool) {
+func (s *DeltaSeconds) set(value []byte, hasValue bool) {
 	d, ok := Seconds(value)
 	if !hasValue || !ok || s.Present && d != s.Duration {
 		s.Invalid = true
@@ -25,7 +25,7 @@
 }
 
 // allows reports whether a time is within the span.
-func (s Span) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
+func (s DeltaSeconds) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
 
 // Seconds reads delta-seconds: digits only; a number that is too great counts as Most.
 func Seconds(digits []byte) (time.Duration, bool) {
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -145,7 +145,7 @@
 		requested := received.Add(-drawTime(0, 5, "delay"))
 		hasAge := rapid.Bool().Draw(t, "tells Age")
 		if hasAge { // as the server knew it when it was asked, or later
-			r.Age = Span{Present: true, Duration: max(0, requested.Sub(made)).Truncate(time.Second)}
+			r.Age = DeltaSeconds{Present: true, Duration: max(0, requested.Sub(made)).Truncate(time.Second)}
 		}
 		maxAge := time.Duration(rapid.IntRange(0, 400).Draw(t, "max-age")) * time.Second
 		r.Control.Read(fmt.Appendf(nil, "max-age=%d", maxAge/time.Second))
