--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -8,9 +8,9 @@
 
 // Rules are what an operator states about the age of responses.
 type Rules struct {
-	// ClockOff is how far a server's clock may be off. Where a response has no usable Age, only its Date tells how old
+	// MaxClockSkew is how far a server's clock may be off. Where a response has no usable Age, only its Date tells how old
 	// it is: it counts as that much older, so that it is never served past its allowed age.
-	ClockOff time.Duration
+	MaxClockSkew time.Duration
 	// Heuristic is the share of the time since Last-Modified for which a response that says nothing is fresh; 0 for
 	// none.
 	Heuristic float64
@@ -63,7 +63,7 @@
 	if !r.Date.IsZero() {
 		age = bounded(received.Sub(r.Date))
 		if !r.Age.Present {
-			age = bounded(received.Sub(r.Date) + rules.ClockOff)
+			age = bounded(received.Sub(r.Date) + rules.MaxClockSkew)
 		}
 	}
 	if r.Age.Present {
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -153,7 +153,7 @@
 		r.Control.Read(fmt.Appendf(nil, "stale-while-revalidate=%d", stale/time.Second))
 		now := received.Add(drawTime(0, 100, "kept here"))
 
-		v := Judge(&Request{}, r, requested, received, now, Rules{ClockOff: clockOff * time.Second}, false)
+		v := Judge(&Request{}, r, requested, received, now, Rules{MaxClockSkew: clockOff * time.Second}, false)
 		trueAge := now.Sub(made)
 		allowed := maxAge + time.Second
 		if v.Use == Stale {
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -122,7 +122,7 @@
 	response := freshnessOf(answer)
 	now := time.Now()
 	rules := freshness.Rules{
-		ClockOff:      h.servers.ClockOff(),
+		MaxClockSkew:      h.servers.ClockOff(),
 		Heuristic:     h.servers.Heuristic,
 		MostHeuristic: h.servers.MaxHeuristic(),
 	}
