--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -11,9 +11,9 @@
 	// MaxClockSkew is how far a server's clock may be off. Where a response has no usable Age, only its Date tells how old
 	// it is: it counts as that much older, so that it is never served past its allowed age.
 	MaxClockSkew time.Duration
-	// Heuristic is the share of the time since Last-Modified for which a response that says nothing is fresh; 0 for
+	// HeuristicFraction is the share of the time since Last-Modified for which a response that says nothing is fresh; 0 for
 	// none.
-	Heuristic float64
+	HeuristicFraction float64
 	// MostHeuristic bounds the lifetime that follows from Heuristic.
 	MostHeuristic time.Duration
 }
@@ -93,8 +93,8 @@
 		return 0, true
 	case !r.Expires.IsZero():
 		return bounded(r.Expires.Sub(date)), true
-	case rules.Heuristic > 0 && !r.Modified.IsZero() && hasHeuristicLifetime(r.Status) && !r.Control.NoCache:
-		guess := time.Duration(rules.Heuristic * float64(bounded(date.Sub(r.Modified))))
+	case rules.HeuristicFraction > 0 && !r.Modified.IsZero() && hasHeuristicLifetime(r.Status) && !r.Control.NoCache:
+		guess := time.Duration(rules.HeuristicFraction * float64(bounded(date.Sub(r.Modified))))
 		return min(guess, rules.MostHeuristic), false
 	}
 	return 0, false
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -123,7 +123,7 @@
 	now := time.Now()
 	rules := freshness.Rules{
 		MaxClockSkew:      h.servers.ClockOff(),
-		Heuristic:     h.servers.Heuristic,
+		HeuristicFraction:     h.servers.Heuristic,
 		MostHeuristic: h.servers.MaxHeuristic(),
 	}
 	accepted := &request.httpDetails().freshness
