--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -14,8 +14,8 @@
 	// HeuristicFraction is the share of the time since Last-Modified for which a response that says nothing is fresh; 0 for
 	// none.
 	HeuristicFraction float64
-	// MostHeuristic bounds the lifetime that follows from Heuristic.
-	MostHeuristic time.Duration
+	// MaxHeuristicLifetime bounds the lifetime that follows from Heuristic.
+	MaxHeuristicLifetime time.Duration
 }
 
 // Request is what a client's request says, as far as it matters.
@@ -95,7 +95,7 @@
 		return bounded(r.Expires.Sub(date)), true
 	case rules.HeuristicFraction > 0 && !r.Modified.IsZero() && hasHeuristicLifetime(r.Status) && !r.Control.NoCache:
 		guess := time.Duration(rules.HeuristicFraction * float64(bounded(date.Sub(r.Modified))))
-		return min(guess, rules.MostHeuristic), false
+		return min(guess, rules.MaxHeuristicLifetime), false
 	}
 	return 0, false
 }
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -118,7 +118,7 @@
 
 // An operator may have the lifetime of a response that states none guessed from its Last-Modified, within a bound.
 func TestHeuristicLifetime(t *testing.T) {
-	rules := Rules{HeuristicFraction: 0.1, MostHeuristic: time.Hour}
+	rules := Rules{HeuristicFraction: 0.1, MaxHeuristicLifetime: time.Hour}
 	judge := func(text string) Verdict {
 		return Judge(&Request{}, responseOf(text), received, received, received, rules, false)
 	}
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -124,7 +124,7 @@
 	rules := freshness.Rules{
 		MaxClockSkew:      h.servers.ClockOff(),
 		HeuristicFraction:     h.servers.Heuristic,
-		MostHeuristic: h.servers.MaxHeuristic(),
+		MaxHeuristicLifetime: h.servers.MaxHeuristic(),
 	}
 	accepted := &request.httpDetails().freshness
 	verdict := freshness.Judge(accepted, &response, request.attemptSentAt, now, now, rules, false)
