--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -21,7 +21,7 @@
 // Request is what a client's request says, as far as it matters.
 type Request struct {
 	Control    Directives
-	Authorized bool // it has Authorization
+	HasAuthorization bool // it has Authorization
 }
 
 // Response is what a server's response says, as far as it matters.
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -44,7 +44,7 @@
 		return Never, "no-store"
 	case r.Control.Private: // 5.2.2.7: not for a shared cache
 		return Never, "private"
-	case q.Authorized && !isShared: // 3.5
+	case q.HasAuthorization && !isShared: // 3.5
 		return Never, "authorization"
 	case r.Control.NoCache:
 		return Validate, "no-cache"
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -107,7 +107,7 @@
 	for _, c := range standardCases {
 		q := &Request{}
 		q.Control.Read([]byte(c.request))
-		q.Authorized = c.request == "Authorization"
+		q.HasAuthorization = c.request == "Authorization"
 		failed := c.request == "failed"
 		v := Judge(q, responseOf(c.response), received, received, received, Rules{}, failed)
 		if v.Use != c.want {
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -210,7 +210,7 @@
 // readCacheControl determines which responses a request accepts. Pragma counts only without Cache-Control (RFC 9111,
 // section 5.4).
 func (d *httpRequestDetails) readCacheControl(request *http1.Request) {
-	d.freshness.Authorized = request.Header("Authorization") != nil
+	d.freshness.HasAuthorization = request.Header("Authorization") != nil
 	hasCacheControl := false
 	request.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, []byte("Cache-Control")) {
