--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -31,7 +31,7 @@
 	Age        DeltaSeconds      // the field's first value; not given where it is missing or no number (5.1)
 	Date       time.Time // zero where it is missing or no date
 	Expires    time.Time // zero where it is missing
-	BadExpires bool      // Expires is there and no date, which means long ago (5.3)
+	InvalidExpires bool      // Expires is there and no date, which means long ago (5.3)
 	Modified   time.Time // Last-Modified; zero where it is missing or no date
 }
 
@@ -53,7 +53,7 @@
 func (r *Response) SetExpires(line string) {
 	var err error
 	r.Expires, err = http.ParseTime(line)
-	r.BadExpires = err != nil
+	r.InvalidExpires = err != nil
 }
 
 // CurrentAge returns the response's age now (4.2.3). requested and received are when the request was sent and its
@@ -89,7 +89,7 @@
 		date = received
 	}
 	switch {
-	case r.BadExpires:
+	case r.InvalidExpires:
 		return 0, true
 	case !r.Expires.IsZero():
 		return bounded(r.Expires.Sub(date)), true
