--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -32,7 +32,7 @@
 	Date       time.Time // zero where it is missing or no date
 	Expires    time.Time // zero where it is missing
 	InvalidExpires bool      // Expires is there and no date, which means long ago (5.3)
-	Modified   time.Time // Last-Modified; zero where it is missing or no date
+	LastModified   time.Time // Last-Modified; zero where it is missing or no date
 }
 
 // SetAge takes the value of the field Age. Of several numbers the first counts.
@@ -47,7 +47,7 @@
 func (r *Response) SetDate(line string) { r.Date, _ = http.ParseTime(line) }
 
 // SetModified takes the value of the field Last-Modified; one that is no date counts as missing.
-func (r *Response) SetModified(line string) { r.Modified, _ = http.ParseTime(line) }
+func (r *Response) SetModified(line string) { r.LastModified, _ = http.ParseTime(line) }
 
 // SetExpires takes the value of the field Expires.
 func (r *Response) SetExpires(line string) {
@@ -93,8 +93,8 @@
 		return 0, true
 	case !r.Expires.IsZero():
 		return bounded(r.Expires.Sub(date)), true
-	case rules.HeuristicFraction > 0 && !r.Modified.IsZero() && hasHeuristicLifetime(r.Status) && !r.Control.NoCache:
-		guess := time.Duration(rules.HeuristicFraction * float64(bounded(date.Sub(r.Modified))))
+	case rules.HeuristicFraction > 0 && !r.LastModified.IsZero() && hasHeuristicLifetime(r.Status) && !r.Control.NoCache:
+		guess := time.Duration(rules.HeuristicFraction * float64(bounded(date.Sub(r.LastModified))))
 		return min(guess, rules.MaxHeuristicLifetime), false
 	}
 	return 0, false
