--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -46,8 +46,8 @@
 // SetDate takes the value of the field Date; one that is no date counts as missing.
 func (r *Response) SetDate(line string) { r.Date, _ = http.ParseTime(line) }
 
-// SetModified takes the value of the field Last-Modified; one that is no date counts as missing.
-func (r *Response) SetModified(line string) { r.LastModified, _ = http.ParseTime(line) }
+// SetLastModified takes the value of the field Last-Modified; one that is no date counts as missing.
+func (r *Response) SetLastModified(line string) { r.LastModified, _ = http.ParseTime(line) }
 
 // SetExpires takes the value of the field Expires.
 func (r *Response) SetExpires(line string) {
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -36,7 +36,7 @@
 		case "Expires":
 			r.SetExpires(value)
 		case "Last-Modified":
-			r.SetModified(value)
+			r.SetLastModified(value)
 		}
 	}
 	return r
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -147,7 +147,7 @@
 		response.SetAge(age)
 	}
 	response.SetDate(string(answer.Header("Date")))
-	response.SetModified(string(answer.Header("Last-Modified")))
+	response.SetLastModified(string(answer.Header("Last-Modified")))
 	if expires := answer.Header("Expires"); expires != nil {
 		response.SetExpires(string(expires))
 	}
