--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -19,9 +19,9 @@
 	OnlyIfCached         bool
 }
 
-// Read adds the directives of one field line. Names are compared without case, and unknown ones are passed over. A
+// Parse adds the directives of one field line. Names are compared without case, and unknown ones are passed over. A
 // qualified no-cache or private counts as an unqualified one: the stricter reading, which 5.2.2.4 and 5.2.2.7 allow.
-func (d *Directives) Read(line []byte) {
+func (d *Directives) Parse(line []byte) {
 	for len(line) > 0 {
 		var item directive
 		item, line = cutDirective(line)
@@ -118,6 +118,6 @@
 // Pragma reports whether a line of HTTP/1.0's field says no-cache. It counts where there is no Cache-Control (5.4).
 func Pragma(line []byte) bool {
 	var d Directives
-	d.Read(line)
+	d.Parse(line)
 	return d.NoCache
 }
--- a/internal/freshness/directives_test.go
+++ b/internal/freshness/directives_test.go
@@ -8,8 +8,8 @@
 	f.Add([]byte(`,,=,"`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		var d, twice Directives
-		d.Read(line)
-		twice.Read(line)
+		d.Parse(line)
+		twice.Parse(line)
 		if d != twice {
 			t.Fatal("read differently")
 		}
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -28,7 +28,7 @@
 		}
 		switch name {
 		case "Cache-Control":
-			r.Control.Read([]byte(value))
+			r.Control.Parse([]byte(value))
 		case "Age":
 			r.SetAge([]byte(value))
 		case "Date":
@@ -106,7 +106,7 @@
 func TestVerdictsAreThoseOfTheStandard(t *testing.T) {
 	for _, c := range standardCases {
 		q := &Request{}
-		q.Control.Read([]byte(c.request))
+		q.Control.Parse([]byte(c.request))
 		q.HasAuthorization = c.request == "Authorization"
 		failed := c.request == "failed"
 		v := Judge(q, responseOf(c.response), received, received, received, Rules{}, failed)
@@ -148,9 +148,9 @@
 			r.Age = DeltaSeconds{Present: true, Duration: max(0, requested.Sub(made)).Truncate(time.Second)}
 		}
 		maxAge := time.Duration(rapid.IntRange(0, 400).Draw(t, "max-age")) * time.Second
-		r.Control.Read(fmt.Appendf(nil, "max-age=%d", maxAge/time.Second))
+		r.Control.Parse(fmt.Appendf(nil, "max-age=%d", maxAge/time.Second))
 		stale := time.Duration(rapid.IntRange(0, 60).Draw(t, "stale-while-revalidate")) * time.Second
-		r.Control.Read(fmt.Appendf(nil, "stale-while-revalidate=%d", stale/time.Second))
+		r.Control.Parse(fmt.Appendf(nil, "stale-while-revalidate=%d", stale/time.Second))
 		now := received.Add(drawTime(0, 100, "kept here"))
 
 		v := Judge(&Request{}, r, requested, received, now, Rules{MaxClockSkew: clockOff * time.Second}, false)
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -214,7 +214,7 @@
 	hasCacheControl := false
 	request.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, []byte("Cache-Control")) {
-			d.freshness.Control.Read(value)
+			d.freshness.Control.Parse(value)
 			hasCacheControl = true
 		}
 	})
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -140,7 +140,7 @@
 	response := freshness.Response{Status: answer.Status}
 	answer.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, []byte("Cache-Control")) {
-			response.Control.Read(value)
+			response.Control.Parse(value)
 		}
 	})
 	if age := answer.Header("Age"); age != nil {
