--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -16,7 +16,7 @@
 // Verdict is what may be done with a response, and why.
 type Verdict struct {
 	Use      Use
-	Why      string // a word for the log and Cache-Status
+	Reason      string // a word for the log and Cache-Status
 	Age      time.Duration
 	Lifetime time.Duration
 }
@@ -27,11 +27,11 @@
 func Judge(q *Request, r *Response, requested, received, now time.Time, rules Rules, failed bool) Verdict {
 	lifetime, _ := r.Lifetime(received, rules)
 	v := Verdict{Age: r.CurrentAge(requested, received, now, rules), Lifetime: lifetime}
-	v.Use, v.Why = forbidden(q, r)
-	if v.Why != "" {
+	v.Use, v.Reason = forbidden(q, r)
+	if v.Reason != "" {
 		return v
 	}
-	v.Use, v.Why = v.byAge(q, r, failed)
+	v.Use, v.Reason = v.byAge(q, r, failed)
 	return v
 }
 
