--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -3,8 +3,8 @@
 package buffer
 
 const (
-	// Keep is how many bytes an empty buffer may keep: a few command lines, so that most buffers never grow.
-	Keep = 4 << 10
+	// MaxEmptyCapacity is how many bytes an empty buffer may keep: a few command lines, so that most buffers never grow.
+	MaxEmptyCapacity = 4 << 10
 	// maxGrowth is how many times the unread bytes Reserve makes room for: a long value grows its buffer once or twice.
 	maxGrowth = 8
 )
@@ -46,7 +46,7 @@
 	}
 	b.used = 0
 	b.data = b.data[:0]
-	if cap(b.data) > Keep {
+	if cap(b.data) > MaxEmptyCapacity {
 		b.data = nil
 	}
 }
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -26,7 +26,7 @@
 			if !bytes.Equal(b.Unread(), plain) {
 				t.Fatalf("step %d: %d bytes, want %d", i, len(b.Unread()), len(plain))
 			}
-			if len(plain) == 0 && cap(b.data) > Keep {
+			if len(plain) == 0 && cap(b.data) > MaxEmptyCapacity {
 				t.Fatalf("step %d: empty, yet %d bytes are kept", i, cap(b.data))
 			}
 		}
--- a/internal/proxy/downstream_http.go
+++ b/internal/proxy/downstream_http.go
@@ -121,7 +121,7 @@
 	switch {
 	case request.headOnly:
 		return head, nil
-	case len(response.body) <= buffer.Keep:
+	case len(response.body) <= buffer.MaxEmptyCapacity:
 		return append(head, response.body...), nil
 	}
 	return head, response.body
--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -64,7 +64,7 @@
 
 func (metaDownstream) value(request *clientRequest, response *upstreamResponse) (head, value []byte) {
 	value = response.body
-	if len(value) <= buffer.Keep {
+	if len(value) <= buffer.MaxEmptyCapacity {
 		return meta.AppendValue(nil, request.id, value), nil
 	}
 	// A longer value is everything its buffer holds. The buffer gives up that memory once the value has been consumed,
