--- a/internal/histogram/histogram.go
+++ b/internal/histogram/histogram.go
@@ -9,8 +9,8 @@
 const (
 	// bins is the number of bins, each twice as wide as the one before: from under 1 ms to over 4 s.
 	bins = 14
-	// FirstBin is the upper end of the first bin: below it all caches look alike.
-	FirstBin = time.Millisecond
+	// FirstBinWidth is the upper end of the first bin: below it all caches look alike.
+	FirstBinWidth = time.Millisecond
 	// minSamples is the number of times below which there are no quantiles.
 	minSamples = bins
 )
@@ -20,7 +20,7 @@
 
 // Observe counts one time.
 func (h *Histogram) Observe(d time.Duration) {
-	bin := bits.Len64(uint64(max(0, d) / FirstBin))
+	bin := bits.Len64(uint64(max(0, d) / FirstBinWidth))
 	h[min(bins-1, bin)]++
 }
 
@@ -52,7 +52,7 @@
 	want := q * total
 	low := time.Duration(0)
 	for i, count := range h {
-		high := FirstBin << i
+		high := FirstBinWidth << i
 		if float64(count) >= want {
 			return low + time.Duration(want/float64(max(count, 1))*float64(high-low))
 		}
@@ -67,7 +67,7 @@
 	above := 0.0
 	low := time.Duration(0)
 	for i, count := range h {
-		high := FirstBin << i
+		high := FirstBinWidth << i
 		share := float64(high-d) / float64(high-low)
 		above += float64(count) * min(1, max(0, share))
 		low = high
