--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -97,7 +97,7 @@
 	case eachTenth:
 		rule.Schedule.Every = 10
 	case aSpan:
-		rule.Schedule.Length = span()
+		rule.Schedule.Duration = span()
 	}
 	// Both are retried at once, and rightly: each stands for a signal, or for a connection that is gone.
 	if f.errno == unix.EINTR || f.errno == unix.ECONNABORTED {
--- a/internal/syscallfault/rule_test.go
+++ b/internal/syscallfault/rule_test.go
@@ -18,7 +18,7 @@
 		{"once", Schedule{Limit: 1}, "100000000000"},
 		{"each third", Schedule{Every: 3}, "001001001001"},
 		{"each third, twice", Schedule{Every: 3, Limit: 2}, "001001000000"},
-		{"for a span", Schedule{Length: 4 * time.Millisecond}, "111110000000"},
+		{"for a span", Schedule{Duration: 4 * time.Millisecond}, "111110000000"},
 		{"with pauses", Schedule{Pause: 2 * time.Millisecond}, "101010101010"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
