--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -101,7 +101,7 @@
 	}
 	// Both are retried at once, and rightly: each stands for a signal, or for a connection that is gone.
 	if f.errno == unix.EINTR || f.errno == unix.ECONNABORTED {
-		rule.Schedule.Pause = interruptGap
+		rule.Schedule.MinInterval = interruptGap
 	}
 	return rule
 }
--- a/internal/syscallfault/rule.go
+++ b/internal/syscallfault/rule.go
@@ -19,7 +19,7 @@
 	Every  int           // each so many matching calls; 0 and 1 are all of them
 	Limit  int           // so many calls at most; 0 is no limit
 	Duration time.Duration // from the first call that fails; 0 is no limit
-	Pause  time.Duration // at least so long between two calls that fail
+	MinInterval  time.Duration // at least so long between two calls that fail
 }
 
 // Rule says which system calls are to fail, and how.
@@ -56,7 +56,7 @@
 	now := i.now()
 	if i.Injected() == 0 {
 		i.first = now
-	} else if s.Duration > 0 && now.Sub(i.first) > s.Duration || now.Sub(i.last) < s.Pause {
+	} else if s.Duration > 0 && now.Sub(i.first) > s.Duration || now.Sub(i.last) < s.MinInterval {
 		return false
 	}
 	i.last = now
--- a/internal/syscallfault/rule_test.go
+++ b/internal/syscallfault/rule_test.go
@@ -19,7 +19,7 @@
 		{"each third", Schedule{Every: 3}, "001001001001"},
 		{"each third, twice", Schedule{Every: 3, Limit: 2}, "001001000000"},
 		{"for a span", Schedule{Duration: 4 * time.Millisecond}, "111110000000"},
-		{"with pauses", Schedule{Pause: 2 * time.Millisecond}, "101010101010"},
+		{"with pauses", Schedule{MinInterval: 2 * time.Millisecond}, "101010101010"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(0, 0)
