--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -20,19 +20,19 @@
 
 // Request is what a client's request says, as far as it matters.
 type Request struct {
-	Control    Directives
+	Control          Directives
 	HasAuthorization bool // it has Authorization
 }
 
 // Response is what a server's response says, as far as it matters.
 type Response struct {
-	Status     int
-	Control    Directives
-	Age        DeltaSeconds      // the field's first value; not given where it is missing or no number (5.1)
-	Date       time.Time // zero where it is missing or no date
-	Expires    time.Time // zero where it is missing
-	InvalidExpires bool      // Expires is there and no date, which means long ago (5.3)
-	LastModified   time.Time // Last-Modified; zero where it is missing or no date
+	Status         int
+	Control        Directives
+	Age            DeltaSeconds // the field's first value; not given where it is missing or no number (5.1)
+	Date           time.Time    // zero where it is missing or no date
+	Expires        time.Time    // zero where it is missing
+	InvalidExpires bool         // Expires is there and no date, which means long ago (5.3)
+	LastModified   time.Time    // Last-Modified; zero where it is missing or no date
 }
 
 // SetAge takes the value of the field Age. Of several numbers the first counts.
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -7,9 +7,9 @@
 
 // DeltaSeconds is a number of seconds that a directive or field gives.
 type DeltaSeconds struct {
-	Present bool
-	Invalid   bool // what is given is no number, or two values differ
-	Duration   time.Duration
+	Present  bool
+	Invalid  bool // what is given is no number, or two values differ
+	Duration time.Duration
 }
 
 // set takes a value. A second one that differs, or one that is no number, makes the whole untrustworthy.
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -16,7 +16,7 @@
 // Verdict is what may be done with a response, and why.
 type Verdict struct {
 	Use      Use
-	Reason      string // a word for the log and Cache-Status
+	Reason   string // a word for the log and Cache-Status
 	Age      time.Duration
 	Lifetime time.Duration
 }
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -122,8 +122,8 @@
 	response := freshnessOf(answer)
 	now := time.Now()
 	rules := freshness.Rules{
-		MaxClockSkew:      h.servers.ClockOff(),
-		HeuristicFraction:     h.servers.Heuristic,
+		MaxClockSkew:         h.servers.ClockOff(),
+		HeuristicFraction:    h.servers.Heuristic,
 		MaxHeuristicLifetime: h.servers.MaxHeuristic(),
 	}
 	accepted := &request.httpDetails().freshness
--- a/internal/syscallfault/rule.go
+++ b/internal/syscallfault/rule.go
@@ -16,10 +16,10 @@
 
 // Schedule says which of the calls that a rule matches fail.
 type Schedule struct {
-	Every  int           // each so many matching calls; 0 and 1 are all of them
-	Limit  int           // so many calls at most; 0 is no limit
-	Duration time.Duration // from the first call that fails; 0 is no limit
-	MinInterval  time.Duration // at least so long between two calls that fail
+	Every       int           // each so many matching calls; 0 and 1 are all of them
+	Limit       int           // so many calls at most; 0 is no limit
+	Duration    time.Duration // from the first call that fails; 0 is no limit
+	MinInterval time.Duration // at least so long between two calls that fail
 }
 
 // Rule says which system calls are to fail, and how.
