--- a/internal/emulator/cachestub/cache_test.go
+++ b/internal/emulator/cachestub/cache_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestADeletionTakesTheValueAndSaysWhetherItWasThere(t *testing.T) {
-	var told []logtrace.Did
+	var told []logtrace.CacheEventKind
 	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.Cached) { told = append(told, x.What) })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -2,22 +2,22 @@
 
 import "dahliapin/internal/monotime"
 
-// Did says what befell a cache server.
-type Did uint8
+// CacheEventKind says what befell a cache server.
+type CacheEventKind uint8
 
 // What befalls a cache server.
 const (
-	Deleted Did = 1 // a key was deleted
-	Emptied Did = 2 // all of it has gone, by a flush or a restart
-	Served  Did = 3 // a key's value, in a version, was read
-	Counted Did = 4 // a control machine counts purges up to an index as done there
+	Deleted CacheEventKind = 1 // a key was deleted
+	Emptied CacheEventKind = 2 // all of it has gone, by a flush or a restart
+	Served  CacheEventKind = 3 // a key's value, in a version, was read
+	Counted CacheEventKind = 4 // a control machine counts purges up to an index as done there
 )
 
 // Cached is one thing that befell a cache server.
 type Cached struct {
 	At      monotime.Instant `json:"at"`
 	Cache   string           `json:"cache"`
-	What    Did              `json:"what"`
+	What    CacheEventKind   `json:"what"`
 	Key     string           `json:"key,omitempty"`
 	Version uint64           `json:"version,omitempty"`
 	Index   uint64           `json:"index,omitempty"`
