--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -94,7 +94,7 @@
 	return func(id purge.CacheID, cursor purge.Cursor) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = encoder.Encode(logtrace.Cached{
+		_ = encoder.Encode(logtrace.CacheEvent{
 			At: gossip.BootTime(), Cache: string(id), What: logtrace.Counted, Index: uint64(cursor.Done),
 		})
 	}
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -79,7 +79,7 @@
 	dial     func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
 
 	mu      sync.Mutex
-	records []logtrace.Cached
+	records []logtrace.CacheEvent
 	purged  []logtrace.Purged
 }
 
@@ -111,7 +111,7 @@
 }
 
 // record records an action of a cache or a change of a cursor.
-func (b *bench) record(r logtrace.Cached) {
+func (b *bench) record(r logtrace.CacheEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.records = append(b.records, r)
@@ -155,7 +155,7 @@
 		Dial:        b.dial,
 		OnProgress: func(id purge.CacheID, cursor purge.Cursor) {
 			done := uint64(cursor.Done)
-			b.record(logtrace.Cached{At: bootTime(), Cache: string(id), What: logtrace.Counted, Index: done})
+			b.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), What: logtrace.Counted, Index: done})
 		},
 	})
 	if err != nil {
--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -32,7 +32,7 @@
 type Cache struct {
 	name     string
 	now      func() policy.Instant
-	report   func(logtrace.Cached) // nil for nobody
+	report   func(logtrace.CacheEvent) // nil for nobody
 	listener net.Listener
 	serving  sync.WaitGroup
 
@@ -45,7 +45,7 @@
 }
 
 // Open starts a cache server on loopback. It reports what it does, by the clock now, to report, which may be nil.
-func Open(name string, now func() policy.Instant, report func(logtrace.Cached)) (*Cache, error) {
+func Open(name string, now func() policy.Instant, report func(logtrace.CacheEvent)) (*Cache, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	defer c.mu.Unlock()
 	version, found := c.versions[key]
 	if found {
-		c.did(logtrace.Cached{What: logtrace.Served, Key: key, Version: version})
+		c.did(logtrace.CacheEvent{What: logtrace.Served, Key: key, Version: version})
 	}
 	return version, found
 }
@@ -92,7 +92,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.versions)
-	c.did(logtrace.Cached{What: logtrace.Emptied})
+	c.did(logtrace.CacheEvent{What: logtrace.Emptied})
 	c.closeConns()
 }
 
@@ -124,7 +124,7 @@
 }
 
 // did reports what it did; under mu.
-func (c *Cache) did(record logtrace.Cached) {
+func (c *Cache) did(record logtrace.CacheEvent) {
 	if c.report == nil {
 		return
 	}
@@ -208,10 +208,10 @@
 	_, found := c.versions[order.Key]
 	if order.Flush {
 		clear(c.versions)
-		c.did(logtrace.Cached{What: logtrace.Emptied})
+		c.did(logtrace.CacheEvent{What: logtrace.Emptied})
 	} else {
 		delete(c.versions, order.Key)
-		c.did(logtrace.Cached{What: logtrace.Deleted, Key: order.Key})
+		c.did(logtrace.CacheEvent{What: logtrace.Deleted, Key: order.Key})
 	}
 	if c.fault == Ends {
 		return nil
--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -13,8 +13,8 @@
 	Counted CacheEventKind = 4 // a control machine counts purges up to an index as done there
 )
 
-// Cached is one thing that befell a cache server.
-type Cached struct {
+// CacheEvent is one thing that befell a cache server.
+type CacheEvent struct {
 	At      monotime.Instant `json:"at"`
 	Cache   string           `json:"cache"`
 	What    CacheEventKind   `json:"what"`
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -36,7 +36,7 @@
 
 // Caches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
 // caches. Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
-func Caches(purges []logtrace.Purged, records []logtrace.Cached, looked func(cache string) bool) CachesReport {
+func Caches(purges []logtrace.Purged, records []logtrace.CacheEvent, looked func(cache string) bool) CachesReport {
 	if looked == nil {
 		looked = func(string) bool { return true }
 	}
@@ -49,7 +49,7 @@
 		report:  CachesReport{Purges: len(purges)},
 	}
 	slices.SortFunc(purges, func(a, b logtrace.Purged) int { return cmp.Compare(a.Index, b.Index) })
-	byCache := map[string][]logtrace.Cached{}
+	byCache := map[string][]logtrace.CacheEvent{}
 	for _, record := range records {
 		byCache[record.Cache] = append(byCache[record.Cache], record)
 	}
@@ -82,8 +82,8 @@
 }
 
 // cache judges one cache by its records.
-func (c *cachesJudge) cache(name string, records []logtrace.Cached) {
-	slices.SortStableFunc(records, func(a, b logtrace.Cached) int { return cmp.Compare(a.At, b.At) })
+func (c *cachesJudge) cache(name string, records []logtrace.CacheEvent) {
+	slices.SortStableFunc(records, func(a, b logtrace.CacheEvent) int { return cmp.Compare(a.At, b.At) })
 	h := &cacheHistory{
 		name:      name,
 		deletions: map[string][]monotime.Instant{},
@@ -109,7 +109,7 @@
 }
 
 // record takes a cache's next record.
-func (c *cachesJudge) record(h *cacheHistory, record logtrace.Cached) {
+func (c *cachesJudge) record(h *cacheHistory, record logtrace.CacheEvent) {
 	switch record.What {
 	case logtrace.Deleted:
 		c.report.Deletes++
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -8,13 +8,13 @@
 )
 
 // soundCaches are two caches at which three purges are done: a's twice, b's once; one cache is flushed for the last.
-func soundCaches() (purged []logtrace.Purged, records []logtrace.Cached) {
+func soundCaches() (purged []logtrace.Purged, records []logtrace.CacheEvent) {
 	purged = []logtrace.Purged{
 		{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"},
 		{Index: 3, Key: "b", Version: 2, Sent: 110, Play: "p"},
 		{Index: 5, Key: "a", Version: 3, Sent: 200, Play: "q"},
 	}
-	records = []logtrace.Cached{
+	records = []logtrace.CacheEvent{
 		0:  {Cache: "one", At: 90, What: logtrace.Served, Key: "a", Version: 1},
 		1:  {Cache: "one", At: 120, What: logtrace.Deleted, Key: "a"},
 		2:  {Cache: "one", At: 121, What: logtrace.Deleted, Key: "b"},
@@ -53,35 +53,35 @@
 func TestEachBreachAtCachesIsFound(t *testing.T) {
 	for name, c := range map[string]struct {
 		want string
-		bend func(records []logtrace.Cached) []logtrace.Cached
+		bend func(records []logtrace.CacheEvent) []logtrace.CacheEvent
 	}{
 		"an old value after the purge counts as done": {
 			want: OldServed,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { r[6].Version = 1; return r },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[6].Version = 1; return r },
 		},
 		"an old value after the second purge": {
 			want: OldServed,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { r[9].Version = 2; return r },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[9].Version = 2; return r },
 		},
 		"no deletion": {
 			want: NotDone,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { return slices.Delete(r, 2, 3) },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { return slices.Delete(r, 2, 3) },
 		},
 		"only a deletion from before the purge": {
 			want: NotDone,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { r[7].At = 199; return r },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 199; return r },
 		},
 		"only a flush from before the purge": {
 			want: NotDone,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { r[13].At = 199; return r },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[13].At = 199; return r },
 		},
 		"a deletion after the purge counted as done": {
 			want: NotDone,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { r[7].At = 251; return r },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 251; return r },
 		},
 		"the last purge is never done at one cache": {
 			want: NeverCounted,
-			bend: func(r []logtrace.Cached) []logtrace.Cached { r[14].Index = 4; return r },
+			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[14].Index = 4; return r },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -26,9 +26,9 @@
 // version 1 before its purge is published, and 2 at the origin from then on.
 type caches struct {
 	all     []*cachestub.Cache
-	mu      sync.Mutex        // guards records, recent and chance
-	records []logtrace.Cached // of all caches
-	recent  []string          // purged keys, in the order of their purges
+	mu      sync.Mutex            // guards records, recent and chance
+	records []logtrace.CacheEvent // of all caches
+	recent  []string              // purged keys, in the order of their purges
 	chance  keyhash.Source
 	fills   sync.WaitGroup    // fills in flight
 	purged  []logtrace.Purged // guarded by the run's mutex
@@ -40,7 +40,7 @@
 // openCaches starts all caches, and the reads at them.
 func (r *run) openCaches() error {
 	for i := range r.Caches {
-		c, err := cachestub.Open(fmt.Sprintf("cache-%02d", i), gossip.BootTime, func(x logtrace.Cached) {
+		c, err := cachestub.Open(fmt.Sprintf("cache-%02d", i), gossip.BootTime, func(x logtrace.CacheEvent) {
 			r.caches.mu.Lock()
 			defer r.caches.mu.Unlock()
 			r.caches.records = append(r.caches.records, x)
@@ -197,7 +197,7 @@
 	}
 	back := monotime.Instant(0)
 	for i := range machines {
-		if err := logtrace.Lines(r.path("control-%d.trace.caches", i), func(x logtrace.Cached) {
+		if err := logtrace.Lines(r.path("control-%d.trace.caches", i), func(x logtrace.CacheEvent) {
 			r.caches.records = append(r.caches.records, x)
 			if x.Cache == r.caches.cut && x.Index >= target && (back == 0 || x.At < back) {
 				back = x.At
