--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -80,7 +80,7 @@
 
 	mu      sync.Mutex
 	records []logtrace.CacheEvent
-	purged  []logtrace.Purged
+	purged  []logtrace.PublishedPurge
 }
 
 // newBench starts caches and purgers.
@@ -178,7 +178,7 @@
 	for _, key := range keys {
 		index := replicatedlog.Index(len(b.log.entries) + 1)
 		proposal := replicatedlog.Proposal{Kind: replicatedlog.Purge, Body: []byte(key)}
-		purged := logtrace.Purged{Index: uint64(index), Key: key, Version: version, Sent: bootTime()}
+		purged := logtrace.PublishedPurge{Index: uint64(index), Key: key, Version: version, Sent: bootTime()}
 		b.purged = append(b.purged, purged)
 		b.log.entries = append(b.log.entries, replicatedlog.Entry{Index: index, Proposal: proposal})
 	}
--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -23,8 +23,8 @@
 	Index   uint64           `json:"index,omitempty"`
 }
 
-// Purged is a purge: its key's value had that version when it was published.
-type Purged struct {
+// PublishedPurge is a purge: its key's value had that version when it was published.
+type PublishedPurge struct {
 	Index   uint64           `json:"index"`
 	Key     string           `json:"key"`
 	Version uint64           `json:"version"`
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -36,7 +36,7 @@
 
 // Caches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
 // caches. Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
-func Caches(purges []logtrace.Purged, records []logtrace.CacheEvent, looked func(cache string) bool) CachesReport {
+func Caches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent, looked func(cache string) bool) CachesReport {
 	if looked == nil {
 		looked = func(string) bool { return true }
 	}
@@ -48,7 +48,7 @@
 		done:    make([]monotime.Instant, len(purges)),
 		report:  CachesReport{Purges: len(purges)},
 	}
-	slices.SortFunc(purges, func(a, b logtrace.Purged) int { return cmp.Compare(a.Index, b.Index) })
+	slices.SortFunc(purges, func(a, b logtrace.PublishedPurge) int { return cmp.Compare(a.Index, b.Index) })
 	byCache := map[string][]logtrace.CacheEvent{}
 	for _, record := range records {
 		byCache[record.Cache] = append(byCache[record.Cache], record)
@@ -66,9 +66,9 @@
 type cachesJudge struct {
 	judge   *Judge // collects the breaches
 	looked  func(cache string) bool
-	purges  []logtrace.Purged  // by index, ascending
-	deleted []monotime.Instant // by purge: its key's first deletion at the last cache; 0 for none
-	done    []monotime.Instant // by purge: when it counted as done at the last cache; 0 for never
+	purges  []logtrace.PublishedPurge // by index, ascending
+	deleted []monotime.Instant        // by purge: its key's first deletion at the last cache; 0 for none
+	done    []monotime.Instant        // by purge: when it counted as done at the last cache; 0 for never
 	report  CachesReport
 }
 
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -8,8 +8,8 @@
 )
 
 // soundCaches are two caches at which three purges are done: a's twice, b's once; one cache is flushed for the last.
-func soundCaches() (purged []logtrace.Purged, records []logtrace.CacheEvent) {
-	purged = []logtrace.Purged{
+func soundCaches() (purged []logtrace.PublishedPurge, records []logtrace.CacheEvent) {
+	purged = []logtrace.PublishedPurge{
 		{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"},
 		{Index: 3, Key: "b", Version: 2, Sent: 110, Play: "p"},
 		{Index: 5, Key: "a", Version: 3, Sent: 200, Play: "q"},
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -30,10 +30,10 @@
 	records []logtrace.CacheEvent // of all caches
 	recent  []string              // purged keys, in the order of their purges
 	chance  keyhash.Source
-	fills   sync.WaitGroup    // fills in flight
-	purged  []logtrace.Purged // guarded by the run's mutex
-	cut     string            // the cache that did not answer for a while
-	back    monotime.Instant  // when it answered again
+	fills   sync.WaitGroup            // fills in flight
+	purged  []logtrace.PublishedPurge // guarded by the run's mutex
+	cut     string                    // the cache that did not answer for a while
+	back    monotime.Instant          // when it answered again
 	closed  chan struct{}
 }
 
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -56,7 +56,7 @@
 		}
 		r.orders = append(r.orders, o)
 		if p.Kind == replicatedlog.Purge && o.Index > 0 && r.Caches > 0 {
-			r.caches.purged = append(r.caches.purged, logtrace.Purged{
+			r.caches.purged = append(r.caches.purged, logtrace.PublishedPurge{
 				Index:   o.Index,
 				Key:     string(p.Body),
 				Version: 2,
