--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -155,7 +155,7 @@
 		Dial:        b.dial,
 		OnProgress: func(id purge.CacheID, cursor purge.Cursor) {
 			done := uint64(cursor.Done)
-			b.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), What: logtrace.Counted, Index: done})
+			b.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), What: logtrace.Confirmed, Index: done})
 		},
 	})
 	if err != nil {
--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -7,10 +7,10 @@
 
 // What befalls a cache server.
 const (
-	Deleted CacheEventKind = 1 // a key was deleted
-	Emptied CacheEventKind = 2 // all of it has gone, by a flush or a restart
-	Served  CacheEventKind = 3 // a key's value, in a version, was read
-	Counted CacheEventKind = 4 // a control machine counts purges up to an index as done there
+	Deleted   CacheEventKind = 1 // a key was deleted
+	Emptied   CacheEventKind = 2 // all of it has gone, by a flush or a restart
+	Served    CacheEventKind = 3 // a key's value, in a version, was read
+	Confirmed CacheEventKind = 4 // a control machine counts purges up to an index as done there
 )
 
 // CacheEvent is one thing that befell a cache server.
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -123,7 +123,7 @@
 			c.judge.broke(OldServed, "%s: %s in version %d, after %d was purged",
 				h.name, record.Key, record.Version, required)
 		}
-	case logtrace.Counted:
+	case logtrace.Confirmed:
 		for h.counted < len(c.purges) && c.purges[h.counted].Index <= record.Index {
 			c.count(h, record.At)
 		}
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -20,16 +20,16 @@
 		2:  {Cache: "one", At: 121, What: logtrace.Deleted, Key: "b"},
 		3:  {Cache: "one", At: 130, What: logtrace.Served, Key: "a", Version: 1},
 		4:  {Cache: "one", At: 140, What: logtrace.Deleted, Key: "a"},
-		5:  {Cache: "one", At: 150, What: logtrace.Counted, Index: 4},
+		5:  {Cache: "one", At: 150, What: logtrace.Confirmed, Index: 4},
 		6:  {Cache: "one", At: 160, What: logtrace.Served, Key: "a", Version: 2},
 		7:  {Cache: "one", At: 210, What: logtrace.Deleted, Key: "a"},
-		8:  {Cache: "one", At: 250, What: logtrace.Counted, Index: 5},
+		8:  {Cache: "one", At: 250, What: logtrace.Confirmed, Index: 5},
 		9:  {Cache: "one", At: 260, What: logtrace.Served, Key: "a", Version: 3},
 		10: {Cache: "two", At: 125, What: logtrace.Deleted, Key: "a"},
 		11: {Cache: "two", At: 125, What: logtrace.Deleted, Key: "b"},
-		12: {Cache: "two", At: 155, What: logtrace.Counted, Index: 3},
+		12: {Cache: "two", At: 155, What: logtrace.Confirmed, Index: 3},
 		13: {Cache: "two", At: 240, What: logtrace.Emptied},
-		14: {Cache: "two", At: 300, What: logtrace.Counted, Index: 9},
+		14: {Cache: "two", At: 300, What: logtrace.Confirmed, Index: 9},
 	}
 	return purged, records
 }
