--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -95,7 +95,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		_ = encoder.Encode(logtrace.CacheEvent{
-			At: gossip.BootTime(), Cache: string(id), What: logtrace.Confirmed, Index: uint64(cursor.Done),
+			At: gossip.BootTime(), Cache: string(id), Kind: logtrace.Confirmed, Index: uint64(cursor.Done),
 		})
 	}
 }
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -123,7 +123,7 @@
 	defer b.mu.Unlock()
 	count := 0
 	for _, r := range b.records {
-		if r.Cache == cache && r.What == logtrace.Emptied {
+		if r.Cache == cache && r.Kind == logtrace.Emptied {
 			count++
 		}
 	}
@@ -155,7 +155,7 @@
 		Dial:        b.dial,
 		OnProgress: func(id purge.CacheID, cursor purge.Cursor) {
 			done := uint64(cursor.Done)
-			b.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), What: logtrace.Confirmed, Index: done})
+			b.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), Kind: logtrace.Confirmed, Index: done})
 		},
 	})
 	if err != nil {
--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -82,7 +82,7 @@
 	defer c.mu.Unlock()
 	version, found := c.versions[key]
 	if found {
-		c.did(logtrace.CacheEvent{What: logtrace.Served, Key: key, Version: version})
+		c.did(logtrace.CacheEvent{Kind: logtrace.Served, Key: key, Version: version})
 	}
 	return version, found
 }
@@ -92,7 +92,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.versions)
-	c.did(logtrace.CacheEvent{What: logtrace.Emptied})
+	c.did(logtrace.CacheEvent{Kind: logtrace.Emptied})
 	c.closeConns()
 }
 
@@ -208,10 +208,10 @@
 	_, found := c.versions[order.Key]
 	if order.Flush {
 		clear(c.versions)
-		c.did(logtrace.CacheEvent{What: logtrace.Emptied})
+		c.did(logtrace.CacheEvent{Kind: logtrace.Emptied})
 	} else {
 		delete(c.versions, order.Key)
-		c.did(logtrace.CacheEvent{What: logtrace.Deleted, Key: order.Key})
+		c.did(logtrace.CacheEvent{Kind: logtrace.Deleted, Key: order.Key})
 	}
 	if c.fault == Ends {
 		return nil
--- a/internal/emulator/cachestub/cache_test.go
+++ b/internal/emulator/cachestub/cache_test.go
@@ -12,7 +12,7 @@
 
 func TestADeletionTakesTheValueAndSaysWhetherItWasThere(t *testing.T) {
 	var told []logtrace.CacheEventKind
-	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.CacheEvent) { told = append(told, x.What) })
+	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.CacheEvent) { told = append(told, x.Kind) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -17,7 +17,7 @@
 type CacheEvent struct {
 	At      monotime.Instant `json:"at"`
 	Cache   string           `json:"cache"`
-	What    CacheEventKind   `json:"what"`
+	Kind    CacheEventKind   `json:"what"`
 	Key     string           `json:"key,omitempty"`
 	Version uint64           `json:"version,omitempty"`
 	Index   uint64           `json:"index,omitempty"`
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -110,7 +110,7 @@
 
 // record takes a cache's next record.
 func (c *cachesJudge) record(h *cacheHistory, record logtrace.CacheEvent) {
-	switch record.What {
+	switch record.Kind {
 	case logtrace.Deleted:
 		c.report.Deletes++
 		h.deletions[record.Key] = append(h.deletions[record.Key], record.At)
