--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -32,15 +32,15 @@
 	Play   string           `json:"play,omitempty"` // which part of a run it belongs to
 }
 
-// What says what a node did.
-type What uint8
+// NodeEventKind says what a node did.
+type NodeEventKind uint8
 
 // What a node does.
 const (
-	Began   What = 1 // at an index, under the configuration with a mark; 0 for none
-	Applied What = 2 // an entry
-	Told    What = 3 // that it has applied up to an index
-	Refused What = 4 // an entry: a configuration that could not be taken; it is applied nonetheless
+	Began   NodeEventKind = 1 // at an index, under the configuration with a mark; 0 for none
+	Applied NodeEventKind = 2 // an entry
+	Told    NodeEventKind = 3 // that it has applied up to an index
+	Refused NodeEventKind = 4 // an entry: a configuration that could not be taken; it is applied nonetheless
 )
 
 // Record is one thing that a node did.
@@ -49,7 +49,7 @@
 	Index uint64
 	Mark  uint64
 	Node  uint32
-	What  What
+	What  NodeEventKind
 }
 
 // Write adds a record.
@@ -81,7 +81,7 @@
 			return fmt.Errorf("a trace cannot be read: %w", err)
 		}
 		each(Record{At: monotime.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
-			Node: binary.LittleEndian.Uint32(b[24:]), What: What(b[28])})
+			Node: binary.LittleEndian.Uint32(b[24:]), What: NodeEventKind(b[28])})
 	}
 }
 
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -35,7 +35,7 @@
 			Play:   "p",
 		})
 	}
-	record := func(node uint32, what logtrace.What, index, mark uint64, at monotime.Instant) {
+	record := func(node uint32, what logtrace.NodeEventKind, index, mark uint64, at monotime.Instant) {
 		e.records = append(e.records, logtrace.Record{At: at, Index: index, Mark: mark, Node: node, What: what})
 	}
 	record(1, logtrace.Began, 0, 0, 50)
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -79,7 +79,7 @@
 
 func (h *hollow) PresumePurged(replicatedlog.Index) {}
 
-func (h *hollow) note(what logtrace.What, at replicatedlog.Index, kind replicatedlog.Kind, body string) {
+func (h *hollow) note(what logtrace.NodeEventKind, at replicatedlog.Index, kind replicatedlog.Kind, body string) {
 	mark := replicatedlog.Proposal{Kind: kind, Body: []byte(body)}.ContentHash()
 	if h.begins {
 		h.mark = mark
