--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -97,7 +97,7 @@
 		a.started = p.ContentHash()
 		return
 	}
-	a.recorder.add(logtrace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: a.node, What: logtrace.Applied})
+	a.recorder.add(logtrace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: a.node, Kind: logtrace.Applied})
 }
 
 func (a *correctApplier) PresumePurged(replicatedlog.Index) {}
@@ -116,7 +116,7 @@
 	err := a.Applier.Start(log, at, config)
 	a.starting = false
 	if err == nil {
-		a.recorder.add(logtrace.Record{Index: uint64(at), Mark: a.started, Node: a.node, What: logtrace.Began})
+		a.recorder.add(logtrace.Record{Index: uint64(at), Mark: a.started, Node: a.node, Kind: logtrace.Began})
 	}
 	return err
 }
@@ -361,7 +361,7 @@
 			Now:        bootTime,
 			Dial:       c.dial,
 			OnProgressSent: func(at replicatedlog.Index) {
-				e.add(logtrace.Record{Index: uint64(at), Node: i, What: logtrace.Told})
+				e.add(logtrace.Record{Index: uint64(at), Node: i, Kind: logtrace.Told})
 			},
 		})
 		t.Cleanup(n.Close)
--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -49,7 +49,7 @@
 	Index uint64
 	Mark  uint64
 	Node  uint32
-	What  NodeEventKind
+	Kind  NodeEventKind
 }
 
 // Write adds a record.
@@ -59,7 +59,7 @@
 	binary.LittleEndian.PutUint64(b[8:], r.Index)
 	binary.LittleEndian.PutUint64(b[16:], r.Mark)
 	binary.LittleEndian.PutUint32(b[24:], r.Node)
-	b[28] = byte(r.What)
+	b[28] = byte(r.Kind)
 	_, err := w.Write(b[:])
 	return err
 }
@@ -81,7 +81,7 @@
 			return fmt.Errorf("a trace cannot be read: %w", err)
 		}
 		each(Record{At: monotime.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
-			Node: binary.LittleEndian.Uint32(b[24:]), What: NodeEventKind(b[28])})
+			Node: binary.LittleEndian.Uint32(b[24:]), Kind: NodeEventKind(b[28])})
 	}
 }
 
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -199,7 +199,7 @@
 		n = &nodeSeen{}
 		j.nodes[r.Node] = n
 	}
-	switch r.What {
+	switch r.Kind {
 	case logtrace.Began:
 		if n.begun {
 			j.report.Presumed++
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -36,7 +36,7 @@
 		})
 	}
 	record := func(node uint32, what logtrace.NodeEventKind, index, mark uint64, at monotime.Instant) {
-		e.records = append(e.records, logtrace.Record{At: at, Index: index, Mark: mark, Node: node, What: what})
+		e.records = append(e.records, logtrace.Record{At: at, Index: index, Mark: mark, Node: node, Kind: what})
 	}
 	record(1, logtrace.Began, 0, 0, 50)
 	for i := range uint64(4) {
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -85,7 +85,7 @@
 		h.mark = mark
 		return
 	}
-	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, What: what})
+	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, Kind: what})
 }
 
 func (h *hollow) Purge(at replicatedlog.Index, key string) {
@@ -109,7 +109,7 @@
 			Index: uint64(at),
 			Mark:  h.mark,
 			Node:  h.number,
-			What:  logtrace.Began,
+			Kind:  logtrace.Began,
 		})
 	}
 	return err
@@ -119,7 +119,7 @@
 func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
 func (h *hollow) onProgressSent(at replicatedlog.Index) {
-	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Node: h.number, What: logtrace.Told})
+	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Told})
 }
 
 // Name is the name of a hollow node with a number.
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -40,7 +40,7 @@
 	for _, s := range r.specs {
 		if err := logtrace.Read(s.Trace, func(rec logtrace.Record) {
 			j.Saw(rec)
-			if inCut(rec.Node) && rec.What == logtrace.Applied && rec.Index == target {
+			if inCut(rec.Node) && rec.Kind == logtrace.Applied && rec.Index == target {
 				r.report.Back = max(r.report.Back, time.Duration(rec.At-r.cutUntil).Seconds())
 			}
 		}); err != nil {
