--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -27,10 +27,10 @@
 	mu        sync.Mutex
 	persisted [testServers][]logtrace.Kept // by server
 	ordered   []logtrace.Ordered
-	records   []logtrace.Record // of the nodes
+	records   []logtrace.NodeEvent // of the nodes
 }
 
-func (e *traceRecorder) add(r logtrace.Record) {
+func (e *traceRecorder) add(r logtrace.NodeEvent) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.At = bootTime()
@@ -97,7 +97,7 @@
 		a.started = p.ContentHash()
 		return
 	}
-	a.recorder.add(logtrace.Record{Index: uint64(at), Mark: p.ContentHash(), Node: a.node, Kind: logtrace.Applied})
+	a.recorder.add(logtrace.NodeEvent{Index: uint64(at), Mark: p.ContentHash(), Node: a.node, Kind: logtrace.Applied})
 }
 
 func (a *correctApplier) PresumePurged(replicatedlog.Index) {}
@@ -116,7 +116,7 @@
 	err := a.Applier.Start(log, at, config)
 	a.starting = false
 	if err == nil {
-		a.recorder.add(logtrace.Record{Index: uint64(at), Mark: a.started, Node: a.node, Kind: logtrace.Began})
+		a.recorder.add(logtrace.NodeEvent{Index: uint64(at), Mark: a.started, Node: a.node, Kind: logtrace.Began})
 	}
 	return err
 }
@@ -361,7 +361,7 @@
 			Now:        bootTime,
 			Dial:       c.dial,
 			OnProgressSent: func(at replicatedlog.Index) {
-				e.add(logtrace.Record{Index: uint64(at), Node: i, Kind: logtrace.Told})
+				e.add(logtrace.NodeEvent{Index: uint64(at), Node: i, Kind: logtrace.Told})
 			},
 		})
 		t.Cleanup(n.Close)
--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -43,8 +43,8 @@
 	Refused NodeEventKind = 4 // an entry: a configuration that could not be taken; it is applied nonetheless
 )
 
-// Record is one thing that a node did.
-type Record struct {
+// NodeEvent is one thing that a node did.
+type NodeEvent struct {
 	At    monotime.Instant
 	Index uint64
 	Mark  uint64
@@ -53,7 +53,7 @@
 }
 
 // Write adds a record.
-func Write(w io.Writer, r Record) error {
+func Write(w io.Writer, r NodeEvent) error {
 	var b [recordLen]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(r.At))
 	binary.LittleEndian.PutUint64(b[8:], r.Index)
@@ -65,7 +65,7 @@
 }
 
 // Read hands each record of a file to a function. A last one that is torn is passed over: its process was killed.
-func Read(path string, each func(Record)) error {
+func Read(path string, each func(NodeEvent)) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("a trace cannot be read: %w", err)
@@ -80,7 +80,7 @@
 		case err != nil:
 			return fmt.Errorf("a trace cannot be read: %w", err)
 		}
-		each(Record{At: monotime.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
+		each(NodeEvent{At: monotime.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
 			Node: binary.LittleEndian.Uint32(b[24:]), Kind: NodeEventKind(b[28])})
 	}
 }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -193,7 +193,7 @@
 }
 
 // Saw takes a node's next record.
-func (j *Judge) Saw(r logtrace.Record) {
+func (j *Judge) Saw(r logtrace.NodeEvent) {
 	n := j.nodes[r.Node]
 	if n == nil {
 		n = &nodeSeen{}
@@ -222,7 +222,7 @@
 }
 
 // onApplied takes an entry that a node has applied.
-func (j *Judge) onApplied(n *nodeSeen, r logtrace.Record) {
+func (j *Judge) onApplied(n *nodeSeen, r logtrace.NodeEvent) {
 	j.report.Applied++
 	switch {
 	case r.Index <= n.applied:
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -12,7 +12,7 @@
 type evidence struct {
 	kept    [3][]logtrace.Kept // by voter
 	orders  []logtrace.Ordered
-	records []logtrace.Record
+	records []logtrace.NodeEvent
 }
 
 // soundEvidence is of a run without a breach: two nodes, entries 1 to 4 of which 2 is a configuration, and a node that
@@ -36,7 +36,7 @@
 		})
 	}
 	record := func(node uint32, what logtrace.NodeEventKind, index, mark uint64, at monotime.Instant) {
-		e.records = append(e.records, logtrace.Record{At: at, Index: index, Mark: mark, Node: node, Kind: what})
+		e.records = append(e.records, logtrace.NodeEvent{At: at, Index: index, Mark: mark, Node: node, Kind: what})
 	}
 	record(1, logtrace.Began, 0, 0, 50)
 	for i := range uint64(4) {
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -62,7 +62,7 @@
 	w  *bufio.Writer
 }
 
-func (w *writer) put(r logtrace.Record) {
+func (w *writer) put(r logtrace.NodeEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_ = logtrace.Write(w.w, r) // a full disk shows as what is missing
@@ -85,7 +85,7 @@
 		h.mark = mark
 		return
 	}
-	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, Kind: what})
+	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, Kind: what})
 }
 
 func (h *hollow) Purge(at replicatedlog.Index, key string) {
@@ -104,7 +104,7 @@
 	err := h.reader.Start(log, at, config)
 	h.begins = false
 	if err == nil {
-		h.to.put(logtrace.Record{
+		h.to.put(logtrace.NodeEvent{
 			At:    gossip.BootTime(),
 			Index: uint64(at),
 			Mark:  h.mark,
@@ -119,7 +119,7 @@
 func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
 func (h *hollow) onProgressSent(at replicatedlog.Index) {
-	h.to.put(logtrace.Record{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Told})
+	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Told})
 }
 
 // Name is the name of a hollow node with a number.
