--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -105,7 +105,7 @@
 	var mu sync.Mutex
 	writer := bufio.NewWriter(file)
 	return func(proposals []replicatedlog.Proposal) {
-		line := logtrace.Kept{At: gossip.BootTime()}
+		line := logtrace.DurableEntries{At: gossip.BootTime()}
 		for _, p := range proposals {
 			line.Marks = append(line.Marks, p.ContentHash())
 		}
--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -25,7 +25,7 @@
 // traceRecorder records what a cluster does, for the checker.
 type traceRecorder struct {
 	mu        sync.Mutex
-	persisted [testServers][]logtrace.Kept // by server
+	persisted [testServers][]logtrace.DurableEntries // by server
 	ordered   []logtrace.Ordered
 	records   []logtrace.NodeEvent // of the nodes
 }
@@ -40,7 +40,7 @@
 // onPersisted records the proposals that are on a server's disk.
 func (e *traceRecorder) onPersisted(server int) func([]replicatedlog.Proposal) {
 	return func(proposals []replicatedlog.Proposal) {
-		kept := logtrace.Kept{At: bootTime()}
+		kept := logtrace.DurableEntries{At: bootTime()}
 		for _, p := range proposals {
 			kept.Marks = append(kept.Marks, p.ContentHash())
 		}
--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -16,8 +16,8 @@
 
 const recordLen = 32 // bytes: a run writes millions
 
-// Kept is what a control machine has on disk since then, by marks of changes.
-type Kept struct {
+// DurableEntries is what a control machine has on disk since then, by marks of changes.
+type DurableEntries struct {
 	At    monotime.Instant `json:"at"`
 	Marks []uint64         `json:"marks"`
 }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -129,7 +129,7 @@
 }
 
 // Kept takes what a voter, numbered from 0, has on disk. Learners are no evidence.
-func (j *Judge) Kept(voter int, k logtrace.Kept) {
+func (j *Judge) Kept(voter int, k logtrace.DurableEntries) {
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
 		if c == nil {
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -10,7 +10,7 @@
 
 // evidence is what a run of three voters leaves behind.
 type evidence struct {
-	kept    [3][]logtrace.Kept // by voter
+	kept    [3][]logtrace.DurableEntries // by voter
 	orders  []logtrace.Ordered
 	records []logtrace.NodeEvent
 }
@@ -24,7 +24,7 @@
 		mark := 1000 + i
 		for voter := range 3 {
 			onDisk := at + monotime.Instant(voter)*10
-			e.kept[voter] = append(e.kept[voter], logtrace.Kept{At: onDisk, Marks: []uint64{mark}})
+			e.kept[voter] = append(e.kept[voter], logtrace.DurableEntries{At: onDisk, Marks: []uint64{mark}})
 		}
 		e.orders = append(e.orders, logtrace.Ordered{
 			Mark:   mark,
