--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -26,7 +26,7 @@
 type traceRecorder struct {
 	mu        sync.Mutex
 	persisted [testServers][]logtrace.DurableEntries // by server
-	ordered   []logtrace.Ordered
+	ordered   []logtrace.PublishedChange
 	records   []logtrace.NodeEvent // of the nodes
 }
 
@@ -52,7 +52,7 @@
 
 // publish has a proposal ordered, and records when it was sent and acknowledged.
 func (e *traceRecorder) publish(c *cluster, p replicatedlog.Proposal) {
-	o := logtrace.Ordered{Mark: p.ContentHash(), Config: p.Kind == replicatedlog.Config, Sent: bootTime()}
+	o := logtrace.PublishedChange{Mark: p.ContentHash(), Config: p.Kind == replicatedlog.Config, Sent: bootTime()}
 	o.Index = uint64(c.publish([]replicatedlog.Proposal{p})[0])
 	o.Acked = bootTime()
 	e.mu.Lock()
--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -22,8 +22,8 @@
 	Marks []uint64         `json:"marks"`
 }
 
-// Ordered is a change from its publishing to its being acknowledged.
-type Ordered struct {
+// PublishedChange is a change from its publishing to its being acknowledged.
+type PublishedChange struct {
 	Mark   uint64           `json:"mark"`
 	Index  uint64           `json:"index"` // 0: never acknowledged
 	Config bool             `json:"config,omitempty"`
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -89,7 +89,7 @@
 	voters  int
 	changes map[uint64]*change // by mark
 	byIndex map[uint64]uint64  // marks
-	orders  []logtrace.Ordered
+	orders  []logtrace.PublishedChange
 	nodes   map[uint32]*nodeSeen
 	begins  []beginning
 	applied map[uint64]monotime.Instant // by index: when the last node that is looked at had applied it
@@ -159,7 +159,7 @@
 }
 
 // Order takes a change that was published.
-func (j *Judge) Order(o logtrace.Ordered) {
+func (j *Judge) Order(o logtrace.PublishedChange) {
 	j.orders = append(j.orders, o)
 	if o.Index == 0 {
 		return
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -11,7 +11,7 @@
 // evidence is what a run of three voters leaves behind.
 type evidence struct {
 	kept    [3][]logtrace.DurableEntries // by voter
-	orders  []logtrace.Ordered
+	orders  []logtrace.PublishedChange
 	records []logtrace.NodeEvent
 }
 
@@ -26,7 +26,7 @@
 			onDisk := at + monotime.Instant(voter)*10
 			e.kept[voter] = append(e.kept[voter], logtrace.DurableEntries{At: onDisk, Marks: []uint64{mark}})
 		}
-		e.orders = append(e.orders, logtrace.Ordered{
+		e.orders = append(e.orders, logtrace.PublishedChange{
 			Mark:   mark,
 			Index:  i + 1,
 			Config: i == 1,
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, p := range all {
-		o := logtrace.Ordered{
+		o := logtrace.PublishedChange{
 			Mark:   p.ContentHash(),
 			Config: p.Kind == replicatedlog.Config,
 			Sent:   sent,
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -45,7 +45,7 @@
 	real     []*process
 	caller   controlclient.Client
 	mu       sync.Mutex
-	orders   []logtrace.Ordered
+	orders   []logtrace.PublishedChange
 	report   Report
 	marks    []mark
 	cutFrom  monotime.Instant
