--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -361,7 +361,7 @@
 			Now:        bootTime,
 			Dial:       c.dial,
 			OnProgressSent: func(at replicatedlog.Index) {
-				e.add(logtrace.NodeEvent{Index: uint64(at), Node: i, Kind: logtrace.Told})
+				e.add(logtrace.NodeEvent{Index: uint64(at), Node: i, Kind: logtrace.Acknowledged})
 			},
 		})
 		t.Cleanup(n.Close)
--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -37,10 +37,10 @@
 
 // What a node does.
 const (
-	Began   NodeEventKind = 1 // at an index, under the configuration with a mark; 0 for none
-	Applied NodeEventKind = 2 // an entry
-	Told    NodeEventKind = 3 // that it has applied up to an index
-	Refused NodeEventKind = 4 // an entry: a configuration that could not be taken; it is applied nonetheless
+	Began        NodeEventKind = 1 // at an index, under the configuration with a mark; 0 for none
+	Applied      NodeEventKind = 2 // an entry
+	Acknowledged NodeEventKind = 3 // that it has applied up to an index
+	Refused      NodeEventKind = 4 // an entry: a configuration that could not be taken; it is applied nonetheless
 )
 
 // NodeEvent is one thing that a node did.
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -214,7 +214,7 @@
 		j.report.Refused++
 	case logtrace.Applied:
 		j.onApplied(n, r)
-	case logtrace.Told:
+	case logtrace.Acknowledged:
 		if r.Index > n.applied {
 			j.broke(EarlyTold, "node %d told of %d with %d", r.Node, r.Index, n.applied)
 		}
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -42,7 +42,7 @@
 	for i := range uint64(4) {
 		at := monotime.Instant(100 * (i + 1))
 		record(1, logtrace.Applied, i+1, 1000+i, at+20)
-		record(1, logtrace.Told, i+1, 0, at+30)
+		record(1, logtrace.Acknowledged, i+1, 0, at+30)
 	}
 	record(2, logtrace.Began, 3, 1001, 330)
 	record(2, logtrace.Applied, 4, 1003, 440)
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -119,7 +119,7 @@
 func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
 func (h *hollow) onProgressSent(at replicatedlog.Index) {
-	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Told})
+	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Acknowledged})
 }
 
 // Name is the name of a hollow node with a number.
