--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// Lines hands each JSON line of a file to a function, but a torn last one.
-func Lines[T any](path string, each func(T)) error {
+// ReadJSONLines hands each JSON line of a file to a function, but a torn last one.
+func ReadJSONLines[T any](path string, each func(T)) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("a trace cannot be read: %w", err)
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -197,7 +197,7 @@
 	}
 	back := monotime.Instant(0)
 	for i := range machines {
-		if err := logtrace.Lines(r.path("control-%d.trace.caches", i), func(x logtrace.CacheEvent) {
+		if err := logtrace.ReadJSONLines(r.path("control-%d.trace.caches", i), func(x logtrace.CacheEvent) {
 			r.caches.records = append(r.caches.records, x)
 			if x.Cache == r.caches.cut && x.Index >= target && (back == 0 || x.At < back) {
 				back = x.At
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -101,7 +101,7 @@
 // samples returns a region's last samples at the beginning and at the end of a play. Of the region that was cut off, it
 // also notes how many nodes took themselves for stale meanwhile.
 func (r *run) samples(region int, m mark) (first, last Sample, err error) {
-	err = logtrace.Lines(r.specs[region].Stats, func(s Sample) {
+	err = logtrace.ReadJSONLines(r.specs[region].Stats, func(s Sample) {
 		if s.At <= m.from || first.At == 0 {
 			first = s
 		}
