--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -476,8 +476,8 @@
 	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
 }
 
-// Said keeps a line of what the script does.
-func (r *Rig) Said(now policy.Instant, what string) { r.log.AddEvent(now, what) }
+// LogEvent keeps a line of what the script does.
+func (r *Rig) LogEvent(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
 // Registry is what discovery can bear.
 func (r *Rig) Registry() *world.Registry { return r.registry }
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -24,8 +24,8 @@
 	Between(from, to int, change func(*netfault.Link))
 	// At calls a function at an instant.
 	At(at policy.Instant, do func())
-	// Said adds a line to the log of the run.
-	Said(now policy.Instant, what string)
+	// LogEvent adds a line to the log of the run.
+	LogEvent(now policy.Instant, what string)
 }
 
 // FaultObserver is a rig that follows which events are under way.
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -49,7 +49,7 @@
 
 // begin carries an event out at its time.
 func (r *Run) begin(now policy.Instant, e *scenario.Event) {
-	r.rig.Said(now, describe(r.scenario, e))
+	r.rig.LogEvent(now, describe(r.scenario, e))
 	handle, known := handlers[e.Do]
 	if !known {
 		return
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -20,8 +20,8 @@
 
 var _ runner.Rig = (*Simulation)(nil)
 
-// Said adds a line to the log of the run.
-func (sim *Simulation) Said(now policy.Instant, what string) { sim.log.AddEvent(now, what) }
+// LogEvent adds a line to the log of the run.
+func (sim *Simulation) LogEvent(now policy.Instant, what string) { sim.log.AddEvent(now, what) }
 
 // Registry is what discovery can bear.
 func (sim *Simulation) Registry() *world.Registry { return sim.registry }
