--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -490,7 +490,7 @@
 	}
 	close(r.listUp)
 	for _, e := range r.pending {
-		r.Listed(e)
+		r.EndpointChanged(e)
 	}
 	r.pending = nil
 }
@@ -504,8 +504,8 @@
 	}
 }
 
-// Listed tells a change of the list to each node's agent, late.
-func (r *Rig) Listed(e policy.Endpoint) {
+// EndpointChanged tells a change of the list to each node's agent, late.
+func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
 		r.attend(i)
 	}
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -109,7 +109,7 @@
 		r.spread(e, i, count, func(at policy.Instant) {
 			r.addedCaches++
 			server := r.world.AddCache(r.scenario.Cache(r.scenario.Fleet.Caches+r.addedCaches), at)
-			r.rig.Listed(EndpointOf(r.world, server))
+			r.rig.EndpointChanged(EndpointOf(r.world, server))
 		})
 	}
 }
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -33,6 +33,6 @@
 // Rose reports that a server that had fallen over runs again.
 func (o *WorldObserver) Rose(_ policy.Instant, server policy.EndpointID) {
 	if i, ok := o.World.Find(server); ok {
-		o.Rig.Listed(EndpointOf(o.World, i))
+		o.Rig.EndpointChanged(EndpointOf(o.World, i))
 	}
 }
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -18,8 +18,8 @@
 	Registry() *world.Registry
 	// Discovery says whether the list is told to nodes.
 	Discovery(up bool)
-	// Listed says that the endpoint list has changed.
-	Listed(e policy.Endpoint)
+	// EndpointChanged says that the endpoint list has changed.
+	EndpointChanged(e policy.Endpoint)
 	// Between changes what goes wrong between two nodes, in one direction.
 	Between(from, to int, change func(*netfault.Link))
 	// At calls a function at an instant.
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -109,18 +109,18 @@
 func (r *Run) startServer(now policy.Instant, server int) {
 	r.world.Start(now, server)
 	r.rig.Broke(server)
-	r.rig.Listed(EndpointOf(r.world, server))
+	r.rig.EndpointChanged(EndpointOf(r.world, server))
 }
 
 // drainServer has the list say that a server drains, and removes it after a time.
 func (r *Run) drainServer(now policy.Instant, number int, duration time.Duration) {
 	server := r.world.Servers[number]
 	server.State = policy.Draining
-	r.rig.Listed(EndpointOf(r.world, number))
+	r.rig.EndpointChanged(EndpointOf(r.world, number))
 	removal := now.Add(cmp.Or(duration, defaultDrainSpell))
 	r.rig.At(removal, func() {
 		server.State = policy.Removed
-		r.rig.Listed(EndpointOf(r.world, number))
+		r.rig.EndpointChanged(EndpointOf(r.world, number))
 		r.world.Kill(removal, number)
 		r.rig.Broke(number)
 	})
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -33,13 +33,13 @@
 		return
 	}
 	for _, e := range sim.pendingUpdates {
-		sim.Listed(e)
+		sim.EndpointChanged(e)
 	}
 	sim.pendingUpdates = nil
 }
 
-// Listed notifies each node of a change of the endpoint list, each after a delay of its own.
-func (sim *Simulation) Listed(e policy.Endpoint) {
+// EndpointChanged notifies each node of a change of the endpoint list, each after a delay of its own.
+func (sim *Simulation) EndpointChanged(e policy.Endpoint) {
 	if !sim.discoveryUp {
 		sim.pendingUpdates = append(sim.pendingUpdates, e)
 		return
