--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -181,9 +181,9 @@
 	c.Close()
 }
 
-// Broke ends all connections to a server; one that is down, or refuses, listens no more. One that has vanished lets
+// ResetConnections ends all connections to a server; one that is down, or refuses, listens no more. One that has vanished lets
 // nobody know. The lock is held.
-func (r *Rig) Broke(number int) {
+func (r *Rig) ResetConnections(number int) {
 	s := r.servers[number]
 	if s == nil {
 		return
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -71,7 +71,7 @@
 func (r *Run) killServers(e *event) {
 	r.eachServer(e, func(now policy.Instant, server int) {
 		r.world.Kill(now, server)
-		r.rig.Broke(server)
+		r.rig.ResetConnections(server)
 		if e.Do == "restart" || e.duration > 0 {
 			back := now.Add(max(minDowntime, e.duration))
 			r.rig.At(back, func() { r.startServer(back, server) })
@@ -118,7 +118,7 @@
 	r.eachServer(e, func(_ policy.Instant, server int) {
 		r.rig.Fault(server, e.Fault)
 		if e.Fault == "refuse" {
-			r.rig.Broke(server)
+			r.rig.ResetConnections(server)
 		}
 		r.rig.At(e.end, func() { r.rig.Fault(server, "") })
 	})
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -26,7 +26,7 @@
 	o.Judge.Fell(now, server, why)
 	o.Log.AddEvent(now, string(server)+" "+why)
 	if i, ok := o.World.Find(server); ok && !o.World.IsOrigin(i) {
-		o.Rig.At(now, func() { o.Rig.Broke(i) })
+		o.Rig.At(now, func() { o.Rig.ResetConnections(i) })
 	}
 }
 
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -42,8 +42,8 @@
 
 // ServerRig acts on connections to servers.
 type ServerRig interface {
-	// Broke resets all connections to a server.
-	Broke(server int)
+	// ResetConnections resets all connections to a server.
+	ResetConnections(server int)
 	// Fault sets what goes wrong on a server's connections; "" for nothing.
 	Fault(server int, kind string)
 }
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -108,7 +108,7 @@
 // startServer starts a server's next process. Connections that outlived the last one, as a vanished machine's do, are reset.
 func (r *Run) startServer(now policy.Instant, server int) {
 	r.world.Start(now, server)
-	r.rig.Broke(server)
+	r.rig.ResetConnections(server)
 	r.rig.EndpointChanged(EndpointOf(r.world, server))
 }
 
@@ -122,7 +122,7 @@
 		server.State = policy.Removed
 		r.rig.EndpointChanged(EndpointOf(r.world, number))
 		r.world.Kill(removal, number)
-		r.rig.Broke(number)
+		r.rig.ResetConnections(number)
 	})
 }
 
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -40,8 +40,8 @@
 	return time.Duration(sim.random.Float64() * float64(scenario.Span(network.LateMs/1000)))
 }
 
-// Broke resets all connections to a server; the attempts on them are lost one network latency later.
-func (sim *Simulation) Broke(server int) {
+// ResetConnections resets all connections to a server; the attempts on them are lost one network latency later.
+func (sim *Simulation) ResetConnections(server int) {
 	sim.countReset(server)
 	var lost []uint64
 	for tag, a := range sim.atServers {
