--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -249,8 +249,8 @@
 	close(s.awake)
 }
 
-// Fault sets what goes wrong on a server's connections; the lock is held.
-func (r *Rig) Fault(number int, kind string) {
+// SetFault sets what goes wrong on a server's connections; the lock is held.
+func (r *Rig) SetFault(number int, kind string) {
 	s := r.servers[number]
 	s.fault = kind
 	r.attend(number)
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -116,11 +116,11 @@
 
 func (r *Run) faultConnections(e *event) {
 	r.eachServer(e, func(_ policy.Instant, server int) {
-		r.rig.Fault(server, e.Fault)
+		r.rig.SetFault(server, e.Fault)
 		if e.Fault == "refuse" {
 			r.rig.ResetConnections(server)
 		}
-		r.rig.At(e.end, func() { r.rig.Fault(server, "") })
+		r.rig.At(e.end, func() { r.rig.SetFault(server, "") })
 	})
 }
 
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -44,8 +44,8 @@
 type ServerRig interface {
 	// ResetConnections resets all connections to a server.
 	ResetConnections(server int)
-	// Fault sets what goes wrong on a server's connections; "" for nothing.
-	Fault(server int, kind string)
+	// SetFault sets what goes wrong on a server's connections; "" for nothing.
+	SetFault(server int, kind string)
 }
 
 // NodeRig acts on nodes.
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -81,8 +81,8 @@
 	return ""
 }
 
-// Fault sets what goes wrong on a server's connections; "" for nothing.
-func (sim *Simulation) Fault(server int, kind string) {
+// SetFault sets what goes wrong on a server's connections; "" for nothing.
+func (sim *Simulation) SetFault(server int, kind string) {
 	for len(sim.faults) <= server {
 		sim.faults = append(sim.faults, "")
 	}
