--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -482,8 +482,8 @@
 // Registry is what discovery can bear.
 func (r *Rig) Registry() *world.Registry { return r.registry }
 
-// Discovery goes down, or comes back and tells what has changed meanwhile.
-func (r *Rig) Discovery(up bool) {
+// SetDiscovery goes down, or comes back and tells what has changed meanwhile.
+func (r *Rig) SetDiscovery(up bool) {
 	if !up {
 		r.listUp = make(chan struct{})
 		return
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -16,8 +16,8 @@
 	NodeRig
 	// Registry is what discovery can bear.
 	Registry() *world.Registry
-	// Discovery says whether the list is told to nodes.
-	Discovery(up bool)
+	// SetDiscovery says whether the list is told to nodes.
+	SetDiscovery(up bool)
 	// EndpointChanged says that the endpoint list has changed.
 	EndpointChanged(e policy.Endpoint)
 	// Between changes what goes wrong between two nodes, in one direction.
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -132,7 +132,7 @@
 	r.outages += change
 	isUp := r.outages == 0
 	if wasUp != isUp {
-		r.rig.Discovery(isUp)
+		r.rig.SetDiscovery(isUp)
 	}
 }
 
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -26,8 +26,8 @@
 // Registry is what discovery can bear.
 func (sim *Simulation) Registry() *world.Registry { return sim.registry }
 
-// Discovery takes discovery down or up; changes that were held back are then published.
-func (sim *Simulation) Discovery(up bool) {
+// SetDiscovery takes discovery down or up; changes that were held back are then published.
+func (sim *Simulation) SetDiscovery(up bool) {
 	sim.discoveryUp = up
 	if !up {
 		return
