--- a/internal/emulator/realtime/together.go
+++ b/internal/emulator/realtime/together.go
@@ -153,8 +153,8 @@
 		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
 }
 
-// Between changes what goes wrong between two nodes, one way.
-func (r *Rig) Between(from, to int, change func(*netfault.Link)) {
+// ChangeLink changes what goes wrong between two nodes, one way.
+func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
 	r.faults.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
 		if change(link); link.Cut != was {
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -260,7 +260,7 @@
 func (r *Run) changeBetween(e *event, set func(link *netfault.Link, on bool)) {
 	setAll := func(on bool) {
 		for _, pair := range r.scenario.Pairs(e.Event) {
-			r.rig.Between(pair[0], pair[1], func(link *netfault.Link) { set(link, on) })
+			r.rig.ChangeLink(pair[0], pair[1], func(link *netfault.Link) { set(link, on) })
 		}
 	}
 	setAll(true)
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -20,8 +20,8 @@
 	SetDiscovery(up bool)
 	// EndpointChanged says that the endpoint list has changed.
 	EndpointChanged(e policy.Endpoint)
-	// Between changes what goes wrong between two nodes, in one direction.
-	Between(from, to int, change func(*netfault.Link))
+	// ChangeLink changes what goes wrong between two nodes, in one direction.
+	ChangeLink(from, to int, change func(*netfault.Link))
 	// At calls a function at an instant.
 	At(at policy.Instant, do func())
 	// LogEvent adds a line to the log of the run.
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -131,5 +131,5 @@
 // TwinNode does nothing.
 func (sim *Simulation) TwinNode(int) {}
 
-// Between does nothing.
-func (sim *Simulation) Between(int, int, func(*netfault.Link)) {}
+// ChangeLink does nothing.
+func (sim *Simulation) ChangeLink(int, int, func(*netfault.Link)) {}
