--- a/internal/emulator/realtime/together.go
+++ b/internal/emulator/realtime/together.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// TwinNode starts another process with a node's name, at addresses of its own. It is to end by itself, as the name is taken; the lock is
+// StartDuplicateNode starts another process with a node's name, at addresses of its own. It is to end by itself, as the name is taken; the lock is
 // held.
-func (r *Rig) TwinNode(number int) {
+func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
 		p, err := m.twin()
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -201,7 +201,7 @@
 // twinNodes starts all twins at once, whatever time the event is spread over.
 func (r *Run) twinNodes(e *event) {
 	for _, number := range r.scenario.Members(e.Event) {
-		r.rig.TwinNode(number - 1)
+		r.rig.StartDuplicateNode(number - 1)
 	}
 }
 
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -64,8 +64,8 @@
 	PauseNode(node int, stop bool)
 	// HangNode blocks a node's event loop while the rest of its process runs, or lets it go on.
 	HangNode(node int, stop bool)
-	// TwinNode starts another process with the node's name.
-	TwinNode(node int)
+	// StartDuplicateNode starts another process with the node's name.
+	StartDuplicateNode(node int)
 	// CrowdNode has clients connect, stay silent, and come back when they are closed.
 	CrowdNode(node, clients int, until policy.Instant)
 	// StallClients has clients stop in the middle of a request, and stay connected.
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -128,8 +128,8 @@
 // FreezeNode does nothing.
 func (sim *Simulation) FreezeNode(int, time.Duration) {}
 
-// TwinNode does nothing.
-func (sim *Simulation) TwinNode(int) {}
+// StartDuplicateNode does nothing.
+func (sim *Simulation) StartDuplicateNode(int) {}
 
 // ChangeLink does nothing.
 func (sim *Simulation) ChangeLink(int, int, func(*netfault.Link)) {}
