--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -176,7 +176,7 @@
 		Slack:          max(slack, scenario.Span(s.Allowed.SlackMs/1000)),
 		AnswerSlack:    scenario.Span(s.Allowed.LateAnswerMs / 1000),
 	})
-	r.observer = &runner.WorldObserver{Judge: r.checker, Log: r.log, Rig: r}
+	r.observer = &runner.WorldObserver{Checker: r.checker, Log: r.log, Rig: r}
 	r.world = world.New(s.World(r.observer))
 	r.observer.World = r.world
 	return r
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -10,20 +10,20 @@
 // WorldObserver passes on what happens in a world, whatever nodes believe: effects of writes to the checker, overloads to
 // the run's log, broken connections and changes of the endpoint list to the rig.
 type WorldObserver struct {
-	Judge *checker.Checker
-	Log   *report.Log
-	World *world.World
-	Rig   Rig
+	Checker *checker.Checker
+	Log     *report.Log
+	World   *world.World
+	Rig     Rig
 }
 
 // Effect reports that a write had its effect at a server.
 func (o *WorldObserver) Effect(now policy.Instant, id, label string, class int, server policy.EndpointID) {
-	o.Judge.Effect(now, id, label, class, server)
+	o.Checker.Effect(now, id, label, class, server)
 }
 
 // Fell reports that a server was overloaded and fell over. A cache's connections break; the origin goes on.
 func (o *WorldObserver) Fell(now policy.Instant, server policy.EndpointID, why string) {
-	o.Judge.Fell(now, server, why)
+	o.Checker.Fell(now, server, why)
 	o.Log.AddEvent(now, string(server)+" "+why)
 	if i, ok := o.World.Find(server); ok && !o.World.IsOrigin(i) {
 		o.Rig.At(now, func() { o.Rig.ResetConnections(i) })
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -124,7 +124,7 @@
 		Grace:          scenario.Span(s.Allowed.GraceMs / 1000),
 		Slack:          networkSlack,
 	})
-	observer := &runner.WorldObserver{Judge: sim.checker, Log: sim.log, Rig: sim}
+	observer := &runner.WorldObserver{Checker: sim.checker, Log: sim.log, Rig: sim}
 	sim.world = world.New(s.World(observer))
 	observer.World = sim.world
 	sim.traffic = world.NewTraffic(s.TrafficPlan())
