--- a/cmd/dahliapin/serve.go
+++ b/cmd/dahliapin/serve.go
@@ -124,7 +124,7 @@
 	ends := make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.calls, syscall.SIGUSR1, syscall.SIGHUP)
-	if os.Getenv(realtime.Rehearsed) != "" {
+	if os.Getenv(realtime.RehearsalEnv) != "" {
 		signal.Notify(s.calls, syscall.SIGUSR2)
 	}
 	go func() {
--- a/internal/emulator/realtime/runner.go
+++ b/internal/emulator/realtime/runner.go
@@ -15,8 +15,8 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-// Rehearsed is set in the environment of a node process that is part of a rehearsal: its loop can be made to hang there.
-const Rehearsed = "DAHLIAPIN_REHEARSED"
+// RehearsalEnv is set in the environment of a node process that is part of a rehearsal: its loop can be made to hang there.
+const RehearsalEnv = "DAHLIAPIN_REHEARSED"
 
 // Processes runs each node as a process of its own, by a program that takes serve, --config and --records.
 type Processes struct {
@@ -58,7 +58,7 @@
 		}
 	}
 	cmd := exec.Command(ps.Program, args...)
-	cmd.Env = append(os.Environ(), "TMPDIR="+ps.Dir, Rehearsed+"=1") // TMPDIR is common to the processes of a node
+	cmd.Env = append(os.Environ(), "TMPDIR="+ps.Dir, RehearsalEnv+"=1") // TMPDIR is common to the processes of a node
 	cmd.Stdout = log
 	cmd.Stderr = log
 	cmd.ExtraFiles = pipes.writers
