--- a/internal/emulator/realtime/embedded_test.go
+++ b/internal/emulator/realtime/embedded_test.go
@@ -47,4 +47,4 @@
 func (e *embedded) End()                  { e.n.Shutdown() }
 func (e *embedded) Kill()                 { e.n.Shutdown() }
 func (e *embedded) Done() <-chan struct{} { return e.done }
-func (e *embedded) Ended() string         { return "" }
+func (e *embedded) ExitReason() string    { return "" }
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -103,7 +103,7 @@
 		}
 		if m.life == life && !m.ending && !m.r.stopped {
 			m.serving = false
-			m.r.deaths = append(m.r.deaths, m.name+": "+p.Ended())
+			m.r.deaths = append(m.r.deaths, m.name+": "+p.ExitReason())
 		}
 	}()
 	return nil
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -123,7 +123,7 @@
 func (s *stub) End()                  { s.end.Do(func() { s.l.Close(); close(s.done) }) }
 func (s *stub) Kill()                 { s.End() }
 func (s *stub) Done() <-chan struct{} { return s.done }
-func (s *stub) Ended() string         { return "a stub ended" }
+func (s *stub) ExitReason() string    { return "a stub ended" }
 
 func (s *stub) follow(addr string, heard chan bool) {
 	since := ""
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -57,7 +57,7 @@
 	End()                  // as an operator would
 	Kill()                 // at once; only a process of its own can be
 	Done() <-chan struct{} // closed once it has ended
-	Ended() string         // how, once it has; "" for well
+	ExitReason() string    // how, once it has; "" for well
 }
 
 // Pauser is a process that can be made to stand still, and to go on.
@@ -308,7 +308,7 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-m.process.Done():
-				return fmt.Errorf("node %s ended before it served: %s", m.name, m.process.Ended())
+				return fmt.Errorf("node %s ended before it served: %s", m.name, m.process.ExitReason())
 			case <-time.After(pollInterval):
 			}
 			if time.Now().After(by) {
--- a/internal/emulator/realtime/runner.go
+++ b/internal/emulator/realtime/runner.go
@@ -176,4 +176,4 @@
 func (p *process) End()                  { p.cmd.Process.Signal(syscall.SIGTERM) }
 func (p *process) Kill()                 { p.cmd.Process.Kill() }
 func (p *process) Done() <-chan struct{} { return p.done }
-func (p *process) Ended() string         { return p.exit }
+func (p *process) ExitReason() string    { return p.exit }
--- a/internal/emulator/realtime/together.go
+++ b/internal/emulator/realtime/together.go
@@ -122,8 +122,8 @@
 		}
 		select {
 		case <-p.Done():
-			if !strings.Contains(p.Ended(), "has the name") {
-				m.failed("its twin ended otherwise: " + p.Ended())
+			if !strings.Contains(p.ExitReason(), "has the name") {
+				m.failed("its twin ended otherwise: " + p.ExitReason())
 			}
 		case <-time.After(twinEndsBy):
 			m.failed("its twin does not end")
