--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -43,8 +43,8 @@
 // NameOf returns a node's name by its number from 0.
 func NameOf(n int) string { return "n" + strconv.Itoa(n+1) }
 
-// Heard keeps a line of a node's trace. Beyond a bound lines are counted and dropped.
-func (v *Views) Heard(at policy.Instant, l trace.Line) {
+// AddLine keeps a line of a node's trace. Beyond a bound lines are counted and dropped.
+func (v *Views) AddLine(at policy.Instant, l trace.Line) {
 	l.At = at
 	if len(v.Lines) >= maxLines {
 		v.Dropped++
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -16,7 +16,7 @@
 func course(v *Views, says map[float64]string) {
 	has := map[string]string{}
 	say := func(s float64, node string) {
-		v.Heard(at(s), trace.Line{Node: node, Process: node, Kind: trace.View, Members: strings.Fields(has[node])})
+		v.AddLine(at(s), trace.Line{Node: node, Process: node, Kind: trace.View, Members: strings.Fields(has[node])})
 	}
 	for n := range 5 {
 		has[NameOf(n)] = "n1 n2 n3 n4 n5"
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -71,7 +71,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.stopped {
-		r.views.Heard(epoch.Add(l.At.Since(r.bootTime)), l)
+		r.views.AddLine(epoch.Add(l.At.Since(r.bootTime)), l)
 	}
 }
 
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -336,7 +336,7 @@
 	for _, node := range view.Nodes {
 		line.Members = append(line.Members, string(node))
 	}
-	p.node.sim.views.Heard(p.node.sim.now, line)
+	p.node.sim.views.AddLine(p.node.sim.now, line)
 }
 
 // run continues the simulation for a while. Within each tick interval the processes tick one after the other.
