--- a/internal/emulator/checker/episodes.go
+++ b/internal/emulator/checker/episodes.go
@@ -77,7 +77,7 @@
 // transitions returns the recorded changes in order of time.
 func (v *Views) transitions(state *connectivity) []transition {
 	var all []transition
-	for _, t := range v.Truths {
+	for _, t := range v.ProcessChanges {
 		number, err := strconv.Atoi(t.Node[1:])
 		if err != nil || t.At < 0 || number > v.Nodes {
 			continue
--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -17,7 +17,7 @@
 type Views struct {
 	Nodes   int          `json:"nodes"`
 	Lines   []trace.Line `json:"lines"`
-	Truths  []Truth      `json:"truths"`
+	ProcessChanges  []Truth      `json:"truths"`
 	Dropped int          `json:"dropped,omitempty"` // lines beyond what is kept
 	cuts    []cut
 }
@@ -56,7 +56,7 @@
 // Truth keeps whether a node's process runs from now on. It may be called on a nil record, which keeps nothing.
 func (v *Views) Truth(now policy.Instant, node string, runs, anew bool) {
 	if v != nil {
-		v.Truths = append(v.Truths, Truth{At: now, Node: node, Runs: runs, New: anew})
+		v.ProcessChanges = append(v.ProcessChanges, Truth{At: now, Node: node, Runs: runs, New: anew})
 	}
 }
 
@@ -74,15 +74,15 @@
 	c := &Views{
 		Nodes:   v.Nodes,
 		Lines:   slices.Clone(v.Lines),
-		Truths:  slices.Clone(v.Truths),
+		ProcessChanges:  slices.Clone(v.ProcessChanges),
 		Dropped: v.Dropped,
 		cuts:    slices.Clone(v.cuts),
 	}
 	for i := range c.Lines {
 		c.Lines[i].At -= start
 	}
-	for i := range c.Truths {
-		c.Truths[i].At -= start
+	for i := range c.ProcessChanges {
+		c.ProcessChanges[i].At -= start
 	}
 	for i := range c.cuts {
 		c.cuts[i].at -= start
@@ -94,7 +94,7 @@
 // runsAt tells whether a node's process runs at an instant.
 func (v *Views) runsAt(node int, at policy.Instant) bool {
 	runs := true
-	for _, t := range v.Truths {
+	for _, t := range v.ProcessChanges {
 		if t.At <= at && t.Node == NameOf(node) {
 			runs = t.Runs
 		}
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -163,7 +163,7 @@
 
 // runsAt tells whether a node's process runs at an instant.
 func runsAt(v *checker.Views, at policy.Instant, node string) (runs bool) {
-	for _, t := range v.Truths {
+	for _, t := range v.ProcessChanges {
 		if t.At <= at && t.Node == node {
 			runs = t.Runs
 		}
