--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -15,11 +15,11 @@
 
 // Views records what nodes say of one another, and what really befell them. The nodes are named n1 and so on.
 type Views struct {
-	Nodes   int          `json:"nodes"`
-	Lines   []trace.Line `json:"lines"`
-	ProcessChanges  []Truth      `json:"truths"`
-	Dropped int          `json:"dropped,omitempty"` // lines beyond what is kept
-	cuts    []cut
+	Nodes          int          `json:"nodes"`
+	Lines          []trace.Line `json:"lines"`
+	ProcessChanges []Truth      `json:"truths"`
+	Dropped        int          `json:"dropped,omitempty"` // lines beyond what is kept
+	cuts           []cut
 }
 
 // Truth says that a node's process runs from an instant on, or does not.
@@ -53,8 +53,8 @@
 	v.Lines = append(v.Lines, l)
 }
 
-// Truth keeps whether a node's process runs from now on. It may be called on a nil record, which keeps nothing.
-func (v *Views) Truth(now policy.Instant, node string, runs, anew bool) {
+// RecordProcess keeps whether a node's process runs from now on. It may be called on a nil record, which keeps nothing.
+func (v *Views) RecordProcess(now policy.Instant, node string, runs, anew bool) {
 	if v != nil {
 		v.ProcessChanges = append(v.ProcessChanges, Truth{At: now, Node: node, Runs: runs, New: anew})
 	}
@@ -72,11 +72,11 @@
 		return nil
 	}
 	c := &Views{
-		Nodes:   v.Nodes,
-		Lines:   slices.Clone(v.Lines),
-		ProcessChanges:  slices.Clone(v.ProcessChanges),
-		Dropped: v.Dropped,
-		cuts:    slices.Clone(v.cuts),
+		Nodes:          v.Nodes,
+		Lines:          slices.Clone(v.Lines),
+		ProcessChanges: slices.Clone(v.ProcessChanges),
+		Dropped:        v.Dropped,
+		cuts:           slices.Clone(v.cuts),
 	}
 	for i := range c.Lines {
 		c.Lines[i].At -= start
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -39,8 +39,8 @@
 func TestViewsAreJudged(t *testing.T) {
 	killed := func(from, to float64) func(*Views) {
 		return func(v *Views) {
-			v.Truth(at(from), "n2", false, false)
-			v.Truth(at(to), "n2", true, true)
+			v.RecordProcess(at(from), "n2", false, false)
+			v.RecordProcess(at(to), "n2", true, true)
 		}
 	}
 	deaf := func(v *Views) {
@@ -58,8 +58,14 @@
 		want  Verdict
 	}{
 		{"one is killed, out and in again", killed(10, 20), map[float64]string{12.8: out, 22.5: in}, Verdict{Changes: 2, Detect: []float64{2.8, 2.8, 2.8, 2.8}}},
-		{"a pause that is borne", func(v *Views) { v.Truth(at(10), "n2", false, false); v.Truth(at(11.9), "n2", true, false) }, nil, Verdict{}},
-		{"a pause that is borne, and one who does not", func(v *Views) { v.Truth(at(10), "n2", false, false); v.Truth(at(11.9), "n2", true, false) },
+		{"a pause that is borne", func(v *Views) {
+			v.RecordProcess(at(10), "n2", false, false)
+			v.RecordProcess(at(11.9), "n2", true, false)
+		}, nil, Verdict{}},
+		{"a pause that is borne, and one who does not", func(v *Views) {
+			v.RecordProcess(at(10), "n2", false, false)
+			v.RecordProcess(at(11.9), "n2", true, false)
+		},
 			map[float64]string{12.4: "n3-n2", 14.8: "n3+n2"}, Verdict{False: 1}},
 		{"taken out for nothing", func(*Views) {}, map[float64]string{10: "n1-n4", 10.9: "n1+n4"}, Verdict{False: 1}},
 		{"not taken out, by one", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"}, Verdict{Missed: 1, Unlike: 1}},
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -85,7 +85,7 @@
 		return nil
 	}
 	m.process, m.killed, m.ending, m.parting = p, false, false, false
-	m.r.views.Truth(m.r.now(), m.name, true, true)
+	m.r.views.RecordProcess(m.r.now(), m.name, true, true)
 	phase := coverage.Handover
 	if m.life++; !replaces {
 		m.lives++
@@ -113,7 +113,7 @@
 func (r *Rig) EndNode(number int, orderly bool) {
 	m := r.nodes[number]
 	m.ending = true
-	r.views.Truth(r.now(), m.name, false, false)
+	r.views.RecordProcess(r.now(), m.name, false, false)
 	if !orderly {
 		m.killed, m.serving = true, false
 		r.coverage.PhaseChanged(number, coverage.Down)
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -100,7 +100,7 @@
 		}
 	}
 	do(p, stop)
-	r.views.Truth(r.now(), m.name, !stop, false)
+	r.views.RecordProcess(r.now(), m.name, !stop, false)
 	if !stop {
 		r.At(r.now().Add(r.settings.LongestDeadline), func() {
 			if !m.ending {
--- a/internal/emulator/realtime/operations.go
+++ b/internal/emulator/realtime/operations.go
@@ -86,7 +86,7 @@
 // StandbyNode has a node stand by, or take clients again, as operators and the front see it; the lock is held.
 func (r *Rig) StandbyNode(number int, by bool) {
 	m := r.nodes[number]
-	r.views.Truth(r.now(), m.name, !by, false) // who stands by is no member
+	r.views.RecordProcess(r.now(), m.name, !by, false) // who stands by is no member
 	if by {
 		r.coverage.PhaseChanged(number, coverage.Standby)
 	} else {
--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -105,10 +105,10 @@
 	}},
 	{name: "the loop hangs", maxChanges: 2, inject: func(s *simulation) {
 		s.nodes[3].loopStalled = true
-		s.views.Truth(s.now, "n4", false, false)
+		s.views.RecordProcess(s.now, "n4", false, false)
 		s.run(15 * sec)
 		s.nodes[3].loopStalled = false
-		s.views.Truth(s.now, "n4", true, false)
+		s.views.RecordProcess(s.now, "n4", true, false)
 	}},
 }
 
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -121,14 +121,14 @@
 	for _, seed := range seeds {
 		s.after(networkLatency, func() { p.sync(seed) })
 	}
-	s.views.Truth(s.now, n.name, true, true)
+	s.views.RecordProcess(s.now, n.name, true, true)
 }
 
 // kill ends the node's process.
 func (n *simNode) kill() {
 	n.process = nil
 	n.pending = nil
-	n.sim.views.Truth(n.sim.now, n.name, false, false)
+	n.sim.views.RecordProcess(n.sim.now, n.name, false, false)
 }
 
 // setPaused pauses or resumes the process. A resumed process ticks before it reads the messages that arrived meanwhile,
@@ -138,7 +138,7 @@
 		return
 	}
 	n.paused = paused
-	n.sim.views.Truth(n.sim.now, n.name, !paused, false)
+	n.sim.views.RecordProcess(n.sim.now, n.name, !paused, false)
 	if paused {
 		return
 	}
