--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -15,15 +15,15 @@
 
 // Views records what nodes say of one another, and what really befell them. The nodes are named n1 and so on.
 type Views struct {
-	Nodes          int          `json:"nodes"`
-	Lines          []trace.Line `json:"lines"`
-	ProcessChanges []Truth      `json:"truths"`
-	Dropped        int          `json:"dropped,omitempty"` // lines beyond what is kept
+	Nodes          int             `json:"nodes"`
+	Lines          []trace.Line    `json:"lines"`
+	ProcessChanges []ProcessChange `json:"truths"`
+	Dropped        int             `json:"dropped,omitempty"` // lines beyond what is kept
 	cuts           []cut
 }
 
-// Truth says that a node's process runs from an instant on, or does not.
-type Truth struct {
+// ProcessChange says that a node's process runs from an instant on, or does not.
+type ProcessChange struct {
 	At   policy.Instant `json:"at_ns"`
 	Node string         `json:"node"`
 	Runs bool           `json:"runs"`
@@ -56,7 +56,7 @@
 // RecordProcess keeps whether a node's process runs from now on. It may be called on a nil record, which keeps nothing.
 func (v *Views) RecordProcess(now policy.Instant, node string, runs, anew bool) {
 	if v != nil {
-		v.ProcessChanges = append(v.ProcessChanges, Truth{At: now, Node: node, Runs: runs, New: anew})
+		v.ProcessChanges = append(v.ProcessChanges, ProcessChange{At: now, Node: node, Runs: runs, New: anew})
 	}
 }
 
