--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Cut keeps whether what one node sends is kept from another from now on.
-func (v *Views) Cut(now policy.Instant, from, to int, on bool) {
+// RecordCut keeps whether what one node sends is kept from another from now on.
+func (v *Views) RecordCut(now policy.Instant, from, to int, on bool) {
 	v.cuts = append(v.cuts, cut{at: now, from: from, to: to, on: on})
 }
 
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -46,7 +46,7 @@
 	deaf := func(v *Views) {
 		for _, cut := range []bool{true, false} {
 			for n := 1; n < 5; n++ {
-				v.Cut(at(map[bool]float64{true: 10, false: 30}[cut]), n, 0, cut)
+				v.RecordCut(at(map[bool]float64{true: 10, false: 30}[cut]), n, 0, cut)
 			}
 		}
 	}
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -158,7 +158,7 @@
 	r.faults.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
 		if change(link); link.Cut != was {
-			r.views.Cut(r.now(), from, to, link.Cut)
+			r.views.RecordCut(r.now(), from, to, link.Cut)
 		}
 	})
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -156,7 +156,7 @@
 // setCut cuts or restores one direction between two nodes.
 func (s *simulation) setCut(from, to int, cut bool) {
 	s.faults.Change(from, to, func(link *netfault.Link) { link.Cut = cut })
-	s.views.Cut(s.now, from, to, cut)
+	s.views.RecordCut(s.now, from, to, cut)
 }
 
 // partitionFor cuts all links from one group of nodes to another for a while, and with both set those in the other
