--- a/internal/emulator/checker/verdict.go
+++ b/internal/emulator/checker/verdict.go
@@ -9,7 +9,7 @@
 type Verdict struct {
 	Formed  float64   `json:"formed_s"`       // when all first had all; -1 for never
 	False   int       `json:"false_removals"` // of nodes that nothing had befallen, or nothing for long enough
-	Rash    int       `json:"rash_removals"`  // by nodes that were cut off, or stood still, themselves
+	UnjustifiedRemovals    int       `json:"rash_removals"`  // by nodes that were cut off, or stood still, themselves
 	Missed  int       `json:"missed"`         // nodes that should have been out and were not, by observers
 	Flaps   int       `json:"flaps"`          // further removals within one fault, by observers
 	Unlike  int       `json:"unlike"`         // seconds in which views should have been the same as the truth, and were not
@@ -20,7 +20,7 @@
 }
 
 // Wrong counts what must not be.
-func (d *Verdict) Wrong() int { return d.False + d.Rash + d.Missed + d.Flaps + d.Unlike }
+func (d *Verdict) Wrong() int { return d.False + d.UnjustifiedRemovals + d.Missed + d.Flaps + d.Unlike }
 
 func (d *Verdict) note(format string, args ...any) {
 	if len(d.What) < maxNotes {
--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -179,7 +179,7 @@
 	cause := c.faultOf(node, at, removalSlack)
 	if own := c.faultOf(by, at, wakeTime); own != nil {
 		if c.rash(by, node, before, at, own, cause) {
-			c.verdict.Rash++
+			c.verdict.UnjustifiedRemovals++
 			c.verdict.note("%.1f s: %s, in trouble itself, takes out %s", seconds, NameOf(by), NameOf(node))
 		}
 		return
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -72,7 +72,7 @@
 		{"out, in, out", killed(10, 39), map[float64]string{12.8: out, 14: "n1+n2", 16: "n1-n2"}, Verdict{Flaps: 1}},
 		{"not taken in again", killed(10, 20), map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{Unlike: 1}},
 		{"one that hears nobody takes others out", deaf, map[float64]string{13: "n2-n1 n3-n1 n4-n1 n5-n1", 14: "n1-n2", 32.5: "n2+n1 n3+n1 n4+n1 n5+n1", 32.6: "n1+n2"},
-			Verdict{Rash: 1}},
+			Verdict{UnjustifiedRemovals: 1}},
 	} {
 		v := NewViews(5)
 		c.truth(v)
@@ -81,7 +81,7 @@
 		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) || c.want.Changes > 0 && d.Changes != c.want.Changes {
 			t.Errorf("%s: %+v", c.name, d)
 		}
-		for _, n := range [][2]int{{d.False, c.want.False}, {d.Rash, c.want.Rash}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.Unlike, c.want.Unlike}} {
+		for _, n := range [][2]int{{d.False, c.want.False}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.Unlike, c.want.Unlike}} {
 			if (n[0] > 0) != (n[1] > 0) {
 				t.Errorf("%s: %+v", c.name, d)
 			}
