--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if c.mostSound(at) && (cause == nil || cause.to.Since(cause.from) <= c.pause && !cause.ended) {
-		c.verdict.False++
+		c.verdict.FalseRemovals++
 		c.verdict.note("%.1f s: %s takes out %s, which nothing befell", seconds, NameOf(by), NameOf(node))
 		return
 	}
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -66,8 +66,8 @@
 			v.RecordProcess(at(10), "n2", false, false)
 			v.RecordProcess(at(11.9), "n2", true, false)
 		},
-			map[float64]string{12.4: "n3-n2", 14.8: "n3+n2"}, Verdict{False: 1}},
-		{"taken out for nothing", func(*Views) {}, map[float64]string{10: "n1-n4", 10.9: "n1+n4"}, Verdict{False: 1}},
+			map[float64]string{12.4: "n3-n2", 14.8: "n3+n2"}, Verdict{FalseRemovals: 1}},
+		{"taken out for nothing", func(*Views) {}, map[float64]string{10: "n1-n4", 10.9: "n1+n4"}, Verdict{FalseRemovals: 1}},
 		{"not taken out, by one", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"}, Verdict{Missed: 1, Unlike: 1}},
 		{"out, in, out", killed(10, 39), map[float64]string{12.8: out, 14: "n1+n2", 16: "n1-n2"}, Verdict{Flaps: 1}},
 		{"not taken in again", killed(10, 20), map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{Unlike: 1}},
@@ -81,7 +81,7 @@
 		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) || c.want.Changes > 0 && d.Changes != c.want.Changes {
 			t.Errorf("%s: %+v", c.name, d)
 		}
-		for _, n := range [][2]int{{d.False, c.want.False}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.Unlike, c.want.Unlike}} {
+		for _, n := range [][2]int{{d.FalseRemovals, c.want.FalseRemovals}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.Unlike, c.want.Unlike}} {
 			if (n[0] > 0) != (n[1] > 0) {
 				t.Errorf("%s: %+v", c.name, d)
 			}
