--- a/internal/emulator/checker/verdict.go
+++ b/internal/emulator/checker/verdict.go
@@ -15,7 +15,7 @@
 	Unlike              int       `json:"unlike"`         // seconds in which views should have been the same as the truth, and were not
 	Changes             int       `json:"changes"`        // of a view, the most at one node, after the first that had all
 	Detect              []float64 `json:"detect_s"`       // from what befell a node until it was out, by observers
-	Alike               float64   `json:"alike_after_s"`  // from the last change of what befell nodes until all views were the same
+	ConvergedAfter      float64   `json:"alike_after_s"`  // from the last change of what befell nodes until all views were the same
 	What                []string  `json:"what,omitempty"` // the first findings
 }
 
--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -57,7 +57,7 @@
 	all := v.episodes(end)
 	c := &viewCheck{
 		Views:    v,
-		verdict:  &Verdict{Formed: -1, Alike: -1},
+		verdict:  &Verdict{Formed: -1, ConvergedAfter: -1},
 		episodes: all,
 		looked:   make([]bool, len(all)),
 		pause:    pause,
@@ -73,7 +73,7 @@
 	}
 	c.compareUntil(end)
 	if c.apart < end.Add(-time.Second) {
-		c.verdict.Alike = max(0, c.apart.Since(c.lastTransition()).Seconds())
+		c.verdict.ConvergedAfter = max(0, c.apart.Since(c.lastTransition()).Seconds())
 	}
 	slices.Sort(c.verdict.Detect)
 	return c.verdict
