--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -162,7 +162,7 @@
 		slowest = view.Detect[len(view.Detect)-1]
 	}
 	fmt.Fprintf(out, "%s: %d events, %d wrong (false %d, rash %d, missed %d, flaps %d, unlike %d), rules %v; ",
-		s.Name, len(s.Events), view.Wrong(), view.FalseRemovals, view.UnjustifiedRemovals, view.Missed, view.Flaps, view.Unlike, r.Rules)
+		s.Name, len(s.Events), view.Wrong(), view.FalseRemovals, view.UnjustifiedRemovals, view.Missed, view.Flaps, view.DivergedSeconds, r.Rules)
 	fmt.Fprintf(out, "changes %d, out after %.2f s at most, alike after %.1f s", view.Changes, slowest, view.ConvergedAfter)
 	if r.MachineTooBusy != "" {
 		fmt.Fprint(out, "; not judged, the machine was too busy")
--- a/internal/emulator/checker/verdict.go
+++ b/internal/emulator/checker/verdict.go
@@ -12,7 +12,7 @@
 	UnjustifiedRemovals int       `json:"rash_removals"`  // by nodes that were cut off, or stood still, themselves
 	Missed              int       `json:"missed"`         // nodes that should have been out and were not, by observers
 	Flaps               int       `json:"flaps"`          // further removals within one fault, by observers
-	Unlike              int       `json:"unlike"`         // seconds in which views should have been the same as the truth, and were not
+	DivergedSeconds     int       `json:"unlike"`         // seconds in which views should have been the same as the truth, and were not
 	Changes             int       `json:"changes"`        // of a view, the most at one node, after the first that had all
 	Detect              []float64 `json:"detect_s"`       // from what befell a node until it was out, by observers
 	ConvergedAfter      float64   `json:"alike_after_s"`  // from the last change of what befell nodes until all views were the same
@@ -21,7 +21,7 @@
 
 // Wrong counts what must not be.
 func (d *Verdict) Wrong() int {
-	return d.FalseRemovals + d.UnjustifiedRemovals + d.Missed + d.Flaps + d.Unlike
+	return d.FalseRemovals + d.UnjustifiedRemovals + d.Missed + d.Flaps + d.DivergedSeconds
 }
 
 func (d *Verdict) note(format string, args ...any) {
--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -256,7 +256,7 @@
 		}
 		c.apart = c.next
 		if c.settled(c.next) && c.next%policy.Instant(time.Second) == 0 {
-			c.verdict.Unlike++
+			c.verdict.DivergedSeconds++
 			c.verdict.note("%.1f s: %s has %v", time.Duration(c.next).Seconds(), NameOf(o), c.nodes[o].members)
 		}
 	}
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -68,9 +68,9 @@
 		},
 			map[float64]string{12.4: "n3-n2", 14.8: "n3+n2"}, Verdict{FalseRemovals: 1}},
 		{"taken out for nothing", func(*Views) {}, map[float64]string{10: "n1-n4", 10.9: "n1+n4"}, Verdict{FalseRemovals: 1}},
-		{"not taken out, by one", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"}, Verdict{Missed: 1, Unlike: 1}},
+		{"not taken out, by one", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"}, Verdict{Missed: 1, DivergedSeconds: 1}},
 		{"out, in, out", killed(10, 39), map[float64]string{12.8: out, 14: "n1+n2", 16: "n1-n2"}, Verdict{Flaps: 1}},
-		{"not taken in again", killed(10, 20), map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{Unlike: 1}},
+		{"not taken in again", killed(10, 20), map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{DivergedSeconds: 1}},
 		{"one that hears nobody takes others out", deaf, map[float64]string{13: "n2-n1 n3-n1 n4-n1 n5-n1", 14: "n1-n2", 32.5: "n2+n1 n3+n1 n4+n1 n5+n1", 32.6: "n1+n2"},
 			Verdict{UnjustifiedRemovals: 1}},
 	} {
@@ -81,7 +81,7 @@
 		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) || c.want.Changes > 0 && d.Changes != c.want.Changes {
 			t.Errorf("%s: %+v", c.name, d)
 		}
-		for _, n := range [][2]int{{d.FalseRemovals, c.want.FalseRemovals}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.Unlike, c.want.Unlike}} {
+		for _, n := range [][2]int{{d.FalseRemovals, c.want.FalseRemovals}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.DivergedSeconds, c.want.DivergedSeconds}} {
 			if (n[0] > 0) != (n[1] > 0) {
 				t.Errorf("%s: %+v", c.name, d)
 			}
