--- a/internal/emulator/checker/verdict.go
+++ b/internal/emulator/checker/verdict.go
@@ -16,7 +16,7 @@
 	Changes             int       `json:"changes"`        // of a view, the most at one node, after the first that had all
 	Detect              []float64 `json:"detect_s"`       // from what befell a node until it was out, by observers
 	ConvergedAfter      float64   `json:"alike_after_s"`  // from the last change of what befell nodes until all views were the same
-	What                []string  `json:"what,omitempty"` // the first findings
+	Findings            []string  `json:"what,omitempty"` // the first findings
 }
 
 // Wrong counts what must not be.
@@ -25,7 +25,7 @@
 }
 
 func (d *Verdict) note(format string, args ...any) {
-	if len(d.What) < maxNotes {
-		d.What = append(d.What, fmt.Sprintf(format, args...))
+	if len(d.Findings) < maxNotes {
+		d.Findings = append(d.Findings, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -112,7 +112,7 @@
 		"changes %d; out after median %.2f s, p99 %.2f s (%d); alike after %.1f s\n",
 		name, v.Formed, v.FalseRemovals, v.UnjustifiedRemovals, v.Missed, v.Flaps, v.DivergedSeconds,
 		v.Changes, percentile(v.Detect, 0.5), percentile(v.Detect, 0.99), len(v.Detect), v.ConvergedAfter)
-	for _, line := range v.What {
+	for _, line := range v.Findings {
 		fmt.Fprintln(to, "        ", line)
 	}
 }
--- a/internal/membership/removal_bench_test.go
+++ b/internal/membership/removal_bench_test.go
@@ -17,7 +17,7 @@
 				s.run(12 * sec)
 				verdict := s.verdict()
 				if verdict.Wrong() > 0 || len(verdict.Detect) != nodes-1 {
-					b.Fatalf("%d nodes detected it: %+v", len(verdict.Detect), verdict.What)
+					b.Fatalf("%d nodes detected it: %+v", len(verdict.Detect), verdict.Findings)
 				}
 				b.ReportMetric(verdict.Detect[len(verdict.Detect)/2], "median-s")
 				b.ReportMetric(verdict.Detect[len(verdict.Detect)*99/100], "p99-s")
