--- a/internal/emulator/checker/attempts.go
+++ b/internal/emulator/checker/attempts.go
@@ -30,10 +30,10 @@
 	}
 	class := &c.rules.Classes[r.class]
 	if r.goneAt != 0 && sentAt > r.goneAt.Add(clientGoneSlack) {
-		c.AfterGone++
-		if c.AfterGone > maxLateAttempts {
+		c.AttemptsAfterClientGone++
+		if c.AttemptsAfterClientGone > maxLateAttempts {
 			c.breach(1, now, id, r.node, server, fmt.Sprintf("an attempt began %v after its client had gone, the %dth such",
-				sentAt.Since(r.goneAt), c.AfterGone))
+				sentAt.Since(r.goneAt), c.AttemptsAfterClientGone))
 		}
 	}
 	if r.answeredAt != 0 && sentAt > r.answeredAt.Add(c.rules.Slack) {
