--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -38,7 +38,7 @@
 		{"within the slack", 0, func(j *Checker) { sent(j, 0); j.Answered(109*ms, "r", Satisfied) }},
 		{"never", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms) }},
 		{"late by far, which is one breach", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms); j.Answered(300*ms, "r", Satisfied) }},
-		{"never, its node killed", 0, func(j *Checker) { sent(j, 0); j.Excuse("r"); j.Advance(200 * ms) }},
+		{"never, its node killed", 0, func(j *Checker) { sent(j, 0); j.Forget("r"); j.Advance(200 * ms) }},
 		{"cut", 1, func(j *Checker) { sent(j, 0); j.Answered(10*ms, "r", Cut) }},
 		{"nobody asked", 1, func(j *Checker) { j.Answered(10*ms, "q", Satisfied) }},
 		{"an attempt after the answer", 1, func(j *Checker) {
--- a/internal/emulator/checker/requests.go
+++ b/internal/emulator/checker/requests.go
@@ -122,8 +122,8 @@
 // Served counts a first try whose client was satisfied, by whichever try, within its latency objective.
 func (c *Checker) Served(class int) { c.Classes[class].FirstInTime++ }
 
-// Excuse forgets a request whose node was killed by the scenario: nobody could have answered it.
-func (c *Checker) Excuse(id string) { delete(c.requests, id) }
+// Forget forgets a request whose node was killed by the scenario: nobody could have answered it.
+func (c *Checker) Forget(id string) { delete(c.requests, id) }
 
 // Advance checks what is due by now: requests without an answer at their deadline.
 func (c *Checker) Advance(now policy.Instant) {
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -95,7 +95,7 @@
 	if m.stands = nil; stop {
 		m.stands, m.serving = m.process, false
 		for id := range m.asks {
-			r.checker.Excuse(id)
+			r.checker.Forget(id)
 			m.excused[id] = true
 		}
 	}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -429,7 +429,7 @@
 	}
 	switch {
 	case got.NotSent: // it was taken by nobody, and asks another node
-		r.checker.Excuse(req.ID)
+		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
 	case m.excused[req.ID]:
@@ -442,7 +442,7 @@
 	case got.Silent: // the judge counts it as lost at its deadline
 		return
 	case got.Final == checker.Cut && m.lives != life || got.Final == checker.Cut && m.killed:
-		r.checker.Excuse(req.ID)
+		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 	default:
 		m.figures.ended(g.Name, got.Final)
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -39,7 +39,7 @@
 	sim.after(sim.clientLatency(), func() {
 		if n.incarnation != incarnation || n.dispatcher == nil {
 			// The node ended while the request was on its way: the client sees a reset.
-			sim.checker.Excuse(message.ID)
+			sim.checker.Forget(message.ID)
 			sim.connectionCut(message, firstSentAt)
 			return
 		}
--- a/internal/emulator/simulation/node.go
+++ b/internal/emulator/simulation/node.go
@@ -124,7 +124,7 @@
 			}
 		}
 		if !req.answered {
-			n.sim.checker.Excuse(req.message.ID)
+			n.sim.checker.Forget(req.message.ID)
 			n.sim.after(n.sim.clientLatency(), func() { n.sim.connectionCut(req.message, req.firstSentAt) })
 		}
 	}
