--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -27,7 +27,7 @@
 func (c *fabricatedAnswersConn) Write(b []byte) (int, error) {
 	var answers []byte
 	for line := range strings.Lines(string(b)) {
-		order, _ := cachestub.ReadOrder([]byte(line))
+		order, _ := cachestub.ParseCommand([]byte(line))
 		answers = append(answers, order.Answer(true)...)
 	}
 	c.answers <- answers
--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -168,7 +168,7 @@
 		if err != nil {
 			return
 		}
-		order, size := ReadOrder(line)
+		order, size := ParseCommand(line)
 		time.Sleep(c.awaitTurn(conn))
 		answer := c.carryOut(order, size > 0)
 		if len(answer) == 0 {
--- a/internal/emulator/cachestub/order.go
+++ b/internal/emulator/cachestub/order.go
@@ -13,9 +13,9 @@
 	Flush bool
 }
 
-// ReadOrder reads the first command in b if it is a deletion or a flush. A size of 0 says that it is neither, or is not
+// ParseCommand reads the first command in b if it is a deletion or a flush. A size of 0 says that it is neither, or is not
 // complete.
-func ReadOrder(b []byte) (order Order, size int) {
+func ParseCommand(b []byte) (order Order, size int) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
 		return Order{}, 0
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -358,7 +358,7 @@
 			size := 0
 			if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
 				size = c.nextRequest(held)
-			} else if o, n := cachestub.ReadOrder(held); n > 0 {
+			} else if o, n := cachestub.ParseCommand(held); n > 0 {
 				r.mu.Lock()
 				for r.world.Servers[c.s.number].Frozen(r.now()) && c.s.conns[c] {
 					r.mu.Unlock()
