--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -194,7 +194,7 @@
 }
 
 // carryOut carries out a command and returns its answer; nothing if the connection ends instead.
-func (c *Cache) carryOut(order Order, isOrder bool) []byte {
+func (c *Cache) carryOut(order Command, isOrder bool) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
--- a/internal/emulator/cachestub/order.go
+++ b/internal/emulator/cachestub/order.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Order is a deletion of a key's value, or a flush of all.
-type Order struct {
+// Command is a deletion of a key's value, or a flush of all.
+type Command struct {
 	Key   string
 	ID    string // by which the answer names the command
 	Flush bool
@@ -15,20 +15,20 @@
 
 // ParseCommand reads the first command in b if it is a deletion or a flush. A size of 0 says that it is neither, or is not
 // complete.
-func ParseCommand(b []byte) (order Order, size int) {
+func ParseCommand(b []byte) (order Command, size int) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		return Order{}, 0
+		return Command{}, 0
 	}
 	size = end + 1
 	words := strings.Fields(string(b[:end]))
 	switch {
 	case len(words) == 1 && words[0] == "flush_all":
-		return Order{Flush: true}, size
+		return Command{Flush: true}, size
 	case len(words) >= 2 && words[0] == "md":
-		return Order{Key: words[1], ID: opaqueOf(words[2:])}, size
+		return Command{Key: words[1], ID: opaqueOf(words[2:])}, size
 	}
-	return Order{}, 0
+	return Command{}, 0
 }
 
 // opaqueOf returns the last opaque token among a command's flags.
@@ -43,7 +43,7 @@
 }
 
 // Answer returns the answer to an order; found says whether there was a value to delete.
-func (o Order) Answer(found bool) []byte {
+func (o Command) Answer(found bool) []byte {
 	switch {
 	case o.Flush:
 		return []byte("OK\r\n")
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -415,7 +415,7 @@
 }
 
 // order carries out a purge, at a cache that lives; the lock is held.
-func (c *serverConn) order(o cachestub.Order) {
+func (c *serverConn) order(o cachestub.Command) {
 	r, s := c.s.r, c.s
 	w := r.world.Servers[s.number]
 	switch {
