--- a/internal/control/purger/connection_test.go
+++ b/internal/control/purger/connection_test.go
@@ -57,7 +57,7 @@
 func TestFaultyCachesDelayNoOthers(t *testing.T) {
 	t.Parallel()
 	faults := []cachestub.Fault{
-		cachestub.None, cachestub.Silent, cachestub.Refuse, cachestub.Garbage, cachestub.Busy, cachestub.Ends,
+		cachestub.None, cachestub.Silent, cachestub.Refuse, cachestub.Garbage, cachestub.Busy, cachestub.CloseAfterCommand,
 	}
 	slow := len(faults)
 	b := newBench(t, len(faults)+1, 0)
--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -25,7 +25,7 @@
 	Refuse        // connections are closed at once
 	Garbage       // it answers what is no answer, and does nothing
 	Busy          // it answers that it has too much to do, and does nothing
-	Ends          // it ends the connection with each command, which it has carried out
+	CloseAfterCommand          // it ends the connection with each command, which it has carried out
 )
 
 // Cache is one cache server. Its methods may be called from any goroutine.
@@ -213,7 +213,7 @@
 		delete(c.versions, order.Key)
 		c.did(logtrace.CacheEvent{Kind: logtrace.Deleted, Key: order.Key})
 	}
-	if c.fault == Ends {
+	if c.fault == CloseAfterCommand {
 		return nil
 	}
 	return order.Answer(found)
