--- a/internal/emulator/scenario/together.go
+++ b/internal/emulator/scenario/together.go
@@ -8,8 +8,8 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Together says that nodes know one another. The spans are those of a node's file; what is not written has its usual value.
-type Together struct {
+// Membership says that nodes know one another. The spans are those of a node's file; what is not written has its usual value.
+type Membership struct {
 	Engine string  `toml:"engine"`
 	PauseS float64 `toml:"pause_s"`
 	BackS  float64 `toml:"back_s"`
