--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -20,7 +20,7 @@
 
 // join opens what is between the nodes, where they know one another: a door for each ordered pair.
 func (r *Rig) join() error {
-	if r.scenario.Together == nil {
+	if r.scenario.Membership == nil {
 		return nil
 	}
 	r.bootTime = gossip.BootTime()
--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -76,7 +76,7 @@
 // whose trace has gaps, shows nothing and fails.
 func (r *Report) checkViews(s *scenario.Scenario) {
 	f := r.Together
-	if f == nil || s.Together.Engine == fleetconfig.EnginePlain {
+	if f == nil || s.Membership.Engine == fleetconfig.EnginePlain {
 		return
 	}
 	lost := uint64(f.Views.Dropped)
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -195,7 +195,7 @@
 	}
 	c.InRange(s.Expect.Excess, 0, 100, "expect.most_legs_per_request")
 	views := s.Expect.Views
-	c.Require(views == nil || s.Together != nil && *views >= 0, "expect.most_view_changes",
+	c.Require(views == nil || s.Membership != nil && *views >= 0, "expect.most_view_changes",
 		"is for nodes that know one another, and not under 0")
 }
 
--- a/internal/emulator/scenario/check_events.go
+++ b/internal/emulator/scenario/check_events.go
@@ -71,11 +71,11 @@
 	for _, n := range e.Nodes {
 		c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"nodes", "there is no node %d", n)
 	}
-	c.Require(e.Do != twin || s.Together != nil, at+"do", "nodes do not know one another: there is no [together]")
+	c.Require(e.Do != twin || s.Membership != nil, at+"do", "nodes do not know one another: there is no [together]")
 }
 
 func (s *Scenario) checkEventPairs(c *strictconfig.Checker, e *Event, kind needs, at string) {
-	c.Require(!kind.pairs || s.Together != nil, at+"do", "nodes say nothing to each other: there is no [together]")
+	c.Require(!kind.pairs || s.Membership != nil, at+"do", "nodes say nothing to each other: there is no [together]")
 	none := len(e.From)+len(e.To) == 0 && !e.Both && e.TurnS == 0
 	c.Require(kind.pairs || none, at+"from", "%s is not between nodes", e.Do)
 	for _, n := range slices.Concat(e.From, e.To) {
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -104,7 +104,7 @@
 // OnSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
 // whatever nodes do.
 func (s *Scenario) OnSockets() bool {
-	return s.Operated() || s.Together != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
+	return s.Operated() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
 	})
 }
--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -90,7 +90,7 @@
 	s.Classes = []Class{{
 		Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all",
 	}}
-	s.Together = &Membership{}
+	s.Membership = &Membership{}
 	return &s
 }
 
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -20,7 +20,7 @@
 	Events    []Event           `toml:"event"`
 	Expect    Expect            `toml:"expect"`
 	Levels    []listeners.Level `toml:"level,omitempty"` // of all nodes
-	Together  *Membership         `toml:"together"`
+	Membership  *Membership         `toml:"together"`
 }
 
 // Fleet says what caches and nodes there are.
--- a/internal/emulator/scenario/together.go
+++ b/internal/emulator/scenario/together.go
@@ -19,7 +19,7 @@
 const usualSeeds = 3
 
 func (s *Scenario) checkTogether(c *strictconfig.Checker) {
-	t := s.Together
+	t := s.Membership
 	if t == nil {
 		return
 	}
@@ -73,7 +73,7 @@
 // Charter is the file by which a node joins the others: where each of them hears, and the way to it.
 func (s *Scenario) Charter(node int, label string, hears []string, ways map[string]string) []byte {
 	var b strings.Builder
-	t := s.Together
+	t := s.Membership
 	fmt.Fprintf(&b, "[fleet]\nlabel = %q\nlisten = %q\nengine = %q\nseeds = [", label, hears[node], t.Engine)
 	for _, at := range hears[:t.Seeds] {
 		fmt.Fprintf(&b, "%q, ", at)
