--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -66,7 +66,7 @@
 			r.expect(isMet, fmt.Sprint(got), "at most %g %s in a second over the whole fleet", most, name)
 		}
 	}
-	if most := s.Expect.Excess; most > 0 {
+	if most := s.Expect.MaxAttemptsPerRequest; most > 0 {
 		got := fmt.Sprintf("%.3f", r.AttemptsPerRequest)
 		r.expect(r.AttemptsPerRequest <= most, got, "at most %g legs for each request", most)
 	}
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -193,7 +193,7 @@
 		c.Require(slices.Contains(Counted, name), "expect.most_per_s",
 			"%q is none of %s", name, strings.Join(Counted, ", "))
 	}
-	c.InRange(s.Expect.Excess, 0, 100, "expect.most_legs_per_request")
+	c.InRange(s.Expect.MaxAttemptsPerRequest, 0, 100, "expect.most_legs_per_request")
 	views := s.Expect.Views
 	c.Require(views == nil || s.Membership != nil && *views >= 0, "expect.most_view_changes",
 		"is for nodes that know one another, and not under 0")
