--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -55,7 +55,7 @@
 }
 
 func (r *Report) checkCounts(s *scenario.Scenario) {
-	if most := s.Expect.OriginMost; most > 0 {
+	if most := s.Expect.MaxOriginPerS; most > 0 {
 		got := r.MaxOriginAttempts
 		r.expect(float64(got) <= most, fmt.Sprint(got), "at most %g legs at the origin in a second", most)
 	}
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -187,7 +187,7 @@
 		c.Require(strings.HasPrefix(a.Server, "c"), at+"server", "there is no server %q", a.Server)
 		c.InRange(a.ByS, 0, s.Seconds, at+"by_s")
 	}
-	c.InRange(s.Expect.OriginMost, 0, 1e6, "expect.origin_most_per_s")
+	c.InRange(s.Expect.MaxOriginPerS, 0, 1e6, "expect.origin_most_per_s")
 	c.InRange(s.Expect.RecoveredBy, 0, s.Seconds, "expect.recovered_by_s")
 	for _, name := range sorted(s.Expect.MostPerS) {
 		c.Require(slices.Contains(Counted, name), "expect.most_per_s",
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -155,7 +155,7 @@
 	P99Ms       map[string]float64 `toml:"p99_ms"`
 	Avoided     []Avoidance        `toml:"avoided"`
 	Drained     []string           `toml:"drained"`
-	OriginMost  float64            `toml:"origin_most_per_s"` // legs there in any second
+	MaxOriginPerS  float64            `toml:"origin_most_per_s"` // legs there in any second
 	RecoveredBy float64            `toml:"recovered_by_s"`    // from then on, no worse than before the first event
 	MostPerS    map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
 	MaxAttemptsPerRequest      float64            `toml:"most_legs_per_request"`
