--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -60,7 +60,7 @@
 		r.expect(float64(got) <= most, fmt.Sprint(got), "at most %g legs at the origin in a second", most)
 	}
 	for _, name := range scenario.Counted {
-		if most, ok := s.Expect.MostPerS[name]; ok {
+		if most, ok := s.Expect.MaxPerS[name]; ok {
 			got := r.Most(name)
 			isMet := float64(got) <= most
 			r.expect(isMet, fmt.Sprint(got), "at most %g %s in a second over the whole fleet", most, name)
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -157,7 +157,7 @@
 	Drained     []string           `toml:"drained"`
 	MaxOriginPerS  float64            `toml:"origin_most_per_s"` // legs there in any second
 	RecoveredBy float64            `toml:"recovered_by_s"`    // from then on, no worse than before the first event
-	MostPerS    map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
+	MaxPerS    map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
 	MaxAttemptsPerRequest      float64            `toml:"most_legs_per_request"`
 	Views       *int               `toml:"most_view_changes"` // at any node that nothing befell, after all had all
 }
