--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -59,7 +59,7 @@
 		got := r.MaxOriginAttempts
 		r.expect(float64(got) <= most, fmt.Sprint(got), "at most %g legs at the origin in a second", most)
 	}
-	for _, name := range scenario.Counted {
+	for _, name := range scenario.CountNames {
 		if most, ok := s.Expect.MaxPerS[name]; ok {
 			got := r.Most(name)
 			isMet := float64(got) <= most
--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -64,7 +64,7 @@
 		r.Gain, r.AttemptsPerRequest, r.MaxOriginAttempts)
 	fmt.Fprintln(to, "course:", r.sparkline())
 	fmt.Fprint(to, "over the fleet, in all and most in a second:")
-	for _, name := range scenario.Counted {
+	for _, name := range scenario.CountNames {
 		total := 0
 		for i := range r.Course {
 			total += r.Course[i].Counted(name)
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -190,8 +190,8 @@
 	c.InRange(s.Expect.MaxOriginPerS, 0, 1e6, "expect.origin_most_per_s")
 	c.InRange(s.Expect.RecoveredBy, 0, s.Seconds, "expect.recovered_by_s")
 	for _, name := range sorted(s.Expect.MaxPerS) {
-		c.Require(slices.Contains(Counted, name), "expect.most_per_s",
-			"%q is none of %s", name, strings.Join(Counted, ", "))
+		c.Require(slices.Contains(CountNames, name), "expect.most_per_s",
+			"%q is none of %s", name, strings.Join(CountNames, ", "))
 	}
 	c.InRange(s.Expect.MaxAttemptsPerRequest, 0, 100, "expect.most_legs_per_request")
 	views := s.Expect.Views
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -162,8 +162,8 @@
 	Views       *int               `toml:"most_view_changes"` // at any node that nothing befell, after all had all
 }
 
-// Counted are the things that all nodes do together which a script may bound in any second.
-var Counted = []string{"list_calls", "dials", "full_dials", "probes", "misses", "origin_legs", "vain_legs"}
+// CountNames are the things that all nodes do together which a script may bound in any second.
+var CountNames = []string{"list_calls", "dials", "full_dials", "probes", "misses", "origin_legs", "vain_legs"}
 
 // Avoidance is that a server is avoided by a time.
 type Avoidance struct {
