--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -51,7 +51,7 @@
 			return nil, err
 		}
 	}
-	beyond := scenario.Span(r.scenario.Allowed.LateAnswerMs / 1000)
+	beyond := scenario.SecondsToDuration(r.scenario.Allowed.LateAnswerMs / 1000)
 	pool := &client.Pool{Addr: addrs[0], LateTolerance: beyond}
 	if r.scenario.Traffic.Protocol == listeners.ProtocolHTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: beyond}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -172,9 +172,9 @@
 	r.checker = checker.New(checker.Rules{
 		Classes:        deployment.Policy.Classes,
 		HedgingAllowed: s.Allowed.Hedging,
-		Grace:          scenario.Span(s.Allowed.GraceMs / 1000),
-		Slack:          max(slack, scenario.Span(s.Allowed.SlackMs/1000)),
-		AnswerSlack:    scenario.Span(s.Allowed.LateAnswerMs / 1000),
+		Grace:          scenario.SecondsToDuration(s.Allowed.GraceMs / 1000),
+		Slack:          max(slack, scenario.SecondsToDuration(s.Allowed.SlackMs/1000)),
+		AnswerSlack:    scenario.SecondsToDuration(s.Allowed.LateAnswerMs / 1000),
 	})
 	r.observer = &runner.WorldObserver{Checker: r.checker, Log: r.log, Rig: r}
 	r.world = world.New(s.World(r.observer))
@@ -515,11 +515,11 @@
 	}
 	for _, m := range r.nodes {
 		span := r.scenario.Discovery.NoticeS
-		late := scenario.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
+		late := scenario.SecondsToDuration(span[0] + (span[1]-span[0])*r.chance.Float64())
 		r.At(r.now().Add(late), func() { m.agent.hear(e) })
 	}
 	if r.fleet != nil {
-		r.At(r.now().Add(scenario.Span(r.scenario.Discovery.NoticeS[0])), func() {
+		r.At(r.now().Add(scenario.SecondsToDuration(r.scenario.Discovery.NoticeS[0])), func() {
 			r.fleet.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
 		})
 	}
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -105,7 +105,7 @@
 	r.RecoveredAt = l.recovered(first, last)
 	if l.Views != nil {
 		views := l.Views.From(l.startedAt)
-		r.Together = newFleet(views, scenario.Span(s.Membership.PauseS), policy.Instant(s.Duration()))
+		r.Together = newFleet(views, scenario.SecondsToDuration(s.Membership.PauseS), policy.Instant(s.Duration()))
 	}
 	if l.Played > 0 && float64(l.Late) > maxLateShare*float64(l.Played) {
 		r.MachineTooBusy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.Played, LateArrival)
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -174,7 +174,7 @@
 		return
 	}
 	r.eachNode(e, func(at policy.Instant, node int) {
-		terminator.TerminateNextStart(node, scenario.Span(e.LateMs/1000))
+		terminator.TerminateNextStart(node, scenario.SecondsToDuration(e.LateMs/1000))
 		r.rig.EndNode(node, true)
 		r.rig.At(at.Add(max(minDowntime, e.duration)), func() { r.rig.StartNode(node) })
 	})
@@ -246,7 +246,7 @@
 }
 
 func (r *Run) delayBetween(e *event) {
-	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Jitter = scenario.Span(valueIf(on, e.LateMs) / 1000) })
+	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Jitter = scenario.SecondsToDuration(valueIf(on, e.LateMs) / 1000) })
 }
 
 func valueIf(on bool, value float64) float64 {
@@ -264,7 +264,7 @@
 		}
 	}
 	setAll(true)
-	if turn := scenario.Span(e.TurnS); turn > 0 {
+	if turn := scenario.SecondsToDuration(e.TurnS); turn > 0 {
 		on := true
 		for at := e.start.Add(turn); at < e.end; at = at.Add(turn) {
 			on = !on
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -37,11 +37,11 @@
 	slices.SortStableFunc(events, func(a, b scenario.Event) int { return cmp.Compare(a.AtS, b.AtS) })
 	for i := range events {
 		event := &events[i]
-		at := start.Add(scenario.Span(event.AtS))
+		at := start.Add(scenario.SecondsToDuration(event.AtS))
 		if i == 0 {
 			r.First = at
 		}
-		r.Last = max(r.Last, at.Add(scenario.Span(event.OverS+event.ForS)))
+		r.Last = max(r.Last, at.Add(scenario.SecondsToDuration(event.OverS+event.ForS)))
 		rig.At(at, func() { r.begin(at, event) })
 	}
 	return r
@@ -54,12 +54,12 @@
 	if !known {
 		return
 	}
-	duration := scenario.Span(e.ForS)
+	duration := scenario.SecondsToDuration(e.ForS)
 	begun := &event{
 		Event:    e,
 		start:    now,
 		duration: duration,
-		end:      now.Add(duration + scenario.Span(e.OverS)),
+		end:      now.Add(duration + scenario.SecondsToDuration(e.OverS)),
 	}
 	if observer, ok := r.rig.(FaultObserver); ok {
 		r.rig.At(begun.end, observer.EventBegan(e))
@@ -101,7 +101,7 @@
 		do(e.start)
 		return
 	}
-	at := e.start.Add(scenario.Span(e.OverS * float64(i) / float64(of)))
+	at := e.start.Add(scenario.SecondsToDuration(e.OverS * float64(i) / float64(of)))
 	r.rig.At(at, func() { do(at) })
 }
 
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -26,13 +26,13 @@
 	}
 )
 
-// Span turns seconds into whole nanoseconds.
-func Span(seconds float64) time.Duration { return time.Duration(math.Round(seconds * 1e9)) }
+// SecondsToDuration turns seconds into whole nanoseconds.
+func SecondsToDuration(seconds float64) time.Duration { return time.Duration(math.Round(seconds * 1e9)) }
 
-func ms(x float64) time.Duration { return Span(x / 1000) }
+func ms(x float64) time.Duration { return SecondsToDuration(x / 1000) }
 
 // Duration is how long the scenario plays.
-func (s *Scenario) Duration() time.Duration { return Span(s.Seconds) }
+func (s *Scenario) Duration() time.Duration { return SecondsToDuration(s.Seconds) }
 
 // WorldClasses are the classes as the world has them.
 func (s *Scenario) WorldClasses() []world.Class {
@@ -46,7 +46,7 @@
 				LatencyObjective: ms(class.SoftMs),
 				Idempotency:      effects[class.Effect],
 				DedupScope:       scopes[class.Scope],
-				DedupWindow:      Span(class.WindowS),
+				DedupWindow:      SecondsToDuration(class.WindowS),
 			},
 		})
 	}
@@ -69,9 +69,9 @@
 		Weight:       speed * float64(f.Cores),
 		Keys:         f.Keys,
 		ColdFrom:     f.ColdFrom,
-		ColdFor:      Span(f.ColdS),
+		ColdFor:      SecondsToDuration(f.ColdS),
 		FallMultiple: f.FallMultiple,
-		FallFor:      Span(f.FallS),
+		FallFor:      SecondsToDuration(f.FallS),
 		Connections:  f.Connections,
 		Handshake:    ms(f.HandshakeMs),
 	}
@@ -90,7 +90,7 @@
 			StallAt:      s.Origin.StallAt,
 			Stall:        s.Origin.Stall,
 			FallMultiple: s.Origin.FallMultiple,
-			FallFor:      Span(s.Origin.FallS),
+			FallFor:      SecondsToDuration(s.Origin.FallS),
 		},
 	}
 	if s.Allowed.Mode == "through" {
@@ -109,16 +109,16 @@
 	return world.TrafficPlan{
 		PerSecond: t.PerSecond,
 		Swing:     t.Swing,
-		Wave:      Span(t.WaveS),
+		Wave:      SecondsToDuration(t.WaveS),
 		Keys:      t.Keys,
 		Zipf:      t.Zipf,
 		Classes:   s.WorldClasses(),
 		Seed:      uint32(s.Seed) ^ seedMask,
 		Jitter:    t.Jitter,
 		Leaves:    t.Leaves,
-		LeaveMost: Span(t.LeaveMs / 1000),
+		LeaveMost: SecondsToDuration(t.LeaveMs / 1000),
 		Short:     t.Short,
-		ShortMost: Span(t.ShortMs / 1000),
+		ShortMost: SecondsToDuration(t.ShortMs / 1000),
 	}
 }
 
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -14,7 +14,7 @@
 
 // clientLatency draws the one-way latency between a client and a node.
 func (sim *Simulation) clientLatency() time.Duration {
-	return sim.jittered(scenario.Span(sim.scenario.Network.ClientMs / 1000))
+	return sim.jittered(scenario.SecondsToDuration(sim.scenario.Network.ClientMs / 1000))
 }
 
 // serverLatency draws the one-way latency between a node and a server.
@@ -23,12 +23,12 @@
 	if zone := sim.world.Servers[server].Zone; zone != "" && zone != n.settings.Policy.Zone {
 		ms = sim.scenario.Network.CrossZoneMs
 	}
-	return sim.jittered(scenario.Span(ms / 1000))
+	return sim.jittered(scenario.SecondsToDuration(ms / 1000))
 }
 
 // connectTimeout is how long a node waits for a connection to come up.
 func (sim *Simulation) connectTimeout() time.Duration {
-	return scenario.Span(sim.scenario.Allowed.ConnectMs / 1000)
+	return scenario.SecondsToDuration(sim.scenario.Allowed.ConnectMs / 1000)
 }
 
 // connectDelay draws how much later than usual a new connection to a cache comes up.
@@ -37,7 +37,7 @@
 	if network.LateShare == 0 || sim.world.IsOrigin(server) || sim.random.Float64() >= network.LateShare {
 		return 0
 	}
-	return time.Duration(sim.random.Float64() * float64(scenario.Span(network.LateMs/1000)))
+	return time.Duration(sim.random.Float64() * float64(scenario.SecondsToDuration(network.LateMs/1000)))
 }
 
 // ResetConnections resets all connections to a server; the attempts on them are lost one network latency later.
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -46,12 +46,12 @@
 	}
 	delayRange := sim.scenario.Discovery.NoticeS
 	if sim.registry.Bounded() {
-		sim.after(scenario.Span(delayRange[0]), func() { sim.publish(e) })
+		sim.after(scenario.SecondsToDuration(delayRange[0]), func() { sim.publish(e) })
 		return
 	}
 	shortest := time.Duration(math.MaxInt64)
 	for _, n := range sim.nodes {
-		delay := scenario.Span(delayRange[0] + (delayRange[1]-delayRange[0])*sim.random.Float64())
+		delay := scenario.SecondsToDuration(delayRange[0] + (delayRange[1]-delayRange[0])*sim.random.Float64())
 		shortest = min(shortest, delay)
 		incarnation := n.incarnation
 		sim.after(delay, func() {
@@ -91,7 +91,7 @@
 	}
 	entries := runner.Endpoints(sim.world)
 	incarnation := n.incarnation
-	sim.after(scenario.Span(sim.scenario.Discovery.NoticeS[0]), func() {
+	sim.after(scenario.SecondsToDuration(sim.scenario.Discovery.NoticeS[0]), func() {
 		if n.incarnation == incarnation && sim.discoveryUp {
 			n.updateEndpoints(policy.CompleteUpdate, entries)
 		}
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -121,7 +121,7 @@
 	sim.checker = checker.New(checker.Rules{
 		Classes:        settings.Policy.Classes,
 		HedgingAllowed: s.Allowed.Hedging,
-		Grace:          scenario.Span(s.Allowed.GraceMs / 1000),
+		Grace:          scenario.SecondsToDuration(s.Allowed.GraceMs / 1000),
 		Slack:          networkSlack,
 	})
 	observer := &runner.WorldObserver{Checker: sim.checker, Log: sim.log, Rig: sim}
