--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -152,11 +152,11 @@
 func isBroken(r *report.Report) bool { return r.MachineTooBusy == "" && !r.Good() }
 
 func printRun(out io.Writer, s *scenario.Scenario, r *report.Report) {
-	if r.Together == nil || r.Together.View == nil {
+	if r.Membership == nil || r.Membership.View == nil {
 		fmt.Fprintf(out, "%s: no node had a view\n", s.Name)
 		return
 	}
-	view := r.Together.View
+	view := r.Membership.View
 	slowest := 0.0
 	if len(view.Detect) > 0 {
 		slowest = view.Detect[len(view.Detect)-1]
--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -75,7 +75,7 @@
 // checkViews expects the nodes' views of one another to follow what happened to nodes. A run without views, or
 // whose trace has gaps, shows nothing and fails.
 func (r *Report) checkViews(s *scenario.Scenario) {
-	f := r.Together
+	f := r.Membership
 	if f == nil || s.Membership.Engine == fleetconfig.EnginePlain {
 		return
 	}
--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -26,7 +26,7 @@
 			fmt.Fprintln(to, e)
 		}
 	}
-	r.Together.print(to, time.Duration(r.Seconds*1e9))
+	r.Membership.print(to, time.Duration(r.Seconds*1e9))
 	for i, b := range r.Breaches {
 		if i == maxPrintedBreaches {
 			fmt.Fprintf(to, "... and %d more\n", len(r.Breaches)-i)
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -68,7 +68,7 @@
 	Events             []EventLine      `json:"events"`
 	Records            []eventlog.Event `json:"-"`
 	Dropped            int              `json:"records_dropped,omitempty"`
-	Together           *Fleet           `json:"together,omitempty"`
+	Membership           *Fleet           `json:"together,omitempty"`
 	Coverage           *coverage.Table  `json:"coverage,omitempty"` // what each fault met; nil in virtual time
 }
 
@@ -105,7 +105,7 @@
 	r.RecoveredAt = l.recovered(first, last)
 	if l.Views != nil {
 		views := l.Views.From(l.startedAt)
-		r.Together = newFleet(views, scenario.SecondsToDuration(s.Membership.PauseS), policy.Instant(s.Duration()))
+		r.Membership = newFleet(views, scenario.SecondsToDuration(s.Membership.PauseS), policy.Instant(s.Duration()))
 	}
 	if l.Played > 0 && float64(l.Late) > maxLateShare*float64(l.Played) {
 		r.MachineTooBusy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.Played, LateArrival)
