--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -218,7 +218,7 @@
 		verdict = "BROKEN"
 	}
 	fmt.Fprintf(out, "%s: %d nodes, %d caches, %d events, rules %v, benefit in time %.3f: %s\n",
-		schedule.Name, r.Nodes, r.Caches, len(schedule.Events), r.Rules, r.Gain, verdict)
+		schedule.Name, r.Nodes, r.Caches, len(schedule.Events), r.Rules, r.BenefitInTime, verdict)
 	if !isBroken(r) {
 		return nil
 	}
--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -61,7 +61,7 @@
 // printTotals writes the figures of the whole fleet.
 func (r *Report) printTotals(to io.Writer) {
 	fmt.Fprintf(to, "benefit in time %.4f; %.3f legs for each request, at most %d a second at the origin\n",
-		r.Gain, r.AttemptsPerRequest, r.MaxOriginAttempts)
+		r.BenefitInTime, r.AttemptsPerRequest, r.MaxOriginAttempts)
 	fmt.Fprintln(to, "course:", r.sparkline())
 	fmt.Fprint(to, "over the fleet, in all and most in a second:")
 	for _, name := range scenario.CountNames {
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -54,7 +54,7 @@
 	Nodes              int              `json:"nodes"`
 	Caches             int              `json:"caches"`
 	Seconds            float64          `json:"seconds"`
-	Gain               float64          `json:"benefit_in_time"` // share of all benefit asked
+	BenefitInTime               float64          `json:"benefit_in_time"` // share of all benefit asked
 	AttemptsPerRequest float64          `json:"legs_per_request"`
 	MaxOriginAttempts  int              `json:"most_origin_legs_per_s"`
 	RecoveredAt        float64          `json:"recovered_at_s"` // second, as Log.recovered
@@ -138,7 +138,7 @@
 		asked += class.PriorityWeight * float64(counts.First)
 		inTime += class.PriorityWeight * float64(counts.FirstInTime)
 	}
-	r.Gain = inTime / max(asked, 1e-9)
+	r.BenefitInTime = inTime / max(asked, 1e-9)
 	return tries
 }
 
--- a/internal/emulator/simulation/admission_test.go
+++ b/internal/emulator/simulation/admission_test.go
@@ -117,9 +117,9 @@
 			t.Parallel()
 			r := play(t, c.scenario(t), "module", Module)
 			wasted := r.Most("vain_legs")
-			t.Logf("breaches %v, benefit in time %.3f, attempts in vain in a second %d", r.Rules, r.Gain, wasted)
-			if r.Rules != [4]uint64{} || r.Gain < c.minGain || wasted > c.maxWasted {
-				t.Errorf("breaches %v, benefit in time %.3f, attempts in vain in a second %d", r.Rules, r.Gain, wasted)
+			t.Logf("breaches %v, benefit in time %.3f, attempts in vain in a second %d", r.Rules, r.BenefitInTime, wasted)
+			if r.Rules != [4]uint64{} || r.BenefitInTime < c.minGain || wasted > c.maxWasted {
+				t.Errorf("breaches %v, benefit in time %.3f, attempts in vain in a second %d", r.Rules, r.BenefitInTime, wasted)
 			}
 		})
 	}
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -34,9 +34,9 @@
 				t.Parallel()
 				r, _ := playFleet(t, "empty-start", nodes, seed+1)
 				summary := fmt.Sprintf("breaches %v, %d requests in the worst second, benefit in time %.3f", r.Rules,
-					r.MaxOriginAttempts, r.Gain)
+					r.MaxOriginAttempts, r.BenefitInTime)
 				t.Log(summary)
-				if r.Rules != [4]uint64{} || r.MaxOriginAttempts > 800 || r.Gain < gain {
+				if r.Rules != [4]uint64{} || r.MaxOriginAttempts > 800 || r.BenefitInTime < gain {
 					t.Error(summary)
 				}
 			})
@@ -74,9 +74,9 @@
 			}
 			ramped := run.world.MaxColdLoad
 			summary := fmt.Sprintf("breaches %v, %.2f of the load that a cold cache withstands, benefit in time %.3f",
-				r.Rules, ramped, r.Gain)
+				r.Rules, ramped, r.BenefitInTime)
 			t.Log(summary)
-			if r.Rules != [4]uint64{} || ramped > c.maxRamped || ramped == 0 || r.Gain < c.minGain {
+			if r.Rules != [4]uint64{} || ramped > c.maxRamped || ramped == 0 || r.BenefitInTime < c.minGain {
 				t.Error(summary)
 			}
 		})
@@ -166,8 +166,8 @@
 			probes := r.Most("probes")
 			t.Logf("breaches %v, %d requests in the origin's worst second, %.2f of the load that a cold cache "+
 				"withstands, benefit in time %.3f, %d probes in a second",
-				r.Rules, r.MaxOriginAttempts, ramped, r.Gain, probes)
-			inBounds := r.MaxOriginAttempts <= c.maxOrigin && ramped <= c.maxRamped && r.Gain >= c.minGain
+				r.Rules, r.MaxOriginAttempts, ramped, r.BenefitInTime, probes)
+			inBounds := r.MaxOriginAttempts <= c.maxOrigin && ramped <= c.maxRamped && r.BenefitInTime >= c.minGain
 			if r.Rules != [4]uint64{} || !inBounds || probes == 0 {
 				t.Errorf("out of bounds, see above; breaches %v", r.Breaches)
 			}
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -239,9 +239,9 @@
 		r := play(t, c.scenario, "module", Module)
 		polls := r.Most("list_calls")
 		wasted := r.Most("vain_legs")
-		if r.Rules != [4]uint64{} || r.Gain < 0.97 || polls > c.maxPolls || wasted > c.maxWasted {
+		if r.Rules != [4]uint64{} || r.BenefitInTime < 0.97 || polls > c.maxPolls || wasted > c.maxWasted {
 			t.Errorf("%s: breaches %v, benefit in time %.3f, polls %d and attempts in vain %d in a second",
-				name, r.Rules, r.Gain, polls, wasted)
+				name, r.Rules, r.BenefitInTime, polls, wasted)
 		}
 		allWasted := 0
 		for _, second := range r.Course {
@@ -285,8 +285,8 @@
 		s.Classes[2].Scope = "group"
 		s.Events = append(s.Events, scenario.Event{AtS: 10, Do: "drain", Caches: []string{"c2"}, ForS: 3})
 		r := play(t, s, name, Maker(m))
-		if r.Rules != [4]uint64{} || r.Gain < 0.9 {
-			t.Errorf("%s: %v %v %v", name, r.Rules, r.Gain, r.Breaches)
+		if r.Rules != [4]uint64{} || r.BenefitInTime < 0.9 {
+			t.Errorf("%s: %v %v %v", name, r.Rules, r.BenefitInTime, r.Breaches)
 		}
 	}
 	if _, err := baselines.Make("best"); err == nil {
