--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -297,7 +297,7 @@
 func (r *Rig) warm() {
 	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
-	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
+	world.WarmCaches(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
 func (r *Rig) ready(ctx context.Context) error {
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -140,7 +140,7 @@
 	s := sim.scenario
 	decider := sim.newDecider(sim.now, s.Seed, sim.settings.Policy)
 	decider.UpdateEndpoints(sim.now, policy.CompleteUpdate, runner.Endpoints(sim.world))
-	world.WarmBy(sim.world, decider.Route, sim.now, sim.traffic, s.Fleet.Keys*s.Fleet.Caches)
+	world.WarmCaches(sim.world, decider.Route, sim.now, sim.traffic, s.Fleet.Keys*s.Fleet.Caches)
 }
 
 // startNodes starts all nodes with the complete endpoint list.
--- a/internal/emulator/world/warm.go
+++ b/internal/emulator/world/warm.go
@@ -7,10 +7,10 @@
 	"dahliapin/policy"
 )
 
-// WarmBy fills the caches with the most popular keys of the traffic, at most so many, the most popular last, as a
+// WarmCaches fills the caches with the most popular keys of the traffic, at most so many, the most popular last, as a
 // fleet that has served for long would hold them. route is that of a decider that is not used again. It routes each
 // of three requests for a key to the least loaded of its replicas, so that three of them get the key.
-func WarmBy(
+func WarmCaches(
 	w *World, route func(policy.Instant, *policy.Request) policy.Decision, now policy.Instant, t *Traffic, maxKeys int,
 ) {
 	class := slices.IndexFunc(t.Classes, func(c Class) bool { return !c.Write })
