--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -116,7 +116,7 @@
 		Seed:      uint32(s.Seed) ^ seedMask,
 		Jitter:    t.Jitter,
 		Leaves:    t.Leaves,
-		LeaveMost: SecondsToDuration(t.LeaveMs / 1000),
+		MaxLeaveTime: SecondsToDuration(t.LeaveMs / 1000),
 		Short:     t.Short,
 		ShortMost: SecondsToDuration(t.ShortMs / 1000),
 	}
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -42,7 +42,7 @@
 	Seed      uint32
 	Jitter    float64 // share of a backoff that is added to it at most
 	Leaves    float64 // share of tries whose client leaves before its deadline
-	LeaveMost time.Duration
+	MaxLeaveTime time.Duration
 	Short     float64 // share of tries whose client waits less than its class's deadline
 	ShortMost time.Duration
 }
@@ -124,7 +124,7 @@
 	if random.Float64() >= t.Leaves {
 		return 0
 	}
-	return max(1, time.Duration(random.Float64()*float64(t.LeaveMost)))
+	return max(1, time.Duration(random.Float64()*float64(t.MaxLeaveTime)))
 }
 
 // clientTimeout is how long the client of a try waits: its class's deadline, or half to all of the short time. It
