--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -118,7 +118,7 @@
 		Leaves:    t.Leaves,
 		MaxLeaveTime: SecondsToDuration(t.LeaveMs / 1000),
 		Short:     t.Short,
-		ShortMost: SecondsToDuration(t.ShortMs / 1000),
+		MaxShortDeadline: SecondsToDuration(t.ShortMs / 1000),
 	}
 }
 
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -44,7 +44,7 @@
 	Leaves    float64 // share of tries whose client leaves before its deadline
 	MaxLeaveTime time.Duration
 	Short     float64 // share of tries whose client waits less than its class's deadline
-	ShortMost time.Duration
+	MaxShortDeadline time.Duration
 }
 
 // Traffic draws open-loop arrivals: clients send whether or not earlier requests have been answered.
@@ -134,7 +134,7 @@
 	if random.Float64() >= t.Short {
 		return usual
 	}
-	return min(usual, max(1, time.Duration((1+random.Float64())/2*float64(t.ShortMost))))
+	return min(usual, max(1, time.Duration((1+random.Float64())/2*float64(t.MaxShortDeadline))))
 }
 
 func (t *Traffic) newID() string {
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -304,7 +304,7 @@
 		Classes:   classes,
 		Seed:      3,
 		Short:     0.25,
-		ShortMost: 200 * time.Millisecond,
+		MaxShortDeadline: 200 * time.Millisecond,
 	})
 	short := 0
 	for range 2000 {
