--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -109,7 +109,7 @@
 	return world.TrafficPlan{
 		PerSecond: t.PerSecond,
 		Swing:     t.Swing,
-		Wave:      SecondsToDuration(t.WaveS),
+		SwingPeriod:      SecondsToDuration(t.WaveS),
 		Keys:      t.Keys,
 		Zipf:      t.Zipf,
 		Classes:   s.WorldClasses(),
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -35,7 +35,7 @@
 type TrafficPlan struct {
 	PerSecond float64
 	Swing     float64       // share by which the rate rises and falls
-	Wave      time.Duration // the period of that
+	SwingPeriod      time.Duration // the period of that
 	Keys      int
 	Zipf      float64 // exponent of popularity
 	Classes   []Class
@@ -79,8 +79,8 @@
 // Rate is the number of first tries a second at an instant.
 func (t *Traffic) Rate(now policy.Instant) float64 {
 	rate := t.PerSecond * t.burst
-	if t.Wave > 0 {
-		rate *= 1 + t.Swing*math.Sin(2*math.Pi*float64(now)/float64(t.Wave))
+	if t.SwingPeriod > 0 {
+		rate *= 1 + t.Swing*math.Sin(2*math.Pi*float64(now)/float64(t.SwingPeriod))
 	}
 	return rate
 }
