--- a/internal/control/controlserver/purges_test.go
+++ b/internal/control/controlserver/purges_test.go
@@ -88,7 +88,7 @@
 		t.Error("a purged value is served")
 	}
 
-	caches[1].Break(cachestub.Refuse, 0)
+	caches[1].SetFault(cachestub.Refuse, 0)
 	indexes := c.publish(newPurges(10, 2500))
 	o := c.overviewWhen("two of three are done", func(o controlclient.Overview) bool {
 		return len(o.Caches) == 3 && o.Caches[0].Missing == 0 && o.Caches[2].Missing == 0 &&
@@ -111,7 +111,7 @@
 	}
 
 	c.stop(testServers - 1)
-	caches[1].Break(cachestub.None, 0)
+	caches[1].SetFault(cachestub.None, 0)
 	c.start(testServers-1, false)
 	c.overviewWhen("all three are done", func(o controlclient.Overview) bool {
 		return complete(o) && len(o.Caches[1].Servers) == testServers
--- a/internal/control/purger/connection_test.go
+++ b/internal/control/purger/connection_test.go
@@ -66,9 +66,9 @@
 	b.addPurger()
 	b.addPurger()
 	for i, fault := range faults {
-		b.caches[i].Break(fault, 0)
+		b.caches[i].SetFault(fault, 0)
 	}
-	b.caches[slow].Break(cachestub.None, 20*time.Millisecond)
+	b.caches[slow].SetFault(cachestub.None, 20*time.Millisecond)
 	for i, cache := range b.caches {
 		cache.Fill("key-1", uint64(i))
 	}
@@ -85,7 +85,7 @@
 		if progress.Done != 0 || progress.Reason == "" || progress.Overdue == 0 && i == 1 {
 			t.Errorf("fault %d: progress %+v", faults[i], progress)
 		}
-		b.caches[i].Break(cachestub.None, 0)
+		b.caches[i].SetFault(cachestub.None, 0)
 	}
 	for i := range b.caches {
 		b.waitDone(0, fmt.Sprint("c", i))
--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -105,14 +105,14 @@
 	_, _ = cache.Serve("a")
 
 	cache.Fill("b", 1)
-	cache.Break(cachestub.Refuse, 0)
+	cache.SetFault(cachestub.Refuse, 0)
 	b.publish(2, "b", "c")
 	time.Sleep(testLongestFill / 4)
 	b.stop(0)
 	if v.cursorLeads {
 		writeCursor(t, b.dirs[0], "c0", purge.Cursor{Log: testLogID, Done: 3})
 	}
-	cache.Break(cachestub.None, 0)
+	cache.SetFault(cachestub.None, 0)
 	b.start(0)
 	if v.startsAtNewest {
 		b.purgers[0].MergeProgress([]purge.Progress{{Cache: "c0", Log: testLogID, Done: 3}})
--- a/internal/control/purger/purger_test.go
+++ b/internal/control/purger/purger_test.go
@@ -62,7 +62,7 @@
 		defer b.purgers[0].mu.Unlock()
 		return b.purgers[0].caches["c0"].saved.Done == 10
 	})
-	b.caches[0].Break(cachestub.Silent, 0)
+	b.caches[0].SetFault(cachestub.Silent, 0)
 	b.publish(3, numberedKeys(10)...)
 	b.stop(0)
 	b.publish(4, numberedKeys(10)...)
@@ -70,7 +70,7 @@
 	if progress := b.progress(0, "c0"); progress.Done != 10 {
 		t.Errorf("%+v", progress)
 	}
-	b.caches[0].Break(cachestub.None, 0)
+	b.caches[0].SetFault(cachestub.None, 0)
 	b.waitDone(0, "c0")
 	b.waitDone(0, "c1")
 
--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -96,8 +96,8 @@
 	c.closeConns()
 }
 
-// Break sets what goes wrong, and the delay of each answer.
-func (c *Cache) Break(fault Fault, delay time.Duration) {
+// SetFault sets what goes wrong, and the delay of each answer.
+func (c *Cache) SetFault(fault Fault, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = fault
@@ -112,7 +112,7 @@
 // Close ends it.
 func (c *Cache) Close() {
 	_ = c.listener.Close()
-	c.Break(Refuse, 0)
+	c.SetFault(Refuse, 0)
 	c.serving.Wait()
 }
 
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -159,7 +159,7 @@
 // cutCache has a cache not answer for a while; it keeps its contents.
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
-	c.Break(cachestub.Silent, 0)
+	c.SetFault(cachestub.Silent, 0)
 	r.caches.cut = c.Name()
 	r.log("%s is silent", c.Name())
 	var all sync.WaitGroup
@@ -176,7 +176,7 @@
 				x.Cache, x.Missing, o.Last, strings.Join(why, "; "))
 		}
 	}
-	c.Break(cachestub.None, 0)
+	c.SetFault(cachestub.None, 0)
 	r.caches.back = gossip.BootTime()
 	all.Wait()
 	return err
