--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -59,7 +59,7 @@
 	if r.faults == nil {
 		return nil
 	}
-	return r.scenario.Charter(number, r.label(), r.gossipAddrs, r.proxies[number])
+	return r.scenario.FleetConfig(number, r.label(), r.gossipAddrs, r.proxies[number])
 }
 
 // traced hears a line of a process's trace.
@@ -149,7 +149,7 @@
 	}
 	all := slices.Clone(m.r.gossipAddrs)
 	all[m.number] = hears
-	return m.r.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.r.scenario.Charter(m.number, m.r.label(), all, nil),
+	return m.r.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.r.scenario.FleetConfig(m.number, m.r.label(), all, nil),
 		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
 }
 
--- a/internal/emulator/scenario/together.go
+++ b/internal/emulator/scenario/together.go
@@ -70,8 +70,8 @@
 	return ps
 }
 
-// Charter is the file by which a node joins the others: where each of them hears, and the way to it.
-func (s *Scenario) Charter(node int, label string, hears []string, ways map[string]string) []byte {
+// FleetConfig is the file by which a node joins the others: where each of them hears, and the way to it.
+func (s *Scenario) FleetConfig(node int, label string, hears []string, ways map[string]string) []byte {
 	var b strings.Builder
 	t := s.Membership
 	fmt.Fprintf(&b, "[fleet]\nlabel = %q\nlisten = %q\nengine = %q\nseeds = [", label, hears[node], t.Engine)
