--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -61,7 +61,7 @@
 
 // start starts its node, with the list as its agent last had it.
 func (m *member) start(replaces bool) error {
-	if m.r.scenario.Operated() {
+	if m.r.scenario.HasOperatorCalls() {
 		var err error
 		if m.ops, err = freeport.Free(); err != nil { // new for each process: two may be up at once
 			return err
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -91,8 +91,8 @@
 // stale is the fault of an HTTP cache that answers with what it may not serve any more.
 const stale = "stale"
 
-// Operated tells whether operators call nodes.
-func (s *Scenario) Operated() bool {
+// HasOperatorCalls tells whether operators call nodes.
+func (s *Scenario) HasOperatorCalls() bool {
 	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == upgrade || e.Do == standby || e.Do == scrape })
 }
 
@@ -104,7 +104,7 @@
 // OnSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
 // whatever nodes do.
 func (s *Scenario) OnSockets() bool {
-	return s.Operated() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
+	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
 	})
 }
