--- a/internal/emulator/runner/describe.go
+++ b/internal/emulator/runner/describe.go
@@ -9,7 +9,7 @@
 // describe is an event's line in the log of the run.
 func describe(s *scenario.Scenario, e *scenario.Event) string {
 	text := e.Do
-	if ids := s.Chosen(e); len(ids) > 0 {
+	if ids := s.SelectedCaches(e); len(ids) > 0 {
 		text += fmt.Sprint(" ", ids)
 	}
 	if members := s.Members(e); len(members) > 0 {
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -77,7 +77,7 @@
 
 // eachServer does something to each server of an event, spread over its time.
 func (r *Run) eachServer(e *event, do func(at policy.Instant, server int)) {
-	ids := r.scenario.Chosen(e.Event)
+	ids := r.scenario.SelectedCaches(e.Event)
 	for i, id := range ids {
 		r.spread(e, i, len(ids), func(at policy.Instant) {
 			if server, ok := r.world.Find(id); ok {
--- a/internal/emulator/scenario/choose.go
+++ b/internal/emulator/scenario/choose.go
@@ -10,8 +10,8 @@
 	"dahliapin/policy"
 )
 
-// Chosen returns the caches that an event concerns, in the order of their names' hashes where it chooses by a part.
-func (s *Scenario) Chosen(e *Event) (ids []policy.EndpointID) {
+// SelectedCaches returns the caches that an event concerns, in the order of their names' hashes where it chooses by a part.
+func (s *Scenario) SelectedCaches(e *Event) (ids []policy.EndpointID) {
 	for _, name := range e.Caches {
 		ids = append(ids, policy.EndpointID(name))
 	}
