--- a/internal/emulator/runner/describe.go
+++ b/internal/emulator/runner/describe.go
@@ -12,7 +12,7 @@
 	if ids := s.SelectedCaches(e); len(ids) > 0 {
 		text += fmt.Sprint(" ", ids)
 	}
-	if members := s.Members(e); len(members) > 0 {
+	if members := s.SelectedNodes(e); len(members) > 0 {
 		text += fmt.Sprint(" nodes ", members)
 	}
 	if e.Factor > 0 {
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -182,7 +182,7 @@
 
 // scrapeNodes reads the metrics of all nodes at once, whatever time the event is spread over.
 func (r *Run) scrapeNodes(e *event) {
-	for _, number := range r.scenario.Members(e.Event) {
+	for _, number := range r.scenario.SelectedNodes(e.Event) {
 		r.rig.ScrapeNode(number-1, e.end)
 	}
 }
@@ -200,7 +200,7 @@
 
 // twinNodes starts all twins at once, whatever time the event is spread over.
 func (r *Run) twinNodes(e *event) {
-	for _, number := range r.scenario.Members(e.Event) {
+	for _, number := range r.scenario.SelectedNodes(e.Event) {
 		r.rig.StartDuplicateNode(number - 1)
 	}
 }
@@ -246,7 +246,9 @@
 }
 
 func (r *Run) delayBetween(e *event) {
-	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Jitter = scenario.SecondsToDuration(valueIf(on, e.LateMs) / 1000) })
+	r.changeBetween(e, func(link *netfault.Link, on bool) {
+		link.Jitter = scenario.SecondsToDuration(valueIf(on, e.LateMs) / 1000)
+	})
 }
 
 func valueIf(on bool, value float64) float64 {
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -89,7 +89,7 @@
 
 // eachNode does something to each node of an event, spread over its time.
 func (r *Run) eachNode(e *event, do func(at policy.Instant, node int)) {
-	members := r.scenario.Members(e.Event)
+	members := r.scenario.SelectedNodes(e.Event)
 	for i, number := range members {
 		r.spread(e, i, len(members), func(at policy.Instant) { do(at, number-1) })
 	}
--- a/internal/emulator/scenario/choose.go
+++ b/internal/emulator/scenario/choose.go
@@ -29,8 +29,8 @@
 	return ids
 }
 
-// Members returns the numbers of the nodes that an event concerns, from 1.
-func (s *Scenario) Members(e *Event) []int {
+// SelectedNodes returns the numbers of the nodes that an event concerns, from 1.
+func (s *Scenario) SelectedNodes(e *Event) []int {
 	if !kinds[e.Do].nodes || e.Part == 0 {
 		return e.Nodes
 	}
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -123,7 +123,7 @@
 		return nil
 	}
 	var nodes []int
-	for _, number := range s.Members(e) {
+	for _, number := range s.SelectedNodes(e) {
 		nodes = append(nodes, number-1)
 	}
 	return nodes
