--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -428,7 +428,7 @@
 // A cache of the emulator's carries purges out: what it held is gone, and it says whether it held it.
 func TestACacheCarriesPurgesOut(t *testing.T) {
 	s := parse(t, small)
-	terms, err := s.TermsAt("")
+	terms, err := s.DecodedSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -112,7 +112,7 @@
 
 // Play plays a scenario on sockets and returns what came of it. A cancelled context ends it early, without a report.
 func Play(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
-	deployment, err := s.TermsAt(s.Fleet.Zones[0])
+	deployment, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -212,7 +212,7 @@
 	if len(s.Levels) == 0 {
 		return
 	}
-	if terms, err := s.TermsAt(""); err == nil { // else the classes are at fault, which is reported
+	if terms, err := s.DecodedSettings(""); err == nil { // else the classes are at fault, which is reported
 		listeners.CheckLevels(c, s.Levels, &terms)
 	}
 }
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -43,8 +43,8 @@
 	return text
 }
 
-// TermsAt is what a node in a zone goes by.
-func (s *Scenario) TermsAt(zone string) (settings.Settings, error) {
+// DecodedSettings is what a node in a zone goes by.
+func (s *Scenario) DecodedSettings(zone string) (settings.Settings, error) {
 	v, err := fastjson.ParseBytes(s.Settings(zone))
 	if err != nil {
 		return settings.Settings{}, err
--- a/internal/emulator/scenario/stated_test.go
+++ b/internal/emulator/scenario/stated_test.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if terms, err := s.TermsAt("a"); err != nil || terms.Policy.Nodes != want {
+		if terms, err := s.DecodedSettings("a"); err != nil || terms.Policy.Nodes != want {
 			t.Errorf("%q: nodes go by %d (%v), not %d", stated, terms.Policy.Nodes, err, want)
 		}
 	}
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -82,7 +82,7 @@
 // Play plays a scenario. The decider's name is for the report. It fails on a scenario that needs real processes, on one
 // whose settings are wrong, and on a decider that loops.
 func Play(s *scenario.Scenario, name string, newDecider Maker) (*report.Report, *Simulation, error) {
-	settings, err := s.TermsAt(s.Fleet.Zones[0])
+	settings, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
 		return nil, nil, err
 	}
@@ -155,7 +155,7 @@
 		}
 		if zone := s.ZoneOf(i); zone != s.Fleet.Zones[0] {
 			var err error
-			n.settings, err = s.TermsAt(zone)
+			n.settings, err = s.DecodedSettings(zone)
 			if err != nil {
 				return err
 			}
