--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	number := m.number
-	p, err := m.r.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.r.scenario.Operator(m.http), Fleet: m.r.charter(number),
+	p, err := m.r.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.r.scenario.OperatorConfig(m.http), Fleet: m.r.charter(number),
 		OnRecord: func(e eventlog.Event, at time.Time) { m.r.note(number, e, at) }, OnTrace: m.r.traced})
 	if err != nil {
 		return fmt.Errorf("node %s does not start: %w", m.name, err)
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -56,9 +56,9 @@
 	return terms, nil
 }
 
-// Operator is the file of a node whose clients speak HTTP at an address, as internal/emulator/client does, or that has service levels;
+// OperatorConfig is the file of a node whose clients speak HTTP at an address, as internal/emulator/client does, or that has service levels;
 // nil where there are neither.
-func (s *Scenario) Operator(listen string) []byte {
+func (s *Scenario) OperatorConfig(listen string) []byte {
 	var text string
 	if s.Traffic.Protocol == listeners.ProtocolHTTP {
 		text = fmt.Sprintf(`[[listener]]
