--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.InVirtualTime() {
+	if s.NeedsVirtualTime() {
 		return nil, errVirtualOnly
 	}
 	r := newRig(s, deployment, starter, progress)
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -96,8 +96,8 @@
 	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == upgrade || e.Do == standby || e.Do == scrape })
 }
 
-// InVirtualTime tells whether a script has what there is in virtual time only.
-func (s *Scenario) InVirtualTime() bool {
+// NeedsVirtualTime tells whether a script has what there is in virtual time only.
+func (s *Scenario) NeedsVirtualTime() bool {
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
 
