--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -101,9 +101,9 @@
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
 
-// OnSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
+// NeedsSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
 // whatever nodes do.
-func (s *Scenario) OnSockets() bool {
+func (s *Scenario) NeedsSockets() bool {
 	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
 	})
--- a/internal/emulator/simulation/decisions_test.go
+++ b/internal/emulator/simulation/decisions_test.go
@@ -47,7 +47,7 @@
 	var got []string
 	t.Run("play", func(t *testing.T) {
 		for _, name := range rehearsals.Names() {
-			if loadRehearsal(t, name).OnSockets() {
+			if loadRehearsal(t, name).NeedsSockets() {
 				continue
 			}
 			for _, mode := range []string{"aside", "through"} {
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if s.OnSockets() {
+	if s.NeedsSockets() {
 		return nil, nil, errNeedsSockets
 	}
 	sim := newSimulation(s, settings, newDecider)
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -46,7 +46,7 @@
 	for _, name := range rehearsals.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if loadRehearsal(t, name).OnSockets() {
+			if loadRehearsal(t, name).NeedsSockets() {
 				t.Skip("plays on sockets only")
 			}
 			checkExpectations(t, name)
