--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -110,7 +110,7 @@
 		for i := 1; i < 12; i += 2 { // zone b
 			far += result.Servers[i].Attempts
 		}
-		if (far == 0) != isMigrated || result.Classes[0].Asked == 0 || !result.Good() {
+		if (far == 0) != isMigrated || result.Classes[0].Asked == 0 || !result.Passed() {
 			var text strings.Builder
 			result.Print(&text)
 			t.Errorf("migrated: %v, %d attempts crossed zones\n%s", isMigrated, far, &text)
--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -149,7 +149,7 @@
 }
 
 // isBroken tells whether a run broke a rule. One for which the machine was too busy proves nothing.
-func isBroken(r *report.Report) bool { return r.MachineTooBusy == "" && !r.Good() }
+func isBroken(r *report.Report) bool { return r.MachineTooBusy == "" && !r.Passed() }
 
 func printRun(out io.Writer, s *scenario.Scenario, r *report.Report) {
 	if r.Membership == nil || r.Membership.View == nil {
--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -71,7 +71,7 @@
 			return err
 		}
 	}
-	if !result.Good() {
+	if !result.Passed() {
 		return errNotMet
 	}
 	return nil
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -213,7 +213,7 @@
 	case r.MachineTooBusy != "":
 		t.notJudged++
 		verdict = "not judged: " + r.MachineTooBusy
-	case !r.Good():
+	case !r.Passed():
 		t.broken = append(t.broken, schedule.Name)
 		verdict = "BROKEN"
 	}
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -307,7 +307,7 @@
 			if rule == 0 && r.Rules != [4]uint64{} || rule > 0 && r.Rules[rule-1] == 0 {
 				t.Errorf("%v, %v", r.Rules, r.Breaches[:min(5, len(r.Breaches))])
 			}
-			if rule > 0 && r.Good() {
+			if rule > 0 && r.Passed() {
 				t.Error("called good")
 			}
 		})
@@ -396,7 +396,7 @@
 	dies := &stub{}
 	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
 	r, err := Play(context.Background(), parse(t, small), dies, nil)
-	if err != nil || r.Good() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
+	if err != nil || r.Passed() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
 		t.Errorf("a node that dies on its own: %v %v", err, r)
 	}
 }
@@ -406,11 +406,11 @@
 	s := parse(t, small)
 	l := report.NewLog(s, epoch)
 	l.Played, l.Late = 100, 3
-	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Good() || r.MachineTooBusy == "" {
+	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Passed() || r.MachineTooBusy == "" {
 		t.Error("judged")
 	}
 	l.Late = 2
-	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Good() {
+	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Passed() {
 		t.Error("not judged", r.Expected)
 	}
 }
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -189,8 +189,8 @@
 // FleetName stands for a node's name in records of the fleet as a whole.
 const FleetName = "fleet"
 
-// Good tells whether all expectations are met. It is false for a run on a machine that was too busy to keep its
+// Passed tells whether all expectations are met. It is false for a run on a machine that was too busy to keep its
 // times.
-func (r *Report) Good() bool {
+func (r *Report) Passed() bool {
 	return r.MachineTooBusy == "" && !slices.ContainsFunc(r.Expected, func(e Expected) bool { return !e.Met })
 }
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -56,7 +56,7 @@
 
 func checkExpectations(t *testing.T, name string) {
 	t.Helper()
-	if r := play(t, loadRehearsal(t, name), "module", Module); !r.Good() {
+	if r := play(t, loadRehearsal(t, name), "module", Module); !r.Passed() {
 		var said strings.Builder
 		r.Print(&said)
 		t.Error(said.String())
