--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -61,7 +61,7 @@
 	}
 	for _, name := range scenario.CountNames {
 		if most, ok := s.Expect.MaxPerS[name]; ok {
-			got := r.Most(name)
+			got := r.MaxPerSecond(name)
 			isMet := float64(got) <= most
 			r.expect(isMet, fmt.Sprint(got), "at most %g %s in a second over the whole fleet", most, name)
 		}
--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -69,7 +69,7 @@
 		for i := range r.Course {
 			total += r.Course[i].Counted(name)
 		}
-		fmt.Fprintf(to, " %s %d %d;", name, total, r.Most(name))
+		fmt.Fprintf(to, " %s %d %d;", name, total, r.MaxPerSecond(name))
 	}
 	fmt.Fprintln(to)
 }
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -167,8 +167,8 @@
 	return float64(latencies[i].Microseconds()) / 1000
 }
 
-// Most is the largest count in any second, over the whole fleet, by its name in scenarios.
-func (r *Report) Most(name string) int {
+// MaxPerSecond is the largest count in any second, over the whole fleet, by its name in scenarios.
+func (r *Report) MaxPerSecond(name string) int {
 	most := 0
 	for i := range r.Course {
 		most = max(most, r.Course[i].Counted(name))
--- a/internal/emulator/simulation/admission_test.go
+++ b/internal/emulator/simulation/admission_test.go
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, c.scenario(t), "module", Module)
-			wasted := r.Most("vain_legs")
+			wasted := r.MaxPerSecond("vain_legs")
 			t.Logf("breaches %v, benefit in time %.3f, attempts in vain in a second %d", r.Rules, r.BenefitInTime, wasted)
 			if r.Rules != [4]uint64{} || r.BenefitInTime < c.minGain || wasted > c.maxWasted {
 				t.Errorf("breaches %v, benefit in time %.3f, attempts in vain in a second %d", r.Rules, r.BenefitInTime, wasted)
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -163,7 +163,7 @@
 				t.Fatal(err)
 			}
 			ramped := run.world.MaxColdLoad
-			probes := r.Most("probes")
+			probes := r.MaxPerSecond("probes")
 			t.Logf("breaches %v, %d requests in the origin's worst second, %.2f of the load that a cold cache "+
 				"withstands, benefit in time %.3f, %d probes in a second",
 				r.Rules, r.MaxOriginAttempts, ramped, r.BenefitInTime, probes)
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -237,8 +237,8 @@
 		"rare":   {scenario: rare, maxPolls: 100, maxWasted: 10},
 	} {
 		r := play(t, c.scenario, "module", Module)
-		polls := r.Most("list_calls")
-		wasted := r.Most("vain_legs")
+		polls := r.MaxPerSecond("list_calls")
+		wasted := r.MaxPerSecond("vain_legs")
 		if r.Rules != [4]uint64{} || r.BenefitInTime < 0.97 || polls > c.maxPolls || wasted > c.maxWasted {
 			t.Errorf("%s: breaches %v, benefit in time %.3f, polls %d and attempts in vain %d in a second",
 				name, r.Rules, r.BenefitInTime, polls, wasted)
