--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -360,7 +360,7 @@
 			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
 				t.Errorf("%+v, %v", r.Classes, r.Events)
 			}
-			if at := r.FirstOf("c3", eventlog.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
+			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
 			}
 			met := r.Coverage
--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -45,11 +45,11 @@
 
 func (r *Report) checkEndpoints(s *scenario.Scenario) {
 	for _, a := range s.Expect.Avoided {
-		at := r.FirstOf(policy.EndpointID(a.Server), eventlog.EndpointAvoided)
+		at := r.FirstRecordAt(policy.EndpointID(a.Server), eventlog.EndpointAvoided)
 		r.expect(at >= 0 && at <= a.ByS, fmt.Sprintf("%.1f s", at), "%s is avoided by %g s", a.Server, a.ByS)
 	}
 	for _, id := range s.Expect.Drained {
-		at := r.FirstOf(policy.EndpointID(id), eventlog.EndpointDrained)
+		at := r.FirstRecordAt(policy.EndpointID(id), eventlog.EndpointDrained)
 		r.expect(at >= 0, fmt.Sprintf("%.1f s", at), "%s is drained", id)
 	}
 }
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -176,8 +176,8 @@
 	return most
 }
 
-// FirstOf is the second of the first record of a kind that the whole fleet has of a server; -1 for never.
-func (r *Report) FirstOf(id policy.EndpointID, kind string) float64 {
+// FirstRecordAt is the second of the first record of a kind that the whole fleet has of a server; -1 for never.
+func (r *Report) FirstRecordAt(id policy.EndpointID, kind string) float64 {
 	for _, e := range r.Records {
 		if e.Server == id && e.Kind == kind && e.Node == FleetName {
 			return time.Duration(e.At).Seconds()
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -112,9 +112,9 @@
 		s := loadRehearsal(t, "slow-quarter")
 		s.Seed = seed + 100
 		r := play(t, s, "module", Module)
-		c2 := r.FirstOf("c2", eventlog.EndpointAvoided)
-		c5 := r.FirstOf("c5", eventlog.EndpointAvoided)
-		c9 := r.FirstOf("c9", eventlog.EndpointAvoided)
+		c2 := r.FirstRecordAt("c2", eventlog.EndpointAvoided)
+		c5 := r.FirstRecordAt("c5", eventlog.EndpointAvoided)
+		c9 := r.FirstRecordAt("c9", eventlog.EndpointAvoided)
 		if c2 < 15 || c2 > 20 || c5 < 15 || c5 > 25 || c9 >= 0 && c9 < min(c2, c5) {
 			t.Errorf("seed %d: c2 (9 times slower) at %v, c5 (6) at %v, c9 (3) at %v", s.Seed, c2, c5, c9)
 		}
