--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -20,12 +20,12 @@
 
 // The faults.
 const (
-	None    Fault = iota
-	Silent        // it reads nothing and answers nothing, as one that hangs or is cut off
-	Refuse        // connections are closed at once
-	Garbage       // it answers what is no answer, and does nothing
-	Busy          // it answers that it has too much to do, and does nothing
-	CloseAfterCommand          // it ends the connection with each command, which it has carried out
+	None              Fault = iota
+	Silent                  // it reads nothing and answers nothing, as one that hangs or is cut off
+	Refuse                  // connections are closed at once
+	Garbage                 // it answers what is no answer, and does nothing
+	Busy                    // it answers that it has too much to do, and does nothing
+	CloseAfterCommand       // it ends the connection with each command, which it has carried out
 )
 
 // Cache is one cache server. Its methods may be called from any goroutine.
--- a/internal/emulator/checker/checker.go
+++ b/internal/emulator/checker/checker.go
@@ -60,11 +60,11 @@
 
 // Checker checks one run. It is used by one goroutine.
 type Checker struct {
-	Counts    [5]uint64 // breaches by rule, from 1
+	Counts                  [5]uint64 // breaches by rule, from 1
 	AttemptsAfterClientGone uint64    // attempts that began after their clients had gone, beyond what crosses
-	Breaches  []Breach
-	Classes   []Tally
-	Latencies [][]time.Duration // by class, of those satisfied
+	Breaches                []Breach
+	Classes                 []Tally
+	Latencies               [][]time.Duration // by class, of those satisfied
 
 	rules      Rules
 	requests   map[string]*request
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -54,7 +54,7 @@
 	Nodes              int              `json:"nodes"`
 	Caches             int              `json:"caches"`
 	Seconds            float64          `json:"seconds"`
-	BenefitInTime               float64          `json:"benefit_in_time"` // share of all benefit asked
+	BenefitInTime      float64          `json:"benefit_in_time"` // share of all benefit asked
 	AttemptsPerRequest float64          `json:"legs_per_request"`
 	MaxOriginAttempts  int              `json:"most_origin_legs_per_s"`
 	RecoveredAt        float64          `json:"recovered_at_s"` // second, as Log.recovered
@@ -68,7 +68,7 @@
 	Events             []EventLine      `json:"events"`
 	Records            []eventlog.Event `json:"-"`
 	Dropped            int              `json:"records_dropped,omitempty"`
-	Membership           *Fleet           `json:"together,omitempty"`
+	Membership         *Fleet           `json:"together,omitempty"`
 	Coverage           *coverage.Table  `json:"coverage,omitempty"` // what each fault met; nil in virtual time
 }
 
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -27,7 +27,9 @@
 )
 
 // SecondsToDuration turns seconds into whole nanoseconds.
-func SecondsToDuration(seconds float64) time.Duration { return time.Duration(math.Round(seconds * 1e9)) }
+func SecondsToDuration(seconds float64) time.Duration {
+	return time.Duration(math.Round(seconds * 1e9))
+}
 
 func ms(x float64) time.Duration { return SecondsToDuration(x / 1000) }
 
@@ -107,17 +109,17 @@
 	const seedMask = 0x5eed // draws of the traffic are others than those of the world
 	t := &s.Traffic
 	return world.TrafficPlan{
-		PerSecond: t.PerSecond,
-		Swing:     t.Swing,
+		PerSecond:        t.PerSecond,
+		Swing:            t.Swing,
 		SwingPeriod:      SecondsToDuration(t.WaveS),
-		Keys:      t.Keys,
-		Zipf:      t.Zipf,
-		Classes:   s.WorldClasses(),
-		Seed:      uint32(s.Seed) ^ seedMask,
-		Jitter:    t.Jitter,
-		Leaves:    t.Leaves,
-		MaxLeaveTime: SecondsToDuration(t.LeaveMs / 1000),
-		Short:     t.Short,
+		Keys:             t.Keys,
+		Zipf:             t.Zipf,
+		Classes:          s.WorldClasses(),
+		Seed:             uint32(s.Seed) ^ seedMask,
+		Jitter:           t.Jitter,
+		Leaves:           t.Leaves,
+		MaxLeaveTime:     SecondsToDuration(t.LeaveMs / 1000),
+		Short:            t.Short,
 		MaxShortDeadline: SecondsToDuration(t.ShortMs / 1000),
 	}
 }
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -6,21 +6,21 @@
 
 // Scenario is one rehearsal.
 type Scenario struct {
-	Name      string            `toml:"name"`
-	About     string            `toml:"about"`
-	Seed      int64             `toml:"seed"`
-	Seconds   float64           `toml:"seconds"`
-	Fleet     Fleet             `toml:"fleet"`
-	Origin    Origin            `toml:"origin"`
-	Network   Network           `toml:"network"`
-	Discovery Discovery         `toml:"discovery"`
-	Allowed   Allowed           `toml:"allowed"`
-	Traffic   Traffic           `toml:"traffic"`
-	Classes   []Class           `toml:"grade"`
-	Events    []Event           `toml:"event"`
-	Expect    Expect            `toml:"expect"`
-	Levels    []listeners.Level `toml:"level,omitempty"` // of all nodes
-	Membership  *Membership         `toml:"together"`
+	Name       string            `toml:"name"`
+	About      string            `toml:"about"`
+	Seed       int64             `toml:"seed"`
+	Seconds    float64           `toml:"seconds"`
+	Fleet      Fleet             `toml:"fleet"`
+	Origin     Origin            `toml:"origin"`
+	Network    Network           `toml:"network"`
+	Discovery  Discovery         `toml:"discovery"`
+	Allowed    Allowed           `toml:"allowed"`
+	Traffic    Traffic           `toml:"traffic"`
+	Classes    []Class           `toml:"grade"`
+	Events     []Event           `toml:"event"`
+	Expect     Expect            `toml:"expect"`
+	Levels     []listeners.Level `toml:"level,omitempty"` // of all nodes
+	Membership *Membership       `toml:"together"`
 }
 
 // Fleet says what caches and nodes there are.
@@ -151,15 +151,15 @@
 
 // Expect says what makes a run good, beside the four rules, which always hold.
 type Expect struct {
-	Satisfied   map[string]float64 `toml:"satisfied"` // share of first tries of a grade that were satisfied within the soft limit
-	P99Ms       map[string]float64 `toml:"p99_ms"`
-	Avoided     []Avoidance        `toml:"avoided"`
-	Drained     []string           `toml:"drained"`
-	MaxOriginPerS  float64            `toml:"origin_most_per_s"` // legs there in any second
-	RecoveredBy float64            `toml:"recovered_by_s"`    // from then on, no worse than before the first event
-	MaxPerS    map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
-	MaxAttemptsPerRequest      float64            `toml:"most_legs_per_request"`
-	Views       *int               `toml:"most_view_changes"` // at any node that nothing befell, after all had all
+	Satisfied             map[string]float64 `toml:"satisfied"` // share of first tries of a grade that were satisfied within the soft limit
+	P99Ms                 map[string]float64 `toml:"p99_ms"`
+	Avoided               []Avoidance        `toml:"avoided"`
+	Drained               []string           `toml:"drained"`
+	MaxOriginPerS         float64            `toml:"origin_most_per_s"` // legs there in any second
+	RecoveredBy           float64            `toml:"recovered_by_s"`    // from then on, no worse than before the first event
+	MaxPerS               map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
+	MaxAttemptsPerRequest float64            `toml:"most_legs_per_request"`
+	Views                 *int               `toml:"most_view_changes"` // at any node that nothing befell, after all had all
 }
 
 // CountNames are the things that all nodes do together which a script may bound in any second.
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -33,17 +33,17 @@
 
 // TrafficPlan describes what clients request.
 type TrafficPlan struct {
-	PerSecond float64
-	Swing     float64       // share by which the rate rises and falls
+	PerSecond        float64
+	Swing            float64       // share by which the rate rises and falls
 	SwingPeriod      time.Duration // the period of that
-	Keys      int
-	Zipf      float64 // exponent of popularity
-	Classes   []Class
-	Seed      uint32
-	Jitter    float64 // share of a backoff that is added to it at most
-	Leaves    float64 // share of tries whose client leaves before its deadline
-	MaxLeaveTime time.Duration
-	Short     float64 // share of tries whose client waits less than its class's deadline
+	Keys             int
+	Zipf             float64 // exponent of popularity
+	Classes          []Class
+	Seed             uint32
+	Jitter           float64 // share of a backoff that is added to it at most
+	Leaves           float64 // share of tries whose client leaves before its deadline
+	MaxLeaveTime     time.Duration
+	Short            float64 // share of tries whose client waits less than its class's deadline
 	MaxShortDeadline time.Duration
 }
 
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -299,11 +299,11 @@
 	classes := []Class{{Share: 1, Deadline: time.Second, Tries: 2}}
 	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: classes, Seed: 3})
 	hasty := NewTraffic(TrafficPlan{
-		PerSecond: 100,
-		Keys:      100,
-		Classes:   classes,
-		Seed:      3,
-		Short:     0.25,
+		PerSecond:        100,
+		Keys:             100,
+		Classes:          classes,
+		Seed:             3,
+		Short:            0.25,
 		MaxShortDeadline: 200 * time.Millisecond,
 	})
 	short := 0
