--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs the decisions of nodes on the simulator's wire: batches of events on standard input, replies
-// with actions on standard output, and what it ignores on standard error.
+// Command adapter runs node dispatchers over the simulator's wire protocol: it reads batches of events from standard
+// input, writes replies with actions to standard output, and reports ignored input on standard error.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// startNode makes the dispatcher of a node that starts.
+// startNode returns the dispatcher of a newly started node.
 func startNode(now policy.Instant, seed int64, settings policy.Settings, out *simwire.Writer) simwire.Node {
 	return dispatch.New(now, seed, settings, out)
 }
--- a/cmd/dahliapin/config.go
+++ b/cmd/dahliapin/config.go
@@ -11,11 +11,11 @@
 
 const checkName = "check"
 
-// configFiles are the files that a node is started with.
+// configFiles holds the paths of a node's configuration files.
 type configFiles struct {
 	config   string // the configuration
-	operator string // further listeners, caches that speak HTTP, degradation levels; empty for none
-	fleet    string // the fleet; empty for a node on its own
+	operator string // further listeners, HTTP caches and degradation levels; empty for none
+	fleet    string // the fleet; empty for a standalone node
 }
 
 // addFlags adds the flags for the files beside the configuration.
@@ -26,7 +26,7 @@
 		"file of the fleet that the node joins; without it, the node is on its own")
 }
 
-// read reads all files.
+// read reads the configuration and applies the environment and the other files to it.
 func (f *configFiles) read() (*node.Config, error) {
 	config, err := node.ReadConfig(f.config)
 	if err != nil {
--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -20,22 +20,22 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// cacheTraceSuffix is added to the path of a control server's trace for that of its caches.
+// cacheTraceSuffix is appended to a control server's trace path to name the trace of purges at its caches.
 const cacheTraceSuffix = ".caches"
 
-// controlCommand runs one control server of the log of changes.
+// controlCommand returns the command that runs one control server of the replicated log.
 func controlCommand() *cobra.Command {
 	var firstStart bool
 	var trace string
 	c := &cobra.Command{
 		Use:   "control FILE.toml",
-		Short: "Run one control machine of the fleet's log of changes until SIGTERM",
+		Short: "Run one control server of the fleet's replicated log until SIGTERM",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return runControlServer(args[0], firstStart, trace) },
 	}
 	c.Flags().BoolVar(&firstStart, "new", false, "the first start of a voter: its data folder may be empty")
 	c.Flags().StringVar(&trace, "trace", "",
-		"file to append a line to for each write to this machine's disk, by which a test checks the log")
+		"file to append a line to for each write to this server's disk, which tests check the log by")
 	return c
 }
 
@@ -65,14 +65,14 @@
 		defer cacheFile.Close()
 		config.OnPurgeProgress = tracePurges(cacheFile)
 	}
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	server, err := controlserver.Open(config)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-ends:
+	case <-terminate:
 	case <-server.Done():
 	}
 	server.Close()
@@ -82,12 +82,12 @@
 func openTrace(path string) (*os.File, error) {
 	file, err := openAppend(path)
 	if err != nil {
-		return nil, fmt.Errorf("the trace cannot be kept: %w", err)
+		return nil, fmt.Errorf("cannot open the trace file: %w", err)
 	}
 	return file, nil
 }
 
-// tracePurges writes a line for each cache at which purges are done up to a later index.
+// tracePurges returns a callback that writes a line whenever a cache's purges are done up to a later index.
 func tracePurges(file *os.File) func(purge.CacheID, purge.Cursor) {
 	var mu sync.Mutex
 	encoder := json.NewEncoder(file)
@@ -100,7 +100,7 @@
 	}
 }
 
-// traceWrites writes a line for each write to disk.
+// traceWrites returns a callback that writes a line for each write to disk.
 func traceWrites(file *os.File) func([]replicatedlog.Proposal) {
 	var mu sync.Mutex
 	writer := bufio.NewWriter(file)
--- a/cmd/dahliapin/main_test.go
+++ b/cmd/dahliapin/main_test.go
@@ -152,7 +152,7 @@
 	addr = strings.FieldsFunc(addr[strings.Index(addr, "127."):], func(c rune) bool { return c == '"' || c == ' ' })[0]
 	expect(polls, "first since=7")
 	for _, step := range []struct{ discovery, end, logs, polls string }{
-		{second, `]}}`, "the last one stays", ""}, // half written
+		{second, `]}}`, "keeping the current configuration", ""}, // half written
 		{second, "", "read again", "second since=7"},
 		{second, "", "read again", ""},
 		{first, "", "read again", "first since=7"},
--- a/cmd/dahliapin/serve.go
+++ b/cmd/dahliapin/serve.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// signalQueueSize is how many signals other than the end may wait while a file is read.
+	// signalQueueSize is how many signals, other than those that end the process, are queued while a file is read.
 	signalQueueSize = 4
 
 	outputFileMode = 0o644
 )
 
-// serveOptions are what serve was called with.
+// serveOptions holds the flags of serve.
 type serveOptions struct {
 	files   *configFiles
 	records string // file for events; empty for none
@@ -40,14 +40,14 @@
 	}
 	files.addFlags(c)
 	c.Flags().StringVar(&options.records, "records", "",
-		"file to append records to of what the node does to caches, as JSON lines")
+		"file to append records of the node's actions on caches to, as JSON lines")
 	c.Flags().StringVar(&options.trace, "trace", "", "file to append a line to for each event in the fleet")
 	return c
 }
 
-// serve runs a node until it has ended.
+// serve runs a node until it has shut down.
 func (o *serveOptions) serve() error {
-	// Signals are caught before anything is read: SIGHUP would end the process until then.
+	// The signal handlers are installed before any file is read: without them, SIGHUP ends the process.
 	s := catchSignals()
 	config, err := o.files.read()
 	if err != nil {
@@ -62,13 +62,13 @@
 		return err
 	}
 	s.started <- n
-	go s.handleCalls(n, o.files.config)
+	go s.handleSignals(n, o.files.config)
 	n.Serve()
 	n.LogCounters()
 	return n.Err()
 }
 
-// openOutputs opens the files that the node writes.
+// openOutputs opens the files that the node writes events and trace lines to.
 func (o *serveOptions) openOutputs(config *node.Config) error {
 	if o.records != "" {
 		if err := writeRecords(config, o.records); err != nil {
@@ -79,11 +79,11 @@
 		return nil
 	}
 	if o.files.fleet == "" {
-		return errors.New("--trace is of what is done in the fleet: it needs --fleet")
+		return errors.New("--trace records events of the fleet and needs --fleet")
 	}
 	file, err := openAppend(o.trace)
 	if err != nil {
-		return fmt.Errorf("the trace cannot be kept: %w", err)
+		return fmt.Errorf("cannot open the trace file: %w", err)
 	}
 	config.OnTrace = func(line []byte) { _, _ = file.Write(line) }
 	return nil
@@ -93,56 +93,58 @@
 	return os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, outputFileMode)
 }
 
-// writeRecords appends the node's events to a file, a JSON line each, with their time as Unix nanoseconds. That they
-// cannot be written any more is logged once, and once that they can again.
+// writeRecords appends the node's events to a file as JSON lines, with their times in Unix nanoseconds. It logs once
+// when writing starts to fail, and once when it works again.
 func writeRecords(config *node.Config, path string) error {
 	file, err := linefile.Open(path)
 	if err != nil {
-		return fmt.Errorf("records cannot be kept: %w", err)
+		return fmt.Errorf("cannot open the records file: %w", err)
 	}
-	file.OnFailing = func(err error) { logrus.WithError(err).Error("records are not kept any more") }
-	file.OnRecovered = func(lost uint64) { logrus.WithField("lost", lost).Info("records are kept again") }
+	file.OnFailing = func(err error) {
+		logrus.WithError(err).Error("writing records failed; dropping them until it recovers")
+	}
+	file.OnRecovered = func(lost uint64) { logrus.WithField("lost", lost).Info("records are written again") }
 	config.OnEvent = func(event node.Event, at time.Time) {
 		event.At = policy.Instant(at.UnixNano())
-		if line, err := json.Marshal(event); err == nil { // always: all of its fields are plain
+		if line, err := json.Marshal(event); err == nil { // never fails: all fields are plain values
 			file.Append(line)
 		}
 	}
 	return nil
 }
 
-// signals are the signals that the process gets.
+// signals passes on the signals that the process receives.
 type signals struct {
-	calls   chan os.Signal  // all but those that end the process
-	started chan *node.Node // takes the node once it has started
+	queued  chan os.Signal  // all signals but those that end the process
+	started chan *node.Node // receives the node once it has started
 }
 
-// catchSignals catches signals from now on. Those that end the process have a channel and a goroutine of their own:
-// the others may have to wait for a file, and a signal that finds its channel full is lost.
+// catchSignals installs the signal handlers. Signals that end the process have a channel and a goroutine of their own:
+// handling the others may block on reading a file, and a signal whose channel is full is lost.
 func catchSignals() *signals {
-	s := &signals{calls: make(chan os.Signal, signalQueueSize), started: make(chan *node.Node)}
-	ends := make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.calls, syscall.SIGUSR1, syscall.SIGHUP)
+	s := &signals{queued: make(chan os.Signal, signalQueueSize), started: make(chan *node.Node)}
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.queued, syscall.SIGUSR1, syscall.SIGHUP)
 	if os.Getenv(realtime.Rehearsed) != "" {
-		signal.Notify(s.calls, syscall.SIGUSR2)
+		signal.Notify(s.queued, syscall.SIGUSR2)
 	}
 	go func() {
 		select {
-		case <-ends: // no client is served yet
+		case <-terminate: // no client is served yet
 			os.Exit(0)
 		case n := <-s.started:
-			<-ends
+			<-terminate
 			n.Shutdown()
 		}
 	}()
 	return s
 }
 
-// handleCalls carries out signals until the process ends.
-func (s *signals) handleCalls(n *node.Node, configPath string) {
-	for call := range s.calls {
-		switch call {
+// handleSignals handles the queued signals until the process ends.
+func (s *signals) handleSignals(n *node.Node, configPath string) {
+	for sig := range s.queued {
+		switch sig {
 		case syscall.SIGUSR1:
 			n.LogCounters()
 		case syscall.SIGUSR2:
@@ -153,11 +155,11 @@
 	}
 }
 
-// reload reads the configuration again. One that cannot be used changes nothing.
+// reload reads the configuration again. An invalid one is logged and changes nothing.
 func reload(n *node.Node, path string) {
 	config, err := node.ReadConfig(path)
 	if err != nil {
-		logrus.WithError(err).Error("configuration not taken, the last one stays")
+		logrus.WithError(err).Error("configuration reload failed; keeping the current configuration")
 		return
 	}
 	n.Reload(config)
