--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -17,7 +17,7 @@
 	"dahliapin/node"
 )
 
-// fleetCalls are what a node can be asked about its fleet.
+// fleetCalls lists the queries that a node answers about its fleet.
 var fleetCalls = []struct {
 	name, short string
 	print       func(out io.Writer, answer []byte) error
@@ -57,9 +57,9 @@
 	return c
 }
 
-var errUnreadableAnswer = errors.New("the node's answer can't be read")
+var errUnreadableAnswer = errors.New("cannot parse the node's answer")
 
-// printFleetStatus prints a node's view of the fleet. The words in it, as life and mark, are the operators', and kept.
+// printFleetStatus prints a node's view of the fleet. Operators' tools match words in it, such as life and mark.
 func printFleetStatus(out io.Writer, answer []byte) error {
 	var s node.FleetStatus
 	if json.Unmarshal(answer, &s) != nil {
@@ -81,7 +81,7 @@
 	return err
 }
 
-// printFleetMembers prints a table of the members. The heads, as life and standing, are the operators', and kept.
+// printFleetMembers prints a table of the members. Operators' tools match its headings, such as life and standing.
 func printFleetMembers(out io.Writer, answer []byte) error {
 	var members []gossip.MemberStatus
 	if json.Unmarshal(answer, &members) != nil {
@@ -96,5 +96,5 @@
 	return table.Flush()
 }
 
-// newTable returns a writer that aligns columns, which tabs separate.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -1,8 +1,8 @@
 // Command dahliapin runs a router for fleets of cache servers: a node (serve), a control server (control), and the
 // tools of their operators and developers. `dahliapin help` lists the commands; each is in a file of its own.
 //
-// A command's exit code is 0 for success, 1 for a failure, and 2 where a script has to tell an answer apart: a node
-// that says no, a fleet that is not up to date, or a call that cannot be taken.
+// A command exits with 0 for success, with 1 for a failure, and with 2 for outcomes that a script has to distinguish: a
+// node that answers no, a fleet that is not up to date, or an invalid command line.
 package main
 
 import (
@@ -21,13 +21,13 @@
 // The exit codes of failures.
 const (
 	exitFailed = 1
-	exitSaidNo = 2 // the command ran, and its answer is no; or the call cannot be taken
+	exitSaidNo = 2 // the command ran and the answer is no, or the command line is invalid
 )
 
-// The environment's variables that stand for flags. The names are the operators' own, and kept.
+// The environment variables that set defaults of flags. Operators' deployments depend on their names.
 const (
 	envConfig = "RELAY_CONFIG" // --config
-	envAdmin  = "RELAY_OPS"    // --at of a node, and the address for operators in the configuration
+	envAdmin  = "RELAY_OPS"    // --at of a node, and the admin address in the configuration
 )
 
 const programName = "dahliapin"
@@ -45,7 +45,7 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode returns the exit code for an error of a command.
+// exitCode returns the exit code for an error that a command returned.
 func exitCode(err error) int {
 	for _, saidNo := range []error{errSaidNo, errBadCall, errNotCaughtUp} {
 		if errors.Is(err, saidNo) {
@@ -55,7 +55,7 @@
 	return exitFailed
 }
 
-// printFurtherErrors prints all that is wrong with a file beside the first error, for an operator who checks it.
+// printFurtherErrors prints the errors in a file after the first one, so that check reports all of them at once.
 func printFurtherErrors(err error) {
 	var all strictconfig.FieldErrors
 	if !errors.As(err, &all) {
@@ -101,18 +101,18 @@
 	return ""
 }
 
-// badCall returns an error about a call that cannot be taken, which is told apart by the exit code.
+// badCall returns an error about an invalid command line. It has an exit code of its own.
 func badCall(format string, args ...any) error {
 	return fmt.Errorf("%w: %w", errBadCall, fmt.Errorf(format, args...))
 }
 
-// errBadCall says that a call's words or flags cannot be taken.
-var errBadCall = errors.New("the call can't be taken")
+// errBadCall reports a command line with invalid arguments or flags.
+var errBadCall = errors.New("invalid command line")
 
-// badFlag reports a flag that cannot be parsed as a bad call.
+// badFlag reports a flag that cannot be parsed as a usage error.
 func badFlag(_ *cobra.Command, err error) error { return badCall("%w", err) }
 
-// noArguments refuses any argument as a bad call.
+// noArguments rejects any argument as a usage error.
 func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return badCall("%s takes no %q", c.Name(), args[0])
--- a/cmd/dahliapin/migrate.go
+++ b/cmd/dahliapin/migrate.go
@@ -27,15 +27,15 @@
 	return c
 }
 
-// migrateFile converts a file into another one, and prints what the operator has to look at.
+// migrateFile converts the file from into the file to, and prints remarks on what the operator has to check.
 func migrateFile(out io.Writer, from, to string, dryRun, replace bool) error {
 	old, err := os.ReadFile(from)
 	if err != nil {
-		return fmt.Errorf("the old configuration cannot be read: %w", err)
+		return fmt.Errorf("cannot read the old configuration: %w", err)
 	}
 	text, remarks, err := migration.Convert(old)
 	if err != nil {
-		return fmt.Errorf("%s cannot be turned: %w", from, err)
+		return fmt.Errorf("cannot convert %s: %w", from, err)
 	}
 	oldInfo, err := os.Stat(from)
 	if err != nil {
@@ -57,27 +57,27 @@
 	return writeAtomically(to, text, oldInfo.Mode().Perm(), replace)
 }
 
-// checkTarget refuses to write over the old file, or over any other one unless it may be replaced.
+// checkTarget returns an error if the target is the old file, or exists and may not be replaced.
 func checkTarget(to string, oldInfo os.FileInfo, replace bool) error {
 	existing, err := os.Stat(to)
-	if err != nil { // there is none, or writing will tell what is wrong
+	if err != nil { // it does not exist, or writing it will report the error
 		return nil
 	}
 	if os.SameFile(oldInfo, existing) {
-		return errors.New("the new file is the old one: name another")
+		return errors.New("the new file is the old one: choose another path")
 	}
 	if !replace {
-		return fmt.Errorf("%s is there already: name another, or give --replace", to)
+		return fmt.Errorf("%s already exists: choose another path, or give --replace", to)
 	}
 	return nil
 }
 
-// writeAtomically writes a file beside its place and moves it there, so that there is never half a file. It is linked
-// where it may not replace another one: a link fails if there is one by now.
+// writeAtomically writes a temporary file in the target's folder and renames it, so that a partial file is never seen.
+// Without replace, it links the file instead: unlike a rename, a link fails if the target has been created meanwhile.
 func writeAtomically(path string, text []byte, mode os.FileMode, replace bool) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
-		return fmt.Errorf("the new configuration cannot be written: %w", err)
+		return fmt.Errorf("cannot write the new configuration: %w", err)
 	}
 	defer os.Remove(file.Name())
 	_, err = file.Write(text)
@@ -90,7 +90,7 @@
 		err = os.Link(file.Name(), path)
 	}
 	if err != nil {
-		return fmt.Errorf("the new configuration cannot be written: %w", err)
+		return fmt.Errorf("cannot write the new configuration: %w", err)
 	}
 	return nil
 }
--- a/cmd/dahliapin/ops.go
+++ b/cmd/dahliapin/ops.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	adminTimeout    = 2 * time.Second // for an answer, which a node gives within one
-	maxAdminAnswer  = 1 << 20         // bytes: some figures for each service class
+	adminTimeout    = 2 * time.Second // a node answers within one second
+	maxAdminAnswer  = 1 << 20         // bytes: some metrics for each service class
 	adminAtFlagHelp = "address and port for operators of the node"
 )
 
-// errSaidNo says that the node was reached and said no.
-var errSaidNo = errors.New("the node says no")
+// errSaidNo reports that the node was reached and refused, or answered no.
+var errSaidNo = errors.New("the node answered no")
 
-// adminCalls are what a node's operators can ask of it.
+// adminCalls lists the calls of a node's admin server.
 var adminCalls = []struct{ name, method, path, short string }{
 	{"status", http.MethodGet, "/status", "Show whether the node serves clients"},
 	{"metrics", http.MethodGet, "/status/metrics", "Show the node's metrics"},
@@ -35,8 +35,8 @@
 	c := &cobra.Command{
 		Use: "ops", Aliases: []string{"admin"},
 		Short: "Query or control a running node, at its address for operators",
-		Long:  "Exits with 0 for yes, 2 if the node says no, and 1 if it cannot be reached.",
-		// Without this, a call with a typing error would show the help and exit with 0.
+		Long:  "Exits with 0 for yes, 2 if the node answers no, and 1 if it cannot be reached.",
+		// Without this, a mistyped call would show the help and exit with 0.
 		RunE: func(_ *cobra.Command, args []string) error {
 			return fmt.Errorf("ops %q: the calls are status, metrics, standby and active", strings.Join(args, " "))
 		},
@@ -65,15 +65,15 @@
 	client := http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
-		return fmt.Errorf("the node cannot be asked: %w", err)
+		return fmt.Errorf("cannot reach the node: %w", err)
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAdminAnswer))
 	if err != nil {
-		return fmt.Errorf("the node's answer broke off: %w", err)
+		return fmt.Errorf("reading the node's answer: %w", err)
 	}
 	if response.StatusCode/100 != 2 {
-		return fmt.Errorf("%w: %s", errSaidNo, answer[:max(0, len(answer)-1)]) // without its line end
+		return fmt.Errorf("%w: %s", errSaidNo, answer[:max(0, len(answer)-1)]) // without the trailing newline
 	}
 	_, err = out.Write(answer)
 	return err
--- a/cmd/dahliapin/publish.go
+++ b/cmd/dahliapin/publish.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	publishTimeout    = 30 * time.Second // for changes to be ordered: a leader is elected anew within some seconds
+	publishTimeout    = 30 * time.Second // for changes to be ordered; electing a new leader takes some seconds
 	maxControlServers = 16               // in --at
 )
 
@@ -36,14 +36,14 @@
 	client := controlclient.Client{Servers: strings.Split(f.at, ","), Label: f.label}
 	for _, addr := range client.Servers {
 		if _, err := netip.ParseAddrPort(addr); err != nil || len(client.Servers) > maxControlServers {
-			return client, fmt.Errorf("--at %q is not one to %d addresses and ports of control machines, with commas",
+			return client, fmt.Errorf("--at %q is not a comma-separated list of 1 to %d addresses and ports of control servers",
 				f.at, maxControlServers)
 		}
 	}
 	return client, nil
 }
 
-// publication is what publish was called with.
+// publication holds the flags of publish.
 type publication struct {
 	control controlFlags
 	keys    []string // to purge
@@ -56,7 +56,7 @@
 	c := &cobra.Command{
 		Use:   "publish --at ADDR[,ADDR] (--purge KEY[,KEY] | --config FILE)",
 		Short: "Publish purges, or a configuration, to every node of the fleet",
-		Long: "Prints the index of each change once it is on disk at a majority of the voting control machines.\n" +
+		Long: "Prints the index of each change once it is on disk at a majority of the voting control servers.\n" +
 			"Exits with 0 then, and with 1 if it is not known to be.",
 		RunE: func(c *cobra.Command, args []string) error {
 			client, err := p.control.client()
@@ -76,7 +76,7 @@
 			return err
 		},
 	}
-	p.control.add(c, "control machines, as nodes reach them, separated by commas: tried one after the other")
+	p.control.add(c, "control servers, by their addresses for nodes, separated by commas: tried one after the other")
 	c.Flags().StringArrayVar(&p.keys, "purge", nil, "a key to purge from all caches; more may follow as arguments")
 	c.Flags().StringVar(&p.file, "config", "",
 		"a node's configuration, for every node; each keeps its own name, address and limits")
@@ -84,7 +84,7 @@
 	return c
 }
 
-// proposals returns what is to be published: purges, of which further keys may stand as arguments, or a configuration.
+// proposals returns the changes to publish: purges, whose further keys may be given as arguments, or a configuration.
 func (p *publication) proposals(args []string) ([]replicatedlog.Proposal, error) {
 	hasKeys := len(p.keys) > 0
 	if hasKeys == (p.file != "") || len(args) > 0 && !hasKeys {
@@ -100,7 +100,7 @@
 	return proposals, nil
 }
 
-// configuration reads the file, and checks that nodes can use it.
+// configuration returns the proposal of the configuration file, after checking that nodes can parse it.
 func (p *publication) configuration() ([]replicatedlog.Proposal, error) {
 	text, err := os.ReadFile(p.file)
 	if err == nil {
