--- a/cmd/dahliapin/demo.go
+++ b/cmd/dahliapin/demo.go
@@ -15,7 +15,7 @@
 const (
 	minDemoDuration = time.Second
 	maxDemoDuration = time.Hour
-	minDemoFleet    = 3 // nodes: among fewer, none can tell which of them is cut off
+	minDemoFleet    = 3 // nodes: with fewer, no node can tell which of them is partitioned
 	maxDemoFleet    = 12
 )
 
@@ -36,13 +36,14 @@
 			return demoFleet(c, nodes)
 		},
 	}
-	c.Flags().DurationVar(&duration, "for", 20*time.Second, "how long; several nodes run as long as their failures")
+	c.Flags().DurationVar(&duration, "for", 20*time.Second,
+		"how long; a fleet runs until its scheduled failures are over")
 	c.Flags().IntVar(&nodes, "nodes", 1,
 		"number of nodes; several form a fleet, of which one is killed and one cut off")
 	return c
 }
 
-// demoNode shows one node, with failures that are repeated for as long as it runs.
+// demoNode runs one node, and repeats the scenario's failures for the whole duration.
 func demoNode(c *cobra.Command, duration time.Duration) error {
 	s, err := parseRehearsal("demo")
 	if err != nil {
@@ -55,7 +56,7 @@
 	return show(c, s)
 }
 
-// demoFleet shows nodes that know one another, with failures between them.
+// demoFleet runs a fleet of nodes, with failures of the nodes and of the network between them.
 func demoFleet(c *cobra.Command, nodes int) error {
 	if nodes < minDemoFleet || nodes > maxDemoFleet {
 		return fmt.Errorf("--nodes %d is not 1, nor from %d to %d", nodes, minDemoFleet, maxDemoFleet)
@@ -65,18 +66,18 @@
 		return err
 	}
 	s.Fleet.Nodes = nodes
-	fmt.Fprintf(c.OutOrStdout(), "%s\n%d node processes of this program and a go-between for each pair, "+
+	fmt.Fprintf(c.OutOrStdout(), "%s\n%d node processes of this program and a proxy for each pair, "+
 		"all on loopback, for %g s; Ctrl-C ends it.\n", s.About, nodes, s.Seconds)
 	return show(c, s)
 }
 
-// parseRehearsal parses a rehearsal that comes with the program.
+// parseRehearsal parses a rehearsal that is built into the program.
 func parseRehearsal(name string) (*scenario.Scenario, error) {
 	text, _ := rehearsals.Text(name)
 	return scenario.Parse(name+".toml", text)
 }
 
-// show runs a scenario on sockets and prints what happens, until its end or Ctrl-C.
+// show runs a scenario against node processes and prints its progress, until its end or Ctrl-C.
 func show(c *cobra.Command, s *scenario.Scenario) error {
 	out := c.OutOrStdout()
 	result, err := runOnSockets(c.Context(), s, func(line string) { fmt.Fprintln(out, line) })
--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	maxLoadDuration = 10 * time.Minute // of one run: longer ones are the soak's
+	maxLoadDuration = 10 * time.Minute // longer runs belong in a soak
 	maxLoadRate     = 1e5              // requests a second
 )
 
-// loadOptions are what load was called with.
+// loadOptions holds the flags of load.
 type loadOptions struct {
 	duration time.Duration
 	rate     float64
-	hasRate  bool   // rate was given
-	scenario string // whose traffic is sent
+	hasRate  bool   // whether --rate was given
+	scenario string // name or file of the scenario whose traffic is sent
 	protocol string // empty for the scenario's
 }
 
@@ -44,7 +44,7 @@
 			return options.run(c, args[0])
 		},
 	}
-	c.Flags().DurationVar(&options.duration, "for", 10*time.Second, "how long")
+	c.Flags().DurationVar(&options.duration, "for", 10*time.Second, "how long to send requests")
 	c.Flags().Float64Var(&options.rate, "rate", 0, "requests a second, instead of the rehearsal's")
 	c.Flags().StringVar(&options.protocol, "protocol", "", "meta or http, instead of the rehearsal's")
 	c.Flags().StringVar(&options.scenario, "like", "demo",
@@ -55,7 +55,7 @@
 func (o *loadOptions) run(c *cobra.Command, addr string) error {
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil || !parsed.Addr().IsLoopback() {
-		return fmt.Errorf("%q is no loopback address and port: this tool asks nobody else", addr)
+		return fmt.Errorf("%q is not a loopback address and port: load sends requests to loopback only", addr)
 	}
 	if o.duration <= 0 || o.duration > maxLoadDuration {
 		return fmt.Errorf("--for %v is not from 1ns to %v", o.duration, maxLoadDuration)
@@ -80,21 +80,21 @@
 	result := loadgen.Run(ctx, addr, protocol == listeners.HTTP, world.NewTraffic(traffic), o.duration)
 	result.Print(c.OutOrStdout())
 	if result.TooBusy() {
-		return errors.New("not judged")
+		return errors.New("result not judged: the machine was too busy")
 	}
 	return nil
 }
 
-// traffic returns the traffic of a scenario, at the rate that was given.
+// traffic returns the traffic plan of a scenario, at the rate of --rate if that was given.
 func (o *loadOptions) traffic(s *scenario.Scenario) (world.TrafficPlan, error) {
 	plan := s.TrafficPlan()
 	if o.hasRate {
-		isRate := o.rate > 0 && o.rate <= maxLoadRate // which no NaN is
+		isRate := o.rate > 0 && o.rate <= maxLoadRate // false for NaN
 		if !isRate {
 			return plan, fmt.Errorf("--rate %v is not above 0 and at most %d", o.rate, int(maxLoadRate))
 		}
 		plan.PerSecond = o.rate
 	}
-	plan.Seed = uint32(time.Now().UnixNano()) // ids of requests are never to come twice at one node
+	plan.Seed = uint32(time.Now().UnixNano()) // a node must never see a request id twice
 	return plan, nil
 }
--- a/cmd/dahliapin/placement.go
+++ b/cmd/dahliapin/placement.go
@@ -9,10 +9,10 @@
 // The bounds of placement's flags.
 const (
 	maxPlacedCaches = 10_000
-	maxPlacedKeys   = 10_000_000 // which take a minute or so
+	maxPlacedKeys   = 10_000_000 // takes about a minute
 )
 
-// placementOptions are what placement was called with.
+// placementOptions holds the flags of placement.
 type placementOptions struct {
 	caches        int
 	keys          int
@@ -20,7 +20,7 @@
 	crossZoneCost float64
 }
 
-// placementCommand computes how replicas are placed in zones and regions.
+// placementCommand returns the command that computes how replicas are placed in zones and regions.
 func placementCommand() *cobra.Command {
 	var o placementOptions
 	c := &cobra.Command{
--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -19,14 +19,14 @@
 	"dahliapin/rehearsals"
 )
 
-// errNotMet says that a scenario did not end as it states.
-var errNotMet = errors.New("the rehearsal is not as expected")
+// errNotMet reports that a run broke a rule, or did not meet the expectations of its scenario.
+var errNotMet = errors.New("the run did not meet its expectations")
 
-// policyDecider is the name of the product's policy among the deciders.
+// policyDecider is the decider that runs this module's own policy.
 const policyDecider = "module"
 
-// rehearsal is what rehearse was called with.
-type rehearsal struct {
+// rehearseOptions holds the flags of rehearse.
+type rehearseOptions struct {
 	virtual bool
 	seed    int64
 	hasSeed bool
@@ -35,7 +35,7 @@
 }
 
 func rehearseCommand() *cobra.Command {
-	var r rehearsal
+	var r rehearseOptions
 	c := &cobra.Command{
 		Use: "rehearse SCRIPT", Aliases: []string{"run-scenario"},
 		Short: "Run a scenario of failures against nodes, and check that it ends as it states",
@@ -53,7 +53,7 @@
 	return c
 }
 
-func (r *rehearsal) run(c *cobra.Command, name string) error {
+func (r *rehearseOptions) run(c *cobra.Command, name string) error {
 	s, err := findScenario(name)
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (r *rehearsal) play(ctx context.Context, s *scenario.Scenario) (*report.Report, error) {
+func (r *rehearseOptions) play(ctx context.Context, s *scenario.Scenario) (*report.Report, error) {
 	if r.virtual {
 		maker, err := deciderMaker(r.decider)
 		if err != nil {
@@ -87,12 +87,12 @@
 		return result, err
 	}
 	if r.decider != policyDecider {
-		return nil, errors.New("baselines play in virtual time only: add --virtual")
+		return nil, errors.New("baselines run in virtual time only: add --virtual")
 	}
 	return runOnSockets(ctx, s, progressLine())
 }
 
-// deciderMaker returns what makes the deciders of a name: the product's policy, or a baseline.
+// deciderMaker returns the constructor of the named decider: the module's policy, or a baseline.
 func deciderMaker(name string) (simulation.Maker, error) {
 	if name == policyDecider {
 		return simulation.Module, nil
@@ -101,20 +101,21 @@
 	return simulation.Maker(maker), err
 }
 
-// findScenario returns a rehearsal that comes with the program, or reads a scenario from a file.
+// findScenario returns the built-in rehearsal of that name, or else reads a scenario from that file.
 func findScenario(name string) (*scenario.Scenario, error) {
 	if text, ok := rehearsals.Text(name); ok {
 		return scenario.Parse(name+".toml", text)
 	}
 	s, err := scenario.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("there is no file %s, nor a rehearsal of that name: %s",
+		return nil, fmt.Errorf("there is no file or rehearsal %s; the rehearsals are %s",
 			name, strings.Join(rehearsals.Names(), ", "))
 	}
 	return s, err
 }
 
-// progressLine returns what shows progress in a line that is written over, or nil if standard error is no terminal.
+// progressLine returns a function that shows progress in one line of the terminal, which each call overwrites. It
+// returns nil if standard error is not a terminal.
 func progressLine() func(string) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
@@ -123,8 +124,9 @@
 	return func(line string) { fmt.Fprintf(os.Stderr, "\r\x1b[K%s", line) }
 }
 
-// runOnSockets runs a scenario against node processes of this program. Nothing is left behind, however it ends.
-func runOnSockets(ctx context.Context, s *scenario.Scenario, tell func(string)) (*report.Report, error) {
+// runOnSockets runs a scenario against node processes of this program. It leaves no process or file behind, however it
+// ends.
+func runOnSockets(ctx context.Context, s *scenario.Scenario, progress func(string)) (*report.Report, error) {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	program, err := os.Executable()
@@ -136,5 +138,5 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return realtime.Play(ctx, s, &realtime.Processes{Program: program, Dir: dir}, tell)
+	return realtime.Play(ctx, s, &realtime.Processes{Program: program, Dir: dir}, progress)
 }
--- a/cmd/dahliapin/reports.go
+++ b/cmd/dahliapin/reports.go
@@ -15,10 +15,10 @@
 	partialSuffix    = ".part" // of a file that is being written
 )
 
-// makeReportFolder makes a folder for reports, if there is none.
+// makeReportFolder creates the folder for reports if it does not exist.
 func makeReportFolder(dir string) error {
 	if err := os.MkdirAll(dir, outputFolderMode); err != nil {
-		return fmt.Errorf("the folder for reports cannot be made: %w", err)
+		return fmt.Errorf("cannot create the report folder: %w", err)
 	}
 	return nil
 }
@@ -51,24 +51,24 @@
 func writeJSON(path string, value any) error {
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
-		return fmt.Errorf("the report cannot be kept: %w", err)
+		return fmt.Errorf("cannot write the report: %w", err)
 	}
 	return writeComplete(path, append(text, '\n'))
 }
 
-// writeComplete writes a file that is there as a whole or not at all.
+// writeComplete writes a temporary file and renames it, so that the file exists whole or not at all.
 func writeComplete(path string, text []byte) error {
 	err := os.WriteFile(path+partialSuffix, text, outputFileMode)
 	if err == nil {
 		err = os.Rename(path+partialSuffix, path)
 	}
 	if err != nil {
-		return fmt.Errorf("the report cannot be kept: %w", err)
+		return fmt.Errorf("cannot write the report: %w", err)
 	}
 	return nil
 }
 
-// writeSchedule writes a schedule that broke a rule, and the report on it, and returns the path of the schedule.
+// writeSchedule writes a schedule that broke a rule and the report on its run, and returns the path of the schedule.
 func writeSchedule(dir, reportDir string, s *scenario.Scenario, r *report.Report) (path string, err error) {
 	path = filepath.Join(dir, s.Name+".toml")
 	text, err := s.Text()
@@ -79,7 +79,7 @@
 		err = os.WriteFile(path, text, outputFileMode)
 	}
 	if err != nil {
-		return "", fmt.Errorf("the schedule cannot be kept: %w", err)
+		return "", fmt.Errorf("cannot write the schedule: %w", err)
 	}
 	return path, nil
 }
