--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -13,22 +13,22 @@
 	"dahliapin/internal/control/controlclient"
 )
 
-// maxLackingShown is how many nodes, or caches, that lack something are shown, a line each.
-const maxLackingShown = 40
+// maxShownLacking is the maximum number of nodes, and of caches, that are listed as lacking something.
+const maxShownLacking = 40
 
-// errNotCaughtUp says that not every node has all changes.
+// errNotCaughtUp reports that a node lacks changes, that a cache lacks purges, or that there is no leader.
 var errNotCaughtUp = errors.New(
 	"not every node has all changes, not all purges are done at every cache, or no leader is heard")
 
-// changesCommand shows which node has applied what.
+// changesCommand returns the command that shows how far each node has applied the replicated log.
 func changesCommand(asJSON *bool) *cobra.Command {
 	var control controlFlags
 	c := &cobra.Command{
 		Use:   "changes --at ADDR[,ADDR]",
-		Short: "Show up to where each node has applied the log of changes, and each cache its purges",
+		Short: "Show how far each node has applied the log of changes, and each cache its purges",
 		Long: "Exits with 0 if every node has all changes and all purges are done at every cache; with 2 if\n" +
 			"one lacks something, refused a configuration or does not answer; and with 1 if no control\n" +
-			"machine can be reached.",
+			"server can be reached.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := control.client()
@@ -50,7 +50,7 @@
 			return err
 		},
 	}
-	control.add(c, "control machines, as nodes reach them, separated by commas: all are asked at once")
+	control.add(c, "control servers, by their addresses for nodes, separated by commas: all are asked at once")
 	return c
 }
 
@@ -74,12 +74,13 @@
 			role = fmt.Sprintf("leader, term %d", m.Term)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n",
-			m.Name, role, m.Last, m.Floor, m.Config, m.BytesOut, m.Invalid, m.Rejected, heard(m.LastSeenS, m.Silent))
+			m.Name, role, m.Last, m.Floor, m.Config, m.BytesOut, m.Invalid, m.Rejected,
+			formatLastSeen(m.LastSeenS, m.Silent))
 	}
 }
 
-// heard says when something was last heard, in seconds before now.
-func heard(seconds float64, isSilent bool) string {
+// formatLastSeen formats the time since a process was last heard from.
+func formatLastSeen(seconds float64, isSilent bool) string {
 	text := fmt.Sprintf("%.1f s ago", seconds)
 	if isSilent {
 		text += ", silent"
@@ -96,8 +97,8 @@
 	if len(lacking) > 0 {
 		fmt.Fprintln(table, "node\tapplied\tlacks\tconfig\tat control\theard")
 	}
-	for _, n := range lacking[:min(len(lacking), maxLackingShown)] {
-		state := heard(n.LastSeenS, n.Silent)
+	for _, n := range lacking[:min(len(lacking), maxShownLacking)] {
+		state := formatLastSeen(n.LastSeenS, n.Silent)
 		if n.Refused > 0 {
 			state += fmt.Sprintf(", refused %d: %s", n.Refused, n.Reason)
 		}
@@ -106,14 +107,14 @@
 	printMore(table, len(lacking))
 }
 
-// printMore says how many of those that lack something are not shown.
+// printMore prints how many of the nodes or caches that lack something are not shown.
 func printMore(table io.Writer, lacking int) {
-	if lacking > maxLackingShown {
-		fmt.Fprintf(table, "and %d more: --json has all\n", lacking-maxLackingShown)
+	if lacking > maxShownLacking {
+		fmt.Fprintf(table, "and %d more: --json has all\n", lacking-maxShownLacking)
 	}
 }
 
-// printCaches prints the caches that lack purges, where control servers carry them out.
+// printCaches prints the caches that lack purges, if control servers carry purges out at caches.
 func printCaches(table io.Writer, o controlclient.Overview) {
 	if o.NoCacheList {
 		fmt.Fprintln(table, "\npurges are to be carried out at caches, and there is no list of them")
@@ -127,15 +128,15 @@
 	if len(lacking) > 0 {
 		fmt.Fprintln(table, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
 	}
-	for _, c := range lacking[:min(len(lacking), maxLackingShown)] {
+	for _, c := range lacking[:min(len(lacking), maxShownLacking)] {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n",
-			c.Cache, c.Done, c.Missing, c.Overdue, c.QuickDeleted, whyLacking(&c))
+			c.Cache, c.Done, c.Missing, c.Overdue, c.QuickDeleted, lackingReasons(&c))
 	}
 	printMore(table, len(lacking))
 }
 
-// whyLacking says what the control servers report of a cache that lacks purges.
-func whyLacking(c *controlclient.CacheStatus) string {
+// lackingReasons returns what the control servers report about a cache that lacks purges.
+func lackingReasons(c *controlclient.CacheStatus) string {
 	var reasons []string
 	for _, m := range c.Servers {
 		if m.Reason != "" && !m.Silent {
--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -20,17 +20,17 @@
 	maxScheduleCount = 1000
 )
 
-// nemesisMembers is what nemesis can test: the membership.
+// nemesisMembers is the only subject that nemesis can test: the membership.
 const nemesisMembers = "members"
 
 // player runs a schedule and returns the report on it.
 type player func(*scenario.Scenario) (*report.Report, error)
 
-// nemesisOptions are what nemesis was called with.
+// nemesisOptions holds the flags of nemesis.
 type nemesisOptions struct {
 	nodes     int
 	schedules int
-	maxShrink int   // runs to shorten a schedule
+	maxShrink int   // maximum number of runs to shorten a schedule
 	seed      int64 // of the first schedule
 	duration  time.Duration
 	subject   string
@@ -52,7 +52,7 @@
 			schedule := func(n int) *scenario.Scenario {
 				return scenario.Nemesis(o.seed+int64(n), o.nodes, o.duration.Seconds())
 			}
-			return hunt(c.OutOrStdout(), o.schedules, o.maxShrink, o.out, schedule, schedulePlayer(c))
+			return runUntilBreach(c.OutOrStdout(), o.schedules, o.maxShrink, o.out, schedule, schedulePlayer(c))
 		},
 	}
 	c.SetFlagErrorFunc(badFlag)
@@ -60,7 +60,7 @@
 	c.Flags().Int64Var(&o.seed, "seed", 1, "random seed of the first schedule; the following have the next ones")
 	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
 	c.Flags().IntVar(&o.schedules, "schedules", 1, "number of schedules")
-	c.Flags().IntVar(&o.maxShrink, "shrink", 12, "most runs to shorten a schedule that breaks a rule")
+	c.Flags().IntVar(&o.maxShrink, "shrink", 12, "maximum number of runs to shorten a schedule that breaks a rule")
 	c.Flags().StringVar(&o.subject, "what", nemesisMembers, "what is tested: members")
 	c.Flags().StringVar(&o.out, "out", ".", "folder for the schedule that breaks a rule, and its report")
 	return c
@@ -77,14 +77,14 @@
 	case o.maxShrink < 0 || o.maxShrink > maxScheduleCount:
 		return badCall("--shrink %d is not from 0 to %d", o.maxShrink, maxScheduleCount)
 	case o.subject != nemesisMembers:
-		return badCall("--what %q is not there: members is", o.subject)
+		return badCall("--what %q is unknown: it can be members", o.subject)
 	}
 	return nil
 }
 
-// hunt runs schedules until one breaks a rule, and shortens that. Runs for which the machine was too busy prove
-// nothing, and are reported as such.
-func hunt(
+// runUntilBreach runs schedules until one breaks a rule, and shortens that. Runs for which the machine was too busy
+// prove nothing, and are reported as not judged.
+func runUntilBreach(
 	out io.Writer, schedules, maxShrink int, dir string, schedule func(n int) *scenario.Scenario, play player,
 ) error {
 	busy := 0
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// shorten leaves out each event that the breach does not need, one after the other.
+// shorten removes events from a schedule one by one, and leaves out those without which a rule is still broken.
 func shorten(
 	out io.Writer, s *scenario.Scenario, result *report.Report, maxRuns int, play player,
 ) (*scenario.Scenario, *report.Report, error) {
@@ -132,8 +132,8 @@
 	return s, result, nil
 }
 
-// schedulePlayer returns a player that runs a schedule by what is written of it, so that the file that is kept is what
-// was run.
+// schedulePlayer returns a player that writes a schedule as text and runs what it parses from that, so that the file
+// that is written later describes exactly what was run.
 func schedulePlayer(c *cobra.Command) player {
 	return func(s *scenario.Scenario) (*report.Report, error) {
 		text, err := s.Text()
@@ -170,7 +170,7 @@
 	fmt.Fprintln(out)
 }
 
-// reportBreach prints and writes a schedule that broke a rule, with its file in the last line.
+// reportBreach prints and writes a schedule that broke a rule and the report on it. The last line is the file's path.
 func reportBreach(out io.Writer, s *scenario.Scenario, r *report.Report, dir string) error {
 	r.Print(out)
 	path, err := writeSchedule(dir, dir, s, r)
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Of five processes, one is killed, one is heard by none while it hears all, and one is replaced, which none notices.
-// Their views of one another are as the checker knows them to be right.
+// Runs five node processes: one is killed, one is partitioned so that it hears the others but none hears it, and one is
+// upgraded, which the others must not notice. The checker must find every view correct.
 func TestProcessesKnowOneAnother(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	if testing.Short() {
@@ -251,7 +251,7 @@
 	}
 	schedule := func(k int) *scenario.Scenario { return scenario.Nemesis(int64(k), 12, 90) }
 	var said bytes.Buffer
-	err := hunt(&said, 50, 100, dir, schedule, play)
+	err := runUntilBreach(&said, 50, 100, dir, schedule, play)
 	lines := strings.Split(strings.TrimSpace(said.String()), "\n")
 	if !errors.Is(err, errNotMet) {
 		t.Fatalf("%v\n%s", err, &said)
@@ -265,7 +265,7 @@
 	}
 	said.Reset()
 	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{MachineTooBusy: "late"}, nil }
-	err = hunt(&said, 3, 100, dir, schedule, busy)
+	err = runUntilBreach(&said, 3, 100, dir, schedule, busy)
 	if err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
 		t.Errorf("%v: %s", err, &said)
 	}
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -25,7 +25,7 @@
 	maxShrinkTime   = 24 * time.Hour
 )
 
-// soakOptions are what soak was called with.
+// soakOptions holds the flags of soak.
 type soakOptions struct {
 	firstSeed int64
 	lastSeed  int64
@@ -59,7 +59,8 @@
 	c.Flags().StringVar(&seeds, "seeds", "1..50", "random seeds of the schedules")
 	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
 	c.Flags().IntVar(&o.parallel, "at-once", 2, "how many schedules run at once")
-	c.Flags().IntVar(&o.shrink.plays, "shrink", 40, "most plays to shrink a schedule that breaks a rule; 0 for none")
+	c.Flags().IntVar(&o.shrink.plays, "shrink", 40,
+		"maximum number of runs to shrink a schedule that breaks a rule; 0 for none")
 	c.Flags().DurationVar(&o.shrink.duration, "shrink-for", 20*time.Minute, "longest time to shrink one")
 	c.Flags().StringVar(&o.out, "out", ".", "folder for schedules that break a rule, and their reports")
 	return c
@@ -97,11 +98,11 @@
 	return first, last, nil
 }
 
-// coverageFile is the file in the output folder that has what the schedules' faults met.
+// coverageFile is the file in the output folder with the table of what the schedules' faults coincided with.
 const coverageFile = "coverage.json"
 
-// run runs all schedules, several at once, and writes what their faults met. Runs for which the machine was too busy
-// prove nothing, and are reported as such.
+// run runs all schedules, several at once, and writes the coverage of their faults. Runs for which the machine was too
+// busy prove nothing, and are reported as not judged.
 func (o *soakOptions) run(out io.Writer, play player) error {
 	tally := soakTally{met: coverage.NewTable(scenario.SoakFaults())}
 	o.playAll(out, &tally, play)
@@ -120,7 +121,7 @@
 	return errNotMet
 }
 
-// playAll plays the schedules of all seeds, in the order of seeds.
+// playAll runs the schedules of all seeds, in the order of seeds.
 func (o *soakOptions) playAll(out io.Writer, tally *soakTally, play player) {
 	var workers sync.WaitGroup
 	schedules := make(chan *scenario.Scenario)
@@ -129,7 +130,7 @@
 		go func() {
 			defer workers.Done()
 			for schedule := range schedules {
-				if tally.hasFailed() { // Guards against going on after an interrupt: it ends the plays under way only
+				if tally.hasFailed() { // an interrupt ends only the runs in progress, not those still queued
 					continue
 				}
 				tally.addError(o.runOne(out, schedule, tally, play))
@@ -143,7 +144,7 @@
 	workers.Wait()
 }
 
-// reportCoverage prints what the faults of all judged schedules met, and writes it as JSON.
+// reportCoverage prints the coverage of the faults of all judged schedules, and writes it as JSON.
 func (o *soakOptions) reportCoverage(out io.Writer, met *coverage.Table) error {
 	met.Print(out)
 	never := met.NeverMet()
@@ -162,7 +163,7 @@
 	if err := tally.add(out, schedule, result, o.out); err != nil || !isBroken(result) {
 		return err
 	}
-	var said bytes.Buffer // printed whole, as others run meanwhile
+	var said bytes.Buffer // printed at once, so that output of concurrent schedules does not mix
 	err = shrinkBroken(&said, schedule, result, o.shrink, o.out, play)
 	tally.print(out, said.String())
 	return err
@@ -170,15 +171,15 @@
 
 // soakTally counts the results of a soak's schedules.
 type soakTally struct {
-	mu        sync.Mutex // over all fields, and the printing of a result
+	mu        sync.Mutex // guards all fields, and the printing of results
 	played    int
 	notJudged int
 	broken    []string        // names of schedules
-	met       *coverage.Table // by the faults of those that were judged
+	met       *coverage.Table // coverage of the faults of judged schedules
 	errs      []error
 }
 
-// hasFailed tells whether a schedule could not be played.
+// hasFailed reports whether a schedule could not be run.
 func (t *soakTally) hasFailed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/dahliapin/soak_shrink.go
+++ b/cmd/dahliapin/soak_shrink.go
@@ -12,17 +12,17 @@
 	"dahliapin/internal/emulator/shrink"
 )
 
-// shrunkSuffix follows the name of a schedule in that of what it was shrunk to.
+// shrunkSuffix is appended to the name of a schedule to name its shrunk form.
 const shrunkSuffix = "-shrunk"
 
-// shrinkLimits bound the plays that shrink one schedule.
+// shrinkLimits bounds the runs that shrink one schedule.
 type shrinkLimits struct {
 	plays    int // 0 to shrink nothing
 	duration time.Duration
 }
 
-// shrinkBroken shrinks a schedule that broke a rule, and writes what is left as a rehearsal with the report on its
-// play. A schedule of which nothing smaller broke the same is left at that.
+// shrinkBroken shrinks a schedule that broke a rule, and writes the smallest one that fails in the same way as a
+// rehearsal, with the report on its run. It writes nothing if no smaller schedule fails in the same way.
 func shrinkBroken(
 	out io.Writer, s *scenario.Scenario, broken *report.Report, limits shrinkLimits, dir string, play player,
 ) error {
@@ -45,16 +45,16 @@
 		return true
 	})
 	if playErr != nil {
-		fmt.Fprintf(out, "%s: shrinking it ended at a play that could not be: %v\n", s.Name, playErr)
+		fmt.Fprintf(out, "%s: shrinking ended as a run could not be carried out: %v\n", s.Name, playErr)
 	}
 	if result.Scenario == s {
-		fmt.Fprintf(out, "%s: nothing smaller broke the same in %d plays\n", s.Name, result.Plays)
+		fmt.Fprintf(out, "%s: no smaller schedule failed in the same way in %d runs\n", s.Name, result.Plays)
 		return nil
 	}
 	return writeShrunk(out, s, result, smallest, dir)
 }
 
-// writeShrunk writes what a schedule was shrunk to, and prints its path.
+// writeShrunk writes the shrunk form of a schedule and the report on it, and prints its path.
 func writeShrunk(
 	out io.Writer, s *scenario.Scenario, result shrink.Result, r *report.Report, dir string,
 ) error {
@@ -65,18 +65,18 @@
 	if err != nil {
 		return err
 	}
-	note := "nothing smaller breaks the same"
+	note := "no smaller schedule fails in the same way"
 	if !result.Complete {
-		note = "the bound of plays or time was reached"
+		note = "the limit of runs or time was reached"
 	}
-	fmt.Fprintf(out, "%s: shrunk in %d plays to %d of %d events, %d nodes, %d caches, %g s (%s): %s\n",
+	fmt.Fprintf(out, "%s: shrunk in %d runs to %d of %d events, %d nodes, %d caches, %g s (%s): %s\n",
 		s.Name, result.Plays, len(shrunk.Events), len(s.Events), shrunk.Fleet.Nodes, shrunk.Fleet.Caches,
 		shrunk.Seconds, note, path)
 	return nil
 }
 
-// isSameFailure tells whether two runs have a broken rule in common, or, if the first broke none, an expectation that
-// is not met. A run that was not judged fails like none.
+// isSameFailure reports whether two runs broke a common rule, or, if the first broke none, failed a common expectation.
+// A run that was not judged matches no failure.
 func isSameFailure(first, second *report.Report) bool {
 	if !isBroken(second) {
 		return false
