--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -17,19 +17,19 @@
 	"dahliapin/internal/scale"
 )
 
-// errOverBudget says that a measurement is over its budget; the last line printed has named it.
-var errOverBudget = errors.New("not all is within the budget")
+// errOverBudget reports a measurement over its budget, which the last printed line names.
+var errOverBudget = errors.New("a measurement is over its budget, or was not judged")
 
-// scaleOptions are what scale was called with.
+// scaleOptions holds the flags of scale.
 type scaleOptions struct {
 	plan        scale.Plan
-	budget      scale.Budget // by flags, instead of the file's
+	budget      scale.Budget // from flags, which override the file's
 	out         string       // folder
-	keepResults bool         // results that are in the folder already are not measured again
-	maxMB       int          // memory of all processes
+	keepResults bool         // sizes whose results are in the folder are not measured again
+	maxMB       int          // memory limit of all processes together
 }
 
-// scaleCommand measures what the control part of a fleet costs at its size.
+// scaleCommand returns the command that measures the cost of membership by the size of a fleet.
 func scaleCommand() *cobra.Command {
 	var o scaleOptions
 	c := &cobra.Command{
@@ -72,7 +72,7 @@
 	f.Float64Var(&o.budget.KBPerS, "kb", 0, "budget: kilobytes per second per node, sent and received")
 }
 
-// prepare reads the file, and checks the flags.
+// prepare reads the file, applies the flags to it, and checks both.
 func (o *scaleOptions) prepare(c *cobra.Command, args []string) error {
 	file, err := scale.ReadFile(firstOf(args))
 	if err != nil {
@@ -149,7 +149,7 @@
 	return filepath.Join(o.out, fmt.Sprintf("size-%d.json", nodes))
 }
 
-// earlierResult returns the result of a size that is in the folder already, or nil if it is to be measured.
+// earlierResult returns the result of a size from the output folder, or nil if the size has to be measured.
 func (o *scaleOptions) earlierResult(nodes int) *scale.Size {
 	if !o.keepResults {
 		return nil
@@ -165,7 +165,7 @@
 	return &size
 }
 
-// hollowNodesCommand runs the processes of nodes without clients.
+// hollowNodesCommand returns the hidden command that runs a process of nodes without clients.
 func hollowNodesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
--- a/cmd/dahliapin/scale_caches.go
+++ b/cmd/dahliapin/scale_caches.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	leastCaches = 10   // of a size: there have to be some for each zone and step of a release
-	mostCaches  = 3200 // by the operators' table of growth
-	leastDay    = 2 * time.Second
-	mostDay     = 10 * time.Minute
-	mostRate    = 1000
+	minGrowthCaches = 10   // each zone and each step of a release needs some
+	maxGrowthCaches = 3200 // the largest size in the operators' table of growth
+	minDayLength    = 2 * time.Second
+	maxDayLength    = 10 * time.Minute
+	maxGrowthRate   = 1000
 )
 
-// growthOptions are what scale caches was called with.
+// growthOptions holds the flags of scale caches.
 type growthOptions struct {
 	plan  cachegrowth.Plan
 	sizes []int
@@ -31,12 +31,12 @@
 	out   string // folder
 }
 
-// scaleCachesCommand measures what a node needs by the number of caches.
+// scaleCachesCommand returns the command that measures a node's resource use by the number of caches.
 func scaleCachesCommand() *cobra.Command {
 	var o growthOptions
 	c := &cobra.Command{
 		Use:   "caches",
-		Short: "Measure what one node needs where there are many times the caches, and compare it with the limits",
+		Short: "Measure the resource use of one node as the number of caches grows, and compare it with the limits",
 		Long: "Exits with 0 if all is within the limits, with 1 if a row is over its limit or the machine was too busy to\n" +
 			"judge, and with 2 for a bad call.",
 		Args: cobra.NoArgs,
@@ -50,7 +50,7 @@
 	c.SetFlagErrorFunc(badFlag)
 	f := c.Flags()
 	f.IntSliceVar(&o.sizes, "caches", []int{200, 800, 3200}, "numbers of caches; the others are compared with the first")
-	f.StringSliceVar(&o.names, "days", nil, "days that are played; all unless given")
+	f.StringSliceVar(&o.names, "days", nil, "days to run; all unless given")
 	f.DurationVar(&o.plan.Length, "for", 12*time.Second, "length of each day")
 	f.Float64Var(&o.plan.Share, "share", 0.2, "share of a core that the node is held to")
 	f.IntVar(&o.plan.Rate, "rate", 120, "requests per second")
@@ -61,18 +61,18 @@
 
 func (o *growthOptions) check() error {
 	switch {
-	case len(o.sizes) == 0 || !slices.IsSorted(o.sizes) || o.sizes[0] < leastCaches:
-		return badCall("--caches wants numbers from %d on, the least first", leastCaches)
-	case o.sizes[len(o.sizes)-1] > mostCaches:
-		return badCall("--caches has more than %d", mostCaches)
-	case o.plan.Length < leastDay || o.plan.Length > mostDay:
-		return badCall("--for %v is not from %v to %v", o.plan.Length, leastDay, mostDay)
+	case len(o.sizes) == 0 || !slices.IsSorted(o.sizes) || o.sizes[0] < minGrowthCaches:
+		return badCall("--caches must be numbers of at least %d, in ascending order", minGrowthCaches)
+	case o.sizes[len(o.sizes)-1] > maxGrowthCaches:
+		return badCall("--caches has a number over %d", maxGrowthCaches)
+	case o.plan.Length < minDayLength || o.plan.Length > maxDayLength:
+		return badCall("--for %v is not from %v to %v", o.plan.Length, minDayLength, maxDayLength)
 	case o.plan.Share <= 0 || o.plan.Share > 1:
-		return badCall("--share %v is not a share of a core", o.plan.Share)
-	case o.plan.Rate < 1 || o.plan.Rate > mostRate:
-		return badCall("--rate %d is not from 1 to %d", o.plan.Rate, mostRate)
+		return badCall("--share %v is not above 0 and at most 1", o.plan.Share)
+	case o.plan.Rate < 1 || o.plan.Rate > maxGrowthRate:
+		return badCall("--rate %d is not from 1 to %d", o.plan.Rate, maxGrowthRate)
 	case o.plan.Nodes < 1:
-		return badCall("--nodes %d is not a number of nodes", o.plan.Nodes)
+		return badCall("--nodes %d is not at least 1", o.plan.Nodes)
 	case o.out == "":
 		return badCall("scale caches needs --out")
 	}
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// run plays all days with node processes of this program.
+// run runs all days with node processes of this program.
 func (o *growthOptions) run(ctx context.Context) (*cachegrowth.Report, error) {
 	var err error
 	if o.plan.Program, err = os.Executable(); err != nil {
--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -28,16 +28,16 @@
 	maxFillTime       = time.Minute
 )
 
-// errOverStatedBounds says that a measurement is over the bounds that the operators' pages state.
-var errOverStatedBounds = errors.New("not all is within what is stated")
+// errOverStatedBounds reports a measurement over the bounds stated in the operators' documentation, or a broken rule.
+var errOverStatedBounds = errors.New("a stated bound or a rule was not kept")
 
-// scaleChangesCommand measures the log of changes at the size of a fleet.
+// scaleChangesCommand returns the command that measures the replicated log at the size of a fleet.
 func scaleChangesCommand() *cobra.Command {
 	plan := rig.Plan{HollowArgs: []string{"scale-changes", "hollow"}}
 	var phases string
 	c := &cobra.Command{
 		Use:   "scale-changes",
-		Short: "Measure the log of changes at the size of a fleet, on loopback, and check its rules",
+		Short: "Measure the replicated log at the size of a fleet, on loopback, and check its rules",
 		Long: "Exits with 0 if all is within the stated bounds and no rule was broken, with 1 if not, which the\n" +
 			"last lines name, and with 2 for a bad call.",
 		Args: noArguments,
@@ -83,7 +83,7 @@
 	f.DurationVar(&plan.For, "for", time.Minute, "length of the phase steady")
 	f.DurationVar(&plan.CutFor, "cut-for", 20*time.Second, "how long a region is cut off, or a cache does not answer")
 	f.IntVar(&plan.CutRegion, "cut-region", -1,
-		"region that is cut off, from 0; -1 for the last, which has no control machine (with 11: 0, 2, 5 and 8 have)")
+		"region that is cut off, from 0; -1 for the last, which has no control server (with 11: 0, 2, 5 and 8 have)")
 	f.DurationVar(&plan.After, "after", 20*time.Second, "how long purges go on at the stated rate after the cut")
 	f.IntVar(&plan.CutPurges, "cut-purges", 34_200, "number of purges during the cut: an hour's")
 	f.IntVar(&plan.CutConfigs, "cut-configs", 71, "number of configurations during the cut: an hour's")
@@ -99,23 +99,23 @@
 
 func checkChangesPlan(p *rig.Plan) error {
 	if !isChangesPlanInBounds(p) {
-		return badCall("a size is out of its bounds")
+		return badCall("a flag is out of its bounds")
 	}
 	if p.CutRegion < 0 {
 		p.CutRegion = p.Regions - 1
 	}
 	if p.CutRegion >= p.Regions {
-		return badCall("--cut-region %d of %d", p.CutRegion, p.Regions)
+		return badCall("--cut-region %d is not one of %d regions", p.CutRegion, p.Regions)
 	}
 	for _, phase := range p.Plays {
 		switch phase {
 		case rig.Steady, rig.Burst:
 		case rig.Cut, rig.CacheCut:
 			if (phase == rig.Cut) == (p.Caches > 0) {
-				return badCall("cut is played without --caches, and cache-cut with some")
+				return badCall("phase cut needs --caches 0, and phase cache-cut needs caches")
 			}
 		default:
-			return badCall("--plays %q: steady, burst, cut and cache-cut are", phase)
+			return badCall("--plays %q: the phases are steady, burst, cut and cache-cut", phase)
 		}
 	}
 	return nil
@@ -137,7 +137,7 @@
 	return false
 }
 
-// prepareChangesFolder makes the folder for results, which must not have the disks of another run.
+// prepareChangesFolder creates the folder for results. It must not contain the data folders of another run.
 func prepareChangesFolder(p *rig.Plan) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -148,7 +148,7 @@
 		return err
 	}
 	if old, _ := filepath.Glob(filepath.Join(p.Dir, "data-*")); len(old) > 0 {
-		return badCall("--out %s has another run's disks", p.Dir)
+		return badCall("--out %s has the data folders of another run", p.Dir)
 	}
 	return nil
 }
--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -9,26 +9,27 @@
 	"dahliapin/internal/scale/logscale/rig"
 )
 
-// The bounds that the operators' pages state.
+// The bounds stated in the operators' documentation.
 const (
-	purgeBound      = 5.6  // seconds until a purge is done everywhere
-	configBound     = 8.0  // seconds until a configuration is in force everywhere
-	nodeCoreBound   = 1.2  // percent of a core, of a node for all of control
+	purgeBound      = 5.6  // seconds until a purge is done at every node and cache
+	configBound     = 8.0  // seconds until a configuration is in force at every node
+	nodeCoreBound   = 1.2  // percent of a core that a node spends on all control work
 	nodeMemoryBound = 64.0 // MB, of a node
-	nodeBytesBound  = 19e3 // bytes a second, of a node
+	nodeBytesBound  = 19e3 // bytes per second, of a node
 )
 
-// changesPrinter prints a result, and collects what is over its bound.
+// changesPrinter prints a result, and collects findings: values over their bounds, and broken rules.
 type changesPrinter struct {
 	table    io.Writer
 	findings []string
 }
 
-func (p *changesPrinter) find(format string, args ...any) {
+func (p *changesPrinter) addFinding(format string, args ...any) {
 	p.findings = append(p.findings, fmt.Sprintf(format, args...))
 }
 
-// printChangesResult prints a result's tables, and what is over its bound or breaks a rule in the last lines.
+// printChangesResult prints a result's tables, and the findings in the last lines. It returns an error if there are
+// any.
 func printChangesResult(out io.Writer, r *rig.Report) error {
 	table := newTable(out)
 	p := changesPrinter{table: table}
@@ -43,9 +44,9 @@
 	for _, note := range r.Notes {
 		fmt.Fprintln(table, note)
 	}
-	p.findBreaches("broken", r.Judge.Breaches)
+	p.addBreaches("broken", r.Judge.Breaches)
 	if r.RealWhole < r.Real {
-		p.find("%d of %d real nodes have all", r.RealWhole, r.Real)
+		p.addFinding("%d of %d real nodes have all", r.RealWhole, r.Real)
 	}
 	for _, line := range p.findings {
 		fmt.Fprintln(table, line)
@@ -73,12 +74,13 @@
 			d.FromSent.Median, d.FromSent.P99, d.FromSent.Most,
 			d.FromAcked.Median, d.FromAcked.P99, d.FromAcked.Most, bound)
 		if d.FromSent.Most > bound || d.Unacked > 0 {
-			p.find("%s, %s: %.3f s to the last node, %d never acknowledged", d.Play, kind, d.FromSent.Most, d.Unacked)
+			p.addFinding("%s, %s: %.3f s to the last node, %d never acknowledged",
+				d.Play, kind, d.FromSent.Most, d.Unacked)
 		}
 	}
 }
 
-// printUsage prints what each kind of process took.
+// printUsage prints the network traffic, processor share and memory of each kind of process.
 func (p *changesPrinter) printUsage(r *rig.Report) {
 	fmt.Fprintln(p.table, "\nplay\trole\tcount\tbytes/s in\tout\tmost\t% of a core\tmost\tMB")
 	for _, u := range r.Usage {
@@ -87,10 +89,10 @@
 		isSteady := u.Play != rig.Cut && u.Play != rig.Burst
 		isOver := u.MostRate > nodeBytesBound || u.MostCore > nodeCoreBound || u.MB > nodeMemoryBound
 		if u.Role == "hollow node" && isSteady && isOver {
-			p.find("%s: a node's %.0f bytes/s, %.2f%% of a core, %.1f MB", u.Play, u.MostRate, u.MostCore, u.MB)
+			p.addFinding("%s: a node's %.0f bytes/s, %.2f%% of a core, %.1f MB", u.Play, u.MostRate, u.MostCore, u.MB)
 		}
 		if u.Role == "real node" && u.MB > nodeMemoryBound {
-			p.find("%s: a real node's %.1f MB", u.Play, u.MB)
+			p.addFinding("%s: a real node's %.1f MB", u.Play, u.MB)
 		}
 	}
 }
@@ -115,14 +117,14 @@
 		fmt.Fprintf(p.table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n", d.Play,
 			d.Deleted.Median, d.Deleted.P99, d.Deleted.Most, d.Done.Median, d.Done.P99, d.Done.Most, purgeBound)
 		if d.Done.Most > purgeBound {
-			p.find("%s: %.3f s until a purge was done at the last cache", d.Play, d.Done.Most)
+			p.addFinding("%s: %.3f s until a purge was done at the last cache", d.Play, d.Done.Most)
 		}
 	}
-	p.findBreaches("broken at caches", c.Breaches)
+	p.addBreaches("broken at caches", c.Breaches)
 }
 
-func (p *changesPrinter) findBreaches(where string, breaches []checker.Breach) {
+func (p *changesPrinter) addBreaches(where string, breaches []checker.Breach) {
 	for _, b := range breaches {
-		p.find("%s: %s, %d times: %s", where, b.What, b.Count, strings.Join(b.Examples, "; "))
+		p.addFinding("%s: %s, %d times: %s", where, b.What, b.Count, strings.Join(b.Examples, "; "))
 	}
 }
