--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -30,7 +30,7 @@
 func runProgram(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), asProgram+"=1")
+	c.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	text, err := c.Output()
 	if err != nil && c.ProcessState == nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 
 func (f *controlFleet) start(t *testing.T, i int, flags ...string) (*exec.Cmd, chan string) {
 	t.Helper()
-	return started(t, os.Args[0], append([]string{"control", f.file(t, i)}, flags...)...)
+	return startProgram(t, os.Args[0], append([]string{"control", f.file(t, i)}, flags...)...)
 }
 
 // publish publishes purges and expects their indexes.
@@ -105,18 +105,18 @@
 func TestControlMachinesAsProcesses(t *testing.T) {
 	f := newControlFleet(t)
 	_, refused := f.start(t, 0)
-	expect(t, refused, "is not started by itself")
+	waitForLine(t, refused, "is not started by itself")
 	var machines []*exec.Cmd
 	for i := range f.peers {
 		machine, log := f.start(t, i, "--new")
-		expect(t, log, "control server listening")
+		waitForLine(t, log, "control server listening")
 		machines = append(machines, machine)
 	}
 	f.publish(t, "1\n2\n", "a", "b")
 	kill(machines[0])
 	f.publish(t, "3\n", "c")
 	_, log := f.start(t, 0)
-	expect(t, log, "control server listening")
+	waitForLine(t, log, "control server listening")
 	o := f.waitForOverview(t)
 	if o.Last != 3 || len(o.Servers) != 4 || o.Servers[0].Last != 3 || !o.Servers[3].Learner {
 		t.Errorf("%+v", o)
--- a/cmd/dahliapin/main_test.go
+++ b/cmd/dahliapin/main_test.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// asProgram is a variable of the environment that makes the test's binary the program.
-const asProgram = "DAHLIAPIN_TEST_AS_PROGRAM"
+// runAsProgramEnv is a variable of the environment that makes the test's binary the program.
+const runAsProgramEnv = "DAHLIAPIN_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// started starts the program in a process of its own, and returns the lines of its log as they are written.
-func started(t *testing.T, name string, args ...string) (*exec.Cmd, chan string) {
+// startProgram starts the program in a process of its own, and returns the lines of its log as they are written.
+func startProgram(t *testing.T, name string, args ...string) (*exec.Cmd, chan string) {
 	t.Helper()
 	program := exec.Command(name, args...)
-	program.Env = append(os.Environ(), asProgram+"=1")
+	program.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	out, err := program.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 	return program, logged
 }
 
-// expect takes lines until one contains a text, and returns that line.
-func expect(t *testing.T, from chan string, want string) (got string) {
+// waitForLine takes lines until one contains a text, and returns that line.
+func waitForLine(t *testing.T, from chan string, want string) (got string) {
 	t.Helper()
 	for by, more := time.After(20*time.Second), true; !strings.Contains(got, want); {
 		select {
@@ -94,26 +94,26 @@
 			return nil
 		}
 	}
-	early, _ := started(t, "/bin/sh", "-c", run)
+	early, _ := startProgram(t, "/bin/sh", "-c", run)
 	f := reading()
 	early.Process.Signal(syscall.SIGTERM)
 	if err := early.Wait(); err != nil {
 		t.Errorf("told to end before it served: %v", err)
 	}
 	f.Close()
-	program, logged := started(t, "/bin/sh", "-c", run)
+	program, logged := startProgram(t, "/bin/sh", "-c", run)
 	f = reading()
 	program.Process.Signal(syscall.SIGHUP)
 	fmt.Fprint(f, `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"service_grades":[{}]}}`)
 	f.Close()
-	expect(t, logged, "listening")
+	waitForLine(t, logged, "listening")
 	f = reading() // again, as SIGHUP says
 	defer f.Close()
 	for range 6 { // more than wait for their turn
 		program.Process.Signal(syscall.SIGUSR1)
 	}
 	program.Process.Signal(syscall.SIGTERM)
-	expect(t, logged, "counters, stopped")
+	waitForLine(t, logged, "counters, stopped")
 	if err := program.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -146,8 +146,8 @@
 	}
 	first, second := discovery("first "), discovery("second ")
 	write(first, "")
-	program, logged := started(t, os.Args[0], "serve", "--config", file)
-	expect := func(from chan string, want string) string { t.Helper(); return expect(t, from, want) }
+	program, logged := startProgram(t, os.Args[0], "serve", "--config", file)
+	expect := func(from chan string, want string) string { t.Helper(); return waitForLine(t, from, want) }
 	addr := expect(logged, "listening")
 	addr = strings.FieldsFunc(addr[strings.Index(addr, "127."):], func(c rune) bool { return c == '"' || c == ' ' })[0]
 	expect(polls, "first since=7")
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(asProgram, "1")
+	t.Setenv(runAsProgramEnv, "1")
 	run := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 	for _, m := range []migratedNodes{{run, t.TempDir()}, {run, ""}} {
 		isMigrated := m.dir != ""
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
 	tmp := t.TempDir()
-	c.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+tmp)
+	c.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+tmp)
 	var said bytes.Buffer
 	c.Stdout, c.Stderr = &said, &said
 	if err := c.Start(); err != nil {
--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	var o, e strings.Builder
 	program := exec.Command(os.Args[0], args...)
-	program.Env = append(os.Environ(), asProgram+"=1")
+	program.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	program.Stdout, program.Stderr = &o, &e
 	if err := program.Run(); err != nil && program.ProcessState == nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	if err := os.WriteFile(file, []byte("[starts]\napart_ms = 10000\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	program, logged := started(t, os.Args[0], "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--out", t.TempDir(), file)
+	program, logged := startProgram(t, os.Args[0], "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--out", t.TempDir(), file)
 	for by := time.Now().Add(20 * time.Second); !hollowRuns(t); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(by) {
 			t.Fatal("no process of hollow nodes comes up")
@@ -96,7 +96,7 @@
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, logged, "context canceled")
+	waitForLine(t, logged, "context canceled")
 	if err := program.Wait(); err == nil || program.ProcessState.ExitCode() != 1 {
 		t.Errorf("it ended with %v", err)
 	}
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -41,7 +41,7 @@
 
 // nodes runs the program in processes of its own: this test's binary is the program where its environment says so.
 func nodes(t *testing.T) *realtime.Processes {
-	t.Setenv(asProgram, "1")
+	t.Setenv(runAsProgramEnv, "1")
 	return &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 }
 
--- a/cmd/dahliapin/soak_variants_test.go
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -369,7 +369,7 @@
 // A soak proves something only if it finds broken nodes. Each variant has to be caught within so many seeds, and what
 // caught it can be shrunk to what the variant needs. CI plays one, for a short time.
 func TestSoakCatchesBrokenNodes(t *testing.T) {
-	t.Setenv(asProgram, "1")
+	t.Setenv(runAsProgramEnv, "1")
 	if *variantSeeds == 0 {
 		if testing.Short() {
 			t.Skip("plays for 10 s")
--- a/cmd/dahliapin/start_test.go
+++ b/cmd/dahliapin/start_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	p := &served{Cmd: exec.Command(os.Args[0], "serve", "--config", file), up: make(chan bool)}
-	p.Env = append(append(os.Environ(), asProgram+"=1", "TMPDIR="+dir), env...)
+	p.Env = append(append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+dir), env...)
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
 	out, err := p.StderrPipe()
 	if err == nil {
--- a/cmd/dahliapin/upgrade_test.go
+++ b/cmd/dahliapin/upgrade_test.go
@@ -85,7 +85,7 @@
 		s.t.Fatal(err)
 	}
 	p := &one{Cmd: exec.Command(os.Args[0], "serve", "--config", file), logged: make(chan string, 999)}
-	p.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+s.dir)
+	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+s.dir)
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
 	out, err := p.StderrPipe()
 	if err == nil {
