--- a/cmd/dahliapin/capacity_test.go
+++ b/cmd/dahliapin/capacity_test.go
@@ -18,8 +18,8 @@
 // clockTick is the unit of processor times in /proc, as Linux states it to programs on every machine.
 const clockTick = 10 * time.Millisecond
 
-// spent tells what processor time a process has taken, and what of its memory is resident, in bytes.
-func spent(tb testing.TB, pid int) (cpu time.Duration, resident float64) {
+// processUsage tells what processor time a process has taken, and what of its memory is resident, in bytes.
+func processUsage(tb testing.TB, pid int) (cpu time.Duration, resident float64) {
 	tb.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -32,10 +32,10 @@
 	return time.Duration(user+system) * clockTick, float64(pages * os.Getpagesize())
 }
 
-// values is a cache that answers each request with a value of so many bytes.
-func values(tb testing.TB, size int) string {
+// startValueCache is a cache that answers each request with a value of so many bytes.
+func startValueCache(tb testing.TB, size int) string {
 	value := append(bytes.Repeat([]byte("v"), size), '\r', '\n')
-	return cacheOf(tb, func(to net.Conn, line string) error {
+	return startCache(tb, func(to net.Conn, line string) error {
 		_, id, _ := strings.Cut(line, " O")
 		id, _, _ = strings.Cut(id, " ")
 		_, err := fmt.Fprintf(to, "VA %d O%s\r\n", size, id)
@@ -51,9 +51,9 @@
 func BenchmarkNodeProcess(b *testing.B) {
 	for _, size := range []int{500, 64 << 10, 673_000, 4_000_000} {
 		b.Run(fmt.Sprint(size, "-bytes"), func(b *testing.B) {
-			pid, addr := oneNode(b, size)
+			pid, addr := startSingleNode(b, size)
 			const connections = 32
-			before, _ := spent(b, pid)
+			before, _ := processUsage(b, pid)
 			b.ResetTimer()
 			var all sync.WaitGroup
 			for n := range connections {
@@ -82,7 +82,7 @@
 			}
 			all.Wait()
 			b.StopTimer()
-			after, resident := spent(b, pid)
+			after, resident := processUsage(b, pid)
 			requests := float64((b.N + connections - 1) / connections * connections)
 			b.ReportMetric((after-before).Seconds()*1e6/requests, "cpu-us/request")
 			b.ReportMetric((after-before).Seconds()*1e3/(requests*float64(size)*8/1e9), "cpu-ms/Gbit")
@@ -92,7 +92,7 @@
 	}
 	for _, clients := range []int{0, 250, 500, 1000} {
 		b.Run(fmt.Sprint(clients, "-clients"), func(b *testing.B) {
-			pid, addr := oneNode(b, 500)
+			pid, addr := startSingleNode(b, 500)
 			for i := range clients {
 				c, err := net.Dial("tcp", addr)
 				if err != nil {
@@ -104,14 +104,14 @@
 					b.Fatal(head, err)
 				}
 			}
-			_, resident := spent(b, pid)
+			_, resident := processUsage(b, pid)
 			b.ReportMetric(resident/1e6, "resident-MB")
 		})
 	}
 }
 
-// oneNode runs a node in a process of its own before a cache with values of a size.
-func oneNode(b *testing.B, size int) (pid int, addr string) {
+// startSingleNode runs a node in a process of its own before a cache with values of a size.
+func startSingleNode(b *testing.B, size int) (pid int, addr string) {
 	over := make(chan bool)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -121,14 +121,14 @@
 			}
 			return
 		}
-		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"c","hostPort":%q,"lifecycle":"in_service","zone":"z"}]}`, values(b, size))
+		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[{"instanceId":"c","hostPort":%q,"lifecycle":"in_service","zone":"z"}]}`, startValueCache(b, size))
 	}))
 	b.Cleanup(func() { close(over); list.Close() })
-	p := serving(b, b.TempDir(), list.Listener.Addr().String(), `"seed":"1","limits":{"memory_mb":512,"sockets":4096},"settings":{
+	p := startNode(b, b.TempDir(), list.Listener.Addr().String(), `"seed":"1","limits":{"memory_mb":512,"sockets":4096},"settings":{
 "service_grades":[{"name":"read","effect":"idempotent","benefit":1,"soft_limit_s":5,"hard_stop_s":9}],"zone":"z","n_instances":1,
 "round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":60},"family_info":{"mode":"through"}}`)
-	addr = p.at(b)
-	for by := time.Now().Add(10 * time.Second); !ready(addr); time.Sleep(10 * time.Millisecond) {
+	addr = p.waitForListen(b)
+	for by := time.Now().Add(10 * time.Second); !isReady(addr); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
 			b.Fatal("the node is not ready")
 		}
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -95,7 +95,7 @@
 	return o
 }
 
-func kill(c *exec.Cmd) {
+func killAndWait(c *exec.Cmd) {
 	_ = c.Process.Kill()
 	_ = c.Wait()
 }
@@ -113,7 +113,7 @@
 		machines = append(machines, machine)
 	}
 	f.publish(t, "1\n2\n", "a", "b")
-	kill(machines[0])
+	killAndWait(machines[0])
 	f.publish(t, "3\n", "c")
 	_, log := f.start(t, 0)
 	waitForLine(t, log, "control server listening")
@@ -134,7 +134,7 @@
 		}
 	}
 	for _, machine := range machines[1:] { // without a majority nothing can be ordered
-		kill(machine)
+		killAndWait(machine)
 	}
 	out, code := runProgram(t, "fleet", "publish", "--at", f.nodes[0], "--label", "l", "--by", "1s", "--purge", "d")
 	if code != 1 || out != "" {
@@ -146,8 +146,8 @@
 	}
 }
 
-// shownChanges returns what operators are shown.
-func shownChanges(t *testing.T, o controlclient.Overview) string {
+// formatChanges returns what operators are shown.
+func formatChanges(t *testing.T, o controlclient.Overview) string {
 	t.Helper()
 	var out strings.Builder
 	if err := printChanges(&out, o); err != nil {
@@ -157,7 +157,7 @@
 }
 
 func TestNoCachesAreShownWherePurgesAreNotCarriedOut(t *testing.T) {
-	if text := shownChanges(t, controlclient.Overview{Last: 9, HasLeader: true}); strings.Contains(text, "cache") {
+	if text := formatChanges(t, controlclient.Overview{Last: 9, HasLeader: true}); strings.Contains(text, "cache") {
 		t.Error(text)
 	}
 }
@@ -174,7 +174,7 @@
 			},
 		},
 	}}
-	text := shownChanges(t, o)
+	text := formatChanges(t, o)
 	for _, want := range []string{
 		"2 caches, purges are done at 1 of them",
 		"ill    4     5      3     6             1: refused, 2.5 s; to be flushed",
@@ -187,7 +187,7 @@
 		t.Error(text)
 	}
 	o.NoCacheList = true
-	if text := shownChanges(t, o); !strings.Contains(text, "there is no list of them") {
+	if text := formatChanges(t, o); !strings.Contains(text, "there is no list of them") {
 		t.Error(text)
 	}
 }
--- a/cmd/dahliapin/cpu_share_test.go
+++ b/cmd/dahliapin/cpu_share_test.go
@@ -6,8 +6,8 @@
 	"dahliapin/internal/scale"
 )
 
-// mostResident tells how many bytes of a process's memory were resident at most since its start.
-func mostResident(tb testing.TB, pid int) float64 {
+// peakResident tells how many bytes of a process's memory were resident at most since its start.
+func peakResident(tb testing.TB, pid int) float64 {
 	tb.Helper()
 	bytes, err := scale.PeakResident(pid)
 	if err != nil {
@@ -16,8 +16,8 @@
 	return float64(bytes)
 }
 
-// holdToShare limits a process to a share of a core until the returned function is called.
-func holdToShare(t testing.TB, pid int, share float64) (release func()) {
+// limitCPUShare limits a process to a share of a core until the returned function is called.
+func limitCPUShare(t testing.TB, pid int, share float64) (release func()) {
 	t.Helper()
 	let := scale.HoldToShare(pid, share)
 	return func() {
--- a/cmd/dahliapin/held_up_test.go
+++ b/cmd/dahliapin/held_up_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// stop stops a process, and waits until all of it stands.
-func stop(t *testing.T, pid int) {
+// suspendProcess stops a process, and waits until all of it stands.
+func suspendProcess(t *testing.T, pid int) {
 	t.Helper()
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	var late atomic.Int64
 	var drains atomic.Bool
 	cache := func(leaves bool) string {
-		return cacheOf(t, func(to net.Conn, line string) error {
+		return startCache(t, func(to net.Conn, line string) error {
 			f := strings.Fields(line)
 			if len(f) < 4 {
 				return io.EOF
@@ -82,13 +82,13 @@
 		}
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	node := serving(t, t.TempDir(), s.Listener.Addr().String(), `"seed":"1","settings":{
+	node := startNode(t, t.TempDir(), s.Listener.Addr().String(), `"seed":"1","settings":{
 "service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":1,"hard_stop_s":3}],
 "zone":"z","n_instances":1,"bounds":{"most_legs":3,"conn_idle_s":15},"family_info":{"mode":"through"}}`)
-	listen := node.at(t)
-	for by := time.Now().Add(20 * time.Second); !ready(listen); time.Sleep(10 * time.Millisecond) {
+	listen := node.waitForListen(t)
+	for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("not ready; it said:\n%s", node.said())
+			t.Fatalf("not ready; it said:\n%s", node.logTail())
 		}
 	}
 	var clients []net.Conn
@@ -121,7 +121,7 @@
 	}
 	ask(0) // so that connections to both caches are open
 	answered()
-	stop(t, node.Process.Pid)
+	suspendProcess(t, node.Process.Pid)
 	ask(1)
 	time.Sleep(stays)
 	close(news)
--- a/cmd/dahliapin/many_caches_test.go
+++ b/cmd/dahliapin/many_caches_test.go
@@ -34,9 +34,9 @@
 // waits are what clients wait for an answer, by turns.
 var waits = [...]time.Duration{464 * time.Millisecond, 1200 * time.Millisecond}
 
-// release is discovery, and caches that are replaced in steps. All caches of one step share a listener, so that it is
+// releaseEmulator is discovery, and caches that are replaced in steps. All caches of one step share a listener, so that it is
 // known of each request to which step's caches it went.
-type release struct {
+type releaseEmulator struct {
 	caches int
 	origin string
 	groups []string // where the caches of each step listen; the last group stays
@@ -58,10 +58,10 @@
 const cacheRow = `{"instanceId":"s-%08x","hostPort":%q,"machineType":"box","lifecycle":%q,"zone":"z","weight":1.0,"startedAtMs":0}`
 
 // newRelease makes the caches of all steps, the origin, and the first list.
-func newRelease(t testing.TB, caches int) *release {
-	r := &release{caches: caches, moved: make(chan bool)}
+func newRelease(t testing.TB, caches int) *releaseEmulator {
+	r := &releaseEmulator{caches: caches, moved: make(chan bool)}
 	for group := range releaseSteps + 1 {
-		r.groups = append(r.groups, cacheOf(t, func(to net.Conn, line string) error { return r.answer(group, to, line) }))
+		r.groups = append(r.groups, startCache(t, func(to net.Conn, line string) error { return r.answer(group, to, line) }))
 	}
 	origin := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(originTakes)
@@ -78,14 +78,14 @@
 }
 
 // row is the entry of a cache. Those of each step are next to each other, and the later ones are new.
-func (r *release) row(cache int, state string) string {
+func (r *releaseEmulator) row(cache int, state string) string {
 	return fmt.Sprintf(cacheRow, uint32(cache)*2654435761, r.groups[min(releaseSteps, cache/r.perStep())], state)
 }
 
-func (r *release) perStep() int { return int(releaseShare * float64(r.caches)) }
+func (r *releaseEmulator) perStep() int { return int(releaseShare * float64(r.caches)) }
 
 // answer is a cache's: keys that begin with m are not there. It counts what its group gets after the grace.
-func (r *release) answer(group int, to net.Conn, line string) error {
+func (r *releaseEmulator) answer(group int, to net.Conn, line string) error {
 	f := strings.Fields(line)
 	if len(f) < 4 {
 		return io.EOF
@@ -105,7 +105,7 @@
 }
 
 // step removes the caches that the step before has drained, adds as many new ones, and soon after has its own drain.
-func (r *release) step(n int) {
+func (r *releaseEmulator) step(n int) {
 	var changed, drained []string
 	for i := range r.perStep() {
 		drained = append(drained, r.row(n*r.perStep()+i, "terminating"))
@@ -119,7 +119,7 @@
 }
 
 // publish makes a new version of the list.
-func (r *release) publish(v listVersion) {
+func (r *releaseEmulator) publish(v listVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.versions = append(r.versions, v)
@@ -143,7 +143,7 @@
 }
 
 // ServeHTTP is discovery, which tells changes one version at a time.
-func (r *release) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (r *releaseEmulator) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	since, whole := 0, true
 	if at := q.URL.Query().Get("since"); at != "" {
 		fmt.Sscan(at, &since)
@@ -225,35 +225,35 @@
 	return fmt.Sprint("m", i)
 }
 
-// releaseTerms are a node's settings before a release's caches.
-const releaseTerms = `"seed":"1","limits":{"memory_mb":192,"sockets":1024},"settings":{
+// releaseSettings are a node's settings before a release's caches.
+const releaseSettings = `"seed":"1","limits":{"memory_mb":192,"sockets":1024},"settings":{
 "service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":0.4,"hard_stop_s":1.2}],"zone":"z","n_instances":16,
 "kinds":["box","origin"],"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15,"connect_timeout_s":0.25,"cancel":true},
 "family_info":{"mode":"aside","origin_kind":1},"rules":{"cold_from":0.3,"cold_s":5,"overload_factor":3,"overload_for_s":1}}`
 
-// released is what a release among so many caches led to.
-type released struct {
+// releaseResult is what a release among so many caches led to.
+type releaseResult struct {
 	clientLog
-	*release
-	node      *served
+	*releaseEmulator
+	node      *nodeProcess
 	heldUp    time.Duration // at most, between two requests: of the clients themselves
 	processor time.Duration // taken by the node, from its start to the end of the release
 	memory    float64       // bytes that it had resident at most
 }
 
-// playRelease plays one against a node that has a share of a core.
-func playRelease(tb testing.TB, caches int, share float64) *released {
-	r := &released{release: newRelease(tb, caches)}
-	s := httptest.NewServer(r.release)
+// runRelease plays one against a node that has a share of a core.
+func runRelease(tb testing.TB, caches int, share float64) *releaseResult {
+	r := &releaseResult{releaseEmulator: newRelease(tb, caches)}
+	s := httptest.NewServer(r.releaseEmulator)
 	tb.Cleanup(s.CloseClientConnections)
-	r.node = serving(tb, tb.TempDir(), s.Listener.Addr().String(), releaseTerms)
-	listen := r.node.at(tb)
-	for by := time.Now().Add(20 * time.Second); !ready(listen); time.Sleep(10 * time.Millisecond) {
+	r.node = startNode(tb, tb.TempDir(), s.Listener.Addr().String(), releaseSettings)
+	listen := r.node.waitForListen(tb)
+	for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			tb.Fatalf("not ready; it said:\n%s", r.node.said())
+			tb.Fatalf("not ready; it said:\n%s", r.node.logTail())
 		}
 	}
-	let := holdToShare(tb, r.node.Process.Pid, share)
+	let := limitCPUShare(tb, r.node.Process.Pid, share)
 	defer let()
 	var all sync.WaitGroup
 	began := time.Now()
@@ -274,17 +274,17 @@
 		time.Sleep(time.Second / requestsPerSec)
 	}
 	all.Wait()
-	r.processor, _ = spent(tb, r.node.Process.Pid)
-	r.memory = mostResident(tb, r.node.Process.Pid)
+	r.processor, _ = processUsage(tb, r.node.Process.Pid)
+	r.memory = peakResident(tb, r.node.Process.Pid)
 	return r
 }
 
-// playJudgedRelease plays a release anew where the clients themselves were held up: beside five compilers they sent a
+// runJudgedRelease plays a release anew where the clients themselves were held up: beside five compilers they sent a
 // third of their requests, and a node that stood still with them was blamed for it.
-func playJudgedRelease(t *testing.T, caches int) *released {
+func runJudgedRelease(t *testing.T, caches int) *releaseResult {
 	t.Helper()
 	for play := range releasePlays {
-		r := playRelease(t, caches, nodeShare)
+		r := runRelease(t, caches, nodeShare)
 		if r.heldUp < clientsHeldUp {
 			return r
 		}
@@ -302,9 +302,9 @@
 	if testing.Short() { // under the race detector, which is some ten times slower
 		caches = 800
 	}
-	a := playJudgedRelease(t, caches)
+	a := runJudgedRelease(t, caches)
 	a.node.Process.Signal(syscall.SIGUSR1)
-	for by := time.Now().Add(5 * time.Second); !strings.Contains(a.node.said(), "longest_iteration_ms") && time.Now().Before(by); {
+	for by := time.Now().Add(5 * time.Second); !strings.Contains(a.node.logTail(), "longest_iteration_ms") && time.Now().Before(by); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Logf("%d caches: %d served, %d refused, %d lost; the latest answer %v after its deadline", caches, a.served, a.refused, a.lost, a.latest.Round(time.Millisecond))
@@ -320,7 +320,7 @@
 		t.Error("nothing was served")
 	}
 	if t.Failed() {
-		t.Logf("the node said:\n%s", a.node.said())
+		t.Logf("the node said:\n%s", a.node.logTail())
 	}
 }
 
@@ -329,7 +329,7 @@
 	for _, caches := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			for b.Loop() {
-				r := playRelease(b, caches, nodeShare)
+				r := runRelease(b, caches, nodeShare)
 				b.ReportMetric(r.processor.Seconds()*1000, "cpu-ms")
 				b.ReportMetric(r.memory/1e6, "peak-MB")
 				b.ReportMetric(float64(r.served)/float64(r.served+r.refused+r.lost), "share-served")
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -57,7 +57,7 @@
 		if call.flag != "" {
 			args = append(args, call.flag)
 		}
-		out, code, _ := program(t, nil, args...)
+		out, code, _ := runProgramInTempDir(t, nil, args...)
 		keys := strings.Join(remarkKey.FindAllString(out, -1), " ")
 		fails := call.keys == ""
 		if fails != (code != 0) || !fails && keys != call.keys || fails && strings.Count(out, "\n") != 1 {
@@ -96,7 +96,7 @@
 // A node with a migrated configuration must serve, and send attempts to its own zone's caches. With the old one, it
 // sends them to all.
 func TestMigratedNodeKeepsToItsZone(t *testing.T) {
-	s, err := scenario.Parse("test.toml", []byte(strings.Replace(strings.Split(short, "[[event]]")[0], "caches = 4",
+	s, err := scenario.Parse("test.toml", []byte(strings.Replace(strings.Split(shortScenario, "[[event]]")[0], "caches = 4",
 		"caches = 12\nzones = [\"a\", \"b\"]", 1)))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -18,7 +18,7 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const short = `seconds = 5
+const shortScenario = `seconds = 5
 [fleet]
 nodes = 2
 caches = 4
@@ -42,9 +42,9 @@
 caches = ["c2"]
 `
 
-// program runs this program with a temporary folder of its own, and returns its output, its exit code and what it left
+// runProgramInTempDir runs this runProgramInTempDir with a temporary folder of its own, and returns its output, its exit code and what it left
 // there. after is called once it has started; nil for nothing.
-func program(t *testing.T, after func(*os.Process), args ...string) (out string, code int, left []string) {
+func runProgramInTempDir(t *testing.T, after func(*os.Process), args ...string) (out string, code int, left []string) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
 	tmp := t.TempDir()
@@ -87,12 +87,12 @@
 // avoided is bounded in virtual time alone: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
 func TestRehearsalWithProcessesReportsAndLeavesNothing(t *testing.T) {
 	dir := t.TempDir()
-	script := scriptFile(t, short+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
-	out, code, left := program(t, nil, "rehearse", script, "--out", dir)
+	script := scriptFile(t, shortScenario+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
 	for play := 1; play < maxPlays && strings.Contains(out, machineTooBusy); play++ {
 		t.Log(out)
 		_ = os.Remove(dir + "/records.jsonl")
-		out, code, left = program(t, nil, "rehearse", script, "--out", dir)
+		out, code, left = runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
 	}
 	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
@@ -113,7 +113,7 @@
 		time.Sleep(time.Second)
 		p.Signal(syscall.SIGINT)
 	}
-	out, code, left := program(t, interrupt, "rehearse", scriptFile(t, short))
+	out, code, left := runProgramInTempDir(t, interrupt, "rehearse", scriptFile(t, shortScenario))
 	if code != 1 || len(left) > 0 || strings.Contains(out, "asked") {
 		t.Errorf("broken off: exit %d, left %v: %s", code, left, out)
 	}
@@ -122,7 +122,7 @@
 // Operators replace one node's process under load, and set the other to standby. A request that is lost, a process that
 // does not answer yes or does not end, and a connection held four seconds after the call each fail the rehearsal.
 func TestRehearsalRunsWhatOperatorsDo(t *testing.T) {
-	calls := strings.Replace(short[:strings.Index(short, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
+	calls := strings.Replace(shortScenario[:strings.Index(shortScenario, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
 at_s = 0.5
 do = "node_upgrade"
 nodes = [1]
@@ -139,7 +139,7 @@
 [expect]
 satisfied={read=0.5}
 `
-	out, code, left := program(t, nil, "rehearse", scriptFile(t, calls))
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", scriptFile(t, calls))
 	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
@@ -164,7 +164,7 @@
 		{failed, []string{"rehearse", scriptFile(t, "secs = 1")}},
 		{failed, []string{"rehearse", "moves", "--decider", "ring"}},
 		{failed, []string{"rehearse", "moves", "--virtual", "--decider", "best"}},
-		{failed, []string{"rehearse", scriptFile(t, short+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}},
+		{failed, []string{"rehearse", scriptFile(t, shortScenario+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}},
 		{failed, []string{"ops"}},
 		{failed, []string{"ops", "standbye"}},
 		{failed, []string{"ops", "status", "--at", "here"}},
@@ -186,7 +186,7 @@
 		{badCall, []string{"nemesis", "--seeds"}},
 		{badCall, []string{"nemesis", "now"}},
 	} {
-		out, code, _ := program(t, nil, test.args...)
+		out, code, _ := runProgramInTempDir(t, nil, test.args...)
 		isOneLine := strings.Count(out, "\n") == 1 && strings.HasPrefix(out, "dahliapin: ")
 		if code != test.code || !isOneLine {
 			t.Errorf("%v: exit %d, %q", test.args, code, out)
@@ -199,7 +199,7 @@
 	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
 		`"settings":{"service_grades":[{"name":"read"}]}}`)
 	faulty := scriptFile(t, "[[listener]]\nlisten = 'x'\nprotocol = 'y'\n")
-	out, _, _ := program(t, nil, "check", "--config", config, "--operator", faulty)
+	out, _, _ := runProgramInTempDir(t, nil, "check", "--config", config, "--operator", faulty)
 	if !strings.Contains(out, ":2: ") || !strings.Contains(out, ":3: ") {
 		t.Errorf("two faults: %q", out)
 	}
@@ -212,7 +212,7 @@
 	if testing.Short() {
 		t.Skip("plays for 24 s")
 	}
-	text := strings.Replace(strings.Split(short, "[[event]]")[0], "seconds = 5", "seconds = 24", 1)
+	text := strings.Replace(strings.Split(shortScenario, "[[event]]")[0], "seconds = 5", "seconds = 24", 1)
 	text = strings.Replace(text, "nodes = 2", "nodes = 5", 1) + "[together]\n" + `[[event]]
 at_s = 4
 do = "node_kill"
@@ -230,7 +230,7 @@
 [expect]
 most_view_changes = 4
 `
-	out, code, left := program(t, nil, "rehearse", scriptFile(t, text))
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", scriptFile(t, text))
 	const viewsAreRight = "met      views are as what befell nodes has them (0 wrong"
 	if code != 0 || len(left) > 0 || !strings.Contains(out, viewsAreRight) {
 		t.Errorf("exit %d, left %v:\n%s", code, left, out)
--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -15,7 +15,7 @@
 func TestScaleCachesByCounts(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	out := t.TempDir()
-	_, errs, code := calledOut(t, "scale", "caches", "--caches", "60,240", "--days", "quiet,release", "--for", "2s",
+	_, errs, code := runProgramSplit(t, "scale", "caches", "--caches", "60,240", "--days", "quiet,release", "--for", "2s",
 		"--share", "1", "--out", out)
 	if code > 1 { // 1 if something that is not judged here is over its limit
 		t.Fatalf("exit %d: %s", code, errs)
@@ -55,7 +55,7 @@
 		"--out x --caches two":                 "--caches",
 		"--out x --days quiet --more sensible": "--more",
 	} {
-		_, errs, code := calledOut(t, append([]string{"scale", "caches"}, strings.Fields(args)...)...)
+		_, errs, code := runProgramSplit(t, append([]string{"scale", "caches"}, strings.Fields(args)...)...)
 		if code != 2 || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
 			t.Errorf("%q: exit %d, %q", args, code, errs)
 		}
--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -13,8 +13,8 @@
 	"dahliapin/internal/scale"
 )
 
-// calledOut runs the program to its end: what it printed, its errors, and the exit code.
-func calledOut(t *testing.T, args ...string) (out, errs string, code int) {
+// runProgramSplit runs the program to its end: what it printed, its errors, and the exit code.
+func runProgramSplit(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
 	var o, e strings.Builder
 	program := exec.Command(os.Args[0], args...)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	call := []string{"scale", "--nodes", "12", "--sizes", "6,12", "--real", "2", "--for", "2s", "--seed", "5", "--out", out, file}
-	printed, errs, code := calledOut(t, call...)
+	printed, errs, code := runProgramSplit(t, call...)
 	if code != 0 || lastLine(printed) != "all within" {
 		t.Fatalf("exit %d: %s%s", code, printed, errs)
 	}
@@ -73,7 +73,7 @@
 			t.Errorf("%d nodes: hollow ones send %.0f B/s, real ones %.0f", s.Nodes, h, x)
 		}
 	}
-	printed, errs, code = calledOut(t, append(call, "--kept", "--kb", "0.001")...)
+	printed, errs, code = runProgramSplit(t, append(call, "--kept", "--kb", "0.001")...)
 	if want := "not within: steady, all sent and received at 12 nodes is "; code != 1 || !strings.HasPrefix(lastLine(printed), want) {
 		t.Errorf("exit %d: %s%s", code, lastLine(printed), errs)
 	}
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	program, logged := startProgram(t, os.Args[0], "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--out", t.TempDir(), file)
-	for by := time.Now().Add(20 * time.Second); !hollowRuns(t); time.Sleep(20 * time.Millisecond) {
+	for by := time.Now().Add(20 * time.Second); !hollowProcessExists(t); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(by) {
 			t.Fatal("no process of hollow nodes comes up")
 		}
@@ -103,13 +103,13 @@
 	if took := time.Since(began); took > 8*time.Second { // five for a process that is busy with something else
 		t.Errorf("it took %v to end", took)
 	}
-	if hollowRuns(t) {
+	if hollowProcessExists(t) {
 		t.Error("a process is left behind")
 	}
 }
 
-// hollowRuns tells whether a process of hollow nodes of this test's program is there.
-func hollowRuns(t *testing.T) bool {
+// hollowProcessExists tells whether a process of hollow nodes of this test's program is there.
+func hollowProcessExists(t *testing.T) bool {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/cmdline")
 	if err != nil {
@@ -126,11 +126,11 @@
 // A run that takes more memory than it may ends, says so, and leaves no process behind.
 func TestScaleKeepsWithinItsMemory(t *testing.T) {
 	out := t.TempDir()
-	printed, errs, code := calledOut(t, "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--most-mb", "5", "--out", out)
+	printed, errs, code := runProgramSplit(t, "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--most-mb", "5", "--out", out)
 	if code != 1 || !strings.Contains(errs, "3 processes take ") || !strings.Contains(errs, ": 5 are the most") {
 		t.Errorf("exit %d: %s%s", code, printed, errs)
 	}
-	if hollowRuns(t) {
+	if hollowProcessExists(t) {
 		t.Error("a process is left behind")
 	}
 }
@@ -156,7 +156,7 @@
 		{[]string{"--out", "x", "a", "b"}, "takes one file"},
 		{[]string{"--core", "x", "--out", "x"}, "invalid argument"},
 	} {
-		printed, errs, code := calledOut(t, append([]string{"scale"}, c.args...)...)
+		printed, errs, code := runProgramSplit(t, append([]string{"scale"}, c.args...)...)
 		if code != 2 || printed != "" || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, c.want) {
 			t.Errorf("%v: exit %d, %q, %q", c.args, code, printed, errs)
 		}
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -24,7 +24,7 @@
 
 // A short soak: the same schedules each time. The long one is started by hand: dahliapin soak.
 func TestShortSoak(t *testing.T) {
-	processes := nodes(t)
+	processes := testProcesses(t)
 	options := soakOptions{firstSeed: 1, lastSeed: soakSeeds, duration: soakFor, parallel: 2, out: t.TempDir()}
 	if testing.Short() {
 		options.lastSeed = 2
@@ -39,25 +39,25 @@
 	}
 }
 
-// nodes runs the program in processes of its own: this test's binary is the program where its environment says so.
-func nodes(t *testing.T) *realtime.Processes {
+// testProcesses runs the program in processes of its own: this test's binary is the program where its environment says so.
+func testProcesses(t *testing.T) *realtime.Processes {
 	t.Setenv(runAsProgramEnv, "1")
 	return &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 }
 
-// hastyNodes runs nodes that end at once when they are told to, with all requests that they have in flight.
-type hastyNodes struct{ *realtime.Processes }
+// nonDrainingNodes runs nodes that end at once when they are told to, with all requests that they have in flight.
+type nonDrainingNodes struct{ *realtime.Processes }
 
-type hastyProcess struct{ realtime.Process }
+type nonDrainingProcess struct{ realtime.Process }
 
-func (p hastyProcess) End() { p.Kill() }
+func (p nonDrainingProcess) End() { p.Kill() }
 
-func (h hastyNodes) Start(o realtime.NodeSpec) (realtime.Process, error) {
+func (h nonDrainingNodes) Start(o realtime.NodeSpec) (realtime.Process, error) {
 	p, err := h.Processes.Start(o)
 	if err != nil {
 		return nil, err
 	}
-	return hastyProcess{p}, nil
+	return nonDrainingProcess{p}, nil
 }
 
 // A soak proves something only if it tells a node that ends at once from one that drains.
@@ -92,10 +92,10 @@
 		t.Fatal(err)
 	}
 	for _, ends := range []bool{true, false} {
-		processes := nodes(t)
+		processes := testProcesses(t)
 		var runner realtime.Starter = processes
 		if ends {
-			runner = hastyNodes{processes}
+			runner = nonDrainingNodes{processes}
 		}
 		r, err := realtime.Play(context.Background(), s, runner, nil)
 		if err != nil {
--- a/cmd/dahliapin/soak_variants_test.go
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -68,16 +68,16 @@
 // variants are broken in one thing each. The last two break only where two faults overlap.
 var variants = []brokenNode{
 	{name: "ends at once when told to end", wrap: func(p realtime.Process) realtime.Process {
-		return hastyProcess{p}
+		return nonDrainingProcess{p}
 	}},
 	{name: "does not end when told to", wrap: func(p realtime.Process) realtime.Process {
-		return &signalled{Process: p, ignoresTerm: true}
+		return &faultyProcess{Process: p, ignoresTerm: true}
 	}},
 	{name: "dies at a reload", wrap: func(p realtime.Process) realtime.Process {
-		return &signalled{Process: p, diesAtReload: true}
+		return &faultyProcess{Process: p, diesAtReload: true}
 	}},
 	{name: "is stuck after a freeze", wrap: func(p realtime.Process) realtime.Process {
-		return &signalled{Process: p, stuckAfterFreeze: true}
+		return &faultyProcess{Process: p, stuckAfterFreeze: true}
 	}},
 	{name: "repeats what is irreversible", configure: func(c *nodeConfiguration) {
 		c.eachClass(func(class map[string]any) { class["effect"] = "idempotent" })
@@ -90,7 +90,7 @@
 	}},
 	{name: "gives one answer in 500 long after its deadline", answers: func(answer []byte, count int) []byte {
 		if count%500 == 0 {
-			time.Sleep(longAfter)
+			time.Sleep(lateAnswerDelay)
 		}
 		return answer
 	}},
@@ -115,51 +115,51 @@
 		return answer
 	}},
 	{name: "ends at once when told to end soon after a freeze", wrap: func(p realtime.Process) realtime.Process {
-		return &signalled{Process: p, hastyAfterFreeze: true}
+		return &faultyProcess{Process: p, killedAfterFreeze: true}
 	}},
 	{name: "is stuck after a freeze soon after a reload", wrap: func(p realtime.Process) realtime.Process {
-		return &signalled{Process: p, stuckAfterReload: true}
+		return &faultyProcess{Process: p, stuckAfterReload: true}
 	}},
 }
 
-// longAfter is later than any deadline that a soak draws, and what it allows over that.
-const longAfter = 4 * time.Second
+// lateAnswerDelay is later than any deadline that a soak draws, and what it allows over that.
+const lateAnswerDelay = 4 * time.Second
 
-// soonAfter is within which two faults overlap for the variants that need two.
-const soonAfter = 4 * time.Second
+// overlapWindow is within which two faults overlap for the variants that need two.
+const overlapWindow = 4 * time.Second
 
 // stuckTime is how long a process is stuck that does not go on after a freeze.
 const stuckTime = 3 * time.Second
 
-// signalled is a process that takes signals wrongly.
-type signalled struct {
+// faultyProcess is a process that takes signals wrongly.
+type faultyProcess struct {
 	realtime.Process
 	ignoresTerm, diesAtReload, stuckAfterFreeze bool
-	hastyAfterFreeze, stuckAfterReload          bool
+	killedAfterFreeze, stuckAfterReload         bool
 
 	mu                   sync.Mutex
 	reloadedAt, frozenAt time.Time
 }
 
-// isSoonAfter tells whether a fault came lately.
-func (s *signalled) isSoonAfter(at *time.Time) bool {
+// isRecent tells whether a fault came lately.
+func (s *faultyProcess) isRecent(at *time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(*at) < soonAfter
+	return time.Since(*at) < overlapWindow
 }
 
-// came notes the time of a fault.
-func (s *signalled) came(at *time.Time) {
+// recordFault notes the time of a fault.
+func (s *faultyProcess) recordFault(at *time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*at = time.Now()
 }
 
 // End tells it to end.
-func (s *signalled) End() {
+func (s *faultyProcess) End() {
 	switch {
 	case s.ignoresTerm:
-	case s.hastyAfterFreeze && s.isSoonAfter(&s.frozenAt):
+	case s.killedAfterFreeze && s.isRecent(&s.frozenAt):
 		s.Kill()
 	default:
 		s.Process.End()
@@ -167,20 +167,20 @@
 }
 
 // Reload has it read its configuration again.
-func (s *signalled) Reload() {
+func (s *faultyProcess) Reload() {
 	if s.diesAtReload {
 		s.Kill()
 		return
 	}
-	s.came(&s.reloadedAt)
+	s.recordFault(&s.reloadedAt)
 	s.Process.(realtime.Reloader).Reload()
 }
 
 // Pause stops it, or has it go on, which takes a while where it is stuck.
-func (s *signalled) Pause(stop bool) {
+func (s *faultyProcess) Pause(stop bool) {
 	process := s.Process.(realtime.Pauser)
-	s.came(&s.frozenAt)
-	if !stop && (s.stuckAfterFreeze || s.stuckAfterReload && s.isSoonAfter(&s.reloadedAt)) {
+	s.recordFault(&s.frozenAt)
+	if !stop && (s.stuckAfterFreeze || s.stuckAfterReload && s.isRecent(&s.reloadedAt)) {
 		time.AfterFunc(stuckTime, func() { process.Pause(false) })
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 // Hang has its loop stand still.
-func (s *signalled) Hang(stop bool) { s.Process.(realtime.Pauser).Hang(stop) }
+func (s *faultyProcess) Hang(stop bool) { s.Process.(realtime.Pauser).Hang(stop) }
 
 // brokenNodes starts nodes of a broken variant.
 type brokenNodes struct {
@@ -270,11 +270,11 @@
 	}
 	b.t.Cleanup(func() { listener.Close() })
 	b.backends[address] = backend
-	go b.passOn(listener, backend)
+	go b.acceptAndProxy(listener, backend)
 	return backend
 }
 
-func (b *brokenNodes) passOn(listener net.Listener, backend string) {
+func (b *brokenNodes) acceptAndProxy(listener net.Listener, backend string) {
 	var count atomic.Int64
 	change := func(answer []byte) []byte {
 		if !bytes.HasPrefix(answer, []byte("VA ")) && !bytes.HasPrefix(answer, []byte("HD")) {
@@ -287,12 +287,12 @@
 		if err != nil {
 			return
 		}
-		go passConnection(client, backend, change)
+		go proxyConnection(client, backend, change)
 	}
 }
 
-// passConnection passes on one connection, and changes what comes back, a read at a time.
-func passConnection(client net.Conn, backend string, change func([]byte) []byte) {
+// proxyConnection passes on one connection, and changes what comes back, a read at a time.
+func proxyConnection(client net.Conn, backend string, change func([]byte) []byte) {
 	defer client.Close()
 	node, err := net.Dial("tcp", backend)
 	if err != nil {
@@ -352,8 +352,8 @@
 	return found
 }
 
-// whatBroke says which rules were broken and which expectations were not met.
-func whatBroke(r *report.Report) string {
+// describeBreach says which rules were broken and which expectations were not met.
+func describeBreach(r *report.Report) string {
 	text := fmt.Sprint("rules ", r.Rules)
 	for _, e := range r.Expected {
 		if !e.Met {
@@ -423,7 +423,7 @@
 	if found.report == nil {
 		t.Fatalf("not caught within %d schedules", len(schedules))
 	}
-	t.Logf("caught by %s: %s", found.schedule.Name, whatBroke(found.report))
+	t.Logf("caught by %s: %s", found.schedule.Name, describeBreach(found.report))
 	if *variantShrink == 0 {
 		return
 	}
--- a/cmd/dahliapin/start_test.go
+++ b/cmd/dahliapin/start_test.go
@@ -18,58 +18,58 @@
 	"time"
 )
 
-// nodesAtOnce are started together; under the race detector, which is some ten times slower, fewer.
-func nodesAtOnce() int {
+// concurrentNodes are started together; under the race detector, which is some ten times slower, fewer.
+func concurrentNodes() int {
 	if testing.Short() {
 		return 6
 	}
 	return 30
 }
 
-// served is a process of a node, and what it logs.
-type served struct {
+// nodeProcess is a process of a node, and what it logs.
+type nodeProcess struct {
 	*exec.Cmd
-	up     chan bool // closed once it listens, or has ended without
-	listen string    // where; empty where it has ended before. Like ops to be read once up is closed
-	ops    string    // where operators call, if anywhere
-	kept   sync.Mutex
-	logged []string
+	listening chan bool // closed once it listens, or has ended without
+	listen    string    // where; empty where it has ended before. Like ops to be read once up is closed
+	ops       string    // where operators call, if anywhere
+	mu        sync.Mutex
+	logged    []string
 }
 
-// said is what it has logged, the last lines of it.
-func (p *served) said() string {
-	p.kept.Lock()
-	defer p.kept.Unlock()
+// logTail is what it has logged, the last lines of it.
+func (p *nodeProcess) logTail() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return strings.Join(p.logged, "\n")
 }
 
-// at waits for where it listens.
-func (p *served) at(t testing.TB) string {
+// waitForListen waits for where it listens.
+func (p *nodeProcess) waitForListen(t testing.TB) string {
 	t.Helper()
 	select {
-	case <-p.up:
+	case <-p.listening:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("does not listen; it said:\n%s", p.said())
+		t.Fatalf("does not listen; it said:\n%s", p.logTail())
 	}
 	if p.listen == "" {
-		t.Fatalf("ended before it listened; it said:\n%s", p.said())
+		t.Fatalf("ended before it listened; it said:\n%s", p.logTail())
 	}
 	return p.listen
 }
 
-var listensAt, opsAt = regexp.MustCompile(`msg=listening .*listen="([^"]+)"`), regexp.MustCompile(`ops="([^"]+)"`)
+var listenPattern, opsPattern = regexp.MustCompile(`msg=listening .*listen="([^"]+)"`), regexp.MustCompile(`ops="([^"]+)"`)
 
-// serving starts a node's process with further parts of a configuration. The system chooses its ports as it listens:
+// startNode starts a node's process with further parts of a configuration. The system chooses its ports as it listens:
 // one that was free a moment before may be used by then, as thousands of connections come and go. It ends with the
 // test.
-func serving(t testing.TB, dir, discovery, more string, env ...string) *served {
+func startNode(t testing.TB, dir, discovery, more string, env ...string) *nodeProcess {
 	t.Helper()
 	file := dir + "/config.json"
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":%q,%s}`, discovery, more)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := &served{Cmd: exec.Command(os.Args[0], "serve", "--config", file), up: make(chan bool)}
+	p := &nodeProcess{Cmd: exec.Command(os.Args[0], "serve", "--config", file), listening: make(chan bool)}
 	p.Env = append(append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+dir), env...)
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
 	out, err := p.StderrPipe()
@@ -85,27 +85,27 @@
 		listens := false
 		for l := bufio.NewScanner(out); l.Scan(); {
 			line := l.Text()
-			p.kept.Lock()
+			p.mu.Lock()
 			p.logged = append(p.logged[max(0, len(p.logged)-99):], line)
-			p.kept.Unlock()
-			if at := listensAt.FindStringSubmatch(line); at != nil && !listens {
+			p.mu.Unlock()
+			if at := listenPattern.FindStringSubmatch(line); at != nil && !listens {
 				p.listen, listens = at[1], true
-				if at = opsAt.FindStringSubmatch(line); at != nil {
+				if at = opsPattern.FindStringSubmatch(line); at != nil {
 					p.ops = at[1]
 				}
-				close(p.up)
+				close(p.listening)
 			}
 		}
 		if !listens {
-			close(p.up)
+			close(p.listening)
 		}
 	}()
 	t.Cleanup(func() { p.Process.Kill(); <-read; p.Wait() })
 	return p
 }
 
-// ready tells whether a node says that it takes clients.
-func ready(listen string) bool {
+// isReady tells whether a node says that it takes clients.
+func isReady(listen string) bool {
 	c, err := net.DialTimeout("tcp", listen, time.Second)
 	if err != nil {
 		return false
@@ -128,7 +128,7 @@
 			if testing.Short() { // few enough to be started beside each other's
 				t.Parallel()
 			}
-			nodes, began := nodesAtOnce(), time.Now()
+			nodes, began := concurrentNodes(), time.Now()
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				fails := time.Since(began) < failsFor
 				switch {
@@ -156,9 +156,9 @@
 					more += `,"known":` + list
 				}
 				start := time.Now()
-				p := serving(t, t.TempDir(), strings.TrimPrefix(s.URL, "http://"), more)
+				p := startNode(t, t.TempDir(), strings.TrimPrefix(s.URL, "http://"), more)
 				go func() {
-					for <-p.up; !ready(p.listen) && time.Since(start) < 2*readyIn; {
+					for <-p.listening; !isReady(p.listen) && time.Since(start) < 2*readyIn; {
 						time.Sleep(20 * time.Millisecond)
 					}
 					took <- time.Since(start)
--- a/cmd/dahliapin/syscall_fault_handover_test.go
+++ b/cmd/dahliapin/syscall_fault_handover_test.go
@@ -13,9 +13,9 @@
 
 // A process whose accept failed once, for its successor's connection, could not be replaced any more.
 func TestAProcessIsReplacedAfterItsAcceptHasFailed(t *testing.T) {
-	s := newStation(t)
+	s := newUpgradeHarness(t)
 	old := s.start()
-	s.expect(old, "msg=serving")
+	s.waitForLine(old, "msg=serving")
 	tracer, err := syscallfault.Attach(old.Process.Pid)
 	if errors.Is(err, syscallfault.ErrNotPermitted) {
 		t.Skip("cannot trace here: ", err)
@@ -28,8 +28,8 @@
 		Match: func(socket syscallfault.Socket) bool { return socket.Listening && socket.LocalPort == 0 },
 	})
 	successor := s.start()
-	s.expect(successor, "taking another process's place")
-	s.expect(successor, "msg=serving")
+	s.waitForLine(successor, "taking another process's place")
+	s.waitForLine(successor, "msg=serving")
 	if injection.Injected() == 0 {
 		t.Error("no accept has failed")
 	}
--- a/cmd/dahliapin/syscall_fault_node_test.go
+++ b/cmd/dahliapin/syscall_fault_node_test.go
@@ -23,9 +23,9 @@
 
 const (
 	faultWait       = 400 * time.Millisecond // of a client, for an answer
-	faultLate       = 2 * time.Second        // after that, by which a final answer is there on any machine
+	lateAnswerGrace = 2 * time.Second        // after that, by which a final answer is there on any machine
 	faultLoad       = 100 * time.Millisecond // for which clients ask beside a fault
-	mostLoad        = time.Second            // until the call has been made that is to fail
+	maxLoad         = time.Second            // until the call has been made that is to fail
 	thinkTime       = 2 * time.Millisecond   // of a client
 	recoverWithin   = 8 * time.Second        // after a fault
 	longValueBytes  = 300 << 10
@@ -33,8 +33,8 @@
 	answersPerConn  = 3                     // of a server, on average
 )
 
-// faultTerms are a node's settings.
-const faultTerms = `"seed":"1","ops":"127.0.0.1:0","limits":{"memory_mb":192,"sockets":256},"settings":{
+// faultSettings are a node's settings.
+const faultSettings = `"seed":"1","ops":"127.0.0.1:0","limits":{"memory_mb":192,"sockets":256},"settings":{
 "service_grades":[
 {"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":0.4,"hard_stop_s":1.2},
 {"name":"pay","benefit":8,"effect":"irreversible","group":"all","soft_limit_s":0.5,"hard_stop_s":1},
@@ -45,7 +45,7 @@
 
 // faultNode is a traced node with two caches, an origin and discovery.
 type faultNode struct {
-	*served
+	*nodeProcess
 	tracer      *syscallfault.Tracer
 	ports       map[site]int
 	descriptors int // that it has with nothing to do
@@ -73,20 +73,20 @@
 // startFaultNode starts a node and has it traced. It skips the test only where the kernel lets nobody trace.
 func startFaultNode(t testing.TB) *faultNode {
 	n := &faultNode{ports: map[site]int{}, runs: map[string]int{}}
-	cache := cacheOf(t, n.cacheAnswer)
+	cache := startCache(t, n.cacheAnswer)
 	origin := httptest.NewServer(http.HandlerFunc(n.serveOrigin))
-	discovery := httptest.NewServer(n.discoveryOf(cache, origin.Listener.Addr().String()))
+	discovery := httptest.NewServer(n.discoveryHandler(cache, origin.Listener.Addr().String()))
 	t.Cleanup(origin.CloseClientConnections)
 	t.Cleanup(discovery.CloseClientConnections)
-	n.served = serving(t, t.TempDir(), discovery.Listener.Addr().String(), faultTerms)
+	n.nodeProcess = startNode(t, t.TempDir(), discovery.Listener.Addr().String(), faultSettings)
 	for s, addr := range map[site]string{
-		client: n.at(t), opsConn: n.ops, cacheConn: cache, originConn: origin.Listener.Addr().String(),
+		client: n.waitForListen(t), opsConn: n.ops, cacheConn: cache, originConn: origin.Listener.Addr().String(),
 		discoveryConn: discovery.Listener.Addr().String(),
 	} {
 		n.ports[s] = portOf(t, addr)
 	}
-	if !within(recoverWithin, func() bool { return ready(n.listen) }) {
-		t.Fatalf("not ready; it said:\n%s", n.said())
+	if !eventually(recoverWithin, func() bool { return isReady(n.listen) }) {
+		t.Fatalf("not ready; it said:\n%s", n.logTail())
 	}
 	var err error
 	n.tracer, err = syscallfault.Attach(n.Process.Pid)
@@ -106,8 +106,8 @@
 
 func (n *faultNode) end() { _ = n.Process.Kill() }
 
-// within waits for something for so long.
-func within(d time.Duration, happens func() bool) bool {
+// eventually waits for something for so long.
+func eventually(d time.Duration, happens func() bool) bool {
 	for by := time.Now().Add(d); time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
 		if happens() {
 			return true
@@ -118,7 +118,7 @@
 
 func contains(text, part string) bool { return strings.Contains(text, part) }
 
-func (n *faultNode) ran(key string) {
+func (n *faultNode) countRun(key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.runs[key]++
@@ -137,7 +137,7 @@
 	var err error
 	switch {
 	case f[0] == "ms":
-		n.ran(f[1])
+		n.countRun(f[1])
 		_, err = fmt.Fprintf(to, "HD %s cdone\r\n", idOf(f))
 	case f[1][0] == 'm':
 		_, err = fmt.Fprintf(to, "EN %s\r\n", idOf(f))
@@ -146,14 +146,14 @@
 	default:
 		_, err = fmt.Fprintf(to, "VA 5 %s\r\nhello\r\n", idOf(f))
 	}
-	if err == nil && n.ends() {
+	if err == nil && n.shouldClose() {
 		err = io.EOF
 	}
 	return err
 }
 
-// ends tells of some answers that a server ends the connection after them, so that the node has to connect again.
-func (n *faultNode) ends() bool { return n.answers.Add(1)%answersPerConn == 0 }
+// shouldClose tells of some answers that a server shouldClose the connection after them, so that the node has to connect again.
+func (n *faultNode) shouldClose() bool { return n.answers.Add(1)%answersPerConn == 0 }
 
 // idOf is the flag of a command's id.
 func idOf(fields []string) string {
@@ -167,7 +167,7 @@
 
 func (n *faultNode) serveOrigin(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
-		n.ran(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:])
+		n.countRun(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:])
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
 	n.closeSome(w)
@@ -175,13 +175,13 @@
 }
 
 func (n *faultNode) closeSome(w http.ResponseWriter) {
-	if n.ends() {
+	if n.shouldClose() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// discoveryOf answers with the list, and with no news again and again.
-func (n *faultNode) discoveryOf(cache, origin string) http.Handler {
+// discoveryHandler answers with the list, and with no news again and again.
+func (n *faultNode) discoveryHandler(cache, origin string) http.Handler {
 	const row = `{"instanceId":%q,"hostPort":%q,"machineType":%q,"lifecycle":"in_service","zone":"z","weight":1}`
 	list := fmt.Sprintf(`{"generation":7,"reset":true,"instances":[`+row+","+row+","+row+`]}`,
 		"c", cache, "box", "d", cache, "box", "o", origin, "origin")
@@ -219,11 +219,11 @@
 	log, began := &faultLog{}, time.Now()
 	goesOn := func() bool {
 		unmet := injection != nil && injection.Injected() == 0
-		return time.Since(began) < length || unmet && time.Since(began) < mostLoad
+		return time.Since(began) < length || unmet && time.Since(began) < maxLoad
 	}
 	for i := range 4 {
 		all.Go(func() {
-			c := faultClient{node: n, log: log, patience: faultWait + faultLate + span, stays: i > 0}
+			c := faultClient{node: n, log: log, patience: faultWait + lateAnswerGrace + span, stays: i > 0}
 			defer c.close()
 			for turn := i; goesOn(); turn++ {
 				c.ask(turn)
@@ -358,7 +358,7 @@
 // play plays a fault beside clients, and returns how many calls failed and what broke.
 func (n *faultNode) play(f *fault) (injected int, failures []string) {
 	length := faultLoad
-	if f.when == aSpan {
+	if f.when == forSpan {
 		length += span()
 	}
 	injection, asked := n.tracer.Inject(f.rule(n)), n.requests.Load()
@@ -373,7 +373,7 @@
 		failures = append(failures, fmt.Sprintf("connections ended without an answer: %q", log.ended))
 	}
 	asked = n.requests.Load() - asked
-	if f.errno != 0 && float64(injected) > faultsPerSec*length.Seconds()+float64(callsPerRequest*asked) {
+	if f.errno != 0 && float64(injected) > maxFaultsPerSec*length.Seconds()+float64(callsPerRequest*asked) {
 		failures = append(failures, fmt.Sprintf("the call was made again %d times in %v", injected, length))
 	}
 	failures = append(failures, n.recovers()...)
@@ -383,7 +383,7 @@
 // recovers tells what is not as before the fault.
 func (n *faultNode) recovers() (failures []string) {
 	expect := func(what string, happens func() bool) {
-		if !within(recoverWithin, happens) {
+		if !eventually(recoverWithin, happens) {
 			failures = append(failures, what)
 		}
 	}
@@ -402,8 +402,8 @@
 	}
 	expect("it goes on making system calls with nothing to do", func() bool {
 		before := n.tracer.Calls()
-		time.Sleep(idleCallsIn)
-		return n.tracer.Calls()-before <= mostIdleCalls
+		time.Sleep(idleWindow)
+		return n.tracer.Calls()-before <= maxIdleCalls
 	})
 	return failures
 }
--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	faultNodes      = 4                      // that are traced at the same time
-	shortSpan       = 150 * time.Millisecond // in which each call fails
-	longSpan        = 2 * time.Second
-	interruptGap    = time.Millisecond // between two interrupted calls of a span: signals do not come without end
-	faultsPerSec    = 500              // that a call which fails is made again at most
-	callsPerRequest = 3                // of one kind, on one site
-	idleCallsIn     = 100 * time.Millisecond
-	shortShare      = 7    // of the points, one in so many is played under the race detector
-	mostIdleCalls   = 1000 // that a node makes in that time with nothing to do
+	faultNodes        = 4                      // that are traced at the same time
+	shortSpan         = 150 * time.Millisecond // in which each call fails
+	longSpan          = 2 * time.Second
+	interruptGap      = time.Millisecond // between two interrupted calls of a span: signals do not come without end
+	maxFaultsPerSec   = 500              // that a call which fails is made again at most
+	callsPerRequest   = 3                // of one kind, on one site
+	idleWindow        = 100 * time.Millisecond
+	shortFormFraction = 7    // of the points, one in so many is played under the race detector
+	maxIdleCalls      = 1000 // that a node makes in that time with nothing to do
 )
 
 // site is what a descriptor is about.
@@ -64,9 +64,9 @@
 type schedule string
 
 const (
-	once      schedule = "once"
-	eachTenth schedule = "each tenth"
-	aSpan     schedule = "for a span"
+	once       schedule = "once"
+	everyTenth schedule = "each tenth"
+	forSpan    schedule = "for a span"
 )
 
 // fault is one point: an error at a call, by a schedule.
@@ -94,9 +94,9 @@
 	switch f.when {
 	case once:
 		rule.Schedule.Limit = 1
-	case eachTenth:
+	case everyTenth:
 		rule.Schedule.Every = 10
-	case aSpan:
+	case forSpan:
 		rule.Schedule.Length = span()
 	}
 	// Both are retried at once, and rightly: each stands for a signal, or for a connection that is gone.
@@ -163,13 +163,13 @@
 // faults enumerates the points. The form for each day plays each error at each call and site by one of the schedules,
 // by turns, and the short one, for the race detector, some of these.
 func faults() (all []fault) {
-	schedules, number := []schedule{once, eachTenth, aSpan}, 0
+	schedules, number := []schedule{once, everyTenth, forSpan}, 0
 	for _, f := range faultsOf {
 		for _, at := range f.sites {
 			for _, errno := range f.errnos {
 				number++
 				for i, when := range schedules {
-					today := number%len(schedules) == i && (!testing.Short() || number%shortShare == 0)
+					today := number%len(schedules) == i && (!testing.Short() || number%shortFormFraction == 0)
 					if *allFaults || today || *faultLike != "" {
 						all = append(all, fault{f.call, at, errno, when})
 					}
--- a/cmd/dahliapin/upgrade_test.go
+++ b/cmd/dahliapin/upgrade_test.go
@@ -17,22 +17,22 @@
 	"time"
 )
 
-// station is where processes of one node come and go under load: a cache, discovery, and clients that keep connections
+// upgradeHarness is where processes of one node come and go under load: a cache, discovery, and clients that keep connections
 // or open new ones for each request.
-type station struct {
+type upgradeHarness struct {
 	t            *testing.T
 	dir, listen  string
 	discovery    string
 	answered     atomic.Int64
 	lost         atomic.Int64
 	first        atomic.Value // what was lost first
-	over         chan bool
+	done         chan bool
 	clients      sync.WaitGroup
 	asked, pairs atomic.Int64
 }
 
-func newStation(t *testing.T) *station {
-	s := &station{t: t, dir: t.TempDir(), over: make(chan bool)}
+func newUpgradeHarness(t *testing.T) *upgradeHarness {
+	s := &upgradeHarness{t: t, dir: t.TempDir(), done: make(chan bool)}
 	cache, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -70,13 +70,13 @@
 	return s
 }
 
-// one is a process of the node.
-type one struct {
+// harnessProcess is a process of the node.
+type harnessProcess struct {
 	*exec.Cmd
 	logged chan string
 }
 
-func (s *station) start() *one {
+func (s *upgradeHarness) start() *harnessProcess {
 	s.t.Helper()
 	file := fmt.Sprintf("%s/%d.json", s.dir, s.pairs.Add(1))
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"ops":"127.0.0.1:0","discovery":%q,"limits":{"memory_mb":64,"sockets":384},"settings":{"service_grades":[
@@ -84,7 +84,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	p := &one{Cmd: exec.Command(os.Args[0], "serve", "--config", file), logged: make(chan string, 999)}
+	p := &harnessProcess{Cmd: exec.Command(os.Args[0], "serve", "--config", file), logged: make(chan string, 999)}
 	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+s.dir)
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
 	out, err := p.StderrPipe()
@@ -104,7 +104,7 @@
 	return p
 }
 
-func (s *station) expect(p *one, want string) {
+func (s *upgradeHarness) waitForLine(p *harnessProcess, want string) {
 	s.t.Helper()
 	for by := time.After(20 * time.Second); ; {
 		select {
@@ -121,9 +121,9 @@
 	}
 }
 
-// ask has clients ask without end. One that finds its kept connection reset sends once more on a new one, as the
+// startClients has clients startClients without end. One that finds its kept connection reset sends once more on a new one, as the
 // protocol has it.
-func (s *station) ask(clients int) {
+func (s *upgradeHarness) startClients(clients int) {
 	for n := range clients {
 		s.clients.Add(1)
 		go func() {
@@ -132,18 +132,18 @@
 			var r *bufio.Reader
 			for {
 				select {
-				case <-s.over:
+				case <-s.done:
 					return
 				default:
 				}
 				err := io.EOF
 				if c != nil {
-					err = s.once(c, r)
+					err = s.request(c, r)
 				}
 				if err != nil {
 					if c, err = net.Dial("tcp", s.listen); err == nil {
 						r = bufio.NewReader(c)
-						err = s.once(c, r)
+						err = s.request(c, r)
 					}
 				}
 				if err != nil {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (s *station) once(c net.Conn, r *bufio.Reader) error {
+func (s *upgradeHarness) request(c net.Conn, r *bufio.Reader) error {
 	id := fmt.Sprintf("Oq%d", s.asked.Add(1))
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := fmt.Fprintf(c, "mg k v %s Pc=read,d=3000\r\n", id); err != nil {
@@ -180,40 +180,40 @@
 // The second process ended with 1, as the address was in use; and by SO_REUSEPORT what waits in the old one's queue is
 // reset. Whoever is killed and when, the other goes on; only what a killed process had in hand goes with it.
 func TestProcessesReplaceEachOtherUnderLoad(t *testing.T) {
-	s := newStation(t)
+	s := newUpgradeHarness(t)
 	now := s.start()
-	s.expect(now, "msg=serving")
-	s.ask(8)
+	s.waitForLine(now, "msg=serving")
+	s.startClients(8)
 	for step, how := range []string{"", "newcomer killed", "", "ended before its yes", "newcomer ended", "", "old killed", ""} {
 		before := s.answered.Load()
 		next := s.start()
 		switch how {
 		case "newcomer killed": // with the sockets in its hands
-			s.expect(next, "taking another process's place")
+			s.waitForLine(next, "taking another process's place")
 			next.Process.Kill()
-			s.expect(now, "successor process has exited")
+			s.waitForLine(now, "successor process has exited")
 			next = now
 		case "newcomer ended": // going back
-			s.expect(next, "msg=serving")
-			s.expect(now, "successor process is serving")
+			s.waitForLine(next, "msg=serving")
+			s.waitForLine(now, "successor process is serving")
 			next.Process.Signal(syscall.SIGTERM)
-			s.expect(next, "counters, stopped")
-			s.expect(now, "successor process has exited")
+			s.waitForLine(next, "counters, stopped")
+			s.waitForLine(now, "successor process has exited")
 			next = now
 		case "ended before its yes":
-			s.expect(next, "taking another process's place")
+			s.waitForLine(next, "taking another process's place")
 			now.Process.Signal(syscall.SIGTERM)
-			s.expect(now, "counters, stopped")
-			s.expect(next, "predecessor process has exited")
+			s.waitForLine(now, "counters, stopped")
+			s.waitForLine(next, "predecessor process has exited")
 		case "old killed":
-			s.expect(next, "msg=serving")
+			s.waitForLine(next, "msg=serving")
 			now.Process.Kill()
-			s.expect(next, "predecessor process has exited")
+			s.waitForLine(next, "predecessor process has exited")
 		default:
-			s.expect(next, "msg=serving")
+			s.waitForLine(next, "msg=serving")
 			now.Process.Signal(syscall.SIGTERM)
-			s.expect(now, "counters, stopped")
-			s.expect(next, "predecessor process has exited")
+			s.waitForLine(now, "counters, stopped")
+			s.waitForLine(next, "predecessor process has exited")
 		}
 		now = next
 		if how == "old killed" {
@@ -229,8 +229,8 @@
 			t.Fatalf("step %d, %q: %d lost, the first: %v", step, how, n, s.first.Load())
 		}
 	}
-	close(s.over)
+	close(s.done)
 	s.clients.Wait()
 	now.Process.Signal(syscall.SIGTERM)
-	s.expect(now, "counters, stopped")
+	s.waitForLine(now, "counters, stopped")
 }
--- a/cmd/dahliapin/waiting_clients_test.go
+++ b/cmd/dahliapin/waiting_clients_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// cacheOf is a cache that answers each request's line, until that fails.
-func cacheOf(tb testing.TB, answer func(to net.Conn, line string) error) string {
+// startCache is a cache that answers each request's line, until that fails.
+func startCache(tb testing.TB, answer func(to net.Conn, line string) error) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -47,9 +47,9 @@
 	return l.Addr().String()
 }
 
-// cacheServer answers reads; keys that begin with "slow" after a second.
-func cacheServer(t *testing.T, asked *atomic.Int64) string {
-	return cacheOf(t, func(to net.Conn, line string) error {
+// startSlowKeyCache answers reads; keys that begin with "slow" after a second.
+func startSlowKeyCache(t *testing.T, asked *atomic.Int64) string {
+	return startCache(t, func(to net.Conn, line string) error {
 		f := strings.Fields(line)
 		if len(f) < 4 {
 			return io.EOF
@@ -63,9 +63,9 @@
 	})
 }
 
-// flood has clients connect without end, and keep what they have: half of them ask once, the others say nothing at all.
+// startIdleClients has clients connect without end, and keep what they have: half of them ask once, the others say nothing at all.
 // One that is closed comes again.
-func flood(listen string, clients int, over chan bool) *sync.WaitGroup {
+func startIdleClients(listen string, clients int, over chan bool) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for n := range clients {
 		all.Add(1)
@@ -110,7 +110,7 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			var oldAsked, newAsked atomic.Int64
-			old, young := cacheServer(t, &oldAsked), cacheServer(t, &newAsked)
+			old, young := startSlowKeyCache(t, &oldAsked), startSlowKeyCache(t, &newAsked)
 			const row = `{"instanceId":%q,"hostPort":%q,"lifecycle":%q}`
 			var down, news atomic.Bool
 			told, over := make(chan time.Time, 99), make(chan bool)
@@ -141,13 +141,13 @@
 				}
 			}))
 			t.Cleanup(s.CloseClientConnections)
-			node := serving(t, t.TempDir(), strings.TrimPrefix(s.URL, "http://"), fmt.Sprintf(`"limits":{"memory_mb":192,"sockets":%d},
+			node := startNode(t, t.TempDir(), strings.TrimPrefix(s.URL, "http://"), fmt.Sprintf(`"limits":{"memory_mb":192,"sockets":%d},
 "settings":{"n_instances":480,"service_grades":[{"name":"read","benefit":1,"effect":"idempotent","soft_limit_s":2,"hard_stop_s":3}],
 "bounds":{"most_legs":3,"conn_idle_s":15}}`, sockets), "RELAY_OPS=127.0.0.1:0")
-			listen, ops := node.at(t), node.ops
-			for by := time.Now().Add(20 * time.Second); !ready(listen); time.Sleep(10 * time.Millisecond) {
+			listen, ops := node.waitForListen(t), node.ops
+			for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(by) {
-					t.Fatalf("not ready; it said:\n%s", node.said())
+					t.Fatalf("not ready; it said:\n%s", node.logTail())
 				}
 			}
 
@@ -214,7 +214,7 @@
 			}
 			down.Store(true)
 			close(fails)
-			idle := flood(listen, idlers, over)
+			idle := startIdleClients(listen, idlers, over)
 
 			// the operators ask throughout, and the process's descriptors are counted
 			slowest, most := time.Duration(0), 0
@@ -260,7 +260,7 @@
 			}
 			// the idle ones stay and come again, and yet others get in by what is swept
 			began := time.Now()
-			for !ready(listen) {
+			for !isReady(listen) {
 				if time.Since(began) > 10*time.Second {
 					t.Fatal("nobody new gets in")
 				}
