--- a/cmd/dahliapin/capacity_test.go
+++ b/cmd/dahliapin/capacity_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// clockTick is the unit of processor times in /proc, as Linux states it to programs on every machine.
+// clockTick is the unit of CPU times in /proc, which Linux reports in the same unit on every machine.
 const clockTick = 10 * time.Millisecond
 
-// processUsage tells what processor time a process has taken, and what of its memory is resident, in bytes.
+// processUsage returns the CPU time that a process has used and its resident memory in bytes.
 func processUsage(tb testing.TB, pid int) (cpu time.Duration, resident float64) {
 	tb.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -32,7 +32,7 @@
 	return time.Duration(user+system) * clockTick, float64(pages * os.Getpagesize())
 }
 
-// startValueCache is a cache that answers each request with a value of so many bytes.
+// startValueCache starts a cache that answers each request with a value of size bytes, and returns its address.
 func startValueCache(tb testing.TB, size int) string {
 	value := append(bytes.Repeat([]byte("v"), size), '\r', '\n')
 	return startCache(tb, func(to net.Conn, line string) error {
@@ -46,8 +46,8 @@
 	})
 }
 
-// BenchmarkNodeProcess is what docs/CAPACITY.md takes its slopes of the data path from: processor time of a node's
-// process alone, by the size of a value, and resident memory by the clients that are connected and idle.
+// BenchmarkNodeProcess measures the data-path slopes in docs/CAPACITY.md: the CPU time of the node process alone by the
+// size of a value, and its resident memory by the number of idle client connections.
 func BenchmarkNodeProcess(b *testing.B) {
 	for _, size := range []int{500, 64 << 10, 673_000, 4_000_000} {
 		b.Run(fmt.Sprint(size, "-bytes"), func(b *testing.B) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// startSingleNode runs a node in a process of its own before a cache with values of a size.
+// startSingleNode starts a node process in front of one cache whose values have the given size.
 func startSingleNode(b *testing.B, size int) (pid int, addr string) {
 	over := make(chan bool)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/freeport"
 )
 
-// freePorts returns addresses with ports that nobody uses.
+// freePorts returns n loopback addresses whose ports are free.
 func freePorts(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for range n {
@@ -26,7 +26,7 @@
 	return addrs
 }
 
-// runProgram runs the program to its end, and returns its output and exit code.
+// runProgram runs the program to its end, and returns its standard output and exit code.
 func runProgram(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
@@ -38,7 +38,7 @@
 	return string(text), c.ProcessState.ExitCode()
 }
 
-// controlFleet is the control servers of a fleet, as processes: three voters and a learner.
+// controlFleet is a set of control server processes: three voters and a learner.
 type controlFleet struct {
 	dir   string
 	peers []string // addresses for other control servers
@@ -50,7 +50,7 @@
 	return &controlFleet{dir: t.TempDir(), peers: freePorts(t, 4), nodes: freePorts(t, 4)}
 }
 
-// file writes the file of a control server, by its number from 0, and returns its path.
+// file writes the configuration file of the control server i, counted from 0, and returns its path.
 func (f *controlFleet) file(t *testing.T, i int) string {
 	t.Helper()
 	text := fmt.Sprintf("[control]\nid=%d\nlabel='l'\npeers='%s'\nnodes='%s'\ndata='%s/%d'\n"+
@@ -70,7 +70,7 @@
 	return startProgram(t, os.Args[0], append([]string{"control", f.file(t, i)}, flags...)...)
 }
 
-// publish publishes purges and expects their indexes.
+// publish publishes purges of the keys and requires the printed indexes to equal want.
 func (f *controlFleet) publish(t *testing.T, want string, keys ...string) {
 	t.Helper()
 	args := []string{"fleet", "publish", "--at", strings.Join(f.nodes, ","), "--label", "l", "--purge"}
@@ -80,7 +80,8 @@
 	}
 }
 
-// waitForOverview returns the overview once the first control server has all, or the last one before a deadline.
+// waitForOverview returns the overview once the first control server has all entries, or the last overview read before
+// the deadline.
 func (f *controlFleet) waitForOverview(t *testing.T) controlclient.Overview {
 	t.Helper()
 	var o controlclient.Overview
@@ -100,9 +101,9 @@
 	_ = c.Wait()
 }
 
-// A change is acknowledged, one of the voters is killed and started again with its disk, and nothing is lost; a voter
-// without its disk does not start. Exit codes tell scripts apart what happened.
-func TestControlMachinesAsProcesses(t *testing.T) {
+// TestControlServersAsProcesses checks that an acknowledged change survives the kill and restart of a voter that keeps
+// its disk, that a voter without its disk does not start, and that exit codes let scripts distinguish the outcomes.
+func TestControlServersAsProcesses(t *testing.T) {
 	f := newControlFleet(t)
 	_, refused := f.start(t, 0)
 	waitForLine(t, refused, "is not started by itself")
@@ -146,7 +147,7 @@
 	}
 }
 
-// formatChanges returns what operators are shown.
+// formatChanges returns the text that the changes command shows to operators.
 func formatChanges(t *testing.T, o controlclient.Overview) string {
 	t.Helper()
 	var out strings.Builder
@@ -162,7 +163,8 @@
 	}
 }
 
-// Caches that lack purges are shown, each with the reason of every control server that answers.
+// TestCachesThatLackPurgesAreShown checks that caches that lack purges are listed with the reasons of every control
+// server that is not silent.
 func TestCachesThatLackPurgesAreShown(t *testing.T) {
 	o := controlclient.Overview{Last: 9, HasLeader: true, Caches: []controlclient.CacheStatus{
 		{Cache: "well", Done: 9},
--- a/cmd/dahliapin/cpu_share_test.go
+++ b/cmd/dahliapin/cpu_share_test.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/scale"
 )
 
-// peakResident tells how many bytes of a process's memory were resident at most since its start.
+// peakResident returns the peak resident memory of a process since its start, in bytes.
 func peakResident(tb testing.TB, pid int) float64 {
 	tb.Helper()
 	bytes, err := scale.PeakResident(pid)
--- a/cmd/dahliapin/held_up_test.go
+++ b/cmd/dahliapin/held_up_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// suspendProcess stops a process, and waits until all of it stands.
+// suspendProcess sends SIGSTOP to a process, and waits until all of its threads have stopped.
 func suspendProcess(t *testing.T, pid int) {
 	t.Helper()
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
@@ -27,25 +27,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stands := 0
+		stopped := 0
 		for _, thread := range threads {
 			stat, _ := os.ReadFile(tasks + "/" + thread.Name() + "/stat")
 			if _, state, ok := strings.Cut(string(stat), ") "); ok && strings.HasPrefix(state, "T") {
-				stands++
+				stopped++
 			}
 		}
-		if stands == len(threads) {
+		if stopped == len(threads) {
 			return
 		}
 		if time.Now().After(by) {
-			t.Fatalf("only %d of %d threads stand", stands, len(threads))
+			t.Fatalf("only %d of %d threads have stopped", stopped, len(threads))
 		}
 	}
 }
 
-// A process that did not run for longer than the grace period finds requests and an update of the list together, and
-// may be given them in any order. It sent requests to a cache that was draining.
-func TestAProcessThatWasStoppedDecidesByTheNewestList(t *testing.T) {
+// TestSuspendedProcessRoutesByNewestList suspends a node for longer than the drain grace period. When it resumes,
+// requests and an update of the endpoint list are pending together and may be delivered in any order; it must not send
+// requests to a cache that the list says is draining.
+func TestSuspendedProcessRoutesByNewestList(t *testing.T) {
 	const stoppedFor, stays, connections, keys = 700 * time.Millisecond, 50 * time.Millisecond, 40, 40
 	var late atomic.Int64
 	var drains atomic.Bool
@@ -88,7 +89,7 @@
 	listen := node.waitForListen(t)
 	for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("not ready; it said:\n%s", node.logTail())
+			t.Fatalf("the node is not ready; its log:\n%s", node.logTail())
 		}
 	}
 	var clients []net.Conn
@@ -126,11 +127,11 @@
 	time.Sleep(stays)
 	close(news)
 	time.Sleep(stoppedFor - stays)
-	drains.Store(true) // it was told over the grace ago
+	drains.Store(true) // the node was told longer ago than the grace period
 	node.Process.Signal(syscall.SIGCONT)
 	answered()
 	if n := late.Load(); n > 0 {
-		t.Errorf("%d of %d requests went to the cache that drains, %v after the node was told",
+		t.Errorf("%d of %d requests went to the draining cache, %v after the node was told",
 			n, connections, stoppedFor-stays)
 	}
 }
--- a/cmd/dahliapin/main_test.go
+++ b/cmd/dahliapin/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// runAsProgramEnv is a variable of the environment that makes the test's binary the program.
+// runAsProgramEnv is the environment variable that makes the test binary act as the program.
 const runAsProgramEnv = "DAHLIAPIN_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// startProgram starts the program in a process of its own, and returns the lines of its log as they are written.
+// startProgram starts the program as a process, and returns a channel with the lines of its log as they are written.
 func startProgram(t *testing.T, name string, args ...string) (*exec.Cmd, chan string) {
 	t.Helper()
 	program := exec.Command(name, args...)
@@ -49,7 +49,7 @@
 	return program, logged
 }
 
-// waitForLine takes lines until one contains a text, and returns that line.
+// waitForLine reads lines until one contains want, and returns that line. It fails the test after 20 s.
 func waitForLine(t *testing.T, from chan string, want string) (got string) {
 	t.Helper()
 	for by, more := time.After(20*time.Second), true; !strings.Contains(got, want); {
@@ -59,16 +59,17 @@
 			more = false
 		}
 		if !more {
-			t.Fatalf("never: %s", want)
+			t.Fatalf("no line contains: %s", want)
 		}
 	}
 	return got
 }
 
-// A signal during the start ended the process, SIGHUP too; and while a configuration was read again, SIGTERM was not
-// handled. A pipe in the file's place holds the program just there; it is started as the platform does, which lets no
-// SIGHUP through.
-func TestSignalsWhileAConfigurationIsRead(t *testing.T) {
+// TestSignalsDuringConfigurationRead guards against two failures: any signal during startup, even SIGHUP, ended the
+// process, and SIGTERM was ignored while a configuration was read again. A FIFO in place of the configuration file
+// blocks the program in the read. The program is started with the run command of deploy/balancer.toml, as the platform
+// starts it, which ignores SIGHUP.
+func TestSignalsDuringConfigurationRead(t *testing.T) {
 	pipe := t.TempDir() + "/config.json"
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
@@ -80,7 +81,7 @@
 	_, run, _ := strings.Cut(string(deploy), "\nrun = \"")
 	run, _, _ = strings.Cut(run, "\"\n")
 	run = strings.Replace(run, "exec bin/dahliapin", "exec "+os.Args[0], 1) + " --config " + pipe
-	reading := func() *os.File { // returns once the program has opened it
+	reading := func() *os.File { // returns once the program has opened the pipe
 		opened := make(chan *os.File, 1)
 		go func() {
 			f, _ := os.OpenFile(pipe, os.O_WRONLY, 0)
@@ -90,7 +91,7 @@
 		case f := <-opened:
 			return f
 		case <-time.After(20 * time.Second):
-			t.Fatal("it does not read its configuration")
+			t.Fatal("the program does not open its configuration")
 			return nil
 		}
 	}
@@ -98,7 +99,7 @@
 	f := reading()
 	early.Process.Signal(syscall.SIGTERM)
 	if err := early.Wait(); err != nil {
-		t.Errorf("told to end before it served: %v", err)
+		t.Errorf("SIGTERM before serving: %v", err)
 	}
 	f.Close()
 	program, logged := startProgram(t, "/bin/sh", "-c", run)
@@ -107,9 +108,9 @@
 	fmt.Fprint(f, `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"service_grades":[{}]}}`)
 	f.Close()
 	waitForLine(t, logged, "listening")
-	f = reading() // again, as SIGHUP says
+	f = reading() // read again after SIGHUP
 	defer f.Close()
-	for range 6 { // more than wait for their turn
+	for range 6 { // more than signalQueueSize
 		program.Process.Signal(syscall.SIGUSR1)
 	}
 	program.Process.Signal(syscall.SIGTERM)
@@ -119,9 +120,9 @@
 	}
 }
 
-// SIGHUP ended the process with 129, and all requests in flight were lost. It changes discovery's address, and a
-// configuration that cannot be used changes nothing.
-func TestSIGHUPReadsTheConfigurationAgain(t *testing.T) {
+// TestSIGHUPReloadsConfiguration guards against SIGHUP ending the process with status 129, which lost all requests in
+// flight. A reload must apply a new discovery address, and an invalid configuration must change nothing.
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	polls := make(chan string, 99)
 	discovery := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -164,7 +165,7 @@
 			expect(polls, step.polls)
 		}
 		if c, err := net.Dial("tcp", addr); err != nil {
-			t.Errorf("takes nobody after %q: %v", step.logs, err)
+			t.Errorf("accepts no connection after %q: %v", step.logs, err)
 		} else {
 			c.Close()
 		}
--- a/cmd/dahliapin/many_caches_test.go
+++ b/cmd/dahliapin/many_caches_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	releaseSteps   = 4                       // versions of the list in a release
-	releaseEvery   = 1200 * time.Millisecond // between two of them
-	drainsAfter    = 100 * time.Millisecond  // a version that changes the set, the next one tells of further caches that drain
-	releaseShare   = 0.2                     // part of the caches that a step replaces
-	nodeShare      = 0.2                     // of a core that the node has
+	releaseSteps   = 4                       // in a release
+	releaseEvery   = 1200 * time.Millisecond // between two steps
+	drainsAfter    = 100 * time.Millisecond  // a version that changes the set of caches, the next version marks further caches as draining
+	releaseShare   = 0.2                     // fraction of the caches that a step replaces
+	nodeShare      = 0.2                     // of a core that the node is limited to
 	requestsPerSec = 120
 	listChunk      = 1000 // bytes
 	popularKeys    = 20
-	answerGrace    = 500 * time.Millisecond // after that, by which a final answer has to be there all the same
-	drainGrace     = 450 * time.Millisecond // after the list has told of a draining cache, in which requests may still go there
-	originTakes    = 400 * time.Millisecond // so that reads that missed have to wait for room there
-	clientsHeldUp  = 100 * time.Millisecond // between two requests: the machine was too busy to judge the node
-	releasePlays   = 3                      // how often a release is played that could not be judged
+	answerGrace    = 500 * time.Millisecond // after a request's deadline, within which a final answer must arrive
+	drainGrace     = 450 * time.Millisecond // after the list marks a cache as draining, in which requests may still go to it
+	originTakes    = 400 * time.Millisecond // long enough that cache misses queue for the origin
+	clientsHeldUp  = 100 * time.Millisecond // between two requests: above this, the machine was too busy to judge the node
+	releasePlays   = 3                      // maximum number of runs until a release can be judged
 )
 
-// waits are what clients wait for an answer, by turns.
+// waits are the deadlines of client requests, used in turn.
 var waits = [...]time.Duration{464 * time.Millisecond, 1200 * time.Millisecond}
 
-// releaseEmulator is discovery, and caches that are replaced in steps. All caches of one step share a listener, so that it is
-// known of each request to which step's caches it went.
+// releaseEmulator emulates discovery, and caches that are replaced in steps. All caches of a step share a listener,
+// which identifies the step that a request went to.
 type releaseEmulator struct {
 	caches int
 	origin string
@@ -43,21 +43,21 @@
 
 	mu       sync.Mutex
 	versions []listVersion
-	told     [releaseSteps]time.Time // when the node was told that a step's caches drain
-	moved    chan bool               // closed at the next version
+	told     [releaseSteps]time.Time // when the node was told that the caches of a step are draining
+	moved    chan bool               // closed when a version is published
 
-	late [releaseSteps + 1]atomic.Int64 // requests that a step's caches got after the grace
+	late [releaseSteps + 1]atomic.Int64 // requests that the caches of a step received after drainGrace
 }
 
-// listVersion is one version of the list: whole at first, then what has changed.
+// listVersion is one version of the endpoint list: complete for the first version, then only the changed entries.
 type listVersion struct {
 	rows   []string
-	drains int // the number, from 1, of the step whose caches drain by it; 0 for none
+	drains int // the step, counted from 1, whose caches it marks as draining; 0 for none
 }
 
 const cacheRow = `{"instanceId":"s-%08x","hostPort":%q,"machineType":"box","lifecycle":%q,"zone":"z","weight":1.0,"startedAtMs":0}`
 
-// newRelease makes the caches of all steps, the origin, and the first list.
+// newRelease starts the caches of all steps and the origin, and prepares the first list.
 func newRelease(t testing.TB, caches int) *releaseEmulator {
 	r := &releaseEmulator{caches: caches, moved: make(chan bool)}
 	for group := range releaseSteps + 1 {
@@ -77,14 +77,16 @@
 	return r
 }
 
-// row is the entry of a cache. Those of each step are next to each other, and the later ones are new.
+// row returns the list entry of a cache. The caches of a step are consecutive, and those after the initial ones are
+// new.
 func (r *releaseEmulator) row(cache int, state string) string {
 	return fmt.Sprintf(cacheRow, uint32(cache)*2654435761, r.groups[min(releaseSteps, cache/r.perStep())], state)
 }
 
 func (r *releaseEmulator) perStep() int { return int(releaseShare * float64(r.caches)) }
 
-// answer is a cache's: keys that begin with m are not there. It counts what its group gets after the grace.
+// answer answers a request as a cache of a group: keys that begin with m are missing. It counts the requests that the
+// group receives after the drain grace period.
 func (r *releaseEmulator) answer(group int, to net.Conn, line string) error {
 	f := strings.Fields(line)
 	if len(f) < 4 {
@@ -104,7 +106,7 @@
 	return err
 }
 
-// step removes the caches that the step before has drained, adds as many new ones, and soon after has its own drain.
+// step removes the caches that the previous step drained, adds as many new ones, and shortly afterwards drains its own.
 func (r *releaseEmulator) step(n int) {
 	var changed, drained []string
 	for i := range r.perStep() {
@@ -118,7 +120,7 @@
 	r.publish(listVersion{rows: drained, drains: n + 1})
 }
 
-// publish makes a new version of the list.
+// publish adds a version of the list and wakes waiting polls.
 func (r *releaseEmulator) publish(v listVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,7 +129,7 @@
 	r.moved = make(chan bool)
 }
 
-// writeList writes a list whole, or in chunks that come one by one.
+// writeList writes a list in one piece, or in chunks that are flushed separately.
 func writeList(w http.ResponseWriter, body string, chunks bool) {
 	if !chunks {
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
@@ -142,7 +144,7 @@
 	}
 }
 
-// ServeHTTP is discovery, which tells changes one version at a time.
+// ServeHTTP serves discovery polls, one list version per answer.
 func (r *releaseEmulator) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	since, whole := 0, true
 	if at := q.URL.Query().Get("since"); at != "" {
@@ -175,11 +177,11 @@
 	}
 }
 
-// clientLog is what became of the requests of a test's clients.
+// clientLog counts the outcomes of client requests.
 type clientLog struct {
 	mu                    sync.Mutex
 	served, refused, lost int
-	latest                time.Duration // after its deadline that an answer came
+	latest                time.Duration // longest time after its deadline that an answer arrived
 	lostKeys              []string
 }
 
@@ -198,7 +200,8 @@
 	}
 }
 
-// ask sends one request on a connection of its own, and waits for its answer as long as one is owed.
+// ask sends one request on a connection of its own, and waits for the answer until the deadline and answerGrace have
+// passed.
 func (a *clientLog) ask(listen, key, id string, wait time.Duration) {
 	c, err := net.DialTimeout("tcp", listen, 3*time.Second)
 	if err != nil {
@@ -213,8 +216,8 @@
 	a.ended(key, line, err, time.Since(began)-wait)
 }
 
-// keyOf is the key of the i-th request: some are asked for so often that connections to their caches stay open, and
-// some are nowhere.
+// keyOf returns the key of request i: some keys are so popular that connections to their caches stay open, and some are
+// in no cache.
 func keyOf(i int) string {
 	switch i % 8 {
 	case 0, 1, 2, 3:
@@ -225,23 +228,23 @@
 	return fmt.Sprint("m", i)
 }
 
-// releaseSettings are a node's settings before a release's caches.
+// releaseSettings is the configuration of the node in release tests.
 const releaseSettings = `"seed":"1","limits":{"memory_mb":192,"sockets":1024},"settings":{
 "service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":0.4,"hard_stop_s":1.2}],"zone":"z","n_instances":16,
 "kinds":["box","origin"],"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15,"connect_timeout_s":0.25,"cancel":true},
 "family_info":{"mode":"aside","origin_kind":1},"rules":{"cold_from":0.3,"cold_s":5,"overload_factor":3,"overload_for_s":1}}`
 
-// releaseResult is what a release among so many caches led to.
+// releaseResult is the outcome of a release among a number of caches.
 type releaseResult struct {
 	clientLog
 	*releaseEmulator
 	node      *nodeProcess
-	heldUp    time.Duration // at most, between two requests: of the clients themselves
-	processor time.Duration // taken by the node, from its start to the end of the release
-	memory    float64       // bytes that it had resident at most
+	heldUp    time.Duration // longest gap between two requests: a delay of the test's own clients
+	processor time.Duration // CPU time of the node from its start to the end of the release
+	memory    float64       // peak resident memory of the node, in bytes
 }
 
-// runRelease plays one against a node that has a share of a core.
+// runRelease runs a release against a node that is limited to a share of a core.
 func runRelease(tb testing.TB, caches int, share float64) *releaseResult {
 	r := &releaseResult{releaseEmulator: newRelease(tb, caches)}
 	s := httptest.NewServer(r.releaseEmulator)
@@ -250,7 +253,7 @@
 	listen := r.node.waitForListen(tb)
 	for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			tb.Fatalf("not ready; it said:\n%s", r.node.logTail())
+			tb.Fatalf("the node is not ready; its log:\n%s", r.node.logTail())
 		}
 	}
 	let := limitCPUShare(tb, r.node.Process.Pid, share)
@@ -279,8 +282,8 @@
 	return r
 }
 
-// runJudgedRelease plays a release anew where the clients themselves were held up: beside five compilers they sent a
-// third of their requests, and a node that stood still with them was blamed for it.
+// runJudgedRelease repeats a release while the test's own clients were delayed. Beside five compilers, clients sent
+// only a third of their requests, and the node, which stalled with them, was blamed.
 func runJudgedRelease(t *testing.T, caches int) *releaseResult {
 	t.Helper()
 	for play := range releasePlays {
@@ -295,9 +298,10 @@
 	return nil
 }
 
-// Report 60a37a: while a release replaced servers among thousands, requests got no answer, and some went to servers
-// that drained. The placement was computed anew within the loop, for longer than a request waits.
-func TestAReleaseAmongThousandsOfCaches(t *testing.T) {
+// TestReleaseAmongThousandsOfCaches guards against report 60a37a: while a release replaced servers among thousands,
+// requests got no answer, and some went to draining servers. The event loop recomputed the placement itself, which took
+// longer than a request waits.
+func TestReleaseAmongThousandsOfCaches(t *testing.T) {
 	caches := 3200
 	if testing.Short() { // under the race detector, which is some ten times slower
 		caches = 800
@@ -320,11 +324,12 @@
 		t.Error("nothing was served")
 	}
 	if t.Failed() {
-		t.Logf("the node said:\n%s", a.node.logTail())
+		t.Logf("log of the node:\n%s", a.node.logTail())
 	}
 }
 
-// BenchmarkRelease is what a release costs a node, by the caches that there are: docs/CAPACITY.md has its slopes.
+// BenchmarkRelease measures the cost of a release to a node by the number of caches, for the slopes in
+// docs/CAPACITY.md.
 func BenchmarkRelease(b *testing.B) {
 	for _, caches := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -25,8 +25,8 @@
 		"settings.tariffs.cross_zone: settings.rules.overload_factor:"
 )
 
-// What an operator has to fill in, and what was lost, is printed. Existing files are left alone, and no half file is
-// left. The calls are made one after the other in one folder.
+// TestMigratePrintsWhatItCannotCarryOver checks that migrate prints what the operator has to fill in and what was lost,
+// leaves existing files alone, and leaves no partial file. The calls run in order in one folder.
 func TestMigratePrintsWhatItCannotCarryOver(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -75,7 +75,7 @@
 	}
 }
 
-// migratedNodes starts nodes with the migrated form of their configuration, and with what an operator fills in.
+// migratedNodes starts nodes with their configuration migrated, including the values that an operator fills in.
 type migratedNodes struct {
 	realtime.Starter
 	dir string // for the files; empty to start nodes with the old form
@@ -86,15 +86,15 @@
 	if m.dir != "" {
 		os.WriteFile(m.dir+"/old", text, 0o600)
 		migrateFile(io.Discard, m.dir+"/old", m.dir+"/new", false, true)
-		text, _ = os.ReadFile(m.dir + "/new") // nothing, and no node, where that failed
+		text, _ = os.ReadFile(m.dir + "/new") // empty if the migration failed, so that no node starts
 		text = []byte(strings.Replace(string(text), `"cross_zone":0`, `"cross_zone":0.2`, 1))
 	}
 	o.Configuration = text
 	return m.Starter.Start(o)
 }
 
-// A node with a migrated configuration must serve, and send attempts to its own zone's caches. With the old one, it
-// sends them to all.
+// TestMigratedNodeKeepsToItsZone checks that a node with a migrated configuration serves, and sends attempts only to
+// caches in its own zone. With the old configuration it sends them to all zones.
 func TestMigratedNodeKeepsToItsZone(t *testing.T) {
 	s, err := scenario.Parse("test.toml", []byte(strings.Replace(strings.Split(shortScenario, "[[event]]")[0], "caches = 4",
 		"caches = 12\nzones = [\"a\", \"b\"]", 1)))
@@ -118,10 +118,11 @@
 	}
 }
 
-// maxPlays is how often a scenario is played until the machine was not too busy to judge it.
+// maxPlays is the maximum number of runs of a scenario until the machine is not too busy to judge it.
 const maxPlays = 4
 
-// playUntilJudged plays a scenario until the machine was not too busy to judge it. It ends the test after maxPlays.
+// playUntilJudged runs a scenario until the machine was not too busy to judge it. It fails the test after maxPlays
+// runs.
 func playUntilJudged(t *testing.T, s *scenario.Scenario, starter realtime.Starter) *report.Report {
 	t.Helper()
 	for range maxPlays {
@@ -134,6 +135,6 @@
 		}
 		t.Logf("not judged: %s", result.MachineTooBusy)
 	}
-	t.Fatalf("not judged in %d plays", maxPlays)
+	t.Fatalf("not judged in %d runs", maxPlays)
 	return nil
 }
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -42,8 +42,8 @@
 caches = ["c2"]
 `
 
-// runProgramInTempDir runs this runProgramInTempDir with a temporary folder of its own, and returns its output, its exit code and what it left
-// there. after is called once it has started; nil for nothing.
+// runProgramInTempDir runs the program with a temporary folder of its own, and returns its output, its exit code and
+// the names of the files it left there. after is called once the program has started, unless it is nil.
 func runProgramInTempDir(t *testing.T, after func(*os.Process), args ...string) (out string, code int, left []string) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
@@ -57,7 +57,7 @@
 	if after != nil {
 		after(c.Process)
 	}
-	_ = c.Wait() // its exit code is looked at
+	_ = c.Wait() // the exit code is checked by the caller
 	entries, err := os.ReadDir(tmp)
 	if err != nil {
 		t.Fatal(err)
@@ -76,16 +76,16 @@
 	return path
 }
 
-// noRuleBroken is in the output of a rehearsal in which no rule was broken.
+// noRuleBroken is in the output of a rehearsal that broke no rule.
 const noRuleBroken = "no rule is broken ([0 0 0 0])"
 
-// machineTooBusy is in the output of a rehearsal that the machine was too busy to judge.
+// machineTooBusy is in the output of a rehearsal that could not be judged because the machine was too busy.
 const machineTooBusy = "not judged: the machine was too busy"
 
-// Node processes of this program run, and one of them is killed. The report says what happened, the processes' records
-// are in it, the exit code tells that all was as expected, and nothing is left behind. How soon the silent cache is
-// avoided is bounded in virtual time alone: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
-func TestRehearsalWithProcessesReportsAndLeavesNothing(t *testing.T) {
+// TestRehearsalReportsAndLeavesNoFiles runs node processes and kills one. The report must describe what happened and
+// include the records of the processes, the exit code must be 0, and no file may be left. How soon the silent cache is
+// avoided is bounded tightly only in virtual time: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
+func TestRehearsalReportsAndLeavesNoFiles(t *testing.T) {
 	dir := t.TempDir()
 	script := scriptFile(t, shortScenario+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
 	out, code, left := runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
@@ -108,20 +108,21 @@
 	}
 }
 
-func TestInterruptedRehearsalLeavesNothing(t *testing.T) {
+func TestInterruptedRehearsalLeavesNoFiles(t *testing.T) {
 	interrupt := func(p *os.Process) {
 		time.Sleep(time.Second)
 		p.Signal(syscall.SIGINT)
 	}
 	out, code, left := runProgramInTempDir(t, interrupt, "rehearse", scriptFile(t, shortScenario))
 	if code != 1 || len(left) > 0 || strings.Contains(out, "asked") {
-		t.Errorf("broken off: exit %d, left %v: %s", code, left, out)
+		t.Errorf("interrupted: exit %d, left %v: %s", code, left, out)
 	}
 }
 
-// Operators replace one node's process under load, and set the other to standby. A request that is lost, a process that
-// does not answer yes or does not end, and a connection held four seconds after the call each fail the rehearsal.
-func TestRehearsalRunsWhatOperatorsDo(t *testing.T) {
+// TestRehearsalRunsOperatorActions replaces the process of one node under load and sets the other node to standby. A
+// lost request, a process that does not report success or does not exit, and a connection still open four seconds after
+// the call each fail the rehearsal.
+func TestRehearsalRunsOperatorActions(t *testing.T) {
 	calls := strings.Replace(shortScenario[:strings.Index(shortScenario, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
 at_s = 0.5
 do = "node_upgrade"
@@ -145,8 +146,9 @@
 	}
 }
 
-// A call that cannot be taken is told in one line, and nothing is run.
-func TestBadCallsAreToldInOneLine(t *testing.T) {
+// TestInvalidCommandLinesFailWithOneLine checks that an invalid call prints one line, exits with the right code, and
+// runs nothing.
+func TestInvalidCommandLinesFailWithOneLine(t *testing.T) {
 	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
 		`"settings":{"service_grades":[{"name":"read"}]}}`)
 	const failed, badCall = 1, 2
@@ -194,8 +196,9 @@
 	}
 }
 
-// An operator who is told of one fault at a time has to check a file many times.
-func TestCheckTellsAllFaultsOfAFile(t *testing.T) {
+// TestCheckReportsAllErrorsOfFile checks that check reports all errors of a file at once, as an operator would
+// otherwise have to run it once per error.
+func TestCheckReportsAllErrorsOfFile(t *testing.T) {
 	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
 		`"settings":{"service_grades":[{"name":"read"}]}}`)
 	faulty := scriptFile(t, "[[listener]]\nlisten = 'x'\nprotocol = 'y'\n")
@@ -205,12 +208,12 @@
 	}
 }
 
-// Runs five node processes: one is killed, one is partitioned so that it hears the others but none hears it, and one is
-// upgraded, which the others must not notice. The checker must find every view correct.
-func TestProcessesKnowOneAnother(t *testing.T) {
+// TestProcessViewsMatchFaults runs five node processes: one is killed, one is partitioned so that it hears the others
+// but none hears it, and one is upgraded, which the others must not notice. The checker must find every view correct.
+func TestProcessViewsMatchFaults(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	if testing.Short() {
-		t.Skip("plays for 24 s")
+		t.Skip("runs for 24 s")
 	}
 	text := strings.Replace(strings.Split(shortScenario, "[[event]]")[0], "seconds = 5", "seconds = 24", 1)
 	text = strings.Replace(text, "nodes = 2", "nodes = 5", 1) + "[together]\n" + `[[event]]
@@ -237,8 +240,8 @@
 	}
 }
 
-// A schedule that breaks a rule is shortened to the events that it needs, written as it then is, and named in the last
-// line. One for which the machine was too busy proves nothing.
+// TestNemesisShortensASchedule checks that a schedule that breaks a rule is reduced to the events that it needs,
+// written in that form, and named in the last line, and that runs on a machine that was too busy prove nothing.
 func TestNemesisShortensASchedule(t *testing.T) {
 	dir, plays := t.TempDir(), 0
 	needs := func(s *scenario.Scenario, do string) bool {
--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -10,14 +10,14 @@
 	"dahliapin/internal/scale/cachegrowth"
 )
 
-// Four times the caches: what is counted stays within the operators' table. Times and memory are not judged here, as
-// other tests use the machine.
-func TestScaleCachesByCounts(t *testing.T) {
+// TestScaleCachesCountsStayWithinLimits checks that counts stay within the limits of the operators' table with four
+// times the caches. Times and memory are not judged, as other tests share the machine.
+func TestScaleCachesCountsStayWithinLimits(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	out := t.TempDir()
 	_, errs, code := runProgramSplit(t, "scale", "caches", "--caches", "60,240", "--days", "quiet,release", "--for", "2s",
 		"--share", "1", "--out", out)
-	if code > 1 { // 1 if something that is not judged here is over its limit
+	if code > 1 { // 1 if a value that this test does not judge is over its limit
 		t.Fatalf("exit %d: %s", code, errs)
 	}
 	text, err := os.ReadFile(filepath.Join(out, "report.json"))
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -8,13 +8,13 @@
 	"dahliapin/internal/scale/logscale/rig"
 )
 
-// playSmall runs the log of changes with real processes for some 25 s, beside other tests that wait most of their time
-// as well.
+// playSmall runs the replicated log with real processes for some 25 s. It runs in parallel with other tests that mostly
+// wait.
 func playSmall(t *testing.T, args ...string) (r rig.Report) {
 	t.Helper()
 	t.Parallel()
 	if testing.Short() {
-		t.Skip("real processes for 25 s: without the race detector, which they do not have")
+		t.Skip("runs processes for 25 s, which are built without the race detector")
 	}
 	dir := t.TempDir()
 	all := []string{
@@ -31,9 +31,10 @@
 	return r
 }
 
-// The rig runs at its smallest size with all failures: packets are lost, the leader is killed and comes back, a region
-// is cut off. The checker says what was kept; times are the machine's, and do not matter here.
-func TestLogOfChangesAtASmallSize(t *testing.T) {
+// TestReplicatedLogAtSmallSize runs the rig at its smallest size with all failures: packets are lost, the leader is
+// killed and restarted, and a region is cut off. Only the rules of the checker are judged, as times depend on the
+// machine.
+func TestReplicatedLogAtSmallSize(t *testing.T) {
 	r := playSmall(t, "--nodes", "9", "--real", "1", "--plays", "steady,cut", "--cut-for", "2s", "--cut-purges", "400",
 		"--cut-configs", "3", "--seed", "5")
 	j := r.Judge
@@ -54,9 +55,10 @@
 	}
 }
 
-// Caches are purged while they are filled, the leader is killed and comes back, and a cache does not answer for a
-// while. No value is served that is older than the purges that count as done, and all are done.
-func TestPurgesAtCachesAtASmallSize(t *testing.T) {
+// TestCachePurgesAtSmallSize purges caches while they are filled, while the leader is killed and restarted, and while
+// one cache does not answer. No value may be served that is older than a purge that counts as done, and all purges must
+// be done in the end.
+func TestCachePurgesAtSmallSize(t *testing.T) {
 	r := playSmall(t, "--nodes", "3", "--real", "0", "--plays", "steady,cache-cut", "--cut-for", "3s", "--caches", "6",
 		"--fills", "500ms", "--seed", "6")
 	c := r.Caches
--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/scale"
 )
 
-// runProgramSplit runs the program to its end: what it printed, its errors, and the exit code.
+// runProgramSplit runs the program to its end, and returns its standard output, standard error and exit code.
 func runProgramSplit(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
 	var o, e strings.Builder
@@ -31,9 +31,9 @@
 	return lines[len(lines)-1]
 }
 
-// A small fleet, hollow nodes beside real ones in processes of their own, over regions with a delay: both roles are
-// measured at each size, and send the same within what chance makes of two seconds. The same sizes are held against
-// other budgets without being measured again.
+// TestScaleMeasuresSmallFleets runs a small fleet of hollow nodes beside real ones, in processes of their own, over
+// regions with a delay. Both roles must be measured at each size, and must send the same within the random variation of
+// two seconds. The results are then compared with another budget without being measured again.
 func TestScaleMeasuresSmallFleets(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	dir := t.TempDir()
@@ -60,7 +60,7 @@
 			t.Fatalf("%d nodes: %+v", s.Nodes, s.Phases)
 		}
 		if p.Alone <= 0 || p.Alone > p.Roles[scale.Real].Processor.Mean || s.AloneMB <= 0 {
-			t.Errorf("%d nodes: one that knows of no other takes %v %% and %v MB", s.Nodes, p.Alone, s.AloneMB)
+			t.Errorf("%d nodes: a node alone takes %v %% and %v MB", s.Nodes, p.Alone, s.AloneMB)
 		}
 		for role, taken := range p.Roles {
 			sent := taken.Flows["hellos out /s"]
@@ -79,8 +79,9 @@
 	}
 }
 
-// A run that is told to end does so at once, also while its nodes are being started, and leaves no process behind.
-func TestScaleEndsWhenTold(t *testing.T) {
+// TestScaleStopsOnSIGTERM checks that a run stops promptly on SIGTERM, even while its nodes are being started, and
+// leaves no process behind.
+func TestScaleStopsOnSIGTERM(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f.toml")
 	if err := os.WriteFile(file, []byte("[starts]\napart_ms = 10000\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -88,10 +89,10 @@
 	program, logged := startProgram(t, os.Args[0], "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--out", t.TempDir(), file)
 	for by := time.Now().Add(20 * time.Second); !hollowProcessExists(t); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatal("no process of hollow nodes comes up")
+			t.Fatal("no process of hollow nodes was started")
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // it is told to start nodes
+	time.Sleep(200 * time.Millisecond) // by now it is starting nodes
 	began := time.Now()
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -100,7 +101,7 @@
 	if err := program.Wait(); err == nil || program.ProcessState.ExitCode() != 1 {
 		t.Errorf("it ended with %v", err)
 	}
-	if took := time.Since(began); took > 8*time.Second { // five for a process that is busy with something else
+	if took := time.Since(began); took > 8*time.Second { // of which up to 5 s for a process that is busy
 		t.Errorf("it took %v to end", took)
 	}
 	if hollowProcessExists(t) {
@@ -108,7 +109,7 @@
 	}
 }
 
-// hollowProcessExists tells whether a process of hollow nodes of this test's program is there.
+// hollowProcessExists reports whether a process of hollow nodes of this test binary exists.
 func hollowProcessExists(t *testing.T) bool {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -123,8 +124,9 @@
 	return false
 }
 
-// A run that takes more memory than it may ends, says so, and leaves no process behind.
-func TestScaleKeepsWithinItsMemory(t *testing.T) {
+// TestScaleStopsOverMemoryLimit checks that a run that exceeds its memory limit stops, reports it, and leaves no
+// process behind.
+func TestScaleStopsOverMemoryLimit(t *testing.T) {
 	out := t.TempDir()
 	printed, errs, code := runProgramSplit(t, "scale", "--nodes", "6", "--sizes", "6", "--real", "1", "--for", "2s", "--most-mb", "5", "--out", out)
 	if code != 1 || !strings.Contains(errs, "3 processes take ") || !strings.Contains(errs, ": 5 are the most") {
@@ -135,7 +137,7 @@
 	}
 }
 
-// A call that can't be taken ends with 2 and one clear line, before anything is started.
+// TestScaleCallsAreChecked checks that an invalid call exits with 2 and one clear line before anything is started.
 func TestScaleCallsAreChecked(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("[places]\nregion = 3\n"), 0o600); err != nil {
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -19,10 +19,11 @@
 
 const (
 	soakFor   = 20 * time.Second
-	soakSeeds = 6 // a minute in all, half of them side by side
+	soakSeeds = 6 // a minute in all, as two run at once
 )
 
-// A short soak: the same schedules each time. The long one is started by hand: dahliapin soak.
+// TestShortSoak runs a short soak with the same schedules each time. A long one is started manually with dahliapin
+// soak.
 func TestShortSoak(t *testing.T) {
 	processes := testProcesses(t)
 	options := soakOptions{firstSeed: 1, lastSeed: soakSeeds, duration: soakFor, parallel: 2, out: t.TempDir()}
@@ -39,13 +40,13 @@
 	}
 }
 
-// testProcesses runs the program in processes of its own: this test's binary is the program where its environment says so.
+// testProcesses returns a starter that runs the test binary as node processes.
 func testProcesses(t *testing.T) *realtime.Processes {
 	t.Setenv(runAsProgramEnv, "1")
 	return &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 }
 
-// nonDrainingNodes runs nodes that end at once when they are told to, with all requests that they have in flight.
+// nonDrainingNodes starts nodes that exit at once on SIGTERM, and lose their requests in flight.
 type nonDrainingNodes struct{ *realtime.Processes }
 
 type nonDrainingProcess struct{ realtime.Process }
@@ -60,7 +61,8 @@
 	return nonDrainingProcess{p}, nil
 }
 
-// A soak proves something only if it tells a node that ends at once from one that drains.
+// TestSoakFindsANodeThatDoesNotDrain checks that a soak distinguishes a node that exits at once from one that drains:
+// without that, a soak proves nothing.
 func TestSoakFindsANodeThatDoesNotDrain(t *testing.T) {
 	s, err := scenario.Parse("hasty.toml", []byte(`
 seconds = 10
@@ -113,9 +115,9 @@
 	}
 }
 
-// A failing schedule of a soak has to be kept as one that plays the failure alone, without anybody at it: whole, and
-// shrunk to the two events that the failure needs. Other failures, and plays that a busy machine could not judge, are
-// not the one that is looked for.
+// TestSoakShrinksAFailingSchedule checks that a failing schedule is written so that it reproduces the failure
+// unattended, both in full and shrunk to the two events that the failure needs. Runs with other failures, or that a
+// busy machine could not judge, must not count as the same failure.
 func TestSoakShrinksAFailingSchedule(t *testing.T) {
 	dir, plays := t.TempDir(), 0
 	const rule = 2
@@ -164,8 +166,9 @@
 	}
 }
 
-// An interrupt ends the plays under way. A soak that went on with the next seeds could not be stopped.
-func TestSoakEndsAtAPlayThatCouldNotBe(t *testing.T) {
+// TestSoakStopsAfterInterruptedRun guards against a soak that cannot be stopped: an interrupt ends only the runs in
+// progress, so the soak must not go on with the next seeds.
+func TestSoakStopsAfterInterruptedRun(t *testing.T) {
 	plays := 0
 	interrupted := func(*scenario.Scenario) (*report.Report, error) {
 		plays++
@@ -199,7 +202,7 @@
 	}
 }
 
-func TestSoakDrawsTheSameBySeedAndAScriptThatPlays(t *testing.T) {
+func TestSoakSchedulesAreReproducibleAndParse(t *testing.T) {
 	const seeds = 300
 	again := scenario.Soaks(1, seeds, soakFor.Seconds())
 	for i, s := range scenario.Soaks(1, seeds, soakFor.Seconds()) {
--- a/cmd/dahliapin/start_test.go
+++ b/cmd/dahliapin/start_test.go
@@ -119,7 +119,7 @@
 
 // Nine in ten of restarted nodes are to serve clients within 10 s, whatever discovery does meanwhile and whether or not
 // they have a list from before. A list that took discovery longer than the first poll may take was never received.
-func TestNodesAreReadySoonAfterARestart(t *testing.T) {
+func TestNodesAreReadyWithin10sOfRestart(t *testing.T) {
 	const readyIn, failsFor, slowBy = 10 * time.Second, 5 * time.Second, 2 * time.Second
 	const list = `{"generation":7,"reset":true,` +
 		`"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service"}]}`
--- a/cmd/dahliapin/syscall_fault_handover_test.go
+++ b/cmd/dahliapin/syscall_fault_handover_test.go
@@ -12,7 +12,7 @@
 )
 
 // A process whose accept failed once, for its successor's connection, could not be replaced any more.
-func TestAProcessIsReplacedAfterItsAcceptHasFailed(t *testing.T) {
+func TestHandoverSucceedsAfterFailedAccepts(t *testing.T) {
 	s := newUpgradeHarness(t)
 	old := s.start()
 	s.waitForLine(old, "msg=serving")
--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -206,7 +206,7 @@
 
 // Each error that Linux documents, at each of a node's calls: all requests have one answer, no request that was sent to
 // a server is told to have been rejected, nothing spins, no descriptor is lost, and the node serves as before.
-func TestFaultsOfSystemCalls(t *testing.T) {
+func TestSyscallFaults(t *testing.T) {
 	all := faults()
 	points := make(chan fault, len(all))
 	for _, f := range all {
--- a/cmd/dahliapin/waiting_clients_test.go
+++ b/cmd/dahliapin/waiting_clients_test.go
@@ -104,7 +104,7 @@
 // While idle clients hold all descriptors that they may have and discovery is down, the node must find discovery again,
 // reach a cache that is new, answer its operators, and lose nothing. It stands last in its package, as its clients take
 // what cores there are: by then other packages have done most of their work.
-func TestIdleClientsInAllDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsHoldAllDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets, idlers, restAfterShut, answeredIn, downFor, countsAsTold = 256, 400, 10 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second
 	for _, how := range []string{"resets", "silent"} {
 		t.Run(how, func(t *testing.T) {
