--- a/cmd/dahliapin/many_caches_test.go
+++ b/cmd/dahliapin/many_caches_test.go
@@ -18,14 +18,14 @@
 const (
 	releaseSteps   = 4                       // in a release
 	releaseEvery   = 1200 * time.Millisecond // between two steps
-	drainsAfter    = 100 * time.Millisecond  // a version that changes the set of caches, the next version marks further caches as draining
+	drainsAfter    = 100 * time.Millisecond  // a version changes the caches, the next version drains others
 	releaseShare   = 0.2                     // fraction of the caches that a step replaces
 	nodeShare      = 0.2                     // of a core that the node is limited to
 	requestsPerSec = 120
 	listChunk      = 1000 // bytes
 	popularKeys    = 20
 	answerGrace    = 500 * time.Millisecond // after a request's deadline, within which a final answer must arrive
-	drainGrace     = 450 * time.Millisecond // after the list marks a cache as draining, in which requests may still go to it
+	drainGrace     = 450 * time.Millisecond // after a cache is marked as draining, in which it may still get requests
 	originTakes    = 400 * time.Millisecond // long enough that cache misses queue for the origin
 	clientsHeldUp  = 100 * time.Millisecond // between two requests: above this, the machine was too busy to judge the node
 	releasePlays   = 3                      // maximum number of runs until a release can be judged
--- a/cmd/dahliapin/soak_variants_test.go
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -30,42 +30,42 @@
 var (
 	variantSeeds = flag.Int64("variant-seeds", 0,
 		"seeds of 20 s within which each broken variant is to be caught; 0 for CI's short form, of one variant")
-	variantShrink = flag.Int("variant-shrink", 0, "plays to shrink a schedule that caught a variant")
+	variantShrink = flag.Int("variant-shrink", 0, "maximum number of runs to shrink a schedule that caught a variant")
 	variantNames  = flag.String("variants", "", "part of the names of the broken variants to run; empty for all")
 )
 
-// nodeConfiguration is the configuration of a node as far as variants change it.
+// nodeConfiguration is the parsed configuration of a node, as far as variants change it.
 type nodeConfiguration struct {
 	fields   map[string]any
 	settings map[string]any
 }
 
-// eachClass calls a function with each service class of the settings.
+// eachClass calls do with each service class of the settings.
 func (c *nodeConfiguration) eachClass(do func(class map[string]any)) {
 	for _, class := range c.settings["service_grades"].([]any) {
 		do(class.(map[string]any))
 	}
 }
 
-// setIn sets a value in a part of the settings.
+// setIn sets a value in a section of the settings.
 func (c *nodeConfiguration) setIn(part, key string, value any) {
 	c.settings[part].(map[string]any)[key] = value
 }
 
-// brokenNode is a variant of a node that breaks a rule.
+// brokenNode is a variant of a node that breaks a rule. A nil function or replacer changes nothing.
 type brokenNode struct {
 	name string
-	// configure changes what the node is told, so that it acts as if the deployment's terms were others; nil for not.
+	// configure changes the node's configuration, so that it acts as if the terms of the deployment were others.
 	configure func(*nodeConfiguration)
-	// wrap changes how the process takes what is done to it; nil for not.
+	// wrap changes how the process reacts to signals and other actions on it.
 	wrap func(realtime.Process) realtime.Process
-	// rewriteList changes the endpoint list that the node gets; nil for not.
+	// rewriteList changes the endpoint list that the node receives.
 	rewriteList *strings.Replacer
-	// answers changes the bytes that clients get; nil for not.
+	// answers changes the bytes that clients receive.
 	answers func(answer []byte, count int) []byte
 }
 
-// variants are broken in one thing each. The last two break only where two faults overlap.
+// variants are the broken nodes, each with one fault. The last two break a rule only where two faults overlap.
 var variants = []brokenNode{
 	{name: "ends at once when told to end", wrap: func(p realtime.Process) realtime.Process {
 		return nonDrainingProcess{p}
@@ -122,16 +122,16 @@
 	}},
 }
 
-// lateAnswerDelay is later than any deadline that a soak draws, and what it allows over that.
+// lateAnswerDelay exceeds any deadline that a soak draws and the lateness that it allows.
 const lateAnswerDelay = 4 * time.Second
 
-// overlapWindow is within which two faults overlap for the variants that need two.
+// overlapWindow is the time within which two faults count as overlapping, for the variants that need two.
 const overlapWindow = 4 * time.Second
 
-// stuckTime is how long a process is stuck that does not go on after a freeze.
+// stuckTime is how long a process that is stuck after a freeze stays suspended.
 const stuckTime = 3 * time.Second
 
-// faultyProcess is a process that takes signals wrongly.
+// faultyProcess is a process that handles signals incorrectly.
 type faultyProcess struct {
 	realtime.Process
 	ignoresTerm, diesAtReload, stuckAfterFreeze bool
@@ -141,21 +141,21 @@
 	reloadedAt, frozenAt time.Time
 }
 
-// isRecent tells whether a fault came lately.
+// isRecent reports whether a fault occurred within overlapWindow.
 func (s *faultyProcess) isRecent(at *time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(*at) < overlapWindow
 }
 
-// recordFault notes the time of a fault.
+// recordFault records the time of a fault.
 func (s *faultyProcess) recordFault(at *time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*at = time.Now()
 }
 
-// End tells it to end.
+// End tells the process to shut down.
 func (s *faultyProcess) End() {
 	switch {
 	case s.ignoresTerm:
@@ -166,7 +166,7 @@
 	}
 }
 
-// Reload has it read its configuration again.
+// Reload makes the process read its configuration again.
 func (s *faultyProcess) Reload() {
 	if s.diesAtReload {
 		s.Kill()
@@ -176,7 +176,7 @@
 	s.Process.(realtime.Reloader).Reload()
 }
 
-// Pause stops it, or has it go on, which takes a while where it is stuck.
+// Pause suspends the process or resumes it. A variant that is stuck resumes only after stuckTime.
 func (s *faultyProcess) Pause(stop bool) {
 	process := s.Process.(realtime.Pauser)
 	s.recordFault(&s.frozenAt)
@@ -187,7 +187,7 @@
 	process.Pause(stop)
 }
 
-// Hang has its loop stand still.
+// Hang blocks the event loop of the process, or releases it.
 func (s *faultyProcess) Hang(stop bool) { s.Process.(realtime.Pauser).Hang(stop) }
 
 // brokenNodes starts nodes of a broken variant.
@@ -197,7 +197,7 @@
 	variant *brokenNode
 
 	mu       sync.Mutex
-	backends map[string]string // where a node listens, by the address that clients know
+	backends map[string]string // address that a node listens on, by the address that clients connect to
 }
 
 // Start starts a node of the variant.
@@ -227,7 +227,7 @@
 	return b.variant.wrap(process), nil
 }
 
-// listProxy passes on discovery's answers, rewritten, and returns its address.
+// listProxy starts a proxy that rewrites the answers of discovery, and returns its address.
 func (b *brokenNodes) listProxy(discovery string) string {
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: discovery})
 	proxy.ErrorLog = nil
@@ -250,8 +250,8 @@
 	return server.Listener.Addr().String()
 }
 
-// answerProxy listens where clients come to, passes bytes on to where the node listens, and its answers back, changed.
-// It returns where the node is to listen, which is the same for each of its processes.
+// answerProxy starts a proxy at the address that clients connect to, which changes the answers of the node. It returns
+// the address that the node has to listen on, which is the same for all processes of a node.
 func (b *brokenNodes) answerProxy(address string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -291,7 +291,7 @@
 	}
 }
 
-// proxyConnection passes on one connection, and changes what comes back, a read at a time.
+// proxyConnection forwards one connection, and changes the answers, one read at a time.
 func proxyConnection(client net.Conn, backend string, change func([]byte) []byte) {
 	defer client.Close()
 	node, err := net.Dial("tcp", backend)
@@ -300,7 +300,7 @@
 	}
 	defer node.Close()
 	go func() {
-		_, _ = io.Copy(node, client) // its end is the connection's
+		_, _ = io.Copy(node, client) // when the client closes, the node's connection is closed
 		node.Close()
 	}()
 	buffer := make([]byte, 64<<10)
@@ -315,7 +315,7 @@
 	}
 }
 
-// variantPlayer plays schedules against nodes of a variant.
+// variantPlayer returns a player that runs schedules against nodes of a variant.
 func variantPlayer(t *testing.T, v *brokenNode) player {
 	return func(s *scenario.Scenario) (*report.Report, error) {
 		processes := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
@@ -324,14 +324,14 @@
 	}
 }
 
-// breachSearch is what schedules came to.
+// breachSearch is the outcome of running schedules until one breaks a rule.
 type breachSearch struct {
-	schedule  *scenario.Scenario // the first that broke a rule
+	schedule  *scenario.Scenario // the first one that broke a rule
 	report    *report.Report     // on it; nil if none did
-	notJudged int                // schedules until then for which the machine was too busy
+	notJudged int                // schedules before it for which the machine was too busy
 }
 
-// findBreach plays schedules until one breaks a rule.
+// findBreach runs schedules until one breaks a rule.
 func findBreach(t *testing.T, schedules []*scenario.Scenario, play player) breachSearch {
 	t.Helper()
 	var found breachSearch
@@ -352,7 +352,7 @@
 	return found
 }
 
-// describeBreach says which rules were broken and which expectations were not met.
+// describeBreach returns which rules were broken and which expectations were not met.
 func describeBreach(r *report.Report) string {
 	text := fmt.Sprint("rules ", r.Rules)
 	for _, e := range r.Expected {
@@ -366,13 +366,14 @@
 	return text
 }
 
-// A soak proves something only if it finds broken nodes. Each variant has to be caught within so many seeds, and what
-// caught it can be shrunk to what the variant needs. CI plays one, for a short time.
+// TestSoakCatchesBrokenNodes checks that a soak finds broken nodes: without that, it proves nothing. Each variant has
+// to be caught within the given number of seeds, and the schedule that caught it can be shrunk to what the variant
+// needs. CI runs one variant, for a short time.
 func TestSoakCatchesBrokenNodes(t *testing.T) {
 	t.Setenv(runAsProgramEnv, "1")
 	if *variantSeeds == 0 {
 		if testing.Short() {
-			t.Skip("plays for 10 s")
+			t.Skip("runs for 10 s")
 		}
 		schedules := scenario.Soaks(1, ciVariantSeeds, ciVariantTime.Seconds())
 		first := slices.IndexFunc(schedules, func(s *scenario.Scenario) bool { return hasEvent(s, ciVariantEvent) })
@@ -392,7 +393,7 @@
 	}
 }
 
-// What CI plays of the variants: one that shows at each reload, and the first schedule that has one.
+// The variant that CI runs: one that fails at each reload, with the first schedule that has a reload.
 const (
 	ciVariant      = "dies at a reload"
 	ciVariantEvent = "node_reload"
@@ -411,8 +412,8 @@
 	return nil
 }
 
-// catchVariant plays schedules against a variant until one breaks a rule, and shrinks that where it was asked for.
-// Where no schedule broke a rule and some were not judged, the test is skipped: they prove nothing.
+// catchVariant runs schedules against a variant until one breaks a rule, and shrinks that one if asked to. If no
+// schedule broke a rule and some were not judged, the test is skipped, as the runs prove nothing.
 func catchVariant(t *testing.T, v *brokenNode, schedules []*scenario.Scenario) {
 	t.Helper()
 	play := variantPlayer(t, v)
@@ -434,6 +435,6 @@
 		t.Error(err)
 	}
 	path := filepath.Join(dir, found.schedule.Name+shrunkSuffix+".toml")
-	shrunk, _ := os.ReadFile(path) // nothing if nothing smaller broke the same
+	shrunk, _ := os.ReadFile(path) // missing if no smaller schedule failed in the same way
 	t.Logf("%s%s", &said, shrunk)
 }
--- a/cmd/dahliapin/start_test.go
+++ b/cmd/dahliapin/start_test.go
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// concurrentNodes are started together; under the race detector, which is some ten times slower, fewer.
+// concurrentNodes returns how many nodes are started together: fewer under the race detector, which is some ten times
+// slower.
 func concurrentNodes() int {
 	if testing.Short() {
 		return 6
@@ -26,42 +27,42 @@
 	return 30
 }
 
-// nodeProcess is a process of a node, and what it logs.
+// nodeProcess is a node process and the last lines of its log.
 type nodeProcess struct {
 	*exec.Cmd
-	listening chan bool // closed once it listens, or has ended without
-	listen    string    // where; empty where it has ended before. Like ops to be read once up is closed
-	ops       string    // where operators call, if anywhere
+	listening chan bool // closed once it listens, or has exited before that
+	listen    string    // address; empty if it exited before. Like ops, read it only after listening is closed
+	ops       string    // admin address, if any
 	mu        sync.Mutex
 	logged    []string
 }
 
-// logTail is what it has logged, the last lines of it.
+// logTail returns the last lines of the log.
 func (p *nodeProcess) logTail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.logged, "\n")
 }
 
-// waitForListen waits for where it listens.
+// waitForListen waits until the node listens, and returns its address.
 func (p *nodeProcess) waitForListen(t testing.TB) string {
 	t.Helper()
 	select {
 	case <-p.listening:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("does not listen; it said:\n%s", p.logTail())
+		t.Fatalf("the node does not listen; its log:\n%s", p.logTail())
 	}
 	if p.listen == "" {
-		t.Fatalf("ended before it listened; it said:\n%s", p.logTail())
+		t.Fatalf("the node exited before it listened; its log:\n%s", p.logTail())
 	}
 	return p.listen
 }
 
 var listenPattern, opsPattern = regexp.MustCompile(`msg=listening .*listen="([^"]+)"`), regexp.MustCompile(`ops="([^"]+)"`)
 
-// startNode starts a node's process with further parts of a configuration. The system chooses its ports as it listens:
-// one that was free a moment before may be used by then, as thousands of connections come and go. It ends with the
-// test.
+// startNode starts a node process with additional configuration fields, and kills it at the end of the test. The kernel
+// chooses its ports when it listens: a port that was free a moment before may be in use by then, as tests open and
+// close thousands of connections.
 func startNode(t testing.TB, dir, discovery, more string, env ...string) *nodeProcess {
 	t.Helper()
 	file := dir + "/config.json"
@@ -71,7 +72,7 @@
 	}
 	p := &nodeProcess{Cmd: exec.Command(os.Args[0], "serve", "--config", file), listening: make(chan bool)}
 	p.Env = append(append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+dir), env...)
-	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
+	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a process group, for tracing
 	out, err := p.StderrPipe()
 	if err == nil {
 		err = p.Start()
@@ -104,7 +105,7 @@
 	return p
 }
 
-// isReady tells whether a node says that it takes clients.
+// isReady reports whether a node answers that it accepts clients.
 func isReady(listen string) bool {
 	c, err := net.DialTimeout("tcp", listen, time.Second)
 	if err != nil {
@@ -117,15 +118,16 @@
 	return strings.TrimSpace(said) == "MN"
 }
 
-// Nine in ten of restarted nodes are to serve clients within 10 s, whatever discovery does meanwhile and whether or not
-// they have a list from before. A list that took discovery longer than the first poll may take was never received.
+// TestNodesAreReadyWithin10sOfRestart checks that nine in ten restarted nodes serve clients within 10 s, whatever
+// discovery does meanwhile and whether or not they have an earlier list. It guards against a node never receiving a
+// list that discovery took longer to send than the timeout of the first poll.
 func TestNodesAreReadyWithin10sOfRestart(t *testing.T) {
 	const readyIn, failsFor, slowBy = 10 * time.Second, 5 * time.Second, 2 * time.Second
 	const list = `{"generation":7,"reset":true,` +
 		`"instances":[{"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"in_service"}]}`
 	for _, how := range []string{"slow", "refuses", "silent"} {
 		t.Run(how, func(t *testing.T) {
-			if testing.Short() { // few enough to be started beside each other's
+			if testing.Short() { // few enough nodes to run the subtests in parallel
 				t.Parallel()
 			}
 			nodes, began := concurrentNodes(), time.Now()
@@ -142,7 +144,7 @@
 					return
 				}
 				if r.URL.RawQuery != "" && how != "slow" {
-					<-r.Context().Done() // a watch without news
+					<-r.Context().Done() // a long poll without an update
 					return
 				}
 				io.WriteString(w, list)
--- a/cmd/dahliapin/syscall_fault_handover_test.go
+++ b/cmd/dahliapin/syscall_fault_handover_test.go
@@ -11,7 +11,8 @@
 	"dahliapin/internal/syscallfault"
 )
 
-// A process whose accept failed once, for its successor's connection, could not be replaced any more.
+// TestHandoverSucceedsAfterFailedAccepts guards against a process that could not be replaced any more after its accept
+// of the successor's connection had failed once.
 func TestHandoverSucceedsAfterFailedAccepts(t *testing.T) {
 	s := newUpgradeHarness(t)
 	old := s.start()
@@ -31,6 +32,6 @@
 	s.waitForLine(successor, "taking another process's place")
 	s.waitForLine(successor, "msg=serving")
 	if injection.Injected() == 0 {
-		t.Error("no accept has failed")
+		t.Error("no accept call failed")
 	}
 }
--- a/cmd/dahliapin/syscall_fault_node_test.go
+++ b/cmd/dahliapin/syscall_fault_node_test.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	faultWait       = 400 * time.Millisecond // of a client, for an answer
-	lateAnswerGrace = 2 * time.Second        // after that, by which a final answer is there on any machine
-	faultLoad       = 100 * time.Millisecond // for which clients ask beside a fault
-	maxLoad         = time.Second            // until the call has been made that is to fail
-	thinkTime       = 2 * time.Millisecond   // of a client
+	faultWait       = 400 * time.Millisecond // deadline of a client request
+	lateAnswerGrace = 2 * time.Second        // after the deadline, by which a final answer arrives on any machine
+	faultLoad       = 100 * time.Millisecond // for which clients send requests during a fault
+	maxLoad         = time.Second            // longest wait for the call that is to fail
+	thinkTime       = 2 * time.Millisecond   // of a client, between two requests
 	recoverWithin   = 8 * time.Second        // after a fault
 	longValueBytes  = 300 << 10
-	discoveryPeriod = 30 * time.Millisecond // between two answers of discovery
-	answersPerConn  = 3                     // of a server, on average
+	discoveryPeriod = 30 * time.Millisecond // between two answers of discovery without an update
+	answersPerConn  = 3                     // that a server sends on a connection, on average
 )
 
-// faultSettings are a node's settings.
+// faultSettings is the configuration of the traced node.
 const faultSettings = `"seed":"1","ops":"127.0.0.1:0","limits":{"memory_mb":192,"sockets":256},"settings":{
 "service_grades":[
 {"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":0.4,"hard_stop_s":1.2},
@@ -48,13 +48,13 @@
 	*nodeProcess
 	tracer      *syscallfault.Tracer
 	ports       map[site]int
-	descriptors int // that it has with nothing to do
+	descriptors int // open while the node is idle
 	requests    atomic.Int64
 	polls       atomic.Int64 // answers of discovery
 	answers     atomic.Int64 // of all servers
 
 	mu   sync.Mutex
-	runs map[string]int // how often a cache, or the origin, got a key
+	runs map[string]int // how often a cache or the origin received a write, by key
 }
 
 func portOf(t testing.TB, addr string) int {
@@ -70,7 +70,7 @@
 	return port
 }
 
-// startFaultNode starts a node and has it traced. It skips the test only where the kernel lets nobody trace.
+// startFaultNode starts a node and traces it. It skips the test only if the kernel does not permit tracing.
 func startFaultNode(t testing.TB) *faultNode {
 	n := &faultNode{ports: map[site]int{}, runs: map[string]int{}}
 	cache := startCache(t, n.cacheAnswer)
@@ -86,7 +86,7 @@
 		n.ports[s] = portOf(t, addr)
 	}
 	if !eventually(recoverWithin, func() bool { return isReady(n.listen) }) {
-		t.Fatalf("not ready; it said:\n%s", n.logTail())
+		t.Fatalf("the node is not ready; its log:\n%s", n.logTail())
 	}
 	var err error
 	n.tracer, err = syscallfault.Attach(n.Process.Pid)
@@ -106,7 +106,7 @@
 
 func (n *faultNode) end() { _ = n.Process.Kill() }
 
-// eventually waits for something for so long.
+// eventually polls a condition until it holds or the time has passed, and reports whether it held.
 func eventually(d time.Duration, happens func() bool) bool {
 	for by := time.Now().Add(d); time.Now().Before(by); time.Sleep(5 * time.Millisecond) {
 		if happens() {
@@ -124,7 +124,7 @@
 	n.runs[key]++
 }
 
-// cacheAnswer is what a cache does with a line of the node's.
+// cacheAnswer answers a line from the node as a cache.
 func (n *faultNode) cacheAnswer(to net.Conn, line string) error {
 	f := strings.Fields(line)
 	if len(f) == 1 && f[0] == "mn" {
@@ -152,10 +152,10 @@
 	return err
 }
 
-// shouldClose tells of some answers that a server shouldClose the connection after them, so that the node has to connect again.
+// shouldClose reports whether the server closes the connection after this answer, so that the node has to reconnect.
 func (n *faultNode) shouldClose() bool { return n.answers.Add(1)%answersPerConn == 0 }
 
-// idOf is the flag of a command's id.
+// idOf returns the flag with the id of a command.
 func idOf(fields []string) string {
 	for _, f := range fields[2:] {
 		if f[0] == 'O' {
@@ -180,7 +180,7 @@
 	}
 }
 
-// discoveryHandler answers with the list, and with no news again and again.
+// discoveryHandler serves the list, and answers each further poll without an update after discoveryPeriod.
 func (n *faultNode) discoveryHandler(cache, origin string) http.Handler {
 	const row = `{"instanceId":%q,"hostPort":%q,"machineType":%q,"lifecycle":"in_service","zone":"z","weight":1}`
 	list := fmt.Sprintf(`{"generation":7,"reset":true,"instances":[`+row+","+row+","+row+`]}`,
@@ -202,18 +202,18 @@
 	return len(entries), err
 }
 
-// faultLog is what became of the requests beside a fault.
+// faultLog collects the outcomes of requests during a fault.
 type faultLog struct {
 	mu       sync.Mutex
-	ended    []string // whose connection ended without an answer
-	wrong    []string // what breaks a rule
-	rejected []string // the keys of writes that may be carried out once, and were told to have been rejected
+	ended    []string // requests whose connection closed without an answer
+	wrong    []string // broken rules
+	rejected []string // keys of writes that may be carried out once, and were answered as rejected
 	cut      int      // long values that ended early
-	pays     []string // the keys of writes that may be carried out once
+	pays     []string // keys of writes that may be carried out once
 }
 
-// load has clients ask for some time, or longer until a call has failed. Their patience is longer by a span in which
-// nobody is accepted.
+// load runs clients for the given time, or longer until a call has failed. Their timeout is extended by span, in which
+// no connection may be accepted.
 func (n *faultNode) load(length, span time.Duration, injection *syscallfault.Injection) *faultLog {
 	var all sync.WaitGroup
 	log, began := &faultLog{}, time.Now()
@@ -241,7 +241,7 @@
 	return log
 }
 
-// callOps tells whether the operators' port answers.
+// callOps reports whether the admin port answers.
 func (n *faultNode) callOps() bool {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := c.Get("http://" + n.ops + "/status")
@@ -253,7 +253,7 @@
 	return err == nil && a.StatusCode == http.StatusOK
 }
 
-// faultClient sends one request after the other, on one connection if it stays.
+// faultClient sends requests one after the other, on a single connection if stays is set.
 type faultClient struct {
 	node     *faultNode
 	log      *faultLog
@@ -269,7 +269,7 @@
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(thinkTime))
 	if next, err := c.reader.ReadByte(); err == nil {
-		c.log.fail("something follows a final answer: %q", next)
+		c.log.fail("bytes follow a final answer: %q", next)
 	}
 	_ = c.conn.Close()
 	c.conn = nil
@@ -281,7 +281,7 @@
 	l.wrong = append(l.wrong, fmt.Sprintf(format, about...))
 }
 
-// ask sends a request, by turns of each kind, and waits for its answer.
+// ask sends a request, whose kind depends on turn, and waits for its answer.
 func (c *faultClient) ask(turn int) {
 	if c.conn == nil {
 		conn, err := net.DialTimeout("tcp", c.node.listen, c.patience)
@@ -315,7 +315,7 @@
 	}
 }
 
-// check reads the rest of an answer, and whether it is the request's.
+// check reads the rest of an answer, and checks that it belongs to the request.
 func (c *faultClient) check(answer string, number int64) error {
 	f := strings.Fields(answer)
 	if len(f) == 0 || f[0] == "SERVER_ERROR" {
@@ -335,7 +335,7 @@
 	return err
 }
 
-// add notes an answer, or that none came.
+// add records an answer, or that none arrived.
 func (l *faultLog) add(kind, key, answer string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -346,7 +346,7 @@
 	switch {
 	case errors.As(err, &late) && late.Timeout():
 		l.wrong = append(l.wrong, key+" has no answer in time")
-	case err != nil && kind == "l" && strings.HasPrefix(answer, "VA"): // all that can be done once a value has begun
+	case err != nil && kind == "l" && strings.HasPrefix(answer, "VA"): // the node can only close the connection
 		l.cut++
 	case err != nil:
 		l.ended = append(l.ended, fmt.Sprintf("%s: %v", key, err))
@@ -355,7 +355,7 @@
 	}
 }
 
-// play plays a fault beside clients, and returns how many calls failed and what broke.
+// play injects a fault while clients send requests, and returns how many calls failed and what broke.
 func (n *faultNode) play(f *fault) (injected int, failures []string) {
 	length := faultLoad
 	if f.when == forSpan {
@@ -370,29 +370,29 @@
 		failures = append(failures, fmt.Sprintf("%d values were cut short", log.cut))
 	}
 	if len(log.ended) > 0 && !f.mayEndClients() {
-		failures = append(failures, fmt.Sprintf("connections ended without an answer: %q", log.ended))
+		failures = append(failures, fmt.Sprintf("connections closed without an answer: %q", log.ended))
 	}
 	asked = n.requests.Load() - asked
 	if f.errno != 0 && float64(injected) > maxFaultsPerSec*length.Seconds()+float64(callsPerRequest*asked) {
-		failures = append(failures, fmt.Sprintf("the call was made again %d times in %v", injected, length))
+		failures = append(failures, fmt.Sprintf("the failing call was repeated %d times in %v", injected, length))
 	}
 	failures = append(failures, n.recovers()...)
 	return injected, append(failures, n.checkEffects(log)...)
 }
 
-// recovers tells what is not as before the fault.
+// recovers returns what is not as it was before the fault.
 func (n *faultNode) recovers() (failures []string) {
 	expect := func(what string, happens func() bool) {
 		if !eventually(recoverWithin, happens) {
 			failures = append(failures, what)
 		}
 	}
-	expect("clients are not served any more", n.serves)
-	expect("operators get no answer any more", n.callOps)
+	expect("clients are no longer served", n.serves)
+	expect("the admin port no longer answers", n.callOps)
 	polls := n.polls.Load()
-	expect("discovery is not asked any more", func() bool { return n.polls.Load() > polls })
+	expect("discovery is no longer polled", func() bool { return n.polls.Load() > polls })
 	last := 0
-	expect("descriptors are lost", func() bool {
+	expect("descriptors are leaked", func() bool {
 		last, _ = n.openDescriptors()
 		return last <= n.descriptors
 	})
@@ -400,7 +400,7 @@
 		failures = append(failures, fmt.Sprintf("%d descriptors, %d before", last, n.descriptors))
 		n.descriptors = last
 	}
-	expect("it goes on making system calls with nothing to do", func() bool {
+	expect("it keeps making system calls while idle", func() bool {
 		before := n.tracer.Calls()
 		time.Sleep(idleWindow)
 		return n.tracer.Calls()-before <= maxIdleCalls
@@ -408,7 +408,7 @@
 	return failures
 }
 
-// serves tells whether a read is answered with its value.
+// serves reports whether a read is answered with its value.
 func (n *faultNode) serves() bool {
 	conn, err := net.DialTimeout("tcp", n.listen, time.Second)
 	if err != nil {
@@ -421,13 +421,14 @@
 	return strings.HasPrefix(answer, "VA")
 }
 
-// checkEffects tells which writes were told to have been rejected and were carried out, or were carried out twice.
+// checkEffects returns the writes that were carried out although the client was told that they were rejected, and those
+// that were carried out twice.
 func (n *faultNode) checkEffects(log *faultLog) (failures []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, key := range log.rejected {
 		if n.runs[key] > 0 {
-			failures = append(failures, key+" was told to have been rejected, and was carried out")
+			failures = append(failures, key+" was answered as rejected, and was carried out")
 		}
 	}
 	for _, key := range log.pays {
--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -16,23 +16,23 @@
 )
 
 var (
-	allFaults = flag.Bool("all-syscall-faults", false, "play each fault of a system call by each schedule, spans of 2 s")
-	faultLike = flag.String("syscall-fault", "", "play only the faults whose names have this in them")
+	allFaults = flag.Bool("all-syscall-faults", false, "run each system call fault with each schedule, in spans of 2 s")
+	faultLike = flag.String("syscall-fault", "", "run only the faults whose names contain this")
 )
 
 const (
-	faultNodes        = 4                      // that are traced at the same time
-	shortSpan         = 150 * time.Millisecond // in which each call fails
+	faultNodes        = 4                      // traced at the same time
+	shortSpan         = 150 * time.Millisecond // during which each call fails
 	longSpan          = 2 * time.Second
-	interruptGap      = time.Millisecond // between two interrupted calls of a span: signals do not come without end
-	maxFaultsPerSec   = 500              // that a call which fails is made again at most
-	callsPerRequest   = 3                // of one kind, on one site
+	interruptGap      = time.Millisecond // between two injected interrupts: real signals do not arrive continuously
+	maxFaultsPerSec   = 500              // most retries of a failing call per second
+	callsPerRequest   = 3                // of one kind, at one site
 	idleWindow        = 100 * time.Millisecond
-	shortFormFraction = 7    // of the points, one in so many is played under the race detector
-	maxIdleCalls      = 1000 // that a node makes in that time with nothing to do
+	shortFormFraction = 7    // one in 7 points runs under the race detector
+	maxIdleCalls      = 1000 // most system calls of an idle node within idleWindow
 )
 
-// site is what a descriptor is about.
+// site is the kind of socket that a descriptor belongs to.
 type site string
 
 const (
@@ -46,7 +46,7 @@
 	opsConn        site = "operator"
 )
 
-// isOf tells whether a socket of a node's is about the site.
+// isOf reports whether a socket of the node belongs to the site.
 func (n *faultNode) isOf(s site, socket syscallfault.Socket) bool {
 	switch s {
 	case clientListener:
@@ -60,7 +60,7 @@
 	}
 }
 
-// schedule is when a call fails.
+// schedule is the pattern by which calls fail.
 type schedule string
 
 const (
@@ -69,11 +69,11 @@
 	forSpan    schedule = "for a span"
 )
 
-// fault is one point: an error at a call, by a schedule.
+// fault is one test point: an error of a call at a site, by a schedule.
 type fault struct {
 	call  syscallfault.Call
 	site  site
-	errno unix.Errno // 0 is a buffer of one byte
+	errno unix.Errno // 0 stands for a buffer of one byte
 	when  schedule
 }
 
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s %s %s %s", f.call.Name, f.site, said, f.when)
 }
 
-// rule is the fault's for a node.
+// rule returns the injection rule of the fault for a node.
 func (f *fault) rule(n *faultNode) syscallfault.Rule {
 	rule := syscallfault.Rule{Call: f.call, Errno: f.errno}
 	if f.site != anySite {
@@ -99,7 +99,7 @@
 	case forSpan:
 		rule.Schedule.Length = span()
 	}
-	// Both are retried at once, and rightly: each stands for a signal, or for a connection that is gone.
+	// Retrying these at once is correct: EINTR stands for a signal, and ECONNABORTED for a connection that is gone.
 	if f.errno == unix.EINTR || f.errno == unix.ECONNABORTED {
 		rule.Schedule.Pause = interruptGap
 	}
@@ -113,7 +113,7 @@
 	return shortSpan
 }
 
-// mayEndClients tells whether the fault ends a client's connection, so that there is none to answer on.
+// mayEndClients reports whether the fault may close a client's connection, so that no answer can be sent.
 func (f *fault) mayEndClients() bool {
 	if f.site != client || f.errno == 0 || f.errno == unix.EINTR {
 		return false
@@ -121,8 +121,8 @@
 	return f.call.Name != syscallfault.Duplicate.Name && f.call.Name != syscallfault.SetOption.Name
 }
 
-// faultsOf are the errors that a call may end with, as Linux documents them. EAGAIN of a read or a write is left out:
-// it tells that the kernel will say when there is more, which it does not if the error is made up.
+// faultsOf lists the errors that each call may return, as Linux documents them. EAGAIN of a read or write is left out:
+// it promises that the kernel will report readiness later, which does not happen for an injected error.
 var faultsOf = []struct {
 	call   syscallfault.Call
 	sites  []site
@@ -160,8 +160,8 @@
 	servers     = []site{cacheConn, originConn, discoveryConn}
 )
 
-// faults enumerates the points. The form for each day plays each error at each call and site by one of the schedules,
-// by turns, and the short one, for the race detector, some of these.
+// faults returns the test points. The daily form runs each error at each call and site with one of the schedules, in
+// turn. The short form, for the race detector, runs some of these.
 func faults() (all []fault) {
 	schedules, number := []schedule{once, everyTenth, forSpan}, 0
 	for _, f := range faultsOf {
@@ -180,13 +180,13 @@
 	return slices.DeleteFunc(all, func(f fault) bool { return !contains(f.String(), *faultLike) })
 }
 
-// faultCount is what became of the points.
+// faultCount counts the outcomes of the test points.
 type faultCount struct {
 	mu                    sync.Mutex
 	played, unmet, broken int
 }
 
-// add counts a point, of which so many calls failed.
+// add records the outcome of a test point, at which injected calls failed.
 func (c *faultCount) add(t *testing.T, f *fault, injected int, failures []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,11 +201,13 @@
 	}
 }
 
-// maxUnmetFraction: one point in so many may meet no call, as a node makes some calls only now and then.
+// maxUnmetFraction is the divisor for the points that may meet no call, as a node makes some calls only rarely: one in
+// 10.
 const maxUnmetFraction = 10
 
-// Each error that Linux documents, at each of a node's calls: all requests have one answer, no request that was sent to
-// a server is told to have been rejected, nothing spins, no descriptor is lost, and the node serves as before.
+// TestSyscallFaults injects each error that Linux documents at each of a node's system calls. Each request must get one
+// answer, no request that was sent to a server may be answered as rejected, nothing may spin, no descriptor may leak,
+// and the node must serve as before.
 func TestSyscallFaults(t *testing.T) {
 	all := faults()
 	points := make(chan fault, len(all))
@@ -222,7 +224,7 @@
 				for f := range points {
 					injected, failures := n.play(&f)
 					count.add(t, &f, injected, failures)
-					if len(failures) > 0 { // what is broken for good would break the next points, too
+					if len(failures) > 0 { // a node that stays broken would fail the next points, too
 						n.end()
 						n = startFaultNode(t)
 					}
@@ -230,13 +232,13 @@
 			})
 		}
 	})
-	t.Logf("%d of %d points, of which %d met no call; %d broke something",
+	t.Logf("%d of %d points ran, of which %d met no call; %d failed",
 		count.played, len(all), count.unmet, count.broken)
 	if count.played == 0 && !t.Failed() {
-		t.Skip("cannot trace here") // the kernel has refused it to each node, or one would have failed
+		t.Skip("cannot trace here") // no node was permitted to trace; any other error would have failed the test
 	}
-	// Guards against an injector that fails nothing, by which every point would be kept.
+	// Guards against an injector that injects nothing, with which every point would pass.
 	if count.played < len(all) || count.unmet*maxUnmetFraction > len(all) {
-		t.Errorf("%d of %d points were played, and %d of these met no call", count.played, len(all), count.unmet)
+		t.Errorf("%d of %d points ran, and %d of these met no call", count.played, len(all), count.unmet)
 	}
 }
--- a/cmd/dahliapin/upgrade_test.go
+++ b/cmd/dahliapin/upgrade_test.go
@@ -17,15 +17,15 @@
 	"time"
 )
 
-// upgradeHarness is where processes of one node come and go under load: a cache, discovery, and clients that keep connections
-// or open new ones for each request.
+// upgradeHarness runs processes of one node that replace each other under load: with a cache, discovery, and clients
+// that keep connections or open a new one for each request.
 type upgradeHarness struct {
 	t            *testing.T
 	dir, listen  string
 	discovery    string
 	answered     atomic.Int64
 	lost         atomic.Int64
-	first        atomic.Value // what was lost first
+	first        atomic.Value // error of the first lost request
 	done         chan bool
 	clients      sync.WaitGroup
 	asked, pairs atomic.Int64
@@ -51,7 +51,7 @@
 						return
 					}
 					f := strings.Fields(line)
-					time.Sleep(5 * time.Millisecond) // so that some are in hand whenever a process goes
+					time.Sleep(5 * time.Millisecond) // so that some requests are in flight whenever a process exits
 					fmt.Fprintf(c, "VA 5 %s\r\nhello\r\n", f[3])
 				}
 			}()
@@ -70,7 +70,7 @@
 	return s
 }
 
-// harnessProcess is a process of the node.
+// harnessProcess is one process of the node.
 type harnessProcess struct {
 	*exec.Cmd
 	logged chan string
@@ -86,7 +86,7 @@
 	}
 	p := &harnessProcess{Cmd: exec.Command(os.Args[0], "serve", "--config", file), logged: make(chan string, 999)}
 	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+s.dir)
-	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a group, to be traced
+	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a process group, for tracing
 	out, err := p.StderrPipe()
 	if err == nil {
 		err = p.Start()
@@ -113,16 +113,16 @@
 				return
 			}
 			if !more {
-				s.t.Fatalf("ended before: %s", want)
+				s.t.Fatalf("the process exited before logging: %s", want)
 			}
 		case <-by:
-			s.t.Fatalf("never: %s", want)
+			s.t.Fatalf("no log line contains: %s", want)
 		}
 	}
 }
 
-// startClients has clients startClients without end. One that finds its kept connection reset sends once more on a new one, as the
-// protocol has it.
+// startClients starts clients that send requests until done is closed. A client whose kept connection was reset sends
+// the request once more on a new one, as the protocol permits.
 func (s *upgradeHarness) startClients(clients int) {
 	for n := range clients {
 		s.clients.Add(1)
@@ -150,7 +150,7 @@
 					s.lost.Add(1)
 					s.first.CompareAndSwap(nil, err.Error())
 					c = nil
-				} else if s.answered.Add(1); n%2 == 0 { // these open a connection for each
+				} else if s.answered.Add(1); n%2 == 0 { // these open a connection for each request
 					c.Close()
 					c = nil
 				}
@@ -177,35 +177,37 @@
 	return nil
 }
 
-// The second process ended with 1, as the address was in use; and by SO_REUSEPORT what waits in the old one's queue is
-// reset. Whoever is killed and when, the other goes on; only what a killed process had in hand goes with it.
+// TestProcessesReplaceEachOtherUnderLoad guards against two failures of a replacement: the second process exited with 1
+// because the address was in use, and with SO_REUSEPORT the connections waiting in the old process's queue were reset.
+// Whichever process is killed, and at whatever point, the other one must go on; only requests that a killed process had
+// in flight may be lost.
 func TestProcessesReplaceEachOtherUnderLoad(t *testing.T) {
 	s := newUpgradeHarness(t)
 	now := s.start()
 	s.waitForLine(now, "msg=serving")
 	s.startClients(8)
-	for step, how := range []string{"", "newcomer killed", "", "ended before its yes", "newcomer ended", "", "old killed", ""} {
+	for step, how := range []string{"", "successor killed", "", "predecessor ended before successor served", "successor ended", "", "predecessor killed", ""} {
 		before := s.answered.Load()
 		next := s.start()
 		switch how {
-		case "newcomer killed": // with the sockets in its hands
+		case "successor killed": // after it has received the sockets
 			s.waitForLine(next, "taking another process's place")
 			next.Process.Kill()
 			s.waitForLine(now, "successor process has exited")
 			next = now
-		case "newcomer ended": // going back
+		case "successor ended": // back to the old process
 			s.waitForLine(next, "msg=serving")
 			s.waitForLine(now, "successor process is serving")
 			next.Process.Signal(syscall.SIGTERM)
 			s.waitForLine(next, "counters, stopped")
 			s.waitForLine(now, "successor process has exited")
 			next = now
-		case "ended before its yes":
+		case "predecessor ended before successor served":
 			s.waitForLine(next, "taking another process's place")
 			now.Process.Signal(syscall.SIGTERM)
 			s.waitForLine(now, "counters, stopped")
 			s.waitForLine(next, "predecessor process has exited")
-		case "old killed":
+		case "predecessor killed":
 			s.waitForLine(next, "msg=serving")
 			now.Process.Kill()
 			s.waitForLine(next, "predecessor process has exited")
@@ -216,17 +218,17 @@
 			s.waitForLine(next, "predecessor process has exited")
 		}
 		now = next
-		if how == "old killed" {
-			time.Sleep(20 * time.Millisecond) // for those whose answers it had in hand to find out
+		if how == "predecessor killed" {
+			time.Sleep(20 * time.Millisecond) // for clients to notice that their answers are lost
 			s.lost.Store(0)
 		}
 		for by := time.Now().Add(20 * time.Second); s.answered.Load() < before+50; time.Sleep(time.Millisecond) {
 			if time.Now().After(by) {
-				t.Fatalf("step %d, %q: nobody is answered any more", step, how)
+				t.Fatalf("step %d, %q: no client is answered any more", step, how)
 			}
 		}
 		if n := s.lost.Load(); n > 0 {
-			t.Fatalf("step %d, %q: %d lost, the first: %v", step, how, n, s.first.Load())
+			t.Fatalf("step %d, %q: %d requests lost, the first: %v", step, how, n, s.first.Load())
 		}
 	}
 	close(s.done)
--- a/cmd/dahliapin/waiting_clients_test.go
+++ b/cmd/dahliapin/waiting_clients_test.go
@@ -17,7 +17,8 @@
 	"time"
 )
 
-// startCache is a cache that answers each request's line, until that fails.
+// startCache starts a cache that answers each line with a function, and closes the connection when that fails. It
+// returns the address.
 func startCache(tb testing.TB, answer func(to net.Conn, line string) error) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +48,7 @@
 	return l.Addr().String()
 }
 
-// startSlowKeyCache answers reads; keys that begin with "slow" after a second.
+// startSlowKeyCache starts a cache that answers reads, those of keys that begin with "slow" after a second.
 func startSlowKeyCache(t *testing.T, asked *atomic.Int64) string {
 	return startCache(t, func(to net.Conn, line string) error {
 		f := strings.Fields(line)
@@ -63,8 +64,8 @@
 	})
 }
 
-// startIdleClients has clients connect without end, and keep what they have: half of them ask once, the others say nothing at all.
-// One that is closed comes again.
+// startIdleClients starts clients that keep their connections open until done: half of them send one request, the
+// others none. A client whose connection is closed reconnects.
 func startIdleClients(listen string, clients int, over chan bool) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for n := range clients {
@@ -101,9 +102,10 @@
 	return &all
 }
 
-// While idle clients hold all descriptors that they may have and discovery is down, the node must find discovery again,
-// reach a cache that is new, answer its operators, and lose nothing. It stands last in its package, as its clients take
-// what cores there are: by then other packages have done most of their work.
+// TestIdleClientsHoldAllDescriptorsWhileDiscoveryIsDown checks that, while idle clients hold all descriptors that they
+// may have and discovery is down, the node reconnects to discovery, reaches a new cache, answers operators, and loses
+// no request. The test is the last of its package because its clients use all cores: by then, other packages are mostly
+// done.
 func TestIdleClientsHoldAllDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets, idlers, restAfterShut, answeredIn, downFor, countsAsTold = 256, 400, 10 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second
 	for _, how := range []string{"resets", "silent"} {
@@ -114,7 +116,7 @@
 			const row = `{"instanceId":%q,"hostPort":%q,"lifecycle":%q}`
 			var down, news atomic.Bool
 			told, over := make(chan time.Time, 99), make(chan bool)
-			fails := make(chan bool) // closed when it fails
+			fails := make(chan bool) // closed when discovery goes down
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				meets := func() {
 					if how == "silent" {
@@ -147,11 +149,11 @@
 			listen, ops := node.waitForListen(t), node.ops
 			for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(by) {
-					t.Fatalf("not ready; it said:\n%s", node.logTail())
+					t.Fatalf("the node is not ready; its log:\n%s", node.logTail())
 				}
 			}
 
-			// these have something in hand all the time
+			// these clients always have a request in flight
 			var busy sync.WaitGroup
 			var satisfied, rejected, again, shut, bad atomic.Int64
 			var first atomic.Value
@@ -169,10 +171,10 @@
 						default:
 						}
 						id, said, err := fmt.Sprintf("Oq%dx%d", n, i), "", io.EOF
-						// one that finds its connection closed sends once more on a new one, as the protocol has it; a
-						// new one may be shut unread while idle clients fill the descriptors, and is tried again. In
-						// all it has to be answered in time
-						by := time.Now().Add(answeredIn) // 3 s, and what the machine is busy for
+						// a client whose connection was closed sends once more on a new one, as the protocol permits; a
+						// new one may be closed unread while idle clients fill the descriptors, and is retried. In
+						// total, the request has to be answered in time
+						by := time.Now().Add(answeredIn) // 3 s, and a reserve for a busy machine
 						for err != nil && time.Now().Before(by) {
 							fresh := c == nil
 							if fresh {
@@ -189,7 +191,7 @@
 								c.Close()
 								c = nil
 								again.Add(1)
-								if fresh { // a shut one says that there is no room now: who comes again in the same instant finds what he found
+								if fresh { // there is no room now, and an immediate retry would meet the same
 									shut.Add(1)
 									time.Sleep(restAfterShut)
 								}
@@ -216,7 +218,7 @@
 			close(fails)
 			idle := startIdleClients(listen, idlers, over)
 
-			// the operators ask throughout, and the process's descriptors are counted
+			// operators query the node throughout, and the process's descriptors are counted
 			slowest, most := time.Duration(0), 0
 			look := func(until time.Time) {
 				for time.Now().Before(until) {
@@ -253,16 +255,16 @@
 			}
 			look(time.Now().Add(2 * time.Second))
 			if newAsked.Load() == 0 {
-				t.Error("the new cache is not reached")
+				t.Error("the new cache gets no request")
 			}
 			if satisfied.Load() == before {
-				t.Error("nobody is satisfied once discovery is back")
+				t.Error("no request is satisfied after discovery is back")
 			}
-			// the idle ones stay and come again, and yet others get in by what is swept
+			// idle clients stay and reconnect, but swept connections make room for new clients
 			began := time.Now()
 			for !isReady(listen) {
 				if time.Since(began) > 10*time.Second {
-					t.Fatal("nobody new gets in")
+					t.Fatal("no new client is accepted")
 				}
 			}
 			t.Logf("a new client got in in %v; %d satisfied, %d rejected, %d sent once more, %d new connections shut; operators waited %v at most; %d descriptors at most", time.Since(began),
@@ -274,7 +276,7 @@
 				t.Errorf("%d lost or failed, the first: %v", bad.Load(), first.Load())
 			}
 			if most > sockets || most < sockets/2 {
-				t.Errorf("%d descriptors of %d: the test presses nothing, or the limit is broken", most, sockets)
+				t.Errorf("%d descriptors of %d: the test exerts no pressure, or the limit is exceeded", most, sockets)
 			}
 		})
 	}
