--- a/cmd/dahliapin/many_caches_test.go
+++ b/cmd/dahliapin/many_caches_test.go
@@ -18,7 +18,7 @@
 const (
 	releaseSteps   = 4                       // in a release
 	releaseEvery   = 1200 * time.Millisecond // between two steps
-	drainsAfter    = 100 * time.Millisecond  // a version changes the caches, the next version drains others
+	drainsAfter    = 100 * time.Millisecond  // from a version that changes the caches to the one that drains others
 	releaseShare   = 0.2                     // fraction of the caches that a step replaces
 	nodeShare      = 0.2                     // of a core that the node is limited to
 	requestsPerSec = 120
--- a/cmd/dahliapin/syscall_fault_node_test.go
+++ b/cmd/dahliapin/syscall_fault_node_test.go
@@ -346,8 +346,8 @@
 	switch {
 	case errors.As(err, &late) && late.Timeout():
 		l.wrong = append(l.wrong, key+" has no answer in time")
-	case err != nil && kind == "l" && strings.HasPrefix(answer, "VA"): // the node can only close the connection
-		l.cut++
+	case err != nil && kind == "l" && strings.HasPrefix(answer, "VA"):
+		l.cut++ // once a value has begun, the node can only close the connection
 	case err != nil:
 		l.ended = append(l.ended, fmt.Sprintf("%s: %v", key, err))
 	case kind == "pay" && strings.HasPrefix(answer, "SERVER_ERROR busy"):
--- a/cmd/dahliapin/waiting_clients_test.go
+++ b/cmd/dahliapin/waiting_clients_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// startIdleClients starts clients that keep their connections open until done: half of them send one request, the
-// others none. A client whose connection is closed reconnects.
+// startIdleClients starts clients that keep their connections open until over is closed: half of them send one request,
+// the others none. A client whose connection is closed reconnects.
 func startIdleClients(listen string, clients int, over chan bool) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for n := range clients {
