--- a/cmd/dahliapin/held_up_test.go
+++ b/cmd/dahliapin/held_up_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// stop stops a process, and waits until all of it stands.
-func stop(t *testing.T, pid int) {
+// suspendProcess sends SIGSTOP to a process, and waits until all of its threads have stopped.
+func suspendProcess(t *testing.T, pid int) {
 	t.Helper()
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -27,30 +27,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stands := 0
+		stopped := 0
 		for _, thread := range threads {
 			stat, _ := os.ReadFile(tasks + "/" + thread.Name() + "/stat")
 			if _, state, ok := strings.Cut(string(stat), ") "); ok && strings.HasPrefix(state, "T") {
-				stands++
+				stopped++
 			}
 		}
-		if stands == len(threads) {
+		if stopped == len(threads) {
 			return
 		}
 		if time.Now().After(by) {
-			t.Fatalf("only %d of %d threads stand", stands, len(threads))
+			t.Fatalf("only %d of %d threads have stopped", stopped, len(threads))
 		}
 	}
 }
 
-// A process that did not run for longer than the grace period finds requests and an update of the list together, and
-// may be given them in any order. It sent requests to a cache that was draining.
-func TestAProcessThatWasStoppedDecidesByTheNewestList(t *testing.T) {
+// TestSuspendedProcessRoutesByNewestList suspends a node for longer than the drain grace period. When it resumes,
+// requests and an update of the endpoint list are pending together and may be delivered in any order; it must not send
+// requests to a cache that the list says is draining.
+func TestSuspendedProcessRoutesByNewestList(t *testing.T) {
 	const stoppedFor, stays, connections, keys = 700 * time.Millisecond, 50 * time.Millisecond, 40, 40
 	var late atomic.Int64
 	var drains atomic.Bool
 	cache := func(leaves bool) string {
-		return cacheOf(t, func(to net.Conn, line string) error {
+		return startCache(t, func(to net.Conn, line string) error {
 			f := strings.Fields(line)
 			if len(f) < 4 {
 				return io.EOF
@@ -82,13 +83,13 @@
 		}
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	node := serving(t, t.TempDir(), s.Listener.Addr().String(), `"seed":"1","settings":{
+	node := startNode(t, t.TempDir(), s.Listener.Addr().String(), `"seed":"1","settings":{
 "service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":1,"hard_stop_s":3}],
 "zone":"z","n_instances":1,"bounds":{"most_legs":3,"conn_idle_s":15},"family_info":{"mode":"through"}}`)
-	listen := node.at(t)
-	for by := time.Now().Add(20 * time.Second); !ready(listen); time.Sleep(10 * time.Millisecond) {
+	listen := node.waitForListen(t)
+	for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("not ready; it said:\n%s", node.said())
+			t.Fatalf("the node is not ready; its log:\n%s", node.logTail())
 		}
 	}
 	var clients []net.Conn
@@ -121,16 +122,16 @@
 	}
 	ask(0) // so that connections to both caches are open
 	answered()
-	stop(t, node.Process.Pid)
+	suspendProcess(t, node.Process.Pid)
 	ask(1)
 	time.Sleep(stays)
 	close(news)
 	time.Sleep(stoppedFor - stays)
-	drains.Store(true) // it was told over the grace ago
+	drains.Store(true) // the node was told longer ago than the grace period
 	node.Process.Signal(syscall.SIGCONT)
 	answered()
 	if n := late.Load(); n > 0 {
-		t.Errorf("%d of %d requests went to the cache that drains, %v after the node was told",
+		t.Errorf("%d of %d requests went to the draining cache, %v after the node was told",
 			n, connections, stoppedFor-stays)
 	}
 }
--- a/cmd/dahliapin/many_caches_test.go
+++ b/cmd/dahliapin/many_caches_test.go
@@ -16,52 +16,52 @@
 )
 
 const (
-	releaseSteps   = 4                       // versions of the list in a release
-	releaseEvery   = 1200 * time.Millisecond // between two of them
-	drainsAfter    = 100 * time.Millisecond  // a version that changes the set, the next one tells of further caches that drain
-	releaseShare   = 0.2                     // part of the caches that a step replaces
-	nodeShare      = 0.2                     // of a core that the node has
+	releaseSteps   = 4                       // in a release
+	releaseEvery   = 1200 * time.Millisecond // between two steps
+	drainsAfter    = 100 * time.Millisecond  // from a version that changes the caches to the one that drains others
+	releaseShare   = 0.2                     // fraction of the caches that a step replaces
+	nodeShare      = 0.2                     // of a core that the node is limited to
 	requestsPerSec = 120
 	listChunk      = 1000 // bytes
 	popularKeys    = 20
-	answerGrace    = 500 * time.Millisecond // after that, by which a final answer has to be there all the same
-	drainGrace     = 450 * time.Millisecond // after the list has told of a draining cache, in which requests may still go there
-	originTakes    = 400 * time.Millisecond // so that reads that missed have to wait for room there
-	clientsHeldUp  = 100 * time.Millisecond // between two requests: the machine was too busy to judge the node
-	releasePlays   = 3                      // how often a release is played that could not be judged
+	answerGrace    = 500 * time.Millisecond // after a request's deadline, within which a final answer must arrive
+	drainGrace     = 450 * time.Millisecond // after a cache is marked as draining, in which it may still get requests
+	originTakes    = 400 * time.Millisecond // long enough that cache misses queue for the origin
+	clientsHeldUp  = 100 * time.Millisecond // between two requests: above this, the machine was too busy to judge the node
+	releasePlays   = 3                      // maximum number of runs until a release can be judged
 )
 
-// waits are what clients wait for an answer, by turns.
+// waits are the deadlines of client requests, used in turn.
 var waits = [...]time.Duration{464 * time.Millisecond, 1200 * time.Millisecond}
 
-// release is discovery, and caches that are replaced in steps. All caches of one step share a listener, so that it is
-// known of each request to which step's caches it went.
-type release struct {
+// releaseEmulator emulates discovery, and caches that are replaced in steps. All caches of a step share a listener,
+// which identifies the step that a request went to.
+type releaseEmulator struct {
 	caches int
 	origin string
 	groups []string // where the caches of each step listen; the last group stays
 
 	mu       sync.Mutex
 	versions []listVersion
-	told     [releaseSteps]time.Time // when the node was told that a step's caches drain
-	moved    chan bool               // closed at the next version
+	told     [releaseSteps]time.Time // when the node was told that the caches of a step are draining
+	moved    chan bool               // closed when a version is published
 
-	late [releaseSteps + 1]atomic.Int64 // requests that a step's caches got after the grace
+	late [releaseSteps + 1]atomic.Int64 // requests that the caches of a step received after drainGrace
 }
 
-// listVersion is one version of the list: whole at first, then what has changed.
+// listVersion is one version of the endpoint list: complete for the first version, then only the changed entries.
 type listVersion struct {
 	rows   []string
-	drains int // the number, from 1, of the step whose caches drain by it; 0 for none
+	drains int // the step, counted from 1, whose caches it marks as draining; 0 for none
 }
 
 const cacheRow = `{"instanceId":"s-%08x","hostPort":%q,"machineType":"box","lifecycle":%q,"zone":"z","weight":1.0,"startedAtMs":0}`
 
-// newRelease makes the caches of all steps, the origin, and the first list.
-func newRelease(t testing.TB, caches int) *release {
-	r := &release{caches: caches, moved: make(chan bool)}
+// newRelease starts the caches of all steps and the origin, and prepares the first list.
+func newRelease(t testing.TB, caches int) *releaseEmulator {
+	r := &releaseEmulator{caches: caches, moved: make(chan bool)}
 	for group := range releaseSteps + 1 {
-		r.groups = append(r.groups, cacheOf(t, func(to net.Conn, line string) error { return r.answer(group, to, line) }))
+		r.groups = append(r.groups, startCache(t, func(to net.Conn, line string) error { return r.answer(group, to, line) }))
 	}
 	origin := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(originTakes)
@@ -77,15 +77,17 @@
 	return r
 }
 
-// row is the entry of a cache. Those of each step are next to each other, and the later ones are new.
-func (r *release) row(cache int, state string) string {
+// row returns the list entry of a cache. The caches of a step are consecutive, and those after the initial ones are
+// new.
+func (r *releaseEmulator) row(cache int, state string) string {
 	return fmt.Sprintf(cacheRow, uint32(cache)*2654435761, r.groups[min(releaseSteps, cache/r.perStep())], state)
 }
 
-func (r *release) perStep() int { return int(releaseShare * float64(r.caches)) }
+func (r *releaseEmulator) perStep() int { return int(releaseShare * float64(r.caches)) }
 
-// answer is a cache's: keys that begin with m are not there. It counts what its group gets after the grace.
-func (r *release) answer(group int, to net.Conn, line string) error {
+// answer answers a request as a cache of a group: keys that begin with m are missing. It counts the requests that the
+// group receives after the drain grace period.
+func (r *releaseEmulator) answer(group int, to net.Conn, line string) error {
 	f := strings.Fields(line)
 	if len(f) < 4 {
 		return io.EOF
@@ -104,8 +106,8 @@
 	return err
 }
 
-// step removes the caches that the step before has drained, adds as many new ones, and soon after has its own drain.
-func (r *release) step(n int) {
+// step removes the caches that the previous step drained, adds as many new ones, and shortly afterwards drains its own.
+func (r *releaseEmulator) step(n int) {
 	var changed, drained []string
 	for i := range r.perStep() {
 		drained = append(drained, r.row(n*r.perStep()+i, "terminating"))
@@ -118,8 +120,8 @@
 	r.publish(listVersion{rows: drained, drains: n + 1})
 }
 
-// publish makes a new version of the list.
-func (r *release) publish(v listVersion) {
+// publish adds a version of the list and wakes waiting polls.
+func (r *releaseEmulator) publish(v listVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.versions = append(r.versions, v)
@@ -127,7 +129,7 @@
 	r.moved = make(chan bool)
 }
 
-// writeList writes a list whole, or in chunks that come one by one.
+// writeList writes a list in one piece, or in chunks that are flushed separately.
 func writeList(w http.ResponseWriter, body string, chunks bool) {
 	if !chunks {
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
@@ -142,8 +144,8 @@
 	}
 }
 
-// ServeHTTP is discovery, which tells changes one version at a time.
-func (r *release) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+// ServeHTTP serves discovery polls, one list version per answer.
+func (r *releaseEmulator) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	since, whole := 0, true
 	if at := q.URL.Query().Get("since"); at != "" {
 		fmt.Sscan(at, &since)
@@ -175,11 +177,11 @@
 	}
 }
 
-// clientLog is what became of the requests of a test's clients.
+// clientLog counts the outcomes of client requests.
 type clientLog struct {
 	mu                    sync.Mutex
 	served, refused, lost int
-	latest                time.Duration // after its deadline that an answer came
+	latest                time.Duration // longest time after its deadline that an answer arrived
 	lostKeys              []string
 }
 
@@ -198,7 +200,8 @@
 	}
 }
 
-// ask sends one request on a connection of its own, and waits for its answer as long as one is owed.
+// ask sends one request on a connection of its own, and waits for the answer until the deadline and answerGrace have
+// passed.
 func (a *clientLog) ask(listen, key, id string, wait time.Duration) {
 	c, err := net.DialTimeout("tcp", listen, 3*time.Second)
 	if err != nil {
@@ -213,8 +216,8 @@
 	a.ended(key, line, err, time.Since(began)-wait)
 }
 
-// keyOf is the key of the i-th request: some are asked for so often that connections to their caches stay open, and
-// some are nowhere.
+// keyOf returns the key of request i: some keys are so popular that connections to their caches stay open, and some are
+// in no cache.
 func keyOf(i int) string {
 	switch i % 8 {
 	case 0, 1, 2, 3:
@@ -225,35 +228,35 @@
 	return fmt.Sprint("m", i)
 }
 
-// releaseTerms are a node's settings before a release's caches.
-const releaseTerms = `"seed":"1","limits":{"memory_mb":192,"sockets":1024},"settings":{
+// releaseSettings is the configuration of the node in release tests.
+const releaseSettings = `"seed":"1","limits":{"memory_mb":192,"sockets":1024},"settings":{
 "service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,"soft_limit_s":0.4,"hard_stop_s":1.2}],"zone":"z","n_instances":16,
 "kinds":["box","origin"],"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15,"connect_timeout_s":0.25,"cancel":true},
 "family_info":{"mode":"aside","origin_kind":1},"rules":{"cold_from":0.3,"cold_s":5,"overload_factor":3,"overload_for_s":1}}`
 
-// released is what a release among so many caches led to.
-type released struct {
+// releaseResult is the outcome of a release among a number of caches.
+type releaseResult struct {
 	clientLog
-	*release
-	node      *served
-	heldUp    time.Duration // at most, between two requests: of the clients themselves
-	processor time.Duration // taken by the node, from its start to the end of the release
-	memory    float64       // bytes that it had resident at most
+	*releaseEmulator
+	node      *nodeProcess
+	heldUp    time.Duration // longest gap between two requests: a delay of the test's own clients
+	processor time.Duration // CPU time of the node from its start to the end of the release
+	memory    float64       // peak resident memory of the node, in bytes
 }
 
-// playRelease plays one against a node that has a share of a core.
-func playRelease(tb testing.TB, caches int, share float64) *released {
-	r := &released{release: newRelease(tb, caches)}
-	s := httptest.NewServer(r.release)
+// runRelease runs a release against a node that is limited to a share of a core.
+func runRelease(tb testing.TB, caches int, share float64) *releaseResult {
+	r := &releaseResult{releaseEmulator: newRelease(tb, caches)}
+	s := httptest.NewServer(r.releaseEmulator)
 	tb.Cleanup(s.CloseClientConnections)
-	r.node = serving(tb, tb.TempDir(), s.Listener.Addr().String(), releaseTerms)
-	listen := r.node.at(tb)
-	for by := time.Now().Add(20 * time.Second); !ready(listen); time.Sleep(10 * time.Millisecond) {
+	r.node = startNode(tb, tb.TempDir(), s.Listener.Addr().String(), releaseSettings)
+	listen := r.node.waitForListen(tb)
+	for by := time.Now().Add(20 * time.Second); !isReady(listen); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(by) {
-			tb.Fatalf("not ready; it said:\n%s", r.node.said())
+			tb.Fatalf("the node is not ready; its log:\n%s", r.node.logTail())
 		}
 	}
-	let := holdToShare(tb, r.node.Process.Pid, share)
+	let := limitCPUShare(tb, r.node.Process.Pid, share)
 	defer let()
 	var all sync.WaitGroup
 	began := time.Now()
@@ -274,17 +277,17 @@
 		time.Sleep(time.Second / requestsPerSec)
 	}
 	all.Wait()
-	r.processor, _ = spent(tb, r.node.Process.Pid)
-	r.memory = mostResident(tb, r.node.Process.Pid)
+	r.processor, _ = processUsage(tb, r.node.Process.Pid)
+	r.memory = peakResident(tb, r.node.Process.Pid)
 	return r
 }
 
-// playJudgedRelease plays a release anew where the clients themselves were held up: beside five compilers they sent a
-// third of their requests, and a node that stood still with them was blamed for it.
-func playJudgedRelease(t *testing.T, caches int) *released {
+// runJudgedRelease repeats a release while the test's own clients were delayed. Beside five compilers, clients sent
+// only a third of their requests, and the node, which stalled with them, was blamed.
+func runJudgedRelease(t *testing.T, caches int) *releaseResult {
 	t.Helper()
 	for play := range releasePlays {
-		r := playRelease(t, caches, nodeShare)
+		r := runRelease(t, caches, nodeShare)
 		if r.heldUp < clientsHeldUp {
 			return r
 		}
@@ -295,16 +298,17 @@
 	return nil
 }
 
-// Report 60a37a: while a release replaced servers among thousands, requests got no answer, and some went to servers
-// that drained. The placement was computed anew within the loop, for longer than a request waits.
-func TestAReleaseAmongThousandsOfCaches(t *testing.T) {
+// TestReleaseAmongThousandsOfCaches guards against report 60a37a: while a release replaced servers among thousands,
+// requests got no answer, and some went to draining servers. The event loop recomputed the placement itself, which took
+// longer than a request waits.
+func TestReleaseAmongThousandsOfCaches(t *testing.T) {
 	caches := 3200
 	if testing.Short() { // under the race detector, which is some ten times slower
 		caches = 800
 	}
-	a := playJudgedRelease(t, caches)
+	a := runJudgedRelease(t, caches)
 	a.node.Process.Signal(syscall.SIGUSR1)
-	for by := time.Now().Add(5 * time.Second); !strings.Contains(a.node.said(), "longest_iteration_ms") && time.Now().Before(by); {
+	for by := time.Now().Add(5 * time.Second); !strings.Contains(a.node.logTail(), "longest_iteration_ms") && time.Now().Before(by); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Logf("%d caches: %d served, %d refused, %d lost; the latest answer %v after its deadline", caches, a.served, a.refused, a.lost, a.latest.Round(time.Millisecond))
@@ -320,16 +324,17 @@
 		t.Error("nothing was served")
 	}
 	if t.Failed() {
-		t.Logf("the node said:\n%s", a.node.said())
+		t.Logf("log of the node:\n%s", a.node.logTail())
 	}
 }
 
-// BenchmarkRelease is what a release costs a node, by the caches that there are: docs/CAPACITY.md has its slopes.
+// BenchmarkRelease measures the cost of a release to a node by the number of caches, for the slopes in
+// docs/CAPACITY.md.
 func BenchmarkRelease(b *testing.B) {
 	for _, caches := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			for b.Loop() {
-				r := playRelease(b, caches, nodeShare)
+				r := runRelease(b, caches, nodeShare)
 				b.ReportMetric(r.processor.Seconds()*1000, "cpu-ms")
 				b.ReportMetric(r.memory/1e6, "peak-MB")
 				b.ReportMetric(float64(r.served)/float64(r.served+r.refused+r.lost), "share-served")
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -18,7 +18,7 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const short = `seconds = 5
+const shortScenario = `seconds = 5
 [fleet]
 nodes = 2
 caches = 4
@@ -42,13 +42,13 @@
 caches = ["c2"]
 `
 
-// program runs this program with a temporary folder of its own, and returns its output, its exit code and what it left
-// there. after is called once it has started; nil for nothing.
-func program(t *testing.T, after func(*os.Process), args ...string) (out string, code int, left []string) {
+// runProgramInTempDir runs the program with a temporary folder of its own, and returns its output, its exit code and
+// the names of the files it left there. after is called once the program has started, unless it is nil.
+func runProgramInTempDir(t *testing.T, after func(*os.Process), args ...string) (out string, code int, left []string) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
 	tmp := t.TempDir()
-	c.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+tmp)
+	c.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+tmp)
 	var said bytes.Buffer
 	c.Stdout, c.Stderr = &said, &said
 	if err := c.Start(); err != nil {
@@ -57,7 +57,7 @@
 	if after != nil {
 		after(c.Process)
 	}
-	_ = c.Wait() // its exit code is looked at
+	_ = c.Wait() // the exit code is checked by the caller
 	entries, err := os.ReadDir(tmp)
 	if err != nil {
 		t.Fatal(err)
@@ -76,23 +76,23 @@
 	return path
 }
 
-// noRuleBroken is in the output of a rehearsal in which no rule was broken.
+// noRuleBroken is in the output of a rehearsal that broke no rule.
 const noRuleBroken = "no rule is broken ([0 0 0 0])"
 
-// machineTooBusy is in the output of a rehearsal that the machine was too busy to judge.
+// machineTooBusy is in the output of a rehearsal that could not be judged because the machine was too busy.
 const machineTooBusy = "not judged: the machine was too busy"
 
-// Node processes of this program run, and one of them is killed. The report says what happened, the processes' records
-// are in it, the exit code tells that all was as expected, and nothing is left behind. How soon the silent cache is
-// avoided is bounded in virtual time alone: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
-func TestRehearsalWithProcessesReportsAndLeavesNothing(t *testing.T) {
+// TestRehearsalReportsAndLeavesNoFiles runs node processes and kills one. The report must describe what happened and
+// include the records of the processes, the exit code must be 0, and no file may be left. How soon the silent cache is
+// avoided is bounded tightly only in virtual time: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
+func TestRehearsalReportsAndLeavesNoFiles(t *testing.T) {
 	dir := t.TempDir()
-	script := scriptFile(t, short+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
-	out, code, left := program(t, nil, "rehearse", script, "--out", dir)
+	script := scriptFile(t, shortScenario+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
 	for play := 1; play < maxPlays && strings.Contains(out, machineTooBusy); play++ {
 		t.Log(out)
 		_ = os.Remove(dir + "/records.jsonl")
-		out, code, left = program(t, nil, "rehearse", script, "--out", dir)
+		out, code, left = runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
 	}
 	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
@@ -108,21 +108,22 @@
 	}
 }
 
-func TestInterruptedRehearsalLeavesNothing(t *testing.T) {
+func TestInterruptedRehearsalLeavesNoFiles(t *testing.T) {
 	interrupt := func(p *os.Process) {
 		time.Sleep(time.Second)
 		p.Signal(syscall.SIGINT)
 	}
-	out, code, left := program(t, interrupt, "rehearse", scriptFile(t, short))
+	out, code, left := runProgramInTempDir(t, interrupt, "rehearse", scriptFile(t, shortScenario))
 	if code != 1 || len(left) > 0 || strings.Contains(out, "asked") {
-		t.Errorf("broken off: exit %d, left %v: %s", code, left, out)
+		t.Errorf("interrupted: exit %d, left %v: %s", code, left, out)
 	}
 }
 
-// Operators replace one node's process under load, and set the other to standby. A request that is lost, a process that
-// does not answer yes or does not end, and a connection held four seconds after the call each fail the rehearsal.
-func TestRehearsalRunsWhatOperatorsDo(t *testing.T) {
-	calls := strings.Replace(short[:strings.Index(short, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
+// TestRehearsalRunsOperatorActions replaces the process of one node under load and sets the other node to standby. A
+// lost request, a process that does not report success or does not exit, and a connection still open four seconds after
+// the call each fail the rehearsal.
+func TestRehearsalRunsOperatorActions(t *testing.T) {
+	calls := strings.Replace(shortScenario[:strings.Index(shortScenario, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
 at_s = 0.5
 do = "node_upgrade"
 nodes = [1]
@@ -139,14 +140,15 @@
 [expect]
 satisfied={read=0.5}
 `
-	out, code, left := program(t, nil, "rehearse", scriptFile(t, calls))
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", scriptFile(t, calls))
 	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
 }
 
-// A call that cannot be taken is told in one line, and nothing is run.
-func TestBadCallsAreToldInOneLine(t *testing.T) {
+// TestInvalidCommandLinesFailWithOneLine checks that an invalid call prints one line, exits with the right code, and
+// runs nothing.
+func TestInvalidCommandLinesFailWithOneLine(t *testing.T) {
 	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
 		`"settings":{"service_grades":[{"name":"read"}]}}`)
 	const failed, badCall = 1, 2
@@ -164,7 +166,7 @@
 		{failed, []string{"rehearse", scriptFile(t, "secs = 1")}},
 		{failed, []string{"rehearse", "moves", "--decider", "ring"}},
 		{failed, []string{"rehearse", "moves", "--virtual", "--decider", "best"}},
-		{failed, []string{"rehearse", scriptFile(t, short+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}},
+		{failed, []string{"rehearse", scriptFile(t, shortScenario+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}},
 		{failed, []string{"ops"}},
 		{failed, []string{"ops", "standbye"}},
 		{failed, []string{"ops", "status", "--at", "here"}},
@@ -186,7 +188,7 @@
 		{badCall, []string{"nemesis", "--seeds"}},
 		{badCall, []string{"nemesis", "now"}},
 	} {
-		out, code, _ := program(t, nil, test.args...)
+		out, code, _ := runProgramInTempDir(t, nil, test.args...)
 		isOneLine := strings.Count(out, "\n") == 1 && strings.HasPrefix(out, "dahliapin: ")
 		if code != test.code || !isOneLine {
 			t.Errorf("%v: exit %d, %q", test.args, code, out)
@@ -194,25 +196,26 @@
 	}
 }
 
-// An operator who is told of one fault at a time has to check a file many times.
-func TestCheckTellsAllFaultsOfAFile(t *testing.T) {
+// TestCheckReportsAllErrorsOfFile checks that check reports all errors of a file at once, as an operator would
+// otherwise have to run it once per error.
+func TestCheckReportsAllErrorsOfFile(t *testing.T) {
 	config := scriptFile(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`+
 		`"settings":{"service_grades":[{"name":"read"}]}}`)
 	faulty := scriptFile(t, "[[listener]]\nlisten = 'x'\nprotocol = 'y'\n")
-	out, _, _ := program(t, nil, "check", "--config", config, "--operator", faulty)
+	out, _, _ := runProgramInTempDir(t, nil, "check", "--config", config, "--operator", faulty)
 	if !strings.Contains(out, ":2: ") || !strings.Contains(out, ":3: ") {
 		t.Errorf("two faults: %q", out)
 	}
 }
 
-// Of five processes, one is killed, one is heard by none while it hears all, and one is replaced, which none notices.
-// Their views of one another are as the checker knows them to be right.
-func TestProcessesKnowOneAnother(t *testing.T) {
+// TestProcessViewsMatchFaults runs five node processes: one is killed, one is partitioned so that it hears the others
+// but none hears it, and one is upgraded, which the others must not notice. The checker must find every view correct.
+func TestProcessViewsMatchFaults(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	if testing.Short() {
-		t.Skip("plays for 24 s")
+		t.Skip("runs for 24 s")
 	}
-	text := strings.Replace(strings.Split(short, "[[event]]")[0], "seconds = 5", "seconds = 24", 1)
+	text := strings.Replace(strings.Split(shortScenario, "[[event]]")[0], "seconds = 5", "seconds = 24", 1)
 	text = strings.Replace(text, "nodes = 2", "nodes = 5", 1) + "[together]\n" + `[[event]]
 at_s = 4
 do = "node_kill"
@@ -230,15 +233,15 @@
 [expect]
 most_view_changes = 4
 `
-	out, code, left := program(t, nil, "rehearse", scriptFile(t, text))
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", scriptFile(t, text))
 	const viewsAreRight = "met      views are as what befell nodes has them (0 wrong"
 	if code != 0 || len(left) > 0 || !strings.Contains(out, viewsAreRight) {
 		t.Errorf("exit %d, left %v:\n%s", code, left, out)
 	}
 }
 
-// A schedule that breaks a rule is shortened to the events that it needs, written as it then is, and named in the last
-// line. One for which the machine was too busy proves nothing.
+// TestNemesisShortensASchedule checks that a schedule that breaks a rule is reduced to the events that it needs,
+// written in that form, and named in the last line, and that runs on a machine that was too busy prove nothing.
 func TestNemesisShortensASchedule(t *testing.T) {
 	dir, plays := t.TempDir(), 0
 	needs := func(s *scenario.Scenario, do string) bool {
@@ -251,7 +254,7 @@
 	}
 	schedule := func(k int) *scenario.Scenario { return scenario.Nemesis(int64(k), 12, 90) }
 	var said bytes.Buffer
-	err := hunt(&said, 50, 100, dir, schedule, play)
+	err := runUntilBreach(&said, 50, 100, dir, schedule, play)
 	lines := strings.Split(strings.TrimSpace(said.String()), "\n")
 	if !errors.Is(err, errNotMet) {
 		t.Fatalf("%v\n%s", err, &said)
@@ -265,7 +268,7 @@
 	}
 	said.Reset()
 	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{MachineTooBusy: "late"}, nil }
-	err = hunt(&said, 3, 100, dir, schedule, busy)
+	err = runUntilBreach(&said, 3, 100, dir, schedule, busy)
 	if err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
 		t.Errorf("%v: %s", err, &said)
 	}
--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -10,14 +10,14 @@
 	"dahliapin/internal/scale/cachegrowth"
 )
 
-// Four times the caches: what is counted stays within the operators' table. Times and memory are not judged here, as
-// other tests use the machine.
-func TestScaleCachesByCounts(t *testing.T) {
+// TestScaleCachesCountsStayWithinLimits checks that counts stay within the limits of the operators' table with four
+// times the caches. Times and memory are not judged, as other tests share the machine.
+func TestScaleCachesCountsStayWithinLimits(t *testing.T) {
 	t.Parallel() // its processes wait most of their time
 	out := t.TempDir()
-	_, errs, code := calledOut(t, "scale", "caches", "--caches", "60,240", "--days", "quiet,release", "--for", "2s",
+	_, errs, code := runProgramSplit(t, "scale", "caches", "--caches", "60,240", "--days", "quiet,release", "--for", "2s",
 		"--share", "1", "--out", out)
-	if code > 1 { // 1 if something that is not judged here is over its limit
+	if code > 1 { // 1 if a value that this test does not judge is over its limit
 		t.Fatalf("exit %d: %s", code, errs)
 	}
 	text, err := os.ReadFile(filepath.Join(out, "report.json"))
@@ -55,7 +55,7 @@
 		"--out x --caches two":                 "--caches",
 		"--out x --days quiet --more sensible": "--more",
 	} {
-		_, errs, code := calledOut(t, append([]string{"scale", "caches"}, strings.Fields(args)...)...)
+		_, errs, code := runProgramSplit(t, append([]string{"scale", "caches"}, strings.Fields(args)...)...)
 		if code != 2 || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
 			t.Errorf("%q: exit %d, %q", args, code, errs)
 		}
--- a/cmd/dahliapin/syscall_fault_handover_test.go
+++ b/cmd/dahliapin/syscall_fault_handover_test.go
@@ -11,11 +11,12 @@
 	"dahliapin/internal/syscallfault"
 )
 
-// A process whose accept failed once, for its successor's connection, could not be replaced any more.
-func TestAProcessIsReplacedAfterItsAcceptHasFailed(t *testing.T) {
-	s := newStation(t)
+// TestHandoverSucceedsAfterFailedAccepts guards against a process that could not be replaced any more after its accept
+// of the successor's connection had failed once.
+func TestHandoverSucceedsAfterFailedAccepts(t *testing.T) {
+	s := newUpgradeHarness(t)
 	old := s.start()
-	s.expect(old, "msg=serving")
+	s.waitForLine(old, "msg=serving")
 	tracer, err := syscallfault.Attach(old.Process.Pid)
 	if errors.Is(err, syscallfault.ErrNotPermitted) {
 		t.Skip("cannot trace here: ", err)
@@ -28,9 +29,9 @@
 		Match: func(socket syscallfault.Socket) bool { return socket.Listening && socket.LocalPort == 0 },
 	})
 	successor := s.start()
-	s.expect(successor, "taking over from the running process")
-	s.expect(successor, "msg=serving")
+	s.waitForLine(successor, "taking over from the running process")
+	s.waitForLine(successor, "msg=serving")
 	if injection.Injected() == 0 {
-		t.Error("no accept has failed")
+		t.Error("no accept call failed")
 	}
 }
