--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,10 +1,10 @@
-// Package boltfile opens bbolt files so that a crash at any time leaves a file that is whole or none, and so that a
-// file which is not whole is an error, never a crash of the process.
+// Package boltfile opens bbolt files crash-safely: a crash at any time leaves either a complete file or none, and an
+// incomplete file is reported as an error instead of crashing the process.
 //
-// bbolt makes each transaction durable as a whole, but not the making of a file: one that was cut short while it was
-// made ends the process with SIGBUS at each later start, an empty one is taken for a new one, and the file's name is
-// not synced, so that a loss of power may take the file with all of its transactions. Open therefore makes a file under
-// a temporary name, with its first transaction, gives it its name once it is durable, and syncs the folder.
+// bbolt makes transactions atomic and durable, but not the creation of a file. A file truncated during creation makes
+// the process die of SIGBUS at every later start, an empty file is taken for a new one, and the directory entry is not
+// synced, so that a power failure may lose the file with all of its transactions. Open therefore creates a file under a
+// temporary name, commits its first transaction, links it to its final name and syncs the directory.
 package boltfile
 
 import (
@@ -22,55 +22,54 @@
 const (
 	folderMode = 0o700
 	fileMode   = 0o600
-	// lockTimeout is short: another process that uses the file is reported at once, not waited for.
+	// lockTimeout is short so that a file locked by another process is reported instead of waited for.
 	lockTimeout = time.Second
-	// temporaryPattern names files that are being made. One that is left over by a crash is never read.
+	// temporaryPattern names files under construction. A file left behind by a crash is never read.
 	temporaryPattern = ".new-*.bbolt"
 )
 
-// ErrMissing says that there is no file, or an empty one, and that none was to be made.
-var ErrMissing = errors.New("there is no file")
+// ErrMissing reports that the file is missing or empty and that Settings.Create is not set.
+var ErrMissing = errors.New("file does not exist or is empty")
 
-// Settings are how a file is opened.
+// Settings configures how Open opens a file.
 type Settings struct {
-	Create bool // a file that is missing, or empty, is made
-	// Initialize is the first transaction of a file that is made: it is never seen without it.
+	Create bool // create the file if it is missing or empty
+	// Initialize is the first transaction of a new file. It commits before the file gets its name.
 	Initialize func(*bbolt.Tx) error
-	// Load is run in a transaction on every opening. It is where a file that is not whole may show.
+	// Load runs in a transaction at every opening. It may return an error for incomplete content.
 	Load func(*bbolt.Tx) error
-	// NoFreelistSync leaves the list of free pages out of each transaction. Opening reads the whole file then.
+	// NoFreelistSync omits the freelist from each transaction, in return for a full scan of the file at opening.
 	NoFreelistSync bool
 }
 
-// Open opens a file, after its folder was made if it is missing. It returns ErrMissing, or an error of one line where
-// the file is in use, cannot be read, or Load returned one.
+// Open opens a file, creating its directory if needed. It returns an error that wraps ErrMissing if there is no file
+// and none may be created, and a one-line error if the file is in use or cannot be read, or if Load fails.
 func Open(path string, settings Settings) (*bbolt.DB, error) {
 	if err := makeFolder(filepath.Dir(path)); err != nil {
-		return nil, fmt.Errorf("the data folder cannot be made: %w", err)
+		return nil, fmt.Errorf("cannot create the data directory: %w", err)
 	}
 	if isMissing(path) {
 		if !settings.Create {
 			return nil, fmt.Errorf("%s: %w", path, ErrMissing)
 		}
 		if err := create(path, settings); err != nil {
-			return nil, fmt.Errorf("%s cannot be made: %w", path, err)
+			return nil, fmt.Errorf("cannot create %s: %w", path, err)
 		}
 	}
 	db, err := openExisting(path, settings)
 	if err != nil {
 		return nil, err
 	}
-	// Guards against a loss of power that takes the name of a file with all that was acknowledged since. Done on every
-	// opening: the crash may have come between the file's name and this.
+	// Without this sync a power failure may lose the directory entry, and with it every transaction acknowledged since.
+	// It runs at every opening because an earlier process may have crashed between linking the file and the sync.
 	if err := syncFolder(filepath.Dir(path)); err != nil {
 		_ = db.Close()
-		return nil, fmt.Errorf("%s: the folder cannot be synced: %w", path, err)
+		return nil, fmt.Errorf("%s: cannot sync the directory: %w", path, err)
 	}
 	return db, nil
 }
 
-// isMissing says whether there is nothing in a file. An empty file is what a crash leaves of one whose content was
-// never synced.
+// isMissing reports whether a file is missing or empty. A crash leaves an empty file if the content was never synced.
 func isMissing(path string) bool {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -79,7 +78,7 @@
 	return info.Size() == 0
 }
 
-// makeFolder makes a folder whose name is durable.
+// makeFolder creates a directory and syncs its parent, so that the directory entry is durable.
 func makeFolder(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
@@ -98,7 +97,7 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// create makes a file with its first transaction. Where another process was faster its file stays.
+// create creates a file with its first transaction. A file that another process created meanwhile is kept.
 func create(path string, settings Settings) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), temporaryPattern)
 	if err != nil {
@@ -121,26 +120,26 @@
 	if err != nil {
 		return err
 	}
-	return publish(temporary.Name(), path)
+	return linkFile(temporary.Name(), path)
 }
 
-// publish gives a file its name, unless another process has made one meanwhile. The folder is locked from the look at
-// what is there to the new name. Guards against two processes that both find no file: the slower one would remove the
-// file of the other, which goes on writing to it.
-func publish(temporary, path string) error {
+// linkFile links a temporary file to its final name, unless another process has created that file meanwhile. The
+// directory is locked from the check for an existing file until the link is made. Otherwise, of two processes that both
+// find no file, the slower one would remove the file that the other one already writes to.
+func linkFile(temporary, path string) error {
 	folder, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
-	defer folder.Close() // which ends the lock
+	defer folder.Close() // releases the lock
 	if err := unix.Flock(int(folder.Fd()), unix.LOCK_EX); err != nil {
-		return fmt.Errorf("the folder cannot be locked: %w", err)
+		return fmt.Errorf("cannot lock the directory: %w", err)
 	}
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > 0 {
 		return nil
 	}
-	if err == nil { // an empty one, see isMissing
+	if err == nil { // an empty file, see isMissing
 		if err := os.Remove(path); err != nil {
 			return err
 		}
@@ -156,7 +155,7 @@
 	}
 }
 
-// openExisting opens a file that is there, after it was verified.
+// openExisting verifies and opens an existing file.
 func openExisting(path string, settings Settings) (*bbolt.DB, error) {
 	if err := verify(path, settings); err != nil {
 		return nil, err
@@ -176,5 +175,5 @@
 }
 
 func openError(path string, err error) error {
-	return fmt.Errorf("%s cannot be opened (is another process at it?): %w", path, err)
+	return fmt.Errorf("cannot open %s (is another process using it?): %w", path, err)
 }
--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// writeFile writes a file into a folder and returns its path.
+// writeFile writes a file into dir and returns its path.
 func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -16,12 +16,12 @@
 	return path
 }
 
-// Of two processes that find no file the slower one removed the file of the other, which went on writing to it.
-func TestTheFileOfAnotherProcessStays(t *testing.T) {
+// When two processes both found no file, the slower one removed the file that the other one was already writing to.
+func TestLinkFileKeepsFileOfAnotherProcess(t *testing.T) {
 	for there, want := range map[string]string{"another's": "another's", "": "ours"} {
 		dir := t.TempDir()
 		path := writeFile(t, dir, "log.bbolt", there)
-		if err := publish(writeFile(t, dir, "temporary", "ours"), path); err != nil {
+		if err := linkFile(writeFile(t, dir, "temporary", "ours"), path); err != nil {
 			t.Error(err)
 		}
 		if got, err := os.ReadFile(path); err != nil || string(got) != want {
--- a/internal/boltfile/verify.go
+++ b/internal/boltfile/verify.go
@@ -10,18 +10,18 @@
 	"go.etcd.io/bbolt"
 )
 
-// errTruncated says that a file is shorter than its last transaction had it.
-var errTruncated = errors.New("it has lost its end")
+// errTruncated reports that a file is shorter than its last transaction recorded.
+var errTruncated = errors.New("file is truncated")
 
-// errPartOfPage says that a file ends within a page: the system shows zeros for the rest of it.
-var errPartOfPage = errors.New("it ends within a page")
+// errPartialPage reports that a file ends within a page; the kernel maps the rest of that page as zeros.
+var errPartialPage = errors.New("file ends within a page")
 
-// verify reads everything in a file, and returns an error where a part of it is missing.
+// verify reads the whole file and returns an error if a part of it is missing.
 //
-// bbolt maps a file into memory and trusts it. Of one that has lost its end it reads pages that are not there, which is
-// SIGBUS, and it does so in a goroutine of its own when it is opened to be written: nobody can recover from that. So
-// the file is opened to be read before, when bbolt reads only what it is asked for, and is read here, where a fault
-// becomes an error. What is not found: other bytes within a page, since bbolt has checksums of its two meta pages only.
+// bbolt maps the file into memory and trusts its content. In a truncated file it accesses pages that do not exist,
+// which raises SIGBUS; when opened for writing it does so in a goroutine of its own, where no caller can recover.
+// verify opens the file read-only first, when bbolt reads only what is requested, and turns a memory fault into an
+// error. It does not detect changed bytes within a page, because bbolt has checksums for its two meta pages only.
 func verify(path string, settings Settings) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -41,7 +41,7 @@
 		return err
 	}
 	if info.Size()%int64(db.Info().PageSize) != 0 {
-		return fmt.Errorf("%s is damaged: %w", path, errPartOfPage)
+		return fmt.Errorf("%s is damaged: %w", path, errPartialPage)
 	}
 	return db.View(func(tx *bbolt.Tx) error {
 		if tx.Size() > info.Size() {
@@ -51,7 +51,7 @@
 	})
 }
 
-// readBucket reads the first and the last byte of each value, and so every page at which one begins or ends.
+// readBucket reads the first and last byte of each value, and thereby each page on which a value begins or ends.
 func readBucket(bucket *bbolt.Bucket) error {
 	checksum := byte(0)
 	err := bucket.ForEach(func(key, value []byte) error {
@@ -67,5 +67,5 @@
 	return err
 }
 
-// readBytes keeps the compiler from leaving the reads out.
+// readBytes keeps the compiler from optimizing the reads away.
 var readBytes atomic.Uint32
--- a/internal/linefile/linefile.go
+++ b/internal/linefile/linefile.go
@@ -1,5 +1,5 @@
-// Package linefile appends lines to a file of which a crash or a fault of the disk may cut one short, and keeps that
-// one from spoiling the next: a line is there as it was written, or stands alone as a part.
+// Package linefile appends lines to a file. A crash or a disk error may truncate a line; the next line then starts on a
+// line of its own, so that each line in the file is either complete or a separate fragment.
 package linefile
 
 import (
@@ -9,34 +9,34 @@
 
 const fileMode = 0o644
 
-// File is a file to which lines are appended. It belongs to one goroutine.
+// File is a file to which lines are appended. It is not safe for concurrent use.
 type File struct {
-	// OnFailing is called with the first error when lines begin to be lost; nil for nobody.
+	// OnFailing, if not nil, is called with the error of the first line that is lost after a successful one.
 	OnFailing func(error)
-	// OnRecovered is called with the number of lines that were lost when one is written again; nil for nobody.
+	// OnRecovered, if not nil, is called with the number of lost lines once a line is written again.
 	OnRecovered func(lost uint64)
 
-	file      *os.File
-	withinOne bool   // the file ends within a line
-	lost      uint64 // lines, since one was written
+	file        *os.File
+	endsMidLine bool   // the file ends with an incomplete line
+	lost        uint64 // lines lost since the last successful write
 }
 
-// Open opens a file to append to, after it was made if it is missing.
+// Open opens a file for appending, creating it if it is missing.
 func Open(path string) (*File, error) {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, err
 	}
-	withinOne, err := endsWithinLine(path)
+	endsMidLine, err := endsWithinLine(path)
 	if err != nil {
 		_ = file.Close()
-		return nil, fmt.Errorf("its end cannot be read: %w", err)
+		return nil, fmt.Errorf("cannot read the end of the file: %w", err)
 	}
-	return &File{file: file, withinOne: withinOne}, nil
+	return &File{file: file, endsMidLine: endsMidLine}, nil
 }
 
-// endsWithinLine says whether a file ends with a part of a line, as after a kill. A pipe or a device never does, and is
-// not opened: a pipe with a reader of its own would take lines that nobody reads.
+// endsWithinLine reports whether a file ends with an incomplete line, as after a kill. It returns false for pipes and
+// devices without opening them: a second reader of a pipe would consume lines that nobody reads.
 func endsWithinLine(path string) (bool, error) {
 	info, err := os.Stat(path)
 	if err != nil || !info.Mode().IsRegular() || info.Size() == 0 {
@@ -52,16 +52,16 @@
 	return last[0] != '\n', err
 }
 
-// Append appends a line, which is given without its end. One that cannot be written is lost and counted.
+// Append appends a line, given without its newline. A line that cannot be written is dropped and counted.
 func (f *File) Append(line []byte) {
 	text := make([]byte, 0, len(line)+2)
-	if f.withinOne { // guards against two lines in one, of which neither could be read
+	if f.endsMidLine { // otherwise the fragment and this line would merge, and neither could be parsed
 		text = append(text, '\n')
 	}
 	text = append(append(text, line...), '\n')
 	written, err := f.file.Write(text)
 	if written > 0 {
-		f.withinOne = text[written-1] != '\n'
+		f.endsMidLine = text[written-1] != '\n'
 	}
 	if err != nil {
 		f.lost++
@@ -77,5 +77,4 @@
 	}
 }
 
-// Close closes the file.
 func (f *File) Close() error { return f.file.Close() }
