--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,22 +1,24 @@
-// Package buffer has the read buffer of a connection. It grows as needed, is compacted in place, and gives its memory
-// back once it is empty: what was read from a buffer that held more than Keep bytes remains the reader's own.
+// Package buffer provides the read buffer of a connection. The buffer grows as needed, is compacted in place, and
+// releases its memory once it is empty: slices returned by a buffer with a capacity above MaxEmptyCapacity then remain
+// valid.
 package buffer
 
 const (
-	// MaxEmptyCapacity is how many bytes an empty buffer may keep: a few command lines, so that most buffers never grow.
+	// MaxEmptyCapacity is the largest capacity that an empty buffer retains: a few command lines, so that most buffers
+	// never grow.
 	MaxEmptyCapacity = 4 << 10
-	// maxGrowth is how many times the unread bytes Reserve makes room for: a long value grows its buffer once or twice.
+	// maxGrowth limits Reserve to a multiple of the unread bytes: a long value grows its buffer once or twice.
 	maxGrowth = 8
 )
 
-// Buffer holds bytes that were received and not consumed yet. It has no bound of its own: parsers don't wait for more
-// than their bounds allow. The zero Buffer is empty and ready for use.
+// Buffer holds bytes that were received and not yet consumed. It has no size limit of its own: parsers stop waiting for
+// data at their own limits. The zero Buffer is empty and ready for use.
 type Buffer struct {
 	data []byte
-	used int // bytes at the front of data that were consumed
+	used int // consumed bytes at the front of data
 }
 
-// Append adds bytes, first moving the unread ones to the front where that makes room.
+// Append adds bytes. If they do not fit behind the unread bytes, it first moves those to the front.
 func (b *Buffer) Append(p []byte) {
 	if b.used > 0 && len(b.data)+len(p) > cap(b.data) {
 		b.data = b.data[:copy(b.data, b.data[b.used:])]
@@ -25,8 +27,8 @@
 	b.data = append(b.data, p...)
 }
 
-// Reserve makes room for n bytes in all, but no more than a few times what is unread. Guards against a peer that
-// announces a long value on each of many connections and sends little: the memory would be taken at once.
+// Reserve makes room for n bytes in total, up to a multiple of the unread bytes. The limit keeps a peer that announces
+// long values on many connections, and sends little of them, from having all of that memory allocated at once.
 func (b *Buffer) Reserve(n int) {
 	n = min(n, maxGrowth*len(b.Unread()))
 	if n > cap(b.data)-b.used {
@@ -35,10 +37,10 @@
 	}
 }
 
-// Unread returns the bytes that were not consumed. They stay valid until the next Append or Reserve.
+// Unread returns the unconsumed bytes. They stay valid until the next Append or Reserve.
 func (b *Buffer) Unread() []byte { return b.data[b.used:] }
 
-// Consume passes over n unread bytes.
+// Consume discards the first n unread bytes.
 func (b *Buffer) Consume(n int) {
 	b.used += n
 	if b.used < len(b.data) {
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Whatever is appended, reserved and consumed, a buffer holds what a plain slice would, and keeps little once it is
-// empty.
-func FuzzBufferIsLikeASlice(f *testing.F) {
+// After any sequence of Append, Reserve and Consume, a buffer has the content that a plain slice would have, and an
+// empty buffer retains at most MaxEmptyCapacity bytes.
+func FuzzBufferMatchesSlice(f *testing.F) {
 	f.Add([]byte{10, 4, 200, 206, 7, 7})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		var b Buffer
@@ -15,7 +15,7 @@
 		for i, s := range steps {
 			if i%2 == 0 {
 				p := bytes.Repeat([]byte{s}, int(s)*50)
-				b.Reserve(len(b.Unread()) + 3*len(p)) // changes nothing that is there
+				b.Reserve(len(b.Unread()) + 3*len(p)) // must not change the content
 				b.Append(p)
 				plain = append(plain, p...)
 			} else {
@@ -27,7 +27,7 @@
 				t.Fatalf("step %d: %d bytes, want %d", i, len(b.Unread()), len(plain))
 			}
 			if len(plain) == 0 && cap(b.data) > MaxEmptyCapacity {
-				t.Fatalf("step %d: empty, yet %d bytes are kept", i, cap(b.data))
+				t.Fatalf("step %d: empty buffer retains %d bytes", i, cap(b.data))
 			}
 		}
 	})
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,5 +1,5 @@
-// Package freeport finds free addresses for test rigs whose processes have to know beforehand where to listen: other
-// processes get the address as well, or the process comes back there. All others listen on port 0 instead.
+// Package freeport finds free addresses for tests whose processes must know their address before they listen, because
+// other processes are given it too or because the process restarts there. All other tests listen on port 0 instead.
 package freeport
 
 import (
@@ -9,20 +9,19 @@
 	"sync/atomic"
 )
 
-// The range of the ports. Guards against a process of a rig that ends as its address is in use: the range is below the
-// one from which systems give ports to outgoing connections, so that none of these takes a port before the process
-// does.
+// The port range lies below the ephemeral range, so that no outgoing connection takes a port before the test's process
+// listens on it; that process would otherwise exit because its address is in use.
 const (
 	firstPort = 12_000
 	portCount = 20_000
-	// processStride keeps the ports of test processes that run at once apart.
+	// processStride separates the ports of test processes that run concurrently.
 	processStride = 397
 )
 
-var issued atomic.Uint32 // attempts of this process until now
+var issued atomic.Uint32 // attempts made by this process
 
-// Free returns an address on loopback that is free for streams and for datagrams. It returns none twice until it has
-// been through all. The error is that of the last attempt.
+// Free returns a loopback address that is free for both TCP and UDP. It repeats no address until the whole range has
+// been tried. The error wraps that of the last attempt.
 func Free() (string, error) {
 	var err error
 	for range portCount {
@@ -32,10 +31,10 @@
 			return addr, nil
 		}
 	}
-	return "", fmt.Errorf("no port is free: %w", err)
+	return "", fmt.Errorf("no free port: %w", err)
 }
 
-// tryListen listens on an address for streams and for datagrams, and closes both again.
+// tryListen listens on an address over TCP and UDP, and closes both sockets again.
 func tryListen(addr string) error {
 	streams, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -5,12 +5,11 @@
 	"testing"
 )
 
-// systemPorts is the first port that systems give to outgoing connections.
-const systemPorts = 32_768
+// ephemeralPortStart is the first port of the ephemeral range for outgoing connections.
+const ephemeralPortStart = 32_768
 
-// A port that a system may give to any connection can't be promised to a process: one that came later found its
-// address in use and ended.
-func TestFreeAddressesAreOutsideTheSystemsRange(t *testing.T) {
+// A process that was given a port of the ephemeral range found it taken by an outgoing connection and exited.
+func TestFreeReturnsPortsBelowEphemeralRange(t *testing.T) {
 	seen := map[string]bool{}
 	for range 50 {
 		addr, err := Free()
@@ -18,7 +17,7 @@
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Errorf("%s twice", addr)
+			t.Errorf("%s returned twice", addr)
 		}
 		seen[addr] = true
 		l, err := net.Listen("tcp", addr)
@@ -27,8 +26,8 @@
 			continue
 		}
 		defer l.Close()
-		if port := l.Addr().(*net.TCPAddr).Port; port >= systemPorts {
-			t.Errorf("%d is one that systems give to connections", port)
+		if port := l.Addr().(*net.TCPAddr).Port; port >= ephemeralPortStart {
+			t.Errorf("port %d is in the ephemeral range", port)
 		}
 	}
 }
