--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -2,12 +2,12 @@
 
 import "bytes"
 
-// Directives are what Cache-Control says, in a request or a response.
+// Directives holds the Cache-Control directives of a request or a response.
 type Directives struct {
 	MaxAge               DeltaSeconds
 	SharedMaxAge         DeltaSeconds // s-maxage
 	MinFresh             DeltaSeconds
-	MaxStale             DeltaSeconds // without a value: Most
+	MaxStale             DeltaSeconds // MaxDeltaSeconds if given without a value
 	StaleWhileRevalidate DeltaSeconds // RFC 5861
 	StaleIfError         DeltaSeconds // RFC 5861
 	NoStore              bool
@@ -19,15 +19,15 @@
 	OnlyIfCached         bool
 }
 
-// Parse adds the directives of one field line. Names are compared without case, and unknown ones are passed over. A
-// qualified no-cache or private counts as an unqualified one: the stricter reading, which 5.2.2.4 and 5.2.2.7 allow.
+// Parse adds the directives of one field line. Names are case-insensitive, and unknown directives are ignored. A
+// qualified no-cache or private counts as unqualified, the stricter reading that 5.2.2.4 and 5.2.2.7 allow.
 func (d *Directives) Parse(line []byte) {
 	for len(line) > 0 {
 		var item directive
 		item, line = cutDirective(line)
 		flag, span := d.field(item.name)
 		switch {
-		case span == &d.MaxStale && !item.hasValue: // any age
+		case span == &d.MaxStale && !item.hasValue: // any staleness is accepted
 			span.Present = true
 			span.Duration = MaxDeltaSeconds
 		case span != nil:
@@ -38,7 +38,7 @@
 	}
 }
 
-// field returns where a directive is kept: a flag, a span or, for an unknown one, neither.
+// field returns the field that stores a directive, either a flag or a number of seconds; both are nil if it is unknown.
 func (d *Directives) field(name []byte) (*bool, *DeltaSeconds) {
 	switch string(bytes.ToLower(name)) {
 	case "max-age":
@@ -71,14 +71,14 @@
 	return nil, nil
 }
 
-// directive is a token, perhaps with a value behind an equals sign.
+// directive is a token with an optional value after an equals sign.
 type directive struct {
 	name     []byte
-	value    []byte // without quotes: 5.2 has recipients accept both forms
+	value    []byte // without quotes; 5.2 requires recipients to accept both forms
 	hasValue bool
 }
 
-// cutDirective cuts the first directive off a line. A comma within quotes is no end.
+// cutDirective splits the first directive off a line. A comma within quotes does not end it.
 func cutDirective(line []byte) (first directive, rest []byte) {
 	end, equals := scanDirective(line)
 	item := line[:end]
@@ -95,7 +95,8 @@
 	return directive{name: bytes.TrimSpace(item[:equals]), value: value, hasValue: true}, rest
 }
 
-// scanDirective returns where the first directive of a line ends, and where its equals sign is; -1 for none.
+// scanDirective returns the end of the first directive of a line and the index of its equals sign, or -1 if it has
+// none.
 func scanDirective(line []byte) (end, equals int) {
 	equals = -1
 	quoted := false
@@ -115,7 +116,7 @@
 	return len(line), equals
 }
 
-// Pragma reports whether a line of HTTP/1.0's field says no-cache. It counts where there is no Cache-Control (5.4).
+// Pragma reports whether a Pragma field line contains no-cache. It applies only without Cache-Control (5.4).
 func Pragma(line []byte) bool {
 	var d Directives
 	d.Parse(line)
--- a/internal/freshness/directives_test.go
+++ b/internal/freshness/directives_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Any line is read to its end without a crash, the same each time, and gives no time that is out of bounds.
+// Parsing any line must not panic, must be idempotent, and must yield no max-age out of range.
 func FuzzDirectives(f *testing.F) {
 	f.Add([]byte(`max-age=3, x="a\",b", no-cache="c`))
 	f.Add([]byte(`,,=,"`))
@@ -11,7 +11,7 @@
 		d.Parse(line)
 		twice.Parse(line)
 		if d != twice {
-			t.Fatal("read differently")
+			t.Fatal("parsing the line twice gave different directives")
 		}
 		if d.MaxAge.Present && !d.MaxAge.Invalid && (d.MaxAge.Duration < 0 || d.MaxAge.Duration > MaxDeltaSeconds) {
 			t.Fatal(d.MaxAge)
--- a/internal/freshness/doc.go
+++ b/internal/freshness/doc.go
@@ -1,5 +1,5 @@
-// Package freshness decides, as RFC 9111 has it for a shared cache, whether a response that a server gives may be
-// served: how old it is, how long it is fresh, and whether it may be served stale. It also makes the key under which a
-// target is cached. It does no I/O and keeps no state; times are arguments. Section numbers in comments are those of
-// RFC 9111 where no other is named.
+// Package freshness implements the freshness rules of RFC 9111 for a shared cache: the age of a response, its freshness
+// lifetime, and whether it may be served fresh or stale. It also computes the key under which a target is cached. It
+// does no I/O and keeps no state; the caller passes in all times. Section numbers in comments refer to RFC 9111 unless
+// another RFC is named.
 package freshness
--- a/internal/freshness/key.go
+++ b/internal/freshness/key.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// Key returns the name under which every node finds the same holders for a target: the host in lower case without the
-// usual port, path and query with percent-encoding in one form (RFC 3986, 6.2.2). What a server may tell apart stays
-// apart: the case of a path, the order of a query's parts, empty parts, dots. ok is false for a target that is no
-// absolute path or URI of http.
+// Key returns the cache key of a target, by which every node finds the same replicas: the host in lower case without
+// the default port, then path and query with normalized percent-encoding (RFC 3986, 6.2.2). Differences that a server
+// may treat as significant are kept: the case of a path, the order of query parameters, empty components and dot
+// segments. ok is false if the target is neither an absolute path nor an http URI.
 func Key(host, target []byte) (key string, ok bool) {
 	if rest, isAbsolute := cutScheme(target); isAbsolute {
 		host, target = splitAuthority(rest)
@@ -27,7 +27,7 @@
 	return string(out), true
 }
 
-// splitAuthority splits a URI behind its scheme. Its authority counts, whatever the field Host says (RFC 9112, 3.2.2).
+// splitAuthority splits a URI without its scheme. The authority overrides the Host field (RFC 9112, 3.2.2).
 func splitAuthority(rest []byte) (host, target []byte) {
 	end := bytes.IndexAny(rest, "/?")
 	if end < 0 {
@@ -41,8 +41,8 @@
 	return host, target
 }
 
-// appendNormalized appends a path and query with percent-encoding in one form, and returns false where that is no
-// percent-encoding.
+// appendNormalized appends a path and query with normalized percent-encoding. It returns false if the percent-encoding
+// is malformed.
 func appendNormalized(out, target []byte) ([]byte, bool) {
 	for i := 0; i < len(target); i++ {
 		c := target[i]
@@ -69,7 +69,7 @@
 
 const hexDigits = "0123456789ABCDEF"
 
-// isUnreserved reports whether a character means the same with and without percent-encoding (RFC 3986, 2.3).
+// isUnreserved reports whether a character is equivalent to its percent-encoded form (RFC 3986, 2.3).
 func isUnreserved(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
@@ -78,7 +78,7 @@
 	return c == '-' || c == '.' || c == '_' || c == '~'
 }
 
-// cutScheme cuts http's scheme off a URI.
+// cutScheme removes the http scheme from a URI, and returns false if the URI has another scheme or none.
 func cutScheme(target []byte) ([]byte, bool) {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !bytes.EqualFold(target[:len(scheme)], []byte(scheme)) {
--- a/internal/freshness/key_test.go
+++ b/internal/freshness/key_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Two nodes that made different keys of one URL would fill six caches in place of three.
-func TestKeyIsTheSameForOneURL(t *testing.T) {
+// If nodes computed different keys for one URL, its value would occupy six caches instead of three.
+func TestEquivalentURLsHaveSameKey(t *testing.T) {
 	for _, c := range []struct{ host, target, sameHost, sameTarget string }{
 		{"N.example", "/a", "n.example:80", "/a"},
 		{"n", "/%7ea%2f", "n", "/~a%2F"},
@@ -19,8 +19,8 @@
 	}
 }
 
-// One key for two URLs would have one answered with the other's value.
-func TestKeysOfDifferentURLsDiffer(t *testing.T) {
+// If two URLs shared a key, a request for one would be answered with the value of the other.
+func TestDifferentURLsHaveDifferentKeys(t *testing.T) {
 	for _, c := range []struct{ target, other string }{
 		{"/a", "/A"},
 		{"/a?x=1&y=2", "/a?y=2&x=1"},
@@ -39,10 +39,10 @@
 	}
 }
 
-func TestTargetsWithoutKey(t *testing.T) {
+func TestKeyRejectsInvalidTargets(t *testing.T) {
 	for _, target := range []string{"", "a", "*", "/a#b", "/%", "/%4", "/%zz", "https://n/a", "http://u@n/a"} {
 		if key, ok := Key([]byte("n"), []byte(target)); ok {
-			t.Errorf("%q is %q", target, key)
+			t.Errorf("target %q got key %q", target, key)
 		}
 	}
 }
--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Rules are what an operator states about the age of responses.
+// Rules holds an operator's settings for the age of responses.
 type Rules struct {
-	// MaxClockSkew is how far a server's clock may be off. Where a response has no usable Age, only its Date tells how old
-	// it is: it counts as that much older, so that it is never served past its allowed age.
+	// MaxClockSkew is the largest error of a server's clock. If a response has no usable Age, only its Date indicates
+	// its age; the response then counts as older by MaxClockSkew, so that it is never served past its allowed age.
 	MaxClockSkew time.Duration
-	// HeuristicFraction is the share of the time since Last-Modified for which a response that says nothing is fresh; 0 for
-	// none.
+	// HeuristicFraction is the fraction of the time since Last-Modified for which a response without explicit
+	// expiration is fresh; 0 disables heuristic freshness.
 	HeuristicFraction float64
-	// MaxHeuristicLifetime bounds the lifetime that follows from Heuristic.
+	// MaxHeuristicLifetime limits the lifetime computed from HeuristicFraction.
 	MaxHeuristicLifetime time.Duration
 }
 
-// Request is what a client's request says, as far as it matters.
+// Request holds the parts of a client's request that affect freshness.
 type Request struct {
 	Control          Directives
-	HasAuthorization bool // it has Authorization
+	HasAuthorization bool // the request has an Authorization field
 }
 
-// Response is what a server's response says, as far as it matters.
+// Response holds the parts of a server's response that affect freshness.
 type Response struct {
 	Status         int
 	Control        Directives
-	Age            DeltaSeconds // the field's first value; not given where it is missing or no number (5.1)
-	Date           time.Time    // zero where it is missing or no date
-	Expires        time.Time    // zero where it is missing
-	InvalidExpires bool         // Expires is there and no date, which means long ago (5.3)
-	LastModified   time.Time    // Last-Modified; zero where it is missing or no date
+	Age            DeltaSeconds // first value of the field; not present if missing or not a number (5.1)
+	Date           time.Time    // zero if missing or not a date
+	Expires        time.Time    // zero if missing or not a date
+	InvalidExpires bool         // Expires is present but not a date, which means already expired (5.3)
+	LastModified   time.Time    // zero if missing or not a date
 }
 
-// SetAge takes the value of the field Age. Of several numbers the first counts.
+// SetAge parses the value of the Age field. Of several numbers it uses the first.
 func (r *Response) SetAge(line []byte) {
 	first, _, _ := bytes.Cut(line, []byte(","))
 	if d, ok := Seconds(bytes.TrimSpace(first)); ok {
@@ -43,21 +43,21 @@
 	}
 }
 
-// SetDate takes the value of the field Date; one that is no date counts as missing.
+// SetDate parses the value of the Date field; an invalid date counts as missing.
 func (r *Response) SetDate(line string) { r.Date, _ = http.ParseTime(line) }
 
-// SetLastModified takes the value of the field Last-Modified; one that is no date counts as missing.
+// SetLastModified parses the value of the Last-Modified field; an invalid date counts as missing.
 func (r *Response) SetLastModified(line string) { r.LastModified, _ = http.ParseTime(line) }
 
-// SetExpires takes the value of the field Expires.
+// SetExpires parses the value of the Expires field; an invalid date sets InvalidExpires.
 func (r *Response) SetExpires(line string) {
 	var err error
 	r.Expires, err = http.ParseTime(line)
 	r.InvalidExpires = err != nil
 }
 
-// CurrentAge returns the response's age now (4.2.3). requested and received are when the request was sent and its
-// response arrived. Nothing makes a response younger than its Age says, or than its Date does.
+// CurrentAge returns the age of the response at now (4.2.3). requested and received are the times at which the request
+// was sent and its response arrived. The age is never less than that indicated by Age, nor than that indicated by Date.
 func (r *Response) CurrentAge(requested, received, now time.Time, rules Rules) time.Duration {
 	age := time.Duration(0)
 	if !r.Date.IsZero() {
@@ -74,11 +74,11 @@
 	return bounded(age + resident)
 }
 
-// Lifetime returns for how long the response is fresh (4.2.1), and whether it says so itself.
+// Lifetime returns the freshness lifetime of the response (4.2.1), and whether the response states it explicitly.
 func (r *Response) Lifetime(received time.Time, rules Rules) (lifetime time.Duration, stated bool) {
 	for _, span := range []DeltaSeconds{r.Control.SharedMaxAge, r.Control.MaxAge} {
 		switch {
-		case span.Invalid: // what can't be trusted is stale
+		case span.Invalid: // an invalid lifetime counts as stale
 			return 0, true
 		case span.Present:
 			return span.Duration, true
@@ -100,7 +100,7 @@
 	return 0, false
 }
 
-// hasHeuristicLifetime reports whether the lifetime of a status may be guessed (RFC 9110, 15.1).
+// hasHeuristicLifetime reports whether a status is heuristically cacheable (RFC 9110, 15.1).
 func hasHeuristicLifetime(status int) bool {
 	switch status {
 	case 200, 203, 204, 206, 300, 301, 308, 404, 405, 410, 414, 501:
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// MaxDeltaSeconds is what any number of seconds that is too great counts as (1.2.2).
+// MaxDeltaSeconds is the value that larger numbers of seconds are reduced to (1.2.2).
 const MaxDeltaSeconds = (1 << 31) * time.Second
 
-// DeltaSeconds is a number of seconds that a directive or field gives.
+// DeltaSeconds is a number of seconds given by a directive or field.
 type DeltaSeconds struct {
 	Present  bool
-	Invalid  bool // what is given is no number, or two values differ
+	Invalid  bool // the value is not a number, or two values differ
 	Duration time.Duration
 }
 
-// set takes a value. A second one that differs, or one that is no number, makes the whole untrustworthy.
+// set parses a value. A value that is not a number, or that differs from an earlier one, makes s invalid.
 func (s *DeltaSeconds) set(value []byte, hasValue bool) {
 	d, ok := Seconds(value)
 	if !hasValue || !ok || s.Present && d != s.Duration {
@@ -24,10 +24,10 @@
 	s.Duration = d
 }
 
-// allows reports whether a time is within the span.
+// allows reports whether s is valid and d does not exceed it.
 func (s DeltaSeconds) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
 
-// Seconds reads delta-seconds: digits only; a number that is too great counts as Most.
+// Seconds parses delta-seconds, which consist of digits only. Larger numbers are reduced to MaxDeltaSeconds.
 func Seconds(digits []byte) (time.Duration, bool) {
 	const most = int64(MaxDeltaSeconds / time.Second)
 	if len(digits) == 0 {
@@ -43,5 +43,5 @@
 	return time.Duration(n) * time.Second, true
 }
 
-// bounded returns a time that is neither negative nor over Most.
+// bounded limits d to the range from 0 to MaxDeltaSeconds.
 func bounded(d time.Duration) time.Duration { return min(max(0, d), MaxDeltaSeconds) }
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Use is what may be done with a response. A lower one allows more.
+// Use states how a response may be used. Lower values are more permissive.
 type Use int
 
-// The uses of a response.
+// The permitted uses of a response.
 const (
-	Fresh    Use = iota // it may be served
-	Stale               // it may be served though it is stale: the client or the server allows that
-	Validate            // not without asking the server whether it still holds
-	Never               // not for this request: another holder or the origin has to be asked
+	Fresh    Use = iota // may be served
+	Stale               // may be served although stale, as the client or the server allows
+	Validate            // may be served only after validation with the server
+	Never               // must not be used for this request: ask another replica or the origin
 )
 
-// Verdict is what may be done with a response, and why.
+// Verdict is the permitted use of a response and the reason for it.
 type Verdict struct {
 	Use      Use
-	Reason   string // a word for the log and Cache-Status
+	Reason   string // for the log and Cache-Status
 	Age      time.Duration
 	Lifetime time.Duration
 }
 
-// Judge decides whether a response may be served for a request. requested and received are when the request was sent
-// and its response arrived. failed says that whoever could tell more did not answer, or answered with an error:
-// stale-if-error may apply then.
+// Judge decides whether a response may be served for a request. requested and received are the times at which the
+// request was sent and its response arrived. failed reports that revalidation got no answer or an error, in which case
+// stale-if-error may apply.
 func Judge(q *Request, r *Response, requested, received, now time.Time, rules Rules, failed bool) Verdict {
 	lifetime, _ := r.Lifetime(received, rules)
 	v := Verdict{Age: r.CurrentAge(requested, received, now, rules), Lifetime: lifetime}
@@ -35,8 +35,8 @@
 	return v
 }
 
-// forbidden returns the use and the reason where directives forbid to serve a response at any age; an empty reason
-// where none does.
+// forbidden returns the use and the reason if a directive forbids serving the response at any age. The reason is empty
+// if none does.
 func forbidden(q *Request, r *Response) (Use, string) {
 	isShared := r.Control.Public || r.Control.MustRevalidate || r.Control.SharedMaxAge.Present
 	switch {
@@ -56,7 +56,7 @@
 	return Fresh, ""
 }
 
-// byAge decides by the age and lifetime of a response.
+// byAge decides by the age and the lifetime of a response.
 func (v *Verdict) byAge(q *Request, r *Response, failed bool) (Use, string) {
 	request := &q.Control
 	response := &r.Control
@@ -82,7 +82,7 @@
 	return Validate, "stale"
 }
 
-// maxStale is how much older than its max-age a request accepts a response.
+// maxStale returns how far beyond max-age the request accepts a response.
 func maxStale(q *Request) time.Duration {
 	if s := q.Control.MaxStale; s.Present && !s.Invalid {
 		return s.Duration
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "1") } // the same draws each time, unless a seed is asked for
+func init() { flag.Set("rapid.seed", "1") } // reproducible draws unless a seed is given on the command line
 
-// received is when all responses of these tests arrive.
+// received is the arrival time of all responses in these tests.
 var received = time.Date(2026, 3, 7, 12, 0, 0, 0, time.UTC)
 
-// responseOf reads a response's fields, in the form "Name: value|Name: value". Dates are in seconds from now: "Date:
-// -10".
+// responseOf parses the fields of a response in the form "Name: value|Name: value". Dates are in seconds relative to
+// received, as in "Date: -10".
 func responseOf(text string) *Response {
 	r := &Response{Status: 200}
 	for _, line := range strings.Split(text, "|") {
@@ -42,7 +42,7 @@
 	return r
 }
 
-// standardCases has what sections of RFC 9111 (or 5861) ask of a shared cache.
+// standardCases lists requirements of RFC 9111 (or 5861) on a shared cache, by section.
 var standardCases = []struct {
 	section, response, request string
 	want                       Use
@@ -101,9 +101,8 @@
 		"Date: -1|Age: 99999999999999999999|Cache-Control: max-age=4000000000", "", Validate},
 }
 
-// Each row is what a section of RFC 9111 (or 5861) asks of a shared cache; the node serves what is judged fresh or
-// stale.
-func TestVerdictsAreThoseOfTheStandard(t *testing.T) {
+// Each row is a requirement of RFC 9111 (or 5861) on a shared cache. The node serves responses judged Fresh or Stale.
+func TestJudgeFollowsRFC9111(t *testing.T) {
 	for _, c := range standardCases {
 		q := &Request{}
 		q.Control.Parse([]byte(c.request))
@@ -116,7 +115,7 @@
 	}
 }
 
-// An operator may have the lifetime of a response that states none guessed from its Last-Modified, within a bound.
+// If the operator enables it, a response without explicit lifetime gets one from its Last-Modified, up to a limit.
 func TestHeuristicLifetime(t *testing.T) {
 	rules := Rules{HeuristicFraction: 0.1, MaxHeuristicLifetime: time.Hour}
 	judge := func(text string) Verdict {
@@ -126,14 +125,13 @@
 		t.Errorf("%+v", v)
 	}
 	if v := judge("Date: -10|Last-Modified: -99999999"); v.Lifetime != time.Hour {
-		t.Errorf("without bound: %+v", v)
+		t.Errorf("lifetime exceeds the limit: %+v", v)
 	}
 }
 
-// However a server's clock is off, within what the rules state, and whether it gives an Age or not: what is served is
-// never past its allowed age by the true clock, which no code here can read. An Age is in whole seconds, and so is a
-// Date.
-func TestNothingIsServedPastItsAllowedAge(t *testing.T) {
+// For any server clock skew up to MaxClockSkew, with or without Age, no response is served past its allowed age as
+// measured by the true clock, which the code under test cannot read. Age and Date have a resolution of one second.
+func TestResponsesAreNotServedPastAllowedAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const clockOff = 30 // seconds
 		drawTime := func(least, most int, name string) time.Duration {
@@ -144,7 +142,7 @@
 		r := &Response{Status: 200, Date: made.Add(skew).Truncate(time.Second)}
 		requested := received.Add(-drawTime(0, 5, "delay"))
 		hasAge := rapid.Bool().Draw(t, "tells Age")
-		if hasAge { // as the server knew it when it was asked, or later
+		if hasAge { // the age known to the server when the request was sent, or later
 			r.Age = DeltaSeconds{Present: true, Duration: max(0, requested.Sub(made)).Truncate(time.Second)}
 		}
 		maxAge := time.Duration(rapid.IntRange(0, 400).Draw(t, "max-age")) * time.Second
@@ -164,7 +162,7 @@
 		}
 		surelyFresh := trueAge+clockOff*time.Second+time.Second < maxAge
 		if !hasAge && skew == 0 && v.Use == Validate && surelyFresh {
-			t.Fatalf("asked again at a true age of %v of %v", trueAge, maxAge)
+			t.Fatalf("validated at a true age of %v with a max-age of %v", trueAge, maxAge)
 		}
 	})
 }
