--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test has made with bytes that were recorded in a file. Only tests import it.
+// Package golden compares the output of a test with a recorded file. Only tests import it.
 package golden
 
 import (
@@ -11,7 +11,7 @@
 
 var update = flag.Bool("update-golden", false, "write recorded files anew; only for an intended change of a format")
 
-// Check fails the test unless the file testdata/name holds these bytes.
+// Check fails the test unless the content of testdata/name equals got.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -28,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("not as recorded in %s:\ngot  %q\nwant %q", path, got, want)
+		t.Errorf("output differs from %s:\ngot  %q\nwant %q", path, got, want)
 	}
 }
--- a/internal/histogram/histogram.go
+++ b/internal/histogram/histogram.go
@@ -1,4 +1,4 @@
-// Package histogram keeps times in small histograms with few coarse bins, in which what is old counts for less.
+// Package histogram provides small histograms of durations with few exponential bins and decay of old samples.
 package histogram
 
 import (
@@ -7,24 +7,24 @@
 )
 
 const (
-	// bins is the number of bins, each twice as wide as the one before: from under 1 ms to over 4 s.
+	// bins is the number of bins; each upper limit is twice the one before, from under 1 ms to over 4 s.
 	bins = 14
-	// FirstBinWidth is the upper end of the first bin: below it all caches look alike.
+	// FirstBinWidth is the upper limit of the first bin. Latencies below it do not distinguish caches.
 	FirstBinWidth = time.Millisecond
-	// minSamples is the number of times below which there are no quantiles.
+	// minSamples is the number of samples required for quantiles.
 	minSamples = bins
 )
 
-// Histogram counts times by size. The zero Histogram is empty and ready for use.
+// Histogram counts durations by bin. The zero Histogram is empty and ready for use.
 type Histogram [bins]uint32
 
-// Observe counts one time.
+// Observe adds one duration.
 func (h *Histogram) Observe(d time.Duration) {
 	bin := bits.Len64(uint64(max(0, d) / FirstBinWidth))
 	h[min(bins-1, bin)]++
 }
 
-// Decay halves all counts, as long as enough are left for quantiles.
+// Decay halves all counts, provided that enough samples for quantiles remain.
 func (h *Histogram) Decay() {
 	if h.total() < 2*minSamples {
 		return
@@ -42,12 +42,11 @@
 	return total
 }
 
-// Quantile returns the time that the share q of all stays under, interpolated within a bin; or otherwise while there
-// are too few.
-func (h *Histogram) Quantile(q float64, otherwise time.Duration) time.Duration {
+// Quantile returns the q-quantile, interpolated linearly within a bin, or fallback if there are too few samples.
+func (h *Histogram) Quantile(q float64, fallback time.Duration) time.Duration {
 	total := h.total()
 	if total < minSamples {
-		return otherwise
+		return fallback
 	}
 	want := q * total
 	low := time.Duration(0)
@@ -62,7 +61,7 @@
 	return low
 }
 
-// CountAbove returns about how many times were longer than d.
+// CountAbove returns an estimate of the number of durations longer than d, interpolated within a bin.
 func (h *Histogram) CountAbove(d time.Duration) float64 {
 	above := 0.0
 	low := time.Duration(0)
--- a/internal/histogram/histogram_test.go
+++ b/internal/histogram/histogram_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// filled returns a histogram of 100 times: 90 of 1.5 ms and 10 of 100 ms.
+// filled returns a histogram of 100 samples: 90 of 1.5 ms and 10 of 100 ms.
 func filled() *Histogram {
 	var h Histogram
 	for range 90 {
@@ -17,7 +17,7 @@
 	return &h
 }
 
-func TestQuantileLiesWithinTheBin(t *testing.T) {
+func TestQuantileInterpolatesWithinBin(t *testing.T) {
 	h := filled()
 	if got := h.Quantile(0.45, 0); got != 1500*time.Microsecond {
 		t.Errorf("half of the bin from 1 to 2 ms: %v", got)
@@ -27,24 +27,24 @@
 	}
 }
 
-func TestQuantileOfFewTimesIsTheDefault(t *testing.T) {
+func TestQuantileOfTooFewSamplesIsFallback(t *testing.T) {
 	var h Histogram
 	for range minSamples - 1 {
 		h.Observe(time.Second)
 	}
 	if got := h.Quantile(0.5, time.Minute); got != time.Minute {
-		t.Errorf("%v of %d times", got, minSamples-1)
+		t.Errorf("got %v for %d samples", got, minSamples-1)
 	}
 }
 
-// A histogram that decayed to nothing would tell no quantiles until new times came.
-func TestDecayLeavesEnoughForQuantiles(t *testing.T) {
+// A histogram that decayed to empty would have no quantiles until new samples arrived.
+func TestDecayKeepsEnoughSamplesForQuantiles(t *testing.T) {
 	h := filled()
 	for range 100 {
 		h.Decay()
 	}
 	if got := h.total(); got < minSamples-2 || got >= 2*minSamples {
-		t.Errorf("%v times are left", got)
+		t.Errorf("%v samples are left", got)
 	}
 }
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// Times beyond the last bin, and those of a clock that went back, are counted as the longest and the shortest.
-func TestTimesOutOfRangeAreCounted(t *testing.T) {
+// Durations beyond the last bin count in the last bin; negative ones, from a clock that went back, count in the first.
+func TestDurationsOutOfRangeAreCounted(t *testing.T) {
 	var h Histogram
 	h.Observe(-time.Second)
 	h.Observe(time.Hour)
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,5 +1,5 @@
-// Package idletimeout decides how long a node keeps a connection to a cache that nobody uses. It does no I/O and takes
-// the time as an argument: the proxy and the simulation go by it alike.
+// Package idletimeout decides how long a node keeps idle connections to caches. It does no I/O and takes the time as an
+// argument, so that the proxy and the simulation share it.
 package idletimeout
 
 import (
@@ -9,41 +9,42 @@
 )
 
 const (
-	// safeShare is the share of a cache's stated idle limit after which a connection is closed here, so that the
-	// cache's close doesn't cross an attempt on its way.
-	safeShare = 0.8
-	// defaultTimeout holds where no limit is stated.
+	// safetyFactor is the fraction of a cache's stated idle limit after which the node closes a connection, so that the
+	// cache does not close it while an attempt is being sent.
+	safetyFactor = 0.8
+	// defaultTimeout applies if no limit is stated.
 	defaultTimeout = 10 * time.Second
-	// minTimeout holds however full caches are: with a shorter one most attempts would need a new connection.
+	// minTimeout applies however many caches are full. With a shorter timeout most attempts would need a new
+	// connection.
 	minTimeout = time.Second
-	// shrinkFactor is how many times shorter each full cache makes the timeout.
+	// shrinkFactor divides the timeout each time a cache is found full.
 	shrinkFactor = 2
-	// regrowInterval is the time in which the timeout grows by shrinkFactor while no cache is full.
+	// regrowInterval is the time after which the timeout grows by shrinkFactor if no cache was full.
 	regrowInterval = 10 * time.Second
 )
 
-// Timeout is how long idle connections are kept.
+// Timeout is the adaptive idle timeout of connections.
 //
-// Guards against nodes that keep connections from one another: a cache holds a limited number, which all nodes share
-// without seeing each other. Where some keep theirs for long, for an attempt in some seconds, there are none left for
-// the others, whose connects and health checks fail.
+// A cache accepts a limited number of connections, which all nodes share without knowledge of each other. If some nodes
+// held idle connections for long, for an attempt every few seconds, none would be left for the others, whose connects
+// and health checks would fail.
 type Timeout struct {
-	base       time.Duration // while no cache is full
-	divisor    float64       // of base, at present; at least 1
+	base       time.Duration // timeout while no cache is full
+	divisor    float64       // current divisor of base; at least 1
 	adjustedAt monotime.Instant
 }
 
-// New returns the timeout under a stated idle limit of caches; 0 for none.
+// New returns a Timeout for the stated idle limit of caches; 0 means that none is stated.
 func New(limit time.Duration) Timeout {
 	t := Timeout{base: defaultTimeout, divisor: 1}
 	if limit > 0 {
-		t.base = time.Duration(safeShare * float64(limit))
+		t.base = time.Duration(safetyFactor * float64(limit))
 	}
 	return t
 }
 
-// OnServerFull tells that a cache had no room for a connection though it lives, as another connection to it is up; a
-// cache that refuses while it is down is none. It reports whether the timeout is shorter for it.
+// OnServerFull records that a cache refused a connection although it is alive, as shown by another open connection to
+// it; refusals by a cache that is down do not count. It reports whether the timeout became shorter.
 func (t *Timeout) OnServerFull(now monotime.Instant) bool {
 	t.regrow(now)
 	before := t.divisor
@@ -53,13 +54,13 @@
 	return t.divisor > before
 }
 
-// Current returns the timeout at present.
+// Current returns the timeout at now.
 func (t *Timeout) Current(now monotime.Instant) time.Duration {
 	t.regrow(now)
 	return time.Duration(float64(t.base) / t.divisor)
 }
 
-// regrow lets the timeout grow back in whole intervals, so that it doesn't matter how often it is asked.
+// regrow lets the timeout grow back in whole intervals, so that the result does not depend on how often it is called.
 func (t *Timeout) regrow(now monotime.Instant) {
 	for t.divisor > 1 && now.Since(t.adjustedAt) >= regrowInterval {
 		t.divisor = max(1, t.divisor/shrinkFactor)
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -7,16 +7,16 @@
 	"dahliapin/internal/monotime"
 )
 
-// Caches are full for a while. A timeout that never grew back would cost a handshake an attempt for ever; one that
-// grew back while caches are full would leave no connections to other nodes.
+// Caches are full for a while. A timeout that never grew back would cost a handshake for each attempt from then on; one
+// that grew back while caches are still full would leave no connections to other nodes.
 func TestTimeoutGrowsBackAfterTheLastFullCache(t *testing.T) {
 	timeout := New(15 * time.Second)
 	fullUntil := monotime.Instant(2 * regrowInterval)
 	for now := monotime.Instant(0); now < monotime.Instant(12*regrowInterval); now = now.Add(100 * time.Millisecond) {
 		full := now <= fullUntil
-		isFirst := now < monotime.Instant(400*time.Millisecond) // it is at its least after four
+		isFirst := now < monotime.Instant(400*time.Millisecond) // minTimeout is reached after four calls
 		if full && timeout.OnServerFull(now) != isFirst {
-			t.Fatalf("%v: a full cache tells that it is shorter, or not, wrongly", time.Duration(now))
+			t.Fatalf("%v: OnServerFull misreported whether the timeout became shorter", time.Duration(now))
 		}
 		got := timeout.Current(now)
 		if full && now > monotime.Instant(time.Second) && got != minTimeout {
