--- a/internal/keyhash/keyhash.go
+++ b/internal/keyhash/keyhash.go
@@ -1,5 +1,5 @@
-// Package keyhash hashes names alike in every process, and draws random numbers that a seed and a counter determine.
-// Placement of keys, rings of neighbours and all draws of decisions go by it: its values must never change.
+// Package keyhash provides hashes that are the same in every process, and random numbers determined by a seed and a
+// counter. Key placement, neighbour rings and all random decisions depend on it, so its values must never change.
 package keyhash
 
 import (
@@ -7,28 +7,28 @@
 	"hash/crc32"
 )
 
-// Mix spreads the bits of x (splitmix64's finalizer). CRC32 would not do: it is linear, so that its values under two
-// salts depend on each other.
+// Mix is the finalizer of splitmix64. CRC32 is no substitute: it is linear, so that its values under two salts would be
+// correlated.
 func Mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Salted returns one of many independent hashes of h.
+// Salted returns the hash of h under a salt. Hashes under different salts are independent.
 func Salted(h uint64, salt int) uint64 { return Mix(h ^ Salt(salt)) }
 
-// Salt spreads the number of a salt over all bits: Salted(h, n) is Mix(h ^ Salt(n)). Callers that hash much by the same
-// salts keep it.
+// Salt spreads a salt's number over all bits: Salted(h, n) is Mix(h ^ Salt(n)). Callers that often hash with the same
+// salts precompute it.
 func Salt(n int) uint64 { return Mix(uint64(n+1) * 0x9e3779b97f4a7c15) }
 
-// The parameters of the hash FNV-1a.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// String returns the hash of a name: FNV-1a, mixed.
+// String returns the FNV-1a hash of a name, passed through Mix.
 func String(s string) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(s); i++ {
@@ -37,16 +37,17 @@
 	return Mix(h)
 }
 
-// Source draws random numbers. Sources with the same seed draw the same numbers. The zero Source has the seed 0.
+// Source is a pseudo-random number generator. Sources with equal seeds yield equal sequences. The zero Source has seed
+// 0.
 type Source struct {
 	Seed  uint32
-	drawn uint32 // numbers drawn until now
+	drawn uint32 // numbers drawn so far
 }
 
-// Float64 returns a number from 0 up to, but not including, 1.
+// Float64 returns a pseudo-random number in [0, 1).
 //
-// Without Mix, as CRC32 is linear, draws that follow a low one would not be independent: an admission with a
-// probability of 15% that draws three more numbers for each request which it admits would admit 10%.
+// Because CRC32 is linear, draws after a low one would not be independent without Mix: an admission check with a
+// probability of 15% that draws three more numbers for each admitted request would admit 10%.
 func (s *Source) Float64() float64 {
 	var b [8]byte
 	s.drawn++
--- a/internal/keyhash/keyhash_test.go
+++ b/internal/keyhash/keyhash_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A caller that draws more numbers where a draw was low, as an admission does for each request that it admits, got 10%
-// in place of 15% from a source whose numbers depended on each other.
-func TestDrawsAfterALowOneAreIndependent(t *testing.T) {
+// An admission check draws more numbers after each low one, for the request that it admits. With correlated numbers a
+// probability of 15% came out as 10%.
+func TestDrawsAfterLowDrawAreIndependent(t *testing.T) {
 	source := Source{Seed: 12345}
 	low := 0
 	for range 20000 {
@@ -16,12 +16,12 @@
 		}
 	}
 	if low < 2800 || low > 3200 {
-		t.Errorf("a probability of 15%% came true %d times in 20000", low)
+		t.Errorf("%d of 20000 draws are below 15%%", low)
 	}
 }
 
-// Processes of different versions share placement and rings: the values are part of the protocol between them.
-func TestValuesDoNotChange(t *testing.T) {
+// Processes of different versions share placement and rings, so the hash values are part of their protocol.
+func TestHashValuesAreStable(t *testing.T) {
 	if got := String("user:1"); got != 0x3290bc1a92ad86c2 {
 		t.Errorf("String: %#x", got)
 	}
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -1,23 +1,23 @@
-// Package slotmap keeps values in numbered slots. An id holds its slot's number and how often that slot was given out,
-// so that a late event for a value that is gone finds nothing, though its slot is in use again.
+// Package slotmap stores values in numbered slots. An id combines the index and the generation of a slot, so that a
+// late event for a removed value finds nothing even if its slot has been reused.
 package slotmap
 
 // Table holds values of type T under ids of type K. The zero id finds nothing. The zero Table is empty and ready for
 // use.
 type Table[K ~uint64, T any] struct {
 	slots []*slot[T]
-	free  []uint32 // numbers of slots that are not in use
+	free  []uint32 // indexes of unused slots
 }
 
 type slot[T any] struct {
 	generation uint32 // odd while the slot is in use
-	value      *T     // nil while it isn't
+	value      *T     // nil while the slot is unused
 }
 
-// id makes the id of a slot in its present generation.
+// id returns the id of a slot in the given generation.
 func id[K ~uint64](generation, index uint32) K { return K(generation)<<32 | K(index) }
 
-// Add keeps a value and returns its id.
+// Add stores a value and returns its id.
 func (t *Table[K, T]) Add(value *T) K {
 	if len(t.free) == 0 {
 		t.free = append(t.free, uint32(len(t.slots)))
@@ -31,7 +31,7 @@
 	return id[K](s.generation, index)
 }
 
-// Get returns the value of an id, or nil once it was removed.
+// Get returns the value with the given id, or nil if it has been removed.
 func (t *Table[K, T]) Get(k K) *T {
 	index := uint32(k)
 	if int(index) < len(t.slots) && t.slots[index].generation == uint32(k>>32) {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Remove drops a value; an id whose value is gone is ignored.
+// Remove removes a value. It does nothing if the value has already been removed.
 func (t *Table[K, T]) Remove(k K) {
 	if t.Get(k) == nil {
 		return
@@ -54,7 +54,7 @@
 // Len returns the number of values.
 func (t *Table[K, T]) Len() int { return len(t.slots) - len(t.free) }
 
-// Each calls f for every value, in the order of the slots. f may remove values.
+// Each calls f for every value, in slot order. f may remove values.
 func (t *Table[K, T]) Each(f func(K, *T)) {
 	for index, s := range t.slots {
 		if s.value != nil {
--- a/internal/slotmap/slotmap_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// An event that arrives late for a value which is gone, after its slot was given out again, must not reach the new
-// value.
-func TestOldIDsFindNothing(t *testing.T) {
+// A late event for a removed value must not reach the value that reuses its slot.
+func TestStaleIDsFindNothing(t *testing.T) {
 	var table Table[uint64, int]
 	one, two := 1, 2
 	first := table.Add(&one)
@@ -12,16 +11,16 @@
 	table.Remove(first)
 	second := table.Add(&two)
 	if uint32(first) != uint32(second) {
-		t.Fatalf("the slot is not given out again: %x and %x", first, second)
+		t.Fatalf("the slot is not reused: ids %x and %x", first, second)
 	}
 	if table.Get(first) != nil || table.Get(0) != nil {
-		t.Errorf("found: %v by the old id, %v by the zero id", table.Get(first), table.Get(0))
+		t.Errorf("got %v for the stale id, %v for the zero id", table.Get(first), table.Get(0))
 	}
 	if *table.Get(second) != 2 || table.Len() != 1 {
-		t.Errorf("%v of %d values", *table.Get(second), table.Len())
+		t.Errorf("got value %v, with %d values in the table", *table.Get(second), table.Len())
 	}
 	table.Remove(second)
 	if table.Get(second) != nil || table.Len() != 0 {
-		t.Error("a value is left")
+		t.Error("the value is still in the table after Remove")
 	}
 }
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,18 +1,18 @@
-// Package timerqueue has the ordered queue that a program's timers are kept in.
+// Package timerqueue provides a priority queue for timers.
 package timerqueue
 
 import "dahliapin/internal/monotime"
 
-// Queue hands out events by time, and events of the same time in the order in which they were pushed. Events can't be
-// cancelled: the caller passes over those that have become void. The zero Queue is empty and ready for use.
+// Queue returns events ordered by time, and events with equal times in the order in which they were pushed. Events
+// cannot be cancelled: the caller ignores those that are no longer valid. The zero Queue is empty and ready for use.
 type Queue[E any] struct {
-	heap   []entry[E] // binary heap, the next event first
-	pushes uint64     // until now
+	heap   []entry[E] // binary heap, earliest event first
+	pushes uint64     // number of pushes so far
 }
 
 type entry[E any] struct {
 	at    monotime.Instant
-	push  uint64 // its number among all pushes
+	push  uint64 // sequence number, orders events with equal times
 	event E
 }
 
@@ -20,8 +20,8 @@
 	return e.at < o.at || e.at == o.at && e.push < o.push
 }
 
-// Push adds an event that is due at an instant. The heap is the package's own, as that of the standard library takes
-// each entry as an interface: an allocation each.
+// Push adds an event that is due at an instant. The package has its own heap because container/heap takes each entry as
+// an interface, which costs an allocation.
 func (q *Queue[E]) Push(at monotime.Instant, event E) {
 	q.pushes++
 	q.heap = append(q.heap, entry[E]{at: at, push: q.pushes, event: event})
@@ -35,7 +35,7 @@
 	}
 }
 
-// Next returns when the next event is due, and false where there is none.
+// Next returns the time at which the next event is due, and false if the queue is empty.
 func (q *Queue[E]) Next() (monotime.Instant, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -43,7 +43,7 @@
 	return q.heap[0].at, true
 }
 
-// PopDue takes out the next event that is due by now, and returns false where none is.
+// PopDue removes and returns the next event that is due by now, or returns false if none is due.
 func (q *Queue[E]) PopDue(now monotime.Instant) (event E, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return event, false
@@ -51,13 +51,13 @@
 	event = q.heap[0].event
 	last := len(q.heap) - 1
 	q.heap[0] = q.heap[last]
-	q.heap[last] = entry[E]{} // lets go of what the event refers to
+	q.heap[last] = entry[E]{} // releases references held by the event
 	q.heap = q.heap[:last]
 	q.siftDown()
 	return event, true
 }
 
-// siftDown restores the heap where its first entry may be too late.
+// siftDown restores the heap order after the first entry was replaced.
 func (q *Queue[E]) siftDown() {
 	for i := 0; ; {
 		least := i
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -7,8 +7,8 @@
 	"dahliapin/internal/monotime"
 )
 
-// Events are handed out by time, those of the same time in order of pushing, and none early.
-func FuzzEventsAreInOrder(f *testing.F) {
+// Events are returned ordered by time, those with equal times in push order, and none before it is due.
+func FuzzEventsAreOrdered(f *testing.F) {
 	f.Add([]byte{3, 1, 2, 1, 255, 0})
 	f.Fuzz(func(t *testing.T, times []byte) {
 		var q Queue[int]
@@ -21,14 +21,14 @@
 		for _, want := range order {
 			at, _ := q.Next()
 			if _, early := q.PopDue(at - 1); early {
-				t.Fatal("handed out early")
+				t.Fatal("event returned before it was due")
 			}
 			if got, ok := q.PopDue(at); !ok || got != want || at != monotime.Instant(times[want]) {
 				t.Fatalf("got %d at %d, want %d", got, at, want)
 			}
 		}
 		if _, ok := q.Next(); ok {
-			t.Fatal("something is left")
+			t.Fatal("an event is left in the queue")
 		}
 	})
 }
