--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -1,7 +1,7 @@
-// Package loadgen sends requests to a node, or to anything that speaks its protocol, at a stated rate, and reports what
-// came of them. It is an open loop: a request is sent at its time whether or not earlier ones have been answered, and
-// its latency counts from when it was due, not from when it could be sent. So a stall is seen in all requests that fell
-// due in it (corrected for coordinated omission).
+// Package loadgen sends requests to a node, or to any server of the same protocol, at a given rate and reports the
+// outcomes. It is an open-loop generator: a request is sent when it is due whether or not earlier ones have been
+// answered, and its latency counts from the due time rather than the send time. A stall therefore shows in all requests
+// that became due during it (no coordinated omission).
 package loadgen
 
 import (
@@ -19,71 +19,71 @@
 )
 
 const (
-	// minLatency and maxLatency bound what the histograms tell apart, in nanoseconds.
+	// minLatency and maxLatency are the range of the histograms, in nanoseconds.
 	minLatency = int64(time.Microsecond)
 	maxLatency = int64(time.Minute)
-	// latencyDigits is the precision of the histograms, in decimal digits.
+	// latencyDigits is the precision of the histograms, in significant decimal digits.
 	latencyDigits = 3
-	// lateAfter is how long after its time a request may be sent.
+	// lateAfter is the delay after its due time above which a request counts as sent late.
 	lateAfter = 10 * time.Millisecond
-	// maxLateShare is the share of requests that may be sent later, before the machine was too busy.
+	// maxLateShare is the fraction of late requests above which the machine counts as too busy.
 	maxLateShare = 0.01
-	// spinBefore is the time before a request is due that is waited for by spinning, as timers wake up to a millisecond
-	// late.
+	// spinBefore is the time before a request is due at which the generator stops sleeping and spins, because timers
+	// fire up to a millisecond late.
 	spinBefore = 300 * time.Microsecond
 )
 
-// ClassResult is what became of the requests of one service class.
+// ClassResult counts the outcomes of the requests of one service class.
 type ClassResult struct {
 	Name      string
 	Sent      int64
 	Satisfied int64 // answered with a result
-	InTime    int64 // of these, within the class's latency objective
+	InTime    int64 // satisfied within the class's latency objective
 	Rejected  int64
 	Failed    int64
-	Cut       int64 // the connection ended without an answer
-	Silent    int64 // nothing came
-	Wrong     int64 // answers that are not as they should be
-	// Latency is the time from when satisfied requests were due to their answers, ServiceTime from when they were sent.
+	Cut       int64 // the connection closed before the response
+	Silent    int64 // no response arrived
+	Wrong     int64 // incorrect or unsolicited responses
+	// Latency is the time from a satisfied request's due time to its response, ServiceTime that from its send time.
 	Latency     *hdrhistogram.Histogram
 	ServiceTime *hdrhistogram.Histogram
 }
 
-// Result is what became of the requests of a run.
+// Result holds the outcomes of a run.
 type Result struct {
 	Classes  []ClassResult
 	Duration time.Duration
 	Sent     int64
-	SentLate int64 // over lateAfter after their time
+	SentLate int64 // more than lateAfter after their due time
 }
 
-// run is a run of the generator. mu guards the classes' results, which answers come to from several goroutines.
+// run is the state of one run. mu guards the class results, which several goroutines update as responses arrive.
 type run struct {
-	result  *Result
-	traffic *world.Traffic
-	pool    *client.Pool
-	began   time.Time
-	mu      sync.Mutex
-	pending sync.WaitGroup
+	result    *Result
+	traffic   *world.Traffic
+	pool      *client.Pool
+	startedAt time.Time
+	mu        sync.Mutex
+	pending   sync.WaitGroup
 }
 
-// Run sends traffic to an address for a duration, or until the context is done: by HTTP in the form of package client,
-// or by meta commands. It returns once all requests have ended.
+// Run sends traffic to an address for a duration, or until the context is done, either as HTTP requests in the form of
+// package client or as meta commands. It returns once all requests have completed.
 func Run(ctx context.Context, addr string, http bool, traffic *world.Traffic, duration time.Duration) *Result {
 	r := &run{
-		result:  newResult(traffic.Classes),
-		traffic: traffic,
-		pool:    &client.Pool{Addr: addr, HTTP: http},
-		began:   time.Now(),
+		result:    newResult(traffic.Classes),
+		traffic:   traffic,
+		pool:      &client.Pool{Addr: addr, HTTP: http},
+		startedAt: time.Now(),
 	}
 	for at := traffic.Next(0); time.Duration(at) < duration; at = traffic.Next(at) {
-		if !waitUntil(ctx, r.began.Add(time.Duration(at))) {
+		if !waitUntil(ctx, r.startedAt.Add(time.Duration(at))) {
 			break
 		}
 		r.send(at)
 	}
 	r.pending.Wait()
-	r.result.Duration = time.Since(r.began)
+	r.result.Duration = time.Since(r.startedAt)
 	r.pool.Close()
 	return r.result
 }
@@ -100,10 +100,10 @@
 	return result
 }
 
-// send sends the request that is due at a time since the run's beginning.
+// send sends the request that is due at the given time after the start of the run.
 func (r *run) send(at policy.Instant) {
 	drawn := r.traffic.Draw(at)
-	due := r.began.Add(time.Duration(at))
+	due := r.startedAt.Add(time.Duration(at))
 	class := &r.traffic.Classes[drawn.Class]
 	result := &r.result.Classes[drawn.Class]
 	r.result.Sent++
@@ -130,7 +130,7 @@
 	})
 }
 
-// waitUntil returns true at a time, or false once the context is done.
+// waitUntil waits until a time and returns true, or returns false if the context is done first.
 func waitUntil(ctx context.Context, until time.Time) bool {
 	if rest := time.Until(until); rest > spinBefore {
 		select {
@@ -174,10 +174,10 @@
 	record(c.ServiceTime, response.ReceivedAt.Sub(response.SentAt))
 }
 
-// record takes a duration into a histogram, whose only error is for one out of its bounds.
+// record adds a duration, clamped to the histogram's range; RecordValue fails only for values out of range.
 func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	_ = histogram.RecordValue(min(max(int64(duration), minLatency), maxLatency))
 }
 
-// TooBusy reports whether requests were sent too late for the figures to say anything of the node.
+// TooBusy reports whether too many requests were sent late for the results to be valid for the node.
 func (r *Result) TooBusy() bool { return float64(r.SentLate) > maxLateShare*float64(r.Sent) }
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -17,8 +17,8 @@
 	"dahliapin/policy"
 )
 
-// server answers every read, but nothing while it stalls.
-func server(t *testing.T, stalls func() <-chan time.Time) string {
+// startServer starts a server that answers every read once the channel returned by stalls is ready.
+func startServer(t *testing.T, stalls func() <-chan time.Time) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -65,11 +65,11 @@
 	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Classes: []world.Class{class}})
 }
 
-// A server that stops for 400 ms is to be seen in all that fell due meanwhile, and must not hold later arrivals back: a
-// closed loop would have asked some dozen times and called one of them slow.
-func TestAStallIsFeltByAllThatFellDueInIt(t *testing.T) {
+// A server stall of 400 ms must show in the latency of all requests that became due during it, and must not delay later
+// requests. A closed-loop generator would have sent about a dozen requests and measured one slow one.
+func TestStallShowsInAllRequestsDueDuringIt(t *testing.T) {
 	began, stalled := time.Now(), 400*time.Millisecond
-	addr := server(t, func() <-chan time.Time {
+	addr := startServer(t, func() <-chan time.Time {
 		return time.After(min(time.Until(began.Add(200*time.Millisecond+stalled)), stalled))
 	})
 	r := Run(context.Background(), addr, false, reads(200), time.Second)
@@ -91,20 +91,20 @@
 	}
 }
 
-// Broken off, it ends at once and tells what it has.
-func TestARunThatIsBrokenOffTellsWhatItHas(t *testing.T) {
+// A cancelled run ends at once and returns the results so far.
+func TestCancelledRunReturnsPartialResult(t *testing.T) {
 	ctx, stop := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer stop()
 	now := make(chan time.Time)
 	close(now)
-	r := Run(ctx, server(t, func() <-chan time.Time { return now }), false, reads(300), time.Minute)
+	r := Run(ctx, startServer(t, func() <-chan time.Time { return now }), false, reads(300), time.Minute)
 	if r.Sent < 10 || r.Duration > 10*time.Second || r.Classes[0].Sent != r.Sent {
 		t.Errorf("%+v", r)
 	}
 }
 
-// By HTTP the answers count as what they are, and a connection that the server ends is not used again.
-func TestHTTPAnswersCountAsWhatTheyAre(t *testing.T) {
+// HTTP responses are classified by status, and a connection that the server closes is not reused.
+func TestHTTPResponsesAreClassifiedByStatus(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := n.Add(1) % 10
