--- a/internal/syscallfault/calls_linux_amd64.go
+++ b/internal/syscallfault/calls_linux_amd64.go
@@ -2,19 +2,19 @@
 
 import "golang.org/x/sys/unix"
 
-// Call is a system call that can be made to fail.
+// Call describes a system call that can be made to fail.
 type Call struct {
 	Name       string
 	numbers    []uint64
-	descriptor int // position of the descriptor among its arguments; noDescriptor if it has none
-	size       int // position of the size of its buffer
+	descriptor int // index of the descriptor argument; noDescriptor if there is none
+	size       int // index of the buffer size argument
 }
 
 const noDescriptor = -1
 
 var epollWaits = []uint64{unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_PWAIT2}
 
-// The calls that can be made to fail.
+// The system calls that can be made to fail.
 var (
 	Accept     = Call{Name: "accept", numbers: []uint64{unix.SYS_ACCEPT, unix.SYS_ACCEPT4}}
 	NewSocket  = Call{Name: "socket", numbers: []uint64{unix.SYS_SOCKET}, descriptor: noDescriptor}
@@ -31,8 +31,8 @@
 	RemoteName = Call{Name: "getpeername", numbers: []uint64{unix.SYS_GETPEERNAME}}
 )
 
-// isNumber tells whether a system call with a number is the call.
-func (c *Call) isNumber(number uint64) bool {
+// hasNumber reports whether number is one of the call's system call numbers.
+func (c *Call) hasNumber(number uint64) bool {
 	for _, n := range c.numbers {
 		if n == number {
 			return true
@@ -41,7 +41,7 @@
 	return false
 }
 
-// applies tells whether the call is what it is named after: epoll_ctl is, where it adds a descriptor.
+// applies reports whether a call with these arguments is meant; of epoll_ctl only EPOLL_CTL_ADD is.
 func (c *Call) applies(arguments [6]uint64) bool {
 	return c.numbers[0] != unix.SYS_EPOLL_CTL || arguments[1] == unix.EPOLL_CTL_ADD
 }
--- a/internal/syscallfault/doc.go
+++ b/internal/syscallfault/doc.go
@@ -1,9 +1,10 @@
-// Package syscallfault makes system calls of a running process fail, for tests. It is no part of the product.
+// Package syscallfault injects failures into the system calls of a running process. It is for tests only and not part
+// of the product.
 //
 // A Tracer attaches to a process with ptrace and stops each of its threads at the entry and the exit of each system
-// call. A call that an Injection applies to is not made: the kernel is told to skip it, and the process sees the error
-// that the injection names. So it applies to calls that no seam in Go reaches: those of the runtime and of libraries.
+// call. The kernel skips a call selected by the Injection, and the process sees the error that the rule names. This
+// reaches calls that cannot be intercepted in Go, such as those of the runtime and of libraries.
 //
-// What it cannot do: a call that waits in the kernel is not ended with an error, only the next one fails; and an error
-// that goes with a change in the kernel (a connection that is reset) comes without that change.
+// Limitations: a call that already blocks in the kernel is not interrupted, only the next one fails; and an error that
+// normally comes with a state change in the kernel, such as a connection reset, occurs without that change.
 package syscallfault
--- a/internal/syscallfault/rule.go
+++ b/internal/syscallfault/rule.go
@@ -7,43 +7,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is what is known of the descriptor that a call is about. Ports that it has not are 0.
+// Socket describes the socket that a call operates on. Unknown ports are 0.
 type Socket struct {
 	Listening bool
 	LocalPort int
-	PeerPort  int // of connect, the port that is called
+	PeerPort  int // for connect, the destination port
 }
 
-// Schedule says which of the calls that a rule matches fail.
+// Schedule selects which of the calls matched by a rule fail.
 type Schedule struct {
-	Every       int           // each so many matching calls; 0 and 1 are all of them
-	Limit       int           // so many calls at most; 0 is no limit
-	Duration    time.Duration // from the first call that fails; 0 is no limit
-	MinInterval time.Duration // at least so long between two calls that fail
+	Every       int           // every n-th matching call fails; 0 and 1 mean all
+	Limit       int           // maximum number of failed calls; 0 means no limit
+	Duration    time.Duration // time from the first failed call; 0 means no limit
+	MinInterval time.Duration // minimum time between two failed calls
 }
 
-// Rule says which system calls are to fail, and how.
+// Rule specifies which system calls fail, and how.
 type Rule struct {
 	Call     Call
-	Errno    unix.Errno        // 0: the call is made, with a buffer of one byte
-	Match    func(Socket) bool // nil for any descriptor, and for calls that have none
+	Errno    unix.Errno        // 0: the call is made with a buffer of one byte
+	Match    func(Socket) bool // nil matches any descriptor, and calls without one
 	Schedule Schedule
 }
 
-// Injection is a rule that is in force, and what it has done so far.
+// Injection is an active rule with its state.
 type Injection struct {
 	rule     Rule
 	now      func() time.Time
 	matched  int
-	first    time.Time // when a call failed first
-	last     time.Time
+	first    time.Time // time of the first failed call
+	last     time.Time // time of the most recent failed call
 	injected atomic.Int64
 }
 
-// Injected returns how many calls have failed by the injection.
+// Injected returns the number of calls that the injection has made fail.
 func (i *Injection) Injected() int { return int(i.injected.Load()) }
 
-// due tells whether a call that the rule matches is to fail, and counts it.
+// due counts a call that matches the rule and reports whether it must fail.
 func (i *Injection) due() bool {
 	s := i.rule.Schedule
 	i.matched++
--- a/internal/syscallfault/rule_test.go
+++ b/internal/syscallfault/rule_test.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// The calls come every millisecond.
-func TestSchedules(t *testing.T) {
+// Matching calls arrive every millisecond.
+func TestScheduleSelectsCalls(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		schedule Schedule
-		fail     string // 1 for each call that fails
+		fail     string // one digit per call, 1 if it fails
 	}{
 		{"each", Schedule{}, "111111111111"},
 		{"once", Schedule{Limit: 1}, "100000000000"},
@@ -34,7 +34,7 @@
 				now = now.Add(time.Millisecond)
 			}
 			if got != test.fail {
-				t.Errorf("%s fail, not %s", got, test.fail)
+				t.Errorf("failed calls are %s, want %s", got, test.fail)
 			}
 		})
 	}
--- a/internal/syscallfault/socket_linux_amd64.go
+++ b/internal/syscallfault/socket_linux_amd64.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// sockaddrBytes is the size of the longest address of an IP socket.
+// sockaddrBytes is the size of the largest IP socket address.
 const sockaddrBytes = unix.SizeofSockaddrInet6
 
-// socketOf returns what the descriptor of a call is, and whether it is a socket of TCP.
+// socketOf describes the descriptor argument of a call, and returns false if it is not a stream socket.
 func (t *Tracer) socketOf(call *Call, arguments [6]uint64) (Socket, bool) {
 	if call.descriptor == noDescriptor {
 		return Socket{}, true
@@ -47,7 +47,7 @@
 	return 0
 }
 
-// portAt returns the port of an address in the memory of the process.
+// portAt returns the port of a socket address in the memory of the process, or 0 if it cannot be read.
 func (t *Tracer) portAt(at uintptr) int {
 	var raw [sockaddrBytes]byte
 	local := []unix.Iovec{{Base: (*byte)(unsafe.Pointer(&raw)), Len: 4}}
--- a/internal/syscallfault/tracer_linux_amd64.go
+++ b/internal/syscallfault/tracer_linux_amd64.go
@@ -18,31 +18,31 @@
 const (
 	traceOptions = unix.PTRACE_O_TRACESYSGOOD | unix.PTRACE_O_TRACECLONE
 
-	// syscallStop is the signal of a stop at a system call, with PTRACE_O_TRACESYSGOOD.
+	// syscallStop is the stop signal at a system call under PTRACE_O_TRACESYSGOOD.
 	syscallStop = unix.SIGTRAP | 0x80
 
-	// skippedCall is the number of a call that the kernel does not make.
+	// skippedCall is an invalid system call number, which makes the kernel skip the call.
 	skippedCall = ^uint64(0)
 
-	// oneByte is the size of the buffer of a short call.
-	oneByte = 1
+	// shortBufferSize is the buffer size of a call that is made short.
+	shortBufferSize = 1
 )
 
-// ErrNotPermitted says that the kernel lets no process trace another here.
-var ErrNotPermitted = errors.New("this system does not let a process trace another")
+// ErrNotPermitted reports that the system does not permit tracing another process.
+var ErrNotPermitted = errors.New("tracing another process is not permitted on this system")
 
-// Tracer traces a process until that ends.
+// Tracer traces a process until that process ends.
 type Tracer struct {
 	pid     int
 	pidfd   int
 	calls   atomic.Int64
-	skipped map[int]unix.Errno // by thread, the error of the call that it is in; the tracing thread's
+	skipped map[int]unix.Errno // by thread, the error for its skipped call; used by the tracing thread only
 
 	mu        sync.Mutex
 	injection *Injection
 }
 
-// Attach begins to trace a process, which has to lead a process group of its own.
+// Attach starts tracing a process, which must be the leader of its own process group.
 func Attach(pid int) (*Tracer, error) {
 	pidfd, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return t, nil
 }
 
-// Inject puts a rule into force, in the place of the one before.
+// Inject activates a rule, replacing the previous one.
 func (t *Tracer) Inject(rule Rule) *Injection {
 	i := &Injection{rule: rule, now: time.Now}
 	t.mu.Lock()
@@ -67,17 +67,17 @@
 	return i
 }
 
-// Clear ends the injection.
+// Clear deactivates the current rule.
 func (t *Tracer) Clear() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.injection = nil
 }
 
-// Calls returns how many system calls the process has made since it is traced.
+// Calls returns the number of system calls that the process has made while being traced.
 func (t *Tracer) Calls() int64 { return t.calls.Load() }
 
-// run traces. All of it has to be done by one thread of the system.
+// run is the tracing loop. ptrace requires all requests to come from the OS thread that attached.
 func (t *Tracer) run(attached chan<- error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -92,7 +92,7 @@
 		thread, err := unix.Wait4(-t.pid, &status, unix.WALL, nil)
 		switch {
 		case errors.Is(err, unix.EINTR):
-		case err != nil: // the process is gone
+		case err != nil: // the process has ended
 			return
 		case status.Stopped():
 			t.resume(thread, status)
@@ -102,8 +102,8 @@
 	}
 }
 
-// attachThreads attaches to all threads there are. It looks until it finds none that is new: those that a thread
-// starts are attached by themselves only once it is.
+// attachThreads attaches to all threads of the process. It repeats until it finds no new ones, because only threads
+// that are started by an attached thread are attached automatically.
 func (t *Tracer) attachThreads() error {
 	seen := map[int]bool{}
 	for found := true; found; {
@@ -126,16 +126,16 @@
 	return nil
 }
 
-// seize attaches to a thread and stops it, so that it can be continued to its next system call.
+// seize attaches to a thread and interrupts it, so that it can be resumed until its next system call.
 func seize(thread int) error {
 	_, _, errno := unix.Syscall6(unix.SYS_PTRACE, unix.PTRACE_SEIZE, uintptr(thread), 0, traceOptions, 0, 0)
 	switch errno {
 	case 0:
 		return unix.PtraceInterrupt(thread)
-	case unix.ESRCH: // it has ended
+	case unix.ESRCH: // the thread has ended
 		return nil
 	case unix.EPERM:
-		if isTraced(thread) { // by the thread that has started it
+		if isTraced(thread) { // attached automatically through its parent thread
 			return nil
 		}
 		return ErrNotPermitted
@@ -143,39 +143,39 @@
 	return fmt.Errorf("cannot trace thread %d: %w", thread, errno)
 }
 
-// isTraced tells whether a thread is traced.
+// isTraced reports whether a thread is being traced or has ended.
 func isTraced(thread int) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", thread))
 	if err != nil {
-		return true // it has ended
+		return true // the thread has ended
 	}
 	return !bytes.Contains(status, []byte("TracerPid:\t0\n"))
 }
 
-// resume handles a thread's stop and lets it go on.
+// resume handles a thread's stop and resumes the thread.
 func (t *Tracer) resume(thread int, status unix.WaitStatus) {
 	const eventStop, eventShift = 128, 16
 	signal := 0
 	switch event := uint32(status) >> eventShift; {
-	case event == eventStop && status.StopSignal() != unix.SIGTRAP: // the process is stopped by a signal
+	case event == eventStop && status.StopSignal() != unix.SIGTRAP: // group-stop by a signal
 		_, _, _ = unix.Syscall6(unix.SYS_PTRACE, unix.PTRACE_LISTEN, uintptr(thread), 0, 0, 0, 0)
 		return
-	case event != 0: // a new thread, or a stop that was asked for
+	case event != 0: // a new thread, or a requested interrupt
 	case status.StopSignal() == syscallStop:
 		t.atSyscall(thread)
 	default:
 		signal = int(status.StopSignal())
 	}
-	_ = unix.PtraceSyscall(thread, signal) // it may have been killed meanwhile
+	_ = unix.PtraceSyscall(thread, signal) // fails if the thread was killed meanwhile
 }
 
-// syscallInfo is the kernel's struct ptrace_syscall_info.
+// syscallInfo mirrors the kernel's struct ptrace_syscall_info.
 type syscallInfo struct {
 	op        uint8
 	_         [3]uint8
 	arch      uint32
 	_         [2]uint64 // instruction and stack pointer
-	number    uint64    // at the entry
+	number    uint64    // valid at entry
 	arguments [6]uint64
 	_         [2]uint64
 }
@@ -204,12 +204,12 @@
 	}
 }
 
-// atEntry makes a call fail if the injection is due.
+// atEntry makes a call fail if the active rule selects it.
 func (t *Tracer) atEntry(thread int, info *syscallInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	i := t.injection
-	if i == nil || !i.rule.Call.isNumber(info.number) || !i.rule.Call.applies(info.arguments) {
+	if i == nil || !i.rule.Call.hasNumber(info.number) || !i.rule.Call.applies(info.arguments) {
 		return
 	}
 	if i.rule.Match != nil {
@@ -222,7 +222,7 @@
 		return
 	}
 	if i.rule.Errno == 0 {
-		changeRegisters(thread, func(r *unix.PtraceRegs) { r.Rdx = min(r.Rdx, oneByte) })
+		changeRegisters(thread, func(r *unix.PtraceRegs) { r.Rdx = min(r.Rdx, shortBufferSize) })
 		return
 	}
 	t.skipped[thread] = i.rule.Errno
--- a/internal/syscallfault/tracer_linux_amd64_test.go
+++ b/internal/syscallfault/tracer_linux_amd64_test.go
@@ -14,18 +14,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// asChild is a variable of the environment that makes the test's binary a process to trace.
-const asChild = "SYSCALLFAULT_TEST_CHILD"
+// childEnv is the environment variable that makes the test binary run as the traced child process.
+const childEnv = "SYSCALLFAULT_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asChild) != "" {
+	if os.Getenv(childEnv) != "" {
 		openSockets()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// openSockets opens a socket for each line of its input and tells the error.
+// openSockets opens a socket for each line of standard input and prints whether that failed with ENFILE.
 func openSockets() {
 	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -34,9 +34,9 @@
 	}
 }
 
-func TestACallFailsAsTheRuleSays(t *testing.T) {
+func TestTracerFailsCallsSelectedByRule(t *testing.T) {
 	child := exec.Command(os.Args[0])
-	child.Env = append(os.Environ(), asChild+"=1")
+	child.Env = append(os.Environ(), childEnv+"=1")
 	child.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	input, err := child.StdinPipe()
 	if err != nil {
@@ -78,6 +78,6 @@
 	}
 	tracer.Clear()
 	if want := "false false true false false"; strings.Join(got, " ") != want || injection.Injected() != 1 {
-		t.Errorf("it fails: %v, not %s; %d failed", got, want, injection.Injected())
+		t.Errorf("failures are %v, want %s; %d injected", got, want, injection.Injected())
 	}
 }
