--- a/internal/layout/docs_test.go
+++ b/internal/layout/docs_test.go
@@ -8,22 +8,21 @@
 	"testing"
 )
 
-// history are pages that tell of earlier versions, and keep the names of their time.
-var history = map[string]bool{"results.md": true, "ROADMAP.md": true}
+// historicalPages describe earlier versions and may name paths that no longer exist.
+var historicalPages = map[string]bool{"results.md": true, "ROADMAP.md": true}
 
-// quotedPath is a path of the repository between backquotes, with or without a file.
+// quotedPath matches a repository path in backquotes, of a directory or a file.
 var quotedPath = regexp.MustCompile("`((?:internal|policy|node|cmd|deploy|rehearsals|docs)/[A-Za-z0-9_./-]*)`")
 
-// After packages had moved, pages went on to name folders and files that were gone: who looked for them at night lost
-// the thread.
-func TestPagesNameOnlyPathsThatExist(t *testing.T) {
+// After packages had moved, pages still named removed directories and files, which misled readers who looked for them.
+func TestDocsNameOnlyExistingPaths(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/*.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	pages = append(pages, "../../README.md", "../../DEVELOPERS.md")
 	for _, page := range pages {
-		if history[filepath.Base(page)] {
+		if historicalPages[filepath.Base(page)] {
 			continue
 		}
 		text, err := os.ReadFile(page)
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -1,4 +1,4 @@
-// Package layout holds the test of which package may import which. It has no code of the product.
+// Package layout tests repository-wide rules, such as which package may import which. It has no product code.
 package layout
 
 import (
@@ -13,7 +13,7 @@
 
 const module = "dahliapin/"
 
-// layer is a part of the program. Packages belong to the layer with the longest matching folder.
+// layer is a part of the program. A package belongs to the layer of its longest matching path prefix in layerOf.
 type layer string
 
 const (
@@ -38,7 +38,8 @@
 	"cmd":                   commands, "internal/layout": commands,
 }
 
-// mayImport says what a layer imports beside itself and the small libraries. Nothing of the product imports the tools.
+// mayImport lists the layers each layer may import besides itself and the small libraries. No product code may import
+// the tools.
 var mayImport = map[layer][]layer{
 	small:      nil,
 	decisions:  nil,
@@ -53,7 +54,7 @@
 	commands:   {decisions, config, wire, discovery, membership, control, proxy, node, tools},
 }
 
-// exceptions are imports against the direction that stand until the packages are split; each names its reason.
+// exceptions lists imports against the direction, with reasons, that are tolerated until the packages are split.
 var exceptions = map[string]string{}
 
 type listedPackage struct {
@@ -61,7 +62,7 @@
 	Imports    []string
 }
 
-func TestImportsPointOneWay(t *testing.T) {
+func TestLayersImportOnlyAllowedLayers(t *testing.T) {
 	for _, p := range listPackages(t) {
 		from := strings.TrimPrefix(p.ImportPath, module)
 		for _, path := range p.Imports {
@@ -76,8 +77,8 @@
 	}
 }
 
-// The emulator is used by the scale experiments, not the other way round.
-func TestTheEmulatorDoesNotImportScale(t *testing.T) {
+// The scale experiments use the emulator, so the emulator must not import them.
+func TestEmulatorDoesNotImportScale(t *testing.T) {
 	for _, p := range listPackages(t) {
 		if !strings.HasPrefix(p.ImportPath, module+"internal/emulator") {
 			continue
--- a/internal/layout/wallclock_test.go
+++ b/internal/layout/wallclock_test.go
@@ -19,8 +19,8 @@
 	"testing"
 )
 
-// wallClockReads are the places that may read the wall clock, by file and what is read there, with the reason. All
-// others have to do with the monotonic clock alone, which no step of the wall clock moves.
+// wallClockReads lists the places that may read the wall clock, by file and function, with the reason. All other code
+// must use the monotonic clock, which steps of the wall clock do not affect.
 var wallClockReads = map[string]string{
 	"cmd/dahliapin/serve.go: Time.UnixNano":                  "the time of a record",
 	"internal/freshness/response.go: http.ParseTime":         "dates of HTTP are the wall clock's (RFC 9111, 4.2.3)",
@@ -33,24 +33,24 @@
 	"internal/proxy/sockets/listener.go: time.Unix":          "a deadline in the past, whatever the clock says",
 }
 
-// monotonic are the methods of time.Time that use the reading of the monotonic clock where there is one. All others
-// read the wall clock, or drop the monotonic reading.
-var monotonic = []string{"Add", "Sub", "Before", "After", "Compare", "Equal", "IsZero"}
+// monotonicMethods are the methods of time.Time that use the monotonic clock reading if there is one. All others use
+// the wall clock reading, or drop the monotonic one.
+var monotonicMethods = []string{"Add", "Sub", "Before", "After", "Compare", "Equal", "IsZero"}
 
-// monotonicFunctions are the functions outside of this module that return a time with a monotonic reading.
+// monotonicFunctions are the functions outside this module that return a time with a monotonic reading.
 var monotonicFunctions = []string{"time.Now", "Time.Add"}
 
-// clockCalls read the clock of the system past the package time.
+// clockCalls are functions that read the system clock without package time.
 var clockCalls = []string{"unix.ClockGettime", "unix.Gettimeofday", "unix.Time", "syscall.Gettimeofday", "syscall.Time"}
 
-// compiledPackage is what go list tells of a package.
+// compiledPackage is the output of go list for one package.
 type compiledPackage struct {
 	ImportPath, Dir, Export string
 	GoFiles                 []string
 }
 
-// Deadlines, windows, waits and graces are spans of real time, and a machine's wall clock may be stepped.
-func TestOnlyNamedPlacesReadTheWallClock(t *testing.T) {
+// Deadlines, windows, waits and grace periods are durations, which a step of the machine's wall clock must not change.
+func TestOnlyListedPlacesReadWallClock(t *testing.T) {
 	reads := map[string][]token.Position{}
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -81,18 +81,18 @@
 	}
 	for key, at := range reads {
 		if wallClockReads[key] == "" {
-			t.Errorf("%s reads the wall clock at %v; a span needs the monotonic one, by Sub or time.Since", key, at)
+			t.Errorf("%s reads the wall clock at %v; measure durations by the monotonic clock", key, at)
 		}
 	}
 	for key := range wallClockReads {
 		if reads[key] == nil {
-			t.Errorf("%s is named as a reader of the wall clock, and is none", key)
+			t.Errorf("%s is listed in wallClockReads but does not read the wall clock", key)
 		}
 	}
 }
 
-// The check finds each way to the wall clock, and lets spans by the monotonic clock pass.
-func TestReadsOfTheWallClockAreFound(t *testing.T) {
+// The check must find every kind of wall clock read and accept durations measured on the monotonic clock.
+func TestWallClockReadsAreFound(t *testing.T) {
 	const source = `package p
 
 import ("fmt"; "os"; "time"; "golang.org/x/sys/unix")
@@ -132,7 +132,7 @@
 	}
 }
 
-// isTool tells whether a file of the commands is a tool's: those run beside nodes, not in them.
+// isTool reports whether a file of cmd belongs to a tool, which runs beside nodes and not in them.
 func isTool(name string) bool {
 	toolFiles := []string{
 		"changes.go", "demo.go", "load.go", "nemesis.go", "rehearse.go", "reports.go", "scale.go", "scale_changes.go",
@@ -141,16 +141,16 @@
 	return filepath.Dir(name) == "cmd/dahliapin" && slices.Contains(toolFiles, filepath.Base(name))
 }
 
-// compiledPackages returns the programs' packages and all that they import, by path.
+// compiledPackages returns the packages of the commands and all their dependencies, by import path.
 func compiledPackages(t *testing.T) map[string]*compiledPackage {
 	t.Helper()
 	list := exec.Command("go", "list", "-deps", "-export", "-json=ImportPath,Dir,Export,GoFiles",
 		"dahliapin/cmd/...")
-	var complaints bytes.Buffer
-	list.Stderr = &complaints
+	var stderr bytes.Buffer
+	list.Stderr = &stderr
 	out, err := list.Output()
 	if err != nil {
-		t.Fatalf("%v: %s", err, complaints.String())
+		t.Fatalf("%v: %s", err, stderr.String())
 	}
 	packages := map[string]*compiledPackage{}
 	for decoder := json.NewDecoder(bytes.NewReader(out)); ; {
@@ -176,13 +176,13 @@
 	return files
 }
 
-// checkTypes finds out what the names in a package's files stand for.
+// checkTypes type-checks the files of a package and returns the resolved identifiers and expression types.
 func checkTypes(t *testing.T, set *token.FileSet, path string, files []*ast.File,
 	all map[string]*compiledPackage) *types.Info {
 	t.Helper()
 	open := func(path string) (io.ReadCloser, error) {
 		if all[path] == nil {
-			return nil, fmt.Errorf("%s is not listed", path)
+			return nil, fmt.Errorf("package %s is not in the output of go list", path)
 		}
 		return os.Open(all[path].Export)
 	}
@@ -194,14 +194,14 @@
 	return info
 }
 
-// clockRead is one place that reads the wall clock.
+// clockRead is a place that reads the wall clock.
 type clockRead struct {
 	what string
 	at   token.Pos
 }
 
-// wallClockReadsIn returns the reads in a file: uses of functions and methods, and times that are handed on as a value
-// of an interface, which is printed or encoded.
+// wallClockReadsIn returns the wall clock reads in a file: uses of functions and methods, and times passed as interface
+// values, which are then printed or encoded.
 func wallClockReadsIn(file *ast.File, info *types.Info) (reads []clockRead) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch n := node.(type) {
@@ -217,7 +217,7 @@
 	return reads
 }
 
-// readsWallClock tells of a function or method whether it reads the wall clock, or returns a time that has no monotonic
+// readsWallClock reports whether a function or method reads the wall clock, or returns a time without monotonic
 // reading.
 func readsWallClock(function *types.Func) bool {
 	name, signature := nameOf(function), function.Signature()
@@ -228,7 +228,7 @@
 		return false
 	}
 	if receiver := signature.Recv(); receiver != nil && isTime(receiver.Type()) {
-		return !slices.Contains(monotonic, function.Name())
+		return !slices.Contains(monotonicMethods, function.Name())
 	}
 	for result := range signature.Results().Variables() {
 		if isTime(result.Type()) && !slices.Contains(monotonicFunctions, name) {
@@ -238,7 +238,7 @@
 	return false
 }
 
-// timesAsInterfaces returns the arguments of a call that are times and become values of an interface.
+// timesAsInterfaces returns the arguments of a call that are times converted to interface values.
 func timesAsInterfaces(call *ast.CallExpr, info *types.Info) (reads []clockRead) {
 	signature, ok := info.Types[call.Fun].Type.(*types.Signature)
 	if !ok {
@@ -261,7 +261,7 @@
 	return reads
 }
 
-// nameOf is the name of a function with its package, or of a method with its type.
+// nameOf returns the name of a function qualified by its package, or of a method qualified by its type.
 func nameOf(function *types.Func) string {
 	if receiver := function.Signature().Recv(); receiver != nil {
 		if named, ok := types.Unalias(receiver.Type()).(*types.Named); ok {
--- a/rehearsals/rehearsals.go
+++ b/rehearsals/rehearsals.go
@@ -1,4 +1,4 @@
-// Package rehearsals holds the scripts that come with the program, so that they can be played by name.
+// Package rehearsals embeds the rehearsal scripts that are shipped with the program and can be run by name.
 package rehearsals
 
 import (
@@ -10,7 +10,7 @@
 //go:embed *.toml
 var files embed.FS
 
-// Names are the scripts there are.
+// Names returns the names of the embedded scripts.
 func Names() (names []string) {
 	paths, _ := fs.Glob(files, "*.toml")
 	for _, p := range paths {
@@ -19,7 +19,7 @@
 	return names
 }
 
-// Text is a script by its name.
+// Text returns the text of the script with the given name, and whether there is one.
 func Text(name string) ([]byte, bool) {
 	text, err := files.ReadFile(name + ".toml")
 	return text, err == nil
