--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -7,7 +7,7 @@
 	MaxAge               DeltaSeconds
 	SharedMaxAge         DeltaSeconds // s-maxage
 	MinFresh             DeltaSeconds
-	MaxStale             DeltaSeconds // MaxDeltaSeconds if given without a value
+	MaxStale             DeltaSeconds // MaxDelta if given without a value
 	StaleWhileRevalidate DeltaSeconds // RFC 5861
 	StaleIfError         DeltaSeconds // RFC 5861
 	NoStore              bool
@@ -29,7 +29,7 @@
 		switch {
 		case span == &d.MaxStale && !item.hasValue: // any staleness is accepted
 			span.Present = true
-			span.Duration = MaxDeltaSeconds
+			span.Duration = MaxDelta
 		case span != nil:
 			span.set(item.value, item.hasValue)
 		case flag != nil:
--- a/internal/freshness/directives_test.go
+++ b/internal/freshness/directives_test.go
@@ -13,7 +13,7 @@
 		if d != twice {
 			t.Fatal("parsing the line twice gave different directives")
 		}
-		if d.MaxAge.Present && !d.MaxAge.Invalid && (d.MaxAge.Duration < 0 || d.MaxAge.Duration > MaxDeltaSeconds) {
+		if d.MaxAge.Present && !d.MaxAge.Invalid && (d.MaxAge.Duration < 0 || d.MaxAge.Duration > MaxDelta) {
 			t.Fatal(d.MaxAge)
 		}
 	})
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxDeltaSeconds is the value that larger numbers of seconds are reduced to (1.2.2).
-const MaxDeltaSeconds = (1 << 31) * time.Second
+// MaxDelta is the value that larger numbers of seconds are reduced to (1.2.2).
+const MaxDelta = (1 << 31) * time.Second
 
 // DeltaSeconds is a number of seconds given by a directive or field.
 type DeltaSeconds struct {
@@ -27,9 +27,9 @@
 // allows reports whether s is valid and d does not exceed it.
 func (s DeltaSeconds) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
 
-// Seconds parses delta-seconds, which consist of digits only. Larger numbers are reduced to MaxDeltaSeconds.
+// Seconds parses delta-seconds, which consist of digits only. Larger numbers are reduced to MaxDelta.
 func Seconds(digits []byte) (time.Duration, bool) {
-	const most = int64(MaxDeltaSeconds / time.Second)
+	const most = int64(MaxDelta / time.Second)
 	if len(digits) == 0 {
 		return 0, false
 	}
@@ -43,5 +43,5 @@
 	return time.Duration(n) * time.Second, true
 }
 
-// bounded limits d to the range from 0 to MaxDeltaSeconds.
-func bounded(d time.Duration) time.Duration { return min(max(0, d), MaxDeltaSeconds) }
+// bounded limits d to the range from 0 to MaxDelta.
+func bounded(d time.Duration) time.Duration { return min(max(0, d), MaxDelta) }
