--- a/internal/linefile/linefile_test.go
+++ b/internal/linefile/linefile_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	fileName  = "records"
-	testLines = 6
-	forGood   = 1 << 30
+	fileName    = "records"
+	testLines   = 6
+	permanently = 1 << 30
 )
 
-// lineOf is a line that no part of it, and no two parts together, equals.
+// lineOf returns a test line that cannot be confused with a fragment or with a concatenation of fragments.
 func lineOf(i int) string { return fmt.Sprintf("<%d%s>", i, strings.Repeat("-", 10+i)) }
 
-// appendRun appends lines, and notes what the file said of each.
+// appendRun appends the test lines to a file and records the callbacks.
 type appendRun struct {
 	dir       string
 	openError error
-	failures  int    // times that lines began to be lost
-	reported  uint64 // lines lost, as was said on recovery
-	kept      []string
+	failures  int      // calls of OnFailing
+	reported  uint64   // sum of the counts passed to OnRecovered
+	written   []string // lines appended without a reported loss
 }
 
 func (r *appendRun) run() {
@@ -51,12 +51,12 @@
 	for i := range testLines {
 		f.Append([]byte(lineOf(i)))
 		if !failing {
-			r.kept = append(r.kept, lineOf(i))
+			r.written = append(r.written, lineOf(i))
 		}
 	}
 }
 
-// wholeLines are a file's lines that were given as they stand, and how many others it has.
+// wholeLines returns the complete test lines in a file, and the number of other lines.
 func wholeLines(t *testing.T, dir string) (whole []string, others int) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -75,7 +75,7 @@
 	return whole, others
 }
 
-// record records a run without faults.
+// record records the file system calls of a run without faults.
 func record(t *testing.T) *diskfault.Recording {
 	t.Helper()
 	run := appendRun{dir: diskfault.TempDir(t)}
@@ -86,10 +86,10 @@
 	return &recording
 }
 
-// The process is killed at each call, also with half a line written, and another one goes on with the file: it has all
-// lines of both, and a part of one at most. Before, the first line of the second process stood behind that part, and
-// neither could be read.
-func TestLinesSurviveAKillAtEachCall(t *testing.T) {
+// The process is killed at each call, also with a line half written, and another process continues the file: it must
+// contain all lines of both and at most one fragment. Previously the second process appended its first line directly to
+// the fragment, and neither could be parsed.
+func TestLinesSurviveKillAtAnyCall(t *testing.T) {
 	recording := record(t)
 	images := 0
 	for call := range recording.Calls {
@@ -101,8 +101,8 @@
 			before, _ := wholeLines(t, run.dir)
 			run.run()
 			got, others := wholeLines(t, run.dir)
-			want := append(before, run.kept...)
-			if !slices.Equal(got, want) || len(run.kept) != testLines || others > 1 {
+			want := append(before, run.written...)
+			if !slices.Equal(got, want) || len(run.written) != testLines || others > 1 {
 				t.Errorf("killed at call %d: %q and %d others, wanted %q; %v", call, got, others, want, run.openError)
 			}
 			images++
@@ -111,13 +111,13 @@
 	t.Logf("records: %d calls; %d images after a kill", len(recording.Calls), images)
 }
 
-// Each call fails: once, a few times, or from then on; at once, or after a part of a line. The lines that were kept are
-// there, each whole; the beginning of a loss is told once, and its end with the number of lines.
-func TestLinesSurviveAFaultAtEachCall(t *testing.T) {
+// Each call fails once, three times or permanently, before or after part of a line is written. Lines reported as written
+// must be complete in the file, OnFailing must be called once, and OnRecovered must get the number of lost lines.
+func TestLinesSurviveFaultAtAnyCall(t *testing.T) {
 	recording := record(t)
 	tried := 0
 	for call := range recording.Calls {
-		for _, failing := range []int{1, 3, forGood} {
+		for _, failing := range []int{1, 3, permanently} {
 			for _, written := range []int{0, len(recording.Calls[call].Data) / 2, len(recording.Calls[call].Data) - 1} {
 				run := appendRun{dir: diskfault.TempDir(t)}
 				calls := 0
@@ -139,26 +139,26 @@
 	t.Logf("records: %d calls, %d faults", len(recording.Calls), tried)
 }
 
-// checkAfterFault checks what a run with a fault left and said.
+// checkAfterFault checks the file and the callbacks of a run with a fault.
 func checkAfterFault(t *testing.T, what string, run *appendRun) {
 	t.Helper()
 	got, _ := wholeLines(t, run.dir)
-	for _, line := range run.kept {
+	for _, line := range run.written {
 		if !slices.Contains(got, line) {
 			t.Errorf("%s: %s is lost", what, line)
 		}
 	}
 	if run.openError != nil {
 		if strings.Contains(run.openError.Error(), "\n") {
-			t.Errorf("%s: more than a line: %v", what, run.openError)
+			t.Errorf("%s: error has more than one line: %v", what, run.openError)
 		}
 		return
 	}
-	lost := testLines - len(run.kept)
+	lost := testLines - len(run.written)
 	if run.failures > 1 || (lost > 0) != (run.failures == 1) {
-		t.Errorf("%s: %d lost, told %d times", what, lost, run.failures)
+		t.Errorf("%s: %d lines lost, OnFailing called %d times", what, lost, run.failures)
 	}
-	if recovered := slices.Contains(run.kept, lineOf(testLines-1)); recovered && run.reported != uint64(lost) {
-		t.Errorf("%s: %d lost, %d reported", what, lost, run.reported)
+	if recovered := slices.Contains(run.written, lineOf(testLines-1)); recovered && run.reported != uint64(lost) {
+		t.Errorf("%s: %d lines lost, %d reported", what, lost, run.reported)
 	}
 }
