--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -1,5 +1,5 @@
-// Package cachestub is a stand-in for a cache server as purges find it: it keeps which version of a value it has under
-// each key, and carries out the deletions of the memcache text protocol. It reports what it did, for a checker.
+// Package cachestub is a test double of a cache server as seen by purges: it stores a version per key and executes the
+// delete and flush commands of the memcache protocols. It reports each change for a checker.
 package cachestub
 
 import (
@@ -15,24 +15,24 @@
 // maxCommandSize bounds a command, in bytes.
 const maxCommandSize = 2048
 
-// Fault is what goes wrong with a cache's connections.
+// Fault is a failure mode of a cache's connections.
 type Fault int
 
 // The faults.
 const (
 	None              Fault = iota
-	Silent                  // it reads nothing and answers nothing, as one that hangs or is cut off
+	Silent                  // commands are neither executed nor answered, as with a hung or partitioned process
 	Refuse                  // connections are closed at once
-	Garbage                 // it answers what is no answer, and does nothing
-	Busy                    // it answers that it has too much to do, and does nothing
-	CloseAfterCommand       // it ends the connection with each command, which it has carried out
+	Garbage                 // every command is answered with invalid bytes and not executed
+	Busy                    // every command is answered with SERVER_ERROR and not executed
+	CloseAfterCommand       // every command is executed, then the connection is closed without an answer
 )
 
 // Cache is one cache server. Its methods may be called from any goroutine.
 type Cache struct {
 	name     string
 	now      func() policy.Instant
-	report   func(logtrace.CacheEvent) // nil for nobody
+	report   func(logtrace.CacheEvent) // may be nil
 	listener net.Listener
 	serving  sync.WaitGroup
 
@@ -44,7 +44,8 @@
 	conns        map[net.Conn]bool
 }
 
-// Open starts a cache server on loopback. It reports what it does, by the clock now, to report, which may be nil.
+// Open starts a cache server on loopback. Each change and each read is passed to report, which may be nil, with
+// the time that now returns.
 func Open(name string, now func() policy.Instant, report func(logtrace.CacheEvent)) (*Cache, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,40 +64,40 @@
 	return c, nil
 }
 
-// Name returns the name that it was opened with.
+// Name returns the name that was passed to Open.
 func (c *Cache) Name() string { return c.name }
 
-// Addr returns the address at which it listens.
+// Addr returns the listen address.
 func (c *Cache) Addr() string { return c.listener.Addr().String() }
 
-// Fill puts a version of a key's value in.
+// Fill stores a version of a key's value.
 func (c *Cache) Fill(key string, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.versions[key] = version
 }
 
-// Serve returns which version a reader gets; false for a miss.
+// Serve returns the version that a reader gets, or false for a miss.
 func (c *Cache) Serve(key string) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	version, found := c.versions[key]
 	if found {
-		c.did(logtrace.CacheEvent{Kind: logtrace.Served, Key: key, Version: version})
+		c.reportChange(logtrace.CacheEvent{Kind: logtrace.Served, Key: key, Version: version})
 	}
 	return version, found
 }
 
-// Restart empties it and ends its connections, as a process that starts anew.
+// Restart removes all values and closes all connections, as a process restart does.
 func (c *Cache) Restart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.versions)
-	c.did(logtrace.CacheEvent{Kind: logtrace.Emptied})
+	c.reportChange(logtrace.CacheEvent{Kind: logtrace.Emptied})
 	c.closeConns()
 }
 
-// SetFault sets what goes wrong, and the delay of each answer.
+// SetFault sets the failure mode and the delay of each answer.
 func (c *Cache) SetFault(fault Fault, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,22 +110,22 @@
 	}
 }
 
-// Close ends it.
+// Close stops the server and waits for its goroutines.
 func (c *Cache) Close() {
 	_ = c.listener.Close()
 	c.SetFault(Refuse, 0)
 	c.serving.Wait()
 }
 
-// closeConns ends all connections; under mu.
+// closeConns closes all connections. The caller holds mu.
 func (c *Cache) closeConns() {
 	for conn := range c.conns {
 		_ = conn.Close()
 	}
 }
 
-// did reports what it did; under mu.
-func (c *Cache) did(record logtrace.CacheEvent) {
+// reportChange passes a record to the report function. The caller holds mu.
+func (c *Cache) reportChange(record logtrace.CacheEvent) {
 	if c.report == nil {
 		return
 	}
@@ -143,7 +144,7 @@
 	}
 }
 
-// admit serves a connection, unless connections are refused.
+// admit starts serving a connection, or closes it if connections are refused.
 func (c *Cache) admit(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,9 +169,9 @@
 		if err != nil {
 			return
 		}
-		order, size := ParseCommand(line)
-		time.Sleep(c.awaitTurn(conn))
-		answer := c.carryOut(order, size > 0)
+		command, size := ParseCommand(line)
+		time.Sleep(c.awaitAnswering(conn))
+		answer := c.execute(command, size > 0)
 		if len(answer) == 0 {
 			return
 		}
@@ -180,8 +181,8 @@
 	}
 }
 
-// awaitTurn waits while the cache is silent and the connection is open. It returns the delay of the answer.
-func (c *Cache) awaitTurn(conn net.Conn) (delay time.Duration) {
+// awaitAnswering blocks while the cache is silent and the connection is open. It returns the delay before the answer.
+func (c *Cache) awaitAnswering(conn net.Conn) (delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.fault == Silent && c.conns[conn] {
@@ -193,8 +194,8 @@
 	return c.delay
 }
 
-// carryOut carries out a command and returns its answer; nothing if the connection ends instead.
-func (c *Cache) carryOut(order Command, isOrder bool) []byte {
+// execute executes a command and returns its answer, or nil if the connection is to be closed instead.
+func (c *Cache) execute(command Command, isCommand bool) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -202,19 +203,19 @@
 		return []byte("\x8c\xa1 no answer\r\n")
 	case c.fault == Busy:
 		return []byte("SERVER_ERROR busy\r\n")
-	case !isOrder:
+	case !isCommand:
 		return []byte("ERROR\r\n")
 	}
-	_, found := c.versions[order.Key]
-	if order.Flush {
+	_, found := c.versions[command.Key]
+	if command.Flush {
 		clear(c.versions)
-		c.did(logtrace.CacheEvent{Kind: logtrace.Emptied})
+		c.reportChange(logtrace.CacheEvent{Kind: logtrace.Emptied})
 	} else {
-		delete(c.versions, order.Key)
-		c.did(logtrace.CacheEvent{Kind: logtrace.Deleted, Key: order.Key})
+		delete(c.versions, command.Key)
+		c.reportChange(logtrace.CacheEvent{Kind: logtrace.Deleted, Key: command.Key})
 	}
 	if c.fault == CloseAfterCommand {
 		return nil
 	}
-	return order.Answer(found)
+	return command.Answer(found)
 }
--- a/internal/emulator/cachestub/cache_test.go
+++ b/internal/emulator/cachestub/cache_test.go
@@ -10,9 +10,9 @@
 	"dahliapin/policy"
 )
 
-func TestADeletionTakesTheValueAndSaysWhetherItWasThere(t *testing.T) {
-	var told []logtrace.CacheEventKind
-	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.CacheEvent) { told = append(told, x.Kind) })
+func TestDeleteRemovesValueAndAnswersWhetherItExisted(t *testing.T) {
+	var reported []logtrace.CacheEventKind
+	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.CacheEvent) { reported = append(reported, x.Kind) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,13 @@
 	in := bufio.NewReader(conn)
 	c.Fill("a", 1)
 	c.Fill("b", 1)
-	for _, x := range [][2]string{{"md a q O1f\r\n", "HD O1f\r\n"}, {"md a O20\r\n", "NF O20\r\n"}, {"mg b v\r\n", "ERROR\r\n"}, {"flush_all\r\n", "OK\r\n"}, {"md b O1\r\n", "NF O1\r\n"}} {
+	for _, x := range [][2]string{
+		{"md a q O1f\r\n", "HD O1f\r\n"},
+		{"md a O20\r\n", "NF O20\r\n"},
+		{"mg b v\r\n", "ERROR\r\n"},
+		{"flush_all\r\n", "OK\r\n"},
+		{"md b O1\r\n", "NF O1\r\n"},
+	} {
 		if _, err := conn.Write([]byte(x[0])); err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +39,7 @@
 			t.Errorf("%q: %q, %v", x[0], got, err)
 		}
 	}
-	if _, is := c.Serve("b"); is || len(told) != 4 || told[2] != logtrace.Emptied {
-		t.Errorf("%t, %v", is, told)
+	if _, is := c.Serve("b"); is || len(reported) != 4 || reported[2] != logtrace.Emptied {
+		t.Errorf("%t, %v", is, reported)
 	}
 }
--- a/internal/emulator/cachestub/order.go
+++ b/internal/emulator/cachestub/order.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Command is a deletion of a key's value, or a flush of all.
+// Command is a delete of one key or a flush of all keys.
 type Command struct {
 	Key   string
-	ID    string // by which the answer names the command
+	ID    string // the opaque token, which the answer repeats
 	Flush bool
 }
 
-// ParseCommand reads the first command in b if it is a deletion or a flush. A size of 0 says that it is neither, or is not
-// complete.
+// ParseCommand parses the first command in b if it is a delete or a flush. A size of 0 means that it is neither or is
+// incomplete.
 func ParseCommand(b []byte) (order Command, size int) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -42,7 +42,7 @@
 	return id
 }
 
-// Answer returns the answer to an order; found says whether there was a value to delete.
+// Answer returns the answer to the command; found reports whether the key had a value.
 func (o Command) Answer(found bool) []byte {
 	switch {
 	case o.Flush:
--- a/internal/emulator/coverage/coverage.go
+++ b/internal/emulator/coverage/coverage.go
@@ -1,9 +1,9 @@
-// Package coverage counts what the faults of random schedules met: the phase that a node was in, and the requests that
-// it had in flight.
+// Package coverage counts the conditions under which the faults of random schedules occurred: the phase of each node
+// and its requests in flight.
 //
-// A Tracker follows the nodes of one run and fills a Table; tables of several runs are added up. A pair of a fault and
-// a phase counts once each time that a node was in the phase while the fault was there; a pair of a fault and an effect
-// counts the requests that were in flight meanwhile.
+// A Tracker follows the nodes of one run and fills a Table; tables of several runs can be added up. A pair of fault and
+// phase is counted each time a node is in that phase while the fault is active. A pair of fault and effect counts the
+// requests in flight while the fault is active.
 package coverage
 
 import (
@@ -15,17 +15,17 @@
 	"dahliapin/policy"
 )
 
-// Phase is what a node's process is doing.
+// Phase is a phase in the life of a node's process.
 type Phase int
 
-// Down is the zero value: a node without a process meets no fault.
+// Down is the zero value. Faults are not counted for a node without a process.
 const (
 	Down     Phase = iota
-	Starting       // it was started, and does not serve yet
+	Starting       // started, but not serving yet
 	Serving
-	Standby  // operators had it stand by
-	Draining // it was told to end
-	Handover // another process takes its place
+	Standby  // put on standby by an operator
+	Draining // told to terminate
+	Handover // being replaced by another process
 	phaseCount
 )
 
@@ -33,12 +33,12 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Phases are those that a fault can meet.
+// Phases are the phases that are counted, in the order of columns.
 var Phases = []Phase{Starting, Serving, Standby, Draining, Handover}
 
 const effectCount = 3 // of policy.Idempotency
 
-// Effects are what a second execution of a request can do, in the order of columns.
+// Effects are the kinds of requests by the effect of a second execution, in the order of columns.
 var Effects = []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent}
 
 func effectName(e policy.Idempotency) string {
@@ -52,22 +52,22 @@
 	}
 }
 
-// Fault is the name of a fault, as a scenario's event has it; with what goes wrong behind a colon, where the event says
-// that.
+// Fault is the name of a fault: the action of a scenario's event, followed by a colon and the event's fault field if it
+// has one.
 type Fault string
 
-// counts are those of one fault.
+// counts holds the counts of one fault.
 type counts struct {
-	phases  [phaseCount]uint64  // times that a node was in it
-	effects [effectCount]uint64 // requests in flight
+	phases  [phaseCount]uint64  // occurrences per phase
+	effects [effectCount]uint64 // requests in flight per effect
 }
 
-// Table counts what each fault met.
+// Table holds the counts of each fault.
 type Table struct {
 	faults map[Fault]*counts
 }
 
-// NewTable makes a table with a row for each fault, which are zero: what was never met is named, too.
+// NewTable returns a table with a zero row for each fault, so that faults that never occur are listed too.
 func NewTable(faults []Fault) *Table {
 	t := &Table{faults: map[Fault]*counts{}}
 	for _, f := range faults {
@@ -83,7 +83,7 @@
 	return t.faults[f]
 }
 
-// Met is how often a fault met a phase.
+// Met returns how often a fault was active while a node was in a phase.
 func (t *Table) Met(f Fault, p Phase) uint64 {
 	if row := t.faults[f]; row != nil {
 		return row.phases[p]
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// InFlight is how many requests of an effect a fault met.
+// InFlight returns the number of requests with an effect that were in flight while a fault was active.
 func (t *Table) InFlight(f Fault, e policy.Idempotency) uint64 {
 	if row := t.faults[f]; row != nil {
 		return row.effects[e]
@@ -99,14 +99,14 @@
 	return 0
 }
 
-// MeetPhase counts that a fault met a node in a phase. A node without a process meets nothing.
+// MeetPhase counts a fault that is active while a node is in a phase. Down is not counted.
 func (t *Table) MeetPhase(f Fault, p Phase) {
 	if p != Down {
 		t.row(f).phases[p]++
 	}
 }
 
-// Add adds up another table.
+// Add adds the counts of another table.
 func (t *Table) Add(other *Table) {
 	for f, from := range other.faults {
 		to := t.row(f)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Faults are the table's rows in the order of their names.
+// Faults returns the faults of the table's rows, sorted by name.
 func (t *Table) Faults() []Fault {
 	var all []Fault
 	for f := range t.faults {
@@ -129,7 +129,7 @@
 	return all
 }
 
-// NeverMet names the pairs of a fault and a phase, or of a fault and an effect, that were never met.
+// NeverMet lists the pairs of fault and phase, and of fault and effect, whose count is zero.
 func (t *Table) NeverMet() []string {
 	pairs := []string{}
 	for _, f := range t.Faults() {
@@ -147,7 +147,7 @@
 	return pairs
 }
 
-// Print writes the table for people.
+// Print writes the table as aligned text.
 func (t *Table) Print(to io.Writer) {
 	fmt.Fprintf(to, "%-16s", "fault")
 	for _, p := range Phases {
@@ -169,14 +169,14 @@
 	}
 }
 
-// faultRow is a fault's row in JSON.
+// faultRow is the JSON form of a row.
 type faultRow struct {
 	Fault    Fault             `json:"fault"`
-	Phases   map[string]uint64 `json:"phases"`             // times that a node was in it
+	Phases   map[string]uint64 `json:"phases"`             // occurrences by phase
 	InFlight map[string]uint64 `json:"requests_in_flight"` // by effect
 }
 
-// MarshalJSON writes the rows in the order of their names, and the pairs that were never met.
+// MarshalJSON encodes the rows, sorted by name, and the pairs whose count is zero.
 func (t *Table) MarshalJSON() ([]byte, error) {
 	rows := []faultRow{}
 	for _, f := range t.Faults() {
--- a/internal/emulator/coverage/coverage_test.go
+++ b/internal/emulator/coverage/coverage_test.go
@@ -14,7 +14,7 @@
 	second = 1
 )
 
-// wantPhases compares the phases that a fault met, in the order of Phases.
+// wantPhases checks the phase counts of a fault, in the order of Phases.
 func wantPhases(t *testing.T, table *Table, fault Fault, want ...uint64) {
 	t.Helper()
 	var got []uint64
@@ -26,7 +26,7 @@
 	}
 }
 
-// wantInFlight compares the requests that a fault met, in the order of Effects.
+// wantInFlight checks the counts of requests in flight during a fault, in the order of Effects.
 func wantInFlight(t *testing.T, table *Table, fault Fault, want ...uint64) {
 	t.Helper()
 	var got []uint64
@@ -38,12 +38,12 @@
 	}
 }
 
-// A fault meets the phase that a node is in as it begins, and those that the node comes to until it ends.
-func TestFaultMeetsThePhasesOfItsTime(t *testing.T) {
+// A fault counts the phase of a node at its beginning and each phase that the node enters until its end.
+func TestFaultCountsPhasesWhileActive(t *testing.T) {
 	tracker := NewTracker(2)
 	tracker.PhaseChanged(first, Starting)
 	tracker.PhaseChanged(first, Serving)
-	ended := tracker.FaultBegan("silent", nil) // the second node is down, and meets nothing
+	ended := tracker.FaultBegan("silent", nil) // the second node is down and not counted
 	tracker.PhaseChanged(first, Draining)
 	tracker.PhaseChanged(first, Draining) // no change
 	tracker.PhaseChanged(second, Starting)
@@ -52,8 +52,8 @@
 	wantPhases(t, tracker.Table, "silent", 1, 1, 0, 1, 0)
 }
 
-// A fault of one node meets nothing of the others, and one that takes no time meets what is there just then.
-func TestFaultOfOneNodeMeetsThatNode(t *testing.T) {
+// A fault of one node does not count other nodes, and a fault without duration counts only the current phase.
+func TestFaultOfOneNodeCountsOnlyThatNode(t *testing.T) {
 	tracker := NewTracker(2)
 	tracker.PhaseChanged(first, Serving)
 	tracker.PhaseChanged(second, Handover)
@@ -62,8 +62,8 @@
 	wantPhases(t, tracker.Table, "node_reload", 0, 0, 0, 0, 1)
 }
 
-// A request is met by the faults under way while it is in flight, once by each, whichever of the two began first.
-func TestFaultMeetsRequestsInFlight(t *testing.T) {
+// A request in flight is counted once by each active fault, whichever of the two began first.
+func TestFaultCountsRequestsInFlight(t *testing.T) {
 	tracker := NewTracker(2)
 	tracker.PhaseChanged(first, Serving)
 	tracker.RequestSent(first, "before", policy.NotIdempotent)
@@ -77,9 +77,9 @@
 	wantInFlight(t, tracker.Table, "node_crowd", 0, 1, 1)
 }
 
-// What was never met is what the next soak has to look for: each such pair is named, in the text and as JSON, also of
-// faults that never came.
-func TestTableNamesThePairsThatWereNeverMet(t *testing.T) {
+// Pairs with a count of zero tell which cases the next soak has to cover. They are listed for each fault of the table,
+// also for faults that never occurred.
+func TestTableListsPairsNeverMet(t *testing.T) {
 	table := NewTable([]Fault{"drain", "add"})
 	run := NewTracker(1)
 	run.PhaseChanged(first, Serving)
--- a/internal/emulator/coverage/tracker.go
+++ b/internal/emulator/coverage/tracker.go
@@ -6,7 +6,7 @@
 	"dahliapin/policy"
 )
 
-// Tracker follows the nodes of one run. It is used by one goroutine, or under a lock.
+// Tracker follows the nodes of one run. It is not safe for concurrent use.
 type Tracker struct {
 	Table *Table
 
@@ -15,17 +15,17 @@
 	active   []*activeFault
 }
 
-// activeFault is a fault that has begun and not ended.
+// activeFault is a fault that has begun and has not ended.
 type activeFault struct {
 	fault Fault
-	nodes []int // that it concerns; nil for all
+	nodes []int // affected nodes; nil for all
 }
 
-func (a *activeFault) concerns(node int) bool {
+func (a *activeFault) affects(node int) bool {
 	return a.nodes == nil || slices.Contains(a.nodes, node)
 }
 
-// NewTracker follows so many nodes, numbered from 0, which are all down.
+// NewTracker returns a tracker of the given number of nodes, which are numbered from 0 and all down.
 func NewTracker(nodes int) *Tracker {
 	t := &Tracker{
 		Table:    NewTable(nil),
@@ -38,18 +38,18 @@
 	return t
 }
 
-// Phase is a node's phase.
+// Phase returns a node's current phase.
 func (t *Tracker) Phase(node int) Phase { return t.phases[node] }
 
-// FaultBegan reports that a fault begins at some nodes, nil for all. The returned function reports its end; a fault
-// that takes no time ends at once.
+// FaultBegan records that a fault begins at some nodes, nil for all. The caller calls the returned function when the
+// fault ends, at once for a fault without duration.
 func (t *Tracker) FaultBegan(fault Fault, nodes []int) (ended func()) {
 	begun := &activeFault{fault: fault, nodes: nodes}
 	t.active = append(t.active, begun)
 	t.Table.row(fault)
 	for node := range t.phases {
-		if begun.concerns(node) {
-			t.meet(fault, node)
+		if begun.affects(node) {
+			t.countCurrent(fault, node)
 		}
 	}
 	return func() { t.end(begun) }
@@ -59,36 +59,36 @@
 	t.active = slices.DeleteFunc(t.active, func(a *activeFault) bool { return a == ended })
 }
 
-// meet counts that a fault meets a node as it is just now.
-func (t *Tracker) meet(fault Fault, node int) {
+// countCurrent counts a fault with a node's current phase and requests in flight.
+func (t *Tracker) countCurrent(fault Fault, node int) {
 	t.Table.MeetPhase(fault, t.phases[node])
 	for _, effect := range t.inFlight[node] {
 		t.Table.row(fault).effects[effect]++
 	}
 }
 
-// PhaseChanged reports that a node is in a phase from now on.
+// PhaseChanged records that a node has entered a phase.
 func (t *Tracker) PhaseChanged(node int, phase Phase) {
 	if t.phases[node] == phase {
 		return
 	}
 	t.phases[node] = phase
 	for _, a := range t.active {
-		if a.concerns(node) {
+		if a.affects(node) {
 			t.Table.MeetPhase(a.fault, phase)
 		}
 	}
 }
 
-// RequestSent reports that a node has a request in flight.
+// RequestSent records that a node has a request in flight.
 func (t *Tracker) RequestSent(node int, id string, effect policy.Idempotency) {
 	t.inFlight[node][id] = effect
 	for _, a := range t.active {
-		if a.concerns(node) {
+		if a.affects(node) {
 			t.Table.row(a.fault).effects[effect]++
 		}
 	}
 }
 
-// RequestEnded reports that a node has a request no longer in flight.
+// RequestEnded records that a node's request is no longer in flight.
 func (t *Tracker) RequestEnded(node int, id string) { delete(t.inFlight[node], id) }
--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -1,8 +1,8 @@
-// Package shrink makes a scenario that fails smaller, while it still fails: with fewer events, shorter, and with fewer
+// Package shrink reduces a failing scenario to a smaller one that still fails: with fewer events, less time and fewer
 // processes.
 //
-// A candidate is taken only if it was played and failed. So what is returned has failed at least once, whatever chance
-// there is in a play; it need not be the smallest.
+// A candidate is accepted only if it was run and failed. The result has therefore failed at least once, even if
+// runs are not deterministic; it need not be the smallest.
 package shrink
 
 import (
@@ -12,29 +12,29 @@
 )
 
 const (
-	leadSeconds = 2.0 // before the first event, in which nodes begin to serve
-	tailSeconds = 4.0 // after the last event, in which its consequences show
+	leadSeconds = 2.0 // before the first event, for nodes to start serving
+	tailSeconds = 4.0 // after the last event, for its consequences to show
 	minSeconds  = 1.0
-	minDuration = 0.1 // of an event, in seconds, that is still halved
+	minDuration = 0.1 // shortest duration of an event, in seconds, that halving may produce
 )
 
-// Play plays a scenario and tells whether it fails as the first one did.
+// Play runs a scenario and reports whether it fails in the same way as the original.
 type Play func(*scenario.Scenario) bool
 
-// Budget bounds how many plays there are.
+// Budget bounds the number of runs.
 type Budget struct {
 	Plays   int
-	Expired func() bool // asked before each play; nil for no bound
+	Expired func() bool // called before each run; nil for no time limit
 }
 
-// Result is what was reached.
+// Result is the outcome of Shrink.
 type Result struct {
 	Scenario *scenario.Scenario // the smallest that failed
 	Plays    int
-	Complete bool // no smaller candidate fails; false where the budget ended before
+	Complete bool // no smaller candidate fails; false if the budget was exhausted first
 }
 
-// Shrink makes a failing scenario smaller. The given one is not changed.
+// Shrink reduces a failing scenario. It does not modify its argument.
 func Shrink(failing *scenario.Scenario, budget Budget, play Play) Result {
 	s := &shrinker{current: failing, budget: budget, play: play}
 	for again := true; again && !s.exhausted; {
@@ -51,23 +51,24 @@
 	exhausted bool
 }
 
-// round tries each way to shrink, and tells whether one did. Events go first, since all other ways get cheaper by it.
+// round tries each reduction once and reports whether one succeeded. Events are removed first, which makes the runs of
+// the other reductions cheaper.
 func (s *shrinker) round() bool {
 	shrunk := s.removeEvents()
-	for _, way := range []func(*scenario.Scenario) *scenario.Scenario{trimEnd, trimStart, halveDurations} {
-		shrunk = s.try(way(s.current)) || shrunk
+	for _, reduce := range []func(*scenario.Scenario) *scenario.Scenario{trimEnd, trimStart, halveDurations} {
+		shrunk = s.try(reduce(s.current)) || shrunk
 	}
 	shrunk = s.removeNodes() || shrunk
 	return s.halveCaches() || shrunk
 }
 
-// try plays a candidate and takes it if it fails. A nil candidate, or one that is no valid scenario, is not played.
+// try runs a candidate and accepts it if it fails. A nil or invalid candidate is not run.
 func (s *shrinker) try(candidate *scenario.Scenario) bool {
 	if candidate == nil || !isValid(candidate) {
 		return false
 	}
-	outOfTime := s.budget.Expired != nil && s.budget.Expired()
-	if s.exhausted || s.plays >= s.budget.Plays || outOfTime {
+	expired := s.budget.Expired != nil && s.budget.Expired()
+	if s.exhausted || s.plays >= s.budget.Plays || expired {
 		s.exhausted = true
 		return false
 	}
@@ -79,7 +80,7 @@
 	return true
 }
 
-// isValid tells whether a scenario plays as it would from its file.
+// isValid reports whether a scenario can be written as a file and parsed again.
 func isValid(candidate *scenario.Scenario) bool {
 	text, err := candidate.Text()
 	if err != nil {
@@ -89,14 +90,14 @@
 	return err == nil
 }
 
-// removeEvents leaves out runs of events, first half of them, then shorter runs, down to single ones.
+// removeEvents removes runs of consecutive events: first half of them, then shorter runs, down to single events.
 func (s *shrinker) removeEvents() bool {
 	shrunk := false
 	for size := (len(s.current.Events) + 1) / 2; size > 0; size /= 2 {
 		for from := 0; from < len(s.current.Events); {
 			if s.try(withoutEvents(s.current, from, from+size)) {
 				shrunk = true
-				continue // what followed stands there now
+				continue // the events that followed are at this index now
 			}
 			from += size
 		}
@@ -104,7 +105,7 @@
 	return shrunk
 }
 
-// removeNodes leaves out nodes, one at a time, with the events that concern them alone.
+// removeNodes removes nodes one at a time, with the events that affect only the removed node.
 func (s *shrinker) removeNodes() bool {
 	shrunk := false
 	for node := s.current.Fleet.Nodes; node >= 1; node-- {
@@ -113,7 +114,7 @@
 	return shrunk
 }
 
-// halveCaches halves the number of caches for as long as the failure stays.
+// halveCaches halves the number of caches while the scenario still fails.
 func (s *shrinker) halveCaches() bool {
 	shrunk := false
 	for s.current.Fleet.Caches > 1 {
@@ -127,7 +128,7 @@
 	return shrunk
 }
 
-// withoutEvents is a scenario less the events from one up to another, which is excluded.
+// withoutEvents returns a copy of a scenario without the events with indexes in [from, to).
 func withoutEvents(s *scenario.Scenario, from, to int) *scenario.Scenario {
 	candidate := *s
 	candidate.Events = append([]scenario.Event(nil), s.Events[:from]...)
@@ -135,7 +136,8 @@
 	return &candidate
 }
 
-// withoutNode is a scenario less one node, by its number from 1; nil if there is no other. Nodes after it move up.
+// withoutNode returns a copy of a scenario without one node, numbered from 1, or nil if it is the only node.
+// Later nodes are renumbered.
 func withoutNode(s *scenario.Scenario, node int) *scenario.Scenario {
 	if s.Fleet.Nodes <= 1 {
 		return nil
@@ -155,10 +157,10 @@
 	return &candidate
 }
 
-// isOnly reports whether a list names one node and no other.
+// isOnly reports whether a list consists of exactly one given node.
 func isOnly(numbers []int, node int) bool { return len(numbers) == 1 && numbers[0] == node }
 
-// renumbered are numbers of nodes less one, with those after it moved up.
+// renumbered returns node numbers without the removed one, with the later ones decremented.
 func renumbered(numbers []int, removed int) []int {
 	var left []int
 	for _, n := range numbers {
@@ -172,7 +174,7 @@
 	return left
 }
 
-// trimEnd ends a scenario soon after its last event; nil if it does already.
+// trimEnd returns a copy of a scenario that ends tailSeconds after its last event, or nil if it already does.
 func trimEnd(s *scenario.Scenario) *scenario.Scenario {
 	last := 0.0
 	for i := range s.Events {
@@ -188,7 +190,8 @@
 	return &candidate
 }
 
-// trimStart has the first event begin soon, and all others as much earlier; nil if it does already.
+// trimStart returns a copy of a scenario with all events moved earlier, so that the first begins after about
+// leadSeconds, or nil if it already does.
 func trimStart(s *scenario.Scenario) *scenario.Scenario {
 	if len(s.Events) == 0 {
 		return nil
@@ -210,7 +213,7 @@
 	return &candidate
 }
 
-// halveDurations has all events last half as long; nil if all are short already.
+// halveDurations returns a copy of a scenario whose events last half as long, or nil if all are already short.
 func halveDurations(s *scenario.Scenario) *scenario.Scenario {
 	candidate := *s
 	candidate.Events = append([]scenario.Event(nil), s.Events...)
--- a/internal/emulator/shrink/shrink_test.go
+++ b/internal/emulator/shrink/shrink_test.go
@@ -9,7 +9,7 @@
 
 const plentyOfPlays = 10_000
 
-// schedule is one of a soak, with many events and nodes.
+// schedule returns a soak schedule with four nodes and more than 60 events.
 func schedule(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	for _, s := range scenario.Soaks(1, 40, 60) {
@@ -17,7 +17,7 @@
 			return s
 		}
 	}
-	t.Fatal("no such schedule")
+	t.Fatal("no soak schedule has four nodes, over 60 events, a node_restart and an errors event")
 	return nil
 }
 
@@ -25,8 +25,9 @@
 	return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
 }
 
-// A schedule of a hundred events explains nothing. One that fails by two of them has to come down to these, by itself.
-func TestShrinksToWhatTheFailureNeeds(t *testing.T) {
+// A schedule that fails because of two of its events is reduced to these two: a hundred events do not explain a
+// failure.
+func TestShrinkKeepsOnlyEventsTheFailureNeeds(t *testing.T) {
 	failing := schedule(t)
 	before := len(failing.Events)
 	result := Shrink(failing, Budget{Plays: plentyOfPlays}, func(s *scenario.Scenario) bool {
@@ -44,14 +45,14 @@
 		t.Errorf("it lasts %v s, with %+v", s.Seconds, s.Events)
 	}
 	if len(failing.Events) != before {
-		t.Error("the schedule that was given has changed")
+		t.Error("Shrink modified its argument")
 	}
 	if !isValid(s) {
-		t.Error("it is no scenario that could be read back")
+		t.Error("the shrunk scenario cannot be written and parsed again")
 	}
 }
 
-// A failure by events that overlap needs their order and their distance; neither may be lost.
+// A failure caused by overlapping events depends on their order and distance, which shrinking must preserve.
 func TestShrinkKeepsOverlappingEvents(t *testing.T) {
 	overlap := func(s *scenario.Scenario) bool {
 		for _, e := range s.Events {
@@ -74,8 +75,8 @@
 	}
 }
 
-// A node's number stands in events: when a node before it goes, they have to follow the node that the failure needs.
-func TestShrinkFollowsTheNodeThatFails(t *testing.T) {
+// Events name nodes by number. When a node with a lower number is removed, the numbers in events must be adjusted.
+func TestShrinkRenumbersNodesInEvents(t *testing.T) {
 	failing := schedule(t)
 	failing.Events = []scenario.Event{
 		{AtS: 2, Do: "node_restart", Nodes: []int{1}},
@@ -90,8 +91,8 @@
 	}
 }
 
-// Plays cost time on real processes: a shrink ends at its budget, with the smallest failure so far.
-func TestShrinkEndsAtItsBudget(t *testing.T) {
+// Runs on real processes take time: Shrink stops at its budget and returns the smallest failure so far.
+func TestShrinkStopsAtBudget(t *testing.T) {
 	failing := schedule(t)
 	always := func(*scenario.Scenario) bool { return true }
 	const plays = 3
@@ -107,8 +108,8 @@
 	}
 }
 
-// What does not fail again is kept whole: nothing smaller is known to fail.
-func TestShrinkKeepsWhatDoesNotFailAgain(t *testing.T) {
+// If no run fails again, the original scenario is returned.
+func TestShrinkReturnsOriginalIfNoRunFails(t *testing.T) {
 	failing := schedule(t)
 	result := Shrink(failing, Budget{Plays: plentyOfPlays}, func(*scenario.Scenario) bool { return false })
 	if result.Scenario != failing || !result.Complete {
