--- a/internal/emulator/checker/attempts.go
+++ b/internal/emulator/checker/attempts.go
@@ -6,13 +6,13 @@
 	"dahliapin/policy"
 )
 
-// notification is that a node was told that a server takes nothing new.
+// notification identifies a node that was told that a server accepts no new attempts.
 type notification struct {
 	node   int
 	server policy.EndpointID
 }
 
-// Notified reports that a node has heard what the endpoint list says of a server.
+// Notified reports that a node has received a server's lifecycle state from the endpoint list.
 func (c *Checker) Notified(now policy.Instant, node int, server policy.EndpointID, state policy.Lifecycle) {
 	key := notification{node: node, server: server}
 	if state == policy.Ready {
@@ -22,11 +22,11 @@
 	}
 }
 
-// AttemptArrived reports that an attempt has arrived at a server whole, and when it was sent.
+// AttemptArrived reports that a complete attempt has arrived at a server, and when it was sent.
 func (c *Checker) AttemptArrived(now, sentAt policy.Instant, id string, server policy.EndpointID) {
 	r := c.requests[id]
 	if r == nil {
-		return // nobody's, or of a request long over: what it does shows as an effect
+		return // unknown or long finished; a repeated effect of it is still found by Effect
 	}
 	class := &c.rules.Classes[r.class]
 	if r.goneAt != 0 && sentAt > r.goneAt.Add(clientGoneSlack) {
@@ -52,7 +52,7 @@
 	r.attempts = append(r.attempts, attempt{server: server, arrivedAt: now})
 }
 
-// AttemptEnded reports that a server has answered an attempt, or that the node has given it up or cancelled it.
+// AttemptEnded reports that a server has answered an attempt, or that the node has abandoned or cancelled it.
 func (c *Checker) AttemptEnded(now policy.Instant, id string, server policy.EndpointID, notExecuted bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// checkOverlap finds attempts that arrived while an earlier one was in flight, by more than what crosses.
+// checkOverlap finds attempts that arrived while an earlier one was still in flight, by more than the slack for
+// messages that cross in transit.
 func (c *Checker) checkOverlap(id string, r *request, ended int) {
 	for _, later := range r.attempts[ended+1:] {
 		if r.attempts[ended].endedAt.Since(later.arrivedAt) > c.rules.Slack {
@@ -82,7 +83,8 @@
 	}
 }
 
-// Effect reports that a write has had its effect at a server; repeats that the server dropped are not reported.
+// Effect reports that a write has taken effect at a server. The caller does not report repeats that the server
+// deduplicated.
 func (c *Checker) Effect(now policy.Instant, id, label string, class int, server policy.EndpointID) {
 	name := label
 	if name == "" {
@@ -109,7 +111,7 @@
 	policy.Idempotent:      "idempotent",
 }
 
-// Fell reports that a server was overloaded and fell over.
+// Fell reports that a server failed because it was overloaded.
 func (c *Checker) Fell(now policy.Instant, server policy.EndpointID, why string) {
 	c.breach(4, now, "", -1, server, "pushed over: "+why)
 }
--- a/internal/emulator/checker/checker.go
+++ b/internal/emulator/checker/checker.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxBreaches     = 200                    // that are kept word for word; all are counted
-	clientGoneSlack = 100 * time.Millisecond // after its client has gone in which attempts may still begin, first or further
-	maxLateAttempts = 2                      // attempts that began later and are no breach yet: they crossed the end
-	watchTime       = 5 * time.Second        // that a request is watched beyond its deadline
+	maxBreaches     = 200                    // breaches whose details are kept; all are counted
+	clientGoneSlack = 100 * time.Millisecond // in which attempts may still begin after a client has gone
+	maxLateAttempts = 2                      // tolerated attempts that began later: they may cross the departure
+	watchTime       = 5 * time.Second        // time after its deadline for which a request is kept
 )
 
-// Final is a final answer, as a client sees it.
+// Final is the kind of a final answer, as seen by the client.
 type Final int
 
 const (
@@ -28,7 +28,7 @@
 
 func (f Final) String() string { return [...]string{"satisfied", "rejected", "failed", "cut"}[f] }
 
-// Breach is one rule broken once.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule    int               `json:"rule"`
 	At      policy.Instant    `json:"at_ns"`
@@ -43,38 +43,38 @@
 		b.Rule, time.Duration(b.At).Seconds(), b.What, b.Request, b.Server, b.Node)
 }
 
-// Rules are what a run is checked by.
+// Rules are the parameters of a check.
 type Rules struct {
 	Classes        []policy.ServiceClass
 	HedgingAllowed bool
-	Grace          time.Duration // after a change of the endpoint list is told
-	Slack          time.Duration // that what crosses may take
-	AnswerSlack    time.Duration // after its deadline in which a final answer may come; 0 for Slack
+	Grace          time.Duration // after a node is notified of a change of the endpoint list
+	Slack          time.Duration // allowance for messages that cross in transit
+	AnswerSlack    time.Duration // after the deadline, for a final answer to arrive; 0 for Slack
 }
 
-// Tally counts what the clients of one class were answered.
+// Tally counts the requests of one class by their answers.
 type Tally struct {
 	Asked, Satisfied, InTime, Rejected, Failed, Cut uint64
-	First, FirstInTime                              uint64 // first tries, and those that a try satisfied in time
+	First, FirstInTime                              uint64 // first tries, and those satisfied in time by any try
 }
 
-// Checker checks one run. It is used by one goroutine.
+// Checker checks one run. It is not safe for concurrent use.
 type Checker struct {
 	Counts                  [5]uint64 // breaches by rule, from 1
-	AttemptsAfterClientGone uint64    // attempts that began after their clients had gone, beyond what crosses
+	AttemptsAfterClientGone uint64    // attempts that began later than clientGoneSlack after their clients had gone
 	Breaches                []Breach
 	Classes                 []Tally
-	Latencies               [][]time.Duration // by class, of those satisfied
+	Latencies               [][]time.Duration // of satisfied requests, by class
 
 	rules      Rules
 	requests   map[string]*request
 	deadlines  timerqueue.Queue[string] // ids of requests
-	expiries   timerqueue.Queue[string] // when a request is no longer watched
-	effects    map[string]int           // by idempotency key, or request
+	expiries   timerqueue.Queue[string] // ids of requests to remove
+	effects    map[string]int           // count by idempotency key, or by request id without one
 	notifiedAt map[notification]policy.Instant
 }
 
-// New starts a check.
+// New returns a checker of a run that is about to start.
 func New(rules Rules) *Checker {
 	return &Checker{
 		rules:      rules,
@@ -95,7 +95,7 @@
 
 func (c *Checker) answerSlack() time.Duration { return cmp.Or(c.rules.AnswerSlack, c.rules.Slack) }
 
-// Breached counts all breaches.
+// Breached returns the number of breaches of all rules.
 func (c *Checker) Breached() uint64 {
 	var sum uint64
 	for _, n := range c.Counts {
--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -9,14 +9,14 @@
 
 const ms = policy.Instant(time.Millisecond)
 
-func grades() []policy.ServiceClass {
+func testClasses() []policy.ServiceClass {
 	return []policy.ServiceClass{{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.Idempotent},
 		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.IdempotentByKey, DedupScope: policy.SameGroup, DedupWindow: time.Second},
 		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.NotIdempotent}}
 }
 
-// gone has clients go, and an attempt for each begin so long after that.
-func gone(j *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
+// leaveThenAttempt lets clients leave, and one attempt for each begin at the given time after that.
+func leaveThenAttempt(j *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
 	for range clients {
 		sent(j, 0)
 		j.ClientGone(20*ms, "r")
@@ -24,7 +24,8 @@
 	}
 }
 
-// A judge that misses a breach calls a broken node good. Each row is one way to break a rule, or one that looks like it.
+// A judge that misses a breach calls a broken node good. Each row is one way to break a rule, or one that looks like
+// it.
 func TestEachBreachIsCaughtOnceAndItsLookAlikeIsNot(t *testing.T) {
 	sent := func(j *Checker, grade int) { j.RequestSent(0, "r", 0, grade, "l", 100*ms, true) }
 	for _, c := range []struct {
@@ -51,15 +52,15 @@
 			j.Answered(20*ms, "r", Failed)
 			j.AttemptArrived(40*ms, 20*ms, "r", "c1")
 		}},
-		{"a third attempt that began over 0.1 s after its client had gone", 1, func(j *Checker) { gone(j, sent, 3, 101*ms) }},
-		{"two of them", 0, func(j *Checker) { gone(j, sent, 2, 101*ms) }},
+		{"a third attempt that began over 0.1 s after its client had gone", 1, func(j *Checker) { leaveThenAttempt(j, sent, 3, 101*ms) }},
+		{"two of them", 0, func(j *Checker) { leaveThenAttempt(j, sent, 2, 101*ms) }},
 		{"attempts that crossed their clients' leaving, and an answer", 0, func(j *Checker) {
-			gone(j, sent, 9, 100*ms)
+			leaveThenAttempt(j, sent, 9, 100*ms)
 			j.Answered(140*ms, "r", Satisfied)
 			j.Advance(999 * ms)
 		}},
 		{"a further attempt after its client had gone counts like a first", 1, func(j *Checker) {
-			gone(j, sent, 2, 101*ms)
+			leaveThenAttempt(j, sent, 2, 101*ms)
 			sent(j, 0)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
 			j.AttemptEnded(6*ms, "r", "c1", false)
@@ -123,7 +124,7 @@
 		}},
 		{"pushed over", 4, func(j *Checker) { j.Fell(0, "c1", "cold") }},
 	} {
-		j := New(Rules{Classes: grades(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
+		j := New(Rules{Classes: testClasses(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
 		c.do(j)
 		want := [5]uint64{}
 		if c.rule > 0 {
--- a/internal/emulator/checker/doc.go
+++ b/internal/emulator/checker/doc.go
@@ -1,8 +1,8 @@
-// Package checker checks the four rules of a router from outside, whatever the router says of itself: the emulator reports
-// to a Checker what happened where it happened, at the clients, at the servers and where the endpoint list is told. Views
-// and its Judge do the same for what nodes say of one another.
+// Package checker checks the four rules of a router from outside, without relying on what the router reports: the
+// emulator tells a Checker what it observes at the clients, at the servers and where the endpoint list is delivered.
+// Views and its Judge method check the nodes' membership views in the same way.
 //
-// The rules: each request gets exactly one final answer by its deadline (1); no effect happens twice (2); nothing new goes
-// to a server that drains or has left, after a grace (3); no server is overloaded by all nodes together while it warms up
-// (4).
+// The rules: each request gets exactly one final answer by its deadline (1); no effect happens twice (2); after a grace
+// period, no new attempt is sent to a server that drains or has left the endpoint list (3); all nodes together do not
+// overload a server while it warms up (4).
 package checker
--- a/internal/emulator/checker/episodes.go
+++ b/internal/emulator/checker/episodes.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// settleTime is the time after a fault of a node until what it says, and what is said of it, counts again.
+	// settleTime is the time after a node's fault before its view, and others' views of it, are judged again.
 	settleTime = 3 * time.Second
-	// minGap is the least time between two faults of a node: in less no heartbeat gets through.
+	// minGap is the least time between two separate faults of a node: no heartbeat gets through in a shorter gap.
 	minGap = 600 * time.Millisecond
 )
 
-// episode is a fault of one node: its process did not run, or it was cut off from over two fifths of the others, in one
-// direction or the other.
+// episode is a fault of one node: its process did not run, or it was cut off from more than two fifths of the others in
+// at least one direction.
 type episode struct {
 	node     int
 	from, to policy.Instant
-	stood    bool // its process did not run
-	weak     bool // for a time it was cut off from over two fifths and not from half: whether it is removed is left open
-	ended    bool // another process took its place
+	stopped  bool // its process did not run
+	weak     bool // at times cut off from more than two fifths but at most half: it may be removed or not
+	replaced bool // its process was replaced by another
 }
 
-// during tells whether an instant lies within the episode.
+// during reports whether an instant lies within the episode.
 func (e *episode) during(at policy.Instant) bool { return e.from <= at && at < e.to }
 
-// connectivity is the state of the fleet at one instant of the search for episodes.
+// connectivity is the state of nodes and links at one instant while episodes are derived.
 type connectivity struct {
 	nodes    int
 	runs     []bool
-	replaced []bool          // the process is another than before
+	replaced []bool          // by node: its current process has replaced another
 	cut      map[[2]int]bool // by sender and receiver
 }
 
@@ -43,7 +43,7 @@
 	apply func()
 }
 
-// episodes returns all faults of nodes until an end.
+// episodes returns all faults of nodes up to an instant.
 func (v *Views) episodes(end policy.Instant) []episode {
 	state := &connectivity{
 		nodes:    v.Nodes,
@@ -52,7 +52,7 @@
 		cut:      map[[2]int]bool{},
 	}
 	for n := range state.runs {
-		state.runs[n] = true // before the scenario begins all are started
+		state.runs[n] = true // all nodes are started before the scenario begins
 	}
 	transitions := v.transitions(state)
 	open := make([]*episode, v.Nodes)
@@ -102,13 +102,13 @@
 		e := open[n]
 		switch {
 		case faulty && e == nil:
-			open[n] = &episode{node: n, from: at, stood: !s.runs[n], weak: weak}
+			open[n] = &episode{node: n, from: at, stopped: !s.runs[n], weak: weak}
 		case faulty:
-			e.stood = e.stood || !s.runs[n]
+			e.stopped = e.stopped || !s.runs[n]
 			e.weak = e.weak || weak
 		case e != nil:
 			e.to = at
-			e.ended = e.stood && s.replaced[n]
+			e.replaced = e.stopped && s.replaced[n]
 			closed = append(closed, *e)
 			open[n] = nil
 		}
@@ -116,7 +116,7 @@
 	return closed
 }
 
-// judge tells whether a node does not run or is cut off, and whether that is open to doubt.
+// judge reports whether a node is not running or cut off, and whether the cut is too small to require its removal.
 func (s *connectivity) judge(n int) (faulty, weak bool) {
 	all := s.reach(n, func(int) bool { return true })
 	running := s.reach(n, func(other int) bool { return s.runs[other] })
@@ -127,7 +127,7 @@
 	return faulty, weak
 }
 
-// reach counts the nodes of a group, and with how many of them a node is connected in its worse direction.
+// reach counts the other nodes of a group, and how many of them a node is connected to in its worse direction.
 type reach struct{ others, least int }
 
 func (s *connectivity) reach(n int, in func(other int) bool) reach {
@@ -147,8 +147,8 @@
 	return reach{others: others, least: min(sent, heard)}
 }
 
-// mergeEpisodes makes one episode of those that are one fault to others: what befalls a process before it can be in for
-// the one that ended, or before a heartbeat of it got through.
+// mergeEpisodes merges episodes that other nodes see as one fault: a fault of a new process before it can replace
+// the old one as a member, or a fault that begins before a heartbeat got through.
 func mergeEpisodes(all []episode) {
 	for i := range all {
 		for j := range all {
@@ -156,14 +156,14 @@
 			if a.node != b.node || b.from <= a.from {
 				continue
 			}
-			beforeRejoin := a.ended && b.from < a.to.Add(settleTime)
+			beforeRejoin := a.replaced && b.from < a.to.Add(settleTime)
 			if !beforeRejoin && b.from >= a.to.Add(minGap) {
 				continue
 			}
 			b.from = a.from
-			b.stood = a.stood || b.stood
+			b.stopped = a.stopped || b.stopped
 			b.weak = true
-			b.ended = a.ended || b.ended
+			b.replaced = a.replaced || b.replaced
 			*a = *b
 		}
 	}
--- a/internal/emulator/checker/requests.go
+++ b/internal/emulator/checker/requests.go
@@ -14,20 +14,20 @@
 	label      string // the idempotency key; empty for none
 	sentAt     policy.Instant
 	deadline   policy.Instant
-	answeredAt policy.Instant // 0 for not yet
-	goneAt     policy.Instant // when its client left without an answer; 0 for not
+	answeredAt policy.Instant // 0 if not answered yet
+	goneAt     policy.Instant // when its client left without an answer; 0 if it has not
 	final      Final
 	hadEffect  bool
-	overdue    bool // counted as without an answer
+	overdue    bool // already counted as unanswered
 	attempts   []attempt
 }
 
-// attempt is one that arrived at a server.
+// attempt is an attempt that arrived at a server.
 type attempt struct {
 	server      policy.EndpointID
 	arrivedAt   policy.Instant
 	endedAt     policy.Instant // 0 while it is in flight
-	notExecuted bool           // it is certain that it did not run
+	notExecuted bool           // the request certainly was not executed
 }
 
 func (r *request) mayHaveRun() bool {
@@ -39,13 +39,13 @@
 	return r.hadEffect
 }
 
-// mayRepeat tells whether a class's requests may be repeated anywhere at any time.
+// mayRepeat reports whether the requests of a class may be repeated at any server at any time.
 func mayRepeat(c *policy.ServiceClass) bool {
 	everywhere := c.Idempotency == policy.IdempotentByKey && c.DedupScope == policy.AllCaches
 	return c.Idempotency == policy.Idempotent || everywhere
 }
 
-// RequestSent reports that a client has handed a request to a node; retries of the client are requests of their own.
+// RequestSent reports that a client has sent a request to a node. Each retry by the client is a request of its own.
 func (c *Checker) RequestSent(now policy.Instant, id string, node, class int, label string, deadline policy.Instant, first bool) {
 	c.requests[id] = &request{node: node, class: class, label: label, sentAt: now, deadline: deadline}
 	c.deadlines.Push(deadline.Add(c.answerSlack()), id)
@@ -55,17 +55,18 @@
 	}
 }
 
-// Answered reports that a client has an answer whole. It returns the time that took, 0 where it is not counted.
+// Answered reports that a client has received a complete answer. It returns the latency, or 0 if the answer is not
+// counted.
 func (c *Checker) Answered(now policy.Instant, id string, final Final) time.Duration {
 	r := c.requests[id]
 	if r == nil {
 		c.breach(1, now, id, -1, "", "an answer to what nobody asked, or long after its deadline")
 		return 0
 	}
-	if r.goneAt != 0 { // it crossed the client's leaving
+	if r.goneAt != 0 { // the answer crossed the client's departure
 		return 0
 	}
-	if r.overdue { // late, which is counted already
+	if r.overdue { // Advance has already counted it as a breach
 		r.overdue = false
 		return 0
 	}
@@ -83,7 +84,7 @@
 	return latency
 }
 
-// countAnswer counts a final answer by class, and checks what it claims.
+// countAnswer counts a final answer by class, and checks that a rejected request was not executed.
 func (c *Checker) countAnswer(now policy.Instant, id string, r *request, latency time.Duration) {
 	counts := &c.Classes[r.class]
 	class := &c.rules.Classes[r.class]
@@ -107,25 +108,26 @@
 	}
 }
 
-// ClientGone reports that a client has left, and waits for no answer any more.
+// ClientGone reports that a client has left and no longer waits for an answer.
 func (c *Checker) ClientGone(now policy.Instant, id string) {
 	if r := c.requests[id]; r != nil && r.answeredAt == 0 {
 		r.goneAt = now
 	}
 }
 
-// WrongAnswer reports that an answer is not what a server made for this request.
+// WrongAnswer reports that an answer differs from the one that a server gave to the request.
 func (c *Checker) WrongAnswer(now policy.Instant, id, what string) {
 	c.breach(1, now, id, -1, "", what)
 }
 
-// Served counts a first try whose client was satisfied, by whichever try, within its latency objective.
+// Served counts a first try whose client was satisfied, by any of its tries, within the latency objective.
 func (c *Checker) Served(class int) { c.Classes[class].FirstInTime++ }
 
-// Forget forgets a request whose node was killed by the scenario: nobody could have answered it.
+// Forget removes a request whose node was killed by the scenario, so that no answer to it is expected.
 func (c *Checker) Forget(id string) { delete(c.requests, id) }
 
-// Advance checks what is due by now: requests without an answer at their deadline.
+// Advance reports a breach for each request without an answer at its deadline, and removes requests that are no longer
+// kept.
 func (c *Checker) Advance(now policy.Instant) {
 	for {
 		id, ok := c.deadlines.PopDue(now)
--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -14,72 +14,73 @@
 	evidenceSlack = 200 * time.Millisecond
 	// removalSlack is the time after a fault has ended in which a node may still be removed for it.
 	removalSlack = time.Second
-	// decisionTime is what the fleet takes at most to decide on a fault.
+	// decisionTime is the longest time in which the fleet decides on a fault.
 	decisionTime = 10 * time.Second
-	// convergenceTime is what views take at most to become the same after the last fault.
+	// convergenceTime is the longest time in which views become equal after the last fault.
 	convergenceTime = 5 * time.Second
-	// wakeTime is what a node takes to notice that it stood still itself.
+	// wakeTime is the time a node takes to notice that it was paused itself.
 	wakeTime = 300 * time.Millisecond
-	// checkInterval is the time between two comparisons of views with the truth.
+	// checkInterval is the time between two comparisons of views with the actual state.
 	checkInterval = 100 * time.Millisecond
 )
 
-// viewCheck compares one kind of lines with the truth.
+// viewCheck compares the trace lines of one kind with the actual state of nodes.
 type viewCheck struct {
 	*Views
-	verdict  *Verdict
-	episodes []episode
-	looked   []bool // by episode: whether it was missed has been decided
-	pause    time.Duration
-	end      policy.Instant
-	nodes    []observer
-	removals map[removal]int
-	next     policy.Instant // of the comparisons
-	apart    policy.Instant // when views last differed from the truth; -1 for never
+	verdict       *Verdict
+	episodes      []episode
+	missesCounted []bool // by episode: missed removals have been counted
+	pause         time.Duration
+	end           policy.Instant
+	nodes         []observer
+	removals      map[removal]int
+	next          policy.Instant // comparison
+	lastDiverged  policy.Instant // when views last differed from the actual state; -1 for never
 }
 
-// observer is what one node says.
+// observer is the state of one node's view.
 type observer struct {
 	members []string
 	process string
-	start   policy.Instant // of its process, by its first line
-	changes int            // of its view while nothing befell it
+	start   policy.Instant // time of the first line of its process
+	changes int            // of its view while it had no fault
 }
 
-// removal is that one node removes another for one fault.
+// removal identifies the removals of a faulty node by one observer for one fault.
 type removal struct {
 	observer int
 	cause    *episode
 }
 
-// Judge compares one kind of lines with the truth. The pause is how long a node may stand still and stays a member.
+// Judge compares the trace lines of one kind with the actual state of nodes until an instant. A node whose process is
+// paused for no longer than pause must stay a member.
 func (v *Views) Judge(kind string, pause time.Duration, end policy.Instant) *Verdict {
 	all := v.episodes(end)
 	c := &viewCheck{
-		Views:    v,
-		verdict:  &Verdict{Formed: -1, ConvergedAfter: -1},
-		episodes: all,
-		looked:   make([]bool, len(all)),
-		pause:    pause,
-		end:      end,
-		nodes:    make([]observer, v.Nodes),
-		removals: map[removal]int{},
-		apart:    -1,
+		Views:         v,
+		verdict:       &Verdict{Formed: -1, ConvergedAfter: -1},
+		episodes:      all,
+		missesCounted: make([]bool, len(all)),
+		pause:         pause,
+		end:           end,
+		nodes:         make([]observer, v.Nodes),
+		removals:      map[removal]int{},
+		lastDiverged:  -1,
 	}
 	for i := range v.Lines {
 		if l := &v.Lines[i]; l.Kind == kind && l.At <= end {
-			c.line(l)
+			c.addLine(l)
 		}
 	}
 	c.compareUntil(end)
-	if c.apart < end.Add(-time.Second) {
-		c.verdict.ConvergedAfter = max(0, c.apart.Since(c.lastTransition()).Seconds())
+	if c.lastDiverged < end.Add(-time.Second) {
+		c.verdict.ConvergedAfter = max(0, c.lastDiverged.Since(c.lastTransition()).Seconds())
 	}
 	slices.Sort(c.verdict.Detect)
 	return c.verdict
 }
 
-// lastTransition is when an episode last began or ended.
+// lastTransition returns when an episode last began or ended.
 func (c *viewCheck) lastTransition() policy.Instant {
 	last := policy.Instant(0)
 	for _, e := range c.episodes {
@@ -91,8 +92,8 @@
 	return last
 }
 
-// line takes a node's next view.
-func (c *viewCheck) line(l *trace.Line) {
+// addLine processes the next addLine of a node's view.
+func (c *viewCheck) addLine(l *trace.Line) {
 	if l.At >= 0 {
 		c.compareUntil(l.At)
 	}
@@ -102,7 +103,7 @@
 	}
 	node := number - 1
 	o := &c.nodes[node]
-	if o.process != l.Process { // a new process does not take back what another knew
+	if o.process != l.Process { // a new process starts with an empty view
 		o.process = l.Process
 		o.members = nil
 		o.start = l.At
@@ -123,17 +124,18 @@
 	for n := range c.Nodes {
 		name := NameOf(n)
 		if n != node && slices.Contains(before, name) && !slices.Contains(o.members, name) {
-			c.removed(node, n, before, l.At)
+			c.checkRemoval(node, n, before, l.At)
 		}
 	}
 }
 
-// formed tells whether all nodes have all as members.
+// formed reports whether all nodes have all nodes as members.
 func (c *viewCheck) formed() bool {
 	return !slices.ContainsFunc(c.nodes, func(o observer) bool { return len(o.members) < c.Nodes })
 }
 
-// countChange counts a change of a node's view, unless the node just started: it finds the others one by one then.
+// countChange counts a change of a node's view, unless the node has a fault or has just started and discovers the
+// others one by one.
 func (c *viewCheck) countChange(node int, at policy.Instant) {
 	o := &c.nodes[node]
 	if c.faultOf(node, at, settleTime) == nil && at > o.start.Add(convergenceTime) {
@@ -142,12 +144,13 @@
 	}
 }
 
-// faultOf returns the episode in which a node is at an instant, or was until a time before; nil for none.
+// faultOf returns the episode of a node that includes an instant or ended at most the given time before it; nil for
+// none.
 func (c *viewCheck) faultOf(node int, at policy.Instant, since time.Duration) *episode {
 	for i := range c.episodes {
 		e := &c.episodes[i]
 		until := e.to.Add(since)
-		if e.ended && since > 0 { // the old process is out when its silence was borne for long enough, be the new one in or not
+		if e.replaced && since > 0 { // the old process is removed after the pause, whether or not the new one has joined
 			until = max(until, e.from.Add(c.pause+removalSlack))
 		}
 		if e.node == node && at >= e.from && at <= until {
@@ -157,37 +160,37 @@
 	return nil
 }
 
-// sound tells whether nothing befalls a node, nor did just now.
-func (c *viewCheck) sound(node int, at policy.Instant) bool {
+// isHealthy reports whether a node has no fault and has had none within settleTime.
+func (c *viewCheck) isHealthy(node int, at policy.Instant) bool {
 	return c.faultOf(node, at, settleTime) == nil
 }
 
-// mostSound tells whether more than half of the nodes are sound.
-func (c *viewCheck) mostSound(at policy.Instant) bool {
+// majorityHealthy reports whether more than half of the nodes are healthy.
+func (c *viewCheck) majorityHealthy(at policy.Instant) bool {
 	sound := 0
 	for n := range c.Nodes {
-		if c.sound(n, at) {
+		if c.isHealthy(n, at) {
 			sound++
 		}
 	}
 	return 2*sound > c.Nodes
 }
 
-// removed judges that one node has removed another.
-func (c *viewCheck) removed(by, node int, before []string, at policy.Instant) {
+// checkRemoval judges the removal of one node by another.
+func (c *viewCheck) checkRemoval(by, node int, before []string, at policy.Instant) {
 	seconds := time.Duration(at).Seconds()
 	cause := c.faultOf(node, at, removalSlack)
 	if own := c.faultOf(by, at, wakeTime); own != nil {
-		if c.rash(by, node, before, at, own, cause) {
+		if c.isUnjustified(by, node, before, at, own, cause) {
 			c.verdict.UnjustifiedRemovals++
 			c.verdict.note("%.1f s: %s, in trouble itself, takes out %s", seconds, NameOf(by), NameOf(node))
 		}
 		return
 	}
-	if !c.sound(by, at) {
+	if !c.isHealthy(by, at) {
 		return
 	}
-	if c.mostSound(at) && (cause == nil || cause.to.Since(cause.from) <= c.pause && !cause.ended) {
+	if c.majorityHealthy(at) && (cause == nil || cause.to.Since(cause.from) <= c.pause && !cause.replaced) {
 		c.verdict.FalseRemovals++
 		c.verdict.note("%.1f s: %s takes out %s, which nothing befell", seconds, NameOf(by), NameOf(node))
 		return
@@ -205,23 +208,23 @@
 	c.verdict.Detect = append(c.verdict.Detect, at.Since(cause.from).Seconds())
 }
 
-// rash tells whether a node in trouble itself had no ground to remove another.
-func (c *viewCheck) rash(by, node int, before []string, at policy.Instant, own, cause *episode) bool {
-	befell := slices.ContainsFunc(c.episodes, func(e episode) bool {
+// isUnjustified reports whether a node that has a fault itself removed another without grounds.
+func (c *viewCheck) isUnjustified(by, node int, before []string, at policy.Instant, own, cause *episode) bool {
+	hadFault := slices.ContainsFunc(c.episodes, func(e episode) bool {
 		return e.node == node && e.from <= at && e.to.Add(c.pause+removalSlack) >= own.from
 	})
-	if !befell {
+	if !hadFault {
 		return true
 	}
-	if own.stood || cause != nil && cause.stood { // a process that does not run is out, whoever says so
+	if own.stopped || cause != nil && cause.stopped { // removing a process that does not run is right, whichever node does it
 		return false
 	}
 	evidenceFrom := at.Add(-c.pause - evidenceSlack)
 	return c.witnesses(by, node, at, evidenceFrom) <= 1 && !c.heardHalf(by, before, evidenceFrom, at)
 }
 
-// witnesses counts the nodes that hear half of their members and do not hear the one that was removed: the removal may
-// rest on their statements.
+// witnesses counts the nodes that hear half of their members and do not hear the removed one: the removal may be
+// based on their statements.
 func (c *viewCheck) witnesses(by, node int, at, evidenceFrom policy.Instant) int {
 	count := 0
 	for n := range c.Nodes {
@@ -233,8 +236,8 @@
 	return count
 }
 
-// undisturbed tells whether no other node's fault began or ended since an episode began: else another node's statement
-// may have changed the decision.
+// undisturbed reports whether no other node's fault began or ended since an episode began. Otherwise another node's
+// statement may have changed the decision.
 func (c *viewCheck) undisturbed(e *episode, at policy.Instant) bool {
 	return !e.weak && !slices.ContainsFunc(c.episodes, func(other episode) bool {
 		began := other.from > e.from && other.from < at
@@ -243,18 +246,18 @@
 	})
 }
 
-// compareUntil compares views with the truth at each step up to an instant.
+// compareUntil compares views with the actual state at each checkInterval up to an instant.
 func (c *viewCheck) compareUntil(until policy.Instant) {
 	for ; c.next <= until; c.next = c.next.Add(checkInterval) {
 		if c.verdict.Formed < 0 {
 			continue
 		}
 		c.findMissed(c.next)
-		o := c.firstUnlike(c.next)
+		o := c.firstDiverged(c.next)
 		if o < 0 {
 			continue
 		}
-		c.apart = c.next
+		c.lastDiverged = c.next
 		if c.settled(c.next) && c.next%policy.Instant(time.Second) == 0 {
 			c.verdict.DivergedSeconds++
 			c.verdict.note("%.1f s: %s has %v", time.Duration(c.next).Seconds(), NameOf(o), c.nodes[o].members)
@@ -262,8 +265,8 @@
 	}
 }
 
-// firstUnlike returns the first node whose view is not the truth where it should be; -1 for none.
-func (c *viewCheck) firstUnlike(at policy.Instant) int {
+// firstDiverged returns the first node whose view should match the actual state and does not; -1 for none.
+func (c *viewCheck) firstDiverged(at policy.Instant) int {
 	var want []string
 	for n := range c.Nodes {
 		e := c.faultOf(n, at, 0)
@@ -285,7 +288,7 @@
 	return -1
 }
 
-// settled tells whether nothing has begun or ended for so long that all views have to be the same.
+// settled reports whether the last beginning or end of an episode is so long ago that all views must be equal.
 func (c *viewCheck) settled(at policy.Instant) bool {
 	for _, e := range c.episodes {
 		begins := e.from <= at && at < e.from.Add(decisionTime)
@@ -293,10 +296,11 @@
 		if begins || ends {
 			return false
 		}
-		if e.stood || !e.during(at) {
+		if e.stopped || !e.during(at) {
 			continue
 		}
-		// A node that was out as a cut began may stay out while it lasts: nobody can tell then who has the majority.
+		// A node that was removed when a cut began may stay removed during the cut: no node can tell then which side
+		// has the majority.
 		for _, other := range c.episodes {
 			if other.to <= at && other.to.Add(convergenceTime) > e.from {
 				return false
@@ -311,13 +315,13 @@
 	for i := range c.episodes {
 		e := &c.episodes[i]
 		beforeFormed := e.from.Since(0).Seconds() < c.verdict.Formed
-		if c.looked[i] || e.weak || at < e.from.Add(decisionTime) || beforeFormed || c.othersJustBack(e, at) {
+		if c.missesCounted[i] || e.weak || at < e.from.Add(decisionTime) || beforeFormed || c.othersJustBack(e, at) {
 			continue
 		}
-		c.looked[i] = true
-		majority := 2*c.fewestUp(e.from, at) > c.Nodes
+		c.missesCounted[i] = true
+		majority := 2*c.minHealthy(e.from, at) > c.Nodes
 		for o := range c.Nodes {
-			if !majority || e.to <= at || o == e.node || !c.sound(o, e.from) || !c.sound(o, at) {
+			if !majority || e.to <= at || o == e.node || !c.isHealthy(o, e.from) || !c.isHealthy(o, at) {
 				continue
 			}
 			if slices.Contains(c.nodes[o].members, NameOf(e.node)) {
@@ -329,16 +333,16 @@
 	}
 }
 
-// othersJustBack tells whether other nodes had only just come back as a cut began.
+// othersJustBack reports whether other nodes had only just recovered when a cut began.
 func (c *viewCheck) othersJustBack(e *episode, at policy.Instant) bool {
 	return slices.ContainsFunc(c.episodes, func(other episode) bool {
-		return other.node != e.node && !e.stood &&
+		return other.node != e.node && !e.stopped &&
 			other.to.Add(convergenceTime) > e.from && other.from < at && other.to < at
 	})
 }
 
-// fewestUp is the least number of nodes that nothing befell, over a span.
-func (c *viewCheck) fewestUp(from, to policy.Instant) int {
+// minHealthy returns the smallest number of nodes without a fault during a span.
+func (c *viewCheck) minHealthy(from, to policy.Instant) int {
 	fewest := c.Nodes
 	for t := from; t <= to; t = t.Add(decisionTime / 10) {
 		up := 0
--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -13,37 +13,38 @@
 // maxLines bounds the lines of traces that are kept.
 const maxLines = 200_000
 
-// Views records what nodes say of one another, and what really befell them. The nodes are named n1 and so on.
+// Views records the nodes' membership views and the actual state of their processes and links. Nodes are named n1, n2
+// and so on.
 type Views struct {
 	Nodes          int             `json:"nodes"`
 	Lines          []trace.Line    `json:"lines"`
 	ProcessChanges []ProcessChange `json:"truths"`
-	Dropped        int             `json:"dropped,omitempty"` // lines beyond what is kept
+	Dropped        int             `json:"dropped,omitempty"` // lines beyond maxLines
 	cuts           []cut
 }
 
-// ProcessChange says that a node's process runs from an instant on, or does not.
+// ProcessChange records that a node's process runs, or does not run, from an instant on.
 type ProcessChange struct {
 	At   policy.Instant `json:"at_ns"`
 	Node string         `json:"node"`
 	Runs bool           `json:"runs"`
-	New  bool           `json:"new,omitempty"` // by another process than before
+	New  bool           `json:"new,omitempty"` // by a process that replaces another
 }
 
-// cut says that what one node sends no longer reaches another from an instant on, or reaches it again.
+// cut records that messages from one node to another are blocked, or pass again, from an instant on.
 type cut struct {
 	at       policy.Instant
 	from, to int // numbers of nodes, from 0
 	on       bool
 }
 
-// NewViews returns a record of so many nodes that has no lines yet.
+// NewViews returns an empty record of the given number of nodes.
 func NewViews(nodes int) *Views { return &Views{Nodes: nodes} }
 
 // NameOf returns a node's name by its number from 0.
 func NameOf(n int) string { return "n" + strconv.Itoa(n+1) }
 
-// AddLine keeps a line of a node's trace. Beyond a bound lines are counted and dropped.
+// AddLine adds a line of a node's trace. Lines beyond maxLines are counted and dropped.
 func (v *Views) AddLine(at policy.Instant, l trace.Line) {
 	l.At = at
 	if len(v.Lines) >= maxLines {
@@ -53,20 +54,20 @@
 	v.Lines = append(v.Lines, l)
 }
 
-// RecordProcess keeps whether a node's process runs from now on. It may be called on a nil record, which keeps nothing.
+// RecordProcess records whether a node's process runs from now on. It does nothing on a nil record.
 func (v *Views) RecordProcess(now policy.Instant, node string, runs, anew bool) {
 	if v != nil {
 		v.ProcessChanges = append(v.ProcessChanges, ProcessChange{At: now, Node: node, Runs: runs, New: anew})
 	}
 }
 
-// RecordCut keeps whether what one node sends is kept from another from now on.
+// RecordCut records whether messages from one node to another are blocked from now on.
 func (v *Views) RecordCut(now policy.Instant, from, to int, on bool) {
 	v.cuts = append(v.cuts, cut{at: now, from: from, to: to, on: on})
 }
 
-// From returns a copy whose times begin with the scenario's, with its lines in order of time: those of several processes
-// do not come in order. A nil record gives nil.
+// From returns a copy with times relative to the scenario's start and lines sorted by time, as lines of several
+// processes do not arrive in order. A nil record gives nil.
 func (v *Views) From(start policy.Instant) *Views {
 	if v == nil {
 		return nil
@@ -91,7 +92,7 @@
 	return c
 }
 
-// runsAt tells whether a node's process runs at an instant.
+// runsAt reports whether a node's process runs at an instant.
 func (v *Views) runsAt(node int, at policy.Instant) bool {
 	runs := true
 	for _, t := range v.ProcessChanges {
@@ -102,7 +103,7 @@
 	return runs
 }
 
-// isCutAt tells whether what one node sends does not reach another at an instant.
+// isCutAt reports whether messages from one node to another are blocked at an instant.
 func (v *Views) isCutAt(from, to int, at policy.Instant) bool {
 	on := false
 	for _, c := range v.cuts {
@@ -113,7 +114,7 @@
 	return on
 }
 
-// hearsHalf tells whether a node can hear half of the given nodes at an instant.
+// hearsHalf reports whether a node can receive messages from half of the given nodes at an instant.
 func (v *Views) hearsHalf(node int, members []string, at policy.Instant) bool {
 	heard, others := 0, 0
 	for n := range v.Nodes {
@@ -128,8 +129,8 @@
 	return 2*heard >= others
 }
 
-// heardHalf tells whether a node could hear half of the nodes that it had as members, or half of all, at some time of a
-// span: its decision may rest on what it heard then.
+// heardHalf reports whether a node could hear half of its members, or half of all nodes, at some time of a span: its
+// decision may be based on what it heard then.
 func (v *Views) heardHalf(node int, members []string, from, to policy.Instant) bool {
 	const step = 50 * time.Millisecond // far below the time between heartbeats
 	var all []string
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -12,8 +12,8 @@
 
 func at(s float64) policy.Instant { return policy.Instant(s * float64(time.Second)) }
 
-// course writes what nodes of five say: "n1-n2" at a time means that n1 has n2 no more, "n1+n2" that it has it again.
-func course(v *Views, says map[float64]string) {
+// addViews records the views of five nodes: "n1-n2" at a time means that n1 removes n2, "n1+n2" that it adds it again.
+func addViews(v *Views, says map[float64]string) {
 	has := map[string]string{}
 	say := func(s float64, node string) {
 		v.AddLine(at(s), trace.Line{Node: node, Process: node, Kind: trace.View, Members: strings.Fields(has[node])})
@@ -35,15 +35,15 @@
 	}
 }
 
-// Each thing that must not be is counted where it is, and nothing where all is as it should be.
-func TestViewsAreJudged(t *testing.T) {
+// Each kind of wrong view is counted, and a correct one is not.
+func TestJudgeCountsWrongViews(t *testing.T) {
 	killed := func(from, to float64) func(*Views) {
 		return func(v *Views) {
 			v.RecordProcess(at(from), "n2", false, false)
 			v.RecordProcess(at(to), "n2", true, true)
 		}
 	}
-	deaf := func(v *Views) {
+	receiveCut := func(v *Views) {
 		for _, cut := range []bool{true, false} {
 			for n := 1; n < 5; n++ {
 				v.RecordCut(at(map[bool]float64{true: 10, false: 30}[cut]), n, 0, cut)
@@ -71,12 +71,12 @@
 		{"not taken out, by one", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"}, Verdict{Missed: 1, DivergedSeconds: 1}},
 		{"out, in, out", killed(10, 39), map[float64]string{12.8: out, 14: "n1+n2", 16: "n1-n2"}, Verdict{Flaps: 1}},
 		{"not taken in again", killed(10, 20), map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{DivergedSeconds: 1}},
-		{"one that hears nobody takes others out", deaf, map[float64]string{13: "n2-n1 n3-n1 n4-n1 n5-n1", 14: "n1-n2", 32.5: "n2+n1 n3+n1 n4+n1 n5+n1", 32.6: "n1+n2"},
+		{"one that hears nobody takes others out", receiveCut, map[float64]string{13: "n2-n1 n3-n1 n4-n1 n5-n1", 14: "n1-n2", 32.5: "n2+n1 n3+n1 n4+n1 n5+n1", 32.6: "n1+n2"},
 			Verdict{UnjustifiedRemovals: 1}},
 	} {
 		v := NewViews(5)
 		c.truth(v)
-		course(v, c.says)
+		addViews(v, c.says)
 		d := v.From(0).Judge(trace.View, 2*time.Second, at(40))
 		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) || c.want.Changes > 0 && d.Changes != c.want.Changes {
 			t.Errorf("%s: %+v", c.name, d)
