--- a/internal/emulator/world/faults.go
+++ b/internal/emulator/world/faults.go
@@ -6,17 +6,17 @@
 	"dahliapin/policy"
 )
 
-// Slow makes a server so many times slower than its traits; 1 ends that.
+// Slow makes a server slower than its traits by a factor; 1 restores its speed.
 func (w *World) Slow(now policy.Instant, server int, times float64) {
 	w.change(now, server, func(s *Server) { s.slow = max(times, 1e-3) })
 }
 
-// TakeCores lets other programs on the machine take a share of its cores; 0 ends that.
+// TakeCores lets other programs use a share of a server's cores; 0 restores them.
 func (w *World) TakeCores(now policy.Instant, server int, share float64) {
 	w.change(now, server, func(s *Server) { s.coresTaken = min(max(share, 0), 0.99) })
 }
 
-// change applies a change of a server's speed, also to running jobs.
+// change applies a change of a server's speed, including to running jobs.
 func (w *World) change(now policy.Instant, server int, do func(*Server)) {
 	w.now = now
 	s := w.Servers[server]
@@ -24,14 +24,14 @@
 	w.scheduleWake(server)
 }
 
-// Pause stops a server's work for a time; its connections stay.
+// Pause suspends a server's work for a time; its connections stay open.
 func (w *World) Pause(now policy.Instant, server int, duration time.Duration) {
 	w.now = now
 	w.Servers[server].queue.freeze(now, now.Add(duration))
 	w.scheduleWake(server)
 }
 
-// Kill ends a server's process: its jobs and its values are gone.
+// Kill terminates a server's process: its jobs and its values are lost.
 func (w *World) Kill(now policy.Instant, server int) {
 	w.now = now
 	s := w.Servers[server]
@@ -41,8 +41,8 @@
 	s.store = newStore(s.Keys)
 }
 
-// Silence ends a server's process as a cut network does: its jobs are gone, and what is sent to it is lost
-// unanswered.
+// Silence makes a server unreachable, as a network partition does: its jobs are lost, and requests to it get no
+// answer.
 func (w *World) Silence(now policy.Instant, server int) {
 	w.Kill(now, server)
 	w.Servers[server].Liveness = Silent
@@ -60,10 +60,10 @@
 	s.queue.frozenUntil = 0
 }
 
-// SetErrorRate has a server fail a share of its jobs.
+// SetErrorRate makes a server fail a share of its jobs.
 func (w *World) SetErrorRate(server int, share float64) { w.Servers[server].ErrorRate = share }
 
-// RemoveKey removes a key from a cache, as a purge does, and tells whether it was there.
+// RemoveKey removes a key from a cache, as a purge does, and reports whether it existed.
 func (w *World) RemoveKey(server int, key string) bool {
 	store := w.Servers[server].store
 	existed := store.contains(key)
@@ -71,5 +71,5 @@
 	return existed
 }
 
-// RemoveAll removes all keys from a cache whose process goes on.
+// RemoveAll removes all keys from a cache without restarting its process.
 func (w *World) RemoveAll(server int) { w.Servers[server].store = newStore(w.Servers[server].Keys) }
--- a/internal/emulator/world/idempotencykeys.go
+++ b/internal/emulator/world/idempotencykeys.go
@@ -1,9 +1,9 @@
 package world
 
-// idempotencyKeys remembers the idempotency keys of writes for their window, so that a repeat has no effect.
+// idempotencyKeys stores the idempotency keys of writes for their deduplication window, so that a repeat has no effect.
 type idempotencyKeys struct {
 	records map[string]idempotencyRecord
-	order   []string // by the time of the writes
+	order   []string // keys in the order of their writes
 }
 
 type idempotencyRecord struct {
--- a/internal/emulator/world/jobs.go
+++ b/internal/emulator/world/jobs.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// missRetention is how long a miss is remembered for the value that the origin may bring: longer than any deadline.
+	// missRetention is how long a miss is kept, so that the origin's value can fill the cache: longer than any deadline.
 	missRetention = 20 * time.Second
 	// repeatWork is the work of a write refused as a repeat, as a share of the usual.
 	repeatWork = 0.25
@@ -38,23 +38,23 @@
 	Key     string
 	Label   string // the idempotency key of a write; "" for none
 	Class   int
-	Until   policy.Instant // when nobody waits any more
-	Tag     uint64         // the shell's own
+	Until   policy.Instant // after which no node waits for the reply
+	Tag     uint64         // chosen by the shell
 
 	server          int
-	arrivedDraining bool // the server was draining when it arrived
+	arrivedDraining bool // the server was not ready when the job arrived
 }
 
-// Done is the end of a job.
+// Done is the result of a job.
 type Done struct {
 	Job    Job
 	Server int
 	Reply  Reply
 	Text   string  // the value or receipt
-	Load   float64 // reported: jobs at the server, as of its last load report
+	Load   float64 // number of jobs at the server as of its last load report
 }
 
-// Offer gives a server a job. Where it is not accepted, it returns the reply and false.
+// Offer submits a job to a server. If the job is not accepted, it returns the reply and false.
 func (w *World) Offer(now policy.Instant, server int, j Job) (Done, bool) {
 	w.now = now
 	s := w.Servers[server]
@@ -80,7 +80,7 @@
 	return Done{}, true
 }
 
-// workOf draws the work of a job at a server.
+// workOf draws the amount of work of a job at a server.
 func (w *World) workOf(s *Server, j *Job) time.Duration {
 	class := &w.plan.Classes[j.Class]
 	work := class.Work
@@ -101,13 +101,13 @@
 
 func (w *World) exponential() float64 { return -math.Log(1 - w.random.Float64()) }
 
-// Withdraw takes a job that nobody waits for any more out of a server's queue, if it has not begun.
+// Withdraw removes a job that no node waits for from a server's queue, unless it has started.
 func (w *World) Withdraw(now policy.Instant, server int, tag uint64) {
 	w.now = now
 	w.Servers[server].queue.withdraw(func(j Job) bool { return j.Tag == tag })
 }
 
-// finish has the effect of a job that has ended, and makes the reply.
+// finish applies the effect of a completed job and returns its reply.
 func (w *World) finish(now policy.Instant, s *Server, j Job) Done {
 	done := Done{Job: j, Server: j.server, Load: s.reportedLoad(now)}
 	if s.ErrorRate > 0 && w.random.Float64() < s.ErrorRate {
@@ -135,7 +135,7 @@
 	return done
 }
 
-// ValueOf is the value of a key, at any server.
+// ValueOf returns the value of a key, which is the same at all servers.
 func ValueOf(key string) string { return "v:" + key }
 
 func (w *World) rememberMiss(now policy.Instant, j Job) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// write has its effect, unless it repeats one within its deduplication window, and returns the receipt.
+// write applies a write, unless it repeats one within its deduplication window, and returns the receipt.
 func (w *World) write(now policy.Instant, s *Server, class *Class, j Job) string {
 	if j.Label != "" {
 		if receipt, isRepeat := w.keysFor(s, class).lookup(int64(now), j.Label); isRepeat {
@@ -178,8 +178,8 @@
 	return receipt
 }
 
-// keysFor are the idempotency keys that a server knows: the origin its own, caches those of their deduplication
-// scope.
+// keysFor returns the idempotency keys that a server checks: the origin has its own, caches share those of their
+// deduplication scope.
 func (w *World) keysFor(s *Server, class *Class) *idempotencyKeys {
 	if s.origin != nil {
 		return s.idempotencyKeys
--- a/internal/emulator/world/overload.go
+++ b/internal/emulator/world/overload.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// demandWindow is the time over which the work that arrives at the origin is averaged.
+	// demandWindow is the time constant of the average of the work arriving at the origin.
 	demandWindow = 500 * time.Millisecond
-	// restartDelay is how long a cache that fell over is down.
+	// restartDelay is how long a cache is down after it failed from overload.
 	restartDelay = 3 * time.Second
 )
 
@@ -22,8 +22,8 @@
 	work time.Duration
 }
 
-// checkOverload looks whether far too much work arrives at a server: a cold cache falls over at once; the origin
-// counts as overloaded once that has lasted for a time, and goes on as slowly as it then is.
+// checkOverload checks whether a server receives too much work. A cold cache fails at once; the origin counts as
+// overloaded once the excess has lasted for FallFor, and continues to run at its reduced speed.
 func (w *World) checkOverload(now policy.Instant, s *Server, work time.Duration) {
 	switch {
 	case s.FallMultiple <= 0 || s.Liveness != Up:
@@ -34,8 +34,8 @@
 	}
 }
 
-// checkColdCache counts what arrived at a cold cache within FallFor, from all nodes together, in requests of mean
-// work. Of what exceeds the limit N, twice the root of N and two more count as chance.
+// checkColdCache sums the work that arrived at a cold cache within FallFor, from all nodes together, in requests of
+// mean work. An excess over the limit N of up to 2*sqrt(N)+2 is attributed to chance.
 func (w *World) checkColdCache(now policy.Instant, s *Server, work time.Duration) {
 	if s.SpeedShare(now) >= 1 {
 		s.arrivals = nil
@@ -62,7 +62,7 @@
 	w.wakes.Push(s.restartsAt, wake{server: number})
 }
 
-// checkOrigin averages the work that arrives at the origin.
+// checkOrigin averages the work arriving at the origin and reports a lasting excess.
 func (w *World) checkOrigin(now policy.Instant, s *Server, work time.Duration) {
 	s.demand *= math.Exp(-float64(now.Since(s.demandAt)) / float64(demandWindow))
 	s.demandAt = now
--- a/internal/emulator/world/plan.go
+++ b/internal/emulator/world/plan.go
@@ -6,19 +6,19 @@
 	"dahliapin/policy"
 )
 
-// OriginID is the origin's name.
+// OriginID is the origin's endpoint id.
 const OriginID policy.EndpointID = "origin"
 
-// Mode says what caches do on a miss.
+// Mode determines what happens on a cache miss.
 type Mode int
 
 // The modes of a world's caches.
 const (
-	Aside   Mode = iota // caches only store; the origin is asked on a miss
-	Through             // caches are the store themselves; there is no origin
+	Aside   Mode = iota // caches only store; nodes query the origin on a miss
+	Through             // caches are the data store; there is no origin
 )
 
-// Plan describes a world to make.
+// Plan describes a world to be created.
 type Plan struct {
 	Mode     Mode
 	Caches   []CacheTraits
@@ -42,7 +42,7 @@
 	ColdFor      time.Duration
 	FallMultiple float64 // of its present capacity: with more requests than that while cold, it falls over; 0 for never
 	FallFor      time.Duration
-	Connections  int           // that it holds at once
+	Connections  int           // open at the same time, at most
 	Handshake    time.Duration // work of each new connection
 	ErrorRate    float64       // share of jobs that fail
 }
@@ -66,21 +66,21 @@
 	Deadline time.Duration
 	Work     time.Duration // at a cache of speed 1; that of a write is done at the origin where caches only store
 	Share    float64       // of first tries
-	Tries    int           // that a client makes at most, the first included
+	Tries    int           // maximum tries of a client, including the first
 }
 
-// Observer is told what really happens, whatever nodes believe.
+// Observer receives what actually happens, independently of what nodes believe.
 type Observer interface {
-	// Effect reports that a write had its effect at a server.
+	// Effect reports that a write took effect at a server.
 	Effect(now policy.Instant, request, label string, class int, server policy.EndpointID)
-	// Fell reports that a server was overloaded, and why. A cache falls over, the origin goes on.
+	// Fell reports that a server was overloaded, and why. A cache fails then, the origin continues to run.
 	Fell(now policy.Instant, server policy.EndpointID, why string)
-	// Rose reports that a cache that had fallen over has started again.
+	// Rose reports that a cache that failed from overload has restarted.
 	Rose(now policy.Instant, server policy.EndpointID)
 }
 
-// meanWork is the mean work of a request at a cache of speed 1, by the shares of classes; where a plan has no
-// shares, all classes count alike.
+// meanWork returns the mean work of a request at a cache of speed 1, weighted by the shares of classes; if all shares
+// are zero, all classes have the same weight.
 func (p *Plan) meanWork() time.Duration {
 	work := 0.0
 	share := 0.0
--- a/internal/emulator/world/queue.go
+++ b/internal/emulator/world/queue.go
@@ -6,14 +6,14 @@
 	"dahliapin/policy"
 )
 
-// serverQueue is a bounded queue before cores of one speed. Work is given as the time that it takes at speed 1.
+// serverQueue is a bounded queue in front of cores of equal speed. Work is measured as the time it takes at speed 1.
 type serverQueue[J any] struct {
 	cores       int
-	queue       int            // those that may wait
-	speed       func() float64 // work that each core does in a unit of time, as of now
+	queue       int            // maximum number of waiting jobs
+	speed       func() float64 // current work done by each core in a unit of time
 	running     []runningJob[J]
 	waiting     []waitingJob[J]
-	frozenUntil policy.Instant // no job goes on before then
+	frozenUntil policy.Instant // no job makes progress before then
 }
 
 type waitingJob[J any] struct {
@@ -26,7 +26,7 @@
 	endsAt policy.Instant
 }
 
-// offer accepts a job, or returns false where the queue is full.
+// offer accepts a job, or returns false if the queue is full.
 func (s *serverQueue[J]) offer(now policy.Instant, job J, work time.Duration) bool {
 	if len(s.running) >= s.cores {
 		if len(s.waiting) >= s.queue {
@@ -44,7 +44,7 @@
 	s.running = append(s.running, runningJob[J]{job: job, endsAt: from.Add(time.Duration(float64(work) / s.speed()))})
 }
 
-// next is when the next job ends.
+// next returns when the next job ends.
 func (s *serverQueue[J]) next() (at policy.Instant, ok bool) {
 	for i, r := range s.running {
 		if i == 0 || r.endsAt < at {
@@ -54,7 +54,7 @@
 	return at, len(s.running) > 0
 }
 
-// finish takes out one job that has ended by now, and begins the next in its place.
+// finish removes one job that has ended by now and starts the next one in its place.
 func (s *serverQueue[J]) finish(now policy.Instant) (job J, ok bool) {
 	first := -1
 	for i, r := range s.running {
@@ -75,7 +75,7 @@
 	return ended.job, true
 }
 
-// withdraw takes out a job that waits; a running one goes on to its end.
+// withdraw removes a waiting job; a running job is not interrupted.
 func (s *serverQueue[J]) withdraw(is func(J) bool) {
 	for i, w := range s.waiting {
 		if is(w.job) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// change calls a function that may change the speed, and stretches or shortens the rest of running jobs accordingly.
+// change calls a function that may change the speed, and rescales the remaining time of running jobs accordingly.
 func (s *serverQueue[J]) change(now policy.Instant, do func()) {
 	before := s.speed()
 	do()
@@ -97,7 +97,7 @@
 	}
 }
 
-// freeze stops all work until an instant.
+// freeze suspends all work until an instant.
 func (s *serverQueue[J]) freeze(now, until policy.Instant) {
 	for i := range s.running {
 		if s.running[i].endsAt > now {
@@ -112,5 +112,5 @@
 	s.waiting = nil
 }
 
-// length is the number of jobs, running and waiting.
+// length returns the number of running and waiting jobs.
 func (s *serverQueue[J]) length() int { return len(s.running) + len(s.waiting) }
--- a/internal/emulator/world/registry.go
+++ b/internal/emulator/world/registry.go
@@ -6,12 +6,12 @@
 	"dahliapin/policy"
 )
 
-// refusalWork is the work of refusing a poll, as a share of that of an update: nodes that poll too often keep an
-// overloaded registry overloaded by that alone.
+// refusalWork is the work of refusing a poll, as a share of the work of an update. It makes nodes that poll too often
+// keep an overloaded registry overloaded.
 const refusalWork = 0.3
 
-// Registry models the capacity of discovery: one worker, and a bound on the work that may wait. It also works on
-// polls that nobody waits for any more.
+// Registry models the capacity of discovery: one worker, and a bound on the queued work. It also processes polls
+// that no node waits for any more.
 type Registry struct {
 	CompleteWork time.Duration // work of a poll for the complete endpoint list
 	UpdateWork   time.Duration // work of a poll for changes; 0 for a registry without bounds
@@ -21,14 +21,14 @@
 	busyUntil  policy.Instant // when all accepted work is done
 }
 
-// Bounded tells whether the registry has a bound at all.
+// Bounded reports whether the registry's capacity is bounded.
 func (g *Registry) Bounded() bool { return g.UpdateWork > 0 }
 
-// Slow makes the registry so many times slower; 1 ends that.
+// Slow makes the registry slower by a factor; 1 restores its speed.
 func (g *Registry) Slow(times float64) { g.slowFactor = times }
 
-// Poll takes a poll, for the complete list or for changes. It returns when it is answered, and whether it is
-// accepted: a refusal is answered at once.
+// Poll submits a poll for the complete list or for changes. It returns when the poll is answered and whether it is
+// accepted.
 func (g *Registry) Poll(now policy.Instant, complete bool) (answeredAt policy.Instant, accepted bool) {
 	work := float64(g.UpdateWork)
 	if complete {
--- a/internal/emulator/world/server.go
+++ b/internal/emulator/world/server.go
@@ -6,21 +6,21 @@
 	"dahliapin/policy"
 )
 
-// loadReportInterval is the time between load reports of a server: the load on a reply is as old as that at most.
+// loadReportInterval is the time between a server's load reports, and so the maximum age of the load in a reply.
 const loadReportInterval = 500 * time.Millisecond
 
-// Liveness says whether a server's process runs.
+// Liveness is the state of a server's process.
 type Liveness int
 
 // The states of a server's process.
 const (
 	Up     Liveness = iota
-	Down            // connections are refused, open ones are broken
-	Silent          // nothing is answered, nothing refused
+	Down            // connections are refused and open ones broken
+	Silent          // connections are neither answered nor refused
 )
 
-// Server is one cache or the origin. It has more fields than most types, as it stands for a whole process: its
-// exported part is read by the shell, its unexported part is written by the world only.
+// Server is one cache or the origin. It represents a whole process, hence its many fields. The exported fields are read
+// by the shell; the unexported ones are written only by the world.
 type Server struct {
 	CacheTraits
 	Liveness        Liveness
@@ -48,7 +48,7 @@
 	loadAt         policy.Instant // when load was last measured
 }
 
-// SpeedShare is the share of its speed that a server has at an instant: less than 1 while it warms up.
+// SpeedShare returns the share of its full speed that a server has at an instant: less than 1 while it warms up.
 func (s *Server) SpeedShare(now policy.Instant) float64 {
 	if s.StartedAt == 0 || s.ColdFor <= 0 {
 		return 1
@@ -56,10 +56,10 @@
 	return min(1, s.ColdFrom+(1-s.ColdFrom)*max(0, float64(now.Since(s.StartedAt)))/float64(s.ColdFor))
 }
 
-// Frozen tells whether a server is paused at an instant.
+// Frozen reports whether a server is paused at an instant.
 func (s *Server) Frozen(now policy.Instant) bool { return now < s.queue.frozenUntil }
 
-// speed is the work that each core of a server does now in a unit of time.
+// speed returns the work that each core of a server currently does in a unit of time.
 func (w *World) speed(s *Server) float64 {
 	speed := s.Speed / s.slow * (1 - s.coresTaken)
 	if s.origin == nil {
@@ -71,7 +71,7 @@
 	return speed
 }
 
-// reportedLoad is the number of jobs as of the last load report, which it renews when that is due.
+// reportedLoad returns the number of jobs as of the last load report, after renewing a report that is due.
 func (s *Server) reportedLoad(now policy.Instant) float64 {
 	if now.Since(s.loadAt) >= loadReportInterval {
 		s.load = float64(s.queue.length())
--- a/internal/emulator/world/store.go
+++ b/internal/emulator/world/store.go
@@ -2,7 +2,7 @@
 
 import "container/list"
 
-// lruStore is what a cache holds: a bounded set of keys that evicts the least recently used.
+// lruStore is the content of a cache: a bounded set of keys that evicts the least recently used one.
 type lruStore struct {
 	capacity int
 	order    *list.List // the most recently used in front
@@ -13,10 +13,10 @@
 	return &lruStore{capacity: capacity, order: list.New(), elements: map[string]*list.Element{}}
 }
 
-// contains tells whether a key is there, without counting as a use.
+// contains reports whether a key is stored, without marking it as used.
 func (s *lruStore) contains(key string) bool { return s.elements[key] != nil }
 
-// use tells whether a key is there, and makes it the most recently used.
+// use reports whether a key is stored, and makes it the most recently used.
 func (s *lruStore) use(key string) bool {
 	e := s.elements[key]
 	if e == nil {
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -28,14 +28,14 @@
 	First    policy.Instant // when the first try was sent
 	Sent     policy.Instant // when this try was sent
 	Deadline time.Duration  // how long the client waits
-	Leaves   time.Duration  // after which it leaves all the same; 0 for not
+	Leaves   time.Duration  // time after which it leaves without an answer; 0 for never
 }
 
 // TrafficPlan describes what clients request.
 type TrafficPlan struct {
 	PerSecond        float64
 	Swing            float64       // share by which the rate rises and falls
-	SwingPeriod      time.Duration // the period of that
+	SwingPeriod      time.Duration // the period of Swing
 	Keys             int
 	Zipf             float64 // exponent of popularity
 	Classes          []Class
@@ -47,7 +47,7 @@
 	MaxShortDeadline time.Duration
 }
 
-// Traffic draws open-loop arrivals: clients send whether or not earlier requests have been answered.
+// Traffic generates open-loop arrivals: clients send whether or not earlier requests have been answered.
 type Traffic struct {
 	TrafficPlan
 	random      keyhash.Source
@@ -59,7 +59,7 @@
 	hotShare    float64 // share of reads that are for the hot key
 }
 
-// NewTraffic makes the traffic of a plan.
+// NewTraffic returns the traffic of a plan.
 func NewTraffic(p TrafficPlan) *Traffic {
 	t := &Traffic{TrafficPlan: p, burst: 1, popularity: make([]float64, p.Keys)}
 	t.random.Seed = p.Seed
@@ -76,7 +76,7 @@
 	return t
 }
 
-// Rate is the number of first tries a second at an instant.
+// Rate returns the number of first tries per second at an instant.
 func (t *Traffic) Rate(now policy.Instant) float64 {
 	rate := t.PerSecond * t.burst
 	if t.SwingPeriod > 0 {
@@ -91,7 +91,7 @@
 	return now.Add(max(1, time.Duration(gap*float64(time.Second))))
 }
 
-// KeyOf names the key of a rank of popularity.
+// KeyOf returns the key with a popularity rank.
 func KeyOf(rank int) string { return "pack:" + strconv.Itoa(rank) }
 
 // drawFrom draws an index by cumulated weights.
@@ -117,8 +117,8 @@
 	return r
 }
 
-// leavesAfter is how long after sending a try its client leaves, 0 for not. It is drawn from the try's id, so that
-// all else is drawn as without clients that leave.
+// leavesAfter returns how long after sending a try its client leaves, 0 for never. It is derived from the try's id, so
+// that the other random draws are the same as without clients that leave.
 func (t *Traffic) leavesAfter(id string) time.Duration {
 	random := keyhash.Source{Seed: uint32(keyhash.String(id))}
 	if random.Float64() >= t.Leaves {
@@ -127,8 +127,8 @@
 	return max(1, time.Duration(random.Float64()*float64(t.MaxLeaveTime)))
 }
 
-// clientTimeout is how long the client of a try waits: its class's deadline, or half to all of the short time. It
-// is drawn from the try's id, as above.
+// clientTimeout returns how long the client of a try waits: its class's deadline, or between half and all of the short
+// deadline. It is derived from the try's id, like leavesAfter.
 func (t *Traffic) clientTimeout(id string, usual time.Duration) time.Duration {
 	random := keyhash.Source{Seed: ^uint32(keyhash.String(id))}
 	if random.Float64() >= t.Short {
@@ -145,7 +145,7 @@
 // SetBurst multiplies the rate; 1 ends it.
 func (t *Traffic) SetBurst(times float64) { t.burst = times }
 
-// SetHotKey makes a share of the reads be for one key; 0 ends it.
+// SetHotKey directs a share of the reads to one key; 0 ends it.
 func (t *Traffic) SetHotKey(key string, share float64) {
 	t.hotKey = key
 	t.hotShare = share
@@ -172,13 +172,13 @@
 	r.Leaves = t.leavesAfter(r.ID)
 	lastsFor := r.Sent.Add(r.Deadline).Since(r.First)
 	if class.Idempotency == policy.IdempotentByKey && lastsFor > class.DedupWindow {
-		return r, 0, false // the repeat might run after its key is forgotten
+		return r, 0, false // the retry might be executed after its idempotency key has expired
 	}
 	return r, r.Sent, true
 }
 
-// mayRepeat tells whether a request that may have had its effect may be sent again: only where a second run does no
-// harm, or where all caches drop the repeat.
+// mayRepeat reports whether a request that may have taken effect may be sent again: only if a second execution does no
+// harm, or if all caches deduplicate it.
 func mayRepeat(class *Class) bool {
 	switch class.Idempotency {
 	case policy.NotIdempotent:
--- a/internal/emulator/world/warm.go
+++ b/internal/emulator/world/warm.go
@@ -7,9 +7,9 @@
 	"dahliapin/policy"
 )
 
-// WarmCaches fills the caches with the most popular keys of the traffic, at most so many, the most popular last, as a
-// fleet that has served for long would hold them. route is that of a decider that is not used again. It routes each
-// of three requests for a key to the least loaded of its replicas, so that three of them get the key.
+// WarmCaches fills the caches with up to maxKeys of the most popular keys, the most popular last, as after a long
+// time of service. route belongs to a decider that is not used again. It routes each of three requests for a key to
+// the least loaded of the key's replicas, so that three replicas get the key.
 func WarmCaches(
 	w *World, route func(policy.Instant, *policy.Request) policy.Decision, now policy.Instant, t *Traffic, maxKeys int,
 ) {
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -9,7 +9,7 @@
 	"dahliapin/policy"
 )
 
-// World is all servers of a run.
+// World holds the servers of a run.
 type World struct {
 	Servers     []*Server // the origin last, where there is one; caches may be added behind it
 	MaxColdLoad float64   // the highest load of a cold cache, as a share of that at which it falls over
@@ -27,13 +27,13 @@
 	sharedKeys   map[string]*idempotencyKeys // of caches, by deduplication scope
 }
 
-// wake is due when a job ends at a server, or (generation 0) when a cache that fell over starts again.
+// wake is due when a job ends at a server, or (generation 0) when a cache that failed from overload restarts.
 type wake struct {
 	server     int
 	generation uint64
 }
 
-// New makes a world. All caches are at their full speed and empty.
+// New returns a world whose caches are empty and at full speed.
 func New(p Plan) *World {
 	w := &World{
 		plan:       p,
@@ -93,10 +93,10 @@
 	return i, ok
 }
 
-// IsOrigin tells whether a server is the origin.
+// IsOrigin reports whether a server is the origin.
 func (w *World) IsOrigin(server int) bool { return w.Servers[server].origin != nil }
 
-// Connect tells whether a server accepts a connection, and has it do the work of one. The shell counts the
+// Connect reports whether a server accepts a connection, and adds the work of the handshake. The shell counts the
 // connection in OpenConnections.
 func (w *World) Connect(now policy.Instant, server int) bool {
 	w.now = now
@@ -105,7 +105,7 @@
 		return false
 	}
 	if s.Handshake > 0 && s.origin == nil {
-		// All cores do it at once: running jobs take that much longer.
+		// All cores share the handshake: running jobs are delayed by it.
 		handshake := s.Handshake / time.Duration(max(1, s.Cores))
 		s.queue.freeze(now, max(now, s.queue.frozenUntil).Add(handshake))
 		w.scheduleWake(server)
@@ -113,7 +113,7 @@
 	return true
 }
 
-// scheduleWake schedules the end of a server's next job; wakes that were scheduled before do nothing.
+// scheduleWake schedules the end of a server's next job and invalidates earlier wakes of the server.
 func (w *World) scheduleWake(server int) {
 	s := w.Servers[server]
 	s.wakeGeneration++
@@ -122,7 +122,7 @@
 	}
 }
 
-// Next is when Advance has something to do.
+// Next returns when Advance has to be called next.
 func (w *World) Next() (policy.Instant, bool) { return w.wakes.Next() }
 
 // Advance ends the jobs that are due by an instant and calls onDone for each, in the order of their ends.
@@ -147,7 +147,7 @@
 	w.now = now
 }
 
-// restart starts a cache that fell over, unless it has been started or stopped since.
+// restart starts a cache that failed from overload, unless it has been started or stopped since.
 func (w *World) restart(at policy.Instant, server int) {
 	s := w.Servers[server]
 	if s.Liveness == Down && s.restartsAt != 0 && at >= s.restartsAt {
