--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -32,7 +32,7 @@
 	return f
 }
 
-// letters writes members as a letter each, in the order of their numbers.
+// letters renders a member list with one character for each node, in the order of node numbers.
 func letters(nodes int, names []string) string {
 	var b strings.Builder
 	for n := range nodes {
@@ -45,8 +45,8 @@
 	return b.String()
 }
 
-// print writes the views, a row for each second in which they changed, and the verdicts on them. Without views it
-// writes nothing.
+// print writes a row for each second in which the views changed, and the verdicts on the views. It does nothing without
+// views.
 func (f *Fleet) print(to io.Writer, duration time.Duration) {
 	if f == nil {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// rowAt is what most nodes have as members at an instant, followed by the nodes that have others and what these are.
+// rowAt renders the most common view at an instant, followed by the nodes with other views and these views.
 func (f *Fleet) rowAt(at policy.Instant, kind string) string {
 	views := f.Views
 	nodesByCell := map[string][]string{}
@@ -117,7 +117,7 @@
 	}
 }
 
-// sendRates are the bytes a second that each process sent to other nodes, sorted.
+// sendRates returns the bytes per second that each process sent to other nodes, sorted.
 func sendRates(v *checker.Views) []float64 {
 	first := map[string]trace.Line{}
 	last := map[string]trace.Line{}
@@ -140,7 +140,7 @@
 	return rates
 }
 
-// percentile is a quantile of sorted values, 0 without any.
+// percentile returns a quantile of sorted values, or 0 if there are none.
 func percentile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -148,7 +148,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// lineAt is the last line of a kind that a node had written by then.
+// lineAt returns the last line of a kind that a node had written by an instant.
 func lineAt(v *checker.Views, at policy.Instant, node, what string) (last trace.Line) {
 	for _, l := range v.Lines {
 		if l.At > at {
@@ -161,7 +161,7 @@
 	return last
 }
 
-// runsAt tells whether a node's process runs at an instant.
+// runsAt reports whether a node's process runs at an instant.
 func runsAt(v *checker.Views, at policy.Instant, node string) (runs bool) {
 	for _, t := range v.ProcessChanges {
 		if t.At <= at && t.Node == node {
--- a/internal/emulator/report/log.go
+++ b/internal/emulator/report/log.go
@@ -13,7 +13,7 @@
 // maxRecords bounds the records of a run, which hold memory until it ends.
 const maxRecords = 100_000
 
-// LateArrival is how late an arrival may be played before it counts as late.
+// LateArrival is the delay beyond which the arrival of a client's try counts as played late.
 const LateArrival = 25 * time.Millisecond
 
 // Second counts what happened in one second of a run.
@@ -24,7 +24,7 @@
 	OriginAttempts int `json:"origin_legs"` // those at the origin
 	Retries        int `json:"repeats"`     // further tries of clients
 
-	// What follows is summed over all nodes; no single node sees it.
+	// The following fields are summed over all nodes; no single node knows them.
 	Polls     int `json:"list_calls"` // of the endpoint list
 	Dials     int `json:"dials"`      // connections begun
 	FullDials int `json:"full_dials"` // connections refused for want of capacity
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// Log is filled during a run. Only its methods write it, but for Late and Views.
+// Log collects what happens during a run. Except for Late and Views, only its methods write its fields.
 type Log struct {
 	startedAt policy.Instant // second 0 of the scenario
 	Seconds   []Second
@@ -67,13 +67,13 @@
 	Views     *checker.Views // the nodes' views of one another; nil where nodes have none
 }
 
-// EventLine says what the scenario did, and when in the scenario's time.
+// EventLine describes an event of the scenario, with its time since the scenario's start.
 type EventLine struct {
 	At   policy.Instant `json:"at_ns"`
 	What string         `json:"what"`
 }
 
-// NewLog makes the log of a run; startedAt is second 0 of the scenario.
+// NewLog returns the log of a run; startedAt is second 0 of the scenario.
 func NewLog(s *scenario.Scenario, startedAt policy.Instant) *Log {
 	return &Log{
 		startedAt: startedAt,
@@ -82,7 +82,8 @@
 	}
 }
 
-// Second is the second of an instant, for further counts; the first or the last for an instant beyond them.
+// Second returns the counts of the second of an instant, or those of the first or last second for an instant outside
+// the run.
 func (l *Log) Second(at policy.Instant) *Second {
 	second := int(at.Since(l.startedAt) / time.Second)
 	return &l.Seconds[min(max(0, second), len(l.Seconds)-1)]
@@ -132,7 +133,7 @@
 	l.Records = append(l.Records, e)
 }
 
-// AddEvent adds a line that says what the scenario did.
+// AddEvent adds a line that describes an event of the scenario.
 func (l *Log) AddEvent(at policy.Instant, what string) {
 	l.Events = append(l.Events, EventLine{At: at - l.startedAt, What: what})
 }
--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -13,7 +13,7 @@
 // maxPrintedBreaches is the number of breaches that are printed one by one.
 const maxPrintedBreaches = 10
 
-// Print writes a report for people.
+// Print writes the report as text.
 func (r *Report) Print(to io.Writer) {
 	r.printClasses(to)
 	r.printTotals(to)
@@ -58,7 +58,7 @@
 	}
 }
 
-// printTotals writes the figures of the whole fleet.
+// printTotals writes the totals over the whole fleet.
 func (r *Report) printTotals(to io.Writer) {
 	fmt.Fprintf(to, "benefit in time %.4f; %.3f legs for each request, at most %d a second at the origin\n",
 		r.BenefitInTime, r.AttemptsPerRequest, r.MaxOriginAttempts)
@@ -74,7 +74,7 @@
 	fmt.Fprintln(to)
 }
 
-// sparkline draws the share of requests in time, a column for one second or more.
+// sparkline renders the share of requests satisfied in time; a column stands for one second or more.
 func (r *Report) sparkline() string {
 	const bars = "▁▂▃▄▅▆▇█"
 	const columns = 60
--- a/internal/emulator/report/recovery.go
+++ b/internal/emulator/report/recovery.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// baselineSpan is the number of seconds before the first event whose share is the measure of recovery.
+	// baselineSpan is the number of seconds before the first event over which the baseline share is taken.
 	baselineSpan = 5
-	// recoveredShare is the part of that share from which a run counts as recovered.
+	// recoveredShare is the fraction of the baseline share from which a run counts as recovered.
 	recoveredShare = 0.97
-	// recoverySpan is the number of seconds over which a share is taken afterwards: one second's is chance.
+	// recoverySpan is the number of seconds over which later shares are taken: the share of one second is too random.
 	recoverySpan = 3
 )
 
-// recovered is the second from which on the share of requests in time is as good as before the first event, and
-// stays so; -1 for never, 0 in a run without events.
+// recovered returns the second from which the share of requests satisfied in time is back at the baseline and stays
+// there; -1 for never, 0 in a run without events.
 func (l *Log) recovered(first, last policy.Instant) float64 {
 	if last == 0 {
 		return 0
@@ -34,8 +34,8 @@
 	return float64(start)
 }
 
-// shareInTime is the share of first tries, from one second until before another, that were satisfied in time; 1
-// without any.
+// shareInTime returns the share of first tries in the seconds [from, until) that were satisfied in time, or 1 if there
+// were none.
 func (l *Log) shareInTime(from, until int) float64 {
 	asked := 0
 	inTime := 0
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -14,10 +14,11 @@
 	"dahliapin/policy"
 )
 
-// maxLateShare is the share of arrivals that may be played late before the machine was too busy for a result.
+// maxLateShare is the largest share of arrivals played late with which a run is judged; beyond it the machine was too
+// busy.
 const maxLateShare = 0.02
 
-// Class is the service that one service class got.
+// Class is the result of one service class.
 type Class struct {
 	Name            string  `json:"name"`
 	Asked           uint64  `json:"asked"`             // first tries of clients
@@ -30,7 +31,7 @@
 	P99             float64 `json:"p99_ms"`
 }
 
-// Expected is one expectation, what was measured, and whether it is met.
+// Expected is an expectation, the measured value, and whether the expectation is met.
 type Expected struct {
 	What string `json:"what"`
 	Got  string `json:"got"`
@@ -45,7 +46,7 @@
 	Misses   uint64            `json:"misses"`
 }
 
-// Report is the result of a run. It is a record for JSON, hence its many fields.
+// Report is the result of a run. It is the form written as JSON, hence its many fields.
 type Report struct {
 	Script             string           `json:"script"`
 	Seed               int64            `json:"seed"`
@@ -54,7 +55,7 @@
 	Nodes              int              `json:"nodes"`
 	Caches             int              `json:"caches"`
 	Seconds            float64          `json:"seconds"`
-	BenefitInTime      float64          `json:"benefit_in_time"` // share of all benefit asked
+	BenefitInTime      float64          `json:"benefit_in_time"` // share of the benefit of all first tries
 	AttemptsPerRequest float64          `json:"legs_per_request"`
 	MaxOriginAttempts  int              `json:"most_origin_legs_per_s"`
 	RecoveredAt        float64          `json:"recovered_at_s"` // second, as Log.recovered
@@ -69,11 +70,11 @@
 	Records            []eventlog.Event `json:"-"`
 	Dropped            int              `json:"records_dropped,omitempty"`
 	Membership         *Fleet           `json:"together,omitempty"`
-	Coverage           *coverage.Table  `json:"coverage,omitempty"` // what each fault met; nil in virtual time
+	Coverage           *coverage.Table  `json:"coverage,omitempty"` // counts for each fault; nil in virtual time
 }
 
-// New makes the report of a run that has ended. first is when the first event began and last when the last ended,
-// both 0 in a run without events. It sorts the checker's latencies and breaches in place.
+// New returns the report of a completed run. first is when the first event began and last when the last one ended, both
+// 0 in a run without events. New sorts the checker's latencies and breaches in place.
 func New(
 	s *scenario.Scenario, shell, decider string, w *world.World, c *checker.Checker, l *Log, first, last policy.Instant,
 ) *Report {
@@ -114,7 +115,7 @@
 	return r
 }
 
-// addClasses adds a row for each service class and the benefit over all; it gives the number of tries of clients.
+// addClasses adds a row for each service class and the total benefit. It returns the number of tries of clients.
 func (r *Report) addClasses(s *scenario.Scenario, c *checker.Checker) (tries uint64) {
 	asked := 0.0
 	inTime := 0.0
@@ -142,7 +143,7 @@
 	return tries
 }
 
-// addServers adds a row for each server; it gives the number of attempts at all.
+// addServers adds a row for each server. It returns the number of attempts at all servers.
 func (r *Report) addServers(w *world.World, l *Log) (attempts uint64) {
 	for _, server := range w.Servers {
 		count := l.Attempts[server.ID]
@@ -157,7 +158,7 @@
 	return attempts
 }
 
-// quantileMs is a quantile in milliseconds, 0 without latencies. It sorts them in place.
+// quantileMs returns a quantile of latencies in milliseconds, or 0 if there are none. It sorts them in place.
 func quantileMs(latencies []time.Duration, q float64) float64 {
 	if len(latencies) == 0 {
 		return 0
@@ -186,7 +187,7 @@
 	return -1
 }
 
-// FleetName stands for a node's name in records of the fleet as a whole.
+// FleetName replaces a node's name in records of the fleet as a whole.
 const FleetName = "fleet"
 
 // Passed tells whether all expectations are met. It is false for a run on a machine that was too busy to keep its
--- a/internal/emulator/scenario/choose.go
+++ b/internal/emulator/scenario/choose.go
@@ -10,7 +10,8 @@
 	"dahliapin/policy"
 )
 
-// SelectedCaches returns the caches that an event concerns, in the order of their names' hashes where it chooses by a part.
+// SelectedCaches returns the caches that an event concerns, in the order of their names' hashes where it chooses by
+// a part.
 func (s *Scenario) SelectedCaches(e *Event) (ids []policy.EndpointID) {
 	for _, name := range e.Caches {
 		ids = append(ids, policy.EndpointID(name))
@@ -48,7 +49,7 @@
 	return all[:max(1, int(math.Round(share*float64(len(all)))))]
 }
 
-// Repeat lets the events come round again, as often as the script's time has room for them.
+// Repeat repeats the events until the end of the scenario, up to the maximum number of events.
 func (s *Scenario) Repeat() {
 	round := 0.0
 	for _, e := range s.Events {
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -12,7 +12,7 @@
 	"dahliapin/policy"
 )
 
-// The words of scenarios for what policy has constants for.
+// The names of policy's constants in scenario files.
 var (
 	effects = map[string]policy.Idempotency{
 		"idempotent":   policy.Idempotent,
@@ -33,10 +33,10 @@
 
 func ms(x float64) time.Duration { return SecondsToDuration(x / 1000) }
 
-// Duration is how long the scenario plays.
+// Duration returns how long the scenario runs.
 func (s *Scenario) Duration() time.Duration { return SecondsToDuration(s.Seconds) }
 
-// WorldClasses are the classes as the world has them.
+// WorldClasses returns the service classes in the world's form.
 func (s *Scenario) WorldClasses() []world.Class {
 	var all []world.Class
 	for _, class := range s.Classes {
@@ -55,7 +55,7 @@
 	return all
 }
 
-// Cache returns the traits of the n-th cache, from 1; caches that events add are counted on.
+// Cache returns the traits of the n-th cache, from 1. Caches added by events continue the numbering.
 func (s *Scenario) Cache(n int) world.CacheTraits {
 	const oddMultiplier = 2654435761 // spreads neighbouring numbers over all seeds
 	f := &s.Fleet
@@ -79,7 +79,7 @@
 	}
 }
 
-// World is the plan of the world at its start.
+// World returns the plan of the world at the scenario's start.
 func (s *Scenario) World(observer world.Observer) world.Plan {
 	plan := world.Plan{
 		Classes:  s.WorldClasses(),
@@ -104,9 +104,9 @@
 	return plan
 }
 
-// TrafficPlan is what clients ask.
+// TrafficPlan returns the plan of the clients' requests.
 func (s *Scenario) TrafficPlan() world.TrafficPlan {
-	const seedMask = 0x5eed // draws of the traffic are others than those of the world
+	const seedMask = 0x5eed // makes the traffic's random draws differ from the world's
 	t := &s.Traffic
 	return world.TrafficPlan{
 		PerSecond:        t.PerSecond,
@@ -124,7 +124,7 @@
 	}
 }
 
-// ZoneOf is where a node stands, by its number from 0.
+// ZoneOf returns the zone of a node, numbered from 0.
 func (s *Scenario) ZoneOf(node int) string {
 	if !s.Fleet.Spread {
 		return s.Fleet.Zones[0]
@@ -132,13 +132,14 @@
 	return s.Fleet.Zones[node%len(s.Fleet.Zones)]
 }
 
-// Registry is what discovery can bear.
+// Registry returns the capacity model of discovery.
 func (s *Scenario) Registry() *world.Registry {
 	d := &s.Discovery
 	return &world.Registry{CompleteWork: max(ms(d.WholeMs), ms(d.WatchMs)), UpdateWork: ms(d.WatchMs), Backlog: ms(d.BacklogMs)}
 }
 
-// Value is a key's value by its usual one: of a share of the keys it is long, and the same wherever it is kept.
+// Value returns the value of a key, given its usual short value. A fixed share of the keys has long values, which
+// are the same at all servers.
 func (s *Scenario) Value(usual string) string {
 	t := &s.Traffic
 	if float64(crc32.ChecksumIEEE([]byte(usual))%1000) >= 1000*t.LongShare {
--- a/internal/emulator/scenario/doc.go
+++ b/internal/emulator/scenario/doc.go
@@ -1,7 +1,7 @@
-// Package scenario reads rehearsals: TOML files that state a fleet, what clients ask, which faults happen when, and what is
-// expected of it all. It makes of a scenario what the shells need: the world's plan, the traffic, the settings of nodes.
-// Nemesis and Soak draw scenarios by a seed.
+// Package scenario reads rehearsals: TOML files that define a fleet, the requests of clients, the times of faults,
+// and the expected results. It derives what the shells need from a scenario: the world's plan, the traffic and the
+// settings of nodes. Nemesis and Soaks generate random scenarios from a seed.
 //
-// The names in the files are a format of our own and stay as they are (legs, grades, come_back_ms); they are mapped to the
-// field's terms by the tags of the types here.
+// The names in the files (legs, grades, come_back_ms) are a stable format; the struct tags in this package map them to
+// the usual terms.
 package scenario
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-// The events that operators cause, or that concern processes or what is between them. They are played on sockets only.
+// Events caused by operators, or that affect processes or the links between them. They run on sockets only.
 const (
 	upgrade = "node_upgrade"
 	standby = "node_standby"
@@ -17,7 +17,7 @@
 	crowd   = "node_crowd"  // idle clients fill its descriptors
 	stall   = "node_stall"  // clients stop in the middle of a request, and stay
 	reload  = "node_reload" // it is told to read its configuration again, several times in a row
-	freeze  = "node_freeze" // its process stands still for a moment that rules allow for
+	freeze  = "node_freeze" // its process is paused for a time within which all rules must still hold
 
 	termStart = "node_term_start" // it is restarted, and its next process is told to end while it starts
 )
@@ -30,10 +30,10 @@
 	late  = "between_late"
 )
 
-// maxFreezeS is how long a process may be held up, in seconds, with all rules kept.
+// maxFreezeS is the longest pause of a process, in seconds, during which all rules must still hold.
 const maxFreezeS = 0.15
 
-// needs says which fields an event takes. A field that it does not take must not be stated.
+// needs lists which fields a kind of event takes. Other fields must not be set.
 type needs struct {
 	caches   bool // names of caches, a part of them or a zone
 	nodes    bool // numbers of nodes or a part of them
@@ -45,7 +45,7 @@
 	duration bool
 }
 
-// kinds are the events there are.
+// kinds maps the name of each kind of event to its fields.
 var kinds = map[string]needs{
 	"slow":    {caches: true, factor: true, duration: true},
 	"crowd":   {caches: true, share: true, duration: true},
@@ -85,10 +85,10 @@
 	late:  {pairs: true, lateness: true, duration: true},
 }
 
-// faults are what may go wrong on a server's connections.
+// faults are the failure modes of a server's connections.
 var faults = []string{"refuse", "reset", "silent", "half", "garbage", stale}
 
-// stale is the fault of an HTTP cache that answers with what it may not serve any more.
+// stale is the fault of an HTTP cache that serves responses that are no longer fresh.
 const stale = "stale"
 
 // HasOperatorCalls tells whether operators call nodes.
@@ -101,15 +101,15 @@
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
 
-// NeedsSockets tells whether a script does something to processes or between them, which virtual time does not have: it would pass there
-// whatever nodes do.
+// NeedsSockets tells whether a script does something to processes or between them, which virtual time does not have:
+// it would pass there whatever nodes do.
 func (s *Scenario) NeedsSockets() bool {
 	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
 	})
 }
 
-// FaultName is what an event is counted as in the coverage of schedules.
+// FaultName returns the name under which coverage counts an event.
 func (e *Event) FaultName() coverage.Fault {
 	if e.Fault != "" {
 		return coverage.Fault(e.Do + ":" + e.Fault)
@@ -117,7 +117,7 @@
 	return coverage.Fault(e.Do)
 }
 
-// ConcernedNodes are the numbers of the nodes that an event concerns, from 0; nil for all of them.
+// ConcernedNodes returns the numbers, from 0, of the nodes that an event affects; nil for all nodes.
 func (s *Scenario) ConcernedNodes(e *Event) []int {
 	if !kinds[e.Do].nodes {
 		return nil
--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -169,12 +169,12 @@
 	}
 }
 
-// Without is the script less one event.
+// Without returns a copy of the scenario without one event.
 func (s *Scenario) Without(event int) *Scenario {
 	c := *s
 	c.Events = append(append([]Event(nil), s.Events[:event]...), s.Events[event+1:]...)
 	return &c
 }
 
-// Text writes a script as a file that plays the same.
+// Text encodes the scenario as a file that runs the same way.
 func (s *Scenario) Text() ([]byte, error) { return toml.Marshal(s) }
--- a/internal/emulator/scenario/parse.go
+++ b/internal/emulator/scenario/parse.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Read reads a script from a file.
+// Read parses a scenario file.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -18,7 +18,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a script. What is wrong with it is told with its line.
+// Parse parses a scenario. Errors name the line at fault.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := defaults()
 	c, err := strictconfig.Parse(file, text, &s)
@@ -35,7 +35,7 @@
 	return &s, nil
 }
 
-// defaults is a scenario in which nothing is stated.
+// defaults returns a scenario with the default values of all fields.
 func defaults() Scenario {
 	return Scenario{
 		Seed: 1, Seconds: 30,
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	soakBegins  = 2.0 // seconds until the first trouble
-	soakQuiet   = 1.0 // seconds without trouble at the end
-	soakApart   = 0.6 // seconds between two troubles, on the mean: they overlap
-	soakLongest = 4.0 // seconds that a trouble lasts at most
+	soakBegins  = 2.0 // seconds until the first fault
+	soakQuiet   = 1.0 // seconds without faults at the end
+	soakApart   = 0.6 // mean seconds between the beginnings of two faults, which overlap
+	soakLongest = 4.0 // longest fault in seconds
 	soakSlackMs = 200 // a process may be held up for 150 ms
 	soakLateMs  = 500 // after its deadline that a final answer only earns nothing
 	soakNodes   = 4   // at most
-	soakManyOf  = 8   // one in so many schedules has many caches
+	soakManyOf  = 8   // one in this many schedules has soakMany caches
 	soakMany    = 600 // caches then
 	soakFragile = 0.4 // share of schedules whose caches are cold for long, and fall over soon then
 )
@@ -25,12 +25,12 @@
 type soak struct {
 	chance keyhash.Source
 	script Scenario
-	end    float64 // of the last trouble
+	end    float64 // of the scenario, without the quiet time
 	plan   *soakPlan
 }
 
-// Soaks draws a schedule for each seed of a range, the same for the same range: of what may go wrong at a time, the
-// draw favours what met the phases of nodes least in the schedules of the seeds before.
+// Soaks returns a random schedule for each seed of a range, the same for the same range. The choice of faults favours
+// those that are expected to have met the phases of nodes least often in the schedules of earlier seeds.
 func Soaks(first, last int64, seconds float64) []*Scenario {
 	met := coverage.NewTable(SoakFaults())
 	var all []*Scenario
@@ -40,18 +40,18 @@
 	return all
 }
 
-// drawSoak draws deployment, traffic and troubles by a seed. The troubles are those that rules give no excuse for. What
-// they are to meet is added to a table, which steers the draw.
+// drawSoak draws a deployment, traffic and faults from a seed. It uses only faults during which all rules must hold.
+// The phases that faults are expected to meet are added to a table, which weights the choice of faults.
 func drawSoak(seed int64, seconds float64, met *coverage.Table) *Scenario {
 	d := &soak{chance: keyhash.Source{Seed: uint32(seed) ^ 0x50a4}, script: defaults()}
 	s := &d.script
 	s.Name, s.Seed, s.Seconds = fmt.Sprintf("soak-%d", seed), seed, math.Max(seconds, soakBegins+soakLongest+soakQuiet)
 	s.About = "A random deployment, with random troubles that overlap."
 	d.end = s.Seconds - soakQuiet
-	d.deployment()
-	d.grades()
+	d.drawDeployment()
+	d.drawClasses()
 	d.plan = newSoakPlan(&d.script, met)
-	d.troubles()
+	d.drawFaults()
 	return s
 }
 
@@ -67,7 +67,7 @@
 
 func oneOf[T any](d *soak, all ...T) T { return all[int(d.chance.Float64()*float64(len(all)))] }
 
-func (d *soak) deployment() {
+func (d *soak) drawDeployment() {
 	s := &d.script
 	f, a, t := &s.Fleet, &s.Allowed, &s.Traffic
 	f.Nodes, f.Caches, f.Group = d.count(1, soakNodes), d.count(6, 24), d.count(1, 6)
@@ -96,8 +96,8 @@
 	}
 }
 
-// grades draws a class of reads, and classes of writes with each effect.
-func (d *soak) grades() {
+// drawClasses draws a class of reads, and classes of writes with each effect.
+func (d *soak) drawClasses() {
 	s := &d.script
 	add := func(g Class) {
 		g.SoftMs = math.Round(d.upTo(0.3, 0.8) * g.HardMs)
--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -6,9 +6,9 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-const soakShortest = 0.3 // seconds that a trouble lasts at least
+const soakShortest = 0.3 // shortest fault in seconds
 
-// soakFault is one kind of trouble that a soak draws.
+// soakFault is one kind of fault in soak schedules.
 type soakFault struct {
 	name     coverage.Fault
 	ofNode   bool // it concerns one node
@@ -17,7 +17,7 @@
 	possible func(s *Scenario) bool // nil for in each deployment
 }
 
-// soakFaults are the troubles that a soak draws. The name says what the event does.
+// soakFaults are the kinds of faults in soak schedules. The name is the event's action.
 var soakFaults = []soakFault{
 	{name: "node_restart", ofNode: true, moveNode: true},
 	{name: "node_kill", ofNode: true, moveNode: true},
@@ -63,7 +63,7 @@
 		possible: func(s *Scenario) bool { return s.Allowed.Mode == "aside" }},
 }
 
-// SoakFaults are the names of all troubles that a soak draws.
+// SoakFaults returns the names of all faults in soak schedules.
 func SoakFaults() []coverage.Fault {
 	var all []coverage.Fault
 	for i := range soakFaults {
@@ -82,22 +82,22 @@
 	}
 }
 
-// troubles draws what goes wrong, one thing after the other; most last until others have begun.
-func (d *soak) troubles() {
+// drawFaults draws the faults in order of time; most last until others have begun.
+func (d *soak) drawFaults() {
 	for at := soakBegins; at < d.end-soakQuiet; at += d.upTo(0, 2*soakApart) {
 		at = math.Round(at*100) / 100
 		long := math.Round(math.Min(d.upTo(soakShortest, soakLongest), d.end-at)*100) / 100
 		if long < soakShortest {
 			continue
 		}
-		e := d.drawTrouble(at, long)
+		e := d.drawFault(at, long)
 		d.plan.add(&e)
 		d.script.Events = append(d.script.Events, e)
 	}
 }
 
-// drawTrouble draws one trouble of those that are possible at a time, those that met the least with more chance.
-func (d *soak) drawTrouble(at, long float64) Event {
+// drawFault draws one of the faults that are possible at a time; faults that met fewer phases are more likely.
+func (d *soak) drawFault(at, long float64) Event {
 	weights := make([]float64, len(soakFaults))
 	for i := range soakFaults {
 		weights[i] = d.plan.weight(&soakFaults[i], at)
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -7,7 +7,7 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-// What a soak assumes of how long phases last, in seconds. It only steers the draw: what was met is counted in runs.
+// Assumed durations of phases, in seconds. They only weight the choice of faults: actual coverage is counted in runs.
 const (
 	planMaxDrain  = 3.0 // of the longest deadline, as long as a node that was told to end may live
 	planDrainMore = 0.7 // over that
@@ -45,7 +45,7 @@
 	}
 }
 
-// phaseAt is the phase that a node is expected to be in.
+// phaseAt returns the phase that a node is expected to be in.
 func (p *soakPlan) phaseAt(node int, at float64) coverage.Phase {
 	for _, span := range p.spans[node] {
 		if span.from <= at && at < span.to {
@@ -55,7 +55,7 @@
 	return coverage.Serving
 }
 
-// isFree tells whether a node's phase may be changed at a time.
+// isFree reports whether a node's phase may be changed at a time.
 func (p *soakPlan) isFree(node int, at float64) bool {
 	spans := p.spans[node]
 	return len(spans) == 0 || at >= spans[len(spans)-1].to+planRest
@@ -141,7 +141,7 @@
 	}
 }
 
-// concerns tells whether a node is among some; nil for all.
+// concerns reports whether a list of nodes, nil for all, contains a node.
 func concerns(nodes []int, node int) bool {
 	return nodes == nil || slices.Contains(nodes, node)
 }
