--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A judge that misses a breach calls a broken node good. Each row is one way to break a rule, or one that looks like
+// A checker that misses a breach passes a faulty node. Each row is one way to break a rule, or one that looks like
 // it.
 func TestEachBreachIsCaughtOnceAndItsLookAlikeIsNot(t *testing.T) {
 	sent := func(j *Checker, grade int) { j.RequestSent(0, "r", 0, grade, "l", 100*ms, true) }
--- a/internal/emulator/report/log.go
+++ b/internal/emulator/report/log.go
@@ -33,7 +33,7 @@
 	Wasted    int `json:"vain_legs"`  // attempts rejected, failed, broken, timed out or not connected
 }
 
-// Counted is a count by its name in scenarios, one of scenario.Counted.
+// Counted returns a count by its name in scenarios, one of scenario.CountNames.
 func (s *Second) Counted(name string) int {
 	switch name {
 	case "list_calls":
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Bounds of what one machine plays in one run.
+// Limits of a scenario that one machine can run.
 const (
 	maxCaches  = 5000
 	maxNodes   = 10_000
@@ -21,7 +21,7 @@
 	maxValueKB = 4096
 )
 
-// check finds all that is wrong with a scenario, each with its field. It fills in what is not stated and depends on the rest.
+// check reports all errors of a scenario with their fields. It also sets defaults that depend on other fields.
 func (s *Scenario) check(c *strictconfig.Checker) {
 	c.InRange(s.Seconds, 1, maxSeconds, "seconds")
 	s.checkFleet(c)
@@ -147,7 +147,7 @@
 	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
 }
 
-// check finds what is wrong with one class; names are those of the classes before it.
+// check reports the errors of one class; names are those of the preceding classes.
 func (g *Class) check(c *strictconfig.Checker, at string, names map[string]bool) {
 	g.Tries = cmp.Or(g.Tries, 1)
 	g.Effect = cmp.Or(g.Effect, "idempotent")
@@ -212,7 +212,7 @@
 	if len(s.Levels) == 0 {
 		return
 	}
-	if terms, err := s.DecodedSettings(""); err == nil { // else the classes are at fault, which is reported
+	if terms, err := s.DecodedSettings(""); err == nil { // otherwise an error of the classes has already been reported
 		listeners.CheckLevels(c, s.Levels, &terms)
 	}
 }
--- a/internal/emulator/scenario/check_events.go
+++ b/internal/emulator/scenario/check_events.go
@@ -45,7 +45,7 @@
 	c.InRange(e.TurnS, 0, maxSeconds, at+"turn_s")
 }
 
-// checkEventCaches checks which caches an event concerns; so many are there, those that are added among them.
+// checkEventCaches checks the caches that an event affects; caches is their number, including those that are added.
 func (s *Scenario) checkEventCaches(c *strictconfig.Checker, e *Event, kind needs, at string, caches int) {
 	ways := 0
 	for _, stated := range []bool{len(e.Caches) > 0, e.Part > 0, e.Zone != ""} {
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -91,12 +91,12 @@
 // stale is the fault of an HTTP cache that serves responses that are no longer fresh.
 const stale = "stale"
 
-// HasOperatorCalls tells whether operators call nodes.
+// HasOperatorCalls reports whether the scenario has operator calls to nodes.
 func (s *Scenario) HasOperatorCalls() bool {
 	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == upgrade || e.Do == standby || e.Do == scrape })
 }
 
-// NeedsVirtualTime tells whether a script has what there is in virtual time only.
+// NeedsVirtualTime reports whether the scenario uses features that exist only in virtual time.
 func (s *Scenario) NeedsVirtualTime() bool {
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -4,7 +4,7 @@
 	"dahliapin/internal/config/listeners"
 )
 
-// Scenario is one rehearsal.
+// Scenario is the content of one rehearsal file.
 type Scenario struct {
 	Name       string            `toml:"name"`
 	About      string            `toml:"about"`
@@ -23,19 +23,19 @@
 	Membership *Membership       `toml:"together"`
 }
 
-// Fleet says what caches and nodes there are.
+// Fleet describes the caches and nodes.
 type Fleet struct {
 	Nodes        int        `toml:"nodes"`
-	Stated       int        `toml:"stated"` // nodes that the settings name, where others run; 0 for as many as run
+	Stated       int        `toml:"stated"` // number of nodes in the settings, if it differs from those running; 0 for Nodes
 	Caches       int        `toml:"caches"`
 	Zones        []string   `toml:"zones"`
-	Spread       bool       `toml:"spread"` // nodes stand in all zones by turns, not all in the first
-	Group        int        `toml:"group"`  // caches of one group, which drop the same repeats
+	Spread       bool       `toml:"spread"` // nodes are distributed over all zones, not all in the first
+	Group        int        `toml:"group"`  // number of caches in a group, which share deduplication
 	Cores        int        `toml:"cores"`
 	Queue        int        `toml:"queue"`
 	Speed        [2]float64 `toml:"speed"`
 	Keys         int        `toml:"keys"`
-	Warm         bool       `toml:"warm"` // caches hold what they would after long service
+	Warm         bool       `toml:"warm"` // caches start with the content that long service would leave
 	ColdFrom     float64    `toml:"cold_from"`
 	ColdS        float64    `toml:"cold_s"`
 	FallMultiple float64    `toml:"fall_multiple"`
@@ -47,7 +47,7 @@
 	Protocol     string     `toml:"protocol"` // of caches: meta or http; on sockets only, as virtual time has no bytes
 }
 
-// Origin says what stands behind the caches, where they only store.
+// Origin describes the origin behind the caches in aside mode.
 type Origin struct {
 	Cores        int     `toml:"cores"`
 	Queue        int     `toml:"queue"`
@@ -58,7 +58,7 @@
 	FallS        float64 `toml:"fall_s"`
 }
 
-// Network is between them all.
+// Network describes the links between clients, nodes, caches and origin.
 type Network struct {
 	OneWayMs    float64 `toml:"one_way_ms"`
 	CrossZoneMs float64 `toml:"cross_zone_ms"`
@@ -69,8 +69,8 @@
 	LostShare   float64 `toml:"lost_share"` // of the answers of caches, which never come
 }
 
-// Discovery tells changes of the list late. Where a watch costs it work, nodes call it as they do in service, and what comes
-// beyond its backlog is refused; else changes reach each node by themselves.
+// Discovery describes how late changes of the endpoint list reach nodes. If WatchMs is set, nodes poll it as in
+// production and polls beyond its backlog are refused; otherwise changes are delivered without polls.
 type Discovery struct {
 	NoticeS   [2]float64 `toml:"notice_s"`
 	WatchMs   float64    `toml:"watch_ms"`
@@ -78,7 +78,7 @@
 	BacklogMs float64    `toml:"backlog_ms"`
 }
 
-// Allowed is what the deployment lets nodes do.
+// Allowed holds what the deployment permits nodes to do, and the limits for it.
 type Allowed struct {
 	Mode         string  `toml:"mode"`
 	MaxAttempts  int     `toml:"most_legs"`
@@ -93,7 +93,7 @@
 	LateAnswerMs float64 `toml:"late_answer_ms"` // after its deadline that a final answer may come; 0 for slack_ms
 }
 
-// Traffic is what clients ask.
+// Traffic describes the requests of clients.
 type Traffic struct {
 	PerSecond float64 `toml:"per_second"`
 	Swing     float64 `toml:"swing"`
@@ -112,7 +112,7 @@
 	UntilKill bool    `toml:"until_kill"` // clients use open connections until a node that was told to end is killed, at the earliest time; on sockets only
 }
 
-// Class is one service grade.
+// Class is one service class.
 type Class struct {
 	Name    string  `toml:"name"`
 	Share   float64 `toml:"share"`
@@ -127,7 +127,7 @@
 	Tries   int     `toml:"tries"`
 }
 
-// Event is one thing that goes wrong, or is done.
+// Event is a fault or an operation at a time.
 type Event struct {
 	AtS    float64  `toml:"at_s,omitempty"`
 	Do     string   `toml:"do,omitempty"`
@@ -135,7 +135,7 @@
 	Part   float64  `toml:"part,omitempty"` // of the caches or nodes, chosen by the seed, instead of names or numbers
 	Zone   string   `toml:"zone,omitempty"` // all caches there
 	Nodes  []int    `toml:"nodes,omitempty"`
-	OverS  float64  `toml:"over_s,omitempty"` // spread over so long, one after the other
+	OverS  float64  `toml:"over_s,omitempty"` // time over which the affected caches or nodes follow one another
 	Factor float64  `toml:"factor,omitempty"`
 	Share  float64  `toml:"share,omitempty"`
 	Rank   int      `toml:"rank,omitempty"`
@@ -145,27 +145,27 @@
 	From   []int    `toml:"from,omitempty"`    // nodes whose messages to others it concerns; none for all
 	To     []int    `toml:"to,omitempty"`      // nodes to which
 	Both   bool     `toml:"both,omitempty"`    // and the other way
-	TurnS  float64  `toml:"turn_s,omitempty"`  // it comes and goes, each for so long
-	LateMs float64  `toml:"late_ms,omitempty"` // the most that messages are late
+	TurnS  float64  `toml:"turn_s,omitempty"`  // interval at which the fault switches on and off
+	LateMs float64  `toml:"late_ms,omitempty"` // largest delay of messages
 }
 
-// Expect says what makes a run good, beside the four rules, which always hold.
+// Expect lists the expectations of a run besides the four rules, which must always hold.
 type Expect struct {
 	Satisfied             map[string]float64 `toml:"satisfied"` // share of first tries of a grade that were satisfied within the soft limit
 	P99Ms                 map[string]float64 `toml:"p99_ms"`
 	Avoided               []Avoidance        `toml:"avoided"`
 	Drained               []string           `toml:"drained"`
-	MaxOriginPerS         float64            `toml:"origin_most_per_s"` // legs there in any second
+	MaxOriginPerS         float64            `toml:"origin_most_per_s"` // attempts at the origin in any second
 	RecoveredBy           float64            `toml:"recovered_by_s"`    // from then on, no worse than before the first event
 	MaxPerS               map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
 	MaxAttemptsPerRequest float64            `toml:"most_legs_per_request"`
-	Views                 *int               `toml:"most_view_changes"` // at any node that nothing befell, after all had all
+	Views                 *int               `toml:"most_view_changes"` // at any node without a fault, after all views had formed
 }
 
 // CountNames are the things that all nodes do together which a script may bound in any second.
 var CountNames = []string{"list_calls", "dials", "full_dials", "probes", "misses", "origin_legs", "vain_legs"}
 
-// Avoidance is that a server is avoided by a time.
+// Avoidance expects that a server is avoided by a time.
 type Avoidance struct {
 	Server string  `toml:"server"`
 	ByS    float64 `toml:"by_s"`
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/emulator/client"
 )
 
-// Settings is what a node of this deployment is told at its start, as its configuration has it.
+// Settings returns the configuration of a node in this deployment.
 func (s *Scenario) Settings(zone string) json.RawMessage {
 	effect := map[string]string{"idempotent": "idempotent", "labelled": "deduplicated", "irreversible": "irreversible"}
 	var grades []map[string]any
@@ -38,12 +38,12 @@
 	}
 	text, err := json.Marshal(settings)
 	if err != nil {
-		panic(err) // numbers and names only, and all of them checked
+		panic(err) // cannot fail: it has only checked numbers and names
 	}
 	return text
 }
 
-// DecodedSettings is what a node in a zone goes by.
+// DecodedSettings returns the decoded configuration of a node in a zone.
 func (s *Scenario) DecodedSettings(zone string) (settings.Settings, error) {
 	v, err := fastjson.ParseBytes(s.Settings(zone))
 	if err != nil {
@@ -56,8 +56,8 @@
 	return terms, nil
 }
 
-// OperatorConfig is the file of a node whose clients speak HTTP at an address, as internal/emulator/client does, or that has service levels;
-// nil where there are neither.
+// OperatorConfig returns the operator's file of a node whose clients use HTTP at an address, as
+// internal/emulator/client does, or that has degradation levels; nil if neither applies.
 func (s *Scenario) OperatorConfig(listen string) []byte {
 	var text string
 	if s.Traffic.Protocol == listeners.ProtocolHTTP {
@@ -80,7 +80,7 @@
 	if len(s.Levels) > 0 {
 		plan, err := toml.Marshal(map[string]any{"level": s.Levels})
 		if err != nil {
-			panic(err) // it was read from such a file
+			panic(err) // cannot fail: the levels were decoded from TOML
 		}
 		text += string(plan)
 	}
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -55,12 +55,12 @@
 	return s
 }
 
-// upTo draws a number from low to high, to hundredths.
+// upTo draws a number from low to high, rounded to hundredths.
 func (d *soak) upTo(low, high float64) float64 {
 	return math.Round((low+(high-low)*d.chance.Float64())*100) / 100
 }
 
-// count draws a whole number from low to high.
+// count draws an integer from low to high.
 func (d *soak) count(low, high int) int { return low + int(d.chance.Float64()*float64(high-low+1)) }
 
 func (d *soak) yes(share float64) bool { return d.chance.Float64() < share }
--- a/internal/emulator/scenario/together.go
+++ b/internal/emulator/scenario/together.go
@@ -8,12 +8,13 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Membership says that nodes know one another. The spans are those of a node's file; what is not written has its usual value.
+// Membership configures the nodes' membership. The durations are those of a node's fleet file and have the same
+// defaults.
 type Membership struct {
 	Engine string  `toml:"engine"`
 	PauseS float64 `toml:"pause_s"`
 	BackS  float64 `toml:"back_s"`
-	Seeds  int     `toml:"seeds"` // of the nodes, the first so many
+	Seeds  int     `toml:"seeds"` // number of seed nodes, which are the first ones
 }
 
 const usualSeeds = 3
@@ -45,7 +46,7 @@
 	c.InRange(float64(s.Fleet.Nodes), 1, 64, "fleet.nodes") // a door for each ordered pair
 }
 
-// Pairs are the ordered pairs of nodes, from 0, that an event concerns.
+// Pairs returns the ordered pairs of nodes, numbered from 0, that an event affects.
 func (s *Scenario) Pairs(e *Event) (ps [][2]int) {
 	all := func(some []int) []int {
 		if len(some) > 0 {
@@ -70,7 +71,8 @@
 	return ps
 }
 
-// FleetConfig is the file by which a node joins the others: where each of them hears, and the way to it.
+// FleetConfig returns the file with which a node joins the others: the listen address of each node, and the relay to
+// it.
 func (s *Scenario) FleetConfig(node int, label string, hears []string, ways map[string]string) []byte {
 	var b strings.Builder
 	t := s.Membership
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// A slower, paused or crowded server also takes longer for jobs that run already: else a long job would hide a fault.
+// A fault also delays jobs that are already running on the server: otherwise a long job would hide the fault.
 func TestFaultsStretchRunningJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		do    func(w *World)
@@ -170,7 +170,7 @@
 	}
 }
 
-// The class's deduplication scope says which caches drop the same repeats: all, those of a zone, or those of a group.
+// The class's deduplication scope determines which caches share idempotency keys: all, those of a zone, or of a group.
 func TestDeduplicationScopes(t *testing.T) {
 	for scope, effects := range map[policy.DedupScope]int{
 		policy.AllCaches: 1,
@@ -209,8 +209,8 @@
 	}
 }
 
-// Only a cold cache falls over, only with a multiple of the load that it can serve, and it starts again.
-func TestOnlyAnOverloadedColdCacheFallsOver(t *testing.T) {
+// Only a cold cache fails from overload, only with a multiple of the load that it can serve, and it restarts.
+func TestOnlyOverloadedColdCacheFails(t *testing.T) {
 	push := func(cold bool, every time.Duration) *countingObserver {
 		h := &countingObserver{}
 		w := newTestWorld(h, nil)
@@ -273,8 +273,8 @@
 	}
 }
 
-// An overloaded registry must stay so while nodes poll at the same rate, and recover once they poll seldom; or no
-// rehearsal of a herd would tell a node that spreads its polls from one that does not.
+// An overloaded registry must stay overloaded while nodes poll at the same rate, and recover once they poll less often.
+// Otherwise no scenario could distinguish a node that spreads its polls from one that does not.
 func TestOverloadedRegistryRecoversOnlyWhenPolledLess(t *testing.T) {
 	for every, most := range map[policy.Instant]int{ms / 2: 0, 20 * ms: 50} {
 		g := Registry{
@@ -294,7 +294,7 @@
 	}
 }
 
-// Which clients wait less is drawn from the try's id: all else is drawn as without them.
+// Which clients wait less is derived from the try's id, so that the other random draws do not change.
 func TestShortClientTimeoutsChangeNothingElse(t *testing.T) {
 	classes := []Class{{Share: 1, Deadline: time.Second, Tries: 2}}
 	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: classes, Seed: 3})
