--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -101,8 +101,8 @@
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
 
-// NeedsSockets tells whether a script does something to processes or between them, which virtual time does not have:
-// it would pass there whatever nodes do.
+// NeedsSockets reports whether the scenario has faults of processes or links, which do not exist in virtual time: it
+// would pass there whatever nodes do.
 func (s *Scenario) NeedsSockets() bool {
 	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
--- a/internal/emulator/scenario/nemesis_test.go
+++ b/internal/emulator/scenario/nemesis_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A schedule is the same for the same seed, can be read back as it is, and leaves most nodes alone at any time.
-func TestSchedulesOfTheNemesisPlayAgain(t *testing.T) {
+// A schedule is reproducible from its seed, survives encoding and parsing, and leaves most nodes without a fault at any
+// time.
+func TestNemesisSchedulesAreReproducible(t *testing.T) {
 	events := 0
 	for seed := range int64(200) {
 		s := Nemesis(seed, 5+int(seed%9), 60)
--- a/internal/emulator/scenario/parse_test.go
+++ b/internal/emulator/scenario/parse_test.go
@@ -23,8 +23,8 @@
 for_s = 3
 `
 
-// Whoever writes a script by hand on a Friday needs the line and the reason, and no run by half a script.
-func TestBadScriptsAreToldWithTheirLine(t *testing.T) {
+// An invalid scenario is rejected as a whole, with the line and the reason, instead of being run in part.
+func TestParseErrorsNameTheLine(t *testing.T) {
 	if _, err := Parse("x.toml", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// A script cut off anywhere, or with any byte changed, is refused in one line or is a script: it never crashes a run.
+// A truncated or corrupted scenario is either valid or rejected with a one-line error; it never causes a panic.
 func FuzzScripts(f *testing.F) {
 	f.Add([]byte(good))
 	for i := range good {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -162,7 +162,7 @@
 	Views                 *int               `toml:"most_view_changes"` // at any node without a fault, after all views had formed
 }
 
-// CountNames are the things that all nodes do together which a script may bound in any second.
+// CountNames are the names of the counts over all nodes that a scenario may bound for any second.
 var CountNames = []string{"list_calls", "dials", "full_dials", "probes", "misses", "origin_legs", "vain_legs"}
 
 // Avoidance expects that a server is avoided by a time.
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -7,10 +7,10 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-// Schedules that are drawn each by itself leave rare phases to chance: of ten schedules of a minute, none had some of the
-// faults while another process took a node's place. Drawn one after the other, each trouble that leaves a node's phase
-// as it is has to meet each phase in that many.
-func TestSoaksMeetEachPhaseWithEachFault(t *testing.T) {
+// Schedules drawn independently leave rare phases to chance: in ten schedules of a minute, some faults never occurred
+// during a handover. Drawn in sequence, ten schedules must combine each phase with each fault that does not change a
+// node's phase.
+func TestSoaksCombineEachPhaseWithEachFault(t *testing.T) {
 	const seeds = 10
 	met := coverage.NewTable(SoakFaults())
 	for seed := int64(1); seed <= seeds; seed++ {
@@ -29,8 +29,8 @@
 	}
 }
 
-// What met a phase the least has the most chance; what is not possible has none.
-func TestSoakFavoursWhatMetTheLeast(t *testing.T) {
+// The fault that met a phase least often is the most likely one, and an impossible fault is never drawn.
+func TestSoakFavoursLeastCoveredFaults(t *testing.T) {
 	s := defaults()
 	s.Fleet.Nodes = 2
 	s.Classes = []Class{{Name: "read", HardMs: 1000}}
@@ -66,8 +66,8 @@
 	want("a restart of the other", plan.nodeWeight(restart, 0, 4), 0.5)
 }
 
-// A trouble that lasts meets the phases that nodes come to meanwhile, whichever of the two was drawn first.
-func TestSoakPlanCountsPhasesThatBeginDuringATrouble(t *testing.T) {
+// A lasting fault meets the phases that nodes enter during it, whichever of the two was drawn first.
+func TestSoakPlanCountsPhasesThatBeginDuringAFault(t *testing.T) {
 	s := defaults()
 	s.Fleet.Nodes = 1
 	s.Classes = []Class{{Name: "read", HardMs: 1000}} // so that a node drains for 1.7 s
--- a/internal/emulator/scenario/stated_test.go
+++ b/internal/emulator/scenario/stated_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Settings name a number of nodes, and others may run: then nodes go by what is stated.
-func TestNodesGoByTheNumberStated(t *testing.T) {
+// The settings may state a number of nodes other than the number running; nodes then use the stated one.
+func TestSettingsUseStatedNumberOfNodes(t *testing.T) {
 	text := "[fleet]\nnodes = 6\n%[[grade]]\nname = \"read\"\nshare = 1\nbenefit = 1\nsoft_ms = 100\nhard_ms = 500\nwork_ms = 10\n"
 	for stated, want := range map[string]int{"": 6, "stated = 0\n": 6, "stated = 4\n": 4, "stated = -1\n": -1} {
 		s, err := Parse("s", []byte(strings.Replace(text, "%", stated, 1)))
