--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -26,7 +26,7 @@
 
 // A checker that misses a breach passes a faulty node. Each row is one way to break a rule, or one that looks like
 // it.
-func TestEachBreachIsCaughtOnceAndItsLookAlikeIsNot(t *testing.T) {
+func TestCheckerCountsEachBreachOnceAndNoNearMiss(t *testing.T) {
 	sent := func(j *Checker, grade int) { j.RequestSent(0, "r", 0, grade, "l", 100*ms, true) }
 	for _, c := range []struct {
 		name string
--- a/internal/emulator/scenario/parse.go
+++ b/internal/emulator/scenario/parse.go
@@ -13,7 +13,7 @@
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("the script cannot be read: %w", err)
+		return nil, fmt.Errorf("cannot read the scenario file: %w", err)
 	}
 	return Parse(path, text)
 }
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -51,7 +51,7 @@
 	}
 	terms, err := settings.Decode(v)
 	if err != nil {
-		return terms, fmt.Errorf("the script's settings cannot be used: %w", err)
+		return terms, fmt.Errorf("cannot decode the settings of the scenario: %w", err)
 	}
 	return terms, nil
 }
