--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -21,7 +21,7 @@
 	maxValueKB = 4096
 )
 
-// check reports all errors of a scenario with their fields. It also sets defaults that depend on other fields.
+// check reports all invalid fields of a scenario. It also sets defaults that depend on other fields.
 func (s *Scenario) check(c *strictconfig.Checker) {
 	c.InRange(s.Seconds, 1, maxSeconds, "seconds")
 	s.checkFleet(c)
@@ -34,7 +34,7 @@
 	s.checkEvents(c)
 	s.checkExpect(c)
 	s.checkLevels(c)
-	s.checkTogether(c)
+	s.checkMembership(c)
 }
 
 func (s *Scenario) checkFleet(c *strictconfig.Checker) {
@@ -53,16 +53,16 @@
 	c.InRange(f.ColdS, 0, maxSeconds, "fleet.cold_s")
 	c.InRange(f.FallMultiple, 0, 1e6, "fleet.fall_multiple")
 	c.Require(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s",
-		"a multiple that fells a cache needs a time over which it counts")
+		"must be over 0 unless fleet.fall_multiple is 0")
 	c.InRange(f.FallS, 0, maxSeconds, "fleet.fall_s")
 	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
 	c.InRange(f.IdleS, 0.1, maxSeconds, "fleet.idle_s")
 	checkProtocol(c, f.Protocol, "fleet.protocol")
 	httpClients := s.Traffic.Protocol == listeners.ProtocolHTTP
 	c.Require(f.Protocol != listeners.ProtocolHTTP || httpClients && !f.Reports, "fleet.protocol",
-		"caches speak http only where clients do, and tell no load")
+		"caches can use http only if clients do, and cannot report their load then")
 	checkProtocol(c, s.Traffic.Protocol, "traffic.protocol")
-	c.Require(len(f.Zones) > 0, "fleet.zones", "names no zone")
+	c.Require(len(f.Zones) > 0, "fleet.zones", "must name at least one zone")
 }
 
 func checkProtocol(c *strictconfig.Checker, protocol, path string) {
@@ -126,17 +126,18 @@
 	c.InRange(t.Skew, 0, 5, "traffic.skew")
 	c.InRange(t.Leaves, 0, 1, "traffic.leaves")
 	checkMilliseconds(c, t.LeaveMs, "traffic.leave_ms")
-	c.Require(t.Leaves == 0 || t.LeaveMs > 0, "traffic.leave_ms", "clients that leave do so after some time")
+	c.Require(t.Leaves == 0 || t.LeaveMs > 0, "traffic.leave_ms", "must be over 0 if traffic.leaves is")
 	c.InRange(t.Short, 0, 1, "traffic.short")
 	checkMilliseconds(c, t.ShortMs, "traffic.short_ms")
-	c.Require(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "clients that wait less do so for some time")
+	c.Require(t.Short == 0 || t.ShortMs > 0, "traffic.short_ms", "must be over 0 if traffic.short is")
 	c.InRange(t.LongShare, 0, 1, "traffic.long_share")
 	c.InRange(float64(t.LongKB), 0, maxValueKB, "traffic.long_kb")
-	c.Require(t.LongShare == 0 || t.Protocol == listeners.ProtocolMeta, "traffic.long_share", "values are long only by %s", listeners.ProtocolMeta)
+	c.Require(t.LongShare == 0 || t.Protocol == listeners.ProtocolMeta, "traffic.long_share",
+		"long values need the client protocol %s", listeners.ProtocolMeta)
 }
 
 func (s *Scenario) checkClasses(c *strictconfig.Checker) {
-	c.Require(len(s.Classes) > 0, "grade", "no grade is stated, so nothing can be asked")
+	c.Require(len(s.Classes) > 0, "grade", "at least one grade is required")
 	names := map[string]bool{}
 	sum := 0.0
 	for i := range s.Classes {
@@ -144,7 +145,7 @@
 		class.check(c, fmt.Sprintf("grade.%d.", i), names)
 		sum += class.Share
 	}
-	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so nothing is asked")
+	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so clients send no request")
 }
 
 // check reports the errors of one class; names are those of the preceding classes.
@@ -152,8 +153,9 @@
 	g.Tries = cmp.Or(g.Tries, 1)
 	g.Effect = cmp.Or(g.Effect, "idempotent")
 	g.Scope = cmp.Or(g.Scope, "all")
-	c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name", "%q is no name", g.Name)
-	c.Require(!names[g.Name], at+"name", "%q stands twice", g.Name)
+	c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name",
+		"%q is not a valid name: it is empty or has a space, a comma, an equals sign or a line break", g.Name)
+	c.Require(!names[g.Name], at+"name", "%q is already the name of another grade", g.Name)
 	names[g.Name] = true
 	_, known := effects[g.Effect]
 	c.Require(known, at+"effect", "%q is none of idempotent, labelled, irreversible", g.Effect)
@@ -167,7 +169,7 @@
 	c.InRange(g.WindowS, 0, maxSeconds, at+"window_s")
 	c.InRange(float64(g.Tries), 1, 20, at+"tries")
 	c.Require(g.Effect == "idempotent" || g.Write, at+"effect", "a read is idempotent")
-	c.Require(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "a labelled grade needs a window")
+	c.Require(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "must be over 0 for labelled writes")
 }
 
 func (s *Scenario) checkExpect(c *strictconfig.Checker) {
@@ -196,7 +198,7 @@
 	c.InRange(s.Expect.MaxAttemptsPerRequest, 0, 100, "expect.most_legs_per_request")
 	views := s.Expect.Views
 	c.Require(views == nil || s.Membership != nil && *views >= 0, "expect.most_view_changes",
-		"is for nodes that know one another, and not under 0")
+		"needs [together] and must not be negative")
 }
 
 func sorted(m map[string]float64) []string {
@@ -212,7 +214,7 @@
 	if len(s.Levels) == 0 {
 		return
 	}
-	if terms, err := s.DecodedSettings(""); err == nil { // otherwise an error of the classes has already been reported
-		listeners.CheckLevels(c, s.Levels, &terms)
+	if decoded, err := s.DecodedSettings(""); err == nil { // otherwise an error of the classes has already been reported
+		listeners.CheckLevels(c, s.Levels, &decoded)
 	}
 }
--- a/internal/emulator/scenario/check_events.go
+++ b/internal/emulator/scenario/check_events.go
@@ -22,7 +22,7 @@
 		e := &s.Events[i]
 		at := fmt.Sprintf("event.%d.", i)
 		kind, known := kinds[e.Do]
-		c.Require(known, at+"do", "%q is nothing that can be done", e.Do)
+		c.Require(known, at+"do", "%q is not a known action", e.Do)
 		if !known {
 			continue
 		}
@@ -38,25 +38,27 @@
 func (s *Scenario) checkEventTime(c *strictconfig.Checker, e *Event, kind needs, at string) {
 	c.InRange(e.AtS, 0, s.Seconds, at+"at_s")
 	c.InRange(e.ForS, 0, maxSeconds, at+"for_s")
-	c.Require(!kind.duration || e.ForS > 0, at+"for_s", "%s needs how long it lasts", e.Do)
-	c.Require(e.Do != freeze || e.ForS <= maxFreezeS, at+"for_s", "%s lasts %g s at most", e.Do, maxFreezeS)
+	c.Require(!kind.duration || e.ForS > 0, at+"for_s", "%s needs a duration", e.Do)
+	c.Require(e.Do != freeze || e.ForS <= maxFreezeS, at+"for_s", "%s must not last longer than %g s", e.Do, maxFreezeS)
 	c.InRange(e.OverS, 0, maxSeconds, at+"over_s")
-	c.Require(e.OverS == 0 || kind.caches || kind.nodes || e.Do == "add", at+"over_s", "%s happens at once", e.Do)
+	c.Require(e.OverS == 0 || kind.caches || kind.nodes || e.Do == "add", at+"over_s",
+		"%s cannot be spread over a time", e.Do)
 	c.InRange(e.TurnS, 0, maxSeconds, at+"turn_s")
 }
 
 // checkEventCaches checks the caches that an event affects; caches is their number, including those that are added.
 func (s *Scenario) checkEventCaches(c *strictconfig.Checker, e *Event, kind needs, at string, caches int) {
-	ways := 0
+	selectors := 0
 	for _, stated := range []bool{len(e.Caches) > 0, e.Part > 0, e.Zone != ""} {
 		if stated {
-			ways++
+			selectors++
 		}
 	}
 	c.InRange(e.Part, 0, 1, at+"part")
-	c.Require(!kind.caches || ways == 1, at+"caches", "%s needs either names of caches, a part of them or a zone", e.Do)
+	c.Require(!kind.caches || selectors == 1, at+"caches",
+		"%s needs either names of caches, a part of them or a zone", e.Do)
 	none := len(e.Caches) == 0 && e.Zone == "" && (kind.nodes || e.Part == 0)
-	c.Require(kind.caches || none, at+"caches", "%s concerns no caches", e.Do)
+	c.Require(kind.caches || none, at+"caches", "%s does not take caches", e.Do)
 	c.Require(e.Zone == "" || slices.Contains(s.Fleet.Zones, e.Zone), at+"zone", "there is no zone %q", e.Zone)
 	for _, name := range e.Caches {
 		digits, named := strings.CutPrefix(name, "c")
@@ -71,13 +73,14 @@
 	for _, n := range e.Nodes {
 		c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"nodes", "there is no node %d", n)
 	}
-	c.Require(e.Do != twin || s.Membership != nil, at+"do", "nodes do not know one another: there is no [together]")
+	c.Require(e.Do != twin || s.Membership != nil, at+"do", "needs [together], which makes nodes members of one fleet")
 }
 
 func (s *Scenario) checkEventPairs(c *strictconfig.Checker, e *Event, kind needs, at string) {
-	c.Require(!kind.pairs || s.Membership != nil, at+"do", "nodes say nothing to each other: there is no [together]")
+	c.Require(!kind.pairs || s.Membership != nil, at+"do",
+		"needs [together], without which nodes exchange no messages")
 	none := len(e.From)+len(e.To) == 0 && !e.Both && e.TurnS == 0
-	c.Require(kind.pairs || none, at+"from", "%s is not between nodes", e.Do)
+	c.Require(kind.pairs || none, at+"from", "%s does not take from, to, both or turn_s", e.Do)
 	for _, n := range slices.Concat(e.From, e.To) {
 		c.Require(n >= 1 && n <= s.Fleet.Nodes, at+"from", "there is no node %d", n)
 	}
@@ -97,21 +100,22 @@
 	if kind.lateness {
 		c.InRange(e.LateMs, 1, 1e5, at+"late_ms")
 	} else {
-		c.Require(e.LateMs == 0, at+"late_ms", "%s makes nothing late", e.Do)
+		c.Require(e.LateMs == 0, at+"late_ms", "%s takes no delay", e.Do)
 	}
 	c.InRange(float64(e.Rank), 0, float64(s.Traffic.Keys-1), at+"rank")
-	c.Require(!kind.count || e.Count > 0, at+"count", "%s needs how many", e.Do)
+	c.Require(!kind.count || e.Count > 0, at+"count", "%s needs a count", e.Do)
 	c.InRange(float64(e.Count), 0, maxCaches, at+"count")
 	c.Require(e.Do != "shrink" || e.Count < s.Fleet.Caches, at+"count",
-		"a fleet of %d can't shrink by %d", s.Fleet.Caches, e.Count)
+		"a fleet of %d caches cannot shrink by %d", s.Fleet.Caches, e.Count)
 }
 
 func (s *Scenario) checkEventFault(c *strictconfig.Checker, e *Event, at string) {
 	c.Require(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault",
 		"%q is none of %s", e.Fault, strings.Join(faults, ", "))
 	c.Require(e.Fault != stale || s.Fleet.Protocol == listeners.ProtocolHTTP, at+"fault",
-		"only caches that speak http keep what is stale")
+		"only http caches serve stale responses")
 	c.Require(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
 	c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
-	c.Require(e.Do != "discovery_slow" || s.Discovery.WatchMs > 0, at+"do", "discovery has no bound, so that it can't be slow")
+	c.Require(e.Do != "discovery_slow" || s.Discovery.WatchMs > 0, at+"do",
+		"discovery has no capacity limit that could slow it down: set discovery.watch_ms")
 }
--- a/internal/emulator/scenario/parse.go
+++ b/internal/emulator/scenario/parse.go
@@ -35,17 +35,18 @@
 	return &s, nil
 }
 
-// defaults returns a scenario with the default values of all fields.
+// defaults returns a scenario whose fields have their default values.
 func defaults() Scenario {
 	return Scenario{
 		Seed: 1, Seconds: 30,
-		Fleet: Fleet{Protocol: listeners.ProtocolMeta, Nodes: 1, Caches: 12, Zones: []string{"a"}, Group: 4, Cores: 1, Queue: 12, Speed: [2]float64{1, 1}, Keys: 2000, Warm: true,
+		Fleet: Fleet{Protocol: listeners.ProtocolMeta, Nodes: 1, Caches: 12, Zones: []string{"a"}, Group: 4,
+			Cores: 1, Queue: 12, Speed: [2]float64{1, 1}, Keys: 2000, Warm: true,
 			ColdFrom: 0.4, ColdS: 5, FallMultiple: 3, FallS: 1, Connections: 600, HandshakeMs: 1, IdleS: 15},
 		Origin:    Origin{Cores: 4, Queue: 64, WorkMs: 15, StallAt: 40, Stall: 2, FallMultiple: 3, FallS: 1},
 		Network:   Network{OneWayMs: 0.2, CrossZoneMs: 5, ClientMs: 0.5, Jitter: 0.2},
 		Discovery: Discovery{NoticeS: [2]float64{0.3, 1}},
-		Allowed: Allowed{Mode: "aside", MaxAttempts: 3, Hedging: true, Cancel: true, Probes: true, RetryAfterMs: 600, GraceMs: 400,
-			ConnectMs: 100, WastePrice: 0.04},
+		Allowed: Allowed{Mode: "aside", MaxAttempts: 3, Hedging: true, Cancel: true, Probes: true,
+			RetryAfterMs: 600, GraceMs: 400, ConnectMs: 100, WastePrice: 0.04},
 		Traffic: Traffic{Protocol: listeners.ProtocolMeta, PerSecond: 300, Keys: 5000, Zipf: 0.9, WaveS: 30, Jitter: 0.5},
 	}
 }
--- a/internal/emulator/scenario/parse_test.go
+++ b/internal/emulator/scenario/parse_test.go
@@ -36,11 +36,11 @@
 		{`["c2"]`, `["c9"]`}:                                     `x.toml:13: event.0.caches: there is no server "c9"`,
 		{`["c2"]`, `["elsewhere"]`}:                              "x.toml:13: ",
 		{`caches = ["c2"]`, ""}:                                  "x.toml:10: event.0.caches: slow needs either names",
-		{`do = "slow"`, `do = "melt"`}:                           `x.toml:12: event.0.do: "melt" is nothing`,
+		{`do = "slow"`, `do = "melt"`}:                           `x.toml:12: event.0.do: "melt" is not a known action`,
 		{"factor = 4", "factor = -4"}:                            "x.toml:14: event.0.factor",
 		{"factor = 4", "share = 0.5"}:                            "x.toml:10: event.0.factor",
 		{"at_s = 2", "at_s = 99"}:                                "x.toml:11: event.0.at_s: 99 is not from 0 to 10",
-		{"caches = 4", "caches = 4\nfall_s = 0"}:                 "x.toml:4: fleet.fall_s: a multiple that fells a cache needs",
+		{"caches = 4", "caches = 4\nfall_s = 0"}:                 "x.toml:4: fleet.fall_s: must be over 0 unless fleet",
 		{"for_s = 3", "for_s = nan"}:                             "x.toml:15: event.0.for_s",
 		{"hard_ms = 100", "hard_ms = 10"}:                        "x.toml:8: grade.0.hard_ms",
 		{"share = 1", "share = 0"}:                               "x.toml:4: grade.0: all shares are 0",
@@ -48,7 +48,7 @@
 		{"for_s = 3", "for_s = 3\n[expect]\nsatisfied={a=1}"}:    `x.toml:17: expect.satisfied: there is no grade "a"`,
 		{`caches = ["c2"]`, `zone = "x"`}:                        `x.toml:13: event.0.zone: there is no zone "x"`,
 		{`caches = ["c2"]`, "caches = [\"c2\"]\npart = 0.5"}:     "x.toml:13: event.0.caches: slow needs either names",
-		{`do = "slow"`, `do = "discovery_slow"`}:                 "x.toml:12: event.0.do: discovery has no bound",
+		{`do = "slow"`, `do = "discovery_slow"`}:                 "x.toml:12: event.0.do: discovery has no capacity limit",
 		{`do = "slow"`, `do = "node_kill"`}:                      "x.toml:10: event.0.nodes: node_kill needs either numbers",
 		{"for_s = 3", "for_s = 3\n[expect]\nmost_per_s={tea=1}"}: `x.toml:17: expect.most_per_s: "tea" is none of`,
 		{"seconds = 10", "seconds = "}:                           "x.toml:1: ",
@@ -76,7 +76,7 @@
 			return
 		}
 		if !json.Valid(s.Settings("a")) || len(s.World(nil).Caches) != s.Fleet.Caches {
-			t.Error("a script that was taken makes no world")
+			t.Error("a valid scenario has invalid settings or a wrong number of caches")
 		}
 	})
 }
--- a/internal/emulator/scenario/stated_test.go
+++ b/internal/emulator/scenario/stated_test.go
@@ -7,7 +7,8 @@
 
 // The settings may state a number of nodes other than the number running; nodes then use the stated one.
 func TestSettingsUseStatedNumberOfNodes(t *testing.T) {
-	text := "[fleet]\nnodes = 6\n%[[grade]]\nname = \"read\"\nshare = 1\nbenefit = 1\nsoft_ms = 100\nhard_ms = 500\nwork_ms = 10\n"
+	text := "[fleet]\nnodes = 6\n%[[grade]]\nname = \"read\"\nshare = 1\nbenefit = 1\n" +
+		"soft_ms = 100\nhard_ms = 500\nwork_ms = 10\n"
 	for stated, want := range map[string]int{"": 6, "stated = 0\n": 6, "stated = 4\n": 4, "stated = -1\n": -1} {
 		s, err := Parse("s", []byte(strings.Replace(text, "%", stated, 1)))
 		if want < 0 {
@@ -19,8 +20,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if terms, err := s.DecodedSettings("a"); err != nil || terms.Policy.Nodes != want {
-			t.Errorf("%q: nodes go by %d (%v), not %d", stated, terms.Policy.Nodes, err, want)
+		if decoded, err := s.DecodedSettings("a"); err != nil || decoded.Policy.Nodes != want {
+			t.Errorf("%q: the settings have %d nodes (%v), want %d", stated, decoded.Policy.Nodes, err, want)
 		}
 	}
 }
