--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -16,8 +16,8 @@
 	recoveryTime      = 6.0  // seconds after a node's fault until it is back and counts again
 	minDuration       = 0.5  // seconds of a fault
 	maxExtraDuration  = 15.0 // seconds of a fault beyond that
-	maxPause          = 5.0  // seconds between the beginnings of two faults, beyond minPause
-	minPause          = 1.0
+	maxExtraGap       = 5.0  // seconds between the beginnings of two faults, beyond minGap
+	minGap            = 1.0
 	minLoss           = 0.05 // share of messages lost
 	maxLoss           = 0.3
 	duplicateShare    = 0.3
@@ -25,16 +25,16 @@
 	maxExtraLateMs    = 280
 	flapInterval      = 1.0 // seconds between the turns of a link that flaps
 	bothWaysShare     = 0.5 // of cuts between two nodes
-	maxFaultyFraction = 3   // one in so many nodes has a fault at a time: a fleet of which more have decides nothing
+	maxFaultyFraction = 3   // at most one in so many nodes has a fault at a time: a fleet with more cannot decide
 	nemesisSeedSalt   = 0x0e5e
 )
 
-// The kinds of faults, which are drawn alike. Those from nodeCut on are of one node.
+// The kinds of faults, all equally likely. Those from sendCut on affect one node.
 const (
 	messageLoss = iota
 	messageDuplicates
 	messageDelays
-	pairCut // a pair of nodes that don't hear each other is no node's end
+	pairCut // between two nodes, neither of which fails by it
 	sendCut
 	receiveCut
 	flappingCut
@@ -46,23 +46,23 @@
 
 // nemesis draws a schedule of faults.
 type nemesis struct {
-	chance keyhash.Source
+	random keyhash.Source
 	nodes  int
-	freeAt []float64 // from when each node may have a fault again, in seconds
+	freeAt []float64 // time from which each node may have a fault again, in seconds
 }
 
 // Nemesis returns a random schedule of faults between nodes, the same for the same seed.
 func Nemesis(seed int64, nodes int, seconds float64) *Scenario {
 	s := nemesisScenario(seed, nodes, seconds)
 	n := &nemesis{
-		chance: keyhash.Source{Seed: uint32(seed) ^ nemesisSeedSalt},
+		random: keyhash.Source{Seed: uint32(seed) ^ nemesisSeedSalt},
 		nodes:  nodes,
 		freeAt: make([]float64, nodes),
 	}
 	end := s.Seconds - quietTime
-	for at := formingTime; ; at += minPause + n.upTo(maxPause) {
+	for at := formingTime; ; at += minGap + n.tenthsUpTo(maxExtraGap) {
 		at = tenths(at)
-		duration := minDuration + n.upTo(maxExtraDuration)
+		duration := minDuration + n.tenthsUpTo(maxExtraDuration)
 		if at+duration >= end {
 			if duration = end - at; duration < minDuration {
 				break
@@ -94,16 +94,16 @@
 	return &s
 }
 
-// tenths rounds to tenths, so that a schedule reads well.
+// tenths rounds to tenths, which keeps schedules readable.
 func tenths(x float64) float64 { return math.Round(x*10) / 10 }
 
-// upTo draws a number of tenths from 0 to a greatest one.
-func (n *nemesis) upTo(most float64) float64 { return tenths(n.chance.Float64() * most) }
+// tenthsUpTo draws a number of tenths from 0 to most.
+func (n *nemesis) tenthsUpTo(most float64) float64 { return tenths(n.random.Float64() * most) }
 
 // drawNode draws a node, from 0.
-func (n *nemesis) drawNode() int { return int(n.chance.Float64() * float64(n.nodes)) }
+func (n *nemesis) drawNode() int { return int(n.random.Float64() * float64(n.nodes)) }
 
-// mayHaveFault reports whether a node may have a fault at a time, beside those that others have.
+// mayHaveFault reports whether a node may have a fault at a time, given the faults of other nodes.
 func (n *nemesis) mayHaveFault(node int, at float64) bool {
 	faulty := 0
 	for _, freeAt := range n.freeAt {
@@ -114,11 +114,11 @@
 	return n.freeAt[node] <= at && (faulty+1)*maxFaultyFraction <= n.nodes
 }
 
-// draw draws what happens at an event's time. It returns false for a fault of a node that may have none then.
+// draw draws the fault of an event. It returns false if the node it has drawn may have no fault at that time.
 func (n *nemesis) draw(e *Event) bool {
 	node := n.drawNode()
 	mayHaveFault := n.mayHaveFault(node, e.AtS)
-	kind := int(n.chance.Float64() * faultKinds)
+	kind := int(n.random.Float64() * faultKinds)
 	if kind < pairCut {
 		n.drawMessageFault(e, kind)
 		return true
@@ -128,7 +128,7 @@
 		if other == node || !mayHaveFault {
 			return false
 		}
-		e.Do, e.From, e.To, e.Both = cut, []int{node + 1}, []int{other + 1}, n.chance.Float64() < bothWaysShare
+		e.Do, e.From, e.To, e.Both = cut, []int{node + 1}, []int{other + 1}, n.random.Float64() < bothWaysShare
 	} else {
 		if !mayHaveFault {
 			return false
@@ -139,15 +139,15 @@
 	return true
 }
 
-// drawMessageFault draws how much of all messages a fault meets.
+// drawMessageFault draws a fault of the messages between all nodes.
 func (n *nemesis) drawMessageFault(e *Event, kind int) {
 	switch kind {
 	case messageLoss:
-		e.Do, e.Share = loss, minLoss+n.upTo(maxLoss-minLoss)
+		e.Do, e.Share = loss, minLoss+n.tenthsUpTo(maxLoss-minLoss)
 	case messageDuplicates:
 		e.Do, e.Share = twice, duplicateShare
 	case messageDelays:
-		e.Do, e.LateMs = late, minLateMs+math.Round(n.chance.Float64()*maxExtraLateMs)
+		e.Do, e.LateMs = late, minLateMs+math.Round(n.random.Float64()*maxExtraLateMs)
 	}
 }
 
--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -6,43 +6,45 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-const soakShortest = 0.3 // shortest fault in seconds
+const soakMinFault = 0.3 // seconds
 
 // soakFault is one kind of fault in soak schedules.
 type soakFault struct {
-	name     coverage.Fault
-	ofNode   bool // it concerns one node
-	moveNode bool // it changes the node's phase, so that the node has to serve when it begins
-	draw     func(d *soak, e *Event, long float64)
-	possible func(s *Scenario) bool // nil for in each deployment
+	name         coverage.Fault
+	singleNode   bool // affects one node
+	changesPhase bool // changes the phase of the node, which must be serving when the fault begins
+	draw         func(d *soak, e *Event, duration float64)
+	possible     func(s *Scenario) bool // nil for always
 }
 
 // soakFaults are the kinds of faults in soak schedules. The name is the event's action.
 var soakFaults = []soakFault{
-	{name: "node_restart", ofNode: true, moveNode: true},
-	{name: "node_kill", ofNode: true, moveNode: true},
-	{name: termStart, ofNode: true, moveNode: true, draw: func(d *soak, e *Event, _ float64) {
-		e.LateMs = math.Round(d.upTo(1, 250))
+	{name: "node_restart", singleNode: true, changesPhase: true},
+	{name: "node_kill", singleNode: true, changesPhase: true},
+	{name: termStart, singleNode: true, changesPhase: true, draw: func(d *soak, e *Event, _ float64) {
+		e.LateMs = math.Round(d.between(1, 250))
 	}},
-	{name: upgrade, ofNode: true, moveNode: true},
-	{name: standby, ofNode: true, moveNode: true, draw: func(d *soak, e *Event, _ float64) {
-		e.ForS = d.upTo(1, soakLongest)
+	{name: upgrade, singleNode: true, changesPhase: true},
+	{name: standby, singleNode: true, changesPhase: true, draw: func(d *soak, e *Event, _ float64) {
+		e.ForS = d.between(1, soakMaxFault)
 	}},
-	{name: freeze, ofNode: true, draw: func(d *soak, e *Event, _ float64) { e.ForS = d.upTo(0.02, maxFreezeS) }},
-	{name: reload, ofNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.count(2, 5) }},
-	{name: crowd, ofNode: true, draw: func(d *soak, e *Event, long float64) {
-		e.Count, e.ForS = d.count(100, 700), long
+	{name: freeze, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.ForS = d.between(0.02, maxFreezeS) }},
+	{name: reload, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(2, 5) }},
+	{name: crowd, singleNode: true, draw: func(d *soak, e *Event, duration float64) {
+		e.Count, e.ForS = d.intBetween(100, 700), duration
 	}},
-	{name: stall, ofNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.count(1, 20) }},
-	{name: "discovery_down", draw: func(_ *soak, e *Event, long float64) { e.ForS = long }},
-	{name: "discovery_slow", draw: func(d *soak, e *Event, long float64) { e.ForS, e.Factor = long, d.upTo(2, 50) },
+	{name: stall, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(1, 20) }},
+	{name: "discovery_down", draw: func(_ *soak, e *Event, duration float64) { e.ForS = duration }},
+	{name: "discovery_slow", draw: func(d *soak, e *Event, duration float64) {
+		e.ForS, e.Factor = duration, d.between(2, 50)
+	},
 		possible: func(s *Scenario) bool { return s.Discovery.WatchMs > 0 }},
 	{name: "drain", draw: func(d *soak, e *Event, _ float64) {
-		e.Part, e.ForS = d.upTo(0.05, 0.3), d.upTo(1, soakLongest)
+		e.Part, e.ForS = d.between(0.05, 0.3), d.between(1, soakMaxFault)
 	}},
-	{name: "add", draw: func(d *soak, e *Event, _ float64) { e.Count = d.count(1, 4) }},
-	{name: "slow", draw: func(d *soak, e *Event, long float64) {
-		e.Part, e.ForS, e.Factor = d.upTo(0.05, 0.4), long, d.upTo(2, 20)
+	{name: "add", draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(1, 4) }},
+	{name: "slow", draw: func(d *soak, e *Event, duration float64) {
+		e.Part, e.ForS, e.Factor = d.between(0.05, 0.4), duration, d.between(2, 20)
 	}},
 	{name: "silent", draw: partOfCaches(0.4)},
 	{name: "restart", draw: partOfCaches(0.3)},
@@ -52,14 +54,16 @@
 	{name: "fault:silent", draw: connectionFault("silent")},
 	{name: "fault:half", draw: connectionFault("half")},
 	{name: "fault:garbage", draw: connectionFault("garbage")},
-	{name: "errors", draw: func(d *soak, e *Event, long float64) {
-		e.Part, e.ForS, e.Share = d.upTo(0.05, 0.4), long, d.upTo(0.1, 1)
+	{name: "errors", draw: func(d *soak, e *Event, duration float64) {
+		e.Part, e.ForS, e.Share = d.between(0.05, 0.4), duration, d.between(0.1, 1)
 	}},
-	{name: "hot", draw: func(d *soak, e *Event, long float64) {
-		e.Rank, e.Share, e.ForS = d.count(0, 20), d.upTo(0.2, 0.8), long
+	{name: "hot", draw: func(d *soak, e *Event, duration float64) {
+		e.Rank, e.Share, e.ForS = d.intBetween(0, 20), d.between(0.2, 0.8), duration
 	}},
-	{name: "burst", draw: func(d *soak, e *Event, long float64) { e.ForS, e.Factor = long, d.upTo(1.2, 3) }},
-	{name: "origin_slow", draw: func(d *soak, e *Event, long float64) { e.ForS, e.Factor = long, d.upTo(2, 20) },
+	{name: "burst", draw: func(d *soak, e *Event, duration float64) { e.ForS, e.Factor = duration, d.between(1.2, 3) }},
+	{name: "origin_slow", draw: func(d *soak, e *Event, duration float64) {
+		e.ForS, e.Factor = duration, d.between(2, 20)
+	},
 		possible: func(s *Scenario) bool { return s.Allowed.Mode == "aside" }},
 }
 
@@ -73,57 +77,58 @@
 }
 
 func partOfCaches(most float64) func(*soak, *Event, float64) {
-	return func(d *soak, e *Event, long float64) { e.Part, e.ForS = d.upTo(0.05, most), long }
+	return func(d *soak, e *Event, duration float64) { e.Part, e.ForS = d.between(0.05, most), duration }
 }
 
 func connectionFault(kind string) func(*soak, *Event, float64) {
-	return func(d *soak, e *Event, long float64) {
-		e.Do, e.Fault, e.Part, e.ForS = "fault", kind, d.upTo(0.05, 0.4), long
+	return func(d *soak, e *Event, duration float64) {
+		e.Do, e.Fault, e.Part, e.ForS = "fault", kind, d.between(0.05, 0.4), duration
 	}
 }
 
-// drawFaults draws the faults in order of time; most last until others have begun.
+// drawFaults draws the faults in order of time. Most of them overlap with the next ones.
 func (d *soak) drawFaults() {
-	for at := soakBegins; at < d.end-soakQuiet; at += d.upTo(0, 2*soakApart) {
+	for at := soakStart; at < d.end-soakQuietTime; at += d.between(0, 2*soakMeanGap) {
 		at = math.Round(at*100) / 100
-		long := math.Round(math.Min(d.upTo(soakShortest, soakLongest), d.end-at)*100) / 100
-		if long < soakShortest {
+		duration := math.Round(math.Min(d.between(soakMinFault, soakMaxFault), d.end-at)*100) / 100
+		if duration < soakMinFault {
 			continue
 		}
-		e := d.drawFault(at, long)
+		e := d.drawFault(at, duration)
 		d.plan.add(&e)
-		d.script.Events = append(d.script.Events, e)
+		d.scenario.Events = append(d.scenario.Events, e)
 	}
 }
 
-// drawFault draws one of the faults that are possible at a time; faults that met fewer phases are more likely.
-func (d *soak) drawFault(at, long float64) Event {
+// drawFault draws one of the faults that are possible at a time. Faults that have coincided with fewer phases are more
+// likely.
+func (d *soak) drawFault(at, duration float64) Event {
 	weights := make([]float64, len(soakFaults))
 	for i := range soakFaults {
 		weights[i] = d.plan.weight(&soakFaults[i], at)
 	}
 	fault := &soakFaults[d.weighted(weights)]
 	e := Event{AtS: at, Do: string(fault.name)}
-	if fault.ofNode {
-		nodes := make([]float64, d.script.Fleet.Nodes)
+	if fault.singleNode {
+		nodes := make([]float64, d.scenario.Fleet.Nodes)
 		for n := range nodes {
 			nodes[n] = d.plan.nodeWeight(fault, n, at)
 		}
 		e.Nodes = []int{d.weighted(nodes) + 1}
 	}
 	if fault.draw != nil {
-		fault.draw(d, &e, long)
+		fault.draw(d, &e, duration)
 	}
 	return e
 }
 
-// weighted draws an index, each with a chance by its weight. Not all weights may be 0.
+// weighted draws an index with a probability proportional to its weight. At least one weight must not be 0.
 func (d *soak) weighted(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
-	left := d.chance.Float64() * sum
+	left := d.random.Float64() * sum
 	last := 0
 	for i, w := range weights {
 		if w == 0 {
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -9,27 +9,27 @@
 
 // Assumed durations of phases, in seconds. They only weight the choice of faults: actual coverage is counted in runs.
 const (
-	planMaxDrain  = 3.0 // of the longest deadline, as long as a node that was told to end may live
-	planDrainMore = 0.7 // over that
-	planDowntime  = 0.4 // until a killed process is started anew
-	planStart     = 0.3
-	planHandover  = 1.0
-	planRest      = 3.0 // after which a node's phase may be changed again
+	planMaxDrain    = 3.0 // upper bound of the longest deadline: a node that was told to terminate may not run longer
+	planDrainMargin = 0.7 // added to the longest deadline
+	planDowntime    = 0.4 // until a killed process is replaced
+	planStart       = 0.3
+	planHandover    = 1.0
+	planPhaseGap    = 3.0 // least time between two changes of a node's phase
 )
 
-// phaseSpan is a time that a node is expected to be in a phase other than serving.
+// phaseSpan is a time in which a node is expected to be in a phase other than serving.
 type phaseSpan struct {
 	phase    coverage.Phase
 	from, to float64
 }
 
-// soakPlan expects which phases nodes will be in, and counts what troubles will meet.
+// soakPlan predicts the phases of nodes, and counts the phases that faults will coincide with.
 type soakPlan struct {
-	script *Scenario
-	met    *coverage.Table
-	drain  float64       // how long a node drains
-	spans  [][]phaseSpan // by node, in order of time
-	events []Event
+	scenario *Scenario
+	met      *coverage.Table
+	drain    float64       // how long a node drains
+	spans    [][]phaseSpan // by node, in order of time
+	events   []Event
 }
 
 func newSoakPlan(s *Scenario, met *coverage.Table) *soakPlan {
@@ -38,10 +38,10 @@
 		longest = math.Max(longest, s.Classes[i].HardMs/1000)
 	}
 	return &soakPlan{
-		script: s,
-		met:    met,
-		drain:  math.Min(longest, planMaxDrain) + planDrainMore,
-		spans:  make([][]phaseSpan, s.Fleet.Nodes),
+		scenario: s,
+		met:      met,
+		drain:    math.Min(longest, planMaxDrain) + planDrainMargin,
+		spans:    make([][]phaseSpan, s.Fleet.Nodes),
 	}
 }
 
@@ -58,13 +58,13 @@
 // isFree reports whether a node's phase may be changed at a time.
 func (p *soakPlan) isFree(node int, at float64) bool {
 	spans := p.spans[node]
-	return len(spans) == 0 || at >= spans[len(spans)-1].to+planRest
+	return len(spans) == 0 || at >= spans[len(spans)-1].to+planPhaseGap
 }
 
-// weight is 0 for a fault that is not possible at a time, and the larger the less often it met the rarest of the phases
-// that it would meet.
+// weight returns the weight of a fault in the draw: 0 if it is not possible at a time, and otherwise the larger, the
+// less often it has coincided with the rarest of the current phases.
 func (p *soakPlan) weight(f *soakFault, at float64) float64 {
-	if f.possible != nil && !f.possible(p.script) {
+	if f.possible != nil && !f.possible(p.scenario) {
 		return 0
 	}
 	most := 0.0
@@ -74,23 +74,23 @@
 	return most
 }
 
-// nodeWeight is the weight of a fault at one node.
+// nodeWeight returns the weight of a fault at one node.
 func (p *soakPlan) nodeWeight(f *soakFault, node int, at float64) float64 {
 	phase := p.phaseAt(node, at)
-	if f.ofNode && phase == coverage.Down || f.moveNode && !p.isFree(node, at) {
+	if f.singleNode && phase == coverage.Down || f.changesPhase && !p.isFree(node, at) {
 		return 0
 	}
-	if phase == coverage.Down { // what concerns all nodes goes on, and meets this one later
+	if phase == coverage.Down { // a fault of all nodes lasts until this one serves again
 		phase = coverage.Serving
 	}
 	return 1 / (1 + float64(p.met.Met(f.name, phase)))
 }
 
-// add counts what an event will meet. Events are added in order of time.
+// add counts the phases that an event will coincide with. Events are added in order of time.
 func (p *soakPlan) add(e *Event) {
-	nodes := p.script.ConcernedNodes(e)
+	nodes := p.scenario.ConcernedNodes(e)
 	for node := range p.spans {
-		if !concerns(nodes, node) {
+		if !affects(nodes, node) {
 			continue
 		}
 		p.met.MeetPhase(e.FaultName(), p.phaseAt(node, e.AtS))
@@ -106,7 +106,7 @@
 	}
 }
 
-// changePhases expects the phases that an event brings about.
+// changePhases predicts the phases that an event causes.
 func (p *soakPlan) changePhases(e *Event, node int) {
 	at := e.AtS
 	switch e.Do {
@@ -128,20 +128,20 @@
 	}
 }
 
-// expect adds spans to come, and counts what events that last until then will meet.
+// expect adds predicted spans, and counts those that begin during earlier events.
 func (p *soakPlan) expect(node int, spans ...phaseSpan) {
 	for _, span := range spans {
 		p.spans[node] = append(p.spans[node], span)
 		for i := range p.events {
 			e := &p.events[i]
-			if e.AtS < span.from && span.from < e.AtS+e.ForS && concerns(p.script.ConcernedNodes(e), node) {
+			if e.AtS < span.from && span.from < e.AtS+e.ForS && affects(p.scenario.ConcernedNodes(e), node) {
 				p.met.MeetPhase(e.FaultName(), span.phase)
 			}
 		}
 	}
 }
 
-// concerns reports whether a list of nodes, nil for all, contains a node.
-func concerns(nodes []int, node int) bool {
+// affects reports whether a list of nodes, nil for all, contains a node.
+func affects(nodes []int, node int) bool {
 	return nodes == nil || slices.Contains(nodes, node)
 }
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -19,11 +19,11 @@
 	for i := range soakFaults {
 		f := &soakFaults[i]
 		for _, phase := range coverage.Phases {
-			if f.moveNode && phase != coverage.Serving {
-				continue // it needs a node that serves
+			if f.changesPhase && phase != coverage.Serving {
+				continue // such a fault begins only at a serving node
 			}
 			if met.Met(f.name, phase) == 0 {
-				t.Errorf("%s is never to meet a node that is %s", f.name, phase)
+				t.Errorf("%s never coincides with a node that is %s", f.name, phase)
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 				return &soakFaults[i]
 			}
 		}
-		t.Fatalf("there is no %s", name)
+		t.Fatalf("there is no fault %s", name)
 		return nil
 	}
 	restart, freezes, slowList := find("node_restart"), find(freeze), find("discovery_slow")
@@ -55,22 +55,22 @@
 			t.Errorf("%s: weight %v, want %v", what, got, want)
 		}
 	}
-	want("a freeze that met serving nodes nine times", plan.weight(freezes, 3), 0.1)
-	want("a restart that never came", plan.weight(restart, 3), 1)
-	want("what this deployment does not have", plan.weight(slowList, 3), 0)
+	want("a freeze, counted nine times at serving nodes", plan.weight(freezes, 3), 0.1)
+	want("a restart, never counted", plan.weight(restart, 3), 1)
+	want("a fault that is not possible in this deployment", plan.weight(slowList, 3), 0)
 	plan.add(&Event{AtS: 3, Do: "node_restart", Nodes: []int{2}})
-	want("a freeze of the node that drains", plan.nodeWeight(freezes, 1, 4), 1)
-	want("a freeze of the other", plan.nodeWeight(freezes, 0, 4), 0.1)
-	want("a freeze anywhere", plan.weight(freezes, 4), 1)
-	want("another restart of the node that drains", plan.nodeWeight(restart, 1, 4), 0)
-	want("a restart of the other", plan.nodeWeight(restart, 0, 4), 0.5)
+	want("a freeze of the draining node", plan.nodeWeight(freezes, 1, 4), 1)
+	want("a freeze of the serving node", plan.nodeWeight(freezes, 0, 4), 0.1)
+	want("a freeze of any node", plan.weight(freezes, 4), 1)
+	want("a restart of the draining node", plan.nodeWeight(restart, 1, 4), 0)
+	want("a restart of the serving node", plan.nodeWeight(restart, 0, 4), 0.5)
 }
 
 // A lasting fault meets the phases that nodes enter during it, whichever of the two was drawn first.
 func TestSoakPlanCountsPhasesThatBeginDuringAFault(t *testing.T) {
 	s := defaults()
 	s.Fleet.Nodes = 1
-	s.Classes = []Class{{Name: "read", HardMs: 1000}} // so that a node drains for 1.7 s
+	s.Classes = []Class{{Name: "read", HardMs: 1000}} // makes a node drain for 1.7 s
 	met := coverage.NewTable(nil)
 	plan := newSoakPlan(&s, met)
 	plan.add(&Event{AtS: 2, Do: "silent", Part: 0.1, ForS: 2})
@@ -86,7 +86,7 @@
 		{"pause", coverage.Serving, 0}, {"pause", coverage.Draining, 1}, {"pause", coverage.Starting, 1},
 	} {
 		if got := met.Met(want.fault, want.phase); got != want.times {
-			t.Errorf("%s met %s %d times, want %d", want.fault, want.phase, got, want.times)
+			t.Errorf("%s coincided with %s %d times, want %d", want.fault, want.phase, got, want.times)
 		}
 	}
 }
