--- a/internal/emulator/scenario/choose.go
+++ b/internal/emulator/scenario/choose.go
@@ -10,8 +10,8 @@
 	"dahliapin/policy"
 )
 
-// SelectedCaches returns the caches that an event concerns, in the order of their names' hashes where it chooses by
-// a part.
+// SelectedCaches returns the caches that an event affects. Those selected by a part are in the order of the hashes of
+// their names.
 func (s *Scenario) SelectedCaches(e *Event) (ids []policy.EndpointID) {
 	for _, name := range e.Caches {
 		ids = append(ids, policy.EndpointID(name))
@@ -30,7 +30,7 @@
 	return ids
 }
 
-// SelectedNodes returns the numbers of the nodes that an event concerns, from 1.
+// SelectedNodes returns the numbers, from 1, of the nodes that an event affects.
 func (s *Scenario) SelectedNodes(e *Event) []int {
 	if !kinds[e.Do].nodes || e.Part == 0 {
 		return e.Nodes
@@ -42,7 +42,7 @@
 	return part(numbers, e.Part, int(s.Seed), func(n int) string { return "n" + strconv.Itoa(n) })
 }
 
-// part takes a share of some, by the hash of their names.
+// part selects a share of the items, at least one, by the hashes of their names. It sorts the items.
 func part[T any](all []T, share float64, seed int, name func(T) string) []T {
 	score := func(one T) uint64 { return keyhash.Salted(keyhash.String(name(one)), seed) }
 	slices.SortFunc(all, func(a, b T) int { return cmp.Compare(score(a), score(b)) })
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -59,8 +59,8 @@
 func (s *Scenario) Cache(n int) world.CacheTraits {
 	const oddMultiplier = 2654435761 // spreads neighbouring numbers over all seeds
 	f := &s.Fleet
-	chance := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*oddMultiplier}
-	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
+	random := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*oddMultiplier}
+	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*random.Float64()
 	return world.CacheTraits{
 		ID:           policy.EndpointID(fmt.Sprintf("c%d", n)),
 		Zone:         policy.ZoneID(f.Zones[(n-1)%len(f.Zones)]),
@@ -135,7 +135,9 @@
 // Registry returns the capacity model of discovery.
 func (s *Scenario) Registry() *world.Registry {
 	d := &s.Discovery
-	return &world.Registry{CompleteWork: max(ms(d.WholeMs), ms(d.WatchMs)), UpdateWork: ms(d.WatchMs), Backlog: ms(d.BacklogMs)}
+	return &world.Registry{
+		CompleteWork: max(ms(d.WholeMs), ms(d.WatchMs)), UpdateWork: ms(d.WatchMs), Backlog: ms(d.BacklogMs),
+	}
 }
 
 // Value returns the value of a key, given its usual short value. A fixed share of the keys has long values, which
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -14,12 +14,12 @@
 	pause   = "node_pause"
 	hang    = "node_hang"
 	twin    = "node_twin"
-	crowd   = "node_crowd"  // idle clients fill its descriptors
-	stall   = "node_stall"  // clients stop in the middle of a request, and stay
-	reload  = "node_reload" // it is told to read its configuration again, several times in a row
+	crowd   = "node_crowd"  // idle clients use up its file descriptors
+	stall   = "node_stall"  // clients stop in the middle of a request and keep the connection open
+	reload  = "node_reload" // it reloads its configuration several times in a row
 	freeze  = "node_freeze" // its process is paused for a time within which all rules must still hold
 
-	termStart = "node_term_start" // it is restarted, and its next process is told to end while it starts
+	termStart = "node_term_start" // it is restarted, and its new process is told to terminate during the start
 )
 
 // The faults between nodes.
@@ -93,7 +93,9 @@
 
 // HasOperatorCalls reports whether the scenario has operator calls to nodes.
 func (s *Scenario) HasOperatorCalls() bool {
-	return slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == upgrade || e.Do == standby || e.Do == scrape })
+	return slices.ContainsFunc(s.Events, func(e Event) bool {
+		return e.Do == upgrade || e.Do == standby || e.Do == scrape
+	})
 }
 
 // NeedsVirtualTime reports whether the scenario uses features that exist only in virtual time.
@@ -104,9 +106,11 @@
 // NeedsSockets reports whether the scenario has faults of processes or links, which do not exist in virtual time: it
 // would pass there whatever nodes do.
 func (s *Scenario) NeedsSockets() bool {
-	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill || slices.ContainsFunc(s.Events, func(e Event) bool {
-		return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd || e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
-	})
+	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill ||
+		slices.ContainsFunc(s.Events, func(e Event) bool {
+			return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd ||
+				e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
+		})
 }
 
 // FaultName returns the name under which coverage counts an event.
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -25,8 +25,9 @@
 
 // Fleet describes the caches and nodes.
 type Fleet struct {
-	Nodes        int        `toml:"nodes"`
-	Stated       int        `toml:"stated"` // number of nodes in the settings, if it differs from those running; 0 for Nodes
+	Nodes int `toml:"nodes"`
+	// Stated is the number of nodes in the settings, if it differs from the number running; 0 for Nodes.
+	Stated       int        `toml:"stated"`
 	Caches       int        `toml:"caches"`
 	Zones        []string   `toml:"zones"`
 	Spread       bool       `toml:"spread"` // nodes are distributed over all zones, not all in the first
@@ -64,9 +65,10 @@
 	CrossZoneMs float64 `toml:"cross_zone_ms"`
 	ClientMs    float64 `toml:"client_ms"`
 	Jitter      float64 `toml:"jitter"`
-	LateShare   float64 `toml:"late_share"` // of new connections to caches, which come up late; this and the next two in virtual time only
-	LateMs      float64 `toml:"late_ms"`    // by so much at the most
-	LostShare   float64 `toml:"lost_share"` // of the answers of caches, which never come
+	// The following fields exist in virtual time only.
+	LateShare float64 `toml:"late_share"` // share of new connections to caches that are established late
+	LateMs    float64 `toml:"late_ms"`    // largest delay of these
+	LostShare float64 `toml:"lost_share"` // share of the answers of caches that are lost
 }
 
 // Discovery describes how late changes of the endpoint list reach nodes. If WatchMs is set, nodes poll it as in
@@ -89,8 +91,8 @@
 	GraceMs      float64 `toml:"grace_ms"`
 	ConnectMs    float64 `toml:"connect_ms"`
 	WastePrice   float64 `toml:"waste_price"`
-	SlackMs      float64 `toml:"slack_ms"`       // that what crosses may take, on sockets; 0 for a usual time
-	LateAnswerMs float64 `toml:"late_answer_ms"` // after its deadline that a final answer may come; 0 for slack_ms
+	SlackMs      float64 `toml:"slack_ms"`       // allowance for messages in transit, on sockets; 0 for the default
+	LateAnswerMs float64 `toml:"late_answer_ms"` // time after the deadline for a final answer; 0 for slack_ms
 }
 
 // Traffic describes the requests of clients.
@@ -101,15 +103,20 @@
 	Keys      int     `toml:"keys"`
 	Zipf      float64 `toml:"zipf"`
 	Jitter    float64 `toml:"jitter"`
-	Skew      float64 `toml:"skew"`       // exponent of how uneven nodes' traffic is, by their numbers; in virtual time only, 0 for even
-	Leaves    float64 `toml:"leaves"`     // share of tries whose clients go early
-	LeaveMs   float64 `toml:"leave_ms"`   // and after how long at the latest
-	Short     float64 `toml:"short"`      // share of tries whose clients wait less than the deadline
-	ShortMs   float64 `toml:"short_ms"`   // and how long at the most; half of that at the least
-	Protocol  string  `toml:"protocol"`   // of clients
-	LongShare float64 `toml:"long_share"` // of the keys, which have a long value; on sockets only, as virtual time has no bytes
+	// Skew is the exponent by which the traffic of nodes decreases with their numbers, 0 for even traffic. It exists in
+	// virtual time only.
+	Skew     float64 `toml:"skew"`
+	Leaves   float64 `toml:"leaves"`   // share of tries whose clients leave early
+	LeaveMs  float64 `toml:"leave_ms"` // latest time at which they leave
+	Short    float64 `toml:"short"`    // share of tries whose clients wait less than the deadline
+	ShortMs  float64 `toml:"short_ms"` // longest time that they wait; the shortest is half of it
+	Protocol string  `toml:"protocol"` // of clients
+	// LongShare is the share of keys that have a long value. It exists on sockets only, as virtual time has no bytes.
+	LongShare float64 `toml:"long_share"`
 	LongKB    int     `toml:"long_kb"`
-	UntilKill bool    `toml:"until_kill"` // clients use open connections until a node that was told to end is killed, at the earliest time; on sockets only
+	// UntilKill makes clients use open connections until a node that was told to terminate is killed, which happens at
+	// the earliest time. It exists on sockets only.
+	UntilKill bool `toml:"until_kill"`
 }
 
 // Class is one service class.
@@ -142,24 +149,27 @@
 	Count  int      `toml:"count,omitempty"`
 	ForS   float64  `toml:"for_s,omitempty"`
 	Fault  string   `toml:"fault,omitempty"`
-	From   []int    `toml:"from,omitempty"`    // nodes whose messages to others it concerns; none for all
-	To     []int    `toml:"to,omitempty"`      // nodes to which
-	Both   bool     `toml:"both,omitempty"`    // and the other way
+	From   []int    `toml:"from,omitempty"`    // senders of the affected messages; empty for all nodes
+	To     []int    `toml:"to,omitempty"`      // their receivers; empty for all nodes
+	Both   bool     `toml:"both,omitempty"`    // the other direction is affected too
 	TurnS  float64  `toml:"turn_s,omitempty"`  // interval at which the fault switches on and off
 	LateMs float64  `toml:"late_ms,omitempty"` // largest delay of messages
 }
 
 // Expect lists the expectations of a run besides the four rules, which must always hold.
 type Expect struct {
-	Satisfied             map[string]float64 `toml:"satisfied"` // share of first tries of a grade that were satisfied within the soft limit
-	P99Ms                 map[string]float64 `toml:"p99_ms"`
-	Avoided               []Avoidance        `toml:"avoided"`
-	Drained               []string           `toml:"drained"`
-	MaxOriginPerS         float64            `toml:"origin_most_per_s"` // attempts at the origin in any second
-	RecoveredBy           float64            `toml:"recovered_by_s"`    // from then on, no worse than before the first event
-	MaxPerS               map[string]float64 `toml:"most_per_s"`        // over the whole fleet, of what Counted names
+	// Satisfied is the least share of first tries that are satisfied within the soft limit, by grade.
+	Satisfied     map[string]float64 `toml:"satisfied"`
+	P99Ms         map[string]float64 `toml:"p99_ms"`
+	Avoided       []Avoidance        `toml:"avoided"`
+	Drained       []string           `toml:"drained"`
+	MaxOriginPerS float64            `toml:"origin_most_per_s"` // attempts at the origin in any second
+	// RecoveredBy is the time from which results are no worse than before the first event.
+	RecoveredBy           float64            `toml:"recovered_by_s"`
+	MaxPerS               map[string]float64 `toml:"most_per_s"` // largest counts over the whole fleet, by CountNames
 	MaxAttemptsPerRequest float64            `toml:"most_legs_per_request"`
-	Views                 *int               `toml:"most_view_changes"` // at any node without a fault, after all views had formed
+	// Views is the largest number of view changes at a node without a fault, after all views have formed.
+	Views *int `toml:"most_view_changes"`
 }
 
 // CountNames are the names of the counts over all nodes that a scenario may bound for any second.
