--- a/internal/emulator/checker/checker.go
+++ b/internal/emulator/checker/checker.go
@@ -12,7 +12,7 @@
 const (
 	maxBreaches     = 200                    // breaches whose details are kept; all are counted
 	clientGoneSlack = 100 * time.Millisecond // in which attempts may still begin after a client has gone
-	maxLateAttempts = 2                      // tolerated attempts that began later: they may cross the departure
+	maxLateAttempts = 2                      // tolerated later attempts: they may cross the departure in transit
 	watchTime       = 5 * time.Second        // time after its deadline for which a request is kept
 )
 
--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -11,11 +11,12 @@
 
 func testClasses() []policy.ServiceClass {
 	return []policy.ServiceClass{{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.Idempotent},
-		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.IdempotentByKey, DedupScope: policy.SameGroup, DedupWindow: time.Second},
+		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.IdempotentByKey, DedupScope: policy.SameGroup,
+			DedupWindow: time.Second},
 		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.NotIdempotent}}
 }
 
-// leaveThenAttempt lets clients leave, and one attempt for each begin at the given time after that.
+// leaveThenAttempt lets clients leave, and begins one attempt for each of them at the given time after that.
 func leaveThenAttempt(j *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
 	for range clients {
 		sent(j, 0)
@@ -24,42 +25,53 @@
 	}
 }
 
-// A checker that misses a breach passes a faulty node. Each row is one way to break a rule, or one that looks like
-// it.
+// A checker that misses a breach passes a faulty node. Each row breaks a rule in one way, or nearly breaks it.
 func TestCheckerCountsEachBreachOnceAndNoNearMiss(t *testing.T) {
-	sent := func(j *Checker, grade int) { j.RequestSent(0, "r", 0, grade, "l", 100*ms, true) }
+	sent := func(j *Checker, class int) { j.RequestSent(0, "r", 0, class, "l", 100*ms, true) }
 	for _, c := range []struct {
 		name string
-		rule int // 0: none is broken
+		rule int // 0 for none
 		do   func(j *Checker)
 	}{
 		{"answered", 0, func(j *Checker) { sent(j, 0); j.Answered(20*ms, "r", Satisfied); j.Advance(9999 * ms) }},
-		{"answered twice", 1, func(j *Checker) { sent(j, 0); j.Answered(20*ms, "r", Satisfied); j.Answered(21*ms, "r", Rejected) }},
-		{"late", 1, func(j *Checker) { sent(j, 0); j.Answered(111*ms, "r", Satisfied) }},
-		{"within the slack", 0, func(j *Checker) { sent(j, 0); j.Answered(109*ms, "r", Satisfied) }},
-		{"never", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms) }},
-		{"late by far, which is one breach", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms); j.Answered(300*ms, "r", Satisfied) }},
-		{"never, its node killed", 0, func(j *Checker) { sent(j, 0); j.Forget("r"); j.Advance(200 * ms) }},
-		{"cut", 1, func(j *Checker) { sent(j, 0); j.Answered(10*ms, "r", Cut) }},
-		{"nobody asked", 1, func(j *Checker) { j.Answered(10*ms, "q", Satisfied) }},
-		{"an attempt after the answer", 1, func(j *Checker) {
+		{"answered twice", 1, func(j *Checker) {
+			sent(j, 0)
+			j.Answered(20*ms, "r", Satisfied)
+			j.Answered(21*ms, "r", Rejected)
+		}},
+		{"answered after the deadline and the slack", 1, func(j *Checker) { sent(j, 0); j.Answered(111*ms, "r", Satisfied) }},
+		{"answered within the slack", 0, func(j *Checker) { sent(j, 0); j.Answered(109*ms, "r", Satisfied) }},
+		{"never answered", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms) }},
+		{"answered after it was counted as unanswered: one breach", 1, func(j *Checker) {
+			sent(j, 0)
+			j.Advance(200 * ms)
+			j.Answered(300*ms, "r", Satisfied)
+		}},
+		{"never answered, as its node was killed", 0, func(j *Checker) { sent(j, 0); j.Forget("r"); j.Advance(200 * ms) }},
+		{"connection ended without an answer", 1, func(j *Checker) { sent(j, 0); j.Answered(10*ms, "r", Cut) }},
+		{"answer to an unknown request", 1, func(j *Checker) { j.Answered(10*ms, "q", Satisfied) }},
+		{"attempt sent after the answer", 1, func(j *Checker) {
 			sent(j, 0)
 			j.Answered(20*ms, "r", Failed)
 			j.AttemptArrived(40*ms, 35*ms, "r", "c1")
 		}},
-		{"an attempt that crossed the answer", 0, func(j *Checker) {
+		{"attempt that crossed the answer", 0, func(j *Checker) {
 			sent(j, 0)
 			j.Answered(20*ms, "r", Failed)
 			j.AttemptArrived(40*ms, 20*ms, "r", "c1")
 		}},
-		{"a third attempt that began over 0.1 s after its client had gone", 1, func(j *Checker) { leaveThenAttempt(j, sent, 3, 101*ms) }},
-		{"two of them", 0, func(j *Checker) { leaveThenAttempt(j, sent, 2, 101*ms) }},
-		{"attempts that crossed their clients' leaving, and an answer", 0, func(j *Checker) {
+		{"three attempts over 0.1 s after their clients had left", 1, func(j *Checker) {
+			leaveThenAttempt(j, sent, 3, 101*ms)
+		}},
+		{"two attempts over 0.1 s after their clients had left", 0, func(j *Checker) {
+			leaveThenAttempt(j, sent, 2, 101*ms)
+		}},
+		{"attempts and an answer that crossed the departure of their clients", 0, func(j *Checker) {
 			leaveThenAttempt(j, sent, 9, 100*ms)
 			j.Answered(140*ms, "r", Satisfied)
 			j.Advance(999 * ms)
 		}},
-		{"a further attempt after its client had gone counts like a first", 1, func(j *Checker) {
+		{"second attempt of a request after its client had left", 1, func(j *Checker) {
 			leaveThenAttempt(j, sent, 2, 101*ms)
 			sent(j, 0)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
@@ -67,62 +79,77 @@
 			j.ClientGone(20*ms, "r")
 			j.AttemptArrived(122*ms, 122*ms, "r", "c2")
 		}},
-		{"a made-up value", 1, func(j *Checker) { sent(j, 0); j.WrongAnswer(10*ms, "r", "made up") }},
-		{"effect twice", 2, func(j *Checker) { sent(j, 1); j.Effect(10*ms, "r", "l", 1, "c1"); j.Effect(20*ms, "r2", "l", 1, "c2") }},
-		{"two effects of two labels", 0, func(j *Checker) { j.Effect(10*ms, "r", "l", 1, "c1"); j.Effect(20*ms, "r", "m", 1, "c1") }},
+		{"wrong value", 1, func(j *Checker) { sent(j, 0); j.WrongAnswer(10*ms, "r", "made up") }},
+		{"two effects with one idempotency key", 2, func(j *Checker) {
+			sent(j, 1)
+			j.Effect(10*ms, "r", "l", 1, "c1")
+			j.Effect(20*ms, "r2", "l", 1, "c2")
+		}},
+		{"two effects with two idempotency keys", 0, func(j *Checker) {
+			j.Effect(10*ms, "r", "l", 1, "c1")
+			j.Effect(20*ms, "r", "m", 1, "c1")
+		}},
 		{"rejected after an attempt that may have run", 2, func(j *Checker) {
 			sent(j, 2)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
 			j.Answered(10*ms, "r", Rejected)
 		}},
-		{"rejected after one that was turned away", 0, func(j *Checker) {
+		{"rejected after an attempt that was not executed", 0, func(j *Checker) {
 			sent(j, 2)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
 			j.AttemptEnded(6*ms, "r", "c1", true)
 			j.Answered(10*ms, "r", Rejected)
 		}},
-		{"failed after an attempt", 0, func(j *Checker) { sent(j, 2); j.AttemptArrived(5*ms, 5*ms, "r", "c1"); j.Answered(10*ms, "r", Failed) }},
-		{"ran after its rejection", 2, func(j *Checker) { sent(j, 2); j.Answered(10*ms, "r", Rejected); j.Effect(12*ms, "r", "", 2, "c1") }},
-		{"irreversible sent again", 2, func(j *Checker) {
+		{"failed after an attempt", 0, func(j *Checker) {
+			sent(j, 2)
+			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			j.Answered(10*ms, "r", Failed)
+		}},
+		{"executed after its rejection", 2, func(j *Checker) {
+			sent(j, 2)
+			j.Answered(10*ms, "r", Rejected)
+			j.Effect(12*ms, "r", "", 2, "c1")
+		}},
+		{"irreversible request sent again", 2, func(j *Checker) {
 			sent(j, 2)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
 			j.AttemptEnded(6*ms, "r", "c1", false)
 			j.AttemptArrived(8*ms, 8*ms, "r", "c2")
 		}},
-		{"a second beside a first", 2, func(j *Checker) {
+		{"two overlapping attempts without hedging", 2, func(j *Checker) {
 			sent(j, 0)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
 			j.AttemptArrived(6*ms, 6*ms, "r", "c2")
 			j.AttemptEnded(30*ms, "r", "c1", false)
 		}},
-		{"a second after a first was called off", 0, func(j *Checker) {
+		{"second attempt that crossed the end of the first", 0, func(j *Checker) {
 			sent(j, 0)
 			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
 			j.AttemptArrived(6*ms, 6*ms, "r", "c2")
 			j.AttemptEnded(9*ms, "r", "c1", false)
 		}},
-		{"to one that drains", 3, func(j *Checker) {
+		{"attempt to a draining server", 3, func(j *Checker) {
 			j.Notified(0, 0, "c1", policy.Draining)
 			sent(j, 0)
 			j.AttemptArrived(60*ms, 51*ms, "r", "c1")
 		}},
-		{"to one that drains, within the grace", 0, func(j *Checker) {
+		{"attempt to a draining server within the grace time", 0, func(j *Checker) {
 			j.Notified(0, 0, "c1", policy.Draining)
 			sent(j, 0)
 			j.AttemptArrived(60*ms, 49*ms, "r", "c1")
 		}},
-		{"to one that is back", 0, func(j *Checker) {
+		{"attempt to a server that is ready again", 0, func(j *Checker) {
 			j.Notified(0, 0, "c1", policy.Removed)
 			j.Notified(1, 0, "c1", policy.Ready)
 			sent(j, 0)
 			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
 		}},
-		{"told another node", 0, func(j *Checker) {
+		{"another node was notified", 0, func(j *Checker) {
 			j.Notified(0, 1, "c1", policy.Removed)
 			sent(j, 0)
 			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
 		}},
-		{"pushed over", 4, func(j *Checker) { j.Fell(0, "c1", "cold") }},
+		{"server overloaded", 4, func(j *Checker) { j.Fell(0, "c1", "cold") }},
 	} {
 		j := New(Rules{Classes: testClasses(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
 		c.do(j)
--- a/internal/emulator/checker/episodes.go
+++ b/internal/emulator/checker/episodes.go
@@ -12,7 +12,7 @@
 const (
 	// settleTime is the time after a node's fault before its view, and others' views of it, are judged again.
 	settleTime = 3 * time.Second
-	// minGap is the least time between two separate faults of a node: no heartbeat gets through in a shorter gap.
+	// minGap is the least time between two separate faults of a node: in a shorter gap, no heartbeat arrives.
 	minGap = 600 * time.Millisecond
 )
 
@@ -148,7 +148,7 @@
 }
 
 // mergeEpisodes merges episodes that other nodes see as one fault: a fault of a new process before it can replace
-// the old one as a member, or a fault that begins before a heartbeat got through.
+// the old one as a member, or a fault that begins before a heartbeat has arrived.
 func mergeEpisodes(all []episode) {
 	for i := range all {
 		for j := range all {
--- a/internal/emulator/checker/requests.go
+++ b/internal/emulator/checker/requests.go
@@ -46,7 +46,9 @@
 }
 
 // RequestSent reports that a client has sent a request to a node. Each retry by the client is a request of its own.
-func (c *Checker) RequestSent(now policy.Instant, id string, node, class int, label string, deadline policy.Instant, first bool) {
+func (c *Checker) RequestSent(
+	now policy.Instant, id string, node, class int, label string, deadline policy.Instant, first bool,
+) {
 	c.requests[id] = &request{node: node, class: class, label: label, sentAt: now, deadline: deadline}
 	c.deadlines.Push(deadline.Add(c.answerSlack()), id)
 	c.Classes[class].Asked++
--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -34,7 +34,7 @@
 	end           policy.Instant
 	nodes         []observer
 	removals      map[removal]int
-	next          policy.Instant // comparison
+	next          policy.Instant // time of the next comparison
 	lastDiverged  policy.Instant // when views last differed from the actual state; -1 for never
 }
 
@@ -92,7 +92,7 @@
 	return last
 }
 
-// addLine processes the next addLine of a node's view.
+// addLine processes the next line of a node's view.
 func (c *viewCheck) addLine(l *trace.Line) {
 	if l.At >= 0 {
 		c.compareUntil(l.At)
@@ -167,13 +167,13 @@
 
 // majorityHealthy reports whether more than half of the nodes are healthy.
 func (c *viewCheck) majorityHealthy(at policy.Instant) bool {
-	sound := 0
+	healthy := 0
 	for n := range c.Nodes {
 		if c.isHealthy(n, at) {
-			sound++
+			healthy++
 		}
 	}
-	return 2*sound > c.Nodes
+	return 2*healthy > c.Nodes
 }
 
 // checkRemoval judges the removal of one node by another.
@@ -216,7 +216,8 @@
 	if !hadFault {
 		return true
 	}
-	if own.stopped || cause != nil && cause.stopped { // removing a process that does not run is right, whichever node does it
+	// Removing a process that does not run is right, whichever node does it.
+	if own.stopped || cause != nil && cause.stopped {
 		return false
 	}
 	evidenceFrom := at.Add(-c.pause - evidenceSlack)
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -57,31 +57,41 @@
 		says  map[float64]string
 		want  Verdict
 	}{
-		{"one is killed, out and in again", killed(10, 20), map[float64]string{12.8: out, 22.5: in}, Verdict{Changes: 2, Detect: []float64{2.8, 2.8, 2.8, 2.8}}},
-		{"a pause that is borne", func(v *Views) {
+		{"killed node is removed and added again", killed(10, 20), map[float64]string{12.8: out, 22.5: in},
+			Verdict{Changes: 2, Detect: []float64{2.8, 2.8, 2.8, 2.8}}},
+		{"short pause is tolerated", func(v *Views) {
 			v.RecordProcess(at(10), "n2", false, false)
 			v.RecordProcess(at(11.9), "n2", true, false)
 		}, nil, Verdict{}},
-		{"a pause that is borne, and one who does not", func(v *Views) {
+		{"one observer removes a node after a short pause", func(v *Views) {
 			v.RecordProcess(at(10), "n2", false, false)
 			v.RecordProcess(at(11.9), "n2", true, false)
 		},
 			map[float64]string{12.4: "n3-n2", 14.8: "n3+n2"}, Verdict{FalseRemovals: 1}},
-		{"taken out for nothing", func(*Views) {}, map[float64]string{10: "n1-n4", 10.9: "n1+n4"}, Verdict{FalseRemovals: 1}},
-		{"not taken out, by one", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"}, Verdict{Missed: 1, DivergedSeconds: 1}},
-		{"out, in, out", killed(10, 39), map[float64]string{12.8: out, 14: "n1+n2", 16: "n1-n2"}, Verdict{Flaps: 1}},
-		{"not taken in again", killed(10, 20), map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{DivergedSeconds: 1}},
-		{"one that hears nobody takes others out", receiveCut, map[float64]string{13: "n2-n1 n3-n1 n4-n1 n5-n1", 14: "n1-n2", 32.5: "n2+n1 n3+n1 n4+n1 n5+n1", 32.6: "n1+n2"},
+		{"removed without a fault", func(*Views) {}, map[float64]string{10: "n1-n4", 10.9: "n1+n4"},
+			Verdict{FalseRemovals: 1}},
+		{"one observer does not remove a killed node", killed(10, 39), map[float64]string{12.8: "n3-n2 n4-n2 n5-n2"},
+			Verdict{Missed: 1, DivergedSeconds: 1}},
+		{"removed, added and removed again", killed(10, 39), map[float64]string{12.8: out, 14: "n1+n2", 16: "n1-n2"},
+			Verdict{Flaps: 1}},
+		{"one observer does not add a restarted node", killed(10, 20),
+			map[float64]string{12.8: out, 22.5: "n3+n2 n4+n2 n5+n2"}, Verdict{DivergedSeconds: 1}},
+		{"node that receives no messages removes others", receiveCut, map[float64]string{
+			13: "n2-n1 n3-n1 n4-n1 n5-n1", 14: "n1-n2", 32.5: "n2+n1 n3+n1 n4+n1 n5+n1", 32.6: "n1+n2"},
 			Verdict{UnjustifiedRemovals: 1}},
 	} {
 		v := NewViews(5)
 		c.truth(v)
 		addViews(v, c.says)
 		d := v.From(0).Judge(trace.View, 2*time.Second, at(40))
-		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) || c.want.Changes > 0 && d.Changes != c.want.Changes {
+		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) ||
+			c.want.Changes > 0 && d.Changes != c.want.Changes {
 			t.Errorf("%s: %+v", c.name, d)
 		}
-		for _, n := range [][2]int{{d.FalseRemovals, c.want.FalseRemovals}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals}, {d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.DivergedSeconds, c.want.DivergedSeconds}} {
+		for _, n := range [][2]int{
+			{d.FalseRemovals, c.want.FalseRemovals}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals},
+			{d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.DivergedSeconds, c.want.DivergedSeconds},
+		} {
 			if (n[0] > 0) != (n[1] > 0) {
 				t.Errorf("%s: %+v", c.name, d)
 			}
