--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -9,7 +9,7 @@
 	"dahliapin/policy"
 )
 
-// expect adds an expectation: whether it is met, what was measured, and what was expected.
+// expect adds an expectation: whether it is met, the measured value, and a description.
 func (r *Report) expect(met bool, got, what string, args ...any) {
 	r.Expected = append(r.Expected, Expected{What: fmt.Sprintf(what, args...), Got: got, Met: met})
 }
@@ -72,8 +72,8 @@
 	}
 }
 
-// checkViews expects the nodes' views of one another to follow what happened to nodes. A run without views, or
-// whose trace has gaps, shows nothing and fails.
+// checkViews expects the nodes' views to match the actual state of nodes. A run without views, or whose trace has gaps,
+// proves nothing and fails.
 func (r *Report) checkViews(s *scenario.Scenario) {
 	f := r.Membership
 	if f == nil || s.Membership.Engine == fleetconfig.EnginePlain {
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -15,14 +15,14 @@
 	"dahliapin/policy"
 )
 
-// Fleet is the nodes' views of one another over a run, and the verdicts on them.
+// Fleet holds the nodes' membership views during a run, and the verdicts on them.
 type Fleet struct {
 	Views   *checker.Views   `json:"views"`
-	Library *checker.Verdict `json:"library"` // on the members that the gossip library has
-	View    *checker.Verdict `json:"view"`    // on the views; nil where there were none
+	Library *checker.Verdict `json:"library"` // verdict on the member lists of the gossip library
+	View    *checker.Verdict `json:"view"`    // verdict on the views; nil if there were none
 }
 
-// newFleet judges the views of a run that ended at an instant; pause is the longest pause of a process that must not
+// newFleet judges the views of a run that ended at an instant. A pause of a process no longer than pause must not
 // change a view.
 func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Fleet {
 	f := &Fleet{Views: v, Library: v.Judge(trace.Library, pause, end)}
@@ -149,12 +149,12 @@
 }
 
 // lineAt returns the last line of a kind that a node had written by an instant.
-func lineAt(v *checker.Views, at policy.Instant, node, what string) (last trace.Line) {
+func lineAt(v *checker.Views, at policy.Instant, node, kind string) (last trace.Line) {
 	for _, l := range v.Lines {
 		if l.At > at {
 			break
 		}
-		if l.Node == node && l.Kind == what {
+		if l.Node == node && l.Kind == kind {
 			last = l
 		}
 	}
--- a/internal/emulator/report/log.go
+++ b/internal/emulator/report/log.go
@@ -10,10 +10,10 @@
 	"dahliapin/policy"
 )
 
-// maxRecords bounds the records of a run, which hold memory until it ends.
+// maxRecords bounds the records of a run, which are kept in memory until it ends.
 const maxRecords = 100_000
 
-// LateArrival is the delay beyond which the arrival of a client's try counts as played late.
+// LateArrival is the delay beyond which a client's try counts as sent late.
 const LateArrival = 25 * time.Millisecond
 
 // Second counts what happened in one second of a run.
@@ -27,7 +27,7 @@
 	// The following fields are summed over all nodes; no single node knows them.
 	Polls     int `json:"list_calls"` // of the endpoint list
 	Dials     int `json:"dials"`      // connections begun
-	FullDials int `json:"full_dials"` // connections refused for want of capacity
+	FullDials int `json:"full_dials"` // connections refused by a full server
 	Probes    int `json:"probes"`     // health checks
 	Misses    int `json:"misses"`     // attempts that missed the cache
 	Wasted    int `json:"vain_legs"`  // attempts rejected, failed, broken, timed out or not connected
@@ -62,9 +62,9 @@
 	Records   []eventlog.Event
 	Dropped   int // records beyond maxRecords
 	Events    []EventLine
-	Late      int            // arrivals of clients that a shell in real time played over LateArrival late
+	Late      int            // tries that a shell in real time sent more than LateArrival late
 	Played    int            // tries of clients
-	Views     *checker.Views // the nodes' views of one another; nil where nodes have none
+	Views     *checker.Views // the nodes' membership views; nil if nodes have none
 }
 
 // EventLine describes an event of the scenario, with its time since the scenario's start.
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -14,8 +14,7 @@
 	"dahliapin/policy"
 )
 
-// maxLateShare is the largest share of arrivals played late with which a run is judged; beyond it the machine was too
-// busy.
+// maxLateShare is the largest share of tries sent late with which a run is judged. With more, the machine was too busy.
 const maxLateShare = 0.02
 
 // Class is the result of one service class.
@@ -50,7 +49,7 @@
 type Report struct {
 	Script             string           `json:"script"`
 	Seed               int64            `json:"seed"`
-	Shell              string           `json:"shell"` // "virtual", or that of real time
+	Shell              string           `json:"shell"` // "virtual", or the name of a shell in real time
 	Decider            string           `json:"decider"`
 	Nodes              int              `json:"nodes"`
 	Caches             int              `json:"caches"`
@@ -58,7 +57,7 @@
 	BenefitInTime      float64          `json:"benefit_in_time"` // share of the benefit of all first tries
 	AttemptsPerRequest float64          `json:"legs_per_request"`
 	MaxOriginAttempts  int              `json:"most_origin_legs_per_s"`
-	RecoveredAt        float64          `json:"recovered_at_s"` // second, as Log.recovered
+	RecoveredAt        float64          `json:"recovered_at_s"` // in seconds, as returned by Log.recovered
 	Rules              [4]uint64        `json:"breaches_by_rule"`
 	Breaches           []checker.Breach `json:"breaches"`
 	Classes            []Class          `json:"grades"`
@@ -73,8 +72,8 @@
 	Coverage           *coverage.Table  `json:"coverage,omitempty"` // counts for each fault; nil in virtual time
 }
 
-// New returns the report of a completed run. first is when the first event began and last when the last one ended, both
-// 0 in a run without events. New sorts the checker's latencies and breaches in place.
+// New returns the report of a completed run. first is when the first event began and last is when the last one ended;
+// both are 0 in a run without events. New sorts the checker's latencies and breaches in place.
 func New(
 	s *scenario.Scenario, shell, decider string, w *world.World, c *checker.Checker, l *Log, first, last policy.Instant,
 ) *Report {
@@ -168,7 +167,7 @@
 	return float64(latencies[i].Microseconds()) / 1000
 }
 
-// MaxPerSecond is the largest count in any second, over the whole fleet, by its name in scenarios.
+// MaxPerSecond returns the largest count in any second over the whole fleet. name is one of scenario.CountNames.
 func (r *Report) MaxPerSecond(name string) int {
 	most := 0
 	for i := range r.Course {
@@ -177,7 +176,8 @@
 	return most
 }
 
-// FirstRecordAt is the second of the first record of a kind that the whole fleet has of a server; -1 for never.
+// FirstRecordAt returns the time in seconds of the first record of a kind that the fleet as a whole has of a server, or
+// -1 if there is none.
 func (r *Report) FirstRecordAt(id policy.EndpointID, kind string) float64 {
 	for _, e := range r.Records {
 		if e.Server == id && e.Kind == kind && e.Node == FleetName {
@@ -190,8 +190,7 @@
 // FleetName replaces a node's name in records of the fleet as a whole.
 const FleetName = "fleet"
 
-// Passed tells whether all expectations are met. It is false for a run on a machine that was too busy to keep its
-// times.
+// Passed reports whether all expectations are met. It is false if the machine was too busy to send tries in time.
 func (r *Report) Passed() bool {
 	return r.MachineTooBusy == "" && !slices.ContainsFunc(r.Expected, func(e Expected) bool { return !e.Met })
 }
