--- a/internal/emulator/world/overload.go
+++ b/internal/emulator/world/overload.go
@@ -35,7 +35,7 @@
 }
 
 // checkColdCache sums the work that arrived at a cold cache within FallFor, from all nodes together, in requests of
-// mean work. An excess over the limit N of up to 2*sqrt(N)+2 is attributed to chance.
+// mean work. An excess over the limit N of up to 2*sqrt(N)+2 is tolerated as random variation.
 func (w *World) checkColdCache(now policy.Instant, s *Server, work time.Duration) {
 	if s.SpeedShare(now) >= 1 {
 		s.arrivals = nil
@@ -43,18 +43,18 @@
 	}
 	s.arrivals = append(s.arrivals, arrival{at: now, work: work})
 	s.arrivals = slices.DeleteFunc(s.arrivals, func(a arrival) bool { return now.Since(a.at) >= s.FallFor })
-	asked := 0.0
+	requested := 0.0
 	for _, a := range s.arrivals {
-		asked += float64(a.work) / float64(w.meanWork)
+		requested += float64(a.work) / float64(w.meanWork)
 	}
 	most := s.FallMultiple * w.speed(s) * float64(s.Cores) * float64(s.FallFor) / float64(w.meanWork)
 	most += 2*math.Sqrt(most) + 2
-	w.MaxColdLoad = max(w.MaxColdLoad, asked/most)
-	if asked <= most {
+	w.MaxColdLoad = max(w.MaxColdLoad, requested/most)
+	if requested <= most {
 		return
 	}
 	s.arrivals = nil
-	why := fmt.Sprintf("%.1f requests of mean work within %v, where %.1f is the most", asked, s.FallFor, most)
+	why := fmt.Sprintf("%.1f requests of mean work within %v, where %.1f is the most", requested, s.FallFor, most)
 	w.plan.Observer.Fell(now, s.ID, why)
 	number := w.byID[s.ID]
 	w.Kill(now, number)
--- a/internal/emulator/world/plan.go
+++ b/internal/emulator/world/plan.go
@@ -40,7 +40,7 @@
 	Keys         int     // number of values that it can hold
 	ColdFrom     float64 // share of its speed right after a start
 	ColdFor      time.Duration
-	FallMultiple float64 // of its present capacity: with more requests than that while cold, it falls over; 0 for never
+	FallMultiple float64 // times its current capacity: a cold cache fails under more load; 0 for never
 	FallFor      time.Duration
 	Connections  int           // open at the same time, at most
 	Handshake    time.Duration // work of each new connection
@@ -53,8 +53,8 @@
 	Queue        int // jobs that may wait
 	Work         time.Duration
 	StallAt      int     // jobs, running or waiting, from which it works slower
-	Stall        float64 // times slower then
-	FallMultiple float64 // of its capacity: with more work than that for FallFor, it counts as overloaded
+	Stall        float64 // factor by which it is slower then
+	FallMultiple float64 // times its capacity: it counts as overloaded after more work than that for FallFor
 	FallFor      time.Duration
 }
 
@@ -64,7 +64,7 @@
 	Name     string
 	Write    bool
 	Deadline time.Duration
-	Work     time.Duration // at a cache of speed 1; that of a write is done at the origin where caches only store
+	Work     time.Duration // at a cache of speed 1; in Aside mode, the origin does the work of writes
 	Share    float64       // of first tries
 	Tries    int           // maximum tries of a client, including the first
 }
--- a/internal/emulator/world/registry.go
+++ b/internal/emulator/world/registry.go
@@ -17,7 +17,7 @@
 	UpdateWork   time.Duration // work of a poll for changes; 0 for a registry without bounds
 	Backlog      time.Duration // work that may wait; polls beyond it are refused
 
-	slowFactor float64        // times its usual work; 0 for 1
+	slowFactor float64        // factor by which all work is larger; 0 for 1
 	busyUntil  policy.Instant // when all accepted work is done
 }
 
--- a/internal/emulator/world/server.go
+++ b/internal/emulator/world/server.go
@@ -34,14 +34,14 @@
 	queue           serverQueue[Job]
 	store           *lruStore
 	idempotencyKeys *idempotencyKeys // the origin's own; those of caches are the world's
-	slow            float64          // times slower than its traits
-	coresTaken      float64          // share of its cores that other programs take
+	slow            float64          // factor by which it is slower than its traits
+	coresTaken      float64          // share of its cores that other programs use
 
-	demand          float64 // at the origin: work a second that arrives, averaged over demandWindow
+	demand          float64 // at the origin: work that arrives per second, averaged over demandWindow
 	demandAt        policy.Instant
-	overloadedSince policy.Instant // at the origin: since when demand is too high; 0 for not
+	overloadedSince policy.Instant // at the origin: time since which demand is too high; 0 if it is not
 	arrivals        []arrival      // at a cold cache, within FallFor
-	restartsAt      policy.Instant // of a cache that fell over; 0 for not
+	restartsAt      policy.Instant // restart time of a cache that failed from overload; 0 for none
 
 	wakeGeneration uint64 // of the latest wake; earlier ones do nothing
 	load           float64
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// minRate in requests a second keeps the next arrival of a rate of zero finite, so that a later rate takes effect.
+	// minRate, in requests per second, keeps the next arrival finite at a rate of zero, so that a later rate takes effect.
 	minRate = 0.01
-	// firstBackoff is how long a client waits before its first retry where no Retry-After is given; it doubles each
-	// time.
+	// firstBackoff is how long a client waits before its first retry if no Retry-After is given. It doubles with each
+	// retry.
 	firstBackoff = 8 * time.Millisecond
 )
 
@@ -54,7 +54,7 @@
 	popularity  []float64 // cumulated, by rank
 	classShares []float64 // cumulated
 	lastID      uint64
-	burst       float64 // times the usual rate
+	burst       float64 // factor of the usual rate
 	hotKey      string
 	hotShare    float64 // share of reads that are for the hot key
 }
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -11,8 +11,8 @@
 
 // World holds the servers of a run.
 type World struct {
-	Servers     []*Server // the origin last, where there is one; caches may be added behind it
-	MaxColdLoad float64   // the highest load of a cold cache, as a share of that at which it falls over
+	Servers     []*Server // the caches, the origin if there is one, and caches that were added later
+	MaxColdLoad float64   // the highest load of a cold cache, as a share of the load at which it fails
 
 	plan     Plan
 	byID     map[policy.EndpointID]int
@@ -21,7 +21,7 @@
 	now      policy.Instant
 	wakes    timerqueue.Queue[wake]
 
-	missedBy     map[string][]int // by request: the caches that lacked its key
+	missedBy     map[string][]int // by request: the caches that missed its key
 	missExpiries timerqueue.Queue[string]
 	lastVersion  uint64                      // of a written value
 	sharedKeys   map[string]*idempotencyKeys // of caches, by deduplication scope
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -85,7 +85,7 @@
 		{server: cache, id: "g", key: "m", want: Value},
 	} {
 		if got := ask(c.server, c.id, c.key); got != c.want {
-			t.Errorf("%+v: said %v", c, got)
+			t.Errorf("%+v: got reply %v", c, got)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		"no fault":    {do: func(*World) {}, times: 1},
 		"slow":        {do: func(w *World) { w.Slow(0, 0, 4) }, times: 4},
 		"cores taken": {do: func(w *World) { w.TakeCores(0, 0, 0.75) }, times: 4},
-		"slow and over": {do: func(w *World) {
+		"slow and restored": {do: func(w *World) {
 			w.Slow(0, 0, 4)
 			w.Slow(0, 0, 1)
 		}, times: 1},
@@ -114,7 +114,7 @@
 		var ends policy.Instant
 		faulty.Advance(1<<60, func(Done) { ends = faulty.now })
 		if got := float64(ends) / float64(usual); got < c.times*0.999 || c.times < 1e5 && got > c.times*1.001 {
-			t.Errorf("%s: %v times as long", name, got)
+			t.Errorf("%s: the job takes %v times as long", name, got)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	w.Withdraw(0, 0, 2)
 	if n := len(w.runUntil(1 << 60)); n != 2 {
-		t.Errorf("%d ended, one of three was withdrawn", n)
+		t.Errorf("%d jobs ended, want 2: one of three was withdrawn", n)
 	}
 	if _, ok := w.Offer(5, 0, Job{Key: "k", Until: 5}); ok {
 		t.Error("accepted a job after its deadline")
@@ -158,15 +158,15 @@
 	}
 	first := write(0, "l")
 	if again := write(500*ms, "l"); again != first || h.effects != 1 {
-		t.Errorf("within: %q after %q, %d effects", again, first, h.effects)
+		t.Errorf("repeat within the window: receipt %q after %q, %d effects", again, first, h.effects)
 	}
 	write(600*ms, "m")
 	if h.effects != 2 {
-		t.Error("another key has no effect")
+		t.Error("a write with another key has no effect")
 	}
 	write(1900*ms, "l")
 	if h.effects != 3 {
-		t.Error("beyond the window it has no effect")
+		t.Error("a repeat beyond the window has no effect")
 	}
 }
 
@@ -211,7 +211,7 @@
 
 // Only a cold cache fails from overload, only with a multiple of the load that it can serve, and it restarts.
 func TestOnlyOverloadedColdCacheFails(t *testing.T) {
-	push := func(cold bool, every time.Duration) *countingObserver {
+	overload := func(cold bool, every time.Duration) *countingObserver {
 		h := &countingObserver{}
 		w := newTestWorld(h, nil)
 		if cold {
@@ -224,14 +224,14 @@
 		w.runUntil(9000 * ms)
 		return h
 	}
-	if h := push(true, 2*time.Millisecond); h.fell != 1 || h.rose != 1 {
-		t.Errorf("pushed while cold: %+v", h)
+	if h := overload(true, 2*time.Millisecond); h.fell != 1 || h.rose != 1 {
+		t.Errorf("overloaded while cold: %+v", h)
 	}
-	if h := push(true, 20*time.Millisecond); h.fell != 0 {
-		t.Error("fell over with the load that it can serve")
+	if h := overload(true, 20*time.Millisecond); h.fell != 0 {
+		t.Error("a cold cache failed under a load that it can serve")
 	}
-	if h := push(false, 2*time.Millisecond); h.fell != 0 {
-		t.Error("a warm cache fell over")
+	if h := overload(false, 2*time.Millisecond); h.fell != 0 {
+		t.Error("a warm cache failed")
 	}
 }
 
@@ -260,12 +260,12 @@
 			hot++
 		}
 		if _, _, ok := tr.Retry(at, r, false, 0); ok != (r.Class == 0) {
-			t.Fatal("retries after a failure", r.Class, ok)
+			t.Fatal("unexpected decision on a retry after a failure", r.Class, ok)
 		}
 		again, _, _ := tr.Retry(at, r, true, time.Second)
 		_, _, ok := tr.Retry(at, again, true, 0)
 		if ok != (r.Class == 1) || again.ID == r.ID || again.Sent < at.Add(time.Second) {
-			t.Fatal("retries after a rejection", r.Class, ok)
+			t.Fatal("unexpected retry after a rejection", r.Class, ok)
 		}
 	}
 	if n < 9700 || n > 10300 || reads < 7300 || reads > 7700 || hot < 3500 || hot > 4000 {
@@ -298,7 +298,7 @@
 func TestShortClientTimeoutsChangeNothingElse(t *testing.T) {
 	classes := []Class{{Share: 1, Deadline: time.Second, Tries: 2}}
 	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: classes, Seed: 3})
-	hasty := NewTraffic(TrafficPlan{
+	impatient := NewTraffic(TrafficPlan{
 		PerSecond:        100,
 		Keys:             100,
 		Classes:          classes,
@@ -309,21 +309,21 @@
 	short := 0
 	for range 2000 {
 		a := plain.Draw(0)
-		b := hasty.Draw(0)
+		b := impatient.Draw(0)
 		switch {
 		case a.Deadline != time.Second || a.ID != b.ID || a.Key != b.Key:
 			t.Fatalf("%v and %v", a, b)
 		case b.Deadline >= 100*time.Millisecond && b.Deadline <= 200*time.Millisecond:
 			short++
 		case b.Deadline != time.Second:
-			t.Fatalf("one waits %v", b.Deadline)
+			t.Fatalf("a client waits %v", b.Deadline)
 		}
 	}
 	if short < 400 || short > 600 {
-		t.Errorf("%d of 2000 wait less, about 500 should", short)
+		t.Errorf("%d of 2000 clients wait less, want about 500", short)
 	}
-	first := hasty.Draw(0)
-	if again, _, ok := hasty.Retry(0, first, true, 0); !ok || again.Deadline > time.Second {
-		t.Errorf("the second try waits %v", again.Deadline)
+	first := impatient.Draw(0)
+	if again, _, ok := impatient.Retry(0, first, true, 0); !ok || again.Deadline > time.Second {
+		t.Errorf("the client waits %v for its second try", again.Deadline)
 	}
 }
