--- a/internal/emulator/cachestub/cache_test.go
+++ b/internal/emulator/cachestub/cache_test.go
@@ -12,7 +12,9 @@
 
 func TestDeleteRemovesValueAndAnswersWhetherItExisted(t *testing.T) {
 	var reported []logtrace.CacheEventKind
-	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.CacheEvent) { reported = append(reported, x.Kind) })
+	c, err := Open("c", func() policy.Instant { return 1 }, func(x logtrace.CacheEvent) {
+		reported = append(reported, x.Kind)
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,10 +38,10 @@
 			t.Fatal(err)
 		}
 		if got, err := in.ReadString('\n'); got != x[1] {
-			t.Errorf("%q: %q, %v", x[0], got, err)
+			t.Errorf("%q: got answer %q, error %v", x[0], got, err)
 		}
 	}
-	if _, is := c.Serve("b"); is || len(reported) != 4 || reported[2] != logtrace.Emptied {
-		t.Errorf("%t, %v", is, reported)
+	if _, found := c.Serve("b"); found || len(reported) != 4 || reported[2] != logtrace.Emptied {
+		t.Errorf("after the flush: found %t, reported %v", found, reported)
 	}
 }
--- a/internal/emulator/cachestub/order.go
+++ b/internal/emulator/cachestub/order.go
@@ -15,7 +15,7 @@
 
 // ParseCommand parses the first command in b if it is a delete or a flush. A size of 0 means that it is neither or is
 // incomplete.
-func ParseCommand(b []byte) (order Command, size int) {
+func ParseCommand(b []byte) (command Command, size int) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
 		return Command{}, 0
@@ -43,12 +43,12 @@
 }
 
 // Answer returns the answer to the command; found reports whether the key had a value.
-func (o Command) Answer(found bool) []byte {
+func (c Command) Answer(found bool) []byte {
 	switch {
-	case o.Flush:
+	case c.Flush:
 		return []byte("OK\r\n")
 	case found:
-		return fmt.Appendf(nil, "HD O%s\r\n", o.ID)
+		return fmt.Appendf(nil, "HD O%s\r\n", c.ID)
 	}
-	return fmt.Appendf(nil, "NF O%s\r\n", o.ID)
+	return fmt.Appendf(nil, "NF O%s\r\n", c.ID)
 }
--- a/internal/emulator/coverage/coverage_test.go
+++ b/internal/emulator/coverage/coverage_test.go
@@ -22,7 +22,7 @@
 		got = append(got, table.Met(fault, p))
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("%s met phases %v of %v, want %v", fault, got, Phases, want)
+		t.Errorf("%s: counts %v of phases %v, want %v", fault, got, Phases, want)
 	}
 }
 
@@ -34,7 +34,7 @@
 		got = append(got, table.InFlight(fault, e))
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("%s met requests %v, want %v", fault, got, want)
+		t.Errorf("%s: counts %v of requests in flight, want %v", fault, got, want)
 	}
 }
 
--- a/internal/emulator/shrink/shrink_test.go
+++ b/internal/emulator/shrink/shrink_test.go
@@ -35,14 +35,14 @@
 	})
 	s := result.Scenario
 	if !result.Complete || len(s.Events) != 2 || !has(s, "node_restart") || !has(s, "errors") {
-		t.Errorf("left %+v, complete %v", s.Events, result.Complete)
+		t.Errorf("events left %+v, complete %v", s.Events, result.Complete)
 	}
 	if s.Fleet.Nodes != 1 || s.Fleet.Caches >= 6 || s.Fleet.Caches < 3 {
 		t.Errorf("%d nodes and %d caches are left", s.Fleet.Nodes, s.Fleet.Caches)
 	}
 	isLong := func(e scenario.Event) bool { return e.ForS > 2*minDuration }
 	if s.Seconds >= failing.Seconds || slices.ContainsFunc(s.Events, isLong) {
-		t.Errorf("it lasts %v s, with %+v", s.Seconds, s.Events)
+		t.Errorf("the shrunk scenario lasts %v s, with events %+v", s.Seconds, s.Events)
 	}
 	if len(failing.Events) != before {
 		t.Error("Shrink modified its argument")
@@ -71,7 +71,7 @@
 		scenario.Event{AtS: restart.AtS - 0.3, Do: "errors", Part: 0.5, Share: 0.5, ForS: 2})
 	result := Shrink(failing, Budget{Plays: plentyOfPlays}, overlap)
 	if len(result.Scenario.Events) != 2 || !overlap(result.Scenario) {
-		t.Errorf("left %+v", result.Scenario.Events)
+		t.Errorf("events left: %+v", result.Scenario.Events)
 	}
 }
 
@@ -104,7 +104,7 @@
 	expired := func() bool { asked++; return asked > plays }
 	result = Shrink(failing, Budget{Plays: plentyOfPlays, Expired: expired}, always)
 	if result.Plays != plays || result.Complete {
-		t.Errorf("after its time %d plays, complete %v", result.Plays, result.Complete)
+		t.Errorf("expired budget: %d plays, complete %v", result.Plays, result.Complete)
 	}
 }
 
@@ -113,6 +113,6 @@
 	failing := schedule(t)
 	result := Shrink(failing, Budget{Plays: plentyOfPlays}, func(*scenario.Scenario) bool { return false })
 	if result.Scenario != failing || !result.Complete {
-		t.Errorf("kept %+v", result.Scenario)
+		t.Errorf("got scenario %+v, want the original", result.Scenario)
 	}
 }
