--- a/internal/emulator/scenario/stated_test.go
+++ b/internal/emulator/scenario/stated_test.go
@@ -7,8 +7,16 @@
 
 // The settings may state a number of nodes other than the number running; nodes then use the stated one.
 func TestSettingsUseStatedNumberOfNodes(t *testing.T) {
-	text :=
-		"[fleet]\nnodes = 6\n%[[grade]]\nname = \"read\"\nshare = 1\nbenefit = 1\nsoft_ms = 100\nhard_ms = 500\nwork_ms = 10\n"
+	text := `[fleet]
+nodes = 6
+%[[grade]]
+name = "read"
+share = 1
+benefit = 1
+soft_ms = 100
+hard_ms = 500
+work_ms = 10
+`
 	for stated, want := range map[string]int{"": 6, "stated = 0\n": 6, "stated = 4\n": 4, "stated = -1\n": -1} {
 		s, err := Parse("s", []byte(strings.Replace(text, "%", stated, 1)))
 		if want < 0 {
