--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -53,7 +53,7 @@
 	c.InRange(f.ColdS, 0, maxSeconds, "fleet.cold_s")
 	c.InRange(f.FallMultiple, 0, 1e6, "fleet.fall_multiple")
 	c.Require(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s",
-		"must be over 0 unless fleet.fall_multiple is 0")
+		"must be over 0 if fall_multiple is")
 	c.InRange(f.FallS, 0, maxSeconds, "fleet.fall_s")
 	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
 	c.InRange(f.IdleS, 0.1, maxSeconds, "fleet.idle_s")
--- a/internal/emulator/scenario/parse_test.go
+++ b/internal/emulator/scenario/parse_test.go
@@ -40,7 +40,7 @@
 		{"factor = 4", "factor = -4"}:                            "x.toml:14: event.0.factor",
 		{"factor = 4", "share = 0.5"}:                            "x.toml:10: event.0.factor",
 		{"at_s = 2", "at_s = 99"}:                                "x.toml:11: event.0.at_s: 99 is not from 0 to 10",
-		{"caches = 4", "caches = 4\nfall_s = 0"}:                 "x.toml:4: fleet.fall_s: must be over 0 unless fleet.fall_multiple",
+		{"caches = 4", "caches = 4\nfall_s = 0"}:                 "x.toml:4: fleet.fall_s: must be over 0 if fall_multiple",
 		{"for_s = 3", "for_s = nan"}:                             "x.toml:15: event.0.for_s",
 		{"hard_ms = 100", "hard_ms = 10"}:                        "x.toml:8: grade.0.hard_ms",
 		{"share = 1", "share = 0"}:                               "x.toml:4: grade.0: all shares are 0",
