--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -7,8 +7,8 @@
 	"dahliapin/policy"
 )
 
-// WorldObserver passes on what happens in a world, whatever nodes believe: effects of writes to the checker, overloads to
-// the run's log, broken connections and changes of the endpoint list to the rig.
+// WorldObserver passes on what happens in the world, independent of what nodes observe: effects of writes to the
+// checker, overloads to the run's log, broken connections and changes of the endpoint list to the rig.
 type WorldObserver struct {
 	Checker *checker.Checker
 	Log     *report.Log
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -14,13 +14,13 @@
 type Rig interface {
 	ServerRig
 	NodeRig
-	// Registry is what discovery can bear.
+	// Registry is the model of the capacity of discovery.
 	Registry() *world.Registry
-	// SetDiscovery says whether the list is told to nodes.
+	// SetDiscovery takes discovery down or up. While it is down nodes receive no update of the endpoint list.
 	SetDiscovery(up bool)
-	// EndpointChanged says that the endpoint list has changed.
+	// EndpointChanged publishes a change of the endpoint list.
 	EndpointChanged(e policy.Endpoint)
-	// ChangeLink changes what goes wrong between two nodes, in one direction.
+	// ChangeLink changes what goes wrong from one node to another.
 	ChangeLink(from, to int, change func(*netfault.Link))
 	// At calls a function at an instant.
 	At(at policy.Instant, do func())
@@ -28,15 +28,15 @@
 	LogEvent(now policy.Instant, what string)
 }
 
-// FaultObserver is a rig that follows which events are under way.
+// FaultObserver is a rig that observes which events are in progress.
 type FaultObserver interface {
-	// EventBegan is told of an event before anything is done for it; what it returns is called at the event's end.
+	// EventBegan is called before an event is carried out; the function that it returns is called at the event's end.
 	EventBegan(e *scenario.Event) (ended func())
 }
 
 // StartTerminator is a rig that can tell a node to end while it starts.
 type StartTerminator interface {
-	// TerminateNextStart has the node's next process told to end so long after it was started; another one follows.
+	// TerminateNextStart has the node's next process told to end at a delay after its start; another one follows.
 	TerminateNextStart(node int, after time.Duration)
 }
 
@@ -54,23 +54,23 @@
 	EndNode(node int, orderly bool)
 	// StartNode starts a node's next process.
 	StartNode(node int)
-	// UpgradeNode has another process take the node's place.
+	// UpgradeNode replaces a node's process by a new one.
 	UpgradeNode(node int)
 	// StandbyNode puts a node on standby, or ends that.
 	StandbyNode(node int, standby bool)
 	// ScrapeNode reads a node's metrics until an instant and compares them with what its clients saw.
 	ScrapeNode(node int, until policy.Instant)
-	// PauseNode stops a node's process (SIGSTOP), or lets it go on.
+	// PauseNode stops a node's process (SIGSTOP), or lets it continue.
 	PauseNode(node int, stop bool)
-	// HangNode blocks a node's event loop while the rest of its process runs, or lets it go on.
+	// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue.
 	HangNode(node int, stop bool)
 	// StartDuplicateNode starts another process with the node's name.
 	StartDuplicateNode(node int)
-	// CrowdNode has clients connect, stay silent, and come back when they are closed.
+	// CrowdNode opens idle client connections to a node until an instant, and opens them again when they are closed.
 	CrowdNode(node, clients int, until policy.Instant)
 	// StallClients has clients stop in the middle of a request, and stay connected.
 	StallClients(node, clients int)
-	// ReloadNode tells a node several times in a row to read its configuration again.
+	// ReloadNode tells a node several times in a row to reload its configuration.
 	ReloadNode(node, times int)
 	// FreezeNode stops a node's process for a moment that the rules allow for.
 	FreezeNode(node int, duration time.Duration)
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	minDowntime       = 400 * time.Millisecond // that a process takes to be back at least
-	defaultDrainSpell = 5 * time.Second        // between draining and removal of a server, where the event states none
+	minDowntime       = 400 * time.Millisecond // the shortest time until a process is back
+	defaultDrainSpell = 5 * time.Second        // between draining and removal of a server, if the event states none
 )
 
 // Run carries out the events of one scenario.
@@ -27,7 +27,7 @@
 	traffic     *world.Traffic
 	rig         Rig
 	addedCaches int
-	outages     int // events that hold discovery down just now: they may overlap
+	outages     int // events in progress that keep discovery down; they may overlap
 }
 
 // Play schedules all events of a scenario. Their times count from an instant.
@@ -47,7 +47,7 @@
 	return r
 }
 
-// begin carries an event out at its time.
+// begin carries out an event at its time.
 func (r *Run) begin(now policy.Instant, e *scenario.Event) {
 	r.rig.LogEvent(now, describe(r.scenario, e))
 	handle, known := handlers[e.Do]
@@ -126,7 +126,7 @@
 	})
 }
 
-// discoveryDown counts an outage of discovery that begins (1) or ends (-1). Discovery is there while there is none.
+// discoveryDown counts an outage of discovery that begins (1) or ends (-1). Discovery is up while the count is 0.
 func (r *Run) discoveryDown(change int) {
 	wasUp := r.outages == 0
 	r.outages += change
@@ -136,7 +136,7 @@
 	}
 }
 
-// EndpointOf is what the endpoint list says of a server.
+// EndpointOf is the entry of a server in the endpoint list.
 func EndpointOf(w *world.World, server int) policy.Endpoint {
 	s := w.Servers[server]
 	kind := 0
