--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -1,5 +1,5 @@
-// Package baselines has simple routing policies that the module is measured against in rehearsals. They keep the rules
-// on retries, and know nothing of what goes wrong. No node imports them.
+// Package baselines has simple routing policies that the policy module is compared with in rehearsals. They keep the
+// rules on retries, and do not react to failures otherwise. No node imports them.
 package baselines
 
 import (
@@ -18,13 +18,13 @@
 	ringPoints = 64
 	// replicaCount is the number of replicas of a key, as the module has them.
 	replicaCount = 3
-	// tickPeriod is what the dispatcher is told; a baseline has nothing to do then.
+	// tickPeriod is the interval of ticks, at which a baseline does nothing.
 	tickPeriod = time.Second
-	// answerMargin is the time before a request's deadline that is left for the answer's way.
+	// answerMargin is left before a request's deadline for the answer to reach the client.
 	answerMargin = 2 * time.Millisecond
-	// retryAfter is when a rejected client may come back, where it may be told.
+	// retryAfter is the delay that a rejected client is told, if the settings allow as much.
 	retryAfter = 250 * time.Millisecond
-	// windowMargin is the time before the end of a window for repeats from which no write is repeated.
+	// windowMargin is the time before the end of a deduplication window from which no write is repeated.
 	windowMargin = time.Second
 )
 
@@ -42,7 +42,7 @@
 	case "ring":
 		return maker((*router).leastLoadedReplica), nil
 	}
-	return nil, fmt.Errorf("there is no decider %q: module, %v", name, Names)
+	return nil, fmt.Errorf("no decider is named %q; there are module, %v", name, Names)
 }
 
 // replicaSelector selects a replica that was not tried, or nil if there is none.
--- a/internal/emulator/client/pool.go
+++ b/internal/emulator/client/pool.go
@@ -22,10 +22,10 @@
 )
 
 var (
-	errSilent      = errors.New("nothing came in time")
-	errAbandoned   = errors.New("the client did not wait")
-	errUnsolicited = errors.New("something came that nobody asked for")
-	errUnanswered  = errors.New("it was read, and its connection ended without an answer")
+	errSilent      = errors.New("no response in time")
+	errAbandoned   = errors.New("the client abandoned the request")
+	errUnsolicited = errors.New("received bytes that belong to no request")
+	errUnanswered  = errors.New("the request was read, and the connection was closed without a response")
 )
 
 // Pool holds the connections to one node. Its methods may be called from any goroutine.
@@ -182,7 +182,7 @@
 	stream, ok := plain.(*net.TCPConn)
 	if !ok {
 		_ = plain.Close()
-		return nil, errors.New("not a connection by TCP")
+		return nil, errors.New("not a TCP connection")
 	}
 	return &conn{TCPConn: stream, in: bufio.NewReader(stream)}, nil
 }
--- a/internal/emulator/diskfault/doc.go
+++ b/internal/emulator/diskfault/doc.go
@@ -1,5 +1,5 @@
 // Package diskfault makes system calls that change files fail, and computes what a crash between them leaves on disk.
-// It is for tests: the product has no seam for it and does not know of it.
+// It is for tests: the code under test needs no hook for it.
 //
 // # Faults
 //
--- a/internal/emulator/diskfault/filter.go
+++ b/internal/emulator/diskfault/filter.go
@@ -205,7 +205,7 @@
 	}
 	for {
 		_, err := unix.Poll(descriptors, -1)
-		if errors.Is(err, unix.EINTR) { // what it returned before still stands there
+		if errors.Is(err, unix.EINTR) { // descriptors may still have the events of the call before
 			continue
 		}
 		if err != nil {
@@ -252,7 +252,7 @@
 			r = response{id: n.id, error: -int32(action.Errno)}
 		}
 	}
-	for errno = unix.EINTR; errno == unix.EINTR; { // an answer that is lost holds its call up for good
+	for errno = unix.EINTR; errno == unix.EINTR; { // a call whose answer is lost would block for good
 		_, _, errno = unix.Syscall(
 			unix.SYS_IOCTL, s.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&r)))
 	}
--- a/internal/emulator/diskfault/filter_test.go
+++ b/internal/emulator/diskfault/filter_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// replaceFile makes a file in the usual way:
-// it is written and synced under another name, renamed, and its folder synced.
+// replaceFile replaces a file in the usual way: the content is written and synced under another name, the file is
+// renamed and its folder is synced.
 func replaceFile(dir, content string) error {
 	path := filepath.Join(dir, "file")
 	err := os.WriteFile(path+".new", []byte(content), 0o600)
@@ -31,8 +31,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Each call of a run is seen in its order, and fails as it is told; calls in other folders are not seen.
-func TestCallsAreSeenAndFail(t *testing.T) {
+// Run shows each call in order and fails it as decided; calls in other folders are not shown.
+func TestRunShowsEachCallAndFailsItAsDecided(t *testing.T) {
 	dir := TempDir(t)
 	var recording Recording
 	var err error
@@ -66,9 +66,9 @@
 	}
 }
 
-// A loss of power before the folder was synced may take the rename back, and one before the file was may leave it
-// empty. A kill leaves a half of what was being written.
-func TestCrashesLeaveWhatWasNotSynced(t *testing.T) {
+// A loss of power before the folder is synced may undo the rename, and one before the file is synced may leave it
+// empty. A kill during a write leaves half of it.
+func TestCrashMayUndoUnsyncedChanges(t *testing.T) {
 	dir := TempDir(t)
 	var recording Recording
 	var err error
--- a/internal/emulator/diskfault/testlog_test.go
+++ b/internal/emulator/diskfault/testlog_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Under go test, package os logs the names of all files, and writes the log out now and then: in the middle of a call
-// of the function, under a lock. The supervisor's own calls waited for that lock, and the test never ended, not even by
-// its timeout. So many names are used here that the log is written out several times.
-func TestTheLogOfNamesHoldsNothingUp(t *testing.T) {
+// Under go test, package os logs the names of all files, and flushes that log under a lock in the middle of a
+// filtered call. The supervisor's own calls waited for that lock: the test hung, even past its timeout. The names
+// used here fill the log several times.
+func TestSupervisorDoesNotWaitForTheTestLog(t *testing.T) {
 	const names = 2000
 	dir := TempDir(t)
 	path := filepath.Join(dir, "file")
--- a/internal/emulator/netfault/faults_test.go
+++ b/internal/emulator/netfault/faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A link's delay is taken by everything on it, and jitter comes on top.
+// A link delays everything on it by its delay, and by up to its jitter more, in one direction only.
 func TestDelayOfALink(t *testing.T) {
 	const delay, late = 40 * time.Millisecond, 10 * time.Millisecond
 	f := New(3)
@@ -18,7 +18,7 @@
 		}
 		for _, d := range append(all, segment) {
 			if d < delay || d > delay+late {
-				t.Errorf("%v, and not from %v to %v", d, delay, delay+late)
+				t.Errorf("delay %v is not from %v to %v", d, delay, delay+late)
 			}
 		}
 	}
@@ -27,6 +27,6 @@
 	}
 	f.Change(1, 2, func(link *Link) { *link = Link{} })
 	if all := f.Datagram(1, 2); len(all) != 1 || all[0] != 0 {
-		t.Errorf("once it was mended it took %v", all)
+		t.Errorf("without the fault it took %v", all)
 	}
 }
--- a/internal/emulator/netfault/forwarder_test.go
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -9,7 +9,7 @@
 
 const testPatience = 5 * time.Second
 
-// echoServer accepts streams, and passes on what comes.
+// echoServer accepts streams and passes on what it receives.
 func echoServer(t *testing.T) (addr string, received chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	return l.Addr().String(), received
 }
 
-// A segment that was delayed when a cut began arrived while the cut lasted.
+// Guards against a segment that was being delayed when a cut began, and arrived during the cut.
 func TestDelayedSegmentDoesNotArriveDuringACut(t *testing.T) {
 	const delay, cut = 100 * time.Millisecond, 400 * time.Millisecond
 	target, received := echoServer(t)
