--- a/internal/emulator/simulation/admission_test.go
+++ b/internal/emulator/simulation/admission_test.go
@@ -7,7 +7,8 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
-// admissionScenario is 6 nodes before 12 caches that are the store themselves; a submission may not be repeated.
+// admissionScenario has 6 nodes in front of 12 caches that are the store themselves; a submission may not be
+// repeated.
 const admissionScenario = `
 seconds = 30
 [fleet]
@@ -77,12 +78,12 @@
 	return s
 }
 
-// The admission controller guards against overload. It once shed load before caches that had next to nothing to do,
-// because answers were lost, or because clients waited for less than a good cache takes. Under real overload it sheds
-// as ever: few attempts are in vain, and what the caches can serve is served.
+// Admission control must react to overload only. It shed load before nearly idle caches when answers were lost, or
+// when clients waited for less time than a healthy cache takes. Under real overload it still sheds: few attempts are
+// wasted, and what the caches can serve is served.
 func TestAdmissionShedsForOverloadNotForLostAnswers(t *testing.T) {
 	if testing.Short() {
-		t.Skip("as above")
+		t.Skip("the race detector has nothing to see in a run of one goroutine")
 	}
 	for name, c := range map[string]admissionCase{
 		"nothing wrong": {
--- a/internal/emulator/simulation/decisions_test.go
+++ b/internal/emulator/simulation/decisions_test.go
@@ -33,9 +33,9 @@
 	shortSeconds = 6
 )
 
-// A restructuring must not change any decision of the module: every call into it over the rehearsals, in both modes of
-// caches, and every answer make one hash a run.
-func TestDecisionsInRehearsalsAreThoseThatWereRecorded(t *testing.T) {
+// A refactoring must not change any decision of the policy module. All calls into it in a rehearsal and its decisions
+// are hashed, one hash a run, with caches beside the origin and in front of it.
+func TestDecisionsInRehearsalsMatchRecordedHashes(t *testing.T) {
 	if testing.Short() {
 		t.Skip("one goroutine plays each: the race detector has nothing to see")
 	}
@@ -103,7 +103,7 @@
 	return r.sum.Sum64()
 }
 
-// recorder makes one hash of all calls, in their order.
+// decisionHash hashes all calls in order.
 type decisionHash struct {
 	sum    hash.Hash64
 	buffer []byte
@@ -122,7 +122,7 @@
 	r.sum.Write([]byte(s))
 }
 
-// recordedDecider passes all calls on to the module.
+// hashingDecider hashes all calls and passes them on to the policy module.
 type hashingDecider struct {
 	*decisionHash
 	dispatch.Decider
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -21,9 +21,9 @@
 	return r, run
 }
 
-// The minimum that each node may send by itself adds up over a fleet, while the capacity of the origin and of a cold
-// cache doesn't grow. At 480 nodes 10,402 requests came to an origin that can serve 267 a second, in the first second
-// from an empty start.
+// Each node may send a minimum by itself, and these minimums add up over a fleet while the capacity of the origin and
+// of a cold cache does not grow. With 480 nodes, 10,402 requests reached an origin that can serve 267 a second in the
+// first second from an empty start.
 func TestOriginLoadOfAllNodesStaysInBoundsFromAnEmptyStart(t *testing.T) {
 	if testing.Short() {
 		t.Skip("as above")
@@ -92,10 +92,10 @@
 	return all
 }
 
-// runMoreNodesThanConfigured runs more nodes than the settings state, from an instant on: a quarter more, which stay,
-// or in an upgrade a second process of each, for which the first ends three seconds later. Traffic is uneven between
-// nodes, clients retry at once and often, three caches fall silent and are probed, and in the middle of it half of
-// all nodes are killed and start anew.
+// runMoreNodesThanConfigured runs more nodes than the settings state from an instant on: a quarter more, which stay,
+// or in an upgrade a second process of each node, where the first ends three seconds later. Traffic is uneven between
+// nodes, clients retry at once and often, three caches fall silent and are probed, and in the middle half of all
+// nodes are killed and start anew.
 func runMoreNodesThanConfigured(s *scenario.Scenario, stated int, upgrade bool, from float64) {
 	s.Fleet.Stated = stated
 	s.Fleet.Nodes = stated + stated/4
@@ -115,10 +115,10 @@
 	}
 }
 
-// Shares of the origin and of cold caches are divided by the number of nodes that the settings state, which an
-// upgrade doubles for some seconds. What each node sent by itself after the origin had rejected it added up: with 120
-// and 480 stated and as many more, 987 and 998 requests came in the worst second to an origin that can serve 267, for
-// longer than it withstands.
+// Shares of the origin and of cold caches are divided by the number of nodes in the settings, and an upgrade doubles
+// that number for some seconds. What each node sent by itself after a rejection by the origin added up: with 120 and
+// 480 nodes configured and as many more, 987 and 998 requests in the worst second reached an origin that can serve
+// 267, for longer than it withstands.
 func TestMoreNodesThanConfiguredStayWithinFleetLimits(t *testing.T) {
 	if testing.Short() {
 		t.Skip("as above")
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -23,7 +23,7 @@
 // LogEvent adds a line to the log of the run.
 func (sim *Simulation) LogEvent(now policy.Instant, what string) { sim.log.AddEvent(now, what) }
 
-// Registry is what discovery can bear.
+// Registry is the model of the capacity of discovery.
 func (sim *Simulation) Registry() *world.Registry { return sim.registry }
 
 // SetDiscovery takes discovery down or up; changes that were held back are then published.
@@ -65,7 +65,8 @@
 	})
 }
 
-// EndNode ends a node: orderly, it finishes its requests and gets no further ones; else it is killed.
+// EndNode ends a node. An orderly end lets it finish its requests and sends it no further ones; otherwise it is
+// killed.
 func (sim *Simulation) EndNode(number int, orderly bool) {
 	n := sim.nodes[number]
 	sim.serving = slices.DeleteFunc(sim.serving, func(o *node) bool { return o == n })
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -22,22 +22,24 @@
 const (
 	// startOfRun is the virtual time of a scenario's second 0. It isn't 0, which stands for no instant.
 	startOfRun = policy.Instant(time.Second)
-	// networkSlack is how long messages that cross may take before that counts as a breach: some network latencies.
+	// networkSlack is the tolerance for messages in transit before a delay counts as a breach: some network
+	// latencies.
 	networkSlack = 20 * time.Millisecond
-	// maxStepsPerMillisecond is a number of events within a millisecond that no fleet has: the decider loops.
+	// maxStepsPerMillisecond is a number of events within a millisecond that no fleet reaches unless its decider
+	// loops.
 	maxStepsPerMillisecond = 1 << 19
 	// settleTime is how long a run goes on after the scenario's end and the longest deadline, so that requests end.
 	settleTime = 2 * time.Second
 )
 
-// errNeedsSockets refuses a scenario with events that only real processes have.
+// errNeedsSockets is returned for a scenario with events that only real processes have.
 var errNeedsSockets = errors.New(
-	"what is done to processes, and between them, is not there: this script plays on sockets only")
+	"events on processes and on links between nodes are not simulated: this script plays on sockets only")
 
 // Maker makes a node's decider.
 type Maker func(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider
 
-// Module makes the decider of the product: the policy module itself.
+// Module makes the decider of the product, the policy module.
 func Module(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider {
 	return policy.New(now, seed, settings)
 }
@@ -206,10 +208,10 @@
 	}
 }
 
-// At calls a function at an instant, or now where that has passed.
+// At schedules a function, or runs it next if the instant has passed.
 func (sim *Simulation) At(at policy.Instant, do func()) { sim.queue.Push(max(at, sim.now), do) }
 
 func (sim *Simulation) after(d time.Duration, do func()) { sim.queue.Push(sim.now.Add(d), do) }
 
-// isOrigin tells which endpoints event logs leave out.
+// isOrigin reports whether an endpoint is the origin, which event logs leave out.
 func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -38,8 +38,8 @@
 	return r
 }
 
-// A change of the module may make a shipped rehearsal worse than it promises. It shows here, in seconds.
-func TestTheModuleMeetsEachRehearsal(t *testing.T) {
+// Guards against a change of the policy module with which a shipped rehearsal no longer meets its expectations.
+func TestModuleMeetsTheExpectationsOfEachRehearsal(t *testing.T) {
 	if testing.Short() {
 		t.Skip("one goroutine plays it: the race detector has nothing to see, and takes a minute")
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// Runs that differ for one seed can't be compared with anything. They would where the order of a map has an effect.
-// The scenario has polls that wait and polls that are refused, and breaks of connections under many attempts.
+// Runs of one seed would differ if the order of a map had an effect, and could not be compared. The scenario has
+// polls that wait, polls that are refused, and connections that break under many attempts.
 func TestSameSeedGivesTheSameReport(t *testing.T) {
 	if testing.Short() {
 		t.Skip("as above")
@@ -168,8 +168,7 @@
 	return decision
 }
 
-// The checker stands behind runs in virtual time as behind those on sockets: it catches a decider that breaks an
-// invariant.
+// The checker reports a decider that breaks an invariant in virtual time, as it does on sockets.
 func TestCheckerCatchesADeciderThatBreaksAnInvariant(t *testing.T) {
 	if testing.Short() {
 		t.Skip("as above")
@@ -272,8 +271,8 @@
 	}
 }
 
-// Baselines that broke invariants would be no measure: they keep them through restarts and faults, where the origin
-// has capacity.
+// Baselines must keep the invariants to be a measure: they do so through restarts and faults, where the origin has
+// capacity.
 func TestBaselinesKeepTheInvariants(t *testing.T) {
 	for _, name := range baselines.Names {
 		m, err := baselines.Make(name)
