--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -44,15 +44,15 @@
 		changed: make(chan struct{}),
 	}
 	for i := range r.world.Servers {
-		a.hear(runner.EndpointOf(r.world, i))
+		a.addChange(runner.EndpointOf(r.world, i))
 	}
 	a.server = &http.Server{Handler: a}
 	go a.server.Serve(l)
 	return a, nil
 }
 
-// hear takes a change.
-func (a *agent) hear(e policy.Endpoint) {
+// addChange takes a change.
+func (a *agent) addChange(e policy.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, known := a.latest[e.ID]; !known {
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -14,15 +14,15 @@
 // A cache of the emulator that speaks HTTP/1.1, from RFC 9111: what it keeps it serves with its age, what it does not keep is 504
 // where only that was asked for, and what it may not serve any more it serves all the same when a script says so.
 const (
-	freshFor  = 60 // seconds
-	tooOld    = "what may not be served any more"
-	validates = 8 // one read in so many asks whether the value that its client has still holds
+	maxAgeSeconds   = 60 // seconds
+	staleBody       = "what may not be served any more"
+	revalidateOneIn = 8 // one read in so many asks whether the value that its client has still holds
 )
 
-// nextRequest takes one request; 0 asks for more bytes.
-func (c *serverConn) nextRequest(held []byte) (size int) {
-	r, s := c.s.r, c.s
-	q, size, fault := http1.ReadRequest(held, mostCommand)
+// handleHTTPRequest takes one request; 0 asks for more bytes.
+func (c *serverConn) handleHTTPRequest(held []byte) (size int) {
+	r, s := c.server.rig, c.server
+	q, size, fault := http1.ReadRequest(held, maxCommandSize)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -31,18 +31,18 @@
 	switch {
 	case fault != nil:
 		r.checker.WrongAnswer(now, "", "a server was sent what is no request: "+fault.Error())
-		c.gone(true)
+		c.disconnect(true)
 		return 0
 	case size == 0:
 		return 0
 	case w.Liveness == world.Silent || s.fault == "silent":
 		if w.Liveness == world.Up && id != "" {
-			r.came(now, id, w.ID)
+			r.attemptArrived(now, id, w.ID)
 		}
 		return size
 	case id == "": // a probe
 		if r.log.Second(now).Probes++; !w.Frozen(now) {
-			c.answer(httpAnswer(http.StatusOK, "", "ok"))
+			c.queueAnswer(httpAnswer(http.StatusOK, "", "ok"))
 		}
 		return size
 	}
@@ -51,8 +51,8 @@
 		r.checker.WrongAnswer(now, id, "a cache beside an origin was asked to fetch, or for no key: "+string(q.Target))
 	}
 	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
-	if !r.take(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, tag: string(q.Header("If-None-Match"))}) {
-		c.answer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
+	if !r.offerAttempt(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, etag: string(q.Header("If-None-Match"))}) {
+		c.queueAnswer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
 	}
 	return size
 }
@@ -61,12 +61,12 @@
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
 }
 
-// keptAnswer writes a cache's answer.
-func keptAnswer(d world.Done, stale bool, tag string) []byte {
-	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", freshFor)
+// httpCacheAnswer writes a cache's answer.
+func httpCacheAnswer(d world.Done, stale bool, tag string) []byte {
+	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
 	switch {
 	case d.Reply == world.Value && stale:
-		return httpAnswer(http.StatusOK, kept+fmt.Sprint(freshFor+1, "\r\n"), tooOld)
+		return httpAnswer(http.StatusOK, kept+fmt.Sprint(maxAgeSeconds+1, "\r\n"), staleBody)
 	case d.Reply == world.Value && tag == client.ETag(d.Text):
 		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", kept, tag)
 	case d.Reply == world.Value:
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -16,25 +16,25 @@
 
 // member is one node of the run and what stands on its machine.
 type member struct {
-	r       *Rig
-	number  int
-	name    string
-	addr    string
-	http    string // where it takes clients by HTTP
-	ops     string // where operators call its process; empty for nowhere
-	agent   *agent
-	pool    *client.Pool
-	process Process
-	stands  Process // the same while it is made to stand still, or its loop; else nil
-	life    int
-	asks    map[string]bool // in hand
-	excused map[string]bool // of these, those that it stood still with
-	lives   int             // of these, those that began after the one before had ended: what was in hand then is excused
-	figures figures
-	serving bool // clients come to it
-	parting bool // clients use the connections that they have, and make no new ones
-	killed  bool // by the script: what it had in hand is excused
-	ending  bool // by the script, or since the run is over
+	rig         *Rig
+	number      int
+	name        string
+	addr        string
+	httpAddr    string // where it takes clients by HTTP
+	adminAddr   string // where operators call its process; empty for nowhere
+	agent       *agent
+	pool        *client.Pool
+	process     Process
+	stopped     Process // the same while it is made to stand still, or its loop; else nil
+	incarnation int
+	inFlight    map[string]bool // in hand
+	excused     map[string]bool // of these, those that it stood still with
+	freshStarts int             // of these, those that began after the one before had ended: what was in hand then is excused
+	counts      clientCounts
+	serving     bool // clients come to it
+	reuseOnly   bool // clients use the connections that they have, and make no new ones
+	killed      bool // by the script: what it had in hand is excused
+	ending      bool // by the script, or since the run is over
 
 	termNextStart time.Duration // after which its next process is told to end; 0 for not
 }
@@ -56,14 +56,14 @@
 	if r.scenario.Traffic.Protocol == listeners.ProtocolHTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: beyond}
 	}
-	return &member{r: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], http: addrs[1], agent: a, pool: pool, asks: map[string]bool{}, excused: map[string]bool{}}, nil
+	return &member{rig: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], httpAddr: addrs[1], agent: a, pool: pool, inFlight: map[string]bool{}, excused: map[string]bool{}}, nil
 }
 
 // start starts its node, with the list as its agent last had it.
 func (m *member) start(replaces bool) error {
-	if m.r.scenario.Operated() {
+	if m.rig.scenario.Operated() {
 		var err error
-		if m.ops, err = freeport.Free(); err != nil { // new for each process: two may be up at once
+		if m.adminAddr, err = freeport.Free(); err != nil { // new for each process: two may be up at once
 			return err
 		}
 	}
@@ -72,38 +72,38 @@
 		return err
 	}
 	number := m.number
-	p, err := m.r.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.r.scenario.Operator(m.http), Fleet: m.r.charter(number),
-		OnRecord: func(e eventlog.Event, at time.Time) { m.r.note(number, e, at) }, OnTrace: m.r.traced})
+	p, err := m.rig.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.rig.scenario.Operator(m.httpAddr), Fleet: m.rig.fleetConfig(number),
+		OnRecord: func(e eventlog.Event, at time.Time) { m.rig.onRecord(number, e, at) }, OnTrace: m.rig.onTraceLine})
 	if err != nil {
 		return fmt.Errorf("node %s does not start: %w", m.name, err)
 	}
-	m.r.mu.Lock()
-	if m.r.closing { // the run has ended while it started: nobody else would end it
-		m.r.mu.Unlock()
+	m.rig.mu.Lock()
+	if m.rig.closing { // the run has ended while it started: nobody else would end it
+		m.rig.mu.Unlock()
 		p.Kill()
 		<-p.Done()
 		return nil
 	}
-	m.process, m.killed, m.ending, m.parting = p, false, false, false
-	m.r.views.RecordProcess(m.r.now(), m.name, true, true)
+	m.process, m.killed, m.ending, m.reuseOnly = p, false, false, false
+	m.rig.views.RecordProcess(m.rig.now(), m.name, true, true)
 	phase := coverage.Handover
-	if m.life++; !replaces {
-		m.lives++
+	if m.incarnation++; !replaces {
+		m.freshStarts++
 		phase = coverage.Starting
 	}
-	m.r.coverage.PhaseChanged(m.number, phase)
-	life := m.life
-	m.r.mu.Unlock()
+	m.rig.coverage.PhaseChanged(m.number, phase)
+	life := m.incarnation
+	m.rig.mu.Unlock()
 	go func() {
 		<-p.Done()
-		m.r.mu.Lock()
-		defer m.r.mu.Unlock()
-		if m.life == life {
-			m.r.coverage.PhaseChanged(m.number, coverage.Down)
+		m.rig.mu.Lock()
+		defer m.rig.mu.Unlock()
+		if m.incarnation == life {
+			m.rig.coverage.PhaseChanged(m.number, coverage.Down)
 		}
-		if m.life == life && !m.ending && !m.r.stopped {
+		if m.incarnation == life && !m.ending && !m.rig.stopped {
 			m.serving = false
-			m.r.deaths = append(m.r.deaths, m.name+": "+p.ExitReason())
+			m.rig.failures = append(m.rig.failures, m.name+": "+p.ExitReason())
 		}
 	}()
 	return nil
@@ -124,7 +124,7 @@
 	m.process.End()
 	r.At(r.now().Add(clientsLinger), func() {
 		if m.ending {
-			m.serving, m.parting = false, r.scenario.Traffic.UntilKill
+			m.serving, m.reuseOnly = false, r.scenario.Traffic.UntilKill
 		}
 	})
 	if r.scenario.Traffic.UntilKill {
@@ -141,7 +141,7 @@
 		r.signalDraining(m, 2*signalInterval, "node_restart", process.End)
 	}
 	r.At(r.now().Add(r.timeToKill()), func() {
-		m.parting = false
+		m.reuseOnly = false
 		process.Kill()
 	})
 }
@@ -164,11 +164,11 @@
 	m := r.nodes[number]
 	go func() {
 		<-m.process.Done()
-		if r.over() || !m.startAnew() {
+		if r.isClosing() || !m.startNext() {
 			return
 		}
 		for !m.pool.Ready() {
-			if r.over() {
+			if r.isClosing() {
 				return
 			}
 			time.Sleep(pollInterval)
@@ -180,22 +180,22 @@
 	}()
 }
 
-// startAnew starts the node's next process, and yet another one where that is to be told to end while it starts. It
+// startNext starts the node's next process, and yet another one where that is to be told to end while it starts. It
 // tells whether a process runs.
-func (m *member) startAnew() bool {
-	m.r.mu.Lock()
+func (m *member) startNext() bool {
+	m.rig.mu.Lock()
 	termAfter := m.termNextStart
 	m.termNextStart = 0
-	m.r.mu.Unlock()
+	m.rig.mu.Unlock()
 	err := m.start(false)
-	if err == nil && termAfter > 0 && !m.r.over() {
+	if err == nil && termAfter > 0 && !m.rig.isClosing() {
 		m.terminateStart(termAfter)
 		err = m.start(false)
 	}
 	if err != nil {
-		m.r.mu.Lock()
-		m.r.deaths = append(m.r.deaths, err.Error())
-		m.r.mu.Unlock()
+		m.rig.mu.Lock()
+		m.rig.failures = append(m.rig.failures, err.Error())
+		m.rig.mu.Unlock()
 	}
 	return err == nil
 }
@@ -204,19 +204,19 @@
 // the protocol is killed.
 func (m *member) terminateStart(after time.Duration) {
 	time.Sleep(after)
-	m.r.mu.Lock()
+	m.rig.mu.Lock()
 	process := m.process
-	m.r.coverage.FaultBegan("node_term_start", []int{m.number})()
+	m.rig.coverage.FaultBegan("node_term_start", []int{m.number})()
 	m.ending = true
-	m.r.coverage.PhaseChanged(m.number, coverage.Draining)
+	m.rig.coverage.PhaseChanged(m.number, coverage.Draining)
 	process.End()
-	m.r.mu.Unlock()
+	m.rig.mu.Unlock()
 	select {
 	case <-process.Done():
-	case <-time.After(m.r.timeToKill()):
+	case <-time.After(m.rig.timeToKill()):
 		process.Kill()
 		<-process.Done()
-		m.failed("told to end while it started, it did not end in time")
+		m.fail("told to end while it started, it did not end in time")
 	}
 }
 
@@ -225,7 +225,7 @@
 	return min(r.settings.LongestDeadline, maxDeadlineAtStop) + killDelay
 }
 
-func (r *Rig) over() bool {
+func (r *Rig) isClosing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closing
@@ -233,10 +233,10 @@
 
 // stop ends its node, as hard as it takes.
 func (m *member) stop() {
-	m.r.mu.Lock()
+	m.rig.mu.Lock()
 	m.ending, m.serving = true, false
 	p := m.process
-	m.r.mu.Unlock()
+	m.rig.mu.Unlock()
 	if p == nil {
 		return
 	}
@@ -244,7 +244,7 @@
 	m.pool.Close() // or it would wait for idle clients
 	select {
 	case <-p.Done():
-	case <-time.After(m.r.settings.LongestDeadline + stopSlack):
+	case <-time.After(m.rig.settings.LongestDeadline + stopSlack):
 		p.Kill()
 		<-p.Done()
 	}
@@ -252,7 +252,7 @@
 
 // configuration is what its process is told, with the list as its agent last had it.
 func (m *member) configuration(listen string) ([]byte, error) {
-	ops := m.ops
+	ops := m.adminAddr
 	if listen != m.addr { // a twin, which no operator calls
 		ops = ""
 	}
@@ -265,6 +265,6 @@
 	}
 	m.agent.mu.Unlock()
 	return json.Marshal(map[string]any{"ops": ops, "name": m.name, "listen": listen, "discovery": m.agent.addr,
-		"seed": fmt.Sprintf("%x", m.r.scenario.Seed*7919+int64(m.number)*31+int64(m.life)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
-		"settings": m.r.scenario.Settings(m.r.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.r.list(0, true, held))})
+		"seed": fmt.Sprintf("%x", m.rig.scenario.Seed*7919+int64(m.number)*31+int64(m.incarnation)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
+		"settings": m.rig.scenario.Settings(m.rig.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.rig.list(0, true, held))})
 }
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -16,10 +16,10 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const twinEndsBy = 15 * time.Second // for a process that finds its name taken
+const duplicateExitTimeout = 15 * time.Second // for a process that finds its name taken
 
-// join opens what is between the nodes, where they know one another: a door for each ordered pair.
-func (r *Rig) join() error {
+// openLinks opens what is between the nodes, where they know one another: a door for each ordered pair.
+func (r *Rig) openLinks() error {
 	if r.scenario.Together == nil {
 		return nil
 	}
@@ -50,20 +50,20 @@
 	return nil
 }
 
-// label is the run's own: a port that another run had may still be written to.
-func (r *Rig) label() string {
+// fleetLabel is the run's own: a port that another run had may still be written to.
+func (r *Rig) fleetLabel() string {
 	return fmt.Sprintf("%s-%d-%d", r.scenario.Name, os.Getpid(), r.bootTime)
 }
 
-func (r *Rig) charter(number int) []byte {
+func (r *Rig) fleetConfig(number int) []byte {
 	if r.faults == nil {
 		return nil
 	}
-	return r.scenario.Charter(number, r.label(), r.gossipAddrs, r.proxies[number])
+	return r.scenario.Charter(number, r.fleetLabel(), r.gossipAddrs, r.proxies[number])
 }
 
-// traced hears a line of a process's trace.
-func (r *Rig) traced(text []byte) {
+// onTraceLine hears a line of a process's trace.
+func (r *Rig) onTraceLine(text []byte) {
 	var l trace.Line
 	if json.Unmarshal(text, &l) != nil {
 		return
@@ -77,24 +77,24 @@
 
 // PauseNode has a node's process stand still, or go on; the lock is held. What it had in hand is excused, and nobody comes to it
 // meanwhile: who would be in front of it finds out within moments, and what a node owes its clients is not what is looked at here.
-func (r *Rig) PauseNode(number int, stop bool) { r.still(number, stop, Pauser.Pause) }
+func (r *Rig) PauseNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Pause) }
 
 // HangNode has a node's loop stand still, or go on, while all else in its process runs; the lock is held.
-func (r *Rig) HangNode(number int, stop bool) { r.still(number, stop, Pauser.Hang) }
+func (r *Rig) HangNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Hang) }
 
-func (r *Rig) still(number int, stop bool, do func(Pauser, bool)) {
+func (r *Rig) stopOrContinue(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
 	p, can := m.process.(Pauser)
 	switch {
 	case !can:
-		r.deaths = append(r.deaths, m.name+" is no process of its own: it can't be made to stand still")
+		r.failures = append(r.failures, m.name+" is no process of its own: it can't be made to stand still")
 		return
-	case m.ending, stop && m.stands != nil, !stop && m.stands != m.process: // another is there by now, which never stood still
+	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process: // another is there by now, which never stood still
 		return
 	}
-	if m.stands = nil; stop {
-		m.stands, m.serving = m.process, false
-		for id := range m.asks {
+	if m.stopped = nil; stop {
+		m.stopped, m.serving = m.process, false
+		for id := range m.inFlight {
 			r.checker.Excuse(id)
 			m.excused[id] = true
 		}
@@ -115,26 +115,26 @@
 func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
-		p, err := m.twin()
+		p, err := m.startDuplicate()
 		if err != nil {
-			m.failed(err.Error())
+			m.fail(err.Error())
 			return
 		}
 		select {
 		case <-p.Done():
 			if !strings.Contains(p.ExitReason(), "has the name") {
-				m.failed("its twin ended otherwise: " + p.ExitReason())
+				m.fail("its twin ended otherwise: " + p.ExitReason())
 			}
-		case <-time.After(twinEndsBy):
-			m.failed("its twin does not end")
+		case <-time.After(duplicateExitTimeout):
+			m.fail("its twin does not end")
 			p.Kill()
 			<-p.Done()
 		}
 	}()
 }
 
-// twin starts one, which no client asks.
-func (m *member) twin() (Process, error) {
+// startDuplicate starts one, which no client asks.
+func (m *member) startDuplicate() (Process, error) {
 	hears, err := freeport.Free()
 	if err != nil {
 		return nil, err
@@ -147,9 +147,9 @@
 	if err != nil {
 		return nil, err
 	}
-	all := slices.Clone(m.r.gossipAddrs)
+	all := slices.Clone(m.rig.gossipAddrs)
 	all[m.number] = hears
-	return m.r.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.r.scenario.Charter(m.number, m.r.label(), all, nil),
+	return m.rig.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.rig.scenario.Charter(m.number, m.rig.fleetLabel(), all, nil),
 		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
 }
 
--- a/internal/emulator/realtime/metrics.go
+++ b/internal/emulator/realtime/metrics.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	scrapeEach  = 500 * time.Millisecond // between fetches of a node's figures
-	figuresLag  = 500 * time.Millisecond // that they may be behind
-	lookBetween = 100 * time.Millisecond // between looks at what clients saw
-	figuresMiss = 3                      // that a count may miss by,
-	figuresPart = 100                    // or this part of it
-	longestText = 1 << 20                // bytes of figures
+	scrapeInterval        = 500 * time.Millisecond // between fetches of a node's figures
+	metricsLag            = 500 * time.Millisecond // that they may be behind
+	countsInterval        = 100 * time.Millisecond // between looks at what clients saw
+	countTolerance        = 3                      // that a count may miss by,
+	countToleranceDivisor = 100                    // or this part of it
+	maxMetricsSize        = 1 << 20                // bytes of figures
 )
 
-// figures is what a node's clients saw of it.
-type figures struct {
-	open int // asked of it and not answered, those that never were with them
-	done map[string]uint64
+// clientCounts is what a node's clients saw of it.
+type clientCounts struct {
+	pending  int // asked of it and not answered, those that never were with them
+	finished map[string]uint64
 }
 
 // The names by which a node tells each kind of end.
-var endNames = map[checker.Final]string{checker.Satisfied: "completed", checker.Rejected: "rejected", checker.Failed: "failed"}
+var metricSuffixes = map[checker.Final]string{checker.Satisfied: "completed", checker.Rejected: "rejected", checker.Failed: "failed"}
 
-func (f *figures) ended(grade string, how checker.Final) {
-	name, is := endNames[how]
+func (f *clientCounts) requestFinished(grade string, how checker.Final) {
+	name, is := metricSuffixes[how]
 	if !is {
 		return
 	}
-	if f.done == nil {
-		f.done = map[string]uint64{}
+	if f.finished == nil {
+		f.finished = map[string]uint64{}
 	}
-	f.open--
-	f.done["svc.downstream_requests."+grade+"."+name]++
+	f.pending--
+	f.finished["svc.downstream_requests."+grade+"."+name]++
 }
 
-// untrue tells which of a node's counts could not be what its clients saw from one look to the other.
-func untrue(text string, from, to figures) (wrong []string) {
+// wrongCounts tells which of a node's counts could not be what its clients saw from one look to the other.
+func wrongCounts(text string, from, to clientCounts) (wrong []string) {
 	for line := range strings.Lines(text) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
 		if !strings.HasPrefix(name, "svc.downstream_requests.") {
@@ -52,9 +52,9 @@
 		}
 		digits, kind, _ := strings.Cut(rest, "|")
 		n, err := strconv.ParseUint(digits, 10, 64)
-		low, high := from.done[name], to.done[name]
-		slack := max(figuresMiss, high/figuresPart)
-		if err != nil || kind != "c" || n+slack < low || n > high+slack+uint64(max(0, to.open)) {
+		low, high := from.finished[name], to.finished[name]
+		slack := max(countTolerance, high/countToleranceDivisor)
+		if err != nil || kind != "c" || n+slack < low || n > high+slack+uint64(max(0, to.pending)) {
 			wrong = append(wrong, fmt.Sprintf("%s, where clients saw %d to %d", strings.TrimSpace(line), low, high))
 		}
 	}
@@ -67,45 +67,45 @@
 	go func() {
 		type look struct {
 			at   time.Time
-			seen figures
+			seen clientCounts
 		}
 		var looks []look
-		for fetched := time.Now(); r.now() < until && !r.over(); time.Sleep(lookBetween) {
+		for fetched := time.Now(); r.now() < until && !r.isClosing(); time.Sleep(countsInterval) {
 			r.mu.Lock()
-			now := look{time.Now(), figures{m.figures.open, maps.Clone(m.figures.done)}}
+			now := look{time.Now(), clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}}
 			r.mu.Unlock()
 			looks = append(looks, now)
-			for len(looks) > 1 && now.at.Sub(looks[1].at) >= figuresLag {
+			for len(looks) > 1 && now.at.Sub(looks[1].at) >= metricsLag {
 				looks = looks[1:]
 			}
-			if now.at.Sub(fetched) < scrapeEach {
+			if now.at.Sub(fetched) < scrapeInterval {
 				continue
 			}
 			fetched = now.at
-			text, err := m.fetch()
+			text, err := m.fetchMetrics()
 			if err != nil {
-				m.failed("its figures: " + err.Error())
+				m.fail("its figures: " + err.Error())
 				return
 			}
 			r.mu.Lock()
-			to := figures{m.figures.open, maps.Clone(m.figures.done)}
+			to := clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}
 			r.mu.Unlock()
-			if wrong := untrue(text, looks[0].seen, to); len(wrong) > 0 {
-				m.failed("untrue figures: " + strings.Join(wrong, "; "))
+			if wrong := wrongCounts(text, looks[0].seen, to); len(wrong) > 0 {
+				m.fail("untrue figures: " + strings.Join(wrong, "; "))
 				return
 			}
 		}
 	}()
 }
 
-func (m *member) fetch() (string, error) {
-	client := http.Client{Timeout: callBy, Transport: &http.Transport{DisableKeepAlives: true}}
-	a, err := client.Get("http://" + m.ops + "/status/metrics")
+func (m *member) fetchMetrics() (string, error) {
+	client := http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	a, err := client.Get("http://" + m.adminAddr + "/status/metrics")
 	if err != nil {
 		return "", err
 	}
 	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, longestText))
+	text, err := io.ReadAll(io.LimitReader(a.Body, maxMetricsSize))
 	if err == nil && !strings.Contains(string(text), "svc.pending:") {
 		err = fmt.Errorf("status %d, and none", a.StatusCode)
 	}
--- a/internal/emulator/realtime/metrics_test.go
+++ b/internal/emulator/realtime/metrics_test.go
@@ -10,23 +10,23 @@
 // A node that counts two of a hundred twice, or forgets them, is to be seen; one that lags, or has answered what is still on its
 // way to clients, is not.
 func TestANodeThatMiscountsByTwoPercentIsSeen(t *testing.T) {
-	var from, to figures
+	var from, to clientCounts
 	for n := range 2000 {
-		to.open++
-		to.ended("read", checker.Satisfied)
+		to.pending++
+		to.requestFinished("read", checker.Satisfied)
 		if n < 1900 { // seen half a second before
-			from.open++
-			from.ended("read", checker.Satisfied)
+			from.pending++
+			from.requestFinished("read", checker.Satisfied)
 		}
 	}
-	to.open = 5
+	to.pending = 5
 	for said, wrong := range map[int]bool{2000: false, 1900: false, 2020: false, 2045: true, 1860: true} {
 		text := fmt.Sprintf("svc.downstream_requests.read.completed:%d|c\nsvc.downstream_requests.read.failed:0|c\nsvc.pending:9|g\n", said)
-		if got := untrue(text, from, to); len(got) > 0 != wrong {
+		if got := wrongCounts(text, from, to); len(got) > 0 != wrong {
 			t.Errorf("%d: %v", said, got)
 		}
 	}
-	if got := untrue("svc.downstream_requests.read.completed:many|c\n", from, to); len(got) != 1 {
+	if got := wrongCounts("svc.downstream_requests.read.completed:many|c\n", from, to); len(got) != 1 {
 		t.Error(got)
 	}
 }
--- a/internal/emulator/realtime/nodefaults.go
+++ b/internal/emulator/realtime/nodefaults.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	crowdRests  = 20 * time.Millisecond // before a client of a crowd that was closed comes again
-	crowdDials  = time.Second           // that connecting may take
-	stalledEnds = 3 * time.Second       // by which a client that stopped in the middle of a request is to have its error, or its end
+	reconnectDelay        = 20 * time.Millisecond // before a client of a crowd that was closed comes again
+	crowdDialTimeout      = time.Second           // that connecting may take
+	stalledRequestTimeout = 3 * time.Second       // by which a client that stopped in the middle of a request is to have its error, or its end
 )
 
 // CrowdNode has clients connect to a node and keep what they have: half of them ask once whether it is ready, the others say nothing. One that is
@@ -21,8 +21,8 @@
 	addr := r.nodes[number].addr
 	for n := range clients {
 		go func() {
-			for !r.over() && r.now() < until {
-				c, err := net.DialTimeout("tcp", addr, crowdDials)
+			for !r.isClosing() && r.now() < until {
+				c, err := net.DialTimeout("tcp", addr, crowdDialTimeout)
 				if err == nil {
 					if n%2 == 0 {
 						io.WriteString(c, "mn\r\n")
@@ -31,7 +31,7 @@
 					io.Copy(io.Discard, c)
 					c.Close()
 				}
-				time.Sleep(crowdRests)
+				time.Sleep(reconnectDelay)
 			}
 		}()
 	}
@@ -41,24 +41,24 @@
 // or was killed meanwhile; the lock is held.
 func (r *Rig) StallClients(number, clients int) {
 	m := r.nodes[number]
-	life := m.life
+	life := m.incarnation
 	for n := range clients {
 		go func() {
-			c, err := net.DialTimeout("tcp", m.addr, crowdDials)
+			c, err := net.DialTimeout("tcp", m.addr, crowdDialTimeout)
 			if err != nil {
 				return
 			}
 			defer c.Close()
 			io.WriteString(c, "mg k v O"[:2+n%7])
-			slack := max(slack, r.judgeSlack())
-			c.SetReadDeadline(time.Now().Add(stalledEnds + slack))
+			slack := max(slack, r.scenarioSlack())
+			c.SetReadDeadline(time.Now().Add(stalledRequestTimeout + slack))
 			if _, err := c.Read(make([]byte, 1)); err == nil || !isTimeout(err) {
 				return
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if m.life == life && !m.ending && !r.closing {
-				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledEnds+slack))
+			if m.incarnation == life && !m.ending && !r.closing {
+				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledRequestTimeout+slack))
 			}
 		}()
 	}
@@ -92,7 +92,7 @@
 	r.At(r.now().Add(long), func() { p.Pause(false) })
 }
 
-// judgeSlack is what the script allows what crosses to take.
-func (r *Rig) judgeSlack() time.Duration {
+// scenarioSlack is what the script allows what crosses to take.
+func (r *Rig) scenarioSlack() time.Duration {
 	return time.Duration(r.scenario.Allowed.SlackMs * float64(time.Millisecond))
 }
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -24,7 +24,7 @@
 	"dahliapin/policy"
 )
 
-const small = `
+const baseScenario = `
 seconds = 3
 seed = 3
 [fleet]
@@ -165,8 +165,8 @@
 	return s.addrs[id]
 }
 
-// leg sends a command to a cache or the origin and returns the answer for the client.
-func (s *stub) leg(to string, c *meta.Command) string {
+// sendAttempt sends a command to a cache or the origin and returns the answer for the client.
+func (s *stub) sendAttempt(to string, c *meta.Command) string {
 	if items, _ := meta.Flag(c.Flags, 'P'); to == "origin" {
 		method := http.MethodGet
 		if c.Verb == meta.Set {
@@ -203,7 +203,7 @@
 		value, _ := r.ReadString('\n')
 		return string(meta.AppendValue(nil, c.ID, []byte(strings.TrimSpace(value))))
 	case strings.HasPrefix(line, "EN"):
-		return s.leg("origin", c)
+		return s.sendAttempt("origin", c)
 	}
 	return line
 }
@@ -238,9 +238,9 @@
 	read, mark, pay := string(grade) == "read", string(grade) == "mark", string(grade) == "pay"
 	well := func() string {
 		if read {
-			return s.leg("c1", c)
+			return s.sendAttempt("c1", c)
 		}
-		return s.leg("origin", c)
+		return s.sendAttempt("origin", c)
 	}
 	switch {
 	case s.wrong == "answers twice" && read:
@@ -252,7 +252,7 @@
 	case s.wrong == "makes a value up" && read:
 		return string(meta.AppendValue(nil, c.ID, []byte("v:none")))
 	case s.wrong == "sends on after the answer" && read:
-		go func() { time.Sleep(120 * time.Millisecond); s.leg("c2", c) }()
+		go func() { time.Sleep(120 * time.Millisecond); s.sendAttempt("c2", c) }()
 		return "SERVER_ERROR failed\r\n"
 	case s.wrong == "repeats what can't be undone" && pay:
 		well()
@@ -267,12 +267,12 @@
 	case s.wrong == "sends on for who has left" && read:
 		time.Sleep(250 * time.Millisecond)
 	case s.wrong == "sends a second beside the first" && read:
-		go s.leg("c2", c)
-		go s.leg("c3", c)
+		go s.sendAttempt("c2", c)
+		go s.sendAttempt("c3", c)
 	case s.wrong == "sends to one that drains" && read:
-		return s.leg("c4", c)
+		return s.sendAttempt("c4", c)
 	case s.wrong == "pushes a cold cache over" && read:
-		return s.leg("last", c)
+		return s.sendAttempt("last", c)
 	}
 	return well()
 }
@@ -288,7 +288,7 @@
 			if rule%4 > 0 { // the good one and who needs its rate kept have the machine before the others
 				t.Parallel()
 			}
-			s := parse(t, small+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
+			s := parse(t, baseScenario+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
 				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n"}[rule])
 			if rule == 2 && strings.Contains(wrong, "second") { // the first is to be out for long enough to be seen beside
 				s.Classes[0].WorkMs = 120
@@ -345,7 +345,7 @@
 caches = ["c4"]
 for_s = 0.5
 `
-	plain := strings.Replace(small, "seconds = 3", "seconds = 6", 1) + faults
+	plain := strings.Replace(baseScenario, "seconds = 3", "seconds = 6", 1) + faults
 	for name, text := range map[string]string{"meta": plain, "http": strings.NewReplacer("[fleet]", "[fleet]\nprotocol = \"http\"",
 		"[traffic]", "[traffic]\nprotocol = \"http\"", "\"reset\"", "\"stale\"").Replace(plain)} {
 		t.Run(name, func(t *testing.T) {
@@ -379,7 +379,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	run := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
-	if _, err := Play(ctx, parse(t, small), run, nil); !errors.Is(err, context.Canceled) {
+	if _, err := Play(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
 		t.Errorf("broken off: %v", err)
 	}
 	select {
@@ -395,7 +395,7 @@
 	}
 	dies := &stub{}
 	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
-	r, err := Play(context.Background(), parse(t, small), dies, nil)
+	r, err := Play(context.Background(), parse(t, baseScenario), dies, nil)
 	if err != nil || r.Good() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
 		t.Errorf("a node that dies on its own: %v %v", err, r)
 	}
@@ -403,21 +403,21 @@
 
 // A machine that can't keep the pace says so instead of judging.
 func TestAMachineTooBusyDoesNotJudge(t *testing.T) {
-	s := parse(t, small)
+	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
 	l.Played, l.Late = 100, 3
-	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Good() || r.MachineTooBusy == "" {
+	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); r.Good() || r.MachineTooBusy == "" {
 		t.Error("judged")
 	}
 	l.Late = 2
-	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Good() {
+	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); !r.Good() {
 		t.Error("not judged", r.Expected)
 	}
 }
 
 func newWorld(s *scenario.Scenario) *world.World { return world.New(s.World(nil)) }
 
-func newJudge(s *scenario.Scenario) *checker.Checker {
+func newChecker(s *scenario.Scenario) *checker.Checker {
 	var gs []policy.ServiceClass
 	for _, g := range s.WorldClasses() {
 		gs = append(gs, g.ServiceClass)
@@ -427,22 +427,22 @@
 
 // A cache of the emulator's carries purges out: what it held is gone, and it says whether it held it.
 func TestACacheCarriesPurgesOut(t *testing.T) {
-	s := parse(t, small)
+	s := parse(t, baseScenario)
 	terms, err := s.TermsAt("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newJudge(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
-	if err := r.open(0); err != nil {
+	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newChecker(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
+	if err := r.openServer(0); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.servers[0].shut()
+		r.servers[0].close()
 	}()
 	r.traffic = world.NewTraffic(s.TrafficPlan())
-	r.warm()
+	r.warmCaches()
 	held := 0
 	say := func(line string) string {
 		t.Helper()
@@ -468,7 +468,7 @@
 			t.Fatalf("%q", got)
 		}
 	}
-	r.warm()
+	r.warmCaches()
 	if got := say("flush_all\r\n"); got != "OK\r\n" || held == 0 {
 		t.Errorf("%q, %d held", got, held)
 	}
@@ -483,9 +483,9 @@
 func TestWhatIsInVirtualTimeOnlyIsRefused(t *testing.T) {
 	for _, more := range []string{"[traffic]\nskew = 0.5\n", "[network]\nlate_share = 0.1\nlate_ms = 5\n", "[network]\nlost_share = 0.1\n"} {
 		section, keys, _ := strings.Cut(more, "\n")
-		text := small + more
-		if strings.Contains(small, section+"\n") {
-			text = strings.Replace(small, section+"\n", section+"\n"+keys, 1)
+		text := baseScenario + more
+		if strings.Contains(baseScenario, section+"\n") {
+			text = strings.Replace(baseScenario, section+"\n", section+"\n"+keys, 1)
 		}
 		if _, err := Play(context.Background(), parse(t, text), Embedded{}, nil); err == nil || !strings.Contains(err.Error(), "virtual time only") {
 			t.Errorf("%q: %v", more, err)
--- a/internal/emulator/realtime/operations.go
+++ b/internal/emulator/realtime/operations.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	yesBy     = 6 * time.Second        // for a new process to say yes
-	backBy    = 2 * time.Second        // for a node to take clients again
-	frontLags = 200 * time.Millisecond // that the front sends new clients after the first no
-	leftBy    = 4 * time.Second        // after the call, by which no client's connection may be held
-	callBy    = time.Second            // for each answer to operators
-	askEach   = 100 * time.Millisecond // between the front's questions
+	takeoverTimeout    = 6 * time.Second        // for a new process to say yes
+	standbyTimeout     = 2 * time.Second        // for a node to take clients again
+	balancerLag        = 200 * time.Millisecond // that the front sends new clients after the first no
+	connsClosedTimeout = 4 * time.Second        // after the call, by which no client's connection may be held
+	adminTimeout       = time.Second            // for each answer to operators
+	probeInterval      = 100 * time.Millisecond // between the front's questions
 )
 
-// call makes an operators' call of a member's process.
-func (m *member) call(method, at, path string) bool {
+// callAdmin makes an operators' callAdmin of a member's process.
+func (m *member) callAdmin(method, at, path string) bool {
 	q, err := http.NewRequest(method, "http://"+at+path, nil)
 	if err != nil {
 		return false
 	}
-	client := http.Client{Timeout: callBy, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := client.Do(q)
 	if err != nil {
 		return false
@@ -31,22 +31,22 @@
 	return a.StatusCode/100 == 2
 }
 
-// within asks until the answer is yes, and tells whether it was in time.
-func (m *member) within(long time.Duration, yes func() bool) bool {
-	for by := time.Now().Add(long); !yes(); time.Sleep(askEach / 5) {
-		if time.Now().After(by) || m.r.over() {
-			return m.r.over()
+// waitUntil asks until the answer is yes, and tells whether it was in time.
+func (m *member) waitUntil(long time.Duration, yes func() bool) bool {
+	for by := time.Now().Add(long); !yes(); time.Sleep(probeInterval / 5) {
+		if time.Now().After(by) || m.rig.isClosing() {
+			return m.rig.isClosing()
 		}
 	}
 	return true
 }
 
-// failed ends the run as failed: a node did not do what its operators asked.
-func (m *member) failed(what string) {
-	m.r.mu.Lock()
-	defer m.r.mu.Unlock()
-	if !m.r.closing {
-		m.r.deaths = append(m.r.deaths, m.name+": "+what)
+// fail ends the run as fail: a node did not do what its operators asked.
+func (m *member) fail(what string) {
+	m.rig.mu.Lock()
+	defer m.rig.mu.Unlock()
+	if !m.rig.closing {
+		m.rig.failures = append(m.rig.failures, m.name+": "+what)
 	}
 }
 
@@ -56,26 +56,26 @@
 	old := m.process
 	go func() {
 		if err := m.start(true); err != nil {
-			m.failed(err.Error())
+			m.fail(err.Error())
 			return
 		}
-		if !m.within(yesBy, func() bool { return m.call(http.MethodGet, m.ops, "/status") }) {
-			m.failed("the new process does not say yes")
+		if !m.waitUntil(takeoverTimeout, func() bool { return m.callAdmin(http.MethodGet, m.adminAddr, "/status") }) {
+			m.fail("the new process does not say yes")
 			return
 		}
 		old.End()
 		select {
 		case <-old.Done():
 		case <-time.After(r.settings.LongestDeadline + stopSlack):
-			m.failed("the old process does not end")
+			m.fail("the old process does not end")
 			old.Kill()
 		}
-		r.handedOver(m)
+		r.takeoverDone(m)
 	}()
 }
 
-// handedOver notes that a node's new process is alone.
-func (r *Rig) handedOver(m *member) {
+// takeoverDone notes that a node's new process is alone.
+func (r *Rig) takeoverDone(m *member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !m.ending {
@@ -97,21 +97,21 @@
 		if by {
 			path = "/standby"
 		}
-		if !m.call(http.MethodPut, m.ops, path) {
-			m.failed("said no to " + path)
+		if !m.callAdmin(http.MethodPut, m.adminAddr, path) {
+			m.fail("said no to " + path)
 			return
 		}
-		if !m.within(backBy, func() bool { return m.pool.Ready() != by }) {
-			m.failed("does not tell the front of " + path)
+		if !m.waitUntil(standbyTimeout, func() bool { return m.pool.Ready() != by }) {
+			m.fail("does not tell the front of " + path)
 		}
 		if by {
-			time.Sleep(frontLags)
+			time.Sleep(balancerLag)
 		}
 		r.mu.Lock()
 		m.serving = !by
 		r.mu.Unlock()
-		if by && !m.within(leftBy-time.Since(begun), func() bool { return m.pool.OpenConns() == 0 }) {
-			m.failed("holds clients' connections on standby")
+		if by && !m.waitUntil(connsClosedTimeout-time.Since(begun), func() bool { return m.pool.OpenConns() == 0 }) {
+			m.fail("holds clients' connections on standby")
 		}
 	}()
 }
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -73,41 +73,41 @@
 
 // Rig is one run.
 type Rig struct {
-	scenario  *scenario.Scenario
-	settings  settings.Settings
-	starter   Starter
-	startedAt time.Time
-	tell      func(string) // progress, a line at a time; nil for nobody
-
-	mu          sync.Mutex
-	world       *world.World
-	traffic     *world.Traffic
-	checker     *checker.Checker
-	observer    *runner.WorldObserver
-	log         *report.Log
-	coverage    *coverage.Tracker
-	run         *runner.Run
-	fleet       *eventlog.Recorder
-	queue       timerqueue.Queue[func()]
-	wake        chan struct{}
-	chance      keyhash.Source
-	registry    *world.Registry
-	servers     []*server
-	attempts    map[uint64]*attempt
-	tags        uint64
-	nodes       []*member
-	avoids      map[policy.EndpointID]map[int]bool
-	listUp      chan struct{} // closed while discovery is up
-	pending     []policy.Endpoint
-	deaths      []string
-	requests    sync.WaitGroup
-	faults      *netfault.Forwarder // nil where nodes do not know one another
-	proxies     []map[string]string // the way from each node to each address
-	bootTime    policy.Instant      // the shared clock when the run began
-	gossipAddrs []string            // where each node hears the others
-	views       *checker.Views
-	closing     bool // no node is started any more
-	stopped     bool // nor anything else done
+	scenario   *scenario.Scenario
+	settings   settings.Settings
+	starter    Starter
+	startedAt  time.Time
+	onProgress func(string) // progress, a line at a time; nil for nobody
+
+	mu             sync.Mutex
+	world          *world.World
+	traffic        *world.Traffic
+	checker        *checker.Checker
+	observer       *runner.WorldObserver
+	log            *report.Log
+	coverage       *coverage.Tracker
+	run            *runner.Run
+	fleetRecorder  *eventlog.Recorder
+	queue          timerqueue.Queue[func()]
+	wake           chan struct{}
+	chance         keyhash.Source
+	registry       *world.Registry
+	servers        []*server
+	attempts       map[uint64]*attempt
+	lastTag        uint64
+	nodes          []*member
+	ejectedBy      map[policy.EndpointID]map[int]bool
+	listUp         chan struct{} // closed while discovery is up
+	pendingUpdates []policy.Endpoint
+	failures       []string
+	requests       sync.WaitGroup
+	faults         *netfault.Forwarder // nil where nodes do not know one another
+	proxies        []map[string]string // the way from each node to each address
+	bootTime       policy.Instant      // the shared clock when the run began
+	gossipAddrs    []string            // where each node hears the others
+	views          *checker.Views
+	closing        bool // no node is started any more
+	stopped        bool // nor anything else done
 }
 
 // Play plays a scenario on sockets and returns what came of it. A cancelled context ends it early, without a report.
@@ -124,18 +124,18 @@
 	if err := r.openServers(); err != nil {
 		return nil, err
 	}
-	if err := r.join(); err != nil {
+	if err := r.openLinks(); err != nil {
 		return nil, err
 	}
 	go r.clock()
 	if err := r.startNodes(); err != nil {
 		return nil, err
 	}
-	if err := r.ready(ctx); err != nil {
+	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
 	start := r.begin()
-	if err := r.arrivals(ctx, start); err != nil {
+	if err := r.sendTraffic(ctx, start); err != nil {
 		return nil, err
 	}
 	select { // the last requests have their deadlines still to come
@@ -154,20 +154,20 @@
 	up := make(chan struct{})
 	close(up)
 	r := &Rig{
-		registry:  s.Registry(),
-		scenario:  s,
-		settings:  deployment,
-		starter:   starter,
-		startedAt: time.Now(),
-		tell:      progress,
-		wake:      make(chan struct{}, 1),
-		attempts:  map[uint64]*attempt{},
-		avoids:    map[policy.EndpointID]map[int]bool{},
-		listUp:    up,
-		chance:    keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
-		log:       report.NewLog(s, epoch),
-		coverage:  coverage.NewTracker(s.Fleet.Nodes),
-		traffic:   world.NewTraffic(s.TrafficPlan()),
+		registry:   s.Registry(),
+		scenario:   s,
+		settings:   deployment,
+		starter:    starter,
+		startedAt:  time.Now(),
+		onProgress: progress,
+		wake:       make(chan struct{}, 1),
+		attempts:   map[uint64]*attempt{},
+		ejectedBy:  map[policy.EndpointID]map[int]bool{},
+		listUp:     up,
+		chance:     keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
+		log:        report.NewLog(s, epoch),
+		coverage:   coverage.NewTracker(s.Fleet.Nodes),
+		traffic:    world.NewTraffic(s.TrafficPlan()),
 	}
 	r.checker = checker.New(checker.Rules{
 		Classes:        deployment.Policy.Classes,
@@ -185,12 +185,12 @@
 // openServers opens a listener for each server, and fills the caches where the scenario has them warm.
 func (r *Rig) openServers() error {
 	for i := range r.world.Servers {
-		if err := r.open(i); err != nil {
+		if err := r.openServer(i); err != nil {
 			return err
 		}
 	}
 	if r.scenario.Fleet.Warm {
-		r.warm()
+		r.warmCaches()
 	}
 	return nil
 }
@@ -217,8 +217,8 @@
 	r.log = report.NewLog(r.scenario, start)
 	r.observer.Log = r.log
 	r.log.Views = r.views
-	r.fleet = eventlog.New(report.FleetName, r.log.AddRecord, isOrigin)
-	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
+	r.fleetRecorder = eventlog.New(report.FleetName, r.log.AddRecord, isOrigin)
+	r.fleetRecorder.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.run = runner.Play(r.scenario, r.world, r.traffic, start, r)
 	r.wakeClock()
 	return start
@@ -231,7 +231,7 @@
 	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now gets none
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	result.Coverage = r.coverage.Table
-	for _, how := range r.deaths {
+	for _, how := range r.failures {
 		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
 	}
 	return result
@@ -261,7 +261,7 @@
 			}
 			do()
 		}
-		r.world.Advance(now, r.served)
+		r.world.Advance(now, r.jobDone)
 		r.checker.Advance(now)
 		next := now.Add(time.Second)
 		if at, any := r.queue.Next(); any {
@@ -293,14 +293,14 @@
 	r.wakeClock()
 }
 
-// warm puts keys where the module would send them.
-func (r *Rig) warm() {
+// warmCaches puts keys where the module would send them.
+func (r *Rig) warmCaches() {
 	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
-func (r *Rig) ready(ctx context.Context) error {
+func (r *Rig) awaitReady(ctx context.Context) error {
 	by := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
 		for !m.pool.Ready() {
@@ -323,8 +323,8 @@
 	return nil
 }
 
-// arrivals plays the traffic, open loop: a try goes out at its time, whatever became of earlier ones.
-func (r *Rig) arrivals(ctx context.Context, start policy.Instant) error {
+// sendTraffic plays the traffic, open loop: a try goes out at its time, whatever became of earlier ones.
+func (r *Rig) sendTraffic(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	end := start.Add(r.scenario.Duration())
@@ -342,7 +342,7 @@
 		r.mu.Lock()
 		for now := r.now(); at <= now && at < end; { // the traffic's time is the script's: waves and seconds are its own
 			req := r.traffic.Draw(at)
-			r.ask(req, at, true)
+			r.sendRequest(req, at, true)
 			if now.Since(at) > report.LateArrival {
 				r.log.Late++
 			}
@@ -350,9 +350,9 @@
 		}
 		r.mu.Unlock()
 		second := int(r.now().Since(start) / time.Second)
-		if second > reported && r.tell != nil {
+		if second > reported && r.onProgress != nil {
 			reported = second
-			r.tell(r.progress(second))
+			r.onProgress(r.progress(second))
 		}
 	}
 	return nil
@@ -367,12 +367,12 @@
 		second, r.scenario.Seconds, last.Asked, last.InTime, last.Attempts, last.OriginAttempts, r.checker.Breached())
 }
 
-// ask sends one try; the lock is held.
-func (r *Rig) ask(req world.Request, first policy.Instant, isFirst bool) {
+// sendRequest sends one try; the lock is held.
+func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
 	var up []*member
 	for _, m := range r.nodes {
-		if m.serving || m.parting && m.pool.HasIdle() {
+		if m.serving || m.reuseOnly && m.pool.HasIdle() {
 			up = append(up, m)
 		}
 	}
@@ -385,9 +385,9 @@
 		return
 	}
 	m := up[int(r.chance.Float64()*float64(len(up)))]
-	now, life := r.now(), m.lives
-	m.figures.open++
-	m.asks[req.ID] = true
+	now, life := r.now(), m.freshStarts
+	m.counts.pending++
+	m.inFlight[req.ID] = true
 	r.coverage.RequestSent(m.number, req.ID, g.Idempotency)
 	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
 	sent := &client.Request{
@@ -404,7 +404,7 @@
 	if g.Write {
 		sent.Value = world.ValueOf(req.Key)
 	}
-	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%validates == 0 {
+	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%revalidateOneIn == 0 {
 		sent.CachedValue = world.ValueOf(req.Key)
 	}
 	r.requests.Add(1)
@@ -412,16 +412,16 @@
 		defer r.requests.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.answered(m, life, req, first, got)
+		r.onResponse(m, life, req, first, got)
 	})
 }
 
-// answered hears what came of a try.
-func (r *Rig) answered(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
+// onResponse hears what came of a try.
+func (r *Rig) onResponse(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
 	if r.stopped {
 		return
 	}
-	delete(m.asks, req.ID)
+	delete(m.inFlight, req.ID)
 	r.coverage.RequestEnded(m.number, req.ID)
 	g, now := &r.traffic.Classes[req.Class], r.at(got.ReceivedAt)
 	if got.Unsolicited {
@@ -441,11 +441,11 @@
 		return
 	case got.Silent: // the judge counts it as lost at its deadline
 		return
-	case got.Final == checker.Cut && m.lives != life || got.Final == checker.Cut && m.killed:
+	case got.Final == checker.Cut && m.freshStarts != life || got.Final == checker.Cut && m.killed:
 		r.checker.Excuse(req.ID)
 		r.checker.Classes[req.Class].Cut++
 	default:
-		m.figures.ended(g.Name, got.Final)
+		m.counts.requestFinished(g.Name, got.Final)
 		if got.Final == checker.Satisfied && !g.Write && got.Value != r.scenario.Value(world.ValueOf(req.Key)) {
 			got.Wrong = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
 		}
@@ -465,7 +465,7 @@
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
-				r.ask(next, first, false)
+				r.sendRequest(next, first, false)
 			}
 		})
 	}
@@ -489,13 +489,13 @@
 		return
 	}
 	close(r.listUp)
-	for _, e := range r.pending {
+	for _, e := range r.pendingUpdates {
 		r.EndpointChanged(e)
 	}
-	r.pending = nil
+	r.pendingUpdates = nil
 }
 
-func (r *Rig) listDown() bool {
+func (r *Rig) discoveryDown() bool {
 	select {
 	case <-r.listUp:
 		return false
@@ -507,52 +507,52 @@
 // EndpointChanged tells a change of the list to each node's agent, late.
 func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
-		r.attend(i)
+		r.updateListener(i)
 	}
-	if r.listDown() {
-		r.pending = append(r.pending, e)
+	if r.discoveryDown() {
+		r.pendingUpdates = append(r.pendingUpdates, e)
 		return
 	}
 	for _, m := range r.nodes {
 		span := r.scenario.Discovery.NoticeS
 		late := scenario.Span(span[0] + (span[1]-span[0])*r.chance.Float64())
-		r.At(r.now().Add(late), func() { m.agent.hear(e) })
+		r.At(r.now().Add(late), func() { m.agent.addChange(e) })
 	}
-	if r.fleet != nil {
+	if r.fleetRecorder != nil {
 		r.At(r.now().Add(scenario.Span(r.scenario.Discovery.NoticeS[0])), func() {
-			r.fleet.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
+			r.fleetRecorder.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
 		})
 	}
 }
 
-// note hears a node's record. The fleet as a whole avoids what most of its nodes avoid.
-func (r *Rig) note(number int, e eventlog.Event, at time.Time) {
+// onRecord hears a node's record. The fleet as a whole avoids what most of its nodes avoid.
+func (r *Rig) onRecord(number int, e eventlog.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fleet == nil || r.stopped {
+	if r.fleetRecorder == nil || r.stopped {
 		return
 	}
 	e.At = r.at(at)
 	r.log.AddRecord(e)
-	s, known := standings[e.Reason]
+	s, known := ejectionStates[e.Reason]
 	if !known || e.Kind != eventlog.EndpointAvoided && e.Kind != eventlog.EndpointRestored {
 		return
 	}
-	if r.avoids[e.Server] == nil {
-		r.avoids[e.Server] = map[int]bool{}
+	if r.ejectedBy[e.Server] == nil {
+		r.ejectedBy[e.Server] = map[int]bool{}
 	}
 	if e.Kind == eventlog.EndpointRestored {
-		delete(r.avoids[e.Server], number)
+		delete(r.ejectedBy[e.Server], number)
 		s = policy.StateInUse
 	} else {
-		r.avoids[e.Server][number] = true
+		r.ejectedBy[e.Server][number] = true
 	}
-	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
-		r.fleet.EndpointStateChanged(e.At, e.Server, s)
+	if most := 2*len(r.ejectedBy[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
+		r.fleetRecorder.EndpointStateChanged(e.At, e.Server, s)
 	}
 }
 
-var standings = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
+var ejectionStates = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
 	policy.StateFailing.String(): policy.StateFailing}
 
 // close ends all that runs.
@@ -566,9 +566,9 @@
 	r.mu.Lock()
 	r.stopped = true
 	for _, s := range r.servers {
-		s.shut()
+		s.close()
 	}
-	if r.listDown() {
+	if r.discoveryDown() {
 		close(r.listUp)
 	}
 	nodes := r.nodes
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -22,51 +22,51 @@
 )
 
 const (
-	established = 1                      // a connection's state in the kernel, by RFC 9293
-	mostAnswers = 64                     // that may wait on one connection for a slow reader
-	readAtOnce  = 16 << 10               // bytes of commands read at once
-	mostCommand = 1 << 20                // bytes of a command that has not come whole
-	fillWithin  = 50 * time.Millisecond  // that a connection may take which only fills a queue
-	frozenLook  = time.Millisecond       // between looks whether a cache that stands still goes on
-	openAgain   = 100 * time.Millisecond // between tries to listen where it listened before
-	garbage     = "\x8c\xa1\x00 no answer of any protocol \xff\r\n"
+	tcpEstablished      = 1                      // a connection's state in the kernel, by RFC 9293
+	maxQueuedAnswers    = 64                     // that may wait on one connection for a slow reader
+	readBufferSize      = 16 << 10               // bytes of commands read at once
+	maxCommandSize      = 1 << 20                // bytes of a command that has not come whole
+	backlogFillTimeout  = 50 * time.Millisecond  // that a connection may take which only fills a queue
+	frozenCheckInterval = time.Millisecond       // between looks whether a cache that stands still goes on
+	relistenDelay       = 100 * time.Millisecond // between tries to listen where it listened before
+	garbageAnswer       = "\x8c\xa1\x00 no answer of any protocol \xff\r\n"
 )
 
 // server is one cache or the origin on sockets.
 type server struct {
-	r       *Rig
-	number  int
-	addr    string
-	at      net.Listener // nil while connections are refused
-	conns   map[*serverConn]bool
-	fault   string
-	fillers []net.Conn    // fill the queue of a server that vanished
-	awake   chan struct{} // closed unless it has vanished
-	web     *http.Server
+	rig            *Rig
+	number         int
+	addr           string
+	listener       net.Listener // nil while connections are refused
+	conns          map[*serverConn]bool
+	fault          string
+	backlogFillers []net.Conn    // fill the queue of a server that vanished
+	responsive     chan struct{} // closed unless it has vanished
+	httpServer     *http.Server
 }
 
 // serverConn is a connection to a cache.
 type serverConn struct {
 	net.Conn
-	s   *server
-	out chan []byte
+	server   *server
+	outgoing chan []byte
 }
 
 // leg is one that a server has in hand.
 type attempt struct {
-	server int
-	id     string
-	came   policy.Instant
-	conn   *serverConn     // to a cache
-	tag    string          // its client asks whether what this names still holds
-	done   chan world.Done // to the origin
+	server    int
+	id        string
+	arrivedAt policy.Instant
+	conn      *serverConn     // to a cache
+	etag      string          // its client asks whether what this names still holds
+	done      chan world.Done // to the origin
 }
 
-// open lets a server listen for the first time.
-func (r *Rig) open(number int) error {
+// openServer lets a server listen for the first time.
+func (r *Rig) openServer(number int) error {
 	awake := make(chan struct{})
 	close(awake)
-	s := &server{r: r, number: number, conns: map[*serverConn]bool{}, awake: awake}
+	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: awake}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("a server cannot listen: %w", err)
@@ -80,33 +80,33 @@
 	return nil
 }
 
-// attend brings a server's listening into line with how it lives; the lock is held. One that is new is opened.
-func (r *Rig) attend(number int) {
+// updateListener brings a server's listening into line with how it lives; the lock is held. One that is new is opened.
+func (r *Rig) updateListener(number int) {
 	if number >= len(r.servers) || r.servers[number] == nil {
-		if err := r.open(number); err != nil {
-			r.deaths = append(r.deaths, err.Error())
+		if err := r.openServer(number); err != nil {
+			r.failures = append(r.failures, err.Error())
 		}
 		return
 	}
 	s := r.servers[number]
 	switch life := r.world.Servers[number].Liveness; {
-	case life == world.Up && s.at == nil && s.fault != "refuse" && !r.stopped:
+	case life == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
 		l, err := net.Listen("tcp", s.addr)
 		if err != nil { // somebody else's connection has its port for a moment
-			r.At(r.now().Add(openAgain), func() { r.attend(number) })
+			r.At(r.now().Add(relistenDelay), func() { r.updateListener(number) })
 			return
 		}
 		s.serve(l)
 	case life == world.Up:
-		s.wake()
+		s.resumeResponding()
 	}
 }
 
 func (s *server) serve(l net.Listener) {
-	s.at = l
-	if s.r.world.IsOrigin(s.number) {
-		s.web = &http.Server{Handler: s}
-		go s.web.Serve(l)
+	s.listener = l
+	if s.rig.world.IsOrigin(s.number) {
+		s.httpServer = &http.Server{Handler: s}
+		go s.httpServer.Serve(l)
 		return
 	}
 	go s.accept(l)
@@ -118,25 +118,25 @@
 		if err != nil {
 			return
 		}
-		r := s.r
+		r := s.rig
 		r.mu.Lock()
-		awake := s.awake
+		awake := s.responsive
 		r.mu.Unlock()
-		if vanished := waitFor(awake); vanished || over(plain) { // one that has vanished accepts nobody, and resets who came meanwhile once it is back
-			reset(plain)
+		if vanished := waitUntilClosed(awake); vanished || peerClosed(plain) { // one that has vanished accepts nobody, and resets who came meanwhile once it is back
+			closeWithReset(plain)
 			continue
 		}
 		r.mu.Lock()
 		r.log.Second(r.now()).Dials++
-		if s.at != l || !r.world.Connect(r.now(), s.number) {
-			if at := r.world.Servers[s.number]; s.at == l && at.OpenConnections >= at.Connections {
+		if s.listener != l || !r.world.Connect(r.now(), s.number) {
+			if at := r.world.Servers[s.number]; s.listener == l && at.OpenConnections >= at.Connections {
 				r.log.Second(r.now()).FullDials++
 			}
 			r.mu.Unlock()
-			reset(plain)
+			closeWithReset(plain)
 			continue
 		}
-		c := &serverConn{Conn: plain, s: s, out: make(chan []byte, mostAnswers)}
+		c := &serverConn{Conn: plain, server: s, outgoing: make(chan []byte, maxQueuedAnswers)}
 		s.conns[c] = true
 		r.world.Servers[s.number].OpenConnections++
 		r.wakeClock()
@@ -146,8 +146,8 @@
 	}
 }
 
-// waitFor waits until a channel is closed, and tells whether it had to.
-func waitFor(awake chan struct{}) (waited bool) {
+// waitUntilClosed waits until a channel is closed, and tells whether it had to.
+func waitUntilClosed(awake chan struct{}) (waited bool) {
 	select {
 	case <-awake:
 		return false
@@ -157,8 +157,8 @@
 	}
 }
 
-// over tells whether the other side has ended a connection: whoever opened it has given up on all that it wrote.
-func over(c net.Conn) (is bool) {
+// peerClosed tells whether the other side has ended a connection: whoever opened it has given up on all that it wrote.
+func peerClosed(c net.Conn) (is bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return false
@@ -169,12 +169,12 @@
 	}
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		is = err != nil || info.State != established
+		is = err != nil || info.State != tcpEstablished
 	})
 	return is
 }
 
-func reset(c net.Conn) {
+func closeWithReset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
@@ -190,98 +190,98 @@
 	}
 	life := r.world.Servers[number].Liveness
 	if life == world.Silent {
-		s.vanish()
+		s.stopResponding()
 		return
 	}
-	s.wake()
+	s.resumeResponding()
 	for c := range s.conns {
-		c.gone(true)
+		c.disconnect(true)
 	}
-	if s.web != nil {
-		go s.web.Close()
-		s.web = nil
-		s.at = nil
+	if s.httpServer != nil {
+		go s.httpServer.Close()
+		s.httpServer = nil
+		s.listener = nil
 	}
-	if (life == world.Down || s.fault == "refuse") && s.at != nil {
-		s.at.Close()
-		s.at = nil
+	if (life == world.Down || s.fault == "refuse") && s.listener != nil {
+		s.listener.Close()
+		s.listener = nil
 	}
 }
 
-// vanish lets a server say nothing any more: nobody is accepted, and the kernel's queue is filled so that connections
+// stopResponding lets a server say nothing any more: nobody is accepted, and the kernel's queue is filled so that connections
 // don't come up either.
-func (s *server) vanish() {
-	l, ok := s.at.(*net.TCPListener)
+func (s *server) stopResponding() {
+	l, ok := s.listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
-	s.awake = make(chan struct{})
+	s.responsive = make(chan struct{})
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { unix.Listen(int(fd), 0) })
 	}
 	for range 3 { // the one that is waited for, and the queue's least length
 		go func() {
-			if c, err := net.DialTimeout("tcp", s.addr, fillWithin); err == nil {
-				s.r.mu.Lock()
-				s.fillers = append(s.fillers, c)
-				s.r.mu.Unlock()
+			if c, err := net.DialTimeout("tcp", s.addr, backlogFillTimeout); err == nil {
+				s.rig.mu.Lock()
+				s.backlogFillers = append(s.backlogFillers, c)
+				s.rig.mu.Unlock()
 			}
 		}()
 	}
 }
 
-// wake ends that.
-func (s *server) wake() {
+// resumeResponding ends that.
+func (s *server) resumeResponding() {
 	select {
-	case <-s.awake:
+	case <-s.responsive:
 		return
 	default:
 	}
-	for _, c := range s.fillers {
-		reset(c)
+	for _, c := range s.backlogFillers {
+		closeWithReset(c)
 	}
-	s.fillers = nil
-	if l, ok := s.at.(*net.TCPListener); ok {
+	s.backlogFillers = nil
+	if l, ok := s.listener.(*net.TCPListener); ok {
 		if raw, err := l.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { unix.Listen(int(fd), 512) })
 		}
 	}
-	close(s.awake)
+	close(s.responsive)
 }
 
 // SetFault sets what goes wrong on a server's connections; the lock is held.
 func (r *Rig) SetFault(number int, kind string) {
 	s := r.servers[number]
 	s.fault = kind
-	r.attend(number)
+	r.updateListener(number)
 }
 
-// shut ends it for good; the lock is held.
-func (s *server) shut() {
+// close ends it for good; the lock is held.
+func (s *server) close() {
 	if s == nil {
 		return
 	}
-	s.wake()
-	if s.at != nil {
-		s.at.Close()
-		s.at = nil
+	s.resumeResponding()
+	if s.listener != nil {
+		s.listener.Close()
+		s.listener = nil
 	}
 	for c := range s.conns {
-		c.gone(false)
+		c.disconnect(false)
 	}
-	if s.web != nil {
-		go s.web.Close()
+	if s.httpServer != nil {
+		go s.httpServer.Close()
 	}
 }
 
-// gone ends a connection; the legs on it are left. The lock is held.
-func (c *serverConn) gone(byReset bool) {
-	r := c.s.r
-	if !c.s.conns[c] {
+// disconnect ends a connection; the legs on it are left. The lock is held.
+func (c *serverConn) disconnect(byReset bool) {
+	r := c.server.rig
+	if !c.server.conns[c] {
 		return
 	}
-	delete(c.s.conns, c)
-	if w := r.world.Servers[c.s.number]; w.OpenConnections > 0 {
+	delete(c.server.conns, c)
+	if w := r.world.Servers[c.server.number]; w.OpenConnections > 0 {
 		w.OpenConnections--
 	}
 	var on []uint64
@@ -292,45 +292,45 @@
 	}
 	slices.Sort(on)
 	for _, tag := range on {
-		r.left(tag, policy.Cancelled)
-		r.world.Withdraw(r.now(), c.s.number, tag)
+		r.endAttempt(tag, policy.Cancelled)
+		r.world.Withdraw(r.now(), c.server.number, tag)
 	}
-	close(c.out)
+	close(c.outgoing)
 	if byReset {
-		reset(c.Conn)
+		closeWithReset(c.Conn)
 	} else {
 		c.Close()
 	}
 }
 
-// left tells the judge that a leg is out no more, and the fleet's book how it ended.
-func (r *Rig) left(tag uint64, how policy.Result) *attempt {
+// endAttempt tells the judge that a leg is out no more, and the fleet's book how it ended.
+func (r *Rig) endAttempt(tag uint64, how policy.Result) *attempt {
 	l := r.attempts[tag]
 	if l != nil {
 		delete(r.attempts, tag)
 		r.log.AttemptEnded(r.now(), how)
 		r.checker.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
-		if r.fleet != nil {
-			r.fleet.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.came))
+		if r.fleetRecorder != nil {
+			r.fleetRecorder.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.arrivedAt))
 		}
 	}
 	return l
 }
 
-// answer queues bytes; a reader that takes none is cut off. The lock is held.
-func (c *serverConn) answer(b []byte) {
-	if !c.s.conns[c] {
+// queueAnswer queues bytes; a reader that takes none is cut off. The lock is held.
+func (c *serverConn) queueAnswer(b []byte) {
+	if !c.server.conns[c] {
 		return
 	}
 	select {
-	case c.out <- b:
+	case c.outgoing <- b:
 	default:
-		c.gone(true)
+		c.disconnect(true)
 	}
 }
 
 func (c *serverConn) write() {
-	for b := range c.out {
+	for b := range c.outgoing {
 		if _, err := c.Write(b); err != nil {
 			c.Close() // its reader sees that
 		}
@@ -338,11 +338,11 @@
 }
 
 func (c *serverConn) read() {
-	r, in, held := c.s.r, make([]byte, readAtOnce), []byte(nil)
-	src := bufio.NewReaderSize(c, readAtOnce)
+	r, in, held := c.server.rig, make([]byte, readBufferSize), []byte(nil)
+	src := bufio.NewReaderSize(c, readBufferSize)
 	defer func() {
 		r.mu.Lock()
-		c.gone(false)
+		c.disconnect(false)
 		r.mu.Unlock()
 	}()
 	for {
@@ -351,26 +351,26 @@
 			return
 		}
 		held = append(held, in[:n]...)
-		if len(held) > mostCommand {
+		if len(held) > maxCommandSize {
 			return
 		}
 		for {
 			size := 0
 			if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
-				size = c.nextRequest(held)
+				size = c.handleHTTPRequest(held)
 			} else if o, n := cachestub.ReadOrder(held); n > 0 {
 				r.mu.Lock()
-				for r.world.Servers[c.s.number].Frozen(r.now()) && c.s.conns[c] {
+				for r.world.Servers[c.server.number].Frozen(r.now()) && c.server.conns[c] {
 					r.mu.Unlock()
-					time.Sleep(frozenLook)
+					time.Sleep(frozenCheckInterval)
 					r.mu.Lock()
 				}
-				c.order(o)
+				c.handlePurge(o)
 				r.mu.Unlock()
 				size = n
 			} else if command, n, fault := meta.ReadCommand(held); n > 0 || fault != nil {
 				r.mu.Lock()
-				c.command(&command, fault)
+				c.handleCommand(&command, fault)
 				r.mu.Unlock()
 				size = n
 			}
@@ -382,70 +382,70 @@
 	}
 }
 
-// command takes one command; the lock is held.
-func (c *serverConn) command(command *meta.Command, fault *meta.Fault) {
-	r, s, now := c.s.r, c.s, c.s.r.now()
+// handleCommand takes one handleCommand; the lock is held.
+func (c *serverConn) handleCommand(command *meta.Command, fault *meta.Fault) {
+	r, s, now := c.server.rig, c.server, c.server.rig.now()
 	w := r.world.Servers[s.number]
 	if w.Liveness == world.Silent || s.fault == "silent" && command.Verb != meta.Unknown {
 		if s.fault == "silent" && w.Liveness == world.Up && (command.Verb == meta.Get || command.Verb == meta.Set) {
-			r.came(now, string(command.ID), w.ID)
+			r.attemptArrived(now, string(command.ID), w.ID)
 		}
 		return
 	}
 	switch {
 	case fault != nil:
 		r.checker.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Response))
-		c.answer([]byte(fault.Response))
+		c.queueAnswer([]byte(fault.Response))
 		return
 	case command.Verb == meta.Ready:
 		r.log.Second(now).Probes++
 		if !w.Frozen(now) {
-			c.answer([]byte("MN\r\n"))
+			c.queueAnswer([]byte("MN\r\n"))
 		}
 		return
 	case command.Verb == meta.Stats:
-		c.answer([]byte("ERROR\r\n"))
+		c.queueAnswer([]byte("ERROR\r\n"))
 		return
 	}
 	items, _ := meta.Flag(command.Flags, 'P')
-	if r.take(s, string(command.ID), string(command.Key), items, command.Verb == meta.Set, &attempt{conn: c}) {
+	if r.offerAttempt(s, string(command.ID), string(command.Key), items, command.Verb == meta.Set, &attempt{conn: c}) {
 		return
 	}
-	c.answer([]byte("SERVER_ERROR busy\r\n"))
+	c.queueAnswer([]byte("SERVER_ERROR busy\r\n"))
 }
 
-// order carries out a purge, at a cache that lives; the lock is held.
-func (c *serverConn) order(o cachestub.Order) {
-	r, s := c.s.r, c.s
+// handlePurge carries out a purge, at a cache that lives; the lock is held.
+func (c *serverConn) handlePurge(o cachestub.Order) {
+	r, s := c.server.rig, c.server
 	w := r.world.Servers[s.number]
 	switch {
 	case w.Liveness == world.Silent || s.fault == "silent":
 	case s.fault == "reset":
-		c.gone(true)
+		c.disconnect(true)
 	case s.fault == "garbage":
-		c.answer([]byte(garbage))
+		c.queueAnswer([]byte(garbageAnswer))
 	case o.Flush:
 		r.world.RemoveAll(s.number)
-		c.answer(o.Answer(true))
+		c.queueAnswer(o.Answer(true))
 	default:
-		c.answer(o.Answer(r.world.RemoveKey(s.number, o.Key)))
+		c.queueAnswer(o.Answer(r.world.RemoveKey(s.number, o.Key)))
 	}
 }
 
-// came tells of a leg that came whole.
-func (r *Rig) came(now policy.Instant, id string, server policy.EndpointID) {
+// attemptArrived tells of a leg that attemptArrived whole.
+func (r *Rig) attemptArrived(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.AttemptArrived(now, server)
 	r.checker.AttemptArrived(now, now, id, server)
-	if r.fleet != nil {
-		r.fleet.AttemptSent(now, server)
+	if r.fleetRecorder != nil {
+		r.fleetRecorder.AttemptSent(now, server)
 	}
 }
 
-// take offers a leg to the model; false means that it was turned away.
-func (r *Rig) take(s *server, id, key string, items []byte, write bool, l *attempt) bool {
+// offerAttempt offers a leg to the model; false means that it was turned away.
+func (r *Rig) offerAttempt(s *server, id, key string, items []byte, write bool, l *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
-	r.came(now, id, w.ID)
+	r.attemptArrived(now, id, w.ID)
 	item := func(name string) string {
 		v, _ := meta.Item(items, name)
 		return string(v)
@@ -463,29 +463,29 @@
 	if s.fault == "reset" {
 		r.checker.AttemptEnded(now, id, w.ID, true)
 		if l.conn != nil {
-			l.conn.gone(true)
+			l.conn.disconnect(true)
 		}
 		return true
 	}
-	r.tags++
-	l.server, l.id, l.came = s.number, id, now
-	r.attempts[r.tags] = l
-	j := world.Job{Request: id, Key: key, Label: item("k"), Class: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.tags}
+	r.lastTag++
+	l.server, l.id, l.arrivedAt = s.number, id, now
+	r.attempts[r.lastTag] = l
+	j := world.Job{Request: id, Key: key, Label: item("k"), Class: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.lastTag}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
-		r.left(r.tags, policy.Rejected)
+		r.endAttempt(r.lastTag, policy.Rejected)
 		return false
 	}
 	r.wakeClock()
 	return true
 }
 
-// outcomes are what a server's answers mean for a leg.
-var outcomes = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
+// resultOf are what a server's answers mean for a leg.
+var resultOf = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
 	world.Busy: policy.Rejected, world.Failed: policy.Errored}
 
-// served is a job's end; the lock is held.
-func (r *Rig) served(d world.Done) {
-	l := r.left(d.Job.Tag, outcomes[d.Reply])
+// jobDone is a job's end; the lock is held.
+func (r *Rig) jobDone(d world.Done) {
+	l := r.endAttempt(d.Job.Tag, resultOf[d.Reply])
 	if l == nil {
 		return
 	}
@@ -494,23 +494,23 @@
 		return
 	}
 	s := r.servers[l.server]
-	out := r.answerOf(d, r.scenario.Fleet.Reports)
+	out := r.metaAnswer(d, r.scenario.Fleet.Reports)
 	if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
-		out = keptAnswer(d, s.fault == "stale", l.tag)
+		out = httpCacheAnswer(d, s.fault == "stale", l.etag)
 	}
 	switch s.fault {
 	case "half":
-		l.conn.answer(out[:len(out)/2])
-		r.At(r.now().Add(pollInterval), func() { l.conn.gone(true) })
+		l.conn.queueAnswer(out[:len(out)/2])
+		r.At(r.now().Add(pollInterval), func() { l.conn.disconnect(true) })
 		return
 	case "garbage":
-		out = []byte(garbage)
+		out = []byte(garbageAnswer)
 	}
-	l.conn.answer(out)
+	l.conn.queueAnswer(out)
 }
 
-// answerOf writes a cache's answer.
-func (r *Rig) answerOf(d world.Done, reports bool) []byte {
+// metaAnswer writes a cache's answer.
+func (r *Rig) metaAnswer(d world.Done, reports bool) []byte {
 	load := ""
 	if reports {
 		load = fmt.Sprintf(" Loutstanding=%g", d.Load)
@@ -531,20 +531,20 @@
 
 // ServeHTTP is the origin.
 func (s *server) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	r := s.r
+	r := s.rig
 	if in.URL.Path == "/health/live" || in.URL.Path == "/stats" {
 		fmt.Fprintln(out, "ok")
 		return
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(in.URL.EscapedPath(), "/"))
-	if _, bad := io.Copy(io.Discard, io.LimitReader(in.Body, mostCommand)); err != nil || bad != nil {
+	if _, bad := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || bad != nil {
 		http.Error(out, "what came can't be read", http.StatusBadRequest)
 		return
 	}
 	done, id := make(chan world.Done, 1), in.Header.Get("X-Call-Id")
 	r.mu.Lock()
-	taken := r.take(s, id, key, []byte(in.Header.Get("X-Call-Info")), in.Method == http.MethodPut, &attempt{done: done})
-	tag := r.tags
+	taken := r.offerAttempt(s, id, key, []byte(in.Header.Get("X-Call-Info")), in.Method == http.MethodPut, &attempt{done: done})
+	tag := r.lastTag
 	r.mu.Unlock()
 	if !taken {
 		out.Header().Set("X-Rejected", "1")
@@ -566,7 +566,7 @@
 		io.WriteString(out, text)
 	case <-in.Context().Done(): // called off, or the origin is gone
 		r.mu.Lock()
-		r.left(tag, policy.Cancelled)
+		r.endAttempt(tag, policy.Cancelled)
 		r.world.Withdraw(r.now(), s.number, tag)
 		r.mu.Unlock()
 	}
