--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -2,18 +2,18 @@
 
 import "dahliapin/internal/monotime"
 
-// CacheEventKind says what befell a cache server.
+// CacheEventKind is the kind of a CacheEvent.
 type CacheEventKind uint8
 
-// What befalls a cache server.
+// The kinds of cache events.
 const (
 	Deleted   CacheEventKind = 1 // a key was deleted
-	Emptied   CacheEventKind = 2 // all of it has gone, by a flush or a restart
-	Served    CacheEventKind = 3 // a key's value, in a version, was read
-	Confirmed CacheEventKind = 4 // a control machine counts purges up to an index as done there
+	Emptied   CacheEventKind = 2 // all keys were removed, by a flush or a restart
+	Served    CacheEventKind = 3 // a key's value was read, in a version
+	Confirmed CacheEventKind = 4 // a control server counts the purges up to an index as done at the cache
 )
 
-// CacheEvent is one thing that befell a cache server.
+// CacheEvent is an event at a cache server, as its emulation or a control server saw it.
 type CacheEvent struct {
 	At      monotime.Instant `json:"at"`
 	Cache   string           `json:"cache"`
@@ -23,7 +23,7 @@
 	Index   uint64           `json:"index,omitempty"`
 }
 
-// PublishedPurge is a purge: its key's value had that version when it was published.
+// PublishedPurge is a purge, with the version that its key's value had when it was published.
 type PublishedPurge struct {
 	Index   uint64           `json:"index"`
 	Key     string           `json:"key"`
--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -1,5 +1,7 @@
-// Package trace is what a run of the log of changes leaves for its judge: what was published and ordered, what was on which machine's
-// disk, what each node applied and told. All clocks are the one that all processes of a machine share (CLOCK_BOOTTIME, ns).
+// Package logtrace has the records of a scale run of the replicated log, from which its checker draws the verdict:
+// which changes were published and in which order, what was on which control server's disk, and what each node
+// applied and acknowledged. All instants are of the clock that the processes of a machine share (CLOCK_BOOTTIME, in
+// nanoseconds).
 package logtrace
 
 import (
@@ -14,36 +16,36 @@
 	"dahliapin/internal/monotime"
 )
 
-const recordLen = 32 // bytes: a run writes millions
+const recordLen = 32 // bytes; the format is binary as a run writes millions of records
 
-// DurableEntries is what a control machine has on disk since then, by marks of changes.
+// DurableEntries lists the changes that a control server has on disk since an instant, by their marks.
 type DurableEntries struct {
 	At    monotime.Instant `json:"at"`
 	Marks []uint64         `json:"marks"`
 }
 
-// PublishedChange is a change from its publishing to its being acknowledged.
+// PublishedChange is a change from its publishing to its acknowledgement.
 type PublishedChange struct {
 	Mark   uint64           `json:"mark"`
-	Index  uint64           `json:"index"` // 0: never acknowledged
+	Index  uint64           `json:"index"` // 0 if it was never acknowledged
 	Config bool             `json:"config,omitempty"`
 	Sent   monotime.Instant `json:"sent"`
 	Acked  monotime.Instant `json:"acked"`
-	Play   string           `json:"play,omitempty"` // which part of a run it belongs to
+	Play   string           `json:"play,omitempty"` // the part of the run that it belongs to
 }
 
-// NodeEventKind says what a node did.
+// NodeEventKind is the kind of a NodeEvent.
 type NodeEventKind uint8
 
-// What a node does.
+// The kinds of node events.
 const (
-	Began        NodeEventKind = 1 // at an index, under the configuration with a mark; 0 for none
-	Applied      NodeEventKind = 2 // an entry
-	Acknowledged NodeEventKind = 3 // that it has applied up to an index
-	Refused      NodeEventKind = 4 // an entry: a configuration that could not be taken; it is applied nonetheless
+	Began        NodeEventKind = 1 // started at an index, under the configuration with a mark; 0 for none
+	Applied      NodeEventKind = 2 // applied an entry
+	Acknowledged NodeEventKind = 3 // told its control server that it has applied the entries up to an index
+	Refused      NodeEventKind = 4 // rejected an invalid configuration; the entry counts as applied nonetheless
 )
 
-// NodeEvent is one thing that a node did.
+// NodeEvent is an event at a node.
 type NodeEvent struct {
 	At    monotime.Instant
 	Index uint64
@@ -52,7 +54,7 @@
 	Kind  NodeEventKind
 }
 
-// Write adds a record.
+// Write writes an event in the binary format of a trace.
 func Write(w io.Writer, r NodeEvent) error {
 	var b [recordLen]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(r.At))
@@ -64,11 +66,12 @@
 	return err
 }
 
-// Read hands each record of a file to a function. A last one that is torn is passed over: its process was killed.
+// Read calls a function with each event of a trace. An incomplete last event is skipped, as the process that wrote it
+// may have been killed.
 func Read(path string, each func(NodeEvent)) error {
 	f, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("a trace cannot be read: %w", err)
+		return fmt.Errorf("cannot read a trace: %w", err)
 	}
 	defer f.Close()
 	in := bufio.NewReaderSize(f, 1<<20)
@@ -78,18 +81,18 @@
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 			return nil
 		case err != nil:
-			return fmt.Errorf("a trace cannot be read: %w", err)
+			return fmt.Errorf("cannot read a trace: %w", err)
 		}
 		each(NodeEvent{At: monotime.Instant(binary.LittleEndian.Uint64(b[0:])), Index: binary.LittleEndian.Uint64(b[8:]), Mark: binary.LittleEndian.Uint64(b[16:]),
 			Node: binary.LittleEndian.Uint32(b[24:]), Kind: NodeEventKind(b[28])})
 	}
 }
 
-// ReadJSONLines hands each JSON line of a file to a function, but a torn last one.
+// ReadJSONLines calls a function with each JSON line of a file. An incomplete last line is skipped.
 func ReadJSONLines[T any](path string, each func(T)) error {
 	f, err := os.Open(path)
 	if err != nil {
-		return fmt.Errorf("a trace cannot be read: %w", err)
+		return fmt.Errorf("cannot read a trace: %w", err)
 	}
 	defer f.Close()
 	for d := json.NewDecoder(bufio.NewReaderSize(f, 1<<20)); ; {
@@ -98,7 +101,7 @@
 			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 				return nil
 			}
-			return fmt.Errorf("a trace cannot be read: %w", err)
+			return fmt.Errorf("cannot read a trace: %w", err)
 		}
 		each(l)
 	}
