--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -15,7 +15,7 @@
 // maxWatchTime is how long a watch waits for a change at most.
 const maxWatchTime = time.Minute
 
-// agent is discovery as one node sees it: it has heard of so many changes, and tells these.
+// agent is a discovery server for one node, which publishes the changes that have reached it so far.
 type agent struct {
 	rig    *Rig
 	node   int
@@ -24,9 +24,9 @@
 	closed chan struct{}
 
 	mu      sync.Mutex
-	changes []policy.Endpoint // a version is how many there were
+	changes []policy.Endpoint // their number is the version of the list
 	latest  map[policy.EndpointID]policy.Endpoint
-	order   []policy.EndpointID // of the endpoints, as they were heard of
+	order   []policy.EndpointID // of the endpoints, by first change
 	changed chan struct{}       // closed at the next change
 }
 
@@ -51,7 +51,7 @@
 	return a, nil
 }
 
-// addChange takes a change.
+// addChange adds a change of the endpoint list and wakes the polls that wait.
 func (a *agent) addChange(e policy.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,7 +69,7 @@
 	a.server.Close()
 }
 
-// listPoll is a call for the list.
+// listPoll is a poll of the endpoint list.
 type listPoll struct {
 	since    int // the version that the node has
 	complete bool
@@ -87,14 +87,14 @@
 	}
 }
 
-// listAnswer is what a call for the list is answered.
+// listAnswer is the answer to a poll.
 type listAnswer struct {
 	version  int
-	complete bool // all endpoints, else what has changed
+	complete bool // all endpoints, else only the changes
 	entries  []policy.Endpoint
 }
 
-// ServeHTTP answers a call for the list. While discovery is down it says nothing.
+// ServeHTTP answers a poll of the endpoint list. While discovery is down it does not answer.
 func (a *agent) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	if !await(a, in, a.rig.discoveryUp()) {
 		return
--- a/internal/emulator/realtime/doc.go
+++ b/internal/emulator/realtime/doc.go
@@ -1,4 +1,4 @@
-// Package realtime plays a scenario in real time, on real sockets: caches, origin, discovery and clients stand on loopback
-// around nodes that are processes of their own, or embedded. All of it but the nodes is one model of the world under one
-// lock, the Rig's.
+// Package realtime plays a scenario in real time on loopback sockets. It emulates caches, origin, discovery and
+// clients around nodes that run as processes of their own, or embedded. Everything but the nodes is one model of the
+// world, guarded by the lock of the Rig.
 package realtime
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -11,15 +11,16 @@
 	"dahliapin/internal/wire/http1"
 )
 
-// A cache of the emulator that speaks HTTP/1.1, from RFC 9111: what it keeps it serves with its age, what it does not keep is 504
-// where only that was asked for, and what it may not serve any more it serves all the same when a script says so.
+// The caches of the emulator that speak HTTP/1.1 follow RFC 9111: a stored value is served with its age, and a miss
+// of an only-if-cached request is answered by 504. With the fault "stale" a cache serves a response that is no longer
+// fresh.
 const (
-	maxAgeSeconds   = 60 // seconds
+	maxAgeSeconds   = 60 // of stored responses
 	staleBody       = "what may not be served any more"
-	revalidateOneIn = 8 // one read in so many asks whether the value that its client has still holds
+	revalidateOneIn = 8 // one read in so many revalidates the value that its client has
 )
 
-// handleHTTPRequest takes one request; 0 asks for more bytes.
+// handleHTTPRequest handles the first request in held and returns its size, or 0 if it is incomplete.
 func (c *serverConn) handleHTTPRequest(held []byte) (size int) {
 	r, s := c.server.rig, c.server
 	q, size, fault := http1.ReadRequest(held, maxCommandSize)
@@ -30,7 +31,7 @@
 	id := string(q.Header(client.IDHeader))
 	switch {
 	case fault != nil:
-		r.checker.WrongAnswer(now, "", "a server was sent what is no request: "+fault.Error())
+		r.checker.WrongAnswer(now, "", "a server received an invalid request: "+fault.Error())
 		c.disconnect(true)
 		return 0
 	case size == 0:
@@ -40,7 +41,7 @@
 			r.attemptArrived(now, id, w.ID)
 		}
 		return size
-	case id == "": // a probe
+	case id == "": // a health check
 		if r.log.Second(now).Probes++; !w.Frozen(now) {
 			c.queueAnswer(httpAnswer(http.StatusOK, "", "ok"))
 		}
@@ -48,7 +49,7 @@
 	}
 	target, err := url.PathUnescape(strings.TrimPrefix(string(q.Target), "/"))
 	if kept := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached"); err != nil || r.scenario.Allowed.Mode == "aside" && !kept {
-		r.checker.WrongAnswer(now, id, "a cache beside an origin was asked to fetch, or for no key: "+string(q.Target))
+		r.checker.WrongAnswer(now, id, "a cache beside an origin received a request without only-if-cached, or an invalid key: "+string(q.Target))
 	}
 	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
 	if !r.offerAttempt(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, etag: string(q.Header("If-None-Match"))}) {
@@ -61,7 +62,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
 }
 
-// httpCacheAnswer writes a cache's answer.
+// httpCacheAnswer encodes a cache's answer in HTTP.
 func httpCacheAnswer(d world.Done, stale bool, tag string) []byte {
 	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
 	switch {
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -14,38 +14,38 @@
 	"dahliapin/policy"
 )
 
-// member is one node of the run and what stands on its machine.
+// member is one node of the run, with its clients, its discovery agent and its current process.
 type member struct {
 	rig         *Rig
 	number      int
 	name        string
 	addr        string
-	httpAddr    string // where it takes clients by HTTP
-	adminAddr   string // where operators call its process; empty for nowhere
+	httpAddr    string // where it serves clients by HTTP
+	adminAddr   string // of the admin listener of its process; empty for none
 	agent       *agent
 	pool        *client.Pool
 	process     Process
-	stopped     Process // the same while it is made to stand still, or its loop; else nil
+	stopped     Process // process while it or its event loop is stopped, else nil
 	incarnation int
-	inFlight    map[string]bool // in hand
-	excused     map[string]bool // of these, those that it stood still with
-	freshStarts int             // of these, those that began after the one before had ended: what was in hand then is excused
+	inFlight    map[string]bool // ids of requests without a response
+	excused     map[string]bool // of inFlight, those that were in flight when the process was stopped
+	freshStarts int             // starts after the former process had ended; a request that was in flight then is excused
 	counts      clientCounts
-	serving     bool // clients come to it
-	reuseOnly   bool // clients use the connections that they have, and make no new ones
-	killed      bool // by the script: what it had in hand is excused
-	ending      bool // by the script, or since the run is over
+	serving     bool // clients connect to it
+	reuseOnly   bool // clients use the connections that they have, and open no new ones
+	killed      bool // by the scenario: its requests in flight are excused
+	ending      bool // by the scenario, or because the run is over
 
-	termNextStart time.Duration // after which its next process is told to end; 0 for not
+	termNextStart time.Duration // after which its next process is told to end; 0 for never
 }
 
 func (r *Rig) newMember(number int) (*member, error) {
 	a, err := r.newAgent(number)
 	if err != nil {
-		return nil, fmt.Errorf("discovery cannot listen: %w", err)
+		return nil, fmt.Errorf("cannot listen for emulated discovery: %w", err)
 	}
 	var addrs [2]string
-	for i := range addrs { // the node takes them right away
+	for i := range addrs { // the node listens on them right away
 		if addrs[i], err = freeport.Free(); err != nil {
 			a.close()
 			return nil, err
@@ -59,11 +59,12 @@
 	return &member{rig: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], httpAddr: addrs[1], agent: a, pool: pool, inFlight: map[string]bool{}, excused: map[string]bool{}}, nil
 }
 
-// start starts its node, with the list as its agent last had it.
+// start starts a process of the node with the endpoint list that its agent knows. It replaces a process that still
+// runs, or is the first after one has ended.
 func (m *member) start(replaces bool) error {
 	if m.rig.scenario.Operated() {
 		var err error
-		if m.adminAddr, err = freeport.Free(); err != nil { // new for each process: two may be up at once
+		if m.adminAddr, err = freeport.Free(); err != nil { // a new one per process, as two may run at once
 			return err
 		}
 	}
@@ -75,10 +76,10 @@
 	p, err := m.rig.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.rig.scenario.Operator(m.httpAddr), Fleet: m.rig.fleetConfig(number),
 		OnRecord: func(e eventlog.Event, at time.Time) { m.rig.onRecord(number, e, at) }, OnTrace: m.rig.onTraceLine})
 	if err != nil {
-		return fmt.Errorf("node %s does not start: %w", m.name, err)
+		return fmt.Errorf("cannot start node %s: %w", m.name, err)
 	}
 	m.rig.mu.Lock()
-	if m.rig.closing { // the run has ended while it started: nobody else would end it
+	if m.rig.closing { // the run ended during the start: nobody else would kill the process
 		m.rig.mu.Unlock()
 		p.Kill()
 		<-p.Done()
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// EndNode ends a node, and its clients stop coming soon after; the lock is held.
+// EndNode tells a node to end, or kills it. Clients go on connecting to a node that was told to end for
+// clientsLinger. The lock is held.
 func (r *Rig) EndNode(number int, orderly bool) {
 	m := r.nodes[number]
 	m.ending = true
@@ -132,8 +134,8 @@
 	}
 }
 
-// killAtTheEarliest kills a node that was told to end, as soon as the protocol allows it, and sends it further signals meanwhile; the lock is held.
-// What its clients have in hand by then is not excused.
+// killAtTheEarliest kills a node that was told to end as soon as the shutdown protocol allows it, and sends it
+// further signals before. Requests that are in flight when it is killed are not excused. The lock is held.
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
 	if p, can := process.(Reloader); can {
@@ -146,7 +148,7 @@
 	})
 }
 
-// signalDraining sends a further signal to a node that was told to end, and counts what it meets; the lock is held.
+// signalDraining sends a further signal to a node that was told to end, and counts it as a fault. The lock is held.
 func (r *Rig) signalDraining(m *member, after time.Duration, fault coverage.Fault, send func()) {
 	r.At(r.now().Add(after), func() {
 		r.coverage.FaultBegan(fault, []int{m.number})()
@@ -154,12 +156,12 @@
 	})
 }
 
-// TerminateNextStart has the node's next process told to end so long after it was started; the lock is held.
+// TerminateNextStart has the node's next process told to end at a delay after its start. The lock is held.
 func (r *Rig) TerminateNextStart(number int, after time.Duration) {
 	r.nodes[number].termNextStart = after
 }
 
-// StartNode starts it anew once the old one has ended; the lock is held.
+// StartNode starts a node's next process once the former one has ended. The lock is held.
 func (r *Rig) StartNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -180,8 +182,8 @@
 	}()
 }
 
-// startNext starts the node's next process, and yet another one where that is to be told to end while it starts. It
-// tells whether a process runs.
+// startNext starts the node's next process. If that is to be told to end during its start, another one is started
+// after it. It reports whether a process runs.
 func (m *member) startNext() bool {
 	m.rig.mu.Lock()
 	termAfter := m.termNextStart
@@ -200,8 +202,8 @@
 	return err == nil
 }
 
-// terminateStart tells a process that starts to end, and waits until it has. One that does not end within the time of
-// the protocol is killed.
+// terminateStart tells a process that is starting to end, and waits for its exit. A process that does not exit within
+// the time of the shutdown protocol is killed.
 func (m *member) terminateStart(after time.Duration) {
 	time.Sleep(after)
 	m.rig.mu.Lock()
@@ -216,11 +218,11 @@
 	case <-time.After(m.rig.timeToKill()):
 		process.Kill()
 		<-process.Done()
-		m.fail("told to end while it started, it did not end in time")
+		m.fail("did not exit in time after it was told to end during its start")
 	}
 }
 
-// timeToKill is after how long a process that was told to end may be killed.
+// timeToKill is the delay after which a process that was told to end may be killed.
 func (r *Rig) timeToKill() time.Duration {
 	return min(r.settings.LongestDeadline, maxDeadlineAtStop) + killDelay
 }
@@ -231,7 +233,7 @@
 	return r.closing
 }
 
-// stop ends its node, as hard as it takes.
+// stop ends the node's process at the end of the run, and kills it if it does not exit in time.
 func (m *member) stop() {
 	m.rig.mu.Lock()
 	m.ending, m.serving = true, false
@@ -241,7 +243,7 @@
 		return
 	}
 	p.End()
-	m.pool.Close() // or it would wait for idle clients
+	m.pool.Close() // else the node waits for idle clients
 	select {
 	case <-p.Done():
 	case <-time.After(m.rig.settings.LongestDeadline + stopSlack):
@@ -250,10 +252,10 @@
 	}
 }
 
-// configuration is what its process is told, with the list as its agent last had it.
+// configuration encodes the configuration of a process, with the endpoint list that its agent knows.
 func (m *member) configuration(listen string) ([]byte, error) {
 	ops := m.adminAddr
-	if listen != m.addr { // a twin, which no operator calls
+	if listen != m.addr { // a duplicate process, whose admin listener nobody calls
 		ops = ""
 	}
 	var held []policy.Endpoint
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -16,9 +16,9 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const duplicateExitTimeout = 15 * time.Second // for a process that finds its name taken
+const duplicateExitTimeout = 15 * time.Second // by which a process whose node name is taken must exit
 
-// openLinks opens what is between the nodes, where they know one another: a door for each ordered pair.
+// openLinks opens a forwarder for each ordered pair of nodes, if the scenario has nodes that are members of a fleet.
 func (r *Rig) openLinks() error {
 	if r.scenario.Together == nil {
 		return nil
@@ -50,11 +50,12 @@
 	return nil
 }
 
-// fleetLabel is the run's own: a port that another run had may still be written to.
+// fleetLabel is unique to the run, as nodes of another run may still send to a port that is reused here.
 func (r *Rig) fleetLabel() string {
 	return fmt.Sprintf("%s-%d-%d", r.scenario.Name, os.Getpid(), r.bootTime)
 }
 
+// fleetConfig returns the fleet configuration of a node, or nil if nodes are not members of a fleet.
 func (r *Rig) fleetConfig(number int) []byte {
 	if r.faults == nil {
 		return nil
@@ -62,7 +63,7 @@
 	return r.scenario.Charter(number, r.fleetLabel(), r.gossipAddrs, r.proxies[number])
 }
 
-// onTraceLine hears a line of a process's trace.
+// onTraceLine passes a line of a process's membership trace to the checker of views.
 func (r *Rig) onTraceLine(text []byte) {
 	var l trace.Line
 	if json.Unmarshal(text, &l) != nil {
@@ -75,21 +76,23 @@
 	}
 }
 
-// PauseNode has a node's process stand still, or go on; the lock is held. What it had in hand is excused, and nobody comes to it
-// meanwhile: who would be in front of it finds out within moments, and what a node owes its clients is not what is looked at here.
+// PauseNode stops a node's process or lets it continue. Its requests in flight are excused and clients send it no new
+// ones meanwhile: a load balancer would notice within moments, and the scenario is not about what a stopped node owes
+// its clients. The lock is held.
 func (r *Rig) PauseNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Pause) }
 
-// HangNode has a node's loop stand still, or go on, while all else in its process runs; the lock is held.
+// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. The lock is held.
 func (r *Rig) HangNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Hang) }
 
+// stopOrContinue implements PauseNode and HangNode. The lock is held.
 func (r *Rig) stopOrContinue(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
 	p, can := m.process.(Pauser)
 	switch {
 	case !can:
-		r.failures = append(r.failures, m.name+" is no process of its own: it can't be made to stand still")
+		r.failures = append(r.failures, m.name+" is embedded and cannot be stopped")
 		return
-	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process: // another is there by now, which never stood still
+	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process: // a new process was never stopped
 		return
 	}
 	if m.stopped = nil; stop {
@@ -110,8 +113,8 @@
 	}
 }
 
-// StartDuplicateNode starts another process with a node's name, at addresses of its own. It is to end by itself, as the name is taken; the lock is
-// held.
+// StartDuplicateNode starts another process with a node's name, at addresses of its own. It must exit by itself, as
+// the name is taken. The lock is held.
 func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -123,17 +126,17 @@
 		select {
 		case <-p.Done():
 			if !strings.Contains(p.ExitReason(), "has the name") {
-				m.fail("its twin ended otherwise: " + p.ExitReason())
+				m.fail("its duplicate process exited for another reason: " + p.ExitReason())
 			}
 		case <-time.After(duplicateExitTimeout):
-			m.fail("its twin does not end")
+			m.fail("its duplicate process does not exit in time; killing it")
 			p.Kill()
 			<-p.Done()
 		}
 	}()
 }
 
-// startDuplicate starts one, which no client asks.
+// startDuplicate starts a process with the node's name that no client connects to.
 func (m *member) startDuplicate() (Process, error) {
 	hears, err := freeport.Free()
 	if err != nil {
@@ -153,7 +156,7 @@
 		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
 }
 
-// ChangeLink changes what goes wrong between two nodes, one way.
+// ChangeLink changes what goes wrong from one node to another. The lock is held.
 func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
 	r.faults.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
--- a/internal/emulator/realtime/metrics.go
+++ b/internal/emulator/realtime/metrics.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	scrapeInterval        = 500 * time.Millisecond // between fetches of a node's figures
-	metricsLag            = 500 * time.Millisecond // that they may be behind
-	countsInterval        = 100 * time.Millisecond // between looks at what clients saw
-	countTolerance        = 3                      // that a count may miss by,
-	countToleranceDivisor = 100                    // or this part of it
-	maxMetricsSize        = 1 << 20                // bytes of figures
+	scrapeInterval        = 500 * time.Millisecond // between reads of a node's metrics
+	metricsLag            = 500 * time.Millisecond // that metrics may lag behind
+	countsInterval        = 100 * time.Millisecond // between copies of what clients counted
+	countTolerance        = 3                      // allowed difference of a count,
+	countToleranceDivisor = 100                    // or this fraction of it if that is more
+	maxMetricsSize        = 1 << 20                // bytes
 )
 
-// clientCounts is what a node's clients saw of it.
+// clientCounts is what a node's clients counted. Comparing it with the node's metrics reveals requests that the node
+// counted twice or not at all.
 type clientCounts struct {
-	pending  int // asked of it and not answered, those that never were with them
+	pending  int // requests without a response, including those that the node never received
 	finished map[string]uint64
 }
 
-// The names by which a node tells each kind of end.
+// metricSuffixes are the last parts of the names of a node's counters, by result.
 var metricSuffixes = map[checker.Final]string{checker.Satisfied: "completed", checker.Rejected: "rejected", checker.Failed: "failed"}
 
 func (f *clientCounts) requestFinished(grade string, how checker.Final) {
@@ -43,7 +44,7 @@
 	f.finished["svc.downstream_requests."+grade+"."+name]++
 }
 
-// wrongCounts tells which of a node's counts could not be what its clients saw from one look to the other.
+// wrongCounts returns the counters of a node that contradict what its clients counted between two instants.
 func wrongCounts(text string, from, to clientCounts) (wrong []string) {
 	for line := range strings.Lines(text) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
@@ -55,13 +56,14 @@
 		low, high := from.finished[name], to.finished[name]
 		slack := max(countTolerance, high/countToleranceDivisor)
 		if err != nil || kind != "c" || n+slack < low || n > high+slack+uint64(max(0, to.pending)) {
-			wrong = append(wrong, fmt.Sprintf("%s, where clients saw %d to %d", strings.TrimSpace(line), low, high))
+			wrong = append(wrong, fmt.Sprintf("%s, but clients counted %d to %d", strings.TrimSpace(line), low, high))
 		}
 	}
 	return wrong
 }
 
-// ScrapeNode fetches a node's figures until then, and holds them against what its clients saw; the lock is held.
+// ScrapeNode reads a node's metrics until an instant and compares them with what its clients counted. The lock is
+// held.
 func (r *Rig) ScrapeNode(number int, until policy.Instant) {
 	m := r.nodes[number]
 	go func() {
@@ -84,14 +86,14 @@
 			fetched = now.at
 			text, err := m.fetchMetrics()
 			if err != nil {
-				m.fail("its figures: " + err.Error())
+				m.fail("cannot read its metrics: " + err.Error())
 				return
 			}
 			r.mu.Lock()
 			to := clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}
 			r.mu.Unlock()
 			if wrong := wrongCounts(text, looks[0].seen, to); len(wrong) > 0 {
-				m.fail("untrue figures: " + strings.Join(wrong, "; "))
+				m.fail("metrics contradict its clients: " + strings.Join(wrong, "; "))
 				return
 			}
 		}
@@ -107,7 +109,7 @@
 	defer a.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(a.Body, maxMetricsSize))
 	if err == nil && !strings.Contains(string(text), "svc.pending:") {
-		err = fmt.Errorf("status %d, and none", a.StatusCode)
+		err = fmt.Errorf("status %d without metrics", a.StatusCode)
 	}
 	return string(text), err
 }
--- a/internal/emulator/realtime/nodefaults.go
+++ b/internal/emulator/realtime/nodefaults.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	reconnectDelay        = 20 * time.Millisecond // before a client of a crowd that was closed comes again
-	crowdDialTimeout      = time.Second           // that connecting may take
-	stalledRequestTimeout = 3 * time.Second       // by which a client that stopped in the middle of a request is to have its error, or its end
+	reconnectDelay        = 20 * time.Millisecond // before a client whose connection was closed connects again
+	crowdDialTimeout      = time.Second
+	stalledRequestTimeout = 3 * time.Second // by which an incomplete request must be answered or closed
 )
 
-// CrowdNode has clients connect to a node and keep what they have: half of them ask once whether it is ready, the others say nothing. One that is
-// closed comes again; the lock is held.
+// CrowdNode opens idle client connections to a node: half of the clients check readiness once, the others send
+// nothing. A client whose connection is closed connects again. The lock is held.
 func (r *Rig) CrowdNode(number, clients int, until policy.Instant) {
 	addr := r.nodes[number].addr
 	for n := range clients {
@@ -37,8 +37,8 @@
 	}
 }
 
-// StallClients has clients stop in the middle of a request, and stay. Each is owed an error or its end in time, unless the node has been told to end
-// or was killed meanwhile; the lock is held.
+// StallClients has clients stop in the middle of a request and stay connected. The node must answer with an error or
+// close each connection in time, unless it was told to end or killed meanwhile. The lock is held.
 func (r *Rig) StallClients(number, clients int) {
 	m := r.nodes[number]
 	life := m.incarnation
@@ -58,7 +58,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if m.incarnation == life && !m.ending && !r.closing {
-				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request heard nothing for %v", m.name, stalledRequestTimeout+slack))
+				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request got neither answer nor close within %v", m.name, stalledRequestTimeout+slack))
 			}
 		}()
 	}
@@ -69,7 +69,7 @@
 	return is && late.Timeout()
 }
 
-// ReloadNode tells a node several times in a row to read its configuration again; the lock is held.
+// ReloadNode tells a node several times in a row to reload its configuration. The lock is held.
 func (r *Rig) ReloadNode(number, times int) {
 	m := r.nodes[number]
 	p, can := m.process.(Reloader)
@@ -81,7 +81,8 @@
 	}
 }
 
-// FreezeNode has a node's process stand still for a moment. Nothing is excused: the rules allow for that; the lock is held.
+// FreezeNode stops a node's process for a moment. No request is excused, as the rules allow for such a pause. The
+// lock is held.
 func (r *Rig) FreezeNode(number int, long time.Duration) {
 	m := r.nodes[number]
 	p, can := m.process.(Pauser)
@@ -92,7 +93,7 @@
 	r.At(r.now().Add(long), func() { p.Pause(false) })
 }
 
-// scenarioSlack is what the script allows what crosses to take.
+// scenarioSlack is the tolerance that the scenario adds for messages in transit.
 func (r *Rig) scenarioSlack() time.Duration {
 	return time.Duration(r.scenario.Allowed.SlackMs * float64(time.Millisecond))
 }
--- a/internal/emulator/realtime/operations.go
+++ b/internal/emulator/realtime/operations.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	takeoverTimeout    = 6 * time.Second        // for a new process to say yes
-	standbyTimeout     = 2 * time.Second        // for a node to take clients again
-	balancerLag        = 200 * time.Millisecond // that the front sends new clients after the first no
-	connsClosedTimeout = 4 * time.Second        // after the call, by which no client's connection may be held
-	adminTimeout       = time.Second            // for each answer to operators
-	probeInterval      = 100 * time.Millisecond // between the front's questions
+	takeoverTimeout    = 6 * time.Second        // for a new process to be ready
+	standbyTimeout     = 2 * time.Second        // for a node to enter or leave standby
+	balancerLag        = 200 * time.Millisecond // that the load balancer takes after the first failed check
+	connsClosedTimeout = 4 * time.Second        // after the call, by which all client connections must be closed
+	adminTimeout       = time.Second            // per call of the admin listener
+	probeInterval      = 100 * time.Millisecond // between the load balancer's checks
 )
 
-// callAdmin makes an operators' callAdmin of a member's process.
+// callAdmin calls the admin listener of a node, and reports whether the answer has a 2xx status.
 func (m *member) callAdmin(method, at, path string) bool {
 	q, err := http.NewRequest(method, "http://"+at+path, nil)
 	if err != nil {
@@ -31,7 +31,8 @@
 	return a.StatusCode/100 == 2
 }
 
-// waitUntil asks until the answer is yes, and tells whether it was in time.
+// waitUntil polls a condition, and reports whether it held within the time. It also returns true once the run is
+// closing.
 func (m *member) waitUntil(long time.Duration, yes func() bool) bool {
 	for by := time.Now().Add(long); !yes(); time.Sleep(probeInterval / 5) {
 		if time.Now().After(by) || m.rig.isClosing() {
@@ -41,7 +42,7 @@
 	return true
 }
 
-// fail ends the run as fail: a node did not do what its operators asked.
+// fail records that a node did not do what its operator asked, which fails the run.
 func (m *member) fail(what string) {
 	m.rig.mu.Lock()
 	defer m.rig.mu.Unlock()
@@ -50,7 +51,7 @@
 	}
 }
 
-// UpgradeNode has another process take a node's place, as the platform does; the lock is held.
+// UpgradeNode replaces a node's process by a new one, as the platform does. The lock is held.
 func (r *Rig) UpgradeNode(number int) {
 	m := r.nodes[number]
 	old := m.process
@@ -60,21 +61,21 @@
 			return
 		}
 		if !m.waitUntil(takeoverTimeout, func() bool { return m.callAdmin(http.MethodGet, m.adminAddr, "/status") }) {
-			m.fail("the new process does not say yes")
+			m.fail("the new process is not ready in time")
 			return
 		}
 		old.End()
 		select {
 		case <-old.Done():
 		case <-time.After(r.settings.LongestDeadline + stopSlack):
-			m.fail("the old process does not end")
+			m.fail("the old process does not exit in time; killing it")
 			old.Kill()
 		}
 		r.takeoverDone(m)
 	}()
 }
 
-// takeoverDone notes that a node's new process is alone.
+// takeoverDone records that the new process serves alone.
 func (r *Rig) takeoverDone(m *member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,10 +84,11 @@
 	}
 }
 
-// StandbyNode has a node stand by, or take clients again, as operators and the front see it; the lock is held.
+// StandbyNode puts a node on standby or ends that, and checks what operators and the load balancer see. The lock is
+// held.
 func (r *Rig) StandbyNode(number int, by bool) {
 	m := r.nodes[number]
-	r.views.RecordProcess(r.now(), m.name, !by, false) // who stands by is no member
+	r.views.RecordProcess(r.now(), m.name, !by, false) // a node on standby is not a member
 	if by {
 		r.coverage.PhaseChanged(number, coverage.Standby)
 	} else {
@@ -98,11 +100,11 @@
 			path = "/standby"
 		}
 		if !m.callAdmin(http.MethodPut, m.adminAddr, path) {
-			m.fail("said no to " + path)
+			m.fail("refused PUT " + path)
 			return
 		}
 		if !m.waitUntil(standbyTimeout, func() bool { return m.pool.Ready() != by }) {
-			m.fail("does not tell the front of " + path)
+			m.fail("its readiness does not follow PUT " + path)
 		}
 		if by {
 			time.Sleep(balancerLag)
@@ -111,7 +113,7 @@
 		m.serving = !by
 		r.mu.Unlock()
 		if by && !m.waitUntil(connsClosedTimeout-time.Since(begun), func() bool { return m.pool.OpenConns() == 0 }) {
-			m.fail("holds clients' connections on standby")
+			m.fail("still holds client connections on standby")
 		}
 	}()
 }
--- a/internal/emulator/realtime/processes.go
+++ b/internal/emulator/realtime/processes.go
@@ -15,13 +15,14 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-// RehearsalEnv is set in the environment of a node process that is part of a rehearsal: its loop can be made to hang there.
+// RehearsalEnv is set in the environment of a node process that is part of a rehearsal. It enables the signal that
+// blocks the node's event loop.
 const RehearsalEnv = "DAHLIAPIN_REHEARSED"
 
-// Processes runs each node as a process of its own, by a program that takes serve, --config and --records.
+// Processes runs each node as a process of its own. Its program takes serve, --config and --records.
 type Processes struct {
 	Program string
-	Dir     string // for configurations and logs; the caller's to remove
+	Dir     string // for configurations and logs; the caller removes it
 	started atomic.Int64
 }
 
@@ -29,10 +30,10 @@
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
-	exit string // how it ended; "" for well. Written before done is closed
+	exit string // exit status and last log line; "" for a normal exit. Written before done is closed
 }
 
-// Start starts a node's process. Its records, and the lines of its trace, are passed on as they come.
+// Start starts a node's process, and passes on its records and trace lines as they arrive.
 func (ps *Processes) Start(o NodeSpec) (Process, error) {
 	base := filepath.Join(ps.Dir, fmt.Sprintf("%s-%d", o.Name, ps.started.Add(1)))
 	args, err := writeFiles(base, o)
@@ -64,7 +65,7 @@
 	cmd.ExtraFiles = pipes.writers
 	cmd.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
-		Setpgid:   true, // Ctrl-C is the rig's to handle
+		Setpgid:   true, // Ctrl-C is handled by this process only
 	}
 	if err := cmd.Start(); err != nil {
 		pipes.closeReaders()
@@ -105,7 +106,7 @@
 	return args, nil
 }
 
-// pipes are those over which a process hands out lines.
+// pipes are the pipes over which a process writes records and trace lines.
 type pipes struct {
 	readers, writers []*os.File
 }
@@ -142,7 +143,7 @@
 	}
 }
 
-// wait waits for the process's end. How it ended is told with the last line of its log.
+// wait waits for the process to exit, and adds the last line of its log to the exit status of a failure.
 func (p *process) wait(logPath string) {
 	defer close(p.done)
 	err := p.cmd.Wait()
@@ -158,10 +159,10 @@
 	p.exit = err.Error() + ": " + lines[len(lines)-1]
 }
 
-// Hang has its loop stand still, or go on: a switch that only processes of a rehearsal have.
+// Hang blocks the process's event loop or lets it continue, by a signal that toggles it in rehearsals only.
 func (p *process) Hang(bool) { p.cmd.Process.Signal(syscall.SIGUSR2) }
 
-// Pause stops it, or has it go on.
+// Pause stops the process or lets it continue.
 func (p *process) Pause(stop bool) {
 	if stop {
 		p.cmd.Process.Signal(syscall.SIGSTOP)
@@ -170,7 +171,7 @@
 	p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Reload has it read its configuration again.
+// Reload tells the process to reload its configuration.
 func (p *process) Reload() { p.cmd.Process.Signal(syscall.SIGHUP) }
 
 func (p *process) End()                  { p.cmd.Process.Signal(syscall.SIGTERM) }
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -25,16 +25,16 @@
 
 const (
 	epoch         = policy.Instant(time.Second)
-	rigSeedMask   = 0x0f1ee7               // draws of the rig are others than those of the world
-	slack         = 50 * time.Millisecond  // that sockets and a busy machine may take before it counts as a breach
-	startTimeout  = 20 * time.Second       // that nodes may take until they serve
-	clientsLinger = 250 * time.Millisecond // that clients still come to a node that was told to end
-	stopSlack     = 2 * time.Second        // over the longest deadline, until a node that was told to end is ended
+	rigSeedMask   = 0x0f1ee7               // keeps the rig's draws apart from those of the world
+	slack         = 50 * time.Millisecond  // for sockets and a busy machine, before a delay counts as a breach
+	startTimeout  = 20 * time.Second       // until all nodes serve
+	clientsLinger = 250 * time.Millisecond // during which clients still connect to a node that was told to end
+	stopSlack     = 2 * time.Second        // over the longest deadline, after which a node that was told to end is killed
 	pollInterval  = 20 * time.Millisecond
 
-	maxDeadlineAtStop = 3 * time.Second        // of the longest deadline, that who ends a process waits for: by the protocol
-	killDelay         = 700 * time.Millisecond // over that, after which a process that was told to end may be killed
-	signalInterval    = 20 * time.Millisecond  // between signals in series
+	maxDeadlineAtStop = 3 * time.Second        // cap on the longest deadline, by the shutdown protocol
+	killDelay         = 700 * time.Millisecond // over that deadline, until the process may be killed
+	signalInterval    = 20 * time.Millisecond  // between signals in a row
 )
 
 // Starter starts nodes.
@@ -42,42 +42,42 @@
 	Start(NodeSpec) (Process, error)
 }
 
-// NodeSpec is a node to start.
+// NodeSpec describes a node to start.
 type NodeSpec struct {
 	Name          string
 	Configuration []byte
-	Operator      []byte                          // nil for none
-	Fleet         []byte                          // by which it joins other nodes; nil for none
-	OnRecord      func(eventlog.Event, time.Time) // told its records, in the time of their making
-	OnTrace       func([]byte)                    // told a line of its trace
+	Operator      []byte                          // the operator's file; nil for none
+	Fleet         []byte                          // the fleet configuration; nil for a node without a fleet
+	OnRecord      func(eventlog.Event, time.Time) // called with each record of its event log, and the time of the record
+	OnTrace       func([]byte)                    // called with each line of its membership trace
 }
 
-// Process is one node that runs.
+// Process is a running node.
 type Process interface {
-	End()                  // as an operator would
-	Kill()                 // at once; only a process of its own can be
+	End()                  // tells it to end, as an operator does
+	Kill()                 // at once; an embedded node can only be told to end
 	Done() <-chan struct{} // closed once it has ended
-	ExitReason() string    // how, once it has; "" for well
+	ExitReason() string    // why it failed, once it has ended; "" for a normal exit
 }
 
-// Pauser is a process that can be made to stand still, and to go on.
+// Pauser is a process that can be stopped and continued.
 type Pauser interface {
 	Pause(stop bool)
-	Hang(stop bool) // its loop only
+	Hang(stop bool) // stops its event loop only
 }
 
-// Reloader is a process that can be told to read its configuration again.
+// Reloader is a process that can be told to reload its configuration.
 type Reloader interface {
 	Reload()
 }
 
-// Rig is one run.
+// Rig is one run. Its lock guards the model of the world and all that nodes, servers and clients report.
 type Rig struct {
 	scenario   *scenario.Scenario
 	settings   settings.Settings
 	starter    Starter
 	startedAt  time.Time
-	onProgress func(string) // progress, a line at a time; nil for nobody
+	onProgress func(string) // called with a line of progress each second; may be nil
 
 	mu             sync.Mutex
 	world          *world.World
@@ -101,16 +101,16 @@
 	pendingUpdates []policy.Endpoint
 	failures       []string
 	requests       sync.WaitGroup
-	faults         *netfault.Forwarder // nil where nodes do not know one another
-	proxies        []map[string]string // the way from each node to each address
-	bootTime       policy.Instant      // the shared clock when the run began
-	gossipAddrs    []string            // where each node hears the others
+	faults         *netfault.Forwarder // nil unless nodes are members of a fleet
+	proxies        []map[string]string // by node: the forwarder's address for each address of another node
+	bootTime       policy.Instant      // the time of the machine's boot clock when the run began
+	gossipAddrs    []string            // where each node listens for the others
 	views          *checker.Views
 	closing        bool // no node is started any more
-	stopped        bool // nor anything else done
+	stopped        bool // the model of the world does not change any more
 }
 
-// Play plays a scenario on sockets and returns what came of it. A cancelled context ends it early, without a report.
+// Play plays a scenario on sockets and returns its report. A cancelled context ends the run early, without a report.
 func Play(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
 	deployment, err := s.TermsAt(s.Fleet.Zones[0])
 	if err != nil {
@@ -138,7 +138,7 @@
 	if err := r.sendTraffic(ctx, start); err != nil {
 		return nil, err
 	}
-	select { // the last requests have their deadlines still to come
+	select { // requests sent last have not reached their deadlines
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(deployment.LongestDeadline + 2*slack):
@@ -146,7 +146,7 @@
 	return r.report(), nil
 }
 
-// errVirtualOnly refuses a scenario that needs what only the simulation has.
+// errVirtualOnly is returned for a scenario that needs what only the simulation has.
 var errVirtualOnly = errors.New(
 	"uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
 
@@ -224,11 +224,11 @@
 	return start
 }
 
-// report ends the check of the rules and draws up the report.
+// report ends the checks and makes the report.
 func (r *Rig) report() *report.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now gets none
+	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now counts as lost
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	result.Coverage = r.coverage.Table
 	for _, how := range r.failures {
@@ -243,7 +243,7 @@
 
 func (r *Rig) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.startedAt)) }
 
-// clock does what is due, under the lock, and sleeps between.
+// clock runs the due functions and jobs under the lock, and sleeps in between.
 func (r *Rig) clock() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -279,7 +279,7 @@
 	}
 }
 
-// poke lets the clock look again at what is due next.
+// wakeClock has the clock compute anew what is due next.
 func (r *Rig) wakeClock() {
 	select {
 	case r.wake <- struct{}{}:
@@ -287,19 +287,20 @@
 	}
 }
 
-// At hangs something in; it is done under the lock.
+// At schedules a function, which is called under the lock.
 func (r *Rig) At(at policy.Instant, do func()) {
 	r.queue.Push(at, do)
 	r.wakeClock()
 }
 
-// warmCaches puts keys where the module would send them.
+// warmCaches puts keys where the policy module would route them.
 func (r *Rig) warmCaches() {
 	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmBy(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
+// awaitReady waits until all nodes accept requests.
 func (r *Rig) awaitReady(ctx context.Context) error {
 	by := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
@@ -308,11 +309,11 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-m.process.Done():
-				return fmt.Errorf("node %s ended before it served: %s", m.name, m.process.ExitReason())
+				return fmt.Errorf("node %s exited before it was ready: %s", m.name, m.process.ExitReason())
 			case <-time.After(pollInterval):
 			}
 			if time.Now().After(by) {
-				return fmt.Errorf("node %s does not serve within %v", m.name, startTimeout)
+				return fmt.Errorf("node %s was not ready within %v", m.name, startTimeout)
 			}
 		}
 		r.mu.Lock()
@@ -323,7 +324,8 @@
 	return nil
 }
 
-// sendTraffic plays the traffic, open loop: a try goes out at its time, whatever became of earlier ones.
+// sendTraffic sends the scenario's requests in an open loop: each is sent at its time, whatever became of earlier
+// ones.
 func (r *Rig) sendTraffic(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -340,7 +342,8 @@
 		case <-timer.C:
 		}
 		r.mu.Lock()
-		for now := r.now(); at <= now && at < end; { // the traffic's time is the script's: waves and seconds are its own
+		// Waves and seconds of traffic follow the scenario's time, not the time of sending.
+		for now := r.now(); at <= now && at < end; {
 			req := r.traffic.Draw(at)
 			r.sendRequest(req, at, true)
 			if now.Since(at) > report.LateArrival {
@@ -358,7 +361,7 @@
 	return nil
 }
 
-// progress is a line on the second that has just passed.
+// progress formats the line on the second that has just ended.
 func (r *Rig) progress(second int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -367,7 +370,7 @@
 		second, r.scenario.Seconds, last.Asked, last.InTime, last.Attempts, last.OriginAttempts, r.checker.Breached())
 }
 
-// sendRequest sends one try; the lock is held.
+// sendRequest sends one try of a client to a node. The lock is held.
 func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
 	var up []*member
@@ -416,7 +419,7 @@
 	})
 }
 
-// onResponse hears what came of a try.
+// onResponse records the response to a try, and schedules the client's retry. The lock is held.
 func (r *Rig) onResponse(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
 	if r.stopped {
 		return
@@ -425,10 +428,10 @@
 	r.coverage.RequestEnded(m.number, req.ID)
 	g, now := &r.traffic.Classes[req.Class], r.at(got.ReceivedAt)
 	if got.Unsolicited {
-		r.checker.WrongAnswer(now, "", "more came on a connection than one answer for each request")
+		r.checker.WrongAnswer(now, "", "a connection received bytes beyond one answer per request")
 	}
 	switch {
-	case got.NotSent: // it was taken by nobody, and asks another node
+	case got.NotSent: // no node has received it; it counts as cut off and is not retried
 		r.checker.Excuse(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
@@ -439,7 +442,7 @@
 	case got.Abandoned:
 		r.checker.ClientGone(now, req.ID)
 		return
-	case got.Silent: // the judge counts it as lost at its deadline
+	case got.Silent: // the checker counts it as lost at its deadline
 		return
 	case got.Final == checker.Cut && m.freshStarts != life || got.Final == checker.Cut && m.killed:
 		r.checker.Excuse(req.ID)
@@ -471,18 +474,19 @@
 	}
 }
 
-// EventBegan counts what an event meets, until its end; the lock is held, there too.
+// EventBegan records with the coverage table what an event coincides with, until its end. The lock is held in both
+// calls.
 func (r *Rig) EventBegan(e *scenario.Event) (ended func()) {
 	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
 }
 
-// LogEvent keeps a line of what the script does.
+// LogEvent adds a line to the log of the run.
 func (r *Rig) LogEvent(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
-// Registry is what discovery can bear.
+// Registry is the model of the capacity of discovery.
 func (r *Rig) Registry() *world.Registry { return r.registry }
 
-// SetDiscovery goes down, or comes back and tells what has changed meanwhile.
+// SetDiscovery takes discovery down or up; changes that were held back are then published. The lock is held.
 func (r *Rig) SetDiscovery(up bool) {
 	if !up {
 		r.listUp = make(chan struct{})
@@ -504,7 +508,8 @@
 	}
 }
 
-// EndpointChanged tells a change of the list to each node's agent, late.
+// EndpointChanged publishes a change of the endpoint list to each node's agent, each after a delay of its own. The
+// lock is held.
 func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
 		r.updateListener(i)
@@ -525,7 +530,8 @@
 	}
 }
 
-// onRecord hears a node's record. The fleet as a whole avoids what most of its nodes avoid.
+// onRecord takes a record of a node's event log. The fleet as a whole has ejected an endpoint once most of its nodes
+// have.
 func (r *Rig) onRecord(number int, e eventlog.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -555,7 +561,7 @@
 var ejectionStates = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
 	policy.StateFailing.String(): policy.StateFailing}
 
-// close ends all that runs.
+// close ends all nodes, servers and clients, and waits for the requests.
 func (r *Rig) close() {
 	r.mu.Lock()
 	r.closing = true
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	tcpEstablished      = 1                      // a connection's state in the kernel, by RFC 9293
-	maxQueuedAnswers    = 64                     // that may wait on one connection for a slow reader
-	readBufferSize      = 16 << 10               // bytes of commands read at once
-	maxCommandSize      = 1 << 20                // bytes of a command that has not come whole
-	backlogFillTimeout  = 50 * time.Millisecond  // that a connection may take which only fills a queue
-	frozenCheckInterval = time.Millisecond       // between looks whether a cache that stands still goes on
-	relistenDelay       = 100 * time.Millisecond // between tries to listen where it listened before
+	tcpEstablished      = 1                      // the kernel's state of an established connection, TCP_ESTABLISHED
+	maxQueuedAnswers    = 64                     // per connection; a reader that is slower is disconnected
+	readBufferSize      = 16 << 10               // bytes of commands per read
+	maxCommandSize      = 1 << 20                // bytes of an incomplete command, above which the connection is closed
+	backlogFillTimeout  = 50 * time.Millisecond  // for a dial that only fills the listen backlog
+	frozenCheckInterval = time.Millisecond       // between checks whether a frozen cache runs again
+	relistenDelay       = 100 * time.Millisecond // between attempts to listen on the former address
 	garbageAnswer       = "\x8c\xa1\x00 no answer of any protocol \xff\r\n"
 )
 
-// server is one cache or the origin on sockets.
+// server is one cache or the origin, listening on a loopback socket.
 type server struct {
 	rig            *Rig
 	number         int
@@ -40,8 +40,8 @@
 	listener       net.Listener // nil while connections are refused
 	conns          map[*serverConn]bool
 	fault          string
-	backlogFillers []net.Conn    // fill the queue of a server that vanished
-	responsive     chan struct{} // closed unless it has vanished
+	backlogFillers []net.Conn    // fill the listen backlog of a silent server
+	responsive     chan struct{} // closed unless the server is silent
 	httpServer     *http.Server
 }
 
@@ -52,7 +52,7 @@
 	outgoing chan []byte
 }
 
-// leg is one that a server has in hand.
+// attempt is an attempt that a server has received and not answered.
 type attempt struct {
 	server    int
 	id        string
@@ -62,14 +62,14 @@
 	done      chan world.Done // to the origin
 }
 
-// openServer lets a server listen for the first time.
+// openServer creates a server and starts listening on a free port.
 func (r *Rig) openServer(number int) error {
 	awake := make(chan struct{})
 	close(awake)
 	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: awake}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("a server cannot listen: %w", err)
+		return fmt.Errorf("cannot listen for an emulated server: %w", err)
 	}
 	s.addr = l.Addr().String()
 	for len(r.servers) <= number {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// updateListener brings a server's listening into line with how it lives; the lock is held. One that is new is opened.
+// updateListener starts or resumes listening if the server is up. A server that is new is created. The lock is held.
 func (r *Rig) updateListener(number int) {
 	if number >= len(r.servers) || r.servers[number] == nil {
 		if err := r.openServer(number); err != nil {
@@ -92,7 +92,7 @@
 	switch life := r.world.Servers[number].Liveness; {
 	case life == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
 		l, err := net.Listen("tcp", s.addr)
-		if err != nil { // somebody else's connection has its port for a moment
+		if err != nil { // another process's connection uses the port for the moment
 			r.At(r.now().Add(relistenDelay), func() { r.updateListener(number) })
 			return
 		}
@@ -122,7 +122,8 @@
 		r.mu.Lock()
 		awake := s.responsive
 		r.mu.Unlock()
-		if vanished := waitUntilClosed(awake); vanished || peerClosed(plain) { // one that has vanished accepts nobody, and resets who came meanwhile once it is back
+		if vanished := waitUntilClosed(awake); vanished || peerClosed(plain) {
+			// A silent server accepts nobody, and resets the connections of that time once it responds again.
 			closeWithReset(plain)
 			continue
 		}
@@ -146,7 +147,7 @@
 	}
 }
 
-// waitUntilClosed waits until a channel is closed, and tells whether it had to.
+// waitUntilClosed waits until a channel is closed, and reports whether it was still open.
 func waitUntilClosed(awake chan struct{}) (waited bool) {
 	select {
 	case <-awake:
@@ -157,7 +158,7 @@
 	}
 }
 
-// peerClosed tells whether the other side has ended a connection: whoever opened it has given up on all that it wrote.
+// peerClosed reports whether the peer has closed the connection: it has then given up all that it sent.
 func peerClosed(c net.Conn) (is bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -181,8 +182,8 @@
 	c.Close()
 }
 
-// ResetConnections ends all connections to a server; one that is down, or refuses, listens no more. One that has vanished lets
-// nobody know. The lock is held.
+// ResetConnections resets all connections to a server, and closes the listener of one that is down or refuses
+// connections. A server that is silent sends no reset and stops responding instead. The lock is held.
 func (r *Rig) ResetConnections(number int) {
 	s := r.servers[number]
 	if s == nil {
@@ -208,8 +209,8 @@
 	}
 }
 
-// stopResponding lets a server say nothing any more: nobody is accepted, and the kernel's queue is filled so that connections
-// don't come up either.
+// stopResponding stops accepting connections, and fills the kernel's listen backlog so that new connections are not
+// established either.
 func (s *server) stopResponding() {
 	l, ok := s.listener.(*net.TCPListener)
 	if !ok {
@@ -219,7 +220,7 @@
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { unix.Listen(int(fd), 0) })
 	}
-	for range 3 { // the one that is waited for, and the queue's least length
+	for range 3 { // one for the pending accept, two for the smallest backlog
 		go func() {
 			if c, err := net.DialTimeout("tcp", s.addr, backlogFillTimeout); err == nil {
 				s.rig.mu.Lock()
@@ -230,7 +231,7 @@
 	}
 }
 
-// resumeResponding ends that.
+// resumeResponding undoes stopResponding.
 func (s *server) resumeResponding() {
 	select {
 	case <-s.responsive:
@@ -249,14 +250,14 @@
 	close(s.responsive)
 }
 
-// SetFault sets what goes wrong on a server's connections; the lock is held.
+// SetFault sets the fault of a server's connections. The lock is held.
 func (r *Rig) SetFault(number int, kind string) {
 	s := r.servers[number]
 	s.fault = kind
 	r.updateListener(number)
 }
 
-// close ends it for good; the lock is held.
+// close stops the server for good. The lock is held.
 func (s *server) close() {
 	if s == nil {
 		return
@@ -274,7 +275,8 @@
 	}
 }
 
-// disconnect ends a connection; the legs on it are left. The lock is held.
+// disconnect closes a connection, with a reset or without. The attempts on it count as cancelled and their jobs are
+// withdrawn. The lock is held.
 func (c *serverConn) disconnect(byReset bool) {
 	r := c.server.rig
 	if !c.server.conns[c] {
@@ -303,7 +305,8 @@
 	}
 }
 
-// endAttempt tells the judge that a leg is out no more, and the fleet's book how it ended.
+// endAttempt records the result of an attempt with the log, the checker and the fleet's event log. It returns nil if
+// the attempt is not known.
 func (r *Rig) endAttempt(tag uint64, how policy.Result) *attempt {
 	l := r.attempts[tag]
 	if l != nil {
@@ -317,7 +320,7 @@
 	return l
 }
 
-// queueAnswer queues bytes; a reader that takes none is cut off. The lock is held.
+// queueAnswer queues an answer. A reader that lets the queue fill up is disconnected. The lock is held.
 func (c *serverConn) queueAnswer(b []byte) {
 	if !c.server.conns[c] {
 		return
@@ -332,7 +335,7 @@
 func (c *serverConn) write() {
 	for b := range c.outgoing {
 		if _, err := c.Write(b); err != nil {
-			c.Close() // its reader sees that
+			c.Close() // the read loop sees the close
 		}
 	}
 }
@@ -382,7 +385,7 @@
 	}
 }
 
-// handleCommand takes one handleCommand; the lock is held.
+// handleCommand handles one meta command. The lock is held.
 func (c *serverConn) handleCommand(command *meta.Command, fault *meta.Fault) {
 	r, s, now := c.server.rig, c.server, c.server.rig.now()
 	w := r.world.Servers[s.number]
@@ -394,7 +397,7 @@
 	}
 	switch {
 	case fault != nil:
-		r.checker.WrongAnswer(now, string(command.ID), "a server was sent what is no command: "+strings.TrimSpace(fault.Response))
+		r.checker.WrongAnswer(now, string(command.ID), "a server received an invalid command: "+strings.TrimSpace(fault.Response))
 		c.queueAnswer([]byte(fault.Response))
 		return
 	case command.Verb == meta.Ready:
@@ -414,7 +417,7 @@
 	c.queueAnswer([]byte("SERVER_ERROR busy\r\n"))
 }
 
-// handlePurge carries out a purge, at a cache that lives; the lock is held.
+// handlePurge carries out a delete or a flush, unless the cache is silent or faulty. The lock is held.
 func (c *serverConn) handlePurge(o cachestub.Order) {
 	r, s := c.server.rig, c.server
 	w := r.world.Servers[s.number]
@@ -432,7 +435,7 @@
 	}
 }
 
-// attemptArrived tells of a leg that attemptArrived whole.
+// attemptArrived records that an attempt was received completely. The lock is held.
 func (r *Rig) attemptArrived(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.AttemptArrived(now, server)
 	r.checker.AttemptArrived(now, now, id, server)
@@ -441,7 +444,8 @@
 	}
 }
 
-// offerAttempt offers a leg to the model; false means that it was turned away.
+// offerAttempt offers an attempt to the model of the server as a job. It returns false if the job is rejected. The
+// lock is held.
 func (r *Rig) offerAttempt(s *server, id, key string, items []byte, write bool, l *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
@@ -451,12 +455,12 @@
 		return string(v)
 	}
 	if write && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
-		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which only stores", w.ID))
+		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which is a cache beside the origin", w.ID))
 	}
 	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
 	wait, err := strconv.ParseFloat(item("d"), 64)
 	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
-		r.checker.WrongAnswer(now, id, fmt.Sprintf("a server was sent a leg that no client's could become: grade %q, wait %q", item("c"), item("d")))
+		r.checker.WrongAnswer(now, id, fmt.Sprintf("a server received an attempt that matches no client request: class %q, timeout %q", item("c"), item("d")))
 		r.checker.AttemptEnded(now, id, w.ID, true)
 		return false
 	}
@@ -479,11 +483,11 @@
 	return true
 }
 
-// resultOf are what a server's answers mean for a leg.
+// resultOf maps a server's reply to the result of the attempt.
 var resultOf = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
 	world.Busy: policy.Rejected, world.Failed: policy.Errored}
 
-// jobDone is a job's end; the lock is held.
+// jobDone answers the attempt of a finished job. The lock is held.
 func (r *Rig) jobDone(d world.Done) {
 	l := r.endAttempt(d.Job.Tag, resultOf[d.Reply])
 	if l == nil {
@@ -509,7 +513,7 @@
 	l.conn.queueAnswer(out)
 }
 
-// metaAnswer writes a cache's answer.
+// metaAnswer encodes a cache's answer in the meta protocol.
 func (r *Rig) metaAnswer(d world.Done, reports bool) []byte {
 	load := ""
 	if reports {
@@ -529,7 +533,7 @@
 	return []byte("SERVER_ERROR failed\r\n")
 }
 
-// ServeHTTP is the origin.
+// ServeHTTP handles a request to the origin.
 func (s *server) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	r := s.rig
 	if in.URL.Path == "/health/live" || in.URL.Path == "/stats" {
@@ -564,7 +568,7 @@
 		}
 		out.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		io.WriteString(out, text)
-	case <-in.Context().Done(): // called off, or the origin is gone
+	case <-in.Context().Done(): // the node cancelled the request, or the origin was stopped
 		r.mu.Lock()
 		r.endAttempt(tag, policy.Cancelled)
 		r.world.Withdraw(r.now(), s.number, tag)
