--- a/internal/emulator/realtime/metrics_test.go
+++ b/internal/emulator/realtime/metrics_test.go
@@ -7,9 +7,9 @@
 	"dahliapin/internal/emulator/checker"
 )
 
-// A node that counts two of a hundred twice, or forgets them, is to be seen; one that lags, or has answered what is still on its
-// way to clients, is not.
-func TestANodeThatMiscountsByTwoPercentIsSeen(t *testing.T) {
+// Counters that are off by two percent or more are detected. A counter may lag, or be ahead by answers that are still
+// on their way to clients.
+func TestMetricsOffByTwoPercentAreDetected(t *testing.T) {
 	var from, to clientCounts
 	for n := range 2000 {
 		to.pending++
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -83,14 +83,14 @@
 	return s
 }
 
-// stub is a router that does one thing wrong. It is a runner of itself.
+// stub is a router with one fault. It is the Starter and the Process of itself.
 type stub struct {
 	wrong string
 	l     net.Listener
 	done  chan struct{}
 	mu    sync.Mutex
-	addrs map[string]string // of servers, by id; those that are gone stay
-	last  string            // the id heard of last
+	addrs map[string]string // of servers, by id; removed ones are kept
+	last  string            // id of the server that was listed last
 	end   sync.Once
 }
 
@@ -277,25 +277,26 @@
 	return well()
 }
 
-// The rig's judge is what calls a node good, so it must call each of these routers bad, by the right rule, and the one
-// that does all well good.
-func TestBrokenRoutersAreCaughtByTheirRule(t *testing.T) {
+// Rehearsals call a node good by the checker's verdict alone. So the checker must report each of these faulty routers
+// by the rule that it breaks, and report nothing for the one without a fault.
+func TestCheckerReportsEachBrokenRouterByItsRule(t *testing.T) {
 	for wrong, rule := range map[string]int{"": 0, "answers twice": 1, "answers late": 1, "never answers": 1, "makes a value up": 1,
 		"sends on after the answer": 1, "repeats what can't be undone": 2, "rejects what ran": 2,
 		"repeats a labelled write beyond its window": 2, "sends a second beside the first": 2, "sends to one that drains": 3,
 		"pushes a cold cache over": 4, "sends on for who has left": 1} {
 		t.Run("who "+wrong, func(t *testing.T) {
-			if rule%4 > 0 { // the good one and who needs its rate kept have the machine before the others
+			// The router without a fault and the one for rule 4 need their rate kept: they run before the others.
+			if rule%4 > 0 {
 				t.Parallel()
 			}
 			s := parse(t, baseScenario+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
 				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n"}[rule])
-			if rule == 2 && strings.Contains(wrong, "second") { // the first is to be out for long enough to be seen beside
+			if rule == 2 && strings.Contains(wrong, "second") { // the first attempt must last long enough to overlap the second
 				s.Classes[0].WorkMs = 120
 				s.Traffic.PerSecond = 20
 			}
 			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(wrong, "left") {
-				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // and none of them may count as late
+				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // no request may be answered after its deadline
 			}
 			if s.Fleet.Queue = 1000; rule == 4 {
 				s.Fleet.FallMultiple = 1.2
@@ -308,15 +309,15 @@
 				t.Errorf("%v, %v", r.Rules, r.Breaches[:min(5, len(r.Breaches))])
 			}
 			if rule > 0 && r.Good() {
-				t.Error("called good")
+				t.Error("the report is good")
 			}
 		})
 	}
 }
 
-// The real node, embedded, through faults on its wires, a cache that vanishes and a planned restart; afterwards nothing
-// of the run listens any more. By HTTP one cache also answers with what it may not serve any more, which the judge knows.
-func TestTheNodeKeepsTheRulesThroughFaultsOnSockets(t *testing.T) {
+// An embedded node keeps the rules through connection faults, a silent cache, a killed one and a planned restart. By
+// HTTP one cache also answers with responses that are no longer fresh.
+func TestNodeKeepsRulesThroughFaultsOnSockets(t *testing.T) {
 	const faults = `
 [[event]]
 at_s = 0.5
@@ -360,32 +361,33 @@
 			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
 				t.Errorf("%+v, %v", r.Classes, r.Events)
 			}
-			if at := r.FirstOf("c3", eventlog.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
+			if at := r.FirstOf("c3", eventlog.EndpointAvoided); at < 1.8 { // the delay is checked in virtual time only
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
 			}
 			met := r.Coverage
 			if met.Met("node_restart", coverage.Serving) != 1 || met.Met("silent", coverage.Draining) != 1 {
-				t.Errorf("what faults met is not counted: %v", met.NeverMet())
+				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
 			}
 			if met.InFlight("silent", policy.Idempotent) == 0 || met.Met("kill", coverage.Standby) != 0 {
-				t.Errorf("what faults met is not counted: %v", met.NeverMet())
+				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
 			}
 		})
 	}
 }
 
-// A run that is broken off, and one whose node dies, end with that said and leave nothing behind.
-func TestARunThatIsBrokenOffLeavesNothing(t *testing.T) {
+// A cancelled run returns the context's error, ends its node and closes all listeners. A run whose node exits by
+// itself is reported as failed.
+func TestCancelledOrFailedRunLeavesNothingBehind(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	run := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
 	if _, err := Play(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("broken off: %v", err)
+		t.Errorf("cancelled run: %v", err)
 	}
 	select {
 	case <-run.done:
 	default:
-		t.Error("its node still runs")
+		t.Error("the node still runs after the run was cancelled")
 	}
 	for id, addr := range run.addrs {
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
@@ -397,21 +399,21 @@
 	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
 	r, err := Play(context.Background(), parse(t, baseScenario), dies, nil)
 	if err != nil || r.Good() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
-		t.Errorf("a node that dies on its own: %v %v", err, r)
+		t.Errorf("node that exits by itself: %v %v", err, r)
 	}
 }
 
-// A machine that can't keep the pace says so instead of judging.
-func TestAMachineTooBusyDoesNotJudge(t *testing.T) {
+// A run on a machine that cannot keep the pace of the traffic is reported as such, and is neither good nor checked.
+func TestRunOnABusyMachineHasNoVerdict(t *testing.T) {
 	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
 	l.Played, l.Late = 100, 3
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); r.Good() || r.MachineTooBusy == "" {
-		t.Error("judged")
+		t.Error("a run on a busy machine has a verdict")
 	}
 	l.Late = 2
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); !r.Good() {
-		t.Error("not judged", r.Expected)
+		t.Error("a run in time has no verdict", r.Expected)
 	}
 }
 
@@ -425,8 +427,8 @@
 	return checker.New(checker.Rules{Classes: gs})
 }
 
-// A cache of the emulator's carries purges out: what it held is gone, and it says whether it held it.
-func TestACacheCarriesPurgesOut(t *testing.T) {
+// An emulated cache carries out deletes and flushes, and its answer to a delete says whether the key was there.
+func TestEmulatedCacheCarriesOutPurges(t *testing.T) {
 	s := parse(t, baseScenario)
 	terms, err := s.TermsAt("")
 	if err != nil {
@@ -479,8 +481,9 @@
 	}
 }
 
-// What sockets don't have was passed over without a word, and a script that stands on it met what it expects by chance.
-func TestWhatIsInVirtualTimeOnlyIsRefused(t *testing.T) {
+// Settings that only the simulation has were ignored on sockets, and a scenario that relies on them met its
+// expectations by chance.
+func TestScenarioForVirtualTimeOnlyIsRefused(t *testing.T) {
 	for _, more := range []string{"[traffic]\nskew = 0.5\n", "[network]\nlate_share = 0.1\nlate_ms = 5\n", "[network]\nlost_share = 0.1\n"} {
 		section, keys, _ := strings.Cut(more, "\n")
 		text := baseScenario + more
