--- a/internal/emulator/netfault/faults.go
+++ b/internal/emulator/netfault/faults.go
@@ -1,7 +1,7 @@
-// Package netfault is the network between processes, and what goes wrong on it: each direction of each pair by itself.
+// Package netfault emulates the network between processes and its faults, separately for each direction of each pair.
 //
-// Faults decides what becomes of a datagram or a segment of a stream, without I/O: simulations in tests use it as it is.
-// A Forwarder carries that out between real processes on loopback.
+// Faults decides what happens to a datagram or a segment of a stream, without I/O: simulations in tests use it as it
+// is. A Forwarder carries that out between real processes on loopback.
 package netfault
 
 import (
@@ -21,13 +21,13 @@
 	seedSalt = 0xbe73
 )
 
-// Link is what goes wrong from one process to another. The zero value is a perfect network.
+// Link holds the faults from one process to another. The zero value is a perfect network.
 type Link struct {
 	Cut       bool
-	Loss      float64       // share of datagrams and segments that get lost
-	Duplicate float64       // share of datagrams that come doubled
-	Delay     time.Duration // that each takes
-	Jitter    time.Duration // the most that one takes beyond Delay, by chance, so that they overtake each other
+	Loss      float64       // share of datagrams and segments that are lost
+	Duplicate float64       // share of datagrams that are duplicated
+	Delay     time.Duration // of each datagram and segment
+	Jitter    time.Duration // maximum of the random delay added to Delay, by which datagrams overtake each other
 }
 
 // direction is from one process to another, by their numbers.
--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -115,7 +115,7 @@
 	a.rig.noteNotified(a.node, answer.entries)
 }
 
-// await waits until a channel is ready. It returns false if the node or the agent has gone before.
+// await waits until a channel is ready. It returns false if the node disconnects or the agent is closed first.
 func await[T any](a *agent, in *http.Request, ready <-chan T) bool {
 	select {
 	case <-ready:
@@ -127,8 +127,8 @@
 	}
 }
 
-// awaitChange waits until the list is newer than what a poll knows, or the poll's time is over. It returns false if the
-// node or the agent has gone before.
+// awaitChange waits until the list is newer than the version of a poll, or the poll's time is over. It returns false
+// if the node disconnects or the agent is closed first.
 func (a *agent) awaitChange(in *http.Request, poll listPoll) bool {
 	timer := time.NewTimer(poll.timeout)
 	defer timer.Stop()
@@ -152,7 +152,7 @@
 	}
 }
 
-// answerTo returns what a poll is told now. One from a version that is not known gets the complete list.
+// answerTo returns the answer to a poll as of now. A poll from an unknown version gets the complete list.
 func (a *agent) answerTo(poll listPoll) listAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,7 +192,7 @@
 	return at.Since(now), accepted
 }
 
-// noteNotified tells the checker what a node was told.
+// noteNotified reports to the checker which entries a node was sent.
 func (r *Rig) noteNotified(node int, entries []policy.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -58,7 +58,7 @@
 	id        string
 	arrivedAt policy.Instant
 	conn      *serverConn     // to a cache
-	etag      string          // its client asks whether what this names still holds
+	etag      string          // of the value that the client has, to be revalidated; empty for none
 	done      chan world.Done // to the origin
 }
 
--- a/internal/emulator/runner/doc.go
+++ b/internal/emulator/runner/doc.go
@@ -1,3 +1,3 @@
-// Package runner carries out a scenario's events on a world. It is used by both shells of the emulator: the simulation in
-// virtual time and the real processes on sockets. A Rig is what a shell has to offer for that.
+// Package runner carries out a scenario's events on a world. Both shells of the emulator use it: the simulation in
+// virtual time, and real processes on sockets. Each shell implements Rig.
 package runner
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -7,7 +7,7 @@
 	"dahliapin/policy"
 )
 
-// handlers say what an event does, by its name in a scenario.
+// handlers are the functions that carry out events, by the event's name in a scenario.
 var handlers = map[string]func(*Run, *event){
 	"slow":    (*Run).slowServers,
 	"crowd":   (*Run).crowdServers,
@@ -167,7 +167,7 @@
 	})
 }
 
-// terminateStarts restarts nodes, each of whose next process is told to end while it starts.
+// terminateStarts restarts nodes and tells each one's next process to end during its start.
 func (r *Run) terminateStarts(e *event) {
 	terminator, ok := r.rig.(StartTerminator)
 	if !ok {
@@ -225,7 +225,7 @@
 
 func (r *Run) hangNodes(e *event) { r.stopNodes(e, r.rig.HangNode) }
 
-// stopNodes stops something of each node, and lets it go on after the event's duration.
+// stopNodes stops the process or the event loop of each node, and lets it continue after the event's duration.
 func (r *Run) stopNodes(e *event, stop func(node int, stop bool)) {
 	r.eachNode(e, func(at policy.Instant, node int) {
 		stop(node, true)
@@ -256,7 +256,8 @@
 	return 0
 }
 
-// changeBetween changes what goes wrong between nodes until the event's end; where the event flaps, it goes off and on by turns.
+// changeBetween changes the links between nodes until the event's end. If the event flaps, the change goes off and on
+// by turns.
 func (r *Run) changeBetween(e *event, set func(link *netfault.Link, on bool)) {
 	setAll := func(on bool) {
 		for _, pair := range r.scenario.Pairs(e.Event) {
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -21,7 +21,7 @@
 	o.Checker.Effect(now, id, label, class, server)
 }
 
-// Fell reports that a server was overloaded and fell over. A cache's connections break; the origin goes on.
+// Fell reports that a server failed under overload. The connections of a cache are reset; the origin continues.
 func (o *WorldObserver) Fell(now policy.Instant, server policy.EndpointID, why string) {
 	o.Checker.Fell(now, server, why)
 	o.Log.AddEvent(now, string(server)+" "+why)
@@ -30,7 +30,7 @@
 	}
 }
 
-// Rose reports that a server that had fallen over runs again.
+// Rose reports that a server that had failed under overload runs again.
 func (o *WorldObserver) Rose(_ policy.Instant, server policy.EndpointID) {
 	if i, ok := o.World.Find(server); ok {
 		o.Rig.EndpointChanged(EndpointOf(o.World, i))
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -105,14 +105,15 @@
 	r.rig.At(at, func() { do(at) })
 }
 
-// startServer starts a server's next process. Connections that outlived the last one, as a vanished machine's do, are reset.
+// startServer starts a server's next process. Connections that outlived the last one, as those to a silent machine
+// do, are reset.
 func (r *Run) startServer(now policy.Instant, server int) {
 	r.world.Start(now, server)
 	r.rig.ResetConnections(server)
 	r.rig.EndpointChanged(EndpointOf(r.world, server))
 }
 
-// drainServer has the list say that a server drains, and removes it after a time.
+// drainServer marks a server as draining in the endpoint list, and removes it after a time.
 func (r *Run) drainServer(now policy.Instant, number int, duration time.Duration) {
 	server := r.world.Servers[number]
 	server.State = policy.Draining
