--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -15,7 +15,7 @@
 // maxWatchTime is how long a watch waits for a change at most.
 const maxWatchTime = time.Minute
 
-// agent is discovery as one node sees it: it has heard of so many changes, and tells these.
+// agent is a discovery server for one node, which publishes the changes that have reached it so far.
 type agent struct {
 	rig    *Rig
 	node   int
@@ -24,9 +24,9 @@
 	closed chan struct{}
 
 	mu      sync.Mutex
-	changes []policy.Endpoint // a version is how many there were
+	changes []policy.Endpoint // their number is the version of the list
 	latest  map[policy.EndpointID]policy.Endpoint
-	order   []policy.EndpointID // of the endpoints, as they were heard of
+	order   []policy.EndpointID // of the endpoints, by first change
 	changed chan struct{}       // closed at the next change
 }
 
@@ -44,15 +44,15 @@
 		changed: make(chan struct{}),
 	}
 	for i := range r.world.Servers {
-		a.hear(runner.EndpointOf(r.world, i))
+		a.addChange(runner.EndpointOf(r.world, i))
 	}
 	a.server = &http.Server{Handler: a}
 	go a.server.Serve(l)
 	return a, nil
 }
 
-// hear takes a change.
-func (a *agent) hear(e policy.Endpoint) {
+// addChange adds a change of the endpoint list and wakes the polls that wait.
+func (a *agent) addChange(e policy.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, known := a.latest[e.ID]; !known {
@@ -69,7 +69,7 @@
 	a.server.Close()
 }
 
-// listPoll is a call for the list.
+// listPoll is a poll of the endpoint list.
 type listPoll struct {
 	since    int // the version that the node has
 	complete bool
@@ -87,14 +87,14 @@
 	}
 }
 
-// listAnswer is what a call for the list is answered.
+// listAnswer is the answer to a poll.
 type listAnswer struct {
 	version  int
-	complete bool // all endpoints, else what has changed
+	complete bool // all endpoints, else only the changes
 	entries  []policy.Endpoint
 }
 
-// ServeHTTP answers a call for the list. While discovery is down it says nothing.
+// ServeHTTP answers a poll of the endpoint list. While discovery is down it does not answer.
 func (a *agent) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	if !await(a, in, a.rig.discoveryUp()) {
 		return
@@ -115,7 +115,7 @@
 	a.rig.noteNotified(a.node, answer.entries)
 }
 
-// await waits until a channel is ready. It returns false if the node or the agent has gone before.
+// await waits until a channel is ready. It returns false if the node disconnects or the agent is closed first.
 func await[T any](a *agent, in *http.Request, ready <-chan T) bool {
 	select {
 	case <-ready:
@@ -127,8 +127,8 @@
 	}
 }
 
-// awaitChange waits until the list is newer than what a poll knows, or the poll's time is over. It returns false if the
-// node or the agent has gone before.
+// awaitChange waits until the list is newer than the version of a poll, or the poll's time is over. It returns false
+// if the node disconnects or the agent is closed first.
 func (a *agent) awaitChange(in *http.Request, poll listPoll) bool {
 	timer := time.NewTimer(poll.timeout)
 	defer timer.Stop()
@@ -152,7 +152,7 @@
 	}
 }
 
-// answerTo returns what a poll is told now. One from a version that is not known gets the complete list.
+// answerTo returns the answer to a poll as of now. A poll from an unknown version gets the complete list.
 func (a *agent) answerTo(poll listPoll) listAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,7 +192,7 @@
 	return at.Since(now), accepted
 }
 
-// noteNotified tells the checker what a node was told.
+// noteNotified reports to the checker which entries a node was sent.
 func (r *Rig) noteNotified(node int, entries []policy.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -14,38 +14,38 @@
 	"dahliapin/policy"
 )
 
-// member is one node of the run and what stands on its machine.
+// member is one node of the run, with its clients, its discovery agent and its current process.
 type member struct {
-	r       *Rig
-	number  int
-	name    string
-	addr    string
-	http    string // where it takes clients by HTTP
-	ops     string // where operators call its process; empty for nowhere
-	agent   *agent
-	pool    *client.Pool
-	process Process
-	stands  Process // the same while it is made to stand still, or its loop; else nil
-	life    int
-	asks    map[string]bool // in hand
-	excused map[string]bool // of these, those that it stood still with
-	lives   int             // of these, those that began after the one before had ended: what was in hand then is excused
-	figures figures
-	serving bool // clients come to it
-	parting bool // clients use the connections that they have, and make no new ones
-	killed  bool // by the script: what it had in hand is excused
-	ending  bool // by the script, or since the run is over
+	rig         *Rig
+	number      int
+	name        string
+	addr        string
+	httpAddr    string // where it serves clients by HTTP
+	adminAddr   string // of the admin listener of its process; empty for none
+	agent       *agent
+	pool        *client.Pool
+	process     Process
+	stopped     Process // process while it or its event loop is stopped, else nil
+	incarnation int
+	inFlight    map[string]bool // ids of requests without a response
+	excused     map[string]bool // of inFlight, those that were in flight when the process was stopped
+	freshStarts int             // starts after the former process had ended; a request that was in flight then is excused
+	counts      clientCounts
+	serving     bool // clients connect to it
+	reuseOnly   bool // clients use the connections that they have, and open no new ones
+	killed      bool // by the scenario: its requests in flight are excused
+	ending      bool // by the scenario, or because the run is over
 
-	termNextStart time.Duration // after which its next process is told to end; 0 for not
+	termNextStart time.Duration // after which its next process is told to end; 0 for never
 }
 
 func (r *Rig) newMember(number int) (*member, error) {
 	a, err := r.newAgent(number)
 	if err != nil {
-		return nil, fmt.Errorf("discovery cannot listen: %w", err)
+		return nil, fmt.Errorf("cannot listen for emulated discovery: %w", err)
 	}
 	var addrs [2]string
-	for i := range addrs { // the node takes them right away
+	for i := range addrs { // the node listens on them right away
 		if addrs[i], err = freeport.Free(); err != nil {
 			a.close()
 			return nil, err
@@ -56,14 +56,15 @@
 	if r.scenario.Traffic.Protocol == listeners.ProtocolHTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: beyond}
 	}
-	return &member{r: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], http: addrs[1], agent: a, pool: pool, asks: map[string]bool{}, excused: map[string]bool{}}, nil
+	return &member{rig: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], httpAddr: addrs[1], agent: a, pool: pool, inFlight: map[string]bool{}, excused: map[string]bool{}}, nil
 }
 
-// start starts its node, with the list as its agent last had it.
+// start starts a process of the node with the endpoint list that its agent knows. It replaces a process that still
+// runs, or is the first after one has ended.
 func (m *member) start(replaces bool) error {
-	if m.r.scenario.HasOperatorCalls() {
+	if m.rig.scenario.HasOperatorCalls() {
 		var err error
-		if m.ops, err = freeport.Free(); err != nil { // new for each process: two may be up at once
+		if m.adminAddr, err = freeport.Free(); err != nil { // a new one per process, as two may run at once
 			return err
 		}
 	}
@@ -72,44 +73,45 @@
 		return err
 	}
 	number := m.number
-	p, err := m.r.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.r.scenario.OperatorConfig(m.http), Fleet: m.r.charter(number),
-		OnRecord: func(e eventlog.Event, at time.Time) { m.r.note(number, e, at) }, OnTrace: m.r.traced})
+	p, err := m.rig.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.rig.scenario.OperatorConfig(m.httpAddr), Fleet: m.rig.fleetConfig(number),
+		OnRecord: func(e eventlog.Event, at time.Time) { m.rig.onRecord(number, e, at) }, OnTrace: m.rig.onTraceLine})
 	if err != nil {
-		return fmt.Errorf("node %s does not start: %w", m.name, err)
+		return fmt.Errorf("cannot start node %s: %w", m.name, err)
 	}
-	m.r.mu.Lock()
-	if m.r.closing { // the run has ended while it started: nobody else would end it
-		m.r.mu.Unlock()
+	m.rig.mu.Lock()
+	if m.rig.closing { // the run ended during the start: nobody else would kill the process
+		m.rig.mu.Unlock()
 		p.Kill()
 		<-p.Done()
 		return nil
 	}
-	m.process, m.killed, m.ending, m.parting = p, false, false, false
-	m.r.views.RecordProcess(m.r.now(), m.name, true, true)
+	m.process, m.killed, m.ending, m.reuseOnly = p, false, false, false
+	m.rig.views.RecordProcess(m.rig.now(), m.name, true, true)
 	phase := coverage.Handover
-	if m.life++; !replaces {
-		m.lives++
+	if m.incarnation++; !replaces {
+		m.freshStarts++
 		phase = coverage.Starting
 	}
-	m.r.coverage.PhaseChanged(m.number, phase)
-	life := m.life
-	m.r.mu.Unlock()
+	m.rig.coverage.PhaseChanged(m.number, phase)
+	life := m.incarnation
+	m.rig.mu.Unlock()
 	go func() {
 		<-p.Done()
-		m.r.mu.Lock()
-		defer m.r.mu.Unlock()
-		if m.life == life {
-			m.r.coverage.PhaseChanged(m.number, coverage.Down)
+		m.rig.mu.Lock()
+		defer m.rig.mu.Unlock()
+		if m.incarnation == life {
+			m.rig.coverage.PhaseChanged(m.number, coverage.Down)
 		}
-		if m.life == life && !m.ending && !m.r.stopped {
+		if m.incarnation == life && !m.ending && !m.rig.stopped {
 			m.serving = false
-			m.r.deaths = append(m.r.deaths, m.name+": "+p.ExitReason())
+			m.rig.failures = append(m.rig.failures, m.name+": "+p.ExitReason())
 		}
 	}()
 	return nil
 }
 
-// EndNode ends a node, and its clients stop coming soon after; the lock is held.
+// EndNode tells a node to end, or kills it. Clients go on connecting to a node that was told to end for
+// clientsLinger. The lock is held.
 func (r *Rig) EndNode(number int, orderly bool) {
 	m := r.nodes[number]
 	m.ending = true
@@ -124,7 +126,7 @@
 	m.process.End()
 	r.At(r.now().Add(clientsLinger), func() {
 		if m.ending {
-			m.serving, m.parting = false, r.scenario.Traffic.UntilKill
+			m.serving, m.reuseOnly = false, r.scenario.Traffic.UntilKill
 		}
 	})
 	if r.scenario.Traffic.UntilKill {
@@ -132,8 +134,8 @@
 	}
 }
 
-// killAtTheEarliest kills a node that was told to end, as soon as the protocol allows it, and sends it further signals meanwhile; the lock is held.
-// What its clients have in hand by then is not excused.
+// killAtTheEarliest kills a node that was told to end as soon as the shutdown protocol allows it, and sends it
+// further signals before. Requests that are in flight when it is killed are not excused. The lock is held.
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
 	if p, can := process.(Reloader); can {
@@ -141,12 +143,12 @@
 		r.signalDraining(m, 2*signalInterval, "node_restart", process.End)
 	}
 	r.At(r.now().Add(r.timeToKill()), func() {
-		m.parting = false
+		m.reuseOnly = false
 		process.Kill()
 	})
 }
 
-// signalDraining sends a further signal to a node that was told to end, and counts what it meets; the lock is held.
+// signalDraining sends a further signal to a node that was told to end, and counts it as a fault. The lock is held.
 func (r *Rig) signalDraining(m *member, after time.Duration, fault coverage.Fault, send func()) {
 	r.At(r.now().Add(after), func() {
 		r.coverage.FaultBegan(fault, []int{m.number})()
@@ -154,21 +156,21 @@
 	})
 }
 
-// TerminateNextStart has the node's next process told to end so long after it was started; the lock is held.
+// TerminateNextStart has the node's next process told to end at a delay after its start. The lock is held.
 func (r *Rig) TerminateNextStart(number int, after time.Duration) {
 	r.nodes[number].termNextStart = after
 }
 
-// StartNode starts it anew once the old one has ended; the lock is held.
+// StartNode starts a node's next process once the former one has ended. The lock is held.
 func (r *Rig) StartNode(number int) {
 	m := r.nodes[number]
 	go func() {
 		<-m.process.Done()
-		if r.over() || !m.startAnew() {
+		if r.isClosing() || !m.startNext() {
 			return
 		}
 		for !m.pool.Ready() {
-			if r.over() {
+			if r.isClosing() {
 				return
 			}
 			time.Sleep(pollInterval)
@@ -180,80 +182,80 @@
 	}()
 }
 
-// startAnew starts the node's next process, and yet another one where that is to be told to end while it starts. It
-// tells whether a process runs.
-func (m *member) startAnew() bool {
-	m.r.mu.Lock()
+// startNext starts the node's next process. If that is to be told to end during its start, another one is started
+// after it. It reports whether a process runs.
+func (m *member) startNext() bool {
+	m.rig.mu.Lock()
 	termAfter := m.termNextStart
 	m.termNextStart = 0
-	m.r.mu.Unlock()
+	m.rig.mu.Unlock()
 	err := m.start(false)
-	if err == nil && termAfter > 0 && !m.r.over() {
+	if err == nil && termAfter > 0 && !m.rig.isClosing() {
 		m.terminateStart(termAfter)
 		err = m.start(false)
 	}
 	if err != nil {
-		m.r.mu.Lock()
-		m.r.deaths = append(m.r.deaths, err.Error())
-		m.r.mu.Unlock()
+		m.rig.mu.Lock()
+		m.rig.failures = append(m.rig.failures, err.Error())
+		m.rig.mu.Unlock()
 	}
 	return err == nil
 }
 
-// terminateStart tells a process that starts to end, and waits until it has. One that does not end within the time of
-// the protocol is killed.
+// terminateStart tells a process that is starting to end, and waits for its exit. A process that does not exit within
+// the time of the shutdown protocol is killed.
 func (m *member) terminateStart(after time.Duration) {
 	time.Sleep(after)
-	m.r.mu.Lock()
+	m.rig.mu.Lock()
 	process := m.process
-	m.r.coverage.FaultBegan("node_term_start", []int{m.number})()
+	m.rig.coverage.FaultBegan("node_term_start", []int{m.number})()
 	m.ending = true
-	m.r.coverage.PhaseChanged(m.number, coverage.Draining)
+	m.rig.coverage.PhaseChanged(m.number, coverage.Draining)
 	process.End()
-	m.r.mu.Unlock()
+	m.rig.mu.Unlock()
 	select {
 	case <-process.Done():
-	case <-time.After(m.r.timeToKill()):
+	case <-time.After(m.rig.timeToKill()):
 		process.Kill()
 		<-process.Done()
-		m.failed("told to end while it started, it did not end in time")
+		m.fail("did not exit in time after it was told to end during its start")
 	}
 }
 
-// timeToKill is after how long a process that was told to end may be killed.
+// timeToKill is the delay after which a process that was told to end may be killed.
 func (r *Rig) timeToKill() time.Duration {
 	return min(r.settings.LongestDeadline, maxDeadlineAtStop) + killDelay
 }
 
-func (r *Rig) over() bool {
+func (r *Rig) isClosing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closing
 }
 
-// stop ends its node, as hard as it takes.
+// stop ends the node's process at the end of the run, and kills it if it does not exit in time.
 func (m *member) stop() {
-	m.r.mu.Lock()
+	m.rig.mu.Lock()
 	m.ending, m.serving = true, false
 	p := m.process
-	m.r.mu.Unlock()
+	m.rig.mu.Unlock()
 	if p == nil {
 		return
 	}
 	p.End()
-	m.pool.Close() // or it would wait for idle clients
+	m.pool.Close() // else the node waits for idle clients
 	select {
 	case <-p.Done():
-	case <-time.After(m.r.settings.LongestDeadline + stopSlack):
+	case <-time.After(m.rig.settings.LongestDeadline + stopSlack):
 		p.Kill()
 		<-p.Done()
 	}
 }
 
-// configuration is what its process is told, with the list as its agent last had it.
+// configuration encodes the configuration of a process, with the endpoint list that its agent knows.
 func (m *member) configuration(listen string) ([]byte, error) {
-	ops := m.ops
-	if listen != m.addr { // a twin, which no operator calls
+	ops := m.adminAddr
+	if listen != m.addr { // a duplicate process, whose admin listener nobody calls
 		ops = ""
 	}
 	var held []policy.Endpoint
@@ -265,6 +267,6 @@
 	}
 	m.agent.mu.Unlock()
 	return json.Marshal(map[string]any{"ops": ops, "name": m.name, "listen": listen, "discovery": m.agent.addr,
-		"seed": fmt.Sprintf("%x", m.r.scenario.Seed*7919+int64(m.number)*31+int64(m.life)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
-		"settings": m.r.scenario.Settings(m.r.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.r.list(0, true, held))})
+		"seed": fmt.Sprintf("%x", m.rig.scenario.Seed*7919+int64(m.number)*31+int64(m.incarnation)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
+		"settings": m.rig.scenario.Settings(m.rig.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.rig.list(0, true, held))})
 }
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -16,10 +16,10 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const twinEndsBy = 15 * time.Second // for a process that finds its name taken
+const duplicateExitTimeout = 15 * time.Second // by which a process whose node name is taken must exit
 
-// join opens what is between the nodes, where they know one another: a door for each ordered pair.
-func (r *Rig) join() error {
+// openLinks opens a forwarder for each ordered pair of nodes, if the scenario has nodes that are members of a fleet.
+func (r *Rig) openLinks() error {
 	if r.scenario.Membership == nil {
 		return nil
 	}
@@ -50,20 +50,21 @@
 	return nil
 }
 
-// label is the run's own: a port that another run had may still be written to.
-func (r *Rig) label() string {
+// fleetLabel is unique to the run, as nodes of another run may still send to a port that is reused here.
+func (r *Rig) fleetLabel() string {
 	return fmt.Sprintf("%s-%d-%d", r.scenario.Name, os.Getpid(), r.bootTime)
 }
 
-func (r *Rig) charter(number int) []byte {
+// fleetConfig returns the fleet configuration of a node, or nil if nodes are not members of a fleet.
+func (r *Rig) fleetConfig(number int) []byte {
 	if r.faults == nil {
 		return nil
 	}
-	return r.scenario.FleetConfig(number, r.label(), r.gossipAddrs, r.proxies[number])
+	return r.scenario.FleetConfig(number, r.fleetLabel(), r.gossipAddrs, r.proxies[number])
 }
 
-// traced hears a line of a process's trace.
-func (r *Rig) traced(text []byte) {
+// onTraceLine passes a line of a process's membership trace to the checker of views.
+func (r *Rig) onTraceLine(text []byte) {
 	var l trace.Line
 	if json.Unmarshal(text, &l) != nil {
 		return
@@ -75,26 +76,28 @@
 	}
 }
 
-// PauseNode has a node's process stand still, or go on; the lock is held. What it had in hand is excused, and nobody comes to it
-// meanwhile: who would be in front of it finds out within moments, and what a node owes its clients is not what is looked at here.
-func (r *Rig) PauseNode(number int, stop bool) { r.still(number, stop, Pauser.Pause) }
+// PauseNode stops a node's process or lets it continue. Its requests in flight are excused and clients send it no new
+// ones meanwhile: a load balancer would notice within moments, and the scenario is not about what a stopped node owes
+// its clients. The lock is held.
+func (r *Rig) PauseNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Pause) }
 
-// HangNode has a node's loop stand still, or go on, while all else in its process runs; the lock is held.
-func (r *Rig) HangNode(number int, stop bool) { r.still(number, stop, Pauser.Hang) }
+// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. The lock is held.
+func (r *Rig) HangNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Hang) }
 
-func (r *Rig) still(number int, stop bool, do func(Pauser, bool)) {
+// stopOrContinue implements PauseNode and HangNode. The lock is held.
+func (r *Rig) stopOrContinue(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
 	p, can := m.process.(Pauser)
 	switch {
 	case !can:
-		r.deaths = append(r.deaths, m.name+" is no process of its own: it can't be made to stand still")
+		r.failures = append(r.failures, m.name+" is embedded and cannot be stopped")
 		return
-	case m.ending, stop && m.stands != nil, !stop && m.stands != m.process: // another is there by now, which never stood still
+	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process: // a new process was never stopped
 		return
 	}
-	if m.stands = nil; stop {
-		m.stands, m.serving = m.process, false
-		for id := range m.asks {
+	if m.stopped = nil; stop {
+		m.stopped, m.serving = m.process, false
+		for id := range m.inFlight {
 			r.checker.Forget(id)
 			m.excused[id] = true
 		}
@@ -110,31 +113,31 @@
 	}
 }
 
-// StartDuplicateNode starts another process with a node's name, at addresses of its own. It is to end by itself, as the name is taken; the lock is
-// held.
+// StartDuplicateNode starts another process with a node's name, at addresses of its own. It must exit by itself, as
+// the name is taken. The lock is held.
 func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
-		p, err := m.twin()
+		p, err := m.startDuplicate()
 		if err != nil {
-			m.failed(err.Error())
+			m.fail(err.Error())
 			return
 		}
 		select {
 		case <-p.Done():
 			if !strings.Contains(p.ExitReason(), "has the name") {
-				m.failed("its twin ended otherwise: " + p.ExitReason())
+				m.fail("its duplicate process exited for another reason: " + p.ExitReason())
 			}
-		case <-time.After(twinEndsBy):
-			m.failed("its twin does not end")
+		case <-time.After(duplicateExitTimeout):
+			m.fail("its duplicate process does not exit in time; killing it")
 			p.Kill()
 			<-p.Done()
 		}
 	}()
 }
 
-// twin starts one, which no client asks.
-func (m *member) twin() (Process, error) {
+// startDuplicate starts a process with the node's name that no client connects to.
+func (m *member) startDuplicate() (Process, error) {
 	hears, err := freeport.Free()
 	if err != nil {
 		return nil, err
@@ -147,13 +150,13 @@
 	if err != nil {
 		return nil, err
 	}
-	all := slices.Clone(m.r.gossipAddrs)
+	all := slices.Clone(m.rig.gossipAddrs)
 	all[m.number] = hears
-	return m.r.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.r.scenario.FleetConfig(m.number, m.r.label(), all, nil),
+	return m.rig.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), all, nil),
 		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
 }
 
-// ChangeLink changes what goes wrong between two nodes, one way.
+// ChangeLink changes what goes wrong from one node to another. The lock is held.
 func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
 	r.faults.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -24,7 +24,7 @@
 	"dahliapin/policy"
 )
 
-const small = `
+const baseScenario = `
 seconds = 3
 seed = 3
 [fleet]
@@ -83,14 +83,14 @@
 	return s
 }
 
-// stub is a router that does one thing wrong. It is a runner of itself.
+// stub is a router with one fault. It is the Starter and the Process of itself.
 type stub struct {
 	wrong string
 	l     net.Listener
 	done  chan struct{}
 	mu    sync.Mutex
-	addrs map[string]string // of servers, by id; those that are gone stay
-	last  string            // the id heard of last
+	addrs map[string]string // of servers, by id; removed ones are kept
+	last  string            // id of the server that was listed last
 	end   sync.Once
 }
 
@@ -165,8 +165,8 @@
 	return s.addrs[id]
 }
 
-// leg sends a command to a cache or the origin and returns the answer for the client.
-func (s *stub) leg(to string, c *meta.Command) string {
+// sendAttempt sends a command to a cache or the origin and returns the answer for the client.
+func (s *stub) sendAttempt(to string, c *meta.Command) string {
 	if items, _ := meta.Flag(c.Flags, 'P'); to == "origin" {
 		method := http.MethodGet
 		if c.Verb == meta.Set {
@@ -203,7 +203,7 @@
 		value, _ := r.ReadString('\n')
 		return string(meta.AppendValue(nil, c.ID, []byte(strings.TrimSpace(value))))
 	case strings.HasPrefix(line, "EN"):
-		return s.leg("origin", c)
+		return s.sendAttempt("origin", c)
 	}
 	return line
 }
@@ -238,9 +238,9 @@
 	read, mark, pay := string(grade) == "read", string(grade) == "mark", string(grade) == "pay"
 	well := func() string {
 		if read {
-			return s.leg("c1", c)
+			return s.sendAttempt("c1", c)
 		}
-		return s.leg("origin", c)
+		return s.sendAttempt("origin", c)
 	}
 	switch {
 	case s.wrong == "answers twice" && read:
@@ -252,7 +252,7 @@
 	case s.wrong == "makes a value up" && read:
 		return string(meta.AppendValue(nil, c.ID, []byte("v:none")))
 	case s.wrong == "sends on after the answer" && read:
-		go func() { time.Sleep(120 * time.Millisecond); s.leg("c2", c) }()
+		go func() { time.Sleep(120 * time.Millisecond); s.sendAttempt("c2", c) }()
 		return "SERVER_ERROR failed\r\n"
 	case s.wrong == "repeats what can't be undone" && pay:
 		well()
@@ -267,35 +267,36 @@
 	case s.wrong == "sends on for who has left" && read:
 		time.Sleep(250 * time.Millisecond)
 	case s.wrong == "sends a second beside the first" && read:
-		go s.leg("c2", c)
-		go s.leg("c3", c)
+		go s.sendAttempt("c2", c)
+		go s.sendAttempt("c3", c)
 	case s.wrong == "sends to one that drains" && read:
-		return s.leg("c4", c)
+		return s.sendAttempt("c4", c)
 	case s.wrong == "pushes a cold cache over" && read:
-		return s.leg("last", c)
+		return s.sendAttempt("last", c)
 	}
 	return well()
 }
 
-// The rig's judge is what calls a node good, so it must call each of these routers bad, by the right rule, and the one
-// that does all well good.
-func TestBrokenRoutersAreCaughtByTheirRule(t *testing.T) {
+// Rehearsals call a node good by the checker's verdict alone. So the checker must report each of these faulty routers
+// by the rule that it breaks, and report nothing for the one without a fault.
+func TestCheckerReportsEachBrokenRouterByItsRule(t *testing.T) {
 	for wrong, rule := range map[string]int{"": 0, "answers twice": 1, "answers late": 1, "never answers": 1, "makes a value up": 1,
 		"sends on after the answer": 1, "repeats what can't be undone": 2, "rejects what ran": 2,
 		"repeats a labelled write beyond its window": 2, "sends a second beside the first": 2, "sends to one that drains": 3,
 		"pushes a cold cache over": 4, "sends on for who has left": 1} {
 		t.Run("who "+wrong, func(t *testing.T) {
-			if rule%4 > 0 { // the good one and who needs its rate kept have the machine before the others
+			// The router without a fault and the one for rule 4 need their rate kept: they run before the others.
+			if rule%4 > 0 {
 				t.Parallel()
 			}
-			s := parse(t, small+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
+			s := parse(t, baseScenario+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
 				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n"}[rule])
-			if rule == 2 && strings.Contains(wrong, "second") { // the first is to be out for long enough to be seen beside
+			if rule == 2 && strings.Contains(wrong, "second") { // the first attempt must last long enough to overlap the second
 				s.Classes[0].WorkMs = 120
 				s.Traffic.PerSecond = 20
 			}
 			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(wrong, "left") {
-				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // and none of them may count as late
+				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // no request may be answered after its deadline
 			}
 			if s.Fleet.Queue = 1000; rule == 4 {
 				s.Fleet.FallMultiple = 1.2
@@ -308,15 +309,15 @@
 				t.Errorf("%v, %v", r.Rules, r.Breaches[:min(5, len(r.Breaches))])
 			}
 			if rule > 0 && r.Passed() {
-				t.Error("called good")
+				t.Error("the report is good")
 			}
 		})
 	}
 }
 
-// The real node, embedded, through faults on its wires, a cache that vanishes and a planned restart; afterwards nothing
-// of the run listens any more. By HTTP one cache also answers with what it may not serve any more, which the judge knows.
-func TestTheNodeKeepsTheRulesThroughFaultsOnSockets(t *testing.T) {
+// An embedded node keeps the rules through connection faults, a silent cache, a killed one and a planned restart. By
+// HTTP one cache also answers with responses that are no longer fresh.
+func TestNodeKeepsRulesThroughFaultsOnSockets(t *testing.T) {
 	const faults = `
 [[event]]
 at_s = 0.5
@@ -345,7 +346,7 @@
 caches = ["c4"]
 for_s = 0.5
 `
-	plain := strings.Replace(small, "seconds = 3", "seconds = 6", 1) + faults
+	plain := strings.Replace(baseScenario, "seconds = 3", "seconds = 6", 1) + faults
 	for name, text := range map[string]string{"meta": plain, "http": strings.NewReplacer("[fleet]", "[fleet]\nprotocol = \"http\"",
 		"[traffic]", "[traffic]\nprotocol = \"http\"", "\"reset\"", "\"stale\"").Replace(plain)} {
 		t.Run(name, func(t *testing.T) {
@@ -360,32 +361,33 @@
 			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
 				t.Errorf("%+v, %v", r.Classes, r.Events)
 			}
-			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 { // how soon: in virtual time only
+			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 { // the delay is checked in virtual time only
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
 			}
 			met := r.Coverage
 			if met.Met("node_restart", coverage.Serving) != 1 || met.Met("silent", coverage.Draining) != 1 {
-				t.Errorf("what faults met is not counted: %v", met.NeverMet())
+				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
 			}
 			if met.InFlight("silent", policy.Idempotent) == 0 || met.Met("kill", coverage.Standby) != 0 {
-				t.Errorf("what faults met is not counted: %v", met.NeverMet())
+				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
 			}
 		})
 	}
 }
 
-// A run that is broken off, and one whose node dies, end with that said and leave nothing behind.
-func TestARunThatIsBrokenOffLeavesNothing(t *testing.T) {
+// A cancelled run returns the context's error, ends its node and closes all listeners. A run whose node exits by
+// itself is reported as failed.
+func TestCancelledOrFailedRunLeavesNothingBehind(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	run := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
-	if _, err := Play(ctx, parse(t, small), run, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("broken off: %v", err)
+	if _, err := Play(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled run: %v", err)
 	}
 	select {
 	case <-run.done:
 	default:
-		t.Error("its node still runs")
+		t.Error("the node still runs after the run was cancelled")
 	}
 	for id, addr := range run.addrs {
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
@@ -395,29 +397,29 @@
 	}
 	dies := &stub{}
 	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
-	r, err := Play(context.Background(), parse(t, small), dies, nil)
+	r, err := Play(context.Background(), parse(t, baseScenario), dies, nil)
 	if err != nil || r.Passed() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
-		t.Errorf("a node that dies on its own: %v %v", err, r)
+		t.Errorf("node that exits by itself: %v %v", err, r)
 	}
 }
 
-// A machine that can't keep the pace says so instead of judging.
-func TestAMachineTooBusyDoesNotJudge(t *testing.T) {
-	s := parse(t, small)
+// A run on a machine that cannot keep the pace of the traffic is reported as such, and is neither good nor checked.
+func TestRunOnABusyMachineHasNoVerdict(t *testing.T) {
+	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
 	l.Played, l.Late = 100, 3
-	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); r.Passed() || r.MachineTooBusy == "" {
-		t.Error("judged")
+	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); r.Passed() || r.MachineTooBusy == "" {
+		t.Error("a run on a busy machine has a verdict")
 	}
 	l.Late = 2
-	if r := report.New(s, "", "", newWorld(s), newJudge(s), l, 0, 0); !r.Passed() {
-		t.Error("not judged", r.Expected)
+	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); !r.Passed() {
+		t.Error("a run in time has no verdict", r.Expected)
 	}
 }
 
 func newWorld(s *scenario.Scenario) *world.World { return world.New(s.World(nil)) }
 
-func newJudge(s *scenario.Scenario) *checker.Checker {
+func newChecker(s *scenario.Scenario) *checker.Checker {
 	var gs []policy.ServiceClass
 	for _, g := range s.WorldClasses() {
 		gs = append(gs, g.ServiceClass)
@@ -425,24 +427,24 @@
 	return checker.New(checker.Rules{Classes: gs})
 }
 
-// A cache of the emulator's carries purges out: what it held is gone, and it says whether it held it.
-func TestACacheCarriesPurgesOut(t *testing.T) {
-	s := parse(t, small)
+// An emulated cache carries out deletes and flushes, and its answer to a delete says whether the key was there.
+func TestEmulatedCacheCarriesOutPurges(t *testing.T) {
+	s := parse(t, baseScenario)
 	terms, err := s.DecodedSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newJudge(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
-	if err := r.open(0); err != nil {
+	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newChecker(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
+	if err := r.openServer(0); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.servers[0].shut()
+		r.servers[0].close()
 	}()
 	r.traffic = world.NewTraffic(s.TrafficPlan())
-	r.warm()
+	r.warmCaches()
 	held := 0
 	say := func(line string) string {
 		t.Helper()
@@ -468,7 +470,7 @@
 			t.Fatalf("%q", got)
 		}
 	}
-	r.warm()
+	r.warmCaches()
 	if got := say("flush_all\r\n"); got != "OK\r\n" || held == 0 {
 		t.Errorf("%q, %d held", got, held)
 	}
@@ -479,13 +481,14 @@
 	}
 }
 
-// What sockets don't have was passed over without a word, and a script that stands on it met what it expects by chance.
-func TestWhatIsInVirtualTimeOnlyIsRefused(t *testing.T) {
+// Settings that only the simulation has were ignored on sockets, and a scenario that relies on them met its
+// expectations by chance.
+func TestScenarioForVirtualTimeOnlyIsRefused(t *testing.T) {
 	for _, more := range []string{"[traffic]\nskew = 0.5\n", "[network]\nlate_share = 0.1\nlate_ms = 5\n", "[network]\nlost_share = 0.1\n"} {
 		section, keys, _ := strings.Cut(more, "\n")
-		text := small + more
-		if strings.Contains(small, section+"\n") {
-			text = strings.Replace(small, section+"\n", section+"\n"+keys, 1)
+		text := baseScenario + more
+		if strings.Contains(baseScenario, section+"\n") {
+			text = strings.Replace(baseScenario, section+"\n", section+"\n"+keys, 1)
 		}
 		if _, err := Play(context.Background(), parse(t, text), Embedded{}, nil); err == nil || !strings.Contains(err.Error(), "virtual time only") {
 			t.Errorf("%q: %v", more, err)
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -25,16 +25,16 @@
 
 const (
 	epoch         = policy.Instant(time.Second)
-	rigSeedMask   = 0x0f1ee7               // draws of the rig are others than those of the world
-	slack         = 50 * time.Millisecond  // that sockets and a busy machine may take before it counts as a breach
-	startTimeout  = 20 * time.Second       // that nodes may take until they serve
-	clientsLinger = 250 * time.Millisecond // that clients still come to a node that was told to end
-	stopSlack     = 2 * time.Second        // over the longest deadline, until a node that was told to end is ended
+	rigSeedMask   = 0x0f1ee7               // keeps the rig's draws apart from those of the world
+	slack         = 50 * time.Millisecond  // for sockets and a busy machine, before a delay counts as a breach
+	startTimeout  = 20 * time.Second       // until all nodes serve
+	clientsLinger = 250 * time.Millisecond // during which clients still connect to a node that was told to end
+	stopSlack     = 2 * time.Second        // over the longest deadline, after which a node that was told to end is killed
 	pollInterval  = 20 * time.Millisecond
 
-	maxDeadlineAtStop = 3 * time.Second        // of the longest deadline, that who ends a process waits for: by the protocol
-	killDelay         = 700 * time.Millisecond // over that, after which a process that was told to end may be killed
-	signalInterval    = 20 * time.Millisecond  // between signals in series
+	maxDeadlineAtStop = 3 * time.Second        // cap on the longest deadline, by the shutdown protocol
+	killDelay         = 700 * time.Millisecond // over that deadline, until the process may be killed
+	signalInterval    = 20 * time.Millisecond  // between signals in a row
 )
 
 // Starter starts nodes.
@@ -42,75 +42,75 @@
 	Start(NodeSpec) (Process, error)
 }
 
-// NodeSpec is a node to start.
+// NodeSpec describes a node to start.
 type NodeSpec struct {
 	Name          string
 	Configuration []byte
-	Operator      []byte                          // nil for none
-	Fleet         []byte                          // by which it joins other nodes; nil for none
-	OnRecord      func(eventlog.Event, time.Time) // told its records, in the time of their making
-	OnTrace       func([]byte)                    // told a line of its trace
+	Operator      []byte                          // the operator's file; nil for none
+	Fleet         []byte                          // the fleet configuration; nil for a node without a fleet
+	OnRecord      func(eventlog.Event, time.Time) // called with each record of its event log, and the time of the record
+	OnTrace       func([]byte)                    // called with each line of its membership trace
 }
 
-// Process is one node that runs.
+// Process is a running node.
 type Process interface {
-	End()                  // as an operator would
-	Kill()                 // at once; only a process of its own can be
+	End()                  // tells it to end, as an operator does
+	Kill()                 // at once; an embedded node can only be told to end
 	Done() <-chan struct{} // closed once it has ended
-	ExitReason() string    // how, once it has; "" for well
+	ExitReason() string    // why it failed, once it has ended; "" for a normal exit
 }
 
-// Pauser is a process that can be made to stand still, and to go on.
+// Pauser is a process that can be stopped and continued.
 type Pauser interface {
 	Pause(stop bool)
-	Hang(stop bool) // its loop only
+	Hang(stop bool) // stops its event loop only
 }
 
-// Reloader is a process that can be told to read its configuration again.
+// Reloader is a process that can be told to reload its configuration.
 type Reloader interface {
 	Reload()
 }
 
-// Rig is one run.
+// Rig is one run. Its lock guards the model of the world and all that nodes, servers and clients report.
 type Rig struct {
-	scenario  *scenario.Scenario
-	settings  settings.Settings
-	starter   Starter
-	startedAt time.Time
-	tell      func(string) // progress, a line at a time; nil for nobody
-
-	mu          sync.Mutex
-	world       *world.World
-	traffic     *world.Traffic
-	checker     *checker.Checker
-	observer    *runner.WorldObserver
-	log         *report.Log
-	coverage    *coverage.Tracker
-	run         *runner.Run
-	fleet       *eventlog.Recorder
-	queue       timerqueue.Queue[func()]
-	wake        chan struct{}
-	chance      keyhash.Source
-	registry    *world.Registry
-	servers     []*server
-	attempts    map[uint64]*attempt
-	tags        uint64
-	nodes       []*member
-	avoids      map[policy.EndpointID]map[int]bool
-	listUp      chan struct{} // closed while discovery is up
-	pending     []policy.Endpoint
-	deaths      []string
-	requests    sync.WaitGroup
-	faults      *netfault.Forwarder // nil where nodes do not know one another
-	proxies     []map[string]string // the way from each node to each address
-	bootTime    policy.Instant      // the shared clock when the run began
-	gossipAddrs []string            // where each node hears the others
-	views       *checker.Views
-	closing     bool // no node is started any more
-	stopped     bool // nor anything else done
+	scenario   *scenario.Scenario
+	settings   settings.Settings
+	starter    Starter
+	startedAt  time.Time
+	onProgress func(string) // called with a line of progress each second; may be nil
+
+	mu             sync.Mutex
+	world          *world.World
+	traffic        *world.Traffic
+	checker        *checker.Checker
+	observer       *runner.WorldObserver
+	log            *report.Log
+	coverage       *coverage.Tracker
+	run            *runner.Run
+	fleetRecorder  *eventlog.Recorder
+	queue          timerqueue.Queue[func()]
+	wake           chan struct{}
+	chance         keyhash.Source
+	registry       *world.Registry
+	servers        []*server
+	attempts       map[uint64]*attempt
+	lastTag        uint64
+	nodes          []*member
+	ejectedBy      map[policy.EndpointID]map[int]bool
+	listUp         chan struct{} // closed while discovery is up
+	pendingUpdates []policy.Endpoint
+	failures       []string
+	requests       sync.WaitGroup
+	faults         *netfault.Forwarder // nil unless nodes are members of a fleet
+	proxies        []map[string]string // by node: the forwarder's address for each address of another node
+	bootTime       policy.Instant      // the time of the machine's boot clock when the run began
+	gossipAddrs    []string            // where each node listens for the others
+	views          *checker.Views
+	closing        bool // no node is started any more
+	stopped        bool // the model of the world does not change any more
 }
 
-// Play plays a scenario on sockets and returns what came of it. A cancelled context ends it early, without a report.
+// Play plays a scenario on sockets and returns its report. A cancelled context ends the run early, without a report.
 func Play(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
 	deployment, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
@@ -124,21 +124,21 @@
 	if err := r.openServers(); err != nil {
 		return nil, err
 	}
-	if err := r.join(); err != nil {
+	if err := r.openLinks(); err != nil {
 		return nil, err
 	}
 	go r.clock()
 	if err := r.startNodes(); err != nil {
 		return nil, err
 	}
-	if err := r.ready(ctx); err != nil {
+	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
 	start := r.begin()
-	if err := r.arrivals(ctx, start); err != nil {
+	if err := r.sendTraffic(ctx, start); err != nil {
 		return nil, err
 	}
-	select { // the last requests have their deadlines still to come
+	select { // requests sent last have not reached their deadlines
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(deployment.LongestDeadline + 2*slack):
@@ -146,7 +146,7 @@
 	return r.report(), nil
 }
 
-// errVirtualOnly refuses a scenario that needs what only the simulation has.
+// errVirtualOnly is returned for a scenario that needs what only the simulation has.
 var errVirtualOnly = errors.New(
 	"uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
 
@@ -154,20 +154,20 @@
 	up := make(chan struct{})
 	close(up)
 	r := &Rig{
-		registry:  s.Registry(),
-		scenario:  s,
-		settings:  deployment,
-		starter:   starter,
-		startedAt: time.Now(),
-		tell:      progress,
-		wake:      make(chan struct{}, 1),
-		attempts:  map[uint64]*attempt{},
-		avoids:    map[policy.EndpointID]map[int]bool{},
-		listUp:    up,
-		chance:    keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
-		log:       report.NewLog(s, epoch),
-		coverage:  coverage.NewTracker(s.Fleet.Nodes),
-		traffic:   world.NewTraffic(s.TrafficPlan()),
+		registry:   s.Registry(),
+		scenario:   s,
+		settings:   deployment,
+		starter:    starter,
+		startedAt:  time.Now(),
+		onProgress: progress,
+		wake:       make(chan struct{}, 1),
+		attempts:   map[uint64]*attempt{},
+		ejectedBy:  map[policy.EndpointID]map[int]bool{},
+		listUp:     up,
+		chance:     keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
+		log:        report.NewLog(s, epoch),
+		coverage:   coverage.NewTracker(s.Fleet.Nodes),
+		traffic:    world.NewTraffic(s.TrafficPlan()),
 	}
 	r.checker = checker.New(checker.Rules{
 		Classes:        deployment.Policy.Classes,
@@ -185,12 +185,12 @@
 // openServers opens a listener for each server, and fills the caches where the scenario has them warm.
 func (r *Rig) openServers() error {
 	for i := range r.world.Servers {
-		if err := r.open(i); err != nil {
+		if err := r.openServer(i); err != nil {
 			return err
 		}
 	}
 	if r.scenario.Fleet.Warm {
-		r.warm()
+		r.warmCaches()
 	}
 	return nil
 }
@@ -217,21 +217,21 @@
 	r.log = report.NewLog(r.scenario, start)
 	r.observer.Log = r.log
 	r.log.Views = r.views
-	r.fleet = eventlog.New(report.FleetName, r.log.AddRecord, isOrigin)
-	r.fleet.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
+	r.fleetRecorder = eventlog.New(report.FleetName, r.log.AddRecord, isOrigin)
+	r.fleetRecorder.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
 	r.run = runner.Play(r.scenario, r.world, r.traffic, start, r)
 	r.wakeClock()
 	return start
 }
 
-// report ends the check of the rules and draws up the report.
+// report ends the checks and makes the report.
 func (r *Rig) report() *report.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now gets none
+	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now counts as lost
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	result.Coverage = r.coverage.Table
-	for _, how := range r.deaths {
+	for _, how := range r.failures {
 		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
 	}
 	return result
@@ -243,7 +243,7 @@
 
 func (r *Rig) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.startedAt)) }
 
-// clock does what is due, under the lock, and sleeps between.
+// clock runs the due functions and jobs under the lock, and sleeps in between.
 func (r *Rig) clock() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -261,7 +261,7 @@
 			}
 			do()
 		}
-		r.world.Advance(now, r.served)
+		r.world.Advance(now, r.jobDone)
 		r.checker.Advance(now)
 		next := now.Add(time.Second)
 		if at, any := r.queue.Next(); any {
@@ -279,7 +279,7 @@
 	}
 }
 
-// poke lets the clock look again at what is due next.
+// wakeClock has the clock compute anew what is due next.
 func (r *Rig) wakeClock() {
 	select {
 	case r.wake <- struct{}{}:
@@ -287,20 +287,21 @@
 	}
 }
 
-// At hangs something in; it is done under the lock.
+// At schedules a function, which is called under the lock.
 func (r *Rig) At(at policy.Instant, do func()) {
 	r.queue.Push(at, do)
 	r.wakeClock()
 }
 
-// warm puts keys where the module would send them.
-func (r *Rig) warm() {
+// warmCaches puts keys where the policy module would route them.
+func (r *Rig) warmCaches() {
 	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmCaches(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
-func (r *Rig) ready(ctx context.Context) error {
+// awaitReady waits until all nodes accept requests.
+func (r *Rig) awaitReady(ctx context.Context) error {
 	by := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
 		for !m.pool.Ready() {
@@ -308,11 +309,11 @@
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-m.process.Done():
-				return fmt.Errorf("node %s ended before it served: %s", m.name, m.process.ExitReason())
+				return fmt.Errorf("node %s exited before it was ready: %s", m.name, m.process.ExitReason())
 			case <-time.After(pollInterval):
 			}
 			if time.Now().After(by) {
-				return fmt.Errorf("node %s does not serve within %v", m.name, startTimeout)
+				return fmt.Errorf("node %s was not ready within %v", m.name, startTimeout)
 			}
 		}
 		r.mu.Lock()
@@ -323,8 +324,9 @@
 	return nil
 }
 
-// arrivals plays the traffic, open loop: a try goes out at its time, whatever became of earlier ones.
-func (r *Rig) arrivals(ctx context.Context, start policy.Instant) error {
+// sendTraffic sends the scenario's requests in an open loop: each is sent at its time, whatever became of earlier
+// ones.
+func (r *Rig) sendTraffic(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	end := start.Add(r.scenario.Duration())
@@ -340,9 +342,10 @@
 		case <-timer.C:
 		}
 		r.mu.Lock()
-		for now := r.now(); at <= now && at < end; { // the traffic's time is the script's: waves and seconds are its own
+		// Waves and seconds of traffic follow the scenario's time, not the time of sending.
+		for now := r.now(); at <= now && at < end; {
 			req := r.traffic.Draw(at)
-			r.ask(req, at, true)
+			r.sendRequest(req, at, true)
 			if now.Since(at) > report.LateArrival {
 				r.log.Late++
 			}
@@ -350,15 +353,15 @@
 		}
 		r.mu.Unlock()
 		second := int(r.now().Since(start) / time.Second)
-		if second > reported && r.tell != nil {
+		if second > reported && r.onProgress != nil {
 			reported = second
-			r.tell(r.progress(second))
+			r.onProgress(r.progress(second))
 		}
 	}
 	return nil
 }
 
-// progress is a line on the second that has just passed.
+// progress formats the line on the second that has just ended.
 func (r *Rig) progress(second int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -367,12 +370,12 @@
 		second, r.scenario.Seconds, last.Asked, last.InTime, last.Attempts, last.OriginAttempts, r.checker.Breached())
 }
 
-// ask sends one try; the lock is held.
-func (r *Rig) ask(req world.Request, first policy.Instant, isFirst bool) {
+// sendRequest sends one try of a client to a node. The lock is held.
+func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
 	var up []*member
 	for _, m := range r.nodes {
-		if m.serving || m.parting && m.pool.HasIdle() {
+		if m.serving || m.reuseOnly && m.pool.HasIdle() {
 			up = append(up, m)
 		}
 	}
@@ -385,9 +388,9 @@
 		return
 	}
 	m := up[int(r.chance.Float64()*float64(len(up)))]
-	now, life := r.now(), m.lives
-	m.figures.open++
-	m.asks[req.ID] = true
+	now, life := r.now(), m.freshStarts
+	m.counts.pending++
+	m.inFlight[req.ID] = true
 	r.coverage.RequestSent(m.number, req.ID, g.Idempotency)
 	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
 	sent := &client.Request{
@@ -404,7 +407,7 @@
 	if g.Write {
 		sent.Value = world.ValueOf(req.Key)
 	}
-	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%validates == 0 {
+	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%revalidateOneIn == 0 {
 		sent.CachedValue = world.ValueOf(req.Key)
 	}
 	r.requests.Add(1)
@@ -412,23 +415,23 @@
 		defer r.requests.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.answered(m, life, req, first, got)
+		r.onResponse(m, life, req, first, got)
 	})
 }
 
-// answered hears what came of a try.
-func (r *Rig) answered(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
+// onResponse records the response to a try, and schedules the client's retry. The lock is held.
+func (r *Rig) onResponse(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
 	if r.stopped {
 		return
 	}
-	delete(m.asks, req.ID)
+	delete(m.inFlight, req.ID)
 	r.coverage.RequestEnded(m.number, req.ID)
 	g, now := &r.traffic.Classes[req.Class], r.at(got.ReceivedAt)
 	if got.Unsolicited {
-		r.checker.WrongAnswer(now, "", "more came on a connection than one answer for each request")
+		r.checker.WrongAnswer(now, "", "a connection received bytes beyond one answer per request")
 	}
 	switch {
-	case got.NotSent: // it was taken by nobody, and asks another node
+	case got.NotSent: // no node has received it; it counts as cut off and is not retried
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
@@ -439,13 +442,13 @@
 	case got.Abandoned:
 		r.checker.ClientGone(now, req.ID)
 		return
-	case got.Silent: // the judge counts it as lost at its deadline
+	case got.Silent: // the checker counts it as lost at its deadline
 		return
-	case got.Final == checker.Cut && m.lives != life || got.Final == checker.Cut && m.killed:
+	case got.Final == checker.Cut && m.freshStarts != life || got.Final == checker.Cut && m.killed:
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 	default:
-		m.figures.ended(g.Name, got.Final)
+		m.counts.requestFinished(g.Name, got.Final)
 		if got.Final == checker.Satisfied && !g.Write && got.Value != r.scenario.Value(world.ValueOf(req.Key)) {
 			got.Wrong = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
 		}
@@ -465,37 +468,38 @@
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
-				r.ask(next, first, false)
+				r.sendRequest(next, first, false)
 			}
 		})
 	}
 }
 
-// EventBegan counts what an event meets, until its end; the lock is held, there too.
+// EventBegan records with the coverage table what an event coincides with, until its end. The lock is held in both
+// calls.
 func (r *Rig) EventBegan(e *scenario.Event) (ended func()) {
 	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
 }
 
-// LogEvent keeps a line of what the script does.
+// LogEvent adds a line to the log of the run.
 func (r *Rig) LogEvent(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
-// Registry is what discovery can bear.
+// Registry is the model of the capacity of discovery.
 func (r *Rig) Registry() *world.Registry { return r.registry }
 
-// SetDiscovery goes down, or comes back and tells what has changed meanwhile.
+// SetDiscovery takes discovery down or up; changes that were held back are then published. The lock is held.
 func (r *Rig) SetDiscovery(up bool) {
 	if !up {
 		r.listUp = make(chan struct{})
 		return
 	}
 	close(r.listUp)
-	for _, e := range r.pending {
+	for _, e := range r.pendingUpdates {
 		r.EndpointChanged(e)
 	}
-	r.pending = nil
+	r.pendingUpdates = nil
 }
 
-func (r *Rig) listDown() bool {
+func (r *Rig) discoveryDown() bool {
 	select {
 	case <-r.listUp:
 		return false
@@ -504,58 +508,60 @@
 	}
 }
 
-// EndpointChanged tells a change of the list to each node's agent, late.
+// EndpointChanged publishes a change of the endpoint list to each node's agent, each after a delay of its own. The
+// lock is held.
 func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
-		r.attend(i)
+		r.updateListener(i)
 	}
-	if r.listDown() {
-		r.pending = append(r.pending, e)
+	if r.discoveryDown() {
+		r.pendingUpdates = append(r.pendingUpdates, e)
 		return
 	}
 	for _, m := range r.nodes {
 		span := r.scenario.Discovery.NoticeS
 		late := scenario.SecondsToDuration(span[0] + (span[1]-span[0])*r.chance.Float64())
-		r.At(r.now().Add(late), func() { m.agent.hear(e) })
+		r.At(r.now().Add(late), func() { m.agent.addChange(e) })
 	}
-	if r.fleet != nil {
+	if r.fleetRecorder != nil {
 		r.At(r.now().Add(scenario.SecondsToDuration(r.scenario.Discovery.NoticeS[0])), func() {
-			r.fleet.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
+			r.fleetRecorder.EndpointsUpdated(r.now(), policy.DeltaUpdate, []policy.Endpoint{e})
 		})
 	}
 }
 
-// note hears a node's record. The fleet as a whole avoids what most of its nodes avoid.
-func (r *Rig) note(number int, e eventlog.Event, at time.Time) {
+// onRecord takes a record of a node's event log. The fleet as a whole has ejected an endpoint once most of its nodes
+// have.
+func (r *Rig) onRecord(number int, e eventlog.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fleet == nil || r.stopped {
+	if r.fleetRecorder == nil || r.stopped {
 		return
 	}
 	e.At = r.at(at)
 	r.log.AddRecord(e)
-	s, known := standings[e.Reason]
+	s, known := ejectionStates[e.Reason]
 	if !known || e.Kind != eventlog.EndpointAvoided && e.Kind != eventlog.EndpointRestored {
 		return
 	}
-	if r.avoids[e.Server] == nil {
-		r.avoids[e.Server] = map[int]bool{}
+	if r.ejectedBy[e.Server] == nil {
+		r.ejectedBy[e.Server] = map[int]bool{}
 	}
 	if e.Kind == eventlog.EndpointRestored {
-		delete(r.avoids[e.Server], number)
+		delete(r.ejectedBy[e.Server], number)
 		s = policy.StateInUse
 	} else {
-		r.avoids[e.Server][number] = true
+		r.ejectedBy[e.Server][number] = true
 	}
-	if most := 2*len(r.avoids[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
-		r.fleet.EndpointStateChanged(e.At, e.Server, s)
+	if most := 2*len(r.ejectedBy[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
+		r.fleetRecorder.EndpointStateChanged(e.At, e.Server, s)
 	}
 }
 
-var standings = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
+var ejectionStates = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
 	policy.StateFailing.String(): policy.StateFailing}
 
-// close ends all that runs.
+// close ends all nodes, servers and clients, and waits for the requests.
 func (r *Rig) close() {
 	r.mu.Lock()
 	r.closing = true
@@ -566,9 +572,9 @@
 	r.mu.Lock()
 	r.stopped = true
 	for _, s := range r.servers {
-		s.shut()
+		s.close()
 	}
-	if r.listDown() {
+	if r.discoveryDown() {
 		close(r.listUp)
 	}
 	nodes := r.nodes
