--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -34,10 +34,10 @@
 
 // Node is one hollow node: the control part of a real one, on sockets.
 type Node struct {
-	Place Place
-	Post  *gossip.Node
-	parts []Part
-	once  sync.Once
+	Place      Place
+	Membership *gossip.Node
+	parts      []Part
+	once       sync.Once
 }
 
 // OpenNode starts a hollow node by the same file as a real one. It runs its membership, its calls for the endpoint
@@ -54,10 +54,10 @@
 	quiet.SetOutput(io.Discard)
 	n := &Node{Place: at}
 	config := gossip.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: gossip.BootTime}
-	if n.Post, err = gossip.Join(config, lines); err != nil {
+	if n.Membership, err = gossip.Join(config, lines); err != nil {
 		return nil, err
 	}
-	n.parts = append(n.parts, startLoopSubstitute(n.Post))
+	n.parts = append(n.parts, startLoopSubstitute(n.Membership))
 	if at.List != "" {
 		n.parts = append(n.parts, startListPoller(at.List, nodes, uint32(keyhash.String(at.Name))))
 	}
@@ -78,7 +78,7 @@
 		for i := len(n.parts) - 1; i >= 0; i-- {
 			n.parts[i].Close()
 		}
-		n.Post.Close(orderly)
+		n.Membership.Close(orderly)
 	})
 }
 
--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -84,11 +84,11 @@
 	t.Cleanup(lists.close)
 	all := openHollowNodes(t, nodes, file.Places, rules, lists)
 
-	knowsAll := func(n *Node) bool { return len(n.Post.View().Nodes) == nodes && !n.Post.View().MayBePartitioned }
+	knowsAll := func(n *Node) bool { return len(n.Membership.View().Nodes) == nodes && !n.Membership.View().MayBePartitioned }
 	awaitAll(t, all, "all know all", knowsAll)
 	cut(rules.faults, off, regions, true)
 	awaitAll(t, all, "the region is out, and knows it", func(n *Node) bool {
-		view := n.Post.View()
+		view := n.Membership.View()
 		if n.Place.Region == off {
 			return view.MayBePartitioned
 		}
@@ -102,7 +102,7 @@
 		if flow.OutMessages < 2 || flow.In < float64(len(lists.whole)) || flow.Out == 0 {
 			t.Errorf("%s has called %+v", n.Place.Name, flow)
 		}
-		heartbeats := n.Post.Traffic()[0]
+		heartbeats := n.Membership.Traffic()[0]
 		if heartbeats.Out == 0 || heartbeats.InBytes == 0 {
 			t.Errorf("%s: %+v", n.Place.Name, heartbeats)
 		}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -108,7 +108,7 @@
 			if n == nil {
 				continue
 			}
-			s, _ := n.Post.FleetStatus()
+			s, _ := n.Membership.FleetStatus()
 			st := status{Name: at.Name, Members: s.Members, Mark: s.Fingerprint, CutOff: s.MayBePartitioned}
 			if o.Do == doRead {
 				st.Flows, st.Dropped = s.Flows, s.Dropped
