--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -29,8 +29,8 @@
 // Part is a further component of the control part that a hollow node runs.
 type Part interface{ Close() }
 
-// PartMaker starts a part of a node that has joined the fleet.
-type PartMaker func(*Node) (Part, error)
+// ComponentStarter starts a part of a node that has joined the fleet.
+type ComponentStarter func(*Node) (Part, error)
 
 // Node is one hollow node: the control part of a real one, on sockets.
 type Node struct {
@@ -42,7 +42,7 @@
 
 // OpenNode starts a hollow node by the same file as a real one. It runs its membership, its calls for the endpoint
 // list, and the given parts. With rules, its sockets go by them.
-func OpenNode(at Place, f *fleetconfig.File, nodes int, r *networkRules, more ...PartMaker) (*Node, error) {
+func OpenNode(at Place, f *fleetconfig.File, nodes int, r *networkRules, more ...ComponentStarter) (*Node, error) {
 	lines, err := gossip.Listen(at.Addr)
 	if err != nil {
 		return nil, err
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -70,12 +70,12 @@
 	order      order
 	rules      *networkRules
 	faults     *netfault.Faults
-	partMakers []PartMaker
+	partMakers []ComponentStarter
 }
 
 // Attend reads orders, carries them out and writes an answer to each, until its input ends; then it ends all nodes.
 // Each node runs the given parts beside its own.
-func Attend(in io.Reader, out io.Writer, more ...PartMaker) error {
+func Attend(in io.Reader, out io.Writer, more ...ComponentStarter) error {
 	debug.SetGCPercent(collected)
 	p := &process{nodes: map[string]*Node{}, partMakers: more}
 	defer p.close()
