--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -26,17 +26,17 @@
 	listDialBy   = 2 * time.Second
 )
 
-// Part is a further component of the control part that a hollow node runs.
-type Part interface{ Close() }
+// Component is a further component of the control part that a hollow node runs.
+type Component interface{ Close() }
 
 // ComponentStarter starts a part of a node that has joined the fleet.
-type ComponentStarter func(*Node) (Part, error)
+type ComponentStarter func(*Node) (Component, error)
 
 // Node is one hollow node: the control part of a real one, on sockets.
 type Node struct {
 	Place      Place
 	Membership *gossip.Node
-	parts      []Part
+	parts      []Component
 	once       sync.Once
 }
 
