--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -40,8 +40,8 @@
 	Most   float64 `json:"most"`
 }
 
-// Over sums up one figure of each node.
-func Over(xs []float64) (s Spread) {
+// SpreadOf sums up one figure of each node.
+func SpreadOf(xs []float64) (s Spread) {
 	if len(xs) == 0 {
 		return s
 	}
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -69,7 +69,7 @@
 		"an even one":  {xs: []float64{1, 2, 3, 10}, want: Spread{Mean: 4, Median: 2.5, P99: 10, Most: 10}},
 		"200":          {xs: descending, want: Spread{Mean: 100.5, Median: 100.5, P99: 198, Most: 200}},
 	} {
-		got := Over(c.xs)
+		got := SpreadOf(c.xs)
 		same := near(got.Mean, c.want.Mean) &&
 			got.Median == c.want.Median &&
 			got.P99 == c.want.P99 &&
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -161,10 +161,10 @@
 func (r *roleSamples) summary() *Taken {
 	taken := &Taken{Nodes: r.nodes, Flows: map[string]Spread{}}
 	for what, values := range r.flows {
-		taken.Flows[what] = Over(values)
+		taken.Flows[what] = SpreadOf(values)
 	}
-	taken.Processor = Over(r.processor)
-	taken.Waited = Over(r.waited)
+	taken.Processor = SpreadOf(r.processor)
+	taken.Waited = SpreadOf(r.waited)
 	return taken
 }
 
@@ -203,10 +203,10 @@
 	}
 	s.Memory = map[Role]Memory{}
 	for role, values := range resident {
-		s.Memory[role] = Memory{Resident: Over(values)}
+		s.Memory[role] = Memory{Resident: SpreadOf(values)}
 	}
 	if hollow, measured := s.Memory[Hollow]; measured {
-		hollow.Heap = Over(heap)
+		hollow.Heap = SpreadOf(heap)
 		s.Memory[Hollow] = hollow
 	}
 	return nil
