--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -37,7 +37,7 @@
 	Mean   float64 `json:"mean"`
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
-	Most   float64 `json:"most"`
+	Max    float64 `json:"most"`
 }
 
 // SpreadOf sums up one figure of each node.
@@ -52,7 +52,7 @@
 	}
 	s.Median = (xs[(len(xs)-1)/2] + xs[len(xs)/2]) / 2
 	s.P99 = xs[int(math.Ceil(0.99*float64(len(xs))))-1]
-	s.Most = xs[len(xs)-1]
+	s.Max = xs[len(xs)-1]
 	return s
 }
 
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -64,16 +64,16 @@
 		want Spread
 	}{
 		"none":         {want: Spread{}},
-		"one":          {xs: []float64{4}, want: Spread{Mean: 4, Median: 4, P99: 4, Most: 4}},
-		"an odd count": {xs: []float64{9, 1, 2}, want: Spread{Mean: 4, Median: 2, P99: 9, Most: 9}},
-		"an even one":  {xs: []float64{1, 2, 3, 10}, want: Spread{Mean: 4, Median: 2.5, P99: 10, Most: 10}},
-		"200":          {xs: descending, want: Spread{Mean: 100.5, Median: 100.5, P99: 198, Most: 200}},
+		"one":          {xs: []float64{4}, want: Spread{Mean: 4, Median: 4, P99: 4, Max: 4}},
+		"an odd count": {xs: []float64{9, 1, 2}, want: Spread{Mean: 4, Median: 2, P99: 9, Max: 9}},
+		"an even one":  {xs: []float64{1, 2, 3, 10}, want: Spread{Mean: 4, Median: 2.5, P99: 10, Max: 10}},
+		"200":          {xs: descending, want: Spread{Mean: 100.5, Median: 100.5, P99: 198, Max: 200}},
 	} {
 		got := SpreadOf(c.xs)
 		same := near(got.Mean, c.want.Mean) &&
 			got.Median == c.want.Median &&
 			got.P99 == c.want.P99 &&
-			got.Most == c.want.Most
+			got.Max == c.want.Max
 		if !same {
 			t.Errorf("%s: %+v, and not %+v", name, got, c.want)
 		}
--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -68,7 +68,7 @@
 
 func (s *Size) printSteadyRole(t table, role Role, taken *Taken) {
 	spread := func(what string, x Spread) {
-		t.row(s.Nodes, role, what, x.Mean, x.Median, x.P99, x.Most)
+		t.row(s.Nodes, role, what, x.Mean, x.Median, x.P99, x.Max)
 	}
 	for _, flow := range append(slices.Clone(flowNames), allFlows) {
 		for _, m := range measures {
