--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -30,7 +30,7 @@
 	defer f.close()
 	m := &measurement{
 		fleet: f,
-		size:  &Size{Nodes: nodes, By: p.Terms(), Began: began.UTC(), Processes: len(f.processes())},
+		size:  &Size{Nodes: nodes, Terms: p.Terms(), Began: began.UTC(), Processes: len(f.processes())},
 	}
 	if err := m.forming(ctx, began); err != nil {
 		return nil, err
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -28,7 +28,7 @@
 	report := &Report{Nodes: p.Nodes, Real: p.Real, WindowS: p.Window.Seconds(), Seed: p.Seed, File: p.File}
 	for _, nodes := range p.Sizes {
 		if kept != nil {
-			if s := kept(nodes); s != nil && s.By == p.Terms() {
+			if s := kept(nodes); s != nil && s.Terms == p.Terms() {
 				report.Sizes = append(report.Sizes, s)
 				continue
 			}
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -20,7 +20,7 @@
 // Size is what was measured with one number of nodes.
 type Size struct {
 	Nodes     int               `json:"nodes"`
-	By        Terms             `json:"by"`
+	Terms     Terms             `json:"by"`
 	Began     time.Time         `json:"began"`
 	Processes int               `json:"processes"`
 	Phases    map[string]*Phase `json:"phases"`
