--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -48,7 +48,7 @@
 			return nil, err
 		}
 	}
-	m.size.LostHere = m.last.lost
+	m.size.LostInEmulator = m.last.lost
 	m.size.Dropped = m.last.drops
 	return m.size, nil
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -94,9 +94,9 @@
 		}
 	}
 	for _, s := range r.Sizes {
-		if s.LostHere > 0 {
+		if s.LostInEmulator > 0 {
 			r.Wrong = append(r.Wrong, fmt.Sprintf("%d messages were lost between %d nodes for want of room here: "+
-				"the machine is too busy to say anything", s.LostHere, s.Nodes))
+				"the machine is too busy to say anything", s.LostInEmulator, s.Nodes))
 		}
 	}
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -77,7 +77,7 @@
 // The emulated network dropped messages as too many were delayed. The machine was too busy, and the report is not good.
 func TestMessagesLostOnTheMachineAreNamed(t *testing.T) {
 	overloaded := measuredSize(20, 1, 1)
-	overloaded.LostHere = 3
+	overloaded.LostInEmulator = 3
 	r := Report{Nodes: 20, Sizes: []*Size{overloaded}}
 	r.evaluate()
 	if r.Good() {
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -19,15 +19,15 @@
 
 // Size is what was measured with one number of nodes.
 type Size struct {
-	Nodes     int               `json:"nodes"`
-	Terms     Terms             `json:"by"`
-	Began     time.Time         `json:"began"`
-	Processes int               `json:"processes"`
-	Phases    map[string]*Phase `json:"phases"`
-	Memory    map[Role]Memory   `json:"memory"`
-	AloneMB   float64           `json:"alone_mb"`  // resident, of a real node that knows of no other; 0 for none
-	LostHere  uint64            `json:"lost_here"` // messages that the emulated network dropped as its queue was full
-	Dropped   uint64            `json:"dropped"`   // messages that nodes had no capacity for
+	Nodes          int               `json:"nodes"`
+	Terms          Terms             `json:"by"`
+	Began          time.Time         `json:"began"`
+	Processes      int               `json:"processes"`
+	Phases         map[string]*Phase `json:"phases"`
+	Memory         map[Role]Memory   `json:"memory"`
+	AloneMB        float64           `json:"alone_mb"`  // resident, of a real node that knows of no other; 0 for none
+	LostInEmulator uint64            `json:"lost_here"` // messages that the emulated network dropped as its queue was full
+	Dropped        uint64            `json:"dropped"`   // messages that nodes had no capacity for
 }
 
 // Terms are what two measurements have to have in common to stand in one table.
