--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -112,7 +112,7 @@
 	return func(s *Size, role Role) (Spread, bool) {
 		spread, measured := s.flow(phase, role, bothWays)
 		if measured {
-			spread.Mean *= s.Phases[phase].LongS / bytesPerKB
+			spread.Mean *= s.Phases[phase].DurationS / bytesPerKB
 		}
 		return spread, measured
 	}
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -15,7 +15,7 @@
 			Processor: Spread{Mean: bytesPerS / 1000},
 		}
 	}
-	phase := &Phase{LongS: 1, Roles: map[Role]*Taken{Hollow: taken(hollow), Real: taken(real)}}
+	phase := &Phase{DurationS: 1, Roles: map[Role]*Taken{Hollow: taken(hollow), Real: taken(real)}}
 	return &Size{
 		Nodes:  nodes,
 		Phases: map[string]*Phase{steady: phase},
