--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -108,7 +108,7 @@
 func (s *Size) phaseCells(name string, phase *Phase, role Role, taken *Taken) []any {
 	toKB := phase.DurationS / bytesPerKB
 	cells := []any{
-		s.Nodes, name, phase.DurationS, phase.TookS, role,
+		s.Nodes, name, phase.DurationS, phase.ConvergenceS, role,
 		taken.Flows[allSent].Mean * toKB,
 		taken.Flows[allReceived].Mean * toKB,
 		taken.Flows[bothWays].P99 * toKB,
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -47,10 +47,10 @@
 
 // Phase is what the nodes of each role used during one phase of a run.
 type Phase struct {
-	DurationS float64         `json:"long_s"` // seconds that the phase lasted
-	TookS     float64         `json:"took_s"` // seconds until all nodes had the expected view
-	Roles     map[Role]*Taken `json:"roles"`
-	Alone     float64         `json:"alone"` // percent of a core, of a real node that knows of no other; 0 for none
+	DurationS    float64         `json:"long_s"` // seconds that the phase lasted
+	ConvergenceS float64         `json:"took_s"` // seconds until all nodes had the expected view
+	Roles        map[Role]*Taken `json:"roles"`
+	Alone        float64         `json:"alone"` // percent of a core, of a real node that knows of no other; 0 for none
 }
 
 // Taken is what the nodes of a role used, per second.
@@ -93,7 +93,7 @@
 // add records a phase: the difference of two snapshots, by role.
 func (s *Size) add(f *fleetRun, name string, took time.Duration, from, to snapshot) {
 	phaseS := to.at.Sub(from.at).Seconds()
-	phase := &Phase{DurationS: phaseS, TookS: took.Seconds(), Roles: map[Role]*Taken{}}
+	phase := &Phase{DurationS: phaseS, ConvergenceS: took.Seconds(), Roles: map[Role]*Taken{}}
 	samples := map[Role]*roleSamples{}
 	for _, place := range f.places {
 		if _, seen := to.nodes[place.Name]; !seen {
