--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func (s *Size) printSteadyRole(t table, role Role, taken *Taken) {
+func (s *Size) printSteadyRole(t table, role Role, taken *Usage) {
 	spread := func(what string, x Spread) {
 		t.row(s.Nodes, role, what, x.Mean, x.Median, x.P99, x.Max)
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *Size) phaseCells(name string, phase *Phase, role Role, taken *Taken) []any {
+func (s *Size) phaseCells(name string, phase *Phase, role Role, taken *Usage) []any {
 	toKB := phase.DurationS / bytesPerKB
 	cells := []any{
 		s.Nodes, name, phase.DurationS, phase.ConvergenceS, role,
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -8,14 +8,14 @@
 
 // measuredSize is a size at which hollow and real nodes sent and received so many bytes per second.
 func measuredSize(nodes int, hollow, real float64) *Size {
-	taken := func(bytesPerS float64) *Taken {
-		return &Taken{
+	taken := func(bytesPerS float64) *Usage {
+		return &Usage{
 			Nodes:     1,
 			Flows:     map[string]Spread{bothWays: {Mean: bytesPerS}},
 			Processor: Spread{Mean: bytesPerS / 1000},
 		}
 	}
-	phase := &Phase{DurationS: 1, Roles: map[Role]*Taken{Hollow: taken(hollow), Real: taken(real)}}
+	phase := &Phase{DurationS: 1, Roles: map[Role]*Usage{Hollow: taken(hollow), Real: taken(real)}}
 	return &Size{
 		Nodes:  nodes,
 		Phases: map[string]*Phase{steady: phase},
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -49,12 +49,12 @@
 type Phase struct {
 	DurationS    float64         `json:"long_s"` // seconds that the phase lasted
 	ConvergenceS float64         `json:"took_s"` // seconds until all nodes had the expected view
-	Roles        map[Role]*Taken `json:"roles"`
+	Roles        map[Role]*Usage `json:"roles"`
 	Alone        float64         `json:"alone"` // percent of a core, of a real node that knows of no other; 0 for none
 }
 
-// Taken is what the nodes of a role used, per second.
-type Taken struct {
+// Usage is what the nodes of a role used, per second.
+type Usage struct {
 	Nodes     int               `json:"nodes"`
 	Flows     map[string]Spread `json:"flows"`     // "hellos out B/s" and so on; "all ..." is of all flows
 	Processor Spread            `json:"processor"` // percent of one core
@@ -93,7 +93,7 @@
 // add records a phase: the difference of two snapshots, by role.
 func (s *Size) add(f *fleetRun, name string, took time.Duration, from, to snapshot) {
 	phaseS := to.at.Sub(from.at).Seconds()
-	phase := &Phase{DurationS: phaseS, ConvergenceS: took.Seconds(), Roles: map[Role]*Taken{}}
+	phase := &Phase{DurationS: phaseS, ConvergenceS: took.Seconds(), Roles: map[Role]*Usage{}}
 	samples := map[Role]*roleSamples{}
 	for _, place := range f.places {
 		if _, seen := to.nodes[place.Name]; !seen {
@@ -158,8 +158,8 @@
 	}
 }
 
-func (r *roleSamples) summary() *Taken {
-	taken := &Taken{Nodes: r.nodes, Flows: map[string]Spread{}}
+func (r *roleSamples) summary() *Usage {
+	taken := &Usage{Nodes: r.nodes, Flows: map[string]Spread{}}
 	for what, values := range r.flows {
 		taken.Flows[what] = SpreadOf(values)
 	}
