--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -19,14 +19,14 @@
 
 // Report is what was measured at all sizes of a plan, and how it compares with the budget.
 type Report struct {
-	Nodes   int      `json:"nodes"` // the stated size, which the budget is for
-	Real    int      `json:"real"`  // how many of the nodes are real ones
-	WindowS float64  `json:"window_s"`
-	Seed    int64    `json:"seed"`
-	File    File     `json:"file"`
-	Sizes   []*Size  `json:"sizes"`
-	Slopes  []Slope  `json:"slopes"`
-	Wrong   []string `json:"wrong"` // why the report is not good, a sentence each
+	Nodes    int      `json:"nodes"` // the stated size, which the budget is for
+	Real     int      `json:"real"`  // how many of the nodes are real ones
+	WindowS  float64  `json:"window_s"`
+	Seed     int64    `json:"seed"`
+	File     File     `json:"file"`
+	Sizes    []*Size  `json:"sizes"`
+	Slopes   []Slope  `json:"slopes"`
+	Problems []string `json:"wrong"` // why the report is not good, a sentence each
 }
 
 // figure returns one figure of a role at one size; false where it was not measured.
@@ -66,7 +66,7 @@
 	}
 	slope.Over = budget > 0 && slope.value() > budget
 	if slope.Over {
-		r.Wrong = append(r.Wrong, fmt.Sprintf("%s at %d nodes is %.4g %s, and %.4g is the budget",
+		r.Problems = append(r.Problems, fmt.Sprintf("%s at %d nodes is %.4g %s, and %.4g is the budget",
 			what, r.Nodes, slope.value(), unit, budget))
 	}
 	r.Slopes = append(r.Slopes, slope)
@@ -95,7 +95,7 @@
 	}
 	for _, s := range r.Sizes {
 		if s.LostInEmulator > 0 {
-			r.Wrong = append(r.Wrong, fmt.Sprintf("%d messages were lost between %d nodes for want of room here: "+
+			r.Problems = append(r.Problems, fmt.Sprintf("%d messages were lost between %d nodes for want of room here: "+
 				"the machine is too busy to say anything", s.LostInEmulator, s.Nodes))
 		}
 	}
@@ -137,12 +137,12 @@
 }
 
 // Good reports whether all figures are within the budget and none is doubtful.
-func (r *Report) Good() bool { return len(r.Wrong) == 0 }
+func (r *Report) Good() bool { return len(r.Problems) == 0 }
 
 // Last returns the verdict, the last line of what Print writes.
 func (r *Report) Last() string {
 	if r.Good() {
 		return "all within"
 	}
-	return "not within: " + names(r.Wrong)
+	return "not within: " + names(r.Problems)
 }
