--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -138,7 +138,7 @@
 	if err := result.Print(out); err != nil {
 		return err
 	}
-	if !result.Good() {
+	if !result.Passed() {
 		return errOverBudget
 	}
 	return nil
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -136,12 +136,12 @@
 	return memory.Heap, measured && memory.Heap.Mean > 0
 }
 
-// Good reports whether all figures are within the budget and none is doubtful.
-func (r *Report) Good() bool { return len(r.Problems) == 0 }
+// Passed reports whether all figures are within the budget and none is doubtful.
+func (r *Report) Passed() bool { return len(r.Problems) == 0 }
 
 // Last returns the verdict, the last line of what Print writes.
 func (r *Report) Last() string {
-	if r.Good() {
+	if r.Passed() {
 		return "all within"
 	}
 	return "not within: " + names(r.Problems)
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -64,7 +64,7 @@
 	} {
 		r := Report{Nodes: 20, Sizes: c.sizes, File: File{Budget: c.budget}}
 		r.evaluate()
-		if r.Last() != c.want || r.Good() != (c.want == "all within") {
+		if r.Last() != c.want || r.Passed() != (c.want == "all within") {
 			t.Errorf("%s: %s", name, r.Last())
 		}
 		var text bytes.Buffer
@@ -80,7 +80,7 @@
 	overloaded.LostInEmulator = 3
 	r := Report{Nodes: 20, Sizes: []*Size{overloaded}}
 	r.evaluate()
-	if r.Good() {
+	if r.Passed() {
 		t.Error("messages that were lost here went unnamed")
 	}
 }
