--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -48,7 +48,7 @@
 	if err := t.writer.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintln(to, r.Last())
+	_, err := fmt.Fprintln(to, r.Verdict())
 	return err
 }
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -139,8 +139,8 @@
 // Passed reports whether all figures are within the budget and none is doubtful.
 func (r *Report) Passed() bool { return len(r.Problems) == 0 }
 
-// Last returns the verdict, the last line of what Print writes.
-func (r *Report) Last() string {
+// Verdict returns the verdict, the last line of what Print writes.
+func (r *Report) Verdict() string {
 	if r.Passed() {
 		return "all within"
 	}
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -64,8 +64,8 @@
 	} {
 		r := Report{Nodes: 20, Sizes: c.sizes, File: File{Budget: c.budget}}
 		r.evaluate()
-		if r.Last() != c.want || r.Passed() != (c.want == "all within") {
-			t.Errorf("%s: %s", name, r.Last())
+		if r.Verdict() != c.want || r.Passed() != (c.want == "all within") {
+			t.Errorf("%s: %s", name, r.Verdict())
 		}
 		var text bytes.Buffer
 		if err := r.Print(&text); err != nil || !strings.HasSuffix(text.String(), "\n"+c.want+"\n") {
