--- a/internal/scale/cachegrowth/node.go
+++ b/internal/scale/cachegrowth/node.go
@@ -88,7 +88,7 @@
 	n.stopped = make(chan struct{})
 	go n.observe(child.PID())
 	for deadline := time.Now().Add(readyTimeout); !isReady(n.listen); time.Sleep(readyInterval) {
-		if child.Over() {
+		if child.HasExited() {
 			return fmt.Errorf("the node has ended: %s", child.LastLogLine())
 		}
 		if time.Now().After(deadline) {
@@ -148,7 +148,7 @@
 }
 
 func (n *nodeProcess) addUp(child *scale.Child) error {
-	if child.Over() {
+	if child.HasExited() {
 		return fmt.Errorf("the node has ended: %s", child.LastLogLine())
 	}
 	cost, err := child.Cost()
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -47,8 +47,8 @@
 // PID returns the process's number.
 func (c *Child) PID() int { return c.cmd.Process.Pid }
 
-// Over reports whether the process has ended.
-func (c *Child) Over() bool {
+// HasExited reports whether the process has ended.
+func (c *Child) HasExited() bool {
 	select {
 	case <-c.done:
 		return true
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -206,7 +206,7 @@
 		lost += a.Lost
 	}
 	for _, n := range f.reals {
-		if n.Over() {
+		if n.HasExited() {
 			return nil, 0, fmt.Errorf("real node %s has ended: %s", n.Place.Name, n.LastLogLine())
 		}
 		st, err := n.status()
