--- a/internal/scale/cachegrowth/node.go
+++ b/internal/scale/cachegrowth/node.go
@@ -140,7 +140,7 @@
 	close(n.stop)
 	<-n.stopped
 	err := n.addUp(child)
-	child.End(func() { _ = syscall.Kill(child.PID(), syscall.SIGTERM) })
+	child.Stop(func() { _ = syscall.Kill(child.PID(), syscall.SIGTERM) })
 	if releaseErr := n.release(); err == nil {
 		err = releaseErr
 	}
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -64,9 +64,9 @@
 	return lines[len(lines)-1]
 }
 
-// End ends the process and waits for that: it calls ask, which is to request an orderly end, and kills the process
+// Stop ends the process and waits for that: it calls ask, which is to request an orderly end, and kills the process
 // after endsBy.
-func (c *Child) End(ask func()) {
+func (c *Child) Stop(ask func()) {
 	ask()
 	select {
 	case <-c.done:
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -90,4 +90,4 @@
 }
 
 // Close ends the process with all of its nodes.
-func (h *Hollows) Close() { h.End(func() { _ = h.in.Close() }) }
+func (h *Hollows) Close() { h.Stop(func() { _ = h.in.Close() }) }
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -155,4 +155,4 @@
 }
 
 // Close ends the node in order.
-func (n *RealNode) Close() { n.End(func() { _ = n.cmd.Process.Signal(syscall.SIGTERM) }) }
+func (n *RealNode) Close() { n.Stop(func() { _ = n.cmd.Process.Signal(syscall.SIGTERM) }) }
