--- a/cmd/dahliapin/cpu_share_test.go
+++ b/cmd/dahliapin/cpu_share_test.go
@@ -19,7 +19,7 @@
 // limitCPUShare limits a process to a share of a core until the returned function is called.
 func limitCPUShare(t testing.TB, pid int, share float64) (release func()) {
 	t.Helper()
-	let := scale.HoldToShare(pid, share)
+	let := scale.LimitCPUShare(pid, share)
 	return func() {
 		if err := let(); err != nil {
 			t.Error(err)
--- a/internal/scale/cachegrowth/node.go
+++ b/internal/scale/cachegrowth/node.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	n.child = child
-	n.release = scale.HoldToShare(child.PID(), n.share)
+	n.release = scale.LimitCPUShare(child.PID(), n.share)
 	n.stop = make(chan struct{})
 	n.stopped = make(chan struct{})
 	go n.observe(child.PID())
--- a/internal/scale/cpushare.go
+++ b/internal/scale/cpushare.go
@@ -18,10 +18,10 @@
 	maxSavedShare = 5 * time.Millisecond
 )
 
-// HoldToShare limits a process to a share of a core, as a node has beside others, until the returned function is
+// LimitCPUShare limits a process to a share of a core, as a node has beside others, until the returned function is
 // called: it is stopped once it has used more, and continued when its share has caught up. release returns an error if
 // a signal could not be sent to the process, and nil if the process has ended meanwhile.
-func HoldToShare(pid int, share float64) (release func() error) {
+func LimitCPUShare(pid int, share float64) (release func() error) {
 	h := &shareHolder{pid: pid, share: share, allowed: shareBurst, over: make(chan struct{}), ended: make(chan struct{})}
 	go h.run()
 	return func() error {
