--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -38,7 +38,7 @@
 	plan    *Plan
 	places  []Place // real nodes first
 	list    *endpointLists
-	hollows []*Hollows
+	hollows []*HollowProcess
 	reals   []*RealNode
 	alone   *RealNode // knows of no other: what a node uses for all else; nil where there are no real ones
 }
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -22,8 +22,8 @@
 	firstLineBytes = 64 << 10
 )
 
-// Hollows is a process of hollow nodes, which takes orders as lines of JSON and answers each with one line.
-type Hollows struct {
+// HollowProcess is a process of hollow nodes, which takes orders as lines of JSON and answers each with one line.
+type HollowProcess struct {
 	*Child
 	places  []Place        // of the nodes it runs
 	in      io.WriteCloser // orders; the process ends once it is closed
@@ -31,7 +31,7 @@
 }
 
 // StartHollows starts a process of hollow nodes, which has no nodes before the order to open them.
-func (r *Rig) StartHollows(places []Place, name string) (*Hollows, error) {
+func (r *Rig) StartHollows(places []Place, name string) (*HollowProcess, error) {
 	cmd := exec.Command(r.Program, "scale", "hollow")
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -48,13 +48,13 @@
 		from.Close()
 		return nil, err
 	}
-	h := &Hollows{Child: c, places: places, in: in, answers: make(chan answer, 1)}
+	h := &HollowProcess{Child: c, places: places, in: in, answers: make(chan answer, 1)}
 	go h.readAnswers(from)
 	return h, nil
 }
 
 // readAnswers passes answers on until the process closes its output.
-func (h *Hollows) readAnswers(from io.ReadCloser) {
+func (h *HollowProcess) readAnswers(from io.ReadCloser) {
 	defer from.Close()
 	defer close(h.answers)
 	lines := bufio.NewScanner(from)
@@ -69,7 +69,7 @@
 }
 
 // ask sends an order and waits for the answer.
-func (h *Hollows) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
+func (h *HollowProcess) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
 	if err := json.NewEncoder(h.in).Encode(o); err != nil {
 		return answer{}, fmt.Errorf("a process of hollow nodes takes no order: %w: %s", err, h.LastLogLine())
 	}
@@ -90,4 +90,4 @@
 }
 
 // Close ends the process with all of its nodes.
-func (h *Hollows) Close() { h.Stop(func() { _ = h.in.Close() }) }
+func (h *HollowProcess) Close() { h.Stop(func() { _ = h.in.Close() }) }
