--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -109,7 +109,7 @@
 	}
 	for from := len(f.reals); from < len(f.places); from += f.plan.Each {
 		until := min(len(f.places), from+f.plan.Each)
-		h, err := f.rig.StartHollows(f.places[from:until], fmt.Sprintf("hollow-%d", from))
+		h, err := f.rig.StartHollowProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
 		if err != nil {
 			return fmt.Errorf("a process of hollow nodes does not start: %w", err)
 		}
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -30,8 +30,8 @@
 	answers chan answer    // closed once the process has closed its output
 }
 
-// StartHollows starts a process of hollow nodes, which has no nodes before the order to open them.
-func (r *Rig) StartHollows(places []Place, name string) (*HollowProcess, error) {
+// StartHollowProcess starts a process of hollow nodes, which has no nodes before the order to open them.
+func (r *Rig) StartHollowProcess(places []Place, name string) (*HollowProcess, error) {
 	cmd := exec.Command(r.Program, "scale", "hollow")
 	in, err := cmd.StdinPipe()
 	if err != nil {
