--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -132,7 +132,7 @@
 		if place.Role != Real {
 			break
 		}
-		n, err := f.rig.StartReal(place, file, len(f.places), f.plan.Seed+int64(i))
+		n, err := f.rig.StartRealNode(place, file, len(f.places), f.plan.Seed+int64(i))
 		if err != nil {
 			return fmt.Errorf("a real node does not start: %w", err)
 		}
@@ -146,7 +146,7 @@
 		return err
 	}
 	place := Place{Name: alone, Role: Real, Addr: "127.0.0.1:0", List: list}
-	f.alone, err = f.rig.StartReal(place, nil, len(f.places), f.plan.Seed)
+	f.alone, err = f.rig.StartRealNode(place, nil, len(f.places), f.plan.Seed)
 	if err != nil {
 		return fmt.Errorf("a node that is to know of no other does not start: %w", err)
 	}
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -36,8 +36,8 @@
 	admin string // address of its admin server
 }
 
-// StartReal starts a node by the program's command serve. Without a fleet's file it knows of no other node.
-func (r *Rig) StartReal(at Place, fleet *fleetconfig.File, nodes int, seed int64) (*RealNode, error) {
+// StartRealNode starts a node by the program's command serve. Without a fleet's file it knows of no other node.
+func (r *Rig) StartRealNode(at Place, fleet *fleetconfig.File, nodes int, seed int64) (*RealNode, error) {
 	host, _, err := net.SplitHostPort(at.Addr)
 	if err != nil {
 		return nil, err
--- a/internal/scale/rig_test.go
+++ b/internal/scale/rig_test.go
@@ -10,7 +10,7 @@
 func TestNodeThatDoesNotStartIsNoNode(t *testing.T) {
 	dir := t.TempDir()
 	r := &Rig{Program: filepath.Join(dir, "absent"), Dir: dir}
-	n, err := r.StartReal(Place{Name: "n", Addr: "127.0.0.1:0", List: "127.0.0.1:1"}, nil, 1, 1)
+	n, err := r.StartRealNode(Place{Name: "n", Addr: "127.0.0.1:0", List: "127.0.0.1:1"}, nil, 1, 1)
 	if err == nil || n != nil {
 		t.Errorf("%v, %v", n, err)
 	}
