--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -170,6 +170,8 @@
 	return &cobra.Command{
 		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
 		Short: "Run nodes without clients, as told on standard input",
-		RunE:  func(c *cobra.Command, _ []string) error { return scale.Attend(c.InOrStdin(), c.OutOrStdout()) },
+		RunE: func(c *cobra.Command, _ []string) error {
+			return scale.ServeHollowNodes(c.InOrStdin(), c.OutOrStdout())
+		},
 	}
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -73,9 +73,9 @@
 	partMakers []ComponentStarter
 }
 
-// Attend reads orders, carries them out and writes an answer to each, until its input ends; then it ends all nodes.
+// ServeHollowNodes reads orders, carries them out and writes an answer to each, until its input ends; then it ends all nodes.
 // Each node runs the given parts beside its own.
-func Attend(in io.Reader, out io.Writer, more ...ComponentStarter) error {
+func ServeHollowNodes(in io.Reader, out io.Writer, more ...ComponentStarter) error {
 	debug.SetGCPercent(collected)
 	p := &process{nodes: map[string]*Node{}, partMakers: more}
 	defer p.close()
