--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -70,7 +70,7 @@
 	f := &fleetRun{
 		rig:    r,
 		plan:   p,
-		places: Lay(nodes, p.Real, p.File.Places, port),
+		places: AssignPlaces(nodes, p.Real, p.File.Places, port),
 		list:   openEndpointLists(p.File.List.Caches),
 	}
 	for i := range f.places {
--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -33,7 +33,7 @@
 	file.Fleet.Label = "hollow"
 	file.Fleet.Seeds = []string{fmt.Sprintf("127.%d.0.1:%d", firstRegion, port)}
 	var all []*Node
-	for _, at := range Lay(nodes, 0, places, port) {
+	for _, at := range AssignPlaces(nodes, 0, places, port) {
 		var err error
 		if at.List, err = lists.listen(at.Name); err != nil {
 			t.Fatal(err)
@@ -84,7 +84,9 @@
 	t.Cleanup(lists.close)
 	all := openHollowNodes(t, nodes, file.Places, rules, lists)
 
-	knowsAll := func(n *Node) bool { return len(n.Membership.View().Nodes) == nodes && !n.Membership.View().MayBePartitioned }
+	knowsAll := func(n *Node) bool {
+		return len(n.Membership.View().Nodes) == nodes && !n.Membership.View().MayBePartitioned
+	}
 	awaitAll(t, all, "all know all", knowsAll)
 	cut(rules.faults, off, regions, true)
 	awaitAll(t, all, "the region is out, and knows it", func(n *Node) bool {
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -39,9 +39,9 @@
 	inOctet     = 250
 )
 
-// Lay gives each node its place. The real ones are all in the first region, as no rule would apply between two of them.
+// AssignPlaces gives each node its place. The real ones are all in the first region, as no rule would apply between two of them.
 // Each of the others goes to the region with the fewest nodes.
-func Lay(nodes, real int, at Places, port uint16) (all []Place) {
+func AssignPlaces(nodes, real int, at Places, port uint16) (all []Place) {
 	in, hollows := make([]int, at.Regions), make([]int, at.Regions)
 	for i := range nodes {
 		p := Place{Name: fmt.Sprintf("n%d", i+1), Role: Hollow}
--- a/internal/scale/places_test.go
+++ b/internal/scale/places_test.go
@@ -15,7 +15,7 @@
 		{nodes: 2000, real: 32, regions: 2, sites: 3, zones: 5},
 	} {
 		places := Places{Regions: c.regions, Sites: c.sites, Zones: c.zones}
-		all := Lay(c.nodes, c.real, places, 7946)
+		all := AssignPlaces(c.nodes, c.real, places, 7946)
 		addrs := map[string]bool{}
 		inRegion := map[RegionID]int{}
 		inZone := map[int]int{}
