--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -10,15 +10,15 @@
 
 // Rig starts fleets and measures them. It ends the processes that it has started, by their ids, and no others.
 type Rig struct {
-	Program string       // executable with the commands serve and scale hollow
-	Dir     string       // for configurations and logs; the caller removes it
-	Tell    func(string) // receives progress, a line at a time; nil for none
-	MostMB  int          // memory that all its processes may use; it fails once they use more
+	Program  string       // executable with the commands serve and scale hollow
+	Dir      string       // for configurations and logs; the caller removes it
+	Progress func(string) // receives progress, a line at a time; nil for none
+	MostMB   int          // memory that all its processes may use; it fails once they use more
 }
 
 func (r *Rig) tell(text string, args ...any) {
-	if r.Tell != nil {
-		r.Tell(fmt.Sprintf(text, args...))
+	if r.Progress != nil {
+		r.Progress(fmt.Sprintf(text, args...))
 	}
 }
 
