--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	rig := &scale.Rig{Program: program, Dir: dir, Progress: progressLine(), MostMB: o.maxMB}
+	rig := &scale.Rig{Program: program, Dir: dir, Progress: progressLine(), MaxMemoryMB: o.maxMB}
 	result, err := rig.Run(ctx, &o.plan, o.earlierResult, func(size *scale.Size) error {
 		return writeJSON(o.resultPath(size.Nodes), size)
 	})
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -290,8 +290,8 @@
 		}
 		sum += cost.Resident
 	}
-	if sum > uint64(f.rig.MostMB)*mb {
-		return fmt.Errorf("%d processes take %d MB: %d are the most", len(processes), sum/mb, f.rig.MostMB)
+	if sum > uint64(f.rig.MaxMemoryMB)*mb {
+		return fmt.Errorf("%d processes take %d MB: %d are the most", len(processes), sum/mb, f.rig.MaxMemoryMB)
 	}
 	return nil
 }
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -10,10 +10,10 @@
 
 // Rig starts fleets and measures them. It ends the processes that it has started, by their ids, and no others.
 type Rig struct {
-	Program  string       // executable with the commands serve and scale hollow
-	Dir      string       // for configurations and logs; the caller removes it
-	Progress func(string) // receives progress, a line at a time; nil for none
-	MostMB   int          // memory that all its processes may use; it fails once they use more
+	Program     string       // executable with the commands serve and scale hollow
+	Dir         string       // for configurations and logs; the caller removes it
+	Progress    func(string) // receives progress, a line at a time; nil for none
+	MaxMemoryMB int          // memory that all its processes may use; it fails once they use more
 }
 
 func (r *Rig) tell(text string, args ...any) {
