--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -107,8 +107,8 @@
 	if err := f.startReals(&file); err != nil {
 		return err
 	}
-	for from := len(f.reals); from < len(f.places); from += f.plan.Each {
-		until := min(len(f.places), from+f.plan.Each)
+	for from := len(f.reals); from < len(f.places); from += f.plan.NodesPerProcess {
+		until := min(len(f.places), from+f.plan.NodesPerProcess)
 		h, err := f.rig.StartHollowProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
 		if err != nil {
 			return fmt.Errorf("a process of hollow nodes does not start: %w", err)
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -27,13 +27,13 @@
 
 // Plan is what is measured, and how.
 type Plan struct {
-	Nodes  int           // the stated size
-	Sizes  []int         // measured, the lowest first
-	Real   int           // of each size, nodes that are processes of their own
-	Window time.Duration // for which each size is measured once it is steady
-	Seed   int64
-	File   File
-	Each   int // hollow nodes in a process; 0 for the usual
+	Nodes           int           // the stated size
+	Sizes           []int         // measured, the lowest first
+	Real            int           // of each size, nodes that are processes of their own
+	Window          time.Duration // for which each size is measured once it is steady
+	Seed            int64
+	File            File
+	NodesPerProcess int // hollow nodes in a process; 0 for the usual
 }
 
 // File is what an operator states about a planned fleet. Without it there is one region, without faults or a budget.
@@ -145,8 +145,8 @@
 
 // Check completes a plan with defaults and sorts its sizes. Its error is one line that says what is wrong.
 func (p *Plan) Check() error {
-	if p.Each == 0 {
-		p.Each = hollowsEach
+	if p.NodesPerProcess == 0 {
+		p.NodesPerProcess = hollowsEach
 	}
 	if len(p.Sizes) == 0 {
 		for part := 8; part >= 1; part /= 2 {
@@ -174,7 +174,7 @@
 			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones",
 				n, FewestNodes, MostNodes)
 		}
-		if processes := p.Real + (n-p.Real+p.Each-1)/p.Each + 1; processes > MostProcesses {
+		if processes := p.Real + (n-p.Real+p.NodesPerProcess-1)/p.NodesPerProcess + 1; processes > MostProcesses {
 			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MostProcesses)
 		}
 	}
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -39,7 +39,7 @@
 		{Plan{Nodes: 8, Real: 8, Window: time.Minute}, "leave no size"},
 		{Plan{Nodes: 480, Real: 8, Window: time.Minute, Sizes: []int{8}}, "--sizes"},
 		{Plan{Nodes: 480, Real: 8, Window: time.Minute, Sizes: []int{4000}}, "--sizes"},
-		{Plan{Nodes: 2000, Window: time.Minute, Each: 4}, "processes"},
+		{Plan{Nodes: 2000, Window: time.Minute, NodesPerProcess: 4}, "processes"},
 	} {
 		err := c.plan.Check()
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
