--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -12,7 +12,7 @@
 
 // Bounds of a run.
 const (
-	FewestNodes   = 3                // the least that can take one out
+	MinNodes      = 3                // the least that can take one out
 	MostNodes     = 2000             // sockets of all must fit one machine
 	MostReal      = 32               // processes that are nodes
 	MostSizes     = 12               // measured one after the other
@@ -150,7 +150,7 @@
 	}
 	if len(p.Sizes) == 0 {
 		for part := 8; part >= 1; part /= 2 {
-			if n := p.Nodes / part; n >= FewestNodes && n > p.Real {
+			if n := p.Nodes / part; n >= MinNodes && n > p.Real {
 				p.Sizes = append(p.Sizes, n)
 			}
 		}
@@ -158,8 +158,8 @@
 	slices.Sort(p.Sizes)
 	p.Sizes = slices.Compact(p.Sizes)
 	switch {
-	case p.Nodes < FewestNodes || p.Nodes > MostNodes:
-		return fmt.Errorf("--nodes %d is not from %d to %d", p.Nodes, FewestNodes, MostNodes)
+	case p.Nodes < MinNodes || p.Nodes > MostNodes:
+		return fmt.Errorf("--nodes %d is not from %d to %d", p.Nodes, MinNodes, MostNodes)
 	case p.Real < 0 || p.Real > MostReal:
 		return fmt.Errorf("--real %d is not from 0 to %d", p.Real, MostReal)
 	case p.Window < ShortestFor || p.Window > LongestFor:
@@ -170,9 +170,9 @@
 		return fmt.Errorf("--sizes are more than %d", MostSizes)
 	}
 	for _, n := range p.Sizes {
-		if n < FewestNodes || n > MostNodes || n <= p.Real {
+		if n < MinNodes || n > MostNodes || n <= p.Real {
 			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones",
-				n, FewestNodes, MostNodes)
+				n, MinNodes, MostNodes)
 		}
 		if processes := p.Real + (n-p.Real+p.NodesPerProcess-1)/p.NodesPerProcess + 1; processes > MostProcesses {
 			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MostProcesses)
