--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -13,7 +13,7 @@
 // Bounds of a run.
 const (
 	MinNodes      = 3                // the least that can take one out
-	MostNodes     = 2000             // sockets of all must fit one machine
+	MaxNodes      = 2000             // sockets of all must fit one machine
 	MostReal      = 32               // processes that are nodes
 	MostSizes     = 12               // measured one after the other
 	MostProcesses = 300              // of a run
@@ -121,8 +121,8 @@
 		return f, err
 	}
 	c.InRange(float64(f.Places.Regions), 1, mostPlaces, "places.regions")
-	c.InRange(float64(f.Places.Sites), float64(f.Places.Regions), MostNodes, "places.sites")
-	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MostNodes, "places.zones")
+	c.InRange(float64(f.Places.Sites), float64(f.Places.Regions), MaxNodes, "places.sites")
+	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MaxNodes, "places.zones")
 	c.InRange(f.Starts.ApartMs, 1, 10_000, "starts.apart_ms")
 	c.InRange(f.Between.DelayMs, 0, 2000, "between.delay_ms")
 	if f.Between.DelayMostMs == 0 {
@@ -158,8 +158,8 @@
 	slices.Sort(p.Sizes)
 	p.Sizes = slices.Compact(p.Sizes)
 	switch {
-	case p.Nodes < MinNodes || p.Nodes > MostNodes:
-		return fmt.Errorf("--nodes %d is not from %d to %d", p.Nodes, MinNodes, MostNodes)
+	case p.Nodes < MinNodes || p.Nodes > MaxNodes:
+		return fmt.Errorf("--nodes %d is not from %d to %d", p.Nodes, MinNodes, MaxNodes)
 	case p.Real < 0 || p.Real > MostReal:
 		return fmt.Errorf("--real %d is not from 0 to %d", p.Real, MostReal)
 	case p.Window < ShortestFor || p.Window > LongestFor:
@@ -170,9 +170,9 @@
 		return fmt.Errorf("--sizes are more than %d", MostSizes)
 	}
 	for _, n := range p.Sizes {
-		if n < MinNodes || n > MostNodes || n <= p.Real {
+		if n < MinNodes || n > MaxNodes || n <= p.Real {
 			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones",
-				n, MinNodes, MostNodes)
+				n, MinNodes, MaxNodes)
 		}
 		if processes := p.Real + (n-p.Real+p.NodesPerProcess-1)/p.NodesPerProcess + 1; processes > MostProcesses {
 			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MostProcesses)
