--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -14,7 +14,7 @@
 const (
 	MinNodes      = 3                // the least that can take one out
 	MaxNodes      = 2000             // sockets of all must fit one machine
-	MostReal      = 32               // processes that are nodes
+	MaxRealNodes  = 32               // processes that are nodes
 	MostSizes     = 12               // measured one after the other
 	MostProcesses = 300              // of a run
 	MostMB        = 12_000           // that they take together
@@ -160,8 +160,8 @@
 	switch {
 	case p.Nodes < MinNodes || p.Nodes > MaxNodes:
 		return fmt.Errorf("--nodes %d is not from %d to %d", p.Nodes, MinNodes, MaxNodes)
-	case p.Real < 0 || p.Real > MostReal:
-		return fmt.Errorf("--real %d is not from 0 to %d", p.Real, MostReal)
+	case p.Real < 0 || p.Real > MaxRealNodes:
+		return fmt.Errorf("--real %d is not from 0 to %d", p.Real, MaxRealNodes)
 	case p.Window < ShortestFor || p.Window > LongestFor:
 		return fmt.Errorf("--for %v is not from %v to %v", p.Window, ShortestFor, LongestFor)
 	case len(p.Sizes) == 0:
