--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -15,7 +15,7 @@
 	MinNodes      = 3                // the least that can take one out
 	MaxNodes      = 2000             // sockets of all must fit one machine
 	MaxRealNodes  = 32               // processes that are nodes
-	MostSizes     = 12               // measured one after the other
+	MaxSizes      = 12               // measured one after the other
 	MostProcesses = 300              // of a run
 	MostMB        = 12_000           // that they take together
 	mostPlaces    = 200              // regions: a part of the address each
@@ -166,8 +166,8 @@
 		return fmt.Errorf("--for %v is not from %v to %v", p.Window, ShortestFor, LongestFor)
 	case len(p.Sizes) == 0:
 		return fmt.Errorf("--nodes %d and --real %d leave no size to measure", p.Nodes, p.Real)
-	case len(p.Sizes) > MostSizes:
-		return fmt.Errorf("--sizes are more than %d", MostSizes)
+	case len(p.Sizes) > MaxSizes:
+		return fmt.Errorf("--sizes are more than %d", MaxSizes)
 	}
 	for _, n := range p.Sizes {
 		if n < MinNodes || n > MaxNodes || n <= p.Real {
