--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -12,17 +12,17 @@
 
 // Bounds of a run.
 const (
-	MinNodes      = 3                // the least that can take one out
-	MaxNodes      = 2000             // sockets of all must fit one machine
-	MaxRealNodes  = 32               // processes that are nodes
-	MaxSizes      = 12               // measured one after the other
-	MostProcesses = 300              // of a run
-	MostMB        = 12_000           // that they take together
-	mostPlaces    = 200              // regions: a part of the address each
-	ShortestFor   = 2 * time.Second  // a window in which anything can be counted
-	LongestFor    = 10 * time.Minute // each size has one
-	hollowsEach   = 60               // hollow nodes in a process
-	mostBudget    = 1e6              // of any unit
+	MinNodes     = 3                // the least that can take one out
+	MaxNodes     = 2000             // sockets of all must fit one machine
+	MaxRealNodes = 32               // processes that are nodes
+	MaxSizes     = 12               // measured one after the other
+	MaxProcesses = 300              // of a run
+	MostMB       = 12_000           // that they take together
+	mostPlaces   = 200              // regions: a part of the address each
+	ShortestFor  = 2 * time.Second  // a window in which anything can be counted
+	LongestFor   = 10 * time.Minute // each size has one
+	hollowsEach  = 60               // hollow nodes in a process
+	mostBudget   = 1e6              // of any unit
 )
 
 // Plan is what is measured, and how.
@@ -174,8 +174,8 @@
 			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones",
 				n, MinNodes, MaxNodes)
 		}
-		if processes := p.Real + (n-p.Real+p.NodesPerProcess-1)/p.NodesPerProcess + 1; processes > MostProcesses {
-			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MostProcesses)
+		if processes := p.Real + (n-p.Real+p.NodesPerProcess-1)/p.NodesPerProcess + 1; processes > MaxProcesses {
+			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MaxProcesses)
 		}
 	}
 	return nil
