--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -66,7 +66,7 @@
 	f.Int64Var(&o.plan.Seed, "seed", 1, "random seed of the network between regions")
 	f.StringVar(&o.out, "out", "", "folder for report.json, and size-N.json of each size")
 	f.BoolVar(&o.keepResults, "kept", false, "do not measure sizes again whose results are in the folder")
-	f.IntVar(&o.maxMB, "most-mb", scale.MostMB, "memory limit of all processes, in MB: the measurement ends above it")
+	f.IntVar(&o.maxMB, "most-mb", scale.MaxMemoryMB, "memory limit of all processes, in MB: the measurement ends above it")
 	f.Float64Var(&o.budget.CorePercent, "core", 0, "budget: percent of a core per node, instead of the file's")
 	f.Float64Var(&o.budget.MemoryMB, "memory", 0, "budget: resident memory per node, in MB")
 	f.Float64Var(&o.budget.KBPerS, "kb", 0, "budget: kilobytes per second per node, sent and received")
@@ -92,8 +92,8 @@
 	if err := o.plan.Check(); err != nil {
 		return badCall("%w", err)
 	}
-	if o.maxMB < 1 || o.maxMB > scale.MostMB {
-		return badCall("--most-mb %d is not from 1 to %d", o.maxMB, scale.MostMB)
+	if o.maxMB < 1 || o.maxMB > scale.MaxMemoryMB {
+		return badCall("--most-mb %d is not from 1 to %d", o.maxMB, scale.MaxMemoryMB)
 	}
 	if o.out == "" {
 		return badCall("scale needs --out")
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -17,7 +17,7 @@
 	MaxRealNodes = 32               // processes that are nodes
 	MaxSizes     = 12               // measured one after the other
 	MaxProcesses = 300              // of a run
-	MostMB       = 12_000           // that they take together
+	MaxMemoryMB  = 12_000           // that they take together
 	mostPlaces   = 200              // regions: a part of the address each
 	ShortestFor  = 2 * time.Second  // a window in which anything can be counted
 	LongestFor   = 10 * time.Minute // each size has one
