--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -20,7 +20,7 @@
 	MaxMemoryMB  = 12_000           // that they take together
 	mostPlaces   = 200              // regions: a part of the address each
 	MinWindow    = 2 * time.Second  // a window in which anything can be counted
-	LongestFor   = 10 * time.Minute // each size has one
+	MaxWindow    = 10 * time.Minute // each size has one
 	hollowsEach  = 60               // hollow nodes in a process
 	mostBudget   = 1e6              // of any unit
 )
@@ -162,8 +162,8 @@
 		return fmt.Errorf("--nodes %d is not from %d to %d", p.Nodes, MinNodes, MaxNodes)
 	case p.Real < 0 || p.Real > MaxRealNodes:
 		return fmt.Errorf("--real %d is not from 0 to %d", p.Real, MaxRealNodes)
-	case p.Window < MinWindow || p.Window > LongestFor:
-		return fmt.Errorf("--for %v is not from %v to %v", p.Window, MinWindow, LongestFor)
+	case p.Window < MinWindow || p.Window > MaxWindow:
+		return fmt.Errorf("--for %v is not from %v to %v", p.Window, MinWindow, MaxWindow)
 	case len(p.Sizes) == 0:
 		return fmt.Errorf("--nodes %d and --real %d leave no size to measure", p.Nodes, p.Real)
 	case len(p.Sizes) > MaxSizes:
