--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -38,7 +38,7 @@
 	if err := m.steady(ctx); err != nil {
 		return nil, err
 	}
-	if p.File.Lost.ForS > 0 {
+	if p.File.Crash.ForS > 0 {
 		if err := m.loseNode(ctx); err != nil {
 			return nil, err
 		}
@@ -92,7 +92,7 @@
 			return 0, err
 		}
 		others := func(st status) bool { return st.Name != lost }
-		return m.awaitFault(ctx, began, seconds(f.plan.File.Lost.ForS), m.size.Nodes-1, others)
+		return m.awaitFault(ctx, began, seconds(f.plan.File.Crash.ForS), m.size.Nodes-1, others)
 	})
 	if err != nil {
 		return err
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -42,7 +42,7 @@
 	Starts  Starts              `toml:"starts"`
 	Between Between             `toml:"between"`
 	Cut     Cut                 `toml:"cut"`
-	Lost    Lost                `toml:"lost"`
+	Crash   Lost                `toml:"lost"`
 	List    List                `toml:"list"`
 	Members fleetconfig.Members `toml:"members"` // as in a node's own file
 	Budget  Budget              `toml:"budget"`
@@ -134,7 +134,7 @@
 	c.InRange(f.Cut.ForS, 0, 600, "cut.for_s")
 	c.InRange(float64(f.Cut.Region), 0, float64(f.Places.Regions-1), "cut.region")
 	c.Require(f.Cut.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
-	c.InRange(f.Lost.ForS, 0, 600, "lost.for_s")
+	c.InRange(f.Crash.ForS, 0, 600, "lost.for_s")
 	c.InRange(float64(f.List.Caches), 0, 10_000, "list.caches")
 	fleetconfig.CheckMembers(c, &f.Members)
 	c.InRange(f.Budget.CorePercent, 0, mostBudget, "budget.core_percent")
