--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -42,7 +42,7 @@
 	Starts  Starts              `toml:"starts"`
 	Between Between             `toml:"between"`
 	Cut     Cut                 `toml:"cut"`
-	Crash   Lost                `toml:"lost"`
+	Crash   Crash               `toml:"lost"`
 	List    List                `toml:"list"`
 	Members fleetconfig.Members `toml:"members"` // as in a node's own file
 	Budget  Budget              `toml:"budget"`
@@ -75,8 +75,8 @@
 	ForS   float64 `toml:"for_s"`
 }
 
-// Lost is a crash of one hollow node, which is started again after a time; 0 s for none.
-type Lost struct {
+// Crash is a crash of one hollow node, which is started again after a time; 0 s for none.
+type Crash struct {
 	ForS float64 `toml:"for_s"`
 }
 
