--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -40,7 +40,7 @@
 type File struct {
 	Places  Places              `toml:"places"`
 	Starts  Starts              `toml:"starts"`
-	Between Between             `toml:"between"`
+	Between RegionLinks         `toml:"between"`
 	Cut     Cut                 `toml:"cut"`
 	Crash   Crash               `toml:"lost"`
 	List    List                `toml:"list"`
@@ -61,8 +61,8 @@
 	ApartMs float64 `toml:"apart_ms"` // between two starts
 }
 
-// Between is the network between regions: one rule for each pair. Within a region there are no faults.
-type Between struct {
+// RegionLinks is the network between regions: one rule for each pair. Within a region there are no faults.
+type RegionLinks struct {
 	DelayMs     float64 `toml:"delay_ms"`      // the least one-way delay of any pair
 	DelayMostMs float64 `toml:"delay_most_ms"` // the most; each pair has one delay, drawn between the two
 	LateMs      float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
