--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -97,12 +97,12 @@
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
 	for a := range f.Places.Regions {
 		for b := range a {
-			d := ms(f.Between.DelayMs + chance.Float64()*(f.Between.DelayMostMs-f.Between.DelayMs))
+			d := ms(f.RegionLinks.DelayMs + chance.Float64()*(f.RegionLinks.DelayMostMs-f.RegionLinks.DelayMs))
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
 				faults.Change(pair[0], pair[1], func(link *netfault.Link) {
 					link.Delay = d
-					link.Jitter = ms(f.Between.LateMs)
-					link.Loss = f.Between.Loss
+					link.Jitter = ms(f.RegionLinks.LateMs)
+					link.Loss = f.RegionLinks.Loss
 				})
 			}
 		}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -38,14 +38,14 @@
 
 // File is what an operator states about a planned fleet. Without it there is one region, without faults or a budget.
 type File struct {
-	Places  Places              `toml:"places"`
-	Starts  Starts              `toml:"starts"`
-	Between RegionLinks         `toml:"between"`
-	Cut     Cut                 `toml:"cut"`
-	Crash   Crash               `toml:"lost"`
-	List    List                `toml:"list"`
-	Members fleetconfig.Members `toml:"members"` // as in a node's own file
-	Budget  Budget              `toml:"budget"`
+	Places      Places              `toml:"places"`
+	Starts      Starts              `toml:"starts"`
+	RegionLinks RegionLinks         `toml:"between"`
+	Cut         Cut                 `toml:"cut"`
+	Crash       Crash               `toml:"lost"`
+	List        List                `toml:"list"`
+	Members     fleetconfig.Members `toml:"members"` // as in a node's own file
+	Budget      Budget              `toml:"budget"`
 }
 
 // Places are how many regions, sites and zones there are. Nodes are spread evenly over them.
@@ -124,13 +124,13 @@
 	c.InRange(float64(f.Places.Sites), float64(f.Places.Regions), MaxNodes, "places.sites")
 	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MaxNodes, "places.zones")
 	c.InRange(f.Starts.ApartMs, 1, 10_000, "starts.apart_ms")
-	c.InRange(f.Between.DelayMs, 0, 2000, "between.delay_ms")
-	if f.Between.DelayMostMs == 0 {
-		f.Between.DelayMostMs = f.Between.DelayMs
+	c.InRange(f.RegionLinks.DelayMs, 0, 2000, "between.delay_ms")
+	if f.RegionLinks.DelayMostMs == 0 {
+		f.RegionLinks.DelayMostMs = f.RegionLinks.DelayMs
 	}
-	c.InRange(f.Between.DelayMostMs, f.Between.DelayMs, 2000, "between.delay_most_ms")
-	c.InRange(f.Between.LateMs, 0, 2000, "between.late_ms")
-	c.InRange(f.Between.Loss, 0, 0.9, "between.loss")
+	c.InRange(f.RegionLinks.DelayMostMs, f.RegionLinks.DelayMs, 2000, "between.delay_most_ms")
+	c.InRange(f.RegionLinks.LateMs, 0, 2000, "between.late_ms")
+	c.InRange(f.RegionLinks.Loss, 0, 0.9, "between.loss")
 	c.InRange(f.Cut.ForS, 0, 600, "cut.for_s")
 	c.InRange(float64(f.Cut.Region), 0, float64(f.Places.Regions-1), "cut.region")
 	c.Require(f.Cut.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
