--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -101,7 +101,7 @@
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
 				faults.Change(pair[0], pair[1], func(link *netfault.Link) {
 					link.Delay = d
-					link.Jitter = ms(f.RegionLinks.LateMs)
+					link.Jitter = ms(f.RegionLinks.JitterMs)
 					link.Loss = f.RegionLinks.Loss
 				})
 			}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -65,7 +65,7 @@
 type RegionLinks struct {
 	DelayMs     float64 `toml:"delay_ms"`      // the least one-way delay of any pair
 	DelayMostMs float64 `toml:"delay_most_ms"` // the most; each pair has one delay, drawn between the two
-	LateMs      float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
+	JitterMs    float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
 	Loss        float64 `toml:"loss"`          // share of datagrams
 }
 
@@ -129,7 +129,7 @@
 		f.RegionLinks.DelayMostMs = f.RegionLinks.DelayMs
 	}
 	c.InRange(f.RegionLinks.DelayMostMs, f.RegionLinks.DelayMs, 2000, "between.delay_most_ms")
-	c.InRange(f.RegionLinks.LateMs, 0, 2000, "between.late_ms")
+	c.InRange(f.RegionLinks.JitterMs, 0, 2000, "between.late_ms")
 	c.InRange(f.RegionLinks.Loss, 0, 0.9, "between.loss")
 	c.InRange(f.Cut.ForS, 0, 600, "cut.for_s")
 	c.InRange(float64(f.Cut.Region), 0, float64(f.Places.Regions-1), "cut.region")
