--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -78,7 +78,7 @@
 	)
 	file := defaultFile()
 	file.Places = Places{Regions: regions, Sites: regions, Zones: regions}
-	file.RegionLinks = RegionLinks{DelayMs: 2, DelayMostMs: 10, JitterMs: 1, Loss: 0.01}
+	file.RegionLinks = RegionLinks{DelayMs: 2, MaxDelayMs: 10, JitterMs: 1, Loss: 0.01}
 	rules := &networkRules{faults: file.Faults(7)}
 	lists := openEndpointLists(3)
 	t.Cleanup(lists.close)
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -97,7 +97,7 @@
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
 	for a := range f.Places.Regions {
 		for b := range a {
-			d := ms(f.RegionLinks.DelayMs + chance.Float64()*(f.RegionLinks.DelayMostMs-f.RegionLinks.DelayMs))
+			d := ms(f.RegionLinks.DelayMs + chance.Float64()*(f.RegionLinks.MaxDelayMs-f.RegionLinks.DelayMs))
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
 				faults.Change(pair[0], pair[1], func(link *netfault.Link) {
 					link.Delay = d
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -63,10 +63,10 @@
 
 // RegionLinks is the network between regions: one rule for each pair. Within a region there are no faults.
 type RegionLinks struct {
-	DelayMs     float64 `toml:"delay_ms"`      // the least one-way delay of any pair
-	DelayMostMs float64 `toml:"delay_most_ms"` // the most; each pair has one delay, drawn between the two
-	JitterMs    float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
-	Loss        float64 `toml:"loss"`          // share of datagrams
+	DelayMs    float64 `toml:"delay_ms"`      // the least one-way delay of any pair
+	MaxDelayMs float64 `toml:"delay_most_ms"` // the most; each pair has one delay, drawn between the two
+	JitterMs   float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
+	Loss       float64 `toml:"loss"`          // share of datagrams
 }
 
 // Cut is a partition of one region from all others for a time; 0 s for none.
@@ -125,10 +125,10 @@
 	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MaxNodes, "places.zones")
 	c.InRange(f.Starts.ApartMs, 1, 10_000, "starts.apart_ms")
 	c.InRange(f.RegionLinks.DelayMs, 0, 2000, "between.delay_ms")
-	if f.RegionLinks.DelayMostMs == 0 {
-		f.RegionLinks.DelayMostMs = f.RegionLinks.DelayMs
+	if f.RegionLinks.MaxDelayMs == 0 {
+		f.RegionLinks.MaxDelayMs = f.RegionLinks.DelayMs
 	}
-	c.InRange(f.RegionLinks.DelayMostMs, f.RegionLinks.DelayMs, 2000, "between.delay_most_ms")
+	c.InRange(f.RegionLinks.MaxDelayMs, f.RegionLinks.DelayMs, 2000, "between.delay_most_ms")
 	c.InRange(f.RegionLinks.JitterMs, 0, 2000, "between.late_ms")
 	c.InRange(f.RegionLinks.Loss, 0, 0.9, "between.loss")
 	c.InRange(f.Cut.ForS, 0, 600, "cut.for_s")
