--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 	}
-	if p.File.Cut.ForS > 0 {
+	if p.File.Partition.ForS > 0 {
 		if err := m.cutRegion(ctx); err != nil {
 			return nil, err
 		}
@@ -108,7 +108,7 @@
 // cutRegion cuts a region off from all others, and ends that after a while.
 func (m *measurement) cutRegion(ctx context.Context) error {
 	f := m.fleet
-	region := RegionID(f.plan.File.Cut.Region)
+	region := RegionID(f.plan.File.Partition.Region)
 	inside := map[string]bool{}
 	for _, at := range f.places {
 		if at.Region == region {
@@ -121,7 +121,7 @@
 			return 0, err
 		}
 		outside := func(st status) bool { return !inside[st.Name] }
-		return m.awaitFault(ctx, began, seconds(f.plan.File.Cut.ForS), len(f.places)-len(inside), outside)
+		return m.awaitFault(ctx, began, seconds(f.plan.File.Partition.ForS), len(f.places)-len(inside), outside)
 	})
 	if err != nil {
 		return err
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -41,7 +41,7 @@
 	Places      Places              `toml:"places"`
 	Starts      Starts              `toml:"starts"`
 	RegionLinks RegionLinks         `toml:"between"`
-	Cut         Cut                 `toml:"cut"`
+	Partition   Cut                 `toml:"cut"`
 	Crash       Crash               `toml:"lost"`
 	List        List                `toml:"list"`
 	Members     fleetconfig.Members `toml:"members"` // as in a node's own file
@@ -131,9 +131,9 @@
 	c.InRange(f.RegionLinks.MaxDelayMs, f.RegionLinks.DelayMs, 2000, "between.delay_most_ms")
 	c.InRange(f.RegionLinks.JitterMs, 0, 2000, "between.late_ms")
 	c.InRange(f.RegionLinks.Loss, 0, 0.9, "between.loss")
-	c.InRange(f.Cut.ForS, 0, 600, "cut.for_s")
-	c.InRange(float64(f.Cut.Region), 0, float64(f.Places.Regions-1), "cut.region")
-	c.Require(f.Cut.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
+	c.InRange(f.Partition.ForS, 0, 600, "cut.for_s")
+	c.InRange(float64(f.Partition.Region), 0, float64(f.Places.Regions-1), "cut.region")
+	c.Require(f.Partition.ForS == 0 || f.Places.Regions > 1, "cut.for_s", "there is one region only")
 	c.InRange(f.Crash.ForS, 0, 600, "lost.for_s")
 	c.InRange(float64(f.List.Caches), 0, 10_000, "list.caches")
 	fleetconfig.CheckMembers(c, &f.Members)
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -125,7 +125,7 @@
 		runtime.ReadMemStats(&m)
 		a.Heap = m.HeapAlloc
 	case doCut:
-		cut(p.faults, RegionID(p.order.File.Cut.Region), p.order.File.Places.Regions, o.Off)
+		cut(p.faults, RegionID(p.order.File.Partition.Region), p.order.File.Places.Regions, o.Off)
 	case doDrop:
 		if n := p.nodes[o.Name]; n != nil {
 			n.Close(false)
