--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -41,7 +41,7 @@
 	Places      Places              `toml:"places"`
 	Starts      Starts              `toml:"starts"`
 	RegionLinks RegionLinks         `toml:"between"`
-	Partition   Cut                 `toml:"cut"`
+	Partition   Partition           `toml:"cut"`
 	Crash       Crash               `toml:"lost"`
 	List        List                `toml:"list"`
 	Members     fleetconfig.Members `toml:"members"` // as in a node's own file
@@ -69,8 +69,8 @@
 	Loss       float64 `toml:"loss"`          // share of datagrams
 }
 
-// Cut is a partition of one region from all others for a time; 0 s for none.
-type Cut struct {
+// Partition is a partition of one region from all others for a time; 0 s for none.
+type Partition struct {
 	Region int     `toml:"region"` // from 0
 	ForS   float64 `toml:"for_s"`
 }
