--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -121,7 +121,7 @@
 		File:  &f.plan.File,
 		Seed:  f.plan.Seed,
 		Nodes: len(f.places),
-		Apart: ms(f.plan.File.Starts.ApartMs) * time.Duration(len(f.hollows)),
+		Apart: ms(f.plan.File.Starts.IntervalMs) * time.Duration(len(f.hollows)),
 	})
 	return errors.Join(err, ctx.Err())
 }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -58,7 +58,7 @@
 // Starts is how nodes are started: one after the other. All at once they would compete for the cores of one machine,
 // which nodes of a fleet do not.
 type Starts struct {
-	ApartMs float64 `toml:"apart_ms"` // between two starts
+	IntervalMs float64 `toml:"apart_ms"` // between two starts
 }
 
 // RegionLinks is the network between regions: one rule for each pair. Within a region there are no faults.
@@ -96,7 +96,7 @@
 func defaultFile() File {
 	return File{
 		Places:  Places{Regions: 1, Sites: 1, Zones: 1},
-		Starts:  Starts{ApartMs: 25},
+		Starts:  Starts{IntervalMs: 25},
 		Members: fleetconfig.Default().Members,
 	}
 }
@@ -123,7 +123,7 @@
 	c.InRange(float64(f.Places.Regions), 1, mostPlaces, "places.regions")
 	c.InRange(float64(f.Places.Sites), float64(f.Places.Regions), MaxNodes, "places.sites")
 	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MaxNodes, "places.zones")
-	c.InRange(f.Starts.ApartMs, 1, 10_000, "starts.apart_ms")
+	c.InRange(f.Starts.IntervalMs, 1, 10_000, "starts.apart_ms")
 	c.InRange(f.RegionLinks.DelayMs, 0, 2000, "between.delay_ms")
 	if f.RegionLinks.MaxDelayMs == 0 {
 		f.RegionLinks.MaxDelayMs = f.RegionLinks.DelayMs
