--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -31,7 +31,7 @@
 	Keys        int
 	First       Crossings // first attempts
 	Second      Crossings // attempts after one that was rejected
-	Holders     int       // fewest caches that a key was written to
+	MinReplicas int       // fewest caches that a key was written to
 	TwoInZone   float64   // share of keys with two replicas or more in some one zone
 	TwoInRegion float64   // the same of regions
 	WorstZone   float64   // share of keys with two replicas or more in the zone where that is most frequent
@@ -237,7 +237,7 @@
 		Keys:        keys,
 		First:       s.first.shares(),
 		Second:      s.second.shares(),
-		Holders:     s.replicas,
+		MinReplicas: s.replicas,
 		TwoInZone:   share(s.zones.keys, keys),
 		TwoInRegion: share(s.regions.keys, keys),
 		WorstZone:   s.zones.worst(keys),
@@ -250,7 +250,7 @@
 
 // Print writes the placement as four lines of text.
 func (p *Placement) Print(to io.Writer) {
-	fmt.Fprintf(to, "%d keys, %d holders each at the least\n", p.Keys, p.Holders)
+	fmt.Fprintf(to, "%d keys, %d holders each at the least\n", p.Keys, p.MinReplicas)
 	p.First.print(to, "first attempts")
 	p.Second.print(to, "attempts after one that was turned away")
 	fmt.Fprintf(to, "keys that lose two holders or more with one zone: %.2f%% (with the worst zone: %.2f%%); "+
--- a/internal/scale/placement_test.go
+++ b/internal/scale/placement_test.go
@@ -68,7 +68,7 @@
 			expectWithin(t, "first attempts that leave the region", got.First.Region, c.region)
 			expectWithin(t, "keys with two in a zone", got.TwoInZone, c.twoInZone)
 			expectWithin(t, "keys with two in a region", got.TwoInRegion, c.twoInRegion)
-			if got.Holders < replicasOfKey-1 || got.Holders > replicasOfKey {
+			if got.MinReplicas < replicasOfKey-1 || got.MinReplicas > replicasOfKey {
 				t.Errorf("holders: %+v", got)
 			}
 			if got.First.Attempts != got.Keys || got.Second.Attempts < got.Keys/rejectEach*9/10 {
