--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -64,7 +64,7 @@
 
 // cachesJudge judges one cache after the other.
 type cachesJudge struct {
-	judge   *Judge // collects the breaches
+	judge   *Checker // collects the breaches
 	looked  func(cache string) bool
 	purges  []logtrace.PublishedPurge // by index, ascending
 	deleted []monotime.Instant        // by purge: its key's first deletion at the last cache; 0 for none
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -84,8 +84,8 @@
 	index, mark uint64
 }
 
-// Judge gathers evidence: first what was kept and ordered, then each node's records in their order.
-type Judge struct {
+// Checker gathers evidence: first what was kept and ordered, then each node's records in their order.
+type Checker struct {
 	voters  int
 	changes map[uint64]*change // by mark
 	byIndex map[uint64]uint64  // marks
@@ -101,11 +101,11 @@
 }
 
 // New is a judge of a log with so many voters. Times are of the nodes that are looked at; nil for all.
-func New(voters int, looked func(node uint32) bool) *Judge {
+func New(voters int, looked func(node uint32) bool) *Checker {
 	if looked == nil {
 		looked = func(uint32) bool { return true }
 	}
-	return &Judge{
+	return &Checker{
 		voters:  voters,
 		changes: map[uint64]*change{},
 		byIndex: map[uint64]uint64{},
@@ -116,7 +116,7 @@
 	}
 }
 
-func (j *Judge) broke(what, format string, args ...any) {
+func (j *Checker) broke(what, format string, args ...any) {
 	b := j.breach[what]
 	if b == nil {
 		b = &Breach{What: what}
@@ -129,7 +129,7 @@
 }
 
 // Kept takes what a voter, numbered from 0, has on disk. Learners are no evidence.
-func (j *Judge) Kept(voter int, k logtrace.DurableEntries) {
+func (j *Checker) Kept(voter int, k logtrace.DurableEntries) {
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
 		if c == nil {
@@ -143,7 +143,7 @@
 }
 
 // majority is when a majority of the voters had a change on disk; the end of time for never.
-func (j *Judge) majority(mark uint64) monotime.Instant {
+func (j *Checker) majority(mark uint64) monotime.Instant {
 	c := j.changes[mark]
 	if c == nil {
 		return math.MaxInt64
@@ -159,7 +159,7 @@
 }
 
 // Order takes a change that was published.
-func (j *Judge) Order(o logtrace.PublishedChange) {
+func (j *Checker) Order(o logtrace.PublishedChange) {
 	j.orders = append(j.orders, o)
 	if o.Index == 0 {
 		return
@@ -175,7 +175,7 @@
 }
 
 // place notes what an index is; all have to agree.
-func (j *Judge) place(mark, index uint64, by string) {
+func (j *Checker) place(mark, index uint64, by string) {
 	if was, is := j.byIndex[index]; is && was != mark {
 		j.broke(OutOfOrder, "entry %d is another to %s", index, by)
 		return
@@ -193,7 +193,7 @@
 }
 
 // Saw takes a node's next record.
-func (j *Judge) Saw(r logtrace.NodeEvent) {
+func (j *Checker) Saw(r logtrace.NodeEvent) {
 	n := j.nodes[r.Node]
 	if n == nil {
 		n = &nodeSeen{}
@@ -222,7 +222,7 @@
 }
 
 // onApplied takes an entry that a node has applied.
-func (j *Judge) onApplied(n *nodeSeen, r logtrace.NodeEvent) {
+func (j *Checker) onApplied(n *nodeSeen, r logtrace.NodeEvent) {
 	j.report.Applied++
 	switch {
 	case r.Index <= n.applied:
@@ -252,7 +252,7 @@
 }
 
 // Report judges, once all evidence is in. So many nodes are expected to have left a trace.
-func (j *Judge) Report(nodes int) Report {
+func (j *Checker) Report(nodes int) Report {
 	j.checkEnds(nodes)
 	j.checkBeginnings()
 	j.report.Nodes = len(j.nodes)
@@ -263,7 +263,7 @@
 }
 
 // checkEnds checks that all nodes left a trace and ended with all entries.
-func (j *Judge) checkEnds(nodes int) {
+func (j *Checker) checkEnds(nodes int) {
 	if len(j.nodes) != nodes {
 		j.broke(Missing, "%d nodes of %d left a trace", len(j.nodes), nodes)
 	}
@@ -275,7 +275,7 @@
 }
 
 // checkBeginnings checks that each node began under the newest configuration at its first index.
-func (j *Judge) checkBeginnings() {
+func (j *Checker) checkBeginnings() {
 	slices.Sort(j.configs)
 	for _, b := range j.begins {
 		at, _ := slices.BinarySearch(j.configs, b.index+1)
@@ -287,7 +287,7 @@
 }
 
 // plays sums up times by play, in the order in which the plays were published.
-func (j *Judge) plays() []PlayReport {
+func (j *Checker) plays() []PlayReport {
 	type kind struct {
 		play   string
 		config bool
@@ -335,7 +335,7 @@
 	return plays
 }
 
-func (j *Judge) nodesLookedAt() int {
+func (j *Checker) nodesLookedAt() int {
 	looked := 0
 	for id := range j.nodes {
 		if j.looked(id) {
@@ -346,7 +346,7 @@
 }
 
 // breaches returns what was broken, in the order given; never nil, as a report shows it as a list.
-func (j *Judge) breaches(kinds ...string) []Breach {
+func (j *Checker) breaches(kinds ...string) []Breach {
 	broken := []Breach{}
 	for _, kind := range kinds {
 		if b := j.breach[kind]; b != nil {
