--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -65,7 +65,7 @@
 	traceChecker := checker.New(testVoters, nil)
 	for server := range testVoters {
 		for _, kept := range e.persisted[server] {
-			traceChecker.Kept(server, kept)
+			traceChecker.AddStored(server, kept)
 		}
 	}
 	for _, o := range e.ordered {
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Kept takes what a voter, numbered from 0, has on disk. Learners are no evidence.
-func (j *Checker) Kept(voter int, k logtrace.DurableEntries) {
+// AddStored takes what a voter, numbered from 0, has on disk. Learners are no evidence.
+func (j *Checker) AddStored(voter int, k logtrace.DurableEntries) {
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
 		if c == nil {
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -54,7 +54,7 @@
 	j := New(3, nil)
 	for voter, all := range e.kept {
 		for _, k := range all {
-			j.Kept(voter, k)
+			j.AddStored(voter, k)
 		}
 	}
 	for _, o := range e.orders {
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -17,7 +17,7 @@
 	}
 	j := checker.New(machines-1, func(node uint32) bool { return !inCut(node) })
 	for i := range machines - 1 {
-		if err := logtrace.ReadJSONLines(r.path("control-%d.trace", i), func(k logtrace.DurableEntries) { j.Kept(i, k) }); err != nil {
+		if err := logtrace.ReadJSONLines(r.path("control-%d.trace", i), func(k logtrace.DurableEntries) { j.AddStored(i, k) }); err != nil {
 			return err
 		}
 	}
