--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, o := range e.ordered {
-		traceChecker.Order(o)
+		traceChecker.AddPublished(o)
 	}
 	for _, r := range e.records {
 		traceChecker.Saw(r)
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -158,8 +158,8 @@
 	return at[j.voters/2]
 }
 
-// Order takes a change that was published.
-func (j *Checker) Order(o logtrace.PublishedChange) {
+// AddPublished takes a change that was published.
+func (j *Checker) AddPublished(o logtrace.PublishedChange) {
 	j.orders = append(j.orders, o)
 	if o.Index == 0 {
 		return
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, o := range e.orders {
-		j.Order(o)
+		j.AddPublished(o)
 	}
 	for _, r := range e.records {
 		j.Saw(r)
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -28,7 +28,7 @@
 	defer out.Close()
 	w := json.NewEncoder(out)
 	for _, o := range r.orders {
-		j.Order(o)
+		j.AddPublished(o)
 		_ = w.Encode(o)
 	}
 	target := uint64(0)
