--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -72,7 +72,7 @@
 		traceChecker.AddPublished(o)
 	}
 	for _, r := range e.records {
-		traceChecker.Saw(r)
+		traceChecker.AddNodeRecord(r)
 	}
 	return traceChecker.Report(2)
 }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -192,8 +192,8 @@
 	j.byIndex[index] = mark
 }
 
-// Saw takes a node's next record.
-func (j *Checker) Saw(r logtrace.NodeEvent) {
+// AddNodeRecord takes a node's next record.
+func (j *Checker) AddNodeRecord(r logtrace.NodeEvent) {
 	n := j.nodes[r.Node]
 	if n == nil {
 		n = &nodeSeen{}
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -61,7 +61,7 @@
 		j.AddPublished(o)
 	}
 	for _, r := range e.records {
-		j.Saw(r)
+		j.AddNodeRecord(r)
 	}
 	return j.Report(2)
 }
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -39,7 +39,7 @@
 	}
 	for _, s := range r.specs {
 		if err := logtrace.Read(s.Trace, func(rec logtrace.NodeEvent) {
-			j.Saw(rec)
+			j.AddNodeRecord(rec)
 			if inCut(rec.Node) && rec.Kind == logtrace.Applied && rec.Index == target {
 				r.report.Back = max(r.report.Back, time.Duration(rec.At-r.cutUntil).Seconds())
 			}
