--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -46,9 +46,9 @@
 	Most   float64 `json:"most_s"`
 }
 
-// PlayReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
+// PhaseReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
 // last node of those that are looked at.
-type PlayReport struct {
+type PhaseReport struct {
 	Play        string `json:"play"`
 	Config      bool   `json:"config"` // of configurations, else of purges
 	Acked       Spans  `json:"acked"`
@@ -60,13 +60,13 @@
 
 // Report is the judgement of a whole run.
 type Report struct {
-	Breaches []Breach     `json:"breaches"`
-	Entries  uint64       `json:"entries"`
-	Nodes    int          `json:"nodes"`
-	Applied  uint64       `json:"applied"`
-	Presumed int          `json:"presumed_purged"` // times that a node began anew after it had begun
-	Refused  int          `json:"refused"`
-	Plays    []PlayReport `json:"plays"`
+	Breaches []Breach      `json:"breaches"`
+	Entries  uint64        `json:"entries"`
+	Nodes    int           `json:"nodes"`
+	Applied  uint64        `json:"applied"`
+	Presumed int           `json:"presumed_purged"` // times that a node began anew after it had begun
+	Refused  int           `json:"refused"`
+	Plays    []PhaseReport `json:"plays"`
 }
 
 type change struct {
@@ -287,7 +287,7 @@
 }
 
 // plays sums up times by play, in the order in which the plays were published.
-func (j *Checker) plays() []PlayReport {
+func (j *Checker) plays() []PhaseReport {
 	type kind struct {
 		play   string
 		config bool
@@ -319,10 +319,10 @@
 		}
 	}
 	looked := j.nodesLookedAt()
-	var plays []PlayReport
+	var plays []PhaseReport
 	for _, k := range order {
 		t := byKind[k]
-		plays = append(plays, PlayReport{
+		plays = append(plays, PhaseReport{
 			Play:        k.play,
 			Config:      k.config,
 			Acked:       spans(t.acked),
