--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -70,12 +70,12 @@
 			kind, bound = "configs", configBound
 		}
 		fmt.Fprintf(p.table, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n",
-			d.Play, kind, d.FromSent.Count, d.Acked.Median, d.Acked.P99, d.Acked.Most,
+			d.Phase, kind, d.FromSent.Count, d.Acked.Median, d.Acked.P99, d.Acked.Most,
 			d.FromSent.Median, d.FromSent.P99, d.FromSent.Most,
 			d.FromAcked.Median, d.FromAcked.P99, d.FromAcked.Most, bound)
 		if d.FromSent.Most > bound || d.Unacked > 0 {
 			p.addFinding("%s, %s: %.3f s to the last node, %d never acknowledged",
-				d.Play, kind, d.FromSent.Most, d.Unacked)
+				d.Phase, kind, d.FromSent.Most, d.Unacked)
 		}
 	}
 }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -49,7 +49,7 @@
 // PhaseReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
 // last node of those that are looked at.
 type PhaseReport struct {
-	Play        string `json:"play"`
+	Phase       string `json:"play"`
 	Config      bool   `json:"config"` // of configurations, else of purges
 	Acked       Spans  `json:"acked"`
 	FromSent    Spans  `json:"from_sent_to_last_node"`
@@ -323,7 +323,7 @@
 	for _, k := range order {
 		t := byKind[k]
 		plays = append(plays, PhaseReport{
-			Play:        k.play,
+			Phase:       k.play,
 			Config:      k.config,
 			Acked:       spans(t.acked),
 			FromSent:    spans(t.fromSent),
