--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -49,13 +49,13 @@
 // PhaseReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
 // last node of those that are looked at.
 type PhaseReport struct {
-	Phase       string `json:"play"`
-	Config      bool   `json:"config"` // of configurations, else of purges
-	Acked       Spans  `json:"acked"`
-	FromSent    Spans  `json:"from_sent_to_last_node"`
-	FromAcked   Spans  `json:"from_acked_to_last_node"`
-	Unacked     int    `json:"never_acknowledged"`
-	NodesOfLast int    `json:"nodes_looked_at"`
+	Phase         string `json:"play"`
+	Config        bool   `json:"config"` // of configurations, else of purges
+	Acked         Spans  `json:"acked"`
+	FromSent      Spans  `json:"from_sent_to_last_node"`
+	FromAcked     Spans  `json:"from_acked_to_last_node"`
+	Unacked       int    `json:"never_acknowledged"`
+	NodesObserved int    `json:"nodes_looked_at"`
 }
 
 // Report is the judgement of a whole run.
@@ -323,13 +323,13 @@
 	for _, k := range order {
 		t := byKind[k]
 		plays = append(plays, PhaseReport{
-			Phase:       k.play,
-			Config:      k.config,
-			Acked:       spans(t.acked),
-			FromSent:    spans(t.fromSent),
-			FromAcked:   spans(t.fromAcked),
-			Unacked:     t.unacked,
-			NodesOfLast: looked,
+			Phase:         k.play,
+			Config:        k.config,
+			Acked:         spans(t.acked),
+			FromSent:      spans(t.fromSent),
+			FromAcked:     spans(t.fromAcked),
+			Unacked:       t.unacked,
+			NodesObserved: looked,
 		})
 	}
 	return plays
