--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -64,7 +64,7 @@
 func (p *changesPrinter) printDelays(r *rig.Report) {
 	fmt.Fprintln(p.table, "play\tchanges\tcount\tacked median\tp99\tmost\t"+
 		"last node, from sent: median\tp99\tmost\tfrom acked: median\tp99\tmost\tbudget")
-	for _, d := range r.Judge.Plays {
+	for _, d := range r.Judge.Phases {
 		kind, bound := "purges", purgeBound
 		if d.Config {
 			kind, bound = "configs", configBound
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -66,7 +66,7 @@
 	Applied  uint64        `json:"applied"`
 	Presumed int           `json:"presumed_purged"` // times that a node began anew after it had begun
 	Refused  int           `json:"refused"`
-	Plays    []PhaseReport `json:"plays"`
+	Phases   []PhaseReport `json:"plays"`
 }
 
 type change struct {
@@ -257,7 +257,7 @@
 	j.checkBeginnings()
 	j.report.Nodes = len(j.nodes)
 	j.report.Entries = uint64(len(j.byIndex))
-	j.report.Plays = append(j.report.Plays, j.plays()...)
+	j.report.Phases = append(j.report.Phases, j.plays()...)
 	j.report.Breaches = j.breaches(Missing, Doubled, OutOfOrder, EarlyAck, EarlyInForce, EarlyTold, OldBeginning)
 	return j.report
 }
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -68,11 +68,11 @@
 
 func TestASoundRunHasNoBreach(t *testing.T) {
 	r := soundEvidence().report()
-	if len(r.Breaches) > 0 || r.Entries != 4 || r.Applied != 5 || len(r.Plays) != 2 {
+	if len(r.Breaches) > 0 || r.Entries != 4 || r.Applied != 5 || len(r.Phases) != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r.Plays[0].FromSent.Most != 45e-9 || r.Plays[0].FromAcked.Count != 3 {
-		t.Errorf("%+v", r.Plays[0])
+	if r.Phases[0].FromSent.Most != 45e-9 || r.Phases[0].FromAcked.Count != 3 {
+		t.Errorf("%+v", r.Phases[0])
 	}
 }
 
