--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -18,9 +18,9 @@
 
 // CachesPlay is how long a play's purges took from publishing until the last cache.
 type CachesPlay struct {
-	Play    string `json:"play"`
-	Deleted Spans  `json:"to_first_deletion_at_last_cache"`
-	Done    Spans  `json:"to_done_at_last_cache"`
+	Play    string        `json:"play"`
+	Deleted DurationStats `json:"to_first_deletion_at_last_cache"`
+	Done    DurationStats `json:"to_done_at_last_cache"`
 }
 
 // CachesReport is the judgement on caches.
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -38,8 +38,8 @@
 	Examples []string `json:"examples"`
 }
 
-// Spans sum up a number of times, in seconds.
-type Spans struct {
+// DurationStats sum up a number of times, in seconds.
+type DurationStats struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
 	P99    float64 `json:"p99_s"`
@@ -49,13 +49,13 @@
 // PhaseReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
 // last node of those that are looked at.
 type PhaseReport struct {
-	Phase         string `json:"play"`
-	Config        bool   `json:"config"` // of configurations, else of purges
-	Acked         Spans  `json:"acked"`
-	FromSent      Spans  `json:"from_sent_to_last_node"`
-	FromAcked     Spans  `json:"from_acked_to_last_node"`
-	Unacked       int    `json:"never_acknowledged"`
-	NodesObserved int    `json:"nodes_looked_at"`
+	Phase         string        `json:"play"`
+	Config        bool          `json:"config"` // of configurations, else of purges
+	Acked         DurationStats `json:"acked"`
+	FromSent      DurationStats `json:"from_sent_to_last_node"`
+	FromAcked     DurationStats `json:"from_acked_to_last_node"`
+	Unacked       int           `json:"never_acknowledged"`
+	NodesObserved int           `json:"nodes_looked_at"`
 }
 
 // Report is the judgement of a whole run.
@@ -240,15 +240,15 @@
 	}
 }
 
-func spans(all []time.Duration) Spans {
+func spans(all []time.Duration) DurationStats {
 	if len(all) == 0 {
-		return Spans{}
+		return DurationStats{}
 	}
 	slices.Sort(all)
 	at := func(q float64) float64 {
 		return all[min(len(all)-1, int(math.Ceil(q*float64(len(all))))-1)].Seconds()
 	}
-	return Spans{Count: len(all), Median: at(0.5), P99: at(0.99), Most: all[len(all)-1].Seconds()}
+	return DurationStats{Count: len(all), Median: at(0.5), P99: at(0.99), Most: all[len(all)-1].Seconds()}
 }
 
 // Report judges, once all evidence is in. So many nodes are expected to have left a trace.
