--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -70,12 +70,12 @@
 			kind, bound = "configs", configBound
 		}
 		fmt.Fprintf(p.table, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n",
-			d.Phase, kind, d.FromSent.Count, d.Acked.Median, d.Acked.P99, d.Acked.Most,
-			d.FromSent.Median, d.FromSent.P99, d.FromSent.Most,
-			d.FromAcked.Median, d.FromAcked.P99, d.FromAcked.Most, bound)
-		if d.FromSent.Most > bound || d.Unacked > 0 {
+			d.Phase, kind, d.FromSent.Count, d.Acked.Median, d.Acked.P99, d.Acked.Max,
+			d.FromSent.Median, d.FromSent.P99, d.FromSent.Max,
+			d.FromAcked.Median, d.FromAcked.P99, d.FromAcked.Max, bound)
+		if d.FromSent.Max > bound || d.Unacked > 0 {
 			p.addFinding("%s, %s: %.3f s to the last node, %d never acknowledged",
-				d.Phase, kind, d.FromSent.Most, d.Unacked)
+				d.Phase, kind, d.FromSent.Max, d.Unacked)
 		}
 	}
 }
@@ -115,9 +115,9 @@
 		"done at the last cache: median\tp99\tmost\tbudget")
 	for _, d := range c.Plays {
 		fmt.Fprintf(p.table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n", d.Play,
-			d.Deleted.Median, d.Deleted.P99, d.Deleted.Most, d.Done.Median, d.Done.P99, d.Done.Most, purgeBound)
-		if d.Done.Most > purgeBound {
-			p.addFinding("%s: %.3f s until a purge was done at the last cache", d.Play, d.Done.Most)
+			d.Deleted.Median, d.Deleted.P99, d.Deleted.Max, d.Done.Median, d.Done.P99, d.Done.Max, purgeBound)
+		if d.Done.Max > purgeBound {
+			p.addFinding("%s: %.3f s until a purge was done at the last cache", d.Play, d.Done.Max)
 		}
 	}
 	p.addBreaches("broken at caches", c.Breaches)
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -41,11 +41,11 @@
 		t.Fatalf("%+v", r)
 	}
 	p := r.Plays[0]
-	if p.Deleted.Most != 25e-9 || p.Done.Most != 55e-9 {
+	if p.Deleted.Max != 25e-9 || p.Done.Max != 55e-9 {
 		t.Errorf("%+v", p)
 	}
 	q := r.Plays[1]
-	if q.Deleted.Most != 10e-9 || q.Done.Most != 100e-9 {
+	if q.Deleted.Max != 10e-9 || q.Done.Max != 100e-9 {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -43,7 +43,7 @@
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
 	P99    float64 `json:"p99_s"`
-	Most   float64 `json:"most_s"`
+	Max    float64 `json:"most_s"`
 }
 
 // PhaseReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
@@ -248,7 +248,7 @@
 	at := func(q float64) float64 {
 		return all[min(len(all)-1, int(math.Ceil(q*float64(len(all))))-1)].Seconds()
 	}
-	return DurationStats{Count: len(all), Median: at(0.5), P99: at(0.99), Most: all[len(all)-1].Seconds()}
+	return DurationStats{Count: len(all), Median: at(0.5), P99: at(0.99), Max: all[len(all)-1].Seconds()}
 }
 
 // Report judges, once all evidence is in. So many nodes are expected to have left a trace.
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -71,7 +71,7 @@
 	if len(r.Breaches) > 0 || r.Entries != 4 || r.Applied != 5 || len(r.Phases) != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if r.Phases[0].FromSent.Most != 45e-9 || r.Phases[0].FromAcked.Count != 3 {
+	if r.Phases[0].FromSent.Max != 45e-9 || r.Phases[0].FromAcked.Count != 3 {
 		t.Errorf("%+v", r.Phases[0])
 	}
 }
