--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -277,9 +277,9 @@
 		{
 			name:    "applied again",
 			applier: func(a *correctApplier) logfollower.Applier { return newAppliesAgain(a) },
-			want:    []string{checker.Doubled},
+			want:    []string{checker.Duplicated},
 		},
-		{name: "ordered twice on a retry", newID: true, want: []string{checker.Doubled}},
+		{name: "ordered twice on a retry", newID: true, want: []string{checker.Duplicated}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -23,7 +23,7 @@
 // The breaches.
 const (
 	Missing      = "missing"                          // a node skipped an entry, or ended without an acknowledged one
-	Doubled      = "doubled"                          // an entry applied twice, or a change ordered twice
+	Duplicated   = "doubled"                          // an entry applied twice, or a change ordered twice
 	OutOfOrder   = "out of order"                     // nodes, or who published, differ on what an index is
 	EarlyAck     = "acknowledged before a majority"   // fewer voters had it on disk by then
 	EarlyInForce = "in force before it was ordered"   // fewer voters had it on disk by then
@@ -186,7 +186,7 @@
 		j.changes[mark] = c
 	}
 	if c.index != 0 && c.index != index {
-		j.broke(Doubled, "the change of entry %d is also entry %d to %s", c.index, index, by)
+		j.broke(Duplicated, "the change of entry %d is also entry %d to %s", c.index, index, by)
 	}
 	c.index = index
 	j.byIndex[index] = mark
@@ -205,7 +205,7 @@
 			j.report.Presumed++
 		}
 		if n.begun && r.Index <= n.applied {
-			j.broke(Doubled, "node %d began at %d after it had %d", r.Node, r.Index, n.applied)
+			j.broke(Duplicated, "node %d began at %d after it had %d", r.Node, r.Index, n.applied)
 		}
 		j.begins = append(j.begins, beginning{node: r.Node, index: r.Index, mark: r.Mark})
 		n.begun = true
@@ -226,7 +226,7 @@
 	j.report.Applied++
 	switch {
 	case r.Index <= n.applied:
-		j.broke(Doubled, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+		j.broke(Duplicated, "node %d applied %d after %d", r.Node, r.Index, n.applied)
 	case !n.begun || r.Index > n.applied+1:
 		j.broke(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
 	}
@@ -258,7 +258,7 @@
 	j.report.Nodes = len(j.nodes)
 	j.report.Entries = uint64(len(j.byIndex))
 	j.report.Phases = append(j.report.Phases, j.plays()...)
-	j.report.Breaches = j.breaches(Missing, Doubled, OutOfOrder, EarlyAck, EarlyInForce, EarlyTold, OldBeginning)
+	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyTold, OldBeginning)
 	return j.report
 }
 
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -94,11 +94,11 @@
 			bend: func(e *evidence) { e.records = e.records[:9] },
 		},
 		"an entry is applied twice": {
-			want: Doubled,
+			want: Duplicated,
 			bend: func(e *evidence) { e.records = append(e.records, e.records[len(e.records)-1]) },
 		},
 		"a change is ordered twice": {
-			want: Doubled,
+			want: Duplicated,
 			bend: func(e *evidence) { e.orders[3].Mark = 1002 },
 		},
 		"a node has another entry at an index": {
