--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -272,7 +272,7 @@
 		{
 			name:    "reported too early",
 			applier: func(a *correctApplier) logfollower.Applier { return &reportsEarly{correctApplier: a} },
-			want:    []string{checker.EarlyTold},
+			want:    []string{checker.EarlyReport},
 		},
 		{
 			name:    "applied again",
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -27,7 +27,7 @@
 	OutOfOrder   = "out of order"                     // nodes, or who published, differ on what an index is
 	EarlyAck     = "acknowledged before a majority"   // fewer voters had it on disk by then
 	EarlyInForce = "in force before it was ordered"   // fewer voters had it on disk by then
-	EarlyTold    = "told too early"                   // a node reported more than it had applied
+	EarlyReport  = "told too early"                   // a node reported more than it had applied
 	OldBeginning = "began under an old configuration" // a later one was in force there
 )
 
@@ -216,7 +216,7 @@
 		j.onApplied(n, r)
 	case logtrace.Acknowledged:
 		if r.Index > n.applied {
-			j.broke(EarlyTold, "node %d told of %d with %d", r.Node, r.Index, n.applied)
+			j.broke(EarlyReport, "node %d told of %d with %d", r.Node, r.Index, n.applied)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	j.report.Nodes = len(j.nodes)
 	j.report.Entries = uint64(len(j.byIndex))
 	j.report.Phases = append(j.report.Phases, j.plays()...)
-	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyTold, OldBeginning)
+	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyReport, OldBeginning)
 	return j.report
 }
 
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -125,7 +125,7 @@
 			bend: func(e *evidence) { e.records[1].At = 109 },
 		},
 		"a node reports an entry before it has applied it": {
-			want: EarlyTold,
+			want: EarlyReport,
 			bend: func(e *evidence) { e.records[2].Index = 2 },
 		},
 		"a node begins under an old configuration": {
