--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -267,7 +267,7 @@
 		{
 			name:    "start with an old configuration",
 			applier: func(a *correctApplier) logfollower.Applier { return ignoresStartConfig{a} },
-			want:    []string{checker.OldBeginning},
+			want:    []string{checker.StaleStart},
 		},
 		{
 			name:    "reported too early",
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -28,7 +28,7 @@
 	EarlyAck     = "acknowledged before a majority"   // fewer voters had it on disk by then
 	EarlyInForce = "in force before it was ordered"   // fewer voters had it on disk by then
 	EarlyReport  = "told too early"                   // a node reported more than it had applied
-	OldBeginning = "began under an old configuration" // a later one was in force there
+	StaleStart   = "began under an old configuration" // a later one was in force there
 )
 
 // Breach is what was broken how often.
@@ -258,7 +258,7 @@
 	j.report.Nodes = len(j.nodes)
 	j.report.Entries = uint64(len(j.byIndex))
 	j.report.Phases = append(j.report.Phases, j.plays()...)
-	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyReport, OldBeginning)
+	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyReport, StaleStart)
 	return j.report
 }
 
@@ -280,7 +280,7 @@
 	for _, b := range j.begins {
 		at, _ := slices.BinarySearch(j.configs, b.index+1)
 		if at > 0 && j.byIndex[j.configs[at-1]] != b.mark {
-			j.broke(OldBeginning, "node %d at %d, where configuration %d was in force",
+			j.broke(StaleStart, "node %d at %d, where configuration %d was in force",
 				b.node, b.index, j.configs[at-1])
 		}
 	}
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -129,7 +129,7 @@
 			bend: func(e *evidence) { e.records[2].Index = 2 },
 		},
 		"a node begins under an old configuration": {
-			want: OldBeginning,
+			want: StaleStart,
 			bend: func(e *evidence) { e.records[len(e.records)-2].Mark = 0 },
 		},
 	} {
