--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -219,7 +219,7 @@
 func (b *bench) report() checker.CachesReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return checker.Caches(b.purged, b.records, nil)
+	return checker.CheckCaches(b.purged, b.records, nil)
 }
 
 func (b *bench) expectNoBreach() {
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -34,9 +34,9 @@
 	Plays    []CachesPlay `json:"plays"`
 }
 
-// Caches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
+// CheckCaches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
 // caches. Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
-func Caches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent, looked func(cache string) bool) CachesReport {
+func CheckCaches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent, looked func(cache string) bool) CachesReport {
 	if looked == nil {
 		looked = func(string) bool { return true }
 	}
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -36,7 +36,7 @@
 
 func TestCachesOfASoundRunHaveNoBreach(t *testing.T) {
 	purged, records := soundCaches()
-	r := Caches(purged, records, nil)
+	r := CheckCaches(purged, records, nil)
 	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Plays) != 2 {
 		t.Fatalf("%+v", r)
 	}
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			purged, records := soundCaches()
-			got := Caches(purged, c.bend(records), nil).Breaches
+			got := CheckCaches(purged, c.bend(records), nil).Breaches
 			if len(got) != 1 || got[0].What != c.want {
 				t.Errorf("%+v", got)
 			}
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -209,7 +209,7 @@
 	if r.caches.back > 0 {
 		r.report.CacheBack = back.Since(r.caches.back).Seconds()
 	}
-	rep := checker.Caches(r.caches.purged, r.caches.records, func(name string) bool { return name != r.caches.cut })
+	rep := checker.CheckCaches(r.caches.purged, r.caches.records, func(name string) bool { return name != r.caches.cut })
 	r.report.Caches = &rep
 	return nil
 }
