--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -16,8 +16,8 @@
 	NeverCounted = "never done at a cache"       // at the end
 )
 
-// CachesPlay is how long a play's purges took from publishing until the last cache.
-type CachesPlay struct {
+// CachesPhase is how long a play's purges took from publishing until the last cache.
+type CachesPhase struct {
 	Play    string        `json:"play"`
 	Deleted DurationStats `json:"to_first_deletion_at_last_cache"`
 	Done    DurationStats `json:"to_done_at_last_cache"`
@@ -25,13 +25,13 @@
 
 // CachesReport is the judgement on caches.
 type CachesReport struct {
-	Breaches []Breach     `json:"breaches"`
-	Caches   int          `json:"caches"`    // that left a record
-	Purges   int          `json:"purges"`    // of the whole log
-	Deletes  int          `json:"deletions"` // of single keys, at all caches
-	Emptied  int          `json:"emptied"`   // times that a cache was emptied as a whole
-	Served   int          `json:"served"`    // values that caches served
-	Plays    []CachesPlay `json:"plays"`
+	Breaches []Breach      `json:"breaches"`
+	Caches   int           `json:"caches"`    // that left a record
+	Purges   int           `json:"purges"`    // of the whole log
+	Deletes  int           `json:"deletions"` // of single keys, at all caches
+	Emptied  int           `json:"emptied"`   // times that a cache was emptied as a whole
+	Served   int           `json:"served"`    // values that caches served
+	Plays    []CachesPhase `json:"plays"`
 }
 
 // CheckCaches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
@@ -146,7 +146,7 @@
 }
 
 // plays sums up times by play, in the order in which the plays first appear in the log.
-func (c *cachesJudge) plays() []CachesPlay {
+func (c *cachesJudge) plays() []CachesPhase {
 	type times struct{ deleted, done []time.Duration }
 	byPlay := map[string]*times{}
 	var order []string
@@ -164,10 +164,10 @@
 			t.done = append(t.done, c.done[i].Since(purge.Sent))
 		}
 	}
-	var plays []CachesPlay
+	var plays []CachesPhase
 	for _, play := range order {
 		t := byPlay[play]
-		plays = append(plays, CachesPlay{Play: play, Deleted: spans(t.deleted), Done: spans(t.done)})
+		plays = append(plays, CachesPhase{Play: play, Deleted: spans(t.deleted), Done: spans(t.done)})
 	}
 	return plays
 }
