--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -114,10 +114,10 @@
 	fmt.Fprintln(p.table, "play\tfirst deletion at the last cache: median\tp99\tmost\t"+
 		"done at the last cache: median\tp99\tmost\tbudget")
 	for _, d := range c.Plays {
-		fmt.Fprintf(p.table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n", d.Play,
+		fmt.Fprintf(p.table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n", d.Phase,
 			d.Deleted.Median, d.Deleted.P99, d.Deleted.Max, d.Done.Median, d.Done.P99, d.Done.Max, purgeBound)
 		if d.Done.Max > purgeBound {
-			p.addFinding("%s: %.3f s until a purge was done at the last cache", d.Play, d.Done.Max)
+			p.addFinding("%s: %.3f s until a purge was done at the last cache", d.Phase, d.Done.Max)
 		}
 	}
 	p.addBreaches("broken at caches", c.Breaches)
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -18,7 +18,7 @@
 
 // CachesPhase is how long a play's purges took from publishing until the last cache.
 type CachesPhase struct {
-	Play    string        `json:"play"`
+	Phase   string        `json:"play"`
 	Deleted DurationStats `json:"to_first_deletion_at_last_cache"`
 	Done    DurationStats `json:"to_done_at_last_cache"`
 }
@@ -167,7 +167,7 @@
 	var plays []CachesPhase
 	for _, play := range order {
 		t := byPlay[play]
-		plays = append(plays, CachesPhase{Play: play, Deleted: spans(t.deleted), Done: spans(t.done)})
+		plays = append(plays, CachesPhase{Phase: play, Deleted: spans(t.deleted), Done: spans(t.done)})
 	}
 	return plays
 }
