--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -113,7 +113,7 @@
 		"back after its silence in %.1f s\n", c.Caches, c.Purges, c.Deletes, c.Emptied, c.Served, r.CacheBack)
 	fmt.Fprintln(p.table, "play\tfirst deletion at the last cache: median\tp99\tmost\t"+
 		"done at the last cache: median\tp99\tmost\tbudget")
-	for _, d := range c.Plays {
+	for _, d := range c.Phases {
 		fmt.Fprintf(p.table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f s\n", d.Phase,
 			d.Deleted.Median, d.Deleted.P99, d.Deleted.Max, d.Done.Median, d.Done.P99, d.Done.Max, purgeBound)
 		if d.Done.Max > purgeBound {
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -31,7 +31,7 @@
 	Deletes  int           `json:"deletions"` // of single keys, at all caches
 	Emptied  int           `json:"emptied"`   // times that a cache was emptied as a whole
 	Served   int           `json:"served"`    // values that caches served
-	Plays    []CachesPhase `json:"plays"`
+	Phases   []CachesPhase `json:"plays"`
 }
 
 // CheckCaches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
@@ -57,7 +57,7 @@
 	for name, all := range byCache {
 		c.cache(name, all)
 	}
-	c.report.Plays = c.plays()
+	c.report.Phases = c.plays()
 	c.report.Breaches = c.judge.breaches(OldServed, NotDone, NeverCounted)
 	return c.report
 }
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -37,14 +37,14 @@
 func TestCachesOfASoundRunHaveNoBreach(t *testing.T) {
 	purged, records := soundCaches()
 	r := CheckCaches(purged, records, nil)
-	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Plays) != 2 {
+	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Phases) != 2 {
 		t.Fatalf("%+v", r)
 	}
-	p := r.Plays[0]
+	p := r.Phases[0]
 	if p.Deleted.Max != 25e-9 || p.Done.Max != 55e-9 {
 		t.Errorf("%+v", p)
 	}
-	q := r.Plays[1]
+	q := r.Phases[1]
 	if q.Deleted.Max != 10e-9 || q.Done.Max != 100e-9 {
 		t.Errorf("%+v", q)
 	}
