--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -65,7 +65,7 @@
 		{
 			name:   "no confirming delete after fills",
 			change: func(b *bench) { b.settings.MaxFillS = 1e-6 },
-			want:   checker.OldServed,
+			want:   checker.StaleServed,
 		},
 		{
 			name:   "purge counted without an answer",
@@ -73,7 +73,7 @@
 			want:   checker.NotDone,
 		},
 		{name: "cursor ahead of the answers", cursorLeads: true, want: checker.NotDone},
-		{name: "reconnected cache starts at the newest entry", startsAtNewest: true, want: checker.OldServed},
+		{name: "reconnected cache starts at the newest entry", startsAtNewest: true, want: checker.StaleServed},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -11,7 +11,7 @@
 
 // The breaches at caches.
 const (
-	OldServed    = "served an old value"         // older than a purge that counts as done there
+	StaleServed  = "served an old value"         // older than a purge that counts as done there
 	NotDone      = "counted and not carried out" // no deletion of the key since it was published
 	NeverCounted = "never done at a cache"       // at the end
 )
@@ -58,7 +58,7 @@
 		c.cache(name, all)
 	}
 	c.report.Phases = c.plays()
-	c.report.Breaches = c.judge.breaches(OldServed, NotDone, NeverCounted)
+	c.report.Breaches = c.judge.breaches(StaleServed, NotDone, NeverCounted)
 	return c.report
 }
 
@@ -120,7 +120,7 @@
 	case logtrace.Served:
 		c.report.Served++
 		if required := h.required[record.Key]; record.Version < required {
-			c.judge.broke(OldServed, "%s: %s in version %d, after %d was purged",
+			c.judge.broke(StaleServed, "%s: %s in version %d, after %d was purged",
 				h.name, record.Key, record.Version, required)
 		}
 	case logtrace.Confirmed:
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -56,11 +56,11 @@
 		bend func(records []logtrace.CacheEvent) []logtrace.CacheEvent
 	}{
 		"an old value after the purge counts as done": {
-			want: OldServed,
+			want: StaleServed,
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[6].Version = 1; return r },
 		},
 		"an old value after the second purge": {
-			want: OldServed,
+			want: StaleServed,
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[9].Version = 2; return r },
 		},
 		"no deletion": {
