--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -70,9 +70,9 @@
 		{
 			name:   "purge counted without an answer",
 			change: func(b *bench) { b.dial = dialFabricatedAnswersConn },
-			want:   checker.NotDone,
+			want:   checker.NotCarriedOut,
 		},
-		{name: "cursor ahead of the answers", cursorLeads: true, want: checker.NotDone},
+		{name: "cursor ahead of the answers", cursorLeads: true, want: checker.NotCarriedOut},
 		{name: "reconnected cache starts at the newest entry", startsAtNewest: true, want: checker.StaleServed},
 	} {
 		t.Run(v.name, func(t *testing.T) {
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -11,9 +11,9 @@
 
 // The breaches at caches.
 const (
-	StaleServed  = "served an old value"         // older than a purge that counts as done there
-	NotDone      = "counted and not carried out" // no deletion of the key since it was published
-	NeverCounted = "never done at a cache"       // at the end
+	StaleServed   = "served an old value"         // older than a purge that counts as done there
+	NotCarriedOut = "counted and not carried out" // no deletion of the key since it was published
+	NeverCounted  = "never done at a cache"       // at the end
 )
 
 // CachesPhase is how long a play's purges took from publishing until the last cache.
@@ -58,7 +58,7 @@
 		c.cache(name, all)
 	}
 	c.report.Phases = c.plays()
-	c.report.Breaches = c.judge.breaches(StaleServed, NotDone, NeverCounted)
+	c.report.Breaches = c.judge.breaches(StaleServed, NotCarriedOut, NeverCounted)
 	return c.report
 }
 
@@ -136,7 +136,7 @@
 	deletions := h.deletions[purge.Key]
 	deletedSince := len(deletions) > 0 && deletions[len(deletions)-1] >= purge.Sent
 	if !deletedSince && h.emptied < purge.Sent {
-		c.judge.broke(NotDone, "%s: entry %d", h.name, purge.Index)
+		c.judge.broke(NotCarriedOut, "%s: entry %d", h.name, purge.Index)
 	}
 	h.required[purge.Key] = max(h.required[purge.Key], purge.Version)
 	if c.looked(h.name) {
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -64,19 +64,19 @@
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[9].Version = 2; return r },
 		},
 		"no deletion": {
-			want: NotDone,
+			want: NotCarriedOut,
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { return slices.Delete(r, 2, 3) },
 		},
 		"only a deletion from before the purge": {
-			want: NotDone,
+			want: NotCarriedOut,
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 199; return r },
 		},
 		"only a flush from before the purge": {
-			want: NotDone,
+			want: NotCarriedOut,
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[13].At = 199; return r },
 		},
 		"a deletion after the purge counted as done": {
-			want: NotDone,
+			want: NotCarriedOut,
 			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 251; return r },
 		},
 		"the last purge is never done at one cache": {
