--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -50,7 +50,7 @@
 				return err
 			}
 			plan.Log = c.ErrOrStderr()
-			result, err := rig.Play(c.Context(), plan)
+			result, err := rig.Run(c.Context(), plan)
 			if err != nil {
 				return err
 			}
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -69,8 +69,8 @@
 	return strings.TrimSpace(string(text))
 }
 
-// Play runs a plan and checks what it left behind.
-func Play(ctx context.Context, p Plan) (*Report, error) {
+// Run runs a plan and checks what it left behind.
+func Run(ctx context.Context, p Plan) (*Report, error) {
 	if p.PurgesASecond == 0 {
 		p.PurgesASecond = purgeRate
 		p.ConfigsASecond = configRate
