--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -42,7 +42,7 @@
 			"last lines name, and with 2 for a bad call.",
 		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
-			plan.Plays = strings.Split(phases, ",")
+			plan.Phases = strings.Split(phases, ",")
 			if err := checkChangesPlan(&plan); err != nil {
 				return err
 			}
@@ -107,7 +107,7 @@
 	if p.CutRegion >= p.Regions {
 		return badCall("--cut-region %d is not one of %d regions", p.CutRegion, p.Regions)
 	}
-	for _, phase := range p.Plays {
+	for _, phase := range p.Phases {
 		switch phase {
 		case rig.Steady, rig.Burst:
 		case rig.Cut, rig.CacheCut:
--- a/internal/scale/logscale/rig/plan.go
+++ b/internal/scale/logscale/rig/plan.go
@@ -18,7 +18,7 @@
 	Program        string // that control machines, hollow and real nodes are started by
 	Nodes, Real    int
 	Regions        int
-	Plays          []string
+	Phases         []string
 	For            time.Duration // of steady
 	CutFor         time.Duration
 	After          time.Duration // that purges at the stated rate go on once it is back
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -82,7 +82,7 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	for _, play := range p.Plays {
+	for _, play := range p.Phases {
 		if err := r.measure(ctx, play); err != nil {
 			return nil, fmt.Errorf("%s: %w", play, err)
 		}
