--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -26,7 +26,7 @@
 	if r.Kill || r.Hang {
 		failover.Go(func() { failoverErr = r.failLeader() })
 	}
-	r.pace(ctx, Steady, r.For, r.PurgesASecond, r.ConfigsASecond)
+	r.pace(ctx, Steady, r.For, r.PurgesPerSecond, r.ConfigsASecond)
 	failover.Wait()
 	return failoverErr
 }
@@ -76,7 +76,7 @@
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
 	// What the other regions are measured by, also while this one catches up.
-	steady.Go(func() { r.pace(ctx, Cut, r.CutFor+r.After, r.PurgesASecond, 0) })
+	steady.Go(func() { r.pace(ctx, Cut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	begin := time.Now()
 	r.publishBacklog(ctx, begin)
 	time.Sleep(time.Until(begin.Add(r.CutFor)))
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -71,8 +71,8 @@
 
 // Run runs a plan and checks what it left behind.
 func Run(ctx context.Context, p Plan) (*Report, error) {
-	if p.PurgesASecond == 0 {
-		p.PurgesASecond = purgeRate
+	if p.PurgesPerSecond == 0 {
+		p.PurgesPerSecond = purgeRate
 		p.ConfigsASecond = configRate
 	}
 	r := newRun(p)
