--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -26,7 +26,7 @@
 	if r.Kill || r.Hang {
 		failover.Go(func() { failoverErr = r.failLeader() })
 	}
-	r.pace(ctx, Steady, r.For, r.PurgesPerSecond, r.ConfigsASecond)
+	r.pace(ctx, Steady, r.For, r.PurgesPerSecond, r.ConfigsPerSecond)
 	failover.Wait()
 	return failoverErr
 }
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -73,7 +73,7 @@
 func Run(ctx context.Context, p Plan) (*Report, error) {
 	if p.PurgesPerSecond == 0 {
 		p.PurgesPerSecond = purgeRate
-		p.ConfigsASecond = configRate
+		p.ConfigsPerSecond = configRate
 	}
 	r := newRun(p)
 	defer r.between.Close()
