--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -80,7 +80,7 @@
 	f.IntVar(&plan.Real, "real", 4, "number of real nodes beside them")
 	f.IntVar(&plan.Regions, "regions", 11, "number of regions: each has a process of nodes without clients")
 	f.StringVar(phases, "plays", "steady,burst,cut", "phases, one after the other: of steady, burst, cut, cache-cut")
-	f.DurationVar(&plan.For, "for", time.Minute, "length of the phase steady")
+	f.DurationVar(&plan.SteadyFor, "for", time.Minute, "length of the phase steady")
 	f.DurationVar(&plan.CutFor, "cut-for", 20*time.Second, "how long a region is cut off, or a cache does not answer")
 	f.IntVar(&plan.CutRegion, "cut-region", -1,
 		"region that is cut off, from 0; -1 for the last, which has no control server (with 11: 0, 2, 5 and 8 have)")
@@ -127,7 +127,7 @@
 	case p.Real < 0 || p.Real > maxRealNodes:
 	case p.Regions < minRegions || p.Regions > maxRegions:
 	case p.Loss < 0 || p.Loss > maxLoss:
-	case p.For < minPhaseTime || p.For > maxPhaseTime || p.CutFor < minPhaseTime || p.After < 0:
+	case p.SteadyFor < minPhaseTime || p.SteadyFor > maxPhaseTime || p.CutFor < minPhaseTime || p.After < 0:
 	case p.CutPurges < 1 || p.CutPurges > maxCutPurges:
 	case p.Caches < 0 || p.Caches > maxEmulatedCaches:
 	case p.Fills < minFillTime || p.Fills > maxFillTime:
--- a/internal/scale/logscale/rig/plan.go
+++ b/internal/scale/logscale/rig/plan.go
@@ -19,7 +19,7 @@
 	Nodes, Real      int
 	Regions          int
 	Phases           []string
-	For              time.Duration // of steady
+	SteadyFor        time.Duration // of steady
 	CutFor           time.Duration
 	After            time.Duration // that purges at the stated rate go on once it is back
 	CutRegion        int           // which region is cut off; control machines are in those at 0, 1, 2 and 3 quarters
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -26,14 +26,14 @@
 	if r.Kill || r.Hang {
 		failover.Go(func() { failoverErr = r.failLeader() })
 	}
-	r.pace(ctx, Steady, r.For, r.PurgesPerSecond, r.ConfigsPerSecond)
+	r.pace(ctx, Steady, r.SteadyFor, r.PurgesPerSecond, r.ConfigsPerSecond)
 	failover.Wait()
 	return failoverErr
 }
 
 // failLeader stops or kills the leader a third into the play, and brings it back after another third.
 func (r *run) failLeader() error {
-	time.Sleep(r.For / killedAt)
+	time.Sleep(r.SteadyFor / killedAt)
 	o, err := r.caller.Overview()
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	if r.Hang {
 		_ = r.control[leader].Process.Signal(syscall.SIGSTOP)
 		r.log("control-%d, the leader, stands still at entry %d", leader, o.Last)
-		time.Sleep(r.For / backAt)
+		time.Sleep(r.SteadyFor / backAt)
 		_ = r.control[leader].Process.Signal(syscall.SIGCONT)
 		r.log("control-%d goes on", leader)
 		return nil
@@ -53,7 +53,7 @@
 	_ = r.control[leader].Process.Kill()
 	_ = r.control[leader].Wait()
 	r.log("control-%d, the leader, was killed at entry %d", leader, o.Last)
-	time.Sleep(r.For / backAt)
+	time.Sleep(r.SteadyFor / backAt)
 	if err := r.startControl(leader); err != nil {
 		return err
 	}
