--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -92,7 +92,7 @@
 	f.BoolVar(&plan.Kill, "kill", false, "kill the leader after a third of steady, and start it after two thirds")
 	f.BoolVar(&plan.Hang, "hang", false, "stop the leader (SIGSTOP) for that time instead")
 	f.IntVar(&plan.Caches, "caches", 0, "number of emulated caches at which purges are carried out")
-	f.DurationVar(&plan.Fills, "fills", 3500*time.Millisecond, "the longest time that a fill of a cache may take")
+	f.DurationVar(&plan.MaxFillTime, "fills", 3500*time.Millisecond, "the longest time that a fill of a cache may take")
 	f.Uint32Var(&plan.Seed, "seed", 1, "random seed")
 	f.StringVar(&plan.Dir, "out", "scale-changes", "folder for the results")
 }
@@ -130,7 +130,7 @@
 	case p.SteadyFor < minPhaseTime || p.SteadyFor > maxPhaseTime || p.CutFor < minPhaseTime || p.After < 0:
 	case p.CutPurges < 1 || p.CutPurges > maxCutPurges:
 	case p.Caches < 0 || p.Caches > maxEmulatedCaches:
-	case p.Fills < minFillTime || p.Fills > maxFillTime:
+	case p.MaxFillTime < minFillTime || p.MaxFillTime > maxFillTime:
 	default:
 		return true
 	}
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -68,7 +68,7 @@
 	if r.Caches == 0 {
 		return "", nil
 	}
-	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.Fills.Seconds())
+	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.MaxFillTime.Seconds())
 	for i, c := range r.caches.all {
 		addr, err := r.between.Listen(r.region[machine], i%r.Regions, c.Addr())
 		if err != nil {
@@ -104,8 +104,8 @@
 			if p.Kind != replicatedlog.Purge || r.chance() > refilled {
 				continue
 			}
-			key, by := string(p.Body), sent.Add(r.Fills-refillLate)
-			at := sent.Add(time.Duration(r.chance() * float64(r.Fills-2*refillLate)))
+			key, by := string(p.Body), sent.Add(r.MaxFillTime-refillLate)
+			at := sent.Add(time.Duration(r.chance() * float64(r.MaxFillTime-2*refillLate)))
 			r.caches.fills.Add(1)
 			time.AfterFunc(at.Since(gossip.BootTime()), func() {
 				defer r.caches.fills.Done()
--- a/internal/scale/logscale/rig/plan.go
+++ b/internal/scale/logscale/rig/plan.go
@@ -32,7 +32,7 @@
 	Dir              string
 	Log              io.Writer
 	Caches           int           // at which purges are carried out; 0 for none
-	Fills            time.Duration // the longest that a fill may take there
+	MaxFillTime      time.Duration // the longest that a fill may take there
 	HollowArgs       []string      // of the program, before the spec
 	PurgesPerSecond  float64
 	ConfigsPerSecond float64
