--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -163,7 +163,7 @@
 	r.caches.cut = c.Name()
 	r.log("%s is silent", c.Name())
 	var all sync.WaitGroup
-	all.Go(func() { r.pace(ctx, CacheCut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
+	all.Go(func() { r.pace(ctx, CacheOutage, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	time.Sleep(r.CutFor)
 	o, err := r.caller.Overview()
 	for _, x := range o.Caches {
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -142,7 +142,7 @@
 		return r.steady(ctx)
 	case Burst:
 		return r.burst(ctx)
-	case CacheCut:
+	case CacheOutage:
 		return r.cutCache(ctx)
 	case Cut:
 		return r.cutOff(ctx)
