--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -110,8 +110,8 @@
 	for _, phase := range p.Phases {
 		switch phase {
 		case rig.Steady, rig.Burst:
-		case rig.Cut, rig.CacheOutage:
-			if (phase == rig.Cut) == (p.Caches > 0) {
+		case rig.RegionCut, rig.CacheOutage:
+			if (phase == rig.RegionCut) == (p.Caches > 0) {
 				return badCall("phase cut needs --caches 0, and phase cache-cut needs caches")
 			}
 		default:
--- a/internal/scale/logscale/rig/plan.go
+++ b/internal/scale/logscale/rig/plan.go
@@ -10,7 +10,7 @@
 	Steady      = "steady"    // purges at the stated rate, and a configuration a second
 	Burst       = "burst"     // 1,000 purges at once
 	CacheOutage = "cache-cut" // a cache says nothing for a while
-	Cut         = "cut"       // a region is cut off while an hour's changes pass, and comes back
+	RegionCut   = "cut"       // a region is cut off while an hour's changes pass, and comes back
 )
 
 // Plan is a run.
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -76,7 +76,7 @@
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
 	// What the other regions are measured by, also while this one catches up.
-	steady.Go(func() { r.pace(ctx, Cut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
+	steady.Go(func() { r.pace(ctx, RegionCut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	begin := time.Now()
 	r.publishBacklog(ctx, begin)
 	time.Sleep(time.Until(begin.Add(r.CutFor)))
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -144,7 +144,7 @@
 		return r.burst(ctx)
 	case CacheOutage:
 		return r.cutCache(ctx)
-	case Cut:
+	case RegionCut:
 		return r.cutOff(ctx)
 	default:
 		return fmt.Errorf("no play %q", play)
