--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -25,11 +25,11 @@
 	acceptPauses = 20 * time.Millisecond  // after a failure to accept
 )
 
-// Between emulates the network between regions, for streams: it listens on loopback for each pair of a region and a
+// RegionNetwork emulates the network between regions, for streams: it listens on loopback for each pair of a region and a
 // server elsewhere, and forwards with the delay between the two. A packet of 1,448 bytes is lost by chance, which
 // delays the stream by a retransmission time-out, as all that was sent after it waits. While a region is cut off, all
 // of its streams to others stall, and connections that are opened or closed meanwhile stay unnoticed at the other end.
-type Between struct {
+type RegionNetwork struct {
 	regions   int
 	loss      float64
 	seed      uint32
@@ -44,8 +44,8 @@
 }
 
 // NewBetween returns a network without partitions. Loss is the share of packets that are lost.
-func NewBetween(regions int, loss float64, seed uint32) *Between {
-	return &Between{
+func NewBetween(regions int, loss float64, seed uint32) *RegionNetwork {
+	return &RegionNetwork{
 		regions: regions,
 		loss:    loss,
 		seed:    seed,
@@ -56,7 +56,7 @@
 }
 
 // Late is the one-way delay from one region to another.
-func (b *Between) Late(from, to int) time.Duration {
+func (b *RegionNetwork) Late(from, to int) time.Duration {
 	if from == to {
 		return inRegion
 	}
@@ -68,14 +68,14 @@
 }
 
 // Cut cuts a region off from all others, or ends that.
-func (b *Between) Cut(region int, is bool) { b.cut[region].Store(is) }
+func (b *RegionNetwork) Cut(region int, is bool) { b.cut[region].Store(is) }
 
-func (b *Between) isCut(from, to int) bool {
+func (b *RegionNetwork) isCut(from, to int) bool {
 	return from != to && (b.cut[from].Load() || b.cut[to].Load())
 }
 
 // Listen opens an address at which one region reaches a server in another, whose own address is given.
-func (b *Between) Listen(from, to int, server string) (string, error) {
+func (b *RegionNetwork) Listen(from, to int, server string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -101,7 +101,7 @@
 	return l.Addr().String(), nil
 }
 
-func (b *Between) track(c net.Conn) bool {
+func (b *RegionNetwork) track(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -114,7 +114,7 @@
 	return true
 }
 
-func (b *Between) release(c net.Conn) {
+func (b *RegionNetwork) release(c net.Conn) {
 	b.mu.Lock()
 	delete(b.conns, c)
 	b.mu.Unlock()
@@ -122,7 +122,7 @@
 }
 
 // wait waits, and reports whether the network is still open then.
-func (b *Between) wait(d time.Duration) bool {
+func (b *RegionNetwork) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -135,7 +135,7 @@
 }
 
 // retransmissionDelay is how long a piece of so many bytes is delayed by lost packets.
-func (b *Between) retransmissionDelay(chance *keyhash.Source, bytes int, first time.Duration) (late time.Duration) {
+func (b *RegionNetwork) retransmissionDelay(chance *keyhash.Source, bytes int, first time.Duration) (late time.Duration) {
 	if b.loss == 0 {
 		return 0
 	}
@@ -150,7 +150,7 @@
 }
 
 // stream forwards one connection until it ends.
-func (b *Between) stream(from, to int, near net.Conn, server string) {
+func (b *RegionNetwork) stream(from, to int, near net.Conn, server string) {
 	defer b.release(near)
 	number := b.streams.Add(1)
 	chance := keyhash.Source{Seed: uint32(keyhash.Salted(uint64(b.seed), int(number)))}
@@ -179,7 +179,7 @@
 }
 
 // carry forwards one direction. Its end is delayed as all data is.
-func (b *Between) carry(from, to int, in, out net.Conn, chance keyhash.Source) {
+func (b *RegionNetwork) carry(from, to int, in, out net.Conn, chance keyhash.Source) {
 	pieces := make(chan piece, piecesAhead)
 	go func() {
 		defer close(pieces)
@@ -226,7 +226,7 @@
 }
 
 // Close ends all listeners and streams, and waits for their goroutines.
-func (b *Between) Close() {
+func (b *RegionNetwork) Close() {
 	close(b.closed)
 	b.mu.Lock()
 	for _, l := range b.listeners {
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -35,7 +35,7 @@
 // run is a plan being played.
 type run struct {
 	Plan
-	between  *Between
+	between  *RegionNetwork
 	region   [machines]int // of control machines
 	peers    [machines]string
 	nodes    [machines]string
