--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -43,8 +43,8 @@
 	done      sync.WaitGroup
 }
 
-// NewBetween returns a network without partitions. Loss is the share of packets that are lost.
-func NewBetween(regions int, loss float64, seed uint32) *RegionNetwork {
+// NewRegionNetwork returns a network without partitions. Loss is the share of packets that are lost.
+func NewRegionNetwork(regions int, loss float64, seed uint32) *RegionNetwork {
 	return &RegionNetwork{
 		regions: regions,
 		loss:    loss,
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -104,7 +104,7 @@
 func newRun(p Plan) *run {
 	return &run{
 		Plan:    p,
-		between: NewBetween(p.Regions, p.Loss, p.Seed),
+		between: NewRegionNetwork(p.Regions, p.Loss, p.Seed),
 		caches:  caches{chance: keyhash.Source{Seed: p.Seed}, closed: make(chan struct{})},
 		report: Report{
 			Nodes:   p.Nodes,
