--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Late is the one-way delay from one region to another.
-func (b *RegionNetwork) Late(from, to int) time.Duration {
+// Delay is the one-way delay from one region to another.
+func (b *RegionNetwork) Delay(from, to int) time.Duration {
 	if from == to {
 		return inRegion
 	}
@@ -154,7 +154,7 @@
 	defer b.release(near)
 	number := b.streams.Add(1)
 	chance := keyhash.Source{Seed: uint32(keyhash.Salted(uint64(b.seed), int(number)))}
-	if !b.wait(2*b.Late(from, to) + b.retransmissionDelay(&chance, 1, synAgain)) {
+	if !b.wait(2*b.Delay(from, to) + b.retransmissionDelay(&chance, 1, synAgain)) {
 		return
 	}
 	for b.isCut(from, to) {
@@ -188,7 +188,7 @@
 			n, err := in.Read(buf)
 			if n > 0 {
 				p := piece{
-					due:  time.Now().Add(b.Late(from, to) + b.retransmissionDelay(&chance, n, firstAgain)),
+					due:  time.Now().Add(b.Delay(from, to) + b.retransmissionDelay(&chance, n, firstAgain)),
 					data: append([]byte(nil), buf[:n]...),
 				}
 				select {
@@ -215,7 +215,7 @@
 			break
 		}
 	}
-	if b.wait(b.Late(from, to)) {
+	if b.wait(b.Delay(from, to)) {
 		for b.isCut(from, to) && b.wait(lookAtCut) {
 		}
 	}
