--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -67,8 +67,8 @@
 	return nextRegion + furtherEach*time.Duration(min(d, b.regions-d))
 }
 
-// Cut cuts a region off from all others, or ends that.
-func (b *RegionNetwork) Cut(region int, is bool) { b.cut[region].Store(is) }
+// SetCut cuts a region off from all others, or ends that.
+func (b *RegionNetwork) SetCut(region int, is bool) { b.cut[region].Store(is) }
 
 func (b *RegionNetwork) isCut(from, to int) bool {
 	return from != to && (b.cut[from].Load() || b.cut[to].Load())
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -72,7 +72,7 @@
 func (r *run) cutOff(ctx context.Context) error {
 	region := r.CutRegion
 	r.cutFrom = gossip.BootTime()
-	r.between.Cut(region, true)
+	r.between.SetCut(region, true)
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
 	// What the other regions are measured by, also while this one catches up.
@@ -91,7 +91,7 @@
 		}
 	}
 	r.note("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent)
-	r.between.Cut(region, false)
+	r.between.SetCut(region, false)
 	r.cutUntil = gossip.BootTime()
 	r.log("region %d is back; newest entry %d", region, o.Last)
 	steady.Wait()
