--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -125,8 +125,8 @@
 // Name is the name of a hollow node with a number.
 func Name(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
-// Hollow runs a process of hollow nodes until what it reads from ends.
-func Hollow(spec string, until io.Reader) error {
+// ServeHollowNodes runs a process of hollow nodes until what it reads from ends.
+func ServeHollowNodes(spec string, until io.Reader) error {
 	text, err := os.ReadFile(spec)
 	if err != nil {
 		return err
