--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -122,8 +122,8 @@
 	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Acknowledged})
 }
 
-// Name is the name of a hollow node with a number.
-func Name(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
+// HollowName is the name of a hollow node with a number.
+func HollowName(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
 // ServeHollowNodes runs a process of hollow nodes until what it reads from ends.
 func ServeHollowNodes(spec string, until io.Reader) error {
@@ -175,7 +175,7 @@
 		h := &hollow{to: to, number: s.First + uint32(i)}
 		h.reader = replicatedlog.NewApplier(h)
 		all = append(all, logfollower.Start(logfollower.Config{
-			Name:           Name(h.number),
+			Name:           HollowName(h.number),
 			Process:        uint64(h.number) + 1,
 			Label:          s.Label,
 			Servers:        s.At,
