--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -33,13 +33,13 @@
 
 // Spec is the configuration of a process of hollow nodes.
 type Spec struct {
-	Label string   `json:"label"`
-	At    []string `json:"at"` // control machines' doors
-	Seed  uint32   `json:"seed"`
-	First uint32   `json:"first"` // number of its first node
-	Nodes int      `json:"nodes"`
-	Trace string   `json:"trace"` // file
-	Stats string   `json:"stats"` // file
+	Label   string   `json:"label"`
+	Servers []string `json:"at"` // control machines' doors
+	Seed    uint32   `json:"seed"`
+	First   uint32   `json:"first"` // number of its first node
+	Nodes   int      `json:"nodes"`
+	Trace   string   `json:"trace"` // file
+	Stats   string   `json:"stats"` // file
 }
 
 // Sample is what a process has used until then.
@@ -178,7 +178,7 @@
 			Name:           HollowName(h.number),
 			Process:        uint64(h.number) + 1,
 			Label:          s.Label,
-			Servers:        s.At,
+			Servers:        s.Servers,
 			Seed:           s.Seed + h.number,
 			StaleAfter:     staleAfter,
 			Applier:        h,
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -92,13 +92,13 @@
 		return err
 	}
 	spec := Spec{
-		Label: label,
-		At:    servers,
-		Seed:  r.Seed*1000 + 7,
-		First: first,
-		Nodes: nodes,
-		Trace: r.path("hollow-%d.trace", region),
-		Stats: r.path("hollow-%d.stats", region),
+		Label:   label,
+		Servers: servers,
+		Seed:    r.Seed*1000 + 7,
+		First:   first,
+		Nodes:   nodes,
+		Trace:   r.path("hollow-%d.trace", region),
+		Stats:   r.path("hollow-%d.stats", region),
 	}
 	text, _ := json.Marshal(spec)
 	path := r.path("hollow-%d.json", region)
