--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -63,8 +63,8 @@
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 }
 
-// Load is the machine's.
-func Load() string {
+// LoadAverage is the machine's.
+func LoadAverage() string {
 	text, _ := os.ReadFile("/proc/loadavg")
 	return strings.TrimSpace(string(text))
 }
@@ -87,7 +87,7 @@
 			return nil, fmt.Errorf("%s: %w", play, err)
 		}
 	}
-	r.report.Load = append(r.report.Load, Load())
+	r.report.Load = append(r.report.Load, LoadAverage())
 	r.countCompleteRealNodes()
 	if r.Caches > 0 { // nodes show the last entries before these are done at caches
 		if err := r.settle(ctx); err != nil {
@@ -112,7 +112,7 @@
 			Regions: p.Regions,
 			Loss:    p.Loss,
 			Seed:    p.Seed,
-			Load:    []string{Load()},
+			Load:    []string{LoadAverage()},
 		},
 	}
 }
@@ -120,7 +120,7 @@
 // measure runs a play, waits until every node has every entry, and notes what processes used meanwhile.
 func (r *run) measure(ctx context.Context, play string) error {
 	m := mark{play: play, from: gossip.BootTime(), before: r.usedBy()}
-	r.log("%s begins; load %s", play, Load())
+	r.log("%s begins; load %s", play, LoadAverage())
 	if err := r.play(ctx, play); err != nil {
 		return err
 	}
