--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -8,7 +8,7 @@
 
 // Usage is what processes of a kind used during a play.
 type Usage struct {
-	Play     string  `json:"play"`
+	Phase    string  `json:"play"`
 	Role     string  `json:"role"`
 	Count    int     `json:"count"`
 	InRate   float64 `json:"bytes_in_s"` // a second for each: median
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -61,7 +61,7 @@
 
 // hollowUsage is what a hollow node used during a play. After the last play, the totals of the run are read as well.
 func (r *run) hollowUsage(m mark, isLast bool) (Usage, error) {
-	u := Usage{Play: m.play, Role: "hollow node", Count: r.Nodes}
+	u := Usage{Phase: m.play, Role: "hollow node", Count: r.Nodes}
 	var in, out, both, core []float64
 	for region, spec := range r.specs {
 		first, last, err := r.samples(region, m)
@@ -121,7 +121,7 @@
 	if len(all) == 0 {
 		return
 	}
-	u := Usage{Play: m.play, Role: role, Count: len(all)}
+	u := Usage{Phase: m.play, Role: role, Count: len(all)}
 	seconds := time.Duration(m.until - m.from).Seconds()
 	var core []float64
 	for _, p := range all {
