--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -13,7 +13,7 @@
 	Count    int     `json:"count"`
 	InRate   float64 `json:"bytes_in_s"` // a second for each: median
 	OutRate  float64 `json:"bytes_out_s"`
-	MostRate float64 `json:"most_bytes_s"` // in and out together, of the one with the most
+	MaxRate  float64 `json:"most_bytes_s"` // in and out together, of the one with the most
 	Core     float64 `json:"percent_of_core"`
 	MostCore float64 `json:"most_percent_of_core"`
 	MB       float64 `json:"mb"` // resident, the most; for hollow nodes its share of the process's
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -92,7 +92,7 @@
 	}
 	u.InRate = median(in)
 	u.OutRate = median(out)
-	u.MostRate = slices.Max(both)
+	u.MaxRate = slices.Max(both)
 	u.Core = median(core)
 	u.MostCore = slices.Max(core)
 	return u, nil
