--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -85,11 +85,11 @@
 	fmt.Fprintln(p.table, "\nplay\trole\tcount\tbytes/s in\tout\tmost\t% of a core\tmost\tMB")
 	for _, u := range r.Usage {
 		fmt.Fprintf(p.table, "%s\t%s\t%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.1f\n",
-			u.Phase, u.Role, u.Count, u.InRate, u.OutRate, u.MaxRate, u.Core, u.MostCore, u.MB)
+			u.Phase, u.Role, u.Count, u.InRate, u.OutRate, u.MaxRate, u.Core, u.MaxCore, u.MB)
 		isSteady := u.Phase != rig.RegionCut && u.Phase != rig.Burst
-		isOver := u.MaxRate > nodeBytesBound || u.MostCore > nodeCoreBound || u.MB > nodeMemoryBound
+		isOver := u.MaxRate > nodeBytesBound || u.MaxCore > nodeCoreBound || u.MB > nodeMemoryBound
 		if u.Role == "hollow node" && isSteady && isOver {
-			p.addFinding("%s: a node's %.0f bytes/s, %.2f%% of a core, %.1f MB", u.Phase, u.MaxRate, u.MostCore, u.MB)
+			p.addFinding("%s: a node's %.0f bytes/s, %.2f%% of a core, %.1f MB", u.Phase, u.MaxRate, u.MaxCore, u.MB)
 		}
 		if u.Role == "real node" && u.MB > nodeMemoryBound {
 			p.addFinding("%s: a real node's %.1f MB", u.Phase, u.MB)
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -8,15 +8,15 @@
 
 // Usage is what processes of a kind used during a play.
 type Usage struct {
-	Phase    string  `json:"play"`
-	Role     string  `json:"role"`
-	Count    int     `json:"count"`
-	InRate   float64 `json:"bytes_in_s"` // a second for each: median
-	OutRate  float64 `json:"bytes_out_s"`
-	MaxRate  float64 `json:"most_bytes_s"` // in and out together, of the one with the most
-	Core     float64 `json:"percent_of_core"`
-	MostCore float64 `json:"most_percent_of_core"`
-	MB       float64 `json:"mb"` // resident, the most; for hollow nodes its share of the process's
+	Phase   string  `json:"play"`
+	Role    string  `json:"role"`
+	Count   int     `json:"count"`
+	InRate  float64 `json:"bytes_in_s"` // a second for each: median
+	OutRate float64 `json:"bytes_out_s"`
+	MaxRate float64 `json:"most_bytes_s"` // in and out together, of the one with the most
+	Core    float64 `json:"percent_of_core"`
+	MaxCore float64 `json:"most_percent_of_core"`
+	MB      float64 `json:"mb"` // resident, the most; for hollow nodes its share of the process's
 }
 
 // Report is a run's.
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -94,7 +94,7 @@
 	u.OutRate = median(out)
 	u.MaxRate = slices.Max(both)
 	u.Core = median(core)
-	u.MostCore = slices.Max(core)
+	u.MaxCore = slices.Max(core)
 	return u, nil
 }
 
@@ -130,7 +130,7 @@
 		u.MB = max(u.MB, float64(m.rss[pid])/bytesPerMB)
 	}
 	u.Core = median(core)
-	u.MostCore = slices.Max(core)
+	u.MaxCore = slices.Max(core)
 	r.report.Usage = append(r.report.Usage, u)
 }
 
