--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -44,7 +44,7 @@
 	for _, note := range r.Notes {
 		fmt.Fprintln(table, note)
 	}
-	p.addBreaches("broken", r.Judge.Breaches)
+	p.addBreaches("broken", r.Check.Breaches)
 	if r.RealWhole < r.Real {
 		p.addFinding("%d of %d real nodes have all", r.RealWhole, r.Real)
 	}
@@ -64,7 +64,7 @@
 func (p *changesPrinter) printDelays(r *rig.Report) {
 	fmt.Fprintln(p.table, "play\tchanges\tcount\tacked median\tp99\tmost\t"+
 		"last node, from sent: median\tp99\tmost\tfrom acked: median\tp99\tmost\tbudget")
-	for _, d := range r.Judge.Phases {
+	for _, d := range r.Check.Phases {
 		kind, bound := "purges", purgeBound
 		if d.Config {
 			kind, bound = "configs", configBound
@@ -100,8 +100,8 @@
 func (p *changesPrinter) printTotals(r *rig.Report) {
 	fmt.Fprintf(p.table, "\n%d entries, %d applied by %d nodes, %d of %d real nodes have all; "+
 		"began anew %d, moves %d, gaps %d; back after the cut in %.1f s, stale in it %d\n",
-		r.Judge.Entries, r.Judge.Applied, r.Judge.Nodes, r.RealWhole, r.Real,
-		r.Judge.Presumed, r.Moves, r.Gaps, r.Back, r.StaleInCut)
+		r.Check.Entries, r.Check.Applied, r.Check.Nodes, r.RealWhole, r.Real,
+		r.Check.Presumed, r.Moves, r.Gaps, r.Back, r.StaleInCut)
 	fmt.Fprintf(p.table, "fleet changes showed an entry at every node at most %.3f s after it was acknowledged; "+
 		"one call took at most %.3f s\n", r.Shown, r.Asked)
 }
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -37,7 +37,7 @@
 func TestReplicatedLogAtSmallSize(t *testing.T) {
 	r := playSmall(t, "--nodes", "9", "--real", "1", "--plays", "steady,cut", "--cut-for", "2s", "--cut-purges", "400",
 		"--cut-configs", "3", "--seed", "5")
-	j := r.Judge
+	j := r.Check
 	if len(j.Breaches) > 0 || j.Entries < 57+6+403+28+20 || j.Applied != j.Entries*9 || j.Presumed > 0 ||
 		j.Refused > 0 || r.RealWhole != 1 {
 		t.Errorf("%+v\n%q, real ones with all: %d", j, r.Notes, r.RealWhole)
@@ -62,8 +62,8 @@
 	r := playSmall(t, "--nodes", "3", "--real", "0", "--plays", "steady,cache-cut", "--cut-for", "3s", "--caches", "6",
 		"--fills", "500ms", "--seed", "6")
 	c := r.Caches
-	if len(r.Judge.Breaches) > 0 || c == nil || len(c.Breaches) > 0 || c.Purges < 57+38 || c.Caches != 6 ||
+	if len(r.Check.Breaches) > 0 || c == nil || len(c.Breaches) > 0 || c.Purges < 57+38 || c.Caches != 6 ||
 		c.Deletes < 2*6*c.Purges || c.Served == 0 || r.CacheBack <= 0 {
-		t.Errorf("%+v\n%+v\n%q", r.Judge, c, r.Notes)
+		t.Errorf("%+v\n%+v\n%q", r.Check, c, r.Notes)
 	}
 }
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -47,7 +47,7 @@
 			return err
 		}
 	}
-	r.report.Judge = j.Report(r.Nodes)
+	r.report.Check = j.Report(r.Nodes)
 	if err := r.checkCaches(); err != nil {
 		return err
 	}
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -25,7 +25,7 @@
 	Loss                 float64
 	Seed                 uint32
 	Load                 []string       `json:"load"` // of the machine, before and after
-	Judge                checker.Report `json:"judge"`
+	Check                checker.Report `json:"judge"`
 	Usage                []Usage        `json:"usage"`
 	Notes                []string       `json:"notes"`
 	Back                 float64        `json:"back_s"` // from the end of the cut until the region had all; 0: no cut
