--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -41,7 +41,7 @@
 		if err := logtrace.Read(s.Trace, func(rec logtrace.NodeEvent) {
 			j.AddNodeRecord(rec)
 			if inCut(rec.Node) && rec.Kind == logtrace.Applied && rec.Index == target {
-				r.report.Back = max(r.report.Back, time.Duration(rec.At-r.cutUntil).Seconds())
+				r.report.RegionRecoveryS = max(r.report.RegionRecoveryS, time.Duration(rec.At-r.cutUntil).Seconds())
 			}
 		}); err != nil {
 			return err
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -28,7 +28,7 @@
 	Check                checker.Report `json:"judge"`
 	Usage                []Usage        `json:"usage"`
 	Notes                []string       `json:"notes"`
-	Back                 float64        `json:"back_s"` // from the end of the cut until the region had all; 0: no cut
+	RegionRecoveryS      float64        `json:"back_s"` // from the end of the cut until the region had all; 0: no cut
 	StaleInCut           int            `json:"stale_in_cut"`
 	Moves, Gaps          uint64
 	Caches               *checker.CachesReport `json:"caches,omitempty"`
