--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -110,7 +110,7 @@
 func (p *changesPrinter) printCaches(r *rig.Report) {
 	c := r.Caches
 	fmt.Fprintf(p.table, "\n%d caches, %d purges, %d deletions, emptied %d times, %d reads with a value; "+
-		"back after its silence in %.1f s\n", c.Caches, c.Purges, c.Deletes, c.Emptied, c.Served, r.CacheBack)
+		"back after its silence in %.1f s\n", c.Caches, c.Purges, c.Deletes, c.Emptied, c.Served, r.CacheRecoveryS)
 	fmt.Fprintln(p.table, "play\tfirst deletion at the last cache: median\tp99\tmost\t"+
 		"done at the last cache: median\tp99\tmost\tbudget")
 	for _, d := range c.Phases {
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -63,7 +63,7 @@
 		"--fills", "500ms", "--seed", "6")
 	c := r.Caches
 	if len(r.Check.Breaches) > 0 || c == nil || len(c.Breaches) > 0 || c.Purges < 57+38 || c.Caches != 6 ||
-		c.Deletes < 2*6*c.Purges || c.Served == 0 || r.CacheBack <= 0 {
+		c.Deletes < 2*6*c.Purges || c.Served == 0 || r.CacheRecoveryS <= 0 {
 		t.Errorf("%+v\n%+v\n%q", r.Check, c, r.Notes)
 	}
 }
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -207,7 +207,7 @@
 		}
 	}
 	if r.caches.back > 0 {
-		r.report.CacheBack = back.Since(r.caches.back).Seconds()
+		r.report.CacheRecoveryS = back.Since(r.caches.back).Seconds()
 	}
 	rep := checker.CheckCaches(r.caches.purged, r.caches.records, func(name string) bool { return name != r.caches.cut })
 	r.report.Caches = &rep
