--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -45,8 +45,8 @@
 		fmt.Fprintln(table, note)
 	}
 	p.addBreaches("broken", r.Check.Breaches)
-	if r.RealWhole < r.Real {
-		p.addFinding("%d of %d real nodes have all", r.RealWhole, r.Real)
+	if r.RealComplete < r.Real {
+		p.addFinding("%d of %d real nodes have all", r.RealComplete, r.Real)
 	}
 	for _, line := range p.findings {
 		fmt.Fprintln(table, line)
@@ -100,7 +100,7 @@
 func (p *changesPrinter) printTotals(r *rig.Report) {
 	fmt.Fprintf(p.table, "\n%d entries, %d applied by %d nodes, %d of %d real nodes have all; "+
 		"began anew %d, moves %d, gaps %d; back after the cut in %.1f s, stale in it %d\n",
-		r.Check.Entries, r.Check.Applied, r.Check.Nodes, r.RealWhole, r.Real,
+		r.Check.Entries, r.Check.Applied, r.Check.Nodes, r.RealComplete, r.Real,
 		r.Check.Presumed, r.Moves, r.Gaps, r.RegionRecoveryS, r.StaleInCut)
 	fmt.Fprintf(p.table, "fleet changes showed an entry at every node at most %.3f s after it was acknowledged; "+
 		"one call took at most %.3f s\n", r.Shown, r.Asked)
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -39,8 +39,8 @@
 		"--cut-configs", "3", "--seed", "5")
 	j := r.Check
 	if len(j.Breaches) > 0 || j.Entries < 57+6+403+28+20 || j.Applied != j.Entries*9 || j.Presumed > 0 ||
-		j.Refused > 0 || r.RealWhole != 1 {
-		t.Errorf("%+v\n%q, real ones with all: %d", j, r.Notes, r.RealWhole)
+		j.Refused > 0 || r.RealComplete != 1 {
+		t.Errorf("%+v\n%q, real ones with all: %d", j, r.Notes, r.RealComplete)
 	}
 }
 
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -34,7 +34,7 @@
 	Caches               *checker.CachesReport `json:"caches,omitempty"`
 	// CacheRecoveryS is from the end of a cache's silence until all purges published by then were done there.
 	CacheRecoveryS float64 `json:"cache_back_s,omitempty"`
-	RealWhole      int     `json:"real_with_all"`
+	RealComplete   int     `json:"real_with_all"`
 	// Shown is the most from an entry's acknowledgement until the command fleet changes showed it at every node.
 	Shown float64 `json:"shown_s"`
 	Asked float64 `json:"asked_s"` // the most that one such call took meanwhile
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -206,7 +206,7 @@
 	}
 	for _, n := range o.Nodes {
 		if strings.HasPrefix(n.Node, "real-") && n.Missing == 0 && n.Refused == 0 && n.Config == o.Servers[0].Config {
-			r.report.RealWhole++
+			r.report.RealComplete++
 		}
 	}
 }
