--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -35,7 +35,7 @@
 	// CacheRecoveryS is from the end of a cache's silence until all purges published by then were done there.
 	CacheRecoveryS float64 `json:"cache_back_s,omitempty"`
 	RealComplete   int     `json:"real_with_all"`
-	// Shown is the most from an entry's acknowledgement until the command fleet changes showed it at every node.
-	Shown float64 `json:"shown_s"`
-	Asked float64 `json:"asked_s"` // the most that one such call took meanwhile
+	// MaxShowDelayS is the most from an entry's acknowledgement until the command fleet changes showed it at every node.
+	MaxShowDelayS float64 `json:"shown_s"`
+	Asked         float64 `json:"asked_s"` // the most that one such call took meanwhile
 }
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -169,7 +169,7 @@
 				break
 			}
 		}
-		r.report.Shown = max(r.report.Shown, time.Duration(gossip.BootTime()-o.Acked).Seconds())
+		r.report.MaxShowDelayS = max(r.report.MaxShowDelayS, time.Duration(gossip.BootTime()-o.Acked).Seconds())
 	}
 }
 
