--- a/cmd/dahliapin/scale_changes_report.go
+++ b/cmd/dahliapin/scale_changes_report.go
@@ -103,7 +103,7 @@
 		r.Check.Entries, r.Check.Applied, r.Check.Nodes, r.RealComplete, r.Real,
 		r.Check.Presumed, r.Moves, r.Gaps, r.RegionRecoveryS, r.StaleInCut)
 	fmt.Fprintf(p.table, "fleet changes showed an entry at every node at most %.3f s after it was acknowledged; "+
-		"one call took at most %.3f s\n", r.MaxShowDelayS, r.Asked)
+		"one call took at most %.3f s\n", r.MaxShowDelayS, r.MaxQueryTimeS)
 }
 
 // printCaches prints how long purges took until they were done at every cache.
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -37,5 +37,5 @@
 	RealComplete   int     `json:"real_with_all"`
 	// MaxShowDelayS is the most from an entry's acknowledgement until the command fleet changes showed it at every node.
 	MaxShowDelayS float64 `json:"shown_s"`
-	Asked         float64 `json:"asked_s"` // the most that one such call took meanwhile
+	MaxQueryTimeS float64 `json:"asked_s"` // the most that one such call took meanwhile
 }
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -164,7 +164,7 @@
 		for by := time.Now().Add(showBy); o.Index > 0 && time.Now().Before(by); time.Sleep(showEach) {
 			asked := time.Now()
 			all, err := r.caller.Overview()
-			r.report.Asked = max(r.report.Asked, time.Since(asked).Seconds())
+			r.report.MaxQueryTimeS = max(r.report.MaxQueryTimeS, time.Since(asked).Seconds())
 			if err == nil && uint64(all.Last) >= o.Index && all.NodesCaughtUp() && len(all.Nodes) == r.Nodes+r.Real {
 				break
 			}
