--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -30,7 +30,7 @@
 	}
 	for i, day := range report.Days {
 		first := report.Days[i/2*2].Figures
-		for _, row := range []cachegrowth.Row{
+		for _, row := range []cachegrowth.Metric{
 			cachegrowth.Descriptors, cachegrowth.Connections, cachegrowth.ListKilobytes,
 		} {
 			value, limit := day.Figures[row], row.Limit(first[row], day.Caches)
--- a/internal/scale/cachegrowth/limits.go
+++ b/internal/scale/cachegrowth/limits.go
@@ -1,16 +1,16 @@
 package cachegrowth
 
-// Row is a quantity that a node needs, or its clients get, on one day.
-type Row int
+// Metric is a quantity that a node needs, or its clients get, on one day.
+type Metric int
 
 // The rows of the operators' table of growth.
 const (
-	ProcessorSeconds Row = iota // processor time of the node, in seconds
-	PeakMemory                  // resident memory at most, in megabytes
-	Descriptors                 // open descriptors at most
-	Connections                 // connections made to caches
-	ListKilobytes               // bytes of endpoint lists from discovery, in kilobytes
-	ShareServed                 // part of the requests that were served
+	ProcessorSeconds Metric = iota // processor time of the node, in seconds
+	PeakMemory                     // resident memory at most, in megabytes
+	Descriptors                    // open descriptors at most
+	Connections                    // connections made to caches
+	ListKilobytes                  // bytes of endpoint lists from discovery, in kilobytes
+	ShareServed                    // part of the requests that were served
 	rowCount
 )
 
@@ -24,7 +24,7 @@
 }
 
 // String returns the row's name in tables.
-func (r Row) String() string { return rowNames[r] }
+func (r Metric) String() string { return rowNames[r] }
 
 // Growth is how much a row may grow over the same day at the first size.
 type Growth struct {
@@ -45,13 +45,13 @@
 }
 
 // Limit returns the limit of a row at a number of caches, by what was needed at the first size.
-func (r Row) Limit(first float64, caches int) float64 {
+func (r Metric) Limit(first float64, caches int) float64 {
 	growth := growthLimits[r]
 	return growth.Factor*first + growth.Plus + growth.PerThousand*float64(caches)/1000
 }
 
 // Within reports whether a value keeps a limit of the row.
-func (r Row) Within(value, limit float64) bool {
+func (r Metric) Within(value, limit float64) bool {
 	if r == ShareServed {
 		return value >= limit
 	}
--- a/internal/scale/cachegrowth/limits_test.go
+++ b/internal/scale/cachegrowth/limits_test.go
@@ -11,7 +11,7 @@
 // lists' bytes, plus 64 kB and 500 kB; of the share served not under 0.85.
 func TestLimitsAreThoseOfTheTable(t *testing.T) {
 	const caches = 3200
-	for row, want := range map[Row]float64{
+	for row, want := range map[Metric]float64{
 		ProcessorSeconds: 1.4*10 + 0.02 + 0.03*3.2,
 		PeakMemory:       1.5*10 + 8 + 4*3.2,
 		Descriptors:      2*10 + 40,
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -124,7 +124,7 @@
 	return err
 }
 
-func printRow(table io.Writer, row Row, results []DayResult) {
+func printRow(table io.Writer, row Metric, results []DayResult) {
 	first := results[0].Figures[row]
 	fmt.Fprintf(table, "%s\t%s", results[0].Day, row)
 	for i := range results {
