--- a/internal/scale/cachegrowth/limits.go
+++ b/internal/scale/cachegrowth/limits.go
@@ -26,8 +26,8 @@
 // String returns the row's name in tables.
 func (r Metric) String() string { return rowNames[r] }
 
-// Growth is how much a row may grow over the same day at the first size.
-type Growth struct {
+// GrowthLimit is how much a row may grow over the same day at the first size.
+type GrowthLimit struct {
 	Factor      float64
 	Plus        float64 // in the row's unit
 	PerThousand float64 // more for each thousand caches
@@ -35,7 +35,7 @@
 
 // growthLimits are the operators' limits, for fleets of up to sixteen times the caches. That of ShareServed is the
 // least that is left; all others are the most that is needed.
-var growthLimits = [rowCount]Growth{
+var growthLimits = [rowCount]GrowthLimit{
 	ProcessorSeconds: {Factor: 1.4, Plus: 0.02, PerThousand: 0.03},
 	PeakMemory:       {Factor: 1.5, Plus: 8, PerThousand: 4},
 	Descriptors:      {Factor: 2, Plus: 40},
