--- a/internal/scale/cachegrowth/limits.go
+++ b/internal/scale/cachegrowth/limits.go
@@ -29,25 +29,25 @@
 // GrowthLimit is how much a row may grow over the same day at the first size.
 type GrowthLimit struct {
 	Factor      float64
-	Plus        float64 // in the row's unit
+	Allowance   float64 // in the row's unit
 	PerThousand float64 // more for each thousand caches
 }
 
 // growthLimits are the operators' limits, for fleets of up to sixteen times the caches. That of ShareServed is the
 // least that is left; all others are the most that is needed.
 var growthLimits = [rowCount]GrowthLimit{
-	ProcessorSeconds: {Factor: 1.4, Plus: 0.02, PerThousand: 0.03},
-	PeakMemory:       {Factor: 1.5, Plus: 8, PerThousand: 4},
-	Descriptors:      {Factor: 2, Plus: 40},
-	Connections:      {Factor: 2.5, Plus: 40},
-	ListKilobytes:    {Factor: 2, Plus: 64, PerThousand: 500},
+	ProcessorSeconds: {Factor: 1.4, Allowance: 0.02, PerThousand: 0.03},
+	PeakMemory:       {Factor: 1.5, Allowance: 8, PerThousand: 4},
+	Descriptors:      {Factor: 2, Allowance: 40},
+	Connections:      {Factor: 2.5, Allowance: 40},
+	ListKilobytes:    {Factor: 2, Allowance: 64, PerThousand: 500},
 	ShareServed:      {Factor: 0.85},
 }
 
 // Limit returns the limit of a row at a number of caches, by what was needed at the first size.
 func (r Metric) Limit(first float64, caches int) float64 {
 	growth := growthLimits[r]
-	return growth.Factor*first + growth.Plus + growth.PerThousand*float64(caches)/1000
+	return growth.Factor*first + growth.Allowance + growth.PerThousand*float64(caches)/1000
 }
 
 // Within reports whether a value keeps a limit of the row.
