--- a/cmd/dahliapin/scale_caches.go
+++ b/cmd/dahliapin/scale_caches.go
@@ -111,10 +111,10 @@
 	if o.plan.Program, err = os.Executable(); err != nil {
 		return nil, err
 	}
-	if o.plan.Folder, err = os.MkdirTemp("", "dahliapin-growth-"); err != nil {
+	if o.plan.Dir, err = os.MkdirTemp("", "dahliapin-growth-"); err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(o.plan.Folder)
+	defer os.RemoveAll(o.plan.Dir)
 	o.plan.Tell = progressLine()
 	return o.plan.Run(ctx, o.days, o.sizes)
 }
--- a/internal/scale/cachegrowth/play.go
+++ b/internal/scale/cachegrowth/play.go
@@ -20,7 +20,7 @@
 // Plan is what is measured.
 type Plan struct {
 	Program string  // the path of the program that has the command serve
-	Folder  string  // for the node's configuration, log and last list
+	Dir     string  // for the node's configuration, log and last list
 	Share   float64 // of a core that the node has
 	Rate    int     // requests per second
 	Nodes   int     // in the fleet, by the node's settings
@@ -89,7 +89,7 @@
 	if err := p.discovery.publish(append([]instance{origin}, p.caches.all()...)); err != nil {
 		return err
 	}
-	p.node = &nodeProcess{program: p.plan.Program, folder: p.plan.Folder, share: p.plan.Share}
+	p.node = &nodeProcess{program: p.plan.Program, folder: p.plan.Dir, share: p.plan.Share}
 	if err := p.node.configure(p.discovery.address, p.plan.Nodes); err != nil {
 		return err
 	}
