--- a/cmd/dahliapin/scale_caches.go
+++ b/cmd/dahliapin/scale_caches.go
@@ -115,6 +115,6 @@
 		return nil, err
 	}
 	defer os.RemoveAll(o.plan.Dir)
-	o.plan.Tell = progressLine()
+	o.plan.Progress = progressLine()
 	return o.plan.Run(ctx, o.days, o.sizes)
 }
--- a/internal/scale/cachegrowth/play.go
+++ b/internal/scale/cachegrowth/play.go
@@ -19,13 +19,13 @@
 
 // Plan is what is measured.
 type Plan struct {
-	Program string  // the path of the program that has the command serve
-	Dir     string  // for the node's configuration, log and last list
-	Share   float64 // of a core that the node has
-	Rate    int     // requests per second
-	Nodes   int     // in the fleet, by the node's settings
-	Length  time.Duration
-	Tell    func(line string) // progress; may be nil
+	Program  string  // the path of the program that has the command serve
+	Dir      string  // for the node's configuration, log and last list
+	Share    float64 // of a core that the node has
+	Rate     int     // requests per second
+	Nodes    int     // in the fleet, by the node's settings
+	Length   time.Duration
+	Progress func(line string) // progress; may be nil
 }
 
 // DayResult is what a node needed on one day at one size.
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -39,8 +39,8 @@
 func (plan *Plan) playJudged(ctx context.Context, day *Day, caches int) (*DayResult, error) {
 	var result *DayResult
 	for range maxPlays {
-		if plan.Tell != nil {
-			plan.Tell(fmt.Sprintf("%s, %d caches", day.Name, caches))
+		if plan.Progress != nil {
+			plan.Progress(fmt.Sprintf("%s, %d caches", day.Name, caches))
 		}
 		var err error
 		if result, err = plan.Play(ctx, day, caches); err != nil {
