--- a/cmd/dahliapin/scale_caches.go
+++ b/cmd/dahliapin/scale_caches.go
@@ -51,7 +51,7 @@
 	f := c.Flags()
 	f.IntSliceVar(&o.sizes, "caches", []int{200, 800, 3200}, "numbers of caches; the others are compared with the first")
 	f.StringSliceVar(&o.names, "days", nil, "days to run; all unless given")
-	f.DurationVar(&o.plan.Length, "for", 12*time.Second, "length of each day")
+	f.DurationVar(&o.plan.DayLength, "for", 12*time.Second, "length of each day")
 	f.Float64Var(&o.plan.Share, "share", 0.2, "share of a core that the node is held to")
 	f.IntVar(&o.plan.Rate, "rate", 120, "requests per second")
 	f.IntVar(&o.plan.Nodes, "nodes", 300, "nodes of the fleet, by the node's settings")
@@ -65,8 +65,8 @@
 		return badCall("--caches must be numbers of at least %d, in ascending order", minGrowthCaches)
 	case o.sizes[len(o.sizes)-1] > maxGrowthCaches:
 		return badCall("--caches has a number over %d", maxGrowthCaches)
-	case o.plan.Length < minDayLength || o.plan.Length > maxDayLength:
-		return badCall("--for %v is not from %v to %v", o.plan.Length, minDayLength, maxDayLength)
+	case o.plan.DayLength < minDayLength || o.plan.DayLength > maxDayLength:
+		return badCall("--for %v is not from %v to %v", o.plan.DayLength, minDayLength, maxDayLength)
 	case o.plan.Share <= 0 || o.plan.Share > 1:
 		return badCall("--share %v is not above 0 and at most 1", o.plan.Share)
 	case o.plan.Rate < 1 || o.plan.Rate > maxGrowthRate:
--- a/internal/scale/cachegrowth/play.go
+++ b/internal/scale/cachegrowth/play.go
@@ -19,13 +19,13 @@
 
 // Plan is what is measured.
 type Plan struct {
-	Program  string  // the path of the program that has the command serve
-	Dir      string  // for the node's configuration, log and last list
-	Share    float64 // of a core that the node has
-	Rate     int     // requests per second
-	Nodes    int     // in the fleet, by the node's settings
-	Length   time.Duration
-	Progress func(line string) // progress; may be nil
+	Program   string  // the path of the program that has the command serve
+	Dir       string  // for the node's configuration, log and last list
+	Share     float64 // of a core that the node has
+	Rate      int     // requests per second
+	Nodes     int     // in the fleet, by the node's settings
+	DayLength time.Duration
+	Progress  func(line string) // progress; may be nil
 }
 
 // DayResult is what a node needed on one day at one size.
@@ -60,7 +60,7 @@
 	clientsDone := make(chan struct{})
 	go func() {
 		defer close(clientsDone)
-		p.clients.run(plan.Length)
+		p.clients.run(plan.DayLength)
 	}()
 	err := p.runEvents(ctx, day)
 	<-clientsDone
@@ -124,7 +124,7 @@
 	began := time.Now()
 	for _, event := range day.events {
 		select {
-		case <-time.After(event.time(p.plan.Length) - time.Since(began)):
+		case <-time.After(event.time(p.plan.DayLength) - time.Since(began)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
