--- a/internal/scale/cachegrowth/play.go
+++ b/internal/scale/cachegrowth/play.go
@@ -49,8 +49,8 @@
 	clients   *clients
 }
 
-// Play plays one day with a number of caches. It returns an error if the node fails, or the day cannot be played.
-func (plan *Plan) Play(ctx context.Context, day *Day, caches int) (*DayResult, error) {
+// RunDay plays one day with a number of caches. It returns an error if the node fails, or the day cannot be played.
+func (plan *Plan) RunDay(ctx context.Context, day *Day, caches int) (*DayResult, error) {
 	p := &play{plan: plan}
 	defer p.close()
 	if err := p.prepare(caches); err != nil {
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -43,7 +43,7 @@
 			plan.Progress(fmt.Sprintf("%s, %d caches", day.Name, caches))
 		}
 		var err error
-		if result, err = plan.Play(ctx, day, caches); err != nil {
+		if result, err = plan.RunDay(ctx, day, caches); err != nil {
 			return nil, err
 		}
 		if !result.Busy {
