--- a/internal/control/controlserver/config.go
+++ b/internal/control/controlserver/config.go
@@ -18,7 +18,8 @@
 	raft.Storage
 	// Save makes everything that it is given durable before it returns without an error.
 	Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error
-	// SizeSinceSnapshot returns the number and total bytes of the raft entries from the last snapshot up to an index.
+	// SizeSinceSnapshot returns the number of entries after the last snapshot up to a raft index, and the size in bytes
+	// of the entries saved since that snapshot, also of those after the index.
 	SizeSinceSnapshot(applied uint64) (entries uint64, bytes int)
 	// Compact saves a snapshot and deletes the entries that it replaces. It returns without an error once the
 	// snapshot is on disk.
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -15,8 +15,8 @@
 	// catchUpBytes is how many bytes a node has to lack before its delivery is paced together with all others that
 	// catch up. It is more than a burst of purges.
 	catchUpBytes = 512 << 10
-	// deliveryWriteTimeout bounds the write of a frame to a node. It is longer than WriteTimeout, because a whole
-	// window of entries may be in flight.
+	// deliveryWriteTimeout bounds the write of a frame to a node. It is longer than WriteTimeout, because the write
+	// may have to wait until the node has read a whole window of entries.
 	deliveryWriteTimeout = 2 * controlwire.WriteTimeout
 )
 
@@ -129,14 +129,15 @@
 	}
 }
 
-// nextMessage returns the next message for the node, a start or entries, with the size of the entries, 0 for a
-// heartbeat, and how many bytes the node lacks.
+// nextMessage returns the next message for the node, the size of its entries (0 if it has none), and the size of all
+// entries that the node has not been sent. If the node has to start again but the starting point is not after what it
+// was sent, the message is a KindEntries without entries.
 func (d *delivery) nextMessage() (message controlwire.Message, size int, lacking uint64) {
 	hasLeader := d.server.loop.leadership.Load().hasLeader
 	log := d.server.sharedLog
 	log.mu.RLock()
 	defer log.mu.RUnlock()
-	last := d.checkLog(log.state)
+	last := d.checkRestart(log.state)
 	message = controlwire.Message{Kind: controlwire.KindEntries, HasLeader: hasLeader, Last: uint64(last)}
 	if !d.mustStart && d.sent < last {
 		lacking = log.state.Bytes(d.sent, last)
@@ -162,10 +163,11 @@
 	return message, size, lacking
 }
 
-// checkLog returns the index of the newest entry. A node that is fresh, or that followed an earlier log which was lost
-// with all disks, has to start again: otherwise it would skip the first entries of the new log, whose indexes it has
-// already passed. The caller holds the log's lock.
-func (d *delivery) checkLog(state *replicatedlog.State) (last replicatedlog.Index) {
+// checkRestart sets mustStart for a node that is fresh or followed another log, so that it starts at the newest entry.
+// After an earlier log was lost with all disks, the node would otherwise skip the first entries of the new log, whose
+// indexes it has already passed. It returns the index of the newest entry. While the log has no id, it clears
+// mustStart and returns 0. The caller holds the log's lock.
+func (d *delivery) checkRestart(state *replicatedlog.State) (last replicatedlog.Index) {
 	id := state.ID()
 	if id == 0 { // the log has no id yet: the node's entries may be of another log
 		d.mustStart = false
--- a/internal/control/controlserver/leaderduties.go
+++ b/internal/control/controlserver/leaderduties.go
@@ -23,19 +23,19 @@
 	if id == 0 {
 		l.proposeLogID()
 	}
-	hold := l.server.File.Bounds.Hold()
+	nodeGracePeriod := l.server.File.Bounds.Hold()
 	if time.Since(l.lastTrim) < trimInterval {
 		return
 	}
-	if time.Since(l.startedAt) < hold {
+	if time.Since(l.startedAt) < nodeGracePeriod {
 		// A node that has been unreachable since before this process started is not known here; its entries must not
 		// be trimmed.
 		return
 	}
 	l.lastTrim = time.Now()
-	upTo, known := l.server.status.appliedByAll(hold)
-	if l.server.purger != nil { // entries that a cache lacks are kept, within the log's bounds
-		if done, is := l.server.purger.DoneEverywhere(); is {
+	upTo, known := l.server.status.appliedByAll(nodeGracePeriod)
+	if l.server.purger != nil { // keeps what a listed cache with a cursor in this log lacks, within the log's bounds
+		if done, ok := l.server.purger.DoneEverywhere(); ok {
 			upTo = min(upTo, done)
 		}
 	}
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -233,8 +233,8 @@
 		requestedAt = l.queue.requestedAt
 	}
 	indexes := l.server.sharedLog.apply(batch, requestedAt)
-	l.queue.ordered(batch, indexes)
-	l.server.sharedLog.wakeReaders()
+	l.queue.removeOrdered(batch, indexes)
+	l.server.sharedLog.requestWakeUp()
 	return nil
 }
 
--- a/internal/control/controlserver/queue.go
+++ b/internal/control/controlserver/queue.go
@@ -156,8 +156,8 @@
 	return pending.requestedAt, true
 }
 
-// ordered removes a batch's proposals, and completes the calls that have no others left.
-func (q *proposalQueue) ordered(batch replicatedlog.Batch, indexes []replicatedlog.Index) {
+// removeOrdered removes a batch's proposals, and completes the calls that have no others left.
+func (q *proposalQueue) removeOrdered(batch replicatedlog.Batch, indexes []replicatedlog.Index) {
 	for i, p := range batch.Proposals {
 		pending := q.pending[p.ID]
 		if pending == nil {
--- a/internal/control/controlserver/queue_test.go
+++ b/internal/control/controlserver/queue_test.go
@@ -33,11 +33,11 @@
 	if added := q.add(second); len(added) != 0 {
 		t.Errorf("repeated call: %d proposals added, want 0", len(added))
 	}
-	q.ordered(replicatedlog.Batch{Proposals: proposals[:1]}, []replicatedlog.Index{5})
+	q.removeOrdered(replicatedlog.Batch{Proposals: proposals[:1]}, []replicatedlog.Index{5})
 	if isDone(first) || isDone(second) {
 		t.Error("call done before all its proposals are ordered")
 	}
-	q.ordered(replicatedlog.Batch{Proposals: proposals[1:]}, []replicatedlog.Index{6})
+	q.removeOrdered(replicatedlog.Batch{Proposals: proposals[1:]}, []replicatedlog.Index{6})
 	for _, call := range []*publishCall{first, second} {
 		if !isDone(call) || call.failure != "" || call.indexes[0] != 5 || call.indexes[1] != 6 {
 			t.Errorf("done %t, %q, indexes %v", isDone(call), call.failure, call.indexes)
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -114,7 +114,7 @@
 		}
 	}
 	s.goroutines.Go(s.loop.run)
-	s.goroutines.Go(func() { s.sharedLog.notify(s.closed) })
+	s.goroutines.Go(func() { s.sharedLog.wakeReaders(s.closed) })
 	s.goroutines.Go(func() {
 		s.accept(s.clientListener, s.File.Bounds.Followers+maxClients, controlwire.MaxFrameBytes, s.serveClient)
 	})
--- a/internal/control/controlserver/sharedlog.go
+++ b/internal/control/controlserver/sharedlog.go
@@ -18,8 +18,8 @@
 	// deliveryInterval is the minimum time between two wake-ups of the deliveries. Entries that arrive meanwhile are
 	// sent together.
 	deliveryInterval = 20 * time.Millisecond
-	// maxRequestTimes is how many entries' request times are kept: as many as may wait to be ordered. The times are
-	// needed during the longest cache fill, in which far fewer entries are published.
+	// maxRequestTimes is the number of entries whose request times are kept. It equals maxPending, and is far above the
+	// number of entries published during the longest cache fill, for which the times are needed.
 	maxRequestTimes = 16_384
 )
 
@@ -71,7 +71,7 @@
 	l.mu.Lock()
 	l.state = state
 	l.mu.Unlock()
-	l.wakeReaders()
+	l.requestWakeUp()
 	return nil
 }
 
@@ -96,9 +96,9 @@
 	requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool),
 ) {
 	for i, p := range batch.Proposals {
-		at, is := requestedAt(p.ID)
+		at, ok := requestedAt(p.ID)
 		n := len(l.requestTimes)
-		if is && (n == 0 || l.requestTimes[n-1].index < indexes[i]) { // not for a proposal that already had its index
+		if ok && (n == 0 || l.requestTimes[n-1].index < indexes[i]) { // not for a proposal that already had its index
 			l.requestTimes = append(l.requestTimes, requestTime{index: indexes[i], at: at})
 		}
 	}
@@ -143,10 +143,10 @@
 func (l *sharedLog) RequestedAt(index replicatedlog.Index) (monotime.Instant, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	n, is := slices.BinarySearchFunc(l.requestTimes, index, func(r requestTime, index replicatedlog.Index) int {
+	n, ok := slices.BinarySearchFunc(l.requestTimes, index, func(r requestTime, index replicatedlog.Index) int {
 		return cmp.Compare(r.index, index)
 	})
-	if !is {
+	if !ok {
 		return 0, false
 	}
 	return l.requestTimes[n].at, true
@@ -156,15 +156,16 @@
 // otherwise they could miss a change.
 func (l *sharedLog) Changed() <-chan struct{} { return *l.changed.Load() }
 
-func (l *sharedLog) wakeReaders() {
+// requestWakeUp makes wakeReaders wake the readers.
+func (l *sharedLog) requestWakeUp() {
 	select {
 	case l.dirty <- struct{}{}:
 	default:
 	}
 }
 
-// notify wakes readers, at most once per deliveryInterval.
-func (l *sharedLog) notify(closed <-chan struct{}) {
+// wakeReaders wakes the readers after calls of requestWakeUp, at most once per deliveryInterval, until closed.
+func (l *sharedLog) wakeReaders(closed <-chan struct{}) {
 	for {
 		select {
 		case <-l.dirty:
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -50,11 +50,11 @@
 func (t *statusTable) noteNode(report controlwire.NodeReport, seenAt monotime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, is := t.nodes[report.Node]
-	if is && known.seenAt > seenAt {
+	known, ok := t.nodes[report.Node]
+	if ok && known.seenAt > seenAt {
 		return
 	}
-	if !is && len(t.nodes) >= controlwire.MaxNodes && !t.forgetSilentNodes() {
+	if !ok && len(t.nodes) >= controlwire.MaxNodes && !t.forgetSilentNodes() {
 		return
 	}
 	t.nodes[report.Node] = nodeRecord{NodeReport: report, seenAt: seenAt}
