--- a/internal/control/replicatedlog/applier.go
+++ b/internal/control/replicatedlog/applier.go
@@ -27,8 +27,8 @@
 	Log            LogID // the log that the node started with
 	Applied        Index
 	Config         Index  // the configuration in force; 0 for the node's own
-	Refused        Index  // the latest rejected configuration; 0 if none was rejected since the one in force
-	Reason         string // why it was rejected
+	Refused        Index  // the latest refused configuration; 0 if none was refused since the one in force
+	Reason         string // why it was refused
 	PresumedPurged Index  // any key may have been purged up to this index
 	Purges         uint64 // purges applied
 	Unknown        uint64 // entries skipped because this version does not know their kind
--- a/internal/control/replicatedlog/state.go
+++ b/internal/control/replicatedlog/state.go
@@ -14,7 +14,7 @@
 type Bounds struct {
 	Entries    int // maximum number of entries
 	Bytes      int // maximum size of the encoded entries; one entry is always kept
-	MinEntries int // kept even if all nodes have applied them, for a node that is currently not known
+	MinEntries int // newest entries that trimTo keeps, for nodes whose progress is unknown
 }
 
 // DefaultBounds keeps more than an hour of purges at the fleet's rate.
@@ -23,23 +23,23 @@
 // keptEntry is an entry in the log, encoded once for all nodes that receive it.
 type keptEntry struct {
 	Entry
-	encoded cbor.RawMessage
-	endByte uint64 // encoded size of all entries up to and including this one, since the state was created
+	encoded         cbor.RawMessage
+	cumulativeBytes uint64 // encoded size of all entries up to and including this one, since the state was created
 }
 
 // State is a control server's copy of the log. It is not safe for concurrent use. Only Apply changes it.
 type State struct {
-	bounds       Bounds
-	id           LogID
-	last         Index                // index of the newest entry; 0 for none
-	floor        Index                // entries up to this index are no longer kept
-	floorEndByte uint64               // endByte of the entry at the floor
-	tail         []keptEntry          // the entries after the floor
-	base         *keptEntry           // the latest configuration up to the floor; nil for none
-	config       *keptEntry           // the latest configuration; nil for none
-	recentIDs    []ProposalID         // proposal ids of the last entries, at most DedupWindow, newest last
-	indexes      map[ProposalID]Index // index of each id in recentIDs
-	repeated     uint64               // number of proposals that already had an index
+	bounds               Bounds
+	id                   LogID
+	last                 Index                // index of the newest entry; 0 for none
+	floor                Index                // entries up to this index are no longer kept
+	floorCumulativeBytes uint64               // cumulativeBytes of the entry at the floor
+	tail                 []keptEntry          // the entries after the floor
+	base                 *keptEntry           // the latest configuration up to the floor; nil for none
+	config               *keptEntry           // the latest configuration; nil for none
+	recentIDs            []ProposalID         // proposal ids of the last entries, at most DedupWindow, newest last
+	indexes              map[ProposalID]Index // index of each id in recentIDs
+	repeated             uint64               // number of proposals that already had an index
 }
 
 // New returns an empty log.
@@ -102,7 +102,7 @@
 // keep appends the next entry to the tail.
 func (s *State) keep(e Entry) {
 	encoded := encodeEntry(e)
-	kept := keptEntry{Entry: e, encoded: encoded, endByte: s.endByte() + uint64(len(encoded))}
+	kept := keptEntry{Entry: e, encoded: encoded, cumulativeBytes: s.totalBytes() + uint64(len(encoded))}
 	s.tail = append(s.tail, kept)
 	if e.Kind == Config {
 		s.config = &kept
@@ -130,7 +130,7 @@
 // tailBytes returns the encoded size of the tail without its first entries.
 func (s *State) tailBytes(without int) uint64 {
 	first := s.tail[without]
-	return s.endByte() - first.endByte + uint64(len(first.encoded))
+	return s.totalBytes() - first.cumulativeBytes + uint64(len(first.encoded))
 }
 
 // drop removes the n oldest entries, and keeps the latest configuration among them as the base.
@@ -145,31 +145,31 @@
 		}
 	}
 	s.floor = s.tail[n-1].Index
-	s.floorEndByte = s.tail[n-1].endByte
+	s.floorCumulativeBytes = s.tail[n-1].cumulativeBytes
 	clear(s.tail[:n]) // otherwise their bodies stay reachable until the slice is reallocated
 	s.tail = s.tail[n:]
 }
 
-// endByte returns the encoded size of all entries since the state was created.
-func (s *State) endByte() uint64 {
+// totalBytes returns the encoded size of all entries since the state was created.
+func (s *State) totalBytes() uint64 {
 	if len(s.tail) == 0 {
-		return s.floorEndByte
+		return s.floorCumulativeBytes
 	}
-	return s.tail[len(s.tail)-1].endByte
+	return s.tail[len(s.tail)-1].cumulativeBytes
 }
 
-// endByteAt returns the encoded size of the entries up to an index.
-func (s *State) endByteAt(index Index) uint64 {
+// bytesUpTo returns the encoded size of the entries up to an index.
+func (s *State) bytesUpTo(index Index) uint64 {
 	if index <= s.floor || len(s.tail) == 0 {
-		return s.floorEndByte
+		return s.floorCumulativeBytes
 	}
-	return s.tail[min(int(index-s.floor), len(s.tail))-1].endByte
+	return s.tail[min(int(index-s.floor), len(s.tail))-1].cumulativeBytes
 }
 
 // Bytes returns the encoded size of the kept entries after one index and up to another.
 func (s *State) Bytes(after, upTo Index) uint64 {
-	start := s.endByteAt(after)
-	end := s.endByteAt(upTo)
+	start := s.bytesUpTo(after)
+	end := s.bytesUpTo(upTo)
 	return end - min(start, end)
 }
 
--- a/internal/control/replicatedlog/store/load.go
+++ b/internal/control/replicatedlog/store/load.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// All servers of a new log start with the same empty snapshot, at this Raft index and term. It lets them agree on the
-// members without a first entry.
+// All servers of a new log start with the same empty snapshot, at this Raft index and term. The snapshot
+// names the members, so that no Raft entry is needed to add them.
 const (
 	firstIndex = 1
 	firstTerm  = 1
@@ -65,7 +65,7 @@
 func checkOwner(tx *bbolt.Tx, owner Owner) error {
 	own := ownerText(owner)
 	if found := tx.Bucket(bucketMeta).Get(keyOwner); !bytes.Equal(found, own) {
-		return fmt.Errorf("file belongs to %q, this machine is %q", found, own)
+		return fmt.Errorf("file belongs to control server %q, this control server is %q", found, own)
 	}
 	return nil
 }
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -166,8 +166,9 @@
 	return s.MemoryStorage.Append(entries)
 }
 
-// SizeSinceSnapshot returns the number of entries up to a Raft index, and the size of all entries, since the last
-// snapshot.
+// SizeSinceSnapshot returns the number of entries after the last snapshot up to a Raft index, and the size in bytes of
+// the entries saved since that snapshot, also of those after the index. The size after Open is that of all entries
+// after the snapshot.
 func (s *Store) SizeSinceSnapshot(applied uint64) (entries uint64, bytes int) {
 	return applied - min(applied, s.snapshotIndex), s.bytesSinceSnapshot
 }
--- a/internal/control/replicatedlog/store/store_test.go
+++ b/internal/control/replicatedlog/store/store_test.go
@@ -125,7 +125,7 @@
 	mustSucceed(t, s.Close())
 	for _, other := range []Owner{{ID: 2, Label: "l"}, {ID: 1, Label: "m"}} {
 		_, err := Open(dir, other, []uint64{1}, nil, true)
-		if err == nil || !strings.Contains(err.Error(), "this machine is") {
+		if err == nil || !strings.Contains(err.Error(), "this control server is") {
 			t.Errorf("owner %v: %v", other, err)
 		}
 	}
