--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -49,7 +49,7 @@
 	confirmingSent replicatedlog.Index // ConfirmingDelete was sent up to here
 	quickSkipped   replicatedlog.Index // QuickDelete was omitted up to here, since ConfirmingDelete was already due
 	inFlight       []inFlightCommand   // in the order of sending, at most MaxInFlight
-	paceTime       monotime.Instant    // theoretical arrival time of the next command, used for pacing
+	paceTime       monotime.Instant    // moved on by CommandInterval with each command, see paced
 	flush          flushProgress
 	failures       int // consecutive connections that ended without an answer
 }
@@ -86,7 +86,8 @@
 	return c.cursor.Done
 }
 
-// QuickDeleted returns the index up to which each key was deleted at least once.
+// QuickDeleted returns the index up to which each key was deleted at least once. Until the purges whose quick delete
+// was omitted are done, only the purges up to the cursor count.
 func (c *Cache) QuickDeleted() replicatedlog.Index {
 	if c.done() < c.quickSkipped {
 		return c.done()
@@ -127,8 +128,8 @@
 //
 // If the process is a later one, purges may have been carried out at the previous process after the later one was
 // started, and fills of old values may still reach the later one. The cursor therefore falls back to
-// Cursor.SafeAfterRestart. That index rises while the list names the same process: it covers purges that arrived so
-// early that all fills of older values are over, even if the list lags.
+// Cursor.SafeAfterRestart. While the list names the same process, that index is raised to the newest purge that arrived
+// at least maxListLag plus LongestFill ago: all fills of values from before it are over, even if the list lags.
 func (c *Cache) OnListed(now monotime.Instant, started Incarnation, arrivals *ArrivalTimes) {
 	if started < c.cursor.Started { // an older list, or a clock set back: purges were done at the later process
 		return
@@ -152,7 +153,7 @@
 		c.confirmingSent = c.done()
 		c.quickSkipped = 0
 	}
-	c.OnDisconnect(now, 0) // commands in flight went to the previous process
+	c.OnDisconnect(now, 0) // drops the commands in flight, which went to the previous process
 	c.flush.firstAnswered = false
 	c.failures = 0
 }
@@ -165,13 +166,13 @@
 	}
 	further := other.Log == c.cursor.Log && other.Done > c.cursor.Done
 	if c.cursor.Log == 0 || further {
-		c.advance(other.Log, other.Done)
+		c.setCursor(other.Log, other.Done)
 	}
 }
 
-// advance moves the cursor forward, or to another log.
-func (c *Cache) advance(log replicatedlog.LogID, done replicatedlog.Index) {
-	c.useLog(log)
+// setCursor sets the cursor to an index, which is further on or in another log. It also switches to the log.
+func (c *Cache) setCursor(log replicatedlog.LogID, done replicatedlog.Index) {
+	c.switchLog(log)
 	c.cursor = Cursor{
 		Log:              log,
 		Started:          c.cursor.Started,
@@ -183,8 +184,8 @@
 	c.confirmingSent = max(c.confirmingSent, done)
 }
 
-// useLog switches to a log. If it differs from the previous one, nothing was sent or answered in it yet.
-func (c *Cache) useLog(log replicatedlog.LogID) {
+// switchLog switches to a log. If it differs from the previous one, nothing was sent or answered in it yet.
+func (c *Cache) switchLog(log replicatedlog.LogID) {
 	if log == c.logID {
 		return
 	}
--- a/internal/control/purge/flushlimiter.go
+++ b/internal/control/purge/flushlimiter.go
@@ -12,7 +12,8 @@
 	next     monotime.Instant
 }
 
-// allow takes the current slot and returns true, or returns false and the time of the next slot.
+// allow reports whether a first flush may be sent now, and if so bars the next one for Interval. Otherwise it returns
+// when one is allowed.
 func (l *FlushLimiter) allow(now monotime.Instant) (allowed bool, at monotime.Instant) {
 	if now < l.next {
 		return false, l.next
--- a/internal/control/purge/helpers_test.go
+++ b/internal/control/purge/helpers_test.go
@@ -104,6 +104,6 @@
 
 // forceCursor sets a cursor without answers for it, for the broken variants.
 func (b *bench) forceCursor(to Cursor) {
-	b.advance(to.Log, to.Done)
+	b.setCursor(to.Log, to.Done)
 	b.cursor = to
 }
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -17,16 +17,16 @@
 	pacedBatchSize = 16
 	// peerCursorWait is how long other control servers get to report their cursors of a cache before it is flushed.
 	peerCursorWait = 5 * time.Second
-	// flushRetryDelay is the delay after an unanswered flush, so that a cache that hangs does not use up the flush
-	// slots of other caches.
+	// flushRetryDelay is the delay after an unanswered flush, so that a cache that hangs does not use up the flushes
+	// that FlushLimiter allows to other caches.
 	flushRetryDelay = 30 * time.Second
 )
 
 // NextCommand returns the next command to send. If none is due, it returns false and the time to ask again; a time of 0
 // means after the next entry or answer.
 //
-// It also switches to the current log (useLog, adoptLog) and skips entries that need no command (skip). Both may move
-// the cursor, even if no command is returned.
+// It also switches to the current log, for which startAtBeginning may set the cursor, and skips entries that need no
+// command, which may move the cursor. Both happen even if no command is returned.
 func (c *Cache) NextCommand(
 	now monotime.Instant, log Log, arrivals *ArrivalTimes, limiter *FlushLimiter,
 ) (command Command, ready bool, askAgain monotime.Instant) {
@@ -34,7 +34,7 @@
 	if id == 0 || arrivals.logID != id {
 		return Command{}, false, 0
 	}
-	c.useLog(id)
+	c.switchLog(id)
 	if len(c.inFlight) > 0 {
 		askAgain = c.inFlight[0].sentAt.Add(AnswerTimeout)
 	}
@@ -56,7 +56,7 @@
 		}
 	} else {
 		c.flush.firstAnswered = false
-		c.adoptLog(id)
+		c.startAtBeginning(id)
 	}
 	if command, ready := c.nextQuickDelete(now, log, arrivals); ready {
 		return command, true, 0
@@ -71,15 +71,16 @@
 	return Command{}, false, earlierOf(askAgain, at)
 }
 
-// adoptLog sets the cursor of a cache without one to the start of the log, all of whose entries are still kept.
-func (c *Cache) adoptLog(id replicatedlog.LogID) {
+// startAtBeginning sets the cursor of a cache without one to the start of the log, all of whose entries are still kept.
+func (c *Cache) startAtBeginning(id replicatedlog.LogID) {
 	if c.cursor.Log == 0 {
-		c.advance(id, 0)
+		c.setCursor(id, 0)
 	}
 }
 
-// paced reports whether pacing allows a command now, or else when it allows the next ones. It is a leaky bucket of
-// MaxBurst commands, implemented by the theoretical arrival time of the next command.
+// paced reports whether pacing allows a command now. Each command moves paceTime on by CommandInterval, from now at the
+// earliest. A command is allowed while paceTime is at most MaxBurst-1 intervals ahead of now. Otherwise the time
+// returned is the one from which pacedBatchSize commands are allowed.
 func (c *Cache) paced(now monotime.Instant) (allowed bool, at monotime.Instant) {
 	c.paceTime = max(c.paceTime, now)
 	if c.paceTime <= now.Add((MaxBurst-1)*c.CommandInterval) {
@@ -114,15 +115,15 @@
 	return c.send(now, Command{Kind: Flush, Index: last}), true, 0
 }
 
-// nextQuickDelete returns the first delete of the next new purge. It leaves out purges whose confirming delete is
-// already due, as happens after the cache was unreachable for a while.
+// nextQuickDelete returns the quick delete of the next purge that has had none. Purges whose confirming delete is due
+// get only that, as happens after the cache was unreachable for a while.
 func (c *Cache) nextQuickDelete(now monotime.Instant, log Log, arrivals *ArrivalTimes) (Command, bool) {
-	confirmable := arrivals.NewestAt(now.Add(-c.LongestFill)) // fills from before these entries are over
+	dueUpTo := arrivals.NewestAt(now.Add(-c.LongestFill)) // the newest entry whose confirming delete is due
 	sent := max(c.quickSent, c.done())
-	if confirmable > sent && !c.flush.firstAnswered {
-		c.quickSkipped = confirmable
+	if dueUpTo > sent && !c.flush.firstAnswered {
+		c.quickSkipped = dueUpTo
 	}
-	for index := max(sent, confirmable) + 1; index <= arrivals.Last(); index++ {
+	for index := max(sent, dueUpTo) + 1; index <= arrivals.Last(); index++ {
 		entry, kept := log.Entry(index)
 		if !kept {
 			break
@@ -161,8 +162,8 @@
 	return Command{}, false, 0
 }
 
-// publishedBefore returns a time by which an entry had been published: when this server was asked to order it, which
-// saves the time that ordering took, or else when the entry arrived.
+// publishedBefore returns a time by which an entry had been published: the time when this server was asked to order it
+// if that is known, since it is earlier, or else the time of its arrival.
 func publishedBefore(index replicatedlog.Index, log Log, arrivals *ArrivalTimes) monotime.Instant {
 	at, _ := arrivals.KnownAt(index)
 	if requestedAt, ok := log.RequestedAt(index); ok {
@@ -240,7 +241,7 @@
 			// The purges covered by the first flush are done, and so are those that arrived at least LongestFill before
 			// the second flush was sent.
 			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.LongestFill))
-			c.advance(id, max(c.flush.upTo, fillsOver))
+			c.setCursor(id, max(c.flush.upTo, fillsOver))
 		}
 		c.flush.firstAnswered = false
 	}
