--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -22,7 +22,7 @@
 
 var (
 	errAnswerTimeout = errors.New("no answer in time")
-	errUnlisted      = errors.New("it left the list")
+	errStopped       = errors.New("it left the list")
 	errBadAnswer     = errors.New("an answer that is none to what was sent")
 )
 
@@ -120,7 +120,7 @@
 		case err := <-broken:
 			return err
 		case <-stop:
-			return errUnlisted
+			return errStopped
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.stop != stop {
-		return dueCommands{}, errUnlisted
+		return dueCommands{}, errStopped
 	}
 	now := p.Now()
 	if c.AnswerOverdue(now) {
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -205,7 +205,7 @@
 		// cursor on disk are repeated after a restart.
 		if (err != nil) != failed {
 			failed = err != nil
-			p.Logger.WithError(err).Warn("purger: saving cache cursors began to fail or recovered; saving continues")
+			p.Logger.WithError(err).Warn("purger: saving cache cursors began to fail or works again; tried every second")
 		}
 		if err == nil {
 			p.markSaved(changed)
