--- a/internal/control/logfollower/follower.go
+++ b/internal/control/logfollower/follower.go
@@ -19,10 +19,12 @@
 	// leaderlessTimeout is how long a server may report that it has no leader before the node leaves it. It is longer
 	// than an election takes.
 	leaderlessTimeout = 2 * time.Second
-	// maxLeaderlessTimeout bounds that time while no server has a leader. The time doubles with each such server, so
-	// that the nodes of a fleet without a quorum do not reconnect all the time.
+	// maxLeaderlessTimeout bounds the time while no server has a leader. The time starts at leaderlessTimeout and
+	// doubles with each stream to a server without a leader, so that the nodes of a fleet without a quorum do not
+	// reconnect all the time.
 	maxLeaderlessTimeout = 30 * time.Second
-	// firstReconnectDelay is the backoff before the second server is tried.
+	// firstReconnectDelay is the base of the exponential backoff before each reconnect, see
+	// controlwire.ReconnectDelay.
 	firstReconnectDelay = 100 * time.Millisecond
 )
 
@@ -88,8 +90,10 @@
 func (f *Follower) run() {
 	defer close(f.done)
 	leaderlessLimit := leaderlessTimeout
-	next := 0     // position in order
-	failures := 0 // consecutive streams without a leader; the stream that just ended always counts
+	next := 0 // position in order
+	// failures counts the connections since the last one that had a leader, which counts too. The others failed or had
+	// no leader.
+	failures := 0
 	for {
 		if failures > 0 {
 			delay := controlwire.ReconnectDelay(firstReconnectDelay, failures, f.random.Float64())
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -63,5 +63,5 @@
 		"heard_s": status.SinceLeaderS,
 		"applied": status.Applied,
 		"config":  status.Config,
-	}).Warn("staleness of the replicated log changed; the last configuration stays in force")
+	}).Warn("the replicated log became stale or current again; while it is stale, the last configuration stays in force")
 }
--- a/internal/control/logfollower/stream.go
+++ b/internal/control/logfollower/stream.go
@@ -81,13 +81,14 @@
 	return err
 }
 
-// sendReports reports progress when it has changed, on reportNow, and after idleReportInterval. It returns once stop is
-// closed. When the Follower is closed it closes the stream, which unblocks the reading goroutine.
+// sendReports checks each ProgressInterval and on reportNow whether progress has changed. It reports progress that has
+// changed, or that has not been reported for about idleReportInterval. It returns once stop is closed. When the
+// Follower is closed it closes the stream, which unblocks the reading goroutine.
 func (f *Follower) sendReports(stream *controlwire.Stream, stop, reportNow chan struct{}) {
 	ticker := time.NewTicker(controlwire.ProgressInterval)
 	defer ticker.Stop()
 	var last replicatedlog.Progress
-	unchanged := 0 // wake-ups since the last report
+	unchanged := 0 // wake-ups since the last report, each taken for a ProgressInterval
 	for {
 		select {
 		case <-ticker.C:
