--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -16,7 +16,7 @@
 	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
 }
 
-// CaughtUp reports whether NodesCaughtUp holds and every purge is done at every cache, of which a list is known.
+// CaughtUp reports whether NodesCaughtUp holds, a list of caches is known, and every purge is done at each of them.
 func (o Overview) CaughtUp() bool {
 	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
 	return !o.NoCacheList && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
@@ -38,13 +38,13 @@
 	Applied        replicatedlog.Index `json:"applied"`
 	Missing        uint64              `json:"lacks"`              // entries up to the newest
 	Config         replicatedlog.Index `json:"config"`             // the configuration in force; 0 for the node's own
-	Refused        replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it rejected
-	Reason         string              `json:"reason,omitempty"`   // why it was rejected
+	Refused        replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it refused
+	Reason         string              `json:"reason,omitempty"`   // why it was refused
 	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
 	Gaps           uint64              `json:"gaps,omitempty"`     // times that entries did not follow the applied ones
 	Server         uint64              `json:"machine"`            // id of the control server that it follows
 	LastSeenS      float64             `json:"heard_s"`            // seconds since it reported
-	Silent         bool                `json:"silent,omitempty"`   // that is longer than controlwire.NodeTimeout
+	Silent         bool                `json:"silent,omitempty"`   // LastSeenS is over controlwire.NodeTimeout
 	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
 }
 
@@ -60,22 +60,22 @@
 	Floor       replicatedlog.Index `json:"floor"`            // entries up to here are no longer kept
 	Config      replicatedlog.Index `json:"config"`           // newest configuration
 	LastSeenS   float64             `json:"heard_s"`          // seconds since its report reached the server that answered
-	Silent      bool                `json:"silent,omitempty"` // that is longer than controlwire.NodeTimeout
+	Silent      bool                `json:"silent,omitempty"` // never seen, or LastSeenS is over controlwire.NodeTimeout
 	BytesIn     uint64              `json:"bytes_in"`
 	BytesOut    uint64              `json:"bytes_out"`
 	Invalid     uint64              `json:"foreign"`           // malformed streams and messages, and messages for others
 	Rejected    uint64              `json:"turned_away"`       // streams closed because too many were open
 	RunsPurges  bool                `json:"purges,omitempty"`  // it carries purges out at caches
-	NoCacheList bool                `json:"no_list,omitempty"` // and has no list of caches yet
+	NoCacheList bool                `json:"no_list,omitempty"` // it runs purges but has no list of caches yet
 }
 
 // CacheStatus is the progress of purges at a cache. A purge is done once any control server has done it.
 type CacheStatus struct {
 	Cache        string              `json:"cache"`
 	Done         replicatedlog.Index `json:"done"`               // purges up to here are done
-	QuickDeleted replicatedlog.Index `json:"first"`              // and up to here were deleted at least once
+	QuickDeleted replicatedlog.Index `json:"first"`              // each key up to here was deleted at least once
 	Missing      uint64              `json:"lacks"`              // entries up to the newest
-	Overdue      uint64              `json:"late"`               // those of them that should be done by now
+	Overdue      uint64              `json:"late"`               // missing entries that should be done by now
 	Flushing     bool                `json:"flushing,omitempty"` // missing entries are no longer kept: it must be flushed
 	Servers      []CacheProgress     `json:"machines"`           // by control server
 }
@@ -85,7 +85,7 @@
 	Server      uint64              `json:"machine"` // id of the control server
 	Done        replicatedlog.Index `json:"done"`
 	Overdue     uint64              `json:"late"`             // entries that should be done by now
-	UnansweredS float64             `json:"quiet_s"`          // seconds since the cache answered, where it was to
+	UnansweredS float64             `json:"quiet_s"`          // since the last answer, if one is due or it disconnected
 	Reason      string              `json:"reason,omitempty"` // why the last connection ended
 	LastSeenS   float64             `json:"heard_s"`          // seconds since the server reported
 	Silent      bool                `json:"silent,omitempty"` // the server is silent
--- a/internal/control/controlclient/publish.go
+++ b/internal/control/controlclient/publish.go
@@ -13,8 +13,7 @@
 const (
 	// nextServerDelay is how long to wait for an answer before the next server is asked as well.
 	nextServerDelay = time.Second
-	// retryDelay is the delay before the servers are tried again after each has been asked and the last answer was an
-	// error, for example during an election.
+	// retryDelay is the wait after an error once all servers have been asked in turn, for example during an election.
 	retryDelay = 200 * time.Millisecond
 	// maxParallelRequests bounds the requests that are in flight for one batch.
 	maxParallelRequests = 4
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -24,9 +24,9 @@
 	for _, report := range table.Servers {
 		overview.Servers = append(overview.Servers, serverStatus(report))
 	}
-	responsive, unlisted := responsiveServers(table.Servers)
+	responsive, noCacheList := responsiveServers(table.Servers)
 	overview.Caches = cacheStatuses(table, responsive)
-	overview.NoCacheList = unlisted
+	overview.NoCacheList = noCacheList
 	return overview
 }
 
@@ -76,7 +76,7 @@
 
 // responsiveServers returns which servers are not silent, and whether servers run purges at caches while none of the
 // responsive ones has a list of caches.
-func responsiveServers(servers []controlwire.ServerReport) (responsive map[uint64]bool, unlisted bool) {
+func responsiveServers(servers []controlwire.ServerReport) (responsive map[uint64]bool, noCacheList bool) {
 	responsive = map[uint64]bool{}
 	runsPurges := false
 	hasList := false
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -72,7 +72,7 @@
 	Process        uint64 `cbor:"2,keyasint,omitempty"` // a random number for each process of the node
 	Applied        uint64 `cbor:"3,keyasint"`
 	Config         uint64 `cbor:"4,keyasint,omitempty"`  // index of the configuration in force; 0 for the node's own
-	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of a configuration that it rejected; 0 for none
+	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of a configuration that it refused; 0 for none
 	PresumedPurged uint64 `cbor:"6,keyasint,omitempty"`  // everything up to here may have been purged
 	Gaps           uint64 `cbor:"7,keyasint,omitempty"`  // times that entries did not follow the applied ones
 	Reason         string `cbor:"8,keyasint,omitempty"`  // why a configuration was refused
