--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// admissionWindow is the number of attempts that an admission controller starts with and keeps at least. With
-	// fewer, random losses would look like a congestion collapse. It counts attempts rather than time, so that a node
-	// with few requests detects overload after as many attempts as one with hundreds.
+	// admissionWindow is the count of attempts that an admission controller starts with; decay never brings the count
+	// below it. With fewer, random losses would look like a congestion collapse. It counts attempts rather than time,
+	// so that a node with few requests detects overload after as many attempts as one with hundreds.
 	admissionWindow = 10.0
 	// maxOfferedPerUseful is how many attempts may be offered for each useful one before requests are shed. The margin
 	// tolerates a few random failures.
@@ -38,17 +38,17 @@
 type admission struct {
 	settings    *Settings
 	rng         *keyhash.Source
-	controllers [scopeCount]admissionController // homeZone, otherZones
+	controllers [cacheScopeCount]admissionController // homeZone, otherZones
 	// meanShedPreference is the smoothed mean of the shed preference of requests.
 	meanShedPreference float64
 }
 
 func newAdmission(settings *Settings, rng *keyhash.Source) admission {
-	open := admissionController{offered: admissionWindow, useful: admissionWindow}
+	initial := admissionController{offered: admissionWindow, useful: admissionWindow}
 	return admission{
 		settings:           settings,
 		rng:                rng,
-		controllers:        [scopeCount]admissionController{open, open},
+		controllers:        [cacheScopeCount]admissionController{initial, initial},
 		meanShedPreference: 1,
 	}
 }
@@ -69,7 +69,7 @@
 	tolerated := maxOfferedPerUseful
 	if zoneLocal && scope == homeZone {
 		// Load beyond the home zone's capacity is offered to other zones at the cross-zone cost, so no excess is
-		// tolerated here.
+		// tolerated here: with this value, the excess is positive as soon as offered exceeds useful.
 		tolerated = 1 - minAdmittedShare
 	}
 	excess := (1-minAdmittedShare)*controller.offered - tolerated*controller.useful
@@ -95,8 +95,8 @@
 	a.controllers[scope].useful += useful
 }
 
-// lostShare returns the fraction of the load offered to a scope's caches that was not useful.
-func (a *admission) lostShare(scope placementScope) float64 {
+// notUsefulShare returns the fraction of the load offered to a scope's caches that was not useful.
+func (a *admission) notUsefulShare(scope placementScope) float64 {
 	controller := &a.controllers[scope]
 	return max(0, controller.offered-controller.useful) / max(1, controller.offered)
 }
--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -15,12 +15,13 @@
 type coalescer struct {
 	leaders map[uint64]*Request // by key hash
 	waiters []*Request
-	// demandCutoff is the smoothed demand for the most requested key that was not served. A request for a key with less
-	// demand may be rejected instead of waiting.
+	// demandCutoff is the smoothed demand, over calls of wake, for the key with the highest demand among the waiters
+	// that could fetch but found no capacity. A request for a key with less demand may be rejected instead of waiting.
 	demandCutoff float64
 }
 
-// mayFetch reports whether a request may go to the origin itself because it has no other request's fetch to wait for.
+// mayFetch reports whether a request may go to the origin itself: it is a write, or no other unfinished request fetches
+// its key.
 func (c *coalescer) mayFetch(r *Request) bool {
 	leader := c.leaders[r.state.key]
 	return r.Write || leader == nil || leader == r || leader.Finished
@@ -60,7 +61,7 @@
 }
 
 // takeCachedAt returns and clears the cache into which another request's fetch has put the value that a request waits
-// for. If that cache cannot take the request, the request goes to the origin as before.
+// for.
 func (c *coalescer) takeCachedAt(r *Request) EndpointID {
 	cachedAt := r.state.cachedAt
 	r.state.cachedAt = ""
@@ -83,13 +84,13 @@
 	highestUnserved := 0.0
 	for _, waiter := range c.waiters {
 		cached := waiter.state.cachedAt != ""
-		leads := c.mayFetch(waiter)
-		if cached || leads && free > 0 {
+		mayFetch := c.mayFetch(waiter)
+		if cached || mayFetch && free > 0 {
 			woken = append(woken, waiter.ID)
-		} else if leads {
+		} else if mayFetch {
 			highestUnserved = max(highestUnserved, demand.demandFor(waiter.state.key))
 		}
-		if leads && !cached {
+		if mayFetch && !cached {
 			free--
 		}
 	}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -63,8 +63,9 @@
 //
 // Four values, each 0 for no shortage, describe how short the origin is of capacity. They are read as follows:
 //
-//   - shortage.share, the fraction of requests that found no capacity at the origin (in read-through mode, of attempts
-//     that are lost): shouldHedge and shouldFanOut, and the two values derived from it;
+//   - shortage.share, the fraction of requests that found no capacity at the origin (in read-through mode, of the
+//     load offered to the home zone's caches that was not useful): shouldHedge and shouldFanOut, and the two values
+//     derived from it;
 //   - originLimit.lateShare, the fraction of late answers of the origin: shortageLevel, and the growth of the origin
 //     limit in large fleets;
 //   - originLimit.shortageLevel, the larger of share and lateShareWeight times lateShare: lastAttemptAtOrigin, and
@@ -78,10 +79,10 @@
 //
 // Four rules hold regardless of what a decision would gain by breaking them:
 //
-//  1. A request gets exactly one final answer, before its deadline. Route always leaves it with a ReviewAt, an attempt
-//     in flight or an Answer, and AttemptDeadline is early enough for the answer to be sent on.
-//  2. A request that may have run is not sent again beyond what its class allows, and has one attempt in flight unless
-//     the settings allow hedges. mayAttempt enforces this.
+//  1. A request gets exactly one final answer, before its deadline. After Route, a request has a ReviewAt, an
+//     attempt in flight or an Answer. AttemptDeadline leaves time to send the answer to the client.
+//  2. A request that may have run is not sent again beyond what its class allows, and has at most one attempt in
+//     flight unless the settings allow hedges and its class allows repeats. mayAttempt enforces this.
 //  3. An endpoint that drains or has left gets no new attempt. mayAttempt enforces this too, and MayStart checks it
 //     again.
 //  4. The nodes together do not overload an endpoint that has just started, nor the origin by the misses that follow.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -32,8 +32,8 @@
 	allZones
 )
 
-// scopeCount is the number of scopes that a cache can belong to: homeZone and otherZones.
-const scopeCount = 2
+// cacheScopeCount is the number of scopes that a cache can belong to: homeZone and otherZones. allZones comprises both.
+const cacheScopeCount = 2
 
 // endpointList owns the endpoints: their entries in the list, and the placements derived from the list. A placement
 // depends only on the set of caches, so nodes with the same list agree on where keys are.
@@ -44,7 +44,8 @@
 	origin   *upstream   // nil in read-through mode, and while the list has none
 	// zoneLocal reports whether the home zone has a placement of its own.
 	zoneLocal bool
-	// placements holds the placements of homeZone and allZones; nil until first needed.
+	// placements holds the placements of homeZone (index 0) and allZones (index 1, which also serves otherZones); nil
+	// until first needed.
 	placements [2]*placement
 }
 
--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -22,12 +22,13 @@
 	return [...]string{"in use", "warming", "crowded", "erring", "quiet", "refusing", "drains"}[s]
 }
 
-// EndpointStates calls observe for each cache whose state has changed since the last call of observe for it.
+// EndpointStates calls observe for each cache whose state differs from the one that observe last got for it, at first
+// StateInUse.
 func (router *Router) EndpointStates(now Instant, observe func(EndpointID, EndpointState)) {
-	queueCost := router.latency.queueCost() // once for all caches: this runs ten times a second over thousands of them
-	maxQueueing := float64(queueCost.maxQueueingTime(router.settings.longestObjective()))
+	delay := router.latency.queueDelay() // once for all caches: this runs ten times a second over thousands of them
+	maxQueueing := float64(delay.maxQueueingTime(router.settings.longestObjective()))
 	for _, u := range router.endpoints.caches {
-		state := router.endpointState(now, u, queueCost, maxQueueing)
+		state := router.endpointState(now, u, delay, maxQueueing)
 		if u.notifiedState != state {
 			u.notifiedState = state
 			observe(u.ID, state)
@@ -35,7 +36,7 @@
 	}
 }
 
-func (router *Router) endpointState(now Instant, u *upstream, queueCost queueCost, maxQueueing float64) EndpointState {
+func (router *Router) endpointState(now Instant, u *upstream, delay queueDelay, maxQueueing float64) EndpointState {
 	switch {
 	case u.Lifecycle != Ready:
 		return StateDraining
@@ -45,7 +46,7 @@
 		return StateUnresponsive
 	case slices.Max(u.health.errorScores) >= maxErrorScore:
 		return StateFailing
-	case router.load.estimate(now, u)*queueCost.perRequest > maxQueueing:
+	case router.load.estimate(now, u)*delay.perRequest > maxQueueing:
 		return StateOverloaded
 	case router.slowStart.progress(now, u) < 1:
 		return StateWarmingUp
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -3,7 +3,7 @@
 // routeToOrigin decides on a request bound for the origin: a write, a read that missed, or a read whose last attempt
 // goes there. One read fetches a key while others wait. A request that finds no capacity waits too, unless the demand
 // for its key is low compared with other keys that are waiting. A read whose value has been fetched by another request
-// goes to the cache that now holds it.
+// goes to the cache that now holds it; if that cache cannot take it, it goes to the origin or waits again.
 func (router *Router) routeToOrigin(now Instant, r *Request) Decision {
 	cached := router.endpoints.byID[router.coalescer.takeCachedAt(r)]
 	if cached != nil && router.mayAttempt(now, r, cached) {
@@ -21,15 +21,15 @@
 	if origin == nil || !router.mayAttempt(now, r, origin) || waits && objectiveLeft <= 0 {
 		return router.rejectOrFail(r)
 	}
-	leads := router.coalescer.mayFetch(r)
+	mayFetch := router.coalescer.mayFetch(r)
 	hasCapacity := router.origin.available(now, origin) > 0
-	if leads && !r.Write {
+	if mayFetch && !r.Write {
 		router.coalescer.setLeader(r)
 	}
-	if leads && !waits {
+	if mayFetch && !waits {
 		router.shortage.recordFetch(hasCapacity)
 	}
-	if leads && hasCapacity {
+	if mayFetch && hasCapacity {
 		router.origin.recordStart(now)
 		return router.send(now, r, origin)
 	}
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -39,8 +39,8 @@
 	b.tokens--
 }
 
-// spendRetry charges a failed attempt whose retry may fail in the same way.
-func (b *extraAttemptBudget) spendRetry() {
+// recordFailedAttempt takes a token for a failed attempt, down to minTokens.
+func (b *extraAttemptBudget) recordFailedAttempt() {
 	b.tokens = max(minTokens, b.tokens-1)
 }
 
@@ -106,8 +106,8 @@
 }
 
 // isLost reports whether an attempt in flight counts as lost: its endpoint has left the list or is unresponsive. At the
-// origin one slow request does not predict the others, so there an attempt is lost if it takes too long. Since another
-// attempt follows there, the hedge budget must allow it.
+// origin one slow request does not predict the others, so there an attempt is lost if it takes too long. An attempt at
+// the origin counts as lost only if the extra-attempt budget covers another attempt.
 func (router *Router) isLost(now Instant, r *Request, attempt Attempt) bool {
 	u := router.endpoints.byID[attempt.Endpoint]
 	if u == nil {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -18,15 +18,15 @@
 	responseTimeout  time.Duration // twice the 99th percentile, after which an attempt without a response is a failure
 }
 
-// observe records an answered attempt at a cache. before is the load estimate without the attempt.
-func (t *latencyTracker) observe(latency time.Duration, before float64) {
+// observe records an answered attempt at a cache. loadAhead is the load estimate without the attempt.
+func (t *latencyTracker) observe(latency time.Duration, loadAhead float64) {
 	t.all.Observe(latency)
-	if before < 1 {
+	if loadAhead < 1 {
 		t.unqueued.Observe(latency)
 		return
 	}
 	queued := float64(latency - t.unqueued.Quantile(0.5, 0))
-	t.perQueuedRequest.Observe(time.Duration(queued / before))
+	t.perQueuedRequest.Observe(time.Duration(queued / loadAhead))
 }
 
 // decay reduces the weight of older observations.
@@ -49,14 +49,14 @@
 	return t.all.CountAbove(objective) / max(1, t.all.CountAbove(elapsed))
 }
 
-// queueCost is the cost of a queue, at the median.
-type queueCost struct {
+// queueDelay holds the median delay per queued request and the median latency without a queue.
+type queueDelay struct {
 	perRequest  float64       // nanoseconds per request ahead in the queue
 	serviceTime time.Duration // latency of an attempt with no request ahead of it
 }
 
-func (t *latencyTracker) queueCost() queueCost {
-	return queueCost{
+func (t *latencyTracker) queueDelay() queueDelay {
+	return queueDelay{
 		perRequest:  float64(t.perQueuedRequest.Quantile(0.5, 0)),
 		serviceTime: t.unqueued.Quantile(0.5, 0),
 	}
@@ -65,7 +65,7 @@
 // maxQueueingTime returns how much of the time left an attempt may spend in a queue: the time left minus the attempt's
 // own service time, but at least a quarter of the time left. Without that minimum, idle caches whose service time takes
 // up most of the objective would look full.
-func (q queueCost) maxQueueingTime(left time.Duration) time.Duration {
+func (q queueDelay) maxQueueingTime(left time.Duration) time.Duration {
 	return max(left-q.serviceTime, left/4)
 }
 
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -25,7 +25,7 @@
 // The service time is subtracted from the queueing time, but at least a quarter of the time left may be spent in a
 // queue.
 func TestMaxQueueingTimeExcludesServiceTime(t *testing.T) {
-	q := queueCost{serviceTime: 60 * ms}
+	q := queueDelay{serviceTime: 60 * ms}
 	if got := q.maxQueueingTime(100 * ms); got != 40*ms {
 		t.Errorf("%v of 100 ms may be spent in a queue, want 40 ms", got)
 	}
--- a/policy/load.go
+++ b/policy/load.go
@@ -5,8 +5,8 @@
 	// reportLifetime is the time over which the estimate moves from an endpoint's load report to the mean over all
 	// caches.
 	reportLifetime = 5 * maxEjection
-	// reportWindow is the number of reports over which the mean is smoothed. Fewer would leave it dominated by random
-	// variation.
+	// reportWindow is the number of reports over which the mean is smoothed. With fewer, the mean would mostly follow
+	// random variation.
 	reportWindow = 10.0
 	// reportTimeout is the time without any report after which the mean is halved on each decay.
 	reportTimeout = ticksPerDecay * tickPeriod
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -13,8 +13,8 @@
 	initialOriginLimit = 16.0
 	// minOriginLimit is the lowest limit over all nodes: a few attempts per core of the origin.
 	minOriginLimit = 8.0
-	// originLimitGrowth is the fraction by which an answer in time raises a limit below the square root of 10; above
-	// it, the increase of 1/limit is smaller.
+	// originLimitGrowth bounds the increase of a limit: an answer in time raises it by at most this fraction of it, and
+	// by at most 1/limit.
 	originLimitGrowth = 0.1
 	// originLimitDecrease is the factor that a late or lost answer applies to the limit: one such answer may be
 	// coincidence, ten are evidence of overload.
@@ -27,8 +27,9 @@
 	originBackoffGrowth = 4.0
 	// initialOriginRejections is the number of consecutive rejections assumed before the origin has answered, so that
 	// nodes of a large fleet that all start at once back off on the first rejection. That rejection then counts as the
-	// fifth consecutive one, which amounts to 4^4-1 = 255 slow attempts with originBackoffGrowth: in practice the bound
-	// set by the stagger (see backOff). In a small fleet the stagger is 0, and so is the backoff.
+	// fifth consecutive one, for which backOff computes 4^4-1 = 255 times slowThreshold. In fleets of less than about
+	// 2,000 nodes that is more than its upper bound, maxProcessesPerNode times the stagger, so the bound applies. In a
+	// small fleet the stagger is 0, and so is the backoff.
 	initialOriginRejections = 4
 	// maxProcessesPerNode is how many processes of each configured node may run at once: two during an upgrade. The
 	// longest backoff must be sufficient for all of them.
@@ -60,8 +61,9 @@
 	// rejections counts consecutive rejections.
 	rejections   float64
 	backoffUntil Instant // no attempts are sent before this time
-	// stagger is the time, in slow attempts, that the fleet needs beyond the first limit so that each node has had an
-	// attempt; 0 for fleets of up to twice initialOriginLimit nodes.
+	// stagger is how many times slowThreshold a fleet needs until each node has had an attempt, if initialOriginLimit
+	// nodes have one at a time; two of these rounds are not counted. It is 0 for fleets of up to twice
+	// initialOriginLimit nodes.
 	stagger float64
 }
 
@@ -117,9 +119,10 @@
 
 // increase raises the limit, up to twice the attempts in flight. Otherwise an unused limit would grow with every answer
 // and would not limit a burst of misses. In a large fleet, a limit of 1 or more grows less the more of the recent
-// answers were late, to prevent a standing queue at the origin: near 1, where the limits of a large fleet are, an
-// answer in time raises the limit by as much as a late one lowers it, so that all limits would settle where half of the
-// answers are late. Below 1 answers are so rare that the late share is outdated.
+// answers were late. This prevents a standing queue at the origin: near 1, where the limits of a large fleet are, an
+// answer in time would otherwise raise the limit by as much as a late one lowers it, and all limits would settle where
+// half of the answers are late. The rule does not apply below 1, where answers are so rare that the late share is
+// outdated.
 func (o *originLimit) increase(inFlight float64) {
 	headroom := max(0, 2*inFlight-o.limit)
 	growth := min(1/o.limit, originLimitGrowth*o.limit, headroom)
@@ -141,8 +144,10 @@
 	o.decreasedAt = now
 }
 
-// backOff delays further attempts after a rejection. The first of consecutive rejections is weak evidence and causes no
-// delay. After more of them all nodes may be affected, and the jitter keeps them from returning simultaneously.
+// backOff delays further attempts after a rejection. The first rejection after another result is weak evidence and
+// causes no delay, since 4^0-1 = 0. Before the first other result, rejections starts at initialOriginRejections, so
+// even the first rejection may cause one. After more of them all nodes may be affected, and the jitter keeps them from
+// returning simultaneously.
 func (o *originLimit) backOff(now Instant) {
 	o.rejections++
 	jitter := 0.5 + o.rng.Float64()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -91,8 +91,8 @@
 	return hasInFlight && now.Since(u.health.awaitingSince) > d.latency.responseTimeout
 }
 
-// recordFailure counts an attempt or health check without a response, and ejects the endpoint from the second
-// consecutive one. Each further failure doubles the ejection time.
+// recordFailure counts an attempt or health check without a response. The second and each further consecutive one
+// ejects the endpoint, for twice as long each time, up to maxEjection.
 func (d *outlierDetector) recordFailure(now Instant, u *upstream, result Result) {
 	u.health.failures++
 	if result == ConnectFailed {
@@ -158,8 +158,8 @@
 		d.zoneConnectFailures[u.Zone] = 0
 	case TimedOut, ConnectFailed, Cancelled:
 		respondedMeanwhile := u.health.respondedAt >= ended.SentAt
-		outlastedPatience := now.Since(ended.SentAt) > d.latency.responseTimeout
-		if !respondedMeanwhile && (ended.Result == ConnectFailed || outlastedPatience) {
+		exceededTimeout := now.Since(ended.SentAt) > d.latency.responseTimeout
+		if !respondedMeanwhile && (ended.Result == ConnectFailed || exceededTimeout) {
 			d.recordFailure(now, u, ended.Result)
 		}
 	}
@@ -188,8 +188,8 @@
 	}
 }
 
-// dueHealthChecks returns the health checks that are due, for endpoints whose ejection is over. It extends the ejection
-// by responseTimeout, so that the endpoint stays ejected until the next check.
+// dueHealthChecks returns the health checks that are due, for endpoints whose ejection time has passed. It ejects them
+// again for responseTimeout, in which the check can end.
 func (d *outlierDetector) dueHealthChecks(now Instant, caches []*upstream) []Action {
 	if !d.settings.HealthChecksAllowed {
 		return nil
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -147,9 +147,9 @@
 	return a
 }
 
-// candidatesPerItem is the mean number of pairs that a round considers for each open item; with it, all but about a
-// ninth of the items find a place. Sorting all pairs would take time quadratic in the number of items, whereas each
-// round sorts a few pairs per item and leaves about a ninth of the items for the next one.
+// candidatesPerItem is the mean number of pairs that a round considers for each open item. Each round sorts a few pairs
+// per item and leaves about a ninth of the items for the next one, whereas sorting all pairs would take time quadratic
+// in the number of items.
 const candidatesPerItem = 8
 
 // raiseScoreLimit raises and returns the score up to which the next round accepts pairs: the highest score once few
--- a/policy/popularity.go
+++ b/policy/popularity.go
@@ -13,8 +13,9 @@
 )
 
 // popularity measures the demand for keys: the sum of the priority weights of the requests for a key, halved each
-// second. The shed preference is the inverse square root of the priority, so demand times the square of the mean shed
-// preference approximates a number of requests.
+// second while more than minKeysToDecay keys are tracked. The shed preference is the inverse square root of the
+// priority, so the square of its mean is about 1 divided by the mean priority. Demand multiplied by that is about a
+// number of requests.
 type popularity struct {
 	demand map[uint64]float64 // by key hash
 	total  float64            // over all keys
@@ -31,9 +32,9 @@
 	return p.demand[key]
 }
 
-// replicaLimit returns how many replicas the reads of a key may use. A key with more demand than the even share of
-// three caches gets as many replicas as its share of the demand amounts to; otherwise its caches would be full while
-// others have capacity.
+// replicaLimit returns how many replicas the reads of a key may use. A hot key gets as many replicas as there are
+// caches that would serve its share of the demand if it were spread evenly, from replicaCount to segmentCount;
+// otherwise its caches would be full while others have capacity.
 func (p *popularity) replicaLimit(key uint64, meanPreference float64, caches int) int {
 	demand := p.demand[key]
 	if demand*meanPreference*meanPreference < hotKeyRequests {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,15 +7,15 @@
 	// are answered within an eighth of it.
 	minAttemptTimeDivisor = 8
 	// lastAttemptShortageFactor multiplies the origin's shortage level for reads whose last attempt would go there, so
-	// that none does from a quarter of the full level: a full cache does not justify loading an origin that is short of
-	// capacity.
+	// that at a shortage level of a quarter or more, no last attempt goes to the origin: a full cache does not justify
+	// loading an origin that is short of capacity.
 	lastAttemptShortageFactor = 4.0
 )
 
 // firstOrRetry decides on a request that has no attempt in flight: to send its first attempt or a retry to a cache or
 // to the origin, to let it wait, or to reject or fail it.
 func (router *Router) firstOrRetry(now Instant, r *Request) Decision {
-	if !router.hasAttemptBudget(now, r) {
+	if !router.allowsAnotherAttempt(now, r) {
 		return router.rejectOrFail(r)
 	}
 	shortageLevel := router.origin.shortageLevel(router.shortage.share)
@@ -26,17 +26,17 @@
 	return router.sendToReplica(now, r, shortageLevel)
 }
 
-// hasAttemptBudget reports whether a request has an attempt left, enough time for it and, if it is a retry of an
-// attempt that may have run, a budget that allows it.
-func (router *Router) hasAttemptBudget(now Instant, r *Request) bool {
+// allowsAnotherAttempt reports whether a request has an attempt left, enough time for it and, if it is a retry of an
+// attempt that may have run, the budget for it.
+func (router *Router) allowsAnotherAttempt(now Instant, r *Request) bool {
 	if len(r.Attempts) >= router.settings.MaxAttempts {
 		return false
 	}
 	if router.timeLeft(now, r) <= router.latency.slowThreshold/minAttemptTimeDivisor {
 		return false
 	}
-	lastResult, retry := r.lastResult()
-	return !retry || lastResult.NotExecuted() || router.extraAttempts.allowsRetry()
+	lastResult, hasAttempts := r.lastResult()
+	return !hasAttempts || lastResult.NotExecuted() || router.extraAttempts.allowsRetry()
 }
 
 // lastAttemptAtOrigin reports whether a read that has one attempt left after a full cache rejected it goes to the
@@ -50,8 +50,8 @@
 	if router.rng.Float64() < lastAttemptShortageFactor*shortageLevel {
 		return false
 	}
-	lastResult, retry := r.lastResult()
-	return retry && lastResult == Rejected && len(r.Attempts) == router.settings.MaxAttempts-1 &&
+	lastResult, hasAttempts := r.lastResult()
+	return hasAttempts && lastResult == Rejected && len(r.Attempts) == router.settings.MaxAttempts-1 &&
 		r.state.class.Idempotency == Idempotent
 }
 
--- a/policy/router.go
+++ b/policy/router.go
@@ -56,7 +56,7 @@
 		outliers:     newOutlierDetector(shared, rng, latency),
 		slowStart:    newSlowStart(shared, rng),
 		popularity:   popularity{demand: map[uint64]float64{}},
-		quotas:       tenantQuotas{settings: shared, usedTo: make([]Instant, len(settings.Tenants))},
+		quotas:       tenantQuotas{settings: shared, quotaUsedUntil: make([]Instant, len(settings.Tenants))},
 		admission:    newAdmission(shared, rng),
 		shortage:     shortage{settings: shared},
 		origin:       newOriginLimit(now, shared, rng, latency),
@@ -108,11 +108,11 @@
 	if u := router.endpoints.byID[attempt.Endpoint]; u != nil {
 		router.recordOutcome(now, u, r, outcome)
 	}
-	// A broken connection does not predict the result of the next one, so its retry is not charged, as after a result
-	// without any effect.
-	chargesRetry := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
-	if !r.Finished && chargesRetry {
-		router.extraAttempts.spendRetry()
+	// A failed attempt costs a token, whether or not a retry follows. Attempts that were not executed are free, and so
+	// are broken connections, which do not predict the result of the next one.
+	chargesFailure := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
+	if !r.Finished && chargesFailure {
+		router.extraAttempts.recordFailedAttempt()
 	}
 	var decision Decision
 	if !r.Finished && !slices.ContainsFunc(r.Attempts, isInFlight) {
@@ -142,9 +142,9 @@
 		router.decay(now)
 	}
 	if !router.settings.CacheAside {
-		// In read-through mode the origin is hidden behind the caches, so lost attempts are attributed to an origin
-		// shortage.
-		router.shortage.setLostShare(router.admission.lostShare(homeZone))
+		// In read-through mode the origin is hidden behind the caches, so load that was not useful is attributed to an
+		// origin shortage.
+		router.shortage.setLostShare(router.admission.notUsefulShare(homeZone))
 	}
 	router.latency.refresh()
 	router.slowStart.refreshRate(now, router.endpoints.caches)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,8 +14,8 @@
 	crossZoneAttempts = 48
 	// tieBreakScale scales the tie-break costs, in attempts: far below any real difference of load.
 	tieBreakScale = 1e-3
-	// rankTieCost is the tie-break cost of each rank, where the random part has a mean of 1. For this and the next
-	// three constants see docs/design.md, "Load and ties".
+	// rankTieCost is the tie-break cost per rank; the random number that is added to each cost has a mean of 1. For
+	// this and the next three constants see docs/design.md, "Load and ties".
 	rankTieCost = 0.5
 	// wastedTieCost is the tie-break cost of a wasted share of 1: more than that of all ranks.
 	wastedTieCost = 8.0
@@ -34,7 +34,8 @@
 type selection struct {
 	endpoint *upstream   // nil if no replica can take the request
 	replicas []*upstream // candidates for the selection
-	// saturated is set if replicas were passed over only because their queues are too long.
+	// saturated is set if no replica was selected in a scope and at least one replica of that scope had too long a
+	// queue.
 	saturated bool
 }
 
@@ -63,8 +64,8 @@
 	objective := r.state.class.LatencyObjective
 	timeLeft := max(r.timeToObjective(now), objective/2)
 	earlySaturation := min(maxEarlySaturation, max(1, r.state.shedPreference))
-	queueCost := router.latency.queueCost()
-	maxQueueing := float64(queueCost.maxQueueingTime(timeLeft))
+	queueDelay := router.latency.queueDelay()
+	maxQueueing := float64(queueDelay.maxQueueingTime(timeLeft))
 
 	selected := selection{replicas: replicas}
 	leastCost := math.Inf(1)
@@ -77,7 +78,7 @@
 		}
 		switch {
 		case r.tried(u.ID):
-		case load*queueCost.perRequest*earlySaturation > maxQueueing:
+		case load*queueDelay.perRequest*earlySaturation > maxQueueing:
 			selected.saturated = true
 		case cost < leastCost:
 			selected.endpoint = u
@@ -89,11 +90,11 @@
 }
 
 // tieBreakCost returns a small cost that decides between equal loads, which are common because most loads are 0 at a
-// node that sees few of a fleet's requests. It depends on rank, faults, a random draw and whether a connection is open,
-// and is divided by the endpoint's weight.
-func (router *Router) tieBreakCost(now Instant, u *upstream, rank float64) float64 {
+// node that sees few of a fleet's requests. It depends on the cost of the replica's rank, faults, a random draw and
+// whether a connection is open, and is divided by the endpoint's weight.
+func (router *Router) tieBreakCost(now Instant, u *upstream, rankCost float64) float64 {
 	faults := wastedTieCost * (u.health.wastedShare + outlierTieFactor*u.health.outlierScore)
-	cost := rank + faults - math.Log(1-router.rng.Float64())
+	cost := rankCost + faults - math.Log(1-router.rng.Float64())
 	if u.load.inFlight == 0 && now.Since(u.load.lastUsedAt) > router.settings.IdleTimeout-idleMargin {
 		cost += connectTieCost
 	}
--- a/policy/shortage.go
+++ b/policy/shortage.go
@@ -15,7 +15,8 @@
 type shortage struct {
 	settings *Settings
 	// share is the fraction of requests bound for the origin that found no capacity there. In read-through mode, where
-	// the origin is hidden behind the caches, it is the fraction of attempts that are lost.
+	// the origin is hidden behind the caches, it is the fraction of the load offered to the home zone's caches that was
+	// not useful (admission.notUsefulShare).
 	share float64
 	// missCost is the fraction of requests that miss, times the weighted cross-zone cost of a miss.
 	missCost float64
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,9 +10,9 @@
 	// usableOverloadShare is the fraction of Settings.OverloadFactor that slow start uses. The rest is a margin for
 	// random variation.
 	usableOverloadShare = 0.67
-	// gapScalingNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. Beyond
-	// it the gap grows with the number of nodes, because at the steady rate each node would have to pause for longer
-	// than slow start lasts.
+	// gapScalingNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. With
+	// more nodes, each node's share of the endpoint's attempts is less than one per SlowStartDuration, so the limit on
+	// the gap grows with the number of nodes.
 	gapScalingNodes = 160.0
 	// rateWindow is the time, in nanoseconds, that the answers in observedLoad.answered cover: halved on each decay,
 	// they add up to two decay periods.
@@ -24,20 +24,20 @@
 // keys that grows with the endpoint's progress, so that all nodes send it the same keys; and a gap between attempts, so
 // that a popular key or a retry storm cannot overload it.
 type slowStart struct {
-	settings *Settings
-	rng      *keyhash.Source
-	keyShare float64 // share of the keys per unit of progress; may exceed 1
-	maxGap   float64 // longest gap between attempts, in nanoseconds
+	settings        *Settings
+	rng             *keyhash.Source
+	keysPerProgress float64 // factor from progress to the share of the keys that is sent to the endpoint; at least 1
+	maxGap          float64 // longest gap between attempts, in nanoseconds
 	// steadyRate is the number of attempts that a warm cache of weight 1 answered during rateWindow.
 	steadyRate float64
 }
 
 func newSlowStart(settings *Settings, rng *keyhash.Source) slowStart {
 	return slowStart{
-		settings: settings,
-		rng:      rng,
-		keyShare: max(1, usableOverloadShare*settings.OverloadFactor),
-		maxGap:   float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/gapScalingNodes),
+		settings:        settings,
+		rng:             rng,
+		keysPerProgress: max(1, usableOverloadShare*settings.OverloadFactor),
+		maxGap:          float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/gapScalingNodes),
 	}
 }
 
@@ -57,13 +57,13 @@
 	if u.nextAttemptAt == 0 {
 		s.scheduleNext(now, u, s.rng.Float64())
 	}
-	keyAdmitted := float64(keyhash.Mix(key^u.hash)) <= s.keyShare*progress*(1<<64)
+	keyAdmitted := float64(keyhash.Mix(key^u.hash)) <= s.keysPerProgress*progress*(1<<64)
 	return keyAdmitted && now >= u.nextAttemptAt
 }
 
 // scheduleNext sets when the next attempt may start: after a fraction of the gap, where 1 is the whole gap.
 func (s *slowStart) scheduleNext(now Instant, u *upstream, part float64) {
-	gap := rateWindow / (s.keyShare * s.progress(now, u) * s.steadyRate * u.Weight)
+	gap := rateWindow / (s.keysPerProgress * s.progress(now, u) * s.steadyRate * u.Weight)
 	u.nextAttemptAt = now.Add(time.Duration(part * min(s.maxGap, gap)))
 }
 
