--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -47,7 +47,7 @@
 		p.endAttempt(req, ref.index, policy.NotSent, nil)
 		return
 	}
-	strict := !req.parsed.idempotent || !endpoint.codec.identifiesRequest()
+	strict := !req.parsed.idempotent || !endpoint.codec.canAttributeResponses()
 	conn, err := p.acquireConn(endpoint, purposeAttempt, strict)
 	if err != nil {
 		p.endAttempt(req, ref.index, policy.NotSent, nil) // out of descriptors, which is not the endpoint's fault
@@ -94,8 +94,8 @@
 	return true
 }
 
-// writeAttempt writes an attempt to its connection. Only a write error proves that its last byte never reached the
-// kernel.
+// writeAttempt writes an attempt to its connection. A write error proves that its last byte never reached the kernel,
+// so the attempt then ends as ConnectFailed: it was not executed.
 func (p *Proxy) writeAttempt(conn *upstreamConn, req *inflightRequest, index int) {
 	attempt := &req.attempts[index]
 	timeoutMs := max(1, int64(attempt.deadline.Since(p.now())/time.Millisecond))
@@ -138,7 +138,8 @@
 }
 
 // abandonAttempt ends an attempt that has had no response. If the kernel never accepted its last byte, the endpoint
-// cannot have executed it, and the result says so.
+// cannot have executed it, and the result says so. An attempt whose connection is not established yet counts as not
+// sent, and the connection is kept.
 func (p *Proxy) abandonAttempt(req *inflightRequest, index int, result policy.Result) {
 	conn := p.upstream.conns.Get(req.attempts[index].conn)
 	if conn != nil && (conn.socket == nil || p.dropConn(conn) > 0) {
--- a/internal/proxy/degradation/controller.go
+++ b/internal/proxy/degradation/controller.go
@@ -11,11 +11,12 @@
 	// evaluationInterval is the minimum time between two evaluations.
 	evaluationInterval = listeners.LevelInterval
 
-	// minRequests is the number of admitted requests that an evaluation needs. With 60 requests, the measured value of
-	// a 10 % share is within a third of the true one in two of three evaluations.
+	// minRequests is the number of admitted requests that an evaluation needs to detect a fault. With 60 requests, the
+	// measured value of a 10 % share is within a third of the true one in two of three evaluations.
 	minRequests = 60
 
-	// maxEvaluationInterval is the time after which an evaluation is made with any number of requests.
+	// maxEvaluationInterval is the time after which an evaluation is made even with fewer than minRequests. It then
+	// counts as one without faults.
 	maxEvaluationInterval = 20 * evaluationInterval
 
 	// startUpGrace is the time after the start during which no level is entered: the policy rejects requests until it
@@ -41,7 +42,7 @@
 	levels         []listeners.Level
 	level          int            // 0 is normal operation; otherwise the level is levels[level-1]
 	shedShare      float64        // share of the requests of the level's classes that is shed, from 0 to 1
-	changedAt      policy.Instant // when shedShare was set; on entry a time in the future, to prolong the first step
+	stepStartedAt  policy.Instant // when shedShare was set; on entry in the future, for a longer first step
 	window         window         // counts since evaluatedAt
 	evaluatedAt    policy.Instant
 	graceEnds      policy.Instant // no level is entered before this time
@@ -81,18 +82,18 @@
 // RecordRejected counts an admitted request that the policy rejected.
 func (c *Controller) RecordRejected() { c.window.policyRejected++ }
 
-// Evaluate makes an evaluation if one is due, and reports whether the level has changed. With too few requests it waits
-// for more, up to maxEvaluationInterval: otherwise a single late answer could change the level of a node with little
-// traffic.
+// Evaluate makes an evaluation if one is due, and reports whether the level has changed. With fewer than minRequests it
+// waits for more, up to maxEvaluationInterval, and then counts the evaluation as one without faults: otherwise a single
+// late answer could change the level of a node with little traffic.
 func (c *Controller) Evaluate(now policy.Instant) (changed bool) {
 	elapsed := now.Since(c.evaluatedAt)
 	tooFewRequests := c.window.admitted < minRequests
 	if elapsed < evaluationInterval || tooFewRequests && elapsed < maxEvaluationInterval {
 		return false
 	}
-	seen := c.window.shares()
+	observed := c.window.shares()
 	if tooFewRequests { // too few requests to detect a fault
-		seen = listeners.Shares{}
+		observed = listeners.Shares{}
 	}
 	c.window = window{}
 	c.evaluatedAt = now
@@ -100,7 +101,7 @@
 		return false
 	}
 	before := c.level
-	c.transition(now, seen)
+	c.transition(now, observed)
 	return c.level != before
 }
 
@@ -116,7 +117,7 @@
 		return
 	}
 	level := &c.levels[c.level-1]
-	stayed := now.Since(c.changedAt)
+	stayed := now.Since(c.stepStartedAt)
 	switch {
 	case anyReached(level.Enter, observed): // too many requests were readmitted
 		c.setShedShare(now, min(1, c.shedShare+shedStep))
@@ -129,10 +130,10 @@
 }
 
 // updateStreaks updates reachedStreaks, and returns the most severe level that is to be entered, or 0.
-func (c *Controller) updateStreaks(seen listeners.Shares) int {
+func (c *Controller) updateStreaks(observed listeners.Shares) int {
 	target := 0
 	for i := range c.levels {
-		if !anyReached(c.levels[i].Enter, seen) {
+		if !anyReached(c.levels[i].Enter, observed) {
 			c.reachedStreaks[i] = 0
 			continue
 		}
@@ -146,7 +147,7 @@
 
 func (c *Controller) setShedShare(now policy.Instant, share float64) {
 	c.shedShare = share
-	c.changedAt = now
+	c.stepStartedAt = now
 }
 
 // enter starts a level by shedding all requests of its classes for its minimum stay.
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -96,13 +96,13 @@
 
 // EndpointStates passes on the endpoint states of the wrapped Decider, if it reports any.
 func (f *Filter) EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState)) {
-	if d, ok := f.Decider.(endpointReporter); ok {
+	if d, ok := f.Decider.(endpointStateReporter); ok {
 		d.EndpointStates(now, report)
 	}
 }
 
-// endpointReporter is an optional interface of a Decider that reports the states of its endpoints.
-type endpointReporter interface {
+// endpointStateReporter is an optional interface of a Decider that reports the states of its endpoints.
+type endpointStateReporter interface {
 	EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState))
 }
 
--- a/internal/proxy/degradation/window.go
+++ b/internal/proxy/degradation/window.go
@@ -68,12 +68,12 @@
 }
 
 // anyReached reports whether any of the shares has reached its bound. A bound of 0 is never reached.
-func anyReached(bounds, seen listeners.Shares) bool {
-	return reached(bounds.Late, seen.Late) ||
-		reached(bounds.Lost, seen.Lost) ||
-		reached(bounds.CacheRejected, seen.CacheRejected) ||
-		reached(bounds.OriginLate, seen.OriginLate) ||
-		reached(bounds.Rejected, seen.Rejected)
+func anyReached(bounds, observed listeners.Shares) bool {
+	return reached(bounds.Late, observed.Late) ||
+		reached(bounds.Lost, observed.Lost) ||
+		reached(bounds.CacheRejected, observed.CacheRejected) ||
+		reached(bounds.OriginLate, observed.OriginLate) ||
+		reached(bounds.Rejected, observed.Rejected)
 }
 
-func reached(bound, seen float64) bool { return bound > 0 && seen >= bound }
+func reached(bound, observed float64) bool { return bound > 0 && observed >= bound }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -15,12 +15,12 @@
 	decider  Decider
 	actions  Actions
 	observer Observer // may be nil
-	inflight map[policy.RequestID]*inflightRequest
+	inflight map[policy.RequestID]*trackedRequest
 }
 
-// inflightRequest is a request that is unanswered or has an attempt in flight. Its Attempts correspond by index to
-// those that the caller keeps: each Send appends one to both.
-type inflightRequest struct {
+// trackedRequest is a request that is unanswered or has an attempt in flight. Its Attempts correspond by index to those
+// that the caller keeps: each Send appends one to both.
+type trackedRequest struct {
 	policy.Request
 	reviewAt policy.Instant // time of the next call of Route; 0 if none is scheduled
 }
@@ -36,7 +36,7 @@
 		decider:  decider,
 		actions:  actions,
 		observer: observer,
-		inflight: map[policy.RequestID]*inflightRequest{},
+		inflight: map[policy.RequestID]*trackedRequest{},
 	}
 	d.tick(now)
 	return d
@@ -53,7 +53,7 @@
 			d.actions.CheckHealth(action.Endpoint)
 		}
 	}
-	if states, ok := d.decider.(endpointStates); ok && d.observer != nil {
+	if states, ok := d.decider.(endpointStateReporter); ok && d.observer != nil {
 		states.EndpointStates(now, func(id policy.EndpointID, state policy.EndpointState) {
 			d.observer.EndpointStateChanged(now, id, state)
 		})
@@ -79,7 +79,7 @@
 	if d.inflight[r.ID] != nil {
 		return
 	}
-	req := &inflightRequest{Request: *r}
+	req := &trackedRequest{Request: *r}
 	d.inflight[r.ID] = req
 	if filter, ok := d.decider.(AdmissionFilter); ok {
 		if decision, admitted := filter.Admit(now, &req.Request); !admitted {
@@ -164,14 +164,14 @@
 }
 
 // review asks the decider about a request again and executes the decision.
-func (d *Dispatcher) review(now policy.Instant, req *inflightRequest) {
+func (d *Dispatcher) review(now policy.Instant, req *trackedRequest) {
 	req.reviewAt = 0
 	d.execute(now, req, d.decider.Route(now, &req.Request))
 }
 
 // execute carries out a decision: first cancellations, then the answer, then new attempts. Finally it reviews the
 // requests that the decision wakes, which wait for the same value.
-func (d *Dispatcher) execute(now policy.Instant, req *inflightRequest, decision policy.Decision) {
+func (d *Dispatcher) execute(now policy.Instant, req *trackedRequest, decision policy.Decision) {
 	for _, attempt := range decision.Cancel {
 		d.actions.Cancel(req.ID, attempt)
 	}
@@ -203,7 +203,7 @@
 }
 
 // removeIfDone removes a request that is finished and has no attempt in flight.
-func (d *Dispatcher) removeIfDone(req *inflightRequest) {
+func (d *Dispatcher) removeIfDone(req *trackedRequest) {
 	isInFlight := func(attempt policy.Attempt) bool { return attempt.InFlight }
 	if req.Finished && !slices.ContainsFunc(req.Attempts, isInFlight) {
 		delete(d.inflight, req.ID)
--- a/internal/proxy/dispatch/interfaces.go
+++ b/internal/proxy/dispatch/interfaces.go
@@ -60,8 +60,8 @@
 	EndpointsUpdated(now policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint)
 }
 
-// endpointStates is an optional interface of a Decider that reports the states of its endpoints.
-type endpointStates interface {
+// endpointStateReporter is an optional interface of a Decider that reports the states of its endpoints.
+type endpointStateReporter interface {
 	// EndpointStates calls f for each endpoint whose state has changed since the last call.
 	EndpointStates(now policy.Instant, f func(policy.EndpointID, policy.EndpointState))
 }
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -61,5 +61,6 @@
 //   - The loop never waits for a socket, a file or another goroutine. Only two things can hold it up:
 //     awaitEndpointList, which after a stall checks at most maxListReadChecks times whether the list has been read, and
 //     the callbacks of Config, which must not block.
-//   - What clients and endpoints send takes only a part of the memory. The constants that end in Share state which.
+//   - Data from clients and endpoints takes at most a part of the memory limit, as given by incompleteRequestDivisor,
+//     incompleteResponseDivisor, bufferedDivisor and readAheadDivisor.
 package proxy
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -33,20 +33,21 @@
 	maxPendingResponses = 4 * maxPipelined
 )
 
-// Shares of the memory limit and of the descriptors: a constant n stands for one part in n.
+// Divisors of the memory limit and of the limit on descriptors.
 const (
-	// idleClientShare is the share of the descriptors that idle clients may keep, less than half of what clients may
-	// use.
-	idleClientShare = 8
-	// incompleteRequestShare is the share of the memory that incomplete commands may take.
-	incompleteRequestShare = 4
-	// readAheadShare is the share of the memory for data received from endpoints that the event loop has not read yet.
-	readAheadShare = 8
-	// spareDescriptorShare is the share of the descriptors kept free for upstream connections that are not open yet.
-	spareDescriptorShare = 8
-	// upstreamShare is the share of the descriptors that upstream connections may use and that clients leave to them: a
+	// idleClientDivisor limits idle clients to the descriptors divided by it, less than half of what clients may use.
+	idleClientDivisor = 8
+	// incompleteRequestDivisor limits incomplete commands to the memory limit divided by it.
+	incompleteRequestDivisor = 4
+	// readAheadDivisor limits data received from endpoints that the event loop has not read yet to the memory limit
+	// divided by it.
+	readAheadDivisor = 8
+	// spareDescriptorDivisor: the descriptors divided by it are kept free for upstream connections that are not open
+	// yet.
+	spareDescriptorDivisor = 8
+	// upstreamDivisor limits upstream connections to the descriptors divided by it, which clients leave to them: a
 	// request needs one or two of them.
-	upstreamShare = 2
+	upstreamDivisor = 2
 )
 
 type clientConnID uint64
@@ -68,7 +69,7 @@
 	buf             buffer.Buffer
 	progress        http1.Progress // in parsing the current command
 	pipeline        []pipelineSlot // one per command not yet answered to the client, in order
-	firstSlot       uint64         // the number of the first slot; the connection's first command is 0
+	firstSlot       uint64         // number of the first slot, from 0: how many commands were answered before
 	lastUsedAt      policy.Instant
 	continueSent    bool           // "100 Continue" has been sent for the current command
 	closing         bool           // nothing more is read; the connection closes once all commands are answered
@@ -105,9 +106,9 @@
 // descriptors, or fewer while few upstream connections are open.
 func (p *Proxy) tooManyClients() bool {
 	limit := p.engine.MaxClients()
-	leaveForUpstream := limit - p.maxUpstreamConns()
-	leaveSpare := limit - limit/spareDescriptorShare - p.upstream.conns.Len()
-	return p.downstream.conns.Len() > max(leaveForUpstream, leaveSpare)
+	limitLeavingHalf := limit - p.maxUpstreamConns()
+	limitLeavingSpare := limit - limit/spareDescriptorDivisor - p.upstream.conns.Len()
+	return p.downstream.conns.Len() > max(limitLeavingHalf, limitLeavingSpare)
 }
 
 // onClientData parses the commands that a client has sent, and answers or accepts each.
@@ -173,7 +174,7 @@
 		return
 	}
 	client.incompleteSince = commandStart
-	if int64(p.downstream.incompleteBytes) > p.config.MemoryLimit/incompleteRequestShare {
+	if int64(p.downstream.incompleteBytes) > p.config.MemoryLimit/incompleteRequestDivisor {
 		p.metrics.counters.NotAccepted++
 		p.respond(client, client.codec.refusal(refusedMemoryLimit, false))
 		client.closing = true
@@ -188,7 +189,7 @@
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
 	p.publishMetrics()
-	p.engine.SetReadAhead(p.config.MemoryLimit / readAheadShare / int64(1+p.upstream.conns.Len()))
+	p.engine.SetReadAhead(p.config.MemoryLimit / readAheadDivisor / int64(1+p.upstream.conns.Len()))
 	var idle []*clientConn
 	p.downstream.conns.Each(func(_ clientConnID, client *clientConn) {
 		overdue := client.incompleteSince != 0 && now.Since(client.incompleteSince) >= commandTimeout
@@ -208,7 +209,7 @@
 		}
 	})
 	slices.SortFunc(idle, compareByUse(2))
-	excess := len(idle) - p.engine.MaxClients()/idleClientShare
+	excess := len(idle) - p.engine.MaxClients()/idleClientDivisor
 	for i, client := range idle {
 		if (i < excess || now.Since(client.lastUsedAt) >= clientIdleTimeout) && p.closeIfIdle(client) {
 			p.metrics.counters.IdleClosed++
@@ -216,8 +217,8 @@
 	}
 }
 
-// compareByUse sorts first the client whose connection is worth least: the one that has sent fewer commands, counted up
-// to maxCount, or else the one that has been idle longer.
+// compareByUse orders clients by how many commands were answered on their connections, counted up to maxCount, and then
+// by last use, oldest first.
 func compareByUse(maxCount uint64) func(a, b *clientConn) int {
 	return func(a, b *clientConn) int {
 		byCommands := cmp.Compare(min(a.firstSlot, maxCount), min(b.firstSlot, maxCount))
@@ -225,7 +226,8 @@
 	}
 }
 
-// mayCloseClient reports whether a client is idle. A new client gets some time to send its first command.
+// mayCloseClient reports whether a client is idle and, if none of its commands has been answered yet, was last used at
+// least firstCommandGrace ago: a new client gets some time to send its first command.
 func (p *Proxy) mayCloseClient(client *clientConn) bool {
 	return client.isIdle() && (client.firstSlot > 0 || p.now().Since(client.lastUsedAt) >= firstCommandGrace)
 }
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -67,7 +67,7 @@
 	}
 	conditional := isConditional(request)
 	if filled.write && (conditional || request.Header("Content-Range") != nil) {
-		// Guards against a write that is executed regardless of its condition.
+		// Without this check, the write would be executed regardless of its condition.
 		return &httpRejection{status: 501, reason: "a write with a condition or of a part"}
 	}
 	if h.forwardsHeaders {
@@ -166,7 +166,7 @@
 		return badRequest("an id that can't be one")
 	}
 	if key == "" && filled.write && h.needsKey[string(filled.class)] {
-		// Guards against a retry that endpoints could not tell from a new write.
+		// Without a key, endpoints could not tell a retry from a new write.
 		return badRequest("this needs an " + idempotencyKeyHeader)
 	}
 	filled.id = []byte(id)
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -72,7 +72,7 @@
 		once = append(once, r)
 	}
 	g.waitUntil("enough idle clients are closed", func(n metrics.Counters) bool {
-		return int(n.IdleClosed) >= 31-g.engine.MaxClients()/idleClientShare
+		return int(n.IdleClosed) >= 31-g.engine.MaxClients()/idleClientDivisor
 	})
 	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("closed with: %v", err)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -18,7 +18,8 @@
 	// minOnTimeIdleChecks is how many consecutive checks must have been on time before the node stops: half of those
 	// that fit into drainQuietTime, since a busy machine delays some.
 	minOnTimeIdleChecks = int(drainQuietTime/drainCheckInterval) / 2
-	// maxShutdownWait is the longest deadline that whoever ends the process waits for, as agreed with the operators.
+	// maxShutdownWait is the longest request deadline for which the process manager delays killing the process, as
+	// agreed with the operators.
 	maxShutdownWait = 3 * time.Second
 	// shutdownMargin is the time after the longest deadline by which the node must have stopped.
 	shutdownMargin = 500 * time.Millisecond
@@ -87,9 +88,9 @@
 	p.scheduleIdleClientCheck()
 }
 
-// countIdleCheck counts the checks that were on time and saw no new connection since the one before. Guards against a
-// process that was stalled: it accepted nothing meanwhile, so connections may wait in the kernel's queue although none
-// was seen for drainQuietTime.
+// countIdleCheck counts the checks that were on time and saw no new connection since the one before. Late checks do not
+// count, since a process that was stalled accepted nothing meanwhile: connections may wait in the kernel's queue
+// although none was seen for drainQuietTime.
 func (p *Proxy) countIdleCheck(now policy.Instant) {
 	last := p.lifecycle.lastIdleCheckAt
 	p.lifecycle.onTimeIdleChecks++
@@ -99,9 +100,9 @@
 	p.lifecycle.lastIdleCheckAt = now
 }
 
-// canStop reports whether a draining node has nothing left to do. The quiet time counts from the beginning of the
-// drain, too: a connection that the kernel accepted just before may not have reached the event loop yet, and would be
-// reset.
+// canStop reports whether a draining node has nothing left to do. It waits at least drainQuietTime after the drain
+// began: a connection that the kernel accepted just before the drain may not have reached the event loop, and stopping
+// would reset it.
 func (p *Proxy) canStop(now policy.Instant) bool {
 	quietSince := max(p.lifecycle.drainStartedAt, p.downstream.lastConnectedAt)
 	return p.downstream.conns.Len() == 0 && p.inflight.requests.Len() == 0 &&
--- a/internal/proxy/endpoint_start.go
+++ b/internal/proxy/endpoint_start.go
@@ -16,14 +16,14 @@
 	at       policy.Instant // 0 for long ago
 }
 
-// processStartOf returns the start of an endpoint from the time that the list states. Stated times are the only ones of
-// the wall clock, which may be stepped while the node and the endpoints run. A stated time is therefore converted to
-// the node's clock once, when it is first stated, using the wall clock at that moment. From then on the same stated
-// time is the same start; a different one, earlier or later, is another start.
+// processStartOf returns the start of an endpoint from the time that the list states. The list states start times by
+// the wall clock, which may be set back or forward at any time; all other times are monotonic. A stated time is
+// therefore converted to the node's clock once, when it is first stated, using the wall clock at that moment. From then
+// on the same stated time is the same start; a different one, earlier or later, is another start.
 //
-// The effect of a step on a start that is stated at that moment is bounded: no start lies in the future, and an
-// endpoint that has restarted did so no more than maxAnnouncementDelay before the last answer that stated its old
-// start. Otherwise an endpoint could count as warmed up, or as warming up, for the duration of the step.
+// If the wall clock has been stepped, the converted time may be wrong. It is therefore limited: it is at most now and,
+// after a restart, at least maxAnnouncementDelay before the last update of the list and later than the previous start.
+// Otherwise an endpoint could count as warmed up, or as warming up, for the duration of the step.
 func (p *Proxy) processStartOf(known *knownEndpoint, statedMs float64) processStart {
 	if statedMs == 0 {
 		return processStart{}
--- a/internal/proxy/endpoint_stats.go
+++ b/internal/proxy/endpoint_stats.go
@@ -28,9 +28,10 @@
 	}
 }
 
-// isAvoided reports whether an endpoint gets no request that another one could take. An endpoint with errors may still
-// take requests of some classes. An unresponsive one keeps that state until it answers, but counts as avoided only once
-// it gets no more than an occasional trial attempt.
+// isAvoided reports whether an endpoint is unreachable or draining, or is unresponsive and has had fewer than two
+// attempts in the last trialInterval. An endpoint with errors may still take requests of some classes. An unresponsive
+// one keeps that state until it answers, but counts as avoided only once it gets no more than an occasional trial
+// attempt.
 func (s *endpointStats) isAvoided(now policy.Instant, id policy.EndpointID) bool {
 	state := s.states[id]
 	if state == policy.StateUnresponsive {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// applyEntry applies an entry to the table. One with another address or start is another process, for which the old
-// connections are of no use.
+// applyEntry applies an entry to the table. One with another address or a later start describes another process, so the
+// connections to the old one are of no use.
 func (p *Proxy) applyEntry(row *fastjson.Value, entry *policy.Endpoint, start processStart) {
 	addr := string(row.GetStringBytes("hostPort"))
 	isRemoved := entry.Lifecycle == policy.Removed
--- a/internal/proxy/eventlog/shares.go
+++ b/internal/proxy/eventlog/shares.go
@@ -30,8 +30,8 @@
 	// learningEvaluations is the number of evaluations after which an endpoint's usual share is considered known.
 	learningEvaluations = 10
 
-	// shareWeight is the weight of a new evaluation in the moving average of the usual share, and 1/latencySamples its
-	// weight in that of the usual latency.
+	// shareWeight is the weight of a new evaluation in the moving average of the usual share. In that of the usual
+	// latency, the weight of a new evaluation is 1/latencySamples.
 	shareWeight    = 0.05
 	latencySamples = 8
 
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// scheduleIdleClientCheck sets the timer for the next idle check, unless it is set already. Guards against a second
-// series of checks when a node in standby begins to drain: minOnTimeIdleChecks would be reached in half the time.
+// scheduleIdleClientCheck sets the timer for the next idle check, unless it is set already. Without this check, a node
+// in standby that begins to drain would run a second series of checks, and reach minOnTimeIdleChecks in half the time.
 func (p *Proxy) scheduleIdleClientCheck() {
 	if p.lifecycle.idleCheckScheduled {
 		return
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -43,7 +43,7 @@
 	LongestIterationMs uint64 // duration of the longest iteration
 }
 
-// outcomeNames are the outer names of the results of attempts.
+// outcomeNames are the names under which operators see the results of attempts.
 var outcomeNames = [policy.CacheMiss + 1]string{
 	policy.Answered:         "answered",
 	policy.Errored:          "errored",
@@ -56,7 +56,7 @@
 	policy.CacheMiss:        "missed",
 }
 
-// Each calls f for every counter with its outer name, always in the same order.
+// Each calls f for every counter with the name that operators see, always in the same order.
 func (c *Counters) Each(f func(name string, count uint64)) {
 	f("clients", c.Clients)
 	f("requests", c.Requests)
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -11,9 +11,9 @@
 const (
 	// maxClientTimeout is the longest timeout that a client may state. No deployment uses timeouts close to it.
 	maxClientTimeout = 10 * time.Minute
-	// bufferedShare limits buffered requests and answers to one part in bufferedShare of the memory limit. The rest is
-	// left for the other state that grows with them.
-	bufferedShare = 8
+	// bufferedDivisor limits buffered requests and answers to the memory limit divided by it. The rest is left for the
+	// other state that grows with them.
+	bufferedDivisor = 8
 )
 
 type inflightID uint64
@@ -76,8 +76,8 @@
 	}
 	p.metrics.counters.Requests++
 	deadline := at.Add(min(request.timeout, maxClientTimeout))
-	deadline, outlastsDrain := p.capDeadline(class, at, deadline)
-	if outlastsDrain || p.cannotAccept(client) {
+	deadline, mustReject := p.capDeadline(class, at, deadline)
+	if mustReject || p.cannotAccept(client) {
 		p.metrics.counters.NotAccepted++
 		p.metrics.countRejected(class)
 		p.respond(client, client.codec.rejected(request, 0))
@@ -110,13 +110,13 @@
 }
 
 // capDeadline returns the deadline of a request that arrived at the given time. While the node drains, no deadline is
-// later than the node's end. outlastsDrain reports that the request must not be started so late: it is not idempotent,
-// or the time left is shorter than its latency objective. Requests with long deadlines are otherwise accepted, because
-// the node can still serve them within their latency objective; rejecting them would reject whole service classes for
-// the length of a drain.
+// later than the node's end. mustReject reports whether to reject the request: its deadline was cut and it is not
+// idempotent, or less time than its latency objective is left. All other requests are accepted with the earlier
+// deadline, because the node can still serve them within their latency objective; rejecting every request with a long
+// deadline would reject whole service classes during a drain.
 func (p *Proxy) capDeadline(
 	class policy.ClassID, at, deadline policy.Instant,
-) (capped policy.Instant, outlastsDrain bool) {
+) (capped policy.Instant, mustReject bool) {
 	answerBy := p.drainAnswerDeadline()
 	if p.lifecycle.phase != Draining || deadline <= answerBy {
 		return deadline, false
@@ -133,7 +133,7 @@
 		p.rejectsInStandby() ||
 		len(client.pipeline) >= maxPipelined ||
 		client.overLimit && p.tooManyClients() ||
-		buffered > p.config.MemoryLimit/bufferedShare
+		buffered > p.config.MemoryLimit/bufferedDivisor
 }
 
 // cloneRequest copies the parts of a request that are still needed out of the read buffer, in one allocation. It also
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -25,19 +25,19 @@
 // with the first byte: no other attempt follows, and on any failure the client's connection is closed, by which the
 // client can tell that the value is incomplete.
 type responseStream struct {
-	client      clientConnID
-	slot        uint64 // the number of its pipeline slot
-	class       policy.ClassID
-	codec       downstreamCodec
-	parsed      clientRequest
-	remaining   int            // bytes of the value still to be forwarded
-	trailerSize int            // bytes that the endpoint sends after the value
-	started     bool           // the head has been written to the client
-	paused      bool           // the endpoint is not read: the client is slow, or earlier answers are pending
-	checkAt     policy.Instant // when its timer fires; 0 if not set
-	lastByteAt  policy.Instant // when a byte was last forwarded, or was held back because of the client
-	unsent      int64          // bytes queued for the client at the last check
-	lastReadAt  policy.Instant // when the client last read a byte, or nothing was queued for it
+	client           clientConnID
+	slot             uint64 // the number of its pipeline slot
+	class            policy.ClassID
+	codec            downstreamCodec
+	parsed           clientRequest
+	remaining        int            // bytes of the value still to be forwarded
+	trailerSize      int            // bytes that the endpoint sends after the value
+	started          bool           // the head has been written to the client
+	paused           bool           // the endpoint is not read: the client is slow, or earlier answers are pending
+	checkAt          policy.Instant // when its timer fires; 0 if not set
+	endpointActiveAt policy.Instant // when a byte was last forwarded, or the stream was paused; see streamIdleTimeout
+	unsent           int64          // bytes queued for the client at the last check
+	lastReadAt       policy.Instant // when the client last read a byte, or nothing was queued for it
 }
 
 // isComplete reports whether all of the value has been received.
@@ -45,8 +45,8 @@
 	return s.remaining+s.trailerSize <= len(input.buf.Unread())
 }
 
-// isFirstOf reports whether all commands of the client before the stream's have been answered.
-func (s *responseStream) isFirstOf(client *clientConn) bool { return client.firstSlot == s.slot }
+// isNextFor reports whether the stream's answer is the next one to be written to the client.
+func (s *responseStream) isNextFor(client *clientConn) bool { return client.firstSlot == s.slot }
 
 // startStream starts to stream a long value whose head has been received, and reports whether it did.
 func (p *Proxy) startStream(conn *upstreamConn, req *inflightRequest, response *upstreamResponse, totalSize int) bool {
@@ -58,14 +58,14 @@
 	report := p.parseLoadReport(response.loadReport)
 	head := req.codec.valueHead(&req.parsed, response, response.valueSize)
 	stream := &responseStream{
-		client:      req.client,
-		slot:        req.slot,
-		class:       req.class,
-		codec:       req.codec,
-		parsed:      req.parsed,
-		remaining:   response.valueSize,
-		trailerSize: totalSize - response.headSize - response.valueSize,
-		lastByteAt:  p.now(),
+		client:           req.client,
+		slot:             req.slot,
+		class:            req.class,
+		codec:            req.codec,
+		parsed:           req.parsed,
+		remaining:        response.valueSize,
+		trailerSize:      totalSize - response.headSize - response.valueSize,
+		endpointActiveAt: p.now(),
 	}
 	conn.input.buf.Consume(response.headSize)
 	slot := client.slotOf(req.slot)
@@ -90,17 +90,17 @@
 		p.dropConn(conn)
 		return
 	}
-	if stream.isFirstOf(client) && client.socket.Unsent() <= streamWindow {
+	if stream.isNextFor(client) && client.socket.Unsent() <= streamWindow {
 		used, more := p.writeStream(conn, client, conn.input.buf.Unread())
 		if !more {
 			return
 		}
 		conn.input.buf.Consume(used)
 	}
-	mustPause := !stream.isFirstOf(client) || client.socket.Unsent() > streamWindow
+	mustPause := !stream.isNextFor(client) || client.socket.Unsent() > streamWindow
 	p.setPaused(conn, mustPause)
 	unsent := client.socket.Unsent()
-	if !mustPause || !stream.isFirstOf(client) || unsent != stream.unsent {
+	if !mustPause || !stream.isNextFor(client) || unsent != stream.unsent {
 		stream.unsent = unsent
 		stream.lastReadAt = p.now()
 	} else if p.now().Since(stream.lastReadAt) >= slowReaderTimeout {
@@ -122,7 +122,7 @@
 	}
 	stream.paused = paused
 	if paused {
-		stream.lastByteAt = p.now()
+		stream.endpointActiveAt = p.now()
 	}
 }
 
@@ -146,7 +146,7 @@
 func (p *Proxy) forwardDirect(conn *upstreamConn, data []byte) (rest []byte) {
 	stream := conn.stream
 	client := p.downstream.conns.Get(stream.client)
-	if client == nil || !stream.isFirstOf(client) {
+	if client == nil || !stream.isNextFor(client) {
 		return data
 	}
 	if stream.remaining <= len(data) || len(conn.input.buf.Unread()) > 0 {
@@ -172,7 +172,7 @@
 		stream.remaining -= len(piece)
 		used += len(piece)
 		client.lastUsedAt = p.now()
-		stream.lastByteAt = p.now()
+		stream.endpointActiveAt = p.now()
 		if client.socket.Write(piece) != nil { // what the kernel does not accept is copied
 			p.onClientClosed(client.id)
 			return 0, false
@@ -213,7 +213,7 @@
 	}
 	conn.input.buf.Consume(stream.trailerSize)
 	conn.stream = nil
-	if !conn.endpoint.codec.identifiesRequest() {
+	if !conn.endpoint.codec.canAttributeResponses() {
 		conn.unattributedAt = p.now()
 	}
 	if stream.paused {
@@ -269,7 +269,7 @@
 	}
 	stream := conn.stream
 	stream.checkAt = 0
-	if !stream.paused && p.now().Since(stream.lastByteAt) >= streamIdleTimeout {
+	if !stream.paused && p.now().Since(stream.endpointActiveAt) >= streamIdleTimeout {
 		p.failConn(conn, policy.TimedOut)
 		return
 	}
--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -64,9 +64,10 @@
 }
 
 // promptFlush has the poller write the rest of the last write if the kernel has space for it now. A write may have been
-// interrupted, or cut short although there was space. As polling is edge-triggered, nbio writes the rest only when the
-// kernel reports space, and the kernel does that only after it had reported that there is none. Setting the socket's
-// limit of unsent bytes makes the kernel report the space; the value, the system's default, stays the same.
+// interrupted, or cut short although there was space. nbio writes the rest only on an event for free space. Polling is
+// edge-triggered: the kernel sends that event only after a write has failed for lack of space, and a write that was
+// interrupted or cut short did not fail that way. Setting the socket's limit of unsent bytes makes the kernel report
+// the space; the value, the system's default, stays the same.
 func (c *Conn) promptFlush() {
 	raw, err := c.conn.SyscallConn()
 	if err != nil || c.descriptorFreed.Load() {
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -155,9 +155,9 @@
 }
 
 // connOf returns the Conn of a connection of nbio. The Conn is initialized, because nbio adds a connection to its
-// poller only after onOpen has returned. That ordering passes through the kernel, where neither the memory model nor
-// the race detector can see it. The counter connsReady, written after each Conn and read before each use, makes it
-// visible.
+// poller only after onOpen has returned. This order is ensured by the kernel, which neither Go's memory model nor the
+// race detector covers, so the counter connsReady, written after each Conn and read before each use, orders the
+// accesses as well.
 func (e *Engine) connOf(nc *nbio.Conn) *Conn {
 	e.connsReady.Load()
 	c, _ := nc.Session().(*Conn)
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -67,16 +67,17 @@
 	detector.notLogged = 0
 }
 
-// wasStalled reports whether the event loop has just stalled: the previous iteration was a stall, or a timer is so long
-// overdue that the process did not run.
+// wasStalled reports whether the event loop has just stalled: the previous iteration was a stall, or a timer is overdue
+// by stallThreshold, as after the process was suspended.
 func (p *Proxy) wasStalled() bool {
 	at, ok := p.timers.Next()
 	return p.stalls.stalled || ok && p.now().Since(at) >= stallThreshold
 }
 
-// awaitEndpointList waits until the poller has read what discovery has written by now. After a stall, the list waits in
-// the kernel along with requests that arrived before or after it, and the poller returns them in any order. Without the
-// wait, decisions could use a list that has been outdated for longer than the operators' grace period.
+// awaitEndpointList waits until the poller has read what discovery has written by now, for at most maxListReadChecks
+// checks. After a stall, the list waits in the kernel along with requests that arrived before or after it, and the
+// poller returns them in any order. Without the wait, decisions could use a list that has been outdated for longer than
+// the operators' grace period.
 func (p *Proxy) awaitEndpointList() {
 	conn := p.upstream.conns.Get(p.endpoints.watch.conn)
 	if conn == nil || conn.socket == nil {
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -17,8 +17,8 @@
 )
 
 // Standby takes the node out of service: it drains without stopping. Active ends that. Both may be called from any
-// goroutine, and more than once. They return admin.ErrEnding if the node is draining or has stopped, and ctx's error if
-// ctx ends first; the command may be executed all the same then.
+// goroutine, and more than once. They return admin.ErrShuttingDown if the node is draining or has stopped, and ctx's
+// error if ctx ends first; the command may be executed all the same then.
 func (p *Proxy) Standby(ctx context.Context) error { return p.runCommand(ctx, p.enterStandby) }
 
 // Active returns the node to service after Standby.
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -14,8 +14,8 @@
 	predecessorNotified bool            // the predecessor was told that this process serves
 }
 
-// startAsSuccessor starts as the successor of another process, with its listeners, and with part of the limits until it
-// has exited. The goroutine ends with the predecessor, as Wait returns then.
+// startAsSuccessor takes over the listeners of a predecessor. Until the predecessor has exited, this process uses only
+// its part of the limits; a goroutine waits for that exit and ends with it.
 func (p *Proxy) startAsSuccessor() {
 	for _, listener := range p.config.Inherited.Listeners { // those that New left over are no longer configured
 		_ = listener.Close()
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -18,8 +18,8 @@
 	// duplicateResponseWindow is the time within which a duplicate response would follow the first one: the network
 	// delay within a site and its jitter.
 	duplicateResponseWindow = 10 * time.Millisecond
-	// incompleteResponseShare limits incomplete responses to one part in incompleteResponseShare of the memory limit.
-	incompleteResponseShare = 4
+	// incompleteResponseDivisor limits incomplete responses to the memory limit divided by it.
+	incompleteResponseDivisor = 4
 	// minIncompleteBytes is the size up to which an incomplete response is not dropped: responses of that size on all
 	// connections together stay below the limit.
 	minIncompleteBytes = 4 << 10
@@ -92,7 +92,7 @@
 
 // maxUpstreamConns returns the number of upstream connections above which a new one is opened only in place of an idle
 // one.
-func (p *Proxy) maxUpstreamConns() int { return p.engine.MaxClients() / upstreamShare }
+func (p *Proxy) maxUpstreamConns() int { return p.engine.MaxClients() / upstreamDivisor }
 
 // acquireConn returns the most recently used idle connection to an endpoint, or dials a new one, which has no socket
 // yet. If strict is set, it skips connections on which a response without a request id was received within
@@ -271,9 +271,9 @@
 		return
 	}
 	if conn.purpose != purposeIdle {
-		// Guards against a connection that is taken from the pool just before its idle timeout: counted from its last
-		// use, the next check would be due at once, again and again until the attempt ends, and no event would be
-		// handled.
+		// The connection is in use, and may have been taken from the pool just before its idle timeout. Its next check
+		// is set from now: set from its last use, it would then be due at once, again and again until the attempt ends,
+		// and no event would be handled.
 		p.scheduleIdleCheck(conn, now)
 		return
 	}
@@ -382,7 +382,7 @@
 	}
 	p.upstream.incompleteBytes += unread - conn.input.incompleteBytes
 	conn.input.incompleteBytes = unread
-	tooMuch := int64(p.upstream.incompleteBytes) > p.config.MemoryLimit/incompleteResponseShare
+	tooMuch := int64(p.upstream.incompleteBytes) > p.config.MemoryLimit/incompleteResponseDivisor
 	if unread > minIncompleteBytes && conn.endpoint != nil && tooMuch {
 		p.metrics.counters.NotAccepted++
 		p.failConn(conn, policy.ConnectionBroken)
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -49,9 +49,9 @@
 	return addr
 }
 
-// identifiesRequest returns true: like all HTTP clients, the node matches a response to its request by order alone.
-// Only the origin's responses are not trusted that far.
-func (httpUpstream) identifiesRequest() bool { return true }
+// canAttributeResponses returns true: the order of responses on a connection is trusted, as by all HTTP clients. For
+// the origin it is not (originUpstream).
+func (httpUpstream) canAttributeResponses() bool { return true }
 
 func (h httpUpstream) readResponse(
 	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
@@ -76,7 +76,7 @@
 	if request.http != nil {
 		response.headers = appendForwarded(nil, answer.Each, answer.Header("Connection"))
 		response.headers = append(response.headers, "Via: 1.1 dahliapin\r\n"...)
-	} else if request.write && !meta.IsWord(answer.Body) { // a receipt is one word: the status, if the body is none
+	} else if request.write && !meta.IsWord(answer.Body) { // a receipt must be one word; the status stands in
 		response.body = strconv.AppendInt(nil, int64(answer.Status), 10)
 	}
 	return response, size, 0
--- a/internal/proxy/upstream_meta.go
+++ b/internal/proxy/upstream_meta.go
@@ -19,7 +19,7 @@
 	return meta.AppendCommand(nil, &command, timeoutMs)
 }
 
-func (metaUpstream) identifiesRequest() bool { return true }
+func (metaUpstream) canAttributeResponses() bool { return true }
 
 func (metaUpstream) readResponse(
 	b []byte, request *clientRequest, _ bool, _ *http1.Progress,
--- a/internal/proxy/upstream_origin.go
+++ b/internal/proxy/upstream_origin.go
@@ -26,8 +26,8 @@
 	return http1.AppendRequest(nil, method, http1.AppendPath(nil, request.key), host, headers, request.value)
 }
 
-// identifiesRequest returns false: the origin may omit the request id from its response.
-func (originUpstream) identifiesRequest() bool { return false }
+// canAttributeResponses returns false: the origin may omit the request id from its response.
+func (originUpstream) canAttributeResponses() bool { return false }
 
 func (originUpstream) readResponse(
 	b []byte, request *clientRequest, ended bool, progress *http1.Progress,
