--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -23,8 +23,8 @@
 }
 
 // Guards against lost attempts that occupy the origin limit: attempts on connections that had stopped responding held a
-// third of the origin's capacity until their deadline. A lost read must be cancelled and retried if the hedge budget
-// allows it; a write must not.
+// third of the origin's capacity until their deadline. A lost read must be cancelled and retried if the extra-attempt
+// budget allows it; a write must not.
 func TestLostOriginReadIsCancelledAndRetriedWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name      string
