--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -16,14 +16,14 @@
 	NeverCounted  = "never done at a cache"       // at the end
 )
 
-// CachesPhase is how long a play's purges took from publishing until the last cache.
+// CachesPhase is the time that a phase's purges took from publishing until the last cache.
 type CachesPhase struct {
 	Phase   string        `json:"play"`
 	Deleted DurationStats `json:"to_first_deletion_at_last_cache"`
 	Done    DurationStats `json:"to_done_at_last_cache"`
 }
 
-// CachesReport is the judgement on caches.
+// CachesReport is the result of checking the caches.
 type CachesReport struct {
 	Breaches []Breach      `json:"breaches"`
 	Caches   int           `json:"caches"`    // that left a record
@@ -34,14 +34,15 @@
 	Phases   []CachesPhase `json:"plays"`
 }
 
-// CheckCaches judges what caches did. Purges are those of the whole log, with no index twice; records are those of all
-// caches. Times are of the caches that are looked at; nil for all. Both slices are sorted in place.
-func CheckCaches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent, looked func(cache string) bool) CachesReport {
+// CheckCaches checks the records of all caches against the purges of the whole log, in which no index occurs twice.
+// Durations cover the caches for which looked returns true; nil selects all. Both slices are sorted in place.
+func CheckCaches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent,
+	looked func(cache string) bool) CachesReport {
 	if looked == nil {
 		looked = func(string) bool { return true }
 	}
-	c := &cachesJudge{
-		judge:   New(0, nil),
+	c := &cacheChecker{
+		checker: New(0, nil),
 		looked:  looked,
 		purges:  purges,
 		deleted: make([]monotime.Instant, len(purges)),
@@ -57,14 +58,14 @@
 	for name, all := range byCache {
 		c.cache(name, all)
 	}
-	c.report.Phases = c.plays()
-	c.report.Breaches = c.judge.breaches(StaleServed, NotCarriedOut, NeverCounted)
+	c.report.Phases = c.phases()
+	c.report.Breaches = c.checker.breaches(StaleServed, NotCarriedOut, NeverCounted)
 	return c.report
 }
 
-// cachesJudge judges one cache after the other.
-type cachesJudge struct {
-	judge   *Checker // collects the breaches
+// cacheChecker checks one cache after the other.
+type cacheChecker struct {
+	checker *Checker // collects the breaches
 	looked  func(cache string) bool
 	purges  []logtrace.PublishedPurge // by index, ascending
 	deleted []monotime.Instant        // by purge: its key's first deletion at the last cache; 0 for none
@@ -72,7 +73,7 @@
 	report  CachesReport
 }
 
-// cacheHistory is what is known of one cache up to a record.
+// cacheHistory is the state of one cache up to a record.
 type cacheHistory struct {
 	name      string
 	deletions map[string][]monotime.Instant // by key, ascending
@@ -81,8 +82,8 @@
 	counted   int                           // purges that count as done here
 }
 
-// cache judges one cache by its records.
-func (c *cachesJudge) cache(name string, records []logtrace.CacheEvent) {
+// cache checks one cache by its records.
+func (c *cacheChecker) cache(name string, records []logtrace.CacheEvent) {
 	slices.SortStableFunc(records, func(a, b logtrace.CacheEvent) int { return cmp.Compare(a.At, b.At) })
 	h := &cacheHistory{
 		name:      name,
@@ -94,7 +95,7 @@
 		c.record(h, record)
 	}
 	if h.counted < len(c.purges) {
-		c.judge.broke(NeverCounted, "%s ended with %d purges of %d", name, h.counted, len(c.purges))
+		c.checker.addBreach(NeverCounted, "%s ended with %d purges of %d", name, h.counted, len(c.purges))
 	}
 	if !c.looked(name) {
 		return
@@ -108,8 +109,8 @@
 	}
 }
 
-// record takes a cache's next record.
-func (c *cachesJudge) record(h *cacheHistory, record logtrace.CacheEvent) {
+// record processes the next record of a cache.
+func (c *cacheChecker) record(h *cacheHistory, record logtrace.CacheEvent) {
 	switch record.Kind {
 	case logtrace.Deleted:
 		c.report.Deletes++
@@ -120,7 +121,7 @@
 	case logtrace.Served:
 		c.report.Served++
 		if required := h.required[record.Key]; record.Version < required {
-			c.judge.broke(StaleServed, "%s: %s in version %d, after %d was purged",
+			c.checker.addBreach(StaleServed, "%s: %s in version %d, after %d was purged",
 				h.name, record.Key, record.Version, required)
 		}
 	case logtrace.Confirmed:
@@ -130,13 +131,13 @@
 	}
 }
 
-// count takes the next purge as done at a cache.
-func (c *cachesJudge) count(h *cacheHistory, at monotime.Instant) {
+// count marks the next purge as done at a cache, and checks that its key was deleted since it was published.
+func (c *cacheChecker) count(h *cacheHistory, at monotime.Instant) {
 	purge := c.purges[h.counted]
 	deletions := h.deletions[purge.Key]
 	deletedSince := len(deletions) > 0 && deletions[len(deletions)-1] >= purge.Sent
 	if !deletedSince && h.emptied < purge.Sent {
-		c.judge.broke(NotCarriedOut, "%s: entry %d", h.name, purge.Index)
+		c.checker.addBreach(NotCarriedOut, "%s: entry %d", h.name, purge.Index)
 	}
 	h.required[purge.Key] = max(h.required[purge.Key], purge.Version)
 	if c.looked(h.name) {
@@ -145,16 +146,16 @@
 	h.counted++
 }
 
-// plays sums up times by play, in the order in which the plays first appear in the log.
-func (c *cachesJudge) plays() []CachesPhase {
+// phases summarizes durations by phase, in the order in which the phases first appear in the log.
+func (c *cacheChecker) phases() []CachesPhase {
 	type times struct{ deleted, done []time.Duration }
-	byPlay := map[string]*times{}
+	byPhase := map[string]*times{}
 	var order []string
 	for i, purge := range c.purges {
-		t := byPlay[purge.Play]
+		t := byPhase[purge.Play]
 		if t == nil {
 			t = &times{}
-			byPlay[purge.Play] = t
+			byPhase[purge.Play] = t
 			order = append(order, purge.Play)
 		}
 		if c.deleted[i] > 0 {
@@ -164,10 +165,10 @@
 			t.done = append(t.done, c.done[i].Since(purge.Sent))
 		}
 	}
-	var plays []CachesPhase
-	for _, play := range order {
-		t := byPlay[play]
-		plays = append(plays, CachesPhase{Phase: play, Deleted: spans(t.deleted), Done: spans(t.done)})
+	var phases []CachesPhase
+	for _, phase := range order {
+		t := byPhase[phase]
+		phases = append(phases, CachesPhase{Phase: phase, Deleted: spans(t.deleted), Done: spans(t.done)})
 	}
-	return plays
+	return phases
 }
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -34,7 +34,7 @@
 	return purged, records
 }
 
-func TestCachesOfASoundRunHaveNoBreach(t *testing.T) {
+func TestCheckCachesFindsNoBreachInSoundRun(t *testing.T) {
 	purged, records := soundCaches()
 	r := CheckCaches(purged, records, nil)
 	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Phases) != 2 {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestEachBreachAtCachesIsFound(t *testing.T) {
+func TestCheckCachesFindsEachBreach(t *testing.T) {
 	for name, c := range map[string]struct {
 		want string
 		bend func(records []logtrace.CacheEvent) []logtrace.CacheEvent
--- a/internal/scale/logscale/checker/judge.go
+++ b/internal/scale/logscale/checker/judge.go
@@ -5,7 +5,8 @@
 // begins under the configuration in force. They are checked against the records of voters' disks, of the publisher and
 // of all nodes; of what processes say about each other only the clocks are trusted, which are those of one machine.
 //
-// A Judge takes its evidence in this order: Kept, Order, Saw, and then Report. It is not safe for concurrent use.
+// A Checker takes its input in this order: AddStored, AddPublished, AddNodeRecord, and then Report. It is not safe for
+// concurrent use.
 package checker
 
 import (
@@ -18,7 +19,7 @@
 	"dahliapin/internal/monotime"
 )
 
-const mostExamples = 5 // of each breach that are reported
+const maxExamples = 5 // of each breach that are reported
 
 // The breaches.
 const (
@@ -31,14 +32,14 @@
 	StaleStart   = "began under an old configuration" // a later one was in force there
 )
 
-// Breach is what was broken how often.
+// Breach is a violated invariant with the number of violations and some examples.
 type Breach struct {
 	What     string   `json:"what"`
 	Count    int      `json:"count"`
 	Examples []string `json:"examples"`
 }
 
-// DurationStats sum up a number of times, in seconds.
+// DurationStats summarizes a set of durations, in seconds.
 type DurationStats struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
@@ -46,8 +47,8 @@
 	Max    float64 `json:"most_s"`
 }
 
-// PhaseReport is how long a play's changes took: to be acknowledged, and from publishing and from acknowledgement to the
-// last node of those that are looked at.
+// PhaseReport is the time that a phase's changes took: to be acknowledged, and from publishing and from acknowledgement
+// to the last of the observed nodes.
 type PhaseReport struct {
 	Phase         string        `json:"play"`
 	Config        bool          `json:"config"` // of configurations, else of purges
@@ -58,7 +59,7 @@
 	NodesObserved int           `json:"nodes_looked_at"`
 }
 
-// Report is the judgement of a whole run.
+// Report is the result of checking a whole run.
 type Report struct {
 	Breaches []Breach      `json:"breaches"`
 	Entries  uint64        `json:"entries"`
@@ -74,7 +75,7 @@
 	onDisk []monotime.Instant // by voter, when it was on its disk first
 }
 
-type nodeSeen struct {
+type nodeState struct {
 	begun   bool
 	applied uint64
 }
@@ -84,15 +85,15 @@
 	index, mark uint64
 }
 
-// Checker gathers evidence: first what was kept and ordered, then each node's records in their order.
+// Checker checks the traces of a run: first the stored and published changes, then the records of each node in order.
 type Checker struct {
 	voters  int
 	changes map[uint64]*change // by mark
 	byIndex map[uint64]uint64  // marks
 	orders  []logtrace.PublishedChange
-	nodes   map[uint32]*nodeSeen
+	nodes   map[uint32]*nodeState
 	begins  []beginning
-	applied map[uint64]monotime.Instant // by index: when the last node that is looked at had applied it
+	applied map[uint64]monotime.Instant // by index: when the last observed node had applied it
 	looked  func(node uint32) bool
 	breach  map[string]*Breach
 	report  Report
@@ -100,7 +101,8 @@
 	configs []uint64 // indexes of configurations
 }
 
-// New is a judge of a log with so many voters. Times are of the nodes that are looked at; nil for all.
+// New returns a checker for a log with the given number of voters. Durations cover the nodes for which looked returns
+// true; nil selects all.
 func New(voters int, looked func(node uint32) bool) *Checker {
 	if looked == nil {
 		looked = func(uint32) bool { return true }
@@ -109,26 +111,26 @@
 		voters:  voters,
 		changes: map[uint64]*change{},
 		byIndex: map[uint64]uint64{},
-		nodes:   map[uint32]*nodeSeen{},
+		nodes:   map[uint32]*nodeState{},
 		applied: map[uint64]monotime.Instant{},
 		looked:  looked,
 		breach:  map[string]*Breach{},
 	}
 }
 
-func (j *Checker) broke(what, format string, args ...any) {
+func (j *Checker) addBreach(what, format string, args ...any) {
 	b := j.breach[what]
 	if b == nil {
 		b = &Breach{What: what}
 		j.breach[what] = b
 	}
 	b.Count++
-	if len(b.Examples) < mostExamples {
+	if len(b.Examples) < maxExamples {
 		b.Examples = append(b.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// AddStored takes what a voter, numbered from 0, has on disk. Learners are no evidence.
+// AddStored adds what a voter, numbered from 0, has on disk. Learners do not count.
 func (j *Checker) AddStored(voter int, k logtrace.DurableEntries) {
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
@@ -142,7 +144,7 @@
 	}
 }
 
-// majority is when a majority of the voters had a change on disk; the end of time for never.
+// majority returns when a majority of the voters had a change on disk; math.MaxInt64 for never.
 func (j *Checker) majority(mark uint64) monotime.Instant {
 	c := j.changes[mark]
 	if c == nil {
@@ -158,14 +160,14 @@
 	return at[j.voters/2]
 }
 
-// AddPublished takes a change that was published.
+// AddPublished adds a published change.
 func (j *Checker) AddPublished(o logtrace.PublishedChange) {
 	j.orders = append(j.orders, o)
 	if o.Index == 0 {
 		return
 	}
 	if at := j.majority(o.Mark); at > o.Acked {
-		j.broke(EarlyAck, "entry %d", o.Index)
+		j.addBreach(EarlyAck, "entry %d", o.Index)
 	}
 	j.place(o.Mark, o.Index, "its publisher")
 	if o.Config {
@@ -174,10 +176,10 @@
 	j.highest = max(j.highest, o.Index)
 }
 
-// place notes what an index is; all have to agree.
+// place records which change has an index, and checks that all sources agree.
 func (j *Checker) place(mark, index uint64, by string) {
 	if was, is := j.byIndex[index]; is && was != mark {
-		j.broke(OutOfOrder, "entry %d is another to %s", index, by)
+		j.addBreach(OutOfOrder, "entry %d is another to %s", index, by)
 		return
 	}
 	c := j.changes[mark]
@@ -186,17 +188,17 @@
 		j.changes[mark] = c
 	}
 	if c.index != 0 && c.index != index {
-		j.broke(Duplicated, "the change of entry %d is also entry %d to %s", c.index, index, by)
+		j.addBreach(Duplicated, "the change of entry %d is also entry %d to %s", c.index, index, by)
 	}
 	c.index = index
 	j.byIndex[index] = mark
 }
 
-// AddNodeRecord takes a node's next record.
+// AddNodeRecord adds the next record of a node.
 func (j *Checker) AddNodeRecord(r logtrace.NodeEvent) {
 	n := j.nodes[r.Node]
 	if n == nil {
-		n = &nodeSeen{}
+		n = &nodeState{}
 		j.nodes[r.Node] = n
 	}
 	switch r.Kind {
@@ -205,7 +207,7 @@
 			j.report.Presumed++
 		}
 		if n.begun && r.Index <= n.applied {
-			j.broke(Duplicated, "node %d began at %d after it had %d", r.Node, r.Index, n.applied)
+			j.addBreach(Duplicated, "node %d began at %d after it had %d", r.Node, r.Index, n.applied)
 		}
 		j.begins = append(j.begins, beginning{node: r.Node, index: r.Index, mark: r.Mark})
 		n.begun = true
@@ -216,24 +218,24 @@
 		j.onApplied(n, r)
 	case logtrace.Acknowledged:
 		if r.Index > n.applied {
-			j.broke(EarlyReport, "node %d told of %d with %d", r.Node, r.Index, n.applied)
+			j.addBreach(EarlyReport, "node %d told of %d with %d", r.Node, r.Index, n.applied)
 		}
 	}
 }
 
-// onApplied takes an entry that a node has applied.
-func (j *Checker) onApplied(n *nodeSeen, r logtrace.NodeEvent) {
+// onApplied checks an entry that a node has applied.
+func (j *Checker) onApplied(n *nodeState, r logtrace.NodeEvent) {
 	j.report.Applied++
 	switch {
 	case r.Index <= n.applied:
-		j.broke(Duplicated, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+		j.addBreach(Duplicated, "node %d applied %d after %d", r.Node, r.Index, n.applied)
 	case !n.begun || r.Index > n.applied+1:
-		j.broke(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+		j.addBreach(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
 	}
 	n.applied = max(n.applied, r.Index)
 	j.place(r.Mark, r.Index, fmt.Sprintf("node %d", r.Node))
 	if j.majority(r.Mark) > r.At {
-		j.broke(EarlyInForce, "node %d, entry %d", r.Node, r.Index)
+		j.addBreach(EarlyInForce, "node %d, entry %d", r.Node, r.Index)
 	}
 	if j.looked(r.Node) {
 		j.applied[r.Index] = max(j.applied[r.Index], r.At)
@@ -251,13 +253,13 @@
 	return DurationStats{Count: len(all), Median: at(0.5), P99: at(0.99), Max: all[len(all)-1].Seconds()}
 }
 
-// Report judges, once all evidence is in. So many nodes are expected to have left a trace.
+// Report returns the result once all traces have been added. nodes is the expected number of nodes with a trace.
 func (j *Checker) Report(nodes int) Report {
 	j.checkEnds(nodes)
 	j.checkBeginnings()
 	j.report.Nodes = len(j.nodes)
 	j.report.Entries = uint64(len(j.byIndex))
-	j.report.Phases = append(j.report.Phases, j.plays()...)
+	j.report.Phases = append(j.report.Phases, j.phases()...)
 	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyReport, StaleStart)
 	return j.report
 }
@@ -265,11 +267,11 @@
 // checkEnds checks that all nodes left a trace and ended with all entries.
 func (j *Checker) checkEnds(nodes int) {
 	if len(j.nodes) != nodes {
-		j.broke(Missing, "%d nodes of %d left a trace", len(j.nodes), nodes)
+		j.addBreach(Missing, "%d nodes of %d left a trace", len(j.nodes), nodes)
 	}
 	for id, n := range j.nodes {
 		if n.applied < j.highest {
-			j.broke(Missing, "node %d ended with %d of %d", id, n.applied, j.highest)
+			j.addBreach(Missing, "node %d ended with %d of %d", id, n.applied, j.highest)
 		}
 	}
 }
@@ -280,16 +282,16 @@
 	for _, b := range j.begins {
 		at, _ := slices.BinarySearch(j.configs, b.index+1)
 		if at > 0 && j.byIndex[j.configs[at-1]] != b.mark {
-			j.broke(StaleStart, "node %d at %d, where configuration %d was in force",
+			j.addBreach(StaleStart, "node %d at %d, where configuration %d was in force",
 				b.node, b.index, j.configs[at-1])
 		}
 	}
 }
 
-// plays sums up times by play, in the order in which the plays were published.
-func (j *Checker) plays() []PhaseReport {
+// phases summarizes durations by phase, in the order in which the phases were published.
+func (j *Checker) phases() []PhaseReport {
 	type kind struct {
-		play   string
+		phase  string
 		config bool
 	}
 	type times struct {
@@ -301,7 +303,7 @@
 	byKind := map[kind]*times{}
 	var order []kind
 	for _, o := range j.orders {
-		k := kind{play: o.Play, config: o.Config}
+		k := kind{phase: o.Play, config: o.Config}
 		t := byKind[k]
 		if t == nil {
 			t = &times{}
@@ -319,11 +321,11 @@
 		}
 	}
 	looked := j.nodesLookedAt()
-	var plays []PhaseReport
+	var phases []PhaseReport
 	for _, k := range order {
 		t := byKind[k]
-		plays = append(plays, PhaseReport{
-			Phase:         k.play,
+		phases = append(phases, PhaseReport{
+			Phase:         k.phase,
 			Config:        k.config,
 			Acked:         spans(t.acked),
 			FromSent:      spans(t.fromSent),
@@ -332,7 +334,7 @@
 			NodesObserved: looked,
 		})
 	}
-	return plays
+	return phases
 }
 
 func (j *Checker) nodesLookedAt() int {
@@ -345,7 +347,7 @@
 	return looked
 }
 
-// breaches returns what was broken, in the order given; never nil, as a report shows it as a list.
+// breaches returns the violated invariants in the order given; never nil, as a report shows it as a list.
 func (j *Checker) breaches(kinds ...string) []Breach {
 	broken := []Breach{}
 	for _, kind := range kinds {
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -66,7 +66,7 @@
 	return j.Report(2)
 }
 
-func TestASoundRunHasNoBreach(t *testing.T) {
+func TestCheckerFindsNoBreachInSoundRun(t *testing.T) {
 	r := soundEvidence().report()
 	if len(r.Breaches) > 0 || r.Entries != 4 || r.Applied != 5 || len(r.Phases) != 2 {
 		t.Fatalf("%+v", r)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestEachBreachIsFound(t *testing.T) {
+func TestCheckerFindsEachBreach(t *testing.T) {
 	for name, c := range map[string]struct {
 		want string
 		bend func(e *evidence)
