--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	refilled   = 0.2                   // share of keys and caches with a fill of the old value in flight at a purge
-	refillLate = 50 * time.Millisecond // a fill is left out this long before its time is up, as timers are not exact
-	readEach   = 2 * time.Millisecond  // between two reads at caches
+	staleFillShare  = 0.2                   // share of (key, cache) pairs with a stale fill in flight at a purge
+	staleFillMargin = 50 * time.Millisecond // fills this close to their time limit are skipped, as timers are not exact
+	readInterval    = 2 * time.Millisecond  // between two reads at caches
 )
 
 // caches are the rig's cache servers, each in a region, and the records of what happened at them. A key's value has the
@@ -63,7 +63,7 @@
 	}
 }
 
-// cacheList is what a control machine's file says of caches: each in a region, over the network between.
+// cacheList returns the cache section of a control server's file. Caches are reached over the emulated network.
 func (r *run) cacheList(machine int) (string, error) {
 	if r.Caches == 0 {
 		return "", nil
@@ -101,11 +101,11 @@
 func (r *run) scheduleStaleFills(all []replicatedlog.Proposal, sent monotime.Instant) {
 	for _, c := range r.caches.all {
 		for _, p := range all {
-			if p.Kind != replicatedlog.Purge || r.chance() > refilled {
+			if p.Kind != replicatedlog.Purge || r.chance() > staleFillShare {
 				continue
 			}
-			key, by := string(p.Body), sent.Add(r.MaxFillTime-refillLate)
-			at := sent.Add(time.Duration(r.chance() * float64(r.MaxFillTime-2*refillLate)))
+			key, by := string(p.Body), sent.Add(r.MaxFillTime-staleFillMargin)
+			at := sent.Add(time.Duration(r.chance() * float64(r.MaxFillTime-2*staleFillMargin)))
 			r.caches.fills.Add(1)
 			time.AfterFunc(at.Since(gossip.BootTime()), func() {
 				defer r.caches.fills.Done()
@@ -130,7 +130,7 @@
 		select {
 		case <-r.caches.closed:
 			return
-		case <-time.After(readEach):
+		case <-time.After(readInterval):
 		}
 		back := r.chance()
 		which := int(r.chance() * float64(r.Caches))
@@ -156,12 +156,12 @@
 	}
 }
 
-// cutCache has a cache not answer for a while; it keeps its contents.
+// cutCache makes a cache unresponsive for a while; it keeps its contents.
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
 	c.SetFault(cachestub.Silent, 0)
 	r.caches.cut = c.Name()
-	r.log("%s is silent", c.Name())
+	r.log("%s does not answer from now on", c.Name())
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheOutage, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	time.Sleep(r.CutFor)
@@ -182,7 +182,7 @@
 	return err
 }
 
-// checkCaches gives the records of all caches to the checker.
+// checkCaches passes the records of all caches to the checker.
 func (r *run) checkCaches() error {
 	if r.Caches == 0 {
 		return nil
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -25,16 +25,16 @@
 )
 
 const (
-	sampleEach = time.Second      // between two samples
-	staleAfter = 30 * time.Second // without the leader, after which a node counts as stale
-	startOver  = 2 * time.Second  // over which the hollow nodes of a process start
-	traceAhead = 1 << 20          // bytes of the trace written at once
+	sampleInterval   = time.Second      // between two samples
+	staleAfter       = 30 * time.Second // time without contact to the leader after which a node counts as stale
+	startSpread      = 2 * time.Second  // time over which the starts of a process's hollow nodes are spread
+	traceBufferBytes = 1 << 20          // buffer size of the trace writer
 )
 
 // Spec is the configuration of a process of hollow nodes.
 type Spec struct {
 	Label   string   `json:"label"`
-	Servers []string `json:"at"` // control machines' doors
+	Servers []string `json:"at"` // addresses of the control servers
 	Seed    uint32   `json:"seed"`
 	First   uint32   `json:"first"` // number of its first node
 	Nodes   int      `json:"nodes"`
@@ -42,18 +42,18 @@
 	Stats   string   `json:"stats"` // file
 }
 
-// Sample is what a process has used until then.
+// Sample is a reading of the cumulative usage of a process.
 type Sample struct {
 	At    monotime.Instant `json:"at"`
 	CPU   float64          `json:"cpu_s"`
 	RSS   int64            `json:"rss"`  // bytes
 	Heap  uint64           `json:"heap"` // bytes, as of the last collection
-	In    []uint64         `json:"in"`   // bytes each node's streams took until now
+	In    []uint64         `json:"in"`   // bytes received on the streams of each node so far
 	Out   []uint64         `json:"out"`
 	Moves uint64           `json:"moves"`
 	Gaps  uint64           `json:"gaps"`
 	Stale int              `json:"stale"`
-	Least uint64           `json:"least"` // what the node that is furthest behind has applied
+	Least uint64           `json:"least"` // lowest index applied by any node
 }
 
 // writer writes records of many nodes.
@@ -65,10 +65,10 @@
 func (w *writer) put(r logtrace.NodeEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = logtrace.Write(w.w, r) // a full disk shows as what is missing
+	_ = logtrace.Write(w.w, r) // after a write error the checker reports missing records
 }
 
-// hollow is a node that follows the log by the real code, and does nothing by it but write it down.
+// hollow is a node that follows the log with the production code and only records what it applies.
 type hollow struct {
 	reader *replicatedlog.Applier
 	to     *writer
@@ -122,10 +122,10 @@
 	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Acknowledged})
 }
 
-// HollowName is the name of a hollow node with a number.
+// HollowName returns the name of the hollow node with a number.
 func HollowName(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
-// ServeHollowNodes runs a process of hollow nodes until what it reads from ends.
+// ServeHollowNodes runs a process of hollow nodes until the reader reaches its end.
 func ServeHollowNodes(spec string, until io.Reader) error {
 	text, err := os.ReadFile(spec)
 	if err != nil {
@@ -143,14 +143,14 @@
 	if err != nil {
 		return err
 	}
-	to := &writer{w: bufio.NewWriterSize(traced, traceAhead)}
+	to := &writer{w: bufio.NewWriterSize(traced, traceBufferBytes)}
 	ends := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, until)
 		ends <- err
 	}()
 	all := startFollowers(s, to)
-	each := time.NewTicker(sampleEach)
+	each := time.NewTicker(sampleInterval)
 	defer each.Stop()
 	for over := false; !over; {
 		select {
@@ -166,7 +166,7 @@
 	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
 }
 
-// startFollowers starts all nodes of a process, evenly over startOver.
+// startFollowers starts all nodes of a process, evenly over startSpread.
 func startFollowers(s Spec, to *writer) []*logfollower.Follower {
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
@@ -186,7 +186,7 @@
 			Now:            gossip.BootTime,
 			OnProgressSent: h.onProgressSent,
 		}))
-		time.Sleep(startOver / time.Duration(s.Nodes))
+		time.Sleep(startSpread / time.Duration(s.Nodes))
 	}
 	return all
 }
@@ -215,7 +215,7 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// resident is a process's memory in bytes; 0 where it is gone.
+// resident returns a process's resident memory in bytes; 0 if the process is gone.
 func resident(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if f := strings.Fields(string(text)); err == nil && len(f) > 1 {
@@ -227,7 +227,7 @@
 
 const ticksASecond = 100 // of /proc's processor times, on Linux
 
-// used is a process's processor time in seconds; 0 where it is gone.
+// used returns a process's CPU time in seconds; 0 if the process is gone.
 func used(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/scale/logscale/checker"
 )
 
-// check gives all traces to the checker, and adds up what was used.
+// check passes all traces to the checker and aggregates the resource usage.
 func (r *run) check() error {
 	off := r.specs[r.CutRegion]
 	inCut := func(node uint32) bool {
@@ -17,7 +17,9 @@
 	}
 	j := checker.New(machines-1, func(node uint32) bool { return !inCut(node) })
 	for i := range machines - 1 {
-		if err := logtrace.ReadJSONLines(r.path("control-%d.trace", i), func(k logtrace.DurableEntries) { j.AddStored(i, k) }); err != nil {
+		if err := logtrace.ReadJSONLines(r.path("control-%d.trace", i), func(k logtrace.DurableEntries) {
+			j.AddStored(i, k)
+		}); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	pieceBytes   = 16 << 10               // of a stream that are carried at a time
-	segment      = 1448                   // bytes that one lost packet takes with it
-	firstAgain   = 200 * time.Millisecond // a usual first retransmission time-out of TCP, doubled each time
-	synAgain     = time.Second            // the same for the packet that opens it
-	mostAgain    = 4                      // times that one is lost in a row
-	piecesAhead  = 64                     // in flight in one direction; the sender waits then, as by TCP's window
-	lookAtCut    = 10 * time.Millisecond  // between looks of a stream that stalls
-	inRegion     = time.Millisecond       // one way, within a region
-	nextRegion   = 10 * time.Millisecond  // one way, to another, and
-	furtherEach  = 12 * time.Millisecond  // more for each region on the shorter way around
-	acceptPauses = 20 * time.Millisecond  // after a failure to accept
+	chunkBytes           = 16 << 10               // of a stream, read and forwarded at a time
+	segment              = 1448                   // payload bytes of a packet
+	firstRetransmitDelay = 200 * time.Millisecond // a usual first retransmission time-out of TCP, doubled each time
+	synRetransmitDelay   = time.Second            // the same for the SYN
+	maxRetransmits       = 4                      // consecutive losses of one packet
+	maxChunksInFlight    = 64                     // in flight per direction; the sender then blocks, as with a full window
+	cutPollInterval      = 10 * time.Millisecond  // interval at which a stalled stream checks the partition
+	intraRegionDelay     = time.Millisecond       // one way, within a region
+	minRegionDelay       = 10 * time.Millisecond  // one way, to another region, plus
+	delayPerRegion       = 12 * time.Millisecond  // for each region of distance along the shorter way around the ring
+	acceptRetryPause     = 20 * time.Millisecond  // after a failed accept
 )
 
-// RegionNetwork emulates the network between regions, for streams: it listens on loopback for each pair of a region and a
-// server elsewhere, and forwards with the delay between the two. A packet of 1,448 bytes is lost by chance, which
+// RegionNetwork emulates the network between regions, for streams: it listens on loopback for each pair of a region and
+// a server elsewhere, and forwards with the delay between the two. A packet of 1,448 bytes is lost by chance, which
 // delays the stream by a retransmission time-out, as all that was sent after it waits. While a region is cut off, all
 // of its streams to others stall, and connections that are opened or closed meanwhile stay unnoticed at the other end.
 type RegionNetwork struct {
@@ -55,19 +55,19 @@
 	}
 }
 
-// Delay is the one-way delay from one region to another.
+// Delay returns the one-way delay from one region to another.
 func (b *RegionNetwork) Delay(from, to int) time.Duration {
 	if from == to {
-		return inRegion
+		return intraRegionDelay
 	}
 	d := from - to
 	if d < 0 {
 		d = -d
 	}
-	return nextRegion + furtherEach*time.Duration(min(d, b.regions-d))
+	return minRegionDelay + delayPerRegion*time.Duration(min(d, b.regions-d))
 }
 
-// SetCut cuts a region off from all others, or ends that.
+// SetCut partitions a region from all others, or heals the partition.
 func (b *RegionNetwork) SetCut(region int, is bool) { b.cut[region].Store(is) }
 
 func (b *RegionNetwork) isCut(from, to int) bool {
@@ -90,7 +90,7 @@
 				return
 			}
 			if err != nil {
-				time.Sleep(acceptPauses)
+				time.Sleep(acceptRetryPause)
 				continue
 			}
 			if b.track(c) {
@@ -134,13 +134,14 @@
 	}
 }
 
-// retransmissionDelay is how long a piece of so many bytes is delayed by lost packets.
-func (b *RegionNetwork) retransmissionDelay(chance *keyhash.Source, bytes int, first time.Duration) (late time.Duration) {
+// retransmissionDelay returns the delay that lost packets cause for a chunk of the given size.
+func (b *RegionNetwork) retransmissionDelay(chance *keyhash.Source, bytes int,
+	first time.Duration) (late time.Duration) {
 	if b.loss == 0 {
 		return 0
 	}
 	p := 1 - math.Pow(1-b.loss, math.Ceil(float64(bytes)/segment))
-	for n := 0; n < mostAgain && chance.Float64() < p; n++ {
+	for n := 0; n < maxRetransmits && chance.Float64() < p; n++ {
 		late += first
 		first *= 2
 		p = b.loss
@@ -154,11 +155,11 @@
 	defer b.release(near)
 	number := b.streams.Add(1)
 	chance := keyhash.Source{Seed: uint32(keyhash.Salted(uint64(b.seed), int(number)))}
-	if !b.wait(2*b.Delay(from, to) + b.retransmissionDelay(&chance, 1, synAgain)) {
+	if !b.wait(2*b.Delay(from, to) + b.retransmissionDelay(&chance, 1, synRetransmitDelay)) {
 		return
 	}
 	for b.isCut(from, to) {
-		if !b.wait(lookAtCut) {
+		if !b.wait(cutPollInterval) {
 			return
 		}
 	}
@@ -178,17 +179,17 @@
 	data []byte
 }
 
-// carry forwards one direction. Its end is delayed as all data is.
+// carry forwards one direction of a stream. Its closing is delayed like its data.
 func (b *RegionNetwork) carry(from, to int, in, out net.Conn, chance keyhash.Source) {
-	pieces := make(chan piece, piecesAhead)
+	pieces := make(chan piece, maxChunksInFlight)
 	go func() {
 		defer close(pieces)
-		buf := make([]byte, pieceBytes)
+		buf := make([]byte, chunkBytes)
 		for {
 			n, err := in.Read(buf)
 			if n > 0 {
 				p := piece{
-					due:  time.Now().Add(b.Delay(from, to) + b.retransmissionDelay(&chance, n, firstAgain)),
+					due:  time.Now().Add(b.Delay(from, to) + b.retransmissionDelay(&chance, n, firstRetransmitDelay)),
 					data: append([]byte(nil), buf[:n]...),
 				}
 				select {
@@ -207,7 +208,7 @@
 			break
 		}
 		for b.isCut(from, to) {
-			if !b.wait(lookAtCut) {
+			if !b.wait(cutPollInterval) {
 				break
 			}
 		}
@@ -216,16 +217,16 @@
 		}
 	}
 	if b.wait(b.Delay(from, to)) {
-		for b.isCut(from, to) && b.wait(lookAtCut) {
+		for b.isCut(from, to) && b.wait(cutPollInterval) {
 		}
 	}
 	_ = out.Close()
 	_ = in.Close()
-	for range pieces { // lets the reader end, which may wait to send
+	for range pieces { // unblocks the reader, which may be blocked on a send
 	}
 }
 
-// Close ends all listeners and streams, and waits for their goroutines.
+// Close closes all listeners and streams, and waits for their goroutines.
 func (b *RegionNetwork) Close() {
 	close(b.closed)
 	b.mu.Lock()
--- a/internal/scale/logscale/rig/plan.go
+++ b/internal/scale/logscale/rig/plan.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// The plays.
+// The phases of a run.
 const (
 	Steady      = "steady"    // purges at the stated rate, and a configuration a second
 	Burst       = "burst"     // 1,000 purges at once
-	CacheOutage = "cache-cut" // a cache says nothing for a while
-	RegionCut   = "cut"       // a region is cut off while an hour's changes pass, and comes back
+	CacheOutage = "cache-cut" // a cache does not answer for a while
+	RegionCut   = "cut"       // a region is cut off while an hour's changes are published, and reconnects
 )
 
-// Plan is a run.
+// Plan configures a run.
 type Plan struct {
-	Program          string // that control machines, hollow and real nodes are started by
+	Program          string // executable for control servers, hollow and real nodes
 	Nodes, Real      int
 	Regions          int
 	Phases           []string
-	SteadyFor        time.Duration // of steady
+	SteadyFor        time.Duration // length of the phase steady
 	CutFor           time.Duration
-	After            time.Duration // that purges at the stated rate go on once it is back
-	CutRegion        int           // which region is cut off; control machines are in those at 0, 1, 2 and 3 quarters
+	After            time.Duration // time for which purges continue after the region or cache is back
+	CutRegion        int           // which region is cut off; control servers are in those at 0, 1, 2 and 3 quarters
 	CutPurges        int
 	CutConfigs       int
 	Loss             float64
@@ -32,7 +32,7 @@
 	Dir              string
 	Log              io.Writer
 	Caches           int           // at which purges are carried out; 0 for none
-	MaxFillTime      time.Duration // the longest that a fill may take there
+	MaxFillTime      time.Duration // upper bound of the duration of a cache fill
 	HollowArgs       []string      // of the program, before the spec
 	PurgesPerSecond  float64
 	ConfigsPerSecond float64
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	callsAtOnce = 256 // to publish, during a cut's backlog
-	backlogOf   = 190 // purges in one call during a cut: 34,200 in 180 calls
-	killedAt    = 3   // the leader fails after a third of the play
-	backAt      = 3   // and is back after another third
+	maxConcurrentPublishes = 256 // publish calls in flight during the backlog of a cut
+	backlogBatch           = 190 // purges in one call during a cut: 34,200 in 180 calls
+	failAtFraction         = 3   // the leader fails after a third of the phase
+	downFraction           = 3   // and is back after another third
 )
 
-// steady publishes at the plan's rates. Where the plan says so, the leader fails meanwhile and comes back.
+// steady publishes at the plan's rates. If the plan says so, the leader fails meanwhile and recovers.
 func (r *run) steady(ctx context.Context) error {
 	var failover sync.WaitGroup
 	var failoverErr error
@@ -31,33 +31,33 @@
 	return failoverErr
 }
 
-// failLeader stops or kills the leader a third into the play, and brings it back after another third.
+// failLeader stops or kills the leader a third into the phase, and brings it back after another third.
 func (r *run) failLeader() error {
-	time.Sleep(r.SteadyFor / killedAt)
+	time.Sleep(r.SteadyFor / failAtFraction)
 	o, err := r.caller.Overview()
 	if err != nil {
 		return err
 	}
 	leader := slices.IndexFunc(o.Servers, func(s controlclient.ServerStatus) bool { return s.IsLeader })
 	if leader < 0 {
-		return errors.New("nobody to kill leads")
+		return errors.New("no leader to stop or kill")
 	}
 	if r.Hang {
 		_ = r.control[leader].Process.Signal(syscall.SIGSTOP)
-		r.log("control-%d, the leader, stands still at entry %d", leader, o.Last)
-		time.Sleep(r.SteadyFor / backAt)
+		r.log("control-%d, the leader, was stopped by SIGSTOP at entry %d", leader, o.Last)
+		time.Sleep(r.SteadyFor / downFraction)
 		_ = r.control[leader].Process.Signal(syscall.SIGCONT)
-		r.log("control-%d goes on", leader)
+		r.log("control-%d was continued by SIGCONT", leader)
 		return nil
 	}
 	_ = r.control[leader].Process.Kill()
 	_ = r.control[leader].Wait()
 	r.log("control-%d, the leader, was killed at entry %d", leader, o.Last)
-	time.Sleep(r.SteadyFor / backAt)
+	time.Sleep(r.SteadyFor / downFraction)
 	if err := r.startControl(leader); err != nil {
 		return err
 	}
-	r.log("control-%d is back with its disk", leader)
+	r.log("control-%d was restarted with its data", leader)
 	return nil
 }
 
@@ -75,7 +75,7 @@
 	r.between.SetCut(region, true)
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
-	// What the other regions are measured by, also while this one catches up.
+	// These purges measure the other regions, also while this one catches up.
 	steady.Go(func() { r.pace(ctx, RegionCut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	begin := time.Now()
 	r.publishBacklog(ctx, begin)
@@ -93,20 +93,20 @@
 	r.note("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent)
 	r.between.SetCut(region, false)
 	r.cutUntil = gossip.BootTime()
-	r.log("region %d is back; newest entry %d", region, o.Last)
+	r.log("region %d is reconnected; newest entry %d", region, o.Last)
 	steady.Wait()
 	return nil
 }
 
 // publishBacklog publishes the changes of a cut in calls that are spread evenly over it, and waits for all answers.
 func (r *run) publishBacklog(ctx context.Context, begin time.Time) {
-	calls := (r.CutPurges + backlogOf - 1) / backlogOf
-	slots := make(chan struct{}, callsAtOnce)
+	calls := (r.CutPurges + backlogBatch - 1) / backlogBatch
+	slots := make(chan struct{}, maxConcurrentPublishes)
 	configs := 0
 	var backlog sync.WaitGroup
 	for i := range calls {
 		time.Sleep(time.Until(begin.Add(r.CutFor * time.Duration(i) / time.Duration(calls))))
-		proposals := r.purges("backlog", i*backlogOf, min(backlogOf, r.CutPurges-i*backlogOf))
+		proposals := r.purges("backlog", i*backlogBatch, min(backlogBatch, r.CutPurges-i*backlogBatch))
 		for ; configs < r.CutConfigs*(i+1)/calls; configs++ {
 			proposals = append(proposals, configProposal("all-cut", configs))
 		}
--- a/internal/scale/logscale/rig/process.go
+++ b/internal/scale/logscale/rig/process.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// endBy is how long a process may take to write down what is left, before it is killed.
-const endBy = 30 * time.Second
+// stopTimeout is the time that a process has to flush its records before it is killed.
+const stopTimeout = 30 * time.Second
 
 // process is a process that the run has started.
 type process struct {
@@ -21,7 +21,7 @@
 	in io.WriteCloser
 }
 
-// launch starts a process, its output in a file.
+// launch starts a process with its output in a log file.
 func (r *run) launch(name string, args ...string) (*process, error) {
 	c := exec.Command(r.Program, args...)
 	out, err := os.OpenFile(r.path("%s.log", name), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
@@ -41,14 +41,14 @@
 	return &process{c, in}, nil
 }
 
-// end has all processes write down what is left.
+// end stops all processes after they have flushed their records.
 func (r *run) end() error {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var fault error
 	stop := func(p *process, how func()) {
 		all.Go(func() {
-			timer := time.AfterFunc(endBy, func() { _ = p.Process.Kill() })
+			timer := time.AfterFunc(stopTimeout, func() { _ = p.Process.Kill() })
 			defer timer.Stop()
 			how()
 			if err := p.Wait(); err != nil {
@@ -68,7 +68,7 @@
 	return fault
 }
 
-// kill ends what still runs: its own processes, by their handles.
+// kill kills the processes of the run that still run, by their handles.
 func (r *run) kill() {
 	for _, p := range append(append(append([]*process{}, r.hollows...), r.real...), r.control[:]...) {
 		if p != nil && p.ProcessState == nil {
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	purgeRate   = 9.5              // purges per second, unless the plan states a rate
-	configRate  = 1                // configurations per second, with that
-	keyBytes    = 60               // of a purged key
-	configBytes = 2048             // of a configuration
-	burstPurges = 1000             // published in one call
-	publishBy   = 30 * time.Second // for a call to be answered
+	purgeRate      = 9.5              // purges per second, unless the plan states a rate
+	configRate     = 1                // configurations per second, with that
+	keyBytes       = 60               // of a purged key
+	configBytes    = 2048             // of a configuration
+	burstPurges    = 1000             // published in one call
+	publishTimeout = 30 * time.Second // for a call to be answered
 )
 
-// purges are n purges of keys that are numbered from a number on.
-func (r *run) purges(play string, from, n int) (all []replicatedlog.Proposal) {
+// purges returns n purges of consecutively numbered keys.
+func (r *run) purges(phase string, from, n int) (all []replicatedlog.Proposal) {
 	for i := range n {
-		key := fmt.Sprintf("%s/%08d/", play, from+i)
+		key := fmt.Sprintf("%s/%08d/", phase, from+i)
 		key += strings.Repeat("k", keyBytes-len(key))
 		all = append(all, controlclient.NewProposal(replicatedlog.Purge, []byte(key)))
 	}
@@ -33,8 +33,8 @@
 }
 
 // publish publishes changes in one call, and records for the checker when that was and which indexes they got.
-func (r *run) publish(ctx context.Context, play string, all []replicatedlog.Proposal) {
-	ctx, done := context.WithTimeout(ctx, publishBy)
+func (r *run) publish(ctx context.Context, phase string, all []replicatedlog.Proposal) {
+	ctx, done := context.WithTimeout(ctx, publishTimeout)
 	defer done()
 	r.fillCaches(all)
 	sent := gossip.BootTime()
@@ -49,7 +49,7 @@
 			Config: p.Kind == replicatedlog.Config,
 			Sent:   sent,
 			Acked:  acked,
-			Play:   play,
+			Play:   phase,
 		}
 		if i < len(at) {
 			o.Index = uint64(at[i])
@@ -61,18 +61,18 @@
 				Key:     string(p.Body),
 				Version: 2,
 				Sent:    sent,
-				Play:    play,
+				Play:    phase,
 			})
 		}
 	}
 	if err != nil {
-		r.note("%s: %v", play, err)
+		r.note("%s: %v", phase, err)
 	}
 }
 
 // pace publishes purges and configurations at rates per second until a time has passed: each when it is due, whether or
 // not the earlier ones were answered, so that a slow log shows as late changes and not as fewer of them.
-func (r *run) pace(ctx context.Context, play string, lasts time.Duration, purgeRate, configRate float64) {
+func (r *run) pace(ctx context.Context, phase string, lasts time.Duration, purgeRate, configRate float64) {
 	var all sync.WaitGroup
 	begin := time.Now()
 	purges := 0
@@ -91,19 +91,19 @@
 			break
 		}
 		time.Sleep(time.Until(begin.Add(due)))
-		proposals := r.purges(play, purges, 1)
+		proposals := r.purges(phase, purges, 1)
 		if isConfig {
-			proposals = []replicatedlog.Proposal{configProposal("all-"+play, configs)}
+			proposals = []replicatedlog.Proposal{configProposal("all-"+phase, configs)}
 			configs++
 		} else {
 			purges++
 		}
-		all.Go(func() { r.publish(ctx, play, proposals) })
+		all.Go(func() { r.publish(ctx, phase, proposals) })
 	}
 	all.Wait()
 }
 
-// configProposal is a configuration for all nodes, with a number that makes it differ from the others.
+// configProposal returns a configuration for all nodes, made unique by a number.
 func configProposal(name string, number int) replicatedlog.Proposal {
 	return controlclient.NewProposal(replicatedlog.Config, configuration(name, "127.0.0.1:1", number))
 }
--- a/internal/scale/logscale/rig/report.go
+++ b/internal/scale/logscale/rig/report.go
@@ -6,12 +6,12 @@
 
 const bytesPerMB = 1 << 20
 
-// Usage is what processes of a kind used during a play.
+// Usage is the resource usage of the processes of a role during a phase.
 type Usage struct {
 	Phase   string  `json:"play"`
 	Role    string  `json:"role"`
 	Count   int     `json:"count"`
-	InRate  float64 `json:"bytes_in_s"` // a second for each: median
+	InRate  float64 `json:"bytes_in_s"` // bytes per second, median over nodes
 	OutRate float64 `json:"bytes_out_s"`
 	MaxRate float64 `json:"most_bytes_s"` // in and out together, of the one with the most
 	Core    float64 `json:"percent_of_core"`
@@ -19,7 +19,7 @@
 	MB      float64 `json:"mb"` // resident, the most; for hollow nodes its share of the process's
 }
 
-// Report is a run's.
+// Report is the result of a run.
 type Report struct {
 	Nodes, Real, Regions int
 	Loss                 float64
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -2,9 +2,8 @@
 // disks, a process of many hollow nodes for each region, some real nodes, and an emulated network between regions with
 // delay, loss and partitions. Package checker then checks the traces that all of them left behind.
 //
-// Play runs a Plan: it starts all processes, runs the plan's plays one after the other, waits after each until every
-// node has every entry, ends the processes and returns the Report. A run owns its processes and the network; they end
-// with it.
+// Run executes a Plan: it starts all processes, runs the plan's phases in order, waits after each until every node has
+// every entry, stops the processes and returns the Report. A run owns its processes and the network; they end with it.
 package rig
 
 import (
@@ -25,18 +24,18 @@
 )
 
 const (
-	settleBy = 90 * time.Second       // for all nodes to have all entries
-	showings = 10                     // entries by which the delay of the command fleet changes is measured
-	showBy   = 10 * time.Second       // for one of them to show
-	showEach = 20 * time.Millisecond  // between two calls for it
-	lookEach = 200 * time.Millisecond // between two looks at what nodes have
+	settleTimeout      = 90 * time.Second       // for all nodes to have all entries
+	showSamples        = 10                     // entries by which the delay of the command fleet changes is measured
+	showTimeout        = 10 * time.Second       // for one of them to show
+	showPollInterval   = 20 * time.Millisecond  // between two calls for it
+	statusPollInterval = 200 * time.Millisecond // interval at which the progress of nodes is polled
 )
 
-// run is a plan being played.
+// run is the state of a plan in execution.
 type run struct {
 	Plan
 	between  *RegionNetwork
-	region   [machines]int // of control machines
+	region   [machines]int // of control servers
 	peers    [machines]string
 	nodes    [machines]string
 	control  [machines]*process
@@ -58,12 +57,12 @@
 	fmt.Fprintf(r.Log, "%s "+format+"\n", append([]any{time.Now().Format("15:04:05")}, args...)...)
 }
 
-// note adds a remark to the report.
+// note adds a note to the report.
 func (r *run) note(format string, args ...any) {
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 }
 
-// LoadAverage is the machine's.
+// LoadAverage returns the load average of the machine.
 func LoadAverage() string {
 	text, _ := os.ReadFile("/proc/loadavg")
 	return strings.TrimSpace(string(text))
@@ -82,9 +81,9 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	for _, play := range p.Phases {
-		if err := r.measure(ctx, play); err != nil {
-			return nil, fmt.Errorf("%s: %w", play, err)
+	for _, phase := range p.Phases {
+		if err := r.measure(ctx, phase); err != nil {
+			return nil, fmt.Errorf("%s: %w", phase, err)
 		}
 	}
 	r.report.Load = append(r.report.Load, LoadAverage())
@@ -117,18 +116,18 @@
 	}
 }
 
-// measure runs a play, waits until every node has every entry, and notes what processes used meanwhile.
-func (r *run) measure(ctx context.Context, play string) error {
-	m := mark{play: play, from: gossip.BootTime(), before: r.usedBy()}
-	r.log("%s begins; load %s", play, LoadAverage())
-	if err := r.play(ctx, play); err != nil {
+// measure runs a phase, waits until every node has every entry, and records the resource usage of the processes.
+func (r *run) measure(ctx context.Context, phase string) error {
+	m := mark{phase: phase, from: gossip.BootTime(), before: r.usedBy()}
+	r.log("%s begins; load %s", phase, LoadAverage())
+	if err := r.phase(ctx, phase); err != nil {
 		return err
 	}
 	if err := r.settle(ctx); err != nil {
 		return err
 	}
-	r.measureShown(ctx, play)
-	time.Sleep(2 * sampleEach) // so that no play is in another one's figures
+	r.measureShown(ctx, phase)
+	time.Sleep(2 * sampleInterval) // separates the samples of consecutive phases
 	m.until = gossip.BootTime()
 	m.after = r.usedBy()
 	m.rss = r.residentBy()
@@ -136,8 +135,8 @@
 	return nil
 }
 
-func (r *run) play(ctx context.Context, play string) error {
-	switch play {
+func (r *run) phase(ctx context.Context, phase string) error {
+	switch phase {
 	case Steady:
 		return r.steady(ctx)
 	case Burst:
@@ -147,7 +146,7 @@
 	case RegionCut:
 		return r.cutOff(ctx)
 	default:
-		return fmt.Errorf("no play %q", play)
+		return fmt.Errorf("unknown phase %q", phase)
 	}
 }
 
@@ -156,12 +155,12 @@
 }
 
 // measureShown measures how soon fleet changes shows an entry at every node.
-func (r *run) measureShown(ctx context.Context, play string) {
-	for i := range showings {
-		purge := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", play, "/", i))
+func (r *run) measureShown(ctx context.Context, phase string) {
+	for i := range showSamples {
+		purge := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", phase, "/", i))
 		r.publish(ctx, "shown", []replicatedlog.Proposal{purge})
 		o := r.orders[len(r.orders)-1]
-		for by := time.Now().Add(showBy); o.Index > 0 && time.Now().Before(by); time.Sleep(showEach) {
+		for by := time.Now().Add(showTimeout); o.Index > 0 && time.Now().Before(by); time.Sleep(showPollInterval) {
 			asked := time.Now()
 			all, err := r.caller.Overview()
 			r.report.MaxQueryTimeS = max(r.report.MaxQueryTimeS, time.Since(asked).Seconds())
@@ -173,9 +172,9 @@
 	}
 }
 
-// settle waits until every node has all.
+// settle waits until every node has every entry. A timeout is noted in the report and left to the checker.
 func (r *run) settle(ctx context.Context) error {
-	for by := time.Now().Add(settleBy); ; time.Sleep(lookEach) {
+	for by := time.Now().Add(settleTimeout); ; time.Sleep(statusPollInterval) {
 		o, err := r.caller.Overview()
 		if err == nil && o.CaughtUp() && len(o.Nodes) == r.Nodes+r.Real {
 			return nil
@@ -192,7 +191,7 @@
 			}
 			r.note("not all had all: %v, led %t, %d nodes, behind: %.2000s",
 				err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; "))
-			return nil // the judge says what is missing
+			return nil // the checker reports what is missing
 		}
 	}
 }
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	label    = "scale-changes"  // of the fleet
-	machines = 4                // control machines: three voters and a learner
-	readyBy  = 40 * time.Second // for all nodes to follow
+	label        = "scale-changes"  // of the fleet
+	machines     = 4                // control servers: three voters and a learner
+	readyTimeout = 40 * time.Second // for all nodes to follow
 )
 
 // start starts all processes and waits until all nodes follow the log.
@@ -50,7 +50,7 @@
 	return r.awaitFollowers()
 }
 
-// reserveAddresses places the control machines in regions and finds addresses for them.
+// reserveAddresses places the control servers in regions and finds addresses for them.
 func (r *run) reserveAddresses() error {
 	for i := range machines {
 		r.region[i] = i * r.Regions / machines
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeControlFile writes a control machine's file. It reaches each machine over the network between their regions.
+// writeControlFile writes a control server's file. It reaches each machine over the network between their regions.
 func (r *run) writeControlFile(i int) error {
 	text := fmt.Sprintf("[control]\nid = %d\nlabel = %q\npeers = %q\nnodes = %q\ndata = %q\n",
 		i+1, label, r.peers[i], r.nodes[i], r.path("data-%d", i))
@@ -114,21 +114,21 @@
 	return nil
 }
 
-// awaitFollowers waits until the leader knows all nodes and all have all entries.
+// awaitFollowers waits until the leader knows all nodes and all nodes have every entry.
 func (r *run) awaitFollowers() error {
-	for by := time.Now().Add(readyBy); ; time.Sleep(lookEach) {
+	for by := time.Now().Add(readyTimeout); ; time.Sleep(statusPollInterval) {
 		o, err := r.caller.Overview()
 		if err == nil && o.HasLeader && len(o.Nodes) == r.Nodes+r.Real && o.CaughtUp() {
 			r.log("%d nodes follow", len(o.Nodes))
 			return nil
 		}
 		if time.Now().After(by) {
-			return fmt.Errorf("only %d of %d nodes follow: %w", len(o.Nodes), r.Nodes+r.Real, err)
+			return fmt.Errorf("only %d of %d nodes follow the log: %w", len(o.Nodes), r.Nodes+r.Real, err)
 		}
 	}
 }
 
-// startControl starts a control machine; with the flag --new it begins a log.
+// startControl starts a control server; with the flag --new it begins a log.
 func (r *run) startControl(i int, more ...string) (err error) {
 	args := []string{"control", r.path("control-%d.toml", i), "--trace", r.path("control-%d.trace", i)}
 	args = append(args, more...)
@@ -136,7 +136,7 @@
 	return err
 }
 
-// controlAddresses are the addresses at which a region reaches the control machines.
+// controlAddresses returns the addresses at which a region reaches the control servers.
 func (r *run) controlAddresses(region int) ([]string, error) {
 	var addresses []string
 	for j := range machines {
@@ -149,7 +149,7 @@
 	return addresses, nil
 }
 
-// startReal starts a whole node that follows: with listeners, a loop, gossip with nobody, and no list of caches.
+// startReal starts a complete node that follows the log. It has no gossip peers and no endpoint list.
 func (r *run) startReal(i int) error {
 	listen, err := freeport.Free()
 	if err != nil {
@@ -178,7 +178,7 @@
 	return err
 }
 
-// configuration is a node's file with a number in it, padded to the size of a usual one.
+// configuration returns a node's file with a number in it, padded to a typical size.
 func configuration(name, listen string, number int) []byte {
 	const emptyNote = `"note":""`
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",`+
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -9,9 +9,9 @@
 	"dahliapin/internal/monotime"
 )
 
-// mark is when a play began and ended, with what real and control processes had used.
+// mark records the start and end of a phase, with the usage of real and control processes at both.
 type mark struct {
-	play        string
+	phase       string
 	from, until monotime.Instant
 	before      map[int]float64
 	after       map[int]float64
@@ -41,14 +41,14 @@
 	return all
 }
 
-// usage adds up what was used during each play.
+// usage aggregates the resource usage of each phase.
 func (r *run) usage() error {
-	lastPlay := ""
+	lastPhase := ""
 	if len(r.marks) > 0 {
-		lastPlay = r.marks[len(r.marks)-1].play
+		lastPhase = r.marks[len(r.marks)-1].phase
 	}
 	for _, m := range r.marks {
-		hollows, err := r.hollowUsage(m, m.play == lastPlay)
+		hollows, err := r.hollowUsage(m, m.phase == lastPhase)
 		if err != nil {
 			return err
 		}
@@ -59,9 +59,10 @@
 	return nil
 }
 
-// hollowUsage is what a hollow node used during a play. After the last play, the totals of the run are read as well.
+// hollowUsage returns the usage of a hollow node during a phase. For the last phase it also adds the totals of the run
+// to the report.
 func (r *run) hollowUsage(m mark, isLast bool) (Usage, error) {
-	u := Usage{Phase: m.play, Role: "hollow node", Count: r.Nodes}
+	u := Usage{Phase: m.phase, Role: "hollow node", Count: r.Nodes}
 	var in, out, both, core []float64
 	for region, spec := range r.specs {
 		first, last, err := r.samples(region, m)
@@ -69,7 +70,7 @@
 			return u, err
 		}
 		if last.At <= first.At {
-			return u, fmt.Errorf("region %d left no figures of %s", region, m.play)
+			return u, fmt.Errorf("no usage samples of region %d for phase %s", region, m.phase)
 		}
 		seconds := time.Duration(last.At - first.At).Seconds()
 		for n := range last.In {
@@ -98,8 +99,8 @@
 	return u, nil
 }
 
-// samples returns a region's last samples at the beginning and at the end of a play. Of the region that was cut off, it
-// also notes how many nodes took themselves for stale meanwhile.
+// samples returns a region's last samples at the beginning and at the end of a phase. Of the region that was cut off,
+// it also records how many nodes were stale during the cut.
 func (r *run) samples(region int, m mark) (first, last Sample, err error) {
 	err = logtrace.ReadJSONLines(r.specs[region].Stats, func(s Sample) {
 		if s.At <= m.from || first.At == 0 {
@@ -115,13 +116,13 @@
 	return first, last, err
 }
 
-// addProcessUsage adds what the processes of a role used during a play, if there are any. Of one that was killed and is
-// back, only what it used since then is known.
+// addProcessUsage adds what the processes of a role used during a phase, if there are any. Of one that was killed and
+// is back, only what it used since then is known.
 func (r *run) addProcessUsage(m mark, role string, all []*process) {
 	if len(all) == 0 {
 		return
 	}
-	u := Usage{Phase: m.play, Role: role, Count: len(all)}
+	u := Usage{Phase: m.phase, Role: role, Count: len(all)}
 	seconds := time.Duration(m.until - m.from).Seconds()
 	var core []float64
 	for _, p := range all {
@@ -134,7 +135,7 @@
 	r.report.Usage = append(r.report.Usage, u)
 }
 
-// median sorts its argument; 0 of none.
+// median returns the median, or 0 for no values. It sorts its argument.
 func median(all []float64) float64 {
 	if len(all) == 0 {
 		return 0
