--- a/internal/scale/cachegrowth/caches.go
+++ b/internal/scale/cachegrowth/caches.go
@@ -14,15 +14,15 @@
 const (
 	zoneCount  = 3
 	lostZone   = 1
-	missPrefix = "m" // of keys that no cache has
+	missPrefix = "m" // prefix of keys that no cache has
 	value      = "hello"
 
 	// acceptRetryPause is the pause after an accept that failed.
 	acceptRetryPause = 5 * time.Millisecond
 )
 
-// fleet is the emulated caches of a size. The caches of one zone share a listener: what is behind it is told apart by
-// nothing but the endpoint list.
+// fleet is the set of emulated caches of a size. The caches of one zone share a listener and are told apart only by the
+// endpoint list.
 type fleet struct {
 	connections atomic.Int64 // accepted, of all caches
 	count       int
@@ -64,7 +64,7 @@
 
 func zoneName(zone int) string { return fmt.Sprint("zone-", zone) }
 
-// all returns the entries of all caches, which have run for long.
+// all returns the entries of all caches, with a start time long ago.
 func (f *fleet) all() []instance {
 	entries := make([]instance, 0, f.count)
 	for number := range f.count {
@@ -126,7 +126,7 @@
 
 func (f *fleet) restoreZone(zone int) error { return f.zones[zone].open() }
 
-// zoneListener is where all caches of a zone are reached.
+// zoneListener is the listener shared by all caches of a zone.
 type zoneListener struct {
 	fleet   *fleet
 	address string
--- a/internal/scale/cachegrowth/clients.go
+++ b/internal/scale/cachegrowth/clients.go
@@ -11,12 +11,12 @@
 
 const (
 	requestTimeout = 1200 * time.Millisecond
-	answerGrace    = 500 * time.Millisecond // after the deadline, until which an answer is waited for
+	answerGrace    = 500 * time.Millisecond // time after the deadline during which an answer is still accepted
 	popularKeys    = 200
 	missEvery      = 10 // one in so many requests is for a key that no cache has
 )
 
-// clients send requests at a steady rate, whatever becomes of them, each on a connection of its own.
+// clients send requests at a steady rate (open loop), each on a connection of its own.
 type clients struct {
 	address string
 	rate    int // per second
@@ -26,7 +26,7 @@
 	served   int
 	refused  int
 	lost     int           // without an answer; a node that restarts refuses connections meanwhile
-	lateness time.Duration // of the clients themselves, at most: of a busy machine
+	lateness time.Duration // maximum delay of a send after its due time, caused by a busy machine
 }
 
 // run sends requests for a time, and returns once the last has ended.
@@ -56,13 +56,14 @@
 	if err := conn.SetDeadline(time.Now().Add(requestTimeout + answerGrace)); err != nil {
 		return "", err
 	}
-	if _, err := fmt.Fprintf(conn, "mg %s v O%d Pc=read,d=%d\r\n", keyOf(i), i, requestTimeout.Milliseconds()); err != nil {
+	if _, err := fmt.Fprintf(conn, "mg %s v O%d Pc=read,d=%d\r\n",
+		keyOf(i), i, requestTimeout.Milliseconds()); err != nil {
 		return "", err
 	}
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// keyOf is the key of the i-th request: popular ones by turns, and some that no cache has.
+// keyOf is the key of the i-th request: popular keys in rotation, and some that no cache has.
 func keyOf(i int) string {
 	if i%missEvery == missEvery-1 {
 		return fmt.Sprint(missPrefix, i)
--- a/internal/scale/cachegrowth/days.go
+++ b/internal/scale/cachegrowth/days.go
@@ -9,16 +9,16 @@
 
 // The shape of a day, in parts of its length.
 const (
-	troubleAt     = 0.2 // when what happens on the day begins
+	faultAt       = 0.2 // when the fault of the day begins
 	releaseSteps  = 4   // parts in which a release replaces the caches
 	releaseShare  = 0.2 // part of the caches that a step replaces
 	releaseSpan   = 0.6 // of all steps of a release
 	drainLead     = 0.05
-	outage        = 0.25 // how long a zone or discovery is away
-	zoneToldAfter = 0.1  // after its loss, discovery tells that a zone's caches are gone
+	outage        = 0.25 // duration of the outage of a zone or of discovery
+	zoneToldAfter = 0.1  // delay until discovery removes the caches of a lost zone
 )
 
-// Day is one kind of trouble.
+// Day is a run with one kind of fault.
 type Day struct {
 	Name   string
 	events []event
@@ -27,27 +27,27 @@
 // event is something that happens to the fleet at a part of the day's length.
 type event struct {
 	at float64
-	do func(*play) error
+	do func(*dayRun) error
 }
 
-// Days are all days, in the order in which they are played.
+// Days returns all days in the order in which they run.
 func Days() []Day {
 	return []Day{
 		{Name: "quiet"},
 		{Name: "release", events: releaseEvents()},
 		{Name: "zone-lost", events: []event{
-			{troubleAt, func(p *play) error { return p.caches.loseZone(lostZone) }},
-			{troubleAt + zoneToldAfter, func(p *play) error { return p.discovery.publish(p.caches.zoneGone(lostZone)) }},
-			{troubleAt + outage, func(p *play) error { return p.caches.restoreZone(lostZone) }},
-			{troubleAt + outage + drainLead, func(p *play) error { return p.discovery.publish(p.caches.zoneBack(lostZone)) }},
+			{faultAt, func(p *dayRun) error { return p.caches.loseZone(lostZone) }},
+			{faultAt + zoneToldAfter, func(p *dayRun) error { return p.discovery.publish(p.caches.zoneGone(lostZone)) }},
+			{faultAt + outage, func(p *dayRun) error { return p.caches.restoreZone(lostZone) }},
+			{faultAt + outage + drainLead, func(p *dayRun) error { return p.discovery.publish(p.caches.zoneBack(lostZone)) }},
 		}},
 		{Name: "discovery-down", events: []event{
-			{troubleAt, func(p *play) error { return p.discovery.stop() }},
-			{troubleAt + outage, func(p *play) error { return p.discovery.start() }},
+			{faultAt, func(p *dayRun) error { return p.discovery.stop() }},
+			{faultAt + outage, func(p *dayRun) error { return p.discovery.start() }},
 		}},
 		{Name: "restart", events: []event{
-			{troubleAt, func(p *play) error { return p.discovery.publish(p.caches.restarted()) }},
-			{troubleAt, func(p *play) error { return p.restartNode() }},
+			{faultAt, func(p *dayRun) error { return p.discovery.publish(p.caches.restarted()) }},
+			{faultAt, func(p *dayRun) error { return p.restartNode() }},
 		}},
 	}
 }
@@ -62,7 +62,7 @@
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(day Day) bool { return day.Name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("no day is named %q; there are %s", name, strings.Join(dayNames(all), ", "))
+			return nil, fmt.Errorf("unknown day %q; the days are %s", name, strings.Join(dayNames(all), ", "))
 		}
 		chosen = append(chosen, all[i])
 	}
@@ -81,10 +81,10 @@
 func releaseEvents() []event {
 	var events []event
 	for step := range releaseSteps {
-		at := troubleAt + releaseSpan*float64(step)/releaseSteps
+		at := faultAt + releaseSpan*float64(step)/releaseSteps
 		events = append(events,
-			event{at, func(p *play) error { return p.discovery.publish(p.caches.drain(step)) }},
-			event{at + drainLead, func(p *play) error { return p.discovery.publish(p.caches.replace(step)) }},
+			event{at, func(p *dayRun) error { return p.discovery.publish(p.caches.drain(step)) }},
+			event{at + drainLead, func(p *dayRun) error { return p.discovery.publish(p.caches.replace(step)) }},
 		)
 	}
 	return events
--- a/internal/scale/cachegrowth/discovery.go
+++ b/internal/scale/cachegrowth/discovery.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// watchTime is how long a call waits for a change.
+	// watchTime is the length of a long poll for a change.
 	watchTime = 3 * time.Second
-	// headerTimeout is for the head of a call.
+	// headerTimeout bounds the reading of request headers.
 	headerTimeout = 5 * time.Second
 )
 
@@ -42,7 +42,7 @@
 	Instances  []instance `json:"instances"`
 }
 
-// discovery tells the endpoint list: whole at first, then each change. It can be stopped and started again.
+// discovery serves the endpoint list: complete at first, then each update. It can be stopped and restarted.
 type discovery struct {
 	address string
 	bytes   atomic.Int64 // of answers that were sent
@@ -89,7 +89,7 @@
 // publish makes a new version of the list.
 func (d *discovery) publish(changes []instance) error {
 	if len(changes) == 0 {
-		return errors.New("a version of the list without a change")
+		return errors.New("an update of the endpoint list has no changes")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// whole returns the list as it is, without what is gone; under mu.
+// whole returns the complete list without terminated instances. The caller holds mu.
 func (d *discovery) whole() []instance {
 	var list []instance
 	for _, id := range d.order {
@@ -116,7 +116,7 @@
 	return list
 }
 
-// answerSince returns the answer to a call that knows a version, or ok false while there is no news.
+// answerSince returns the answer to a poll that has a version, or ok false if there is no newer one.
 func (d *discovery) answerSince(version int, known bool) (answer listAnswer, changed chan struct{}, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/scale/cachegrowth/fleet_test.go
+++ b/internal/scale/cachegrowth/fleet_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// A list is told whole at first, then by its changes one version at a time, also after discovery was away.
-func TestListIsToldWholeThenByChanges(t *testing.T) {
+// The list is served complete at first, then one update at a time, also after an outage of discovery.
+func TestDiscoveryServesCompleteListThenUpdates(t *testing.T) {
 	d, err := newDiscovery()
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 }
 
 // A lost zone refuses connections and ends those that are open; then it is back at the same address.
-func TestLostZoneRefusesAndComesBack(t *testing.T) {
+func TestLostZoneRefusesConnectionsUntilRestored(t *testing.T) {
 	f, err := newFleet(30)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/cachegrowth/limits.go
+++ b/internal/scale/cachegrowth/limits.go
@@ -1,13 +1,13 @@
 package cachegrowth
 
-// Metric is a quantity that a node needs, or its clients get, on one day.
+// Metric is a quantity measured on one day: resource usage of the node, or service to its clients.
 type Metric int
 
-// The rows of the operators' table of growth.
+// The metrics in the operators' table of growth limits.
 const (
 	ProcessorSeconds Metric = iota // processor time of the node, in seconds
-	PeakMemory                     // resident memory at most, in megabytes
-	Descriptors                    // open descriptors at most
+	PeakMemory                     // peak resident memory, in megabytes
+	Descriptors                    // peak number of open descriptors
 	Connections                    // connections made to caches
 	ListKilobytes                  // bytes of endpoint lists from discovery, in kilobytes
 	ShareServed                    // part of the requests that were served
@@ -23,18 +23,18 @@
 	ShareServed:      "share served",
 }
 
-// String returns the row's name in tables.
+// String returns the metric's name in tables.
 func (r Metric) String() string { return rowNames[r] }
 
-// GrowthLimit is how much a row may grow over the same day at the first size.
+// GrowthLimit limits the growth of a metric over the same day at the first size.
 type GrowthLimit struct {
 	Factor      float64
-	Allowance   float64 // in the row's unit
+	Allowance   float64 // in the metric's unit
 	PerThousand float64 // more for each thousand caches
 }
 
-// growthLimits are the operators' limits, for fleets of up to sixteen times the caches. That of ShareServed is the
-// least that is left; all others are the most that is needed.
+// growthLimits are the operators' limits, for fleets of up to sixteen times the caches. That of ShareServed is a
+// lower bound; all others are upper bounds.
 var growthLimits = [rowCount]GrowthLimit{
 	ProcessorSeconds: {Factor: 1.4, Allowance: 0.02, PerThousand: 0.03},
 	PeakMemory:       {Factor: 1.5, Allowance: 8, PerThousand: 4},
@@ -44,13 +44,13 @@
 	ShareServed:      {Factor: 0.85},
 }
 
-// Limit returns the limit of a row at a number of caches, by what was needed at the first size.
+// Limit returns the limit of a metric at a number of caches, given its value at the first size.
 func (r Metric) Limit(first float64, caches int) float64 {
 	growth := growthLimits[r]
 	return growth.Factor*first + growth.Allowance + growth.PerThousand*float64(caches)/1000
 }
 
-// Within reports whether a value keeps a limit of the row.
+// Within reports whether a value is within a limit of the metric.
 func (r Metric) Within(value, limit float64) bool {
 	if r == ShareServed {
 		return value >= limit
@@ -58,5 +58,5 @@
 	return value <= limit
 }
 
-// Figures are the values of all rows.
+// Figures holds the values of all metrics.
 type Figures [rowCount]float64
--- a/internal/scale/cachegrowth/limits_test.go
+++ b/internal/scale/cachegrowth/limits_test.go
@@ -9,7 +9,7 @@
 // The operators' table: at most 1.4 times the processor time, plus 0.02 s and 0.03 s for each thousand caches; 1.5
 // times the memory, plus 8 MB and 4 MB; twice the descriptors, plus 40; 2.5 times the connections, plus 40; twice the
 // lists' bytes, plus 64 kB and 500 kB; of the share served not under 0.85.
-func TestLimitsAreThoseOfTheTable(t *testing.T) {
+func TestGrowthLimitsMatchOperatorTable(t *testing.T) {
 	const caches = 3200
 	for row, want := range map[Metric]float64{
 		ProcessorSeconds: 1.4*10 + 0.02 + 0.03*3.2,
@@ -33,7 +33,7 @@
 	}}
 }
 
-func TestEachRowOverItsLimitIsSeen(t *testing.T) {
+func TestVerdictFindsEachMetricOverItsLimit(t *testing.T) {
 	usual := Figures{1, 20, 100, 100, 50, 1}
 	if verdict := reportOf(usual, usual).Verdict(); verdict != Within {
 		t.Error(verdict)
@@ -55,8 +55,8 @@
 	}
 }
 
-// What a busy machine could not judge is never within the limits, and does not hide what is over.
-func TestBusyDaysAreNotJudged(t *testing.T) {
+// A day without a verdict, as the machine was busy, never counts as within the limits and hides no exceeded limit.
+func TestBusyDaysAreNeverWithinLimits(t *testing.T) {
 	usual := Figures{1, 20, 100, 100, 50, 1}
 	r := reportOf(usual, usual)
 	r.Days[0].Busy = true
--- a/internal/scale/cachegrowth/node.go
+++ b/internal/scale/cachegrowth/node.go
@@ -48,7 +48,7 @@
 	figures Figures // of the processes that have ended, and of the observer
 }
 
-// configure writes the node's configuration, with which it can be started.
+// configure chooses the node's address and writes its configuration file.
 func (n *nodeProcess) configure(discovery string, nodes int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 
 func (n *nodeProcess) configPath() string { return filepath.Join(n.folder, "node.json") }
 
-// start starts a process, and returns once it is ready. It is held to its share of a core from its start.
+// start starts a process, limits its CPU share at once, and returns when it is ready.
 func (n *nodeProcess) start() error {
 	cmd := exec.Command(n.program, "serve", "--config", n.configPath())
 	cmd.Env = append(os.Environ(), "TMPDIR="+n.folder)
@@ -89,7 +89,7 @@
 	go n.observe(child.PID())
 	for deadline := time.Now().Add(readyTimeout); !isReady(n.listen); time.Sleep(readyInterval) {
 		if child.HasExited() {
-			return fmt.Errorf("the node has ended: %s", child.LastLogLine())
+			return fmt.Errorf("the node has exited: %s", child.LastLogLine())
 		}
 		if time.Now().After(deadline) {
 			return fmt.Errorf("the node is not ready after %v: %s", readyTimeout, child.LastLogLine())
@@ -115,7 +115,7 @@
 	return strings.TrimSpace(answer) == "MN"
 }
 
-// observe takes the greatest number of descriptors, until the process is ended.
+// observe records the peak number of descriptors until the process is stopped.
 func (n *nodeProcess) observe(pid int) {
 	defer close(n.stopped)
 	for {
@@ -130,7 +130,7 @@
 	}
 }
 
-// end adds up what the process has used, and ends it in order.
+// end records the usage of the process and stops it by SIGTERM.
 func (n *nodeProcess) end() error {
 	if n.child == nil {
 		return nil
@@ -149,7 +149,7 @@
 
 func (n *nodeProcess) addUp(child *scale.Child) error {
 	if child.HasExited() {
-		return fmt.Errorf("the node has ended: %s", child.LastLogLine())
+		return fmt.Errorf("the node has exited: %s", child.LastLogLine())
 	}
 	cost, err := child.Cost()
 	if err != nil {
--- a/internal/scale/cachegrowth/play.go
+++ b/internal/scale/cachegrowth/play.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	originTime = 20 * time.Millisecond // that the origin takes for a request
+	originTime = 20 * time.Millisecond // service time of the origin
 	originID   = "origin"
 
-	// maxClientLateness is by how much clients may send later than they were due: beyond it the machine was too busy
-	// to judge the node.
+	// maxClientLateness bounds the delay of client requests after their due time: beyond it the machine was too busy
+	// for a verdict on the node.
 	maxClientLateness = 500 * time.Millisecond
 )
 
-// Plan is what is measured.
+// Plan configures a measurement.
 type Plan struct {
 	Program   string  // the path of the program that has the command serve
 	Dir       string  // for the node's configuration, log and last list
@@ -28,7 +28,7 @@
 	Progress  func(line string) // progress; may be nil
 }
 
-// DayResult is what a node needed on one day at one size.
+// DayResult is the result of one day at one size.
 type DayResult struct {
 	Day     string  `json:"day"`
 	Caches  int     `json:"caches"`
@@ -39,8 +39,8 @@
 	Busy    bool    `json:"busy"` // the machine was too busy to judge
 }
 
-// play is one day at one size, while it runs.
-type play struct {
+// dayRun is one day at one size, while it runs.
+type dayRun struct {
 	plan      *Plan
 	caches    *fleet
 	discovery *discovery
@@ -49,9 +49,9 @@
 	clients   *clients
 }
 
-// RunDay plays one day with a number of caches. It returns an error if the node fails, or the day cannot be played.
+// RunDay runs one day with a number of caches. It returns an error if the node fails or the day cannot be run.
 func (plan *Plan) RunDay(ctx context.Context, day *Day, caches int) (*DayResult, error) {
-	p := &play{plan: plan}
+	p := &dayRun{plan: plan}
 	defer p.close()
 	if err := p.prepare(caches); err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 }
 
 // prepare starts everything but the clients.
-func (p *play) prepare(caches int) error {
+func (p *dayRun) prepare(caches int) error {
 	var err error
 	if p.caches, err = newFleet(caches); err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // startOrigin starts the origin and returns its entry in the list.
-func (p *play) startOrigin() (instance, error) {
+func (p *dayRun) startOrigin() (instance, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return instance{}, err
@@ -119,8 +119,8 @@
 	}, nil
 }
 
-// runEvents carries out the day's events at their times.
-func (p *play) runEvents(ctx context.Context, day *Day) error {
+// runEvents executes the events of the day at their times.
+func (p *dayRun) runEvents(ctx context.Context, day *Day) error {
 	began := time.Now()
 	for _, event := range day.events {
 		select {
@@ -135,15 +135,15 @@
 	return nil
 }
 
-// restartNode ends the node in order, and starts it anew at the same address.
-func (p *play) restartNode() error {
+// restartNode stops the node in an orderly way and restarts it at the same address.
+func (p *dayRun) restartNode() error {
 	if err := p.node.end(); err != nil {
 		return err
 	}
 	return p.node.start()
 }
 
-func (p *play) result(day *Day) *DayResult {
+func (p *dayRun) result(day *Day) *DayResult {
 	figures := p.node.figures
 	figures[Connections] = float64(p.caches.connections.Load())
 	figures[ListKilobytes] = float64(p.discovery.bytes.Load()) / 1e3
@@ -159,7 +159,7 @@
 	}
 }
 
-func (p *play) close() {
+func (p *dayRun) close() {
 	if p.node != nil {
 		_ = p.node.end()
 	}
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -8,24 +8,24 @@
 	"text/tabwriter"
 )
 
-// maxPlays is how often a day is played that a busy machine could not judge.
-const maxPlays = 2
+// maxRunsPerDay bounds the runs of a day when the machine is too busy for a verdict.
+const maxRunsPerDay = 2
 
-// Report is what a node needed on each day, by the number of caches.
+// Report holds the results of each day, by the number of caches.
 type Report struct {
 	Sizes []int       `json:"sizes"`
 	Days  []DayResult `json:"days"` // by day, then by size
 }
 
-// Run plays the days at all sizes; the first size is the one that the others are compared with.
+// Run runs the days at all sizes; the first size is the reference for the others.
 func (plan *Plan) Run(ctx context.Context, days []Day, sizes []int) (*Report, error) {
 	if len(sizes) == 0 {
-		return nil, errors.New("no number of caches")
+		return nil, errors.New("no sizes to measure")
 	}
 	report := &Report{Sizes: sizes}
 	for _, day := range days {
 		for _, caches := range sizes {
-			result, err := plan.playJudged(ctx, &day, caches)
+			result, err := plan.runUntilJudged(ctx, &day, caches)
 			if err != nil {
 				return nil, err
 			}
@@ -35,10 +35,10 @@
 	return report, nil
 }
 
-// playJudged plays a day again that the machine was too busy for, maxPlays times in all.
-func (plan *Plan) playJudged(ctx context.Context, day *Day, caches int) (*DayResult, error) {
+// runUntilJudged repeats a day for which the machine was too busy, up to maxRunsPerDay runs in all.
+func (plan *Plan) runUntilJudged(ctx context.Context, day *Day, caches int) (*DayResult, error) {
 	var result *DayResult
-	for range maxPlays {
+	for range maxRunsPerDay {
 		if plan.Progress != nil {
 			plan.Progress(fmt.Sprintf("%s, %d caches", day.Name, caches))
 		}
@@ -53,7 +53,7 @@
 	return result, nil
 }
 
-// Verdict is what a report comes to.
+// Verdict is the outcome of a report.
 type Verdict int
 
 // The verdicts, from best to worst.
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// dayVerdict judges a day by the same day at the first size.
+// dayVerdict compares a day with the same day at the first size.
 func (r *Report) dayVerdict(result *DayResult) Verdict {
 	first := r.first(result.Day)
 	if first == nil || first.Busy || result.Busy {
@@ -101,7 +101,7 @@
 	return worst
 }
 
-// Print writes a table by day and row: the value at each size, the limit beside it, the slope by a thousand caches
+// Print writes a table by day and row: the value at each size, the limit beside it, the slope per thousand caches
 // from the first size to the last, and the verdict.
 func (r *Report) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
