--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -54,7 +54,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9 }
 
-func TestOver(t *testing.T) {
+func TestSpreadOf(t *testing.T) {
 	descending := make([]float64, 200)
 	for i := range descending {
 		descending[i] = float64(200 - i)
--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -63,14 +63,14 @@
 			return
 		}
 		if time.Now().After(by) {
-			t.Fatal("never: " + what)
+			t.Fatal("not reached in time: " + what)
 		}
 	}
 }
 
-// Nine hollow nodes in three regions know each other. One region is cut off: it leaves the others' views and knows that
-// it is cut off. Once the cut ends, all know each other again. Their calls for the endpoint list are those of a node.
-func TestHollowNodesSeeARegionCutOffAndBack(t *testing.T) {
+// A region of a nine-node fleet is cut off: it leaves the views of the other regions and detects the partition itself.
+// Once the partition heals, all views are complete again. Each node also polls its endpoint list.
+func TestHollowNodesDetectRegionPartitionAndRecovery(t *testing.T) {
 	const (
 		nodes   = 9
 		regions = 3
@@ -102,7 +102,7 @@
 	for _, n := range all {
 		flow := lists.flow(n.Place.Name)
 		if flow.OutMessages < 2 || flow.In < float64(len(lists.whole)) || flow.Out == 0 {
-			t.Errorf("%s has called %+v", n.Place.Name, flow)
+			t.Errorf("%s: unexpected discovery traffic %+v", n.Place.Name, flow)
 		}
 		heartbeats := n.Membership.Traffic()[0]
 		if heartbeats.Out == 0 || heartbeats.InBytes == 0 {
--- a/internal/scale/networkrules_test.go
+++ b/internal/scale/networkrules_test.go
@@ -117,7 +117,7 @@
 
 // What crosses between regions goes by their rule, whoever sends it: a hollow node applies it to what it sends, and to
 // what a real one sends to it, which knows of no rules. Within a region there are no faults.
-func TestRulesApplyBetweenRegions(t *testing.T) {
+func TestNetworkRulesApplyBetweenRegions(t *testing.T) {
 	const (
 		delay  = 300 * time.Millisecond
 		jitter = 100 * time.Millisecond
--- a/internal/scale/placement_test.go
+++ b/internal/scale/placement_test.go
@@ -7,7 +7,7 @@
 
 // Where all caches are in one zone no attempt crosses zones, and all replicas are lost with it; where each cache has a
 // zone of its own no two replicas are lost at once. In between, two of three replicas share one of a few crowded zones
-// about as often as chance has it: 13 pairs of 1,225, three to a key.
+// about as often as by chance: 13 pairs of 1,225, three to a key.
 func TestPlacement(t *testing.T) {
 	for name, c := range map[string]struct {
 		places      Places
@@ -71,7 +71,7 @@
 			if got.MinReplicas < replicasOfKey-1 || got.MinReplicas > replicasOfKey {
 				t.Errorf("holders: %+v", got)
 			}
-			if got.First.Attempts != got.Keys || got.Second.Attempts < got.Keys/rejectEach*9/10 {
+			if got.First.Attempts != got.Keys || got.Second.Attempts < got.Keys/rejectEvery*9/10 {
 				t.Errorf("attempts: %+v", got)
 			}
 		})
--- a/internal/scale/places_test.go
+++ b/internal/scale/places_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// An address stands for one node, and tells the region and the role, as rules go by it. Real nodes are in one region,
-// and regions, sites and zones are filled evenly.
-func TestLay(t *testing.T) {
+// An address identifies one node and encodes its region and role, on which the network rules depend. Real nodes are in
+// one region, and regions, sites and zones are filled evenly.
+func TestAssignPlaces(t *testing.T) {
 	for _, c := range []struct{ nodes, real, regions, sites, zones int }{
 		{nodes: 480, real: 8, regions: 11, sites: 28, zones: 37},
 		{nodes: 12, real: 2, regions: 1, sites: 1, zones: 1},
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestFileIsReadStrictly(t *testing.T) {
+func TestParseFileReportsInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"", ""},
 		{"[places]\nregions = 11\nsites = 28\nzones = 37\n[cut]\nregion = 10\nfor_s = 3\n[budget]\nkb_per_s = 19", ""},
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestPlansAreChecked(t *testing.T) {
+func TestPlanCheckReportsInvalidFlags(t *testing.T) {
 	for _, c := range []struct {
 		plan Plan
 		want string
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// What real nodes use beyond hollow ones counts, and only what exceeds a stated budget is named.
-func TestFiguresAreComparedWithTheBudget(t *testing.T) {
+// The excess of real nodes over hollow ones counts towards the budget, and only exceeded budgets are reported.
+func TestReportComparesFiguresWithBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		sizes  []*Size
 		budget Budget
@@ -75,7 +75,7 @@
 }
 
 // The emulated network dropped messages as too many were delayed. The machine was too busy, and the report is not good.
-func TestMessagesLostOnTheMachineAreNamed(t *testing.T) {
+func TestReportFailsOnMessagesLostInEmulator(t *testing.T) {
 	overloaded := measuredSize(20, 1, 1)
 	overloaded.LostInEmulator = 3
 	r := Report{Nodes: 20, Sizes: []*Size{overloaded}}
--- a/internal/scale/rig_test.go
+++ b/internal/scale/rig_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A node that did not start was returned without a process, and ending it with the others panicked.
-func TestNodeThatDoesNotStartIsNoNode(t *testing.T) {
+// A node whose start failed must not be returned: stopping it without a process panicked.
+func TestStartRealNodeReturnsNoNodeOnFailure(t *testing.T) {
 	dir := t.TempDir()
 	r := &Rig{Program: filepath.Join(dir, "absent"), Dir: dir}
 	n, err := r.StartRealNode(Place{Name: "n", Addr: "127.0.0.1:0", List: "127.0.0.1:1"}, nil, 1, 1)
@@ -16,8 +16,8 @@
 	}
 }
 
-// In a window in which some nodes begin one exchange more than others, the figures are not those of a steady fleet.
-func TestWindowsAreWholeExchanges(t *testing.T) {
+// A window that is not a whole number of push-pull intervals skews the figures: some nodes begin one exchange more.
+func TestWindowIsWholePushPullIntervals(t *testing.T) {
 	p := Plan{Window: time.Minute}
 	for nodes, want := range map[int]time.Duration{
 		30:  time.Minute,
