--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -12,17 +12,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// endsBy is how long a process may take to end after it was asked to, before it is killed.
-const endsBy = 5 * time.Second
+// stopTimeout is the time that a process has to exit after a stop request before it is killed.
+const stopTimeout = 5 * time.Second
 
-// Child is a process that this one started.
+// Child is a child process whose standard error goes to a log file.
 type Child struct {
 	cmd  *exec.Cmd
 	done chan struct{} // closed once the process has ended
 	log  string        // path of its standard error
 }
 
-// StartChild starts a process that ends with this one; its standard error goes to the file log.
+// StartChild starts a process that is killed when this one exits. Its standard error goes to the file log.
 func StartChild(cmd *exec.Cmd, log string) (*Child, error) {
 	f, err := os.Create(log)
 	if err != nil {
@@ -30,8 +30,8 @@
 	}
 	defer f.Close()
 	cmd.Stderr = f
-	// A process group of its own: an interrupt from the terminal reaches the rig only, which then ends its processes
-	// in order.
+	// The child gets its own process group, so that an interrupt from the terminal reaches only the rig, which then
+	// stops its processes in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -44,10 +44,10 @@
 	return c, nil
 }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (c *Child) PID() int { return c.cmd.Process.Pid }
 
-// HasExited reports whether the process has ended.
+// HasExited reports whether the process has exited.
 func (c *Child) HasExited() bool {
 	select {
 	case <-c.done:
@@ -64,26 +64,26 @@
 	return lines[len(lines)-1]
 }
 
-// Stop ends the process and waits for that: it calls ask, which is to request an orderly end, and kills the process
-// after endsBy.
+// Stop calls ask to request an orderly exit and waits until the process has exited. It kills the process
+// after stopTimeout.
 func (c *Child) Stop(ask func()) {
 	ask()
 	select {
 	case <-c.done:
-	case <-time.After(endsBy):
+	case <-time.After(stopTimeout):
 		_ = c.cmd.Process.Kill()
 		<-c.done
 	}
 }
 
-// Cost is what a process has used since its start.
+// Cost is the resource usage of a process since its start.
 type Cost struct {
 	Processor time.Duration // processor time of all threads
-	Waited    time.Duration // time that its threads were ready to run and waited for a core, summed up
-	Resident  uint64        // bytes of resident memory, now
+	Waited    time.Duration // total time that its threads were runnable and waited for a core
+	Resident  uint64        // bytes of resident memory at the time of the reading
 }
 
-// Cost reads what the process has used until now.
+// Cost reads the current resource usage of the process.
 func (c *Child) Cost() (Cost, error) {
 	pid := c.cmd.Process.Pid
 	var cost Cost
@@ -98,8 +98,8 @@
 	return cost, err
 }
 
-// processorTime reads the processor clock of a process, whose number is made of the pid as clock_getcpuclockid(3) has
-// it.
+// processorTime reads the CPU-time clock of a process. The clock ID is derived from the PID as in
+// clock_getcpuclockid(3).
 func processorTime(pid int) (time.Duration, error) {
 	const schedulerClock = 2 // CPUCLOCK_SCHED
 	var t unix.Timespec
@@ -121,7 +121,7 @@
 	return resident * uint64(os.Getpagesize()), nil
 }
 
-// waitedForCore sums up over the threads that run now. A thread may end while they are read; it is left out.
+// waitedForCore sums the run-queue wait of all current threads. A thread that exits during the reading is left out.
 func waitedForCore(pid int) (time.Duration, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	sum := time.Duration(0)
--- a/internal/scale/cpushare.go
+++ b/internal/scale/cpushare.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// shareCheckInterval is the time between two looks at what a process has used.
+	// shareCheckInterval is the interval at which the CPU time of a process is checked.
 	shareCheckInterval = time.Millisecond
-	// shareBurst is the processor time that a process may use at once when its limit begins.
+	// shareBurst is the initial CPU-time allowance when a limit begins.
 	shareBurst = 2 * time.Millisecond
-	// maxSavedShare is the processor time that a process may save up while it is idle.
+	// maxSavedShare bounds the CPU-time allowance that accumulates while a process is idle.
 	maxSavedShare = 5 * time.Millisecond
 )
 
-// LimitCPUShare limits a process to a share of a core, as a node has beside others, until the returned function is
-// called: it is stopped once it has used more, and continued when its share has caught up. release returns an error if
-// a signal could not be sent to the process, and nil if the process has ended meanwhile.
+// LimitCPUShare limits a process to a share of a core, like a node that shares its host, until release is called. The
+// process is stopped (SIGSTOP) when it exceeds its share and continued (SIGCONT) once its allowance is positive again.
+// release returns an error if a signal could not be sent to the process, and nil if the process has exited meanwhile.
 func LimitCPUShare(pid int, share float64) (release func() error) {
-	h := &shareHolder{pid: pid, share: share, allowed: shareBurst, over: make(chan struct{}), ended: make(chan struct{})}
+	h := &shareLimiter{pid: pid, share: share, allowed: shareBurst, over: make(chan struct{}), ended: make(chan struct{})}
 	go h.run()
 	return func() error {
 		close(h.over)
@@ -31,18 +31,18 @@
 	}
 }
 
-// shareHolder stops and continues one process.
-type shareHolder struct {
+// shareLimiter holds one process to a CPU share by SIGSTOP and SIGCONT.
+type shareLimiter struct {
 	pid     int
 	share   float64       // of a core
-	allowed time.Duration // processor time that it may use now; negative while it is stopped
+	allowed time.Duration // remaining CPU-time allowance; negative while the process is stopped
 	stopped bool
 	err     error
 	over    chan struct{}
 	ended   chan struct{}
 }
 
-func (h *shareHolder) run() {
+func (h *shareLimiter) run() {
 	defer close(h.ended)
 	defer h.signal(syscall.SIGCONT)
 	last := time.Now()
@@ -57,7 +57,7 @@
 		h.allowed = min(maxSavedShare, h.allowed+time.Duration(h.share*float64(now.Sub(last))))
 		last = now
 		var total time.Duration
-		if total, err = processorTime(h.pid); err != nil { // it has ended
+		if total, err = processorTime(h.pid); err != nil { // the process has exited
 			return
 		}
 		h.allowed -= total - used
@@ -66,7 +66,7 @@
 	}
 }
 
-func (h *shareHolder) stopOrContinue() {
+func (h *shareLimiter) stopOrContinue() {
 	exceeds := h.allowed < 0
 	switch {
 	case exceeds && !h.stopped:
@@ -77,13 +77,13 @@
 	h.stopped = exceeds
 }
 
-func (h *shareHolder) signal(s syscall.Signal) {
+func (h *shareLimiter) signal(s syscall.Signal) {
 	if err := syscall.Kill(h.pid, s); err != nil && !errors.Is(err, syscall.ESRCH) {
-		h.err = fmt.Errorf("process %d cannot be held to its share: %w", h.pid, err)
+		h.err = fmt.Errorf("cannot signal process %d to limit its CPU share: %w", h.pid, err)
 	}
 }
 
-// PeakResident returns how many bytes of a process's memory were resident at most since its start.
+// PeakResident returns the peak resident memory of a process since its start, in bytes.
 func PeakResident(pid int) (uint64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -95,10 +95,10 @@
 			return kilobytes << 10, nil
 		}
 	}
-	return 0, fmt.Errorf("the system does not tell the peak of the memory of process %d", pid)
+	return 0, fmt.Errorf("no VmHWM line in the status of process %d", pid)
 }
 
-// OpenDescriptors returns how many descriptors a process has open.
+// OpenDescriptors returns the number of open file descriptors of a process.
 func OpenDescriptors(pid int) (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(entries), err
--- a/internal/scale/endpointlists.go
+++ b/internal/scale/endpointlists.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-const longestWatch = time.Minute // that a call for changes is held open
+const maxLongPollTime = time.Minute // upper bound of a long poll for changes
 
-// endpointLists stands for discovery. It has a listener for each node, so that traffic is counted by node. The list
-// does not change, and all its caches drain, so that a real node opens no connections to them.
+// endpointLists emulates discovery. Each node has its own listener, so that traffic is counted per node. The list does
+// not change, and all caches in it are draining, so that a real node opens no connections to them.
 type endpointLists struct {
-	whole  []byte // the complete list
-	same   []byte // the update that nothing has changed
-	mu     sync.Mutex
-	doors  map[string]*listListener // by node
-	closed chan struct{}
+	whole     []byte // the complete list
+	same      []byte // the update without changes
+	mu        sync.Mutex
+	listeners map[string]*nodeListener // by node
+	closed    chan struct{}
 }
 
-// listListener is where one node calls for the list.
-type listListener struct {
+// nodeListener is the listener at which one node polls the list.
+type nodeListener struct {
 	at    net.Listener
 	web   *http.Server
 	calls atomic.Uint64
@@ -34,7 +34,7 @@
 
 const generation = 1 // of the list, which does not change
 
-// openEndpointLists serves a list of so many caches.
+// openEndpointLists returns an emulated discovery whose list has the given number of caches.
 func openEndpointLists(caches int) *endpointLists {
 	rows := []map[string]any{}
 	for i := range caches {
@@ -57,20 +57,20 @@
 		return b
 	}
 	return &endpointLists{
-		whole:  text(true, rows),
-		same:   text(false, rows[:0]),
-		doors:  map[string]*listListener{},
-		closed: make(chan struct{}),
+		whole:     text(true, rows),
+		same:      text(false, rows[:0]),
+		listeners: map[string]*nodeListener{},
+		closed:    make(chan struct{}),
 	}
 }
 
-// listen opens a node's own listener, and returns its address.
+// listen opens the listener of a node and returns its address.
 func (l *endpointLists) listen(node string) (string, error) {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("discovery cannot listen: %w", err)
+		return "", fmt.Errorf("open the discovery listener: %w", err)
 	}
-	d := &listListener{at: at}
+	d := &nodeListener{at: at}
 	d.web = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		d.calls.Add(1)
 		l.serve(out, in)
@@ -78,11 +78,11 @@
 	go d.web.Serve(countingListener{Listener: at, d: d}) // until close
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doors[node] = d
+	l.listeners[node] = d
 	return at.Addr().String(), nil
 }
 
-// serve answers with the complete list, or holds the call open where the caller has it already.
+// serve answers with the complete list, or holds the poll open if the caller already has the current version.
 func (l *endpointLists) serve(out http.ResponseWriter, in *http.Request) {
 	since, err := strconv.Atoi(in.URL.Query().Get("since"))
 	if err != nil || since != generation {
@@ -90,7 +90,7 @@
 		return
 	}
 	wait, _ := strconv.Atoi(in.URL.Query().Get("timeout_ms"))
-	timer := time.NewTimer(min(longestWatch, time.Duration(wait)*time.Millisecond))
+	timer := time.NewTimer(min(maxLongPollTime, time.Duration(wait)*time.Millisecond))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -100,11 +100,11 @@
 	}
 }
 
-// flow is what a node's calls have sent and received until now.
+// flow returns the traffic of a node's polls so far.
 func (l *endpointLists) flow(node string) Flow {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := l.doors[node]
+	d := l.listeners[node]
 	if d == nil {
 		return Flow{}
 	}
@@ -116,7 +116,7 @@
 	close(l.closed)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, d := range l.doors {
+	for _, d := range l.listeners {
 		_ = d.web.Close()
 	}
 }
@@ -124,7 +124,7 @@
 // countingListener counts the bytes of its connections.
 type countingListener struct {
 	net.Listener
-	d *listListener
+	d *nodeListener
 }
 
 func (c countingListener) Accept() (net.Conn, error) {
@@ -137,7 +137,7 @@
 
 type countingConn struct {
 	net.Conn
-	d *listListener
+	d *nodeListener
 }
 
 func (c *countingConn) Read(b []byte) (n int, err error) {
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Flow is what one kind of message takes: bytes and messages, sent and received.
+// Flow is the traffic of one kind of message: bytes and messages, sent and received.
 type Flow struct {
 	Out         float64 `json:"out"`
 	In          float64 `json:"in"`
@@ -17,7 +17,7 @@
 	return Flow{f.Out + o.Out, f.In + o.In, f.OutMessages + o.OutMessages, f.InMessages + o.InMessages}
 }
 
-// since is what was added to what it was; a node that was started anew begins at nothing.
+// since returns the increase over an earlier reading. Counters of a restarted node begin at zero.
 func (f Flow) since(was Flow) Flow {
 	if f.Out < was.Out || f.In < was.In {
 		return f
@@ -29,10 +29,10 @@
 	return Flow{f.Out * x, f.In * x, f.OutMessages * x, f.InMessages * x}
 }
 
-// The flows, in the order of the table. The first four are of the fleet's own sockets.
+// flowNames lists the flows in the order of the table. The first four use the membership sockets.
 var flowNames = []string{"hellos", "statements", "gossip", "streams", "list"}
 
-// Spread is how a figure is spread over nodes.
+// Spread is the distribution of a figure over nodes.
 type Spread struct {
 	Mean   float64 `json:"mean"`
 	Median float64 `json:"median"`
@@ -40,7 +40,7 @@
 	Max    float64 `json:"most"`
 }
 
-// SpreadOf sums up one figure of each node.
+// SpreadOf returns the distribution of one figure, given one value for each node.
 func SpreadOf(xs []float64) (s Spread) {
 	if len(xs) == 0 {
 		return s
@@ -56,16 +56,16 @@
 	return s
 }
 
-// Line is a straight line through some points, by least squares.
+// Line is a least-squares regression line.
 type Line struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	R2        float64 `json:"r2"`     // the share of the spread that it explains
-	Error     float64 `json:"error"`  // the standard error of the slope; 0 where there are too few points to tell
-	Points    int     `json:"points"` // that it goes by
+	R2        float64 `json:"r2"`     // coefficient of determination
+	Error     float64 `json:"error"`  // standard error of the slope; 0 if there are too few points
+	Points    int     `json:"points"` // number of points fitted
 }
 
-// Fit lays one through points. With less than two different places it is level.
+// Fit fits a line through points. With fewer than two distinct x values its slope is 0.
 func Fit(xs, ys []float64) (l Line) {
 	n := float64(len(xs))
 	if l.Points = len(xs); n == 0 {
@@ -95,5 +95,5 @@
 	return l
 }
 
-// At is the line's value at a place.
+// At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// lookEach is the time between two looks at the views of all nodes.
-	lookEach = 200 * time.Millisecond
-	// settles is the least time that gossip is given to settle once all views agree.
-	settles = 4 * time.Second
-	// quietWithin bounds the wait for gossip to settle: nodes that still send statements then do so all the time.
-	quietWithin = time.Minute
-	// quietEach is the interval over which statements are counted meanwhile.
-	quietEach = time.Second
-	// quietPart is how many statements a node sends in quietEach, on average, when gossip counts as settled: the
-	// troubles of a single node are below that.
-	quietPart = 0.1
-	// seedsOf is how many members a node asks first; they are spread evenly over the fleet.
-	seedsOf = 5
-	// basePort and portRange are below the ports that systems give to sockets without one of their own.
+	// viewPollInterval is the interval at which the views of all nodes are read.
+	viewPollInterval = 200 * time.Millisecond
+	// minSettleTime is the minimum time for gossip to settle once all views agree.
+	minSettleTime = 4 * time.Second
+	// settleTimeout bounds the wait for gossip to settle: nodes that still send statements by then send them continuously.
+	settleTimeout = time.Minute
+	// statementInterval is the interval over which statements are counted during that wait.
+	statementInterval = time.Second
+	// settledStatementsPerNode is the mean number of statements per node in statementInterval below which gossip
+	// counts as settled. Faults of a single node cause fewer.
+	settledStatementsPerNode = 0.1
+	// seedCount is the number of seeds in the fleet file; they are spread evenly over the fleet.
+	seedCount = 5
+	// basePort and portRange keep the ports below the usual ephemeral port range.
 	basePort  = 12_000
 	portRange = 20_000
-	// alone is the name of the node that knows of no other.
+	// alone is the name of the isolated node, which has no fleet file.
 	alone = "alone"
 )
 
@@ -40,7 +40,7 @@
 	list    *endpointLists
 	hollows []*HollowProcess
 	reals   []*RealNode
-	alone   *RealNode // knows of no other: what a node uses for all else; nil where there are no real ones
+	alone   *RealNode // isolated node: the baseline cost without membership; nil if there are no real nodes
 }
 
 // fleetProcess is one process of a fleet.
@@ -63,9 +63,9 @@
 	return all
 }
 
-// open starts a fleet of a size.
+// open starts a fleet with the given number of nodes.
 func (r *Rig) open(ctx context.Context, p *Plan, nodes int) (*fleetRun, error) {
-	// Ports differ between rigs and sizes, so that a socket of an earlier run that still lingers is not met.
+	// Ports differ between rigs and sizes, to avoid sockets that linger from an earlier run.
 	port := uint16(basePort + (os.Getpid()*397+nodes*7)%portRange)
 	f := &fleetRun{
 		rig:    r,
@@ -88,14 +88,14 @@
 	return f, nil
 }
 
-// fleetFile is the fleet's file that all nodes share, but for their addresses.
+// fleetFile returns the fleet file that all nodes share, except for their addresses.
 func (f *fleetRun) fleetFile() fleetconfig.File {
 	nodes := len(f.places)
 	file := fleetconfig.Default()
 	file.Members = f.plan.File.Members
 	file.Members.MaxMembers = max(file.Members.MaxMembers, nodes)
 	file.Fleet.Label = fmt.Sprintf("scale-%d-%d-%d", os.Getpid(), nodes, f.plan.Seed)
-	seeds := min(seedsOf, nodes)
+	seeds := min(seedCount, nodes)
 	for i := range seeds {
 		file.Fleet.Seeds = append(file.Fleet.Seeds, f.places[i*nodes/seeds].Addr)
 	}
@@ -111,7 +111,7 @@
 		until := min(len(f.places), from+f.plan.NodesPerProcess)
 		h, err := f.rig.StartHollowProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
 		if err != nil {
-			return fmt.Errorf("a process of hollow nodes does not start: %w", err)
+			return fmt.Errorf("start a process of hollow nodes: %w", err)
 		}
 		f.hollows = append(f.hollows, h)
 	}
@@ -126,7 +126,7 @@
 	return errors.Join(err, ctx.Err())
 }
 
-// startReals starts the real nodes and, if there are any, the one that knows of no other.
+// startReals starts the real nodes and, if there are any, the isolated node.
 func (f *fleetRun) startReals(file *fleetconfig.File) error {
 	for i, place := range f.places {
 		if place.Role != Real {
@@ -134,7 +134,7 @@
 		}
 		n, err := f.rig.StartRealNode(place, file, len(f.places), f.plan.Seed+int64(i))
 		if err != nil {
-			return fmt.Errorf("a real node does not start: %w", err)
+			return fmt.Errorf("start a real node: %w", err)
 		}
 		f.reals = append(f.reals, n)
 	}
@@ -148,12 +148,12 @@
 	place := Place{Name: alone, Role: Real, Addr: "127.0.0.1:0", List: list}
 	f.alone, err = f.rig.StartRealNode(place, nil, len(f.places), f.plan.Seed)
 	if err != nil {
-		return fmt.Errorf("a node that is to know of no other does not start: %w", err)
+		return fmt.Errorf("start the isolated node: %w", err)
 	}
 	return nil
 }
 
-// close ends all processes at once, and then the endpoint list.
+// close stops all processes concurrently, and then the emulated discovery.
 func (f *fleetRun) close() {
 	var all sync.WaitGroup
 	for _, p := range f.processes() {
@@ -175,7 +175,7 @@
 				own.Places = h.places
 			}
 			starts := time.Duration(len(own.Places)) * own.Apart
-			answers[i], errs[i] = h.ask(ctx, own, answerBy+starts)
+			answers[i], errs[i] = h.ask(ctx, own, orderTimeout+starts)
 		})
 	}
 	all.Wait()
@@ -187,7 +187,7 @@
 	for _, h := range f.hollows {
 		for _, at := range h.places {
 			if at.Name == name {
-				_, err := h.ask(ctx, order{Do: do, Name: name}, answerBy)
+				_, err := h.ask(ctx, order{Do: do, Name: name}, orderTimeout)
 				return err
 			}
 		}
@@ -207,10 +207,10 @@
 	}
 	for _, n := range f.reals {
 		if n.HasExited() {
-			return nil, 0, fmt.Errorf("real node %s has ended: %s", n.Place.Name, n.LastLogLine())
+			return nil, 0, fmt.Errorf("real node %s has exited: %s", n.Place.Name, n.LastLogLine())
 		}
 		st, err := n.status()
-		if err != nil { // it has only just started, and does not answer yet
+		if err != nil { // a node that has just started does not answer yet
 			st = status{Name: n.Place.Name}
 		}
 		all = append(all, st)
@@ -218,15 +218,15 @@
 	return all, lost, nil
 }
 
-// agreement sums up how far the views of some nodes agree.
+// agreement summarizes how far the views of some nodes agree.
 type agreement struct {
-	least  int             // members in the smallest view; no more than are expected
+	least  int             // members in the smallest view; at most the expected number
 	most   int             // members in the largest view
-	marks  map[string]bool // the different views, by their marks
-	cutOff int             // nodes that take themselves for cut off
+	marks  map[string]bool // fingerprints of the distinct views
+	cutOff int             // nodes that report a possible partition
 }
 
-// agreementOf looks at the nodes that a filter lets pass; nil lets all pass.
+// agreementOf summarizes the nodes that the filter accepts; a nil filter accepts all.
 func agreementOf(all []status, members int, filter func(status) bool) agreement {
 	a := agreement{least: members, marks: map[string]bool{}}
 	for _, st := range all {
@@ -243,18 +243,18 @@
 	return a
 }
 
-// reached reports whether all views are the same and have so many members.
+// reached reports whether all views are identical and have the given number of members.
 func (a agreement) reached(members int) bool {
 	return a.least == members && a.most == members && len(a.marks) == 1 && a.cutOff == 0
 }
 
-// awaitAgreement waits until the views of all nodes that a filter lets pass are the same and have so many members. It
-// returns how long that took.
+// awaitAgreement waits until the views of all nodes that the filter accepts are identical and have the given number of
+// members. It returns how long that took.
 func (f *fleetRun) awaitAgreement(ctx context.Context, members int, within time.Duration,
 	filter func(status) bool) (took time.Duration, err error) {
 	began := time.Now()
 	for {
-		all, _, err := f.statuses(ctx, doLook)
+		all, _, err := f.statuses(ctx, doReadViews)
 		if err != nil {
 			return 0, err
 		}
@@ -263,17 +263,17 @@
 		if a.reached(members) {
 			return took, nil
 		}
-		f.rig.tell("%d nodes: %.0f s, views of %d to %d members, %d different, %d cut off",
+		f.rig.tell("%d nodes: waiting for convergence for %.0f s, views have %d to %d members, %d distinct, %d cut off",
 			len(f.places), took.Seconds(), a.least, a.most, len(a.marks), a.cutOff)
 		if took > within {
-			return took, fmt.Errorf("views of %d nodes are not the same %d members within %v: "+
-				"%d to %d, %d different, %d cut off",
+			return took, fmt.Errorf("views of %d nodes did not converge on %d members within %v: "+
+				"%d to %d members, %d distinct views, %d nodes cut off",
 				len(f.places), members, within, a.least, a.most, len(a.marks), a.cutOff)
 		}
 		if err := f.checkMemory(); err != nil {
 			return took, err
 		}
-		if err := sleep(ctx, lookEach); err != nil {
+		if err := sleep(ctx, viewPollInterval); err != nil {
 			return took, err
 		}
 	}
@@ -296,9 +296,9 @@
 	return nil
 }
 
-// settle waits until gossip about what has happened has died down.
+// settle waits until gossip about the preceding event has settled.
 func (f *fleetRun) settle(ctx context.Context) error {
-	if err := sleep(ctx, settles); err != nil {
+	if err := sleep(ctx, minSettleTime); err != nil {
 		return err
 	}
 	before, err := f.statementsSent(ctx)
@@ -306,24 +306,25 @@
 		return err
 	}
 	nodes := float64(len(f.places))
-	for by := time.Now().Add(quietWithin); time.Now().Before(by); {
-		if err := sleep(ctx, quietEach); err != nil {
+	for by := time.Now().Add(settleTimeout); time.Now().Before(by); {
+		if err := sleep(ctx, statementInterval); err != nil {
 			return err
 		}
 		now, err := f.statementsSent(ctx)
 		if err != nil {
 			return err
 		}
-		if now-before < quietPart*nodes {
+		if now-before < settledStatementsPerNode*nodes {
 			return nil
 		}
-		f.rig.tell("%d nodes: %.1f statements a node in %v still", len(f.places), (now-before)/nodes, quietEach)
+		f.rig.tell("%d nodes: waiting for gossip to settle, %.1f statements per node in %v",
+			len(f.places), (now-before)/nodes, statementInterval)
 		before = now
 	}
 	return nil
 }
 
-// statementsSent counts the statements that all nodes have sent until now.
+// statementsSent returns the number of statements that all nodes have sent so far.
 func (f *fleetRun) statementsSent(ctx context.Context) (float64, error) {
 	s, err := f.read(ctx)
 	sum := 0.0
--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	loopInterval = 100 * time.Millisecond // between iterations of the event loop, which a hollow node does not have
-	listPath     = "/registry/instances"
-	longestList  = 8 << 20
-	listDialBy   = 2 * time.Second
+	loopInterval    = 100 * time.Millisecond // between iterations of the event loop, which a hollow node does not have
+	listPath        = "/registry/instances"
+	maxListBytes    = 8 << 20
+	listDialTimeout = 2 * time.Second
 )
 
-// Component is a further component of the control part that a hollow node runs.
+// Component is an additional control-plane component that a hollow node runs.
 type Component interface{ Close() }
 
-// ComponentStarter starts a part of a node that has joined the fleet.
+// ComponentStarter starts a component of a node that has joined the fleet.
 type ComponentStarter func(*Node) (Component, error)
 
-// Node is one hollow node: the control part of a real one, on sockets.
+// Node is a hollow node: the control plane of a real node, on sockets of its own.
 type Node struct {
 	Place      Place
 	Membership *gossip.Node
@@ -40,8 +40,8 @@
 	once       sync.Once
 }
 
-// OpenNode starts a hollow node by the same file as a real one. It runs its membership, its calls for the endpoint
-// list, and the given parts. With rules, its sockets go by them.
+// OpenNode starts a hollow node from the same fleet file as a real one. It runs membership, the polling of the endpoint
+// list, and the given components. If r is not nil, its sockets apply those network rules.
 func OpenNode(at Place, f *fleetconfig.File, nodes int, r *networkRules, more ...ComponentStarter) (*Node, error) {
 	lines, err := gossip.Listen(at.Addr)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return n, nil
 }
 
-// Close ends the node. An orderly end is announced to the other nodes; otherwise they see a crash.
+// Close stops the node. An orderly stop is announced to the other nodes; otherwise they see a crash.
 func (n *Node) Close(orderly bool) {
 	n.once.Do(func() {
 		for i := len(n.parts) - 1; i >= 0; i-- {
@@ -104,12 +104,12 @@
 
 func (t loopSubstitute) Close() { close(t.end) }
 
-// listPoller calls for the endpoint list as a node does, and drops what it receives.
+// listPoller polls the endpoint list like a node and discards what it receives.
 type listPoller struct {
 	addr   string
 	calls  discovery.Poller
 	chance keyhash.Source
-	began  time.Time // of the call in flight; with its connection, if it is the first there
+	began  time.Time // start of the poll in flight; for the first on a connection, start of the dial
 	end    chan struct{}
 	done   chan struct{}
 	mu     sync.Mutex
@@ -141,9 +141,9 @@
 	return c
 }
 
-// follow calls on one connection until that fails, and returns why.
+// follow polls on one connection until it fails, and returns the failure.
 func (c *listPoller) follow() discovery.Failure {
-	conn, err := net.DialTimeout("tcp", c.addr, listDialBy)
+	conn, err := net.DialTimeout("tcp", c.addr, listDialTimeout)
 	if err != nil || !c.track(conn) {
 		return discovery.ConnectionLost
 	}
@@ -164,7 +164,7 @@
 			return discovery.ConnectionLost
 		}
 		for read := (http1.Progress{}); ; {
-			a, size, err := read.ReadResponse(in[:have], longestList, false)
+			a, size, err := read.ReadResponse(in[:have], maxListBytes, false)
 			if err != nil {
 				return discovery.Unreadable
 			}
@@ -187,10 +187,10 @@
 	}
 }
 
-// accepted is in place of a failure where a response was accepted.
+// accepted is returned instead of a failure when a response was accepted.
 const accepted discovery.Failure = -1
 
-// onResponse takes an update of the list, or returns how the call failed.
+// onResponse applies an update of the list, or returns how the poll failed.
 func (c *listPoller) onResponse(a *http1.Response, parser *fastjson.Parser) discovery.Failure {
 	if a.Status == http1.ServiceUnavailable || a.Status == http1.TooManyRequests {
 		return discovery.Refused
@@ -208,7 +208,8 @@
 	return accepted
 }
 
-// track keeps the connection for Close, which may be called while a call blocks on it; false if it was called before.
+// track registers the connection for Close, which may run while a poll blocks on it. It returns false, with the
+// connection closed, if Close was called before.
 func (c *listPoller) track(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,7 +221,7 @@
 	return true
 }
 
-// Close ends the poller and waits for its goroutine.
+// Close stops the poller and waits for its goroutine.
 func (c *listPoller) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// answerBy is how long a process of hollow nodes may take for an order, beside the time that it is given for
-	// starts.
-	answerBy = 30 * time.Second
-	// longestAnswer bounds what is read of one answer, in bytes.
-	longestAnswer = 8 << 20
-	// firstLineBytes is the initial size of the buffer for a line; it grows up to the longest line.
-	firstLineBytes = 64 << 10
+	// orderTimeout is the time that a process of hollow nodes has to answer an order, in addition to the time for
+	// starting nodes.
+	orderTimeout = 30 * time.Second
+	// maxAnswerBytes bounds the size of one answer.
+	maxAnswerBytes = 8 << 20
+	// initialLineBytes is the initial size of the buffer for a line; it grows up to the longest line.
+	initialLineBytes = 64 << 10
 )
 
-// HollowProcess is a process of hollow nodes, which takes orders as lines of JSON and answers each with one line.
+// HollowProcess is a process of hollow nodes. It reads orders as lines of JSON and answers each with one line.
 type HollowProcess struct {
 	*Child
-	places  []Place        // of the nodes it runs
-	in      io.WriteCloser // orders; the process ends once it is closed
+	places  []Place        // nodes that it runs
+	in      io.WriteCloser // orders; the process exits when it is closed
 	answers chan answer    // closed once the process has closed its output
 }
 
-// StartHollowProcess starts a process of hollow nodes, which has no nodes before the order to open them.
+// StartHollowProcess starts a process of hollow nodes. It runs no nodes until it is ordered to open them.
 func (r *Rig) StartHollowProcess(places []Place, name string) (*HollowProcess, error) {
 	cmd := exec.Command(r.Program, "scale", "hollow")
 	in, err := cmd.StdinPipe()
@@ -58,7 +58,7 @@
 	defer from.Close()
 	defer close(h.answers)
 	lines := bufio.NewScanner(from)
-	lines.Buffer(make([]byte, firstLineBytes), longestAnswer)
+	lines.Buffer(make([]byte, initialLineBytes), maxAnswerBytes)
 	for lines.Scan() {
 		var a answer
 		if err := json.Unmarshal(lines.Bytes(), &a); err != nil {
@@ -71,23 +71,23 @@
 // ask sends an order and waits for the answer.
 func (h *HollowProcess) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
 	if err := json.NewEncoder(h.in).Encode(o); err != nil {
-		return answer{}, fmt.Errorf("a process of hollow nodes takes no order: %w: %s", err, h.LastLogLine())
+		return answer{}, fmt.Errorf("send an order to a process of hollow nodes: %w: %s", err, h.LastLogLine())
 	}
 	select {
 	case a, more := <-h.answers:
 		if !more {
-			return a, fmt.Errorf("a process of hollow nodes has ended: %s", h.LastLogLine())
+			return a, fmt.Errorf("a process of hollow nodes has exited: %s", h.LastLogLine())
 		}
 		if a.Fault != "" {
-			return a, fmt.Errorf("a process of hollow nodes: %s", a.Fault)
+			return a, fmt.Errorf("order failed in a process of hollow nodes: %s", a.Fault)
 		}
 		return a, nil
 	case <-ctx.Done():
 		return answer{}, ctx.Err()
 	case <-time.After(within):
-		return answer{}, fmt.Errorf("a process of hollow nodes does not answer within %v to %s", within, o.Do)
+		return answer{}, fmt.Errorf("a process of hollow nodes did not answer within %v to the order %s", within, o.Do)
 	}
 }
 
-// Close ends the process with all of its nodes.
+// Close stops the process with all of its nodes.
 func (h *HollowProcess) Close() { h.Stop(func() { _ = h.in.Close() }) }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// formsWithin is how long a fleet may take from its last start until all views agree.
-	formsWithin = 3 * time.Minute
-	// wholeWithin is the same after a fault.
-	wholeWithin = time.Minute
+	// formTimeout is the time for all views to agree after the last node was started.
+	formTimeout = 3 * time.Minute
+	// recoveryTimeout is the time for all views to agree after a fault.
+	recoveryTimeout = time.Minute
 )
 
 // measurement takes one size through its phases.
@@ -55,7 +55,7 @@
 
 // forming waits until all nodes know each other.
 func (m *measurement) forming(ctx context.Context, began time.Time) error {
-	if _, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, formsWithin, nil); err != nil {
+	if _, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, formTimeout, nil); err != nil {
 		return fmt.Errorf("forming: %w", err)
 	}
 	formed := time.Since(began)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// steady measures while nothing happens, and then the memory.
+// steady measures the fleet without faults, and then its memory.
 func (m *measurement) steady(ctx context.Context) error {
 	err := m.phase(ctx, steady, func() (time.Duration, error) {
 		return 0, sleep(ctx, m.fleet.plan.window(m.size.Nodes))
@@ -88,7 +88,7 @@
 	lost := f.places[len(f.places)-1].Name
 	err := m.phase(ctx, lostOne, func() (time.Duration, error) {
 		began := time.Now()
-		if err := f.orderFor(ctx, lost, doDrop); err != nil {
+		if err := f.orderFor(ctx, lost, doCrash); err != nil {
 			return 0, err
 		}
 		others := func(st status) bool { return st.Name != lost }
@@ -98,14 +98,14 @@
 		return err
 	}
 	return m.phase(ctx, lostBack, func() (time.Duration, error) {
-		if err := f.orderFor(ctx, lost, doRaise); err != nil {
+		if err := f.orderFor(ctx, lost, doRestart); err != nil {
 			return 0, err
 		}
 		return m.awaitRecovery(ctx)
 	})
 }
 
-// cutRegion cuts a region off from all others, and ends that after a while.
+// cutRegion partitions a region from all others, and heals the partition after a while.
 func (m *measurement) cutRegion(ctx context.Context) error {
 	f := m.fleet
 	region := RegionID(f.plan.File.Partition.Region)
@@ -150,11 +150,11 @@
 	return nil
 }
 
-// awaitFault waits until the nodes that are left agree on their number, and until the fault has lasted its whole time.
-// It returns at once if they don't agree.
+// awaitFault waits until the remaining nodes agree on their number, and then until the fault has lasted its full time.
+// It returns early if they do not agree in time.
 func (m *measurement) awaitFault(ctx context.Context, began time.Time, lasts time.Duration, left int,
 	filter func(status) bool) (time.Duration, error) {
-	took, err := m.fleet.awaitAgreement(ctx, left, wholeWithin, filter)
+	took, err := m.fleet.awaitAgreement(ctx, left, recoveryTimeout, filter)
 	if err != nil {
 		return took, err
 	}
@@ -163,7 +163,7 @@
 
 // awaitRecovery waits until all nodes know each other again, and gossip has settled.
 func (m *measurement) awaitRecovery(ctx context.Context) (time.Duration, error) {
-	took, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, wholeWithin, nil)
+	took, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, recoveryTimeout, nil)
 	if err != nil {
 		return took, err
 	}
--- a/internal/scale/networkrules.go
+++ b/internal/scale/networkrules.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	maxDelayed   = 20_000                // datagrams of a process that are delayed at a time; more are lost
-	maxDelivered = 1024                  // of these, that wait to be read by one node; more are lost
-	lookAtCutBy  = 20 * time.Millisecond // between looks of a stream that stalls, whether the cut has ended
+	maxDelayed            = 20_000                // delayed datagrams per process; further ones are dropped
+	maxDelivered          = 1024                  // delayed datagrams queued for one node; further ones are dropped
+	partitionPollInterval = 20 * time.Millisecond // interval at which a stalled stream rechecks the partition
 )
 
 // networkRules applies delay, loss and partitions between regions in a process of hollow nodes. Hollow nodes apply
-// them to what they send. Real ones know of no rules: the hollow nodes that they send to apply them on receipt.
+// them to what they send. Real nodes apply none: the hollow nodes that they send to apply the rules on receipt.
 type networkRules struct {
 	faults *netfault.Faults
 	late   atomic.Int64
-	lost   atomic.Uint64 // messages dropped as too many were delayed, which no rule asked for
+	lost   atomic.Uint64 // messages dropped because the delay queue was full, not by a rule
 }
 
-// wrap wraps a node's sockets so that they go by the rules of its region.
+// wrap returns a node's sockets with the rules of its region applied.
 func (r *networkRules) wrap(l gossip.Transport, region RegionID) gossip.Transport {
 	dial := l.Dial
 	l.Datagrams = &ruledDatagrams{PacketConn: l.Datagrams, r: r, region: region}
@@ -40,7 +40,7 @@
 		}
 		c := &ruledConn{r: r, from: region, to: to, delaysReads: role == Real}
 		until := func() time.Time { return by }
-		if !c.passes(region, to, until) || !c.passes(to, region, until) { // there and back, until it is up
+		if !c.passes(region, to, until) || !c.passes(to, region, until) { // one round trip for the handshake
 			return nil, os.ErrDeadlineExceeded
 		}
 		var err error
@@ -70,10 +70,10 @@
 	r      *networkRules
 	region RegionID
 	mu     sync.Mutex
-	late   []datagram // of real nodes in other regions, delayed and not read yet
+	late   []datagram // from real nodes in other regions, delayed and not read yet
 }
 
-// WriteTo sends by the rule of the pair of regions.
+// WriteTo sends a datagram under the rule of the pair of regions.
 func (d *ruledDatagrams) WriteTo(b []byte, to net.Addr) (int, error) {
 	region, _, known := locate(to.(*net.UDPAddr).AddrPort().Addr())
 	if !known || region == d.region {
@@ -90,7 +90,7 @@
 	return len(b), nil
 }
 
-// afterDelay does something after a delay, unless too much waits: then the message is lost and counted.
+// afterDelay calls do after a delay. If too many messages are already delayed, it drops and counts the message instead.
 func (r *networkRules) afterDelay(late time.Duration, do func()) {
 	if r.late.Add(1) > maxDelayed {
 		r.late.Add(-1)
@@ -103,7 +103,7 @@
 	})
 }
 
-// ReadFrom returns the next datagram. What real nodes send from other regions is delayed here.
+// ReadFrom returns the next datagram. Datagrams of real nodes in other regions are delayed here.
 func (d *ruledDatagrams) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		d.mu.Lock()
@@ -117,7 +117,7 @@
 		d.mu.Unlock()
 		n, from, err := d.PacketConn.ReadFrom(b)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // deliver has woken it: a delayed datagram is there
+			continue // woken by deliver: a delayed datagram is available
 		}
 		if err != nil {
 			return n, from, err
@@ -133,7 +133,7 @@
 	}
 }
 
-// deliver gives a delayed datagram to the reader, which it wakes by a deadline in the past.
+// deliver queues a delayed datagram and wakes the reader by setting a deadline in the past.
 func (d *ruledDatagrams) deliver(got datagram) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,19 +168,19 @@
 type ruledConn struct {
 	net.Conn
 	r              *networkRules
-	from, to       RegionID // from here to the other
+	from, to       RegionID // from the local region to the remote one
 	delaysReads    bool     // for a real peer, which has no rules for what it sends
 	readBy, sendBy atomic.Int64
 	received       bool // the first data; used by the reader only
 }
 
-// passes waits as long as data takes to the other region, and reports whether that was in time.
+// passes waits for the delay between two regions, and reports whether it elapsed before the deadline.
 func (c *ruledConn) passes(from, to RegionID, by func() time.Time) bool {
 	for {
 		delay, blocked := c.r.faults.Segment(int(from), int(to))
 		wait := delay
 		if blocked {
-			wait = lookAtCutBy
+			wait = partitionPollInterval
 		}
 		if end := by(); !end.IsZero() && time.Until(end) < wait {
 			time.Sleep(max(0, time.Until(end)))
@@ -193,11 +193,11 @@
 	}
 }
 
-// longestStill bounds how long a stream without a deadline may stall.
-const longestStill = 30 * time.Second
+// maxStallTime bounds the stall of a stream without a deadline.
+const maxStallTime = 30 * time.Second
 
 func deadline(at *atomic.Int64) func() time.Time {
-	still := time.Now().Add(longestStill)
+	still := time.Now().Add(maxStallTime)
 	return func() time.Time {
 		if by := at.Load(); by != 0 {
 			return time.Unix(0, by)
@@ -215,7 +215,7 @@
 
 func (c *ruledConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.delaysReads && !c.received { // only the first data is delayed: the rest keeps its distance
+	if n > 0 && c.delaysReads && !c.received { // only the first data is delayed: the rest keeps its spacing
 		c.received = true
 		if !c.passes(c.to, c.from, deadline(&c.readBy)) {
 			return 0, os.ErrDeadlineExceeded
--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	requestInterval  = 10 * time.Millisecond // between two requests: none waits for another
+	requestInterval  = 10 * time.Millisecond // between two requests, so that none queues behind another
 	answerLatency    = 2 * time.Millisecond
 	requestDeadline  = time.Second
 	latencyObjective = 300 * time.Millisecond
-	rejectEach       = 10 // one request in so many is rejected by its first cache: too few for a cache to count as full
+	rejectEvery      = 10 // one request in this many is rejected by its first cache: too few for a cache to count as full
 	replicasOfKey    = 3  // caches that hold a key
-	mostAttempts     = 2  // attempts of a read that are looked at
+	maxReadAttempts  = 2  // attempts of a read that are surveyed
 )
 
-// Crossings counts attempts, and the shares of them that leave the place of the node that makes them.
+// Crossings is a number of attempts, and the shares of them that leave the zone and the region of their node.
 type Crossings struct {
 	Attempts int
 	Zone     float64 // share that leaves the node's zone
@@ -31,14 +31,14 @@
 	Keys        int
 	First       Crossings // first attempts
 	Second      Crossings // attempts after one that was rejected
-	MinReplicas int       // fewest caches that a key was written to
-	TwoInZone   float64   // share of keys with two replicas or more in some one zone
+	MinReplicas int       // lowest number of replicas of any key
+	TwoInZone   float64   // share of keys with two replicas or more in the same zone
 	TwoInRegion float64   // the same of regions
 	WorstZone   float64   // share of keys with two replicas or more in the zone where that is most frequent
 	WorstRegion float64   // the same of regions
 }
 
-// PlaceKeys asks routers of all zones for many keys, the same number in each zone. The cross-zone cost is as in a
+// PlaceKeys routes requests for many keys, the same number from each zone. The cross-zone cost is as in a
 // deployment's settings, a share of a request; 0 for none.
 func PlaceKeys(at Places, caches, keys, nodes int, crossZoneCost float64) Placement {
 	s := newPlacementSurvey(at, caches)
@@ -49,14 +49,14 @@
 		for k := range keysOfZone {
 			now = now.Add(requestInterval)
 			key := fmt.Sprintf("key-%d-%d", zone, k) // each is requested once: none is hot
-			now = s.read(router, now, zone, key, k%rejectEach == 0)
+			now = s.read(router, now, zone, key, k%rejectEvery == 0)
 			s.write(router, now, key)
 		}
 	}
 	return s.result(keysOfZone * at.Zones)
 }
 
-// placementSurvey collects where requests go.
+// placementSurvey records where requests and replicas are placed.
 type placementSurvey struct {
 	places    Places
 	endpoints []policy.Endpoint
@@ -112,7 +112,7 @@
 	return worst
 }
 
-// newPlacementSurvey places caches as Lay places nodes: region by region, and evenly over a region's zones.
+// newPlacementSurvey places caches as AssignPlaces places nodes: region by region, and evenly over a region's zones.
 func newPlacementSurvey(at Places, caches int) *placementSurvey {
 	s := &placementSurvey{
 		places:    at,
@@ -178,7 +178,7 @@
 	}
 	sendTo := p.Route(now, r).SendTo
 	s.countAttempt(&s.first, zone, sendTo)
-	for attempt := 0; len(sendTo) > 0 && attempt < mostAttempts; attempt++ {
+	for attempt := 0; len(sendTo) > 0 && attempt < maxReadAttempts; attempt++ {
 		result := policy.Answered
 		if attempt == 0 && reject {
 			result = policy.Rejected
@@ -245,7 +245,7 @@
 	}
 }
 
-// share is a part of a whole; 0 of nothing.
+// share returns n/of, or 0 if of is 0.
 func share(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
 // Print writes the placement as four lines of text.
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -12,13 +12,13 @@
 // RegionID is a region's number, from 0.
 type RegionID int
 
-// Role is what a node is here.
+// Role tells hollow nodes from real ones.
 type Role string
 
 // The roles.
 const (
-	Hollow Role = "hollow" // its control part only, many to a process
-	Real   Role = "real"   // a process of its own, by the program's own serve
+	Hollow Role = "hollow" // runs only the control plane, many to a process
+	Real   Role = "real"   // a process of its own that runs the command serve
 )
 
 // Place is one node: its location and its addresses.
@@ -29,25 +29,25 @@
 	Site   int      `json:"site"`
 	Zone   int      `json:"zone"`
 	Addr   string   `json:"addr"` // for other nodes
-	List   string   `json:"list"` // of the discovery that it calls
+	List   string   `json:"list"` // address of the discovery that it polls
 }
 
-// An address tells region and role: 127.REGION+firstRegion.K.N, with K from realFrom on for real nodes.
+// An address encodes region and role: 127.REGION+firstRegion.K.N, with K from firstRealOctet on for real nodes.
 const (
-	firstRegion = 10
-	realFrom    = 200
-	inOctet     = 250
+	firstRegion    = 10
+	firstRealOctet = 200
+	nodesPerOctet  = 250
 )
 
-// AssignPlaces gives each node its place. The real ones are all in the first region, as no rule would apply between two of them.
-// Each of the others goes to the region with the fewest nodes.
+// AssignPlaces assigns each node a place. All real nodes are in the first region, as no rule would apply between two of
+// them. Each of the others goes to the region with the fewest nodes.
 func AssignPlaces(nodes, real int, at Places, port uint16) (all []Place) {
 	in, hollows := make([]int, at.Regions), make([]int, at.Regions)
 	for i := range nodes {
 		p := Place{Name: fmt.Sprintf("n%d", i+1), Role: Hollow}
 		k := 0
 		if i < real {
-			p.Role, k = Real, realFrom*inOctet+i
+			p.Role, k = Real, firstRealOctet*nodesPerOctet+i
 		} else {
 			for r := range in {
 				if in[r] < in[p.Region] {
@@ -61,20 +61,20 @@
 		in[p.Region]++
 		p.Site = siteOrZone(number, p.Region, at.Regions, at.Sites)
 		p.Zone = siteOrZone(number, p.Region, at.Regions, at.Zones)
-		p.Addr = fmt.Sprintf("127.%d.%d.%d:%d", firstRegion+int(p.Region), k/inOctet, k%inOctet+1, port)
+		p.Addr = fmt.Sprintf("127.%d.%d.%d:%d", firstRegion+int(p.Region), k/nodesPerOctet, k%nodesPerOctet+1, port)
 		all = append(all, p)
 	}
 	return all
 }
 
-// siteOrZone is the site or zone of a region's node with a number, of so many in all regions. Sites and zones are dealt
-// out to regions in turn, and a region's nodes in turn to its own.
+// siteOrZone returns the site or zone of the numbered node of a region. Sites and zones are assigned to regions
+// round-robin, and the nodes of a region to its own sites and zones likewise.
 func siteOrZone(number int, region RegionID, regions, of int) int {
 	mine := (of - int(region) + regions - 1) / regions
 	return number%mine*regions + int(region)
 }
 
-// locate returns the region and role of the node that has an address; false where no node has it.
+// locate returns the region and role that an address encodes; false if it is not the address of a node.
 func locate(at netip.Addr) (region RegionID, role Role, ok bool) {
 	at = at.Unmap()
 	if !at.Is4() {
@@ -85,13 +85,13 @@
 		return 0, "", false
 	}
 	role = Hollow
-	if b[2] >= realFrom {
+	if b[2] >= firstRealOctet {
 		role = Real
 	}
 	return RegionID(b[1] - firstRegion), role, true
 }
 
-// Faults are the rules between regions, with which a run begins.
+// Faults returns the rules between regions at the start of a run.
 func (f *File) Faults(seed int64) *netfault.Faults {
 	faults := netfault.New(uint32(seed))
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
@@ -110,7 +110,7 @@
 	return faults
 }
 
-// cut cuts a region off from all others, or ends that.
+// cut partitions a region from all others, or heals the partition.
 func cut(faults *netfault.Faults, region RegionID, regions int, off bool) {
 	for other := range regions {
 		if other == int(region) {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -12,31 +12,31 @@
 
 // Bounds of a run.
 const (
-	MinNodes     = 3                // the least that can take one out
-	MaxNodes     = 2000             // sockets of all must fit one machine
-	MaxRealNodes = 32               // processes that are nodes
-	MaxSizes     = 12               // measured one after the other
-	MaxProcesses = 300              // of a run
-	MaxMemoryMB  = 12_000           // that they take together
-	mostPlaces   = 200              // regions: a part of the address each
-	MinWindow    = 2 * time.Second  // a window in which anything can be counted
-	MaxWindow    = 10 * time.Minute // each size has one
-	hollowsEach  = 60               // hollow nodes in a process
-	mostBudget   = 1e6              // of any unit
+	MinNodes               = 3                // the smallest fleet that can lose a node
+	MaxNodes               = 2000             // bounded by the sockets of one machine
+	MaxRealNodes           = 32               // real nodes, a process each
+	MaxSizes               = 12               // measured one after the other
+	MaxProcesses           = 300              // of a run
+	MaxMemoryMB            = 12_000           // memory of all processes of a run
+	maxRegions             = 200              // regions: each takes one value of the second octet of an address
+	MinWindow              = 2 * time.Second  // shortest window in which traffic can be counted
+	MaxWindow              = 10 * time.Minute // each size has one
+	defaultNodesPerProcess = 60               // hollow nodes in a process
+	maxBudget              = 1e6              // of any unit
 )
 
-// Plan is what is measured, and how.
+// Plan states which sizes are measured, and how.
 type Plan struct {
 	Nodes           int           // the stated size
 	Sizes           []int         // measured, the lowest first
-	Real            int           // of each size, nodes that are processes of their own
-	Window          time.Duration // for which each size is measured once it is steady
+	Real            int           // real nodes at each size
+	Window          time.Duration // length of the steady phase
 	Seed            int64
 	File            File
-	NodesPerProcess int // hollow nodes in a process; 0 for the usual
+	NodesPerProcess int // hollow nodes per process; 0 for the default
 }
 
-// File is what an operator states about a planned fleet. Without it there is one region, without faults or a budget.
+// File is the operator's description of a planned fleet. Without it there is one region, without faults or a budget.
 type File struct {
 	Places      Places              `toml:"places"`
 	Starts      Starts              `toml:"starts"`
@@ -48,24 +48,24 @@
 	Budget      Budget              `toml:"budget"`
 }
 
-// Places are how many regions, sites and zones there are. Nodes are spread evenly over them.
+// Places is the number of regions, sites and zones. Nodes are spread evenly over them.
 type Places struct {
 	Regions int `toml:"regions"`
 	Sites   int `toml:"sites"`
 	Zones   int `toml:"zones"`
 }
 
-// Starts is how nodes are started: one after the other. All at once they would compete for the cores of one machine,
-// which nodes of a fleet do not.
+// Starts is how nodes are started: one after the other. Started all at once, they would compete for
+// the cores of one machine, which the nodes of a deployed fleet do not.
 type Starts struct {
 	IntervalMs float64 `toml:"apart_ms"` // between two starts
 }
 
 // RegionLinks is the network between regions: one rule for each pair. Within a region there are no faults.
 type RegionLinks struct {
-	DelayMs    float64 `toml:"delay_ms"`      // the least one-way delay of any pair
-	MaxDelayMs float64 `toml:"delay_most_ms"` // the most; each pair has one delay, drawn between the two
-	JitterMs   float64 `toml:"late_ms"`       // the most jitter of a message, so that messages are reordered
+	DelayMs    float64 `toml:"delay_ms"`      // lowest one-way delay of any pair
+	MaxDelayMs float64 `toml:"delay_most_ms"` // highest one-way delay; each pair has one delay, drawn between the two
+	JitterMs   float64 `toml:"late_ms"`       // maximum jitter of a message, which reorders messages
 	Loss       float64 `toml:"loss"`          // share of datagrams
 }
 
@@ -85,14 +85,14 @@
 	Caches int `toml:"caches"` // endpoints in it
 }
 
-// Budget is what a node may use at the stated size, on average over all nodes in the steady phase; 0 for no limit.
+// Budget limits the mean usage of a node at the stated size, over all nodes in the steady phase; 0 for no limit.
 type Budget struct {
 	CorePercent float64 `toml:"core_percent"` // of one core
 	MemoryMB    float64 `toml:"memory_mb"`    // resident
 	KBPerS      float64 `toml:"kb_per_s"`     // thousands of bytes, sent and received together
 }
 
-// defaultFile is the file of an operator who states nothing.
+// defaultFile returns the settings that apply without a file.
 func defaultFile() File {
 	return File{
 		Places:  Places{Regions: 1, Sites: 1, Zones: 1},
@@ -113,14 +113,14 @@
 	return ParseFile(path, text)
 }
 
-// ParseFile parses an operator's file. Its error names all that is wrong, with lines.
+// ParseFile parses an operator's file. Its error lists every invalid setting with its line.
 func ParseFile(name string, text []byte) (File, error) {
 	f := defaultFile()
 	c, err := strictconfig.Parse(name, text, &f)
 	if err != nil {
 		return f, err
 	}
-	c.InRange(float64(f.Places.Regions), 1, mostPlaces, "places.regions")
+	c.InRange(float64(f.Places.Regions), 1, maxRegions, "places.regions")
 	c.InRange(float64(f.Places.Sites), float64(f.Places.Regions), MaxNodes, "places.sites")
 	c.InRange(float64(f.Places.Zones), float64(f.Places.Regions), MaxNodes, "places.zones")
 	c.InRange(f.Starts.IntervalMs, 1, 10_000, "starts.apart_ms")
@@ -137,16 +137,16 @@
 	c.InRange(f.Crash.ForS, 0, 600, "lost.for_s")
 	c.InRange(float64(f.List.Caches), 0, 10_000, "list.caches")
 	fleetconfig.CheckMembers(c, &f.Members)
-	c.InRange(f.Budget.CorePercent, 0, mostBudget, "budget.core_percent")
-	c.InRange(f.Budget.MemoryMB, 0, mostBudget, "budget.memory_mb")
-	c.InRange(f.Budget.KBPerS, 0, mostBudget, "budget.kb_per_s")
+	c.InRange(f.Budget.CorePercent, 0, maxBudget, "budget.core_percent")
+	c.InRange(f.Budget.MemoryMB, 0, maxBudget, "budget.memory_mb")
+	c.InRange(f.Budget.KBPerS, 0, maxBudget, "budget.kb_per_s")
 	return f, c.Err()
 }
 
-// Check completes a plan with defaults and sorts its sizes. Its error is one line that says what is wrong.
+// Check completes a plan with defaults and sorts its sizes. Its error is a single line that names the flag at fault.
 func (p *Plan) Check() error {
 	if p.NodesPerProcess == 0 {
-		p.NodesPerProcess = hollowsEach
+		p.NodesPerProcess = defaultNodesPerProcess
 	}
 	if len(p.Sizes) == 0 {
 		for part := 8; part >= 1; part /= 2 {
--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// calibrationTolerance is the relative difference up to which hollow and real nodes count as the same.
+// calibrationTolerance is the relative difference up to which hollow and real nodes count as equal.
 const calibrationTolerance = 0.10
 
 // bytesPerKB converts rates in bytes per second, times a duration, to kB.
@@ -166,7 +166,7 @@
 	return text
 }
 
-// printSlopes writes how each figure grows with the number of nodes, and how it compares with its budget.
+// printSlopes writes the slope of each figure over the number of nodes, and compares the figure with its budget.
 func (r *Report) printSlopes(t table) {
 	t.row("means of hollow nodes", "unit", "a node more", "standard error", "R2",
 		fmt.Sprintf("line at %d", r.Nodes), "measured", "real is more by", "budget", "")
@@ -176,7 +176,7 @@
 	}
 }
 
-const noFigure = "-" // in place of a figure that does not exist
+const noFigure = "-" // printed in place of a missing figure
 
 func (s *Slope) standardError() string {
 	if s.Line.Points <= 2 { // a line through two points has no residual
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	longestOrder = 16 << 20 // bytes of an order to a process of hollow nodes
-	collected    = 200      // percent that the heap may grow between collections, as in a node
+	maxOrderBytes = 16 << 20 // bytes of an order to a process of hollow nodes
+	gcPercent     = 200      // GC percentage, as in a node
 )
 
 // order is a request of the rig to a process of hollow nodes, a line of JSON each.
 type order struct {
 	Do     string            `json:"do"`
 	Places []Place           `json:"places,omitempty"`
-	Fleet  *fleetconfig.File `json:"fleet,omitempty"` // but for where it listens
+	Fleet  *fleetconfig.File `json:"fleet,omitempty"` // without the listen address
 	File   *File             `json:"file,omitempty"`
 	Seed   int64             `json:"seed,omitempty"`
 	Nodes  int               `json:"nodes,omitempty"`
-	Apart  time.Duration     `json:"apart,omitempty"` // between the starts of two
+	Apart  time.Duration     `json:"apart,omitempty"` // interval between the starts of two nodes
 	Name   string            `json:"name,omitempty"`
 	Off    bool              `json:"off,omitempty"`
 }
 
 // The orders.
 const (
-	doOpen  = "open"
-	doLook  = "look"  // how the views stand
-	doRead  = "read"  // what was sent and received until now
-	doWeigh = "weigh" // the heap, after a collection
-	doCut   = "cut"   // the region of the file, off or not
-	doDrop  = "drop"  // one node ends at once
-	doRaise = "raise" // it is started anew
+	doOpen        = "open"
+	doReadViews   = "look"  // read the views
+	doReadTraffic = "read"  // read the views and the traffic so far
+	doReadHeap    = "weigh" // read the heap size after a garbage collection
+	doCut         = "cut"   // partition the region named in the file, or heal the partition
+	doCrash       = "drop"  // crash one node
+	doRestart     = "raise" // restart a crashed node
 )
 
 // answer is the response to an order, a line of JSON each.
@@ -50,7 +50,7 @@
 	Fault string   `json:"fault,omitempty"`
 	Nodes []status `json:"nodes,omitempty"`
 	Heap  uint64   `json:"heap,omitempty"`
-	Lost  uint64   `json:"lost,omitempty"` // messages that the rules dropped as too many were delayed
+	Lost  uint64   `json:"lost,omitempty"` // messages dropped because the delay queue was full
 }
 
 // status is one node's view of the fleet, and its traffic.
@@ -63,7 +63,7 @@
 	Dropped uint64                `json:"dropped,omitempty"`
 }
 
-// process runs hollow nodes by the orders of a rig.
+// process runs hollow nodes as ordered by a rig.
 type process struct {
 	nodes      map[string]*Node
 	places     []Place
@@ -73,19 +73,19 @@
 	partMakers []ComponentStarter
 }
 
-// ServeHollowNodes reads orders, carries them out and writes an answer to each, until its input ends; then it ends all nodes.
-// Each node runs the given parts beside its own.
+// ServeHollowNodes reads orders, executes them and writes an answer to each until its input is closed; then it stops
+// all nodes. Each node also runs the given components.
 func ServeHollowNodes(in io.Reader, out io.Writer, more ...ComponentStarter) error {
-	debug.SetGCPercent(collected)
+	debug.SetGCPercent(gcPercent)
 	p := &process{nodes: map[string]*Node{}, partMakers: more}
 	defer p.close()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, firstLineBytes), longestOrder)
+	lines.Buffer(make([]byte, initialLineBytes), maxOrderBytes)
 	say := json.NewEncoder(out)
 	for lines.Scan() {
 		var o order
 		if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
-			return fmt.Errorf("an order that can't be read: %w", err)
+			return fmt.Errorf("decode an order: %w", err)
 		}
 		a, err := p.do(&o)
 		if err != nil {
@@ -102,7 +102,7 @@
 	switch o.Do {
 	case doOpen:
 		return a, p.open(o)
-	case doLook, doRead:
+	case doReadViews, doReadTraffic:
 		for _, at := range p.places {
 			n := p.nodes[at.Name]
 			if n == nil {
@@ -110,7 +110,7 @@
 			}
 			s, _ := n.Membership.FleetStatus()
 			st := status{Name: at.Name, Members: s.Members, Mark: s.Fingerprint, CutOff: s.MayBePartitioned}
-			if o.Do == doRead {
+			if o.Do == doReadTraffic {
 				st.Flows, st.Dropped = s.Flows, s.Dropped
 			}
 			a.Nodes = append(a.Nodes, st)
@@ -118,33 +118,33 @@
 		if p.rules != nil {
 			a.Lost = p.rules.lost.Load()
 		}
-	case doWeigh:
+	case doReadHeap:
 		runtime.GC()
-		runtime.GC() // what the first has found to be finalized is gone with the second
+		runtime.GC() // the second collection frees objects whose finalizers ran after the first
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		a.Heap = m.HeapAlloc
 	case doCut:
 		cut(p.faults, RegionID(p.order.File.Partition.Region), p.order.File.Places.Regions, o.Off)
-	case doDrop:
+	case doCrash:
 		if n := p.nodes[o.Name]; n != nil {
 			n.Close(false)
 			delete(p.nodes, o.Name)
 		}
-	case doRaise:
+	case doRestart:
 		for _, at := range p.places {
 			if at.Name == o.Name {
 				return a, p.startNode(at)
 			}
 		}
-		return a, fmt.Errorf("no node %s here", o.Name)
+		return a, fmt.Errorf("no node %s in this process", o.Name)
 	default:
-		return a, fmt.Errorf("an order that is not known: %q", o.Do)
+		return a, fmt.Errorf("unknown order: %q", o.Do)
 	}
 	return a, nil
 }
 
-// open starts all nodes, with a pause between two.
+// open starts all nodes, with a pause between starts.
 func (p *process) open(o *order) error {
 	p.order = *o
 	p.places = o.Places
@@ -183,7 +183,7 @@
 	all.Wait()
 }
 
-// names is a list for a line of text.
+// names joins strings into a comma-separated list and abbreviates a long one.
 func names(some []string) string {
 	const most = 5
 	if len(some) > most {
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// callBy is how long a real node's admin server may take to answer.
-	callBy = 5 * time.Second
-	// longestStatus bounds what is read of a node's status, in bytes.
-	longestStatus = 8 << 20
+	// adminTimeout is the timeout of requests to a real node's admin server.
+	adminTimeout = 5 * time.Second
+	// maxStatusBytes bounds the size of a node's status response.
+	maxStatusBytes = 8 << 20
 	// nodeMemoryMB and nodeSockets are the limits in a real node's configuration.
 	nodeMemoryMB = 192
 	nodeSockets  = 1024
@@ -36,7 +36,7 @@
 	admin string // address of its admin server
 }
 
-// StartRealNode starts a node by the program's command serve. Without a fleet's file it knows of no other node.
+// StartRealNode starts a node with the command serve. Without a fleet file it is isolated.
 func (r *Rig) StartRealNode(at Place, fleet *fleetconfig.File, nodes int, seed int64) (*RealNode, error) {
 	host, _, err := net.SplitHostPort(at.Addr)
 	if err != nil {
@@ -83,9 +83,9 @@
 	return l.Addr().String(), nil
 }
 
-// nodeConfiguration is the file that a real node is started with.
+// nodeConfiguration returns the configuration file of a real node.
 func nodeConfiguration(at Place, clients, admin string, nodes int, seed int64) ([]byte, error) {
-	s, err := scenario.Parse("scale.toml", []byte(leastScenario))
+	s, err := scenario.Parse("scale.toml", []byte(minimalScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -112,8 +112,8 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// leastScenario is the shortest scenario that settings of a node can be made of. The node has no client.
-const leastScenario = `about = "a node without clients"
+// minimalScenario is the minimal scenario from which the settings of a node can be derived. The node has no client.
+const minimalScenario = `about = "a node without clients"
 seconds = 1
 [fleet]
 nodes = 1
@@ -131,7 +131,7 @@
 tries = 3
 `
 
-var adminClient = http.Client{Timeout: callBy, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // status asks the node's admin server for its view of the fleet.
 func (n *RealNode) status() (status, error) {
@@ -141,7 +141,7 @@
 	}
 	defer response.Body.Close()
 	var s gossip.Status
-	if err := json.NewDecoder(io.LimitReader(response.Body, longestStatus)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return status{}, err
 	}
 	return status{
@@ -154,5 +154,5 @@
 	}, nil
 }
 
-// Close ends the node in order.
+// Close stops the node by SIGTERM.
 func (n *RealNode) Close() { n.Stop(func() { _ = n.cmd.Process.Signal(syscall.SIGTERM) }) }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Slope is how one figure grows with the number of nodes.
+// Slope is the growth of one figure with the number of nodes, compared with its budget.
 type Slope struct {
 	What     string  `json:"what"`
 	Unit     string  `json:"unit"`
@@ -17,7 +17,7 @@
 	Over     bool    `json:"over"`     // the budget is exceeded
 }
 
-// Report is what was measured at all sizes of a plan, and how it compares with the budget.
+// Report holds the measurements of all sizes of a plan and their comparison with the budget.
 type Report struct {
 	Nodes    int      `json:"nodes"` // the stated size, which the budget is for
 	Real     int      `json:"real"`  // how many of the nodes are real ones
@@ -26,10 +26,10 @@
 	File     File     `json:"file"`
 	Sizes    []*Size  `json:"sizes"`
 	Slopes   []Slope  `json:"slopes"`
-	Problems []string `json:"wrong"` // why the report is not good, a sentence each
+	Problems []string `json:"wrong"` // reasons why the report did not pass, a sentence each
 }
 
-// figure returns one figure of a role at one size; false where it was not measured.
+// figure returns one figure of a role at one size; false if it was not measured.
 type figure func(s *Size, role Role) (Spread, bool)
 
 // means returns the sizes at which a figure of a role was measured, and its means there.
@@ -72,8 +72,8 @@
 	r.Slopes = append(r.Slopes, slope)
 }
 
-// value is what is compared with the budget: what a real node uses at the stated size, by measurement or else by the
-// line.
+// value returns the figure that is compared with the budget: the usage of a real node at the stated size, measured or
+// else taken from the line.
 func (s *Slope) value() float64 { return cmp.Or(s.Measured, s.At) + max(0, s.Added) }
 
 // evaluate fits all figures and compares them with the budget.
@@ -136,7 +136,7 @@
 	return memory.Heap, measured && memory.Heap.Mean > 0
 }
 
-// Passed reports whether all figures are within the budget and none is doubtful.
+// Passed reports whether all figures are within the budget and valid.
 func (r *Report) Passed() bool { return len(r.Problems) == 0 }
 
 // Verdict returns the verdict, the last line of what Print writes.
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -8,12 +8,12 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// Rig starts fleets and measures them. It ends the processes that it has started, by their ids, and no others.
+// Rig starts fleets and measures them. It stops only the processes that it has started, by their process IDs.
 type Rig struct {
 	Program     string       // executable with the commands serve and scale hollow
 	Dir         string       // for configurations and logs; the caller removes it
 	Progress    func(string) // receives progress, a line at a time; nil for none
-	MaxMemoryMB int          // memory that all its processes may use; it fails once they use more
+	MaxMemoryMB int          // memory limit of all its processes; the run fails above it
 }
 
 func (r *Rig) tell(text string, args ...any) {
@@ -23,7 +23,7 @@
 }
 
 // Run measures all sizes, the smallest first. A size that kept returns from an earlier run on the same terms is not
-// measured again; each that is measured is given to keep. Both functions may be nil.
+// measured again; each that is measured is passed to keep. Both functions may be nil.
 func (r *Rig) Run(ctx context.Context, p *Plan, kept func(nodes int) *Size, keep func(*Size) error) (*Report, error) {
 	report := &Report{Nodes: p.Nodes, Real: p.Real, WindowS: p.Window.Seconds(), Seed: p.Seed, File: p.File}
 	for _, nodes := range p.Sizes {
@@ -48,7 +48,7 @@
 	return report, nil
 }
 
-// window is how long a size is measured once it is steady. It is rounded up to whole intervals of push-pull exchanges,
+// window returns the length of the steady phase at a size. It is rounded up to whole intervals of push-pull exchanges,
 // so that each node begins as many of them as any other; a window too short for that is left as it is.
 func (p *Plan) window(nodes int) time.Duration {
 	each := gossip.PushPullInterval(nodes)
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -8,16 +8,16 @@
 // The phases that a size goes through.
 const (
 	forming  = "forming"   // from the first start until all nodes know each other, and gossip has settled
-	steady   = "steady"    // nothing happens
+	steady   = "steady"    // no faults
 	lostOne  = "lost"      // from the crash of a node until it is started again
 	lostBack = "lost-back" // until all nodes know each other again, and gossip has settled
 	cutOff   = "cut"       // a region is cut off
-	cutBack  = "cut-back"  // from its end until all nodes know each other again, and gossip has settled
+	cutBack  = "cut-back"  // from its healing until all nodes know each other again, and gossip has settled
 )
 
 var phases = []string{forming, steady, lostOne, lostBack, cutOff, cutBack}
 
-// Size is what was measured with one number of nodes.
+// Size holds the measurements of a fleet with one number of nodes.
 type Size struct {
 	Nodes          int               `json:"nodes"`
 	Terms          Terms             `json:"by"`
@@ -25,17 +25,17 @@
 	Processes      int               `json:"processes"`
 	Phases         map[string]*Phase `json:"phases"`
 	Memory         map[Role]Memory   `json:"memory"`
-	AloneMB        float64           `json:"alone_mb"`  // resident, of a real node that knows of no other; 0 for none
+	AloneMB        float64           `json:"alone_mb"`  // resident, of the isolated real node; 0 for none
 	LostInEmulator uint64            `json:"lost_here"` // messages that the emulated network dropped as its queue was full
 	Dropped        uint64            `json:"dropped"`   // messages that nodes had no capacity for
 }
 
-// Terms are what two measurements have to have in common to stand in one table.
+// Terms are the conditions that two measurements must share to be comparable.
 type Terms struct {
 	Real    int     `json:"real"`
 	WindowS float64 `json:"window_s"`
 	Seed    int64   `json:"seed"`
-	File    File    `json:"file"` // but for the budget
+	File    File    `json:"file"` // without the budget
 }
 
 // Terms returns the terms of the plan.
@@ -50,21 +50,21 @@
 	DurationS    float64         `json:"long_s"` // seconds that the phase lasted
 	ConvergenceS float64         `json:"took_s"` // seconds until all nodes had the expected view
 	Roles        map[Role]*Usage `json:"roles"`
-	Alone        float64         `json:"alone"` // percent of a core, of a real node that knows of no other; 0 for none
+	Alone        float64         `json:"alone"` // percent of a core, of the isolated real node; 0 for none
 }
 
-// Usage is what the nodes of a role used, per second.
+// Usage is the usage rate of the nodes of a role.
 type Usage struct {
 	Nodes     int               `json:"nodes"`
 	Flows     map[string]Spread `json:"flows"`     // "hellos out B/s" and so on; "all ..." is of all flows
 	Processor Spread            `json:"processor"` // percent of one core
-	Waited    Spread            `json:"waited"`    // for a core, as a multiple of what was had of it
+	Waited    Spread            `json:"waited"`    // time waiting for a core, as a multiple of the CPU time used
 }
 
-// Memory is what a node uses, in MB.
+// Memory is the memory of a node, in MB.
 type Memory struct {
 	Resident Spread `json:"resident"`
-	Heap     Spread `json:"heap"` // after a collection; of hollow nodes only, as others can't be asked
+	Heap     Spread `json:"heap"` // after a garbage collection; of hollow nodes only, as real nodes do not report it
 }
 
 const mb = 1e6
@@ -145,11 +145,11 @@
 	used := (to.costs[name].Processor - from.costs[name].Processor).Seconds()
 	waited := (to.costs[name].Waited - from.costs[name].Waited).Seconds()
 	r.processor = append(r.processor, 100*used/phaseS)
-	r.waited = append(r.waited, max(0, waited)/max(used, leastProcessorS))
+	r.waited = append(r.waited, max(0, waited)/max(used, minProcessorS))
 }
 
-// leastProcessorS bounds the divisor of the waiting share: an idle node may have used no processor time at all.
-const leastProcessorS = 1e-6
+// minProcessorS bounds the divisor of the waiting share: an idle node may have used no processor time at all.
+const minProcessorS = 1e-6
 
 func (r *roleSamples) addFlow(what string, rate Flow) {
 	for _, m := range measures {
@@ -168,7 +168,7 @@
 	return taken
 }
 
-// weigh reads the memory that nodes take. A hollow node's is an equal share of its process's.
+// weigh reads the memory of all nodes. A hollow node is attributed an equal share of its process.
 func (s *Size) weigh(ctx context.Context, f *fleetRun) error {
 	resident := map[Role][]float64{}
 	for _, n := range f.reals {
@@ -184,7 +184,7 @@
 		if err != nil {
 			return err
 		}
-		weighed, err := h.ask(ctx, order{Do: doWeigh}, answerBy)
+		weighed, err := h.ask(ctx, order{Do: doReadHeap}, orderTimeout)
 		if err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// flow returns a figure of a role in a phase; false where it was not measured.
+// flow returns a figure of a role in a phase; false if it was not measured.
 func (s *Size) flow(phase string, role Role, what string) (Spread, bool) {
 	p := s.Phases[phase]
 	if p == nil || p.Roles[role] == nil {
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -8,7 +8,7 @@
 // listFlow is the name of the flow of endpoint lists.
 const listFlow = "list"
 
-// snapshot is what each node has used since its start.
+// snapshot is a reading of the usage of every node since its start.
 type snapshot struct {
 	at    time.Time
 	nodes map[string]map[string]Flow // by node and flow
@@ -27,7 +27,7 @@
 	if s.costs, err = f.costs(); err != nil {
 		return s, err
 	}
-	all, lost, err := f.statuses(ctx, doRead)
+	all, lost, err := f.statuses(ctx, doReadTraffic)
 	if err != nil {
 		return s, err
 	}
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// costs reads the cost of every node: of a hollow one, an equal share of its process's.
+// costs reads the cost of every node. A hollow node is attributed an equal share of its process.
 func (f *fleetRun) costs() (map[string]Cost, error) {
 	costs := map[string]Cost{}
 	for _, h := range f.hollows {
