--- a/internal/scale/endpointlists.go
+++ b/internal/scale/endpointlists.go
@@ -16,8 +16,8 @@
 // endpointLists emulates discovery. Each node has its own listener, so that traffic is counted per node. The list does
 // not change, and all caches in it are draining, so that a real node opens no connections to them.
 type endpointLists struct {
-	whole     []byte // the complete list
-	same      []byte // the update without changes
+	complete  []byte // the complete list
+	unchanged []byte // the update without changes
 	mu        sync.Mutex
 	listeners map[string]*nodeListener // by node
 	closed    chan struct{}
@@ -57,8 +57,8 @@
 		return b
 	}
 	return &endpointLists{
-		whole:     text(true, rows),
-		same:      text(false, rows[:0]),
+		complete:  text(true, rows),
+		unchanged: text(false, rows[:0]),
 		listeners: map[string]*nodeListener{},
 		closed:    make(chan struct{}),
 	}
@@ -86,7 +86,7 @@
 func (l *endpointLists) serve(out http.ResponseWriter, in *http.Request) {
 	since, err := strconv.Atoi(in.URL.Query().Get("since"))
 	if err != nil || since != generation {
-		_, _ = out.Write(l.whole)
+		_, _ = out.Write(l.complete)
 		return
 	}
 	wait, _ := strconv.Atoi(in.URL.Query().Get("timeout_ms"))
@@ -94,7 +94,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		_, _ = out.Write(l.same)
+		_, _ = out.Write(l.unchanged)
 	case <-in.Context().Done():
 	case <-l.closed:
 	}
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -34,13 +34,13 @@
 
 // fleetRun is a fleet of one size while it runs.
 type fleetRun struct {
-	rig     *Rig
-	plan    *Plan
-	places  []Place // real nodes first
-	list    *endpointLists
-	hollows []*HollowProcess
-	reals   []*RealNode
-	alone   *RealNode // isolated node: the baseline cost without membership; nil if there are no real nodes
+	rig      *Rig
+	plan     *Plan
+	places   []Place // real nodes first
+	list     *endpointLists
+	hollows  []*HollowProcess
+	reals    []*RealNode
+	isolated *RealNode // isolated node: the baseline cost without membership; nil if there are no real nodes
 }
 
 // fleetProcess is one process of a fleet.
@@ -57,8 +57,8 @@
 	for _, n := range f.reals {
 		all = append(all, n)
 	}
-	if f.alone != nil {
-		all = append(all, f.alone)
+	if f.isolated != nil {
+		all = append(all, f.isolated)
 	}
 	return all
 }
@@ -146,7 +146,7 @@
 		return err
 	}
 	place := Place{Name: alone, Role: Real, Addr: "127.0.0.1:0", List: list}
-	f.alone, err = f.rig.StartRealNode(place, nil, len(f.places), f.plan.Seed)
+	f.isolated, err = f.rig.StartRealNode(place, nil, len(f.places), f.plan.Seed)
 	if err != nil {
 		return fmt.Errorf("start the isolated node: %w", err)
 	}
--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -101,7 +101,7 @@
 
 	for _, n := range all {
 		flow := lists.flow(n.Place.Name)
-		if flow.OutMessages < 2 || flow.In < float64(len(lists.whole)) || flow.Out == 0 {
+		if flow.OutMessages < 2 || flow.In < float64(len(lists.complete)) || flow.Out == 0 {
 			t.Errorf("%s: unexpected discovery traffic %+v", n.Place.Name, flow)
 		}
 		heartbeats := n.Membership.Traffic()[0]
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -7,8 +7,8 @@
 	"dahliapin/internal/emulator/logtrace"
 )
 
-// soundCaches are two caches at which three purges are done: a's twice, b's once; one cache is flushed for the last.
-func soundCaches() (purged []logtrace.PublishedPurge, records []logtrace.CacheEvent) {
+// validCacheRecords are two caches at which three purges are done: a's twice, b's once; one cache is flushed for the last.
+func validCacheRecords() (purged []logtrace.PublishedPurge, records []logtrace.CacheEvent) {
 	purged = []logtrace.PublishedPurge{
 		{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"},
 		{Index: 3, Key: "b", Version: 2, Sent: 110, Play: "p"},
@@ -35,7 +35,7 @@
 }
 
 func TestCheckCachesFindsNoBreachInSoundRun(t *testing.T) {
-	purged, records := soundCaches()
+	purged, records := validCacheRecords()
 	r := CheckCaches(purged, records, nil)
 	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Phases) != 2 {
 		t.Fatalf("%+v", r)
@@ -85,7 +85,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			purged, records := soundCaches()
+			purged, records := validCacheRecords()
 			got := CheckCaches(purged, c.bend(records), nil).Breaches
 			if len(got) != 1 || got[0].What != c.want {
 				t.Errorf("%+v", got)
--- a/internal/scale/logscale/checker/judge_test.go
+++ b/internal/scale/logscale/checker/judge_test.go
@@ -15,9 +15,9 @@
 	records []logtrace.NodeEvent
 }
 
-// soundEvidence is of a run without a breach: two nodes, entries 1 to 4 of which 2 is a configuration, and a node that
+// validEvidence is of a run without a breach: two nodes, entries 1 to 4 of which 2 is a configuration, and a node that
 // begins with entry 3.
-func soundEvidence() *evidence {
+func validEvidence() *evidence {
 	e := &evidence{}
 	for i := range uint64(4) {
 		at := monotime.Instant(100 * (i + 1))
@@ -67,7 +67,7 @@
 }
 
 func TestCheckerFindsNoBreachInSoundRun(t *testing.T) {
-	r := soundEvidence().report()
+	r := validEvidence().report()
 	if len(r.Breaches) > 0 || r.Entries != 4 || r.Applied != 5 || len(r.Phases) != 2 {
 		t.Fatalf("%+v", r)
 	}
@@ -134,7 +134,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := soundEvidence()
+			e := validEvidence()
 			c.bend(e)
 			got := e.report().Breaches
 			if !slices.ContainsFunc(got, func(b Breach) bool { return b.What == c.want }) {
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -70,7 +70,7 @@
 	}
 	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.MaxFillTime.Seconds())
 	for i, c := range r.caches.all {
-		addr, err := r.between.Listen(r.region[machine], i%r.Regions, c.Addr())
+		addr, err := r.network.Listen(r.region[machine], i%r.Regions, c.Addr())
 		if err != nil {
 			return "", err
 		}
@@ -165,7 +165,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheOutage, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	time.Sleep(r.CutFor)
-	o, err := r.caller.Overview()
+	o, err := r.client.Overview()
 	for _, x := range o.Caches {
 		if x.Cache == c.Name() && err == nil {
 			why := []string{}
@@ -190,7 +190,7 @@
 	r.caches.mu.Lock()
 	defer r.caches.mu.Unlock()
 	target := uint64(0)
-	for _, o := range r.orders {
+	for _, o := range r.published {
 		if o.Acked <= r.caches.back {
 			target = max(target, o.Index)
 		}
--- a/internal/scale/logscale/rig/judge.go
+++ b/internal/scale/logscale/rig/judge.go
@@ -13,7 +13,7 @@
 func (r *run) check() error {
 	off := r.specs[r.CutRegion]
 	inCut := func(node uint32) bool {
-		return r.cutFrom > 0 && node >= off.First && node < off.First+uint32(off.Nodes)
+		return r.cutStart > 0 && node >= off.First && node < off.First+uint32(off.Nodes)
 	}
 	j := checker.New(machines-1, func(node uint32) bool { return !inCut(node) })
 	for i := range machines - 1 {
@@ -29,13 +29,13 @@
 	}
 	defer out.Close()
 	w := json.NewEncoder(out)
-	for _, o := range r.orders {
+	for _, o := range r.published {
 		j.AddPublished(o)
 		_ = w.Encode(o)
 	}
 	target := uint64(0)
-	for _, o := range r.orders {
-		if r.cutUntil > 0 && o.Acked <= r.cutUntil {
+	for _, o := range r.published {
+		if r.cutEnd > 0 && o.Acked <= r.cutEnd {
 			target = max(target, o.Index)
 		}
 	}
@@ -43,7 +43,7 @@
 		if err := logtrace.Read(s.Trace, func(rec logtrace.NodeEvent) {
 			j.AddNodeRecord(rec)
 			if inCut(rec.Node) && rec.Kind == logtrace.Applied && rec.Index == target {
-				r.report.RegionRecoveryS = max(r.report.RegionRecoveryS, time.Duration(rec.At-r.cutUntil).Seconds())
+				r.report.RegionRecoveryS = max(r.report.RegionRecoveryS, time.Duration(rec.At-r.cutEnd).Seconds())
 			}
 		}); err != nil {
 			return err
--- a/internal/scale/logscale/rig/plays.go
+++ b/internal/scale/logscale/rig/plays.go
@@ -34,7 +34,7 @@
 // failLeader stops or kills the leader a third into the phase, and brings it back after another third.
 func (r *run) failLeader() error {
 	time.Sleep(r.SteadyFor / failAtFraction)
-	o, err := r.caller.Overview()
+	o, err := r.client.Overview()
 	if err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 // again is read from its nodes' traces.
 func (r *run) cutOff(ctx context.Context) error {
 	region := r.CutRegion
-	r.cutFrom = gossip.BootTime()
-	r.between.SetCut(region, true)
+	r.cutStart = gossip.BootTime()
+	r.network.SetCut(region, true)
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
 	// These purges measure the other regions, also while this one catches up.
@@ -80,7 +80,7 @@
 	begin := time.Now()
 	r.publishBacklog(ctx, begin)
 	time.Sleep(time.Until(begin.Add(r.CutFor)))
-	o, err := r.caller.Overview()
+	o, err := r.client.Overview()
 	if err != nil {
 		return err
 	}
@@ -91,8 +91,8 @@
 		}
 	}
 	r.note("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent)
-	r.between.SetCut(region, false)
-	r.cutUntil = gossip.BootTime()
+	r.network.SetCut(region, false)
+	r.cutEnd = gossip.BootTime()
 	r.log("region %d is reconnected; newest entry %d", region, o.Last)
 	steady.Wait()
 	return nil
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -39,7 +39,7 @@
 	r.fillCaches(all)
 	sent := gossip.BootTime()
 	r.scheduleStaleFills(all, sent)
-	at, err := r.caller.Publish(ctx, all)
+	at, err := r.client.Publish(ctx, all)
 	acked := gossip.BootTime()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +54,7 @@
 		if i < len(at) {
 			o.Index = uint64(at[i])
 		}
-		r.orders = append(r.orders, o)
+		r.published = append(r.published, o)
 		if p.Kind == replicatedlog.Purge && o.Index > 0 && r.Caches > 0 {
 			r.caches.purged = append(r.caches.purged, logtrace.PublishedPurge{
 				Index:   o.Index,
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -34,22 +34,22 @@
 // run is the state of a plan in execution.
 type run struct {
 	Plan
-	between  *RegionNetwork
-	region   [machines]int // of control servers
-	peers    [machines]string
-	nodes    [machines]string
-	control  [machines]*process
-	hollows  []*process
-	specs    []Spec
-	real     []*process
-	caller   controlclient.Client
-	mu       sync.Mutex
-	orders   []logtrace.PublishedChange
-	report   Report
-	marks    []mark
-	cutFrom  monotime.Instant
-	cutUntil monotime.Instant
-	caches   caches
+	network    *RegionNetwork
+	region     [machines]int // of control servers
+	peers      [machines]string
+	nodes      [machines]string
+	control    [machines]*process
+	hollows    []*process
+	specs      []Spec
+	real       []*process
+	client     controlclient.Client
+	mu         sync.Mutex
+	published  []logtrace.PublishedChange
+	report     Report
+	phaseMarks []mark
+	cutStart   monotime.Instant
+	cutEnd     monotime.Instant
+	caches     caches
 }
 
 // log writes a line of progress with the time of day.
@@ -75,7 +75,7 @@
 		p.ConfigsPerSecond = configRate
 	}
 	r := newRun(p)
-	defer r.between.Close()
+	defer r.network.Close()
 	defer r.kill()
 	defer r.closeCaches()
 	if err := r.start(); err != nil {
@@ -103,7 +103,7 @@
 func newRun(p Plan) *run {
 	return &run{
 		Plan:    p,
-		between: NewRegionNetwork(p.Regions, p.Loss, p.Seed),
+		network: NewRegionNetwork(p.Regions, p.Loss, p.Seed),
 		caches:  caches{chance: keyhash.Source{Seed: p.Seed}, closed: make(chan struct{})},
 		report: Report{
 			Nodes:   p.Nodes,
@@ -131,7 +131,7 @@
 	m.until = gossip.BootTime()
 	m.after = r.usedBy()
 	m.rss = r.residentBy()
-	r.marks = append(r.marks, m)
+	r.phaseMarks = append(r.phaseMarks, m)
 	return nil
 }
 
@@ -159,10 +159,10 @@
 	for i := range showSamples {
 		purge := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", phase, "/", i))
 		r.publish(ctx, "shown", []replicatedlog.Proposal{purge})
-		o := r.orders[len(r.orders)-1]
+		o := r.published[len(r.published)-1]
 		for by := time.Now().Add(showTimeout); o.Index > 0 && time.Now().Before(by); time.Sleep(showPollInterval) {
 			asked := time.Now()
-			all, err := r.caller.Overview()
+			all, err := r.client.Overview()
 			r.report.MaxQueryTimeS = max(r.report.MaxQueryTimeS, time.Since(asked).Seconds())
 			if err == nil && uint64(all.Last) >= o.Index && all.NodesCaughtUp() && len(all.Nodes) == r.Nodes+r.Real {
 				break
@@ -175,7 +175,7 @@
 // settle waits until every node has every entry. A timeout is noted in the report and left to the checker.
 func (r *run) settle(ctx context.Context) error {
 	for by := time.Now().Add(settleTimeout); ; time.Sleep(statusPollInterval) {
-		o, err := r.caller.Overview()
+		o, err := r.client.Overview()
 		if err == nil && o.CaughtUp() && len(o.Nodes) == r.Nodes+r.Real {
 			return nil
 		}
@@ -198,7 +198,7 @@
 
 // countCompleteRealNodes counts the real nodes that report all entries and the newest configuration.
 func (r *run) countCompleteRealNodes() {
-	o, err := r.caller.Overview()
+	o, err := r.client.Overview()
 	if err != nil {
 		r.note("%v", err)
 		return
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -33,7 +33,7 @@
 			return err
 		}
 	}
-	r.caller = controlclient.Client{Servers: r.nodes[:], Label: label}
+	r.client = controlclient.Client{Servers: r.nodes[:], Label: label}
 	first := uint32(0)
 	for region := range r.Regions {
 		nodes := r.Nodes*(region+1)/r.Regions - r.Nodes*region/r.Regions
@@ -70,7 +70,7 @@
 	text := fmt.Sprintf("[control]\nid = %d\nlabel = %q\npeers = %q\nnodes = %q\ndata = %q\n",
 		i+1, label, r.peers[i], r.nodes[i], r.path("data-%d", i))
 	for j := range machines {
-		addr, err := r.between.Listen(r.region[i], r.region[j], r.peers[j])
+		addr, err := r.network.Listen(r.region[i], r.region[j], r.peers[j])
 		if err != nil {
 			return err
 		}
@@ -117,7 +117,7 @@
 // awaitFollowers waits until the leader knows all nodes and all nodes have every entry.
 func (r *run) awaitFollowers() error {
 	for by := time.Now().Add(readyTimeout); ; time.Sleep(statusPollInterval) {
-		o, err := r.caller.Overview()
+		o, err := r.client.Overview()
 		if err == nil && o.HasLeader && len(o.Nodes) == r.Nodes+r.Real && o.CaughtUp() {
 			r.log("%d nodes follow", len(o.Nodes))
 			return nil
@@ -140,7 +140,7 @@
 func (r *run) controlAddresses(region int) ([]string, error) {
 	var addresses []string
 	for j := range machines {
-		addr, err := r.between.Listen(region, r.region[j], r.nodes[j])
+		addr, err := r.network.Listen(region, r.region[j], r.nodes[j])
 		if err != nil {
 			return nil, err
 		}
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -44,10 +44,10 @@
 // usage aggregates the resource usage of each phase.
 func (r *run) usage() error {
 	lastPhase := ""
-	if len(r.marks) > 0 {
-		lastPhase = r.marks[len(r.marks)-1].phase
+	if len(r.phaseMarks) > 0 {
+		lastPhase = r.phaseMarks[len(r.phaseMarks)-1].phase
 	}
-	for _, m := range r.marks {
+	for _, m := range r.phaseMarks {
 		hollows, err := r.hollowUsage(m, m.phase == lastPhase)
 		if err != nil {
 			return err
@@ -109,7 +109,7 @@
 		if s.At <= m.until {
 			last = s
 		}
-		if r.cutFrom > 0 && region == r.CutRegion && s.At <= r.cutUntil {
+		if r.cutStart > 0 && region == r.CutRegion && s.At <= r.cutEnd {
 			r.report.StaleInCut = max(r.report.StaleInCut, s.Stale)
 		}
 	})
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -107,7 +107,7 @@
 	for role, of := range samples {
 		phase.Roles[role] = of.summary()
 	}
-	if f.alone != nil {
+	if f.isolated != nil {
 		used := to.costs[alone].Processor - from.costs[alone].Processor
 		phase.Alone = 100 * used.Seconds() / phaseS
 	}
@@ -194,8 +194,8 @@
 			heap = append(heap, float64(weighed.Heap)/mb/nodes)
 		}
 	}
-	if f.alone != nil {
-		cost, err := f.alone.Cost()
+	if f.isolated != nil {
+		cost, err := f.isolated.Cost()
 		if err != nil {
 			return err
 		}
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -74,8 +74,8 @@
 		}
 		costs[n.Place.Name] = cost
 	}
-	if f.alone != nil {
-		cost, err := f.alone.Cost()
+	if f.isolated != nil {
+		cost, err := f.isolated.Cost()
 		if err != nil {
 			return nil, err
 		}
