--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -7,8 +7,8 @@
 	"dahliapin/internal/emulator/logtrace"
 )
 
-// validCacheRecords returns the records of two caches at which three purges are done, two of a and one of b. One cache is
-// flushed for the last purge.
+// validCacheRecords returns the records of two caches at which three purges are done, two of a and one of b. One cache
+// is flushed for the last purge.
 func validCacheRecords() (purged []logtrace.PublishedPurge, records []logtrace.CacheEvent) {
 	purged = []logtrace.PublishedPurge{
 		{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"},
