--- a/internal/proxy/standby_test.go
+++ b/internal/proxy/standby_test.go
@@ -34,9 +34,9 @@
 	g.runInLoop(func() {
 		g.lifecycle.standbyStartedAt = g.lifecycle.standbyStartedAt.Add(-standbyAcceptTime - standbyServeTime)
 	})
+	g.Counters() // else the loop may take the next request first
 	close(hold)
 	fmt.Fprint(busy, "mg k v Od Pc=read,d=9000\r\n") // rejected, or a busy client would be served forever
-	g.Counters()
 	g.expect(busyAnswers, "VA 5 Oa", "hello", "SERVER_ERROR busy")
 	expectReset(t, busyAnswers)
 	if s := g.Metrics(); s.Serving || s.Phase != "standby" {
