--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -21,8 +21,8 @@
 	o.Checker.Effect(now, id, label, class, server)
 }
 
-// Fell reports that a server failed under overload. The connections of a cache are reset; the origin continues.
-func (o *WorldObserver) Fell(now policy.Instant, server policy.EndpointID, why string) {
+// ServerOverloaded reports that a server failed under overload. The connections of a cache are reset; the origin continues.
+func (o *WorldObserver) ServerOverloaded(now policy.Instant, server policy.EndpointID, why string) {
 	o.Checker.Fell(now, server, why)
 	o.Log.AddEvent(now, string(server)+" "+why)
 	if i, ok := o.World.Find(server); ok && !o.World.IsOrigin(i) {
--- a/internal/emulator/world/overload.go
+++ b/internal/emulator/world/overload.go
@@ -55,7 +55,7 @@
 	}
 	s.arrivals = nil
 	why := fmt.Sprintf("%.1f requests of mean work within %v, where %.1f is the most", requested, s.FallFor, most)
-	w.plan.Observer.Fell(now, s.ID, why)
+	w.plan.Observer.ServerOverloaded(now, s.ID, why)
 	number := w.byID[s.ID]
 	w.Kill(now, number)
 	s.restartsAt = now.Add(restartDelay)
@@ -80,5 +80,5 @@
 	}
 	s.overloadedSince = 0
 	why := fmt.Sprintf("asked for %.1f times what it can do, for %v", s.demand/capacity, s.FallFor)
-	w.plan.Observer.Fell(now, s.ID, why)
+	w.plan.Observer.ServerOverloaded(now, s.ID, why)
 }
--- a/internal/emulator/world/plan.go
+++ b/internal/emulator/world/plan.go
@@ -73,8 +73,8 @@
 type Observer interface {
 	// Effect reports that a write took effect at a server.
 	Effect(now policy.Instant, request, label string, class int, server policy.EndpointID)
-	// Fell reports that a server was overloaded, and why. A cache fails then, the origin continues to run.
-	Fell(now policy.Instant, server policy.EndpointID, why string)
+	// ServerOverloaded reports that a server was overloaded, and why. A cache fails then, the origin continues to run.
+	ServerOverloaded(now policy.Instant, server policy.EndpointID, why string)
 	// Rose reports that a cache that failed from overload has restarted.
 	Rose(now policy.Instant, server policy.EndpointID)
 }
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -14,8 +14,8 @@
 func (h *countingObserver) Effect(policy.Instant, string, string, int, policy.EndpointID) {
 	h.effects++
 }
-func (h *countingObserver) Fell(policy.Instant, policy.EndpointID, string) { h.fell++ }
-func (h *countingObserver) Rose(policy.Instant, policy.EndpointID)         { h.rose++ }
+func (h *countingObserver) ServerOverloaded(policy.Instant, policy.EndpointID, string) { h.fell++ }
+func (h *countingObserver) Rose(policy.Instant, policy.EndpointID)                     { h.rose++ }
 
 func newTestWorld(h Observer, change func(*CacheTraits)) *World {
 	t := CacheTraits{
