--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Rose reports that a server that had failed under overload runs again.
-func (o *WorldObserver) Rose(_ policy.Instant, server policy.EndpointID) {
+// ServerRecovered reports that a server that had failed under overload runs again.
+func (o *WorldObserver) ServerRecovered(_ policy.Instant, server policy.EndpointID) {
 	if i, ok := o.World.Find(server); ok {
 		o.Rig.EndpointChanged(EndpointOf(o.World, i))
 	}
--- a/internal/emulator/world/plan.go
+++ b/internal/emulator/world/plan.go
@@ -75,8 +75,8 @@
 	Effect(now policy.Instant, request, label string, class int, server policy.EndpointID)
 	// ServerOverloaded reports that a server was overloaded, and why. A cache fails then, the origin continues to run.
 	ServerOverloaded(now policy.Instant, server policy.EndpointID, why string)
-	// Rose reports that a cache that failed from overload has restarted.
-	Rose(now policy.Instant, server policy.EndpointID)
+	// ServerRecovered reports that a cache that failed from overload has restarted.
+	ServerRecovered(now policy.Instant, server policy.EndpointID)
 }
 
 // meanWork returns the mean work of a request at a cache of speed 1, weighted by the shares of classes; if all shares
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -153,7 +153,7 @@
 	if s.Liveness == Down && s.restartsAt != 0 && at >= s.restartsAt {
 		s.restartsAt = 0
 		w.Start(at, server)
-		w.plan.Observer.Rose(at, s.ID)
+		w.plan.Observer.ServerRecovered(at, s.ID)
 	}
 }
 
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -15,7 +15,7 @@
 	h.effects++
 }
 func (h *countingObserver) ServerOverloaded(policy.Instant, policy.EndpointID, string) { h.fell++ }
-func (h *countingObserver) Rose(policy.Instant, policy.EndpointID)                     { h.rose++ }
+func (h *countingObserver) ServerRecovered(policy.Instant, policy.EndpointID)          { h.rose++ }
 
 func newTestWorld(h Observer, change func(*CacheTraits)) *World {
 	t := CacheTraits{
