--- a/internal/emulator/checker/attempts.go
+++ b/internal/emulator/checker/attempts.go
@@ -111,7 +111,7 @@
 	policy.Idempotent:      "idempotent",
 }
 
-// Fell reports that a server failed because it was overloaded.
-func (c *Checker) Fell(now policy.Instant, server policy.EndpointID, why string) {
+// ServerOverloaded reports that a server failed because it was overloaded.
+func (c *Checker) ServerOverloaded(now policy.Instant, server policy.EndpointID, why string) {
 	c.breach(4, now, "", -1, server, "pushed over: "+why)
 }
--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -149,7 +149,7 @@
 			sent(j, 0)
 			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
 		}},
-		{"server overloaded", 4, func(j *Checker) { j.Fell(0, "c1", "cold") }},
+		{"server overloaded", 4, func(j *Checker) { j.ServerOverloaded(0, "c1", "cold") }},
 	} {
 		j := New(Rules{Classes: testClasses(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
 		c.do(j)
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -23,7 +23,7 @@
 
 // ServerOverloaded reports that a server failed under overload. The connections of a cache are reset; the origin continues.
 func (o *WorldObserver) ServerOverloaded(now policy.Instant, server policy.EndpointID, why string) {
-	o.Checker.Fell(now, server, why)
+	o.Checker.ServerOverloaded(now, server, why)
 	o.Log.AddEvent(now, string(server)+" "+why)
 	if i, ok := o.World.Find(server); ok && !o.World.IsOrigin(i) {
 		o.Rig.At(now, func() { o.Rig.ResetConnections(i) })
