--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -219,7 +219,7 @@
 	r.log.Views = r.views
 	r.fleetRecorder = eventlog.New(report.FleetName, r.log.AddRecord, isOrigin)
 	r.fleetRecorder.EndpointsUpdated(start, policy.CompleteUpdate, runner.Endpoints(r.world))
-	r.run = runner.Play(r.scenario, r.world, r.traffic, start, r)
+	r.run = runner.ScheduleEvents(r.scenario, r.world, r.traffic, start, r)
 	r.wakeClock()
 	return start
 }
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -30,8 +30,8 @@
 	outages     int // events in progress that keep discovery down; they may overlap
 }
 
-// Play schedules all events of a scenario. Their times count from an instant.
-func Play(s *scenario.Scenario, w *world.World, t *world.Traffic, start policy.Instant, rig Rig) *Run {
+// ScheduleEvents schedules all events of a scenario. Their times count from an instant.
+func ScheduleEvents(s *scenario.Scenario, w *world.World, t *world.Traffic, start policy.Instant, rig Rig) *Run {
 	r := &Run{scenario: s, world: w, traffic: t, rig: rig}
 	events := slices.Clone(s.Events)
 	slices.SortStableFunc(events, func(a, b scenario.Event) int { return cmp.Compare(a.AtS, b.AtS) })
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -95,7 +95,7 @@
 	if err := sim.startNodes(); err != nil {
 		return nil, nil, err
 	}
-	sim.events = runner.Play(s, sim.world, sim.traffic, startOfRun, sim)
+	sim.events = runner.ScheduleEvents(s, sim.world, sim.traffic, startOfRun, sim)
 	sim.scheduleArrival(sim.traffic.Next(sim.now))
 	end := startOfRun.Add(s.Duration() + settings.LongestDeadline + settleTime)
 	if err := sim.run(end); err != nil {
