--- a/internal/emulator/realtime/nodefaults.go
+++ b/internal/emulator/realtime/nodefaults.go
@@ -15,9 +15,9 @@
 	stalledRequestTimeout = 3 * time.Second // by which an incomplete request must be answered or closed
 )
 
-// CrowdNode opens idle client connections to a node: half of the clients check readiness once, the others send
+// OpenIdleClients opens idle client connections to a node: half of the clients check readiness once, the others send
 // nothing. A client whose connection is closed connects again. The lock is held.
-func (r *Rig) CrowdNode(number, clients int, until policy.Instant) {
+func (r *Rig) OpenIdleClients(number, clients int, until policy.Instant) {
 	addr := r.nodes[number].addr
 	for n := range clients {
 		go func() {
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -206,7 +206,7 @@
 }
 
 func (r *Run) crowdNodes(e *event) {
-	r.eachNode(e, func(at policy.Instant, node int) { r.rig.CrowdNode(node, e.Count, at.Add(e.duration)) })
+	r.eachNode(e, func(at policy.Instant, node int) { r.rig.OpenIdleClients(node, e.Count, at.Add(e.duration)) })
 }
 
 func (r *Run) stallClients(e *event) {
--- a/internal/emulator/runner/rig.go
+++ b/internal/emulator/runner/rig.go
@@ -66,8 +66,8 @@
 	HangNode(node int, stop bool)
 	// StartDuplicateNode starts another process with the node's name.
 	StartDuplicateNode(node int)
-	// CrowdNode opens idle client connections to a node until an instant, and opens them again when they are closed.
-	CrowdNode(node, clients int, until policy.Instant)
+	// OpenIdleClients opens idle client connections to a node until an instant, and opens them again when they are closed.
+	OpenIdleClients(node, clients int, until policy.Instant)
 	// StallClients has clients stop in the middle of a request, and stay connected.
 	StallClients(node, clients int)
 	// ReloadNode tells a node several times in a row to reload its configuration.
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -117,8 +117,8 @@
 // HangNode does nothing.
 func (sim *Simulation) HangNode(int, bool) {}
 
-// CrowdNode does nothing.
-func (sim *Simulation) CrowdNode(int, int, policy.Instant) {}
+// OpenIdleClients does nothing.
+func (sim *Simulation) OpenIdleClients(int, int, policy.Instant) {}
 
 // StallClients does nothing.
 func (sim *Simulation) StallClients(int, int) {}
