--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return nil, err
 		}
-		result, _, err := simulation.Play(s, r.decider, maker)
+		result, _, err := simulation.Run(s, r.decider, maker)
 		return result, err
 	}
 	if r.decider != policyDecider {
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -14,7 +14,7 @@
 	s := loadRehearsal(t, script)
 	s.Fleet.Nodes = nodes
 	s.Seed = seed
-	r, run, err := Play(s, "module", Module)
+	r, run, err := Run(s, "module", Module)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 			s := loadRehearsal(t, "ramp")
 			s.Fleet.Nodes = c.nodes
 			s.Events = append(s.Events, c.event)
-			r, run, err := Play(s, "module", Module)
+			r, run, err := Run(s, "module", Module)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -158,7 +158,7 @@
 				s.Traffic.PerSecond = 4000
 			}
 			runMoreNodesThanConfigured(s, c.stated, c.upgrade, from)
-			r, run, err := Play(s, "module", Module)
+			r, run, err := Run(s, "module", Module)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -81,9 +81,9 @@
 	ejections     map[policy.EndpointID]int // number of nodes that have ejected an endpoint
 }
 
-// Play plays a scenario. The decider's name is for the report. It fails on a scenario that needs real processes, on one
+// Run plays a scenario. The decider's name is for the report. It fails on a scenario that needs real processes, on one
 // whose settings are wrong, and on a decider that loops.
-func Play(s *scenario.Scenario, name string, newDecider Maker) (*report.Report, *Simulation, error) {
+func Run(s *scenario.Scenario, name string, newDecider Maker) (*report.Report, *Simulation, error) {
 	settings, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
 		return nil, nil, err
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -31,7 +31,7 @@
 
 func play(t testing.TB, s *scenario.Scenario, name string, m Maker) *report.Report {
 	t.Helper()
-	r, _, err := Play(s, name, m)
+	r, _, err := Run(s, name, m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +265,7 @@
 	newDecider := func(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider {
 		return loopingDecider{policy.New(now, seed, settings)}
 	}
-	_, _, err := Play(loadRehearsal(t, "moves"), "loops", newDecider)
+	_, _, err := Run(loadRehearsal(t, "moves"), "loops", newDecider)
 	if err == nil || !strings.Contains(err.Error(), "loops") {
 		t.Error(err)
 	}
@@ -339,7 +339,7 @@
 		b.Run(fmt.Sprintf("%dx%d", c.nodes, c.caches), func(b *testing.B) {
 			for b.Loop() {
 				began := time.Now()
-				r, run, err := Play(fleetOfSize(c.nodes, c.caches, c.rate, 6), "module", Module)
+				r, run, err := Run(fleetOfSize(c.nodes, c.caches, c.rate, 6), "module", Module)
 				if err != nil || r.Rules != [4]uint64{} {
 					b.Fatal(err, r.Rules, r.Breaches)
 				}
