--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -93,12 +93,12 @@
 }
 
 // deciderMaker returns the constructor of the named decider: the module's policy, or a baseline.
-func deciderMaker(name string) (simulation.Maker, error) {
+func deciderMaker(name string) (simulation.DeciderFactory, error) {
 	if name == policyDecider {
 		return simulation.Module, nil
 	}
 	maker, err := baselines.Make(name)
-	return simulation.Maker(maker), err
+	return simulation.DeciderFactory(maker), err
 }
 
 // findScenario returns the built-in rehearsal of that name, or else reads a scenario from that file.
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -36,8 +36,8 @@
 var errNeedsSockets = errors.New(
 	"events on processes and on links between nodes are not simulated: this script plays on sockets only")
 
-// Maker makes a node's decider.
-type Maker func(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider
+// DeciderFactory makes a node's decider.
+type DeciderFactory func(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider
 
 // Module makes the decider of the product, the policy module.
 func Module(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider {
@@ -52,7 +52,7 @@
 
 	scenario   *scenario.Scenario
 	settings   settings.Settings // as read in the first zone
-	newDecider Maker
+	newDecider DeciderFactory
 
 	now    policy.Instant
 	queue  timerqueue.Queue[func()]
@@ -83,7 +83,7 @@
 
 // Run plays a scenario. The decider's name is for the report. It fails on a scenario that needs real processes, on one
 // whose settings are wrong, and on a decider that loops.
-func Run(s *scenario.Scenario, name string, newDecider Maker) (*report.Report, *Simulation, error) {
+func Run(s *scenario.Scenario, name string, newDecider DeciderFactory) (*report.Report, *Simulation, error) {
 	settings, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
 		return nil, nil, err
@@ -107,7 +107,7 @@
 }
 
 // newSimulation makes a run without nodes.
-func newSimulation(s *scenario.Scenario, settings settings.Settings, newDecider Maker) *Simulation {
+func newSimulation(s *scenario.Scenario, settings settings.Settings, newDecider DeciderFactory) *Simulation {
 	sim := &Simulation{
 		scenario:    s,
 		settings:    settings,
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-func play(t testing.TB, s *scenario.Scenario, name string, m Maker) *report.Report {
+func play(t testing.TB, s *scenario.Scenario, name string, m DeciderFactory) *report.Report {
 	t.Helper()
 	r, _, err := Run(s, name, m)
 	if err != nil {
@@ -283,7 +283,7 @@
 		s.Traffic.PerSecond = 200
 		s.Classes[2].Scope = "group"
 		s.Events = append(s.Events, scenario.Event{AtS: 10, Do: "drain", Caches: []string{"c2"}, ForS: 3})
-		r := play(t, s, name, Maker(m))
+		r := play(t, s, name, DeciderFactory(m))
 		if r.Rules != [4]uint64{} || r.BenefitInTime < 0.9 {
 			t.Errorf("%s: %v %v %v", name, r.Rules, r.BenefitInTime, r.Breaches)
 		}
