--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -28,14 +28,14 @@
 	windowMargin = time.Second
 )
 
-// Maker makes a decider, as the shells of the emulator want it.
-type Maker = func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider
+// DeciderFactory makes a decider, as the shells of the emulator want it.
+type DeciderFactory = func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider
 
 // Names are the names of the baselines.
 var Names = []string{"random", "ring"}
 
 // Make returns the baseline of a name, or an error that lists the names.
-func Make(name string) (Maker, error) {
+func Make(name string) (DeciderFactory, error) {
 	switch name {
 	case "random":
 		return maker((*router).randomReplica), nil
@@ -48,7 +48,7 @@
 // replicaSelector selects a replica that was not tried, or nil if there is none.
 type replicaSelector func(*router, *policy.Request) *cache
 
-func maker(selectReplica replicaSelector) Maker {
+func maker(selectReplica replicaSelector) DeciderFactory {
 	return func(_ policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
 		rules.MaxAttempts = max(1, rules.MaxAttempts)
 		return &router{
