--- a/internal/emulator/logtrace/trace.go
+++ b/internal/emulator/logtrace/trace.go
@@ -31,7 +31,7 @@
 	Config bool             `json:"config,omitempty"`
 	Sent   monotime.Instant `json:"sent"`
 	Acked  monotime.Instant `json:"acked"`
-	Play   string           `json:"play,omitempty"` // the part of the run that it belongs to
+	Phase  string           `json:"play,omitempty"` // the part of the run that it belongs to
 }
 
 // NodeEventKind is the kind of a NodeEvent.
--- a/internal/scale/logscale/checker/checker.go
+++ b/internal/scale/logscale/checker/checker.go
@@ -303,7 +303,7 @@
 	byKind := map[kind]*times{}
 	var order []kind
 	for _, o := range j.orders {
-		k := kind{phase: o.Play, config: o.Config}
+		k := kind{phase: o.Phase, config: o.Config}
 		t := byKind[k]
 		if t == nil {
 			t = &times{}
--- a/internal/scale/logscale/checker/checker_test.go
+++ b/internal/scale/logscale/checker/checker_test.go
@@ -32,7 +32,7 @@
 			Config: i == 1,
 			Sent:   at - 5,
 			Acked:  at + 12,
-			Play:   "p",
+			Phase:  "p",
 		})
 	}
 	record := func(node uint32, what logtrace.NodeEventKind, index, mark uint64, at monotime.Instant) {
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -49,7 +49,7 @@
 			Config: p.Kind == replicatedlog.Config,
 			Sent:   sent,
 			Acked:  acked,
-			Play:   phase,
+			Phase:  phase,
 		}
 		if i < len(at) {
 			o.Index = uint64(at[i])
