--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -29,5 +29,5 @@
 	Key     string           `json:"key"`
 	Version uint64           `json:"version"`
 	Sent    monotime.Instant `json:"sent"`
-	Play    string           `json:"play,omitempty"`
+	Phase   string           `json:"play,omitempty"`
 }
--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -152,11 +152,11 @@
 	byPhase := map[string]*times{}
 	var order []string
 	for i, purge := range c.purges {
-		t := byPhase[purge.Play]
+		t := byPhase[purge.Phase]
 		if t == nil {
 			t = &times{}
-			byPhase[purge.Play] = t
-			order = append(order, purge.Play)
+			byPhase[purge.Phase] = t
+			order = append(order, purge.Phase)
 		}
 		if c.deleted[i] > 0 {
 			t.deleted = append(t.deleted, c.deleted[i].Since(purge.Sent))
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -11,9 +11,9 @@
 // is flushed for the last purge.
 func validCacheRecords() (purged []logtrace.PublishedPurge, records []logtrace.CacheEvent) {
 	purged = []logtrace.PublishedPurge{
-		{Index: 2, Key: "a", Version: 2, Sent: 100, Play: "p"},
-		{Index: 3, Key: "b", Version: 2, Sent: 110, Play: "p"},
-		{Index: 5, Key: "a", Version: 3, Sent: 200, Play: "q"},
+		{Index: 2, Key: "a", Version: 2, Sent: 100, Phase: "p"},
+		{Index: 3, Key: "b", Version: 2, Sent: 110, Phase: "p"},
+		{Index: 5, Key: "a", Version: 3, Sent: 200, Phase: "q"},
 	}
 	records = []logtrace.CacheEvent{
 		0:  {Cache: "one", At: 90, Kind: logtrace.Served, Key: "a", Version: 1},
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -61,7 +61,7 @@
 				Key:     string(p.Body),
 				Version: 2,
 				Sent:    sent,
-				Play:    phase,
+				Phase:   phase,
 			})
 		}
 	}
