--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -126,7 +126,7 @@
 func playUntilJudged(t *testing.T, s *scenario.Scenario, starter realtime.Starter) *report.Report {
 	t.Helper()
 	for range maxPlays {
-		result, err := realtime.Play(context.Background(), s, starter, nil)
+		result, err := realtime.Run(context.Background(), s, starter, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -138,5 +138,5 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return realtime.Play(ctx, s, &realtime.Processes{Program: program, Dir: dir}, progress)
+	return realtime.Run(ctx, s, &realtime.Processes{Program: program, Dir: dir}, progress)
 }
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -32,7 +32,7 @@
 	}
 	var said bytes.Buffer
 	err := options.run(&said, func(s *scenario.Scenario) (*report.Report, error) {
-		return realtime.Play(context.Background(), s, processes, nil)
+		return realtime.Run(context.Background(), s, processes, nil)
 	})
 	t.Logf("%s", said.String())
 	if err != nil {
@@ -99,7 +99,7 @@
 		if ends {
 			runner = nonDrainingNodes{processes}
 		}
-		r, err := realtime.Play(context.Background(), s, runner, nil)
+		r, err := realtime.Run(context.Background(), s, runner, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/dahliapin/soak_variants_test.go
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -320,7 +320,7 @@
 	return func(s *scenario.Scenario) (*report.Report, error) {
 		processes := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 		starter := &brokenNodes{Starter: processes, t: t, variant: v, backends: map[string]string{}}
-		return realtime.Play(context.Background(), s, starter, nil)
+		return realtime.Run(context.Background(), s, starter, nil)
 	}
 }
 
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -301,7 +301,7 @@
 			if s.Fleet.Queue = 1000; rule == 4 {
 				s.Fleet.FallMultiple = 1.2
 			}
-			r, err := Play(context.Background(), s, &stub{wrong: wrong}, nil)
+			r, err := Run(context.Background(), s, &stub{wrong: wrong}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -351,7 +351,7 @@
 		"[traffic]", "[traffic]\nprotocol = \"http\"", "\"reset\"", "\"stale\"").Replace(plain)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, err := Play(context.Background(), parse(t, text), Embedded{}, nil)
+			r, err := Run(context.Background(), parse(t, text), Embedded{}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -381,7 +381,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	run := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
-	if _, err := Play(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled run: %v", err)
 	}
 	select {
@@ -397,7 +397,7 @@
 	}
 	dies := &stub{}
 	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
-	r, err := Play(context.Background(), parse(t, baseScenario), dies, nil)
+	r, err := Run(context.Background(), parse(t, baseScenario), dies, nil)
 	if err != nil || r.Passed() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
 		t.Errorf("node that exits by itself: %v %v", err, r)
 	}
@@ -490,7 +490,7 @@
 		if strings.Contains(baseScenario, section+"\n") {
 			text = strings.Replace(baseScenario, section+"\n", section+"\n"+keys, 1)
 		}
-		if _, err := Play(context.Background(), parse(t, text), Embedded{}, nil); err == nil || !strings.Contains(err.Error(), "virtual time only") {
+		if _, err := Run(context.Background(), parse(t, text), Embedded{}, nil); err == nil || !strings.Contains(err.Error(), "virtual time only") {
 			t.Errorf("%q: %v", more, err)
 		}
 	}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -110,8 +110,8 @@
 	stopped        bool // the model of the world does not change any more
 }
 
-// Play plays a scenario on sockets and returns its report. A cancelled context ends the run early, without a report.
-func Play(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
+// Run plays a scenario on sockets and returns its report. A cancelled context ends the run early, without a report.
+func Run(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
 	deployment, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
 		return nil, err
