--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -18,8 +18,8 @@
 	minDuration = 0.1 // shortest duration of an event, in seconds, that halving may produce
 )
 
-// Play runs a scenario and reports whether it fails in the same way as the original.
-type Play func(*scenario.Scenario) bool
+// RunFunc runs a scenario and reports whether it fails in the same way as the original.
+type RunFunc func(*scenario.Scenario) bool
 
 // Budget bounds the number of runs.
 type Budget struct {
@@ -35,7 +35,7 @@
 }
 
 // Shrink reduces a failing scenario. It does not modify its argument.
-func Shrink(failing *scenario.Scenario, budget Budget, play Play) Result {
+func Shrink(failing *scenario.Scenario, budget Budget, play RunFunc) Result {
 	s := &shrinker{current: failing, budget: budget, play: play}
 	for again := true; again && !s.exhausted; {
 		again = s.round()
@@ -46,7 +46,7 @@
 type shrinker struct {
 	current   *scenario.Scenario
 	budget    Budget
-	play      Play
+	play      RunFunc
 	plays     int
 	exhausted bool
 }
