--- a/cmd/dahliapin/soak_shrink.go
+++ b/cmd/dahliapin/soak_shrink.go
@@ -32,7 +32,7 @@
 	until := time.Now().Add(limits.duration)
 	var playErr error
 	budget := shrink.Budget{
-		Plays:   limits.plays,
+		Runs:    limits.plays,
 		Expired: func() bool { return playErr != nil || time.Now().After(until) },
 	}
 	smallest := broken
--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -23,7 +23,7 @@
 
 // Budget bounds the number of runs.
 type Budget struct {
-	Plays   int
+	Runs    int
 	Expired func() bool // called before each run; nil for no time limit
 }
 
@@ -68,7 +68,7 @@
 		return false
 	}
 	expired := s.budget.Expired != nil && s.budget.Expired()
-	if s.exhausted || s.plays >= s.budget.Plays || expired {
+	if s.exhausted || s.plays >= s.budget.Runs || expired {
 		s.exhausted = true
 		return false
 	}
