--- a/cmd/dahliapin/soak_shrink.go
+++ b/cmd/dahliapin/soak_shrink.go
@@ -48,7 +48,7 @@
 		fmt.Fprintf(out, "%s: shrinking ended as a run could not be carried out: %v\n", s.Name, playErr)
 	}
 	if result.Scenario == s {
-		fmt.Fprintf(out, "%s: no smaller schedule failed in the same way in %d runs\n", s.Name, result.Plays)
+		fmt.Fprintf(out, "%s: no smaller schedule failed in the same way in %d runs\n", s.Name, result.Runs)
 		return nil
 	}
 	return writeShrunk(out, s, result, smallest, dir)
@@ -70,7 +70,7 @@
 		note = "the limit of runs or time was reached"
 	}
 	fmt.Fprintf(out, "%s: shrunk in %d runs to %d of %d events, %d nodes, %d caches, %g s (%s): %s\n",
-		s.Name, result.Plays, len(shrunk.Events), len(s.Events), shrunk.Fleet.Nodes, shrunk.Fleet.Caches,
+		s.Name, result.Runs, len(shrunk.Events), len(s.Events), shrunk.Fleet.Nodes, shrunk.Fleet.Caches,
 		shrunk.Seconds, note, path)
 	return nil
 }
--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -30,7 +30,7 @@
 // Result is the outcome of Shrink.
 type Result struct {
 	Scenario *scenario.Scenario // the smallest that failed
-	Plays    int
+	Runs     int
 	Complete bool // no smaller candidate fails; false if the budget was exhausted first
 }
 
@@ -40,7 +40,7 @@
 	for again := true; again && !s.exhausted; {
 		again = s.round()
 	}
-	return Result{Scenario: s.current, Plays: s.plays, Complete: !s.exhausted}
+	return Result{Scenario: s.current, Runs: s.plays, Complete: !s.exhausted}
 }
 
 type shrinker struct {
--- a/internal/emulator/shrink/shrink_test.go
+++ b/internal/emulator/shrink/shrink_test.go
@@ -97,14 +97,14 @@
 	always := func(*scenario.Scenario) bool { return true }
 	const plays = 3
 	result := Shrink(failing, Budget{Runs: plays}, always)
-	if result.Plays != plays || result.Complete || len(result.Scenario.Events) >= len(failing.Events) {
-		t.Errorf("%d plays, complete %v, %d events left", result.Plays, result.Complete, len(result.Scenario.Events))
+	if result.Runs != plays || result.Complete || len(result.Scenario.Events) >= len(failing.Events) {
+		t.Errorf("%d plays, complete %v, %d events left", result.Runs, result.Complete, len(result.Scenario.Events))
 	}
 	asked := 0
 	expired := func() bool { asked++; return asked > plays }
 	result = Shrink(failing, Budget{Runs: plentyOfPlays, Expired: expired}, always)
-	if result.Plays != plays || result.Complete {
-		t.Errorf("expired budget: %d plays, complete %v", result.Plays, result.Complete)
+	if result.Runs != plays || result.Complete {
+		t.Errorf("expired budget: %d plays, complete %v", result.Runs, result.Complete)
 	}
 }
 
