--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -407,7 +407,7 @@
 func TestRunOnABusyMachineHasNoVerdict(t *testing.T) {
 	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
-	l.Played, l.Late = 100, 3
+	l.TriesSent, l.Late = 100, 3
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); r.Passed() || r.MachineTooBusy == "" {
 		t.Error("a run on a busy machine has a verdict")
 	}
--- a/internal/emulator/report/log.go
+++ b/internal/emulator/report/log.go
@@ -63,7 +63,7 @@
 	Dropped   int // records beyond maxRecords
 	Events    []EventLine
 	Late      int            // tries that a shell in real time sent more than LateArrival late
-	Played    int            // tries of clients
+	TriesSent int            // tries of clients
 	Views     *checker.Views // the nodes' membership views; nil if nodes have none
 }
 
@@ -91,7 +91,7 @@
 
 // RequestSent counts a try of a client.
 func (l *Log) RequestSent(at policy.Instant, first bool) {
-	l.Played++
+	l.TriesSent++
 	if first {
 		l.Second(at).Asked++
 	} else {
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -107,8 +107,8 @@
 		views := l.Views.From(l.startedAt)
 		r.Membership = newFleet(views, scenario.SecondsToDuration(s.Membership.PauseS), policy.Instant(s.Duration()))
 	}
-	if l.Played > 0 && float64(l.Late) > maxLateShare*float64(l.Played) {
-		r.MachineTooBusy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.Played, LateArrival)
+	if l.TriesSent > 0 && float64(l.Late) > maxLateShare*float64(l.TriesSent) {
+		r.MachineTooBusy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.TriesSent, LateArrival)
 	}
 	r.checkExpectations(s)
 	return r
