--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -66,8 +66,8 @@
 	fmt.Fprint(to, "over the fleet, in all and most in a second:")
 	for _, name := range scenario.CountNames {
 		total := 0
-		for i := range r.Course {
-			total += r.Course[i].Counted(name)
+		for i := range r.Timeline {
+			total += r.Timeline[i].Counted(name)
 		}
 		fmt.Fprintf(to, " %s %d %d;", name, total, r.MaxPerSecond(name))
 	}
@@ -79,12 +79,12 @@
 	const bars = "▁▂▃▄▅▆▇█"
 	const columns = 60
 	ticks := []rune(bars)
-	secondsPerColumn := max(1, (len(r.Course)+columns-1)/columns)
+	secondsPerColumn := max(1, (len(r.Timeline)+columns-1)/columns)
 	var b strings.Builder
-	for i := 0; i < len(r.Course)-1; i += secondsPerColumn {
+	for i := 0; i < len(r.Timeline)-1; i += secondsPerColumn {
 		asked := 0
 		inTime := 0
-		for _, second := range r.Course[i:min(i+secondsPerColumn, len(r.Course))] {
+		for _, second := range r.Timeline[i:min(i+secondsPerColumn, len(r.Timeline))] {
 			asked += second.Asked
 			inTime += second.InTime
 		}
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -64,7 +64,7 @@
 	Servers            []Server         `json:"servers"`
 	Expected           []Expected       `json:"expected"`
 	MachineTooBusy     string           `json:"machine_too_busy,omitempty"`
-	Course             []Second         `json:"course"`
+	Timeline           []Second         `json:"course"`
 	Events             []EventLine      `json:"events"`
 	Records            []eventlog.Event `json:"-"`
 	Dropped            int              `json:"records_dropped,omitempty"`
@@ -86,7 +86,7 @@
 		Caches:   s.Fleet.Caches,
 		Seconds:  s.Seconds,
 		Breaches: c.Breaches,
-		Course:   slices.Clone(l.Seconds),
+		Timeline: slices.Clone(l.Seconds),
 		Events:   l.Events,
 		Records:  l.Records,
 		Dropped:  l.Dropped,
@@ -170,8 +170,8 @@
 // MaxPerSecond returns the largest count in any second over the whole fleet. name is one of scenario.CountNames.
 func (r *Report) MaxPerSecond(name string) int {
 	most := 0
-	for i := range r.Course {
-		most = max(most, r.Course[i].Counted(name))
+	for i := range r.Timeline {
+		most = max(most, r.Timeline[i].Counted(name))
 	}
 	return most
 }
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -243,7 +243,7 @@
 				name, r.Rules, r.BenefitInTime, polls, wasted)
 		}
 		allWasted := 0
-		for _, second := range r.Course {
+		for _, second := range r.Timeline {
 			allWasted += second.Wasted
 		}
 		toFailed := r.Servers[8].Attempts
