--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -15,8 +15,8 @@
 	"dahliapin/policy"
 )
 
-// Fleet holds the nodes' membership views during a run, and the verdicts on them.
-type Fleet struct {
+// Membership holds the nodes' membership views during a run, and the verdicts on them.
+type Membership struct {
 	Views   *checker.Views   `json:"views"`
 	Library *checker.Verdict `json:"library"` // verdict on the member lists of the gossip library
 	View    *checker.Verdict `json:"view"`    // verdict on the views; nil if there were none
@@ -24,8 +24,8 @@
 
 // newFleet judges the views of a run that ended at an instant. A pause of a process no longer than pause must not
 // change a view.
-func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Fleet {
-	f := &Fleet{Views: v, Library: v.Judge(trace.Library, pause, end)}
+func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
+	f := &Membership{Views: v, Library: v.Judge(trace.Library, pause, end)}
 	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.Kind == trace.View }) {
 		f.View = v.Judge(trace.View, pause, end)
 	}
@@ -47,7 +47,7 @@
 
 // print writes a row for each second in which the views changed, and the verdicts on the views. It does nothing without
 // views.
-func (f *Fleet) print(to io.Writer, duration time.Duration) {
+func (f *Membership) print(to io.Writer, duration time.Duration) {
 	if f == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 	printVerdict(to, "view", f.View)
 }
 
-func (f *Fleet) printMembers(to io.Writer, end policy.Instant) {
+func (f *Membership) printMembers(to io.Writer, end policy.Instant) {
 	kind := trace.Library
 	if f.View != nil {
 		kind = trace.View
@@ -78,7 +78,7 @@
 }
 
 // rowAt renders the most common view at an instant, followed by the nodes with other views and these views.
-func (f *Fleet) rowAt(at policy.Instant, kind string) string {
+func (f *Membership) rowAt(at policy.Instant, kind string) string {
 	views := f.Views
 	nodesByCell := map[string][]string{}
 	for n := range views.Nodes {
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -68,7 +68,7 @@
 	Events             []EventLine      `json:"events"`
 	Records            []eventlog.Event `json:"-"`
 	Dropped            int              `json:"records_dropped,omitempty"`
-	Membership         *Fleet           `json:"together,omitempty"`
+	Membership         *Membership      `json:"together,omitempty"`
 	Coverage           *coverage.Table  `json:"coverage,omitempty"` // counts for each fault; nil in virtual time
 }
 
