--- a/internal/emulator/coverage/coverage.go
+++ b/internal/emulator/coverage/coverage.go
@@ -83,8 +83,8 @@
 	return t.faults[f]
 }
 
-// Met returns how often a fault was active while a node was in a phase.
-func (t *Table) Met(f Fault, p Phase) uint64 {
+// PhaseCount returns how often a fault was active while a node was in a phase.
+func (t *Table) PhaseCount(f Fault, p Phase) uint64 {
 	if row := t.faults[f]; row != nil {
 		return row.phases[p]
 	}
@@ -134,7 +134,7 @@
 	pairs := []string{}
 	for _, f := range t.Faults() {
 		for _, p := range Phases {
-			if t.Met(f, p) == 0 {
+			if t.PhaseCount(f, p) == 0 {
 				pairs = append(pairs, fmt.Sprintf("%s/%s", f, p))
 			}
 		}
@@ -160,7 +160,7 @@
 	for _, f := range t.Faults() {
 		fmt.Fprintf(to, "%-16s", f)
 		for _, p := range Phases {
-			fmt.Fprintf(to, " %9d", t.Met(f, p))
+			fmt.Fprintf(to, " %9d", t.PhaseCount(f, p))
 		}
 		for _, e := range Effects {
 			fmt.Fprintf(to, " %12d", t.InFlight(f, e))
@@ -182,7 +182,7 @@
 	for _, f := range t.Faults() {
 		row := faultRow{Fault: f, Phases: map[string]uint64{}, InFlight: map[string]uint64{}}
 		for _, p := range Phases {
-			row.Phases[p.String()] = t.Met(f, p)
+			row.Phases[p.String()] = t.PhaseCount(f, p)
 		}
 		for _, e := range Effects {
 			row.InFlight[effectName(e)] = t.InFlight(f, e)
--- a/internal/emulator/coverage/coverage_test.go
+++ b/internal/emulator/coverage/coverage_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	var got []uint64
 	for _, p := range Phases {
-		got = append(got, table.Met(fault, p))
+		got = append(got, table.PhaseCount(fault, p))
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("%s: counts %v of phases %v, want %v", fault, got, Phases, want)
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -365,10 +365,10 @@
 				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
 			}
 			met := r.Coverage
-			if met.Met("node_restart", coverage.Serving) != 1 || met.Met("silent", coverage.Draining) != 1 {
+			if met.PhaseCount("node_restart", coverage.Serving) != 1 || met.PhaseCount("silent", coverage.Draining) != 1 {
 				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
 			}
-			if met.InFlight("silent", policy.Idempotent) == 0 || met.Met("kill", coverage.Standby) != 0 {
+			if met.InFlight("silent", policy.Idempotent) == 0 || met.PhaseCount("kill", coverage.Standby) != 0 {
 				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
 			}
 		})
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -83,7 +83,7 @@
 	if phase == coverage.Down { // a fault of all nodes lasts until this one serves again
 		phase = coverage.Serving
 	}
-	return 1 / (1 + float64(p.met.Met(f.name, phase)))
+	return 1 / (1 + float64(p.met.PhaseCount(f.name, phase)))
 }
 
 // add counts the phases that an event will coincide with. Events are added in order of time.
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -22,7 +22,7 @@
 			if f.changesPhase && phase != coverage.Serving {
 				continue // such a fault begins only at a serving node
 			}
-			if met.Met(f.name, phase) == 0 {
+			if met.PhaseCount(f.name, phase) == 0 {
 				t.Errorf("%s never coincides with a node that is %s", f.name, phase)
 			}
 		}
@@ -85,7 +85,7 @@
 		{"node_restart", coverage.Serving, 1}, {"node_restart", coverage.Draining, 0},
 		{"pause", coverage.Serving, 0}, {"pause", coverage.Draining, 1}, {"pause", coverage.Starting, 1},
 	} {
-		if got := met.Met(want.fault, want.phase); got != want.times {
+		if got := met.PhaseCount(want.fault, want.phase); got != want.times {
 			t.Errorf("%s coincided with %s %d times, want %d", want.fault, want.phase, got, want.times)
 		}
 	}
