--- a/internal/emulator/coverage/coverage.go
+++ b/internal/emulator/coverage/coverage.go
@@ -99,8 +99,8 @@
 	return 0
 }
 
-// MeetPhase counts a fault that is active while a node is in a phase. Down is not counted.
-func (t *Table) MeetPhase(f Fault, p Phase) {
+// CountPhase counts a fault that is active while a node is in a phase. Down is not counted.
+func (t *Table) CountPhase(f Fault, p Phase) {
 	if p != Down {
 		t.row(f).phases[p]++
 	}
--- a/internal/emulator/coverage/tracker.go
+++ b/internal/emulator/coverage/tracker.go
@@ -61,7 +61,7 @@
 
 // countCurrent counts a fault with a node's current phase and requests in flight.
 func (t *Tracker) countCurrent(fault Fault, node int) {
-	t.Table.MeetPhase(fault, t.phases[node])
+	t.Table.CountPhase(fault, t.phases[node])
 	for _, effect := range t.inFlight[node] {
 		t.Table.row(fault).effects[effect]++
 	}
@@ -75,7 +75,7 @@
 	t.phases[node] = phase
 	for _, a := range t.active {
 		if a.affects(node) {
-			t.Table.MeetPhase(a.fault, phase)
+			t.Table.CountPhase(a.fault, phase)
 		}
 	}
 }
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -93,10 +93,10 @@
 		if !affects(nodes, node) {
 			continue
 		}
-		p.met.MeetPhase(e.FaultName(), p.phaseAt(node, e.AtS))
+		p.met.CountPhase(e.FaultName(), p.phaseAt(node, e.AtS))
 		for _, span := range p.spans[node] {
 			if e.AtS < span.from && span.from < e.AtS+e.ForS {
-				p.met.MeetPhase(e.FaultName(), span.phase)
+				p.met.CountPhase(e.FaultName(), span.phase)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 		for i := range p.events {
 			e := &p.events[i]
 			if e.AtS < span.from && span.from < e.AtS+e.ForS && affects(p.scenario.ConcernedNodes(e), node) {
-				p.met.MeetPhase(e.FaultName(), span.phase)
+				p.met.CountPhase(e.FaultName(), span.phase)
 			}
 		}
 	}
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -47,7 +47,7 @@
 	}
 	restart, freezes, slowList := find("node_restart"), find(freeze), find("discovery_slow")
 	for range 9 {
-		met.MeetPhase(freezes.name, coverage.Serving)
+		met.CountPhase(freezes.name, coverage.Serving)
 	}
 	want := func(what string, got, want float64) {
 		t.Helper()
