--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -147,7 +147,7 @@
 // reportCoverage prints the coverage of the faults of all judged schedules, and writes it as JSON.
 func (o *soakOptions) reportCoverage(out io.Writer, met *coverage.Table) error {
 	met.Print(out)
-	never := met.NeverMet()
+	never := met.Uncovered()
 	fmt.Fprintf(out, "%d pairs never met: %s\n", len(never), strings.Join(never, ", "))
 	if err := makeReportFolder(o.out); err != nil {
 		return err
--- a/internal/emulator/coverage/coverage.go
+++ b/internal/emulator/coverage/coverage.go
@@ -129,8 +129,8 @@
 	return all
 }
 
-// NeverMet lists the pairs of fault and phase, and of fault and effect, whose count is zero.
-func (t *Table) NeverMet() []string {
+// Uncovered lists the pairs of fault and phase, and of fault and effect, whose count is zero.
+func (t *Table) Uncovered() []string {
 	pairs := []string{}
 	for _, f := range t.Faults() {
 		for _, p := range Phases {
@@ -192,5 +192,5 @@
 	return json.Marshal(struct {
 		Faults   []faultRow `json:"faults"`
 		NeverMet []string   `json:"never_met"`
-	}{rows, t.NeverMet()})
+	}{rows, t.Uncovered()})
 }
--- a/internal/emulator/coverage/coverage_test.go
+++ b/internal/emulator/coverage/coverage_test.go
@@ -89,7 +89,7 @@
 	table.Add(run.Table)
 	wantPhases(t, table, "drain", 0, 2, 0, 0, 0)
 	wantInFlight(t, table, "drain", 2, 0, 0)
-	never := table.NeverMet()
+	never := table.Uncovered()
 	const pairs = 2 * (5 + 3) // of two faults, with five phases and three effects
 	if len(never) != pairs-2 || slices.Contains(never, "drain/serving") || !slices.Contains(never, "add/by key") {
 		t.Errorf("never met: %v", never)
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -366,10 +366,10 @@
 			}
 			met := r.Coverage
 			if met.PhaseCount("node_restart", coverage.Serving) != 1 || met.PhaseCount("silent", coverage.Draining) != 1 {
-				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
+				t.Errorf("coverage of the faults is not counted: %v", met.Uncovered())
 			}
 			if met.InFlight("silent", policy.Idempotent) == 0 || met.PhaseCount("kill", coverage.Standby) != 0 {
-				t.Errorf("coverage of the faults is not counted: %v", met.NeverMet())
+				t.Errorf("coverage of the faults is not counted: %v", met.Uncovered())
 			}
 		})
 	}
