--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -38,7 +38,7 @@
 	plan     *Plan
 	places   []Place // real nodes first
 	list     *endpointLists
-	hollows  []*HollowProcess
+	hollows  []*SimulatedProcess
 	reals    []*RealNode
 	isolated *RealNode // isolated node: the baseline cost without membership; nil if there are no real nodes
 }
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -22,8 +22,8 @@
 	initialLineBytes = 64 << 10
 )
 
-// HollowProcess is a process of hollow nodes. It reads orders as lines of JSON and answers each with one line.
-type HollowProcess struct {
+// SimulatedProcess is a process of hollow nodes. It reads orders as lines of JSON and answers each with one line.
+type SimulatedProcess struct {
 	*Child
 	places  []Place        // nodes that it runs
 	in      io.WriteCloser // orders; the process exits when it is closed
@@ -31,7 +31,7 @@
 }
 
 // StartHollowProcess starts a process of hollow nodes. It runs no nodes until it is ordered to open them.
-func (r *Rig) StartHollowProcess(places []Place, name string) (*HollowProcess, error) {
+func (r *Rig) StartHollowProcess(places []Place, name string) (*SimulatedProcess, error) {
 	cmd := exec.Command(r.Program, "scale", "hollow")
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -48,13 +48,13 @@
 		from.Close()
 		return nil, err
 	}
-	h := &HollowProcess{Child: c, places: places, in: in, answers: make(chan answer, 1)}
+	h := &SimulatedProcess{Child: c, places: places, in: in, answers: make(chan answer, 1)}
 	go h.readAnswers(from)
 	return h, nil
 }
 
 // readAnswers passes answers on until the process closes its output.
-func (h *HollowProcess) readAnswers(from io.ReadCloser) {
+func (h *SimulatedProcess) readAnswers(from io.ReadCloser) {
 	defer from.Close()
 	defer close(h.answers)
 	lines := bufio.NewScanner(from)
@@ -69,7 +69,7 @@
 }
 
 // ask sends an order and waits for the answer.
-func (h *HollowProcess) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
+func (h *SimulatedProcess) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
 	if err := json.NewEncoder(h.in).Encode(o); err != nil {
 		return answer{}, fmt.Errorf("send an order to a process of hollow nodes: %w: %s", err, h.LastLogLine())
 	}
@@ -90,4 +90,4 @@
 }
 
 // Close stops the process with all of its nodes.
-func (h *HollowProcess) Close() { h.Stop(func() { _ = h.in.Close() }) }
+func (h *SimulatedProcess) Close() { h.Stop(func() { _ = h.in.Close() }) }
