--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -109,7 +109,7 @@
 	}
 	for from := len(f.reals); from < len(f.places); from += f.plan.NodesPerProcess {
 		until := min(len(f.places), from+f.plan.NodesPerProcess)
-		h, err := f.rig.StartHollowProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
+		h, err := f.rig.StartSimulatedProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
 		if err != nil {
 			return fmt.Errorf("start a process of hollow nodes: %w", err)
 		}
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -30,8 +30,8 @@
 	answers chan answer    // closed once the process has closed its output
 }
 
-// StartHollowProcess starts a process of hollow nodes. It runs no nodes until it is ordered to open them.
-func (r *Rig) StartHollowProcess(places []Place, name string) (*SimulatedProcess, error) {
+// StartSimulatedProcess starts a process of hollow nodes. It runs no nodes until it is ordered to open them.
+func (r *Rig) StartSimulatedProcess(places []Place, name string) (*SimulatedProcess, error) {
 	cmd := exec.Command(r.Program, "scale", "hollow")
 	in, err := cmd.StdinPipe()
 	if err != nil {
