--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -56,7 +56,7 @@
 	}
 	for _, s := range r.Sizes {
 		p := s.Phases["steady"]
-		if p == nil || s.Phases["forming"] == nil || p.Roles[scale.Hollow].Nodes != s.Nodes-2 || p.Roles[scale.Real].Nodes != 2 {
+		if p == nil || s.Phases["forming"] == nil || p.Roles[scale.Simulated].Nodes != s.Nodes-2 || p.Roles[scale.Real].Nodes != 2 {
 			t.Fatalf("%d nodes: %+v", s.Nodes, s.Phases)
 		}
 		if p.Alone <= 0 || p.Alone > p.Roles[scale.Real].Processor.Mean || s.AloneMB <= 0 {
@@ -69,7 +69,7 @@
 				t.Errorf("%d nodes, %s: %+v, memory %+v", s.Nodes, role, taken, s.Memory[role])
 			}
 		}
-		if h, x := p.Roles[scale.Hollow].Flows["all out B/s"].Mean, p.Roles[scale.Real].Flows["all out B/s"].Mean; h < x*0.5 || x < h*0.5 {
+		if h, x := p.Roles[scale.Simulated].Flows["all out B/s"].Mean, p.Roles[scale.Real].Flows["all out B/s"].Mean; h < x*0.5 || x < h*0.5 {
 			t.Errorf("%d nodes: hollow ones send %.0f B/s, real ones %.0f", s.Nodes, h, x)
 		}
 	}
--- a/internal/scale/networkrules_test.go
+++ b/internal/scale/networkrules_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	if role == Hollow {
+	if role == Simulated {
 		sockets = n.rules.wrap(sockets, region)
 	}
 	n.t.Cleanup(func() {
@@ -123,9 +123,9 @@
 		jitter = 100 * time.Millisecond
 	)
 	n := newTestNetwork(t)
-	here := n.open("127.10.0.1:0", 0, Hollow)
-	near := n.open("127.10.0.2:0", 0, Hollow)
-	far := n.open("127.11.0.1:0", 1, Hollow)
+	here := n.open("127.10.0.1:0", 0, Simulated)
+	near := n.open("127.10.0.2:0", 0, Simulated)
+	far := n.open("127.11.0.1:0", 1, Simulated)
 	real := n.open("127.11.200.1:0", 1, Real)
 	n.change(func(link *netfault.Link) {
 		link.Delay = delay
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -17,8 +17,8 @@
 
 // The roles.
 const (
-	Hollow Role = "hollow" // runs only the control plane, many to a process
-	Real   Role = "real"   // a process of its own that runs the command serve
+	Simulated Role = "hollow" // runs only the control plane, many to a process
+	Real      Role = "real"   // a process of its own that runs the command serve
 )
 
 // Place is one node: its location and its addresses.
@@ -44,7 +44,7 @@
 func AssignPlaces(nodes, real int, at Places, port uint16) (all []Place) {
 	in, hollows := make([]int, at.Regions), make([]int, at.Regions)
 	for i := range nodes {
-		p := Place{Name: fmt.Sprintf("n%d", i+1), Role: Hollow}
+		p := Place{Name: fmt.Sprintf("n%d", i+1), Role: Simulated}
 		k := 0
 		if i < real {
 			p.Role, k = Real, firstRealOctet*nodesPerOctet+i
@@ -84,7 +84,7 @@
 	if b[0] != 127 || b[1] < firstRegion {
 		return 0, "", false
 	}
-	role = Hollow
+	role = Simulated
 	if b[2] >= firstRealOctet {
 		role = Real
 	}
--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -14,7 +14,7 @@
 const bytesPerKB = 1000
 
 // roles is the order of the roles in the tables.
-var roles = []Role{Hollow, Real}
+var roles = []Role{Simulated, Real}
 
 // table aligns rows of cells in columns.
 type table struct{ writer *tabwriter.Writer }
@@ -80,7 +80,7 @@
 	spread("processor, % of a core", taken.Processor)
 	spread("waited for a core, times as long", taken.Waited)
 	spread("resident, MB", s.Memory[role].Resident)
-	if role == Hollow {
+	if role == Simulated {
 		spread("heap, MB", s.Memory[role].Heap)
 	}
 }
@@ -126,7 +126,7 @@
 	t.row("calibration: nodes", "figure", "hollow", "real", "real is more by")
 	for _, size := range r.Sizes {
 		phase := size.Phases[steady]
-		if phase == nil || phase.Roles[Hollow] == nil || phase.Roles[Real] == nil {
+		if phase == nil || phase.Roles[Simulated] == nil || phase.Roles[Real] == nil {
 			continue
 		}
 		size.printCalibration(t, phase)
@@ -134,7 +134,7 @@
 }
 
 func (s *Size) printCalibration(t table, phase *Phase) {
-	hollow := phase.Roles[Hollow]
+	hollow := phase.Roles[Simulated]
 	real := phase.Roles[Real]
 	compare := func(what string, hollow, real Spread) {
 		t.row(s.Nodes, what, hollow.Mean, real.Mean, difference(hollow.Mean, real.Mean))
@@ -144,7 +144,7 @@
 	compare("sent, messages/s", hollow.Flows[allSentMessages], real.Flows[allSentMessages])
 	compare("received, messages/s", hollow.Flows[allReceivedMessages], real.Flows[allReceivedMessages])
 	compare("processor, % of a core", hollow.Processor, real.Processor)
-	compare("resident, MB", s.Memory[Hollow].Resident, s.Memory[Real].Resident)
+	compare("resident, MB", s.Memory[Simulated].Resident, s.Memory[Real].Resident)
 
 	const note = "so knowing them takes a real node %.4g"
 	t.row(s.Nodes, "a node that knows of no other: processor, % of a core", "", phase.Alone,
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -46,7 +46,7 @@
 // fitSlope fits a line to a figure of hollow nodes, adds what real nodes use beyond them, and compares it with the
 // budget.
 func (r *Report) fitSlope(what, unit string, budget float64, of figure) {
-	sizes, means := r.means(Hollow, of)
+	sizes, means := r.means(Simulated, of)
 	if len(sizes) == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, s := range r.Sizes {
-		hollow, hasHollow := of(s, Hollow)
+		hollow, hasHollow := of(s, Simulated)
 		real, hasReal := of(s, Real)
 		if hasHollow && hasReal {
 			slope.Added = real.Mean - hollow.Mean
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -15,11 +15,11 @@
 			Processor: Spread{Mean: bytesPerS / 1000},
 		}
 	}
-	phase := &Phase{DurationS: 1, Roles: map[Role]*Usage{Hollow: taken(hollow), Real: taken(real)}}
+	phase := &Phase{DurationS: 1, Roles: map[Role]*Usage{Simulated: taken(hollow), Real: taken(real)}}
 	return &Size{
 		Nodes:  nodes,
 		Phases: map[string]*Phase{steady: phase},
-		Memory: map[Role]Memory{Hollow: {Resident: Spread{Mean: 2}}, Real: {Resident: Spread{Mean: 20}}},
+		Memory: map[Role]Memory{Simulated: {Resident: Spread{Mean: 2}}, Real: {Resident: Spread{Mean: 20}}},
 	}
 }
 
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -190,7 +190,7 @@
 		}
 		nodes := float64(len(h.places))
 		for range h.places {
-			resident[Hollow] = append(resident[Hollow], float64(cost.Resident)/mb/nodes)
+			resident[Simulated] = append(resident[Simulated], float64(cost.Resident)/mb/nodes)
 			heap = append(heap, float64(weighed.Heap)/mb/nodes)
 		}
 	}
@@ -205,9 +205,9 @@
 	for role, values := range resident {
 		s.Memory[role] = Memory{Resident: SpreadOf(values)}
 	}
-	if hollow, measured := s.Memory[Hollow]; measured {
+	if hollow, measured := s.Memory[Simulated]; measured {
 		hollow.Heap = SpreadOf(heap)
-		s.Memory[Hollow] = hollow
+		s.Memory[Simulated] = hollow
 	}
 	return nil
 }
