--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -171,7 +171,7 @@
 		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
 		Short: "Run nodes without clients, as told on standard input",
 		RunE: func(c *cobra.Command, _ []string) error {
-			return scale.ServeHollowNodes(c.InOrStdin(), c.OutOrStdout())
+			return scale.ServeSimulatedNodes(c.InOrStdin(), c.OutOrStdout())
 		},
 	}
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -73,9 +73,9 @@
 	partMakers []ComponentStarter
 }
 
-// ServeHollowNodes reads orders, executes them and writes an answer to each until its input is closed; then it stops
+// ServeSimulatedNodes reads orders, executes them and writes an answer to each until its input is closed; then it stops
 // all nodes. Each node also runs the given components.
-func ServeHollowNodes(in io.Reader, out io.Writer, more ...ComponentStarter) error {
+func ServeSimulatedNodes(in io.Reader, out io.Writer, more ...ComponentStarter) error {
 	debug.SetGCPercent(gcPercent)
 	p := &process{nodes: map[string]*Node{}, partMakers: more}
 	defer p.close()
