--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -69,7 +69,7 @@
 	addChangesPlanFlags(c, &plan, &phases)
 	c.AddCommand(&cobra.Command{
 		Use: "hollow SPEC", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return rig.ServeHollowNodes(args[0], c.InOrStdin()) },
+		RunE: func(c *cobra.Command, args []string) error { return rig.ServeSimulatedNodes(args[0], c.InOrStdin()) },
 	})
 	return c
 }
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -125,8 +125,8 @@
 // HollowName returns the name of the hollow node with a number.
 func HollowName(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
-// ServeHollowNodes runs a process of hollow nodes until the reader reaches its end.
-func ServeHollowNodes(spec string, until io.Reader) error {
+// ServeSimulatedNodes runs a process of hollow nodes until the reader reaches its end.
+func ServeSimulatedNodes(spec string, until io.Reader) error {
 	text, err := os.ReadFile(spec)
 	if err != nil {
 		return err
