--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -33,7 +33,7 @@
 
 // scaleChangesCommand returns the command that measures the replicated log at the size of a fleet.
 func scaleChangesCommand() *cobra.Command {
-	plan := rig.Plan{HollowArgs: []string{"scale-changes", "hollow"}}
+	plan := rig.Plan{SimulatedNodeArgs: []string{"scale-changes", "hollow"}}
 	var phases string
 	c := &cobra.Command{
 		Use:   "scale-changes",
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -105,7 +105,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return err
 	}
-	p, err := r.launch(fmt.Sprintf("hollow-%d", region), append(r.HollowArgs, path)...)
+	p, err := r.launch(fmt.Sprintf("hollow-%d", region), append(r.SimulatedNodeArgs, path)...)
 	if err != nil {
 		return err
 	}
