--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -122,8 +122,8 @@
 	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Acknowledged})
 }
 
-// HollowName returns the name of the hollow node with a number.
-func HollowName(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
+// SimulatedNodeName returns the name of the hollow node with a number.
+func SimulatedNodeName(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
 // ServeSimulatedNodes runs a process of hollow nodes until the reader reaches its end.
 func ServeSimulatedNodes(spec string, until io.Reader) error {
@@ -175,7 +175,7 @@
 		h := &hollow{to: to, number: s.First + uint32(i)}
 		h.reader = replicatedlog.NewApplier(h)
 		all = append(all, logfollower.Start(logfollower.Config{
-			Name:           HollowName(h.number),
+			Name:           SimulatedNodeName(h.number),
 			Process:        uint64(h.number) + 1,
 			Label:          s.Label,
 			Servers:        s.Servers,
