--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -52,9 +52,9 @@
 	cause    *episode
 }
 
-// Judge compares the trace lines of one kind with the actual state of nodes until an instant. A node whose process is
+// Check compares the trace lines of one kind with the actual state of nodes until an instant. A node whose process is
 // paused for no longer than pause must stay a member.
-func (v *Views) Judge(kind string, pause time.Duration, end policy.Instant) *Verdict {
+func (v *Views) Check(kind string, pause time.Duration, end policy.Instant) *Verdict {
 	all := v.episodes(end)
 	c := &viewCheck{
 		Views:         v,
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -83,7 +83,7 @@
 		v := NewViews(5)
 		c.truth(v)
 		addViews(v, c.says)
-		d := v.From(0).Judge(trace.View, 2*time.Second, at(40))
+		d := v.From(0).Check(trace.View, 2*time.Second, at(40))
 		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) ||
 			c.want.Changes > 0 && d.Changes != c.want.Changes {
 			t.Errorf("%s: %+v", c.name, d)
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -25,9 +25,9 @@
 // newFleet judges the views of a run that ended at an instant. A pause of a process no longer than pause must not
 // change a view.
 func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
-	f := &Membership{Views: v, Library: v.Judge(trace.Library, pause, end)}
+	f := &Membership{Views: v, Library: v.Check(trace.Library, pause, end)}
 	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.Kind == trace.View }) {
-		f.View = v.Judge(trace.View, pause, end)
+		f.View = v.Check(trace.View, pause, end)
 	}
 	return f
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -368,4 +368,4 @@
 }
 
 // verdict returns the verdict of the emulator's checker, which knows the views and the failures of the nodes.
-func (s *simulation) verdict() *checker.Verdict { return s.views.Judge(trace.View, maxPause, s.now) }
+func (s *simulation) verdict() *checker.Verdict { return s.views.Check(trace.View, maxPause, s.now) }
