--- a/internal/emulator/client/http.go
+++ b/internal/emulator/client/http.go
@@ -72,7 +72,7 @@
 		response.Final = checker.Satisfied
 		response.Value = r.CachedValue
 		if r.CachedValue == "" {
-			response.Wrong = "a 304 that was not asked for"
+			response.InvalidReason = "a 304 that was not asked for"
 		}
 	case http.StatusServiceUnavailable:
 		response.Final = checker.Rejected
@@ -80,7 +80,7 @@
 		response.RetryAfter = time.Duration(seconds) * time.Second
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		response.Wrong = "the answer is " + strings.TrimSpace(answer.Status)
+		response.InvalidReason = "the answer is " + strings.TrimSpace(answer.Status)
 	}
 	return response, nil
 }
--- a/internal/emulator/client/meta.go
+++ b/internal/emulator/client/meta.go
@@ -84,7 +84,7 @@
 	}
 	response := Response{Final: checker.Satisfied, Value: string(value[:length])}
 	if !bytes.HasSuffix(value, []byte(lineEnd)) {
-		response.Wrong = "a value does not end where it should"
+		response.InvalidReason = "a value does not end where it should"
 	}
 	return response, nil
 }
@@ -92,7 +92,7 @@
 // checkID notes a response that names another request.
 func (response *Response) checkID(r *Request, flags []string) {
 	if id := firstFlagValue(flags, idFlag); id != r.ID {
-		response.Wrong = "the answer names request " + strconv.Quote(id)
+		response.InvalidReason = "the answer names request " + strconv.Quote(id)
 	}
 }
 
--- a/internal/emulator/client/meta_test.go
+++ b/internal/emulator/client/meta_test.go
@@ -26,8 +26,8 @@
 func TestMetaResponses(t *testing.T) {
 	for text, want := range map[string]Response{
 		"VA 2 O7\r\nok\r\n":          {Final: checker.Satisfied, Value: "ok"},
-		"VA 2 O9\r\nok\r\n":          {Final: checker.Satisfied, Value: "ok", Wrong: `the answer names request "9"`},
-		"VA 2 O7\r\nokay":            {Final: checker.Satisfied, Value: "ok", Wrong: "a value does not end where it should"},
+		"VA 2 O9\r\nok\r\n":          {Final: checker.Satisfied, Value: "ok", InvalidReason: `the answer names request "9"`},
+		"VA 2 O7\r\nokay":            {Final: checker.Satisfied, Value: "ok", InvalidReason: "a value does not end where it should"},
 		"SERVER_ERROR busy 20\r\n":   {Final: checker.Rejected, RetryAfter: 20 * time.Millisecond},
 		"SERVER_ERROR busy\r\n":      {Final: checker.Rejected},
 		"SERVER_ERROR timed out\r\n": {Final: checker.Failed},
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -23,16 +23,16 @@
 
 // Response is what became of a request.
 type Response struct {
-	Final       checker.Final
-	RetryAfter  time.Duration // stated by the node; 0 for nothing
-	Value       string        // or the receipt of a write
-	Wrong       string        // what is not as it should be; empty for nothing
-	Silent      bool          // nothing came in time
-	Abandoned   bool          // the client went before
-	NotSent     bool          // with ReuseOnly: no connection was open, or the node closed it at the same time
-	Unsolicited bool          // the connection had brought something that nobody asked for
-	SentAt      time.Time
-	ReceivedAt  time.Time
+	Final         checker.Final
+	RetryAfter    time.Duration // stated by the node; 0 for nothing
+	Value         string        // or the receipt of a write
+	InvalidReason string        // what is not as it should be; empty for nothing
+	Silent        bool          // nothing came in time
+	Abandoned     bool          // the client went before
+	NotSent       bool          // with ReuseOnly: no connection was open, or the node closed it at the same time
+	Unsolicited   bool          // the connection had brought something that nobody asked for
+	SentAt        time.Time
+	ReceivedAt    time.Time
 
 	closes bool // the node ends the connection
 }
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -450,10 +450,10 @@
 	default:
 		m.counts.requestFinished(g.Name, got.Final)
 		if got.Final == checker.Satisfied && !g.Write && got.Value != r.scenario.Value(world.ValueOf(req.Key)) {
-			got.Wrong = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
+			got.InvalidReason = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
 		}
-		if got.Wrong != "" {
-			r.checker.WrongAnswer(now, req.ID, got.Wrong)
+		if got.InvalidReason != "" {
+			r.checker.WrongAnswer(now, req.ID, got.InvalidReason)
 		}
 		r.checker.Answered(now, req.ID, got.Final)
 	}
--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -147,7 +147,7 @@
 
 func (c *ClassResult) count(response client.Response, due time.Time, objective time.Duration) {
 	c.Sent++
-	if response.Wrong != "" || response.Unsolicited {
+	if response.InvalidReason != "" || response.Unsolicited {
 		c.Wrong++
 	}
 	switch {
