--- a/internal/scale/cachegrowth/limits_test.go
+++ b/internal/scale/cachegrowth/limits_test.go
@@ -60,7 +60,7 @@
 	usual := Figures{1, 20, 100, 100, 50, 1}
 	r := reportOf(usual, usual)
 	r.Days[0].Busy = true
-	if verdict := r.Verdict(); verdict != NotJudged {
+	if verdict := r.Verdict(); verdict != Inconclusive {
 		t.Error(verdict)
 	}
 	over := usual
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -58,9 +58,9 @@
 
 // The verdicts, from best to worst.
 const (
-	Within    Verdict = iota
-	NotJudged         // the machine was too busy on at least one day
-	Over              // at least one row is over its limit
+	Within       Verdict = iota
+	Inconclusive         // the machine was too busy on at least one day
+	Over                 // at least one row is over its limit
 )
 
 // String returns the verdict in one line.
@@ -82,7 +82,7 @@
 func (r *Report) dayVerdict(result *DayResult) Verdict {
 	first := r.first(result.Day)
 	if first == nil || first.Busy || result.Busy {
-		return NotJudged
+		return Inconclusive
 	}
 	for row := range rowCount {
 		if !row.Within(result.Figures[row], row.Limit(first.Figures[row], result.Caches)) {
