--- a/internal/emulator/simulation/decisions_test.go
+++ b/internal/emulator/simulation/decisions_test.go
@@ -175,9 +175,9 @@
 	return may
 }
 
-// EndpointStates passes on the states of endpoints: the dispatcher looks for this method beside the interface.
-func (d *hashingDecider) EndpointStates(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
-	d.Decider.(*policy.Router).EndpointStates(now, func(id policy.EndpointID, s policy.EndpointState) {
+// NotifyStateChanges passes on the states of endpoints: the dispatcher looks for this method beside the interface.
+func (d *hashingDecider) NotifyStateChanges(now policy.Instant, tell func(policy.EndpointID, policy.EndpointState)) {
+	d.Decider.(*policy.Router).NotifyStateChanges(now, func(id policy.EndpointID, s policy.EndpointState) {
 		d.text(string(id))
 		d.numbers(uint64(s))
 		tell(id, s)
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -94,16 +94,16 @@
 	f.Decider.UpdateEndpoints(now, kind, endpoints)
 }
 
-// EndpointStates passes on the endpoint states of the wrapped Decider, if it reports any.
-func (f *Filter) EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState)) {
+// NotifyStateChanges passes on the endpoint states of the wrapped Decider, if it reports any.
+func (f *Filter) NotifyStateChanges(now policy.Instant, report func(policy.EndpointID, policy.EndpointState)) {
 	if d, ok := f.Decider.(endpointStateReporter); ok {
-		d.EndpointStates(now, report)
+		d.NotifyStateChanges(now, report)
 	}
 }
 
 // endpointStateReporter is an optional interface of a Decider that reports the states of its endpoints.
 type endpointStateReporter interface {
-	EndpointStates(now policy.Instant, report func(policy.EndpointID, policy.EndpointState))
+	NotifyStateChanges(now policy.Instant, report func(policy.EndpointID, policy.EndpointState))
 }
 
 // evaluate evaluates the level if that is due, and calls levelChanged after a change.
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -54,7 +54,7 @@
 		}
 	}
 	if states, ok := d.decider.(endpointStateReporter); ok && d.observer != nil {
-		states.EndpointStates(now, func(id policy.EndpointID, state policy.EndpointState) {
+		states.NotifyStateChanges(now, func(id policy.EndpointID, state policy.EndpointState) {
 			d.observer.EndpointStateChanged(now, id, state)
 		})
 	}
--- a/internal/proxy/dispatch/interfaces.go
+++ b/internal/proxy/dispatch/interfaces.go
@@ -62,6 +62,6 @@
 
 // endpointStateReporter is an optional interface of a Decider that reports the states of its endpoints.
 type endpointStateReporter interface {
-	// EndpointStates calls f for each endpoint whose state has changed since the last call.
-	EndpointStates(now policy.Instant, f func(policy.EndpointID, policy.EndpointState))
+	// NotifyStateChanges calls f for each endpoint whose state has changed since the last call.
+	NotifyStateChanges(now policy.Instant, f func(policy.EndpointID, policy.EndpointState))
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -76,7 +76,7 @@
 			router := New(0, 1, testSettings())
 			router.UpdateEndpoints(0, CompleteUpdate, testFleet(n, true))
 			for b.Loop() {
-				router.EndpointStates(Instant(time.Second), func(EndpointID, EndpointState) {})
+				router.NotifyStateChanges(Instant(time.Second), func(EndpointID, EndpointState) {})
 			}
 		})
 	}
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -205,7 +205,7 @@
 		d.record(uint64(c.Kind))
 		d.recordText(string(c.Endpoint))
 	}
-	d.router.EndpointStates(d.now, func(id policy.EndpointID, s policy.EndpointState) {
+	d.router.NotifyStateChanges(d.now, func(id policy.EndpointID, s policy.EndpointState) {
 		d.recordText(string(id))
 		d.record(uint64(s))
 	})
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -16,7 +16,7 @@
 	health   observedHealth // written by outlierDetector
 	// nextAttemptAt is when the next attempt may start in slow start; 0 before the first. Written by slowStart.
 	nextAttemptAt Instant
-	// notifiedState is the state that observers were last notified of. Written by Router.EndpointStates.
+	// notifiedState is the state that observers were last notified of. Written by Router.NotifyStateChanges.
 	notifiedState EndpointState
 }
 
--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -22,9 +22,9 @@
 	return [...]string{"in use", "warming", "crowded", "erring", "quiet", "refusing", "drains"}[s]
 }
 
-// EndpointStates calls observe for each cache whose state differs from the one that observe last got for it, at first
+// NotifyStateChanges calls observe for each cache whose state differs from the one that observe last got for it, at first
 // StateInUse.
-func (router *Router) EndpointStates(now Instant, observe func(EndpointID, EndpointState)) {
+func (router *Router) NotifyStateChanges(now Instant, observe func(EndpointID, EndpointState)) {
 	delay := router.latency.queueDelay() // once for all caches: this runs ten times a second over thousands of them
 	maxQueueing := float64(delay.maxQueueingTime(router.settings.longestObjective()))
 	for _, u := range router.endpoints.caches {
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -44,8 +44,8 @@
 				}
 				notified = append(notified, state)
 			}
-			h.router.EndpointStates(now, observe)
-			h.router.EndpointStates(now, observe)
+			h.router.NotifyStateChanges(now, observe)
+			h.router.NotifyStateChanges(now, observe)
 			if len(notified) != 1 || notified[0] != c.state || notified[0].String() != c.name {
 				t.Errorf("observers were notified of %v, want %v once", notified, c.state)
 			}
