--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -21,10 +21,10 @@
 	Lifetime time.Duration
 }
 
-// Judge decides whether a response may be served for a request. requested and received are the times at which the
+// Evaluate decides whether a response may be served for a request. requested and received are the times at which the
 // request was sent and its response arrived. failed reports that revalidation got no answer or an error, in which case
 // stale-if-error may apply.
-func Judge(q *Request, r *Response, requested, received, now time.Time, rules Rules, failed bool) Verdict {
+func Evaluate(q *Request, r *Response, requested, received, now time.Time, rules Rules, failed bool) Verdict {
 	lifetime, _ := r.Lifetime(received, rules)
 	v := Verdict{Age: r.CurrentAge(requested, received, now, rules), Lifetime: lifetime}
 	v.Use, v.Reason = forbidden(q, r)
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -108,7 +108,7 @@
 		q.Control.Parse([]byte(c.request))
 		q.HasAuthorization = c.request == "Authorization"
 		failed := c.request == "failed"
-		v := Judge(q, responseOf(c.response), received, received, received, Rules{}, failed)
+		v := Evaluate(q, responseOf(c.response), received, received, received, Rules{}, failed)
 		if v.Use != c.want {
 			t.Errorf("%s: %q for %q: %+v, want %v", c.section, c.response, c.request, v, c.want)
 		}
@@ -119,7 +119,7 @@
 func TestHeuristicLifetime(t *testing.T) {
 	rules := Rules{HeuristicFraction: 0.1, MaxHeuristicLifetime: time.Hour}
 	judge := func(text string) Verdict {
-		return Judge(&Request{}, responseOf(text), received, received, received, rules, false)
+		return Evaluate(&Request{}, responseOf(text), received, received, received, rules, false)
 	}
 	if v := judge("Date: -10|Last-Modified: -1000"); v.Use != Fresh || v.Lifetime != 99*time.Second {
 		t.Errorf("%+v", v)
@@ -151,7 +151,7 @@
 		r.Control.Parse(fmt.Appendf(nil, "stale-while-revalidate=%d", stale/time.Second))
 		now := received.Add(drawTime(0, 100, "kept here"))
 
-		v := Judge(&Request{}, r, requested, received, now, Rules{MaxClockSkew: clockOff * time.Second}, false)
+		v := Evaluate(&Request{}, r, requested, received, now, Rules{MaxClockSkew: clockOff * time.Second}, false)
 		trueAge := now.Sub(made)
 		allowed := maxAge + time.Second
 		if v.Use == Stale {
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -127,7 +127,7 @@
 		MaxHeuristicLifetime: h.servers.MaxHeuristic(),
 	}
 	accepted := &request.httpDetails().freshness
-	verdict := freshness.Judge(accepted, &response, request.attemptSentAt, now, now, rules, false)
+	verdict := freshness.Evaluate(accepted, &response, request.attemptSentAt, now, now, rules, false)
 	if verdict.Use <= freshness.Stale {
 		return true
 	}
