--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -38,7 +38,7 @@
 // SetAge parses the value of the Age field. Of several numbers it uses the first.
 func (r *Response) SetAge(line []byte) {
 	first, _, _ := bytes.Cut(line, []byte(","))
-	if d, ok := Seconds(bytes.TrimSpace(first)); ok {
+	if d, ok := ParseDeltaSeconds(bytes.TrimSpace(first)); ok {
 		r.Age = DeltaSeconds{Present: true, Duration: d}
 	}
 }
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -14,7 +14,7 @@
 
 // set parses a value. A value that is not a number, or that differs from an earlier one, makes s invalid.
 func (s *DeltaSeconds) set(value []byte, hasValue bool) {
-	d, ok := Seconds(value)
+	d, ok := ParseDeltaSeconds(value)
 	if !hasValue || !ok || s.Present && d != s.Duration {
 		s.Invalid = true
 		s.Present = true
@@ -27,8 +27,8 @@
 // allows reports whether s is valid and d does not exceed it.
 func (s DeltaSeconds) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
 
-// Seconds parses delta-seconds, which consist of digits only. Larger numbers are reduced to MaxDelta.
-func Seconds(digits []byte) (time.Duration, bool) {
+// ParseDeltaSeconds parses delta-seconds, which consist of digits only. Larger numbers are reduced to MaxDelta.
+func ParseDeltaSeconds(digits []byte) (time.Duration, bool) {
 	const most = int64(MaxDelta / time.Second)
 	if len(digits) == 0 {
 		return 0, false
