--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -116,8 +116,8 @@
 	return len(line), equals
 }
 
-// Pragma reports whether a Pragma field line contains no-cache. It applies only without Cache-Control (5.4).
-func Pragma(line []byte) bool {
+// PragmaHasNoCache reports whether a PragmaHasNoCache field line contains no-cache. It applies only without Cache-Control (5.4).
+func PragmaHasNoCache(line []byte) bool {
 	var d Directives
 	d.Parse(line)
 	return d.NoCache
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -218,7 +218,7 @@
 			hasCacheControl = true
 		}
 	})
-	if !hasCacheControl && freshness.Pragma(request.Header("Pragma")) {
+	if !hasCacheControl && freshness.PragmaHasNoCache(request.Header("Pragma")) {
 		d.freshness.Control.NoCache = true
 	}
 }
