--- a/internal/freshness/key_test.go
+++ b/internal/freshness/key_test.go
@@ -11,8 +11,8 @@
 		{"n", "http://n", "n", "/"},
 		{"n", "HTTP://n?q", "n", "/?q"},
 	} {
-		a, okA := Key([]byte(c.host), []byte(c.target))
-		b, okB := Key([]byte(c.sameHost), []byte(c.sameTarget))
+		a, okA := CacheKey([]byte(c.host), []byte(c.target))
+		b, okB := CacheKey([]byte(c.sameHost), []byte(c.sameTarget))
 		if !okA || !okB || a != b {
 			t.Errorf("%+v: %q %q", c, a, b)
 		}
@@ -31,8 +31,8 @@
 		{"//a", "/a"},
 		{"/a+b", "/a%20b"},
 	} {
-		a, okA := Key([]byte("n"), []byte(c.target))
-		b, okB := Key([]byte("n"), []byte(c.other))
+		a, okA := CacheKey([]byte("n"), []byte(c.target))
+		b, okB := CacheKey([]byte("n"), []byte(c.other))
 		if !okA || !okB || a == b {
 			t.Errorf("%q and %q: %q", c.target, c.other, a)
 		}
@@ -41,7 +41,7 @@
 
 func TestKeyRejectsInvalidTargets(t *testing.T) {
 	for _, target := range []string{"", "a", "*", "/a#b", "/%", "/%4", "/%zz", "https://n/a", "http://u@n/a"} {
-		if key, ok := Key([]byte("n"), []byte(target)); ok {
+		if key, ok := CacheKey([]byte("n"), []byte(target)); ok {
 			t.Errorf("target %q got key %q", target, key)
 		}
 	}
--- a/internal/proxy/downstream_http_route.go
+++ b/internal/proxy/downstream_http_route.go
@@ -20,7 +20,7 @@
 // route determines what an HTTP request is for, and converts it to a request of the node. It returns a rejection if the
 // request can't be served, otherwise nil.
 func (h *httpDownstream) route(request *http1.Request, parsed *parsedRequest) *httpRejection {
-	target, ok := freshness.Key(nil, request.Target)
+	target, ok := freshness.CacheKey(nil, request.Target)
 	if !ok {
 		return badRequest("a target that can't be read")
 	}
