--- a/internal/proxy/upstream_meta.go
+++ b/internal/proxy/upstream_meta.go
@@ -45,7 +45,7 @@
 		identified: idMatches,
 	}
 	isValue := answer.Kind == meta.Value && !request.write
-	isReceipt := answer.Kind == meta.Done && request.write
+	isReceipt := answer.Kind == meta.Receipt && request.write
 	switch {
 	case err != nil:
 	case idMatches && (isValue || isReceipt):
--- a/internal/wire/meta/response.go
+++ b/internal/wire/meta/response.go
@@ -20,12 +20,12 @@
 
 // The kinds of responses. Those up to Miss repeat the id of their command.
 const (
-	Value  ResponseKind = iota // a value was read
-	Done                       // the receipt of a write
-	Miss                       // the cache has no value for the key
-	Failed                     // the command failed and may have run
-	Busy                       // the command was rejected and has not run
-	Up                         // the cache serves requests: the response to a health check
+	Value   ResponseKind = iota // a value was read
+	Receipt                     // the receipt of a write
+	Miss                        // the cache has no value for the key
+	Failed                      // the command failed and may have run
+	Busy                        // the command was rejected and has not run
+	Up                          // the cache serves requests: the response to a health check
 )
 
 // Response is a response of a cache. It refers to the buffer that it was read from.
@@ -49,7 +49,7 @@
 
 var responseKinds = map[string]ResponseKind{
 	wordValue: Value,
-	wordDone:  Done,
+	wordDone:  Receipt,
 	wordMiss:  Miss,
 	wordError: Failed,
 	wordReady: Up,
@@ -94,7 +94,7 @@
 		}
 		rest = flags
 		size += valueSize
-	case Done:
+	case Receipt:
 		a.Value, _ = Flag(rest, flagReceipt)
 		if !IsWord(a.Value) {
 			return a, 0, errUnknownResponse
