--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -185,7 +185,7 @@
 		case resp.StatusCode != 200:
 			return "SERVER_ERROR failed\r\n"
 		case c.Verb == meta.Set:
-			return string(meta.AppendDone(nil, c.ID, body))
+			return string(meta.AppendReceipt(nil, c.ID, body))
 		}
 		return string(meta.AppendValue(nil, c.ID, body))
 	}
--- a/internal/proxy/downstream_meta.go
+++ b/internal/proxy/downstream_meta.go
@@ -79,7 +79,7 @@
 func (metaDownstream) valueTrailer() string { return meta.LineEnd }
 
 func (metaDownstream) writeReceipt(request *clientRequest, response *upstreamResponse) []byte {
-	return meta.AppendDone(nil, request.id, response.body)
+	return meta.AppendReceipt(nil, request.id, response.body)
 }
 
 func (metaDownstream) rejected(_ *clientRequest, retryAfter time.Duration) []byte {
--- a/internal/wire/meta/response.go
+++ b/internal/wire/meta/response.go
@@ -154,8 +154,8 @@
 	return append(to, LineEnd...)
 }
 
-// AppendDone appends the receipt of a write.
-func AppendDone(to, id, receipt []byte) []byte {
+// AppendReceipt appends the receipt of a write.
+func AppendReceipt(to, id, receipt []byte) []byte {
 	to = append(to, wordDone+" "...)
 	to = append(to, flagID)
 	to = append(to, id...)
