--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -106,7 +106,7 @@
 // nodes, nobody could read a line for each.
 func (p *Proxy) onPollFailed() {
 	watch := &p.endpoints.watch
-	p.metrics.counters.Reconnects++
+	p.metrics.counters.FailedPolls++
 	watch.conn = 0
 	watch.pollNumber++
 	failure := watch.failure
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -35,7 +35,7 @@
 
 	// Discovery.
 	EndpointUpdates  uint64 // endpoint lists received
-	Reconnects       uint64 // polls after one that failed
+	FailedPolls      uint64 // polls after one that failed
 	DiscoveryChanges uint64 // changes of the discovery server's address
 
 	// The event loop.
@@ -73,7 +73,7 @@
 	f("reused", c.Reused)
 	f("probes", c.HealthChecks)
 	f("lists", c.EndpointUpdates)
-	f("reconnects", c.Reconnects)
+	f("reconnects", c.FailedPolls)
 	f("moves", c.DiscoveryChanges)
 	f("idle_closed", c.IdleClosed)
 	f("room_closed", c.EvictedConns)
--- a/internal/proxy/metrics/counters_test.go
+++ b/internal/proxy/metrics/counters_test.go
@@ -21,7 +21,7 @@
 	c := Counters{
 		Clients: 1, Requests: 2, Malformed: 3, Satisfied: 4, Rejected: 5, Failed: 6, NotAccepted: 7, ClientsGone: 8,
 		ClientsGoneUnsent: 9, ClientTimeouts: 10, Attempts: 11, Dials: 12, Reused: 13, HealthChecks: 14,
-		EndpointUpdates: 15, Reconnects: 16, DiscoveryChanges: 17, IdleClosed: 18, EvictedConns: 19, ProtocolErrors: 20,
+		EndpointUpdates: 15, FailedPolls: 16, DiscoveryChanges: 17, IdleClosed: 18, EvictedConns: 19, ProtocolErrors: 20,
 		ServerFull: 21, Level: 22, Shed: 23, Stalls: 24, LongestIterationMs: 25, AnsweredLate: 26,
 	}
 	for i := range c.Outcomes {
