--- a/internal/proxy/admin/handler.go
+++ b/internal/proxy/admin/handler.go
@@ -26,17 +26,17 @@
 // loopStuckText is the response text while the event loop does not respond.
 const loopStuckText = "stuck: the loop takes nothing"
 
-// ErrShuttingDown is returned by Node.Standby and Node.Active once the node is shutting down.
+// ErrShuttingDown is returned by Node.Standby and Node.Activate once the node is shutting down.
 var ErrShuttingDown = errors.New("the node is ending")
 
 // Node is the node that the server reports on and controls. Its methods may be called from any goroutine.
 type Node interface {
 	// Metrics returns the latest snapshot.
 	Metrics() *metrics.Snapshot
-	// Standby stops serving clients, and Active resumes it. Both return once that is done; they return ErrShuttingDown
+	// Standby stops serving clients, and Activate resumes it. Both return once that is done; they return ErrShuttingDown
 	// if the node is shutting down.
 	Standby(context.Context) error
-	Active(context.Context) error
+	Activate(context.Context) error
 }
 
 // Fleet is a node's view of the fleet. Its methods may be called from any goroutine.
@@ -56,7 +56,7 @@
 		_, _ = w.Write(node.Metrics().Text())
 	})
 	mux.HandleFunc("PUT /standby", commandHandler("standby", node.Standby, log))
-	mux.HandleFunc("PUT /active", commandHandler("active", node.Active, log))
+	mux.HandleFunc("PUT /active", commandHandler("active", node.Activate, log))
 	if fleet != nil {
 		mux.HandleFunc("GET /fleet/status", func(w http.ResponseWriter, _ *http.Request) {
 			status, connected := fleet.FleetStatus()
--- a/internal/proxy/admin/server_test.go
+++ b/internal/proxy/admin/server_test.go
@@ -32,8 +32,8 @@
 	return n.err
 }
 
-// Active blocks until ctx ends if n.err is context.DeadlineExceeded, as it does while the event loop is stuck.
-func (n *fakeNode) Active(ctx context.Context) error {
+// Activate blocks until ctx ends if n.err is context.DeadlineExceeded, as it does while the event loop is stuck.
+func (n *fakeNode) Activate(ctx context.Context) error {
 	n.commands = append(n.commands, "active")
 	if errors.Is(n.err, context.DeadlineExceeded) {
 		<-ctx.Done()
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -5,7 +5,7 @@
 // # Use
 //
 // New opens the listeners and starts a node from a Config. Run is its event loop and returns once the node has
-// stopped. Shutdown, Standby, Active, SetDiscovery, Counters and Metrics may be called from any goroutine.
+// stopped. Shutdown, Standby, Activate, SetDiscovery, Counters and Metrics may be called from any goroutine.
 //
 // # Path of a request
 //
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -16,13 +16,13 @@
 	standbyServeTime = 2 * time.Second
 )
 
-// Standby takes the node out of service: it drains without stopping. Active ends that. Both may be called from any
+// Standby takes the node out of service: it drains without stopping. Activate ends that. Both may be called from any
 // goroutine, and more than once. They return admin.ErrShuttingDown if the node is draining or has stopped, and ctx's
 // error if ctx ends first; the command may be executed all the same then.
 func (p *Proxy) Standby(ctx context.Context) error { return p.runCommand(ctx, p.enterStandby) }
 
-// Active returns the node to service after Standby.
-func (p *Proxy) Active(ctx context.Context) error { return p.runCommand(ctx, p.leaveStandby) }
+// Activate returns the node to service after Standby.
+func (p *Proxy) Activate(ctx context.Context) error { return p.runCommand(ctx, p.leaveStandby) }
 
 // runCommand runs an operator's command in the event loop, and waits for its result until ctx ends.
 func (p *Proxy) runCommand(ctx context.Context, command func() error) error {
--- a/internal/proxy/standby_test.go
+++ b/internal/proxy/standby_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a load balancer that keeps sending clients to a node which operators took out of service, for as long
 // as it runs. In standby, the node must fail readiness checks at once, serve the requests it has and those that still
-// arrive, close clients as they become idle, and keep its connections to endpoints. After Active it must serve again.
+// arrive, close clients as they become idle, and keep its connections to endpoints. After Activate it must serve again.
 func TestStandbyAndActiveLoseNoRequests(t *testing.T) {
 	hold := make(chan bool)
 	g := newHarness(t, 200, blockRequestA(hold), withMetrics)
@@ -44,7 +44,7 @@
 	}
 	dials := g.Counters().Dials
 	for range 2 {
-		expectCommand(t, g.Active, nil)
+		expectCommand(t, g.Activate, nil)
 	}
 	back, backAnswers := g.client()
 	fmt.Fprint(back, "mn\r\nmg k v Oe Pc=read,d=9000\r\n")
@@ -54,10 +54,10 @@
 		t.Errorf("%+v", n)
 	}
 	expectCommand(t, g.Standby, nil)
-	expectCommand(t, g.Active, nil)
+	expectCommand(t, g.Activate, nil)
 	g.runInLoop(func() { g.startDrain() })
 	expectCommand(t, g.Standby, admin.ErrShuttingDown)
-	expectCommand(t, g.Active, admin.ErrShuttingDown)
+	expectCommand(t, g.Activate, admin.ErrShuttingDown)
 }
 
 // expectCommand runs an operator's command and compares its result.
