--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -10,9 +10,9 @@
 	"dahliapin/policy"
 )
 
-// LevelChanged is called after each change of the level, with its number, 0 for normal operation, and its configured
+// LevelChangeFunc is called after each change of the level, with its number, 0 for normal operation, and its configured
 // name.
-type LevelChanged func(now policy.Instant, level int, name string)
+type LevelChangeFunc func(now policy.Instant, level int, name string)
 
 // Filter is a Decider that wraps another one and sheds new requests according to the degradation level. Decisions about
 // admitted requests are those of the wrapped Decider.
@@ -23,14 +23,14 @@
 	shedClasses  []map[policy.ClassID]bool // by level; index 0 is level 1
 	origin       policy.EndpointID         // empty if there is none, or it is not known yet
 	random       keyhash.Source
-	levelChanged LevelChanged
+	levelChanged LevelChangeFunc
 	shedCount    *uint64 // counter of shed requests; owned by the caller of NewFilter
 }
 
 // NewFilter returns a Filter that wraps decider. The Filter calls levelChanged from within its own methods, and counts
 // the requests that it sheds in shedCount.
 func NewFilter(decider dispatch.Decider, now policy.Instant, seed uint32, levels []listeners.Level,
-	deployment *settings.Settings, levelChanged LevelChanged, shedCount *uint64) *Filter {
+	deployment *settings.Settings, levelChanged LevelChangeFunc, shedCount *uint64) *Filter {
 	f := &Filter{
 		Decider:      decider,
 		controller:   NewController(now, levels),
