--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -76,7 +76,7 @@
 	case <-server.Done():
 	}
 	server.Close()
-	return server.Fault()
+	return server.Err()
 }
 
 func openTrace(path string) (*os.File, error) {
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -133,8 +133,8 @@
 // Done returns a channel that is closed when the server stops. Fault then returns the reason.
 func (s *Server) Done() <-chan struct{} { return s.closed }
 
-// Fault returns why the server stopped by itself, such as a failed write to disk; nil if it was closed or still runs.
-func (s *Server) Fault() error {
+// Err returns why the server stopped by itself, such as a failed write to disk; nil if it was closed or still runs.
+func (s *Server) Err() error {
 	if err := s.fault.Load(); err != nil {
 		return *err
 	}
--- a/internal/control/controlserver/server_test.go
+++ b/internal/control/controlserver/server_test.go
@@ -74,7 +74,7 @@
 	if err != nil || !o.CaughtUp() || len(o.Nodes) != 24 || o.Last != 1012 || len(o.Servers) != testServers {
 		t.Errorf("%v: %+v", err, o)
 	}
-	if err := c.servers[leader].Fault(); err != nil {
+	if err := c.servers[leader].Err(); err != nil {
 		t.Error(err)
 	}
 }
@@ -126,7 +126,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the server still runs")
 	}
-	if err := c.servers[leader].Fault(); err == nil || !strings.Contains(err.Error(), "no space left") {
+	if err := c.servers[leader].Err(); err == nil || !strings.Contains(err.Error(), "no space left") {
 		t.Errorf("the server stopped with %v", err)
 	}
 }
