--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -131,10 +131,10 @@
 // Cursor.SafeAfterRestart. While the list names the same process, that index is raised to the newest purge that arrived
 // at least maxListLag plus LongestFill ago: all fills of values from before it are over, even if the list lags.
 func (c *Cache) OnListed(now monotime.Instant, started Incarnation, arrivals *ArrivalTimes) {
-	if started < c.cursor.Started { // an older list, or a clock set back: purges were done at the later process
+	if started < c.cursor.Incarnation { // an older list, or a clock set back: purges were done at the later process
 		return
 	}
-	if started > c.cursor.Started {
+	if started > c.cursor.Incarnation {
 		c.restarted(now, started)
 	}
 	if c.cursor.Log == arrivals.logID {
@@ -145,7 +145,7 @@
 
 // restarted resets the state for a later process of the cache.
 func (c *Cache) restarted(now monotime.Instant, started Incarnation) {
-	c.cursor.Started = started
+	c.cursor.Incarnation = started
 	if c.cursor.Log != 0 {
 		c.cursor.Done = c.cursor.SafeAfterRestart
 		c.quickDeleted = c.done()
@@ -161,7 +161,7 @@
 // MergeCursor adopts the cursor of another control server for the same process of the cache, if it is ahead or
 // there is no cursor yet.
 func (c *Cache) MergeCursor(other Cursor) {
-	if other.Log == 0 || other.Started != c.cursor.Started {
+	if other.Log == 0 || other.Incarnation != c.cursor.Incarnation {
 		return
 	}
 	further := other.Log == c.cursor.Log && other.Done > c.cursor.Done
@@ -175,7 +175,7 @@
 	c.switchLog(log)
 	c.cursor = Cursor{
 		Log:              log,
-		Started:          c.cursor.Started,
+		Incarnation:      c.cursor.Incarnation,
 		Done:             done,
 		SafeAfterRestart: c.cursor.safeAfterRestart(log),
 	}
--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -235,10 +235,10 @@
 	b.publish("c")
 	b.OnListed(b.now, 5, &b.arrivals)
 	b.expect("an older list", "13 ", 2)
-	if b.Cursor().Started != 6 {
+	if b.Cursor().Incarnation != 6 {
 		t.Error("older process accepted as a later one")
 	}
-	b.MergeCursor(Cursor{Log: 7, Started: 5, Done: 3})
+	b.MergeCursor(Cursor{Log: 7, Incarnation: 5, Done: 3})
 	if b.Cursor().Done != 2 {
 		t.Error("cursor of another process adopted")
 	}
--- a/internal/control/purge/cursor.go
+++ b/internal/control/purge/cursor.go
@@ -11,9 +11,9 @@
 
 // Cursor is the position up to which purges are done at a cache.
 type Cursor struct {
-	Log     replicatedlog.LogID // the log that the indexes belong to; 0 for none yet
-	Started Incarnation         // the process of the cache
-	Done    replicatedlog.Index
+	Log         replicatedlog.LogID // the log that the indexes belong to; 0 for none yet
+	Incarnation Incarnation         // the process of the cache
+	Done        replicatedlog.Index
 	// SafeAfterRestart is the index up to which a later process of the cache needs no purges: it starts empty, and all
 	// fills of older values were over when it was started.
 	SafeAfterRestart replicatedlog.Index
--- a/internal/control/purge/model_test.go
+++ b/internal/control/purge/model_test.go
@@ -216,7 +216,7 @@
 	before := m.Cursor()
 	m.OnListed(m.now, m.listed, &m.arrivals)
 	if m.keepsCursor && m.Cursor().Done < before.Done {
-		m.forceCursor(Cursor{Log: before.Log, Started: m.listed, Done: before.Done})
+		m.forceCursor(Cursor{Log: before.Log, Incarnation: m.listed, Done: before.Done})
 	}
 }
 
@@ -228,7 +228,7 @@
 		}
 		m.sendAll()
 		if m.startsAtNewest && m.cutSteps+m.downSteps == 1 {
-			m.forceCursor(Cursor{Log: m.log.id, Started: m.listed, Done: m.log.last()})
+			m.forceCursor(Cursor{Log: m.log.id, Incarnation: m.listed, Done: m.log.last()})
 		}
 		return
 	}
--- a/internal/control/purger/cursorstore.go
+++ b/internal/control/purger/cursorstore.go
@@ -50,7 +50,7 @@
 	encoded := make([]byte, 0, cursorBytes)
 	encoded = append(encoded, cursorVersion)
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Log))
-	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Started))
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Incarnation))
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(c.Done))
 	return binary.BigEndian.AppendUint64(encoded, uint64(c.SafeAfterRestart))
 }
@@ -61,7 +61,7 @@
 	}
 	return purge.Cursor{
 		Log:              replicatedlog.LogID(binary.BigEndian.Uint64(encoded[1:])),
-		Started:          purge.Incarnation(binary.BigEndian.Uint64(encoded[9:])),
+		Incarnation:      purge.Incarnation(binary.BigEndian.Uint64(encoded[9:])),
 		Done:             replicatedlog.Index(binary.BigEndian.Uint64(encoded[17:])),
 		SafeAfterRestart: replicatedlog.Index(binary.BigEndian.Uint64(encoded[25:])),
 	}, true
--- a/internal/control/purger/golden_test.go
+++ b/internal/control/purger/golden_test.go
@@ -19,8 +19,8 @@
 // Cursors written by an earlier version must stay readable, so that done purges are not repeated.
 func TestCursorsOfEarlierVersionAreReadable(t *testing.T) {
 	want := map[purge.CacheID]purge.Cursor{
-		"c1": {Log: 7, Started: 1_700_000_000_123, Done: 41, SafeAfterRestart: 12},
-		"c2": {Log: 8, Started: 0, Done: 1, SafeAfterRestart: 0},
+		"c1": {Log: 7, Incarnation: 1_700_000_000_123, Done: 41, SafeAfterRestart: 12},
+		"c2": {Log: 8, Incarnation: 0, Done: 1, SafeAfterRestart: 0},
 	}
 	if *record {
 		if err := os.RemoveAll(recordedCursors); err != nil {
--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -75,7 +75,7 @@
 		case complete:
 			p.unlist(c)
 		default: // unchanged, and confirmed as of this time
-			p.setListed(listedCache{id: id, addr: c.addr, started: c.Cursor().Started}, at)
+			p.setListed(listedCache{id: id, addr: c.addr, started: c.Cursor().Incarnation}, at)
 		}
 	}
 	p.hasList = true
@@ -92,9 +92,9 @@
 		p.unlist(c)
 		return
 	}
-	before := c.Cursor().Started
+	before := c.Cursor().Incarnation
 	c.update(func() { c.OnListed(at, listed.started, &p.arrivals) })
-	moved := c.addr != listed.addr || c.Cursor().Started != before
+	moved := c.addr != listed.addr || c.Cursor().Incarnation != before
 	if c.stop != nil && moved {
 		p.unlist(c)
 	}
