--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -94,7 +94,7 @@
 func cacheStatuses(table controlwire.Message, responsive map[uint64]bool) []CacheStatus {
 	newestProcess := map[string]int64{} // by cache; purges done at an earlier process do not count
 	for _, report := range table.Caches {
-		newestProcess[report.Cache] = max(newestProcess[report.Cache], report.Started)
+		newestProcess[report.Cache] = max(newestProcess[report.Cache], report.Incarnation)
 	}
 	var caches []CacheStatus
 	for _, report := range table.Caches {
@@ -103,7 +103,7 @@
 			caches = append(caches, CacheStatus{Cache: report.Cache, Overdue: math.MaxUint64, Flushing: true})
 			n++
 		}
-		if report.OtherLog || report.Started < newestProcess[report.Cache] {
+		if report.OtherLog || report.Incarnation < newestProcess[report.Cache] {
 			report.Done = 0
 			report.QuickDeleted = 0
 		}
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -65,7 +65,7 @@
 		{"one has done all", func(*message) {}, true, []uint64{0}},
 		{"the one that did is silent", func(m *message) { m.Servers[0].AgeMs = 6000 }, true, []uint64{0}},
 		{"in another log", func(m *message) { m.Caches[0].OtherLog = true }, false, []uint64{5}},
-		{"at the process before", func(m *message) { m.Caches[1].Started = 5 }, false, []uint64{5}},
+		{"at the process before", func(m *message) { m.Caches[1].Incarnation = 5 }, false, []uint64{5}},
 		{"none has done all", func(m *message) { m.Caches[0].Done = 8 }, false, []uint64{1}},
 		{"a cache that only a silent one lists", func(m *message) {
 			m.Caches = append(m.Caches, progress("b", 2, 1))
--- a/internal/control/controlwire/golden_test.go
+++ b/internal/control/controlwire/golden_test.go
@@ -34,7 +34,7 @@
 				NoCacheList: true,
 			}},
 			Caches: []purge.Progress{{
-				Cache: "c1", Started: 5, Log: 99, Done: 6, QuickDeleted: 7, Overdue: 8, Flushing: true, Reason: "r",
+				Cache: "c1", Incarnation: 5, Log: 99, Done: 6, QuickDeleted: 7, Overdue: 8, Flushing: true, Reason: "r",
 				UnansweredMs: 9, Server: 1, AgeMs: 10, OtherLog: true,
 			}},
 		},
--- a/internal/control/purge/progress.go
+++ b/internal/control/purge/progress.go
@@ -4,7 +4,7 @@
 // operators.
 type Progress struct {
 	Cache        string `cbor:"1,keyasint"`
-	Started      int64  `cbor:"2,keyasint,omitempty"`  // the cache's Incarnation
+	Incarnation  int64  `cbor:"2,keyasint,omitempty"`  // the cache's Incarnation
 	Log          uint64 `cbor:"3,keyasint,omitempty"`  // the cursor's log
 	Done         uint64 `cbor:"4,keyasint,omitempty"`  // purges up to here are done
 	QuickDeleted uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
--- a/internal/control/purger/list_test.go
+++ b/internal/control/purger/list_test.go
@@ -107,7 +107,7 @@
 	discovery.set(cache(0, 9, "in_service"), cache(1, 5, "in_service"))
 	b.waitDone(0, "c0")
 	b.waitDone(0, "c1")
-	b.eventually("the new process is known", func() bool { return b.progress(0, "c0").Started == 9 })
+	b.eventually("the new process is known", func() bool { return b.progress(0, "c0").Incarnation == 9 })
 	if _, ok := b.caches[0].Serve("c"); ok {
 		t.Error("old value in a restarted cache")
 	}
--- a/internal/control/purger/progress.go
+++ b/internal/control/purger/progress.go
@@ -34,7 +34,7 @@
 	cursor := c.Cursor()
 	progress := purge.Progress{
 		Cache:        string(c.id),
-		Started:      int64(cursor.Incarnation),
+		Incarnation:  int64(cursor.Incarnation),
 		Log:          uint64(cursor.Log),
 		Done:         uint64(cursor.Done),
 		QuickDeleted: uint64(c.QuickDeleted()),
@@ -60,7 +60,7 @@
 		}
 		cursor := purge.Cursor{
 			Log:         replicatedlog.LogID(report.Log),
-			Incarnation: purge.Incarnation(report.Started),
+			Incarnation: purge.Incarnation(report.Incarnation),
 			Done:        replicatedlog.Index(report.Done),
 		}
 		c.update(func() { c.MergeCursor(cursor) })
