--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -22,7 +22,7 @@
 
 // Config configures how purges are carried out.
 type Config struct {
-	LongestFill     time.Duration // the longest time from a fill's read at the origin until the value is stored
+	MaxFillTime     time.Duration // the longest time from a fill's read at the origin until the value is stored
 	CommandInterval time.Duration // between two commands to a cache, after an initial burst
 }
 
@@ -117,7 +117,7 @@
 
 // Overdue returns the number of entries that should be done by now, if a purge may take LongestFill plus tolerance.
 func (c *Cache) Overdue(now monotime.Instant, arrivals *ArrivalTimes, tolerance time.Duration) uint64 {
-	due := arrivals.NewestAt(now.Add(-c.LongestFill - tolerance))
+	due := arrivals.NewestAt(now.Add(-c.MaxFillTime - tolerance))
 	if c.cursor.Log != arrivals.logID {
 		return uint64(due)
 	}
@@ -138,7 +138,7 @@
 		c.restarted(now, started)
 	}
 	if c.cursor.Log == arrivals.logID {
-		safe := arrivals.NewestAt(now.Add(-maxListLag - c.LongestFill))
+		safe := arrivals.NewestAt(now.Add(-maxListLag - c.MaxFillTime))
 		c.cursor.SafeAfterRestart = max(c.cursor.SafeAfterRestart, safe)
 	}
 }
--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -21,7 +21,7 @@
 	if b.QuickDeleted() != 5 {
 		t.Errorf("quick deletes are answered up to %d, want 5", b.QuickDeleted())
 	}
-	b.wait(testConfig.LongestFill - 1)
+	b.wait(testConfig.MaxFillTime - 1)
 	b.expect("while a fill may be under way", "", 0)
 	b.wait(1)
 	b.expect("then", "21 22 ", 0)
@@ -42,7 +42,7 @@
 	b.publish("a", "b", "c")
 	b.expect("at once", "11 12 13 ", 0)
 	b.answer(3)
-	b.wait(testConfig.LongestFill - 2*time.Second)
+	b.wait(testConfig.MaxFillTime - 2*time.Second)
 	b.expect("fills from before the first are over", "21 ", 0)
 	b.answer(1)
 	b.wait(2*time.Second - 1)
@@ -73,7 +73,7 @@
 	}
 	b.expect("again", "12 13 ", 0)
 	b.answer(2)
-	b.wait(testConfig.LongestFill)
+	b.wait(testConfig.MaxFillTime)
 	b.expect("confirming deletes", "21 22 23 ", 0)
 	b.answer(2)
 	b.OnDisconnect(b.now, 0)
@@ -135,7 +135,7 @@
 	}
 	b.answer(1)
 	b.expect("", "", 1)
-	if b.Overdue(b.now, &b.arrivals, 0) != 0 || b.Overdue(b.now.Add(testConfig.LongestFill), &b.arrivals, 0) != 1 {
+	if b.Overdue(b.now, &b.arrivals, 0) != 0 || b.Overdue(b.now.Add(testConfig.MaxFillTime), &b.arrivals, 0) != 1 {
 		t.Error("wrong number of overdue purges")
 	}
 }
@@ -161,7 +161,7 @@
 			b.answer(1)
 			b.expect("new purges continue", "14 ", cursor.Done)
 			b.answer(1)
-			b.wait(testConfig.LongestFill - 1)
+			b.wait(testConfig.MaxFillTime - 1)
 			b.expect("fills under way", "", cursor.Done)
 			b.wait(1)
 			b.expect("second flush", "L4 ", cursor.Done)
@@ -205,7 +205,7 @@
 	b.record()
 	b.expect("flush", "F0 ", 9)
 	b.answer(1)
-	b.wait(testConfig.LongestFill)
+	b.wait(testConfig.MaxFillTime)
 	b.expect("second flush", "L0 ", 9)
 	b.answer(1)
 	b.expect("", "", 0)
@@ -221,7 +221,7 @@
 	b.OnListed(b.now, 5, &b.arrivals)
 	b.publish("a")
 	b.expect("no answer while the cache is down", "11 ", 0)
-	b.wait(maxListLag + testConfig.LongestFill)
+	b.wait(maxListLag + testConfig.MaxFillTime)
 	b.OnListed(b.now, 5, &b.arrivals)
 	b.publish("b") // a fill from before may still reach the new process
 	b.expect("still down", "12 21 ", 0)
@@ -229,7 +229,7 @@
 	b.OnListed(b.now, 6, &b.arrivals)
 	b.expect("purges from before all its fills are left out", "12 ", 1)
 	b.answer(1)
-	b.wait(testConfig.LongestFill)
+	b.wait(testConfig.MaxFillTime)
 	b.expect("the others are not", "22 ", 1)
 	b.answer(1)
 	b.publish("c")
@@ -242,7 +242,7 @@
 	if b.Cursor().Done != 2 {
 		t.Error("cursor of another process adopted")
 	}
-	b.wait(2*maxListLag + testConfig.LongestFill)
+	b.wait(2*maxListLag + testConfig.MaxFillTime)
 	b.OnListed(b.now, 5, &b.arrivals)
 	b.OnListed(b.now, 7, &b.arrivals)
 	if b.Cursor().Done != 1 { // the older list had no effect; recent purges were done at the old process
--- a/internal/control/purge/helpers_test.go
+++ b/internal/control/purge/helpers_test.go
@@ -41,7 +41,7 @@
 	l.entries = append(l.entries, replicatedlog.Entry{Index: l.last() + 1, Proposal: p})
 }
 
-var testConfig = Config{LongestFill: 3 * time.Second, CommandInterval: 2 * time.Millisecond}
+var testConfig = Config{MaxFillTime: 3 * time.Second, CommandInterval: 2 * time.Millisecond}
 
 // bench is the state of one cache at one control server, with a log and a clock.
 type bench struct {
--- a/internal/control/purge/model_test.go
+++ b/internal/control/purge/model_test.go
@@ -32,11 +32,11 @@
 // detects such values.
 func TestNoValueIsOlderThanTheCursor(t *testing.T) {
 	for _, v := range []variant{
-		{name: "correct", fills: testConfig.LongestFill},
+		{name: "correct", fills: testConfig.MaxFillTime},
 		{name: "no confirming delete", breaks: true},
-		{name: "cursor ahead of the answers", fills: testConfig.LongestFill, cursorLeads: true, breaks: true},
-		{name: "reconnected cache assumed current", fills: testConfig.LongestFill, startsAtNewest: true, breaks: true},
-		{name: "cursor of the previous process kept", fills: testConfig.LongestFill, keepsCursor: true, breaks: true},
+		{name: "cursor ahead of the answers", fills: testConfig.MaxFillTime, cursorLeads: true, breaks: true},
+		{name: "reconnected cache assumed current", fills: testConfig.MaxFillTime, startsAtNewest: true, breaks: true},
+		{name: "cursor of the previous process kept", fills: testConfig.MaxFillTime, keepsCursor: true, breaks: true},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			oldValues := 0
@@ -107,7 +107,7 @@
 }
 
 func (m *model) config() Config {
-	return Config{LongestFill: m.variant.fills, CommandInterval: testConfig.CommandInterval}
+	return Config{MaxFillTime: m.variant.fills, CommandInterval: testConfig.CommandInterval}
 }
 
 func (m *model) chance(probability float64) bool { return m.random.Float64() < probability }
@@ -171,7 +171,7 @@
 func (m *model) fill() {
 	key := m.randomKey()
 	if m.downSteps == 0 && m.cached[key] == 0 {
-		storeAt := m.now.Add(m.randomDuration(float64(testConfig.LongestFill)))
+		storeAt := m.now.Add(m.randomDuration(float64(testConfig.MaxFillTime)))
 		m.fills = append(m.fills, modelFill{key: key, value: m.origin[key] + 1, storeAt: storeAt})
 	}
 	underWay := m.fills[:0]
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -100,7 +100,7 @@
 		}
 	}
 	if c.flush.firstAnswered {
-		dueAt := c.flush.firstSentAt.Add(c.LongestFill)
+		dueAt := c.flush.firstSentAt.Add(c.MaxFillTime)
 		if now < dueAt {
 			return Command{}, false, dueAt
 		}
@@ -118,7 +118,7 @@
 // nextQuickDelete returns the quick delete of the next purge that has had none. Purges whose confirming delete is due
 // get only that, as happens after the cache was unreachable for a while.
 func (c *Cache) nextQuickDelete(now monotime.Instant, log Log, arrivals *ArrivalTimes) (Command, bool) {
-	dueUpTo := arrivals.NewestAt(now.Add(-c.LongestFill)) // the newest entry whose confirming delete is due
+	dueUpTo := arrivals.NewestAt(now.Add(-c.MaxFillTime)) // the newest entry whose confirming delete is due
 	sent := max(c.quickSent, c.done())
 	if dueUpTo > sent && !c.flush.firstAnswered {
 		c.quickSkipped = dueUpTo
@@ -152,7 +152,7 @@
 			c.skip(ConfirmingDelete, index)
 			continue
 		}
-		dueAt := publishedBefore(index, log, arrivals).Add(c.LongestFill)
+		dueAt := publishedBefore(index, log, arrivals).Add(c.MaxFillTime)
 		if dueAt > now {
 			return Command{}, false, dueAt
 		}
@@ -240,7 +240,7 @@
 		if id == arrivals.logID && c.mustFlush(id, floor) {
 			// The purges covered by the first flush are done, and so are those that arrived at least LongestFill before
 			// the second flush was sent.
-			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.LongestFill))
+			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.MaxFillTime))
 			c.setCursor(id, max(c.flush.upTo, fillsOver))
 		}
 		c.flush.firstAnswered = false
