--- a/internal/config/fleetconfig/control_test.go
+++ b/internal/config/fleetconfig/control_test.go
@@ -43,7 +43,7 @@
 	if f.Self().Name != "control-1" || f.Bounds != DefaultControl().Bounds {
 		t.Errorf("%+v", f)
 	}
-	if f.Purges.MaxFill() != 3500*time.Millisecond || f.Purges.CommandInterval() != 2*time.Millisecond {
+	if f.Purges.MaxFillTime() != 3500*time.Millisecond || f.Purges.CommandInterval() != 2*time.Millisecond {
 		t.Errorf("%+v", f.Purges)
 	}
 }
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -56,8 +56,8 @@
 	c.InRange(p.FlushIntervalS, 0.1, 3600, "purges.flush_each_s")
 }
 
-// MaxFill returns MaxFillS as a duration.
-func (p *Purges) MaxFill() time.Duration { return seconds(p.MaxFillS) }
+// MaxFillTime returns MaxFillS as a duration.
+func (p *Purges) MaxFillTime() time.Duration { return seconds(p.MaxFillS) }
 
 // CommandInterval returns the time between commands to one cache, derived from CommandsPerSecond.
 func (p *Purges) CommandInterval() time.Duration { return seconds(1 / p.CommandsPerSecond) }
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -124,7 +124,7 @@
 	if len(p.caches) >= maxCursors && !p.evictUnlisted() {
 		return nil
 	}
-	config := purge.Config{MaxFillTime: p.Settings.MaxFill(), CommandInterval: p.Settings.CommandInterval()}
+	config := purge.Config{MaxFillTime: p.Settings.MaxFillTime(), CommandInterval: p.Settings.CommandInterval()}
 	c := &cache{
 		Cache:      purge.NewCache(config, cursor, p.Now()),
 		purger:     p,
