--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -45,7 +45,7 @@
 	WindowKiB  float64 `toml:"window_kb"`   // KiB sent to a node and not yet acknowledged
 	PaceMB     float64 `toml:"pace_mb_s"`   // MiB per second to all nodes that are catching up
 	Followers  int     `toml:"followers"`   // concurrent followers
-	HoldS      float64 `toml:"hold_s"`      // seconds for which entries are kept for a silent node
+	RetentionS float64 `toml:"hold_s"`      // seconds for which entries are kept for a silent node
 	ForgetS    float64 `toml:"forget_s"`    // seconds after which a silent node is no longer reported
 	ElectionMs float64 `toml:"election_ms"` // milliseconds without a leader until an election, up to twice that
 }
@@ -58,7 +58,7 @@
 		WindowKiB:  256,
 		PaceMB:     4,
 		Followers:  600,
-		HoldS:      7200,
+		RetentionS: 7200,
 		ForgetS:    86_400,
 		ElectionMs: 1200,
 	}}
@@ -140,7 +140,7 @@
 	c.InRange(b.WindowKiB, 16, 16_384, "bounds.window_kb")
 	c.InRange(b.PaceMB, 0.1, 1024, "bounds.pace_mb_s")
 	c.InRange(float64(b.Followers), 1, 100_000, "bounds.followers")
-	c.InRange(b.HoldS, 1, 86_400, "bounds.hold_s")
+	c.InRange(b.RetentionS, 1, 86_400, "bounds.hold_s")
 	c.InRange(b.ForgetS, 10, 30*86_400, "bounds.forget_s")
 	c.InRange(b.ElectionMs, 200, 60_000, "bounds.election_ms")
 }
@@ -157,7 +157,7 @@
 }
 
 // Hold returns HoldS as a duration.
-func (b *ControlBounds) Hold() time.Duration { return seconds(b.HoldS) }
+func (b *ControlBounds) Hold() time.Duration { return seconds(b.RetentionS) }
 
 // ForgetAfter returns ForgetS as a duration.
 func (b *ControlBounds) ForgetAfter() time.Duration { return seconds(b.ForgetS) }
--- a/internal/control/controlserver/leaderduties_test.go
+++ b/internal/control/controlserver/leaderduties_test.go
@@ -48,7 +48,7 @@
 	t.Parallel()
 	c := newCluster(t, func(file *fleetconfig.ControlFile) {
 		file.Bounds.Entries = 3000
-		file.Bounds.HoldS = 3600
+		file.Bounds.RetentionS = 3600
 	}, nil)
 	on, off := c.follow("one", 1), c.follow("off", 2)
 	c.publish(newPurges(0, 10))
