--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -156,8 +156,8 @@
 	return m
 }
 
-// Hold returns HoldS as a duration.
-func (b *ControlBounds) Hold() time.Duration { return seconds(b.RetentionS) }
+// Retention returns HoldS as a duration.
+func (b *ControlBounds) Retention() time.Duration { return seconds(b.RetentionS) }
 
 // ForgetAfter returns ForgetS as a duration.
 func (b *ControlBounds) ForgetAfter() time.Duration { return seconds(b.ForgetS) }
--- a/internal/control/controlserver/leaderduties.go
+++ b/internal/control/controlserver/leaderduties.go
@@ -23,7 +23,7 @@
 	if id == 0 {
 		l.proposeLogID()
 	}
-	nodeGracePeriod := l.server.File.Bounds.Hold()
+	nodeGracePeriod := l.server.File.Bounds.Retention()
 	if time.Since(l.lastTrim) < trimInterval {
 		return
 	}
