--- a/internal/config/listeners/file.go
+++ b/internal/config/listeners/file.go
@@ -33,7 +33,7 @@
 // File is the operator's listeners file.
 type File struct {
 	Listeners []Listener `toml:"listener"`
-	Servers   Servers    `toml:"servers"`
+	Servers   HTTPCaches `toml:"servers"`
 	Levels    []Level    `toml:"level"` // degradation levels, from the mildest to the hardest
 }
 
@@ -49,7 +49,7 @@
 
 // Parse decodes the text of a listeners file; path is its name in errors.
 func Parse(path string, text []byte, deployment *settings.Settings) (File, error) {
-	file := File{Servers: Servers{
+	file := File{Servers: HTTPCaches{
 		HealthCheckPath: defaultHealthCheckPath,
 		MaxHeuristicS:   defaultMaxHeuristicSeconds,
 	}}
--- a/internal/config/listeners/servers.go
+++ b/internal/config/listeners/servers.go
@@ -8,8 +8,8 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Servers configures the caches that speak HTTP and how long their responses are fresh.
-type Servers struct {
+// HTTPCaches configures the caches that speak HTTP and how long their responses are fresh.
+type HTTPCaches struct {
 	HTTPKinds       []string `toml:"http_kinds"`       // endpoint kinds of the caches that speak HTTP
 	Host            string   `toml:"host"`             // Host header of requests to them; empty for their addresses
 	HealthCheckPath string   `toml:"probe_path"`       // health check path: status 200 while the cache is up
@@ -19,14 +19,14 @@
 }
 
 // ClockOff returns the maximum offset of the clocks of HTTP caches.
-func (s *Servers) ClockOff() time.Duration { return fromSeconds(s.ClockOffS) }
+func (s *HTTPCaches) ClockOff() time.Duration { return fromSeconds(s.ClockOffS) }
 
 // MaxHeuristic returns the maximum freshness of a response without an explicit freshness lifetime.
-func (s *Servers) MaxHeuristic() time.Duration { return fromSeconds(s.MaxHeuristicS) }
+func (s *HTTPCaches) MaxHeuristic() time.Duration { return fromSeconds(s.MaxHeuristicS) }
 
 func fromSeconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-func (s *Servers) check(c *strictconfig.Checker, deployment *settings.Settings) {
+func (s *HTTPCaches) check(c *strictconfig.Checker, deployment *settings.Settings) {
 	for _, name := range s.HTTPKinds {
 		kind := deployment.Names.Kind([]byte(name))
 		if kind < 0 {
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -15,7 +15,7 @@
 // httpUpstream speaks HTTP/1.1 to caches that follow RFC 9111. The node itself caches nothing. It evaluates each
 // response, and one that must not be served counts as a cache miss, so that another replica or the origin is asked.
 type httpUpstream struct {
-	servers    *listeners.Servers
+	servers    *listeners.HTTPCaches
 	cacheAside bool // caches answer only from what they have stored and never ask the origin themselves
 }
 
--- a/internal/proxy/upstream_http_test.go
+++ b/internal/proxy/upstream_http_test.go
@@ -152,7 +152,7 @@
 	t.Helper()
 	stub := &cacheStub{response: cached}
 	g := newHarness(t, 200, stub.answer, withHTTPListeners, func(config *Config) {
-		config.Listeners.Servers = listeners.Servers{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
+		config.Listeners.Servers = listeners.HTTPCaches{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
 	})
 	request, _ := http.NewRequest("GET", "http://"+g.Addr(1)+"/p/"+key+"%2Fx?b=1", nil)
 	if name, value, ok := strings.Cut(header, ": "); ok {
@@ -243,7 +243,7 @@
 		{false, "204 No Content", metaWrite, policy.Answered, "204"},
 		{false, "503 Service Unavailable", metaWrite, policy.Errored, ""},
 	} {
-		codec := httpUpstream{servers: &listeners.Servers{ClockOffS: 1}, cacheAside: c.cacheAside}
+		codec := httpUpstream{servers: &listeners.HTTPCaches{ClockOffS: 1}, cacheAside: c.cacheAside}
 		message := []byte("HTTP/1.1 " + c.response + "\r\nContent-Length: 0\r\n\r\n")
 		response, _, _ := codec.readResponse(message, &c.request, false, new(http1.Progress))
 		if response.result != c.want || string(response.body) != c.wantBody {
