--- a/internal/config/listeners/file.go
+++ b/internal/config/listeners/file.go
@@ -32,9 +32,9 @@
 
 // File is the operator's listeners file.
 type File struct {
-	Listeners []Listener `toml:"listener"`
-	Servers   HTTPCaches `toml:"servers"`
-	Levels    []Level    `toml:"level"` // degradation levels, from the mildest to the hardest
+	Listeners  []Listener `toml:"listener"`
+	HTTPCaches HTTPCaches `toml:"servers"`
+	Levels     []Level    `toml:"level"` // degradation levels, from the mildest to the hardest
 }
 
 // Read reads a listeners file. The service classes, tenants and endpoint kinds that it names must be defined by the
@@ -49,7 +49,7 @@
 
 // Parse decodes the text of a listeners file; path is its name in errors.
 func Parse(path string, text []byte, deployment *settings.Settings) (File, error) {
-	file := File{Servers: HTTPCaches{
+	file := File{HTTPCaches: HTTPCaches{
 		HealthCheckPath: defaultHealthCheckPath,
 		MaxHeuristicS:   defaultMaxHeuristicSeconds,
 	}}
@@ -61,7 +61,7 @@
 	for i := range file.Listeners {
 		file.Listeners[i].check(c, "listener."+strconv.Itoa(i)+".", file.Listeners[:i], deployment)
 	}
-	file.Servers.check(c, deployment)
+	file.HTTPCaches.check(c, deployment)
 	CheckLevels(c, file.Levels, deployment)
 	return file, c.Err()
 }
--- a/internal/config/listeners/golden_test.go
+++ b/internal/config/listeners/golden_test.go
@@ -77,7 +77,7 @@
 			fmt.Fprintf(out, "route %q %q %q %q %v\n", r.Path, r.Methods, r.Class, r.Tenant, r.DeadlineMs)
 		}
 	}
-	s := &file.Servers
+	s := &file.HTTPCaches
 	fmt.Fprintf(out, "servers %q %q %q %v %v %v\n", s.HTTPKinds, s.Host, s.HealthCheckPath, s.ClockOff(), s.Heuristic,
 		s.MaxHeuristic())
 	for _, l := range file.Levels {
--- a/internal/proxy/downstream_http.go
+++ b/internal/proxy/downstream_http.go
@@ -42,7 +42,7 @@
 		names:           &p.config.Settings.Names,
 		needsKey:        map[string]bool{},
 		deadlines:       map[string]time.Duration{},
-		forwardsHeaders: len(p.config.Listeners.Servers.HTTPKinds) > 0,
+		forwardsHeaders: len(p.config.Listeners.HTTPCaches.HTTPKinds) > 0,
 		idPrefix:        fmt.Sprintf("h%x-%x-%d-", p.clock.startedAt.UnixNano(), uint64(p.config.Seed), number),
 	}
 	for name, class := range p.config.Settings.Names.Classes() {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -129,8 +129,8 @@
 	switch {
 	case p.isOrigin(kind):
 		return originUpstream{}
-	case slices.Contains(p.config.Listeners.Servers.HTTPKinds, kindName):
-		return httpUpstream{servers: &p.config.Listeners.Servers, cacheAside: p.config.Settings.Policy.CacheAside}
+	case slices.Contains(p.config.Listeners.HTTPCaches.HTTPKinds, kindName):
+		return httpUpstream{servers: &p.config.Listeners.HTTPCaches, cacheAside: p.config.Settings.Policy.CacheAside}
 	}
 	return metaUpstream{}
 }
--- a/internal/proxy/upstream_http_test.go
+++ b/internal/proxy/upstream_http_test.go
@@ -152,7 +152,7 @@
 	t.Helper()
 	stub := &cacheStub{response: cached}
 	g := newHarness(t, 200, stub.answer, withHTTPListeners, func(config *Config) {
-		config.Listeners.Servers = listeners.HTTPCaches{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
+		config.Listeners.HTTPCaches = listeners.HTTPCaches{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
 	})
 	request, _ := http.NewRequest("GET", "http://"+g.Addr(1)+"/p/"+key+"%2Fx?b=1", nil)
 	if name, value, ok := strings.Cut(header, ": "); ok {
