--- a/internal/emulator/simulation/connections.go
+++ b/internal/emulator/simulation/connections.go
@@ -77,7 +77,7 @@
 
 // onServerFull shortens the idle timeout when a running server had no capacity for another connection.
 func (n *node) onServerFull() {
-	if !n.idleTimeout.OnServerFull(n.sim.now) {
+	if !n.idleTimeout.OnCacheFull(n.sim.now) {
 		return
 	}
 	for server := range n.sim.world.Servers {
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -43,9 +43,9 @@
 	return t
 }
 
-// OnServerFull records that a cache refused a connection although it is alive, as shown by another open connection to
+// OnCacheFull records that a cache refused a connection although it is alive, as shown by another open connection to
 // it; refusals by a cache that is down do not count. It reports whether the timeout became shorter.
-func (t *Timeout) OnServerFull(now monotime.Instant) bool {
+func (t *Timeout) OnCacheFull(now monotime.Instant) bool {
 	t.regrow(now)
 	before := t.divisor
 	maxDivisor := max(1, float64(t.base)/float64(minTimeout))
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -15,7 +15,7 @@
 	for now := monotime.Instant(0); now < monotime.Instant(12*regrowInterval); now = now.Add(100 * time.Millisecond) {
 		full := now <= fullUntil
 		isFirst := now < monotime.Instant(400*time.Millisecond) // minTimeout is reached after four calls
-		if full && timeout.OnServerFull(now) != isFirst {
+		if full && timeout.OnCacheFull(now) != isFirst {
 			t.Fatalf("%v: OnServerFull misreported whether the timeout became shorter", time.Duration(now))
 		}
 		got := timeout.Current(now)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -202,7 +202,7 @@
 		return
 	}
 	p.metrics.counters.ServerFull++
-	if changed := p.upstream.idleTimeout.OnServerFull(p.now()); !changed {
+	if changed := p.upstream.idleTimeout.OnCacheFull(p.now()); !changed {
 		return
 	}
 	p.upstream.conns.Each(func(_ upstreamConnID, other *upstreamConn) {
