--- a/internal/emulator/world/faults.go
+++ b/internal/emulator/world/faults.go
@@ -6,32 +6,32 @@
 	"dahliapin/policy"
 )
 
-// Slow makes a server slower than its traits by a factor; 1 restores its speed.
+// Slow makes a server slower by a factor, relative to its traits; 1 restores its speed.
 func (w *World) Slow(now policy.Instant, server int, times float64) {
 	w.change(now, server, func(s *Server) { s.slow = max(times, 1e-3) })
 }
 
-// TakeCores lets other programs use a share of a server's cores; 0 restores them.
+// TakeCores makes a share of a server's cores unavailable, as other programs on its host would; 0 restores them.
 func (w *World) TakeCores(now policy.Instant, server int, share float64) {
 	w.change(now, server, func(s *Server) { s.coresTaken = min(max(share, 0), 0.99) })
 }
 
-// change applies a change of a server's speed, including to running jobs.
-func (w *World) change(now policy.Instant, server int, do func(*Server)) {
+// change applies a change of a server's speed and adjusts the remaining time of its running jobs.
+func (w *World) change(now policy.Instant, server int, apply func(*Server)) {
 	w.now = now
 	s := w.Servers[server]
-	s.queue.change(now, func() { do(s) })
+	s.queue.change(now, func() { apply(s) })
 	w.scheduleWake(server)
 }
 
-// Pause suspends a server's work for a time; its connections stay open.
+// Pause suspends a server's work for a duration; its connections stay open.
 func (w *World) Pause(now policy.Instant, server int, duration time.Duration) {
 	w.now = now
 	w.Servers[server].queue.freeze(now, now.Add(duration))
 	w.scheduleWake(server)
 }
 
-// Kill terminates a server's process: its jobs and its values are lost.
+// Kill terminates a server's process: its jobs and its stored values are lost.
 func (w *World) Kill(now policy.Instant, server int) {
 	w.now = now
 	s := w.Servers[server]
@@ -41,14 +41,14 @@
 	s.store = newStore(s.Keys)
 }
 
-// Silence makes a server unreachable, as a network partition does: its jobs are lost, and requests to it get no
-// answer.
+// Silence makes a server unreachable: requests to it get no answer, as in a network partition. Unlike in a partition,
+// its jobs and its stored values are lost.
 func (w *World) Silence(now policy.Instant, server int) {
 	w.Kill(now, server)
 	w.Servers[server].Liveness = Silent
 }
 
-// Start starts a server that was down or silent, cold and empty.
+// Start starts a server that was down or silent, with an empty store; a cache starts cold.
 func (w *World) Start(now policy.Instant, server int) {
 	w.now = now
 	s := w.Servers[server]
--- a/internal/emulator/world/idempotencykeys.go
+++ b/internal/emulator/world/idempotencykeys.go
@@ -1,30 +1,31 @@
 package world
 
-// idempotencyKeys stores the idempotency keys of writes for their deduplication window, so that a repeat has no effect.
+// idempotencyKeys records the idempotency keys of writes for their deduplication window, within which a repeated write
+// has no effect.
 type idempotencyKeys struct {
 	records map[string]idempotencyRecord
-	order   []string // keys in the order of their writes
+	order   []string // keys, oldest first
 }
 
 type idempotencyRecord struct {
-	until   int64
-	receipt string
+	expiresAt int64
+	receipt   string
 }
 
 // lookup returns the receipt of an earlier write with the same key within its window.
-func (l *idempotencyKeys) lookup(now int64, label string) (receipt string, ok bool) {
-	for len(l.order) > 0 && l.records[l.order[0]].until <= now {
-		delete(l.records, l.order[0])
-		l.order = l.order[1:]
+func (k *idempotencyKeys) lookup(now int64, key string) (receipt string, ok bool) {
+	for len(k.order) > 0 && k.records[k.order[0]].expiresAt <= now {
+		delete(k.records, k.order[0])
+		k.order = k.order[1:]
 	}
-	m, ok := l.records[label]
-	return m.receipt, ok
+	record, ok := k.records[key]
+	return record.receipt, ok
 }
 
-func (l *idempotencyKeys) add(label, receipt string, until int64) {
-	if l.records == nil {
-		l.records = map[string]idempotencyRecord{}
+func (k *idempotencyKeys) add(key, receipt string, expiresAt int64) {
+	if k.records == nil {
+		k.records = map[string]idempotencyRecord{}
 	}
-	l.records[label] = idempotencyRecord{until: until, receipt: receipt}
-	l.order = append(l.order, label)
+	k.records[key] = idempotencyRecord{expiresAt: expiresAt, receipt: receipt}
+	k.order = append(k.order, key)
 }
--- a/internal/emulator/world/jobs.go
+++ b/internal/emulator/world/jobs.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// missRetention is how long a miss is kept, so that the origin's value can fill the cache: longer than any deadline.
+	// missRetention is how long a miss is remembered, so that the origin's value can fill the cache that missed. It is
+	// longer than any deadline.
 	missRetention = 20 * time.Second
-	// repeatWork is the work of a write refused as a repeat, as a share of the usual.
+	// repeatWork is the work of a write that the origin recognizes as a repeat, as a share of the work of the write.
 	repeatWork = 0.25
-	// missWork is the work of a miss, as a share of that of a hit.
+	// missWork is the work of a cache miss, as a share of the work of a hit.
 	missWork = 0.5
-	// fixedWork is the part of a job's work that doesn't vary; the rest is exponentially distributed.
+	// fixedWork is the constant share of a job's mean work; the rest is exponentially distributed.
 	fixedWork = 0.6
 )
 
-// Reply is what a server replies.
+// Reply is the kind of a server's reply.
 type Reply int
 
 // The replies of servers.
@@ -27,19 +28,19 @@
 	Value Reply = iota
 	Receipt
 	Miss
-	Busy   // the job never ran
+	Busy   // rejected: the job never ran
 	Failed // the job may have run
 )
 
-// Job is an attempt as a server sees it.
+// Job is an attempt as a server receives it.
 type Job struct {
 	Request string
 	Node    int
 	Key     string
 	Label   string // the idempotency key of a write; "" for none
 	Class   int
-	Until   policy.Instant // after which no node waits for the reply
-	Tag     uint64         // chosen by the shell
+	Until   policy.Instant // no node waits for the reply after this instant
+	Tag     uint64         // identifies the attempt; assigned by the rig
 
 	server          int
 	arrivedDraining bool // the server was not ready when the job arrived
@@ -54,7 +55,7 @@
 	Load   float64 // number of jobs at the server as of its last load report
 }
 
-// Offer submits a job to a server. If the job is not accepted, it returns the reply and false.
+// Offer submits a job to a server. If the server rejects it, Offer returns the reply and false.
 func (w *World) Offer(now policy.Instant, server int, j Job) (Done, bool) {
 	w.now = now
 	s := w.Servers[server]
@@ -107,7 +108,7 @@
 	w.Servers[server].queue.withdraw(func(j Job) bool { return j.Tag == tag })
 }
 
-// finish applies the effect of a completed job and returns its reply.
+// finish applies the effect of a completed job and returns its result.
 func (w *World) finish(now policy.Instant, s *Server, j Job) Done {
 	done := Done{Job: j, Server: j.server, Load: s.reportedLoad(now)}
 	if s.ErrorRate > 0 && w.random.Float64() < s.ErrorRate {
--- a/internal/emulator/world/overload.go
+++ b/internal/emulator/world/overload.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// demandWindow is the time constant of the average of the work arriving at the origin.
+	// demandWindow is the time constant of the exponential average of the work that arrives at the origin.
 	demandWindow = 500 * time.Millisecond
-	// restartDelay is how long a cache is down after it failed from overload.
+	// restartDelay is the time until a cache that failed from overload restarts.
 	restartDelay = 3 * time.Second
 )
 
@@ -22,8 +22,9 @@
 	work time.Duration
 }
 
-// checkOverload checks whether a server receives too much work. A cold cache fails at once; the origin counts as
-// overloaded once the excess has lasted for FallFor, and continues to run at its reduced speed.
+// checkOverload adds a request's work to the load of a server and acts on an overload. A cold cache fails at once. The
+// origin is reported as overloaded after the excess has lasted for FallFor, and continues to run, at a lower speed if
+// its queue is long (see OriginTraits.StallAt).
 func (w *World) checkOverload(now policy.Instant, s *Server, work time.Duration) {
 	switch {
 	case s.FallMultiple <= 0 || s.Liveness != Up:
@@ -34,8 +35,8 @@
 	}
 }
 
-// checkColdCache sums the work that arrived at a cold cache within FallFor, from all nodes together, in requests of
-// mean work. An excess over the limit N of up to 2*sqrt(N)+2 is tolerated as random variation.
+// checkColdCache sums the work that all nodes together sent to a cold cache within FallFor, in requests of mean work.
+// An excess over the limit N of up to 2*sqrt(N)+2 is tolerated as random variation.
 func (w *World) checkColdCache(now policy.Instant, s *Server, work time.Duration) {
 	if s.SpeedShare(now) >= 1 {
 		s.arrivals = nil
@@ -43,18 +44,19 @@
 	}
 	s.arrivals = append(s.arrivals, arrival{at: now, work: work})
 	s.arrivals = slices.DeleteFunc(s.arrivals, func(a arrival) bool { return now.Since(a.at) >= s.FallFor })
-	requested := 0.0
+	received := 0.0
 	for _, a := range s.arrivals {
-		requested += float64(a.work) / float64(w.meanWork)
+		received += float64(a.work) / float64(w.meanWork)
 	}
-	most := s.FallMultiple * w.speed(s) * float64(s.Cores) * float64(s.FallFor) / float64(w.meanWork)
-	most += 2*math.Sqrt(most) + 2
-	w.MaxColdLoad = max(w.MaxColdLoad, requested/most)
-	if requested <= most {
+	limit := s.FallMultiple * w.speed(s) * float64(s.Cores) * float64(s.FallFor) / float64(w.meanWork)
+	limit += 2*math.Sqrt(limit) + 2
+	w.MaxColdLoad = max(w.MaxColdLoad, received/limit)
+	if received <= limit {
 		return
 	}
 	s.arrivals = nil
-	why := fmt.Sprintf("%.1f requests of mean work within %v, where %.1f is the most", requested, s.FallFor, most)
+	why := fmt.Sprintf("received %.1f requests of mean work within %v while cold, limit %.1f",
+		received, s.FallFor, limit)
 	w.plan.Observer.ServerOverloaded(now, s.ID, why)
 	number := w.byID[s.ID]
 	w.Kill(now, number)
@@ -79,6 +81,6 @@
 		return
 	}
 	s.overloadedSince = 0
-	why := fmt.Sprintf("asked for %.1f times what it can do, for %v", s.demand/capacity, s.FallFor)
+	why := fmt.Sprintf("received %.1f times its capacity for %v", s.demand/capacity, s.FallFor)
 	w.plan.Observer.ServerOverloaded(now, s.ID, why)
 }
--- a/internal/emulator/world/plan.go
+++ b/internal/emulator/world/plan.go
@@ -9,13 +9,13 @@
 // OriginID is the origin's endpoint id.
 const OriginID policy.EndpointID = "origin"
 
-// Mode determines what happens on a cache miss.
+// Mode is how the caches relate to the origin.
 type Mode int
 
 // The modes of a world's caches.
 const (
-	Aside   Mode = iota // caches only store; nodes query the origin on a miss
-	Through             // caches are the data store; there is no origin
+	Aside   Mode = iota // the origin stores the data; nodes query it after a cache miss
+	Through             // the caches store the data; there is no origin
 )
 
 // Plan describes a world to be created.
@@ -28,7 +28,7 @@
 	Observer Observer
 }
 
-// CacheTraits describe one cache server.
+// CacheTraits describes one cache server.
 type CacheTraits struct {
 	ID           policy.EndpointID
 	Zone         policy.ZoneID
@@ -38,42 +38,43 @@
 	Speed        float64 // work done by each core in a unit of time
 	Weight       float64 // in the endpoint list
 	Keys         int     // number of values that it can hold
-	ColdFrom     float64 // share of its speed right after a start
+	ColdFrom     float64 // share of its speed right after a start; it rises to 1 within ColdFor
 	ColdFor      time.Duration
-	FallMultiple float64 // times its current capacity: a cold cache fails under more load; 0 for never
-	FallFor      time.Duration
-	Connections  int           // open at the same time, at most
+	FallMultiple float64       // multiple of its current capacity above which a cold cache fails; 0 for never
+	FallFor      time.Duration // window in which the load of a cold cache is measured
+	Connections  int           // maximum number of open connections
 	Handshake    time.Duration // work of each new connection
 	ErrorRate    float64       // share of jobs that fail
 }
 
-// OriginTraits describe the origin.
+// OriginTraits describes the origin.
 type OriginTraits struct {
 	Cores        int
 	Queue        int // jobs that may wait
 	Work         time.Duration
-	StallAt      int     // jobs, running or waiting, from which it works slower
-	Stall        float64 // factor by which it is slower then
-	FallMultiple float64 // times its capacity: it counts as overloaded after more work than that for FallFor
+	StallAt      int     // number of running and waiting jobs from which it is slower
+	Stall        float64 // factor by which it is slower from then on
+	FallMultiple float64 // multiple of its capacity: it is overloaded after more load than that for FallFor
 	FallFor      time.Duration
 }
 
-// Class is a service class as the world and its clients know it.
+// Class is a service class with its work at servers and the behavior of its clients.
 type Class struct {
 	policy.ServiceClass
 	Name     string
 	Write    bool
 	Deadline time.Duration
-	Work     time.Duration // at a cache of speed 1; in Aside mode, the origin does the work of writes
-	Share    float64       // of first tries
+	Work     time.Duration // mean, at a cache of speed 1; in Aside mode, writes go to the origin
+	Share    float64       // of all first tries
 	Tries    int           // maximum tries of a client, including the first
 }
 
-// Observer receives what actually happens, independently of what nodes believe.
+// Observer is notified of what happens in the world, whether or not nodes notice it.
 type Observer interface {
-	// Effect reports that a write took effect at a server.
+	// Effect reports that a write has taken effect at a server.
 	Effect(now policy.Instant, request, label string, class int, server policy.EndpointID)
-	// ServerOverloaded reports that a server was overloaded, and why. A cache fails then, the origin continues to run.
+	// ServerOverloaded reports that a server was overloaded, and by how much. A cache then fails; the origin continues
+	// to run.
 	ServerOverloaded(now policy.Instant, server policy.EndpointID, why string)
 	// ServerRecovered reports that a cache that failed from overload has restarted.
 	ServerRecovered(now policy.Instant, server policy.EndpointID)
--- a/internal/emulator/world/queue.go
+++ b/internal/emulator/world/queue.go
@@ -6,7 +6,8 @@
 	"dahliapin/policy"
 )
 
-// serverQueue is a bounded queue in front of cores of equal speed. Work is measured as the time it takes at speed 1.
+// serverQueue is a bounded queue in front of cores of equal speed. Work is measured by the time that it takes at
+// speed 1.
 type serverQueue[J any] struct {
 	cores       int
 	queue       int            // maximum number of waiting jobs
@@ -76,9 +77,9 @@
 }
 
 // withdraw removes a waiting job; a running job is not interrupted.
-func (s *serverQueue[J]) withdraw(is func(J) bool) {
+func (s *serverQueue[J]) withdraw(matches func(J) bool) {
 	for i, w := range s.waiting {
-		if is(w.job) {
+		if matches(w.job) {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
@@ -86,13 +87,13 @@
 }
 
 // change calls a function that may change the speed, and rescales the remaining time of running jobs accordingly.
-func (s *serverQueue[J]) change(now policy.Instant, do func()) {
+func (s *serverQueue[J]) change(now policy.Instant, apply func()) {
 	before := s.speed()
-	do()
-	by := before / s.speed()
+	apply()
+	factor := before / s.speed()
 	for i := range s.running {
-		if rest := s.running[i].endsAt.Since(now); rest > 0 {
-			s.running[i].endsAt = now.Add(time.Duration(float64(rest) * by))
+		if remaining := s.running[i].endsAt.Since(now); remaining > 0 {
+			s.running[i].endsAt = now.Add(time.Duration(float64(remaining) * factor))
 		}
 	}
 }
--- a/internal/emulator/world/server.go
+++ b/internal/emulator/world/server.go
@@ -19,36 +19,36 @@
 	Silent          // connections are neither answered nor refused
 )
 
-// Server is one cache or the origin. It represents a whole process, hence its many fields. The exported fields are read
-// by the shell; the unexported ones are written only by the world.
+// Server is one cache or the origin. Its fields are the state of a whole process. The exported ones are read by the
+// rig; the unexported ones are written only by the world.
 type Server struct {
 	CacheTraits
 	Liveness        Liveness
 	State           policy.Lifecycle // in the endpoint list; written by the runner
 	StartedAt       policy.Instant   // 0 for long ago
-	OpenConnections int              // written by the shell
+	OpenConnections int              // written by the rig
 	Hits            uint64
 	Misses          uint64
 
 	origin          *OriginTraits // nil at a cache
 	queue           serverQueue[Job]
 	store           *lruStore
-	idempotencyKeys *idempotencyKeys // the origin's own; those of caches are the world's
+	idempotencyKeys *idempotencyKeys // of the origin; those of caches are in World.sharedKeys
 	slow            float64          // factor by which it is slower than its traits
 	coresTaken      float64          // share of its cores that other programs use
 
-	demand          float64 // at the origin: work that arrives per second, averaged over demandWindow
+	demand          float64 // at the origin: work arriving per unit of time, averaged with demandWindow
 	demandAt        policy.Instant
-	overloadedSince policy.Instant // at the origin: time since which demand is too high; 0 if it is not
+	overloadedSince policy.Instant // at the origin: since when demand is above the limit; 0 if it is not
 	arrivals        []arrival      // at a cold cache, within FallFor
 	restartsAt      policy.Instant // restart time of a cache that failed from overload; 0 for none
 
-	wakeGeneration uint64 // of the latest wake; earlier ones do nothing
+	wakeGeneration uint64 // of the latest wake; earlier wakes are ignored
 	load           float64
 	loadAt         policy.Instant // when load was last measured
 }
 
-// SpeedShare returns the share of its full speed that a server has at an instant: less than 1 while it warms up.
+// SpeedShare returns a server's speed at an instant as a share of its full speed: less than 1 while it warms up.
 func (s *Server) SpeedShare(now policy.Instant) float64 {
 	if s.StartedAt == 0 || s.ColdFor <= 0 {
 		return 1
@@ -71,7 +71,7 @@
 	return speed
 }
 
-// reportedLoad returns the number of jobs as of the last load report, after renewing a report that is due.
+// reportedLoad returns the number of jobs as of the last load report, and makes a new report if one is due.
 func (s *Server) reportedLoad(now policy.Instant) float64 {
 	if now.Since(s.loadAt) >= loadReportInterval {
 		s.load = float64(s.queue.length())
--- a/internal/emulator/world/store.go
+++ b/internal/emulator/world/store.go
@@ -5,7 +5,7 @@
 // lruStore is the content of a cache: a bounded set of keys that evicts the least recently used one.
 type lruStore struct {
 	capacity int
-	order    *list.List // the most recently used in front
+	order    *list.List // the most recently used first
 	elements map[string]*list.Element
 }
 
--- a/internal/emulator/world/traffic.go
+++ b/internal/emulator/world/traffic.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// minRate, in requests per second, keeps the next arrival finite at a rate of zero, so that a later rate takes effect.
+	// minRate is the lowest rate of arrivals, in requests per second. At a rate of zero the next arrival would be
+	// infinitely late, and a higher rate set later would have no effect.
 	minRate = 0.01
-	// firstBackoff is how long a client waits before its first retry if no Retry-After is given. It doubles with each
-	// retry.
+	// firstBackoff is how long a client waits before its first retry if it got no Retry-After. The backoff doubles
+	// with each retry.
 	firstBackoff = 8 * time.Millisecond
 )
 
@@ -28,20 +29,20 @@
 	First    policy.Instant // when the first try was sent
 	Sent     policy.Instant // when this try was sent
 	Deadline time.Duration  // how long the client waits
-	Leaves   time.Duration  // time after which it leaves without an answer; 0 for never
+	Leaves   time.Duration  // time after which it disconnects without an answer; 0 for never
 }
 
 // TrafficPlan describes what clients request.
 type TrafficPlan struct {
 	PerSecond        float64
-	Swing            float64       // share by which the rate rises and falls
-	SwingPeriod      time.Duration // the period of Swing
+	Swing            float64       // amplitude of the periodic change of the rate, as a share of it
+	SwingPeriod      time.Duration // period of that change
 	Keys             int
-	Zipf             float64 // exponent of popularity
+	Zipf             float64 // exponent of the keys' popularity
 	Classes          []Class
 	Seed             uint32
-	Jitter           float64 // share of a backoff that is added to it at most
-	Leaves           float64 // share of tries whose client leaves before its deadline
+	Jitter           float64 // maximum random addition to a backoff, as a share of it
+	Leaves           float64 // share of tries whose client disconnects before its deadline
 	MaxLeaveTime     time.Duration
 	Short            float64 // share of tries whose client waits less than its class's deadline
 	MaxShortDeadline time.Duration
@@ -51,10 +52,10 @@
 type Traffic struct {
 	TrafficPlan
 	random      keyhash.Source
-	popularity  []float64 // cumulated, by rank
-	classShares []float64 // cumulated
+	popularity  []float64 // cumulative, by rank
+	classShares []float64 // cumulative
 	lastID      uint64
-	burst       float64 // factor of the usual rate
+	burst       float64 // factor applied to the rate
 	hotKey      string
 	hotShare    float64 // share of reads that are for the hot key
 }
@@ -91,34 +92,34 @@
 	return now.Add(max(1, time.Duration(gap*float64(time.Second))))
 }
 
-// KeyOf returns the key with a popularity rank.
+// KeyOf returns the key of a popularity rank; rank 0 is the most popular.
 func KeyOf(rank int) string { return "pack:" + strconv.Itoa(rank) }
 
-// drawFrom draws an index by cumulated weights.
-func (t *Traffic) drawFrom(cumulated []float64) int {
-	x := t.random.Float64() * cumulated[len(cumulated)-1]
-	return sort.SearchFloat64s(cumulated, x)
+// drawFrom draws an index by cumulative weights.
+func (t *Traffic) drawFrom(cumulative []float64) int {
+	x := t.random.Float64() * cumulative[len(cumulative)-1]
+	return sort.SearchFloat64s(cumulative, x)
 }
 
 // Draw draws a first try that is sent now.
 func (t *Traffic) Draw(now policy.Instant) Request {
 	class := t.drawFrom(t.classShares)
 	r := Request{Class: class, Key: KeyOf(t.drawFrom(t.popularity)), Try: 1, First: now, Sent: now}
-	g := &t.Classes[class]
-	if !g.Write && t.hotKey != "" && t.random.Float64() < t.hotShare {
+	c := &t.Classes[class]
+	if !c.Write && t.hotKey != "" && t.random.Float64() < t.hotShare {
 		r.Key = t.hotKey
 	}
 	r.ID = t.newID()
-	r.Deadline = t.clientTimeout(r.ID, g.Deadline)
+	r.Deadline = t.clientTimeout(r.ID, c.Deadline)
 	r.Leaves = t.leavesAfter(r.ID)
-	if g.Idempotency == policy.IdempotentByKey {
+	if c.Idempotency == policy.IdempotentByKey {
 		r.Label = "l" + r.ID
 	}
 	return r
 }
 
-// leavesAfter returns how long after sending a try its client leaves, 0 for never. It is derived from the try's id, so
-// that the other random draws are the same as without clients that leave.
+// leavesAfter returns how long after sending a try its client disconnects, 0 for never. It is derived from the try's
+// id, so that the other random draws are the same as without clients that disconnect.
 func (t *Traffic) leavesAfter(id string) time.Duration {
 	random := keyhash.Source{Seed: uint32(keyhash.String(id))}
 	if random.Float64() >= t.Leaves {
@@ -127,14 +128,14 @@
 	return max(1, time.Duration(random.Float64()*float64(t.MaxLeaveTime)))
 }
 
-// clientTimeout returns how long the client of a try waits: its class's deadline, or between half and all of the short
-// deadline. It is derived from the try's id, like leavesAfter.
-func (t *Traffic) clientTimeout(id string, usual time.Duration) time.Duration {
+// clientTimeout returns how long the client of a try waits: its class's deadline, or between half and all of
+// MaxShortDeadline. It is derived from the try's id, like leavesAfter.
+func (t *Traffic) clientTimeout(id string, classDeadline time.Duration) time.Duration {
 	random := keyhash.Source{Seed: ^uint32(keyhash.String(id))}
 	if random.Float64() >= t.Short {
-		return usual
+		return classDeadline
 	}
-	return min(usual, max(1, time.Duration((1+random.Float64())/2*float64(t.MaxShortDeadline))))
+	return min(classDeadline, max(1, time.Duration((1+random.Float64())/2*float64(t.MaxShortDeadline))))
 }
 
 func (t *Traffic) newID() string {
@@ -142,17 +143,17 @@
 	return strconv.FormatUint(keyhash.Mix(uint64(t.Seed)<<32|t.lastID), 16)
 }
 
-// SetBurst multiplies the rate; 1 ends it.
+// SetBurst multiplies the rate by a factor; 1 ends the burst.
 func (t *Traffic) SetBurst(times float64) { t.burst = times }
 
-// SetHotKey directs a share of the reads to one key; 0 ends it.
+// SetHotKey directs a share of the reads to one key; 0 ends the hot spot.
 func (t *Traffic) SetHotKey(key string, share float64) {
 	t.hotKey = key
 	t.hotShare = share
 }
 
-// Retry returns a client's next try after a reply that did not satisfy it, when it is sent, and whether there is
-// one. A rejected try never had an effect; one that failed is retried only where mayRepeat.
+// Retry returns a client's next try after an unsuccessful one, when it is sent, and whether there is one. A rejected
+// try had no effect and may always be retried; a failed one only if mayRepeat allows it.
 func (t *Traffic) Retry(
 	now policy.Instant, r Request, rejected bool, retryAfter time.Duration,
 ) (next Request, at policy.Instant, ok bool) {
@@ -177,8 +178,8 @@
 	return r, r.Sent, true
 }
 
-// mayRepeat reports whether a request that may have taken effect may be sent again: only if a second execution does no
-// harm, or if all caches deduplicate it.
+// mayRepeat reports whether a request that may have taken effect may be sent again: only if it is idempotent, or if all
+// caches deduplicate it by its key.
 func mayRepeat(class *Class) bool {
 	switch class.Idempotency {
 	case policy.NotIdempotent:
--- a/internal/emulator/world/warm.go
+++ b/internal/emulator/world/warm.go
@@ -7,9 +7,10 @@
 	"dahliapin/policy"
 )
 
-// WarmCaches fills the caches with up to maxKeys of the most popular keys, the most popular last, as after a long
-// time of service. route belongs to a decider that is not used again. It routes each of three requests for a key to
-// the least loaded of the key's replicas, so that three replicas get the key.
+// WarmCaches fills the caches with up to maxKeys of the most popular keys, as after a long time of service; the most
+// popular keys are the most recently used. It routes three requests for each key, without ending them: a decider that
+// prefers the least loaded replica thereby puts the key at three replicas. The decider of route must not be used
+// afterwards.
 func WarmCaches(
 	w *World, route func(policy.Instant, *policy.Request) policy.Decision, now policy.Instant, t *Traffic, maxKeys int,
 ) {
--- a/internal/emulator/world/world.go
+++ b/internal/emulator/world/world.go
@@ -27,7 +27,7 @@
 	sharedKeys   map[string]*idempotencyKeys // of caches, by deduplication scope
 }
 
-// wake is due when a job ends at a server, or (generation 0) when a cache that failed from overload restarts.
+// wake is due when a job ends at a server or, with generation 0, when a cache that failed from overload restarts.
 type wake struct {
 	server     int
 	generation uint64
@@ -52,7 +52,7 @@
 	return w
 }
 
-// AddCache adds a cache that starts at an instant, 0 for long ago, and returns its number.
+// AddCache adds a cache that starts at an instant (0 for long ago, so that it is warm) and returns its number.
 func (w *World) AddCache(t CacheTraits, startedAt policy.Instant) int {
 	return w.add(&Server{CacheTraits: t, StartedAt: startedAt})
 }
@@ -96,7 +96,7 @@
 // IsOrigin reports whether a server is the origin.
 func (w *World) IsOrigin(server int) bool { return w.Servers[server].origin != nil }
 
-// Connect reports whether a server accepts a connection, and adds the work of the handshake. The shell counts the
+// Connect reports whether a server accepts a connection, and adds the work of the handshake. The rig counts the
 // connection in OpenConnections.
 func (w *World) Connect(now policy.Instant, server int) bool {
 	w.now = now
@@ -105,7 +105,7 @@
 		return false
 	}
 	if s.Handshake > 0 && s.origin == nil {
-		// All cores share the handshake: running jobs are delayed by it.
+		// All cores share the work of the handshake, which delays running jobs.
 		handshake := s.Handshake / time.Duration(max(1, s.Cores))
 		s.queue.freeze(now, max(now, s.queue.frozenUntil).Add(handshake))
 		w.scheduleWake(server)
@@ -125,7 +125,7 @@
 // Next returns when Advance has to be called next.
 func (w *World) Next() (policy.Instant, bool) { return w.wakes.Next() }
 
-// Advance ends the jobs that are due by an instant and calls onDone for each, in the order of their ends.
+// Advance ends the jobs that are due by an instant and calls onDone for each, in the order in which they end.
 func (w *World) Advance(now policy.Instant, onDone func(Done)) {
 	for {
 		at, ok := w.wakes.Next()
@@ -143,11 +143,11 @@
 			w.scheduleWake(due.server)
 		}
 	}
-	w.forgetMisses(now)
+	w.expireMisses(now)
 	w.now = now
 }
 
-// restart starts a cache that failed from overload, unless it has been started or stopped since.
+// restart starts a cache that failed from overload, unless it has been started or silenced since.
 func (w *World) restart(at policy.Instant, server int) {
 	s := w.Servers[server]
 	if s.Liveness == Down && s.restartsAt != 0 && at >= s.restartsAt {
@@ -174,7 +174,7 @@
 	}
 }
 
-func (w *World) forgetMisses(now policy.Instant) {
+func (w *World) expireMisses(now policy.Instant) {
 	for {
 		request, ok := w.missExpiries.PopDue(now)
 		if !ok {
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -9,15 +9,15 @@
 
 const ms = policy.Instant(time.Millisecond)
 
-type countingObserver struct{ effects, fell, rose int }
+type countingObserver struct{ effects, overloads, recoveries int }
 
-func (h *countingObserver) Effect(policy.Instant, string, string, int, policy.EndpointID) {
-	h.effects++
+func (o *countingObserver) Effect(policy.Instant, string, string, int, policy.EndpointID) {
+	o.effects++
 }
-func (h *countingObserver) ServerOverloaded(policy.Instant, policy.EndpointID, string) { h.fell++ }
-func (h *countingObserver) ServerRecovered(policy.Instant, policy.EndpointID)          { h.rose++ }
+func (o *countingObserver) ServerOverloaded(policy.Instant, policy.EndpointID, string) { o.overloads++ }
+func (o *countingObserver) ServerRecovered(policy.Instant, policy.EndpointID)          { o.recoveries++ }
 
-func newTestWorld(h Observer, change func(*CacheTraits)) *World {
+func newTestWorld(observer Observer, change func(*CacheTraits)) *World {
 	t := CacheTraits{
 		ID:           "c1",
 		Cores:        1,
@@ -37,7 +37,7 @@
 	return New(Plan{
 		Caches:   []CacheTraits{t},
 		Seed:     1,
-		Observer: h,
+		Observer: observer,
 		Origin:   OriginTraits{Cores: 1, Queue: 99, Work: 4 * time.Millisecond, StallAt: 99, Stall: 1},
 		Classes: []Class{
 			{Name: "read", Work: 10 * time.Millisecond},
@@ -58,7 +58,7 @@
 
 func testJob(id, key string) Job { return Job{Request: id, Key: key, Until: 1 << 60} }
 
-// A miss is stored at the cache that missed only once the origin has answered that very request; the least recently
+// A key is stored at the cache that missed it only after the origin has answered the same request. The least recently
 // used key is evicted.
 func TestCacheStoresAMissOnceTheOriginHasAnswered(t *testing.T) {
 	const cache, origin = 0, 1
@@ -90,7 +90,7 @@
 	}
 }
 
-// A fault also delays jobs that are already running on the server: otherwise a long job would hide the fault.
+// A fault also delays jobs that are already running at the server; otherwise a long job would hide the fault.
 func TestFaultsStretchRunningJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		do    func(w *World)
@@ -119,7 +119,7 @@
 	}
 }
 
-// A cache rejects jobs beyond its queue, connections beyond its table, and jobs whose deadline has passed.
+// A cache rejects jobs beyond its queue, connections beyond its limit, and jobs whose deadline has passed.
 func TestCacheRejectsBeyondItsCapacity(t *testing.T) {
 	w := newTestWorld(&countingObserver{}, nil)
 	for i, want := range []bool{true, true, true, false} { // one runs, two wait
@@ -150,22 +150,22 @@
 // A repeat within the window has no effect and gets the same receipt; beyond it, or with another key, it has an
 // effect.
 func TestIdempotencyKeysHoldForTheirWindow(t *testing.T) {
-	h := &countingObserver{}
-	w := newTestWorld(h, nil)
+	o := &countingObserver{}
+	w := newTestWorld(o, nil)
 	write := func(at policy.Instant, label string) string {
 		w.Offer(at, 1, Job{Request: "r", Key: "k", Label: label, Class: 1, Until: 1 << 60})
 		return w.runUntil(1 << 60)[0].Text
 	}
 	first := write(0, "l")
-	if again := write(500*ms, "l"); again != first || h.effects != 1 {
-		t.Errorf("repeat within the window: receipt %q after %q, %d effects", again, first, h.effects)
+	if again := write(500*ms, "l"); again != first || o.effects != 1 {
+		t.Errorf("repeat within the window: receipt %q after %q, %d effects", again, first, o.effects)
 	}
 	write(600*ms, "m")
-	if h.effects != 2 {
+	if o.effects != 2 {
 		t.Error("a write with another key has no effect")
 	}
 	write(1900*ms, "l")
-	if h.effects != 3 {
+	if o.effects != 3 {
 		t.Error("a repeat beyond the window has no effect")
 	}
 }
@@ -177,7 +177,7 @@
 		policy.SameZone:  2,
 		policy.SameGroup: 3,
 	} {
-		h := &countingObserver{}
+		o := &countingObserver{}
 		var caches []CacheTraits
 		for n, at := range []struct {
 			zone  policy.ZoneID
@@ -196,15 +196,15 @@
 		w := New(Plan{
 			Mode:     Through,
 			Caches:   caches,
-			Observer: h,
+			Observer: o,
 			Classes:  []Class{{Write: true, Work: time.Millisecond, ServiceClass: byKey}},
 		})
 		for n := range caches {
 			w.Offer(0, n, Job{Request: "r", Label: "l", Until: 1 << 60})
 		}
 		w.runUntil(1 << 60)
-		if h.effects != effects {
-			t.Errorf("scope %v: %d effects, want %d", scope, h.effects, effects)
+		if o.effects != effects {
+			t.Errorf("scope %v: %d effects, want %d", scope, o.effects, effects)
 		}
 	}
 }
@@ -212,8 +212,8 @@
 // Only a cold cache fails from overload, only with a multiple of the load that it can serve, and it restarts.
 func TestOnlyOverloadedColdCacheFails(t *testing.T) {
 	overload := func(cold bool, every time.Duration) *countingObserver {
-		h := &countingObserver{}
-		w := newTestWorld(h, nil)
+		o := &countingObserver{}
+		w := newTestWorld(o, nil)
 		if cold {
 			w.Start(1, 0)
 		}
@@ -222,20 +222,20 @@
 			w.Advance(at, func(Done) {})
 		}
 		w.runUntil(9000 * ms)
-		return h
+		return o
 	}
-	if h := overload(true, 2*time.Millisecond); h.fell != 1 || h.rose != 1 {
-		t.Errorf("overloaded while cold: %+v", h)
+	if o := overload(true, 2*time.Millisecond); o.overloads != 1 || o.recoveries != 1 {
+		t.Errorf("overloaded while cold: %+v", o)
 	}
-	if h := overload(true, 20*time.Millisecond); h.fell != 0 {
+	if o := overload(true, 20*time.Millisecond); o.overloads != 0 {
 		t.Error("a cold cache failed under a load that it can serve")
 	}
-	if h := overload(false, 2*time.Millisecond); h.fell != 0 {
+	if o := overload(false, 2*time.Millisecond); o.overloads != 0 {
 		t.Error("a warm cache failed")
 	}
 }
 
-// Arrivals are open loop at the planned rate, and clients retry only what is harmless.
+// Arrivals are open loop at the planned rate, and clients retry only requests whose repetition is harmless.
 func TestTrafficFollowsItsPlan(t *testing.T) {
 	idempotent := policy.ServiceClass{Idempotency: policy.Idempotent}
 	tr := NewTraffic(TrafficPlan{
@@ -269,22 +269,23 @@
 		}
 	}
 	if n < 9700 || n > 10300 || reads < 7300 || reads > 7700 || hot < 3500 || hot > 4000 {
-		t.Error(n, reads, hot)
+		t.Errorf("%d requests, want 9700 to 10300; %d reads, want 7300 to 7700; %d for the hot key, want 3500 to 4000",
+			n, reads, hot)
 	}
 }
 
 // An overloaded registry must stay overloaded while nodes poll at the same rate, and recover once they poll less often.
-// Otherwise no scenario could distinguish a node that spreads its polls from one that does not.
+// Otherwise no scenario would distinguish a node that spreads its polls over time from one that does not.
 func TestOverloadedRegistryRecoversOnlyWhenPolledLess(t *testing.T) {
 	for every, most := range map[policy.Instant]int{ms / 2: 0, 20 * ms: 50} {
-		g := Registry{
+		registry := Registry{
 			CompleteWork: 20 * time.Millisecond,
 			UpdateWork:   2 * time.Millisecond,
 			Backlog:      100 * time.Millisecond,
 		}
 		accepted := 0
 		for at := policy.Instant(0); at < 2000*ms; at += every {
-			if _, ok := g.Poll(at, at < 20*ms); ok && at >= 1000*ms {
+			if _, ok := registry.Poll(at, at < 20*ms); ok && at >= 1000*ms {
 				accepted++
 			}
 		}
@@ -294,7 +295,7 @@
 	}
 }
 
-// Which clients wait less is derived from the try's id, so that the other random draws do not change.
+// Short client timeouts are derived from the try's id, so that the other random draws are the same as without them.
 func TestShortClientTimeoutsChangeNothingElse(t *testing.T) {
 	classes := []Class{{Share: 1, Deadline: time.Second, Tries: 2}}
 	plain := NewTraffic(TrafficPlan{PerSecond: 100, Keys: 100, Classes: classes, Seed: 3})
