--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -1,5 +1,5 @@
-// Package baselines has simple routing policies that the policy module is compared with in rehearsals. They keep the
-// rules on retries, and do not react to failures otherwise. No node imports them.
+// Package baselines provides simple routing policies with which rehearsals compare the policy module. They obey the
+// rules on retries and have no other reaction to failures. No node uses them.
 package baselines
 
 import (
@@ -14,69 +14,70 @@
 )
 
 const (
-	// ringPoints is the number of points of each cache on the ring: their shares differ by an eighth or so.
+	// ringPoints is the number of points of each cache on the hash ring. With 64, the caches' shares of the keys differ
+	// by about an eighth.
 	ringPoints = 64
-	// replicaCount is the number of replicas of a key, as the module has them.
+	// replicaCount is the number of replicas of a key, the same as in the policy module.
 	replicaCount = 3
-	// tickPeriod is the interval of ticks, at which a baseline does nothing.
+	// tickPeriod is the interval between calls of Tick, in which a baseline does nothing.
 	tickPeriod = time.Second
-	// answerMargin is left before a request's deadline for the answer to reach the client.
+	// answerMargin is the time before a request's deadline that is reserved for the answer to reach the client.
 	answerMargin = 2 * time.Millisecond
-	// retryAfter is the delay that a rejected client is told, if the settings allow as much.
+	// retryAfter is the Retry-After of a rejection; the settings' MaxRetryAfter limits it.
 	retryAfter = 250 * time.Millisecond
-	// windowMargin is the time before the end of a deduplication window from which no write is repeated.
+	// windowMargin is the time before the end of a write's deduplication window in which it is no longer repeated.
 	windowMargin = time.Second
 )
 
-// DeciderFactory makes a decider, as the shells of the emulator want it.
-type DeciderFactory = func(now policy.Instant, seed int64, rules policy.Settings) dispatch.Decider
+// DeciderFactory creates a decider; both rigs of the emulator take a function of this type.
+type DeciderFactory = func(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider
 
 // Names are the names of the baselines.
 var Names = []string{"random", "ring"}
 
-// Make returns the baseline of a name, or an error that lists the names.
+// Make returns the factory of the baseline with a name. The error for an unknown name lists the valid ones.
 func Make(name string) (DeciderFactory, error) {
 	switch name {
 	case "random":
-		return maker((*router).randomReplica), nil
+		return newFactory((*router).randomReplica), nil
 	case "ring":
-		return maker((*router).leastLoadedReplica), nil
+		return newFactory((*router).leastLoadedReplica), nil
 	}
-	return nil, fmt.Errorf("no decider is named %q; there are module, %v", name, Names)
+	return nil, fmt.Errorf("unknown decider %q: valid names are module and %v", name, Names)
 }
 
-// replicaSelector selects a replica that was not tried, or nil if there is none.
+// replicaSelector selects a replica without an earlier attempt of the request, or returns nil if there is none.
 type replicaSelector func(*router, *policy.Request) *cache
 
-func maker(selectReplica replicaSelector) DeciderFactory {
-	return func(_ policy.Instant, seed int64, rules policy.Settings) dispatch.Decider {
-		rules.MaxAttempts = max(1, rules.MaxAttempts)
+func newFactory(selectReplica replicaSelector) DeciderFactory {
+	return func(_ policy.Instant, seed int64, settings policy.Settings) dispatch.Decider {
+		settings.MaxAttempts = max(1, settings.MaxAttempts)
 		return &router{
-			rules:         rules,
+			settings:      settings,
 			selectReplica: selectReplica,
 			endpoints:     map[policy.EndpointID]*cache{},
-			chance:        keyhash.Source{Seed: uint32(seed)},
+			random:        keyhash.Source{Seed: uint32(seed)},
 		}
 	}
 }
 
-// cache is an endpoint with the number of this router's attempts there.
+// cache is an endpoint with the number of this router's attempts in flight to it.
 type cache struct {
 	policy.Endpoint
 	inFlight int
 }
 
-// router sends to the replica that is selected, retries where the rules allow it, and gives up otherwise.
+// router is a decider that sends to the selected replica, retries if the rules allow it, and gives up otherwise.
 type router struct {
-	rules         policy.Settings
+	settings      policy.Settings
 	selectReplica replicaSelector
 	endpoints     map[policy.EndpointID]*cache
-	ring          []ringPoint // of the caches that may be sent to
+	ring          []ringPoint // of the caches that are ready
 	origin        *cache
-	chance        keyhash.Source
+	random        keyhash.Source
 }
 
-// ringPoint is a point of a cache on the ring.
+// ringPoint is a point of a cache on the hash ring.
 type ringPoint struct {
 	hash  uint64
 	cache *cache
@@ -103,13 +104,13 @@
 	r.rebuildRing()
 }
 
-// rebuildRing finds the origin and places the caches that may be sent to on the ring.
+// rebuildRing finds the origin and places the ready caches on the ring.
 func (r *router) rebuildRing() {
 	r.ring = nil
 	r.origin = nil
 	for _, c := range r.endpoints {
 		switch {
-		case r.rules.CacheAside && c.Kind == r.rules.OriginKind:
+		case r.settings.CacheAside && c.Kind == r.settings.OriginKind:
 			r.origin = c
 		case c.Lifecycle == policy.Ready:
 			for n := range ringPoints {
@@ -129,7 +130,7 @@
 // Tick implements dispatch.Decider; a baseline has nothing to do.
 func (r *router) Tick(policy.Instant) (time.Duration, []policy.Action) { return tickPeriod, nil }
 
-// replicas returns the replicas of a key: the next caches on the ring.
+// replicas returns the replicas of a key: the next distinct caches on the ring.
 func (r *router) replicas(key string) []*cache {
 	first, _ := slices.BinarySearchFunc(r.ring, keyhash.String(key), func(point ringPoint, hash uint64) int {
 		return cmp.Compare(point.hash, hash)
@@ -144,7 +145,7 @@
 	return replicas
 }
 
-// untriedReplicas returns the replicas of a request's key that have had no attempt of it.
+// untriedReplicas returns the replicas of a request's key to which no attempt of the request was sent.
 func (r *router) untriedReplicas(request *policy.Request) []*cache {
 	return slices.DeleteFunc(r.replicas(request.Key), func(c *cache) bool {
 		return slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return a.Endpoint == c.ID })
@@ -156,7 +157,7 @@
 	if len(untried) == 0 {
 		return nil
 	}
-	return untried[int(r.chance.Float64()*float64(len(untried)))]
+	return untried[int(r.random.Float64()*float64(len(untried)))]
 }
 
 // leastLoadedReplica selects the replica with the fewest own attempts in flight, the first on the ring among equals.
@@ -175,14 +176,14 @@
 	}
 	class := r.classOf(request)
 	attemptDeadline := request.Deadline.Add(-answerMargin)
-	if attemptDeadline > now && len(request.Attempts) < r.rules.MaxAttempts && mayAttempt(now, request, class) {
+	if attemptDeadline > now && len(request.Attempts) < r.settings.MaxAttempts && mayAttempt(now, request, class) {
 		if target := r.target(request); target != nil {
 			target.inFlight++
 			return policy.Decision{SendTo: []policy.EndpointID{target.ID}, AttemptDeadline: attemptDeadline}
 		}
 	}
 	if mayBeRepeated(request, class) {
-		return policy.Decision{Answer: policy.Reject, RetryAfter: min(r.rules.MaxRetryAfter, retryAfter)}
+		return policy.Decision{Answer: policy.Reject, RetryAfter: min(r.settings.MaxRetryAfter, retryAfter)}
 	}
 	return policy.Decision{Answer: policy.Fail}
 }
@@ -192,22 +193,22 @@
 }
 
 func (r *router) classOf(request *policy.Request) policy.ServiceClass {
-	if request.Class < 0 || int(request.Class) >= len(r.rules.Classes) {
+	if request.Class < 0 || int(request.Class) >= len(r.settings.Classes) {
 		return policy.ServiceClass{}
 	}
-	return r.rules.Classes[request.Class]
+	return r.settings.Classes[request.Class]
 }
 
-// mayBeRepeated reports whether a request may run again, by whoever sends it: it has not run, or its effect is dropped
-// the second time.
+// mayBeRepeated reports whether a request may be sent again, by this router or by the client: it has not been executed,
+// it is idempotent, or all caches deduplicate it by its key.
 func mayBeRepeated(request *policy.Request, class policy.ServiceClass) bool {
 	mayHaveRun := slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return !a.Result.NotExecuted() })
 	return !mayHaveRun || class.Idempotency == policy.Idempotent ||
 		class.Idempotency == policy.IdempotentByKey && class.DedupScope == policy.AllCaches
 }
 
-// mayAttempt reports whether another attempt may be made here. One that is idempotent by its key is repeated within the
-// window in which caches drop repeats.
+// mayAttempt reports whether this router may make another attempt. A request that is deduplicated by its key, and may
+// have been executed, is repeated only within the deduplication window.
 func mayAttempt(now policy.Instant, request *policy.Request, class policy.ServiceClass) bool {
 	if !mayBeRepeated(request, class) {
 		return false
@@ -219,11 +220,11 @@
 	return now.Since(request.Attempts[0].SentAt) < class.DedupWindow-windowMargin
 }
 
-// target returns where an attempt goes: to the origin after a miss and with writes that it takes, else to a replica. It
-// is nil if there is none.
+// target returns the endpoint for an attempt. With CacheAside, writes and requests that missed go to the origin;
+// everything else goes to a replica. It is nil if there is none.
 func (r *router) target(request *policy.Request) *cache {
 	missed := slices.ContainsFunc(request.Attempts, func(a policy.Attempt) bool { return a.Result == policy.CacheMiss })
-	if !r.rules.CacheAside || !request.Write && !missed {
+	if !r.settings.CacheAside || !request.Write && !missed {
 		return r.selectReplica(r, request)
 	}
 	if r.origin == nil || r.origin.Lifecycle != policy.Ready {
@@ -232,14 +233,14 @@
 	return r.origin
 }
 
-// MayStart implements dispatch.Decider: an attempt that has waited for its connection may start if its cache does not
-// drain by now.
+// MayStart implements dispatch.Decider: an attempt that has waited for its connection may start if its endpoint is
+// still ready.
 func (r *router) MayStart(_ policy.Instant, request policy.Request, attempt int) bool {
 	c := r.endpoints[request.Attempts[attempt].Endpoint]
 	return c != nil && c.Lifecycle == policy.Ready
 }
 
-// OnAttemptDone implements dispatch.Decider, and retries.
+// OnAttemptDone implements dispatch.Decider: it retries if the rules allow it.
 func (r *router) OnAttemptDone(now policy.Instant, request *policy.Request, outcome policy.Outcome) policy.Decision {
 	if c := r.endpoints[request.Attempts[outcome.Attempt].Endpoint]; c != nil {
 		c.inFlight = max(0, c.inFlight-1)
