--- a/internal/emulator/logtrace/caches.go
+++ b/internal/emulator/logtrace/caches.go
@@ -9,11 +9,11 @@
 const (
 	Deleted   CacheEventKind = 1 // a key was deleted
 	Emptied   CacheEventKind = 2 // all keys were removed, by a flush or a restart
-	Served    CacheEventKind = 3 // a key's value was read, in a version
-	Confirmed CacheEventKind = 4 // a control server counts the purges up to an index as done at the cache
+	Served    CacheEventKind = 3 // a version of a key's value was read
+	Confirmed CacheEventKind = 4 // a control server considers the purges up to an index completed at the cache
 )
 
-// CacheEvent is an event at a cache server, as its emulation or a control server saw it.
+// CacheEvent is an event at a cache server, as recorded by the cache stub or by a control server.
 type CacheEvent struct {
 	At      monotime.Instant `json:"at"`
 	Cache   string           `json:"cache"`
@@ -23,7 +23,7 @@
 	Index   uint64           `json:"index,omitempty"`
 }
 
-// PublishedPurge is a purge, with the version that its key's value had when it was published.
+// PublishedPurge is a purge with the version of its key's value at the time of publication.
 type PublishedPurge struct {
 	Index   uint64           `json:"index"`
 	Key     string           `json:"key"`
