--- a/internal/emulator/runner/describe.go
+++ b/internal/emulator/runner/describe.go
@@ -6,14 +6,14 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
-// describe is an event's line in the log of the run.
+// describe returns an event's line for the log of the run.
 func describe(s *scenario.Scenario, e *scenario.Event) string {
 	text := e.Do
 	if ids := s.SelectedCaches(e); len(ids) > 0 {
 		text += fmt.Sprint(" ", ids)
 	}
-	if members := s.SelectedNodes(e); len(members) > 0 {
-		text += fmt.Sprint(" nodes ", members)
+	if nodes := s.SelectedNodes(e); len(nodes) > 0 {
+		text += fmt.Sprint(" nodes ", nodes)
 	}
 	if e.Factor > 0 {
 		text += fmt.Sprintf(" by %g", e.Factor)
--- a/internal/emulator/runner/doc.go
+++ b/internal/emulator/runner/doc.go
@@ -1,3 +1,3 @@
-// Package runner carries out a scenario's events on a world. Both shells of the emulator use it: the simulation in
-// virtual time, and real processes on sockets. Each shell implements Rig.
+// Package runner carries out a scenario's events on a world. Both rigs of the emulator use it: the simulation in
+// virtual time and the one that runs real processes on sockets. Each implements Rig.
 package runner
--- a/internal/emulator/runner/handlers.go
+++ b/internal/emulator/runner/handlers.go
@@ -7,21 +7,21 @@
 	"dahliapin/policy"
 )
 
-// handlers are the functions that carry out events, by the event's name in a scenario.
+// handlers maps an event's name in a scenario to the function that carries it out.
 var handlers = map[string]func(*Run, *event){
 	"slow":    (*Run).slowServers,
-	"crowd":   (*Run).crowdServers,
+	"crowd":   (*Run).occupyCores,
 	"pause":   (*Run).pauseServers,
 	"kill":    (*Run).killServers,
 	"restart": (*Run).killServers,
-	"silent":  (*Run).muteServers,
+	"silent":  (*Run).silenceServers,
 	"drain":   (*Run).drainServers,
-	"shrink":  (*Run).shrinkFleet,
+	"shrink":  (*Run).drainNewestCaches,
 	"add":     (*Run).addServers,
 	"fault":   (*Run).faultConnections,
 	"errors":  (*Run).failRequests,
 
-	"hot":         (*Run).heatKey,
+	"hot":         (*Run).addHotKey,
 	"burst":       (*Run).burstTraffic,
 	"origin_slow": (*Run).slowOrigin,
 
@@ -33,10 +33,10 @@
 	"node_scrape":  (*Run).scrapeNodes,
 	"node_upgrade": (*Run).upgradeNodes,
 	"node_standby": (*Run).standbyNodes,
-	"node_twin":    (*Run).twinNodes,
-	"node_crowd":   (*Run).crowdNodes,
+	"node_twin":    (*Run).startDuplicateNodes,
+	"node_crowd":   (*Run).openIdleClients,
 
-	"node_term_start": (*Run).terminateStarts,
+	"node_term_start": (*Run).terminateStartingNodes,
 
 	"node_stall":  (*Run).stallClients,
 	"node_reload": (*Run).reloadNodes,
@@ -45,7 +45,7 @@
 	"node_hang":   (*Run).hangNodes,
 
 	"between_cut":   (*Run).cutBetween,
-	"between_loss":  (*Run).loseBetween,
+	"between_loss":  (*Run).dropBetween,
 	"between_twice": (*Run).duplicateBetween,
 	"between_late":  (*Run).delayBetween,
 }
@@ -57,7 +57,7 @@
 	})
 }
 
-func (r *Run) crowdServers(e *event) {
+func (r *Run) occupyCores(e *event) {
 	r.eachServer(e, func(now policy.Instant, server int) {
 		r.world.TakeCores(now, server, e.Share)
 		r.rig.At(e.end, func() { r.world.TakeCores(e.end, server, 0) })
@@ -73,13 +73,13 @@
 		r.world.Kill(now, server)
 		r.rig.ResetConnections(server)
 		if e.Do == "restart" || e.duration > 0 {
-			back := now.Add(max(minDowntime, e.duration))
-			r.rig.At(back, func() { r.startServer(back, server) })
+			startAt := now.Add(max(minDowntime, e.duration))
+			r.rig.At(startAt, func() { r.startServer(startAt, server) })
 		}
 	})
 }
 
-func (r *Run) muteServers(e *event) {
+func (r *Run) silenceServers(e *event) {
 	r.eachServer(e, func(now policy.Instant, server int) {
 		r.world.Silence(now, server)
 		if e.duration > 0 {
@@ -92,13 +92,13 @@
 	r.eachServer(e, func(now policy.Instant, server int) { r.drainServer(now, server, e.duration) })
 }
 
-// shrinkFleet drains the caches that were added last.
-func (r *Run) shrinkFleet(e *event) {
-	left := max(1, e.Count)
-	for server := len(r.world.Servers) - 1; server >= 0 && left > 0; server-- {
+// drainNewestCaches drains the caches that were added last.
+func (r *Run) drainNewestCaches(e *event) {
+	remaining := max(1, e.Count)
+	for server := len(r.world.Servers) - 1; server >= 0 && remaining > 0; server-- {
 		if !r.world.IsOrigin(server) && r.world.Servers[server].State == policy.Ready {
 			r.drainServer(e.start, server, e.duration)
-			left--
+			remaining--
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	})
 }
 
-func (r *Run) heatKey(e *event) {
+func (r *Run) addHotKey(e *event) {
 	r.traffic.SetHotKey(world.KeyOf(e.Rank), e.Share)
 	r.rig.At(e.end, func() { r.traffic.SetHotKey("", 0) })
 }
@@ -151,8 +151,8 @@
 }
 
 func (r *Run) stopDiscovery(e *event) {
-	r.discoveryDown(1)
-	r.rig.At(e.end, func() { r.discoveryDown(-1) })
+	r.countOutage(1)
+	r.rig.At(e.end, func() { r.countOutage(-1) })
 }
 
 func (r *Run) slowDiscovery(e *event) {
@@ -167,8 +167,8 @@
 	})
 }
 
-// terminateStarts restarts nodes and tells each one's next process to end during its start.
-func (r *Run) terminateStarts(e *event) {
+// terminateStartingNodes restarts nodes and terminates each node's next process during its start.
+func (r *Run) terminateStartingNodes(e *event) {
 	terminator, ok := r.rig.(StartTerminator)
 	if !ok {
 		return
@@ -180,7 +180,8 @@
 	})
 }
 
-// scrapeNodes reads the metrics of all nodes at once, whatever time the event is spread over.
+// scrapeNodes reads the metrics of all selected nodes from the event's start to its end, even if the event is spread
+// over a time.
 func (r *Run) scrapeNodes(e *event) {
 	for _, number := range r.scenario.SelectedNodes(e.Event) {
 		r.rig.ScrapeNode(number-1, e.end)
@@ -198,14 +199,14 @@
 	})
 }
 
-// twinNodes starts all twins at once, whatever time the event is spread over.
-func (r *Run) twinNodes(e *event) {
+// startDuplicateNodes starts all duplicates at once, even if the event is spread over a time.
+func (r *Run) startDuplicateNodes(e *event) {
 	for _, number := range r.scenario.SelectedNodes(e.Event) {
 		r.rig.StartDuplicateNode(number - 1)
 	}
 }
 
-func (r *Run) crowdNodes(e *event) {
+func (r *Run) openIdleClients(e *event) {
 	r.eachNode(e, func(at policy.Instant, node int) { r.rig.OpenIdleClients(node, e.Count, at.Add(e.duration)) })
 }
 
@@ -225,7 +226,7 @@
 
 func (r *Run) hangNodes(e *event) { r.stopNodes(e, r.rig.HangNode) }
 
-// stopNodes stops the process or the event loop of each node, and lets it continue after the event's duration.
+// stopNodes stops the process or the event loop of each node, and continues it after the event's duration.
 func (r *Run) stopNodes(e *event, stop func(node int, stop bool)) {
 	r.eachNode(e, func(at policy.Instant, node int) {
 		stop(node, true)
@@ -237,7 +238,7 @@
 	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Cut = on })
 }
 
-func (r *Run) loseBetween(e *event) {
+func (r *Run) dropBetween(e *event) {
 	r.changeBetween(e, func(link *netfault.Link, on bool) { link.Loss = valueIf(on, e.Share) })
 }
 
@@ -258,8 +259,8 @@
 	return 0
 }
 
-// changeBetween changes the links between nodes until the event's end. If the event flaps, the change goes off and on
-// by turns.
+// changeBetween changes the links between nodes until the event's end. If the event states TurnS, the change is
+// reverted and reapplied at that interval, as on a flapping link.
 func (r *Run) changeBetween(e *event, set func(link *netfault.Link, on bool)) {
 	setAll := func(on bool) {
 		for _, pair := range r.scenario.Pairs(e.Event) {
@@ -267,9 +268,9 @@
 		}
 	}
 	setAll(true)
-	if turn := scenario.SecondsToDuration(e.TurnS); turn > 0 {
+	if interval := scenario.SecondsToDuration(e.TurnS); interval > 0 {
 		on := true
-		for at := e.start.Add(turn); at < e.end; at = at.Add(turn) {
+		for at := e.start.Add(interval); at < e.end; at = at.Add(interval) {
 			on = !on
 			state := on
 			r.rig.At(at, func() { setAll(state) })
--- a/internal/emulator/runner/observer.go
+++ b/internal/emulator/runner/observer.go
@@ -7,8 +7,8 @@
 	"dahliapin/policy"
 )
 
-// WorldObserver passes on what happens in the world, independent of what nodes observe: effects of writes to the
-// checker, overloads to the run's log, broken connections and changes of the endpoint list to the rig.
+// WorldObserver forwards what happens in the world, whether or not nodes notice it: effects of writes and overloads to
+// the checker, overloads also to the run's log, broken connections and changes of the endpoint list to the rig.
 type WorldObserver struct {
 	Checker *checker.Checker
 	Log     *report.Log
@@ -16,12 +16,13 @@
 	Rig     Rig
 }
 
-// Effect reports that a write had its effect at a server.
+// Effect forwards the effect of a write at a server to the checker.
 func (o *WorldObserver) Effect(now policy.Instant, id, label string, class int, server policy.EndpointID) {
 	o.Checker.Effect(now, id, label, class, server)
 }
 
-// ServerOverloaded reports that a server failed under overload. The connections of a cache are reset; the origin continues.
+// ServerOverloaded forwards the overload of a server to the checker and the run's log. A cache has failed then, so that
+// its connections are reset; the origin continues to run.
 func (o *WorldObserver) ServerOverloaded(now policy.Instant, server policy.EndpointID, why string) {
 	o.Checker.ServerOverloaded(now, server, why)
 	o.Log.AddEvent(now, string(server)+" "+why)
@@ -30,7 +31,7 @@
 	}
 }
 
-// ServerRecovered reports that a server that had failed under overload runs again.
+// ServerRecovered publishes the restart of a cache that had failed from overload.
 func (o *WorldObserver) ServerRecovered(_ policy.Instant, server policy.EndpointID) {
 	if i, ok := o.World.Find(server); ok {
 		o.Rig.EndpointChanged(EndpointOf(o.World, i))
--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -11,8 +11,10 @@
 )
 
 const (
-	minDowntime       = 400 * time.Millisecond // the shortest time until a process is back
-	defaultDrainSpell = 5 * time.Second        // between draining and removal of a server, if the event states none
+	// minDowntime is the shortest time between the end of a process and the start of the next one.
+	minDowntime = 400 * time.Millisecond
+	// defaultDrainTime is the time between draining and removal of a server, if the event states none.
+	defaultDrainTime = 5 * time.Second
 )
 
 // Run carries out the events of one scenario.
@@ -27,10 +29,10 @@
 	traffic     *world.Traffic
 	rig         Rig
 	addedCaches int
-	outages     int // events in progress that keep discovery down; they may overlap
+	outages     int // number of outages of discovery in progress; they may overlap
 }
 
-// ScheduleEvents schedules all events of a scenario. Their times count from an instant.
+// ScheduleEvents schedules all events of a scenario, relative to its start.
 func ScheduleEvents(s *scenario.Scenario, w *world.World, t *world.Traffic, start policy.Instant, rig Rig) *Run {
 	r := &Run{scenario: s, world: w, traffic: t, rig: rig}
 	events := slices.Clone(s.Events)
@@ -67,15 +69,16 @@
 	handle(r, begun)
 }
 
-// event is a scenario's event at its time. What is spread over a time begins one after the other and ends together.
+// event is a scenario's event in progress. If it is spread over a time (OverS), it begins at one target after the other,
+// and most effects end at all targets together, at end.
 type event struct {
 	*scenario.Event
 	start    policy.Instant
-	duration time.Duration // as stated, without the time over which it is spread
-	end      policy.Instant
+	duration time.Duration  // as stated, without the time over which it is spread
+	end      policy.Instant // start + duration + the time over which it is spread
 }
 
-// eachServer does something to each server of an event, spread over its time.
+// eachServer calls do for each server of an event, spread over the event's time.
 func (r *Run) eachServer(e *event, do func(at policy.Instant, server int)) {
 	ids := r.scenario.SelectedCaches(e.Event)
 	for i, id := range ids {
@@ -87,38 +90,38 @@
 	}
 }
 
-// eachNode does something to each node of an event, spread over its time.
+// eachNode calls do for each node of an event, spread over the event's time.
 func (r *Run) eachNode(e *event, do func(at policy.Instant, node int)) {
-	members := r.scenario.SelectedNodes(e.Event)
-	for i, number := range members {
-		r.spread(e, i, len(members), func(at policy.Instant) { do(at, number-1) })
+	numbers := r.scenario.SelectedNodes(e.Event)
+	for i, number := range numbers {
+		r.spread(e, i, len(numbers), func(at policy.Instant) { do(at, number-1) })
 	}
 }
 
-// spread does the i-th of several things at its share of the event's time, the first at once.
-func (r *Run) spread(e *event, i, of int, do func(at policy.Instant)) {
+// spread calls do for the i-th of count targets, after its share of the event's OverS; for the first one at once.
+func (r *Run) spread(e *event, i, count int, do func(at policy.Instant)) {
 	if i == 0 || e.OverS == 0 {
 		do(e.start)
 		return
 	}
-	at := e.start.Add(scenario.SecondsToDuration(e.OverS * float64(i) / float64(of)))
+	at := e.start.Add(scenario.SecondsToDuration(e.OverS * float64(i) / float64(count)))
 	r.rig.At(at, func() { do(at) })
 }
 
-// startServer starts a server's next process. Connections that outlived the last one, as those to a silent machine
-// do, are reset.
+// startServer starts a server's next process. It resets connections that outlived the previous process, as those to a
+// silent server do.
 func (r *Run) startServer(now policy.Instant, server int) {
 	r.world.Start(now, server)
 	r.rig.ResetConnections(server)
 	r.rig.EndpointChanged(EndpointOf(r.world, server))
 }
 
-// drainServer marks a server as draining in the endpoint list, and removes it after a time.
+// drainServer marks a server as draining in the endpoint list, and removes it after a duration.
 func (r *Run) drainServer(now policy.Instant, number int, duration time.Duration) {
 	server := r.world.Servers[number]
 	server.State = policy.Draining
 	r.rig.EndpointChanged(EndpointOf(r.world, number))
-	removal := now.Add(cmp.Or(duration, defaultDrainSpell))
+	removal := now.Add(cmp.Or(duration, defaultDrainTime))
 	r.rig.At(removal, func() {
 		server.State = policy.Removed
 		r.rig.EndpointChanged(EndpointOf(r.world, number))
@@ -127,8 +130,8 @@
 	})
 }
 
-// discoveryDown counts an outage of discovery that begins (1) or ends (-1). Discovery is up while the count is 0.
-func (r *Run) discoveryDown(change int) {
+// countOutage counts an outage of discovery that begins (1) or ends (-1). Discovery is up while the count is 0.
+func (r *Run) countOutage(change int) {
 	wasUp := r.outages == 0
 	r.outages += change
 	isUp := r.outages == 0
@@ -137,7 +140,7 @@
 	}
 }
 
-// EndpointOf is the entry of a server in the endpoint list.
+// EndpointOf returns the entry of a server in the endpoint list.
 func EndpointOf(w *world.World, server int) policy.Endpoint {
 	s := w.Servers[server]
 	kind := 0
@@ -145,11 +148,17 @@
 		kind = 1
 	}
 	return policy.Endpoint{
-		ID: s.ID, Kind: kind, Lifecycle: s.State, StartedAt: s.StartedAt, Zone: s.Zone, Group: s.Group, Weight: s.Weight,
+		ID:        s.ID,
+		Kind:      kind,
+		Lifecycle: s.State,
+		StartedAt: s.StartedAt,
+		Zone:      s.Zone,
+		Group:     s.Group,
+		Weight:    s.Weight,
 	}
 }
 
-// Endpoints is the complete endpoint list.
+// Endpoints returns the complete endpoint list.
 func Endpoints(w *world.World) []policy.Endpoint {
 	var all []policy.Endpoint
 	for i, s := range w.Servers {
