--- a/internal/emulator/simulation/attempt.go
+++ b/internal/emulator/simulation/attempt.go
@@ -6,28 +6,28 @@
 	"dahliapin/policy"
 )
 
-// attempt is one attempt of a request at a server. It is outstanding until the dispatcher has its one result; what
-// happens to its connection and at the server after that changes nothing for the node.
+// attempt is one attempt of a request at a server. It is outstanding until its one result is reported to the
+// dispatcher. Later events on its connection or at the server do not change that result.
 type attempt struct {
 	node          *node
-	incarnation   int // of the node when the attempt began
+	incarnation   int // the node's incarnation when the attempt began
 	request       *request
 	number        int // within the request, from 0
 	server        int
-	tag           uint64 // by which the server names its job; unique in a run
+	tag           uint64 // identifies the attempt's job at the server; unique in a run
 	startedAt     policy.Instant
-	outstanding   bool // the dispatcher has not been told its result
+	outstanding   bool // its result has not been reported to the dispatcher
 	written       bool // the request was written to the connection
 	hasConnection bool
-	resets        uint64 // the server's count of resets when the connection came up
+	resets        uint64 // the server's reset count when the connection was established
 }
 
-// connect opens a connection to the server, one network latency after the attempt began.
+// connect opens a connection to the server. It is called one network latency after the attempt began.
 func (a *attempt) connect() {
 	sim := a.node.sim
 	server := sim.world.Servers[a.server]
 	sim.log.Second(sim.now).Dials++
-	if server.Liveness == world.Silent { // no answer ever
+	if server.Liveness == world.Silent { // the server never answers
 		a.failConnectAt(a.connectDeadline())
 		return
 	}
@@ -50,7 +50,7 @@
 	sim.after(sim.serverLatency(a.node, a.server)+delay, func() { a.onConnected(resets) })
 }
 
-// connectDeadline is when the node gives the connection up.
+// connectDeadline returns when the node stops waiting for the connection.
 func (a *attempt) connectDeadline() policy.Instant {
 	return a.startedAt.Add(a.node.sim.connectTimeout())
 }
@@ -59,7 +59,8 @@
 	a.node.sim.At(at, func() { a.finish(policy.ConnectFailed, nil) })
 }
 
-// onRefused notes where a server refused for want of capacity, and fails the attempt.
+// onRefused fails the attempt. A refusal for lack of capacity is also counted, and shortens the node's idle timeout if
+// the node has another connection to the server.
 func (a *attempt) onRefused(server *world.Server) {
 	sim := a.node.sim
 	if server.Liveness == world.Up && server.OpenConnections >= server.Connections {
@@ -71,7 +72,7 @@
 	sim.after(sim.serverLatency(a.node, a.server), func() { a.finish(policy.ConnectFailed, nil) })
 }
 
-// onConnected writes the request, unless the node has ended or the dispatcher no longer wants the attempt.
+// onConnected writes the request, unless the node or the attempt has ended or the decider no longer allows the attempt.
 func (a *attempt) onConnected(resets uint64) {
 	n := a.node
 	a.hasConnection = true
@@ -97,7 +98,7 @@
 	sim.after(sim.serverLatency(a.node, a.server), func() { a.arrive(writtenAt) })
 }
 
-// arrive is the request's arrival at the server.
+// arrive handles the request's arrival at the server.
 func (a *attempt) arrive(writtenAt policy.Instant) {
 	sim := a.node.sim
 	server := sim.world.Servers[a.server]
@@ -121,7 +122,7 @@
 	a.offer(server)
 }
 
-// offer gives the server the request as a job.
+// offer submits the request to the server as a job.
 func (a *attempt) offer(server *world.Server) {
 	sim := a.node.sim
 	message := a.request.message
@@ -140,16 +141,16 @@
 		return
 	}
 	if !a.outstanding {
-		// The node closed the connection while the request was on its way. A job that has begun runs to its end all
-		// the same, one that waits is withdrawn.
+		// The node closed the connection while the request was in transit. A job that is already running runs to its
+		// end; a waiting one is withdrawn.
 		sim.checker.AttemptEnded(sim.now, message.ID, server.ID, false)
 		delete(sim.atServers, a.tag)
 		sim.world.Withdraw(sim.now, a.server, a.tag)
 	}
 }
 
-// finish is the result as it reaches the node. It does nothing but close the connection where the node has ended, or
-// the dispatcher was told a result before.
+// finish handles the arrival of the result at the node. If the node has ended, or a result was already reported, it
+// only closes the connection.
 func (a *attempt) finish(result policy.Result, loadReport []float64) {
 	n := a.node
 	sim := n.sim
@@ -170,13 +171,14 @@
 	a.report(result, loadReport)
 }
 
-// finishUnconnected is finish for an attempt whose connection is closed or released already, or never came up.
+// finishUnconnected reports the result of an attempt whose connection is already closed or released, or was never
+// established.
 func (a *attempt) finishUnconnected(result policy.Result) {
 	a.outstanding = false
 	a.report(result, nil)
 }
 
-// report tells the dispatcher the attempt's one result.
+// report passes the attempt's one result to the dispatcher.
 func (a *attempt) report(result policy.Result, loadReport []float64) {
 	n := a.node
 	n.sim.Decided++
@@ -199,8 +201,8 @@
 	a.finish(policy.ConnectionBroken, nil)
 }
 
-// stop ends an attempt from the node's side, by closing its connection. One that was never written is told as not
-// sent, or as a failed connect where its time ran out.
+// stop ends an attempt from the node's side, by closing its connection. An attempt that was never written is reported
+// as not sent, or as a failed connect if its time ran out before it had a connection.
 func (a *attempt) stop(result policy.Result) {
 	switch {
 	case a.written:
@@ -211,7 +213,8 @@
 	a.finishUnconnected(result)
 }
 
-// abandon closes the connection under a written request; the server learns of it one network latency later.
+// abandon closes the connection of an attempt. The server learns of it one network latency later, and withdraws the job
+// if it is still waiting.
 func (a *attempt) abandon() {
 	sim := a.node.sim
 	a.closeConnection()
@@ -235,11 +238,11 @@
 	}
 }
 
-// releaseConnection makes the attempt's connection, if it has one, available to later attempts.
+// releaseConnection returns the attempt's connection, if it has one, to the node's idle connections.
 func (a *attempt) releaseConnection() {
 	if !a.hasConnection {
 		return
 	}
 	a.hasConnection = false
-	a.node.keepIdle(a.server, a.resets)
+	a.node.addIdle(a.server, a.resets)
 }
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -7,7 +7,8 @@
 	"dahliapin/policy"
 )
 
-// scheduleArrival plays the next first try of a client, which schedules the one after it.
+// scheduleArrival schedules the next first try of a client, which in turn schedules the one after it. Arrivals end with
+// the scenario's duration.
 func (sim *Simulation) scheduleArrival(at policy.Instant) {
 	if at.Since(startOfRun) >= sim.scenario.Duration() {
 		return
@@ -19,7 +20,8 @@
 	})
 }
 
-// sendRequest sends one try of a client to a node. With no node to connect to, it counts as cut off, and isn't retried.
+// sendRequest sends one try of a client to a node. If there is no node to connect to, the try counts as cut off and is
+// not retried.
 func (sim *Simulation) sendRequest(message world.Request, firstSentAt policy.Instant, isFirst bool) {
 	sim.log.RequestSent(sim.now, isFirst)
 	if len(sim.serving) == 0 {
@@ -38,7 +40,7 @@
 	incarnation := n.incarnation
 	sim.after(sim.clientLatency(), func() {
 		if n.incarnation != incarnation || n.dispatcher == nil {
-			// The node ended while the request was on its way: the client sees a reset.
+			// The node ended while the request was in transit: the client's connection is reset.
 			sim.checker.Forget(message.ID)
 			sim.connectionCut(message, firstSentAt)
 			return
@@ -51,8 +53,9 @@
 	})
 }
 
-// chooseNode draws the node that a try goes to: uniformly, or by the nodes' weights where traffic is uneven. Two
-// processes of one node, whose numbers differ by the number of nodes in the settings, have the same weight.
+// chooseNode draws the node that a try goes to: uniformly, or by the nodes' traffic weights if the scenario skews the
+// traffic. Two processes of one node, whose numbers differ by the number of nodes in the settings, have the same
+// weight.
 func (sim *Simulation) chooseNode() *node {
 	draw := sim.random.Float64()
 	if sim.scenario.Traffic.Skew == 0 {
@@ -72,13 +75,13 @@
 	return sim.serving[len(sim.serving)-1]
 }
 
-// connectionCut is what a client does whose node ended.
+// connectionCut counts a try whose node ended before it answered, and retries it if that is allowed.
 func (sim *Simulation) connectionCut(message world.Request, firstSentAt policy.Instant) {
 	sim.checker.Classes[message.Class].Cut++
 	sim.retry(message, firstSentAt, false, 0)
 }
 
-// retry has a client send its next try, if it has one left.
+// retry schedules a client's next try, if there is one.
 func (sim *Simulation) retry(
 	message world.Request, firstSentAt policy.Instant, rejected bool, retryAfter time.Duration,
 ) {
--- a/internal/emulator/simulation/connections.go
+++ b/internal/emulator/simulation/connections.go
@@ -9,15 +9,15 @@
 // idleConnection is a node's connection to a server on which no attempt is outstanding.
 type idleConnection struct {
 	since  policy.Instant
-	resets uint64 // the server's count of resets when the connection came up: a later count means that it is broken
+	resets uint64 // the server's reset count when it was established; it is broken if the count has changed
 }
 
-// hasConnection tells whether a connection to a server is up.
+// hasConnection reports whether the node has a working connection to a server.
 func (n *node) hasConnection(server int) bool {
 	resets := n.sim.resets(server)
-	uses := func(a *attempt) bool { return a.hasConnection && a.server == server && a.resets == resets }
+	usesServer := func(a *attempt) bool { return a.hasConnection && a.server == server && a.resets == resets }
 	for _, req := range n.inFlight {
-		if slices.ContainsFunc(req.attempts, uses) {
+		if slices.ContainsFunc(req.attempts, usesServer) {
 			return true
 		}
 	}
@@ -25,7 +25,7 @@
 	return slices.ContainsFunc(n.idleConnections[server], isUp)
 }
 
-// takeIdle takes the most recently used idle connection to a server, dropping broken ones.
+// takeIdle removes and returns the most recently used idle connection to a server. It drops broken ones.
 func (n *node) takeIdle(server int) (idleConnection, bool) {
 	for {
 		idle := n.idleConnections[server]
@@ -40,15 +40,15 @@
 	}
 }
 
-// keepIdle keeps a connection for later attempts until the idle timeout.
-func (n *node) keepIdle(server int, resets uint64) {
+// addIdle makes a connection available to later attempts until the idle timeout.
+func (n *node) addIdle(server int, resets uint64) {
 	c := idleConnection{since: n.sim.now, resets: resets}
 	n.idleConnections[server] = append(n.idleConnections[server], c)
 	n.closeWhenIdle(server, c)
 }
 
-// closeWhenIdle schedules the close of an idle connection after the idle timeout as it is now. A connection that was
-// used since, or for which the timeout has become longer, has a later timer of its own, and this one does nothing.
+// closeWhenIdle schedules the close of an idle connection after the current idle timeout. The timer does nothing if the
+// connection has been used since, which started a timer of its own, or if the timeout has become longer.
 func (n *node) closeWhenIdle(server int, c idleConnection) {
 	incarnation := n.incarnation
 	n.sim.At(c.since.Add(n.idleTimeout.Current(n.sim.now)), func() {
@@ -75,7 +75,8 @@
 	n.idleConnections = map[int][]idleConnection{}
 }
 
-// onServerFull shortens the idle timeout when a running server had no capacity for another connection.
+// onServerFull shortens the idle timeout after a running server had no capacity for another connection, and schedules
+// the idle connections to be closed accordingly.
 func (n *node) onServerFull() {
 	if !n.idleTimeout.OnCacheFull(n.sim.now) {
 		return
--- a/internal/emulator/simulation/doc.go
+++ b/internal/emulator/simulation/doc.go
@@ -1,14 +1,15 @@
-// Package simulation plays a scenario in virtual time: any number of nodes, each a dispatcher with its decider, on one
-// model of the world. The same seed gives the same run to the byte, on any machine.
+// Package simulation runs a scenario in virtual time: any number of nodes, each a dispatcher with its decider, on one
+// model of the world. The same seed gives the same run, byte for byte, on any host.
 //
-// One goroutine plays a run. Its clock jumps from one due event to the next: those of the world (jobs that end at
-// servers) and those of the simulation's own queue (messages that arrive, timers, the scenario's events). Nothing else
-// moves the clock, and nothing reads the machine's.
+// A run uses one goroutine. Its clock advances from one due event to the next: events of the world (jobs that end at
+// servers) and events of the simulation's own queue (messages that arrive, timers, the scenario's events). Nothing else
+// advances the clock, and nothing reads the host's clock.
 //
-// A run is reproducible because all random draws come from one source, in the order of events, and because whatever is
-// kept in a map is sorted before it has an effect. A change of that order is a change of all recorded runs.
+// A run is reproducible because all random draws come from sources seeded by the scenario, in the order of events, and
+// because map entries are sorted wherever their order would have an effect. A change of that order changes all recorded
+// runs.
 //
-// The state of a node is its own (node.go, connections.go, attempt.go, polling.go); the simulation holds what nodes
-// share: the world, the traffic, the checker of invariants, the log for the report, and what the scenario has broken
-// (rig.go, network.go).
+// Nodes do not share their own state (node.go, connections.go, attempt.go, polling.go). The Simulation holds what they
+// share: the world, the traffic, the checker of invariants, the report's log, and the faults in effect (rig.go,
+// network.go).
 package simulation
--- a/internal/emulator/simulation/io.go
+++ b/internal/emulator/simulation/io.go
@@ -8,10 +8,10 @@
 	"dahliapin/policy"
 )
 
-// This file holds what a node's dispatcher calls: the simulated counterpart of sockets and timers.
+// This file implements dispatch.Actions in virtual time: attempts, answers, timers and health checks.
 
-// Send starts an attempt at an endpoint, on an idle connection where there is one, and stops it at giveUpAt.
-func (n *node) Send(id policy.RequestID, to policy.EndpointID, giveUpAt policy.Instant) {
+// Send starts an attempt at an endpoint, on an idle connection if there is one, and stops it at the deadline.
+func (n *node) Send(id policy.RequestID, to policy.EndpointID, deadline policy.Instant) {
 	req := n.inFlight[id]
 	sim := n.sim
 	a := &attempt{
@@ -31,7 +31,7 @@
 	a.server = server
 	sim.lastTag++
 	a.tag = sim.lastTag
-	sim.At(giveUpAt, func() {
+	sim.At(deadline, func() {
 		switch {
 		case !a.outstanding:
 		case a.written:
@@ -49,7 +49,7 @@
 	sim.after(sim.serverLatency(n, server), func() { a.connect() })
 }
 
-// Cancel stops an attempt once the call into the dispatcher has returned.
+// Cancel stops an attempt after the current call into the dispatcher has returned.
 func (n *node) Cancel(id policy.RequestID, number int) {
 	req := n.inFlight[id]
 	if req == nil || number >= len(req.attempts) || !req.attempts[number].outstanding {
@@ -64,7 +64,7 @@
 	})
 }
 
-// Reject answers that the request had no effect and may be retried after a while.
+// Reject answers that the request had no effect and may be retried after a delay.
 func (n *node) Reject(id policy.RequestID, retryAfter time.Duration) {
 	if req := n.inFlight[id]; req != nil && !req.answered {
 		n.answer(req, checker.Rejected, retryAfter)
@@ -80,7 +80,7 @@
 	}
 }
 
-// SetTimer calls the dispatcher back after a while, at least a nanosecond from now.
+// SetTimer calls the dispatcher's OnTimer after a delay of at least a nanosecond.
 func (n *node) SetTimer(in time.Duration, token string) {
 	incarnation := n.incarnation
 	n.sim.after(max(in, 1), func() {
@@ -91,7 +91,7 @@
 	})
 }
 
-// CheckHealth probes a server and tells the dispatcher the result.
+// CheckHealth probes a server and reports the result to the dispatcher.
 func (n *node) CheckHealth(id policy.EndpointID) {
 	sim := n.sim
 	number, known := sim.world.Find(id)
@@ -101,14 +101,14 @@
 	sim.log.Second(sim.now).Probes++
 	incarnation := n.incarnation
 	result := policy.Answered
-	wait := sim.serverLatency(n, number) + sim.serverLatency(n, number) // there and back
+	wait := sim.serverLatency(n, number) + sim.serverLatency(n, number) // round trip
 	fault := sim.fault(number)
 	server := sim.world.Servers[number]
 	isFull := server.Liveness == world.Up && server.OpenConnections >= server.Connections
 	switch {
 	case server.Liveness == world.Down, fault == "refuse":
 		result = policy.ConnectFailed
-	case isFull && len(n.idleConnections[number]) == 0: // a probe needs a connection, as attempts do
+	case isFull && len(n.idleConnections[number]) == 0: // a probe needs a connection, as an attempt does
 		sim.log.Second(sim.now).FullDials++
 		result = policy.ConnectFailed
 	case server.Liveness == world.Silent, server.Frozen(sim.now), fault == "silent":
@@ -124,5 +124,5 @@
 	})
 }
 
-// PollEndpoints does nothing: the simulation updates a node's endpoint list all the time.
+// PollEndpoints does nothing: a simulated node receives updates of the endpoint list continuously.
 func (n *node) PollEndpoints() {}
--- a/internal/emulator/simulation/jobs.go
+++ b/internal/emulator/simulation/jobs.go
@@ -5,7 +5,7 @@
 	"dahliapin/policy"
 )
 
-// resultOf is what an attempt reports for a server's reply.
+// resultOf maps a server's reply to the result of the attempt.
 var resultOf = [...]policy.Result{
 	world.Value:   policy.Answered,
 	world.Receipt: policy.Answered,
@@ -14,7 +14,7 @@
 	world.Failed:  policy.Errored,
 }
 
-// jobDone sends a server's reply to the node whose attempt it answers.
+// jobDone sends a server's reply to the node whose attempt it belongs to.
 func (sim *Simulation) jobDone(done world.Done) {
 	a := sim.atServers[done.Job.Tag]
 	if a == nil {
@@ -31,22 +31,22 @@
 	}
 	lostShare := sim.scenario.Network.LostShare
 	if lostShare > 0 && !toOrigin && sim.random.Float64() < lostShare {
-		return // the connection delivers nothing any more: the attempt ends by its deadline
+		return // the connection delivers nothing anymore; the attempt ends at its deadline
 	}
 	sim.after(sim.serverLatency(a.node, server), func() { a.finish(result, loadReport) })
 }
 
-// faultyResult is the result of a reply after what goes wrong on the server's connections.
-func (sim *Simulation) faultyResult(server int, said world.Reply) policy.Result {
+// faultyResult returns the result of a reply under the fault on the server's connections.
+func (sim *Simulation) faultyResult(server int, reply world.Reply) policy.Result {
 	switch sim.fault(server) {
 	case "half":
 		return policy.ConnectionBroken
 	case "garbage":
 		return policy.Errored
 	case "stale":
-		if said == world.Value {
+		if reply == world.Value {
 			return policy.CacheMiss
 		}
 	}
-	return resultOf[said]
+	return resultOf[reply]
 }
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -7,7 +7,7 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
-// jittered draws a latency of at least d, and at most the network's jitter above it.
+// jittered draws a latency between d and d*(1+jitter), with the jitter of the scenario's network.
 func (sim *Simulation) jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + sim.scenario.Network.Jitter*sim.random.Float64()))
 }
@@ -26,12 +26,12 @@
 	return sim.jittered(scenario.SecondsToDuration(ms / 1000))
 }
 
-// connectTimeout is how long a node waits for a connection to come up.
+// connectTimeout returns how long a node waits for a connection to be established.
 func (sim *Simulation) connectTimeout() time.Duration {
 	return scenario.SecondsToDuration(sim.scenario.Allowed.ConnectMs / 1000)
 }
 
-// connectDelay draws how much later than usual a new connection to a cache comes up.
+// connectDelay draws the additional time to establish a connection to a server. It is 0 for the origin.
 func (sim *Simulation) connectDelay(server int) time.Duration {
 	network := &sim.scenario.Network
 	if network.LateShare == 0 || sim.world.IsOrigin(server) || sim.random.Float64() >= network.LateShare {
@@ -49,14 +49,14 @@
 			lost = append(lost, tag)
 		}
 	}
-	slices.Sort(lost) // a map has no order, and a run must be reproducible
+	slices.Sort(lost) // the iteration order of a map is random, and a run must be reproducible
 	for _, tag := range lost {
 		a := sim.atServers[tag]
 		sim.after(sim.serverLatency(a.node, server), func() { a.connectionLost() })
 	}
 }
 
-// countReset marks all connections to a server as broken: each carries the count at which it came up.
+// countReset marks all connections to a server as broken: each records the reset count at which it was established.
 func (sim *Simulation) countReset(server int) {
 	for len(sim.resetCounts) <= server {
 		sim.resetCounts = append(sim.resetCounts, 0)
@@ -65,7 +65,7 @@
 	sim.world.Servers[server].OpenConnections = 0
 }
 
-// resets is how often all connections to a server were reset.
+// resets returns how often all connections to a server were reset.
 func (sim *Simulation) resets(server int) uint64 {
 	if server < len(sim.resetCounts) {
 		return sim.resetCounts[server]
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// fault is what goes wrong on a server's connections; "" for nothing.
+// fault returns the fault on a server's connections; "" for none.
 func (sim *Simulation) fault(server int) string {
 	if server < len(sim.faults) {
 		return sim.faults[server]
@@ -81,7 +81,7 @@
 	return ""
 }
 
-// SetFault sets what goes wrong on a server's connections; "" for nothing.
+// SetFault sets the fault on a server's connections; "" for none.
 func (sim *Simulation) SetFault(server int, kind string) {
 	for len(sim.faults) <= server {
 		sim.faults = append(sim.faults, "")
--- a/internal/emulator/simulation/node.go
+++ b/internal/emulator/simulation/node.go
@@ -17,37 +17,38 @@
 	"dahliapin/policy"
 )
 
-// node is one simulated router: a dispatcher, its requests in flight and its connections. It is the dispatcher's I/O
-// (io.go) and its observer (observer.go). It has more fields than most types, as it stands for a whole process.
+// node simulates the process of a node: a dispatcher, its requests in flight and its connections. It carries out its
+// dispatcher's actions (io.go) and observes it (observer.go). Its many fields are the state of a whole process.
 type node struct {
 	sim           *Simulation
 	number        int               // from 0
-	trafficWeight float64           // its part of the traffic, relative to the other nodes'
-	settings      settings.Settings // as read in its zone
-	// incarnation counts the starts. A callback that was scheduled for an earlier incarnation does nothing.
+	trafficWeight float64           // relative to the weights of the other nodes
+	settings      settings.Settings // as decoded for its zone
+	// incarnation changes with each start and each kill. A callback that was scheduled for an earlier incarnation does
+	// nothing.
 	incarnation int
 	dispatcher  *dispatch.Dispatcher // nil while the node is down
 	recorder    *eventlog.Recorder
 	inFlight    map[policy.RequestID]*request
-	requests    uint64                     // number of requests accepted; the last one's id
-	ejected     map[policy.EndpointID]bool // endpoints that this node avoids at present
+	requests    uint64                     // number of accepted requests, and the id of the last one
+	ejected     map[policy.EndpointID]bool // whether this node has currently ejected an endpoint
 
 	endpoints   []policy.Endpoint // the endpoint list as last received; survives a restart
 	poller      discovery.Poller
 	listVersion int    // version of the endpoint list as last received
-	polls       uint64 // number of polls begun, by which an answer is matched with its poll
+	polls       uint64 // number of the current poll; answers to earlier ones are ignored
 
 	idleTimeout     idletimeout.Timeout
 	idleConnections map[int][]idleConnection // by server, the most recently used last
 }
 
-// request is a client's request that its node has accepted and not yet finished.
+// request is a client's request that its node has accepted and not finished.
 type request struct {
 	id          policy.RequestID
 	message     world.Request
-	firstSentAt policy.Instant // when the client sent the first try of it
+	firstSentAt policy.Instant // when the client sent its first try
 	attempts    []*attempt
-	answered    bool // the client's answer is sent, or the client has gone
+	answered    bool // an answer was sent, or the client has disconnected
 }
 
 // start starts the node's next incarnation with an endpoint list.
@@ -69,7 +70,7 @@
 	sim.serving = append(sim.serving, n)
 }
 
-// newDecider makes the decider of this incarnation, behind the scenario's degradation levels where it has any.
+// newDecider creates the decider of this incarnation. If the scenario has degradation levels, their filter wraps it.
 func (n *node) newDecider() dispatch.Decider {
 	sim := n.sim
 	seed := sim.scenario.Seed*7919 + int64(n.number)*31 + int64(n.incarnation)
@@ -83,7 +84,7 @@
 	return degradation.NewFilter(decider, sim.now, uint32(seed), levels, &n.settings, onChange, new(uint64))
 }
 
-// updateEndpoints takes in an update of the endpoint list.
+// updateEndpoints applies an update of the endpoint list.
 func (n *node) updateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) {
 	for _, e := range entries {
 		n.sim.checker.Notified(n.sim.now, n.number, e.ID, e.Lifecycle)
@@ -95,7 +96,7 @@
 	n.dispatcher.UpdateEndpoints(n.sim.now, kind, entries)
 }
 
-// kill ends the node at once: its connections are reset, and its clients see their requests cut off.
+// kill ends the node at once: its connections to servers and those of its clients are reset.
 func (n *node) kill() {
 	n.incarnation++
 	n.dispatcher = nil
@@ -108,13 +109,13 @@
 	n.closeIdle()
 }
 
-// cutInFlight abandons all attempts, and tells the clients of unanswered requests that their connection is gone.
+// cutInFlight abandons all attempts, and resets the connections of clients whose requests are unanswered.
 func (n *node) cutInFlight() {
 	ids := make([]policy.RequestID, 0, len(n.inFlight))
 	for id := range n.inFlight {
 		ids = append(ids, id)
 	}
-	slices.Sort(ids) // a map has no order, and a run must be reproducible
+	slices.Sort(ids) // the iteration order of a map is random, and a run must be reproducible
 	for _, id := range ids {
 		req := n.inFlight[id]
 		for _, a := range req.attempts {
@@ -131,7 +132,7 @@
 	n.inFlight = map[policy.RequestID]*request{}
 }
 
-// accept takes a client's request in and passes it to the dispatcher.
+// accept accepts a client's request and passes it to the dispatcher.
 func (n *node) accept(message world.Request, firstSentAt policy.Instant) *request {
 	sim := n.sim
 	n.requests++
@@ -152,8 +153,8 @@
 	return req
 }
 
-// clientLeaves lets a client go without its answer, unless the answer is on its way. The node learns of it one client
-// latency later, and may have answered or ended by then.
+// clientLeaves disconnects a client whose answer has not been sent. The node learns of it one client latency later, and
+// may have answered or ended by then.
 func (n *node) clientLeaves(req *request, incarnation int) {
 	sim := n.sim
 	if req.answered || n.incarnation != incarnation {
@@ -176,7 +177,7 @@
 	})
 }
 
-// answer sends the one final answer; the client receives it one client latency later, and may then retry.
+// answer sends a request's one final answer. The client receives it one client latency later, and may then retry.
 func (n *node) answer(req *request, final checker.Final, retryAfter time.Duration) {
 	req.answered = true
 	sim := n.sim
@@ -194,12 +195,12 @@
 	})
 }
 
-// release forgets a request that is answered and has no attempt outstanding.
+// release removes a request that is answered and has no outstanding attempts.
 func (n *node) release(req *request) {
 	if req.answered && !slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.outstanding }) {
 		delete(n.inFlight, req.id)
 	}
 }
 
-// releaseLater releases a request once the call into the dispatcher that answered it has returned.
+// releaseLater releases a request after the call into the dispatcher that answered it has returned.
 func (n *node) releaseLater(req *request) { n.sim.after(0, func() { n.release(req) }) }
--- a/internal/emulator/simulation/observer.go
+++ b/internal/emulator/simulation/observer.go
@@ -6,9 +6,11 @@
 	"dahliapin/policy"
 )
 
-// A node observes its own dispatcher, for its own event log and for the fleet's.
+// This file implements dispatch.Observer: a node records events of its dispatcher in its own event log and in the
+// fleet's.
 
-// EndpointStateChanged records a changed state. The fleet as a whole has ejected what most of its nodes have.
+// EndpointStateChanged records a changed state. The fleet's log has an endpoint as ejected while more than half of the
+// nodes have ejected it.
 func (n *node) EndpointStateChanged(now policy.Instant, id policy.EndpointID, state policy.EndpointState) {
 	n.recorder.EndpointStateChanged(now, id, state)
 	sim := n.sim
--- a/internal/emulator/simulation/polling.go
+++ b/internal/emulator/simulation/polling.go
@@ -8,24 +8,25 @@
 	"dahliapin/policy"
 )
 
-// Where a scenario bounds the work of discovery, nodes poll for the endpoint list with the poller of the product.
+// If a scenario limits the capacity of discovery, nodes poll for the endpoint list with the poller of the product.
+// Otherwise changes of the list are pushed to them (rig.go).
 
 // endpointPoll is a poll of a node, which may wait at the registry for a change.
 type endpointPoll struct {
 	node         *node
-	incarnation  int    // of the node when it began
-	number       uint64 // by which an answer is matched with the node's present poll
+	incarnation  int    // the node's incarnation when the poll began
+	number       uint64 // compared with node.polls to ignore answers to earlier polls
 	startedAt    policy.Instant
 	sinceVersion int
 	expiresAt    policy.Instant
 }
 
-// isCurrent tells whether the node still waits for the poll's answer.
+// isCurrent reports whether the node is waiting for the poll's answer.
 func (p endpointPoll) isCurrent() bool {
 	return p.node.incarnation == p.incarnation && p.node.polls == p.number && p.node.dispatcher != nil
 }
 
-// poll begins the node's next poll. One that gets no answer, as discovery is down, ends by its timeout.
+// poll starts the node's next poll. A poll that gets no answer, because discovery is down, ends at its timeout.
 func (n *node) poll() {
 	sim := n.sim
 	next := n.poller.NextPoll()
@@ -41,7 +42,7 @@
 	sim.after(next.Timeout, func() { p.fail(discovery.ConnectionLost) })
 }
 
-// receivePoll is a poll's arrival at the registry.
+// receivePoll handles a poll's arrival at the registry.
 func (sim *Simulation) receivePoll(p endpointPoll, request discovery.Poll) {
 	sim.log.Second(sim.now).Polls++
 	if !sim.discoveryUp {
@@ -55,11 +56,11 @@
 	sim.At(at, func() { sim.servePoll(p, request) })
 }
 
-// servePoll answers a poll whose turn at the registry has come, or has it wait for a change.
+// servePoll answers a poll that the registry has processed, or makes it wait for a change.
 func (sim *Simulation) servePoll(p endpointPoll, request discovery.Poll) {
 	p.expiresAt = sim.now.Add(request.LongPollTime)
 	switch {
-	case !sim.discoveryUp: // it went down meanwhile
+	case !sim.discoveryUp: // it went down while the poll was in the queue
 	case request.Complete:
 		entries := runner.Endpoints(sim.world)
 		version := len(sim.changes)
@@ -72,14 +73,14 @@
 	}
 }
 
-// fail ends a poll without an answer; the next one begins after the poller's backoff.
-func (p endpointPoll) fail(how discovery.Failure) {
+// fail ends a poll without an answer; the next one starts after the poller's backoff.
+func (p endpointPoll) fail(failure discovery.Failure) {
 	if !p.isCurrent() {
 		return
 	}
 	n := p.node
 	n.polls++
-	backoff, _ := n.poller.OnFailure(how, n.sim.now.Since(p.startedAt), n.sim.random.Float64())
+	backoff, _ := n.poller.OnFailure(failure, n.sim.now.Since(p.startedAt), n.sim.random.Float64())
 	n.sim.after(backoff, func() {
 		if n.incarnation == p.incarnation && n.dispatcher != nil {
 			n.poll()
@@ -87,7 +88,7 @@
 	})
 }
 
-// onUpdate is the answer's arrival at the node, which polls again at once.
+// onUpdate handles the answer's arrival at the node, which polls again at once.
 func (p endpointPoll) onUpdate(version int, entries []policy.Endpoint) {
 	if !p.isCurrent() {
 		return
@@ -108,7 +109,7 @@
 	sim.after(sim.clientLatency(), func() { p.onUpdate(version, changes) })
 }
 
-// expirePoll answers a poll that has waited for its longest time without a change.
+// expirePoll answers a poll that has waited for its LongPollTime without a change.
 func (sim *Simulation) expirePoll(p endpointPoll) {
 	i := slices.Index(sim.waitingPolls, p)
 	if i < 0 {
@@ -120,7 +121,7 @@
 	}
 }
 
-// publish adds a change to the endpoint list and answers all polls that wait. Their work at the registry is done.
+// publish adds a change to the endpoint list and answers all waiting polls. The registry has already done their work.
 func (sim *Simulation) publish(e policy.Endpoint) {
 	sim.changes = append(sim.changes, e)
 	sim.fleetRecorder.EndpointsUpdated(sim.now, policy.DeltaUpdate, []policy.Endpoint{e})
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -12,21 +12,21 @@
 	"dahliapin/policy"
 )
 
-// This file holds what the runner calls for events on nodes and the endpoint list; those on
-// connections are in network.go.
+// This file implements the methods of runner.Rig for nodes and the endpoint list. Those for connections are in
+// network.go.
 
-// drainCheck is how often a restart looks whether the earlier process has finished its requests.
-const drainCheck = 50 * time.Millisecond
+// drainCheckInterval is how often a restart checks whether the earlier process has finished its requests.
+const drainCheckInterval = 50 * time.Millisecond
 
 var _ runner.Rig = (*Simulation)(nil)
 
 // LogEvent adds a line to the log of the run.
 func (sim *Simulation) LogEvent(now policy.Instant, what string) { sim.log.AddEvent(now, what) }
 
-// Registry is the model of the capacity of discovery.
+// Registry returns the model of the capacity of discovery.
 func (sim *Simulation) Registry() *world.Registry { return sim.registry }
 
-// SetDiscovery takes discovery down or up; changes that were held back are then published.
+// SetDiscovery takes discovery down or up. When it comes up, the changes made while it was down are published.
 func (sim *Simulation) SetDiscovery(up bool) {
 	sim.discoveryUp = up
 	if !up {
@@ -38,7 +38,8 @@
 	sim.pendingUpdates = nil
 }
 
-// EndpointChanged notifies each node of a change of the endpoint list, each after a delay of its own.
+// EndpointChanged notifies each node of a change of the endpoint list, after a delay drawn for the node. If nodes poll
+// for the list, it publishes the change at the registry.
 func (sim *Simulation) EndpointChanged(e policy.Endpoint) {
 	if !sim.discoveryUp {
 		sim.pendingUpdates = append(sim.pendingUpdates, e)
@@ -65,23 +66,23 @@
 	})
 }
 
-// EndNode ends a node. An orderly end lets it finish its requests and sends it no further ones; otherwise it is
+// EndNode ends a node. In an orderly shutdown it finishes its requests and receives no new ones; otherwise it is
 // killed.
 func (sim *Simulation) EndNode(number int, orderly bool) {
 	n := sim.nodes[number]
-	sim.serving = slices.DeleteFunc(sim.serving, func(o *node) bool { return o == n })
+	sim.serving = slices.DeleteFunc(sim.serving, func(other *node) bool { return other == n })
 	if !orderly {
 		n.kill()
 	}
 }
 
-// StartNode starts a node anew once its earlier process has finished its requests. It starts with the endpoint list
-// that it knew, and receives the complete one soon after.
+// StartNode starts a node's next process after the earlier one has finished its requests. The process starts with the
+// endpoint list that the node last knew, and receives the complete list soon after.
 func (sim *Simulation) StartNode(number int) {
 	n := sim.nodes[number]
 	if n.dispatcher != nil {
 		if len(n.inFlight) > 0 {
-			sim.after(drainCheck, func() { sim.StartNode(number) })
+			sim.after(drainCheckInterval, func() { sim.StartNode(number) })
 			return
 		}
 		n.kill()
@@ -99,8 +100,8 @@
 	})
 }
 
-// What follows concerns processes, or the network between them. A scenario with such an event is refused in virtual
-// time, so none of it is ever called.
+// The methods below are for events on processes or on the network between them. Run rejects a scenario with such an
+// event, so they are never called.
 
 // UpgradeNode does nothing.
 func (sim *Simulation) UpgradeNode(int) {}
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -20,38 +20,39 @@
 )
 
 const (
-	// startOfRun is the virtual time of a scenario's second 0. It isn't 0, which stands for no instant.
+	// startOfRun is the virtual time of a scenario's second 0. It is not 0 because an Instant of 0 means none.
 	startOfRun = policy.Instant(time.Second)
-	// networkSlack is the tolerance for messages in transit before a delay counts as a breach: some network
+	// networkSlack is how late a message in transit may be before the checker reports a breach: several network
 	// latencies.
 	networkSlack = 20 * time.Millisecond
-	// maxStepsPerMillisecond is a number of events within a millisecond that no fleet reaches unless its decider
-	// loops.
+	// maxStepsPerMillisecond is a number of events within a millisecond that a run only reaches if its decider loops.
 	maxStepsPerMillisecond = 1 << 19
-	// settleTime is how long a run goes on after the scenario's end and the longest deadline, so that requests end.
+	// settleTime is how long a run continues after the scenario's end and the longest deadline, so that all requests
+	// end.
 	settleTime = 2 * time.Second
 )
 
-// errNeedsSockets is returned for a scenario with events that only real processes have.
+// errNeedsSockets is returned for a scenario with events that only affect real processes or links.
 var errNeedsSockets = errors.New(
-	"events on processes and on links between nodes are not simulated: this script plays on sockets only")
+	"the scenario has events on processes or on links between nodes, which virtual time does not simulate: " +
+		"run it on sockets")
 
-// DeciderFactory makes a node's decider.
+// DeciderFactory creates a node's decider.
 type DeciderFactory func(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider
 
-// Module makes the decider of the product, the policy module.
+// Module creates the decider of the product, the policy module.
 func Module(now policy.Instant, seed int64, settings policy.Settings) dispatch.Decider {
 	return policy.New(now, seed, settings)
 }
 
-// Simulation is one run. It is the rig on which the runner plays the scenario's events. It has more fields than most
-// types, as it holds all that the nodes of a run share.
+// Simulation is one run, and the rig on which the runner carries out the scenario's events. Its fields are what the
+// nodes of a run share.
 type Simulation struct {
-	Steps   uint64 // events played
-	Decided uint64 // calls into deciders
+	Steps   uint64 // processed events
+	Decided uint64 // created deciders and calls into dispatchers
 
 	scenario   *scenario.Scenario
-	settings   settings.Settings // as read in the first zone
+	settings   settings.Settings // as decoded for the first zone
 	newDecider DeciderFactory
 
 	now    policy.Instant
@@ -61,18 +62,18 @@
 	world     *world.World
 	traffic   *world.Traffic
 	nodes     []*node
-	serving   []*node // those that clients connect to
-	atServers map[uint64]*attempt
-	lastTag   uint64 // of an attempt; atServers is by tag
+	serving   []*node             // nodes that clients connect to
+	atServers map[uint64]*attempt // attempts with a job at a server, by tag
+	lastTag   uint64              // tag of the last attempt
 
 	resetCounts []uint64 // by server: how often all connections to it were reset
-	faults      []string // by server, as in Fault
+	faults      []string // by server, as set by SetFault
 
 	registry       *world.Registry
 	discoveryUp    bool
-	pendingUpdates []policy.Endpoint // changes while discovery is down, published when it is up again
-	changes        []policy.Endpoint // all that was published, where nodes poll; their number is the list's version
-	waitingPolls   []endpointPoll    // polls that wait for a change, in the order of their arrival
+	pendingUpdates []policy.Endpoint // changes while discovery is down, published when it comes up
+	changes        []policy.Endpoint // all published changes, if nodes poll; their number is the list's version
+	waitingPolls   []endpointPoll    // polls that wait for a change, in the order of arrival
 
 	checker       *checker.Checker
 	log           *report.Log
@@ -81,8 +82,8 @@
 	ejections     map[policy.EndpointID]int // number of nodes that have ejected an endpoint
 }
 
-// Run plays a scenario. The decider's name is for the report. It fails on a scenario that needs real processes, on one
-// whose settings are wrong, and on a decider that loops.
+// Run runs a scenario and returns its report, in which the decider has the given name. It fails on a scenario that
+// needs real processes, on invalid settings, and on a decider that loops.
 func Run(s *scenario.Scenario, name string, newDecider DeciderFactory) (*report.Report, *Simulation, error) {
 	settings, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
@@ -106,7 +107,7 @@
 	return report.New(s, "virtual", name, sim.world, sim.checker, sim.log, events.First, events.Last), sim, nil
 }
 
-// newSimulation makes a run without nodes.
+// newSimulation creates a run without nodes.
 func newSimulation(s *scenario.Scenario, settings settings.Settings, newDecider DeciderFactory) *Simulation {
 	sim := &Simulation{
 		scenario:    s,
@@ -137,7 +138,7 @@
 	return sim
 }
 
-// warmCaches puts keys where a decider of the run's kind would route them.
+// warmCaches fills the caches with the keys that a decider of the run would route to them.
 func (sim *Simulation) warmCaches() {
 	s := sim.scenario
 	decider := sim.newDecider(sim.now, s.Seed, sim.settings.Policy)
@@ -169,11 +170,11 @@
 	return nil
 }
 
-// run plays what is due up to an instant: the world's events and the queue's by time, the world's first where both are
-// due at once.
+// run processes the events of the world and of the queue that are due up to an instant, in the order of time. If both
+// have one at the same instant, the world's is first.
 //
-// A decider that asks to be called again at once, for ever, would keep the clock where it is and the run would hang.
-// It shows as more events within a millisecond than any fleet has, and ends the run with an error.
+// A decider that always asks to be called again at once would stop the clock, and the run would hang. This is detected
+// by a number of events within a millisecond that is otherwise never reached, and ends the run with an error.
 func (sim *Simulation) run(until policy.Instant) error {
 	checkedAt := sim.now
 	for {
@@ -203,15 +204,15 @@
 			sim.world.Advance(sim.now, sim.jobDone)
 			continue
 		}
-		do, _ := sim.queue.PopDue(sim.now)
-		do()
+		event, _ := sim.queue.PopDue(sim.now)
+		event()
 	}
 }
 
-// At schedules a function, or runs it next if the instant has passed.
+// At schedules a function call at an instant, or now if the instant has passed.
 func (sim *Simulation) At(at policy.Instant, do func()) { sim.queue.Push(max(at, sim.now), do) }
 
 func (sim *Simulation) after(d time.Duration, do func()) { sim.queue.Push(sim.now.Add(d), do) }
 
-// isOrigin reports whether an endpoint is the origin, which event logs leave out.
+// isOrigin reports whether an endpoint is the origin, which event logs omit.
 func isOrigin(e policy.Endpoint) bool { return e.ID == world.OriginID }
