--- a/internal/emulator/simulation/admission_test.go
+++ b/internal/emulator/simulation/admission_test.go
@@ -83,7 +83,7 @@
 // are wasted, and the caches serve what they can.
 func TestAdmissionShedsForOverloadNotForLostAnswers(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	for name, c := range map[string]admissionCase{
 		"no fault": {
--- a/internal/emulator/simulation/decisions_test.go
+++ b/internal/emulator/simulation/decisions_test.go
@@ -37,7 +37,7 @@
 // with one hash for each run; each rehearsal runs in cache-aside mode and with caches that store the data themselves.
 func TestDecisionsInRehearsalsMatchRecordedHashes(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	file, seeds := shortHashes, int64(1)
 	if *allDecisions {
--- a/internal/emulator/simulation/fleet_limits_test.go
+++ b/internal/emulator/simulation/fleet_limits_test.go
@@ -26,7 +26,7 @@
 // reached an origin that can serve 267 per second within the first second.
 func TestOriginLoadOfAllNodesStaysInBoundsFromAnEmptyStart(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	for nodes, minBenefit := range map[int]float64{24: 0.40, 120: 0.30, 480: 0.29} {
 		for seed := range int64(2) {
@@ -49,7 +49,7 @@
 // nodes that receive too few requests to learn the rate, nor when nine in ten nodes restart during a recovery ramp.
 func TestLoadOfAllNodesOnAColdCacheStaysInBounds(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	hotKey := scenario.Event{AtS: 3.9, Do: "hot", Share: 0.5, ForS: 10}
 	nodesRestart := scenario.Event{AtS: 4.5, Do: "node_kill", Part: 0.9, ForS: 0.3}
@@ -121,7 +121,7 @@
 // can serve 267, for longer than it withstands.
 func TestMoreNodesThanConfiguredStayWithinFleetLimits(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	for _, c := range []struct {
 		rehearsal     string
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -16,6 +16,9 @@
 	"dahliapin/rehearsals"
 )
 
+// shortSkipReason is why go test -short, with which the race detector runs, skips tests that run scenarios.
+const shortSkipReason = "a run uses one goroutine, in which the race detector finds nothing"
+
 func loadRehearsal(t testing.TB, name string) *scenario.Scenario {
 	t.Helper()
 	text, ok := rehearsals.Text(name)
@@ -42,7 +45,7 @@
 // Guards against a change of the policy module with which a shipped rehearsal no longer meets its expectations.
 func TestModuleMeetsTheExpectationsOfEachRehearsal(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing, and would take a minute")
+		t.Skip(shortSkipReason + ", and would take a minute")
 	}
 	for _, name := range rehearsals.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +71,7 @@
 // has polls that wait, polls that are refused, and connections that break while many attempts use them.
 func TestSameSeedGivesTheSameReport(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	text := func(seed int64) string {
 		s := loadRehearsal(t, "moves")
@@ -107,7 +110,7 @@
 // could be compared with recorded ones.
 func TestSlowCachesAreEjectedInTheSameOrderForAnySeed(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	for seed := range int64(5) {
 		s := loadRehearsal(t, "slow-quarter")
@@ -173,7 +176,7 @@
 // The checker reports a decider that breaks an invariant in virtual time, as it does on sockets.
 func TestCheckerCatchesADeciderThatBreaksAnInvariant(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	for violation, rule := range map[string]int{
 		"":                                  0,
@@ -212,7 +215,7 @@
 // node had to get errors of its own before it avoided the cache; the cache must be used again afterwards.
 func TestManyNodesWasteFewAttemptsAndPolls(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run uses one goroutine, in which the race detector finds nothing")
+		t.Skip(shortSkipReason)
 	}
 	sixtyAdded := loadRehearsal(t, "join")
 	sixtyAdded.Fleet.FallMultiple = 1.5
