--- a/internal/emulator/client/conn.go
+++ b/internal/emulator/client/conn.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// resetTimeout is how long after an orderly end a reset may take to come, which says that what was sent last had
-	// not been read.
+	// resetTimeout is the time after an orderly close in which a reset may still arrive. A reset means that the peer
+	// had not read the last data that was sent to it.
 	resetTimeout = 50 * time.Millisecond
-	// resetChecks is how often a reset is looked for in that time.
+	// resetChecks is the number of checks for a reset within resetTimeout.
 	resetChecks = 10
 )
 
-// conn is one connection to a node.
+// conn is a connection to a node.
 type conn struct {
 	*net.TCPConn
 	in   *bufio.Reader
-	used bool // it has carried a response
+	used bool // it has carried at least one response
 }
 
-// wasRead tells, after the other side's orderly end, whether that had read what was sent before. If not, or if the end
-// was sent before that came, the kernel over there responds with a reset.
+// wasRead reports, after the peer has closed the connection in an orderly way, whether it had read all data that was
+// sent to it. If data was left unread, or arrived after the close, the peer's kernel answers it with a reset.
 func (c *conn) wasRead() bool {
 	for deadline := time.Now().Add(resetTimeout); time.Now().Before(deadline); time.Sleep(resetTimeout / resetChecks) {
 		if c.socketError() != nil {
@@ -38,7 +38,7 @@
 	return true
 }
 
-// hasUnsolicited tells whether bytes have come between two requests.
+// hasUnsolicited reports whether data has arrived while no request was in flight.
 func (c *conn) hasUnsolicited() bool {
 	if c.in.Buffered() > 0 {
 		return true
@@ -47,13 +47,14 @@
 	return err == nil && n > 0
 }
 
-// isOpen tells whether the node holds the connection open, and nothing has come on it.
+// isOpen reports whether the node keeps the connection open and no data is waiting to be read.
 func (c *conn) isOpen() bool {
 	_, err := c.peek()
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// peek looks for the next byte in the kernel, without waiting. It returns 0 at the connection's end.
+// peek looks at the next byte in the kernel's receive buffer without blocking or consuming it. It returns 0 once the
+// peer has closed the connection.
 func (c *conn) peek() (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -69,7 +70,7 @@
 	return n, err
 }
 
-// socketError returns the error that the kernel has for the connection, if any.
+// socketError returns the pending error of the socket (SO_ERROR), if any.
 func (c *conn) socketError() error {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/emulator/client/doc.go
+++ b/internal/emulator/client/doc.go
@@ -1,7 +1,7 @@
-// Package client sends requests to a node as clients do: over connections that are kept, one request at a time on each,
-// with a new one whenever all are busy.
+// Package client sends requests to a node as clients do: over persistent connections, with one request in flight on
+// each, and a new connection whenever all others are busy.
 //
-// Pool holds the connections to one node and sends Requests, by meta commands or by HTTP (meta.go, http.go); the caller
-// never waits for a Response. conn.go finds out from the kernel what became of a connection: whether the node had read
-// what was sent before it closed, and whether it sent something that nobody asked for.
+// Pool holds the connections to one node and sends Requests as meta commands or by HTTP (meta.go, http.go). Sending is
+// asynchronous: a callback receives the Response. conn.go inspects the state of a connection in the kernel: whether the
+// node had read a request before it closed the connection, and whether it sent data without a request.
 package client
--- a/internal/emulator/client/http.go
+++ b/internal/emulator/client/http.go
@@ -12,9 +12,9 @@
 	"dahliapin/internal/emulator/checker"
 )
 
-// How clients of HTTP state a request; the node is told so by its operator's file.
+// The paths and header names of HTTP clients. The operator's file configures a node to use the same ones.
 const (
-	PathPrefix           = "/k/" // before the key
+	PathPrefix           = "/k/" // followed by the key
 	ReadyPath            = "/ready"
 	IDHeader             = "X-Id"
 	ClassHeader          = "X-Grade"
@@ -22,10 +22,10 @@
 	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
-// ETag returns the entity tag of a value, as a cache has it.
+// ETag returns the entity tag that caches assign to a value.
 func ETag(value string) string { return strconv.Quote(value) }
 
-// httpRequest returns a request as it is sent by HTTP.
+// httpRequest encodes a request as an HTTP/1.1 message.
 func httpRequest(r *Request) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s%s HTTP/1.1\r\nHost: n\r\n", methodOf(r), PathPrefix, r.Key)
@@ -53,7 +53,7 @@
 	return http.MethodGet
 }
 
-// readHTTP reads the response to a request by HTTP.
+// readHTTP reads the HTTP response to a request.
 func readHTTP(in *bufio.Reader, r *Request) (Response, error) {
 	answer, err := http.ReadResponse(in, &http.Request{Method: methodOf(r)})
 	if err != nil {
@@ -72,7 +72,7 @@
 		response.Final = checker.Satisfied
 		response.Value = r.CachedValue
 		if r.CachedValue == "" {
-			response.InvalidReason = "a 304 that was not asked for"
+			response.InvalidReason = "the response is 304 Not Modified, but the request was not conditional"
 		}
 	case http.StatusServiceUnavailable:
 		response.Final = checker.Rejected
@@ -80,7 +80,7 @@
 		response.RetryAfter = time.Duration(seconds) * time.Second
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		response.InvalidReason = "the answer is " + strings.TrimSpace(answer.Status)
+		response.InvalidReason = "the response has the unexpected status " + strings.TrimSpace(answer.Status)
 	}
 	return response, nil
 }
--- a/internal/emulator/client/meta.go
+++ b/internal/emulator/client/meta.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// streamedValueSize is the size of a value, in bytes, from which a node may forward it as it comes.
+	// streamedValueSize is the size, in bytes, above which a node may stream a value instead of buffering it.
 	streamedValueSize = 64 << 10
-	// maxValueSize bounds what is read of a value, in bytes.
+	// maxValueSize is the size, in bytes, above which a value is not accepted.
 	maxValueSize = 4<<20 + 1<<10
 
-	idFlag      = 'O' // of a request and of its response
-	receiptFlag = 'c' // of a write's response
+	idFlag      = 'O' // the request ID, which the response repeats
+	receiptFlag = 'c' // the receipt, in the response to a write
 	lineEnd     = "\r\n"
 )
 
-// metaCommand returns a request as a meta command.
+// metaCommand encodes a request as a meta command.
 func metaCommand(r *Request) string {
 	items := fmt.Sprintf("Pc=%s,d=%d", r.Class, max(1, r.Timeout.Milliseconds()))
 	if r.IdempotencyKey != "" {
@@ -68,12 +68,12 @@
 	return Response{Final: checker.Failed}, nil
 }
 
-// readValue reads a value of a stated size. One that a node forwards as it comes may end before it is complete, which
-// its reader can tell.
+// readValue reads a value of the given size in bytes. A node streams values above streamedValueSize, so that such a
+// value may be truncated by a closed connection. The reader detects this by the size, and the request counts as failed.
 func readValue(in *bufio.Reader, size string) (Response, error) {
 	length, err := strconv.Atoi(size)
 	if err != nil || length < 0 || length > maxValueSize {
-		return Response{}, errors.New("a value's length can't be read")
+		return Response{}, fmt.Errorf("the value size %q is not a number from 0 to %d bytes", size, maxValueSize)
 	}
 	value := make([]byte, length+len(lineEnd))
 	if _, err := io.ReadFull(in, value); err != nil {
@@ -84,19 +84,19 @@
 	}
 	response := Response{Final: checker.Satisfied, Value: string(value[:length])}
 	if !bytes.HasSuffix(value, []byte(lineEnd)) {
-		response.InvalidReason = "a value does not end where it should"
+		response.InvalidReason = "the value is not followed by CRLF"
 	}
 	return response, nil
 }
 
-// checkID notes a response that names another request.
+// checkID marks the response as invalid if its ID is not that of the request.
 func (response *Response) checkID(r *Request, flags []string) {
 	if id := firstFlagValue(flags, idFlag); id != r.ID {
-		response.InvalidReason = "the answer names request " + strconv.Quote(id)
+		response.InvalidReason = "the response has the ID of request " + strconv.Quote(id)
 	}
 }
 
-// firstFlagValue returns the value of the first flag of a kind, or an empty string.
+// firstFlagValue returns the value of the first flag of a kind, or an empty string if there is none.
 func firstFlagValue(flags []string, kind byte) string {
 	for _, flag := range flags {
 		if flag[0] == kind {
@@ -106,7 +106,7 @@
 	return ""
 }
 
-// flagValue returns the value of the last flag of a kind, or an empty string.
+// flagValue returns the value of the last flag of a kind, or an empty string if there is none.
 func flagValue(flags []string, kind byte) string {
 	value := ""
 	for _, flag := range flags {
@@ -117,7 +117,7 @@
 	return value
 }
 
-// retryAfterOf reads when a rejected client may come back, in milliseconds.
+// retryAfterOf returns the time after which a rejected client may retry. The first word states it in milliseconds.
 func retryAfterOf(words []string) time.Duration {
 	if len(words) == 0 {
 		return 0
--- a/internal/emulator/client/pool.go
+++ b/internal/emulator/client/pool.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"cmp"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -15,33 +16,34 @@
 
 const (
 	dialTimeout = time.Second
-	// defaultLateTolerance is how long after its deadline a response is still waited for: a late one is to be seen.
+	// defaultLateTolerance is the time after a request's deadline for which the client still waits, so that a late
+	// response is reported as late and not as missing.
 	defaultLateTolerance = 300 * time.Millisecond
-	// maxIdleConns is how many connections are kept for one node.
+	// maxIdleConns is the maximum number of idle connections to a node.
 	maxIdleConns = 512
 )
 
 var (
-	errSilent      = errors.New("no response in time")
+	errSilent      = errors.New("the node sent no response in time")
 	errAbandoned   = errors.New("the client abandoned the request")
-	errUnsolicited = errors.New("received bytes that belong to no request")
-	errUnanswered  = errors.New("the request was read, and the connection was closed without a response")
+	errUnsolicited = errors.New("the node sent data while no request was in flight")
+	errUnanswered  = errors.New("the node read the request and closed the connection without a response")
 )
 
 // Pool holds the connections to one node. Its methods may be called from any goroutine.
 type Pool struct {
 	Addr          string
-	HTTP          bool          // else by meta commands
-	LateTolerance time.Duration // after its deadline that a response is still waited for; 0 for a usual time
+	HTTP          bool          // sends HTTP requests instead of meta commands
+	LateTolerance time.Duration // time after its deadline for which a response is awaited; 0 for 300 ms
 
 	mu      sync.Mutex
-	idle    []*conn
-	conns   map[*conn]bool // all that are open
+	idle    []*conn        // most recently used last
+	conns   map[*conn]bool // all open connections
 	closed  bool
-	pending sync.WaitGroup // requests
+	pending sync.WaitGroup // requests in flight
 }
 
-// Send sends a request, and calls done with what became of it from another goroutine.
+// Send sends a request without blocking, and calls done with the response from another goroutine.
 func (p *Pool) Send(r *Request, done func(Response)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +60,8 @@
 	p.pending.Go(func() { done(p.roundTrip(idle, r)) })
 }
 
-// takeIdle returns the idle connection that was used last, or nil if there is none; under mu.
+// takeIdle removes and returns the most recently used idle connection, or returns nil if there is none. The caller
+// holds mu.
 func (p *Pool) takeIdle() *conn {
 	last := len(p.idle) - 1
 	if last < 0 {
@@ -69,13 +72,13 @@
 	return c
 }
 
-// roundTrip sends a request on an idle connection, or on a new one if that is nil. A request that crosses the end of a
-// used connection is sent again on a new one.
+// roundTrip sends a request on an idle connection, or on a new one if idle is nil. If the node closes a reused
+// connection before it has read the request, the request is sent again on a new connection.
 func (p *Pool) roundTrip(idle *conn, r *Request) Response {
 	sentAt := time.Now()
 	response, err := p.attempt(idle, r)
 	unsolicited := response.Unsolicited
-	// Asked in this order: without an error another request may use the connection already.
+	// idle.used is read only after an error: without one, another request may already use the connection.
 	crossedEnd := isConnEnd(err) && idle != nil && idle.used
 	if crossedEnd && !r.ReuseOnly {
 		response, err = p.attempt(nil, r)
@@ -92,13 +95,13 @@
 	return response
 }
 
-// isConnEnd reports whether a request met the end of its connection, and was not read.
+// isConnEnd reports whether the connection ended before the node had read the request.
 func isConnEnd(err error) bool {
 	return err != nil &&
 		!errors.Is(err, errSilent) && !errors.Is(err, errAbandoned) && !errors.Is(err, errUnanswered)
 }
 
-// attempt sends a request once, on a connection or on a new one if that is nil, and reads the response.
+// attempt sends a request on c, or on a new connection if c is nil, and reads the response.
 func (p *Pool) attempt(c *conn, r *Request) (Response, error) {
 	if c == nil {
 		var err error
@@ -123,7 +126,7 @@
 	return response, nil
 }
 
-// exchange writes a request and reads the response, within the time that the client waits.
+// exchange writes a request and reads the response, within the time for which the client waits.
 func (p *Pool) exchange(c *conn, r *Request) (Response, error) {
 	wait := r.Timeout + cmp.Or(p.LateTolerance, defaultLateTolerance)
 	abandons := r.AbandonAfter > 0 && r.AbandonAfter <= wait
@@ -155,7 +158,7 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// dial opens a connection that the pool knows of.
+// dial opens a connection and registers it with the pool.
 func (p *Pool) dial() (*conn, error) {
 	c, err := dialNode(p.Addr)
 	if err != nil {
@@ -182,12 +185,13 @@
 	stream, ok := plain.(*net.TCPConn)
 	if !ok {
 		_ = plain.Close()
-		return nil, errors.New("not a TCP connection")
+		return nil, fmt.Errorf("the connection to %s is a %T and not a TCP connection", addr, plain)
 	}
 	return &conn{TCPConn: stream, in: bufio.NewReader(stream)}, nil
 }
 
-// keep keeps a connection for later requests, unless it ends or enough are kept.
+// keep returns a connection to the idle ones, or closes it if the node ends it, the pool is closed or there are
+// maxIdleConns idle connections already.
 func (p *Pool) keep(c *conn, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,6 +203,7 @@
 	p.idle = append(p.idle, c)
 }
 
+// drop closes a connection and removes it from the pool.
 func (p *Pool) drop(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
@@ -206,14 +211,15 @@
 	delete(p.conns, c)
 }
 
-// HasIdle tells whether a connection is open that no request uses.
+// HasIdle reports whether the pool has an idle connection.
 func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
-// OpenConns counts the connections that the node holds open. Of idle ones the pool learns the end only now.
+// OpenConns returns the number of connections that the node keeps open. It checks each one in the kernel, as the pool
+// otherwise notices that an idle connection was closed only when it is next used.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +232,7 @@
 	return open
 }
 
-// Close ends all connections and waits for all requests.
+// Close closes all connections and waits for the requests in flight.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -237,7 +243,7 @@
 	p.pending.Wait()
 }
 
-// Ready tells whether the node accepts requests.
+// Ready reports whether the node accepts requests. It uses a connection of its own.
 func (p *Pool) Ready() bool {
 	c, err := dialNode(p.Addr)
 	if err != nil {
--- a/internal/emulator/client/request.go
+++ b/internal/emulator/client/request.go
@@ -6,33 +6,33 @@
 	"dahliapin/internal/emulator/checker"
 )
 
-// Request is one request of a client.
+// Request is a request of a client.
 type Request struct {
 	ID             string
 	Key            string
 	IdempotencyKey string // empty for none
 	Class          string // name of the service class
 	Write          bool
-	Retry          bool          // it was sent before
+	Retry          bool          // the client sends the request again
 	Value          string        // of a write
-	CachedValue    string        // by HTTP: what the client has, and asks whether it is still valid; empty for nothing
+	CachedValue    string        // HTTP only: makes the request conditional on this value; empty for none
 	Timeout        time.Duration // until the deadline
-	AbandonAfter   time.Duration // after which the client goes without a response; 0 for never
-	ReuseOnly      bool          // no new connection is made for it
+	AbandonAfter   time.Duration // time after which the client stops waiting for a response; 0 for never
+	ReuseOnly      bool          // never opens a connection for the request
 }
 
-// Response is what became of a request.
+// Response is the outcome of a request.
 type Response struct {
 	Final         checker.Final
-	RetryAfter    time.Duration // stated by the node; 0 for nothing
-	Value         string        // or the receipt of a write
-	InvalidReason string        // what is not as it should be; empty for nothing
-	Silent        bool          // nothing came in time
-	Abandoned     bool          // the client went before
-	NotSent       bool          // with ReuseOnly: no connection was open, or the node closed it at the same time
-	Unsolicited   bool          // the connection had brought something that nobody asked for
+	RetryAfter    time.Duration // as stated by the node; 0 if it stated none
+	Value         string        // the value of a read, or the receipt of a write
+	InvalidReason string        // why the response is invalid; empty for a valid one
+	Silent        bool          // no response arrived in time
+	Abandoned     bool          // the client stopped waiting before a response arrived
+	NotSent       bool          // ReuseOnly: no connection was idle, or the node closed it without reading the request
+	Unsolicited   bool          // data had arrived on the connection before the request was sent
 	SentAt        time.Time
 	ReceivedAt    time.Time
 
-	closes bool // the node ends the connection
+	closes bool // the node closes the connection after the response
 }
