--- a/internal/emulator/diskfault/doc.go
+++ b/internal/emulator/diskfault/doc.go
@@ -1,19 +1,21 @@
-// Package diskfault makes system calls that change files fail, and computes what a crash between them leaves on disk.
-// It is for tests: the code under test needs no hook for it.
+// Package diskfault injects failures into the system calls that change files, and computes what a crash at each of them
+// leaves on disk. It is for tests: the code under test needs no hook for it.
 //
 // # Faults
 //
-// Run runs a function on a thread of its own, whose system calls that change files in one folder are first shown to a
-// callback. The callback lets a call be carried out, or has it fail with an error number, after a part of a write was
-// carried out or not at all. The kernel does this (a seccomp filter with user notification, on that thread only), so
-// libraries that call it directly, as bbolt does, are covered without a change. It needs no privileges and Linux 5.19.
-// Calls of other threads are not seen: the function must not leave its writes to other goroutines. A write of exactly
-// eight bytes is not seen either, as the Go runtime wakes its poller by such.
+// Run runs a function on its own thread and passes each system call of that thread that changes a file in one folder to
+// a callback. The callback lets the call proceed, or makes it fail with an error number, for a write optionally after a
+// part of it was written. The calls are intercepted in the kernel by a seccomp filter with user notification on that
+// thread, so that libraries which make system calls directly, such as bbolt, are covered without changes. This requires
+// Linux 5.19 and no privileges.
+//
+// Calls of other threads are not intercepted, so the function must not leave its writes to other goroutines. Neither
+// are writes of exactly eight bytes, by which the Go runtime wakes its network poller.
 //
 // # Crashes
 //
-// A Recording has the calls of a run. From it, KilledAt and PowerLostAt compute the folder's contents after a crash at
-// each call: after kill -9 everything that was written is there, with a part of the write in progress; after a loss of
-// power, what was not synced may be there or not, each write by itself, and names that were made, changed or removed
-// since the folder was last synced may be as before.
+// A Recording holds the calls of a run. From it, KilledAt and PowerLostAt compute the contents that the folder may have
+// after a crash at each call. After kill -9 all earlier writes are present, and the write in progress may be partial.
+// After a power loss each write since the file's last sync is present or lost independently of the others, and files
+// that were created, renamed or removed since the folder's last sync may have their old names.
 package diskfault
--- a/internal/emulator/diskfault/filter.go
+++ b/internal/emulator/diskfault/filter.go
@@ -11,21 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Operation is what a system call does to a file.
+// Operation is the effect of a system call on a file.
 type Operation int
 
 // The operations.
 const (
-	Create Operation = iota // open, and make the file if there is none
+	Create Operation = iota // open with O_CREAT
 	Write
-	Sync // of a file, or of the folder's names
+	Sync // of a file's content, or of the folder's entries
 	Truncate
 	Link
 	Rename
 	Remove
 )
 
-// Call is a system call that is about to change a file, or to make changes durable.
+// Call is a system call that is about to change a file or to make changes durable.
 type Call struct {
 	Operation Operation
 	Path      string
@@ -35,7 +35,8 @@
 	Size      int64  // of Truncate
 }
 
-// FailingSizes are how many bytes a call may have written when it fails: none, and of a Write the first half.
+// FailingSizes returns the numbers of bytes that a failing call may have written, as a test has to cover: none, and
+// half of the data of a Write.
 func (c *Call) FailingSizes() []int {
 	if len(c.Data) < 2 {
 		return []int{0}
@@ -43,25 +44,25 @@
 	return []int{0, len(c.Data) / 2}
 }
 
-// Action is what becomes of a call. The zero value carries it out.
+// Action is the decision on a call. The zero value lets it proceed.
 type Action struct {
-	Errno   unix.Errno // the call fails with this error, 0 for not
-	Written int        // bytes that a failing Write writes before: if any, it returns their number in place of the error
-	Skip    bool       // the call returns success, and nothing is done: for a Sync, whose effect only a crash shows
+	Errno   unix.Errno // error that the call fails with; 0 lets it proceed
+	Written int        // bytes that a failing Write still writes; if there are any, it returns their number, not Errno
+	Skip    bool       // the call returns success without being executed; for a Sync, whose effect only a crash shows
 }
 
-// The layout of struct seccomp_data, as a filter reads it: offsets of the system call's number and of the lower half
-// of its third argument.
+// Offsets in struct seccomp_data, as a filter reads it: of the system call number, and of the lower half of the third
+// argument.
 const (
 	numberOffset        = 0
 	thirdArgumentOffset = 16 + 2*8
 )
 
-// pollerWakeBytes is the size of a write by which the Go runtime wakes its poller. It must not be held up: the thread
-// cannot be stopped meanwhile.
+// pollerWakeBytes is the size of the write by which the Go runtime wakes its network poller. The filter must not
+// intercept it, as the runtime cannot preempt the thread while it waits for the decision.
 const pollerWakeBytes = 8
 
-// notification is struct seccomp_notif.
+// notification mirrors the kernel's struct seccomp_notif.
 type notification struct {
 	id              uint64
 	process         uint32
@@ -72,7 +73,7 @@
 	arguments       [6]uint64
 }
 
-// response is struct seccomp_notif_resp.
+// response mirrors the kernel's struct seccomp_notif_resp.
 type response struct {
 	id    uint64
 	value int64
@@ -80,8 +81,9 @@
 	flags uint32
 }
 
-// Run runs a function on a thread of its own, and asks decide about each of its calls that changes something in a
-// folder. decide must not use files itself. The error says that the kernel offers no such filter.
+// Run runs body on its own thread and applies the result of decide to each of its calls that changes a file in dir.
+// decide must not use files itself. Run returns an error if the filter cannot be installed or its notifications cannot
+// be received.
 func Run(dir string, decide func(Call) Action, body func()) error {
 	listening := make(chan int)
 	failed := make(chan error, 1)
@@ -106,10 +108,10 @@
 	}
 }
 
-// onOwnThread runs a function on a thread that ends with it, and is not the process's first one: that never ends, and
-// would keep the filter.
+// onOwnThread runs a function on a thread that ends with the function, since a filter stays on its thread for good. The
+// main thread is not used, because it never ends.
 func onOwnThread(f func()) {
-	runtime.LockOSThread() // and not unlocked, by which the thread ends
+	runtime.LockOSThread() // never unlocked, so that the thread ends with the goroutine
 	if unix.Gettid() != unix.Getpid() {
 		f()
 		return
@@ -119,20 +121,21 @@
 		defer close(done)
 		onOwnThread(f)
 	}()
-	<-done // this thread runs nothing else meanwhile
+	<-done // the main thread stays locked meanwhile, so that f is not scheduled on it again
 	runtime.UnlockOSThread()
 }
 
-// statement and jump are instructions of a filter.
+// statement returns a filter instruction without a jump.
 func statement(code uint16, operand uint32) unix.SockFilter {
 	return unix.SockFilter{Code: code, K: operand}
 }
 
+// jump returns a conditional filter instruction. It skips ifTrue or ifFalse instructions.
 func jump(code uint16, operand uint32, ifTrue, ifFalse uint8) unix.SockFilter {
 	return unix.SockFilter{Code: code, Jt: ifTrue, Jf: ifFalse, K: operand}
 }
 
-// filterProgram notifies of the calls that change files, and allows all others.
+// filterProgram returns the filter, which sends notifications of calls that change files and allows all others.
 func filterProgram() []unix.SockFilter {
 	const (
 		load    = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
@@ -163,25 +166,26 @@
 	)
 }
 
-// installFilter puts the filter on this thread, and returns the descriptor by which it notifies.
+// installFilter installs the filter on the current thread and returns the descriptor for its notifications.
 func installFilter() (listener int, err error) {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return 0, fmt.Errorf("no new privileges: %w", err)
+		return 0, fmt.Errorf("cannot set no_new_privs: %w", err)
 	}
 	instructions := filterProgram()
 	program := unix.SockFprog{Len: uint16(len(instructions)), Filter: &instructions[0]}
-	// Signals must not interrupt a call that is being decided on: it would be restarted, and counted twice.
+	// Only fatal signals may interrupt a call that waits for its decision: any other would restart it, and it would be
+	// reported twice.
 	flags := uintptr(unix.SECCOMP_FILTER_FLAG_NEW_LISTENER | unix.SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV)
 	address := uintptr(unsafe.Pointer(&program))
 	descriptor, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, flags, address)
 	runtime.KeepAlive(&program)
 	if errno != 0 {
-		return 0, fmt.Errorf("seccomp filter: %w", errno)
+		return 0, fmt.Errorf("cannot install the seccomp filter: %w", errno)
 	}
 	return int(descriptor), nil
 }
 
-// supervise answers notifications until the filtered function has ended.
+// supervise responds to notifications until the filtered function has ended.
 func supervise(listener int, ended <-chan struct{}, dir string, decide func(Call) Action) error {
 	defer unix.Close(listener)
 	wakeRead, wakeWrite, err := os.Pipe()
@@ -205,7 +209,7 @@
 	}
 	for {
 		_, err := unix.Poll(descriptors, -1)
-		if errors.Is(err, unix.EINTR) { // descriptors may still have the events of the call before
+		if errors.Is(err, unix.EINTR) { // descriptors may still hold the events of the previous call
 			continue
 		}
 		if err != nil {
@@ -221,16 +225,16 @@
 	}
 }
 
-// supervisor answers the notifications of one filter. It makes its calls by package unix: package os logs
-// each name in a test, under a lock that the thread which waits for the answer may hold.
+// supervisor responds to the notifications of one filter. It uses package unix instead of package os, which in tests
+// logs each file name under a lock. The thread that waits for the response may hold that lock.
 type supervisor struct {
-	listener uintptr
+	listener uintptr // descriptor for notifications
 	dir      string
 	decide   func(Call) Action
-	memory   int // descriptor of this process's memory
+	memory   int // descriptor of /proc/self/mem
 }
 
-// answerOne receives a notification and answers it.
+// answerOne receives one notification and responds to it.
 func (s *supervisor) answerOne() {
 	var n notification
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, s.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, uintptr(unsafe.Pointer(&n)))
@@ -252,13 +256,13 @@
 			r = response{id: n.id, error: -int32(action.Errno)}
 		}
 	}
-	for errno = unix.EINTR; errno == unix.EINTR; { // a call whose answer is lost would block for good
+	for errno = unix.EINTR; errno == unix.EINTR; { // without a response the call would block forever
 		_, _, errno = unix.Syscall(
 			unix.SYS_IOCTL, s.listener, unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&r)))
 	}
 }
 
-// decode makes a Call of a notification; watched is false for one of another folder.
+// decode returns the call that a notification describes, and whether it concerns the watched folder.
 func (s *supervisor) decode(n *notification) (call Call, watched bool) {
 	arguments := n.arguments
 	switch n.number {
@@ -276,7 +280,7 @@
 	return call, call.Path == s.dir || strings.HasPrefix(call.Path, s.dir+"/")
 }
 
-// decodeDescriptorCall makes a Call of a notification whose first argument is an open file.
+// decodeDescriptorCall decodes a notification of a call whose first argument is a file descriptor.
 func (s *supervisor) decodeDescriptorCall(n *notification) Call {
 	name := make([]byte, unix.PathMax)
 	size, _ := unix.Readlink(fmt.Sprintf("/proc/self/fd/%d", n.arguments[0]), name)
@@ -291,7 +295,7 @@
 		call.Operation = Write
 		call.Offset = int64(n.arguments[3])
 		call.Data = s.bytes(n.arguments[1], n.arguments[2])
-	case unix.SYS_WRITE: // of a file that is opened to append
+	case unix.SYS_WRITE: // assumes a file opened with O_APPEND
 		call.Operation = Write
 		var info unix.Stat_t
 		if unix.Fstat(int(n.arguments[0]), &info) == nil {
@@ -302,14 +306,14 @@
 	return call
 }
 
-// bytes copies a part of this process's memory.
+// bytes copies a range of this process's memory.
 func (s *supervisor) bytes(address, size uint64) []byte {
 	data := make([]byte, size)
 	n, _ := unix.Pread(s.memory, data, int64(address))
 	return data[:max(0, n)]
 }
 
-// text copies a string that ends with a zero byte.
+// text copies a NUL-terminated string from this process's memory.
 func (s *supervisor) text(address uint64) string {
 	data := make([]byte, unix.PathMax)
 	n, _ := unix.Pread(s.memory, data, int64(address))
--- a/internal/emulator/diskfault/filter_test.go
+++ b/internal/emulator/diskfault/filter_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// replaceFile replaces a file in the usual way: the content is written and synced under another name, the file is
-// renamed and its folder is synced.
+// replaceFile replaces a file atomically: it writes and syncs the content under a temporary name, renames the file and
+// syncs the folder.
 func replaceFile(dir, content string) error {
 	path := filepath.Join(dir, "file")
 	err := os.WriteFile(path+".new", []byte(content), 0o600)
@@ -31,8 +31,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Run shows each call in order and fails it as decided; calls in other folders are not shown.
-func TestRunShowsEachCallAndFailsItAsDecided(t *testing.T) {
+// Run must report the calls of the watched folder in order and no others, and fail the call that the callback selects.
+func TestRunReportsCallsInOrderAndFailsTheSelectedOne(t *testing.T) {
 	dir := TempDir(t)
 	var recording Recording
 	var err error
@@ -45,11 +45,11 @@
 	}
 	want := []Operation{Create, Write, Sync, Rename, Sync}
 	if len(recording.Calls) != len(want) {
-		t.Fatalf("%+v", recording.Calls)
+		t.Fatalf("recorded %+v, want the operations %v", recording.Calls, want)
 	}
 	for i, operation := range want {
 		if recording.Calls[i].Operation != operation {
-			t.Errorf("call %d is %+v", i, recording.Calls[i])
+			t.Errorf("call %d is %+v, want operation %v", i, recording.Calls[i], operation)
 		}
 		calls := 0
 		failing := TempDir(t)
@@ -61,13 +61,13 @@
 			return Action{}
 		}, func() { err = replaceFile(failing, "content") })
 		if runErr != nil || !errors.Is(err, unix.ENOSPC) {
-			t.Errorf("call %d: %v, %v", i, runErr, err)
+			t.Errorf("call %d failed with ENOSPC: Run returned %v, replaceFile returned %v", i, runErr, err)
 		}
 	}
 }
 
-// A loss of power before the folder is synced may undo the rename, and one before the file is synced may leave it
-// empty. A kill during a write leaves half of it.
+// A power loss before the folder's sync may undo the rename, and one before the file's sync may leave the file empty. A
+// kill during a write may leave half of the data.
 func TestCrashMayUndoUnsyncedChanges(t *testing.T) {
 	dir := TempDir(t)
 	var recording Recording
@@ -84,13 +84,13 @@
 		return false
 	}
 	if images := recording.KilledAt(1); !has(images, "file.new", "") || !has(images, "file.new", "con") {
-		t.Errorf("killed: %v", images)
+		t.Errorf("killed during the write: %v", images)
 	}
 	if images := recording.PowerLostAt(2); !has(images, "file.new", "") || !has(images, "file.new", "content") {
-		t.Errorf("before the sync: %v", images)
+		t.Errorf("power lost before the file's sync: %v", images)
 	}
 	last := recording.PowerLostAt(4)
 	if !has(last, "file", "content") || has(last, "file", "") || len(last[0]) != 0 {
-		t.Errorf("before the folder's sync: %v", last)
+		t.Errorf("power lost before the folder's sync: %v", last)
 	}
 }
--- a/internal/emulator/diskfault/folder.go
+++ b/internal/emulator/diskfault/folder.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// memoryFolder is a file system in memory, where a sync takes no time.
+// memoryFolder is the mount point of a tmpfs, where a sync takes no time.
 const memoryFolder = "/dev/shm"
 
-// TempDir makes a folder for one test, in memory where the machine has such a file system: tests here open thousands of
-// files, and a disk that others use would hold them up.
+// TempDir creates a folder that is removed after the test, on a tmpfs if there is one. Tests with this package open
+// thousands of files, which is slow on a disk that other processes use.
 func TempDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp(memoryFolder, "dahliapin-diskfault-")
--- a/internal/emulator/diskfault/recording.go
+++ b/internal/emulator/diskfault/recording.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// Image is a folder's contents, by the files' names.
+// Image is the content of a folder: file contents by file name.
 type Image map[string][]byte
 
-// WriteTo writes the files to a folder.
+// WriteTo creates the files in a folder.
 func (i Image) WriteTo(dir string) error {
 	for name, content := range i {
 		if err := os.WriteFile(filepath.Join(dir, name), content, 0o600); err != nil {
@@ -20,18 +20,18 @@
 	return nil
 }
 
-// Recording is the calls of one run, which began with an empty folder.
+// Recording holds the calls of one run, which began with an empty folder.
 type Recording struct {
-	Calls []Call // complete once the run has ended
+	Calls []Call // complete when the run has ended
 
 	dir   string
-	count atomic.Int64 // of Calls
+	count atomic.Int64 // length of Calls
 }
 
-// Count is how many calls there are so far. The function that is recorded may ask.
+// Count returns the number of calls recorded so far. The recorded function may call it while it runs.
 func (r *Recording) Count() int { return int(r.count.Load()) }
 
-// Record runs a function and records its calls.
+// Record runs body and records its calls. Syncs are recorded but not executed.
 func Record(dir string, r *Recording, body func()) error {
 	r.dir = dir
 	return Run(dir, func(call Call) Action {
@@ -41,7 +41,8 @@
 	}, body)
 }
 
-// KilledAt is what the folder may have after kill -9 at a call: nothing of it, and of a write the first half as well.
+// KilledAt returns the contents that the folder may have after kill -9 during a call: without that call and, if it is a
+// write, also with the first half of its data.
 func (r *Recording) KilledAt(call int) []Image {
 	d := newDisk(r.dir)
 	for _, c := range r.Calls[:call] {
@@ -56,9 +57,9 @@
 	return images
 }
 
-// PowerLostAt is what the folder may have after a loss of power at a call: with the names as of the folder's last sync
-// or the present ones; and of what was written to each file since its last sync nothing, everything, one change alone,
-// or all but one.
+// PowerLostAt returns the contents that the folder may have after a power loss before a call. The names are either
+// those of the folder's last sync or the current ones. Of the changes to each file since its last sync, none, all, only
+// one or all but one are present.
 func (r *Recording) PowerLostAt(call int) []Image {
 	d := newDisk(r.dir)
 	for _, c := range r.Calls[:call] {
@@ -83,13 +84,13 @@
 func nothing(int) bool    { return false }
 func everything(int) bool { return true }
 
-// file is a file's content, and the changes since its last sync.
+// file is the synced content of a file and the changes since then.
 type file struct {
 	durable  []byte
 	unsynced []Call
 }
 
-// disk is a folder in which names and contents become durable each by their own sync.
+// disk models a folder in which file names and file contents become durable by separate syncs.
 type disk struct {
 	dir          string
 	names        map[string]*file
@@ -100,7 +101,7 @@
 	return &disk{dir: dir, names: map[string]*file{}, durableNames: map[string]*file{}}
 }
 
-// apply carries out a call.
+// apply applies a call to the model.
 func (d *disk) apply(c Call) {
 	name := filepath.Base(c.Path)
 	f := d.names[name]
@@ -116,13 +117,13 @@
 			d.durableNames = maps.Clone(d.names)
 			return
 		}
-		if f == nil { // a file that was removed while it is open
+		if f == nil { // the file was removed while it was open
 			return
 		}
 		f.durable = f.content(everything)
 		f.unsynced = nil
 	case Link:
-		if newName := filepath.Base(c.NewPath); d.names[newName] == nil { // it fails if there is one
+		if newName := filepath.Base(c.NewPath); d.names[newName] == nil { // link fails if the name exists
 			d.names[newName] = f
 		}
 	case Rename:
@@ -133,7 +134,8 @@
 	}
 }
 
-// image is the folder with some names, and of each file the unsynced changes whose positions are kept.
+// image returns the folder's content with the given names, in which each file has the unsynced changes that kept
+// selects.
 func (d *disk) image(names map[string]*file, kept func(position int) bool) Image {
 	image := Image{}
 	for name, f := range names {
@@ -142,7 +144,7 @@
 	return image
 }
 
-// content is what the file has with some of its unsynced changes.
+// content returns the file's content with the unsynced changes that kept selects.
 func (f *file) content(kept func(position int) bool) []byte {
 	content := append([]byte(nil), f.durable...)
 	for i, c := range f.unsynced {
@@ -158,7 +160,7 @@
 	return content
 }
 
-// resized cuts content off, or fills it up with zeros.
+// resized truncates content to a size, or extends it with zeros.
 func resized(content []byte, size int64) []byte {
 	if size <= int64(len(content)) {
 		return content[:size]
--- a/internal/emulator/diskfault/testlog_test.go
+++ b/internal/emulator/diskfault/testlog_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Under go test, package os logs the names of all files, and flushes that log under a lock in the middle of a
-// filtered call. The supervisor's own calls waited for that lock: the test hung, even past its timeout. The names
-// used here fill the log several times.
+// Under go test, package os logs all file names and flushes the log during a filtered call, while it holds a lock. A
+// supervisor that used package os waited for that lock, and the test hung even beyond its timeout. The names used here
+// fill the log several times.
 func TestSupervisorDoesNotWaitForTheTestLog(t *testing.T) {
 	const names = 2000
 	dir := TempDir(t)
@@ -28,6 +28,6 @@
 		}
 	})
 	if err != nil || failed != nil {
-		t.Fatal(err, failed)
+		t.Fatalf("Run returned %v, writes returned %v", err, failed)
 	}
 }
