--- a/internal/emulator/netfault/faults.go
+++ b/internal/emulator/netfault/faults.go
@@ -1,7 +1,7 @@
-// Package netfault emulates the network between processes and its faults, separately for each direction of each pair.
+// Package netfault emulates network faults between processes, separately for each direction of each pair.
 //
-// Faults decides what happens to a datagram or a segment of a stream, without I/O: simulations in tests use it as it
-// is. A Forwarder carries that out between real processes on loopback.
+// Faults decides, without I/O, whether and when a datagram or a segment of a stream arrives. Simulations in tests use
+// it directly. A Forwarder applies it to the traffic between real processes on loopback.
 package netfault
 
 import (
@@ -12,40 +12,40 @@
 )
 
 const (
-	// firstRetransmit is the time after which a lost segment of a stream is sent again: a usual first time-out of TCP.
-	// It doubles with each further loss.
+	// firstRetransmit is the time after which a lost segment of a stream is sent again, as with a typical initial
+	// retransmission timeout of TCP. It doubles with each further loss.
 	firstRetransmit = 200 * time.Millisecond
-	// maxRetransmits is how often one segment is lost in a row, by which TCP has waited for seconds.
+	// maxRetransmits is the maximum number of consecutive losses of one segment. They add up to a delay of 12.6 s.
 	maxRetransmits = 6
-	// seedSalt keeps the draws apart from others of the same seed.
+	// seedSalt makes the random draws independent of other draws from the same seed.
 	seedSalt = 0xbe73
 )
 
-// Link holds the faults from one process to another. The zero value is a perfect network.
+// Link holds the faults from one process to another. The zero value is a link without faults.
 type Link struct {
-	Cut       bool
+	Cut       bool          // nothing arrives
 	Loss      float64       // share of datagrams and segments that are lost
 	Duplicate float64       // share of datagrams that are duplicated
 	Delay     time.Duration // of each datagram and segment
-	Jitter    time.Duration // maximum of the random delay added to Delay, by which datagrams overtake each other
+	Jitter    time.Duration // maximum of the random delay added to Delay, which reorders datagrams
 }
 
-// direction is from one process to another, by their numbers.
+// direction identifies the link from one process to another by their numbers.
 type direction struct{ from, to int }
 
-// Faults are the faults of all links. Its methods may be called from any goroutine.
+// Faults holds the faults of all links. Its methods may be called from any goroutine.
 type Faults struct {
 	mu     sync.Mutex
-	links  map[direction]Link // of those with a fault
+	links  map[direction]Link // only links with a fault
 	chance keyhash.Source
 }
 
-// New returns a network without faults.
+// New returns a network without faults. The seed determines all random decisions.
 func New(seed uint32) *Faults {
 	return &Faults{links: map[direction]Link{}, chance: keyhash.Source{Seed: seed ^ seedSalt}}
 }
 
-// Change changes what goes wrong on the link from one process to another. change must not call the methods of Faults.
+// Change changes the faults of the link from one process to another. change must not call methods of Faults.
 func (f *Faults) Change(from, to int, change func(*Link)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// Datagram returns after which delay each copy of a datagram arrives; none if it is lost.
+// Datagram returns the delay of each copy of a datagram that arrives, or nil if the datagram is lost.
 func (f *Faults) Datagram(from, to int) (delays []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,8 +76,9 @@
 	return delays
 }
 
-// Segment returns the delay of a segment of a stream, in which a lost one is sent again. blocked says that either
-// direction is cut, as what was received has to be acknowledged the other way: the segment is to be tried again later.
+// Segment returns the delay of a segment of a stream, including the retransmissions of a lost one. If a direction is
+// cut it returns blocked, and the caller has to try again later. A cut of the opposite direction blocks the stream too,
+// as acknowledgements do not arrive.
 func (f *Faults) Segment(from, to int) (delay time.Duration, blocked bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +95,7 @@
 	return delay + f.jitter(link), false
 }
 
-// Blocked reports whether streams between two processes stand still.
+// Blocked reports whether streams between two processes are blocked by a cut of either direction.
 func (f *Faults) Blocked(from, to int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,12 +106,12 @@
 	return f.links[direction{from, to}].Cut || f.links[direction{to, from}].Cut
 }
 
-// occurs draws whether something of a probability happens. It draws nothing for a probability of 0.
+// occurs draws whether an event of the given probability occurs. For a probability of 0 it uses no random number.
 func (f *Faults) occurs(probability float64) bool {
 	return probability > 0 && f.chance.Float64() < probability
 }
 
-// jitter draws by how much one datagram or segment is late beyond the link's delay.
+// jitter draws the delay of one datagram or segment in addition to the link's delay.
 func (f *Faults) jitter(link Link) time.Duration {
 	if link.Jitter <= 0 {
 		return 0
--- a/internal/emulator/netfault/faults_test.go
+++ b/internal/emulator/netfault/faults_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// A link delays everything on it by its delay, and by up to its jitter more, in one direction only.
-func TestDelayOfALink(t *testing.T) {
-	const delay, late = 40 * time.Millisecond, 10 * time.Millisecond
+// A link must delay every datagram and segment by its delay plus at most its jitter, and in one direction only.
+func TestLinkDelaysByDelayPlusJitterInOneDirection(t *testing.T) {
+	const delay, jitter = 40 * time.Millisecond, 10 * time.Millisecond
 	f := New(3)
-	f.Change(1, 2, func(link *Link) { link.Delay, link.Jitter, link.Duplicate = delay, late, 1 })
+	f.Change(1, 2, func(link *Link) { link.Delay, link.Jitter, link.Duplicate = delay, jitter, 1 })
 	for range 100 {
 		all := f.Datagram(1, 2)
 		segment, blocked := f.Segment(1, 2)
 		if blocked || len(all) != 2 {
-			t.Fatalf("%v, blocked %t", all, blocked)
+			t.Fatalf("got datagrams %v, want 2; segment blocked: %t", all, blocked)
 		}
 		for _, d := range append(all, segment) {
-			if d < delay || d > delay+late {
-				t.Errorf("delay %v is not from %v to %v", d, delay, delay+late)
+			if d < delay || d > delay+jitter {
+				t.Errorf("delay %v is not from %v to %v", d, delay, delay+jitter)
 			}
 		}
 	}
 	if back := f.Datagram(2, 1); len(back) != 1 || back[0] != 0 {
-		t.Errorf("the other direction took %v", back)
+		t.Errorf("datagrams of the opposite direction have delays %v, want one of 0", back)
 	}
 	f.Change(1, 2, func(link *Link) { *link = Link{} })
 	if all := f.Datagram(1, 2); len(all) != 1 || all[0] != 0 {
-		t.Errorf("without the fault it took %v", all)
+		t.Errorf("datagrams of the link without faults have delays %v, want one of 0", all)
 	}
 }
--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -2,48 +2,50 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"time"
 )
 
 const (
-	// maxDelayedDatagrams bounds the datagrams that are delayed at a time; further ones are lost.
+	// maxDelayedDatagrams is the maximum number of datagrams that are delayed at a time; further ones are dropped.
 	maxDelayedDatagrams = 20_000
 	dialTimeout         = 2 * time.Second
-	// acceptRetryPause is the pause after an accept that failed.
+	// acceptRetryPause is the pause after a failed accept.
 	acceptRetryPause = 5 * time.Millisecond
-	// blockedCheckInterval is the time between two looks of a stream that stands still.
+	// blockedCheckInterval is the interval at which a blocked stream checks whether the cut has ended.
 	blockedCheckInterval = 20 * time.Millisecond
-	// segmentSize is how many bytes of a stream are forwarded at a time.
+	// segmentSize is the maximum number of bytes of a stream that are forwarded at a time.
 	segmentSize = 16 << 10
-	// maxDatagramSize is the size of the largest datagram, in bytes.
+	// maxDatagramSize is the maximum size of a datagram, in bytes.
 	maxDatagramSize = 1 << 16
-	// portAttempts is how often a port is looked for that is free for datagrams and streams.
+	// portAttempts is the maximum number of attempts to find a port that is free for both UDP and TCP.
 	portAttempts = 20
 )
 
-// Forwarder forwards datagrams and streams on loopback, with an address for each ordered pair of processes.
+// Forwarder forwards datagrams and streams on loopback, with a listen address for each ordered pair of processes.
 type Forwarder struct {
 	*Faults
 
 	mu        sync.Mutex
 	listeners []listenerPair
-	conns     map[net.Conn]bool
-	delayed   int // datagrams
+	conns     map[net.Conn]bool // open connections, which Close closes
+	delayed   int               // number of delayed datagrams
 	closed    bool
 }
 
-// listenerPair listens for datagrams and streams at one address.
+// listenerPair is a UDP and a TCP listener at the same address.
 type listenerPair struct {
 	udp *net.UDPConn
 	tcp *net.TCPListener
 }
 
-// NewForwarder returns a forwarder without addresses.
+// NewForwarder returns a forwarder without listeners.
 func NewForwarder(f *Faults) *Forwarder { return &Forwarder{Faults: f, conns: map[net.Conn]bool{}} }
 
-// Listen returns the address at which one process reaches another, which listens at target for datagrams and streams.
+// Listen opens the address at which one process reaches another, and returns it. Datagrams and streams are forwarded to
+// target.
 func (f *Forwarder) Listen(from, to int, target string) (string, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return pair.udp.LocalAddr().String(), nil
 }
 
-// listenPair looks for a port that is free for both datagrams and streams.
+// listenPair listens on a port that is free for both UDP and TCP.
 func listenPair() (pair listenerPair, err error) {
 	for range portAttempts {
 		if pair.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
@@ -69,7 +71,7 @@
 		}
 		addr, ok := pair.udp.LocalAddr().(*net.UDPAddr)
 		if !ok {
-			return pair, errors.New("a socket for datagrams has no address of its kind")
+			return pair, fmt.Errorf("the UDP socket has an address of type %T", pair.udp.LocalAddr())
 		}
 		if pair.tcp, err = net.ListenTCP("tcp", &net.TCPAddr{IP: addr.IP, Port: addr.Port}); err == nil {
 			return pair, nil
@@ -79,6 +81,7 @@
 	return pair, err
 }
 
+// forwardDatagrams forwards datagrams until the forwarder is closed.
 func (f *Forwarder) forwardDatagrams(conn *net.UDPConn, from, to int, target *net.UDPAddr) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -87,7 +90,7 @@
 			if f.isClosed() {
 				return
 			}
-			continue // nobody listened for the last one
+			continue // for example, the target did not listen when the previous datagram was sent
 		}
 		for _, delay := range f.Datagram(from, to) {
 			if delay == 0 {
@@ -99,7 +102,7 @@
 	}
 }
 
-// delayDatagram sends a datagram later, unless too many are delayed already.
+// delayDatagram sends a datagram after a delay, or drops it if maxDelayedDatagrams are delayed already.
 func (f *Forwarder) delayDatagram(conn *net.UDPConn, target *net.UDPAddr, body []byte, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,6 +118,7 @@
 	})
 }
 
+// acceptStreams accepts and forwards streams until the forwarder is closed.
 func (f *Forwarder) acceptStreams(l *net.TCPListener, from, to int, target string) {
 	for {
 		conn, err := l.AcceptTCP()
@@ -132,15 +136,15 @@
 	}
 }
 
-// forwardStream connects a stream to its target, and forwards both directions until both have ended.
+// forwardStream connects a stream to its target and forwards both directions until both have ended.
 func (f *Forwarder) forwardStream(client *net.TCPConn, from, to int, target string) {
 	defer f.release(client)
-	if !f.awaitSegment(from, to, client) { // a connection comes up over both directions
+	if !f.awaitSegment(from, to, client) { // a handshake needs both directions
 		return
 	}
 	server, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		_ = client.SetLinger(0) // refused there, reset here
+		_ = client.SetLinger(0) // the client sees a reset, as the target refused the connection
 		return
 	}
 	if !f.hold(server) {
@@ -153,7 +157,7 @@
 	both.Wait()
 }
 
-// forward forwards one direction of a stream.
+// forward forwards one direction of a stream until its end, which it passes on.
 func (f *Forwarder) forward(from, to int, in, out net.Conn) {
 	buffer := make([]byte, segmentSize)
 	for {
@@ -177,8 +181,9 @@
 	}
 }
 
-// awaitSegment waits until a segment has come through, and reports whether the connection it is for is still there.
-// Guards against a segment that arrives during a cut that began while it was delayed.
+// awaitSegment waits for the delay of a segment and for the end of a cut. It returns false if conn was released during
+// a cut. After the delay it checks for a cut again: a segment must not arrive during a cut that began while it was
+// delayed.
 func (f *Forwarder) awaitSegment(from, to int, conn net.Conn) bool {
 	for {
 		delay, blocked := f.Segment(from, to)
@@ -207,7 +212,8 @@
 	return !f.closed && f.conns[conn]
 }
 
-// hold notes a connection, to be closed with the forwarder. It reports false, and closes it, if that is closed already.
+// hold registers a connection, so that Close closes it. If the forwarder is already closed it closes the connection and
+// returns false.
 func (f *Forwarder) hold(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,6 +225,7 @@
 	return true
 }
 
+// release closes a connection and removes its registration.
 func (f *Forwarder) release(conn net.Conn) {
 	f.mu.Lock()
 	delete(f.conns, conn)
@@ -226,7 +233,7 @@
 	_ = conn.Close()
 }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and connections.
 func (f *Forwarder) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/emulator/netfault/forwarder_test.go
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -9,7 +9,7 @@
 
 const testPatience = 5 * time.Second
 
-// echoServer accepts streams and passes on what it receives.
+// echoServer accepts streams and sends the data that it receives to a channel.
 func echoServer(t *testing.T) (addr string, received chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	return l.Addr().String(), received
 }
 
-// Guards against a segment that was being delayed when a cut began, and arrived during the cut.
+// A segment that was being delayed when a cut began arrived during the cut. It must arrive after the cut instead.
 func TestDelayedSegmentDoesNotArriveDuringACut(t *testing.T) {
 	const delay, cut = 100 * time.Millisecond, 400 * time.Millisecond
 	target, received := echoServer(t)
@@ -64,10 +64,10 @@
 		select {
 		case got := <-received:
 			if got != text {
-				t.Errorf("%q, not %q", got, text)
+				t.Errorf("received %q, want %q", got, text)
 			}
 		case <-time.After(testPatience):
-			t.Fatalf("%q did not arrive", text)
+			t.Fatalf("%q did not arrive within %v", text, testPatience)
 		}
 	}
 	send("first")
@@ -78,7 +78,7 @@
 	f.Change(2, 1, func(link *Link) { link.Cut = true })
 	select {
 	case got := <-received:
-		t.Errorf("%q arrived during a cut", got)
+		t.Errorf("%q arrived during the cut", got)
 	case <-time.After(cut):
 	}
 	f.Change(2, 1, func(link *Link) { link.Cut = false })
