--- a/internal/syscallfault/calls_linux_amd64.go
+++ b/internal/syscallfault/calls_linux_amd64.go
@@ -5,9 +5,9 @@
 // Call describes a system call that can be made to fail.
 type Call struct {
 	Name       string
-	numbers    []uint64
-	descriptor int // index of the descriptor argument; noDescriptor if there is none
-	size       int // index of the buffer size argument
+	numbers    []uint64 // system call numbers of its variants
+	descriptor int      // index of the descriptor argument; noDescriptor if there is none
+	size       int      // index of the buffer size argument
 }
 
 const noDescriptor = -1
@@ -41,7 +41,7 @@
 	return false
 }
 
-// applies reports whether a call with these arguments is meant; of epoll_ctl only EPOLL_CTL_ADD is.
+// applies reports whether a rule for the call applies to these arguments. Of epoll_ctl only EPOLL_CTL_ADD can fail.
 func (c *Call) applies(arguments [6]uint64) bool {
 	return c.numbers[0] != unix.SYS_EPOLL_CTL || arguments[1] == unix.EPOLL_CTL_ADD
 }
--- a/internal/syscallfault/rule.go
+++ b/internal/syscallfault/rule.go
@@ -25,7 +25,7 @@
 // Rule specifies which system calls fail, and how.
 type Rule struct {
 	Call     Call
-	Errno    unix.Errno        // 0: the call is made with a buffer of one byte
+	Errno    unix.Errno        // 0 executes the call with its buffer shortened to one byte
 	Match    func(Socket) bool // nil matches any descriptor, and calls without one
 	Schedule Schedule
 }
--- a/internal/syscallfault/rule_test.go
+++ b/internal/syscallfault/rule_test.go
@@ -7,19 +7,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Matching calls arrive every millisecond.
+// Each schedule is applied to twelve matching calls, one per millisecond.
 func TestScheduleSelectsCalls(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		schedule Schedule
 		fail     string // one digit per call, 1 if it fails
 	}{
-		{"each", Schedule{}, "111111111111"},
-		{"once", Schedule{Limit: 1}, "100000000000"},
-		{"each third", Schedule{Every: 3}, "001001001001"},
-		{"each third, twice", Schedule{Every: 3, Limit: 2}, "001001000000"},
-		{"for a span", Schedule{Duration: 4 * time.Millisecond}, "111110000000"},
-		{"with pauses", Schedule{MinInterval: 2 * time.Millisecond}, "101010101010"},
+		{"every call", Schedule{}, "111111111111"},
+		{"first call only", Schedule{Limit: 1}, "100000000000"},
+		{"every third call", Schedule{Every: 3}, "001001001001"},
+		{"every third call, at most two", Schedule{Every: 3, Limit: 2}, "001001000000"},
+		{"for 4 ms", Schedule{Duration: 4 * time.Millisecond}, "111110000000"},
+		{"at least 2 ms apart", Schedule{MinInterval: 2 * time.Millisecond}, "101010101010"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(0, 0)
--- a/internal/syscallfault/socket_linux_amd64.go
+++ b/internal/syscallfault/socket_linux_amd64.go
@@ -10,7 +10,8 @@
 // sockaddrBytes is the size of the largest IP socket address.
 const sockaddrBytes = unix.SizeofSockaddrInet6
 
-// socketOf describes the descriptor argument of a call, and returns false if it is not a stream socket.
+// socketOf describes the socket in a call's descriptor argument. It returns false if that is not a stream socket, and
+// the zero Socket for a call without a descriptor.
 func (t *Tracer) socketOf(call *Call, arguments [6]uint64) (Socket, bool) {
 	if call.descriptor == noDescriptor {
 		return Socket{}, true
@@ -47,7 +48,7 @@
 	return 0
 }
 
-// portAt returns the port of a socket address in the memory of the process, or 0 if it cannot be read.
+// portAt reads the port of the socket address at an address in the traced process. It returns 0 if that fails.
 func (t *Tracer) portAt(at uintptr) int {
 	var raw [sockaddrBytes]byte
 	local := []unix.Iovec{{Base: (*byte)(unsafe.Pointer(&raw)), Len: 4}}
--- a/internal/syscallfault/tracer_linux_amd64.go
+++ b/internal/syscallfault/tracer_linux_amd64.go
@@ -24,7 +24,7 @@
 	// skippedCall is an invalid system call number, which makes the kernel skip the call.
 	skippedCall = ^uint64(0)
 
-	// shortBufferSize is the buffer size of a call that is made short.
+	// shortBufferSize is the size, in bytes, to which the buffer of a shortened call is reduced.
 	shortBufferSize = 1
 )
 
@@ -36,7 +36,7 @@
 	pid     int
 	pidfd   int
 	calls   atomic.Int64
-	skipped map[int]unix.Errno // by thread, the error for its skipped call; used by the tracing thread only
+	skipped map[int]unix.Errno // error for a thread's skipped call, by thread ID; used by the tracing thread only
 
 	mu        sync.Mutex
 	injection *Injection
@@ -157,7 +157,7 @@
 	const eventStop, eventShift = 128, 16
 	signal := 0
 	switch event := uint32(status) >> eventShift; {
-	case event == eventStop && status.StopSignal() != unix.SIGTRAP: // group-stop by a signal
+	case event == eventStop && status.StopSignal() != unix.SIGTRAP: // a signal stopped the whole process
 		_, _, _ = unix.Syscall6(unix.SYS_PTRACE, unix.PTRACE_LISTEN, uintptr(thread), 0, 0, 0, 0)
 		return
 	case event != 0: // a new thread, or a requested interrupt
@@ -185,6 +185,7 @@
 	atExit  = 2
 )
 
+// atSyscall handles a thread's stop at the entry or the exit of a system call.
 func (t *Tracer) atSyscall(thread int) {
 	var info syscallInfo
 	_, _, errno := unix.Syscall6(unix.SYS_PTRACE, unix.PTRACE_GET_SYSCALL_INFO, uintptr(thread),
--- a/internal/syscallfault/tracer_linux_amd64_test.go
+++ b/internal/syscallfault/tracer_linux_amd64_test.go
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// openSockets opens a socket for each line of standard input and prints whether that failed with ENFILE.
+// openSockets opens a socket for each line of standard input and prints whether it failed with ENFILE.
 func openSockets() {
 	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -67,7 +67,7 @@
 	got := []string{fails()}
 	tracer, err := Attach(child.Process.Pid)
 	if errors.Is(err, ErrNotPermitted) {
-		t.Skip("cannot trace here: ", err)
+		t.Skip(err)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -78,6 +78,6 @@
 	}
 	tracer.Clear()
 	if want := "false false true false false"; strings.Join(got, " ") != want || injection.Injected() != 1 {
-		t.Errorf("failures are %v, want %s; %d injected", got, want, injection.Injected())
+		t.Errorf("calls failed: %v, want %s; %d failures injected, want 1", got, want, injection.Injected())
 	}
 }
