--- a/internal/emulator/checker/attempts.go
+++ b/internal/emulator/checker/attempts.go
@@ -6,7 +6,7 @@
 	"dahliapin/policy"
 )
 
-// notification identifies a node that was told that a server accepts no new attempts.
+// notification identifies a node that was notified that a server accepts no new attempts.
 type notification struct {
 	node   int
 	server policy.EndpointID
@@ -26,28 +26,30 @@
 func (c *Checker) AttemptArrived(now, sentAt policy.Instant, id string, server policy.EndpointID) {
 	r := c.requests[id]
 	if r == nil {
-		return // unknown or long finished; a repeated effect of it is still found by Effect
+		return // unknown or long finished; Effect still detects a repeated effect of the request
 	}
 	class := &c.rules.Classes[r.class]
 	if r.goneAt != 0 && sentAt > r.goneAt.Add(clientGoneSlack) {
 		c.AttemptsAfterClientGone++
 		if c.AttemptsAfterClientGone > maxLateAttempts {
-			c.breach(1, now, id, r.node, server, fmt.Sprintf("an attempt began %v after its client had gone, the %dth such",
-				sentAt.Since(r.goneAt), c.AttemptsAfterClientGone))
+			c.breach(1, now, id, r.node, server, fmt.Sprintf(
+				"an attempt was sent %v after the client had left; %d such attempts, %d are allowed",
+				sentAt.Since(r.goneAt), c.AttemptsAfterClientGone, maxLateAttempts))
 		}
 	}
 	if r.answeredAt != 0 && sentAt > r.answeredAt.Add(c.rules.Slack) {
-		c.breach(1, now, id, r.node, server, "an attempt went out after the final answer")
+		c.breach(1, now, id, r.node, server, "an attempt was sent after the final answer")
 	}
 	if at, known := c.notifiedAt[notification{node: r.node, server: server}]; known && sentAt > at.Add(c.rules.Grace) {
-		c.breach(3, now, id, r.node, server, fmt.Sprintf("an attempt went to a server %v after it was told to want none",
-			sentAt.Since(at)))
+		c.breach(3, now, id, r.node, server, fmt.Sprintf(
+			"an attempt was sent %v after the node was notified that the server accepts none", sentAt.Since(at)))
 	}
 	if class.Idempotency == policy.NotIdempotent && r.mayHaveRun() {
-		c.breach(2, now, id, r.node, server, "another attempt of an irreversible request, though one may have run")
+		c.breach(2, now, id, r.node, server,
+			"an irreversible request was sent again although an earlier attempt may have been executed")
 	}
 	if r.answeredAt != 0 && r.final == Rejected && !mayRepeat(class) {
-		c.breach(2, now, id, r.node, server, "an attempt came after the rejection")
+		c.breach(2, now, id, r.node, server, "an attempt arrived after the request was rejected")
 	}
 	r.attempts = append(r.attempts, attempt{server: server, arrivedAt: now})
 }
@@ -73,17 +75,18 @@
 	}
 }
 
-// checkOverlap finds attempts that arrived while an earlier one was still in flight, by more than the slack for
-// messages that cross in transit.
+// checkOverlap reports attempts that arrived while an earlier one was in flight. Overlaps up to the slack are
+// tolerated, as messages may cross in transit.
 func (c *Checker) checkOverlap(id string, r *request, ended int) {
 	for _, later := range r.attempts[ended+1:] {
 		if r.attempts[ended].endedAt.Since(later.arrivedAt) > c.rules.Slack {
-			c.breach(2, later.arrivedAt, id, r.node, later.server, "a second attempt beside a first, where settings forbid it")
+			c.breach(2, later.arrivedAt, id, r.node, later.server,
+				"an attempt arrived while another was in flight, which the settings forbid")
 		}
 	}
 }
 
-// Effect reports that a write has taken effect at a server. The caller does not report repeats that the server
+// Effect reports that a write has taken effect at a server. The caller must not report repetitions that the server
 // deduplicated.
 func (c *Checker) Effect(now policy.Instant, id, label string, class int, server policy.EndpointID) {
 	name := label
@@ -93,7 +96,7 @@
 	c.effects[name]++
 	if count := c.effects[name]; count > 1 {
 		kind := effectNames[c.rules.Classes[class].Idempotency]
-		c.breach(2, now, id, -1, server, fmt.Sprintf("the effect of %s %q happened %d times", kind, name, count))
+		c.breach(2, now, id, -1, server, fmt.Sprintf("the %s request %q has taken effect %d times", kind, name, count))
 	}
 	r := c.requests[id]
 	if r == nil {
@@ -101,17 +104,18 @@
 	}
 	r.hadEffect = true
 	if r.answeredAt != 0 && r.final == Rejected && !mayRepeat(&c.rules.Classes[class]) {
-		c.breach(2, now, id, r.node, server, "it ran after it was rejected")
+		c.breach(2, now, id, r.node, server, "the request was executed after it was rejected")
 	}
 }
 
+// effectNames are the names of effects in scenario files, used in messages.
 var effectNames = map[policy.Idempotency]string{
 	policy.NotIdempotent:   "irreversible",
 	policy.IdempotentByKey: "labelled",
 	policy.Idempotent:      "idempotent",
 }
 
-// ServerOverloaded reports that a server failed because it was overloaded.
+// ServerOverloaded reports that a server failed under overload.
 func (c *Checker) ServerOverloaded(now policy.Instant, server policy.EndpointID, why string) {
-	c.breach(4, now, "", -1, server, "pushed over: "+why)
+	c.breach(4, now, "", -1, server, "the server failed under overload: "+why)
 }
--- a/internal/emulator/checker/checker.go
+++ b/internal/emulator/checker/checker.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxBreaches     = 200                    // breaches whose details are kept; all are counted
-	clientGoneSlack = 100 * time.Millisecond // in which attempts may still begin after a client has gone
-	maxLateAttempts = 2                      // tolerated later attempts: they may cross the departure in transit
-	watchTime       = 5 * time.Second        // time after its deadline for which a request is kept
+	maxBreaches     = 200                    // maximum number of breaches with details; all are counted
+	clientGoneSlack = 100 * time.Millisecond // time after a client has left in which attempts may still be sent
+	maxLateAttempts = 2                      // tolerated attempts after that: they may cross the departure in transit
+	watchTime       = 5 * time.Second        // time after its deadline for which a request is remembered
 )
 
 // Final is the kind of a final answer, as seen by the client.
@@ -28,7 +28,7 @@
 
 func (f Final) String() string { return [...]string{"satisfied", "rejected", "failed", "cut"}[f] }
 
-// Breach is one violation of a rule.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule    int               `json:"rule"`
 	At      policy.Instant    `json:"at_ns"`
@@ -47,9 +47,9 @@
 type Rules struct {
 	Classes        []policy.ServiceClass
 	HedgingAllowed bool
-	Grace          time.Duration // after a node is notified of a change of the endpoint list
-	Slack          time.Duration // allowance for messages that cross in transit
-	AnswerSlack    time.Duration // after the deadline, for a final answer to arrive; 0 for Slack
+	Grace          time.Duration // time after a node is notified that a server accepts no attempts, for rule 3
+	Slack          time.Duration // tolerance for messages that cross in transit
+	AnswerSlack    time.Duration // time after the deadline in which a final answer may arrive; 0 for Slack
 }
 
 // Tally counts the requests of one class by their answers.
@@ -69,12 +69,12 @@
 	rules      Rules
 	requests   map[string]*request
 	deadlines  timerqueue.Queue[string] // ids of requests
-	expiries   timerqueue.Queue[string] // ids of requests to remove
+	expiries   timerqueue.Queue[string] // ids of requests to forget
 	effects    map[string]int           // count by idempotency key, or by request id without one
 	notifiedAt map[notification]policy.Instant
 }
 
-// New returns a checker of a run that is about to start.
+// New returns a checker for a run that has not started yet.
 func New(rules Rules) *Checker {
 	return &Checker{
 		rules:      rules,
--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -16,7 +16,7 @@
 		{LatencyObjective: 50 * time.Millisecond, Idempotency: policy.NotIdempotent}}
 }
 
-// leaveThenAttempt lets clients leave, and begins one attempt for each of them at the given time after that.
+// leaveThenAttempt makes clients leave and sends an attempt for each of them the given time later.
 func leaveThenAttempt(j *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
 	for range clients {
 		sent(j, 0)
@@ -25,7 +25,7 @@
 	}
 }
 
-// A checker that misses a breach passes a faulty node. Each row breaks a rule in one way, or nearly breaks it.
+// A checker that misses a breach passes a faulty node. Each case breaks one rule in one way, or stays just within it.
 func TestCheckerCountsEachBreachOnceAndNoNearMiss(t *testing.T) {
 	sent := func(j *Checker, class int) { j.RequestSent(0, "r", 0, class, "l", 100*ms, true) }
 	for _, c := range []struct {
@@ -39,7 +39,10 @@
 			j.Answered(20*ms, "r", Satisfied)
 			j.Answered(21*ms, "r", Rejected)
 		}},
-		{"answered after the deadline and the slack", 1, func(j *Checker) { sent(j, 0); j.Answered(111*ms, "r", Satisfied) }},
+		{"answered after the deadline and the slack", 1, func(j *Checker) {
+			sent(j, 0)
+			j.Answered(111*ms, "r", Satisfied)
+		}},
 		{"answered within the slack", 0, func(j *Checker) { sent(j, 0); j.Answered(109*ms, "r", Satisfied) }},
 		{"never answered", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms) }},
 		{"answered after it was counted as unanswered: one breach", 1, func(j *Checker) {
@@ -47,7 +50,11 @@
 			j.Advance(200 * ms)
 			j.Answered(300*ms, "r", Satisfied)
 		}},
-		{"never answered, as its node was killed", 0, func(j *Checker) { sent(j, 0); j.Forget("r"); j.Advance(200 * ms) }},
+		{"never answered, as its node was killed", 0, func(j *Checker) {
+			sent(j, 0)
+			j.Forget("r")
+			j.Advance(200 * ms)
+		}},
 		{"connection ended without an answer", 1, func(j *Checker) { sent(j, 0); j.Answered(10*ms, "r", Cut) }},
 		{"answer to an unknown request", 1, func(j *Checker) { j.Answered(10*ms, "q", Satisfied) }},
 		{"attempt sent after the answer", 1, func(j *Checker) {
@@ -158,7 +165,7 @@
 			want[c.rule] = 1
 		}
 		if j.Counts != want {
-			t.Errorf("%s: %v, want %v: %v", c.name, j.Counts, want, j.Breaches)
+			t.Errorf("%s: breaches by rule are %v, want %v: %v", c.name, j.Counts, want, j.Breaches)
 		}
 	}
 }
--- a/internal/emulator/checker/episodes.go
+++ b/internal/emulator/checker/episodes.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// settleTime is the time after a node's fault before its view, and others' views of it, are judged again.
+	// settleTime is the time after a node's fault until its own view, and other nodes' views of it, are checked again.
 	settleTime = 3 * time.Second
-	// minGap is the least time between two separate faults of a node: in a shorter gap, no heartbeat arrives.
+	// minGap is the minimum time between two separate faults of a node: in a shorter gap no heartbeat arrives.
 	minGap = 600 * time.Millisecond
 )
 
@@ -21,19 +21,19 @@
 type episode struct {
 	node     int
 	from, to policy.Instant
-	stopped  bool // its process did not run
-	weak     bool // at times cut off from more than two fifths but at most half: it may be removed or not
-	replaced bool // its process was replaced by another
+	stopped  bool // its process did not run for at least a part of the episode
+	weak     bool // at times cut off from more than two fifths but at most half, so that removal is optional
+	replaced bool // its process was replaced by a new one
 }
 
-// during reports whether an instant lies within the episode.
+// during reports whether the episode includes an instant.
 func (e *episode) during(at policy.Instant) bool { return e.from <= at && at < e.to }
 
 // connectivity is the state of nodes and links at one instant while episodes are derived.
 type connectivity struct {
 	nodes    int
 	runs     []bool
-	replaced []bool          // by node: its current process has replaced another
+	replaced []bool          // by node: its current process has replaced an earlier one
 	cut      map[[2]int]bool // by sender and receiver
 }
 
@@ -116,7 +116,8 @@
 	return closed
 }
 
-// judge reports whether a node is not running or cut off, and whether the cut is too small to require its removal.
+// judge reports whether a node is faulty, which is that it is not running or cut off, and whether the cut is too weak
+// to require its removal.
 func (s *connectivity) judge(n int) (faulty, weak bool) {
 	all := s.reach(n, func(int) bool { return true })
 	running := s.reach(n, func(other int) bool { return s.runs[other] })
@@ -127,9 +128,11 @@
 	return faulty, weak
 }
 
-// reach counts the other nodes of a group, and how many of them a node is connected to in its worse direction.
+// reach counts the other nodes of a group, and how many of them a node can reach in the direction in which it reaches
+// fewer.
 type reach struct{ others, least int }
 
+// reach counts the nodes that in selects.
 func (s *connectivity) reach(n int, in func(other int) bool) reach {
 	others, sent, heard := 0, 0, 0
 	for other := range s.nodes {
@@ -147,8 +150,8 @@
 	return reach{others: others, least: min(sent, heard)}
 }
 
-// mergeEpisodes merges episodes that other nodes see as one fault: a fault of a new process before it can replace
-// the old one as a member, or a fault that begins before a heartbeat has arrived.
+// mergeEpisodes merges episodes of a node that other nodes perceive as one fault: the second one begins before a
+// heartbeat has arrived, or affects a new process before it can replace the old one as a member.
 func mergeEpisodes(all []episode) {
 	for i := range all {
 		for j := range all {
--- a/internal/emulator/checker/requests.go
+++ b/internal/emulator/checker/requests.go
@@ -7,29 +7,30 @@
 	"dahliapin/policy"
 )
 
-// request is one try of a client.
+// request is a request of a client. Each retry by the client is a separate request.
 type request struct {
 	node       int
 	class      int
 	label      string // the idempotency key; empty for none
 	sentAt     policy.Instant
 	deadline   policy.Instant
-	answeredAt policy.Instant // 0 if not answered yet
-	goneAt     policy.Instant // when its client left without an answer; 0 if it has not
+	answeredAt policy.Instant // 0 while unanswered
+	goneAt     policy.Instant // when the client left without an answer; 0 if it has not
 	final      Final
 	hadEffect  bool
-	overdue    bool // already counted as unanswered
+	overdue    bool // already reported as unanswered
 	attempts   []attempt
 }
 
-// attempt is an attempt that arrived at a server.
+// attempt is an attempt that has arrived at a server.
 type attempt struct {
 	server      policy.EndpointID
 	arrivedAt   policy.Instant
-	endedAt     policy.Instant // 0 while it is in flight
-	notExecuted bool           // the request certainly was not executed
+	endedAt     policy.Instant // 0 while in flight
+	notExecuted bool           // the server is known not to have executed the request
 }
 
+// mayHaveRun reports whether a server may have executed the request.
 func (r *request) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if !a.notExecuted {
@@ -39,13 +40,13 @@
 	return r.hadEffect
 }
 
-// mayRepeat reports whether the requests of a class may be repeated at any server at any time.
+// mayRepeat reports whether requests of a class may be repeated at any server at any time.
 func mayRepeat(c *policy.ServiceClass) bool {
 	everywhere := c.Idempotency == policy.IdempotentByKey && c.DedupScope == policy.AllCaches
 	return c.Idempotency == policy.Idempotent || everywhere
 }
 
-// RequestSent reports that a client has sent a request to a node. Each retry by the client is a request of its own.
+// RequestSent reports that a client has sent a request to a node. first is false for a retry by the client.
 func (c *Checker) RequestSent(
 	now policy.Instant, id string, node, class int, label string, deadline policy.Instant, first bool,
 ) {
@@ -62,24 +63,24 @@
 func (c *Checker) Answered(now policy.Instant, id string, final Final) time.Duration {
 	r := c.requests[id]
 	if r == nil {
-		c.breach(1, now, id, -1, "", "an answer to what nobody asked, or long after its deadline")
+		c.breach(1, now, id, -1, "", "an answer arrived for an unknown request, or long after the deadline")
 		return 0
 	}
 	if r.goneAt != 0 { // the answer crossed the client's departure
 		return 0
 	}
-	if r.overdue { // Advance has already counted it as a breach
+	if r.overdue { // Advance has already reported the breach
 		r.overdue = false
 		return 0
 	}
 	if r.answeredAt != 0 {
-		c.breach(1, now, id, r.node, "", fmt.Sprintf("a second final answer (%v after %v)", final, r.final))
+		c.breach(1, now, id, r.node, "", fmt.Sprintf("a second final answer arrived: %v after %v", final, r.final))
 		return 0
 	}
 	r.answeredAt = now
 	r.final = final
 	if now > r.deadline.Add(c.answerSlack()) {
-		c.breach(1, now, id, r.node, "", "the final answer came after the deadline")
+		c.breach(1, now, id, r.node, "", "the final answer arrived after the deadline")
 	}
 	latency := now.Since(r.sentAt)
 	c.countAnswer(now, id, r, latency)
@@ -100,13 +101,13 @@
 	case Rejected:
 		counts.Rejected++
 		if r.mayHaveRun() && !mayRepeat(class) {
-			c.breach(2, now, id, r.node, "", "rejected, though an attempt of it may have run")
+			c.breach(2, now, id, r.node, "", "the request was rejected although an attempt may have been executed")
 		}
 	case Failed:
 		counts.Failed++
 	case Cut:
 		counts.Cut++
-		c.breach(1, now, id, r.node, "", "its connection ended without an answer")
+		c.breach(1, now, id, r.node, "", "the connection was closed without an answer")
 	}
 }
 
@@ -117,19 +118,19 @@
 	}
 }
 
-// WrongAnswer reports that an answer differs from the one that a server gave to the request.
+// WrongAnswer reports that an answer differs from the answer of the server. what describes the difference.
 func (c *Checker) WrongAnswer(now policy.Instant, id, what string) {
 	c.breach(1, now, id, -1, "", what)
 }
 
-// Served counts a first try whose client was satisfied, by any of its tries, within the latency objective.
+// Served counts a first try whose client received a result within the latency objective, by that try or a retry.
 func (c *Checker) Served(class int) { c.Classes[class].FirstInTime++ }
 
-// Forget removes a request whose node was killed by the scenario, so that no answer to it is expected.
+// Forget removes a request that needs no answer, as the scenario killed its node.
 func (c *Checker) Forget(id string) { delete(c.requests, id) }
 
-// Advance reports a breach for each request without an answer at its deadline, and removes requests that are no longer
-// kept.
+// Advance reports a breach for each request whose deadline has passed without an answer, and forgets requests watchTime
+// after their deadlines.
 func (c *Checker) Advance(now policy.Instant) {
 	for {
 		id, ok := c.deadlines.PopDue(now)
@@ -141,7 +142,7 @@
 			continue
 		}
 		if r.answeredAt == 0 && r.goneAt == 0 {
-			c.breach(1, now, id, r.node, "", "no final answer by its deadline")
+			c.breach(1, now, id, r.node, "", "no final answer arrived by the deadline")
 			r.answeredAt = now
 			r.overdue = true
 		}
--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// evidenceSlack is how much older than the pause the evidence for a removal may be.
+	// evidenceSlack is the time beyond the tolerated pause up to which evidence for a removal may be old.
 	evidenceSlack = 200 * time.Millisecond
-	// removalSlack is the time after a fault has ended in which a node may still be removed for it.
+	// removalSlack is the time after the end of a fault in which a node may still be removed for it.
 	removalSlack = time.Second
-	// decisionTime is the longest time in which the fleet decides on a fault.
+	// decisionTime is the maximum time in which the fleet decides on a fault.
 	decisionTime = 10 * time.Second
-	// convergenceTime is the longest time in which views become equal after the last fault.
+	// convergenceTime is the maximum time in which views become equal after the last fault.
 	convergenceTime = 5 * time.Second
-	// wakeTime is the time a node takes to notice that it was paused itself.
+	// wakeTime is the time in which a node notices that it was paused itself.
 	wakeTime = 300 * time.Millisecond
-	// checkInterval is the time between two comparisons of views with the actual state.
+	// checkInterval is the interval at which views are compared with the actual state.
 	checkInterval = 100 * time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 	*Views
 	verdict       *Verdict
 	episodes      []episode
-	missesCounted []bool // by episode: missed removals have been counted
-	pause         time.Duration
+	missesCounted []bool        // by episode: missed removals have been counted
+	pause         time.Duration // longest tolerated pause of a process
 	end           policy.Instant
 	nodes         []observer
 	removals      map[removal]int
@@ -43,10 +43,10 @@
 	members []string
 	process string
 	start   policy.Instant // time of the first line of its process
-	changes int            // of its view while it had no fault
+	changes int            // changes of its view while it had no fault
 }
 
-// removal identifies the removals of a faulty node by one observer for one fault.
+// removal identifies the removals of a faulty node by one observer because of one fault.
 type removal struct {
 	observer int
 	cause    *episode
@@ -80,7 +80,7 @@
 	return c.verdict
 }
 
-// lastTransition returns when an episode last began or ended.
+// lastTransition returns the last time at which an episode began or ended.
 func (c *viewCheck) lastTransition() policy.Instant {
 	last := policy.Instant(0)
 	for _, e := range c.episodes {
@@ -103,7 +103,7 @@
 	}
 	node := number - 1
 	o := &c.nodes[node]
-	if o.process != l.Process { // a new process starts with an empty view
+	if o.process != l.Process { // a new process begins with an empty view
 		o.process = l.Process
 		o.members = nil
 		o.start = l.At
@@ -129,7 +129,7 @@
 	}
 }
 
-// formed reports whether all nodes have all nodes as members.
+// formed reports whether every node has all nodes as members.
 func (c *viewCheck) formed() bool {
 	return !slices.ContainsFunc(c.nodes, func(o observer) bool { return len(o.members) < c.Nodes })
 }
@@ -150,7 +150,8 @@
 	for i := range c.episodes {
 		e := &c.episodes[i]
 		until := e.to.Add(since)
-		if e.replaced && since > 0 { // the old process is removed after the pause, whether or not the new one has joined
+		// The old process is removed after the pause, whether or not the new one has joined.
+		if e.replaced && since > 0 {
 			until = max(until, e.from.Add(c.pause+removalSlack))
 		}
 		if e.node == node && at >= e.from && at <= until {
@@ -183,7 +184,8 @@
 	if own := c.faultOf(by, at, wakeTime); own != nil {
 		if c.isUnjustified(by, node, before, at, own, cause) {
 			c.verdict.UnjustifiedRemovals++
-			c.verdict.note("%.1f s: %s, in trouble itself, takes out %s", seconds, NameOf(by), NameOf(node))
+			c.verdict.note("%.1f s: %s, which has a fault itself, removes %s without evidence",
+				seconds, NameOf(by), NameOf(node))
 		}
 		return
 	}
@@ -192,7 +194,7 @@
 	}
 	if c.majorityHealthy(at) && (cause == nil || cause.to.Since(cause.from) <= c.pause && !cause.replaced) {
 		c.verdict.FalseRemovals++
-		c.verdict.note("%.1f s: %s takes out %s, which nothing befell", seconds, NameOf(by), NameOf(node))
+		c.verdict.note("%.1f s: %s removes %s, which has no fault", seconds, NameOf(by), NameOf(node))
 		return
 	}
 	if cause == nil {
@@ -202,13 +204,13 @@
 	c.removals[key]++
 	if c.removals[key] > 1 && c.undisturbed(cause, at) {
 		c.verdict.Flaps++
-		c.verdict.note("%.1f s: %s takes out %s once more", seconds, NameOf(by), NameOf(node))
+		c.verdict.note("%.1f s: %s removes %s again for the same fault", seconds, NameOf(by), NameOf(node))
 		return
 	}
 	c.verdict.Detect = append(c.verdict.Detect, at.Since(cause.from).Seconds())
 }
 
-// isUnjustified reports whether a node that has a fault itself removed another without grounds.
+// isUnjustified reports whether a node that has a fault itself removed another without evidence.
 func (c *viewCheck) isUnjustified(by, node int, before []string, at policy.Instant, own, cause *episode) bool {
 	hadFault := slices.ContainsFunc(c.episodes, func(e episode) bool {
 		return e.node == node && e.from <= at && e.to.Add(c.pause+removalSlack) >= own.from
@@ -216,7 +218,7 @@
 	if !hadFault {
 		return true
 	}
-	// Removing a process that does not run is right, whichever node does it.
+	// Any node may remove a node whose process does not run.
 	if own.stopped || cause != nil && cause.stopped {
 		return false
 	}
@@ -224,7 +226,7 @@
 	return c.witnesses(by, node, at, evidenceFrom) <= 1 && !c.heardHalf(by, before, evidenceFrom, at)
 }
 
-// witnesses counts the nodes that hear half of their members and do not hear the removed one: the removal may be
+// witnesses counts the nodes that can hear half of their members and cannot hear the removed node. The removal may be
 // based on their statements.
 func (c *viewCheck) witnesses(by, node int, at, evidenceFrom policy.Instant) int {
 	count := 0
@@ -237,8 +239,8 @@
 	return count
 }
 
-// undisturbed reports whether no other node's fault began or ended since an episode began. Otherwise another node's
-// statement may have changed the decision.
+// undisturbed reports whether no other node's fault has begun or ended since the beginning of an episode. Otherwise
+// another node's statement may have changed the decision.
 func (c *viewCheck) undisturbed(e *episode, at policy.Instant) bool {
 	return !e.weak && !slices.ContainsFunc(c.episodes, func(other episode) bool {
 		began := other.from > e.from && other.from < at
@@ -261,12 +263,13 @@
 		c.lastDiverged = c.next
 		if c.settled(c.next) && c.next%policy.Instant(time.Second) == 0 {
 			c.verdict.DivergedSeconds++
-			c.verdict.note("%.1f s: %s has %v", time.Duration(c.next).Seconds(), NameOf(o), c.nodes[o].members)
+			c.verdict.note("%.1f s: the view of %s is %v, which is not the actual state",
+				time.Duration(c.next).Seconds(), NameOf(o), c.nodes[o].members)
 		}
 	}
 }
 
-// firstDiverged returns the first node whose view should match the actual state and does not; -1 for none.
+// firstDiverged returns the first node whose view should match the actual state but does not; -1 for none.
 func (c *viewCheck) firstDiverged(at policy.Instant) int {
 	var want []string
 	for n := range c.Nodes {
@@ -289,7 +292,7 @@
 	return -1
 }
 
-// settled reports whether the last beginning or end of an episode is so long ago that all views must be equal.
+// settled reports whether all episodes began and ended long enough ago for all views to be equal.
 func (c *viewCheck) settled(at policy.Instant) bool {
 	for _, e := range c.episodes {
 		begins := e.from <= at && at < e.from.Add(decisionTime)
@@ -300,8 +303,8 @@
 		if e.stopped || !e.during(at) {
 			continue
 		}
-		// A node that was removed when a cut began may stay removed during the cut: no node can tell then which side
-		// has the majority.
+		// A node that was removed when a cut began may stay removed during the cut, as no node can tell which side of
+		// the cut has the majority.
 		for _, other := range c.episodes {
 			if other.to <= at && other.to.Add(convergenceTime) > e.from {
 				return false
@@ -311,7 +314,7 @@
 	return true
 }
 
-// findMissed counts, once for each episode, the observers that should have removed its node by now.
+// findMissed counts, once per episode, the observers that should have removed its node by now.
 func (c *viewCheck) findMissed(at policy.Instant) {
 	for i := range c.episodes {
 		e := &c.episodes[i]
@@ -327,14 +330,14 @@
 			}
 			if slices.Contains(c.nodes[o].members, NameOf(e.node)) {
 				c.verdict.Missed++
-				c.verdict.note("%.1f s: %s does not take out %s",
+				c.verdict.note("%.1f s: %s does not remove %s",
 					time.Duration(e.from).Seconds(), NameOf(o), NameOf(e.node))
 			}
 		}
 	}
 }
 
-// othersJustBack reports whether other nodes had only just recovered when a cut began.
+// othersJustBack reports whether another node recovered less than convergenceTime before a cut began, or after that.
 func (c *viewCheck) othersJustBack(e *episode, at policy.Instant) bool {
 	return slices.ContainsFunc(c.episodes, func(other episode) bool {
 		return other.node != e.node && !e.stopped &&
@@ -342,7 +345,7 @@
 	})
 }
 
-// minHealthy returns the smallest number of nodes without a fault during a span.
+// minHealthy returns the lowest number of nodes without a fault at any time of a span.
 func (c *viewCheck) minHealthy(from, to policy.Instant) int {
 	fewest := c.Nodes
 	for t := from; t <= to; t = t.Add(decisionTime / 10) {
--- a/internal/emulator/checker/views.go
+++ b/internal/emulator/checker/views.go
@@ -10,11 +10,11 @@
 	"dahliapin/policy"
 )
 
-// maxLines bounds the lines of traces that are kept.
+// maxLines is the maximum number of recorded trace lines.
 const maxLines = 200_000
 
-// Views records the nodes' membership views and the actual state of their processes and links. Nodes are named n1, n2
-// and so on.
+// Views records the nodes' membership views and the actual state of their processes and links. The nodes' names are n1,
+// n2 and so on.
 type Views struct {
 	Nodes          int             `json:"nodes"`
 	Lines          []trace.Line    `json:"lines"`
@@ -23,15 +23,15 @@
 	cuts           []cut
 }
 
-// ProcessChange records that a node's process runs, or does not run, from an instant on.
+// ProcessChange records that a node's process starts or stops running at an instant.
 type ProcessChange struct {
 	At   policy.Instant `json:"at_ns"`
 	Node string         `json:"node"`
 	Runs bool           `json:"runs"`
-	New  bool           `json:"new,omitempty"` // by a process that replaces another
+	New  bool           `json:"new,omitempty"` // a new process replaces the earlier one
 }
 
-// cut records that messages from one node to another are blocked, or pass again, from an instant on.
+// cut records that messages from one node to another are blocked, or no longer blocked, from an instant on.
 type cut struct {
 	at       policy.Instant
 	from, to int // numbers of nodes, from 0
@@ -44,7 +44,7 @@
 // NameOf returns a node's name by its number from 0.
 func NameOf(n int) string { return "n" + strconv.Itoa(n+1) }
 
-// AddLine adds a line of a node's trace. Lines beyond maxLines are counted and dropped.
+// AddLine adds a line of a node's trace. Lines beyond maxLines are dropped and counted.
 func (v *Views) AddLine(at policy.Instant, l trace.Line) {
 	l.At = at
 	if len(v.Lines) >= maxLines {
@@ -54,7 +54,8 @@
 	v.Lines = append(v.Lines, l)
 }
 
-// RecordProcess records whether a node's process runs from now on. It does nothing on a nil record.
+// RecordProcess records whether a node's process runs from now on, and whether it is a new one. A nil record ignores
+// the call.
 func (v *Views) RecordProcess(now policy.Instant, node string, runs, anew bool) {
 	if v != nil {
 		v.ProcessChanges = append(v.ProcessChanges, ProcessChange{At: now, Node: node, Runs: runs, New: anew})
@@ -66,8 +67,8 @@
 	v.cuts = append(v.cuts, cut{at: now, from: from, to: to, on: on})
 }
 
-// From returns a copy with times relative to the scenario's start and lines sorted by time, as lines of several
-// processes do not arrive in order. A nil record gives nil.
+// From returns a copy with times relative to the scenario's start. Its lines are sorted by time, as lines of different
+// processes do not arrive in order. It returns nil for a nil record.
 func (v *Views) From(start policy.Instant) *Views {
 	if v == nil {
 		return nil
@@ -92,7 +93,7 @@
 	return c
 }
 
-// runsAt reports whether a node's process runs at an instant.
+// runsAt reports whether a node's process was running at an instant.
 func (v *Views) runsAt(node int, at policy.Instant) bool {
 	runs := true
 	for _, t := range v.ProcessChanges {
@@ -103,7 +104,7 @@
 	return runs
 }
 
-// isCutAt reports whether messages from one node to another are blocked at an instant.
+// isCutAt reports whether messages from one node to another were blocked at an instant.
 func (v *Views) isCutAt(from, to int, at policy.Instant) bool {
 	on := false
 	for _, c := range v.cuts {
@@ -114,7 +115,7 @@
 	return on
 }
 
-// hearsHalf reports whether a node can receive messages from half of the given nodes at an instant.
+// hearsHalf reports whether a node could receive messages from at least half of the given nodes at an instant.
 func (v *Views) hearsHalf(node int, members []string, at policy.Instant) bool {
 	heard, others := 0, 0
 	for n := range v.Nodes {
@@ -129,10 +130,10 @@
 	return 2*heard >= others
 }
 
-// heardHalf reports whether a node could hear half of its members, or half of all nodes, at some time of a span: its
-// decision may be based on what it heard then.
+// heardHalf reports whether a node could receive messages from at least half of its members, or of all nodes, at some
+// time of a span. Its decision may be based on messages of that time.
 func (v *Views) heardHalf(node int, members []string, from, to policy.Instant) bool {
-	const step = 50 * time.Millisecond // far below the time between heartbeats
+	const step = 50 * time.Millisecond // far below the heartbeat interval
 	var all []string
 	for n := range v.Nodes {
 		all = append(all, NameOf(n))
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -12,7 +12,8 @@
 
 func at(s float64) policy.Instant { return policy.Instant(s * float64(time.Second)) }
 
-// addViews records the views of five nodes: "n1-n2" at a time means that n1 removes n2, "n1+n2" that it adds it again.
+// addViews records views of five nodes that change at the given seconds: "n1-n2" means that n1 removes n2, and "n1+n2"
+// that n1 adds n2 again.
 func addViews(v *Views, says map[float64]string) {
 	has := map[string]string{}
 	say := func(s float64, node string) {
@@ -35,8 +36,8 @@
 	}
 }
 
-// Each kind of wrong view is counted, and a correct one is not.
-func TestJudgeCountsWrongViews(t *testing.T) {
+// Each kind of wrong view must be counted, and correct views must not.
+func TestViewsCheckCountsWrongViews(t *testing.T) {
 	killed := func(from, to float64) func(*Views) {
 		return func(v *Views) {
 			v.RecordProcess(at(from), "n2", false, false)
@@ -86,14 +87,14 @@
 		d := v.From(0).Check(trace.View, 2*time.Second, at(40))
 		if d.Formed != 0 || c.want.Detect != nil && !reflect.DeepEqual(d.Detect, c.want.Detect) ||
 			c.want.Changes > 0 && d.Changes != c.want.Changes {
-			t.Errorf("%s: %+v", c.name, d)
+			t.Errorf("%s: got %+v, want %+v", c.name, d, c.want)
 		}
 		for _, n := range [][2]int{
 			{d.FalseRemovals, c.want.FalseRemovals}, {d.UnjustifiedRemovals, c.want.UnjustifiedRemovals},
 			{d.Missed, c.want.Missed}, {d.Flaps, c.want.Flaps}, {d.DivergedSeconds, c.want.DivergedSeconds},
 		} {
 			if (n[0] > 0) != (n[1] > 0) {
-				t.Errorf("%s: %+v", c.name, d)
+				t.Errorf("%s: got %+v, want %+v", c.name, d, c.want)
 			}
 		}
 	}
