--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -22,7 +22,7 @@
 const (
 	None              Fault = iota
 	Silent                  // commands are neither executed nor answered, as with a hung or partitioned process
-	Refuse                  // connections are closed at once
+	Refuse                  // all connections are closed, new ones immediately after they are accepted
 	Garbage                 // every command is answered with invalid bytes and not executed
 	Busy                    // every command is answered with SERVER_ERROR and not executed
 	CloseAfterCommand       // every command is executed, then the connection is closed without an answer
@@ -44,8 +44,8 @@
 	conns        map[net.Conn]bool
 }
 
-// Open starts a cache server on loopback. Each change and each read is passed to report, which may be nil, with
-// the time that now returns.
+// Open starts a cache server on loopback. It passes each change and each read to report, which may be nil, with the
+// time returned by now.
 func Open(name string, now func() policy.Instant, report func(logtrace.CacheEvent)) (*Cache, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,14 +70,14 @@
 // Addr returns the listen address.
 func (c *Cache) Addr() string { return c.listener.Addr().String() }
 
-// Fill stores a version of a key's value.
+// Fill stores a version of a key.
 func (c *Cache) Fill(key string, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.versions[key] = version
 }
 
-// Serve returns the version that a reader gets, or false for a miss.
+// Serve returns the version that a read of the key gets, or false for a miss.
 func (c *Cache) Serve(key string) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +88,7 @@
 	return version, found
 }
 
-// Restart removes all values and closes all connections, as a process restart does.
+// Restart removes all values and closes all connections, like a restart of the process.
 func (c *Cache) Restart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,7 @@
 	c.closeConns()
 }
 
-// SetFault sets the failure mode and the delay of each answer.
+// SetFault sets the failure mode and the delay before each answer.
 func (c *Cache) SetFault(fault Fault, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// reportChange passes a record to the report function. The caller holds mu.
+// reportChange completes an event and passes it to the report function. The caller holds mu.
 func (c *Cache) reportChange(record logtrace.CacheEvent) {
 	if c.report == nil {
 		return
@@ -194,7 +194,7 @@
 	return c.delay
 }
 
-// execute executes a command and returns its answer, or nil if the connection is to be closed instead.
+// execute executes a command and returns its answer, or nil if the connection must be closed without an answer.
 func (c *Cache) execute(command Command, isCommand bool) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/cachestub/cache_test.go
+++ b/internal/emulator/cachestub/cache_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		if got, err := in.ReadString('\n'); got != x[1] {
-			t.Errorf("%q: got answer %q, error %v", x[0], got, err)
+			t.Errorf("%q: got answer %q, error %v, want %q", x[0], got, err, x[1])
 		}
 	}
 	if _, found := c.Serve("b"); found || len(reported) != 4 || reported[2] != logtrace.Emptied {
--- a/internal/emulator/cachestub/order.go
+++ b/internal/emulator/cachestub/order.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Command is a delete of one key or a flush of all keys.
+// Command is a deletion of one key or a flush of all keys.
 type Command struct {
 	Key   string
-	ID    string // the opaque token, which the answer repeats
+	ID    string // opaque token, which the answer repeats
 	Flush bool
 }
 
-// ParseCommand parses the first command in b if it is a delete or a flush. A size of 0 means that it is neither or is
-// incomplete.
+// ParseCommand parses the first command in b, and returns its size in bytes. The size is 0 if the command is incomplete
+// or is neither a deletion nor a flush.
 func ParseCommand(b []byte) (command Command, size int) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -42,7 +42,7 @@
 	return id
 }
 
-// Answer returns the answer to the command; found reports whether the key had a value.
+// Answer returns the answer to the command. found states whether the key had a value.
 func (c Command) Answer(found bool) []byte {
 	switch {
 	case c.Flush:
