--- a/internal/loadgen/load.go
+++ b/internal/loadgen/load.go
@@ -1,7 +1,7 @@
-// Package loadgen sends requests to a node, or to any server of the same protocol, at a given rate and reports the
-// outcomes. It is an open-loop generator: a request is sent when it is due whether or not earlier ones have been
-// answered, and its latency counts from the due time rather than the send time. A stall therefore shows in all requests
-// that became due during it (no coordinated omission).
+// Package loadgen is an open-loop load generator: it sends requests to a node, or to any server of the same protocol,
+// at a given rate and reports the outcomes. Each request is sent when it is due, whether or not earlier ones have been
+// answered, and its latency counts from the due time rather than the send time. A stall therefore shows in the latency
+// of all requests that became due during it (no coordinated omission).
 package loadgen
 
 import (
@@ -24,11 +24,11 @@
 	maxLatency = int64(time.Minute)
 	// latencyDigits is the precision of the histograms, in significant decimal digits.
 	latencyDigits = 3
-	// lateAfter is the delay after its due time above which a request counts as sent late.
+	// lateAfter is the delay of a send after its due time above which the request counts as sent late.
 	lateAfter = 10 * time.Millisecond
-	// maxLateShare is the fraction of late requests above which the machine counts as too busy.
+	// maxLateShare is the fraction of requests sent late above which the machine counts as too busy.
 	maxLateShare = 0.01
-	// spinBefore is the time before a request is due at which the generator stops sleeping and spins, because timers
+	// spinBefore is the time before a request is due from which the generator spins instead of sleeping, because timers
 	// fire up to a millisecond late.
 	spinBefore = 300 * time.Microsecond
 )
@@ -43,7 +43,7 @@
 	Failed    int64
 	Cut       int64 // the connection closed before the response
 	Silent    int64 // no response arrived
-	Wrong     int64 // incorrect or unsolicited responses
+	Wrong     int64 // invalid or unsolicited responses
 	// Latency is the time from a satisfied request's due time to its response, ServiceTime that from its send time.
 	Latency     *hdrhistogram.Histogram
 	ServiceTime *hdrhistogram.Histogram
@@ -67,8 +67,8 @@
 	pending   sync.WaitGroup
 }
 
-// Run sends traffic to an address for a duration, or until the context is done, either as HTTP requests in the form of
-// package client or as meta commands. It returns once all requests have completed.
+// Run sends traffic to an address for a duration or until the context is done, as HTTP requests with the paths and
+// headers of package client or as meta commands. It returns when all requests have completed.
 func Run(ctx context.Context, addr string, http bool, traffic *world.Traffic, duration time.Duration) *Result {
 	r := &run{
 		result:    newResult(traffic.Classes),
@@ -130,7 +130,7 @@
 	})
 }
 
-// waitUntil waits until a time and returns true, or returns false if the context is done first.
+// waitUntil waits until a point in time. It returns false if the context is done by then.
 func waitUntil(ctx context.Context, until time.Time) bool {
 	if rest := time.Until(until); rest > spinBefore {
 		select {
@@ -145,6 +145,7 @@
 	return ctx.Err() == nil
 }
 
+// count records the outcome of a request.
 func (c *ClassResult) count(response client.Response, due time.Time, objective time.Duration) {
 	c.Sent++
 	if response.InvalidReason != "" || response.Unsolicited {
@@ -174,7 +175,7 @@
 	record(c.ServiceTime, response.ReceivedAt.Sub(response.SentAt))
 }
 
-// record adds a duration, clamped to the histogram's range; RecordValue fails only for values out of range.
+// record adds a duration to a histogram, clamped to its range. RecordValue fails for values out of range only.
 func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	_ = histogram.RecordValue(min(max(int64(duration), minLatency), maxLatency))
 }
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -17,7 +17,8 @@
 	"dahliapin/policy"
 )
 
-// startServer starts a server that answers every read once the channel returned by stalls is ready.
+// startServer starts a server that answers each read after the channel returned by stalls has become ready. Of 50
+// reads, it rejects one and answers one with the ID of another request.
 func startServer(t *testing.T, stalls func() <-chan time.Time) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,6 +56,7 @@
 	return l.Addr().String()
 }
 
+// reads returns traffic of one class of reads, at a rate per second.
 func reads(rate float64) *world.Traffic {
 	class := world.Class{
 		Name:         "read",
@@ -65,8 +67,8 @@
 	return world.NewTraffic(world.TrafficPlan{PerSecond: rate, Keys: 10, Seed: 1, Classes: []world.Class{class}})
 }
 
-// A server stall of 400 ms must show in the latency of all requests that became due during it, and must not delay later
-// requests. A closed-loop generator would have sent about a dozen requests and measured one slow one.
+// A server stall of 400 ms must show in the latency of all requests that become due during it, and must not reduce the
+// number of requests. A closed-loop generator would send about a dozen requests and measure a single slow one.
 func TestStallShowsInAllRequestsDueDuringIt(t *testing.T) {
 	began, stalled := time.Now(), 400*time.Millisecond
 	addr := startServer(t, func() <-chan time.Time {
@@ -75,7 +77,7 @@
 	r := Run(context.Background(), addr, false, reads(200), time.Second)
 	g := r.Classes[0]
 	if r.Sent < 150 || g.Sent != r.Sent || g.Silent+g.Cut+g.Failed > 0 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("requests are missing or have no response: %+v", r)
 	}
 	if g.Satisfied+g.Rejected != g.Sent || g.Rejected < 1 || g.Wrong < 1 {
 		t.Errorf("%d satisfied, %d rejected, %d wrong of %d", g.Satisfied, g.Rejected, g.Wrong, g.Sent)
@@ -87,11 +89,12 @@
 		}
 	}
 	if slow < 50 || time.Duration(g.Latency.Max()) < 300*time.Millisecond {
-		t.Errorf("%d of %d over 100 ms, at most %v", slow, g.Sent, time.Duration(g.Latency.Max()))
+		t.Errorf("%d of %d requests took over 100 ms, want 50 or more; the slowest took %v, want 300 ms or more",
+			slow, g.Sent, time.Duration(g.Latency.Max()))
 	}
 }
 
-// A cancelled run ends at once and returns the results so far.
+// A cancelled run must end immediately and return the results so far.
 func TestCancelledRunReturnsPartialResult(t *testing.T) {
 	ctx, stop := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer stop()
@@ -103,7 +106,7 @@
 	}
 }
 
-// HTTP responses are classified by status, and a connection that the server closes is not reused.
+// HTTP responses must be classified by status, and a connection that the server closes must not be reused.
 func TestHTTPResponsesAreClassifiedByStatus(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/loadgen/print.go
+++ b/internal/loadgen/print.go
@@ -8,7 +8,7 @@
 
 // Print writes the result as a table, with latencies in milliseconds.
 func (r *Result) Print(to io.Writer) {
-	fmt.Fprintf(to, "%d asked in %.1f s, %.0f a second; times in ms from when each was due\n",
+	fmt.Fprintf(to, "%d requests in %.1f s, %.0f per second; latencies in ms from the due time of each request\n",
 		r.Sent, r.Duration.Seconds(), float64(r.Sent)/r.Duration.Seconds())
 	fmt.Fprintf(to, "%-10s %8s %9s %8s %9s %8s %5s %6s %5s %8s %8s %8s %8s %8s\n",
 		"grade", "asked", "satisfied", "in time", "rejected", "failed", "cut", "silent", "wrong",
@@ -17,7 +17,8 @@
 		r.Classes[i].print(to)
 	}
 	if r.TooBusy() {
-		fmt.Fprintf(to, "this machine was too busy: %d of %d went out over %v late\n", r.SentLate, r.Sent, lateAfter)
+		fmt.Fprintf(to, "this machine was too busy: %d of %d requests were sent over %v late\n",
+			r.SentLate, r.Sent, lateAfter)
 	}
 }
 
