--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -21,7 +21,7 @@
 	maxValueKB = 4096
 )
 
-// check reports all invalid fields of a scenario. It also sets defaults that depend on other fields.
+// check reports all invalid fields of a scenario, and sets defaults that depend on other fields.
 func (s *Scenario) check(c *strictconfig.Checker) {
 	c.InRange(s.Seconds, 1, maxSeconds, "seconds")
 	s.checkFleet(c)
@@ -52,8 +52,7 @@
 	c.InRange(f.ColdFrom, 0.01, 1, "fleet.cold_from")
 	c.InRange(f.ColdS, 0, maxSeconds, "fleet.cold_s")
 	c.InRange(f.FallMultiple, 0, 1e6, "fleet.fall_multiple")
-	c.Require(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s",
-		"must be over 0 if fall_multiple is")
+	c.Require(f.FallMultiple == 0 || f.FallS > 0, "fleet.fall_s", "must be over 0 if fall_multiple is")
 	c.InRange(f.FallS, 0, maxSeconds, "fleet.fall_s")
 	c.InRange(f.HandshakeMs, 0, 1000, "fleet.handshake_ms")
 	c.InRange(f.IdleS, 0.1, maxSeconds, "fleet.idle_s")
@@ -145,16 +144,16 @@
 		class.check(c, fmt.Sprintf("grade.%d.", i), names)
 		sum += class.Share
 	}
-	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so clients send no request")
+	c.Require(len(s.Classes) == 0 || sum > 0, "grade.0", "all shares are 0, so clients would send no requests")
 }
 
-// check reports the errors of one class; names are those of the preceding classes.
+// check reports the errors of a class and sets its defaults. names holds the names of the preceding classes.
 func (g *Class) check(c *strictconfig.Checker, at string, names map[string]bool) {
 	g.Tries = cmp.Or(g.Tries, 1)
 	g.Effect = cmp.Or(g.Effect, "idempotent")
 	g.Scope = cmp.Or(g.Scope, "all")
 	c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name",
-		"%q is not a valid name: it is empty or has a space, a comma, an equals sign or a line break", g.Name)
+		"%q is not a valid name: it is empty or contains a space, a comma, an equals sign or a line break", g.Name)
 	c.Require(!names[g.Name], at+"name", "%q is already the name of another grade", g.Name)
 	names[g.Name] = true
 	_, known := effects[g.Effect]
@@ -201,6 +200,7 @@
 		"needs [together] and must not be negative")
 }
 
+// sorted returns the keys of a map in ascending order.
 func sorted(m map[string]float64) []string {
 	names := make([]string, 0, len(m))
 	for n := range m {
@@ -214,7 +214,7 @@
 	if len(s.Levels) == 0 {
 		return
 	}
-	if decoded, err := s.DecodedSettings(""); err == nil { // otherwise an error of the classes has already been reported
+	if decoded, err := s.DecodedSettings(""); err == nil { // otherwise an error in the classes is already reported
 		listeners.CheckLevels(c, s.Levels, &decoded)
 	}
 }
--- a/internal/emulator/scenario/check_events.go
+++ b/internal/emulator/scenario/check_events.go
@@ -46,7 +46,7 @@
 	c.InRange(e.TurnS, 0, maxSeconds, at+"turn_s")
 }
 
-// checkEventCaches checks the caches that an event affects; caches is their number, including those that are added.
+// checkEventCaches checks the caches that an event selects. caches is the number of caches, including added ones.
 func (s *Scenario) checkEventCaches(c *strictconfig.Checker, e *Event, kind needs, at string, caches int) {
 	selectors := 0
 	for _, stated := range []bool{len(e.Caches) > 0, e.Part > 0, e.Zone != ""} {
@@ -113,9 +113,9 @@
 	c.Require(e.Do != "fault" || slices.Contains(faults, e.Fault), at+"fault",
 		"%q is none of %s", e.Fault, strings.Join(faults, ", "))
 	c.Require(e.Fault != stale || s.Fleet.Protocol == listeners.ProtocolHTTP, at+"fault",
-		"only http caches serve stale responses")
+		"only caches with the protocol http serve stale responses")
 	c.Require(e.Do == "fault" || e.Fault == "", at+"fault", "%s takes no fault", e.Do)
-	c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in through mode")
+	c.Require(e.Do != "origin_slow" || s.Allowed.Mode == "aside", at+"do", "there is no origin in mode through")
 	c.Require(e.Do != "discovery_slow" || s.Discovery.WatchMs > 0, at+"do",
 		"discovery has no capacity limit that could slow it down: set discovery.watch_ms")
 }
--- a/internal/emulator/scenario/choose.go
+++ b/internal/emulator/scenario/choose.go
@@ -10,8 +10,8 @@
 	"dahliapin/policy"
 )
 
-// SelectedCaches returns the caches that an event affects. Those selected by a part are in the order of the hashes of
-// their names.
+// SelectedCaches returns the caches that an event affects. Caches that are selected by Part are ordered by the hashes
+// of their names.
 func (s *Scenario) SelectedCaches(e *Event) (ids []policy.EndpointID) {
 	for _, name := range e.Caches {
 		ids = append(ids, policy.EndpointID(name))
@@ -42,20 +42,20 @@
 	return part(numbers, e.Part, int(s.Seed), func(n int) string { return "n" + strconv.Itoa(n) })
 }
 
-// part selects a share of the items, at least one, by the hashes of their names. It sorts the items.
+// part selects a share of the items, at least one, by the hashes of their names. It sorts all in place.
 func part[T any](all []T, share float64, seed int, name func(T) string) []T {
 	score := func(one T) uint64 { return keyhash.Salted(keyhash.String(name(one)), seed) }
 	slices.SortFunc(all, func(a, b T) int { return cmp.Compare(score(a), score(b)) })
 	return all[:max(1, int(math.Round(share*float64(len(all)))))]
 }
 
-// Repeat repeats the events until the end of the scenario, up to the maximum number of events.
+// Repeat repeats the sequence of events until the end of the scenario, up to the maximum number of events.
 func (s *Scenario) Repeat() {
 	round := 0.0
 	for _, e := range s.Events {
 		round = max(round, e.AtS+e.ForS)
 	}
-	const gap = 6 // seconds without events between two rounds
+	const gap = 6 // seconds without events between two repetitions
 	round = math.Ceil(round) + gap
 	once := s.Events
 	s.Events = nil
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -12,7 +12,7 @@
 	"dahliapin/policy"
 )
 
-// The names of policy's constants in scenario files.
+// The names of constants of package policy in scenario files.
 var (
 	effects = map[string]policy.Idempotency{
 		"idempotent":   policy.Idempotent,
@@ -26,17 +26,17 @@
 	}
 )
 
-// SecondsToDuration turns seconds into whole nanoseconds.
+// SecondsToDuration converts seconds to a duration, rounded to nanoseconds.
 func SecondsToDuration(seconds float64) time.Duration {
 	return time.Duration(math.Round(seconds * 1e9))
 }
 
 func ms(x float64) time.Duration { return SecondsToDuration(x / 1000) }
 
-// Duration returns how long the scenario runs.
+// Duration returns the running time of the scenario.
 func (s *Scenario) Duration() time.Duration { return SecondsToDuration(s.Seconds) }
 
-// WorldClasses returns the service classes in the world's form.
+// WorldClasses returns the service classes as package world describes them.
 func (s *Scenario) WorldClasses() []world.Class {
 	var all []world.Class
 	for _, class := range s.Classes {
@@ -55,9 +55,9 @@
 	return all
 }
 
-// Cache returns the traits of the n-th cache, from 1. Caches added by events continue the numbering.
+// Cache returns the traits of the n-th cache, counting from 1. Caches that events add continue the numbering.
 func (s *Scenario) Cache(n int) world.CacheTraits {
-	const oddMultiplier = 2654435761 // spreads neighbouring numbers over all seeds
+	const oddMultiplier = 2654435761 // distributes consecutive numbers over all seeds
 	f := &s.Fleet
 	random := keyhash.Source{Seed: uint32(s.Seed) ^ uint32(n)*oddMultiplier}
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*random.Float64()
@@ -79,7 +79,7 @@
 	}
 }
 
-// World returns the plan of the world at the scenario's start.
+// World returns the plan of the world at the start of the scenario.
 func (s *Scenario) World(observer world.Observer) world.Plan {
 	plan := world.Plan{
 		Classes:  s.WorldClasses(),
@@ -106,7 +106,7 @@
 
 // TrafficPlan returns the plan of the clients' requests.
 func (s *Scenario) TrafficPlan() world.TrafficPlan {
-	const seedMask = 0x5eed // makes the traffic's random draws differ from the world's
+	const seedMask = 0x5eed // makes the random draws of the traffic independent of those of the world
 	t := &s.Traffic
 	return world.TrafficPlan{
 		PerSecond:        t.PerSecond,
@@ -124,7 +124,7 @@
 	}
 }
 
-// ZoneOf returns the zone of a node, numbered from 0.
+// ZoneOf returns the zone of a node, whose number counts from 0.
 func (s *Scenario) ZoneOf(node int) string {
 	if !s.Fleet.Spread {
 		return s.Fleet.Zones[0]
@@ -140,8 +140,8 @@
 	}
 }
 
-// Value returns the value of a key, given its usual short value. A fixed share of the keys has long values, which
-// are the same at all servers.
+// Value returns the value of a key, given its short value. For a fixed share of the keys it is a long value, which is
+// the same at all servers.
 func (s *Scenario) Value(usual string) string {
 	t := &s.Traffic
 	if float64(crc32.ChecksumIEEE([]byte(usual))%1000) >= 1000*t.LongShare {
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -6,7 +6,7 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-// Events caused by operators, or that affect processes or the links between them. They run on sockets only.
+// Events that are operator calls, or affect processes and their clients. They exist in real time on sockets only.
 const (
 	upgrade = "node_upgrade"
 	standby = "node_standby"
@@ -14,12 +14,12 @@
 	pause   = "node_pause"
 	hang    = "node_hang"
 	twin    = "node_twin"
-	crowd   = "node_crowd"  // idle clients use up its file descriptors
+	crowd   = "node_crowd"  // idle clients use up the node's file descriptors
 	stall   = "node_stall"  // clients stop in the middle of a request and keep the connection open
-	reload  = "node_reload" // it reloads its configuration several times in a row
-	freeze  = "node_freeze" // its process is paused for a time within which all rules must still hold
+	reload  = "node_reload" // the node reloads its configuration several times in a row
+	freeze  = "node_freeze" // the process is paused so briefly that all rules must still hold
 
-	termStart = "node_term_start" // it is restarted, and its new process is told to terminate during the start
+	termStart = "node_term_start" // the node is restarted, and its new process receives SIGTERM during the start
 )
 
 // The faults between nodes.
@@ -33,11 +33,11 @@
 // maxFreezeS is the longest pause of a process, in seconds, during which all rules must still hold.
 const maxFreezeS = 0.15
 
-// needs lists which fields a kind of event takes. Other fields must not be set.
+// needs lists the fields of a kind of event. Other fields must not be set.
 type needs struct {
-	caches   bool // names of caches, a part of them or a zone
-	nodes    bool // numbers of nodes or a part of them
-	pairs    bool // nodes from which and to which
+	caches   bool // names of caches, a part of all caches or a zone
+	nodes    bool // numbers of nodes or a part of all nodes
+	pairs    bool // sending and receiving nodes
 	factor   bool
 	share    bool
 	count    bool
@@ -88,23 +88,23 @@
 // faults are the failure modes of a server's connections.
 var faults = []string{"refuse", "reset", "silent", "half", "garbage", stale}
 
-// stale is the fault of an HTTP cache that serves responses that are no longer fresh.
+// stale is the fault of an HTTP cache that serves responses which are no longer fresh.
 const stale = "stale"
 
-// HasOperatorCalls reports whether the scenario has operator calls to nodes.
+// HasOperatorCalls reports whether the scenario contains operator calls to nodes.
 func (s *Scenario) HasOperatorCalls() bool {
 	return slices.ContainsFunc(s.Events, func(e Event) bool {
 		return e.Do == upgrade || e.Do == standby || e.Do == scrape
 	})
 }
 
-// NeedsVirtualTime reports whether the scenario uses features that exist only in virtual time.
+// NeedsVirtualTime reports whether the scenario uses features that exist in virtual time only.
 func (s *Scenario) NeedsVirtualTime() bool {
 	return s.Traffic.Skew > 0 || s.Network.LateShare > 0 || s.Network.LostShare > 0
 }
 
-// NeedsSockets reports whether the scenario has faults of processes or links, which do not exist in virtual time: it
-// would pass there whatever nodes do.
+// NeedsSockets reports whether the scenario has faults of processes or links. They do not exist in virtual time, where
+// the scenario would pass whatever the nodes do.
 func (s *Scenario) NeedsSockets() bool {
 	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill ||
 		slices.ContainsFunc(s.Events, func(e Event) bool {
@@ -113,7 +113,7 @@
 		})
 }
 
-// FaultName returns the name under which coverage counts an event.
+// FaultName returns the name under which package coverage counts an event.
 func (e *Event) FaultName() coverage.Fault {
 	if e.Fault != "" {
 		return coverage.Fault(e.Do + ":" + e.Fault)
@@ -121,7 +121,7 @@
 	return coverage.Fault(e.Do)
 }
 
-// ConcernedNodes returns the numbers, from 0, of the nodes that an event affects; nil for all nodes.
+// ConcernedNodes returns the numbers, from 0, of the nodes that an event affects, or nil for all nodes.
 func (s *Scenario) ConcernedNodes(e *Event) []int {
 	if !kinds[e.Do].nodes {
 		return nil
--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -11,30 +11,30 @@
 
 const (
 	formingTime       = 5.0  // seconds until all nodes know each other
-	quietTime         = 14.0 // seconds without faults at the end, in which all views have to become the same
-	minFaultTime      = 5.0  // seconds with faults, at least
-	recoveryTime      = 6.0  // seconds after a node's fault until it is back and counts again
-	minDuration       = 0.5  // seconds of a fault
-	maxExtraDuration  = 15.0 // seconds of a fault beyond that
-	maxExtraGap       = 5.0  // seconds between the beginnings of two faults, beyond minGap
-	minGap            = 1.0
-	minLoss           = 0.05 // share of messages lost
-	maxLoss           = 0.3
-	duplicateShare    = 0.3
-	minLateMs         = 20
-	maxExtraLateMs    = 280
-	flapInterval      = 1.0 // seconds between the turns of a link that flaps
-	bothWaysShare     = 0.5 // of cuts between two nodes
-	maxFaultyFraction = 3   // at most one in so many nodes has a fault at a time: a fleet with more cannot decide
+	quietTime         = 14.0 // seconds without faults at the end, in which all views have to converge
+	minFaultTime      = 5.0  // minimum length of the time with faults, in seconds
+	recoveryTime      = 6.0  // seconds after a node's fault until the node counts as healthy again
+	minDuration       = 0.5  // minimum duration of a fault, in seconds
+	maxExtraDuration  = 15.0 // maximum duration of a fault beyond minDuration, in seconds
+	maxExtraGap       = 5.0  // maximum time between the beginnings of two faults beyond minGap, in seconds
+	minGap            = 1.0  // minimum time between the beginnings of two faults, in seconds
+	minLoss           = 0.05 // minimum share of lost messages
+	maxLoss           = 0.3  // maximum share of lost messages
+	duplicateShare    = 0.3  // share of duplicated messages
+	minLateMs         = 20   // minimum delay of messages, in milliseconds
+	maxExtraLateMs    = 280  // maximum delay of messages beyond minLateMs, in milliseconds
+	flapInterval      = 1.0  // seconds between two changes of a flapping link
+	bothWaysShare     = 0.5  // share of the cuts between two nodes that affect both directions
+	maxFaultyFraction = 3    // at most one in this many nodes has a fault at a time: a fleet with more cannot decide
 	nemesisSeedSalt   = 0x0e5e
 )
 
-// The kinds of faults, all equally likely. Those from sendCut on affect one node.
+// The kinds of faults, all equally likely. Those from sendCut on affect a single node.
 const (
 	messageLoss = iota
 	messageDuplicates
 	messageDelays
-	pairCut // between two nodes, neither of which fails by it
+	pairCut // between two nodes, which stay healthy
 	sendCut
 	receiveCut
 	flappingCut
@@ -44,14 +44,15 @@
 	faultKinds
 )
 
-// nemesis draws a schedule of faults.
+// nemesis draws a schedule of faults at random.
 type nemesis struct {
 	random keyhash.Source
 	nodes  int
-	freeAt []float64 // time from which each node may have a fault again, in seconds
+	freeAt []float64 // by node: time from which it may have a fault again, in seconds
 }
 
-// Nemesis returns a random schedule of faults between nodes, the same for the same seed.
+// Nemesis returns a random schedule of faults of nodes and the links between them. The same seed gives the same
+// schedule.
 func Nemesis(seed int64, nodes int, seconds float64) *Scenario {
 	s := nemesisScenario(seed, nodes, seconds)
 	n := &nemesis{
@@ -76,7 +77,7 @@
 	return s
 }
 
-// nemesisScenario returns the scenario of a schedule without its faults: a small deployment with little traffic.
+// nemesisScenario returns the scenario that faults are added to: a small deployment with little traffic.
 func nemesisScenario(seed int64, nodes int, seconds float64) *Scenario {
 	s := defaults()
 	s.Name = fmt.Sprintf("nemesis-%d", seed)
@@ -88,16 +89,17 @@
 	s.Traffic.PerSecond = 100
 	s.Traffic.Keys = 500
 	s.Classes = []Class{{
-		Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3, Effect: "idempotent", Scope: "all",
+		Name: "read", Share: 1, Benefit: 1, SoftMs: 150, HardMs: 500, WorkMs: 2, Tries: 3,
+		Effect: "idempotent", Scope: "all",
 	}}
 	s.Membership = &Membership{}
 	return &s
 }
 
-// tenths rounds to tenths, which keeps schedules readable.
+// tenths rounds to one decimal place, which keeps schedules readable.
 func tenths(x float64) float64 { return math.Round(x*10) / 10 }
 
-// tenthsUpTo draws a number of tenths from 0 to most.
+// tenthsUpTo draws a number from 0 to most with one decimal place.
 func (n *nemesis) tenthsUpTo(most float64) float64 { return tenths(n.random.Float64() * most) }
 
 // drawNode draws a node, from 0.
@@ -114,7 +116,7 @@
 	return n.freeAt[node] <= at && (faulty+1)*maxFaultyFraction <= n.nodes
 }
 
-// draw draws the fault of an event. It returns false if the node it has drawn may have no fault at that time.
+// draw draws the fault of an event. It returns false if the drawn node may not have a fault at that time.
 func (n *nemesis) draw(e *Event) bool {
 	node := n.drawNode()
 	mayHaveFault := n.mayHaveFault(node, e.AtS)
@@ -176,5 +178,5 @@
 	return &c
 }
 
-// Text encodes the scenario as a file that runs the same way.
+// Text encodes the scenario as a file. Parsing the file yields an equivalent scenario.
 func (s *Scenario) Text() ([]byte, error) { return toml.Marshal(s) }
--- a/internal/emulator/scenario/nemesis_test.go
+++ b/internal/emulator/scenario/nemesis_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A schedule is reproducible from its seed, survives encoding and parsing, and leaves most nodes without a fault at any
-// time.
+// A failed schedule is reproduced from its seed or its file. Therefore the same seed must give the same events, and
+// encoding and parsing must preserve them. All faults must lie between the forming time and the quiet time.
 func TestNemesisSchedulesAreReproducible(t *testing.T) {
 	events := 0
 	for seed := range int64(200) {
--- a/internal/emulator/scenario/parse.go
+++ b/internal/emulator/scenario/parse.go
@@ -18,7 +18,7 @@
 	return Parse(path, text)
 }
 
-// Parse parses a scenario. Errors name the line at fault.
+// Parse parses a scenario. Its errors name the file and the line.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := defaults()
 	c, err := strictconfig.Parse(file, text, &s)
@@ -47,6 +47,7 @@
 		Discovery: Discovery{NoticeS: [2]float64{0.3, 1}},
 		Allowed: Allowed{Mode: "aside", MaxAttempts: 3, Hedging: true, Cancel: true, Probes: true,
 			RetryAfterMs: 600, GraceMs: 400, ConnectMs: 100, WastePrice: 0.04},
-		Traffic: Traffic{Protocol: listeners.ProtocolMeta, PerSecond: 300, Keys: 5000, Zipf: 0.9, WaveS: 30, Jitter: 0.5},
+		Traffic: Traffic{Protocol: listeners.ProtocolMeta, PerSecond: 300, Keys: 5000, Zipf: 0.9, WaveS: 30,
+			Jitter: 0.5},
 	}
 }
--- a/internal/emulator/scenario/parse_test.go
+++ b/internal/emulator/scenario/parse_test.go
@@ -23,7 +23,7 @@
 for_s = 3
 `
 
-// An invalid scenario is rejected as a whole, with the line and the reason, instead of being run in part.
+// An invalid scenario must be rejected with the line and the reason, and not be run in part.
 func TestParseErrorsNameTheLine(t *testing.T) {
 	if _, err := Parse("x.toml", []byte(good)); err != nil {
 		t.Fatal(err)
@@ -40,7 +40,6 @@
 		{"factor = 4", "factor = -4"}:                            "x.toml:14: event.0.factor",
 		{"factor = 4", "share = 0.5"}:                            "x.toml:10: event.0.factor",
 		{"at_s = 2", "at_s = 99"}:                                "x.toml:11: event.0.at_s: 99 is not from 0 to 10",
-		{"caches = 4", "caches = 4\nfall_s = 0"}:                 "x.toml:4: fleet.fall_s: must be over 0 if fall_multiple",
 		{"for_s = 3", "for_s = nan"}:                             "x.toml:15: event.0.for_s",
 		{"hard_ms = 100", "hard_ms = 10"}:                        "x.toml:8: grade.0.hard_ms",
 		{"share = 1", "share = 0"}:                               "x.toml:4: grade.0: all shares are 0",
@@ -48,10 +47,12 @@
 		{"for_s = 3", "for_s = 3\n[expect]\nsatisfied={a=1}"}:    `x.toml:17: expect.satisfied: there is no grade "a"`,
 		{`caches = ["c2"]`, `zone = "x"`}:                        `x.toml:13: event.0.zone: there is no zone "x"`,
 		{`caches = ["c2"]`, "caches = [\"c2\"]\npart = 0.5"}:     "x.toml:13: event.0.caches: slow needs either names",
-		{`do = "slow"`, `do = "discovery_slow"`}:                 "x.toml:12: event.0.do: discovery has no capacity limit",
-		{`do = "slow"`, `do = "node_kill"`}:                      "x.toml:10: event.0.nodes: node_kill needs either numbers",
 		{"for_s = 3", "for_s = 3\n[expect]\nmost_per_s={tea=1}"}: `x.toml:17: expect.most_per_s: "tea" is none of`,
 		{"seconds = 10", "seconds = "}:                           "x.toml:1: ",
+
+		{"caches = 4", "caches = 4\nfall_s = 0"}: "x.toml:4: fleet.fall_s: must be over 0 if fall_multiple",
+		{`do = "slow"`, `do = "discovery_slow"`}: "x.toml:12: event.0.do: discovery has no capacity limit",
+		{`do = "slow"`, `do = "node_kill"`}:      "x.toml:10: event.0.nodes: node_kill needs either numbers",
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
 		_, err := Parse("x.toml", []byte(text))
@@ -61,7 +62,7 @@
 	}
 }
 
-// A truncated or corrupted scenario is either valid or rejected with a one-line error; it never causes a panic.
+// A truncated or corrupted scenario must be valid or rejected with a one-line error. It must never cause a panic.
 func FuzzScripts(f *testing.F) {
 	f.Add([]byte(good))
 	for i := range good {
@@ -71,7 +72,7 @@
 		s, err := Parse("x.toml", text)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("%q", err)
+				t.Errorf("the error has several lines: %q", err)
 			}
 			return
 		}
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -31,7 +31,8 @@
 			"probes": a.Probes, "retry_after": a.RetryAfterMs > 0, "max_retry_after_s": a.RetryAfterMs / 1000,
 			"conn_idle_s": s.Fleet.IdleS, "connect_timeout_s": a.ConnectMs / 1000},
 		"rules": map[string]any{"cold_from": s.Fleet.ColdFrom, "cold_s": s.Fleet.ColdS,
-			"overload_factor": s.Fleet.FallMultiple, "overload_for_s": s.Fleet.FallS, "stop_sending_within_s": a.GraceMs / 1000},
+			"overload_factor": s.Fleet.FallMultiple, "overload_for_s": s.Fleet.FallS,
+			"stop_sending_within_s": a.GraceMs / 1000},
 		"tariffs": map[string]any{"waste": a.WastePrice, "cross_zone": 0},
 	}
 	if s.Fleet.Reports {
@@ -57,8 +58,9 @@
 	return decoded, nil
 }
 
-// OperatorConfig returns the operator's file of a node whose clients use HTTP at an address, as
-// internal/emulator/client does, or that has degradation levels; nil if neither applies.
+// OperatorConfig returns the operator's file of a node, or nil if the scenario needs none. It has a listener for HTTP
+// clients at the given address, the protocol of HTTP caches, and degradation levels. The paths and headers are those of
+// package client.
 func (s *Scenario) OperatorConfig(listen string) []byte {
 	var text string
 	if s.Traffic.Protocol == listeners.ProtocolHTTP {
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -11,11 +11,11 @@
 const (
 	soakStart        = 2.0 // seconds before the first fault
 	soakQuietTime    = 1.0 // seconds without faults at the end
-	soakMeanGap      = 0.6 // mean seconds between the beginnings of two faults; faults may overlap
-	soakMaxFault     = 4.0 // longest fault in seconds
-	soakSlackMs      = 200 // a process may be delayed by 150 ms
-	soakLateAnswerMs = 500 // time after its deadline in which a final answer breaks no rule but has no benefit
-	soakMaxNodes     = 4   // largest number of nodes
+	soakMeanGap      = 0.6 // mean time between the beginnings of two faults, in seconds; faults may overlap
+	soakMaxFault     = 4.0 // maximum duration of a fault, in seconds
+	soakSlackMs      = 200 // tolerance for messages in transit: a freeze delays a process by up to 150 ms
+	soakLateAnswerMs = 500 // time after the deadline in which a final answer breaks no rule but has no benefit
+	soakMaxNodes     = 4   // maximum number of nodes
 	soakManyCachesIn = 8   // one in this many schedules has soakManyCaches caches
 	soakManyCaches   = 600 // number of caches in those schedules
 	soakFragileShare = 0.4 // share of schedules whose caches stay cold for long and fail at a low overload
@@ -29,8 +29,9 @@
 	plan     *soakPlan
 }
 
-// Soaks returns a random schedule for each seed of a range, the same for the same range. The choice of faults favours
-// those that, as planned, coincide least often with the phases of nodes in the schedules of earlier seeds.
+// Soaks returns a random schedule for each seed of a range. The same range gives the same schedules. The choice of
+// faults favours those that, according to the plan, have coincided least often with the current phases of nodes in the
+// schedules of earlier seeds.
 func Soaks(first, last int64, seconds float64) []*Scenario {
 	met := coverage.NewTable(SoakFaults())
 	var all []*Scenario
@@ -41,11 +42,12 @@
 }
 
 // drawSoak draws a deployment, traffic and faults from a seed. It uses only faults during which all rules must hold.
-// met counts the phases that faults are expected to coincide with, and weights the choice of faults.
+// met counts the phases with which faults are expected to coincide, and weights the choice of faults.
 func drawSoak(seed int64, seconds float64, met *coverage.Table) *Scenario {
 	d := &soak{random: keyhash.Source{Seed: uint32(seed) ^ 0x50a4}, scenario: defaults()}
 	s := &d.scenario
-	s.Name, s.Seed, s.Seconds = fmt.Sprintf("soak-%d", seed), seed, math.Max(seconds, soakStart+soakMaxFault+soakQuietTime)
+	s.Name, s.Seed, s.Seconds =
+		fmt.Sprintf("soak-%d", seed), seed, math.Max(seconds, soakStart+soakMaxFault+soakQuietTime)
 	s.About = "A random deployment, with random troubles that overlap."
 	d.end = s.Seconds - soakQuietTime
 	d.drawDeployment()
@@ -55,7 +57,7 @@
 	return s
 }
 
-// between draws a number from low to high, rounded to hundredths.
+// between draws a number from low to high with two decimal places.
 func (d *soak) between(low, high float64) float64 {
 	return math.Round((low+(high-low)*d.random.Float64())*100) / 100
 }
@@ -68,6 +70,7 @@
 // withChance returns true with the given probability.
 func (d *soak) withChance(share float64) bool { return d.random.Float64() < share }
 
+// oneOf draws one of the given values.
 func oneOf[T any](d *soak, all ...T) T { return all[int(d.random.Float64()*float64(len(all)))] }
 
 func (d *soak) drawDeployment() {
@@ -100,7 +103,7 @@
 	}
 }
 
-// drawClasses draws a class of reads, and classes of writes with each effect.
+// drawClasses draws one or two classes of reads and two classes of writes: one deduplicated and one irreversible.
 func (d *soak) drawClasses() {
 	s := &d.scenario
 	add := func(g Class) {
@@ -114,7 +117,7 @@
 	}
 	mark := Class{Name: "mark", Share: 0.15, Effect: "labelled", Write: true, Scope: oneOf(d, "all", "zone", "group"),
 		HardMs: d.between(300, 2500), WindowS: d.between(0.2, 5)}
-	if d.withChance(0.5) { // the window ends before the deadline, so that a late retry would be executed twice
+	if d.withChance(0.5) { // the window ends before the deadline, so that a late retry would take effect twice
 		mark.WindowS = d.between(0.1, 0.5) * mark.HardMs / 1000
 	}
 	add(mark)
--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -6,18 +6,19 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-const soakMinFault = 0.3 // seconds
+const soakMinFault = 0.3 // minimum duration of a fault, in seconds
 
-// soakFault is one kind of fault in soak schedules.
+// soakFault is a kind of fault in soak schedules.
 type soakFault struct {
 	name         coverage.Fault
-	singleNode   bool // affects one node
+	singleNode   bool // affects a single node
 	changesPhase bool // changes the phase of the node, which must be serving when the fault begins
 	draw         func(d *soak, e *Event, duration float64)
 	possible     func(s *Scenario) bool // nil for always
 }
 
-// soakFaults are the kinds of faults in soak schedules. The name is the event's action.
+// soakFaults lists the kinds of faults in soak schedules. The name is the action of the event, for a fault of a cache's
+// connections followed by the fault.
 var soakFaults = []soakFault{
 	{name: "node_restart", singleNode: true, changesPhase: true},
 	{name: "node_kill", singleNode: true, changesPhase: true},
@@ -67,7 +68,7 @@
 		possible: func(s *Scenario) bool { return s.Allowed.Mode == "aside" }},
 }
 
-// SoakFaults returns the names of all faults in soak schedules.
+// SoakFaults returns the names of all kinds of faults in soak schedules.
 func SoakFaults() []coverage.Fault {
 	var all []coverage.Fault
 	for i := range soakFaults {
@@ -86,7 +87,7 @@
 	}
 }
 
-// drawFaults draws the faults in order of time. Most of them overlap with the next ones.
+// drawFaults draws the faults in order of time. Most of them overlap with their successors.
 func (d *soak) drawFaults() {
 	for at := soakStart; at < d.end-soakQuietTime; at += d.between(0, 2*soakMeanGap) {
 		at = math.Round(at*100) / 100
@@ -100,8 +101,8 @@
 	}
 }
 
-// drawFault draws one of the faults that are possible at a time. Faults that have coincided with fewer phases are more
-// likely.
+// drawFault draws one of the faults that are possible at a time. A fault is more likely the less often it has coincided
+// with the current phases of nodes.
 func (d *soak) drawFault(at, duration float64) Event {
 	weights := make([]float64, len(soakFaults))
 	for i := range soakFaults {
@@ -122,7 +123,7 @@
 	return e
 }
 
-// weighted draws an index with a probability proportional to its weight. At least one weight must not be 0.
+// weighted draws an index with a probability proportional to its weight. At least one weight must be positive.
 func (d *soak) weighted(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -7,27 +7,28 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-// Assumed durations of phases, in seconds. They only weight the choice of faults: actual coverage is counted in runs.
+// Assumed durations of phases, in seconds. They only weight the choice of faults; actual coverage is counted during
+// runs.
 const (
-	planMaxDrain    = 3.0 // upper bound of the longest deadline: a node that was told to terminate may not run longer
+	planMaxDrain    = 3.0 // cap on the longest deadline, as a terminating node is killed if it runs longer
 	planDrainMargin = 0.7 // added to the longest deadline
 	planDowntime    = 0.4 // until a killed process is replaced
 	planStart       = 0.3
 	planHandover    = 1.0
-	planPhaseGap    = 3.0 // least time between two changes of a node's phase
+	planPhaseGap    = 3.0 // minimum time between two changes of a node's phase
 )
 
-// phaseSpan is a time in which a node is expected to be in a phase other than serving.
+// phaseSpan is a span, in seconds, in which a node is expected to be in a phase other than serving.
 type phaseSpan struct {
 	phase    coverage.Phase
 	from, to float64
 }
 
-// soakPlan predicts the phases of nodes, and counts the phases that faults will coincide with.
+// soakPlan predicts the phases of nodes, and counts with which phases each fault will coincide.
 type soakPlan struct {
 	scenario *Scenario
 	met      *coverage.Table
-	drain    float64       // how long a node drains
+	drain    float64       // duration of a drain, in seconds
 	spans    [][]phaseSpan // by node, in order of time
 	events   []Event
 }
@@ -45,7 +46,7 @@
 	}
 }
 
-// phaseAt returns the phase that a node is expected to be in.
+// phaseAt returns the phase in which a node is expected to be.
 func (p *soakPlan) phaseAt(node int, at float64) coverage.Phase {
 	for _, span := range p.spans[node] {
 		if span.from <= at && at < span.to {
@@ -55,14 +56,14 @@
 	return coverage.Serving
 }
 
-// isFree reports whether a node's phase may be changed at a time.
+// isFree reports whether a fault may change a node's phase at a time.
 func (p *soakPlan) isFree(node int, at float64) bool {
 	spans := p.spans[node]
 	return len(spans) == 0 || at >= spans[len(spans)-1].to+planPhaseGap
 }
 
-// weight returns the weight of a fault in the draw: 0 if it is not possible at a time, and otherwise the larger, the
-// less often it has coincided with the rarest of the current phases.
+// weight returns the weight of a fault in the draw. It is 0 if the fault is not possible at a time, and otherwise grows
+// the less often the fault has coincided with the rarest of the current phases.
 func (p *soakPlan) weight(f *soakFault, at float64) float64 {
 	if f.possible != nil && !f.possible(p.scenario) {
 		return 0
@@ -80,13 +81,13 @@
 	if f.singleNode && phase == coverage.Down || f.changesPhase && !p.isFree(node, at) {
 		return 0
 	}
-	if phase == coverage.Down { // a fault of all nodes lasts until this one serves again
+	if phase == coverage.Down { // a fault of all nodes lasts until this node serves again
 		phase = coverage.Serving
 	}
 	return 1 / (1 + float64(p.met.PhaseCount(f.name, phase)))
 }
 
-// add counts the phases that an event will coincide with. Events are added in order of time.
+// add counts the phases with which an event will coincide. Events must be added in order of time.
 func (p *soakPlan) add(e *Event) {
 	nodes := p.scenario.ConcernedNodes(e)
 	for node := range p.spans {
@@ -106,7 +107,7 @@
 	}
 }
 
-// changePhases predicts the phases that an event causes.
+// changePhases predicts the phase changes that an event causes at a node.
 func (p *soakPlan) changePhases(e *Event, node int) {
 	at := e.AtS
 	switch e.Do {
@@ -141,7 +142,7 @@
 	}
 }
 
-// affects reports whether a list of nodes, nil for all, contains a node.
+// affects reports whether a list of nodes contains a node; nil contains all.
 func affects(nodes []int, node int) bool {
 	return nodes == nil || slices.Contains(nodes, node)
 }
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -7,9 +7,9 @@
 	"dahliapin/internal/emulator/coverage"
 )
 
-// Schedules drawn independently leave rare phases to chance: in ten schedules of a minute, some faults never occurred
-// during a handover. Drawn in sequence, ten schedules must combine each phase with each fault that does not change a
-// node's phase.
+// If schedules are drawn independently, rare phases are left to chance: in ten schedules of a minute, some faults never
+// occurred during a handover. Ten schedules drawn in sequence must combine each phase with each fault that does not
+// change a node's phase.
 func TestSoaksCombineEachPhaseWithEachFault(t *testing.T) {
 	const seeds = 10
 	met := coverage.NewTable(SoakFaults())
@@ -20,16 +20,17 @@
 		f := &soakFaults[i]
 		for _, phase := range coverage.Phases {
 			if f.changesPhase && phase != coverage.Serving {
-				continue // such a fault begins only at a serving node
+				continue // such a fault begins at a serving node only
 			}
 			if met.PhaseCount(f.name, phase) == 0 {
-				t.Errorf("%s never coincides with a node that is %s", f.name, phase)
+				t.Errorf("fault %s never coincides with the phase %s", f.name, phase)
 			}
 		}
 	}
 }
 
-// The fault that met a phase least often is the most likely one, and an impossible fault is never drawn.
+// The fault that has coincided with a phase least often must be the most likely one. An impossible fault must not be
+// drawn.
 func TestSoakFavoursLeastCoveredFaults(t *testing.T) {
 	s := defaults()
 	s.Fleet.Nodes = 2
@@ -52,11 +53,11 @@
 	want := func(what string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s: weight %v, want %v", what, got, want)
+			t.Errorf("%s: weight is %v, want %v", what, got, want)
 		}
 	}
-	want("a freeze, counted nine times at serving nodes", plan.weight(freezes, 3), 0.1)
-	want("a restart, never counted", plan.weight(restart, 3), 1)
+	want("a freeze that was counted nine times at serving nodes", plan.weight(freezes, 3), 0.1)
+	want("a restart that was never counted", plan.weight(restart, 3), 1)
 	want("a fault that is not possible in this deployment", plan.weight(slowList, 3), 0)
 	plan.add(&Event{AtS: 3, Do: "node_restart", Nodes: []int{2}})
 	want("a freeze of the draining node", plan.nodeWeight(freezes, 1, 4), 1)
@@ -66,7 +67,8 @@
 	want("a restart of the serving node", plan.nodeWeight(restart, 0, 4), 0.5)
 }
 
-// A lasting fault meets the phases that nodes enter during it, whichever of the two was drawn first.
+// A fault with a duration must be counted for the phases that nodes enter during it, whichever of the two was drawn
+// first.
 func TestSoakPlanCountsPhasesThatBeginDuringAFault(t *testing.T) {
 	s := defaults()
 	s.Fleet.Nodes = 1
@@ -86,7 +88,7 @@
 		{"pause", coverage.Serving, 0}, {"pause", coverage.Draining, 1}, {"pause", coverage.Starting, 1},
 	} {
 		if got := met.PhaseCount(want.fault, want.phase); got != want.times {
-			t.Errorf("%s coincided with %s %d times, want %d", want.fault, want.phase, got, want.times)
+			t.Errorf("fault %s coincided with phase %s %d times, want %d", want.fault, want.phase, got, want.times)
 		}
 	}
 }
--- a/internal/emulator/scenario/stated_test.go
+++ b/internal/emulator/scenario/stated_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The settings may state a number of nodes other than the number running; nodes then use the stated one.
+// The settings may state a number of nodes that differs from the number running. Nodes must then use the stated one.
 func TestSettingsUseStatedNumberOfNodes(t *testing.T) {
 	text := `[fleet]
 nodes = 6
--- a/internal/emulator/scenario/together.go
+++ b/internal/emulator/scenario/together.go
@@ -8,8 +8,8 @@
 	"dahliapin/internal/config/strictconfig"
 )
 
-// Membership configures the nodes' membership. The durations are those of a node's fleet file and have the same
-// defaults.
+// Membership configures the membership of nodes. Its durations have the same meanings and defaults as in a node's fleet
+// file.
 type Membership struct {
 	Engine string  `toml:"engine"`
 	PauseS float64 `toml:"pause_s"`
@@ -19,6 +19,7 @@
 
 const defaultSeeds = 3
 
+// checkMembership checks the membership of a scenario, if it has one, and sets its defaults.
 func (s *Scenario) checkMembership(c *strictconfig.Checker) {
 	t := s.Membership
 	if t == nil {
@@ -43,7 +44,7 @@
 	c.InRange(t.PauseS, 0.2, 60, "together.pause_s")
 	c.InRange(t.BackS, 0, 600, "together.back_s")
 	c.InRange(float64(t.Seeds), 1, float64(min(s.Fleet.Nodes, 64)), "together.seeds")
-	c.InRange(float64(s.Fleet.Nodes), 1, 64, "fleet.nodes") // each ordered pair has its own relay
+	c.InRange(float64(s.Fleet.Nodes), 1, 64, "fleet.nodes") // each ordered pair of nodes has its own relay
 }
 
 // Pairs returns the ordered pairs of nodes, numbered from 0, that an event affects.
@@ -71,8 +72,8 @@
 	return pairs
 }
 
-// FleetConfig returns the fleet file of a node, numbered from 0. listenAddrs are the listen addresses of all nodes;
-// relays maps those that the node reaches through a relay to the relay's address.
+// FleetConfig returns the fleet file of a node, whose number counts from 0. listenAddrs are the listen addresses of all
+// nodes. relays maps the addresses that the node reaches through a relay to the addresses of the relays.
 func (s *Scenario) FleetConfig(node int, label string, listenAddrs []string, relays map[string]string) []byte {
 	var b strings.Builder
 	t := s.Membership
