--- a/internal/scale/cachegrowth/caches.go
+++ b/internal/scale/cachegrowth/caches.go
@@ -13,19 +13,19 @@
 
 const (
 	zoneCount  = 3
-	lostZone   = 1
-	missPrefix = "m" // prefix of keys that no cache has
+	lostZone   = 1   // the zone that fails on the day zone-lost
+	missPrefix = "m" // prefix of the keys that no cache has
 	value      = "hello"
 
-	// acceptRetryPause is the pause after an accept that failed.
+	// acceptRetryPause is the pause after a failed accept.
 	acceptRetryPause = 5 * time.Millisecond
 )
 
-// fleet is the set of emulated caches of a size. The caches of one zone share a listener and are told apart only by the
+// fleet is the set of emulated caches of a size. The caches of one zone share a listener and differ only in the
 // endpoint list.
 type fleet struct {
-	connections atomic.Int64 // accepted, of all caches
-	count       int
+	connections atomic.Int64 // connections accepted by all caches
+	count       int          // number of caches
 	zones       [zoneCount]*zoneListener
 }
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// entry is the list's entry of a cache by its number. Numbers from count on are those that replace others in a release.
+// entry returns the endpoint list's entry of the cache with a number. In a release, caches with numbers from count on
+// replace the others.
 func (f *fleet) entry(number int, lifecycle string, startedAtMs int64) instance {
 	zone := number % zoneCount
 	return instance{
@@ -64,7 +65,7 @@
 
 func zoneName(zone int) string { return fmt.Sprint("zone-", zone) }
 
-// all returns the entries of all caches, with a start time long ago.
+// all returns the entries of all caches, with a start time in the distant past.
 func (f *fleet) all() []instance {
 	entries := make([]instance, 0, f.count)
 	for number := range f.count {
@@ -73,10 +74,10 @@
 	return entries
 }
 
-// perStep returns how many caches a step of a release replaces.
+// perStep returns the number of caches that a release step replaces.
 func (f *fleet) perStep() int { return max(1, int(releaseShare*float64(f.count))) }
 
-// drain returns the entries of a release step's caches, which drain.
+// drain returns the entries of the caches that drain in a release step.
 func (f *fleet) drain(step int) []instance {
 	var entries []instance
 	for i := range f.perStep() {
@@ -85,7 +86,7 @@
 	return entries
 }
 
-// replace returns the entries of a release step's caches, which are gone, and of those in their place.
+// replace returns the entries of the caches that a release step removes, and of those that replace them.
 func (f *fleet) replace(step int) []instance {
 	var entries []instance
 	now := time.Now().UnixMilli()
@@ -96,7 +97,7 @@
 	return entries
 }
 
-// restarted returns the entries of all caches, each started just now.
+// restarted returns the entries of all caches, with the current time as their start time.
 func (f *fleet) restarted() []instance {
 	entries := f.all()
 	for i := range entries {
@@ -105,6 +106,7 @@
 	return entries
 }
 
+// zoneEntries returns the entries of the caches in a zone.
 func (f *fleet) zoneEntries(zone int, lifecycle string, startedAtMs int64) []instance {
 	var entries []instance
 	for number := zone; number < f.count; number += zoneCount {
@@ -113,8 +115,10 @@
 	return entries
 }
 
+// zoneGone returns the entries that remove the caches of a zone.
 func (f *fleet) zoneGone(zone int) []instance { return f.zoneEntries(zone, terminated, 0) }
 
+// zoneBack returns the entries that add the caches of a zone again, as just started.
 func (f *fleet) zoneBack(zone int) []instance {
 	return f.zoneEntries(zone, inService, time.Now().UnixMilli())
 }
@@ -136,7 +140,7 @@
 	conns    map[net.Conn]bool
 }
 
-// open listens, at the same address as before.
+// open starts to listen, after a close at the same address as before.
 func (z *zoneListener) open() error {
 	l, err := net.Listen("tcp", z.address)
 	if err != nil {
@@ -151,7 +155,7 @@
 	return nil
 }
 
-// close ends the listener and all connections.
+// close closes the listener and all connections.
 func (z *zoneListener) close() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -209,7 +213,7 @@
 	}
 }
 
-// response is a cache's answer to a command: keys with missPrefix are not there.
+// response returns the answer of a cache to a command. Keys with missPrefix are misses.
 func response(command string) []byte {
 	fields := strings.Fields(command)
 	if len(fields) < 4 {
--- a/internal/scale/cachegrowth/clients.go
+++ b/internal/scale/cachegrowth/clients.go
@@ -11,25 +11,25 @@
 
 const (
 	requestTimeout = 1200 * time.Millisecond
-	answerGrace    = 500 * time.Millisecond // time after the deadline during which an answer is still accepted
-	popularKeys    = 200
-	missEvery      = 10 // one in so many requests is for a key that no cache has
+	answerGrace    = 500 * time.Millisecond // time after the deadline in which an answer is still accepted
+	popularKeys    = 200                    // number of keys that caches have
+	missEvery      = 10                     // one request in this many is for a key that no cache has
 )
 
-// clients send requests at a steady rate (open loop), each on a connection of its own.
+// clients send requests at a constant rate (open loop), each on its own connection.
 type clients struct {
 	address string
-	rate    int // per second
+	rate    int // requests per second
 
 	mu       sync.Mutex
-	sent     int // requests that were due and sent
+	sent     int
 	served   int
-	refused  int
-	lost     int           // without an answer; a node that restarts refuses connections meanwhile
+	refused  int           // answered without a value
+	lost     int           // without an answer; a restarting node refuses connections
 	lateness time.Duration // maximum delay of a send after its due time, caused by a busy machine
 }
 
-// run sends requests for a time, and returns once the last has ended.
+// run sends requests for a time, and returns when the last one has ended.
 func (c *clients) run(length time.Duration) {
 	var all sync.WaitGroup
 	began := time.Now()
@@ -63,7 +63,7 @@
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-// keyOf is the key of the i-th request: popular keys in rotation, and some that no cache has.
+// keyOf returns the key of the i-th request. Popular keys are requested in rotation, and some keys are misses.
 func keyOf(i int) string {
 	if i%missEvery == missEvery-1 {
 		return fmt.Sprint(missPrefix, i)
@@ -71,6 +71,7 @@
 	return fmt.Sprint("key", i%popularKeys)
 }
 
+// ended counts the outcome of a request.
 func (c *clients) ended(answer string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/cachegrowth/dayrun.go
+++ b/internal/scale/cachegrowth/dayrun.go
@@ -12,34 +12,34 @@
 	originTime = 20 * time.Millisecond // service time of the origin
 	originID   = "origin"
 
-	// maxClientLateness bounds the delay of client requests after their due time: beyond it the machine was too busy
-	// for a verdict on the node.
+	// maxClientLateness is the maximum delay of a client request after its due time. If a request was sent later, the
+	// machine was too busy for a verdict on the node.
 	maxClientLateness = 500 * time.Millisecond
 )
 
 // Plan configures a measurement.
 type Plan struct {
-	Program   string  // the path of the program that has the command serve
-	Dir       string  // for the node's configuration, log and last list
-	Share     float64 // of a core that the node has
+	Program   string  // path of the executable with the command serve
+	Dir       string  // folder for the node's configuration, log and saved endpoint list
+	Share     float64 // share of a core that the node gets
 	Rate      int     // requests per second
-	Nodes     int     // in the fleet, by the node's settings
+	Nodes     int     // number of nodes in the fleet, according to the node's settings
 	DayLength time.Duration
-	Progress  func(line string) // progress; may be nil
+	Progress  func(line string) // receives lines of progress; may be nil
 }
 
-// DayResult is the result of one day at one size.
+// DayResult is the result of a day at one size.
 type DayResult struct {
 	Day     string  `json:"day"`
 	Caches  int     `json:"caches"`
-	Figures Figures `json:"figures"` // by Row
+	Figures Figures `json:"figures"` // by Metric
 	Sent    int     `json:"sent"`
 	Refused int     `json:"refused"`
 	Lost    int     `json:"lost"`
-	Busy    bool    `json:"busy"` // the machine was too busy to judge
+	Busy    bool    `json:"busy"` // the machine was too busy for a verdict
 }
 
-// dayRun is one day at one size, while it runs.
+// dayRun is a running day at one size.
 type dayRun struct {
 	plan      *Plan
 	caches    *fleet
@@ -49,7 +49,7 @@
 	clients   *clients
 }
 
-// RunDay runs one day with a number of caches. It returns an error if the node fails or the day cannot be run.
+// RunDay runs a day with the given number of caches. It returns an error if the node fails or the day cannot be run.
 func (plan *Plan) RunDay(ctx context.Context, day *Day, caches int) (*DayResult, error) {
 	p := &dayRun{plan: plan}
 	defer p.close()
@@ -73,7 +73,7 @@
 	return p.result(day), ctx.Err()
 }
 
-// prepare starts everything but the clients.
+// prepare starts everything except the clients.
 func (p *dayRun) prepare(caches int) error {
 	var err error
 	if p.caches, err = newFleet(caches); err != nil {
@@ -96,7 +96,7 @@
 	return p.node.start()
 }
 
-// startOrigin starts the origin and returns its entry in the list.
+// startOrigin starts the origin and returns its entry in the endpoint list.
 func (p *dayRun) startOrigin() (instance, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +109,7 @@
 			_, _ = w.Write([]byte(value))
 		}),
 	}
-	go func() { _ = p.origin.Serve(l) }() // returns once it is closed
+	go func() { _ = p.origin.Serve(l) }() // returns after close
 	return instance{
 		ID:          originID,
 		Address:     l.Addr().String(),
@@ -119,7 +119,7 @@
 	}, nil
 }
 
-// runEvents executes the events of the day at their times.
+// runEvents executes the events of a day at their times.
 func (p *dayRun) runEvents(ctx context.Context, day *Day) error {
 	began := time.Now()
 	for _, event := range day.events {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// restartNode stops the node in an orderly way and restarts it at the same address.
+// restartNode stops the node in an orderly way and starts it again at the same address.
 func (p *dayRun) restartNode() error {
 	if err := p.node.end(); err != nil {
 		return err
--- a/internal/scale/cachegrowth/days.go
+++ b/internal/scale/cachegrowth/days.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// The shape of a day, in parts of its length.
+// The timing of a day. Times are fractions of its length.
 const (
-	faultAt       = 0.2 // when the fault of the day begins
-	releaseSteps  = 4   // parts in which a release replaces the caches
-	releaseShare  = 0.2 // part of the caches that a step replaces
-	releaseSpan   = 0.6 // of all steps of a release
-	drainLead     = 0.05
+	faultAt       = 0.2  // beginning of the fault
+	releaseSteps  = 4    // number of steps of a release
+	releaseShare  = 0.2  // share of the caches that a step replaces
+	releaseSpan   = 0.6  // duration of all steps
+	drainLead     = 0.05 // from the drain of caches to their removal, and from the end of an outage to its publishing
 	outage        = 0.25 // duration of the outage of a zone or of discovery
 	zoneToldAfter = 0.1  // delay until discovery removes the caches of a lost zone
 )
 
-// Day is a run with one kind of fault.
+// Day is a run with at most one kind of fault. A run is called a day in the command's flags and reports.
 type Day struct {
 	Name   string
 	events []event
 }
 
-// event is something that happens to the fleet at a part of the day's length.
+// event is a change of the fleet at a time, which is a fraction of the day's length.
 type event struct {
 	at float64
 	do func(*dayRun) error
@@ -37,9 +37,13 @@
 		{Name: "release", events: releaseEvents()},
 		{Name: "zone-lost", events: []event{
 			{faultAt, func(p *dayRun) error { return p.caches.loseZone(lostZone) }},
-			{faultAt + zoneToldAfter, func(p *dayRun) error { return p.discovery.publish(p.caches.zoneGone(lostZone)) }},
+			{faultAt + zoneToldAfter, func(p *dayRun) error {
+				return p.discovery.publish(p.caches.zoneGone(lostZone))
+			}},
 			{faultAt + outage, func(p *dayRun) error { return p.caches.restoreZone(lostZone) }},
-			{faultAt + outage + drainLead, func(p *dayRun) error { return p.discovery.publish(p.caches.zoneBack(lostZone)) }},
+			{faultAt + outage + drainLead, func(p *dayRun) error {
+				return p.discovery.publish(p.caches.zoneBack(lostZone))
+			}},
 		}},
 		{Name: "discovery-down", events: []event{
 			{faultAt, func(p *dayRun) error { return p.discovery.stop() }},
@@ -52,7 +56,8 @@
 	}
 }
 
-// DaysNamed returns the days with these names, all days for none, and an error that lists the names if one is unknown.
+// DaysNamed returns the days with the given names, or all days if there are no names. For an unknown name it returns an
+// error that lists the valid ones.
 func DaysNamed(names []string) ([]Day, error) {
 	all := Days()
 	if len(names) == 0 {
@@ -77,7 +82,8 @@
 	return names
 }
 
-// releaseEvents replace the caches step by step: a step's caches drain, and are gone with the next version.
+// releaseEvents returns the events of a release, which replaces caches step by step. In each step the old caches first
+// drain and are then removed, in two versions of the endpoint list.
 func releaseEvents() []event {
 	var events []event
 	for step := range releaseSteps {
@@ -90,5 +96,5 @@
 	return events
 }
 
-// time returns when in the day an event happens.
+// time returns the time of the event in a day of the given length.
 func (e event) time(day time.Duration) time.Duration { return time.Duration(e.at * float64(day)) }
--- a/internal/scale/cachegrowth/discovery.go
+++ b/internal/scale/cachegrowth/discovery.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// watchTime is the length of a long poll for a change.
+	// watchTime is the maximum duration of a long poll for a change.
 	watchTime = 3 * time.Second
-	// headerTimeout bounds the reading of request headers.
+	// headerTimeout is the timeout for reading request headers.
 	headerTimeout = 5 * time.Second
 )
 
-// instance is an entry of the endpoint list, in discovery's form.
+// instance is an entry of the endpoint list in the format of discovery.
 type instance struct {
 	ID          string `json:"instanceId"`
 	Address     string `json:"hostPort"`
@@ -35,23 +35,23 @@
 	terminated  = "terminated"
 )
 
-// listAnswer is an answer of discovery: the whole list, or what has changed since a version.
+// listAnswer is a response of discovery: the complete list, or the changes of one version.
 type listAnswer struct {
 	Generation int        `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
-// discovery serves the endpoint list: complete at first, then each update. It can be stopped and restarted.
+// discovery serves the endpoint list: first the complete list, then each update. It can be stopped and restarted.
 type discovery struct {
 	address string
-	bytes   atomic.Int64 // of answers that were sent
+	bytes   atomic.Int64 // total size of the response bodies
 
 	mu       sync.Mutex
-	current  map[string]instance
-	order    []string // of the ids in current
-	versions [][]instance
-	changed  chan struct{} // closed at the next version
+	current  map[string]instance // by ID
+	order    []string            // the IDs in current in the order of their first publishing
+	versions [][]instance        // changes by version, from version 1
+	changed  chan struct{}       // closed when the next version is published
 	server   *http.Server
 }
 
@@ -63,7 +63,7 @@
 	return d, nil
 }
 
-// start listens, at the same address as before.
+// start starts to listen, after a stop at the same address as before.
 func (d *discovery) start() error {
 	l, err := net.Listen("tcp", d.address)
 	if err != nil {
@@ -74,7 +74,7 @@
 	d.address = l.Addr().String()
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headerTimeout}
 	server := d.server
-	go func() { _ = server.Serve(l) }() // returns once it is closed
+	go func() { _ = server.Serve(l) }() // returns after close
 	return nil
 }
 
@@ -86,10 +86,10 @@
 	return server.Close()
 }
 
-// publish makes a new version of the list.
+// publish publishes a new version of the list. An update without changes is an error.
 func (d *discovery) publish(changes []instance) error {
 	if len(changes) == 0 {
-		return errors.New("an update of the endpoint list has no changes")
+		return errors.New("the update of the endpoint list has no changes")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +116,8 @@
 	return list
 }
 
-// answerSince returns the answer to a poll that has a version, or ok false if there is no newer one.
+// answerSince returns the response to a poll by a node that has a version of the list, or none if known is false. If
+// there is no newer version, ok is false and changed is closed when there is one.
 func (d *discovery) answerSince(version int, known bool) (answer listAnswer, changed chan struct{}, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,7 +130,8 @@
 	return listAnswer{version, false, []instance{}}, d.changed, false
 }
 
-// ServeHTTP answers a call for the list, at once or as soon as it changes.
+// ServeHTTP responds to a poll: immediately if there is a newer version, and otherwise when the list changes or
+// watchTime has passed.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.Atoi(r.URL.Query().Get("since"))
 	answer, changed, ok := d.answerSince(version, err == nil)
--- a/internal/scale/cachegrowth/fleet_test.go
+++ b/internal/scale/cachegrowth/fleet_test.go
@@ -12,7 +12,7 @@
 
 const testPatience = 5 * time.Second
 
-// call asks discovery for the list; an empty since for the whole.
+// call polls discovery for the changes since a version, or for the complete list if since is empty.
 func call(t *testing.T, d *discovery, since string) listAnswer {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
@@ -48,7 +48,7 @@
 	}
 }
 
-// The list is served complete at first, then one update at a time, also after an outage of discovery.
+// Discovery must serve the complete list first, then one update at a time, also after an outage.
 func TestDiscoveryServesCompleteListThenUpdates(t *testing.T) {
 	d, err := newDiscovery()
 	if err != nil {
@@ -62,7 +62,7 @@
 	defer f.close()
 	publish(t, d, f.all())
 	if answer := call(t, d, ""); answer.Generation != 1 || !answer.Reset || len(answer.Instances) != 30 {
-		t.Errorf("%+v", answer)
+		t.Errorf("got %+v, want the complete list of 30 caches in version 1", answer)
 	}
 	if err := d.stop(); err != nil {
 		t.Fatal(err)
@@ -73,17 +73,18 @@
 	publish(t, d, f.drain(0))
 	publish(t, d, f.replace(0))
 	if answer := call(t, d, "1"); answer.Generation != 2 || answer.Reset || len(answer.Instances) != 6 {
-		t.Errorf("%+v", answer)
+		t.Errorf("got %+v, want 6 changes in version 2", answer)
 	}
 	if answer := call(t, d, "2"); answer.Generation != 3 || len(answer.Instances) != 12 {
-		t.Errorf("%+v", answer)
+		t.Errorf("got %+v, want 12 changes in version 3", answer)
 	}
 	if answer := call(t, d, ""); len(answer.Instances) != 30 {
-		t.Errorf("%d caches after a step of a release", len(answer.Instances))
+		t.Errorf("the list has %d caches after a release step, want 30", len(answer.Instances))
 	}
 }
 
-// A lost zone refuses connections and ends those that are open; then it is back at the same address.
+// A lost zone must close its connections and refuse new ones. After the outage it must accept connections at the same
+// address.
 func TestLostZoneRefusesConnectionsUntilRestored(t *testing.T) {
 	f, err := newFleet(30)
 	if err != nil {
@@ -101,17 +102,17 @@
 	}
 	got := make([]byte, len("EN O1\r\n"))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "EN O1\r\n" {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("the answer is %q, error %v", got, err)
 	}
 	if err := f.loseZone(lostZone); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Read(got); err == nil {
-		t.Error("the connection is open")
+		t.Error("the connection is open after the zone was lost")
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Error("the zone accepts")
+		t.Error("the lost zone accepts a connection")
 	}
 	if err := f.restoreZone(lostZone); err != nil {
 		t.Fatal(err)
@@ -122,6 +123,6 @@
 	}
 	back.Close()
 	if gone := len(f.zoneGone(lostZone)); gone != 10 {
-		t.Errorf("%d of 30 caches are in one of %d zones", gone, zoneCount)
+		t.Errorf("%d of 30 caches are in one of %d zones, want 10", gone, zoneCount)
 	}
 }
--- a/internal/scale/cachegrowth/limits.go
+++ b/internal/scale/cachegrowth/limits.go
@@ -1,16 +1,16 @@
 package cachegrowth
 
-// Metric is a quantity measured on one day: resource usage of the node, or service to its clients.
+// Metric is a quantity that is measured on each day: resource usage of the node, or service to its clients.
 type Metric int
 
 // The metrics in the operators' table of growth limits.
 const (
-	ProcessorSeconds Metric = iota // processor time of the node, in seconds
-	PeakMemory                     // peak resident memory, in megabytes
+	ProcessorSeconds Metric = iota // CPU time of the node, in seconds
+	PeakMemory                     // peak resident memory, in MB
 	Descriptors                    // peak number of open descriptors
-	Connections                    // connections made to caches
-	ListKilobytes                  // bytes of endpoint lists from discovery, in kilobytes
-	ShareServed                    // part of the requests that were served
+	Connections                    // number of connections opened to caches
+	ListKilobytes                  // size of the endpoint lists received from discovery, in kB
+	ShareServed                    // share of requests that were served
 	rowCount
 )
 
@@ -26,14 +26,14 @@
 // String returns the metric's name in tables.
 func (r Metric) String() string { return rowNames[r] }
 
-// GrowthLimit limits the growth of a metric over the same day at the first size.
+// GrowthLimit limits the growth of a metric relative to the same day at the first size.
 type GrowthLimit struct {
-	Factor      float64
-	Allowance   float64 // in the metric's unit
-	PerThousand float64 // more for each thousand caches
+	Factor      float64 // of the value at the first size
+	Allowance   float64 // added, in the metric's unit
+	PerThousand float64 // added per thousand caches, in the metric's unit
 }
 
-// growthLimits are the operators' limits, for fleets of up to sixteen times the caches. That of ShareServed is a
+// growthLimits are the operators' limits for up to sixteen times the caches of the first size. That of ShareServed is a
 // lower bound; all others are upper bounds.
 var growthLimits = [rowCount]GrowthLimit{
 	ProcessorSeconds: {Factor: 1.4, Allowance: 0.02, PerThousand: 0.03},
@@ -58,5 +58,5 @@
 	return value <= limit
 }
 
-// Figures holds the values of all metrics.
+// Figures holds the values of all metrics, by Metric.
 type Figures [rowCount]float64
--- a/internal/scale/cachegrowth/limits_test.go
+++ b/internal/scale/cachegrowth/limits_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// The operators' table: at most 1.4 times the processor time, plus 0.02 s and 0.03 s for each thousand caches; 1.5
-// times the memory, plus 8 MB and 4 MB; twice the descriptors, plus 40; 2.5 times the connections, plus 40; twice the
-// lists' bytes, plus 64 kB and 500 kB; of the share served not under 0.85.
+// The operators' table allows at most 1.4 times the CPU time, plus 0.02 s and 0.03 s per thousand caches; 1.5 times the
+// memory, plus 8 MB and 4 MB per thousand caches; twice the descriptors, plus 40; 2.5 times the connections, plus 40;
+// and twice the size of lists, plus 64 kB and 500 kB per thousand caches. It requires at least 0.85 times the share
+// served.
 func TestGrowthLimitsMatchOperatorTable(t *testing.T) {
 	const caches = 3200
 	for row, want := range map[Metric]float64{
@@ -20,7 +21,7 @@
 		ShareServed:      8.5,
 	} {
 		if got := row.Limit(10, caches); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v: %v, not %v", row, got, want)
+			t.Errorf("%v: the limit is %v, want %v", row, got, want)
 		}
 	}
 }
@@ -36,7 +37,7 @@
 func TestVerdictFindsEachMetricOverItsLimit(t *testing.T) {
 	usual := Figures{1, 20, 100, 100, 50, 1}
 	if verdict := reportOf(usual, usual).Verdict(); verdict != Within {
-		t.Error(verdict)
+		t.Errorf("equal figures: the verdict is %v", verdict)
 	}
 	for row := range rowCount {
 		worse := usual
@@ -46,28 +47,29 @@
 		}
 		r := reportOf(usual, worse)
 		if verdict := r.Verdict(); verdict != Over {
-			t.Errorf("%v: %v", row, verdict)
+			t.Errorf("%v over its limit: the verdict is %v", row, verdict)
 		}
 		var text strings.Builder
 		if err := r.Print(&text); err != nil || strings.Count(text.String(), "OVER") != 1 {
-			t.Errorf("%v: %v\n%s", row, err, &text)
+			t.Errorf("%v over its limit: want one OVER in the table, got error %v and\n%s", row, err, &text)
 		}
 	}
 }
 
-// A day without a verdict, as the machine was busy, never counts as within the limits and hides no exceeded limit.
+// A day without a verdict, because the machine was too busy, must not count as within the limits, and must not hide an
+// exceeded limit on another day.
 func TestBusyDaysAreNeverWithinLimits(t *testing.T) {
 	usual := Figures{1, 20, 100, 100, 50, 1}
 	r := reportOf(usual, usual)
 	r.Days[0].Busy = true
 	if verdict := r.Verdict(); verdict != Inconclusive {
-		t.Error(verdict)
+		t.Errorf("a busy day: the verdict is %v", verdict)
 	}
 	over := usual
 	over[Descriptors] = 1000
 	r = reportOf(usual, over)
 	r.Days = append(r.Days, DayResult{Day: "release", Caches: 200, Busy: true})
 	if verdict := r.Verdict(); verdict != Over {
-		t.Error(verdict)
+		t.Errorf("an exceeded limit and a busy day: the verdict is %v", verdict)
 	}
 }
--- a/internal/scale/cachegrowth/node.go
+++ b/internal/scale/cachegrowth/node.go
@@ -22,33 +22,34 @@
 
 	nodeMemoryMB     = 192
 	nodeSockets      = 1024
-	readyTimeout     = 10 * time.Second // after which a node that is not ready has failed
-	readyInterval    = 10 * time.Millisecond
-	observerInterval = 20 * time.Millisecond // between two counts of descriptors
+	readyTimeout     = 10 * time.Second      // time in which a node must become ready
+	readyInterval    = 10 * time.Millisecond // interval at which readiness is checked
+	observerInterval = 20 * time.Millisecond // interval at which open descriptors are counted
 )
 
-// nodeSettings are a deployment's settings: one class of idempotent reads, caches that start cold, and an origin.
+// nodeSettings are the settings of a deployment with one class of idempotent reads, caches that start cold, and an
+// origin. Its argument is the number of nodes.
 const nodeSettings = `{"service_grades":[{"name":"read","effect":"idempotent","group":"all","benefit":1,` +
-	`"soft_limit_s":0.4,"hard_stop_s":1.2}],"zone":"zone-0","n_instances":%d,"kinds":["cache","origin"],"round_s":0.005,` +
-	`"bounds":{"most_legs":3,"conn_idle_s":15,"connect_timeout_s":0.25,"cancel":true},` +
+	`"soft_limit_s":0.4,"hard_stop_s":1.2}],"zone":"zone-0","n_instances":%d,"kinds":["cache","origin"],` +
+	`"round_s":0.005,"bounds":{"most_legs":3,"conn_idle_s":15,"connect_timeout_s":0.25,"cancel":true},` +
 	`"family_info":{"mode":"aside","origin_kind":1},"rules":{"cold_from":0.3,"cold_s":5,"overload_factor":3,` +
 	`"overload_for_s":1}}`
 
-// nodeProcess is the node under measurement. A restart starts another process at the same address; what is measured is
-// the sum over both, or the greater of both.
+// nodeProcess is the measured node. A restart starts a new process at the same address. Figures are the sum over both
+// processes, or the maximum of both.
 type nodeProcess struct {
 	program string
 	folder  string
-	share   float64 // of a core
+	share   float64 // share of a core that the node gets
 	listen  string
 	child   *scale.Child
-	release func() error // ends the limit of processor time
-	stop    chan struct{}
-	stopped chan struct{}
-	figures Figures // of the processes that have ended, and of the observer
+	release func() error  // ends the limit of CPU time
+	stop    chan struct{} // closed to stop the observer
+	stopped chan struct{} // closed when the observer has stopped
+	figures Figures       // of the processes that have ended, and the observed peak of descriptors
 }
 
-// configure chooses the node's address and writes its configuration file.
+// configure chooses the node's listen address and writes its configuration file.
 func (n *nodeProcess) configure(discovery string, nodes int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,10 +90,10 @@
 	go n.observe(child.PID())
 	for deadline := time.Now().Add(readyTimeout); !isReady(n.listen); time.Sleep(readyInterval) {
 		if child.HasExited() {
-			return fmt.Errorf("the node has exited: %s", child.LastLogLine())
+			return fmt.Errorf("the node exited during its start: %s", child.LastLogLine())
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("the node is not ready after %v: %s", readyTimeout, child.LastLogLine())
+			return fmt.Errorf("the node did not become ready within %v: %s", readyTimeout, child.LastLogLine())
 		}
 	}
 	return nil
@@ -115,7 +116,7 @@
 	return strings.TrimSpace(answer) == "MN"
 }
 
-// observe records the peak number of descriptors until the process is stopped.
+// observe records the peak number of open descriptors of the process until stop is closed.
 func (n *nodeProcess) observe(pid int) {
 	defer close(n.stopped)
 	for {
@@ -130,7 +131,7 @@
 	}
 }
 
-// end records the usage of the process and stops it by SIGTERM.
+// end records the usage of the process and stops it with SIGTERM. It does nothing if the node does not run.
 func (n *nodeProcess) end() error {
 	if n.child == nil {
 		return nil
@@ -147,9 +148,10 @@
 	return err
 }
 
+// addUp adds the usage of a process to the figures.
 func (n *nodeProcess) addUp(child *scale.Child) error {
 	if child.HasExited() {
-		return fmt.Errorf("the node has exited: %s", child.LastLogLine())
+		return fmt.Errorf("the node exited before its usage was read: %s", child.LastLogLine())
 	}
 	cost, err := child.Cost()
 	if err != nil {
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -8,19 +8,19 @@
 	"text/tabwriter"
 )
 
-// maxRunsPerDay bounds the runs of a day when the machine is too busy for a verdict.
+// maxRunsPerDay is the maximum number of runs of a day if the machine is too busy for a verdict.
 const maxRunsPerDay = 2
 
-// Report holds the results of each day, by the number of caches.
+// Report holds the results of all days at all sizes.
 type Report struct {
-	Sizes []int       `json:"sizes"`
-	Days  []DayResult `json:"days"` // by day, then by size
+	Sizes []int       `json:"sizes"` // numbers of caches
+	Days  []DayResult `json:"days"`  // ordered by day, then by size
 }
 
-// Run runs the days at all sizes; the first size is the reference for the others.
+// Run runs the days at all sizes. The first size is the reference for the others.
 func (plan *Plan) Run(ctx context.Context, days []Day, sizes []int) (*Report, error) {
 	if len(sizes) == 0 {
-		return nil, errors.New("no sizes to measure")
+		return nil, errors.New("the list of sizes to measure is empty")
 	}
 	report := &Report{Sizes: sizes}
 	for _, day := range days {
@@ -35,7 +35,7 @@
 	return report, nil
 }
 
-// runUntilJudged repeats a day for which the machine was too busy, up to maxRunsPerDay runs in all.
+// runUntilJudged runs a day, and repeats it if the machine was too busy, up to maxRunsPerDay runs in total.
 func (plan *Plan) runUntilJudged(ctx context.Context, day *Day, caches int) (*DayResult, error) {
 	var result *DayResult
 	for range maxRunsPerDay {
@@ -60,7 +60,7 @@
 const (
 	Within       Verdict = iota
 	Inconclusive         // the machine was too busy on at least one day
-	Over                 // at least one row is over its limit
+	Over                 // at least one metric is over its limit
 )
 
 // String returns the verdict in one line.
@@ -68,7 +68,7 @@
 	return [...]string{"all is within the limits", "not judged: the machine was too busy", "over a limit"}[v]
 }
 
-// first returns the result of a day at the first size.
+// first returns the result of a day at the first size, or nil if there is none.
 func (r *Report) first(day string) *DayResult {
 	for i := range r.Days {
 		if r.Days[i].Day == day && r.Days[i].Caches == r.Sizes[0] {
@@ -101,8 +101,8 @@
 	return worst
 }
 
-// Print writes a table by day and row: the value at each size, the limit beside it, the slope per thousand caches
-// from the first size to the last, and the verdict.
+// Print writes a table with a row for each day and metric, followed by the verdict. A row has the value and the limit
+// at each size, and the increase per thousand caches from the first size to the last.
 func (r *Report) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "day\trow")
@@ -124,6 +124,7 @@
 	return err
 }
 
+// printRow writes the row of a metric on one day.
 func printRow(table io.Writer, row Metric, results []DayResult) {
 	first := results[0].Figures[row]
 	fmt.Fprintf(table, "%s\t%s", results[0].Day, row)
@@ -143,7 +144,8 @@
 	fmt.Fprintln(table)
 }
 
-// printClients writes how many requests were sent, refused and lost, and on which size the machine was too busy.
+// printClients writes the numbers of requests sent, refused and lost on one day, and marks the sizes at which the
+// machine was too busy.
 func printClients(table io.Writer, results []DayResult) {
 	fmt.Fprintf(table, "%s\tsent, refused, lost", results[0].Day)
 	for i := range results {
