--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -11,12 +11,12 @@
 
 // The breaches at caches.
 const (
-	StaleServed   = "served an old value"         // older than a purge that counts as done there
-	NotCarriedOut = "counted and not carried out" // no deletion of the key since it was published
-	NeverCounted  = "never done at a cache"       // at the end
+	StaleServed   = "served an old value"         // older than a purge that counts as done at the cache
+	NotCarriedOut = "counted and not carried out" // the key was not deleted between publishing and completion
+	NeverCounted  = "never done at a cache"       // a purge is not done at the end of the run
 )
 
-// CachesPhase is the time that a phase's purges took from publishing until the last cache.
+// CachesPhase summarizes the time from the publishing of a phase's purges until they took effect at the last cache.
 type CachesPhase struct {
 	Phase   string        `json:"play"`
 	Deleted DurationStats `json:"to_first_deletion_at_last_cache"`
@@ -26,15 +26,15 @@
 // CachesReport is the result of checking the caches.
 type CachesReport struct {
 	Breaches []Breach      `json:"breaches"`
-	Caches   int           `json:"caches"`    // that left a record
-	Purges   int           `json:"purges"`    // of the whole log
-	Deletes  int           `json:"deletions"` // of single keys, at all caches
-	Emptied  int           `json:"emptied"`   // times that a cache was emptied as a whole
+	Caches   int           `json:"caches"`    // caches with a record
+	Purges   int           `json:"purges"`    // purges in the whole log
+	Deletes  int           `json:"deletions"` // deletions of single keys at all caches
+	Emptied  int           `json:"emptied"`   // flushes and restarts of caches
 	Served   int           `json:"served"`    // values that caches served
 	Phases   []CachesPhase `json:"plays"`
 }
 
-// CheckCaches checks the records of all caches against the purges of the whole log, in which no index occurs twice.
+// CheckCaches checks the records of all caches against the purges of the whole log, whose indexes must be unique.
 // Durations cover the caches for which looked returns true; nil selects all. Both slices are sorted in place.
 func CheckCaches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent,
 	looked func(cache string) bool) CachesReport {
@@ -63,12 +63,12 @@
 	return c.report
 }
 
-// cacheChecker checks one cache after the other.
+// cacheChecker checks the caches one after the other.
 type cacheChecker struct {
 	checker *Checker // collects the breaches
 	looked  func(cache string) bool
-	purges  []logtrace.PublishedPurge // by index, ascending
-	deleted []monotime.Instant        // by purge: its key's first deletion at the last cache; 0 for none
+	purges  []logtrace.PublishedPurge // in ascending order of their indexes
+	deleted []monotime.Instant        // by purge: first deletion of its key at the last cache; 0 for none
 	done    []monotime.Instant        // by purge: when it counted as done at the last cache; 0 for never
 	report  CachesReport
 }
@@ -76,10 +76,10 @@
 // cacheHistory is the state of one cache up to a record.
 type cacheHistory struct {
 	name      string
-	deletions map[string][]monotime.Instant // by key, ascending
-	emptied   monotime.Instant              // when it was last emptied as a whole
-	required  map[string]uint64             // by key: the version below which it must not serve any more
-	counted   int                           // purges that count as done here
+	deletions map[string][]monotime.Instant // by key, in ascending order
+	emptied   monotime.Instant              // time of the last flush or restart
+	required  map[string]uint64             // by key: lowest version that the cache may still serve
+	counted   int                           // number of purges that count as done at the cache
 }
 
 // cache checks one cache by its records.
@@ -95,7 +95,7 @@
 		c.record(h, record)
 	}
 	if h.counted < len(c.purges) {
-		c.checker.addBreach(NeverCounted, "%s ended with %d purges of %d", name, h.counted, len(c.purges))
+		c.checker.addBreach(NeverCounted, "%s: %d of %d purges count as done", name, h.counted, len(c.purges))
 	}
 	if !c.looked(name) {
 		return
@@ -121,8 +121,8 @@
 	case logtrace.Served:
 		c.report.Served++
 		if required := h.required[record.Key]; record.Version < required {
-			c.checker.addBreach(StaleServed, "%s: %s in version %d, after %d was purged",
-				h.name, record.Key, record.Version, required)
+			c.checker.addBreach(StaleServed, "%s: served version %d of %s, but version %d is required",
+				h.name, record.Version, record.Key, required)
 		}
 	case logtrace.Confirmed:
 		for h.counted < len(c.purges) && c.purges[h.counted].Index <= record.Index {
@@ -131,13 +131,13 @@
 	}
 }
 
-// count marks the next purge as done at a cache, and checks that its key was deleted since it was published.
+// count marks the next purge as done at a cache, and checks that its key was deleted after it was published.
 func (c *cacheChecker) count(h *cacheHistory, at monotime.Instant) {
 	purge := c.purges[h.counted]
 	deletions := h.deletions[purge.Key]
 	deletedSince := len(deletions) > 0 && deletions[len(deletions)-1] >= purge.Sent
 	if !deletedSince && h.emptied < purge.Sent {
-		c.checker.addBreach(NotCarriedOut, "%s: entry %d", h.name, purge.Index)
+		c.checker.addBreach(NotCarriedOut, "%s: entry %d, key %s", h.name, purge.Index, purge.Key)
 	}
 	h.required[purge.Key] = max(h.required[purge.Key], purge.Version)
 	if c.looked(h.name) {
@@ -146,7 +146,7 @@
 	h.counted++
 }
 
-// phases summarizes durations by phase, in the order in which the phases first appear in the log.
+// phases summarizes the durations by phase, in the order in which the phases first appear in the log.
 func (c *cacheChecker) phases() []CachesPhase {
 	type times struct{ deleted, done []time.Duration }
 	byPhase := map[string]*times{}
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -7,8 +7,8 @@
 	"dahliapin/internal/emulator/logtrace"
 )
 
-// validCacheRecords returns the records of two caches at which three purges are done, two of a and one of b. One cache
-// is flushed for the last purge.
+// validCacheRecords returns the records of two caches at which three purges are done: two of the key a and one of b.
+// For the last purge, cache two is flushed.
 func validCacheRecords() (purged []logtrace.PublishedPurge, records []logtrace.CacheEvent) {
 	purged = []logtrace.PublishedPurge{
 		{Index: 2, Key: "a", Version: 2, Sent: 100, Phase: "p"},
@@ -39,15 +39,15 @@
 	purged, records := validCacheRecords()
 	r := CheckCaches(purged, records, nil)
 	if len(r.Breaches) > 0 || r.Caches != 2 || r.Deletes != 6 || r.Emptied != 1 || r.Served != 4 || len(r.Phases) != 2 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("unexpected report: %+v", r)
 	}
 	p := r.Phases[0]
 	if p.Deleted.Max != 25e-9 || p.Done.Max != 55e-9 {
-		t.Errorf("%+v", p)
+		t.Errorf("got %+v, want a deletion after 25 ns and completion after 55 ns at the last cache", p)
 	}
 	q := r.Phases[1]
 	if q.Deleted.Max != 10e-9 || q.Done.Max != 100e-9 {
-		t.Errorf("%+v", q)
+		t.Errorf("got %+v, want a deletion after 10 ns and completion after 100 ns at the last cache", q)
 	}
 }
 
@@ -89,7 +89,7 @@
 			purged, records := validCacheRecords()
 			got := CheckCaches(purged, c.bend(records), nil).Breaches
 			if len(got) != 1 || got[0].What != c.want {
-				t.Errorf("%+v", got)
+				t.Errorf("found %+v, want only: %s", got, c.want)
 			}
 		})
 	}
--- a/internal/scale/logscale/checker/checker.go
+++ b/internal/scale/logscale/checker/checker.go
@@ -1,9 +1,15 @@
-// Package checker checks the traces that a run of the replicated log left behind, and measures how long changes took.
+// Package checker checks the traces of a run of the replicated log, and measures how long changes took.
 //
-// The invariants are: no entry is missing at a node, applied twice or applied out of order; none is acknowledged or in
-// force before a majority of the voters had it on disk; no node reports an entry before it has applied it; and a node
-// begins under the configuration in force. They are checked against the records of voters' disks, of the publisher and
-// of all nodes; of what processes say about each other only the clocks are trusted, which are those of one machine.
+// It checks these invariants:
+//
+//   - A node misses no entry, and applies each entry once and in order.
+//   - An entry is acknowledged, and in force at a node, only after a majority of the voters have it on disk.
+//   - A node reports an entry only after it has applied it.
+//   - A node starts under the configuration that is in force at its first index.
+//
+// The evidence is what voters had on disk, what the publisher sent and received, and what each node applied. The
+// checker relies on the clock, which all processes of a machine share, but not on statements of processes about each
+// other.
 //
 // A Checker takes its input in this order: AddStored, AddPublished, AddNodeRecord, and then Report. It is not safe for
 // concurrent use.
@@ -19,17 +25,17 @@
 	"dahliapin/internal/monotime"
 )
 
-const maxExamples = 5 // of each breach that are reported
+const maxExamples = 5 // maximum number of examples of each breach
 
 // The breaches.
 const (
 	Missing      = "missing"                          // a node skipped an entry, or ended without an acknowledged one
-	Duplicated   = "doubled"                          // an entry applied twice, or a change ordered twice
-	OutOfOrder   = "out of order"                     // nodes, or who published, differ on what an index is
-	EarlyAck     = "acknowledged before a majority"   // fewer voters had it on disk by then
-	EarlyInForce = "in force before it was ordered"   // fewer voters had it on disk by then
-	EarlyReport  = "told too early"                   // a node reported more than it had applied
-	StaleStart   = "began under an old configuration" // a later one was in force there
+	Duplicated   = "doubled"                          // an entry was applied twice, or a change has two indexes
+	OutOfOrder   = "out of order"                     // nodes and the publisher disagree on the entry at an index
+	EarlyAck     = "acknowledged before a majority"   // a majority of the voters did not have the entry on disk yet
+	EarlyInForce = "in force before it was ordered"   // a majority of the voters did not have the entry on disk yet
+	EarlyReport  = "told too early"                   // a node reported an entry that it had not applied yet
+	StaleStart   = "began under an old configuration" // a later configuration was in force at the node's first index
 )
 
 // Breach is a violated invariant with the number of violations and some examples.
@@ -47,11 +53,11 @@
 	Max    float64 `json:"most_s"`
 }
 
-// PhaseReport is the time that a phase's changes took: to be acknowledged, and from publishing and from acknowledgement
-// to the last of the observed nodes.
+// PhaseReport summarizes the times that the changes of a phase took: from publishing to acknowledgement, and from each
+// of these to the last observed node.
 type PhaseReport struct {
 	Phase         string        `json:"play"`
-	Config        bool          `json:"config"` // of configurations, else of purges
+	Config        bool          `json:"config"` // the changes are configurations, otherwise purges
 	Acked         DurationStats `json:"acked"`
 	FromSent      DurationStats `json:"from_sent_to_last_node"`
 	FromAcked     DurationStats `json:"from_acked_to_last_node"`
@@ -63,23 +69,26 @@
 type Report struct {
 	Breaches []Breach      `json:"breaches"`
 	Entries  uint64        `json:"entries"`
-	Nodes    int           `json:"nodes"`
-	Applied  uint64        `json:"applied"`
-	Presumed int           `json:"presumed_purged"` // times that a node began anew after it had begun
-	Refused  int           `json:"refused"`
+	Nodes    int           `json:"nodes"`           // nodes with a trace
+	Applied  uint64        `json:"applied"`         // entries applied by all nodes together
+	Presumed int           `json:"presumed_purged"` // number of times that a node that had started did so again
+	Refused  int           `json:"refused"`         // configurations that a node rejected as invalid
 	Phases   []PhaseReport `json:"plays"`
 }
 
+// change is a change of the log.
 type change struct {
-	index  uint64
-	onDisk []monotime.Instant // by voter, when it was on its disk first
+	index  uint64             // 0 if not known yet
+	onDisk []monotime.Instant // by voter: when it first had the change on disk; 0 for never
 }
 
+// nodeState is the progress of a node.
 type nodeState struct {
 	begun   bool
-	applied uint64
+	applied uint64 // last index
 }
 
+// beginning is the start of a node at an index, under the configuration with a mark.
 type beginning struct {
 	node        uint32
 	index, mark uint64
@@ -88,16 +97,16 @@
 // Checker checks the traces of a run: first the stored and published changes, then the records of each node in order.
 type Checker struct {
 	voters  int
-	changes map[uint64]*change // by mark
-	byIndex map[uint64]uint64  // marks
+	changes map[uint64]*change // by mark, the hash of a change's content
+	byIndex map[uint64]uint64  // marks by index
 	orders  []logtrace.PublishedChange
 	nodes   map[uint32]*nodeState
 	begins  []beginning
-	applied map[uint64]monotime.Instant // by index: when the last observed node had applied it
+	applied map[uint64]monotime.Instant // by index: when the last observed node applied the entry
 	looked  func(node uint32) bool
 	breach  map[string]*Breach
 	report  Report
-	highest uint64
+	highest uint64   // highest acknowledged index
 	configs []uint64 // indexes of configurations
 }
 
@@ -118,6 +127,7 @@
 	}
 }
 
+// addBreach counts a breach, and adds an example to it.
 func (j *Checker) addBreach(what, format string, args ...any) {
 	b := j.breach[what]
 	if b == nil {
@@ -130,7 +140,7 @@
 	}
 }
 
-// AddStored adds what a voter, numbered from 0, has on disk. Learners do not count.
+// AddStored adds the changes that a voter has on disk. Voters are numbered from 0; learners must not be added.
 func (j *Checker) AddStored(voter int, k logtrace.DurableEntries) {
 	for _, mark := range k.Marks {
 		c := j.changes[mark]
@@ -144,7 +154,7 @@
 	}
 }
 
-// majority returns when a majority of the voters had a change on disk; math.MaxInt64 for never.
+// majority returns the time from which a majority of the voters had a change on disk, or math.MaxInt64 for never.
 func (j *Checker) majority(mark uint64) monotime.Instant {
 	c := j.changes[mark]
 	if c == nil {
@@ -176,10 +186,10 @@
 	j.highest = max(j.highest, o.Index)
 }
 
-// place records which change has an index, and checks that all sources agree.
+// place records that a change has an index according to a source, and checks that all sources agree.
 func (j *Checker) place(mark, index uint64, by string) {
 	if was, is := j.byIndex[index]; is && was != mark {
-		j.addBreach(OutOfOrder, "entry %d is another to %s", index, by)
+		j.addBreach(OutOfOrder, "entry %d is a different change according to %s", index, by)
 		return
 	}
 	c := j.changes[mark]
@@ -188,7 +198,7 @@
 		j.changes[mark] = c
 	}
 	if c.index != 0 && c.index != index {
-		j.addBreach(Duplicated, "the change of entry %d is also entry %d to %s", c.index, index, by)
+		j.addBreach(Duplicated, "the change of entry %d is also entry %d according to %s", c.index, index, by)
 	}
 	c.index = index
 	j.byIndex[index] = mark
@@ -207,7 +217,7 @@
 			j.report.Presumed++
 		}
 		if n.begun && r.Index <= n.applied {
-			j.addBreach(Duplicated, "node %d began at %d after it had %d", r.Node, r.Index, n.applied)
+			j.addBreach(Duplicated, "node %d started again at %d after it had applied %d", r.Node, r.Index, n.applied)
 		}
 		j.begins = append(j.begins, beginning{node: r.Node, index: r.Index, mark: r.Mark})
 		n.begun = true
@@ -218,12 +228,13 @@
 		j.onApplied(n, r)
 	case logtrace.Acknowledged:
 		if r.Index > n.applied {
-			j.addBreach(EarlyReport, "node %d told of %d with %d", r.Node, r.Index, n.applied)
+			j.addBreach(EarlyReport, "node %d reported entry %d after applying only up to %d",
+				r.Node, r.Index, n.applied)
 		}
 	}
 }
 
-// onApplied checks an entry that a node has applied.
+// onApplied checks the application of an entry by a node.
 func (j *Checker) onApplied(n *nodeState, r logtrace.NodeEvent) {
 	j.report.Applied++
 	switch {
@@ -235,13 +246,14 @@
 	n.applied = max(n.applied, r.Index)
 	j.place(r.Mark, r.Index, fmt.Sprintf("node %d", r.Node))
 	if j.majority(r.Mark) > r.At {
-		j.addBreach(EarlyInForce, "node %d, entry %d", r.Node, r.Index)
+		j.addBreach(EarlyInForce, "entry %d at node %d", r.Index, r.Node)
 	}
 	if j.looked(r.Node) {
 		j.applied[r.Index] = max(j.applied[r.Index], r.At)
 	}
 }
 
+// spans summarizes durations. It sorts its argument.
 func spans(all []time.Duration) DurationStats {
 	if len(all) == 0 {
 		return DurationStats{}
@@ -253,7 +265,8 @@
 	return DurationStats{Count: len(all), Median: at(0.5), P99: at(0.99), Max: all[len(all)-1].Seconds()}
 }
 
-// Report returns the result once all traces have been added. nodes is the expected number of nodes with a trace.
+// Report returns the result. It must be called after all traces have been added. nodes is the expected number of nodes
+// with a trace.
 func (j *Checker) Report(nodes int) Report {
 	j.checkEnds(nodes)
 	j.checkBeginnings()
@@ -264,31 +277,31 @@
 	return j.report
 }
 
-// checkEnds checks that all nodes left a trace and ended with all entries.
+// checkEnds checks that all nodes have a trace and have applied all acknowledged entries.
 func (j *Checker) checkEnds(nodes int) {
 	if len(j.nodes) != nodes {
-		j.addBreach(Missing, "%d nodes of %d left a trace", len(j.nodes), nodes)
+		j.addBreach(Missing, "%d nodes have a trace, want %d", len(j.nodes), nodes)
 	}
 	for id, n := range j.nodes {
 		if n.applied < j.highest {
-			j.addBreach(Missing, "node %d ended with %d of %d", id, n.applied, j.highest)
+			j.addBreach(Missing, "node %d applied entries up to %d of %d", id, n.applied, j.highest)
 		}
 	}
 }
 
-// checkBeginnings checks that each node began under the newest configuration at its first index.
+// checkBeginnings checks that each node started under the newest configuration at its first index.
 func (j *Checker) checkBeginnings() {
 	slices.Sort(j.configs)
 	for _, b := range j.begins {
 		at, _ := slices.BinarySearch(j.configs, b.index+1)
 		if at > 0 && j.byIndex[j.configs[at-1]] != b.mark {
-			j.addBreach(StaleStart, "node %d at %d, where configuration %d was in force",
+			j.addBreach(StaleStart, "node %d at index %d, where the configuration of entry %d was in force",
 				b.node, b.index, j.configs[at-1])
 		}
 	}
 }
 
-// phases summarizes durations by phase, in the order in which the phases were published.
+// phases summarizes the durations by phase and kind of change, in the order in which these were first published.
 func (j *Checker) phases() []PhaseReport {
 	type kind struct {
 		phase  string
@@ -337,6 +350,7 @@
 	return phases
 }
 
+// nodesLookedAt returns the number of nodes that durations cover.
 func (j *Checker) nodesLookedAt() int {
 	looked := 0
 	for id := range j.nodes {
@@ -347,7 +361,8 @@
 	return looked
 }
 
-// breaches returns the violated invariants in the order given; never nil, as a report shows it as a list.
+// breaches returns the breaches of the given kinds in this order. It never returns nil, so that a report contains a
+// list.
 func (j *Checker) breaches(kinds ...string) []Breach {
 	broken := []Breach{}
 	for _, kind := range kinds {
--- a/internal/scale/logscale/checker/checker_test.go
+++ b/internal/scale/logscale/checker/checker_test.go
@@ -8,15 +8,15 @@
 	"dahliapin/internal/monotime"
 )
 
-// evidence is what a run of three voters leaves behind.
+// evidence holds the traces of a run with three voters.
 type evidence struct {
 	kept    [3][]logtrace.DurableEntries // by voter
 	orders  []logtrace.PublishedChange
 	records []logtrace.NodeEvent
 }
 
-// validEvidence is of a run without a breach: two nodes, entries 1 to 4 of which 2 is a configuration, and a node that
-// begins with entry 3.
+// validEvidence returns the traces of a run without a breach. Of entries 1 to 4, entry 2 is a configuration. Node 1
+// applies all entries; node 2 starts at entry 3.
 func validEvidence() *evidence {
 	e := &evidence{}
 	for i := range uint64(4) {
@@ -49,7 +49,7 @@
 	return e
 }
 
-// report judges the evidence of a run of two nodes.
+// report checks the traces of a run with two nodes.
 func (e *evidence) report() Report {
 	j := New(3, nil)
 	for voter, all := range e.kept {
@@ -69,10 +69,10 @@
 func TestCheckerFindsNoBreachInSoundRun(t *testing.T) {
 	r := validEvidence().report()
 	if len(r.Breaches) > 0 || r.Entries != 4 || r.Applied != 5 || len(r.Phases) != 2 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("unexpected report: %+v", r)
 	}
 	if r.Phases[0].FromSent.Max != 45e-9 || r.Phases[0].FromAcked.Count != 3 {
-		t.Errorf("%+v", r.Phases[0])
+		t.Errorf("got %+v, want at most 45 ns from publishing to the last node, and 3 purges", r.Phases[0])
 	}
 }
 
@@ -89,7 +89,7 @@
 			want: Missing,
 			bend: func(e *evidence) { e.records = e.records[:len(e.records)-1] },
 		},
-		"a node leaves no trace": {
+		"a node has no trace": {
 			want: Missing,
 			bend: func(e *evidence) { e.records = e.records[:9] },
 		},
@@ -97,7 +97,7 @@
 			want: Duplicated,
 			bend: func(e *evidence) { e.records = append(e.records, e.records[len(e.records)-1]) },
 		},
-		"a change is ordered twice": {
+		"a change has two indexes": {
 			want: Duplicated,
 			bend: func(e *evidence) { e.orders[3].Mark = 1002 },
 		},
@@ -109,11 +109,11 @@
 			want: OutOfOrder,
 			bend: func(e *evidence) { e.orders[3].Mark = 4000 },
 		},
-		"an acknowledgement comes before a majority has the entry": {
+		"an entry is acknowledged before a majority has it": {
 			want: EarlyAck,
 			bend: func(e *evidence) { e.orders[2].Acked = 309 },
 		},
-		"a majority never has an acknowledged entry": {
+		"an acknowledged entry is never on disk at a majority": {
 			want: EarlyAck,
 			bend: func(e *evidence) {
 				e.kept[0] = e.kept[0][:3]
@@ -128,7 +128,7 @@
 			want: EarlyReport,
 			bend: func(e *evidence) { e.records[2].Index = 2 },
 		},
-		"a node begins under an old configuration": {
+		"a node starts under an old configuration": {
 			want: StaleStart,
 			bend: func(e *evidence) { e.records[len(e.records)-2].Mark = 0 },
 		},
@@ -138,7 +138,7 @@
 			c.bend(e)
 			got := e.report().Breaches
 			if !slices.ContainsFunc(got, func(b Breach) bool { return b.What == c.want }) {
-				t.Errorf("found %+v, and not: %s", got, c.want)
+				t.Errorf("found %+v, want: %s", got, c.want)
 			}
 		})
 	}
--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -22,8 +22,8 @@
 	readInterval    = 2 * time.Millisecond  // between two reads at caches
 )
 
-// caches are the rig's cache servers, each in a region, and the records of what happened at them. A key's value has the
-// version 1 before its purge is published, and 2 at the origin from then on.
+// caches holds the rig's cache servers, each in a region, and the records of events at them. The value of a key has
+// version 1 before its purge is published, and version 2 at the origin from then on.
 type caches struct {
 	all     []*cachestub.Cache
 	mu      sync.Mutex            // guards records, recent and chance
@@ -32,12 +32,12 @@
 	chance  keyhash.Source
 	fills   sync.WaitGroup            // fills in flight
 	purged  []logtrace.PublishedPurge // guarded by the run's mutex
-	cut     string                    // the cache that did not answer for a while
-	back    monotime.Instant          // when it answered again
+	cut     string                    // name of the cache that was unresponsive in phase CacheOutage
+	back    monotime.Instant          // when that cache responded again
 	closed  chan struct{}
 }
 
-// openCaches starts all caches, and the reads at them.
+// openCaches starts all caches and the continuous reads.
 func (r *run) openCaches() error {
 	for i := range r.Caches {
 		c, err := cachestub.Open(fmt.Sprintf("cache-%02d", i), gossip.BootTime, func(x logtrace.CacheEvent) {
@@ -56,6 +56,7 @@
 	return nil
 }
 
+// closeCaches stops the reads and all caches.
 func (r *run) closeCaches() {
 	close(r.caches.closed)
 	for _, c := range r.caches.all {
@@ -63,7 +64,8 @@
 	}
 }
 
-// cacheList returns the cache section of a control server's file. Caches are reached over the emulated network.
+// cacheList returns the section of caches in the file of a control server, which reaches them over the emulated
+// network.
 func (r *run) cacheList(machine int) (string, error) {
 	if r.Caches == 0 {
 		return "", nil
@@ -79,7 +81,7 @@
 	return text, nil
 }
 
-// fillCaches fills all caches with values that are about to be purged.
+// fillCaches stores the values of the keys that are about to be purged in all caches.
 func (r *run) fillCaches(all []replicatedlog.Proposal) {
 	for _, p := range all {
 		for _, c := range r.caches.all {
@@ -90,14 +92,15 @@
 	}
 }
 
+// chance draws a random number from 0 to 1.
 func (r *run) chance() float64 {
 	r.caches.mu.Lock()
 	defer r.caches.mu.Unlock()
 	return r.caches.chance.Float64()
 }
 
-// scheduleStaleFills starts fills with the old value that are in flight when a purge is published. Each ends within the
-// longest time that a fill may take.
+// scheduleStaleFills starts fills with old values that are in flight when their purges are published. Each ends within
+// MaxFillTime after the publishing.
 func (r *run) scheduleStaleFills(all []replicatedlog.Proposal, sent monotime.Instant) {
 	for _, c := range r.caches.all {
 		for _, p := range all {
@@ -124,7 +127,7 @@
 	}
 }
 
-// readContinuously reads keys at caches until the run ends, recently purged ones more often.
+// readContinuously reads random keys at random caches until the run ends, recently purged keys more often.
 func (r *run) readContinuously() {
 	for {
 		select {
@@ -146,7 +149,7 @@
 	}
 }
 
-// readAll reads each key at each cache, once all purges are done, so that a value left behind is seen.
+// readAll reads each purged key at each cache. It is called after all purges are done, to find old values that remain.
 func (r *run) readAll() {
 	r.caches.fills.Wait()
 	for _, c := range r.caches.all {
@@ -156,12 +159,12 @@
 	}
 }
 
-// cutCache makes a cache unresponsive for a while; it keeps its contents.
+// cutCache makes a cache unresponsive for CutFor, while purges are published. The cache keeps its contents.
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
 	c.SetFault(cachestub.Silent, 0)
 	r.caches.cut = c.Name()
-	r.log("%s does not answer from now on", c.Name())
+	r.log("%s is unresponsive for %v", c.Name(), r.CutFor)
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheOutage, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	time.Sleep(r.CutFor)
@@ -172,7 +175,7 @@
 			for _, m := range x.Servers {
 				why = append(why, fmt.Sprintf("%d: %s for %.1f s", m.Server, m.Reason, m.UnansweredS))
 			}
-			r.note("at the end of its silence %s lacked %d of %d entries, told by fleet changes: %s",
+			r.note("at the end of its outage %s lacked %d of %d entries according to fleet changes: %s",
 				x.Cache, x.Missing, o.Last, strings.Join(why, "; "))
 		}
 	}
@@ -182,7 +185,8 @@
 	return err
 }
 
-// checkCaches passes the records of all caches to the checker.
+// checkCaches passes the records of all caches to the checker, and computes the recovery time of the unresponsive
+// cache.
 func (r *run) checkCaches() error {
 	if r.Caches == 0 {
 		return nil
@@ -209,7 +213,8 @@
 	if r.caches.back > 0 {
 		r.report.CacheRecoveryS = back.Since(r.caches.back).Seconds()
 	}
-	rep := checker.CheckCaches(r.caches.purged, r.caches.records, func(name string) bool { return name != r.caches.cut })
+	rep := checker.CheckCaches(r.caches.purged, r.caches.records,
+		func(name string) bool { return name != r.caches.cut })
 	r.report.Caches = &rep
 	return nil
 }
--- a/internal/scale/logscale/rig/check.go
+++ b/internal/scale/logscale/rig/check.go
@@ -9,7 +9,8 @@
 	"dahliapin/internal/scale/logscale/checker"
 )
 
-// check passes all traces to the checker and aggregates the resource usage.
+// check passes all traces to the checker, computes the recovery time of the region that was cut off, and aggregates the
+// resource usage.
 func (r *run) check() error {
 	off := r.specs[r.CutRegion]
 	inCut := func(node uint32) bool {
--- a/internal/scale/logscale/rig/hollow.go
+++ b/internal/scale/logscale/rig/hollow.go
@@ -25,38 +25,38 @@
 )
 
 const (
-	sampleInterval   = time.Second      // between two samples
+	sampleInterval   = time.Second      // interval between two samples
 	staleAfter       = 30 * time.Second // time without contact to the leader after which a node counts as stale
-	startSpread      = 2 * time.Second  // time over which the starts of a process's hollow nodes are spread
+	startSpread      = 2 * time.Second  // time over which a process spreads the starts of its nodes
 	traceBufferBytes = 1 << 20          // buffer size of the trace writer
 )
 
-// Spec is the configuration of a process of hollow nodes.
+// Spec is the configuration of a process of simulated nodes.
 type Spec struct {
 	Label   string   `json:"label"`
 	Servers []string `json:"at"` // addresses of the control servers
 	Seed    uint32   `json:"seed"`
-	First   uint32   `json:"first"` // number of its first node
-	Nodes   int      `json:"nodes"`
-	Trace   string   `json:"trace"` // file
-	Stats   string   `json:"stats"` // file
+	First   uint32   `json:"first"` // number of the first node
+	Nodes   int      `json:"nodes"` // number of nodes
+	Trace   string   `json:"trace"` // path of the file for events of nodes
+	Stats   string   `json:"stats"` // path of the file for samples
 }
 
-// Sample is a reading of the cumulative usage of a process.
+// Sample is a reading of the cumulative usage of a process of simulated nodes.
 type Sample struct {
 	At    monotime.Instant `json:"at"`
-	CPU   float64          `json:"cpu_s"`
-	RSS   int64            `json:"rss"`  // bytes
-	Heap  uint64           `json:"heap"` // bytes, as of the last collection
-	In    []uint64         `json:"in"`   // bytes received on the streams of each node so far
-	Out   []uint64         `json:"out"`
-	Moves uint64           `json:"moves"`
+	CPU   float64          `json:"cpu_s"` // CPU time in seconds
+	RSS   int64            `json:"rss"`   // resident memory in bytes
+	Heap  uint64           `json:"heap"`  // allocated heap in bytes
+	In    []uint64         `json:"in"`    // bytes received on streams, by node
+	Out   []uint64         `json:"out"`   // bytes sent on streams, by node
+	Moves uint64           `json:"moves"` // streams opened
 	Gaps  uint64           `json:"gaps"`
-	Stale int              `json:"stale"`
+	Stale int              `json:"stale"` // number of stale nodes
 	Least uint64           `json:"least"` // lowest index applied by any node
 }
 
-// writer writes records of many nodes.
+// writer writes the events of many nodes to one trace.
 type writer struct {
 	mu sync.Mutex
 	w  *bufio.Writer
@@ -65,20 +65,23 @@
 func (w *writer) put(r logtrace.NodeEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = logtrace.Write(w.w, r) // after a write error the checker reports missing records
+	_ = logtrace.Write(w.w, r) // after a write error the checker reports missing entries
 }
 
-// hollow is a node that follows the log with the production code and only records what it applies.
+// hollow is a simulated node. It follows the log with the production code, but only records the entries that it
+// applies.
 type hollow struct {
 	reader *replicatedlog.Applier
 	to     *writer
 	number uint32
-	begins bool
-	mark   uint64
+	begins bool   // Start is running, which applies the initial configuration
+	mark   uint64 // hash of the initial configuration; 0 for none
 }
 
+// PresumePurged implements the target of an Applier. The node has no cached values to remove.
 func (h *hollow) PresumePurged(replicatedlog.Index) {}
 
+// note records the application of an entry. During Start it only remembers the hash of the initial configuration.
 func (h *hollow) note(what logtrace.NodeEventKind, at replicatedlog.Index, kind replicatedlog.Kind, body string) {
 	mark := replicatedlog.Proposal{Kind: kind, Body: []byte(body)}.ContentHash()
 	if h.begins {
@@ -88,16 +91,18 @@
 	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, Kind: what})
 }
 
+// Purge records a purge.
 func (h *hollow) Purge(at replicatedlog.Index, key string) {
 	h.note(logtrace.Applied, at, replicatedlog.Purge, key)
 }
 
+// Configure records a configuration.
 func (h *hollow) Configure(at replicatedlog.Index, text []byte) error {
 	h.note(logtrace.Applied, at, replicatedlog.Config, string(text))
 	return nil
 }
 
-// Start begins the node at an index under a configuration, as an Applier does, and records it.
+// Start starts the node at an index under a configuration, like an Applier, and records the start.
 func (h *hollow) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
 	h.begins = true
 	h.mark = 0
@@ -118,14 +123,15 @@
 func (h *hollow) Apply(raw []cbor.RawMessage) error       { return h.reader.Apply(raw) }
 func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
 
+// onProgressSent records that the node has reported its progress to a control server.
 func (h *hollow) onProgressSent(at replicatedlog.Index) {
 	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Acknowledged})
 }
 
-// SimulatedNodeName returns the name of the hollow node with a number.
+// SimulatedNodeName returns the name of the simulated node with a number.
 func SimulatedNodeName(number uint32) string { return fmt.Sprintf("hollow-%04d", number) }
 
-// ServeSimulatedNodes runs a process of hollow nodes until the reader reaches its end.
+// ServeSimulatedNodes runs the simulated nodes of a configuration file until the reader reaches its end.
 func ServeSimulatedNodes(spec string, until io.Reader) error {
 	text, err := os.ReadFile(spec)
 	if err != nil {
@@ -166,7 +172,7 @@
 	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
 }
 
-// startFollowers starts all nodes of a process, evenly over startSpread.
+// startFollowers starts all nodes of a process, spread evenly over startSpread.
 func startFollowers(s Spec, to *writer) []*logfollower.Follower {
 	log := logrus.New()
 	log.SetLevel(logrus.ErrorLevel)
@@ -191,6 +197,7 @@
 	return all
 }
 
+// sample reads the usage of the current process and its nodes.
 func sample(all []*logfollower.Follower) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -209,13 +216,14 @@
 	return s
 }
 
+// cpu returns the CPU time of the current process in seconds.
 func cpu() float64 {
 	var u unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// resident returns a process's resident memory in bytes; 0 if the process is gone.
+// resident returns the resident memory of a process in bytes, or 0 if the process has exited.
 func resident(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if f := strings.Fields(string(text)); err == nil && len(f) > 1 {
@@ -225,9 +233,9 @@
 	return 0
 }
 
-const ticksASecond = 100 // of /proc's processor times, on Linux
+const ticksASecond = 100 // unit of CPU times in /proc on Linux, per second
 
-// used returns a process's CPU time in seconds; 0 if the process is gone.
+// used returns the CPU time of a process in seconds, or 0 if the process has exited.
 func used(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	chunkBytes           = 16 << 10               // of a stream, read and forwarded at a time
+	chunkBytes           = 16 << 10               // maximum size of a part of a stream that is forwarded at a time
 	segment              = 1448                   // payload bytes of a packet
-	firstRetransmitDelay = 200 * time.Millisecond // a usual first retransmission time-out of TCP, doubled each time
-	synRetransmitDelay   = time.Second            // the same for the SYN
-	maxRetransmits       = 4                      // consecutive losses of one packet
-	maxChunksInFlight    = 64                     // in flight per direction; the sender then blocks, as with a full window
-	cutPollInterval      = 10 * time.Millisecond  // interval at which a stalled stream checks the partition
-	intraRegionDelay     = time.Millisecond       // one way, within a region
-	minRegionDelay       = 10 * time.Millisecond  // one way, to another region, plus
-	delayPerRegion       = 12 * time.Millisecond  // for each region of distance along the shorter way around the ring
-	acceptRetryPause     = 20 * time.Millisecond  // after a failed accept
+	firstRetransmitDelay = 200 * time.Millisecond // typical initial retransmission timeout of TCP, doubled each time
+	synRetransmitDelay   = time.Second            // initial retransmission timeout of a SYN
+	maxRetransmits       = 4                      // maximum number of consecutive losses of a packet
+	maxChunksInFlight    = 64                     // per direction; the sender then blocks, as with a full window
+	cutPollInterval      = 10 * time.Millisecond  // interval at which a stalled stream checks for the partition's end
+	intraRegionDelay     = time.Millisecond       // one-way delay within a region
+	minRegionDelay       = 10 * time.Millisecond  // base of the one-way delay to another region
+	delayPerRegion       = 12 * time.Millisecond  // added per region of distance, along the shorter way around the ring
+	acceptRetryPause     = 20 * time.Millisecond  // pause after a failed accept
 )
 
-// RegionNetwork emulates the network between regions, for streams: it listens on loopback for each pair of a region and
-// a server elsewhere, and forwards with the delay between the two. A packet of 1,448 bytes is lost by chance, which
-// delays the stream by a retransmission time-out, as all that was sent after it waits. While a region is cut off, all
-// of its streams to others stall, and connections that are opened or closed meanwhile stay unnoticed at the other end.
+// RegionNetwork emulates the network between regions for streams. It listens on loopback for each pair of a region and
+// a server, and forwards with the delay between their regions. Packets of 1,448 bytes are lost at random. A loss delays
+// the stream by a retransmission timeout, as later data waits for the lost packet. While a region is cut off, all of
+// its streams to other regions stall, and the other end does not notice that connections are opened or closed.
 type RegionNetwork struct {
 	regions   int
 	loss      float64
 	seed      uint32
-	streams   atomic.Uint32
-	lost      atomic.Uint64
-	cut       []atomic.Bool
+	streams   atomic.Uint32 // number of streams so far, from which each derives its seed
+	lost      atomic.Uint64 // number of lost packets
+	cut       []atomic.Bool // by region
 	closed    chan struct{}
 	mu        sync.Mutex
 	listeners []net.Listener
-	conns     map[net.Conn]bool
-	done      sync.WaitGroup
+	conns     map[net.Conn]bool // open connections, which Close closes
+	done      sync.WaitGroup    // goroutines of listeners and streams
 }
 
-// NewRegionNetwork returns a network without partitions. Loss is the share of packets that are lost.
+// NewRegionNetwork returns a network without partitions. loss is the share of packets that are lost.
 func NewRegionNetwork(regions int, loss float64, seed uint32) *RegionNetwork {
 	return &RegionNetwork{
 		regions: regions,
@@ -67,14 +67,15 @@
 	return minRegionDelay + delayPerRegion*time.Duration(min(d, b.regions-d))
 }
 
-// SetCut partitions a region from all others, or heals the partition.
+// SetCut cuts a region off from all others, or reconnects it.
 func (b *RegionNetwork) SetCut(region int, is bool) { b.cut[region].Store(is) }
 
 func (b *RegionNetwork) isCut(from, to int) bool {
 	return from != to && (b.cut[from].Load() || b.cut[to].Load())
 }
 
-// Listen opens an address at which one region reaches a server in another, whose own address is given.
+// Listen opens an address at which one region reaches a server in another one, and returns it. server is the server's
+// own address.
 func (b *RegionNetwork) Listen(from, to int, server string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,6 +102,7 @@
 	return l.Addr().String(), nil
 }
 
+// track registers a connection for Close. If the network is already closed it closes the connection and returns false.
 func (b *RegionNetwork) track(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,6 +116,7 @@
 	return true
 }
 
+// release closes a connection and removes its registration.
 func (b *RegionNetwork) release(c net.Conn) {
 	b.mu.Lock()
 	delete(b.conns, c)
@@ -121,7 +124,7 @@
 	_ = c.Close()
 }
 
-// wait waits, and reports whether the network is still open then.
+// wait waits for a duration. It returns false if the network is closed meanwhile.
 func (b *RegionNetwork) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -134,7 +137,7 @@
 	}
 }
 
-// retransmissionDelay returns the delay that lost packets cause for a chunk of the given size.
+// retransmissionDelay draws the delay that lost packets cause to a chunk of the given size.
 func (b *RegionNetwork) retransmissionDelay(chance *keyhash.Source, bytes int,
 	first time.Duration) (late time.Duration) {
 	if b.loss == 0 {
@@ -174,12 +177,13 @@
 	both.Wait()
 }
 
+// piece is a part of a stream with its arrival time.
 type piece struct {
 	due  time.Time
 	data []byte
 }
 
-// carry forwards one direction of a stream. Its closing is delayed like its data.
+// carry forwards one direction of a stream. The end of the stream is delayed like its data.
 func (b *RegionNetwork) carry(from, to int, in, out net.Conn, chance keyhash.Source) {
 	pieces := make(chan piece, maxChunksInFlight)
 	go func() {
@@ -222,7 +226,7 @@
 	}
 	_ = out.Close()
 	_ = in.Close()
-	for range pieces { // unblocks the reader, which may be blocked on a send
+	for range pieces { // unblocks the reader, which may be blocked on sending to the channel
 	}
 }
 
--- a/internal/scale/logscale/rig/phases.go
+++ b/internal/scale/logscale/rig/phases.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maxConcurrentPublishes = 256 // publish calls in flight during the backlog of a cut
-	backlogBatch           = 190 // purges in one call during a cut: 34,200 in 180 calls
+	maxConcurrentPublishes = 256 // maximum number of publish calls in flight during a cut
+	backlogBatch           = 190 // purges in one call during a cut: 34,200 purges in 180 calls
 	failAtFraction         = 3   // the leader fails after a third of the phase
-	downFraction           = 3   // and is back after another third
+	downFraction           = 3   // and recovers after another third
 )
 
-// steady publishes at the plan's rates. If the plan says so, the leader fails meanwhile and recovers.
+// steady publishes at the plan's rates. If the plan requires it, the leader fails and recovers during the phase.
 func (r *run) steady(ctx context.Context) error {
 	var failover sync.WaitGroup
 	var failoverErr error
@@ -31,7 +31,7 @@
 	return failoverErr
 }
 
-// failLeader stops or kills the leader a third into the phase, and brings it back after another third.
+// failLeader stops or kills the leader after a third of the phase, and continues or restarts it after another third.
 func (r *run) failLeader() error {
 	time.Sleep(r.SteadyFor / failAtFraction)
 	o, err := r.client.Overview()
@@ -40,7 +40,7 @@
 	}
 	leader := slices.IndexFunc(o.Servers, func(s controlclient.ServerStatus) bool { return s.IsLeader })
 	if leader < 0 {
-		return errors.New("no leader to stop or kill")
+		return errors.New("cannot stop or kill the leader: there is none")
 	}
 	if r.Hang {
 		_ = r.control[leader].Process.Signal(syscall.SIGSTOP)
@@ -67,15 +67,15 @@
 	return nil
 }
 
-// cutOff cuts a region off while an hour's changes are published, and ends that. How soon the region has all entries
-// again is read from its nodes' traces.
+// cutOff cuts a region off while an hour's changes are published, and reconnects it. The checker reads from the traces
+// of the region's nodes how long they then take to catch up.
 func (r *run) cutOff(ctx context.Context) error {
 	region := r.CutRegion
 	r.cutStart = gossip.BootTime()
 	r.network.SetCut(region, true)
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
-	// These purges measure the other regions, also while this one catches up.
+	// These purges measure the delay in the other regions, also while this region catches up.
 	steady.Go(func() { r.pace(ctx, RegionCut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	begin := time.Now()
 	r.publishBacklog(ctx, begin)
@@ -90,7 +90,7 @@
 			silent++
 		}
 	}
-	r.note("at the end of the cut: newest entry %d, %d nodes silent, told by fleet changes", o.Last, silent)
+	r.note("at the end of the cut: newest entry %d, %d nodes silent, according to fleet changes", o.Last, silent)
 	r.network.SetCut(region, false)
 	r.cutEnd = gossip.BootTime()
 	r.log("region %d is reconnected; newest entry %d", region, o.Last)
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// publishBacklog publishes the changes of a cut in calls that are spread evenly over it, and waits for all answers.
+// publishBacklog publishes the changes of a cut in calls that are spread evenly over its duration, and waits for all
+// answers.
 func (r *run) publishBacklog(ctx context.Context, begin time.Time) {
 	calls := (r.CutPurges + backlogBatch - 1) / backlogBatch
 	slots := make(chan struct{}, maxConcurrentPublishes)
--- a/internal/scale/logscale/rig/process.go
+++ b/internal/scale/logscale/rig/process.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// stopTimeout is the time that a process has to flush its records before it is killed.
+// stopTimeout is the time in which a process must flush its records and exit; then it is killed.
 const stopTimeout = 30 * time.Second
 
 // process is a process that the run has started.
 type process struct {
 	*exec.Cmd
-	in io.WriteCloser
+	in io.WriteCloser // standard input, whose end stops a process of simulated nodes
 }
 
-// launch starts a process with its output in a log file.
+// launch starts a process whose output goes to a log file.
 func (r *run) launch(name string, args ...string) (*process, error) {
 	c := exec.Command(r.Program, args...)
 	out, err := os.OpenFile(r.path("%s.log", name), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
@@ -41,7 +41,7 @@
 	return &process{c, in}, nil
 }
 
-// end stops all processes after they have flushed their records.
+// end stops all processes in an orderly way, so that they flush their records.
 func (r *run) end() error {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -68,7 +68,7 @@
 	return fault
 }
 
-// kill kills the processes of the run that still run, by their handles.
+// kill kills the processes of the run that have not exited, by their handles.
 func (r *run) kill() {
 	for _, p := range append(append(append([]*process{}, r.hollows...), r.real...), r.control[:]...) {
 		if p != nil && p.ProcessState == nil {
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	purgeRate      = 9.5              // purges per second, unless the plan states a rate
-	configRate     = 1                // configurations per second, with that
-	keyBytes       = 60               // of a purged key
-	configBytes    = 2048             // of a configuration
-	burstPurges    = 1000             // published in one call
-	publishTimeout = 30 * time.Second // for a call to be answered
+	purgeRate      = 9.5              // default rate of purges, per second
+	configRate     = 1                // default rate of configurations, per second
+	keyBytes       = 60               // size of a purged key
+	configBytes    = 2048             // size of a configuration
+	burstPurges    = 1000             // purges published in one call
+	publishTimeout = 30 * time.Second // time in which a call must be answered
 )
 
 // purges returns n purges of consecutively numbered keys.
@@ -32,7 +32,8 @@
 	return all
 }
 
-// publish publishes changes in one call, and records for the checker when that was and which indexes they got.
+// publish publishes changes in one call, and records the times of the call and the indexes of the changes for the
+// checker.
 func (r *run) publish(ctx context.Context, phase string, all []replicatedlog.Proposal) {
 	ctx, done := context.WithTimeout(ctx, publishTimeout)
 	defer done()
@@ -66,12 +67,12 @@
 		}
 	}
 	if err != nil {
-		r.note("%s: %v", phase, err)
+		r.note("%s: cannot publish %d changes: %v", phase, len(all), err)
 	}
 }
 
-// pace publishes purges and configurations at rates per second until a time has passed: each when it is due, whether or
-// not the earlier ones were answered, so that a slow log shows as late changes and not as fewer of them.
+// pace publishes purges and configurations at rates per second for a time. Each is published when it is due, whether or
+// not earlier calls have been answered, so that a slow log shows as late changes and not as fewer changes.
 func (r *run) pace(ctx context.Context, phase string, lasts time.Duration, purgeRate, configRate float64) {
 	var all sync.WaitGroup
 	begin := time.Now()
@@ -103,7 +104,7 @@
 	all.Wait()
 }
 
-// configProposal returns a configuration for all nodes, made unique by a number.
+// configProposal returns a configuration for all nodes, which its number makes unique.
 func configProposal(name string, number int) replicatedlog.Proposal {
 	return controlclient.NewProposal(replicatedlog.Config, configuration(name, "127.0.0.1:1", number))
 }
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -1,9 +1,10 @@
-// Package rig exercises the replicated log at the size of a fleet, on one machine: control servers as processes with
-// disks, a process of many hollow nodes for each region, some real nodes, and an emulated network between regions with
-// delay, loss and partitions. Package checker then checks the traces that all of them left behind.
+// Package rig exercises the replicated log at the size of a fleet, on one machine. It runs control servers as processes
+// with data on disk, a process of many simulated nodes for each region, some real nodes, and an emulated network
+// between regions with delay, loss and partitions. Package checker then checks the traces of all of them.
 //
-// Run executes a Plan: it starts all processes, runs the plan's phases in order, waits after each until every node has
-// every entry, stops the processes and returns the Report. A run owns its processes and the network; they end with it.
+// Run executes a Plan: it starts all processes, runs the plan's phases in order, waits after each phase until every
+// node has every entry, stops the processes and returns the Report. A run owns its processes and its network, and stops
+// them.
 package rig
 
 import (
@@ -24,20 +25,20 @@
 )
 
 const (
-	settleTimeout      = 90 * time.Second       // for all nodes to have all entries
-	showSamples        = 10                     // entries by which the delay of the command fleet changes is measured
-	showTimeout        = 10 * time.Second       // for one of them to show
-	showPollInterval   = 20 * time.Millisecond  // between two calls for it
+	settleTimeout      = 90 * time.Second       // time in which all nodes must have all entries after a phase
+	showSamples        = 10                     // number of entries for which the delay of fleet changes is measured
+	showTimeout        = 10 * time.Second       // time in which fleet changes must show such an entry at all nodes
+	showPollInterval   = 20 * time.Millisecond  // interval at which this is polled
 	statusPollInterval = 200 * time.Millisecond // interval at which the progress of nodes is polled
 )
 
-// run is the state of a plan in execution.
+// run is the state of a run.
 type run struct {
 	Plan
 	network    *RegionNetwork
-	region     [machines]int // of control servers
-	peers      [machines]string
-	nodes      [machines]string
+	region     [machines]int    // regions of the control servers
+	peers      [machines]string // listen addresses of the control servers for each other
+	nodes      [machines]string // listen addresses of the control servers for nodes
 	control    [machines]*process
 	hollows    []*process
 	specs      []Spec
@@ -68,7 +69,7 @@
 	return strings.TrimSpace(string(text))
 }
 
-// Run runs a plan and checks what it left behind.
+// Run executes a plan and checks the traces of the run.
 func Run(ctx context.Context, p Plan) (*Report, error) {
 	if p.PurgesPerSecond == 0 {
 		p.PurgesPerSecond = purgeRate
@@ -88,7 +89,7 @@
 	}
 	r.report.Load = append(r.report.Load, LoadAverage())
 	r.countCompleteRealNodes()
-	if r.Caches > 0 { // nodes show the last entries before these are done at caches
+	if r.Caches > 0 { // nodes have the last entries before they are done at caches
 		if err := r.settle(ctx); err != nil {
 			return nil, err
 		}
@@ -116,7 +117,7 @@
 	}
 }
 
-// measure runs a phase, waits until every node has every entry, and records the resource usage of the processes.
+// measure runs a phase, waits until every node has every entry, and records the resource usage of all processes.
 func (r *run) measure(ctx context.Context, phase string) error {
 	m := mark{phase: phase, from: gossip.BootTime(), before: r.usedBy()}
 	r.log("%s begins; load %s", phase, LoadAverage())
@@ -154,7 +155,7 @@
 	return filepath.Join(r.Dir, fmt.Sprintf(format, args...))
 }
 
-// measureShown measures how soon fleet changes shows an entry at every node.
+// measureShown measures how long the data of the command fleet changes takes to show an entry at every node.
 func (r *run) measureShown(ctx context.Context, phase string) {
 	for i := range showSamples {
 		purge := controlclient.NewProposal(replicatedlog.Purge, fmt.Append(nil, "shown/", phase, "/", i))
@@ -172,7 +173,8 @@
 	}
 }
 
-// settle waits until every node has every entry. A timeout is noted in the report and left to the checker.
+// settle waits until every node has every entry. After a timeout it adds a note to the report; the checker then reports
+// the missing entries.
 func (r *run) settle(ctx context.Context) error {
 	for by := time.Now().Add(settleTimeout); ; time.Sleep(statusPollInterval) {
 		o, err := r.client.Overview()
@@ -189,9 +191,9 @@
 					behind = append(behind, fmt.Sprintf("%+v", n))
 				}
 			}
-			r.note("not all had all: %v, led %t, %d nodes, behind: %.2000s",
-				err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; "))
-			return nil // the checker reports what is missing
+			r.note("after %v not all nodes have all entries: error %v, leader known %t, %d nodes; behind: %.2000s",
+				settleTimeout, err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; "))
+			return nil
 		}
 	}
 }
@@ -200,7 +202,7 @@
 func (r *run) countCompleteRealNodes() {
 	o, err := r.client.Overview()
 	if err != nil {
-		r.note("%v", err)
+		r.note("cannot count the real nodes with all entries: %v", err)
 		return
 	}
 	for _, n := range o.Nodes {
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	label        = "scale-changes"  // of the fleet
-	machines     = 4                // control servers: three voters and a learner
-	readyTimeout = 40 * time.Second // for all nodes to follow
+	label        = "scale-changes"  // label of the fleet
+	machines     = 4                // number of control servers: three voters and a learner
+	readyTimeout = 40 * time.Second // time in which all nodes must follow the log
 )
 
 // start starts all processes and waits until all nodes follow the log.
@@ -50,7 +50,7 @@
 	return r.awaitFollowers()
 }
 
-// reserveAddresses places the control servers in regions and finds addresses for them.
+// reserveAddresses assigns regions and free addresses to the control servers.
 func (r *run) reserveAddresses() error {
 	for i := range machines {
 		r.region[i] = i * r.Regions / machines
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// writeControlFile writes a control server's file. It reaches each machine over the network between their regions.
+// writeControlFile writes the file of a control server, which reaches the others over the emulated network.
 func (r *run) writeControlFile(i int) error {
 	text := fmt.Sprintf("[control]\nid = %d\nlabel = %q\npeers = %q\nnodes = %q\ndata = %q\n",
 		i+1, label, r.peers[i], r.nodes[i], r.path("data-%d", i))
@@ -85,7 +85,7 @@
 	return os.WriteFile(r.path("control-%d.toml", i), []byte(text+caches), 0o644)
 }
 
-// startHollows starts a region's process of hollow nodes, which are numbered from first.
+// startHollows starts a region's process of simulated nodes, which are numbered from first.
 func (r *run) startHollows(region int, first uint32, nodes int) error {
 	servers, err := r.controlAddresses(region)
 	if err != nil {
@@ -123,12 +123,13 @@
 			return nil
 		}
 		if time.Now().After(by) {
-			return fmt.Errorf("only %d of %d nodes follow the log: %w", len(o.Nodes), r.Nodes+r.Real, err)
+			return fmt.Errorf("after %v only %d of %d nodes follow the log: %w",
+				readyTimeout, len(o.Nodes), r.Nodes+r.Real, err)
 		}
 	}
 }
 
-// startControl starts a control server; with the flag --new it begins a log.
+// startControl starts a control server. With the argument --new it creates a log.
 func (r *run) startControl(i int, more ...string) (err error) {
 	args := []string{"control", r.path("control-%d.toml", i), "--trace", r.path("control-%d.trace", i)}
 	args = append(args, more...)
@@ -149,7 +150,7 @@
 	return addresses, nil
 }
 
-// startReal starts a complete node that follows the log. It has no gossip peers and no endpoint list.
+// startReal starts a real node that follows the log. The node has no gossip peers and no endpoint list.
 func (r *run) startReal(i int) error {
 	listen, err := freeport.Free()
 	if err != nil {
@@ -178,7 +179,7 @@
 	return err
 }
 
-// configuration returns a node's file with a number in it, padded to a typical size.
+// configuration returns the configuration of a node, with a number in it, padded to configBytes.
 func configuration(name, listen string, number int) []byte {
 	const emptyNote = `"note":""`
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",`+
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -9,15 +9,16 @@
 	"dahliapin/internal/monotime"
 )
 
-// mark records the start and end of a phase, with the usage of real and control processes at both.
+// mark records the start and the end of a phase, and the usage of control servers and real nodes by process ID.
 type mark struct {
 	phase       string
 	from, until monotime.Instant
-	before      map[int]float64
-	after       map[int]float64
-	rss         map[int]int64
+	before      map[int]float64 // CPU time at the start, in seconds
+	after       map[int]float64 // CPU time at the end, in seconds
+	rss         map[int]int64   // resident memory at the end, in bytes
 }
 
+// pids returns the process IDs of the control servers and the real nodes.
 func (r *run) pids() (all []int) {
 	for _, p := range append(append([]*process{}, r.control[:]...), r.real...) {
 		all = append(all, p.Process.Pid)
@@ -25,6 +26,7 @@
 	return all
 }
 
+// usedBy returns the CPU times, in seconds, by process ID.
 func (r *run) usedBy() map[int]float64 {
 	all := map[int]float64{}
 	for _, pid := range r.pids() {
@@ -33,6 +35,7 @@
 	return all
 }
 
+// residentBy returns the resident memory, in bytes, by process ID.
 func (r *run) residentBy() map[int]int64 {
 	all := map[int]int64{}
 	for _, pid := range r.pids() {
@@ -59,8 +62,8 @@
 	return nil
 }
 
-// hollowUsage returns the usage of a hollow node during a phase. For the last phase it also adds the totals of the run
-// to the report.
+// hollowUsage returns the usage of the simulated nodes during a phase. For the last phase it also adds the totals of
+// the run to the report.
 func (r *run) hollowUsage(m mark, isLast bool) (Usage, error) {
 	u := Usage{Phase: m.phase, Role: "hollow node", Count: r.Nodes}
 	var in, out, both, core []float64
@@ -70,7 +73,7 @@
 			return u, err
 		}
 		if last.At <= first.At {
-			return u, fmt.Errorf("no usage samples of region %d for phase %s", region, m.phase)
+			return u, fmt.Errorf("region %d has fewer than two usage samples of phase %s", region, m.phase)
 		}
 		seconds := time.Duration(last.At - first.At).Seconds()
 		for n := range last.In {
@@ -99,8 +102,8 @@
 	return u, nil
 }
 
-// samples returns a region's last samples at the beginning and at the end of a phase. Of the region that was cut off,
-// it also records how many nodes were stale during the cut.
+// samples returns the last samples of a region before the beginning and before the end of a phase. For the region that
+// was cut off it also records how many nodes were stale during the cut.
 func (r *run) samples(region int, m mark) (first, last Sample, err error) {
 	err = logtrace.ReadJSONLines(r.specs[region].Stats, func(s Sample) {
 		if s.At <= m.from || first.At == 0 {
@@ -116,8 +119,8 @@
 	return first, last, err
 }
 
-// addProcessUsage adds what the processes of a role used during a phase, if there are any. Of one that was killed and
-// is back, only what it used since then is known.
+// addProcessUsage adds the usage of the processes of a role during a phase, if there are any. For a process that was
+// restarted during the phase, it is the usage since the restart.
 func (r *run) addProcessUsage(m mark, role string, all []*process) {
 	if len(all) == 0 {
 		return
