--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -12,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// stopTimeout is the time that a process has to exit after a stop request before it is killed.
+// stopTimeout is the time after a stop request in which a process must exit; then it is killed.
 const stopTimeout = 5 * time.Second
 
 // Child is a child process whose standard error goes to a log file.
 type Child struct {
 	cmd  *exec.Cmd
-	done chan struct{} // closed once the process has ended
+	done chan struct{} // closed when the process has exited
 	log  string        // path of its standard error
 }
 
@@ -30,8 +30,8 @@
 	}
 	defer f.Close()
 	cmd.Stderr = f
-	// The child gets its own process group, so that an interrupt from the terminal reaches only the rig, which then
-	// stops its processes in order.
+	// The child has its own process group, so that an interrupt from the terminal reaches only the rig, which then
+	// stops its processes in an orderly way.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -64,8 +64,7 @@
 	return lines[len(lines)-1]
 }
 
-// Stop calls ask to request an orderly exit and waits until the process has exited. It kills the process
-// after stopTimeout.
+// Stop calls ask to request an orderly exit, and waits for the process to exit. It kills the process after stopTimeout.
 func (c *Child) Stop(ask func()) {
 	ask()
 	select {
@@ -78,9 +77,9 @@
 
 // Cost is the resource usage of a process since its start.
 type Cost struct {
-	Processor time.Duration // processor time of all threads
-	Waited    time.Duration // total time that its threads were runnable and waited for a core
-	Resident  uint64        // bytes of resident memory at the time of the reading
+	Processor time.Duration // CPU time of all threads
+	Waited    time.Duration // total time in which threads were runnable but waited for a core
+	Resident  uint64        // current resident memory in bytes
 }
 
 // Cost reads the current resource usage of the process.
@@ -109,6 +108,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
+// residentBytes reads the resident memory of a process.
 func residentBytes(pid int) (uint64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -121,7 +121,7 @@
 	return resident * uint64(os.Getpagesize()), nil
 }
 
-// waitedForCore sums the run-queue wait of all current threads. A thread that exits during the reading is left out.
+// waitedForCore returns the sum of the run-queue waits of all current threads. It skips threads that exit meanwhile.
 func waitedForCore(pid int) (time.Duration, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	sum := time.Duration(0)
--- a/internal/scale/cpushare.go
+++ b/internal/scale/cpushare.go
@@ -12,17 +12,23 @@
 const (
 	// shareCheckInterval is the interval at which the CPU time of a process is checked.
 	shareCheckInterval = time.Millisecond
-	// shareBurst is the initial CPU-time allowance when a limit begins.
+	// shareBurst is the initial CPU time allowance.
 	shareBurst = 2 * time.Millisecond
-	// maxSavedShare bounds the CPU-time allowance that accumulates while a process is idle.
+	// maxSavedShare is the maximum CPU time allowance that accumulates while a process is idle.
 	maxSavedShare = 5 * time.Millisecond
 )
 
-// LimitCPUShare limits a process to a share of a core, like a node that shares its host, until release is called. The
-// process is stopped (SIGSTOP) when it exceeds its share and continued (SIGCONT) once its allowance is positive again.
-// release returns an error if a signal could not be sent to the process, and nil if the process has exited meanwhile.
+// LimitCPUShare limits a process to a share of a core until release is called, like a node that shares its host with
+// others. It stops the process (SIGSTOP) when its allowance is used up and continues it (SIGCONT) when the allowance is
+// no longer negative. release returns an error if a signal could not be sent, unless the process has exited.
 func LimitCPUShare(pid int, share float64) (release func() error) {
-	h := &shareLimiter{pid: pid, share: share, allowed: shareBurst, over: make(chan struct{}), ended: make(chan struct{})}
+	h := &shareLimiter{
+		pid:     pid,
+		share:   share,
+		allowed: shareBurst,
+		over:    make(chan struct{}),
+		ended:   make(chan struct{}),
+	}
 	go h.run()
 	return func() error {
 		close(h.over)
@@ -31,11 +37,11 @@
 	}
 }
 
-// shareLimiter holds one process to a CPU share by SIGSTOP and SIGCONT.
+// shareLimiter limits a process to a share of a core.
 type shareLimiter struct {
 	pid     int
 	share   float64       // of a core
-	allowed time.Duration // remaining CPU-time allowance; negative while the process is stopped
+	allowed time.Duration // remaining CPU time allowance; negative while the process is stopped
 	stopped bool
 	err     error
 	over    chan struct{}
--- a/internal/scale/endpointlists.go
+++ b/internal/scale/endpointlists.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-const maxLongPollTime = time.Minute // upper bound of a long poll for changes
+const maxLongPollTime = time.Minute // maximum duration of a long poll for changes
 
-// endpointLists emulates discovery. Each node has its own listener, so that traffic is counted per node. The list does
-// not change, and all caches in it are draining, so that a real node opens no connections to them.
+// endpointLists emulates discovery. Each node has its own listener, so that traffic is counted per node. The list never
+// changes, and all of its caches are terminating, so that real nodes open no connections to them.
 type endpointLists struct {
-	complete  []byte // the complete list
-	unchanged []byte // the update without changes
+	complete  []byte // response with the complete list
+	unchanged []byte // response to a poll without changes
 	mu        sync.Mutex
 	listeners map[string]*nodeListener // by node
 	closed    chan struct{}
@@ -32,7 +32,7 @@
 	out   atomic.Uint64 // bytes that the node sent
 }
 
-const generation = 1 // of the list, which does not change
+const generation = 1 // version of the list, which never changes
 
 // openEndpointLists returns an emulated discovery whose list has the given number of caches.
 func openEndpointLists(caches int) *endpointLists {
@@ -52,7 +52,7 @@
 	text := func(whole bool, rows []map[string]any) []byte {
 		b, err := json.Marshal(map[string]any{"generation": generation, "reset": whole, "instances": rows})
 		if err != nil {
-			panic(err) // names and numbers only
+			panic(err) // cannot happen: all values are names and numbers
 		}
 		return b
 	}
@@ -68,21 +68,22 @@
 func (l *endpointLists) listen(node string) (string, error) {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("open the discovery listener: %w", err)
+		return "", fmt.Errorf("cannot open the discovery listener of node %s: %w", node, err)
 	}
 	d := &nodeListener{at: at}
 	d.web = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		d.calls.Add(1)
 		l.serve(out, in)
 	})}
-	go d.web.Serve(countingListener{Listener: at, d: d}) // until close
+	go d.web.Serve(countingListener{Listener: at, d: d}) // returns after close
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.listeners[node] = d
 	return at.Addr().String(), nil
 }
 
-// serve answers with the complete list, or holds the poll open if the caller already has the current version.
+// serve responds with the complete list. If the node already has the current version, it delays the response until the
+// long poll times out.
 func (l *endpointLists) serve(out http.ResponseWriter, in *http.Request) {
 	since, err := strconv.Atoi(in.URL.Query().Get("since"))
 	if err != nil || since != generation {
@@ -100,7 +101,7 @@
 	}
 }
 
-// flow returns the traffic of a node's polls so far.
+// flow returns the traffic of a node's polls so far, from the node's point of view.
 func (l *endpointLists) flow(node string) Flow {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// countingListener counts the bytes of its connections.
+// countingListener counts the bytes of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	d *nodeListener
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -17,7 +17,7 @@
 	return Flow{f.Out + o.Out, f.In + o.In, f.OutMessages + o.OutMessages, f.InMessages + o.InMessages}
 }
 
-// since returns the increase over an earlier reading. Counters of a restarted node begin at zero.
+// since returns the increase since an earlier reading. The counters of a restarted node begin at zero.
 func (f Flow) since(was Flow) Flow {
 	if f.Out < was.Out || f.In < was.In {
 		return f
@@ -29,7 +29,7 @@
 	return Flow{f.Out * x, f.In * x, f.OutMessages * x, f.InMessages * x}
 }
 
-// flowNames lists the flows in the order of the table. The first four use the membership sockets.
+// flowNames lists the flows in the order of the tables. All but the last use the membership sockets.
 var flowNames = []string{"hellos", "statements", "gossip", "streams", "list"}
 
 // Spread is the distribution of a figure over nodes.
@@ -40,7 +40,7 @@
 	Max    float64 `json:"most"`
 }
 
-// SpreadOf returns the distribution of one figure, given one value for each node.
+// SpreadOf returns the distribution of a figure, given one value per node.
 func SpreadOf(xs []float64) (s Spread) {
 	if len(xs) == 0 {
 		return s
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFit(t *testing.T) {
+func TestFitMatchesLeastSquares(t *testing.T) {
 	for name, c := range map[string]struct {
 		xs, ys []float64
 		want   Line
@@ -16,7 +16,7 @@
 			ys:   []float64{7},
 			want: Line{Intercept: 7, R2: 1, Points: 1},
 		},
-		"two points at one place": {
+		"two points with the same x": {
 			xs:   []float64{5, 5},
 			ys:   []float64{6, 8},
 			want: Line{Intercept: 7, R2: 0, Points: 2},
@@ -44,17 +44,17 @@
 			near(got.R2, c.want.R2) &&
 			near(got.Error, c.want.Error)
 		if !same {
-			t.Errorf("%s: %+v, and not %+v", name, got, c.want)
+			t.Errorf("%s: got %+v, want %+v", name, got, c.want)
 		}
 	}
 	if at := (Line{Slope: 2, Intercept: 3}).At(10); at != 23 {
-		t.Errorf("%v at 10", at)
+		t.Errorf("the line's value at 10 is %v, want 23", at)
 	}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9 }
 
-func TestSpreadOf(t *testing.T) {
+func TestSpreadOfMatchesDefinitions(t *testing.T) {
 	descending := make([]float64, 200)
 	for i := range descending {
 		descending[i] = float64(200 - i)
@@ -63,11 +63,11 @@
 		xs   []float64
 		want Spread
 	}{
-		"none":         {want: Spread{}},
-		"one":          {xs: []float64{4}, want: Spread{Mean: 4, Median: 4, P99: 4, Max: 4}},
-		"an odd count": {xs: []float64{9, 1, 2}, want: Spread{Mean: 4, Median: 2, P99: 9, Max: 9}},
-		"an even one":  {xs: []float64{1, 2, 3, 10}, want: Spread{Mean: 4, Median: 2.5, P99: 10, Max: 10}},
-		"200":          {xs: descending, want: Spread{Mean: 100.5, Median: 100.5, P99: 198, Max: 200}},
+		"no values":   {want: Spread{}},
+		"one value":   {xs: []float64{4}, want: Spread{Mean: 4, Median: 4, P99: 4, Max: 4}},
+		"odd number":  {xs: []float64{9, 1, 2}, want: Spread{Mean: 4, Median: 2, P99: 9, Max: 9}},
+		"even number": {xs: []float64{1, 2, 3, 10}, want: Spread{Mean: 4, Median: 2.5, P99: 10, Max: 10}},
+		"200 values":  {xs: descending, want: Spread{Mean: 100.5, Median: 100.5, P99: 198, Max: 200}},
 	} {
 		got := SpreadOf(c.xs)
 		same := near(got.Mean, c.want.Mean) &&
@@ -75,7 +75,7 @@
 			got.P99 == c.want.P99 &&
 			got.Max == c.want.Max
 		if !same {
-			t.Errorf("%s: %+v, and not %+v", name, got, c.want)
+			t.Errorf("%s: got %+v, want %+v", name, got, c.want)
 		}
 	}
 }
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -14,25 +14,25 @@
 const (
 	// viewPollInterval is the interval at which the views of all nodes are read.
 	viewPollInterval = 200 * time.Millisecond
-	// minSettleTime is the minimum time for gossip to settle once all views agree.
+	// minSettleTime is the minimum time for gossip to settle after all views have become equal.
 	minSettleTime = 4 * time.Second
-	// settleTimeout bounds the wait for gossip to settle: nodes that still send statements by then send them continuously.
+	// settleTimeout is the maximum wait for gossip to settle. Nodes that still send statements then do so continuously.
 	settleTimeout = time.Minute
 	// statementInterval is the interval over which statements are counted during that wait.
 	statementInterval = time.Second
-	// settledStatementsPerNode is the mean number of statements per node in statementInterval below which gossip
-	// counts as settled. Faults of a single node cause fewer.
+	// settledStatementsPerNode is the mean number of statements per node and statementInterval below which gossip
+	// counts as settled. A fault of a single node causes fewer statements.
 	settledStatementsPerNode = 0.1
-	// seedCount is the number of seeds in the fleet file; they are spread evenly over the fleet.
+	// seedCount is the number of seed nodes in the fleet file. They are spread evenly over the fleet.
 	seedCount = 5
-	// basePort and portRange keep the ports below the usual ephemeral port range.
+	// basePort and portRange keep ports below the usual ephemeral port range.
 	basePort  = 12_000
 	portRange = 20_000
-	// alone is the name of the isolated node, which has no fleet file.
+	// alone is the name of the isolated real node, which has no fleet file.
 	alone = "alone"
 )
 
-// fleetRun is a fleet of one size while it runs.
+// fleetRun is a running fleet of one size.
 type fleetRun struct {
 	rig      *Rig
 	plan     *Plan
@@ -40,10 +40,10 @@
 	list     *endpointLists
 	hollows  []*SimulatedProcess
 	reals    []*RealNode
-	isolated *RealNode // isolated node: the baseline cost without membership; nil if there are no real nodes
+	isolated *RealNode // has the baseline cost of a node without membership; nil if there are no real nodes
 }
 
-// fleetProcess is one process of a fleet.
+// fleetProcess is a process of a fleet.
 type fleetProcess interface {
 	Close()
 	Cost() (Cost, error)
@@ -65,7 +65,7 @@
 
 // open starts a fleet with the given number of nodes.
 func (r *Rig) open(ctx context.Context, p *Plan, nodes int) (*fleetRun, error) {
-	// Ports differ between rigs and sizes, to avoid sockets that linger from an earlier run.
+	// Rigs and sizes use different ports, as sockets of an earlier run may linger.
 	port := uint16(basePort + (os.Getpid()*397+nodes*7)%portRange)
 	f := &fleetRun{
 		rig:    r,
@@ -88,7 +88,7 @@
 	return f, nil
 }
 
-// fleetFile returns the fleet file that all nodes share, except for their addresses.
+// fleetFile returns the fleet file of all nodes, without their addresses.
 func (f *fleetRun) fleetFile() fleetconfig.File {
 	nodes := len(f.places)
 	file := fleetconfig.Default()
@@ -102,7 +102,7 @@
 	return file
 }
 
-// start starts all processes, and the nodes in them.
+// start starts all processes and their nodes.
 func (f *fleetRun) start(ctx context.Context, file fleetconfig.File) error {
 	if err := f.startReals(&file); err != nil {
 		return err
@@ -111,7 +111,7 @@
 		until := min(len(f.places), from+f.plan.NodesPerProcess)
 		h, err := f.rig.StartSimulatedProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
 		if err != nil {
-			return fmt.Errorf("start a process of hollow nodes: %w", err)
+			return fmt.Errorf("cannot start a process of simulated nodes: %w", err)
 		}
 		f.hollows = append(f.hollows, h)
 	}
@@ -134,7 +134,7 @@
 		}
 		n, err := f.rig.StartRealNode(place, file, len(f.places), f.plan.Seed+int64(i))
 		if err != nil {
-			return fmt.Errorf("start a real node: %w", err)
+			return fmt.Errorf("cannot start the real node %s: %w", place.Name, err)
 		}
 		f.reals = append(f.reals, n)
 	}
@@ -148,7 +148,7 @@
 	place := Place{Name: alone, Role: Real, Addr: "127.0.0.1:0", List: list}
 	f.isolated, err = f.rig.StartRealNode(place, nil, len(f.places), f.plan.Seed)
 	if err != nil {
-		return fmt.Errorf("start the isolated node: %w", err)
+		return fmt.Errorf("cannot start the isolated node: %w", err)
 	}
 	return nil
 }
@@ -163,7 +163,7 @@
 	f.list.close()
 }
 
-// each sends an order to all processes of hollow nodes at once, and waits for their answers.
+// each sends an order to all processes of simulated nodes concurrently, and waits for their answers.
 func (f *fleetRun) each(ctx context.Context, o order) ([]answer, error) {
 	answers := make([]answer, len(f.hollows))
 	errs := make([]error, len(f.hollows))
@@ -182,7 +182,7 @@
 	return answers, errors.Join(errs...)
 }
 
-// orderFor sends an order about one node to the process that runs it.
+// orderFor sends an order that concerns one node to the process that runs the node.
 func (f *fleetRun) orderFor(ctx context.Context, name, do string) error {
 	for _, h := range f.hollows {
 		for _, at := range h.places {
@@ -192,10 +192,11 @@
 			}
 		}
 	}
-	return fmt.Errorf("no hollow node %s", name)
+	return fmt.Errorf("no process runs a simulated node %s", name)
 }
 
-// statuses returns the view of every node, and how many messages the emulated network dropped as its queue was full.
+// statuses returns the status of every node, and the number of messages that the emulated network dropped as a queue
+// was full.
 func (f *fleetRun) statuses(ctx context.Context, do string) (all []status, lost uint64, err error) {
 	answers, err := f.each(ctx, order{Do: do})
 	if err != nil {
@@ -210,7 +211,7 @@
 			return nil, 0, fmt.Errorf("real node %s has exited: %s", n.Place.Name, n.LastLogLine())
 		}
 		st, err := n.status()
-		if err != nil { // a node that has just started does not answer yet
+		if err != nil { // a node that was just started does not answer yet
 			st = status{Name: n.Place.Name}
 		}
 		all = append(all, st)
@@ -218,15 +219,15 @@
 	return all, lost, nil
 }
 
-// agreement summarizes how far the views of some nodes agree.
+// agreement summarizes how far the views of nodes agree.
 type agreement struct {
-	least  int             // members in the smallest view; at most the expected number
-	most   int             // members in the largest view
+	least  int             // number of members in the smallest view; at most the expected number
+	most   int             // number of members in the largest view
 	marks  map[string]bool // fingerprints of the distinct views
-	cutOff int             // nodes that report a possible partition
+	cutOff int             // number of nodes that report a possible partition
 }
 
-// agreementOf summarizes the nodes that the filter accepts; a nil filter accepts all.
+// agreementOf summarizes the views of the nodes that the filter accepts; a nil filter accepts all.
 func agreementOf(all []status, members int, filter func(status) bool) agreement {
 	a := agreement{least: members, marks: map[string]bool{}}
 	for _, st := range all {
@@ -249,7 +250,7 @@
 }
 
 // awaitAgreement waits until the views of all nodes that the filter accepts are identical and have the given number of
-// members. It returns how long that took.
+// members. It returns the time until then.
 func (f *fleetRun) awaitAgreement(ctx context.Context, members int, within time.Duration,
 	filter func(status) bool) (took time.Duration, err error) {
 	began := time.Now()
@@ -263,7 +264,8 @@
 		if a.reached(members) {
 			return took, nil
 		}
-		f.rig.tell("%d nodes: waiting for convergence for %.0f s, views have %d to %d members, %d distinct, %d cut off",
+		f.rig.tell("%d nodes: waiting for views to converge for %.0f s; views have %d to %d members, "+
+			"%d distinct views, %d nodes cut off",
 			len(f.places), took.Seconds(), a.least, a.most, len(a.marks), a.cutOff)
 		if took > within {
 			return took, fmt.Errorf("views of %d nodes did not converge on %d members within %v: "+
@@ -279,7 +281,7 @@
 	}
 }
 
-// checkMemory fails once all processes together use more memory than the rig allows.
+// checkMemory returns an error if all processes together use more memory than the rig allows.
 func (f *fleetRun) checkMemory() error {
 	processes := f.processes()
 	sum := uint64(0)
@@ -296,7 +298,7 @@
 	return nil
 }
 
-// settle waits until gossip about the preceding event has settled.
+// settle waits until gossip about the last event has settled, or until settleTimeout.
 func (f *fleetRun) settle(ctx context.Context) error {
 	if err := sleep(ctx, minSettleTime); err != nil {
 		return err
@@ -317,7 +319,7 @@
 		if now-before < settledStatementsPerNode*nodes {
 			return nil
 		}
-		f.rig.tell("%d nodes: waiting for gossip to settle, %.1f statements per node in %v",
+		f.rig.tell("%d nodes: waiting for gossip to settle; %.1f statements per node in %v",
 			len(f.places), (now-before)/nodes, statementInterval)
 		before = now
 	}
@@ -334,6 +336,7 @@
 	return sum, err
 }
 
+// sleep waits for a duration. It returns an error if the context is done before.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/scale/hollownode.go
+++ b/internal/scale/hollownode.go
@@ -20,19 +20,20 @@
 )
 
 const (
-	loopInterval    = 100 * time.Millisecond // between iterations of the event loop, which a hollow node does not have
+	// loopInterval is the interval at which a simulated node reports progress of an event loop, which it does not have.
+	loopInterval    = 100 * time.Millisecond
 	listPath        = "/registry/instances"
-	maxListBytes    = 8 << 20
+	maxListBytes    = 8 << 20 // maximum size of a response with the endpoint list
 	listDialTimeout = 2 * time.Second
 )
 
-// Component is an additional control-plane component that a hollow node runs.
+// Component is an additional control plane component that a simulated node runs.
 type Component interface{ Close() }
 
 // ComponentStarter starts a component of a node that has joined the fleet.
 type ComponentStarter func(*Node) (Component, error)
 
-// Node is a hollow node: the control plane of a real node, on sockets of its own.
+// Node is a simulated node. It runs the control plane of a real node on its own sockets, without the proxy.
 type Node struct {
 	Place      Place
 	Membership *gossip.Node
@@ -40,8 +41,8 @@
 	once       sync.Once
 }
 
-// OpenNode starts a hollow node from the same fleet file as a real one. It runs membership, the polling of the endpoint
-// list, and the given components. If r is not nil, its sockets apply those network rules.
+// OpenNode starts a simulated node with the same fleet file as a real one. The node runs membership, the polling of the
+// endpoint list, and the given components. If r is not nil, the node's sockets apply these network rules.
 func OpenNode(at Place, f *fleetconfig.File, nodes int, r *networkRules, more ...ComponentStarter) (*Node, error) {
 	lines, err := gossip.Listen(at.Addr)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return n, nil
 }
 
-// Close stops the node. An orderly stop is announced to the other nodes; otherwise they see a crash.
+// Close stops the node. An orderly stop is announced to the other nodes; to them, any other stop is a crash.
 func (n *Node) Close(orderly bool) {
 	n.once.Do(func() {
 		for i := len(n.parts) - 1; i >= 0; i-- {
@@ -82,7 +83,7 @@
 	})
 }
 
-// loopSubstitute reports to the membership, as the event loop of a real node does, that the process is not stalled.
+// loopSubstitute reports to the membership that the process is not stalled, as the event loop of a real node does.
 type loopSubstitute struct{ end chan struct{} }
 
 func startLoopSubstitute(p *gossip.Node) loopSubstitute {
@@ -104,12 +105,12 @@
 
 func (t loopSubstitute) Close() { close(t.end) }
 
-// listPoller polls the endpoint list like a node and discards what it receives.
+// listPoller polls the endpoint list like a real node and discards the entries.
 type listPoller struct {
 	addr   string
 	calls  discovery.Poller
 	chance keyhash.Source
-	began  time.Time // start of the poll in flight; for the first on a connection, start of the dial
+	began  time.Time // start of the poll in flight; for the first poll on a connection, start of the dial
 	end    chan struct{}
 	done   chan struct{}
 	mu     sync.Mutex
@@ -141,7 +142,7 @@
 	return c
 }
 
-// follow polls on one connection until it fails, and returns the failure.
+// follow polls on one connection until a poll fails, and returns the failure.
 func (c *listPoller) follow() discovery.Failure {
 	conn, err := net.DialTimeout("tcp", c.addr, listDialTimeout)
 	if err != nil || !c.track(conn) {
@@ -187,10 +188,10 @@
 	}
 }
 
-// accepted is returned instead of a failure when a response was accepted.
+// accepted is the value that onResponse returns for a valid response.
 const accepted discovery.Failure = -1
 
-// onResponse applies an update of the list, or returns how the poll failed.
+// onResponse processes the response to a poll. It returns accepted, or how the poll failed.
 func (c *listPoller) onResponse(a *http1.Response, parser *fastjson.Parser) discovery.Failure {
 	if a.Status == http1.ServiceUnavailable || a.Status == http1.TooManyRequests {
 		return discovery.Refused
@@ -208,8 +209,8 @@
 	return accepted
 }
 
-// track registers the connection for Close, which may run while a poll blocks on it. It returns false, with the
-// connection closed, if Close was called before.
+// track registers a connection, so that Close can interrupt a poll that blocks on it. If Close has already been called
+// it closes the connection and returns false.
 func (c *listPoller) track(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/hollownode_test.go
+++ b/internal/scale/hollownode_test.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// freePort returns a port that nothing uses on an address of the first region.
+// freePort returns a port that is free on an address of the first region.
 func freePort(t *testing.T) uint16 {
 	t.Helper()
 	free, err := gossip.Listen("127.10.0.1:0")
@@ -22,7 +22,7 @@
 	return free.Streams.Addr().(*net.TCPAddr).AddrPort().Port()
 }
 
-// openHollowNodes starts hollow nodes that detect a fault within a second, and ends them with the test.
+// openHollowNodes starts simulated nodes that detect a fault within a second, and stops them after the test.
 func openHollowNodes(t *testing.T, nodes int, places Places, rules *networkRules, lists *endpointLists) []*Node {
 	t.Helper()
 	port := freePort(t)
@@ -51,7 +51,7 @@
 	return all
 }
 
-// awaitAll waits until a condition holds for all nodes at once.
+// awaitAll waits until a condition holds for all nodes at the same time.
 func awaitAll(t *testing.T, nodes []*Node, what string, holds func(*Node) bool) {
 	t.Helper()
 	for by := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -63,13 +63,14 @@
 			return
 		}
 		if time.Now().After(by) {
-			t.Fatal("not reached in time: " + what)
+			t.Fatal("not reached within 30 s: " + what)
 		}
 	}
 }
 
-// A region of a nine-node fleet is cut off: it leaves the views of the other regions and detects the partition itself.
-// Once the partition heals, all views are complete again. Each node also polls its endpoint list.
+// When a region of a nine-node fleet is cut off, the other regions must remove its nodes from their views, and its
+// nodes must detect the partition. When the partition has healed, all views must be complete again. Each node must also
+// poll its endpoint list.
 func TestHollowNodesDetectRegionPartitionAndRecovery(t *testing.T) {
 	const (
 		nodes   = 9
@@ -87,9 +88,9 @@
 	knowsAll := func(n *Node) bool {
 		return len(n.Membership.View().Nodes) == nodes && !n.Membership.View().MayBePartitioned
 	}
-	awaitAll(t, all, "all know all", knowsAll)
+	awaitAll(t, all, "all nodes have complete views", knowsAll)
 	cut(rules.faults, off, regions, true)
-	awaitAll(t, all, "the region is out, and knows it", func(n *Node) bool {
+	awaitAll(t, all, "the region is removed from other views, and its nodes detect the partition", func(n *Node) bool {
 		view := n.Membership.View()
 		if n.Place.Region == off {
 			return view.MayBePartitioned
@@ -97,16 +98,16 @@
 		return len(view.Nodes) == nodes-nodes/regions && !view.MayBePartitioned
 	})
 	cut(rules.faults, off, regions, false)
-	awaitAll(t, all, "all know all again", knowsAll)
+	awaitAll(t, all, "all nodes have complete views again", knowsAll)
 
 	for _, n := range all {
 		flow := lists.flow(n.Place.Name)
 		if flow.OutMessages < 2 || flow.In < float64(len(lists.complete)) || flow.Out == 0 {
-			t.Errorf("%s: unexpected discovery traffic %+v", n.Place.Name, flow)
+			t.Errorf("%s: wrong traffic with discovery: %+v", n.Place.Name, flow)
 		}
 		heartbeats := n.Membership.Traffic()[0]
 		if heartbeats.Out == 0 || heartbeats.InBytes == 0 {
-			t.Errorf("%s: %+v", n.Place.Name, heartbeats)
+			t.Errorf("%s: no heartbeats were sent or received: %+v", n.Place.Name, heartbeats)
 		}
 	}
 }
--- a/internal/scale/hollowprocess.go
+++ b/internal/scale/hollowprocess.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// orderTimeout is the time that a process of hollow nodes has to answer an order, in addition to the time for
+	// orderTimeout is the time in which a process of simulated nodes must answer an order, in addition to the time for
 	// starting nodes.
 	orderTimeout = 30 * time.Second
-	// maxAnswerBytes bounds the size of one answer.
+	// maxAnswerBytes is the maximum size of an answer.
 	maxAnswerBytes = 8 << 20
-	// initialLineBytes is the initial size of the buffer for a line; it grows up to the longest line.
+	// initialLineBytes is the initial size of the buffer for a line, which grows as required.
 	initialLineBytes = 64 << 10
 )
 
-// SimulatedProcess is a process of hollow nodes. It reads orders as lines of JSON and answers each with one line.
+// SimulatedProcess is a process of simulated nodes. It reads orders as lines of JSON and answers each with one line.
 type SimulatedProcess struct {
 	*Child
 	places  []Place        // nodes that it runs
-	in      io.WriteCloser // orders; the process exits when it is closed
-	answers chan answer    // closed once the process has closed its output
+	in      io.WriteCloser // for orders; the process exits when it is closed
+	answers chan answer    // closed when the process has closed its output
 }
 
-// StartSimulatedProcess starts a process of hollow nodes. It runs no nodes until it is ordered to open them.
+// StartSimulatedProcess starts a process of simulated nodes. It runs no nodes until it receives an order to open them.
 func (r *Rig) StartSimulatedProcess(places []Place, name string) (*SimulatedProcess, error) {
 	cmd := exec.Command(r.Program, "scale", "hollow")
 	in, err := cmd.StdinPipe()
@@ -53,7 +53,7 @@
 	return h, nil
 }
 
-// readAnswers passes answers on until the process closes its output.
+// readAnswers sends answers to the channel until the process closes its output.
 func (h *SimulatedProcess) readAnswers(from io.ReadCloser) {
 	defer from.Close()
 	defer close(h.answers)
@@ -71,23 +71,24 @@
 // ask sends an order and waits for the answer.
 func (h *SimulatedProcess) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
 	if err := json.NewEncoder(h.in).Encode(o); err != nil {
-		return answer{}, fmt.Errorf("send an order to a process of hollow nodes: %w: %s", err, h.LastLogLine())
+		return answer{}, fmt.Errorf("cannot send the order %s to a process of simulated nodes: %w: %s",
+			o.Do, err, h.LastLogLine())
 	}
 	select {
 	case a, more := <-h.answers:
 		if !more {
-			return a, fmt.Errorf("a process of hollow nodes has exited: %s", h.LastLogLine())
+			return a, fmt.Errorf("a process of simulated nodes has exited: %s", h.LastLogLine())
 		}
 		if a.Fault != "" {
-			return a, fmt.Errorf("order failed in a process of hollow nodes: %s", a.Fault)
+			return a, fmt.Errorf("the order %s failed in a process of simulated nodes: %s", o.Do, a.Fault)
 		}
 		return a, nil
 	case <-ctx.Done():
 		return answer{}, ctx.Err()
 	case <-time.After(within):
-		return answer{}, fmt.Errorf("a process of hollow nodes did not answer within %v to the order %s", within, o.Do)
+		return answer{}, fmt.Errorf("a process of simulated nodes did not answer the order %s within %v", o.Do, within)
 	}
 }
 
-// Close stops the process with all of its nodes.
+// Close stops the process and all of its nodes.
 func (h *SimulatedProcess) Close() { h.Stop(func() { _ = h.in.Close() }) }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// formTimeout is the time for all views to agree after the last node was started.
+	// formTimeout is the time in which all views must become equal after the last node was started.
 	formTimeout = 3 * time.Minute
-	// recoveryTimeout is the time for all views to agree after a fault.
+	// recoveryTimeout is the time in which all views must become equal after the beginning or the end of a fault.
 	recoveryTimeout = time.Minute
 )
 
@@ -17,10 +17,10 @@
 type measurement struct {
 	fleet *fleetRun
 	size  *Size
-	last  snapshot // at the end of the phase before
+	last  snapshot // at the end of the previous phase
 }
 
-// measure measures one size.
+// measure starts a fleet of one size and measures it in all phases.
 func (r *Rig) measure(ctx context.Context, p *Plan, nodes int) (*Size, error) {
 	began := time.Now()
 	f, err := r.open(ctx, p, nodes)
@@ -53,7 +53,7 @@
 	return m.size, nil
 }
 
-// forming waits until all nodes know each other.
+// forming waits until all nodes know each other and gossip has settled.
 func (m *measurement) forming(ctx context.Context, began time.Time) error {
 	if _, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, formTimeout, nil); err != nil {
 		return fmt.Errorf("forming: %w", err)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// steady measures the fleet without faults, and then its memory.
+// steady measures the fleet without faults, and its memory afterwards.
 func (m *measurement) steady(ctx context.Context) error {
 	err := m.phase(ctx, steady, func() (time.Duration, error) {
 		return 0, sleep(ctx, m.fleet.plan.window(m.size.Nodes))
@@ -82,7 +82,7 @@
 	return m.size.weigh(ctx, m.fleet)
 }
 
-// loseNode crashes the last node, and starts it again after a while.
+// loseNode crashes the last node, and restarts it when the crash has lasted as long as planned.
 func (m *measurement) loseNode(ctx context.Context) error {
 	f := m.fleet
 	lost := f.places[len(f.places)-1].Name
@@ -105,7 +105,7 @@
 	})
 }
 
-// cutRegion partitions a region from all others, and heals the partition after a while.
+// cutRegion cuts a region off from all others, and reconnects it when the cut has lasted as long as planned.
 func (m *measurement) cutRegion(ctx context.Context) error {
 	f := m.fleet
 	region := RegionID(f.plan.File.Partition.Region)
@@ -134,7 +134,7 @@
 	})
 }
 
-// phase runs a phase, which returns how long views took to be as expected, and records what nodes used meanwhile.
+// phase runs a phase and records the usage of nodes during it. run returns the time until views were as expected.
 func (m *measurement) phase(ctx context.Context, name string, run func() (time.Duration, error)) error {
 	m.fleet.rig.tell("%d nodes: %s", m.size.Nodes, name)
 	took, err := run()
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// awaitFault waits until the remaining nodes agree on their number, and then until the fault has lasted its full time.
-// It returns early if they do not agree in time.
+// awaitFault waits until the views of the nodes that the filter accepts contain exactly the left remaining nodes, and
+// then until the fault has lasted as long as planned. It returns an error if the views do not converge in time.
 func (m *measurement) awaitFault(ctx context.Context, began time.Time, lasts time.Duration, left int,
 	filter func(status) bool) (time.Duration, error) {
 	took, err := m.fleet.awaitAgreement(ctx, left, recoveryTimeout, filter)
@@ -161,7 +161,8 @@
 	return took, sleep(ctx, max(0, lasts-time.Since(began)))
 }
 
-// awaitRecovery waits until all nodes know each other again, and gossip has settled.
+// awaitRecovery waits until all nodes know each other again and gossip has settled. It returns the time until the
+// former.
 func (m *measurement) awaitRecovery(ctx context.Context) (time.Duration, error) {
 	took, err := m.fleet.awaitAgreement(ctx, m.size.Nodes, recoveryTimeout, nil)
 	if err != nil {
--- a/internal/scale/networkrules.go
+++ b/internal/scale/networkrules.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	maxDelayed            = 20_000                // delayed datagrams per process; further ones are dropped
-	maxDelivered          = 1024                  // delayed datagrams queued for one node; further ones are dropped
-	partitionPollInterval = 20 * time.Millisecond // interval at which a stalled stream rechecks the partition
+	maxDelayed            = 20_000                // delayed datagrams per process, above which others are dropped
+	maxDelivered          = 1024                  // datagrams queued for a node after their delay, likewise
+	partitionPollInterval = 20 * time.Millisecond // interval at which a stalled stream checks for the partition's end
 )
 
-// networkRules applies delay, loss and partitions between regions in a process of hollow nodes. Hollow nodes apply
-// them to what they send. Real nodes apply none: the hollow nodes that they send to apply the rules on receipt.
+// networkRules applies delay, loss and partitions between regions in a process of simulated nodes. Simulated nodes
+// apply the rules to the messages that they send. Real nodes apply no rules, so that simulated nodes also apply them to
+// the messages that they receive from real nodes.
 type networkRules struct {
 	faults *netfault.Faults
-	late   atomic.Int64
-	lost   atomic.Uint64 // messages dropped because the delay queue was full, not by a rule
+	late   atomic.Int64  // number of delayed datagrams
+	lost   atomic.Uint64 // messages dropped because a queue was full, not by a rule
 }
 
 // wrap returns a node's sockets with the rules of its region applied.
@@ -40,7 +41,7 @@
 		}
 		c := &ruledConn{r: r, from: region, to: to, delaysReads: role == Real}
 		until := func() time.Time { return by }
-		if !c.passes(region, to, until) || !c.passes(to, region, until) { // one round trip for the handshake
+		if !c.passes(region, to, until) || !c.passes(to, region, until) { // the handshake takes one round trip
 			return nil, os.ErrDeadlineExceeded
 		}
 		var err error
@@ -52,6 +53,7 @@
 	return l
 }
 
+// locateAddr is locate for an address with a port.
 func locateAddr(addr string) (RegionID, Role, bool) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -65,15 +67,16 @@
 	from net.Addr
 }
 
+// ruledDatagrams is a datagram socket that applies the network rules.
 type ruledDatagrams struct {
 	net.PacketConn
 	r      *networkRules
 	region RegionID
 	mu     sync.Mutex
-	late   []datagram // from real nodes in other regions, delayed and not read yet
+	late   []datagram // datagrams of real nodes in other regions whose delay has elapsed, not read yet
 }
 
-// WriteTo sends a datagram under the rule of the pair of regions.
+// WriteTo sends a datagram according to the rule for the two regions.
 func (d *ruledDatagrams) WriteTo(b []byte, to net.Addr) (int, error) {
 	region, _, known := locate(to.(*net.UDPAddr).AddrPort().Addr())
 	if !known || region == d.region {
@@ -90,7 +93,7 @@
 	return len(b), nil
 }
 
-// afterDelay calls do after a delay. If too many messages are already delayed, it drops and counts the message instead.
+// afterDelay calls do after a delay. If maxDelayed messages are delayed already, it counts the message as lost instead.
 func (r *networkRules) afterDelay(late time.Duration, do func()) {
 	if r.late.Add(1) > maxDelayed {
 		r.late.Add(-1)
@@ -103,7 +106,7 @@
 	})
 }
 
-// ReadFrom returns the next datagram. Datagrams of real nodes in other regions are delayed here.
+// ReadFrom returns the next datagram. It delays datagrams of real nodes in other regions, which apply no rules.
 func (d *ruledDatagrams) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		d.mu.Lock()
@@ -117,7 +120,7 @@
 		d.mu.Unlock()
 		n, from, err := d.PacketConn.ReadFrom(b)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // woken by deliver: a delayed datagram is available
+			continue // deliver has queued a datagram and interrupted the read
 		}
 		if err != nil {
 			return n, from, err
@@ -133,7 +136,7 @@
 	}
 }
 
-// deliver queues a delayed datagram and wakes the reader by setting a deadline in the past.
+// deliver queues a datagram whose delay has elapsed, and interrupts the reader by a deadline in the past.
 func (d *ruledDatagrams) deliver(got datagram) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,13 +148,14 @@
 	_ = d.SetReadDeadline(time.Unix(1, 0))
 }
 
+// ruledStreams is a stream listener that applies the network rules.
 type ruledStreams struct {
 	net.Listener
 	r      *networkRules
 	region RegionID
 }
 
-// Accept returns the next stream; its rule applies as it is read and written.
+// Accept returns the next stream. The rule for the two regions applies to its reads and writes.
 func (s *ruledStreams) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
@@ -168,13 +172,13 @@
 type ruledConn struct {
 	net.Conn
 	r              *networkRules
-	from, to       RegionID // from the local region to the remote one
-	delaysReads    bool     // for a real peer, which has no rules for what it sends
-	readBy, sendBy atomic.Int64
-	received       bool // the first data; used by the reader only
+	from, to       RegionID     // the local and the remote region
+	delaysReads    bool         // the peer is a real node, which applies no rules to the data that it sends
+	readBy, sendBy atomic.Int64 // deadlines in Unix nanoseconds; 0 for none
+	received       bool         // data has been received; used by the reader only
 }
 
-// passes waits for the delay between two regions, and reports whether it elapsed before the deadline.
+// passes waits for the delay between two regions, and reports whether it has elapsed by the deadline.
 func (c *ruledConn) passes(from, to RegionID, by func() time.Time) bool {
 	for {
 		delay, blocked := c.r.faults.Segment(int(from), int(to))
@@ -187,15 +191,16 @@
 			return false
 		}
 		time.Sleep(wait)
-		if !blocked && !c.r.faults.Blocked(int(from), int(to)) { // a cut may have begun meanwhile
+		if !blocked && !c.r.faults.Blocked(int(from), int(to)) { // a partition may have begun during the delay
 			return true
 		}
 	}
 }
 
-// maxStallTime bounds the stall of a stream without a deadline.
+// maxStallTime is the maximum time for which a stream without a deadline stalls.
 const maxStallTime = 30 * time.Second
 
+// deadline returns a function that returns the current deadline, or the end of maxStallTime if there is none.
 func deadline(at *atomic.Int64) func() time.Time {
 	still := time.Now().Add(maxStallTime)
 	return func() time.Time {
@@ -215,7 +220,7 @@
 
 func (c *ruledConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.delaysReads && !c.received { // only the first data is delayed: the rest keeps its spacing
+	if n > 0 && c.delaysReads && !c.received { // delaying the first data shifts the rest, which keeps its spacing
 		c.received = true
 		if !c.passes(c.to, c.from, deadline(&c.readBy)) {
 			return 0, os.ErrDeadlineExceeded
@@ -224,6 +229,7 @@
 	return n, err
 }
 
+// setTo stores a deadline; the zero time means none.
 func setTo(at *atomic.Int64, t time.Time) {
 	at.Store(0)
 	if !t.IsZero() {
--- a/internal/scale/networkrules_test.go
+++ b/internal/scale/networkrules_test.go
@@ -9,11 +9,11 @@
 	"dahliapin/internal/membership/gossip"
 )
 
-// testNetwork is a network of two regions with sockets in them.
+// testNetwork is a network of two regions, in which nodes open sockets.
 type testNetwork struct {
 	t        *testing.T
 	rules    *networkRules
-	received map[net.Addr]chan string // datagrams by receiver: the text and the sender
+	received map[net.Addr]chan string // text and sender of received datagrams, by receiver
 }
 
 func newTestNetwork(t *testing.T) *testNetwork {
@@ -24,7 +24,7 @@
 	}
 }
 
-// open opens the sockets of a node and reads its datagrams. A hollow node's go by the rules, a real one's do not.
+// open opens the sockets of a node and reads its datagrams. Only the sockets of a simulated node apply the rules.
 func (n *testNetwork) open(addr string, region RegionID, role Role) gossip.Transport {
 	n.t.Helper()
 	sockets, err := gossip.Listen(addr)
@@ -53,13 +53,13 @@
 	return sockets
 }
 
-// change changes both ways between the regions.
+// change changes the links between the regions in both directions.
 func (n *testNetwork) change(way func(*netfault.Link)) {
 	n.rules.faults.Change(0, 1, way)
 	n.rules.faults.Change(1, 0, way)
 }
 
-// expectDatagram sends a datagram, which has to take the delay at least; without one, less than most.
+// expectDatagram sends a datagram, which must arrive after at least the given delay, or within most if the delay is 0.
 func (n *testNetwork) expectDatagram(from, to gossip.Transport, delay, most time.Duration) {
 	n.t.Helper()
 	began := time.Now()
@@ -71,15 +71,16 @@
 		took := time.Since(began)
 		want := "x from " + from.Datagrams.LocalAddr().String()
 		if got != want || took < delay || delay == 0 && took > most {
-			n.t.Errorf("%s after %v, and not %v", got, took, delay)
+			n.t.Errorf("received %q after %v, want %q after %v or more, or within %v if there is no delay",
+				got, took, want, delay, most)
 		}
 	case <-time.After(5 * time.Second):
-		n.t.Fatal("a datagram never came")
+		n.t.Fatal("a datagram did not arrive within 5 s")
 	}
 }
 
-// exchange opens a stream, sends a request and expects an answer, "" for none. It returns how long that took; 0 where
-// there was no stream.
+// exchange opens a stream, sends a request and expects the answer want, or none if want is empty. It returns the time
+// that this took, or 0 if the stream could not be opened.
 func (n *testNetwork) exchange(from, to gossip.Transport, within time.Duration, want string) time.Duration {
 	n.t.Helper()
 	go answerOnce(to.Streams, within)
@@ -87,7 +88,7 @@
 	c, err := from.Dial(to.Streams.Addr().String(), within)
 	if err != nil {
 		if want != "" {
-			n.t.Errorf("no stream: %v", err)
+			n.t.Errorf("cannot open a stream: %v", err)
 		}
 		return 0
 	}
@@ -97,12 +98,12 @@
 	answer := make([]byte, 9)
 	size, _ := c.Read(answer)
 	if string(answer[:size]) != want {
-		n.t.Errorf("a stream brought %q, and not %q", answer[:size], want)
+		n.t.Errorf("the answer on a stream is %q, want %q", answer[:size], want)
 	}
 	return time.Since(began)
 }
 
-// answerOnce answers the first request on the next stream.
+// answerOnce accepts the next stream and answers its first request.
 func answerOnce(streams net.Listener, within time.Duration) {
 	c, err := streams.Accept()
 	if err != nil {
@@ -115,8 +116,8 @@
 	}
 }
 
-// What crosses between regions goes by their rule, whoever sends it: a hollow node applies it to what it sends, and to
-// what a real one sends to it, which knows of no rules. Within a region there are no faults.
+// The rule for two regions must apply to all messages between them: to those that a simulated node sends, and to those
+// that it receives from a real node, which applies no rules itself. Within a region no rule must apply.
 func TestNetworkRulesApplyBetweenRegions(t *testing.T) {
 	const (
 		delay  = 300 * time.Millisecond
@@ -138,11 +139,11 @@
 	n.expectDatagram(real, here, delay, 0)
 	n.expectDatagram(real, far, 0, delay)
 	if took := n.exchange(here, near, 5*time.Second, "yes"); took > delay {
-		t.Errorf("a stream within a region took %v", took)
+		t.Errorf("a stream within a region took %v, want %v or less", took, delay)
 	}
 	for _, pair := range [][2]gossip.Transport{{here, far}, {here, real}, {real, here}} {
 		if took := n.exchange(pair[0], pair[1], 5*time.Second, "yes"); took < 2*delay {
-			t.Errorf("a stream there and back took %v", took)
+			t.Errorf("a request on a new stream took %v, want %v or more", took, 2*delay)
 		}
 	}
 
@@ -153,10 +154,10 @@
 	}
 	time.Sleep(delay + jitter)
 	cut(n.rules.faults, 1, 2, false)
-	// The first that arrives is a new one: what was sent during the cut is lost.
+	// The first datagram that arrives must be a new one, as those sent during the cut are lost.
 	n.expectDatagram(here, far, delay, 0)
 	n.expectDatagram(real, here, delay, 0)
 	if lost := n.rules.lost.Load(); lost != 0 {
-		t.Errorf("%d were lost as too many were delayed", lost)
+		t.Errorf("%d datagrams were dropped as a queue was full, want none", lost)
 	}
 }
--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -13,20 +13,20 @@
 	answerLatency    = 2 * time.Millisecond
 	requestDeadline  = time.Second
 	latencyObjective = 300 * time.Millisecond
-	rejectEvery      = 10 // one request in this many is rejected by its first cache: too few for a cache to count as full
-	replicasOfKey    = 3  // caches that hold a key
-	maxReadAttempts  = 2  // attempts of a read that are surveyed
+	rejectEvery      = 10 // one read in this many is rejected by its first cache: too few for a cache to count as full
+	replicasOfKey    = 3  // number of caches that store a key
+	maxReadAttempts  = 2  // maximum number of attempts of a read that are executed
 )
 
-// Crossings is a number of attempts, and the shares of them that leave the zone and the region of their node.
+// Crossings holds a number of attempts, and the shares of them that leave the zone and the region of their node.
 type Crossings struct {
 	Attempts int
 	Zone     float64 // share that leaves the node's zone
 	Region   float64 // share that leaves the node's region
 }
 
-// Placement is the effect of zones and regions on where requests go and replicas are, by the policy's own placement,
-// with all caches healthy and idle. All shares are from 0 to 1.
+// Placement describes to which zones and regions the policy sends requests and places replicas, with all caches healthy
+// and idle. All shares are from 0 to 1.
 type Placement struct {
 	Keys        int
 	First       Crossings // first attempts
@@ -38,8 +38,8 @@
 	WorstRegion float64   // the same of regions
 }
 
-// PlaceKeys routes requests for many keys, the same number from each zone. The cross-zone cost is as in a
-// deployment's settings, a share of a request; 0 for none.
+// PlaceKeys routes requests for many keys, the same number from each zone, and returns where they went. crossZoneCost
+// is that of a deployment's settings, as a share of a request; 0 for none.
 func PlaceKeys(at Places, caches, keys, nodes int, crossZoneCost float64) Placement {
 	s := newPlacementSurvey(at, caches)
 	keysOfZone := keys / at.Zones
@@ -48,7 +48,7 @@
 		now := policy.Instant(1)
 		for k := range keysOfZone {
 			now = now.Add(requestInterval)
-			key := fmt.Sprintf("key-%d-%d", zone, k) // each is requested once: none is hot
+			key := fmt.Sprintf("key-%d-%d", zone, k) // requested only once, so that no key is hot
 			now = s.read(router, now, zone, key, k%rejectEvery == 0)
 			s.write(router, now, key)
 		}
@@ -63,7 +63,7 @@
 	zoneOf    map[policy.EndpointID]int
 	first     crossingCount
 	second    crossingCount
-	replicas  int // fewest of a key
+	replicas  int // lowest number of replicas of any key
 	zones     colocation
 	regions   colocation
 }
@@ -83,13 +83,13 @@
 	}
 }
 
-// colocation counts keys that have two replicas or more in one place, which is a zone or a region.
+// colocation counts keys with two replicas or more in the same place. A place is a zone or a region.
 type colocation struct {
-	keys    int         // with such a place
-	byPlace map[int]int // keys, by place
+	keys    int         // number of such keys
+	byPlace map[int]int // number of such keys by place
 }
 
-// add counts a key, by how many replicas it has in each place.
+// add counts a key, given its number of replicas in each place.
 func (c *colocation) add(replicas map[int]int) {
 	found := false
 	for place, n := range replicas {
@@ -103,7 +103,7 @@
 	}
 }
 
-// worst is the share of keys at the place that has most of them.
+// worst returns the share of such keys at the place where it is highest.
 func (c *colocation) worst(keys int) float64 {
 	worst := 0.0
 	for _, n := range c.byPlace {
@@ -112,7 +112,8 @@
 	return worst
 }
 
-// newPlacementSurvey places caches as AssignPlaces places nodes: region by region, and evenly over a region's zones.
+// newPlacementSurvey places caches as AssignPlaces places nodes: evenly over regions, and over the zones of each
+// region.
 func newPlacementSurvey(at Places, caches int) *placementSurvey {
 	s := &placementSurvey{
 		places:    at,
@@ -135,7 +136,7 @@
 
 func (s *placementSurvey) region(zone int) int { return zone % s.places.Regions }
 
-// router returns the policy of a node in a zone, which knows all caches. Class 0 is for reads, class 1 for writes.
+// router returns the router of a node in a zone. It knows all caches. Class 0 is for reads, class 1 for writes.
 func (s *placementSurvey) router(zone, nodes int, crossZoneCost float64) *policy.Router {
 	reads := policy.ServiceClass{
 		PriorityWeight:   1,
@@ -168,7 +169,8 @@
 	return p
 }
 
-// read routes a read, whose first attempt is rejected on request, and returns the time after its last attempt.
+// read routes a read and counts its attempts. If reject is set its first attempt is rejected. It returns the time after
+// the last attempt.
 func (s *placementSurvey) read(p *policy.Router, now policy.Instant, zone int, key string, reject bool) policy.Instant {
 	r := &policy.Request{
 		ID:        policy.RequestID(key),
@@ -206,7 +208,7 @@
 	}
 }
 
-// write routes a write, which is sent to all replicas of its key at once, and counts where they are.
+// write routes a write, which is sent to all replicas of its key concurrently, and counts where they are.
 func (s *placementSurvey) write(p *policy.Router, now policy.Instant, key string) {
 	w := &policy.Request{
 		ID:        policy.RequestID(key + "-w"),
@@ -250,11 +252,11 @@
 
 // Print writes the placement as four lines of text.
 func (p *Placement) Print(to io.Writer) {
-	fmt.Fprintf(to, "%d keys, %d holders each at the least\n", p.Keys, p.MinReplicas)
+	fmt.Fprintf(to, "%d keys, each with at least %d replicas\n", p.Keys, p.MinReplicas)
 	p.First.print(to, "first attempts")
-	p.Second.print(to, "attempts after one that was turned away")
-	fmt.Fprintf(to, "keys that lose two holders or more with one zone: %.2f%% (with the worst zone: %.2f%%); "+
-		"with one region: %.2f%% (with the worst: %.2f%%)\n",
+	p.Second.print(to, "attempts after a rejection")
+	fmt.Fprintf(to, "keys with two or more replicas in one zone: %.2f%% (in the worst zone: %.2f%%); "+
+		"in one region: %.2f%% (in the worst: %.2f%%)\n",
 		100*p.TwoInZone, 100*p.WorstZone, 100*p.TwoInRegion, 100*p.WorstRegion)
 }
 
--- a/internal/scale/placement_test.go
+++ b/internal/scale/placement_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// within is a range of shares, both ends included.
+// within is a range of shares, including both ends.
 type within struct{ least, most float64 }
 
-// Where all caches are in one zone no attempt crosses zones, and all replicas are lost with it; where each cache has a
-// zone of its own no two replicas are lost at once. In between, two of three replicas share one of a few crowded zones
-// about as often as by chance: 13 pairs of 1,225, three to a key.
-func TestPlacement(t *testing.T) {
+// If all caches are in one zone, no attempt must leave it, and all replicas of a key are in it. If each cache has its
+// own zone, no two replicas must be in the same zone. With 50 caches in 37 zones, two of a key's three replicas may
+// share a zone about as often as by chance: 13 of the 1,225 pairs of caches do, and each key has three pairs.
+func TestPlaceKeysSpreadsReplicasOverZones(t *testing.T) {
 	for name, c := range map[string]struct {
 		places      Places
 		caches      int
@@ -27,7 +27,7 @@
 			twoInZone:   within{1, 1},
 			twoInRegion: within{1, 1},
 		},
-		"a zone each": {
+		"one zone per cache": {
 			places:      Places{Regions: 1, Sites: 1, Zones: 14},
 			caches:      14,
 			zone:        within{0.91, 0.95},
@@ -35,7 +35,7 @@
 			twoInZone:   within{0, 0},
 			twoInRegion: within{1, 1},
 		},
-		"few in many": {
+		"50 caches in 37 zones": {
 			places:      Places{Regions: 11, Sites: 28, Zones: 37},
 			caches:      50,
 			zone:        within{0.96, 0.985},
@@ -43,7 +43,7 @@
 			twoInZone:   within{0.025, 0.04},
 			twoInRegion: within{0.17, 0.23},
 		},
-		"at a price": {
+		"50 caches in 37 zones, with a cross-zone cost": {
 			places:      Places{Regions: 11, Sites: 28, Zones: 37},
 			caches:      50,
 			price:       0.2,
@@ -66,13 +66,13 @@
 			got := PlaceKeys(c.places, c.caches, 9000, 480, c.price)
 			expectWithin(t, "first attempts that leave the zone", got.First.Zone, c.zone)
 			expectWithin(t, "first attempts that leave the region", got.First.Region, c.region)
-			expectWithin(t, "keys with two in a zone", got.TwoInZone, c.twoInZone)
-			expectWithin(t, "keys with two in a region", got.TwoInRegion, c.twoInRegion)
+			expectWithin(t, "keys with two replicas in a zone", got.TwoInZone, c.twoInZone)
+			expectWithin(t, "keys with two replicas in a region", got.TwoInRegion, c.twoInRegion)
 			if got.MinReplicas < replicasOfKey-1 || got.MinReplicas > replicasOfKey {
-				t.Errorf("holders: %+v", got)
+				t.Errorf("a key has %d replicas, want %d or %d", got.MinReplicas, replicasOfKey-1, replicasOfKey)
 			}
 			if got.First.Attempts != got.Keys || got.Second.Attempts < got.Keys/rejectEvery*9/10 {
-				t.Errorf("attempts: %+v", got)
+				t.Errorf("wrong number of attempts: %+v", got)
 			}
 		})
 	}
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -12,16 +12,16 @@
 // RegionID is a region's number, from 0.
 type RegionID int
 
-// Role tells hollow nodes from real ones.
+// Role distinguishes simulated nodes from real ones.
 type Role string
 
 // The roles.
 const (
-	Simulated Role = "hollow" // runs only the control plane, many to a process
-	Real      Role = "real"   // a process of its own that runs the command serve
+	Simulated Role = "hollow" // runs only the control plane, in a process with many others
+	Real      Role = "real"   // a process of its own, which runs the command serve
 )
 
-// Place is one node: its location and its addresses.
+// Place is the location of a node and its addresses.
 type Place struct {
 	Name   string   `json:"name"`
 	Role   Role     `json:"role"`
@@ -29,18 +29,19 @@
 	Site   int      `json:"site"`
 	Zone   int      `json:"zone"`
 	Addr   string   `json:"addr"` // for other nodes
-	List   string   `json:"list"` // address of the discovery that it polls
+	List   string   `json:"list"` // address at which the node polls discovery
 }
 
-// An address encodes region and role: 127.REGION+firstRegion.K.N, with K from firstRealOctet on for real nodes.
+// The address of a node is 127.(firstRegion+REGION).K.N. K is at least firstRealOctet for real nodes, and less for
+// simulated ones.
 const (
 	firstRegion    = 10
 	firstRealOctet = 200
 	nodesPerOctet  = 250
 )
 
-// AssignPlaces assigns each node a place. All real nodes are in the first region, as no rule would apply between two of
-// them. Each of the others goes to the region with the fewest nodes.
+// AssignPlaces assigns a place to each node. All real nodes are in the first region, as no process would apply a rule
+// to messages between two of them. Each of the other nodes is placed in the region that has the fewest nodes.
 func AssignPlaces(nodes, real int, at Places, port uint16) (all []Place) {
 	in, hollows := make([]int, at.Regions), make([]int, at.Regions)
 	for i := range nodes {
@@ -67,14 +68,14 @@
 	return all
 }
 
-// siteOrZone returns the site or zone of the numbered node of a region. Sites and zones are assigned to regions
-// round-robin, and the nodes of a region to its own sites and zones likewise.
+// siteOrZone returns the site or zone of a region's node with a number. Sites and zones are assigned to regions
+// round-robin, and so are the nodes of a region to its sites and zones.
 func siteOrZone(number int, region RegionID, regions, of int) int {
 	mine := (of - int(region) + regions - 1) / regions
 	return number%mine*regions + int(region)
 }
 
-// locate returns the region and role that an address encodes; false if it is not the address of a node.
+// locate returns the region and the role that an address encodes, or false if it is not the address of a node.
 func locate(at netip.Addr) (region RegionID, role Role, ok bool) {
 	at = at.Unmap()
 	if !at.Is4() {
@@ -91,7 +92,7 @@
 	return RegionID(b[1] - firstRegion), role, true
 }
 
-// Faults returns the rules between regions at the start of a run.
+// Faults returns the network rules between regions at the start of a run.
 func (f *File) Faults(seed int64) *netfault.Faults {
 	faults := netfault.New(uint32(seed))
 	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
@@ -110,7 +111,7 @@
 	return faults
 }
 
-// cut partitions a region from all others, or heals the partition.
+// cut cuts a region off from all others, or reconnects it.
 func cut(faults *netfault.Faults, region RegionID, regions int, off bool) {
 	for other := range regions {
 		if other == int(region) {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -12,31 +12,32 @@
 
 // Bounds of a run.
 const (
-	MinNodes               = 3                // the smallest fleet that can lose a node
-	MaxNodes               = 2000             // bounded by the sockets of one machine
-	MaxRealNodes           = 32               // real nodes, a process each
-	MaxSizes               = 12               // measured one after the other
-	MaxProcesses           = 300              // of a run
+	MinNodes               = 3                // smallest fleet that can lose a node
+	MaxNodes               = 2000             // limited by the sockets of one machine
+	MaxRealNodes           = 32               // real nodes, each in its own process
+	MaxSizes               = 12               // sizes, measured one after the other
+	MaxProcesses           = 300              // processes of a run
 	MaxMemoryMB            = 12_000           // memory of all processes of a run
-	maxRegions             = 200              // regions: each takes one value of the second octet of an address
+	maxRegions             = 200              // regions: each uses one value of the second octet of addresses
 	MinWindow              = 2 * time.Second  // shortest window in which traffic can be counted
-	MaxWindow              = 10 * time.Minute // each size has one
-	defaultNodesPerProcess = 60               // hollow nodes in a process
-	maxBudget              = 1e6              // of any unit
+	MaxWindow              = 10 * time.Minute // longest window; each size has one
+	defaultNodesPerProcess = 60               // simulated nodes in a process
+	maxBudget              = 1e6              // in any unit
 )
 
 // Plan states which sizes are measured, and how.
 type Plan struct {
-	Nodes           int           // the stated size
-	Sizes           []int         // measured, the lowest first
-	Real            int           // real nodes at each size
+	Nodes           int           // the stated size, to which the budget applies
+	Sizes           []int         // sizes that are measured, in ascending order
+	Real            int           // number of real nodes at each size
 	Window          time.Duration // length of the steady phase
 	Seed            int64
 	File            File
-	NodesPerProcess int // hollow nodes per process; 0 for the default
+	NodesPerProcess int // simulated nodes per process; 0 for the default
 }
 
-// File is the operator's description of a planned fleet. Without it there is one region, without faults or a budget.
+// File is the operator's description of a planned fleet. The default is one region, without faults and without a
+// budget.
 type File struct {
 	Places      Places              `toml:"places"`
 	Starts      Starts              `toml:"starts"`
@@ -44,52 +45,52 @@
 	Partition   Partition           `toml:"cut"`
 	Crash       Crash               `toml:"lost"`
 	List        List                `toml:"list"`
-	Members     fleetconfig.Members `toml:"members"` // as in a node's own file
+	Members     fleetconfig.Members `toml:"members"` // as in a node's fleet file
 	Budget      Budget              `toml:"budget"`
 }
 
-// Places is the number of regions, sites and zones. Nodes are spread evenly over them.
+// Places holds the numbers of regions, sites and zones. Nodes are spread evenly over them.
 type Places struct {
 	Regions int `toml:"regions"`
 	Sites   int `toml:"sites"`
 	Zones   int `toml:"zones"`
 }
 
-// Starts is how nodes are started: one after the other. Started all at once, they would compete for
-// the cores of one machine, which the nodes of a deployed fleet do not.
+// Starts configures the starts of nodes, which take place one after the other. Nodes that start simultaneously would
+// compete for the cores of one machine, unlike the nodes of a deployed fleet.
 type Starts struct {
 	IntervalMs float64 `toml:"apart_ms"` // between two starts
 }
 
-// RegionLinks is the network between regions: one rule for each pair. Within a region there are no faults.
+// RegionLinks configures the network between regions, with one rule for each pair. Within a region there are no faults.
 type RegionLinks struct {
-	DelayMs    float64 `toml:"delay_ms"`      // lowest one-way delay of any pair
-	MaxDelayMs float64 `toml:"delay_most_ms"` // highest one-way delay; each pair has one delay, drawn between the two
+	DelayMs    float64 `toml:"delay_ms"`      // minimum one-way delay
+	MaxDelayMs float64 `toml:"delay_most_ms"` // maximum one-way delay; each pair's is drawn from the range
 	JitterMs   float64 `toml:"late_ms"`       // maximum jitter of a message, which reorders messages
-	Loss       float64 `toml:"loss"`          // share of datagrams
+	Loss       float64 `toml:"loss"`          // share of lost datagrams
 }
 
-// Partition is a partition of one region from all others for a time; 0 s for none.
+// Partition configures a partition of one region from all others.
 type Partition struct {
-	Region int     `toml:"region"` // from 0
-	ForS   float64 `toml:"for_s"`
+	Region int     `toml:"region"` // number of the region, from 0
+	ForS   float64 `toml:"for_s"`  // duration in seconds; 0 for no partition
 }
 
-// Crash is a crash of one hollow node, which is started again after a time; 0 s for none.
+// Crash configures a crash of one simulated node, which is then restarted.
 type Crash struct {
-	ForS float64 `toml:"for_s"`
+	ForS float64 `toml:"for_s"` // time until the restart in seconds; 0 for no crash
 }
 
-// List is the endpoint list that discovery serves.
+// List configures the endpoint list that discovery serves.
 type List struct {
-	Caches int `toml:"caches"` // endpoints in it
+	Caches int `toml:"caches"` // number of endpoints
 }
 
-// Budget limits the mean usage of a node at the stated size, over all nodes in the steady phase; 0 for no limit.
+// Budget limits the mean usage of a node in the steady phase at the stated size; 0 for no limit.
 type Budget struct {
-	CorePercent float64 `toml:"core_percent"` // of one core
-	MemoryMB    float64 `toml:"memory_mb"`    // resident
-	KBPerS      float64 `toml:"kb_per_s"`     // thousands of bytes, sent and received together
+	CorePercent float64 `toml:"core_percent"` // percent of one core
+	MemoryMB    float64 `toml:"memory_mb"`    // resident memory
+	KBPerS      float64 `toml:"kb_per_s"`     // kB sent and received per second
 }
 
 // defaultFile returns the settings that apply without a file.
@@ -101,19 +102,19 @@
 	}
 }
 
-// ReadFile reads an operator's file; without a path it returns the default.
+// ReadFile reads an operator's file. For an empty path it returns the default.
 func ReadFile(path string) (File, error) {
 	if path == "" {
 		return defaultFile(), nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, fmt.Errorf("the fleet's size cannot be read: %w", err)
+		return File{}, fmt.Errorf("the file of the planned fleet cannot be read: %w", err)
 	}
 	return ParseFile(path, text)
 }
 
-// ParseFile parses an operator's file. Its error lists every invalid setting with its line.
+// ParseFile parses an operator's file. Its error names each invalid setting with its line.
 func ParseFile(name string, text []byte) (File, error) {
 	f := defaultFile()
 	c, err := strictconfig.Parse(name, text, &f)
@@ -143,7 +144,8 @@
 	return f, c.Err()
 }
 
-// Check completes a plan with defaults and sorts its sizes. Its error is a single line that names the flag at fault.
+// Check completes a plan with defaults, sorts its sizes and checks it. Its error is a single line that names the
+// invalid flag.
 func (p *Plan) Check() error {
 	if p.NodesPerProcess == 0 {
 		p.NodesPerProcess = defaultNodesPerProcess
@@ -167,15 +169,15 @@
 	case len(p.Sizes) == 0:
 		return fmt.Errorf("--nodes %d and --real %d leave no size to measure", p.Nodes, p.Real)
 	case len(p.Sizes) > MaxSizes:
-		return fmt.Errorf("--sizes are more than %d", MaxSizes)
+		return fmt.Errorf("--sizes lists %d sizes, more than %d", len(p.Sizes), MaxSizes)
 	}
 	for _, n := range p.Sizes {
 		if n < MinNodes || n > MaxNodes || n <= p.Real {
-			return fmt.Errorf("--sizes: %d is not from %d to %d, or no more than the real ones",
-				n, MinNodes, MaxNodes)
+			return fmt.Errorf("--sizes: %d is not from %d to %d, or not over the number of real nodes, %d",
+				n, MinNodes, MaxNodes, p.Real)
 		}
 		if processes := p.Real + (n-p.Real+p.NodesPerProcess-1)/p.NodesPerProcess + 1; processes > MaxProcesses {
-			return fmt.Errorf("--sizes: %d takes %d processes, and %d are the most", n, processes, MaxProcesses)
+			return fmt.Errorf("--sizes: %d needs %d processes, more than %d", n, processes, MaxProcesses)
 		}
 	}
 	return nil
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -22,7 +22,7 @@
 	} {
 		_, err := ParseFile("f.toml", []byte(c.text))
 		if got := fmt.Sprint(err); c.want == "" && err != nil || c.want != "" && got != c.want {
-			t.Errorf("%q: %v", c.text, err)
+			t.Errorf("%q: got error %v, want %q", c.text, err, c.want)
 		}
 	}
 }
@@ -43,10 +43,10 @@
 	} {
 		err := c.plan.Check()
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%+v: %v", c.plan, err)
+			t.Errorf("%+v: got error %v, want one that contains %q", c.plan, err, c.want)
 		}
 		if c.want == "" && fmt.Sprint(c.plan.Sizes) != "[60 120 240 480]" {
-			t.Errorf("sizes %v", c.plan.Sizes)
+			t.Errorf("sizes are %v, want 60, 120, 240 and 480", c.plan.Sizes)
 		}
 	}
 }
--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -7,19 +7,19 @@
 	"text/tabwriter"
 )
 
-// calibrationTolerance is the relative difference up to which hollow and real nodes count as equal.
+// calibrationTolerance is the relative difference up to which simulated and real nodes count as equal.
 const calibrationTolerance = 0.10
 
-// bytesPerKB converts rates in bytes per second, times a duration, to kB.
+// bytesPerKB is the number of bytes in a kB.
 const bytesPerKB = 1000
 
-// roles is the order of the roles in the tables.
+// roles lists the roles in the order of the tables.
 var roles = []Role{Simulated, Real}
 
 // table aligns rows of cells in columns.
 type table struct{ writer *tabwriter.Writer }
 
-// row writes one row; floating point cells are rounded to four digits.
+// row writes a row. Floating point cells are rounded to four significant digits.
 func (t table) row(cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -35,7 +35,7 @@
 	fmt.Fprintln(t.writer)
 }
 
-// Print writes the report as text tables, and its verdict as the last line.
+// Print writes the report as text tables, followed by its verdict on the last line.
 func (r *Report) Print(to io.Writer) error {
 	t := table{writer: tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)}
 	r.printSteady(t)
@@ -52,9 +52,9 @@
 	return err
 }
 
-// printSteady writes the spread of each figure over the nodes, in the steady phase.
+// printSteady writes the distribution of each figure over the nodes in the steady phase.
 func (r *Report) printSteady(t table) {
-	t.row("nodes", "role", "while nothing happens", "mean", "median", "p99", "most")
+	t.row("nodes", "role", "steady phase", "mean", "median", "p99", "most")
 	for _, size := range r.Sizes {
 		phase := size.Phases[steady]
 		for _, role := range roles {
@@ -78,7 +78,7 @@
 	}
 	spread(bothWays, taken.Flows[bothWays])
 	spread("processor, % of a core", taken.Processor)
-	spread("waited for a core, times as long", taken.Waited)
+	spread("waiting for a core, multiple of the CPU time", taken.Waited)
 	spread("resident, MB", s.Memory[role].Resident)
 	if role == Simulated {
 		spread("heap, MB", s.Memory[role].Heap)
@@ -87,9 +87,9 @@
 
 // printPhases writes the totals of each phase.
 func (r *Report) printPhases(t table) {
-	t.row("nodes", "phase", "long, s", "until views were right, s", "role",
-		"sent, kB in all", "received, kB in all", "p99 both, kB",
-		"of it: hellos", "statements", "gossip", "streams", "list", "% of a core")
+	t.row("nodes", "phase", "duration, s", "convergence, s", "role",
+		"sent, kB in total", "received, kB in total", "p99 both, kB",
+		"of which hellos", "statements", "gossip", "streams", "list", "% of a core")
 	for _, size := range r.Sizes {
 		for _, name := range phases {
 			phase := size.Phases[name]
@@ -121,9 +121,9 @@
 	return append(cells, taken.Processor.Mean)
 }
 
-// printCalibration compares hollow nodes with real ones, at the sizes that have both.
+// printCalibration compares simulated nodes with real ones at the sizes that have both.
 func (r *Report) printCalibration(t table) {
-	t.row("calibration: nodes", "figure", "hollow", "real", "real is more by")
+	t.row("calibration: nodes", "figure", "hollow", "real", "excess of real")
 	for _, size := range r.Sizes {
 		phase := size.Phases[steady]
 		if phase == nil || phase.Roles[Simulated] == nil || phase.Roles[Real] == nil {
@@ -146,14 +146,15 @@
 	compare("processor, % of a core", hollow.Processor, real.Processor)
 	compare("resident, MB", s.Memory[Simulated].Resident, s.Memory[Real].Resident)
 
-	const note = "so knowing them takes a real node %.4g"
-	t.row(s.Nodes, "a node that knows of no other: processor, % of a core", "", phase.Alone,
+	const note = "membership costs a real node %.4g"
+	t.row(s.Nodes, "isolated real node: processor, % of a core", "", phase.Alone,
 		fmt.Sprintf(note, real.Processor.Mean-phase.Alone))
-	t.row(s.Nodes, "a node that knows of no other: resident, MB", "", s.AloneMB,
+	t.row(s.Nodes, "isolated real node: resident, MB", "", s.AloneMB,
 		fmt.Sprintf(note, s.Memory[Real].Resident.Mean-s.AloneMB))
 }
 
-// difference describes by how much a real node's figure exceeds a hollow node's.
+// difference describes by how much the figure of a real node exceeds that of a simulated node. Beyond
+// calibrationTolerance it also states the amount that is added to the line of simulated nodes.
 func difference(hollow, real float64) string {
 	relative := 0.0
 	if hollow > 0 {
@@ -161,15 +162,15 @@
 	}
 	text := fmt.Sprintf("%+.1f%%", 100*relative)
 	if relative > calibrationTolerance || relative < -calibrationTolerance {
-		text += fmt.Sprintf(": %+.4g is added", max(0, real-hollow))
+		text += fmt.Sprintf(", adds %.4g", max(0, real-hollow))
 	}
 	return text
 }
 
-// printSlopes writes the slope of each figure over the number of nodes, and compares the figure with its budget.
+// printSlopes writes the slope of each figure over the number of nodes, and its comparison with the budget.
 func (r *Report) printSlopes(t table) {
-	t.row("means of hollow nodes", "unit", "a node more", "standard error", "R2",
-		fmt.Sprintf("line at %d", r.Nodes), "measured", "real is more by", "budget", "")
+	t.row("means of hollow nodes", "unit", "per node more", "standard error", "R2",
+		fmt.Sprintf("line at %d", r.Nodes), "measured", "excess of real", "budget", "")
 	for _, s := range r.Slopes {
 		t.row(s.What, s.Unit, s.Line.Slope, s.standardError(), fmt.Sprintf("%.3f", s.Line.R2),
 			s.At, s.measured(), s.Added, s.budget(), s.verdict())
@@ -179,7 +180,7 @@
 const noFigure = "-" // printed in place of a missing figure
 
 func (s *Slope) standardError() string {
-	if s.Line.Points <= 2 { // a line through two points has no residual
+	if s.Line.Points <= 2 { // a line through two points leaves no residuals
 		return noFigure
 	}
 	return fmt.Sprintf("%.3g", s.Line.Error)
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxOrderBytes = 16 << 20 // bytes of an order to a process of hollow nodes
-	gcPercent     = 200      // GC percentage, as in a node
+	maxOrderBytes = 16 << 20 // maximum size of an order to a process of simulated nodes
+	gcPercent     = 200      // garbage collection target (GOGC), as in a node
 )
 
-// order is a request of the rig to a process of hollow nodes, a line of JSON each.
+// order is a request of the rig to a process of simulated nodes, encoded as one line of JSON.
 type order struct {
 	Do     string            `json:"do"`
 	Places []Place           `json:"places,omitempty"`
@@ -29,7 +29,7 @@
 	File   *File             `json:"file,omitempty"`
 	Seed   int64             `json:"seed,omitempty"`
 	Nodes  int               `json:"nodes,omitempty"`
-	Apart  time.Duration     `json:"apart,omitempty"` // interval between the starts of two nodes
+	Apart  time.Duration     `json:"apart,omitempty"` // interval between two starts of nodes
 	Name   string            `json:"name,omitempty"`
 	Off    bool              `json:"off,omitempty"`
 }
@@ -40,30 +40,30 @@
 	doReadViews   = "look"  // read the views
 	doReadTraffic = "read"  // read the views and the traffic so far
 	doReadHeap    = "weigh" // read the heap size after a garbage collection
-	doCut         = "cut"   // partition the region named in the file, or heal the partition
+	doCut         = "cut"   // cut off the region that the file names, or reconnect it
 	doCrash       = "drop"  // crash one node
 	doRestart     = "raise" // restart a crashed node
 )
 
-// answer is the response to an order, a line of JSON each.
+// answer is the response to an order, encoded as one line of JSON.
 type answer struct {
-	Fault string   `json:"fault,omitempty"`
+	Fault string   `json:"fault,omitempty"` // why the order failed
 	Nodes []status `json:"nodes,omitempty"`
-	Heap  uint64   `json:"heap,omitempty"`
-	Lost  uint64   `json:"lost,omitempty"` // messages dropped because the delay queue was full
+	Heap  uint64   `json:"heap,omitempty"` // bytes
+	Lost  uint64   `json:"lost,omitempty"` // messages that the emulated network dropped as a queue was full
 }
 
-// status is one node's view of the fleet, and its traffic.
+// status is a node's view of the fleet, and its traffic so far.
 type status struct {
 	Name    string                `json:"name"`
 	Members int                   `json:"members"`
-	Mark    string                `json:"mark"`
-	CutOff  bool                  `json:"cut_off"`
+	Mark    string                `json:"mark"`    // fingerprint of the view
+	CutOff  bool                  `json:"cut_off"` // the node reports a possible partition
 	Flows   []gossip.TrafficStats `json:"flows,omitempty"`
-	Dropped uint64                `json:"dropped,omitempty"`
+	Dropped uint64                `json:"dropped,omitempty"` // messages that the node dropped for lack of capacity
 }
 
-// process runs hollow nodes as ordered by a rig.
+// process runs simulated nodes as ordered by a rig.
 type process struct {
 	nodes      map[string]*Node
 	places     []Place
@@ -73,8 +73,8 @@
 	partMakers []ComponentStarter
 }
 
-// ServeSimulatedNodes reads orders, executes them and writes an answer to each until its input is closed; then it stops
-// all nodes. Each node also runs the given components.
+// ServeSimulatedNodes reads orders, executes them and writes an answer to each. When its input ends, it stops all
+// nodes. Each node also runs the given components.
 func ServeSimulatedNodes(in io.Reader, out io.Writer, more ...ComponentStarter) error {
 	debug.SetGCPercent(gcPercent)
 	p := &process{nodes: map[string]*Node{}, partMakers: more}
@@ -85,7 +85,7 @@
 	for lines.Scan() {
 		var o order
 		if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
-			return fmt.Errorf("decode an order: %w", err)
+			return fmt.Errorf("cannot decode an order: %w", err)
 		}
 		a, err := p.do(&o)
 		if err != nil {
@@ -120,7 +120,7 @@
 		}
 	case doReadHeap:
 		runtime.GC()
-		runtime.GC() // the second collection frees objects whose finalizers ran after the first
+		runtime.GC() // frees the objects whose finalizers ran after the first collection
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		a.Heap = m.HeapAlloc
@@ -144,7 +144,7 @@
 	return a, nil
 }
 
-// open starts all nodes, with a pause between starts.
+// open starts all nodes one after the other, at the interval in the order.
 func (p *process) open(o *order) error {
 	p.order = *o
 	p.places = o.Places
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -22,21 +22,21 @@
 const (
 	// adminTimeout is the timeout of requests to a real node's admin server.
 	adminTimeout = 5 * time.Second
-	// maxStatusBytes bounds the size of a node's status response.
+	// maxStatusBytes is the maximum size of a node's status response.
 	maxStatusBytes = 8 << 20
 	// nodeMemoryMB and nodeSockets are the limits in a real node's configuration.
 	nodeMemoryMB = 192
 	nodeSockets  = 1024
 )
 
-// RealNode is a node in a process of its own.
+// RealNode is a complete node in its own process.
 type RealNode struct {
 	*Child
 	Place Place
 	admin string // address of its admin server
 }
 
-// StartRealNode starts a node with the command serve. Without a fleet file it is isolated.
+// StartRealNode starts a node with the command serve. Without a fleet file the node is isolated.
 func (r *Rig) StartRealNode(at Place, fleet *fleetconfig.File, nodes int, seed int64) (*RealNode, error) {
 	host, _, err := net.SplitHostPort(at.Addr)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return &RealNode{Child: child, Place: at, admin: admin}, nil
 }
 
-// freeAddress returns an address of a host on which nothing listens at the moment.
+// freeAddress returns an address of a host at which no process currently listens.
 func freeAddress(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -101,7 +101,7 @@
 	})
 }
 
-// writeFleetFile writes the fleet's file with the address of one node.
+// writeFleetFile writes the fleet file of a node, with its address.
 func writeFleetFile(path string, fleet fleetconfig.File, addr string) error {
 	fleet.Fleet.Listen = addr
 	fleet.Fleet.Advertise = addr
@@ -112,7 +112,7 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// minimalScenario is the minimal scenario from which the settings of a node can be derived. The node has no client.
+// minimalScenario is the smallest scenario from which the settings of a node can be derived. Its traffic is not sent.
 const minimalScenario = `about = "a node without clients"
 seconds = 1
 [fleet]
@@ -133,7 +133,7 @@
 
 var adminClient = http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// status asks the node's admin server for its view of the fleet.
+// status requests the node's view of the fleet from its admin server.
 func (n *RealNode) status() (status, error) {
 	response, err := adminClient.Get("http://" + n.admin + "/fleet/status")
 	if err != nil {
@@ -154,5 +154,5 @@
 	}, nil
 }
 
-// Close stops the node by SIGTERM.
+// Close stops the node with SIGTERM.
 func (n *RealNode) Close() { n.Stop(func() { _ = n.cmd.Process.Signal(syscall.SIGTERM) }) }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,25 +11,25 @@
 	Unit     string  `json:"unit"`
 	Line     Line    `json:"line"`
 	At       float64 `json:"at"`       // the line's value at the stated size
-	Measured float64 `json:"measured"` // the mean measured at the stated size; 0 where that size was not measured
-	Added    float64 `json:"added"`    // what a real node uses beyond a hollow one, at the largest size with both
-	Budget   float64 `json:"budget"`   // the most that is allowed; 0 for no limit
+	Measured float64 `json:"measured"` // the mean measured at the stated size; 0 if that size was not measured
+	Added    float64 `json:"added"`    // excess of a real node over a simulated one, at the largest size with both
+	Budget   float64 `json:"budget"`   // upper limit; 0 for none
 	Over     bool    `json:"over"`     // the budget is exceeded
 }
 
 // Report holds the measurements of all sizes of a plan and their comparison with the budget.
 type Report struct {
-	Nodes    int      `json:"nodes"` // the stated size, which the budget is for
-	Real     int      `json:"real"`  // how many of the nodes are real ones
+	Nodes    int      `json:"nodes"` // the stated size, to which the budget applies
+	Real     int      `json:"real"`  // number of real nodes at each size
 	WindowS  float64  `json:"window_s"`
 	Seed     int64    `json:"seed"`
 	File     File     `json:"file"`
 	Sizes    []*Size  `json:"sizes"`
 	Slopes   []Slope  `json:"slopes"`
-	Problems []string `json:"wrong"` // reasons why the report did not pass, a sentence each
+	Problems []string `json:"wrong"` // reasons why the report did not pass, one sentence each
 }
 
-// figure returns one figure of a role at one size; false if it was not measured.
+// figure returns one figure of a role at one size, or false if it was not measured.
 type figure func(s *Size, role Role) (Spread, bool)
 
 // means returns the sizes at which a figure of a role was measured, and its means there.
@@ -43,7 +43,7 @@
 	return sizes, means
 }
 
-// fitSlope fits a line to a figure of hollow nodes, adds what real nodes use beyond them, and compares it with the
+// fitSlope fits a line to a figure of simulated nodes, adds the excess of real nodes, and compares the result with the
 // budget.
 func (r *Report) fitSlope(what, unit string, budget float64, of figure) {
 	sizes, means := r.means(Simulated, of)
@@ -66,14 +66,14 @@
 	}
 	slope.Over = budget > 0 && slope.value() > budget
 	if slope.Over {
-		r.Problems = append(r.Problems, fmt.Sprintf("%s at %d nodes is %.4g %s, and %.4g is the budget",
-			what, r.Nodes, slope.value(), unit, budget))
+		r.Problems = append(r.Problems, fmt.Sprintf("%s at %d nodes is %.4g %s, over the budget of %.4g %s",
+			what, r.Nodes, slope.value(), unit, budget, unit))
 	}
 	r.Slopes = append(r.Slopes, slope)
 }
 
-// value returns the figure that is compared with the budget: the usage of a real node at the stated size, measured or
-// else taken from the line.
+// value returns the figure that is compared with the budget: that of a simulated node at the stated size, measured or
+// otherwise taken from the line, plus the excess of a real node.
 func (s *Slope) value() float64 { return cmp.Or(s.Measured, s.At) + max(0, s.Added) }
 
 // evaluate fits all figures and compares them with the budget.
@@ -95,19 +95,19 @@
 	}
 	for _, s := range r.Sizes {
 		if s.LostInEmulator > 0 {
-			r.Problems = append(r.Problems, fmt.Sprintf("%d messages were lost between %d nodes for want of room here: "+
-				"the machine is too busy to say anything", s.LostInEmulator, s.Nodes))
+			r.Problems = append(r.Problems, fmt.Sprintf("the emulated network of %d nodes dropped %d messages "+
+				"at full queues: the machine was too busy for a verdict", s.Nodes, s.LostInEmulator))
 		}
 	}
 }
 
-// flowIn is a rate of a flow during a phase.
+// flowIn returns the figure of a flow's rate during a phase.
 func flowIn(phase, what string) figure {
 	return func(s *Size, role Role) (Spread, bool) { return s.flow(phase, role, what) }
 }
 
-// totalIn is what is sent and received in a whole phase, in kB. Only its mean is scaled, which is all that a slope
-// reads.
+// totalIn returns the figure of the traffic sent and received during a whole phase, in kB. It converts only the mean,
+// which is the only value that a slope uses.
 func totalIn(phase string) figure {
 	return func(s *Size, role Role) (Spread, bool) {
 		spread, measured := s.flow(phase, role, bothWays)
@@ -136,10 +136,10 @@
 	return memory.Heap, measured && memory.Heap.Mean > 0
 }
 
-// Passed reports whether all figures are within the budget and valid.
+// Passed reports whether all figures are valid and within the budget.
 func (r *Report) Passed() bool { return len(r.Problems) == 0 }
 
-// Verdict returns the verdict, the last line of what Print writes.
+// Verdict returns the verdict in one line, which is the last line that Print writes.
 func (r *Report) Verdict() string {
 	if r.Passed() {
 		return "all within"
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -11,9 +11,9 @@
 // Rig starts fleets and measures them. It stops only the processes that it has started, by their process IDs.
 type Rig struct {
 	Program     string       // executable with the commands serve and scale hollow
-	Dir         string       // for configurations and logs; the caller removes it
-	Progress    func(string) // receives progress, a line at a time; nil for none
-	MaxMemoryMB int          // memory limit of all its processes; the run fails above it
+	Dir         string       // folder for configurations and logs, which the caller removes
+	Progress    func(string) // receives lines of progress; may be nil
+	MaxMemoryMB int          // memory limit of all processes together, above which a run fails
 }
 
 func (r *Rig) tell(text string, args ...any) {
@@ -22,8 +22,9 @@
 	}
 }
 
-// Run measures all sizes, the smallest first. A size that kept returns from an earlier run on the same terms is not
-// measured again; each that is measured is passed to keep. Both functions may be nil.
+// Run measures all sizes of a plan, the smallest first. kept returns an earlier measurement of a size or nil; if it was
+// made on the same terms, the size is not measured again. Each new measurement is passed to keep. Both functions may be
+// nil.
 func (r *Rig) Run(ctx context.Context, p *Plan, kept func(nodes int) *Size, keep func(*Size) error) (*Report, error) {
 	report := &Report{Nodes: p.Nodes, Real: p.Real, WindowS: p.Window.Seconds(), Seed: p.Seed, File: p.File}
 	for _, nodes := range p.Sizes {
@@ -48,8 +49,9 @@
 	return report, nil
 }
 
-// window returns the length of the steady phase at a size. It is rounded up to whole intervals of push-pull exchanges,
-// so that each node begins as many of them as any other; a window too short for that is left as it is.
+// window returns the length of the steady phase at a size. It is the planned window, rounded up to whole push-pull
+// intervals, so that all nodes begin the same number of exchanges. A window of less than half an interval is not
+// rounded.
 func (p *Plan) window(nodes int) time.Duration {
 	each := gossip.PushPullInterval(nodes)
 	if p.Window < each/2 {
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// The phases that a size goes through.
+// The phases of a size.
 const (
-	forming  = "forming"   // from the first start until all nodes know each other, and gossip has settled
-	steady   = "steady"    // no faults
-	lostOne  = "lost"      // from the crash of a node until it is started again
-	lostBack = "lost-back" // until all nodes know each other again, and gossip has settled
+	forming  = "forming"   // from the first start until all nodes know each other and gossip has settled
+	steady   = "steady"    // without faults
+	lostOne  = "lost"      // from the crash of a node until its restart
+	lostBack = "lost-back" // from the restart until all nodes know each other again and gossip has settled
 	cutOff   = "cut"       // a region is cut off
-	cutBack  = "cut-back"  // from its healing until all nodes know each other again, and gossip has settled
+	cutBack  = "cut-back"  // from the end of the cut until all nodes know each other again and gossip has settled
 )
 
 var phases = []string{forming, steady, lostOne, lostBack, cutOff, cutBack}
 
-// Size holds the measurements of a fleet with one number of nodes.
+// Size holds the measurements of a fleet of one size.
 type Size struct {
 	Nodes          int               `json:"nodes"`
 	Terms          Terms             `json:"by"`
@@ -25,12 +25,12 @@
 	Processes      int               `json:"processes"`
 	Phases         map[string]*Phase `json:"phases"`
 	Memory         map[Role]Memory   `json:"memory"`
-	AloneMB        float64           `json:"alone_mb"`  // resident, of the isolated real node; 0 for none
-	LostInEmulator uint64            `json:"lost_here"` // messages that the emulated network dropped as its queue was full
-	Dropped        uint64            `json:"dropped"`   // messages that nodes had no capacity for
+	AloneMB        float64           `json:"alone_mb"`  // resident memory of the isolated real node; 0 for none
+	LostInEmulator uint64            `json:"lost_here"` // messages that the emulated network dropped at a full queue
+	Dropped        uint64            `json:"dropped"`   // messages that nodes dropped for lack of capacity
 }
 
-// Terms are the conditions that two measurements must share to be comparable.
+// Terms are the conditions that must be the same for two measurements to be comparable.
 type Terms struct {
 	Real    int     `json:"real"`
 	WindowS float64 `json:"window_s"`
@@ -38,33 +38,33 @@
 	File    File    `json:"file"` // without the budget
 }
 
-// Terms returns the terms of the plan.
+// Terms returns the conditions of the plan's measurements.
 func (p *Plan) Terms() Terms {
 	f := p.File
 	f.Budget = Budget{}
 	return Terms{Real: p.Real, WindowS: p.Window.Seconds(), Seed: p.Seed, File: f}
 }
 
-// Phase is what the nodes of each role used during one phase of a run.
+// Phase is the resource usage during one phase of a run, by role.
 type Phase struct {
-	DurationS    float64         `json:"long_s"` // seconds that the phase lasted
+	DurationS    float64         `json:"long_s"` // duration in seconds
 	ConvergenceS float64         `json:"took_s"` // seconds until all nodes had the expected view
 	Roles        map[Role]*Usage `json:"roles"`
-	Alone        float64         `json:"alone"` // percent of a core, of the isolated real node; 0 for none
+	Alone        float64         `json:"alone"` // percent of a core that the isolated real node used; 0 for none
 }
 
-// Usage is the usage rate of the nodes of a role.
+// Usage is the rate of resource usage of the nodes of a role.
 type Usage struct {
 	Nodes     int               `json:"nodes"`
-	Flows     map[string]Spread `json:"flows"`     // "hellos out B/s" and so on; "all ..." is of all flows
+	Flows     map[string]Spread `json:"flows"`     // by flow and measure, such as "hellos out B/s"; "all": sum of flows
 	Processor Spread            `json:"processor"` // percent of one core
 	Waited    Spread            `json:"waited"`    // time waiting for a core, as a multiple of the CPU time used
 }
 
-// Memory is the memory of a node, in MB.
+// Memory is the distribution of memory over nodes, in MB.
 type Memory struct {
 	Resident Spread `json:"resident"`
-	Heap     Spread `json:"heap"` // after a garbage collection; of hollow nodes only, as real nodes do not report it
+	Heap     Spread `json:"heap"` // after a garbage collection; simulated nodes only, as real nodes do not report it
 }
 
 const mb = 1e6
@@ -80,7 +80,7 @@
 	{"in /s", func(f Flow) float64 { return f.InMessages }},
 }
 
-// Keys of Taken.Flows that sum up all flows.
+// The keys in Usage.Flows of the sums over all flows.
 const (
 	allFlows            = "all"
 	allSent             = allFlows + " out B/s"
@@ -90,7 +90,7 @@
 	bothWays            = allFlows + " both B/s"
 )
 
-// add records a phase: the difference of two snapshots, by role.
+// add records a phase as the difference between two snapshots, by role.
 func (s *Size) add(f *fleetRun, name string, took time.Duration, from, to snapshot) {
 	phaseS := to.at.Sub(from.at).Seconds()
 	phase := &Phase{DurationS: phaseS, ConvergenceS: took.Seconds(), Roles: map[Role]*Usage{}}
@@ -117,15 +117,15 @@
 	s.Phases[name] = phase
 }
 
-// roleSamples collects the figures of the nodes of a role during a phase, one value for each node.
+// roleSamples collects the figures of the nodes of a role during a phase, one value per node.
 type roleSamples struct {
 	nodes     int
-	flows     map[string][]float64 // by flow and measure, as in Taken.Flows
+	flows     map[string][]float64 // by flow and measure, as in Usage.Flows
 	processor []float64            // percent of one core
 	waited    []float64            // as a multiple of the processor time used
 }
 
-// addNode adds one node's figures: the difference of two snapshots that lie some seconds apart.
+// addNode adds the figures of one node: the difference between two snapshots that are phaseS seconds apart.
 func (r *roleSamples) addNode(name string, phaseS float64, from, to snapshot) {
 	r.nodes++
 	all := Flow{}
@@ -133,7 +133,7 @@
 		rate := to.nodes[name][what].since(from.nodes[name][what]).times(1 / phaseS)
 		r.addFlow(what, rate)
 		if what == "statements" {
-			// Statements are carried inside messages that are counted already.
+			// Statements are parts of messages that other flows count.
 			rate.OutMessages = 0
 			rate.InMessages = 0
 		}
@@ -148,7 +148,7 @@
 	r.waited = append(r.waited, max(0, waited)/max(used, minProcessorS))
 }
 
-// minProcessorS bounds the divisor of the waiting share: an idle node may have used no processor time at all.
+// minProcessorS is the minimum divisor, in seconds, of the waiting time: an idle node may have used no CPU time at all.
 const minProcessorS = 1e-6
 
 func (r *roleSamples) addFlow(what string, rate Flow) {
@@ -168,7 +168,7 @@
 	return taken
 }
 
-// weigh reads the memory of all nodes. A hollow node is attributed an equal share of its process.
+// weigh measures the memory of all nodes. The memory of a process of simulated nodes is divided equally among them.
 func (s *Size) weigh(ctx context.Context, f *fleetRun) error {
 	resident := map[Role][]float64{}
 	for _, n := range f.reals {
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// flow returns a figure of a role in a phase; false if it was not measured.
+// flow returns a figure of a role in a phase, or false if it was not measured.
 func (s *Size) flow(phase string, role Role, what string) (Spread, bool) {
 	p := s.Phases[phase]
 	if p == nil || p.Roles[role] == nil {
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -8,16 +8,16 @@
 // listFlow is the name of the flow of endpoint lists.
 const listFlow = "list"
 
-// snapshot is a reading of the usage of every node since its start.
+// snapshot is a reading of the cumulative usage of every node.
 type snapshot struct {
 	at    time.Time
 	nodes map[string]map[string]Flow // by node and flow
-	costs map[string]Cost            // by node: of hollow ones a share of their process
-	lost  uint64                     // messages that the emulated network dropped as its queue was full
-	drops uint64                     // messages that nodes had no capacity for
+	costs map[string]Cost            // by node; for a simulated node an equal share of its process
+	lost  uint64                     // messages that the emulated network dropped as a queue was full
+	drops uint64                     // messages that nodes dropped for lack of capacity
 }
 
-// read takes a snapshot. Costs are read before any node is asked, as answering costs processor time.
+// read takes a snapshot. It reads the costs before it queries the nodes, as their answers cost CPU time.
 func (f *fleetRun) read(ctx context.Context) (snapshot, error) {
 	if err := f.checkMemory(); err != nil {
 		return snapshot{}, err
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// costs reads the cost of every node. A hollow node is attributed an equal share of its process.
+// costs reads the cost of every node. The cost of a process of simulated nodes is divided equally among them.
 func (f *fleetRun) costs() (map[string]Cost, error) {
 	costs := map[string]Cost{}
 	for _, h := range f.hollows {
