--- a/internal/emulator/client/conn.go
+++ b/internal/emulator/client/conn.go
@@ -20,8 +20,8 @@
 // conn is a connection to a node.
 type conn struct {
 	*net.TCPConn
-	in   *bufio.Reader
-	used bool // it has carried at least one response
+	reader *bufio.Reader
+	used   bool // it has carried at least one response
 }
 
 // wasRead reports, after the peer has closed the connection in an orderly way, whether it had read all data that was
@@ -40,7 +40,7 @@
 
 // hasUnsolicited reports whether data has arrived while no request was in flight.
 func (c *conn) hasUnsolicited() bool {
-	if c.in.Buffered() > 0 {
+	if c.reader.Buffered() > 0 {
 		return true
 	}
 	n, err := c.peek()
--- a/internal/emulator/client/http.go
+++ b/internal/emulator/client/http.go
@@ -25,8 +25,8 @@
 // ETag returns the entity tag that caches assign to a value.
 func ETag(value string) string { return strconv.Quote(value) }
 
-// httpRequest encodes a request as an HTTP/1.1 message.
-func httpRequest(r *Request) string {
+// encodeHTTP encodes a request as an HTTP/1.1 message.
+func encodeHTTP(r *Request) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s%s HTTP/1.1\r\nHost: n\r\n", methodOf(r), PathPrefix, r.Key)
 	header := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\r\n", name, value) }
@@ -55,16 +55,16 @@
 
 // readHTTP reads the HTTP response to a request.
 func readHTTP(in *bufio.Reader, r *Request) (Response, error) {
-	answer, err := http.ReadResponse(in, &http.Request{Method: methodOf(r)})
+	httpResponse, err := http.ReadResponse(in, &http.Request{Method: methodOf(r)})
 	if err != nil {
 		return Response{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxValueSize))
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxValueSize))
 	if err != nil {
 		return Response{}, err
 	}
-	response := Response{Final: checker.Failed, closes: answer.Close}
-	switch answer.StatusCode {
+	response := Response{Final: checker.Failed, closes: httpResponse.Close}
+	switch httpResponse.StatusCode {
 	case http.StatusOK:
 		response.Final = checker.Satisfied
 		response.Value = string(body)
@@ -76,11 +76,11 @@
 		}
 	case http.StatusServiceUnavailable:
 		response.Final = checker.Rejected
-		seconds, _ := strconv.Atoi(answer.Header.Get("Retry-After"))
+		seconds, _ := strconv.Atoi(httpResponse.Header.Get("Retry-After"))
 		response.RetryAfter = time.Duration(seconds) * time.Second
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		response.InvalidReason = "the response has the unexpected status " + strings.TrimSpace(answer.Status)
+		response.InvalidReason = "the response has the unexpected status " + strings.TrimSpace(httpResponse.Status)
 	}
 	return response, nil
 }
--- a/internal/emulator/client/meta.go
+++ b/internal/emulator/client/meta.go
@@ -25,8 +25,8 @@
 	lineEnd     = "\r\n"
 )
 
-// metaCommand encodes a request as a meta command.
-func metaCommand(r *Request) string {
+// encodeMeta encodes a request as a meta command.
+func encodeMeta(r *Request) string {
 	items := fmt.Sprintf("Pc=%s,d=%d", r.Class, max(1, r.Timeout.Milliseconds()))
 	if r.IdempotencyKey != "" {
 		items += ",k=" + r.IdempotencyKey
--- a/internal/emulator/client/meta_test.go
+++ b/internal/emulator/client/meta_test.go
@@ -11,14 +11,14 @@
 
 func TestMetaCommandEncodesRequest(t *testing.T) {
 	read := &Request{ID: "7", Key: "k", Class: "read", Timeout: 400 * time.Millisecond}
-	if got, want := metaCommand(read), "mg k v O7 Pc=read,d=400\r\n"; got != want {
+	if got, want := encodeMeta(read), "mg k v O7 Pc=read,d=400\r\n"; got != want {
 		t.Errorf("read: got %q, want %q", got, want)
 	}
 	write := &Request{
 		ID: "8", Key: "k", IdempotencyKey: "w", Class: "submit", Write: true, Retry: true, Value: "abc",
 		Timeout: time.Microsecond,
 	}
-	if got, want := metaCommand(write), "ms k 3 O8 Pc=submit,d=1,k=w,r=1\r\nabc\r\n"; got != want {
+	if got, want := encodeMeta(write), "ms k 3 O8 Pc=submit,d=1,k=w,r=1\r\nabc\r\n"; got != want {
 		t.Errorf("write: got %q, want %q", got, want)
 	}
 }
--- a/internal/emulator/client/pool.go
+++ b/internal/emulator/client/pool.go
@@ -79,8 +79,8 @@
 	response, err := p.attempt(idle, r)
 	unsolicited := response.Unsolicited
 	// idle.used is read only after an error: without one, another request may already use the connection.
-	crossedEnd := isConnEnd(err) && idle != nil && idle.used
-	if crossedEnd && !r.ReuseOnly {
+	closedBeforeRead := isClosedBeforeRead(err) && idle != nil && idle.used
+	if closedBeforeRead && !r.ReuseOnly {
 		response, err = p.attempt(nil, r)
 	}
 	response.Unsolicited = response.Unsolicited || unsolicited
@@ -90,13 +90,13 @@
 		response.Final = checker.Cut
 		response.Silent = errors.Is(err, errSilent)
 		response.Abandoned = errors.Is(err, errAbandoned)
-		response.NotSent = crossedEnd && r.ReuseOnly
+		response.NotSent = closedBeforeRead && r.ReuseOnly
 	}
 	return response
 }
 
-// isConnEnd reports whether the connection ended before the node had read the request.
-func isConnEnd(err error) bool {
+// isClosedBeforeRead reports whether the connection ended before the node had read the request.
+func isClosedBeforeRead(err error) bool {
 	return err != nil &&
 		!errors.Is(err, errSilent) && !errors.Is(err, errAbandoned) && !errors.Is(err, errUnanswered)
 }
@@ -110,7 +110,7 @@
 		}
 	}
 	if c.hasUnsolicited() {
-		p.drop(c)
+		p.discard(c)
 		return Response{Unsolicited: true}, errUnsolicited
 	}
 	response, err := p.exchange(c, r)
@@ -118,11 +118,11 @@
 		if c.used && isOrderlyEnd(err) && c.wasRead() {
 			err = errUnanswered
 		}
-		p.drop(c)
+		p.discard(c)
 		return response, err
 	}
 	c.used = true
-	p.keep(c, response.closes)
+	p.putIdle(c, response.closes)
 	return response, nil
 }
 
@@ -136,14 +136,14 @@
 	if err := c.SetDeadline(time.Now().Add(wait)); err != nil {
 		return Response{}, err
 	}
-	encode, read := metaCommand, readMeta
+	encode, read := encodeMeta, readMeta
 	if p.HTTP {
-		encode, read = httpRequest, readHTTP
+		encode, read = encodeHTTP, readHTTP
 	}
 	var response Response
 	_, err := io.WriteString(c, encode(r))
 	if err == nil {
-		response, err = read(c.in, r)
+		response, err = read(c.reader, r)
 	}
 	switch {
 	case !isTimeout(err):
@@ -187,15 +187,15 @@
 		_ = plain.Close()
 		return nil, fmt.Errorf("the connection to %s is a %T and not a TCP connection", addr, plain)
 	}
-	return &conn{TCPConn: stream, in: bufio.NewReader(stream)}, nil
+	return &conn{TCPConn: stream, reader: bufio.NewReader(stream)}, nil
 }
 
-// keep returns a connection to the idle ones, or closes it if the node ends it, the pool is closed or there are
+// putIdle returns a connection to the idle ones, or closes it if the node ends it, the pool is closed or there are
 // maxIdleConns idle connections already.
-func (p *Pool) keep(c *conn, ends bool) {
+func (p *Pool) putIdle(c *conn, closes bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || ends || len(p.idle) >= maxIdleConns {
+	if p.closed || closes || len(p.idle) >= maxIdleConns {
 		delete(p.conns, c)
 		_ = c.Close()
 		return
@@ -203,8 +203,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection and removes it from the pool.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection and removes it from the pool.
+func (p *Pool) discard(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,10 +255,10 @@
 	}
 	if p.HTTP {
 		_, _ = io.WriteString(c, "GET "+ReadyPath+" HTTP/1.1\r\nHost: n\r\n\r\n")
-		response, err := http.ReadResponse(c.in, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		return err == nil && response.StatusCode == http.StatusOK
 	}
 	_, _ = io.WriteString(c, "mn\r\n")
-	line, _ := c.in.ReadString('\n')
+	line, _ := c.reader.ReadString('\n')
 	return line == "MN\r\n"
 }
