--- a/internal/emulator/diskfault/filter.go
+++ b/internal/emulator/diskfault/filter.go
@@ -65,9 +65,9 @@
 // notification mirrors the kernel's struct seccomp_notif.
 type notification struct {
 	id              uint64
-	process         uint32
+	pid             uint32
 	flags           uint32
-	number          int32
+	syscall         int32
 	architecture    uint32
 	instructionAddr uint64
 	arguments       [6]uint64
@@ -125,8 +125,8 @@
 	runtime.UnlockOSThread()
 }
 
-// statement returns a filter instruction without a jump.
-func statement(code uint16, operand uint32) unix.SockFilter {
+// instruction returns a filter instruction without a jump.
+func instruction(code uint16, operand uint32) unix.SockFilter {
 	return unix.SockFilter{Code: code, K: operand}
 }
 
@@ -143,9 +143,9 @@
 		anyBit  = unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K
 		verdict = unix.BPF_RET | unix.BPF_K
 	)
-	notify := statement(verdict, unix.SECCOMP_RET_USER_NOTIF)
-	allow := statement(verdict, unix.SECCOMP_RET_ALLOW)
-	program := []unix.SockFilter{statement(load, numberOffset)}
+	notify := instruction(verdict, unix.SECCOMP_RET_USER_NOTIF)
+	allow := instruction(verdict, unix.SECCOMP_RET_ALLOW)
+	program := []unix.SockFilter{instruction(load, numberOffset)}
 	for _, number := range []uint32{
 		unix.SYS_PWRITE64, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_FTRUNCATE,
 		unix.SYS_RENAMEAT, unix.SYS_LINKAT, unix.SYS_UNLINKAT,
@@ -154,12 +154,12 @@
 	}
 	return append(program,
 		jump(equal, unix.SYS_WRITE, 0, 4),
-		statement(load, thirdArgumentOffset),
+		instruction(load, thirdArgumentOffset),
 		jump(equal, pollerWakeBytes, 0, 1),
 		allow,
 		notify,
 		jump(equal, unix.SYS_OPENAT, 0, 3),
-		statement(load, thirdArgumentOffset),
+		instruction(load, thirdArgumentOffset),
 		jump(anyBit, unix.O_CREAT, 0, 1),
 		notify,
 		allow,
@@ -216,7 +216,7 @@
 			return err
 		}
 		if descriptors[0].Revents&unix.POLLIN != 0 {
-			s.answerOne()
+			s.respondOne()
 			continue
 		}
 		if descriptors[1].Revents != 0 {
@@ -234,8 +234,8 @@
 	memory   int // descriptor of /proc/self/mem
 }
 
-// answerOne receives one notification and responds to it.
-func (s *supervisor) answerOne() {
+// respondOne receives one notification and responds to it.
+func (s *supervisor) respondOne() {
 	var n notification
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, s.listener, unix.SECCOMP_IOCTL_NOTIF_RECV, uintptr(unsafe.Pointer(&n)))
 	if errno != 0 {
@@ -265,15 +265,15 @@
 // decode returns the call that a notification describes, and whether it concerns the watched folder.
 func (s *supervisor) decode(n *notification) (call Call, watched bool) {
 	arguments := n.arguments
-	switch n.number {
+	switch n.syscall {
 	case unix.SYS_OPENAT:
-		call = Call{Operation: Create, Path: s.text(arguments[1])}
+		call = Call{Operation: Create, Path: s.readString(arguments[1])}
 	case unix.SYS_UNLINKAT:
-		call = Call{Operation: Remove, Path: s.text(arguments[1])}
+		call = Call{Operation: Remove, Path: s.readString(arguments[1])}
 	case unix.SYS_RENAMEAT:
-		call = Call{Operation: Rename, Path: s.text(arguments[1]), NewPath: s.text(arguments[3])}
+		call = Call{Operation: Rename, Path: s.readString(arguments[1]), NewPath: s.readString(arguments[3])}
 	case unix.SYS_LINKAT:
-		call = Call{Operation: Link, Path: s.text(arguments[1]), NewPath: s.text(arguments[3])}
+		call = Call{Operation: Link, Path: s.readString(arguments[1]), NewPath: s.readString(arguments[3])}
 	default:
 		call = s.decodeDescriptorCall(n)
 	}
@@ -285,7 +285,7 @@
 	name := make([]byte, unix.PathMax)
 	size, _ := unix.Readlink(fmt.Sprintf("/proc/self/fd/%d", n.arguments[0]), name)
 	call := Call{Path: string(name[:max(0, size)])}
-	switch n.number {
+	switch n.syscall {
 	case unix.SYS_FSYNC, unix.SYS_FDATASYNC:
 		call.Operation = Sync
 	case unix.SYS_FTRUNCATE:
@@ -294,27 +294,27 @@
 	case unix.SYS_PWRITE64:
 		call.Operation = Write
 		call.Offset = int64(n.arguments[3])
-		call.Data = s.bytes(n.arguments[1], n.arguments[2])
+		call.Data = s.readBytes(n.arguments[1], n.arguments[2])
 	case unix.SYS_WRITE: // assumes a file opened with O_APPEND
 		call.Operation = Write
 		var info unix.Stat_t
 		if unix.Fstat(int(n.arguments[0]), &info) == nil {
 			call.Offset = info.Size
 		}
-		call.Data = s.bytes(n.arguments[1], n.arguments[2])
+		call.Data = s.readBytes(n.arguments[1], n.arguments[2])
 	}
 	return call
 }
 
-// bytes copies a range of this process's memory.
-func (s *supervisor) bytes(address, size uint64) []byte {
+// readBytes copies a range of this process's memory.
+func (s *supervisor) readBytes(address, size uint64) []byte {
 	data := make([]byte, size)
 	n, _ := unix.Pread(s.memory, data, int64(address))
 	return data[:max(0, n)]
 }
 
-// text copies a NUL-terminated string from this process's memory.
-func (s *supervisor) text(address uint64) string {
+// readString copies a NUL-terminated string from this process's memory.
+func (s *supervisor) readString(address uint64) string {
 	data := make([]byte, unix.PathMax)
 	n, _ := unix.Pread(s.memory, data, int64(address))
 	text, _, _ := strings.Cut(string(data[:max(0, n)]), "\x00")
--- a/internal/emulator/diskfault/recording.go
+++ b/internal/emulator/diskfault/recording.go
@@ -48,11 +48,11 @@
 	for _, c := range r.Calls[:call] {
 		d.apply(c)
 	}
-	images := []Image{d.image(d.names, everything)}
+	images := []Image{d.image(d.names, allChanges)}
 	if c := r.Calls[call]; c.Operation == Write && len(c.Data) > 1 {
 		c.Data = c.Data[:len(c.Data)/2]
 		d.apply(c)
-		images = append(images, d.image(d.names, everything))
+		images = append(images, d.image(d.names, allChanges))
 	}
 	return images
 }
@@ -67,7 +67,7 @@
 	}
 	var images []Image
 	for _, names := range []map[string]*file{d.durableNames, d.names} {
-		images = append(images, d.image(names, nothing), d.image(names, everything))
+		images = append(images, d.image(names, noChanges), d.image(names, allChanges))
 		longest := 0
 		for _, f := range names {
 			longest = max(longest, len(f.unsynced))
@@ -81,8 +81,8 @@
 	return images
 }
 
-func nothing(int) bool    { return false }
-func everything(int) bool { return true }
+func noChanges(int) bool  { return false }
+func allChanges(int) bool { return true }
 
 // file is the synced content of a file and the changes since then.
 type file struct {
@@ -120,7 +120,7 @@
 		if f == nil { // the file was removed while it was open
 			return
 		}
-		f.durable = f.content(everything)
+		f.durable = f.content(allChanges)
 		f.unsynced = nil
 	case Link:
 		if newName := filepath.Base(c.NewPath); d.names[newName] == nil { // link fails if the name exists
@@ -134,22 +134,22 @@
 	}
 }
 
-// image returns the folder's content with the given names, in which each file has the unsynced changes that kept
+// image returns the folder's content with the given names, in which each file has the unsynced changes that
 // selects.
-func (d *disk) image(names map[string]*file, kept func(position int) bool) Image {
+func (d *disk) image(names map[string]*file, selects func(position int) bool) Image {
 	image := Image{}
 	for name, f := range names {
-		image[name] = f.content(kept)
+		image[name] = f.content(selects)
 	}
 	return image
 }
 
-// content returns the file's content with the unsynced changes that kept selects.
-func (f *file) content(kept func(position int) bool) []byte {
+// content returns the file's content with the unsynced changes for which selects returns true.
+func (f *file) content(selects func(position int) bool) []byte {
 	content := append([]byte(nil), f.durable...)
 	for i, c := range f.unsynced {
 		switch {
-		case !kept(i):
+		case !selects(i):
 		case c.Operation == Truncate:
 			content = resized(content, c.Size)
 		default:
