--- a/internal/emulator/netfault/faults.go
+++ b/internal/emulator/netfault/faults.go
@@ -37,12 +37,12 @@
 type Faults struct {
 	mu     sync.Mutex
 	links  map[direction]Link // only links with a fault
-	chance keyhash.Source
+	random keyhash.Source
 }
 
 // New returns a network without faults. The seed determines all random decisions.
 func New(seed uint32) *Faults {
-	return &Faults{links: map[direction]Link{}, chance: keyhash.Source{Seed: seed ^ seedSalt}}
+	return &Faults{links: map[direction]Link{}, random: keyhash.Source{Seed: seed ^ seedSalt}}
 }
 
 // Change changes the faults of the link from one process to another. change must not call methods of Faults.
@@ -108,7 +108,7 @@
 
 // occurs draws whether an event of the given probability occurs. For a probability of 0 it uses no random number.
 func (f *Faults) occurs(probability float64) bool {
-	return probability > 0 && f.chance.Float64() < probability
+	return probability > 0 && f.random.Float64() < probability
 }
 
 // jitter draws the delay of one datagram or segment in addition to the link's delay.
@@ -116,5 +116,5 @@
 	if link.Jitter <= 0 {
 		return 0
 	}
-	return time.Duration(f.chance.Float64() * float64(link.Jitter))
+	return time.Duration(f.random.Float64() * float64(link.Jitter))
 }
--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -129,7 +129,7 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		if !f.hold(conn) {
+		if !f.track(conn) {
 			return
 		}
 		go f.forwardStream(conn, from, to, target)
@@ -138,7 +138,7 @@
 
 // forwardStream connects a stream to its target and forwards both directions until both have ended.
 func (f *Forwarder) forwardStream(client *net.TCPConn, from, to int, target string) {
-	defer f.release(client)
+	defer f.closeConn(client)
 	if !f.awaitSegment(from, to, client) { // a handshake needs both directions
 		return
 	}
@@ -147,10 +147,10 @@
 		_ = client.SetLinger(0) // the client sees a reset, as the target refused the connection
 		return
 	}
-	if !f.hold(server) {
+	if !f.track(server) {
 		return
 	}
-	defer f.release(server)
+	defer f.closeConn(server)
 	var both sync.WaitGroup
 	both.Go(func() { f.forward(from, to, client, server) })
 	both.Go(func() { f.forward(to, from, server, client) })
@@ -194,7 +194,7 @@
 			}
 		}
 		time.Sleep(blockedCheckInterval)
-		if !f.isHeld(conn) {
+		if !f.isTracked(conn) {
 			return false
 		}
 	}
@@ -206,15 +206,15 @@
 	return f.closed
 }
 
-func (f *Forwarder) isHeld(conn net.Conn) bool {
+func (f *Forwarder) isTracked(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.closed && f.conns[conn]
 }
 
-// hold registers a connection, so that Close closes it. If the forwarder is already closed it closes the connection and
-// returns false.
-func (f *Forwarder) hold(conn net.Conn) bool {
+// track registers a connection, so that Close closes it. If the forwarder is already closed it closes the connection
+// and returns false.
+func (f *Forwarder) track(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -225,8 +225,8 @@
 	return true
 }
 
-// release closes a connection and removes its registration.
-func (f *Forwarder) release(conn net.Conn) {
+// closeConn closes a connection and removes its registration.
+func (f *Forwarder) closeConn(conn net.Conn) {
 	f.mu.Lock()
 	delete(f.conns, conn)
 	f.mu.Unlock()
--- a/internal/emulator/netfault/forwarder_test.go
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -9,8 +9,8 @@
 
 const testPatience = 5 * time.Second
 
-// echoServer accepts streams and sends the data that it receives to a channel.
-func echoServer(t *testing.T) (addr string, received chan string) {
+// startRecordingServer accepts streams and sends the data that it receives to a channel.
+func startRecordingServer(t *testing.T) (addr string, received chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 // A segment that was being delayed when a cut began arrived during the cut. It must arrive after the cut instead.
 func TestDelayedSegmentDoesNotArriveDuringACut(t *testing.T) {
 	const delay, cut = 100 * time.Millisecond, 400 * time.Millisecond
-	target, received := echoServer(t)
+	target, received := startRecordingServer(t)
 	f := NewForwarder(New(1))
 	t.Cleanup(f.Close)
 	addr, err := f.Listen(1, 2, target)
