--- a/internal/emulator/cachestub/cache.go
+++ b/internal/emulator/cachestub/cache.go
@@ -83,7 +83,7 @@
 	defer c.mu.Unlock()
 	version, found := c.versions[key]
 	if found {
-		c.reportChange(logtrace.CacheEvent{Kind: logtrace.Served, Key: key, Version: version})
+		c.reportEvent(logtrace.CacheEvent{Kind: logtrace.Served, Key: key, Version: version})
 	}
 	return version, found
 }
@@ -93,7 +93,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.versions)
-	c.reportChange(logtrace.CacheEvent{Kind: logtrace.Emptied})
+	c.reportEvent(logtrace.CacheEvent{Kind: logtrace.Emptied})
 	c.closeConns()
 }
 
@@ -124,14 +124,14 @@
 	}
 }
 
-// reportChange completes an event and passes it to the report function. The caller holds mu.
-func (c *Cache) reportChange(record logtrace.CacheEvent) {
+// reportEvent completes an event and passes it to the report function. The caller holds mu.
+func (c *Cache) reportEvent(event logtrace.CacheEvent) {
 	if c.report == nil {
 		return
 	}
-	record.Cache = c.name
-	record.At = c.now()
-	c.report(record)
+	event.Cache = c.name
+	event.At = c.now()
+	c.report(event)
 }
 
 func (c *Cache) accept() {
@@ -209,10 +209,10 @@
 	_, found := c.versions[command.Key]
 	if command.Flush {
 		clear(c.versions)
-		c.reportChange(logtrace.CacheEvent{Kind: logtrace.Emptied})
+		c.reportEvent(logtrace.CacheEvent{Kind: logtrace.Emptied})
 	} else {
 		delete(c.versions, command.Key)
-		c.reportChange(logtrace.CacheEvent{Kind: logtrace.Deleted, Key: command.Key})
+		c.reportEvent(logtrace.CacheEvent{Kind: logtrace.Deleted, Key: command.Key})
 	}
 	if c.fault == CloseAfterCommand {
 		return nil
