--- a/internal/emulator/client/http.go
+++ b/internal/emulator/client/http.go
@@ -12,9 +12,9 @@
 	"dahliapin/internal/emulator/checker"
 )
 
-// How clients of HTTP state a request; the node is told so by its operator's file.
+// The paths and header names of HTTP clients. The operator's file configures a node to use the same ones.
 const (
-	PathPrefix           = "/k/" // before the key
+	PathPrefix           = "/k/" // followed by the key
 	ReadyPath            = "/ready"
 	IDHeader             = "X-Id"
 	ClassHeader          = "X-Grade"
@@ -22,11 +22,11 @@
 	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
-// ETag returns the entity tag of a value, as a cache has it.
+// ETag returns the entity tag that caches assign to a value.
 func ETag(value string) string { return strconv.Quote(value) }
 
-// httpRequest returns a request as it is sent by HTTP.
-func httpRequest(r *Request) string {
+// encodeHTTP encodes a request as an HTTP/1.1 message.
+func encodeHTTP(r *Request) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s%s HTTP/1.1\r\nHost: n\r\n", methodOf(r), PathPrefix, r.Key)
 	header := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\r\n", name, value) }
@@ -53,18 +53,18 @@
 	return http.MethodGet
 }
 
-// readHTTP reads the response to a request by HTTP.
+// readHTTP reads the HTTP response to a request.
 func readHTTP(in *bufio.Reader, r *Request) (Response, error) {
-	answer, err := http.ReadResponse(in, &http.Request{Method: methodOf(r)})
+	httpResponse, err := http.ReadResponse(in, &http.Request{Method: methodOf(r)})
 	if err != nil {
 		return Response{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxValueSize))
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxValueSize))
 	if err != nil {
 		return Response{}, err
 	}
-	response := Response{Final: checker.Failed, closes: answer.Close}
-	switch answer.StatusCode {
+	response := Response{Final: checker.Failed, closes: httpResponse.Close}
+	switch httpResponse.StatusCode {
 	case http.StatusOK:
 		response.Final = checker.Satisfied
 		response.Value = string(body)
@@ -72,15 +72,15 @@
 		response.Final = checker.Satisfied
 		response.Value = r.CachedValue
 		if r.CachedValue == "" {
-			response.InvalidReason = "a 304 that was not asked for"
+			response.InvalidReason = "the response is 304 Not Modified, but the request was not conditional"
 		}
 	case http.StatusServiceUnavailable:
 		response.Final = checker.Rejected
-		seconds, _ := strconv.Atoi(answer.Header.Get("Retry-After"))
+		seconds, _ := strconv.Atoi(httpResponse.Header.Get("Retry-After"))
 		response.RetryAfter = time.Duration(seconds) * time.Second
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		response.InvalidReason = "the answer is " + strings.TrimSpace(answer.Status)
+		response.InvalidReason = "the response has the unexpected status " + strings.TrimSpace(httpResponse.Status)
 	}
 	return response, nil
 }
--- a/internal/emulator/client/pool.go
+++ b/internal/emulator/client/pool.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"cmp"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -15,33 +16,34 @@
 
 const (
 	dialTimeout = time.Second
-	// defaultLateTolerance is how long after its deadline a response is still waited for: a late one is to be seen.
+	// defaultLateTolerance is the time after a request's deadline for which the client still waits, so that a late
+	// response is reported as late and not as missing.
 	defaultLateTolerance = 300 * time.Millisecond
-	// maxIdleConns is how many connections are kept for one node.
+	// maxIdleConns is the maximum number of idle connections to a node.
 	maxIdleConns = 512
 )
 
 var (
-	errSilent      = errors.New("no response in time")
+	errSilent      = errors.New("the node sent no response in time")
 	errAbandoned   = errors.New("the client abandoned the request")
-	errUnsolicited = errors.New("received bytes that belong to no request")
-	errUnanswered  = errors.New("the request was read, and the connection was closed without a response")
+	errUnsolicited = errors.New("the node sent data while no request was in flight")
+	errUnanswered  = errors.New("the node read the request and closed the connection without a response")
 )
 
 // Pool holds the connections to one node. Its methods may be called from any goroutine.
 type Pool struct {
 	Addr          string
-	HTTP          bool          // else by meta commands
-	LateTolerance time.Duration // after its deadline that a response is still waited for; 0 for a usual time
+	HTTP          bool          // sends HTTP requests instead of meta commands
+	LateTolerance time.Duration // time after its deadline for which a response is awaited; 0 for 300 ms
 
 	mu      sync.Mutex
-	idle    []*conn
-	conns   map[*conn]bool // all that are open
+	idle    []*conn        // most recently used last
+	conns   map[*conn]bool // all open connections
 	closed  bool
-	pending sync.WaitGroup // requests
+	pending sync.WaitGroup // requests in flight
 }
 
-// Send sends a request, and calls done with what became of it from another goroutine.
+// Send sends a request without blocking, and calls done with the response from another goroutine.
 func (p *Pool) Send(r *Request, done func(Response)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +60,8 @@
 	p.pending.Go(func() { done(p.roundTrip(idle, r)) })
 }
 
-// takeIdle returns the idle connection that was used last, or nil if there is none; under mu.
+// takeIdle removes and returns the most recently used idle connection, or returns nil if there is none. The caller
+// holds mu.
 func (p *Pool) takeIdle() *conn {
 	last := len(p.idle) - 1
 	if last < 0 {
@@ -69,15 +72,15 @@
 	return c
 }
 
-// roundTrip sends a request on an idle connection, or on a new one if that is nil. A request that crosses the end of a
-// used connection is sent again on a new one.
+// roundTrip sends a request on an idle connection, or on a new one if idle is nil. If the node closes a reused
+// connection before it has read the request, the request is sent again on a new connection.
 func (p *Pool) roundTrip(idle *conn, r *Request) Response {
 	sentAt := time.Now()
 	response, err := p.attempt(idle, r)
 	unsolicited := response.Unsolicited
-	// Asked in this order: without an error another request may use the connection already.
-	crossedEnd := isConnEnd(err) && idle != nil && idle.used
-	if crossedEnd && !r.ReuseOnly {
+	// idle.used is read only after an error: without one, another request may already use the connection.
+	closedBeforeRead := isClosedBeforeRead(err) && idle != nil && idle.used
+	if closedBeforeRead && !r.ReuseOnly {
 		response, err = p.attempt(nil, r)
 	}
 	response.Unsolicited = response.Unsolicited || unsolicited
@@ -87,18 +90,18 @@
 		response.Final = checker.Cut
 		response.Silent = errors.Is(err, errSilent)
 		response.Abandoned = errors.Is(err, errAbandoned)
-		response.NotSent = crossedEnd && r.ReuseOnly
+		response.NotSent = closedBeforeRead && r.ReuseOnly
 	}
 	return response
 }
 
-// isConnEnd reports whether a request met the end of its connection, and was not read.
-func isConnEnd(err error) bool {
+// isClosedBeforeRead reports whether the connection ended before the node had read the request.
+func isClosedBeforeRead(err error) bool {
 	return err != nil &&
 		!errors.Is(err, errSilent) && !errors.Is(err, errAbandoned) && !errors.Is(err, errUnanswered)
 }
 
-// attempt sends a request once, on a connection or on a new one if that is nil, and reads the response.
+// attempt sends a request on c, or on a new connection if c is nil, and reads the response.
 func (p *Pool) attempt(c *conn, r *Request) (Response, error) {
 	if c == nil {
 		var err error
@@ -107,7 +110,7 @@
 		}
 	}
 	if c.hasUnsolicited() {
-		p.drop(c)
+		p.discard(c)
 		return Response{Unsolicited: true}, errUnsolicited
 	}
 	response, err := p.exchange(c, r)
@@ -115,15 +118,15 @@
 		if c.used && isOrderlyEnd(err) && c.wasRead() {
 			err = errUnanswered
 		}
-		p.drop(c)
+		p.discard(c)
 		return response, err
 	}
 	c.used = true
-	p.keep(c, response.closes)
+	p.putIdle(c, response.closes)
 	return response, nil
 }
 
-// exchange writes a request and reads the response, within the time that the client waits.
+// exchange writes a request and reads the response, within the time for which the client waits.
 func (p *Pool) exchange(c *conn, r *Request) (Response, error) {
 	wait := r.Timeout + cmp.Or(p.LateTolerance, defaultLateTolerance)
 	abandons := r.AbandonAfter > 0 && r.AbandonAfter <= wait
@@ -133,14 +136,14 @@
 	if err := c.SetDeadline(time.Now().Add(wait)); err != nil {
 		return Response{}, err
 	}
-	encode, read := metaCommand, readMeta
+	encode, read := encodeMeta, readMeta
 	if p.HTTP {
-		encode, read = httpRequest, readHTTP
+		encode, read = encodeHTTP, readHTTP
 	}
 	var response Response
 	_, err := io.WriteString(c, encode(r))
 	if err == nil {
-		response, err = read(c.in, r)
+		response, err = read(c.reader, r)
 	}
 	switch {
 	case !isTimeout(err):
@@ -155,7 +158,7 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// dial opens a connection that the pool knows of.
+// dial opens a connection and registers it with the pool.
 func (p *Pool) dial() (*conn, error) {
 	c, err := dialNode(p.Addr)
 	if err != nil {
@@ -182,16 +185,17 @@
 	stream, ok := plain.(*net.TCPConn)
 	if !ok {
 		_ = plain.Close()
-		return nil, errors.New("not a TCP connection")
+		return nil, fmt.Errorf("the connection to %s is a %T and not a TCP connection", addr, plain)
 	}
-	return &conn{TCPConn: stream, in: bufio.NewReader(stream)}, nil
+	return &conn{TCPConn: stream, reader: bufio.NewReader(stream)}, nil
 }
 
-// keep keeps a connection for later requests, unless it ends or enough are kept.
-func (p *Pool) keep(c *conn, ends bool) {
+// putIdle returns a connection to the idle ones, or closes it if the node ends it, the pool is closed or there are
+// maxIdleConns idle connections already.
+func (p *Pool) putIdle(c *conn, closes bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || ends || len(p.idle) >= maxIdleConns {
+	if p.closed || closes || len(p.idle) >= maxIdleConns {
 		delete(p.conns, c)
 		_ = c.Close()
 		return
@@ -199,21 +203,23 @@
 	p.idle = append(p.idle, c)
 }
 
-func (p *Pool) drop(c *conn) {
+// discard closes a connection and removes it from the pool.
+func (p *Pool) discard(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// HasIdle tells whether a connection is open that no request uses.
+// HasIdle reports whether the pool has an idle connection.
 func (p *Pool) HasIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) > 0
 }
 
-// OpenConns counts the connections that the node holds open. Of idle ones the pool learns the end only now.
+// OpenConns returns the number of connections that the node keeps open. It checks each one in the kernel, as the pool
+// otherwise notices that an idle connection was closed only when it is next used.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +232,7 @@
 	return open
 }
 
-// Close ends all connections and waits for all requests.
+// Close closes all connections and waits for the requests in flight.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -237,7 +243,7 @@
 	p.pending.Wait()
 }
 
-// Ready tells whether the node accepts requests.
+// Ready reports whether the node accepts requests. It uses a connection of its own.
 func (p *Pool) Ready() bool {
 	c, err := dialNode(p.Addr)
 	if err != nil {
@@ -249,10 +255,10 @@
 	}
 	if p.HTTP {
 		_, _ = io.WriteString(c, "GET "+ReadyPath+" HTTP/1.1\r\nHost: n\r\n\r\n")
-		response, err := http.ReadResponse(c.in, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		return err == nil && response.StatusCode == http.StatusOK
 	}
 	_, _ = io.WriteString(c, "mn\r\n")
-	line, _ := c.in.ReadString('\n')
+	line, _ := c.reader.ReadString('\n')
 	return line == "MN\r\n"
 }
