--- a/policy/coalescing_test.go
+++ b/policy/coalescing_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// Guards against executing a write twice: a write that waited for capacity at the origin was sent to the cache where
-// another request's fetch had put its key. It took effect there, and again at the origin with the client's retry (soak,
-// seed 101).
+// Guards against executing a write twice: a write that waited for capacity at the origin was sent to the cache into
+// which another request's fetch had put the value of the same key. The write took effect there, and again at the origin
+// when the client retried it (soak, seed 101).
 func TestWaitingWriteGoesToTheOriginOnly(t *testing.T) {
 	h := newCacheAsideHarness(t)
 	h.router.origin.limit = 1
--- a/policy/decisions_test.go
+++ b/policy/decisions_test.go
@@ -31,8 +31,9 @@
 	compareHashes(t, hashesFile, newDriver)
 }
 
-// Covers a path that the streams above do not reach and that a release once changed: a read that waits at the origin
-// after its last replicas were full, while another request's fetch of its key ends. Here most attempts are rejected.
+// Covers a path that the streams of newDriver do not reach and that a release changed by mistake: a read that waits for
+// the origin after its last replicas were full, while another request's fetch of its key ends. Here most attempts are
+// rejected.
 func TestDecisionsUnderRejectionsMatchRecordedHashes(t *testing.T) {
 	compareHashes(t, rejectingFile, func(seed int64) *driver {
 		d := newDriver(seed)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,6 +1,6 @@
 // Package policy makes the routing decisions of one node: to which endpoint a request is sent, and when it is retried,
-// hedged, queued, rejected or failed. It does no I/O and has no goroutines, clocks or random source of its own:
-// the caller passes the time to each call and a seed to New, so that the same calls give the same decisions.
+// hedged, queued, rejected or failed. It does no I/O and has no goroutines, clocks or random source of its own: the
+// caller passes the time to each call and a seed to New, so that the same calls give the same decisions.
 //
 // # Use
 //
@@ -13,10 +13,11 @@
 //   - MayStart before it sends an attempt whose connection took time to open;
 //   - OnAttemptDone when an attempt has ended in any way, after it has closed the Attempt;
 //   - OnHealthCheck when a health check that Tick requested has ended;
-//   - Tick at the intervals that Tick returns; it carries out the Actions.
+//   - Tick at the intervals given by its last result; the caller carries out the resulting Actions.
 //
-// It carries out each Decision unchanged: it starts the attempts of SendTo and appends an Attempt for each, cancels
-// those of Cancel, and sends the Answer. A request is over once Finished is set and no attempt is in flight.
+// The caller carries out each Decision unchanged: it starts an attempt at each endpoint in SendTo and appends an
+// Attempt for it, cancels the attempts in Cancel, and sends the Answer. A request is over once Finished is set and no
+// attempt is in flight.
 //
 // # Path of a request
 //
@@ -26,26 +27,27 @@
 //     shed preference.
 //  2. hedge.go: if an attempt is in flight, decide on a hedge or a cancellation. hedgeOrCancel decides every hedge.
 //  3. retry.go: otherwise, decide whether another attempt is possible. If not, rejectOrFail answers with a rejection
-//     or a failure. No rejection or failure of this package comes from elsewhere (a node also rejects in
-//     degradation.Filter.Admit and in proxy.acceptRequest). It is called by firstOrRetry (no attempt, time or budget
-//     is left), by sendToReplica (admission sheds the request, or all queues are full) and by sendToOrigin (the
-//     request may not go to the origin, or the demand for its key is too low to wait there).
+//     or a failure. All rejections and failures of this package come from rejectOrFail (a node also rejects in
+//     degradation.Filter.Admit and in proxy.acceptRequest). Its callers are firstOrRetry (no attempt, time or budget
+//     is left), sendToReplica (admission sheds the request, or all queues are full) and sendToOrigin (the request may
+//     not go to the origin, or the demand for its key is too low to wait there).
 //  4. fetch.go: in cache-aside mode routeToOrigin sends writes and reads that missed to the origin: one read fetches a
 //     key while others wait (coalescing.go), within the concurrency limit (origin.go).
 //  5. send.go: all other requests go to a cache. replicas.go lists the caches that hold the key and can take it;
 //     selection.go picks one by load, rank and faults; admission.go may shed the request instead.
 //
-// mayattempt.go checks each attempt: what is safe to repeat, and which endpoints accept attempts at all.
+// mayattempt.go checks each attempt before it is sent: whether the endpoint accepts attempts, and whether the request
+// may be repeated there.
 //
 // OnAttemptDone passes the outcome to each component (recordOutcome in outcome.go), then decides on a retry and on the
 // waiters to wake.
 //
 // # State ownership
 //
-// Each component is a type in a file of its own and the only writer of its fields. What it needs of another component
-// it gets as an argument or reads; several components read the latency tracker's slowThreshold and responseTimeout. The
-// state of one endpoint is an upstream (endpoints.go), each of whose fields names the component that writes it; all of
-// it is reset when the endpoint's process restarts.
+// Each component is a type in a file of its own and the only writer of its fields. It gets the values of other
+// components as arguments, or reads them; several components read the latency tracker's slowThreshold and
+// responseTimeout. The state of one endpoint is an upstream (endpoints.go), each of whose fields names the component
+// that writes it; all of it is reset when the endpoint's process restarts.
 //
 //	endpointList        endpoints.go     the endpoint list; the placements derived from it (placement.go)
 //	pollSchedule        polling.go       when to poll for the list
@@ -61,7 +63,7 @@
 //	originLimit         origin.go        attempts that may be in flight at the origin; backoff from it
 //	coalescer           coalescing.go    which request fetches a key, and which wait
 //
-// Four values, each 0 for no shortage, describe how short the origin is of capacity. They are read as follows:
+// Four values describe how short of capacity the origin is; each is 0 if it is not. They are read as follows:
 //
 //   - shortage.share, the fraction of requests that found no capacity at the origin (in read-through mode, of the
 //     load offered to the home zone's caches that was not useful): shouldHedge and shouldFanOut, and the two values
@@ -92,6 +94,6 @@
 //
 // Decisions are reproducible: hashes over all decisions for recorded seeds are in testdata/decisions.txt and
 // testdata/decisions-rejecting.txt. They depend on the order of random draws and on the order of floating-point
-// operations, so a change of either changes them. For this reason some draws come before conditions that would be
-// cheaper to check.
+// operations, so a change of either changes them. For this reason some random numbers are drawn before conditions that
+// would be cheaper to check.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -16,7 +16,7 @@
 	health   observedHealth // written by outlierDetector
 	// nextAttemptAt is when the next attempt may start in slow start; 0 before the first. Written by slowStart.
 	nextAttemptAt Instant
-	// notifiedState is the state that observers were last notified of. Written by Router.NotifyStateChanges.
+	// notifiedState is the state that the observer was last notified of. Written by Router.NotifyStateChanges.
 	notifiedState EndpointState
 }
 
@@ -42,7 +42,7 @@
 	byID     map[EndpointID]*upstream
 	caches   []*upstream // without the origin, sorted by hash
 	origin   *upstream   // nil in read-through mode, and while the list has none
-	// zoneLocal reports whether the home zone has a placement of its own.
+	// zoneLocal is set if the home zone has a placement of its own.
 	zoneLocal bool
 	// placements holds the placements of homeZone (index 0) and allZones (index 1, which also serves otherZones); nil
 	// until first needed.
@@ -152,8 +152,8 @@
 	return l.placements[index]
 }
 
-// lookup returns the cache at the location of a key in a segment; nil if the segment is empty. Slots of unreachable
-// caches pass their keys to their left neighbours.
+// lookup returns the cache at the location of a key in a segment; nil if the segment is empty. A key whose slot has an
+// unreachable cache is looked up in the left neighbour of the slot.
 func (l *endpointList) lookup(now Instant, scope placementScope, segment int, key uint64) *upstream {
 	unreachable := func(u *upstream) bool { return u.health.unreachable(now) }
 	return l.placement(scope)[segment].lookup(keyhash.Salted(key, segmentCount+segment), unreachable)
--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -6,14 +6,14 @@
 // it.
 type EndpointState int
 
-// The endpoint states. Router.endpointState decides which one is reported if several apply.
+// The endpoint states. If several apply to an endpoint, Router.endpointState decides which one is reported.
 const (
 	StateInUse        EndpointState = iota
 	StateWarmingUp                  // in slow start
 	StateOverloaded                 // its queue exceeds the queueing time that the longest latency objective allows
 	StateFailing                    // requests of at least one class avoid it because of errors
 	StateUnresponsive               // it does not respond, or is ejected for that
-	StateUnreachable                // it accepts no connections; its slots pass their keys to their neighbours
+	StateUnreachable                // it accepts no connections; its keys are looked up in the neighbouring slot
 	StateDraining                   // it is draining according to the endpoint list
 )
 
@@ -22,8 +22,8 @@
 	return [...]string{"in use", "warming", "crowded", "erring", "quiet", "refusing", "drains"}[s]
 }
 
-// NotifyStateChanges calls observe for each cache whose state differs from the one that observe last got for it, at first
-// StateInUse.
+// NotifyStateChanges calls observe for each cache whose state has changed since the previous call. Before its first
+// notification, and again after its process restarts, a cache counts as StateInUse.
 func (router *Router) NotifyStateChanges(now Instant, observe func(EndpointID, EndpointState)) {
 	delay := router.latency.queueDelay() // once for all caches: this runs ten times a second over thousands of them
 	maxQueueing := float64(delay.maxQueueingTime(router.settings.longestObjective()))
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Operators read these names in the event log. Each change must be reported once.
-func TestEndpointStatesReportsEachChangeOnce(t *testing.T) {
+// Operators read these names in the event log, so they must not change. Each change of a state must be reported once.
+func TestNotifyStateChangesReportsEachChangeOnce(t *testing.T) {
 	now := Instant(time.Minute)
 	for _, c := range []struct {
 		state EndpointState
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -3,7 +3,8 @@
 // routeToOrigin decides on a request bound for the origin: a write, a read that missed, or a read whose last attempt
 // goes there. One read fetches a key while others wait. A request that finds no capacity waits too, unless the demand
 // for its key is low compared with other keys that are waiting. A read whose value has been fetched by another request
-// goes to the cache that now holds it; if that cache cannot take it, it goes to the origin or waits again.
+// goes to the cache that now holds the value; if that cache cannot take the read, the read goes to the origin or waits
+// again.
 func (router *Router) routeToOrigin(now Instant, r *Request) Decision {
 	cached := router.endpoints.byID[router.coalescer.takeCachedAt(r)]
 	if cached != nil && router.mayAttempt(now, r, cached) {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -8,7 +8,8 @@
 const (
 	// tokensPerRequest is what each request adds to the budget. It is enough to hedge the slowest 5% of attempts.
 	tokensPerRequest = 0.05
-	// maxTokens is the maximum of the budget. It covers the requests in flight at one cache that stops responding.
+	// maxTokens is the maximum of the budget. It suffices for the requests in flight at one cache that stops
+	// responding.
 	maxTokens = 10
 	// minTokens is the lowest balance to which retries may overdraw the budget.
 	minTokens = -1
@@ -39,15 +40,15 @@
 	b.tokens--
 }
 
-// recordFailedAttempt takes a token for a failed attempt, down to minTokens.
+// recordFailedAttempt removes a token for a failed attempt, down to minTokens.
 func (b *extraAttemptBudget) recordFailedAttempt() {
 	b.tokens = max(minTokens, b.tokens-1)
 }
 
 // hedgeOrCancel decides on a request with an attempt in flight, given by its index: to hedge it, to cancel it if it
-// counts as lost, or to review it later. Only reads that may be repeated are hedged or cancelled. It cancels only where
-// hedging is off or the attempt is at the origin: elsewhere a lost attempt stays in flight even if no hedge is
-// possible.
+// counts as lost, or to review it later. Only reads that may be repeated are hedged or cancelled. An attempt is
+// cancelled only if hedging is off or the attempt is at the origin: any other lost attempt stays in flight even if no
+// hedge is possible.
 func (router *Router) hedgeOrCancel(now Instant, r *Request, attemptIndex int) Decision {
 	if r.Write || r.state.class.Idempotency == NotIdempotent {
 		return Decision{}
@@ -120,7 +121,8 @@
 	return router.extraAttempts.allowsHedge() && now.Since(attempt.SentAt) > lostAfter
 }
 
-// cancelRemaining returns the indices of the attempts in flight of a finished request.
+// cancelRemaining returns the indices of the attempts to cancel once a request is finished: all that are in flight, if
+// the settings allow cancelling.
 func (router *Router) cancelRemaining(r *Request) []int {
 	if !r.Finished || !router.settings.CancelAllowed || !slices.ContainsFunc(r.Attempts, isInFlight) {
 		return nil
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -28,21 +28,21 @@
 func TestLostOriginReadIsCancelledAndRetriedWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		saved     float64
+		tokens    float64
 		sentAgain bool
 	}{
-		{name: "budget", saved: 5, sentAgain: true},
-		{name: "no budget", saved: 0.5, sentAgain: false},
+		{name: "budget", tokens: 5, sentAgain: true},
+		{name: "no budget", tokens: 0.5, sentAgain: false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newCacheAsideHarness(t)
-			h.router.extraAttempts.tokens = c.saved
+			h.router.extraAttempts.tokens = c.tokens
 			r, _ := h.arrive("k", readClass, false)
 			h.end(r, 0, CacheMiss)
 			h.advance(300 * ms)
 			cancelled := len(r.Attempts) == 3 && r.Attempts[1].Result == Cancelled
 			if sentAgain := cancelled && r.Attempts[2].Endpoint == "origin"; sentAgain != c.sentAgain {
-				t.Errorf("with %v tokens the attempts are %v", c.saved, r.Attempts)
+				t.Errorf("with %v tokens the attempts are %v", c.tokens, r.Attempts)
 			}
 			if inFlight := h.router.endpoints.origin.load.inFlight; inFlight != 1 {
 				t.Errorf("%d attempts count as in flight at the origin, want 1", inFlight)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -77,7 +77,7 @@
 		settings.HealthChecksAllowed = hedging
 		h := newHarness(t, settings, testFleet(9, cacheAside))
 		for i := 0; i+1 < len(steps) && i < 1000; i += 2 {
-			h.playStep(steps[i], int(steps[i+1]))
+			h.runStep(steps[i], int(steps[i+1]))
 		}
 		h.advance(time.Second)
 		for _, r := range h.requests {
@@ -88,8 +88,8 @@
 	})
 }
 
-// playStep runs one generated event.
-func (h *harness) playStep(kind byte, argument int) {
+// runStep runs one generated event.
+func (h *harness) runStep(kind byte, argument int) {
 	switch {
 	case kind < 100:
 		h.arrive(fmt.Sprint("key", argument%7), ClassID(argument%6)-1, argument%3 == 0)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -37,14 +37,15 @@
 }
 
 // refresh recomputes slowThreshold and responseTimeout. Until there are enough observations they follow the strictest
-// latency objective. They are never too short for the caller's timers to tell apart.
+// latency objective. They are never shorter than the caller's timers can distinguish.
 func (t *latencyTracker) refresh() {
 	objective := t.settings.shortestObjective()
 	t.slowThreshold = max(t.all.Quantile(0.95, objective/2), 2*t.settings.TickInterval)
 	t.responseTimeout = max(2*t.all.Quantile(0.99, objective), 4*t.settings.TickInterval)
 }
 
-// lateProbability returns the probability that an attempt that has been in flight for elapsed misses its objective.
+// lateProbability returns the probability that an attempt that has been in flight for the time elapsed will miss its
+// objective.
 func (t *latencyTracker) lateProbability(elapsed, objective time.Duration) float64 {
 	return t.all.CountAbove(objective) / max(1, t.all.CountAbove(elapsed))
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Without measurements, the thresholds are derived from the strictest objective. They are never too short for the
-// caller's timers to tell apart.
+// Without measurements, the thresholds are derived from the strictest objective. They are never shorter than the
+// caller's timers can distinguish.
 func TestLatencyThresholdDefaultsAndLowerBounds(t *testing.T) {
 	settings := testSettings()
 	tracker := latencyTracker{settings: &settings}
--- a/policy/load.go
+++ b/policy/load.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// recordReport records the load report of an attempt. ownInFlight counts this router's attempts at the endpoint,
-// including the one that ended. A report of all requests in flight includes them, so they are subtracted. A report of
-// the queue does not include most of them, since most are being processed.
+// recordReport records the load report of an attempt. ownInFlight is the number of this router's attempts at the
+// endpoint, including the one that ended. A report of all requests in flight includes these attempts, so they are
+// subtracted. A report of the queue does not include most of them, since most are being processed.
 func (e *loadEstimator) recordReport(now Instant, u *upstream, isOrigin bool, ownInFlight int, report []float64) {
 	inFlight := e.settings.InFlightColumn
 	queue := e.settings.QueueColumn
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -11,15 +11,15 @@
 	h := newHarness(t, settings, testFleet(45, false))
 	h.loadReport = []float64{60}
 	h.drive(100, 60*ms, distinctKey, always(Answered))
-	oneInFiveCrowded := func(i int, _ EndpointID) Result {
+	oneInFiveOverloaded := func(i int, _ EndpointID) Result {
 		h.loadReport = []float64{60}
 		if i%5 > 0 {
 			h.loadReport = []float64{1}
 		}
 		return Answered
 	}
-	h.drive(400, 60*ms, distinctKey, oneInFiveCrowded)
-	if _, sent := h.drive(100, 60*ms, distinctKey, oneInFiveCrowded); sent < 40 {
+	h.drive(400, 60*ms, distinctKey, oneInFiveOverloaded)
+	if _, sent := h.drive(100, 60*ms, distinctKey, oneInFiveOverloaded); sent < 40 {
 		t.Errorf("%d of 100 requests were sent while four of five caches are idle", sent)
 	}
 }
@@ -30,10 +30,10 @@
 	settings := testSettings()
 	settings.InFlightColumn = 0
 	estimator := loadEstimator{settings: &settings}
-	crowded := &upstream{}
-	estimator.recordReport(1, crowded, false, 1, []float64{61})
-	if crowded.load.externalLoad != 60 {
-		t.Errorf("external load is %v after a report of 61 with 1 own attempt, want 60", crowded.load.externalLoad)
+	overloaded := &upstream{}
+	estimator.recordReport(1, overloaded, false, 1, []float64{61})
+	if overloaded.load.externalLoad != 60 {
+		t.Errorf("external load is %v after a report of 61 with 1 own attempt, want 60", overloaded.load.externalLoad)
 	}
 	if estimator.meanExternalLoad > 1/reportWindow {
 		t.Errorf("a single report of 61 raised the mean from 0 to %v", estimator.meanExternalLoad)
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -31,8 +31,8 @@
 	// 2,000 nodes that is more than its upper bound, maxProcessesPerNode times the stagger, so the bound applies. In a
 	// small fleet the stagger is 0, and so is the backoff.
 	initialOriginRejections = 4
-	// maxProcessesPerNode is how many processes of each configured node may run at once: two during an upgrade. The
-	// longest backoff must be sufficient for all of them.
+	// maxProcessesPerNode is how many processes of each configured node may run at the same time: two during an
+	// upgrade. The longest backoff must leave time for an attempt of each.
 	maxProcessesPerNode = 2.0
 	// staggerDivisor is the divisor of the stagger that gives the period over which nodes spread their first attempts.
 	staggerDivisor = 3
@@ -61,14 +61,13 @@
 	// rejections counts consecutive rejections.
 	rejections   float64
 	backoffUntil Instant // no attempts are sent before this time
-	// stagger is how many times slowThreshold a fleet needs until each node has had an attempt, if initialOriginLimit
-	// nodes have one at a time; two of these rounds are not counted. It is 0 for fleets of up to twice
-	// initialOriginLimit nodes.
+	// stagger is the time, as a multiple of slowThreshold, in which every node of the fleet can make one attempt if
+	// initialOriginLimit nodes do so at a time, less two. It is 0 for fleets of up to twice initialOriginLimit nodes.
 	stagger float64
 }
 
-// newOriginLimit returns the limit of a node that starts now. It draws the start-up delay from the latency's slow
-// threshold, so latency must have been refreshed.
+// newOriginLimit returns the limit of a node that starts now. Its random start-up delay depends on the slowThreshold of
+// latency, which must have been refreshed before.
 func newOriginLimit(now Instant, settings *Settings, rng *keyhash.Source, latency *latencyTracker) originLimit {
 	nodes := float64(settings.Nodes)
 	o := originLimit{
@@ -97,8 +96,8 @@
 	o.nextAt = now.Add(time.Duration(float64(o.smoothedLatency) / o.limit))
 }
 
-// record records the end of an attempt whose result depends on the origin's load.
-func (o *originLimit) record(now Instant, ended endedAttempt) {
+// recordEnd records the end of an attempt whose result depends on the origin's load.
+func (o *originLimit) recordEnd(now Instant, ended endedAttempt) {
 	latency := ended.latency
 	if ended.Result == Rejected {
 		// A fast rejection does not show how long the origin takes to serve a request.
@@ -146,8 +145,8 @@
 
 // backOff delays further attempts after a rejection. The first rejection after another result is weak evidence and
 // causes no delay, since 4^0-1 = 0. Before the first other result, rejections starts at initialOriginRejections, so
-// even the first rejection may cause one. After more of them all nodes may be affected, and the jitter keeps them from
-// returning simultaneously.
+// even the first rejection may cause one. After several rejections, all nodes may be backing off, and the jitter
+// prevents them from returning at the same time.
 func (o *originLimit) backOff(now Instant) {
 	o.rejections++
 	jitter := 0.5 + o.rng.Float64()
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -23,23 +23,23 @@
 }
 
 // Guards against a limit that is too high when a burst of misses arrives: the limit grew with every answer in time
-// although it was not used. It may grow to at most twice the attempts in flight.
+// although few attempts were in flight. It may grow to at most twice the attempts in flight.
 func TestOriginLimitGrowsOnlyWithUse(t *testing.T) {
 	for _, c := range []struct {
-		together int // attempts in flight at once
-		want     float64
+		concurrent int // attempts in flight at once
+		want       float64
 	}{{1, 2}, {2, 4}} {
-		t.Run(fmt.Sprint(c.together), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.concurrent), func(t *testing.T) {
 			h := newCacheAsideHarness(t)
 			h.router.origin.limit = 2
-			for i := range 100 * c.together {
+			for i := range 100 * c.concurrent {
 				r, _ := h.arrive(distinctKey(i), readClass, false)
 				h.end(r, 0, CacheMiss)
-				if i%c.together < c.together-1 {
+				if i%c.concurrent < c.concurrent-1 {
 					continue
 				}
 				h.advance(20 * ms)
-				for _, r := range h.requests[i-c.together+1:] {
+				for _, r := range h.requests[i-c.concurrent+1:] {
 					h.end(r, 1, Answered)
 				}
 			}
@@ -87,7 +87,7 @@
 	for range 40 {
 		for _, latency := range []time.Duration{objective / 4, objective * 3 / 4} {
 			now = now.Add(time.Second)
-			origin.record(now, endedAttempt{
+			origin.recordEnd(now, endedAttempt{
 				Attempt:   Attempt{Result: Answered},
 				latency:   latency,
 				objective: objective,
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -45,7 +45,7 @@
 		return
 	}
 	if atOrigin {
-		router.origin.record(now, ended)
+		router.origin.recordEnd(now, ended)
 		return
 	}
 	router.recordUsefulness(u, ended)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -18,7 +18,7 @@
 	// scorePerError is the score of an error: two errors reach maxErrorScore.
 	scorePerError = 2
 	// scorePerBrokenConn is the score of a broken connection: four reach maxErrorScore. A connection that breaks during
-	// an attempt does not predict the next one, and an endpoint that is gone refuses connections anyway.
+	// an attempt does not predict whether the next one breaks, and an endpoint that is gone refuses connections anyway.
 	scorePerBrokenConn = 1
 	// outlierStep is the fraction of the distance to 1 by which an error raises the outlier score.
 	outlierStep = 0.5
@@ -78,8 +78,8 @@
 }
 
 // unresponsive reports whether an endpoint is ejected, or has not responded to an attempt for longer than
-// responseTimeout. After an ejection, a single attempt, or a health check where those are allowed, tests whether the
-// endpoint has recovered.
+// responseTimeout. After an ejection, a single attempt, or a health check if the settings allow these, tests whether
+// the endpoint has recovered.
 func (d *outlierDetector) unresponsive(now Instant, u *upstream) bool {
 	if now < u.health.ejectedUntil {
 		return true
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -85,7 +85,7 @@
 }
 
 // Guards against avoiding a cache indefinitely: the wasted share changed only with further attempts, and a cache with a
-// high share seldom got one.
+// high wasted share rarely got one.
 func TestWastedShareDecaysWithoutAttempts(t *testing.T) {
 	h := newReadThroughHarness(t)
 	u := h.cache("cache-0")
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -21,19 +21,19 @@
 		placeOf[i/places] = unassigned
 	}
 	slices.Sort(pairs)
-	held := make([]int, places)
-	least := len(hashes) / places
-	extra := len(hashes) % places
+	assigned := make([]int, places)
+	minPerPlace := len(hashes) / places
+	remainder := len(hashes) % places
 	for _, pair := range pairs {
 		item := int(pair&mask) / places
 		place := int(pair&mask) % places
-		hasRoom := held[place] < least || held[place] == least && extra > 0
+		hasRoom := assigned[place] < minPerPlace || assigned[place] == minPerPlace && remainder > 0
 		if placeOf[item] != unassigned || !hasRoom {
 			continue
 		}
-		held[place]++
-		if held[place] > least {
-			extra--
+		assigned[place]++
+		if assigned[place] > minPerPlace {
+			remainder--
 		}
 		placeOf[item] = place
 	}
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxPollBackoffSteps limits how often the backoff between failed polls doubles from tickPeriod, to a mean of 3.2
-	// s.
+	// maxPollBackoffSteps limits how often the backoff between failed polls doubles, starting at tickPeriod: its mean
+	// is at most 3.2 s.
 	maxPollBackoffSteps = 5
 	// minPollInterval keeps a setting that is too low from overloading the discovery service.
 	minPollInterval = time.Second
@@ -39,7 +39,7 @@
 	s.nextAt = noPollDue
 }
 
-// takeDue reports whether a poll is due now, and if so schedules the next one.
+// takeDue reports whether a poll is due, and if so schedules the next one.
 func (s *pollSchedule) takeDue(now Instant) bool {
 	if !s.settings.PollEndpoints || now < s.nextAt {
 		return false
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,9 +6,9 @@
 	// minAttemptTimeDivisor defines the least time for an attempt, as a fraction of the slow threshold: few attempts
 	// are answered within an eighth of it.
 	minAttemptTimeDivisor = 8
-	// lastAttemptShortageFactor multiplies the origin's shortage level for reads whose last attempt would go there, so
-	// that at a shortage level of a quarter or more, no last attempt goes to the origin: a full cache does not justify
-	// loading an origin that is short of capacity.
+	// lastAttemptShortageFactor is the factor from the origin's shortage level to the probability that a read's last
+	// attempt does not go to the origin. At a shortage level of a quarter or more, none goes there: a full cache does
+	// not justify more load on an origin that is short of capacity.
 	lastAttemptShortageFactor = 4.0
 )
 
@@ -40,8 +40,9 @@
 }
 
 // lastAttemptAtOrigin reports whether a read that has one attempt left after a full cache rejected it goes to the
-// origin: another replica may be full too, or lack the value. This requires that the origin has capacity and is almost
-// never late. The random draw precedes the cheaper conditions because recorded decisions depend on the order of draws.
+// origin: another replica may be full too, or lack the value. This requires that the origin has capacity and rarely
+// answers late. The random draw precedes the cheaper conditions because recorded decisions depend on the order of
+// draws.
 func (router *Router) lastAttemptAtOrigin(now Instant, r *Request, shortageLevel float64) bool {
 	origin := router.endpoints.origin
 	if origin == nil || router.origin.available(now, origin) <= 0 {
--- a/policy/router.go
+++ b/policy/router.go
@@ -109,7 +109,7 @@
 		router.recordOutcome(now, u, r, outcome)
 	}
 	// A failed attempt costs a token, whether or not a retry follows. Attempts that were not executed are free, and so
-	// are broken connections, which do not predict the result of the next one.
+	// are broken connections, since one that breaks does not predict whether the next attempt fails.
 	chargesFailure := !attempt.Result.NotExecuted() && attempt.Result != ConnectionBroken
 	if !r.Finished && chargesFailure {
 		router.extraAttempts.recordFailedAttempt()
@@ -135,7 +135,8 @@
 	}
 }
 
-// Tick does the periodic work. It returns the time until the next call, and actions for the caller to carry out.
+// Tick does the periodic work. It returns the time until the next call, and the actions that the caller has to carry
+// out.
 func (router *Router) Tick(now Instant) (wait time.Duration, actions []Action) {
 	router.ticks++
 	if router.ticks%ticksPerDecay == 0 {
@@ -144,7 +145,7 @@
 	if !router.settings.CacheAside {
 		// In read-through mode the origin is hidden behind the caches, so load that was not useful is attributed to an
 		// origin shortage.
-		router.shortage.setLostShare(router.admission.notUsefulShare(homeZone))
+		router.shortage.setShare(router.admission.notUsefulShare(homeZone))
 	}
 	router.latency.refresh()
 	router.slowStart.refreshRate(now, router.endpoints.caches)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// affinityAttempts is how many more attempts an earlier replica may have in flight than the next one while the
-	// origin is short: a fetch costs more than a short queue.
+	// affinityAttempts is the number of attempts in flight by which an earlier replica may exceed the next one and
+	// still be preferred, at an affinity of 1: a fetch costs more than a short queue.
 	affinityAttempts = 4.0
 	// crossZoneAttempts is the number of attempts in flight that a cross-zone cost of 1 is worth. It is high because
 	// the cost of crossing is certain, whereas a queue may shrink.
@@ -23,10 +23,10 @@
 	outlierTieFactor = 2
 	// connectTieCost is the tie-break cost of a new connection: less than that of half of the attempts wasted.
 	connectTieCost = 2.0
-	// idleMargin is the time before the idle timeout from which a connection is assumed to be closed.
+	// idleMargin is how long before its idle timeout a connection is assumed to be closed.
 	idleMargin = time.Second
-	// maxEarlySaturation is the largest factor by which a queue counts as full sooner for requests with a high shed
-	// preference.
+	// maxEarlySaturation is the largest factor that multiplies the queueing time of a request with a high shed
+	// preference, so that a queue counts as full earlier for it.
 	maxEarlySaturation = 2.0
 )
 
@@ -52,14 +52,14 @@
 }
 
 // leastLoaded selects the least loaded replica that was not tried yet and whose queue leaves enough time. While the
-// origin is short, earlier replicas may have a few more attempts in flight. The margin is random, since a fixed one
-// would always decide between equal loads.
+// origin is short of capacity, earlier replicas may have a few more attempts in flight. That margin is random, since a
+// fixed one would always decide between equal loads.
 func (router *Router) leastLoaded(now Instant, r *Request, replicas []*upstream) selection {
-	perRank := max(0, affinityAttempts*router.shortage.affinity()-router.rng.Float64())
-	perRankTie := rankTieCost
+	costPerRank := max(0, affinityAttempts*router.shortage.affinity()-router.rng.Float64())
+	tieCostPerRank := rankTieCost
 	if len(replicas) > replicaCount { // the reads of a hot key are spread over all of its replicas
-		perRank = 0
-		perRankTie = 0
+		costPerRank = 0
+		tieCostPerRank = 0
 	}
 	objective := r.state.class.LatencyObjective
 	timeLeft := max(r.timeToObjective(now), objective/2)
@@ -71,8 +71,8 @@
 	leastCost := math.Inf(1)
 	for rank, u := range replicas {
 		load := router.load.estimate(now, u)
-		// tieBreakCost draws a random number for each replica, including those that are passed over below.
-		cost := load + perRank*float64(rank) + router.tieBreakCost(now, u, perRankTie*float64(rank))
+		// tieBreakCost draws a random number for each replica, including those that are skipped below.
+		cost := load + costPerRank*float64(rank) + router.tieBreakCost(now, u, tieCostPerRank*float64(rank))
 		if u.Zone != router.settings.Zone {
 			cost += crossZoneAttempts * router.settings.CrossZoneCost
 		}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -74,8 +74,8 @@
 	if late := h.router.admission.controllers[homeZone].useful - usefulBefore; late != 0.5 {
 		t.Errorf("a late answer counts as %v, want the LateValue of 0.5", late)
 	}
-	if foreign := h.cache(decision.SendTo[0]).load.externalLoad; foreign != 2 {
-		t.Errorf("a reported queue of 2 counts as an external load of %v", foreign)
+	if external := h.cache(decision.SendTo[0]).load.externalLoad; external != 2 {
+		t.Errorf("a reported queue of 2 counts as an external load of %v", external)
 	}
 	h.loadReport[0] = 5
 	if _, sent := h.drive(60, 280*ms, distinctKey, always(Answered)); sent > 40 {
--- a/policy/send.go
+++ b/policy/send.go
@@ -31,8 +31,8 @@
 	case selected.endpoint != nil:
 		return router.send(now, r, selected.endpoint)
 	case !selected.saturated && router.mayBypassCaches(r):
-		// routeToOrigin is not used here: a cache that another request's fetch has filled could not take this request
-		// just now.
+		// routeToOrigin is not called: it may send the request to the cache that another request's fetch has filled,
+		// but no cache can take this request now.
 		return router.sendToOrigin(now, r)
 	}
 	return router.rejectOrFail(r)
@@ -67,7 +67,7 @@
 		r.state.class.Idempotency == Idempotent
 }
 
-// send returns the decision to start attempts of a request at endpoints, and records their start.
+// send returns the decision to start an attempt at each of the endpoints, and records these attempts as started.
 func (router *Router) send(now Instant, r *Request, endpoints ...*upstream) Decision {
 	decision := Decision{
 		AttemptDeadline: now.Add(router.timeLeft(now, r)),
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Guards against unnecessary zone crossings: half of all keys once crossed zones, each at a cost. Reads must stay in
-// the home zone unless it cannot serve them, or the origin is too short of capacity for each zone to have its own
-// replicas.
+// Guards against unnecessary zone crossings: the reads of half of all keys crossed zones, each at a cost. Reads must
+// stay in the home zone unless it cannot serve them, or the origin is too short of capacity for each zone to have its
+// own replicas.
 func TestReadsStayInHomeZoneUnlessItCannotServe(t *testing.T) {
 	type event func(*harness, *upstream)
 	nothing := func(*harness, *upstream) {}
--- a/policy/shortage.go
+++ b/policy/shortage.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// setLostShare sets the share, in read-through mode.
-func (s *shortage) setLostShare(lost float64) {
-	s.share = lost
+// setShare sets the share, in read-through mode.
+func (s *shortage) setShare(share float64) {
+	s.share = share
 }
 
 // recordRequest counts a request for the cost of misses.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -24,20 +24,20 @@
 // keys that grows with the endpoint's progress, so that all nodes send it the same keys; and a gap between attempts, so
 // that a popular key or a retry storm cannot overload it.
 type slowStart struct {
-	settings        *Settings
-	rng             *keyhash.Source
-	keysPerProgress float64 // factor from progress to the share of the keys that is sent to the endpoint; at least 1
-	maxGap          float64 // longest gap between attempts, in nanoseconds
+	settings       *Settings
+	rng            *keyhash.Source
+	keyShareFactor float64 // share of the keys sent to the endpoint, as a multiple of its progress; at least 1
+	maxGap         float64 // longest gap between attempts, in nanoseconds
 	// steadyRate is the number of attempts that a warm cache of weight 1 answered during rateWindow.
 	steadyRate float64
 }
 
 func newSlowStart(settings *Settings, rng *keyhash.Source) slowStart {
 	return slowStart{
-		settings:        settings,
-		rng:             rng,
-		keysPerProgress: max(1, usableOverloadShare*settings.OverloadFactor),
-		maxGap:          float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/gapScalingNodes),
+		settings:       settings,
+		rng:            rng,
+		keyShareFactor: max(1, usableOverloadShare*settings.OverloadFactor),
+		maxGap:         float64(settings.SlowStartDuration) * max(1, float64(settings.Nodes)/gapScalingNodes),
 	}
 }
 
@@ -57,14 +57,14 @@
 	if u.nextAttemptAt == 0 {
 		s.scheduleNext(now, u, s.rng.Float64())
 	}
-	keyAdmitted := float64(keyhash.Mix(key^u.hash)) <= s.keysPerProgress*progress*(1<<64)
+	keyAdmitted := float64(keyhash.Mix(key^u.hash)) <= s.keyShareFactor*progress*(1<<64)
 	return keyAdmitted && now >= u.nextAttemptAt
 }
 
-// scheduleNext sets when the next attempt may start: after a fraction of the gap, where 1 is the whole gap.
-func (s *slowStart) scheduleNext(now Instant, u *upstream, part float64) {
-	gap := rateWindow / (s.keysPerProgress * s.progress(now, u) * s.steadyRate * u.Weight)
-	u.nextAttemptAt = now.Add(time.Duration(part * min(s.maxGap, gap)))
+// scheduleNext sets when the next attempt may start: after the given fraction of the gap, from 0 to 1.
+func (s *slowStart) scheduleNext(now Instant, u *upstream, fraction float64) {
+	gap := rateWindow / (s.keyShareFactor * s.progress(now, u) * s.steadyRate * u.Weight)
+	u.nextAttemptAt = now.Add(time.Duration(fraction * min(s.maxGap, gap)))
 }
 
 // refreshRate recomputes the steady rate over all caches.
--- a/policy/types.go
+++ b/policy/types.go
@@ -77,7 +77,7 @@
 	Nodes               int            // number of nodes that share the traffic; values under 1 count as 1
 	CacheAside          bool           // the router sends misses and writes to the origin; else the caches do
 	OriginKind          int            // Endpoint.Kind of the origin; only read if CacheAside
-	PollEndpoints       bool           // the endpoint list has to be polled
+	PollEndpoints       bool           // the endpoint list has to be polled; else updates are pushed
 	OverQuotaWeight     float64        // multiplies the priority weight of requests over their tenant's quota
 	CrossZoneCost       float64        // cost of an attempt that crosses zones, as a fraction of a request's value
 	WasteCost           float64        // cost of a hedge whose answer isn't used, as a fraction of a request's value
@@ -92,8 +92,8 @@
 	SlowStartShare      float64        // fraction of its capacity that an endpoint has when it starts
 	SlowStartDuration   time.Duration  // time from its start after which an endpoint has its full capacity
 	OverloadFactor      float64        // multiple of its current capacity at which a cold cache fails; 0 if unknown
-	QueueColumn         int            // index into LoadReport of the requests queued for a core; -1 for none
-	InFlightColumn      int            // index into LoadReport of all requests in flight; -1 for none
+	QueueColumn         int            // index into LoadReport of the requests queued for a core; -1 if not reported
+	InFlightColumn      int            // index into LoadReport of all requests in flight; -1 if not reported
 }
 
 // UpdateKind says how to interpret an update of the endpoint list.
@@ -183,7 +183,7 @@
 // FinalAnswer is an answer that the router itself gives to the client.
 type FinalAnswer int
 
-// The answers of the router.
+// The answers that the router gives.
 const (
 	NoAnswer FinalAnswer = iota // no answer yet
 	Reject                      // the request is rejected; the client can safely retry it
