--- a/internal/freshness/directives.go
+++ b/internal/freshness/directives.go
@@ -7,7 +7,7 @@
 	MaxAge               DeltaSeconds
 	SharedMaxAge         DeltaSeconds // s-maxage
 	MinFresh             DeltaSeconds
-	MaxStale             DeltaSeconds // MaxDelta if given without a value
+	MaxStale             DeltaSeconds // MaxDelta if the directive has no value
 	StaleWhileRevalidate DeltaSeconds // RFC 5861
 	StaleIfError         DeltaSeconds // RFC 5861
 	NoStore              bool
@@ -25,13 +25,13 @@
 	for len(line) > 0 {
 		var item directive
 		item, line = cutDirective(line)
-		flag, span := d.field(item.name)
+		flag, seconds := d.field(item.name)
 		switch {
-		case span == &d.MaxStale && !item.hasValue: // any staleness is accepted
-			span.Present = true
-			span.Duration = MaxDelta
-		case span != nil:
-			span.set(item.value, item.hasValue)
+		case seconds == &d.MaxStale && !item.hasValue: // any staleness is accepted
+			seconds.Present = true
+			seconds.Duration = MaxDelta
+		case seconds != nil:
+			seconds.set(item.value, item.hasValue)
 		case flag != nil:
 			*flag = true
 		}
@@ -116,7 +116,8 @@
 	return len(line), equals
 }
 
-// PragmaHasNoCache reports whether a PragmaHasNoCache field line contains no-cache. It applies only without Cache-Control (5.4).
+// PragmaHasNoCache reports whether a Pragma field line contains no-cache. The field applies only to requests without
+// Cache-Control (5.4).
 func PragmaHasNoCache(line []byte) bool {
 	var d Directives
 	d.Parse(line)
--- a/internal/freshness/key.go
+++ b/internal/freshness/key.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// CacheKey returns the cache key of a target, by which every node finds the same replicas: the host in lower case without
-// the default port, then path and query with normalized percent-encoding (RFC 3986, 6.2.2). Differences that a server
-// may treat as significant are kept: the case of a path, the order of query parameters, empty components and dot
-// segments. ok is false if the target is neither an absolute path nor an http URI.
+// CacheKey returns the cache key of a target, by which every node finds the same replicas: the host in lower case
+// without the default port, then path and query with normalized percent-encoding (RFC 3986, 6.2.2). Differences that a
+// server may treat as significant lead to different keys: the case of a path, the order of query parameters, empty
+// components and dot segments. ok is false if the target is neither an absolute path nor an http URI.
 func CacheKey(host, target []byte) (key string, ok bool) {
 	if rest, isAbsolute := cutScheme(target); isAbsolute {
 		host, target = splitAuthority(rest)
--- a/internal/freshness/response.go
+++ b/internal/freshness/response.go
@@ -8,8 +8,9 @@
 
 // Rules holds an operator's settings for the age of responses.
 type Rules struct {
-	// MaxClockSkew is the largest error of a server's clock. If a response has no usable Age, only its Date indicates
-	// its age; the response then counts as older by MaxClockSkew, so that it is never served past its allowed age.
+	// MaxClockSkew is the largest expected error of a server's clock. If a response has no usable Age, only its Date
+	// indicates its age; the response then counts as older by MaxClockSkew, so that it is never served past its allowed
+	// age.
 	MaxClockSkew time.Duration
 	// HeuristicFraction is the fraction of the time since Last-Modified for which a response without explicit
 	// expiration is fresh; 0 disables heuristic freshness.
@@ -57,7 +58,7 @@
 }
 
 // CurrentAge returns the age of the response at now (4.2.3). requested and received are the times at which the request
-// was sent and its response arrived. The age is never less than that indicated by Age, nor than that indicated by Date.
+// was sent and its response arrived. The age is at least that indicated by Age and at least that indicated by Date.
 func (r *Response) CurrentAge(requested, received, now time.Time, rules Rules) time.Duration {
 	age := time.Duration(0)
 	if !r.Date.IsZero() {
@@ -76,12 +77,12 @@
 
 // Lifetime returns the freshness lifetime of the response (4.2.1), and whether the response states it explicitly.
 func (r *Response) Lifetime(received time.Time, rules Rules) (lifetime time.Duration, stated bool) {
-	for _, span := range []DeltaSeconds{r.Control.SharedMaxAge, r.Control.MaxAge} {
+	for _, seconds := range []DeltaSeconds{r.Control.SharedMaxAge, r.Control.MaxAge} {
 		switch {
-		case span.Invalid: // an invalid lifetime counts as stale
+		case seconds.Invalid: // an invalid lifetime counts as stale
 			return 0, true
-		case span.Present:
-			return span.Duration, true
+		case seconds.Present:
+			return seconds.Duration, true
 		}
 	}
 	date := r.Date
@@ -93,7 +94,8 @@
 		return 0, true
 	case !r.Expires.IsZero():
 		return bounded(r.Expires.Sub(date)), true
-	case rules.HeuristicFraction > 0 && !r.LastModified.IsZero() && hasHeuristicLifetime(r.Status) && !r.Control.NoCache:
+	case rules.HeuristicFraction > 0 && !r.LastModified.IsZero() && hasHeuristicLifetime(r.Status) &&
+		!r.Control.NoCache:
 		guess := time.Duration(rules.HeuristicFraction * float64(bounded(date.Sub(r.LastModified))))
 		return min(guess, rules.MaxHeuristicLifetime), false
 	}
--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// MaxDelta is the value that larger numbers of seconds are reduced to (1.2.2).
+// MaxDelta is the largest number of seconds; larger numbers count as MaxDelta (1.2.2).
 const MaxDelta = (1 << 31) * time.Second
 
 // DeltaSeconds is a number of seconds given by a directive or field.
--- a/internal/freshness/verdict.go
+++ b/internal/freshness/verdict.go
@@ -38,13 +38,13 @@
 // forbidden returns the use and the reason if a directive forbids serving the response at any age. The reason is empty
 // if none does.
 func forbidden(q *Request, r *Response) (Use, string) {
-	isShared := r.Control.Public || r.Control.MustRevalidate || r.Control.SharedMaxAge.Present
+	mayReuseAuthorized := r.Control.Public || r.Control.MustRevalidate || r.Control.SharedMaxAge.Present
 	switch {
 	case r.Control.NoStore:
 		return Never, "no-store"
 	case r.Control.Private: // 5.2.2.7: not for a shared cache
 		return Never, "private"
-	case q.HasAuthorization && !isShared: // 3.5
+	case q.HasAuthorization && !mayReuseAuthorized: // 3.5
 		return Never, "authorization"
 	case r.Control.NoCache:
 		return Validate, "no-cache"
@@ -60,11 +60,11 @@
 func (v *Verdict) byAge(q *Request, r *Response, failed bool) (Use, string) {
 	request := &q.Control
 	response := &r.Control
-	// 4.2.4, 5.2.2.10
+	// These directives forbid serving a stale response, and s-maxage implies that (4.2.4, 5.2.2.10).
 	mustRevalidate := response.MustRevalidate || response.ProxyRevalidate || response.SharedMaxAge.Present
 	staleness := v.Age - v.Lifetime
 	switch {
-	case request.MaxAge.Present && v.Age > request.MaxAge.Duration+maxStale(q): // both: 5.2.1.1
+	case request.MaxAge.Present && v.Age > request.MaxAge.Duration+maxStale(q): // max-stale extends max-age (5.2.1.1)
 		return Validate, "request max-age"
 	case request.MinFresh.Present && v.Lifetime-v.Age < request.MinFresh.Duration:
 		return Validate, "request min-fresh"
--- a/internal/freshness/verdict_test.go
+++ b/internal/freshness/verdict_test.go
@@ -48,24 +48,24 @@
 	want                       Use
 }{
 	{"4.2.1 max-age", "Date: -10|Cache-Control: max-age=20", "", Fresh},
-	{"4.2.1 max-age over", "Date: -30|Cache-Control: max-age=20", "", Validate},
-	{"4.2 fresh while age is under", "Date: -20|Cache-Control: max-age=20", "", Validate},
+	{"4.2.1 max-age exceeded", "Date: -30|Cache-Control: max-age=20", "", Validate},
+	{"4.2 stale once the age equals the lifetime", "Date: -20|Cache-Control: max-age=20", "", Validate},
 	{"4.2.1 s-maxage first", "Date: -10|Cache-Control: max-age=20, s-maxage=5", "", Validate},
 	{"4.2.1 s-maxage first, the longer", "Date: -10|Cache-Control: max-age=5, s-maxage=20", "", Fresh},
 	{"4.2.1 max-age before Expires", "Date: -10|Expires: -5|Cache-Control: max-age=20", "", Fresh},
 	{"4.2.1 Expires", "Date: -10|Expires: 5", "", Fresh},
-	{"5.3 Expires that is none", "Date: -10|Expires: soon", "", Validate},
+	{"5.3 invalid Expires", "Date: -10|Expires: soon", "", Validate},
 	{"5.3 Expires 0", "Date: -10|Expires: never 0", "", Validate},
-	{"4.2.1 nothing stated", "Date: -10", "", Validate},
-	{"4.2.2 no guess by default", "Date: -10|Last-Modified: -100000", "", Validate},
+	{"4.2.1 no explicit lifetime", "Date: -10", "", Validate},
+	{"4.2.2 no heuristic by default", "Date: -10|Last-Modified: -100000", "", Validate},
 	{"4.2.1 two max-ages that differ",
 		"Date: -10|Cache-Control: max-age=20|Cache-Control: max-age=30", "", Validate},
-	{"4.2.1 two max-ages alike", "Date: -10|Cache-Control: max-age=20, max-age=20", "", Fresh},
-	{"4.2.1 max-age that is none", "Date: -10|Cache-Control: max-age=2x", "", Validate},
+	{"4.2.1 two equal max-ages", "Date: -10|Cache-Control: max-age=20, max-age=20", "", Fresh},
+	{"4.2.1 invalid max-age", "Date: -10|Cache-Control: max-age=2x", "", Validate},
 	{"5.2 quoted", `Date: -10|Cache-Control: max-age="20"`, "", Fresh},
-	{"5.2 names without case", "Date: -10|Cache-Control: MAX-AGE=20", "", Fresh},
-	{"5.2.3 unknown ones", `Date: -10|Cache-Control: x="a, no-store", max-age=20, y`, "", Fresh},
-	{"1.2.2 too great", "Date: -10|Cache-Control: max-age=99999999999999999999", "", Fresh},
+	{"5.2 names are case-insensitive", "Date: -10|Cache-Control: MAX-AGE=20", "", Fresh},
+	{"5.2.3 unknown directives", `Date: -10|Cache-Control: x="a, no-store", max-age=20, y`, "", Fresh},
+	{"1.2.2 max-age that overflows", "Date: -10|Cache-Control: max-age=99999999999999999999", "", Fresh},
 	{"5.2.2.5 no-store", "Date: -1|Cache-Control: max-age=20, no-store", "", Never},
 	{"5.2.2.7 private", "Date: -1|Cache-Control: max-age=20, private", "", Never},
 	{"5.2.2.7 private, qualified", `Date: -1|Cache-Control: max-age=20, private="x"`, "", Never},
@@ -82,27 +82,29 @@
 	{"5.2.1.2 max-stale", "Date: -30|Cache-Control: max-age=20", "max-stale=10", Stale},
 	{"5.2.1.2 max-stale, too old", "Date: -31|Cache-Control: max-age=20", "max-stale=10", Validate},
 	{"5.2.1.2 max-stale, any", "Date: -9999|Cache-Control: max-age=20", "max-stale", Stale},
-	{"5.2.1.2 max-stale that is none", "Date: -30|Cache-Control: max-age=20", "max-stale=x", Validate},
+	{"5.2.1.2 invalid max-stale", "Date: -30|Cache-Control: max-age=20", "max-stale=x", Validate},
 	{"5.2.1.1 max-age and max-stale", "Date: -14|Cache-Control: max-age=20", "max-age=5, max-stale=10", Fresh},
 	{"5.2.1.1 older than both", "Date: -16|Cache-Control: max-age=20", "max-age=5, max-stale=10", Validate},
 	{"4.2.4 must-revalidate", "Date: -30|Cache-Control: max-age=20, must-revalidate", "max-stale", Validate},
 	{"4.2.4 proxy-revalidate", "Date: -30|Cache-Control: max-age=20, proxy-revalidate", "max-stale", Validate},
-	{"5.2.2.10 s-maxage means that too", "Date: -30|Cache-Control: s-maxage=20", "max-stale", Validate},
+	{"5.2.2.10 s-maxage forbids stale responses", "Date: -30|Cache-Control: s-maxage=20", "max-stale", Validate},
 	{"5861 stale-while-revalidate", "Date: -30|Cache-Control: max-age=20, stale-while-revalidate=10", "", Stale},
-	{"5861 the same, too old", "Date: -31|Cache-Control: max-age=20, stale-while-revalidate=10", "", Validate},
+	{"5861 stale-while-revalidate, too old",
+		"Date: -31|Cache-Control: max-age=20, stale-while-revalidate=10", "", Validate},
 	{"5861 stale-if-error, no error", "Date: -30|Cache-Control: max-age=20, stale-if-error=10", "", Validate},
 	{"5861 stale-if-error", "Date: -30|Cache-Control: max-age=20, stale-if-error=10", "failed", Stale},
-	{"5861 the same, too old", "Date: -31|Cache-Control: max-age=20, stale-if-error=10", "failed", Validate},
+	{"5861 stale-if-error, too old", "Date: -31|Cache-Control: max-age=20, stale-if-error=10", "failed", Validate},
 	{"4.2.3 Age is older than Date", "Date: -1|Age: 30|Cache-Control: max-age=20", "", Validate},
 	{"4.2.3 Date is older than Age", "Date: -30|Age: 1|Cache-Control: max-age=20", "", Validate},
-	{"5.1 Age that is none", "Date: -1|Age: x|Cache-Control: max-age=20", "", Fresh},
+	{"5.1 invalid Age", "Date: -1|Age: x|Cache-Control: max-age=20", "", Fresh},
 	{"5.1 the first of two Ages", "Date: -1|Age: 30, 1|Cache-Control: max-age=20", "", Validate},
 	{"1.2.2 an Age that overflows",
 		"Date: -1|Age: 99999999999999999999|Cache-Control: max-age=4000000000", "", Validate},
 }
 
-// Each row is a requirement of RFC 9111 (or 5861) on a shared cache. The node serves responses judged Fresh or Stale.
-func TestJudgeFollowsRFC9111(t *testing.T) {
+// Each row is a requirement of RFC 9111 (or 5861) on a shared cache. The node serves responses whose use is Fresh or
+// Stale.
+func TestEvaluateFollowsRFC9111(t *testing.T) {
 	for _, c := range standardCases {
 		q := &Request{}
 		q.Control.Parse([]byte(c.request))
@@ -118,13 +120,13 @@
 // If the operator enables it, a response without explicit lifetime gets one from its Last-Modified, up to a limit.
 func TestHeuristicLifetime(t *testing.T) {
 	rules := Rules{HeuristicFraction: 0.1, MaxHeuristicLifetime: time.Hour}
-	judge := func(text string) Verdict {
+	evaluate := func(text string) Verdict {
 		return Evaluate(&Request{}, responseOf(text), received, received, received, rules, false)
 	}
-	if v := judge("Date: -10|Last-Modified: -1000"); v.Use != Fresh || v.Lifetime != 99*time.Second {
+	if v := evaluate("Date: -10|Last-Modified: -1000"); v.Use != Fresh || v.Lifetime != 99*time.Second {
 		t.Errorf("%+v", v)
 	}
-	if v := judge("Date: -10|Last-Modified: -99999999"); v.Lifetime != time.Hour {
+	if v := evaluate("Date: -10|Last-Modified: -99999999"); v.Lifetime != time.Hour {
 		t.Errorf("lifetime exceeds the limit: %+v", v)
 	}
 }
@@ -137,11 +139,11 @@
 		drawTime := func(least, most int, name string) time.Duration {
 			return time.Duration(rapid.IntRange(least*1000, most*1000).Draw(t, name)) * time.Millisecond
 		}
-		made := received.Add(-drawTime(0, 300, "true age when it came"))
-		skew := drawTime(-clockOff, clockOff, "clock off")
+		made := received.Add(-drawTime(0, 300, "true age on arrival"))
+		skew := drawTime(-clockOff, clockOff, "clock skew")
 		r := &Response{Status: 200, Date: made.Add(skew).Truncate(time.Second)}
 		requested := received.Add(-drawTime(0, 5, "delay"))
-		hasAge := rapid.Bool().Draw(t, "tells Age")
+		hasAge := rapid.Bool().Draw(t, "has Age")
 		if hasAge { // the age known to the server when the request was sent, or later
 			r.Age = DeltaSeconds{Present: true, Duration: max(0, requested.Sub(made)).Truncate(time.Second)}
 		}
@@ -149,7 +151,7 @@
 		r.Control.Parse(fmt.Appendf(nil, "max-age=%d", maxAge/time.Second))
 		stale := time.Duration(rapid.IntRange(0, 60).Draw(t, "stale-while-revalidate")) * time.Second
 		r.Control.Parse(fmt.Appendf(nil, "stale-while-revalidate=%d", stale/time.Second))
-		now := received.Add(drawTime(0, 100, "kept here"))
+		now := received.Add(drawTime(0, 100, "time since arrival"))
 
 		v := Evaluate(&Request{}, r, requested, received, now, Rules{MaxClockSkew: clockOff * time.Second}, false)
 		trueAge := now.Sub(made)
