--- a/internal/wire/endpointlist/reader.go
+++ b/internal/wire/endpointlist/reader.go
@@ -19,7 +19,7 @@
 const streamedSize = 32 << 10
 
 // ErrNoEntries is returned for a JSON object without a list of entries.
-var ErrNoEntries = errors.New("it has no entries")
+var ErrNoEntries = errors.New("endpoint list has no array of entries")
 
 // List is a complete list of endpoints, or a list of changes.
 type List struct {
@@ -38,7 +38,7 @@
 	entry  fastjson.Parser
 }
 
-// Read reads a list. It returns an error if any part of the text is malformed; none of it should be used then.
+// Read reads a list. It returns an error if any part of the text is malformed; no part of the list should be used then.
 func (r *Reader) Read(text []byte) (List, error) {
 	list := List{reader: r}
 	object, err := r.parse(&list, text)
--- a/internal/wire/http1/framing.go
+++ b/internal/wire/http1/framing.go
@@ -9,7 +9,8 @@
 const maxLengthDigits = 18
 
 // framing returns the length of the body in bytes, or that the body is chunked. It rejects all framing that two parsers
-// may interpret differently: both headers, two lengths even if equal, a list, a sign, a coding other than chunked.
+// may interpret differently: both Content-Length and Transfer-Encoding, two lengths even if they are equal, a list of
+// lengths, a signed length, and a coding other than chunked.
 func (q *Request) framing() (length int64, chunked bool, fault *Fault) {
 	var lengthValue, codingValue []byte
 	lengths := 0
--- a/internal/wire/http1/headers.go
+++ b/internal/wire/http1/headers.go
@@ -6,7 +6,7 @@
 
 var crlf = []byte(lineEnd)
 
-const deleteByte = 0x7f
+const asciiDEL = 0x7f
 
 // tokenBytes are the bytes allowed in a token, such as a method or a header name (RFC 9110, 5.6.2).
 const tokenBytes = "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
@@ -33,7 +33,7 @@
 // isValue reports whether a header value is free of bytes that another parser may take for the end of its line.
 func isValue(b []byte) bool {
 	for _, c := range b {
-		if c < ' ' && c != '\t' || c == deleteByte {
+		if c < ' ' && c != '\t' || c == asciiDEL {
 			return false
 		}
 	}
@@ -55,7 +55,7 @@
 	return false
 }
 
-// findHeader returns the first value of a header, or nil if it is absent, and whether all its values are the same.
+// findHeader returns the first value of a header, or nil if the header is absent, and whether all its values are equal.
 func findHeader(headers []byte, name string) (value []byte, agree bool) {
 	agree = true
 	for rest := headers; len(rest) > 0; {
--- a/internal/wire/http1/request.go
+++ b/internal/wire/http1/request.go
@@ -10,7 +10,7 @@
 const (
 	maxTargetSize      = 4 << 10 // bytes of the target
 	maxRequestLineRest = 64      // bytes of the request line other than the target
-	maxHeaderLines     = 100     // a usual client sends a dozen
+	maxHeaderLines     = 100     // most clients send about a dozen
 	maxTrailerSize     = 4 << 10 // bytes of a trailer, of the line of a chunk, and of empty lines before a request
 )
 
@@ -27,8 +27,8 @@
 	TotalSize int  // size of the complete request in bytes, if known
 }
 
-// Fault is the reason why a request cannot be served. The connection must be closed after the response to it: where the
-// next request begins is unknown, and a server that guesses may take part of one request for another (request
+// Fault is the reason why a request cannot be served. The connection must be closed after the response: the beginning
+// of the next request is unknown, and a server that guesses it may take part of one request for another (request
 // smuggling).
 type Fault struct {
 	Status int
--- a/internal/wire/http1/write.go
+++ b/internal/wire/http1/write.go
@@ -11,7 +11,7 @@
 
 const (
 	unsafeInTarget = "\"#<>[\\]^{|}`"      // bytes to escape in a URL, besides space and control bytes
-	unsafeInPath   = unsafeInTarget + "%?" // and those with a special meaning in the path of a URL
+	unsafeInPath   = unsafeInTarget + "%?" // also the bytes with a special meaning in the path of a URL
 	upperHexDigits = "0123456789ABCDEF"
 )
 
@@ -41,7 +41,7 @@
 func appendEscaped(to, key []byte, unsafe string) []byte {
 	to = append(to, '/')
 	for _, c := range key {
-		if c <= ' ' || c >= deleteByte || strings.IndexByte(unsafe, c) >= 0 {
+		if c <= ' ' || c >= asciiDEL || strings.IndexByte(unsafe, c) >= 0 {
 			to = append(to, '%', upperHexDigits[c>>4], upperHexDigits[c&0xf])
 		} else {
 			to = append(to, c)
--- a/internal/wire/meta/command.go
+++ b/internal/wire/meta/command.go
@@ -89,8 +89,8 @@
 }
 
 // readSet reads the rest of the line of a write and the value in the bytes after the line. It returns the size of the
-// value with its line end, or 0 while that is incomplete. A fault closes the connection: without a valid length the end
-// of the value is unknown.
+// value with its line end, or 0 while the value is incomplete. A fault closes the connection: without a valid length
+// the end of the value is unknown.
 func (c *Command) readSet(rest, behind []byte) (size int, fault *Fault) {
 	c.Key, rest = cutWord(rest)
 	digits, flags := cutWord(rest)
--- a/internal/wire/meta/flags.go
+++ b/internal/wire/meta/flags.go
@@ -81,7 +81,7 @@
 // hasControlByte reports whether flags contain a byte that another parser may take for the end of the line.
 func hasControlByte(flags []byte) bool {
 	for _, c := range flags {
-		if c < ' ' || c == deleteByte {
+		if c < ' ' || c == asciiDEL {
 			return true
 		}
 	}
--- a/internal/wire/meta/line.go
+++ b/internal/wire/meta/line.go
@@ -19,7 +19,7 @@
 
 const (
 	maxLengthDigits = 9 // of the length of a value, so that it fits an int
-	deleteByte      = 0x7f
+	asciiDEL        = 0x7f
 )
 
 // cutLine cuts the first line off b. The size is 0 while the line is incomplete; tooLong means that it exceeds the
@@ -82,7 +82,7 @@
 // IsWord reports whether b can be a word of a line: it is not empty and has no space or control byte.
 func IsWord(b []byte) bool {
 	for _, c := range b {
-		if c <= ' ' || c == deleteByte {
+		if c <= ' ' || c == asciiDEL {
 			return false
 		}
 	}
--- a/internal/wire/meta/response.go
+++ b/internal/wire/meta/response.go
@@ -42,9 +42,10 @@
 }
 
 var (
-	errTooLong         = errors.New("an answer is longer than the protocol allows")
-	errValueEnd        = errors.New("a value does not end where it should")
-	errUnknownResponse = errors.New("an answer says nothing that the protocol knows")
+	errTooLong = errors.New(
+		"response line is longer than 2048 bytes, or its value length is malformed or above 4 MiB")
+	errValueEnd        = errors.New("response value is not followed by CR LF at its stated length")
+	errUnknownResponse = errors.New("response is not one that the protocol defines")
 )
 
 var responseKinds = map[string]ResponseKind{
@@ -114,8 +115,8 @@
 	return a, size, nil
 }
 
-// readValue reads the rest of the line of a value and the value after the line, which ends at lineSize in b. It returns
-// the size of the value with its line end, or 0 while that is incomplete.
+// readValue reads the rest of the line of a value, which ends at lineSize in b, and the value after the line. It
+// returns the size of the value with its line end, or 0 while the value is incomplete.
 func (a *Response) readValue(rest, b []byte, lineSize int) (size int, flags []byte, err error) {
 	digits, flags := cutWord(rest)
 	length, ok := parseLength(digits)
--- a/internal/wire/simwire/endpoints.go
+++ b/internal/wire/simwire/endpoints.go
@@ -46,8 +46,8 @@
 	in.node.UpdateEndpoints(now, kind, in.endpoints)
 }
 
-// endpoint decodes an endpoint of a list. An endpoint in an unknown state is treated as draining: it may have left, so
-// it gets no new requests.
+// endpoint decodes an endpoint of a list. An endpoint in an unknown state is treated as draining: it may have left the
+// fleet, so it gets no new requests.
 func (s *server) endpoint(in *instance, values []*fastjson.Value) (policy.Endpoint, bool) {
 	if len(values) < endpointValueCount || len(values[indexID].GetStringBytes()) == 0 {
 		s.ignore("an endpoint list entry without an id or with too few values")
--- a/internal/wire/simwire/words.go
+++ b/internal/wire/simwire/words.go
@@ -22,7 +22,7 @@
 	eventClientGone      = "timed_out_client" // the client has stopped waiting
 	eventHealthCheck     = "sampled"          // the result of a health check
 	eventTimer           = "wake"             // a timer fires
-	eventMessage         = "inbox"            // messages of other nodes: not used yet
+	eventMessage         = "inbox"            // messages of other nodes; ignored
 )
 
 // The names of actions.
