--- a/node/changelog.go
+++ b/node/changelog.go
@@ -38,7 +38,8 @@
 // logTarget applies entries of the replicated log to a node.
 type logTarget struct{ node *Node }
 
-// PresumePurged reports that the log begins after an index, and that any key may have been purged up to there.
+// PresumePurged logs that the replicated log begins after an index, and that any key may have been purged up to that
+// index.
 func (t logTarget) PresumePurged(upTo replicatedlog.Index) {
 	log := t.node.log.WithField("up_to", upTo)
 	log.Info("replicated log begins after this index; any key may have been purged up to it")
@@ -51,8 +52,8 @@
 	}
 }
 
-// Configure applies a published configuration as Reload does. The values that are specific to each node are kept from
-// its own configuration.
+// Configure applies a published configuration as Reload does. The node's own configuration supplies the values that are
+// specific to each node.
 func (t logTarget) Configure(at replicatedlog.Index, text []byte) error {
 	log := t.node.log.WithFields(logrus.Fields{"index": at})
 	published, err := ParseConfig(text)
--- a/node/changelog_test.go
+++ b/node/changelog_test.go
@@ -122,26 +122,28 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for !holds(f.followerStatus()) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never %s: %+v", what, f.followerStatus())
+			t.Fatalf("timed out waiting until the follower %s: %+v", what, f.followerStatus())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// A published configuration is reloaded with the values of the node itself kept; an invalid one changes nothing. Purges
-// are reported, and the status shows which entries have been applied.
+// A published configuration must be reloaded with the values that are specific to the node unchanged, and an invalid
+// one must change nothing. Purges must be reported, and the status must show which entries have been applied.
 func TestNodeFollowsTheReplicatedLog(t *testing.T) {
 	client := startControlServer(t)
 	publish(t, client, purgeOf("before it began"))
 	text := strings.Replace(testConfig, `"sockets":100`, `"sockets":200`, 1)
 	n := startFleetNode(t, text, fmt.Sprintf("[changes]\nat=['%s']\n", client.Servers[0]))
-	n.waitUntil(t, "began", func(s *logfollower.Status) bool { return s.PresumedPurged == 1 })
+	n.waitUntil(t, "presumes earlier purges", func(s *logfollower.Status) bool { return s.PresumedPurged == 1 })
 
 	publish(t, client, purgeOf("k"), configOf(strings.Replace(text, `"n"`, `"all"`, 1)))
-	n.waitUntil(t, "took a configuration", func(s *logfollower.Status) bool { return s.Config == 3 && s.Applied == 3 })
+	n.waitUntil(t, "has applied the configuration", func(s *logfollower.Status) bool {
+		return s.Config == 3 && s.Applied == 3
+	})
 
 	publish(t, client, configOf("no configuration"), purgeOf("l"))
-	n.waitUntil(t, "refused one", func(s *logfollower.Status) bool {
+	n.waitUntil(t, "has refused the invalid configuration", func(s *logfollower.Status) bool {
 		return s.Refused == 4 && s.Config == 3 && s.Reason != "" && s.Applied == 5
 	})
 	if s := n.followerStatus(); s.Purges != 2 || s.Stale || s.Gaps != 0 {
@@ -152,7 +154,7 @@
 		t.Errorf("purges %q", purges)
 	}
 	if strings.Contains(log, "differs") || !strings.Contains(log, "configuration reloaded") {
-		t.Errorf("values of the node itself were not kept: %s", log)
+		t.Errorf("the node's own values were replaced by published ones: %s", log)
 	}
 }
 
--- a/node/config.go
+++ b/node/config.go
@@ -34,7 +34,7 @@
 var errNoObject = errors.New("configuration is not a JSON object")
 
 // Config is the configuration of a node. Each callback is called on a goroutine of its own and may be nil. A Config
-// must not be used further after it has been passed to New.
+// must not be used after it has been passed to New.
 type Config struct {
 	Name      string // unique in the fleet
 	Listen    string // address and port for clients
@@ -102,7 +102,9 @@
 		return nil, fmt.Errorf("invalid configuration: %w", err)
 	}
 	if c.MemoryMB < 0 || c.Sockets < 0 || c.Sockets > 0 && c.Sockets < minSockets {
-		return nil, fmt.Errorf("limits in the configuration are too low: %d MB, %d sockets", c.MemoryMB, c.Sockets)
+		return nil, fmt.Errorf(
+			"limits in the configuration are too low: memory_mb is %d, sockets is %d (must be 0 or at least %d)",
+			c.MemoryMB, c.Sockets, minSockets)
 	}
 	return c, nil
 }
@@ -129,7 +131,7 @@
 	return rest, value, nil
 }
 
-// SetAdminAddr overrides the address of the admin server, so that two processes may be started with one
+// SetAdminAddr overrides the address of the admin server, so that two processes can be started with the same
 // configuration.
 func (c *Config) SetAdminAddr(addr string) error {
 	c.Admin = addr
--- a/node/events.go
+++ b/node/events.go
@@ -10,7 +10,7 @@
 // that no request waits for it.
 const eventQueueSize = 4096
 
-// Event records what a node did to an endpoint.
+// Event records what a node did with an endpoint.
 type Event = eventlog.Event
 
 // timedEvent is an event that waits for Config.OnEvent.
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// leaveFleet ends the membership when the node stops. A node that has been taken over does not announce its leave.
+// leaveFleet ends the membership when the node stops. A process that has been replaced does not announce that the node
+// leaves.
 func (n *Node) leaveFleet() { n.closeFleet(!n.replaced) }
 
 // closeFleet closes the fleet member and the log follower, if they have been started.
--- a/node/limits.go
+++ b/node/limits.go
@@ -12,7 +12,7 @@
 
 // The limits of file descriptors, which the configuration calls sockets.
 const (
-	minSockets          = 64   // least with which a node can work
+	minSockets          = 64   // least number with which a node works
 	minSocketsWithAdmin = 136  // for a node that allows takeover: two processes, each with admin connections
 	defaultSockets      = 1024 // default limit of most systems
 	adminExtraSockets   = 2    // of the admin server besides its connections: its listener and a new connection
--- a/node/node.go
+++ b/node/node.go
@@ -35,7 +35,7 @@
 	config *Config // at the start of the node
 	log    *logrus.Logger
 	phase  atomic.Int32
-	fatal  atomic.Pointer[error] // why the node stopped by itself
+	fatal  atomic.Pointer[error] // why the node shut itself down; nil if it did not
 
 	proxy    *proxy.Proxy
 	admin    *admin.Server                        // nil without an admin address
@@ -74,7 +74,7 @@
 	if n.admin != nil {
 		n.admin.Serve(n.proxy, n.adminFleet(), log)
 	}
-	// A process that takes over from another one joins the fleet once that has stopped; see onSharedLimits.
+	// A process that takes over from another one joins the fleet after the other has stopped; see onSharedLimits.
 	if c.fleet != nil && inherited == nil {
 		if err := n.join(); err != nil {
 			n.proxy.Shutdown()
@@ -122,7 +122,7 @@
 	n.events.start(n.config.OnEvent)
 	n.proxy.Run()
 	if dropped := n.events.close(); dropped > 0 {
-		n.log.WithField("records", dropped).Warn("events dropped: their receiver was too slow")
+		n.log.WithField("records", dropped).Warn("events dropped because Config.OnEvent was too slow")
 	}
 }
 
@@ -155,7 +155,7 @@
 	n.proxy.SetDiscovery(c.Discovery)
 }
 
-// Err returns why the node stopped by itself, or nil. Call it after Serve has returned.
+// Err returns why the node shut itself down, or nil if it was asked to shut down. Call it after Serve has returned.
 func (n *Node) Err() error {
 	if err := n.fatal.Load(); err != nil {
 		return *err
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// ask sends a request and returns the response, of which it waits for at least least bytes.
+// ask sends a request and returns the response. It waits for at least the given number of bytes.
 func ask(t *testing.T, addr, request string, least int) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -128,7 +128,7 @@
 	return string(answer[:n])
 }
 
-// Guards against not counting the descriptors for gossip, which let a node exceed its limit of descriptors.
+// Guards against a node that exceeds its descriptor limit because the descriptors for gossip were not counted.
 func TestFleetConfigRequiresEnoughDescriptors(t *testing.T) {
 	const text = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"sockets":%d},` +
 		`"settings":{"service_grades":[{"name":"read"}]}}`
