--- a/internal/proxy/degradation/controller.go
+++ b/internal/proxy/degradation/controller.go
@@ -23,8 +23,8 @@
 	// knows the caches.
 	startUpGrace = 10 * time.Second
 
-	// evaluationsToEnter is the number of consecutive evaluations needed to enter a level: a pause of this machine can
-	// spoil a single one.
+	// evaluationsToEnter is the number of consecutive evaluations needed to enter a level: a pause of the node's
+	// machine can distort a single one.
 	evaluationsToEnter = 2
 
 	// readmitStep is the share of a level's requests that is readmitted in one step, and shedStep the share that is
@@ -42,7 +42,7 @@
 	levels         []listeners.Level
 	level          int            // 0 is normal operation; otherwise the level is levels[level-1]
 	shedShare      float64        // share of the requests of the level's classes that is shed, from 0 to 1
-	stepStartedAt  policy.Instant // when shedShare was set; on entry in the future, for a longer first step
+	stepStartedAt  policy.Instant // when shedShare was set; on entry a time in the future, for a longer first step
 	window         window         // counts since evaluatedAt
 	evaluatedAt    policy.Instant
 	graceEnds      policy.Instant // no level is entered before this time
--- a/internal/proxy/degradation/controller_test.go
+++ b/internal/proxy/degradation/controller_test.go
@@ -90,7 +90,7 @@
 	for _, test := range []struct {
 		name              string
 		seconds, attempts int
-		every             int // period in seconds; all attempts in its first two seconds are late
+		every             int // period in seconds; all attempts in the first two seconds of each period are late
 		entered           bool
 	}{
 		{"start", int(startUpGrace/evaluationInterval) - 1, 200, 1, false},
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -27,8 +27,8 @@
 	shedCount    *uint64 // counter of shed requests; owned by the caller of NewFilter
 }
 
-// NewFilter returns a Filter that wraps decider. The Filter calls levelChanged from within its own methods, and counts
-// the requests that it sheds in shedCount.
+// NewFilter returns a Filter that wraps decider. The Filter calls levelChanged from its own methods, and adds the
+// number of requests that it sheds to shedCount.
 func NewFilter(decider dispatch.Decider, now policy.Instant, seed uint32, levels []listeners.Level,
 	deployment *settings.Settings, levelChanged LevelChangeFunc, shedCount *uint64) *Filter {
 	f := &Filter{
@@ -94,16 +94,16 @@
 	f.Decider.UpdateEndpoints(now, kind, endpoints)
 }
 
-// NotifyStateChanges passes on the endpoint states of the wrapped Decider, if it reports any.
-func (f *Filter) NotifyStateChanges(now policy.Instant, report func(policy.EndpointID, policy.EndpointState)) {
-	if d, ok := f.Decider.(endpointStateReporter); ok {
-		d.NotifyStateChanges(now, report)
+// NotifyStateChanges passes the call on to the wrapped Decider, if that has the method.
+func (f *Filter) NotifyStateChanges(now policy.Instant, observe func(policy.EndpointID, policy.EndpointState)) {
+	if d, ok := f.Decider.(stateChangeNotifier); ok {
+		d.NotifyStateChanges(now, observe)
 	}
 }
 
-// endpointStateReporter is an optional interface of a Decider that reports the states of its endpoints.
-type endpointStateReporter interface {
-	NotifyStateChanges(now policy.Instant, report func(policy.EndpointID, policy.EndpointState))
+// stateChangeNotifier is an optional interface of a Decider that keeps a state of each endpoint.
+type stateChangeNotifier interface {
+	NotifyStateChanges(now policy.Instant, observe func(policy.EndpointID, policy.EndpointState))
 }
 
 // evaluate evaluates the level if that is due, and calls levelChanged after a change.
@@ -113,7 +113,7 @@
 	}
 }
 
-// countRejection counts d if it rejects the request, and returns d.
+// countRejection counts a decision if it rejects the request, and returns it.
 func (f *Filter) countRejection(d policy.Decision) policy.Decision {
 	if d.Answer == policy.Reject {
 		f.controller.RecordRejected()
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -53,8 +53,8 @@
 			d.actions.CheckHealth(action.Endpoint)
 		}
 	}
-	if states, ok := d.decider.(endpointStateReporter); ok && d.observer != nil {
-		states.NotifyStateChanges(now, func(id policy.EndpointID, state policy.EndpointState) {
+	if notifier, ok := d.decider.(stateChangeNotifier); ok && d.observer != nil {
+		notifier.NotifyStateChanges(now, func(id policy.EndpointID, state policy.EndpointState) {
 			d.observer.EndpointStateChanged(now, id, state)
 		})
 	}
@@ -170,7 +170,7 @@
 }
 
 // execute carries out a decision: first cancellations, then the answer, then new attempts. Finally it reviews the
-// requests that the decision wakes, which wait for the same value.
+// requests that the decision wakes, which have waited for a value or for capacity at the origin.
 func (d *Dispatcher) execute(now policy.Instant, req *trackedRequest, decision policy.Decision) {
 	for _, attempt := range decision.Cancel {
 		d.actions.Cancel(req.ID, attempt)
--- a/internal/proxy/dispatch/interfaces.go
+++ b/internal/proxy/dispatch/interfaces.go
@@ -25,7 +25,8 @@
 	PollEndpoints()
 }
 
-// Decider makes the decisions about requests. It is the router of package policy, or a baseline for comparison.
+// Decider makes the decisions about requests. Implementations are the router of package policy, and baselines that it
+// is compared with.
 type Decider interface {
 	// Route decides what to do with a request that has arrived or whose review is due.
 	Route(now policy.Instant, r *policy.Request) policy.Decision
@@ -60,8 +61,8 @@
 	EndpointsUpdated(now policy.Instant, kind policy.UpdateKind, entries []policy.Endpoint)
 }
 
-// endpointStateReporter is an optional interface of a Decider that reports the states of its endpoints.
-type endpointStateReporter interface {
-	// NotifyStateChanges calls f for each endpoint whose state has changed since the last call.
-	NotifyStateChanges(now policy.Instant, f func(policy.EndpointID, policy.EndpointState))
+// stateChangeNotifier is an optional interface of a Decider that keeps a state of each endpoint.
+type stateChangeNotifier interface {
+	// NotifyStateChanges calls observe for each endpoint whose state has changed since the previous call.
+	NotifyStateChanges(now policy.Instant, observe func(policy.EndpointID, policy.EndpointState))
 }
