--- a/internal/proxy/admin/handler.go
+++ b/internal/proxy/admin/handler.go
@@ -33,8 +33,8 @@
 type Node interface {
 	// Metrics returns the latest snapshot.
 	Metrics() *metrics.Snapshot
-	// Standby stops serving clients, and Activate resumes it. Both return once that is done; they return ErrShuttingDown
-	// if the node is shutting down.
+	// Standby stops serving clients, and Activate resumes it. Both return once that is done; they return
+	// ErrShuttingDown if the node is shutting down.
 	Standby(context.Context) error
 	Activate(context.Context) error
 }
@@ -47,7 +47,7 @@
 	FleetMembers() any
 }
 
-// newHandler returns the handler of all requests. An unknown path is answered with 404, a wrong method with 405.
+// newHandler returns the handler of all requests. It answers an unknown path with 404, and a wrong method with 405.
 func newHandler(node Node, fleet Fleet, log *logrus.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeStatus(w, node.Metrics()) })
--- a/internal/proxy/admin/server.go
+++ b/internal/proxy/admin/server.go
@@ -71,7 +71,7 @@
 
 // trackConnection limits the number of connections by closing the oldest one when a new one exceeds MaxConnections.
 // Otherwise clients that connect and send nothing could use up the node's descriptors. Regular requests are still
-// served, as they end quickly.
+// served, since they end before their connection becomes the oldest.
 func (s *Server) trackConnection(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/eventlog/recorder.go
+++ b/internal/proxy/eventlog/recorder.go
@@ -16,7 +16,7 @@
 type Recorder struct {
 	node     string
 	emit     func(Event)
-	excluded func(policy.Endpoint) bool // reports whether an endpoint has no events, as the origin
+	excluded func(policy.Endpoint) bool // reports whether an endpoint has no events, such as the origin
 
 	endpoints map[policy.EndpointID]*endpoint
 	order     []policy.EndpointID // the keys of endpoints, sorted to make the order of events deterministic
@@ -30,11 +30,11 @@
 // endpoint is the recorded state of one endpoint.
 type endpoint struct {
 	lifecycle    policy.Lifecycle
-	startedAt    policy.Instant // start of the endpoint's process, which the state describes
+	startedAt    policy.Instant // start of the process that the state describes
 	state        policy.EndpointState
 	avoidedSince policy.Instant // 0 while it is not avoided
 	reason       string         // why it is, or was last, avoided
-	trials       int            // attempts sent to it while it does not answer
+	trials       int            // attempts sent to it while it is avoided for not answering
 	load         loadShare
 }
 
--- a/internal/proxy/handover/inherit.go
+++ b/internal/proxy/handover/inherit.go
@@ -17,19 +17,19 @@
 
 // The errors of a handover that fails.
 var (
-	errOtherUser  = errors.New("the process that offers its sockets belongs to another user")
-	errNoSockets  = errors.New("the old process sent no sockets")
-	errMismatched = errors.New("the sockets do not match the addresses that the old process sent with them")
+	errOtherUser  = errors.New("handover socket belongs to a process of another user")
+	errNoSockets  = errors.New("old process sent no sockets")
+	errMismatched = errors.New("sockets do not match the addresses that the old process sent with them")
 )
 
 // Inherited holds the listeners received from the process that this one replaces, and the connection to it.
 type Inherited struct {
-	Listeners map[string]net.Listener // by the old process's listening address; the user removes those that it uses
+	Listeners map[string]net.Listener // by listening address; the caller removes those that it uses
 	conn      *net.UnixConn
 }
 
 // Inherit receives the sockets that a process offers at path. It returns nil without an error if there is no such
-// process. It waits for a bounded time.
+// process. It waits no longer than responseTimeout to connect, and again for the sockets.
 func Inherit(path string) (*Inherited, error) {
 	var c net.Conn
 	err := withSocketName(path, func(name string) error {
--- a/internal/proxy/handover/offer.go
+++ b/internal/proxy/handover/offer.go
@@ -37,7 +37,7 @@
 // Open offers listeners on a Unix socket at path until Close. onStage is called with each stage that a successor
 // reaches, from a goroutine of the Offer.
 func Open(path string, listeners []net.Listener, onStage func(Stage)) (*Offer, error) {
-	_ = os.Remove(path) // a socket left behind by a process that has ended
+	_ = os.Remove(path) // a socket that a killed process has left behind
 	var socket *net.UnixListener
 	err := withSocketName(path, func(name string) error {
 		var err error
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -8,7 +8,7 @@
 	// Clients and their requests.
 	Clients           uint64 // connections accepted
 	Requests          uint64 // requests received
-	Malformed         uint64 // commands that could not be parsed
+	Malformed         uint64 // commands that could not be parsed, and requests that could not be used
 	ClientsGone       uint64 // requests whose client disconnected before the response
 	ClientsGoneUnsent uint64 // requests of ClientsGone of which nothing had been sent to a server
 	ClientTimeouts    uint64 // connections closed because a command or the reading of a response took too long
@@ -30,7 +30,7 @@
 	IdleClosed     uint64                       // connections closed because they were idle
 	EvictedConns   uint64                       // idle connections closed to free a descriptor
 	ProtocolErrors uint64                       // connections closed after a response that violates the protocol
-	ServerFull     uint64                       // connections closed by a running server that had no capacity for them
+	ServerFull     uint64                       // new connections that a running server did not accept
 	Outcomes       [policy.CacheMiss + 1]uint64 // attempts by their result
 
 	// Discovery.
--- a/internal/proxy/metrics/snapshot.go
+++ b/internal/proxy/metrics/snapshot.go
@@ -23,8 +23,8 @@
 	Classes     []ClassSnapshot
 	Attempts    uint64 // attempts written to servers
 	Pending     int    // requests in flight
-	Members     int    // endpoints in the list
-	Unavailable int    // endpoints of the list that the node avoids
+	Members     int    // endpoints in the list, without the origin
+	Unavailable int    // endpoints in the list that the node avoids
 }
 
 // ClassSnapshot holds the response counts of one service class.
--- a/internal/proxy/sockets/engine.go
+++ b/internal/proxy/sockets/engine.go
@@ -21,7 +21,7 @@
 	// values.
 	maxUnsentBytes = 4 << 20
 
-	// pollerStartTime is the time that nbio's poller may take to start on a heavily loaded machine.
+	// pollerStartTime is how long nbio's poller may take to start on a heavily loaded machine.
 	pollerStartTime = 100 * time.Millisecond
 )
 
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -25,7 +25,7 @@
 	return e
 }
 
-// waitFor takes events until one of kind what, and returns it with the bytes received before.
+// waitFor takes events until one of the given kind, and returns that event with the bytes received before it.
 func waitFor(t *testing.T, e *Engine, what EventKind) (Event, []byte) {
 	t.Helper()
 	var data []byte
@@ -143,7 +143,7 @@
 	io.WriteString(c, "mg")
 	ev, _ = waitFor(t, e, Data)
 	w.takenBytes.Store(0) // as if the loop had not taken the bytes
-	if quiet, _ := w.Idle(); quiet || w.CloseIfIdle() {
+	if idle, _ := w.Idle(); idle || w.CloseIfIdle() {
 		t.Error("the connection counts as idle although bytes wait for the loop")
 	}
 	w.takenBytes.Store(2)
@@ -210,8 +210,8 @@
 }
 
 // Without a limit, all bytes that a server has sent of a long value are read before reading can be paused for a slow
-// reader: thirty slow readers took 20 MB and kept the garbage collector running. Unread bytes must not be lost when the
-// sender closes the connection while reading is paused, upon which nbio closes it as well.
+// reader: thirty slow readers took 20 MB, and the garbage collector ran permanently. Unread bytes must not be lost when
+// the sender closes the connection while reading is paused, upon which nbio closes it as well.
 func TestReadAheadOfAConnectionIsBounded(t *testing.T) {
 	e := startEngine(t)
 	c, err := net.Dial("tcp", e.Addr(0).String())
--- a/internal/proxy/sockets/event.go
+++ b/internal/proxy/sockets/event.go
@@ -33,7 +33,7 @@
 	LocalFailure bool   // DialFailed only: the cause is a lack of resources on this machine, and not the server
 	UnsentBytes  int64  // Closed only: written bytes that the kernel never accepted
 	Orderly      bool   // Closed only: the peer has closed the connection, and everything that it sent has been read
-	Handled      bool   // set by the loop when it handles events out of order
+	Handled      bool   // set by the loop for an event that it has handled before its turn
 	data         []byte // Data only; set by TakeEvents
 	dataAt       int    // position of the data in the arena
 	dataSize     int
