--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -96,16 +96,16 @@
 		return <-reused
 	})
 	g.runInLoop(func() {
-		in := g.endpoints.byID["c"]
-		old := in.idleConns[0]
+		endpoint := g.endpoints.byID["c"]
+		old := endpoint.idleConns[0]
 		io.WriteString(c, "MN\r\n") // the loop can't read it while this runs
-		for w := g.upstream.conns.Get(old).socket; ; {
-			if quiet, sure := w.Idle(); sure && !quiet {
+		for socket := g.upstream.conns.Get(old).socket; ; {
+			if idle, sure := socket.Idle(); sure && !idle {
 				break
 			}
 		}
-		l, err := g.acquireConn(in, purposeHealthCheck, false)
-		reused <- err != nil || l.id == old
+		conn, err := g.acquireConn(endpoint, purposeHealthCheck, false)
+		reused <- err != nil || conn.id == old
 	})
 	if receive(t, reused) {
 		t.Error("the connection is reused")
@@ -113,8 +113,8 @@
 }
 
 // Guards against a second answer of an endpoint that arrives only after the connection has been reused for another
-// attempt. If it did not name its request, it was taken for that attempt's response: the origin's value was served for
-// another key, and a "busy" stated that an executed request had not been executed.
+// attempt. If the answer did not name its request, it was taken for that attempt's response: the origin's value was
+// served for another key, and a "busy", which means not executed, for a request that had been executed.
 func TestDuplicateResponseIsNotServedForNextRequest(t *testing.T) {
 	page := func(s string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s), s)
@@ -153,8 +153,8 @@
 		}
 		g.runInLoop(func() { // the window for duplicates does not end during this test
 			for _, id := range g.endpoints.byID[policy.EndpointID(c.server)].idleConns {
-				if l := g.upstream.conns.Get(id); l.unattributedAt != 0 {
-					l.unattributedAt = g.now().Add(time.Hour)
+				if conn := g.upstream.conns.Get(id); conn.unattributedAt != 0 {
+					conn.unattributedAt = g.now().Add(time.Hour)
 				}
 			}
 		})
@@ -186,7 +186,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { // serves an attempt sent by mistake, so that the client shows it
+		go func() { // serves an attempt sent by mistake, so that the client's answer reveals it
 			if line, err := bufio.NewReader(up).ReadString('\n'); err == nil {
 				io.WriteString(up, helloValue(line))
 			}
@@ -199,8 +199,8 @@
 	}
 }
 
-// Guards against a retry of a write with an idempotency key that waits for its connection until the deduplication
-// window has passed and is sent then, so that the write could be executed twice.
+// Guards against executing a write with an idempotency key twice: its retry waited for a connection until the
+// deduplication window had passed, and was then sent.
 func TestRetryIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
 	g := newHarness(t, 200, helloValue, func(config *Config) {
@@ -275,8 +275,8 @@
 		after            bool   // closed after the write
 		sent             uint64 // total attempts
 	}{
-		{"end", "pay", "VA 5 Ox", false, 2}, {"reset", "pay", "VA 5 Ox", false, 2},
-		{"end", "pay", "SERVER_ERROR failed", true, 2}, {"reset", "pay", "SERVER_ERROR failed", true, 2},
+		{"close", "pay", "VA 5 Ox", false, 2}, {"reset", "pay", "VA 5 Ox", false, 2},
+		{"close", "pay", "SERVER_ERROR failed", true, 2}, {"reset", "pay", "SERVER_ERROR failed", true, 2},
 	} {
 		g := newHarness(t, 200, helloValue)
 		l, addr := listenScripted(t)
@@ -295,9 +295,9 @@
 		if c.after {
 			ask()
 			lines.ReadString('\n')
-			waysToLeave[c.end](conn.(*net.TCPConn))
+			closeMethods[c.end](conn.(*net.TCPConn))
 		} else {
-			g.pauseLoop(ask, nil, func() { waysToLeave[c.end](conn.(*net.TCPConn)) })
+			g.pauseLoop(ask, nil, func() { closeMethods[c.end](conn.(*net.TCPConn)) })
 			fresh, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -32,7 +32,7 @@
 // sendRead sends a read as a meta command.
 func sendRead(c net.Conn, idFlag string) { fmt.Fprintf(c, "mg k v %s Pc=read,d=9000\r\n", idFlag) }
 
-// waitBeforeAccept is the stage in TestRequestOfGoneClientIsNotForwarded at which a request is not even read: all
+// waitBeforeAccept is the stage in TestRequestOfGoneClientIsNotForwarded at which a request has not been read yet: all
 // descriptors are used by connections with incomplete commands.
 const waitBeforeAccept = "before accept"
 
@@ -40,9 +40,9 @@
 const waitAfterMiss = "after a miss"
 
 // waitingStages are the stages at which a request waits while its client leaves. Each function sends a request on the
-// connection, and calls leave once the request has reached the stage. The channel lets the cache answer the requests
-// with the ids miss and slow.
-var waitingStages = map[string]func(g *harness, c net.Conn, may chan bool, leave func(net.Conn)){
+// connection, and calls leave once the request has reached the stage. The cache answers the requests with the ids miss
+// and slow once the channel delivers a value.
+var waitingStages = map[string]func(g *harness, c net.Conn, proceed chan bool, leave func(net.Conn)){
 	"behind other events": func(g *harness, c net.Conn, _ chan bool, leave func(net.Conn)) {
 		g.pauseLoop(func() { sendRead(c, "Ox") }, nil, func() { leave(c) })
 	},
@@ -88,7 +88,7 @@
 // that is just being established, would take it at once. The attempt must end as NotSent.
 func TestRequestOfGoneClientIsNotForwarded(t *testing.T) {
 	for stage, wait := range waitingStages {
-		for way, leave := range waysToLeave {
+		for way, leave := range closeMethods {
 			for _, cancel := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, by %s, cancel %v", stage, way, cancel), func(t *testing.T) {
 					t.Parallel()
@@ -139,7 +139,7 @@
 // An HTTP client closes its connection while its request waits. No attempt may be sent for it, neither the first one
 // nor another one after a miss.
 func TestRequestOfGoneHTTPClientIsNotForwarded(t *testing.T) {
-	for way, leave := range waysToLeave {
+	for way, leave := range closeMethods {
 		for _, after := range []string{"", "a miss"} {
 			t.Run(way+" "+after, func(t *testing.T) {
 				t.Parallel()
@@ -160,8 +160,8 @@
 					t.Fatal(err)
 				}
 				defer c.Close()
-				// Otherwise the event of the new connection would pause the loop, which would then see the request only
-				// together with the close.
+				// Otherwise the event of the new connection would already pause the loop, and the loop would see the
+				// request and the close together.
 				g.waitUntil("the client is accepted", func(n metrics.Counters) bool { return n.Clients == 2 })
 				ask := func() { io.WriteString(c, requestHead("GET /p/k", "X-Id: http")) }
 				if after == "" {
@@ -181,11 +181,11 @@
 	}
 }
 
-// Guards against completing an attempt of which the kernel has accepted only a part when the client leaves. If attempts
-// may not be cancelled, the rest was sent long after, and the write was executed although nobody waited for it. The
-// attempt must stop, as it has not been sent yet.
+// Guards against completing an attempt of which the kernel has accepted only a part when the client leaves: if attempts
+// must not be cancelled, the rest was sent much later, and the write was executed although no client waited for it. The
+// attempt must stop, since it has not been sent completely.
 func TestPartlyWrittenAttemptStopsWhenClientLeaves(t *testing.T) {
-	for way, leave := range waysToLeave {
+	for way, leave := range closeMethods {
 		for _, cancel := range []bool{true, false} {
 			g := newHarness(t, 200, helloValue, func(b *Config) { b.Settings.Policy.CancelAllowed = cancel })
 			tight := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/proxy/downstream_http_test.go
+++ b/internal/proxy/downstream_http_test.go
@@ -11,8 +11,8 @@
 )
 
 // Checks that pipelined answers keep their order, that HEAD gets no body, that the ids which two listeners generate do
-// not collide, and that no header text reaches an endpoint as flags. Each of these would be taken for something else
-// than was sent.
+// not collide, and that no header text reaches an endpoint as flags. In each of these cases, one message would be taken
+// for another.
 func TestHTTPRequestsAreAnsweredInOrder(t *testing.T) {
 	slow := make(chan bool)
 	g := newHarness(t, 200, func(line string) string {
--- a/internal/proxy/downstream_test.go
+++ b/internal/proxy/downstream_test.go
@@ -55,29 +55,29 @@
 }
 
 // Guards against clients that send one request and keep their connection, leaving no descriptors for others: with 128
-// idle connections, half of all new ones were refused. Only some idle connections may stay open, those of returning
-// clients first, and none for long.
+// idle connections, half of all new ones were refused. Only a limited number of idle connections may stay open,
+// preferably those of clients that return, and none for long.
 func TestIdleClientsThatReturnAreKeptLongest(t *testing.T) {
 	g := newHarness(t, 200, helloValue)
-	often, r := g.client()
+	returning, r := g.client()
 	for n := range 3 {
-		fmt.Fprintf(often, "mg k v Oa%d Pc=read,d=9000\r\n", n)
+		fmt.Fprintf(returning, "mg k v Oa%d Pc=read,d=9000\r\n", n)
 		g.expect(r, fmt.Sprintf("VA 5 Oa%d", n), "hello")
 	}
-	var once []*bufio.Reader
+	var oneTimeClients []*bufio.Reader
 	for n := range 30 {
 		c, r := g.client()
 		fmt.Fprintf(c, "mg k v Ob%d Pc=read,d=9000\r\n", n)
 		g.expect(r, fmt.Sprintf("VA 5 Ob%d", n), "hello")
-		once = append(once, r)
+		oneTimeClients = append(oneTimeClients, r)
 	}
 	g.waitUntil("enough idle clients are closed", func(n metrics.Counters) bool {
 		return int(n.IdleClosed) >= 31-g.engine.MaxClients()/idleClientDivisor
 	})
-	if _, err := once[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := oneTimeClients[0].ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("closed with: %v", err)
 	}
-	fmt.Fprint(often, "mn\r\n")
+	fmt.Fprint(returning, "mn\r\n")
 	g.expect(r, "MN")
 	if int(g.Counters().IdleClosed) == 31 {
 		t.Error("all idle clients are closed")
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -13,12 +13,12 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// The node is told to shut down twice while requests are in flight. It must serve those and the ones that still arrive,
-// reject those that would outlast it, fail readiness checks, announce the close with the last HTTP answer (a request
-// sent after it would be lost), and then reset idle connections and stop.
+// Shutdown is called twice while requests are in flight. The node must serve those and the ones that still arrive,
+// reject the ones whose deadline is after its end, fail readiness checks, announce the close with the last HTTP answer
+// (a request sent after that answer would be lost), and then reset idle connections and stop.
 func TestDrainServesLateArrivalsThenStops(t *testing.T) {
-	hold := make(chan bool)
-	g := newHarness(t, 200, blockRequestA(hold), withHTTPListeners)
+	proceed := make(chan bool)
+	g := newHarness(t, 200, blockRequestA(proceed), withHTTPListeners)
 	before, slow := g.client()
 	fmt.Fprint(before, "mg k v Oa Pc=read,d=900\r\n")
 	web := g.httpClient(1)
@@ -32,7 +32,7 @@
 	after, r := g.client()
 	fmt.Fprint(after, "mn\r\nmg k2 v Ob Pc=read,d=900\r\nmg k3 v Oc Pc=pay,d=9000\r\n")
 	g.expect(r, "SERVER_ERROR draining", "VA 5 Ob", "hello", "SERVER_ERROR busy") // the last outlasts the node
-	close(hold)
+	close(proceed)
 	g.expect(slow, "VA 5 Oa", "hello")
 	g.expectResponses(web("", "GET", "GET", "GET"), "200 hello 5", "200 hello 5 close", "ended")
 	g.loop.Wait()
@@ -50,14 +50,14 @@
 	const endsIn = time.Second + shutdownMargin - answerMargin
 	for _, c := range []struct {
 		name, command, want string
-		after               time.Duration // after the drain began; until then the connection has a request in flight
+		after               time.Duration // since the drain began, with another request in flight
 		attempts            uint64
 	}{
 		{"a read", "mg k v Oa Pc=read," + long, "VA 5 Oa", 0, 2},
-		{"a read that nobody answers", "mg hangs v Oa Pc=read," + long, "SERVER_ERROR busy", 0, 2},
-		{"a read with less left than its soft limit", "mg k v Oa Pc=read," + long, "SERVER_ERROR busy", endsIn / 3, 1},
-		{"what may not be repeated", "mg k v Oa Pc=pay," + long, "SERVER_ERROR busy", 0, 1},
-		{"what may be for some time", "ms k 1 Oa Pc=put,k=7," + long + "\r\nx", "SERVER_ERROR busy", 0, 1},
+		{"a read without an answer", "mg hangs v Oa Pc=read," + long, "SERVER_ERROR busy", 0, 2},
+		{"a read with too little time left", "mg k v Oa Pc=read," + long, "SERVER_ERROR busy", endsIn / 3, 1},
+		{"a request that is not idempotent", "mg k v Oa Pc=pay," + long, "SERVER_ERROR busy", 0, 1},
+		{"a write idempotent for some time", "ms k 1 Oa Pc=put,k=7," + long + "\r\nx", "SERVER_ERROR busy", 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -121,9 +121,10 @@
 	}
 }
 
-// Guards against requests with deadlines later than the end of a draining node, or than whoever ends the process waits:
-// their connections would end without an answer. With a deadline of 5.3 s, a node was still working when it was killed.
-// Each request must be answered before the end, as its class and its attempts allow.
+// Guards against requests whose deadlines are later than the end of a draining node, or than the time at which the
+// process manager kills it: their connections would end without an answer. A node with a request that had a deadline of
+// 5.3 s was killed before it had stopped. Each request must be answered before the end, as its class and its attempts
+// allow.
 func TestDrainAnswersRequestsThatOutlastTheNode(t *testing.T) {
 	for _, longest := range []time.Duration{0, 500 * time.Millisecond, time.Minute} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -163,8 +164,8 @@
 }
 
 // Guards against a process that returned its listeners to its predecessor and stops in the first iteration without a
-// known client: connections that the kernel had already accepted but the loop had not seen were reset. That hit about
-// one connection in some thousand when operators ended the successor of an upgrade under load.
+// known client: connections that the kernel had accepted but the loop had not seen were reset. This affected about one
+// in some thousand connections when operators stopped the successor of an upgrade under load.
 func TestReturnedProcessStopsOnlyAfterQuietTime(t *testing.T) {
 	g := newHarness(t, 200, blockRequestA(nil))
 	g.runInLoop(func() { g.takeover.otherProcessAccepts = true })
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -99,7 +99,7 @@
 }
 
 // A node whose clock is off when it receives its first list takes endpoints for older or younger by as much, but never
-// for started in the future. So an endpoint that warms up for a long time does so from then on.
+// for started in the future. A start time in the future counts as the present time.
 func TestEndpointStartInTheFirstListIsOffByNoMoreThanTheClock(t *testing.T) {
 	for _, step := range wallClockSteps {
 		for _, age := range []time.Duration{time.Second, time.Minute, 2 * time.Hour} {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -441,13 +441,13 @@
 
 func withMetrics(config *Config) { config.PublishMetrics = true }
 
-// waysToLeave are the ways in which a peer ends a connection: it closes it, resets it, or closes only its sending side,
+// closeMethods are the ways in which a peer ends a connection: it closes it, resets it, or closes only its sending side,
 // which looks like a close.
-var waysToLeave = map[string]func(c *net.TCPConn){
-	"end": func(c *net.TCPConn) { c.Close() },
+var closeMethods = map[string]func(c *net.TCPConn){
+	"close": func(c *net.TCPConn) { c.Close() },
 	"reset": func(c *net.TCPConn) {
 		c.SetLinger(0)
 		c.Close()
 	},
-	"half-end": func(c *net.TCPConn) { c.CloseWrite() },
+	"half-close": func(c *net.TCPConn) { c.CloseWrite() },
 }
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -10,14 +10,14 @@
 	"dahliapin/policy"
 )
 
-// Operators compare the figures of snapshots, so these must be exact. Each request must count once, by its outcome and
+// Operators compare the numbers in snapshots, so these must be exact. Each request must count once, by its outcome and
 // class, and an unresponsive or unreachable endpoint must count as unavailable.
 func TestMetricsCountEachRequestOnce(t *testing.T) {
-	hold := make(chan bool)
+	proceed := make(chan bool)
 	g := newHarness(t, 200, func(line string) string {
 		switch {
-		case strings.Contains(line, "Oheld"):
-			<-hold
+		case strings.Contains(line, "Oblocked"):
+			<-proceed
 		case strings.Contains(line, "Omiss"):
 			return "EN " + idFlag(line) + "\r\n"
 		}
@@ -25,11 +25,11 @@
 	}, withMetrics)
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n", "mg k v Omiss Pc=read,d=9000\r\n",
-		"ms cut 1 Ocut Pc=pay,d=9000\r\nx\r\n", "mg k v Oheld Pc=read,d=9000\r\n")
+		"ms cut 1 Ocut Pc=pay,d=9000\r\nx\r\n", "mg k v Oblocked Pc=read,d=9000\r\n")
 	g.expect(r, "VA 5 Oa", "hello", "VA 11 Omiss", "from-origin", "SERVER_ERROR failed")
 	gone, _ := g.client()
-	fmt.Fprint(gone, "mg k v Oheld2 Pc=read,d=9000\r\n")
-	g.waitUntil("both requests are held", func(n metrics.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
+	fmt.Fprint(gone, "mg k v Oblocked2 Pc=read,d=9000\r\n")
+	g.waitUntil("both are blocked", func(n metrics.Counters) bool { return n.Requests == 5 && n.Attempts == 6 })
 	gone.(*net.TCPConn).SetLinger(0)
 	gone.Close()
 	g.waitUntil("one client is gone", func(n metrics.Counters) bool { return n.ClientsGone == 1 })
@@ -55,8 +55,8 @@
 		t.Errorf("%+v", s)
 	}
 	testUnavailable(t, g, publish)
-	close(hold)
-	g.expect(r, "VA 5 Oheld", "hello")
+	close(proceed)
+	g.expect(r, "VA 5 Oblocked", "hello")
 	if s := publish(); s.Pending != 0 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/proxy/pipeline_test.go
+++ b/internal/proxy/pipeline_test.go
@@ -29,8 +29,8 @@
 // A client keeps sending commands behind a request that is not answered. Their answers are queued in memory, so the
 // connection must be closed once maxPendingResponses are queued, and those must still be answered.
 func TestAnswersQueuedBehindASlowRequestAreBounded(t *testing.T) {
-	hold := make(chan bool)
-	g := newHarness(t, 200, blockAll(hold))
+	proceed := make(chan bool)
+	g := newHarness(t, 200, blockAll(proceed))
 	c, r := g.client()
 	fmt.Fprint(c, "mg k v Oa Pc=read,d=9000\r\n")
 	receive(t, g.cacheCommands)
@@ -40,7 +40,7 @@
 		g.runInLoop(func() { g.downstream.conns.Each(func(_ clientConnID, c *clientConn) { closing <- c.closing }) })
 		return <-closing
 	})
-	close(hold)
+	close(proceed)
 	g.expect(r, "VA 5 Oa", "hello")
 	rest, _ := io.ReadAll(r)
 	answers := strings.Count(string(rest), "MN")
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -17,12 +17,12 @@
 	g.expect(r, "SERVER_ERROR busy 250", "SERVER_ERROR busy 250")
 }
 
-// Guards against forwarding requests with an unknown class or no usable deadline, which endpoints cannot use, and a
-// request with the id of another one in flight, which the endpoint takes for that one. Each must be refused without an
-// attempt.
+// Guards against forwarding requests that endpoints cannot use, because their class is unknown or their deadline is
+// missing or invalid, and requests with the id of another one in flight, which the endpoint would take for that one.
+// Each must be refused without an attempt.
 func TestMalformedRequestIsRefusedAndNotForwarded(t *testing.T) {
-	hold := make(chan bool)
-	g := newHarness(t, 200, blockRequestA(hold))
+	proceed := make(chan bool)
+	g := newHarness(t, 200, blockRequestA(proceed))
 	own, first := g.client()
 	fmt.Fprint(own, "mg k v Oa Pc=read,d=9000\r\n")
 	receive(t, g.cacheCommands)
@@ -37,7 +37,7 @@
 			t.Errorf("%q: %q %v", bad, got, err)
 		}
 	}
-	close(hold)
+	close(proceed)
 	g.expect(first, "VA 5 Oa", "hello")
 	g.waitUntil("the request is released", func(metrics.Counters) bool {
 		left := make(chan int, 1)
@@ -54,8 +54,8 @@
 // More requests arrive than there are descriptors. Each must be served or rejected; none may be lost with its
 // connection.
 func TestRequestsAreRejectedNotDroppedWithoutDescriptors(t *testing.T) {
-	hold := make(chan bool)
-	g := newHarness(t, 64, blockAll(hold))
+	proceed := make(chan bool)
+	g := newHarness(t, 64, blockAll(proceed))
 	var rs []*bufio.Reader
 	for n := range 38 { // clients may use sixteen connections before attempts lack descriptors
 		c, r := g.client()
@@ -63,7 +63,7 @@
 		rs = append(rs, r)
 		g.waitUntil("the request is received", func(c metrics.Counters) bool { return c.Requests == uint64(n+1) })
 	}
-	close(hold)
+	close(proceed)
 	served, busy := 0, 0
 	for _, r := range rs {
 		got, err := r.ReadString('\n')
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -13,9 +13,9 @@
 	"dahliapin/internal/proxy/metrics"
 )
 
-// Guards against buffering long values completely: their first byte would reach the client with their last, and many at
-// once would fill the memory. The head of a value must be written with its first bytes. A second value on the same
-// connection must wait without being read, and nothing may be lost or out of order.
+// Guards against buffering long values completely: the first byte would reach the client only after the last was
+// received, and many values at the same time would fill the memory. The head of a value must be written with its first
+// bytes. A second value on the same connection must wait without being read, and nothing may be lost or out of order.
 func TestLongValueIsStreamedInItsTurn(t *testing.T) {
 	const half = 2 << 20
 	first, second := strings.Repeat("v", 2*half), strings.Repeat("w", 2*half)
@@ -48,7 +48,7 @@
 	}
 	g.runInLoop(func() { g.endpoints.byID["c"].addr = usual })
 	fmt.Fprint(c, "mg k v Ob Pc=read,d=9000\r\nmn\r\n")
-	held := make(chan bool, 1)
+	paused := make(chan bool, 1)
 	g.waitUntil("the second value is paused", func(metrics.Counters) bool {
 		g.runInLoop(func() {
 			n := 0
@@ -57,9 +57,9 @@
 					n++
 				}
 			})
-			held <- n == 1
+			paused <- n == 1
 		})
-		return <-held
+		return <-paused
 	})
 	other, others := g.client() // is served meanwhile
 	fmt.Fprint(other, "mg k v Oshort Pc=read,d=9000\r\n")
@@ -71,8 +71,8 @@
 	}
 }
 
-// An endpoint breaks off a value of which a part has reached the client. No other endpoint can answer any more, so the
-// client's connection must be closed: only by that can the client tell.
+// An endpoint breaks off a value of which a part has reached the client. No other endpoint can answer then, so the
+// client's connection must be closed: only this shows the client that the value is incomplete.
 func TestBrokenStreamClosesTheClientConn(t *testing.T) {
 	g := newHarness(t, 200, func(line string) string {
 		return fmt.Sprintf("VA %d %s\r\n%s%s", 1<<20, idFlag(line), strings.Repeat("v", 100<<10), thenClose)
--- a/internal/proxy/standby_test.go
+++ b/internal/proxy/standby_test.go
@@ -15,8 +15,8 @@
 // as it runs. In standby, the node must fail readiness checks at once, serve the requests it has and those that still
 // arrive, close clients as they become idle, and keep its connections to endpoints. After Activate it must serve again.
 func TestStandbyAndActiveLoseNoRequests(t *testing.T) {
-	hold := make(chan bool)
-	g := newHarness(t, 200, blockRequestA(hold), withMetrics)
+	proceed := make(chan bool)
+	g := newHarness(t, 200, blockRequestA(proceed), withMetrics)
 	busy, busyAnswers := g.client()
 	fmt.Fprint(busy, "mg k v Oa Pc=read,d=9000\r\n")
 	receive(t, g.cacheCommands)
@@ -34,9 +34,9 @@
 	g.runInLoop(func() {
 		g.lifecycle.standbyStartedAt = g.lifecycle.standbyStartedAt.Add(-standbyAcceptTime - standbyServeTime)
 	})
-	g.Counters() // else the loop may take the next request first
-	close(hold)
-	fmt.Fprint(busy, "mg k v Od Pc=read,d=9000\r\n") // rejected, or a busy client would be served forever
+	g.Counters() // waits until the loop has done that; otherwise it might read the next request before
+	close(proceed)
+	fmt.Fprint(busy, "mg k v Od Pc=read,d=9000\r\n") // must be rejected: a busy client would be served forever
 	g.expect(busyAnswers, "VA 5 Oa", "hello", "SERVER_ERROR busy")
 	expectReset(t, busyAnswers)
 	if s := g.Metrics(); s.Serving || s.Phase != "standby" {
--- a/internal/proxy/upstream_http_test.go
+++ b/internal/proxy/upstream_http_test.go
@@ -45,12 +45,12 @@
 const helloBody = "|Content-Length: 5||hello"
 
 // cachedResponses are responses of a cache by key, with a header that the client sends and the result that it gets: the
-// status, the body, and " kept" if the response is the cache's.
+// status, the body, and " hit" if the response is the cache's.
 var cachedResponses = map[string]struct{ response, header, want string }{
 	"fresh": {
 		response: "200 OK|Date: NOW|Age: 5|Cache-Control: max-age=60" +
 			"|X: y|Connection: z|Z: hop|Y: a\nSplit: b" + helloBody,
-		want: "200 hello kept",
+		want: "200 hello hit",
 	},
 	"old": {
 		response: "200 OK|Date: NOW|Age: 61|Cache-Control: max-age=60" + helloBody,
@@ -62,7 +62,7 @@
 	},
 	"ahead": {
 		response: "200 OK|Date: AHEAD|Cache-Control: max-age=20" + helloBody,
-		want:     "200 hello kept",
+		want:     "200 hello hit",
 	},
 	"odd": {
 		response: "200 OK|Date: NOW|Age: x|Cache-Control: max-age=29" + helloBody,
@@ -102,12 +102,12 @@
 	"stale": {
 		response: "200 OK|Date: NOW|Age: 70|Cache-Control: max-age=60" + helloBody,
 		header:   "Cache-Control: max-stale=20",
-		want:     "200 hello kept",
+		want:     "200 hello hit",
 	},
 	"validated": {
 		response: "304 Not Modified|Date: NOW|Age: 1|Cache-Control: max-age=60|ETag: \"e\"||",
 		header:   "If-None-Match: \"e\"",
-		want:     "304  kept",
+		want:     "304  hit",
 	},
 	"unasked": {
 		response: "304 Not Modified|Date: NOW|Age: 1|Cache-Control: max-age=60||",
@@ -128,7 +128,7 @@
 	},
 	"none": {
 		response: "404 Not Found|Date: NOW|Age: 1|Cache-Control: max-age=60|Content-Length: 4||none",
-		want:     "404 none kept",
+		want:     "404 none hit",
 	},
 	"half": {
 		response: "200 OK|Date: NOW|Age: 1|Cache-Control: max-age=60|Content-Length: 9||hel" + thenClose,
@@ -152,7 +152,9 @@
 	t.Helper()
 	stub := &cacheStub{response: cached}
 	g := newHarness(t, 200, stub.answer, withHTTPListeners, func(config *Config) {
-		config.Listeners.HTTPCaches = listeners.HTTPCaches{HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/"}
+		config.Listeners.HTTPCaches = listeners.HTTPCaches{
+			HTTPKinds: []string{"box"}, ClockOffS: 30, HealthCheckPath: "/",
+		}
 	})
 	request, _ := http.NewRequest("GET", "http://"+g.Addr(1)+"/p/"+key+"%2Fx?b=1", nil)
 	if name, value, ok := strings.Cut(header, ": "); ok {
@@ -170,9 +172,9 @@
 	response.Body.Close()
 	got := fmt.Sprintf("%d %s", response.StatusCode, body)
 	if response.Header.Get("Cache-Status") == "dahliapin; hit" {
-		got += " kept"
+		got += " hit"
 	}
-	isForwarded := strings.HasSuffix(got, "kept") || key == "only"
+	isForwarded := strings.HasSuffix(got, "hit") || key == "only"
 	if got != want || isForwarded != (response.Header.Get("Via") != "") {
 		t.Errorf("%s: got %q, want %q; %v", key, got, want, response.Header)
 	}
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Guards against an idle check of a connection in use that is repeated at once until the attempt ends, so that no event
-// is handled meanwhile: eight requests were lost. The next check must be a whole idle timeout away.
+// Guards against a busy loop: the idle check of a connection in use was repeated immediately until its attempt ended,
+// no event was handled meanwhile, and eight requests were lost. The next check must be a whole idle timeout away.
 func TestConnInUseAtItsIdleCheckIsCheckedLater(t *testing.T) {
 	p := &Proxy{clock: clock{startedAt: time.Now()}}
 	p.config.Settings.Policy.IdleTimeout = 10 * time.Second
