--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -6,7 +6,7 @@
 	"dahliapin/policy"
 )
 
-// clockEpoch is the clock's first reading, so that no instant is ever 0, which stands for none.
+// clockEpoch is the clock's first reading, so that no instant is ever 0, which means that an instant is not set.
 const clockEpoch = policy.Instant(time.Second)
 
 // clock converts times of the process to instants of the node, which are monotonic and begin at clockEpoch.
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -18,15 +18,15 @@
 	Listen string
 	// Discovery is the address that the endpoint list is polled from.
 	Discovery string
-	// Listeners are the further listeners, the degradation levels, and how endpoints are addressed by HTTP.
+	// Listeners holds the additional listeners, the degradation levels, and the settings of endpoints that speak HTTP.
 	Listeners listeners.File
 	// Seed is the seed of all random decisions of the node.
 	Seed int64
 	// DescriptorLimit is how many file descriptors the node's sockets may use.
 	DescriptorLimit int
-	// ReservedDescriptors is how many descriptors the process uses for other things.
+	// ReservedDescriptors is how many file descriptors the process uses for anything but the node's sockets.
 	ReservedDescriptors int
-	// MemoryLimit is how many bytes the process may use in all.
+	// MemoryLimit is how many bytes of memory the process may use in total.
 	MemoryLimit int64
 	// Settings are the deployment's settings.
 	Settings settings.Settings
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -4,8 +4,8 @@
 //
 // # Use
 //
-// New opens the listeners and starts a node from a Config. Run is its event loop and returns once the node has
-// stopped. Shutdown, Standby, Activate, SetDiscovery, Counters and Metrics may be called from any goroutine.
+// New opens the listeners and starts a node from a Config. Run is its event loop and returns once the node has stopped.
+// Shutdown, Standby, Activate, SetDiscovery, Counters and Metrics may be called from any goroutine.
 //
 // # Path of a request
 //
@@ -22,18 +22,18 @@
 //     received, by startStream (response_stream.go). flushPipeline writes the answer once all earlier commands of the
 //     connection have been answered.
 //
-// An answer that is late or lost was held up in one of these steps. AnsweredLate counts the requests completed after
-// their deadline. It leaves out streams, and answers that were completed in time but had to wait for the commands
-// before them. LongestIterationMs and Stalls tell whether the event loop stalled.
+// An answer that is late or missing was delayed in one of these steps. The counter AnsweredLate counts the requests
+// completed after their deadline. It does not include streams, nor answers that were completed in time but had to wait
+// for those to earlier commands. LongestIterationMs and Stalls show whether the event loop stalled.
 //
 // # State and ownership
 //
 // All state belongs to the event loop. Each part is one type, in the file of the same concern: downstream (client
 // connections), inflightTable (requests in flight), upstream (connections to endpoints and the pool of idle ones),
 // endpointTable (the endpoint list and its watch), lifecycle (phase, drain and standby), takeover, metricsPublisher,
-// stallDetector, and taskQueue. Other goroutines reach the loop only through runInLoop and runCommand; they read only
-// the metrics snapshot directly. The dispatcher holds what decisions need to know about the requests in flight, and
-// sets their timers with SetTimer.
+// stallDetector, and taskQueue. Other goroutines reach the loop only through runInLoop and runCommand; the only state
+// that they read directly is the metrics snapshot. The dispatcher holds what decisions need to know about the requests
+// in flight, and sets their timers with SetTimer.
 //
 // # Endpoint list
 //
@@ -44,21 +44,21 @@
 // # Shutdown
 //
 // On SIGTERM the process calls Shutdown, and the loop runs startDrain (drain.go). The phase becomes Draining, which
-// makes readiness checks fail. A process that took over returns the listeners to its predecessor if that is still
-// running. Deadlines are capped to the node's end. drainStep then serves the requests that still arrive. Once no
-// connection has arrived for a while, it closes the idle ones; the last answer on each connection announces the close,
-// if the protocol supports that. The node stops when no connection and no request is left, or at drainDeadline. Run
-// then closes the handover offer and stops the engine, and node.Serve waits until the events have been received, leaves
-// the fleet and closes the admin server.
+// makes readiness checks fail. A process that took over leaves new connections to its predecessor again if that is
+// still running. Deadlines are capped, so that every request is answered before the node stops. drainStep then serves
+// the requests that still arrive. Once no connection has arrived for a while, it closes the idle ones; the last answer
+// on each connection announces the close, if the protocol supports that. The node stops when no connection and no
+// request is left, or at drainDeadline. Run then closes the handover offer and stops the engine, and node.Serve waits
+// until the events have been received, leaves the fleet and closes the admin server.
 //
 // # Invariants
 //
 //   - Each accepted request gets one final answer, or its client's connection ends.
 //   - An attempt ends with one result, which the dispatcher gets after the call in which the attempt ended (deferCall):
 //     the dispatcher is not reentrant.
-//   - A connection to an endpoint carries one thing at a time. Unrequested data on it closes it, so that no response is
-//     taken for another request's.
-//   - The loop never waits for a socket, a file or another goroutine. Only two things can hold it up:
+//   - A connection to an endpoint serves one purpose at a time. It is closed when unrequested data arrives on it, so
+//     that no response is taken for another request's.
+//   - The loop never waits for a socket, a file or another goroutine. Only two things can delay it:
 //     awaitEndpointList, which after a stall checks at most maxListReadChecks times whether the list has been read, and
 //     the callbacks of Config, which must not block.
 //   - Data from clients and endpoints takes at most a part of the memory limit, as given by incompleteRequestDivisor,
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -24,12 +24,13 @@
 	sweepInterval = 100 * time.Millisecond
 	// flushTimeout is how long a closing connection may take until its client has read the last answer.
 	flushTimeout = time.Second
-	// flushCheckInterval is the interval at which the node checks whether it has.
+	// flushCheckInterval is the interval at which the node checks whether the client of a closing connection has read
+	// the last answer.
 	flushCheckInterval = 20 * time.Millisecond
-	// maxPipelined is the number of commands in flight on one connection from which on further ones are rejected.
+	// maxPipelined is the number of commands in flight on one connection at which further ones are rejected.
 	maxPipelined = 256
-	// maxPendingResponses is the number of pending commands and queued answers on one connection from which on it is
-	// closed. Otherwise answers could queue up behind one slow request without bound.
+	// maxPendingResponses is the number of pending commands and queued answers on a connection at which it is closed.
+	// Otherwise answers could queue up behind one slow request without bound.
 	maxPendingResponses = 4 * maxPipelined
 )
 
@@ -42,8 +43,7 @@
 	// readAheadDivisor limits data received from endpoints that the event loop has not read yet to the memory limit
 	// divided by it.
 	readAheadDivisor = 8
-	// spareDescriptorDivisor: the descriptors divided by it are kept free for upstream connections that are not open
-	// yet.
+	// spareDescriptorDivisor keeps the descriptors divided by it free for upstream connections that are not open yet.
 	spareDescriptorDivisor = 8
 	// upstreamDivisor limits upstream connections to the descriptors divided by it, which clients leave to them: a
 	// request needs one or two of them.
@@ -73,9 +73,9 @@
 	lastUsedAt      policy.Instant
 	continueSent    bool           // "100 Continue" has been sent for the current command
 	closing         bool           // nothing more is read; the connection closes once all commands are answered
-	overLimit       bool           // it connected above the client limit: its requests are rejected until below it
+	overLimit       bool           // accepted above the client limit; its requests are rejected while that is exceeded
 	incompleteBytes int            // of the current incomplete command
-	incompleteSince policy.Instant // when that command, or a connection without one, began; 0 if neither
+	incompleteSince policy.Instant // when that command, or a connection without any, began; 0 if neither applies
 	// flushDeadline is when a closing connection is closed even if its client has not read everything; 0 if not set.
 	flushDeadline policy.Instant
 }
@@ -183,8 +183,8 @@
 
 // sweepClients closes connections on which nothing or no complete command was sent in time, and those that have been
 // idle for too long. Some clients send one request and then keep their connection open, so the number of idle
-// connections is limited. Connections whose clients sent more than one command are kept first, then the most recently
-// used ones.
+// connections is limited. Connections on which only one command was answered are closed before others, and the least
+// recently used ones first.
 func (p *Proxy) sweepClients() {
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
@@ -217,8 +217,8 @@
 	}
 }
 
-// compareByUse orders clients by how many commands were answered on their connections, counted up to maxCount, and then
-// by last use, oldest first.
+// compareByUse orders clients by the number of commands answered on their connections, capped at maxCount, and then by
+// last use, the least recent first.
 func compareByUse(maxCount uint64) func(a, b *clientConn) int {
 	return func(a, b *clientConn) int {
 		byCommands := cmp.Compare(min(a.firstSlot, maxCount), min(b.firstSlot, maxCount))
--- a/internal/proxy/downstream_codec.go
+++ b/internal/proxy/downstream_codec.go
@@ -23,7 +23,7 @@
 	valueTrailer() string
 	// writeReceipt encodes the answer to a write that was executed.
 	writeReceipt(request *clientRequest, response *upstreamResponse) []byte
-	// rejected encodes that a request was not executed and may be retried. A retryAfter of 0 is not stated.
+	// rejected encodes that a request was not executed and may be retried, after retryAfter unless that is 0.
 	rejected(request *clientRequest, retryAfter time.Duration) []byte
 	// failed encodes that a request may have been executed. timedOut reports that the last endpoint did not respond in
 	// time, rather than with an error.
@@ -33,7 +33,7 @@
 	readiness(request *clientRequest, phase Phase) []byte
 	counters(request *clientRequest, counters *metrics.Counters) []byte
 	// announceClose makes an answer announce that its connection closes after it, if the protocol supports that.
-	announceClose(response []byte) (closing []byte, can bool)
+	announceClose(response []byte) (closing []byte, supported bool)
 }
 
 // requestIntent is what a client asks of the node.
@@ -45,7 +45,7 @@
 	intentReadiness                       // whether the node serves requests
 	intentCounters                        // the node's counters
 	intentContinue                        // "100 Continue", before the client sends the body
-	intentInvalid                         // nothing that the node can serve
+	intentInvalid                         // a command that the node cannot serve
 )
 
 // parsedRequest is a client's parsed command.
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,7 +11,7 @@
 	// drainAcceptTime is how long new connections may still arrive after a drain has begun: the load balancer in front
 	// of the nodes stops sending them 0.2 to 0.4 s later.
 	drainAcceptTime = 500 * time.Millisecond
-	// drainQuietTime is how long no new connection must have arrived before idle clients are closed.
+	// drainQuietTime is the time without a new connection after which idle clients are closed.
 	drainQuietTime = 150 * time.Millisecond
 	// drainCheckInterval is the interval between checks for idle clients.
 	drainCheckInterval = 10 * time.Millisecond
@@ -23,8 +23,8 @@
 	maxShutdownWait = 3 * time.Second
 	// shutdownMargin is the time after the longest deadline by which the node must have stopped.
 	shutdownMargin = 500 * time.Millisecond
-	// answerMargin is how long before its end the node answers all requests still in flight: ten idle checks, in which
-	// to close the connections.
+	// answerMargin is how long before drainDeadline the node answers all requests still in flight. It leaves time for
+	// ten idle checks, which close the connections.
 	answerMargin = 100 * time.Millisecond
 )
 
@@ -44,7 +44,7 @@
 	p.drainStep()
 }
 
-// drainDeadline returns when a draining node stops at the latest, which is before whoever told it to stop kills it.
+// drainDeadline returns when a draining node stops at the latest: before the process manager kills it.
 func (p *Proxy) drainDeadline() policy.Instant {
 	longest := cmp.Or(p.config.Settings.LongestDeadline, maxShutdownWait)
 	return p.lifecycle.drainStartedAt.Add(min(longest, maxShutdownWait) + shutdownMargin)
--- a/internal/proxy/endpoint_stats.go
+++ b/internal/proxy/endpoint_stats.go
@@ -8,15 +8,15 @@
 	"dahliapin/policy"
 )
 
-// trialInterval is the minimum interval between attempts to an endpoint that gets only occasional trials. More frequent
-// attempts are its share of the load.
+// trialInterval is the time within which an unresponsive endpoint gets at most one attempt, a trial, while it counts as
+// avoided. More frequent attempts are its share of the load.
 const trialInterval = time.Second
 
 // endpointStats records the state that package policy gives each endpoint, and how often the endpoint is tried, for the
 // metrics snapshots. It passes everything on to the next observer, if there is one.
 type endpointStats struct {
 	dispatch.Observer                                            // the next one, or nil
-	states            map[policy.EndpointID]policy.EndpointState // of endpoints that are not in StateInUse
+	states            map[policy.EndpointID]policy.EndpointState // without the endpoints in StateInUse
 	lastAttempts      map[policy.EndpointID][2]policy.Instant    // when the last two were sent, the latest last
 }
 
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -20,7 +20,7 @@
 // until the list has changed. Package discovery decides what to ask for, and how long to back off.
 type endpointWatch struct {
 	conn                 upstreamConnID // of the poll; 0 during a backoff
-	pollNumber           uint64         // counts polls and failures, so that an outdated timer can be told
+	pollNumber           uint64         // counts polls and failures, to recognize the timer of an earlier one
 	poll                 discovery.Poll
 	pollStartedAt        policy.Instant // including the time to connect
 	poller               discovery.Poller
@@ -103,7 +103,7 @@
 }
 
 // onPollFailed sets the timer for the next poll. Only the first of consecutive failures is logged: with thousands of
-// nodes, nobody could read a line for each.
+// nodes, a line for each would flood the logs.
 func (p *Proxy) onPollFailed() {
 	watch := &p.endpoints.watch
 	p.metrics.counters.FailedPolls++
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -16,7 +16,7 @@
 // is kept by package policy.
 type endpointTable struct {
 	byID    map[policy.EndpointID]*knownEndpoint
-	members int // how many of byID are not the origin
+	members int // number of endpoints in byID without the origin
 	watch   endpointWatch
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// applyEntry applies an entry to the table. One with another address or a later start describes another process, so the
-// connections to the old one are of no use.
+// applyEntry applies an entry to the table. An entry with another address or a later start describes another process,
+// so the connections to the old one are closed.
 func (p *Proxy) applyEntry(row *fastjson.Value, entry *policy.Endpoint, start processStart) {
 	addr := string(row.GetStringBytes("hostPort"))
 	isRemoved := entry.Lifecycle == policy.Removed
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -9,14 +9,15 @@
 // lastKnownListDelay is how long a starting node waits for a list before it serves by the last known one.
 const lastKnownListDelay = 250 * time.Millisecond
 
-// Phase is a phase of a node's lifecycle.
+// Phase is a phase in the lifecycle of a node.
 type Phase int32
 
+// The phases.
 const (
 	Starting Phase = iota // no endpoint list yet: requests are rejected
 	Serving
-	Standby  // out of service by an operator's command; the node does not stop
-	Draining // the node stops once its clients are served
+	Standby  // taken out of service by an operator's command, but not about to stop
+	Draining // about to stop, once the clients have been served
 	Stopped
 )
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// scheduleIdleClientCheck sets the timer for the next idle check, unless it is set already. Without this check, a node
-// in standby that begins to drain would run a second series of checks, and reach minOnTimeIdleChecks in half the time.
+// scheduleIdleClientCheck sets the timer for the next idle check, unless it is set already. Otherwise a node in standby
+// that begins to drain would run a second series of checks, and reach minOnTimeIdleChecks in half the time.
 func (p *Proxy) scheduleIdleClientCheck() {
 	if p.lifecycle.idleCheckScheduled {
 		return
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -43,8 +43,8 @@
 	m.byClass[class].Failed++
 }
 
-// publishMetrics publishes a new snapshot. It is called ten times a second, so it visits only the endpoints that are
-// not in StateInUse: there may be thousands of endpoints.
+// publishMetrics publishes a new snapshot. It is called ten times a second, and there may be thousands of endpoints, so
+// it visits only those that are not in StateInUse.
 func (p *Proxy) publishMetrics() {
 	stats := p.metrics.endpoints
 	if stats == nil {
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -6,8 +6,8 @@
 	"dahliapin/policy"
 )
 
-// pipelineSlot holds the answer to one command of a connection. Answers are written in the order of the commands,
-// whichever is ready first.
+// pipelineSlot holds the answer to one command of a connection. Answers are written in the order of the commands, not
+// in the order in which they become ready.
 type pipelineSlot struct {
 	request    inflightID // 0 for a command that is not a request in flight
 	answered   bool
@@ -25,7 +25,7 @@
 	client.pipeline = append(client.pipeline, pipelineSlot{answered: true, response: response})
 }
 
-// slotOf returns the slot with the given number. Its command must not have been answered to the client yet.
+// slotOf returns the slot with the given number. The answer of that slot must not have been written yet.
 func (c *clientConn) slotOf(number uint64) *pipelineSlot { return &c.pipeline[number-c.firstSlot] }
 
 // advance removes the first count slots.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -39,7 +39,8 @@
 	stalls     stallDetector
 }
 
-// New opens the listeners and starts a node. Run must be called next. The error is that of a listener.
+// New opens the listeners and starts a node. It returns an error if a listener cannot be opened. Run must be called
+// next.
 func New(config Config) (*Proxy, error) {
 	addrs := []string{config.Listen}
 	for _, listener := range config.Listeners.Listeners {
@@ -130,7 +131,7 @@
 	return degradation.NewFilter(router, p.now(), seed, levels, &p.config.Settings, onChange, &p.metrics.counters.Shed)
 }
 
-// Addr returns the address of a listener: 0 is Config.Listen, the further ones count from 1.
+// Addr returns the address of a listener: number 0 is that of Config.Listen, and those of Config.Listeners follow.
 func (p *Proxy) Addr(listener int) string { return p.engine.Addr(listener).String() }
 
 // Shutdown makes the node drain and stop. It may be called from any goroutine, and more than once.
@@ -154,12 +155,12 @@
 	}
 }
 
-// Metrics returns the last snapshot published, or nil if none is published. It may be called from any goroutine.
+// Metrics returns the last snapshot published, or nil if there is none. It may be called from any goroutine.
 func (p *Proxy) Metrics() *metrics.Snapshot { return p.metrics.snapshot.Load() }
 
 // BlockLoop blocks the event loop until a channel is closed. Rehearsals use it to simulate a process that hangs.
 func (p *Proxy) BlockLoop(until <-chan struct{}) { p.runInLoop(func() { <-until }) }
 
-// Replaced reports whether another process accepts the connections. It may be called only within the event loop, that
-// is, by a callback of Config.
+// Replaced reports whether another process of the node accepts the connections. It may be called only within the event
+// loop, that is, by a callback of Config.
 func (p *Proxy) Replaced() bool { return p.takeover.otherProcessAccepts }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -11,8 +11,8 @@
 const (
 	// maxClientTimeout is the longest timeout that a client may state. No deployment uses timeouts close to it.
 	maxClientTimeout = 10 * time.Minute
-	// bufferedDivisor limits buffered requests and answers to the memory limit divided by it. The rest is left for the
-	// other state that grows with them.
+	// bufferedDivisor limits buffered requests and answers to the memory limit divided by it. The rest is for other
+	// state, which grows with them.
 	bufferedDivisor = 8
 )
 
@@ -38,7 +38,7 @@
 	deadline            policy.Instant
 	answered            bool // or its client has disconnected
 	lastAttemptTimedOut bool
-	anyWritten          bool      // at least one attempt was written to a socket, if only partly
+	anyWritten          bool      // at least one attempt has been written to a socket, completely or in part
 	size                int       // in bytes
 	attempts            []attempt // indexed like the dispatcher's: each Send appends to both
 }
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -22,8 +22,8 @@
 )
 
 // responseStream is a long value that is forwarded while it is being received. For the dispatcher, its attempt ended
-// with the first byte: no other attempt follows, and on any failure the client's connection is closed, by which the
-// client can tell that the value is incomplete.
+// with the first byte: no other attempt follows. On any failure the client's connection is closed, which shows the
+// client that the value is incomplete.
 type responseStream struct {
 	client           clientConnID
 	slot             uint64 // the number of its pipeline slot
@@ -159,8 +159,8 @@
 	return data[used:]
 }
 
-// writeStream writes bytes of a value to the client. It returns how many, and whether more are to come; if not, the
-// stream has ended.
+// writeStream writes bytes of a value to the client. It returns how many bytes it wrote, and whether more are to come;
+// if not, the stream has ended.
 func (p *Proxy) writeStream(conn *upstreamConn, client *clientConn, data []byte) (used int, more bool) {
 	stream := conn.stream
 	if !stream.started && !p.writeStreamHead(stream, client) {
@@ -234,8 +234,8 @@
 	p.answerSlot(client, &client.pipeline[0], []byte(stream.codec.valueTrailer()))
 }
 
-// failStream ends a stream whose value will not be complete. If part of it has been written, the client can tell by the
-// end of the connection; otherwise the request is answered like any other failed one.
+// failStream ends a stream whose value will not be complete. If part of the value has been written, the client's
+// connection is closed; otherwise the request is answered like any other that failed.
 func (p *Proxy) failStream(stream *responseStream) {
 	p.inflight.pending--
 	p.metrics.countFailed(stream.class)
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// stallThreshold is how long an iteration of the event loop may take. Longer ones are stalls, for which deadlines
-	// leave no allowance.
+	// stallThreshold is the duration from which an iteration of the event loop counts as a stall. Deadlines make no
+	// allowance for stalls.
 	stallThreshold = 150 * time.Millisecond
 	// stallLogInterval is the minimum interval between log lines about stalls.
 	stallLogInterval = time.Second
@@ -27,7 +27,7 @@
 	events    int            // socket events handled in it
 	lists     int            // endpoint lists applied in it
 	stalled   bool           // the previous iteration was a stall
-	loggedAt  policy.Instant // when a stall was last logged; 0 if never
+	loggedAt  policy.Instant // when a stall was last logged; 0 if none was
 	notLogged int            // stalls since then, which were not logged
 }
 
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -11,14 +11,14 @@
 	// standbyAcceptTime is how long the load balancer in front of the nodes still sends new clients after the command
 	// to stand by: until 0.2 s after its next readiness check.
 	standbyAcceptTime = 350 * time.Millisecond
-	// standbyServeTime is how long after that busy connections are served. Then their requests are rejected, so that
-	// they become idle and can be closed.
+	// standbyServeTime is how long after standbyAcceptTime requests on busy connections are served. Later ones are
+	// rejected, so that the connections become idle and can be closed.
 	standbyServeTime = 2 * time.Second
 )
 
 // Standby takes the node out of service: it drains without stopping. Activate ends that. Both may be called from any
-// goroutine, and more than once. They return admin.ErrShuttingDown if the node is draining or has stopped, and ctx's
-// error if ctx ends first; the command may be executed all the same then.
+// goroutine, and more than once. They return admin.ErrShuttingDown if the node is draining or has stopped, and the
+// error of ctx if ctx ends first; the command may still be executed then.
 func (p *Proxy) Standby(ctx context.Context) error { return p.runCommand(ctx, p.enterStandby) }
 
 // Activate returns the node to service after Standby.
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -11,13 +11,13 @@
 	offer               *handover.Offer // by which a successor may take over; nil if none
 	otherProcessAccepts bool            // another process accepts connections: the successor, or the predecessor again
 	predecessorExited   bool            // the predecessor has exited
-	predecessorNotified bool            // the predecessor was told that this process serves
+	predecessorNotified bool            // NotifyServing has been called
 }
 
-// startAsSuccessor takes over the listeners of a predecessor. Until the predecessor has exited, this process uses only
-// its part of the limits; a goroutine waits for that exit and ends with it.
+// startAsSuccessor starts a process that has inherited its listeners. Until the predecessor has exited, this process
+// uses only its part of the limits; a goroutine waits for that exit and then ends.
 func (p *Proxy) startAsSuccessor() {
-	for _, listener := range p.config.Inherited.Listeners { // those that New left over are no longer configured
+	for _, listener := range p.config.Inherited.Listeners { // New did not use these: they are no longer configured
 		_ = listener.Close()
 	}
 	p.setSharedLimits(true)
@@ -91,8 +91,8 @@
 	}
 }
 
-// returnToPredecessor leaves new connections to the predecessor if that still runs: to go back to it, operators only
-// have to stop the successor.
+// returnToPredecessor leaves new connections to the predecessor if that is still running: operators revert an upgrade
+// by stopping the successor.
 func (p *Proxy) returnToPredecessor() {
 	if p.config.Inherited == nil || p.takeover.predecessorExited {
 		return
@@ -102,7 +102,8 @@
 	p.config.Inherited.Close()
 }
 
-// startAccepting accepts connections from now on, and makes the predecessor stop accepting them.
+// startAccepting accepts connections from now on, and notifies the predecessor, which then stops accepting them. It
+// does nothing in a process without a predecessor.
 func (p *Proxy) startAccepting() {
 	if p.config.Inherited == nil || p.takeover.predecessorNotified {
 		return
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -12,7 +12,7 @@
 const (
 	timerDispatcher      timerKind = iota // the dispatcher's timer, with its token
 	timerAttemptDeadline                  // an attempt has had no response by its deadline
-	timerUpstreamConn                     // a connect or health check has timed out, or an idle connection has
+	timerUpstreamConn                     // a connect, a health check or an idle connection may have timed out
 	timerPoll                             // a poll of the endpoint list has timed out, or its backoff has ended
 	timerStream                           // a streamed response may have stalled
 	timerFlush                            // the client of a closing connection may have read everything
@@ -40,8 +40,8 @@
 	p.schedule(p.now().Add(in), timerEvent{kind: timerDispatcher, token: token})
 }
 
-// fireTimers handles the timers that are due. One that is set meanwhile waits until further events have been handled,
-// however soon it is due, so that timers that set each other anew cannot starve the sockets.
+// fireTimers handles the timers that are due. A timer that is set meanwhile waits until further events have been
+// handled, however soon it is due: otherwise timers whose handlers set further timers could starve the sockets.
 func (p *Proxy) fireTimers() {
 	now := p.now()
 	for {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -96,8 +96,8 @@
 
 // acquireConn returns the most recently used idle connection to an endpoint, or dials a new one, which has no socket
 // yet. If strict is set, it skips connections on which a response without a request id was received within
-// duplicateResponseWindow: if the endpoint sends a second response, which does not say whose it is, it would be taken
-// for the response to the next request.
+// duplicateResponseWindow: if the endpoint sent that response twice, the second one would be taken for the response to
+// the next request.
 func (p *Proxy) acquireConn(endpoint *knownEndpoint, purpose connPurpose, strict bool) (*upstreamConn, error) {
 	for i := len(endpoint.idleConns) - 1; i >= 0; i-- {
 		conn := p.upstream.conns.Get(endpoint.idleConns[i])
@@ -105,7 +105,7 @@
 			continue
 		}
 		idle, sure := conn.socket.Idle()
-		if !idle && sure { // unrequested data or the end of the connection: neither belongs to the next request
+		if !idle && sure { // it has unrequested data, or has ended: neither belongs to the next request
 			p.metrics.counters.ProtocolErrors++
 			p.dropConn(conn)
 		}
@@ -323,8 +323,8 @@
 	}
 }
 
-// onUpstreamClosed handles the end of a connection. unsent reports that the kernel never accepted all bytes written to
-// it.
+// onUpstreamClosed handles the end of a connection. unsent means that the kernel never accepted all bytes written to
+// the connection, and orderly that the other side closed it and everything that it sent has been read.
 func (p *Proxy) onUpstreamClosed(id upstreamConnID, unsent, orderly bool) {
 	conn := p.upstream.conns.Get(id)
 	if conn == nil {
--- a/internal/proxy/upstream_codec.go
+++ b/internal/proxy/upstream_codec.go
@@ -10,8 +10,8 @@
 type upstreamCodec interface {
 	// encodeRequest encodes an attempt whose response the node awaits for timeoutMs.
 	encodeRequest(request *clientRequest, host string, timeoutMs int64) []byte
-	// canAttributeResponses reports whether a response that serves a request can be attributed to it, by an id in the
-	// response or by the order of responses.
+	// canAttributeResponses reports whether each response that serves a request can be attributed to that request, by
+	// an id in the response or by the order of responses.
 	canAttributeResponses() bool
 	// readResponse parses the response to a request. A size of 0 asks for more bytes, unless the result is
 	// unreadableResponse; totalSize is the size of the whole response, if that is known. ended reports that no more
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -41,7 +41,7 @@
 	return http1.AppendRequest(nil, method, target, h.host(host), headers, request.value)
 }
 
-// host returns the host name sent to endpoints: the configured one, or else the endpoint's address.
+// host returns the host name to send to an endpoint: the configured one, or else the endpoint's address.
 func (h httpUpstream) host(addr string) string {
 	if h.servers.Host != "" {
 		return h.servers.Host
@@ -76,7 +76,7 @@
 	if request.http != nil {
 		response.headers = appendForwarded(nil, answer.Each, answer.Header("Connection"))
 		response.headers = append(response.headers, "Via: 1.1 dahliapin\r\n"...)
-	} else if request.write && !meta.IsWord(answer.Body) { // a receipt must be one word; the status stands in
+	} else if request.write && !meta.IsWord(answer.Body) { // a receipt must be one word, so the status replaces it
 		response.body = strconv.AppendInt(nil, int64(answer.Status), 10)
 	}
 	return response, size, 0
