--- a/internal/freshness/seconds.go
+++ b/internal/freshness/seconds.go
@@ -27,7 +27,8 @@
 // allows reports whether s is valid and d does not exceed it.
 func (s DeltaSeconds) allows(d time.Duration) bool { return s.Present && !s.Invalid && d <= s.Duration }
 
-// ParseDeltaSeconds parses delta-seconds, which consist of digits only. Larger numbers are reduced to MaxDelta.
+// ParseDeltaSeconds parses a delta-seconds value, which consists of digits only. Larger numbers than MaxDelta count as
+// MaxDelta.
 func ParseDeltaSeconds(digits []byte) (time.Duration, bool) {
 	const most = int64(MaxDelta / time.Second)
 	if len(digits) == 0 {
--- a/internal/proxy/degradation/filter.go
+++ b/internal/proxy/degradation/filter.go
@@ -10,8 +10,8 @@
 	"dahliapin/policy"
 )
 
-// LevelChangeFunc is called after each change of the level, with its number, 0 for normal operation, and its configured
-// name.
+// LevelChangeFunc is a function to call after each change of the level, with the level's number, 0 for normal
+// operation, and its configured name.
 type LevelChangeFunc func(now policy.Instant, level int, name string)
 
 // Filter is a Decider that wraps another one and sheds new requests according to the degradation level. Decisions about
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -441,8 +441,8 @@
 
 func withMetrics(config *Config) { config.PublishMetrics = true }
 
-// closeMethods are the ways in which a peer ends a connection: it closes it, resets it, or closes only its sending side,
-// which looks like a close.
+// closeMethods are the ways in which a peer ends a connection: it closes it, resets it, or closes only its sending
+// side, which looks like a close.
 var closeMethods = map[string]func(c *net.TCPConn){
 	"close": func(c *net.TCPConn) { c.Close() },
 	"reset": func(c *net.TCPConn) {
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -35,7 +35,7 @@
 
 	// Discovery.
 	EndpointUpdates  uint64 // endpoint lists received
-	FailedPolls      uint64 // polls after one that failed
+	FailedPolls      uint64 // polls of the endpoint list that failed
 	DiscoveryChanges uint64 // changes of the discovery server's address
 
 	// The event loop.
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -49,9 +49,9 @@
 	estimator := loadEstimator{settings: &settings}
 	reporting := &upstream{}
 	estimator.recordReport(1, reporting, false, 1, []float64{61})
-	once := estimator.meanExternalLoad
+	afterFirstReport := estimator.meanExternalLoad
 	estimator.recordReport(1, reporting, false, 1, nil)
-	if estimator.meanExternalLoad != once {
-		t.Errorf("an attempt without a report changed the mean from %v to %v", once, estimator.meanExternalLoad)
+	if estimator.meanExternalLoad != afterFirstReport {
+		t.Errorf("an attempt without a report changed the mean from %v to %v", afterFirstReport, estimator.meanExternalLoad)
 	}
 }
