--- a/internal/wire/endpointlist/reader.go
+++ b/internal/wire/endpointlist/reader.go
@@ -19,7 +19,7 @@
 const streamedSize = 32 << 10
 
 // ErrNoEntries is returned for a JSON object without a list of entries.
-var ErrNoEntries = errors.New("endpoint list has no array of entries")
+var ErrNoEntries = errors.New("it has no entries")
 
 // List is a complete list of endpoints, or a list of changes.
 type List struct {
--- a/internal/wire/http1/response.go
+++ b/internal/wire/http1/response.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errHead   = errors.New("response head is malformed or longer than 16 KiB")
-	errLength = errors.New("response framing is malformed or the body is too long")
+	errHead   = errors.New("the head of an answer is malformed or too long")
+	errLength = errors.New("the length of an answer is malformed or too great")
 )
 
 // Response is a response. It refers to the buffer that it was read from, except for a chunked body.
--- a/internal/wire/meta/response.go
+++ b/internal/wire/meta/response.go
@@ -42,10 +42,9 @@
 }
 
 var (
-	errTooLong = errors.New(
-		"response line is longer than 2048 bytes, or its value length is malformed or above 4 MiB")
+	errTooLong         = errors.New("an answer is longer than the protocol allows")
 	errValueEnd        = errors.New("response value is not followed by CR LF at its stated length")
-	errUnknownResponse = errors.New("response is not one that the protocol defines")
+	errUnknownResponse = errors.New("an answer says nothing that the protocol knows")
 )
 
 var responseKinds = map[string]ResponseKind{
