--- a/internal/wire/endpointlist/reader.go
+++ b/internal/wire/endpointlist/reader.go
@@ -38,7 +38,7 @@
 	entry  fastjson.Parser
 }
 
-// Read reads a list. It returns an error if any part of the text is malformed; none of it should be used then.
+// Read reads a list. It returns an error if any part of the text is malformed; no part of the list should be used then.
 func (r *Reader) Read(text []byte) (List, error) {
 	list := List{reader: r}
 	object, err := r.parse(&list, text)
--- a/internal/wire/meta/response.go
+++ b/internal/wire/meta/response.go
@@ -43,7 +43,7 @@
 
 var (
 	errTooLong         = errors.New("an answer is longer than the protocol allows")
-	errValueEnd        = errors.New("a value does not end where it should")
+	errValueEnd        = errors.New("response value is not followed by CR LF at its stated length")
 	errUnknownResponse = errors.New("an answer says nothing that the protocol knows")
 )
 
@@ -114,8 +114,8 @@
 	return a, size, nil
 }
 
-// readValue reads the rest of the line of a value and the value after the line, which ends at lineSize in b. It returns
-// the size of the value with its line end, or 0 while that is incomplete.
+// readValue reads the rest of the line of a value, which ends at lineSize in b, and the value after the line. It
+// returns the size of the value with its line end, or 0 while the value is incomplete.
 func (a *Response) readValue(rest, b []byte, lineSize int) (size int, flags []byte, err error) {
 	digits, flags := cutWord(rest)
 	length, ok := parseLength(digits)
