--- a/internal/emulator/coverage/coverage.go
+++ b/internal/emulator/coverage/coverage.go
@@ -2,8 +2,8 @@
 // and its requests in flight.
 //
 // A Tracker follows the nodes of one run and fills a Table; tables of several runs can be added up. A pair of fault and
-// phase is counted each time a node is in that phase while the fault is active. A pair of fault and effect counts the
-// requests in flight while the fault is active.
+// phase is counted when a node is in that phase as the fault begins, and when it enters the phase while the fault is
+// active. A pair of fault and effect counts the requests in flight while the fault is active.
 package coverage
 
 import (
@@ -15,10 +15,10 @@
 	"dahliapin/policy"
 )
 
-// Phase is a phase in the life of a node's process.
+// Phase is a phase in the life cycle of a node's process.
 type Phase int
 
-// Down is the zero value. Faults are not counted for a node without a process.
+// Down, the zero value, is the phase of a node without a process, for which faults are not counted.
 const (
 	Down     Phase = iota
 	Starting       // started, but not serving yet
@@ -33,12 +33,12 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Phases are the phases that are counted, in the order of columns.
+// Phases are the phases that are counted, in the order of the printed columns.
 var Phases = []Phase{Starting, Serving, Standby, Draining, Handover}
 
-const effectCount = 3 // of policy.Idempotency
+const effectCount = 3 // number of values of policy.Idempotency
 
-// Effects are the kinds of requests by the effect of a second execution, in the order of columns.
+// Effects are the kinds of requests by the effect of a second execution, in the order of the printed columns.
 var Effects = []policy.Idempotency{policy.Idempotent, policy.IdempotentByKey, policy.NotIdempotent}
 
 func effectName(e policy.Idempotency) string {
--- a/internal/emulator/coverage/coverage_test.go
+++ b/internal/emulator/coverage/coverage_test.go
@@ -62,7 +62,7 @@
 	wantPhases(t, tracker.Table, "node_reload", 0, 0, 0, 0, 1)
 }
 
-// A request in flight is counted once by each active fault, whichever of the two began first.
+// A request in flight is counted once by each active fault, whether the request or the fault began first.
 func TestFaultCountsRequestsInFlight(t *testing.T) {
 	tracker := NewTracker(2)
 	tracker.PhaseChanged(first, Serving)
@@ -77,8 +77,8 @@
 	wantInFlight(t, tracker.Table, "node_crowd", 0, 1, 1)
 }
 
-// Pairs with a count of zero tell which cases the next soak has to cover. They are listed for each fault of the table,
-// also for faults that never occurred.
+// Pairs with a count of zero are the cases that the next soak has to cover. They are listed for each fault of the
+// table, also for faults that have not occurred.
 func TestTableListsPairsNeverMet(t *testing.T) {
 	table := NewTable([]Fault{"drain", "add"})
 	run := NewTracker(1)
--- a/internal/emulator/coverage/tracker.go
+++ b/internal/emulator/coverage/tracker.go
@@ -41,8 +41,8 @@
 // Phase returns a node's current phase.
 func (t *Tracker) Phase(node int) Phase { return t.phases[node] }
 
-// FaultBegan records that a fault begins at some nodes, nil for all. The caller calls the returned function when the
-// fault ends, at once for a fault without duration.
+// FaultBegan records that a fault begins at the given nodes, or at all if nodes is nil. The caller must call the
+// returned function when the fault ends, at once for a fault without duration.
 func (t *Tracker) FaultBegan(fault Fault, nodes []int) (ended func()) {
 	begun := &activeFault{fault: fault, nodes: nodes}
 	t.active = append(t.active, begun)
--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -1,8 +1,8 @@
-// Package shrink reduces a failing scenario to a smaller one that still fails: with fewer events, less time and fewer
-// processes.
+// Package shrink reduces a failing scenario to a smaller one that still fails: with fewer events, a shorter duration,
+// and fewer nodes and caches.
 //
-// A candidate is accepted only if it was run and failed. The result has therefore failed at least once, even if
-// runs are not deterministic; it need not be the smallest.
+// A candidate is accepted only if a run of it failed. The result has therefore failed at least once, even if runs are
+// not deterministic. It need not be the smallest scenario that fails.
 package shrink
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	leadSeconds = 2.0 // before the first event, for nodes to start serving
-	tailSeconds = 4.0 // after the last event, for its consequences to show
-	minSeconds  = 1.0
-	minDuration = 0.1 // shortest duration of an event, in seconds, that halving may produce
+	leadSeconds = 2.0 // time before the first event, in which nodes start to serve
+	tailSeconds = 4.0 // time after the last event, in which its consequences show
+	minSeconds  = 1.0 // shortest scenario
+	minDuration = 0.1 // shortest duration of an event that halving may produce, in seconds
 )
 
 // RunFunc runs a scenario and reports whether it fails in the same way as the original.
 type RunFunc func(*scenario.Scenario) bool
 
-// Budget bounds the number of runs.
+// Budget limits the number of runs and their time.
 type Budget struct {
 	Runs    int
 	Expired func() bool // called before each run; nil for no time limit
@@ -90,7 +90,7 @@
 	return err == nil
 }
 
-// removeEvents removes runs of consecutive events: first half of them, then shorter runs, down to single events.
+// removeEvents removes consecutive events: half of all events at a time first, then fewer, down to single ones.
 func (s *shrinker) removeEvents() bool {
 	shrunk := false
 	for size := (len(s.current.Events) + 1) / 2; size > 0; size /= 2 {
@@ -105,7 +105,7 @@
 	return shrunk
 }
 
-// removeNodes removes nodes one at a time, with the events that affect only the removed node.
+// removeNodes removes nodes one at a time, the last one first, with the events that affect only the removed node.
 func (s *shrinker) removeNodes() bool {
 	shrunk := false
 	for node := s.current.Fleet.Nodes; node >= 1; node-- {
@@ -147,7 +147,7 @@
 	candidate.Events = nil
 	for _, e := range s.Events {
 		if isOnly(e.Nodes, node) || isOnly(e.From, node) || isOnly(e.To, node) {
-			continue // an empty list would mean all nodes
+			continue // without its only node, the list would be empty and stand for all nodes
 		}
 		e.Nodes = renumbered(e.Nodes, node)
 		e.From = renumbered(e.From, node)
--- a/internal/emulator/shrink/shrink_test.go
+++ b/internal/emulator/shrink/shrink_test.go
@@ -25,8 +25,8 @@
 	return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
 }
 
-// A schedule that fails because of two of its events is reduced to these two: a hundred events do not explain a
-// failure.
+// A failure that needs two events of a schedule is reduced to these two, so that the other events do not obscure its
+// cause.
 func TestShrinkKeepsOnlyEventsTheFailureNeeds(t *testing.T) {
 	failing := schedule(t)
 	before := len(failing.Events)
@@ -91,20 +91,20 @@
 	}
 }
 
-// Runs on real processes take time: Shrink stops at its budget and returns the smallest failure so far.
+// Runs on real processes are slow, so Shrink stops at its budget and returns the smallest failure so far.
 func TestShrinkStopsAtBudget(t *testing.T) {
 	failing := schedule(t)
 	always := func(*scenario.Scenario) bool { return true }
 	const plays = 3
 	result := Shrink(failing, Budget{Runs: plays}, always)
 	if result.Runs != plays || result.Complete || len(result.Scenario.Events) >= len(failing.Events) {
-		t.Errorf("%d plays, complete %v, %d events left", result.Runs, result.Complete, len(result.Scenario.Events))
+		t.Errorf("%d runs, complete %v, %d events left", result.Runs, result.Complete, len(result.Scenario.Events))
 	}
 	asked := 0
 	expired := func() bool { asked++; return asked > plays }
 	result = Shrink(failing, Budget{Runs: plentyOfPlays, Expired: expired}, always)
 	if result.Runs != plays || result.Complete {
-		t.Errorf("expired budget: %d plays, complete %v", result.Runs, result.Complete)
+		t.Errorf("expired budget: %d runs, complete %v", result.Runs, result.Complete)
 	}
 }
 
