--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -9,12 +9,12 @@
 	"dahliapin/policy"
 )
 
-// expect adds an expectation: whether it is met, the measured value, and a description.
+// expect adds an expectation: whether it is met, the measured value, and a format with arguments that describes it.
 func (r *Report) expect(met bool, got, what string, args ...any) {
 	r.Expected = append(r.Expected, Expected{What: fmt.Sprintf(what, args...), Got: got, Met: met})
 }
 
-// checkExpectations compares the report with what the scenario expects.
+// checkExpectations adds the scenario's expectations and whether the report meets them.
 func (r *Report) checkExpectations(s *scenario.Scenario) {
 	broken := uint64(0)
 	for _, n := range r.Rules {
@@ -27,7 +27,7 @@
 	r.checkViews(s)
 	if by := s.Expect.RecoveredBy; by > 0 {
 		isMet := r.RecoveredAt >= 0 && r.RecoveredAt <= by
-		r.expect(isMet, fmt.Sprintf("%.0f s", r.RecoveredAt), "as good as before from %g s on", by)
+		r.expect(isMet, fmt.Sprintf("%.0f s", r.RecoveredAt), "share in time back at the baseline by %g s", by)
 	}
 }
 
@@ -57,23 +57,23 @@
 func (r *Report) checkCounts(s *scenario.Scenario) {
 	if most := s.Expect.MaxOriginPerS; most > 0 {
 		got := r.MaxOriginAttempts
-		r.expect(float64(got) <= most, fmt.Sprint(got), "at most %g legs at the origin in a second", most)
+		r.expect(float64(got) <= most, fmt.Sprint(got), "at most %g attempts at the origin in any second", most)
 	}
 	for _, name := range scenario.CountNames {
 		if most, ok := s.Expect.MaxPerS[name]; ok {
 			got := r.MaxPerSecond(name)
 			isMet := float64(got) <= most
-			r.expect(isMet, fmt.Sprint(got), "at most %g %s in a second over the whole fleet", most, name)
+			r.expect(isMet, fmt.Sprint(got), "at most %g %s in any second over the whole fleet", most, name)
 		}
 	}
 	if most := s.Expect.MaxAttemptsPerRequest; most > 0 {
 		got := fmt.Sprintf("%.3f", r.AttemptsPerRequest)
-		r.expect(r.AttemptsPerRequest <= most, got, "at most %g legs for each request", most)
+		r.expect(r.AttemptsPerRequest <= most, got, "at most %g attempts per request", most)
 	}
 }
 
-// checkViews expects the nodes' views to match the actual state of nodes. A run without views, or whose trace has gaps,
-// proves nothing and fails.
+// checkViews expects the nodes' membership views to match the actual state of nodes. A run without views, or with lost
+// lines of a trace, proves nothing and fails.
 func (r *Report) checkViews(s *scenario.Scenario) {
 	f := r.Membership
 	if f == nil || s.Membership.Engine == fleetconfig.EnginePlain {
@@ -83,9 +83,9 @@
 	for _, l := range f.Views.Lines {
 		lost = max(lost, l.Dropped)
 	}
-	r.expect(lost == 0, fmt.Sprint(lost), "no line of a trace is lost")
+	r.expect(lost == 0, fmt.Sprint(lost), "no line of a membership trace is lost")
 	if f.View == nil {
-		r.expect(false, "none", "nodes have views")
+		r.expect(false, "none", "nodes have membership views")
 		return
 	}
 	wrong := f.View.Wrong()
@@ -93,6 +93,6 @@
 	got := fmt.Sprintf("%d wrong, formed at %.1f s", wrong, f.View.Formed)
 	r.expect(isMet, got, "views are as what befell nodes has them")
 	if most := s.Expect.Views; most != nil {
-		r.expect(f.View.Changes <= *most, fmt.Sprint(f.View.Changes), "at most %d changes of a view", *most)
+		r.expect(f.View.Changes <= *most, fmt.Sprint(f.View.Changes), "at most %d changes of membership views", *most)
 	}
 }
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -22,8 +22,8 @@
 	View    *checker.Verdict `json:"view"`    // verdict on the views; nil if there were none
 }
 
-// newFleet judges the views of a run that ended at an instant. A pause of a process no longer than pause must not
-// change a view.
+// newFleet checks the views of a run that ended at an instant. A pause of a process that is not longer than pause must
+// not change a view.
 func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
 	f := &Membership{Views: v, Library: v.Check(trace.Library, pause, end)}
 	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.Kind == trace.View }) {
@@ -32,7 +32,8 @@
 	return f
 }
 
-// letters renders a member list with one character for each node, in the order of node numbers.
+// letters renders a member list with one character per node, in the order of node numbers: the base-36 digit of a
+// member's number, or a dot.
 func letters(nodes int, names []string) string {
 	var b strings.Builder
 	for n := range nodes {
@@ -65,8 +66,8 @@
 	if f.View != nil {
 		kind = trace.View
 	}
-	fmt.Fprintf(to, "whom nodes have as members by the %s, a letter for each; "+
-		"those apart that do not say what most say; x: does not run, !: says it is cut off\n", kind)
+	fmt.Fprintf(to, "members by the %s of most nodes, one character per member, then nodes whose members differ; "+
+		"x: the node does not run, !: it reports that it may be partitioned\n", kind)
 	last := ""
 	for at := policy.Instant(0); at <= end; at += policy.Instant(time.Second) {
 		row := f.rowAt(at, kind)
@@ -108,8 +109,8 @@
 	if v == nil {
 		return
 	}
-	fmt.Fprintf(to, "%-8s formed %.1f s; false removals %d, rash %d, missed %d, flaps %d, seconds unlike %d; "+
-		"changes %d; out after median %.2f s, p99 %.2f s (%d); alike after %.1f s\n",
+	fmt.Fprintf(to, "%-8s formed %.1f s; false removals %d, unjustified %d, missed %d, flaps %d, diverged seconds %d; "+
+		"changes %d; removed after median %.2f s, p99 %.2f s (%d); converged after %.1f s\n",
 		name, v.Formed, v.FalseRemovals, v.UnjustifiedRemovals, v.Missed, v.Flaps, v.DivergedSeconds,
 		v.Changes, percentile(v.Detect, 0.5), percentile(v.Detect, 0.99), len(v.Detect), v.ConvergedAfter)
 	for _, line := range v.Findings {
--- a/internal/emulator/report/log.go
+++ b/internal/emulator/report/log.go
@@ -10,7 +10,7 @@
 	"dahliapin/policy"
 )
 
-// maxRecords bounds the records of a run, which are kept in memory until it ends.
+// maxRecords is the maximum number of records of a run, which are in memory until the run ends.
 const maxRecords = 100_000
 
 // LateArrival is the delay beyond which a client's try counts as sent late.
@@ -19,7 +19,7 @@
 // Second counts what happened in one second of a run.
 type Second struct {
 	Asked          int `json:"asked"`       // first tries of clients
-	InTime         int `json:"in_time"`     // first tries satisfied in time, also by a later try
+	InTime         int `json:"in_time"`     // first tries satisfied in time, by themselves or by a later try
 	Attempts       int `json:"legs"`        // attempts that arrived at a server
 	OriginAttempts int `json:"origin_legs"` // those at the origin
 	Retries        int `json:"repeats"`     // further tries of clients
@@ -33,7 +33,7 @@
 	Wasted    int `json:"vain_legs"`  // attempts rejected, failed, broken, timed out or not connected
 }
 
-// Counted returns a count by its name in scenarios, one of scenario.CountNames.
+// Counted returns a count by its name in scenarios, one of scenario.CountNames, or 0 for another name.
 func (s *Second) Counted(name string) int {
 	switch name {
 	case "list_calls":
@@ -54,7 +54,8 @@
 	return 0
 }
 
-// Log collects what happens during a run. Except for Late and Views, only its methods write its fields.
+// Log collects what happens during a run. The environment of the run sets Late and Views; methods write the other
+// fields.
 type Log struct {
 	startedAt policy.Instant // second 0 of the scenario
 	Seconds   []Second
@@ -62,8 +63,8 @@
 	Records   []eventlog.Event
 	Dropped   int // records beyond maxRecords
 	Events    []EventLine
-	Late      int            // tries that a shell in real time sent more than LateArrival late
-	TriesSent int            // tries of clients
+	Late      int            // tries sent more than LateArrival late; 0 in virtual time
+	TriesSent int            // first and further tries of clients
 	Views     *checker.Views // the nodes' membership views; nil if nodes have none
 }
 
--- a/internal/emulator/report/print.go
+++ b/internal/emulator/report/print.go
@@ -18,7 +18,7 @@
 	r.printClasses(to)
 	r.printTotals(to)
 	for _, e := range r.Events {
-		fmt.Fprintf(to, "%8.3f s  script: %s\n", time.Duration(e.At).Seconds(), e.What)
+		fmt.Fprintf(to, "%8.3f s  event: %s\n", time.Duration(e.At).Seconds(), e.What)
 	}
 	for _, e := range r.Records {
 		isFleet := e.Node == FleetName && e.Kind != eventlog.EndpointListed
@@ -51,7 +51,7 @@
 	fmt.Fprintf(to, "%s (seed %d, %s, %s): %d nodes, %d caches, %g s\n",
 		r.Script, r.Seed, r.Shell, r.Decider, r.Nodes, r.Caches, r.Seconds)
 	fmt.Fprintf(to, "%-12s %9s %9s %7s %10s %9s %5s %9s %9s\n",
-		"grade", "asked", "in time", "tries", "rejected", "failed", "cut", "p50 ms", "p99 ms")
+		"class", "asked", "in time", "tries", "rejected", "failed", "cut", "p50 ms", "p99 ms")
 	for _, c := range r.Classes {
 		fmt.Fprintf(to, "%-12s %9d %8.2f%% %7.2f %10d %9d %5d %9.1f %9.1f\n",
 			c.Name, c.Asked, 100*c.InTime, c.TriesPerRequest, c.Rejected, c.Failed, c.Cut, c.P50, c.P99)
@@ -60,10 +60,10 @@
 
 // printTotals writes the totals over the whole fleet.
 func (r *Report) printTotals(to io.Writer) {
-	fmt.Fprintf(to, "benefit in time %.4f; %.3f legs for each request, at most %d a second at the origin\n",
+	fmt.Fprintf(to, "benefit in time %.4f; %.3f attempts per request, at most %d per second at the origin\n",
 		r.BenefitInTime, r.AttemptsPerRequest, r.MaxOriginAttempts)
-	fmt.Fprintln(to, "course:", r.sparkline())
-	fmt.Fprint(to, "over the fleet, in all and most in a second:")
+	fmt.Fprintln(to, "share in time:", r.sparkline())
+	fmt.Fprint(to, "over the fleet, total and maximum per second:")
 	for _, name := range scenario.CountNames {
 		total := 0
 		for i := range r.Timeline {
@@ -74,7 +74,8 @@
 	fmt.Fprintln(to)
 }
 
-// sparkline renders the share of requests satisfied in time; a column stands for one second or more.
+// sparkline renders the share of requests satisfied in time, with one column for one second or more. A column without
+// requests is blank.
 func (r *Report) sparkline() string {
 	const bars = "▁▂▃▄▅▆▇█"
 	const columns = 60
--- a/internal/emulator/report/recovery.go
+++ b/internal/emulator/report/recovery.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// baselineSpan is the number of seconds before the first event over which the baseline share is taken.
+	// baselineSpan is the number of seconds before the first event over which the baseline share is computed.
 	baselineSpan = 5
 	// recoveredShare is the fraction of the baseline share from which a run counts as recovered.
 	recoveredShare = 0.97
-	// recoverySpan is the number of seconds over which later shares are taken: the share of one second is too random.
+	// recoverySpan is the number of seconds over which later shares are computed, as that of one second varies too
+	// much.
 	recoverySpan = 3
 )
 
-// recovered returns the second from which the share of requests satisfied in time is back at the baseline and stays
-// there; -1 for never, 0 in a run without events.
+// recovered returns the second of the scenario from which the share of requests satisfied in time stays at
+// recoveredShare of the baseline or above. It returns -1 if the run ends below that, and 0 for a run without events.
 func (l *Log) recovered(first, last policy.Instant) float64 {
 	if last == 0 {
 		return 0
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -14,10 +14,11 @@
 	"dahliapin/policy"
 )
 
-// maxLateShare is the largest share of tries sent late with which a run is judged. With more, the machine was too busy.
+// maxLateShare is the largest share of tries sent late with which a run has a verdict. With more, the machine was too
+// busy.
 const maxLateShare = 0.02
 
-// Class is the result of one service class.
+// Class is the result of a service class.
 type Class struct {
 	Name            string  `json:"name"`
 	Asked           uint64  `json:"asked"`             // first tries of clients
@@ -30,7 +31,7 @@
 	P99             float64 `json:"p99_ms"`
 }
 
-// Expected is an expectation, the measured value, and whether the expectation is met.
+// Expected is an expectation of the scenario, with the measured value and whether it is met.
 type Expected struct {
 	What string `json:"what"`
 	Got  string `json:"got"`
@@ -45,12 +46,12 @@
 	Misses   uint64            `json:"misses"`
 }
 
-// Report is the result of a run. It is the form written as JSON, hence its many fields.
+// Report is the result of a run. It is written as JSON; hence the many fields.
 type Report struct {
 	Script             string           `json:"script"`
 	Seed               int64            `json:"seed"`
-	Shell              string           `json:"shell"` // "virtual", or the name of a shell in real time
-	Decider            string           `json:"decider"`
+	Shell              string           `json:"shell"`   // environment of the run: "virtual" or "sockets"
+	Decider            string           `json:"decider"` // "module" for the policy module, or the name of a baseline
 	Nodes              int              `json:"nodes"`
 	Caches             int              `json:"caches"`
 	Seconds            float64          `json:"seconds"`
@@ -108,7 +109,8 @@
 		r.Membership = newFleet(views, scenario.SecondsToDuration(s.Membership.PauseS), policy.Instant(s.Duration()))
 	}
 	if l.TriesSent > 0 && float64(l.Late) > maxLateShare*float64(l.TriesSent) {
-		r.MachineTooBusy = fmt.Sprintf("%d of %d arrivals were played over %v late", l.Late, l.TriesSent, LateArrival)
+		r.MachineTooBusy = fmt.Sprintf(
+			"%d of %d requests were sent more than %v late", l.Late, l.TriesSent, LateArrival)
 	}
 	r.checkExpectations(s)
 	return r
@@ -187,10 +189,11 @@
 	return -1
 }
 
-// FleetName replaces a node's name in records of the fleet as a whole.
+// FleetName is the node name in records of the fleet as a whole.
 const FleetName = "fleet"
 
-// Passed reports whether all expectations are met. It is false if the machine was too busy to send tries in time.
+// Passed reports whether all expectations are met. It is false for a run without a verdict, whose machine was too busy
+// to send tries in time.
 func (r *Report) Passed() bool {
 	return r.MachineTooBusy == "" && !slices.ContainsFunc(r.Expected, func(e Expected) bool { return !e.Met })
 }
