--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -12,10 +12,11 @@
 	"dahliapin/policy"
 )
 
-// maxWatchTime is how long a watch waits for a change at most.
+// maxWatchTime is the longest time that a poll of the endpoint list waits for a change.
 const maxWatchTime = time.Minute
 
-// agent is a discovery server for one node, which publishes the changes that have reached it so far.
+// agent is the discovery server of one node. It publishes the changes of the endpoint list that have reached it so far,
+// as changes reach nodes at different times.
 type agent struct {
 	rig    *Rig
 	node   int
@@ -24,9 +25,9 @@
 	closed chan struct{}
 
 	mu      sync.Mutex
-	changes []policy.Endpoint // their number is the version of the list
+	changes []policy.Endpoint // in order of arrival; their number is the version of the list
 	latest  map[policy.EndpointID]policy.Endpoint
-	order   []policy.EndpointID // of the endpoints, by first change
+	order   []policy.EndpointID // of all endpoints, in order of their first change
 	changed chan struct{}       // closed at the next change
 }
 
@@ -51,7 +52,7 @@
 	return a, nil
 }
 
-// addChange adds a change of the endpoint list and wakes the polls that wait.
+// addChange adds a change of the endpoint list and wakes waiting polls.
 func (a *agent) addChange(e policy.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -71,8 +72,8 @@
 
 // listPoll is a poll of the endpoint list.
 type listPoll struct {
-	since    int // the version that the node has
-	complete bool
+	since    int  // the version that the node has
+	complete bool // the complete list is requested, as the poll states no valid version
 	timeout  time.Duration
 }
 
@@ -90,7 +91,7 @@
 // listAnswer is the answer to a poll.
 type listAnswer struct {
 	version  int
-	complete bool // all endpoints, else only the changes
+	complete bool // entries are all endpoints, otherwise only the changes
 	entries  []policy.Endpoint
 }
 
@@ -127,7 +128,7 @@
 	}
 }
 
-// awaitChange waits until the list is newer than the version of a poll, or the poll's time is over. It returns false
+// awaitChange waits until the version of the list differs from that of a poll, or the poll times out. It returns false
 // if the node disconnects or the agent is closed first.
 func (a *agent) awaitChange(in *http.Request, poll listPoll) bool {
 	timer := time.NewTimer(poll.timeout)
@@ -152,7 +153,7 @@
 	}
 }
 
-// answerTo returns the answer to a poll as of now. A poll from an unknown version gets the complete list.
+// answerTo returns the current answer to a poll. A poll with an unknown version gets the complete list.
 func (a *agent) answerTo(poll listPoll) listAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -179,7 +180,8 @@
 	return r.listUp
 }
 
-// admitPoll counts a poll, and returns after which delay discovery answers it; it refuses some if it is bounded.
+// admitPoll counts a poll and returns the delay after which discovery answers it. If the capacity of discovery is
+// bounded, some polls are rejected.
 func (r *Rig) admitPoll(complete bool) (delay time.Duration, accepted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +194,7 @@
 	return at.Since(now), accepted
 }
 
-// noteNotified reports to the checker which entries a node was sent.
+// noteNotified reports the entries that a node was sent to the checker.
 func (r *Rig) noteNotified(node int, entries []policy.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,7 +203,7 @@
 	}
 }
 
-// instance is an entry of the endpoint list, in discovery's form.
+// instance is the JSON form of an entry of the endpoint list.
 type instance struct {
 	ID          string  `json:"instanceId"`
 	Address     string  `json:"hostPort"`
@@ -222,7 +224,7 @@
 	}
 )
 
-// list encodes entries as discovery does. Servers that are not there any more are left out.
+// list encodes entries as discovery does. Entries of servers that the world or the rig does not have are omitted.
 func (r *Rig) list(version int, complete bool, entries []policy.Endpoint) []byte {
 	instances := []instance{}
 	r.mu.Lock()
@@ -238,7 +240,7 @@
 		Instances  []instance `json:"instances"`
 	}{version, complete, instances})
 	if err != nil {
-		panic(err) // names and numbers only
+		panic(err) // cannot happen: the value has only strings, numbers and booleans
 	}
 	return text
 }
--- a/internal/emulator/realtime/doc.go
+++ b/internal/emulator/realtime/doc.go
@@ -1,4 +1,4 @@
-// Package realtime plays a scenario in real time on loopback sockets. It emulates caches, origin, discovery and
-// clients around nodes that run as processes of their own, or embedded. Everything but the nodes is one model of the
-// world, guarded by the lock of the Rig.
+// Package realtime runs a scenario in real time on loopback sockets. It emulates caches, the origin, discovery and
+// clients around nodes, which run as separate processes or embedded in this one. The state of everything except the
+// nodes is a single model, the world, which the lock of the Rig guards.
 package realtime
--- a/internal/emulator/realtime/embedded_test.go
+++ b/internal/emulator/realtime/embedded_test.go
@@ -8,7 +8,7 @@
 	"dahliapin/node"
 )
 
-// Embedded runs nodes within this process. They can be told to end, but not killed.
+// Embedded starts nodes within this process. They can be told to terminate, but not killed.
 type Embedded struct{}
 
 type embedded struct {
@@ -16,7 +16,6 @@
 	done chan struct{}
 }
 
-// Start starts a node.
 func (Embedded) Start(o NodeSpec) (Process, error) {
 	p, err := node.ParseConfig(o.Configuration)
 	if err == nil && o.Operator != nil {
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -11,16 +11,16 @@
 	"dahliapin/internal/wire/http1"
 )
 
-// The caches of the emulator that speak HTTP/1.1 follow RFC 9111: a stored value is served with its age, and a miss
-// of an only-if-cached request is answered by 504. With the fault "stale" a cache serves a response that is no longer
-// fresh.
+// Emulated HTTP/1.1 caches follow RFC 9111: they serve a stored value with its age, and answer an only-if-cached
+// request that misses with 504. A cache with the fault "stale" serves responses whose age exceeds their max-age.
 const (
 	maxAgeSeconds   = 60 // of stored responses
 	staleBody       = "what may not be served any more"
-	revalidateOneIn = 8 // one read in so many revalidates the value that its client has
+	revalidateOneIn = 8 // one read in 8, by a hash of its ID, revalidates a value that its client has
 )
 
-// handleHTTPRequest handles the first request in held and returns its size, or 0 if it is incomplete.
+// handleHTTPRequest handles the first request in the received bytes and returns its size, or 0 if it is incomplete or
+// invalid.
 func (c *serverConn) handleHTTPRequest(held []byte) (size int) {
 	r, s := c.server.rig, c.server
 	q, size, fault := http1.ReadRequest(held, maxCommandSize)
@@ -48,21 +48,27 @@
 		return size
 	}
 	target, err := url.PathUnescape(strings.TrimPrefix(string(q.Target), "/"))
-	if kept := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached"); err != nil || r.scenario.Allowed.Mode == "aside" && !kept {
-		r.checker.WrongAnswer(now, id, "a cache beside an origin received a request without only-if-cached, or an invalid key: "+string(q.Target))
+	onlyIfCached := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached")
+	if err != nil || r.scenario.Allowed.Mode == "aside" && !onlyIfCached {
+		r.checker.WrongAnswer(now, id,
+			"a cache-aside cache received a request without only-if-cached, or with an invalid key: "+string(q.Target))
 	}
-	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
-	if !r.offerAttempt(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, etag: string(q.Header("If-None-Match"))}) {
+	items := fmt.Sprintf("c=%s,d=%s,k=%s",
+		q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
+	isWrite := string(q.Method) != http.MethodGet
+	received := &attempt{conn: c, etag: string(q.Header("If-None-Match"))}
+	if !r.offerAttempt(s, id, target, []byte(items), isWrite, received) {
 		c.queueAnswer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
 	}
 	return size
 }
 
 func httpAnswer(status int, headers, body string) []byte {
-	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
+	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status, http.StatusText(status), headers, len(body), body)
 }
 
-// httpCacheAnswer encodes a cache's answer in HTTP.
+// httpCacheAnswer encodes the HTTP response of a cache. tag is the If-None-Match header of the request.
 func httpCacheAnswer(d world.Done, stale bool, tag string) []byte {
 	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
 	switch {
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -20,23 +20,26 @@
 	number      int
 	name        string
 	addr        string
-	httpAddr    string // where it serves clients by HTTP
-	adminAddr   string // of the admin listener of its process; empty for none
+	httpAddr    string // of its listener for HTTP clients
+	adminAddr   string // of the admin listener of its current process; empty for none
 	agent       *agent
 	pool        *client.Pool
 	process     Process
-	stopped     Process // process while it or its event loop is stopped, else nil
-	incarnation int
-	inFlight    map[string]bool // ids of requests without a response
-	excused     map[string]bool // of inFlight, those that were in flight when the process was stopped
-	freshStarts int             // starts after the former process had ended; a request that was in flight then is excused
+	stopped     Process         // the current process while it or its event loop is stopped, otherwise nil
+	incarnation int             // number of processes started
+	inFlight    map[string]bool // IDs of requests without a response
+	excused     map[string]bool // IDs of requests that were in flight when the process was stopped
 	counts      clientCounts
 	serving     bool // clients connect to it
-	reuseOnly   bool // clients use the connections that they have, and open no new ones
-	killed      bool // by the scenario: its requests in flight are excused
-	ending      bool // by the scenario, or because the run is over
+	reuseOnly   bool // clients use their open connections and open no new ones
+	killed      bool // by the scenario; requests that were in flight are excused
+	ending      bool // told to terminate by the scenario, or because the run is over
 
-	termNextStart time.Duration // after which its next process is told to end; 0 for never
+	// freshStarts is the number of starts after the former process had ended. A request whose connection was reset is
+	// excused if it was sent before the latest of them.
+	freshStarts int
+	// termNextStart is the delay after which the next process is told to terminate; 0 for never.
+	termNextStart time.Duration
 }
 
 func (r *Rig) newMember(number int) (*member, error) {
@@ -45,7 +48,7 @@
 		return nil, fmt.Errorf("cannot listen for emulated discovery: %w", err)
 	}
 	var addrs [2]string
-	for i := range addrs { // the node listens on them right away
+	for i := range addrs { // the node listens on them at once, while the ports are still free
 		if addrs[i], err = freeport.Free(); err != nil {
 			a.close()
 			return nil, err
@@ -56,11 +59,21 @@
 	if r.scenario.Traffic.Protocol == listeners.ProtocolHTTP {
 		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: beyond}
 	}
-	return &member{rig: r, number: number, name: fmt.Sprintf("n%d", number+1), addr: addrs[0], httpAddr: addrs[1], agent: a, pool: pool, inFlight: map[string]bool{}, excused: map[string]bool{}}, nil
+	return &member{
+		rig:      r,
+		number:   number,
+		name:     fmt.Sprintf("n%d", number+1),
+		addr:     addrs[0],
+		httpAddr: addrs[1],
+		agent:    a,
+		pool:     pool,
+		inFlight: map[string]bool{},
+		excused:  map[string]bool{},
+	}, nil
 }
 
-// start starts a process of the node with the endpoint list that its agent knows. It replaces a process that still
-// runs, or is the first after one has ended.
+// start starts a process of the node, with the endpoint list that its agent has. replaces states that the node's
+// former process still runs and is to be replaced.
 func (m *member) start(replaces bool) error {
 	if m.rig.scenario.HasOperatorCalls() {
 		var err error
@@ -73,13 +86,19 @@
 		return err
 	}
 	number := m.number
-	p, err := m.rig.starter.Start(NodeSpec{Name: m.name, Configuration: configuration, Operator: m.rig.scenario.OperatorConfig(m.httpAddr), Fleet: m.rig.fleetConfig(number),
-		OnRecord: func(e eventlog.Event, at time.Time) { m.rig.onRecord(number, e, at) }, OnTrace: m.rig.onTraceLine})
+	p, err := m.rig.starter.Start(NodeSpec{
+		Name:          m.name,
+		Configuration: configuration,
+		Operator:      m.rig.scenario.OperatorConfig(m.httpAddr),
+		Fleet:         m.rig.fleetConfig(number),
+		OnRecord:      func(e eventlog.Event, at time.Time) { m.rig.onRecord(number, e, at) },
+		OnTrace:       m.rig.onTraceLine,
+	})
 	if err != nil {
 		return fmt.Errorf("cannot start node %s: %w", m.name, err)
 	}
 	m.rig.mu.Lock()
-	if m.rig.closing { // the run ended during the start: nobody else would kill the process
+	if m.rig.closing { // the run has ended during the start: nothing else would kill the process
 		m.rig.mu.Unlock()
 		p.Kill()
 		<-p.Done()
@@ -110,8 +129,8 @@
 	return nil
 }
 
-// EndNode tells a node to end, or kills it. Clients go on connecting to a node that was told to end for
-// clientsLinger. The lock is held.
+// EndNode tells a node to terminate if orderly is true, and kills it otherwise. Clients still connect for clientsLinger
+// to a node that was told to terminate. The lock is held.
 func (r *Rig) EndNode(number int, orderly bool) {
 	m := r.nodes[number]
 	m.ending = true
@@ -134,8 +153,9 @@
 	}
 }
 
-// killAtTheEarliest kills a node that was told to end as soon as the shutdown protocol allows it, and sends it
-// further signals before. Requests that are in flight when it is killed are not excused. The lock is held.
+// killAtTheEarliest kills a node that was told to terminate at the earliest time that the shutdown protocol allows.
+// Before that, it sends further reload and terminate signals. Requests that are in flight when the node is killed are
+// not excused. The lock is held.
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
 	if p, can := process.(Reloader); can {
@@ -148,7 +168,7 @@
 	})
 }
 
-// signalDraining sends a further signal to a node that was told to end, and counts it as a fault. The lock is held.
+// signalDraining sends a signal to a draining node after a delay and counts it as a fault. The lock is held.
 func (r *Rig) signalDraining(m *member, after time.Duration, fault coverage.Fault, send func()) {
 	r.At(r.now().Add(after), func() {
 		r.coverage.FaultBegan(fault, []int{m.number})()
@@ -156,12 +176,13 @@
 	})
 }
 
-// TerminateNextStart has the node's next process told to end at a delay after its start. The lock is held.
+// TerminateNextStart makes the node's next process receive a request to terminate at a delay after its start. The lock
+// is held.
 func (r *Rig) TerminateNextStart(number int, after time.Duration) {
 	r.nodes[number].termNextStart = after
 }
 
-// StartNode starts a node's next process once the former one has ended. The lock is held.
+// StartNode starts a node's next process once the former one has exited. The lock is held.
 func (r *Rig) StartNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -182,8 +203,8 @@
 	}()
 }
 
-// startNext starts the node's next process. If that is to be told to end during its start, another one is started
-// after it. It reports whether a process runs.
+// startNext starts the node's next process and reports whether it runs. If TerminateNextStart was called, it terminates
+// that process during its start and then starts another one.
 func (m *member) startNext() bool {
 	m.rig.mu.Lock()
 	termAfter := m.termNextStart
@@ -202,8 +223,8 @@
 	return err == nil
 }
 
-// terminateStart tells a process that is starting to end, and waits for its exit. A process that does not exit within
-// the time of the shutdown protocol is killed.
+// terminateStart tells a starting process to terminate, and waits for its exit. It kills a process that does not exit
+// within the time that the shutdown protocol allows.
 func (m *member) terminateStart(after time.Duration) {
 	time.Sleep(after)
 	m.rig.mu.Lock()
@@ -218,11 +239,11 @@
 	case <-time.After(m.rig.timeToKill()):
 		process.Kill()
 		<-process.Done()
-		m.fail("did not exit in time after it was told to end during its start")
+		m.fail("did not exit in time after it was told to terminate during its start")
 	}
 }
 
-// timeToKill is the delay after which a process that was told to end may be killed.
+// timeToKill returns the delay after which a process that was told to terminate may be killed.
 func (r *Rig) timeToKill() time.Duration {
 	return min(r.settings.LongestDeadline, maxDeadlineAtStop) + killDelay
 }
@@ -243,7 +264,7 @@
 		return
 	}
 	p.End()
-	m.pool.Close() // else the node waits for idle clients
+	m.pool.Close() // the node waits for idle clients otherwise
 	select {
 	case <-p.Done():
 	case <-time.After(m.rig.settings.LongestDeadline + stopSlack):
@@ -252,10 +273,11 @@
 	}
 }
 
-// configuration encodes the configuration of a process, with the endpoint list that its agent knows.
+// configuration encodes the configuration of a process that listens on an address. It contains the endpoint list that
+// the node's agent has.
 func (m *member) configuration(listen string) ([]byte, error) {
 	ops := m.adminAddr
-	if listen != m.addr { // a duplicate process, whose admin listener nobody calls
+	if listen != m.addr { // a duplicate process needs no admin listener
 		ops = ""
 	}
 	var held []policy.Endpoint
@@ -266,7 +288,16 @@
 		}
 	}
 	m.agent.mu.Unlock()
-	return json.Marshal(map[string]any{"ops": ops, "name": m.name, "listen": listen, "discovery": m.agent.addr,
-		"seed": fmt.Sprintf("%x", m.rig.scenario.Seed*7919+int64(m.number)*31+int64(m.incarnation)), "limits": map[string]int{"memory_mb": 192, "sockets": 1024},
-		"settings": m.rig.scenario.Settings(m.rig.scenario.ZoneOf(m.number)), "known": json.RawMessage(m.rig.list(0, true, held))})
+	// The seed differs between scenarios, nodes and processes of a node.
+	seed := m.rig.scenario.Seed*7919 + int64(m.number)*31 + int64(m.incarnation)
+	return json.Marshal(map[string]any{
+		"ops":       ops,
+		"name":      m.name,
+		"listen":    listen,
+		"discovery": m.agent.addr,
+		"seed":      fmt.Sprintf("%x", seed),
+		"limits":    map[string]int{"memory_mb": 192, "sockets": 1024},
+		"settings":  m.rig.scenario.Settings(m.rig.scenario.ZoneOf(m.number)),
+		"known":     json.RawMessage(m.rig.list(0, true, held)),
+	})
 }
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -16,9 +16,11 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const duplicateExitTimeout = 15 * time.Second // by which a process whose node name is taken must exit
+// duplicateExitTimeout is the time within which a process must exit if another process has its node name.
+const duplicateExitTimeout = 15 * time.Second
 
-// openLinks opens a forwarder for each ordered pair of nodes, if the scenario has nodes that are members of a fleet.
+// openLinks opens a listener of the fault forwarder for each ordered pair of nodes, if the nodes of the scenario are
+// members of a fleet.
 func (r *Rig) openLinks() error {
 	if r.scenario.Membership == nil {
 		return nil
@@ -50,7 +52,8 @@
 	return nil
 }
 
-// fleetLabel is unique to the run, as nodes of another run may still send to a port that is reused here.
+// fleetLabel returns a fleet label that is unique to the run, as nodes of another run may still send to a port that
+// this run reuses.
 func (r *Rig) fleetLabel() string {
 	return fmt.Sprintf("%s-%d-%d", r.scenario.Name, os.Getpid(), r.bootTime)
 }
@@ -63,7 +66,7 @@
 	return r.scenario.FleetConfig(number, r.fleetLabel(), r.gossipAddrs, r.proxies[number])
 }
 
-// onTraceLine passes a line of a process's membership trace to the checker of views.
+// onTraceLine adds a line of a process's membership trace to the recorded views. It ignores invalid lines.
 func (r *Rig) onTraceLine(text []byte) {
 	var l trace.Line
 	if json.Unmarshal(text, &l) != nil {
@@ -76,9 +79,9 @@
 	}
 }
 
-// PauseNode stops a node's process or lets it continue. Its requests in flight are excused and clients send it no new
-// ones meanwhile: a load balancer would notice within moments, and the scenario is not about what a stopped node owes
-// its clients. The lock is held.
+// PauseNode stops a node's process or lets it continue. The requests in flight are excused, and clients send no new
+// ones while it is stopped, as a load balancer would detect the pause at once. The event tests membership, not answers
+// to clients. The lock is held.
 func (r *Rig) PauseNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Pause) }
 
 // HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. The lock is held.
@@ -90,10 +93,10 @@
 	p, can := m.process.(Pauser)
 	switch {
 	case !can:
-		r.failures = append(r.failures, m.name+" is embedded and cannot be stopped")
-		return
-	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process: // a new process was never stopped
+		r.failures = append(r.failures, m.name+": an embedded node cannot be stopped")
 		return
+	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process:
+		return // ending, stopped already, or the current process was started after the stop
 	}
 	if m.stopped = nil; stop {
 		m.stopped, m.serving = m.process, false
@@ -113,8 +116,8 @@
 	}
 }
 
-// StartDuplicateNode starts another process with a node's name, at addresses of its own. It must exit by itself, as
-// the name is taken. The lock is held.
+// StartDuplicateNode starts another process with a node's name but other addresses. That process must exit by itself,
+// as the name is in use. The lock is held.
 func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -126,17 +129,17 @@
 		select {
 		case <-p.Done():
 			if !strings.Contains(p.ExitReason(), "has the name") {
-				m.fail("its duplicate process exited for another reason: " + p.ExitReason())
+				m.fail("its duplicate process exited for another reason than its name: " + p.ExitReason())
 			}
 		case <-time.After(duplicateExitTimeout):
-			m.fail("its duplicate process does not exit in time; killing it")
+			m.fail(fmt.Sprintf("its duplicate process did not exit within %v; killing it", duplicateExitTimeout))
 			p.Kill()
 			<-p.Done()
 		}
 	}()
 }
 
-// startDuplicate starts a process with the node's name that no client connects to.
+// startDuplicate starts a process with the node's name. No client connects to it.
 func (m *member) startDuplicate() (Process, error) {
 	hears, err := freeport.Free()
 	if err != nil {
@@ -152,11 +155,16 @@
 	}
 	all := slices.Clone(m.rig.gossipAddrs)
 	all[m.number] = hears
-	return m.rig.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), all, nil),
-		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
+	return m.rig.starter.Start(NodeSpec{
+		Name:          m.name + "-twin", // names its files only; the node's name is in the configuration
+		Configuration: configuration,
+		Fleet:         m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), all, nil),
+		OnRecord:      func(eventlog.Event, time.Time) {},
+		OnTrace:       func([]byte) {},
+	})
 }
 
-// ChangeLink changes what goes wrong from one node to another. The lock is held.
+// ChangeLink changes the faults of the link from one node to another. The lock is held.
 func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
 	r.faults.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
--- a/internal/emulator/realtime/metrics.go
+++ b/internal/emulator/realtime/metrics.go
@@ -15,26 +15,30 @@
 
 const (
 	scrapeInterval        = 500 * time.Millisecond // between reads of a node's metrics
-	metricsLag            = 500 * time.Millisecond // that metrics may lag behind
-	countsInterval        = 100 * time.Millisecond // between copies of what clients counted
-	countTolerance        = 3                      // allowed difference of a count,
-	countToleranceDivisor = 100                    // or this fraction of it if that is more
+	metricsLag            = 500 * time.Millisecond // by which a node's metrics may lag behind its clients' counts
+	countsInterval        = 100 * time.Millisecond // between snapshots of the clients' counts
+	countTolerance        = 3                      // allowed absolute difference of a counter
+	countToleranceDivisor = 100                    // allowed relative difference of one in 100, if that is more
 	maxMetricsSize        = 1 << 20                // bytes
 )
 
-// clientCounts is what a node's clients counted. Comparing it with the node's metrics reveals requests that the node
-// counted twice or not at all.
+// clientCounts are the counts of a node's clients. Comparing them with the node's metrics reveals requests that the
+// node counted twice or not at all.
 type clientCounts struct {
-	pending  int // requests without a response, including those that the node never received
-	finished map[string]uint64
+	pending  int               // requests without a response, including those that the node never received
+	finished map[string]uint64 // finished requests by the name of the node's counter
 }
 
-// metricSuffixes are the last parts of the names of a node's counters, by result.
-var metricSuffixes = map[checker.Final]string{checker.Satisfied: "completed", checker.Rejected: "rejected", checker.Failed: "failed"}
+// metricSuffixes are the last components of the names of a node's counters, by final result.
+var metricSuffixes = map[checker.Final]string{
+	checker.Satisfied: "completed",
+	checker.Rejected:  "rejected",
+	checker.Failed:    "failed",
+}
 
 func (f *clientCounts) requestFinished(grade string, how checker.Final) {
-	name, is := metricSuffixes[how]
-	if !is {
+	name, ok := metricSuffixes[how]
+	if !ok {
 		return
 	}
 	if f.finished == nil {
@@ -44,7 +48,8 @@
 	f.finished["svc.downstream_requests."+grade+"."+name]++
 }
 
-// wrongCounts returns the counters of a node that contradict what its clients counted between two instants.
+// wrongCounts returns the counters in a node's metrics that are out of the range of its clients' counts. from is a
+// snapshot of the counts taken about metricsLag before the metrics were read, and to is one taken after.
 func wrongCounts(text string, from, to clientCounts) (wrong []string) {
 	for line := range strings.Lines(text) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
@@ -55,6 +60,7 @@
 		n, err := strconv.ParseUint(digits, 10, 64)
 		low, high := from.finished[name], to.finished[name]
 		slack := max(countTolerance, high/countToleranceDivisor)
+		// The node may have counted requests that are still pending for the clients.
 		if err != nil || kind != "c" || n+slack < low || n > high+slack+uint64(max(0, to.pending)) {
 			wrong = append(wrong, fmt.Sprintf("%s, but clients counted %d to %d", strings.TrimSpace(line), low, high))
 		}
@@ -62,8 +68,8 @@
 	return wrong
 }
 
-// ScrapeNode reads a node's metrics until an instant and compares them with what its clients counted. The lock is
-// held.
+// ScrapeNode reads a node's metrics every scrapeInterval until an instant, and compares them with the counts of its
+// clients. The lock is held.
 func (r *Rig) ScrapeNode(number int, until policy.Instant) {
 	m := r.nodes[number]
 	go func() {
@@ -93,7 +99,7 @@
 			to := clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}
 			r.mu.Unlock()
 			if wrong := wrongCounts(text, looks[0].seen, to); len(wrong) > 0 {
-				m.fail("metrics contradict its clients: " + strings.Join(wrong, "; "))
+				m.fail("its metrics contradict the counts of its clients: " + strings.Join(wrong, "; "))
 				return
 			}
 		}
@@ -109,7 +115,7 @@
 	defer a.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(a.Body, maxMetricsSize))
 	if err == nil && !strings.Contains(string(text), "svc.pending:") {
-		err = fmt.Errorf("status %d without metrics", a.StatusCode)
+		err = fmt.Errorf("response with status %d contains no metrics", a.StatusCode)
 	}
 	return string(text), err
 }
--- a/internal/emulator/realtime/metrics_test.go
+++ b/internal/emulator/realtime/metrics_test.go
@@ -7,26 +7,27 @@
 	"dahliapin/internal/emulator/checker"
 )
 
-// Counters that are off by two percent or more are detected. A counter may lag, or be ahead by answers that are still
-// on their way to clients.
+// Counters that differ by two percent or more from the clients' counts are detected. A counter may lag behind, or be
+// ahead by the answers that clients have not received yet.
 func TestMetricsOffByTwoPercentAreDetected(t *testing.T) {
 	var from, to clientCounts
 	for n := range 2000 {
 		to.pending++
 		to.requestFinished("read", checker.Satisfied)
-		if n < 1900 { // seen half a second before
+		if n < 1900 { // counted before the earlier snapshot
 			from.pending++
 			from.requestFinished("read", checker.Satisfied)
 		}
 	}
 	to.pending = 5
 	for said, wrong := range map[int]bool{2000: false, 1900: false, 2020: false, 2045: true, 1860: true} {
-		text := fmt.Sprintf("svc.downstream_requests.read.completed:%d|c\nsvc.downstream_requests.read.failed:0|c\nsvc.pending:9|g\n", said)
+		text := fmt.Sprintf("svc.downstream_requests.read.completed:%d|c\n"+
+			"svc.downstream_requests.read.failed:0|c\nsvc.pending:9|g\n", said)
 		if got := wrongCounts(text, from, to); len(got) > 0 != wrong {
-			t.Errorf("%d: %v", said, got)
+			t.Errorf("counter of %d: contradictions %v, want some: %v", said, got, wrong)
 		}
 	}
 	if got := wrongCounts("svc.downstream_requests.read.completed:many|c\n", from, to); len(got) != 1 {
-		t.Error(got)
+		t.Errorf("counter that is not a number: contradictions %v, want one", got)
 	}
 }
--- a/internal/emulator/realtime/nodefaults.go
+++ b/internal/emulator/realtime/nodefaults.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	reconnectDelay        = 20 * time.Millisecond // before a client whose connection was closed connects again
+	reconnectDelay        = 20 * time.Millisecond // after which an idle client connects again
 	crowdDialTimeout      = time.Second
 	stalledRequestTimeout = 3 * time.Second // by which an incomplete request must be answered or closed
 )
 
-// OpenIdleClients opens idle client connections to a node: half of the clients check readiness once, the others send
-// nothing. A client whose connection is closed connects again. The lock is held.
+// OpenIdleClients opens idle client connections to a node until an instant. Every second client sends one readiness
+// check, the others send nothing. A client whose connection is closed connects again after reconnectDelay. The lock is
+// held.
 func (r *Rig) OpenIdleClients(number, clients int, until policy.Instant) {
 	addr := r.nodes[number].addr
 	for n := range clients {
@@ -37,8 +38,8 @@
 	}
 }
 
-// StallClients has clients stop in the middle of a request and stay connected. The node must answer with an error or
-// close each connection in time, unless it was told to end or killed meanwhile. The lock is held.
+// StallClients makes clients send an incomplete request and stay connected. The node must answer with an error or close
+// each connection within stalledRequestTimeout, unless it is terminated or killed meanwhile. The lock is held.
 func (r *Rig) StallClients(number, clients int) {
 	m := r.nodes[number]
 	life := m.incarnation
@@ -58,18 +59,20 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if m.incarnation == life && !m.ending && !r.closing {
-				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf("a client of %s that stopped in the middle of a request got neither answer nor close within %v", m.name, stalledRequestTimeout+slack))
+				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf(
+					"a client of %s that sent an incomplete request received neither an answer nor a close within %v",
+					m.name, stalledRequestTimeout+slack))
 			}
 		}()
 	}
 }
 
 func isTimeout(err error) bool {
-	late, is := err.(net.Error)
-	return is && late.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// ReloadNode tells a node several times in a row to reload its configuration. The lock is held.
+// ReloadNode tells a node to reload its configuration, several times at signalInterval. The lock is held.
 func (r *Rig) ReloadNode(number, times int) {
 	m := r.nodes[number]
 	p, can := m.process.(Reloader)
@@ -81,8 +84,8 @@
 	}
 }
 
-// FreezeNode stops a node's process for a moment. No request is excused, as the rules allow for such a pause. The
-// lock is held.
+// FreezeNode stops a node's process for a short time. No request is excused, as the tolerances of the rules cover such
+// a pause. The lock is held.
 func (r *Rig) FreezeNode(number int, long time.Duration) {
 	m := r.nodes[number]
 	p, can := m.process.(Pauser)
@@ -93,7 +96,7 @@
 	r.At(r.now().Add(long), func() { p.Pause(false) })
 }
 
-// scenarioSlack is the tolerance that the scenario adds for messages in transit.
+// scenarioSlack returns the scenario's tolerance for messages in transit.
 func (r *Rig) scenarioSlack() time.Duration {
 	return time.Duration(r.scenario.Allowed.SlackMs * float64(time.Millisecond))
 }
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -83,14 +84,14 @@
 	return s
 }
 
-// stub is a router with one fault. It is the Starter and the Process of itself.
+// stub is a router with one fault. It implements both Starter and Process.
 type stub struct {
-	wrong string
+	wrong string // the fault, a key of the table of faulty routers; "" for none
 	l     net.Listener
 	done  chan struct{}
 	mu    sync.Mutex
-	addrs map[string]string // of servers, by id; removed ones are kept
-	last  string            // id of the server that was listed last
+	addrs map[string]string // addresses of servers by ID, including removed ones
+	last  string            // ID of the server that was added to the list last
 	end   sync.Once
 }
 
@@ -125,6 +126,7 @@
 func (s *stub) Done() <-chan struct{} { return s.done }
 func (s *stub) ExitReason() string    { return "a stub ended" }
 
+// follow polls the endpoint list of an agent, and closes a channel when it has the complete list.
 func (s *stub) follow(addr string, heard chan bool) {
 	since := ""
 	for {
@@ -156,6 +158,7 @@
 	}
 }
 
+// addr returns the address of a server, or that of the server that was added last for the ID "last".
 func (s *stub) addr(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +168,8 @@
 	return s.addrs[id]
 }
 
-// sendAttempt sends a command to a cache or the origin and returns the answer for the client.
+// sendAttempt sends a command to a cache or the origin and returns the answer for the client. A miss is sent to the
+// origin.
 func (s *stub) sendAttempt(to string, c *meta.Command) string {
 	if items, _ := meta.Flag(c.Flags, 'P'); to == "origin" {
 		method := http.MethodGet
@@ -208,6 +212,7 @@
 	return line
 }
 
+// serve answers the commands of a client.
 func (s *stub) serve(conn net.Conn) {
 	defer conn.Close()
 	var held []byte
@@ -232,6 +237,7 @@
 	}
 }
 
+// answer returns the answer to a command, after the stub's fault.
 func (s *stub) answer(c *meta.Command) string {
 	items, _ := meta.Flag(c.Flags, 'P')
 	grade, _ := meta.Item(items, "c")
@@ -249,49 +255,64 @@
 		time.Sleep(380 * time.Millisecond)
 	case s.wrong == "never answers" && read:
 		return ""
-	case s.wrong == "makes a value up" && read:
+	case s.wrong == "invents a value" && read:
 		return string(meta.AppendValue(nil, c.ID, []byte("v:none")))
-	case s.wrong == "sends on after the answer" && read:
+	case s.wrong == "sends an attempt after the answer" && read:
 		go func() { time.Sleep(120 * time.Millisecond); s.sendAttempt("c2", c) }()
 		return "SERVER_ERROR failed\r\n"
-	case s.wrong == "repeats what can't be undone" && pay:
+	case s.wrong == "repeats an irreversible write" && pay:
 		well()
-	case s.wrong == "rejects what ran" && pay:
+	case s.wrong == "rejects a request that was executed" && pay:
 		well()
 		return "SERVER_ERROR busy\r\n"
-	case s.wrong == "repeats a labelled write beyond its window" && mark:
+	case s.wrong == "repeats a write after its deduplication window" && mark:
 		well()
 		time.Sleep(600 * time.Millisecond)
-	case s.wrong == "" && mark: // within the window the origin drops it
+	case s.wrong == "" && mark: // the origin deduplicates a write that is repeated within the window
 		well()
-	case s.wrong == "sends on for who has left" && read:
+	case s.wrong == "sends an attempt after the client has left" && read:
 		time.Sleep(250 * time.Millisecond)
-	case s.wrong == "sends a second beside the first" && read:
+	case s.wrong == "sends a second attempt beside the first" && read:
 		go s.sendAttempt("c2", c)
 		go s.sendAttempt("c3", c)
-	case s.wrong == "sends to one that drains" && read:
+	case s.wrong == "sends to a draining cache" && read:
 		return s.sendAttempt("c4", c)
-	case s.wrong == "pushes a cold cache over" && read:
+	case s.wrong == "overloads a cold cache" && read:
 		return s.sendAttempt("last", c)
 	}
 	return well()
 }
 
-// Rehearsals call a node good by the checker's verdict alone. So the checker must report each of these faulty routers
-// by the rule that it breaks, and report nothing for the one without a fault.
+// The checker's verdict alone decides whether a rehearsal passes. It must therefore report each faulty router under the
+// rule that the router breaks, and nothing for the router without a fault.
 func TestCheckerReportsEachBrokenRouterByItsRule(t *testing.T) {
-	for wrong, rule := range map[string]int{"": 0, "answers twice": 1, "answers late": 1, "never answers": 1, "makes a value up": 1,
-		"sends on after the answer": 1, "repeats what can't be undone": 2, "rejects what ran": 2,
-		"repeats a labelled write beyond its window": 2, "sends a second beside the first": 2, "sends to one that drains": 3,
-		"pushes a cold cache over": 4, "sends on for who has left": 1} {
-		t.Run("who "+wrong, func(t *testing.T) {
-			// The router without a fault and the one for rule 4 need their rate kept: they run before the others.
+	for wrong, rule := range map[string]int{
+		"":                                  0,
+		"answers twice":                     1,
+		"answers late":                      1,
+		"never answers":                     1,
+		"invents a value":                   1,
+		"sends an attempt after the answer": 1,
+		"sends an attempt after the client has left":     1,
+		"repeats an irreversible write":                  2,
+		"rejects a request that was executed":            2,
+		"repeats a write after its deduplication window": 2,
+		"sends a second attempt beside the first":        2,
+		"sends to a draining cache":                      3,
+		"overloads a cold cache":                         4,
+	} {
+		t.Run("router "+cmp.Or(wrong, "without a fault"), func(t *testing.T) {
+			// The router without a fault and the one that breaks rule 4 must keep the request rate. They do not run in
+			// parallel with the others.
 			if rule%4 > 0 {
 				t.Parallel()
 			}
-			s := parse(t, baseScenario+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
-				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n"}[rule])
-			if rule == 2 && strings.Contains(wrong, "second") { // the first attempt must last long enough to overlap the second
+			s := parse(t, baseScenario+map[int]string{
+				3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
+				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n",
+			}[rule])
+			// The first attempt must last long enough to overlap the second.
+			if rule == 2 && strings.Contains(wrong, "second") {
 				s.Classes[0].WorkMs = 120
 				s.Traffic.PerSecond = 20
 			}
@@ -306,17 +327,18 @@
 				t.Fatal(err)
 			}
 			if rule == 0 && r.Rules != [4]uint64{} || rule > 0 && r.Rules[rule-1] == 0 {
-				t.Errorf("%v, %v", r.Rules, r.Breaches[:min(5, len(r.Breaches))])
+				t.Errorf("breaches by rule %v, want some of rule %d only if that is not 0; first breaches: %v",
+					r.Rules, rule, r.Breaches[:min(5, len(r.Breaches))])
 			}
 			if rule > 0 && r.Passed() {
-				t.Error("the report is good")
+				t.Error("the run of a faulty router passed")
 			}
 		})
 	}
 }
 
-// An embedded node keeps the rules through connection faults, a silent cache, a killed one and a planned restart. By
-// HTTP one cache also answers with responses that are no longer fresh.
+// An embedded node breaks no rule while connections are reset or closed in the middle of an answer, a cache is silent,
+// a node restarts and a cache is killed. With HTTP, one cache serves stale responses instead of resetting connections.
 func TestNodeKeepsRulesThroughFaultsOnSockets(t *testing.T) {
 	const faults = `
 [[event]]
@@ -347,8 +369,11 @@
 for_s = 0.5
 `
 	plain := strings.Replace(baseScenario, "seconds = 3", "seconds = 6", 1) + faults
-	for name, text := range map[string]string{"meta": plain, "http": strings.NewReplacer("[fleet]", "[fleet]\nprotocol = \"http\"",
-		"[traffic]", "[traffic]\nprotocol = \"http\"", "\"reset\"", "\"stale\"").Replace(plain)} {
+	overHTTP := strings.NewReplacer(
+		"[fleet]", "[fleet]\nprotocol = \"http\"",
+		"[traffic]", "[traffic]\nprotocol = \"http\"",
+		"\"reset\"", "\"stale\"")
+	for name, text := range map[string]string{"meta": plain, "http": overHTTP.Replace(plain)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r, err := Run(context.Background(), parse(t, text), Embedded{}, nil)
@@ -356,16 +381,18 @@
 				t.Fatal(err)
 			}
 			if r.Rules != [4]uint64{} {
-				t.Errorf("%v: %v", r.Rules, r.Breaches)
+				t.Errorf("breaches by rule %v, want none: %v", r.Rules, r.Breaches)
 			}
 			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
-				t.Errorf("%+v, %v", r.Classes, r.Events)
+				t.Errorf("too few requests sent or satisfied, or not five events: %+v, %v", r.Classes, r.Events)
 			}
-			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 { // the delay is checked in virtual time only
-				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
+			// Only tests in virtual time check how soon after 1.8 s the silent cache is ejected.
+			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 {
+				t.Errorf("c3 is ejected at %v s (-1: never), want at 1.8 s or later, when it becomes silent", at)
 			}
 			met := r.Coverage
-			if met.PhaseCount("node_restart", coverage.Serving) != 1 || met.PhaseCount("silent", coverage.Draining) != 1 {
+			if met.PhaseCount("node_restart", coverage.Serving) != 1 ||
+				met.PhaseCount("silent", coverage.Draining) != 1 {
 				t.Errorf("coverage of the faults is not counted: %v", met.Uncovered())
 			}
 			if met.InFlight("silent", policy.Idempotent) == 0 || met.PhaseCount("kill", coverage.Standby) != 0 {
@@ -375,14 +402,14 @@
 	}
 }
 
-// A cancelled run returns the context's error, ends its node and closes all listeners. A run whose node exits by
-// itself is reported as failed.
+// A cancelled run returns the context's error, stops its node and closes all listeners. A run whose node exits by
+// itself fails with the node's exit reason.
 func TestCancelledOrFailedRunLeavesNothingBehind(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	run := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
 	if _, err := Run(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("cancelled run: %v", err)
+		t.Errorf("cancelled run: error %v, want %v", err, context.Canceled)
 	}
 	select {
 	case <-run.done:
@@ -399,21 +426,22 @@
 	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
 	r, err := Run(context.Background(), parse(t, baseScenario), dies, nil)
 	if err != nil || r.Passed() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
-		t.Errorf("node that exits by itself: %v %v", err, r)
+		t.Errorf("run whose node exits by itself: error %v, report %v", err, r)
 	}
 }
 
-// A run on a machine that cannot keep the pace of the traffic is reported as such, and is neither good nor checked.
+// A run with more than two percent of tries sent late has no verdict: the machine was too busy, so that breaches prove
+// nothing about the nodes.
 func TestRunOnABusyMachineHasNoVerdict(t *testing.T) {
 	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
 	l.TriesSent, l.Late = 100, 3
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); r.Passed() || r.MachineTooBusy == "" {
-		t.Error("a run on a busy machine has a verdict")
+		t.Error("run with 3 of 100 tries sent late: has a verdict")
 	}
 	l.Late = 2
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); !r.Passed() {
-		t.Error("a run in time has no verdict", r.Expected)
+		t.Errorf("run with 2 of 100 tries sent late: did not pass: %v", r.Expected)
 	}
 }
 
@@ -427,14 +455,23 @@
 	return checker.New(checker.Rules{Classes: gs})
 }
 
-// An emulated cache carries out deletes and flushes, and its answer to a delete says whether the key was there.
+// An emulated cache executes deletes and flushes. The answer to a delete tells whether the cache had the key.
 func TestEmulatedCacheCarriesOutPurges(t *testing.T) {
 	s := parse(t, baseScenario)
 	terms, err := s.DecodedSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newChecker(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
+	r := &Rig{
+		scenario:  s,
+		settings:  terms,
+		startedAt: time.Now(),
+		world:     newWorld(s),
+		checker:   newChecker(s),
+		log:       report.NewLog(s, epoch),
+		attempts:  map[uint64]*attempt{},
+		wake:      make(chan struct{}, 1),
+	}
 	if err := r.openServer(0); err != nil {
 		t.Fatal(err)
 	}
@@ -463,35 +500,40 @@
 		switch got := say(line); got {
 		case fmt.Sprintf("HD O%x\r\n", rank+1):
 			if held++; say(line) != fmt.Sprintf("NF O%x\r\n", rank+1) {
-				t.Error("a deleted key was there once more")
+				t.Errorf("key %s was found again after its deletion", world.KeyOf(rank))
 			}
 		case fmt.Sprintf("NF O%x\r\n", rank+1):
 		default:
-			t.Fatalf("%q", got)
+			t.Fatalf("delete of %s: answer %q", world.KeyOf(rank), got)
 		}
 	}
 	r.warmCaches()
 	if got := say("flush_all\r\n"); got != "OK\r\n" || held == 0 {
-		t.Errorf("%q, %d held", got, held)
+		t.Errorf("flush: answer %q; %d keys were found before", got, held)
 	}
 	for rank := range 50 {
 		if got := say(fmt.Sprintf("md %s O1\r\n", world.KeyOf(rank))); got != "NF O1\r\n" {
-			t.Errorf("after a flush: %q", got)
+			t.Errorf("delete of %s after a flush: answer %q", world.KeyOf(rank), got)
 		}
 	}
 }
 
-// Settings that only the simulation has were ignored on sockets, and a scenario that relies on them met its
-// expectations by chance.
+// A scenario with settings that only the simulation supports is rejected. If the rig ignored them, the scenario could
+// meet its expectations by chance.
 func TestScenarioForVirtualTimeOnlyIsRefused(t *testing.T) {
-	for _, more := range []string{"[traffic]\nskew = 0.5\n", "[network]\nlate_share = 0.1\nlate_ms = 5\n", "[network]\nlost_share = 0.1\n"} {
+	for _, more := range []string{
+		"[traffic]\nskew = 0.5\n",
+		"[network]\nlate_share = 0.1\nlate_ms = 5\n",
+		"[network]\nlost_share = 0.1\n",
+	} {
 		section, keys, _ := strings.Cut(more, "\n")
 		text := baseScenario + more
 		if strings.Contains(baseScenario, section+"\n") {
 			text = strings.Replace(baseScenario, section+"\n", section+"\n"+keys, 1)
 		}
-		if _, err := Run(context.Background(), parse(t, text), Embedded{}, nil); err == nil || !strings.Contains(err.Error(), "virtual time only") {
-			t.Errorf("%q: %v", more, err)
+		_, err := Run(context.Background(), parse(t, text), Embedded{}, nil)
+		if err == nil || !strings.Contains(err.Error(), "virtual time only") {
+			t.Errorf("%q: error %v, want one that contains \"virtual time only\"", more, err)
 		}
 	}
 }
--- a/internal/emulator/realtime/operations.go
+++ b/internal/emulator/realtime/operations.go
@@ -1,6 +1,7 @@
 package realtime
 
 import (
+	"fmt"
 	"net/http"
 	"time"
 
@@ -9,9 +10,9 @@
 
 const (
 	takeoverTimeout    = 6 * time.Second        // for a new process to be ready
-	standbyTimeout     = 2 * time.Second        // for a node to enter or leave standby
-	balancerLag        = 200 * time.Millisecond // that the load balancer takes after the first failed check
-	connsClosedTimeout = 4 * time.Second        // after the call, by which all client connections must be closed
+	standbyTimeout     = 2 * time.Second        // for a node's readiness to follow a change of standby
+	balancerLag        = 200 * time.Millisecond // from the first failed check until the load balancer removes a node
+	connsClosedTimeout = 4 * time.Second        // from the standby call until all client connections must be closed
 	adminTimeout       = time.Second            // per call of the admin listener
 	probeInterval      = 100 * time.Millisecond // between the load balancer's checks
 )
@@ -31,8 +32,8 @@
 	return a.StatusCode/100 == 2
 }
 
-// waitUntil polls a condition, and reports whether it held within the time. It also returns true once the run is
-// closing.
+// waitUntil polls a condition and reports whether it became true within the timeout. If the run closes meanwhile, it
+// returns true, so that no failure is reported.
 func (m *member) waitUntil(long time.Duration, yes func() bool) bool {
 	for by := time.Now().Add(long); !yes(); time.Sleep(probeInterval / 5) {
 		if time.Now().After(by) || m.rig.isClosing() {
@@ -42,7 +43,7 @@
 	return true
 }
 
-// fail records that a node did not do what its operator asked, which fails the run.
+// fail records that a node did not do what was requested, which fails the run unless it is closing.
 func (m *member) fail(what string) {
 	m.rig.mu.Lock()
 	defer m.rig.mu.Unlock()
@@ -51,7 +52,8 @@
 	}
 }
 
-// UpgradeNode replaces a node's process by a new one, as the platform does. The lock is held.
+// UpgradeNode starts a new process of a node, and tells the old one to terminate once the new one is ready, as the
+// deployment platform does. The lock is held.
 func (r *Rig) UpgradeNode(number int) {
 	m := r.nodes[number]
 	old := m.process
@@ -61,21 +63,21 @@
 			return
 		}
 		if !m.waitUntil(takeoverTimeout, func() bool { return m.callAdmin(http.MethodGet, m.adminAddr, "/status") }) {
-			m.fail("the new process is not ready in time")
+			m.fail(fmt.Sprintf("its new process was not ready within %v", takeoverTimeout))
 			return
 		}
 		old.End()
 		select {
 		case <-old.Done():
 		case <-time.After(r.settings.LongestDeadline + stopSlack):
-			m.fail("the old process does not exit in time; killing it")
+			m.fail("its old process did not exit in time after the upgrade; killing it")
 			old.Kill()
 		}
 		r.takeoverDone(m)
 	}()
 }
 
-// takeoverDone records that the new process serves alone.
+// takeoverDone records that only the new process serves.
 func (r *Rig) takeoverDone(m *member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,8 +86,8 @@
 	}
 }
 
-// StandbyNode puts a node on standby or ends that, and checks what operators and the load balancer see. The lock is
-// held.
+// StandbyNode puts a node on standby or makes it active again. It checks the answer to the admin call, the node's
+// readiness, and that a node on standby closes its client connections. The lock is held.
 func (r *Rig) StandbyNode(number int, by bool) {
 	m := r.nodes[number]
 	r.views.RecordProcess(r.now(), m.name, !by, false) // a node on standby is not a member
@@ -100,11 +102,11 @@
 			path = "/standby"
 		}
 		if !m.callAdmin(http.MethodPut, m.adminAddr, path) {
-			m.fail("refused PUT " + path)
+			m.fail("no 2xx response to PUT " + path)
 			return
 		}
 		if !m.waitUntil(standbyTimeout, func() bool { return m.pool.Ready() != by }) {
-			m.fail("its readiness does not follow PUT " + path)
+			m.fail(fmt.Sprintf("its readiness did not follow PUT %s within %v", path, standbyTimeout))
 		}
 		if by {
 			time.Sleep(balancerLag)
@@ -113,7 +115,7 @@
 		m.serving = !by
 		r.mu.Unlock()
 		if by && !m.waitUntil(connsClosedTimeout-time.Since(begun), func() bool { return m.pool.OpenConns() == 0 }) {
-			m.fail("still holds client connections on standby")
+			m.fail(fmt.Sprintf("still has client connections %v after PUT %s", connsClosedTimeout, path))
 		}
 	}()
 }
--- a/internal/emulator/realtime/processes.go
+++ b/internal/emulator/realtime/processes.go
@@ -15,25 +15,26 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-// RehearsalEnv is set in the environment of a node process that is part of a rehearsal. It enables the signal that
+// RehearsalEnv is the environment variable that is set for node processes of a rehearsal. It enables the signal that
 // blocks the node's event loop.
 const RehearsalEnv = "DAHLIAPIN_REHEARSED"
 
-// Processes runs each node as a process of its own. Its program takes serve, --config and --records.
+// Processes starts each node as a separate process. The program must support the command serve and its flags --config
+// and --records, and those for further files: --operator, --fleet and --trace.
 type Processes struct {
 	Program string
-	Dir     string // for configurations and logs; the caller removes it
+	Dir     string // directory of configurations and logs; the caller removes it
 	started atomic.Int64
 }
 
-// process is a node that runs as a process of its own.
+// process is a node that runs as a separate process.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
-	exit string // exit status and last log line; "" for a normal exit. Written before done is closed
+	exit string // exit status and last log line; "" for a normal exit; written before done is closed
 }
 
-// Start starts a node's process, and passes on its records and trace lines as they arrive.
+// Start starts a node's process and passes its records and trace lines to the callbacks of the spec as they arrive.
 func (ps *Processes) Start(o NodeSpec) (Process, error) {
 	base := filepath.Join(ps.Dir, fmt.Sprintf("%s-%d", o.Name, ps.started.Add(1)))
 	args, err := writeFiles(base, o)
@@ -59,13 +60,13 @@
 		}
 	}
 	cmd := exec.Command(ps.Program, args...)
-	cmd.Env = append(os.Environ(), "TMPDIR="+ps.Dir, RehearsalEnv+"=1") // TMPDIR is common to the processes of a node
+	cmd.Env = append(os.Environ(), "TMPDIR="+ps.Dir, RehearsalEnv+"=1") // processes of a node share TMPDIR
 	cmd.Stdout = log
 	cmd.Stderr = log
 	cmd.ExtraFiles = pipes.writers
 	cmd.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
-		Setpgid:   true, // Ctrl-C is handled by this process only
+		Setpgid:   true, // an interrupt from the terminal reaches this process only
 	}
 	if err := cmd.Start(); err != nil {
 		pipes.closeReaders()
@@ -85,7 +86,8 @@
 	return p, nil
 }
 
-// writeFiles writes a node's files and returns the arguments of its program. Records go to descriptor 3, a trace to 4.
+// writeFiles writes a node's configuration files and returns the arguments of its program. The program writes records
+// to file descriptor 3 and a membership trace to 4.
 func writeFiles(base string, o NodeSpec) ([]string, error) {
 	args := []string{"serve", "--config", base + ".json", "--records", "/dev/fd/3"}
 	if err := os.WriteFile(base+".json", o.Configuration, 0o600); err != nil {
@@ -106,12 +108,12 @@
 	return args, nil
 }
 
-// pipes are the pipes over which a process writes records and trace lines.
+// pipes are the pipes to which a process writes records and trace lines.
 type pipes struct {
 	readers, writers []*os.File
 }
 
-// add opens a pipe and returns the end to read from.
+// add opens a pipe and returns its read end.
 func (p *pipes) add() (*os.File, error) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -128,14 +130,14 @@
 	}
 }
 
-// closeWriters closes this process's ends, so that readers see the end of the process that has the others.
+// closeWriters closes the write ends in this process, so that readers see end of file when the child process exits.
 func (p *pipes) closeWriters() {
 	for _, f := range p.writers {
 		_ = f.Close()
 	}
 }
 
-// readLines passes on lines until the other end is closed.
+// readLines calls each with every line until end of file, and closes the file.
 func readLines(f *os.File, each func([]byte)) {
 	defer f.Close()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
@@ -159,7 +161,8 @@
 	p.exit = err.Error() + ": " + lines[len(lines)-1]
 }
 
-// Hang blocks the process's event loop or lets it continue, by a signal that toggles it in rehearsals only.
+// Hang blocks the process's event loop or lets it continue. The signal toggles the state, hence the ignored argument;
+// it has this effect in rehearsals only.
 func (p *process) Hang(bool) { p.cmd.Process.Signal(syscall.SIGUSR2) }
 
 // Pause stops the process or lets it continue.
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -25,19 +25,23 @@
 
 const (
 	epoch         = policy.Instant(time.Second)
-	rigSeedMask   = 0x0f1ee7               // keeps the rig's draws apart from those of the world
-	slack         = 50 * time.Millisecond  // for sockets and a busy machine, before a delay counts as a breach
-	startTimeout  = 20 * time.Second       // until all nodes serve
-	clientsLinger = 250 * time.Millisecond // during which clients still connect to a node that was told to end
-	stopSlack     = 2 * time.Second        // over the longest deadline, after which a node that was told to end is killed
-	pollInterval  = 20 * time.Millisecond
-
-	maxDeadlineAtStop = 3 * time.Second        // cap on the longest deadline, by the shutdown protocol
-	killDelay         = 700 * time.Millisecond // over that deadline, until the process may be killed
-	signalInterval    = 20 * time.Millisecond  // between signals in a row
+	rigSeedMask   = 0x0f1ee7               // makes the rig's random numbers differ from those of the world
+	slack         = 50 * time.Millisecond  // delay by sockets and a busy machine that is no breach
+	startTimeout  = 20 * time.Second       // for all nodes to be ready
+	clientsLinger = 250 * time.Millisecond // during which clients still connect to a terminating node
+	pollInterval  = 20 * time.Millisecond  // between checks of a node's readiness
+
+	// stopSlack is added to the longest deadline for the time after which a terminating node is killed.
+	stopSlack = 2 * time.Second
+	// maxDeadlineAtStop caps the longest deadline in the shutdown protocol.
+	maxDeadlineAtStop = 3 * time.Second
+	// killDelay is added to that deadline for the earliest time at which the process may be killed.
+	killDelay = 700 * time.Millisecond
+	// signalInterval is the time between successive signals to a process.
+	signalInterval = 20 * time.Millisecond
 )
 
-// Starter starts nodes.
+// Starter starts nodes, as processes or embedded.
 type Starter interface {
 	Start(NodeSpec) (Process, error)
 }
@@ -48,22 +52,22 @@
 	Configuration []byte
 	Operator      []byte                          // the operator's file; nil for none
 	Fleet         []byte                          // the fleet configuration; nil for a node without a fleet
-	OnRecord      func(eventlog.Event, time.Time) // called with each record of its event log, and the time of the record
+	OnRecord      func(eventlog.Event, time.Time) // called with each record of its event log and the record's time
 	OnTrace       func([]byte)                    // called with each line of its membership trace
 }
 
 // Process is a running node.
 type Process interface {
-	End()                  // tells it to end, as an operator does
-	Kill()                 // at once; an embedded node can only be told to end
-	Done() <-chan struct{} // closed once it has ended
-	ExitReason() string    // why it failed, once it has ended; "" for a normal exit
+	End()                  // tells it to terminate, as an operator does
+	Kill()                 // kills it; an embedded node is only told to terminate
+	Done() <-chan struct{} // closed when it has exited
+	ExitReason() string    // why it failed, after Done is closed; "" for a normal exit
 }
 
 // Pauser is a process that can be stopped and continued.
 type Pauser interface {
-	Pause(stop bool)
-	Hang(stop bool) // stops its event loop only
+	Pause(stop bool) // stops the process or lets it continue
+	Hang(stop bool)  // blocks its event loop only, or lets it continue
 }
 
 // Reloader is a process that can be told to reload its configuration.
@@ -71,13 +75,13 @@
 	Reload()
 }
 
-// Rig is one run. Its lock guards the model of the world and all that nodes, servers and clients report.
+// Rig is one run of a scenario. Its lock guards the model of the world and the reports of nodes, servers and clients.
 type Rig struct {
 	scenario   *scenario.Scenario
 	settings   settings.Settings
 	starter    Starter
 	startedAt  time.Time
-	onProgress func(string) // called with a line of progress each second; may be nil
+	onProgress func(string) // called each second with a line of progress; may be nil
 
 	mu             sync.Mutex
 	world          *world.World
@@ -88,29 +92,30 @@
 	coverage       *coverage.Tracker
 	run            *runner.Run
 	fleetRecorder  *eventlog.Recorder
-	queue          timerqueue.Queue[func()]
-	wake           chan struct{}
-	chance         keyhash.Source
+	queue          timerqueue.Queue[func()] // functions scheduled by At
+	wake           chan struct{}            // makes the clock recompute its next wakeup
+	chance         keyhash.Source           // of the rig's random choices
 	registry       *world.Registry
-	servers        []*server
-	attempts       map[uint64]*attempt
-	lastTag        uint64
+	servers        []*server           // by number; nil for one that is not open
+	attempts       map[uint64]*attempt // by tag
+	lastTag        uint64              // of the attempt that arrived last
 	nodes          []*member
-	ejectedBy      map[policy.EndpointID]map[int]bool
-	listUp         chan struct{} // closed while discovery is up
-	pendingUpdates []policy.Endpoint
-	failures       []string
-	requests       sync.WaitGroup
-	faults         *netfault.Forwarder // nil unless nodes are members of a fleet
-	proxies        []map[string]string // by node: the forwarder's address for each address of another node
-	bootTime       policy.Instant      // the time of the machine's boot clock when the run began
-	gossipAddrs    []string            // where each node listens for the others
+	ejectedBy      map[policy.EndpointID]map[int]bool // nodes that have ejected an endpoint
+	listUp         chan struct{}                      // closed while discovery is up
+	pendingUpdates []policy.Endpoint                  // changes of the endpoint list while discovery is down
+	failures       []string                           // of nodes and the rig; each fails the run
+	requests       sync.WaitGroup                     // requests without a response
+	faults         *netfault.Forwarder                // nil unless nodes are members of a fleet
+	proxies        []map[string]string                // by sender: from a node's address to the forwarder's
+	bootTime       policy.Instant                     // of the machine's boot clock when the run began
+	gossipAddrs    []string                           // of the nodes' gossip listeners, by node
 	views          *checker.Views
-	closing        bool // no node is started any more
-	stopped        bool // the model of the world does not change any more
+	closing        bool // no node may be started
+	stopped        bool // the model of the world must not change
 }
 
-// Run plays a scenario on sockets and returns its report. A cancelled context ends the run early, without a report.
+// Run runs a scenario on sockets and returns its report. If the context is cancelled, it stops the run and returns the
+// context's error without a report. progress is called each second with a line of progress; it may be nil.
 func Run(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
 	deployment, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
@@ -138,7 +143,7 @@
 	if err := r.sendTraffic(ctx, start); err != nil {
 		return nil, err
 	}
-	select { // requests sent last have not reached their deadlines
+	select { // the last requests may still be in flight until their deadlines
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(deployment.LongestDeadline + 2*slack):
@@ -146,9 +151,10 @@
 	return r.report(), nil
 }
 
-// errVirtualOnly is returned for a scenario that needs what only the simulation has.
+// errVirtualOnly is returned for a scenario with settings that only the simulation supports.
 var errVirtualOnly = errors.New(
-	"uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
+	"traffic.skew, network.late_share and network.lost_share are not supported on sockets: " +
+		"the scenario runs in virtual time only")
 
 func newRig(s *scenario.Scenario, deployment settings.Settings, starter Starter, progress func(string)) *Rig {
 	up := make(chan struct{})
@@ -182,7 +188,7 @@
 	return r
 }
 
-// openServers opens a listener for each server, and fills the caches where the scenario has them warm.
+// openServers opens a listener for each server, and fills the caches if the scenario starts with warm ones.
 func (r *Rig) openServers() error {
 	for i := range r.world.Servers {
 		if err := r.openServer(i); err != nil {
@@ -209,7 +215,7 @@
 	return nil
 }
 
-// begin starts the scenario's time: from now on its events are played and its log is kept.
+// begin starts the scenario's events and its log, and returns the instant at which the scenario's time starts.
 func (r *Rig) begin() policy.Instant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,11 +230,11 @@
 	return start
 }
 
-// report ends the checks and makes the report.
+// report completes the checks and creates the report.
 func (r *Rig) report() *report.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now counts as lost
+	r.checker.Advance(r.now().Add(time.Hour)) // counts requests without an answer as breaches
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	result.Coverage = r.coverage.Table
 	for _, how := range r.failures {
@@ -243,7 +249,7 @@
 
 func (r *Rig) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.startedAt)) }
 
-// clock runs the due functions and jobs under the lock, and sleeps in between.
+// clock runs due functions and jobs under the lock, and sleeps until the next one is due, until the run is stopped.
 func (r *Rig) clock() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -279,7 +285,7 @@
 	}
 }
 
-// wakeClock has the clock compute anew what is due next.
+// wakeClock makes the clock recompute what is due next.
 func (r *Rig) wakeClock() {
 	select {
 	case r.wake <- struct{}{}:
@@ -287,20 +293,20 @@
 	}
 }
 
-// At schedules a function, which is called under the lock.
+// At schedules a function, which the clock calls with the lock held. The lock is held.
 func (r *Rig) At(at policy.Instant, do func()) {
 	r.queue.Push(at, do)
 	r.wakeClock()
 }
 
-// warmCaches puts keys where the policy module would route them.
+// warmCaches fills each cache with the keys that the policy module routes to it.
 func (r *Rig) warmCaches() {
 	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmCaches(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
-// awaitReady waits until all nodes accept requests.
+// awaitReady waits until all nodes are ready for requests.
 func (r *Rig) awaitReady(ctx context.Context) error {
 	by := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
@@ -324,8 +330,8 @@
 	return nil
 }
 
-// sendTraffic sends the scenario's requests in an open loop: each is sent at its time, whatever became of earlier
-// ones.
+// sendTraffic sends the scenario's requests in an open loop: each is sent at its time, independent of the responses to
+// earlier ones.
 func (r *Rig) sendTraffic(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -342,7 +348,7 @@
 		case <-timer.C:
 		}
 		r.mu.Lock()
-		// Waves and seconds of traffic follow the scenario's time, not the time of sending.
+		// Requests are drawn and counted for their scheduled time, not for the time at which they are sent.
 		for now := r.now(); at <= now && at < end; {
 			req := r.traffic.Draw(at)
 			r.sendRequest(req, at, true)
@@ -361,7 +367,7 @@
 	return nil
 }
 
-// progress formats the line on the second that has just ended.
+// progress returns a line of progress for the second that has just ended.
 func (r *Rig) progress(second int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -370,7 +376,8 @@
 		second, r.scenario.Seconds, last.Asked, last.InTime, last.Attempts, last.OriginAttempts, r.checker.Breached())
 }
 
-// sendRequest sends one try of a client to a node. The lock is held.
+// sendRequest sends one try of a client to a random node that accepts requests. If there is none, the try counts as
+// cut. The lock is held.
 func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
 	var up []*member
@@ -431,7 +438,7 @@
 		r.checker.WrongAnswer(now, "", "a connection received bytes beyond one answer per request")
 	}
 	switch {
-	case got.NotSent: // no node has received it; it counts as cut off and is not retried
+	case got.NotSent: // no node has received it; it counts as cut and is not retried
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
@@ -442,7 +449,7 @@
 	case got.Abandoned:
 		r.checker.ClientGone(now, req.ID)
 		return
-	case got.Silent: // the checker counts it as lost at its deadline
+	case got.Silent: // the checker reports it at its deadline
 		return
 	case got.Final == checker.Cut && m.freshStarts != life || got.Final == checker.Cut && m.killed:
 		r.checker.Forget(req.ID)
@@ -474,19 +481,19 @@
 	}
 }
 
-// EventBegan records with the coverage table what an event coincides with, until its end. The lock is held in both
-// calls.
+// EventBegan records the coverage of an event: the phases and requests of the affected nodes until the returned
+// function is called. The lock is held in both calls.
 func (r *Rig) EventBegan(e *scenario.Event) (ended func()) {
 	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
 }
 
-// LogEvent adds a line to the log of the run.
+// LogEvent adds a line to the log of the run. The lock is held.
 func (r *Rig) LogEvent(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
-// Registry is the model of the capacity of discovery.
+// Registry returns the model of the capacity of discovery.
 func (r *Rig) Registry() *world.Registry { return r.registry }
 
-// SetDiscovery takes discovery down or up; changes that were held back are then published. The lock is held.
+// SetDiscovery takes discovery down, or up again, and then publishes the changes since. The lock is held.
 func (r *Rig) SetDiscovery(up bool) {
 	if !up {
 		r.listUp = make(chan struct{})
@@ -508,8 +515,8 @@
 	}
 }
 
-// EndpointChanged publishes a change of the endpoint list to each node's agent, each after a delay of its own. The
-// lock is held.
+// EndpointChanged publishes a change of the endpoint list to each node's agent after a random delay, which differs
+// between nodes. The lock is held.
 func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
 		r.updateListener(i)
@@ -530,8 +537,8 @@
 	}
 }
 
-// onRecord takes a record of a node's event log. The fleet as a whole has ejected an endpoint once most of its nodes
-// have.
+// onRecord adds a record of a node's event log to the run's log. It also maintains the event log of the fleet, in which
+// an endpoint is ejected once more than half of the nodes have ejected it.
 func (r *Rig) onRecord(number int, e eventlog.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -558,10 +565,14 @@
 	}
 }
 
-var ejectionStates = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
-	policy.StateFailing.String(): policy.StateFailing}
+// ejectionStates maps the reasons of ejections in event logs to endpoint states.
+var ejectionStates = map[string]policy.EndpointState{
+	policy.StateUnresponsive.String(): policy.StateUnresponsive,
+	policy.StateUnreachable.String():  policy.StateUnreachable,
+	policy.StateFailing.String():      policy.StateFailing,
+}
 
-// close ends all nodes, servers and clients, and waits for the requests.
+// close stops all nodes, servers and clients, and waits until the responses to all requests are handled.
 func (r *Rig) close() {
 	r.mu.Lock()
 	r.closing = true
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	tcpEstablished      = 1                      // the kernel's state of an established connection, TCP_ESTABLISHED
-	maxQueuedAnswers    = 64                     // per connection; a reader that is slower is disconnected
-	readBufferSize      = 16 << 10               // bytes of commands per read
-	maxCommandSize      = 1 << 20                // bytes of an incomplete command, above which the connection is closed
-	backlogFillTimeout  = 50 * time.Millisecond  // for a dial that only fills the listen backlog
+	tcpEstablished      = 1                      // TCP_ESTABLISHED, the kernel's state of an established connection
+	maxQueuedAnswers    = 64                     // per connection; a peer that lets more queue up is disconnected
+	readBufferSize      = 16 << 10               // bytes per read
+	maxCommandSize      = 1 << 20                // bytes of an incomplete command, beyond which a connection is closed
+	backlogFillTimeout  = 50 * time.Millisecond  // for a dial that fills the listen backlog
 	frozenCheckInterval = time.Millisecond       // between checks whether a frozen cache runs again
-	relistenDelay       = 100 * time.Millisecond // between attempts to listen on the former address
+	relistenDelay       = 100 * time.Millisecond // between attempts to listen on a server's former address
 	garbageAnswer       = "\x8c\xa1\x00 no answer of any protocol \xff\r\n"
 )
 
-// server is one cache or the origin, listening on a loopback socket.
+// server is a cache or the origin, which listens on a loopback socket.
 type server struct {
 	rig            *Rig
 	number         int
 	addr           string
 	listener       net.Listener // nil while connections are refused
 	conns          map[*serverConn]bool
-	fault          string
-	backlogFillers []net.Conn    // fill the listen backlog of a silent server
+	fault          string        // of its connections, set by SetFault; "" for none
+	backlogFillers []net.Conn    // connections that fill the listen backlog of a silent server
 	responsive     chan struct{} // closed unless the server is silent
-	httpServer     *http.Server
+	httpServer     *http.Server  // of the origin; nil for a cache
 }
 
 // serverConn is a connection to a cache.
 type serverConn struct {
 	net.Conn
 	server   *server
-	outgoing chan []byte
+	outgoing chan []byte // queued answers
 }
 
 // attempt is an attempt that a server has received and not answered.
@@ -57,9 +57,9 @@
 	server    int
 	id        string
 	arrivedAt policy.Instant
-	conn      *serverConn     // to a cache
-	etag      string          // of the value that the client has, to be revalidated; empty for none
-	done      chan world.Done // to the origin
+	conn      *serverConn     // the connection to a cache; nil at the origin
+	etag      string          // the If-None-Match header; empty if the client has no value to revalidate
+	done      chan world.Done // receives the finished job at the origin; nil at a cache
 }
 
 // openServer creates a server and starts listening on a free port.
@@ -69,7 +69,7 @@
 	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: awake}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("cannot listen for an emulated server: %w", err)
+		return fmt.Errorf("cannot open a listener for emulated server %d: %w", number, err)
 	}
 	s.addr = l.Addr().String()
 	for len(r.servers) <= number {
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// updateListener starts or resumes listening if the server is up. A server that is new is created. The lock is held.
+// updateListener opens the listener of a server that is up, or makes the server respond again. It creates a server that
+// does not exist yet. The lock is held.
 func (r *Rig) updateListener(number int) {
 	if number >= len(r.servers) || r.servers[number] == nil {
 		if err := r.openServer(number); err != nil {
@@ -92,7 +93,7 @@
 	switch life := r.world.Servers[number].Liveness; {
 	case life == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
 		l, err := net.Listen("tcp", s.addr)
-		if err != nil { // another process's connection uses the port for the moment
+		if err != nil { // another process uses the port for a connection
 			r.At(r.now().Add(relistenDelay), func() { r.updateListener(number) })
 			return
 		}
@@ -123,7 +124,7 @@
 		awake := s.responsive
 		r.mu.Unlock()
 		if vanished := waitUntilClosed(awake); vanished || peerClosed(plain) {
-			// A silent server accepts nobody, and resets the connections of that time once it responds again.
+			// A silent server does not serve connections. It resets those made meanwhile once it responds again.
 			closeWithReset(plain)
 			continue
 		}
@@ -147,7 +148,7 @@
 	}
 }
 
-// waitUntilClosed waits until a channel is closed, and reports whether it was still open.
+// waitUntilClosed waits until a channel is closed, and reports whether it had to wait.
 func waitUntilClosed(awake chan struct{}) (waited bool) {
 	select {
 	case <-awake:
@@ -158,7 +159,7 @@
 	}
 }
 
-// peerClosed reports whether the peer has closed the connection: it has then given up all that it sent.
+// peerClosed reports whether the peer has closed the connection, so that nothing it has sent needs an answer.
 func peerClosed(c net.Conn) (is bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -182,8 +183,8 @@
 	c.Close()
 }
 
-// ResetConnections resets all connections to a server, and closes the listener of one that is down or refuses
-// connections. A server that is silent sends no reset and stops responding instead. The lock is held.
+// ResetConnections resets all connections to a server, and closes its listener if it is down or refuses connections. A
+// silent server stops responding instead, without a reset. The lock is held.
 func (r *Rig) ResetConnections(number int) {
 	s := r.servers[number]
 	if s == nil {
@@ -209,8 +210,8 @@
 	}
 }
 
-// stopResponding stops accepting connections, and fills the kernel's listen backlog so that new connections are not
-// established either.
+// stopResponding stops accepting connections, and fills the kernel's listen backlog so that the kernel establishes no
+// new connections either. The lock is held.
 func (s *server) stopResponding() {
 	l, ok := s.listener.(*net.TCPListener)
 	if !ok {
@@ -220,7 +221,7 @@
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { unix.Listen(int(fd), 0) })
 	}
-	for range 3 { // one for the pending accept, two for the smallest backlog
+	for range 3 { // one for the pending accept, two for a backlog of size 0
 		go func() {
 			if c, err := net.DialTimeout("tcp", s.addr, backlogFillTimeout); err == nil {
 				s.rig.mu.Lock()
@@ -231,7 +232,7 @@
 	}
 }
 
-// resumeResponding undoes stopResponding.
+// resumeResponding undoes stopResponding. The lock is held.
 func (s *server) resumeResponding() {
 	select {
 	case <-s.responsive:
@@ -250,14 +251,14 @@
 	close(s.responsive)
 }
 
-// SetFault sets the fault of a server's connections. The lock is held.
+// SetFault sets the fault of a server's connections, "" for none. The lock is held.
 func (r *Rig) SetFault(number int, kind string) {
 	s := r.servers[number]
 	s.fault = kind
 	r.updateListener(number)
 }
 
-// close stops the server for good. The lock is held.
+// close stops the server permanently. The lock is held.
 func (s *server) close() {
 	if s == nil {
 		return
@@ -275,8 +276,8 @@
 	}
 }
 
-// disconnect closes a connection, with a reset or without. The attempts on it count as cancelled and their jobs are
-// withdrawn. The lock is held.
+// disconnect closes a connection, by a reset if byReset is true. The attempts on it count as cancelled, and their jobs
+// are withdrawn from the model. The lock is held.
 func (c *serverConn) disconnect(byReset bool) {
 	r := c.server.rig
 	if !c.server.conns[c] {
@@ -305,8 +306,8 @@
 	}
 }
 
-// endAttempt records the result of an attempt with the log, the checker and the fleet's event log. It returns nil if
-// the attempt is not known.
+// endAttempt removes an attempt, and records its result with the log, the checker and the fleet's event log. It returns
+// the attempt, or nil if the tag is unknown. The lock is held.
 func (r *Rig) endAttempt(tag uint64, how policy.Result) *attempt {
 	l := r.attempts[tag]
 	if l != nil {
@@ -320,7 +321,7 @@
 	return l
 }
 
-// queueAnswer queues an answer. A reader that lets the queue fill up is disconnected. The lock is held.
+// queueAnswer queues an answer, or disconnects the peer if its queue is full. The lock is held.
 func (c *serverConn) queueAnswer(b []byte) {
 	if !c.server.conns[c] {
 		return
@@ -335,7 +336,7 @@
 func (c *serverConn) write() {
 	for b := range c.outgoing {
 		if _, err := c.Write(b); err != nil {
-			c.Close() // the read loop sees the close
+			c.Close() // ends the read loop, which disconnects
 		}
 	}
 }
@@ -385,7 +386,7 @@
 	}
 }
 
-// handleCommand handles one meta command. The lock is held.
+// handleCommand handles one command of the meta protocol. The lock is held.
 func (c *serverConn) handleCommand(command *meta.Command, fault *meta.Fault) {
 	r, s, now := c.server.rig, c.server, c.server.rig.now()
 	w := r.world.Servers[s.number]
@@ -397,7 +398,8 @@
 	}
 	switch {
 	case fault != nil:
-		r.checker.WrongAnswer(now, string(command.ID), "a server received an invalid command: "+strings.TrimSpace(fault.Response))
+		r.checker.WrongAnswer(now, string(command.ID),
+			"a server received an invalid command: "+strings.TrimSpace(fault.Response))
 		c.queueAnswer([]byte(fault.Response))
 		return
 	case command.Verb == meta.Ready:
@@ -417,7 +419,8 @@
 	c.queueAnswer([]byte("SERVER_ERROR busy\r\n"))
 }
 
-// handlePurge carries out a delete or a flush, unless the cache is silent or faulty. The lock is held.
+// handlePurge executes a delete or a flush, unless the cache is silent or has a fault that prevents it. The lock is
+// held.
 func (c *serverConn) handlePurge(o cachestub.Command) {
 	r, s := c.server.rig, c.server
 	w := r.world.Servers[s.number]
@@ -435,7 +438,7 @@
 	}
 }
 
-// attemptArrived records that an attempt was received completely. The lock is held.
+// attemptArrived records that a server has received a complete attempt. The lock is held.
 func (r *Rig) attemptArrived(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.AttemptArrived(now, server)
 	r.checker.AttemptArrived(now, now, id, server)
@@ -444,8 +447,9 @@
 	}
 }
 
-// offerAttempt offers an attempt to the model of the server as a job. It returns false if the job is rejected. The
-// lock is held.
+// offerAttempt offers an attempt to the model of the server as a job. It returns false if the attempt is invalid or
+// the model rejects the job. items are the call's items "c" (class), "d" (timeout in milliseconds) and "k"
+// (idempotency key). The lock is held.
 func (r *Rig) offerAttempt(s *server, id, key string, items []byte, write bool, l *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
@@ -455,12 +459,13 @@
 		return string(v)
 	}
 	if write && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
-		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which is a cache beside the origin", w.ID))
+		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to the cache-aside cache %s", w.ID))
 	}
 	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
 	wait, err := strconv.ParseFloat(item("d"), 64)
 	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
-		r.checker.WrongAnswer(now, id, fmt.Sprintf("a server received an attempt that matches no client request: class %q, timeout %q", item("c"), item("d")))
+		r.checker.WrongAnswer(now, id, fmt.Sprintf(
+			"a server received an attempt that matches no client request: class %q, timeout %q", item("c"), item("d")))
 		r.checker.AttemptEnded(now, id, w.ID, true)
 		return false
 	}
@@ -474,7 +479,14 @@
 	r.lastTag++
 	l.server, l.id, l.arrivedAt = s.number, id, now
 	r.attempts[r.lastTag] = l
-	j := world.Job{Request: id, Key: key, Label: item("k"), Class: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.lastTag}
+	j := world.Job{
+		Request: id,
+		Key:     key,
+		Label:   item("k"),
+		Class:   grade,
+		Until:   now.Add(time.Duration(wait*1e6) + slack),
+		Tag:     r.lastTag,
+	}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
 		r.endAttempt(r.lastTag, policy.Rejected)
 		return false
@@ -483,9 +495,14 @@
 	return true
 }
 
-// resultOf maps a server's reply to the result of the attempt.
-var resultOf = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
-	world.Busy: policy.Rejected, world.Failed: policy.Errored}
+// resultOf is the result of an attempt, by the server's reply.
+var resultOf = [...]policy.Result{
+	world.Value:   policy.Answered,
+	world.Receipt: policy.Answered,
+	world.Miss:    policy.CacheMiss,
+	world.Busy:    policy.Rejected,
+	world.Failed:  policy.Errored,
+}
 
 // jobDone answers the attempt of a finished job. The lock is held.
 func (r *Rig) jobDone(d world.Done) {
@@ -513,7 +530,7 @@
 	l.conn.queueAnswer(out)
 }
 
-// metaAnswer encodes a cache's answer in the meta protocol.
+// metaAnswer encodes a cache's answer in the meta protocol, with the cache's load if reports is true.
 func (r *Rig) metaAnswer(d world.Done, reports bool) []byte {
 	load := ""
 	if reports {
@@ -533,7 +550,7 @@
 	return []byte("SERVER_ERROR failed\r\n")
 }
 
-// ServeHTTP handles a request to the origin.
+// ServeHTTP handles a request to the origin. It responds when the model has finished the job.
 func (s *server) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	r := s.rig
 	if in.URL.Path == "/health/live" || in.URL.Path == "/stats" {
@@ -542,15 +559,16 @@
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(in.URL.EscapedPath(), "/"))
 	if _, bad := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || bad != nil {
-		http.Error(out, "what came can't be read", http.StatusBadRequest)
+		http.Error(out, "cannot read the request's path or body", http.StatusBadRequest)
 		return
 	}
 	done, id := make(chan world.Done, 1), in.Header.Get("X-Call-Id")
 	r.mu.Lock()
-	taken := r.offerAttempt(s, id, key, []byte(in.Header.Get("X-Call-Info")), in.Method == http.MethodPut, &attempt{done: done})
+	items := []byte(in.Header.Get("X-Call-Info"))
+	accepted := r.offerAttempt(s, id, key, items, in.Method == http.MethodPut, &attempt{done: done})
 	tag := r.lastTag
 	r.mu.Unlock()
-	if !taken {
+	if !accepted {
 		out.Header().Set("X-Rejected", "1")
 		http.Error(out, "busy", http.StatusServiceUnavailable)
 		return
