--- a/internal/emulator/realtime/agent.go
+++ b/internal/emulator/realtime/agent.go
@@ -109,8 +109,8 @@
 	if !await(a, in, time.After(delay)) || !a.awaitChange(in, poll) {
 		return
 	}
-	answer := a.answerTo(poll)
-	if _, err := out.Write(a.rig.list(answer.version, answer.complete, answer.entries)); err != nil {
+	answer := a.answer(poll)
+	if _, err := out.Write(a.rig.encodeList(answer.version, answer.complete, answer.entries)); err != nil {
 		return
 	}
 	a.rig.noteNotified(a.node, answer.entries)
@@ -135,10 +135,10 @@
 	defer timer.Stop()
 	for {
 		a.mu.Lock()
-		isNews := poll.complete || poll.since != len(a.changes)
+		hasChanges := poll.complete || poll.since != len(a.changes)
 		changed := a.changed
 		a.mu.Unlock()
-		if isNews {
+		if hasChanges {
 			return true
 		}
 		select {
@@ -153,8 +153,8 @@
 	}
 }
 
-// answerTo returns the current answer to a poll. A poll with an unknown version gets the complete list.
-func (a *agent) answerTo(poll listPoll) listAnswer {
+// answer returns the current answer to a poll. A poll with an unknown version gets the complete list.
+func (a *agent) answer(poll listPoll) listAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	answer := listAnswer{version: len(a.changes), complete: poll.complete}
@@ -177,7 +177,7 @@
 func (r *Rig) discoveryUp() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.listUp
+	return r.discoveryReady
 }
 
 // admitPoll counts a poll and returns the delay after which discovery answers it. If the capacity of discovery is
@@ -224,8 +224,8 @@
 	}
 )
 
-// list encodes entries as discovery does. Entries of servers that the world or the rig does not have are omitted.
-func (r *Rig) list(version int, complete bool, entries []policy.Endpoint) []byte {
+// encodeList encodes entries as discovery does. Entries of servers that the world or the rig does not have are omitted.
+func (r *Rig) encodeList(version int, complete bool, entries []policy.Endpoint) []byte {
 	instances := []instance{}
 	r.mu.Lock()
 	for _, e := range entries {
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -21,9 +21,9 @@
 
 // handleHTTPRequest handles the first request in the received bytes and returns its size, or 0 if it is incomplete or
 // invalid.
-func (c *serverConn) handleHTTPRequest(held []byte) (size int) {
+func (c *serverConn) handleHTTPRequest(unparsed []byte) (size int) {
 	r, s := c.server.rig, c.server
-	q, size, fault := http1.ReadRequest(held, maxCommandSize)
+	q, size, fault := http1.ReadRequest(unparsed, maxCommandSize)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -70,14 +70,14 @@
 
 // httpCacheAnswer encodes the HTTP response of a cache. tag is the If-None-Match header of the request.
 func httpCacheAnswer(d world.Done, stale bool, tag string) []byte {
-	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
+	cacheHeaders := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
 	switch {
 	case d.Reply == world.Value && stale:
-		return httpAnswer(http.StatusOK, kept+fmt.Sprint(maxAgeSeconds+1, "\r\n"), staleBody)
+		return httpAnswer(http.StatusOK, cacheHeaders+fmt.Sprint(maxAgeSeconds+1, "\r\n"), staleBody)
 	case d.Reply == world.Value && tag == client.ETag(d.Text):
-		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", kept, tag)
+		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", cacheHeaders, tag)
 	case d.Reply == world.Value:
-		return httpAnswer(http.StatusOK, kept+"1\r\n", d.Text)
+		return httpAnswer(http.StatusOK, cacheHeaders+"1\r\n", d.Text)
 	case d.Reply == world.Receipt:
 		return httpAnswer(http.StatusOK, "", d.Text)
 	case d.Reply == world.Miss:
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -54,10 +54,10 @@
 			return nil, err
 		}
 	}
-	beyond := scenario.SecondsToDuration(r.scenario.Allowed.LateAnswerMs / 1000)
-	pool := &client.Pool{Addr: addrs[0], LateTolerance: beyond}
+	lateTolerance := scenario.SecondsToDuration(r.scenario.Allowed.LateAnswerMs / 1000)
+	pool := &client.Pool{Addr: addrs[0], LateTolerance: lateTolerance}
 	if r.scenario.Traffic.Protocol == listeners.ProtocolHTTP {
-		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: beyond}
+		pool = &client.Pool{Addr: addrs[1], HTTP: true, LateTolerance: lateTolerance}
 	}
 	return &member{
 		rig:      r,
@@ -112,16 +112,16 @@
 		phase = coverage.Starting
 	}
 	m.rig.coverage.PhaseChanged(m.number, phase)
-	life := m.incarnation
+	incarnation := m.incarnation
 	m.rig.mu.Unlock()
 	go func() {
 		<-p.Done()
 		m.rig.mu.Lock()
 		defer m.rig.mu.Unlock()
-		if m.incarnation == life {
+		if m.incarnation == incarnation {
 			m.rig.coverage.PhaseChanged(m.number, coverage.Down)
 		}
-		if m.incarnation == life && !m.ending && !m.rig.stopped {
+		if m.incarnation == incarnation && !m.ending && !m.rig.stopped {
 			m.serving = false
 			m.rig.failures = append(m.rig.failures, m.name+": "+p.ExitReason())
 		}
@@ -158,7 +158,7 @@
 // not excused. The lock is held.
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
-	if p, can := process.(Reloader); can {
+	if p, ok := process.(Reloader); ok {
 		r.signalDraining(m, signalInterval, "node_reload", p.Reload)
 		r.signalDraining(m, 2*signalInterval, "node_restart", process.End)
 	}
@@ -276,28 +276,28 @@
 // configuration encodes the configuration of a process that listens on an address. It contains the endpoint list that
 // the node's agent has.
 func (m *member) configuration(listen string) ([]byte, error) {
-	ops := m.adminAddr
+	adminAddr := m.adminAddr
 	if listen != m.addr { // a duplicate process needs no admin listener
-		ops = ""
+		adminAddr = ""
 	}
-	var held []policy.Endpoint
+	var endpoints []policy.Endpoint
 	m.agent.mu.Lock()
 	for _, id := range m.agent.order {
 		if e := m.agent.latest[id]; e.Lifecycle != policy.Removed {
-			held = append(held, e)
+			endpoints = append(endpoints, e)
 		}
 	}
 	m.agent.mu.Unlock()
 	// The seed differs between scenarios, nodes and processes of a node.
 	seed := m.rig.scenario.Seed*7919 + int64(m.number)*31 + int64(m.incarnation)
 	return json.Marshal(map[string]any{
-		"ops":       ops,
+		"ops":       adminAddr,
 		"name":      m.name,
 		"listen":    listen,
 		"discovery": m.agent.addr,
 		"seed":      fmt.Sprintf("%x", seed),
 		"limits":    map[string]int{"memory_mb": 192, "sockets": 1024},
 		"settings":  m.rig.scenario.Settings(m.rig.scenario.ZoneOf(m.number)),
-		"known":     json.RawMessage(m.rig.list(0, true, held)),
+		"known":     json.RawMessage(m.rig.encodeList(0, true, endpoints)),
 	})
 }
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -27,7 +27,7 @@
 	}
 	r.bootTime = gossip.BootTime()
 	r.views = checker.NewViews(r.scenario.Fleet.Nodes)
-	r.faults = netfault.NewForwarder(netfault.New(uint32(r.scenario.Seed)))
+	r.forwarder = netfault.NewForwarder(netfault.New(uint32(r.scenario.Seed)))
 	for range r.scenario.Fleet.Nodes {
 		at, err := freeport.Free()
 		if err != nil {
@@ -35,18 +35,18 @@
 		}
 		r.gossipAddrs = append(r.gossipAddrs, at)
 	}
-	r.proxies = make([]map[string]string, len(r.gossipAddrs))
+	r.linkAddrs = make([]map[string]string, len(r.gossipAddrs))
 	for from := range r.gossipAddrs {
-		r.proxies[from] = map[string]string{}
+		r.linkAddrs[from] = map[string]string{}
 		for to, at := range r.gossipAddrs {
 			if from == to {
 				continue
 			}
-			link, err := r.faults.Listen(from, to, at)
+			link, err := r.forwarder.Listen(from, to, at)
 			if err != nil {
 				return err
 			}
-			r.proxies[from][at] = link
+			r.linkAddrs[from][at] = link
 		}
 	}
 	return nil
@@ -60,10 +60,10 @@
 
 // fleetConfig returns the fleet configuration of a node, or nil if nodes are not members of a fleet.
 func (r *Rig) fleetConfig(number int) []byte {
-	if r.faults == nil {
+	if r.forwarder == nil {
 		return nil
 	}
-	return r.scenario.FleetConfig(number, r.fleetLabel(), r.gossipAddrs, r.proxies[number])
+	return r.scenario.FleetConfig(number, r.fleetLabel(), r.gossipAddrs, r.linkAddrs[number])
 }
 
 // onTraceLine adds a line of a process's membership trace to the recorded views. It ignores invalid lines.
@@ -90,9 +90,9 @@
 // stopOrContinue implements PauseNode and HangNode. The lock is held.
 func (r *Rig) stopOrContinue(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
-	p, can := m.process.(Pauser)
+	p, ok := m.process.(Pauser)
 	switch {
-	case !can:
+	case !ok:
 		r.failures = append(r.failures, m.name+": an embedded node cannot be stopped")
 		return
 	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process:
@@ -141,24 +141,24 @@
 
 // startDuplicate starts a process with the node's name. No client connects to it.
 func (m *member) startDuplicate() (Process, error) {
-	hears, err := freeport.Free()
+	gossipAddr, err := freeport.Free()
 	if err != nil {
 		return nil, err
 	}
-	serves, err := freeport.Free()
+	listenAddr, err := freeport.Free()
 	if err != nil {
 		return nil, err
 	}
-	configuration, err := m.configuration(serves)
+	configuration, err := m.configuration(listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	all := slices.Clone(m.rig.gossipAddrs)
-	all[m.number] = hears
+	gossipAddrs := slices.Clone(m.rig.gossipAddrs)
+	gossipAddrs[m.number] = gossipAddr
 	return m.rig.starter.Start(NodeSpec{
 		Name:          m.name + "-twin", // names its files only; the node's name is in the configuration
 		Configuration: configuration,
-		Fleet:         m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), all, nil),
+		Fleet:         m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), gossipAddrs, nil),
 		OnRecord:      func(eventlog.Event, time.Time) {},
 		OnTrace:       func([]byte) {},
 	})
@@ -166,7 +166,7 @@
 
 // ChangeLink changes the faults of the link from one node to another. The lock is held.
 func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
-	r.faults.Change(from, to, func(link *netfault.Link) {
+	r.forwarder.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
 		if change(link); link.Cut != was {
 			r.views.RecordCut(r.now(), from, to, link.Cut)
--- a/internal/emulator/realtime/metrics.go
+++ b/internal/emulator/realtime/metrics.go
@@ -36,21 +36,21 @@
 	checker.Failed:    "failed",
 }
 
-func (f *clientCounts) requestFinished(grade string, how checker.Final) {
-	name, ok := metricSuffixes[how]
+func (c *clientCounts) requestFinished(class string, result checker.Final) {
+	name, ok := metricSuffixes[result]
 	if !ok {
 		return
 	}
-	if f.finished == nil {
-		f.finished = map[string]uint64{}
+	if c.finished == nil {
+		c.finished = map[string]uint64{}
 	}
-	f.pending--
-	f.finished["svc.downstream_requests."+grade+"."+name]++
+	c.pending--
+	c.finished["svc.downstream_requests."+class+"."+name]++
 }
 
-// wrongCounts returns the counters in a node's metrics that are out of the range of its clients' counts. from is a
-// snapshot of the counts taken about metricsLag before the metrics were read, and to is one taken after.
-func wrongCounts(text string, from, to clientCounts) (wrong []string) {
+// contradictingCounters returns the counters in a node's metrics that are out of the range of its clients' counts.
+// from is a snapshot of the counts taken about metricsLag before the metrics were read, and to is one taken after.
+func contradictingCounters(text string, from, to clientCounts) (wrong []string) {
 	for line := range strings.Lines(text) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
 		if !strings.HasPrefix(name, "svc.downstream_requests.") {
@@ -59,9 +59,9 @@
 		digits, kind, _ := strings.Cut(rest, "|")
 		n, err := strconv.ParseUint(digits, 10, 64)
 		low, high := from.finished[name], to.finished[name]
-		slack := max(countTolerance, high/countToleranceDivisor)
+		tolerance := max(countTolerance, high/countToleranceDivisor)
 		// The node may have counted requests that are still pending for the clients.
-		if err != nil || kind != "c" || n+slack < low || n > high+slack+uint64(max(0, to.pending)) {
+		if err != nil || kind != "c" || n+tolerance < low || n > high+tolerance+uint64(max(0, to.pending)) {
 			wrong = append(wrong, fmt.Sprintf("%s, but clients counted %d to %d", strings.TrimSpace(line), low, high))
 		}
 	}
@@ -73,23 +73,23 @@
 func (r *Rig) ScrapeNode(number int, until policy.Instant) {
 	m := r.nodes[number]
 	go func() {
-		type look struct {
-			at   time.Time
-			seen clientCounts
+		type snapshot struct {
+			at     time.Time
+			counts clientCounts
 		}
-		var looks []look
+		var snapshots []snapshot
 		for fetched := time.Now(); r.now() < until && !r.isClosing(); time.Sleep(countsInterval) {
 			r.mu.Lock()
-			now := look{time.Now(), clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}}
+			latest := snapshot{time.Now(), clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}}
 			r.mu.Unlock()
-			looks = append(looks, now)
-			for len(looks) > 1 && now.at.Sub(looks[1].at) >= metricsLag {
-				looks = looks[1:]
+			snapshots = append(snapshots, latest)
+			for len(snapshots) > 1 && latest.at.Sub(snapshots[1].at) >= metricsLag {
+				snapshots = snapshots[1:]
 			}
-			if now.at.Sub(fetched) < scrapeInterval {
+			if latest.at.Sub(fetched) < scrapeInterval {
 				continue
 			}
-			fetched = now.at
+			fetched = latest.at
 			text, err := m.fetchMetrics()
 			if err != nil {
 				m.fail("cannot read its metrics: " + err.Error())
@@ -98,7 +98,7 @@
 			r.mu.Lock()
 			to := clientCounts{m.counts.pending, maps.Clone(m.counts.finished)}
 			r.mu.Unlock()
-			if wrong := wrongCounts(text, looks[0].seen, to); len(wrong) > 0 {
+			if wrong := contradictingCounters(text, snapshots[0].counts, to); len(wrong) > 0 {
 				m.fail("its metrics contradict the counts of its clients: " + strings.Join(wrong, "; "))
 				return
 			}
--- a/internal/emulator/realtime/metrics_test.go
+++ b/internal/emulator/realtime/metrics_test.go
@@ -20,14 +20,14 @@
 		}
 	}
 	to.pending = 5
-	for said, wrong := range map[int]bool{2000: false, 1900: false, 2020: false, 2045: true, 1860: true} {
+	for counter, contradicts := range map[int]bool{2000: false, 1900: false, 2020: false, 2045: true, 1860: true} {
 		text := fmt.Sprintf("svc.downstream_requests.read.completed:%d|c\n"+
-			"svc.downstream_requests.read.failed:0|c\nsvc.pending:9|g\n", said)
-		if got := wrongCounts(text, from, to); len(got) > 0 != wrong {
-			t.Errorf("counter of %d: contradictions %v, want some: %v", said, got, wrong)
+			"svc.downstream_requests.read.failed:0|c\nsvc.pending:9|g\n", counter)
+		if got := contradictingCounters(text, from, to); len(got) > 0 != contradicts {
+			t.Errorf("counter of %d: contradictions %v, want some: %v", counter, got, contradicts)
 		}
 	}
-	if got := wrongCounts("svc.downstream_requests.read.completed:many|c\n", from, to); len(got) != 1 {
+	if got := contradictingCounters("svc.downstream_requests.read.completed:many|c\n", from, to); len(got) != 1 {
 		t.Errorf("counter that is not a number: contradictions %v, want one", got)
 	}
 }
--- a/internal/emulator/realtime/nodefaults.go
+++ b/internal/emulator/realtime/nodefaults.go
@@ -11,7 +11,7 @@
 
 const (
 	reconnectDelay        = 20 * time.Millisecond // after which an idle client connects again
-	crowdDialTimeout      = time.Second
+	idleClientDialTimeout = time.Second
 	stalledRequestTimeout = 3 * time.Second // by which an incomplete request must be answered or closed
 )
 
@@ -23,7 +23,7 @@
 	for n := range clients {
 		go func() {
 			for !r.isClosing() && r.now() < until {
-				c, err := net.DialTimeout("tcp", addr, crowdDialTimeout)
+				c, err := net.DialTimeout("tcp", addr, idleClientDialTimeout)
 				if err == nil {
 					if n%2 == 0 {
 						io.WriteString(c, "mn\r\n")
@@ -42,26 +42,26 @@
 // each connection within stalledRequestTimeout, unless it is terminated or killed meanwhile. The lock is held.
 func (r *Rig) StallClients(number, clients int) {
 	m := r.nodes[number]
-	life := m.incarnation
+	incarnation := m.incarnation
 	for n := range clients {
 		go func() {
-			c, err := net.DialTimeout("tcp", m.addr, crowdDialTimeout)
+			c, err := net.DialTimeout("tcp", m.addr, idleClientDialTimeout)
 			if err != nil {
 				return
 			}
 			defer c.Close()
 			io.WriteString(c, "mg k v O"[:2+n%7])
-			slack := max(slack, r.scenarioSlack())
-			c.SetReadDeadline(time.Now().Add(stalledRequestTimeout + slack))
+			tolerance := max(slack, r.scenarioSlack())
+			c.SetReadDeadline(time.Now().Add(stalledRequestTimeout + tolerance))
 			if _, err := c.Read(make([]byte, 1)); err == nil || !isTimeout(err) {
 				return
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if m.incarnation == life && !m.ending && !r.closing {
+			if m.incarnation == incarnation && !m.ending && !r.closing {
 				r.checker.WrongAnswer(r.now(), "", fmt.Sprintf(
 					"a client of %s that sent an incomplete request received neither an answer nor a close within %v",
-					m.name, stalledRequestTimeout+slack))
+					m.name, stalledRequestTimeout+tolerance))
 			}
 		}()
 	}
@@ -75,8 +75,8 @@
 // ReloadNode tells a node to reload its configuration, several times at signalInterval. The lock is held.
 func (r *Rig) ReloadNode(number, times int) {
 	m := r.nodes[number]
-	p, can := m.process.(Reloader)
-	if !can || m.ending {
+	p, ok := m.process.(Reloader)
+	if !ok || m.ending {
 		return
 	}
 	for n := range times {
@@ -86,14 +86,14 @@
 
 // FreezeNode stops a node's process for a short time. No request is excused, as the tolerances of the rules cover such
 // a pause. The lock is held.
-func (r *Rig) FreezeNode(number int, long time.Duration) {
+func (r *Rig) FreezeNode(number int, duration time.Duration) {
 	m := r.nodes[number]
-	p, can := m.process.(Pauser)
-	if !can || m.ending {
+	p, ok := m.process.(Pauser)
+	if !ok || m.ending {
 		return
 	}
 	p.Pause(true)
-	r.At(r.now().Add(long), func() { p.Pause(false) })
+	r.At(r.now().Add(duration), func() { p.Pause(false) })
 }
 
 // scenarioSlack returns the scenario's tolerance for messages in transit.
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/onwire_test.go
@@ -86,13 +86,13 @@
 
 // stub is a router with one fault. It implements both Starter and Process.
 type stub struct {
-	wrong string // the fault, a key of the table of faulty routers; "" for none
-	l     net.Listener
-	done  chan struct{}
-	mu    sync.Mutex
-	addrs map[string]string // addresses of servers by ID, including removed ones
-	last  string            // ID of the server that was added to the list last
-	end   sync.Once
+	fault     string // the fault, a key of the table of faulty routers; "" for none
+	listener  net.Listener
+	done      chan struct{}
+	mu        sync.Mutex
+	addrs     map[string]string // addresses of servers by ID, including removed ones
+	last      string            // ID of the server that was added to the list last
+	closeOnce sync.Once
 }
 
 func (s *stub) Start(o NodeSpec) (Process, error) {
@@ -102,16 +102,16 @@
 		return nil, err
 	}
 	var err error
-	if s.l, err = net.Listen("tcp", c.Listen); err != nil {
+	if s.listener, err = net.Listen("tcp", c.Listen); err != nil {
 		return nil, err
 	}
 	s.done, s.addrs = make(chan struct{}), map[string]string{}
-	heard := make(chan bool)
-	go s.follow(c.Discovery, heard)
-	<-heard
+	listed := make(chan bool)
+	go s.watchList(c.Discovery, listed)
+	<-listed
 	go func() {
 		for {
-			conn, err := s.l.Accept()
+			conn, err := s.listener.Accept()
 			if err != nil {
 				return
 			}
@@ -121,13 +121,13 @@
 	return s, nil
 }
 
-func (s *stub) End()                  { s.end.Do(func() { s.l.Close(); close(s.done) }) }
+func (s *stub) End()                  { s.closeOnce.Do(func() { s.listener.Close(); close(s.done) }) }
 func (s *stub) Kill()                 { s.End() }
 func (s *stub) Done() <-chan struct{} { return s.done }
 func (s *stub) ExitReason() string    { return "a stub ended" }
 
-// follow polls the endpoint list of an agent, and closes a channel when it has the complete list.
-func (s *stub) follow(addr string, heard chan bool) {
+// watchList polls the endpoint list of an agent, and closes a channel when it has the complete list.
+func (s *stub) watchList(addr string, listed chan bool) {
 	since := ""
 	for {
 		resp, err := http.Get("http://" + addr + "/registry/instances" + since)
@@ -152,7 +152,7 @@
 		}
 		s.mu.Unlock()
 		if since == "" {
-			close(heard)
+			close(listed)
 		}
 		since = fmt.Sprintf("?since=%d&timeout_ms=1000", list.Generation)
 	}
@@ -215,15 +215,15 @@
 // serve answers the commands of a client.
 func (s *stub) serve(conn net.Conn) {
 	defer conn.Close()
-	var held []byte
+	var unparsed []byte
 	for in := make([]byte, 4096); ; {
 		n, err := conn.Read(in)
 		if err != nil {
 			return
 		}
-		held = append(held, in[:n]...)
+		unparsed = append(unparsed, in[:n]...)
 		for {
-			c, size, _ := meta.ReadCommand(held)
+			c, size, _ := meta.ReadCommand(unparsed)
 			if size == 0 {
 				break
 			}
@@ -232,7 +232,7 @@
 			} else {
 				io.WriteString(conn, s.answer(&c))
 			}
-			held = held[size:]
+			unparsed = unparsed[size:]
 		}
 	}
 }
@@ -242,51 +242,51 @@
 	items, _ := meta.Flag(c.Flags, 'P')
 	grade, _ := meta.Item(items, "c")
 	read, mark, pay := string(grade) == "read", string(grade) == "mark", string(grade) == "pay"
-	well := func() string {
+	route := func() string {
 		if read {
 			return s.sendAttempt("c1", c)
 		}
 		return s.sendAttempt("origin", c)
 	}
 	switch {
-	case s.wrong == "answers twice" && read:
-		return strings.Repeat(well(), 2)
-	case s.wrong == "answers late" && read:
+	case s.fault == "answers twice" && read:
+		return strings.Repeat(route(), 2)
+	case s.fault == "answers late" && read:
 		time.Sleep(380 * time.Millisecond)
-	case s.wrong == "never answers" && read:
+	case s.fault == "never answers" && read:
 		return ""
-	case s.wrong == "invents a value" && read:
+	case s.fault == "invents a value" && read:
 		return string(meta.AppendValue(nil, c.ID, []byte("v:none")))
-	case s.wrong == "sends an attempt after the answer" && read:
+	case s.fault == "sends an attempt after the answer" && read:
 		go func() { time.Sleep(120 * time.Millisecond); s.sendAttempt("c2", c) }()
 		return "SERVER_ERROR failed\r\n"
-	case s.wrong == "repeats an irreversible write" && pay:
-		well()
-	case s.wrong == "rejects a request that was executed" && pay:
-		well()
+	case s.fault == "repeats an irreversible write" && pay:
+		route()
+	case s.fault == "rejects a request that was executed" && pay:
+		route()
 		return "SERVER_ERROR busy\r\n"
-	case s.wrong == "repeats a write after its deduplication window" && mark:
-		well()
+	case s.fault == "repeats a write after its deduplication window" && mark:
+		route()
 		time.Sleep(600 * time.Millisecond)
-	case s.wrong == "" && mark: // the origin deduplicates a write that is repeated within the window
-		well()
-	case s.wrong == "sends an attempt after the client has left" && read:
+	case s.fault == "" && mark: // the origin deduplicates a write that is repeated within the window
+		route()
+	case s.fault == "sends an attempt after the client has left" && read:
 		time.Sleep(250 * time.Millisecond)
-	case s.wrong == "sends a second attempt beside the first" && read:
+	case s.fault == "sends a second attempt beside the first" && read:
 		go s.sendAttempt("c2", c)
 		go s.sendAttempt("c3", c)
-	case s.wrong == "sends to a draining cache" && read:
+	case s.fault == "sends to a draining cache" && read:
 		return s.sendAttempt("c4", c)
-	case s.wrong == "overloads a cold cache" && read:
+	case s.fault == "overloads a cold cache" && read:
 		return s.sendAttempt("last", c)
 	}
-	return well()
+	return route()
 }
 
 // The checker's verdict alone decides whether a rehearsal passes. It must therefore report each faulty router under the
 // rule that the router breaks, and nothing for the router without a fault.
 func TestCheckerReportsEachBrokenRouterByItsRule(t *testing.T) {
-	for wrong, rule := range map[string]int{
+	for fault, rule := range map[string]int{
 		"":                                  0,
 		"answers twice":                     1,
 		"answers late":                      1,
@@ -301,7 +301,7 @@
 		"sends to a draining cache":                      3,
 		"overloads a cold cache":                         4,
 	} {
-		t.Run("router "+cmp.Or(wrong, "without a fault"), func(t *testing.T) {
+		t.Run("router "+cmp.Or(fault, "without a fault"), func(t *testing.T) {
 			// The router without a fault and the one that breaks rule 4 must keep the request rate. They do not run in
 			// parallel with the others.
 			if rule%4 > 0 {
@@ -312,17 +312,17 @@
 				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n",
 			}[rule])
 			// The first attempt must last long enough to overlap the second.
-			if rule == 2 && strings.Contains(wrong, "second") {
+			if rule == 2 && strings.Contains(fault, "second") {
 				s.Classes[0].WorkMs = 120
 				s.Traffic.PerSecond = 20
 			}
-			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(wrong, "left") {
+			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(fault, "left") {
 				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // no request may be answered after its deadline
 			}
 			if s.Fleet.Queue = 1000; rule == 4 {
 				s.Fleet.FallMultiple = 1.2
 			}
-			r, err := Run(context.Background(), s, &stub{wrong: wrong}, nil)
+			r, err := Run(context.Background(), s, &stub{fault: fault}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -406,25 +406,25 @@
 // itself fails with the node's exit reason.
 func TestCancelledOrFailedRunLeavesNothingBehind(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	run := &stub{}
+	cancelled := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
-	if _, err := Run(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, parse(t, baseScenario), cancelled, nil); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled run: error %v, want %v", err, context.Canceled)
 	}
 	select {
-	case <-run.done:
+	case <-cancelled.done:
 	default:
 		t.Error("the node still runs after the run was cancelled")
 	}
-	for id, addr := range run.addrs {
+	for id, addr := range cancelled.addrs {
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
 			c.Close()
 			t.Errorf("%s still listens", id)
 		}
 	}
-	dies := &stub{}
-	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
-	r, err := Run(context.Background(), parse(t, baseScenario), dies, nil)
+	exiting := &stub{}
+	time.AfterFunc(900*time.Millisecond, func() { exiting.End() })
+	r, err := Run(context.Background(), parse(t, baseScenario), exiting, nil)
 	if err != nil || r.Passed() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
 		t.Errorf("run whose node exits by itself: error %v, report %v", err, r)
 	}
@@ -448,23 +448,23 @@
 func newWorld(s *scenario.Scenario) *world.World { return world.New(s.World(nil)) }
 
 func newChecker(s *scenario.Scenario) *checker.Checker {
-	var gs []policy.ServiceClass
+	var classes []policy.ServiceClass
 	for _, g := range s.WorldClasses() {
-		gs = append(gs, g.ServiceClass)
+		classes = append(classes, g.ServiceClass)
 	}
-	return checker.New(checker.Rules{Classes: gs})
+	return checker.New(checker.Rules{Classes: classes})
 }
 
 // An emulated cache executes deletes and flushes. The answer to a delete tells whether the cache had the key.
 func TestEmulatedCacheCarriesOutPurges(t *testing.T) {
 	s := parse(t, baseScenario)
-	terms, err := s.DecodedSettings("")
+	deployment, err := s.DecodedSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &Rig{
 		scenario:  s,
-		settings:  terms,
+		settings:  deployment,
 		startedAt: time.Now(),
 		world:     newWorld(s),
 		checker:   newChecker(s),
@@ -482,8 +482,8 @@
 	}()
 	r.traffic = world.NewTraffic(s.TrafficPlan())
 	r.warmCaches()
-	held := 0
-	say := func(line string) string {
+	found := 0
+	send := func(line string) string {
 		t.Helper()
 		c, err := net.DialTimeout("tcp", r.servers[0].addr, time.Second)
 		if err != nil {
@@ -497,9 +497,9 @@
 	}
 	for rank := range 50 {
 		line := fmt.Sprintf("md %s O%x\r\n", world.KeyOf(rank), rank+1)
-		switch got := say(line); got {
+		switch got := send(line); got {
 		case fmt.Sprintf("HD O%x\r\n", rank+1):
-			if held++; say(line) != fmt.Sprintf("NF O%x\r\n", rank+1) {
+			if found++; send(line) != fmt.Sprintf("NF O%x\r\n", rank+1) {
 				t.Errorf("key %s was found again after its deletion", world.KeyOf(rank))
 			}
 		case fmt.Sprintf("NF O%x\r\n", rank+1):
@@ -508,11 +508,11 @@
 		}
 	}
 	r.warmCaches()
-	if got := say("flush_all\r\n"); got != "OK\r\n" || held == 0 {
-		t.Errorf("flush: answer %q; %d keys were found before", got, held)
+	if got := send("flush_all\r\n"); got != "OK\r\n" || found == 0 {
+		t.Errorf("flush: answer %q; %d keys were found before", got, found)
 	}
 	for rank := range 50 {
-		if got := say(fmt.Sprintf("md %s O1\r\n", world.KeyOf(rank))); got != "NF O1\r\n" {
+		if got := send(fmt.Sprintf("md %s O1\r\n", world.KeyOf(rank))); got != "NF O1\r\n" {
 			t.Errorf("delete of %s after a flush: answer %q", world.KeyOf(rank), got)
 		}
 	}
--- a/internal/emulator/realtime/operations.go
+++ b/internal/emulator/realtime/operations.go
@@ -34,9 +34,9 @@
 
 // waitUntil polls a condition and reports whether it became true within the timeout. If the run closes meanwhile, it
 // returns true, so that no failure is reported.
-func (m *member) waitUntil(long time.Duration, yes func() bool) bool {
-	for by := time.Now().Add(long); !yes(); time.Sleep(probeInterval / 5) {
-		if time.Now().After(by) || m.rig.isClosing() {
+func (m *member) waitUntil(timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(probeInterval / 5) {
+		if time.Now().After(deadline) || m.rig.isClosing() {
 			return m.rig.isClosing()
 		}
 	}
@@ -88,33 +88,34 @@
 
 // StandbyNode puts a node on standby or makes it active again. It checks the answer to the admin call, the node's
 // readiness, and that a node on standby closes its client connections. The lock is held.
-func (r *Rig) StandbyNode(number int, by bool) {
+func (r *Rig) StandbyNode(number int, standby bool) {
 	m := r.nodes[number]
-	r.views.RecordProcess(r.now(), m.name, !by, false) // a node on standby is not a member
-	if by {
+	r.views.RecordProcess(r.now(), m.name, !standby, false) // a node on standby is not a member
+	if standby {
 		r.coverage.PhaseChanged(number, coverage.Standby)
 	} else {
 		r.coverage.PhaseChanged(number, coverage.Serving)
 	}
 	go func() {
-		path, begun := "/active", time.Now()
-		if by {
+		path, startedAt := "/active", time.Now()
+		if standby {
 			path = "/standby"
 		}
 		if !m.callAdmin(http.MethodPut, m.adminAddr, path) {
 			m.fail("no 2xx response to PUT " + path)
 			return
 		}
-		if !m.waitUntil(standbyTimeout, func() bool { return m.pool.Ready() != by }) {
+		if !m.waitUntil(standbyTimeout, func() bool { return m.pool.Ready() != standby }) {
 			m.fail(fmt.Sprintf("its readiness did not follow PUT %s within %v", path, standbyTimeout))
 		}
-		if by {
+		if standby {
 			time.Sleep(balancerLag)
 		}
 		r.mu.Lock()
-		m.serving = !by
+		m.serving = !standby
 		r.mu.Unlock()
-		if by && !m.waitUntil(connsClosedTimeout-time.Since(begun), func() bool { return m.pool.OpenConns() == 0 }) {
+		hasNoConns := func() bool { return m.pool.OpenConns() == 0 }
+		if standby && !m.waitUntil(connsClosedTimeout-time.Since(startedAt), hasNoConns) {
 			m.fail(fmt.Sprintf("still has client connections %v after PUT %s", connsClosedTimeout, path))
 		}
 	}()
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -94,19 +94,19 @@
 	fleetRecorder  *eventlog.Recorder
 	queue          timerqueue.Queue[func()] // functions scheduled by At
 	wake           chan struct{}            // makes the clock recompute its next wakeup
-	chance         keyhash.Source           // of the rig's random choices
+	random         keyhash.Source           // of the rig's random choices
 	registry       *world.Registry
 	servers        []*server           // by number; nil for one that is not open
 	attempts       map[uint64]*attempt // by tag
 	lastTag        uint64              // of the attempt that arrived last
 	nodes          []*member
 	ejectedBy      map[policy.EndpointID]map[int]bool // nodes that have ejected an endpoint
-	listUp         chan struct{}                      // closed while discovery is up
+	discoveryReady chan struct{}                      // closed while discovery is up
 	pendingUpdates []policy.Endpoint                  // changes of the endpoint list while discovery is down
 	failures       []string                           // of nodes and the rig; each fails the run
 	requests       sync.WaitGroup                     // requests without a response
-	faults         *netfault.Forwarder                // nil unless nodes are members of a fleet
-	proxies        []map[string]string                // by sender: from a node's address to the forwarder's
+	forwarder      *netfault.Forwarder                // nil unless nodes are members of a fleet
+	linkAddrs      []map[string]string                // by sender: from a node's address to the forwarder's
 	bootTime       policy.Instant                     // of the machine's boot clock when the run began
 	gossipAddrs    []string                           // of the nodes' gossip listeners, by node
 	views          *checker.Views
@@ -160,20 +160,20 @@
 	up := make(chan struct{})
 	close(up)
 	r := &Rig{
-		registry:   s.Registry(),
-		scenario:   s,
-		settings:   deployment,
-		starter:    starter,
-		startedAt:  time.Now(),
-		onProgress: progress,
-		wake:       make(chan struct{}, 1),
-		attempts:   map[uint64]*attempt{},
-		ejectedBy:  map[policy.EndpointID]map[int]bool{},
-		listUp:     up,
-		chance:     keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
-		log:        report.NewLog(s, epoch),
-		coverage:   coverage.NewTracker(s.Fleet.Nodes),
-		traffic:    world.NewTraffic(s.TrafficPlan()),
+		registry:       s.Registry(),
+		scenario:       s,
+		settings:       deployment,
+		starter:        starter,
+		startedAt:      time.Now(),
+		onProgress:     progress,
+		wake:           make(chan struct{}, 1),
+		attempts:       map[uint64]*attempt{},
+		ejectedBy:      map[policy.EndpointID]map[int]bool{},
+		discoveryReady: up,
+		random:         keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
+		log:            report.NewLog(s, epoch),
+		coverage:       coverage.NewTracker(s.Fleet.Nodes),
+		traffic:        world.NewTraffic(s.TrafficPlan()),
 	}
 	r.checker = checker.New(checker.Rules{
 		Classes:        deployment.Policy.Classes,
@@ -237,8 +237,8 @@
 	r.checker.Advance(r.now().Add(time.Hour)) // counts requests without an answer as breaches
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	result.Coverage = r.coverage.Table
-	for _, how := range r.failures {
-		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
+	for _, failure := range r.failures {
+		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: failure})
 	}
 	return result
 }
@@ -270,10 +270,10 @@
 		r.world.Advance(now, r.jobDone)
 		r.checker.Advance(now)
 		next := now.Add(time.Second)
-		if at, any := r.queue.Next(); any {
+		if at, ok := r.queue.Next(); ok {
 			next = min(next, at)
 		}
-		if at, any := r.world.Next(); any {
+		if at, ok := r.world.Next(); ok {
 			next = min(next, at)
 		}
 		r.mu.Unlock()
@@ -308,7 +308,7 @@
 
 // awaitReady waits until all nodes are ready for requests.
 func (r *Rig) awaitReady(ctx context.Context) error {
-	by := time.Now().Add(startTimeout)
+	deadline := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
 		for !m.pool.Ready() {
 			select {
@@ -318,7 +318,7 @@
 				return fmt.Errorf("node %s exited before it was ready: %s", m.name, m.process.ExitReason())
 			case <-time.After(pollInterval):
 			}
-			if time.Now().After(by) {
+			if time.Now().After(deadline) {
 				return fmt.Errorf("node %s was not ready within %v", m.name, startTimeout)
 			}
 		}
@@ -380,27 +380,27 @@
 // cut. The lock is held.
 func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
-	var up []*member
+	var available []*member
 	for _, m := range r.nodes {
 		if m.serving || m.reuseOnly && m.pool.HasIdle() {
-			up = append(up, m)
+			available = append(available, m)
 		}
 	}
 	g := &r.traffic.Classes[req.Class]
-	if len(up) == 0 {
+	if len(available) == 0 {
 		t := &r.checker.Classes[req.Class]
 		if t.Asked, t.Cut = t.Asked+1, t.Cut+1; isFirst {
 			t.First++
 		}
 		return
 	}
-	m := up[int(r.chance.Float64()*float64(len(up)))]
-	now, life := r.now(), m.freshStarts
+	m := available[int(r.random.Float64()*float64(len(available)))]
+	now, freshStarts := r.now(), m.freshStarts
 	m.counts.pending++
 	m.inFlight[req.ID] = true
 	r.coverage.RequestSent(m.number, req.ID, g.Idempotency)
 	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
-	sent := &client.Request{
+	request := &client.Request{
 		ID:             req.ID,
 		Key:            req.Key,
 		IdempotencyKey: req.Label,
@@ -412,33 +412,35 @@
 		ReuseOnly:      !m.serving,
 	}
 	if g.Write {
-		sent.Value = world.ValueOf(req.Key)
+		request.Value = world.ValueOf(req.Key)
 	}
 	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%revalidateOneIn == 0 {
-		sent.CachedValue = world.ValueOf(req.Key)
+		request.CachedValue = world.ValueOf(req.Key)
 	}
 	r.requests.Add(1)
-	m.pool.Send(sent, func(got client.Response) {
+	m.pool.Send(request, func(response client.Response) {
 		defer r.requests.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.onResponse(m, life, req, first, got)
+		r.onResponse(m, freshStarts, req, first, response)
 	})
 }
 
 // onResponse records the response to a try, and schedules the client's retry. The lock is held.
-func (r *Rig) onResponse(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
+func (r *Rig) onResponse(
+	m *member, startsAtSend int, req world.Request, first policy.Instant, response client.Response,
+) {
 	if r.stopped {
 		return
 	}
 	delete(m.inFlight, req.ID)
 	r.coverage.RequestEnded(m.number, req.ID)
-	g, now := &r.traffic.Classes[req.Class], r.at(got.ReceivedAt)
-	if got.Unsolicited {
+	g, now := &r.traffic.Classes[req.Class], r.at(response.ReceivedAt)
+	if response.Unsolicited {
 		r.checker.WrongAnswer(now, "", "a connection received bytes beyond one answer per request")
 	}
 	switch {
-	case got.NotSent: // no node has received it; it counts as cut and is not retried
+	case response.NotSent: // no node has received it; it counts as cut and is not retried
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
@@ -446,32 +448,33 @@
 		delete(m.excused, req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
-	case got.Abandoned:
+	case response.Abandoned:
 		r.checker.ClientGone(now, req.ID)
 		return
-	case got.Silent: // the checker reports it at its deadline
+	case response.Silent: // the checker reports it at its deadline
 		return
-	case got.Final == checker.Cut && m.freshStarts != life || got.Final == checker.Cut && m.killed:
+	case response.Final == checker.Cut && m.freshStarts != startsAtSend || response.Final == checker.Cut && m.killed:
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 	default:
-		m.counts.requestFinished(g.Name, got.Final)
-		if got.Final == checker.Satisfied && !g.Write && got.Value != r.scenario.Value(world.ValueOf(req.Key)) {
-			got.InvalidReason = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
+		m.counts.requestFinished(g.Name, response.Final)
+		if response.Final == checker.Satisfied && !g.Write &&
+			response.Value != r.scenario.Value(world.ValueOf(req.Key)) {
+			response.InvalidReason = fmt.Sprintf("the value of %s is %.99q", req.Key, response.Value)
 		}
-		if got.InvalidReason != "" {
-			r.checker.WrongAnswer(now, req.ID, got.InvalidReason)
+		if response.InvalidReason != "" {
+			r.checker.WrongAnswer(now, req.ID, response.InvalidReason)
 		}
-		r.checker.Answered(now, req.ID, got.Final)
+		r.checker.Answered(now, req.ID, response.Final)
 	}
-	if got.Final == checker.Satisfied {
+	if response.Final == checker.Satisfied {
 		if now.Since(first) <= g.LatencyObjective {
 			r.checker.Served(req.Class)
 			r.log.InTime(first)
 		}
 		return
 	}
-	if next, at, ok := r.traffic.Retry(now, req, got.Final == checker.Rejected, got.RetryAfter); ok {
+	if next, at, ok := r.traffic.Retry(now, req, response.Final == checker.Rejected, response.RetryAfter); ok {
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
@@ -496,10 +499,10 @@
 // SetDiscovery takes discovery down, or up again, and then publishes the changes since. The lock is held.
 func (r *Rig) SetDiscovery(up bool) {
 	if !up {
-		r.listUp = make(chan struct{})
+		r.discoveryReady = make(chan struct{})
 		return
 	}
-	close(r.listUp)
+	close(r.discoveryReady)
 	for _, e := range r.pendingUpdates {
 		r.EndpointChanged(e)
 	}
@@ -508,7 +511,7 @@
 
 func (r *Rig) discoveryDown() bool {
 	select {
-	case <-r.listUp:
+	case <-r.discoveryReady:
 		return false
 	default:
 		return true
@@ -526,9 +529,9 @@
 		return
 	}
 	for _, m := range r.nodes {
-		span := r.scenario.Discovery.NoticeS
-		late := scenario.SecondsToDuration(span[0] + (span[1]-span[0])*r.chance.Float64())
-		r.At(r.now().Add(late), func() { m.agent.addChange(e) })
+		delayRange := r.scenario.Discovery.NoticeS
+		delay := scenario.SecondsToDuration(delayRange[0] + (delayRange[1]-delayRange[0])*r.random.Float64())
+		r.At(r.now().Add(delay), func() { m.agent.addChange(e) })
 	}
 	if r.fleetRecorder != nil {
 		r.At(r.now().Add(scenario.SecondsToDuration(r.scenario.Discovery.NoticeS[0])), func() {
@@ -547,7 +550,7 @@
 	}
 	e.At = r.at(at)
 	r.log.AddRecord(e)
-	s, known := ejectionStates[e.Reason]
+	state, known := ejectionStates[e.Reason]
 	if !known || e.Kind != eventlog.EndpointAvoided && e.Kind != eventlog.EndpointRestored {
 		return
 	}
@@ -556,12 +559,12 @@
 	}
 	if e.Kind == eventlog.EndpointRestored {
 		delete(r.ejectedBy[e.Server], number)
-		s = policy.StateInUse
+		state = policy.StateInUse
 	} else {
 		r.ejectedBy[e.Server][number] = true
 	}
-	if most := 2*len(r.ejectedBy[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
-		r.fleetRecorder.EndpointStateChanged(e.At, e.Server, s)
+	if majority := 2*len(r.ejectedBy[e.Server]) > len(r.nodes); majority || e.Kind == eventlog.EndpointRestored {
+		r.fleetRecorder.EndpointStateChanged(e.At, e.Server, state)
 	}
 }
 
@@ -586,7 +589,7 @@
 		s.close()
 	}
 	if r.discoveryDown() {
-		close(r.listUp)
+		close(r.discoveryReady)
 	}
 	nodes := r.nodes
 	r.mu.Unlock()
@@ -595,8 +598,8 @@
 		m.pool.Close()
 		m.agent.close()
 	}
-	if r.faults != nil {
-		r.faults.Close()
+	if r.forwarder != nil {
+		r.forwarder.Close()
 	}
 	r.requests.Wait()
 }
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -64,9 +64,9 @@
 
 // openServer creates a server and starts listening on a free port.
 func (r *Rig) openServer(number int) error {
-	awake := make(chan struct{})
-	close(awake)
-	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: awake}
+	responsive := make(chan struct{})
+	close(responsive)
+	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: responsive}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("cannot open a listener for emulated server %d: %w", number, err)
@@ -90,15 +90,15 @@
 		return
 	}
 	s := r.servers[number]
-	switch life := r.world.Servers[number].Liveness; {
-	case life == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
+	switch liveness := r.world.Servers[number].Liveness; {
+	case liveness == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
 		l, err := net.Listen("tcp", s.addr)
 		if err != nil { // another process uses the port for a connection
 			r.At(r.now().Add(relistenDelay), func() { r.updateListener(number) })
 			return
 		}
 		s.serve(l)
-	case life == world.Up:
+	case liveness == world.Up:
 		s.resumeResponding()
 	}
 }
@@ -121,9 +121,9 @@
 		}
 		r := s.rig
 		r.mu.Lock()
-		awake := s.responsive
+		responsive := s.responsive
 		r.mu.Unlock()
-		if vanished := waitUntilClosed(awake); vanished || peerClosed(plain) {
+		if wasSilent := waitUntilClosed(responsive); wasSilent || peerClosed(plain) {
 			// A silent server does not serve connections. It resets those made meanwhile once it responds again.
 			closeWithReset(plain)
 			continue
@@ -149,18 +149,18 @@
 }
 
 // waitUntilClosed waits until a channel is closed, and reports whether it had to wait.
-func waitUntilClosed(awake chan struct{}) (waited bool) {
+func waitUntilClosed(responsive chan struct{}) (waited bool) {
 	select {
-	case <-awake:
+	case <-responsive:
 		return false
 	default:
-		<-awake
+		<-responsive
 		return true
 	}
 }
 
 // peerClosed reports whether the peer has closed the connection, so that nothing it has sent needs an answer.
-func peerClosed(c net.Conn) (is bool) {
+func peerClosed(c net.Conn) (closed bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return false
@@ -171,9 +171,9 @@
 	}
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		is = err != nil || info.State != tcpEstablished
+		closed = err != nil || info.State != tcpEstablished
 	})
-	return is
+	return closed
 }
 
 func closeWithReset(c net.Conn) {
@@ -190,8 +190,8 @@
 	if s == nil {
 		return
 	}
-	life := r.world.Servers[number].Liveness
-	if life == world.Silent {
+	liveness := r.world.Servers[number].Liveness
+	if liveness == world.Silent {
 		s.stopResponding()
 		return
 	}
@@ -204,7 +204,7 @@
 		s.httpServer = nil
 		s.listener = nil
 	}
-	if (life == world.Down || s.fault == "refuse") && s.listener != nil {
+	if (liveness == world.Down || s.fault == "refuse") && s.listener != nil {
 		s.listener.Close()
 		s.listener = nil
 	}
@@ -287,14 +287,14 @@
 	if w := r.world.Servers[c.server.number]; w.OpenConnections > 0 {
 		w.OpenConnections--
 	}
-	var on []uint64
-	for tag, l := range r.attempts {
-		if l.conn == c {
-			on = append(on, tag)
+	var tags []uint64
+	for tag, a := range r.attempts {
+		if a.conn == c {
+			tags = append(tags, tag)
 		}
 	}
-	slices.Sort(on)
-	for _, tag := range on {
+	slices.Sort(tags)
+	for _, tag := range tags {
 		r.endAttempt(tag, policy.Cancelled)
 		r.world.Withdraw(r.now(), c.server.number, tag)
 	}
@@ -308,17 +308,17 @@
 
 // endAttempt removes an attempt, and records its result with the log, the checker and the fleet's event log. It returns
 // the attempt, or nil if the tag is unknown. The lock is held.
-func (r *Rig) endAttempt(tag uint64, how policy.Result) *attempt {
-	l := r.attempts[tag]
-	if l != nil {
+func (r *Rig) endAttempt(tag uint64, result policy.Result) *attempt {
+	a := r.attempts[tag]
+	if a != nil {
 		delete(r.attempts, tag)
-		r.log.AttemptEnded(r.now(), how)
-		r.checker.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
+		r.log.AttemptEnded(r.now(), result)
+		r.checker.AttemptEnded(r.now(), a.id, r.world.Servers[a.server].ID, result.NotExecuted())
 		if r.fleetRecorder != nil {
-			r.fleetRecorder.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.arrivedAt))
+			r.fleetRecorder.AttemptDone(r.now(), r.world.Servers[a.server].ID, result, r.now().Since(a.arrivedAt))
 		}
 	}
-	return l
+	return a
 }
 
 // queueAnswer queues an answer, or disconnects the peer if its queue is full. The lock is held.
@@ -342,7 +342,7 @@
 }
 
 func (c *serverConn) read() {
-	r, in, held := c.server.rig, make([]byte, readBufferSize), []byte(nil)
+	r, in, unparsed := c.server.rig, make([]byte, readBufferSize), []byte(nil)
 	src := bufio.NewReaderSize(c, readBufferSize)
 	defer func() {
 		r.mu.Lock()
@@ -354,15 +354,15 @@
 		if err != nil {
 			return
 		}
-		held = append(held, in[:n]...)
-		if len(held) > maxCommandSize {
+		unparsed = append(unparsed, in[:n]...)
+		if len(unparsed) > maxCommandSize {
 			return
 		}
 		for {
 			size := 0
 			if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
-				size = c.handleHTTPRequest(held)
-			} else if o, n := cachestub.ParseCommand(held); n > 0 {
+				size = c.handleHTTPRequest(unparsed)
+			} else if o, n := cachestub.ParseCommand(unparsed); n > 0 {
 				r.mu.Lock()
 				for r.world.Servers[c.server.number].Frozen(r.now()) && c.server.conns[c] {
 					r.mu.Unlock()
@@ -372,7 +372,7 @@
 				c.handlePurge(o)
 				r.mu.Unlock()
 				size = n
-			} else if command, n, fault := meta.ReadCommand(held); n > 0 || fault != nil {
+			} else if command, n, fault := meta.ReadCommand(unparsed); n > 0 || fault != nil {
 				r.mu.Lock()
 				c.handleCommand(&command, fault)
 				r.mu.Unlock()
@@ -381,7 +381,7 @@
 			if size == 0 {
 				break
 			}
-			held = held[size:]
+			unparsed = unparsed[size:]
 		}
 	}
 }
@@ -450,7 +450,7 @@
 // offerAttempt offers an attempt to the model of the server as a job. It returns false if the attempt is invalid or
 // the model rejects the job. items are the call's items "c" (class), "d" (timeout in milliseconds) and "k"
 // (idempotency key). The lock is held.
-func (r *Rig) offerAttempt(s *server, id, key string, items []byte, write bool, l *attempt) bool {
+func (r *Rig) offerAttempt(s *server, id, key string, items []byte, isWrite bool, a *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
 	r.attemptArrived(now, id, w.ID)
@@ -458,12 +458,12 @@
 		v, _ := meta.Item(items, name)
 		return string(v)
 	}
-	if write && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
+	if isWrite && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
 		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to the cache-aside cache %s", w.ID))
 	}
-	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
-	wait, err := strconv.ParseFloat(item("d"), 64)
-	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
+	class := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
+	timeoutMs, err := strconv.ParseFloat(item("d"), 64)
+	if class < 0 || err != nil || timeoutMs <= 0 || r.traffic.Classes[class].Write != isWrite {
 		r.checker.WrongAnswer(now, id, fmt.Sprintf(
 			"a server received an attempt that matches no client request: class %q, timeout %q", item("c"), item("d")))
 		r.checker.AttemptEnded(now, id, w.ID, true)
@@ -471,20 +471,20 @@
 	}
 	if s.fault == "reset" {
 		r.checker.AttemptEnded(now, id, w.ID, true)
-		if l.conn != nil {
-			l.conn.disconnect(true)
+		if a.conn != nil {
+			a.conn.disconnect(true)
 		}
 		return true
 	}
 	r.lastTag++
-	l.server, l.id, l.arrivedAt = s.number, id, now
-	r.attempts[r.lastTag] = l
+	a.server, a.id, a.arrivedAt = s.number, id, now
+	r.attempts[r.lastTag] = a
 	j := world.Job{
 		Request: id,
 		Key:     key,
 		Label:   item("k"),
-		Class:   grade,
-		Until:   now.Add(time.Duration(wait*1e6) + slack),
+		Class:   class,
+		Until:   now.Add(time.Duration(timeoutMs*1e6) + slack),
 		Tag:     r.lastTag,
 	}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
@@ -495,8 +495,8 @@
 	return true
 }
 
-// resultOf is the result of an attempt, by the server's reply.
-var resultOf = [...]policy.Result{
+// resultByReply is the result of an attempt, by the server's reply.
+var resultByReply = [...]policy.Result{
 	world.Value:   policy.Answered,
 	world.Receipt: policy.Answered,
 	world.Miss:    policy.CacheMiss,
@@ -506,28 +506,28 @@
 
 // jobDone answers the attempt of a finished job. The lock is held.
 func (r *Rig) jobDone(d world.Done) {
-	l := r.endAttempt(d.Job.Tag, resultOf[d.Reply])
-	if l == nil {
+	a := r.endAttempt(d.Job.Tag, resultByReply[d.Reply])
+	if a == nil {
 		return
 	}
-	if l.done != nil {
-		l.done <- d
+	if a.done != nil {
+		a.done <- d
 		return
 	}
-	s := r.servers[l.server]
-	out := r.metaAnswer(d, r.scenario.Fleet.Reports)
+	s := r.servers[a.server]
+	answer := r.metaAnswer(d, r.scenario.Fleet.Reports)
 	if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
-		out = httpCacheAnswer(d, s.fault == "stale", l.etag)
+		answer = httpCacheAnswer(d, s.fault == "stale", a.etag)
 	}
 	switch s.fault {
 	case "half":
-		l.conn.queueAnswer(out[:len(out)/2])
-		r.At(r.now().Add(pollInterval), func() { l.conn.disconnect(true) })
+		a.conn.queueAnswer(answer[:len(answer)/2])
+		r.At(r.now().Add(pollInterval), func() { a.conn.disconnect(true) })
 		return
 	case "garbage":
-		out = []byte(garbageAnswer)
+		answer = []byte(garbageAnswer)
 	}
-	l.conn.queueAnswer(out)
+	a.conn.queueAnswer(answer)
 }
 
 // metaAnswer encodes a cache's answer in the meta protocol, with the cache's load if reports is true.
@@ -558,7 +558,7 @@
 		return
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(in.URL.EscapedPath(), "/"))
-	if _, bad := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || bad != nil {
+	if _, readErr := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || readErr != nil {
 		http.Error(out, "cannot read the request's path or body", http.StatusBadRequest)
 		return
 	}
--- a/internal/emulator/report/expectations.go
+++ b/internal/emulator/report/expectations.go
@@ -16,11 +16,11 @@
 
 // checkExpectations adds the scenario's expectations and whether the report meets them.
 func (r *Report) checkExpectations(s *scenario.Scenario) {
-	broken := uint64(0)
+	breaches := uint64(0)
 	for _, n := range r.Rules {
-		broken += n
+		breaches += n
 	}
-	r.expect(broken == 0, fmt.Sprint(r.Rules), "no rule is broken")
+	r.expect(breaches == 0, fmt.Sprint(r.Rules), "no rule is broken")
 	r.checkClasses(s)
 	r.checkEndpoints(s)
 	r.checkCounts(s)
@@ -75,24 +75,25 @@
 // checkViews expects the nodes' membership views to match the actual state of nodes. A run without views, or with lost
 // lines of a trace, proves nothing and fails.
 func (r *Report) checkViews(s *scenario.Scenario) {
-	f := r.Membership
-	if f == nil || s.Membership.Engine == fleetconfig.EnginePlain {
+	membership := r.Membership
+	if membership == nil || s.Membership.Engine == fleetconfig.EnginePlain {
 		return
 	}
-	lost := uint64(f.Views.Dropped)
-	for _, l := range f.Views.Lines {
+	lost := uint64(membership.Views.Dropped)
+	for _, l := range membership.Views.Lines {
 		lost = max(lost, l.Dropped)
 	}
 	r.expect(lost == 0, fmt.Sprint(lost), "no line of a membership trace is lost")
-	if f.View == nil {
+	if membership.View == nil {
 		r.expect(false, "none", "nodes have membership views")
 		return
 	}
-	wrong := f.View.Wrong()
-	isMet := wrong == 0 && f.View.Formed >= 0
-	got := fmt.Sprintf("%d wrong, formed at %.1f s", wrong, f.View.Formed)
+	wrong := membership.View.Wrong()
+	isMet := wrong == 0 && membership.View.Formed >= 0
+	got := fmt.Sprintf("%d wrong, formed at %.1f s", wrong, membership.View.Formed)
 	r.expect(isMet, got, "views are as what befell nodes has them")
 	if most := s.Expect.Views; most != nil {
-		r.expect(f.View.Changes <= *most, fmt.Sprint(f.View.Changes), "at most %d changes of membership views", *most)
+		got := membership.View.Changes
+		r.expect(got <= *most, fmt.Sprint(got), "at most %d changes of membership views", *most)
 	}
 }
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/fleet.go
@@ -32,9 +32,9 @@
 	return f
 }
 
-// letters renders a member list with one character per node, in the order of node numbers: the base-36 digit of a
+// memberRow renders a member list with one character per node, in the order of node numbers: the base-36 digit of a
 // member's number, or a dot.
-func letters(nodes int, names []string) string {
+func memberRow(nodes int, names []string) string {
 	var b strings.Builder
 	for n := range nodes {
 		if slices.Contains(names, checker.NameOf(n)) {
@@ -85,7 +85,7 @@
 	for n := range views.Nodes {
 		name := checker.NameOf(n)
 		line := lineAt(views, at, name, kind)
-		cell := letters(views.Nodes, line.Members)
+		cell := memberRow(views.Nodes, line.Members)
 		if line.MayBePartitioned {
 			cell += "!"
 		}
--- a/internal/emulator/report/recovery.go
+++ b/internal/emulator/report/recovery.go
@@ -23,9 +23,9 @@
 		return 0
 	}
 	start := int(first.Since(l.startedAt) / time.Second)
-	enough := recoveredShare * l.shareInTime(start-baselineSpan, start)
+	minShare := recoveredShare * l.shareInTime(start-baselineSpan, start)
 	for at := len(l.Seconds) - 1; at >= start; at-- {
-		if l.shareInTime(at-recoverySpan, at) < enough {
+		if l.shareInTime(at-recoverySpan, at) < minShare {
 			if at >= len(l.Seconds)-1 {
 				return -1
 			}
--- a/internal/emulator/shrink/shrink.go
+++ b/internal/emulator/shrink/shrink.go
@@ -35,19 +35,19 @@
 }
 
 // Shrink reduces a failing scenario. It does not modify its argument.
-func Shrink(failing *scenario.Scenario, budget Budget, play RunFunc) Result {
-	s := &shrinker{current: failing, budget: budget, play: play}
+func Shrink(failing *scenario.Scenario, budget Budget, run RunFunc) Result {
+	s := &shrinker{current: failing, budget: budget, run: run}
 	for again := true; again && !s.exhausted; {
 		again = s.round()
 	}
-	return Result{Scenario: s.current, Runs: s.plays, Complete: !s.exhausted}
+	return Result{Scenario: s.current, Runs: s.runs, Complete: !s.exhausted}
 }
 
 type shrinker struct {
 	current   *scenario.Scenario
 	budget    Budget
-	play      RunFunc
-	plays     int
+	run       RunFunc
+	runs      int
 	exhausted bool
 }
 
@@ -68,12 +68,12 @@
 		return false
 	}
 	expired := s.budget.Expired != nil && s.budget.Expired()
-	if s.exhausted || s.plays >= s.budget.Runs || expired {
+	if s.exhausted || s.runs >= s.budget.Runs || expired {
 		s.exhausted = true
 		return false
 	}
-	s.plays++
-	if !s.play(candidate) {
+	s.runs++
+	if !s.run(candidate) {
 		return false
 	}
 	s.current = candidate
--- a/internal/emulator/shrink/shrink_test.go
+++ b/internal/emulator/shrink/shrink_test.go
@@ -7,7 +7,7 @@
 	"dahliapin/internal/emulator/scenario"
 )
 
-const plentyOfPlays = 10_000
+const plentyOfRuns = 10_000
 
 // schedule returns a soak schedule with four nodes and more than 60 events.
 func schedule(t *testing.T) *scenario.Scenario {
@@ -30,7 +30,7 @@
 func TestShrinkKeepsOnlyEventsTheFailureNeeds(t *testing.T) {
 	failing := schedule(t)
 	before := len(failing.Events)
-	result := Shrink(failing, Budget{Runs: plentyOfPlays}, func(s *scenario.Scenario) bool {
+	result := Shrink(failing, Budget{Runs: plentyOfRuns}, func(s *scenario.Scenario) bool {
 		return has(s, "node_restart") && has(s, "errors") && s.Fleet.Caches >= 3
 	})
 	s := result.Scenario
@@ -69,7 +69,7 @@
 	restart := failing.Events[slices.IndexFunc(failing.Events, isRestart)]
 	failing.Events = append(failing.Events,
 		scenario.Event{AtS: restart.AtS - 0.3, Do: "errors", Part: 0.5, Share: 0.5, ForS: 2})
-	result := Shrink(failing, Budget{Runs: plentyOfPlays}, overlap)
+	result := Shrink(failing, Budget{Runs: plentyOfRuns}, overlap)
 	if len(result.Scenario.Events) != 2 || !overlap(result.Scenario) {
 		t.Errorf("events left: %+v", result.Scenario.Events)
 	}
@@ -82,7 +82,7 @@
 		{AtS: 2, Do: "node_restart", Nodes: []int{1}},
 		{AtS: 3, Do: "node_freeze", Nodes: []int{3}, ForS: 0.1},
 	}
-	result := Shrink(failing, Budget{Runs: plentyOfPlays}, func(s *scenario.Scenario) bool {
+	result := Shrink(failing, Budget{Runs: plentyOfRuns}, func(s *scenario.Scenario) bool {
 		return has(s, "node_freeze")
 	})
 	s := result.Scenario
@@ -95,15 +95,15 @@
 func TestShrinkStopsAtBudget(t *testing.T) {
 	failing := schedule(t)
 	always := func(*scenario.Scenario) bool { return true }
-	const plays = 3
-	result := Shrink(failing, Budget{Runs: plays}, always)
-	if result.Runs != plays || result.Complete || len(result.Scenario.Events) >= len(failing.Events) {
+	const runs = 3
+	result := Shrink(failing, Budget{Runs: runs}, always)
+	if result.Runs != runs || result.Complete || len(result.Scenario.Events) >= len(failing.Events) {
 		t.Errorf("%d runs, complete %v, %d events left", result.Runs, result.Complete, len(result.Scenario.Events))
 	}
-	asked := 0
-	expired := func() bool { asked++; return asked > plays }
-	result = Shrink(failing, Budget{Runs: plentyOfPlays, Expired: expired}, always)
-	if result.Runs != plays || result.Complete {
+	checks := 0
+	expired := func() bool { checks++; return checks > runs }
+	result = Shrink(failing, Budget{Runs: plentyOfRuns, Expired: expired}, always)
+	if result.Runs != runs || result.Complete {
 		t.Errorf("expired budget: %d runs, complete %v", result.Runs, result.Complete)
 	}
 }
@@ -111,7 +111,7 @@
 // If no run fails again, the original scenario is returned.
 func TestShrinkReturnsOriginalIfNoRunFails(t *testing.T) {
 	failing := schedule(t)
-	result := Shrink(failing, Budget{Runs: plentyOfPlays}, func(*scenario.Scenario) bool { return false })
+	result := Shrink(failing, Budget{Runs: plentyOfRuns}, func(*scenario.Scenario) bool { return false })
 	if result.Scenario != failing || !result.Complete {
 		t.Errorf("got scenario %+v, want the original", result.Scenario)
 	}
