--- a/internal/emulator/realtime/embedded_test.go
+++ b/internal/emulator/realtime/embedded_test.go
@@ -8,7 +8,7 @@
 	"dahliapin/node"
 )
 
-// Embedded starts nodes within this process. They can be told to terminate, but not killed.
+// Embedded starts nodes within this process. They can be asked to terminate, but not killed.
 type Embedded struct{}
 
 type embedded struct {
--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -22,12 +22,12 @@
 // handleHTTPRequest handles the first request in the received bytes and returns its size, or 0 if it is incomplete or
 // invalid.
 func (c *serverConn) handleHTTPRequest(unparsed []byte) (size int) {
-	r, s := c.server.rig, c.server
+	r, server := c.server.rig, c.server
 	q, size, fault := http1.ReadRequest(unparsed, maxCommandSize)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	w := r.world.Servers[s.number]
+	w := r.world.Servers[server.number]
 	id := string(q.Header(client.IDHeader))
 	switch {
 	case fault != nil:
@@ -36,7 +36,7 @@
 		return 0
 	case size == 0:
 		return 0
-	case w.Liveness == world.Silent || s.fault == "silent":
+	case w.Liveness == world.Silent || server.fault == "silent":
 		if w.Liveness == world.Up && id != "" {
 			r.attemptArrived(now, id, w.ID)
 		}
@@ -57,7 +57,7 @@
 		q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
 	isWrite := string(q.Method) != http.MethodGet
 	received := &attempt{conn: c, etag: string(q.Header("If-None-Match"))}
-	if !r.offerAttempt(s, id, target, []byte(items), isWrite, received) {
+	if !r.offerAttempt(server, id, target, []byte(items), isWrite, received) {
 		c.queueAnswer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
 	}
 	return size
--- a/internal/emulator/realtime/member.go
+++ b/internal/emulator/realtime/member.go
@@ -33,12 +33,12 @@
 	serving     bool // clients connect to it
 	reuseOnly   bool // clients use their open connections and open no new ones
 	killed      bool // by the scenario; requests that were in flight are excused
-	ending      bool // told to terminate by the scenario, or because the run is over
+	ending      bool // asked to terminate by the scenario, or because the run is over
 
 	// freshStarts is the number of starts after the former process had ended. A request whose connection was reset is
 	// excused if it was sent before the latest of them.
 	freshStarts int
-	// termNextStart is the delay after which the next process is told to terminate; 0 for never.
+	// termNextStart is the delay after which the next process is asked to terminate; 0 for never.
 	termNextStart time.Duration
 }
 
@@ -130,7 +130,7 @@
 }
 
 // EndNode tells a node to terminate if orderly is true, and kills it otherwise. Clients still connect for clientsLinger
-// to a node that was told to terminate. The lock is held.
+// to a node that was asked to terminate. Rig.mu must be locked.
 func (r *Rig) EndNode(number int, orderly bool) {
 	m := r.nodes[number]
 	m.ending = true
@@ -153,9 +153,9 @@
 	}
 }
 
-// killAtTheEarliest kills a node that was told to terminate at the earliest time that the shutdown protocol allows.
+// killAtTheEarliest kills a node that was asked to terminate at the earliest time that the shutdown protocol allows.
 // Before that, it sends further reload and terminate signals. Requests that are in flight when the node is killed are
-// not excused. The lock is held.
+// not excused. Rig.mu must be locked.
 func (r *Rig) killAtTheEarliest(m *member) {
 	process := m.process
 	if p, ok := process.(Reloader); ok {
@@ -168,7 +168,7 @@
 	})
 }
 
-// signalDraining sends a signal to a draining node after a delay and counts it as a fault. The lock is held.
+// signalDraining sends a signal to a draining node after a delay and counts it as a fault. Rig.mu must be locked.
 func (r *Rig) signalDraining(m *member, after time.Duration, fault coverage.Fault, send func()) {
 	r.At(r.now().Add(after), func() {
 		r.coverage.FaultBegan(fault, []int{m.number})()
@@ -176,13 +176,13 @@
 	})
 }
 
-// TerminateNextStart makes the node's next process receive a request to terminate at a delay after its start. The lock
-// is held.
+// TerminateNextStart makes the node's next process receive a request to terminate at a delay after its start. Rig.mu
+// must be locked.
 func (r *Rig) TerminateNextStart(number int, after time.Duration) {
 	r.nodes[number].termNextStart = after
 }
 
-// StartNode starts a node's next process once the former one has exited. The lock is held.
+// StartNode starts a node's next process once the former one has exited. Rig.mu must be locked.
 func (r *Rig) StartNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -239,11 +239,11 @@
 	case <-time.After(m.rig.timeToKill()):
 		process.Kill()
 		<-process.Done()
-		m.fail("did not exit in time after it was told to terminate during its start")
+		m.fail("did not exit in time after it was asked to terminate during its start")
 	}
 }
 
-// timeToKill returns the delay after which a process that was told to terminate may be killed.
+// timeToKill returns the delay after which a process that was asked to terminate may be killed.
 func (r *Rig) timeToKill() time.Duration {
 	return min(r.settings.LongestDeadline, maxDeadlineAtStop) + killDelay
 }
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -81,13 +81,13 @@
 
 // PauseNode stops a node's process or lets it continue. The requests in flight are excused, and clients send no new
 // ones while it is stopped, as a load balancer would detect the pause at once. The event tests membership, not answers
-// to clients. The lock is held.
+// to clients. Rig.mu must be locked.
 func (r *Rig) PauseNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Pause) }
 
-// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. The lock is held.
+// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. Rig.mu must be locked.
 func (r *Rig) HangNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Hang) }
 
-// stopOrContinue implements PauseNode and HangNode. The lock is held.
+// stopOrContinue implements PauseNode and HangNode. Rig.mu must be locked.
 func (r *Rig) stopOrContinue(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
 	p, ok := m.process.(Pauser)
@@ -117,7 +117,7 @@
 }
 
 // StartDuplicateNode starts another process with a node's name but other addresses. That process must exit by itself,
-// as the name is in use. The lock is held.
+// as the name is in use. Rig.mu must be locked.
 func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -164,7 +164,7 @@
 	})
 }
 
-// ChangeLink changes the faults of the link from one node to another. The lock is held.
+// ChangeLink changes the faults of the link from one node to another. Rig.mu must be locked.
 func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
 	r.forwarder.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
--- a/internal/emulator/realtime/metrics.go
+++ b/internal/emulator/realtime/metrics.go
@@ -69,7 +69,7 @@
 }
 
 // ScrapeNode reads a node's metrics every scrapeInterval until an instant, and compares them with the counts of its
-// clients. The lock is held.
+// clients. Rig.mu must be locked.
 func (r *Rig) ScrapeNode(number int, until policy.Instant) {
 	m := r.nodes[number]
 	go func() {
--- a/internal/emulator/realtime/nodefaults.go
+++ b/internal/emulator/realtime/nodefaults.go
@@ -16,8 +16,8 @@
 )
 
 // OpenIdleClients opens idle client connections to a node until an instant. Every second client sends one readiness
-// check, the others send nothing. A client whose connection is closed connects again after reconnectDelay. The lock is
-// held.
+// check, the others send nothing. A client whose connection is closed connects again after reconnectDelay. Rig.mu must
+// be locked.
 func (r *Rig) OpenIdleClients(number, clients int, until policy.Instant) {
 	addr := r.nodes[number].addr
 	for n := range clients {
@@ -39,7 +39,7 @@
 }
 
 // StallClients makes clients send an incomplete request and stay connected. The node must answer with an error or close
-// each connection within stalledRequestTimeout, unless it is terminated or killed meanwhile. The lock is held.
+// each connection within stalledRequestTimeout, unless it is terminated or killed meanwhile. Rig.mu must be locked.
 func (r *Rig) StallClients(number, clients int) {
 	m := r.nodes[number]
 	incarnation := m.incarnation
@@ -72,7 +72,7 @@
 	return ok && netErr.Timeout()
 }
 
-// ReloadNode tells a node to reload its configuration, several times at signalInterval. The lock is held.
+// ReloadNode tells a node to reload its configuration, several times at signalInterval. Rig.mu must be locked.
 func (r *Rig) ReloadNode(number, times int) {
 	m := r.nodes[number]
 	p, ok := m.process.(Reloader)
@@ -85,7 +85,7 @@
 }
 
 // FreezeNode stops a node's process for a short time. No request is excused, as the tolerances of the rules cover such
-// a pause. The lock is held.
+// a pause. Rig.mu must be locked.
 func (r *Rig) FreezeNode(number int, duration time.Duration) {
 	m := r.nodes[number]
 	p, ok := m.process.(Pauser)
--- a/internal/emulator/realtime/operations.go
+++ b/internal/emulator/realtime/operations.go
@@ -53,7 +53,7 @@
 }
 
 // UpgradeNode starts a new process of a node, and tells the old one to terminate once the new one is ready, as the
-// deployment platform does. The lock is held.
+// deployment platform does. Rig.mu must be locked.
 func (r *Rig) UpgradeNode(number int) {
 	m := r.nodes[number]
 	old := m.process
@@ -87,7 +87,7 @@
 }
 
 // StandbyNode puts a node on standby or makes it active again. It checks the answer to the admin call, the node's
-// readiness, and that a node on standby closes its client connections. The lock is held.
+// readiness, and that a node on standby closes its client connections. Rig.mu must be locked.
 func (r *Rig) StandbyNode(number int, standby bool) {
 	m := r.nodes[number]
 	r.views.RecordProcess(r.now(), m.name, !standby, false) // a node on standby is not a member
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -59,7 +59,7 @@
 // Process is a running node.
 type Process interface {
 	End()                  // tells it to terminate, as an operator does
-	Kill()                 // kills it; an embedded node is only told to terminate
+	Kill()                 // kills it; an embedded node is only asked to terminate
 	Done() <-chan struct{} // closed when it has exited
 	ExitReason() string    // why it failed, after Done is closed; "" for a normal exit
 }
@@ -70,7 +70,7 @@
 	Hang(stop bool)  // blocks its event loop only, or lets it continue
 }
 
-// Reloader is a process that can be told to reload its configuration.
+// Reloader is a process that can be asked to reload its configuration.
 type Reloader interface {
 	Reload()
 }
@@ -293,7 +293,7 @@
 	}
 }
 
-// At schedules a function, which the clock calls with the lock held. The lock is held.
+// At schedules a function, which the clock calls with Rig.mu locked. The caller must have locked it too.
 func (r *Rig) At(at policy.Instant, do func()) {
 	r.queue.Push(at, do)
 	r.wakeClock()
@@ -377,7 +377,7 @@
 }
 
 // sendRequest sends one try of a client to a random node that accepts requests. If there is none, the try counts as
-// cut. The lock is held.
+// cut. Rig.mu must be locked.
 func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
 	var available []*member
@@ -426,7 +426,7 @@
 	})
 }
 
-// onResponse records the response to a try, and schedules the client's retry. The lock is held.
+// onResponse records the response to a try, and schedules the client's retry. Rig.mu must be locked.
 func (r *Rig) onResponse(
 	m *member, startsAtSend int, req world.Request, first policy.Instant, response client.Response,
 ) {
@@ -485,18 +485,18 @@
 }
 
 // EventBegan records the coverage of an event: the phases and requests of the affected nodes until the returned
-// function is called. The lock is held in both calls.
+// function is called. Rig.mu must be locked in both calls.
 func (r *Rig) EventBegan(e *scenario.Event) (ended func()) {
 	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
 }
 
-// LogEvent adds a line to the log of the run. The lock is held.
+// LogEvent adds a line to the log of the run. Rig.mu must be locked.
 func (r *Rig) LogEvent(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
 // Registry returns the model of the capacity of discovery.
 func (r *Rig) Registry() *world.Registry { return r.registry }
 
-// SetDiscovery takes discovery down, or up again, and then publishes the changes since. The lock is held.
+// SetDiscovery takes discovery down, or up again, and then publishes the changes since. Rig.mu must be locked.
 func (r *Rig) SetDiscovery(up bool) {
 	if !up {
 		r.discoveryReady = make(chan struct{})
@@ -519,7 +519,7 @@
 }
 
 // EndpointChanged publishes a change of the endpoint list to each node's agent after a random delay, which differs
-// between nodes. The lock is held.
+// between nodes. Rig.mu must be locked.
 func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
 		r.updateListener(i)
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/rig_test.go
@@ -240,8 +240,8 @@
 // answer returns the answer to a command, after the stub's fault.
 func (s *stub) answer(c *meta.Command) string {
 	items, _ := meta.Flag(c.Flags, 'P')
-	grade, _ := meta.Item(items, "c")
-	read, mark, pay := string(grade) == "read", string(grade) == "mark", string(grade) == "pay"
+	class, _ := meta.Item(items, "c")
+	read, mark, pay := string(class) == "read", string(class) == "mark", string(class) == "pay"
 	route := func() string {
 		if read {
 			return s.sendAttempt("c1", c)
@@ -339,7 +339,7 @@
 
 // An embedded node breaks no rule while connections are reset or closed in the middle of an answer, a cache is silent,
 // a node restarts and a cache is killed. With HTTP, one cache serves stale responses instead of resetting connections.
-func TestNodeKeepsRulesThroughFaultsOnSockets(t *testing.T) {
+func TestNodeBreaksNoRuleThroughFaults(t *testing.T) {
 	const faults = `
 [[event]]
 at_s = 0.5
@@ -404,7 +404,7 @@
 
 // A cancelled run returns the context's error, stops its node and closes all listeners. A run whose node exits by
 // itself fails with the node's exit reason.
-func TestCancelledOrFailedRunLeavesNothingBehind(t *testing.T) {
+func TestCancelledRunClosesAllAndExitedNodeFailsRun(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	cancelled := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
@@ -432,7 +432,7 @@
 
 // A run with more than two percent of tries sent late has no verdict: the machine was too busy, so that breaches prove
 // nothing about the nodes.
-func TestRunOnABusyMachineHasNoVerdict(t *testing.T) {
+func TestRunWithTooManyLateTriesHasNoVerdict(t *testing.T) {
 	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
 	l.TriesSent, l.Late = 100, 3
@@ -456,7 +456,7 @@
 }
 
 // An emulated cache executes deletes and flushes. The answer to a delete tells whether the cache had the key.
-func TestEmulatedCacheCarriesOutPurges(t *testing.T) {
+func TestEmulatedCacheExecutesPurges(t *testing.T) {
 	s := parse(t, baseScenario)
 	deployment, err := s.DecodedSettings("")
 	if err != nil {
@@ -520,7 +520,7 @@
 
 // A scenario with settings that only the simulation supports is rejected. If the rig ignored them, the scenario could
 // meet its expectations by chance.
-func TestScenarioForVirtualTimeOnlyIsRefused(t *testing.T) {
+func TestRunRejectsScenarioForVirtualTimeOnly(t *testing.T) {
 	for _, more := range []string{
 		"[traffic]\nskew = 0.5\n",
 		"[network]\nlate_share = 0.1\nlate_ms = 5\n",
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -81,7 +81,7 @@
 }
 
 // updateListener opens the listener of a server that is up, or makes the server respond again. It creates a server that
-// does not exist yet. The lock is held.
+// does not exist yet. Rig.mu must be locked.
 func (r *Rig) updateListener(number int) {
 	if number >= len(r.servers) || r.servers[number] == nil {
 		if err := r.openServer(number); err != nil {
@@ -184,7 +184,7 @@
 }
 
 // ResetConnections resets all connections to a server, and closes its listener if it is down or refuses connections. A
-// silent server stops responding instead, without a reset. The lock is held.
+// silent server stops responding instead, without a reset. Rig.mu must be locked.
 func (r *Rig) ResetConnections(number int) {
 	s := r.servers[number]
 	if s == nil {
@@ -211,7 +211,7 @@
 }
 
 // stopResponding stops accepting connections, and fills the kernel's listen backlog so that the kernel establishes no
-// new connections either. The lock is held.
+// new connections either. Rig.mu must be locked.
 func (s *server) stopResponding() {
 	l, ok := s.listener.(*net.TCPListener)
 	if !ok {
@@ -232,7 +232,7 @@
 	}
 }
 
-// resumeResponding undoes stopResponding. The lock is held.
+// resumeResponding undoes stopResponding. Rig.mu must be locked.
 func (s *server) resumeResponding() {
 	select {
 	case <-s.responsive:
@@ -251,14 +251,14 @@
 	close(s.responsive)
 }
 
-// SetFault sets the fault of a server's connections, "" for none. The lock is held.
+// SetFault sets the fault of a server's connections, "" for none. Rig.mu must be locked.
 func (r *Rig) SetFault(number int, kind string) {
 	s := r.servers[number]
 	s.fault = kind
 	r.updateListener(number)
 }
 
-// close stops the server permanently. The lock is held.
+// close stops the server permanently. Rig.mu must be locked.
 func (s *server) close() {
 	if s == nil {
 		return
@@ -277,7 +277,7 @@
 }
 
 // disconnect closes a connection, by a reset if byReset is true. The attempts on it count as cancelled, and their jobs
-// are withdrawn from the model. The lock is held.
+// are withdrawn from the model. Rig.mu must be locked.
 func (c *serverConn) disconnect(byReset bool) {
 	r := c.server.rig
 	if !c.server.conns[c] {
@@ -307,7 +307,7 @@
 }
 
 // endAttempt removes an attempt, and records its result with the log, the checker and the fleet's event log. It returns
-// the attempt, or nil if the tag is unknown. The lock is held.
+// the attempt, or nil if the tag is unknown. Rig.mu must be locked.
 func (r *Rig) endAttempt(tag uint64, result policy.Result) *attempt {
 	a := r.attempts[tag]
 	if a != nil {
@@ -321,7 +321,7 @@
 	return a
 }
 
-// queueAnswer queues an answer, or disconnects the peer if its queue is full. The lock is held.
+// queueAnswer queues an answer, or disconnects the peer if its queue is full. Rig.mu must be locked.
 func (c *serverConn) queueAnswer(b []byte) {
 	if !c.server.conns[c] {
 		return
@@ -386,7 +386,7 @@
 	}
 }
 
-// handleCommand handles one command of the meta protocol. The lock is held.
+// handleCommand handles one command of the meta protocol. Rig.mu must be locked.
 func (c *serverConn) handleCommand(command *meta.Command, fault *meta.Fault) {
 	r, s, now := c.server.rig, c.server, c.server.rig.now()
 	w := r.world.Servers[s.number]
@@ -419,8 +419,8 @@
 	c.queueAnswer([]byte("SERVER_ERROR busy\r\n"))
 }
 
-// handlePurge executes a delete or a flush, unless the cache is silent or has a fault that prevents it. The lock is
-// held.
+// handlePurge executes a delete or a flush, unless the cache is silent or has a fault that prevents it. Rig.mu must be
+// locked.
 func (c *serverConn) handlePurge(o cachestub.Command) {
 	r, s := c.server.rig, c.server
 	w := r.world.Servers[s.number]
@@ -438,7 +438,7 @@
 	}
 }
 
-// attemptArrived records that a server has received a complete attempt. The lock is held.
+// attemptArrived records that a server has received a complete attempt. Rig.mu must be locked.
 func (r *Rig) attemptArrived(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.AttemptArrived(now, server)
 	r.checker.AttemptArrived(now, now, id, server)
@@ -449,7 +449,7 @@
 
 // offerAttempt offers an attempt to the model of the server as a job. It returns false if the attempt is invalid or
 // the model rejects the job. items are the call's items "c" (class), "d" (timeout in milliseconds) and "k"
-// (idempotency key). The lock is held.
+// (idempotency key). Rig.mu must be locked.
 func (r *Rig) offerAttempt(s *server, id, key string, items []byte, isWrite bool, a *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
@@ -504,7 +504,7 @@
 	world.Failed:  policy.Errored,
 }
 
-// jobDone answers the attempt of a finished job. The lock is held.
+// jobDone answers the attempt of a finished job. Rig.mu must be locked.
 func (r *Rig) jobDone(d world.Done) {
 	a := r.endAttempt(d.Job.Tag, resultByReply[d.Reply])
 	if a == nil {
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/membership.go
@@ -22,14 +22,14 @@
 	View    *checker.Verdict `json:"view"`    // verdict on the views; nil if there were none
 }
 
-// newFleet checks the views of a run that ended at an instant. A pause of a process that is not longer than pause must
-// not change a view.
-func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
-	f := &Membership{Views: v, Library: v.Check(trace.Library, pause, end)}
+// newMembership checks the views of a run that ended at an instant. A pause of a process that is not longer than pause
+// must not change a view.
+func newMembership(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
+	m := &Membership{Views: v, Library: v.Check(trace.Library, pause, end)}
 	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.Kind == trace.View }) {
-		f.View = v.Check(trace.View, pause, end)
+		m.View = v.Check(trace.View, pause, end)
 	}
-	return f
+	return m
 }
 
 // memberRow renders a member list with one character per node, in the order of node numbers: the base-36 digit of a
@@ -48,29 +48,29 @@
 
 // print writes a row for each second in which the views changed, and the verdicts on the views. It does nothing without
 // views.
-func (f *Membership) print(to io.Writer, duration time.Duration) {
-	if f == nil {
+func (m *Membership) print(to io.Writer, duration time.Duration) {
+	if m == nil {
 		return
 	}
-	f.printMembers(to, policy.Instant(duration))
-	if rates := sendRates(f.Views); len(rates) > 0 {
+	m.printMembers(to, policy.Instant(duration))
+	if rates := sendRates(m.Views); len(rates) > 0 {
 		fmt.Fprintf(to, "datagrams between nodes: median %.0f, most %.0f bytes a second sent by a node\n",
 			percentile(rates, 0.5), rates[len(rates)-1])
 	}
-	printVerdict(to, "library", f.Library)
-	printVerdict(to, "view", f.View)
+	printVerdict(to, "library", m.Library)
+	printVerdict(to, "view", m.View)
 }
 
-func (f *Membership) printMembers(to io.Writer, end policy.Instant) {
+func (m *Membership) printMembers(to io.Writer, end policy.Instant) {
 	kind := trace.Library
-	if f.View != nil {
+	if m.View != nil {
 		kind = trace.View
 	}
 	fmt.Fprintf(to, "members by the %s of most nodes, one character per member, then nodes whose members differ; "+
 		"x: the node does not run, !: it reports that it may be partitioned\n", kind)
 	last := ""
 	for at := policy.Instant(0); at <= end; at += policy.Instant(time.Second) {
-		row := f.rowAt(at, kind)
+		row := m.rowAt(at, kind)
 		if row != last {
 			fmt.Fprintf(to, "%8.3f s  %s\n", time.Duration(at).Seconds(), row)
 		}
@@ -79,8 +79,8 @@
 }
 
 // rowAt renders the most common view at an instant, followed by the nodes with other views and these views.
-func (f *Membership) rowAt(at policy.Instant, kind string) string {
-	views := f.Views
+func (m *Membership) rowAt(at policy.Instant, kind string) string {
+	views := m.Views
 	nodesByCell := map[string][]string{}
 	for n := range views.Nodes {
 		name := checker.NameOf(n)
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -106,7 +106,8 @@
 	r.RecoveredAt = l.recovered(first, last)
 	if l.Views != nil {
 		views := l.Views.From(l.startedAt)
-		r.Membership = newFleet(views, scenario.SecondsToDuration(s.Membership.PauseS), policy.Instant(s.Duration()))
+		pause := scenario.SecondsToDuration(s.Membership.PauseS)
+		r.Membership = newMembership(views, pause, policy.Instant(s.Duration()))
 	}
 	if l.TriesSent > 0 && float64(l.Late) > maxLateShare*float64(l.TriesSent) {
 		r.MachineTooBusy = fmt.Sprintf(
