--- a/internal/emulator/realtime/rig_test.go
+++ b/internal/emulator/realtime/rig_test.go
@@ -86,7 +86,7 @@
 
 // stub is a router with one fault. It implements both Starter and Process.
 type stub struct {
-	fault     string // the fault, a key of the table of faulty routers; "" for none
+	fault     string // what it does wrong, a key of the table of faulty routers; "" for nothing
 	listener  net.Listener
 	done      chan struct{}
 	mu        sync.Mutex
