--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -559,7 +559,7 @@
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(in.URL.EscapedPath(), "/"))
 	if _, readErr := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || readErr != nil {
-		http.Error(out, "cannot read the request's path or body", http.StatusBadRequest)
+		http.Error(out, "what came can't be read", http.StatusBadRequest)
 		return
 	}
 	done, id := make(chan world.Done, 1), in.Header.Get("X-Call-Id")
