--- a/internal/emulator/realtime/httpcache.go
+++ b/internal/emulator/realtime/httpcache.go
@@ -11,23 +11,23 @@
 	"dahliapin/internal/wire/http1"
 )
 
-// The caches of the emulator that speak HTTP/1.1 follow RFC 9111: a stored value is served with its age, and a miss
-// of an only-if-cached request is answered by 504. With the fault "stale" a cache serves a response that is no longer
-// fresh.
+// Emulated HTTP/1.1 caches follow RFC 9111: they serve a stored value with its age, and answer an only-if-cached
+// request that misses with 504. A cache with the fault "stale" serves responses whose age exceeds their max-age.
 const (
 	maxAgeSeconds   = 60 // of stored responses
 	staleBody       = "what may not be served any more"
-	revalidateOneIn = 8 // one read in so many revalidates the value that its client has
+	revalidateOneIn = 8 // one read in 8, by a hash of its ID, revalidates a value that its client has
 )
 
-// handleHTTPRequest handles the first request in held and returns its size, or 0 if it is incomplete.
-func (c *serverConn) handleHTTPRequest(held []byte) (size int) {
-	r, s := c.server.rig, c.server
-	q, size, fault := http1.ReadRequest(held, maxCommandSize)
+// handleHTTPRequest handles the first request in the received bytes and returns its size, or 0 if it is incomplete or
+// invalid.
+func (c *serverConn) handleHTTPRequest(unparsed []byte) (size int) {
+	r, server := c.server.rig, c.server
+	q, size, fault := http1.ReadRequest(unparsed, maxCommandSize)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	w := r.world.Servers[s.number]
+	w := r.world.Servers[server.number]
 	id := string(q.Header(client.IDHeader))
 	switch {
 	case fault != nil:
@@ -36,7 +36,7 @@
 		return 0
 	case size == 0:
 		return 0
-	case w.Liveness == world.Silent || s.fault == "silent":
+	case w.Liveness == world.Silent || server.fault == "silent":
 		if w.Liveness == world.Up && id != "" {
 			r.attemptArrived(now, id, w.ID)
 		}
@@ -48,30 +48,36 @@
 		return size
 	}
 	target, err := url.PathUnescape(strings.TrimPrefix(string(q.Target), "/"))
-	if kept := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached"); err != nil || r.scenario.Allowed.Mode == "aside" && !kept {
-		r.checker.WrongAnswer(now, id, "a cache beside an origin received a request without only-if-cached, or an invalid key: "+string(q.Target))
+	onlyIfCached := strings.Contains(string(q.Header("Cache-Control")), "only-if-cached")
+	if err != nil || r.scenario.Allowed.Mode == "aside" && !onlyIfCached {
+		r.checker.WrongAnswer(now, id,
+			"a cache-aside cache received a request without only-if-cached, or with an invalid key: "+string(q.Target))
 	}
-	items := fmt.Sprintf("c=%s,d=%s,k=%s", q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
-	if !r.offerAttempt(s, id, target, []byte(items), string(q.Method) != http.MethodGet, &attempt{conn: c, etag: string(q.Header("If-None-Match"))}) {
+	items := fmt.Sprintf("c=%s,d=%s,k=%s",
+		q.Header(client.ClassHeader), q.Header(client.TimeoutHeader), q.Header(client.IdempotencyKeyHeader))
+	isWrite := string(q.Method) != http.MethodGet
+	received := &attempt{conn: c, etag: string(q.Header("If-None-Match"))}
+	if !r.offerAttempt(server, id, target, []byte(items), isWrite, received) {
 		c.queueAnswer(httpAnswer(http.StatusServiceUnavailable, "", "busy"))
 	}
 	return size
 }
 
 func httpAnswer(status int, headers, body string) []byte {
-	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
+	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status, http.StatusText(status), headers, len(body), body)
 }
 
-// httpCacheAnswer encodes a cache's answer in HTTP.
+// httpCacheAnswer encodes the HTTP response of a cache. tag is the If-None-Match header of the request.
 func httpCacheAnswer(d world.Done, stale bool, tag string) []byte {
-	kept := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
+	cacheHeaders := fmt.Sprintf("Cache-Control: max-age=%d\r\nAge: ", maxAgeSeconds)
 	switch {
 	case d.Reply == world.Value && stale:
-		return httpAnswer(http.StatusOK, kept+fmt.Sprint(maxAgeSeconds+1, "\r\n"), staleBody)
+		return httpAnswer(http.StatusOK, cacheHeaders+fmt.Sprint(maxAgeSeconds+1, "\r\n"), staleBody)
 	case d.Reply == world.Value && tag == client.ETag(d.Text):
-		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", kept, tag)
+		return fmt.Appendf(nil, "HTTP/1.1 304 Not Modified\r\n%s1\r\nETag: %s\r\n\r\n", cacheHeaders, tag)
 	case d.Reply == world.Value:
-		return httpAnswer(http.StatusOK, kept+"1\r\n", d.Text)
+		return httpAnswer(http.StatusOK, cacheHeaders+"1\r\n", d.Text)
 	case d.Reply == world.Receipt:
 		return httpAnswer(http.StatusOK, "", d.Text)
 	case d.Reply == world.Miss:
--- a/internal/emulator/realtime/membership.go
+++ b/internal/emulator/realtime/membership.go
@@ -16,16 +16,18 @@
 	"dahliapin/internal/proxy/eventlog"
 )
 
-const duplicateExitTimeout = 15 * time.Second // by which a process whose node name is taken must exit
+// duplicateExitTimeout is the time within which a process must exit if another process has its node name.
+const duplicateExitTimeout = 15 * time.Second
 
-// openLinks opens a forwarder for each ordered pair of nodes, if the scenario has nodes that are members of a fleet.
+// openLinks opens a listener of the fault forwarder for each ordered pair of nodes, if the nodes of the scenario are
+// members of a fleet.
 func (r *Rig) openLinks() error {
 	if r.scenario.Membership == nil {
 		return nil
 	}
 	r.bootTime = gossip.BootTime()
 	r.views = checker.NewViews(r.scenario.Fleet.Nodes)
-	r.faults = netfault.NewForwarder(netfault.New(uint32(r.scenario.Seed)))
+	r.forwarder = netfault.NewForwarder(netfault.New(uint32(r.scenario.Seed)))
 	for range r.scenario.Fleet.Nodes {
 		at, err := freeport.Free()
 		if err != nil {
@@ -33,37 +35,38 @@
 		}
 		r.gossipAddrs = append(r.gossipAddrs, at)
 	}
-	r.proxies = make([]map[string]string, len(r.gossipAddrs))
+	r.linkAddrs = make([]map[string]string, len(r.gossipAddrs))
 	for from := range r.gossipAddrs {
-		r.proxies[from] = map[string]string{}
+		r.linkAddrs[from] = map[string]string{}
 		for to, at := range r.gossipAddrs {
 			if from == to {
 				continue
 			}
-			link, err := r.faults.Listen(from, to, at)
+			link, err := r.forwarder.Listen(from, to, at)
 			if err != nil {
 				return err
 			}
-			r.proxies[from][at] = link
+			r.linkAddrs[from][at] = link
 		}
 	}
 	return nil
 }
 
-// fleetLabel is unique to the run, as nodes of another run may still send to a port that is reused here.
+// fleetLabel returns a fleet label that is unique to the run, as nodes of another run may still send to a port that
+// this run reuses.
 func (r *Rig) fleetLabel() string {
 	return fmt.Sprintf("%s-%d-%d", r.scenario.Name, os.Getpid(), r.bootTime)
 }
 
 // fleetConfig returns the fleet configuration of a node, or nil if nodes are not members of a fleet.
 func (r *Rig) fleetConfig(number int) []byte {
-	if r.faults == nil {
+	if r.forwarder == nil {
 		return nil
 	}
-	return r.scenario.FleetConfig(number, r.fleetLabel(), r.gossipAddrs, r.proxies[number])
+	return r.scenario.FleetConfig(number, r.fleetLabel(), r.gossipAddrs, r.linkAddrs[number])
 }
 
-// onTraceLine passes a line of a process's membership trace to the checker of views.
+// onTraceLine adds a line of a process's membership trace to the recorded views. It ignores invalid lines.
 func (r *Rig) onTraceLine(text []byte) {
 	var l trace.Line
 	if json.Unmarshal(text, &l) != nil {
@@ -76,24 +79,24 @@
 	}
 }
 
-// PauseNode stops a node's process or lets it continue. Its requests in flight are excused and clients send it no new
-// ones meanwhile: a load balancer would notice within moments, and the scenario is not about what a stopped node owes
-// its clients. The lock is held.
+// PauseNode stops a node's process or lets it continue. The requests in flight are excused, and clients send no new
+// ones while it is stopped, as a load balancer would detect the pause at once. The event tests membership, not answers
+// to clients. Rig.mu must be locked.
 func (r *Rig) PauseNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Pause) }
 
-// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. The lock is held.
+// HangNode blocks a node's event loop while the rest of its process runs, or lets it continue. Rig.mu must be locked.
 func (r *Rig) HangNode(number int, stop bool) { r.stopOrContinue(number, stop, Pauser.Hang) }
 
-// stopOrContinue implements PauseNode and HangNode. The lock is held.
+// stopOrContinue implements PauseNode and HangNode. Rig.mu must be locked.
 func (r *Rig) stopOrContinue(number int, stop bool, do func(Pauser, bool)) {
 	m := r.nodes[number]
-	p, can := m.process.(Pauser)
+	p, ok := m.process.(Pauser)
 	switch {
-	case !can:
-		r.failures = append(r.failures, m.name+" is embedded and cannot be stopped")
-		return
-	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process: // a new process was never stopped
+	case !ok:
+		r.failures = append(r.failures, m.name+": an embedded node cannot be stopped")
 		return
+	case m.ending, stop && m.stopped != nil, !stop && m.stopped != m.process:
+		return // ending, stopped already, or the current process was started after the stop
 	}
 	if m.stopped = nil; stop {
 		m.stopped, m.serving = m.process, false
@@ -113,8 +116,8 @@
 	}
 }
 
-// StartDuplicateNode starts another process with a node's name, at addresses of its own. It must exit by itself, as
-// the name is taken. The lock is held.
+// StartDuplicateNode starts another process with a node's name but other addresses. That process must exit by itself,
+// as the name is in use. Rig.mu must be locked.
 func (r *Rig) StartDuplicateNode(number int) {
 	m := r.nodes[number]
 	go func() {
@@ -126,39 +129,44 @@
 		select {
 		case <-p.Done():
 			if !strings.Contains(p.ExitReason(), "has the name") {
-				m.fail("its duplicate process exited for another reason: " + p.ExitReason())
+				m.fail("its duplicate process exited for another reason than its name: " + p.ExitReason())
 			}
 		case <-time.After(duplicateExitTimeout):
-			m.fail("its duplicate process does not exit in time; killing it")
+			m.fail(fmt.Sprintf("its duplicate process did not exit within %v; killing it", duplicateExitTimeout))
 			p.Kill()
 			<-p.Done()
 		}
 	}()
 }
 
-// startDuplicate starts a process with the node's name that no client connects to.
+// startDuplicate starts a process with the node's name. No client connects to it.
 func (m *member) startDuplicate() (Process, error) {
-	hears, err := freeport.Free()
+	gossipAddr, err := freeport.Free()
 	if err != nil {
 		return nil, err
 	}
-	serves, err := freeport.Free()
+	listenAddr, err := freeport.Free()
 	if err != nil {
 		return nil, err
 	}
-	configuration, err := m.configuration(serves)
+	configuration, err := m.configuration(listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	all := slices.Clone(m.rig.gossipAddrs)
-	all[m.number] = hears
-	return m.rig.starter.Start(NodeSpec{Name: m.name + "-twin", Configuration: configuration, Fleet: m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), all, nil),
-		OnRecord: func(eventlog.Event, time.Time) {}, OnTrace: func([]byte) {}})
+	gossipAddrs := slices.Clone(m.rig.gossipAddrs)
+	gossipAddrs[m.number] = gossipAddr
+	return m.rig.starter.Start(NodeSpec{
+		Name:          m.name + "-twin", // names its files only; the node's name is in the configuration
+		Configuration: configuration,
+		Fleet:         m.rig.scenario.FleetConfig(m.number, m.rig.fleetLabel(), gossipAddrs, nil),
+		OnRecord:      func(eventlog.Event, time.Time) {},
+		OnTrace:       func([]byte) {},
+	})
 }
 
-// ChangeLink changes what goes wrong from one node to another. The lock is held.
+// ChangeLink changes the faults of the link from one node to another. Rig.mu must be locked.
 func (r *Rig) ChangeLink(from, to int, change func(*netfault.Link)) {
-	r.faults.Change(from, to, func(link *netfault.Link) {
+	r.forwarder.Change(from, to, func(link *netfault.Link) {
 		was := link.Cut
 		if change(link); link.Cut != was {
 			r.views.RecordCut(r.now(), from, to, link.Cut)
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -25,19 +25,23 @@
 
 const (
 	epoch         = policy.Instant(time.Second)
-	rigSeedMask   = 0x0f1ee7               // keeps the rig's draws apart from those of the world
-	slack         = 50 * time.Millisecond  // for sockets and a busy machine, before a delay counts as a breach
-	startTimeout  = 20 * time.Second       // until all nodes serve
-	clientsLinger = 250 * time.Millisecond // during which clients still connect to a node that was told to end
-	stopSlack     = 2 * time.Second        // over the longest deadline, after which a node that was told to end is killed
-	pollInterval  = 20 * time.Millisecond
-
-	maxDeadlineAtStop = 3 * time.Second        // cap on the longest deadline, by the shutdown protocol
-	killDelay         = 700 * time.Millisecond // over that deadline, until the process may be killed
-	signalInterval    = 20 * time.Millisecond  // between signals in a row
+	rigSeedMask   = 0x0f1ee7               // makes the rig's random numbers differ from those of the world
+	slack         = 50 * time.Millisecond  // delay by sockets and a busy machine that is no breach
+	startTimeout  = 20 * time.Second       // for all nodes to be ready
+	clientsLinger = 250 * time.Millisecond // during which clients still connect to a terminating node
+	pollInterval  = 20 * time.Millisecond  // between checks of a node's readiness
+
+	// stopSlack is added to the longest deadline for the time after which a terminating node is killed.
+	stopSlack = 2 * time.Second
+	// maxDeadlineAtStop caps the longest deadline in the shutdown protocol.
+	maxDeadlineAtStop = 3 * time.Second
+	// killDelay is added to that deadline for the earliest time at which the process may be killed.
+	killDelay = 700 * time.Millisecond
+	// signalInterval is the time between successive signals to a process.
+	signalInterval = 20 * time.Millisecond
 )
 
-// Starter starts nodes.
+// Starter starts nodes, as processes or embedded.
 type Starter interface {
 	Start(NodeSpec) (Process, error)
 }
@@ -48,36 +52,36 @@
 	Configuration []byte
 	Operator      []byte                          // the operator's file; nil for none
 	Fleet         []byte                          // the fleet configuration; nil for a node without a fleet
-	OnRecord      func(eventlog.Event, time.Time) // called with each record of its event log, and the time of the record
+	OnRecord      func(eventlog.Event, time.Time) // called with each record of its event log and the record's time
 	OnTrace       func([]byte)                    // called with each line of its membership trace
 }
 
 // Process is a running node.
 type Process interface {
-	End()                  // tells it to end, as an operator does
-	Kill()                 // at once; an embedded node can only be told to end
-	Done() <-chan struct{} // closed once it has ended
-	ExitReason() string    // why it failed, once it has ended; "" for a normal exit
+	End()                  // tells it to terminate, as an operator does
+	Kill()                 // kills it; an embedded node is only asked to terminate
+	Done() <-chan struct{} // closed when it has exited
+	ExitReason() string    // why it failed, after Done is closed; "" for a normal exit
 }
 
 // Pauser is a process that can be stopped and continued.
 type Pauser interface {
-	Pause(stop bool)
-	Hang(stop bool) // stops its event loop only
+	Pause(stop bool) // stops the process or lets it continue
+	Hang(stop bool)  // blocks its event loop only, or lets it continue
 }
 
-// Reloader is a process that can be told to reload its configuration.
+// Reloader is a process that can be asked to reload its configuration.
 type Reloader interface {
 	Reload()
 }
 
-// Rig is one run. Its lock guards the model of the world and all that nodes, servers and clients report.
+// Rig is one run of a scenario. Its lock guards the model of the world and the reports of nodes, servers and clients.
 type Rig struct {
 	scenario   *scenario.Scenario
 	settings   settings.Settings
 	starter    Starter
 	startedAt  time.Time
-	onProgress func(string) // called with a line of progress each second; may be nil
+	onProgress func(string) // called each second with a line of progress; may be nil
 
 	mu             sync.Mutex
 	world          *world.World
@@ -88,29 +92,30 @@
 	coverage       *coverage.Tracker
 	run            *runner.Run
 	fleetRecorder  *eventlog.Recorder
-	queue          timerqueue.Queue[func()]
-	wake           chan struct{}
-	chance         keyhash.Source
+	queue          timerqueue.Queue[func()] // functions scheduled by At
+	wake           chan struct{}            // makes the clock recompute its next wakeup
+	random         keyhash.Source           // of the rig's random choices
 	registry       *world.Registry
-	servers        []*server
-	attempts       map[uint64]*attempt
-	lastTag        uint64
+	servers        []*server           // by number; nil for one that is not open
+	attempts       map[uint64]*attempt // by tag
+	lastTag        uint64              // of the attempt that arrived last
 	nodes          []*member
-	ejectedBy      map[policy.EndpointID]map[int]bool
-	listUp         chan struct{} // closed while discovery is up
-	pendingUpdates []policy.Endpoint
-	failures       []string
-	requests       sync.WaitGroup
-	faults         *netfault.Forwarder // nil unless nodes are members of a fleet
-	proxies        []map[string]string // by node: the forwarder's address for each address of another node
-	bootTime       policy.Instant      // the time of the machine's boot clock when the run began
-	gossipAddrs    []string            // where each node listens for the others
+	ejectedBy      map[policy.EndpointID]map[int]bool // nodes that have ejected an endpoint
+	discoveryReady chan struct{}                      // closed while discovery is up
+	pendingUpdates []policy.Endpoint                  // changes of the endpoint list while discovery is down
+	failures       []string                           // of nodes and the rig; each fails the run
+	requests       sync.WaitGroup                     // requests without a response
+	forwarder      *netfault.Forwarder                // nil unless nodes are members of a fleet
+	linkAddrs      []map[string]string                // by sender: from a node's address to the forwarder's
+	bootTime       policy.Instant                     // of the machine's boot clock when the run began
+	gossipAddrs    []string                           // of the nodes' gossip listeners, by node
 	views          *checker.Views
-	closing        bool // no node is started any more
-	stopped        bool // the model of the world does not change any more
+	closing        bool // no node may be started
+	stopped        bool // the model of the world must not change
 }
 
-// Run plays a scenario on sockets and returns its report. A cancelled context ends the run early, without a report.
+// Run runs a scenario on sockets and returns its report. If the context is cancelled, it stops the run and returns the
+// context's error without a report. progress is called each second with a line of progress; it may be nil.
 func Run(ctx context.Context, s *scenario.Scenario, starter Starter, progress func(string)) (*report.Report, error) {
 	deployment, err := s.DecodedSettings(s.Fleet.Zones[0])
 	if err != nil {
@@ -138,7 +143,7 @@
 	if err := r.sendTraffic(ctx, start); err != nil {
 		return nil, err
 	}
-	select { // requests sent last have not reached their deadlines
+	select { // the last requests may still be in flight until their deadlines
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(deployment.LongestDeadline + 2*slack):
@@ -146,28 +151,29 @@
 	return r.report(), nil
 }
 
-// errVirtualOnly is returned for a scenario that needs what only the simulation has.
+// errVirtualOnly is returned for a scenario with settings that only the simulation supports.
 var errVirtualOnly = errors.New(
-	"uneven traffic of nodes, late connections and lost answers are not there: this script plays in virtual time only")
+	"traffic.skew, network.late_share and network.lost_share are not supported on sockets: " +
+		"the scenario runs in virtual time only")
 
 func newRig(s *scenario.Scenario, deployment settings.Settings, starter Starter, progress func(string)) *Rig {
 	up := make(chan struct{})
 	close(up)
 	r := &Rig{
-		registry:   s.Registry(),
-		scenario:   s,
-		settings:   deployment,
-		starter:    starter,
-		startedAt:  time.Now(),
-		onProgress: progress,
-		wake:       make(chan struct{}, 1),
-		attempts:   map[uint64]*attempt{},
-		ejectedBy:  map[policy.EndpointID]map[int]bool{},
-		listUp:     up,
-		chance:     keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
-		log:        report.NewLog(s, epoch),
-		coverage:   coverage.NewTracker(s.Fleet.Nodes),
-		traffic:    world.NewTraffic(s.TrafficPlan()),
+		registry:       s.Registry(),
+		scenario:       s,
+		settings:       deployment,
+		starter:        starter,
+		startedAt:      time.Now(),
+		onProgress:     progress,
+		wake:           make(chan struct{}, 1),
+		attempts:       map[uint64]*attempt{},
+		ejectedBy:      map[policy.EndpointID]map[int]bool{},
+		discoveryReady: up,
+		random:         keyhash.Source{Seed: uint32(s.Seed) ^ rigSeedMask},
+		log:            report.NewLog(s, epoch),
+		coverage:       coverage.NewTracker(s.Fleet.Nodes),
+		traffic:        world.NewTraffic(s.TrafficPlan()),
 	}
 	r.checker = checker.New(checker.Rules{
 		Classes:        deployment.Policy.Classes,
@@ -182,7 +188,7 @@
 	return r
 }
 
-// openServers opens a listener for each server, and fills the caches where the scenario has them warm.
+// openServers opens a listener for each server, and fills the caches if the scenario starts with warm ones.
 func (r *Rig) openServers() error {
 	for i := range r.world.Servers {
 		if err := r.openServer(i); err != nil {
@@ -209,7 +215,7 @@
 	return nil
 }
 
-// begin starts the scenario's time: from now on its events are played and its log is kept.
+// begin starts the scenario's events and its log, and returns the instant at which the scenario's time starts.
 func (r *Rig) begin() policy.Instant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,15 +230,15 @@
 	return start
 }
 
-// report ends the checks and makes the report.
+// report completes the checks and creates the report.
 func (r *Rig) report() *report.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.checker.Advance(r.now().Add(time.Hour)) // a request without an answer by now counts as lost
+	r.checker.Advance(r.now().Add(time.Hour)) // counts requests without an answer as breaches
 	result := report.New(r.scenario, "sockets", "module", r.world, r.checker, r.log, r.run.First, r.run.Last)
 	result.Coverage = r.coverage.Table
-	for _, how := range r.failures {
-		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: how})
+	for _, failure := range r.failures {
+		result.Expected = append(result.Expected, report.Expected{What: "no node ends by itself", Got: failure})
 	}
 	return result
 }
@@ -243,7 +249,7 @@
 
 func (r *Rig) at(t time.Time) policy.Instant { return epoch.Add(t.Sub(r.startedAt)) }
 
-// clock runs the due functions and jobs under the lock, and sleeps in between.
+// clock runs due functions and jobs under the lock, and sleeps until the next one is due, until the run is stopped.
 func (r *Rig) clock() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -264,10 +270,10 @@
 		r.world.Advance(now, r.jobDone)
 		r.checker.Advance(now)
 		next := now.Add(time.Second)
-		if at, any := r.queue.Next(); any {
+		if at, ok := r.queue.Next(); ok {
 			next = min(next, at)
 		}
-		if at, any := r.world.Next(); any {
+		if at, ok := r.world.Next(); ok {
 			next = min(next, at)
 		}
 		r.mu.Unlock()
@@ -279,7 +285,7 @@
 	}
 }
 
-// wakeClock has the clock compute anew what is due next.
+// wakeClock makes the clock recompute what is due next.
 func (r *Rig) wakeClock() {
 	select {
 	case r.wake <- struct{}{}:
@@ -287,22 +293,22 @@
 	}
 }
 
-// At schedules a function, which is called under the lock.
+// At schedules a function, which the clock calls with Rig.mu locked. The caller must have locked it too.
 func (r *Rig) At(at policy.Instant, do func()) {
 	r.queue.Push(at, do)
 	r.wakeClock()
 }
 
-// warmCaches puts keys where the policy module would route them.
+// warmCaches fills each cache with the keys that the policy module routes to it.
 func (r *Rig) warmCaches() {
 	p := policy.New(epoch, r.scenario.Seed, r.settings.Policy)
 	p.UpdateEndpoints(epoch, policy.CompleteUpdate, runner.Endpoints(r.world))
 	world.WarmCaches(r.world, p.Route, epoch, r.traffic, r.scenario.Fleet.Keys*r.scenario.Fleet.Caches)
 }
 
-// awaitReady waits until all nodes accept requests.
+// awaitReady waits until all nodes are ready for requests.
 func (r *Rig) awaitReady(ctx context.Context) error {
-	by := time.Now().Add(startTimeout)
+	deadline := time.Now().Add(startTimeout)
 	for _, m := range r.nodes {
 		for !m.pool.Ready() {
 			select {
@@ -312,7 +318,7 @@
 				return fmt.Errorf("node %s exited before it was ready: %s", m.name, m.process.ExitReason())
 			case <-time.After(pollInterval):
 			}
-			if time.Now().After(by) {
+			if time.Now().After(deadline) {
 				return fmt.Errorf("node %s was not ready within %v", m.name, startTimeout)
 			}
 		}
@@ -324,8 +330,8 @@
 	return nil
 }
 
-// sendTraffic sends the scenario's requests in an open loop: each is sent at its time, whatever became of earlier
-// ones.
+// sendTraffic sends the scenario's requests in an open loop: each is sent at its time, independent of the responses to
+// earlier ones.
 func (r *Rig) sendTraffic(ctx context.Context, start policy.Instant) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -342,7 +348,7 @@
 		case <-timer.C:
 		}
 		r.mu.Lock()
-		// Waves and seconds of traffic follow the scenario's time, not the time of sending.
+		// Requests are drawn and counted for their scheduled time, not for the time at which they are sent.
 		for now := r.now(); at <= now && at < end; {
 			req := r.traffic.Draw(at)
 			r.sendRequest(req, at, true)
@@ -361,7 +367,7 @@
 	return nil
 }
 
-// progress formats the line on the second that has just ended.
+// progress returns a line of progress for the second that has just ended.
 func (r *Rig) progress(second int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -370,30 +376,31 @@
 		second, r.scenario.Seconds, last.Asked, last.InTime, last.Attempts, last.OriginAttempts, r.checker.Breached())
 }
 
-// sendRequest sends one try of a client to a node. The lock is held.
+// sendRequest sends one try of a client to a random node that accepts requests. If there is none, the try counts as
+// cut. Rig.mu must be locked.
 func (r *Rig) sendRequest(req world.Request, first policy.Instant, isFirst bool) {
 	r.log.RequestSent(req.Sent, isFirst)
-	var up []*member
+	var available []*member
 	for _, m := range r.nodes {
 		if m.serving || m.reuseOnly && m.pool.HasIdle() {
-			up = append(up, m)
+			available = append(available, m)
 		}
 	}
 	g := &r.traffic.Classes[req.Class]
-	if len(up) == 0 {
+	if len(available) == 0 {
 		t := &r.checker.Classes[req.Class]
 		if t.Asked, t.Cut = t.Asked+1, t.Cut+1; isFirst {
 			t.First++
 		}
 		return
 	}
-	m := up[int(r.chance.Float64()*float64(len(up)))]
-	now, life := r.now(), m.freshStarts
+	m := available[int(r.random.Float64()*float64(len(available)))]
+	now, freshStarts := r.now(), m.freshStarts
 	m.counts.pending++
 	m.inFlight[req.ID] = true
 	r.coverage.RequestSent(m.number, req.ID, g.Idempotency)
 	r.checker.RequestSent(now, req.ID, m.number, req.Class, req.Label, now.Add(req.Deadline), isFirst)
-	sent := &client.Request{
+	request := &client.Request{
 		ID:             req.ID,
 		Key:            req.Key,
 		IdempotencyKey: req.Label,
@@ -405,33 +412,35 @@
 		ReuseOnly:      !m.serving,
 	}
 	if g.Write {
-		sent.Value = world.ValueOf(req.Key)
+		request.Value = world.ValueOf(req.Key)
 	}
 	if m.pool.HTTP && !g.Write && crc32.ChecksumIEEE([]byte(req.ID))%revalidateOneIn == 0 {
-		sent.CachedValue = world.ValueOf(req.Key)
+		request.CachedValue = world.ValueOf(req.Key)
 	}
 	r.requests.Add(1)
-	m.pool.Send(sent, func(got client.Response) {
+	m.pool.Send(request, func(response client.Response) {
 		defer r.requests.Done()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.onResponse(m, life, req, first, got)
+		r.onResponse(m, freshStarts, req, first, response)
 	})
 }
 
-// onResponse records the response to a try, and schedules the client's retry. The lock is held.
-func (r *Rig) onResponse(m *member, life int, req world.Request, first policy.Instant, got client.Response) {
+// onResponse records the response to a try, and schedules the client's retry. Rig.mu must be locked.
+func (r *Rig) onResponse(
+	m *member, startsAtSend int, req world.Request, first policy.Instant, response client.Response,
+) {
 	if r.stopped {
 		return
 	}
 	delete(m.inFlight, req.ID)
 	r.coverage.RequestEnded(m.number, req.ID)
-	g, now := &r.traffic.Classes[req.Class], r.at(got.ReceivedAt)
-	if got.Unsolicited {
+	g, now := &r.traffic.Classes[req.Class], r.at(response.ReceivedAt)
+	if response.Unsolicited {
 		r.checker.WrongAnswer(now, "", "a connection received bytes beyond one answer per request")
 	}
 	switch {
-	case got.NotSent: // no node has received it; it counts as cut off and is not retried
+	case response.NotSent: // no node has received it; it counts as cut and is not retried
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
@@ -439,32 +448,33 @@
 		delete(m.excused, req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
-	case got.Abandoned:
+	case response.Abandoned:
 		r.checker.ClientGone(now, req.ID)
 		return
-	case got.Silent: // the checker counts it as lost at its deadline
+	case response.Silent: // the checker reports it at its deadline
 		return
-	case got.Final == checker.Cut && m.freshStarts != life || got.Final == checker.Cut && m.killed:
+	case response.Final == checker.Cut && m.freshStarts != startsAtSend || response.Final == checker.Cut && m.killed:
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 	default:
-		m.counts.requestFinished(g.Name, got.Final)
-		if got.Final == checker.Satisfied && !g.Write && got.Value != r.scenario.Value(world.ValueOf(req.Key)) {
-			got.InvalidReason = fmt.Sprintf("the value of %s is %.99q", req.Key, got.Value)
+		m.counts.requestFinished(g.Name, response.Final)
+		if response.Final == checker.Satisfied && !g.Write &&
+			response.Value != r.scenario.Value(world.ValueOf(req.Key)) {
+			response.InvalidReason = fmt.Sprintf("the value of %s is %.99q", req.Key, response.Value)
 		}
-		if got.InvalidReason != "" {
-			r.checker.WrongAnswer(now, req.ID, got.InvalidReason)
+		if response.InvalidReason != "" {
+			r.checker.WrongAnswer(now, req.ID, response.InvalidReason)
 		}
-		r.checker.Answered(now, req.ID, got.Final)
+		r.checker.Answered(now, req.ID, response.Final)
 	}
-	if got.Final == checker.Satisfied {
+	if response.Final == checker.Satisfied {
 		if now.Since(first) <= g.LatencyObjective {
 			r.checker.Served(req.Class)
 			r.log.InTime(first)
 		}
 		return
 	}
-	if next, at, ok := r.traffic.Retry(now, req, got.Final == checker.Rejected, got.RetryAfter); ok {
+	if next, at, ok := r.traffic.Retry(now, req, response.Final == checker.Rejected, response.RetryAfter); ok {
 		r.At(at, func() {
 			if !r.stopped {
 				next.Sent = r.now()
@@ -474,25 +484,25 @@
 	}
 }
 
-// EventBegan records with the coverage table what an event coincides with, until its end. The lock is held in both
-// calls.
+// EventBegan records the coverage of an event: the phases and requests of the affected nodes until the returned
+// function is called. Rig.mu must be locked in both calls.
 func (r *Rig) EventBegan(e *scenario.Event) (ended func()) {
 	return r.coverage.FaultBegan(e.FaultName(), r.scenario.ConcernedNodes(e))
 }
 
-// LogEvent adds a line to the log of the run.
+// LogEvent adds a line to the log of the run. Rig.mu must be locked.
 func (r *Rig) LogEvent(now policy.Instant, what string) { r.log.AddEvent(now, what) }
 
-// Registry is the model of the capacity of discovery.
+// Registry returns the model of the capacity of discovery.
 func (r *Rig) Registry() *world.Registry { return r.registry }
 
-// SetDiscovery takes discovery down or up; changes that were held back are then published. The lock is held.
+// SetDiscovery takes discovery down, or up again, and then publishes the changes since. Rig.mu must be locked.
 func (r *Rig) SetDiscovery(up bool) {
 	if !up {
-		r.listUp = make(chan struct{})
+		r.discoveryReady = make(chan struct{})
 		return
 	}
-	close(r.listUp)
+	close(r.discoveryReady)
 	for _, e := range r.pendingUpdates {
 		r.EndpointChanged(e)
 	}
@@ -501,15 +511,15 @@
 
 func (r *Rig) discoveryDown() bool {
 	select {
-	case <-r.listUp:
+	case <-r.discoveryReady:
 		return false
 	default:
 		return true
 	}
 }
 
-// EndpointChanged publishes a change of the endpoint list to each node's agent, each after a delay of its own. The
-// lock is held.
+// EndpointChanged publishes a change of the endpoint list to each node's agent after a random delay, which differs
+// between nodes. Rig.mu must be locked.
 func (r *Rig) EndpointChanged(e policy.Endpoint) {
 	if i, ok := r.world.Find(e.ID); ok {
 		r.updateListener(i)
@@ -519,9 +529,9 @@
 		return
 	}
 	for _, m := range r.nodes {
-		span := r.scenario.Discovery.NoticeS
-		late := scenario.SecondsToDuration(span[0] + (span[1]-span[0])*r.chance.Float64())
-		r.At(r.now().Add(late), func() { m.agent.addChange(e) })
+		delayRange := r.scenario.Discovery.NoticeS
+		delay := scenario.SecondsToDuration(delayRange[0] + (delayRange[1]-delayRange[0])*r.random.Float64())
+		r.At(r.now().Add(delay), func() { m.agent.addChange(e) })
 	}
 	if r.fleetRecorder != nil {
 		r.At(r.now().Add(scenario.SecondsToDuration(r.scenario.Discovery.NoticeS[0])), func() {
@@ -530,8 +540,8 @@
 	}
 }
 
-// onRecord takes a record of a node's event log. The fleet as a whole has ejected an endpoint once most of its nodes
-// have.
+// onRecord adds a record of a node's event log to the run's log. It also maintains the event log of the fleet, in which
+// an endpoint is ejected once more than half of the nodes have ejected it.
 func (r *Rig) onRecord(number int, e eventlog.Event, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -540,7 +550,7 @@
 	}
 	e.At = r.at(at)
 	r.log.AddRecord(e)
-	s, known := ejectionStates[e.Reason]
+	state, known := ejectionStates[e.Reason]
 	if !known || e.Kind != eventlog.EndpointAvoided && e.Kind != eventlog.EndpointRestored {
 		return
 	}
@@ -549,19 +559,23 @@
 	}
 	if e.Kind == eventlog.EndpointRestored {
 		delete(r.ejectedBy[e.Server], number)
-		s = policy.StateInUse
+		state = policy.StateInUse
 	} else {
 		r.ejectedBy[e.Server][number] = true
 	}
-	if most := 2*len(r.ejectedBy[e.Server]) > len(r.nodes); most || e.Kind == eventlog.EndpointRestored {
-		r.fleetRecorder.EndpointStateChanged(e.At, e.Server, s)
+	if majority := 2*len(r.ejectedBy[e.Server]) > len(r.nodes); majority || e.Kind == eventlog.EndpointRestored {
+		r.fleetRecorder.EndpointStateChanged(e.At, e.Server, state)
 	}
 }
 
-var ejectionStates = map[string]policy.EndpointState{policy.StateUnresponsive.String(): policy.StateUnresponsive, policy.StateUnreachable.String(): policy.StateUnreachable,
-	policy.StateFailing.String(): policy.StateFailing}
+// ejectionStates maps the reasons of ejections in event logs to endpoint states.
+var ejectionStates = map[string]policy.EndpointState{
+	policy.StateUnresponsive.String(): policy.StateUnresponsive,
+	policy.StateUnreachable.String():  policy.StateUnreachable,
+	policy.StateFailing.String():      policy.StateFailing,
+}
 
-// close ends all nodes, servers and clients, and waits for the requests.
+// close stops all nodes, servers and clients, and waits until the responses to all requests are handled.
 func (r *Rig) close() {
 	r.mu.Lock()
 	r.closing = true
@@ -575,7 +589,7 @@
 		s.close()
 	}
 	if r.discoveryDown() {
-		close(r.listUp)
+		close(r.discoveryReady)
 	}
 	nodes := r.nodes
 	r.mu.Unlock()
@@ -584,8 +598,8 @@
 		m.pool.Close()
 		m.agent.close()
 	}
-	if r.faults != nil {
-		r.faults.Close()
+	if r.forwarder != nil {
+		r.forwarder.Close()
 	}
 	r.requests.Wait()
 }
--- a/internal/emulator/realtime/onwire_test.go
+++ b/internal/emulator/realtime/rig_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -83,15 +84,15 @@
 	return s
 }
 
-// stub is a router with one fault. It is the Starter and the Process of itself.
+// stub is a router with one fault. It implements both Starter and Process.
 type stub struct {
-	wrong string
-	l     net.Listener
-	done  chan struct{}
-	mu    sync.Mutex
-	addrs map[string]string // of servers, by id; removed ones are kept
-	last  string            // id of the server that was listed last
-	end   sync.Once
+	fault     string // what it does wrong, a key of the table of faulty routers; "" for nothing
+	listener  net.Listener
+	done      chan struct{}
+	mu        sync.Mutex
+	addrs     map[string]string // addresses of servers by ID, including removed ones
+	last      string            // ID of the server that was added to the list last
+	closeOnce sync.Once
 }
 
 func (s *stub) Start(o NodeSpec) (Process, error) {
@@ -101,16 +102,16 @@
 		return nil, err
 	}
 	var err error
-	if s.l, err = net.Listen("tcp", c.Listen); err != nil {
+	if s.listener, err = net.Listen("tcp", c.Listen); err != nil {
 		return nil, err
 	}
 	s.done, s.addrs = make(chan struct{}), map[string]string{}
-	heard := make(chan bool)
-	go s.follow(c.Discovery, heard)
-	<-heard
+	listed := make(chan bool)
+	go s.watchList(c.Discovery, listed)
+	<-listed
 	go func() {
 		for {
-			conn, err := s.l.Accept()
+			conn, err := s.listener.Accept()
 			if err != nil {
 				return
 			}
@@ -120,12 +121,13 @@
 	return s, nil
 }
 
-func (s *stub) End()                  { s.end.Do(func() { s.l.Close(); close(s.done) }) }
+func (s *stub) End()                  { s.closeOnce.Do(func() { s.listener.Close(); close(s.done) }) }
 func (s *stub) Kill()                 { s.End() }
 func (s *stub) Done() <-chan struct{} { return s.done }
 func (s *stub) ExitReason() string    { return "a stub ended" }
 
-func (s *stub) follow(addr string, heard chan bool) {
+// watchList polls the endpoint list of an agent, and closes a channel when it has the complete list.
+func (s *stub) watchList(addr string, listed chan bool) {
 	since := ""
 	for {
 		resp, err := http.Get("http://" + addr + "/registry/instances" + since)
@@ -150,12 +152,13 @@
 		}
 		s.mu.Unlock()
 		if since == "" {
-			close(heard)
+			close(listed)
 		}
 		since = fmt.Sprintf("?since=%d&timeout_ms=1000", list.Generation)
 	}
 }
 
+// addr returns the address of a server, or that of the server that was added last for the ID "last".
 func (s *stub) addr(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +168,8 @@
 	return s.addrs[id]
 }
 
-// sendAttempt sends a command to a cache or the origin and returns the answer for the client.
+// sendAttempt sends a command to a cache or the origin and returns the answer for the client. A miss is sent to the
+// origin.
 func (s *stub) sendAttempt(to string, c *meta.Command) string {
 	if items, _ := meta.Flag(c.Flags, 'P'); to == "origin" {
 		method := http.MethodGet
@@ -208,17 +212,18 @@
 	return line
 }
 
+// serve answers the commands of a client.
 func (s *stub) serve(conn net.Conn) {
 	defer conn.Close()
-	var held []byte
+	var unparsed []byte
 	for in := make([]byte, 4096); ; {
 		n, err := conn.Read(in)
 		if err != nil {
 			return
 		}
-		held = append(held, in[:n]...)
+		unparsed = append(unparsed, in[:n]...)
 		for {
-			c, size, _ := meta.ReadCommand(held)
+			c, size, _ := meta.ReadCommand(unparsed)
 			if size == 0 {
 				break
 			}
@@ -227,97 +232,114 @@
 			} else {
 				io.WriteString(conn, s.answer(&c))
 			}
-			held = held[size:]
+			unparsed = unparsed[size:]
 		}
 	}
 }
 
+// answer returns the answer to a command, after the stub's fault.
 func (s *stub) answer(c *meta.Command) string {
 	items, _ := meta.Flag(c.Flags, 'P')
-	grade, _ := meta.Item(items, "c")
-	read, mark, pay := string(grade) == "read", string(grade) == "mark", string(grade) == "pay"
-	well := func() string {
+	class, _ := meta.Item(items, "c")
+	read, mark, pay := string(class) == "read", string(class) == "mark", string(class) == "pay"
+	route := func() string {
 		if read {
 			return s.sendAttempt("c1", c)
 		}
 		return s.sendAttempt("origin", c)
 	}
 	switch {
-	case s.wrong == "answers twice" && read:
-		return strings.Repeat(well(), 2)
-	case s.wrong == "answers late" && read:
+	case s.fault == "answers twice" && read:
+		return strings.Repeat(route(), 2)
+	case s.fault == "answers late" && read:
 		time.Sleep(380 * time.Millisecond)
-	case s.wrong == "never answers" && read:
+	case s.fault == "never answers" && read:
 		return ""
-	case s.wrong == "makes a value up" && read:
+	case s.fault == "invents a value" && read:
 		return string(meta.AppendValue(nil, c.ID, []byte("v:none")))
-	case s.wrong == "sends on after the answer" && read:
+	case s.fault == "sends an attempt after the answer" && read:
 		go func() { time.Sleep(120 * time.Millisecond); s.sendAttempt("c2", c) }()
 		return "SERVER_ERROR failed\r\n"
-	case s.wrong == "repeats what can't be undone" && pay:
-		well()
-	case s.wrong == "rejects what ran" && pay:
-		well()
+	case s.fault == "repeats an irreversible write" && pay:
+		route()
+	case s.fault == "rejects a request that was executed" && pay:
+		route()
 		return "SERVER_ERROR busy\r\n"
-	case s.wrong == "repeats a labelled write beyond its window" && mark:
-		well()
+	case s.fault == "repeats a write after its deduplication window" && mark:
+		route()
 		time.Sleep(600 * time.Millisecond)
-	case s.wrong == "" && mark: // within the window the origin drops it
-		well()
-	case s.wrong == "sends on for who has left" && read:
+	case s.fault == "" && mark: // the origin deduplicates a write that is repeated within the window
+		route()
+	case s.fault == "sends an attempt after the client has left" && read:
 		time.Sleep(250 * time.Millisecond)
-	case s.wrong == "sends a second beside the first" && read:
+	case s.fault == "sends a second attempt beside the first" && read:
 		go s.sendAttempt("c2", c)
 		go s.sendAttempt("c3", c)
-	case s.wrong == "sends to one that drains" && read:
+	case s.fault == "sends to a draining cache" && read:
 		return s.sendAttempt("c4", c)
-	case s.wrong == "pushes a cold cache over" && read:
+	case s.fault == "overloads a cold cache" && read:
 		return s.sendAttempt("last", c)
 	}
-	return well()
+	return route()
 }
 
-// Rehearsals call a node good by the checker's verdict alone. So the checker must report each of these faulty routers
-// by the rule that it breaks, and report nothing for the one without a fault.
+// The checker's verdict alone decides whether a rehearsal passes. It must therefore report each faulty router under the
+// rule that the router breaks, and nothing for the router without a fault.
 func TestCheckerReportsEachBrokenRouterByItsRule(t *testing.T) {
-	for wrong, rule := range map[string]int{"": 0, "answers twice": 1, "answers late": 1, "never answers": 1, "makes a value up": 1,
-		"sends on after the answer": 1, "repeats what can't be undone": 2, "rejects what ran": 2,
-		"repeats a labelled write beyond its window": 2, "sends a second beside the first": 2, "sends to one that drains": 3,
-		"pushes a cold cache over": 4, "sends on for who has left": 1} {
-		t.Run("who "+wrong, func(t *testing.T) {
-			// The router without a fault and the one for rule 4 need their rate kept: they run before the others.
+	for fault, rule := range map[string]int{
+		"":                                  0,
+		"answers twice":                     1,
+		"answers late":                      1,
+		"never answers":                     1,
+		"invents a value":                   1,
+		"sends an attempt after the answer": 1,
+		"sends an attempt after the client has left":     1,
+		"repeats an irreversible write":                  2,
+		"rejects a request that was executed":            2,
+		"repeats a write after its deduplication window": 2,
+		"sends a second attempt beside the first":        2,
+		"sends to a draining cache":                      3,
+		"overloads a cold cache":                         4,
+	} {
+		t.Run("router "+cmp.Or(fault, "without a fault"), func(t *testing.T) {
+			// The router without a fault and the one that breaks rule 4 must keep the request rate. They do not run in
+			// parallel with the others.
 			if rule%4 > 0 {
 				t.Parallel()
 			}
-			s := parse(t, baseScenario+map[int]string{3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
-				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n"}[rule])
-			if rule == 2 && strings.Contains(wrong, "second") { // the first attempt must last long enough to overlap the second
+			s := parse(t, baseScenario+map[int]string{
+				3: "[[event]]\nat_s = 0.3\ndo = \"drain\"\ncaches = [\"c4\"]\nfor_s = 9\n",
+				4: "[[event]]\nat_s = 0.2\ndo = \"add\"\n",
+			}[rule])
+			// The first attempt must last long enough to overlap the second.
+			if rule == 2 && strings.Contains(fault, "second") {
 				s.Classes[0].WorkMs = 120
 				s.Traffic.PerSecond = 20
 			}
-			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(wrong, "left") {
+			if s.Traffic.Leaves, s.Traffic.LeaveMs = 0.3, 100; strings.Contains(fault, "left") {
 				s.Traffic.Leaves, s.Classes[0].HardMs = 1, 2000 // no request may be answered after its deadline
 			}
 			if s.Fleet.Queue = 1000; rule == 4 {
 				s.Fleet.FallMultiple = 1.2
 			}
-			r, err := Run(context.Background(), s, &stub{wrong: wrong}, nil)
+			r, err := Run(context.Background(), s, &stub{fault: fault}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if rule == 0 && r.Rules != [4]uint64{} || rule > 0 && r.Rules[rule-1] == 0 {
-				t.Errorf("%v, %v", r.Rules, r.Breaches[:min(5, len(r.Breaches))])
+				t.Errorf("breaches by rule %v, want some of rule %d only if that is not 0; first breaches: %v",
+					r.Rules, rule, r.Breaches[:min(5, len(r.Breaches))])
 			}
 			if rule > 0 && r.Passed() {
-				t.Error("the report is good")
+				t.Error("the run of a faulty router passed")
 			}
 		})
 	}
 }
 
-// An embedded node keeps the rules through connection faults, a silent cache, a killed one and a planned restart. By
-// HTTP one cache also answers with responses that are no longer fresh.
-func TestNodeKeepsRulesThroughFaultsOnSockets(t *testing.T) {
+// An embedded node breaks no rule while connections are reset or closed in the middle of an answer, a cache is silent,
+// a node restarts and a cache is killed. With HTTP, one cache serves stale responses instead of resetting connections.
+func TestNodeBreaksNoRuleThroughFaults(t *testing.T) {
 	const faults = `
 [[event]]
 at_s = 0.5
@@ -347,8 +369,11 @@
 for_s = 0.5
 `
 	plain := strings.Replace(baseScenario, "seconds = 3", "seconds = 6", 1) + faults
-	for name, text := range map[string]string{"meta": plain, "http": strings.NewReplacer("[fleet]", "[fleet]\nprotocol = \"http\"",
-		"[traffic]", "[traffic]\nprotocol = \"http\"", "\"reset\"", "\"stale\"").Replace(plain)} {
+	overHTTP := strings.NewReplacer(
+		"[fleet]", "[fleet]\nprotocol = \"http\"",
+		"[traffic]", "[traffic]\nprotocol = \"http\"",
+		"\"reset\"", "\"stale\"")
+	for name, text := range map[string]string{"meta": plain, "http": overHTTP.Replace(plain)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r, err := Run(context.Background(), parse(t, text), Embedded{}, nil)
@@ -356,16 +381,18 @@
 				t.Fatal(err)
 			}
 			if r.Rules != [4]uint64{} {
-				t.Errorf("%v: %v", r.Rules, r.Breaches)
+				t.Errorf("breaches by rule %v, want none: %v", r.Rules, r.Breaches)
 			}
 			if r.Classes[0].Asked < 300 || r.Classes[0].InTime < 0.8 || len(r.Events) != 5 {
-				t.Errorf("%+v, %v", r.Classes, r.Events)
+				t.Errorf("too few requests sent or satisfied, or not five events: %+v, %v", r.Classes, r.Events)
 			}
-			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 { // the delay is checked in virtual time only
-				t.Errorf("c3 is avoided at %v, silent from 1.8 on", at)
+			// Only tests in virtual time check how soon after 1.8 s the silent cache is ejected.
+			if at := r.FirstRecordAt("c3", eventlog.EndpointAvoided); at < 1.8 {
+				t.Errorf("c3 is ejected at %v s (-1: never), want at 1.8 s or later, when it becomes silent", at)
 			}
 			met := r.Coverage
-			if met.PhaseCount("node_restart", coverage.Serving) != 1 || met.PhaseCount("silent", coverage.Draining) != 1 {
+			if met.PhaseCount("node_restart", coverage.Serving) != 1 ||
+				met.PhaseCount("silent", coverage.Draining) != 1 {
 				t.Errorf("coverage of the faults is not counted: %v", met.Uncovered())
 			}
 			if met.InFlight("silent", policy.Idempotent) == 0 || met.PhaseCount("kill", coverage.Standby) != 0 {
@@ -375,66 +402,76 @@
 	}
 }
 
-// A cancelled run returns the context's error, ends its node and closes all listeners. A run whose node exits by
-// itself is reported as failed.
-func TestCancelledOrFailedRunLeavesNothingBehind(t *testing.T) {
+// A cancelled run returns the context's error, stops its node and closes all listeners. A run whose node exits by
+// itself fails with the node's exit reason.
+func TestCancelledRunClosesAllAndExitedNodeFailsRun(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	run := &stub{}
+	cancelled := &stub{}
 	time.AfterFunc(700*time.Millisecond, stop)
-	if _, err := Run(ctx, parse(t, baseScenario), run, nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("cancelled run: %v", err)
+	if _, err := Run(ctx, parse(t, baseScenario), cancelled, nil); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled run: error %v, want %v", err, context.Canceled)
 	}
 	select {
-	case <-run.done:
+	case <-cancelled.done:
 	default:
 		t.Error("the node still runs after the run was cancelled")
 	}
-	for id, addr := range run.addrs {
+	for id, addr := range cancelled.addrs {
 		if c, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
 			c.Close()
 			t.Errorf("%s still listens", id)
 		}
 	}
-	dies := &stub{}
-	time.AfterFunc(900*time.Millisecond, func() { dies.End() })
-	r, err := Run(context.Background(), parse(t, baseScenario), dies, nil)
+	exiting := &stub{}
+	time.AfterFunc(900*time.Millisecond, func() { exiting.End() })
+	r, err := Run(context.Background(), parse(t, baseScenario), exiting, nil)
 	if err != nil || r.Passed() || !strings.Contains(fmt.Sprint(r.Expected), "a stub ended") {
-		t.Errorf("node that exits by itself: %v %v", err, r)
+		t.Errorf("run whose node exits by itself: error %v, report %v", err, r)
 	}
 }
 
-// A run on a machine that cannot keep the pace of the traffic is reported as such, and is neither good nor checked.
-func TestRunOnABusyMachineHasNoVerdict(t *testing.T) {
+// A run with more than two percent of tries sent late has no verdict: the machine was too busy, so that breaches prove
+// nothing about the nodes.
+func TestRunWithTooManyLateTriesHasNoVerdict(t *testing.T) {
 	s := parse(t, baseScenario)
 	l := report.NewLog(s, epoch)
 	l.TriesSent, l.Late = 100, 3
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); r.Passed() || r.MachineTooBusy == "" {
-		t.Error("a run on a busy machine has a verdict")
+		t.Error("run with 3 of 100 tries sent late: has a verdict")
 	}
 	l.Late = 2
 	if r := report.New(s, "", "", newWorld(s), newChecker(s), l, 0, 0); !r.Passed() {
-		t.Error("a run in time has no verdict", r.Expected)
+		t.Errorf("run with 2 of 100 tries sent late: did not pass: %v", r.Expected)
 	}
 }
 
 func newWorld(s *scenario.Scenario) *world.World { return world.New(s.World(nil)) }
 
 func newChecker(s *scenario.Scenario) *checker.Checker {
-	var gs []policy.ServiceClass
+	var classes []policy.ServiceClass
 	for _, g := range s.WorldClasses() {
-		gs = append(gs, g.ServiceClass)
+		classes = append(classes, g.ServiceClass)
 	}
-	return checker.New(checker.Rules{Classes: gs})
+	return checker.New(checker.Rules{Classes: classes})
 }
 
-// An emulated cache carries out deletes and flushes, and its answer to a delete says whether the key was there.
-func TestEmulatedCacheCarriesOutPurges(t *testing.T) {
+// An emulated cache executes deletes and flushes. The answer to a delete tells whether the cache had the key.
+func TestEmulatedCacheExecutesPurges(t *testing.T) {
 	s := parse(t, baseScenario)
-	terms, err := s.DecodedSettings("")
+	deployment, err := s.DecodedSettings("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rig{scenario: s, settings: terms, startedAt: time.Now(), world: newWorld(s), checker: newChecker(s), log: report.NewLog(s, epoch), attempts: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
+	r := &Rig{
+		scenario:  s,
+		settings:  deployment,
+		startedAt: time.Now(),
+		world:     newWorld(s),
+		checker:   newChecker(s),
+		log:       report.NewLog(s, epoch),
+		attempts:  map[uint64]*attempt{},
+		wake:      make(chan struct{}, 1),
+	}
 	if err := r.openServer(0); err != nil {
 		t.Fatal(err)
 	}
@@ -445,8 +482,8 @@
 	}()
 	r.traffic = world.NewTraffic(s.TrafficPlan())
 	r.warmCaches()
-	held := 0
-	say := func(line string) string {
+	found := 0
+	send := func(line string) string {
 		t.Helper()
 		c, err := net.DialTimeout("tcp", r.servers[0].addr, time.Second)
 		if err != nil {
@@ -460,38 +497,43 @@
 	}
 	for rank := range 50 {
 		line := fmt.Sprintf("md %s O%x\r\n", world.KeyOf(rank), rank+1)
-		switch got := say(line); got {
+		switch got := send(line); got {
 		case fmt.Sprintf("HD O%x\r\n", rank+1):
-			if held++; say(line) != fmt.Sprintf("NF O%x\r\n", rank+1) {
-				t.Error("a deleted key was there once more")
+			if found++; send(line) != fmt.Sprintf("NF O%x\r\n", rank+1) {
+				t.Errorf("key %s was found again after its deletion", world.KeyOf(rank))
 			}
 		case fmt.Sprintf("NF O%x\r\n", rank+1):
 		default:
-			t.Fatalf("%q", got)
+			t.Fatalf("delete of %s: answer %q", world.KeyOf(rank), got)
 		}
 	}
 	r.warmCaches()
-	if got := say("flush_all\r\n"); got != "OK\r\n" || held == 0 {
-		t.Errorf("%q, %d held", got, held)
+	if got := send("flush_all\r\n"); got != "OK\r\n" || found == 0 {
+		t.Errorf("flush: answer %q; %d keys were found before", got, found)
 	}
 	for rank := range 50 {
-		if got := say(fmt.Sprintf("md %s O1\r\n", world.KeyOf(rank))); got != "NF O1\r\n" {
-			t.Errorf("after a flush: %q", got)
+		if got := send(fmt.Sprintf("md %s O1\r\n", world.KeyOf(rank))); got != "NF O1\r\n" {
+			t.Errorf("delete of %s after a flush: answer %q", world.KeyOf(rank), got)
 		}
 	}
 }
 
-// Settings that only the simulation has were ignored on sockets, and a scenario that relies on them met its
-// expectations by chance.
-func TestScenarioForVirtualTimeOnlyIsRefused(t *testing.T) {
-	for _, more := range []string{"[traffic]\nskew = 0.5\n", "[network]\nlate_share = 0.1\nlate_ms = 5\n", "[network]\nlost_share = 0.1\n"} {
+// A scenario with settings that only the simulation supports is rejected. If the rig ignored them, the scenario could
+// meet its expectations by chance.
+func TestRunRejectsScenarioForVirtualTimeOnly(t *testing.T) {
+	for _, more := range []string{
+		"[traffic]\nskew = 0.5\n",
+		"[network]\nlate_share = 0.1\nlate_ms = 5\n",
+		"[network]\nlost_share = 0.1\n",
+	} {
 		section, keys, _ := strings.Cut(more, "\n")
 		text := baseScenario + more
 		if strings.Contains(baseScenario, section+"\n") {
 			text = strings.Replace(baseScenario, section+"\n", section+"\n"+keys, 1)
 		}
-		if _, err := Run(context.Background(), parse(t, text), Embedded{}, nil); err == nil || !strings.Contains(err.Error(), "virtual time only") {
-			t.Errorf("%q: %v", more, err)
+		_, err := Run(context.Background(), parse(t, text), Embedded{}, nil)
+		if err == nil || !strings.Contains(err.Error(), "virtual time only") {
+			t.Errorf("%q: error %v, want one that contains \"virtual time only\"", more, err)
 		}
 	}
 }
--- a/internal/emulator/realtime/servers.go
+++ b/internal/emulator/realtime/servers.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	tcpEstablished      = 1                      // the kernel's state of an established connection, TCP_ESTABLISHED
-	maxQueuedAnswers    = 64                     // per connection; a reader that is slower is disconnected
-	readBufferSize      = 16 << 10               // bytes of commands per read
-	maxCommandSize      = 1 << 20                // bytes of an incomplete command, above which the connection is closed
-	backlogFillTimeout  = 50 * time.Millisecond  // for a dial that only fills the listen backlog
+	tcpEstablished      = 1                      // TCP_ESTABLISHED, the kernel's state of an established connection
+	maxQueuedAnswers    = 64                     // per connection; a peer that lets more queue up is disconnected
+	readBufferSize      = 16 << 10               // bytes per read
+	maxCommandSize      = 1 << 20                // bytes of an incomplete command, beyond which a connection is closed
+	backlogFillTimeout  = 50 * time.Millisecond  // for a dial that fills the listen backlog
 	frozenCheckInterval = time.Millisecond       // between checks whether a frozen cache runs again
-	relistenDelay       = 100 * time.Millisecond // between attempts to listen on the former address
+	relistenDelay       = 100 * time.Millisecond // between attempts to listen on a server's former address
 	garbageAnswer       = "\x8c\xa1\x00 no answer of any protocol \xff\r\n"
 )
 
-// server is one cache or the origin, listening on a loopback socket.
+// server is a cache or the origin, which listens on a loopback socket.
 type server struct {
 	rig            *Rig
 	number         int
 	addr           string
 	listener       net.Listener // nil while connections are refused
 	conns          map[*serverConn]bool
-	fault          string
-	backlogFillers []net.Conn    // fill the listen backlog of a silent server
+	fault          string        // of its connections, set by SetFault; "" for none
+	backlogFillers []net.Conn    // connections that fill the listen backlog of a silent server
 	responsive     chan struct{} // closed unless the server is silent
-	httpServer     *http.Server
+	httpServer     *http.Server  // of the origin; nil for a cache
 }
 
 // serverConn is a connection to a cache.
 type serverConn struct {
 	net.Conn
 	server   *server
-	outgoing chan []byte
+	outgoing chan []byte // queued answers
 }
 
 // attempt is an attempt that a server has received and not answered.
@@ -57,19 +57,19 @@
 	server    int
 	id        string
 	arrivedAt policy.Instant
-	conn      *serverConn     // to a cache
-	etag      string          // of the value that the client has, to be revalidated; empty for none
-	done      chan world.Done // to the origin
+	conn      *serverConn     // the connection to a cache; nil at the origin
+	etag      string          // the If-None-Match header; empty if the client has no value to revalidate
+	done      chan world.Done // receives the finished job at the origin; nil at a cache
 }
 
 // openServer creates a server and starts listening on a free port.
 func (r *Rig) openServer(number int) error {
-	awake := make(chan struct{})
-	close(awake)
-	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: awake}
+	responsive := make(chan struct{})
+	close(responsive)
+	s := &server{rig: r, number: number, conns: map[*serverConn]bool{}, responsive: responsive}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("cannot listen for an emulated server: %w", err)
+		return fmt.Errorf("cannot open a listener for emulated server %d: %w", number, err)
 	}
 	s.addr = l.Addr().String()
 	for len(r.servers) <= number {
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// updateListener starts or resumes listening if the server is up. A server that is new is created. The lock is held.
+// updateListener opens the listener of a server that is up, or makes the server respond again. It creates a server that
+// does not exist yet. Rig.mu must be locked.
 func (r *Rig) updateListener(number int) {
 	if number >= len(r.servers) || r.servers[number] == nil {
 		if err := r.openServer(number); err != nil {
@@ -89,15 +90,15 @@
 		return
 	}
 	s := r.servers[number]
-	switch life := r.world.Servers[number].Liveness; {
-	case life == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
+	switch liveness := r.world.Servers[number].Liveness; {
+	case liveness == world.Up && s.listener == nil && s.fault != "refuse" && !r.stopped:
 		l, err := net.Listen("tcp", s.addr)
-		if err != nil { // another process's connection uses the port for the moment
+		if err != nil { // another process uses the port for a connection
 			r.At(r.now().Add(relistenDelay), func() { r.updateListener(number) })
 			return
 		}
 		s.serve(l)
-	case life == world.Up:
+	case liveness == world.Up:
 		s.resumeResponding()
 	}
 }
@@ -120,10 +121,10 @@
 		}
 		r := s.rig
 		r.mu.Lock()
-		awake := s.responsive
+		responsive := s.responsive
 		r.mu.Unlock()
-		if vanished := waitUntilClosed(awake); vanished || peerClosed(plain) {
-			// A silent server accepts nobody, and resets the connections of that time once it responds again.
+		if wasSilent := waitUntilClosed(responsive); wasSilent || peerClosed(plain) {
+			// A silent server does not serve connections. It resets those made meanwhile once it responds again.
 			closeWithReset(plain)
 			continue
 		}
@@ -147,19 +148,19 @@
 	}
 }
 
-// waitUntilClosed waits until a channel is closed, and reports whether it was still open.
-func waitUntilClosed(awake chan struct{}) (waited bool) {
+// waitUntilClosed waits until a channel is closed, and reports whether it had to wait.
+func waitUntilClosed(responsive chan struct{}) (waited bool) {
 	select {
-	case <-awake:
+	case <-responsive:
 		return false
 	default:
-		<-awake
+		<-responsive
 		return true
 	}
 }
 
-// peerClosed reports whether the peer has closed the connection: it has then given up all that it sent.
-func peerClosed(c net.Conn) (is bool) {
+// peerClosed reports whether the peer has closed the connection, so that nothing it has sent needs an answer.
+func peerClosed(c net.Conn) (closed bool) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return false
@@ -170,9 +171,9 @@
 	}
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		is = err != nil || info.State != tcpEstablished
+		closed = err != nil || info.State != tcpEstablished
 	})
-	return is
+	return closed
 }
 
 func closeWithReset(c net.Conn) {
@@ -182,15 +183,15 @@
 	c.Close()
 }
 
-// ResetConnections resets all connections to a server, and closes the listener of one that is down or refuses
-// connections. A server that is silent sends no reset and stops responding instead. The lock is held.
+// ResetConnections resets all connections to a server, and closes its listener if it is down or refuses connections. A
+// silent server stops responding instead, without a reset. Rig.mu must be locked.
 func (r *Rig) ResetConnections(number int) {
 	s := r.servers[number]
 	if s == nil {
 		return
 	}
-	life := r.world.Servers[number].Liveness
-	if life == world.Silent {
+	liveness := r.world.Servers[number].Liveness
+	if liveness == world.Silent {
 		s.stopResponding()
 		return
 	}
@@ -203,14 +204,14 @@
 		s.httpServer = nil
 		s.listener = nil
 	}
-	if (life == world.Down || s.fault == "refuse") && s.listener != nil {
+	if (liveness == world.Down || s.fault == "refuse") && s.listener != nil {
 		s.listener.Close()
 		s.listener = nil
 	}
 }
 
-// stopResponding stops accepting connections, and fills the kernel's listen backlog so that new connections are not
-// established either.
+// stopResponding stops accepting connections, and fills the kernel's listen backlog so that the kernel establishes no
+// new connections either. Rig.mu must be locked.
 func (s *server) stopResponding() {
 	l, ok := s.listener.(*net.TCPListener)
 	if !ok {
@@ -220,7 +221,7 @@
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { unix.Listen(int(fd), 0) })
 	}
-	for range 3 { // one for the pending accept, two for the smallest backlog
+	for range 3 { // one for the pending accept, two for a backlog of size 0
 		go func() {
 			if c, err := net.DialTimeout("tcp", s.addr, backlogFillTimeout); err == nil {
 				s.rig.mu.Lock()
@@ -231,7 +232,7 @@
 	}
 }
 
-// resumeResponding undoes stopResponding.
+// resumeResponding undoes stopResponding. Rig.mu must be locked.
 func (s *server) resumeResponding() {
 	select {
 	case <-s.responsive:
@@ -250,14 +251,14 @@
 	close(s.responsive)
 }
 
-// SetFault sets the fault of a server's connections. The lock is held.
+// SetFault sets the fault of a server's connections, "" for none. Rig.mu must be locked.
 func (r *Rig) SetFault(number int, kind string) {
 	s := r.servers[number]
 	s.fault = kind
 	r.updateListener(number)
 }
 
-// close stops the server for good. The lock is held.
+// close stops the server permanently. Rig.mu must be locked.
 func (s *server) close() {
 	if s == nil {
 		return
@@ -275,8 +276,8 @@
 	}
 }
 
-// disconnect closes a connection, with a reset or without. The attempts on it count as cancelled and their jobs are
-// withdrawn. The lock is held.
+// disconnect closes a connection, by a reset if byReset is true. The attempts on it count as cancelled, and their jobs
+// are withdrawn from the model. Rig.mu must be locked.
 func (c *serverConn) disconnect(byReset bool) {
 	r := c.server.rig
 	if !c.server.conns[c] {
@@ -286,14 +287,14 @@
 	if w := r.world.Servers[c.server.number]; w.OpenConnections > 0 {
 		w.OpenConnections--
 	}
-	var on []uint64
-	for tag, l := range r.attempts {
-		if l.conn == c {
-			on = append(on, tag)
+	var tags []uint64
+	for tag, a := range r.attempts {
+		if a.conn == c {
+			tags = append(tags, tag)
 		}
 	}
-	slices.Sort(on)
-	for _, tag := range on {
+	slices.Sort(tags)
+	for _, tag := range tags {
 		r.endAttempt(tag, policy.Cancelled)
 		r.world.Withdraw(r.now(), c.server.number, tag)
 	}
@@ -305,22 +306,22 @@
 	}
 }
 
-// endAttempt records the result of an attempt with the log, the checker and the fleet's event log. It returns nil if
-// the attempt is not known.
-func (r *Rig) endAttempt(tag uint64, how policy.Result) *attempt {
-	l := r.attempts[tag]
-	if l != nil {
+// endAttempt removes an attempt, and records its result with the log, the checker and the fleet's event log. It returns
+// the attempt, or nil if the tag is unknown. Rig.mu must be locked.
+func (r *Rig) endAttempt(tag uint64, result policy.Result) *attempt {
+	a := r.attempts[tag]
+	if a != nil {
 		delete(r.attempts, tag)
-		r.log.AttemptEnded(r.now(), how)
-		r.checker.AttemptEnded(r.now(), l.id, r.world.Servers[l.server].ID, how.NotExecuted())
+		r.log.AttemptEnded(r.now(), result)
+		r.checker.AttemptEnded(r.now(), a.id, r.world.Servers[a.server].ID, result.NotExecuted())
 		if r.fleetRecorder != nil {
-			r.fleetRecorder.AttemptDone(r.now(), r.world.Servers[l.server].ID, how, r.now().Since(l.arrivedAt))
+			r.fleetRecorder.AttemptDone(r.now(), r.world.Servers[a.server].ID, result, r.now().Since(a.arrivedAt))
 		}
 	}
-	return l
+	return a
 }
 
-// queueAnswer queues an answer. A reader that lets the queue fill up is disconnected. The lock is held.
+// queueAnswer queues an answer, or disconnects the peer if its queue is full. Rig.mu must be locked.
 func (c *serverConn) queueAnswer(b []byte) {
 	if !c.server.conns[c] {
 		return
@@ -335,13 +336,13 @@
 func (c *serverConn) write() {
 	for b := range c.outgoing {
 		if _, err := c.Write(b); err != nil {
-			c.Close() // the read loop sees the close
+			c.Close() // ends the read loop, which disconnects
 		}
 	}
 }
 
 func (c *serverConn) read() {
-	r, in, held := c.server.rig, make([]byte, readBufferSize), []byte(nil)
+	r, in, unparsed := c.server.rig, make([]byte, readBufferSize), []byte(nil)
 	src := bufio.NewReaderSize(c, readBufferSize)
 	defer func() {
 		r.mu.Lock()
@@ -353,15 +354,15 @@
 		if err != nil {
 			return
 		}
-		held = append(held, in[:n]...)
-		if len(held) > maxCommandSize {
+		unparsed = append(unparsed, in[:n]...)
+		if len(unparsed) > maxCommandSize {
 			return
 		}
 		for {
 			size := 0
 			if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
-				size = c.handleHTTPRequest(held)
-			} else if o, n := cachestub.ParseCommand(held); n > 0 {
+				size = c.handleHTTPRequest(unparsed)
+			} else if o, n := cachestub.ParseCommand(unparsed); n > 0 {
 				r.mu.Lock()
 				for r.world.Servers[c.server.number].Frozen(r.now()) && c.server.conns[c] {
 					r.mu.Unlock()
@@ -371,7 +372,7 @@
 				c.handlePurge(o)
 				r.mu.Unlock()
 				size = n
-			} else if command, n, fault := meta.ReadCommand(held); n > 0 || fault != nil {
+			} else if command, n, fault := meta.ReadCommand(unparsed); n > 0 || fault != nil {
 				r.mu.Lock()
 				c.handleCommand(&command, fault)
 				r.mu.Unlock()
@@ -380,12 +381,12 @@
 			if size == 0 {
 				break
 			}
-			held = held[size:]
+			unparsed = unparsed[size:]
 		}
 	}
 }
 
-// handleCommand handles one meta command. The lock is held.
+// handleCommand handles one command of the meta protocol. Rig.mu must be locked.
 func (c *serverConn) handleCommand(command *meta.Command, fault *meta.Fault) {
 	r, s, now := c.server.rig, c.server, c.server.rig.now()
 	w := r.world.Servers[s.number]
@@ -397,7 +398,8 @@
 	}
 	switch {
 	case fault != nil:
-		r.checker.WrongAnswer(now, string(command.ID), "a server received an invalid command: "+strings.TrimSpace(fault.Response))
+		r.checker.WrongAnswer(now, string(command.ID),
+			"a server received an invalid command: "+strings.TrimSpace(fault.Response))
 		c.queueAnswer([]byte(fault.Response))
 		return
 	case command.Verb == meta.Ready:
@@ -417,7 +419,8 @@
 	c.queueAnswer([]byte("SERVER_ERROR busy\r\n"))
 }
 
-// handlePurge carries out a delete or a flush, unless the cache is silent or faulty. The lock is held.
+// handlePurge executes a delete or a flush, unless the cache is silent or has a fault that prevents it. Rig.mu must be
+// locked.
 func (c *serverConn) handlePurge(o cachestub.Command) {
 	r, s := c.server.rig, c.server
 	w := r.world.Servers[s.number]
@@ -435,7 +438,7 @@
 	}
 }
 
-// attemptArrived records that an attempt was received completely. The lock is held.
+// attemptArrived records that a server has received a complete attempt. Rig.mu must be locked.
 func (r *Rig) attemptArrived(now policy.Instant, id string, server policy.EndpointID) {
 	r.log.AttemptArrived(now, server)
 	r.checker.AttemptArrived(now, now, id, server)
@@ -444,9 +447,10 @@
 	}
 }
 
-// offerAttempt offers an attempt to the model of the server as a job. It returns false if the job is rejected. The
-// lock is held.
-func (r *Rig) offerAttempt(s *server, id, key string, items []byte, write bool, l *attempt) bool {
+// offerAttempt offers an attempt to the model of the server as a job. It returns false if the attempt is invalid or
+// the model rejects the job. items are the call's items "c" (class), "d" (timeout in milliseconds) and "k"
+// (idempotency key). Rig.mu must be locked.
+func (r *Rig) offerAttempt(s *server, id, key string, items []byte, isWrite bool, a *attempt) bool {
 	now := r.now()
 	w := r.world.Servers[s.number]
 	r.attemptArrived(now, id, w.ID)
@@ -454,27 +458,35 @@
 		v, _ := meta.Item(items, name)
 		return string(v)
 	}
-	if write && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
-		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to %s, which is a cache beside the origin", w.ID))
+	if isWrite && r.scenario.Allowed.Mode == "aside" && !r.world.IsOrigin(s.number) {
+		r.checker.WrongAnswer(now, id, fmt.Sprintf("a write was sent to the cache-aside cache %s", w.ID))
 	}
-	grade := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
-	wait, err := strconv.ParseFloat(item("d"), 64)
-	if grade < 0 || err != nil || wait <= 0 || r.traffic.Classes[grade].Write != write {
-		r.checker.WrongAnswer(now, id, fmt.Sprintf("a server received an attempt that matches no client request: class %q, timeout %q", item("c"), item("d")))
+	class := slices.IndexFunc(r.traffic.Classes, func(g world.Class) bool { return g.Name == item("c") })
+	timeoutMs, err := strconv.ParseFloat(item("d"), 64)
+	if class < 0 || err != nil || timeoutMs <= 0 || r.traffic.Classes[class].Write != isWrite {
+		r.checker.WrongAnswer(now, id, fmt.Sprintf(
+			"a server received an attempt that matches no client request: class %q, timeout %q", item("c"), item("d")))
 		r.checker.AttemptEnded(now, id, w.ID, true)
 		return false
 	}
 	if s.fault == "reset" {
 		r.checker.AttemptEnded(now, id, w.ID, true)
-		if l.conn != nil {
-			l.conn.disconnect(true)
+		if a.conn != nil {
+			a.conn.disconnect(true)
 		}
 		return true
 	}
 	r.lastTag++
-	l.server, l.id, l.arrivedAt = s.number, id, now
-	r.attempts[r.lastTag] = l
-	j := world.Job{Request: id, Key: key, Label: item("k"), Class: grade, Until: now.Add(time.Duration(wait*1e6) + slack), Tag: r.lastTag}
+	a.server, a.id, a.arrivedAt = s.number, id, now
+	r.attempts[r.lastTag] = a
+	j := world.Job{
+		Request: id,
+		Key:     key,
+		Label:   item("k"),
+		Class:   class,
+		Until:   now.Add(time.Duration(timeoutMs*1e6) + slack),
+		Tag:     r.lastTag,
+	}
 	if _, ok := r.world.Offer(now, s.number, j); !ok {
 		r.endAttempt(r.lastTag, policy.Rejected)
 		return false
@@ -483,37 +495,42 @@
 	return true
 }
 
-// resultOf maps a server's reply to the result of the attempt.
-var resultOf = [...]policy.Result{world.Value: policy.Answered, world.Receipt: policy.Answered, world.Miss: policy.CacheMiss,
-	world.Busy: policy.Rejected, world.Failed: policy.Errored}
+// resultByReply is the result of an attempt, by the server's reply.
+var resultByReply = [...]policy.Result{
+	world.Value:   policy.Answered,
+	world.Receipt: policy.Answered,
+	world.Miss:    policy.CacheMiss,
+	world.Busy:    policy.Rejected,
+	world.Failed:  policy.Errored,
+}
 
-// jobDone answers the attempt of a finished job. The lock is held.
+// jobDone answers the attempt of a finished job. Rig.mu must be locked.
 func (r *Rig) jobDone(d world.Done) {
-	l := r.endAttempt(d.Job.Tag, resultOf[d.Reply])
-	if l == nil {
+	a := r.endAttempt(d.Job.Tag, resultByReply[d.Reply])
+	if a == nil {
 		return
 	}
-	if l.done != nil {
-		l.done <- d
+	if a.done != nil {
+		a.done <- d
 		return
 	}
-	s := r.servers[l.server]
-	out := r.metaAnswer(d, r.scenario.Fleet.Reports)
+	s := r.servers[a.server]
+	answer := r.metaAnswer(d, r.scenario.Fleet.Reports)
 	if r.scenario.Fleet.Protocol == listeners.ProtocolHTTP {
-		out = httpCacheAnswer(d, s.fault == "stale", l.etag)
+		answer = httpCacheAnswer(d, s.fault == "stale", a.etag)
 	}
 	switch s.fault {
 	case "half":
-		l.conn.queueAnswer(out[:len(out)/2])
-		r.At(r.now().Add(pollInterval), func() { l.conn.disconnect(true) })
+		a.conn.queueAnswer(answer[:len(answer)/2])
+		r.At(r.now().Add(pollInterval), func() { a.conn.disconnect(true) })
 		return
 	case "garbage":
-		out = []byte(garbageAnswer)
+		answer = []byte(garbageAnswer)
 	}
-	l.conn.queueAnswer(out)
+	a.conn.queueAnswer(answer)
 }
 
-// metaAnswer encodes a cache's answer in the meta protocol.
+// metaAnswer encodes a cache's answer in the meta protocol, with the cache's load if reports is true.
 func (r *Rig) metaAnswer(d world.Done, reports bool) []byte {
 	load := ""
 	if reports {
@@ -533,7 +550,7 @@
 	return []byte("SERVER_ERROR failed\r\n")
 }
 
-// ServeHTTP handles a request to the origin.
+// ServeHTTP handles a request to the origin. It responds when the model has finished the job.
 func (s *server) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	r := s.rig
 	if in.URL.Path == "/health/live" || in.URL.Path == "/stats" {
@@ -541,16 +558,17 @@
 		return
 	}
 	key, err := url.PathUnescape(strings.TrimPrefix(in.URL.EscapedPath(), "/"))
-	if _, bad := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || bad != nil {
+	if _, readErr := io.Copy(io.Discard, io.LimitReader(in.Body, maxCommandSize)); err != nil || readErr != nil {
 		http.Error(out, "what came can't be read", http.StatusBadRequest)
 		return
 	}
 	done, id := make(chan world.Done, 1), in.Header.Get("X-Call-Id")
 	r.mu.Lock()
-	taken := r.offerAttempt(s, id, key, []byte(in.Header.Get("X-Call-Info")), in.Method == http.MethodPut, &attempt{done: done})
+	items := []byte(in.Header.Get("X-Call-Info"))
+	accepted := r.offerAttempt(s, id, key, items, in.Method == http.MethodPut, &attempt{done: done})
 	tag := r.lastTag
 	r.mu.Unlock()
-	if !taken {
+	if !accepted {
 		out.Header().Set("X-Rejected", "1")
 		http.Error(out, "busy", http.StatusServiceUnavailable)
 		return
--- a/internal/emulator/report/fleet.go
+++ b/internal/emulator/report/membership.go
@@ -22,18 +22,19 @@
 	View    *checker.Verdict `json:"view"`    // verdict on the views; nil if there were none
 }
 
-// newFleet judges the views of a run that ended at an instant. A pause of a process no longer than pause must not
-// change a view.
-func newFleet(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
-	f := &Membership{Views: v, Library: v.Check(trace.Library, pause, end)}
+// newMembership checks the views of a run that ended at an instant. A pause of a process that is not longer than pause
+// must not change a view.
+func newMembership(v *checker.Views, pause time.Duration, end policy.Instant) *Membership {
+	m := &Membership{Views: v, Library: v.Check(trace.Library, pause, end)}
 	if slices.ContainsFunc(v.Lines, func(l trace.Line) bool { return l.Kind == trace.View }) {
-		f.View = v.Check(trace.View, pause, end)
+		m.View = v.Check(trace.View, pause, end)
 	}
-	return f
+	return m
 }
 
-// letters renders a member list with one character for each node, in the order of node numbers.
-func letters(nodes int, names []string) string {
+// memberRow renders a member list with one character per node, in the order of node numbers: the base-36 digit of a
+// member's number, or a dot.
+func memberRow(nodes int, names []string) string {
 	var b strings.Builder
 	for n := range nodes {
 		if slices.Contains(names, checker.NameOf(n)) {
@@ -47,29 +48,29 @@
 
 // print writes a row for each second in which the views changed, and the verdicts on the views. It does nothing without
 // views.
-func (f *Membership) print(to io.Writer, duration time.Duration) {
-	if f == nil {
+func (m *Membership) print(to io.Writer, duration time.Duration) {
+	if m == nil {
 		return
 	}
-	f.printMembers(to, policy.Instant(duration))
-	if rates := sendRates(f.Views); len(rates) > 0 {
+	m.printMembers(to, policy.Instant(duration))
+	if rates := sendRates(m.Views); len(rates) > 0 {
 		fmt.Fprintf(to, "datagrams between nodes: median %.0f, most %.0f bytes a second sent by a node\n",
 			percentile(rates, 0.5), rates[len(rates)-1])
 	}
-	printVerdict(to, "library", f.Library)
-	printVerdict(to, "view", f.View)
+	printVerdict(to, "library", m.Library)
+	printVerdict(to, "view", m.View)
 }
 
-func (f *Membership) printMembers(to io.Writer, end policy.Instant) {
+func (m *Membership) printMembers(to io.Writer, end policy.Instant) {
 	kind := trace.Library
-	if f.View != nil {
+	if m.View != nil {
 		kind = trace.View
 	}
-	fmt.Fprintf(to, "whom nodes have as members by the %s, a letter for each; "+
-		"those apart that do not say what most say; x: does not run, !: says it is cut off\n", kind)
+	fmt.Fprintf(to, "members by the %s of most nodes, one character per member, then nodes whose members differ; "+
+		"x: the node does not run, !: it reports that it may be partitioned\n", kind)
 	last := ""
 	for at := policy.Instant(0); at <= end; at += policy.Instant(time.Second) {
-		row := f.rowAt(at, kind)
+		row := m.rowAt(at, kind)
 		if row != last {
 			fmt.Fprintf(to, "%8.3f s  %s\n", time.Duration(at).Seconds(), row)
 		}
@@ -78,13 +79,13 @@
 }
 
 // rowAt renders the most common view at an instant, followed by the nodes with other views and these views.
-func (f *Membership) rowAt(at policy.Instant, kind string) string {
-	views := f.Views
+func (m *Membership) rowAt(at policy.Instant, kind string) string {
+	views := m.Views
 	nodesByCell := map[string][]string{}
 	for n := range views.Nodes {
 		name := checker.NameOf(n)
 		line := lineAt(views, at, name, kind)
-		cell := letters(views.Nodes, line.Members)
+		cell := memberRow(views.Nodes, line.Members)
 		if line.MayBePartitioned {
 			cell += "!"
 		}
@@ -108,8 +109,8 @@
 	if v == nil {
 		return
 	}
-	fmt.Fprintf(to, "%-8s formed %.1f s; false removals %d, rash %d, missed %d, flaps %d, seconds unlike %d; "+
-		"changes %d; out after median %.2f s, p99 %.2f s (%d); alike after %.1f s\n",
+	fmt.Fprintf(to, "%-8s formed %.1f s; false removals %d, unjustified %d, missed %d, flaps %d, diverged seconds %d; "+
+		"changes %d; removed after median %.2f s, p99 %.2f s (%d); converged after %.1f s\n",
 		name, v.Formed, v.FalseRemovals, v.UnjustifiedRemovals, v.Missed, v.Flaps, v.DivergedSeconds,
 		v.Changes, percentile(v.Detect, 0.5), percentile(v.Detect, 0.99), len(v.Detect), v.ConvergedAfter)
 	for _, line := range v.Findings {
