--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -156,7 +156,7 @@
 	return m
 }
 
-// Retention returns HoldS as a duration.
+// Retention returns RetentionS as a duration.
 func (b *ControlBounds) Retention() time.Duration { return seconds(b.RetentionS) }
 
 // ForgetAfter returns ForgetS as a duration.
--- a/internal/control/purge/arrivals.go
+++ b/internal/control/purge/arrivals.go
@@ -7,10 +7,11 @@
 	"dahliapin/internal/monotime"
 )
 
-// maxArrivals is the number of arrivals that are remembered: as many as the log keeps entries.
+// maxArrivals is the maximum number of recorded arrivals. It equals the default number of entries that the log retains.
 const maxArrivals = 65_536
 
-// ArrivalTimes records when entries arrived at this server. Each entry was published before its arrival.
+// ArrivalTimes records when entries arrived at this server. Each entry was published before its arrival, so a period
+// that has passed since the arrival has also passed since the publication.
 type ArrivalTimes struct {
 	logID    replicatedlog.LogID
 	arrivals []arrival // ordered by time and by index
--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -15,8 +15,8 @@
 	maxReconnectDelay   = 3 * time.Second        // a cache that is reachable again is contacted within this time
 	maxDoublings        = 8                      // of the first delay; the maximum is reached before
 
-	// maxListLag is how far the list of caches may lag while discovery answers: five times the lag that discovery
-	// states.
+	// maxListLag is the assumed maximum age of the list of caches while discovery answers: five times the delay that
+	// discovery specifies.
 	maxListLag = 30 * time.Second
 )
 
@@ -28,10 +28,10 @@
 
 // Log is this control server's copy of the replicated log.
 type Log interface {
-	// Position returns the id of the log (0 if not known yet), the index up to which entries are no longer kept, and
-	// the index of the newest entry.
+	// Position returns the id of the log (0 if not known yet), the index up to which entries are no longer retained,
+	// and the index of the newest entry.
 	Position() (id replicatedlog.LogID, floor, last replicatedlog.Index)
-	// Entry returns an entry; false if it is not kept.
+	// Entry returns an entry; false if it is not retained.
 	Entry(replicatedlog.Index) (replicatedlog.Entry, bool)
 	// RequestedAt returns when this server was first asked to order an entry; false if it was not asked, or no longer
 	// knows the time.
@@ -101,7 +101,7 @@
 	return c.mustFlush(id, floor)
 }
 
-// mustFlush reports whether the cache lacks entries that are no longer kept, so that their keys are not known.
+// mustFlush reports whether the cache lacks entries that are no longer retained, so that their keys are not known.
 func (c *Cache) mustFlush(log replicatedlog.LogID, floor replicatedlog.Index) bool {
 	if c.cursor.Log != log {
 		return c.cursor.Log != 0 || floor > 0
@@ -115,7 +115,7 @@
 	return id == 0 || c.cursor.Log == id && c.cursor.Done >= max(floor, arrivals.Last())
 }
 
-// Overdue returns the number of entries that should be done by now, if a purge may take LongestFill plus tolerance.
+// Overdue returns the number of entries that should be done by now, if a purge may take MaxFillTime plus tolerance.
 func (c *Cache) Overdue(now monotime.Instant, arrivals *ArrivalTimes, tolerance time.Duration) uint64 {
 	due := arrivals.NewestAt(now.Add(-c.MaxFillTime - tolerance))
 	if c.cursor.Log != arrivals.logID {
@@ -129,7 +129,7 @@
 // If the process is a later one, purges may have been carried out at the previous process after the later one was
 // started, and fills of old values may still reach the later one. The cursor therefore falls back to
 // Cursor.SafeAfterRestart. While the list names the same process, that index is raised to the newest purge that arrived
-// at least maxListLag plus LongestFill ago: all fills of values from before it are over, even if the list lags.
+// at least maxListLag plus MaxFillTime ago: all fills of values from before it are over, even if the list lags.
 func (c *Cache) OnListed(now monotime.Instant, started Incarnation, arrivals *ArrivalTimes) {
 	if started < c.cursor.Incarnation { // an older list, or a clock set back: purges were done at the later process
 		return
--- a/internal/control/purge/doc.go
+++ b/internal/control/purge/doc.go
@@ -11,20 +11,20 @@
 //
 //   - QuickDelete is sent as soon as the purge is known. It stops almost all readers from being served the old value,
 //     but does not make the purge done;
-//   - ConfirmingDelete is sent once Config.LongestFill has passed since the purge was known. Every fill that could have
+//   - ConfirmingDelete is sent once Config.MaxFillTime has passed since the purge was known. Every fill that could have
 //     read the old value has stored it by then, so this delete removes it; later fills read the new value.
 //
 // A purge is done at a cache when the cache has answered the ConfirmingDelete. The Cursor is the index up
 // to which all purges are done.
 //
-// LongestFill counts from the time at which this server was asked to order the purge, since the origin was written
+// MaxFillTime counts from the time at which this server was asked to order the purge, since the origin was written
 // before that. At servers that were not asked, it counts from the purge's arrival in the log (ArrivalTimes).
 //
 // # Flushes
 //
-// If entries that the cache lacks are no longer kept, the purged keys are not known and the whole cache has to be
-// emptied, twice for the same reason. A flush sends the cache's load to the origin. Other control servers therefore get
-// some time first to report that they have carried out the purges, and a FlushLimiter spaces the flushes of several
+// If the log no longer retains entries that the cache lacks, the purged keys are not known and the whole cache has to
+// be emptied, twice for the same reason. A flush sends the cache's load to the origin. Other control servers therefore
+// get some time first to report that they have carried out the purges, and a FlushLimiter spaces the flushes of several
 // caches.
 //
 // # Restarts of a cache
--- a/internal/control/purge/flushlimiter.go
+++ b/internal/control/purge/flushlimiter.go
@@ -12,8 +12,8 @@
 	next     monotime.Instant
 }
 
-// allow reports whether a first flush may be sent now, and if so bars the next one for Interval. Otherwise it returns
-// when one is allowed.
+// allow reports whether a first flush may be sent now, and if so allows no other one for Interval. Otherwise it returns
+// when the next one is allowed.
 func (l *FlushLimiter) allow(now monotime.Instant) (allowed bool, at monotime.Instant) {
 	if now < l.next {
 		return false, l.next
--- a/internal/control/purge/helpers_test.go
+++ b/internal/control/purge/helpers_test.go
@@ -10,7 +10,7 @@
 	"dahliapin/internal/monotime"
 )
 
-// testLog is a replicated log that keeps the entries after its floor.
+// testLog is a replicated log that retains the entries after its floor.
 type testLog struct {
 	id          replicatedlog.LogID
 	entries     []replicatedlog.Entry
@@ -43,8 +43,8 @@
 
 var testConfig = Config{MaxFillTime: 3 * time.Second, CommandInterval: 2 * time.Millisecond}
 
-// bench is the state of one cache at one control server, with a log and a clock.
-type bench struct {
+// fixture is the state of one cache at one control server, with a log and a clock.
+type fixture struct {
 	t        *testing.T
 	now      monotime.Instant
 	log      testLog
@@ -53,34 +53,34 @@
 	*Cache
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{
 		t:       t,
 		now:     monotime.Instant(time.Hour),
 		log:     testLog{id: 7},
 		limiter: FlushLimiter{Interval: 10 * time.Second},
 	}
-	b.Cache = NewCache(testConfig, Cursor{}, b.now)
-	return b
+	f.Cache = NewCache(testConfig, Cursor{}, f.now)
+	return f
 }
 
-func (b *bench) publish(keys ...string) {
+func (f *fixture) publish(keys ...string) {
 	for _, key := range keys {
-		b.log.add(replicatedlog.Purge, key)
+		f.log.add(replicatedlog.Purge, key)
 	}
-	b.record()
+	f.record()
 }
 
-func (b *bench) record() { b.arrivals.Record(b.now, b.log.id, b.log.last()) }
+func (f *fixture) record() { f.arrivals.Record(f.now, f.log.id, f.log.last()) }
 
-func (b *bench) wait(d time.Duration) { b.now = b.now.Add(d) }
+func (f *fixture) wait(d time.Duration) { f.now = f.now.Add(d) }
 
-// sendAll takes all commands that are due and returns them as text: 1 for a quick delete, 2 for a confirming one, F and
-// L for the first and the last flush, each with its index.
-func (b *bench) sendAll() string {
+// sendAll takes all commands that are due and returns them as text: 1 for a quick delete, 2 for a confirming one, F for
+// the first flush and L for the second one, each with its index.
+func (f *fixture) sendAll() string {
 	var sent strings.Builder
 	for {
-		command, ready, _ := b.NextCommand(b.now, &b.log, &b.arrivals, &b.limiter)
+		command, ready, _ := f.NextCommand(f.now, &f.log, &f.arrivals, &f.limiter)
 		if !ready {
 			return sent.String()
 		}
@@ -88,22 +88,22 @@
 	}
 }
 
-func (b *bench) answer(n int) {
+func (f *fixture) answer(n int) {
 	for range n {
-		b.OnAnswer(&b.log, &b.arrivals)
+		f.OnAnswer(&f.log, &f.arrivals)
 	}
 }
 
 // expect checks the commands that are due and the cursor after they were sent.
-func (b *bench) expect(what, sent string, done replicatedlog.Index) {
-	b.t.Helper()
-	if got := b.sendAll(); got != sent || b.Cursor().Done != done {
-		b.t.Errorf("%s: sent %q, done %d; want %q, %d", what, got, b.Cursor().Done, sent, done)
+func (f *fixture) expect(what, sent string, done replicatedlog.Index) {
+	f.t.Helper()
+	if got := f.sendAll(); got != sent || f.Cursor().Done != done {
+		f.t.Errorf("%s: sent %q, done %d; want %q, %d", what, got, f.Cursor().Done, sent, done)
 	}
 }
 
-// forceCursor sets a cursor without answers for it, for the broken variants.
-func (b *bench) forceCursor(to Cursor) {
-	b.setCursor(to.Log, to.Done)
-	b.cursor = to
+// forceCursor sets a cursor that no answer has confirmed, for the broken variants.
+func (f *fixture) forceCursor(to Cursor) {
+	f.setCursor(to.Log, to.Done)
+	f.cursor = to
 }
--- a/internal/control/purge/model_test.go
+++ b/internal/control/purge/model_test.go
@@ -14,29 +14,30 @@
 	modelStep     = 50 * time.Millisecond
 	modelDuration = 10 * time.Minute
 	modelKeys     = 6
-	modelKept     = 150 // entries that the log keeps
+	modelRetained = 150 // entries that the log retains
 )
 
-// variant describes how a control server is broken; with only fills set it is correct.
+// variant describes how a control server is broken. It is correct if only maxFillTime is set.
 type variant struct {
 	name           string
-	fills          time.Duration // the longest fill that it assumes
+	maxFillTime    time.Duration // that it assumes
 	cursorLeads    bool          // the cursor on disk is ahead of the answers
 	startsAtNewest bool          // it assumes that a reconnected cache has no old values
 	keepsCursor    bool          // it keeps the cursor for another process of the cache
-	breaks         bool          // whether old values are expected
+	wantOldValues  bool          // whether old values are expected
 }
 
 // Simulates ten minutes of purges, fills of random length, cut connections, cache restarts and server kills. The cache
 // must never hold a value older than the purges that the cursor counts as done. The broken variants show that the test
 // detects such values.
 func TestNoValueIsOlderThanTheCursor(t *testing.T) {
+	maxFillTime := testConfig.MaxFillTime
 	for _, v := range []variant{
-		{name: "correct", fills: testConfig.MaxFillTime},
-		{name: "no confirming delete", breaks: true},
-		{name: "cursor ahead of the answers", fills: testConfig.MaxFillTime, cursorLeads: true, breaks: true},
-		{name: "reconnected cache assumed current", fills: testConfig.MaxFillTime, startsAtNewest: true, breaks: true},
-		{name: "cursor of the previous process kept", fills: testConfig.MaxFillTime, keepsCursor: true, breaks: true},
+		{name: "correct", maxFillTime: maxFillTime},
+		{name: "no confirming delete", wantOldValues: true},
+		{name: "cursor ahead of the answers", maxFillTime: maxFillTime, cursorLeads: true, wantOldValues: true},
+		{name: "starts at newest on reconnect", maxFillTime: maxFillTime, startsAtNewest: true, wantOldValues: true},
+		{name: "cursor of the old process kept", maxFillTime: maxFillTime, keepsCursor: true, wantOldValues: true},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			oldValues := 0
@@ -44,8 +45,8 @@
 				m := newModel(t, v, seed)
 				oldValues += m.run()
 			}
-			if (oldValues > 0) != v.breaks {
-				t.Errorf("found %d old values", oldValues)
+			if (oldValues > 0) != v.wantOldValues {
+				t.Errorf("found %d old values; expected any: %t", oldValues, v.wantOldValues)
 			}
 		})
 	}
@@ -64,9 +65,9 @@
 	requestedAt, orderedAt monotime.Instant
 }
 
-// model simulates a cache, its origin and its network; the bench has the control server.
+// model simulates a cache, its origin and its network; the fixture has the control server.
 type model struct {
-	*bench
+	*fixture
 	variant
 	random keyhash.Source
 	seed   uint32
@@ -92,7 +93,7 @@
 
 func newModel(t *testing.T, v variant, seed uint32) *model {
 	m := &model{
-		bench:    newBench(t),
+		fixture:  newFixture(t),
 		variant:  v,
 		random:   keyhash.Source{Seed: seed},
 		seed:     seed,
@@ -107,7 +108,7 @@
 }
 
 func (m *model) config() Config {
-	return Config{MaxFillTime: m.variant.fills, CommandInterval: testConfig.CommandInterval}
+	return Config{MaxFillTime: m.variant.maxFillTime, CommandInterval: testConfig.CommandInterval}
 }
 
 func (m *model) chance(probability float64) bool { return m.random.Float64() < probability }
@@ -164,7 +165,7 @@
 			m.log.requestedAt[m.log.last()] = write.requestedAt
 		}
 	}
-	m.log.floor = replicatedlog.Index(max(0, len(m.log.entries)-modelKept))
+	m.log.floor = replicatedlog.Index(max(0, len(m.log.entries)-modelRetained))
 }
 
 // fill starts a fill of a key that is not cached, and stores the values of finished fills.
--- a/internal/control/purge/progress.go
+++ b/internal/control/purge/progress.go
@@ -9,7 +9,7 @@
 	Done         uint64 `cbor:"4,keyasint,omitempty"`  // purges up to here are done
 	QuickDeleted uint64 `cbor:"5,keyasint,omitempty"`  // each key up to here was deleted at least once
 	Overdue      uint64 `cbor:"6,keyasint,omitempty"`  // entries that should be done by now
-	Flushing     bool   `cbor:"7,keyasint,omitempty"`  // missing entries are not kept: the cache has to be emptied
+	Flushing     bool   `cbor:"7,keyasint,omitempty"`  // missing entries are not retained: it has to be emptied
 	Reason       string `cbor:"8,keyasint,omitempty"`  // why the last connection ended; empty after an answer
 	UnansweredMs uint64 `cbor:"9,keyasint,omitempty"`  // since the last answer, if one is due or the connection ended
 	Server       uint64 `cbor:"10,keyasint,omitempty"` // the control server that reports; set by package controlserver
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -71,7 +71,8 @@
 	return Command{}, false, earlierOf(askAgain, at)
 }
 
-// startAtBeginning sets the cursor of a cache without one to the start of the log, all of whose entries are still kept.
+// startAtBeginning sets the cursor of a cache without one to the start of the log. The caller has checked with
+// mustFlush that all entries are still retained.
 func (c *Cache) startAtBeginning(id replicatedlog.LogID) {
 	if c.cursor.Log == 0 {
 		c.setCursor(id, 0)
@@ -104,7 +105,7 @@
 		if now < dueAt {
 			return Command{}, false, dueAt
 		}
-		return c.send(now, Command{Kind: ConfirmingFlush, Index: last}), true, 0
+		return c.markSent(now, Command{Kind: ConfirmingFlush, Index: last}), true, 0
 	}
 	if now < c.flush.allowedAt {
 		return Command{}, false, c.flush.allowedAt
@@ -112,11 +113,11 @@
 	if allowed, at := limiter.allow(now); !allowed {
 		return Command{}, false, at
 	}
-	return c.send(now, Command{Kind: Flush, Index: last}), true, 0
+	return c.markSent(now, Command{Kind: Flush, Index: last}), true, 0
 }
 
-// nextQuickDelete returns the quick delete of the next purge that has had none. Purges whose confirming delete is due
-// get only that, as happens after the cache was unreachable for a while.
+// nextQuickDelete returns the quick delete of the next purge that has had none. It omits the quick delete of purges
+// whose confirming delete is already due, for example after the cache was unreachable.
 func (c *Cache) nextQuickDelete(now monotime.Instant, log Log, arrivals *ArrivalTimes) (Command, bool) {
 	dueUpTo := arrivals.NewestAt(now.Add(-c.MaxFillTime)) // the newest entry whose confirming delete is due
 	sent := max(c.quickSent, c.done())
@@ -124,13 +125,13 @@
 		c.quickSkipped = dueUpTo
 	}
 	for index := max(sent, dueUpTo) + 1; index <= arrivals.Last(); index++ {
-		entry, kept := log.Entry(index)
-		if !kept {
+		entry, retained := log.Entry(index)
+		if !retained {
 			break
 		}
 		c.quickSent = index
 		if deletable(entry) {
-			return c.send(now, Command{Kind: QuickDelete, Index: index, Key: entry.Body}), true
+			return c.markSent(now, Command{Kind: QuickDelete, Index: index, Key: entry.Body}), true
 		}
 		c.skip(QuickDelete, index)
 	}
@@ -143,8 +144,8 @@
 	now monotime.Instant, log Log, arrivals *ArrivalTimes,
 ) (command Command, ready bool, at monotime.Instant) {
 	for index := c.confirmingSent + 1; index <= arrivals.Last(); index++ {
-		entry, kept := log.Entry(index)
-		if !kept {
+		entry, retained := log.Entry(index)
+		if !retained {
 			break
 		}
 		if !deletable(entry) {
@@ -157,7 +158,7 @@
 			return Command{}, false, dueAt
 		}
 		c.confirmingSent = index
-		return c.send(now, Command{Kind: ConfirmingDelete, Index: index, Key: entry.Body}), true, 0
+		return c.markSent(now, Command{Kind: ConfirmingDelete, Index: index, Key: entry.Body}), true, 0
 	}
 	return Command{}, false, 0
 }
@@ -180,8 +181,8 @@
 	return a
 }
 
-// send records a command as sent.
-func (c *Cache) send(now monotime.Instant, command Command) Command {
+// markSent records a command as sent, and returns it.
+func (c *Cache) markSent(now monotime.Instant, command Command) Command {
 	c.inFlight = append(c.inFlight, inFlightCommand{Command: command, upTo: command.Index, sentAt: now})
 	c.paceTime = c.paceTime.Add(c.CommandInterval)
 	return command
@@ -238,7 +239,7 @@
 	case ConfirmingFlush:
 		id, floor, _ := log.Position()
 		if id == arrivals.logID && c.mustFlush(id, floor) {
-			// The purges covered by the first flush are done, and so are those that arrived at least LongestFill before
+			// The purges covered by the first flush are done, and so are those that arrived at least MaxFillTime before
 			// the second flush was sent.
 			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.MaxFillTime))
 			c.setCursor(id, max(c.flush.upTo, fillsOver))
