--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"time"
 
@@ -21,9 +22,9 @@
 )
 
 var (
-	errAnswerTimeout = errors.New("no answer in time")
-	errStopped       = errors.New("it left the list")
-	errBadAnswer     = errors.New("an answer that is none to what was sent")
+	errAnswerTimeout = fmt.Errorf("no answer to a command within %v", purge.AnswerTimeout)
+	errStopped       = errors.New("cache left the list, moved or restarted")
+	errBadAnswer     = errors.New("answer does not match the command that was sent")
 )
 
 // cache is a cache and its connection. The Purger's lock guards all fields that change.
@@ -200,7 +201,8 @@
 	}
 }
 
-// handleAnswer handles the answer to a flush, or to the delete with an id. It returns false if another answer is due.
+// handleAnswer handles the answer to a flush, or to the delete with the given id. It returns false if no answer, or
+// that to another command, is due.
 func (c *cache) handleAnswer(stop chan struct{}, id uint64, flushed bool) bool {
 	p := c.purger
 	p.mu.Lock()
--- a/internal/control/purger/connection_test.go
+++ b/internal/control/purger/connection_test.go
@@ -57,44 +57,45 @@
 func TestFaultyCachesDelayNoOthers(t *testing.T) {
 	t.Parallel()
 	faults := []cachestub.Fault{
-		cachestub.None, cachestub.Silent, cachestub.Refuse, cachestub.Garbage, cachestub.Busy, cachestub.CloseAfterCommand,
+		cachestub.None, cachestub.Silent, cachestub.Refuse, cachestub.Garbage, cachestub.Busy,
+		cachestub.CloseAfterCommand,
 	}
 	slow := len(faults)
-	b := newBench(t, len(faults)+1, 0)
+	f := newFixture(t, len(faults)+1, 0)
 	counter := newConnectionCounter()
-	b.dial = counter.dial
-	b.addPurger()
-	b.addPurger()
+	f.dial = counter.dial
+	f.addPurger()
+	f.addPurger()
 	for i, fault := range faults {
-		b.caches[i].SetFault(fault, 0)
+		f.caches[i].SetFault(fault, 0)
 	}
-	b.caches[slow].SetFault(cachestub.None, 20*time.Millisecond)
-	for i, cache := range b.caches {
+	f.caches[slow].SetFault(cachestub.None, 20*time.Millisecond)
+	for i, cache := range f.caches {
 		cache.Fill("key-1", uint64(i))
 	}
 	began := time.Now()
-	b.publish(9, numberedKeys(20)...)
-	b.waitDone(0, "c0")
+	f.publish(9, numberedKeys(20)...)
+	f.waitDone(0, "c0")
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("purges at the working cache took %v", took)
 	}
-	b.waitDone(0, fmt.Sprint("c", slow))
-	time.Sleep(2*purge.AnswerTimeout + testLongestFill)
+	f.waitDone(0, fmt.Sprint("c", slow))
+	time.Sleep(2*purge.AnswerTimeout + testMaxFillTime)
 	for i := 1; i < slow; i++ {
-		progress := b.progress(0, fmt.Sprint("c", i))
+		progress := f.progress(0, fmt.Sprint("c", i))
 		if progress.Done != 0 || progress.Reason == "" || progress.Overdue == 0 && i == 1 {
 			t.Errorf("fault %d: progress %+v", faults[i], progress)
 		}
-		b.caches[i].SetFault(cachestub.None, 0)
+		f.caches[i].SetFault(cachestub.None, 0)
 	}
-	for i := range b.caches {
-		b.waitDone(0, fmt.Sprint("c", i))
-		b.waitDone(1, fmt.Sprint("c", i))
+	for i := range f.caches {
+		f.waitDone(0, fmt.Sprint("c", i))
+		f.waitDone(1, fmt.Sprint("c", i))
 	}
 	for addr, most := range counter.most {
-		if most > len(b.purgers) {
+		if most > len(f.purgers) {
 			t.Errorf("%d simultaneous connections of two servers to %s", most, addr)
 		}
 	}
-	b.expectNoBreach()
+	f.expectNoBreach()
 }
--- a/internal/control/purger/cursorstore.go
+++ b/internal/control/purger/cursorstore.go
@@ -22,8 +22,8 @@
 // cursorStore stores cursors on disk.
 type cursorStore struct{ db *bbolt.DB }
 
-// openCursorStore opens the file in a folder and returns its cursors. Unreadable cursors are skipped, and their caches
-// are treated as new ones.
+// openCursorStore opens the file in a directory and returns its cursors. Unreadable cursors are skipped, and their
+// caches are treated as new ones.
 func openCursorStore(dir string) (*cursorStore, map[purge.CacheID]purge.Cursor, error) {
 	cursors := map[purge.CacheID]purge.Cursor{}
 	load := func(tx *bbolt.Tx) error {
--- a/internal/control/purger/diskfault_test.go
+++ b/internal/control/purger/diskfault_test.go
@@ -70,7 +70,7 @@
 	return r.retries >= 0
 }
 
-// expectCursors opens the store of a folder. It must have the cursors acknowledged last, or the complete next ones;
+// expectCursors opens the store in a directory. It must have the cursors acknowledged last, or the complete next ones;
 // before the first acknowledgement it may have none.
 func expectCursors(t *testing.T, what, dir string, last int) {
 	t.Helper()
@@ -87,8 +87,8 @@
 	}
 }
 
-// Kills a control server, or cuts its power, at each call that changes the cursor file. A lost cursor makes a cache
-// repeat all purges; a cursor that is ahead leaves a stale value in the cache permanently.
+// Kills a control server, or cuts its power, at each call that changes the cursor file. A lost cursor makes the server
+// repeat all purges at the cache; a cursor that is ahead leaves stale values in the cache.
 func TestCursorsSurviveCrashAtEachCall(t *testing.T) {
 	var recording diskfault.Recording
 	var acknowledged []int // calls by then, of each step
--- a/internal/control/purger/golden_test.go
+++ b/internal/control/purger/golden_test.go
@@ -36,11 +36,11 @@
 		d.close()
 	}
 	dir := t.TempDir()
-	kept, err := os.ReadFile(filepath.Join(recordedCursors, fileName))
+	recorded, err := os.ReadFile(filepath.Join(recordedCursors, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, fileName), kept, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fileName), recorded, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d, got, err := openCursorStore(dir)
--- a/internal/control/purger/harness_test.go
+++ b/internal/control/purger/harness_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	testLongestFill = 400 * time.Millisecond
+	testMaxFillTime = 400 * time.Millisecond
 	testLogID       = 7
 )
 
@@ -68,8 +68,8 @@
 	l.floor = floor
 }
 
-// bench has caches, the purgers of control servers, and the records for the checker.
-type bench struct {
+// fixture has stub caches, the purgers of control servers, and the records for the checker.
+type fixture struct {
 	t        *testing.T
 	log      testLog
 	settings fleetconfig.Purges
@@ -83,46 +83,46 @@
 	purged  []logtrace.PublishedPurge
 }
 
-// newBench starts caches and purgers.
-func newBench(t *testing.T, caches, purgers int) *bench {
+// newFixture starts caches and purgers.
+func newFixture(t *testing.T, caches, purgers int) *fixture {
 	t.Helper()
-	b := &bench{t: t, settings: *fleetconfig.DefaultPurges()}
-	b.settings.MaxFillS = testLongestFill.Seconds()
-	b.settings.FlushIntervalS = 0.1
-	b.log.changed = make(chan struct{})
+	f := &fixture{t: t, settings: *fleetconfig.DefaultPurges()}
+	f.settings.MaxFillS = testMaxFillTime.Seconds()
+	f.settings.FlushIntervalS = 0.1
+	f.log.changed = make(chan struct{})
 	for i := range caches {
-		cache, err := cachestub.Open(fmt.Sprint("c", i), bootTime, b.record)
+		cache, err := cachestub.Open(fmt.Sprint("c", i), bootTime, f.record)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(cache.Close)
-		b.caches = append(b.caches, cache)
-		b.settings.Caches = append(b.settings.Caches, fleetconfig.Cache{ID: cache.Name(), Addr: cache.Addr()})
+		f.caches = append(f.caches, cache)
+		f.settings.Caches = append(f.settings.Caches, fleetconfig.Cache{ID: cache.Name(), Addr: cache.Addr()})
 	}
 	for range purgers {
-		b.addPurger()
+		f.addPurger()
 	}
 	t.Cleanup(func() {
-		for i := range b.purgers {
-			b.stop(i)
+		for i := range f.purgers {
+			f.stop(i)
 		}
 	})
-	return b
+	return f
 }
 
-// record records an action of a cache or a change of a cursor.
-func (b *bench) record(r logtrace.CacheEvent) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.records = append(b.records, r)
+// record adds an action of a cache, or a change of a cursor, to the records.
+func (f *fixture) record(r logtrace.CacheEvent) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.records = append(f.records, r)
 }
 
 // flushes returns how often a cache was emptied.
-func (b *bench) flushes(cache string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *fixture) flushes(cache string) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	count := 0
-	for _, r := range b.records {
+	for _, r := range f.records {
 		if r.Cache == cache && r.Kind == logtrace.Emptied {
 			count++
 		}
@@ -130,65 +130,65 @@
 	return count
 }
 
-// addPurger starts another purger, with an empty folder.
-func (b *bench) addPurger() {
-	b.t.Helper()
-	b.purgers = append(b.purgers, nil)
-	b.dirs = append(b.dirs, b.t.TempDir())
-	b.start(len(b.purgers) - 1)
+// addPurger starts another purger, with an empty directory.
+func (f *fixture) addPurger() {
+	f.t.Helper()
+	f.purgers = append(f.purgers, nil)
+	f.dirs = append(f.dirs, f.t.TempDir())
+	f.start(len(f.purgers) - 1)
 }
 
-// start starts a purger with its existing folder.
-func (b *bench) start(i int) {
-	b.t.Helper()
+// start starts a purger with its existing directory.
+func (f *fixture) start(i int) {
+	f.t.Helper()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	settings := b.settings
+	settings := f.settings
 	p, err := Open(Config{
 		Settings:    &settings,
 		ServerCount: 4,
-		Log:         &b.log,
-		Dir:         b.dirs[i],
+		Log:         &f.log,
+		Dir:         f.dirs[i],
 		Seed:        uint32(i),
 		Logger:      logger,
 		Now:         bootTime,
-		Dial:        b.dial,
+		Dial:        f.dial,
 		OnProgress: func(id purge.CacheID, cursor purge.Cursor) {
 			done := uint64(cursor.Done)
-			b.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), Kind: logtrace.Confirmed, Index: done})
+			f.record(logtrace.CacheEvent{At: bootTime(), Cache: string(id), Kind: logtrace.Confirmed, Index: done})
 		},
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.purgers[i] = p
+	f.purgers[i] = p
 }
 
-func (b *bench) stop(i int) {
-	if b.purgers[i] != nil {
-		b.purgers[i].Close()
-		b.purgers[i] = nil
+func (f *fixture) stop(i int) {
+	if f.purgers[i] != nil {
+		f.purgers[i].Close()
+		f.purgers[i] = nil
 	}
 }
 
 // publish appends purges to the log. The origin already has the given version of each key.
-func (b *bench) publish(version uint64, keys ...string) {
-	b.log.mu.Lock()
-	defer b.log.mu.Unlock()
+func (f *fixture) publish(version uint64, keys ...string) {
+	f.log.mu.Lock()
+	defer f.log.mu.Unlock()
 	for _, key := range keys {
-		index := replicatedlog.Index(len(b.log.entries) + 1)
+		index := replicatedlog.Index(len(f.log.entries) + 1)
 		proposal := replicatedlog.Proposal{Kind: replicatedlog.Purge, Body: []byte(key)}
 		purged := logtrace.PublishedPurge{Index: uint64(index), Key: key, Version: version, Sent: bootTime()}
-		b.purged = append(b.purged, purged)
-		b.log.entries = append(b.log.entries, replicatedlog.Entry{Index: index, Proposal: proposal})
+		f.purged = append(f.purged, purged)
+		f.log.entries = append(f.log.entries, replicatedlog.Entry{Index: index, Proposal: proposal})
 	}
-	close(b.log.changed)
-	b.log.changed = make(chan struct{})
+	close(f.log.changed)
+	f.log.changed = make(chan struct{})
 }
 
 // progress returns a purger's progress at a cache.
-func (b *bench) progress(i int, cache string) purge.Progress {
-	all, _ := b.purgers[i].Progress()
+func (f *fixture) progress(i int, cache string) purge.Progress {
+	all, _ := f.purgers[i].Progress()
 	for _, progress := range all {
 		if progress.Cache == cache {
 			return progress
@@ -198,34 +198,34 @@
 }
 
 // eventually waits until a condition holds, and fails the test after a timeout.
-func (b *bench) eventually(what string, holds func() bool) {
-	b.t.Helper()
+func (f *fixture) eventually(what string, holds func() bool) {
+	f.t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("timed out waiting for: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
 // waitDone waits until a purger has carried out all purges at a cache.
-func (b *bench) waitDone(i int, cache string) {
-	b.t.Helper()
-	last := uint64(len(b.log.entries))
+func (f *fixture) waitDone(i int, cache string) {
+	f.t.Helper()
+	last := uint64(len(f.log.entries))
 	what := fmt.Sprintf("%s to have all %d purges", cache, last)
-	b.eventually(what, func() bool { return b.progress(i, cache).Done >= last })
+	f.eventually(what, func() bool { return f.progress(i, cache).Done >= last })
 }
 
 // report returns the checker's report on the records.
-func (b *bench) report() checker.CachesReport {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return checker.CheckCaches(b.purged, b.records, nil)
+func (f *fixture) report() checker.CachesReport {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return checker.CheckCaches(f.purged, f.records, nil)
 }
 
-func (b *bench) expectNoBreach() {
-	b.t.Helper()
-	if report := b.report(); len(report.Breaches) > 0 {
-		b.t.Errorf("%+v", report.Breaches)
+func (f *fixture) expectNoBreach() {
+	f.t.Helper()
+	if report := f.report(); len(report.Breaches) > 0 {
+		f.t.Errorf("breaches: %+v", report.Breaches)
 	}
 }
 
--- a/internal/control/purger/invariants_checked_test.go
+++ b/internal/control/purger/invariants_checked_test.go
@@ -27,8 +27,8 @@
 func (c *fabricatedAnswersConn) Write(b []byte) (int, error) {
 	var answers []byte
 	for line := range strings.Lines(string(b)) {
-		order, _ := cachestub.ParseCommand([]byte(line))
-		answers = append(answers, order.Answer(true)...)
+		command, _ := cachestub.ParseCommand([]byte(line))
+		answers = append(answers, command.Answer(true)...)
 	}
 	c.answers <- answers
 	return len(b), nil
@@ -50,7 +50,7 @@
 // faultyVariant describes how a purger is broken; the zero value is a correct one.
 type faultyVariant struct {
 	name           string
-	change         func(*bench)
+	change         func(*fixture)
 	cursorLeads    bool // the cursor on disk is ahead of the answers
 	startsAtNewest bool // it assumes that a reconnected cache has no old values
 	want           string
@@ -64,12 +64,12 @@
 		{name: "correct"},
 		{
 			name:   "no confirming delete after fills",
-			change: func(b *bench) { b.settings.MaxFillS = 1e-6 },
+			change: func(f *fixture) { f.settings.MaxFillS = 1e-6 },
 			want:   checker.StaleServed,
 		},
 		{
 			name:   "purge counted without an answer",
-			change: func(b *bench) { b.dial = dialFabricatedAnswersConn },
+			change: func(f *fixture) { f.dial = dialFabricatedAnswersConn },
 			want:   checker.NotCarriedOut,
 		},
 		{name: "cursor ahead of the answers", cursorLeads: true, want: checker.NotCarriedOut},
@@ -80,7 +80,7 @@
 			report := v.run(t)
 			found := slices.ContainsFunc(report.Breaches, func(b checker.Breach) bool { return b.What == v.want })
 			if found != (v.want != "") || v.want == "" && len(report.Breaches) > 0 {
-				t.Errorf("%+v", report)
+				t.Errorf("want breach %q, got %+v", v.want, report)
 			}
 		})
 	}
@@ -89,40 +89,40 @@
 // run publishes a purge while a fill is under way, then two more while the cache refuses connections, and restarts
 // the purger.
 func (v *faultyVariant) run(t *testing.T) checker.CachesReport {
-	b := newBench(t, 1, 0)
+	f := newFixture(t, 1, 0)
 	if v.change != nil {
-		v.change(b)
+		v.change(f)
 	}
-	b.addPurger()
-	cache := b.caches[0]
+	f.addPurger()
+	cache := f.caches[0]
 	cache.Fill("a", 1)
-	b.publish(2, "a")
-	time.Sleep(testLongestFill / 4)
+	f.publish(2, "a")
+	time.Sleep(testMaxFillTime / 4)
 	cache.Fill("a", 1) // the fill that was under way
-	time.Sleep(testLongestFill / 4)
+	time.Sleep(testMaxFillTime / 4)
 	_, _ = cache.Serve("a")
-	b.waitDone(0, "c0")
+	f.waitDone(0, "c0")
 	_, _ = cache.Serve("a")
 
 	cache.Fill("b", 1)
 	cache.SetFault(cachestub.Refuse, 0)
-	b.publish(2, "b", "c")
-	time.Sleep(testLongestFill / 4)
-	b.stop(0)
+	f.publish(2, "b", "c")
+	time.Sleep(testMaxFillTime / 4)
+	f.stop(0)
 	if v.cursorLeads {
-		writeCursor(t, b.dirs[0], "c0", purge.Cursor{Log: testLogID, Done: 3})
+		writeCursor(t, f.dirs[0], "c0", purge.Cursor{Log: testLogID, Done: 3})
 	}
 	cache.SetFault(cachestub.None, 0)
-	b.start(0)
+	f.start(0)
 	if v.startsAtNewest {
-		b.purgers[0].MergeProgress([]purge.Progress{{Cache: "c0", Log: testLogID, Done: 3}})
+		f.purgers[0].MergeProgress([]purge.Progress{{Cache: "c0", Log: testLogID, Done: 3}})
 	}
-	b.waitDone(0, "c0")
+	f.waitDone(0, "c0")
 	_, _ = cache.Serve("b")
-	return b.report()
+	return f.report()
 }
 
-// writeCursor writes a cursor into a purger's folder.
+// writeCursor writes a cursor into a purger's directory.
 func writeCursor(t *testing.T, dir string, id purge.CacheID, cursor purge.Cursor) {
 	t.Helper()
 	store, _, err := openCursorStore(dir)
--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -29,7 +29,8 @@
 	removed bool
 }
 
-// cache converts the entry to a cache; false if the entry is invalid. The address of a removed cache is not checked.
+// cache returns the cache that the entry describes; false if the entry is invalid. The address of a removed cache is
+// not checked.
 func (i listedInstance) cache() (listedCache, bool) {
 	removed := i.Lifecycle == lifecycleRemoved
 	_, err := netip.ParseAddrPort(i.Addr)
@@ -44,8 +45,8 @@
 	}, true
 }
 
-// applyList applies a list, or the changes to it, requested at a given time. A cache that is missing from a complete
-// list has left, unless some entry is invalid: that entry may be any cache, so all caches stay.
+// applyList applies a list, or the changes to it, that was requested at a given time. A cache that is missing from a
+// complete list has left it. If any entry is invalid, no cache counts as missing, since that entry may stand for it.
 func (p *Purger) applyList(instances []listedInstance, kind policy.UpdateKind, at monotime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,15 +55,15 @@
 		return
 	default:
 	}
-	unreadable := false
+	hasInvalid := false
 	named := map[purge.CacheID]bool{}
 	for _, instance := range instances {
 		if slices.Contains(p.Settings.Origins, instance.Kind) {
 			continue
 		}
-		listed, readable := instance.cache()
-		if !readable {
-			unreadable = true
+		listed, valid := instance.cache()
+		if !valid {
+			hasInvalid = true
 			continue
 		}
 		named[listed.id] = true
@@ -71,7 +72,7 @@
 	complete := kind != policy.DeltaUpdate
 	for id, c := range p.caches {
 		switch {
-		case c.stop == nil || named[id] || unreadable:
+		case c.stop == nil || named[id] || hasInvalid:
 		case complete:
 			p.unlist(c)
 		default: // unchanged, and confirmed as of this time
@@ -81,8 +82,8 @@
 	p.hasList = true
 }
 
-// setListed applies what the list says about a cache as of a time, and starts or ends its connection. The caller must
-// hold the lock.
+// setListed applies the list's entry for a cache, which was valid at a given time, and starts or ends the cache's
+// connection. The caller must hold the lock.
 func (p *Purger) setListed(listed listedCache, at monotime.Instant) {
 	c := p.cacheOf(listed.id, purge.Cursor{})
 	if c == nil {
--- a/internal/control/purger/list_test.go
+++ b/internal/control/purger/list_test.go
@@ -53,8 +53,8 @@
 }
 
 // listed returns the number of caches in a purger's list.
-func (b *bench) listed(i int) int {
-	all, _ := b.purgers[i].Progress()
+func (f *fixture) listed(i int) int {
+	all, _ := f.purgers[i].Progress()
 	return len(all)
 }
 
@@ -63,53 +63,53 @@
 // values fills could have stored.
 func TestListIsFollowed(t *testing.T) {
 	t.Parallel()
-	b := newBench(t, 2, 0)
+	f := newFixture(t, 2, 0)
 	discovery := &testDiscovery{}
 	web := httptest.NewServer(discovery)
 	t.Cleanup(web.Close)
 	cache := func(i, started int, lifecycle string) map[string]any {
-		return instance(b.caches[i].Name(), b.caches[i].Addr(), "m2", lifecycle, started)
+		return instance(f.caches[i].Name(), f.caches[i].Addr(), "m2", lifecycle, started)
 	}
 	origin := instance("o", "127.0.0.1:1", "origin", "in_service", 0)
 	unreadable := instance("odd", "nowhere", "m2", "in_service", 0)
-	b.settings.Caches = nil
-	b.settings.Discovery = strings.TrimPrefix(web.URL, "http://")
-	b.addPurger()
-	if _, listed := b.purgers[0].Progress(); listed {
+	f.settings.Caches = nil
+	f.settings.Discovery = strings.TrimPrefix(web.URL, "http://")
+	f.addPurger()
+	if _, listed := f.purgers[0].Progress(); listed {
 		t.Error("listed before discovery sent a list")
 	}
 
 	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "terminating"), origin)
-	b.publish(2, "a")
-	b.eventually("both are listed", func() bool { return b.listed(0) == 2 })
-	b.waitDone(0, "c0")
-	b.waitDone(0, "c1")
+	f.publish(2, "a")
+	f.eventually("both are listed", func() bool { return f.listed(0) == 2 })
+	f.waitDone(0, "c0")
+	f.waitDone(0, "c1")
 	discovery.set(cache(0, 5, "in_service"), origin, unreadable)
 	time.Sleep(100 * time.Millisecond)
-	if b.listed(0) != 2 {
+	if f.listed(0) != 2 {
 		t.Error("invalid entry removed a cache")
 	}
 
 	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "terminated"), origin)
-	b.eventually("one has left", func() bool { return b.listed(0) == 1 })
-	b.caches[1].Fill("b", 1)
-	b.publish(2, "b")
-	b.waitDone(0, "c0")
-	if _, ok := b.caches[1].Serve("b"); !ok {
+	f.eventually("one has left", func() bool { return f.listed(0) == 1 })
+	f.caches[1].Fill("b", 1)
+	f.publish(2, "b")
+	f.waitDone(0, "c0")
+	if _, ok := f.caches[1].Serve("b"); !ok {
 		t.Error("purge sent to a cache that has left")
 	}
 	discovery.set(cache(0, 5, "in_service"), cache(1, 5, "in_service"))
-	b.waitDone(0, "c1")
+	f.waitDone(0, "c1")
 
-	b.caches[0].Restart()
-	b.caches[0].Fill("c", 1) // by a fill that began before the restart
-	b.publish(2, "c")
+	f.caches[0].Restart()
+	f.caches[0].Fill("c", 1) // by a fill that began before the restart
+	f.publish(2, "c")
 	discovery.set(cache(0, 9, "in_service"), cache(1, 5, "in_service"))
-	b.waitDone(0, "c0")
-	b.waitDone(0, "c1")
-	b.eventually("the new process is known", func() bool { return b.progress(0, "c0").Incarnation == 9 })
-	if _, ok := b.caches[0].Serve("c"); ok {
+	f.waitDone(0, "c0")
+	f.waitDone(0, "c1")
+	f.eventually("the new process is known", func() bool { return f.progress(0, "c0").Incarnation == 9 })
+	if _, ok := f.caches[0].Serve("c"); ok {
 		t.Error("old value in a restarted cache")
 	}
-	b.expectNoBreach()
+	f.expectNoBreach()
 }
--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -19,7 +19,7 @@
 )
 
 var (
-	errBusy        = errors.New("discovery refused the request: it is overloaded")
+	errBusy        = errors.New("discovery refused the request because it is overloaded")
 	errInvalidList = errors.New("discovery returned an invalid list of caches")
 )
 
@@ -30,7 +30,7 @@
 	Instances  *[]listedInstance `json:"instances"`
 }
 
-// listPoller polls discovery for the list of caches, by the same rules as nodes.
+// listPoller polls discovery for the list of caches, with the same timeouts and backoffs as nodes.
 type listPoller struct {
 	purger *Purger
 	client *http.Client
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -38,7 +38,7 @@
 	Settings    *fleetconfig.Purges // settings of purges
 	ServerCount int                 // number of control servers, all of which poll discovery
 	Log         Log
-	Dir         string // folder of the cursor file
+	Dir         string // directory of the cursor file
 	Seed        uint32 // seed of the backoff jitter
 	Logger      *logrus.Logger
 	Now         func() monotime.Instant                                   // clock that also advances during suspend
