--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -201,12 +201,15 @@
 			continue
 		}
 		err := p.cursors.put(changed, all)
-		// Logged once when saving begins to fail, and once, without an error, when it works again. Purges after the
-		// cursor on disk are repeated after a restart.
-		if (err != nil) != failed {
-			failed = err != nil
-			p.Logger.WithError(err).Warn("purger: saving cache cursors began to fail or works again; tried every second")
+		// Only the first failure in a row and the recovery are logged. While cursors are not saved, a restart repeats
+		// the purges after the cursors on disk.
+		switch {
+		case err != nil && !failed:
+			p.Logger.WithError(err).Warn("purger: saving cache cursors failed; retrying every second")
+		case err == nil && failed:
+			p.Logger.WithError(err).Warn("purger: cache cursors are saved again")
 		}
+		failed = err != nil
 		if err == nil {
 			p.markSaved(changed)
 		}
