--- a/internal/control/controlserver/config.go
+++ b/internal/control/controlserver/config.go
@@ -13,7 +13,7 @@
 	"dahliapin/internal/monotime"
 )
 
-// Storage keeps raft's state and log. Production code uses store.Store; tests have others.
+// Storage stores raft's state and log. Production code uses store.Store; tests have other implementations.
 type Storage interface {
 	raft.Storage
 	// Save makes everything that it is given durable before it returns without an error.
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -58,7 +58,7 @@
 		fresh:      hello.Fresh,
 		mustStart:  hello.Fresh,
 	}
-	d.noteReport(report)
+	d.recordReport(report)
 	s.goroutines.Go(func() {
 		defer stream.Close()
 		d.run()
@@ -69,7 +69,7 @@
 		if err != nil || message.Kind != controlwire.KindProgress || len(message.Nodes) != 1 {
 			return
 		}
-		if !d.noteReport(message.Nodes[0]) {
+		if !d.recordReport(message.Nodes[0]) {
 			return
 		}
 		s.status.bytesIn.Add(uint64(size))
@@ -89,15 +89,15 @@
 	return name != "" && len(name) <= controlwire.MaxNameBytes
 }
 
-// noteReport records the node's report. It returns false for a report of another node, or an invalid one.
-func (d *delivery) noteReport(report controlwire.NodeReport) bool {
+// recordReport records the node's report. It returns false for a report of another node, or an invalid one.
+func (d *delivery) recordReport(report controlwire.NodeReport) bool {
 	if report.Node != d.node || len(report.Reason) > controlwire.MaxReasonBytes {
 		return false
 	}
 	report.Server = d.server.id
 	report.AgeMs = 0
 	d.acked.Store(report.Applied)
-	d.server.status.noteNode(report, d.server.Now())
+	d.server.status.recordNode(report, d.server.Now())
 	return true
 }
 
@@ -130,8 +130,8 @@
 }
 
 // nextMessage returns the next message for the node, the size of its entries (0 if it has none), and the size of all
-// entries that the node has not been sent. If the node has to start again but the starting point is not after what it
-// was sent, the message is a KindEntries without entries.
+// entries that the node has not been sent. If the node has to start again, but the starting point is not after the last
+// entry that it was sent, the message is a KindEntries without entries.
 func (d *delivery) nextMessage() (message controlwire.Message, size int, lacking uint64) {
 	hasLeader := d.server.loop.leadership.Load().hasLeader
 	log := d.server.sharedLog
@@ -182,14 +182,14 @@
 }
 
 // takeEntries returns the encoded entries after those already sent, unless the window of unacknowledged bytes is full.
-// If these entries are no longer kept, the node has to start again. The caller holds the log's lock.
+// If these entries are no longer retained, the node has to start again. The caller holds the log's lock.
 func (d *delivery) takeEntries(state *replicatedlog.State) []cbor.RawMessage {
 	window := uint64(d.server.File.Bounds.WindowKiB * (1 << 10))
 	if state.Bytes(replicatedlog.Index(d.acked.Load()), d.sent) >= window {
 		return nil
 	}
-	entries, upTo, kept := state.EntriesAfter(d.sent, deliveryFrameBytes)
-	if !kept {
+	entries, upTo, retained := state.EntriesAfter(d.sent, deliveryFrameBytes)
+	if !retained {
 		d.mustStart = true
 		return nil
 	}
--- a/internal/control/controlserver/delivery_test.go
+++ b/internal/control/controlserver/delivery_test.go
@@ -26,7 +26,7 @@
 	}
 	isolated := c.leader()
 	server := c.servers[isolated]
-	near := c.follow("there", c.seedFor(isolated)) // a node that prefers this server
+	near := c.follow("near", c.seedFor(isolated)) // a node that prefers this server
 	c.waitApplied(near, 1-min(1, near.Status().PresumedPurged))
 	nodes = append(nodes, near)
 
@@ -56,9 +56,9 @@
 	c.waitApplied(nodes[0], 4) // including the proposal that waited at the partitioned server
 }
 
-// A node and a server are disconnected while more entries are published than are kept. When they are back, the server
-// must restart from a snapshot, and the node from the floor, with the latest configuration, presuming all earlier keys
-// purged.
+// A node and a server are disconnected while more entries are published than are retained. When they are back, the
+// server must restart from a snapshot, and the node from the floor, with the latest configuration, presuming all
+// earlier keys purged.
 //
 // While a server catches up it has intermediate floors, such as 3 after the first batch of 1024. The first node, which
 // returns together with the server, may start at such a floor, at any server. The second one returns once all servers
@@ -66,10 +66,10 @@
 func TestNodeAndServerBehindTheFloorStartAnew(t *testing.T) {
 	t.Parallel()
 	const (
-		keptEntries = 1024
-		last        = 2003
+		retainedEntries = 1024
+		last            = 2003
 	)
-	c := newCluster(t, func(file *fleetconfig.ControlFile) { file.Bounds.Entries = keptEntries }, nil)
+	c := newCluster(t, func(file *fleetconfig.ControlFile) { file.Bounds.Entries = retainedEntries }, nil)
 	first := c.follow("first", 1)
 	second := c.follow("second", 2)
 	nodes := []*testNode{first, second}
@@ -106,8 +106,9 @@
 	second.setCut(false)
 	c.waitApplied(second, last)
 	floor := second.Status().PresumedPurged
-	if floor < last-keptEntries || floor > min(last-1, c.highestFloor()) { // a later start skips retained entries
-		t.Fatalf("node started at %d", floor)
+	if floor < last-retainedEntries || floor > min(last-1, c.highestFloor()) { // a later start skips retained entries
+		t.Fatalf("node started at %d, want a floor from %d to %d",
+			floor, last-retainedEntries, min(last-1, c.highestFloor()))
 	}
 	if second.Status().Config != 3 {
 		t.Errorf("second node lacks the latest configuration: %+v", second.Status())
--- a/internal/control/controlserver/doc.go
+++ b/internal/control/controlserver/doc.go
@@ -1,6 +1,6 @@
 // Package controlserver implements a control server: one of a small group of processes that agree, by raft, on the
 // order of the fleet's purges and configurations, and deliver them to the nodes that follow. Open starts a server and
-// Close stops it; Done and Fault report that it had to stop after a failure.
+// Close stops it; Done and Err report that it had to stop after a failure.
 //
 // # Path of a proposal
 //
@@ -37,6 +37,7 @@
 // # Invariants
 //
 //   - No answer or message is sent that depends on an unfinished write. A failed write stops the server.
-//   - A server without a leader reports that in each message of entries to its followers, so that they leave it.
-//   - A follower gets entries in order and without gaps, or is told to start again (controlwire.KindStart).
+//   - Each message of entries to a follower states whether the server has a leader, so that followers leave a server
+//     without one.
+//   - A follower gets entries in order and without gaps, or a new starting point (controlwire.KindStart).
 package controlserver
--- a/internal/control/controlserver/harness_test.go
+++ b/internal/control/controlserver/harness_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// cluster runs control servers in this process. Their streams can be cut, and they use made-up addresses for each
-// other.
+// cluster runs control servers in this process. They address each other by made-up addresses, which dial maps to their
+// listeners, so that streams can be cut.
 type cluster struct {
 	t          *testing.T
 	dirs       []string
@@ -242,7 +242,7 @@
 // nodeAddrsWithout returns nodeAddrs without that of one server.
 func (c *cluster) nodeAddrsWithout(i int) []string { return slices.Delete(c.nodeAddrs(), i, i+1) }
 
-// highestFloor returns the highest index up to which any server no longer keeps entries.
+// highestFloor returns the highest floor of all servers.
 func (c *cluster) highestFloor() replicatedlog.Index {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,7 +263,7 @@
 	return controlclient.Client{Servers: addrs, Label: testLabel, Dial: c.dial}
 }
 
-// publish has proposals ordered by the servers at the given addresses; by default at any.
+// publish publishes proposals at the servers with the given addresses, or at all servers if there are none.
 func (c *cluster) publish(proposals []replicatedlog.Proposal, addrs ...string) []replicatedlog.Index {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -275,7 +275,7 @@
 	return indexes
 }
 
-// seedFor returns a seed with which a node tries the given server first.
+// seedFor returns a seed for which the given server is the first in a node's order of servers.
 func (c *cluster) seedFor(i int) uint32 {
 	for seed := uint32(0); ; seed++ {
 		rank := func(addr string) uint64 { return keyhash.Salted(keyhash.String(addr), int(seed)) }
@@ -298,7 +298,7 @@
 	cut     bool // it reaches no server
 }
 
-// nodeStart records that a node was told to start.
+// nodeStart records a starting point that a node received.
 type nodeStart struct {
 	at      replicatedlog.Index // everything up to here may have been purged
 	applied int                 // number of entries recorded before
@@ -344,7 +344,7 @@
 	return n.cut
 }
 
-// startRecorder records whether an Applier was told where to start.
+// startRecorder records whether an Applier has received a starting point.
 type startRecorder struct {
 	logfollower.Applier
 	started atomic.Bool
@@ -411,7 +411,7 @@
 	}
 }
 
-// waitStarted waits until nodes were told where to start.
+// waitStarted waits until nodes have received a starting point.
 func waitStarted(t *testing.T, nodes ...*startRecorder) {
 	t.Helper()
 	eventually(t, 10*time.Second, "the nodes start", func() bool {
@@ -430,11 +430,12 @@
 			same++
 		}
 		next := n.bodies[same:min(same+3, len(n.bodies))]
-		t.Errorf("%s: applied %d entries, want %d; equal up to %d, then %q", n.Name, len(n.bodies), len(want), same, next)
+		t.Errorf("%s: applied %d entries, want %d; equal up to %d, then %q",
+			n.Name, len(n.bodies), len(want), same, next)
 	}
 	for i, at := range n.indexes {
 		if at != from+replicatedlog.Index(i) {
-			t.Errorf("%s: entry %d at %d", n.Name, at, i)
+			t.Errorf("%s: entry %d at position %d", n.Name, at, i)
 			return
 		}
 	}
@@ -452,7 +453,7 @@
 	for i, at := range n.indexes {
 		for len(starts) > 0 && starts[0].applied <= i {
 			if starts[0].at <= had {
-				t.Errorf("%s: started at %d, with %d", n.Name, starts[0].at, had)
+				t.Errorf("%s: started at %d after entry %d", n.Name, starts[0].at, had)
 			}
 			had = starts[0].at
 			starts = starts[1:]
@@ -471,7 +472,7 @@
 		}
 	}
 	if had != last {
-		t.Errorf("%s: last entry %d", n.Name, had)
+		t.Errorf("%s: last entry %d, want %d", n.Name, had, last)
 	}
 }
 
--- a/internal/control/controlserver/invariants_checked_test.go
+++ b/internal/control/controlserver/invariants_checked_test.go
@@ -40,17 +40,17 @@
 // onPersisted records the proposals that are on a server's disk.
 func (e *traceRecorder) onPersisted(server int) func([]replicatedlog.Proposal) {
 	return func(proposals []replicatedlog.Proposal) {
-		kept := logtrace.DurableEntries{At: bootTime()}
+		written := logtrace.DurableEntries{At: bootTime()}
 		for _, p := range proposals {
-			kept.Marks = append(kept.Marks, p.ContentHash())
+			written.Marks = append(written.Marks, p.ContentHash())
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.persisted[server] = append(e.persisted[server], kept)
+		e.persisted[server] = append(e.persisted[server], written)
 	}
 }
 
-// publish has a proposal ordered, and records when it was sent and acknowledged.
+// publish publishes a proposal, and records when it was sent and acknowledged.
 func (e *traceRecorder) publish(c *cluster, p replicatedlog.Proposal) {
 	o := logtrace.PublishedChange{Mark: p.ContentHash(), Config: p.Kind == replicatedlog.Config, Sent: bootTime()}
 	o.Index = uint64(c.publish([]replicatedlog.Proposal{p})[0])
@@ -64,8 +64,8 @@
 func (e *traceRecorder) report() checker.Report {
 	traceChecker := checker.New(testVoters, nil)
 	for server := range testVoters {
-		for _, kept := range e.persisted[server] {
-			traceChecker.AddStored(server, kept)
+		for _, written := range e.persisted[server] {
+			traceChecker.AddStored(server, written)
 		}
 	}
 	for _, o := range e.ordered {
@@ -121,7 +121,7 @@
 	return err
 }
 
-// ignoresStartConfig ignores the configuration in force that a start message brings, and keeps its own or none.
+// ignoresStartConfig ignores the configuration in force that a start message contains, and keeps its own or none.
 type ignoresStartConfig struct{ *correctApplier }
 
 func (a ignoresStartConfig) Start(log replicatedlog.LogID, at replicatedlog.Index, _ cbor.RawMessage) error {
--- a/internal/control/controlserver/leaderduties.go
+++ b/internal/control/controlserver/leaderduties.go
@@ -14,7 +14,7 @@
 )
 
 // leaderDuties is called at each tick. At the leader it proposes an id for a new log, and the index up to which entries
-// need not be kept any more.
+// need no longer be retained.
 func (l *raftLoop) leaderDuties() {
 	if !l.leadership.Load().isLeader {
 		return
@@ -23,18 +23,18 @@
 	if id == 0 {
 		l.proposeLogID()
 	}
-	nodeGracePeriod := l.server.File.Bounds.Retention()
+	retention := l.server.File.Bounds.Retention()
 	if time.Since(l.lastTrim) < trimInterval {
 		return
 	}
-	if time.Since(l.startedAt) < nodeGracePeriod {
+	if time.Since(l.startedAt) < retention {
 		// A node that has been unreachable since before this process started is not known here; its entries must not
 		// be trimmed.
 		return
 	}
 	l.lastTrim = time.Now()
-	upTo, known := l.server.status.appliedByAll(nodeGracePeriod)
-	if l.server.purger != nil { // keeps what a listed cache with a cursor in this log lacks, within the log's bounds
+	upTo, known := l.server.status.appliedByAll(retention)
+	if l.server.purger != nil { // retains what a listed cache with a cursor in this log lacks, within the log's bounds
 		if done, ok := l.server.purger.DoneEverywhere(); ok {
 			upTo = min(upTo, done)
 		}
--- a/internal/control/controlserver/leaderduties_test.go
+++ b/internal/control/controlserver/leaderduties_test.go
@@ -37,13 +37,13 @@
 	c.t.Helper()
 	time.Sleep(300 * time.Millisecond)
 	if slices.Max(c.floors()) > 0 {
-		c.t.Errorf("kept after %v, %s", c.floors(), why)
+		c.t.Errorf("logs are trimmed up to %v, %s", c.floors(), why)
 	}
 }
 
 // Entries that all nodes have applied are trimmed, except for the newest ones. A node that is off prevents that for the
-// configured hold time, and so does a leader that has run for less than the hold time, because it may not know all
-// nodes.
+// configured retention time. A leader that has run for less than the retention time trims nothing, because it may not
+// know all nodes.
 func TestEntriesThatAllNodesAppliedAreTrimmed(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, func(file *fleetconfig.ControlFile) {
@@ -60,19 +60,19 @@
 	time.Sleep(2*controlwire.ProgressInterval + 2*statusInterval)
 
 	trim(c.servers[c.leader()], 2*time.Hour)
-	c.expectNothingTrimmed("although a node that reported within the hold time lacks entries")
+	c.expectNothingTrimmed("although a node that reported within the retention time lacks entries")
 
 	c.age("off", 2*time.Hour)
 	trim(c.servers[c.leader()], 0)
 	c.expectNothingTrimmed("by a leader that has just started and may not know all nodes")
 
-	kept := []replicatedlog.Index{1200, 1200, 1200, 1200}
+	want := []replicatedlog.Index{1200, 1200, 1200, 1200}
 	deadline := time.Now().Add(10 * time.Second)
-	for ; !slices.Equal(c.floors(), kept); time.Sleep(100 * time.Millisecond) {
+	for ; !slices.Equal(c.floors(), want); time.Sleep(100 * time.Millisecond) {
 		c.age("off", 2*time.Hour) // repeated, because a table sent earlier may still arrive
 		trim(c.servers[c.leader()], 2*time.Hour)
 		if time.Now().After(deadline) {
-			t.Fatalf("kept after %v", c.floors())
+			t.Fatalf("logs are trimmed up to %v, want %v", c.floors(), want)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func (c *cluster) age(node string, by time.Duration) {
 	for _, server := range c.servers {
 		server.status.mu.Lock()
-		if record, is := server.status.nodes[node]; is {
+		if record, ok := server.status.nodes[node]; ok {
 			record.seenAt -= monotime.Instant(by)
 			server.status.nodes[node] = record
 		}
--- a/internal/control/controlserver/lifecycle.go
+++ b/internal/control/controlserver/lifecycle.go
@@ -20,7 +20,7 @@
 	closed     chan struct{}  // closed when the server stops
 	goroutines sync.WaitGroup // all of them
 	endOnce    sync.Once
-	fault      atomic.Pointer[error] // why the server had to stop; nil for none
+	stopErr    atomic.Pointer[error] // why the server had to stop; nil for none
 }
 
 func newLifecycle() lifecycle { return lifecycle{closed: make(chan struct{})} }
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -145,7 +145,7 @@
 	return proposals
 }
 
-// call queues a function for the loop to run. It may not run once the server has stopped.
+// call queues a function for the loop to run. A function that is queued when the server stops may not run.
 func (l *raftLoop) call(f func()) {
 	select {
 	case l.functions <- f:
@@ -162,7 +162,7 @@
 	_ = l.node.Step(message) // raft rejects unusable messages, for example from a server that is not a member
 }
 
-// updateLeadership makes the current state of the leadership visible to other goroutines.
+// updateLeadership makes the current leadership visible to other goroutines.
 func (l *raftLoop) updateLeadership() {
 	status := l.node.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader
@@ -226,7 +226,7 @@
 	}
 	batch, err := replicatedlog.DecodeBatch(entry.GetData())
 	if err != nil {
-		return fmt.Errorf("entry %d of the replicated log: %w", entry.GetIndex(), err)
+		return fmt.Errorf("cannot decode raft entry %d: %w", entry.GetIndex(), err)
 	}
 	var requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool)
 	if l.server.purger != nil {
--- a/internal/control/controlserver/publish.go
+++ b/internal/control/controlserver/publish.go
@@ -13,8 +13,8 @@
 const clientTimeout = 30 * time.Second
 
 var (
-	errClosed       = errors.New("the control machine ends")
-	errTooManyCalls = errors.New("busy: too many calls to publish")
+	errClosed       = errors.New("the control server is stopping")
+	errTooManyCalls = fmt.Errorf("busy: %d calls to publish are waiting already", inboxPublishes)
 )
 
 // serveClient serves an accepted stream: a follower's or a client's.
@@ -54,7 +54,7 @@
 	}
 }
 
-// answerPublish has the request's proposals ordered and returns the answer.
+// answerPublish publishes the request's proposals and returns the answer.
 func (s *Server) answerPublish(request controlwire.Message) controlwire.Message {
 	indexes, err := s.publish(request.Batch)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return controlwire.Message{Kind: controlwire.KindOrdered, Indexes: indexes}
 }
 
-// publish has an encoded batch of proposals ordered, waits for that, and returns their indexes.
+// publish passes an encoded batch of proposals to the loop, waits until they are ordered, and returns their indexes.
 func (s *Server) publish(encoded []byte) ([]uint64, error) {
 	batch, err := replicatedlog.DecodeBatch(encoded)
 	if err != nil {
@@ -93,7 +93,8 @@
 	}
 	for i, index := range call.indexes {
 		if index == 0 {
-			return nil, fmt.Errorf("%w: number %d of %d", replicatedlog.ErrProposal, i+1, len(call.indexes))
+			return nil, fmt.Errorf("%w: proposal %d of %d got no index",
+				replicatedlog.ErrProposal, i+1, len(call.indexes))
 		}
 	}
 	return call.indexes, nil
--- a/internal/control/controlserver/purges_test.go
+++ b/internal/control/controlserver/purges_test.go
@@ -81,10 +81,10 @@
 		learner := o.Caches[0].Servers[testServers-1]
 		return learner.Done == 10 && learner.Reason != ""
 	})
-	if at, is := c.servers[0].sharedLog.RequestedAt(10); !is || at <= 0 || at >= bootTime() {
-		t.Errorf("the server that was asked has no request time: %v, %t", at, is)
+	if at, ok := c.servers[0].sharedLog.RequestedAt(10); !ok || at <= 0 || at >= bootTime() {
+		t.Errorf("the server that was asked has no request time: %v, %t", at, ok)
 	}
-	if _, is := caches[0].Serve("key-1"); is {
+	if _, ok := caches[0].Serve("key-1"); ok {
 		t.Error("a purged value is served")
 	}
 
@@ -103,7 +103,7 @@
 	}
 	leader := c.servers[c.leader()]
 	last := uint64(indexes[len(indexes)-1])
-	leader.status.noteNode(controlwire.NodeReport{Node: "n", Applied: last}, bootTime()) // no node lacks entries
+	leader.status.recordNode(controlwire.NodeReport{Node: "n", Applied: last}, bootTime()) // no node lacks entries
 	trim(leader, 24*time.Hour)
 	time.Sleep(200 * time.Millisecond)
 	if _, floor, _ := leader.sharedLog.Position(); floor > 10 {
--- a/internal/control/controlserver/queue.go
+++ b/internal/control/controlserver/queue.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"slices"
 	"time"
 
@@ -21,7 +22,7 @@
 	proposals []replicatedlog.Proposal
 	indexes   []uint64      // of each proposal; 0 for one that cannot become an entry
 	remaining int           // proposals that are not ordered yet
-	deadline  time.Time     // then the client is told that the outcome is unknown
+	deadline  time.Time     // after which the client gets the answer that the outcome is unknown
 	failure   string        // why it ended without indexes; empty for none
 	finished  bool          // done is closed; used only by the loop
 	done      chan struct{} // closed by finish
@@ -77,7 +78,8 @@
 		bytes += len(p.Body)
 	}
 	if len(q.pending)+len(call.proposals) > maxPending || q.bytes+bytes > maxPendingBytes {
-		call.finish("busy: too many changes wait to be ordered")
+		call.finish(fmt.Sprintf("busy: more than %d proposals, or %d bytes of them, are waiting to be ordered",
+			maxPending, maxPendingBytes))
 		return nil
 	}
 	call.indexes = make([]uint64, len(call.proposals))
@@ -131,7 +133,8 @@
 		if now.Before(caller.call.deadline) {
 			awaited = true
 		} else {
-			caller.call.finish("not ordered in time, and may be yet: no leader is heard, or no majority of the voters")
+			caller.call.finish(fmt.Sprintf("not ordered within %v, but may still be ordered: there is no leader or no "+
+				"majority of the voters", controlwire.OrderTimeout))
 		}
 	}
 	return awaited
--- a/internal/control/controlserver/server.go
+++ b/internal/control/controlserver/server.go
@@ -130,12 +130,12 @@
 	return last
 }
 
-// Done returns a channel that is closed when the server stops. Fault then returns the reason.
+// Done returns a channel that is closed when the server stops. Err then returns the reason.
 func (s *Server) Done() <-chan struct{} { return s.closed }
 
 // Err returns why the server stopped by itself, such as a failed write to disk; nil if it was closed or still runs.
 func (s *Server) Err() error {
-	if err := s.fault.Load(); err != nil {
+	if err := s.stopErr.Load(); err != nil {
 		return *err
 	}
 	return nil
@@ -151,13 +151,13 @@
 	_ = s.loop.storage.Close()
 }
 
-// end unblocks all goroutines so that they return. It may be called from any goroutine; the error of the first call
-// becomes the fault.
+// end unblocks all goroutines so that they return. It may be called from any goroutine; Err returns the error of the
+// first call.
 func (s *Server) end(err error) {
 	s.endOnce.Do(func() {
 		if err != nil {
-			s.fault.Store(&err)
-			s.Log.WithError(err).Error("this control machine ends")
+			s.stopErr.Store(&err)
+			s.Log.WithError(err).Error("control server failed; stopping it")
 		}
 		close(s.closed)
 		_ = s.clientListener.Close()
--- a/internal/control/controlserver/server_test.go
+++ b/internal/control/controlserver/server_test.go
@@ -101,7 +101,7 @@
 	return d.Storage.Save(hard, entries, snapshot)
 }
 
-// The leader's disk is full. The leader must acknowledge nothing more and stop with that fault; the other servers must
+// The leader's disk is full. The leader must acknowledge nothing more and stop with that error; the other servers must
 // elect a new leader and continue.
 func TestServerStopsWhenItsDiskIsFull(t *testing.T) {
 	t.Parallel()
@@ -119,7 +119,7 @@
 	leader := c.leader()
 	disks[leader].fill()
 	if indexes := c.publish(newPurges(1, 1)); indexes[0] != 2 {
-		t.Errorf("ordered at %d", indexes)
+		t.Errorf("ordered at %d, want 2", indexes)
 	}
 	select {
 	case <-c.servers[leader].Done():
--- a/internal/control/controlserver/sharedlog.go
+++ b/internal/control/controlserver/sharedlog.go
@@ -18,8 +18,8 @@
 	// deliveryInterval is the minimum time between two wake-ups of the deliveries. Entries that arrive meanwhile are
 	// sent together.
 	deliveryInterval = 20 * time.Millisecond
-	// maxRequestTimes is the number of entries whose request times are kept. It equals maxPending, and is far above the
-	// number of entries published during the longest cache fill, for which the times are needed.
+	// maxRequestTimes is the number of entries whose request times are retained. It equals maxPending, and is far above
+	// the number of entries published during the longest cache fill, for which the times are needed.
 	maxRequestTimes = 16_384
 )
 
@@ -35,7 +35,7 @@
 	requestTimes []requestTime // sorted by index; at most maxRequestTimes
 }
 
-// requestTime is when this server was first asked to have an entry ordered.
+// requestTime is the time at which this server was first asked to have an entry ordered.
 type requestTime struct {
 	index replicatedlog.Index
 	at    monotime.Instant
@@ -114,8 +114,8 @@
 	return l.state.Snapshot()
 }
 
-// Position returns the log's id (0 for not known yet), the index up to which entries are no longer kept, and the index
-// of the newest entry.
+// Position returns the log's id (0 for not known yet), the index up to which entries are no longer retained, and the
+// index of the newest entry.
 func (l *sharedLog) Position() (id replicatedlog.LogID, floor, last replicatedlog.Index) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -131,7 +131,7 @@
 	report.Config = uint64(l.state.Config())
 }
 
-// Entry returns the entry at an index; false if it is not kept.
+// Entry returns the entry at an index; false if it is not retained.
 func (l *sharedLog) Entry(index replicatedlog.Index) (replicatedlog.Entry, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -139,7 +139,7 @@
 }
 
 // RequestedAt returns when this server was first asked to have an entry ordered; false if it was not asked, or the time
-// is no longer kept.
+// is no longer retained.
 func (l *sharedLog) RequestedAt(index replicatedlog.Index) (monotime.Instant, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/internal/control/controlserver/status.go
+++ b/internal/control/controlserver/status.go
@@ -30,7 +30,8 @@
 }
 
 // statusTable holds the latest reports on nodes, servers and caches: directly from the nodes that follow this server,
-// and from other servers. It is only a hint, and lost with the process. Its methods may be called from any goroutine.
+// and from other servers. Reports may be out of date and are lost with the process. Its methods may be called from any
+// goroutine.
 type statusTable struct {
 	server          *Server
 	mu              sync.Mutex
@@ -46,8 +47,8 @@
 	return &statusTable{server: s, nodes: map[string]nodeRecord{}, servers: map[uint64]serverRecord{}}
 }
 
-// noteNode records a node's report, unless a newer one is known, for example from another server that it followed.
-func (t *statusTable) noteNode(report controlwire.NodeReport, seenAt monotime.Instant) {
+// recordNode records a node's report, unless a newer one is known, for example from another server that it followed.
+func (t *statusTable) recordNode(report controlwire.NodeReport, seenAt monotime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.nodes[report.Node]
@@ -167,7 +168,7 @@
 			continue
 		}
 		report := controlwire.ServerReport{NeverSeen: true}
-		if record, is := t.servers[other.ID]; is {
+		if record, ok := t.servers[other.ID]; ok {
 			report = record.ServerReport
 			report.AgeMs = ageMs(now, record.seenAt)
 			for _, cache := range record.caches {
@@ -194,7 +195,7 @@
 		}
 		report.Server = from
 		age := time.Duration(report.AgeMs) * time.Millisecond
-		t.noteNode(report, now-monotime.Instant(age))
+		t.recordNode(report, now-monotime.Instant(age))
 	}
 	for _, report := range table.Servers {
 		if report.ID != from {
