--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -172,9 +172,12 @@
 	if before == now {
 		return
 	}
-	if before.isLeader != now.isLeader {
-		fields := logrus.Fields{"leads": now.isLeader, "term": now.term}
-		l.server.Log.WithFields(fields).Info("leader changed here")
+	fields := logrus.Fields{"leads": now.isLeader, "term": now.term}
+	switch {
+	case now.isLeader && !before.isLeader:
+		l.server.Log.WithFields(fields).Info("control server became the leader")
+	case before.isLeader && !now.isLeader:
+		l.server.Log.WithFields(fields).Info("control server is no longer the leader")
 	}
 	l.leadership.Store(&now)
 }
