--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -106,7 +106,7 @@
 func TestControlServersAsProcesses(t *testing.T) {
 	f := newControlFleet(t)
 	_, refused := f.start(t, 0)
-	waitForLine(t, refused, "is not started by itself")
+	waitForLine(t, refused, "data directory is empty")
 	var machines []*exec.Cmd
 	for i := range f.peers {
 		machine, log := f.start(t, i, "--new")
--- a/internal/control/replicatedlog/store/diskfault_test.go
+++ b/internal/control/replicatedlog/store/diskfault_test.go
@@ -94,8 +94,8 @@
 	return &recording, acknowledged
 }
 
-// expectRecovered opens the store of a folder after a crash. It must have the last acknowledged state, or the complete
-// next one. Before the first acknowledgement it may also accept only a first start.
+// expectRecovered opens the store in a directory after a crash. It must have the last acknowledged state, or the
+// complete next one. A store without an acknowledgement may also require that it is opened for a first start.
 func expectRecovered(t *testing.T, what, dir string, last int, states []acknowledgement) {
 	t.Helper()
 	s, err := Open(dir, testOwner, []uint64{1, 2, 3}, []uint64{4}, false)
@@ -190,7 +190,7 @@
 		t.Errorf("%s: error of several lines: %v", what, runErr)
 	}
 	if runErr == nil && last != len(states)-1 {
-		t.Errorf("%s: no error after %d steps", what, last)
+		t.Errorf("%s: no error, but only %d of %d states are acknowledged", what, last+1, len(states))
 	}
 	expectRecovered(t, what, run.dir, last, states)
 }
--- a/internal/control/replicatedlog/store/doc.go
+++ b/internal/control/replicatedlog/store/doc.go
@@ -10,7 +10,7 @@
 //   - Raft's entries after the last snapshot. A server that lost an acknowledged entry could elect a leader without
 //     it;
 //   - the last snapshot: the encoded replicatedlog.State, and the members;
-//   - the owner: the id of the server and the label of the fleet, so that another server does not use the folder by
+//   - the owner: the id of the server and the label of the fleet, so that another server does not use the directory by
 //     mistake.
 //
 // The commit index is written together with other changes, but never alone: safety does not need it, since the leader
@@ -18,7 +18,7 @@
 //
 // # Missing data
 //
-// An empty folder, or one whose file is empty or was never initialized, is rejected with ErrEmpty unless the caller
+// An empty directory, or one whose file is empty or was never initialized, is rejected with ErrEmpty unless the caller
 // states that this is the first start. A truncated file is an error, see package boltfile. A gap between the snapshot
 // and the entries, another owner, or an unreadable file is an error as well: a server that lost part of its disk must
 // not take part in Raft.
--- a/internal/control/replicatedlog/store/golden_test.go
+++ b/internal/control/replicatedlog/store/golden_test.go
@@ -14,19 +14,19 @@
 )
 
 var record = flag.Bool("record-folder", false,
-	"rewrite the recorded data folder; use only for an intended change of its format")
+	"rewrite the recorded data directory; use only for an intended change of its format")
 
-// A data folder written by an earlier version must stay readable: term, vote, snapshot and entries.
+// A data directory written by an earlier version must stay readable: term, vote, snapshot and entries.
 func TestFolderOfEarlierVersionIsReadable(t *testing.T) {
 	if *record {
 		recordFolder(t)
 	}
 	dir := t.TempDir()
-	kept, err := os.ReadFile(recordedFolder + "/" + fileName)
+	recorded, err := os.ReadFile(recordedFolder + "/" + fileName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(dir+"/"+fileName, kept, 0o600); err != nil {
+	if err := os.WriteFile(dir+"/"+fileName, recorded, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s := openStore(t, dir, false)
--- a/internal/control/replicatedlog/store/load.go
+++ b/internal/control/replicatedlog/store/load.go
@@ -34,7 +34,7 @@
 	for _, entry := range c.entries {
 		next++
 		if entry.GetIndex() != next {
-			return fmt.Errorf("entry %d is missing", next)
+			return fmt.Errorf("raft entry %d is missing after the snapshot at %d", next, s.snapshotIndex)
 		}
 		s.bytesSinceSnapshot += len(entry.GetData())
 	}
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -25,12 +25,12 @@
 	keySnapshot   = []byte("snapshot")
 )
 
-// ErrEmpty reports that the data folder is empty although this is not the first start. A voter that lost its vote could
-// elect a second leader.
-var ErrEmpty = errors.New("data folder is empty: a voter that lost its disk is not started by itself; " +
-	"use --new on the first start")
+// ErrEmpty reports that the data directory is empty although this is not the first start. A voter that lost its vote
+// could elect a second leader.
+var ErrEmpty = errors.New("data directory is empty: a voter that lost its disk could vote twice; " +
+	"use --new only on the first start")
 
-// Owner identifies the control server that a data folder belongs to.
+// Owner identifies the control server that a data directory belongs to.
 type Owner struct {
 	ID    uint64
 	Label string // label of the fleet
@@ -48,15 +48,15 @@
 	prevSnapshotIndex  uint64 // Raft index of the snapshot before it; memory keeps the entries after this one
 }
 
-// Open opens the store of a folder and creates the folder if it is missing. An empty folder is initialized with the
-// given members if firstStart is set, and is otherwise rejected with ErrEmpty. Open returns an error if the folder
-// belongs to another server, is in use, or cannot be read.
+// Open opens the store in a directory and creates the directory if it is missing. An empty directory is initialized
+// with the given members if firstStart is set, and is otherwise rejected with ErrEmpty. Open returns an error if the
+// directory belongs to another server, is in use, or cannot be read.
 func Open(dir string, owner Owner, voters, learners []uint64, firstStart bool) (*Store, error) {
 	s := &Store{MemoryStorage: raft.NewMemoryStorage()}
 	first := func(tx *bbolt.Tx) error {
 		return initialize(tx, owner, &pb.ConfState{Voters: voters, Learners: learners})
 	}
-	var kept contents
+	var loaded contents
 	load := func(tx *bbolt.Tx) error {
 		if !isInitialized(tx) { // left by a crash of an older version, which did not create it atomically
 			if !firstStart {
@@ -69,7 +69,7 @@
 		if err := checkOwner(tx, owner); err != nil {
 			return err
 		}
-		return kept.read(tx)
+		return loaded.read(tx)
 	}
 	path := filepath.Join(dir, fileName)
 	settings := boltfile.Settings{Create: firstStart, Initialize: first, Load: load, NoFreelistSync: true}
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	s.db = db
-	if err := s.load(&kept); err != nil {
+	if err := s.load(&loaded); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -89,7 +89,7 @@
 }
 
 // Save writes a hard state, entries and a snapshot of Raft to disk, in one transaction with one fsync; each may be nil
-// or empty. A change of the commit index alone is kept in memory only, see the package comment. After an error the
+// or empty. A change of the commit index alone is recorded in memory only, see the package comment. After an error the
 // store must not be used any more.
 func (s *Store) Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	before, _, _ := s.InitialState() // reads memory and never fails
@@ -120,7 +120,7 @@
 // writeReady writes a hard state, a snapshot unless it is nil, and entries.
 func writeReady(tx *bbolt.Tx, hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	meta := tx.Bucket(bucketMeta)
-	kept := tx.Bucket(bucketEntries)
+	bucket := tx.Bucket(bucketEntries)
 	if err := putMessage(meta, keyHardState, hard); err != nil {
 		return err
 	}
@@ -128,19 +128,19 @@
 		if err := putMessage(meta, keySnapshot, snapshot); err != nil {
 			return err
 		}
-		if err := deleteEntries(kept, 0, 0); err != nil { // the snapshot covers them, or they were never committed
+		if err := deleteEntries(bucket, 0, 0); err != nil { // the snapshot covers them, or they were never committed
 			return err
 		}
 	}
 	for _, entry := range entries {
-		if err := putMessage(kept, entryKey(entry.GetIndex()), entry); err != nil {
+		if err := putMessage(bucket, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
 	}
 	if n := len(entries); n > 0 {
 		// A new leader's entries replace uncommitted entries of an earlier leader. Later entries of the earlier leader
 		// would otherwise reappear after a restart, as if the new leader had sent them.
-		return deleteEntries(kept, entries[n-1].GetIndex()+1, 0)
+		return deleteEntries(bucket, entries[n-1].GetIndex()+1, 0)
 	}
 	return nil
 }
--- a/internal/control/replicatedlog/store/store_test.go
+++ b/internal/control/replicatedlog/store/store_test.go
@@ -74,7 +74,7 @@
 	s = openStore(t, dir, false)
 	state, members, _ := s.InitialState()
 	if got := entryData(t, s); got != "aB" || state.GetTerm() != 3 || state.GetVote() != 1 {
-		t.Errorf("%q, %v", got, state)
+		t.Errorf("reopened: entries %q, hard state %v", got, state)
 	}
 	if len(members.GetVoters()) != 3 || len(members.GetLearners()) != 1 {
 		t.Errorf("members %v", members)
@@ -90,10 +90,10 @@
 		t.Errorf("entries %q", got)
 	}
 	if string(snapshot.GetData()) != "state" || snapshot.GetMetadata().GetTerm() != 3 {
-		t.Errorf("%v", snapshot)
+		t.Errorf("own snapshot %v", snapshot)
 	}
 	if state.GetCommit() < 3 || len(members.GetVoters()) != 3 {
-		t.Errorf("%v, members %v", state, members)
+		t.Errorf("hard state %v, members %v", state, members)
 	}
 	if n, bytes := s.SizeSinceSnapshot(4); n != 1 || bytes != 1 {
 		t.Errorf("since the snapshot: %d entries, %d bytes", n, bytes)
@@ -107,20 +107,20 @@
 
 	s = openStore(t, dir, false)
 	if snapshot, _ := s.Snapshot(); entryData(t, s) != "" || string(snapshot.GetData()) != "later" {
-		t.Errorf("%q, %v", entryData(t, s), snapshot)
+		t.Errorf("after the leader's snapshot: entries %q, snapshot %v", entryData(t, s), snapshot)
 	}
 }
 
-// A server must not start with a folder that is empty, in use, corrupt, or of another server.
+// A server must not start with a directory that is empty, in use, corrupt, or of another server.
 func TestForeignEmptyOrCorruptFolderIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Open(dir, testOwner, []uint64{1}, nil, false); !errors.Is(err, ErrEmpty) {
-		t.Errorf("voter with an empty folder: %v", err)
+		t.Errorf("voter with an empty directory: %v", err)
 	}
 	s := openStore(t, dir, true)
 	_, err := Open(dir, testOwner, []uint64{1}, nil, false)
 	if err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("second store in the same folder: %v", err)
+		t.Errorf("second store in the same directory: %v", err)
 	}
 	mustSucceed(t, s.Close())
 	for _, other := range []Owner{{ID: 2, Label: "l"}, {ID: 1, Label: "m"}} {
