--- a/internal/control/replicatedlog/applier_test.go
+++ b/internal/control/replicatedlog/applier_test.go
@@ -26,7 +26,7 @@
 	}
 	now := a.CurrentProgress()
 	if now.Applied != 6 || now.Gaps != 2 || !slices.Equal(handler.indexes, []Index{2, 5, 6}) {
-		t.Errorf("%+v, %v", now, handler.indexes)
+		t.Errorf("after the gap: progress %+v, handled entries %v", now, handler.indexes)
 	}
 	if err := a.Start(7, 6, nil); !errors.Is(err, ErrGap) {
 		t.Errorf("old starting point was accepted: %v", err)
@@ -55,12 +55,12 @@
 	}
 	now := a.CurrentProgress()
 	if now.Config != 1 || now.Refused != 2 || now.Reason == "" || now.Applied != 3 || handler.config != "config 1" {
-		t.Errorf("%+v, %q", now, handler.config)
+		t.Errorf("after the rejected configuration: progress %+v, configuration in force %q", now, handler.config)
 	}
 	if err := a.Apply([]cbor.RawMessage{encoded(4, config(4))}); err != nil {
 		t.Fatal(err)
 	}
 	if now := a.CurrentProgress(); now.Config != 4 || now.Refused != 0 || now.Reason != "" {
-		t.Errorf("%+v", now)
+		t.Errorf("after a later configuration: progress %+v", now)
 	}
 }
--- a/internal/control/replicatedlog/batch.go
+++ b/internal/control/replicatedlog/batch.go
@@ -37,14 +37,14 @@
 func DecodeBatch(encoded []byte) (Batch, error) {
 	var decoded encodedBatch
 	if len(encoded) > 2*maxBatchBytes {
-		return Batch{}, fmt.Errorf("%w: a batch of %d bytes", ErrMalformed, len(encoded))
+		return Batch{}, fmt.Errorf("%w: batch of %d bytes, limit %d bytes", ErrMalformed, len(encoded), 2*maxBatchBytes)
 	}
 	if err := DecodeMode.Unmarshal(encoded, &decoded); err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if decoded.Version == 0 || len(decoded.Proposals) > MaxBatchProposals {
-		return Batch{}, fmt.Errorf("%w: version %d, %d proposals", ErrMalformed,
-			decoded.Version, len(decoded.Proposals))
+		return Batch{}, fmt.Errorf("%w: batch of version %d with %d proposals, limit %d", ErrMalformed,
+			decoded.Version, len(decoded.Proposals), MaxBatchProposals)
 	}
 	batch := Batch{Trim: Index(decoded.Trim), Log: LogID(decoded.Log)}
 	for _, encodedProposal := range decoded.Proposals {
--- a/internal/control/replicatedlog/codec.go
+++ b/internal/control/replicatedlog/codec.go
@@ -12,7 +12,7 @@
 const formatVersion = 1
 
 // ErrMalformed reports that bytes are not a valid entry, batch or snapshot.
-var ErrMalformed = errors.New("not a part of the log of changes")
+var ErrMalformed = errors.New("malformed replicated log data")
 
 // DecodeMode decodes CBOR within bounds, so that a short message cannot make the receiver allocate or recurse without
 // limit.
--- a/internal/control/replicatedlog/codec_test.go
+++ b/internal/control/replicatedlog/codec_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if batch, err := DecodeBatch(later); err != nil || batch.Trim != 5 {
-		t.Errorf("%v, %v", batch, err)
+		t.Errorf("decoded as %v, %v", batch, err)
 	}
 }
 
--- a/internal/control/replicatedlog/doc.go
+++ b/internal/control/replicatedlog/doc.go
@@ -13,17 +13,17 @@
 // # Deduplication
 //
 // A client that gets no answer retries the proposal at another server, and Raft may commit both. The ids of the last
-// DedupWindow entries are kept, also in snapshots, and a proposal with one of these ids keeps its existing index.
+// DedupWindow entries are retained, also in snapshots, and a proposal with one of these ids keeps its existing index.
 // Without deduplication a purge would be carried out twice, which is harmless, but an old configuration could come into
 // force again after a newer one, which is not.
 //
 // # Retention
 //
-// Entries up to the floor are no longer kept. The floor rises with a batch's Trim, up to the index that all nodes have
-// applied, and when the log exceeds its Bounds. The latest configuration up to the floor is kept as the base. A node
-// that asks for entries below the floor gets a StartingPoint with the floor and the base, and must presume that any key
-// may have been purged up to there (Handler.PresumePurged). A node that has applied nothing starts at the newest entry,
-// since its caches cannot hold anything that was purged before.
+// Entries up to the floor are no longer retained. The floor rises with a batch's Trim, up to the index that all nodes
+// have applied, and when the log exceeds its Bounds. The latest configuration up to the floor is retained as the base.
+// A node that asks for entries below the floor gets a StartingPoint with the floor and the base, and must presume that
+// any key may have been purged up to there (Handler.PresumePurged). A node that has applied nothing starts at the
+// newest entry, since its caches cannot hold anything that was purged before.
 //
 // # Snapshots and restarts
 //
@@ -34,7 +34,7 @@
 //
 //   - Indexes are dense from 1, and an index never changes its proposal.
 //   - A proposal id among those of the last DedupWindow entries never gets a second index.
-//   - The floor never falls. Entries above it are kept, and of the others only the latest configuration.
+//   - The floor never falls. Entries above it are retained, and of the others only the latest configuration.
 //   - An Applier applies each entry once and in order, or stops with ErrGap.
 //
 // A State has no lock; its owner must serialize access to it. An Applier must be used by a single goroutine.
--- a/internal/control/replicatedlog/entry.go
+++ b/internal/control/replicatedlog/entry.go
@@ -35,7 +35,7 @@
 func (e encodedProposal) proposal() (Proposal, error) {
 	var p Proposal
 	if len(e.ID) != len(p.ID) {
-		return p, fmt.Errorf("%w: an id of %d bytes", ErrMalformed, len(e.ID))
+		return p, fmt.Errorf("%w: proposal id of %d bytes, want %d", ErrMalformed, len(e.ID), len(p.ID))
 	}
 	copy(p.ID[:], e.ID)
 	p.Kind = Kind(e.Kind)
@@ -52,7 +52,8 @@
 func DecodeEntry(encoded []byte) (Entry, error) {
 	var decoded encodedEntry
 	if len(encoded) > MaxConfigBytes+2*entryOverheadBytes {
-		return Entry{}, fmt.Errorf("%w: entry of %d bytes is too long", ErrMalformed, len(encoded))
+		return Entry{}, fmt.Errorf("%w: entry of %d bytes, limit %d bytes", ErrMalformed, len(encoded),
+			MaxConfigBytes+2*entryOverheadBytes)
 	}
 	if err := DecodeMode.Unmarshal(encoded, &decoded); err != nil {
 		return Entry{}, fmt.Errorf("%w: %w", ErrMalformed, err)
--- a/internal/control/replicatedlog/proposal.go
+++ b/internal/control/replicatedlog/proposal.go
@@ -15,7 +15,7 @@
 )
 
 // ErrProposal reports that a proposal is invalid and cannot become an entry.
-var ErrProposal = errors.New("not a change that can be published")
+var ErrProposal = errors.New("invalid proposal")
 
 // Index numbers the entries of the log, from 1 without gaps. It differs from Raft's index, which also counts
 // Raft's internal entries.
@@ -64,14 +64,14 @@
 func (p Proposal) Check() error {
 	switch {
 	case p.ID == ProposalID{}:
-		return fmt.Errorf("%w: it has no id", ErrProposal)
+		return fmt.Errorf("%w: no id", ErrProposal)
 	case p.Kind == Purge && (len(p.Body) == 0 || len(p.Body) > MaxKeyBytes):
-		return fmt.Errorf("%w: a key of %d bytes, from 1 to %d can be", ErrProposal, len(p.Body), MaxKeyBytes)
+		return fmt.Errorf("%w: key of %d bytes, want 1 to %d bytes", ErrProposal, len(p.Body), MaxKeyBytes)
 	case p.Kind == Config && (len(p.Body) == 0 || len(p.Body) > MaxConfigBytes):
-		return fmt.Errorf("%w: a configuration of %d bytes, from 1 to %d can be", ErrProposal,
+		return fmt.Errorf("%w: configuration of %d bytes, want 1 to %d bytes", ErrProposal,
 			len(p.Body), MaxConfigBytes)
 	case p.Kind != Purge && p.Kind != Config:
-		return fmt.Errorf("%w: %v", ErrProposal, p.Kind)
+		return fmt.Errorf("%w: unknown %v", ErrProposal, p.Kind)
 	}
 	return nil
 }
--- a/internal/control/replicatedlog/snapshot.go
+++ b/internal/control/replicatedlog/snapshot.go
@@ -48,8 +48,8 @@
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if !decoded.consistent() {
-		return nil, fmt.Errorf("%w: snapshot of version %d, %d entries from %d to %d, %d bytes of ids", ErrMalformed,
-			decoded.Version, len(decoded.Tail), decoded.Floor, decoded.Last, len(decoded.IDs))
+		return nil, fmt.Errorf("%w: snapshot of version %d with %d entries after %d up to %d and %d bytes of ids",
+			ErrMalformed, decoded.Version, len(decoded.Tail), decoded.Floor, decoded.Last, len(decoded.IDs))
 	}
 	s := New(bounds)
 	s.id = LogID(decoded.Log)
@@ -66,7 +66,7 @@
 		if e.Index != s.last+1 {
 			return nil, fmt.Errorf("%w: snapshot has entry %d after entry %d", ErrMalformed, e.Index, s.last)
 		}
-		s.keep(e)
+		s.appendToTail(e)
 		s.last++
 	}
 	s.restoreIDs(decoded.IDs)
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	s.base = &keptEntry{Entry: e, encoded: encoded}
+	s.base = &retainedEntry{Entry: e, encoded: encoded}
 	s.config = s.base
 	return nil
 }
--- a/internal/control/replicatedlog/state.go
+++ b/internal/control/replicatedlog/state.go
@@ -6,22 +6,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// DedupWindow is the number of recent entries whose proposal ids are kept to recognize retried proposals. It covers
+// DedupWindow is the number of recent entries whose proposal ids are retained to recognize retried proposals. It covers
 // almost two hours of purges at the fleet's rate, while clients retry for half a minute.
 const DedupWindow = 65_536
 
-// Bounds limits how much of the log is kept for nodes that lag behind.
+// Bounds limits how much of the log is retained for nodes that lag behind.
 type Bounds struct {
 	Entries    int // maximum number of entries
-	Bytes      int // maximum size of the encoded entries; one entry is always kept
-	MinEntries int // newest entries that trimTo keeps, for nodes whose progress is unknown
+	Bytes      int // maximum size of the encoded entries; one entry is always retained
+	MinEntries int // newest entries that trimTo retains, for nodes whose progress is unknown
 }
 
-// DefaultBounds keeps more than an hour of purges at the fleet's rate.
+// DefaultBounds retains more than an hour of purges at the fleet's rate.
 var DefaultBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, MinEntries: 4096}
 
-// keptEntry is an entry in the log, encoded once for all nodes that receive it.
-type keptEntry struct {
+// retainedEntry is an entry in the log, encoded once for all nodes that receive it.
+type retainedEntry struct {
 	Entry
 	encoded         cbor.RawMessage
 	cumulativeBytes uint64 // encoded size of all entries up to and including this one, since the state was created
@@ -32,11 +32,11 @@
 	bounds               Bounds
 	id                   LogID
 	last                 Index                // index of the newest entry; 0 for none
-	floor                Index                // entries up to this index are no longer kept
+	floor                Index                // entries up to this index are no longer retained
 	floorCumulativeBytes uint64               // cumulativeBytes of the entry at the floor
-	tail                 []keptEntry          // the entries after the floor
-	base                 *keptEntry           // the latest configuration up to the floor; nil for none
-	config               *keptEntry           // the latest configuration; nil for none
+	tail                 []retainedEntry      // the entries after the floor
+	base                 *retainedEntry       // the latest configuration up to the floor; nil for none
+	config               *retainedEntry       // the latest configuration; nil for none
 	recentIDs            []ProposalID         // proposal ids of the last entries, at most DedupWindow, newest last
 	indexes              map[ProposalID]Index // index of each id in recentIDs
 	repeated             uint64               // number of proposals that already had an index
@@ -53,7 +53,7 @@
 // Last returns the index of the newest entry; 0 for none.
 func (s *State) Last() Index { return s.last }
 
-// Floor returns the index up to which entries are no longer kept.
+// Floor returns the index up to which entries are no longer retained.
 func (s *State) Floor() Index { return s.floor }
 
 // Config returns the index of the latest configuration; 0 for none.
@@ -89,7 +89,7 @@
 		return index
 	}
 	s.last++
-	s.keep(Entry{Index: s.last, Proposal: p})
+	s.appendToTail(Entry{Index: s.last, Proposal: p})
 	s.indexes[p.ID] = s.last
 	s.recentIDs = append(s.recentIDs, p.ID)
 	if len(s.recentIDs) > DedupWindow {
@@ -99,13 +99,13 @@
 	return s.last
 }
 
-// keep appends the next entry to the tail.
-func (s *State) keep(e Entry) {
+// appendToTail appends the next entry to the tail.
+func (s *State) appendToTail(e Entry) {
 	encoded := encodeEntry(e)
-	kept := keptEntry{Entry: e, encoded: encoded, cumulativeBytes: s.totalBytes() + uint64(len(encoded))}
-	s.tail = append(s.tail, kept)
+	entry := retainedEntry{Entry: e, encoded: encoded, cumulativeBytes: s.totalBytes() + uint64(len(encoded))}
+	s.tail = append(s.tail, entry)
 	if e.Kind == Config {
-		s.config = &kept
+		s.config = &entry
 	}
 }
 
@@ -133,15 +133,15 @@
 	return s.totalBytes() - first.cumulativeBytes + uint64(len(first.encoded))
 }
 
-// drop removes the n oldest entries, and keeps the latest configuration among them as the base.
+// drop removes the n oldest entries, and retains the latest configuration among them as the base.
 func (s *State) drop(n int) {
 	if n == 0 {
 		return
 	}
 	for i := range s.tail[:n] {
 		if s.tail[i].Kind == Config {
-			kept := s.tail[i]
-			s.base = &kept
+			entry := s.tail[i]
+			s.base = &entry
 		}
 	}
 	s.floor = s.tail[n-1].Index
@@ -166,7 +166,7 @@
 	return s.tail[min(int(index-s.floor), len(s.tail))-1].cumulativeBytes
 }
 
-// Bytes returns the encoded size of the kept entries after one index and up to another.
+// Bytes returns the encoded size of the retained entries after one index and up to another.
 func (s *State) Bytes(after, upTo Index) uint64 {
 	start := s.bytesUpTo(after)
 	end := s.bytesUpTo(upTo)
@@ -174,8 +174,9 @@
 }
 
 // EntriesAfter returns the encoded entries that follow an index, at least one and up to maxBytes, and the index of the
-// last one returned. It returns none if there are no newer entries. kept is false if the entries are no longer kept.
-func (s *State) EntriesAfter(after Index, maxBytes int) (encoded []cbor.RawMessage, upTo Index, kept bool) {
+// last one returned. It returns none if there are no newer entries. retained is false if the entries that follow are no
+// longer retained.
+func (s *State) EntriesAfter(after Index, maxBytes int) (encoded []cbor.RawMessage, upTo Index, retained bool) {
 	if after < s.floor {
 		return nil, 0, false
 	}
@@ -194,7 +195,7 @@
 	return encoded, upTo, true
 }
 
-// Entry returns an entry; false if it is no longer kept or does not exist yet.
+// Entry returns an entry; false if it is no longer retained or does not exist yet.
 func (s *State) Entry(index Index) (Entry, bool) {
 	if index <= s.floor || index > s.last {
 		return Entry{}, false
@@ -204,7 +205,7 @@
 
 // StartingPoint returns where a node starts if it cannot continue from its last applied entry: an index, and the
 // encoded configuration in force there; nil for none. A fresh node, which has applied nothing, starts at the newest
-// entry. A node that is behind starts at the floor, so that it gets every purge that is kept.
+// entry. A node that is behind starts at the floor, so that it gets every retained purge.
 func (s *State) StartingPoint(fresh bool) (Index, cbor.RawMessage) {
 	at := s.floor
 	config := s.base
--- a/internal/control/replicatedlog/state_test.go
+++ b/internal/control/replicatedlog/state_test.go
@@ -20,12 +20,12 @@
 	return &modelFollower{applier: NewApplier(handler), handler: handler}
 }
 
-// follow applies the next entries, or a starting point if they are no longer kept. ordered has the bodies of all
+// follow applies the next entries, or a starting point if they are no longer retained. ordered has the bodies of all
 // entries, from index 1.
 func (f *modelFollower) follow(t *rapid.T, s *State, ordered []string) {
-	encoded, _, kept := s.EntriesAfter(f.applier.Applied, rapid.IntRange(0, 200).Draw(t, "frame"))
+	encoded, _, retained := s.EntriesAfter(f.applier.Applied, rapid.IntRange(0, 200).Draw(t, "frame"))
 	f.handler.reset()
-	if !f.applier.Started || !kept {
+	if !f.applier.Started || !retained {
 		f.start(t, s, ordered)
 		return
 	}
@@ -128,7 +128,7 @@
 func checkBounds(t *rapid.T, s *State) {
 	bytes := s.Bytes(s.floor, s.last)
 	if len(s.tail) > s.bounds.Entries || bytes > uint64(s.bounds.Bytes) && len(s.tail) > 1 {
-		t.Fatalf("%d entries and %d bytes are kept, beyond the bounds", len(s.tail), bytes)
+		t.Fatalf("%d entries of %d bytes are retained, beyond the bounds %+v", len(s.tail), bytes, s.bounds)
 	}
 }
 
@@ -180,7 +180,8 @@
 	}
 	s.Apply(Batch{Proposals: []Proposal{purge(3)}})
 	if len(s.indexes) != DedupWindow || len(s.recentIDs) != DedupWindow {
-		t.Errorf("%d ids are indexed, %d recent ids are kept", len(s.indexes), len(s.recentIDs))
+		t.Errorf("%d ids are indexed, %d recent ids are retained; want %d",
+			len(s.indexes), len(s.recentIDs), DedupWindow)
 	}
 	restored, err := Restore(s.Snapshot(), s.bounds)
 	if err != nil {
