--- a/internal/control/controlclient/collect.go
+++ b/internal/control/controlclient/collect.go
@@ -88,23 +88,23 @@
 	m.hasLeader = m.hasLeader || table.HasLeader
 	m.last = max(m.last, table.Last)
 	for _, report := range table.Nodes {
-		known, is := m.nodes[report.Node]
+		known, ok := m.nodes[report.Node]
 		newer := report.AgeMs < known.AgeMs || report.AgeMs == known.AgeMs && report.Applied > known.Applied
-		if !is || newer {
+		if !ok || newer {
 			m.nodes[report.Node] = report
 		}
 	}
 	for _, report := range table.Caches {
-		at := cacheReportKey{cache: report.Cache, server: report.Server}
-		known, is := m.caches[at]
-		if !is || report.AgeMs < known.AgeMs {
-			m.caches[at] = report
+		key := cacheReportKey{cache: report.Cache, server: report.Server}
+		known, ok := m.caches[key]
+		if !ok || report.AgeMs < known.AgeMs {
+			m.caches[key] = report
 		}
 	}
 	for _, report := range table.Servers {
-		known, is := m.servers[report.ID]
+		known, ok := m.servers[report.ID]
 		newer := !report.NeverSeen && report.AgeMs < known.AgeMs
-		if !is || known.NeverSeen || newer {
+		if !ok || known.NeverSeen || newer {
 			m.servers[report.ID] = report
 		}
 	}
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -13,7 +13,7 @@
 	Nodes       []NodeStatus        `json:"nodes"`
 	Servers     []ServerStatus      `json:"machines"`
 	Caches      []CacheStatus       `json:"caches,omitempty"`
-	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges at caches has a list of them
+	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges has a list of caches
 }
 
 // CaughtUp reports whether NodesCaughtUp holds, a list of caches is known, and every purge is done at each of them.
@@ -45,7 +45,7 @@
 	Server         uint64              `json:"machine"`            // id of the control server that it follows
 	LastSeenS      float64             `json:"heard_s"`            // seconds since it reported
 	Silent         bool                `json:"silent,omitempty"`   // LastSeenS is over controlwire.NodeTimeout
-	NotStarted     bool                `json:"begins,omitempty"`   // it has not been told yet where to start
+	NotStarted     bool                `json:"begins,omitempty"`   // it has not received a starting point yet
 }
 
 // ServerStatus is the state of a control server. The struct is flat because it is one flat object in the JSON that
@@ -57,13 +57,13 @@
 	IsLeader    bool                `json:"leads,omitempty"`
 	Term        uint64              `json:"term"`             // raft's
 	Last        replicatedlog.Index `json:"last"`             // newest entry
-	Floor       replicatedlog.Index `json:"floor"`            // entries up to here are no longer kept
+	Floor       replicatedlog.Index `json:"floor"`            // entries up to here are no longer retained
 	Config      replicatedlog.Index `json:"config"`           // newest configuration
-	LastSeenS   float64             `json:"heard_s"`          // seconds since its report reached the server that answered
-	Silent      bool                `json:"silent,omitempty"` // never seen, or LastSeenS is over controlwire.NodeTimeout
+	LastSeenS   float64             `json:"heard_s"`          // seconds since its report reached the answering server
+	Silent      bool                `json:"silent,omitempty"` // never seen, or not for controlwire.NodeTimeout
 	BytesIn     uint64              `json:"bytes_in"`
 	BytesOut    uint64              `json:"bytes_out"`
-	Invalid     uint64              `json:"foreign"`           // malformed streams and messages, and messages for others
+	Invalid     uint64              `json:"foreign"`           // malformed streams and messages, or for other servers
 	Rejected    uint64              `json:"turned_away"`       // streams closed because too many were open
 	RunsPurges  bool                `json:"purges,omitempty"`  // it carries purges out at caches
 	NoCacheList bool                `json:"no_list,omitempty"` // it runs purges but has no list of caches yet
@@ -76,7 +76,7 @@
 	QuickDeleted replicatedlog.Index `json:"first"`              // each key up to here was deleted at least once
 	Missing      uint64              `json:"lacks"`              // entries up to the newest
 	Overdue      uint64              `json:"late"`               // missing entries that should be done by now
-	Flushing     bool                `json:"flushing,omitempty"` // missing entries are no longer kept: it must be flushed
+	Flushing     bool                `json:"flushing,omitempty"` // missing entries are not retained: it must be flushed
 	Servers      []CacheProgress     `json:"machines"`           // by control server
 }
 
--- a/internal/control/controlclient/publish.go
+++ b/internal/control/controlclient/publish.go
@@ -28,10 +28,10 @@
 	return p
 }
 
-// Publish has proposals ordered and returns their indexes once they are on disk at a majority of the voters. It retries
+// Publish publishes proposals and returns their indexes once they are on disk at a majority of the voters. It retries
 // until the context ends. It returns replicatedlog.ErrProposal, before anything is sent, for a proposal that cannot
-// become an entry. Otherwise an error is the last server's, returned with the indexes of the batches ordered so far;
-// whether the other proposals are ordered is unknown.
+// become an entry. Any other error is that of the last server; it is returned with the indexes of the batches ordered
+// so far, and whether the other proposals are ordered is unknown.
 func (c Client) Publish(ctx context.Context, proposals []replicatedlog.Proposal) ([]replicatedlog.Index, error) {
 	for i, p := range proposals {
 		if err := p.Check(); err != nil {
@@ -56,8 +56,8 @@
 }
 
 // publishBatch asks one server after another until one has ordered the batch. It asks the next server after
-// nextServerDelay even without an answer: a server that has just been partitioned from the others does not know it yet,
-// accepts the proposals and does not answer for OrderTimeout.
+// nextServerDelay even without an answer: a server that has just been partitioned from the others has not detected that
+// yet, accepts the proposals and does not answer for OrderTimeout.
 func (c Client) publishBatch(ctx context.Context, batch replicatedlog.Batch) ([]replicatedlog.Index, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/control/controlclient/summarize.go
+++ b/internal/control/controlclient/summarize.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// responsiveServers returns which servers are not silent, and whether servers run purges at caches while none of the
-// responsive ones has a list of caches.
+// responsiveServers returns the ids of the servers that are not silent. noCacheList reports whether any server runs
+// purges at caches while no responsive one has a list of caches.
 func responsiveServers(servers []controlwire.ServerReport) (responsive map[uint64]bool, noCacheList bool) {
 	responsive = map[uint64]bool{}
 	runsPurges := false
--- a/internal/control/controlclient/summarize_test.go
+++ b/internal/control/controlclient/summarize_test.go
@@ -21,8 +21,8 @@
 		Nodes:     []nodeReport{{Node: "n", Applied: 5, Config: 2}},
 		Servers:   []controlwire.ServerReport{{ID: 1, Last: 5}},
 	}
-	if o := summarize(caughtUp); !o.CaughtUp() {
-		t.Errorf("not caught up: %+v", o)
+	if overview := summarize(caughtUp); !overview.CaughtUp() {
+		t.Errorf("not caught up: %+v", overview)
 	}
 	for name, change := range map[string]func(table *message, node *nodeReport){
 		"lacks an entry":  func(_ *message, node *nodeReport) { node.Applied = 4 },
@@ -100,7 +100,7 @@
 				}
 			}
 			if overview.CaughtUp() != c.caughtUp || !slices.Equal(missing, c.missing) {
-				t.Errorf("caught up %t, missing %v", overview.CaughtUp(), missing)
+				t.Errorf("caught up %t, missing %v; want %t, %v", overview.CaughtUp(), missing, c.caughtUp, c.missing)
 			}
 		})
 	}
--- a/internal/control/controlwire/golden_test.go
+++ b/internal/control/controlwire/golden_test.go
@@ -49,15 +49,15 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "%x\n", b)
-		here, there := net.Pipe()
+		sender, receiver := net.Pipe()
 		go func() {
-			_, _ = here.Write(b)
-			_ = here.Close()
+			_, _ = sender.Write(b)
+			_ = sender.Close()
 		}()
-		back, n, err := NewStream(there, MaxFrameBytes).Receive(5 * time.Second)
-		again, _ := EncodeFrame(back, MaxFrameBytes)
+		decoded, n, err := NewStream(receiver, MaxFrameBytes).Receive(5 * time.Second)
+		again, _ := EncodeFrame(decoded, MaxFrameBytes)
 		if err != nil || n != len(b) || !bytes.Equal(again, b) {
-			t.Errorf("decoded message differs: %v", err)
+			t.Errorf("message of kind %d is changed by decoding and encoding: %v", message.Kind, err)
 		}
 	}
 	golden.Check(t, "frames.txt", got.Bytes())
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -34,7 +34,7 @@
 // Limits on the contents of a message, so that a faulty sender cannot exhaust the receiver's memory.
 const (
 	MaxNameBytes   = 200  // of a node's or cache's name
-	MaxReasonBytes = 300  // of the reason for which something was refused
+	MaxReasonBytes = 300  // of a text that states why something was refused or failed
 	MaxNodes       = 4096 // node reports in a table
 	MaxCaches      = 1024 // cache reports of one control server
 
@@ -78,7 +78,7 @@
 	Reason         string `cbor:"8,keyasint,omitempty"`  // why a configuration was refused
 	Server         uint64 `cbor:"9,keyasint,omitempty"`  // set by control servers: the one that the node follows
 	AgeMs          uint64 `cbor:"10,keyasint,omitempty"` // set by control servers: milliseconds since the report
-	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not been told yet where to start
+	NotStarted     bool   `cbor:"11,keyasint,omitempty"` // the node has not received a starting point yet
 }
 
 // ServerReport is the state of a control server: its own, or what it last reported to another one. The struct is flat
@@ -89,7 +89,7 @@
 	Learner     bool   `cbor:"3,keyasint,omitempty"`
 	IsLeader    bool   `cbor:"4,keyasint,omitempty"`
 	Last        uint64 `cbor:"5,keyasint,omitempty"` // index of the newest entry
-	Floor       uint64 `cbor:"6,keyasint,omitempty"` // index up to which entries are no longer kept
+	Floor       uint64 `cbor:"6,keyasint,omitempty"` // index up to which entries are no longer retained
 	Term        uint64 `cbor:"7,keyasint,omitempty"` // raft's
 	AgeMs       uint64 `cbor:"8,keyasint,omitempty"` // milliseconds since it reported
 	NeverSeen   bool   `cbor:"9,keyasint,omitempty"`
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("cannot encode a message of kind %d: %w", message.Kind, err)
 	}
 	if len(body) > maxBytes {
-		return nil, fmt.Errorf("%w: cannot send a message of %d bytes, limit %d", ErrMalformed, len(body), maxBytes)
+		return nil, fmt.Errorf("%w: message of %d bytes to be sent, limit %d bytes", ErrMalformed, len(body), maxBytes)
 	}
 	frame := make([]byte, 0, lengthBytes+len(body))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
@@ -124,8 +124,8 @@
 		return message, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if message.Version == 0 || len(message.Nodes) > MaxNodes || len(message.Caches) > maxServers*MaxCaches {
-		return message, fmt.Errorf("%w: version %d, %d node reports, %d cache reports", ErrMalformed,
-			message.Version, len(message.Nodes), len(message.Caches))
+		return message, fmt.Errorf("%w: version %d, %d node reports (limit %d), %d cache reports (limit %d)",
+			ErrMalformed, message.Version, len(message.Nodes), MaxNodes, len(message.Caches), maxServers*MaxCaches)
 	}
 	return message, nil
 }
--- a/internal/control/controlwire/stream.go
+++ b/internal/control/controlwire/stream.go
@@ -75,7 +75,7 @@
 	}
 	size := int(binary.BigEndian.Uint32(length[:]))
 	if size > s.maxFrameBytes {
-		return Message{}, 0, fmt.Errorf("%w: frame of %d bytes, limit %d", ErrMalformed, size, s.maxFrameBytes)
+		return Message{}, 0, fmt.Errorf("%w: frame of %d bytes, limit %d bytes", ErrMalformed, size, s.maxFrameBytes)
 	}
 	body, err := s.readBody(size)
 	if err != nil {
--- a/internal/control/controlwire/stream_test.go
+++ b/internal/control/controlwire/stream_test.go
@@ -12,13 +12,13 @@
 // streamReceiving returns a stream, limited to MaxFrameBytes, on which the given bytes and then the end arrive.
 func streamReceiving(t *testing.T, sent []byte) *Stream {
 	t.Helper()
-	here, there := net.Pipe()
-	t.Cleanup(func() { _ = there.Close() })
+	sender, receiver := net.Pipe()
+	t.Cleanup(func() { _ = receiver.Close() })
 	go func() {
-		_, _ = here.Write(sent)
-		_ = here.Close()
+		_, _ = sender.Write(sent)
+		_ = sender.Close()
 	}()
-	return NewStream(there, MaxFrameBytes)
+	return NewStream(receiver, MaxFrameBytes)
 }
 
 func TestPrefaceOfAnotherProtocolOrFleetIsRejected(t *testing.T) {
@@ -64,7 +64,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, _, err := streamReceiving(t, c.sent).Receive(time.Second); !errors.Is(err, c.want) {
-				t.Errorf("%v, wanted %v", err, c.want)
+				t.Errorf("error %v, want %v", err, c.want)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 		{1000, 1, maxReconnectDelay},
 	} {
 		if got := ReconnectDelay(first, c.attempt, c.random); got != c.want {
-			t.Errorf("attempt %d, random %v: %v, wanted %v", c.attempt, c.random, got, c.want)
+			t.Errorf("attempt %d, random %v: %v, want %v", c.attempt, c.random, got, c.want)
 		}
 	}
 }
