--- a/internal/control/logfollower/config.go
+++ b/internal/control/logfollower/config.go
@@ -15,7 +15,7 @@
 // another server.
 const Descriptors = 2
 
-// Applier applies the log at a node. Production code uses replicatedlog.Applier; tests have others.
+// Applier applies the log at a node. Production code uses replicatedlog.Applier; tests have other implementations.
 type Applier interface {
 	// Start begins at an index of a log, with the encoded configuration in force at that index; empty for none.
 	Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error
--- a/internal/control/logfollower/follower.go
+++ b/internal/control/logfollower/follower.go
@@ -34,7 +34,7 @@
 // Follower follows the replicated log for one node.
 type Follower struct {
 	Config
-	order         []string // of Config.Servers, this node's own
+	order         []string // Config.Servers in the order in which this node tries them
 	random        keyhash.Source
 	progress      atomic.Pointer[replicatedlog.Progress] // a copy of the Applier's, written by run
 	lastIndex     atomic.Uint64                          // index of the newest entry that a server reported
@@ -46,7 +46,7 @@
 	closed        chan struct{} // closed by Close
 	done          chan struct{} // closed when run has ended
 	closeOnce     sync.Once
-	loggedStale   bool // the staleness that logStaleness logged last
+	loggedStale   bool // value of Status.Stale that logStaleness last logged
 }
 
 // Start starts a Follower without waiting for a server to answer. Close stops it.
@@ -91,8 +91,8 @@
 	defer close(f.done)
 	leaderlessLimit := leaderlessTimeout
 	next := 0 // position in order
-	// failures counts the connections since the last one that had a leader, which counts too. The others failed or had
-	// no leader.
+	// failures determines the delay before the next connection: 0 before the first connection, 1 after a connection to
+	// a server with a leader, and one more after each that failed or had none.
 	failures := 0
 	for {
 		if failures > 0 {
@@ -124,7 +124,8 @@
 		case <-f.closed:
 			return
 		default:
-			f.Log.WithError(err).WithField("machine", addr).Debug("the stream to the control server ended; reconnecting")
+			f.Log.WithError(err).WithField("machine", addr).
+				Debug("the stream to the control server ended; reconnecting")
 		}
 	}
 }
--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -21,8 +21,8 @@
 	Unknown        uint64              `json:"unknown,omitempty"`  // entries of kinds that this version does not know
 	Gaps           uint64              `json:"gaps"`               // times that entries did not follow the applied ones
 	StreamsOpened  uint64              `json:"moves"`              // streams opened
-	Server         string              `json:"via"`                // the control server's address; empty if not connected
-	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a message of a server that has a leader
+	Server         string              `json:"via"`                // control server's address; empty if not connected
+	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a message of a server with a leader
 	Stale          bool                `json:"stale"`              // SinceLeaderS is over Config.StaleAfter
 	BytesIn        uint64              `json:"bytes_in"`
 	BytesOut       uint64              `json:"bytes_out"`
--- a/internal/control/logfollower/stream.go
+++ b/internal/control/logfollower/stream.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxUnreportedBytes is how many bytes may be received before a report is sent at once. The server stops sending
-	// when too much is unreported.
+	// maxUnreportedBytes is how many bytes may be received before a report is sent immediately. The server stops
+	// sending when too much is unreported.
 	maxUnreportedBytes = 64 << 10
 	// idleReportInterval is how often unchanged progress is reported, so that the server knows that the node is
 	// alive.
