--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -58,10 +58,15 @@
 		return
 	}
 	f.loggedStale = status.Stale
-	f.Log.WithFields(logrus.Fields{
+	fields := logrus.Fields{
 		"stale":   status.Stale,
 		"heard_s": status.SinceLeaderS,
 		"applied": status.Applied,
 		"config":  status.Config,
-	}).Warn("the replicated log became stale or current again; while it is stale, the last configuration stays in force")
+	}
+	if status.Stale {
+		f.Log.WithFields(fields).Warn("replicated log became stale; keeping the last configuration in force")
+		return
+	}
+	f.Log.WithFields(fields).Warn("replicated log is current again; applying new entries")
 }
