--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -36,9 +36,8 @@
 	ForgetAfter       time.Duration // Config.ForgetAfter
 }
 
-// missLeadTenths is how long before the end of MaxPause a paused neighbour is missed, in tenths of a heartbeat
-// interval. With this lead, a process in the minority of a partition detects its isolation well before the others
-// remove it.
+// missLeadTenths is the time, in tenths of a heartbeat interval, by which HeartbeatTimeout is shorter than MaxPause.
+// With this lead, a process in the minority of a partition detects its isolation well before the others remove it.
 const missLeadTenths = 16
 
 // propagationAllowance is the time that the statement of a process that has resumed takes to reach all others.
@@ -47,10 +46,10 @@
 // NewConfig derives a configuration from the operator's timings.
 //
 // A process that pauses for MaxPause just before a heartbeat is due is silent for MaxPause and one heartbeat interval.
-// It is missed before that time is over, so that a process in the minority of a partition has already detected its
-// isolation, and removed only afterwards.
+// Others report it as missed before that time is over, so that a process in the minority of a partition has already
+// detected its isolation, and remove it only after that time.
 func NewConfig(s Timings, maxMembers int) Config {
-	// The miss is detected missLeadTenths before the pause ends, but never after a single lost heartbeat.
+	// At least two intervals, so that a single lost heartbeat is never a miss.
 	timeout := max(s.MaxPause-s.HeartbeatInterval*missLeadTenths/10, 2*s.HeartbeatInterval)
 	return Config{
 		HeartbeatInterval: s.HeartbeatInterval,
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -31,11 +31,12 @@
 // missed heartbeat alone removes no process: the observer reports it in its statement, and every process counts the
 // statements that it trusts (evidence.go).
 //
-// Only Detector.evaluateMember (evaluation.go) makes a member [Removed]: at least two trusted members miss it, more
-// miss it than hear it or are its isolated neighbours, this has held for RemovalDelay without a break, and the
-// evaluating process has not frozen removals. The counts are part of the view ([Member].HeardBy and MissedBy) and of
-// the answer to GET /fleet/members, which shows their current values only. The log line "fleet membership changed" and
-// the trace show the members after a change, but not how many processes hear or miss them.
+// Only Detector.evaluateMember (evaluation.go) makes a member [Removed]. Four conditions must hold: at least two
+// trusted members miss it; they are more than the trusted processes that hear it and its isolated neighbours together;
+// this has been so for RemovalDelay without interruption; and the evaluating process has not frozen removals. The
+// counts are part of the view ([Member].HeardBy and MissedBy) and of the answer to GET /fleet/members, which shows
+// their current values only. The log line "fleet membership changed" and the trace show the members after a change, but
+// not how many processes hear or miss them.
 //
 // There are two other ways to stop being a member: a process states that it leaves ([Left]), or another process takes
 // its name (names.go).
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -6,7 +6,7 @@
 	heardBy            int // trusted processes that hear it, including those that are joining
 	missedByTrusted    int // trusted members that miss it
 	missedByAny        int // members that miss it, including those whose statements may be outdated
-	isolatedNeighbours int // isolated members that have it as a neighbour: they cannot tell
+	isolatedNeighbours int // isolated members that have it as a neighbour, whose reports about it are not trusted
 }
 
 const (
@@ -105,7 +105,7 @@
 }
 
 // isMissedForName reports whether enough members miss a process to consider it dead for the resolution of names. Unlike
-// isMissed it ignores isolatedNeighbours: isolated members cannot keep the name of a process from its successor.
+// isMissed it ignores isolatedNeighbours, so that isolated members do not keep a successor from taking over the name.
 func (d *Detector) isMissedForName(p *peer) bool {
 	return p.evidence.missedByTrusted >= d.rules.minObservers && p.evidence.missedByTrusted > p.evidence.heardBy
 }
@@ -140,7 +140,7 @@
 }
 
 // isWellConnected reports whether a joining process hears half of its expected neighbours and is heard by half of them.
-// A process that is cut off in one direction from its start would otherwise be a member until it detects its isolation
+// Otherwise a process that is cut off in one direction from its start would be a member until it detects its isolation
 // or the others miss it.
 func (d *Detector) isWellConnected(p *peer) bool {
 	others := d.evaluation.memberCount
--- a/internal/membership/failures_test.go
+++ b/internal/membership/failures_test.go
@@ -189,8 +189,8 @@
 		failure string
 		rules   membership.Rules
 	}{
-		// The detector lacks two observers and the majority. Either of them alone would keep the member that one other
-		// process does not hear.
+		// Disables the rules that at least two observers miss a process, and more than those that hear it. Either rule
+		// alone would protect the member that one other process does not hear.
 		{"one observer is enough", "one does not hear another", membership.Rules{
 			MinObservers:      1,
 			DetectIsolation:   true,
@@ -198,28 +198,29 @@
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// The detector lacks isolation and the freeze. In this failure, isolation alone would be enough.
+		// Disables the detection of isolation and the freeze of removals. In this failure, the detection of isolation
+		// alone would be sufficient.
 		{"neither isolation nor freeze", "halves", membership.Rules{
 			MinObservers:      2,
 			RequireMajority:   true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// The detector lacks isolation and the freeze. MinObservers is 1 as well: while no statement arrives, a process
-		// has only its own, so that two observers would already prevent each removal.
+		// Disables the detection of isolation and the freeze of removals. MinObservers is 1 as well: while no statement
+		// arrives, a process has only its own, so that requiring two observers would already prevent each removal.
 		{"considers all others dead", "the network down for everyone", membership.Rules{
 			MinObservers:      1,
 			RequireMajority:   true,
 			MeasureRunTime:    true,
 			StopOnStalledLoop: true,
 		}},
-		// The detector lacks the run time and all other rules but that of the loop. Two observers alone would hide the
-		// fault, as only the one process that was stopped misses the others.
+		// Disables the measurement of run time, and all other rules except that of the event loop. Requiring two
+		// observers would hide the fault, as only the one process that was stopped misses the others.
 		{"measures by the clock", "stopped for more", membership.Rules{
 			MinObservers:      1,
 			StopOnStalledLoop: true,
 		}},
-		// The detector lacks only the rule that stops heartbeats.
+		// Disables only the rule that a process whose event loop is stalled sends no heartbeats.
 		{"sends heartbeats while its loop is stalled", "the loop hangs", membership.Rules{
 			MinObservers:    2,
 			RequireMajority: true,
--- a/internal/membership/histories_test.go
+++ b/internal/membership/histories_test.go
@@ -108,7 +108,8 @@
 		for _, n := range s.nodes {
 			view := n.process.detector.View()
 			if len(view.Nodes) != len(s.nodes) || view.MayBePartitioned {
-				t.Fatalf("n%d has %v at the end, may be partitioned: %v", n.number+1, view.Nodes, view.MayBePartitioned)
+				t.Fatalf("n%d has the members %v at the end, may be partitioned: %v",
+					n.number+1, view.Nodes, view.MayBePartitioned)
 			}
 		}
 	})
--- a/internal/membership/names.go
+++ b/internal/membership/names.go
@@ -77,8 +77,8 @@
 
 // keepsName reports whether a process with this one's name is alive and had the name first.
 func (d *Detector) keepsName(p *peer) bool {
-	lives := p.Addr != d.self.Addr && p.heard && d.runTime-p.lastHeartbeat < d.config.HeartbeatTimeout && !p.YieldsName
-	return lives && (p.Incarnation > 0 || p.Process < d.self.Process)
+	alive := p.Addr != d.self.Addr && p.heard && d.runTime-p.lastHeartbeat < d.config.HeartbeatTimeout && !p.YieldsName
+	return alive && (p.Incarnation > 0 || p.Process < d.self.Process)
 }
 
 // supersedeDeadNamesakes takes the incarnation after that of a dead process with this one's name. This process may have
@@ -150,8 +150,8 @@
 	return holders
 }
 
-// forgetReplaced forgets members that nobody hears and that have a successor. Otherwise a process that started late
-// could keep a dead member for good: the successor is not a member at that process either, and so cannot displace it.
+// forgetReplaced forgets members that nobody hears and that have a successor. In the view of a process that started
+// late, the successor may not be a member, and so would never displace the dead member.
 func (d *Detector) forgetReplaced(holders map[NodeName]*peer) {
 	for _, p := range d.peers.sorted() {
 		if p == d.self || !p.isMember() || p.evidence.heardBy > 0 || d.evaluation.frozen {
@@ -164,8 +164,8 @@
 	}
 }
 
-// replaces reports whether a process succeeds another and will not become a member in its place by itself. A process
-// that has just started will, unless it is known to be silent.
+// replaces reports whether a process is the successor of p and is not expected to become a member in p's place by
+// joining. A process that has just started is expected to join, unless members already miss it.
 func (d *Detector) replaces(successor, p *peer) bool {
 	if !successor.succeeds(p) {
 		return false
--- a/internal/membership/names_test.go
+++ b/internal/membership/names_test.go
@@ -71,7 +71,7 @@
 }
 
 // Guards against view changes during a replacement: a process that takes another's place must get its name at once, and
-// no process may see it leave and join.
+// no view may show a member leaving and joining.
 func TestReplacedProcessStaysMember(t *testing.T) {
 	for seed := range uint32(5) {
 		s := newSimulation(5, seed, nil)
--- a/internal/membership/observation.go
+++ b/internal/membership/observation.go
@@ -34,8 +34,8 @@
 // isIsolated reports whether this process hears less than half of its expected neighbours. It may well be cut off
 // itself, so its reports are not trusted.
 //
-// Neighbours that were removed count as expected as long as they are remembered. Otherwise each side of a partition
-// would go by the neighbours that are left to it and remove the other side.
+// Neighbours that were removed count as expected until they are forgotten. Otherwise each side of a partition would
+// count only the neighbours that remain on its side, and remove the other side.
 func (d *Detector) isIsolated() bool {
 	expected := 0
 	heard := 0
@@ -83,8 +83,8 @@
 }
 
 // countsAsMissed reports whether a neighbour is reported as missed although it is heard, because it has reported itself
-// as isolated for IsolationTimeout. Otherwise a process that all hear and that hears nobody would stay a member for
-// good; and, once removed, it would rejoin before it hears anybody.
+// as isolated for IsolationTimeout. Otherwise a process that all hear but that hears nobody would stay a member
+// permanently, and a removed one would rejoin before it hears anybody.
 func (d *Detector) countsAsMissed(p *peer) bool {
 	if p.isolatedSince < 0 || d.self.Isolated {
 		return false
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -9,7 +9,7 @@
 	"dahliapin/internal/keyhash"
 )
 
-// never is the run time of a condition that does not hold at present.
+// never marks the start time of a condition that does not hold at present.
 const never time.Duration = -1
 
 // peer is the state that a detector keeps of one process, which may be its own.
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -245,7 +245,7 @@
 	if to == nil || to.process == nil || to.paused || to.process == p || p.node.process != p {
 		return
 	}
-	if _, stands := s.faults.Segment(p.node.number, to.number); stands {
+	if _, blocked := s.faults.Segment(p.node.number, to.number); blocked {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.statements)) {
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -19,7 +19,7 @@
 	Incarnation Incarnation
 	Revision    Revision
 	Addr        string      // address and port at which other nodes reach it
-	Leaving     bool        // it is shutting down in order, or is on standby
+	Leaving     bool        // it is shutting down gracefully, or is on standby
 	YieldsName  bool        // its name goes to the next process, which may claim it at once
 	Isolated    bool        // it hears too few of its neighbours for its reports to be trusted
 	Hears       []ProcessID // neighbours that it hears
@@ -98,8 +98,8 @@
 	return true
 }
 
-// mergeOwn handles a statement about this process itself. If it has a higher revision, this process has lost its count;
-// it continues above that revision, as its statements would be ignored as old otherwise.
+// mergeOwn handles a statement about this process itself. If its revision is higher than the current one, this process
+// has lost its count, and continues above that revision: its statements would be ignored as outdated otherwise.
 func (d *Detector) mergeOwn(s Statement) {
 	if s.Revision > d.self.Revision {
 		d.self.Revision = s.Revision
@@ -129,8 +129,8 @@
 	d.sync.statementReceived = true
 }
 
-// Leave states that this process shuts down in order or is on standby. With yieldName, another process takes its place:
-// this process stays a member, and its name goes to the other one.
+// Leave states that this process shuts down gracefully or is on standby. With yieldName, another process takes its
+// place: this process stays a member, and its name goes to the other one.
 func (d *Detector) Leave(yieldName bool) {
 	if d.self.Leaving || d.self.YieldsName {
 		return
--- a/internal/membership/statement_test.go
+++ b/internal/membership/statement_test.go
@@ -6,7 +6,8 @@
 	"dahliapin/internal/membership"
 )
 
-// A process that leaves in order must be removed at once, and its return must be that of the same process.
+// A process that leaves gracefully must be removed at once, and must be a member again as the same process when it
+// rejoins.
 func TestLeavingProcessIsRemovedAtOnceAndCanRejoin(t *testing.T) {
 	s := newSimulation(5, 1, nil)
 	s.run(6 * sec)
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -10,7 +10,7 @@
 	Alive                   // "present": a member
 	Suspected               // "suspected": a member that at least one neighbour misses
 	Removed                 // "cut": more neighbours miss it than hear it, for RemovalDelay
-	Left                    // "left": it has shut down in order or is on standby
+	Left                    // "left": it has shut down gracefully or is on standby
 	Forgotten               // "gone": no longer known, or another process has its name
 )
 
