--- a/internal/membership/gossip/delegate.go
+++ b/internal/membership/gossip/delegate.go
@@ -67,7 +67,7 @@
 	return decodeState(state)
 }
 
-// events receives changes of the library's members, which are only traced.
+// events receives changes of the library's list of members, which are only traced.
 type events struct{ node *Node }
 
 // NotifyJoin implements memberlist.EventDelegate.
--- a/internal/membership/gossip/library.go
+++ b/internal/membership/gossip/library.go
@@ -41,8 +41,8 @@
 	return c
 }
 
-// tune configures the library to carry statements: it gossips quickly, but is slow to consider a member dead, as the
-// detector decides on that.
+// tune configures the library to carry statements. It gossips quickly but is slow to consider a member dead, since the
+// detector decides which members are removed.
 func tune(c *memberlist.Config) {
 	// Messages are short, so compression costs more than it saves.
 	c.EnableCompression = false
@@ -60,7 +60,7 @@
 }
 
 // PushPullInterval returns the time between two exchanges of the full state that each node starts in a fleet of this
-// size. It follows the library's rule, and serves to estimate the traffic of a fleet.
+// size. It is computed as in the library, to estimate the traffic of a fleet.
 func PushPullInterval(members int) time.Duration {
 	interval := pushPullInterval
 	for n := largeFleet; n < members; n *= 2 {
--- a/internal/membership/gossip/node.go
+++ b/internal/membership/gossip/node.go
@@ -309,12 +309,12 @@
 // LoopAdvanced reports an iteration of the event loop that serves clients. Without it this process sends no heartbeats.
 func (n *Node) LoopAdvanced() { n.loopCount.Add(1) }
 
-// Close ends the node. If orderly is set, it first tells the others that the node leaves. It takes a second at most,
-// even if others do not answer. Further calls have no effect.
-func (n *Node) Close(orderly bool) {
+// Close ends the node. If graceful is set, it first announces to the others that the node leaves. It takes a second at
+// most, even if others do not answer. Further calls have no effect.
+func (n *Node) Close(graceful bool) {
 	n.lifecycle.once.Do(func() {
 		close(n.lifecycle.closed)
-		if orderly {
+		if graceful {
 			n.leave()
 		}
 		n.awaitGoroutines()
--- a/internal/membership/gossip/node_test.go
+++ b/internal/membership/gossip/node_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// Three nodes on sockets must come to one view. One that leaves in order must be removed, and be a member again once it
-// takes that back. Meanwhile the first node gets datagrams and streams that are damaged or from other fleets: it must
-// drop and count them, close the streams, and stay in the fleet.
+// Three nodes on sockets must have the same view. One that leaves gracefully must be removed, and be a member again
+// once it participates again. Meanwhile the first node gets datagrams and streams that are damaged or from other
+// fleets: it must drop and count them, close the streams, and stay in the fleet.
 func TestNodesJoinLeaveAndDropForeignMessages(t *testing.T) {
 	nodes := startNodes(t, 3, func(c *fleetconfig.File) { c.Fleet.Key = "MDEyMzQ1Njc4OWFiY2RlZg==" })
 	first, last := nodes[0], nodes[2]
@@ -145,7 +145,7 @@
 	last.SetPresence(Participating)
 	eventually(t, "the node is a member again", haveSameView(nodes, 3))
 	if status, takesPart := first.FleetStatus(); !takesPart || status.MayBePartitioned {
-		t.Errorf("%+v", status)
+		t.Errorf("takes part: %t, status %+v", takesPart, status)
 	}
 }
 
--- a/internal/membership/gossip/presence.go
+++ b/internal/membership/gossip/presence.go
@@ -1,6 +1,6 @@
 package gossip
 
-// Presence is the part that a process takes in its fleet.
+// Presence is whether a process takes part in its fleet, leaves it, or yields its name to a successor.
 type Presence int32
 
 // The presences of a process.
--- a/internal/membership/gossip/wire_test.go
+++ b/internal/membership/gossip/wire_test.go
@@ -116,13 +116,13 @@
 	newer := append([]byte{statement[0] + 1}, statement[1:]...) // one more pair in the map: 23, true
 	newer = append(newer, 0x17, 0xf5)
 	if s, err := decodeStatement(newer); err != nil || s.Process != 7 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("statement of a newer version is decoded as %+v, %v", s, err)
 	}
 	state, err := encodeState([][]byte{newer})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if back, err := decodeState(state); err != nil || len(back) != 1 || string(back[0]) != string(newer) {
-		t.Errorf("%v, %v", back, err)
+		t.Errorf("state with a statement of a newer version is decoded as %x, %v", back, err)
 	}
 }
