--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -11,7 +11,8 @@
 	// the rate of the whole fleet to 200 polls a second.
 	lostLimitPerNode = 10 * time.Millisecond
 
-	// refusedLimitPerNode is the minimum limit for each node after a refusal, as far as updates can wait.
+	// refusedLimitPerNode is the minimum limit for each node of the fleet after a refusal. The maximum limits below
+	// take precedence over it.
 	refusedLimitPerNode = 200 * time.Millisecond
 
 	// maxRefusedDoublings is how often the limit after a refusal doubles.
@@ -20,8 +21,8 @@
 	// maxInitialDoublings is how often initialLimit doubles; the result exceeds all maximum limits below.
 	maxInitialDoublings = 10
 
-	// maxRefusedLimit is the maximum of all limits. Together with a poll that then times out and the backoff after it,
-	// an update waits 4.75 s.
+	// maxRefusedLimit is the maximum of all limits. If the poll after such a backoff times out, an update waits 4.75 s,
+	// including the backoff after the timeout.
 	maxRefusedLimit = 3 * time.Second
 
 	// maxLostLimit is the maximum limit after lost connections, which cost discovery least.
@@ -35,8 +36,8 @@
 	// polls.
 	maxTimedOutLimit = 250 * time.Millisecond
 
-	// spreadLimit is a limit that spreads the polls of the fleet. After a backoff with such a limit, the next ones take
-	// at least minSpreadFraction of their limits.
+	// spreadLimit is the limit from which a backoff counts as having spread the polls of the fleet. The next backoffs
+	// then take at least minSpreadFraction of their limits.
 	spreadLimit       = time.Second
 	minSpreadFraction = 0.75
 )
@@ -47,13 +48,13 @@
 //
 // The backoff is a random fraction of a limit that doubles with each failure. After a lost connection the limit is
 // small at first, so that the long poll continues; after a refusal it depends on the number of nodes. A backoff with a
-// large limit spreads the nodes over that time, and from then on each node takes most of its limit. This keeps nodes
-// that each poll as often as if they were alone from holding an overloaded discovery in overload.
+// large limit spreads the nodes over that time, and from then on each node takes most of its limit. Otherwise nodes
+// that each poll as often as a single node may would keep an overloaded discovery overloaded.
 func (p *Poller) OnFailure(failure Failure, took time.Duration, jitter float64) (backoff time.Duration, first bool) {
 	p.timedOut = failure == ConnectionLost && took >= p.NextPoll().Timeout
 	p.failures++
 	p.connectionLost = failure == ConnectionLost
-	if !p.connectionLost { // a lost connection tells nothing about the version
+	if !p.connectionLost { // a lost connection says nothing about the version
 		p.versionInDoubt = failure == Unreadable && !p.needsComplete()
 	}
 	limit := p.backoffLimit(failure, took)
@@ -77,8 +78,8 @@
 	return min(limit, refusedLimit<<maxRefusedDoublings, p.maxBackoffLimit(failure, took))
 }
 
-// maxBackoffLimit returns the maximum limit for which an update can wait. It decreases with the time that the poll
-// took.
+// maxBackoffLimit returns the maximum limit with which an update still arrives in time. It decreases with the time that
+// the failed poll took.
 func (p *Poller) maxBackoffLimit(failure Failure, took time.Duration) time.Duration {
 	limit := maxRefusedLimit
 	switch {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -6,6 +6,6 @@
 // The proxy, the purger and the simulation all use it.
 //
 // Two requirements limit the backoff. An update must reach each node within seconds, whatever has failed before; and an
-// overloaded discovery must recover under the polls of the whole fleet, of which each node knows only the size. So
-// backoffs grow with the number of nodes up to the time that an update may wait, and they are randomised.
+// overloaded discovery must recover under the polls of the whole fleet, of which each node knows only the size.
+// Backoffs are therefore randomised, and grow with the number of nodes up to the time that an update may wait.
 package discovery
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -11,12 +11,11 @@
 	"dahliapin/internal/keyhash"
 )
 
-// updateBound is the time by which an update must reach a node after discovery has it and can be reached. Updates count
-// as late one second after that. If discovery is late or slow with the update itself, the node may take longer.
+// Bounds on the time by which an update must reach a node after discovery has it and can be reached.
 const (
 	updateBound = 5 * time.Second
-	lateBound   = 6 * time.Second
-	slowBound   = 9 * time.Second
+	lateBound   = 6 * time.Second // if discovery answers late; later updates count as late
+	slowBound   = 9 * time.Second // if discovery answers more slowly than a poll's first timeout
 )
 
 // slowAnswer is how long discovery takes to answer while it is slower than the first timeout of a poll.
@@ -46,7 +45,7 @@
 	name            string
 	finally         behaviour     // behaviour of discovery once it has the update
 	changesAddress  bool          // each node is given another address in between
-	losesPoll       bool          // a poll is lost although discovery is healthy, for nodes that are still backing off
+	losesPoll       bool          // nodes that still back off lose their next poll although discovery is healthy
 	fromStart       bool          // discovery fails from the start of the nodes
 	hasList         bool          // nodes hold a list from before
 	versionsRestart bool          // discovery restarts its versions
@@ -113,9 +112,9 @@
 }
 
 // Guards against updates that wait for a backoff and then for a silent long poll. With backoffs of up to 30 s after
-// refusals and long polls that took 5.5 s to be known as silent, updates arrived 15.5 s and 19.9 s after discovery had
-// them; they count as late after 6 s. After any failures, in any order and for any time, the poll or backoff in
-// progress and the next poll must take less than that together.
+// refusals and a timeout of 5.5 s for silent long polls, updates arrived 15.5 s and 19.9 s after discovery had them;
+// they count as late after 6 s. After any failures, in any order and for any time, the poll or backoff in progress and
+// the next poll together must take less than that.
 func TestUpdatesArriveInTimeAfterAnyFailures(t *testing.T) {
 	for _, o := range []outage{
 		{name: "healthy again", hasList: true, bound: updateBound},
@@ -130,12 +129,12 @@
 	} {
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
-			most, all, notified := 3, 0, 0
+			maxLength, all, notified := 3, 0, 0
 			if testing.Short() {
-				most = 2
+				maxLength = 2
 			}
 			var table strings.Builder
-			for n, order := range failureSequences(most) {
+			for n, order := range failureSequences(maxLength) {
 				seeds := 1
 				if len(order) < 3 {
 					seeds = len(fleetSizes)
--- a/internal/discovery/poller_test.go
+++ b/internal/discovery/poller_test.go
@@ -10,7 +10,7 @@
 	"dahliapin/policy"
 )
 
-// Guards against refused polls that keep discovery overloaded: 80 nodes polled 1,200 times a second, in step, and
+// Guards against refused polls that keep discovery overloaded: 80 nodes polled 1,200 times a second, synchronously, and
 // discovery never recovered. No node may back off for longer than an update can wait, so the rate grows with the number
 // of nodes, but the polls are spread from the first refusal on.
 func TestRefusedPollRateIsBounded(t *testing.T) {
@@ -82,10 +82,10 @@
 	}
 	kind, recovered := p.OnUpdate(9, false)
 	if kind != policy.CompleteUpdate || !recovered {
-		t.Errorf("took the complete list as %v (recovered: %v)", kind, recovered)
+		t.Errorf("the complete list is taken as %v, recovered: %v", kind, recovered)
 	}
 	backoff, first := p.OnFailure(ConnectionLost, 0, 1)
 	if !first || backoff > initialLimit || p.NextPoll().SinceVersion != 9 {
-		t.Errorf("then backs off for %v (first: %v), then %+v", backoff, first, p.NextPoll())
+		t.Errorf("after the update: backoff %v, first: %v, next poll %+v", backoff, first, p.NextPoll())
 	}
 }
