--- a/internal/config/fleetconfig/common.go
+++ b/internal/config/fleetconfig/common.go
@@ -12,7 +12,7 @@
 // The limits that apply to both files.
 const (
 	maxLabelBytes = 200
-	// maxControlServers bounds the control servers: more voters make publishing slower without making the fleet safer.
+	// maxControlServers bounds the control servers: further voters slow down publishing without a gain in safety.
 	maxControlServers = 9
 )
 
--- a/internal/config/fleetconfig/control.go
+++ b/internal/config/fleetconfig/control.go
@@ -38,14 +38,14 @@
 	Learner bool   `toml:"learner"` // it replicates and delivers the log but has no vote
 }
 
-// ControlBounds limits what a control server keeps and sends.
+// ControlBounds limits what a control server retains and sends.
 type ControlBounds struct {
-	Entries    int     `toml:"entries"`     // log entries kept for nodes that reconnect
-	KeptMB     float64 `toml:"kept_mb"`     // MiB of log entries kept
+	Entries    int     `toml:"entries"`     // log entries retained for nodes that reconnect
+	KeptMB     float64 `toml:"kept_mb"`     // MiB of log entries retained
 	WindowKiB  float64 `toml:"window_kb"`   // KiB sent to a node and not yet acknowledged
 	PaceMB     float64 `toml:"pace_mb_s"`   // MiB per second to all nodes that are catching up
 	Followers  int     `toml:"followers"`   // concurrent followers
-	RetentionS float64 `toml:"hold_s"`      // seconds for which entries are kept for a silent node
+	RetentionS float64 `toml:"hold_s"`      // seconds for which entries are retained for a silent node
 	ForgetS    float64 `toml:"forget_s"`    // seconds after which a silent node is no longer reported
 	ElectionMs float64 `toml:"election_ms"` // milliseconds without a leader until an election, up to twice that
 }
@@ -102,7 +102,7 @@
 	checkAddress(c, control.Nodes, "control.nodes")
 	checkLabel(c, control.Label, "control.label")
 	isPath := control.Data != "" && len(control.Data) <= maxPathBytes
-	c.Require(isPath, "control.data", "empty or too long for the path of a directory")
+	c.Require(isPath, "control.data", "empty, or longer than %d bytes", maxPathBytes)
 }
 
 func (f *ControlFile) checkServers(c *strictconfig.Checker) {
@@ -112,13 +112,13 @@
 	ids := map[uint64]bool{}
 	names := map[string]bool{}
 	voters := 0
-	for i, m := range f.Servers {
+	for i, server := range f.Servers {
 		path := fmt.Sprintf("machine.%d", i)
-		checkAddress(c, m.Addr, path+".addr")
-		c.Require(m.ID > 0 && !ids[m.ID], path+".id", "%d is 0 or a duplicate", m.ID)
-		checkName(c, m.Name, names, path+".name")
-		ids[m.ID] = true
-		if !m.Learner {
+		checkAddress(c, server.Addr, path+".addr")
+		c.Require(server.ID > 0 && !ids[server.ID], path+".id", "%d is 0 or a duplicate", server.ID)
+		checkName(c, server.Name, names, path+".name")
+		ids[server.ID] = true
+		if !server.Learner {
 			voters++
 		}
 	}
@@ -130,7 +130,7 @@
 // checkName checks that a name is not empty, not too long and not a duplicate, and records it in seen.
 func checkName(c *strictconfig.Checker, name string, seen map[string]bool, path string) {
 	isName := name != "" && len(name) <= maxNameBytes && !seen[name]
-	c.Require(isName, path, "%q is empty, too long or a duplicate", name)
+	c.Require(isName, path, "%q is empty, longer than %d bytes or a duplicate", name, maxNameBytes)
 	seen[name] = true
 }
 
@@ -147,13 +147,13 @@
 
 // Self returns the entry of the server that this configuration is for.
 func (f *ControlFile) Self() ControlServer {
-	var m ControlServer
-	for _, m = range f.Servers {
-		if m.ID == f.Control.ID {
-			return m
+	var server ControlServer
+	for _, server = range f.Servers {
+		if server.ID == f.Control.ID {
+			return server
 		}
 	}
-	return m
+	return server
 }
 
 // Retention returns RetentionS as a duration.
--- a/internal/config/fleetconfig/fleet.go
+++ b/internal/config/fleetconfig/fleet.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxSeeds bounds the seeds. They are contacted one after the other, so more seeds slow down the start.
+	// maxSeeds bounds the seeds. They are contacted one after the other, so each further one may delay the start.
 	maxSeeds = 64
 	// maxAddressMappings bounds the address mappings: one for each possible member.
 	maxAddressMappings = 4096
@@ -19,7 +19,7 @@
 // The gossip engines that distribute the statements of members.
 const (
 	EngineTuned = "tuned" // with limits that tolerate packet loss: for production
-	EnginePlain = "plain" // the gossip library with its defaults: a baseline for rehearsals
+	EnginePlain = "plain" // the gossip library with its defaults, as a baseline for rehearsals
 )
 
 // File is the fleet configuration of a node.
@@ -94,7 +94,7 @@
 	f.Fleet.check(c)
 	CheckMembers(c, &f.Members)
 	f.Changes.check(c)
-	c.Require(len(f.AddressMappings) <= maxAddressMappings, "way", "more than %d", maxAddressMappings)
+	c.Require(len(f.AddressMappings) <= maxAddressMappings, "way", "more than %d mappings", maxAddressMappings)
 	for i, mapping := range f.AddressMappings {
 		checkAddress(c, mapping.To, fmt.Sprintf("way.%d.to", i))
 		checkAddress(c, mapping.Through, fmt.Sprintf("way.%d.through", i))
@@ -110,7 +110,7 @@
 	checkAddress(c, f.Listen, "fleet.listen")
 	f.checkAdvertise(c)
 	checkLabel(c, f.Label, "fleet.label")
-	c.Require(len(f.Seeds) <= maxSeeds, "fleet.seeds", "more than %d", maxSeeds)
+	c.Require(len(f.Seeds) <= maxSeeds, "fleet.seeds", "more than %d seeds", maxSeeds)
 	for _, seed := range f.Seeds {
 		checkAddress(c, seed, "fleet.seeds")
 	}
@@ -149,7 +149,7 @@
 }
 
 func (ch *Changes) check(c *strictconfig.Checker) {
-	c.Require(len(ch.Servers) <= maxControlServers, "changes.at", "more than %d", maxControlServers)
+	c.Require(len(ch.Servers) <= maxControlServers, "changes.at", "more than %d addresses", maxControlServers)
 	for _, addr := range ch.Servers {
 		checkAddress(c, addr, "changes.at")
 	}
--- a/internal/config/fleetconfig/fleet_test.go
+++ b/internal/config/fleetconfig/fleet_test.go
@@ -14,9 +14,9 @@
 // expectFault fails the test unless err is a strictconfig.FieldErrors whose text contains the wanted one.
 func expectFault(t *testing.T, err error, want string) {
 	t.Helper()
-	var faults strictconfig.FieldErrors
-	if !errors.As(err, &faults) || !strings.Contains(err.Error(), want) {
-		t.Errorf("%v, want %s", err, want)
+	var invalid strictconfig.FieldErrors
+	if !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
+		t.Errorf("error %v, want FieldErrors with %q", err, want)
 	}
 }
 
--- a/internal/config/fleetconfig/purges.go
+++ b/internal/config/fleetconfig/purges.go
@@ -44,7 +44,7 @@
 	if hasDiscovery {
 		checkAddress(c, p.Discovery, "purges.discovery")
 	}
-	c.Require(len(p.Caches) <= maxCaches, "purges.cache", "more than %d", maxCaches)
+	c.Require(len(p.Caches) <= maxCaches, "purges.cache", "more than %d caches", maxCaches)
 	ids := map[string]bool{}
 	for i, cache := range p.Caches {
 		path := fmt.Sprintf("purges.cache.%d", i)
--- a/internal/config/listeners/file.go
+++ b/internal/config/listeners/file.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return file, err
 	}
-	c.Require(len(file.Listeners) <= maxListeners, "listener", "more than %d", maxListeners)
+	c.Require(len(file.Listeners) <= maxListeners, "listener", "more than %d listeners", maxListeners)
 	for i := range file.Listeners {
 		file.Listeners[i].check(c, "listener."+strconv.Itoa(i)+".", file.Listeners[:i], deployment)
 	}
--- a/internal/config/listeners/levels.go
+++ b/internal/config/listeners/levels.go
@@ -44,7 +44,7 @@
 // CheckLevels checks the degradation levels of a file, which has them under the path "level". The service classes that
 // they shed must be defined by the deployment's settings and be idempotent.
 func CheckLevels(c *strictconfig.Checker, levels []Level, deployment *settings.Settings) {
-	c.Require(len(levels) <= maxLevels, "level", "more than %d", maxLevels)
+	c.Require(len(levels) <= maxLevels, "level", "more than %d levels", maxLevels)
 	for i := range levels {
 		levels[i].check(c, fmt.Sprintf("level.%d.", i), levels[:i], deployment)
 	}
--- a/internal/config/listeners/listener.go
+++ b/internal/config/listeners/listener.go
@@ -15,7 +15,7 @@
 // Listener is an additional listener of a node. Headers, paths and routes apply to HTTP only.
 type Listener struct {
 	Listen   string `toml:"listen"`   // address and port
-	Protocol string `toml:"protocol"` // Meta or HTTP
+	Protocol string `toml:"protocol"` // ProtocolMeta or ProtocolHTTP
 
 	// Names of the headers in which a client may give the properties of a request. An empty name disables the header.
 	ClassHeader    string `toml:"grade_header"`    // service class
@@ -79,7 +79,7 @@
 	l.checkProtocol(c, prefix)
 	l.checkHeaders(c, prefix)
 	l.checkPages(c, prefix)
-	c.Require(len(l.Routes) <= maxRoutes, prefix+"route", "more than %d", maxRoutes)
+	c.Require(len(l.Routes) <= maxRoutes, prefix+"route", "more than %d routes", maxRoutes)
 	for i := range l.Routes {
 		l.Routes[i].check(c, prefix+"route."+strconv.Itoa(i)+".", l.Routes[:i], deployment)
 	}
--- a/internal/config/migration/convert.go
+++ b/internal/config/migration/convert.go
@@ -8,7 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// usualZones is the usual minimum number of zones of a fleet with caches in several zones.
+// usualZones is the number of zones below which a remark asks the operator to list all zones: fleets with caches in
+// several zones usually have at least three.
 const usualZones = 3
 
 // loopback is the address on which a node in a client process listens.
@@ -30,7 +31,7 @@
 // String returns the key and the reason in one line.
 func (r Remark) String() string { return r.Key + ": " + r.Reason }
 
-// Convert returns the converted configuration and remarks on it. A configuration that is already in the new form is
+// Convert returns the converted configuration, and remarks on it. A configuration that has already been converted is
 // returned unchanged.
 func Convert(old []byte) (text []byte, remarks []Remark, err error) {
 	object, err := fastjson.ParseBytes(old)
--- a/internal/config/settings/keys.go
+++ b/internal/config/settings/keys.go
@@ -52,7 +52,7 @@
 
 // The string values that the protocol defines.
 const (
-	modeCacheAside  = "aside"       // of keyMode: misses are fetched from the origin by the node
+	modeCacheAside  = "aside"       // of keyMode: the node fetches misses from the origin
 	discoveryByPoll = "ask"         // of keyDiscovery: the node polls the endpoint list
 	columnInFlight  = "outstanding" // of keyTelemetryColumn: requests in flight at an endpoint
 	columnQueue     = "backlog"     // of keyTelemetryColumn: requests queued at an endpoint
--- a/internal/config/strictconfig/checker_test.go
+++ b/internal/config/strictconfig/checker_test.go
@@ -78,10 +78,10 @@
 		t.Fatal(err)
 	}
 	if c.Err() != nil {
-		t.Errorf("nothing is wrong, and %v is reported", c.Err())
+		t.Errorf("error for a valid file: %v", c.Err())
 	}
 	c.InRange(file.Group[0].Share, 0, 1, "group.0.share")
-	c.Require(file.Listen == "a", "listen", "holds, so that it is not reported")
+	c.Require(file.Listen == "a", "listen", "must not be reported, as the requirement holds")
 	c.Require(false, "group.0.name", "is taken")
 	if want := "f.toml:3: group.0.name: is taken"; c.Err().Error() != want {
 		t.Errorf("%v, want %s", c.Err(), want)
