--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	folderMode = 0o700
-	fileMode   = 0o600
+	dirMode  = 0o700
+	fileMode = 0o600
 	// lockTimeout is short so that a file locked by another process is reported instead of waited for.
 	lockTimeout = time.Second
 	// temporaryPattern names files under construction. A file left behind by a crash is never read.
@@ -45,7 +45,7 @@
 // Open opens a file, creating its directory if needed. It returns an error that wraps ErrMissing if there is no file
 // and none may be created, and a one-line error if the file is in use or cannot be read, or if Load fails.
 func Open(path string, settings Settings) (*bbolt.DB, error) {
-	if err := makeFolder(filepath.Dir(path)); err != nil {
+	if err := makeDir(filepath.Dir(path)); err != nil {
 		return nil, fmt.Errorf("cannot create the data directory: %w", err)
 	}
 	if isMissing(path) {
@@ -62,7 +62,7 @@
 	}
 	// Without this sync a power failure may lose the directory entry, and with it every transaction acknowledged since.
 	// It runs at every opening because an earlier process may have crashed between linking the file and the sync.
-	if err := syncFolder(filepath.Dir(path)); err != nil {
+	if err := syncDir(filepath.Dir(path)); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("%s: cannot sync the directory: %w", path, err)
 	}
@@ -78,26 +78,26 @@
 	return info.Size() == 0
 }
 
-// makeFolder creates a directory and syncs its parent, so that the directory entry is durable.
-func makeFolder(dir string) error {
+// makeDir creates a directory and syncs its parent, so that the directory entry is durable.
+func makeDir(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
 	}
-	if err := os.MkdirAll(dir, folderMode); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(dir))
+	return syncDir(filepath.Dir(dir))
 }
 
-func syncFolder(dir string) error {
-	folder, err := os.Open(dir)
+func syncDir(dir string) error {
+	opened, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(opened.Sync(), opened.Close())
 }
 
-// create creates a file with its first transaction. A file that another process created meanwhile is kept.
+// create creates a file with its first transaction. A file that another process has created meanwhile is not replaced.
 func create(path string, settings Settings) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), temporaryPattern)
 	if err != nil {
@@ -127,12 +127,12 @@
 // directory is locked from the check for an existing file until the link is made. Otherwise, of two processes that both
 // find no file, the slower one would remove the file that the other one already writes to.
 func linkFile(temporary, path string) error {
-	folder, err := os.Open(filepath.Dir(path))
+	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
-	defer folder.Close() // releases the lock
-	if err := unix.Flock(int(folder.Fd()), unix.LOCK_EX); err != nil {
+	defer dir.Close() // releases the lock
+	if err := unix.Flock(int(dir.Fd()), unix.LOCK_EX); err != nil {
 		return fmt.Errorf("cannot lock the directory: %w", err)
 	}
 	info, err := os.Stat(path)
--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -18,14 +18,14 @@
 
 // When two processes both found no file, the slower one removed the file that the other one was already writing to.
 func TestLinkFileKeepsFileOfAnotherProcess(t *testing.T) {
-	for there, want := range map[string]string{"another's": "another's", "": "ours"} {
+	for existing, want := range map[string]string{"another's": "another's", "": "ours"} {
 		dir := t.TempDir()
-		path := writeFile(t, dir, "log.bbolt", there)
+		path := writeFile(t, dir, "log.bbolt", existing)
 		if err := linkFile(writeFile(t, dir, "temporary", "ours"), path); err != nil {
 			t.Error(err)
 		}
 		if got, err := os.ReadFile(path); err != nil || string(got) != want {
-			t.Errorf("%q is there: %q, %v", there, got, err)
+			t.Errorf("existing file %q: read %q, want %q; %v", existing, got, want, err)
 		}
 	}
 }
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,5 +1,5 @@
 // Package freeport finds free addresses for tests whose processes must know their address before they listen, because
-// other processes are given it too or because the process restarts there. All other tests listen on port 0 instead.
+// other processes need it too or because the process restarts there. All other tests listen on port 0 instead.
 package freeport
 
 import (
@@ -18,14 +18,14 @@
 	processStride = 397
 )
 
-var issued atomic.Uint32 // attempts made by this process
+var attempts atomic.Uint32 // attempts made by this process
 
 // Free returns a loopback address that is free for both TCP and UDP. It repeats no address until the whole range has
 // been tried. The error wraps that of the last attempt.
 func Free() (string, error) {
 	var err error
 	for range portCount {
-		offset := (uint32(os.Getpid())*processStride + issued.Add(1)) % portCount
+		offset := (uint32(os.Getpid())*processStride + attempts.Add(1)) % portCount
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+offset)
 		if err = tryListen(addr); err == nil {
 			return addr, nil
--- a/internal/histogram/histogram_test.go
+++ b/internal/histogram/histogram_test.go
@@ -44,7 +44,7 @@
 		h.Decay()
 	}
 	if got := h.total(); got < minSamples-2 || got >= 2*minSamples {
-		t.Errorf("%v samples are left", got)
+		t.Errorf("%v samples are left, want about %d", got, minSamples)
 	}
 }
 
@@ -69,6 +69,6 @@
 	h.Observe(-time.Second)
 	h.Observe(time.Hour)
 	if h[0] != 1 || h[bins-1] != 1 {
-		t.Errorf("%v", h)
+		t.Errorf("counts are %v, want one in the first and one in the last bin", h)
 	}
 }
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -26,8 +26,8 @@
 // Timeout is the adaptive idle timeout of connections.
 //
 // A cache accepts a limited number of connections, which all nodes share without knowledge of each other. If some nodes
-// held idle connections for long, for an attempt every few seconds, none would be left for the others, whose connects
-// and health checks would fail.
+// kept idle connections open for an attempt every few seconds, none would be left for the others, whose connection
+// attempts and health checks would fail.
 type Timeout struct {
 	base       time.Duration // timeout while no cache is full
 	divisor    float64       // current divisor of base; at least 1
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -16,7 +16,7 @@
 		full := now <= fullUntil
 		isFirst := now < monotime.Instant(400*time.Millisecond) // minTimeout is reached after four calls
 		if full && timeout.OnCacheFull(now) != isFirst {
-			t.Fatalf("%v: OnServerFull misreported whether the timeout became shorter", time.Duration(now))
+			t.Fatalf("%v: OnCacheFull misreported whether the timeout became shorter", time.Duration(now))
 		}
 		got := timeout.Current(now)
 		if full && now > monotime.Instant(time.Second) && got != minTimeout {
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -33,9 +33,9 @@
 var layerOf = map[string]layer{
 	"policy": decisions, "internal/config": config, "internal/wire": wire, "internal/discovery": discovery,
 	"internal/membership": membership, "internal/control": control,
-	"internal/proxy": proxy, "node": node, "internal/emulator": tools, "internal/scale": tools, "internal/loadgen": tools,
-	"internal/syscallfault": tools,
-	"cmd":                   commands, "internal/layout": commands,
+	"internal/proxy": proxy, "node": node, "internal/emulator": tools, "internal/scale": tools,
+	"internal/loadgen": tools, "internal/syscallfault": tools,
+	"cmd": commands, "internal/layout": commands,
 }
 
 // mayImport lists the layers each layer may import besides itself and the small libraries. No product code may import
--- a/internal/layout/wallclock_test.go
+++ b/internal/layout/wallclock_test.go
@@ -23,14 +23,14 @@
 // must use the monotonic clock, which steps of the wall clock do not affect.
 var wallClockReads = map[string]string{
 	"cmd/dahliapin/serve.go: Time.UnixNano":                  "the time of a record",
-	"internal/freshness/response.go: http.ParseTime":         "dates of HTTP are the wall clock's (RFC 9111, 4.2.3)",
-	"internal/membership/gossip/trace.go: unix.ClockGettime": "CLOCK_BOOTTIME, which no step moves",
-	"internal/proxy/downstream_http.go: Time.UnixNano":       "a part of ids, so that two processes' differ",
+	"internal/freshness/response.go: http.ParseTime":         "HTTP dates are wall clock times (RFC 9111, 4.2.3)",
+	"internal/membership/gossip/trace.go: unix.ClockGettime": "CLOCK_BOOTTIME, which wall clock steps do not affect",
+	"internal/proxy/downstream_http.go: Time.UnixNano":       "part of ids, so that the ids of two processes differ",
 	"internal/proxy/downstream_http.go: Time.Unix":           "the field Date of responses",
 	"internal/proxy/downstream_http.go: Time.UTC":            "the field Date of responses",
 	"internal/proxy/downstream_http.go: Time.Format":         "the field Date of responses",
-	"internal/proxy/endpoint_start.go: Time.UnixNano":        "the endpoint list states starts by the wall clock",
-	"internal/proxy/sockets/listener.go: time.Unix":          "a deadline in the past, whatever the clock says",
+	"internal/proxy/endpoint_start.go: Time.UnixNano":        "the endpoint list has wall clock start times",
+	"internal/proxy/sockets/listener.go: time.Unix":          "a deadline in the past, whatever the time is",
 }
 
 // monotonicMethods are the methods of time.Time that use the monotonic clock reading if there is one. All others use
--- a/internal/linefile/linefile_test.go
+++ b/internal/linefile/linefile_test.go
@@ -103,7 +103,7 @@
 			got, others := wholeLines(t, run.dir)
 			want := append(before, run.written...)
 			if !slices.Equal(got, want) || len(run.written) != testLines || others > 1 {
-				t.Errorf("killed at call %d: %q and %d others, wanted %q; %v", call, got, others, want, run.openError)
+				t.Errorf("killed at call %d: %q and %d others, want %q; %v", call, got, others, want, run.openError)
 			}
 			images++
 		}
@@ -111,8 +111,9 @@
 	t.Logf("records: %d calls; %d images after a kill", len(recording.Calls), images)
 }
 
-// Each call fails once, three times or permanently, before or after part of a line is written. Lines reported as written
-// must be complete in the file, OnFailing must be called once, and OnRecovered must get the number of lost lines.
+// Each call fails once, three times or permanently, before or after part of a line is written. Lines that are reported
+// as written must be complete in the file, OnFailing must be called once, and OnRecovered must get the number of lost
+// lines.
 func TestLinesSurviveFaultAtAnyCall(t *testing.T) {
 	recording := record(t)
 	tried := 0
