--- a/cmd/dahliapin/changes.go
+++ b/cmd/dahliapin/changes.go
@@ -18,7 +18,7 @@
 
 // errNotCaughtUp reports that a node lacks changes, that a cache lacks purges, or that there is no leader.
 var errNotCaughtUp = errors.New(
-	"not every node has all changes, not all purges are done at every cache, or no leader is heard")
+	"not every node has all changes, not all purges are done at every cache, or there is no leader")
 
 // changesCommand returns the command that shows how far each node has applied the replicated log.
 func changesCommand(asJSON *bool) *cobra.Command {
@@ -50,7 +50,7 @@
 			return err
 		},
 	}
-	control.add(c, "control servers, by their addresses for nodes, separated by commas: all are asked at once")
+	control.add(c, "addresses at which control servers listen for nodes, separated by commas; asked in parallel")
 	return c
 }
 
@@ -65,17 +65,17 @@
 
 func printServers(table io.Writer, o controlclient.Overview) {
 	fmt.Fprintln(table, "control\trole\tlast\tkept after\tconfig\tbytes out\tforeign\tturned away\theard")
-	for _, m := range o.Servers {
+	for _, s := range o.Servers {
 		role := "voter"
 		switch {
-		case m.Learner:
+		case s.Learner:
 			role = "learner"
-		case m.IsLeader:
-			role = fmt.Sprintf("leader, term %d", m.Term)
+		case s.IsLeader:
+			role = fmt.Sprintf("leader, term %d", s.Term)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n",
-			m.Name, role, m.Last, m.Floor, m.Config, m.BytesOut, m.Invalid, m.Rejected,
-			formatLastSeen(m.LastSeenS, m.Silent))
+			s.Name, role, s.Last, s.Floor, s.Config, s.BytesOut, s.Invalid, s.Rejected,
+			formatLastSeen(s.LastSeenS, s.Silent))
 	}
 }
 
@@ -126,7 +126,7 @@
 	lacking := slices.DeleteFunc(slices.Clone(o.Caches), hasAll)
 	fmt.Fprintf(table, "\n%d caches, purges are done at %d of them\n", len(o.Caches), len(o.Caches)-len(lacking))
 	if len(lacking) > 0 {
-		fmt.Fprintln(table, "cache\tdone\tlacks\tlate\tdeleted once\tmachines")
+		fmt.Fprintln(table, "cache\tdone\tlacks\tlate\tdeleted once\tcontrol servers")
 	}
 	for _, c := range lacking[:min(len(lacking), maxShownLacking)] {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%s\n",
@@ -138,9 +138,9 @@
 // lackingReasons returns what the control servers report about a cache that lacks purges.
 func lackingReasons(c *controlclient.CacheStatus) string {
 	var reasons []string
-	for _, m := range c.Servers {
-		if m.Reason != "" && !m.Silent {
-			reasons = append(reasons, fmt.Sprintf("%d: %s, %.1f s", m.Server, m.Reason, m.UnansweredS))
+	for _, at := range c.Servers {
+		if at.Reason != "" && !at.Silent {
+			reasons = append(reasons, fmt.Sprintf("%d: %s, %.1f s", at.Server, at.Reason, at.UnansweredS))
 		}
 	}
 	if c.Flushing {
--- a/cmd/dahliapin/config.go
+++ b/cmd/dahliapin/config.go
@@ -21,9 +21,9 @@
 // addFlags adds the flags for the files beside the configuration.
 func (f *configFiles) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.operator, "operator", "",
-		"file of further listeners, caches that speak HTTP, and service levels that shed load")
+		"file of further listeners, caches that speak HTTP, and degradation levels, at which load is shed")
 	c.Flags().StringVar(&f.fleet, "fleet", "",
-		"file of the fleet that the node joins; without it, the node is on its own")
+		"configuration file of the fleet that the node joins; without it, the node is standalone")
 }
 
 // read reads the configuration and applies the environment and the other files to it.
--- a/cmd/dahliapin/control_server.go
+++ b/cmd/dahliapin/control_server.go
@@ -33,9 +33,9 @@
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return runControlServer(args[0], firstStart, trace) },
 	}
-	c.Flags().BoolVar(&firstStart, "new", false, "the first start of a voter: its data folder may be empty")
+	c.Flags().BoolVar(&firstStart, "new", false, "accept an empty data directory; only for the first start of a voter")
 	c.Flags().StringVar(&trace, "trace", "",
-		"file to append a line to for each write to this server's disk, which tests check the log by")
+		"file to append a line to for each write to this server's disk, for tests that check the log")
 	return c
 }
 
--- a/cmd/dahliapin/fleet.go
+++ b/cmd/dahliapin/fleet.go
@@ -32,7 +32,7 @@
 	c := &cobra.Command{
 		Use:   "fleet",
 		Short: "Show what a running node knows of the other nodes, and publish changes to all of them",
-		Long:  "Exits with 0 for yes, 2 if the node is cut off or on its own, and 1 if it cannot be reached.",
+		Long:  "Exits with 0 for yes, 2 if the node is cut off or standalone, and 1 if it cannot be reached.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return fmt.Errorf("fleet %q: the calls are status, members, publish and changes", strings.Join(args, " "))
 		},
--- a/cmd/dahliapin/load.go
+++ b/cmd/dahliapin/load.go
@@ -73,7 +73,8 @@
 		protocol = s.Traffic.Protocol
 	}
 	if protocol != listeners.ProtocolMeta && protocol != listeners.ProtocolHTTP {
-		return fmt.Errorf("--protocol %q is neither %s nor %s", protocol, listeners.ProtocolMeta, listeners.ProtocolHTTP)
+		return fmt.Errorf("--protocol %q is neither %s nor %s",
+			protocol, listeners.ProtocolMeta, listeners.ProtocolHTTP)
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/dahliapin/main.go
+++ b/cmd/dahliapin/main.go
@@ -2,7 +2,7 @@
 // tools of their operators and developers. `dahliapin help` lists the commands; each is in a file of its own.
 //
 // A command exits with 0 for success, with 1 for a failure, and with 2 for outcomes that a script has to distinguish: a
-// node that answers no, a fleet that is not up to date, or an invalid command line.
+// negative answer of a node, a fleet that is not up to date, or an invalid command line.
 package main
 
 import (
@@ -20,8 +20,8 @@
 
 // The exit codes of failures.
 const (
-	exitFailed = 1
-	exitSaidNo = 2 // the command ran and the answer is no, or the command line is invalid
+	exitFailed   = 1
+	exitNegative = 2 // the command ran and its answer is negative, or the command line is invalid
 )
 
 // The environment variables that set defaults of flags. Operators' deployments depend on their names.
@@ -47,9 +47,9 @@
 
 // exitCode returns the exit code for an error that a command returned.
 func exitCode(err error) int {
-	for _, saidNo := range []error{errSaidNo, errBadCall, errNotCaughtUp} {
-		if errors.Is(err, saidNo) {
-			return exitSaidNo
+	for _, negative := range []error{errNegativeAnswer, errUsage, errNotCaughtUp} {
+		if errors.Is(err, negative) {
+			return exitNegative
 		}
 	}
 	return exitFailed
@@ -101,21 +101,21 @@
 	return ""
 }
 
-// badCall returns an error about an invalid command line. It has an exit code of its own.
-func badCall(format string, args ...any) error {
-	return fmt.Errorf("%w: %w", errBadCall, fmt.Errorf(format, args...))
+// usageErrorf returns an error about an invalid command line, which wraps errUsage.
+func usageErrorf(format string, args ...any) error {
+	return fmt.Errorf("%w: %w", errUsage, fmt.Errorf(format, args...))
 }
 
-// errBadCall reports a command line with invalid arguments or flags.
-var errBadCall = errors.New("invalid command line")
+// errUsage reports a command line with invalid arguments or flags. It has an exit code of its own.
+var errUsage = errors.New("invalid command line")
 
-// badFlag reports a flag that cannot be parsed as a usage error.
-func badFlag(_ *cobra.Command, err error) error { return badCall("%w", err) }
+// flagError returns a usage error for a flag that cannot be parsed.
+func flagError(_ *cobra.Command, err error) error { return usageErrorf("%w", err) }
 
 // noArguments rejects any argument as a usage error.
 func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return badCall("%s takes no %q", c.Name(), args[0])
+		return usageErrorf("%s takes no %q", c.Name(), args[0])
 	}
 	return nil
 }
--- a/cmd/dahliapin/migrate_test.go
+++ b/cmd/dahliapin/migrate_test.go
@@ -96,8 +96,9 @@
 // TestMigratedNodeKeepsToItsZone checks that a node with a migrated configuration serves, and sends attempts only to
 // caches in its own zone. With the old configuration it sends them to all zones.
 func TestMigratedNodeKeepsToItsZone(t *testing.T) {
-	s, err := scenario.Parse("test.toml", []byte(strings.Replace(strings.Split(shortScenario, "[[event]]")[0], "caches = 4",
-		"caches = 12\nzones = [\"a\", \"b\"]", 1)))
+	text, _, _ := strings.Cut(shortScenario, "[[event]]")
+	text = strings.Replace(text, "caches = 4", "caches = 12\nzones = [\"a\", \"b\"]", 1)
+	s, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +106,7 @@
 	run := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 	for _, m := range []migratedNodes{{run, t.TempDir()}, {run, ""}} {
 		isMigrated := m.dir != ""
-		result := playUntilJudged(t, s, m)
+		result := runUntilConclusive(t, s, m)
 		far := uint64(0)
 		for i := 1; i < 12; i += 2 { // zone b
 			far += result.Servers[i].Attempts
@@ -118,14 +119,14 @@
 	}
 }
 
-// maxPlays is the maximum number of runs of a scenario until the machine is not too busy to judge it.
-const maxPlays = 4
+// maxScenarioRuns is the maximum number of runs of a scenario until the machine is not too busy for a verdict.
+const maxScenarioRuns = 4
 
-// playUntilJudged runs a scenario until the machine was not too busy to judge it. It fails the test after maxPlays
-// runs.
-func playUntilJudged(t *testing.T, s *scenario.Scenario, starter realtime.Starter) *report.Report {
+// runUntilConclusive runs a scenario until the machine was not too busy for a verdict. It fails the test after
+// maxScenarioRuns runs.
+func runUntilConclusive(t *testing.T, s *scenario.Scenario, starter realtime.Starter) *report.Report {
 	t.Helper()
-	for range maxPlays {
+	for range maxScenarioRuns {
 		result, err := realtime.Run(context.Background(), s, starter, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -133,8 +134,8 @@
 		if result.MachineTooBusy == "" {
 			return result
 		}
-		t.Logf("not judged: %s", result.MachineTooBusy)
+		t.Logf("inconclusive: %s", result.MachineTooBusy)
 	}
-	t.Fatalf("not judged in %d runs", maxPlays)
+	t.Fatalf("no conclusive run in %d", maxScenarioRuns)
 	return nil
 }
--- a/cmd/dahliapin/nemesis.go
+++ b/cmd/dahliapin/nemesis.go
@@ -23,8 +23,8 @@
 // nemesisMembers is the only subject that nemesis can test: the membership.
 const nemesisMembers = "members"
 
-// player runs a schedule and returns the report on it.
-type player func(*scenario.Scenario) (*report.Report, error)
+// scheduleRunner runs a schedule and returns the report on it.
+type scheduleRunner func(*scenario.Scenario) (*report.Report, error)
 
 // nemesisOptions holds the flags of nemesis.
 type nemesisOptions struct {
@@ -43,7 +43,7 @@
 		Use:   "nemesis",
 		Short: "Cause random failures between node processes, and check the rules of the fleet and its views",
 		Long: "Exits with 0 if no rule was broken, with 1 and the shortened schedule's file in the last line if\n" +
-			"one was, and with 2 for a bad call.",
+			"one was, and with 2 for an invalid command line.",
 		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := o.check(); err != nil {
@@ -52,10 +52,10 @@
 			schedule := func(n int) *scenario.Scenario {
 				return scenario.Nemesis(o.seed+int64(n), o.nodes, o.duration.Seconds())
 			}
-			return runUntilBreach(c.OutOrStdout(), o.schedules, o.maxShrink, o.out, schedule, schedulePlayer(c))
+			return runUntilBreach(c.OutOrStdout(), o.schedules, o.maxShrink, o.out, schedule, newScheduleRunner(c))
 		},
 	}
-	c.SetFlagErrorFunc(badFlag)
+	c.SetFlagErrorFunc(flagError)
 	c.Flags().IntVar(&o.nodes, "nodes", 12, "number of node processes")
 	c.Flags().Int64Var(&o.seed, "seed", 1, "random seed of the first schedule; the following have the next ones")
 	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
@@ -69,28 +69,28 @@
 func (o *nemesisOptions) check() error {
 	switch {
 	case o.nodes < minNemesisNodes || o.nodes > maxNemesisNodes:
-		return badCall("--nodes %d is not from %d to %d", o.nodes, minNemesisNodes, maxNemesisNodes)
+		return usageErrorf("--nodes %d is not from %d to %d", o.nodes, minNemesisNodes, maxNemesisNodes)
 	case o.duration < minNemesisTime || o.duration > maxScheduleTime:
-		return badCall("--for %v is not from %v to %v", o.duration, minNemesisTime, maxScheduleTime)
+		return usageErrorf("--for %v is not from %v to %v", o.duration, minNemesisTime, maxScheduleTime)
 	case o.schedules < 1 || o.schedules > maxScheduleCount:
-		return badCall("--schedules %d is not from 1 to %d", o.schedules, maxScheduleCount)
+		return usageErrorf("--schedules %d is not from 1 to %d", o.schedules, maxScheduleCount)
 	case o.maxShrink < 0 || o.maxShrink > maxScheduleCount:
-		return badCall("--shrink %d is not from 0 to %d", o.maxShrink, maxScheduleCount)
+		return usageErrorf("--shrink %d is not from 0 to %d", o.maxShrink, maxScheduleCount)
 	case o.subject != nemesisMembers:
-		return badCall("--what %q is unknown: it can be members", o.subject)
+		return usageErrorf("--what %q is unknown: it can be members", o.subject)
 	}
 	return nil
 }
 
-// runUntilBreach runs schedules until one breaks a rule, and shortens that. Runs for which the machine was too busy
-// prove nothing, and are reported as not judged.
+// runUntilBreach runs schedules until one breaks a rule, and shortens that one. Runs for which the machine was too busy
+// are inconclusive, and are reported as not judged.
 func runUntilBreach(
-	out io.Writer, schedules, maxShrink int, dir string, schedule func(n int) *scenario.Scenario, play player,
+	out io.Writer, schedules, maxShrink int, dir string, schedule func(n int) *scenario.Scenario, run scheduleRunner,
 ) error {
 	busy := 0
 	for n := range schedules {
 		s := schedule(n)
-		result, err := play(s)
+		result, err := run(s)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 		if !isBroken(result) {
 			continue
 		}
-		s, result, err = shorten(out, s, result, maxShrink, play)
+		s, result, err = shorten(out, s, result, maxShrink, run)
 		if err != nil {
 			return err
 		}
@@ -113,12 +113,12 @@
 
 // shorten removes events from a schedule one by one, and leaves out those without which a rule is still broken.
 func shorten(
-	out io.Writer, s *scenario.Scenario, result *report.Report, maxRuns int, play player,
+	out io.Writer, s *scenario.Scenario, result *report.Report, maxRuns int, run scheduleRunner,
 ) (*scenario.Scenario, *report.Report, error) {
 	event := 0
 	for runs := 0; event < len(s.Events) && runs < maxRuns; runs++ {
 		shorter := s.Without(event)
-		shorterResult, err := play(shorter)
+		shorterResult, err := run(shorter)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -132,9 +132,9 @@
 	return s, result, nil
 }
 
-// schedulePlayer returns a player that writes a schedule as text and runs what it parses from that, so that the file
-// that is written later describes exactly what was run.
-func schedulePlayer(c *cobra.Command) player {
+// newScheduleRunner returns a function that writes a schedule as text and runs what it parses from that, so that the
+// file that is written later describes exactly what was run.
+func newScheduleRunner(c *cobra.Command) scheduleRunner {
 	return func(s *scenario.Scenario) (*report.Report, error) {
 		text, err := s.Text()
 		if err != nil {
@@ -148,7 +148,8 @@
 	}
 }
 
-// isBroken tells whether a run broke a rule. One for which the machine was too busy proves nothing.
+// isBroken reports whether a run broke a rule. A run for which the machine was too busy is inconclusive and does not
+// count.
 func isBroken(r *report.Report) bool { return r.MachineTooBusy == "" && !r.Passed() }
 
 func printRun(out io.Writer, s *scenario.Scenario, r *report.Report) {
@@ -162,8 +163,10 @@
 		slowest = view.Detect[len(view.Detect)-1]
 	}
 	fmt.Fprintf(out, "%s: %d events, %d wrong (false %d, rash %d, missed %d, flaps %d, unlike %d), rules %v; ",
-		s.Name, len(s.Events), view.Wrong(), view.FalseRemovals, view.UnjustifiedRemovals, view.Missed, view.Flaps, view.DivergedSeconds, r.Rules)
-	fmt.Fprintf(out, "changes %d, out after %.2f s at most, alike after %.1f s", view.Changes, slowest, view.ConvergedAfter)
+		s.Name, len(s.Events), view.Wrong(), view.FalseRemovals, view.UnjustifiedRemovals, view.Missed, view.Flaps,
+		view.DivergedSeconds, r.Rules)
+	fmt.Fprintf(out, "changes %d, out after %.2f s at most, alike after %.1f s",
+		view.Changes, slowest, view.ConvergedAfter)
 	if r.MachineTooBusy != "" {
 		fmt.Fprint(out, "; not judged, the machine was too busy")
 	}
--- a/cmd/dahliapin/ops.go
+++ b/cmd/dahliapin/ops.go
@@ -15,12 +15,12 @@
 
 const (
 	adminTimeout    = 2 * time.Second // a node answers within one second
-	maxAdminAnswer  = 1 << 20         // bytes: some metrics for each service class
+	maxAdminAnswer  = 1 << 20         // bytes; far above the metrics of all service classes
 	adminAtFlagHelp = "address and port for operators of the node"
 )
 
-// errSaidNo reports that the node was reached and refused, or answered no.
-var errSaidNo = errors.New("the node answered no")
+// errNegativeAnswer reports that the node was reached and answered no, or refused the call.
+var errNegativeAnswer = errors.New("the node answered no")
 
 // adminCalls lists the calls of a node's admin server.
 var adminCalls = []struct{ name, method, path, short string }{
@@ -73,7 +73,7 @@
 		return fmt.Errorf("reading the node's answer: %w", err)
 	}
 	if response.StatusCode/100 != 2 {
-		return fmt.Errorf("%w: %s", errSaidNo, answer[:max(0, len(answer)-1)]) // without the trailing newline
+		return fmt.Errorf("%w: %s", errNegativeAnswer, answer[:max(0, len(answer)-1)]) // without the trailing newline
 	}
 	_, err = out.Write(answer)
 	return err
--- a/cmd/dahliapin/placement.go
+++ b/cmd/dahliapin/placement.go
@@ -31,18 +31,18 @@
 			file, err := scale.ReadFile(firstOf(args))
 			switch {
 			case err != nil:
-				return badCall("%w", err)
+				return usageErrorf("%w", err)
 			case o.caches < 1 || o.caches > maxPlacedCaches:
-				return badCall("--caches %d is not from 1 to %d", o.caches, maxPlacedCaches)
+				return usageErrorf("--caches %d is not from 1 to %d", o.caches, maxPlacedCaches)
 			case o.keys < 1 || o.keys > maxPlacedKeys:
-				return badCall("--keys %d is not from 1 to %d", o.keys, maxPlacedKeys)
+				return usageErrorf("--keys %d is not from 1 to %d", o.keys, maxPlacedKeys)
 			}
 			result := scale.PlaceKeys(file.Places, o.caches, o.keys, o.nodes, o.crossZoneCost)
 			result.Print(c.OutOrStdout())
 			return nil
 		},
 	}
-	c.SetFlagErrorFunc(badFlag)
+	c.SetFlagErrorFunc(flagError)
 	c.Flags().IntVar(&o.caches, "caches", 50, "number of caches, zone by zone")
 	c.Flags().IntVar(&o.keys, "keys", 50_000, "number of keys that are requested, evenly from all zones")
 	c.Flags().IntVar(&o.nodes, "nodes", 480, "number of nodes of the fleet")
--- a/cmd/dahliapin/publish.go
+++ b/cmd/dahliapin/publish.go
@@ -36,15 +36,15 @@
 	client := controlclient.Client{Servers: strings.Split(f.at, ","), Label: f.label}
 	for _, addr := range client.Servers {
 		if _, err := netip.ParseAddrPort(addr); err != nil || len(client.Servers) > maxControlServers {
-			return client, fmt.Errorf("--at %q is not a comma-separated list of 1 to %d addresses and ports of control servers",
-				f.at, maxControlServers)
+			return client, fmt.Errorf("--at %q is not a comma-separated list of 1 to %d addresses and ports of "+
+				"control servers", f.at, maxControlServers)
 		}
 	}
 	return client, nil
 }
 
-// publication holds the flags of publish.
-type publication struct {
+// publishOptions holds the flags of publish.
+type publishOptions struct {
 	control controlFlags
 	keys    []string // to purge
 	file    string   // of a configuration; empty for none
@@ -52,7 +52,7 @@
 }
 
 func publishCommand() *cobra.Command {
-	var p publication
+	var p publishOptions
 	c := &cobra.Command{
 		Use:   "publish --at ADDR[,ADDR] (--purge KEY[,KEY] | --config FILE)",
 		Short: "Publish purges, or a configuration, to every node of the fleet",
@@ -76,16 +76,16 @@
 			return err
 		},
 	}
-	p.control.add(c, "control servers, by their addresses for nodes, separated by commas: tried one after the other")
+	p.control.add(c, "addresses at which control servers listen for nodes, separated by commas; tried in turn")
 	c.Flags().StringArrayVar(&p.keys, "purge", nil, "a key to purge from all caches; more may follow as arguments")
 	c.Flags().StringVar(&p.file, "config", "",
 		"a node's configuration, for every node; each keeps its own name, address and limits")
-	c.Flags().DurationVar(&p.timeout, "by", publishTimeout, "how long to try")
+	c.Flags().DurationVar(&p.timeout, "by", publishTimeout, "how long to retry")
 	return c
 }
 
 // proposals returns the changes to publish: purges, whose further keys may be given as arguments, or a configuration.
-func (p *publication) proposals(args []string) ([]replicatedlog.Proposal, error) {
+func (p *publishOptions) proposals(args []string) ([]replicatedlog.Proposal, error) {
 	hasKeys := len(p.keys) > 0
 	if hasKeys == (p.file != "") || len(args) > 0 && !hasKeys {
 		return nil, errors.New("either --purge with keys or --config with a file is needed")
@@ -101,7 +101,7 @@
 }
 
 // configuration returns the proposal of the configuration file, after checking that nodes can parse it.
-func (p *publication) configuration() ([]replicatedlog.Proposal, error) {
+func (p *publishOptions) configuration() ([]replicatedlog.Proposal, error) {
 	text, err := os.ReadFile(p.file)
 	if err == nil {
 		_, err = node.ParseConfig(text)
--- a/cmd/dahliapin/rehearse.go
+++ b/cmd/dahliapin/rehearse.go
@@ -48,7 +48,7 @@
 	c.Flags().BoolVar(&r.virtual, "virtual", false, "simulate it in virtual time, without sockets")
 	c.Flags().Int64Var(&r.seed, "seed", 0, "random seed, instead of the script's")
 	c.Flags().StringVar(&r.decider, "decider", policyDecider,
-		"which policy decides: module, or in virtual time a baseline: random, ring")
+		"policy that decides: module, or in virtual time one of the baselines random and ring")
 	c.Flags().StringVar(&r.out, "out", "", "folder for report.json and records.jsonl")
 	return c
 }
@@ -61,7 +61,7 @@
 	if r.hasSeed {
 		s.Seed = r.seed
 	}
-	result, err := r.play(c.Context(), s)
+	result, err := r.runScenario(c.Context(), s)
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (r *rehearseOptions) play(ctx context.Context, s *scenario.Scenario) (*report.Report, error) {
+func (r *rehearseOptions) runScenario(ctx context.Context, s *scenario.Scenario) (*report.Report, error) {
 	if r.virtual {
 		maker, err := deciderMaker(r.decider)
 		if err != nil {
--- a/cmd/dahliapin/rehearse_test.go
+++ b/cmd/dahliapin/rehearse_test.go
@@ -49,8 +49,8 @@
 	c := exec.Command(os.Args[0], args...)
 	tmp := t.TempDir()
 	c.Env = append(os.Environ(), runAsProgramEnv+"=1", "TMPDIR="+tmp)
-	var said bytes.Buffer
-	c.Stdout, c.Stderr = &said, &said
+	var output bytes.Buffer
+	c.Stdout, c.Stderr = &output, &output
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	for _, e := range entries {
 		left = append(left, e.Name())
 	}
-	return said.String(), c.ProcessState.ExitCode(), left
+	return output.String(), c.ProcessState.ExitCode(), left
 }
 
 func scriptFile(t *testing.T, text string) string {
@@ -79,17 +79,18 @@
 // noRuleBroken is in the output of a rehearsal that broke no rule.
 const noRuleBroken = "no rule is broken ([0 0 0 0])"
 
-// machineTooBusy is in the output of a rehearsal that could not be judged because the machine was too busy.
+// machineTooBusy is in the output of a rehearsal that is inconclusive because the machine was too busy.
 const machineTooBusy = "not judged: the machine was too busy"
 
 // TestRehearsalReportsAndLeavesNoFiles runs node processes and kills one. The report must describe what happened and
-// include the records of the processes, the exit code must be 0, and no file may be left. How soon the silent cache is
-// avoided is bounded tightly only in virtual time: here it depends on the machine, and was mostly 0.2 s and once 1.7 s.
+// include the records of the processes, the exit code must be 0, and no file may be left. The time until the silent
+// cache is avoided is bounded tightly only in virtual time: here it depends on the machine, and was mostly 0.2 s but
+// 1.7 s in one run.
 func TestRehearsalReportsAndLeavesNoFiles(t *testing.T) {
 	dir := t.TempDir()
 	script := scriptFile(t, shortScenario+"[expect]\nsatisfied={read=0.5}\n[[expect.avoided]]\nserver=\"c2\"\nby_s=5\n")
 	out, code, left := runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
-	for play := 1; play < maxPlays && strings.Contains(out, machineTooBusy); play++ {
+	for run := 1; run < maxScenarioRuns && strings.Contains(out, machineTooBusy); run++ {
 		t.Log(out)
 		_ = os.Remove(dir + "/records.jsonl")
 		out, code, left = runProgramInTempDir(t, nil, "rehearse", script, "--out", dir)
@@ -123,7 +124,8 @@
 // lost request, a process that does not report success or does not exit, and a connection still open four seconds after
 // the call each fail the rehearsal.
 func TestRehearsalRunsOperatorActions(t *testing.T) {
-	calls := strings.Replace(shortScenario[:strings.Index(shortScenario, "[[event]]")], "seconds = 5", "seconds = 7", 1) + `[[event]]
+	text, _, _ := strings.Cut(shortScenario, "[[event]]")
+	text = strings.Replace(text, "seconds = 5", "seconds = 7", 1) + `[[event]]
 at_s = 0.5
 do = "node_upgrade"
 nodes = [1]
@@ -140,7 +142,7 @@
 [expect]
 satisfied={read=0.5}
 `
-	out, code, left := runProgramInTempDir(t, nil, "rehearse", scriptFile(t, calls))
+	out, code, left := runProgramInTempDir(t, nil, "rehearse", scriptFile(t, text))
 	if code != 0 || len(left) > 0 || !strings.Contains(out, noRuleBroken) {
 		t.Errorf("exit %d, left %v: %s", code, left, out)
 	}
@@ -166,7 +168,9 @@
 		{failed, []string{"rehearse", scriptFile(t, "secs = 1")}},
 		{failed, []string{"rehearse", "moves", "--decider", "ring"}},
 		{failed, []string{"rehearse", "moves", "--virtual", "--decider", "best"}},
-		{failed, []string{"rehearse", scriptFile(t, shortScenario+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1")}},
+		{failed, []string{
+			"rehearse", scriptFile(t, shortScenario+"[[event]]\nat_s = 1\ndo = 'between_cut'\nfor_s = 1"),
+		}},
 		{failed, []string{"ops"}},
 		{failed, []string{"ops", "standbye"}},
 		{failed, []string{"ops", "status", "--at", "here"}},
@@ -204,7 +208,7 @@
 	faulty := scriptFile(t, "[[listener]]\nlisten = 'x'\nprotocol = 'y'\n")
 	out, _, _ := runProgramInTempDir(t, nil, "check", "--config", config, "--operator", faulty)
 	if !strings.Contains(out, ":2: ") || !strings.Contains(out, ":3: ") {
-		t.Errorf("two faults: %q", out)
+		t.Errorf("the output does not report both errors: %q", out)
 	}
 }
 
@@ -241,35 +245,35 @@
 }
 
 // TestNemesisShortensASchedule checks that a schedule that breaks a rule is reduced to the events that it needs,
-// written in that form, and named in the last line, and that runs on a machine that was too busy prove nothing.
+// written in that form, and named in the last line, and that runs on a machine that was too busy count as inconclusive.
 func TestNemesisShortensASchedule(t *testing.T) {
-	dir, plays := t.TempDir(), 0
+	dir, runs := t.TempDir(), 0
 	needs := func(s *scenario.Scenario, do string) bool {
 		return slices.ContainsFunc(s.Events, func(e scenario.Event) bool { return e.Do == do })
 	}
-	play := func(s *scenario.Scenario) (*report.Report, error) {
-		plays++
+	run := func(s *scenario.Scenario) (*report.Report, error) {
+		runs++
 		isMet := !needs(s, "node_pause") || !needs(s, "node_kill")
 		return &report.Report{Expected: []report.Expected{{What: "all is well", Met: isMet}}}, nil
 	}
 	schedule := func(k int) *scenario.Scenario { return scenario.Nemesis(int64(k), 12, 90) }
-	var said bytes.Buffer
-	err := runUntilBreach(&said, 50, 100, dir, schedule, play)
-	lines := strings.Split(strings.TrimSpace(said.String()), "\n")
+	var output bytes.Buffer
+	err := runUntilBreach(&output, 50, 100, dir, schedule, run)
+	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	if !errors.Is(err, errNotMet) {
-		t.Fatalf("%v\n%s", err, &said)
+		t.Fatalf("%v\n%s", err, &output)
 	}
 	s, err := scenario.Read(lines[len(lines)-1])
 	if err != nil || len(s.Events) != 2 || !needs(s, "node_pause") || !needs(s, "node_kill") {
-		t.Errorf("kept %+v, %v", s, err)
+		t.Errorf("shortened to %+v, %v", s, err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "report.json")); err != nil {
 		t.Error(err)
 	}
-	said.Reset()
+	output.Reset()
 	busy := func(*scenario.Scenario) (*report.Report, error) { return &report.Report{MachineTooBusy: "late"}, nil }
-	err = runUntilBreach(&said, 3, 100, dir, schedule, busy)
-	if err != nil || !strings.HasSuffix(said.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
-		t.Errorf("%v: %s", err, &said)
+	err = runUntilBreach(&output, 3, 100, dir, schedule, busy)
+	if err != nil || !strings.HasSuffix(output.String(), "3 schedules: nothing broke; 3 of them not judged\n") {
+		t.Errorf("%v: %s", err, &output)
 	}
 }
--- a/cmd/dahliapin/scale.go
+++ b/cmd/dahliapin/scale.go
@@ -34,12 +34,12 @@
 	var o scaleOptions
 	c := &cobra.Command{
 		Use:   "scale [FILE.toml]",
-		Short: "Measure what membership costs a fleet of a size, with nodes without clients beside real ones",
+		Short: "Measure the cost of membership by the size of a fleet, with simulated nodes beside real ones",
 		Long: "Exits with 0 if all is within the budget, with 1 if something is not, which the last line names,\n" +
-			"and with 2 for a bad call.",
+			"and with 2 for an invalid command line.",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return badCall("scale takes one file, and no %q", args[1])
+				return usageErrorf("scale takes one file, and no %q", args[1])
 			}
 			return nil
 		},
@@ -50,9 +50,9 @@
 			return o.measure(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.SetFlagErrorFunc(badFlag)
+	c.SetFlagErrorFunc(flagError)
 	o.addFlags(c)
-	c.AddCommand(hollowNodesCommand(), placementCommand(), scaleCachesCommand())
+	c.AddCommand(simulatedNodesCommand(), placementCommand(), scaleCachesCommand())
 	return c
 }
 
@@ -66,7 +66,8 @@
 	f.Int64Var(&o.plan.Seed, "seed", 1, "random seed of the network between regions")
 	f.StringVar(&o.out, "out", "", "folder for report.json, and size-N.json of each size")
 	f.BoolVar(&o.keepResults, "kept", false, "do not measure sizes again whose results are in the folder")
-	f.IntVar(&o.maxMB, "most-mb", scale.MaxMemoryMB, "memory limit of all processes, in MB: the measurement ends above it")
+	f.IntVar(&o.maxMB, "most-mb", scale.MaxMemoryMB,
+		"memory limit of all processes, in MB: the measurement ends above it")
 	f.Float64Var(&o.budget.CorePercent, "core", 0, "budget: percent of a core per node, instead of the file's")
 	f.Float64Var(&o.budget.MemoryMB, "memory", 0, "budget: resident memory per node, in MB")
 	f.Float64Var(&o.budget.KBPerS, "kb", 0, "budget: kilobytes per second per node, sent and received")
@@ -76,7 +77,7 @@
 func (o *scaleOptions) prepare(c *cobra.Command, args []string) error {
 	file, err := scale.ReadFile(firstOf(args))
 	if err != nil {
-		return badCall("%w", err)
+		return usageErrorf("%w", err)
 	}
 	o.plan.File = file
 	flags := c.Flags()
@@ -90,13 +91,13 @@
 		o.plan.File.Budget.KBPerS = o.budget.KBPerS
 	}
 	if err := o.plan.Check(); err != nil {
-		return badCall("%w", err)
+		return usageErrorf("%w", err)
 	}
 	if o.maxMB < 1 || o.maxMB > scale.MaxMemoryMB {
-		return badCall("--most-mb %d is not from 1 to %d", o.maxMB, scale.MaxMemoryMB)
+		return usageErrorf("--most-mb %d is not from 1 to %d", o.maxMB, scale.MaxMemoryMB)
 	}
 	if o.out == "" {
-		return badCall("scale needs --out")
+		return usageErrorf("scale needs --out")
 	}
 	return nil
 }
@@ -165,11 +166,11 @@
 	return &size
 }
 
-// hollowNodesCommand returns the hidden command that runs a process of nodes without clients.
-func hollowNodesCommand() *cobra.Command {
+// simulatedNodesCommand returns the hidden command that runs a process of simulated nodes, which serve no clients.
+func simulatedNodesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
-		Short: "Run nodes without clients, as told on standard input",
+		Short: "Run simulated nodes, which serve no clients, as ordered on standard input",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return scale.ServeSimulatedNodes(c.InOrStdin(), c.OutOrStdout())
 		},
--- a/cmd/dahliapin/scale_caches.go
+++ b/cmd/dahliapin/scale_caches.go
@@ -37,8 +37,8 @@
 	c := &cobra.Command{
 		Use:   "caches",
 		Short: "Measure the resource use of one node as the number of caches grows, and compare it with the limits",
-		Long: "Exits with 0 if all is within the limits, with 1 if a row is over its limit or the machine was too busy to\n" +
-			"judge, and with 2 for a bad call.",
+		Long: "Exits with 0 if all is within the limits, with 1 if a row is over its limit or the machine was\n" +
+			"too busy for a verdict, and with 2 for an invalid command line.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := o.check(); err != nil {
@@ -47,12 +47,13 @@
 			return o.measure(c)
 		},
 	}
-	c.SetFlagErrorFunc(badFlag)
+	c.SetFlagErrorFunc(flagError)
 	f := c.Flags()
-	f.IntSliceVar(&o.sizes, "caches", []int{200, 800, 3200}, "numbers of caches; the others are compared with the first")
+	f.IntSliceVar(&o.sizes, "caches", []int{200, 800, 3200},
+		"numbers of caches; the others are compared with the first")
 	f.StringSliceVar(&o.names, "days", nil, "days to run; all unless given")
 	f.DurationVar(&o.plan.DayLength, "for", 12*time.Second, "length of each day")
-	f.Float64Var(&o.plan.Share, "share", 0.2, "share of a core that the node is held to")
+	f.Float64Var(&o.plan.Share, "share", 0.2, "share of a core to which the node is limited")
 	f.IntVar(&o.plan.Rate, "rate", 120, "requests per second")
 	f.IntVar(&o.plan.Nodes, "nodes", 300, "nodes of the fleet, by the node's settings")
 	f.StringVar(&o.out, "out", "", "folder for report.json")
@@ -62,23 +63,23 @@
 func (o *growthOptions) check() error {
 	switch {
 	case len(o.sizes) == 0 || !slices.IsSorted(o.sizes) || o.sizes[0] < minGrowthCaches:
-		return badCall("--caches must be numbers of at least %d, in ascending order", minGrowthCaches)
+		return usageErrorf("--caches must be numbers of at least %d, in ascending order", minGrowthCaches)
 	case o.sizes[len(o.sizes)-1] > maxGrowthCaches:
-		return badCall("--caches has a number over %d", maxGrowthCaches)
+		return usageErrorf("--caches has a number over %d", maxGrowthCaches)
 	case o.plan.DayLength < minDayLength || o.plan.DayLength > maxDayLength:
-		return badCall("--for %v is not from %v to %v", o.plan.DayLength, minDayLength, maxDayLength)
+		return usageErrorf("--for %v is not from %v to %v", o.plan.DayLength, minDayLength, maxDayLength)
 	case o.plan.Share <= 0 || o.plan.Share > 1:
-		return badCall("--share %v is not above 0 and at most 1", o.plan.Share)
+		return usageErrorf("--share %v is not above 0 and at most 1", o.plan.Share)
 	case o.plan.Rate < 1 || o.plan.Rate > maxGrowthRate:
-		return badCall("--rate %d is not from 1 to %d", o.plan.Rate, maxGrowthRate)
+		return usageErrorf("--rate %d is not from 1 to %d", o.plan.Rate, maxGrowthRate)
 	case o.plan.Nodes < 1:
-		return badCall("--nodes %d is not at least 1", o.plan.Nodes)
+		return usageErrorf("--nodes %d is not at least 1", o.plan.Nodes)
 	case o.out == "":
-		return badCall("scale caches needs --out")
+		return usageErrorf("scale caches needs --out")
 	}
 	var err error
 	if o.days, err = cachegrowth.DaysNamed(o.names); err != nil {
-		return badCall("--days: %w", err)
+		return usageErrorf("--days: %w", err)
 	}
 	return nil
 }
--- a/cmd/dahliapin/serve.go
+++ b/cmd/dahliapin/serve.go
@@ -41,7 +41,8 @@
 	files.addFlags(c)
 	c.Flags().StringVar(&options.records, "records", "",
 		"file to append records of the node's actions on caches to, as JSON lines")
-	c.Flags().StringVar(&options.trace, "trace", "", "file to append a line to for each event in the fleet")
+	c.Flags().StringVar(&options.trace, "trace", "",
+		"file to append a line to for each membership event; needs --fleet")
 	return c
 }
 
@@ -93,8 +94,8 @@
 	return os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, outputFileMode)
 }
 
-// writeRecords appends the node's events to a file as JSON lines, with their times in Unix nanoseconds. It logs once
-// when writing starts to fail, and once when it works again.
+// writeRecords appends the node's events to a file as JSON lines, with their times in Unix nanoseconds. It logs only
+// the first failure in a row and the recovery.
 func writeRecords(config *node.Config, path string) error {
 	file, err := linefile.Open(path)
 	if err != nil {
--- a/cmd/dahliapin/soak.go
+++ b/cmd/dahliapin/soak.go
@@ -30,7 +30,7 @@
 	firstSeed int64
 	lastSeed  int64
 	duration  time.Duration // of each schedule
-	parallel  int           // schedules that run at once
+	parallel  int           // schedules that run in parallel
 	shrink    shrinkLimits  // of a schedule that breaks a rule
 	out       string        // folder
 }
@@ -42,7 +42,7 @@
 		Use:   "soak",
 		Short: "Run random deployments with random failures against node processes, and check the rules",
 		Long: "Exits with 0 if no rule was broken, with 1 and the names of the schedules that broke one in the last\n" +
-			"line, and with 2 for a bad call.",
+			"line, and with 2 for an invalid command line.",
 		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
@@ -52,14 +52,14 @@
 			if err := o.check(); err != nil {
 				return err
 			}
-			return o.run(c.OutOrStdout(), schedulePlayer(c))
+			return o.run(c.OutOrStdout(), newScheduleRunner(c))
 		},
 	}
-	c.SetFlagErrorFunc(badFlag)
+	c.SetFlagErrorFunc(flagError)
 	c.Flags().StringVar(&seeds, "seeds", "1..50", "random seeds of the schedules")
 	c.Flags().DurationVar(&o.duration, "for", time.Minute, "how long each schedule runs")
-	c.Flags().IntVar(&o.parallel, "at-once", 2, "how many schedules run at once")
-	c.Flags().IntVar(&o.shrink.plays, "shrink", 40,
+	c.Flags().IntVar(&o.parallel, "at-once", 2, "how many schedules run in parallel")
+	c.Flags().IntVar(&o.shrink.maxRuns, "shrink", 40,
 		"maximum number of runs to shrink a schedule that breaks a rule; 0 for none")
 	c.Flags().DurationVar(&o.shrink.duration, "shrink-for", 20*time.Minute, "longest time to shrink one")
 	c.Flags().StringVar(&o.out, "out", ".", "folder for schedules that break a rule, and their reports")
@@ -69,15 +69,15 @@
 func (o *soakOptions) check() error {
 	switch {
 	case o.firstSeed < 1 || o.lastSeed < o.firstSeed || o.lastSeed-o.firstSeed >= maxScheduleCount:
-		return badCall("--seeds %d..%d are not from 1 up, or over %d", o.firstSeed, o.lastSeed, maxScheduleCount)
+		return usageErrorf("--seeds %d..%d are not from 1 up, or over %d", o.firstSeed, o.lastSeed, maxScheduleCount)
 	case o.duration < minSoakTime || o.duration > maxScheduleTime:
-		return badCall("--for %v is not from %v to %v", o.duration, minSoakTime, maxScheduleTime)
+		return usageErrorf("--for %v is not from %v to %v", o.duration, minSoakTime, maxScheduleTime)
 	case o.parallel < 1 || o.parallel > maxSoakParallel:
-		return badCall("--at-once %d is not from 1 to %d", o.parallel, maxSoakParallel)
-	case o.shrink.plays < 0 || o.shrink.plays > maxScheduleCount:
-		return badCall("--shrink %d is not from 0 to %d", o.shrink.plays, maxScheduleCount)
+		return usageErrorf("--at-once %d is not from 1 to %d", o.parallel, maxSoakParallel)
+	case o.shrink.maxRuns < 0 || o.shrink.maxRuns > maxScheduleCount:
+		return usageErrorf("--shrink %d is not from 0 to %d", o.shrink.maxRuns, maxScheduleCount)
 	case o.shrink.duration < 0 || o.shrink.duration > maxShrinkTime:
-		return badCall("--shrink-for %v is not from 0 to %v", o.shrink.duration, maxShrinkTime)
+		return usageErrorf("--shrink-for %v is not from 0 to %v", o.shrink.duration, maxShrinkTime)
 	}
 	return nil
 }
@@ -93,27 +93,28 @@
 		last, err = strconv.ParseInt(high, 10, 64)
 	}
 	if err != nil {
-		return 0, 0, badCall("--seeds %q is not like 1..50", text)
+		return 0, 0, usageErrorf("--seeds %q is not like 1..50", text)
 	}
 	return first, last, nil
 }
 
-// coverageFile is the file in the output folder with the table of what the schedules' faults coincided with.
+// coverageFile is the file in the output folder with the conditions under which the schedules' faults occurred, see
+// package coverage.
 const coverageFile = "coverage.json"
 
-// run runs all schedules, several at once, and writes the coverage of their faults. Runs for which the machine was too
-// busy prove nothing, and are reported as not judged.
-func (o *soakOptions) run(out io.Writer, play player) error {
-	tally := soakTally{met: coverage.NewTable(scenario.SoakFaults())}
-	o.playAll(out, &tally, play)
+// run runs all schedules, several in parallel, and writes the coverage of their faults. Runs for which the machine was
+// too busy are inconclusive, and are reported as not judged.
+func (o *soakOptions) run(out io.Writer, run scheduleRunner) error {
+	tally := soakTally{coverage: coverage.NewTable(scenario.SoakFaults())}
+	o.runAll(out, &tally, run)
 	if err := errors.Join(tally.errs...); err != nil {
 		return err
 	}
-	if err := o.reportCoverage(out, tally.met); err != nil {
+	if err := o.reportCoverage(out, tally.coverage); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%d schedules: %d broke a rule, %d not judged as the machine was too busy\n",
-		tally.played, len(tally.broken), tally.notJudged)
+		tally.runs, len(tally.broken), tally.inconclusive)
 	if len(tally.broken) == 0 {
 		return nil
 	}
@@ -121,8 +122,8 @@
 	return errNotMet
 }
 
-// playAll runs the schedules of all seeds, in the order of seeds.
-func (o *soakOptions) playAll(out io.Writer, tally *soakTally, play player) {
+// runAll runs the schedules of all seeds, in the order of seeds.
+func (o *soakOptions) runAll(out io.Writer, tally *soakTally, run scheduleRunner) {
 	var workers sync.WaitGroup
 	schedules := make(chan *scenario.Scenario)
 	for range o.parallel {
@@ -133,7 +134,7 @@
 				if tally.hasFailed() { // an interrupt ends only the runs in progress, not those still queued
 					continue
 				}
-				tally.addError(o.runOne(out, schedule, tally, play))
+				tally.addError(o.runOne(out, schedule, tally, run))
 			}
 		}()
 	}
@@ -144,39 +145,39 @@
 	workers.Wait()
 }
 
-// reportCoverage prints the coverage of the faults of all judged schedules, and writes it as JSON.
-func (o *soakOptions) reportCoverage(out io.Writer, met *coverage.Table) error {
-	met.Print(out)
-	never := met.Uncovered()
-	fmt.Fprintf(out, "%d pairs never met: %s\n", len(never), strings.Join(never, ", "))
+// reportCoverage prints the coverage of the faults of all conclusive runs, and writes it as JSON.
+func (o *soakOptions) reportCoverage(out io.Writer, table *coverage.Table) error {
+	table.Print(out)
+	uncovered := table.Uncovered()
+	fmt.Fprintf(out, "%d pairs never met: %s\n", len(uncovered), strings.Join(uncovered, ", "))
 	if err := makeReportFolder(o.out); err != nil {
 		return err
 	}
-	return writeJSON(filepath.Join(o.out, coverageFile), met)
+	return writeJSON(filepath.Join(o.out, coverageFile), table)
 }
 
-func (o *soakOptions) runOne(out io.Writer, schedule *scenario.Scenario, tally *soakTally, play player) error {
-	result, err := play(schedule)
+func (o *soakOptions) runOne(out io.Writer, schedule *scenario.Scenario, tally *soakTally, run scheduleRunner) error {
+	result, err := run(schedule)
 	if err != nil {
 		return fmt.Errorf("%s: %w", schedule.Name, err)
 	}
 	if err := tally.add(out, schedule, result, o.out); err != nil || !isBroken(result) {
 		return err
 	}
-	var said bytes.Buffer // printed at once, so that output of concurrent schedules does not mix
-	err = shrinkBroken(&said, schedule, result, o.shrink, o.out, play)
-	tally.print(out, said.String())
+	var text bytes.Buffer // printed in one piece, so that the output of concurrent schedules does not mix
+	err = shrinkBroken(&text, schedule, result, o.shrink, o.out, run)
+	tally.print(out, text.String())
 	return err
 }
 
 // soakTally counts the results of a soak's schedules.
 type soakTally struct {
-	mu        sync.Mutex // guards all fields, and the printing of results
-	played    int
-	notJudged int
-	broken    []string        // names of schedules
-	met       *coverage.Table // coverage of the faults of judged schedules
-	errs      []error
+	mu           sync.Mutex // guards all fields, and the printing of results
+	runs         int
+	inconclusive int
+	broken       []string        // names of schedules
+	coverage     *coverage.Table // coverage of the faults of conclusive runs
+	errs         []error
 }
 
 // hasFailed reports whether a schedule could not be run.
@@ -205,14 +206,14 @@
 func (t *soakTally) add(out io.Writer, schedule *scenario.Scenario, r *report.Report, dir string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.played++
+	t.runs++
 	if r.Coverage != nil && r.MachineTooBusy == "" {
-		t.met.Add(r.Coverage)
+		t.coverage.Add(r.Coverage)
 	}
 	verdict := "kept all rules"
 	switch {
 	case r.MachineTooBusy != "":
-		t.notJudged++
+		t.inconclusive++
 		verdict = "not judged: " + r.MachineTooBusy
 	case !r.Passed():
 		t.broken = append(t.broken, schedule.Name)
--- a/cmd/dahliapin/soak_shrink.go
+++ b/cmd/dahliapin/soak_shrink.go
@@ -17,35 +17,35 @@
 
 // shrinkLimits bounds the runs that shrink one schedule.
 type shrinkLimits struct {
-	plays    int // 0 to shrink nothing
+	maxRuns  int // 0 to shrink nothing
 	duration time.Duration
 }
 
 // shrinkBroken shrinks a schedule that broke a rule, and writes the smallest one that fails in the same way as a
 // rehearsal, with the report on its run. It writes nothing if no smaller schedule fails in the same way.
 func shrinkBroken(
-	out io.Writer, s *scenario.Scenario, broken *report.Report, limits shrinkLimits, dir string, play player,
+	out io.Writer, s *scenario.Scenario, broken *report.Report, limits shrinkLimits, dir string, run scheduleRunner,
 ) error {
-	if limits.plays == 0 {
+	if limits.maxRuns == 0 {
 		return nil
 	}
 	until := time.Now().Add(limits.duration)
-	var playErr error
+	var runErr error
 	budget := shrink.Budget{
-		Runs:    limits.plays,
-		Expired: func() bool { return playErr != nil || time.Now().After(until) },
+		Runs:    limits.maxRuns,
+		Expired: func() bool { return runErr != nil || time.Now().After(until) },
 	}
 	smallest := broken
 	result := shrink.Shrink(s, budget, func(candidate *scenario.Scenario) bool {
 		var r *report.Report
-		if r, playErr = play(candidate); playErr != nil || !isSameFailure(broken, r) {
+		if r, runErr = run(candidate); runErr != nil || !isSameFailure(broken, r) {
 			return false
 		}
 		smallest = r
 		return true
 	})
-	if playErr != nil {
-		fmt.Fprintf(out, "%s: shrinking ended as a run could not be carried out: %v\n", s.Name, playErr)
+	if runErr != nil {
+		fmt.Fprintf(out, "%s: shrinking ended as a run could not be carried out: %v\n", s.Name, runErr)
 	}
 	if result.Scenario == s {
 		fmt.Fprintf(out, "%s: no smaller schedule failed in the same way in %d runs\n", s.Name, result.Runs)
@@ -76,7 +76,7 @@
 }
 
 // isSameFailure reports whether two runs broke a common rule, or, if the first broke none, failed a common expectation.
-// A run that was not judged matches no failure.
+// It is false if the second run was inconclusive.
 func isSameFailure(first, second *report.Report) bool {
 	if !isBroken(second) {
 		return false
--- a/cmd/dahliapin/soak_test.go
+++ b/cmd/dahliapin/soak_test.go
@@ -19,7 +19,7 @@
 
 const (
 	soakFor   = 20 * time.Second
-	soakSeeds = 6 // a minute in all, as two run at once
+	soakSeeds = 6 // a minute in total, as two run in parallel
 )
 
 // TestShortSoak runs a short soak with the same schedules each time. A long one is started manually with dahliapin
@@ -30,11 +30,11 @@
 	if testing.Short() {
 		options.lastSeed = 2
 	}
-	var said bytes.Buffer
-	err := options.run(&said, func(s *scenario.Scenario) (*report.Report, error) {
+	var output bytes.Buffer
+	err := options.run(&output, func(s *scenario.Scenario) (*report.Report, error) {
 		return realtime.Run(context.Background(), s, processes, nil)
 	})
-	t.Logf("%s", said.String())
+	t.Logf("%s", output.String())
 	if err != nil {
 		t.Error(err)
 	}
@@ -46,7 +46,7 @@
 	return &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 }
 
-// nonDrainingNodes starts nodes that exit at once on SIGTERM, and lose their requests in flight.
+// nonDrainingNodes starts nodes that exit immediately on SIGTERM, and lose their requests in flight.
 type nonDrainingNodes struct{ *realtime.Processes }
 
 type nonDrainingProcess struct{ realtime.Process }
@@ -61,10 +61,10 @@
 	return nonDrainingProcess{p}, nil
 }
 
-// TestSoakFindsANodeThatDoesNotDrain checks that a soak distinguishes a node that exits at once from one that drains:
-// without that, a soak proves nothing.
+// TestSoakFindsANodeThatDoesNotDrain checks that a soak distinguishes a node that exits immediately from one that
+// drains. A soak that does not would prove nothing.
 func TestSoakFindsANodeThatDoesNotDrain(t *testing.T) {
-	s, err := scenario.Parse("hasty.toml", []byte(`
+	s, err := scenario.Parse("restart.toml", []byte(`
 seconds = 10
 [fleet]
 nodes = 2
@@ -93,10 +93,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, ends := range []bool{true, false} {
+	for _, drains := range []bool{false, true} {
 		processes := testProcesses(t)
 		var runner realtime.Starter = processes
-		if ends {
+		if !drains {
 			runner = nonDrainingNodes{processes}
 		}
 		r, err := realtime.Run(context.Background(), s, runner, nil)
@@ -104,27 +104,27 @@
 			t.Fatal(err)
 		}
 		if r.MachineTooBusy != "" {
-			t.Logf("not judged: %s", r.MachineTooBusy)
+			t.Logf("inconclusive: %s", r.MachineTooBusy)
 			continue
 		}
-		if ends == (r.Rules[0] == 0) {
+		if drains != (r.Rules[0] == 0) {
 			var text bytes.Buffer
 			r.Print(&text)
-			t.Errorf("ends at once %v: rule 1 is broken %d times\n%s", ends, r.Rules[0], text.String())
+			t.Errorf("nodes drain: %v, rule 1 is broken %d times\n%s", drains, r.Rules[0], text.String())
 		}
 	}
 }
 
 // TestSoakShrinksAFailingSchedule checks that a failing schedule is written so that it reproduces the failure
-// unattended, both in full and shrunk to the two events that the failure needs. Runs with other failures, or that a
-// busy machine could not judge, must not count as the same failure.
+// unattended, both in full and shrunk to the two events that the failure needs. Runs with other failures, and runs that
+// are inconclusive on a busy machine, must not count as the same failure.
 func TestSoakShrinksAFailingSchedule(t *testing.T) {
-	dir, plays := t.TempDir(), 0
+	dir, runs := t.TempDir(), 0
 	const rule = 2
-	play := func(s *scenario.Scenario) (*report.Report, error) {
-		plays++
+	run := func(s *scenario.Scenario) (*report.Report, error) {
+		runs++
 		r := &report.Report{Expected: []report.Expected{{What: "no rule is broken", Met: true}}}
-		failsOtherwise := plays%3 == 0
+		failsOtherwise := runs%3 == 0
 		switch {
 		case hasEvent(s, "errors") && hasEvent(s, "node_restart"):
 			r.Rules[rule-1] = 1
@@ -132,7 +132,7 @@
 		case failsOtherwise:
 			r.Rules[0] = 1
 			r.Expected[0].Met = false
-		case plays%2 == 0:
+		case runs%2 == 0:
 			r.MachineTooBusy = "late"
 			r.Rules[rule-1] = 1
 		}
@@ -140,11 +140,12 @@
 	}
 	options := soakOptions{
 		firstSeed: 1, lastSeed: 1, duration: time.Minute, parallel: 1,
-		shrink: shrinkLimits{plays: 1000, duration: time.Hour}, out: dir,
+		shrink: shrinkLimits{maxRuns: 1000, duration: time.Hour}, out: dir,
 	}
-	var said bytes.Buffer
-	if err := options.run(&said, play); !errors.Is(err, errNotMet) || !strings.HasSuffix(said.String(), "\nsoak-1\n") {
-		t.Fatalf("%v\n%s", err, &said)
+	var output bytes.Buffer
+	err := options.run(&output, run)
+	if !errors.Is(err, errNotMet) || !strings.HasSuffix(output.String(), "\nsoak-1\n") {
+		t.Fatalf("%v\n%s", err, &output)
 	}
 	whole, err := scenario.Read(filepath.Join(dir, "soak-1.toml"))
 	if err != nil || len(whole.Events) < 20 {
@@ -152,8 +153,8 @@
 	}
 	path := filepath.Join(dir, "soak-1-shrunk.toml")
 	shrunk, err := scenario.Read(path)
-	if err != nil || !strings.Contains(said.String(), path) {
-		t.Fatalf("%v\n%s", err, &said)
+	if err != nil || !strings.Contains(output.String(), path) {
+		t.Fatalf("%v\n%s", err, &output)
 	}
 	isNeeded := hasEvent(shrunk, "errors") && hasEvent(shrunk, "node_restart")
 	if len(shrunk.Events) != 2 || !isNeeded || shrunk.Fleet.Nodes != 1 {
@@ -169,14 +170,14 @@
 // TestSoakStopsAfterInterruptedRun guards against a soak that cannot be stopped: an interrupt ends only the runs in
 // progress, so the soak must not go on with the next seeds.
 func TestSoakStopsAfterInterruptedRun(t *testing.T) {
-	plays := 0
+	runs := 0
 	interrupted := func(*scenario.Scenario) (*report.Report, error) {
-		plays++
+		runs++
 		return nil, context.Canceled
 	}
 	options := soakOptions{firstSeed: 1, lastSeed: 9, duration: soakFor, parallel: 1, out: t.TempDir()}
-	if err := options.run(io.Discard, interrupted); !errors.Is(err, context.Canceled) || plays != 1 {
-		t.Errorf("%v after %d plays", err, plays)
+	if err := options.run(io.Discard, interrupted); !errors.Is(err, context.Canceled) || runs != 1 {
+		t.Errorf("%v after %d runs", err, runs)
 	}
 }
 
@@ -196,7 +197,7 @@
 		c.SetErr(io.Discard)
 		c.SilenceUsage = true
 		c.SilenceErrors = true
-		if err := c.Execute(); !errors.Is(err, errBadCall) {
+		if err := c.Execute(); !errors.Is(err, errUsage) {
 			t.Errorf("%v: %v", args, err)
 		}
 	}
@@ -214,7 +215,7 @@
 			t.Errorf("seed %d: %v", s.Seed, err)
 		}
 		if second, _ := again[i].Text(); !bytes.Equal(text, second) {
-			t.Errorf("seed %d draws otherwise the second time", s.Seed)
+			t.Errorf("seed %d gives another schedule the second time", s.Seed)
 		}
 	}
 }
--- a/cmd/dahliapin/soak_variants_test.go
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -29,7 +29,7 @@
 
 var (
 	variantSeeds = flag.Int64("variant-seeds", 0,
-		"seeds of 20 s within which each broken variant is to be caught; 0 for CI's short form, of one variant")
+		"number of seeds, of 20 s each, within which each broken variant must be caught; 0 for CI's short form")
 	variantShrink = flag.Int("variant-shrink", 0, "maximum number of runs to shrink a schedule that caught a variant")
 	variantNames  = flag.String("variants", "", "part of the names of the broken variants to run; empty for all")
 )
@@ -55,7 +55,7 @@
 // brokenNode is a variant of a node that breaks a rule. A nil function or replacer changes nothing.
 type brokenNode struct {
 	name string
-	// configure changes the node's configuration, so that it acts as if the terms of the deployment were others.
+	// configure changes the node's configuration, so that it acts on settings that differ from the deployment's.
 	configure func(*nodeConfiguration)
 	// wrap changes how the process reacts to signals and other actions on it.
 	wrap func(realtime.Process) realtime.Process
@@ -67,28 +67,28 @@
 
 // variants are the broken nodes, each with one fault. The last two break a rule only where two faults overlap.
 var variants = []brokenNode{
-	{name: "ends at once when told to end", wrap: func(p realtime.Process) realtime.Process {
+	{name: "exits on SIGTERM without draining", wrap: func(p realtime.Process) realtime.Process {
 		return nonDrainingProcess{p}
 	}},
-	{name: "does not end when told to", wrap: func(p realtime.Process) realtime.Process {
+	{name: "ignores SIGTERM", wrap: func(p realtime.Process) realtime.Process {
 		return &faultyProcess{Process: p, ignoresTerm: true}
 	}},
-	{name: "dies at a reload", wrap: func(p realtime.Process) realtime.Process {
+	{name: "dies on a reload", wrap: func(p realtime.Process) realtime.Process {
 		return &faultyProcess{Process: p, diesAtReload: true}
 	}},
-	{name: "is stuck after a freeze", wrap: func(p realtime.Process) realtime.Process {
+	{name: "stays suspended after a freeze", wrap: func(p realtime.Process) realtime.Process {
 		return &faultyProcess{Process: p, stuckAfterFreeze: true}
 	}},
-	{name: "repeats what is irreversible", configure: func(c *nodeConfiguration) {
+	{name: "retries irreversible requests", configure: func(c *nodeConfiguration) {
 		c.eachClass(func(class map[string]any) { class["effect"] = "idempotent" })
 	}},
-	{name: "repeats after the window", configure: func(c *nodeConfiguration) {
+	{name: "retries after the deduplication window", configure: func(c *nodeConfiguration) {
 		c.eachClass(func(class map[string]any) { class["key_ttl_s"] = 100 })
 	}},
-	{name: "repeats outside the scope", configure: func(c *nodeConfiguration) {
+	{name: "retries outside the deduplication scope", configure: func(c *nodeConfiguration) {
 		c.eachClass(func(class map[string]any) { class["group"] = "all" })
 	}},
-	{name: "gives one answer in 500 long after its deadline", answers: func(answer []byte, count int) []byte {
+	{name: "sends one answer in 500 long after its deadline", answers: func(answer []byte, count int) []byte {
 		if count%500 == 0 {
 			time.Sleep(lateAnswerDelay)
 		}
@@ -97,27 +97,27 @@
 	{name: "hedges where it is forbidden", configure: func(c *nodeConfiguration) {
 		c.setIn("bounds", "second_copies", true)
 	}},
-	{name: "takes cold caches for warm", configure: func(c *nodeConfiguration) {
+	{name: "treats cold caches as warm", configure: func(c *nodeConfiguration) {
 		c.setIn("rules", "cold_from", 1)
 		c.setIn("rules", "overload_factor", 1000)
 	}},
-	{name: "does not hear that caches drain", rewriteList: strings.NewReplacer("terminating", "in_service")},
+	{name: "ignores that caches drain", rewriteList: strings.NewReplacer("terminating", "in_service")},
 	{name: "loses one answer in 500", answers: func(answer []byte, count int) []byte {
 		if count%500 == 0 {
 			return nil
 		}
 		return answer
 	}},
-	{name: "gives one wrong byte in 500 answers", answers: func(answer []byte, count int) []byte {
+	{name: "sends a wrong byte in one answer in 500", answers: func(answer []byte, count int) []byte {
 		if count%500 == 0 {
 			answer[len(answer)-3] ^= 1
 		}
 		return answer
 	}},
-	{name: "ends at once when told to end soon after a freeze", wrap: func(p realtime.Process) realtime.Process {
+	{name: "exits without draining on SIGTERM soon after a freeze", wrap: func(p realtime.Process) realtime.Process {
 		return &faultyProcess{Process: p, killedAfterFreeze: true}
 	}},
-	{name: "is stuck after a freeze soon after a reload", wrap: func(p realtime.Process) realtime.Process {
+	{name: "stays suspended after a freeze soon after a reload", wrap: func(p realtime.Process) realtime.Process {
 		return &faultyProcess{Process: p, stuckAfterReload: true}
 	}},
 }
@@ -155,7 +155,7 @@
 	*at = time.Now()
 }
 
-// End tells the process to shut down.
+// End requests that the process shuts down.
 func (s *faultyProcess) End() {
 	switch {
 	case s.ignoresTerm:
@@ -315,8 +315,8 @@
 	}
 }
 
-// variantPlayer returns a player that runs schedules against nodes of a variant.
-func variantPlayer(t *testing.T, v *brokenNode) player {
+// newVariantRunner returns a function that runs schedules against nodes of a variant.
+func newVariantRunner(t *testing.T, v *brokenNode) scheduleRunner {
 	return func(s *scenario.Scenario) (*report.Report, error) {
 		processes := &realtime.Processes{Program: os.Args[0], Dir: t.TempDir()}
 		starter := &brokenNodes{Starter: processes, t: t, variant: v, backends: map[string]string{}}
@@ -326,23 +326,23 @@
 
 // breachSearch is the outcome of running schedules until one breaks a rule.
 type breachSearch struct {
-	schedule  *scenario.Scenario // the first one that broke a rule
-	report    *report.Report     // on it; nil if none did
-	notJudged int                // schedules before it for which the machine was too busy
+	schedule     *scenario.Scenario // the first one that broke a rule
+	report       *report.Report     // on it; nil if none did
+	inconclusive int                // runs before it that were inconclusive, as the machine was too busy
 }
 
 // findBreach runs schedules until one breaks a rule.
-func findBreach(t *testing.T, schedules []*scenario.Scenario, play player) breachSearch {
+func findBreach(t *testing.T, schedules []*scenario.Scenario, run scheduleRunner) breachSearch {
 	t.Helper()
 	var found breachSearch
 	for _, s := range schedules {
-		r, err := play(s)
+		r, err := run(s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r.MachineTooBusy != "" {
-			found.notJudged++
-			t.Logf("%s: not judged: %s", s.Name, r.MachineTooBusy)
+			found.inconclusive++
+			t.Logf("%s: inconclusive: %s", s.Name, r.MachineTooBusy)
 		}
 		if isBroken(r) {
 			found.schedule, found.report = s, r
@@ -367,8 +367,8 @@
 }
 
 // TestSoakCatchesBrokenNodes checks that a soak finds broken nodes: without that, it proves nothing. Each variant has
-// to be caught within the given number of seeds, and the schedule that caught it can be shrunk to what the variant
-// needs. CI runs one variant, for a short time.
+// to be caught within the given number of seeds, and the schedule that caught it can be shrunk to the events that the
+// variant needs. CI runs one variant, for a short time.
 func TestSoakCatchesBrokenNodes(t *testing.T) {
 	t.Setenv(runAsProgramEnv, "1")
 	if *variantSeeds == 0 {
@@ -395,7 +395,7 @@
 
 // The variant that CI runs: one that fails at each reload, with the first schedule that has a reload.
 const (
-	ciVariant      = "dies at a reload"
+	ciVariant      = "dies on a reload"
 	ciVariantEvent = "node_reload"
 	ciVariantSeeds = 20
 	ciVariantTime  = 10 * time.Second
@@ -412,14 +412,14 @@
 	return nil
 }
 
-// catchVariant runs schedules against a variant until one breaks a rule, and shrinks that one if asked to. If no
-// schedule broke a rule and some were not judged, the test is skipped, as the runs prove nothing.
+// catchVariant runs schedules against a variant until one breaks a rule, and shrinks that one if -variant-shrink is
+// set. If no schedule broke a rule and some runs were inconclusive, the test is skipped, as the runs prove nothing.
 func catchVariant(t *testing.T, v *brokenNode, schedules []*scenario.Scenario) {
 	t.Helper()
-	play := variantPlayer(t, v)
-	found := findBreach(t, schedules, play)
-	if found.report == nil && found.notJudged > 0 {
-		t.Skipf("not caught within %d schedules, %d of them not judged", len(schedules), found.notJudged)
+	run := newVariantRunner(t, v)
+	found := findBreach(t, schedules, run)
+	if found.report == nil && found.inconclusive > 0 {
+		t.Skipf("not caught within %d schedules, %d of them inconclusive", len(schedules), found.inconclusive)
 	}
 	if found.report == nil {
 		t.Fatalf("not caught within %d schedules", len(schedules))
@@ -428,13 +428,13 @@
 	if *variantShrink == 0 {
 		return
 	}
-	var said bytes.Buffer
-	limits := shrinkLimits{plays: *variantShrink, duration: time.Hour}
+	var output bytes.Buffer
+	limits := shrinkLimits{maxRuns: *variantShrink, duration: time.Hour}
 	dir := t.TempDir()
-	if err := shrinkBroken(&said, found.schedule, found.report, limits, dir, play); err != nil {
+	if err := shrinkBroken(&output, found.schedule, found.report, limits, dir, run); err != nil {
 		t.Error(err)
 	}
 	path := filepath.Join(dir, found.schedule.Name+shrunkSuffix+".toml")
 	shrunk, _ := os.ReadFile(path) // missing if no smaller schedule failed in the same way
-	t.Logf("%s%s", &said, shrunk)
+	t.Logf("%s%s", &output, shrunk)
 }
