--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -21,8 +21,8 @@
 	Unknown        uint64              `json:"unknown,omitempty"`  // entries of kinds that this version does not know
 	Gaps           uint64              `json:"gaps"`               // times that entries did not follow the applied ones
 	StreamsOpened  uint64              `json:"moves"`              // streams opened
-	Server         string              `json:"via"`                // the control server's address; empty if not connected
-	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a message of a server that has a leader
+	Server         string              `json:"via"`                // control server's address; empty if not connected
+	SinceLeaderS   float64             `json:"heard_s"`            // seconds since a message of a server with a leader
 	Stale          bool                `json:"stale"`              // SinceLeaderS is over Config.StaleAfter
 	BytesIn        uint64              `json:"bytes_in"`
 	BytesOut       uint64              `json:"bytes_out"`
@@ -58,10 +58,15 @@
 		return
 	}
 	f.loggedStale = status.Stale
-	f.Log.WithFields(logrus.Fields{
+	fields := logrus.Fields{
 		"stale":   status.Stale,
 		"heard_s": status.SinceLeaderS,
 		"applied": status.Applied,
 		"config":  status.Config,
-	}).Warn("the replicated log became stale or current again; while it is stale, the last configuration stays in force")
+	}
+	if status.Stale {
+		f.Log.WithFields(fields).Warn("replicated log became stale; keeping the last configuration in force")
+		return
+	}
+	f.Log.WithFields(fields).Warn("replicated log is current again; applying new entries")
 }
