--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// awaitSegment waits for the delay of a segment and for the end of a cut. It returns false if conn was released during
+// awaitSegment waits for the delay of a segment and for the end of a cut. It returns false if conn was closed during
 // a cut. After the delay it checks for a cut again: a segment must not arrive during a cut that began while it was
 // delayed.
 func (f *Forwarder) awaitSegment(from, to int, conn net.Conn) bool {
