--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -17,155 +17,155 @@
 }
 
 // leaveThenAttempt makes clients leave and sends an attempt for each of them the given time later.
-func leaveThenAttempt(j *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
+func leaveThenAttempt(ch *Checker, sent func(*Checker, int), clients int, after policy.Instant) {
 	for range clients {
-		sent(j, 0)
-		j.ClientGone(20*ms, "r")
-		j.AttemptArrived(29*ms+after, 20*ms+after, "r", "c1")
+		sent(ch, 0)
+		ch.ClientGone(20*ms, "r")
+		ch.AttemptArrived(29*ms+after, 20*ms+after, "r", "c1")
 	}
 }
 
 // A checker that misses a breach passes a faulty node. Each case breaks one rule in one way, or stays just within it.
 func TestCheckerCountsEachBreachOnceAndNoNearMiss(t *testing.T) {
-	sent := func(j *Checker, class int) { j.RequestSent(0, "r", 0, class, "l", 100*ms, true) }
+	sent := func(ch *Checker, class int) { ch.RequestSent(0, "r", 0, class, "l", 100*ms, true) }
 	for _, c := range []struct {
 		name string
 		rule int // 0 for none
-		do   func(j *Checker)
+		do   func(ch *Checker)
 	}{
-		{"answered", 0, func(j *Checker) { sent(j, 0); j.Answered(20*ms, "r", Satisfied); j.Advance(9999 * ms) }},
-		{"answered twice", 1, func(j *Checker) {
-			sent(j, 0)
-			j.Answered(20*ms, "r", Satisfied)
-			j.Answered(21*ms, "r", Rejected)
-		}},
-		{"answered after the deadline and the slack", 1, func(j *Checker) {
-			sent(j, 0)
-			j.Answered(111*ms, "r", Satisfied)
-		}},
-		{"answered within the slack", 0, func(j *Checker) { sent(j, 0); j.Answered(109*ms, "r", Satisfied) }},
-		{"never answered", 1, func(j *Checker) { sent(j, 0); j.Advance(200 * ms) }},
-		{"answered after it was counted as unanswered: one breach", 1, func(j *Checker) {
-			sent(j, 0)
-			j.Advance(200 * ms)
-			j.Answered(300*ms, "r", Satisfied)
-		}},
-		{"never answered, as its node was killed", 0, func(j *Checker) {
-			sent(j, 0)
-			j.Forget("r")
-			j.Advance(200 * ms)
-		}},
-		{"connection ended without an answer", 1, func(j *Checker) { sent(j, 0); j.Answered(10*ms, "r", Cut) }},
-		{"answer to an unknown request", 1, func(j *Checker) { j.Answered(10*ms, "q", Satisfied) }},
-		{"attempt sent after the answer", 1, func(j *Checker) {
-			sent(j, 0)
-			j.Answered(20*ms, "r", Failed)
-			j.AttemptArrived(40*ms, 35*ms, "r", "c1")
-		}},
-		{"attempt that crossed the answer", 0, func(j *Checker) {
-			sent(j, 0)
-			j.Answered(20*ms, "r", Failed)
-			j.AttemptArrived(40*ms, 20*ms, "r", "c1")
-		}},
-		{"three attempts over 0.1 s after their clients had left", 1, func(j *Checker) {
-			leaveThenAttempt(j, sent, 3, 101*ms)
-		}},
-		{"two attempts over 0.1 s after their clients had left", 0, func(j *Checker) {
-			leaveThenAttempt(j, sent, 2, 101*ms)
-		}},
-		{"attempts and an answer that crossed the departure of their clients", 0, func(j *Checker) {
-			leaveThenAttempt(j, sent, 9, 100*ms)
-			j.Answered(140*ms, "r", Satisfied)
-			j.Advance(999 * ms)
-		}},
-		{"second attempt of a request after its client had left", 1, func(j *Checker) {
-			leaveThenAttempt(j, sent, 2, 101*ms)
-			sent(j, 0)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.AttemptEnded(6*ms, "r", "c1", false)
-			j.ClientGone(20*ms, "r")
-			j.AttemptArrived(122*ms, 122*ms, "r", "c2")
-		}},
-		{"wrong value", 1, func(j *Checker) { sent(j, 0); j.WrongAnswer(10*ms, "r", "made up") }},
-		{"two effects with one idempotency key", 2, func(j *Checker) {
-			sent(j, 1)
-			j.Effect(10*ms, "r", "l", 1, "c1")
-			j.Effect(20*ms, "r2", "l", 1, "c2")
-		}},
-		{"two effects with two idempotency keys", 0, func(j *Checker) {
-			j.Effect(10*ms, "r", "l", 1, "c1")
-			j.Effect(20*ms, "r", "m", 1, "c1")
-		}},
-		{"rejected after an attempt that may have run", 2, func(j *Checker) {
-			sent(j, 2)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.Answered(10*ms, "r", Rejected)
-		}},
-		{"rejected after an attempt that was not executed", 0, func(j *Checker) {
-			sent(j, 2)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.AttemptEnded(6*ms, "r", "c1", true)
-			j.Answered(10*ms, "r", Rejected)
-		}},
-		{"failed after an attempt", 0, func(j *Checker) {
-			sent(j, 2)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.Answered(10*ms, "r", Failed)
-		}},
-		{"executed after its rejection", 2, func(j *Checker) {
-			sent(j, 2)
-			j.Answered(10*ms, "r", Rejected)
-			j.Effect(12*ms, "r", "", 2, "c1")
-		}},
-		{"irreversible request sent again", 2, func(j *Checker) {
-			sent(j, 2)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.AttemptEnded(6*ms, "r", "c1", false)
-			j.AttemptArrived(8*ms, 8*ms, "r", "c2")
-		}},
-		{"two overlapping attempts without hedging", 2, func(j *Checker) {
-			sent(j, 0)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.AttemptArrived(6*ms, 6*ms, "r", "c2")
-			j.AttemptEnded(30*ms, "r", "c1", false)
-		}},
-		{"second attempt that crossed the end of the first", 0, func(j *Checker) {
-			sent(j, 0)
-			j.AttemptArrived(5*ms, 5*ms, "r", "c1")
-			j.AttemptArrived(6*ms, 6*ms, "r", "c2")
-			j.AttemptEnded(9*ms, "r", "c1", false)
-		}},
-		{"attempt to a draining server", 3, func(j *Checker) {
-			j.Notified(0, 0, "c1", policy.Draining)
-			sent(j, 0)
-			j.AttemptArrived(60*ms, 51*ms, "r", "c1")
-		}},
-		{"attempt to a draining server within the grace time", 0, func(j *Checker) {
-			j.Notified(0, 0, "c1", policy.Draining)
-			sent(j, 0)
-			j.AttemptArrived(60*ms, 49*ms, "r", "c1")
-		}},
-		{"attempt to a server that is ready again", 0, func(j *Checker) {
-			j.Notified(0, 0, "c1", policy.Removed)
-			j.Notified(1, 0, "c1", policy.Ready)
-			sent(j, 0)
-			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
-		}},
-		{"another node was notified", 0, func(j *Checker) {
-			j.Notified(0, 1, "c1", policy.Removed)
-			sent(j, 0)
-			j.AttemptArrived(60*ms, 60*ms, "r", "c1")
-		}},
-		{"server overloaded", 4, func(j *Checker) { j.ServerOverloaded(0, "c1", "cold") }},
+		{"answered", 0, func(ch *Checker) { sent(ch, 0); ch.Answered(20*ms, "r", Satisfied); ch.Advance(9999 * ms) }},
+		{"answered twice", 1, func(ch *Checker) {
+			sent(ch, 0)
+			ch.Answered(20*ms, "r", Satisfied)
+			ch.Answered(21*ms, "r", Rejected)
+		}},
+		{"answered after the deadline and the slack", 1, func(ch *Checker) {
+			sent(ch, 0)
+			ch.Answered(111*ms, "r", Satisfied)
+		}},
+		{"answered within the slack", 0, func(ch *Checker) { sent(ch, 0); ch.Answered(109*ms, "r", Satisfied) }},
+		{"never answered", 1, func(ch *Checker) { sent(ch, 0); ch.Advance(200 * ms) }},
+		{"answered after it was counted as unanswered: one breach", 1, func(ch *Checker) {
+			sent(ch, 0)
+			ch.Advance(200 * ms)
+			ch.Answered(300*ms, "r", Satisfied)
+		}},
+		{"never answered, as its node was killed", 0, func(ch *Checker) {
+			sent(ch, 0)
+			ch.Forget("r")
+			ch.Advance(200 * ms)
+		}},
+		{"connection ended without an answer", 1, func(ch *Checker) { sent(ch, 0); ch.Answered(10*ms, "r", Cut) }},
+		{"answer to an unknown request", 1, func(ch *Checker) { ch.Answered(10*ms, "q", Satisfied) }},
+		{"attempt sent after the answer", 1, func(ch *Checker) {
+			sent(ch, 0)
+			ch.Answered(20*ms, "r", Failed)
+			ch.AttemptArrived(40*ms, 35*ms, "r", "c1")
+		}},
+		{"attempt that crossed the answer", 0, func(ch *Checker) {
+			sent(ch, 0)
+			ch.Answered(20*ms, "r", Failed)
+			ch.AttemptArrived(40*ms, 20*ms, "r", "c1")
+		}},
+		{"three attempts over 0.1 s after their clients had left", 1, func(ch *Checker) {
+			leaveThenAttempt(ch, sent, 3, 101*ms)
+		}},
+		{"two attempts over 0.1 s after their clients had left", 0, func(ch *Checker) {
+			leaveThenAttempt(ch, sent, 2, 101*ms)
+		}},
+		{"attempts and an answer that crossed the departure of their clients", 0, func(ch *Checker) {
+			leaveThenAttempt(ch, sent, 9, 100*ms)
+			ch.Answered(140*ms, "r", Satisfied)
+			ch.Advance(999 * ms)
+		}},
+		{"second attempt of a request after its client had left", 1, func(ch *Checker) {
+			leaveThenAttempt(ch, sent, 2, 101*ms)
+			sent(ch, 0)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.AttemptEnded(6*ms, "r", "c1", false)
+			ch.ClientGone(20*ms, "r")
+			ch.AttemptArrived(122*ms, 122*ms, "r", "c2")
+		}},
+		{"wrong value", 1, func(ch *Checker) { sent(ch, 0); ch.WrongAnswer(10*ms, "r", "made up") }},
+		{"two effects with one idempotency key", 2, func(ch *Checker) {
+			sent(ch, 1)
+			ch.Effect(10*ms, "r", "l", 1, "c1")
+			ch.Effect(20*ms, "r2", "l", 1, "c2")
+		}},
+		{"two effects with two idempotency keys", 0, func(ch *Checker) {
+			ch.Effect(10*ms, "r", "l", 1, "c1")
+			ch.Effect(20*ms, "r", "m", 1, "c1")
+		}},
+		{"rejected after an attempt that may have run", 2, func(ch *Checker) {
+			sent(ch, 2)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.Answered(10*ms, "r", Rejected)
+		}},
+		{"rejected after an attempt that was not executed", 0, func(ch *Checker) {
+			sent(ch, 2)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.AttemptEnded(6*ms, "r", "c1", true)
+			ch.Answered(10*ms, "r", Rejected)
+		}},
+		{"failed after an attempt", 0, func(ch *Checker) {
+			sent(ch, 2)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.Answered(10*ms, "r", Failed)
+		}},
+		{"executed after its rejection", 2, func(ch *Checker) {
+			sent(ch, 2)
+			ch.Answered(10*ms, "r", Rejected)
+			ch.Effect(12*ms, "r", "", 2, "c1")
+		}},
+		{"irreversible request sent again", 2, func(ch *Checker) {
+			sent(ch, 2)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.AttemptEnded(6*ms, "r", "c1", false)
+			ch.AttemptArrived(8*ms, 8*ms, "r", "c2")
+		}},
+		{"two overlapping attempts without hedging", 2, func(ch *Checker) {
+			sent(ch, 0)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.AttemptArrived(6*ms, 6*ms, "r", "c2")
+			ch.AttemptEnded(30*ms, "r", "c1", false)
+		}},
+		{"second attempt that crossed the end of the first", 0, func(ch *Checker) {
+			sent(ch, 0)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.AttemptArrived(6*ms, 6*ms, "r", "c2")
+			ch.AttemptEnded(9*ms, "r", "c1", false)
+		}},
+		{"attempt to a draining server", 3, func(ch *Checker) {
+			ch.Notified(0, 0, "c1", policy.Draining)
+			sent(ch, 0)
+			ch.AttemptArrived(60*ms, 51*ms, "r", "c1")
+		}},
+		{"attempt to a draining server within the grace time", 0, func(ch *Checker) {
+			ch.Notified(0, 0, "c1", policy.Draining)
+			sent(ch, 0)
+			ch.AttemptArrived(60*ms, 49*ms, "r", "c1")
+		}},
+		{"attempt to a server that is ready again", 0, func(ch *Checker) {
+			ch.Notified(0, 0, "c1", policy.Removed)
+			ch.Notified(1, 0, "c1", policy.Ready)
+			sent(ch, 0)
+			ch.AttemptArrived(60*ms, 60*ms, "r", "c1")
+		}},
+		{"another node was notified", 0, func(ch *Checker) {
+			ch.Notified(0, 1, "c1", policy.Removed)
+			sent(ch, 0)
+			ch.AttemptArrived(60*ms, 60*ms, "r", "c1")
+		}},
+		{"server overloaded", 4, func(ch *Checker) { ch.ServerOverloaded(0, "c1", "cold") }},
 	} {
-		j := New(Rules{Classes: testClasses(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
-		c.do(j)
+		ch := New(Rules{Classes: testClasses(), Grace: 50 * time.Millisecond, Slack: 10 * time.Millisecond})
+		c.do(ch)
 		want := [5]uint64{}
 		if c.rule > 0 {
 			want[c.rule] = 1
 		}
-		if j.Counts != want {
-			t.Errorf("%s: breaches by rule are %v, want %v: %v", c.name, j.Counts, want, j.Breaches)
+		if ch.Counts != want {
+			t.Errorf("%s: breaches by rule are %v, want %v: %v", c.name, ch.Counts, want, ch.Breaches)
 		}
 	}
 }
--- a/internal/emulator/checker/episodes.go
+++ b/internal/emulator/checker/episodes.go
@@ -98,7 +98,7 @@
 func (s *connectivity) advance(at policy.Instant, open []*episode) []episode {
 	var closed []episode
 	for n := range s.nodes {
-		faulty, weak := s.judge(n)
+		faulty, weak := s.faultState(n)
 		e := open[n]
 		switch {
 		case faulty && e == nil:
@@ -116,24 +116,24 @@
 	return closed
 }
 
-// judge reports whether a node is faulty, which is that it is not running or cut off, and whether the cut is too weak
-// to require its removal.
-func (s *connectivity) judge(n int) (faulty, weak bool) {
+// faultState reports whether a node is faulty, which is that it is not running or cut off, and whether the cut is too
+// weak to require its removal.
+func (s *connectivity) faultState(n int) (faulty, weak bool) {
 	all := s.reach(n, func(int) bool { return true })
 	running := s.reach(n, func(other int) bool { return s.runs[other] })
-	cutOff := 2*all.least < all.others || 2*running.least < running.others
-	impaired := 5*all.least < 3*all.others || 5*running.least < 3*running.others
+	cutOff := 2*all.connected < all.others || 2*running.connected < running.others
+	impaired := 5*all.connected < 3*all.others || 5*running.connected < 3*running.others
 	faulty = !s.runs[n] || cutOff || impaired
 	weak = s.runs[n] && !cutOff
 	return faulty, weak
 }
 
-// reach counts the other nodes of a group, and how many of them a node can reach in the direction in which it reaches
-// fewer.
-type reach struct{ others, least int }
+// reachability counts the other nodes of a group, and how many of them a node can reach in the direction in which it
+// reaches fewer.
+type reachability struct{ others, connected int }
 
 // reach counts the nodes that in selects.
-func (s *connectivity) reach(n int, in func(other int) bool) reach {
+func (s *connectivity) reach(n int, in func(other int) bool) reachability {
 	others, sent, heard := 0, 0, 0
 	for other := range s.nodes {
 		if other == n || !in(other) {
@@ -147,7 +147,7 @@
 			heard++
 		}
 	}
-	return reach{others: others, least: min(sent, heard)}
+	return reachability{others: others, connected: min(sent, heard)}
 }
 
 // mergeEpisodes merges episodes of a node that other nodes perceive as one fault: the second one begins before a
--- a/internal/emulator/checker/views_test.go
+++ b/internal/emulator/checker/views_test.go
@@ -14,23 +14,28 @@
 
 // addViews records views of five nodes that change at the given seconds: "n1-n2" means that n1 removes n2, and "n1+n2"
 // that n1 adds n2 again.
-func addViews(v *Views, says map[float64]string) {
-	has := map[string]string{}
-	say := func(s float64, node string) {
-		v.AddLine(at(s), trace.Line{Node: node, Process: node, Kind: trace.View, Members: strings.Fields(has[node])})
+func addViews(v *Views, changes map[float64]string) {
+	members := map[string]string{}
+	addLine := func(s float64, node string) {
+		v.AddLine(at(s), trace.Line{
+			Node:    node,
+			Process: node,
+			Kind:    trace.View,
+			Members: strings.Fields(members[node]),
+		})
 	}
 	for n := range 5 {
-		has[NameOf(n)] = "n1 n2 n3 n4 n5"
-		say(0, NameOf(n))
+		members[NameOf(n)] = "n1 n2 n3 n4 n5"
+		addLine(0, NameOf(n))
 	}
 	for s := range 400 {
-		for word := range strings.FieldsSeq(says[float64(s)/10]) {
+		for word := range strings.FieldsSeq(changes[float64(s)/10]) {
 			if a, b, out := strings.Cut(word, "-"); out {
-				has[a] = strings.ReplaceAll(has[a], b, "")
-				say(float64(s)/10, a)
+				members[a] = strings.ReplaceAll(members[a], b, "")
+				addLine(float64(s)/10, a)
 			} else if a, b, in := strings.Cut(word, "+"); in {
-				has[a] += " " + b
-				say(float64(s)/10, a)
+				members[a] += " " + b
+				addLine(float64(s)/10, a)
 			}
 		}
 	}
