--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -148,27 +148,28 @@
 }
 
 // check reports the errors of a class and sets its defaults. names holds the names of the preceding classes.
-func (g *Class) check(c *strictconfig.Checker, at string, names map[string]bool) {
-	g.Tries = cmp.Or(g.Tries, 1)
-	g.Effect = cmp.Or(g.Effect, "idempotent")
-	g.Scope = cmp.Or(g.Scope, "all")
-	c.Require(g.Name != "" && !strings.ContainsAny(g.Name, " ,=\r\n"), at+"name",
-		"%q is not a valid name: it is empty or contains a space, a comma, an equals sign or a line break", g.Name)
-	c.Require(!names[g.Name], at+"name", "%q is already the name of another grade", g.Name)
-	names[g.Name] = true
-	_, known := effects[g.Effect]
-	c.Require(known, at+"effect", "%q is none of idempotent, labelled, irreversible", g.Effect)
-	_, known = scopes[g.Scope]
-	c.Require(known, at+"scope", "%q is none of all, zone, group", g.Scope)
-	c.InRange(g.Share, 0, 1e6, at+"share")
-	c.InRange(g.Benefit, 0, 1e6, at+"benefit")
-	c.InRange(g.SoftMs, 1, 1e6, at+"soft_ms")
-	c.InRange(g.HardMs, g.SoftMs, 1e6, at+"hard_ms")
-	c.InRange(g.WorkMs, 0.01, 1e5, at+"work_ms")
-	c.InRange(g.WindowS, 0, maxSeconds, at+"window_s")
-	c.InRange(float64(g.Tries), 1, 20, at+"tries")
-	c.Require(g.Effect == "idempotent" || g.Write, at+"effect", "a read is idempotent")
-	c.Require(g.Effect != "labelled" || !g.Write || g.WindowS > 0, at+"window_s", "must be over 0 for labelled writes")
+func (class *Class) check(c *strictconfig.Checker, at string, names map[string]bool) {
+	class.Tries = cmp.Or(class.Tries, 1)
+	class.Effect = cmp.Or(class.Effect, "idempotent")
+	class.Scope = cmp.Or(class.Scope, "all")
+	c.Require(class.Name != "" && !strings.ContainsAny(class.Name, " ,=\r\n"), at+"name",
+		"%q is not a valid name: it is empty or contains a space, a comma, an equals sign or a line break", class.Name)
+	c.Require(!names[class.Name], at+"name", "%q is already the name of another grade", class.Name)
+	names[class.Name] = true
+	_, known := effects[class.Effect]
+	c.Require(known, at+"effect", "%q is none of idempotent, labelled, irreversible", class.Effect)
+	_, known = scopes[class.Scope]
+	c.Require(known, at+"scope", "%q is none of all, zone, group", class.Scope)
+	c.InRange(class.Share, 0, 1e6, at+"share")
+	c.InRange(class.Benefit, 0, 1e6, at+"benefit")
+	c.InRange(class.SoftMs, 1, 1e6, at+"soft_ms")
+	c.InRange(class.HardMs, class.SoftMs, 1e6, at+"hard_ms")
+	c.InRange(class.WorkMs, 0.01, 1e5, at+"work_ms")
+	c.InRange(class.WindowS, 0, maxSeconds, at+"window_s")
+	c.InRange(float64(class.Tries), 1, 20, at+"tries")
+	c.Require(class.Effect == "idempotent" || class.Write, at+"effect", "a read is idempotent")
+	c.Require(class.Effect != "labelled" || !class.Write || class.WindowS > 0, at+"window_s",
+		"must be over 0 for labelled writes")
 }
 
 func (s *Scenario) checkExpect(c *strictconfig.Checker) {
--- a/internal/emulator/scenario/events.go
+++ b/internal/emulator/scenario/events.go
@@ -8,45 +8,45 @@
 
 // Events that are operator calls, or affect processes and their clients. They exist in real time on sockets only.
 const (
-	upgrade = "node_upgrade"
-	standby = "node_standby"
-	scrape  = "node_scrape"
-	pause   = "node_pause"
-	hang    = "node_hang"
-	twin    = "node_twin"
-	crowd   = "node_crowd"  // idle clients use up the node's file descriptors
-	stall   = "node_stall"  // clients stop in the middle of a request and keep the connection open
-	reload  = "node_reload" // the node reloads its configuration several times in a row
-	freeze  = "node_freeze" // the process is paused so briefly that all rules must still hold
+	upgrade       = "node_upgrade"
+	standby       = "node_standby"
+	scrape        = "node_scrape"
+	pause         = "node_pause"
+	hang          = "node_hang"
+	duplicateNode = "node_twin"   // a second process starts with the configuration of the node
+	idleClients   = "node_crowd"  // idle clients use up the node's file descriptors
+	stall         = "node_stall"  // clients stop in the middle of a request and keep the connection open
+	reload        = "node_reload" // the node reloads its configuration several times in a row
+	freeze        = "node_freeze" // the process is paused so briefly that all rules must still hold
 
 	termStart = "node_term_start" // the node is restarted, and its new process receives SIGTERM during the start
 )
 
 // The faults between nodes.
 const (
-	cut   = "between_cut"
-	loss  = "between_loss"
-	twice = "between_twice"
-	late  = "between_late"
+	cut       = "between_cut"
+	loss      = "between_loss"
+	duplicate = "between_twice"
+	delay     = "between_late"
 )
 
 // maxFreezeS is the longest pause of a process, in seconds, during which all rules must still hold.
 const maxFreezeS = 0.15
 
-// needs lists the fields of a kind of event. Other fields must not be set.
-type needs struct {
+// eventFields lists the fields of a kind of event. Other fields must not be set.
+type eventFields struct {
 	caches   bool // names of caches, a part of all caches or a zone
 	nodes    bool // numbers of nodes or a part of all nodes
 	pairs    bool // sending and receiving nodes
 	factor   bool
 	share    bool
 	count    bool
-	lateness bool
+	delay    bool
 	duration bool
 }
 
-// kinds maps the name of each kind of event to its fields.
-var kinds = map[string]needs{
+// fieldsByAction maps the name of each kind of event to its fields.
+var fieldsByAction = map[string]eventFields{
 	"slow":    {caches: true, factor: true, duration: true},
 	"crowd":   {caches: true, share: true, duration: true},
 	"pause":   {caches: true, duration: true},
@@ -72,17 +72,17 @@
 	scrape:         {nodes: true, duration: true},
 	pause:          {nodes: true, duration: true},
 	hang:           {nodes: true, duration: true},
-	twin:           {nodes: true},
-	crowd:          {nodes: true, count: true, duration: true},
+	duplicateNode:  {nodes: true},
+	idleClients:    {nodes: true, count: true, duration: true},
 	stall:          {nodes: true, count: true},
 	reload:         {nodes: true, count: true},
 	freeze:         {nodes: true, duration: true},
-	termStart:      {nodes: true, lateness: true},
+	termStart:      {nodes: true, delay: true},
 
-	cut:   {pairs: true, duration: true},
-	loss:  {pairs: true, share: true, duration: true},
-	twice: {pairs: true, share: true, duration: true},
-	late:  {pairs: true, lateness: true, duration: true},
+	cut:       {pairs: true, duration: true},
+	loss:      {pairs: true, share: true, duration: true},
+	duplicate: {pairs: true, share: true, duration: true},
+	delay:     {pairs: true, delay: true, duration: true},
 }
 
 // faults are the failure modes of a server's connections.
@@ -108,7 +108,7 @@
 func (s *Scenario) NeedsSockets() bool {
 	return s.HasOperatorCalls() || s.Membership != nil || s.Traffic.UntilKill ||
 		slices.ContainsFunc(s.Events, func(e Event) bool {
-			return e.Do == pause || e.Do == hang || e.Do == twin || e.Do == crowd ||
+			return e.Do == pause || e.Do == hang || e.Do == duplicateNode || e.Do == idleClients ||
 				e.Do == stall || e.Do == reload || e.Do == freeze || e.Do == termStart
 		})
 }
@@ -123,7 +123,7 @@
 
 // ConcernedNodes returns the numbers, from 0, of the nodes that an event affects, or nil for all nodes.
 func (s *Scenario) ConcernedNodes(e *Event) []int {
-	if !kinds[e.Do].nodes {
+	if !fieldsByAction[e.Do].nodes {
 		return nil
 	}
 	var nodes []int
--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	formingTime       = 5.0  // seconds until all nodes know each other
-	quietTime         = 14.0 // seconds without faults at the end, in which all views have to converge
-	minFaultTime      = 5.0  // minimum length of the time with faults, in seconds
-	recoveryTime      = 6.0  // seconds after a node's fault until the node counts as healthy again
-	minDuration       = 0.5  // minimum duration of a fault, in seconds
-	maxExtraDuration  = 15.0 // maximum duration of a fault beyond minDuration, in seconds
-	maxExtraGap       = 5.0  // maximum time between the beginnings of two faults beyond minGap, in seconds
-	minGap            = 1.0  // minimum time between the beginnings of two faults, in seconds
-	minLoss           = 0.05 // minimum share of lost messages
-	maxLoss           = 0.3  // maximum share of lost messages
-	duplicateShare    = 0.3  // share of duplicated messages
-	minLateMs         = 20   // minimum delay of messages, in milliseconds
-	maxExtraLateMs    = 280  // maximum delay of messages beyond minLateMs, in milliseconds
-	flapInterval      = 1.0  // seconds between two changes of a flapping link
-	bothWaysShare     = 0.5  // share of the cuts between two nodes that affect both directions
-	maxFaultyFraction = 3    // at most one in this many nodes has a fault at a time: a fleet with more cannot decide
-	nemesisSeedSalt   = 0x0e5e
+	formingTime        = 5.0  // seconds until all nodes know each other
+	quietTime          = 14.0 // seconds without faults at the end, in which all views have to converge
+	minFaultTime       = 5.0  // minimum length of the time with faults, in seconds
+	recoveryTime       = 6.0  // seconds after a node's fault until the node counts as healthy again
+	minDuration        = 0.5  // minimum duration of a fault, in seconds
+	maxExtraDuration   = 15.0 // maximum duration of a fault beyond minDuration, in seconds
+	maxExtraGap        = 5.0  // maximum time between the beginnings of two faults beyond minGap, in seconds
+	minGap             = 1.0  // minimum time between the beginnings of two faults, in seconds
+	minLoss            = 0.05 // minimum share of lost messages
+	maxLoss            = 0.3  // maximum share of lost messages
+	duplicateShare     = 0.3  // share of duplicated messages
+	minLateMs          = 20   // minimum delay of messages, in milliseconds
+	maxExtraLateMs     = 280  // maximum delay of messages beyond minLateMs, in milliseconds
+	flapInterval       = 1.0  // seconds between two changes of a flapping link
+	bothWaysShare      = 0.5  // share of the cuts between two nodes that affect both directions
+	faultyNodesDivisor = 3    // at most one in this many nodes has a fault at a time: a fleet with more cannot decide
+	nemesisSeedSalt    = 0x0e5e
 )
 
 // The kinds of faults, all equally likely. Those from sendCut on affect a single node.
@@ -113,7 +113,7 @@
 			faulty++
 		}
 	}
-	return n.freeAt[node] <= at && (faulty+1)*maxFaultyFraction <= n.nodes
+	return n.freeAt[node] <= at && (faulty+1)*faultyNodesDivisor <= n.nodes
 }
 
 // draw draws the fault of an event. It returns false if the drawn node may not have a fault at that time.
@@ -147,9 +147,9 @@
 	case messageLoss:
 		e.Do, e.Share = loss, minLoss+n.tenthsUpTo(maxLoss-minLoss)
 	case messageDuplicates:
-		e.Do, e.Share = twice, duplicateShare
+		e.Do, e.Share = duplicate, duplicateShare
 	case messageDelays:
-		e.Do, e.LateMs = late, minLateMs+math.Round(n.random.Float64()*maxExtraLateMs)
+		e.Do, e.LateMs = delay, minLateMs+math.Round(n.random.Float64()*maxExtraLateMs)
 	}
 }
 
--- a/internal/emulator/scenario/selection.go
+++ b/internal/emulator/scenario/selection.go
@@ -16,7 +16,7 @@
 	for _, name := range e.Caches {
 		ids = append(ids, policy.EndpointID(name))
 	}
-	if e.Zone == "" && (e.Part == 0 || kinds[e.Do].nodes) {
+	if e.Zone == "" && (e.Part == 0 || fieldsByAction[e.Do].nodes) {
 		return ids
 	}
 	for n := range s.Fleet.Caches {
@@ -25,25 +25,25 @@
 		}
 	}
 	if e.Zone == "" {
-		ids = part(ids, e.Part, int(s.Seed), func(id policy.EndpointID) string { return string(id) })
+		ids = selectShare(ids, e.Part, int(s.Seed), func(id policy.EndpointID) string { return string(id) })
 	}
 	return ids
 }
 
 // SelectedNodes returns the numbers, from 1, of the nodes that an event affects.
 func (s *Scenario) SelectedNodes(e *Event) []int {
-	if !kinds[e.Do].nodes || e.Part == 0 {
+	if !fieldsByAction[e.Do].nodes || e.Part == 0 {
 		return e.Nodes
 	}
 	numbers := make([]int, s.Fleet.Nodes)
 	for n := range numbers {
 		numbers[n] = n + 1
 	}
-	return part(numbers, e.Part, int(s.Seed), func(n int) string { return "n" + strconv.Itoa(n) })
+	return selectShare(numbers, e.Part, int(s.Seed), func(n int) string { return "n" + strconv.Itoa(n) })
 }
 
-// part selects a share of the items, at least one, by the hashes of their names. It sorts all in place.
-func part[T any](all []T, share float64, seed int, name func(T) string) []T {
+// selectShare selects a share of the items, at least one, by the hashes of their names. It sorts all in place.
+func selectShare[T any](all []T, share float64, seed int, name func(T) string) []T {
 	score := func(one T) uint64 { return keyhash.Salted(keyhash.String(name(one)), seed) }
 	slices.SortFunc(all, func(a, b T) int { return cmp.Compare(score(a), score(b)) })
 	return all[:max(1, int(math.Round(share*float64(len(all)))))]
@@ -57,10 +57,10 @@
 	}
 	const gap = 6 // seconds without events between two repetitions
 	round = math.Ceil(round) + gap
-	once := s.Events
+	events := s.Events
 	s.Events = nil
 	for from := 0.0; from < s.Seconds; from += round {
-		for _, e := range once {
+		for _, e := range events {
 			e.AtS += from
 			if e.AtS < s.Seconds && len(s.Events) < maxEvents {
 				s.Events = append(s.Events, e)
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -33,17 +33,17 @@
 // faults favours those that, according to the plan, have coincided least often with the current phases of nodes in the
 // schedules of earlier seeds.
 func Soaks(first, last int64, seconds float64) []*Scenario {
-	met := coverage.NewTable(SoakFaults())
+	covered := coverage.NewTable(SoakFaults())
 	var all []*Scenario
 	for seed := first; seed <= last; seed++ {
-		all = append(all, drawSoak(seed, seconds, met))
+		all = append(all, drawSoak(seed, seconds, covered))
 	}
 	return all
 }
 
 // drawSoak draws a deployment, traffic and faults from a seed. It uses only faults during which all rules must hold.
-// met counts the phases with which faults are expected to coincide, and weights the choice of faults.
-func drawSoak(seed int64, seconds float64, met *coverage.Table) *Scenario {
+// covered counts the phases with which faults are expected to coincide, and weights the choice of faults.
+func drawSoak(seed int64, seconds float64, covered *coverage.Table) *Scenario {
 	d := &soak{random: keyhash.Source{Seed: uint32(seed) ^ 0x50a4}, scenario: defaults()}
 	s := &d.scenario
 	s.Name, s.Seed, s.Seconds =
@@ -52,7 +52,7 @@
 	d.end = s.Seconds - soakQuietTime
 	d.drawDeployment()
 	d.drawClasses()
-	d.plan = newSoakPlan(&d.scenario, met)
+	d.plan = newSoakPlan(&d.scenario, covered)
 	d.drawFaults()
 	return s
 }
--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -31,7 +31,7 @@
 	}},
 	{name: freeze, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.ForS = d.between(0.02, maxFreezeS) }},
 	{name: reload, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(2, 5) }},
-	{name: crowd, singleNode: true, draw: func(d *soak, e *Event, duration float64) {
+	{name: idleClients, singleNode: true, draw: func(d *soak, e *Event, duration float64) {
 		e.Count, e.ForS = d.intBetween(100, 700), duration
 	}},
 	{name: stall, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(1, 20) }},
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -27,20 +27,20 @@
 // soakPlan predicts the phases of nodes, and counts with which phases each fault will coincide.
 type soakPlan struct {
 	scenario *Scenario
-	met      *coverage.Table
+	covered  *coverage.Table
 	drain    float64       // duration of a drain, in seconds
 	spans    [][]phaseSpan // by node, in order of time
 	events   []Event
 }
 
-func newSoakPlan(s *Scenario, met *coverage.Table) *soakPlan {
+func newSoakPlan(s *Scenario, covered *coverage.Table) *soakPlan {
 	longest := 0.0
 	for i := range s.Classes {
 		longest = math.Max(longest, s.Classes[i].HardMs/1000)
 	}
 	return &soakPlan{
 		scenario: s,
-		met:      met,
+		covered:  covered,
 		drain:    math.Min(longest, planMaxDrain) + planDrainMargin,
 		spans:    make([][]phaseSpan, s.Fleet.Nodes),
 	}
@@ -84,7 +84,7 @@
 	if phase == coverage.Down { // a fault of all nodes lasts until this node serves again
 		phase = coverage.Serving
 	}
-	return 1 / (1 + float64(p.met.PhaseCount(f.name, phase)))
+	return 1 / (1 + float64(p.covered.PhaseCount(f.name, phase)))
 }
 
 // add counts the phases with which an event will coincide. Events must be added in order of time.
@@ -94,10 +94,10 @@
 		if !affects(nodes, node) {
 			continue
 		}
-		p.met.CountPhase(e.FaultName(), p.phaseAt(node, e.AtS))
+		p.covered.CountPhase(e.FaultName(), p.phaseAt(node, e.AtS))
 		for _, span := range p.spans[node] {
 			if e.AtS < span.from && span.from < e.AtS+e.ForS {
-				p.met.CountPhase(e.FaultName(), span.phase)
+				p.covered.CountPhase(e.FaultName(), span.phase)
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 		for i := range p.events {
 			e := &p.events[i]
 			if e.AtS < span.from && span.from < e.AtS+e.ForS && affects(p.scenario.ConcernedNodes(e), node) {
-				p.met.CountPhase(e.FaultName(), span.phase)
+				p.covered.CountPhase(e.FaultName(), span.phase)
 			}
 		}
 	}
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -12,9 +12,9 @@
 // change a node's phase.
 func TestSoaksCombineEachPhaseWithEachFault(t *testing.T) {
 	const seeds = 10
-	met := coverage.NewTable(SoakFaults())
+	covered := coverage.NewTable(SoakFaults())
 	for seed := int64(1); seed <= seeds; seed++ {
-		drawSoak(seed, 60, met)
+		drawSoak(seed, 60, covered)
 	}
 	for i := range soakFaults {
 		f := &soakFaults[i]
@@ -22,7 +22,7 @@
 			if f.changesPhase && phase != coverage.Serving {
 				continue // such a fault begins at a serving node only
 			}
-			if met.PhaseCount(f.name, phase) == 0 {
+			if covered.PhaseCount(f.name, phase) == 0 {
 				t.Errorf("fault %s never coincides with the phase %s", f.name, phase)
 			}
 		}
@@ -35,8 +35,8 @@
 	s := defaults()
 	s.Fleet.Nodes = 2
 	s.Classes = []Class{{Name: "read", HardMs: 1000}}
-	met := coverage.NewTable(SoakFaults())
-	plan := newSoakPlan(&s, met)
+	covered := coverage.NewTable(SoakFaults())
+	plan := newSoakPlan(&s, covered)
 	find := func(name coverage.Fault) *soakFault {
 		for i := range soakFaults {
 			if soakFaults[i].name == name {
@@ -48,7 +48,7 @@
 	}
 	restart, freezes, slowList := find("node_restart"), find(freeze), find("discovery_slow")
 	for range 9 {
-		met.CountPhase(freezes.name, coverage.Serving)
+		covered.CountPhase(freezes.name, coverage.Serving)
 	}
 	want := func(what string, got, want float64) {
 		t.Helper()
@@ -73,8 +73,8 @@
 	s := defaults()
 	s.Fleet.Nodes = 1
 	s.Classes = []Class{{Name: "read", HardMs: 1000}} // makes a node drain for 1.7 s
-	met := coverage.NewTable(nil)
-	plan := newSoakPlan(&s, met)
+	covered := coverage.NewTable(nil)
+	plan := newSoakPlan(&s, covered)
 	plan.add(&Event{AtS: 2, Do: "silent", Part: 0.1, ForS: 2})
 	plan.add(&Event{AtS: 3, Do: "node_restart", Nodes: []int{1}})
 	plan.add(&Event{AtS: 4, Do: "pause", Part: 0.1, ForS: 1})
@@ -87,7 +87,7 @@
 		{"node_restart", coverage.Serving, 1}, {"node_restart", coverage.Draining, 0},
 		{"pause", coverage.Serving, 0}, {"pause", coverage.Draining, 1}, {"pause", coverage.Starting, 1},
 	} {
-		if got := met.PhaseCount(want.fault, want.phase); got != want.times {
+		if got := covered.PhaseCount(want.fault, want.phase); got != want.times {
 			t.Errorf("fault %s coincided with phase %s %d times, want %d", want.fault, want.phase, got, want.times)
 		}
 	}
