--- a/internal/scale/cpushare.go
+++ b/internal/scale/cpushare.go
@@ -26,12 +26,12 @@
 		pid:     pid,
 		share:   share,
 		allowed: shareBurst,
-		over:    make(chan struct{}),
+		stop:    make(chan struct{}),
 		ended:   make(chan struct{}),
 	}
 	go h.run()
 	return func() error {
-		close(h.over)
+		close(h.stop)
 		<-h.ended
 		return h.err
 	}
@@ -44,7 +44,7 @@
 	allowed time.Duration // remaining CPU time allowance; negative while the process is stopped
 	stopped bool
 	err     error
-	over    chan struct{}
+	stop    chan struct{}
 	ended   chan struct{}
 }
 
@@ -55,7 +55,7 @@
 	used, err := processorTime(h.pid)
 	for ; err == nil; time.Sleep(shareCheckInterval) {
 		select {
-		case <-h.over:
+		case <-h.stop:
 			return
 		default:
 		}
--- a/internal/scale/endpointlists.go
+++ b/internal/scale/endpointlists.go
@@ -25,11 +25,11 @@
 
 // nodeListener is the listener at which one node polls the list.
 type nodeListener struct {
-	at    net.Listener
-	web   *http.Server
-	calls atomic.Uint64
-	in    atomic.Uint64 // bytes that the node received
-	out   atomic.Uint64 // bytes that the node sent
+	listener net.Listener
+	server   *http.Server
+	polls    atomic.Uint64
+	in       atomic.Uint64 // bytes that the node received
+	out      atomic.Uint64 // bytes that the node sent
 }
 
 const generation = 1 // version of the list, which never changes
@@ -70,12 +70,12 @@
 	if err != nil {
 		return "", fmt.Errorf("cannot open the discovery listener of node %s: %w", node, err)
 	}
-	d := &nodeListener{at: at}
-	d.web = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
-		d.calls.Add(1)
+	d := &nodeListener{listener: at}
+	d.server = &http.Server{Handler: http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
+		d.polls.Add(1)
 		l.serve(out, in)
 	})}
-	go d.web.Serve(countingListener{Listener: at, d: d}) // returns after close
+	go d.server.Serve(countingListener{Listener: at, d: d}) // returns after close
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.listeners[node] = d
@@ -109,7 +109,7 @@
 	if d == nil {
 		return Flow{}
 	}
-	calls := float64(d.calls.Load())
+	calls := float64(d.polls.Load())
 	return Flow{Out: float64(d.out.Load()), In: float64(d.in.Load()), OutMessages: calls, InMessages: calls}
 }
 
@@ -118,7 +118,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, d := range l.listeners {
-		_ = d.web.Close()
+		_ = d.server.Close()
 	}
 }
 
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -34,13 +34,13 @@
 
 // fleetRun is a running fleet of one size.
 type fleetRun struct {
-	rig      *Rig
-	plan     *Plan
-	places   []Place // real nodes first
-	list     *endpointLists
-	hollows  []*SimulatedProcess
-	reals    []*RealNode
-	isolated *RealNode // has the baseline cost of a node without membership; nil if there are no real nodes
+	rig       *Rig
+	plan      *Plan
+	places    []Place // real nodes first
+	lists     *endpointLists
+	simulated []*SimulatedProcess
+	real      []*RealNode
+	isolated  *RealNode // has the baseline cost of a node without membership; nil if there are no real nodes
 }
 
 // fleetProcess is a process of a fleet.
@@ -51,10 +51,10 @@
 
 func (f *fleetRun) processes() []fleetProcess {
 	var all []fleetProcess
-	for _, h := range f.hollows {
+	for _, h := range f.simulated {
 		all = append(all, h)
 	}
-	for _, n := range f.reals {
+	for _, n := range f.real {
 		all = append(all, n)
 	}
 	if f.isolated != nil {
@@ -71,10 +71,10 @@
 		rig:    r,
 		plan:   p,
 		places: AssignPlaces(nodes, p.Real, p.File.Places, port),
-		list:   openEndpointLists(p.File.List.Caches),
+		lists:  openEndpointLists(p.File.List.Caches),
 	}
 	for i := range f.places {
-		at, err := f.list.listen(f.places[i].Name)
+		at, err := f.lists.listen(f.places[i].Name)
 		if err != nil {
 			f.close()
 			return nil, err
@@ -104,30 +104,30 @@
 
 // start starts all processes and their nodes.
 func (f *fleetRun) start(ctx context.Context, file fleetconfig.File) error {
-	if err := f.startReals(&file); err != nil {
+	if err := f.startRealNodes(&file); err != nil {
 		return err
 	}
-	for from := len(f.reals); from < len(f.places); from += f.plan.NodesPerProcess {
+	for from := len(f.real); from < len(f.places); from += f.plan.NodesPerProcess {
 		until := min(len(f.places), from+f.plan.NodesPerProcess)
 		h, err := f.rig.StartSimulatedProcess(f.places[from:until], fmt.Sprintf("hollow-%d", from))
 		if err != nil {
 			return fmt.Errorf("cannot start a process of simulated nodes: %w", err)
 		}
-		f.hollows = append(f.hollows, h)
+		f.simulated = append(f.simulated, h)
 	}
 	_, err := f.each(ctx, order{
-		Do:    doOpen,
-		Fleet: &file,
-		File:  &f.plan.File,
-		Seed:  f.plan.Seed,
-		Nodes: len(f.places),
-		Apart: ms(f.plan.File.Starts.IntervalMs) * time.Duration(len(f.hollows)),
+		Do:            doOpen,
+		Fleet:         &file,
+		File:          &f.plan.File,
+		Seed:          f.plan.Seed,
+		Nodes:         len(f.places),
+		StartInterval: ms(f.plan.File.Starts.IntervalMs) * time.Duration(len(f.simulated)),
 	})
 	return errors.Join(err, ctx.Err())
 }
 
-// startReals starts the real nodes and, if there are any, the isolated node.
-func (f *fleetRun) startReals(file *fleetconfig.File) error {
+// startRealNodes starts the real nodes and, if there are any, the isolated node.
+func (f *fleetRun) startRealNodes(file *fleetconfig.File) error {
 	for i, place := range f.places {
 		if place.Role != Real {
 			break
@@ -136,12 +136,12 @@
 		if err != nil {
 			return fmt.Errorf("cannot start the real node %s: %w", place.Name, err)
 		}
-		f.reals = append(f.reals, n)
+		f.real = append(f.real, n)
 	}
-	if len(f.reals) == 0 {
+	if len(f.real) == 0 {
 		return nil
 	}
-	list, err := f.list.listen(alone)
+	list, err := f.lists.listen(alone)
 	if err != nil {
 		return err
 	}
@@ -160,21 +160,21 @@
 		all.Go(p.Close)
 	}
 	all.Wait()
-	f.list.close()
+	f.lists.close()
 }
 
 // each sends an order to all processes of simulated nodes concurrently, and waits for their answers.
 func (f *fleetRun) each(ctx context.Context, o order) ([]answer, error) {
-	answers := make([]answer, len(f.hollows))
-	errs := make([]error, len(f.hollows))
+	answers := make([]answer, len(f.simulated))
+	errs := make([]error, len(f.simulated))
 	var all sync.WaitGroup
-	for i, h := range f.hollows {
+	for i, h := range f.simulated {
 		all.Go(func() {
 			own := o
 			if own.Do == doOpen {
 				own.Places = h.places
 			}
-			starts := time.Duration(len(own.Places)) * own.Apart
+			starts := time.Duration(len(own.Places)) * own.StartInterval
 			answers[i], errs[i] = h.ask(ctx, own, orderTimeout+starts)
 		})
 	}
@@ -184,7 +184,7 @@
 
 // orderFor sends an order that concerns one node to the process that runs the node.
 func (f *fleetRun) orderFor(ctx context.Context, name, do string) error {
-	for _, h := range f.hollows {
+	for _, h := range f.simulated {
 		for _, at := range h.places {
 			if at.Name == name {
 				_, err := h.ask(ctx, order{Do: do, Name: name}, orderTimeout)
@@ -206,7 +206,7 @@
 		all = append(all, a.Nodes...)
 		lost += a.Lost
 	}
-	for _, n := range f.reals {
+	for _, n := range f.real {
 		if n.HasExited() {
 			return nil, 0, fmt.Errorf("real node %s has exited: %s", n.Place.Name, n.LastLogLine())
 		}
@@ -221,23 +221,23 @@
 
 // agreement summarizes how far the views of nodes agree.
 type agreement struct {
-	least  int             // number of members in the smallest view; at most the expected number
-	most   int             // number of members in the largest view
-	marks  map[string]bool // fingerprints of the distinct views
-	cutOff int             // number of nodes that report a possible partition
+	smallest     int             // number of members in the smallest view; at most the expected number
+	largest      int             // number of members in the largest view
+	fingerprints map[string]bool // fingerprints of the distinct views
+	cutOff       int             // number of nodes that report a possible partition
 }
 
 // agreementOf summarizes the views of the nodes that the filter accepts; a nil filter accepts all.
 func agreementOf(all []status, members int, filter func(status) bool) agreement {
-	a := agreement{least: members, marks: map[string]bool{}}
+	a := agreement{smallest: members, fingerprints: map[string]bool{}}
 	for _, st := range all {
 		if filter != nil && !filter(st) {
 			continue
 		}
-		a.least = min(a.least, st.Members)
-		a.most = max(a.most, st.Members)
-		a.marks[st.Mark] = true
-		if st.CutOff {
+		a.smallest = min(a.smallest, st.Members)
+		a.largest = max(a.largest, st.Members)
+		a.fingerprints[st.Fingerprint] = true
+		if st.MayBePartitioned {
 			a.cutOff++
 		}
 	}
@@ -246,7 +246,7 @@
 
 // reached reports whether all views are identical and have the given number of members.
 func (a agreement) reached(members int) bool {
-	return a.least == members && a.most == members && len(a.marks) == 1 && a.cutOff == 0
+	return a.smallest == members && a.largest == members && len(a.fingerprints) == 1 && a.cutOff == 0
 }
 
 // awaitAgreement waits until the views of all nodes that the filter accepts are identical and have the given number of
@@ -264,13 +264,13 @@
 		if a.reached(members) {
 			return took, nil
 		}
-		f.rig.tell("%d nodes: waiting for views to converge for %.0f s; views have %d to %d members, "+
+		f.rig.logProgress("%d nodes: waiting for views to converge for %.0f s; views have %d to %d members, "+
 			"%d distinct views, %d nodes cut off",
-			len(f.places), took.Seconds(), a.least, a.most, len(a.marks), a.cutOff)
+			len(f.places), took.Seconds(), a.smallest, a.largest, len(a.fingerprints), a.cutOff)
 		if took > within {
 			return took, fmt.Errorf("views of %d nodes did not converge on %d members within %v: "+
 				"%d to %d members, %d distinct views, %d nodes cut off",
-				len(f.places), members, within, a.least, a.most, len(a.marks), a.cutOff)
+				len(f.places), members, within, a.smallest, a.largest, len(a.fingerprints), a.cutOff)
 		}
 		if err := f.checkMemory(); err != nil {
 			return took, err
@@ -319,7 +319,7 @@
 		if now-before < settledStatementsPerNode*nodes {
 			return nil
 		}
-		f.rig.tell("%d nodes: waiting for gossip to settle; %.1f statements per node in %v",
+		f.rig.logProgress("%d nodes: waiting for gossip to settle; %.1f statements per node in %v",
 			len(f.places), (now-before)/nodes, statementInterval)
 		before = now
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	return m.size.weigh(ctx, m.fleet)
+	return m.size.measureMemory(ctx, m.fleet)
 }
 
 // loseNode crashes the last node, and restarts it when the crash has lasted as long as planned.
@@ -117,7 +117,7 @@
 	}
 	err := m.phase(ctx, cutOff, func() (time.Duration, error) {
 		began := time.Now()
-		if _, err := f.each(ctx, order{Do: doCut, Off: true}); err != nil {
+		if _, err := f.each(ctx, order{Do: doCut, Cut: true}); err != nil {
 			return 0, err
 		}
 		outside := func(st status) bool { return !inside[st.Name] }
@@ -127,7 +127,7 @@
 		return err
 	}
 	return m.phase(ctx, cutBack, func() (time.Duration, error) {
-		if _, err := f.each(ctx, order{Do: doCut, Off: false}); err != nil {
+		if _, err := f.each(ctx, order{Do: doCut, Cut: false}); err != nil {
 			return 0, err
 		}
 		return m.awaitRecovery(ctx)
@@ -136,7 +136,7 @@
 
 // phase runs a phase and records the usage of nodes during it. run returns the time until views were as expected.
 func (m *measurement) phase(ctx context.Context, name string, run func() (time.Duration, error)) error {
-	m.fleet.rig.tell("%d nodes: %s", m.size.Nodes, name)
+	m.fleet.rig.logProgress("%d nodes: %s", m.size.Nodes, name)
 	took, err := run()
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
--- a/internal/scale/networkrules.go
+++ b/internal/scale/networkrules.go
@@ -23,9 +23,9 @@
 // apply the rules to the messages that they send. Real nodes apply no rules, so that simulated nodes also apply them to
 // the messages that they receive from real nodes.
 type networkRules struct {
-	faults *netfault.Faults
-	late   atomic.Int64  // number of delayed datagrams
-	lost   atomic.Uint64 // messages dropped because a queue was full, not by a rule
+	faults  *netfault.Faults
+	delayed atomic.Int64  // number of delayed datagrams
+	dropped atomic.Uint64 // messages dropped because a queue was full, not by a rule
 }
 
 // wrap returns a node's sockets with the rules of its region applied.
@@ -70,10 +70,10 @@
 // ruledDatagrams is a datagram socket that applies the network rules.
 type ruledDatagrams struct {
 	net.PacketConn
-	r      *networkRules
-	region RegionID
-	mu     sync.Mutex
-	late   []datagram // datagrams of real nodes in other regions whose delay has elapsed, not read yet
+	r       *networkRules
+	region  RegionID
+	mu      sync.Mutex
+	arrived []datagram // datagrams of real nodes in other regions whose delay has elapsed, not read yet
 }
 
 // WriteTo sends a datagram according to the rule for the two regions.
@@ -82,26 +82,26 @@
 	if !known || region == d.region {
 		return d.PacketConn.WriteTo(b, to)
 	}
-	for _, late := range d.r.faults.Datagram(int(d.region), int(region)) {
-		if late == 0 {
+	for _, delay := range d.r.faults.Datagram(int(d.region), int(region)) {
+		if delay == 0 {
 			_, _ = d.PacketConn.WriteTo(b, to)
 			continue
 		}
 		body := append([]byte(nil), b...)
-		d.r.afterDelay(late, func() { _, _ = d.PacketConn.WriteTo(body, to) })
+		d.r.afterDelay(delay, func() { _, _ = d.PacketConn.WriteTo(body, to) })
 	}
 	return len(b), nil
 }
 
 // afterDelay calls do after a delay. If maxDelayed messages are delayed already, it counts the message as lost instead.
-func (r *networkRules) afterDelay(late time.Duration, do func()) {
-	if r.late.Add(1) > maxDelayed {
-		r.late.Add(-1)
-		r.lost.Add(1)
+func (r *networkRules) afterDelay(delay time.Duration, do func()) {
+	if r.delayed.Add(1) > maxDelayed {
+		r.delayed.Add(-1)
+		r.dropped.Add(1)
 		return
 	}
-	time.AfterFunc(late, func() {
-		r.late.Add(-1)
+	time.AfterFunc(delay, func() {
+		r.delayed.Add(-1)
 		do()
 	})
 }
@@ -110,11 +110,11 @@
 func (d *ruledDatagrams) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		d.mu.Lock()
-		if len(d.late) > 0 {
-			got := d.late[0]
-			d.late = d.late[1:]
+		if len(d.arrived) > 0 {
+			next := d.arrived[0]
+			d.arrived = d.arrived[1:]
 			d.mu.Unlock()
-			return copy(b, got.body), got.from, nil
+			return copy(b, next.body), next.from, nil
 		}
 		_ = d.SetReadDeadline(time.Time{})
 		d.mu.Unlock()
@@ -129,9 +129,9 @@
 		if !known || role != Real || region == d.region {
 			return n, from, nil
 		}
-		for _, late := range d.r.faults.Datagram(int(region), int(d.region)) {
+		for _, delay := range d.r.faults.Datagram(int(region), int(d.region)) {
 			got := datagram{append([]byte(nil), b[:n]...), from}
-			d.r.afterDelay(late, func() { d.deliver(got) })
+			d.r.afterDelay(delay, func() { d.deliver(got) })
 		}
 	}
 }
@@ -140,11 +140,11 @@
 func (d *ruledDatagrams) deliver(got datagram) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.late) >= maxDelivered {
-		d.r.lost.Add(1)
+	if len(d.arrived) >= maxDelivered {
+		d.r.dropped.Add(1)
 		return
 	}
-	d.late = append(d.late, got)
+	d.arrived = append(d.arrived, got)
 	_ = d.SetReadDeadline(time.Unix(1, 0))
 }
 
@@ -202,12 +202,12 @@
 
 // deadline returns a function that returns the current deadline, or the end of maxStallTime if there is none.
 func deadline(at *atomic.Int64) func() time.Time {
-	still := time.Now().Add(maxStallTime)
+	stallEnd := time.Now().Add(maxStallTime)
 	return func() time.Time {
 		if by := at.Load(); by != 0 {
 			return time.Unix(0, by)
 		}
-		return still
+		return stallEnd
 	}
 }
 
@@ -229,8 +229,8 @@
 	return n, err
 }
 
-// setTo stores a deadline; the zero time means none.
-func setTo(at *atomic.Int64, t time.Time) {
+// storeDeadline stores a deadline; the zero time means none.
+func storeDeadline(at *atomic.Int64, t time.Time) {
 	at.Store(0)
 	if !t.IsZero() {
 		at.Store(t.UnixNano())
@@ -238,17 +238,17 @@
 }
 
 func (c *ruledConn) SetDeadline(t time.Time) error {
-	setTo(&c.readBy, t)
-	setTo(&c.sendBy, t)
+	storeDeadline(&c.readBy, t)
+	storeDeadline(&c.sendBy, t)
 	return c.Conn.SetDeadline(t)
 }
 
 func (c *ruledConn) SetReadDeadline(t time.Time) error {
-	setTo(&c.readBy, t)
+	storeDeadline(&c.readBy, t)
 	return c.Conn.SetReadDeadline(t)
 }
 
 func (c *ruledConn) SetWriteDeadline(t time.Time) error {
-	setTo(&c.sendBy, t)
+	storeDeadline(&c.sendBy, t)
 	return c.Conn.SetWriteDeadline(t)
 }
--- a/internal/scale/networkrules_test.go
+++ b/internal/scale/networkrules_test.go
@@ -157,7 +157,7 @@
 	// The first datagram that arrives must be a new one, as those sent during the cut are lost.
 	n.expectDatagram(here, far, delay, 0)
 	n.expectDatagram(real, here, delay, 0)
-	if lost := n.rules.lost.Load(); lost != 0 {
+	if lost := n.rules.dropped.Load(); lost != 0 {
 		t.Errorf("%d datagrams were dropped as a queue was full, want none", lost)
 	}
 }
--- a/internal/scale/placement.go
+++ b/internal/scale/placement.go
@@ -58,14 +58,14 @@
 
 // placementSurvey records where requests and replicas are placed.
 type placementSurvey struct {
-	places    Places
-	endpoints []policy.Endpoint
-	zoneOf    map[policy.EndpointID]int
-	first     crossingCount
-	second    crossingCount
-	replicas  int // lowest number of replicas of any key
-	zones     colocation
-	regions   colocation
+	places      Places
+	endpoints   []policy.Endpoint
+	zoneOf      map[policy.EndpointID]int
+	first       crossingCount
+	second      crossingCount
+	minReplicas int // lowest number of replicas of any key
+	zones       colocation
+	regions     colocation
 }
 
 // crossingCount counts attempts that leave a zone or a region.
@@ -116,12 +116,12 @@
 // region.
 func newPlacementSurvey(at Places, caches int) *placementSurvey {
 	s := &placementSurvey{
-		places:    at,
-		endpoints: []policy.Endpoint{},
-		zoneOf:    map[policy.EndpointID]int{},
-		replicas:  replicasOfKey,
-		zones:     colocation{byPlace: map[int]int{}},
-		regions:   colocation{byPlace: map[int]int{}},
+		places:      at,
+		endpoints:   []policy.Endpoint{},
+		zoneOf:      map[policy.EndpointID]int{},
+		minReplicas: replicasOfKey,
+		zones:       colocation{byPlace: map[int]int{}},
+		regions:     colocation{byPlace: map[int]int{}},
 	}
 	for i := range caches {
 		zone := siteOrZone(i/at.Regions, RegionID(i%at.Regions), at.Regions, at.Zones)
@@ -219,7 +219,7 @@
 		Deadline:  now.Add(requestDeadline),
 	}
 	replicas := p.Route(now, w).SendTo
-	s.replicas = min(s.replicas, len(replicas))
+	s.minReplicas = min(s.minReplicas, len(replicas))
 	inZone := map[int]int{}
 	inRegion := map[int]int{}
 	for i, cache := range replicas {
@@ -239,7 +239,7 @@
 		Keys:        keys,
 		First:       s.first.shares(),
 		Second:      s.second.shares(),
-		MinReplicas: s.replicas,
+		MinReplicas: s.minReplicas,
 		TwoInZone:   share(s.zones.keys, keys),
 		TwoInRegion: share(s.regions.keys, keys),
 		WorstZone:   s.zones.worst(keys),
--- a/internal/scale/places.go
+++ b/internal/scale/places.go
@@ -43,26 +43,27 @@
 // AssignPlaces assigns a place to each node. All real nodes are in the first region, as no process would apply a rule
 // to messages between two of them. Each of the other nodes is placed in the region that has the fewest nodes.
 func AssignPlaces(nodes, real int, at Places, port uint16) (all []Place) {
-	in, hollows := make([]int, at.Regions), make([]int, at.Regions)
+	nodesIn, simulated := make([]int, at.Regions), make([]int, at.Regions)
 	for i := range nodes {
 		p := Place{Name: fmt.Sprintf("n%d", i+1), Role: Simulated}
-		k := 0
+		hostNumber := 0
 		if i < real {
-			p.Role, k = Real, firstRealOctet*nodesPerOctet+i
+			p.Role, hostNumber = Real, firstRealOctet*nodesPerOctet+i
 		} else {
-			for r := range in {
-				if in[r] < in[p.Region] {
+			for r := range nodesIn {
+				if nodesIn[r] < nodesIn[p.Region] {
 					p.Region = RegionID(r)
 				}
 			}
-			k = hollows[p.Region]
-			hollows[p.Region]++
+			hostNumber = simulated[p.Region]
+			simulated[p.Region]++
 		}
-		number := in[p.Region]
-		in[p.Region]++
+		number := nodesIn[p.Region]
+		nodesIn[p.Region]++
 		p.Site = siteOrZone(number, p.Region, at.Regions, at.Sites)
 		p.Zone = siteOrZone(number, p.Region, at.Regions, at.Zones)
-		p.Addr = fmt.Sprintf("127.%d.%d.%d:%d", firstRegion+int(p.Region), k/nodesPerOctet, k%nodesPerOctet+1, port)
+		p.Addr = fmt.Sprintf("127.%d.%d.%d:%d",
+			firstRegion+int(p.Region), hostNumber/nodesPerOctet, hostNumber%nodesPerOctet+1, port)
 		all = append(all, p)
 	}
 	return all
@@ -95,10 +96,10 @@
 // Faults returns the network rules between regions at the start of a run.
 func (f *File) Faults(seed int64) *netfault.Faults {
 	faults := netfault.New(uint32(seed))
-	chance := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
+	random := keyhash.Source{Seed: uint32(seed) ^ 0x5ca1e}
 	for a := range f.Places.Regions {
 		for b := range a {
-			d := ms(f.RegionLinks.DelayMs + chance.Float64()*(f.RegionLinks.MaxDelayMs-f.RegionLinks.DelayMs))
+			d := ms(f.RegionLinks.DelayMs + random.Float64()*(f.RegionLinks.MaxDelayMs-f.RegionLinks.DelayMs))
 			for _, pair := range [][2]int{{a, b}, {b, a}} {
 				faults.Change(pair[0], pair[1], func(link *netfault.Link) {
 					link.Delay = d
--- a/internal/scale/print.go
+++ b/internal/scale/print.go
@@ -66,19 +66,19 @@
 	}
 }
 
-func (s *Size) printSteadyRole(t table, role Role, taken *Usage) {
+func (s *Size) printSteadyRole(t table, role Role, usage *Usage) {
 	spread := func(what string, x Spread) {
 		t.row(s.Nodes, role, what, x.Mean, x.Median, x.P99, x.Max)
 	}
 	for _, flow := range append(slices.Clone(flowNames), allFlows) {
 		for _, m := range measures {
 			what := flow + " " + m.name
-			spread(what, taken.Flows[what])
+			spread(what, usage.Flows[what])
 		}
 	}
-	spread(bothWays, taken.Flows[bothWays])
-	spread("processor, % of a core", taken.Processor)
-	spread("waiting for a core, multiple of the CPU time", taken.Waited)
+	spread(bothWays, usage.Flows[bothWays])
+	spread("processor, % of a core", usage.Processor)
+	spread("waiting for a core, multiple of the CPU time", usage.Waited)
 	spread("resident, MB", s.Memory[role].Resident)
 	if role == Simulated {
 		spread("heap, MB", s.Memory[role].Heap)
@@ -105,20 +105,20 @@
 	}
 }
 
-func (s *Size) phaseCells(name string, phase *Phase, role Role, taken *Usage) []any {
+func (s *Size) phaseCells(name string, phase *Phase, role Role, usage *Usage) []any {
 	toKB := phase.DurationS / bytesPerKB
 	cells := []any{
 		s.Nodes, name, phase.DurationS, phase.ConvergenceS, role,
-		taken.Flows[allSent].Mean * toKB,
-		taken.Flows[allReceived].Mean * toKB,
-		taken.Flows[bothWays].P99 * toKB,
+		usage.Flows[allSent].Mean * toKB,
+		usage.Flows[allReceived].Mean * toKB,
+		usage.Flows[bothWays].P99 * toKB,
 	}
 	for _, flow := range flowNames {
-		sent := taken.Flows[flow+" out B/s"].Mean
-		received := taken.Flows[flow+" in B/s"].Mean
+		sent := usage.Flows[flow+" out B/s"].Mean
+		received := usage.Flows[flow+" in B/s"].Mean
 		cells = append(cells, (sent+received)*toKB)
 	}
-	return append(cells, taken.Processor.Mean)
+	return append(cells, usage.Processor.Mean)
 }
 
 // printCalibration compares simulated nodes with real ones at the sizes that have both.
@@ -134,16 +134,16 @@
 }
 
 func (s *Size) printCalibration(t table, phase *Phase) {
-	hollow := phase.Roles[Simulated]
+	simulated := phase.Roles[Simulated]
 	real := phase.Roles[Real]
-	compare := func(what string, hollow, real Spread) {
-		t.row(s.Nodes, what, hollow.Mean, real.Mean, difference(hollow.Mean, real.Mean))
-	}
-	compare("sent, B/s", hollow.Flows[allSent], real.Flows[allSent])
-	compare("received, B/s", hollow.Flows[allReceived], real.Flows[allReceived])
-	compare("sent, messages/s", hollow.Flows[allSentMessages], real.Flows[allSentMessages])
-	compare("received, messages/s", hollow.Flows[allReceivedMessages], real.Flows[allReceivedMessages])
-	compare("processor, % of a core", hollow.Processor, real.Processor)
+	compare := func(what string, simulated, real Spread) {
+		t.row(s.Nodes, what, simulated.Mean, real.Mean, difference(simulated.Mean, real.Mean))
+	}
+	compare("sent, B/s", simulated.Flows[allSent], real.Flows[allSent])
+	compare("received, B/s", simulated.Flows[allReceived], real.Flows[allReceived])
+	compare("sent, messages/s", simulated.Flows[allSentMessages], real.Flows[allSentMessages])
+	compare("received, messages/s", simulated.Flows[allReceivedMessages], real.Flows[allReceivedMessages])
+	compare("processor, % of a core", simulated.Processor, real.Processor)
 	compare("resident, MB", s.Memory[Simulated].Resident, s.Memory[Real].Resident)
 
 	const note = "membership costs a real node %.4g"
@@ -155,14 +155,14 @@
 
 // difference describes by how much the figure of a real node exceeds that of a simulated node. Beyond
 // calibrationTolerance it also states the amount that is added to the line of simulated nodes.
-func difference(hollow, real float64) string {
+func difference(simulated, real float64) string {
 	relative := 0.0
-	if hollow > 0 {
-		relative = real/hollow - 1
+	if simulated > 0 {
+		relative = real/simulated - 1
 	}
 	text := fmt.Sprintf("%+.1f%%", 100*relative)
 	if relative > calibrationTolerance || relative < -calibrationTolerance {
-		text += fmt.Sprintf(", adds %.4g", max(0, real-hollow))
+		text += fmt.Sprintf(", adds %.4g", max(0, real-simulated))
 	}
 	return text
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -23,15 +23,15 @@
 
 // order is a request of the rig to a process of simulated nodes, encoded as one line of JSON.
 type order struct {
-	Do     string            `json:"do"`
-	Places []Place           `json:"places,omitempty"`
-	Fleet  *fleetconfig.File `json:"fleet,omitempty"` // without the listen address
-	File   *File             `json:"file,omitempty"`
-	Seed   int64             `json:"seed,omitempty"`
-	Nodes  int               `json:"nodes,omitempty"`
-	Apart  time.Duration     `json:"apart,omitempty"` // interval between two starts of nodes
-	Name   string            `json:"name,omitempty"`
-	Off    bool              `json:"off,omitempty"`
+	Do            string            `json:"do"`
+	Places        []Place           `json:"places,omitempty"`
+	Fleet         *fleetconfig.File `json:"fleet,omitempty"` // without the listen address
+	File          *File             `json:"file,omitempty"`
+	Seed          int64             `json:"seed,omitempty"`
+	Nodes         int               `json:"nodes,omitempty"`
+	StartInterval time.Duration     `json:"apart,omitempty"` // interval between two starts of nodes
+	Name          string            `json:"name,omitempty"`
+	Cut           bool              `json:"off,omitempty"` // of doCut: whether to cut off or to reconnect the region
 }
 
 // The orders.
@@ -55,33 +55,33 @@
 
 // status is a node's view of the fleet, and its traffic so far.
 type status struct {
-	Name    string                `json:"name"`
-	Members int                   `json:"members"`
-	Mark    string                `json:"mark"`    // fingerprint of the view
-	CutOff  bool                  `json:"cut_off"` // the node reports a possible partition
-	Flows   []gossip.TrafficStats `json:"flows,omitempty"`
-	Dropped uint64                `json:"dropped,omitempty"` // messages that the node dropped for lack of capacity
+	Name             string                `json:"name"`
+	Members          int                   `json:"members"`
+	Fingerprint      string                `json:"mark"`    // fingerprint of the view
+	MayBePartitioned bool                  `json:"cut_off"` // the node reports a possible partition
+	Flows            []gossip.TrafficStats `json:"flows,omitempty"`
+	Dropped          uint64                `json:"dropped,omitempty"` // messages that the node dropped for lack of capacity
 }
 
 // process runs simulated nodes as ordered by a rig.
 type process struct {
-	nodes      map[string]*Node
-	places     []Place
-	order      order
-	rules      *networkRules
-	faults     *netfault.Faults
-	partMakers []ComponentStarter
+	nodes             map[string]*Node
+	places            []Place
+	order             order
+	rules             *networkRules
+	faults            *netfault.Faults
+	componentStarters []ComponentStarter
 }
 
 // ServeSimulatedNodes reads orders, executes them and writes an answer to each. When its input ends, it stops all
 // nodes. Each node also runs the given components.
 func ServeSimulatedNodes(in io.Reader, out io.Writer, more ...ComponentStarter) error {
 	debug.SetGCPercent(gcPercent)
-	p := &process{nodes: map[string]*Node{}, partMakers: more}
+	p := &process{nodes: map[string]*Node{}, componentStarters: more}
 	defer p.close()
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBytes), maxOrderBytes)
-	say := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for lines.Scan() {
 		var o order
 		if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
@@ -91,7 +91,7 @@
 		if err != nil {
 			a.Fault = err.Error()
 		}
-		if err := say.Encode(a); err != nil {
+		if err := encoder.Encode(a); err != nil {
 			return err
 		}
 	}
@@ -109,14 +109,19 @@
 				continue
 			}
 			s, _ := n.Membership.FleetStatus()
-			st := status{Name: at.Name, Members: s.Members, Mark: s.Fingerprint, CutOff: s.MayBePartitioned}
+			st := status{
+				Name:             at.Name,
+				Members:          s.Members,
+				Fingerprint:      s.Fingerprint,
+				MayBePartitioned: s.MayBePartitioned,
+			}
 			if o.Do == doReadTraffic {
 				st.Flows, st.Dropped = s.Flows, s.Dropped
 			}
 			a.Nodes = append(a.Nodes, st)
 		}
 		if p.rules != nil {
-			a.Lost = p.rules.lost.Load()
+			a.Lost = p.rules.dropped.Load()
 		}
 	case doReadHeap:
 		runtime.GC()
@@ -125,7 +130,7 @@
 		runtime.ReadMemStats(&m)
 		a.Heap = m.HeapAlloc
 	case doCut:
-		cut(p.faults, RegionID(p.order.File.Partition.Region), p.order.File.Places.Regions, o.Off)
+		cut(p.faults, RegionID(p.order.File.Partition.Region), p.order.File.Places.Regions, o.Cut)
 	case doCrash:
 		if n := p.nodes[o.Name]; n != nil {
 			n.Close(false)
@@ -152,7 +157,7 @@
 	p.rules = &networkRules{faults: p.faults}
 	for i, at := range p.places {
 		if i > 0 {
-			time.Sleep(o.Apart)
+			time.Sleep(o.StartInterval)
 		}
 		if err := p.startNode(at); err != nil {
 			return fmt.Errorf("%s: %w", at.Name, err)
@@ -164,7 +169,7 @@
 func (p *process) startNode(at Place) error {
 	f := *p.order.Fleet
 	f.Fleet.Listen, f.Fleet.Advertise = at.Addr, at.Addr
-	n, err := OpenNode(at, &f, p.order.Nodes, p.rules, p.partMakers...)
+	n, err := OpenNode(at, &f, p.order.Nodes, p.rules, p.componentStarters...)
 	if err == nil {
 		p.nodes[at.Name] = n
 	}
@@ -183,8 +188,8 @@
 	all.Wait()
 }
 
-// names joins strings into a comma-separated list and abbreviates a long one.
-func names(some []string) string {
+// joinAbbreviated joins strings into a comma-separated list and abbreviates a long one.
+func joinAbbreviated(some []string) string {
 	const most = 5
 	if len(some) > most {
 		return fmt.Sprintf("%s and %d more", strings.Join(some[:most], ", "), len(some)-most)
--- a/internal/scale/realnode.go
+++ b/internal/scale/realnode.go
@@ -145,12 +145,12 @@
 		return status{}, err
 	}
 	return status{
-		Name:    n.Place.Name,
-		Members: s.Members,
-		Mark:    s.Fingerprint,
-		CutOff:  s.MayBePartitioned,
-		Flows:   s.Flows,
-		Dropped: s.Dropped,
+		Name:             n.Place.Name,
+		Members:          s.Members,
+		Fingerprint:      s.Fingerprint,
+		MayBePartitioned: s.MayBePartitioned,
+		Flows:            s.Flows,
+		Dropped:          s.Dropped,
 	}, nil
 }
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -58,10 +58,10 @@
 		}
 	}
 	for _, s := range r.Sizes {
-		hollow, hasHollow := of(s, Simulated)
+		simulated, hasSimulated := of(s, Simulated)
 		real, hasReal := of(s, Real)
-		if hasHollow && hasReal {
-			slope.Added = real.Mean - hollow.Mean
+		if hasSimulated && hasReal {
+			slope.Added = real.Mean - simulated.Mean
 		}
 	}
 	slope.Over = budget > 0 && slope.value() > budget
@@ -144,5 +144,5 @@
 	if r.Passed() {
 		return "all within"
 	}
-	return "not within: " + names(r.Problems)
+	return "not within: " + joinAbbreviated(r.Problems)
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -8,15 +8,15 @@
 
 // measuredSize returns the measurements of a size at which each simulated and each real node sent and received the
 // given bytes per second.
-func measuredSize(nodes int, hollow, real float64) *Size {
-	taken := func(bytesPerS float64) *Usage {
+func measuredSize(nodes int, simulated, real float64) *Size {
+	usage := func(bytesPerS float64) *Usage {
 		return &Usage{
 			Nodes:     1,
 			Flows:     map[string]Spread{bothWays: {Mean: bytesPerS}},
 			Processor: Spread{Mean: bytesPerS / 1000},
 		}
 	}
-	phase := &Phase{DurationS: 1, Roles: map[Role]*Usage{Simulated: taken(hollow), Real: taken(real)}}
+	phase := &Phase{DurationS: 1, Roles: map[Role]*Usage{Simulated: usage(simulated), Real: usage(real)}}
 	return &Size{
 		Nodes:  nodes,
 		Phases: map[string]*Phase{steady: phase},
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -16,7 +16,8 @@
 	MaxMemoryMB int          // memory limit of all processes together, above which a run fails
 }
 
-func (r *Rig) tell(text string, args ...any) {
+// logProgress passes a line of progress on.
+func (r *Rig) logProgress(text string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf(text, args...))
 	}
--- a/internal/scale/simulatednode.go
+++ b/internal/scale/simulatednode.go
@@ -37,30 +37,30 @@
 type Node struct {
 	Place      Place
 	Membership *gossip.Node
-	parts      []Component
-	once       sync.Once
+	components []Component
+	closeOnce  sync.Once
 }
 
 // OpenNode starts a simulated node with the same fleet file as a real one. The node runs membership, the polling of the
 // endpoint list, and the given components. If r is not nil, the node's sockets apply these network rules.
 func OpenNode(at Place, f *fleetconfig.File, nodes int, r *networkRules, more ...ComponentStarter) (*Node, error) {
-	lines, err := gossip.Listen(at.Addr)
+	transport, err := gossip.Listen(at.Addr)
 	if err != nil {
 		return nil, err
 	}
 	if r != nil {
-		lines = r.wrap(lines, at.Region)
+		transport = r.wrap(transport, at.Region)
 	}
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	n := &Node{Place: at}
 	config := gossip.Config{Name: at.Name, FleetConfig: f, Log: quiet, Now: gossip.BootTime}
-	if n.Membership, err = gossip.Join(config, lines); err != nil {
+	if n.Membership, err = gossip.Join(config, transport); err != nil {
 		return nil, err
 	}
-	n.parts = append(n.parts, startLoopSubstitute(n.Membership))
+	n.components = append(n.components, startProgressTicker(n.Membership))
 	if at.List != "" {
-		n.parts = append(n.parts, startListPoller(at.List, nodes, uint32(keyhash.String(at.Name))))
+		n.components = append(n.components, startListPoller(at.List, nodes, uint32(keyhash.String(at.Name))))
 	}
 	for _, open := range more {
 		p, err := open(n)
@@ -68,26 +68,26 @@
 			n.Close(false)
 			return nil, err
 		}
-		n.parts = append(n.parts, p)
+		n.components = append(n.components, p)
 	}
 	return n, nil
 }
 
 // Close stops the node. An orderly stop is announced to the other nodes; to them, any other stop is a crash.
 func (n *Node) Close(orderly bool) {
-	n.once.Do(func() {
-		for i := len(n.parts) - 1; i >= 0; i-- {
-			n.parts[i].Close()
+	n.closeOnce.Do(func() {
+		for i := len(n.components) - 1; i >= 0; i-- {
+			n.components[i].Close()
 		}
 		n.Membership.Close(orderly)
 	})
 }
 
-// loopSubstitute reports to the membership that the process is not stalled, as the event loop of a real node does.
-type loopSubstitute struct{ end chan struct{} }
+// progressTicker reports to the membership that the process is not stalled, as the event loop of a real node does.
+type progressTicker struct{ end chan struct{} }
 
-func startLoopSubstitute(p *gossip.Node) loopSubstitute {
-	t := loopSubstitute{make(chan struct{})}
+func startProgressTicker(membership *gossip.Node) progressTicker {
+	t := progressTicker{make(chan struct{})}
 	go func() {
 		each := time.NewTicker(loopInterval)
 		defer each.Stop()
@@ -96,42 +96,42 @@
 			case <-t.end:
 				return
 			case <-each.C:
-				p.LoopAdvanced()
+				membership.LoopAdvanced()
 			}
 		}
 	}()
 	return t
 }
 
-func (t loopSubstitute) Close() { close(t.end) }
+func (t progressTicker) Close() { close(t.end) }
 
 // listPoller polls the endpoint list like a real node and discards the entries.
 type listPoller struct {
-	addr   string
-	calls  discovery.Poller
-	chance keyhash.Source
-	began  time.Time // start of the poll in flight; for the first poll on a connection, start of the dial
-	end    chan struct{}
-	done   chan struct{}
-	mu     sync.Mutex
-	conn   net.Conn
-	closed bool
+	addr      string
+	poller    discovery.Poller
+	random    keyhash.Source
+	startedAt time.Time // start of the poll in flight; for the first poll on a connection, start of the dial
+	end       chan struct{}
+	done      chan struct{}
+	mu        sync.Mutex
+	conn      net.Conn
+	closed    bool
 }
 
 func startListPoller(addr string, nodes int, seed uint32) *listPoller {
 	c := &listPoller{
 		addr:   addr,
-		calls:  discovery.New(nodes),
-		chance: keyhash.Source{Seed: seed},
+		poller: discovery.New(nodes),
+		random: keyhash.Source{Seed: seed},
 		end:    make(chan struct{}),
 		done:   make(chan struct{}),
 	}
 	go func() {
 		defer close(c.done)
 		for {
-			c.began = time.Now()
-			how := c.follow()
-			rest, _ := c.calls.OnFailure(how, time.Since(c.began), c.chance.Float64())
+			c.startedAt = time.Now()
+			failure := c.pollUntilFailure()
+			rest, _ := c.poller.OnFailure(failure, time.Since(c.startedAt), c.random.Float64())
 			select {
 			case <-c.end:
 				return
@@ -142,20 +142,20 @@
 	return c
 }
 
-// follow polls on one connection until a poll fails, and returns the failure.
-func (c *listPoller) follow() discovery.Failure {
+// pollUntilFailure polls on one connection until a poll fails, and returns the failure.
+func (c *listPoller) pollUntilFailure() discovery.Failure {
 	conn, err := net.DialTimeout("tcp", c.addr, listDialTimeout)
 	if err != nil || !c.track(conn) {
 		return discovery.ConnectionLost
 	}
 	defer conn.Close()
-	in, have := make([]byte, 0, 4<<10), 0
+	buffer, filled := make([]byte, 0, 4<<10), 0
 	var parser fastjson.Parser
 	for first := true; ; first = false {
 		if !first {
-			c.began = time.Now()
+			c.startedAt = time.Now()
 		}
-		path, call := []byte(listPath), c.calls.NextPoll()
+		path, call := []byte(listPath), c.poller.NextPoll()
 		if !call.Complete {
 			path = strconv.AppendInt(append(path, "?since="...), int64(call.SinceVersion), 10)
 			path = strconv.AppendInt(append(path, "&timeout_ms="...), int64(call.LongPollTime/time.Millisecond), 10)
@@ -165,25 +165,25 @@
 			return discovery.ConnectionLost
 		}
 		for read := (http1.Progress{}); ; {
-			a, size, err := read.ReadResponse(in[:have], maxListBytes, false)
+			a, size, err := read.ReadResponse(buffer[:filled], maxListBytes, false)
 			if err != nil {
 				return discovery.Unreadable
 			}
 			if size > 0 {
-				if how := c.onResponse(&a, &parser); how >= 0 {
-					return how
+				if failure := c.onResponse(&a, &parser); failure >= 0 {
+					return failure
 				}
-				have = copy(in, in[size:have])
+				filled = copy(buffer, buffer[size:filled])
 				break
 			}
-			if have == cap(in) {
-				in = append(make([]byte, 0, 2*cap(in)), in[:have]...)
+			if filled == cap(buffer) {
+				buffer = append(make([]byte, 0, 2*cap(buffer)), buffer[:filled]...)
 			}
-			n, err := conn.Read(in[have:cap(in)])
+			n, err := conn.Read(buffer[filled:cap(buffer)])
 			if err != nil {
 				return discovery.ConnectionLost
 			}
-			have += n
+			filled += n
 		}
 	}
 }
@@ -196,16 +196,16 @@
 	if a.Status == http1.ServiceUnavailable || a.Status == http1.TooManyRequests {
 		return discovery.Refused
 	}
-	news, err := parser.ParseBytes(bytes.Clone(a.Body))
-	if a.Status != http.StatusOK || err != nil || !news.Exists("generation") {
+	update, err := parser.ParseBytes(bytes.Clone(a.Body))
+	if a.Status != http.StatusOK || err != nil || !update.Exists("generation") {
 		return discovery.Unreadable
 	}
-	generation := news.GetInt("generation")
-	isComplete := news.GetBool("reset")
-	if !c.calls.Accepts(generation, isComplete) {
+	generation := update.GetInt("generation")
+	isComplete := update.GetBool("reset")
+	if !c.poller.Accepts(generation, isComplete) {
 		return discovery.Unreadable
 	}
-	c.calls.OnUpdate(generation, isComplete)
+	c.poller.OnUpdate(generation, isComplete)
 	return accepted
 }
 
--- a/internal/scale/simulatednode_test.go
+++ b/internal/scale/simulatednode_test.go
@@ -22,8 +22,8 @@
 	return free.Streams.Addr().(*net.TCPAddr).AddrPort().Port()
 }
 
-// openHollowNodes starts simulated nodes that detect a fault within a second, and stops them after the test.
-func openHollowNodes(t *testing.T, nodes int, places Places, rules *networkRules, lists *endpointLists) []*Node {
+// openSimulatedNodes starts simulated nodes that detect a fault within a second, and stops them after the test.
+func openSimulatedNodes(t *testing.T, nodes int, places Places, rules *networkRules, lists *endpointLists) []*Node {
 	t.Helper()
 	port := freePort(t)
 	file := fleetconfig.Default()
@@ -71,7 +71,7 @@
 // When a region of a nine-node fleet is cut off, the other regions must remove its nodes from their views, and its
 // nodes must detect the partition. When the partition has healed, all views must be complete again. Each node must also
 // poll its endpoint list.
-func TestHollowNodesDetectRegionPartitionAndRecovery(t *testing.T) {
+func TestSimulatedNodesDetectRegionPartitionAndRecovery(t *testing.T) {
 	const (
 		nodes   = 9
 		regions = 3
@@ -83,7 +83,7 @@
 	rules := &networkRules{faults: file.Faults(7)}
 	lists := openEndpointLists(3)
 	t.Cleanup(lists.close)
-	all := openHollowNodes(t, nodes, file.Places, rules, lists)
+	all := openSimulatedNodes(t, nodes, file.Places, rules, lists)
 
 	knowsAll := func(n *Node) bool {
 		return len(n.Membership.View().Nodes) == nodes && !n.Membership.View().MayBePartitioned
--- a/internal/scale/simulatedprocess.go
+++ b/internal/scale/simulatedprocess.go
@@ -26,7 +26,7 @@
 type SimulatedProcess struct {
 	*Child
 	places  []Place        // nodes that it runs
-	in      io.WriteCloser // for orders; the process exits when it is closed
+	orders  io.WriteCloser // for orders; the process exits when it is closed
 	answers chan answer    // closed when the process has closed its output
 }
 
@@ -48,7 +48,7 @@
 		from.Close()
 		return nil, err
 	}
-	h := &SimulatedProcess{Child: c, places: places, in: in, answers: make(chan answer, 1)}
+	h := &SimulatedProcess{Child: c, places: places, orders: in, answers: make(chan answer, 1)}
 	go h.readAnswers(from)
 	return h, nil
 }
@@ -70,7 +70,7 @@
 
 // ask sends an order and waits for the answer.
 func (h *SimulatedProcess) ask(ctx context.Context, o order, within time.Duration) (answer, error) {
-	if err := json.NewEncoder(h.in).Encode(o); err != nil {
+	if err := json.NewEncoder(h.orders).Encode(o); err != nil {
 		return answer{}, fmt.Errorf("cannot send the order %s to a process of simulated nodes: %w: %s",
 			o.Do, err, h.LastLogLine())
 	}
@@ -91,4 +91,4 @@
 }
 
 // Close stops the process and all of its nodes.
-func (h *SimulatedProcess) Close() { h.Stop(func() { _ = h.in.Close() }) }
+func (h *SimulatedProcess) Close() { h.Stop(func() { _ = h.orders.Close() }) }
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -159,19 +159,20 @@
 }
 
 func (r *roleSamples) summary() *Usage {
-	taken := &Usage{Nodes: r.nodes, Flows: map[string]Spread{}}
+	usage := &Usage{Nodes: r.nodes, Flows: map[string]Spread{}}
 	for what, values := range r.flows {
-		taken.Flows[what] = SpreadOf(values)
+		usage.Flows[what] = SpreadOf(values)
 	}
-	taken.Processor = SpreadOf(r.processor)
-	taken.Waited = SpreadOf(r.waited)
-	return taken
+	usage.Processor = SpreadOf(r.processor)
+	usage.Waited = SpreadOf(r.waited)
+	return usage
 }
 
-// weigh measures the memory of all nodes. The memory of a process of simulated nodes is divided equally among them.
-func (s *Size) weigh(ctx context.Context, f *fleetRun) error {
+// measureMemory measures the memory of all nodes. The memory of a process of simulated nodes is divided equally among
+// them.
+func (s *Size) measureMemory(ctx context.Context, f *fleetRun) error {
 	resident := map[Role][]float64{}
-	for _, n := range f.reals {
+	for _, n := range f.real {
 		cost, err := n.Cost()
 		if err != nil {
 			return err
@@ -179,7 +180,7 @@
 		resident[Real] = append(resident[Real], float64(cost.Resident)/mb)
 	}
 	heap := []float64{}
-	for _, h := range f.hollows {
+	for _, h := range f.simulated {
 		cost, err := h.Cost()
 		if err != nil {
 			return err
@@ -205,9 +206,9 @@
 	for role, values := range resident {
 		s.Memory[role] = Memory{Resident: SpreadOf(values)}
 	}
-	if hollow, measured := s.Memory[Simulated]; measured {
-		hollow.Heap = SpreadOf(heap)
-		s.Memory[Simulated] = hollow
+	if simulated, measured := s.Memory[Simulated]; measured {
+		simulated.Heap = SpreadOf(heap)
+		s.Memory[Simulated] = simulated
 	}
 	return nil
 }
--- a/internal/scale/snapshot.go
+++ b/internal/scale/snapshot.go
@@ -42,7 +42,7 @@
 				InMessages:  float64(traffic.In),
 			}
 		}
-		flows[listFlow] = f.list.flow(st.Name)
+		flows[listFlow] = f.lists.flow(st.Name)
 		s.nodes[st.Name] = flows
 		s.drops += st.Dropped
 	}
@@ -52,7 +52,7 @@
 // costs reads the cost of every node. The cost of a process of simulated nodes is divided equally among them.
 func (f *fleetRun) costs() (map[string]Cost, error) {
 	costs := map[string]Cost{}
-	for _, h := range f.hollows {
+	for _, h := range f.simulated {
 		cost, err := h.Cost()
 		if err != nil {
 			return nil, err
@@ -67,7 +67,7 @@
 			costs[at.Name] = share
 		}
 	}
-	for _, n := range f.reals {
+	for _, n := range f.real {
 		cost, err := n.Cost()
 		if err != nil {
 			return nil, err
