--- a/internal/scale/cachegrowth/clients.go
+++ b/internal/scale/cachegrowth/clients.go
@@ -41,7 +41,7 @@
 		c.lateness = max(c.lateness, time.Since(due))
 		c.sent++
 		c.mu.Unlock()
-		all.Go(func() { c.ended(c.request(i)) })
+		all.Go(func() { c.countOutcome(c.request(i)) })
 	}
 	all.Wait()
 }
@@ -71,8 +71,8 @@
 	return fmt.Sprint("key", i%popularKeys)
 }
 
-// ended counts the outcome of a request.
-func (c *clients) ended(answer string, err error) {
+// countOutcome counts the outcome of a request.
+func (c *clients) countOutcome(answer string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
--- a/internal/scale/cachegrowth/dayrun.go
+++ b/internal/scale/cachegrowth/dayrun.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s with %d caches: %w", day.Name, caches, err)
 	}
-	if err := p.node.end(); err != nil {
+	if err := p.node.stopAndMeasure(); err != nil {
 		return nil, err
 	}
 	return p.result(day), ctx.Err()
@@ -137,7 +137,7 @@
 
 // restartNode stops the node in an orderly way and starts it again at the same address.
 func (p *dayRun) restartNode() error {
-	if err := p.node.end(); err != nil {
+	if err := p.node.stopAndMeasure(); err != nil {
 		return err
 	}
 	return p.node.start()
@@ -161,7 +161,7 @@
 
 func (p *dayRun) close() {
 	if p.node != nil {
-		_ = p.node.end()
+		_ = p.node.stopAndMeasure()
 	}
 	if p.origin != nil {
 		_ = p.origin.Close()
--- a/internal/scale/cachegrowth/days.go
+++ b/internal/scale/cachegrowth/days.go
@@ -9,13 +9,13 @@
 
 // The timing of a day. Times are fractions of its length.
 const (
-	faultAt       = 0.2  // beginning of the fault
-	releaseSteps  = 4    // number of steps of a release
-	releaseShare  = 0.2  // share of the caches that a step replaces
-	releaseSpan   = 0.6  // duration of all steps
-	drainLead     = 0.05 // from the drain of caches to their removal, and from the end of an outage to its publishing
-	outage        = 0.25 // duration of the outage of a zone or of discovery
-	zoneToldAfter = 0.1  // delay until discovery removes the caches of a lost zone
+	faultAt          = 0.2  // beginning of the fault
+	releaseSteps     = 4    // number of steps of a release
+	releaseShare     = 0.2  // share of the caches that a step replaces
+	releaseSpan      = 0.6  // duration of all steps
+	publishDelay     = 0.05 // from the drain of caches to their removal, and from an outage's end to its publishing
+	outage           = 0.25 // duration of the outage of a zone or of discovery
+	zoneRemovalDelay = 0.1  // delay until discovery removes the caches of a lost zone
 )
 
 // Day is a run with at most one kind of fault. A run is called a day in the command's flags and reports.
@@ -37,11 +37,11 @@
 		{Name: "release", events: releaseEvents()},
 		{Name: "zone-lost", events: []event{
 			{faultAt, func(p *dayRun) error { return p.caches.loseZone(lostZone) }},
-			{faultAt + zoneToldAfter, func(p *dayRun) error {
+			{faultAt + zoneRemovalDelay, func(p *dayRun) error {
 				return p.discovery.publish(p.caches.zoneGone(lostZone))
 			}},
 			{faultAt + outage, func(p *dayRun) error { return p.caches.restoreZone(lostZone) }},
-			{faultAt + outage + drainLead, func(p *dayRun) error {
+			{faultAt + outage + publishDelay, func(p *dayRun) error {
 				return p.discovery.publish(p.caches.zoneBack(lostZone))
 			}},
 		}},
@@ -90,7 +90,7 @@
 		at := faultAt + releaseSpan*float64(step)/releaseSteps
 		events = append(events,
 			event{at, func(p *dayRun) error { return p.discovery.publish(p.caches.drain(step)) }},
-			event{at + drainLead, func(p *dayRun) error { return p.discovery.publish(p.caches.replace(step)) }},
+			event{at + publishDelay, func(p *dayRun) error { return p.discovery.publish(p.caches.replace(step)) }},
 		)
 	}
 	return events
--- a/internal/scale/cachegrowth/discovery.go
+++ b/internal/scale/cachegrowth/discovery.go
@@ -35,8 +35,8 @@
 	terminated  = "terminated"
 )
 
-// listAnswer is a response of discovery: the complete list, or the changes of one version.
-type listAnswer struct {
+// pollResponse is a response of discovery: the complete list, or the changes of one version.
+type pollResponse struct {
 	Generation int        `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// whole returns the complete list without terminated instances. The caller holds mu.
-func (d *discovery) whole() []instance {
+// complete returns the complete list without terminated instances. The caller holds mu.
+func (d *discovery) complete() []instance {
 	var list []instance
 	for _, id := range d.order {
 		if entry := d.current[id]; entry.Lifecycle != terminated {
@@ -116,29 +116,29 @@
 	return list
 }
 
-// answerSince returns the response to a poll by a node that has a version of the list, or none if known is false. If
+// responseSince returns the response to a poll by a node that has a version of the list, or none if known is false. If
 // there is no newer version, ok is false and changed is closed when there is one.
-func (d *discovery) answerSince(version int, known bool) (answer listAnswer, changed chan struct{}, ok bool) {
+func (d *discovery) responseSince(version int, known bool) (answer pollResponse, changed chan struct{}, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case !known:
-		return listAnswer{len(d.versions), true, d.whole()}, nil, true
+		return pollResponse{len(d.versions), true, d.complete()}, nil, true
 	case version < len(d.versions):
-		return listAnswer{version + 1, false, d.versions[version]}, nil, true
+		return pollResponse{version + 1, false, d.versions[version]}, nil, true
 	}
-	return listAnswer{version, false, []instance{}}, d.changed, false
+	return pollResponse{version, false, []instance{}}, d.changed, false
 }
 
 // ServeHTTP responds to a poll: immediately if there is a newer version, and otherwise when the list changes or
 // watchTime has passed.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.Atoi(r.URL.Query().Get("since"))
-	answer, changed, ok := d.answerSince(version, err == nil)
+	answer, changed, ok := d.responseSince(version, err == nil)
 	if !ok {
 		select {
 		case <-changed:
-			answer, _, _ = d.answerSince(version, true)
+			answer, _, _ = d.responseSince(version, true)
 		case <-time.After(watchTime):
 		case <-r.Context().Done():
 			return
--- a/internal/scale/cachegrowth/fleet_test.go
+++ b/internal/scale/cachegrowth/fleet_test.go
@@ -13,7 +13,7 @@
 const testPatience = 5 * time.Second
 
 // call polls discovery for the changes since a version, or for the complete list if since is empty.
-func call(t *testing.T, d *discovery, since string) listAnswer {
+func call(t *testing.T, d *discovery, since string) pollResponse {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
 	defer cancel()
@@ -31,7 +31,7 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	var answer listAnswer
+	var answer pollResponse
 	if err == nil {
 		err = json.Unmarshal(body, &answer)
 	}
--- a/internal/scale/cachegrowth/limits.go
+++ b/internal/scale/cachegrowth/limits.go
@@ -11,10 +11,10 @@
 	Connections                    // number of connections opened to caches
 	ListKilobytes                  // size of the endpoint lists received from discovery, in kB
 	ShareServed                    // share of requests that were served
-	rowCount
+	metricCount
 )
 
-var rowNames = [rowCount]string{
+var metricNames = [metricCount]string{
 	ProcessorSeconds: "processor s",
 	PeakMemory:       "peak memory MB",
 	Descriptors:      "descriptors",
@@ -24,7 +24,7 @@
 }
 
 // String returns the metric's name in tables.
-func (r Metric) String() string { return rowNames[r] }
+func (r Metric) String() string { return metricNames[r] }
 
 // GrowthLimit limits the growth of a metric relative to the same day at the first size.
 type GrowthLimit struct {
@@ -35,7 +35,7 @@
 
 // growthLimits are the operators' limits for up to sixteen times the caches of the first size. That of ShareServed is a
 // lower bound; all others are upper bounds.
-var growthLimits = [rowCount]GrowthLimit{
+var growthLimits = [metricCount]GrowthLimit{
 	ProcessorSeconds: {Factor: 1.4, Allowance: 0.02, PerThousand: 0.03},
 	PeakMemory:       {Factor: 1.5, Allowance: 8, PerThousand: 4},
 	Descriptors:      {Factor: 2, Allowance: 40},
@@ -59,4 +59,4 @@
 }
 
 // Figures holds the values of all metrics, by Metric.
-type Figures [rowCount]float64
+type Figures [metricCount]float64
--- a/internal/scale/cachegrowth/limits_test.go
+++ b/internal/scale/cachegrowth/limits_test.go
@@ -12,7 +12,7 @@
 // served.
 func TestGrowthLimitsMatchOperatorTable(t *testing.T) {
 	const caches = 3200
-	for row, want := range map[Metric]float64{
+	for metric, want := range map[Metric]float64{
 		ProcessorSeconds: 1.4*10 + 0.02 + 0.03*3.2,
 		PeakMemory:       1.5*10 + 8 + 4*3.2,
 		Descriptors:      2*10 + 40,
@@ -20,8 +20,8 @@
 		ListKilobytes:    2*10 + 64 + 500*3.2,
 		ShareServed:      8.5,
 	} {
-		if got := row.Limit(10, caches); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v: the limit is %v, want %v", row, got, want)
+		if got := metric.Limit(10, caches); math.Abs(got-want) > 1e-9 {
+			t.Errorf("%v: the limit is %v, want %v", metric, got, want)
 		}
 	}
 }
@@ -39,19 +39,19 @@
 	if verdict := reportOf(usual, usual).Verdict(); verdict != Within {
 		t.Errorf("equal figures: the verdict is %v", verdict)
 	}
-	for row := range rowCount {
+	for metric := range metricCount {
 		worse := usual
-		worse[row] = row.Limit(usual[row], 800) * 1.01
-		if row == ShareServed {
-			worse[row] = 0.84
+		worse[metric] = metric.Limit(usual[metric], 800) * 1.01
+		if metric == ShareServed {
+			worse[metric] = 0.84
 		}
 		r := reportOf(usual, worse)
 		if verdict := r.Verdict(); verdict != Over {
-			t.Errorf("%v over its limit: the verdict is %v", row, verdict)
+			t.Errorf("%v over its limit: the verdict is %v", metric, verdict)
 		}
 		var text strings.Builder
 		if err := r.Print(&text); err != nil || strings.Count(text.String(), "OVER") != 1 {
-			t.Errorf("%v over its limit: want one OVER in the table, got error %v and\n%s", row, err, &text)
+			t.Errorf("%v over its limit: want one OVER in the table, got error %v and\n%s", metric, err, &text)
 		}
 	}
 }
--- a/internal/scale/cachegrowth/node.go
+++ b/internal/scale/cachegrowth/node.go
@@ -38,15 +38,15 @@
 // nodeProcess is the measured node. A restart starts a new process at the same address. Figures are the sum over both
 // processes, or the maximum of both.
 type nodeProcess struct {
-	program string
-	folder  string
-	share   float64 // share of a core that the node gets
-	listen  string
-	child   *scale.Child
-	release func() error  // ends the limit of CPU time
-	stop    chan struct{} // closed to stop the observer
-	stopped chan struct{} // closed when the observer has stopped
-	figures Figures       // of the processes that have ended, and the observed peak of descriptors
+	program      string
+	folder       string
+	share        float64 // share of a core that the node gets
+	listen       string
+	child        *scale.Child
+	releaseLimit func() error  // ends the limit of CPU time
+	stop         chan struct{} // closed to stop the observer
+	stopped      chan struct{} // closed when the observer has stopped
+	figures      Figures       // of the processes that have ended, and the observed peak of descriptors
 }
 
 // configure chooses the node's listen address and writes its configuration file.
@@ -84,7 +84,7 @@
 		return err
 	}
 	n.child = child
-	n.release = scale.LimitCPUShare(child.PID(), n.share)
+	n.releaseLimit = scale.LimitCPUShare(child.PID(), n.share)
 	n.stop = make(chan struct{})
 	n.stopped = make(chan struct{})
 	go n.observe(child.PID())
@@ -131,8 +131,8 @@
 	}
 }
 
-// end records the usage of the process and stops it with SIGTERM. It does nothing if the node does not run.
-func (n *nodeProcess) end() error {
+// stopAndMeasure records the usage of the process and stops it with SIGTERM. It does nothing if the node does not run.
+func (n *nodeProcess) stopAndMeasure() error {
 	if n.child == nil {
 		return nil
 	}
@@ -140,16 +140,16 @@
 	n.child = nil
 	close(n.stop)
 	<-n.stopped
-	err := n.addUp(child)
+	err := n.addUsage(child)
 	child.Stop(func() { _ = syscall.Kill(child.PID(), syscall.SIGTERM) })
-	if releaseErr := n.release(); err == nil {
+	if releaseErr := n.releaseLimit(); err == nil {
 		err = releaseErr
 	}
 	return err
 }
 
-// addUp adds the usage of a process to the figures.
-func (n *nodeProcess) addUp(child *scale.Child) error {
+// addUsage adds the usage of a process to the figures.
+func (n *nodeProcess) addUsage(child *scale.Child) error {
 	if child.HasExited() {
 		return fmt.Errorf("the node exited before its usage was read: %s", child.LastLogLine())
 	}
--- a/internal/scale/cachegrowth/report.go
+++ b/internal/scale/cachegrowth/report.go
@@ -25,7 +25,7 @@
 	report := &Report{Sizes: sizes}
 	for _, day := range days {
 		for _, caches := range sizes {
-			result, err := plan.runUntilJudged(ctx, &day, caches)
+			result, err := plan.runUntilConclusive(ctx, &day, caches)
 			if err != nil {
 				return nil, err
 			}
@@ -35,8 +35,8 @@
 	return report, nil
 }
 
-// runUntilJudged runs a day, and repeats it if the machine was too busy, up to maxRunsPerDay runs in total.
-func (plan *Plan) runUntilJudged(ctx context.Context, day *Day, caches int) (*DayResult, error) {
+// runUntilConclusive runs a day, and repeats it if the machine was too busy, up to maxRunsPerDay runs in total.
+func (plan *Plan) runUntilConclusive(ctx context.Context, day *Day, caches int) (*DayResult, error) {
 	var result *DayResult
 	for range maxRunsPerDay {
 		if plan.Progress != nil {
@@ -84,8 +84,8 @@
 	if first == nil || first.Busy || result.Busy {
 		return Inconclusive
 	}
-	for row := range rowCount {
-		if !row.Within(result.Figures[row], row.Limit(first.Figures[row], result.Caches)) {
+	for metric := range metricCount {
+		if !metric.Within(result.Figures[metric], metric.Limit(first.Figures[metric], result.Caches)) {
 			return Over
 		}
 	}
@@ -112,8 +112,8 @@
 	fmt.Fprintln(table, "\ta thousand more")
 	for start := 0; start+len(r.Sizes) <= len(r.Days); start += len(r.Sizes) {
 		results := r.Days[start : start+len(r.Sizes)]
-		for row := range rowCount {
-			printRow(table, row, results)
+		for metric := range metricCount {
+			printMetric(table, metric, results)
 		}
 		printClients(table, results)
 	}
@@ -124,22 +124,22 @@
 	return err
 }
 
-// printRow writes the row of a metric on one day.
-func printRow(table io.Writer, row Metric, results []DayResult) {
-	first := results[0].Figures[row]
-	fmt.Fprintf(table, "%s\t%s", results[0].Day, row)
+// printMetric writes the row of a metric on one day.
+func printMetric(table io.Writer, metric Metric, results []DayResult) {
+	first := results[0].Figures[metric]
+	fmt.Fprintf(table, "%s\t%s", results[0].Day, metric)
 	for i := range results {
 		result := &results[i]
-		limit := row.Limit(first, result.Caches)
+		limit := metric.Limit(first, result.Caches)
 		mark := ""
-		if !row.Within(result.Figures[row], limit) {
+		if !metric.Within(result.Figures[metric], limit) {
 			mark = " OVER"
 		}
-		fmt.Fprintf(table, "\t%.2f (%.2f)%s", result.Figures[row], limit, mark)
+		fmt.Fprintf(table, "\t%.2f (%.2f)%s", result.Figures[metric], limit, mark)
 	}
 	last := &results[len(results)-1]
 	if more := last.Caches - results[0].Caches; more > 0 {
-		fmt.Fprintf(table, "\t%+.3f", (last.Figures[row]-first)/float64(more)*1000)
+		fmt.Fprintf(table, "\t%+.3f", (last.Figures[metric]-first)/float64(more)*1000)
 	}
 	fmt.Fprintln(table)
 }
