--- a/internal/scale/logscale/checker/caches.go
+++ b/internal/scale/logscale/checker/caches.go
@@ -35,19 +35,19 @@
 }
 
 // CheckCaches checks the records of all caches against the purges of the whole log, whose indexes must be unique.
-// Durations cover the caches for which looked returns true; nil selects all. Both slices are sorted in place.
+// Durations cover the caches for which observed returns true; nil selects all. Both slices are sorted in place.
 func CheckCaches(purges []logtrace.PublishedPurge, records []logtrace.CacheEvent,
-	looked func(cache string) bool) CachesReport {
-	if looked == nil {
-		looked = func(string) bool { return true }
+	observed func(cache string) bool) CachesReport {
+	if observed == nil {
+		observed = func(string) bool { return true }
 	}
 	c := &cacheChecker{
-		checker: New(0, nil),
-		looked:  looked,
-		purges:  purges,
-		deleted: make([]monotime.Instant, len(purges)),
-		done:    make([]monotime.Instant, len(purges)),
-		report:  CachesReport{Purges: len(purges)},
+		checker:  New(0, nil),
+		observed: observed,
+		purges:   purges,
+		deleted:  make([]monotime.Instant, len(purges)),
+		done:     make([]monotime.Instant, len(purges)),
+		report:   CachesReport{Purges: len(purges)},
 	}
 	slices.SortFunc(purges, func(a, b logtrace.PublishedPurge) int { return cmp.Compare(a.Index, b.Index) })
 	byCache := map[string][]logtrace.CacheEvent{}
@@ -65,12 +65,12 @@
 
 // cacheChecker checks the caches one after the other.
 type cacheChecker struct {
-	checker *Checker // collects the breaches
-	looked  func(cache string) bool
-	purges  []logtrace.PublishedPurge // in ascending order of their indexes
-	deleted []monotime.Instant        // by purge: first deletion of its key at the last cache; 0 for none
-	done    []monotime.Instant        // by purge: when it counted as done at the last cache; 0 for never
-	report  CachesReport
+	checker  *Checker // collects the breaches
+	observed func(cache string) bool
+	purges   []logtrace.PublishedPurge // in ascending order of their indexes
+	deleted  []monotime.Instant        // by purge: first deletion of its key at the last cache; 0 for none
+	done     []monotime.Instant        // by purge: when it counted as done at the last cache; 0 for never
+	report   CachesReport
 }
 
 // cacheHistory is the state of one cache up to a record.
@@ -97,7 +97,7 @@
 	if h.counted < len(c.purges) {
 		c.checker.addBreach(NeverCounted, "%s: %d of %d purges count as done", name, h.counted, len(c.purges))
 	}
-	if !c.looked(name) {
+	if !c.observed(name) {
 		return
 	}
 	for i, purge := range c.purges {
@@ -140,7 +140,7 @@
 		c.checker.addBreach(NotCarriedOut, "%s: entry %d, key %s", h.name, purge.Index, purge.Key)
 	}
 	h.required[purge.Key] = max(h.required[purge.Key], purge.Version)
-	if c.looked(h.name) {
+	if c.observed(h.name) {
 		c.done[h.counted] = max(c.done[h.counted], at)
 	}
 	h.counted++
@@ -168,7 +168,7 @@
 	var phases []CachesPhase
 	for _, phase := range order {
 		t := byPhase[phase]
-		phases = append(phases, CachesPhase{Phase: phase, Deleted: spans(t.deleted), Done: spans(t.done)})
+		phases = append(phases, CachesPhase{Phase: phase, Deleted: summarize(t.deleted), Done: summarize(t.done)})
 	}
 	return phases
 }
--- a/internal/scale/logscale/checker/caches_test.go
+++ b/internal/scale/logscale/checker/caches_test.go
@@ -53,41 +53,41 @@
 
 func TestCheckCachesFindsEachBreach(t *testing.T) {
 	for name, c := range map[string]struct {
-		want string
-		bend func(records []logtrace.CacheEvent) []logtrace.CacheEvent
+		want   string
+		mutate func(records []logtrace.CacheEvent) []logtrace.CacheEvent
 	}{
 		"an old value after the purge counts as done": {
-			want: StaleServed,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[6].Version = 1; return r },
+			want:   StaleServed,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[6].Version = 1; return r },
 		},
 		"an old value after the second purge": {
-			want: StaleServed,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[9].Version = 2; return r },
+			want:   StaleServed,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[9].Version = 2; return r },
 		},
 		"no deletion": {
-			want: NotCarriedOut,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { return slices.Delete(r, 2, 3) },
+			want:   NotCarriedOut,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { return slices.Delete(r, 2, 3) },
 		},
 		"only a deletion from before the purge": {
-			want: NotCarriedOut,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 199; return r },
+			want:   NotCarriedOut,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 199; return r },
 		},
 		"only a flush from before the purge": {
-			want: NotCarriedOut,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[13].At = 199; return r },
+			want:   NotCarriedOut,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[13].At = 199; return r },
 		},
 		"a deletion after the purge counted as done": {
-			want: NotCarriedOut,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 251; return r },
+			want:   NotCarriedOut,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[7].At = 251; return r },
 		},
 		"the last purge is never done at one cache": {
-			want: NeverCounted,
-			bend: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[14].Index = 4; return r },
+			want:   NeverCounted,
+			mutate: func(r []logtrace.CacheEvent) []logtrace.CacheEvent { r[14].Index = 4; return r },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			purged, records := validCacheRecords()
-			got := CheckCaches(purged, c.bend(records), nil).Breaches
+			got := CheckCaches(purged, c.mutate(records), nil).Breaches
 			if len(got) != 1 || got[0].What != c.want {
 				t.Errorf("found %+v, want only: %s", got, c.want)
 			}
--- a/internal/scale/logscale/checker/checker.go
+++ b/internal/scale/logscale/checker/checker.go
@@ -84,55 +84,55 @@
 
 // nodeState is the progress of a node.
 type nodeState struct {
-	begun   bool
+	started bool
 	applied uint64 // last index
 }
 
-// beginning is the start of a node at an index, under the configuration with a mark.
-type beginning struct {
+// nodeStart is the start of a node at an index, under the configuration with a mark.
+type nodeStart struct {
 	node        uint32
 	index, mark uint64
 }
 
 // Checker checks the traces of a run: first the stored and published changes, then the records of each node in order.
 type Checker struct {
-	voters  int
-	changes map[uint64]*change // by mark, the hash of a change's content
-	byIndex map[uint64]uint64  // marks by index
-	orders  []logtrace.PublishedChange
-	nodes   map[uint32]*nodeState
-	begins  []beginning
-	applied map[uint64]monotime.Instant // by index: when the last observed node applied the entry
-	looked  func(node uint32) bool
-	breach  map[string]*Breach
-	report  Report
-	highest uint64   // highest acknowledged index
-	configs []uint64 // indexes of configurations
+	voters       int
+	changes      map[uint64]*change // by mark, the hash of a change's content
+	markByIndex  map[uint64]uint64  // marks by index
+	published    []logtrace.PublishedChange
+	nodes        map[uint32]*nodeState
+	starts       []nodeStart
+	applied      map[uint64]monotime.Instant // by index: when the last observed node applied the entry
+	observed     func(node uint32) bool
+	breachByKind map[string]*Breach
+	report       Report
+	highest      uint64   // highest acknowledged index
+	configs      []uint64 // indexes of configurations
 }
 
-// New returns a checker for a log with the given number of voters. Durations cover the nodes for which looked returns
+// New returns a checker for a log with the given number of voters. Durations cover the nodes for which observed returns
 // true; nil selects all.
-func New(voters int, looked func(node uint32) bool) *Checker {
-	if looked == nil {
-		looked = func(uint32) bool { return true }
+func New(voters int, observed func(node uint32) bool) *Checker {
+	if observed == nil {
+		observed = func(uint32) bool { return true }
 	}
 	return &Checker{
-		voters:  voters,
-		changes: map[uint64]*change{},
-		byIndex: map[uint64]uint64{},
-		nodes:   map[uint32]*nodeState{},
-		applied: map[uint64]monotime.Instant{},
-		looked:  looked,
-		breach:  map[string]*Breach{},
+		voters:       voters,
+		changes:      map[uint64]*change{},
+		markByIndex:  map[uint64]uint64{},
+		nodes:        map[uint32]*nodeState{},
+		applied:      map[uint64]monotime.Instant{},
+		observed:     observed,
+		breachByKind: map[string]*Breach{},
 	}
 }
 
 // addBreach counts a breach, and adds an example to it.
-func (j *Checker) addBreach(what, format string, args ...any) {
-	b := j.breach[what]
+func (c *Checker) addBreach(what, format string, args ...any) {
+	b := c.breachByKind[what]
 	if b == nil {
 		b = &Breach{What: what}
-		j.breach[what] = b
+		c.breachByKind[what] = b
 	}
 	b.Count++
 	if len(b.Examples) < maxExamples {
@@ -141,120 +141,120 @@
 }
 
 // AddStored adds the changes that a voter has on disk. Voters are numbered from 0; learners must not be added.
-func (j *Checker) AddStored(voter int, k logtrace.DurableEntries) {
+func (c *Checker) AddStored(voter int, k logtrace.DurableEntries) {
 	for _, mark := range k.Marks {
-		c := j.changes[mark]
-		if c == nil {
-			c = &change{onDisk: make([]monotime.Instant, j.voters)}
-			j.changes[mark] = c
+		ch := c.changes[mark]
+		if ch == nil {
+			ch = &change{onDisk: make([]monotime.Instant, c.voters)}
+			c.changes[mark] = ch
 		}
-		if c.onDisk[voter] == 0 || k.At < c.onDisk[voter] {
-			c.onDisk[voter] = k.At
+		if ch.onDisk[voter] == 0 || k.At < ch.onDisk[voter] {
+			ch.onDisk[voter] = k.At
 		}
 	}
 }
 
 // majority returns the time from which a majority of the voters had a change on disk, or math.MaxInt64 for never.
-func (j *Checker) majority(mark uint64) monotime.Instant {
-	c := j.changes[mark]
-	if c == nil {
+func (c *Checker) majority(mark uint64) monotime.Instant {
+	ch := c.changes[mark]
+	if ch == nil {
 		return math.MaxInt64
 	}
-	at := slices.Clone(c.onDisk)
+	at := slices.Clone(ch.onDisk)
 	for i := range at {
 		if at[i] == 0 {
 			at[i] = math.MaxInt64
 		}
 	}
 	slices.Sort(at)
-	return at[j.voters/2]
+	return at[c.voters/2]
 }
 
 // AddPublished adds a published change.
-func (j *Checker) AddPublished(o logtrace.PublishedChange) {
-	j.orders = append(j.orders, o)
+func (c *Checker) AddPublished(o logtrace.PublishedChange) {
+	c.published = append(c.published, o)
 	if o.Index == 0 {
 		return
 	}
-	if at := j.majority(o.Mark); at > o.Acked {
-		j.addBreach(EarlyAck, "entry %d", o.Index)
+	if at := c.majority(o.Mark); at > o.Acked {
+		c.addBreach(EarlyAck, "entry %d", o.Index)
 	}
-	j.place(o.Mark, o.Index, "its publisher")
+	c.recordIndex(o.Mark, o.Index, "its publisher")
 	if o.Config {
-		j.configs = append(j.configs, o.Index)
+		c.configs = append(c.configs, o.Index)
 	}
-	j.highest = max(j.highest, o.Index)
+	c.highest = max(c.highest, o.Index)
 }
 
-// place records that a change has an index according to a source, and checks that all sources agree.
-func (j *Checker) place(mark, index uint64, by string) {
-	if was, is := j.byIndex[index]; is && was != mark {
-		j.addBreach(OutOfOrder, "entry %d is a different change according to %s", index, by)
+// recordIndex records that a change has an index according to a source, and checks that all sources agree.
+func (c *Checker) recordIndex(mark, index uint64, by string) {
+	if was, is := c.markByIndex[index]; is && was != mark {
+		c.addBreach(OutOfOrder, "entry %d is a different change according to %s", index, by)
 		return
 	}
-	c := j.changes[mark]
-	if c == nil {
-		c = &change{onDisk: make([]monotime.Instant, j.voters)}
-		j.changes[mark] = c
+	ch := c.changes[mark]
+	if ch == nil {
+		ch = &change{onDisk: make([]monotime.Instant, c.voters)}
+		c.changes[mark] = ch
 	}
-	if c.index != 0 && c.index != index {
-		j.addBreach(Duplicated, "the change of entry %d is also entry %d according to %s", c.index, index, by)
+	if ch.index != 0 && ch.index != index {
+		c.addBreach(Duplicated, "the change of entry %d is also entry %d according to %s", ch.index, index, by)
 	}
-	c.index = index
-	j.byIndex[index] = mark
+	ch.index = index
+	c.markByIndex[index] = mark
 }
 
 // AddNodeRecord adds the next record of a node.
-func (j *Checker) AddNodeRecord(r logtrace.NodeEvent) {
-	n := j.nodes[r.Node]
+func (c *Checker) AddNodeRecord(r logtrace.NodeEvent) {
+	n := c.nodes[r.Node]
 	if n == nil {
 		n = &nodeState{}
-		j.nodes[r.Node] = n
+		c.nodes[r.Node] = n
 	}
 	switch r.Kind {
 	case logtrace.Began:
-		if n.begun {
-			j.report.Presumed++
+		if n.started {
+			c.report.Presumed++
 		}
-		if n.begun && r.Index <= n.applied {
-			j.addBreach(Duplicated, "node %d started again at %d after it had applied %d", r.Node, r.Index, n.applied)
+		if n.started && r.Index <= n.applied {
+			c.addBreach(Duplicated, "node %d started again at %d after it had applied %d", r.Node, r.Index, n.applied)
 		}
-		j.begins = append(j.begins, beginning{node: r.Node, index: r.Index, mark: r.Mark})
-		n.begun = true
+		c.starts = append(c.starts, nodeStart{node: r.Node, index: r.Index, mark: r.Mark})
+		n.started = true
 		n.applied = r.Index
 	case logtrace.Refused:
-		j.report.Refused++
+		c.report.Refused++
 	case logtrace.Applied:
-		j.onApplied(n, r)
+		c.onApplied(n, r)
 	case logtrace.Acknowledged:
 		if r.Index > n.applied {
-			j.addBreach(EarlyReport, "node %d reported entry %d after applying only up to %d",
+			c.addBreach(EarlyReport, "node %d reported entry %d after applying only up to %d",
 				r.Node, r.Index, n.applied)
 		}
 	}
 }
 
 // onApplied checks the application of an entry by a node.
-func (j *Checker) onApplied(n *nodeState, r logtrace.NodeEvent) {
-	j.report.Applied++
+func (c *Checker) onApplied(n *nodeState, r logtrace.NodeEvent) {
+	c.report.Applied++
 	switch {
 	case r.Index <= n.applied:
-		j.addBreach(Duplicated, "node %d applied %d after %d", r.Node, r.Index, n.applied)
-	case !n.begun || r.Index > n.applied+1:
-		j.addBreach(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+		c.addBreach(Duplicated, "node %d applied %d after %d", r.Node, r.Index, n.applied)
+	case !n.started || r.Index > n.applied+1:
+		c.addBreach(Missing, "node %d applied %d after %d", r.Node, r.Index, n.applied)
 	}
 	n.applied = max(n.applied, r.Index)
-	j.place(r.Mark, r.Index, fmt.Sprintf("node %d", r.Node))
-	if j.majority(r.Mark) > r.At {
-		j.addBreach(EarlyInForce, "entry %d at node %d", r.Index, r.Node)
+	c.recordIndex(r.Mark, r.Index, fmt.Sprintf("node %d", r.Node))
+	if c.majority(r.Mark) > r.At {
+		c.addBreach(EarlyInForce, "entry %d at node %d", r.Index, r.Node)
 	}
-	if j.looked(r.Node) {
-		j.applied[r.Index] = max(j.applied[r.Index], r.At)
+	if c.observed(r.Node) {
+		c.applied[r.Index] = max(c.applied[r.Index], r.At)
 	}
 }
 
-// spans summarizes durations. It sorts its argument.
-func spans(all []time.Duration) DurationStats {
+// summarize summarizes durations. It sorts its argument.
+func summarize(all []time.Duration) DurationStats {
 	if len(all) == 0 {
 		return DurationStats{}
 	}
@@ -267,42 +267,42 @@
 
 // Report returns the result. It must be called after all traces have been added. nodes is the expected number of nodes
 // with a trace.
-func (j *Checker) Report(nodes int) Report {
-	j.checkEnds(nodes)
-	j.checkBeginnings()
-	j.report.Nodes = len(j.nodes)
-	j.report.Entries = uint64(len(j.byIndex))
-	j.report.Phases = append(j.report.Phases, j.phases()...)
-	j.report.Breaches = j.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyReport, StaleStart)
-	return j.report
+func (c *Checker) Report(nodes int) Report {
+	c.checkEnds(nodes)
+	c.checkStarts()
+	c.report.Nodes = len(c.nodes)
+	c.report.Entries = uint64(len(c.markByIndex))
+	c.report.Phases = append(c.report.Phases, c.phases()...)
+	c.report.Breaches = c.breaches(Missing, Duplicated, OutOfOrder, EarlyAck, EarlyInForce, EarlyReport, StaleStart)
+	return c.report
 }
 
 // checkEnds checks that all nodes have a trace and have applied all acknowledged entries.
-func (j *Checker) checkEnds(nodes int) {
-	if len(j.nodes) != nodes {
-		j.addBreach(Missing, "%d nodes have a trace, want %d", len(j.nodes), nodes)
+func (c *Checker) checkEnds(nodes int) {
+	if len(c.nodes) != nodes {
+		c.addBreach(Missing, "%d nodes have a trace, want %d", len(c.nodes), nodes)
 	}
-	for id, n := range j.nodes {
-		if n.applied < j.highest {
-			j.addBreach(Missing, "node %d applied entries up to %d of %d", id, n.applied, j.highest)
+	for id, n := range c.nodes {
+		if n.applied < c.highest {
+			c.addBreach(Missing, "node %d applied entries up to %d of %d", id, n.applied, c.highest)
 		}
 	}
 }
 
-// checkBeginnings checks that each node started under the newest configuration at its first index.
-func (j *Checker) checkBeginnings() {
-	slices.Sort(j.configs)
-	for _, b := range j.begins {
-		at, _ := slices.BinarySearch(j.configs, b.index+1)
-		if at > 0 && j.byIndex[j.configs[at-1]] != b.mark {
-			j.addBreach(StaleStart, "node %d at index %d, where the configuration of entry %d was in force",
-				b.node, b.index, j.configs[at-1])
+// checkStarts checks that each node started under the newest configuration at its first index.
+func (c *Checker) checkStarts() {
+	slices.Sort(c.configs)
+	for _, b := range c.starts {
+		at, _ := slices.BinarySearch(c.configs, b.index+1)
+		if at > 0 && c.markByIndex[c.configs[at-1]] != b.mark {
+			c.addBreach(StaleStart, "node %d at index %d, where the configuration of entry %d was in force",
+				b.node, b.index, c.configs[at-1])
 		}
 	}
 }
 
 // phases summarizes the durations by phase and kind of change, in the order in which these were first published.
-func (j *Checker) phases() []PhaseReport {
+func (c *Checker) phases() []PhaseReport {
 	type kind struct {
 		phase  string
 		config bool
@@ -315,7 +315,7 @@
 	}
 	byKind := map[kind]*times{}
 	var order []kind
-	for _, o := range j.orders {
+	for _, o := range c.published {
 		k := kind{phase: o.Phase, config: o.Config}
 		t := byKind[k]
 		if t == nil {
@@ -328,45 +328,45 @@
 			continue
 		}
 		t.acked = append(t.acked, time.Duration(o.Acked-o.Sent))
-		if applied, ok := j.applied[o.Index]; ok {
+		if applied, ok := c.applied[o.Index]; ok {
 			t.fromSent = append(t.fromSent, time.Duration(applied-o.Sent))
 			t.fromAcked = append(t.fromAcked, max(0, time.Duration(applied-o.Acked)))
 		}
 	}
-	looked := j.nodesLookedAt()
+	nodesObserved := c.observedNodes()
 	var phases []PhaseReport
 	for _, k := range order {
 		t := byKind[k]
 		phases = append(phases, PhaseReport{
 			Phase:         k.phase,
 			Config:        k.config,
-			Acked:         spans(t.acked),
-			FromSent:      spans(t.fromSent),
-			FromAcked:     spans(t.fromAcked),
+			Acked:         summarize(t.acked),
+			FromSent:      summarize(t.fromSent),
+			FromAcked:     summarize(t.fromAcked),
 			Unacked:       t.unacked,
-			NodesObserved: looked,
+			NodesObserved: nodesObserved,
 		})
 	}
 	return phases
 }
 
-// nodesLookedAt returns the number of nodes that durations cover.
-func (j *Checker) nodesLookedAt() int {
-	looked := 0
-	for id := range j.nodes {
-		if j.looked(id) {
-			looked++
+// observedNodes returns the number of nodes that durations cover.
+func (c *Checker) observedNodes() int {
+	count := 0
+	for id := range c.nodes {
+		if c.observed(id) {
+			count++
 		}
 	}
-	return looked
+	return count
 }
 
 // breaches returns the breaches of the given kinds in this order. It never returns nil, so that a report contains a
 // list.
-func (j *Checker) breaches(kinds ...string) []Breach {
+func (c *Checker) breaches(kinds ...string) []Breach {
 	broken := []Breach{}
 	for _, kind := range kinds {
-		if b := j.breach[kind]; b != nil {
+		if b := c.breachByKind[kind]; b != nil {
 			broken = append(broken, *b)
 		}
 	}
--- a/internal/scale/logscale/checker/checker_test.go
+++ b/internal/scale/logscale/checker/checker_test.go
@@ -10,9 +10,9 @@
 
 // evidence holds the traces of a run with three voters.
 type evidence struct {
-	kept    [3][]logtrace.DurableEntries // by voter
-	orders  []logtrace.PublishedChange
-	records []logtrace.NodeEvent
+	stored    [3][]logtrace.DurableEntries // by voter
+	published []logtrace.PublishedChange
+	records   []logtrace.NodeEvent
 }
 
 // validEvidence returns the traces of a run without a breach. Of entries 1 to 4, entry 2 is a configuration. Node 1
@@ -24,9 +24,9 @@
 		mark := 1000 + i
 		for voter := range 3 {
 			onDisk := at + monotime.Instant(voter)*10
-			e.kept[voter] = append(e.kept[voter], logtrace.DurableEntries{At: onDisk, Marks: []uint64{mark}})
+			e.stored[voter] = append(e.stored[voter], logtrace.DurableEntries{At: onDisk, Marks: []uint64{mark}})
 		}
-		e.orders = append(e.orders, logtrace.PublishedChange{
+		e.published = append(e.published, logtrace.PublishedChange{
 			Mark:   mark,
 			Index:  i + 1,
 			Config: i == 1,
@@ -51,19 +51,19 @@
 
 // report checks the traces of a run with two nodes.
 func (e *evidence) report() Report {
-	j := New(3, nil)
-	for voter, all := range e.kept {
+	checker := New(3, nil)
+	for voter, all := range e.stored {
 		for _, k := range all {
-			j.AddStored(voter, k)
+			checker.AddStored(voter, k)
 		}
 	}
-	for _, o := range e.orders {
-		j.AddPublished(o)
+	for _, o := range e.published {
+		checker.AddPublished(o)
 	}
 	for _, r := range e.records {
-		j.AddNodeRecord(r)
+		checker.AddNodeRecord(r)
 	}
-	return j.Report(2)
+	return checker.Report(2)
 }
 
 func TestCheckerFindsNoBreachInSoundRun(t *testing.T) {
@@ -78,64 +78,64 @@
 
 func TestCheckerFindsEachBreach(t *testing.T) {
 	for name, c := range map[string]struct {
-		want string
-		bend func(e *evidence)
+		want   string
+		mutate func(e *evidence)
 	}{
 		"a node skips entry 2": {
-			want: Missing,
-			bend: func(e *evidence) { e.records = slices.Delete(e.records, 3, 5) },
+			want:   Missing,
+			mutate: func(e *evidence) { e.records = slices.Delete(e.records, 3, 5) },
 		},
 		"a node ends without the last entry": {
-			want: Missing,
-			bend: func(e *evidence) { e.records = e.records[:len(e.records)-1] },
+			want:   Missing,
+			mutate: func(e *evidence) { e.records = e.records[:len(e.records)-1] },
 		},
 		"a node has no trace": {
-			want: Missing,
-			bend: func(e *evidence) { e.records = e.records[:9] },
+			want:   Missing,
+			mutate: func(e *evidence) { e.records = e.records[:9] },
 		},
 		"an entry is applied twice": {
-			want: Duplicated,
-			bend: func(e *evidence) { e.records = append(e.records, e.records[len(e.records)-1]) },
+			want:   Duplicated,
+			mutate: func(e *evidence) { e.records = append(e.records, e.records[len(e.records)-1]) },
 		},
 		"a change has two indexes": {
-			want: Duplicated,
-			bend: func(e *evidence) { e.orders[3].Mark = 1002 },
+			want:   Duplicated,
+			mutate: func(e *evidence) { e.published[3].Mark = 1002 },
 		},
 		"a node has another entry at an index": {
-			want: OutOfOrder,
-			bend: func(e *evidence) { e.records[len(e.records)-1].Mark = 1000 },
+			want:   OutOfOrder,
+			mutate: func(e *evidence) { e.records[len(e.records)-1].Mark = 1000 },
 		},
 		"the publisher has another entry at an index": {
-			want: OutOfOrder,
-			bend: func(e *evidence) { e.orders[3].Mark = 4000 },
+			want:   OutOfOrder,
+			mutate: func(e *evidence) { e.published[3].Mark = 4000 },
 		},
 		"an entry is acknowledged before a majority has it": {
-			want: EarlyAck,
-			bend: func(e *evidence) { e.orders[2].Acked = 309 },
+			want:   EarlyAck,
+			mutate: func(e *evidence) { e.published[2].Acked = 309 },
 		},
 		"an acknowledged entry is never on disk at a majority": {
 			want: EarlyAck,
-			bend: func(e *evidence) {
-				e.kept[0] = e.kept[0][:3]
-				e.kept[1] = e.kept[1][:3]
+			mutate: func(e *evidence) {
+				e.stored[0] = e.stored[0][:3]
+				e.stored[1] = e.stored[1][:3]
 			},
 		},
 		"an entry is in force before a majority has it": {
-			want: EarlyInForce,
-			bend: func(e *evidence) { e.records[1].At = 109 },
+			want:   EarlyInForce,
+			mutate: func(e *evidence) { e.records[1].At = 109 },
 		},
 		"a node reports an entry before it has applied it": {
-			want: EarlyReport,
-			bend: func(e *evidence) { e.records[2].Index = 2 },
+			want:   EarlyReport,
+			mutate: func(e *evidence) { e.records[2].Index = 2 },
 		},
 		"a node starts under an old configuration": {
-			want: StaleStart,
-			bend: func(e *evidence) { e.records[len(e.records)-2].Mark = 0 },
+			want:   StaleStart,
+			mutate: func(e *evidence) { e.records[len(e.records)-2].Mark = 0 },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := validEvidence()
-			c.bend(e)
+			c.mutate(e)
 			got := e.report().Breaches
 			if !slices.ContainsFunc(got, func(b Breach) bool { return b.What == c.want }) {
 				t.Errorf("found %+v, want: %s", got, c.want)
