--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -60,7 +60,7 @@
 	Fingerprint      string                `json:"mark"`    // fingerprint of the view
 	MayBePartitioned bool                  `json:"cut_off"` // the node reports a possible partition
 	Flows            []gossip.TrafficStats `json:"flows,omitempty"`
-	Dropped          uint64                `json:"dropped,omitempty"` // messages that the node dropped for lack of capacity
+	Dropped          uint64                `json:"dropped,omitempty"` // messages dropped for lack of capacity
 }
 
 // process runs simulated nodes as ordered by a rig.
