--- a/internal/scale/logscale/rig/caches.go
+++ b/internal/scale/logscale/rig/caches.go
@@ -25,16 +25,16 @@
 // caches holds the rig's cache servers, each in a region, and the records of events at them. The value of a key has
 // version 1 before its purge is published, and version 2 at the origin from then on.
 type caches struct {
-	all     []*cachestub.Cache
-	mu      sync.Mutex            // guards records, recent and chance
-	records []logtrace.CacheEvent // of all caches
-	recent  []string              // purged keys, in the order of their purges
-	chance  keyhash.Source
-	fills   sync.WaitGroup            // fills in flight
-	purged  []logtrace.PublishedPurge // guarded by the run's mutex
-	cut     string                    // name of the cache that was unresponsive in phase CacheOutage
-	back    monotime.Instant          // when that cache responded again
-	closed  chan struct{}
+	all          []*cachestub.Cache
+	mu           sync.Mutex            // guards records, recent and chance
+	records      []logtrace.CacheEvent // of all caches
+	recent       []string              // purged keys, in the order of their purges
+	chance       keyhash.Source
+	fills        sync.WaitGroup            // fills in flight
+	purged       []logtrace.PublishedPurge // guarded by the run's mutex
+	unresponsive string                    // name of the cache that was unresponsive in phase CacheOutage
+	restoredAt   monotime.Instant          // when that cache responded again
+	closed       chan struct{}
 }
 
 // openCaches starts all caches and the continuous reads.
@@ -66,13 +66,13 @@
 
 // cacheList returns the section of caches in the file of a control server, which reaches them over the emulated
 // network.
-func (r *run) cacheList(machine int) (string, error) {
+func (r *run) cacheList(server int) (string, error) {
 	if r.Caches == 0 {
 		return "", nil
 	}
 	text := fmt.Sprintf("[purges]\nfills_s = %v\n", r.MaxFillTime.Seconds())
 	for i, c := range r.caches.all {
-		addr, err := r.network.Listen(r.region[machine], i%r.Regions, c.Addr())
+		addr, err := r.network.Listen(r.region[server], i%r.Regions, c.Addr())
 		if err != nil {
 			return "", err
 		}
@@ -135,16 +135,16 @@
 			return
 		case <-time.After(readInterval):
 		}
-		back := r.chance()
-		which := int(r.chance() * float64(r.Caches))
+		recency := r.chance()
+		cache := int(r.chance() * float64(r.Caches))
 		r.caches.mu.Lock()
 		key, n := "", len(r.caches.recent)
 		if n > 0 {
-			key = r.caches.recent[n-1-int(back*back*float64(n))]
+			key = r.caches.recent[n-1-int(recency*recency*float64(n))]
 		}
 		r.caches.mu.Unlock()
 		if key != "" {
-			_, _ = r.caches.all[which].Serve(key)
+			_, _ = r.caches.all[cache].Serve(key)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 func (r *run) cutCache(ctx context.Context) error {
 	c := r.caches.all[0]
 	c.SetFault(cachestub.Silent, 0)
-	r.caches.cut = c.Name()
+	r.caches.unresponsive = c.Name()
 	r.log("%s is unresponsive for %v", c.Name(), r.CutFor)
 	var all sync.WaitGroup
 	all.Go(func() { r.pace(ctx, CacheOutage, r.CutFor+r.After, r.PurgesPerSecond, 0) })
@@ -175,12 +175,12 @@
 			for _, m := range x.Servers {
 				why = append(why, fmt.Sprintf("%d: %s for %.1f s", m.Server, m.Reason, m.UnansweredS))
 			}
-			r.note("at the end of its outage %s lacked %d of %d entries according to fleet changes: %s",
+			r.addNote("at the end of its outage %s lacked %d of %d entries according to fleet changes: %s",
 				x.Cache, x.Missing, o.Last, strings.Join(why, "; "))
 		}
 	}
 	c.SetFault(cachestub.None, 0)
-	r.caches.back = gossip.BootTime()
+	r.caches.restoredAt = gossip.BootTime()
 	all.Wait()
 	return err
 }
@@ -195,26 +195,26 @@
 	defer r.caches.mu.Unlock()
 	target := uint64(0)
 	for _, o := range r.published {
-		if o.Acked <= r.caches.back {
+		if o.Acked <= r.caches.restoredAt {
 			target = max(target, o.Index)
 		}
 	}
 	back := monotime.Instant(0)
-	for i := range machines {
+	for i := range controlServerCount {
 		if err := logtrace.ReadJSONLines(r.path("control-%d.trace.caches", i), func(x logtrace.CacheEvent) {
 			r.caches.records = append(r.caches.records, x)
-			if x.Cache == r.caches.cut && x.Index >= target && (back == 0 || x.At < back) {
+			if x.Cache == r.caches.unresponsive && x.Index >= target && (back == 0 || x.At < back) {
 				back = x.At
 			}
 		}); err != nil {
 			return err
 		}
 	}
-	if r.caches.back > 0 {
-		r.report.CacheRecoveryS = back.Since(r.caches.back).Seconds()
+	if r.caches.restoredAt > 0 {
+		r.report.CacheRecoveryS = back.Since(r.caches.restoredAt).Seconds()
 	}
-	rep := checker.CheckCaches(r.caches.purged, r.caches.records,
-		func(name string) bool { return name != r.caches.cut })
-	r.report.Caches = &rep
+	report := checker.CheckCaches(r.caches.purged, r.caches.records,
+		func(name string) bool { return name != r.caches.unresponsive })
+	r.report.Caches = &report
 	return nil
 }
--- a/internal/scale/logscale/rig/check.go
+++ b/internal/scale/logscale/rig/check.go
@@ -12,14 +12,14 @@
 // check passes all traces to the checker, computes the recovery time of the region that was cut off, and aggregates the
 // resource usage.
 func (r *run) check() error {
-	off := r.specs[r.CutRegion]
+	cutSpec := r.specs[r.CutRegion]
 	inCut := func(node uint32) bool {
-		return r.cutStart > 0 && node >= off.First && node < off.First+uint32(off.Nodes)
+		return r.cutStart > 0 && node >= cutSpec.First && node < cutSpec.First+uint32(cutSpec.Nodes)
 	}
-	j := checker.New(machines-1, func(node uint32) bool { return !inCut(node) })
-	for i := range machines - 1 {
+	traces := checker.New(controlServerCount-1, func(node uint32) bool { return !inCut(node) })
+	for i := range controlServerCount - 1 {
 		if err := logtrace.ReadJSONLines(r.path("control-%d.trace", i), func(k logtrace.DurableEntries) {
-			j.AddStored(i, k)
+			traces.AddStored(i, k)
 		}); err != nil {
 			return err
 		}
@@ -31,7 +31,7 @@
 	defer out.Close()
 	w := json.NewEncoder(out)
 	for _, o := range r.published {
-		j.AddPublished(o)
+		traces.AddPublished(o)
 		_ = w.Encode(o)
 	}
 	target := uint64(0)
@@ -42,7 +42,7 @@
 	}
 	for _, s := range r.specs {
 		if err := logtrace.Read(s.Trace, func(rec logtrace.NodeEvent) {
-			j.AddNodeRecord(rec)
+			traces.AddNodeRecord(rec)
 			if inCut(rec.Node) && rec.Kind == logtrace.Applied && rec.Index == target {
 				r.report.RegionRecoveryS = max(r.report.RegionRecoveryS, time.Duration(rec.At-r.cutEnd).Seconds())
 			}
@@ -50,9 +50,9 @@
 			return err
 		}
 	}
-	r.report.Check = j.Report(r.Nodes)
+	r.report.Check = traces.Report(r.Nodes)
 	if err := r.checkCaches(); err != nil {
 		return err
 	}
-	return r.usage()
+	return r.aggregateUsage()
 }
--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -56,7 +56,7 @@
 }
 
 // Delay returns the one-way delay from one region to another.
-func (b *RegionNetwork) Delay(from, to int) time.Duration {
+func (n *RegionNetwork) Delay(from, to int) time.Duration {
 	if from == to {
 		return intraRegionDelay
 	}
@@ -64,27 +64,27 @@
 	if d < 0 {
 		d = -d
 	}
-	return minRegionDelay + delayPerRegion*time.Duration(min(d, b.regions-d))
+	return minRegionDelay + delayPerRegion*time.Duration(min(d, n.regions-d))
 }
 
 // SetCut cuts a region off from all others, or reconnects it.
-func (b *RegionNetwork) SetCut(region int, is bool) { b.cut[region].Store(is) }
+func (n *RegionNetwork) SetCut(region int, is bool) { n.cut[region].Store(is) }
 
-func (b *RegionNetwork) isCut(from, to int) bool {
-	return from != to && (b.cut[from].Load() || b.cut[to].Load())
+func (n *RegionNetwork) isCut(from, to int) bool {
+	return from != to && (n.cut[from].Load() || n.cut[to].Load())
 }
 
 // Listen opens an address at which one region reaches a server in another one, and returns it. server is the server's
 // own address.
-func (b *RegionNetwork) Listen(from, to int, server string) (string, error) {
+func (n *RegionNetwork) Listen(from, to int, server string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	b.mu.Lock()
-	b.listeners = append(b.listeners, l)
-	b.mu.Unlock()
-	b.done.Go(func() {
+	n.mu.Lock()
+	n.listeners = append(n.listeners, l)
+	n.mu.Unlock()
+	n.done.Go(func() {
 		for {
 			c, err := l.Accept()
 			if errors.Is(err, net.ErrClosed) {
@@ -94,8 +94,8 @@
 				time.Sleep(acceptRetryPause)
 				continue
 			}
-			if b.track(c) {
-				b.done.Go(func() { b.stream(from, to, c, server) })
+			if n.track(c) {
+				n.done.Go(func() { n.forwardStream(from, to, c, server) })
 			}
 		}
 	})
@@ -103,102 +103,102 @@
 }
 
 // track registers a connection for Close. If the network is already closed it closes the connection and returns false.
-func (b *RegionNetwork) track(c net.Conn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (n *RegionNetwork) track(c net.Conn) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	select {
-	case <-b.closed:
+	case <-n.closed:
 		_ = c.Close()
 		return false
 	default:
 	}
-	b.conns[c] = true
+	n.conns[c] = true
 	return true
 }
 
-// release closes a connection and removes its registration.
-func (b *RegionNetwork) release(c net.Conn) {
-	b.mu.Lock()
-	delete(b.conns, c)
-	b.mu.Unlock()
+// closeConn closes a connection and removes its registration.
+func (n *RegionNetwork) closeConn(c net.Conn) {
+	n.mu.Lock()
+	delete(n.conns, c)
+	n.mu.Unlock()
 	_ = c.Close()
 }
 
 // wait waits for a duration. It returns false if the network is closed meanwhile.
-func (b *RegionNetwork) wait(d time.Duration) bool {
+func (n *RegionNetwork) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
 	select {
 	case <-time.After(d):
 		return true
-	case <-b.closed:
+	case <-n.closed:
 		return false
 	}
 }
 
 // retransmissionDelay draws the delay that lost packets cause to a chunk of the given size.
-func (b *RegionNetwork) retransmissionDelay(chance *keyhash.Source, bytes int,
+func (n *RegionNetwork) retransmissionDelay(chance *keyhash.Source, bytes int,
 	first time.Duration) (late time.Duration) {
-	if b.loss == 0 {
+	if n.loss == 0 {
 		return 0
 	}
-	p := 1 - math.Pow(1-b.loss, math.Ceil(float64(bytes)/segment))
-	for n := 0; n < maxRetransmits && chance.Float64() < p; n++ {
+	p := 1 - math.Pow(1-n.loss, math.Ceil(float64(bytes)/segment))
+	for losses := 0; losses < maxRetransmits && chance.Float64() < p; losses++ {
 		late += first
 		first *= 2
-		p = b.loss
-		b.lost.Add(1)
+		p = n.loss
+		n.lost.Add(1)
 	}
 	return late
 }
 
-// stream forwards one connection until it ends.
-func (b *RegionNetwork) stream(from, to int, near net.Conn, server string) {
-	defer b.release(near)
-	number := b.streams.Add(1)
-	chance := keyhash.Source{Seed: uint32(keyhash.Salted(uint64(b.seed), int(number)))}
-	if !b.wait(2*b.Delay(from, to) + b.retransmissionDelay(&chance, 1, synRetransmitDelay)) {
+// forwardStream forwards one connection until it ends.
+func (n *RegionNetwork) forwardStream(from, to int, near net.Conn, server string) {
+	defer n.closeConn(near)
+	number := n.streams.Add(1)
+	chance := keyhash.Source{Seed: uint32(keyhash.Salted(uint64(n.seed), int(number)))}
+	if !n.wait(2*n.Delay(from, to) + n.retransmissionDelay(&chance, 1, synRetransmitDelay)) {
 		return
 	}
-	for b.isCut(from, to) {
-		if !b.wait(cutPollInterval) {
+	for n.isCut(from, to) {
+		if !n.wait(cutPollInterval) {
 			return
 		}
 	}
 	far, err := net.DialTimeout("tcp", server, time.Second)
-	if err != nil || !b.track(far) {
+	if err != nil || !n.track(far) {
 		return
 	}
-	defer b.release(far)
+	defer n.closeConn(far)
 	var both sync.WaitGroup
-	both.Go(func() { b.carry(from, to, near, far, keyhash.Source{Seed: chance.Seed ^ 1}) })
-	both.Go(func() { b.carry(to, from, far, near, keyhash.Source{Seed: chance.Seed ^ 2}) })
+	both.Go(func() { n.forward(from, to, near, far, keyhash.Source{Seed: chance.Seed ^ 1}) })
+	both.Go(func() { n.forward(to, from, far, near, keyhash.Source{Seed: chance.Seed ^ 2}) })
 	both.Wait()
 }
 
-// piece is a part of a stream with its arrival time.
-type piece struct {
+// chunk is a part of a stream with its arrival time.
+type chunk struct {
 	due  time.Time
 	data []byte
 }
 
-// carry forwards one direction of a stream. The end of the stream is delayed like its data.
-func (b *RegionNetwork) carry(from, to int, in, out net.Conn, chance keyhash.Source) {
-	pieces := make(chan piece, maxChunksInFlight)
+// forward forwards one direction of a stream. The end of the stream is delayed like its data.
+func (n *RegionNetwork) forward(from, to int, in, out net.Conn, chance keyhash.Source) {
+	chunks := make(chan chunk, maxChunksInFlight)
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		buf := make([]byte, chunkBytes)
 		for {
-			n, err := in.Read(buf)
-			if n > 0 {
-				p := piece{
-					due:  time.Now().Add(b.Delay(from, to) + b.retransmissionDelay(&chance, n, firstRetransmitDelay)),
-					data: append([]byte(nil), buf[:n]...),
+			size, err := in.Read(buf)
+			if size > 0 {
+				p := chunk{
+					due:  time.Now().Add(n.Delay(from, to) + n.retransmissionDelay(&chance, size, firstRetransmitDelay)),
+					data: append([]byte(nil), buf[:size]...),
 				}
 				select {
-				case pieces <- p:
-				case <-b.closed:
+				case chunks <- p:
+				case <-n.closed:
 					return
 				}
 			}
@@ -207,12 +207,12 @@
 			}
 		}
 	}()
-	for p := range pieces {
-		if !b.wait(time.Until(p.due)) {
+	for p := range chunks {
+		if !n.wait(time.Until(p.due)) {
 			break
 		}
-		for b.isCut(from, to) {
-			if !b.wait(cutPollInterval) {
+		for n.isCut(from, to) {
+			if !n.wait(cutPollInterval) {
 				break
 			}
 		}
@@ -220,26 +220,26 @@
 			break
 		}
 	}
-	if b.wait(b.Delay(from, to)) {
-		for b.isCut(from, to) && b.wait(cutPollInterval) {
+	if n.wait(n.Delay(from, to)) {
+		for n.isCut(from, to) && n.wait(cutPollInterval) {
 		}
 	}
 	_ = out.Close()
 	_ = in.Close()
-	for range pieces { // unblocks the reader, which may be blocked on sending to the channel
+	for range chunks { // unblocks the reader, which may be blocked on sending to the channel
 	}
 }
 
 // Close closes all listeners and streams, and waits for their goroutines.
-func (b *RegionNetwork) Close() {
-	close(b.closed)
-	b.mu.Lock()
-	for _, l := range b.listeners {
+func (n *RegionNetwork) Close() {
+	close(n.closed)
+	n.mu.Lock()
+	for _, l := range n.listeners {
 		_ = l.Close()
 	}
-	for c := range b.conns {
+	for c := range n.conns {
 		_ = c.Close()
 	}
-	b.mu.Unlock()
-	b.done.Wait()
+	n.mu.Unlock()
+	n.done.Wait()
 }
--- a/internal/scale/logscale/rig/phases.go
+++ b/internal/scale/logscale/rig/phases.go
@@ -90,7 +90,7 @@
 			silent++
 		}
 	}
-	r.note("at the end of the cut: newest entry %d, %d nodes silent, according to fleet changes", o.Last, silent)
+	r.addNote("at the end of the cut: newest entry %d, %d nodes silent, according to fleet changes", o.Last, silent)
 	r.network.SetCut(region, false)
 	r.cutEnd = gossip.BootTime()
 	r.log("region %d is reconnected; newest entry %d", region, o.Last)
--- a/internal/scale/logscale/rig/process.go
+++ b/internal/scale/logscale/rig/process.go
@@ -41,11 +41,11 @@
 	return &process{c, in}, nil
 }
 
-// end stops all processes in an orderly way, so that they flush their records.
-func (r *run) end() error {
+// stopAll stops all processes in an orderly way, so that they flush their records.
+func (r *run) stopAll() error {
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	var fault error
+	var errs error
 	stop := func(p *process, how func()) {
 		all.Go(func() {
 			timer := time.AfterFunc(stopTimeout, func() { _ = p.Process.Kill() })
@@ -54,23 +54,23 @@
 			if err := p.Wait(); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				fault = errors.Join(fault, fmt.Errorf("%s: %w", strings.Join(p.Args[1:], " "), err))
+				errs = errors.Join(errs, fmt.Errorf("%s: %w", strings.Join(p.Args[1:], " "), err))
 			}
 		})
 	}
-	for _, p := range r.hollows {
+	for _, p := range r.simulated {
 		stop(p, func() { _ = p.in.Close() })
 	}
 	for _, p := range append(r.real, r.control[:]...) {
 		stop(p, func() { _ = p.Process.Signal(syscall.SIGTERM) })
 	}
 	all.Wait()
-	return fault
+	return errs
 }
 
-// kill kills the processes of the run that have not exited, by their handles.
-func (r *run) kill() {
-	for _, p := range append(append(append([]*process{}, r.hollows...), r.real...), r.control[:]...) {
+// killAll kills the processes of the run that have not exited, by their handles.
+func (r *run) killAll() {
+	for _, p := range append(append(append([]*process{}, r.simulated...), r.real...), r.control[:]...) {
 		if p != nil && p.ProcessState == nil {
 			_ = p.Process.Kill()
 			_ = p.Wait()
--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -67,7 +67,7 @@
 		}
 	}
 	if err != nil {
-		r.note("%s: cannot publish %d changes: %v", phase, len(all), err)
+		r.addNote("%s: cannot publish %d changes: %v", phase, len(all), err)
 	}
 }
 
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -35,22 +35,22 @@
 // run is the state of a run.
 type run struct {
 	Plan
-	network    *RegionNetwork
-	region     [machines]int    // regions of the control servers
-	peers      [machines]string // listen addresses of the control servers for each other
-	nodes      [machines]string // listen addresses of the control servers for nodes
-	control    [machines]*process
-	hollows    []*process
-	specs      []Spec
-	real       []*process
-	client     controlclient.Client
-	mu         sync.Mutex
-	published  []logtrace.PublishedChange
-	report     Report
-	phaseMarks []mark
-	cutStart   monotime.Instant
-	cutEnd     monotime.Instant
-	caches     caches
+	network     *RegionNetwork
+	region      [controlServerCount]int    // regions of the control servers
+	peers       [controlServerCount]string // listen addresses of the control servers for each other
+	nodes       [controlServerCount]string // listen addresses of the control servers for nodes
+	control     [controlServerCount]*process
+	simulated   []*process
+	specs       []Spec
+	real        []*process
+	client      controlclient.Client
+	mu          sync.Mutex
+	published   []logtrace.PublishedChange
+	report      Report
+	phaseUsages []phaseUsage
+	cutStart    monotime.Instant
+	cutEnd      monotime.Instant
+	caches      caches
 }
 
 // log writes a line of progress with the time of day.
@@ -58,8 +58,8 @@
 	fmt.Fprintf(r.Log, "%s "+format+"\n", append([]any{time.Now().Format("15:04:05")}, args...)...)
 }
 
-// note adds a note to the report.
-func (r *run) note(format string, args ...any) {
+// addNote adds a note to the report.
+func (r *run) addNote(format string, args ...any) {
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 }
 
@@ -77,7 +77,7 @@
 	}
 	r := newRun(p)
 	defer r.network.Close()
-	defer r.kill()
+	defer r.killAll()
 	defer r.closeCaches()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 		}
 		r.readAll()
 	}
-	if err := r.end(); err != nil {
+	if err := r.stopAll(); err != nil {
 		return nil, err
 	}
 	return &r.report, r.check()
@@ -119,7 +119,7 @@
 
 // measure runs a phase, waits until every node has every entry, and records the resource usage of all processes.
 func (r *run) measure(ctx context.Context, phase string) error {
-	m := mark{phase: phase, from: gossip.BootTime(), before: r.usedBy()}
+	usage := phaseUsage{phase: phase, from: gossip.BootTime(), cpuBefore: r.cpuSecondsByPID()}
 	r.log("%s begins; load %s", phase, LoadAverage())
 	if err := r.phase(ctx, phase); err != nil {
 		return err
@@ -129,10 +129,10 @@
 	}
 	r.measureShown(ctx, phase)
 	time.Sleep(2 * sampleInterval) // separates the samples of consecutive phases
-	m.until = gossip.BootTime()
-	m.after = r.usedBy()
-	m.rss = r.residentBy()
-	r.phaseMarks = append(r.phaseMarks, m)
+	usage.until = gossip.BootTime()
+	usage.cpuAfter = r.cpuSecondsByPID()
+	usage.rss = r.residentBytesByPID()
+	r.phaseUsages = append(r.phaseUsages, usage)
 	return nil
 }
 
@@ -191,7 +191,7 @@
 					behind = append(behind, fmt.Sprintf("%+v", n))
 				}
 			}
-			r.note("after %v not all nodes have all entries: error %v, leader known %t, %d nodes; behind: %.2000s",
+			r.addNote("after %v not all nodes have all entries: error %v, leader known %t, %d nodes; behind: %.2000s",
 				settleTimeout, err, o.HasLeader, len(o.Nodes), strings.Join(behind, "; "))
 			return nil
 		}
@@ -202,7 +202,7 @@
 func (r *run) countCompleteRealNodes() {
 	o, err := r.client.Overview()
 	if err != nil {
-		r.note("cannot count the real nodes with all entries: %v", err)
+		r.addNote("cannot count the real nodes with all entries: %v", err)
 		return
 	}
 	for _, n := range o.Nodes {
--- a/internal/scale/logscale/rig/simulatednode.go
+++ b/internal/scale/logscale/rig/simulatednode.go
@@ -68,64 +68,72 @@
 	_ = logtrace.Write(w.w, r) // after a write error the checker reports missing entries
 }
 
-// hollow is a simulated node. It follows the log with the production code, but only records the entries that it
+// simulatedNode is a simulated node. It follows the log with the production code, but only records the entries that it
 // applies.
-type hollow struct {
-	reader *replicatedlog.Applier
-	to     *writer
-	number uint32
-	begins bool   // Start is running, which applies the initial configuration
-	mark   uint64 // hash of the initial configuration; 0 for none
+type simulatedNode struct {
+	applier    *replicatedlog.Applier
+	trace      *writer
+	number     uint32
+	starting   bool   // Start is running, which applies the initial configuration
+	configHash uint64 // hash of the initial configuration; 0 for none
 }
 
 // PresumePurged implements the target of an Applier. The node has no cached values to remove.
-func (h *hollow) PresumePurged(replicatedlog.Index) {}
+func (n *simulatedNode) PresumePurged(replicatedlog.Index) {}
 
-// note records the application of an entry. During Start it only remembers the hash of the initial configuration.
-func (h *hollow) note(what logtrace.NodeEventKind, at replicatedlog.Index, kind replicatedlog.Kind, body string) {
+// record writes the application of an entry to the trace. During Start it only remembers the hash of the initial
+// configuration.
+func (n *simulatedNode) record(
+	what logtrace.NodeEventKind, at replicatedlog.Index, kind replicatedlog.Kind, body string,
+) {
 	mark := replicatedlog.Proposal{Kind: kind, Body: []byte(body)}.ContentHash()
-	if h.begins {
-		h.mark = mark
+	if n.starting {
+		n.configHash = mark
 		return
 	}
-	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: h.number, Kind: what})
+	n.trace.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Mark: mark, Node: n.number, Kind: what})
 }
 
 // Purge records a purge.
-func (h *hollow) Purge(at replicatedlog.Index, key string) {
-	h.note(logtrace.Applied, at, replicatedlog.Purge, key)
+func (n *simulatedNode) Purge(at replicatedlog.Index, key string) {
+	n.record(logtrace.Applied, at, replicatedlog.Purge, key)
 }
 
 // Configure records a configuration.
-func (h *hollow) Configure(at replicatedlog.Index, text []byte) error {
-	h.note(logtrace.Applied, at, replicatedlog.Config, string(text))
+func (n *simulatedNode) Configure(at replicatedlog.Index, text []byte) error {
+	n.record(logtrace.Applied, at, replicatedlog.Config, string(text))
 	return nil
 }
 
 // Start starts the node at an index under a configuration, like an Applier, and records the start.
-func (h *hollow) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
-	h.begins = true
-	h.mark = 0
-	err := h.reader.Start(log, at, config)
-	h.begins = false
+func (n *simulatedNode) Start(log replicatedlog.LogID, at replicatedlog.Index, config cbor.RawMessage) error {
+	n.starting = true
+	n.configHash = 0
+	err := n.applier.Start(log, at, config)
+	n.starting = false
 	if err == nil {
-		h.to.put(logtrace.NodeEvent{
+		n.trace.put(logtrace.NodeEvent{
 			At:    gossip.BootTime(),
 			Index: uint64(at),
-			Mark:  h.mark,
-			Node:  h.number,
+			Mark:  n.configHash,
+			Node:  n.number,
 			Kind:  logtrace.Began,
 		})
 	}
 	return err
 }
 
-func (h *hollow) Apply(raw []cbor.RawMessage) error       { return h.reader.Apply(raw) }
-func (h *hollow) CurrentProgress() replicatedlog.Progress { return h.reader.CurrentProgress() }
+func (n *simulatedNode) Apply(raw []cbor.RawMessage) error       { return n.applier.Apply(raw) }
+func (n *simulatedNode) CurrentProgress() replicatedlog.Progress { return n.applier.CurrentProgress() }
 
 // onProgressSent records that the node has reported its progress to a control server.
-func (h *hollow) onProgressSent(at replicatedlog.Index) {
-	h.to.put(logtrace.NodeEvent{At: gossip.BootTime(), Index: uint64(at), Node: h.number, Kind: logtrace.Acknowledged})
+func (n *simulatedNode) onProgressSent(at replicatedlog.Index) {
+	n.trace.put(logtrace.NodeEvent{
+		At:    gossip.BootTime(),
+		Index: uint64(at),
+		Node:  n.number,
+		Kind:  logtrace.Acknowledged,
+	})
 }
 
 // SimulatedNodeName returns the name of the simulated node with a number.
@@ -150,18 +158,18 @@
 		return err
 	}
 	to := &writer{w: bufio.NewWriterSize(traced, traceBufferBytes)}
-	ends := make(chan error, 1)
+	inputEnd := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, until)
-		ends <- err
+		inputEnd <- err
 	}()
 	all := startFollowers(s, to)
-	each := time.NewTicker(sampleInterval)
-	defer each.Stop()
+	ticker := time.NewTicker(sampleInterval)
+	defer ticker.Stop()
 	for over := false; !over; {
 		select {
-		case <-each.C:
-		case err = <-ends:
+		case <-ticker.C:
+		case err = <-inputEnd:
 			over = true
 		}
 		err = errors.Join(err, json.NewEncoder(stats).Encode(sample(all)))
@@ -178,19 +186,19 @@
 	log.SetLevel(logrus.ErrorLevel)
 	var all []*logfollower.Follower
 	for i := range s.Nodes {
-		h := &hollow{to: to, number: s.First + uint32(i)}
-		h.reader = replicatedlog.NewApplier(h)
+		node := &simulatedNode{trace: to, number: s.First + uint32(i)}
+		node.applier = replicatedlog.NewApplier(node)
 		all = append(all, logfollower.Start(logfollower.Config{
-			Name:           SimulatedNodeName(h.number),
-			Process:        uint64(h.number) + 1,
+			Name:           SimulatedNodeName(node.number),
+			Process:        uint64(node.number) + 1,
 			Label:          s.Label,
 			Servers:        s.Servers,
-			Seed:           s.Seed + h.number,
+			Seed:           s.Seed + node.number,
 			StaleAfter:     staleAfter,
-			Applier:        h,
+			Applier:        node,
 			Log:            log,
 			Now:            gossip.BootTime,
-			OnProgressSent: h.onProgressSent,
+			OnProgressSent: node.onProgressSent,
 		}))
 		time.Sleep(startSpread / time.Duration(s.Nodes))
 	}
@@ -201,7 +209,13 @@
 func sample(all []*logfollower.Follower) Sample {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	s := Sample{At: gossip.BootTime(), CPU: cpu(), RSS: resident(os.Getpid()), Heap: m.HeapAlloc, Least: 1 << 62}
+	s := Sample{
+		At:    gossip.BootTime(),
+		CPU:   ownCPUSeconds(),
+		RSS:   residentBytes(os.Getpid()),
+		Heap:  m.HeapAlloc,
+		Least: 1 << 62,
+	}
 	for _, f := range all {
 		now := f.Status()
 		s.In = append(s.In, now.BytesIn)
@@ -216,15 +230,15 @@
 	return s
 }
 
-// cpu returns the CPU time of the current process in seconds.
-func cpu() float64 {
+// ownCPUSeconds returns the CPU time of the current process in seconds.
+func ownCPUSeconds() float64 {
 	var u unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &u)
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9
 }
 
-// resident returns the resident memory of a process in bytes, or 0 if the process has exited.
-func resident(pid int) int64 {
+// residentBytes returns the resident memory of a process in bytes, or 0 if the process has exited.
+func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if f := strings.Fields(string(text)); err == nil && len(f) > 1 {
 		pages, _ := strconv.ParseInt(f[1], 10, 64)
@@ -235,8 +249,8 @@
 
 const ticksASecond = 100 // unit of CPU times in /proc on Linux, per second
 
-// used returns the CPU time of a process in seconds, or 0 if the process has exited.
-func used(pid int) float64 {
+// cpuSeconds returns the CPU time of a process in seconds, or 0 if the process has exited.
+func cpuSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	label        = "scale-changes"  // label of the fleet
-	machines     = 4                // number of control servers: three voters and a learner
-	readyTimeout = 40 * time.Second // time in which all nodes must follow the log
+	label              = "scale-changes"  // label of the fleet
+	controlServerCount = 4                // number of control servers: three voters and a learner
+	readyTimeout       = 40 * time.Second // time in which all nodes must follow the log
 )
 
 // start starts all processes and waits until all nodes follow the log.
@@ -25,7 +25,7 @@
 	if err := r.openCaches(); err != nil {
 		return err
 	}
-	for i := range machines {
+	for i := range controlServerCount {
 		if err := r.writeControlFile(i); err != nil {
 			return err
 		}
@@ -37,7 +37,7 @@
 	first := uint32(0)
 	for region := range r.Regions {
 		nodes := r.Nodes*(region+1)/r.Regions - r.Nodes*region/r.Regions
-		if err := r.startHollows(region, first, nodes); err != nil {
+		if err := r.startSimulatedNodes(region, first, nodes); err != nil {
 			return err
 		}
 		first += uint32(nodes)
@@ -52,8 +52,8 @@
 
 // reserveAddresses assigns regions and free addresses to the control servers.
 func (r *run) reserveAddresses() error {
-	for i := range machines {
-		r.region[i] = i * r.Regions / machines
+	for i := range controlServerCount {
+		r.region[i] = i * r.Regions / controlServerCount
 		var err error
 		if r.peers[i], err = freeport.Free(); err != nil {
 			return err
@@ -69,12 +69,12 @@
 func (r *run) writeControlFile(i int) error {
 	text := fmt.Sprintf("[control]\nid = %d\nlabel = %q\npeers = %q\nnodes = %q\ndata = %q\n",
 		i+1, label, r.peers[i], r.nodes[i], r.path("data-%d", i))
-	for j := range machines {
+	for j := range controlServerCount {
 		addr, err := r.network.Listen(r.region[i], r.region[j], r.peers[j])
 		if err != nil {
 			return err
 		}
-		isLearner := j == machines-1
+		isLearner := j == controlServerCount-1
 		text += fmt.Sprintf("[[machine]]\nid = %d\nname = \"control-%d\"\naddr = %q\nlearner = %t\n",
 			j+1, j, addr, isLearner)
 	}
@@ -85,8 +85,8 @@
 	return os.WriteFile(r.path("control-%d.toml", i), []byte(text+caches), 0o644)
 }
 
-// startHollows starts a region's process of simulated nodes, which are numbered from first.
-func (r *run) startHollows(region int, first uint32, nodes int) error {
+// startSimulatedNodes starts a region's process of simulated nodes, which are numbered from first.
+func (r *run) startSimulatedNodes(region int, first uint32, nodes int) error {
 	servers, err := r.controlAddresses(region)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	r.hollows = append(r.hollows, p)
+	r.simulated = append(r.simulated, p)
 	r.specs = append(r.specs, spec)
 	return nil
 }
@@ -140,7 +140,7 @@
 // controlAddresses returns the addresses at which a region reaches the control servers.
 func (r *run) controlAddresses(region int) ([]string, error) {
 	var addresses []string
-	for j := range machines {
+	for j := range controlServerCount {
 		addr, err := r.network.Listen(region, r.region[j], r.nodes[j])
 		if err != nil {
 			return nil, err
--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -9,12 +9,12 @@
 	"dahliapin/internal/monotime"
 )
 
-// mark records the start and the end of a phase, and the usage of control servers and real nodes by process ID.
-type mark struct {
+// phaseUsage records the start and the end of a phase, and the usage of control servers and real nodes by process ID.
+type phaseUsage struct {
 	phase       string
 	from, until monotime.Instant
-	before      map[int]float64 // CPU time at the start, in seconds
-	after       map[int]float64 // CPU time at the end, in seconds
+	cpuBefore   map[int]float64 // CPU time at the start, in seconds
+	cpuAfter    map[int]float64 // CPU time at the end, in seconds
 	rss         map[int]int64   // resident memory at the end, in bytes
 }
 
@@ -26,45 +26,45 @@
 	return all
 }
 
-// usedBy returns the CPU times, in seconds, by process ID.
-func (r *run) usedBy() map[int]float64 {
+// cpuSecondsByPID returns the CPU times, in seconds, by process ID.
+func (r *run) cpuSecondsByPID() map[int]float64 {
 	all := map[int]float64{}
 	for _, pid := range r.pids() {
-		all[pid] = used(pid)
+		all[pid] = cpuSeconds(pid)
 	}
 	return all
 }
 
-// residentBy returns the resident memory, in bytes, by process ID.
-func (r *run) residentBy() map[int]int64 {
+// residentBytesByPID returns the resident memory, in bytes, by process ID.
+func (r *run) residentBytesByPID() map[int]int64 {
 	all := map[int]int64{}
 	for _, pid := range r.pids() {
-		all[pid] = resident(pid)
+		all[pid] = residentBytes(pid)
 	}
 	return all
 }
 
-// usage aggregates the resource usage of each phase.
-func (r *run) usage() error {
+// aggregateUsage aggregates the resource usage of each phase.
+func (r *run) aggregateUsage() error {
 	lastPhase := ""
-	if len(r.phaseMarks) > 0 {
-		lastPhase = r.phaseMarks[len(r.phaseMarks)-1].phase
+	if len(r.phaseUsages) > 0 {
+		lastPhase = r.phaseUsages[len(r.phaseUsages)-1].phase
 	}
-	for _, m := range r.phaseMarks {
-		hollows, err := r.hollowUsage(m, m.phase == lastPhase)
+	for _, m := range r.phaseUsages {
+		simulated, err := r.simulatedUsage(m, m.phase == lastPhase)
 		if err != nil {
 			return err
 		}
-		r.report.Usage = append(r.report.Usage, hollows)
+		r.report.Usage = append(r.report.Usage, simulated)
 		r.addProcessUsage(m, "real node", r.real)
 		r.addProcessUsage(m, "control machine", r.control[:])
 	}
 	return nil
 }
 
-// hollowUsage returns the usage of the simulated nodes during a phase. For the last phase it also adds the totals of
+// simulatedUsage returns the usage of the simulated nodes during a phase. For the last phase it also adds the totals of
 // the run to the report.
-func (r *run) hollowUsage(m mark, isLast bool) (Usage, error) {
+func (r *run) simulatedUsage(m phaseUsage, isLast bool) (Usage, error) {
 	u := Usage{Phase: m.phase, Role: "hollow node", Count: r.Nodes}
 	var in, out, both, core []float64
 	for region, spec := range r.specs {
@@ -104,7 +104,7 @@
 
 // samples returns the last samples of a region before the beginning and before the end of a phase. For the region that
 // was cut off it also records how many nodes were stale during the cut.
-func (r *run) samples(region int, m mark) (first, last Sample, err error) {
+func (r *run) samples(region int, m phaseUsage) (first, last Sample, err error) {
 	err = logtrace.ReadJSONLines(r.specs[region].Stats, func(s Sample) {
 		if s.At <= m.from || first.At == 0 {
 			first = s
@@ -121,7 +121,7 @@
 
 // addProcessUsage adds the usage of the processes of a role during a phase, if there are any. For a process that was
 // restarted during the phase, it is the usage since the restart.
-func (r *run) addProcessUsage(m mark, role string, all []*process) {
+func (r *run) addProcessUsage(m phaseUsage, role string, all []*process) {
 	if len(all) == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 	var core []float64
 	for _, p := range all {
 		pid := p.Process.Pid
-		core = append(core, (m.after[pid]-m.before[pid])/seconds*100)
+		core = append(core, (m.cpuAfter[pid]-m.cpuBefore[pid])/seconds*100)
 		u.MB = max(u.MB, float64(m.rss[pid])/bytesPerMB)
 	}
 	u.Core = median(core)
