--- a/internal/scale/logscale/rig/usage.go
+++ b/internal/scale/logscale/rig/usage.go
@@ -9,6 +9,13 @@
 	"dahliapin/internal/monotime"
 )
 
+// The roles of processes in reports, whose format is stable.
+const (
+	roleSimulatedNode = "hollow node"
+	roleRealNode      = "real node"
+	roleControlServer = "control machine"
+)
+
 // phaseUsage records the start and the end of a phase, and the usage of control servers and real nodes by process ID.
 type phaseUsage struct {
 	phase       string
@@ -56,8 +63,8 @@
 			return err
 		}
 		r.report.Usage = append(r.report.Usage, simulated)
-		r.addProcessUsage(m, "real node", r.real)
-		r.addProcessUsage(m, "control machine", r.control[:])
+		r.addProcessUsage(m, roleRealNode, r.real)
+		r.addProcessUsage(m, roleControlServer, r.control[:])
 	}
 	return nil
 }
@@ -65,7 +72,7 @@
 // simulatedUsage returns the usage of the simulated nodes during a phase. For the last phase it also adds the totals of
 // the run to the report.
 func (r *run) simulatedUsage(m phaseUsage, isLast bool) (Usage, error) {
-	u := Usage{Phase: m.phase, Role: "hollow node", Count: r.Nodes}
+	u := Usage{Phase: m.phase, Role: roleSimulatedNode, Count: r.Nodes}
 	var in, out, both, core []float64
 	for region, spec := range r.specs {
 		first, last, err := r.samples(region, m)
