--- a/internal/scale/logscale/rig/network.go
+++ b/internal/scale/logscale/rig/network.go
@@ -193,7 +193,8 @@
 			size, err := in.Read(buf)
 			if size > 0 {
 				p := chunk{
-					due:  time.Now().Add(n.Delay(from, to) + n.retransmissionDelay(&chance, size, firstRetransmitDelay)),
+					due: time.Now().Add(
+						n.Delay(from, to) + n.retransmissionDelay(&chance, size, firstRetransmitDelay)),
 					data: append([]byte(nil), buf[:size]...),
 				}
 				select {
