--- a/internal/emulator/checker/viewcheck.go
+++ b/internal/emulator/checker/viewcheck.go
@@ -177,7 +177,7 @@
 	return 2*healthy > c.Nodes
 }
 
-// checkRemoval judges the removal of one node by another.
+// checkRemoval checks the removal of one node by another.
 func (c *viewCheck) checkRemoval(by, node int, before []string, at policy.Instant) {
 	seconds := time.Duration(at).Seconds()
 	cause := c.faultOf(node, at, removalSlack)
