--- a/cmd/dahliapin/demo.go
+++ b/cmd/dahliapin/demo.go
@@ -15,7 +15,7 @@
 const (
 	minDemoDuration = time.Second
 	maxDemoDuration = time.Hour
-	minDemoFleet    = 3 // nodes: with fewer, no node can tell which of them is partitioned
+	minDemoFleet    = 3 // nodes: with fewer, no node can determine which of them is partitioned
 	maxDemoFleet    = 12
 )
 
--- a/cmd/dahliapin/syscall_fault_node_test.go
+++ b/cmd/dahliapin/syscall_fault_node_test.go
@@ -218,8 +218,8 @@
 	var all sync.WaitGroup
 	log, began := &faultLog{}, time.Now()
 	goesOn := func() bool {
-		unmet := injection != nil && injection.Injected() == 0
-		return time.Since(began) < length || unmet && time.Since(began) < maxLoad
+		notInjected := injection != nil && injection.Injected() == 0
+		return time.Since(began) < length || notInjected && time.Since(began) < maxLoad
 	}
 	for i := range 4 {
 		all.Go(func() {
--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -182,8 +182,8 @@
 
 // faultCount counts the outcomes of the test points.
 type faultCount struct {
-	mu                 sync.Mutex
-	ran, unmet, broken int
+	mu                     sync.Mutex
+	ran, notCalled, broken int
 }
 
 // add records the outcome of a test point, at which injected calls failed.
@@ -192,7 +192,7 @@
 	defer c.mu.Unlock()
 	c.ran++
 	if injected == 0 {
-		c.unmet++
+		c.notCalled++
 		t.Logf("%s: the call was not made", f)
 	}
 	if len(failures) > 0 {
@@ -201,9 +201,9 @@
 	}
 }
 
-// maxUnmetFraction is the divisor of the number of points at which the call may not be made: one in 10, as a node makes
+// notCalledDivisor is the divisor of the number of points at which the call may not be made: one in 10, as a node makes
 // some calls only rarely.
-const maxUnmetFraction = 10
+const notCalledDivisor = 10
 
 // TestSyscallFaults injects each error that Linux documents at each of a node's system calls. Each request must get one
 // answer, no request that was sent to a server may be answered as rejected, nothing may spin, no descriptor may leak,
@@ -233,12 +233,12 @@
 		}
 	})
 	t.Logf("%d of %d points ran, of which %d had no call; %d failed",
-		count.ran, len(all), count.unmet, count.broken)
+		count.ran, len(all), count.notCalled, count.broken)
 	if count.ran == 0 && !t.Failed() {
 		t.Skip("cannot trace here") // no node was permitted to trace; any other error would have failed the test
 	}
 	// Guards against an injector that injects nothing, with which every point would pass.
-	if count.ran < len(all) || count.unmet*maxUnmetFraction > len(all) {
-		t.Errorf("%d of %d points ran, and %d of these had no call", count.ran, len(all), count.unmet)
+	if count.ran < len(all) || count.notCalled*notCalledDivisor > len(all) {
+		t.Errorf("%d of %d points ran, and %d of these had no call", count.ran, len(all), count.notCalled)
 	}
 }
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -105,7 +105,7 @@
 func (d *delivery) run() {
 	d.timer = time.NewTimer(0)
 	defer d.timer.Stop()
-	d.heartbeatDue = true // the first message tells the node at once whether this server has a leader
+	d.heartbeatDue = true // the first message states immediately whether this server has a leader
 	d.lastSend = time.Now()
 	for {
 		changed := d.server.sharedLog.Changed()
--- a/internal/control/controlserver/queue.go
+++ b/internal/control/controlserver/queue.go
@@ -14,7 +14,7 @@
 const (
 	maxPending      = 16_384      // waiting proposals; calls that exceed it are rejected
 	maxPendingBytes = 16 << 20    // total size of their bodies
-	proposeInterval = time.Second // until a proposal is passed to raft again: the leader that got it may be gone
+	proposeInterval = time.Second // until a proposal is passed to raft again, as the leader that got it may have failed
 )
 
 // publishCall is a client's call to publish. The client's goroutine reads the result once done is closed.
--- a/internal/membership/evidence.go
+++ b/internal/membership/evidence.go
@@ -62,7 +62,7 @@
 // that it hears others, but not that it misses them.
 func (d *Detector) countObserver(observer *peer) {
 	if observer.Isolated && observer.isMember() {
-		// Isolated members count against a removal; otherwise a few observers would decide where most cannot tell.
+		// Isolated members count against a removal; otherwise a few observers would decide while most are not trusted.
 		d.forEach(observer.Hears, func(e *evidence) { e.isolatedNeighbours++ })
 		d.forEach(observer.Misses, func(e *evidence) { e.isolatedNeighbours++ })
 	}
@@ -90,7 +90,7 @@
 
 // isCurrent reports whether the statement of a process can be taken as up to date. One that several members miss may
 // have made it long ago, unless this process hears it. Without this rule, the last statements of the two sides of a
-// partition would discredit each other for good.
+// partition would discredit each other permanently.
 func (d *Detector) isCurrent(observer *peer) bool {
 	return observer == d.self || observer.evidence.missedByAny < d.rules.minObservers || d.isHeard(observer)
 }
--- a/internal/membership/evidence_test.go
+++ b/internal/membership/evidence_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Guards against the removal of a process because of one bad link, or one observer that is cut off itself: at least two
-// must miss it, and more than those that hear it or cannot tell.
+// must miss it, and more than those that hear it or are isolated.
 func TestRemovalRequiresMajorityOfObservers(t *testing.T) {
 	d := New(Config{}, 1, "n", "a", nil)
 	for _, c := range []struct {
--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -19,7 +19,7 @@
 	maxBatchedBytes = 4 << 10
 )
 
-// onTick tells the reader of datagrams that a tick has occurred, and whether to read datagrams only once a tick.
+// onTick signals a tick to the reader of datagrams, and sets whether datagrams are read only once a tick.
 //
 // In a large fleet, waking up for one datagram at a time would take most of the node's time for the fleet: twelve
 // neighbours send forty heartbeats a second. The detector evaluates heartbeats only at ticks, so batching delays no
--- a/internal/membership/statement.go
+++ b/internal/membership/statement.go
@@ -41,7 +41,7 @@
 	return !slices.Contains(s.Hears, s.Process) && !slices.Contains(s.Misses, s.Process)
 }
 
-// Heartbeat tells a neighbour that its sender is alive.
+// Heartbeat shows a neighbour that its sender is alive.
 type Heartbeat struct {
 	Process    ProcessID
 	Revision   Revision // of the sender's statement
@@ -99,7 +99,7 @@
 }
 
 // mergeOwn handles a statement about this process itself. If its revision is higher than the current one, this process
-// has lost its count, and continues above that revision: its statements would be ignored as outdated otherwise.
+// has lost count and continues above that revision, as others would ignore its statements as old otherwise.
 func (d *Detector) mergeOwn(s Statement) {
 	if s.Revision > d.self.Revision {
 		d.self.Revision = s.Revision
