--- a/internal/emulator/scenario/nemesis.go
+++ b/internal/emulator/scenario/nemesis.go
@@ -83,7 +83,7 @@
 	s.Name = fmt.Sprintf("nemesis-%d", seed)
 	s.Seed = seed
 	s.Seconds = math.Max(seconds, formingTime+quietTime+minFaultTime)
-	s.About = "A random schedule of faults of nodes and the links between them."
+	s.About = "A random schedule of troubles between nodes."
 	s.Fleet.Nodes = nodes
 	s.Fleet.Caches = 4
 	s.Traffic.PerSecond = 100
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -48,7 +48,7 @@
 	s := &d.scenario
 	s.Name, s.Seed, s.Seconds =
 		fmt.Sprintf("soak-%d", seed), seed, math.Max(seconds, soakStart+soakMaxFault+soakQuietTime)
-	s.About = "A random deployment, with random faults that overlap."
+	s.About = "A random deployment, with random troubles that overlap."
 	d.end = s.Seconds - soakQuietTime
 	d.drawDeployment()
 	d.drawClasses()
