--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,18 +11,20 @@
 	// below it. With fewer, random losses would look like a congestion collapse. It counts attempts rather than time,
 	// so that a node with few requests detects overload after as many attempts as one with hundreds.
 	admissionWindow = 10.0
-	// maxOfferedPerUseful is how many attempts may be offered for each useful one before requests are shed. The margin
-	// tolerates a few random failures.
+	// maxOfferedPerUseful is how many attempts may be offered for each useful one before requests are shed, after
+	// minAdmittedShare of the offered ones is deducted; without the deduction it is 1.13. The margin tolerates a few
+	// random failures.
 	maxOfferedPerUseful = 1.1
 	// rejectionWeight is how much a rejection by a cache counts among the offered attempts: it is useless, but cheap.
 	rejectionWeight = 0.1
-	// minAdmittedShare is the fraction of the offered requests that is always admitted, to detect a recovery.
+	// minAdmittedShare is the fraction of the requests with a shed preference of 1 that is admitted while no attempt is
+	// useful, to detect a recovery. It is smaller for a higher preference.
 	minAdmittedShare = 0.03
 	// minPriority is the lowest priority that enters the shed preference, which bounds the preference of requests with
 	// almost no value.
 	minPriority = 0.01
-	// shedPreferenceWindow is the number of requests over which the mean shed preference is smoothed.
-	shedPreferenceWindow = 50
+	// rawPreferenceWindow is the number of requests over which the mean raw preference is smoothed.
+	rawPreferenceWindow = 50
 )
 
 // admissionController compares the load offered to a scope's caches with how much of it was useful.
@@ -39,26 +41,28 @@
 	settings    *Settings
 	rng         *keyhash.Source
 	controllers [cacheScopeCount]admissionController // homeZone, otherZones
-	// meanShedPreference is the smoothed mean of the shed preference of requests.
-	meanShedPreference float64
+	// meanRawPreference is the smoothed mean of the raw preference of requests: the inverse square root of their
+	// priority.
+	meanRawPreference float64
 }
 
 func newAdmission(settings *Settings, rng *keyhash.Source) admission {
 	initial := admissionController{offered: admissionWindow, useful: admissionWindow}
 	return admission{
-		settings:           settings,
-		rng:                rng,
-		controllers:        [cacheScopeCount]admissionController{initial, initial},
-		meanShedPreference: 1,
+		settings:          settings,
+		rng:               rng,
+		controllers:       [cacheScopeCount]admissionController{initial, initial},
+		meanRawPreference: 1,
 	}
 }
 
-// shedPreference returns how likely a request of a priority is to be shed: 1 on average, more for lower priorities. It
-// is relative to the mean; otherwise a large number of low-priority requests would all be shed permanently.
+// shedPreference returns how likely a request of a priority is to be shed: about 1 on average, more for lower
+// priorities. It is the raw preference relative to its mean; otherwise a large number of low-priority requests would
+// all be shed permanently.
 func (a *admission) shedPreference(priority float64) float64 {
-	preference := 1 / math.Sqrt(max(priority, minPriority))
-	a.meanShedPreference += (preference - a.meanShedPreference) / shedPreferenceWindow
-	return preference / a.meanShedPreference
+	rawPreference := 1 / math.Sqrt(max(priority, minPriority))
+	a.meanRawPreference += (rawPreference - a.meanRawPreference) / rawPreferenceWindow
+	return rawPreference / a.meanRawPreference
 }
 
 // shouldShed decides at random whether to reject a request that would go to a scope's caches. The probability grows
--- a/policy/coalescing.go
+++ b/policy/coalescing.go
@@ -45,8 +45,9 @@
 }
 
 // complete ends the fetch of a leader. If it was answered, reads that wait for the key learn which cache now holds the
-// value. Writes do not: a write sent to that cache would take effect there, and again at the origin when the client
-// retries it.
+// value: the one that the leader missed. The router does not store the value there, it assumes that this has happened
+// by the time of the answer; otherwise the reads miss again. Writes do not learn of the cache: a write sent to that
+// cache would take effect there, and again at the origin when the client retries it.
 func (c *coalescer) complete(leader *Request, result Result) {
 	delete(c.leaders, leader.state.key)
 	missedAt := slices.IndexFunc(leader.Attempts, isCacheMiss)
@@ -69,8 +70,8 @@
 }
 
 // wake returns the waiters to route again: those whose value has been cached, and as many others as the origin has
-// capacity for, by demand for their key in descending order and then by age. It runs on each outcome, so it sorts the
-// waiters only if the origin has capacity.
+// capacity for, by demand for their key in descending order. It runs on each outcome, so it sorts the waiters only if
+// the origin has capacity.
 func (c *coalescer) wake(free int, demand *popularity) []RequestID {
 	c.waiters = slices.DeleteFunc(c.waiters, func(waiter *Request) bool {
 		return waiter.Finished || slices.ContainsFunc(waiter.Attempts, isInFlight)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -11,7 +11,7 @@
 //   - Route when a request arrives, at the ReviewAt of its last Decision, and when the Decision of another request
 //     names it in Wake;
 //   - MayStart before it sends an attempt whose connection took time to open;
-//   - OnAttemptDone when an attempt has ended in any way, after it has closed the Attempt;
+//   - OnAttemptDone when an attempt has ended in any way, after it has set the Attempt's Result and cleared InFlight;
 //   - OnHealthCheck when a health check that Tick requested has ended;
 //   - Tick at the intervals given by its last result; the caller carries out the resulting Actions.
 //
@@ -26,15 +26,16 @@
 //  1. request.go: derive the request's class, its priority (lower if it is over its tenant's quota, quota.go) and its
 //     shed preference.
 //  2. hedge.go: if an attempt is in flight, decide on a hedge or a cancellation. hedgeOrCancel decides every hedge.
-//  3. retry.go: otherwise, decide whether another attempt is possible. If not, rejectOrFail answers with a rejection
-//     or a failure. All rejections and failures of this package come from rejectOrFail (a node also rejects in
-//     degradation.Filter.Admit and in proxy.acceptRequest). Its callers are firstOrRetry (no attempt, time or budget
-//     is left), sendToReplica (admission sheds the request, or all queues are full) and sendToOrigin (the request may
-//     not go to the origin, or the demand for its key is too low to wait there).
+//  3. retry.go: otherwise, decide whether another attempt is possible. If not, rejectOrFail answers with a rejection or
+//     a failure. All rejections and failures of this package come from rejectOrFail (a node also rejects in
+//     degradation.Filter.Admit and in proxy.acceptRequest). Its callers are firstOrRetry (no attempt, time or budget is
+//     left), sendToReplica (admission sheds the request, or no cache can take it and it may not go to the origin
+//     instead) and sendToOrigin (the request may not go to the origin, or the demand for its key is too low to wait
+//     there).
 //  4. fetch.go: in cache-aside mode routeToOrigin sends writes and reads that missed to the origin: one read fetches a
 //     key while others wait (coalescing.go), within the concurrency limit (origin.go).
-//  5. send.go: all other requests go to a cache. replicas.go lists the caches that hold the key and can take it;
-//     selection.go picks one by load, rank and faults; admission.go may shed the request instead.
+//  5. send.go: all other requests go to a cache. replicas.go lists the caches that are responsible for the key and can
+//     take the request; selection.go picks one by load, rank and faults; admission.go may shed the request instead.
 //
 // mayattempt.go checks each attempt before it is sent: whether the endpoint accepts attempts, and whether the request
 // may be repeated there.
@@ -44,7 +45,7 @@
 //
 // # State ownership
 //
-// Each component is a type in a file of its own and the only writer of its fields. It gets the values of other
+// Each component is a type, in the file given below, and the only writer of its fields. It gets the values of other
 // components as arguments, or reads them; several components read the latency tracker's slowThreshold and
 // responseTimeout. The state of one endpoint is an upstream (endpoints.go), each of whose fields names the component
 // that writes it; all of it is reset when the endpoint's process restarts.
@@ -63,19 +64,21 @@
 //	originLimit         origin.go        attempts that may be in flight at the origin; backoff from it
 //	coalescer           coalescing.go    which request fetches a key, and which wait
 //
-// Four values describe how short of capacity the origin is; each is 0 if it is not. They are read as follows:
+// Four values describe how short of capacity the origin is. shortage.affinity also measures the cost of misses, and
+// rises with it although the origin is not short. The values are read as follows:
 //
 //   - shortage.share, the fraction of requests that found no capacity at the origin (in read-through mode, of the
 //     load offered to the home zone's caches that was not useful): shouldHedge and shouldFanOut, and the two values
 //     derived from it;
-//   - originLimit.lateShare, the fraction of late answers of the origin: shortageLevel, and the growth of the origin
-//     limit in large fleets;
+//   - originLimit.lateShare, the fraction of the origin's answers that were late (originLimit defines late):
+//     shortageLevel, and the growth of the origin limit in large fleets;
 //   - originLimit.shortageLevel, the larger of share and lateShareWeight times lateShare: lastAttemptAtOrigin, and
 //     sendToReplica for the scope of the placement;
 //   - shortage.affinity, the larger of share and the cost of misses: leastLoaded, for the weight of a replica's rank.
 //
 // A change of the endpoint list reaches decisions by UpdateEndpoints and endpointList.update: from then on mayAttempt
-// refuses endpoints that drain or have left, and the next lookup rebuilds the placements if the set has changed.
+// refuses endpoints that drain or have left, and the next lookup rebuilds the placements if the caches or the origin
+// have changed.
 //
 // # Invariants
 //
@@ -83,8 +86,9 @@
 //
 //  1. A request gets exactly one final answer, before its deadline. After Route, a request has a ReviewAt, an
 //     attempt in flight or an Answer. AttemptDeadline leaves time to send the answer to the client.
-//  2. A request that may have run is not sent again beyond what its class allows, and has at most one attempt in
-//     flight unless the settings allow hedges and its class allows repeats. mayAttempt enforces this.
+//  2. A request that may have run is not sent again beyond what its class allows, and has at most one attempt in flight
+//     unless the settings allow hedges and its class allows repeats. mayAttempt enforces this, except for the attempts
+//     of a fan-out, which start at the same time: for these shouldFanOut checks the settings and the class.
 //  3. An endpoint that drains or has left gets no new attempt. mayAttempt enforces this too, and MayStart checks it
 //     again.
 //  4. The nodes together do not overload an endpoint that has just started, nor the origin by the misses that follow.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -49,7 +49,7 @@
 	placements [2]*placement
 }
 
-// update applies an update of the list. It discards the placements only when the set of caches changes, not for a
+// update applies an update of the list. It discards the placements only when the caches or the origin change, not for a
 // change of lifecycle or a restart, since building placements is most of the cost of an update.
 func (l *endpointList) update(kind UpdateKind, entries []Endpoint) {
 	listed := map[EndpointID]bool{}
@@ -71,7 +71,7 @@
 	}
 }
 
-// put adds or replaces an entry and reports whether the set of caches changed.
+// put adds or replaces an entry and reports whether the caches or the origin changed.
 func (l *endpointList) put(entry Endpoint) (setChanged bool) {
 	entry.StartedAt = cmp.Or(entry.StartedAt, LongAgo)
 	entry.Weight = cmp.Or(max(entry.Weight, 0), 1)
--- a/policy/endpointstate.go
+++ b/policy/endpointstate.go
@@ -6,15 +6,16 @@
 // it.
 type EndpointState int
 
-// The endpoint states. If several apply to an endpoint, Router.endpointState decides which one is reported.
+// The endpoint states; each quoted name is the one that String returns. If several apply to an endpoint,
+// Router.endpointState decides which one is reported.
 const (
-	StateInUse        EndpointState = iota
-	StateWarmingUp                  // in slow start
-	StateOverloaded                 // its queue exceeds the queueing time that the longest latency objective allows
-	StateFailing                    // requests of at least one class avoid it because of errors
-	StateUnresponsive               // it does not respond, or is ejected for that
-	StateUnreachable                // it accepts no connections; its keys are looked up in the neighbouring slot
-	StateDraining                   // it is draining according to the endpoint list
+	StateInUse        EndpointState = iota // "in use": none of the states below applies
+	StateWarmingUp                         // "warming": it is in slow start
+	StateOverloaded                        // "crowded": its queue is too long for the longest latency objective
+	StateFailing                           // "erring": requests of at least one class avoid it because of errors
+	StateUnresponsive                      // "quiet": it does not respond, or is ejected for that
+	StateUnreachable                       // "refusing": it accepts no connections; its keys go to the neighbouring slot
+	StateDraining                          // "drains": it is draining according to the endpoint list
 )
 
 // String returns the name of the state in the event log. Operators read these names, so they must not change.
@@ -44,7 +45,7 @@
 		return StateUnreachable
 	case router.outliers.unresponsive(now, u):
 		return StateUnresponsive
-	case slices.Max(u.health.errorScores) >= maxErrorScore:
+	case slices.Max(u.health.errorScores) >= errorScoreToAvoid:
 		return StateFailing
 	case router.load.estimate(now, u)*delay.perRequest > maxQueueing:
 		return StateOverloaded
--- a/policy/endpointstate_test.go
+++ b/policy/endpointstate_test.go
@@ -22,7 +22,7 @@
 			}
 		}},
 		{state: StateFailing, name: "erring", cause: func(_ *harness, u *upstream) {
-			u.health.errorScores[readClass] = maxErrorScore
+			u.health.errorScores[readClass] = errorScoreToAvoid
 		}},
 		{state: StateUnresponsive, name: "quiet", cause: func(_ *harness, u *upstream) {
 			u.health.ejectedUntil = now + 1
--- a/policy/fetch.go
+++ b/policy/fetch.go
@@ -40,6 +40,8 @@
 		}
 		router.coalescer.addWaiter(r)
 	}
+	// A request that starts to wait past its objective is reviewed after two timer steps. It is then rejected or
+	// failed, unless another request's fetch has put its value into a cache meanwhile.
 	waitFor := max(objectiveLeft, 2*router.settings.TickInterval)
 	return Decision{ReviewAt: now.Add(min(waitFor, router.timeLeft(now, r)))}
 }
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -11,14 +11,14 @@
 	// maxTokens is the maximum of the budget. It suffices for the requests in flight at one cache that stops
 	// responding.
 	maxTokens = 10
-	// minTokens is the lowest balance to which retries may overdraw the budget.
+	// minTokens is the lowest balance to which failed attempts may overdraw the budget.
 	minTokens = -1
 )
 
 // extraAttemptBudget limits hedges and retries, the attempts beyond the first of each request. Without it, retries and
 // hedges would multiply the load when most attempts fail or are slow because of load.
 type extraAttemptBudget struct {
-	tokens float64 // number of attempts; negative if retries overdrew the budget
+	tokens float64 // number of attempts; negative if failed attempts overdrew the budget
 }
 
 // recordRequest adds the tokens of one request.
@@ -84,14 +84,15 @@
 	return selected
 }
 
-// shouldCancel reports whether to cancel an attempt so that a retry can follow: it counts as lost and there is time for
-// another attempt.
+// shouldCancel reports whether to cancel an attempt: the settings allow it, the attempt counts as lost, and there is
+// time for a retry. Whether a retry is otherwise possible, for example whether the request has an attempt left, is not
+// checked.
 func (router *Router) shouldCancel(now Instant, r *Request, lost bool) bool {
 	return router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slowThreshold
 }
 
-// shouldHedge reports whether a hedge is worth its cost: the attempt is lost, or the probability that it is late
-// exceeds the cost of a wasted one. Since a hedge may miss and load the origin, it is less likely the larger the
+// shouldHedge reports whether a hedge is worth its cost: the attempt is lost, or the probability that it is late is at
+// least the cost of a wasted hedge. Since a hedge may miss and load the origin, it is less likely the larger the
 // shortage is.
 func (router *Router) shouldHedge(now Instant, r *Request, attempt Attempt, lost bool) bool {
 	if !router.extraAttempts.allowsHedge() || router.rng.Float64() < router.shortage.share {
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestHedgeOnlyWhenLateProbabilityExceedsWasteCost(t *testing.T) {
+func TestHedgeOnlyWhenLateProbabilityReachesWasteCost(t *testing.T) {
 	settings := testSettings()
 	settings.WasteCost = 0.25
 	h := newHarness(t, settings, testFleet(12, false))
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -203,8 +203,8 @@
 	return decision
 }
 
-// advance moves time forward by ticks. It reviews requests and times out attempts when due, and fails the test if a
-// request has no answer at its deadline.
+// advance moves time forward by timer steps. It reviews requests and times out attempts when due, and fails the test if
+// a request has no answer at its deadline.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now.Add(d); h.now < end; {
 		h.now = h.now.Add(h.settings.TickInterval)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -17,7 +17,7 @@
 	}
 	tracker.refresh()
 	if tracker.slowThreshold < 2*settings.TickInterval || tracker.responseTimeout < 4*settings.TickInterval {
-		t.Errorf("slow threshold %v or response timeout %v is too short for ticks of %v",
+		t.Errorf("slow threshold %v or response timeout %v is too short for timer steps of %v",
 			tracker.slowThreshold, tracker.responseTimeout, settings.TickInterval)
 	}
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -3,7 +3,8 @@
 // Parameters of the load estimate.
 const (
 	// reportLifetime is the time over which the estimate moves from an endpoint's load report to the mean over all
-	// caches.
+	// caches. An ejected endpoint gets no attempts and so sends no reports; as a multiple of maxEjection, the lifetime
+	// keeps most of the weight of its last report through an ejection.
 	reportLifetime = 5 * maxEjection
 	// reportWindow is the number of reports over which the mean is smoothed. With fewer, the mean would mostly follow
 	// random variation.
--- a/policy/mayattempt.go
+++ b/policy/mayattempt.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// mayAttempt reports whether a request may be sent to an endpoint now. It enforces two rules regardless of any other
-// consideration: an attempt goes only to an endpoint that is ready according to the list, with time left for its
-// answer; and a request that may have run is not repeated where a second execution would have a second effect.
+// mayAttempt reports whether a request may be sent to an endpoint now. It enforces these rules regardless of any other
+// consideration: the request is not finished, and has an attempt and time for an answer left; the endpoint is ready
+// according to the list; a second attempt is in flight only if the settings allow hedges and the class allows repeats;
+// and a request that may have run is not repeated where a second execution would have a second effect.
 func (router *Router) mayAttempt(now Instant, r *Request, u *upstream) bool {
 	attemptsUsedUp := len(r.Attempts) >= router.settings.MaxAttempts
 	if r.Finished || u.Lifecycle != Ready || attemptsUsedUp || router.timeLeft(now, r) <= 0 {
@@ -31,7 +32,8 @@
 	if class.Idempotency == NotIdempotent {
 		return false
 	}
-	// The repeat arrives after this decision. Within a tick of the window's end, the endpoint might no longer drop it.
+	// The repeat arrives after this decision. Within a timer step of the window's end, the endpoint might no longer
+	// drop it.
 	if now.Since(earlier.SentAt) >= class.DedupWindow-router.settings.TickInterval {
 		return false
 	}
@@ -53,11 +55,11 @@
 	case SameGroup:
 		return earlier.Group == u.Group
 	}
-	return true
+	return true // not reached: settings contain no other scope
 }
 
-// timeLeft returns the time in which an attempt can still be answered before the deadline. It reserves two ticks: one
-// to notice the answer and one to send it on.
+// timeLeft returns the time in which an attempt can still be answered before the deadline. It reserves two timer steps
+// (Settings.TickInterval): one to notice the answer and one to send it on.
 func (router *Router) timeLeft(now Instant, r *Request) time.Duration {
 	return r.Deadline.Since(now) - 2*router.settings.TickInterval
 }
--- a/policy/mayattempt_test.go
+++ b/policy/mayattempt_test.go
@@ -49,7 +49,7 @@
 }
 
 // compareWithModel compares the router's decisions on a request and an endpoint with the reference model. The router
-// may be stricter only by the ticks that it reserves before a limit.
+// may be stricter only by the timer steps that it reserves before a limit.
 func (h *harness) compareWithModel(r *Request, endpoint Endpoint) {
 	h.t.Helper()
 	got := h.router.mayAttempt(h.now, r, h.cache(endpoint.ID))
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -13,7 +13,7 @@
 	initialOriginLimit = 16.0
 	// minOriginLimit is the lowest limit over all nodes: a few attempts per core of the origin.
 	minOriginLimit = 8.0
-	// originLimitGrowth bounds the increase of a limit: an answer in time raises it by at most this fraction of it, and
+	// originLimitGrowth bounds the increase of a limit: a prompt answer raises it by at most this fraction of it, and
 	// by at most 1/limit.
 	originLimitGrowth = 0.1
 	// originLimitDecrease is the factor that a late or lost answer applies to the limit: one such answer may be
@@ -26,13 +26,12 @@
 	// originBackoffGrowth multiplies the backoff with each consecutive rejection.
 	originBackoffGrowth = 4.0
 	// initialOriginRejections is the number of consecutive rejections assumed before the origin has answered, so that
-	// nodes of a large fleet that all start at once back off on the first rejection. That rejection then counts as the
-	// fifth consecutive one, for which backOff computes 4^4-1 = 255 times slowThreshold. In fleets of less than about
-	// 2,000 nodes that is more than its upper bound, maxProcessesPerNode times the stagger, so the bound applies. In a
-	// small fleet the stagger is 0, and so is the backoff.
+	// nodes of a large fleet that all start at once back off on the first rejection. In fleets of less than about 2,000
+	// nodes that rejection gets the longest backoff, maxProcessesPerNode times the stagger; in larger fleets it gets
+	// 4^4-1 = 255 times slowThreshold. In a small fleet the stagger is 0, and so is the backoff.
 	initialOriginRejections = 4
 	// maxProcessesPerNode is how many processes of each configured node may run at the same time: two during an
-	// upgrade. The longest backoff must leave time for an attempt of each.
+	// upgrade. The longest backoff must be long enough that each process can make one attempt meanwhile.
 	maxProcessesPerNode = 2.0
 	// staggerDivisor is the divisor of the stagger that gives the period over which nodes spread their first attempts.
 	staggerDivisor = 3
@@ -46,8 +45,11 @@
 
 // originLimit limits the load that this node puts on the origin. It prevents overload by misses: after many caches have
 // started empty, all nodes would request every key from the origin at once, and all answers would be late. The
-// concurrency limit grows with answers in time and is cut by late or lost ones (additive increase, multiplicative
+// concurrency limit grows with prompt answers and is cut by late or lost ones (additive increase, multiplicative
 // decrease). Below 1 it becomes a minimum time between attempts. Consecutive rejections cause a backoff.
+//
+// For this limit an answer is prompt within half of the latency objective and late after that, whereas
+// endedAttempt.inTime refers to the whole objective. Rejections and timeouts count as late.
 type originLimit struct {
 	settings    *Settings
 	rng         *keyhash.Source
@@ -57,12 +59,13 @@
 	// nextAt is when the next attempt may start while the limit is less than 1.
 	nextAt          Instant
 	smoothedLatency time.Duration // smoothed latency of attempts at the origin
-	lateShare       float64       // fraction of recent attempts answered after half the latency objective or never
+	lateShare       float64       // fraction of recent attempts that were late, rejected or lost
 	// rejections counts consecutive rejections.
 	rejections   float64
 	backoffUntil Instant // no attempts are sent before this time
-	// stagger is the time, as a multiple of slowThreshold, in which every node of the fleet can make one attempt if
-	// initialOriginLimit nodes do so at a time, less two. It is 0 for fleets of up to twice initialOriginLimit nodes.
+	// stagger is Nodes/initialOriginLimit - 2, but at least 0, as a multiple of slowThreshold. The quotient is the time
+	// in which every node of the fleet can make one attempt if initialOriginLimit nodes do so at a time. The two are
+	// deducted so that fleets of up to twice initialOriginLimit nodes have no stagger.
 	stagger float64
 }
 
@@ -118,8 +121,8 @@
 
 // increase raises the limit, up to twice the attempts in flight. Otherwise an unused limit would grow with every answer
 // and would not limit a burst of misses. In a large fleet, a limit of 1 or more grows less the more of the recent
-// answers were late. This prevents a standing queue at the origin: near 1, where the limits of a large fleet are, an
-// answer in time would otherwise raise the limit by as much as a late one lowers it, and all limits would settle where
+// answers were late. This prevents a standing queue at the origin: near 1, where the limits of a large fleet are, a
+// prompt answer would otherwise raise the limit by as much as a late one lowers it, and all limits would settle where
 // half of the answers are late. The rule does not apply below 1, where answers are so rare that the late share is
 // outdated.
 func (o *originLimit) increase(inFlight float64) {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -13,12 +13,13 @@
 	maxEjectionDoublings = 6
 	// failuresToEject is the number of consecutive failures that eject an endpoint: a single one is often coincidence.
 	failuresToEject = 2
-	// maxErrorScore is the error score of a class from which requests of the class avoid an endpoint.
-	maxErrorScore = 4
-	// scorePerError is the score of an error: two errors reach maxErrorScore.
+	// errorScoreToAvoid is the error score of a class from which requests of the class avoid an endpoint.
+	errorScoreToAvoid = 4
+	// scorePerError is the score of an error: two errors reach errorScoreToAvoid.
 	scorePerError = 2
-	// scorePerBrokenConn is the score of a broken connection: four reach maxErrorScore. A connection that breaks during
-	// an attempt does not predict whether the next one breaks, and an endpoint that is gone refuses connections anyway.
+	// scorePerBrokenConn is the score of a broken connection: four reach errorScoreToAvoid. A connection that breaks
+	// during an attempt does not predict whether the next one breaks, and an endpoint that is gone refuses connections
+	// anyway.
 	scorePerBrokenConn = 1
 	// outlierStep is the fraction of the distance to 1 by which an error raises the outlier score.
 	outlierStep = 0.5
@@ -41,7 +42,7 @@
 type observedHealth struct {
 	awaitingSince   Instant // start of the first attempt in flight, or the last response if later
 	respondedAt     Instant // time of the last response
-	failures        int     // consecutive attempts and health checks without a response
+	failures        int     // consecutive failures, as counted by recordFailure
 	connectFailures int     // failed connects since the last response
 	ejectedUntil    Instant // no attempts are sent before this time
 	errorScores     []uint8 // by class, the last one for unknown classes; halved by each answer and each second
@@ -51,8 +52,9 @@
 	lastInTimeSentAt Instant
 }
 
-// outlierDetector decides which endpoints to avoid because of faults: by consecutive failures (no response, or no
-// connection), by errors per class, and per zone where no connection can be opened.
+// outlierDetector decides which endpoints to avoid because of faults: by consecutive failures (no response, no
+// connection, or a health check that was not successful), by errors per class, and per zone where no connection can be
+// opened.
 type outlierDetector struct {
 	settings *Settings
 	rng      *keyhash.Source
@@ -91,8 +93,8 @@
 	return hasInFlight && now.Since(u.health.awaitingSince) > d.latency.responseTimeout
 }
 
-// recordFailure counts an attempt or health check without a response. The second and each further consecutive one
-// ejects the endpoint, for twice as long each time, up to maxEjection.
+// recordFailure counts an attempt without a response, or a health check with any result but Answered. The second and
+// each further consecutive one ejects the endpoint, for twice as long each time, up to maxEjection.
 func (d *outlierDetector) recordFailure(now Instant, u *upstream, result Result) {
 	u.health.failures++
 	if result == ConnectFailed {
@@ -133,17 +135,18 @@
 	switch result {
 	case Errored:
 		u.health.outlierScore += (1 - u.health.outlierScore) * outlierStep
-		*score = min(*score+scorePerError, 2*maxErrorScore)
+		*score = min(*score+scorePerError, 2*errorScoreToAvoid)
 	case ConnectionBroken:
-		*score = min(*score+scorePerBrokenConn, 2*maxErrorScore)
+		*score = min(*score+scorePerBrokenConn, 2*errorScoreToAvoid)
 	case Answered:
 		*score /= 2
 	}
 }
 
 // recordResponse updates the consecutive failures from the result of an attempt. A missing response is a failure only
-// if it lasted longer than responseTimeout and the endpoint has not responded to anything else meanwhile: attempts that
-// end after a few milliseconds because their requests have no time left are no evidence against the endpoint.
+// if the endpoint has not responded to anything else meanwhile, and if either the connect failed or the attempt lasted
+// longer than responseTimeout: attempts that end after a few milliseconds because their requests have no time left are
+// no evidence against the endpoint.
 func (d *outlierDetector) recordResponse(now Instant, u *upstream, ended endedAttempt) {
 	if ended.inTime {
 		u.health.lastInTimeSentAt = max(u.health.lastInTimeSentAt, ended.SentAt)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -23,8 +23,8 @@
 	left  []int // for each slot, its left neighbour in the key space; nil until first needed
 }
 
-// newPlacement returns the placement of caches. Except for one hash per pair of a cache and a slot of its segment, its
-// cost is O(n log n) in the number of caches. It has to be fast because the event loop is blocked during each change of
+// newPlacement returns the placement of n caches. It computes about n²/7 hashes, one per pair of a cache and a slot of
+// its segment; all other work is O(n log n). It has to be fast because the event loop is blocked during each change of
 // the set of caches.
 func newPlacement(caches []*upstream) *placement {
 	var p placement
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -120,8 +120,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Guards against incident 60a37a: all pairs of a cache and a slot were sorted at once. The number of pairs grows with
-// the square of the number of caches; 3,200 caches took 12 MB and blocked the event loop meanwhile.
+// Guards against sorting all pairs of a cache and a slot at once. The number of pairs grows with the square of the
+// number of caches; 3,200 caches took 12 MB and blocked the event loop meanwhile.
 func TestNewPlacementMemoryGrowsLinearly(t *testing.T) {
 	// 8 pairs for the slots and 7 for the segments, spare capacity of slices, and the placement itself
 	const maxBytesPerCache = 600
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxPollBackoffSteps limits how often the backoff between failed polls doubles, starting at tickPeriod: its mean
-	// is at most 3.2 s.
+	// maxPollBackoffSteps limits how often the backoff between failed polls doubles: its mean is twice tickPeriod after
+	// the first failure, and at most 3.2 s.
 	maxPollBackoffSteps = 5
 	// minPollInterval keeps a setting that is too low from overloading the discovery service.
 	minPollInterval = time.Second
@@ -17,7 +17,8 @@
 	noPollDue Instant = math.MaxInt64
 )
 
-// pollSchedule decides when to poll the endpoint list, where updates are not pushed.
+// pollSchedule decides when to poll the endpoint list, if Settings.PollEndpoints is set: until the first update, and
+// after a failed poll.
 type pollSchedule struct {
 	settings *Settings
 	rng      *keyhash.Source
@@ -39,7 +40,7 @@
 	s.nextAt = noPollDue
 }
 
-// takeDue reports whether a poll is due, and if so schedules the next one.
+// takeDue reports whether a poll is due, and if so schedules its repetition in case it gets no answer.
 func (s *pollSchedule) takeDue(now Instant) bool {
 	if !s.settings.PollEndpoints || now < s.nextAt {
 		return false
--- a/policy/popularity.go
+++ b/policy/popularity.go
@@ -13,12 +13,12 @@
 )
 
 // popularity measures the demand for keys: the sum of the priority weights of the requests for a key, halved each
-// second while more than minKeysToDecay keys are tracked. The shed preference is the inverse square root of the
-// priority, so the square of its mean is about 1 divided by the mean priority, and the demand multiplied by that square
-// is about the number of requests.
+// second while more than minKeysToDecay keys are tracked. The raw preference (admission) is the inverse square root of
+// the priority, so the square of its mean is about 1 divided by the mean priority, and the demand multiplied by that
+// square is about the number of requests.
 type popularity struct {
 	demand map[uint64]float64 // by key hash
-	total  float64            // over all keys
+	total  float64            // over all keys, including those dropped meanwhile; halved like demand
 }
 
 // record counts a request.
@@ -35,9 +35,9 @@
 // replicaLimit returns how many replicas the reads of a key may use. A hot key gets as many replicas as there are
 // caches that would serve its share of the demand if it were spread evenly, from replicaCount to segmentCount;
 // otherwise its caches would be full while others have capacity.
-func (p *popularity) replicaLimit(key uint64, meanPreference float64, caches int) int {
+func (p *popularity) replicaLimit(key uint64, meanRawPreference float64, caches int) int {
 	demand := p.demand[key]
-	if demand*meanPreference*meanPreference < hotKeyRequests {
+	if demand*meanRawPreference*meanRawPreference < hotKeyRequests {
 		return replicaCount
 	}
 	evenShares := int(demand / p.total * float64(caches))
@@ -45,13 +45,13 @@
 }
 
 // decay halves the demand and drops keys that are rarely requested.
-func (p *popularity) decay(meanPreference float64) {
+func (p *popularity) decay(meanRawPreference float64) {
 	if len(p.demand) <= minKeysToDecay {
 		return
 	}
 	p.total /= 2
 	maps.DeleteFunc(p.demand, func(key uint64, demand float64) bool {
 		p.demand[key] = demand / 2
-		return demand*meanPreference*meanPreference < minTrackedRequests
+		return demand*meanRawPreference*meanRawPreference < minTrackedRequests
 	})
 }
--- a/policy/replicas.go
+++ b/policy/replicas.go
@@ -10,14 +10,15 @@
 // replicaCount is the number of replicas of a key unless it is hot (r in docs/design.md).
 const replicaCount = 3
 
-// replicas returns the caches that hold a request's key and can take it now, by their rank for the key. The next ranked
-// location replaces a cache that drains, does not respond, returns errors for this class (it fails fast and so looks
-// idle), is not reachable from this zone, or is not warm enough for the key.
+// replicas returns the caches that are responsible for a request's key and can take the request now, including those
+// already tried, by their rank for the key. The next ranked location replaces a cache that drains, does not respond,
+// returns errors for this class (it fails fast and so looks idle), is not reachable from this zone, or is not warm
+// enough for the key.
 func (router *Router) replicas(now Instant, r *Request, scope placementScope) []*upstream {
 	count := replicaCount
 	if !r.Write {
 		caches := len(router.endpoints.caches)
-		count = router.popularity.replicaLimit(r.state.key, router.admission.meanShedPreference, caches)
+		count = router.popularity.replicaLimit(r.state.key, router.admission.meanRawPreference, caches)
 	}
 	var replicas []*upstream
 	for _, segment := range rankSegments(r.state.key) {
@@ -42,7 +43,7 @@
 		router.slowStart.admits(now, u, r.state.key) &&
 		router.outliers.allowsZone(u) &&
 		!router.outliers.unresponsive(now, u) &&
-		u.health.errorScores[r.state.classIndex] < maxErrorScore
+		u.health.errorScores[r.state.classIndex] < errorScoreToAvoid
 }
 
 // rankSegments returns the segments by their rank for a key.
--- a/policy/request.go
+++ b/policy/request.go
@@ -16,7 +16,8 @@
 	key            uint64  // hash of the key
 	priority       float64 // priority weight of the class, reduced for requests over their tenant's quota
 	shedPreference float64 // how likely it is to be shed under overload; 1 is the mean
-	// cachedAt is the cache into which another request's fetch has put the value; empty if none. Written by coalescer.
+	// cachedAt is the cache that is assumed to hold the value after another request's fetch; empty if none. Written by
+	// coalescer.
 	cachedAt EndpointID
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,9 +6,9 @@
 	// minAttemptTimeDivisor defines the least time for an attempt, as a fraction of the slow threshold: few attempts
 	// are answered within an eighth of it.
 	minAttemptTimeDivisor = 8
-	// lastAttemptShortageFactor is the factor from the origin's shortage level to the probability that a read's last
-	// attempt does not go to the origin. At a shortage level of a quarter or more, none goes there: a full cache does
-	// not justify more load on an origin that is short of capacity.
+	// lastAttemptShortageFactor multiplies the origin's shortage level; the product is the probability that a read's
+	// last attempt goes to a cache instead of the origin. At a shortage level of a quarter or more, none goes there: a
+	// full cache does not justify more load on an origin that is short of capacity.
 	lastAttemptShortageFactor = 4.0
 )
 
@@ -57,8 +57,7 @@
 }
 
 // rejectOrFail answers a request without an attempt: with a rejection if the client can safely retry it, otherwise with
-// a failure. Every rejection and failure of package policy is decided by a call of this function. A node also rejects
-// in degradation.Filter.Admit and proxy.acceptRequest.
+// a failure. Every rejection and failure of package policy is decided by a call of this function.
 func (router *Router) rejectOrFail(r *Request) Decision {
 	class := &r.state.class
 	repeatable := class.Idempotency == Idempotent ||
--- a/policy/router.go
+++ b/policy/router.go
@@ -15,8 +15,9 @@
 )
 
 // Router makes the routing decisions of one node. Each component has its own state and rules; a component that needs
-// another's value gets it as an argument or reads it. Router itself owns the tick count, and writes the state of each
-// Request and the notifiedState of each upstream. It is not safe for concurrent use.
+// another's value gets it as an argument or reads it. Router itself owns the tick count, and writes the notifiedState
+// of each upstream. Only Router.initState and the coalescer write the state of a Request. Router is not safe for
+// concurrent use.
 type Router struct {
 	settings      *Settings // shared by all components; not written after New
 	rng           *keyhash.Source
@@ -101,7 +102,8 @@
 }
 
 // OnAttemptDone records the outcome of an attempt, and decides what to do with its request and with waiting requests.
-// Before the call, the caller closes the attempt and, if its response was the final answer, sets Finished.
+// Before the call, the caller sets the Attempt's Result, clears InFlight and, if the response was the final answer,
+// sets Finished.
 func (router *Router) OnAttemptDone(now Instant, r *Request, outcome Outcome) Decision {
 	attempt := r.Attempts[outcome.Attempt]
 	wasLeader := router.coalescer.isLeader(r)
@@ -157,12 +159,12 @@
 	return tickPeriod, actions
 }
 
-// decay reduces the weight of older measurements in every component.
+// decay reduces the weight of older measurements in the components that decay with time, and removes finished leaders.
 func (router *Router) decay(now Instant) {
 	router.admission.decay()
 	router.load.decay(now, router.endpoints.caches)
 	router.outliers.decay(router.endpoints.caches)
 	router.latency.decay()
-	router.popularity.decay(router.admission.meanShedPreference)
+	router.popularity.decay(router.admission.meanRawPreference)
 	router.coalescer.forgetFinished()
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -62,6 +62,7 @@
 		tieCostPerRank = 0
 	}
 	objective := r.state.class.LatencyObjective
+	// Without a minimum, every queue would count as full for a request past its objective, even an empty one.
 	timeLeft := max(r.timeToObjective(now), objective/2)
 	earlySaturation := min(maxEarlySaturation, max(1, r.state.shedPreference))
 	queueDelay := router.latency.queueDelay()
--- a/policy/send.go
+++ b/policy/send.go
@@ -49,10 +49,10 @@
 }
 
 // shouldFanOut reports whether a request is a write that goes to all its replicas at once: only in read-through mode,
-// where every cache drops repeats, and only while the probability that one attempt is late exceeds the cost of a wasted
-// one. Otherwise each write would be executed three times although one attempt is almost always in time. In cache-aside
-// mode writes go to the origin. These attempts require HedgingAllowed, since several are in flight at once, but they
-// are not hedges and are not charged to the extra-attempt budget when they start.
+// where every cache drops repeats, and only while the probability that one attempt is late is at least the cost of a
+// wasted one. Otherwise each write would be executed three times although one attempt is almost always in time. In
+// cache-aside mode writes go to the origin. These attempts require HedgingAllowed, since several are in flight at once,
+// but they are not hedges and are not charged to the extra-attempt budget when they start.
 func (router *Router) shouldFanOut(r *Request) bool {
 	class := &r.state.class
 	safe := class.Idempotency == IdempotentByKey && class.DedupScope == AllCaches && router.settings.HedgingAllowed
--- a/policy/send_test.go
+++ b/policy/send_test.go
@@ -25,8 +25,8 @@
 }
 
 // Guards against sending duplicates of each write although hardly any attempt is late: two of three executions were
-// wasted, and each was cancelled by closing its connection. Duplicates must only be sent while they avoid more late
-// answers than they cost.
+// wasted, and each was cancelled by closing its connection. Duplicates must only be sent while the probability that one
+// attempt is late is at least the cost of a wasted one.
 func TestWriteFansOutOnlyWhileDuplicatesPayOff(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/policy/shortage.go
+++ b/policy/shortage.go
@@ -40,7 +40,8 @@
 	s.missCost -= s.missCost / missWindow
 }
 
-// recordMiss counts a miss, which sends its request across zones to the origin.
+// recordMiss counts a miss. It assumes that each miss sends its request across zones to the origin; the origin's zone
+// is not checked.
 func (s *shortage) recordMiss() {
 	s.missCost += missCostWeight * s.settings.CrossZoneCost / missWindow
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -10,9 +10,10 @@
 	// usableOverloadShare is the fraction of Settings.OverloadFactor that slow start uses. The rest is a margin for
 	// random variation.
 	usableOverloadShare = 0.67
-	// gapScalingNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. With
-	// more nodes, each node's share of the endpoint's attempts is less than one per SlowStartDuration, so the limit on
-	// the gap grows with the number of nodes.
+	// gapScalingNodes is the number of nodes up to which the longest gap between attempts is SlowStartDuration. It
+	// corresponds to an endpoint that gets about 160 attempts per SlowStartDuration from all nodes together. With more
+	// nodes, each node's share of these is less than one attempt, so the limit on the gap grows with the number of
+	// nodes.
 	gapScalingNodes = 160.0
 	// rateWindow is the time, in nanoseconds, that the answers in observedLoad.answered cover: halved on each decay,
 	// they add up to two decay periods.
--- a/policy/types.go
+++ b/policy/types.go
@@ -77,7 +77,7 @@
 	Nodes               int            // number of nodes that share the traffic; values under 1 count as 1
 	CacheAside          bool           // the router sends misses and writes to the origin; else the caches do
 	OriginKind          int            // Endpoint.Kind of the origin; only read if CacheAside
-	PollEndpoints       bool           // the endpoint list has to be polled; else updates are pushed
+	PollEndpoints       bool           // the list has to be polled until its first update; else it is pushed
 	OverQuotaWeight     float64        // multiplies the priority weight of requests over their tenant's quota
 	CrossZoneCost       float64        // cost of an attempt that crosses zones, as a fraction of a request's value
 	WasteCost           float64        // cost of a hedge whose answer isn't used, as a fraction of a request's value
@@ -88,7 +88,7 @@
 	HealthChecksAllowed bool           // the caller can carry out CheckHealth
 	MaxRetryAfter       time.Duration  // longest Retry-After to send; 0 sends none
 	TickInterval        time.Duration  // resolution of the caller's timers; values under 1 ms count as 1 ms
-	PollInterval        time.Duration  // time between polls; values under 1 s count as 1 s
+	PollInterval        time.Duration  // time until an unanswered poll is repeated; values under 1 s count as 1 s
 	SlowStartShare      float64        // fraction of its capacity that an endpoint has when it starts
 	SlowStartDuration   time.Duration  // time from its start after which an endpoint has its full capacity
 	OverloadFactor      float64        // multiple of its current capacity at which a cold cache fails; 0 if unknown
@@ -157,8 +157,8 @@
 	Result   Result // valid once InFlight is false
 }
 
-// Request is a request in flight. The caller fills in the exported fields, appends an Attempt for each endpoint that
-// a Decision names in SendTo, and closes the Attempt before it calls OnAttemptDone.
+// Request is a request in flight. The caller fills in the exported fields, appends an Attempt for each endpoint that a
+// Decision names in SendTo, and sets the Attempt's Result and clears InFlight before it calls OnAttemptDone.
 type Request struct {
 	ID        RequestID
 	Key       string
