--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -15,6 +15,8 @@
 	failuresToEject = 2
 	// errorScoreToAvoid is the error score of a class from which requests of the class avoid an endpoint.
 	errorScoreToAvoid = 4
+	// maxErrorScore is the highest error score of a class.
+	maxErrorScore = 2 * errorScoreToAvoid
 	// scorePerError is the score of an error: two errors reach errorScoreToAvoid.
 	scorePerError = 2
 	// scorePerBrokenConn is the score of a broken connection: four reach errorScoreToAvoid. A connection that breaks
@@ -135,9 +137,9 @@
 	switch result {
 	case Errored:
 		u.health.outlierScore += (1 - u.health.outlierScore) * outlierStep
-		*score = min(*score+scorePerError, 2*errorScoreToAvoid)
+		*score = min(*score+scorePerError, maxErrorScore)
 	case ConnectionBroken:
-		*score = min(*score+scorePerBrokenConn, 2*errorScoreToAvoid)
+		*score = min(*score+scorePerBrokenConn, maxErrorScore)
 	case Answered:
 		*score /= 2
 	}
