--- a/internal/control/controlclient/doc.go
+++ b/internal/control/controlclient/doc.go
@@ -7,8 +7,9 @@
 // A Proposal gets its random id once (NewProposal) and keeps it through all retries. Control servers assign one index
 // to an id, however often and at whichever server it is proposed, so a client may ask a second server while the first
 // one does not answer: no proposal is ordered twice. Publish returns indexes only once the entries are on disk at a
-// majority of the voters. An error does not mean that the proposals were not ordered; publishing the same proposals
-// again is safe.
+// majority of the voters. An error does not mean that the proposals were not ordered. Publishing the same proposals
+// again is safe until replicatedlog.DedupWindow further entries have been ordered. After that a proposal that was
+// ordered becomes a second entry, and an old configuration may come into force again.
 //
 // # Overview
 //
--- a/internal/control/controlclient/overview.go
+++ b/internal/control/controlclient/overview.go
@@ -6,23 +6,26 @@
 	"dahliapin/internal/control/replicatedlog"
 )
 
-// Overview is the progress of all nodes, control servers and caches.
+// Overview is the progress of all nodes, control servers and caches. The names in the JSON of it and of the types below
+// are those that operators and their scripts use. They differ from the names of the fields, and must not change.
 type Overview struct {
 	Last        replicatedlog.Index `json:"last"` // the newest entry that any control server has
 	HasLeader   bool                `json:"led"`  // a server that answered has a leader
 	Nodes       []NodeStatus        `json:"nodes"`
 	Servers     []ServerStatus      `json:"machines"`
 	Caches      []CacheStatus       `json:"caches,omitempty"`
-	NoCacheList bool                `json:"unlisted,omitempty"` // no server that runs purges has a list of caches
+	NoCacheList bool                `json:"unlisted,omitempty"` // servers run purges, but none that responds has a list
 }
 
-// CaughtUp reports whether NodesCaughtUp holds, a list of caches is known, and every purge is done at each of them.
+// CaughtUp reports whether NodesCaughtUp holds, a list of caches is known unless no server runs purges, and every purge
+// is done at each cache in it.
 func (o Overview) CaughtUp() bool {
 	lacking := func(cache CacheStatus) bool { return cache.Missing > 0 }
 	return !o.NoCacheList && o.NodesCaughtUp() && !slices.ContainsFunc(o.Caches, lacking)
 }
 
-// NodesCaughtUp reports whether every node has applied all entries and is not silent, and there is a leader.
+// NodesCaughtUp reports whether every node has started, has applied all entries, has refused no configuration since the
+// one in force and is not silent, and whether there is a leader.
 func (o Overview) NodesCaughtUp() bool {
 	for _, node := range o.Nodes {
 		if node.Missing > 0 || node.Silent || node.NotStarted || node.Refused > 0 {
@@ -37,7 +40,7 @@
 	Node           string              `json:"node"`
 	Applied        replicatedlog.Index `json:"applied"`
 	Missing        uint64              `json:"lacks"`              // entries up to the newest
-	Config         replicatedlog.Index `json:"config"`             // the configuration in force; 0 for the node's own
+	Config         replicatedlog.Index `json:"config"`             // in force; 0 for its own, or one of an earlier log
 	Refused        replicatedlog.Index `json:"refused,omitempty"`  // of a configuration that it refused
 	Reason         string              `json:"reason,omitempty"`   // why it was refused
 	PresumedPurged replicatedlog.Index `json:"presumed,omitempty"` // everything up to here may have been purged
--- a/internal/control/controlclient/publish.go
+++ b/internal/control/controlclient/publish.go
@@ -21,7 +21,8 @@
 	publishTimeout = controlwire.OrderTimeout + controlwire.WriteTimeout
 )
 
-// NewProposal returns a proposal with a random id. However often it is proposed, it becomes one entry.
+// NewProposal returns a proposal with a random id. However often it is proposed, it becomes one entry, until
+// replicatedlog.DedupWindow further entries have been ordered.
 func NewProposal(kind replicatedlog.Kind, body []byte) replicatedlog.Proposal {
 	p := replicatedlog.Proposal{Kind: kind, Body: body}
 	_, _ = rand.Read(p.ID[:]) // never fails
--- a/internal/control/controlserver/config.go
+++ b/internal/control/controlserver/config.go
@@ -16,10 +16,11 @@
 // Storage stores raft's state and log. Production code uses store.Store; tests have other implementations.
 type Storage interface {
 	raft.Storage
-	// Save makes everything that it is given durable before it returns without an error.
+	// Save makes everything that it is given durable before it returns without an error, except a change of the commit
+	// index alone, which the leader sends again after a restart.
 	Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error
 	// SizeSinceSnapshot returns the number of entries after the last snapshot up to a raft index, and the size in bytes
-	// of the entries saved since that snapshot, also of those after the index.
+	// of all entries saved since that snapshot, which does not depend on the index.
 	SizeSinceSnapshot(applied uint64) (entries uint64, bytes int)
 	// Compact saves a snapshot and deletes the entries that it replaces. It returns without an error once the
 	// snapshot is on disk.
@@ -38,8 +39,8 @@
 	OnPersisted func([]replicatedlog.Proposal)
 	Storage     Storage              // nil for a store.Store in the file's data directory
 	Dial        controlwire.DialFunc // to other control servers; nil for TCP
-	// OnPurgeProgress, if not nil, is called when the cursor of purges at a cache advances. Tests set it for their
-	// invariant checker.
+	// OnPurgeProgress, if not nil, is called when the cursor of purges at a cache changes, and at the start once for
+	// each cursor loaded from disk. Tests set it for their invariant checker.
 	OnPurgeProgress func(purge.CacheID, purge.Cursor)
 }
 
--- a/internal/control/controlserver/delivery.go
+++ b/internal/control/controlserver/delivery.go
@@ -164,9 +164,10 @@
 }
 
 // checkRestart sets mustStart for a node that is fresh or followed another log, so that it starts at the newest entry.
-// After an earlier log was lost with all disks, the node would otherwise skip the first entries of the new log, whose
-// indexes it has already passed. It returns the index of the newest entry. While the log has no id, it clears
-// mustStart and returns 0. The caller holds the log's lock.
+// After an earlier log was lost with all disks, the node would otherwise skip the first entries of the new log
+// unnoticed, since it has already passed their indexes. The starting point skips entries too, but the node learns that
+// any key up to there may have been purged, and gets the configuration in force. checkRestart returns the index of the
+// newest entry. While the log has no id, it clears mustStart and returns 0. The caller holds the log's lock.
 func (d *delivery) checkRestart(state *replicatedlog.State) (last replicatedlog.Index) {
 	id := state.ID()
 	if id == 0 { // the log has no id yet: the node's entries may be of another log
--- a/internal/control/controlserver/loop.go
+++ b/internal/control/controlserver/loop.go
@@ -24,8 +24,8 @@
 	maxApplyBytes    = 16 << 20               // committed entries that are applied together
 	maxUncommitted   = 64 << 20               // bytes of uncommitted entries; further proposals are dropped
 	leaderTimeout    = 2 * time.Second        // time since the leader's last message after which there is no leader
-	snapshotEntries  = 8192                   // a snapshot is saved after this many raft entries
-	snapshotBytes    = 16 << 20               // or after this many bytes of them
+	snapshotEntries  = 8192                   // a snapshot is saved after this many applied raft entries
+	snapshotBytes    = 16 << 20               // or once this many bytes of raft entries have been saved
 )
 
 // leadership is the loop's latest knowledge of the leader.
@@ -241,7 +241,8 @@
 	return nil
 }
 
-// compactStorage saves a snapshot of the sharedLog when enough raft entries have been applied since the last one.
+// compactStorage saves a snapshot of the sharedLog when enough raft entries have been applied, or enough bytes of them
+// saved, since the last one.
 func (l *raftLoop) compactStorage() error {
 	entries, bytes := l.storage.SizeSinceSnapshot(l.appliedIndex)
 	if entries < snapshotEntries && (bytes < snapshotBytes || entries == 0) {
--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	outboxMessages      = 4096                   // queued raft messages; more are dropped, and raft sends them again
-	maxRaftFrameBytes   = 1 << 20                // no further messages are added to a frame beyond it
-	firstReconnectDelay = 50 * time.Millisecond  // initial backoff before a stream is opened again
-	statusInterval      = 300 * time.Millisecond // between two status reports to another control server
-	peerTimeout         = 5 * time.Second        // without a message of a server, which reports each statusInterval
+	outboxMessages     = 4096                   // queued raft messages; more are dropped, and raft sends them again
+	maxRaftFrameBytes  = 1 << 20                // no further messages are added to a frame beyond it
+	reconnectDelayBase = 50 * time.Millisecond  // base of the backoff, see controlwire.ReconnectDelay
+	statusInterval     = 300 * time.Millisecond // between two status reports to another control server
+	peerTimeout        = 5 * time.Second        // without a message of a server, which reports each statusInterval
 )
 
 // peer sends to another control server over a one-way stream. The other server opens a stream for its own messages.
@@ -61,7 +61,7 @@
 func (p *peer) run() {
 	for attempt := 0; ; attempt++ {
 		if attempt > 0 {
-			delay := controlwire.ReconnectDelay(firstReconnectDelay, attempt, p.random.Float64())
+			delay := controlwire.ReconnectDelay(reconnectDelayBase, attempt, p.random.Float64())
 			if !p.dropMessagesFor(delay) {
 				return
 			}
--- a/internal/control/controlserver/queue.go
+++ b/internal/control/controlserver/queue.go
@@ -71,7 +71,8 @@
 	return &proposalQueue{now: now, pending: map[replicatedlog.ProposalID]*pendingProposal{}}
 }
 
-// add queues a call's proposals and returns those that are not queued yet. It rejects the call if there is no capacity.
+// add queues a call's proposals and returns those that were not queued before. It rejects the call if there is no
+// capacity.
 func (q *proposalQueue) add(call *publishCall) []replicatedlog.Proposal {
 	bytes := 0
 	for _, p := range call.proposals {
--- a/internal/control/controlserver/raftlogger.go
+++ b/internal/control/controlserver/raftlogger.go
@@ -6,8 +6,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger logs raft's errors as errors and its unformatted warnings at debug level, and drops all other messages.
-// It panics on Fatal and Panic; raftLoop.run recovers and stops the server.
+// raftLogger logs raft's errors as errors and its unformatted warnings at debug level, and drops all other messages,
+// also its formatted warnings. As of raft v3.7.0 all of its warnings are formatted, so none are logged. It panics on
+// Fatal and Panic; raftLoop.run recovers and stops the server.
 type raftLogger struct{ *logrus.Logger }
 
 func (raftLogger) Debug(...any)                      {}
--- a/internal/control/controlserver/sharedlog.go
+++ b/internal/control/controlserver/sharedlog.go
@@ -90,7 +90,10 @@
 	return indexes
 }
 
-// recordRequestTimes records when the batch's entries were requested. The caller holds the lock.
+// recordRequestTimes records when the batch's entries were requested. The caller holds the lock. Indexes that are not
+// above the last recorded one are left out, which keeps requestTimes sorted. That is so for most repeated proposals and
+// invalid ones. Others are recorded, which does no harm: a repeated proposal, too, was requested after the origin was
+// written, and there is no entry 0.
 func (l *sharedLog) recordRequestTimes(
 	batch replicatedlog.Batch, indexes []replicatedlog.Index,
 	requestedAt func(replicatedlog.ProposalID) (monotime.Instant, bool),
@@ -98,7 +101,7 @@
 	for i, p := range batch.Proposals {
 		at, ok := requestedAt(p.ID)
 		n := len(l.requestTimes)
-		if ok && (n == 0 || l.requestTimes[n-1].index < indexes[i]) { // not for a proposal that already had its index
+		if ok && (n == 0 || l.requestTimes[n-1].index < indexes[i]) {
 			l.requestTimes = append(l.requestTimes, requestTime{index: indexes[i], at: at})
 		}
 	}
--- a/internal/control/controlwire/doc.go
+++ b/internal/control/controlwire/doc.go
@@ -1,5 +1,5 @@
 // Package controlwire implements the protocol between control servers, the nodes that follow the replicated log, and
-// operators' clients. It is all that controlserver, logfollower and controlclient share.
+// operators' clients: packages controlserver, logfollower and controlclient.
 //
 // # Streams
 //
@@ -18,9 +18,10 @@
 //
 // # Bounds
 //
-// A frame holds at most MaxFrameBytes, or MaxPeerFrameBytes between control servers. Memory for a long frame grows
-// only as its bytes arrive, so a peer that announces a long frame and sends nothing costs no memory. Names, reasons
-// and tables are bounded as well.
+// A frame holds at most MaxFrameBytes, or MaxPeerFrameBytes between control servers. Memory for a long frame grows only
+// as its bytes arrive, so a peer that announces a long frame and sends nothing costs no memory. Stream.Receive also
+// rejects a message with too many node or cache reports. Control servers check the lengths of the names and reasons
+// that they receive. All other fields are bounded only by the size of the frame.
 //
 // # Concurrency
 //
--- a/internal/control/controlwire/message.go
+++ b/internal/control/controlwire/message.go
@@ -31,7 +31,8 @@
 // messageVersion is part of every message. A message without a version is malformed.
 const messageVersion = 1
 
-// Limits on the contents of a message, so that a faulty sender cannot exhaust the receiver's memory.
+// Limits on the contents of a message, so that a faulty sender cannot exhaust the receiver's memory. decodeMessage
+// checks the numbers of reports; control servers check the lengths of names and reasons when they record a report.
 const (
 	MaxNameBytes   = 200  // of a node's or cache's name
 	MaxReasonBytes = 300  // of a text that states why something was refused or failed
@@ -71,7 +72,7 @@
 	Node           string `cbor:"1,keyasint"`
 	Process        uint64 `cbor:"2,keyasint,omitempty"` // a random number for each process of the node
 	Applied        uint64 `cbor:"3,keyasint"`
-	Config         uint64 `cbor:"4,keyasint,omitempty"`  // index of the configuration in force; 0 for the node's own
+	Config         uint64 `cbor:"4,keyasint,omitempty"`  // of the one in force; 0 for its own, or one of an earlier log
 	Refused        uint64 `cbor:"5,keyasint,omitempty"`  // index of a configuration that it refused; 0 for none
 	PresumedPurged uint64 `cbor:"6,keyasint,omitempty"`  // everything up to here may have been purged
 	Gaps           uint64 `cbor:"7,keyasint,omitempty"`  // times that entries did not follow the applied ones
@@ -117,7 +118,7 @@
 	return append(frame, body...), nil
 }
 
-// decodeMessage decodes the body of a frame and checks the limits on its contents.
+// decodeMessage decodes the body of a frame and checks its version and the numbers of node and cache reports.
 func decodeMessage(body []byte) (Message, error) {
 	var message Message
 	if err := replicatedlog.DecodeMode.Unmarshal(body, &message); err != nil {
--- a/internal/control/controlwire/timing.go
+++ b/internal/control/controlwire/timing.go
@@ -27,12 +27,12 @@
 
 const (
 	maxReconnectDelay = 2 * time.Second // bounds the time until a restarted server is found
-	maxDoublings      = 8               // of the first delay; more could overflow, and the maximum is reached before
+	maxDoublings      = 8               // of first; more could overflow, and the maximum is reached before
 )
 
-// ReconnectDelay returns the delay before a stream is dialled again: exponential backoff from a first delay up to two
-// seconds, with full jitter, so that the peers of a failed server do not all reconnect at once. attempt counts
-// consecutive failures; random is between 0 and 1.
+// ReconnectDelay returns the delay before a stream is dialled again: exponential backoff with full jitter, so that the
+// peers of a failed server do not all reconnect at once. The ceiling of the delay is first, doubled for each attempt,
+// up to two seconds: twice first after one failure. attempt counts consecutive failures; random is between 0 and 1.
 func ReconnectDelay(first time.Duration, attempt int, random float64) time.Duration {
 	ceiling := min(maxReconnectDelay, first<<min(attempt, maxDoublings))
 	return time.Duration(random * float64(ceiling))
--- a/internal/control/logfollower/config.go
+++ b/internal/control/logfollower/config.go
@@ -11,8 +11,8 @@
 	"dahliapin/internal/monotime"
 )
 
-// Descriptors is the number of file descriptors that a Follower needs: its stream, and one more while it changes to
-// another server.
+// Descriptors is the number of file descriptors to reserve for a Follower: one for its stream, and one spare. It closes
+// its stream before it dials the next server.
 const Descriptors = 2
 
 // Applier applies the log at a node. Production code uses replicatedlog.Applier; tests have other implementations.
--- a/internal/control/logfollower/follower.go
+++ b/internal/control/logfollower/follower.go
@@ -23,9 +23,9 @@
 	// doubles with each stream to a server without a leader, so that the nodes of a fleet without a quorum do not
 	// reconnect all the time.
 	maxLeaderlessTimeout = 30 * time.Second
-	// firstReconnectDelay is the base of the exponential backoff before each reconnect, see
+	// reconnectDelayBase is the base of the exponential backoff before each reconnect, see
 	// controlwire.ReconnectDelay.
-	firstReconnectDelay = 100 * time.Millisecond
+	reconnectDelayBase = 100 * time.Millisecond
 )
 
 // errNoLeader ends the stream to a server that has reported for too long that it has no leader.
@@ -96,7 +96,7 @@
 	failures := 0
 	for {
 		if failures > 0 {
-			delay := controlwire.ReconnectDelay(firstReconnectDelay, failures, f.random.Float64())
+			delay := controlwire.ReconnectDelay(reconnectDelayBase, failures, f.random.Float64())
 			select {
 			case <-time.After(delay):
 			case <-f.closed:
@@ -115,7 +115,9 @@
 				leaderlessLimit = min(2*leaderlessLimit, maxLeaderlessTimeout)
 			}
 		}
-		if !errors.Is(err, replicatedlog.ErrGap) { // after a gap the same server resends what was not applied
+		// After a gap the same server is asked again. The next hello states what was applied, and a server sends only
+		// entries and starting points beyond that, so the gap does not repeat.
+		if !errors.Is(err, replicatedlog.ErrGap) {
 			next++
 		}
 		failures++
--- a/internal/control/purge/arrivals.go
+++ b/internal/control/purge/arrivals.go
@@ -10,8 +10,8 @@
 // maxArrivals is the maximum number of recorded arrivals. It equals the default number of entries that the log retains.
 const maxArrivals = 65_536
 
-// ArrivalTimes records when entries arrived at this server. Each entry was published before its arrival, so a period
-// that has passed since the arrival has also passed since the publication.
+// ArrivalTimes records when entries arrived at this server. Each entry was requested before its arrival, so a period
+// that has passed since the arrival has also passed since the request.
 type ArrivalTimes struct {
 	logID    replicatedlog.LogID
 	arrivals []arrival // ordered by time and by index
--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -15,8 +15,9 @@
 	maxReconnectDelay   = 3 * time.Second        // a cache that is reachable again is contacted within this time
 	maxDoublings        = 8                      // of the first delay; the maximum is reached before
 
-	// maxListLag is the assumed maximum age of the list of caches while discovery answers: five times the delay that
-	// discovery specifies.
+	// maxListLag is the assumed maximum age of the list of caches in an answer of discovery: five times the delay that
+	// discovery specifies. Cursor.SafeAfterRestart is raised only with such an answer, and from the time of its
+	// request, so it stays as it is while discovery does not answer.
 	maxListLag = 30 * time.Second
 )
 
@@ -127,7 +128,7 @@
 // OnListed handles a list of caches, obtained at a given time, that names a process of the cache by its start time.
 //
 // If the process is a later one, purges may have been carried out at the previous process after the later one was
-// started, and fills of old values may still reach the later one. The cursor therefore falls back to
+// started, and fills of old values may still reach the later one. The cursor is therefore set to
 // Cursor.SafeAfterRestart. While the list names the same process, that index is raised to the newest purge that arrived
 // at least maxListLag plus MaxFillTime ago: all fills of values from before it are over, even if the list lags.
 func (c *Cache) OnListed(now monotime.Instant, started Incarnation, arrivals *ArrivalTimes) {
--- a/internal/control/purge/cursor.go
+++ b/internal/control/purge/cursor.go
@@ -14,8 +14,9 @@
 	Log         replicatedlog.LogID // the log that the indexes belong to; 0 for none yet
 	Incarnation Incarnation         // the process of the cache
 	Done        replicatedlog.Index
-	// SafeAfterRestart is the index up to which a later process of the cache needs no purges: it starts empty, and all
-	// fills of older values were over when it was started.
+	// If the cache restarts, SafeAfterRestart is the index up to which the new process needs no purges: it starts
+	// empty, and all fills of older values were over when it was started. The index is kept in advance, see
+	// Cache.OnListed.
 	SafeAfterRestart replicatedlog.Index
 }
 
--- a/internal/control/purge/doc.go
+++ b/internal/control/purge/doc.go
@@ -9,34 +9,38 @@
 // until it expires. A single delete cannot prevent that, since it has no effect on a fill under way. Each key is
 // therefore deleted twice:
 //
-//   - QuickDelete is sent as soon as the purge is known. It stops almost all readers from being served the old value,
-//     but does not make the purge done;
-//   - ConfirmingDelete is sent once Config.MaxFillTime has passed since the purge was known. Every fill that could have
-//     read the old value has stored it by then, so this delete removes it; later fills read the new value.
+//   - QuickDelete is sent as soon as the purge has arrived in this server's log. It stops almost all readers from being
+//     served the old value, but does not make the purge done. It is omitted if the ConfirmingDelete is already due;
+//   - ConfirmingDelete is sent once Config.MaxFillTime has passed since the purge was requested. Every fill that could
+//     have read the old value has stored it by then, so this delete removes it; later fills read the new value.
 //
-// A purge is done at a cache when the cache has answered the ConfirmingDelete. The Cursor is the index up
-// to which all purges are done.
+// A purge is requested at the time when this server is asked to order it; the origin was written before that. At
+// servers that were not asked, MaxFillTime counts from the purge's arrival (ArrivalTimes), which is later.
 //
-// MaxFillTime counts from the time at which this server was asked to order the purge, since the origin was written
-// before that. At servers that were not asked, it counts from the purge's arrival in the log (ArrivalTimes).
+// Cursor.Done is the index up to which all purges are done at a cache. It usually advances when the cache has answered
+// a ConfirmingDelete. Entries that need no command, such as a purge of an invalid key, are passed over. Cursor.Done
+// also changes with the second flush of the cache, with the cursor of another control server (Cache.MergeCursor), and
+// with a restart of the cache, as described below.
 //
 // # Flushes
 //
 // If the log no longer retains entries that the cache lacks, the purged keys are not known and the whole cache has to
-// be emptied, twice for the same reason. A flush sends the cache's load to the origin. Other control servers therefore
-// get some time first to report that they have carried out the purges, and a FlushLimiter spaces the flushes of several
-// caches.
+// be emptied, twice for the same reason; the two flushes replace the deletes of all purges before the first one. A
+// flush sends the cache's load to the origin. Other control servers therefore get some time first to report that they
+// have carried out the purges, and a FlushLimiter spaces the flushes of several caches.
 //
 // # Restarts of a cache
 //
 // A restarted cache is empty, but fills that began before the restart may still reach it. The list of caches states
-// when each process was started (Incarnation). For a new process the cursor falls back to Cursor.SafeAfterRestart,
-// which covers only purges so old that all fills of earlier values were over while the list still named the old
-// process.
+// when each process was started (Incarnation). For a new process Cursor.Done is set to Cursor.SafeAfterRestart, which
+// covers only purges so old that all fills of earlier values were over while the list still named the old process. The
+// new process needs no commands for these purges. Cursor.Done usually falls by that, but rises if the old process was
+// unreachable for a long time.
 //
 // # Invariants
 //
-//   - The cursor is never ahead of what the cache has answered.
+//   - Except for entries that need no command, and purges up to Cursor.SafeAfterRestart after a restart of the cache,
+//     the cursor is never ahead of what the cache has answered, to this server or to the one that reported the cursor.
 //   - The cursor falls only with another process of the cache or another log.
 //   - At most MaxInFlight commands are unanswered, and answers are matched in the order of the commands.
 //
--- a/internal/control/purge/progress.go
+++ b/internal/control/purge/progress.go
@@ -1,7 +1,7 @@
 package purge
 
 // Progress describes how far a control server has carried out purges at a cache. Servers report it to each other and to
-// operators.
+// operators. A node's progress in the log is replicatedlog.Progress.
 type Progress struct {
 	Cache        string `cbor:"1,keyasint"`
 	Incarnation  int64  `cbor:"2,keyasint,omitempty"`  // the cache's Incarnation
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -79,9 +79,10 @@
 	}
 }
 
-// paced reports whether pacing allows a command now. Each command moves paceTime on by CommandInterval, from now at the
-// earliest. A command is allowed while paceTime is at most MaxBurst-1 intervals ahead of now. Otherwise the time
-// returned is the one from which pacedBatchSize commands are allowed.
+// paced reports whether pacing allows a command now: a token bucket that holds at most MaxBurst commands and gains one
+// per CommandInterval. It is stored as paceTime, which each command moves on by CommandInterval, from now at the
+// earliest. The bucket is empty, and no command allowed, if paceTime is more than MaxBurst-1 intervals ahead of now.
+// The time returned is then the one from which the bucket holds pacedBatchSize commands.
 func (c *Cache) paced(now monotime.Instant) (allowed bool, at monotime.Instant) {
 	c.paceTime = max(c.paceTime, now)
 	if c.paceTime <= now.Add((MaxBurst-1)*c.CommandInterval) {
@@ -153,7 +154,7 @@
 			c.skip(ConfirmingDelete, index)
 			continue
 		}
-		dueAt := publishedBefore(index, log, arrivals).Add(c.MaxFillTime)
+		dueAt := requestedBy(index, log, arrivals).Add(c.MaxFillTime)
 		if dueAt > now {
 			return Command{}, false, dueAt
 		}
@@ -163,9 +164,9 @@
 	return Command{}, false, 0
 }
 
-// publishedBefore returns a time by which an entry had been published: the time when this server was asked to order it
-// if that is known, since it is earlier, or else the time of its arrival.
-func publishedBefore(index replicatedlog.Index, log Log, arrivals *ArrivalTimes) monotime.Instant {
+// requestedBy returns a time by which an entry had been requested: the time when this server was asked to order it if
+// that is known, since it is earlier, or else the time of its arrival.
+func requestedBy(index replicatedlog.Index, log Log, arrivals *ArrivalTimes) monotime.Instant {
 	at, _ := arrivals.KnownAt(index)
 	if requestedAt, ok := log.RequestedAt(index); ok {
 		at = min(at, requestedAt)
--- a/internal/control/purger/connection.go
+++ b/internal/control/purger/connection.go
@@ -27,7 +27,8 @@
 	errBadAnswer     = errors.New("answer does not match the command that was sent")
 )
 
-// cache is a cache and its connection. The Purger's lock guards all fields that change.
+// cache is a cache and its connection. The embedded purge.Cache (methods such as OnAnswer and NextCommand) decides what
+// to send and what is done. The Purger's lock guards all fields that change.
 type cache struct {
 	*purge.Cache
 	purger     *Purger
@@ -50,7 +51,8 @@
 	}
 }
 
-// run keeps a connection to addr open while there is something to do, until stop is closed.
+// run opens a connection to addr when there is something to do, keeps it until it breaks, and then starts over, until
+// stop is closed.
 func (c *cache) run(addr string, stop chan struct{}) {
 	p := c.purger
 	for {
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -43,8 +43,8 @@
 	Logger      *logrus.Logger
 	Now         func() monotime.Instant                                   // clock that also advances during suspend
 	Dial        func(addr string, within time.Duration) (net.Conn, error) // nil for TCP
-	// OnProgress, if not nil, is called when a cursor has changed, with the lock held. The invariant checker of tests
-	// sets it.
+	// OnProgress, if not nil, is called when a cursor has changed, and by Open once for each cursor loaded from disk,
+	// with the lock held. The invariant checker of tests sets it.
 	OnProgress func(purge.CacheID, purge.Cursor)
 }
 
--- a/internal/control/replicatedlog/applier.go
+++ b/internal/control/replicatedlog/applier.go
@@ -26,7 +26,7 @@
 	Started        bool
 	Log            LogID // the log that the node started with
 	Applied        Index
-	Config         Index  // the configuration in force; 0 for the node's own
+	Config         Index  // the configuration in force; 0 for the node's own, or one of an earlier log
 	Refused        Index  // the latest refused configuration; 0 if none was refused since the one in force
 	Reason         string // why it was refused
 	PresumedPurged Index  // any key may have been purged up to this index
@@ -48,8 +48,8 @@
 func (a *Applier) CurrentProgress() Progress { return a.Progress }
 
 // Start starts after an index of a log, with the encoded configuration in force at that index; empty for none. A
-// starting point in the same log that is not beyond the last applied entry is rejected with ErrGap, because the node
-// would take an older configuration for a newer one.
+// starting point in the same log that is not beyond the last applied entry is rejected with ErrGap, because entries
+// after it would be applied a second time.
 func (a *Applier) Start(log LogID, at Index, config cbor.RawMessage) error {
 	otherLog := a.Started && log != a.Log
 	if a.Started && !otherLog && at <= a.Applied {
--- a/internal/control/replicatedlog/doc.go
+++ b/internal/control/replicatedlog/doc.go
@@ -1,7 +1,9 @@
 // Package replicatedlog is the state machine of the fleet's replicated log, which puts the purges and configurations
 // that every node needs into one order. It does no I/O. Raft delivers the same batches in the same order to the State
-// of each control server, and a State is a deterministic function of them: it uses no clock, no random numbers and no
-// settings that differ between servers. An Applier applies the log at a node.
+// of each control server, and the entries and indexes are a deterministic function of them: a State uses no clock and
+// no random numbers. Its only settings are the Bounds, which decide how many entries the server retains. They should be
+// the same at all servers: one that retains less has a higher floor, and gives a node that changes to it a new starting
+// point where the others would send entries. An Applier applies the log at a node.
 //
 // # Proposals and entries
 //
@@ -23,7 +25,8 @@
 // have applied, and when the log exceeds its Bounds. The latest configuration up to the floor is retained as the base.
 // A node that asks for entries below the floor gets a StartingPoint with the floor and the base, and must presume that
 // any key may have been purged up to there (Handler.PresumePurged). A node that has applied nothing starts at the
-// newest entry, since its caches cannot hold anything that was purged before.
+// newest entry: it stores no values itself, and the control servers carry out the purges at the caches. It gets the
+// configuration in force with the starting point.
 //
 // # Snapshots and restarts
 //
--- a/internal/control/replicatedlog/state.go
+++ b/internal/control/replicatedlog/state.go
@@ -7,7 +7,8 @@
 )
 
 // DedupWindow is the number of recent entries whose proposal ids are retained to recognize retried proposals. It covers
-// almost two hours of purges at the fleet's rate, while clients retry for half a minute.
+// almost two hours of purges at the fleet's rate of 9.5 per second. Clients retry until their own timeout; that of the
+// operators' tools is half a minute.
 const DedupWindow = 65_536
 
 // Bounds limits how much of the log is retained for nodes that lag behind.
@@ -17,7 +18,7 @@
 	MinEntries int // newest entries that trimTo retains, for nodes whose progress is unknown
 }
 
-// DefaultBounds retains more than an hour of purges at the fleet's rate.
+// DefaultBounds retains as many entries as DedupWindow: almost two hours of purges at the fleet's rate.
 var DefaultBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, MinEntries: 4096}
 
 // retainedEntry is an entry in the log, encoded once for all nodes that receive it.
@@ -64,8 +65,8 @@
 	return s.config.Index
 }
 
-// Apply appends a batch's proposals to the log and returns the index of each. A proposal that is already in the log
-// keeps its index. An invalid proposal gets 0, on every server.
+// Apply appends a batch's proposals to the log and returns the index of each. A proposal whose id is among those of the
+// last DedupWindow entries keeps its index. An invalid proposal gets 0, on every server.
 func (s *State) Apply(batch Batch) []Index {
 	if s.id == 0 { // two leaders may have proposed an id: the one committed first wins
 		s.id = batch.Log
@@ -79,7 +80,7 @@
 	return indexes
 }
 
-// add appends a proposal unless it is in the log already, and returns its index; 0 if the proposal is invalid.
+// add appends a proposal unless its id is among the recent ones, and returns its index; 0 if the proposal is invalid.
 func (s *State) add(p Proposal) Index {
 	if p.Check() != nil {
 		return 0
--- a/internal/control/replicatedlog/store/doc.go
+++ b/internal/control/replicatedlog/store/doc.go
@@ -2,8 +2,9 @@
 //
 // # What survives kill -9
 //
-// Everything passed to Save and Compact survives once they have returned without an error. Each call is one bbolt
-// transaction, which ends with fsync; a transaction that was cut short leaves no trace after a restart. The file holds
+// Everything passed to Save and Compact survives once they have returned without an error, except a change of the
+// commit index alone (see below). Each write is one bbolt transaction, which ends with fsync; a transaction that was
+// cut short leaves no trace after a restart. The file holds
 //
 //   - the hard state: Raft's term and vote. A server that lost its vote could vote twice in a term, and two leaders
 //     could be elected;
--- a/internal/control/replicatedlog/store/store.go
+++ b/internal/control/replicatedlog/store/store.go
@@ -45,7 +45,7 @@
 	OnPersisted        func([]*pb.Entry)
 	bytesSinceSnapshot int    // size of the entries since the last snapshot
 	snapshotIndex      uint64 // Raft index of the last snapshot
-	prevSnapshotIndex  uint64 // Raft index of the snapshot before it; memory keeps the entries after this one
+	prevSnapshotIndex  uint64 // Raft index of the one before; the next Compact drops entries up to here from memory
 }
 
 // Open opens the store in a directory and creates the directory if it is missing. An empty directory is initialized
@@ -166,16 +166,16 @@
 	return s.MemoryStorage.Append(entries)
 }
 
-// SizeSinceSnapshot returns the number of entries after the last snapshot up to a Raft index, and the size in bytes of
-// the entries saved since that snapshot, also of those after the index. The size after Open is that of all entries
-// after the snapshot.
+// SizeSinceSnapshot returns how much the log has grown since the last snapshot, in two measures: the number of entries
+// after the snapshot up to a Raft index, and the size in bytes of all entries saved since the snapshot, which does not
+// depend on the index. Open counts the entries after the snapshot on disk as saved since.
 func (s *Store) SizeSinceSnapshot(applied uint64) (entries uint64, bytes int) {
 	return applied - min(applied, s.snapshotIndex), s.bytesSinceSnapshot
 }
 
 // Compact writes a snapshot of the state at a Raft index to disk, and deletes the entries up to that index from the
-// disk. Memory keeps the entries since the previous snapshot, so that a server which is slightly behind gets entries
-// instead of the whole snapshot.
+// disk. Memory keeps the entries that follow the snapshot before the previous one, so that a server which is slightly
+// behind gets entries instead of the whole snapshot.
 func (s *Store) Compact(applied uint64, state []byte) error {
 	snapshot, err := s.MemoryStorage.CreateSnapshot(applied, nil, state)
 	if err != nil {
