--- a/internal/control/replicatedlog/batch.go
+++ b/internal/control/replicatedlog/batch.go
@@ -7,6 +7,9 @@
 	MaxBatchProposals = 1024
 	// maxBatchBytes bounds the size of a batch: it has room for a burst of purges, or for several configurations.
 	maxBatchBytes = 2 << 20
+	// maxEncodedBatchBytes bounds an encoded batch that is decoded. Batches adds up the bodies and a fixed overhead of
+	// each proposal, without the batch's own encoding; the difference between the two limits leaves room for that.
+	maxEncodedBatchBytes = 2 * maxBatchBytes
 )
 
 // Batch is the content of one entry of Raft's log: proposals that arrived together, or a decision of the leader about
@@ -36,8 +39,9 @@
 // DecodeBatch decodes a batch, or returns an error that wraps ErrMalformed.
 func DecodeBatch(encoded []byte) (Batch, error) {
 	var decoded encodedBatch
-	if len(encoded) > 2*maxBatchBytes {
-		return Batch{}, fmt.Errorf("%w: batch of %d bytes, limit %d bytes", ErrMalformed, len(encoded), 2*maxBatchBytes)
+	if len(encoded) > maxEncodedBatchBytes {
+		return Batch{}, fmt.Errorf("%w: batch of %d bytes, limit %d bytes", ErrMalformed, len(encoded),
+			maxEncodedBatchBytes)
 	}
 	if err := DecodeMode.Unmarshal(encoded, &decoded); err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrMalformed, err)
