--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -197,6 +197,29 @@
 	}
 }
 
+// A new log that replaces the old one between the two flushes has indexes of its own. The second flush must not count
+// more of its purges as done than it has, or the next ones would not be carried out.
+func TestLogReplacedBetweenFlushesCountsNoLaterPurgeAsDone(t *testing.T) {
+	f := newFixture(t)
+	f.Cache = NewCache(testConfig, Cursor{Log: 7, Done: 1}, f.now)
+	f.publish("a", "b", "c", "d")
+	f.log.floor = 2
+	f.wait(peerCursorWait)
+	f.expect("first flush", "F4 ", 1)
+	f.answer(1)
+
+	f.log = testLog{id: 8}
+	f.publish("x")
+	f.sendAll()
+	f.wait(testConfig.MaxFillTime)
+	for f.sendAll() != "" || len(f.inFlight) > 0 {
+		f.answer(len(f.inFlight))
+	}
+	if cursor := f.Cursor(); cursor.Log == 8 && cursor.Done > f.log.last() {
+		t.Errorf("cursor %+v, but the new log ends at %d", cursor, f.log.last())
+	}
+}
+
 // After all control servers lost their disks, a new empty log is created. Progress in the old log does not count: the
 // cache is flushed, and its cursor must not be ahead of the new log.
 func TestCursorIsNotAheadOfANewLog(t *testing.T) {
