--- a/internal/proxy/admin/handler.go
+++ b/internal/proxy/admin/handler.go
@@ -33,8 +33,9 @@
 type Node interface {
 	// Metrics returns the latest snapshot.
 	Metrics() *metrics.Snapshot
-	// Standby stops serving clients, and Activate resumes it. Both return once that is done; they return
-	// ErrShuttingDown if the node is shutting down.
+	// Standby begins to take the node out of service, and Activate returns it to service. Both return once the command
+	// has been executed; after Standby, clients may be served for some time longer. Both return ErrShuttingDown if the
+	// node is shutting down.
 	Standby(context.Context) error
 	Activate(context.Context) error
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -138,8 +138,8 @@
 }
 
 // abandonAttempt ends an attempt that has had no response. If the kernel never accepted its last byte, the endpoint
-// cannot have executed it, and the result says so. An attempt whose connection is not established yet counts as not
-// sent, and the connection is kept.
+// cannot have executed it, and the result says so. Such an attempt ends as ConnectFailed at its deadline, and otherwise
+// as NotSent. A connection that is not established yet is kept.
 func (p *Proxy) abandonAttempt(req *inflightRequest, index int, result policy.Result) {
 	conn := p.upstream.conns.Get(req.attempts[index].conn)
 	if conn != nil && (conn.socket == nil || p.dropConn(conn) > 0) {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -22,9 +22,9 @@
 	Listeners listeners.File
 	// Seed is the seed of all random decisions of the node.
 	Seed int64
-	// DescriptorLimit is how many file descriptors the node's sockets may use.
+	// DescriptorLimit is how many file descriptors the proxy may use, including those that are not for connections.
 	DescriptorLimit int
-	// ReservedDescriptors is how many file descriptors the process uses for anything but the node's sockets.
+	// ReservedDescriptors is how many file descriptors the process uses for its other parts.
 	ReservedDescriptors int
 	// MemoryLimit is how many bytes of memory the process may use in total.
 	MemoryLimit int64
--- a/internal/proxy/degradation/controller.go
+++ b/internal/proxy/degradation/controller.go
@@ -121,7 +121,7 @@
 	switch {
 	case anyReached(level.Enter, observed): // too many requests were readmitted
 		c.setShedShare(now, min(1, c.shedShare+shedStep))
-	case anyReached(level.Leave, observed): // the shed share is right
+	case anyReached(level.Leave, observed): // no change: a level is left only while all shares are below its Leave
 	case c.shedShare > 0 && stayed >= level.MinStay()/stepsPerStay:
 		c.setShedShare(now, max(0, c.shedShare-readmitStep))
 	case c.shedShare == 0 && stayed >= level.MinStay():
--- a/internal/proxy/degradation/window.go
+++ b/internal/proxy/degradation/window.go
@@ -11,7 +11,7 @@
 type window struct {
 	attempts       int // ended attempts, except cancelled and unsent ones, which say nothing about the endpoint
 	late           int // answered after the latency objective
-	lost           int // errors, broken connections, timeouts
+	lost           int // errors, failed connects, broken connections, timeouts
 	cacheRejected  int // rejected by a cache at capacity
 	originAttempts int // attempts sent to the origin
 	originLate     int // attempts at the origin that were late or lost
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -121,7 +121,8 @@
 	d.execute(now, req, d.decider.OnAttemptDone(now, &req.Request, outcome))
 }
 
-// ResponseStarted cancels the pending review of a request whose response is now being streamed to the client.
+// ResponseStarted cancels the pending review of a request whose response is now being streamed to the client. The
+// simulator's adapter calls it. The proxy does not: its streams end their attempt instead.
 func (d *Dispatcher) ResponseStarted(id policy.RequestID) {
 	if req := d.inflight[id]; req != nil {
 		req.reviewAt = 0
--- a/internal/proxy/dispatch/doc.go
+++ b/internal/proxy/dispatch/doc.go
@@ -9,6 +9,7 @@
 //
 // A request is in flight from RequestArrived until it has been answered and none of its attempts is in flight. The
 // answer is Actions.Reject, Actions.Fail or a value that the caller of AttemptDone has served. In the meantime the
-// decider may schedule a review (policy.Decision.ReviewAt): Route is called again at that time, unless the result of
-// an attempt has led to another decision first.
+// decider may schedule a review (policy.Decision.ReviewAt): Route is called again at that time, or earlier if the
+// decision about another request wakes this one. A later decision with a ReviewAt replaces the scheduled review; one
+// without leaves it in place.
 package dispatch
--- a/internal/proxy/dispatch/interfaces.go
+++ b/internal/proxy/dispatch/interfaces.go
@@ -13,7 +13,8 @@
 	Send(id policy.RequestID, to policy.EndpointID, deadline policy.Instant)
 	// Cancel stops an attempt. The attempt's result, which still follows, says whether it may have been executed.
 	Cancel(id policy.RequestID, attempt int)
-	// Reject answers that the request was not executed and may be retried, after retryAfter if that is not 0.
+	// Reject answers that the request may be retried safely, after retryAfter if that is not 0: it was not executed, or
+	// repeating it is harmless.
 	Reject(id policy.RequestID, retryAfter time.Duration)
 	// Fail answers that the request has failed and may have been executed.
 	Fail(id policy.RequestID)
@@ -25,8 +26,8 @@
 	PollEndpoints()
 }
 
-// Decider makes the decisions about requests. Implementations are the router of package policy, and baselines that it
-// is compared with.
+// Decider makes the decisions about requests. Implementations are the router of package policy, degradation.Filter,
+// which wraps another Decider, and baselines that the router is compared with.
 type Decider interface {
 	// Route decides what to do with a request that has arrived or whose review is due.
 	Route(now policy.Instant, r *policy.Request) policy.Decision
@@ -53,7 +54,7 @@
 	// EndpointStateChanged is called at a tick for each endpoint whose state has changed since the previous tick.
 	// Initially every endpoint is in use.
 	EndpointStateChanged(now policy.Instant, id policy.EndpointID, state policy.EndpointState)
-	// AttemptSent is called for each attempt that is sent to an endpoint.
+	// AttemptSent is called for each attempt that is started, including those that end before anything is written.
 	AttemptSent(now policy.Instant, id policy.EndpointID)
 	// AttemptDone is called for each attempt that has ended, with its latency.
 	AttemptDone(now policy.Instant, id policy.EndpointID, result policy.Result, took time.Duration)
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,6 +1,7 @@
 // Package proxy implements a node of the router on real sockets: one event loop that accepts requests from clients and
-// sends them to endpoints, as package policy decides. The only decision made here is whether the node can accept a
-// request at all (cannotAccept, capDeadline).
+// sends them to endpoints, as package policy decides. No routing decision is made here. The node only refuses requests
+// that it cannot accept (acceptRequest), sheds load by service class (package degradation), and drops attempts whose
+// client has disconnected (clientDisconnected).
 //
 // # Use
 //
@@ -24,7 +25,8 @@
 //
 // An answer that is late or missing was delayed in one of these steps. The counter AnsweredLate counts the requests
 // completed after their deadline. It does not include streams, nor answers that were completed in time but had to wait
-// for those to earlier commands. LongestIterationMs and Stalls show whether the event loop stalled.
+// for those to earlier commands. LongestIterationMs and Stalls show whether an iteration of the event loop took long.
+// Commands from other goroutines run between the iterations and are not timed.
 //
 // # State and ownership
 //
@@ -32,8 +34,8 @@
 // connections), inflightTable (requests in flight), upstream (connections to endpoints and the pool of idle ones),
 // endpointTable (the endpoint list and its watch), lifecycle (phase, drain and standby), takeover, metricsPublisher,
 // stallDetector, and taskQueue. Other goroutines reach the loop only through runInLoop and runCommand; the only state
-// that they read directly is the metrics snapshot. The dispatcher holds what decisions need to know about the requests
-// in flight, and sets their timers with SetTimer.
+// that they read directly is the metrics snapshot and, once the loop has ended, the counters. The dispatcher holds what
+// decisions need to know about the requests in flight, and sets their timers with SetTimer.
 //
 // # Endpoint list
 //
@@ -45,11 +47,12 @@
 //
 // On SIGTERM the process calls Shutdown, and the loop runs startDrain (drain.go). The phase becomes Draining, which
 // makes readiness checks fail. A process that took over leaves new connections to its predecessor again if that is
-// still running. Deadlines are capped, so that every request is answered before the node stops. drainStep then serves
-// the requests that still arrive. Once no connection has arrived for a while, it closes the idle ones; the last answer
-// on each connection announces the close, if the protocol supports that. The node stops when no connection and no
-// request is left, or at drainDeadline. Run then closes the handover offer and stops the engine, and node.Serve waits
-// until the events have been received, leaves the fleet and closes the admin server.
+// still running. Deadlines are capped, so that every request is answered before the node stops. Requests that still
+// arrive are served. drainStep checks repeatedly whether idle connections may be closed: once no connection has arrived
+// for a while, or at once if another process accepts the connections. The last answer on each connection announces the
+// close, if the protocol supports that. The node stops when no connection and no request is left, or at drainDeadline.
+// Run then closes the handover offer and stops the engine, and node.Serve waits until OnEvent of node.Config has
+// received the events of the event log, leaves the fleet and closes the admin server.
 //
 // # Invariants
 //
@@ -58,9 +61,10 @@
 //     the dispatcher is not reentrant.
 //   - A connection to an endpoint serves one purpose at a time. It is closed when unrequested data arrives on it, so
 //     that no response is taken for another request's.
-//   - The loop never waits for a socket, a file or another goroutine. Only two things can delay it:
-//     awaitEndpointList, which after a stall checks at most maxListReadChecks times whether the list has been read, and
-//     the callbacks of Config, which must not block.
+//   - In normal operation the loop does not wait for a socket, a file or another goroutine, except to write log lines.
+//     It can be delayed by awaitEndpointList, which after a stall checks at most maxListReadChecks times whether the
+//     list has been read; by the callbacks of Config, which must not block; by a takeover, whose calls of package
+//     handover use the handover socket and its file; and by BlockLoop, with which rehearsals simulate a hang.
 //   - Data from clients and endpoints takes at most a part of the memory limit, as given by incompleteRequestDivisor,
 //     incompleteResponseDivisor, bufferedDivisor and readAheadDivisor.
 package proxy
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -20,7 +20,7 @@
 	clientIdleTimeout = 2 * time.Second
 	// firstCommandGrace is how long a new connection may wait for its first command before it counts as idle.
 	firstCommandGrace = 50 * time.Millisecond
-	// sweepInterval is the interval at which slow and idle clients are looked for.
+	// sweepInterval is the interval of sweep, which looks for slow and idle clients.
 	sweepInterval = 100 * time.Millisecond
 	// flushTimeout is how long a closing connection may take until its client has read the last answer.
 	flushTimeout = time.Second
@@ -181,11 +181,13 @@
 	}
 }
 
-// sweepClients closes connections on which nothing or no complete command was sent in time, and those that have been
-// idle for too long. Some clients send one request and then keep their connection open, so the number of idle
-// connections is limited. Connections on which only one command was answered are closed before others, and the least
-// recently used ones first.
-func (p *Proxy) sweepClients() {
+// sweep does the periodic work of the event loop, first in New and then every sweepInterval. It publishes the metrics
+// snapshot, sets the read-ahead of all connections according to the number of upstream connections, and closes clients'
+// connections: those on which nothing or no complete command was sent in time, and those that have been idle for too
+// long. Some clients send one request and then keep their connection open, so the number of idle connections is
+// limited. Connections on which only one command was answered are closed before others, and the least recently used
+// ones first.
+func (p *Proxy) sweep() {
 	now := p.now()
 	p.schedule(now.Add(sweepInterval), timerEvent{kind: timerSweep})
 	p.publishMetrics()
--- a/internal/proxy/downstream_codec.go
+++ b/internal/proxy/downstream_codec.go
@@ -23,7 +23,8 @@
 	valueTrailer() string
 	// writeReceipt encodes the answer to a write that was executed.
 	writeReceipt(request *clientRequest, response *upstreamResponse) []byte
-	// rejected encodes that a request was not executed and may be retried, after retryAfter unless that is 0.
+	// rejected encodes that a request may be retried safely, after retryAfter unless that is 0: it was not executed, or
+	// repeating it is harmless.
 	rejected(request *clientRequest, retryAfter time.Duration) []byte
 	// failed encodes that a request may have been executed. timedOut reports that the last endpoint did not respond in
 	// time, rather than with an error.
--- a/internal/proxy/endpoint_watch.go
+++ b/internal/proxy/endpoint_watch.go
@@ -16,8 +16,9 @@
 	maxEndpointListBytes = 8 << 20 // enough for tens of thousands of endpoints
 )
 
-// endpointWatch follows the endpoint list by long polls: one is always under way, and discovery holds back its answer
-// until the list has changed. Package discovery decides what to ask for, and how long to back off.
+// endpointWatch follows the endpoint list by long polls: except during a backoff, one is always under way, and
+// discovery holds back its answer until the list has changed. Package discovery decides what to ask for, and how long
+// to back off.
 type endpointWatch struct {
 	conn                 upstreamConnID // of the poll; 0 during a backoff
 	pollNumber           uint64         // counts polls and failures, to recognize the timer of an earlier one
--- a/internal/proxy/eventlog/event.go
+++ b/internal/proxy/eventlog/event.go
@@ -14,7 +14,7 @@
 	EndpointRestored = "back"      // the endpoint is no longer avoided
 	EndpointDrained  = "drained"   // the endpoint is draining and is sent no new attempts
 	EndpointRemoved  = "gone"      // the endpoint has been removed from the endpoint list
-	TrialAttempt     = "trial leg" // the first attempt was sent to an endpoint that is avoided
+	TrialAttempt     = "trial leg" // the first attempt was started at an endpoint that is avoided for not answering
 	LevelChanged     = "level"     // the node's degradation level has changed
 )
 
--- a/internal/proxy/eventlog/shares.go
+++ b/internal/proxy/eventlog/shares.go
@@ -74,8 +74,8 @@
 }
 
 // evaluateShares compares the shares with the usual ones once enough attempts have been sent. An endpoint whose share
-// falls relative to the median is avoided for its load. No endpoint state shows this: it results only from the
-// selection of other endpoints.
+// falls relative to the median while it is slow, in agreeingEvaluations consecutive evaluations, counts as avoided for
+// its load. No endpoint state shows this: it results only from the selection of other endpoints.
 func (r *Recorder) evaluateShares(now policy.Instant) {
 	if r.evaluatedAt == 0 {
 		r.evaluatedAt = now
--- a/internal/proxy/handover/doc.go
+++ b/internal/proxy/handover/doc.go
@@ -3,7 +3,7 @@
 //
 // Afterwards both processes hold the same listening sockets, so that no connection queued in one of them is lost,
 // whichever process ends first. The connection between the processes stays open: each detects by its end that the other
-// has ended.
+// has ended, or that the successor has returned the sockets.
 //
 // The running process opens an Offer. The successor calls Inherit, which requests and receives the sockets with their
 // addresses. Once the successor serves clients, it calls Inherited.NotifyServing, and the old process stops accepting
--- a/internal/proxy/handover/offer.go
+++ b/internal/proxy/handover/offer.go
@@ -19,7 +19,7 @@
 const (
 	SocketsSent      Stage = iota // the successor has received the sockets
 	SuccessorServing              // the successor serves clients
-	SuccessorGone                 // the successor has ended; this process continues to serve
+	SuccessorGone                 // the successor has ended or returned the sockets; this process continues to serve
 )
 
 // Offer offers this process's listeners to a successor, one at a time.
--- a/internal/proxy/health_checks.go
+++ b/internal/proxy/health_checks.go
@@ -2,7 +2,8 @@
 
 import "dahliapin/policy"
 
-// CheckHealth sends a health check to an endpoint. It implements dispatch.Actions.
+// CheckHealth sends a health check to an endpoint. Unlike an attempt, it ends as ConnectFailed even if the connection
+// fails for a reason on this machine, such as a lack of descriptors. It implements dispatch.Actions.
 func (p *Proxy) CheckHealth(id policy.EndpointID) {
 	endpoint := p.endpoints.byID[id]
 	if endpoint == nil {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -11,7 +11,7 @@
 )
 
 // metricsPublisher holds the node's counters, and the snapshot for operators. Only the event loop accesses anything but
-// the snapshot.
+// the snapshot. Once the loop has ended, Proxy.Counters also reads the counters.
 type metricsPublisher struct {
 	counters     metrics.Counters
 	byClass      []metrics.ClassSnapshot          // by service class
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -15,21 +15,21 @@
 
 	// Responses.
 	Satisfied    uint64 // requests answered with a result
-	Rejected     uint64 // requests rejected without being executed
+	Rejected     uint64 // requests rejected: not executed, or safe to repeat
 	Failed       uint64 // requests that failed
 	NotAccepted  uint64 // requests refused for lack of capacity or by phase; incomplete messages dropped for memory
-	AnsweredLate uint64 // responses sent after the request's deadline
+	AnsweredLate uint64 // requests completed after their deadline, without streamed ones
 	Level        uint64 // current degradation level, not a count; 0 is normal operation
 	Shed         uint64 // requests shed by the degradation level
 
 	// Servers and their connections.
-	Attempts       uint64                       // attempts sent
-	Dials          uint64                       // connections opened for attempts
-	Reused         uint64                       // idle connections used for attempts
+	Attempts       uint64                       // attempts started, also those of which nothing was written
+	Dials          uint64                       // dials started for attempts and health checks
+	Reused         uint64                       // idle connections used for attempts and health checks
 	HealthChecks   uint64                       // health checks made
 	IdleClosed     uint64                       // connections closed because they were idle
 	EvictedConns   uint64                       // idle connections closed to free a descriptor
-	ProtocolErrors uint64                       // connections closed after a response that violates the protocol
+	ProtocolErrors uint64                       // connections closed for invalid or unrequested data, or found ended
 	ServerFull     uint64                       // new connections that a running server did not accept
 	Outcomes       [policy.CacheMiss + 1]uint64 // attempts by their result
 
--- a/internal/proxy/metrics/snapshot.go
+++ b/internal/proxy/metrics/snapshot.go
@@ -18,10 +18,10 @@
 // Snapshot is an immutable copy of a node's metrics at one moment.
 type Snapshot struct {
 	At          time.Time // creation time, with the reading of the monotonic clock
-	Serving     bool      // whether clients are accepted and their requests served
+	Serving     bool      // whether the node's phase is Serving; clients may be served in other phases too
 	Phase       string    // name of the node's phase
 	Classes     []ClassSnapshot
-	Attempts    uint64 // attempts written to servers
+	Attempts    uint64 // attempts written to servers completely; Counters.Attempts counts all that were started
 	Pending     int    // requests in flight
 	Members     int    // endpoints in the list, without the origin
 	Unavailable int    // endpoints in the list that the node avoids
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -136,8 +136,8 @@
 	})
 }
 
-// Reject answers that a request was not executed and may be retried, after retryAfter unless that is 0. It implements
-// dispatch.Actions.
+// Reject answers that a request may be retried safely, after retryAfter unless that is 0: it was not executed, or
+// repeating it is harmless. It implements dispatch.Actions.
 func (p *Proxy) Reject(id policy.RequestID, retryAfter time.Duration) {
 	req := p.inflight.requests.Get(inflightIDOf(id))
 	if req == nil || req.answered {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -76,7 +76,7 @@
 	} else {
 		p.offerHandover()
 	}
-	p.sweepClients()
+	p.sweep()
 	p.startWatch()
 	return p, nil
 }
@@ -161,6 +161,6 @@
 // BlockLoop blocks the event loop until a channel is closed. Rehearsals use it to simulate a process that hangs.
 func (p *Proxy) BlockLoop(until <-chan struct{}) { p.runInLoop(func() { <-until }) }
 
-// Replaced reports whether another process of the node accepts the connections. It may be called only within the event
-// loop, that is, by a callback of Config.
+// Replaced reports whether another process of the node accepts the connections: a successor, or the predecessor to
+// which this process has returned them. It may be called only within the event loop, that is, by a callback of Config.
 func (p *Proxy) Replaced() bool { return p.takeover.otherProcessAccepts }
--- a/internal/proxy/response_stream.go
+++ b/internal/proxy/response_stream.go
@@ -22,8 +22,8 @@
 )
 
 // responseStream is a long value that is forwarded while it is being received. For the dispatcher, its attempt ended
-// with the first byte: no other attempt follows. On any failure the client's connection is closed, which shows the
-// client that the value is incomplete.
+// with the first byte: no other attempt follows. Once the head has been written, a failure closes the client's
+// connection, which shows the client that the value is incomplete.
 type responseStream struct {
 	client           clientConnID
 	slot             uint64 // the number of its pipeline slot
@@ -234,8 +234,8 @@
 	p.answerSlot(client, &client.pipeline[0], []byte(stream.codec.valueTrailer()))
 }
 
-// failStream ends a stream whose value will not be complete. If part of the value has been written, the client's
-// connection is closed; otherwise the request is answered like any other that failed.
+// failStream ends a stream whose value will not be complete. If the head has been written, the client's connection is
+// closed; otherwise the request is answered like any other that failed.
 func (p *Proxy) failStream(stream *responseStream) {
 	p.inflight.pending--
 	p.metrics.countFailed(stream.class)
--- a/internal/proxy/sockets/doc.go
+++ b/internal/proxy/sockets/doc.go
@@ -1,6 +1,8 @@
 // Package sockets connects the proxy's event loop to its TCP connections, which the library nbio polls.
 //
-// An Engine listens, dials, reads and writes. nbio's callbacks run on the goroutine of its poller and only append bytes
+// An Engine listens, dials, reads and writes. Most of nbio's callbacks run on the goroutine of its poller; others run
+// on those of its acceptors and of dials, or within calls of the event loop. Data that arrived while reading was paused
+// is read on another goroutine (readInBackground). All of them only update the state of a connection and append bytes
 // and events to a queue. The event loop waits on Engine.Wake and takes the whole queue, in order, with
 // Engine.TakeEvents. No event is lost, and the two sides cannot deadlock: the loop never waits for the poller, and only
 // reading more bytes waits for the loop.
@@ -9,6 +11,8 @@
 // holds while it queues bytes, so the loop must only use TryLock on it. Counters of bytes and descriptors are atomic.
 // Exported fields of Event and Conn are written by the loop only where their comments say so.
 //
-// Invariants: the number of open descriptors never exceeds the limit, of which a few are reserved for dialing. The
-// number of bytes that wait for the loop is bounded for each connection and for all connections together.
+// Invariants: the number of descriptors of open connections exceeds the limit, of which a few are reserved for dialing,
+// by at most one for each listener: a connection that has been accepted and waits until another one is closed. After
+// the limit has been lowered, the number exceeds it until enough connections have been closed. The number of bytes that
+// wait for the loop is bounded for each connection and for all connections together.
 package sockets
--- a/internal/proxy/stalls.go
+++ b/internal/proxy/stalls.go
@@ -14,14 +14,16 @@
 	stallThreshold = 150 * time.Millisecond
 	// stallLogInterval is the minimum interval between log lines about stalls.
 	stallLogInterval = time.Second
-	// listReadCheckInterval is the interval between checks whether the poller has read the endpoint list after a stall.
+	// listReadCheckInterval is the interval between checks whether the socket poller has read the endpoint list after a
+	// stall.
 	listReadCheckInterval = time.Millisecond
-	// maxListReadChecks is the maximum number of such checks: the poller reads the list within one or two.
+	// maxListReadChecks is the maximum number of such checks: the socket poller reads the list within one or two.
 	maxListReadChecks = 20
 )
 
-// stallDetector times the iterations of the event loop. All other work waits for the end of an iteration, so a long one
-// explains late answers, and decisions by an outdated list. Only the event loop writes it.
+// stallDetector times the iterations of the event loop, but not the commands from other goroutines, which run between
+// them. All other work waits for the end of an iteration, so a long one explains late answers, and decisions by an
+// outdated list. Only the event loop writes it.
 type stallDetector struct {
 	startedAt policy.Instant // when the current iteration began
 	events    int            // socket events handled in it
@@ -74,10 +76,10 @@
 	return p.stalls.stalled || ok && p.now().Since(at) >= stallThreshold
 }
 
-// awaitEndpointList waits until the poller has read what discovery has written by now, for at most maxListReadChecks
-// checks. After a stall, the list waits in the kernel along with requests that arrived before or after it, and the
-// poller returns them in any order. Without the wait, decisions could use a list that has been outdated for longer than
-// the operators' grace period.
+// awaitEndpointList waits until the socket poller has read what discovery has written by now, for at most
+// maxListReadChecks checks. After a stall, the list waits in the kernel along with requests that arrived before or
+// after it, and the socket poller returns them in any order. Without the wait, decisions could use a list that has been
+// outdated for longer than the operators' grace period.
 func (p *Proxy) awaitEndpointList() {
 	conn := p.upstream.conns.Get(p.endpoints.watch.conn)
 	if conn == nil || conn.socket == nil {
--- a/internal/proxy/standby.go
+++ b/internal/proxy/standby.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// standbyAcceptTime is how long the load balancer in front of the nodes still sends new clients after the command
-	// to stand by: until 0.2 s after its next readiness check.
+	// standbyAcceptTime is how long after the command to stand by standbyStep begins to close idle clients. The load
+	// balancer in front of the nodes sends new clients until 0.2 s after its next readiness check, so this leaves 150
+	// ms until that check. Later clients are still accepted, and closed when idle.
 	standbyAcceptTime = 350 * time.Millisecond
 	// standbyServeTime is how long after standbyAcceptTime requests on busy connections are served. Later ones are
 	// rejected, so that the connections become idle and can be closed.
--- a/internal/proxy/takeover.go
+++ b/internal/proxy/takeover.go
@@ -2,7 +2,8 @@
 
 import "dahliapin/internal/proxy/handover"
 
-// sharedLimitDivisor divides the node's limits while two of its processes run.
+// sharedLimitDivisor divides the node's limits while two of its processes share them: until the other process has ended
+// or, in the predecessor, the successor has returned the sockets.
 const sharedLimitDivisor = 2
 
 // takeover is the state of a process that replaces another one, or is replaced. Only the event loop writes it.
@@ -72,8 +73,9 @@
 	}
 }
 
-// onSuccessorStage follows the progress of a successor. Until the successor serves, and again once it has exited, this
-// process accepts the connections. That guards against a successor that exits or hangs before it serves.
+// onSuccessorStage follows the progress of a successor. Until the successor serves, and again once it has exited or
+// returned the sockets, this process accepts the connections. That guards against a successor that exits or hangs
+// before it serves.
 func (p *Proxy) onSuccessorStage(stage handover.Stage) {
 	switch stage {
 	case handover.SocketsSent:
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -16,7 +16,7 @@
 	timerPoll                             // a poll of the endpoint list has timed out, or its backoff has ended
 	timerStream                           // a streamed response may have stalled
 	timerFlush                            // the client of a closing connection may have read everything
-	timerSweep                            // the check for slow and idle clients is due
+	timerSweep                            // sweep is due
 	timerIdleCheck                        // the idle check of a draining node or one in standby is due
 	timerLastKnownList                    // no list has arrived yet: the last known one is used
 )
@@ -41,7 +41,8 @@
 }
 
 // fireTimers handles the timers that are due. A timer that is set meanwhile waits until further events have been
-// handled, however soon it is due: otherwise timers whose handlers set further timers could starve the sockets.
+// handled, however soon it is due: otherwise timers whose handlers set further timers could starve the sockets. This
+// does not hold for one that is set for a time no later than the start of the call; see onConnTimer.
 func (p *Proxy) fireTimers() {
 	now := p.now()
 	for {
@@ -69,7 +70,7 @@
 	case timerFlush:
 		p.closeOnceFlushed(event.client)
 	case timerSweep:
-		p.sweepClients()
+		p.sweep()
 	case timerLastKnownList:
 		p.serveIfReady()
 	case timerIdleCheck:
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -105,7 +105,9 @@
 			continue
 		}
 		idle, sure := conn.socket.Idle()
-		if !idle && sure { // it has unrequested data, or has ended: neither belongs to the next request
+		if !idle && sure {
+			// It has unrequested data or has ended, and neither belongs to the next request. Both count as protocol
+			// errors, even if the endpoint closed the connection in order.
 			p.metrics.counters.ProtocolErrors++
 			p.dropConn(conn)
 		}
@@ -174,7 +176,7 @@
 }
 
 // onDialFailed handles a connection that could not be opened. If local is set, the reason lies with this machine and
-// not with the endpoint.
+// not with the endpoint: an attempt then ends as NotSent. A health check ends as ConnectFailed in both cases.
 func (p *Proxy) onDialFailed(conn *upstreamConn, local bool) {
 	if local && conn.purpose == purposeAttempt {
 		p.failConn(conn, policy.NotSent)
--- a/internal/proxy/upstream_http.go
+++ b/internal/proxy/upstream_http.go
@@ -13,7 +13,8 @@
 )
 
 // httpUpstream speaks HTTP/1.1 to caches that follow RFC 9111. The node itself caches nothing. It evaluates each
-// response, and one that must not be served counts as a cache miss, so that another replica or the origin is asked.
+// response, and one that must not be served counts as a cache miss if the request is idempotent, so that another
+// replica or the origin is asked, and otherwise as an error.
 type httpUpstream struct {
 	servers    *listeners.HTTPCaches
 	cacheAside bool // caches answer only from what they have stored and never ask the origin themselves
@@ -115,8 +116,8 @@
 
 // isUsable reports whether a response may be served (RFC 9111, section 4). With cacheAside, every response of a cache
 // is a stored one. Otherwise a response without Age is the origin's own (section 5.1), and what forbids caching does
-// not forbid forwarding it. If such a response states how long it is fresh, it must still be fresh by its Date, because
-// a cache may omit Age.
+// not forbid forwarding it. If such a response states a lifetime other than 0, it must still be fresh by its Date,
+// because a cache may omit Age.
 func (h httpUpstream) isUsable(answer *http1.Response, request *clientRequest) bool {
 	hasAge := answer.Header("Age") != nil
 	response := freshnessOf(answer)
