--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"encoding/json"
+	"math"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"dahliapin/internal/scale/cachegrowth"
+	"dahliapin/internal/scale/logscale/rig"
 )
 
 // TestScaleCachesCountsStayWithinLimits checks that counts stay within the limits of the operators' table with four
@@ -61,3 +63,35 @@
 		}
 	}
 }
+
+// NaN is in no range, although it is neither below nor above the bounds of one.
+func TestScaleRefusesNaN(t *testing.T) {
+	growth := growthOptions{sizes: []int{minGrowthCaches}, out: "x"}
+	growth.plan.DayLength = minDayLength
+	growth.plan.Rate = 1
+	growth.plan.Nodes = 1
+	growth.plan.Share = 1
+	if err := growth.check(); err != nil {
+		t.Fatalf("--share 1: %v", err)
+	}
+	growth.plan.Share = math.NaN()
+	if growth.check() == nil {
+		t.Error("--share NaN is accepted")
+	}
+
+	changes := rig.Plan{
+		Nodes:       minRegions,
+		Regions:     minRegions,
+		SteadyFor:   minPhaseTime,
+		CutFor:      minPhaseTime,
+		CutPurges:   1,
+		MaxFillTime: minFillTime,
+	}
+	if !isChangesPlanInBounds(&changes) {
+		t.Fatalf("--loss 0 is refused: %+v", changes)
+	}
+	changes.Loss = math.NaN()
+	if isChangesPlanInBounds(&changes) {
+		t.Error("--loss NaN is accepted")
+	}
+}
