--- a/internal/emulator/runner/run.go
+++ b/internal/emulator/runner/run.go
@@ -69,8 +69,8 @@
 	handle(r, begun)
 }
 
-// event is a scenario's event in progress. If it is spread over a time (OverS), it begins at one target after the other,
-// and most effects end at all targets together, at end.
+// event is a scenario's event in progress. If it is spread over a time (OverS), it begins at one target after the
+// other, and most effects end at all targets together, at end.
 type event struct {
 	*scenario.Event
 	start    policy.Instant
