--- a/internal/control/replicatedlog/state.go
+++ b/internal/control/replicatedlog/state.go
@@ -7,8 +7,8 @@
 )
 
 // DedupWindow is the number of recent entries whose proposal ids are retained to recognize retried proposals. It covers
-// almost two hours of purges at the fleet's rate of 9.5 per second. Clients retry until their own timeout; that of the
-// operators' tools is half a minute.
+// two hours of nine purges per second. Clients retry until their own timeout; that of the operators' tools is half a
+// minute.
 const DedupWindow = 65_536
 
 // Bounds limits how much of the log is retained for nodes that lag behind.
@@ -18,7 +18,7 @@
 	MinEntries int // newest entries that trimTo retains, for nodes whose progress is unknown
 }
 
-// DefaultBounds retains as many entries as DedupWindow: almost two hours of purges at the fleet's rate.
+// DefaultBounds retains as many entries as DedupWindow.
 var DefaultBounds = Bounds{Entries: 65_536, Bytes: 32 << 20, MinEntries: 4096}
 
 // retainedEntry is an entry in the log, encoded once for all nodes that receive it.
