--- a/internal/proxy/sockets/conn.go
+++ b/internal/proxy/sockets/conn.go
@@ -1,11 +1,11 @@
 package sockets
 
 import (
+	"net"
 	"sync"
 	"sync/atomic"
 
-	"github.com/lesismal/nbio"
-	"golang.org/x/sys/unix"
+	"dahliapin/internal/proxy/sockets/poller"
 )
 
 // Conn is one TCP connection. Its exported methods must be called from the event loop only. The states of reading,
@@ -16,9 +16,8 @@
 	Listener int    // index of the listener that accepted the connection
 	Dialed   bool   // whether it was opened by Dial, and not accepted
 
-	engine    *Engine
-	conn      *nbio.Conn
-	announced sync.Once // for the event Accepted or Connected
+	engine *Engine
+	socket *poller.Socket
 
 	// Reading.
 	readMu      sync.Mutex   // held from reading bytes until they are queued
@@ -36,17 +35,45 @@
 	descriptorFreed atomic.Bool // the descriptor is no longer counted as open
 }
 
-// announce queues the event Accepted or Connected, once. It is called only after nbio has added the connection to its
-// poller, or has closed it. If the loop knew the connection earlier, it could close it before it is added. A new
-// connection could then get the same descriptor, nbio would add that one instead, and would never read either of them.
-func (c *Conn) announce() {
-	c.announced.Do(func() {
-		if c.Dialed {
-			c.engine.enqueue(Event{Kind: Connected, Conn: c, DialID: c.Tag}, nil)
-			return
-		}
-		c.engine.enqueue(Event{Kind: Accepted, Conn: c}, nil)
-	})
+// newConn takes over an established connection. On an error the connection stays open and is still the caller's.
+func (e *Engine) newConn(plain net.Conn) (*Conn, error) {
+	c := &Conn{engine: e}
+	socket, err := e.poller.NewSocket(plain, (*connHandler)(c))
+	if err != nil {
+		return nil, err
+	}
+	c.socket = socket
+	return c, nil
+}
+
+// start queues the event Accepted or Connected, and then starts to poll the connection.
+func (c *Conn) start() {
+	event := Event{Kind: Accepted, Conn: c}
+	if c.Dialed {
+		event.Kind = Connected
+		event.DialID = c.Tag
+	}
+	c.engine.enqueue(event, nil)
+	_ = c.socket.Poll() // on failure the socket is closed, and the event Closed follows
+}
+
+// connHandler has the methods of a Conn that its socket calls.
+type connHandler Conn
+
+// OnReadable implements poller.Handler.
+func (h *connHandler) OnReadable(buffer []byte) { (*Conn)(h).readAvailable(buffer) }
+
+// OnWritten implements poller.Handler.
+func (h *connHandler) OnWritten(n int) {
+	h.unsent.Add(int64(-n))
+	h.engine.unsent.Add(int64(-n))
+}
+
+// OnClosed implements poller.Handler. It queues the event Closed.
+func (h *connHandler) OnClosed() {
+	c := (*Conn)(h)
+	c.freeDescriptor()
+	c.engine.enqueue(Event{Kind: Closed, Conn: c, UnsentBytes: c.discardUnsent(), Orderly: c.orderly.Load()}, nil)
 }
 
 // Write writes b. Bytes that the kernel does not accept immediately are buffered and written later. An error means that
@@ -54,44 +81,27 @@
 func (c *Conn) Write(b []byte) error {
 	c.unsent.Add(int64(len(b)))
 	c.engine.unsent.Add(int64(len(b)))
-	_, err := c.conn.Write(b)
+	err := c.socket.Write(b)
 	if err != nil {
 		c.discardUnsent()
-	} else if c.unsent.Load() > 0 {
-		c.promptFlush()
 	}
 	return err
 }
 
-// promptFlush has the poller write the rest of the last write if the kernel has space for it now. A write may have been
-// interrupted, or cut short although there was space. nbio writes the rest only on an event for free space. Polling is
-// edge-triggered: the kernel sends that event only after a write has failed for lack of space, and a write that was
-// interrupted or cut short did not fail that way. Setting the socket's limit of unsent bytes makes the kernel report
-// the space; the value, the system's default, stays the same.
-func (c *Conn) promptFlush() {
-	raw, err := c.conn.SyscallConn()
-	if err != nil || c.descriptorFreed.Load() {
-		return
-	}
-	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, 0)
-	})
-}
-
 // Unsent returns the number of written bytes that the kernel has not accepted yet.
 func (c *Conn) Unsent() int64 { return c.unsent.Load() }
 
 // Close closes the connection; the event Closed follows. It returns the number of written bytes that the kernel never
 // accepted and never will.
 func (c *Conn) Close() (unsentBytes int64) {
-	_ = c.conn.Close()
+	c.socket.Close()
 	c.freeDescriptor()
 	return c.discardUnsent()
 }
 
-// discardUnsent removes the unsent bytes from the engine's count, once, and returns their number. The loop and a
-// goroutine of nbio call it in any order, and both must get the same result: otherwise an attempt that was never sent
-// could count as one that may have been executed.
+// discardUnsent removes the unsent bytes from the engine's count, once, and returns their number. The loop and the
+// goroutine that closed the socket call it in any order, and both must get the same result: otherwise an attempt that
+// was never sent could count as one that may have been executed.
 func (c *Conn) discardUnsent() int64 {
 	c.discardMu.Lock()
 	defer c.discardMu.Unlock()
--- a/internal/proxy/sockets/descriptor_reuse_test.go
+++ b/internal/proxy/sockets/descriptor_reuse_test.go
@@ -71,7 +71,7 @@
 	return err
 }
 
-// A dialed connection that the loop closes as soon as it is established must not replace, in nbio's poller, a client's
+// A dialed connection that the loop closes as soon as it is established must not replace, in the poller, a client's
 // connection that has been given the same descriptor. That client's requests would never be read, nor its end detected.
 func TestClientsAreReadWhileNewConnectionsAreClosed(t *testing.T) {
 	e, err := New([]string{"127.0.0.1:0"}, 200, nil)
--- a/internal/proxy/sockets/dial.go
+++ b/internal/proxy/sockets/dial.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
 )
 
@@ -21,10 +20,9 @@
 	return nil
 }
 
-// dial opens a connection with the standard library. nbio's own dialer takes the first four bytes of a 16-byte IP
-// address, and so always dials 0.0.0.0.
+// dial opens a connection and queues the result.
 func (e *Engine) dial(addr string, timeout time.Duration, id uint64) {
-	nc, err := dialNBIO(addr, timeout)
+	c, err := e.connect(addr, timeout)
 	if err != nil {
 		e.descriptorFreed()
 		local := isLocalError(err)
@@ -35,32 +33,25 @@
 		return
 	}
 	e.localFailures.forget(addr)
-	e.dialMu.RLock()
-	defer e.dialMu.RUnlock()
-	if e.stopped {
-		_ = nc.Close()
-		return
-	}
-	c := &Conn{engine: e, conn: nc, Dialed: true, Tag: id}
-	nc.SetSession(c)
-	_, _ = e.poller.AddConn(nc) // on failure nbio closes the connection, and the event Closed follows
-	c.announce()
+	c.Dialed = true
+	c.Tag = id
+	c.start()
 }
 
-// dialNBIO dials with the standard library and converts the connection into one of nbio.
-func dialNBIO(addr string, timeout time.Duration) (*nbio.Conn, error) {
+// connect opens a connection that is not polled yet.
+func (e *Engine) connect(addr string, timeout time.Duration) (*Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	dialer.SetMultipathTCP(false)
-	conn, err := dialer.Dial("tcp", addr)
+	plain, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	nc, err := nbio.NBConn(conn)
+	c, err := e.newConn(plain)
 	if err != nil {
-		_ = conn.Close()
+		_ = plain.Close()
 		return nil, err
 	}
-	return nc, nil
+	return c, nil
 }
 
 // localErrors are the errors of connecting that a lack of resources on this machine causes. Most are transient.
--- a/internal/proxy/sockets/doc.go
+++ b/internal/proxy/sockets/doc.go
@@ -1,11 +1,10 @@
-// Package sockets connects the proxy's event loop to its TCP connections, which the library nbio polls.
+// Package sockets connects the proxy's event loop to its TCP connections.
 //
-// An Engine listens, dials, reads and writes. Most of nbio's callbacks run on the goroutine of its poller; others run
-// on those of its acceptors and of dials, or within calls of the event loop. Data that arrived while reading was paused
-// is read on another goroutine (readInBackground). All of them only update the state of a connection and append bytes
-// and events to a queue. The event loop waits on Engine.Wake and takes the whole queue, in order, with
-// Engine.TakeEvents. No event is lost, and the two sides cannot deadlock: the loop never waits for the poller, and only
-// reading more bytes waits for the loop.
+// An Engine listens, dials, reads and writes. Bytes are read on the goroutine of its poller, or, if they arrived while
+// reading was paused, on another one (readInBackground). Goroutines of listeners and of dials open connections. All of
+// them only update the state of a connection and append bytes and events to a queue. The event loop waits on
+// Engine.Wake and takes the whole queue, in order, with Engine.TakeEvents. No event is lost, and the two sides cannot
+// deadlock: the loop never waits for the poller, and only reading more bytes waits for the loop.
 //
 // Locking: the queue is guarded by the engine's mutex. A Conn's read state is guarded by its readMu, which the poller
 // holds while it queues bytes, so the loop must only use TryLock on it. Counters of bytes and descriptors are atomic.
--- a/internal/proxy/sockets/engine_test.go
+++ b/internal/proxy/sockets/engine_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// nbio's own dialer always dials 0.0.0.0, and reports a refused connection as established.
+// A dial must reach the given address, and must report a refused connection as failed.
 func TestDialReachesTheAddressOrFails(t *testing.T) {
 	e := startEngine(t)
 	l, err := net.Listen("tcp", "127.7.7.7:0")
@@ -194,7 +194,6 @@
 		t.Fatal(err)
 	}
 	free.Close()
-	// Not taken by an Engine: nbio 1.6.8 ignores a stop request that comes before its poller has started.
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +210,7 @@
 
 // Without a limit, all bytes that a server has sent of a long value are read before reading can be paused for a slow
 // reader: thirty slow readers took 20 MB, and the garbage collector ran permanently. Unread bytes must not be lost when
-// the sender closes the connection while reading is paused, upon which nbio closes it as well.
+// the sender closes the connection while reading is paused, upon which the poller closes it as well.
 func TestReadAheadOfAConnectionIsBounded(t *testing.T) {
 	e := startEngine(t)
 	c, err := net.Dial("tcp", e.Addr(0).String())
@@ -265,7 +264,7 @@
 			t.Fatal(err)
 		}
 	}
-	_ = w.conn.Close() // as the poller does after a reset by the peer
+	w.socket.Close() // as the poller does after a reset by the peer
 	ended, _ := waitFor(t, e, Closed)
 	if lost := w.Close(); ended.UnsentBytes == 0 || lost != ended.UnsentBytes || e.Unsent() != 0 {
 		t.Errorf("Close returned %d unsent bytes, the event has %d; the engine still counts %d",
--- a/internal/proxy/sockets/probe.go
+++ b/internal/proxy/sockets/probe.go
@@ -2,11 +2,13 @@
 
 import (
 	"errors"
-	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
+// resetOnClose is the option SO_LINGER with which closing a socket sends a reset.
+var resetOnClose = unix.Linger{Onoff: 1, Linger: 0}
+
 // The functions in this file examine a connection's state here and in the kernel without reading from it.
 
 // Idle reports whether the connection is open and the loop has taken everything that was received on it. sure is false
@@ -16,13 +18,14 @@
 		return false, false
 	}
 	defer c.readMu.Unlock()
-	raw, taken := c.allTaken()
-	if !taken {
+	if !c.allTaken() {
 		return false, true
 	}
-	var err error
-	_ = raw.Control(func(fd uintptr) { _, err = peek(fd) })
-	return errors.Is(err, unix.EAGAIN), true
+	_ = c.socket.Control(func(descriptor int) {
+		_, err := peek(descriptor)
+		idle = errors.Is(err, unix.EAGAIN)
+	})
+	return idle, true
 }
 
 // HasUnread reports whether the kernel holds bytes of the connection, or its end, that have not been queued yet.
@@ -31,13 +34,9 @@
 		return true
 	}
 	defer c.readMu.Unlock()
-	raw, err := c.conn.SyscallConn()
-	if err != nil || c.descriptorFreed.Load() {
-		return false
-	}
 	unread := false
-	_ = raw.Control(func(fd uintptr) {
-		_, err := peek(fd)
+	_ = c.socket.Control(func(descriptor int) {
+		_, err := peek(descriptor)
 		unread = err == nil
 	})
 	return unread
@@ -54,18 +53,14 @@
 			return true
 		}
 	}
-	raw, err := c.conn.SyscallConn()
-	if err != nil || c.descriptorFreed.Load() {
-		return true
-	}
-	closed := false
-	_ = raw.Control(func(fd uintptr) { closed = peerClosedInKernel(fd) })
+	closed := true
+	_ = c.socket.Control(func(descriptor int) { closed = peerClosedInKernel(descriptor) })
 	return closed
 }
 
 // peerClosedInKernel reports whether the kernel knows that the peer has closed or reset the connection.
-func peerClosedInKernel(fd uintptr) bool {
-	n, err := peek(fd)
+func peerClosedInKernel(descriptor int) bool {
+	n, err := peek(descriptor)
 	if err != nil {
 		return !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR)
 	}
@@ -73,7 +68,7 @@
 		return true
 	}
 	// The peer's FIN may follow the bytes that are still unread.
-	established, err := isEstablished(fd)
+	established, err := isEstablished(descriptor)
 	return err == nil && !established
 }
 
@@ -86,33 +81,35 @@
 		return false
 	}
 	defer c.readMu.Unlock()
-	raw, taken := c.allTaken()
-	if !taken || c.unsent.Load() > 0 {
+	if !c.allTaken() || c.unsent.Load() > 0 {
 		return false
 	}
-	outgoing := 0
-	var err error
-	_ = raw.Control(func(fd uintptr) { outgoing, err = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ) })
-	if err == nil && outgoing > 0 {
+	unacknowledged := false
+	err := c.socket.Control(func(descriptor int) {
+		outgoing, err := unix.IoctlGetInt(descriptor, unix.TIOCOUTQ)
+		unacknowledged = err == nil && outgoing > 0
+		if !unacknowledged {
+			_ = unix.SetsockoptLinger(descriptor, unix.SOL_SOCKET, unix.SO_LINGER, &resetOnClose)
+		}
+	})
+	if err != nil || unacknowledged {
 		return false
 	}
 	c.readEnded = true
-	_ = c.conn.SetLinger(1, 0) // makes Close send a reset
 	c.Close()
 	return true
 }
 
 // allTaken reports whether the connection is open and the loop has taken everything that was read from it. The caller
 // holds readMu.
-func (c *Conn) allTaken() (syscall.RawConn, bool) {
-	raw, err := c.conn.SyscallConn()
-	open := err == nil && !c.readEnded && !c.descriptorFreed.Load()
-	return raw, open && c.queuedBytes == c.takenBytes.Load()
+func (c *Conn) allTaken() bool {
+	open := !c.readEnded && !c.descriptorFreed.Load()
+	return open && c.queuedBytes == c.takenBytes.Load()
 }
 
 // peek looks at the next unread byte in the kernel without blocking. It returns 0 at the end of the stream.
-func peek(fd uintptr) (n int, err error) {
+func peek(descriptor int) (n int, err error) {
 	var next [1]byte
-	n, _, err = unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	n, _, err = unix.Recvfrom(descriptor, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n, err
 }
--- a/internal/proxy/sockets/read.go
+++ b/internal/proxy/sockets/read.go
@@ -32,15 +32,13 @@
 // readAvailable reads and queues everything that can be read. It must not leave anything: as polling is edge-triggered,
 // the poller does not report the same bytes again.
 func (c *Conn) readAvailable(buffer []byte) {
-	c.engine.pollerRunning.Store(true)
-	c.announce() // a read event shows that nbio has added the connection
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	for !c.readEnded {
 		if (c.readPaused.Load() || c.stallIfAhead()) && !c.peerClosedWhilePaused() {
 			return
 		}
-		_, n, err := c.conn.ReadAndGetConn(&buffer)
+		n, err := c.socket.Read(buffer)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
@@ -48,7 +46,7 @@
 		case err != nil || n == 0:
 			c.readEnded = true
 			c.orderly.Store(err == nil)
-			_ = c.conn.CloseWithError(err)
+			c.socket.Close()
 		default:
 			c.queuedBytes += int64(n)
 			c.engine.enqueue(Event{Kind: Data, Conn: c}, buffer[:n])
@@ -75,24 +73,20 @@
 	return c.queuedBytes-c.takenBytes.Load() >= c.engine.readAhead.Load()
 }
 
-// peerClosedWhilePaused reports whether the peer has closed a connection on which reading is paused. nbio then closes
-// the connection, and bytes that are still in the kernel would be lost if they were not read now.
+// peerClosedWhilePaused reports whether the peer has closed a connection on which reading is paused. The poller then
+// closes the connection, and bytes that are still in the kernel would be lost if they were not read now.
 func (c *Conn) peerClosedWhilePaused() bool {
-	raw, err := c.conn.SyscallConn()
-	if err != nil {
-		return true
-	}
-	closed := false
-	_ = raw.Control(func(fd uintptr) {
-		established, err := isEstablished(fd)
+	closed := true
+	_ = c.socket.Control(func(descriptor int) {
+		established, err := isEstablished(descriptor)
 		closed = err != nil || !established
 	})
 	return closed
 }
 
 // isEstablished reports whether the kernel considers the connection established: neither side has closed it.
-func isEstablished(fd uintptr) (bool, error) {
-	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+func isEstablished(descriptor int) (bool, error) {
+	info, err := unix.GetsockoptTCPInfo(descriptor, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return false, err
 	}
