--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -44,15 +44,15 @@
 type Cache struct {
 	Config
 	cursor         Cursor
-	logID          replicatedlog.LogID // the log that the following indexes belong to
+	logID          replicatedlog.LogID // the log that the following indexes and flush belong to; 0 if not known yet
 	quickDeleted   replicatedlog.Index // QuickDelete was answered up to here
 	quickSent      replicatedlog.Index // QuickDelete was sent up to here
 	confirmingSent replicatedlog.Index // ConfirmingDelete was sent up to here
 	quickSkipped   replicatedlog.Index // QuickDelete was omitted up to here, since ConfirmingDelete was already due
-	inFlight       []inFlightCommand   // in the order of sending, at most MaxInFlight
-	paceTime       monotime.Instant    // moved on by CommandInterval with each command, see paced
 	flush          flushProgress
-	failures       int // consecutive connections that ended without an answer
+	inFlight       []inFlightCommand // in the order of sending, at most MaxInFlight, perhaps some of earlier logs
+	paceTime       monotime.Instant  // moved on by CommandInterval with each command, see paced
+	failures       int               // consecutive connections that ended without an answer
 }
 
 // flushProgress is the progress of the two flushes.
@@ -160,42 +160,54 @@
 }
 
 // MergeCursor adopts the cursor of another control server for the same process of the cache, if it is ahead or
-// there is no cursor yet.
+// there is no cursor yet. A cursor of another log than the current one may be ahead, but cannot be the first one.
 func (c *Cache) MergeCursor(other Cursor) {
 	if other.Log == 0 || other.Incarnation != c.cursor.Incarnation {
 		return
 	}
 	further := other.Log == c.cursor.Log && other.Done > c.cursor.Done
-	if c.cursor.Log == 0 || further {
+	first := c.cursor.Log == 0 && (c.logID == 0 || c.logID == other.Log)
+	if first || further {
 		c.setCursor(other.Log, other.Done)
 	}
 }
 
-// setCursor sets the cursor to an index, which is further on or in another log. It also switches to the log.
+// setCursor sets the cursor to an index, which is further on or in another log. It also switches to the log if none is
+// known yet.
 func (c *Cache) setCursor(log replicatedlog.LogID, done replicatedlog.Index) {
-	c.switchLog(log)
+	if c.logID == 0 {
+		c.switchLog(log)
+	}
 	c.cursor = Cursor{
 		Log:              log,
 		Incarnation:      c.cursor.Incarnation,
 		Done:             done,
 		SafeAfterRestart: c.cursor.safeAfterRestart(log),
 	}
-	c.quickDeleted = max(c.quickDeleted, done)
-	c.quickSent = max(c.quickSent, done)
-	c.confirmingSent = max(c.confirmingSent, done)
+	c.quickDeleted = max(c.quickDeleted, c.done())
+	c.quickSent = max(c.quickSent, c.done())
+	c.confirmingSent = max(c.confirmingSent, c.done())
 }
 
-// switchLog switches to a log. If it differs from the previous one, nothing was sent or answered in it yet.
+// switchLog switches to a log. If it differs from the previous one, nothing after the cursor was sent or answered in it
+// yet. Commands of the previous log stay in flight, so that their answers do not count as those to later commands.
+//
+// Both flushes start over, since the first one covers no entry of the new log, and may not cover the last ones of the
+// previous log. A cache without a cursor lacks the entries of the previous log, or it would have got a cursor by
+// startAtBeginning. It gets one in that log, by which it has to be flushed.
 func (c *Cache) switchLog(log replicatedlog.LogID) {
 	if log == c.logID {
 		return
 	}
+	if c.cursor.Log == 0 {
+		c.cursor.Log = c.logID
+	}
 	c.logID = log
-	c.quickDeleted = 0
-	c.quickSent = 0
-	c.confirmingSent = 0
+	c.quickDeleted = c.done()
+	c.quickSent = c.done()
+	c.confirmingSent = c.done()
 	c.quickSkipped = 0
-	c.inFlight = nil
+	c.flush.firstAnswered = false
 }
 
 // OnDisconnect handles a connection that ended or could not be established, and returns the delay until the next
--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -220,6 +220,181 @@
 	}
 }
 
+// replaceLog replaces the log by a new one with another id and one purge.
+func (f *fixture) replaceLog(id replicatedlog.LogID) {
+	f.log = testLog{id: id}
+	f.publish("x")
+}
+
+// expectBothFlushes checks that the cache is flushed twice for a new log with one purge, and that its cursor is in that
+// log only then. The next purge needs both deletes.
+func (f *fixture) expectBothFlushes() {
+	f.t.Helper()
+	done := f.Cursor().Done
+	f.expect("first flush", "F1 ", done)
+	f.answer(1)
+	f.wait(testConfig.MaxFillTime - 1)
+	f.expect("fills under way", "", done)
+	f.wait(1)
+	f.expect("second flush", "L1 ", done)
+	if f.Cursor().Log == f.log.id {
+		f.t.Errorf("before the answer to the second flush: cursor %+v", f.Cursor())
+	}
+	f.answer(1)
+	f.publish("y")
+	f.expect("the next purge", "12 ", 1)
+	f.answer(1)
+	f.wait(testConfig.MaxFillTime)
+	f.expect("fills over", "22 ", 1)
+	f.answer(1)
+	if cursor := f.Cursor(); cursor.Log != f.log.id || cursor.Done != 2 || f.Flushing(&f.log) {
+		f.t.Errorf("at the end: flushing %t, cursor %+v", f.Flushing(&f.log), cursor)
+	}
+}
+
+// flushStage is how far the flushes for the first log are when another one replaces it.
+type flushStage int
+
+const (
+	firstInFlight flushStage = iota
+	firstAnswered
+	secondInFlight
+	flushStages
+)
+
+// startFlushes carries out the flushes for the first log up to a stage.
+func (f *fixture) startFlushes(cursor Cursor, stage flushStage) {
+	f.t.Helper()
+	f.Cache = NewCache(testConfig, cursor, f.now.Add(-peerCursorWait))
+	f.publish("a", "b", "c", "d")
+	f.log.floor = 2
+	f.expect("first flush", "F4 ", cursor.Done)
+	if stage >= firstAnswered {
+		f.answer(1)
+	}
+	if stage >= secondInFlight {
+		f.wait(testConfig.MaxFillTime)
+		f.expect("second flush", "L4 ", cursor.Done)
+	}
+}
+
+var flushedCursors = map[string]Cursor{
+	"behind":      {Log: 7, Done: 1},
+	"unknown":     {},
+	"another log": {Log: 6, Done: 9},
+}
+
+// A flush that was sent or answered before the log is replaced does not count for the new log, whether it is answered
+// before or after the server switches to the new log, and also if that log is replaced as well.
+func TestFlushesOfAReplacedLogDoNotCount(t *testing.T) {
+	for name, cursor := range flushedCursors {
+		for stage := range flushStages {
+			for _, answeredLate := range []bool{false, true} {
+				for _, logs := range [][]replicatedlog.LogID{{8}, {8, 9}} {
+					t.Run(fmt.Sprint(name, stage, answeredLate, logs), func(t *testing.T) {
+						f := newFixture(t)
+						f.startFlushes(cursor, stage)
+						for _, id := range logs {
+							f.replaceLog(id)
+							if answeredLate {
+								f.expect("while a flush is in flight, or the limiter has no slot", "", cursor.Done)
+							}
+						}
+						f.answer(len(f.inFlight))
+						f.wait(f.limiter.Interval)
+						f.expectBothFlushes()
+					})
+				}
+			}
+		}
+	}
+}
+
+// The progress of a flush is not stored: after a restart of the control server, which has the cursor only, the flushes
+// start over. That the cache has to be flushed is not forgotten.
+func TestFlushesStartOverAfterARestartOfTheServer(t *testing.T) {
+	for name, cursor := range flushedCursors {
+		for stage := range flushStages {
+			t.Run(fmt.Sprint(name, stage), func(t *testing.T) {
+				f := newFixture(t)
+				f.startFlushes(cursor, stage)
+				f.Cache = NewCache(testConfig, f.Cursor(), f.now)
+				f.wait(f.limiter.Interval)
+				f.expect("first flush again", "F4 ", cursor.Done)
+				f.answer(1)
+				f.replaceLog(8)
+				f.expect("the limiter has no slot", "", cursor.Done)
+				f.Cache = NewCache(testConfig, f.Cursor(), f.now)
+				f.wait(f.limiter.Interval)
+				f.expectBothFlushes()
+			})
+		}
+	}
+}
+
+// Commands of the replaced log may still be unanswered when the flush for the new log is sent over the same connection.
+// Their answers come first and must not be taken for that of the flush.
+func TestAnswersToAReplacedLogAreNotTakenForLaterOnes(t *testing.T) {
+	f := newFixture(t)
+	f.limiter = FlushLimiter{}
+	f.startFlushes(Cursor{Log: 7, Done: 1}, firstAnswered)
+	f.publish("e")
+	f.expect("quick delete", "15 ", 1)
+	f.replaceLog(8)
+	f.expect("flush for the new log", "F1 ", 1)
+	f.answer(1)
+	if due, awaiting := f.AwaitingAnswer(); !awaiting || due.Kind != Flush || f.QuickDeleted() != 0 {
+		t.Errorf("awaiting %t %+v, quick deletes up to %d", awaiting, due, f.QuickDeleted())
+	}
+	f.wait(testConfig.MaxFillTime)
+	f.expect("the flush is not answered", "", 1)
+	f.answer(1)
+	f.expect("the flush is answered", "L1 ", 1)
+}
+
+// Other control servers may report cursors of the replaced log for a while. They do not disturb the flushes for the new
+// one, and count if the server follows the replaced log again.
+func TestCursorOfAReplacedLogDoesNotDisturbFlushes(t *testing.T) {
+	f := newFixture(t)
+	f.startFlushes(Cursor{Log: 7, Done: 1}, firstAnswered)
+	oldLog := f.log
+	f.replaceLog(8)
+	f.wait(f.limiter.Interval)
+	f.expect("first flush", "F1 ", 1)
+	f.MergeCursor(Cursor{Log: 7, Done: 2})
+	f.answer(1)
+	f.MergeCursor(Cursor{Log: 7, Done: 3})
+	f.wait(testConfig.MaxFillTime)
+	f.expect("second flush", "L1 ", 3)
+	f.OnDisconnect(f.now, 0)
+
+	f.log = oldLog
+	f.log.floor = 3
+	f.record()
+	f.expect("the purge after the cursor", "14 ", 3)
+	f.answer(1)
+	f.wait(testConfig.MaxFillTime)
+	f.expect("fills over", "24 ", 3)
+}
+
+// Another control server's cursor in the new log says nothing about the purges of the replaced one, which a cache
+// without a cursor lacks. The cache is flushed all the same.
+func TestFirstCursorOfANewLogDoesNotReplaceFlushes(t *testing.T) {
+	for _, switched := range []bool{false, true} {
+		t.Run(fmt.Sprint(switched), func(t *testing.T) {
+			f := newFixture(t)
+			f.startFlushes(Cursor{}, firstAnswered)
+			f.replaceLog(8)
+			if switched {
+				f.expect("the limiter has no slot", "", 0)
+			}
+			f.MergeCursor(Cursor{Log: 8, Done: 1})
+			f.wait(f.limiter.Interval)
+			f.expectBothFlushes()
+		})
+	}
+}
+
 // After all control servers lost their disks, a new empty log is created. Progress in the old log does not count: the
 // cache is flushed, and its cursor must not be ahead of the new log.
 func TestCursorIsNotAheadOfANewLog(t *testing.T) {
--- a/internal/control/purge/command.go
+++ b/internal/control/purge/command.go
@@ -26,6 +26,7 @@
 // inFlightCommand is a command that the cache has not answered yet.
 type inFlightCommand struct {
 	Command
+	logID  replicatedlog.LogID // the log that the indexes belong to
 	upTo   replicatedlog.Index // the answer covers the purge, and later entries up to here that need no command
 	sentAt monotime.Instant
 }
--- a/internal/control/purge/doc.go
+++ b/internal/control/purge/doc.go
@@ -29,6 +29,10 @@
 // flush sends the cache's load to the origin. Other control servers therefore get some time first to report that they
 // have carried out the purges, and a FlushLimiter spaces the flushes of several caches.
 //
+// A new log that replaces the current one has indexes of its own, and does not contain the purges that the cache lacks.
+// The cache is then flushed twice after the replacement, whatever was done before. The progress of a flush is not
+// stored, so both flushes also start over after a restart of the control server.
+//
 // # Restarts of a cache
 //
 // A restarted cache is empty, but fills that began before the restart may still reach it. The list of caches states
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -92,7 +92,8 @@
 }
 
 // nextFlush returns the first flush, once other servers have had time to report their cursors and the limiter allows
-// it, or the second one, once no fill from before the first can be under way. at is 0 while a flush is in flight.
+// it, or the second one, once no fill from before the first can be under way. at is 0 while a flush is in flight, even
+// one of an earlier log.
 func (c *Cache) nextFlush(
 	now monotime.Instant, last replicatedlog.Index, limiter *FlushLimiter,
 ) (command Command, ready bool, at monotime.Instant) {
@@ -184,7 +185,8 @@
 
 // markSent records a command as sent, and returns it.
 func (c *Cache) markSent(now monotime.Instant, command Command) Command {
-	c.inFlight = append(c.inFlight, inFlightCommand{Command: command, upTo: command.Index, sentAt: now})
+	sent := inFlightCommand{Command: command, logID: c.logID, upTo: command.Index, sentAt: now}
+	c.inFlight = append(c.inFlight, sent)
 	c.paceTime = c.paceTime.Add(c.CommandInterval)
 	return command
 }
@@ -193,7 +195,7 @@
 // in flight, or at once if there is none.
 func (c *Cache) skip(kind CommandKind, index replicatedlog.Index) {
 	for i := len(c.inFlight) - 1; i >= 0; i-- {
-		if c.inFlight[i].Kind == kind {
+		if c.inFlight[i].Kind == kind && c.inFlight[i].logID == c.logID {
 			c.inFlight[i].upTo = index
 			return
 		}
@@ -217,7 +219,8 @@
 	return len(c.inFlight) > 0 && now >= c.inFlight[0].sentAt.Add(AnswerTimeout)
 }
 
-// OnAnswer handles the cache's answer to the command of AwaitingAnswer.
+// OnAnswer handles the cache's answer to the command of AwaitingAnswer. The answer to a command of an earlier log has no
+// effect on the progress in the current one.
 func (c *Cache) OnAnswer(log Log, arrivals *ArrivalTimes) {
 	if len(c.inFlight) == 0 {
 		return
@@ -225,6 +228,9 @@
 	answered := c.inFlight[0]
 	c.inFlight = c.inFlight[1:]
 	c.failures = 0
+	if answered.logID != c.logID {
+		return
+	}
 	switch answered.Kind {
 	case QuickDelete:
 		c.quickDeleted = max(c.quickDeleted, answered.upTo)
@@ -239,7 +245,7 @@
 		c.quickSent = max(c.quickSent, answered.Index)
 	case ConfirmingFlush:
 		id, floor, _ := log.Position()
-		if id == arrivals.logID && c.mustFlush(id, floor) {
+		if id == answered.logID && id == arrivals.logID && c.mustFlush(id, floor) {
 			// The purges covered by the first flush are done, and so are those that arrived at least MaxFillTime before
 			// the second flush was sent.
 			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.MaxFillTime))
