--- a/cmd/dahliapin/placement.go
+++ b/cmd/dahliapin/placement.go
@@ -10,6 +10,7 @@
 const (
 	maxPlacedCaches = 10_000
 	maxPlacedKeys   = 10_000_000 // takes about a minute
+	maxCrossingCost = 100        // as a share of a request
 )
 
 // placementOptions holds the flags of placement.
@@ -29,6 +30,7 @@
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			file, err := scale.ReadFile(firstOf(args))
+			isCost := o.crossZoneCost >= 0 && o.crossZoneCost <= maxCrossingCost // false for NaN
 			switch {
 			case err != nil:
 				return usageErrorf("%w", err)
@@ -36,6 +38,8 @@
 				return usageErrorf("--caches %d is not from 1 to %d", o.caches, maxPlacedCaches)
 			case o.keys < 1 || o.keys > maxPlacedKeys:
 				return usageErrorf("--keys %d is not from 1 to %d", o.keys, maxPlacedKeys)
+			case !isCost:
+				return usageErrorf("--crossing-price %v is not from 0 to %d", o.crossZoneCost, maxCrossingCost)
 			}
 			result := scale.PlaceKeys(file.Places, o.caches, o.keys, o.nodes, o.crossZoneCost)
 			result.Print(c.OutOrStdout())
--- a/cmd/dahliapin/scale_caches.go
+++ b/cmd/dahliapin/scale_caches.go
@@ -61,6 +61,7 @@
 }
 
 func (o *growthOptions) check() error {
+	isShare := o.plan.Share > 0 && o.plan.Share <= 1 // false for NaN
 	switch {
 	case len(o.sizes) == 0 || !slices.IsSorted(o.sizes) || o.sizes[0] < minGrowthCaches:
 		return usageErrorf("--caches must be numbers of at least %d, in ascending order", minGrowthCaches)
@@ -68,7 +69,7 @@
 		return usageErrorf("--caches has a number over %d", maxGrowthCaches)
 	case o.plan.DayLength < minDayLength || o.plan.DayLength > maxDayLength:
 		return usageErrorf("--for %v is not from %v to %v", o.plan.DayLength, minDayLength, maxDayLength)
-	case o.plan.Share <= 0 || o.plan.Share > 1:
+	case !isShare:
 		return usageErrorf("--share %v is not above 0 and at most 1", o.plan.Share)
 	case o.plan.Rate < 1 || o.plan.Rate > maxGrowthRate:
 		return usageErrorf("--rate %d is not from 1 to %d", o.plan.Rate, maxGrowthRate)
--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -51,6 +51,7 @@
 		"--out x --caches 200,6400":            "--caches",
 		"--out x --for 1s":                     "--for",
 		"--out x --share 0":                    "--share",
+		"--out x --share NaN":                  "--share NaN",
 		"--out x --rate 0":                     "--rate",
 		"--out x --nodes 0":                    "--nodes",
 		"--out x --days noon":                  "release",
--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -123,11 +123,12 @@
 }
 
 func isChangesPlanInBounds(p *rig.Plan) bool {
+	isLoss := p.Loss >= 0 && p.Loss <= maxLoss // false for NaN
 	switch {
 	case p.Nodes < p.Regions || p.Nodes > maxSimulatedNodes:
 	case p.Real < 0 || p.Real > maxRealNodes:
 	case p.Regions < minRegions || p.Regions > maxRegions:
-	case p.Loss < 0 || p.Loss > maxLoss:
+	case !isLoss:
 	case p.SteadyFor < minPhaseTime || p.SteadyFor > maxPhaseTime || p.CutFor < minPhaseTime || p.After < 0:
 	case p.CutPurges < 1 || p.CutPurges > maxCutPurges:
 	case p.Caches < 0 || p.Caches > maxEmulatedCaches:
--- a/cmd/dahliapin/scale_changes_test.go
+++ b/cmd/dahliapin/scale_changes_test.go
@@ -45,7 +45,7 @@
 
 func TestScaleChangesCallsAreChecked(t *testing.T) {
 	for _, bad := range [][]string{
-		{"--nodes", "1"}, {"--plays", "all"}, {"--loss", "0.9"}, {"--plays", "cache-cut"}, {"--caches", "2"},
+		{"--nodes", "1"}, {"--plays", "all"}, {"--loss", "0.9"}, {"--loss", "NaN"}, {"--plays", "cache-cut"}, {"--caches", "2"},
 		{"--fills", "1ms"}, {"more"}, {"--no-such"},
 	} {
 		if _, code := runProgram(t, append([]string{"scale-changes", "--out", t.TempDir()}, bad...)...); code != 2 {
--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -177,3 +177,32 @@
 		}
 	}
 }
+
+func TestScaleRefusesBadBudgets(t *testing.T) {
+	for args, want := range map[string]string{
+		"--core NaN":   "--core NaN is not from 0 to 1e+06",
+		"--memory Inf": "--memory +Inf is not from 0 to 1e+06",
+		"--kb -1":      "--kb -1 is not from 0 to 1e+06",
+	} {
+		_, errs, code := runProgramSplit(t, append([]string{"scale", "--out", t.TempDir()}, strings.Fields(args)...)...)
+		if code != 2 || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
+			t.Errorf("%q: exit %d, %q", args, code, errs)
+		}
+	}
+}
+
+func TestPlacementRefusesBadCalls(t *testing.T) {
+	for args, want := range map[string]string{
+		"--caches 0":           "--caches 0 is not from 1 to 10000",
+		"--keys 0":             "--keys 0 is not from 1 to 10000000",
+		"--crossing-price NaN": "--crossing-price NaN is not from 0 to 100",
+		"--crossing-price Inf": "--crossing-price +Inf is not from 0 to 100",
+		"--crossing-price -1":  "--crossing-price -1 is not from 0 to 100",
+	} {
+		call := append([]string{"scale", "placement"}, strings.Fields(args)...)
+		_, errs, code := runProgramSplit(t, call...)
+		if code != 2 || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
+			t.Errorf("%q: exit %d, %q", args, code, errs)
+		}
+	}
+}
--- a/internal/config/settings/check_test.go
+++ b/internal/config/settings/check_test.go
@@ -43,6 +43,7 @@
 		{"tenants[0].quota_rps", "null", "-1", "tenants[0].quota_rps"},
 		{"rules.overload_factor", "3}", "-3}", "rules.overload_factor"},
 		{"tariffs.cross_zone", "0.2", "1e999", "tariffs.cross_zone"},
+		{"tariffs.cross_zone is not a finite number", "0.2", "nan", "tariffs.cross_zone"},
 		{"bounds.cancel", "true", "1", "bounds.cancel"},
 		{`zone is "c"`, `"zone":"a"`, `"zone":"c"`, "zone"},
 		{"zone is not a string", `"zone":"a"`, `"zone":1`, "zone"},
--- a/internal/emulator/scenario/check.go
+++ b/internal/emulator/scenario/check.go
@@ -19,6 +19,8 @@
 	maxRate    = 1_000_000 // requests a second
 	maxEvents  = 1000
 	maxValueKB = 4096
+
+	maxCountPerS = 1e9 // upper bound of expect.most_per_s
 )
 
 // check reports all invalid fields of a scenario, and sets defaults that depend on other fields.
@@ -194,6 +196,7 @@
 	for _, name := range sorted(s.Expect.MaxPerS) {
 		c.Require(slices.Contains(CountNames, name), "expect.most_per_s",
 			"%q is none of %s", name, strings.Join(CountNames, ", "))
+		c.InRange(s.Expect.MaxPerS[name], 0, maxCountPerS, "expect.most_per_s")
 	}
 	c.InRange(s.Expect.MaxAttemptsPerRequest, 0, 100, "expect.most_legs_per_request")
 	views := s.Expect.Views
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -144,6 +144,24 @@
 	return f, c.Err()
 }
 
+// check checks a budget that flags may have set. Its error is a single line that names the invalid flag.
+func (b *Budget) check() error {
+	for _, limit := range []struct {
+		flag  string
+		value float64
+	}{
+		{"--core", b.CorePercent},
+		{"--memory", b.MemoryMB},
+		{"--kb", b.KBPerS},
+	} {
+		isLimit := limit.value >= 0 && limit.value <= maxBudget // false for NaN
+		if !isLimit {
+			return fmt.Errorf("%s %v is not from 0 to %v", limit.flag, limit.value, maxBudget)
+		}
+	}
+	return nil
+}
+
 // Check completes a plan with defaults, sorts its sizes and checks it. Its error is a single line that names the
 // invalid flag.
 func (p *Plan) Check() error {
@@ -180,5 +198,5 @@
 			return fmt.Errorf("--sizes: %d needs %d processes, more than %d", n, processes, MaxProcesses)
 		}
 	}
-	return nil
+	return p.File.Budget.check()
 }
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"strings"
 	"testing"
 	"time"
@@ -19,6 +20,7 @@
 		{"[cut]\nfor_s = 3", "f.toml:2: cut.for_s: there is one region only"},
 		{"[members]\npause_s = 0", "f.toml:2: members.pause_s: 0 is not from 0.2 to 60"},
 		{"[budget]\nmemory_mb = -1", "f.toml:2: budget.memory_mb: -1 is not from 0 to 1e+06"},
+		{"[budget]\nkb_per_s = nan", "f.toml:2: budget.kb_per_s: NaN is not from 0 to 1e+06"},
 	} {
 		_, err := ParseFile("f.toml", []byte(c.text))
 		if got := fmt.Sprint(err); c.want == "" && err != nil || c.want != "" && got != c.want {
@@ -28,10 +30,17 @@
 }
 
 func TestPlanCheckReportsInvalidFlags(t *testing.T) {
+	withBudget := func(budget Budget) Plan {
+		return Plan{Nodes: 480, Real: 8, Window: time.Minute, File: File{Budget: budget}}
+	}
 	for _, c := range []struct {
 		plan Plan
 		want string
 	}{
+		{withBudget(Budget{CorePercent: maxBudget, MemoryMB: maxBudget, KBPerS: maxBudget}), ""},
+		{withBudget(Budget{CorePercent: math.NaN()}), "--core NaN is not from 0 to 1e+06"},
+		{withBudget(Budget{MemoryMB: math.Inf(1)}), "--memory +Inf is not from 0 to 1e+06"},
+		{withBudget(Budget{KBPerS: -1}), "--kb -1 is not from 0 to 1e+06"},
 		{Plan{Nodes: 480, Real: 8, Window: time.Minute}, ""},
 		{Plan{Nodes: 2, Window: time.Minute}, "--nodes"},
 		{Plan{Nodes: 480, Real: 33, Window: time.Minute}, "--real"},
