--- a/internal/proxy/admin/handler.go
+++ b/internal/proxy/admin/handler.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"time"
 
@@ -70,14 +71,25 @@
 	return limitBody(mux)
 }
 
-// limitBody rejects requests whose body is too long before next handles them.
+// limitBody rejects requests whose body is malformed or too long before next handles them. The body is read for this,
+// because the header of a chunked request does not state its length.
 func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.ContentLength > maxBodyBytes {
+		var err error
+		isTooLong := r.ContentLength > maxBodyBytes
+		if !isTooLong {
+			_, err = io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes))
+			var limitExceeded *http.MaxBytesError
+			isTooLong = errors.As(err, &limitExceeded)
+		}
+		switch {
+		case isTooLong:
 			http.Error(w, "a body is too long", http.StatusRequestEntityTooLarge)
-			return
+		case err != nil:
+			http.Error(w, "a body is malformed or incomplete", http.StatusBadRequest)
+		default:
+			next.ServeHTTP(w, r)
 		}
-		next.ServeHTTP(w, r)
 	})
 }
 
--- a/internal/proxy/admin/server_test.go
+++ b/internal/proxy/admin/server_test.go
@@ -63,6 +63,12 @@
 // requestHead returns the request line and the Host header. Further headers and an empty line must follow.
 func requestHead(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: n\r\n" }
 
+// chunkedRequest returns a request with a body of one chunk, whose length the header does not state.
+func chunkedRequest(method, path string, bodyBytes int) string {
+	chunk := fmt.Sprintf("%x\r\n%s\r\n", bodyBytes, strings.Repeat("x", bodyBytes))
+	return requestHead(method, path) + "Transfer-Encoding: chunked\r\n\r\n" + chunk + "0\r\n\r\n"
+}
+
 // call sends the text of a request on a new connection and returns the response.
 func call(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
@@ -95,6 +101,9 @@
 		{"another method", requestHead("GET", "/standby") + "\r\n", 405},
 		{"unknown path", requestHead("GET", "/") + "\r\n", 404},
 		{"long body", requestHead("PUT", "/standby") + "Content-Length: 9999\r\n\r\n", 413},
+		{"long chunked body", chunkedRequest("PUT", "/standby", 2*maxBodyBytes), 413},
+		{"short chunked body", chunkedRequest("PUT", "/active", maxBodyBytes), 200},
+		{"malformed chunked body", requestHead("PUT", "/standby") + "Transfer-Encoding: chunked\r\n\r\n?\r\n", 400},
 		{"long header", requestHead("GET", "/status") + "X: " + strings.Repeat("x", 16<<10) + "\r\n\r\n", 431},
 		{"not HTTP", "nothing of the kind\r\n\r\n", 400},
 	} {
@@ -104,7 +113,7 @@
 			}
 		})
 	}
-	if !slices.Equal(node.commands, []string{"standby", "active"}) {
+	if !slices.Equal(node.commands, []string{"standby", "active", "active"}) {
 		t.Errorf("the node received the commands %q", node.commands)
 	}
 }
