--- a/internal/control/purger/list.go
+++ b/internal/control/purger/list.go
@@ -6,6 +6,7 @@
 
 	"dahliapin/internal/control/purge"
 	"dahliapin/internal/monotime"
+	"dahliapin/internal/wire/endpointlist"
 	"dahliapin/policy"
 )
 
@@ -40,7 +41,7 @@
 	return listedCache{
 		id:      purge.CacheID(i.ID),
 		addr:    i.Addr,
-		started: purge.Incarnation(i.Started),
+		started: purge.Incarnation(endpointlist.StartMs(i.Started)),
 		removed: removed,
 	}, true
 }
--- a/internal/control/purger/list_test.go
+++ b/internal/control/purger/list_test.go
@@ -52,6 +52,17 @@
 	}
 }
 
+// A number that no start time can have, whose conversion to an integer would depend on the processor, must not look like
+// an earlier or later process of the cache.
+func TestStartTimeOutOfRangeCountsAsNotStated(t *testing.T) {
+	for _, stated := range []float64{1e300, -1e300, 1e19, -1} {
+		instance := listedInstance{ID: "c", Addr: "127.0.0.1:1", Lifecycle: "in_service", Started: stated}
+		if listed, valid := instance.cache(); !valid || listed.started != 0 {
+			t.Errorf("start time %v: %+v, valid: %v, want 0", stated, listed, valid)
+		}
+	}
+}
+
 // listed returns the number of caches in a purger's list.
 func (f *fixture) listed(i int) int {
 	all, _ := f.purgers[i].Progress()
--- a/internal/proxy/endpoint_start.go
+++ b/internal/proxy/endpoint_start.go
@@ -16,10 +16,11 @@
 	at       policy.Instant // 0 for long ago
 }
 
-// processStartOf returns the start of an endpoint from the time that the list states. The list states start times by
-// the wall clock, which may be set back or forward at any time; all other times are monotonic. A stated time is
-// therefore converted to the node's clock once, when it is first stated, using the wall clock at that moment. From then
-// on the same stated time is the same start; a different one, earlier or later, is another start.
+// processStartOf returns the start of an endpoint from the time that the list states, a result of endpointlist.StartMs.
+// The list states start times by the wall clock, which may be set back or forward at any time; all other times are
+// monotonic. A stated time is therefore converted to the node's clock once, when it is first stated, using the wall
+// clock at that moment. From then on the same stated time is the same start; a different one, earlier or later, is
+// another start.
 //
 // If the wall clock has been stepped, the converted time may be wrong. It is therefore limited: it is at most now and,
 // after a restart, at least maxAnnouncementDelay before the last update of the list and later than the previous start.
--- a/internal/proxy/endpoint_start_test.go
+++ b/internal/proxy/endpoint_start_test.go
@@ -118,3 +118,32 @@
 		}
 	}
 }
+
+// The list may state a number that no start time can have, whose conversion would depend on the processor. It must not
+// make an old endpoint warm up, and a number that is not equal to itself must not look like a restart at each update.
+func TestEndpointStartOutOfRangeIsNotStated(t *testing.T) {
+	g := newHarness(t, 200, helloValue)
+	for _, stated := range []string{"1e300", "-1e300", "1e13", "-1", "nan", "inf", "-inf"} {
+		update := fmt.Appendf(nil, `{"generation":9,"instances":[{"instanceId":"s%[1]s","hostPort":"127.0.0.1:1",`+
+			`"lifecycle":"in_service","zone":"z","startedAtMs":%[1]s}]}`, stated)
+		apply := func() *knownEndpoint {
+			applied := make(chan *knownEndpoint, 1)
+			g.runInLoop(func() {
+				list, err := g.endpoints.watch.reader.Read(update)
+				if err != nil {
+					t.Errorf("%s: %v", stated, err)
+				}
+				g.applyEndpointList(&list, policy.DeltaUpdate)
+				applied <- g.endpoints.byID[policy.EndpointID("s"+stated)]
+			})
+			return receive(t, applied)
+		}
+		first := apply()
+		if first == nil || first.start != (processStart{}) {
+			t.Errorf("%s: endpoint is %+v, want one without a start time", stated, first)
+		}
+		if apply() != first {
+			t.Errorf("%s: stating the same start time again counts as a restart", stated)
+		}
+	}
+}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -62,7 +62,7 @@
 	unreadable := 0
 	list.Each(func(row *fastjson.Value) {
 		id := policy.EndpointID(row.GetStringBytes("instanceId"))
-		start := p.processStartOf(p.endpoints.byID[id], row.GetFloat64("startedAtMs"))
+		start := p.processStartOf(p.endpoints.byID[id], endpointlist.StartMs(row.GetFloat64("startedAtMs")))
 		if id == "" {
 			unreadable++
 			return
