--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -217,6 +217,7 @@
 		p.metrics.counters.ProtocolErrors++
 		p.dropConn(conn)
 	} else {
+		conn.hasServed = true
 		p.returnToPool(conn)
 	}
 	if isAnswer {
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -264,6 +264,9 @@
 	if outcomes[policy.NotSent] != 1 || req.attempts[0].inFlight || conn.purpose != purposeIdle {
 		t.Errorf("%v, still in flight: %v", outcomes, req.attempts[0].inFlight)
 	}
+	if conn.hasServed {
+		t.Error("the connection counts as proof that its endpoint serves, although nothing was sent on it")
+	}
 }
 
 // An endpoint closes or resets an idle connection while the node sends an attempt on it. If it does so before the
--- a/internal/proxy/health_checks.go
+++ b/internal/proxy/health_checks.go
@@ -42,6 +42,7 @@
 		result = policy.Answered
 	}
 	conn.input.consume(size)
+	conn.hasServed = true
 	p.returnToPool(conn)
 	p.reportHealthCheck(conn.endpoint.id, result)
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -57,7 +57,7 @@
 	attempt   attemptRef      // for purposeAttempt
 	stream    *responseStream // for purposeStream, otherwise nil
 	input     upstreamInput
-	hasServed bool // it has been used without failing
+	hasServed bool // its endpoint has sent a response on it
 	// closesAfterStream is whether the connection closes after the value that it streams.
 	closesAfterStream bool
 	lastUsedAt        policy.Instant
@@ -236,9 +236,6 @@
 
 // returnToPool keeps a connection for the next attempt, unless its endpoint is no longer listed.
 func (p *Proxy) returnToPool(conn *upstreamConn) {
-	if conn.purpose == purposeAttempt || conn.purpose == purposeHealthCheck {
-		conn.hasServed = true
-	}
 	conn.purpose = purposeIdle
 	conn.lastUsedAt = p.now()
 	conn.deadline = 0
