--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -29,7 +29,7 @@
 	HealthChecks   uint64                       // health checks made
 	IdleClosed     uint64                       // connections closed because they were idle
 	EvictedConns   uint64                       // idle connections closed to free a descriptor
-	ProtocolErrors uint64                       // connections closed for invalid or unrequested data, or found ended
+	ProtocolErrors uint64                       // connections closed for invalid or unrequested data
 	ServerFull     uint64                       // new connections that a running server did not accept
 	Outcomes       [policy.CacheMiss + 1]uint64 // attempts by their result
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -106,9 +106,11 @@
 		}
 		idle, sure := conn.socket.Idle()
 		if !idle && sure {
-			// It has unrequested data or has ended, and neither belongs to the next request. Both count as protocol
-			// errors, even if the endpoint closed the connection in order.
-			p.metrics.counters.ProtocolErrors++
+			// It has unrequested data or has ended, and neither belongs to the next request. An end is no protocol
+			// error: endpoints may close idle connections.
+			if !conn.socket.PeerClosed() {
+				p.metrics.counters.ProtocolErrors++
+			}
 			p.dropConn(conn)
 		}
 		if !idle {
