--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -23,10 +23,10 @@
 //     received, by startStream (response_stream.go). flushPipeline writes the answer once all earlier commands of the
 //     connection have been answered.
 //
-// An answer that is late or missing was delayed in one of these steps. The counter AnsweredLate counts the requests
-// completed after their deadline. It does not include streams, nor answers that were completed in time but had to wait
-// for those to earlier commands. LongestIterationMs and Stalls show whether an iteration of the event loop took long.
-// Commands from other goroutines run between the iterations and are not timed.
+// An answer that is late or missing was delayed in one of these steps. The counter AnsweredLate counts the answers that
+// flushPipeline wrote after the deadline of their request, including those that had to wait for the answers to earlier
+// commands, and streams whose end was late. LongestIterationMs and Stalls show whether an iteration of the event loop
+// took long. Commands from other goroutines run between the iterations and are not timed.
 //
 // # State and ownership
 //
--- a/internal/proxy/metrics/counters.go
+++ b/internal/proxy/metrics/counters.go
@@ -18,7 +18,7 @@
 	Rejected     uint64 // requests rejected: not executed, or safe to repeat
 	Failed       uint64 // requests that failed
 	NotAccepted  uint64 // requests refused for lack of capacity or by phase; incomplete messages dropped for memory
-	AnsweredLate uint64 // requests completed after their deadline, without streamed ones
+	AnsweredLate uint64 // requests whose answer, or the end of it, was written after their deadline
 	Level        uint64 // current degradation level, not a count; 0 is normal operation
 	Shed         uint64 // requests shed by the degradation level
 
--- a/internal/proxy/pipeline.go
+++ b/internal/proxy/pipeline.go
@@ -9,7 +9,8 @@
 // pipelineSlot holds the answer to one command of a connection. Answers are written in the order of the commands, not
 // in the order in which they become ready.
 type pipelineSlot struct {
-	request    inflightID // 0 for a command that is not a request in flight
+	request    inflightID     // 0 for a command that is not a request in flight
+	deadline   policy.Instant // of a request that was accepted, otherwise 0
 	answered   bool
 	response   []byte
 	streamConn upstreamConnID // the connection that the value is streamed from, or 0
@@ -62,9 +63,13 @@
 // readyAnswers returns the bytes of the answers that are ready, and the number of these answers. Short answers are
 // joined into one piece; long values are not copied.
 func (p *Proxy) readyAnswers(client *clientConn) (pieces [][]byte, last []byte, count int) {
+	now := p.now()
 	for ; count < len(client.pipeline) && client.pipeline[count].answered; count++ {
 		slot := &client.pipeline[count]
 		p.inflight.bufferedBytes -= slot.size()
+		if slot.deadline != 0 && now > slot.deadline {
+			p.metrics.counters.AnsweredLate++
+		}
 		if count == len(client.pipeline)-1 {
 			p.announceClose(client, slot)
 		}
@@ -115,9 +120,6 @@
 // copied.
 func (p *Proxy) completeRequest(req *inflightRequest, response, value []byte) {
 	req.answered = true
-	if p.now() > req.deadline {
-		p.metrics.counters.AnsweredLate++
-	}
 	p.inflight.pending--
 	client := p.downstream.conns.Get(req.client)
 	if client == nil || req.slot < client.firstSlot {
--- a/internal/proxy/pipeline_test.go
+++ b/internal/proxy/pipeline_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"strings"
 	"testing"
+	"time"
 
 	"dahliapin/internal/proxy/metrics"
 )
@@ -64,3 +65,21 @@
 		}
 	}
 }
+
+// An answer that was ready in time but reached the client after its deadline, because it had to wait for the answer to
+// an earlier command, must be counted as late.
+func TestAnswerHeldBehindAnEarlierOneCountsAsLate(t *testing.T) {
+	const timeout = 500 * time.Millisecond
+	proceed := make(chan bool)
+	g := newHarness(t, 200, blockRequestA(proceed))
+	c, r := g.client()
+	sent := time.Now()
+	fmt.Fprintf(c, "mg k1 v Oa Pc=read,d=9000\r\nmg k2 v Ob Pc=read,d=%d\r\n", timeout.Milliseconds())
+	g.waitUntil("the second request is answered", func(n metrics.Counters) bool { return n.Satisfied == 1 })
+	time.Sleep(time.Until(sent.Add(2 * timeout)))
+	close(proceed)
+	g.expect(r, "VA 5 Oa", "hello", "VA 5 Ob", "hello")
+	if late := g.Counters().AnsweredLate; late != 1 {
+		t.Errorf("%d late answers, want 1", late)
+	}
+}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -97,7 +97,7 @@
 	req.id = p.inflight.requests.Add(req)
 	p.inflight.pending++
 	p.inflight.ids[string(req.parsed.id)] = true
-	client.pipeline = append(client.pipeline, pipelineSlot{request: req.id})
+	client.pipeline = append(client.pipeline, pipelineSlot{request: req.id, deadline: deadline})
 	p.dispatcher.RequestArrived(p.now(), &policy.Request{
 		ID:        policyRequestID(req.id),
 		Key:       string(request.key),
--- a/internal/proxy/response_stream_test.go
+++ b/internal/proxy/response_stream_test.go
@@ -9,6 +9,7 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"dahliapin/internal/proxy/metrics"
 )
@@ -152,3 +153,36 @@
 		t.Errorf("%+v", n)
 	}
 }
+
+// A streamed value whose end reached the client after the deadline must be counted as a late answer, and one that was
+// complete in time must not.
+func TestStreamedAnswerCountsAsLate(t *testing.T) {
+	const timeout = 500 * time.Millisecond
+	long := strings.Repeat("v", 2*streamThreshold)
+	for _, late := range []bool{true, false} {
+		proceed := make(chan bool)
+		g := newHarness(t, 200, helloValue)
+		g.moveEndpoint("c", g.listen(func(c net.Conn) {
+			line, _ := bufio.NewReader(c).ReadString('\n')
+			fmt.Fprintf(c, "VA %d %s\r\n%s", len(long), idFlag(line), long)
+			<-proceed
+			io.WriteString(c, "\r\n")
+		}))
+		c, r := g.client()
+		limit := testTimeout
+		if late {
+			limit = timeout
+		}
+		sent := time.Now()
+		fmt.Fprintf(c, "mg k v Oa Pc=read,d=%d\r\n", limit.Milliseconds())
+		g.expect(r, fmt.Sprintf("VA %d Oa", len(long)))
+		if late {
+			time.Sleep(time.Until(sent.Add(2 * timeout)))
+		}
+		close(proceed)
+		g.expect(r, long)
+		if counted := g.Counters().AnsweredLate == 1; counted != late {
+			t.Errorf("counted as late: %v, want %v", counted, late)
+		}
+	}
+}
