--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -55,8 +55,8 @@
 }
 
 // outlierDetector decides which endpoints to avoid because of faults: by consecutive failures (no response, no
-// connection, or a health check that was not successful), by errors per class, and per zone where no connection can be
-// opened.
+// connection, or a health check that was sent and not successful), by errors per class, and per zone where no
+// connection can be opened.
 type outlierDetector struct {
 	settings *Settings
 	rng      *keyhash.Source
@@ -95,8 +95,8 @@
 	return hasInFlight && now.Since(u.health.awaitingSince) > d.latency.responseTimeout
 }
 
-// recordFailure counts an attempt without a response, or a health check with any result but Answered. The second and
-// each further consecutive one ejects the endpoint, for twice as long each time, up to maxEjection.
+// recordFailure counts an attempt without a response, or a health check with any result but Answered and NotSent. The
+// second and each further consecutive one ejects the endpoint, for twice as long each time, up to maxEjection.
 func (d *outlierDetector) recordFailure(now Instant, u *upstream, result Result) {
 	u.health.failures++
 	if result == ConnectFailed {
@@ -112,8 +112,12 @@
 }
 
 // recordHealthCheck records the result of a health check. A successful one ends the ejection, but a single further
-// failure renews it.
+// failure renews it. One that was not sent, for a reason on the caller's machine, changes nothing: the next one is due
+// once the current ejection ends.
 func (d *outlierDetector) recordHealthCheck(now Instant, u *upstream, result Result) {
+	if result == NotSent {
+		return
+	}
 	if result != Answered {
 		d.recordFailure(now, u, result)
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -152,3 +152,34 @@
 		t.Errorf("%d of 200 attempts went to an unreachable zone", attempts)
 	}
 }
+
+// A health check that was not sent, for a reason on the caller's machine, says nothing about its endpoint. It must
+// neither eject the endpoint nor prolong an ejection, and the next check must follow.
+func TestHealthCheckThatWasNotSentIsNotAFailure(t *testing.T) {
+	settings := testSettings()
+	settings.HealthChecksAllowed = true
+	h := newHarness(t, settings, testFleet(12, false))
+	u := h.cache("cache-0")
+	fail := func(result Result) {
+		for range failuresToEject {
+			h.router.OnHealthCheck(h.now, u.ID, result)
+		}
+	}
+	fail(NotSent)
+	if u.health.failures > 0 || u.health.ejectedUntil > 0 || h.router.outliers.zoneConnectFailures[u.Zone] > 0 {
+		t.Errorf("health after checks that were not sent: %+v", u.health)
+	}
+	fail(ConnectFailed)
+	h.now = u.health.ejectedUntil
+	for range 3 {
+		if due := h.router.outliers.dueHealthChecks(h.now, h.router.endpoints.caches); len(due) != 1 {
+			t.Fatalf("health checks due are %v, want one", due)
+		}
+		before := u.health
+		h.router.OnHealthCheck(h.now, u.ID, NotSent)
+		if u.health.failures != before.failures || u.health.ejectedUntil != before.ejectedUntil {
+			t.Errorf("health is %+v, was %+v before a check that was not sent", u.health, before)
+		}
+		h.now = u.health.ejectedUntil
+	}
+}
--- a/policy/router.go
+++ b/policy/router.go
@@ -130,7 +130,8 @@
 	return decision
 }
 
-// OnHealthCheck records the result of a health check: Answered if the endpoint is healthy.
+// OnHealthCheck records the result of a health check: Answered if the endpoint is healthy, and NotSent if the check
+// failed for a reason on the caller's machine.
 func (router *Router) OnHealthCheck(now Instant, id EndpointID, result Result) {
 	if u := router.endpoints.byID[id]; u != nil {
 		router.outliers.recordHealthCheck(now, u, result)
