--- a/internal/proxy/health_checks.go
+++ b/internal/proxy/health_checks.go
@@ -2,8 +2,8 @@
 
 import "dahliapin/policy"
 
-// CheckHealth sends a health check to an endpoint. Unlike an attempt, it ends as ConnectFailed even if the connection
-// fails for a reason on this machine, such as a lack of descriptors. It implements dispatch.Actions.
+// CheckHealth sends a health check to an endpoint. It ends as NotSent if no connection can be opened for a reason on
+// this machine, such as a lack of descriptors. It implements dispatch.Actions.
 func (p *Proxy) CheckHealth(id policy.EndpointID) {
 	endpoint := p.endpoints.byID[id]
 	if endpoint == nil {
@@ -12,7 +12,7 @@
 	p.metrics.counters.HealthChecks++
 	conn, err := p.acquireConn(endpoint, purposeHealthCheck, false)
 	if err != nil {
-		p.reportHealthCheck(id, policy.ConnectFailed)
+		p.reportHealthCheck(id, policy.NotSent)
 		return
 	}
 	if conn.socket != nil {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -178,9 +178,9 @@
 }
 
 // onDialFailed handles a connection that could not be opened. If local is set, the reason lies with this machine and
-// not with the endpoint: an attempt then ends as NotSent. A health check ends as ConnectFailed in both cases.
+// not with the endpoint: an attempt or a health check then ends as NotSent.
 func (p *Proxy) onDialFailed(conn *upstreamConn, local bool) {
-	if local && conn.purpose == purposeAttempt {
+	if local {
 		p.failConn(conn, policy.NotSent)
 		return
 	}
