--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -84,11 +84,13 @@
 	return selected
 }
 
-// shouldCancel reports whether to cancel an attempt: the settings allow it, the attempt counts as lost, and there is
-// time for a retry. Whether a retry is otherwise possible, for example whether the request has an attempt left, is not
-// checked.
+// shouldCancel reports whether to cancel an attempt: the settings allow it, the attempt counts as lost, and a retry may
+// follow. For that the request must have an attempt and time left, and the extra-attempt budget must cover a whole
+// attempt, since the cancellation is charged to it before the retry is decided.
 func (router *Router) shouldCancel(now Instant, r *Request, lost bool) bool {
-	return router.settings.CancelAllowed && lost && router.timeLeft(now, r) > router.latency.slowThreshold
+	mayRetry := len(r.Attempts) < router.settings.MaxAttempts && router.extraAttempts.allowsHedge() &&
+		router.timeLeft(now, r) > router.latency.slowThreshold
+	return router.settings.CancelAllowed && lost && mayRetry
 }
 
 // shouldHedge reports whether a hedge is worth its cost: the attempt is lost, or the probability that it is late is at
@@ -108,8 +110,7 @@
 }
 
 // isLost reports whether an attempt in flight counts as lost: its endpoint has left the list or is unresponsive. At the
-// origin one slow request does not predict the others, so there an attempt is lost if it takes too long. An attempt at
-// the origin counts as lost only if the extra-attempt budget covers another attempt.
+// origin one slow request does not predict the others, so there an attempt is lost if it takes too long.
 func (router *Router) isLost(now Instant, r *Request, attempt Attempt) bool {
 	u := router.endpoints.byID[attempt.Endpoint]
 	if u == nil {
@@ -119,7 +120,7 @@
 		return router.outliers.unresponsive(now, u)
 	}
 	lostAfter := router.origin.lostAfter(r.state.class.LatencyObjective)
-	return router.extraAttempts.allowsHedge() && now.Since(attempt.SentAt) > lostAfter
+	return now.Since(attempt.SentAt) > lostAfter
 }
 
 // cancelRemaining returns the indices of the attempts to cancel once a request is finished: all that are in flight, if
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -55,3 +55,36 @@
 		})
 	}
 }
+
+// Guards against a cancelled attempt that no other may follow: its client was told to try again although the answer
+// might still have come. An attempt must stay in flight if it is the request's last one, or if the extra-attempt budget
+// would not cover a retry after the cancellation has been charged to it.
+func TestLostAttemptStaysInFlightIfNoRetryMayFollow(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		maxAttempts int
+		tokens      float64
+		cancelled   bool
+	}{
+		{name: "retry left", maxAttempts: 2, tokens: 5, cancelled: true},
+		{name: "last attempt", maxAttempts: 1, tokens: 5, cancelled: false},
+		{name: "no budget", maxAttempts: 2, tokens: 0.5, cancelled: false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.HedgingAllowed = false
+			settings.MaxAttempts = c.maxAttempts
+			h := newHarness(t, settings, testFleet(12, false))
+			h.router.extraAttempts.tokens = c.tokens
+			r, decision := h.arrive("k", readClass, false)
+			h.update(DeltaUpdate, Endpoint{ID: decision.SendTo[0], Lifecycle: Removed})
+			h.advance(300 * ms)
+			if cancelled := r.Attempts[0].Result == Cancelled; cancelled != c.cancelled {
+				t.Errorf("attempts are %v", r.Attempts)
+			}
+			if sentAgain := len(r.Attempts) == 2; sentAgain != c.cancelled || r.Finished {
+				t.Errorf("attempts are %v, finished: %v", r.Attempts, r.Finished)
+			}
+		})
+	}
+}
