--- a/internal/control/controlserver/peers.go
+++ b/internal/control/controlserver/peers.go
@@ -139,13 +139,10 @@
 // the snapshots that were sent.
 func (p *peer) sendRaft(stream *controlwire.Stream, first *pb.Message) error {
 	messages := []*pb.Message{first}
-	size := len(first.GetSnapshot().GetData())
+	size := dataBytes(first)
 	for size < maxRaftFrameBytes && len(p.outbox) > 0 && len(messages) < maxLoopInputs {
 		message := <-p.outbox
-		for _, entry := range message.GetEntries() {
-			size += len(entry.GetData())
-		}
-		size += len(message.GetSnapshot().GetData())
+		size += dataBytes(message)
 		messages = append(messages, message)
 	}
 	frame := controlwire.Message{Kind: controlwire.KindRaft}
@@ -169,6 +166,15 @@
 	return err
 }
 
+// dataBytes returns the size of a message's entries and snapshot, which make up almost all of a long message.
+func dataBytes(message *pb.Message) int {
+	size := len(message.GetSnapshot().GetData())
+	for _, entry := range message.GetEntries() {
+		size += len(entry.GetData())
+	}
+	return size
+}
+
 func (p *peer) sendFrame(stream *controlwire.Stream, frame controlwire.Message, timeout time.Duration) error {
 	sent, err := stream.Send(frame, timeout)
 	p.server.status.bytesOut.Add(uint64(sent))
