--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -52,10 +52,10 @@
 func (l *listPoller) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() {
+	l.purger.goroutines.Go(func() {
 		<-l.purger.closed
 		cancel()
-	}()
+	})
 	defer l.client.CloseIdleConnections()
 	for {
 		delay := l.poll(ctx)
@@ -84,6 +84,9 @@
 		l.purger.applyList(*answer.Instances, kind, at)
 		return 0
 	}
+	if ctx.Err() != nil { // interrupted by Close
+		return 0
+	}
 	failure := discovery.ConnectionLost
 	switch {
 	case errors.Is(err, errBusy):
