--- a/internal/control/logfollower/status.go
+++ b/internal/control/logfollower/status.go
@@ -68,5 +68,5 @@
 		f.Log.WithFields(fields).Warn("replicated log became stale; keeping the last configuration in force")
 		return
 	}
-	f.Log.WithFields(fields).Warn("replicated log is current again; applying new entries")
+	f.Log.WithFields(fields).Info("replicated log is current again; applying new entries")
 }
--- a/internal/control/purger/purger.go
+++ b/internal/control/purger/purger.go
@@ -201,14 +201,7 @@
 			continue
 		}
 		err := p.cursors.put(changed, all)
-		// Only the first failure in a row and the recovery are logged. While cursors are not saved, a restart repeats
-		// the purges after the cursors on disk.
-		switch {
-		case err != nil && !failed:
-			p.Logger.WithError(err).Warn("purger: saving cache cursors failed; retrying every second")
-		case err == nil && failed:
-			p.Logger.WithError(err).Warn("purger: cache cursors are saved again")
-		}
+		p.logSaving(failed, err)
 		failed = err != nil
 		if err == nil {
 			p.markSaved(changed)
@@ -216,6 +209,17 @@
 	}
 }
 
+// logSaving logs the first failure to save cursors in a row, and the recovery. While cursors are not saved, a restart
+// repeats the purges after the cursors on disk.
+func (p *Purger) logSaving(failedBefore bool, err error) {
+	switch {
+	case err != nil && !failedBefore:
+		p.Logger.WithError(err).Warn("purger: saving cache cursors failed; retrying every second")
+	case err == nil && failedBefore:
+		p.Logger.Info("purger: cache cursors are saved again")
+	}
+}
+
 // unsavedCursors returns the cursors that differ from those on disk, and the names of all caches.
 func (p *Purger) unsavedCursors() (changed map[purge.CacheID]purge.Cursor, all []purge.CacheID) {
 	p.mu.Lock()
--- a/internal/control/purger/purger_test.go
+++ b/internal/control/purger/purger_test.go
@@ -1,9 +1,14 @@
 package purger
 
 import (
+	"bytes"
+	"errors"
+	"strings"
 	"testing"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"dahliapin/internal/emulator/cachestub"
 )
 
@@ -103,3 +108,21 @@
 	}
 	f.expectNoBreach()
 }
+
+// Only the first failure in a row to save cursors is a warning. The recovery is none, and has no error.
+func TestRecoveredSavingIsNoWarning(t *testing.T) {
+	var out bytes.Buffer
+	logger := logrus.New()
+	logger.SetOutput(&out)
+	p := &Purger{Config: Config{Logger: logger}}
+	failure := errors.New("disk full")
+	p.logSaving(false, nil)
+	p.logSaving(false, failure)
+	p.logSaving(true, failure)
+	p.logSaving(true, nil)
+	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
+	if len(lines) != 2 || !strings.Contains(lines[0], "level=warning") || !strings.Contains(lines[0], failure.Error()) ||
+		!strings.Contains(lines[1], "level=info") || strings.Contains(lines[1], "error=") {
+		t.Errorf("logged %q, want a warning with the error, then an info line without one", lines)
+	}
+}
