--- a/internal/scale/logscale/rig/start.go
+++ b/internal/scale/logscale/rig/start.go
@@ -123,12 +123,22 @@
 			return nil
 		}
 		if time.Now().After(by) {
-			return fmt.Errorf("after %v only %d of %d nodes follow the log: %w",
-				readyTimeout, len(o.Nodes), r.Nodes+r.Real, err)
+			return r.notFollowingError(o, err)
 		}
 	}
 }
 
+// notFollowingError returns the error for nodes that do not follow the log in time, given the last overview and its
+// error, if any.
+func (r *run) notFollowingError(o controlclient.Overview, err error) error {
+	missing := fmt.Errorf("after %v only %d of %d nodes follow the log, leader known %t, all caught up %t",
+		readyTimeout, len(o.Nodes), r.Nodes+r.Real, o.HasLeader, o.CaughtUp())
+	if err != nil {
+		return fmt.Errorf("%w: %w", missing, err)
+	}
+	return missing
+}
+
 // startControl starts a control server. With the argument --new it creates a log.
 func (r *run) startControl(i int, more ...string) (err error) {
 	args := []string{"control", r.path("control-%d.toml", i), "--trace", r.path("control-%d.trace", i)}
