--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -454,3 +454,19 @@
 		t.Errorf("cursor %+v after a restart with %+v", f.Cursor(), saved)
 	}
 }
+
+// While the cache is being flushed, another control server may report a cursor that is further on than the purges which
+// the flushes cover, and still behind the floor. The second flush must not set the cursor back.
+func TestSecondFlushDoesNotSetBackAMergedCursor(t *testing.T) {
+	f := newFixture(t)
+	f.startFlushes(Cursor{Log: 7, Done: 1}, firstAnswered)
+	f.wait(testConfig.MaxFillTime)
+	f.publish("e", "f")
+	f.log.floor = 6
+	f.MergeCursor(Cursor{Log: 7, Done: 5})
+	f.expect("second flush", "L6 ", 5)
+	f.answer(1)
+	if cursor := f.Cursor(); cursor.Done != 5 {
+		t.Errorf("cursor %+v after the second flush, want 5 purges done", cursor)
+	}
+}
--- a/internal/control/purge/schedule.go
+++ b/internal/control/purge/schedule.go
@@ -247,9 +247,9 @@
 		id, floor, _ := log.Position()
 		if id == answered.logID && id == arrivals.logID && c.mustFlush(id, floor) {
 			// The purges covered by the first flush are done, and so are those that arrived at least MaxFillTime before
-			// the second flush was sent.
+			// the second flush was sent. A cursor merged meanwhile may be further on.
 			fillsOver := arrivals.NewestAt(answered.sentAt.Add(-c.MaxFillTime))
-			c.setCursor(id, max(c.flush.upTo, fillsOver))
+			c.setCursor(id, max(c.done(), c.flush.upTo, fillsOver))
 		}
 		c.flush.firstAnswered = false
 	}
