--- a/internal/control/purge/cache.go
+++ b/internal/control/purge/cache.go
@@ -147,13 +147,11 @@
 // restarted resets the state for a later process of the cache.
 func (c *Cache) restarted(now monotime.Instant, started Incarnation) {
 	c.cursor.Incarnation = started
-	if c.cursor.Log != 0 {
-		c.cursor.Done = c.cursor.SafeAfterRestart
-		c.quickDeleted = c.done()
-		c.quickSent = c.done()
-		c.confirmingSent = c.done()
-		c.quickSkipped = 0
-	}
+	c.cursor.Done = c.cursor.SafeAfterRestart // 0 if there is no cursor
+	c.quickDeleted = c.done()
+	c.quickSent = c.done()
+	c.confirmingSent = c.done()
+	c.quickSkipped = 0
 	c.OnDisconnect(now, 0) // drops the commands in flight, which went to the previous process
 	c.flush.firstAnswered = false
 	c.failures = 0
--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -470,3 +470,25 @@
 		t.Errorf("cursor %+v after the second flush, want 5 purges done", cursor)
 	}
 }
+
+// Deletes and flushes at the previous process of a cache do not count for the next one, also without a cursor.
+func TestRestartedCacheWithoutACursorHasNoQuickDeletes(t *testing.T) {
+	f := newFixture(t)
+	f.startFlushes(Cursor{}, firstAnswered)
+	f.publish("e")
+	f.expect("quick delete", "15 ", 0)
+	f.answer(1)
+	if f.QuickDeleted() != 5 {
+		t.Errorf("quick deletes up to %d, want 5", f.QuickDeleted())
+	}
+	f.OnListed(f.now, 9, &f.arrivals)
+	if f.QuickDeleted() != 0 {
+		t.Errorf("after the restart: quick deletes up to %d, want none", f.QuickDeleted())
+	}
+	f.wait(f.limiter.Interval)
+	f.expect("first flush again", "F5 ", 0)
+	f.answer(1)
+	if f.QuickDeleted() != 5 {
+		t.Errorf("after the flush: quick deletes up to %d, want 5", f.QuickDeleted())
+	}
+}
