--- a/cmd/dahliapin/scale_caches_test.go
+++ b/cmd/dahliapin/scale_caches_test.go
@@ -88,11 +88,11 @@
 		CutPurges:   1,
 		MaxFillTime: minFillTime,
 	}
-	if !isChangesPlanInBounds(&changes) {
-		t.Fatalf("--loss 0 is refused: %+v", changes)
+	if err := checkChangesBounds(&changes); err != nil {
+		t.Fatalf("--loss 0: %v", err)
 	}
 	changes.Loss = math.NaN()
-	if isChangesPlanInBounds(&changes) {
+	if checkChangesBounds(&changes) == nil {
 		t.Error("--loss NaN is accepted")
 	}
 }
--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"os"
@@ -22,12 +23,16 @@
 	maxEmulatedCaches = 200
 	maxLoss           = 0.2
 	maxCutPurges      = 60_000
+	maxCutConfigs     = 1000
 	minPhaseTime      = time.Second
 	maxPhaseTime      = time.Hour
 	minFillTime       = 100 * time.Millisecond
 	maxFillTime       = time.Minute
 )
 
+// lastRegion is the value of --cut-region for the last region.
+const lastRegion = -1
+
 // errOverStatedBounds reports a measurement over the bounds stated in the operators' documentation, or a broken rule.
 var errOverStatedBounds = errors.New("a measurement is over a stated bound, or a rule is broken")
 
@@ -82,7 +87,7 @@
 	f.StringVar(phases, "plays", "steady,burst,cut", "phases, one after the other: of steady, burst, cut, cache-cut")
 	f.DurationVar(&plan.SteadyFor, "for", time.Minute, "length of the phase steady")
 	f.DurationVar(&plan.CutFor, "cut-for", 20*time.Second, "how long a region is cut off, or a cache does not answer")
-	f.IntVar(&plan.CutRegion, "cut-region", -1,
+	f.IntVar(&plan.CutRegion, "cut-region", lastRegion,
 		"region that is cut off, from 0; -1 for the last, which has no control server (with 11: 0, 2, 5 and 8 have)")
 	f.DurationVar(&plan.After, "after", 20*time.Second, "how long purges go on at the stated rate after the cut")
 	f.IntVar(&plan.CutPurges, "cut-purges", 34_200, "number of purges during the cut: an hour's")
@@ -98,16 +103,14 @@
 	f.StringVar(&plan.Dir, "out", "scale-changes", "folder for the results")
 }
 
+// checkChangesPlan checks the flags, and replaces the value of --cut-region that stands for the last region.
 func checkChangesPlan(p *rig.Plan) error {
-	if !isChangesPlanInBounds(p) {
-		return usageErrorf("a flag is out of its bounds")
+	if err := checkChangesBounds(p); err != nil {
+		return err
 	}
-	if p.CutRegion < 0 {
+	if p.CutRegion == lastRegion {
 		p.CutRegion = p.Regions - 1
 	}
-	if p.CutRegion >= p.Regions {
-		return usageErrorf("--cut-region %d is not one of %d regions", p.CutRegion, p.Regions)
-	}
 	for _, phase := range p.Phases {
 		switch phase {
 		case rig.Steady, rig.Burst:
@@ -122,21 +125,32 @@
 	return nil
 }
 
-func isChangesPlanInBounds(p *rig.Plan) bool {
-	isLoss := p.Loss >= 0 && p.Loss <= maxLoss // false for NaN
-	switch {
-	case p.Nodes < p.Regions || p.Nodes > maxSimulatedNodes:
-	case p.Real < 0 || p.Real > maxRealNodes:
-	case p.Regions < minRegions || p.Regions > maxRegions:
-	case !isLoss:
-	case p.SteadyFor < minPhaseTime || p.SteadyFor > maxPhaseTime || p.CutFor < minPhaseTime || p.After < 0:
-	case p.CutPurges < 1 || p.CutPurges > maxCutPurges:
-	case p.Caches < 0 || p.Caches > maxEmulatedCaches:
-	case p.MaxFillTime < minFillTime || p.MaxFillTime > maxFillTime:
-	default:
-		return true
+// checkChangesBounds returns a usage error that names the first flag out of its bounds. The number of regions comes
+// first, since other bounds depend on it.
+func checkChangesBounds(p *rig.Plan) error {
+	return cmp.Or(
+		checkInRange("--regions", p.Regions, minRegions, maxRegions),
+		checkInRange("--nodes", p.Nodes, p.Regions, maxSimulatedNodes),
+		checkInRange("--real", p.Real, 0, maxRealNodes),
+		checkInRange("--loss", p.Loss, 0, maxLoss),
+		checkInRange("--for", p.SteadyFor, minPhaseTime, maxPhaseTime),
+		checkInRange("--cut-for", p.CutFor, minPhaseTime, maxPhaseTime),
+		checkInRange("--after", p.After, 0, maxPhaseTime),
+		checkInRange("--cut-region", p.CutRegion, lastRegion, p.Regions-1),
+		checkInRange("--cut-purges", p.CutPurges, 1, maxCutPurges),
+		checkInRange("--cut-configs", p.CutConfigs, 0, maxCutConfigs),
+		checkInRange("--caches", p.Caches, 0, maxEmulatedCaches),
+		checkInRange("--fills", p.MaxFillTime, minFillTime, maxFillTime),
+	)
+}
+
+// checkInRange returns a usage error if the value of a flag is not within its bounds, or not a number.
+func checkInRange[T cmp.Ordered](flag string, value, least, most T) error {
+	inRange := value >= least && value <= most // false for NaN
+	if !inRange {
+		return usageErrorf("%s %v is not from %v to %v", flag, value, least, most)
 	}
-	return false
+	return nil
 }
 
 // prepareChangesFolder creates the folder for results. It returns an error if the folder has the data of another run.
