--- a/cmd/dahliapin/placement.go
+++ b/cmd/dahliapin/placement.go
@@ -10,7 +10,8 @@
 const (
 	maxPlacedCaches = 10_000
 	maxPlacedKeys   = 10_000_000 // takes about a minute
-	maxCrossingCost = 100        // as a share of a request
+	maxPlacedNodes  = 100_000
+	maxCrossingCost = 100 // as a share of a request
 )
 
 // placementOptions holds the flags of placement.
@@ -38,6 +39,8 @@
 				return usageErrorf("--caches %d is not from 1 to %d", o.caches, maxPlacedCaches)
 			case o.keys < 1 || o.keys > maxPlacedKeys:
 				return usageErrorf("--keys %d is not from 1 to %d", o.keys, maxPlacedKeys)
+			case o.nodes < 1 || o.nodes > maxPlacedNodes:
+				return usageErrorf("--nodes %d is not from 1 to %d", o.nodes, maxPlacedNodes)
 			case !isCost:
 				return usageErrorf("--crossing-price %v is not from 0 to %d", o.crossZoneCost, maxCrossingCost)
 			}
--- a/cmd/dahliapin/scale_test.go
+++ b/cmd/dahliapin/scale_test.go
@@ -195,6 +195,9 @@
 	for args, want := range map[string]string{
 		"--caches 0":           "--caches 0 is not from 1 to 10000",
 		"--keys 0":             "--keys 0 is not from 1 to 10000000",
+		"--nodes -1":           "--nodes -1 is not from 1 to 100000",
+		"--nodes 0":            "--nodes 0 is not from 1 to 100000",
+		"--nodes 100001":       "--nodes 100001 is not from 1 to 100000",
 		"--crossing-price NaN": "--crossing-price NaN is not from 0 to 100",
 		"--crossing-price Inf": "--crossing-price +Inf is not from 0 to 100",
 		"--crossing-price -1":  "--crossing-price -1 is not from 0 to 100",
