--- a/cmd/dahliapin/changes_test.go
+++ b/cmd/dahliapin/changes_test.go
@@ -193,3 +193,17 @@
 		t.Error(text)
 	}
 }
+
+// TestPublishHelpSaysHowToGiveSeveralKeys checks that the help shows further keys as arguments: a key may contain a
+// comma, so that a list of keys isn't split at commas.
+func TestPublishHelpSaysHowToGiveSeveralKeys(t *testing.T) {
+	help, code := runProgram(t, "fleet", "publish", "--help")
+	if code != 0 || strings.Contains(help, "KEY[,KEY]") || !strings.Contains(help, "--purge KEY [KEY...]") {
+		t.Errorf("exit %d, %q", code, help)
+	}
+	p := publishOptions{keys: []string{"a,b"}}
+	proposals, err := p.proposals([]string{"c"})
+	if err != nil || len(proposals) != 2 || string(proposals[0].Body) != "a,b" || string(proposals[1].Body) != "c" {
+		t.Errorf("%v, %v", proposals, err)
+	}
+}
--- a/cmd/dahliapin/publish.go
+++ b/cmd/dahliapin/publish.go
@@ -54,7 +54,7 @@
 func publishCommand() *cobra.Command {
 	var p publishOptions
 	c := &cobra.Command{
-		Use:   "publish --at ADDR[,ADDR] (--purge KEY[,KEY] | --config FILE)",
+		Use:   "publish --at ADDR[,ADDR] (--purge KEY [KEY...] | --config FILE)",
 		Short: "Publish purges, or a configuration, to every node of the fleet",
 		Long: "Prints the index of each change once it is on disk at a majority of the voting control servers.\n" +
 			"Exits with 0 then, and with 1 if it is not known to be.",
@@ -77,7 +77,8 @@
 		},
 	}
 	p.control.add(c, "addresses at which control servers listen for nodes, separated by commas; tried in turn")
-	c.Flags().StringArrayVar(&p.keys, "purge", nil, "a key to purge from all caches; more may follow as arguments")
+	c.Flags().StringArrayVar(&p.keys, "purge", nil,
+		"a key to purge from all caches, which may contain commas; more may follow as arguments")
 	c.Flags().StringVar(&p.file, "config", "",
 		"a node's configuration, for every node; each keeps its own name, address and limits")
 	c.Flags().DurationVar(&p.timeout, "by", publishTimeout, "how long to retry")
