--- a/internal/scale/networkrules.go
+++ b/internal/scale/networkrules.go
@@ -175,7 +175,8 @@
 	from, to       RegionID     // the local and the remote region
 	delaysReads    bool         // the peer is a real node, which applies no rules to the data that it sends
 	readBy, sendBy atomic.Int64 // deadlines in Unix nanoseconds; 0 for none
-	received       bool         // data has been received; used by the reader only
+	received       bool         // the first data has been received and delayed; used by the reader only
+	unread         []byte       // first data that Read has not returned yet; used by the reader only
 }
 
 // passes waits for the delay between two regions, and reports whether it has elapsed by the deadline.
@@ -218,15 +219,37 @@
 	return c.Conn.Write(b)
 }
 
+// Read delays the first data of a real node. That shifts the rest, which keeps its spacing. If a deadline ends the
+// delay early, the data is kept for the next read.
 func (c *ruledConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	if n > 0 && c.delaysReads && !c.received { // delaying the first data shifts the rest, which keeps its spacing
-		c.received = true
-		if !c.passes(c.to, c.from, deadline(&c.readBy)) {
-			return 0, os.ErrDeadlineExceeded
+	if c.delaysReads && !c.received {
+		if err := c.receiveFirst(len(b)); err != nil {
+			return 0, err
 		}
 	}
-	return n, err
+	if len(c.unread) > 0 {
+		n := copy(b, c.unread)
+		c.unread = c.unread[n:]
+		return n, nil
+	}
+	return c.Conn.Read(b)
+}
+
+// receiveFirst reads the first data, at most the given number of bytes, and waits for the delay of the network.
+func (c *ruledConn) receiveFirst(most int) error {
+	if len(c.unread) == 0 {
+		buffer := make([]byte, most)
+		n, err := c.Conn.Read(buffer)
+		if n == 0 {
+			return err
+		}
+		c.unread = buffer[:n] // an error is returned again by the next read
+	}
+	if !c.passes(c.to, c.from, deadline(&c.readBy)) {
+		return os.ErrDeadlineExceeded
+	}
+	c.received = true
+	return nil
 }
 
 // storeDeadline stores a deadline; the zero time means none.
--- a/internal/scale/networkrules_test.go
+++ b/internal/scale/networkrules_test.go
@@ -1,7 +1,9 @@
 package scale
 
 import (
+	"errors"
 	"net"
+	"os"
 	"testing"
 	"time"
 
@@ -161,3 +163,38 @@
 		t.Errorf("%d datagrams were dropped as a queue was full, want none", lost)
 	}
 }
+
+// A read that reaches its deadline before the delay has elapsed must not lose what it has received. A later read
+// returns it, in as many parts as its buffer requires.
+func TestReadAfterADeadlineReturnsWhatWasReceived(t *testing.T) {
+	const delay = 100 * time.Millisecond
+	n := newTestNetwork(t)
+	n.change(func(link *netfault.Link) { link.Delay = delay })
+	local, remote := net.Pipe()
+	defer local.Close()
+	defer remote.Close()
+	c := &ruledConn{Conn: local, r: n.rules, from: 0, to: 1, delaysReads: true}
+	sent := make(chan error, 1)
+	go func() {
+		_, err := remote.Write([]byte("hello"))
+		sent <- err
+	}()
+	buffer := make([]byte, 9)
+	_ = c.SetReadDeadline(time.Now().Add(delay / 2))
+	if size, err := c.Read(buffer); size != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("before the delay has elapsed: read %q, %v", buffer[:size], err)
+	}
+	if err := <-sent; err != nil {
+		t.Fatal(err)
+	}
+	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
+	for _, want := range []string{"he", "llo"} {
+		if size, err := c.Read(buffer[:len(want)]); string(buffer[:size]) != want || err != nil {
+			t.Errorf("read %q, %v; want %q", buffer[:size], err, want)
+		}
+	}
+	go remote.Write([]byte("next"))
+	if size, err := c.Read(buffer); string(buffer[:size]) != "next" || err != nil {
+		t.Errorf("read %q, %v; want the next data", buffer[:size], err)
+	}
+}
