--- a/internal/scale/logscale/rig/publish.go
+++ b/internal/scale/logscale/rig/publish.go
@@ -42,6 +42,9 @@
 	r.scheduleStaleFills(all, sent)
 	at, err := r.client.Publish(ctx, all)
 	acked := gossip.BootTime()
+	if err != nil {
+		r.addNote("%s: cannot publish %d changes: %v", phase, len(all), err)
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, p := range all {
@@ -66,9 +69,6 @@
 			})
 		}
 	}
-	if err != nil {
-		r.addNote("%s: cannot publish %d changes: %v", phase, len(all), err)
-	}
 }
 
 // pace publishes purges and configurations at rates per second for a time. Each is published when it is due, whether or
--- a/internal/scale/logscale/rig/rig.go
+++ b/internal/scale/logscale/rig/rig.go
@@ -44,7 +44,7 @@
 	specs       []Spec
 	real        []*process
 	client      controlclient.Client
-	mu          sync.Mutex
+	mu          sync.Mutex // guards published, the report's notes and the purges published at caches
 	published   []logtrace.PublishedChange
 	report      Report
 	phaseUsages []phaseUsage
@@ -60,6 +60,8 @@
 
 // addNote adds a note to the report.
 func (r *run) addNote(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.report.Notes = append(r.report.Notes, fmt.Sprintf(format, args...))
 }
 
