--- a/internal/scale/logscale/rig/simulatednode.go
+++ b/internal/scale/logscale/rig/simulatednode.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -166,18 +167,26 @@
 	all := startFollowers(s, to)
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
+	err = writeSamples(stats, ticker.C, inputEnd, func() Sample { return sample(all) })
+	for _, f := range all {
+		f.Close()
+	}
+	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
+}
+
+// writeSamples writes a sample at each tick and a last one at the end of the input. It returns the error of the input
+// and that of the first sample that could not be written.
+func writeSamples(to io.Writer, ticks <-chan time.Time, inputEnd <-chan error, read func() Sample) error {
+	var inputErr, writeErr error
 	for over := false; !over; {
 		select {
-		case <-ticker.C:
-		case err = <-inputEnd:
+		case <-ticks:
+		case inputErr = <-inputEnd:
 			over = true
 		}
-		err = errors.Join(err, json.NewEncoder(stats).Encode(sample(all)))
+		writeErr = cmp.Or(writeErr, json.NewEncoder(to).Encode(read()))
 	}
-	for _, f := range all {
-		f.Close()
-	}
-	return errors.Join(err, to.w.Flush(), traced.Close(), stats.Close())
+	return errors.Join(inputErr, writeErr)
 }
 
 // startFollowers starts all nodes of a process, spread evenly over startSpread.
