--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -6,6 +6,7 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"time"
 
@@ -111,7 +112,16 @@
 	if p.CutRegion == lastRegion {
 		p.CutRegion = p.Regions - 1
 	}
-	for _, phase := range p.Phases {
+	return checkChangesPhases(p)
+}
+
+// checkChangesPhases checks the names of the phases. No phase may be repeated: keys, configurations and figures are told
+// apart by the phase's name, so that the checker would take the second one's changes for those of the first.
+func checkChangesPhases(p *rig.Plan) error {
+	for i, phase := range p.Phases {
+		if slices.Contains(p.Phases[:i], phase) {
+			return usageErrorf("--plays names phase %s twice", phase)
+		}
 		switch phase {
 		case rig.Steady, rig.Burst:
 		case rig.RegionCut, rig.CacheOutage:
