--- a/internal/config/migration/convert.go
+++ b/internal/config/migration/convert.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"net/netip"
 
 	"github.com/valyala/fastjson"
@@ -114,16 +115,19 @@
 		c.remark("settings.me", "must be unique to each node")
 	}
 	c.convertZones(settings)
-	if settings.GetFloat64("tariffs", "cross_zone") <= 0 {
+	if !isPositive(settings.GetFloat64("tariffs", "cross_zone")) {
 		c.remark("settings.tariffs.cross_zone",
 			"set the cost of a request to another zone; without it a node uses all zones alike")
 	}
-	if settings.GetFloat64("rules", "overload_factor") <= 0 {
+	if !isPositive(settings.GetFloat64("rules", "overload_factor")) {
 		c.remark("settings.rules.overload_factor",
 			"set it; without it a node sends cold caches only the load that they are sure to sustain")
 	}
 }
 
+// isPositive reports whether a value is a positive finite number. The JSON parser also accepts NaN and infinity.
+func isPositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
+
 // convertZones adds the node's zone to settings that list no zones.
 func (c *converter) convertZones(settings *fastjson.Value) {
 	zone := string(settings.GetStringBytes("zone"))
--- a/internal/config/migration/convert_test.go
+++ b/internal/config/migration/convert_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"testing"
 )
 
@@ -58,3 +59,34 @@
 		})
 	}
 }
+
+// A cost or a factor that is no positive finite number gets the remark that it has to be set.
+func TestUnusableCostAndFactorGetARemark(t *testing.T) {
+	for _, test := range []struct {
+		value  string
+		remark bool
+	}{
+		{"0.2", false},
+		{"0", true},
+		{"-1", true},
+		{"NaN", true},
+		{"nan", true},
+		{"inf", true},
+		{"-inf", true},
+		{`"0.2"`, true},
+		{"null", true},
+	} {
+		old := `{"settings":{"service_grades":[{}],"tariffs":{"cross_zone":` + test.value +
+			`},"rules":{"overload_factor":` + test.value + `}}}`
+		_, remarks, err := Convert([]byte(old))
+		if err != nil {
+			t.Fatalf("%s: %v", test.value, err)
+		}
+		for _, key := range []string{"settings.tariffs.cross_zone", "settings.rules.overload_factor"} {
+			got := slices.ContainsFunc(remarks, func(r Remark) bool { return r.Key == key })
+			if got != test.remark {
+				t.Errorf("%s is %s: remark %t, want %t", key, test.value, got, test.remark)
+			}
+		}
+	}
+}
