--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -17,6 +17,8 @@
 
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
+
+	"dahliapin/internal/durable"
 )
 
 const (
@@ -45,7 +47,7 @@
 // Open opens a file, creating its directory if needed. It returns an error that wraps ErrMissing if there is no file
 // and none may be created, and a one-line error if the file is in use or cannot be read, or if Load fails.
 func Open(path string, settings Settings) (*bbolt.DB, error) {
-	if err := makeDir(filepath.Dir(path)); err != nil {
+	if err := durable.MakeDir(filepath.Dir(path), dirMode); err != nil {
 		return nil, fmt.Errorf("cannot create the data directory: %w", err)
 	}
 	if isMissing(path) {
@@ -62,7 +64,7 @@
 	}
 	// Without this sync a power failure may lose the directory entry, and with it every transaction acknowledged since.
 	// It runs at every opening because an earlier process may have crashed between linking the file and the sync.
-	if err := syncDir(filepath.Dir(path)); err != nil {
+	if err := durable.SyncDir(filepath.Dir(path)); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("%s: cannot sync the directory: %w", path, err)
 	}
@@ -78,25 +80,6 @@
 	return info.Size() == 0
 }
 
-// makeDir creates a directory and syncs its parent, so that the directory entry is durable.
-func makeDir(dir string) error {
-	if _, err := os.Stat(dir); err == nil {
-		return nil
-	}
-	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return err
-	}
-	return syncDir(filepath.Dir(dir))
-}
-
-func syncDir(dir string) error {
-	opened, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	return errors.Join(opened.Sync(), opened.Close())
-}
-
 // create creates a file with its first transaction. A file that another process has created meanwhile is not replaced.
 func create(path string, settings Settings) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), temporaryPattern)
--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -4,6 +4,8 @@
 	"os"
 	"path/filepath"
 	"testing"
+
+	"dahliapin/internal/emulator/diskfault"
 )
 
 // writeFile writes a file into dir and returns its path.
@@ -29,3 +31,30 @@
 		}
 	}
 }
+
+// A file in a directory of several new levels is lost with the power if the entry of any of them is not synced.
+func TestOpenSyncsEachNewLevelOfItsDirectory(t *testing.T) {
+	root := diskfault.TempDir(t)
+	synced := map[string]bool{}
+	err := diskfault.Run(root, func(call diskfault.Call) diskfault.Action {
+		if call.Operation == diskfault.Sync {
+			synced[call.Path] = true
+		}
+		return diskfault.Action{}
+	}, func() {
+		db, err := Open(filepath.Join(root, "a", "b", "log.bbolt"), Settings{Create: true})
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		_ = db.Close()
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, dir := range []string{root, filepath.Join(root, "a"), filepath.Join(root, "a", "b")} {
+		if !synced[dir] {
+			t.Errorf("%s is not synced", dir)
+		}
+	}
+}
