--- a/cmd/dahliapin/migrate.go
+++ b/cmd/dahliapin/migrate.go
@@ -10,6 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"dahliapin/internal/config/migration"
+	"dahliapin/internal/durable"
 	"dahliapin/node"
 )
 
@@ -72,16 +73,16 @@
 	return nil
 }
 
-// writeAtomically writes a temporary file in the target's folder and renames it, so that a partial file is never seen.
-// Without replace, it links the file instead: unlike a rename, a link fails if the target has been created meanwhile.
+// writeAtomically writes a temporary file in the target's folder and renames it, so that a partial file is never seen,
+// also after a power failure. Once it returns without an error, the file is durable. Without replace, it links the file
+// instead: unlike a rename, a link fails if the target has been created meanwhile.
 func writeAtomically(path string, text []byte, mode os.FileMode, replace bool) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
 		return fmt.Errorf("cannot write the new configuration: %w", err)
 	}
 	defer os.Remove(file.Name())
-	_, err = file.Write(text)
-	err = errors.Join(err, file.Chmod(mode), file.Sync(), file.Close())
+	err = errors.Join(file.Chmod(mode), writeSynced(file, text))
 	switch {
 	case err != nil:
 	case replace:
@@ -89,6 +90,9 @@
 	default:
 		err = os.Link(file.Name(), path)
 	}
+	if err == nil {
+		err = durable.SyncDir(filepath.Dir(path))
+	}
 	if err != nil {
 		return fmt.Errorf("cannot write the new configuration: %w", err)
 	}
--- a/cmd/dahliapin/reports.go
+++ b/cmd/dahliapin/reports.go
@@ -2,10 +2,12 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 
+	"dahliapin/internal/durable"
 	"dahliapin/internal/emulator/report"
 	"dahliapin/internal/emulator/scenario"
 )
@@ -56,18 +58,31 @@
 	return writeComplete(path, append(text, '\n'))
 }
 
-// writeComplete writes a temporary file and renames it, so that the file exists whole or not at all.
+// writeComplete writes a temporary file and renames it, so that the file exists whole or not at all, also after a power
+// failure. Once it returns without an error, the file is durable.
 func writeComplete(path string, text []byte) error {
-	err := os.WriteFile(path+partialSuffix, text, outputFileMode)
+	file, err := os.OpenFile(path+partialSuffix, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, outputFileMode)
+	if err == nil {
+		err = writeSynced(file, text)
+	}
 	if err == nil {
 		err = os.Rename(path+partialSuffix, path)
 	}
+	if err == nil {
+		err = durable.SyncDir(filepath.Dir(path))
+	}
 	if err != nil {
 		return fmt.Errorf("cannot write the report: %w", err)
 	}
 	return nil
 }
 
+// writeSynced writes a text to an open file, makes it durable and closes the file.
+func writeSynced(file *os.File, text []byte) error {
+	_, err := file.Write(text)
+	return errors.Join(err, file.Sync(), file.Close())
+}
+
 // writeSchedule writes a schedule that broke a rule and the report on its run, and returns the path of the schedule.
 func writeSchedule(dir, reportDir string, s *scenario.Scenario, r *report.Report) (path string, err error) {
 	path = filepath.Join(dir, s.Name+".toml")
--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"errors"
 	"os"
 	"path/filepath"
@@ -60,12 +59,7 @@
 			if err != nil {
 				return err
 			}
-			text, err := json.MarshalIndent(result, "", " ")
-			if err != nil {
-				return err
-			}
-			path := filepath.Join(plan.Dir, "report.json")
-			if err := os.WriteFile(path, append(text, '\n'), outputFileMode); err != nil {
+			if err := writeJSON(filepath.Join(plan.Dir, "report.json"), result); err != nil {
 				return err
 			}
 			return printChangesResult(c.OutOrStdout(), result)
