--- a/internal/scale/logscale/rig/check.go
+++ b/internal/scale/logscale/rig/check.go
@@ -1,7 +1,9 @@
 package rig
 
 import (
+	"cmp"
 	"encoding/json"
+	"errors"
 	"os"
 	"time"
 
@@ -24,15 +26,11 @@
 			return err
 		}
 	}
-	out, err := os.Create(r.path("orders.jsonl"))
-	if err != nil {
-		return err
-	}
-	defer out.Close()
-	w := json.NewEncoder(out)
 	for _, o := range r.published {
 		traces.AddPublished(o)
-		_ = w.Encode(o)
+	}
+	if err := r.writePublished(r.path("orders.jsonl")); err != nil {
+		return err
 	}
 	target := uint64(0)
 	for _, o := range r.published {
@@ -56,3 +54,16 @@
 	}
 	return r.aggregateUsage()
 }
+
+// writePublished writes the published changes to a file, for an examination by hand.
+func (r *run) writePublished(path string) error {
+	out, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	w := json.NewEncoder(out)
+	for _, o := range r.published {
+		err = cmp.Or(err, w.Encode(o))
+	}
+	return errors.Join(err, out.Close())
+}
