--- a/internal/scale/logscale/rig/phases.go
+++ b/internal/scale/logscale/rig/phases.go
@@ -75,6 +75,9 @@
 	r.network.SetCut(region, true)
 	r.log("region %d is cut off", region)
 	var steady sync.WaitGroup
+	ctx, stop := context.WithCancel(ctx)
+	defer steady.Wait()
+	defer stop() // after an error; otherwise all calls have ended
 	// These purges measure the delay in the other regions, also while this region catches up.
 	steady.Go(func() { r.pace(ctx, RegionCut, r.CutFor+r.After, r.PurgesPerSecond, 0) })
 	begin := time.Now()
