--- a/internal/control/purge/cache_test.go
+++ b/internal/control/purge/cache_test.go
@@ -454,3 +454,41 @@
 		t.Errorf("cursor %+v after a restart with %+v", f.Cursor(), saved)
 	}
 }
+
+// While the cache is being flushed, another control server may report a cursor that is further on than the purges which
+// the flushes cover, and still behind the floor. The second flush must not set the cursor back.
+func TestSecondFlushDoesNotSetBackAMergedCursor(t *testing.T) {
+	f := newFixture(t)
+	f.startFlushes(Cursor{Log: 7, Done: 1}, firstAnswered)
+	f.wait(testConfig.MaxFillTime)
+	f.publish("e", "f")
+	f.log.floor = 6
+	f.MergeCursor(Cursor{Log: 7, Done: 5})
+	f.expect("second flush", "L6 ", 5)
+	f.answer(1)
+	if cursor := f.Cursor(); cursor.Done != 5 {
+		t.Errorf("cursor %+v after the second flush, want 5 purges done", cursor)
+	}
+}
+
+// Deletes and flushes at the previous process of a cache do not count for the next one, also without a cursor.
+func TestRestartedCacheWithoutACursorHasNoQuickDeletes(t *testing.T) {
+	f := newFixture(t)
+	f.startFlushes(Cursor{}, firstAnswered)
+	f.publish("e")
+	f.expect("quick delete", "15 ", 0)
+	f.answer(1)
+	if f.QuickDeleted() != 5 {
+		t.Errorf("quick deletes up to %d, want 5", f.QuickDeleted())
+	}
+	f.OnListed(f.now, 9, &f.arrivals)
+	if f.QuickDeleted() != 0 {
+		t.Errorf("after the restart: quick deletes up to %d, want none", f.QuickDeleted())
+	}
+	f.wait(f.limiter.Interval)
+	f.expect("first flush again", "F5 ", 0)
+	f.answer(1)
+	if f.QuickDeleted() != 5 {
+		t.Errorf("after the flush: quick deletes up to %d, want 5", f.QuickDeleted())
+	}
+}
