--- a/internal/emulator/checker/attempts.go
+++ b/internal/emulator/checker/attempts.go
@@ -51,7 +51,28 @@
 	if r.answeredAt != 0 && r.final == Rejected && !mayRepeat(class) {
 		c.breach(2, now, id, r.node, server, "an attempt arrived after the request was rejected")
 	}
-	r.attempts = append(r.attempts, attempt{server: server, arrivedAt: now})
+	if class.Idempotency == policy.IdempotentByKey {
+		c.checkDedupWindow(now, sentAt, id, r, server)
+	}
+	r.attempts = append(r.attempts, attempt{server: server, sentAt: sentAt, arrivedAt: now})
+}
+
+// checkDedupWindow reports an attempt that was sent after the deduplication window of an earlier attempt that may have
+// been executed. Whether the write takes effect twice is left to chance: it does only if the earlier attempt was
+// executed and its answer did not reach the node. So most such attempts show no second effect, although each breaks the
+// rule. The slack covers an attempt that was sent within the window and crosses its end in transit.
+func (c *Checker) checkDedupWindow(now, sentAt policy.Instant, id string, r *request, server policy.EndpointID) {
+	window := c.rules.Classes[r.class].DedupWindow
+	for _, earlier := range r.attempts {
+		since := sentAt.Since(earlier.sentAt)
+		if earlier.notExecuted || since <= window+c.rules.Slack {
+			continue
+		}
+		c.breach(2, now, id, r.node, server, fmt.Sprintf(
+			"a write with an idempotency key was sent again %v after an attempt that may have been executed, the "+
+				"deduplication window is %v", since, window))
+		return
+	}
 }
 
 // AttemptEnded reports that a server has answered an attempt, or that the node has abandoned or cancelled it.
--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -25,6 +25,16 @@
 	}
 }
 
+// repeatKeyedWrite sends a write with an idempotency key, whose deduplication window is a second, and sends it again the
+// given time after the first attempt.
+func repeatKeyedWrite(ch *Checker, firstNotExecuted bool, after policy.Instant) {
+	const first = 5 * ms
+	ch.RequestSent(0, "r", 0, 1, "l", 5000*ms, true)
+	ch.AttemptArrived(first, first, "r", "c1")
+	ch.AttemptEnded(first+ms, "r", "c1", firstNotExecuted)
+	ch.AttemptArrived(first+after+ms, first+after, "r", "c2")
+}
+
 // A checker that misses a breach passes a faulty node. Each case breaks one rule in one way, or stays just within it.
 func TestCheckerCountsEachBreachOnceAndNoNearMiss(t *testing.T) {
 	sent := func(ch *Checker, class int) { ch.RequestSent(0, "r", 0, class, "l", 100*ms, true) }
@@ -123,6 +133,26 @@
 			ch.AttemptEnded(6*ms, "r", "c1", false)
 			ch.AttemptArrived(8*ms, 8*ms, "r", "c2")
 		}},
+		{"write with a key sent again after its window and the slack", 2, func(ch *Checker) {
+			repeatKeyedWrite(ch, false, 1011*ms)
+		}},
+		{"write with a key sent again at the end of its window and the slack", 0, func(ch *Checker) {
+			repeatKeyedWrite(ch, false, 1010*ms)
+		}},
+		{"write with a key sent again after its window, the earlier attempt was not executed", 0, func(ch *Checker) {
+			repeatKeyedWrite(ch, true, 1011*ms)
+		}},
+		{"write with a key sent again, within the window of the latest attempt only", 2, func(ch *Checker) {
+			repeatKeyedWrite(ch, false, 800*ms)
+			ch.AttemptEnded(810*ms, "r", "c2", false)
+			ch.AttemptArrived(1200*ms, 1200*ms, "r", "c1")
+		}},
+		{"idempotent read sent again long after the first attempt", 0, func(ch *Checker) {
+			ch.RequestSent(0, "r", 0, 0, "", 5000*ms, true)
+			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
+			ch.AttemptEnded(6*ms, "r", "c1", false)
+			ch.AttemptArrived(4000*ms, 4000*ms, "r", "c2")
+		}},
 		{"two overlapping attempts without hedging", 2, func(ch *Checker) {
 			sent(ch, 0)
 			ch.AttemptArrived(5*ms, 5*ms, "r", "c1")
--- a/internal/emulator/checker/requests.go
+++ b/internal/emulator/checker/requests.go
@@ -25,6 +25,7 @@
 // attempt is an attempt that has arrived at a server.
 type attempt struct {
 	server      policy.EndpointID
+	sentAt      policy.Instant
 	arrivedAt   policy.Instant
 	endedAt     policy.Instant // 0 while in flight
 	notExecuted bool           // the server is known not to have executed the request
