--- a/internal/emulator/world/faults.go
+++ b/internal/emulator/world/faults.go
@@ -31,11 +31,13 @@
 	w.scheduleWake(server)
 }
 
-// Kill terminates a server's process: its jobs and its stored values are lost.
+// Kill terminates a server's process: its jobs and its stored values are lost. A restart that was due after an overload
+// does not take place.
 func (w *World) Kill(now policy.Instant, server int) {
 	w.now = now
 	s := w.Servers[server]
 	s.Liveness = Down
+	s.restartsAt = 0
 	s.queue.clear()
 	s.wakeGeneration++
 	s.store = newStore(s.Keys)
--- a/internal/emulator/world/world_test.go
+++ b/internal/emulator/world/world_test.go
@@ -328,3 +328,28 @@
 		t.Errorf("the client waits %v for its second try", again.Deadline)
 	}
 }
+
+// A cache that failed from overload restarts by itself. One that was killed before its restart was due used to start
+// again: a scenario that killed it for good had it back.
+func TestKilledCacheDoesNotRestartAfterOverload(t *testing.T) {
+	overloaded := func() (*World, *countingObserver) {
+		observer := &countingObserver{}
+		w := newTestWorld(observer, nil)
+		w.Start(ms, 0)
+		for at := ms; observer.overloads == 0; at += ms {
+			w.Offer(at, 0, testJob("a", "k"))
+		}
+		return w, observer
+	}
+	w, observer := overloaded()
+	w.runUntil(w.now.Add(2 * restartDelay))
+	if w.Servers[0].Liveness != Up || observer.recoveries != 1 {
+		t.Errorf("after an overload: liveness %v, %d recoveries", w.Servers[0].Liveness, observer.recoveries)
+	}
+	w, observer = overloaded()
+	w.Kill(w.now.Add(restartDelay/2), 0)
+	w.runUntil(w.now.Add(2 * restartDelay))
+	if w.Servers[0].Liveness != Down || observer.recoveries != 0 {
+		t.Errorf("killed after an overload: liveness %v, %d recoveries", w.Servers[0].Liveness, observer.recoveries)
+	}
+}
