--- a/internal/emulator/realtime/processes.go
+++ b/internal/emulator/realtime/processes.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -137,11 +138,18 @@
 	}
 }
 
-// readLines calls each with every line until end of file, and closes the file.
+// readLines calls each with every line until end of file, and closes the file. Lines may have any length: if it stopped
+// at a long one, the process would block as soon as the pipe is full.
 func readLines(f *os.File, each func([]byte)) {
 	defer f.Close()
-	for lines := bufio.NewScanner(f); lines.Scan(); {
-		each(lines.Bytes())
+	for lines := bufio.NewReader(f); ; {
+		line, err := lines.ReadBytes('\n')
+		if len(line) > 0 {
+			each(bytes.TrimSuffix(line, []byte("\n")))
+		}
+		if err != nil {
+			return
+		}
 	}
 }
 
