--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -41,11 +41,16 @@
 	tcp *net.TCPListener
 }
 
+func (p listenerPair) close() {
+	_ = p.udp.Close()
+	_ = p.tcp.Close()
+}
+
 // NewForwarder returns a forwarder without listeners.
 func NewForwarder(f *Faults) *Forwarder { return &Forwarder{Faults: f, conns: map[net.Conn]bool{}} }
 
 // Listen opens the address at which one process reaches another, and returns it. Datagrams and streams are forwarded to
-// target.
+// target. It fails with net.ErrClosed after Close.
 func (f *Forwarder) Listen(from, to int, target string) (string, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
@@ -55,9 +60,9 @@
 	if err != nil {
 		return "", err
 	}
-	f.mu.Lock()
-	f.listeners = append(f.listeners, pair)
-	f.mu.Unlock()
+	if !f.trackListeners(pair) {
+		return "", net.ErrClosed
+	}
 	go f.forwardDatagrams(pair.udp, from, to, targetAddr)
 	go f.acceptStreams(pair.tcp, from, to, target)
 	return pair.udp.LocalAddr().String(), nil
@@ -200,6 +205,19 @@
 	}
 }
 
+// trackListeners registers listeners, so that Close closes them. If the forwarder is already closed it closes them and
+// returns false.
+func (f *Forwarder) trackListeners(pair listenerPair) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.closed {
+		pair.close()
+		return false
+	}
+	f.listeners = append(f.listeners, pair)
+	return true
+}
+
 func (f *Forwarder) isClosed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,8 +257,7 @@
 	defer f.mu.Unlock()
 	f.closed = true
 	for _, pair := range f.listeners {
-		_ = pair.udp.Close()
-		_ = pair.tcp.Close()
+		pair.close()
 	}
 	for conn := range f.conns {
 		_ = conn.Close()
--- a/internal/emulator/netfault/forwarder_test.go
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -1,6 +1,7 @@
 package netfault
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -84,3 +85,17 @@
 	f.Change(2, 1, func(link *Link) { link.Cut = false })
 	expect("second")
 }
+
+// A forwarder that was closed used to open listeners, which nobody closed.
+func TestListenFailsAfterClose(t *testing.T) {
+	target, _ := startRecordingServer(t)
+	f := NewForwarder(New(1))
+	f.Close()
+	addr, err := f.Listen(1, 2, target)
+	if !errors.Is(err, net.ErrClosed) {
+		t.Errorf("listens on %q after Close, error %v", addr, err)
+	}
+	if len(f.listeners) != 0 {
+		t.Errorf("%d listeners are open", len(f.listeners))
+	}
+}
