--- a/internal/syscallfault/calls_linux_amd64.go
+++ b/internal/syscallfault/calls_linux_amd64.go
@@ -7,10 +7,13 @@
 	Name       string
 	numbers    []uint64 // system call numbers of its variants
 	descriptor int      // index of the descriptor argument; noDescriptor if there is none
-	size       int      // index of the buffer size argument
+	size       int      // index of the buffer size argument; noBuffer if there is none
 }
 
-const noDescriptor = -1
+const (
+	noDescriptor = -1
+	noBuffer     = 0 // a buffer is never the first argument
+)
 
 var epollWaits = []uint64{unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_PWAIT2}
 
--- a/internal/syscallfault/rule.go
+++ b/internal/syscallfault/rule.go
@@ -25,11 +25,19 @@
 // Rule specifies which system calls fail, and how.
 type Rule struct {
 	Call     Call
-	Errno    unix.Errno        // 0 executes the call with its buffer shortened to one byte
+	Errno    unix.Errno        // 0 executes the call with its buffer shortened to one byte; for calls with a buffer
 	Match    func(Socket) bool // nil matches any descriptor, and calls without one
 	Schedule Schedule
 }
 
+// checkBuffer panics if the rule shortens the buffer of a call that has none: another argument of the call would be
+// changed, such as the flags of accept4.
+func (r *Rule) checkBuffer() {
+	if r.Errno == 0 && r.Call.size == noBuffer {
+		panic("syscallfault: " + r.Call.Name + " has no buffer to shorten")
+	}
+}
+
 // Injection is an active rule with its state.
 type Injection struct {
 	rule     Rule
--- a/internal/syscallfault/rule_test.go
+++ b/internal/syscallfault/rule_test.go
@@ -7,6 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
+// A rule that shortens the buffer of a call without one used to change another argument of the call.
+func TestShortBufferNeedsACallWithABuffer(t *testing.T) {
+	inject := func(rule Rule) (refused bool) {
+		defer func() { refused = recover() != nil }()
+		(&Tracer{}).Inject(rule)
+		return false
+	}
+	for _, call := range []Call{
+		Accept, NewSocket, Connect, Duplicate, EpollWait, EpollAdd, SetOption, GetOption, LocalName, RemoteName,
+	} {
+		if !inject(Rule{Call: call}) {
+			t.Errorf("%s: a short buffer is not refused", call.Name)
+		}
+		if inject(Rule{Call: call, Errno: unix.EIO}) {
+			t.Errorf("%s: an error is refused", call.Name)
+		}
+	}
+	for _, call := range []Call{Read, Write, Receive} {
+		if inject(Rule{Call: call}) {
+			t.Errorf("%s: a short buffer is refused", call.Name)
+		}
+	}
+}
+
 // Each schedule is applied to twelve matching calls, one per millisecond.
 func TestScheduleSelectsCalls(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/syscallfault/tracer_linux_amd64.go
+++ b/internal/syscallfault/tracer_linux_amd64.go
@@ -58,8 +58,9 @@
 	return t, nil
 }
 
-// Inject activates a rule, replacing the previous one.
+// Inject activates a rule, replacing the previous one. It panics if the rule shortens the buffer of a call without one.
 func (t *Tracer) Inject(rule Rule) *Injection {
+	rule.checkBuffer()
 	i := &Injection{rule: rule, now: time.Now}
 	t.mu.Lock()
 	defer t.mu.Unlock()
