--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/netip"
 	"sync"
 	"time"
 )
@@ -12,8 +13,8 @@
 	// maxDelayedDatagrams is the maximum number of datagrams that are delayed at a time; further ones are dropped.
 	maxDelayedDatagrams = 20_000
 	dialTimeout         = 2 * time.Second
-	// acceptRetryPause is the pause after a failed accept.
-	acceptRetryPause = 5 * time.Millisecond
+	// retryPause is the pause after a failed accept of a stream or read of a datagram.
+	retryPause = 5 * time.Millisecond
 	// blockedCheckInterval is the interval at which a blocked stream checks whether the cut has ended.
 	blockedCheckInterval = 20 * time.Millisecond
 	// segmentSize is the maximum number of bytes of a stream that are forwarded at a time.
@@ -86,8 +87,14 @@
 	return pair, err
 }
 
+// datagramConn is what forwardDatagrams uses of a net.UDPConn.
+type datagramConn interface {
+	ReadFromUDPAddrPort(buffer []byte) (n int, from netip.AddrPort, err error)
+	WriteToUDP(body []byte, to *net.UDPAddr) (n int, err error)
+}
+
 // forwardDatagrams forwards datagrams until the forwarder is closed.
-func (f *Forwarder) forwardDatagrams(conn *net.UDPConn, from, to int, target *net.UDPAddr) {
+func (f *Forwarder) forwardDatagrams(conn datagramConn, from, to int, target *net.UDPAddr) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buffer)
@@ -95,6 +102,7 @@
 			if f.isClosed() {
 				return
 			}
+			time.Sleep(retryPause)
 			continue // for example, the target did not listen when the previous datagram was sent
 		}
 		for _, delay := range f.Datagram(from, to) {
@@ -108,7 +116,7 @@
 }
 
 // delayDatagram sends a datagram after a delay, or drops it if maxDelayedDatagrams are delayed already.
-func (f *Forwarder) delayDatagram(conn *net.UDPConn, target *net.UDPAddr, body []byte, delay time.Duration) {
+func (f *Forwarder) delayDatagram(conn datagramConn, target *net.UDPAddr, body []byte, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.delayed >= maxDelayedDatagrams {
@@ -131,7 +139,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryPause)
+			time.Sleep(retryPause)
 			continue
 		}
 		if !f.track(conn) {
--- a/internal/emulator/netfault/forwarder_test.go
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"io"
 	"net"
+	"net/netip"
 	"testing"
 	"time"
 )
@@ -99,3 +100,26 @@
 		t.Errorf("%d listeners are open", len(f.listeners))
 	}
 }
+
+// failingConn fails each read, and counts them.
+type failingConn struct {
+	datagramConn
+	reads int
+}
+
+func (c *failingConn) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
+	c.reads++
+	return 0, netip.AddrPort{}, errors.New("out of buffers")
+}
+
+// While reads of datagrams failed, the forwarder used to try again at once and occupied a core, which made runs
+// inconclusive.
+func TestFailedReadsOfDatagramsAreRetriedWithAPause(t *testing.T) {
+	f, conn := NewForwarder(New(1)), &failingConn{}
+	begin := time.Now()
+	time.AfterFunc(10*retryPause, f.Close)
+	f.forwardDatagrams(conn, 1, 2, nil)
+	if most := 1 + int(time.Since(begin)/retryPause); conn.reads > most {
+		t.Errorf("%d reads within %v, want at most %d", conn.reads, time.Since(begin), most)
+	}
+}
