--- a/internal/emulator/client/meta.go
+++ b/internal/emulator/client/meta.go
@@ -64,10 +64,16 @@
 		return response, nil
 	case status == "SERVER_ERROR" && flags[0] == "busy":
 		return Response{Final: checker.Rejected, RetryAfter: retryAfterOf(flags[1:])}, nil
+	case isError(status):
+		return Response{Final: checker.Failed}, nil
 	}
-	return Response{Final: checker.Failed}, nil
+	reason := fmt.Sprintf("the response begins with the unexpected line %.99q", strings.TrimSpace(line))
+	return Response{Final: checker.Failed, InvalidReason: reason}, nil
 }
 
+// isError reports whether a response begins with the word of an error and has a text that describes it.
+func isError(status string) bool { return status == "SERVER_ERROR" || status == "CLIENT_ERROR" }
+
 // readValue reads a value of the given size in bytes. A node streams values above streamedValueSize, so that such a
 // value may be truncated by a closed connection. The reader detects this by the size, and the request counts as failed.
 func readValue(in *bufio.Reader, size string) (Response, error) {
--- a/internal/emulator/client/meta_test.go
+++ b/internal/emulator/client/meta_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -23,6 +24,12 @@
 	}
 }
 
+func unexpectedLine(line string) Response {
+	reason := fmt.Sprintf("the response begins with the unexpected line %q", line)
+	return Response{Final: checker.Failed, InvalidReason: reason}
+}
+
+// A line that no node may send used to count as a failed request, so that a node that sends one broke no rule.
 func TestReadMetaClassifiesResponses(t *testing.T) {
 	for text, want := range map[string]Response{
 		"VA 2 O7\r\nok\r\n": {Final: checker.Satisfied, Value: "ok"},
@@ -39,8 +46,12 @@
 		"SERVER_ERROR busy 20\r\n":   {Final: checker.Rejected, RetryAfter: 20 * time.Millisecond},
 		"SERVER_ERROR busy\r\n":      {Final: checker.Rejected},
 		"SERVER_ERROR timed out\r\n": {Final: checker.Failed},
-		"HD O7\r\n":                  {Final: checker.Failed},
-		"EN\r\n":                     {Final: checker.Failed},
+		"CLIENT_ERROR id in use\r\n": {Final: checker.Failed},
+		"HD O7\r\n":                  unexpectedLine("HD O7"), // the answer to a write, but the request is a read
+		"EN\r\n":                     unexpectedLine("EN"),
+		"ERROR\r\n":                  unexpectedLine("ERROR"),
+		"SERVER_ERROR\r\n":           unexpectedLine("SERVER_ERROR"), // without a text
+		"\r\n":                       unexpectedLine(""),
 	} {
 		got, err := readMeta(bufio.NewReader(strings.NewReader(text)), &Request{ID: "7"})
 		if err != nil || got != want {
