--- a/internal/emulator/client/conn.go
+++ b/internal/emulator/client/conn.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"io"
 	"net"
 	"time"
 
@@ -20,8 +21,27 @@
 // conn is a connection to a node.
 type conn struct {
 	*net.TCPConn
-	reader *bufio.Reader
-	used   bool // it has carried at least one response
+	reader   *bufio.Reader
+	received receivedBytes
+	used     bool // it has carried at least one response
+}
+
+// receivedBytes reads from a connection and counts the bytes.
+type receivedBytes struct {
+	from  io.Reader
+	count int64
+}
+
+func (r *receivedBytes) Read(into []byte) (int, error) {
+	n, err := r.from.Read(into)
+	r.count += int64(n)
+	return n, err
+}
+
+func newConn(stream *net.TCPConn) *conn {
+	c := &conn{TCPConn: stream, received: receivedBytes{from: stream}}
+	c.reader = bufio.NewReader(&c.received)
+	return c
 }
 
 // wasRead reports, after the peer has closed the connection in an orderly way, whether it had read all data that was
--- a/internal/emulator/client/pool.go
+++ b/internal/emulator/client/pool.go
@@ -1,13 +1,13 @@
 package client
 
 import (
-	"bufio"
 	"cmp"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
@@ -28,6 +28,8 @@
 	errAbandoned   = errors.New("the client abandoned the request")
 	errUnsolicited = errors.New("the node sent data while no request was in flight")
 	errUnanswered  = errors.New("the node read the request and closed the connection without a response")
+	errIncomplete  = errors.New("the connection ended in the middle of the response")
+	errUnreadable  = errors.New("the response cannot be read")
 )
 
 // Pool holds the connections to one node. Its methods may be called from any goroutine.
@@ -92,13 +94,18 @@
 		response.Abandoned = errors.Is(err, errAbandoned)
 		response.NotSent = closedBeforeRead && r.ReuseOnly
 	}
+	if errors.Is(err, errUnreadable) {
+		response.Final = checker.Failed
+		response.InvalidReason = err.Error()
+	}
 	return response
 }
 
 // isClosedBeforeRead reports whether the connection ended before the node had read the request.
 func isClosedBeforeRead(err error) bool {
-	return err != nil &&
-		!errors.Is(err, errSilent) && !errors.Is(err, errAbandoned) && !errors.Is(err, errUnanswered)
+	isOther := func(known error) bool { return errors.Is(err, known) }
+	return err != nil && !slices.ContainsFunc(
+		[]error{errSilent, errAbandoned, errUnanswered, errIncomplete, errUnreadable}, isOther)
 }
 
 // attempt sends a request on c, or on a new connection if c is nil, and reads the response.
@@ -115,7 +122,7 @@
 	}
 	response, err := p.exchange(c, r)
 	if err != nil {
-		if c.used && isOrderlyEnd(err) && c.wasRead() {
+		if c.used && !errors.Is(err, errIncomplete) && isOrderlyEnd(err) && c.wasRead() {
 			err = errUnanswered
 		}
 		p.discard(c)
@@ -141,11 +148,14 @@
 		encode, read = encodeHTTP, readHTTP
 	}
 	var response Response
+	before := c.received.count
 	_, err := io.WriteString(c, encode(r))
 	if err == nil {
 		response, err = read(c.reader, r)
 	}
 	switch {
+	case err != nil && !isTimeout(err) && c.received.count > before:
+		return response, answerError(err)
 	case !isTimeout(err):
 		return response, err
 	case abandons:
@@ -154,6 +164,16 @@
 	return response, errSilent
 }
 
+// answerError returns the error for a response of which some bytes arrived: the node had read the request, so that it
+// must not be sent again.
+func answerError(err error) error {
+	var netErr net.Error
+	if isOrderlyEnd(err) || errors.As(err, &netErr) {
+		return fmt.Errorf("%w: %w", errIncomplete, err)
+	}
+	return fmt.Errorf("%w: %w", errUnreadable, err)
+}
+
 func isOrderlyEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
@@ -187,7 +207,7 @@
 		_ = plain.Close()
 		return nil, fmt.Errorf("the connection to %s is a %T and not a TCP connection", addr, plain)
 	}
-	return &conn{TCPConn: stream, reader: bufio.NewReader(stream)}, nil
+	return newConn(stream), nil
 }
 
 // putIdle returns a connection to the idle ones, or closes it if the node ends it, the pool is closed or there are
