--- a/internal/emulator/simulation/connections.go
+++ b/internal/emulator/simulation/connections.go
@@ -48,12 +48,16 @@
 }
 
 // closeWhenIdle schedules the close of an idle connection after the current idle timeout. The timer does nothing if the
-// connection has been used since, which started a timer of its own, or if the timeout has become longer.
+// connection has been used since, which started a timer of its own. If the timeout has become longer, it starts again.
 func (n *node) closeWhenIdle(server int, c idleConnection) {
 	incarnation := n.incarnation
 	n.sim.At(c.since.Add(n.idleTimeout.Current(n.sim.now)), func() {
 		i := slices.Index(n.idleConnections[server], c)
-		if n.incarnation != incarnation || i < 0 || n.sim.now.Since(c.since) < n.idleTimeout.Current(n.sim.now) {
+		if n.incarnation != incarnation || i < 0 {
+			return
+		}
+		if n.sim.now.Since(c.since) < n.idleTimeout.Current(n.sim.now) {
+			n.closeWhenIdle(server, c)
 			return
 		}
 		n.idleConnections[server] = slices.Delete(n.idleConnections[server], i, i+1)
