--- a/internal/emulator/simulation/node.go
+++ b/internal/emulator/simulation/node.go
@@ -86,6 +86,9 @@
 
 // updateEndpoints applies an update of the endpoint list.
 func (n *node) updateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) {
+	if kind == policy.CompleteUpdate {
+		n.endpoints = nil // what the list does not have has left it
+	}
 	for _, e := range entries {
 		n.sim.checker.Notified(n.sim.now, n.number, e.ID, e.Lifecycle)
 		n.endpoints = slices.DeleteFunc(n.endpoints, func(o policy.Endpoint) bool { return o.ID == e.ID })
--- a/internal/emulator/simulation/rig.go
+++ b/internal/emulator/simulation/rig.go
@@ -36,6 +36,10 @@
 		sim.EndpointChanged(e)
 	}
 	sim.pendingUpdates = nil
+	for _, n := range sim.pendingLists {
+		n.sendCompleteList()
+	}
+	sim.pendingLists = nil
 }
 
 // EndpointChanged notifies each node of a change of the endpoint list, after a delay drawn for the node. If nodes poll
@@ -88,14 +92,24 @@
 		n.kill()
 	}
 	n.start(policy.LastKnownUpdate, n.endpoints)
-	if sim.registry.Bounded() {
-		return // it polls
+	if !sim.registry.Bounded() { // otherwise it polls
+		n.sendCompleteList()
 	}
+}
+
+// sendCompleteList sends the complete endpoint list to a node that has started. If discovery is down by then, the node
+// gets the list once it is up: changes that were published while the node had no process are in the list only.
+func (n *node) sendCompleteList() {
+	sim := n.sim
 	entries := runner.Endpoints(sim.world)
 	incarnation := n.incarnation
 	sim.after(scenario.SecondsToDuration(sim.scenario.Discovery.NoticeS[0]), func() {
-		if n.incarnation == incarnation && sim.discoveryUp {
+		switch {
+		case n.incarnation != incarnation:
+		case sim.discoveryUp:
 			n.updateEndpoints(policy.CompleteUpdate, entries)
+		default:
+			sim.pendingLists = append(sim.pendingLists, n)
 		}
 	})
 }
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -72,6 +72,7 @@
 	registry       *world.Registry
 	discoveryUp    bool
 	pendingUpdates []policy.Endpoint // changes while discovery is down, published when it comes up
+	pendingLists   []*node           // nodes that started while discovery is down, and get the list when it comes up
 	changes        []policy.Endpoint // all published changes, if nodes poll; their number is the list's version
 	waitingPolls   []endpointPoll    // polls that wait for a change, in the order of arrival
 
