--- a/internal/emulator/realtime/metrics.go
+++ b/internal/emulator/realtime/metrics.go
@@ -25,7 +25,7 @@
 // clientCounts are the counts of a node's clients. Comparing them with the node's metrics reveals requests that the
 // node counted twice or not at all.
 type clientCounts struct {
-	pending  int               // requests without a response, including those that the node never received
+	pending  int               // requests that the node may have received, and whose clients have no response
 	finished map[string]uint64 // finished requests by the name of the node's counter
 }
 
--- a/internal/emulator/realtime/metrics_test.go
+++ b/internal/emulator/realtime/metrics_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"dahliapin/internal/emulator/checker"
+	"dahliapin/internal/emulator/client"
+	"dahliapin/internal/emulator/world"
 )
 
 // Counters that differ by two percent or more from the clients' counts are detected. A counter may lag behind, or be
@@ -31,3 +33,30 @@
 		t.Errorf("counter that is not a number: contradictions %v, want one", got)
 	}
 }
+
+// A request that the node never received used to stay pending for good. Each one raised the number of requests that the
+// node may have counted in excess of its clients, until no excess was detected.
+func TestRequestThatWasNotSentIsNotPending(t *testing.T) {
+	s := parse(t, baseScenario)
+	settings, err := s.DecodedSettings(s.Fleet.Zones[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := newRig(s, settings, nil, nil)
+	m := &member{rig: r, inFlight: map[string]bool{}, excused: map[string]bool{}}
+	for _, test := range []struct {
+		name     string
+		response client.Response
+		pending  int
+	}{
+		{"not sent", client.Response{Final: checker.Cut, NotSent: true}, 0},
+		{"answered", client.Response{Final: checker.Failed}, 0},
+		{"closed without an answer: the node may have counted it", client.Response{Final: checker.Cut}, 1},
+	} {
+		m.counts.pending = 1
+		r.onResponse(m, 0, world.Request{ID: test.name, Try: 1}, epoch, test.response)
+		if m.counts.pending != test.pending {
+			t.Errorf("%s: %d requests are pending, want %d", test.name, m.counts.pending, test.pending)
+		}
+	}
+}
--- a/internal/emulator/realtime/rig.go
+++ b/internal/emulator/realtime/rig.go
@@ -441,6 +441,7 @@
 	}
 	switch {
 	case response.NotSent: // no node has received it; it counts as cut and is not retried
+		m.counts.pending--
 		r.checker.Forget(req.ID)
 		r.checker.Classes[req.Class].Cut++
 		return
