--- a/internal/emulator/netfault/forwarder.go
+++ b/internal/emulator/netfault/forwarder.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/netip"
 	"sync"
 	"time"
 )
@@ -12,8 +13,8 @@
 	// maxDelayedDatagrams is the maximum number of datagrams that are delayed at a time; further ones are dropped.
 	maxDelayedDatagrams = 20_000
 	dialTimeout         = 2 * time.Second
-	// acceptRetryPause is the pause after a failed accept.
-	acceptRetryPause = 5 * time.Millisecond
+	// retryPause is the pause after a failed accept of a stream or read of a datagram.
+	retryPause = 5 * time.Millisecond
 	// blockedCheckInterval is the interval at which a blocked stream checks whether the cut has ended.
 	blockedCheckInterval = 20 * time.Millisecond
 	// segmentSize is the maximum number of bytes of a stream that are forwarded at a time.
@@ -41,11 +42,16 @@
 	tcp *net.TCPListener
 }
 
+func (p listenerPair) close() {
+	_ = p.udp.Close()
+	_ = p.tcp.Close()
+}
+
 // NewForwarder returns a forwarder without listeners.
 func NewForwarder(f *Faults) *Forwarder { return &Forwarder{Faults: f, conns: map[net.Conn]bool{}} }
 
 // Listen opens the address at which one process reaches another, and returns it. Datagrams and streams are forwarded to
-// target.
+// target. It fails with net.ErrClosed after Close.
 func (f *Forwarder) Listen(from, to int, target string) (string, error) {
 	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
@@ -55,9 +61,9 @@
 	if err != nil {
 		return "", err
 	}
-	f.mu.Lock()
-	f.listeners = append(f.listeners, pair)
-	f.mu.Unlock()
+	if !f.trackListeners(pair) {
+		return "", net.ErrClosed
+	}
 	go f.forwardDatagrams(pair.udp, from, to, targetAddr)
 	go f.acceptStreams(pair.tcp, from, to, target)
 	return pair.udp.LocalAddr().String(), nil
@@ -81,8 +87,14 @@
 	return pair, err
 }
 
+// datagramConn is what forwardDatagrams uses of a net.UDPConn.
+type datagramConn interface {
+	ReadFromUDPAddrPort(buffer []byte) (n int, from netip.AddrPort, err error)
+	WriteToUDP(body []byte, to *net.UDPAddr) (n int, err error)
+}
+
 // forwardDatagrams forwards datagrams until the forwarder is closed.
-func (f *Forwarder) forwardDatagrams(conn *net.UDPConn, from, to int, target *net.UDPAddr) {
+func (f *Forwarder) forwardDatagrams(conn datagramConn, from, to int, target *net.UDPAddr) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buffer)
@@ -90,6 +102,7 @@
 			if f.isClosed() {
 				return
 			}
+			time.Sleep(retryPause)
 			continue // for example, the target did not listen when the previous datagram was sent
 		}
 		for _, delay := range f.Datagram(from, to) {
@@ -103,7 +116,7 @@
 }
 
 // delayDatagram sends a datagram after a delay, or drops it if maxDelayedDatagrams are delayed already.
-func (f *Forwarder) delayDatagram(conn *net.UDPConn, target *net.UDPAddr, body []byte, delay time.Duration) {
+func (f *Forwarder) delayDatagram(conn datagramConn, target *net.UDPAddr, body []byte, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.delayed >= maxDelayedDatagrams {
@@ -126,7 +139,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryPause)
+			time.Sleep(retryPause)
 			continue
 		}
 		if !f.track(conn) {
@@ -200,6 +213,19 @@
 	}
 }
 
+// trackListeners registers listeners, so that Close closes them. If the forwarder is already closed it closes them and
+// returns false.
+func (f *Forwarder) trackListeners(pair listenerPair) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.closed {
+		pair.close()
+		return false
+	}
+	f.listeners = append(f.listeners, pair)
+	return true
+}
+
 func (f *Forwarder) isClosed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,8 +265,7 @@
 	defer f.mu.Unlock()
 	f.closed = true
 	for _, pair := range f.listeners {
-		_ = pair.udp.Close()
-		_ = pair.tcp.Close()
+		pair.close()
 	}
 	for conn := range f.conns {
 		_ = conn.Close()
--- a/internal/emulator/netfault/forwarder_test.go
+++ b/internal/emulator/netfault/forwarder_test.go
@@ -1,8 +1,10 @@
 package netfault
 
 import (
+	"errors"
 	"io"
 	"net"
+	"net/netip"
 	"testing"
 	"time"
 )
@@ -84,3 +86,40 @@
 	f.Change(2, 1, func(link *Link) { link.Cut = false })
 	expect("second")
 }
+
+// A forwarder that was closed used to open listeners, which nobody closed.
+func TestListenFailsAfterClose(t *testing.T) {
+	target, _ := startRecordingServer(t)
+	f := NewForwarder(New(1))
+	f.Close()
+	addr, err := f.Listen(1, 2, target)
+	if !errors.Is(err, net.ErrClosed) {
+		t.Errorf("listens on %q after Close, error %v", addr, err)
+	}
+	if len(f.listeners) != 0 {
+		t.Errorf("%d listeners are open", len(f.listeners))
+	}
+}
+
+// failingConn fails each read, and counts them.
+type failingConn struct {
+	datagramConn
+	reads int
+}
+
+func (c *failingConn) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
+	c.reads++
+	return 0, netip.AddrPort{}, errors.New("out of buffers")
+}
+
+// While reads of datagrams failed, the forwarder used to try again at once and occupied a core, which made runs
+// inconclusive.
+func TestFailedReadsOfDatagramsAreRetriedWithAPause(t *testing.T) {
+	f, conn := NewForwarder(New(1)), &failingConn{}
+	begin := time.Now()
+	time.AfterFunc(10*retryPause, f.Close)
+	f.forwardDatagrams(conn, 1, 2, nil)
+	if most := 1 + int(time.Since(begin)/retryPause); conn.reads > most {
+		t.Errorf("%d reads within %v, want at most %d", conn.reads, time.Since(begin), most)
+	}
+}
