--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -15,6 +15,11 @@
 	changesPhase bool // changes the phase of the node, which must be serving when the fault begins
 	draw         func(d *soak, e *Event, duration float64)
 	possible     func(s *Scenario) bool // nil for always
+
+	// excludedFrom are the kinds of schedules in which nodes that obey the rules may still break them by this fault, as
+	// they cannot know of it: a cold cache that is slow, one that the endpoint list does not say is cold, and a cache
+	// that executes the repeat of a write long after it was sent.
+	excludedFrom []soakKind
 }
 
 // soakFaults lists the kinds of faults in soak schedules. The name is the action of the event, for a fault of a cache's
@@ -35,8 +40,8 @@
 		e.Count, e.ForS = d.intBetween(100, 700), duration
 	}},
 	{name: stall, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(1, 20) }},
-	{name: "discovery_down", draw: func(_ *soak, e *Event, duration float64) { e.ForS = duration }},
-	{name: "discovery_slow", draw: func(d *soak, e *Event, duration float64) {
+	{name: "discovery_down", excludedFrom: []soakKind{coldCaches}, draw: func(_ *soak, e *Event, duration float64) { e.ForS = duration }},
+	{name: "discovery_slow", excludedFrom: []soakKind{coldCaches}, draw: func(d *soak, e *Event, duration float64) {
 		e.ForS, e.Factor = duration, d.between(2, 50)
 	},
 		possible: func(s *Scenario) bool { return s.Discovery.WatchMs > 0 }},
@@ -44,12 +49,12 @@
 		e.Part, e.ForS = d.between(0.05, 0.3), d.between(1, soakMaxFault)
 	}},
 	{name: "add", draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(1, 4) }},
-	{name: "slow", draw: func(d *soak, e *Event, duration float64) {
+	{name: "slow", excludedFrom: []soakKind{coldCaches, lateRepeats}, draw: func(d *soak, e *Event, duration float64) {
 		e.Part, e.ForS, e.Factor = d.between(0.05, 0.4), duration, d.between(2, 20)
 	}},
 	{name: "silent", draw: partOfCaches(0.4)},
 	{name: "restart", draw: partOfCaches(0.3)},
-	{name: "pause", draw: partOfCaches(0.5)},
+	{name: "pause", excludedFrom: []soakKind{lateRepeats}, draw: partOfCaches(0.5)},
 	{name: "fault:refuse", draw: connectionFault("refuse")},
 	{name: "fault:reset", draw: connectionFault("reset")},
 	{name: "fault:silent", draw: connectionFault("silent")},
@@ -89,16 +94,46 @@
 
 // drawFaults draws the faults in order of time. Most of them overlap with their successors.
 func (d *soak) drawFaults() {
+	switch d.kind {
+	case lateRepeats:
+		d.addLatePause()
+	case coldCaches: // some caches are cold from the start
+		d.addEvent(Event{AtS: soakStart, Do: "restart", Part: d.between(0.2, 0.4), ForS: soakMinFault})
+	}
 	for at := soakStart; at < d.end-soakQuietTime; at += d.between(0, 2*soakMeanGap) {
 		at = math.Round(at*100) / 100
 		duration := math.Round(math.Min(d.between(soakMinFault, soakMaxFault), d.end-at)*100) / 100
 		if duration < soakMinFault {
 			continue
 		}
+		d.addFollowUps(at)
 		e := d.drawFault(at, duration)
-		d.plan.add(&e)
-		d.scenario.Events = append(d.scenario.Events, e)
+		d.addEvent(e)
 	}
+	d.addFollowUps(d.end)
+}
+
+// addLatePause adds a pause of caches that ends by their restart, by which attempts fail that have waited since the
+// pause began. The window of their idempotency keys has ended by then, and their deadlines have not passed.
+func (d *soak) addLatePause() {
+	pause := Event{AtS: soakStart, Do: "pause", Part: d.between(0.3, 0.5), ForS: d.between(1.2, 1.7)}
+	d.addEvent(pause)
+	restart := Event{AtS: soakStart + pause.ForS, Do: "restart", Part: pause.Part, ForS: soakMinFault}
+	d.followUps = append(d.followUps, restart)
+}
+
+// addFollowUps adds the follow-ups that are due by a time. They are in order of time.
+func (d *soak) addFollowUps(until float64) {
+	for len(d.followUps) > 0 && d.followUps[0].AtS <= until {
+		d.addEvent(d.followUps[0])
+		d.followUps = d.followUps[1:]
+	}
+}
+
+// addEvent adds an event to the schedule. Events must be added in order of time.
+func (d *soak) addEvent(e Event) {
+	d.plan.add(&e)
+	d.scenario.Events = append(d.scenario.Events, e)
 }
 
 // drawFault draws one of the faults that are possible at a time. A fault is more likely the less often it has coincided
