--- a/cmd/dahliapin/soak_variants_test.go
+++ b/cmd/dahliapin/soak_variants_test.go
@@ -438,3 +438,132 @@
 	shrunk, _ := os.ReadFile(path) // missing if no smaller schedule failed in the same way
 	t.Logf("%s%s", &output, shrunk)
 }
+
+// variantDeployment is a deployment of two nodes for the schedules of TestShortSchedulesCatchBrokenNodes.
+const variantDeployment = `
+[allowed]
+mode = "through"
+second_copies = false
+slack_ms = 200
+late_answer_ms = 500
+[traffic]
+per_second = 150
+[[grade]]
+name = "mark"
+share = 1
+benefit = 1
+effect = "labelled"
+write = true
+soft_ms = 300
+hard_ms = 2500
+work_ms = 2
+window_s = 0.2
+[fleet]
+nodes = 2
+caches = 6
+`
+
+// coldCacheDeployment is one in which a cold cache fails if it gets the share of the traffic of a warm one.
+const coldCacheDeployment = `seconds = 8
+[allowed]
+second_copies = false
+slack_ms = 200
+late_answer_ms = 500
+[discovery]
+notice_s = [0.05, 0.1]
+[traffic]
+per_second = 300
+keys = 2000
+[[grade]]
+name = "read"
+share = 1
+benefit = 1
+soft_ms = 500
+hard_ms = 1000
+work_ms = 20
+[fleet]
+nodes = 2
+caches = 6
+cold_from = 0.05
+cold_s = 60
+fall_multiple = 2
+fall_s = 1
+`
+
+// TestShortSchedulesCatchBrokenNodes checks that nodes break a rule that were not caught by schedules of a soak before
+// these were drawn for them, each by the least that it needs.
+func TestShortSchedulesCatchBrokenNodes(t *testing.T) {
+	if testing.Short() {
+		t.Skip("runs for 20 s")
+	}
+	t.Setenv(runAsProgramEnv, "1")
+	for _, test := range []struct {
+		variant  string
+		rule     int
+		schedule string
+	}{
+		{"stays suspended after a freeze soon after a reload", 1, "seconds = 5" + variantDeployment + `
+[[event]]
+at_s = 1
+do = "node_reload"
+nodes = [1]
+count = 1
+[[event]]
+at_s = 1.5
+do = "node_freeze"
+nodes = [1]
+for_s = 0.05
+`},
+		{"retries after the deduplication window", 2, "seconds = 4" + variantDeployment + `
+[[event]]
+at_s = 1
+do = "pause"
+part = 0.5
+for_s = 1.5
+[[event]]
+at_s = 2
+do = "restart"
+part = 0.5
+`},
+		{"treats cold caches as warm", 4, coldCacheDeployment + `
+[[event]]
+at_s = 1
+do = "restart"
+part = 0.3
+`},
+	} {
+		t.Run(test.variant, func(t *testing.T) {
+			t.Parallel() // its processes wait most of their time
+			s, err := scenario.Parse("short.toml", []byte(test.schedule))
+			if err != nil {
+				t.Fatal(err)
+			}
+			run := newVariantRunner(t, findVariant(t, test.variant))
+			if r := runScheduleUntilConclusive(t, s, run); r.Rules[test.rule-1] == 0 {
+				t.Errorf("rule %d is not broken: %s", test.rule, describeBreach(r))
+			}
+			correct := newVariantRunner(t, &brokenNode{name: "none"})
+			if r := runScheduleUntilConclusive(t, s, correct); isBroken(r) {
+				t.Errorf("correct nodes: %s", describeBreach(r))
+			}
+		})
+	}
+}
+
+// runScheduleUntilConclusive runs a schedule until the machine was not too busy for a verdict. It fails the test after
+// maxScenarioRuns runs.
+func runScheduleUntilConclusive(t *testing.T, s *scenario.Scenario, run scheduleRunner) *report.Report {
+	t.Helper()
+	for range maxScenarioRuns {
+		r, err := run(s)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if r.MachineTooBusy == "" {
+			return r
+		}
+		t.Logf("inconclusive: %s", r.MachineTooBusy)
+	}
+	t.Fatalf("not judged: the machine was too busy in %d runs", maxScenarioRuns)
+	return nil
+}
