--- a/cmd/dahliapin/scale_changes.go
+++ b/cmd/dahliapin/scale_changes.go
@@ -109,8 +109,8 @@
 	return checkChangesPhases(p)
 }
 
-// checkChangesPhases checks the names of the phases. No phase may be repeated: keys, configurations and figures are told
-// apart by the phase's name, so that the checker would take the second one's changes for those of the first.
+// checkChangesPhases checks the names of the phases. No phase may be repeated: keys, configurations and figures are
+// told apart by the phase's name, so that the checker would take the second one's changes for those of the first.
 func checkChangesPhases(p *rig.Plan) error {
 	for i, phase := range p.Phases {
 		if slices.Contains(p.Phases[:i], phase) {
