--- a/internal/emulator/checker/checker_test.go
+++ b/internal/emulator/checker/checker_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// repeatKeyedWrite sends a write with an idempotency key, whose deduplication window is a second, and sends it again the
-// given time after the first attempt.
+// repeatKeyedWrite sends a write with an idempotency key, whose deduplication window is a second, and sends it again
+// the given time after the first attempt.
 func repeatKeyedWrite(ch *Checker, firstNotExecuted bool, after policy.Instant) {
 	const first = 5 * ms
 	ch.RequestSent(0, "r", 0, 1, "l", 5000*ms, true)
--- a/internal/emulator/scenario/soak.go
+++ b/internal/emulator/scenario/soak.go
@@ -49,8 +49,8 @@
 }
 
 // Soaks returns a random schedule for each seed of a range. The same range gives the same schedules. The choice of
-// faults favours those that, according to the plan, have coincided least often with the current phases of nodes, and with
-// recent faults of the same node, in the schedules of earlier seeds.
+// faults favours those that, according to the plan, have coincided least often with the current phases of nodes, and
+// with recent faults of the same node, in the schedules of earlier seeds.
 func Soaks(first, last int64, seconds float64) []*Scenario {
 	covered := newSoakCoverage()
 	var all []*Scenario
--- a/internal/emulator/scenario/soak_faults.go
+++ b/internal/emulator/scenario/soak_faults.go
@@ -40,7 +40,9 @@
 		e.Count, e.ForS = d.intBetween(100, 700), duration
 	}},
 	{name: stall, singleNode: true, draw: func(d *soak, e *Event, _ float64) { e.Count = d.intBetween(1, 20) }},
-	{name: "discovery_down", excludedFrom: []soakKind{coldCaches}, draw: func(_ *soak, e *Event, duration float64) { e.ForS = duration }},
+	{name: "discovery_down", excludedFrom: []soakKind{coldCaches}, draw: func(_ *soak, e *Event, duration float64) {
+		e.ForS = duration
+	}},
 	{name: "discovery_slow", excludedFrom: []soakKind{coldCaches}, draw: func(d *soak, e *Event, duration float64) {
 		e.ForS, e.Factor = duration, d.between(2, 50)
 	},
--- a/internal/emulator/scenario/soak_plan.go
+++ b/internal/emulator/scenario/soak_plan.go
@@ -67,7 +67,8 @@
 }
 
 // weight returns the weight of a fault in the draw. It is 0 if the fault is not possible at a time, and otherwise grows
-// the less often the fault has coincided with the rarest of the current phases, and with recent faults of the same node.
+// the less often the fault has coincided with the rarest of the current phases, and with recent faults of the same
+// node.
 func (p *soakPlan) weight(f *soakFault, at float64) float64 {
 	if f.possible != nil && !f.possible(p.scenario) || slices.Contains(f.excludedFrom, p.kind) {
 		return 0
--- a/internal/emulator/scenario/soak_test.go
+++ b/internal/emulator/scenario/soak_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// A node that fails only if a freeze follows a reload was not found in six schedules, as two faults of the same node were
-// left to chance. Six schedules of 20 s drawn in sequence must let each fault that reaches the process of a node follow
-// each other one, and itself.
+// A node that fails only if a freeze follows a reload was not found in six schedules, as two faults of the same node
+// were left to chance. Six schedules of 20 s drawn in sequence must let each fault that reaches the process of a node
+// follow each other one, and itself.
 func TestSoaksCombineFaultsOfTheSameNode(t *testing.T) {
 	const seeds = 6
 	covered := newSoakCoverage()
