--- a/internal/syscallfault/calls_linux_amd64.go
+++ b/internal/syscallfault/calls_linux_amd64.go
@@ -16,19 +16,22 @@
 
 // The system calls that can be made to fail.
 var (
-	Accept     = Call{Name: "accept", numbers: []uint64{unix.SYS_ACCEPT, unix.SYS_ACCEPT4}}
-	NewSocket  = Call{Name: "socket", numbers: []uint64{unix.SYS_SOCKET}, descriptor: noDescriptor}
-	Connect    = Call{Name: "connect", numbers: []uint64{unix.SYS_CONNECT}}
-	Duplicate  = Call{Name: "dup", numbers: []uint64{unix.SYS_DUP, unix.SYS_DUP3}}
-	EpollWait  = Call{Name: "epoll_wait", numbers: epollWaits, descriptor: noDescriptor}
-	EpollAdd   = Call{Name: "epoll_ctl", numbers: []uint64{unix.SYS_EPOLL_CTL}, descriptor: 2}
-	Read       = Call{Name: "read", numbers: []uint64{unix.SYS_READ}, size: 2}
-	Write      = Call{Name: "write", numbers: []uint64{unix.SYS_WRITE}, size: 2}
-	Receive    = Call{Name: "recvfrom", numbers: []uint64{unix.SYS_RECVFROM}, size: 2}
-	SetOption  = Call{Name: "setsockopt", numbers: []uint64{unix.SYS_SETSOCKOPT}}
-	GetOption  = Call{Name: "getsockopt", numbers: []uint64{unix.SYS_GETSOCKOPT}}
-	LocalName  = Call{Name: "getsockname", numbers: []uint64{unix.SYS_GETSOCKNAME}}
-	RemoteName = Call{Name: "getpeername", numbers: []uint64{unix.SYS_GETPEERNAME}}
+	Accept         = Call{Name: "accept", numbers: []uint64{unix.SYS_ACCEPT, unix.SYS_ACCEPT4}}
+	NewSocket      = Call{Name: "socket", numbers: []uint64{unix.SYS_SOCKET}, descriptor: noDescriptor}
+	Connect        = Call{Name: "connect", numbers: []uint64{unix.SYS_CONNECT}}
+	Duplicate      = Call{Name: "dup", numbers: []uint64{unix.SYS_DUP, unix.SYS_DUP3}}
+	EpollWait      = Call{Name: "epoll_wait", numbers: epollWaits, descriptor: noDescriptor}
+	EpollAdd       = Call{Name: "epoll_ctl", numbers: []uint64{unix.SYS_EPOLL_CTL}, descriptor: 2}
+	Read           = Call{Name: "read", numbers: []uint64{unix.SYS_READ}, size: 2}
+	Write          = Call{Name: "write", numbers: []uint64{unix.SYS_WRITE}, size: 2}
+	Receive        = Call{Name: "recvfrom", numbers: []uint64{unix.SYS_RECVFROM}, size: 2}
+	Send           = Call{Name: "sendto", numbers: []uint64{unix.SYS_SENDTO}, size: 2}
+	SendMessage    = Call{Name: "sendmsg", numbers: []uint64{unix.SYS_SENDMSG}}
+	ReceiveMessage = Call{Name: "recvmsg", numbers: []uint64{unix.SYS_RECVMSG}}
+	SetOption      = Call{Name: "setsockopt", numbers: []uint64{unix.SYS_SETSOCKOPT}}
+	GetOption      = Call{Name: "getsockopt", numbers: []uint64{unix.SYS_GETSOCKOPT}}
+	LocalName      = Call{Name: "getsockname", numbers: []uint64{unix.SYS_GETSOCKNAME}}
+	RemoteName     = Call{Name: "getpeername", numbers: []uint64{unix.SYS_GETPEERNAME}}
 )
 
 // hasNumber reports whether number is one of the call's system call numbers.
--- a/internal/syscallfault/rule.go
+++ b/internal/syscallfault/rule.go
@@ -10,6 +10,8 @@
 // Socket describes the socket that a call operates on. Unknown ports are 0.
 type Socket struct {
 	Listening bool
+	Datagram  bool
+	Unix      bool // of the address family AF_UNIX
 	LocalPort int
 	PeerPort  int // for connect, the destination port
 }
--- a/internal/syscallfault/socket_linux_amd64.go
+++ b/internal/syscallfault/socket_linux_amd64.go
@@ -10,8 +10,8 @@
 // sockaddrBytes is the size of the largest IP socket address.
 const sockaddrBytes = unix.SizeofSockaddrInet6
 
-// socketOf describes the socket in a call's descriptor argument. It returns false if that is not a stream socket, and
-// the zero Socket for a call without a descriptor.
+// socketOf describes the socket in a call's descriptor argument. It returns false if that is neither a stream socket nor
+// a datagram socket, and the zero Socket for a call without a descriptor.
 func (t *Tracer) socketOf(call *Call, arguments [6]uint64) (Socket, bool) {
 	if call.descriptor == noDescriptor {
 		return Socket{}, true
@@ -22,13 +22,14 @@
 	}
 	defer unix.Close(fd)
 	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
-	if err != nil || kind != unix.SOCK_STREAM {
+	if err != nil || kind != unix.SOCK_STREAM && kind != unix.SOCK_DGRAM {
 		return Socket{}, false
 	}
 	listening, _ := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
-	socket := Socket{Listening: listening != 0}
+	socket := Socket{Listening: listening != 0, Datagram: kind == unix.SOCK_DGRAM}
 	if local, err := unix.Getsockname(fd); err == nil {
 		socket.LocalPort = portOf(local)
+		_, socket.Unix = local.(*unix.SockaddrUnix)
 	}
 	if call.numbers[0] == unix.SYS_CONNECT {
 		socket.PeerPort = t.portAt(uintptr(arguments[1]))
