--- a/cmd/dahliapin/syscall_fault_takeover_test.go
+++ b/cmd/dahliapin/syscall_fault_takeover_test.go
@@ -25,10 +25,14 @@
 // The load and the bounds of a handover.
 const (
 	handoverClients   = 4
-	handoverFaultTime = 2 * time.Second // after which a handover that does not complete is repeated without the fault
-	answeredAfter     = 20              // requests that must be answered after each handover
+	handoverFaultTime = 2 * time.Second       // after which a handover that does not complete is repeated without the fault
+	answeredAfter     = 20                    // requests that must be answered after each handover
+	handoverSettles   = 50 * time.Millisecond // after a handover, until the successor has noticed a failed read
 )
 
+// predecessorExit is in the line that a successor logs once its predecessor has ended.
+const predecessorExit = "predecessor process has exited"
+
 // takeoverFaults lists the errors that each call of a handover between two processes may return, as Linux documents
 // them, beside those of accept.
 func takeoverFaults() []callFaults {
@@ -106,7 +110,7 @@
 	if !s.now.hasLogged("counters, stopped", recoverWithin) {
 		failures = append(failures, "the predecessor does not end")
 	}
-	if !next.hasLogged("predecessor process has exited", recoverWithin) {
+	if !next.hasLogged(predecessorExit, recoverWithin) {
 		failures = append(failures, "the successor does not notice that the predecessor has ended")
 	}
 	s.now = next
@@ -135,7 +139,10 @@
 	completed := s.takesOver(next)
 	traced.tracer.Clear()
 	if completed {
-		failures = s.replaceBy(next)
+		if f.errno == unix.ENOMEM && f.site == handoverNew && next.hasLogged(predecessorExit, handoverSettles) {
+			failures = append(failures, "the successor uses the full limits although the predecessor runs")
+		}
+		failures = append(failures, s.replaceBy(next)...)
 	} else {
 		_ = next.Process.Signal(syscall.SIGTERM) // it may serve although its predecessor does not know
 		if !next.endsWithin(recoverWithin) {
--- a/internal/proxy/handover/inherit.go
+++ b/internal/proxy/handover/inherit.go
@@ -114,11 +114,17 @@
 	return err
 }
 
-// Wait returns once the old process has ended or closed the connection.
+// Wait returns once the old process has ended or closed the connection. A read that fails because the system lacks
+// memory does not mean that, so it is repeated.
 func (i *Inherited) Wait() {
 	buffer := make([]byte, len(socketRequest))
 	for {
-		if _, err := i.conn.Read(buffer); err != nil {
+		_, err := i.conn.Read(buffer)
+		switch {
+		case err == nil:
+		case errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS):
+			time.Sleep(transientErrorPause)
+		default:
 			return
 		}
 	}
--- a/internal/proxy/handover/offer.go
+++ b/internal/proxy/handover/offer.go
@@ -63,7 +63,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryPause)
+			time.Sleep(transientErrorPause)
 			continue
 		}
 		if o.admit(c) {
--- a/internal/proxy/handover/protocol.go
+++ b/internal/proxy/handover/protocol.go
@@ -24,8 +24,9 @@
 	// responseTimeout bounds the wait for the other process, which answers outside of its event loop.
 	responseTimeout = 500 * time.Millisecond
 
-	// acceptRetryPause is the pause after a failed accept. It prevents a busy loop.
-	acceptRetryPause = 5 * time.Millisecond
+	// transientErrorPause is the pause before a call that failed for lack of resources is repeated. It prevents a busy
+	// loop.
+	transientErrorPause = 5 * time.Millisecond
 
 	maxPathSize    = 107     // maximum length of a Unix socket's path, in bytes
 	maxSockets     = 64      // maximum number of sockets passed: the node's and those of the operator's file
