--- a/internal/control/purger/listpoller.go
+++ b/internal/control/purger/listpoller.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"time"
 
@@ -39,7 +40,10 @@
 }
 
 func newListPoller(p *Purger) *listPoller {
-	transport := &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}
+	// Without a timeout of its own, a connection attempt that hangs outlives the poll that started it, and as the only
+	// permitted connection it blocks all further polls.
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	transport := &http.Transport{DialContext: dialer.DialContext, MaxConnsPerHost: 1, DisableCompression: true}
 	return &listPoller{
 		purger: p,
 		client: &http.Client{Transport: transport},
