--- a/internal/emulator/simulation/soak_draw_test.go
+++ b/internal/emulator/simulation/soak_draw_test.go
@@ -79,3 +79,20 @@
 		return policy.New(now, seed, settings)
 	})
 }
+
+// Without hedging, an attempt must not start while an earlier one of the same request may still run, beyond the slack of
+// virtual time. In a long soak two drawn schedules broke this rule.
+func TestModuleOverlapsNoAttemptsInDrawnSchedules(t *testing.T) {
+	const seconds = 20
+	seeds := []int{26, 189}
+	drawn := scenario.Soaks(1, int64(slices.Max(seeds)), seconds)
+	for _, seed := range seeds {
+		s := drawn[seed-1]
+		t.Run(s.Name, func(t *testing.T) {
+			r := runSoakSchedule(t, s, func(*policy.Settings) {})
+			if r.Rules != [4]uint64{} {
+				t.Errorf("rules %v are broken: %v", r.Rules, r.Breaches)
+			}
+		})
+	}
+}
