--- a/cmd/dahliapin/syscall_faults_test.go
+++ b/cmd/dahliapin/syscall_faults_test.go
@@ -259,22 +259,9 @@
 	}
 }
 
-const (
-	// notCalledDivisor is the divisor of the number of points at which the call may not be made: one in 10, as a process
-	// makes some calls only rarely.
-	notCalledDivisor = 10
-
-	// fewPoints is the number of points below which one in 10 is less than chance may leave without a call.
-	fewPoints = 24
-)
-
-// maxNotCalled returns at how many of the points the call may not be made.
-func maxNotCalled(points int) int {
-	if points < fewPoints {
-		return points / 2
-	}
-	return points / notCalledDivisor
-}
+// notCalledDivisor is the divisor of the number of points at which the call may not be made: one in 10, as a process
+// makes some calls only rarely.
+const notCalledDivisor = 10
 
 // TestSyscallFaults injects each error that Linux documents at each of a node's system calls. Each request must get one
 // answer, no request that was sent to a server may be answered as rejected, nothing may spin, no descriptor may leak,
@@ -323,7 +310,7 @@
 		t.Skip("cannot trace here") // no process may be traced; any other error would have failed the test
 	}
 	// Guards against an injector that injects nothing, with which every point would pass.
-	if count.ran < len(all) || count.notCalled > maxNotCalled(len(all)) {
+	if count.ran < len(all) || count.notCalled*notCalledDivisor > len(all) {
 		t.Errorf("%d of %d points ran, and %d of these had no call", count.ran, len(all), count.notCalled)
 	}
 }
